--- a/crates/availability/src/group.rs
+++ b/crates/availability/src/group.rs
@@ -101,7 +101,12 @@
 
     pub fn state(&self) -> GroupState {
         let (condition, since) = (self.condition, self.since);
-        GroupState { condition, since, slowness: self.slowness(), unserved: self.unserved() }
+        GroupState {
+            condition,
+            since,
+            slowness: self.slowness(),
+            unserved: self.unserved(),
+        }
     }
 
     pub fn idle(&self, now: Time) -> Duration {
@@ -144,7 +149,10 @@
             }
             Ended::Broken => {
                 // One that was sent before the last answer and broke after it tells of its connection alone.
-                if now.saturating_sub(elapsed) >= self.heard || self.broken > 0 || elapsed < set.silence {
+                if now.saturating_sub(elapsed) >= self.heard
+                    || self.broken > 0
+                    || elapsed < set.silence
+                {
                     self.broken = self.broken.saturating_add(1);
                 }
                 self.good = 0;
@@ -166,7 +174,11 @@
     }
 
     pub fn wrote(&mut self, served: bool, now: Time) {
-        self.lost_writes = if served { 0 } else { self.lost_writes.saturating_add(1) };
+        self.lost_writes = if served {
+            0
+        } else {
+            self.lost_writes.saturating_add(1)
+        };
         self.written = now;
     }
 
@@ -216,13 +228,17 @@
         } else {
             match self.condition {
                 // Nothing but answers ends these: a group that nobody asks stays as it was last seen, for a while.
-                Condition::Dead | Condition::Hung if self.good < PROOF && self.idle(now) < FORGOTTEN => {
+                Condition::Dead | Condition::Hung
+                    if self.good < PROOF && self.idle(now) < FORGOTTEN =>
+                {
                     self.condition
                 }
                 Condition::Failing if failing > FAILING.1 => Condition::Failing,
                 _ if failing > FAILING.0 => Condition::Failing,
                 // Of a group that nobody writes to it is not known for long.
-                _ if self.lost_writes >= LOST_WRITES && now.saturating_sub(self.written) < FORGOTTEN => {
+                _ if self.lost_writes >= LOST_WRITES
+                    && now.saturating_sub(self.written) < FORGOTTEN =>
+                {
                     Condition::NoPrimary
                 }
                 _ => Condition::Serving,
--- a/crates/availability/src/latency.rs
+++ b/crates/availability/src/latency.rs
@@ -43,7 +43,9 @@
 
 impl std::fmt::Debug for Latency {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Latency").field("usual", &self.usual).finish_non_exhaustive()
+        f.debug_struct("Latency")
+            .field("usual", &self.usual)
+            .finish_non_exhaustive()
     }
 }
 
@@ -68,7 +70,10 @@
         if let Some(last) = self.present.last_mut() {
             last.add(seconds);
         }
-        if self.slowness() < STRANGE || self.strange_since.is_some_and(|at| now.saturating_sub(at) > ADOPTED)
+        if self.slowness() < STRANGE
+            || self
+                .strange_since
+                .is_some_and(|at| now.saturating_sub(at) > ADOPTED)
         {
             self.filling.add(seconds);
         }
@@ -112,11 +117,19 @@
             if self.filling.count() < ENOUGH {
                 return None;
             }
-            return self.filling.quantile(QUANTILE).ok().flatten().map(Duration::from_secs_f64);
+            return self
+                .filling
+                .quantile(QUANTILE)
+                .ok()
+                .flatten()
+                .map(Duration::from_secs_f64);
         }
         let mut sorted = self.usual.clone();
         sorted.sort_by(f64::total_cmp);
-        sorted.get(sorted.len() / 2).copied().map(Duration::from_secs_f64)
+        sorted
+            .get(sorted.len() / 2)
+            .copied()
+            .map(Duration::from_secs_f64)
     }
 
     fn now(&self) -> Option<f64> {
--- a/crates/availability/src/lib.rs
+++ b/crates/availability/src/lib.rs
@@ -74,7 +74,11 @@
 
 impl Settings {
     fn links(&self) -> link::Settings {
-        link::Settings { silence: self.silence, list_late: self.list_late, election: self.election }
+        link::Settings {
+            silence: self.silence,
+            list_late: self.list_late,
+            election: self.election,
+        }
     }
 }
 
@@ -368,25 +372,43 @@
             Event::Asked { group } => self.with(group, |g, _| g.asked(now)),
             Event::Left { group } => self.with(group, |g, _| g.left()),
             Event::Sent { group } => self.with(group, |g, _| g.sent(now)),
-            Event::Ended { group, how, elapsed } => {
+            Event::Ended {
+                group,
+                how,
+                elapsed,
+            } => {
                 self.with(group, |g, set| g.ended(how, elapsed, now, set));
                 urgent = how == Ended::Broken;
             }
             Event::Served { group } => self.with(group, |g, _| g.answered(now, true)),
-            Event::Failed { group } | Event::Refused { group, cause: Cause::Servers } => {
+            Event::Failed { group }
+            | Event::Refused {
+                group,
+                cause: Cause::Servers,
+            } => {
                 self.with(group, |g, _| g.answered(now, false));
             }
-            Event::Refused { cause: Cause::Own, .. } => {}
-            Event::Listed { server, place, group, there } => {
-                self.links.listed(server, place, group, there, now)
-            }
+            Event::Refused {
+                cause: Cause::Own, ..
+            } => {}
+            Event::Listed {
+                server,
+                place,
+                group,
+                there,
+            } => self.links.listed(server, place, group, there, now),
             Event::ListHeard => self.links.list_heard(now),
             Event::Asks { server } => self.links.asks(server, now),
             Event::Over { server, word } => self.links.over(server, word, now),
             Event::Dials { server } => self.links.dials(server, now),
             Event::Word { server } => self.links.word(server, now),
-            Event::Told { server, position, primary } => {
-                self.links.told(server, position, primary, now, self.set.links());
+            Event::Told {
+                server,
+                position,
+                primary,
+            } => {
+                self.links
+                    .told(server, position, primary, now, self.set.links());
             }
             Event::Wrote { group, served } => self.with(group, |g, _| g.wrote(served, now)),
         }
@@ -400,8 +422,11 @@
             if self.groups.len() >= GROUPS_LIMIT {
                 // Whoever was asked for last the longest ago makes place, if that is long enough.
                 let now = self.now;
-                let Some((&oldest, _)) =
-                    self.groups.iter().filter(|(_, g)| g.idle(now) > MINUTE).max_by_key(|(_, g)| g.idle(now))
+                let Some((&oldest, _)) = self
+                    .groups
+                    .iter()
+                    .filter(|(_, g)| g.idle(now) > MINUTE)
+                    .max_by_key(|(_, g)| g.idle(now))
                 else {
                     return;
                 };
@@ -428,7 +453,11 @@
         let target = 100.0 * own * shared.factor;
         // Down at once; up as fast as a proxy may be trusted again.
         let risen = self.shown + set.rise * (now - self.shown_at).as_secs_f64();
-        self.shown = if target < self.shown { target } else { risen.min(target) };
+        self.shown = if target < self.shown {
+            target
+        } else {
+            risen.min(target)
+        };
         self.shown_at = now;
         let least = match own_reason {
             Reason::Lag => set.least,
@@ -438,9 +467,14 @@
         let least = (100.0 * least).ceil();
         let step = f64::from(set.step.max(1));
         // Rounded down to a step, but what the rule guarantees is kept.
-        let weight =
-            ((self.shown / step).floor() * step).max(least.min(self.shown.ceil())).clamp(1.0, 100.0) as u8;
-        let serving = if self.started { self.judge(own, &shared) } else { State::Starting };
+        let weight = ((self.shown / step).floor() * step)
+            .max(least.min(self.shown.ceil()))
+            .clamp(1.0, 100.0) as u8;
+        let serving = if self.started {
+            self.judge(own, &shared)
+        } else {
+            State::Starting
+        };
         let (state, weight) = if self.stopping {
             (State::Stopping, 0)
         } else if self.draining {
@@ -450,7 +484,11 @@
         } else {
             (serving, weight)
         };
-        let reason = if own < shared.factor { own_reason } else { shared.reason };
+        let reason = if own < shared.factor {
+            own_reason
+        } else {
+            shared.reason
+        };
         self.tell(state, weight, reason, shared.slowness);
     }
 
@@ -477,7 +515,15 @@
         }
         let since = if changed { now } else { self.report.since };
         let (load, discovery) = (self.load, self.discovery);
-        self.report = Report { state, weight, reason, since, slowness, load, discovery };
+        self.report = Report {
+            state,
+            weight,
+            reason,
+            since,
+            slowness,
+            load,
+            discovery,
+        };
     }
 
     /// How many times longer than usual states are kept.
@@ -524,20 +570,40 @@
         }
         let unserved = if all > 0.0 { lost / all } else { 0.0 };
         let slowness = if all > 0.0 { slow / all } else { 1.0 };
-        Shared { unserved, slowness, factor: 1.0 - (1.0 - self.set.floor) * unserved, reason }
+        Shared {
+            unserved,
+            slowness,
+            factor: 1.0 - (1.0 - self.set.floor) * unserved,
+            reason,
+        }
     }
 
     /// The part that own trouble leaves, and what it is.
     fn own(&self, shared: &Shared) -> (f64, Reason) {
-        let Settings { least, floor, lag, use_of_limits, .. } = self.set;
+        let Settings {
+            least,
+            floor,
+            lag,
+            use_of_limits,
+            ..
+        } = self.set;
         let ramp = |value: f64, from: f64, to: f64| {
-            let part =
-                if to > from { (value - from) / (to - from) } else { f64::from(u8::from(value >= to)) };
+            let part = if to > from {
+                (value - from) / (to - from)
+            } else {
+                f64::from(u8::from(value >= to))
+            };
             1.0 - (1.0 - least) * part.clamp(0.0, 1.0)
         };
         let limited = |used: f64| ramp(used, use_of_limits.0, use_of_limits.1);
-        let mut worst =
-            (ramp(self.load.lag.as_secs_f64(), lag.0.as_secs_f64(), lag.1.as_secs_f64()), Reason::Lag);
+        let mut worst = (
+            ramp(
+                self.load.lag.as_secs_f64(),
+                lag.0.as_secs_f64(),
+                lag.1.as_secs_f64(),
+            ),
+            Reason::Lag,
+        );
         // Requests stay open for longer with slower servers: that much is not of our making.
         let open = self.load.open / shared.slowness.max(1.0);
         for (part, reason) in [
@@ -554,7 +620,9 @@
         if let Some((place, share)) = self.links.cut(self.now) {
             let cut_floor = self.set.cut_floor.min(floor);
             // What its other servers serve in its place does not show in its answers, but they bear it.
-            let part = (1.0 - (1.0 - cut_floor) * share).max(cut_floor / shared.factor).min(1.0);
+            let part = (1.0 - (1.0 - cut_floor) * share)
+                .max(cut_floor / shared.factor)
+                .min(1.0);
             if part < worst.0 {
                 worst = (part, Reason::Link(place));
             }
--- a/crates/availability/src/link.rs
+++ b/crates/availability/src/link.rs
@@ -121,7 +121,9 @@
     }
 
     pub fn states(&self) -> impl Iterator<Item = (u16, Link)> + '_ {
-        self.places.iter().map(|(place, state)| (*place, state.state))
+        self.places
+            .iter()
+            .map(|(place, state)| (*place, state.state))
     }
 
     pub fn state(&self, place: u16) -> Option<Link> {
@@ -147,7 +149,15 @@
             owing: 0,
         });
         let (owes_since, dialled_since) = (None, None);
-        let new = Server { place, group, listed: true, heard: now, out: 0, owes_since, dialled_since };
+        let new = Server {
+            place,
+            group,
+            listed: true,
+            heard: now,
+            out: 0,
+            owes_since,
+            dialled_since,
+        };
         self.servers.insert(server, new);
     }
 
@@ -157,11 +167,18 @@
 
     /// An exchange with it has begun.
     pub fn asks(&mut self, server: u32, now: Time) {
-        let Some(server) = self.servers.get_mut(&server) else { return };
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
         server.out = server.out.saturating_add(1);
-        let Some(place) = self.places.get_mut(&server.place) else { return };
+        let Some(place) = self.places.get_mut(&server.place) else {
+            return;
+        };
         // What was asked before the last word from there may be on a connection that is dead.
-        server.owes_since = server.owes_since.filter(|at| *at > place.heard).or(Some(now));
+        server.owes_since = server
+            .owes_since
+            .filter(|at| *at > place.heard)
+            .or(Some(now));
         if place.state == Link::Up {
             place.decay(now);
             place.attempts += 1.0;
@@ -187,7 +204,9 @@
 
     /// Its machine has said something.
     pub fn word(&mut self, server: u32, now: Time) {
-        let Some(server) = self.servers.get_mut(&server) else { return };
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
         (server.owes_since, server.dialled_since, server.heard) = (None, None, now);
         if let Some(place) = self.places.get_mut(&server.place) {
             place.heard = now;
@@ -205,15 +224,28 @@
         now: Time,
         set: Settings,
     ) {
-        let Some(&Server { group, place: here, .. }) = self.servers.get(&server) else { return };
+        let Some(&Server {
+            group, place: here, ..
+        }) = self.servers.get(&server)
+        else {
+            return;
+        };
         match primary {
             Some(true) => _ = self.primaries.insert(group, server),
-            Some(false) if self.primaries.get(&group) == Some(&server) => _ = self.primaries.remove(&group),
+            Some(false) if self.primaries.get(&group) == Some(&server) => {
+                _ = self.primaries.remove(&group)
+            }
             _ => {}
         }
-        let (Some(position), Some(at)) = (position, self.primaries.get(&group)) else { return };
-        let Some(primary) = self.servers.get(at).filter(|p| p.place != here) else { return };
-        let Some(place) = self.places.get_mut(&primary.place) else { return };
+        let (Some(position), Some(at)) = (position, self.primaries.get(&group)) else {
+            return;
+        };
+        let Some(primary) = self.servers.get(at).filter(|p| p.place != here) else {
+            return;
+        };
+        let Some(place) = self.places.get_mut(&primary.place) else {
+            return;
+        };
         // It has owed a word since before that position was made: it worked on, and nothing of it came here. Soon
         // after its last word, that is: later another may have taken over. What is said to lie ahead is no position.
         let owed = primary.owes_since.filter(|at| *at > place.heard);
@@ -225,9 +257,13 @@
     /// Judges every place.
     pub fn look(&mut self, now: Time, set: Settings) {
         let mut tallies: BTreeMap<u16, Tally> = BTreeMap::new();
-        let Links { servers, places, .. } = self;
+        let Links {
+            servers, places, ..
+        } = self;
         servers.retain(|_, server| {
-            let Some(place) = places.get(&server.place) else { return false };
+            let Some(place) = places.get(&server.place) else {
+                return false;
+            };
             if !server.listed && server.out == 0 && place.state == Link::Up {
                 return false;
             }
@@ -271,15 +307,26 @@
 
     /// A server that should be dialled, to tell machines out of reach from processes that are slow or hang.
     pub fn knock(&self, may: impl Fn(u32) -> bool) -> Option<u32> {
-        let suspect = |place: u16| self.places.get(&place).is_some_and(|p| p.owing >= WITNESSES);
-        let mut fitting = self.servers.iter().filter(|(_, s)| s.listed && !self.dialled(s));
-        fitting.find(|(server, s)| suspect(s.place) && may(**server)).map(|(server, _)| *server)
+        let suspect = |place: u16| {
+            self.places
+                .get(&place)
+                .is_some_and(|p| p.owing >= WITNESSES)
+        };
+        let mut fitting = self
+            .servers
+            .iter()
+            .filter(|(_, s)| s.listed && !self.dialled(s));
+        fitting
+            .find(|(server, s)| suspect(s.place) && may(**server))
+            .map(|(server, _)| *server)
     }
 
     /// Whether a dial since the last word from its place is under way or in vain.
     fn dialled(&self, server: &Server) -> bool {
         let heard = self.places.get(&server.place).map(|p| p.heard);
-        server.dialled_since.is_some_and(|at| heard.is_some_and(|heard| at > heard))
+        server
+            .dialled_since
+            .is_some_and(|at| heard.is_some_and(|heard| at > heard))
     }
 
     /// While the proxy itself did not run nobody was silent.
@@ -297,7 +344,12 @@
             _ => place.attempts,
         };
         let all: f64 = self.places.values().map(weigh).sum();
-        let cut: f64 = self.places.values().filter(|p| p.state == Link::Cut).map(weigh).sum();
+        let cut: f64 = self
+            .places
+            .values()
+            .filter(|p| p.state == Link::Cut)
+            .map(weigh)
+            .sum();
         let worst = self.places.iter().filter(|(_, p)| p.state == Link::Cut);
         let (place, _) = worst.max_by(|a, b| weigh(a.1).total_cmp(&weigh(b.1)))?;
         Some((*place, if all > 0.0 { cut / all } else { 0.0 }))
--- a/crates/availability/tests/links.rs
+++ b/crates/availability/tests/links.rs
@@ -15,10 +15,32 @@
     model.handle(Time::ZERO, Event::Started);
     for server in 0..6_u32 {
         let place = if server < 3 { HERE } else { THERE };
-        model.handle(Time::ZERO, Event::Listed { server, place, group: server % 3, there: true });
+        model.handle(
+            Time::ZERO,
+            Event::Listed {
+                server,
+                place,
+                group: server % 3,
+                there: true,
+            },
+        );
     }
-    for (server, primary) in [(0, true), (1, false), (2, false), (3, false), (4, true), (5, true)] {
-        model.handle(MS, Event::Told { server, position: Some(Time::ZERO), primary: Some(primary) });
+    for (server, primary) in [
+        (0, true),
+        (1, false),
+        (2, false),
+        (3, false),
+        (4, true),
+        (5, true),
+    ] {
+        model.handle(
+            MS,
+            Event::Told {
+                server,
+                position: Some(Time::ZERO),
+                primary: Some(primary),
+            },
+        );
     }
     model
 }
@@ -47,7 +69,14 @@
         if let Some(server) = model.knock(|_| true) {
             model.handle(at, Event::Dials { server });
         }
-        model.handle(at, Event::Told { server: 1, position: log.or(Some(at)), primary: Some(false) });
+        model.handle(
+            at,
+            Event::Told {
+                server: 1,
+                position: log.or(Some(at)),
+                primary: Some(false),
+            },
+        );
         at += 50 * MS;
     }
     at
@@ -58,11 +87,17 @@
     let mut model = model();
     let at = calm(&mut model, MS);
     let at = nothing_comes(&mut model, at, 1_200 * MS, None);
-    assert_eq!((model.link(HERE), model.link(THERE)), (Some(Link::Up), Some(Link::Cut)));
+    assert_eq!(
+        (model.link(HERE), model.link(THERE)),
+        (Some(Link::Up), Some(Link::Cut))
+    );
     let report = *model.report();
     assert_eq!(report.reason, Reason::Link(THERE));
     // Half of the attempts went there.
-    assert!(report.state.serves() && (50..=70).contains(&report.weight), "{report:?}");
+    assert!(
+        report.state.serves() && (50..=70).contains(&report.weight),
+        "{report:?}"
+    );
     // A word from there, and it stands again; the weight comes back step by step.
     model.handle(at, Event::Word { server: 4 });
     model.handle(at, Event::Tick);
@@ -81,7 +116,11 @@
     while at < start + 12 * SECOND {
         at = nothing_comes(&mut model, at, SECOND, Some(start));
         model.handle(at, Event::ListHeard);
-        let expected = if at < start + Duration::from_millis(10_350) { Link::Silent } else { Link::Cut };
+        let expected = if at < start + Duration::from_millis(10_350) {
+            Link::Silent
+        } else {
+            Link::Cut
+        };
         model.handle(at, Event::Tick);
         assert_eq!(model.link(THERE), Some(expected), "after {:?}", at - start);
     }
@@ -94,7 +133,15 @@
     let mut at = nothing_comes(&mut model, at, 5 * SECOND, Some(at));
     assert_eq!(model.link(THERE), Some(Link::Silent));
     for server in 3..6 {
-        model.handle(at, Event::Listed { server, place: THERE, group: server % 3, there: false });
+        model.handle(
+            at,
+            Event::Listed {
+                server,
+                place: THERE,
+                group: server % 3,
+                there: false,
+            },
+        );
     }
     for _ in 0..10 {
         at = nothing_comes(&mut model, at, SECOND, None);
@@ -116,7 +163,14 @@
             model.handle(at, Event::Dials { server });
             model.handle(at, Event::Word { server });
         }
-        model.handle(at, Event::Told { server: 1, position: Some(at), primary: Some(false) });
+        model.handle(
+            at,
+            Event::Told {
+                server: 1,
+                position: Some(at),
+                primary: Some(false),
+            },
+        );
         model.handle(at, Event::ListHeard);
         assert_eq!(model.link(THERE), Some(Link::Up));
         at += 100 * MS;
@@ -132,15 +186,27 @@
         let at = at + 50 * MS * step;
         model.handle(at, Event::Asks { server: 4 });
         model.handle(at, Event::Dials { server: 4 });
-        assert_eq!((model.link(THERE), model.knock(|_| true)), (Some(Link::Up), None));
+        assert_eq!(
+            (model.link(THERE), model.knock(|_| true)),
+            (Some(Link::Up), None)
+        );
     }
     let at = at + 4 * SECOND;
     for step in 0..60_u32 {
         let at = at + 50 * MS * step;
         model.handle(at, Event::Asks { server: 4 });
         model.handle(at, Event::Dials { server: 4 });
-        (0..3).chain([3, 5]).for_each(|server| exchange(&mut model, server, at));
-        model.handle(at, Event::Told { server: 1, position: Some(at), primary: Some(false) });
+        (0..3)
+            .chain([3, 5])
+            .for_each(|server| exchange(&mut model, server, at));
+        model.handle(
+            at,
+            Event::Told {
+                server: 1,
+                position: Some(at),
+                primary: Some(false),
+            },
+        );
         assert_eq!(model.link(THERE), Some(Link::Up));
     }
 }
@@ -152,12 +218,28 @@
     model.handle(Time::ZERO, Event::Started);
     for server in 0..20_000_u32 {
         let place = (server % 500) as u16;
-        model.handle(MS, Event::Listed { server, place, group: server, there: true });
+        model.handle(
+            MS,
+            Event::Listed {
+                server,
+                place,
+                group: server,
+                there: true,
+            },
+        );
     }
     assert!(model.links().count() <= availability::PLACES_LIMIT);
     // Servers that come and go leave nothing behind.
     for server in 20_000..60_000_u32 {
-        model.handle(MS, Event::Listed { server, place: 0, group: 0, there: false });
+        model.handle(
+            MS,
+            Event::Listed {
+                server,
+                place: 0,
+                group: 0,
+                there: false,
+            },
+        );
     }
     assert_eq!(model.report().state, State::Ready);
 }
--- a/crates/availability/tests/model.rs
+++ b/crates/availability/tests/model.rs
@@ -1,6 +1,8 @@
 //! The model on virtual time: what it tells in each kind of trouble, how soon, and what it never tells.
 
-use availability::{Availability, Cause, Condition, Ended, Event, Load, Reason, Settings, State, Time};
+use availability::{
+    Availability, Cause, Condition, Ended, Event, Load, Reason, Settings, State, Time,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -53,24 +55,40 @@
                 for n in 0..due {
                     self.model.handle(self.now, Event::Asked { group });
                     if behaviour == Behaviour::Refuses {
-                        self.model.handle(self.now, Event::Refused { group, cause: Cause::Servers });
+                        self.model.handle(
+                            self.now,
+                            Event::Refused {
+                                group,
+                                cause: Cause::Servers,
+                            },
+                        );
                         continue;
                     }
                     self.model.handle(self.now, Event::Sent { group });
                     // Times scatter by a half.
                     let scatter = (millis / 5 * 7 + n * 13 + group * 3) % 10;
                     let (how, took) = match behaviour {
-                        Behaviour::Takes(ms) => (Ended::Answered, MS * (ms * (75 + scatter * 5) / 100)),
+                        Behaviour::Takes(ms) => {
+                            (Ended::Answered, MS * (ms * (75 + scatter * 5) / 100))
+                        }
                         Behaviour::Silent => (Ended::Broken, 1_500 * MS),
                         _ => (Ended::Broken, 2 * MS),
                     };
                     self.out.push((self.now + took, group, how, took));
                 }
             }
-            let (over, out): (Vec<_>, Vec<_>) = self.out.drain(..).partition(|(at, ..)| *at <= self.now);
+            let (over, out): (Vec<_>, Vec<_>) =
+                self.out.drain(..).partition(|(at, ..)| *at <= self.now);
             self.out = out;
             for (at, group, how, elapsed) in over {
-                self.model.handle(at, Event::Ended { group, how, elapsed });
+                self.model.handle(
+                    at,
+                    Event::Ended {
+                        group,
+                        how,
+                        elapsed,
+                    },
+                );
                 let answer = match how {
                     Ended::Answered => Event::Served { group },
                     _ => Event::Failed { group },
@@ -108,23 +126,35 @@
 
 #[test]
 fn a_hung_and_a_dead_group_show_within_a_second_at_twenty_a_second() {
-    for (behaviour, expected) in [(Behaviour::Silent, Condition::Hung), (Behaviour::Breaks, Condition::Dead)]
-    {
+    for (behaviour, expected) in [
+        (Behaviour::Silent, Condition::Hung),
+        (Behaviour::Breaks, Condition::Dead),
+    ] {
         let mut world = World::new(4, 20);
         world.run(30 * SECOND);
-        assert_eq!((world.model.report().state, world.model.report().weight), (State::Ready, 100));
+        assert_eq!(
+            (world.model.report().state, world.model.report().weight),
+            (State::Ready, 100)
+        );
         world.groups[2] = behaviour;
         let took = world.until(SECOND, |w| w.condition(2) == expected);
         world.run(500 * MS);
         let report = *world.model.report();
-        assert!(matches!(report.state, State::Degraded(15..=35)), "{report:?} after {took:?}");
+        assert!(
+            matches!(report.state, State::Degraded(15..=35)),
+            "{report:?} after {took:?}"
+        );
         assert_eq!(report.reason, Reason::Group(2));
-        assert!((80..=95).contains(&report.weight), "the others' traffic stays: {report:?}");
+        assert!(
+            (80..=95).contains(&report.weight),
+            "the others' traffic stays: {report:?}"
+        );
         // It answers again, and that is told too.
         world.groups[2] = Behaviour::Takes(50);
         world.until(6 * SECOND, |w| w.condition(2) == Condition::Serving);
-        world
-            .until(10 * SECOND, |w| w.model.report().state == State::Ready && w.model.report().weight == 100);
+        world.until(10 * SECOND, |w| {
+            w.model.report().state == State::Ready && w.model.report().weight == 100
+        });
     }
 }
 
@@ -134,15 +164,36 @@
     world.run(10 * SECOND);
     for _ in 0..2 {
         world.model.handle(world.now, Event::Asked { group: 1 });
-        world.model.handle(world.now, Event::Wrote { group: 1, served: false });
-        world.model.handle(world.now, Event::Refused { group: 1, cause: Cause::Servers });
+        world.model.handle(
+            world.now,
+            Event::Wrote {
+                group: 1,
+                served: false,
+            },
+        );
+        world.model.handle(
+            world.now,
+            Event::Refused {
+                group: 1,
+                cause: Cause::Servers,
+            },
+        );
     }
     world.run(100 * MS);
     assert_eq!(world.condition(1), Condition::NoPrimary);
     let report = world.model.report();
-    assert!(matches!(report.state, State::Degraded(1..=5)) && report.weight >= 90, "{report:?}");
+    assert!(
+        matches!(report.state, State::Degraded(1..=5)) && report.weight >= 90,
+        "{report:?}"
+    );
     assert_eq!(report.reason, Reason::Primary(1));
-    world.model.handle(world.now, Event::Wrote { group: 1, served: true });
+    world.model.handle(
+        world.now,
+        Event::Wrote {
+            group: 1,
+            served: true,
+        },
+    );
     world.until(5 * SECOND, |w| w.condition(1) == Condition::Serving);
 }
 
@@ -153,14 +204,28 @@
     world.told.clear();
     world.groups = vec![Behaviour::Takes(150); 4];
     // Requests stay open three times as long, and with them descriptors: that shows before the slowness does.
-    world.load = Load { open: 0.95, descriptors: 0.99, memory: 0.9, ..Load::default() };
+    world.load = Load {
+        open: 0.95,
+        descriptors: 0.99,
+        memory: 0.9,
+        ..Load::default()
+    };
     world.run(20 * SECOND);
     let report = *world.model.report();
     assert!(report.slowness > 2.5, "{report:?}");
-    assert!(world.told.iter().all(|(_, state, weight)| state.serves() && *weight >= 50), "{:?}", world.told);
+    assert!(
+        world
+            .told
+            .iter()
+            .all(|(_, state, weight)| state.serves() && *weight >= 50),
+        "{:?}",
+        world.told
+    );
     world.groups = vec![Behaviour::Takes(50); 4];
     world.load = Load::default();
-    world.until(20 * SECOND, |w| w.model.report().state == State::Ready && w.model.report().weight == 100);
+    world.until(20 * SECOND, |w| {
+        w.model.report().state == State::Ready && w.model.report().weight == 100
+    });
 }
 
 #[test]
@@ -171,11 +236,18 @@
         world.groups = vec![behaviour; 3];
         world.run(20 * SECOND);
         assert!(
-            world.told.iter().all(|(_, state, weight)| state.serves() && *weight >= 50),
+            world
+                .told
+                .iter()
+                .all(|(_, state, weight)| state.serves() && *weight >= 50),
             "{:?}",
             world.told
         );
-        assert!(matches!(world.model.report().state, State::Degraded(60..)), "{:?}", world.model.report());
+        assert!(
+            matches!(world.model.report().state, State::Degraded(60..)),
+            "{:?}",
+            world.model.report()
+        );
     }
 }
 
@@ -184,12 +256,17 @@
     let mut world = World::new(2, 50);
     world.run(10 * SECOND);
     world.load.lag = 300 * MS;
-    world.until(SECOND, |w| w.model.report().state == State::Overloaded && w.model.report().weight <= 10);
+    world.until(SECOND, |w| {
+        w.model.report().state == State::Overloaded && w.model.report().weight <= 10
+    });
     assert_eq!(world.model.report().reason, Reason::Lag);
     world.load.lag = Duration::ZERO;
     let start = world.now;
     world.until(20 * SECOND, |w| w.model.report().weight == 100);
-    assert!(world.now - start >= 4 * SECOND, "weight comes back step by step");
+    assert!(
+        world.now - start >= 4 * SECOND,
+        "weight comes back step by step"
+    );
 }
 
 #[test]
@@ -200,7 +277,9 @@
         // Every fifth attempt goes to a member that says nothing.
         let at = world.now;
         world.model.handle(at, Event::Sent { group: 0 });
-        world.out.push((at + 1_500 * MS, 0, Ended::Broken, 1_500 * MS));
+        world
+            .out
+            .push((at + 1_500 * MS, 0, Ended::Broken, 1_500 * MS));
         world.run(100 * MS);
         assert_eq!(world.condition(0), Condition::Serving, "after {n}");
     }
@@ -215,7 +294,9 @@
             world.model.handle(world.now, Event::Asked { group: 0 });
             world.model.handle(world.now, Event::Sent { group: 0 });
             if answered {
-                world.out.push((world.now + 3 * SECOND, 0, Ended::Answered, 3 * SECOND));
+                world
+                    .out
+                    .push((world.now + 3 * SECOND, 0, Ended::Answered, 3 * SECOND));
             }
         }
     };
@@ -224,7 +305,10 @@
         for _ in 0..20 {
             world.run(100 * MS);
             // What is usual is learnt first.
-            assert!(burst < 20 || world.condition(0) == Condition::Serving, "after {burst} bursts");
+            assert!(
+                burst < 20 || world.condition(0) == Condition::Serving,
+                "after {burst} bursts"
+            );
         }
     }
     world.run(3 * SECOND);
@@ -239,13 +323,20 @@
     let mut world = World::new(2, 20);
     world.run(5 * SECOND);
     world.model.handle(world.now, Event::Drain);
-    assert_eq!((world.model.report().state, world.model.report().weight), (State::Draining, 0));
+    assert_eq!(
+        (world.model.report().state, world.model.report().weight),
+        (State::Draining, 0)
+    );
     world.groups[0] = Behaviour::Silent;
     world.run(5 * SECOND);
     world.groups[0] = Behaviour::Takes(50);
     world.load.lag = SECOND;
     world.run(5 * SECOND);
-    assert!(world.told.iter().skip(1).all(|(_, state, weight)| (*state, *weight) == (State::Draining, 0)));
+    assert!(world
+        .told
+        .iter()
+        .skip(1)
+        .all(|(_, state, weight)| (*state, *weight) == (State::Draining, 0)));
     world.load.lag = Duration::ZERO;
     world.model.handle(world.now, Event::Undrain);
     assert!(world.model.report().state.serves() && world.model.report().weight > 0);
@@ -258,10 +349,18 @@
     world.told.clear();
     // A minute in which the group breaks and answers in turn, every second.
     for n in 0..60 {
-        world.groups[0] = if n % 2 == 0 { Behaviour::Breaks } else { Behaviour::Takes(50) };
+        world.groups[0] = if n % 2 == 0 {
+            Behaviour::Breaks
+        } else {
+            Behaviour::Takes(50)
+        };
         world.run(SECOND);
     }
-    let kinds: Vec<_> = world.told.iter().map(|(_, state, _)| std::mem::discriminant(state)).collect();
+    let kinds: Vec<_> = world
+        .told
+        .iter()
+        .map(|(_, state, _)| std::mem::discriminant(state))
+        .collect();
     let changes = kinds.windows(2).filter(|w| w[0] != w[1]).count();
     assert!(changes <= 14, "{changes} changes in a minute");
 }
@@ -273,12 +372,22 @@
     // Nothing is looked at for five seconds; then the answers are there.
     let at = world.now + 5 * SECOND;
     for (_, group, how, _) in std::mem::take(&mut world.out) {
-        world.model.handle(at, Event::Ended { group, how, elapsed: 5 * SECOND });
+        world.model.handle(
+            at,
+            Event::Ended {
+                group,
+                how,
+                elapsed: 5 * SECOND,
+            },
+        );
     }
     world.now = at;
     world.run(2 * SECOND);
     assert!(
-        world.told.iter().all(|(_, state, _)| !matches!(state, State::Degraded(60..))),
+        world
+            .told
+            .iter()
+            .all(|(_, state, _)| !matches!(state, State::Degraded(60..))),
         "{:?}",
         world.told
     );
@@ -292,10 +401,15 @@
 fn discovery_that_cannot_be_heard_does_not_count() {
     let mut world = World::new(2, 40);
     world.run(5 * SECOND);
-    world.model.handle(world.now, Event::Discovery { heard: false });
+    world
+        .model
+        .handle(world.now, Event::Discovery { heard: false });
     world.run(10 * SECOND);
     let report = world.model.report();
-    assert_eq!((report.state, report.weight, report.discovery), (State::Ready, 100, false));
+    assert_eq!(
+        (report.state, report.weight, report.discovery),
+        (State::Ready, 100, false)
+    );
 }
 
 fn event() -> impl Strategy<Value = (u64, Event)> {
@@ -306,9 +420,15 @@
         Just(Ended::Broken),
         Just(Ended::CalledOff)
     ];
-    let load = (0.0..2.0_f64, 0.0..2.0_f64, 0.0..2.0_f64).prop_map(|(open, descriptors, memory)| {
-        Event::Load(Load { lag: Duration::ZERO, open, descriptors, memory })
-    });
+    let load =
+        (0.0..2.0_f64, 0.0..2.0_f64, 0.0..2.0_f64).prop_map(|(open, descriptors, memory)| {
+            Event::Load(Load {
+                lag: Duration::ZERO,
+                open,
+                descriptors,
+                memory,
+            })
+        });
     let event = prop_oneof![
         4 => group.clone().prop_map(|group| Event::Sent { group }),
         4 => group.clone().prop_map(|group| Event::Asked { group }),
--- a/crates/bulkheads/src/lib.rs
+++ b/crates/bulkheads/src/lib.rs
@@ -105,7 +105,10 @@
         }
         let ids: Vec<PoolId> = all.iter().map(|settings| self.place(settings)).collect();
         for slot in &mut self.pools {
-            if slot.as_ref().is_some_and(|p| p.settings.is_none() && p.counts.open == 0) {
+            if slot
+                .as_ref()
+                .is_some_and(|p| p.settings.is_none() && p.counts.open == 0)
+            {
                 *slot = None;
             }
         }
@@ -113,7 +116,10 @@
     }
 
     fn place(&mut self, settings: &Settings) -> PoolId {
-        let known = self.pools.iter().position(|p| p.as_ref().is_some_and(|p| p.name == settings.name));
+        let known = self
+            .pools
+            .iter()
+            .position(|p| p.as_ref().is_some_and(|p| p.name == settings.name));
         if let Some(pool) = known.and_then(|at| self.pools[at].as_mut()) {
             pool.settings = Some(settings.clone());
         }
@@ -142,7 +148,9 @@
 
     /// Takes a request in, or says when it may come back. A pool that is not there bounds nothing.
     pub fn take(&mut self, id: PoolId, priority: Priority, now: Time) -> Verdict {
-        let Some(pool) = self.pools.get_mut(id.0).and_then(Option::as_mut) else { return Verdict::Taken };
+        let Some(pool) = self.pools.get_mut(id.0).and_then(Option::as_mut) else {
+            return Verdict::Taken;
+        };
         let Some(settings) = &pool.settings else {
             pool.counts.open += 1;
             return Verdict::Taken;
@@ -154,8 +162,13 @@
                 pool.queued = pool.queued.saturating_add(1);
                 // Places come free one by one, each after its share of the time that requests are open.
                 let wait = pool.held / open_to * pool.queued;
-                let come_back = settings.come_back.unwrap_or(wait.clamp(COME_BACK.0, COME_BACK.1));
-                return Verdict::Refused { cause: Cause::Full, come_back };
+                let come_back = settings
+                    .come_back
+                    .unwrap_or(wait.clamp(COME_BACK.0, COME_BACK.1));
+                return Verdict::Refused {
+                    cause: Cause::Full,
+                    come_back,
+                };
             }
         }
         if let Some(rate) = settings.rate {
@@ -165,8 +178,13 @@
                 pool.counts.fast += 1;
                 pool.queued = pool.queued.saturating_add(1);
                 let wait = next - now - tolerance + rate.interval * (pool.queued - 1);
-                let come_back = settings.come_back.unwrap_or(wait.clamp(COME_BACK.0, COME_BACK.1));
-                return Verdict::Refused { cause: Cause::Fast, come_back };
+                let come_back = settings
+                    .come_back
+                    .unwrap_or(wait.clamp(COME_BACK.0, COME_BACK.1));
+                return Verdict::Refused {
+                    cause: Cause::Fast,
+                    come_back,
+                };
             }
             pool.caught_up = next;
         }
@@ -178,7 +196,9 @@
 
     /// A request that was taken is over, after so long.
     pub fn give_back(&mut self, id: PoolId, held: Duration) {
-        let Some(slot) = self.pools.get_mut(id.0) else { return };
+        let Some(slot) = self.pools.get_mut(id.0) else {
+            return;
+        };
         let Some(pool) = slot else { return };
         pool.counts.open = pool.counts.open.saturating_sub(1);
         pool.held = (pool.held * (HELD_WEIGHT - 1) + held) / HELD_WEIGHT;
@@ -190,7 +210,10 @@
 
     /// Names and counts of all pools.
     pub fn counts(&self) -> impl Iterator<Item = (&str, Counts)> {
-        self.pools.iter().flatten().map(|pool| (pool.name.as_str(), pool.counts))
+        self.pools
+            .iter()
+            .flatten()
+            .map(|pool| (pool.name.as_str(), pool.counts))
     }
 }
 
@@ -213,7 +236,13 @@
 
     fn pool(requests: Option<u32>, rate: Option<Rate>) -> (Bulkheads, PoolId) {
         let mut bulkheads = Bulkheads::default();
-        let settings = Settings { name: "p".into(), requests, rate, reserve: 0.1, come_back: None };
+        let settings = Settings {
+            name: "p".into(),
+            requests,
+            rate,
+            reserve: 0.1,
+            come_back: None,
+        };
         let ids = bulkheads.configure(&[settings]);
         (bulkheads, ids[0])
     }
@@ -225,16 +254,33 @@
     #[test]
     fn open_requests_are_bounded_and_a_reserve_is_kept_for_higher_priorities() {
         let (mut all, id) = pool(Some(10), None);
-        let mut take = |priority| (0..20).filter(|_| taken(all.take(id, priority, Time::ZERO))).count();
-        assert_eq!((take(Priority::Low), take(Priority::Normal), take(Priority::High)), (8, 1, 1));
+        let mut take = |priority| {
+            (0..20)
+                .filter(|_| taken(all.take(id, priority, Time::ZERO)))
+                .count()
+        };
+        assert_eq!(
+            (
+                take(Priority::Low),
+                take(Priority::Normal),
+                take(Priority::High)
+            ),
+            (8, 1, 1)
+        );
         all.give_back(id, MS);
-        assert!(!taken(all.take(id, Priority::Normal, Time::ZERO)), "the place is high priority's");
+        assert!(
+            !taken(all.take(id, Priority::Normal, Time::ZERO)),
+            "the place is high priority's"
+        );
         assert!(taken(all.take(id, Priority::High, Time::ZERO)));
     }
 
     #[test]
     fn a_rate_is_kept_over_any_time_with_its_burst() {
-        let rate = Rate { interval: 10 * MS, burst: 5 };
+        let rate = Rate {
+            interval: 10 * MS,
+            burst: 5,
+        };
         let (mut all, id) = pool(None, Some(rate));
         let mut times = Vec::new();
         for ms in 0..2_000 {
@@ -257,16 +303,30 @@
         }
         let told: Vec<Duration> = (0..20)
             .map(|_| match all.take(id, Priority::High, Time::ZERO) {
-                Verdict::Refused { cause: Cause::Full, come_back } => come_back,
+                Verdict::Refused {
+                    cause: Cause::Full,
+                    come_back,
+                } => come_back,
                 other => panic!("{other:?}"),
             })
             .collect();
-        assert!(told.windows(2).all(|w| w[0] <= w[1]) && told[0] < told[19], "{told:?}");
+        assert!(
+            told.windows(2).all(|w| w[0] <= w[1]) && told[0] < told[19],
+            "{told:?}"
+        );
         assert!(told.iter().all(|t| (COME_BACK.0..=COME_BACK.1).contains(t)));
         // By when it comes back, whoever was told by the rate finds a place.
-        let (mut all, id) = pool(None, Some(Rate { interval: 50 * MS, burst: 1 }));
+        let (mut all, id) = pool(
+            None,
+            Some(Rate {
+                interval: 50 * MS,
+                burst: 1,
+            }),
+        );
         assert!(taken(all.take(id, Priority::High, MS)));
-        let Verdict::Refused { come_back, .. } = all.take(id, Priority::High, MS) else { panic!() };
+        let Verdict::Refused { come_back, .. } = all.take(id, Priority::High, MS) else {
+            panic!()
+        };
         assert!(taken(all.take(id, Priority::High, MS + come_back)));
     }
 
@@ -283,13 +343,21 @@
         };
         let ids = all.configure(&[settings("q", 1), settings("p", 1)]);
         assert_eq!(ids[1], id);
-        assert!(!taken(all.take(id, Priority::High, Time::ZERO)), "one is open, and one may be");
+        assert!(
+            !taken(all.take(id, Priority::High, Time::ZERO)),
+            "one is open, and one may be"
+        );
         // Gone from the configuration, it lives until its last request is over, and its number is not another's.
         let ids = all.configure(&[settings("r", 1)]);
         assert_ne!(ids[0], id);
         assert!(taken(all.take(ids[0], Priority::High, Time::ZERO)));
         all.give_back(id, MS);
-        assert_eq!(all.counts().map(|(name, counts)| (name, counts.open)).collect::<Vec<_>>(), [("r", 1)]);
+        assert_eq!(
+            all.counts()
+                .map(|(name, counts)| (name, counts.open))
+                .collect::<Vec<_>>(),
+            [("r", 1)]
+        );
     }
 
     /// Whatever comes in whatever order: never more open than the bound, and lower priorities never in the reserve.
@@ -300,7 +368,13 @@
             seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             (seed >> 33) % n
         };
-        let (mut all, id) = pool(Some(20), Some(Rate { interval: MS, burst: 30 }));
+        let (mut all, id) = pool(
+            Some(20),
+            Some(Rate {
+                interval: MS,
+                burst: 30,
+            }),
+        );
         let (mut open, mut now) = (0_u32, Time::ZERO);
         for _ in 0..50_000 {
             now += Duration::from_micros(random(900));
--- a/crates/concert/tests/subsets.rs
+++ b/crates/concert/tests/subsets.rs
@@ -20,9 +20,15 @@
 /// How far the proxies that meet a member are from their mean: the most and the least.
 fn spread(proxies: u32, group: u32, members: &[u32], first: usize) -> (f64, f64) {
     let mean = f64::from(proxies) * first as f64 / members.len() as f64;
-    let sets: Vec<BTreeSet<u32>> = (0..proxies).map(|n| met(n, group, members, first)).collect();
-    let counts = members.iter().map(|id| sets.iter().filter(|set| set.contains(id)).count() as f64 - mean);
-    counts.fold((f64::MIN, f64::MAX), |(most, least), n| (most.max(n), least.min(n)))
+    let sets: Vec<BTreeSet<u32>> = (0..proxies)
+        .map(|n| met(n, group, members, first))
+        .collect();
+    let counts = members
+        .iter()
+        .map(|id| sets.iter().filter(|set| set.contains(id)).count() as f64 - mean);
+    counts.fold((f64::MIN, f64::MAX), |(most, least), n| {
+        (most.max(n), least.min(n))
+    })
 }
 
 proptest! {
@@ -71,7 +77,10 @@
     let members: Vec<u32> = (0..5).collect();
     let drawn = |proxy: u32| {
         let hash = |id: u32| {
-            (proxy * 5 + id + 1).wrapping_mul(0x9e37_79b9).rotate_left(15).wrapping_mul(0x85eb_ca6b)
+            (proxy * 5 + id + 1)
+                .wrapping_mul(0x9e37_79b9)
+                .rotate_left(15)
+                .wrapping_mul(0x85eb_ca6b)
         };
         let mut order = members.clone();
         order.sort_by_key(|&id| hash(id));
@@ -80,7 +89,9 @@
     let broken = (1..=1_000).filter(|&proxies| {
         let mean = f64::from(proxies) / 5.0;
         let count = |id| (0..proxies).filter(|&proxy| drawn(proxy) == id).count() as f64;
-        members.iter().any(|&id| (count(id) - mean).abs() > 2.0 + f64::from(proxies).log2())
+        members
+            .iter()
+            .any(|&id| (count(id) - mean).abs() > 2.0 + f64::from(proxies).log2())
     });
     assert!(broken.count() > 100);
 }
@@ -93,11 +104,16 @@
         let old: Vec<u32> = (0..4).map(|id| group * 10 + id).collect();
         let new = [old.clone(), vec![group * 10 + 4]].concat();
         for number in 0..300 {
-            moved += met(number, group, &new, 2).difference(&met(number, group, &old, 2)).count();
+            moved += met(number, group, &new, 2)
+                .difference(&met(number, group, &old, 2))
+                .count();
             least += 2.0 / 5.0;
         }
     }
-    assert!(f64::from(moved as u32) < 2.0 * least, "{moved} moved, where {least} have to");
+    assert!(
+        f64::from(moved as u32) < 2.0 * least,
+        "{moved} moved, where {least} have to"
+    );
 }
 
 #[test]
@@ -105,17 +121,23 @@
     for members in 1..=200 {
         assert!(2 * reach(members) >= members && reach(members) <= members.max(1));
     }
-    let keys: BTreeSet<u32> = (0..10_000).map(|n| key(&format!("booking-db-{n}"))).collect();
+    let keys: BTreeSet<u32> = (0..10_000)
+        .map(|n| key(&format!("booking-db-{n}")))
+        .collect();
     assert!(keys.len() >= 9_998, "{} keys of 10,000 names", keys.len());
 }
 
 /// As all proxies of earlier builds know servers and meet members: another hash would part a fleet of two builds.
 #[test]
 fn numbers_and_orders_are_the_same_for_good() {
-    assert_eq!(["", "replica-0", "shop/a-1"].map(key), [0x6ba4_ff30, 0xca81_287e, 0x430f_f1be]);
-    for (number, group, expected) in
-        [(0, 1, [6, 1, 7, 5, 4, 8, 3, 2, 0]), (6, 3, [0, 6, 1, 5, 7, 4, 2, 8, 3])]
-    {
+    assert_eq!(
+        ["", "replica-0", "shop/a-1"].map(key),
+        [0x6ba4_ff30, 0xca81_287e, 0x430f_f1be]
+    );
+    for (number, group, expected) in [
+        (0, 1, [6, 1, 7, 5, 4, 8, 3, 2, 0]),
+        (6, 3, [0, 6, 1, 5, 7, 4, 2, 8, 3]),
+    ] {
         let mut members: Vec<u32> = (0..9).collect();
         order(number, group, &mut members, |id| id);
         assert_eq!(members, expected, "proxy {number}, group {group}");
--- a/crates/configuration/benches/language.rs
+++ b/crates/configuration/benches/language.rs
@@ -20,10 +20,15 @@
 /// Routes of four or five lines each, as a partner's list would have them: a network, a class, sometimes more.
 fn text(routes: usize) -> String {
     let mut rng = StdRng::seed_from_u64(7);
-    let mut out = "window feast {\n    dates 10-17..11-02\n}\npool feast {\n    requests 500\n}\n".to_owned();
+    let mut out =
+        "window feast {\n    dates 10-17..11-02\n}\npool feast {\n    requests 500\n}\n".to_owned();
     for n in 0..routes {
         writeln!(out, "route r{n} {{").unwrap();
-        let (a, b, c) = (rng.random_range(0..200), rng.random_range(0..250), rng.random_range(0..250));
+        let (a, b, c) = (
+            rng.random_range(0..200),
+            rng.random_range(0..250),
+            rng.random_range(0..250),
+        );
         writeln!(out, "    network 10.{a}.{b}.{c}").unwrap();
         writeln!(out, "    class {}", CLASSES[rng.random_range(0..4)]).unwrap();
         if n % 7 == 0 {
@@ -32,7 +37,11 @@
         if n % 11 == 0 {
             writeln!(out, "    statement \"SELECT doc FROM t{}\"", n % 50).unwrap();
         }
-        out.push_str(if n % 3 == 0 { "    pool feast\n}\n" } else { "    deadline 300ms\n}\n" });
+        out.push_str(if n % 3 == 0 {
+            "    pool feast\n}\n"
+        } else {
+            "    deadline 300ms\n}\n"
+        });
     }
     out
 }
@@ -45,7 +54,11 @@
 
 fn bench(c: &mut Criterion) {
     let large = text(18_700);
-    println!("the large file has {} lines, {} bytes", large.lines().count(), large.len());
+    println!(
+        "the large file has {} lines, {} bytes",
+        large.lines().count(),
+        large.len()
+    );
     c.bench_function("read and check 100,000 lines", |b| {
         b.iter(|| reading(black_box(&large)).model.routes.len())
     });
@@ -54,7 +67,9 @@
     c.bench_function("search 18,700 routes for unreached ones", |b| {
         b.iter(|| shadow::check(model, None).len())
     });
-    c.bench_function("format 100,000 lines", |b| b.iter(|| format(black_box(&large)).map(|t| t.len())));
+    c.bench_function("format 100,000 lines", |b| {
+        b.iter(|| format(black_box(&large)).map(|t| t.len()))
+    });
     let edited = reading(&large.replacen("deadline 300ms", "deadline 200ms", 1));
     c.bench_function("difference of one edit in 18,700 routes", |b| {
         b.iter(|| diff(&whole, &edited, None).routes.len())
@@ -64,27 +79,46 @@
     let mut group = c.benchmark_group("find a route among");
     for number in [10, 1_000, 100_000] {
         let model = reading(&text(number)).model;
-        let names = Names { classes: CLASSES.map(str::to_owned).to_vec(), tenants: vec!["acme".into()] };
+        let names = Names {
+            classes: CLASSES.map(str::to_owned).to_vec(),
+            tenants: vec!["acme".into()],
+        };
         let names = names.with_routes(&model.routes);
         let index = Index::new(&model.routes, &model.windows, &names);
-        println!("{number} routes: the index holds {} KiB", index.size() >> 10);
+        println!(
+            "{number} routes: the index holds {} KiB",
+            index.size() >> 10
+        );
         // Half of the clients lie in some route's network.
         let clients: Vec<(u32, IpAddr)> = (0..4_096)
             .map(|n| {
                 let route = &model.routes[rng.random_range(0..model.routes.len())];
                 let known = route.conditions.networks[0].addr();
                 let other = IpAddr::V4(Ipv4Addr::from(0x0a00_0000 | rng.random_range(0..1 << 24)));
-                (rng.random_range(0..4), if n % 2 == 0 { known } else { other })
+                (
+                    rng.random_range(0..4),
+                    if n % 2 == 0 { known } else { other },
+                )
             })
             .collect();
-        let at = Moment { day: 20_743, second: 60_000 };
+        let at = Moment {
+            day: 20_743,
+            second: 60_000,
+        };
         let statement = b"SELECT doc FROM items WHERE id = '7f3a'";
         let mut next = 0;
         group.bench_function(format!("{number} by the index"), |b| {
             b.iter(|| {
                 next = (next + 1) % clients.len();
                 let (class, client) = clients[next];
-                index.find(black_box(&Facts { class, tenant: 0, group: 3, statement, client, at }))
+                index.find(black_box(&Facts {
+                    class,
+                    tenant: 0,
+                    group: 3,
+                    statement,
+                    client,
+                    at,
+                }))
             })
         });
         group.bench_function(format!("{number} by the scan"), |b| {
@@ -92,7 +126,14 @@
                 next = (next + 1) % clients.len();
                 let (class, client) = clients[next];
                 let class = CLASSES[class as usize];
-                let request = Request { class, tenant: "acme", group: 3, statement, client, at };
+                let request = Request {
+                    class,
+                    tenant: "acme",
+                    group: 3,
+                    statement,
+                    client,
+                    at,
+                };
                 scan(&model.routes, &model.windows, black_box(&request))
             })
         });
--- a/crates/configuration/src/calendar.rs
+++ b/crates/configuration/src/calendar.rs
@@ -20,17 +20,26 @@
     pub fn from_unix(since_1970: Duration) -> Moment {
         let seconds = since_1970.as_secs();
         let day = u32::try_from(seconds / u64::from(DAY)).unwrap_or(u32::MAX);
-        Moment { day, second: (seconds % u64::from(DAY)) as u32 }
+        Moment {
+            day,
+            second: (seconds % u64::from(DAY)) as u32,
+        }
     }
 
     /// As local time at that offset from UTC, to the second.
     pub fn local(self, offset: i32) -> String {
-        let seconds = i64::from(self.day) * i64::from(DAY) + i64::from(self.second) + i64::from(offset);
+        let seconds =
+            i64::from(self.day) * i64::from(DAY) + i64::from(self.second) + i64::from(offset);
         let days = i32::try_from(seconds.div_euclid(i64::from(DAY))).unwrap_or(i32::MAX);
         let second = seconds.rem_euclid(i64::from(DAY));
         let date = Date::constant(1970, 1, 1).checked_add(jiff::Span::new().days(days));
         let date = date.map_or_else(|_| format!("day {days}"), |d| d.to_string());
-        let clock = format!("{:02}:{:02}:{:02}", second / 3_600, second / 60 % 60, second % 60);
+        let clock = format!(
+            "{:02}:{:02}:{:02}",
+            second / 3_600,
+            second / 60 % 60,
+            second % 60
+        );
         format!("{date}T{clock}{}", crate::value::Value::Offset(offset))
     }
 
@@ -49,14 +58,17 @@
         let mut parts = clock.split(':').map(|p| p.parse::<i64>().ok());
         let (hour, minute) = (parts.next()??, parts.next()??);
         let second = parts.next().unwrap_or(Some(0))?;
-        let sound = (0..24).contains(&hour) && (0..60).contains(&minute) && (0..60).contains(&second);
+        let sound =
+            (0..24).contains(&hour) && (0..60).contains(&minute) && (0..60).contains(&second);
         if !sound || parts.next().is_some() {
             return None;
         }
         let days = Date::constant(1970, 1, 1).until(date).ok()?.get_days();
-        let seconds =
-            i64::from(days) * i64::from(DAY) + hour * 3_600 + minute * 60 + second - i64::from(offset);
-        Some(Moment::from_unix(Duration::from_secs(u64::try_from(seconds).ok()?)))
+        let seconds = i64::from(days) * i64::from(DAY) + hour * 3_600 + minute * 60 + second
+            - i64::from(offset);
+        Some(Moment::from_unix(Duration::from_secs(
+            u64::try_from(seconds).ok()?,
+        )))
     }
 }
 
@@ -84,7 +96,9 @@
     }
 
     fn holds(&self, day: u32) -> bool {
-        self.0.get(day as usize / 64).is_some_and(|word| word >> (day % 64) & 1 == 1)
+        self.0
+            .get(day as usize / 64)
+            .is_some_and(|word| word >> (day % 64) & 1 == 1)
     }
 
     fn is_empty(&self) -> bool {
@@ -100,7 +114,11 @@
         let mut out = Days::none();
         for at in 0..WORDS {
             out.0[at] = if by > 0 {
-                let below = if at > 0 { self.0[at - 1] >> (64 - bits) } else { 0 };
+                let below = if at > 0 {
+                    self.0[at - 1] >> (64 - bits)
+                } else {
+                    0
+                };
                 self.0[at] << bits | below
             } else {
                 let above = self.0.get(at + 1).map_or(0, |word| word << (64 - bits));
@@ -142,7 +160,16 @@
     fn default() -> Almanac {
         let first = Date::constant(YEARS.0, 1, 1);
         let days = first.series(jiff::Span::new().days(1)).take(DAYS);
-        Almanac(days.map(|d| (d.month(), d.day(), d.weekday().to_monday_zero_offset() as u8)).collect())
+        Almanac(
+            days.map(|d| {
+                (
+                    d.month(),
+                    d.day(),
+                    d.weekday().to_monday_zero_offset() as u8,
+                )
+            })
+            .collect(),
+        )
     }
 }
 
@@ -178,11 +205,18 @@
             }
         }
         let whole = [Hours { from: 0, to: DAY }];
-        let hours = if stated.hours.is_empty() { &whole } else { stated.hours.as_slice() };
+        let hours = if stated.hours.is_empty() {
+            &whole
+        } else {
+            stated.hours.as_slice()
+        };
         let mut parts = Vec::new();
         for &Hours { from, to } in hours {
             let end = if to <= from { to + DAY } else { to };
-            let (from, end) = (i64::from(from) - i64::from(offset), i64::from(end) - i64::from(offset));
+            let (from, end) = (
+                i64::from(from) - i64::from(offset),
+                i64::from(end) - i64::from(offset),
+            );
             // Cut where a day of UTC ends; at most three of them are touched.
             for shift in -2..=2 {
                 let start = shift * i64::from(DAY);
@@ -190,7 +224,11 @@
                 if a < b {
                     let moved = days.moved(shift);
                     if !moved.is_empty() {
-                        parts.push(Part { days: moved, from: a as u32, to: b as u32 });
+                        parts.push(Part {
+                            days: moved,
+                            from: a as u32,
+                            to: b as u32,
+                        });
                     }
                 }
             }
@@ -200,13 +238,17 @@
 }
 
 fn number(date: Date) -> usize {
-    let days = Date::constant(1970, 1, 1).until(date).map_or(-1, |span| span.get_days());
+    let days = Date::constant(1970, 1, 1)
+        .until(date)
+        .map_or(-1, |span| span.get_days());
     usize::try_from(days).unwrap_or(0)
 }
 
 impl Window {
     pub fn holds(&self, at: Moment) -> bool {
-        self.parts.iter().any(|p| p.from <= at.second && at.second < p.to && p.days.holds(at.day))
+        self.parts
+            .iter()
+            .any(|p| p.from <= at.second && at.second < p.to && p.days.holds(at.day))
     }
 
     pub fn never(&self) -> bool {
@@ -226,12 +268,20 @@
 impl Pieces {
     pub fn of<'a>(windows: impl Iterator<Item = &'a Window>) -> Pieces {
         let parts: Vec<&Part> = windows.flat_map(|w| &w.parts).collect();
-        let mut cuts: Vec<u32> = parts.iter().flat_map(|p| [p.from, p.to]).filter(|c| *c < DAY).collect();
+        let mut cuts: Vec<u32> = parts
+            .iter()
+            .flat_map(|p| [p.from, p.to])
+            .filter(|c| *c < DAY)
+            .collect();
         cuts.push(0);
         cuts.sort_unstable();
         cuts.dedup();
         if parts.is_empty() {
-            return Pieces { cuts, days: vec![0], kind_of_day: Vec::new() };
+            return Pieces {
+                cuts,
+                days: vec![0],
+                kind_of_day: Vec::new(),
+            };
         }
         // Parts often share their days, and each set of days is looked at once.
         let mut sets: Vec<&Days> = Vec::new();
@@ -265,7 +315,11 @@
             }
             kind_of_day.push(kind);
         }
-        Pieces { cuts, days, kind_of_day }
+        Pieces {
+            cuts,
+            days,
+            kind_of_day,
+        }
     }
 
     pub fn number(&self) -> u128 {
@@ -294,13 +348,19 @@
     pub fn of_moment(&self, at: Moment) -> u128 {
         let day = at.day.saturating_sub(EDGE) as usize;
         let kind = self.kind_of_day.get(day).copied().unwrap_or(0);
-        let part = self.cuts.partition_point(|cut| *cut <= at.second).saturating_sub(1);
+        let part = self
+            .cuts
+            .partition_point(|cut| *cut <= at.second)
+            .saturating_sub(1);
         u128::from(kind) * self.cuts.len() as u128 + part as u128
     }
 
     /// A moment in a set of pieces: noon on a day of these years if that is in it.
     pub fn example(&self, set: &Ranges) -> Option<Moment> {
-        let noon = Moment { day: THESE_YEARS, second: DAY / 2 };
+        let noon = Moment {
+            day: THESE_YEARS,
+            second: DAY / 2,
+        };
         if set.contains(self.of_moment(noon)) {
             return Some(noon);
         }
@@ -310,8 +370,16 @@
     /// A moment in a piece.
     pub fn moment(&self, piece: u128) -> Moment {
         let width = self.cuts.len() as u128;
-        let day = self.days.get((piece / width) as usize).copied().unwrap_or(0);
-        let second = self.cuts.get((piece % width) as usize).copied().unwrap_or(0);
+        let day = self
+            .days
+            .get((piece / width) as usize)
+            .copied()
+            .unwrap_or(0);
+        let second = self
+            .cuts
+            .get((piece % width) as usize)
+            .copied()
+            .unwrap_or(0);
         Moment { day, second }
     }
 }
@@ -332,7 +400,10 @@
         assert_eq!(moment.local(offset), "2026-10-17T22:30:00+05:45");
         assert_eq!(Moment::parse(&moment.local(offset), 0), Some(moment));
         assert_eq!(Moment::parse("2026-10-17T25:00", 0), None);
-        assert_eq!(Moment::from_unix(Duration::from_secs(86_401)), Moment { day: 1, second: 1 });
+        assert_eq!(
+            Moment::from_unix(Duration::from_secs(86_401)),
+            Moment { day: 1, second: 1 }
+        );
     }
 
     #[test]
@@ -340,9 +411,15 @@
         let almanac = Almanac::default();
         // 2026-10-17 is a Saturday.
         let stated = Stated {
-            dates: vec![Dates::Once(Date::constant(2026, 10, 17), Date::constant(2026, 10, 17))],
+            dates: vec![Dates::Once(
+                Date::constant(2026, 10, 17),
+                Date::constant(2026, 10, 17),
+            )],
             weekdays: 0b10_0000,
-            hours: vec![Hours { from: 22 * 3_600, to: 2 * 3_600 }],
+            hours: vec![Hours {
+                from: 22 * 3_600,
+                to: 2 * 3_600,
+            }],
         };
         let window = almanac.window(&stated, 0);
         assert!(!window.holds(at("2026-10-17T01:00")) && !window.holds(at("2026-10-17T21:59:59")));
@@ -357,7 +434,10 @@
     #[test]
     fn a_yearly_window_runs_over_the_change_of_year() {
         let almanac = Almanac::default();
-        let stated = Stated { dates: vec![Dates::Yearly((12, 30), (1, 2))], ..Stated::default() };
+        let stated = Stated {
+            dates: vec![Dates::Yearly((12, 30), (1, 2))],
+            ..Stated::default()
+        };
         let window = almanac.window(&stated, 0);
         for (text, held) in [
             ("2026-12-29T23:59:59", false),
@@ -374,9 +454,16 @@
     fn a_date_on_a_weekday_that_it_has_not_never_occurs() {
         let almanac = Almanac::default();
         let date = Date::constant(2026, 10, 17);
-        let stated = Stated { dates: vec![Dates::Once(date, date)], weekdays: 1, ..Stated::default() };
+        let stated = Stated {
+            dates: vec![Dates::Once(date, date)],
+            weekdays: 1,
+            ..Stated::default()
+        };
         assert!(almanac.window(&stated, 0).never());
-        let leap = Stated { dates: vec![Dates::Yearly((2, 29), (2, 29))], ..Stated::default() };
+        let leap = Stated {
+            dates: vec![Dates::Yearly((2, 29), (2, 29))],
+            ..Stated::default()
+        };
         let window = almanac.window(&leap, 0);
         assert!(window.holds(at("2028-02-29T00:00")) && !window.holds(at("2027-03-01T00:00")));
     }
@@ -387,11 +474,23 @@
         let windows: Vec<Window> = [
             Stated {
                 weekdays: 0b110_0000,
-                hours: vec![Hours { from: 79_200, to: 7_200 }],
+                hours: vec![Hours {
+                    from: 79_200,
+                    to: 7_200,
+                }],
+                ..Stated::default()
+            },
+            Stated {
+                dates: vec![Dates::Yearly((10, 17), (11, 2))],
+                ..Stated::default()
+            },
+            Stated {
+                hours: vec![Hours {
+                    from: 21_600,
+                    to: 36_000,
+                }],
                 ..Stated::default()
             },
-            Stated { dates: vec![Dates::Yearly((10, 17), (11, 2))], ..Stated::default() },
-            Stated { hours: vec![Hours { from: 21_600, to: 36_000 }], ..Stated::default() },
         ]
         .iter()
         .map(|stated| almanac.window(stated, 20_700))
@@ -399,7 +498,10 @@
         let pieces = Pieces::of(windows.iter());
         let sets: Vec<Ranges> = windows.iter().map(|w| pieces.of_window(w)).collect();
         for n in 0..20_000_u32 {
-            let moment = Moment { day: 20_000 + n % 700, second: (n * 7_919) % DAY };
+            let moment = Moment {
+                day: 20_000 + n % 700,
+                second: (n * 7_919) % DAY,
+            };
             let piece = pieces.of_moment(moment);
             for (window, set) in windows.iter().zip(&sets) {
                 assert_eq!(window.holds(moment), set.contains(piece));
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -53,18 +53,35 @@
             faults.push(unknown_section(&stated.keyword, table));
             continue;
         };
-        let Some(name) = section_name(spec, &stated, faults) else { continue };
-        let span = stated.names.last().map_or(stated.keyword.span, |n| stated.keyword.span.to(n.span));
+        let Some(name) = section_name(spec, &stated, faults) else {
+            continue;
+        };
+        let span = stated
+            .names
+            .last()
+            .map_or(stated.keyword.span, |n| stated.keyword.span.to(n.span));
         if let Some(first) = seen.get(&(spec.keyword, name.clone())) {
-            let what =
-                if name.is_empty() { spec.keyword.to_owned() } else { format!("{} {name}", spec.keyword) };
-            let fault =
-                Diagnostic::error("section-twice", span, format!("the section {what} stands a second time"));
+            let what = if name.is_empty() {
+                spec.keyword.to_owned()
+            } else {
+                format!("{} {name}", spec.keyword)
+            };
+            let fault = Diagnostic::error(
+                "section-twice",
+                span,
+                format!("the section {what} stands a second time"),
+            );
             faults.push(fault.label("again here").related(*first, "first here"));
             continue;
         }
         seen.insert((spec.keyword, name.clone()), span);
-        let mut section = Section { spec, span, name, settings: Vec::new(), partial: stated.partial };
+        let mut section = Section {
+            spec,
+            span,
+            name,
+            settings: Vec::new(),
+            partial: stated.partial,
+        };
         for directive in stated.directives {
             match setting(spec, directive, table, faults) {
                 Some(setting) => add(&mut section, setting, faults),
@@ -78,16 +95,32 @@
 
 /// Names of sections that no section bears. `partial`: some of the files could not be read, where they may stand.
 pub fn references(sections: &[Section], partial: bool, faults: &mut Vec<Diagnostic>) {
-    for setting in sections.iter().flat_map(|s| &s.settings).filter(|_| !partial) {
+    for setting in sections
+        .iter()
+        .flat_map(|s| &s.settings)
+        .filter(|_| !partial)
+    {
         let (Args::One(kind) | Args::Optional(kind) | Args::Many(kind)) = setting.spec.args;
-        let Type::Reference(wanted) = kind else { continue };
-        let known = || sections.iter().filter(|s| s.spec.keyword == wanted).map(|s| s.name.as_str());
+        let Type::Reference(wanted) = kind else {
+            continue;
+        };
+        let known = || {
+            sections
+                .iter()
+                .filter(|s| s.spec.keyword == wanted)
+                .map(|s| s.name.as_str())
+        };
         for (value, span) in &setting.values {
             let Value::Name(name) = value else { continue };
             if known().any(|n| n == name) {
                 continue;
             }
-            faults.push(unknown_name(wanted, name, *span, &known().collect::<Vec<_>>()));
+            faults.push(unknown_name(
+                wanted,
+                name,
+                *span,
+                &known().collect::<Vec<_>>(),
+            ));
         }
     }
 }
@@ -104,9 +137,12 @@
 }
 
 fn unknown_section(keyword: &Arg, table: Table) -> Diagnostic {
-    let fault =
-        Diagnostic::error("unknown-section", keyword.span, format!("there is no section {:?}", keyword.text))
-            .label("not a section");
+    let fault = Diagnostic::error(
+        "unknown-section",
+        keyword.span,
+        format!("there is no section {:?}", keyword.text),
+    )
+    .label("not a section");
     match nearest(&keyword.text, table.iter().map(|s| s.keyword)) {
         Some(near) => fault.help(format!("did you mean {near}?")),
         None => {
@@ -124,10 +160,12 @@
     let keyword = spec.keyword;
     let fault = match (spec.naming, stated.names.as_slice()) {
         (Naming::Unnamed, []) => return Some(String::new()),
-        (Naming::Unnamed, [name, ..]) => {
-            Diagnostic::error("section-name", name.span, format!("the section {keyword} bears no name"))
-                .label("not wanted here")
-        }
+        (Naming::Unnamed, [name, ..]) => Diagnostic::error(
+            "section-name",
+            name.span,
+            format!("the section {keyword} bears no name"),
+        )
+        .label("not wanted here"),
         (Naming::Named | Naming::Called, []) => Diagnostic::error(
             "section-name",
             stated.keyword.span,
@@ -138,14 +176,20 @@
             if naming == Naming::Called && !name.text.is_empty() || is_name(&name.text) {
                 return Some(name.text.clone());
             }
-            Diagnostic::error("section-name", name.span, format!("{:?} can't be a name", name.text))
-                .label("not a name")
-                .help("a name begins with a letter and holds letters, digits, - and _")
-        }
-        (Naming::Named | Naming::Called, [_, second, ..]) => {
-            Diagnostic::error("section-name", second.span, format!("the section {keyword} bears one name"))
-                .label("one too many")
+            Diagnostic::error(
+                "section-name",
+                name.span,
+                format!("{:?} can't be a name", name.text),
+            )
+            .label("not a name")
+            .help("a name begins with a letter and holds letters, digits, - and _")
         }
+        (Naming::Named | Naming::Called, [_, second, ..]) => Diagnostic::error(
+            "section-name",
+            second.span,
+            format!("the section {keyword} bears one name"),
+        )
+        .label("one too many"),
     };
     faults.push(fault);
     None
@@ -172,7 +216,10 @@
     if !fits {
         let what = match directive.args.get(1) {
             Some(second) if given > 1 => {
-                let last = directive.args.last().map_or(second.span, |l| second.span.to(l.span));
+                let last = directive
+                    .args
+                    .last()
+                    .map_or(second.span, |l| second.span.to(l.span));
                 Diagnostic::error(
                     "value-count",
                     last,
@@ -180,15 +227,22 @@
                 )
                 .label("too many")
             }
-            _ => Diagnostic::error("value-count", keyword.span, format!("{} takes {wanted}", spec.keyword))
-                .label("no value is given"),
+            _ => Diagnostic::error(
+                "value-count",
+                keyword.span,
+                format!("{} takes {wanted}", spec.keyword),
+            )
+            .label("no value is given"),
         };
         faults.push(what.help(format!("for example: {}", spec.example)));
         return None;
     }
     if given > schema::VALUES_LIMIT {
         let limit = schema::VALUES_LIMIT;
-        let message = format!("{} has {given} values; at most {limit} are allowed", spec.keyword);
+        let message = format!(
+            "{} has {given} values; at most {limit} are allowed",
+            spec.keyword
+        );
         faults.push(Diagnostic::error("value-count", keyword.span, message).label("too many"));
         return None;
     }
@@ -222,10 +276,16 @@
     if let Some(near) = nearest(name, section.directives.iter().map(|d| d.keyword)) {
         return fault.help(format!("did you mean {near}?"));
     }
-    let elsewhere: Vec<&str> =
-        table.iter().filter(|s| s.directive(name).is_some()).map(|s| s.keyword).collect();
+    let elsewhere: Vec<&str> = table
+        .iter()
+        .filter(|s| s.directive(name).is_some())
+        .map(|s| s.keyword)
+        .collect();
     if !elsewhere.is_empty() {
-        return fault.help(format!("{name} belongs in a section {}", elsewhere.join(" or ")));
+        return fault.help(format!(
+            "{name} belongs in a section {}",
+            elsewhere.join(" or ")
+        ));
     }
     let known: Vec<&str> = section.directives.iter().map(|d| d.keyword).collect();
     fault.help(format!("known here are {}", known.join(", ")))
@@ -233,7 +293,11 @@
 
 /// A list may go on in a further line; a single value may not be stated again.
 fn add(section: &mut Section, setting: Setting, faults: &mut Vec<Diagnostic>) {
-    let Some(first) = section.settings.iter_mut().find(|s| s.spec.keyword == setting.spec.keyword) else {
+    let Some(first) = section
+        .settings
+        .iter_mut()
+        .find(|s| s.spec.keyword == setting.spec.keyword)
+    else {
         section.settings.push(setting);
         return;
     };
@@ -242,7 +306,11 @@
         Args::One(_) | Args::Optional(_) => {
             let message = format!("{} is stated a second time", setting.spec.keyword);
             let fault = Diagnostic::error("directive-twice", setting.span, message);
-            faults.push(fault.label("again here").related(first.span, "first stated here"));
+            faults.push(
+                fault
+                    .label("again here")
+                    .related(first.span, "first stated here"),
+            );
         }
     }
 }
--- a/crates/configuration/src/diagnostic.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -40,12 +40,18 @@
     }
 
     pub fn warning(code: &'static str, span: Span, message: impl Into<String>) -> Diagnostic {
-        Diagnostic { severity: Severity::Warning, ..Diagnostic::error(code, span, message) }
+        Diagnostic {
+            severity: Severity::Warning,
+            ..Diagnostic::error(code, span, message)
+        }
     }
 
     #[must_use]
     pub fn label(self, label: impl Into<String>) -> Diagnostic {
-        Diagnostic { label: label.into(), ..self }
+        Diagnostic {
+            label: label.into(),
+            ..self
+        }
     }
 
     #[must_use]
@@ -56,7 +62,10 @@
 
     #[must_use]
     pub fn help(self, help: impl Into<String>) -> Diagnostic {
-        Diagnostic { help: Some(help.into()), ..self }
+        Diagnostic {
+            help: Some(help.into()),
+            ..self
+        }
     }
 
     pub fn is_error(&self) -> bool {
@@ -72,20 +81,33 @@
 
 /// Snippets in the manner of rustc, without colours.
 pub fn render(sources: &Sources, diagnostics: &[Diagnostic]) -> String {
-    let config = term::Config { chars: term::Chars::ascii(), ..term::Config::default() };
+    let config = term::Config {
+        chars: term::Chars::ascii(),
+        ..term::Config::default()
+    };
     let mut out = String::new();
     for one in diagnostics {
-        let mut labels = vec![Label::primary(one.span.file, one.span.range()).with_message(&one.label)];
+        let mut labels =
+            vec![Label::primary(one.span.file, one.span.range()).with_message(&one.label)];
         let related = one.related.iter();
-        labels
-            .extend(related.map(|(span, text)| Label::secondary(span.file, span.range()).with_message(text)));
+        labels.extend(
+            related
+                .map(|(span, text)| Label::secondary(span.file, span.range()).with_message(text)),
+        );
         let snippet = match one.severity {
             Severity::Error => Snippet::error(),
             Severity::Warning => Snippet::warning(),
         };
-        let notes = one.help.iter().map(|help| format!("help: {help}")).collect();
-        let snippet =
-            snippet.with_code(one.code).with_message(&one.message).with_labels(labels).with_notes(notes);
+        let notes = one
+            .help
+            .iter()
+            .map(|help| format!("help: {help}"))
+            .collect();
+        let snippet = snippet
+            .with_code(one.code)
+            .with_message(&one.message)
+            .with_labels(labels)
+            .with_notes(notes);
         if term::emit_to_string(&mut out, &config, sources, &snippet).is_err() {
             let place = sources.place(one.span);
             out.push_str(&format!("{place}: {}\n", one.message));
@@ -96,7 +118,11 @@
 
 /// One line each, for the log of a running proxy.
 pub fn line(sources: &Sources, one: &Diagnostic) -> String {
-    let help = one.help.as_ref().map(|help| format!(" ({help})")).unwrap_or_default();
+    let help = one
+        .help
+        .as_ref()
+        .map(|help| format!(" ({help})"))
+        .unwrap_or_default();
     format!("{}: {}{help}", sources.place(one.span), one.message)
 }
 
@@ -133,7 +159,13 @@
 pub fn json(sources: &Sources, diagnostics: &[Diagnostic]) -> String {
     let place = |span: Span| {
         let at = sources.place(span);
-        JsonPlace { file: at.file, line: at.line, column: at.column, start: span.start, end: span.end }
+        JsonPlace {
+            file: at.file,
+            line: at.line,
+            column: at.column,
+            start: span.start,
+            end: span.end,
+        }
     };
     let all: Vec<JsonDiagnostic<'_>> = diagnostics
         .iter()
@@ -144,7 +176,14 @@
             message: &d.message,
             label: &d.label,
             help: d.help.as_deref(),
-            related: d.related.iter().map(|(span, text)| JsonRelated { place: place(*span), text }).collect(),
+            related: d
+                .related
+                .iter()
+                .map(|(span, text)| JsonRelated {
+                    place: place(*span),
+                    text,
+                })
+                .collect(),
         })
         .collect();
     serde_json::to_string_pretty(&all).unwrap_or_default()
@@ -157,6 +196,11 @@
         4..=7 => 2,
         _ => 3,
     };
-    let distances = names.into_iter().map(|name| (strsim::damerau_levenshtein(word, name), name));
-    distances.filter(|(distance, _)| (1..=allowed).contains(distance)).min().map(|(_, name)| name)
+    let distances = names
+        .into_iter()
+        .map(|name| (strsim::damerau_levenshtein(word, name), name));
+    distances
+        .filter(|(distance, _)| (1..=allowed).contains(distance))
+        .min()
+        .map(|(_, name)| name)
 }
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -62,22 +62,41 @@
 pub fn diff(old: &Reading, new: &Reading, classes: Option<&[String]>) -> Difference {
     let changes = changes(old, new);
     let (old, new) = (&old.model, &new.model);
-    let names =
-        |model: &Model| -> Vec<String> { model.named_windows.iter().map(|w| w.name.clone()).collect() };
+    let names = |model: &Model| -> Vec<String> {
+        model.named_windows.iter().map(|w| w.name.clone()).collect()
+    };
     let (old_names, new_names) = (names(old), names(new));
     let side = |model, window_names| {
-        let Model { routes, windows, offset, .. }: &Model = model;
-        Side { routes, windows, window_names, offset: *offset }
+        let Model {
+            routes,
+            windows,
+            offset,
+            ..
+        }: &Model = model;
+        Side {
+            routes,
+            windows,
+            window_names,
+            offset: *offset,
+        }
     };
     let space = Space::new(&[side(old, &old_names), side(new, &new_names)], classes);
     let (routes, incomplete) = routes(&old.routes, &new.routes, &space);
-    Difference { changes, routes, incomplete, space }
+    Difference {
+        changes,
+        routes,
+        incomplete,
+        space,
+    }
 }
 
 /// Routes, and windows as far as routes go by them, show in what becomes of requests; so do pools that no route
 /// leads to, which do nothing. `windows`: those that differ and that credits go by.
 fn counts(entry: &Entry, pools: &HashSet<&str>, windows: &HashSet<&str>) -> bool {
-    let (section, name) = entry.section.split_once(' ').unwrap_or((&entry.section, ""));
+    let (section, name) = entry
+        .section
+        .split_once(' ')
+        .unwrap_or((&entry.section, ""));
     match section {
         "route" => false,
         "window" => windows.contains(name),
@@ -92,10 +111,14 @@
     let of = |model: &'a Model| -> HashMap<&'a str, &'a Window> {
         let credits = model.lending.iter().flat_map(|l| &l.credits);
         let places = credits.flat_map(|c| c.not_during.iter().copied());
-        places.map(|at| (model.named_windows[at].name.as_str(), &model.windows[at])).collect()
+        places
+            .map(|at| (model.named_windows[at].name.as_str(), &model.windows[at]))
+            .collect()
     };
     let (before, after) = (of(old), of(new));
-    let both = before.keys().filter(|name| after.get(*name).is_some_and(|w| *w != before[*name]));
+    let both = before
+        .keys()
+        .filter(|name| after.get(*name).is_some_and(|w| *w != before[*name]));
     both.copied().collect()
 }
 
@@ -105,32 +128,56 @@
         .and_then(|s| s.directive(entry.directive));
     match spec.map(|s| s.args) {
         Some(schema::Args::Many(Type::Groups)) => {
-            let ranges = entry.value.split(' ').filter_map(|word| match Type::Groups.parse(word) {
-                Ok(Value::Groups(range)) => Some((u128::from(*range.start()), u128::from(*range.end()))),
-                _ => None,
-            });
+            let ranges = entry
+                .value
+                .split(' ')
+                .filter_map(|word| match Type::Groups.parse(word) {
+                    Ok(Value::Groups(range)) => {
+                        Some((u128::from(*range.start()), u128::from(*range.end())))
+                    }
+                    _ => None,
+                });
             let words = Ranges::from_list(ranges);
             let words: Vec<String> = words
                 .list()
                 .iter()
-                .map(|(a, b)| if a == b { a.to_string() } else { format!("{a}-{b}") })
+                .map(|(a, b)| {
+                    if a == b {
+                        a.to_string()
+                    } else {
+                        format!("{a}-{b}")
+                    }
+                })
                 .collect();
             words.join(" ")
         }
-        Some(schema::Args::Many(_)) if entry.section.starts_with("credit ") => {
-            entry.value.split(' ').collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
-        }
+        Some(schema::Args::Many(_)) if entry.section.starts_with("credit ") => entry
+            .value
+            .split(' ')
+            .collect::<BTreeSet<_>>()
+            .into_iter()
+            .collect::<Vec<_>>()
+            .join(" "),
         _ => entry.value.clone(),
     }
 }
 
 fn changes(old: &Reading, new: &Reading) -> Vec<Change> {
-    let outcomes = old.model.routes.iter().chain(&new.model.routes).map(|r| &r.outcome);
+    let outcomes = old
+        .model
+        .routes
+        .iter()
+        .chain(&new.model.routes)
+        .map(|r| &r.outcome);
     let pools: HashSet<&str> = outcomes.filter_map(|o| o.pool.as_deref()).collect();
     let windows = lent_by(&old.model, &new.model);
     let table = |reading: &Reading| -> BTreeMap<(String, &'static str), String> {
-        let entries = entries(&reading.sections).into_iter().filter(|e| counts(e, &pools, &windows));
-        entries.map(|e| ((e.section.clone(), e.directive), canonical(&e))).collect()
+        let entries = entries(&reading.sections)
+            .into_iter()
+            .filter(|e| counts(e, &pools, &windows));
+        entries
+            .map(|e| ((e.section.clone(), e.directive), canonical(&e)))
+            .collect()
     };
     let (before, after) = (table(old), table(new));
     let keys: BTreeSet<_> = before.keys().chain(after.keys()).collect();
@@ -139,7 +186,12 @@
         .map(|key| {
             let (old, new) = (before.get(key).cloned(), after.get(key).cloned());
             let sense = sense(&key.0, key.1, old.as_deref(), new.as_deref());
-            Change { what: format!("{} {}", key.0, key.1), old, new, sense }
+            Change {
+                what: format!("{} {}", key.0, key.1),
+                old,
+                new,
+                sense,
+            }
         })
         .collect()
 }
@@ -149,10 +201,16 @@
 /// Of these neither more nor less is tighter.
 const NEITHER: [&str; 3] = ["address", "level", "form"];
 /// Of these sections' values none is tighter or looser for clients' requests.
-const OF_OTHERS: [&str; 8] =
-    ["members", "member", "rollout", "memory", "lending", "credit", "window", "sites"];
+const OF_OTHERS: [&str; 8] = [
+    "members", "member", "rollout", "memory", "lending", "credit", "window", "sites",
+];
 
-fn sense(section: &str, directive: &str, old: Option<&str>, new: Option<&str>) -> Option<&'static str> {
+fn sense(
+    section: &str,
+    directive: &str,
+    old: Option<&str>,
+    new: Option<&str>,
+) -> Option<&'static str> {
     let keyword = section.split(' ').next()?;
     if NEITHER.contains(&directive) || OF_OTHERS.contains(&keyword) {
         return None;
@@ -163,12 +221,18 @@
         (Some(_), None) => Ordering::Less,
         (Some(old), Some(new)) => {
             let spec = schema::section(keyword)?.directive(directive)?;
-            let (schema::Args::One(kind) | schema::Args::Optional(kind)) = spec.args else { return None };
+            let (schema::Args::One(kind) | schema::Args::Optional(kind)) = spec.args else {
+                return None;
+            };
             compare(&kind.parse(old).ok()?, &kind.parse(new).ok()?)?
         }
         (None, None) => return None,
     };
-    let tighter = if MORE_IS_TIGHTER.contains(&directive) { Ordering::Less } else { Ordering::Greater };
+    let tighter = if MORE_IS_TIGHTER.contains(&directive) {
+        Ordering::Less
+    } else {
+        Ordering::Greater
+    };
     match order {
         Ordering::Equal => None,
         order if order == tighter => Some("tighter"),
@@ -199,8 +263,11 @@
     for (at, key) in new.iter().enumerate().rev() {
         places.entry(key).or_default().push(at);
     }
-    let pairs: Vec<(usize, usize)> =
-        old.iter().enumerate().filter_map(|(at, key)| Some((at, places.get_mut(key)?.pop()?))).collect();
+    let pairs: Vec<(usize, usize)> = old
+        .iter()
+        .enumerate()
+        .filter_map(|(at, key)| Some((at, places.get_mut(key)?.pop()?)))
+        .collect();
     // The longest run of them that rises in both: patience sorting.
     let mut tails: Vec<usize> = Vec::new();
     let mut before: Vec<Option<usize>> = Vec::with_capacity(pairs.len());
@@ -224,7 +291,10 @@
 
 fn routes(old: &[Route], new: &[Route], space: &Space) -> (Vec<RouteChange>, bool) {
     let keyed = |side: usize, routes: &'_ [Route]| -> Vec<(Region, Outcome)> {
-        routes.iter().map(|r| (space.region(side, &r.conditions), r.outcome.clone())).collect()
+        routes
+            .iter()
+            .map(|r| (space.region(side, &r.conditions), r.outcome.clone()))
+            .collect()
     };
     let (old, new) = (keyed(0, old), keyed(1, new));
     let old: Vec<(Region, &Outcome)> = old.iter().map(|(r, o)| (r.clone(), o)).collect();
@@ -234,7 +304,10 @@
     let kept_new: HashSet<usize> = kept.iter().map(|(_, b)| *b).collect();
     let moved = |list: &[(Region, &Outcome)], kept: &HashSet<usize>| -> Vec<Region> {
         let others = list.iter().enumerate().filter(|(at, _)| !kept.contains(at));
-        others.map(|(_, (region, _))| region.clone()).filter(|r| !r.is_empty()).collect()
+        others
+            .map(|(_, (region, _))| region.clone())
+            .filter(|r| !r.is_empty())
+            .collect()
     };
     let mut suspects = moved(&old, &kept_old);
     suspects.extend(moved(&new, &kept_new));
@@ -272,7 +345,13 @@
         let regions = merge(regions);
         let described = regions.iter().map(|r| space.describe(r)).collect();
         let example = regions.first().and_then(|r| space.example(r));
-        RouteChange { old: was.clone(), new: is.clone(), regions, described, example }
+        RouteChange {
+            old: was.clone(),
+            new: is.clone(),
+            regions,
+            described,
+            example,
+        }
     });
     (changes.collect(), incomplete)
 }
@@ -291,7 +370,12 @@
         if !left.iter().any(|part| part.meets(region)) {
             continue;
         }
-        out.extend(left.iter().map(|part| part.and(region)).filter(|p| !p.is_empty()).map(|p| (p, *outcome)));
+        out.extend(
+            left.iter()
+                .map(|part| part.and(region))
+                .filter(|p| !p.is_empty())
+                .map(|p| (p, *outcome)),
+        );
         left = minus_all(left, region);
     }
     out.extend(left.into_iter().map(|part| (part, unrouted)));
@@ -307,8 +391,15 @@
             return writeln!(f, "no difference in behaviour");
         }
         for change in &self.changes {
-            let word = |value: &Option<String>| value.clone().unwrap_or_else(|| "not stated".to_owned());
-            write!(f, "{}: {} -> {}", change.what, word(&change.old), word(&change.new))?;
+            let word =
+                |value: &Option<String>| value.clone().unwrap_or_else(|| "not stated".to_owned());
+            write!(
+                f,
+                "{}: {} -> {}",
+                change.what,
+                word(&change.old),
+                word(&change.new)
+            )?;
             match change.sense {
                 Some(sense) => writeln!(f, " ({sense})")?,
                 None => writeln!(f)?,
@@ -320,7 +411,11 @@
                 writeln!(f, "    {text}")?;
             }
             if change.described.len() > REGIONS_SHOWN {
-                writeln!(f, "    and {} regions more", change.described.len() - REGIONS_SHOWN)?;
+                writeln!(
+                    f,
+                    "    and {} regions more",
+                    change.described.len() - REGIONS_SHOWN
+                )?;
             }
             if let Some(example) = &change.example {
                 writeln!(f, "    for example: {example}")?;
--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -64,7 +64,9 @@
             out.push(' ');
         }
         let written = &text[word.span.range()];
-        let inside = written.get(1..written.len().saturating_sub(1)).unwrap_or_default();
+        let inside = written
+            .get(1..written.len().saturating_sub(1))
+            .unwrap_or_default();
         match word.quote {
             Quote::Double | Quote::Single if plain(inside) => out.push_str(inside),
             _ => out.push_str(written),
--- a/crates/configuration/src/index.rs
+++ b/crates/configuration/src/index.rs
@@ -52,7 +52,10 @@
     shapes: u8,
 }
 
-const NO_PAIR: Pair = Pair { least: ANY, shapes: 0 };
+const NO_PAIR: Pair = Pair {
+    least: ANY,
+    shapes: 0,
+};
 
 impl Pair {
     fn add(&mut self, at: u32, shape: u8) {
@@ -80,7 +83,13 @@
 
 impl Asked {
     fn is_empty(&self) -> bool {
-        let Asked { classes, tenants, groups, statements, during } = self;
+        let Asked {
+            classes,
+            tenants,
+            groups,
+            statements,
+            during,
+        } = self;
         classes.is_empty()
             && tenants.is_empty()
             && groups.is_empty()
@@ -129,26 +138,41 @@
 
 impl Index {
     pub fn new(routes: &[Route], windows: &[Window], names: &Names) -> Index {
-        let numbers = |names: &[String]| -> HashMap<String, u32> { names.iter().cloned().zip(0..).collect() };
+        let numbers =
+            |names: &[String]| -> HashMap<String, u32> { names.iter().cloned().zip(0..).collect() };
         let (classes, tenants) = (numbers(&names.classes), numbers(&names.tenants));
         let number_all = |of: &HashMap<String, u32>, list: &[String]| -> Vec<u32> {
-            let mut out: Vec<u32> = list.iter().filter_map(|name| of.get(name).copied()).collect();
+            let mut out: Vec<u32> = list
+                .iter()
+                .filter_map(|name| of.get(name).copied())
+                .collect();
             out.sort_unstable();
             out.dedup();
             out
         };
-        let mut index = Index { windows: windows.to_vec(), ..Index::default() };
+        let mut index = Index {
+            windows: windows.to_vec(),
+            ..Index::default()
+        };
         index.statements.insert(b"");
         let mut cells: FxHashMap<Key, Vec<u32>> = FxHashMap::default();
         for (at, route) in (0_u32..).zip(routes) {
             let conditions = &route.conditions;
             let mut asked = Asked {
-                during: conditions.during.iter().filter_map(|w| u32::try_from(*w).ok()).collect(),
+                during: conditions
+                    .during
+                    .iter()
+                    .filter_map(|w| u32::try_from(*w).ok())
+                    .collect(),
                 ..Asked::default()
             };
             let mut class = number_all(&classes, &conditions.classes);
             let mut tenant = number_all(&tenants, &conditions.tenants);
-            let wide: u64 = conditions.groups.iter().map(|g| u64::from(g.end() - g.start()) + 1).sum();
+            let wide: u64 = conditions
+                .groups
+                .iter()
+                .map(|g| u64::from(g.end() - g.start()) + 1)
+                .sum();
             let mut group: Vec<u32> = Vec::new();
             if wide > GROUPS_LIMIT {
                 asked.groups.clone_from(&conditions.groups);
@@ -157,10 +181,15 @@
                 group.sort_unstable();
                 group.dedup();
             }
-            let mut statement: Vec<&str> = conditions.statements.iter().map(String::as_str).collect();
+            let mut statement: Vec<&str> =
+                conditions.statements.iter().map(String::as_str).collect();
             let networks = conditions.networks.len().max(1);
-            let keys =
-                |lists: [usize; 4]| lists.iter().map(|n| (*n).max(1)).fold(networks, usize::saturating_mul);
+            let keys = |lists: [usize; 4]| {
+                lists
+                    .iter()
+                    .map(|n| (*n).max(1))
+                    .fold(networks, usize::saturating_mul)
+            };
             if keys([class.len(), tenant.len(), group.len(), statement.len()]) > KEYS_LIMIT {
                 asked.groups = group.drain(..).map(|g| g..=g).collect();
             }
@@ -189,7 +218,10 @@
             };
             let texts: Vec<u32> = match statement.is_empty() {
                 true => vec![ANY_TEXT],
-                false => statement.iter().map(|p| index.statements.insert(p.as_bytes())).collect(),
+                false => statement
+                    .iter()
+                    .map(|p| index.statements.insert(p.as_bytes()))
+                    .collect(),
             };
             let (class, tenant, group) = (any(class), any(tenant), any(group));
             let stated = |list: &[u32], bit: u8| if list == [ANY] { 0 } else { bit };
@@ -201,12 +233,22 @@
                         node.pair.add(at, shape);
                     } else {
                         node.more = true;
-                        index.pairs.entry((network, statement)).or_insert(NO_PAIR).add(at, shape);
+                        index
+                            .pairs
+                            .entry((network, statement))
+                            .or_insert(NO_PAIR)
+                            .add(at, shape);
                     }
                     for &class in &class {
                         for &tenant in &tenant {
                             for &group in &group {
-                                let key = Key { network, statement, class, tenant, group };
+                                let key = Key {
+                                    network,
+                                    statement,
+                                    class,
+                                    tenant,
+                                    group,
+                                };
                                 let list = cells.entry(key).or_default();
                                 // Behind one that always holds nothing is ever found.
                                 let last = list.last().and_then(|l| index.asked.get(*l as usize));
@@ -239,7 +281,9 @@
     pub fn find(&self, request: &Facts<'_>) -> Option<usize> {
         let mut best = ANY;
         let mut texts = [0; TEXT_DEPTH];
-        let texts = self.statements.prefixes(request.statement.trim_ascii_start(), &mut texts);
+        let texts = self
+            .statements
+            .prefixes(request.statement.trim_ascii_start(), &mut texts);
         let mut at = self.networks.find(route::number(request.client));
         while let Some(node) = self.networks.nodes.get(at as usize) {
             // What no statement is asked for is looked at first: a prefix is the rarer case.
@@ -258,7 +302,14 @@
     }
 
     /// The first that holds of those under one network and one statement's prefix, if it comes before `best`.
-    fn among(&self, network: u32, statement: u32, shapes: u8, request: &Facts<'_>, best: u32) -> u32 {
+    fn among(
+        &self,
+        network: u32,
+        statement: u32,
+        shapes: u8,
+        request: &Facts<'_>,
+        best: u32,
+    ) -> u32 {
         let (mut shapes, mut best) = (shapes, best);
         while shapes != 0 {
             let shape = shapes.trailing_zeros() as u8;
@@ -271,13 +322,18 @@
                 tenant: or_any(TENANT, request.tenant),
                 group: or_any(GROUP, request.group),
             };
-            let Some(&(start, length)) = self.cells.get(&key) else { continue };
+            let Some(&(start, length)) = self.cells.get(&key) else {
+                continue;
+            };
             if length == SOLE {
                 best = best.min(start);
                 continue;
             }
             let list = &self.lists[start as usize..(start + length) as usize];
-            let first = list.iter().take_while(|at| **at < best).find(|at| self.holds(**at, request));
+            let first = list
+                .iter()
+                .take_while(|at| **at < best)
+                .find(|at| self.holds(**at, request));
             best = first.copied().unwrap_or(best);
         }
         best
@@ -285,14 +341,30 @@
 
     /// What the keys don't tell of it.
     fn holds(&self, at: u32, request: &Facts<'_>) -> bool {
-        let Some(Some(asked)) = self.asked.get(at as usize) else { return true };
-        let Asked { classes, tenants, groups, statements, during } = &**asked;
-        let among = |list: &[u32], number: u32| list.is_empty() || list.binary_search(&number).is_ok();
-        let held = |window: &u32| self.windows.get(*window as usize).is_some_and(|w| w.holds(request.at));
+        let Some(Some(asked)) = self.asked.get(at as usize) else {
+            return true;
+        };
+        let Asked {
+            classes,
+            tenants,
+            groups,
+            statements,
+            during,
+        } = &**asked;
+        let among =
+            |list: &[u32], number: u32| list.is_empty() || list.binary_search(&number).is_ok();
+        let held = |window: &u32| {
+            self.windows
+                .get(*window as usize)
+                .is_some_and(|w| w.holds(request.at))
+        };
         among(classes, request.class)
             && among(tenants, request.tenant)
             && (groups.is_empty() || groups.iter().any(|g| g.contains(&request.group)))
-            && (statements.is_empty() || statements.iter().any(|p| route::begins(request.statement, p)))
+            && (statements.is_empty()
+                || statements
+                    .iter()
+                    .any(|p| route::begins(request.statement, p)))
             && (during.is_empty() || during.iter().any(held))
     }
 
@@ -303,7 +375,10 @@
         let tries = self.networks.nodes.capacity() * size_of::<NetNode>()
             + self.networks.jump.capacity() * 4
             + self.statements.nodes.capacity() * size_of::<TextNode>();
-        tables + tries + self.lists.capacity() * 4 + self.asked.capacity() * size_of::<Option<Box<Asked>>>()
+        tables
+            + tries
+            + self.lists.capacity() * 4
+            + self.asked.capacity() * size_of::<Option<Box<Asked>>>()
     }
 }
 
@@ -332,7 +407,15 @@
 
 impl NetNode {
     fn new(first: u128, length: u8, children: [u32; 2]) -> NetNode {
-        NetNode { first, length, known: false, more: false, children, up: ANY, pair: NO_PAIR }
+        NetNode {
+            first,
+            length,
+            known: false,
+            more: false,
+            children,
+            up: ANY,
+            pair: NO_PAIR,
+        }
     }
 }
 
@@ -347,7 +430,10 @@
 
 impl Default for NetTrie {
     fn default() -> NetTrie {
-        NetTrie { nodes: vec![NetNode::new(0, 0, [ANY; 2])], jump: Vec::new() }
+        NetTrie {
+            nodes: vec![NetNode::new(0, 0, [ANY; 2])],
+            jump: Vec::new(),
+        }
     }
 }
 
@@ -369,7 +455,9 @@
                 continue;
             }
             let below = self.nodes[child as usize];
-            let common = ((first ^ below.first).leading_zeros() as u8).min(length).min(below.length);
+            let common = ((first ^ below.first).leading_zeros() as u8)
+                .min(length)
+                .min(below.length);
             if common < below.length {
                 // The way to the child forks before it.
                 let mut children = [ANY; 2];
@@ -400,7 +488,9 @@
         }
         if self.nodes.len() >= JUMP_FROM {
             let base = route::number(IpAddr::from([0, 0, 0, 0]));
-            self.jump = (0..1_u128 << 16).map(|net| self.deepest(base | net << 16, 0, JUMP_LENGTH)).collect();
+            self.jump = (0..1_u128 << 16)
+                .map(|net| self.deepest(base | net << 16, 0, JUMP_LENGTH))
+                .collect();
         }
     }
 
@@ -413,7 +503,11 @@
                 return at;
             }
             let child = node.children[bit(address, node.length)];
-            let Some(next) = self.nodes.get(child as usize).filter(|n| n.length <= longest) else {
+            let Some(next) = self
+                .nodes
+                .get(child as usize)
+                .filter(|n| n.length <= longest)
+            else {
                 return at;
             };
             if (address ^ next.first) & route::mask(next.length) != 0 {
@@ -426,7 +520,12 @@
     /// The node of the longest prefix of an address; those above it are its other prefixes.
     fn find(&self, address: u128) -> u32 {
         let mapped = address >> 32 == 0xffff;
-        let from = self.jump.get((address >> 16 & 0xffff) as usize).filter(|_| mapped).copied().unwrap_or(0);
+        let from = self
+            .jump
+            .get((address >> 16 & 0xffff) as usize)
+            .filter(|_| mapped)
+            .copied()
+            .unwrap_or(0);
         let at = self.deepest(address, from, 128);
         let node = &self.nodes[at as usize];
         if node.known {
@@ -454,7 +553,14 @@
 
 impl Default for TextTrie {
     fn default() -> TextTrie {
-        TextTrie { nodes: vec![TextNode { label: [].into(), value: ANY, children: Vec::new() }], values: 0 }
+        TextTrie {
+            nodes: vec![TextNode {
+                label: [].into(),
+                value: ANY,
+                children: Vec::new(),
+            }],
+            values: 0,
+        }
     }
 }
 
@@ -469,7 +575,10 @@
                 }
                 return self.nodes[at].value;
             };
-            match self.nodes[at].children.binary_search_by_key(&byte, |(b, _)| *b) {
+            match self.nodes[at]
+                .children
+                .binary_search_by_key(&byte, |(b, _)| *b)
+            {
                 Err(place) => {
                     let child = self.push(rest, Vec::new());
                     self.nodes[at].children.insert(place, (byte, child));
@@ -483,7 +592,10 @@
                         (at, rest) = (child as usize, &rest[common..]);
                         continue;
                     }
-                    let (head, tail) = (Box::from(&label[..common]), Box::<[u8]>::from(&label[common..]));
+                    let (head, tail) = (
+                        Box::from(&label[..common]),
+                        Box::<[u8]>::from(&label[common..]),
+                    );
                     let fork = self.push(&head, vec![(tail[0], child)]);
                     self.nodes[child as usize].label = tail;
                     self.nodes[at].children[place].1 = fork;
@@ -494,7 +606,11 @@
     }
 
     fn push(&mut self, label: &[u8], children: Vec<(u8, u32)>) -> u32 {
-        self.nodes.push(TextNode { label: label.into(), value: ANY, children });
+        self.nodes.push(TextNode {
+            label: label.into(),
+            value: ANY,
+            children,
+        });
         self.nodes.len() as u32 - 1
     }
 
@@ -505,7 +621,10 @@
             let node = &self.nodes[at];
             let label = &node.label;
             let same = rest.len() >= label.len()
-                && label.iter().zip(rest).all(|(a, b)| *a == b.to_ascii_lowercase());
+                && label
+                    .iter()
+                    .zip(rest)
+                    .all(|(a, b)| *a == b.to_ascii_lowercase());
             if !same {
                 break;
             }
@@ -514,8 +633,12 @@
                 out[found] = node.value;
                 found += 1;
             }
-            let Some(byte) = rest.first().map(u8::to_ascii_lowercase) else { break };
-            let Ok(place) = node.children.binary_search_by_key(&byte, |(b, _)| *b) else { break };
+            let Some(byte) = rest.first().map(u8::to_ascii_lowercase) else {
+                break;
+            };
+            let Ok(place) = node.children.binary_search_by_key(&byte, |(b, _)| *b) else {
+                break;
+            };
             at = node.children[place].1 as usize;
         }
         &out[..found]
--- a/crates/configuration/src/lending.rs
+++ b/crates/configuration/src/lending.rs
@@ -49,22 +49,39 @@
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Lending> {
-    let stated: Vec<&Section> = sections.iter().filter(|s| s.spec.keyword == "credit").collect();
+    let stated: Vec<&Section> = sections
+        .iter()
+        .filter(|s| s.spec.keyword == "credit")
+        .collect();
     let Some(section) = sections.iter().find(|s| s.spec.keyword == "lending") else {
         if let Some(first) = stated.first().filter(|_| !partial) {
-            let fault =
-                Diagnostic::error("missing", first.span, "a credit is stated, but no section lending");
+            let fault = Diagnostic::error(
+                "missing",
+                first.span,
+                "a credit is stated, but no section lending",
+            );
             faults.push(
-                fault.label("nobody lends").help("write a section lending { ... }, which may state nothing"),
+                fault
+                    .label("nobody lends")
+                    .help("write a section lending { ... }, which may state nothing"),
             );
         }
         return None;
     };
     if !partial {
-        needed(sections, section, "lending", "has nobody to agree with", faults);
+        needed(
+            sections,
+            section,
+            "lending",
+            "has nobody to agree with",
+            faults,
+        );
     }
     if let Some(first) = stated.get(CREDITS_LIMIT) {
-        let message = format!("there are {} credits; at most {CREDITS_LIMIT} are allowed", stated.len());
+        let message = format!(
+            "there are {} credits; at most {CREDITS_LIMIT} are allowed",
+            stated.len()
+        );
         let fault = Diagnostic::error("many-credits", first.span, message).label("one too many");
         faults.push(fault.help("keep a section credit only for stands that have to borrow"));
         return None;
@@ -74,29 +91,53 @@
         ["lease", "step", "longest"].map(|keyword| v.time(keyword).unwrap_or_default());
     // Of a section with a faulty line nothing is held against its defaults.
     if let Some(at) = either(section, ["step", "lease"]).filter(|_| step * STEPS_OF_LEASE > lease) {
-        let message = format!("step ({}) is more than a third of lease ({})", time(step), time(lease));
-        let fault = Diagnostic::error("cross-check", at.span, message).label("one late beat would end it");
+        let message = format!(
+            "step ({}) is more than a third of lease ({})",
+            time(step),
+            time(lease)
+        );
+        let fault =
+            Diagnostic::error("cross-check", at.span, message).label("one late beat would end it");
         let most = Duration::from_millis((lease / STEPS_OF_LEASE).as_millis() as u64);
         let least = step * STEPS_OF_LEASE;
-        let help = format!("state a step of at most {}, or a lease of {} or more", time(most), time(least));
+        let help = format!(
+            "state a step of at most {}, or a lease of {} or more",
+            time(most),
+            time(least)
+        );
         faults.push(fault.help(help));
     }
     let credits = stated.iter().filter_map(|credit| {
         check_span(credit, section, longest, faults);
         self::credit(credit, windows, partial, faults)
     });
-    Some(Lending { state: v.path("state"), lease, step, longest, credits: credits.collect() })
+    Some(Lending {
+        state: v.path("state"),
+        lease,
+        step,
+        longest,
+        credits: credits.collect(),
+    })
 }
 
 /// The first of two settings that is stated, in a section that could be read whole.
 fn either<'a>(section: &'a Section, keywords: [&str; 2]) -> Option<&'a Setting> {
-    keywords.into_iter().find_map(|keyword| section.setting(keyword)).filter(|_| !section.partial)
+    keywords
+        .into_iter()
+        .find_map(|keyword| section.setting(keyword))
+        .filter(|_| !section.partial)
 }
 
 /// Term and write-off together within the longest.
-fn check_span(credit: &Section, lending: &Section, longest: Duration, faults: &mut Vec<Diagnostic>) {
+fn check_span(
+    credit: &Section,
+    lending: &Section,
+    longest: Duration,
+    faults: &mut Vec<Diagnostic>,
+) {
     let v = Values::of(credit);
-    let [term, write_off] = ["term", "write-off"].map(|keyword| v.time(keyword).unwrap_or_default());
+    let [term, write_off] =
+        ["term", "write-off"].map(|keyword| v.time(keyword).unwrap_or_default());
     if credit.partial || lending.partial || term + write_off <= longest {
         return;
     }
@@ -109,8 +150,9 @@
         credit.name
     );
     let fault = Diagnostic::error("cross-check", at, message).label("lent for too long");
-    let fault =
-        fault.help(format!("shorten one of the two, or state `longest {all}` in the section lending"));
+    let fault = fault.help(format!(
+        "shorten one of the two, or state `longest {all}` in the section lending"
+    ));
     faults.push(match lending.setting("longest") {
         Some(setting) => fault.related(setting.span, "longest"),
         None => fault,
@@ -124,12 +166,18 @@
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Credit> {
     for keyword in ["line", "class", "rate"] {
-        required(section, keyword, &format!("the credit {}", section.name), faults);
+        required(
+            section,
+            keyword,
+            &format!("the credit {}", section.name),
+            faults,
+        );
     }
     let v = Values::of(section);
     let rate = match (v.value("rate"), section.setting("rate")) {
         (Some(Value::Rate(rate)), Some(at)) if rate.per != Duration::from_secs(1) => {
-            let fault = Diagnostic::error("bad-value", at.span, format!("{rate} is not of a second"));
+            let fault =
+                Diagnostic::error("bad-value", at.span, format!("{rate} is not of a second"));
             let fault = fault.label("what is lent is counted by the second");
             faults.push(fault.help("write it as requests a second, for example 100/s"));
             None
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -93,19 +93,31 @@
     let partial = partial || names_missing(&diagnostics);
     check::references(&sections, partial, &mut diagnostics);
     diagnostic::sort(&mut diagnostics);
-    Plain { sources, sections, diagnostics }
+    Plain {
+        sources,
+        sections,
+        diagnostics,
+    }
 }
 
 /// A section has not become one: what refers to it is no second fault.
 fn names_missing(diagnostics: &[Diagnostic]) -> bool {
-    diagnostics.iter().any(|d| matches!(d.code, "unknown-section" | "section-name"))
+    diagnostics
+        .iter()
+        .any(|d| matches!(d.code, "unknown-section" | "section-name"))
 }
 
 /// Reads a configuration and all that it includes.
 pub fn read(path: &Path, loader: &dyn load::Loader) -> Reading {
     let mut sources = Sources::default();
     let mut diagnostics = Vec::new();
-    let document = load::load(path, loader, schema::SECTIONS, &mut sources, &mut diagnostics);
+    let document = load::load(
+        path,
+        loader,
+        schema::SECTIONS,
+        &mut sources,
+        &mut diagnostics,
+    );
     let partial = document.partial;
     let sections = check::check(document, schema::SECTIONS, &mut diagnostics);
     let partial = partial || names_missing(&diagnostics);
@@ -115,5 +127,10 @@
         diagnostics.retain(|d| !d.code.starts_with("unused-"));
     }
     diagnostic::sort(&mut diagnostics);
-    Reading { sources, model, sections, diagnostics }
+    Reading {
+        sources,
+        model,
+        sections,
+        diagnostics,
+    }
 }
--- a/crates/configuration/src/load.rs
+++ b/crates/configuration/src/load.rs
@@ -42,7 +42,9 @@
 impl Directive {
     /// From its keyword to its last value.
     pub fn span(&self) -> Span {
-        self.args.last().map_or(self.keyword.span, |last| self.keyword.span.to(last.span))
+        self.args
+            .last()
+            .map_or(self.keyword.span, |last| self.keyword.span.to(last.span))
     }
 }
 
@@ -105,8 +107,12 @@
     let unused = reading.defines.iter().filter(|(_, d)| !d.used);
     let unused: Vec<Diagnostic> = unused
         .map(|(name, d)| {
-            Diagnostic::warning("unused-define", d.span, format!("the variable {name} is never used"))
-                .label("defined here")
+            Diagnostic::warning(
+                "unused-define",
+                d.span,
+                format!("the variable {name} is never used"),
+            )
+            .label("defined here")
         })
         .collect();
     if !reading.document.partial {
@@ -126,20 +132,28 @@
         let name = path.display().to_string();
         // A file that can't be had is a fault of the place that names it, or of the empty text under its name.
         let place = |reading: &mut Self| {
-            from.unwrap_or_else(|| Span::new(reading.sources.add(name.clone(), String::new()), 0..0))
+            from.unwrap_or_else(|| {
+                Span::new(reading.sources.add(name.clone(), String::new()), 0..0)
+            })
         };
         let identity = match self.loader.identity(path) {
             Ok(identity) => identity,
             Err(problem) => {
                 let at = place(self);
-                let fault =
-                    Diagnostic::error("unreadable-file", at, format!("{name} can't be read: {problem}"));
+                let fault = Diagnostic::error(
+                    "unreadable-file",
+                    at,
+                    format!("{name} can't be read: {problem}"),
+                );
                 return self.fail(fault.label("named here"));
             }
         };
         if let Some(at) = self.stack.iter().position(|open| *open == identity) {
-            let chain: Vec<String> =
-                self.stack[at..].iter().chain([&identity]).map(|p| file_name(p)).collect();
+            let chain: Vec<String> = self.stack[at..]
+                .iter()
+                .chain([&identity])
+                .map(|p| file_name(p))
+                .collect();
             let at = place(self);
             let fault = Diagnostic::error("include-loop", at, format!("{name} includes itself"))
                 .label("closes the loop")
@@ -149,9 +163,12 @@
         if let Some(first) = self.seen.get(&identity) {
             let first = *first;
             let at = place(self);
-            let mut fault =
-                Diagnostic::error("include-twice", at, format!("{name} is included a second time"))
-                    .label("again here");
+            let mut fault = Diagnostic::error(
+                "include-twice",
+                at,
+                format!("{name} is included a second time"),
+            )
+            .label("again here");
             if let Some(first) = first {
                 fault = fault.related(first, "first included here");
             }
@@ -164,19 +181,25 @@
                 true => format!("includes stand more than {DEPTH_LIMIT} deep"),
                 false => format!("the configuration has more than {FILES_LIMIT} files"),
             };
-            return self.fail(Diagnostic::error("include-depth", at, message).label("one too many"));
+            return self
+                .fail(Diagnostic::error("include-depth", at, message).label("one too many"));
         }
         let bytes = match self.loader.read(path) {
             Ok(bytes) => bytes,
             Err(problem) => {
                 let at = place(self);
-                let fault =
-                    Diagnostic::error("unreadable-file", at, format!("{name} can't be read: {problem}"));
+                let fault = Diagnostic::error(
+                    "unreadable-file",
+                    at,
+                    format!("{name} can't be read: {problem}"),
+                );
                 return self.fail(fault.label("named here"));
             }
         };
         self.seen.insert(identity.clone(), from);
-        let Some(file) = self.text(&name, bytes) else { return };
+        let Some(file) = self.text(&name, bytes) else {
+            return;
+        };
         self.stack.push(identity);
         self.lines(file, path);
         self.stack.pop();
@@ -186,8 +209,15 @@
     fn text(&mut self, name: &str, bytes: Vec<u8>) -> Option<FileId> {
         if bytes.len() > FILE_LIMIT {
             let file = self.sources.add(name.to_owned(), String::new());
-            let message = format!("{name} has {} bytes; at most {FILE_LIMIT} are read", bytes.len());
-            self.fail(Diagnostic::error("large-file", Span::new(file, 0..0), message));
+            let message = format!(
+                "{name} has {} bytes; at most {FILE_LIMIT} are read",
+                bytes.len()
+            );
+            self.fail(Diagnostic::error(
+                "large-file",
+                Span::new(file, 0..0),
+                message,
+            ));
             return None;
         }
         if let Some(range) = syntax::overlong(&bytes) {
@@ -206,8 +236,10 @@
             Err(error) => {
                 let at = error.utf8_error().valid_up_to();
                 let byte = error.as_bytes()[at];
-                let file =
-                    self.sources.add(name.to_owned(), String::from_utf8_lossy(error.as_bytes()).into_owned());
+                let file = self.sources.add(
+                    name.to_owned(),
+                    String::from_utf8_lossy(error.as_bytes()).into_owned(),
+                );
                 let span = Span::new(file, at..at + char::REPLACEMENT_CHARACTER.len_utf8());
                 let message = format!("the byte 0x{byte:02x} is no UTF-8 text");
                 self.fail(Diagnostic::error("not-utf8", span, message).label("not readable"));
@@ -217,7 +249,11 @@
     }
 
     fn lines(&mut self, file: FileId, path: &Path) {
-        let text = self.sources.get(file).map(|f| f.text.clone()).unwrap_or_default();
+        let text = self
+            .sources
+            .get(file)
+            .map(|f| f.text.clone())
+            .unwrap_or_default();
         let parsed = syntax::parse(file, &text);
         if !parsed.faults.is_empty() {
             self.document.partial = true;
@@ -249,16 +285,25 @@
                     // Without a keyword its lines belong to nothing, and its fault is reported.
                     let mut args = self.expand(&words, &text).unwrap_or_default();
                     if args.is_empty() {
-                        args.push(Arg { text: String::new(), span: brace });
+                        args.push(Arg {
+                            text: String::new(),
+                            span: brace,
+                        });
                     }
                     let keyword = args.remove(0);
-                    open = Some(Section { keyword, names: args, directives: Vec::new(), partial: false });
+                    open = Some(Section {
+                        keyword,
+                        names: args,
+                        directives: Vec::new(),
+                        partial: false,
+                    });
                 }
                 Entry::Close(_) if nested > 0 => nested -= 1,
                 Entry::Close(span) => match open.take() {
                     Some(section) => self.document.sections.push(section),
                     None => {
-                        let fault = Diagnostic::error("stray-brace", span, "a brace closes no section");
+                        let fault =
+                            Diagnostic::error("stray-brace", span, "a brace closes no section");
                         self.fail(fault.label("no section is open here"));
                     }
                 },
@@ -314,11 +359,15 @@
                 let known = self.table.iter().map(|s| s.keyword);
                 let hint = match known.clone().find(|k| *k == keyword.text) {
                     Some(name) => {
-                        format!("a section opens with a brace at the end of its line: {name} NAME {{")
+                        format!(
+                            "a section opens with a brace at the end of its line: {name} NAME {{"
+                        )
                     }
                     None => match nearest(&keyword.text, known.chain(["include", "define"])) {
                         Some(name) => format!("did you mean {name}?"),
-                        None => "outside of sections only define, include and sections stand".into(),
+                        None => {
+                            "outside of sections only define, include and sections stand".into()
+                        }
                     },
                 };
                 let fault = Diagnostic::error(
@@ -342,11 +391,19 @@
         let place = name.span;
         let name = text[place.range()].to_owned();
         if values.is_empty() {
-            let fault = Diagnostic::error("define-form", span, format!("the variable {name} gets no value"));
+            let fault = Diagnostic::error(
+                "define-form",
+                span,
+                format!("the variable {name} gets no value"),
+            );
             return self.fail(fault.label("define NAME VALUE ..."));
         }
         if !is_name(&name) {
-            let fault = Diagnostic::error("define-form", place, format!("{name} can't name a variable"));
+            let fault = Diagnostic::error(
+                "define-form",
+                place,
+                format!("{name} can't name a variable"),
+            );
             return self.fail(
                 fault
                     .label("not a name")
@@ -364,14 +421,29 @@
             return self.fail(fault);
         }
         // One whose value is faulty is known all the same, so that its uses are no faults as well.
-        let values = self.expand(values, text).unwrap_or_default().into_iter().map(|arg| arg.text).collect();
-        self.defines.insert(name, Define { values, span: place, used: false });
+        let values = self
+            .expand(values, text)
+            .unwrap_or_default()
+            .into_iter()
+            .map(|arg| arg.text)
+            .collect();
+        self.defines.insert(
+            name,
+            Define {
+                values,
+                span: place,
+                used: false,
+            },
+        );
     }
 
     fn include(&mut self, directive: &Directive, path: &Path) {
         let [target] = directive.args.as_slice() else {
-            let fault =
-                Diagnostic::error("include-form", directive.span(), "include takes one file or pattern");
+            let fault = Diagnostic::error(
+                "include-form",
+                directive.span(),
+                "include takes one file or pattern",
+            );
             return self.fail(fault.label(format!("{} are given", directive.args.len())));
         };
         let folder = path.parent().unwrap_or(Path::new(""));
@@ -388,7 +460,9 @@
         let (false, Ok(pattern)) = (parent.components().any(starred), pattern) else {
             let fault = Diagnostic::error("include-form", target.span, "the pattern can't be read");
             return self.fail(
-                fault.label("not a pattern").help("*, ? and [...] stand in the last part of the path only"),
+                fault
+                    .label("not a pattern")
+                    .help("*, ? and [...] stand in the last part of the path only"),
             );
         };
         let mut names = match self.loader.names(parent) {
@@ -406,7 +480,8 @@
         names.retain(|name| pattern.matches(name) && !name.starts_with('.'));
         names.sort();
         if names.is_empty() {
-            let fault = Diagnostic::warning("empty-include", target.span, "the pattern matches no file");
+            let fault =
+                Diagnostic::warning("empty-include", target.span, "the pattern matches no file");
             self.faults.push(fault.label("nothing is included"));
         }
         for name in names {
@@ -421,8 +496,14 @@
             let written = &text[word.span.range()];
             let span = word.span;
             match word.quote {
-                Quote::Single => args.push(Arg { text: written[1..written.len() - 1].to_owned(), span }),
-                Quote::Bare if !written.contains('$') => args.push(Arg { text: written.to_owned(), span }),
+                Quote::Single => args.push(Arg {
+                    text: written[1..written.len() - 1].to_owned(),
+                    span,
+                }),
+                Quote::Bare if !written.contains('$') => args.push(Arg {
+                    text: written.to_owned(),
+                    span,
+                }),
                 Quote::Bare => self.bare(written, span, &mut args)?,
                 Quote::Double => {
                     let text = self.interpolate(&written[1..written.len() - 1], span, true)?;
@@ -435,11 +516,17 @@
 
     /// A variable that stands alone brings all its words.
     fn bare(&mut self, written: &str, span: Span, args: &mut Vec<Arg>) -> Option<()> {
-        let alone = written
-            .strip_prefix('$')
-            .map(|n| n.strip_prefix('{').and_then(|n| n.strip_suffix('}')).unwrap_or(n));
+        let alone = written.strip_prefix('$').map(|n| {
+            n.strip_prefix('{')
+                .and_then(|n| n.strip_suffix('}'))
+                .unwrap_or(n)
+        });
         if let Some(name) = alone.filter(|name| is_name(name)) {
-            args.extend(self.variable(name, span)?.into_iter().map(|text| Arg { text, span }));
+            args.extend(
+                self.variable(name, span)?
+                    .into_iter()
+                    .map(|text| Arg { text, span }),
+            );
         } else {
             let text = self.interpolate(written, span, false)?;
             args.push(Arg { text, span });
@@ -465,10 +552,13 @@
                     't' => '\t',
                     '"' | '\\' | '$' => next,
                     _ => {
-                        let fault =
-                            Diagnostic::error("unknown-escape", span, format!("\\{next} stands for nothing"))
-                                .label("in this text")
-                                .help(r#"known are \n \t \" \\ and \$"#);
+                        let fault = Diagnostic::error(
+                            "unknown-escape",
+                            span,
+                            format!("\\{next} stands for nothing"),
+                        )
+                        .label("in this text")
+                        .help(r#"known are \n \t \" \\ and \$"#);
                         self.fail(fault);
                         return None;
                     }
@@ -485,9 +575,13 @@
                 }
             };
             if !is_name(name) {
-                let fault = Diagnostic::error("variable-form", span, "a $ stands before no variable's name")
-                    .label("in this word")
-                    .help("inside double quotes \\$ stands for the character itself");
+                let fault = Diagnostic::error(
+                    "variable-form",
+                    span,
+                    "a $ stands before no variable's name",
+                )
+                .label("in this word")
+                .help("inside double quotes \\$ stands for the character itself");
                 self.fail(fault);
                 return None;
             }
@@ -496,7 +590,10 @@
                 let fault = Diagnostic::error(
                     "variable-form",
                     span,
-                    format!("the variable {name} holds {} words and can't be part of one", values.len()),
+                    format!(
+                        "the variable {name} holds {} words and can't be part of one",
+                        values.len()
+                    ),
                 )
                 .label("used here as part of a word")
                 .related(self.defines[name].span, "defined here");
@@ -517,10 +614,13 @@
                 Some(other) => format!("did you mean ${other}?"),
                 None => "a variable is defined before the line that uses it".into(),
             };
-            let fault =
-                Diagnostic::error("unknown-variable", span, format!("the variable {name} is not defined"))
-                    .label("used here")
-                    .help(hint);
+            let fault = Diagnostic::error(
+                "unknown-variable",
+                span,
+                format!("the variable {name} is not defined"),
+            )
+            .label("used here")
+            .help(hint);
             self.fail(fault);
             return None;
         };
@@ -539,7 +639,10 @@
 }
 
 fn file_name(path: &Path) -> String {
-    path.file_name().map_or_else(|| path.display().to_string(), |name| name.to_string_lossy().into_owned())
+    path.file_name().map_or_else(
+        || path.display().to_string(),
+        |name| name.to_string_lossy().into_owned(),
+    )
 }
 
 fn name_char(c: char) -> bool {
@@ -566,15 +669,22 @@
 
 impl<const N: usize> From<[(&str, &str); N]> for Memory {
     fn from(files: [(&str, &str); N]) -> Memory {
-        let files = files.into_iter().map(|(path, text)| (path.into(), text.as_bytes().to_vec()));
-        Memory { files: files.collect() }
+        let files = files
+            .into_iter()
+            .map(|(path, text)| (path.into(), text.as_bytes().to_vec()));
+        Memory {
+            files: files.collect(),
+        }
     }
 }
 
 impl Loader for Memory {
     fn read(&self, path: &Path) -> Result<Vec<u8>, String> {
         let path = self.identity(path)?;
-        self.files.get(&path).cloned().ok_or_else(|| "no such file".to_owned())
+        self.files
+            .get(&path)
+            .cloned()
+            .ok_or_else(|| "no such file".to_owned())
     }
 
     fn identity(&self, path: &Path) -> Result<PathBuf, String> {
@@ -596,7 +706,10 @@
     }
 
     fn names(&self, folder: &Path) -> Result<Vec<String>, String> {
-        let inside = self.files.keys().filter(|path| path.parent() == Some(folder));
+        let inside = self
+            .files
+            .keys()
+            .filter(|path| path.parent() == Some(folder));
         let names: Vec<String> = inside.map(|path| file_name(path)).collect();
         if names.is_empty() {
             Err("no such folder".to_owned())
--- a/crates/configuration/src/members.rs
+++ b/crates/configuration/src/members.rs
@@ -34,12 +34,22 @@
 }
 
 /// `partial`: some of the files could not be read, so that sections which are missing may stand there.
-pub fn members(sections: &[Section], partial: bool, faults: &mut Vec<Diagnostic>) -> Option<Members> {
-    let stated: Vec<&Section> = sections.iter().filter(|s| s.spec.keyword == "member").collect();
+pub fn members(
+    sections: &[Section],
+    partial: bool,
+    faults: &mut Vec<Diagnostic>,
+) -> Option<Members> {
+    let stated: Vec<&Section> = sections
+        .iter()
+        .filter(|s| s.spec.keyword == "member")
+        .collect();
     let Some(section) = sections.iter().find(|s| s.spec.keyword == "members") else {
         if let Some(first) = stated.first().filter(|_| !partial) {
-            let fault =
-                Diagnostic::error("missing", first.span, "a member is stated, but no section members");
+            let fault = Diagnostic::error(
+                "missing",
+                first.span,
+                "a member is stated, but no section members",
+            );
             faults.push(
                 fault
                     .label("has no effect")
@@ -57,7 +67,10 @@
         );
     }
     if let Some(first) = stated.get(MEMBERS_LIMIT) {
-        let message = format!("there are {} members; at most {MEMBERS_LIMIT} are allowed", stated.len());
+        let message = format!(
+            "there are {} members; at most {MEMBERS_LIMIT} are allowed",
+            stated.len()
+        );
         faults.push(Diagnostic::error("many-members", first.span, message).label("one too many"));
         return None;
     }
@@ -83,21 +96,30 @@
     for section in stated {
         let (v, length) = (Values::of(section), section.name.len());
         if length > MEMBER_NAME_LIMIT {
-            let message =
-                format!("a member's name has {length} bytes; at most {MEMBER_NAME_LIMIT} are allowed");
+            let message = format!(
+                "a member's name has {length} bytes; at most {MEMBER_NAME_LIMIT} are allowed"
+            );
             faults.push(Diagnostic::error("section-name", section.span, message).label("too long"));
         }
-        required(section, "address", &format!("the member {}", section.name), faults);
-        let (Some(address), Some(setting)) = (v.address("address"), section.setting("address")) else {
+        required(
+            section,
+            "address",
+            &format!("the member {}", section.name),
+            faults,
+        );
+        let (Some(address), Some(setting)) = (v.address("address"), section.setting("address"))
+        else {
             continue;
         };
         if address.port() == 0 || address.ip().is_unspecified() {
             let message = format!("nothing can be sent to {address}");
-            let fault = Diagnostic::error("bad-value", setting.span, message).label("of no single place");
+            let fault =
+                Diagnostic::error("bad-value", setting.span, message).label("of no single place");
             faults.push(fault.help("state the address and port at which the others reach it"));
         } else if let Some(other) = places.get(&address) {
             let message = format!("the address {address} is that of the member {}", other.name);
-            let fault = Diagnostic::error("cross-check", setting.span, message).label("a second one there");
+            let fault =
+                Diagnostic::error("cross-check", setting.span, message).label("a second one there");
             faults.push(match other.setting("address") {
                 Some(first) => fault.related(first.span, "first stated here"),
                 None => fault,
@@ -106,7 +128,11 @@
             places.insert(address, section);
         }
         let region = v.name("region").unwrap_or_default();
-        roster.push(Member { name: section.name.clone(), address, region });
+        roster.push(Member {
+            name: section.name.clone(),
+            address,
+            region,
+        });
     }
     roster
 }
@@ -126,12 +152,21 @@
     }
 }
 
-pub(crate) fn required(section: &Section, keyword: &'static str, whose: &str, faults: &mut Vec<Diagnostic>) {
+pub(crate) fn required(
+    section: &Section,
+    keyword: &'static str,
+    whose: &str,
+    faults: &mut Vec<Diagnostic>,
+) {
     // A line of a section that could not be read may have stated it.
     if section.partial || section.setting(keyword).is_some() {
         return;
     }
     let example = section.spec.directive(keyword).map_or("", |d| d.example);
     let fault = Diagnostic::error("missing", section.span, format!("{whose} has no {keyword}"));
-    faults.push(fault.label(format!("{keyword} is missing here")).help(format!("for example: {example}")));
+    faults.push(
+        fault
+            .label(format!("{keyword} is missing here"))
+            .help(format!("for example: {example}")),
+    );
 }
--- a/crates/configuration/src/memory.rs
+++ b/crates/configuration/src/memory.rs
@@ -18,5 +18,8 @@
     let section = sections.iter().find(|s| s.spec.keyword == "memory")?;
     let v = Values::of(section);
     crate::members::required(section, "state", "the section memory", faults);
-    Some(Memory { state: v.path("state")?, every: v.time("every").unwrap_or_default() })
+    Some(Memory {
+        state: v.path("state")?,
+        every: v.time("every").unwrap_or_default(),
+    })
 }
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -207,7 +207,10 @@
         spec: schema::section(keyword).unwrap_or(&schema::SECTIONS[0]),
     };
     let all = |keyword: &'static str| sections.iter().filter(move |s| s.spec.keyword == keyword);
-    let of = |section| Values { section: Some(section), spec: section.spec };
+    let of = |section| Values {
+        section: Some(section),
+        spec: section.spec,
+    };
 
     let v = once("limits");
     let time = |keyword| v.time(keyword).unwrap_or_default();
@@ -229,9 +232,12 @@
     if let Some(section) = v.section.filter(|_| limits.crowded > limits.packed) {
         let (crowded, packed) = (section.setting("crowded"), section.setting("packed"));
         if let Some(at) = crowded.or(packed) {
-            let message = format!("crowded ({}) is above packed ({})", limits.crowded, limits.packed);
-            let mut fault =
-                Diagnostic::error("cross-check", at.span, message).label("this must not be above packed");
+            let message = format!(
+                "crowded ({}) is above packed ({})",
+                limits.crowded, limits.packed
+            );
+            let mut fault = Diagnostic::error("cross-check", at.span, message)
+                .label("this must not be above packed");
             if let (Some(_), Some(packed)) = (crowded, packed) {
                 fault = fault.related(packed.span, "packed");
             } else {
@@ -257,7 +263,11 @@
         })
         .collect();
     for section in all("listener").skip(1) {
-        let fault = Diagnostic::error("many-listeners", section.span, "one listener is served so far");
+        let fault = Diagnostic::error(
+            "many-listeners",
+            section.span,
+            "one listener is served so far",
+        );
         faults.push(fault.label("one too many"));
     }
     for section in all("listener").filter(|s| !s.partial && s.setting("address").is_none()) {
@@ -333,8 +343,10 @@
     };
     let v = once("drain");
     let (announce_end, linger) = (v.choice("announce-end") == "yes", v.time("linger"));
-    if let Some(at) =
-        v.section.and_then(|s| s.setting("announce-end")).filter(|_| announce_end && balancers.is_empty())
+    if let Some(at) = v
+        .section
+        .and_then(|s| s.setting("announce-end"))
+        .filter(|_| announce_end && balancers.is_empty())
     {
         let message = "the end is announced, but no balancer is named that would hear of it";
         faults.push(
@@ -350,7 +362,10 @@
     let lending = crate::lending::lending(sections, &named_windows, partial, faults);
     let sites = crate::sites::sites(sections);
     let v = once("logging");
-    let logging = Logging { level: v.choice("level"), json: v.choice("form") == "json" };
+    let logging = Logging {
+        level: v.choice("level"),
+        json: v.choice("form") == "json",
+    };
     Model {
         limits,
         discovery,
@@ -390,21 +405,34 @@
             let stated = section.and_then(|s| s.setting(directive.keyword));
             let (value, origin) = match stated {
                 Some(setting) => {
-                    let words: Vec<String> = setting.values.iter().map(|(v, _)| v.to_string()).collect();
+                    let words: Vec<String> =
+                        setting.values.iter().map(|(v, _)| v.to_string()).collect();
                     (words.join(" "), Origin::File(setting.span))
                 }
                 None if directive.default.is_empty() => continue,
                 None => (directive.default.to_owned(), Origin::Default),
             };
             let (section, directive, takes) = (title.clone(), directive.keyword, directive.takes);
-            entries.push(Entry { section, directive, value, origin, takes });
+            entries.push(Entry {
+                section,
+                directive,
+                value,
+                origin,
+                takes,
+            });
         }
     };
     for spec in schema::SECTIONS {
         match spec.naming {
-            schema::Naming::Unnamed => add(spec, sections.iter().find(|s| s.spec.keyword == spec.keyword)),
+            schema::Naming::Unnamed => add(
+                spec,
+                sections.iter().find(|s| s.spec.keyword == spec.keyword),
+            ),
             schema::Naming::Named | schema::Naming::Called => {
-                sections.iter().filter(|s| s.spec.keyword == spec.keyword).for_each(|s| add(spec, Some(s)));
+                sections
+                    .iter()
+                    .filter(|s| s.spec.keyword == spec.keyword)
+                    .for_each(|s| add(spec, Some(s)));
             }
         }
     }
@@ -414,10 +442,17 @@
 fn health(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Vec<Health> {
     let mut all: Vec<Health> = Vec::new();
     for section in sections.iter().filter(|s| s.spec.keyword == "health") {
-        let v = Values { section: Some(section), spec: section.spec };
+        let v = Values {
+            section: Some(section),
+            spec: section.spec,
+        };
         let Some(address) = v.address("address") else {
             if !section.partial {
-                let fault = Diagnostic::error("missing", section.span, "the health listener has no address");
+                let fault = Diagnostic::error(
+                    "missing",
+                    section.span,
+                    "the health listener has no address",
+                );
                 faults.push(fault.label("address is missing here"));
             }
             continue;
@@ -429,13 +464,26 @@
             _ => &["expects-text", "maxconn"],
         };
         if let Some(setting) = others.iter().find_map(|keyword| section.setting(keyword)) {
-            let message = format!("{} says nothing to the protocol {protocol}", setting.spec.keyword);
-            faults.push(Diagnostic::error("cross-check", setting.span, message).label("has no effect"));
+            let message = format!(
+                "{} says nothing to the protocol {protocol}",
+                setting.spec.keyword
+            );
+            faults.push(
+                Diagnostic::error("cross-check", setting.span, message).label("has no effect"),
+            );
         }
         // A port of 0 is whichever is free.
-        if let Some(other) = all.iter().find(|h| h.address == address && address.port() != 0) {
-            let message = format!("the address {address} is that of the health listener {}", other.name);
-            faults.push(Diagnostic::error("cross-check", section.span, message).label("a second one there"));
+        if let Some(other) = all
+            .iter()
+            .find(|h| h.address == address && address.port() != 0)
+        {
+            let message = format!(
+                "the address {address} is that of the health listener {}",
+                other.name
+            );
+            faults.push(
+                Diagnostic::error("cross-check", section.span, message).label("a second one there"),
+            );
         }
         all.push(Health {
             name: section.name.clone(),
@@ -457,7 +505,10 @@
     offset: i32,
     faults: &mut Vec<Diagnostic>,
 ) -> (Vec<NamedWindow>, Vec<Window>) {
-    let stated: Vec<&Section> = sections.iter().filter(|s| s.spec.keyword == "window").collect();
+    let stated: Vec<&Section> = sections
+        .iter()
+        .filter(|s| s.spec.keyword == "window")
+        .collect();
     if stated.is_empty() {
         return Default::default();
     }
@@ -470,7 +521,10 @@
     let mut named = Vec::new();
     let mut windows = Vec::new();
     for section in stated {
-        let v = Values { section: Some(section), spec: section.spec };
+        let v = Values {
+            section: Some(section),
+            spec: section.spec,
+        };
         let dates = v.all("dates", |value| match value {
             Value::Dates(dates) => Some(*dates),
             _ => None,
@@ -483,40 +537,60 @@
             Value::Hours(hours) => Some(*hours),
             _ => None,
         });
-        let stated = Stated { dates, weekdays: days.iter().fold(0, |all, d| all | d), hours };
+        let stated = Stated {
+            dates,
+            weekdays: days.iter().fold(0, |all, d| all | d),
+            hours,
+        };
         let window = almanac.window(&stated, offset);
         if !section.partial {
             if stated == Stated::default() {
                 let fault = Diagnostic::error("missing", section.span, "the window states nothing");
                 faults.push(fault.label("dates, weekdays or hours are missing here"));
             } else if window.never() {
-                let mut fault = Diagnostic::warning("never-occurs", section.span, "the window never occurs")
-                    .label("no day fits all that it states");
-                if stated.dates.iter().any(|d| matches!(d, Dates::Once(..))) && stated.weekdays != 0 {
+                let mut fault =
+                    Diagnostic::warning("never-occurs", section.span, "the window never occurs")
+                        .label("no day fits all that it states");
+                if stated.dates.iter().any(|d| matches!(d, Dates::Once(..))) && stated.weekdays != 0
+                {
                     fault = fault.help("its dates do not fall on its weekdays");
                 }
                 faults.push(fault);
             }
         }
-        named.push(NamedWindow { name: section.name.clone(), stated });
+        named.push(NamedWindow {
+            name: section.name.clone(),
+            stated,
+        });
         windows.push(window);
     }
-    let used: std::collections::HashSet<&str> =
-        used(sections, "route", "during").chain(used(sections, "credit", "not-during")).collect();
-    for section in sections.iter().filter(|s| s.spec.keyword == "window" && !used.contains(s.name.as_str())) {
+    let used: std::collections::HashSet<&str> = used(sections, "route", "during")
+        .chain(used(sections, "credit", "not-during"))
+        .collect();
+    for section in sections
+        .iter()
+        .filter(|s| s.spec.keyword == "window" && !used.contains(s.name.as_str()))
+    {
         let message = format!("no route and no credit goes by the window {}", section.name);
-        faults.push(Diagnostic::warning("unused-window", section.span, message).label("never used"));
+        faults
+            .push(Diagnostic::warning("unused-window", section.span, message).label("never used"));
     }
     (named, windows)
 }
 
 /// The names that sections of a kind refer to by a directive.
-fn used<'a>(sections: &'a [Section], kind: &'a str, keyword: &'a str) -> impl Iterator<Item = &'a str> {
+fn used<'a>(
+    sections: &'a [Section],
+    kind: &'a str,
+    keyword: &'a str,
+) -> impl Iterator<Item = &'a str> {
     let those = sections.iter().filter(move |s| s.spec.keyword == kind);
-    those.flat_map(move |s| s.values(keyword)).filter_map(|(value, _)| match value {
-        Value::Name(name) => Some(name.as_str()),
-        _ => None,
-    })
+    those
+        .flat_map(move |s| s.values(keyword))
+        .filter_map(|(value, _)| match value {
+            Value::Name(name) => Some(name.as_str()),
+            _ => None,
+        })
 }
 
 fn check_pool(section: &Section, faults: &mut Vec<Diagnostic>) {
@@ -525,8 +599,16 @@
         faults.push(fault.label("requests or rate is missing here"));
     }
     if let (Some(burst), None) = (section.setting("burst"), section.setting("rate")) {
-        let fault = Diagnostic::error("cross-check", burst.span, "a burst is stated without a rate");
-        faults.push(fault.label("bounds nothing").help("requests bounds those that are open at once"));
+        let fault = Diagnostic::error(
+            "cross-check",
+            burst.span,
+            "a burst is stated without a rate",
+        );
+        faults.push(
+            fault
+                .label("bounds nothing")
+                .help("requests bounds those that are open at once"),
+        );
     }
 }
 
@@ -538,10 +620,17 @@
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Vec<Route> {
-    let window_at: HashMap<&str, usize> =
-        windows.iter().enumerate().map(|(at, w)| (w.name.as_str(), at)).collect();
+    let window_at: HashMap<&str, usize> = windows
+        .iter()
+        .enumerate()
+        .map(|(at, w)| (w.name.as_str(), at))
+        .collect();
     let pool_at: HashMap<&str, &Pool> = pools.iter().map(|p| (p.name.as_str(), p)).collect();
-    let once: Vec<&str> = classes.iter().filter(|c| c.once).map(|c| c.name.as_str()).collect();
+    let once: Vec<&str> = classes
+        .iter()
+        .filter(|c| c.once)
+        .map(|c| c.name.as_str())
+        .collect();
     let mut unknown = |what: &str, name: &str, span: Span, known: Vec<&str>| {
         if partial {
             return;
@@ -551,7 +640,10 @@
     let mut routes = Vec::new();
     let mut checks = Vec::new();
     for section in sections.iter().filter(|s| s.spec.keyword == "route") {
-        let v = Values { section: Some(section), spec: section.spec };
+        let v = Values {
+            section: Some(section),
+            spec: section.spec,
+        };
         let mut during = Vec::new();
         let mut sound = !section.partial;
         for (value, span) in section.values("during") {
@@ -597,7 +689,12 @@
             tries: v.small("tries"),
             refuse: section.setting("refuse").map(|_| v.time("refuse")),
         };
-        let route = Route { name: section.name.clone(), span: section.span, conditions, outcome };
+        let route = Route {
+            name: section.name.clone(),
+            span: section.span,
+            conditions,
+            outcome,
+        };
         check_route(section, &route, pool, &once, &mut checks);
         // One of which a condition can't be read would catch what it is not meant for.
         if sound {
@@ -606,7 +703,10 @@
     }
     faults.extend(checks);
     let used: std::collections::HashSet<&str> = used(sections, "route", "pool").collect();
-    for section in sections.iter().filter(|s| s.spec.keyword == "pool" && !used.contains(s.name.as_str())) {
+    for section in sections
+        .iter()
+        .filter(|s| s.spec.keyword == "pool" && !used.contains(s.name.as_str()))
+    {
         let message = format!("no route leads to the pool {}", section.name);
         faults.push(Diagnostic::warning("unused-pool", section.span, message).label("never used"));
     }
@@ -626,45 +726,71 @@
         if let Some(other) = others.iter().find_map(|keyword| section.setting(keyword)) {
             let message = format!("a refused request has no use for {}", other.spec.keyword);
             let fault = Diagnostic::error("cross-check", other.span, message);
-            faults.push(fault.label("has no effect").related(refuse.span, "refused here"));
+            faults.push(
+                fault
+                    .label("has no effect")
+                    .related(refuse.span, "refused here"),
+            );
         }
     }
     if let (Some(priority), None) = (section.setting("priority"), section.setting("pool")) {
-        let fault = Diagnostic::error("cross-check", priority.span, "a priority is stated without a pool");
+        let fault = Diagnostic::error(
+            "cross-check",
+            priority.span,
+            "a priority is stated without a pool",
+        );
         faults.push(fault.label("is the priority within a pool"));
     }
     if let Some(pool) = pool.filter(|p| !p.groups.is_empty()) {
         let set = |ranges: &[RangeInclusive<u32>]| {
             crate::ranges::Ranges::from_list(
-                ranges.iter().map(|r| (u128::from(*r.start()), u128::from(*r.end()))),
+                ranges
+                    .iter()
+                    .map(|r| (u128::from(*r.start()), u128::from(*r.end()))),
             )
         };
         let whole = [0..=u32::MAX];
-        let own =
-            if route.conditions.groups.is_empty() { &whole } else { route.conditions.groups.as_slice() };
-        if let (Some(outside), Some(setting)) =
-            (set(own).minus(&set(&pool.groups)).first(), section.setting("pool"))
-        {
-            let message = format!("the pool {} does not serve all groups of the route", pool.name);
+        let own = if route.conditions.groups.is_empty() {
+            &whole
+        } else {
+            route.conditions.groups.as_slice()
+        };
+        if let (Some(outside), Some(setting)) = (
+            set(own).minus(&set(&pool.groups)).first(),
+            section.setting("pool"),
+        ) {
+            let message = format!(
+                "the pool {} does not serve all groups of the route",
+                pool.name
+            );
             let fault = Diagnostic::error("cross-check", setting.span, message);
             faults.push(
-                fault.label(format!("not group {outside}, for one")).help("state the groups of the route"),
+                fault
+                    .label(format!("not group {outside}, for one"))
+                    .help("state the groups of the route"),
             );
         }
     }
     let classes = &route.conditions.classes;
     if let (Some(target), Some(setting)) = (&route.outcome.as_class, section.setting("as-class")) {
-        let kept = classes.iter().find(|c| once.contains(&c.as_str()) && !once.contains(&target.as_str()));
+        let kept = classes
+            .iter()
+            .find(|c| once.contains(&c.as_str()) && !once.contains(&target.as_str()));
         if let Some(class) = kept {
-            let message =
-                format!("requests of class {class} run once and can't be treated as class {target}");
+            let message = format!(
+                "requests of class {class} run once and can't be treated as class {target}"
+            );
             let fault = Diagnostic::error("loosens", setting.span, message);
             faults.push(
-                fault.label("would allow a repeat").help(format!("class {target} must say: runs once")),
+                fault
+                    .label("would allow a repeat")
+                    .help(format!("class {target} must say: runs once")),
             );
         } else if classes.as_slice() == std::slice::from_ref(target) {
             let message = format!("the requests are of class {target} already");
-            faults.push(Diagnostic::warning("no-effect", setting.span, message).label("changes nothing"));
+            faults.push(
+                Diagnostic::warning("no-effect", setting.span, message).label("changes nothing"),
+            );
         }
     }
 }
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -70,14 +70,25 @@
             "route" => route(section, model, platform, &mut faults),
             "credit" => credit(section, platform, &mut faults),
             "limits" => {
-                bounded(section, "sockets", platform.sockets.map(|n| n as u64), &mut faults);
+                bounded(
+                    section,
+                    "sockets",
+                    platform.sockets.map(|n| n as u64),
+                    &mut faults,
+                );
                 bounded(section, "memory", platform.memory, &mut faults);
             }
             "policy" => {
                 let tries = Some(u64::from(platform.try_limit)).filter(|n| *n > 0);
                 bounded(section, "tries", tries, &mut faults);
                 if let Some(most) = platform.max_retry_after {
-                    longest(section, "come-back-most", most, "the platform's clients heed", &mut faults);
+                    longest(
+                        section,
+                        "come-back-most",
+                        most,
+                        "the platform's clients heed",
+                        &mut faults,
+                    );
                 }
             }
             _ => {}
@@ -91,31 +102,51 @@
 }
 
 fn bounded(section: &Section, keyword: &str, most: Option<u64>, faults: &mut Vec<Diagnostic>) {
-    let (Some(setting), Some(most)) = (section.setting(keyword), most) else { return };
+    let (Some(setting), Some(most)) = (section.setting(keyword), most) else {
+        return;
+    };
     if let Some((value @ (Value::Count(n) | Value::Size(n)), _)) = setting.values.first() {
         if *n > most {
             let limit = match value {
                 Value::Size(_) => value::size(most),
                 _ => most.to_string(),
             };
-            faults.push(loosens(setting, format!("{keyword} is {value}, but the platform states {limit}")));
+            faults.push(loosens(
+                setting,
+                format!("{keyword} is {value}, but the platform states {limit}"),
+            ));
         }
     }
 }
 
-fn longest(section: &Section, keyword: &str, most: Duration, whose: &str, faults: &mut Vec<Diagnostic>) {
-    let Some(setting) = section.setting(keyword) else { return };
+fn longest(
+    section: &Section,
+    keyword: &str,
+    most: Duration,
+    whose: &str,
+    faults: &mut Vec<Diagnostic>,
+) {
+    let Some(setting) = section.setting(keyword) else {
+        return;
+    };
     if let Some((Value::Time(span), _)) = setting.values.first() {
         if *span > most {
             let (span, most) = (value::time(*span), value::time(most));
-            faults.push(loosens(setting, format!("{keyword} is {span}, but {whose} {most} at most")));
+            faults.push(loosens(
+                setting,
+                format!("{keyword} is {span}, but {whose} {most} at most"),
+            ));
         }
     }
 }
 
 fn unknown(what: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
-    let fault = Diagnostic::error("unknown-name", span, format!("the platform has no {what} {name}"))
-        .label("not known to the platform");
+    let fault = Diagnostic::error(
+        "unknown-name",
+        span,
+        format!("the platform has no {what} {name}"),
+    )
+    .label("not known to the platform");
     match nearest(name, known.iter().copied()) {
         Some(near) => fault.help(format!("did you mean {near}?")),
         None => fault.help(format!("known are {}", known.join(", "))),
@@ -128,12 +159,24 @@
         faults.push(unknown("class", &section.name, section.span, &known));
         return;
     };
-    longest(section, "deadline", stated.deadline, "its clients wait", faults);
+    longest(
+        section,
+        "deadline",
+        stated.deadline,
+        "its clients wait",
+        faults,
+    );
     let tries = Some(u64::from(platform.try_limit)).filter(|n| *n > 0);
     bounded(section, "tries", tries, faults);
 }
 
-fn names(section: &Section, keyword: &str, what: &str, known: &[&str], faults: &mut Vec<Diagnostic>) {
+fn names(
+    section: &Section,
+    keyword: &str,
+    what: &str,
+    known: &[&str],
+    faults: &mut Vec<Diagnostic>,
+) {
     for (value, span) in section.values(keyword) {
         if let Value::Name(name) = value {
             if !known.contains(&name.as_str()) {
@@ -162,11 +205,14 @@
     }
     let tries = Some(u64::from(platform.try_limit)).filter(|n| *n > 0);
     bounded(section, "tries", tries, faults);
-    let (Some(setting), Some(Value::Name(target))) = (section.setting("as-class"), section.value("as-class"))
+    let (Some(setting), Some(Value::Name(target))) =
+        (section.setting("as-class"), section.value("as-class"))
     else {
         return;
     };
-    let Some(target) = platform.classes.iter().find(|c| c.name == *target) else { return };
+    let Some(target) = platform.classes.iter().find(|c| c.name == *target) else {
+        return;
+    };
     let stated: Vec<&str> = section
         .values("class")
         .iter()
@@ -177,8 +223,18 @@
         .collect();
     let once = |name: &str| model.classes.iter().any(|c| c.name == name && c.once);
     // What the file says of a class counts here as the platform's word does.
-    let repeat = |class: &Class| if once(&class.name) { Repeat::Never } else { class.repeat };
-    for class in platform.classes.iter().filter(|c| stated.is_empty() || stated.contains(&c.name.as_str())) {
+    let repeat = |class: &Class| {
+        if once(&class.name) {
+            Repeat::Never
+        } else {
+            class.repeat
+        }
+    };
+    for class in platform
+        .classes
+        .iter()
+        .filter(|c| stated.is_empty() || stated.contains(&c.name.as_str()))
+    {
         // Told already, without the platform's word.
         if once(&class.name) && !once(&target.name) && !stated.is_empty() {
             continue;
@@ -190,7 +246,10 @@
         } else {
             continue;
         };
-        let message = format!("requests of class {} can't be treated as class {}", class.name, target.name);
+        let message = format!(
+            "requests of class {} can't be treated as class {}",
+            class.name, target.name
+        );
         let fault = Diagnostic::error("loosens", setting.span, message);
         faults.push(fault.label(format!("class {} {why}", target.name)));
         return;
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -25,7 +25,11 @@
 }
 
 /// `partial`: some of the files could not be read.
-pub fn rollout(sections: &[Section], partial: bool, faults: &mut Vec<Diagnostic>) -> Option<Rollout> {
+pub fn rollout(
+    sections: &[Section],
+    partial: bool,
+    faults: &mut Vec<Diagnostic>,
+) -> Option<Rollout> {
     let section = sections.iter().find(|s| s.spec.keyword == "rollout")?;
     if !partial {
         crate::members::needed(sections, section, "a rollout", "has nobody to tell", faults);
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -56,13 +56,22 @@
         let mut words = Vec::new();
         if let Some(after) = &self.refuse {
             words.push(match after {
-                Some(after) => format!("refused, to come back after {}", crate::value::time(*after)),
+                Some(after) => {
+                    format!("refused, to come back after {}", crate::value::time(*after))
+                }
                 None => "refused".to_owned(),
             });
         }
         words.extend(self.pool.as_ref().map(|pool| format!("pool {pool}")));
-        words.extend(self.as_class.as_ref().map(|class| format!("as class {class}")));
-        words.extend(self.deadline.map(|span| format!("deadline {}", crate::value::time(span))));
+        words.extend(
+            self.as_class
+                .as_ref()
+                .map(|class| format!("as class {class}")),
+        );
+        words.extend(
+            self.deadline
+                .map(|span| format!("deadline {}", crate::value::time(span))),
+        );
         if self.priority != Priority::Normal {
             words.push(format!("priority {}", self.priority));
         }
@@ -96,13 +105,18 @@
 
 /// A statement's begin as prefixes are compared: without blanks before it, in small letters.
 pub fn fold(text: &str) -> String {
-    text.trim_start_matches(|c: char| c.is_ascii_whitespace()).to_ascii_lowercase()
+    text.trim_start_matches(|c: char| c.is_ascii_whitespace())
+        .to_ascii_lowercase()
 }
 
 pub fn begins(statement: &[u8], prefix: &str) -> bool {
     let text = statement.trim_ascii_start();
     let prefix = prefix.as_bytes();
-    text.len() >= prefix.len() && text.iter().zip(prefix).all(|(a, b)| a.to_ascii_lowercase() == *b)
+    text.len() >= prefix.len()
+        && text
+            .iter()
+            .zip(prefix)
+            .all(|(a, b)| a.to_ascii_lowercase() == *b)
 }
 
 /// An address as a number: IPv4 ones where IPv6 maps them.
@@ -127,8 +141,19 @@
 }
 
 /// The condition that fails, by its directive; none if all hold.
-pub fn fails(conditions: &Conditions, windows: &[Window], request: &Request<'_>) -> Option<&'static str> {
-    let Conditions { classes, tenants, groups, statements, networks, during } = conditions;
+pub fn fails(
+    conditions: &Conditions,
+    windows: &[Window],
+    request: &Request<'_>,
+) -> Option<&'static str> {
+    let Conditions {
+        classes,
+        tenants,
+        groups,
+        statements,
+        networks,
+        during,
+    } = conditions;
     let among = |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
     let client = number(request.client);
     let inside = |network: &IpNet| {
@@ -155,5 +180,7 @@
 
 /// The first route whose conditions hold, found by asking one after the other.
 pub fn scan(routes: &[Route], windows: &[Window], request: &Request<'_>) -> Option<usize> {
-    routes.iter().position(|route| fails(&route.conditions, windows, request).is_none())
+    routes
+        .iter()
+        .position(|route| fails(&route.conditions, windows, request).is_none())
 }
--- a/crates/configuration/src/schema.rs
+++ b/crates/configuration/src/schema.rs
@@ -66,7 +66,10 @@
 }
 
 pub const fn time(least: u64, most: u64) -> Type {
-    Type::Time { least: ms(least), most: ms(most) }
+    Type::Time {
+        least: ms(least),
+        most: ms(most),
+    }
 }
 
 pub const fn count(least: u64, most: u64) -> Type {
@@ -74,7 +77,10 @@
 }
 
 pub const fn share(least: (u32, u32), most: (u32, u32)) -> Type {
-    Type::Share { least: Share::new(least.0, least.1), most: Share::new(most.0, most.1) }
+    Type::Share {
+        least: Share::new(least.0, least.1),
+        most: Share::new(most.0, most.1),
+    }
 }
 
 pub const fn size(least: u64, most: u64) -> Type {
@@ -88,11 +94,21 @@
     example: &'static str,
     help: &'static str,
 ) -> Directive {
-    Directive { keyword, args, default, takes: Takes::Reload, help, example }
+    Directive {
+        keyword,
+        args,
+        default,
+        takes: Takes::Reload,
+        help,
+        example,
+    }
 }
 
 const fn at_start(d: Directive) -> Directive {
-    Directive { takes: Takes::Start, ..d }
+    Directive {
+        takes: Takes::Start,
+        ..d
+    }
 }
 
 use Args::{Many, One, Optional};
@@ -388,9 +404,21 @@
             Naming::Named | Naming::Called => format!("{} NAME {{", section.keyword),
         };
         out.push_str(&format!("### `{head}`\n\n{}\n\n", section.help));
-        let column = |text: &str| if takes { format!(" {text} |") } else { String::new() };
-        out.push_str(&format!("| directive | value | range | default |{} says |\n", column("takes effect")));
-        out.push_str(&format!("| --- | --- | --- | --- |{} --- |\n", column("---")));
+        let column = |text: &str| {
+            if takes {
+                format!(" {text} |")
+            } else {
+                String::new()
+            }
+        };
+        out.push_str(&format!(
+            "| directive | value | range | default |{} says |\n",
+            column("takes effect")
+        ));
+        out.push_str(&format!(
+            "| --- | --- | --- | --- |{} --- |\n",
+            column("---")
+        ));
         for d in section.directives {
             let (kind, many) = match d.args {
                 Args::One(kind) => (kind, ""),
@@ -401,8 +429,16 @@
                 Takes::Reload => "reload",
                 Takes::Start => "start",
             };
-            let default = if d.default.is_empty() { "-".to_owned() } else { format!("`{}`", d.default) };
-            let range = if kind.range().is_empty() { "-".to_owned() } else { kind.range() };
+            let default = if d.default.is_empty() {
+                "-".to_owned()
+            } else {
+                format!("`{}`", d.default)
+            };
+            let range = if kind.range().is_empty() {
+                "-".to_owned()
+            } else {
+                kind.range()
+            };
             out.push_str(&format!(
                 "| `{}` | {}{many} | {range} | {default} |{} {}; `{}` |\n",
                 d.keyword,
@@ -424,7 +460,8 @@
     for section in table {
         let mut seen = Vec::new();
         for d in section.directives {
-            let mut fault = |what: &str| found.push(format!("{} {}: {what}", section.keyword, d.keyword));
+            let mut fault =
+                |what: &str| found.push(format!("{} {}: {what}", section.keyword, d.keyword));
             if seen.contains(&d.keyword) {
                 fault("stands twice");
             }
@@ -435,11 +472,15 @@
             }
             let syntax = crate::syntax::parse(crate::source::FileId(0), d.example);
             let words = match syntax.lines.first().map(|line| &line.entry) {
-                Some(crate::syntax::Entry::Directive(words)) if syntax.faults.is_empty() => words.as_slice(),
+                Some(crate::syntax::Entry::Directive(words)) if syntax.faults.is_empty() => {
+                    words.as_slice()
+                }
                 _ => &[],
             };
-            let words: Vec<&str> =
-                words.iter().map(|w| d.example[w.span.range()].trim_matches('"')).collect();
+            let words: Vec<&str> = words
+                .iter()
+                .map(|w| d.example[w.span.range()].trim_matches('"'))
+                .collect();
             let fits = match words.as_slice() {
                 [keyword, values @ ..] => {
                     *keyword == d.keyword && values.iter().all(|v| kind.parse(v).is_ok())
--- a/crates/configuration/src/shadow.rs
+++ b/crates/configuration/src/shadow.rs
@@ -40,12 +40,17 @@
         };
         let dimension = (0..DIMENSIONS).max_by_key(|d| distinct(*d)).unwrap_or(0);
         let hulls = regions.iter().enumerate();
-        let mut hulls: Vec<_> =
-            hulls.filter_map(|(at, r)| r.0[dimension].hull().map(|(a, b)| (a, b, at))).collect();
+        let mut hulls: Vec<_> = hulls
+            .filter_map(|(at, r)| r.0[dimension].hull().map(|(a, b)| (a, b, at)))
+            .collect();
         hulls.sort_unstable();
         let mut largest = vec![0; hulls.len()];
         fill(&hulls, &mut largest, 0, hulls.len());
-        Overlaps { dimension, hulls, largest }
+        Overlaps {
+            dimension,
+            hulls,
+            largest,
+        }
     }
 
     /// All whose hulls meet this one's, in any order.
@@ -87,7 +92,11 @@
 
 /// Whether all of one lies in another.
 fn inside(inner: &Region, outer: &Region) -> bool {
-    inner.0.iter().zip(&outer.0).all(|(a, b)| a == b || a.minus(b).is_empty())
+    inner
+        .0
+        .iter()
+        .zip(&outer.0)
+        .all(|(a, b)| a == b || a.minus(b).is_empty())
 }
 
 pub fn unreached(regions: &[Region]) -> Unreached {
@@ -149,7 +158,11 @@
         offset: model.offset,
     };
     let space = Space::new(&[side], classes);
-    let regions: Vec<Region> = model.routes.iter().map(|r| space.region(0, &r.conditions)).collect();
+    let regions: Vec<Region> = model
+        .routes
+        .iter()
+        .map(|r| space.region(0, &r.conditions))
+        .collect();
     let found = unreached(&regions);
     let mut warnings: Vec<Diagnostic> = found
         .routes
@@ -164,7 +177,8 @@
             });
             for cover in covers.iter().take(NAMED) {
                 let cover = &model.routes[*cover];
-                warning = warning.related(cover.span, format!("the route {} comes first", cover.name));
+                warning =
+                    warning.related(cover.span, format!("the route {} comes first", cover.name));
             }
             warning
         })
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -17,7 +17,11 @@
 impl Span {
     pub fn new(file: FileId, range: Range<usize>) -> Span {
         let at = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        Span { file, start: at(range.start), end: at(range.end) }
+        Span {
+            file,
+            start: at(range.start),
+            end: at(range.end),
+        }
     }
 
     pub fn range(self) -> Range<usize> {
@@ -26,7 +30,10 @@
 
     /// From the start of one to the end of the other, in one file.
     pub fn to(self, end: Span) -> Span {
-        Span { end: end.end.max(self.end), ..self }
+        Span {
+            end: end.end.max(self.end),
+            ..self
+        }
     }
 }
 
@@ -59,7 +66,11 @@
 
 impl Sources {
     pub fn add(&mut self, name: String, text: String) -> FileId {
-        let starts = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(at, _)| at as u32 + 1);
+        let starts = text
+            .bytes()
+            .enumerate()
+            .filter(|(_, b)| *b == b'\n')
+            .map(|(at, _)| at as u32 + 1);
         let lines = std::iter::once(0).chain(starts).collect();
         self.files.push(SourceFile { name, text, lines });
         FileId(self.files.len() as u32 - 1)
@@ -74,21 +85,38 @@
     }
 
     pub fn text(&self, span: Span) -> &str {
-        self.get(span.file).and_then(|f| f.text.get(span.range())).unwrap_or_default()
+        self.get(span.file)
+            .and_then(|f| f.text.get(span.range()))
+            .unwrap_or_default()
     }
 
     pub fn place(&self, span: Span) -> Place<'_> {
-        let Some(file) = self.get(span.file) else { return Place { file: "?", line: 0, column: 0 } };
+        let Some(file) = self.get(span.file) else {
+            return Place {
+                file: "?",
+                line: 0,
+                column: 0,
+            };
+        };
         let line = file.line_of(span.start as usize);
         let start = file.lines[line] as usize;
-        let column = file.text.get(start..span.start as usize).map_or(0, |text| text.chars().count());
-        Place { file: &file.name, line: line + 1, column: column + 1 }
+        let column = file
+            .text
+            .get(start..span.start as usize)
+            .map_or(0, |text| text.chars().count());
+        Place {
+            file: &file.name,
+            line: line + 1,
+            column: column + 1,
+        }
     }
 }
 
 impl SourceFile {
     fn line_of(&self, at: usize) -> usize {
-        self.lines.partition_point(|&start| start as usize <= at).saturating_sub(1)
+        self.lines
+            .partition_point(|&start| start as usize <= at)
+            .saturating_sub(1)
     }
 }
 
@@ -98,15 +126,25 @@
     type Source = &'a str;
 
     fn name(&'a self, id: FileId) -> Result<&'a str, codespan_reporting::files::Error> {
-        self.get(id).map(|f| f.name.as_str()).ok_or(codespan_reporting::files::Error::FileMissing)
+        self.get(id)
+            .map(|f| f.name.as_str())
+            .ok_or(codespan_reporting::files::Error::FileMissing)
     }
 
     fn source(&'a self, id: FileId) -> Result<&'a str, codespan_reporting::files::Error> {
-        self.get(id).map(|f| f.text.as_str()).ok_or(codespan_reporting::files::Error::FileMissing)
+        self.get(id)
+            .map(|f| f.text.as_str())
+            .ok_or(codespan_reporting::files::Error::FileMissing)
     }
 
-    fn line_index(&'a self, id: FileId, at: usize) -> Result<usize, codespan_reporting::files::Error> {
-        self.get(id).map(|f| f.line_of(at)).ok_or(codespan_reporting::files::Error::FileMissing)
+    fn line_index(
+        &'a self,
+        id: FileId,
+        at: usize,
+    ) -> Result<usize, codespan_reporting::files::Error> {
+        self.get(id)
+            .map(|f| f.line_of(at))
+            .ok_or(codespan_reporting::files::Error::FileMissing)
     }
 
     fn line_range(
@@ -114,13 +152,18 @@
         id: FileId,
         line: usize,
     ) -> Result<Range<usize>, codespan_reporting::files::Error> {
-        let file = self.get(id).ok_or(codespan_reporting::files::Error::FileMissing)?;
+        let file = self
+            .get(id)
+            .ok_or(codespan_reporting::files::Error::FileMissing)?;
         let max = file.lines.len();
         let start = *file
             .lines
             .get(line)
             .ok_or(codespan_reporting::files::Error::LineTooLarge { given: line, max })?;
-        let end = file.lines.get(line + 1).map_or(file.text.len(), |&end| end as usize);
+        let end = file
+            .lines
+            .get(line + 1)
+            .map_or(file.text.len(), |&end| end as usize);
         Ok(start as usize..end)
     }
 }
--- a/crates/configuration/src/space.rs
+++ b/crates/configuration/src/space.rs
@@ -55,7 +55,10 @@
 impl Space {
     /// `classes`: all that the platform has, if it is known.
     pub fn new(sides: &[Side<'_>], classes: Option<&[String]>) -> Space {
-        let mut names = Names { classes: classes.unwrap_or_default().to_vec(), tenants: Vec::new() };
+        let mut names = Names {
+            classes: classes.unwrap_or_default().to_vec(),
+            tenants: Vec::new(),
+        };
         for side in sides {
             names = names.with_routes(side.routes);
         }
@@ -71,8 +74,10 @@
         bounds.sort();
         bounds.dedup();
         let pieces = Pieces::of(sides.iter().flat_map(|s| s.windows));
-        let windows: Vec<Vec<Ranges>> =
-            sides.iter().map(|s| s.windows.iter().map(|w| pieces.of_window(w)).collect()).collect();
+        let windows: Vec<Vec<Ranges>> = sides
+            .iter()
+            .map(|s| s.windows.iter().map(|w| pieces.of_window(w)).collect())
+            .collect();
         let mut named_windows: Vec<(String, Ranges)> = Vec::new();
         for (side, sets) in sides.iter().zip(&windows) {
             for (name, set) in side.window_names.iter().zip(sets) {
@@ -136,7 +141,10 @@
             *tenant = numbers(&self.tenant_number, &conditions.tenants);
         }
         if !conditions.groups.is_empty() {
-            let ranges = conditions.groups.iter().map(|g| (u128::from(*g.start()), u128::from(*g.end())));
+            let ranges = conditions
+                .groups
+                .iter()
+                .map(|g| (u128::from(*g.start()), u128::from(*g.end())));
             *group = Ranges::from_list(ranges);
         }
         if !conditions.statements.is_empty() {
@@ -157,8 +165,9 @@
     }
 
     pub fn point(&self, request: &Request<'_>) -> Point {
-        let other =
-            |of: &HashMap<String, u128>, name: &str| of.get(name).copied().unwrap_or(of.len() as u128);
+        let other = |of: &HashMap<String, u128>, name: &str| {
+            of.get(name).copied().unwrap_or(of.len() as u128)
+        };
         let text = request.statement.trim_ascii_start().to_ascii_lowercase();
         [
             other(&self.class_number, request.class),
@@ -173,7 +182,8 @@
     /// Some request of a region.
     pub fn example(&self, region: &Region) -> Option<Example> {
         let point = region.example()?;
-        let named = |names: &[String], at: u128| names.get(at as usize).cloned().unwrap_or_default();
+        let named =
+            |names: &[String], at: u128| names.get(at as usize).cloned().unwrap_or_default();
         // An everyday address where the region has one.
         let network = region.dimension(Dimension::Network);
         let v4 = network.and(&Ranges::one(V4.0, V4.1));
@@ -195,7 +205,11 @@
             class,
             tenant: named(&self.names.tenants, point[1]),
             group: u32::try_from(point[2]).unwrap_or_default(),
-            statement: self.bounds.get(point[3] as usize).cloned().unwrap_or_default(),
+            statement: self
+                .bounds
+                .get(point[3] as usize)
+                .cloned()
+                .unwrap_or_default(),
             client,
             at: self.pieces.example(region.dimension(Dimension::Time))?,
             offset: self.offset,
@@ -226,7 +240,10 @@
         }
         let group = region.dimension(Dimension::Group);
         if group != whole.dimension(Dimension::Group) {
-            words.push(format!("group {}", shortened(group.list().iter().map(|(a, b)| span(*a, *b)))));
+            words.push(format!(
+                "group {}",
+                shortened(group.list().iter().map(|(a, b)| span(*a, *b)))
+            ));
         }
         let statement = region.dimension(Dimension::Statement);
         if statement != whole.dimension(Dimension::Statement) {
@@ -290,7 +307,10 @@
             Some(left) => left == set,
             None => true,
         };
-        let mut words: Vec<String> = held.iter().map(|(name, _)| format!("{inside} {name}")).collect();
+        let mut words: Vec<String> = held
+            .iter()
+            .map(|(name, _)| format!("{inside} {name}"))
+            .collect();
         words.extend(barred.iter().map(|(name, _)| format!("{outside} {name}")));
         if !exact || words.is_empty() {
             words.push("in part".to_owned());
@@ -320,7 +340,9 @@
 fn name_list(what: &str, set: &Ranges, whole: &Ranges, names: &[String]) -> String {
     let named = |set: &Ranges| -> Vec<String> {
         let numbers = set.list().iter().flat_map(|(a, b)| *a..=*b);
-        numbers.filter_map(|n| names.get(n as usize).cloned()).collect()
+        numbers
+            .filter_map(|n| names.get(n as usize).cloned())
+            .collect()
     };
     let rest = whole.minus(set);
     // A set that holds the unnamed rest can only be told by what is not in it.
--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -96,7 +96,15 @@
 impl Pending {
     fn new() -> Pending {
         let (words, open, close, comment) = (Vec::new(), None, None, None);
-        Pending { words, open, close, comment, faulty: false, glued: false, continued: false }
+        Pending {
+            words,
+            open,
+            close,
+            comment,
+            faulty: false,
+            glued: false,
+            continued: false,
+        }
     }
 }
 
@@ -123,7 +131,11 @@
                 if empty_line {
                     apart = true;
                 } else {
-                    finish(&mut syntax, std::mem::replace(&mut pending, Pending::new()), &mut apart);
+                    finish(
+                        &mut syntax,
+                        std::mem::replace(&mut pending, Pending::new()),
+                        &mut apart,
+                    );
                 }
                 empty_line = true;
             }
@@ -156,15 +168,25 @@
 
 fn stray(span: Span, text: &str) -> Diagnostic {
     match text {
-        _ if text.starts_with('\\') => {
-            Diagnostic::error("stray-backslash", span, "a backslash stands only at the end of a line")
-                .label("nothing to continue here")
-                .help("inside double quotes \\\\ stands for a backslash")
-        }
+        _ if text.starts_with('\\') => Diagnostic::error(
+            "stray-backslash",
+            span,
+            "a backslash stands only at the end of a line",
+        )
+        .label("nothing to continue here")
+        .help("inside double quotes \\\\ stands for a backslash"),
         _ => {
-            let shown: String = text.chars().take(1).flat_map(char::escape_default).collect();
-            Diagnostic::error("control-character", span, format!("the character {shown} can't stand here"))
-                .label("control character")
+            let shown: String = text
+                .chars()
+                .take(1)
+                .flat_map(char::escape_default)
+                .collect();
+            Diagnostic::error(
+                "control-character",
+                span,
+                format!("the character {shown} can't stand here"),
+            )
+            .label("control character")
         }
     }
 }
@@ -188,14 +210,19 @@
                 let message = "a brace ends its line";
                 let what = Diagnostic::error("brace-place", span, message)
                     .label("not here")
-                    .help("an opening brace is the last word of its line, a closing one stands alone");
+                    .help(
+                        "an opening brace is the last word of its line, a closing one stands alone",
+                    );
                 return fault(syntax, pending, what);
             }
             match token {
                 Token::Open if pending.words.is_empty() => {
-                    let what =
-                        Diagnostic::error("nameless-section", span, "a section opens without a keyword")
-                            .label("no keyword stands before it");
+                    let what = Diagnostic::error(
+                        "nameless-section",
+                        span,
+                        "a section opens without a keyword",
+                    )
+                    .label("no keyword stands before it");
                     fault(syntax, pending, what);
                     pending.open = Some(span);
                 }
@@ -207,8 +234,12 @@
         }
     };
     if pending.open.is_some() || pending.close.is_some() {
-        let what = Diagnostic::error("brace-place", span, "words stand behind a brace on its line")
-            .label("begin a new line here");
+        let what = Diagnostic::error(
+            "brace-place",
+            span,
+            "words stand behind a brace on its line",
+        )
+        .label("begin a new line here");
         return fault(syntax, pending, what);
     }
     if pending.glued {
@@ -216,13 +247,24 @@
             .label("a blank is missing before this");
         return fault(syntax, pending, what);
     }
-    pending.words.push(Word { span, quote, continued: pending.continued });
+    pending.words.push(Word {
+        span,
+        quote,
+        continued: pending.continued,
+    });
     pending.continued = false;
     pending.glued = true;
 }
 
 fn finish(syntax: &mut Syntax, pending: Pending, apart: &mut bool) {
-    let Pending { words, open, close, comment, faulty, .. } = pending;
+    let Pending {
+        words,
+        open,
+        close,
+        comment,
+        faulty,
+        ..
+    } = pending;
     // Of a faulty line the brace still counts: its section must not seem to be missing or unclosed as well.
     if faulty && open.is_none() && close.is_none() {
         return;
@@ -234,7 +276,11 @@
         (None, None) if comment.is_some() => Entry::Comment,
         _ => return,
     };
-    syntax.lines.push(Line { entry, comment, apart: std::mem::take(apart) });
+    syntax.lines.push(Line {
+        entry,
+        comment,
+        apart: std::mem::take(apart),
+    });
 }
 
 /// The first line that is too long, by its range in bytes.
