--- a/crates/configuration/src/value.rs
+++ b/crates/configuration/src/value.rs
@@ -16,11 +16,17 @@
 
 impl Fault {
     fn new(message: impl Into<String>) -> Fault {
-        Fault { message: message.into(), help: None }
+        Fault {
+            message: message.into(),
+            help: None,
+        }
     }
 
     fn help(self, help: impl Into<String>) -> Fault {
-        Fault { help: Some(help.into()), ..self }
+        Fault {
+            help: Some(help.into()),
+            ..self
+        }
     }
 }
 
@@ -259,17 +265,20 @@
                 bounded(number, least, most, |n| n.to_string()).map(Value::Number)
             }
             Type::Address => word.parse().map(Value::Address).map_err(|_| {
-                Fault::new(format!("{word:?} is no address"))
-                    .help("an address is an IP address with a port, like 127.0.0.1:5433 or [::1]:5433")
+                Fault::new(format!("{word:?} is no address")).help(
+                    "an address is an IP address with a port, like 127.0.0.1:5433 or [::1]:5433",
+                )
             }),
             Type::Choice(words) => match words.iter().find(|w| **w == word) {
                 Some(found) => Ok(Value::Choice(found)),
                 None => {
                     let fault = Fault::new(format!("{word:?} is not one of {}", words.join(", ")));
-                    Err(match crate::diagnostic::nearest(word, words.iter().copied()) {
-                        Some(near) => fault.help(format!("did you mean {near}?")),
-                        None => fault,
-                    })
+                    Err(
+                        match crate::diagnostic::nearest(word, words.iter().copied()) {
+                            Some(near) => fault.help(format!("did you mean {near}?")),
+                            None => fault,
+                        },
+                    )
                 }
             },
             Type::Reference(_) => match crate::load::is_name(word) {
@@ -279,9 +288,10 @@
             },
             Type::Name if word.is_empty() => Err(Fault::new("a name is empty")),
             Type::Name => Ok(Value::Name(word.to_owned())),
-            Type::Text { most } if word.len() > most => {
-                Err(Fault::new(format!("the text has {} bytes; at most {most} are allowed", word.len())))
-            }
+            Type::Text { most } if word.len() > most => Err(Fault::new(format!(
+                "the text has {} bytes; at most {most} are allowed",
+                word.len()
+            ))),
             Type::Text { .. } if word.is_empty() => Err(Fault::new("the text is empty")),
             Type::Text { .. } => Ok(Value::Text(word.to_owned())),
             Type::Network => parse_network(word).map(Value::Network),
@@ -315,12 +325,18 @@
                 write!(f, "{:02}-{:02}..{:02}-{:02}", from.0, from.1, to.0, to.1)
             }
             Value::Weekdays(bits) => {
-                let names = WEEKDAYS.iter().enumerate().filter(|(at, _)| bits >> at & 1 == 1);
+                let names = WEEKDAYS
+                    .iter()
+                    .enumerate()
+                    .filter(|(at, _)| bits >> at & 1 == 1);
                 f.write_str(&names.map(|(_, name)| *name).collect::<Vec<_>>().join(","))
             }
             Value::Hours(Hours { from, to }) => write!(f, "{}-{}", clock(*from), clock(*to)),
             Value::Offset(seconds) => {
-                let (sign, minutes) = (if *seconds < 0 { '-' } else { '+' }, seconds.unsigned_abs() / 60);
+                let (sign, minutes) = (
+                    if *seconds < 0 { '-' } else { '+' },
+                    seconds.unsigned_abs() / 60,
+                );
                 write!(f, "{sign}{:02}:{:02}", minutes / 60, minutes % 60)
             }
         }
@@ -358,7 +374,12 @@
     ("ms", 1_000),
     ("us", 1),
 ];
-const SIZE_UNITS: [(&str, u64); 4] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
+const SIZE_UNITS: [(&str, u64); 4] = [
+    ("GiB", 1 << 30),
+    ("MiB", 1 << 20),
+    ("KiB", 1 << 10),
+    ("B", 1),
+];
 pub const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 /// A span in the largest unit that tells it exactly.
@@ -366,30 +387,48 @@
     let micros = span.as_micros();
     let fits = |size: &u64| micros > 0 && micros.is_multiple_of(u128::from(*size));
     // Hours and days only where nothing smaller is needed to read them.
-    let (unit, size) = TIME_UNITS.iter().find(|(_, size)| fits(size)).unwrap_or(&("s", 1_000_000));
+    let (unit, size) = TIME_UNITS
+        .iter()
+        .find(|(_, size)| fits(size))
+        .unwrap_or(&("s", 1_000_000));
     format!("{}{unit}", micros / u128::from(*size))
 }
 
 pub fn size(bytes: u64) -> String {
-    let (unit, size) =
-        SIZE_UNITS.iter().find(|(_, size)| bytes > 0 && bytes.is_multiple_of(*size)).unwrap_or(&("B", 1));
+    let (unit, size) = SIZE_UNITS
+        .iter()
+        .find(|(_, size)| bytes > 0 && bytes.is_multiple_of(*size))
+        .unwrap_or(&("B", 1));
     format!("{}{unit}", bytes / size)
 }
 
 /// A number and what stands behind it; the number as whole part, digits behind the point and their count.
 fn split(word: &str) -> Option<(u64, u64, u32, &str)> {
-    let end = word.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(word.len());
+    let end = word
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .unwrap_or(word.len());
     let (number, unit) = word.split_at(end);
     let (whole, rest) = number.split_once('.').unwrap_or((number, ""));
     if whole.is_empty() || number.ends_with('.') || rest.len() > 6 {
         return None;
     }
-    let rest_value = if rest.is_empty() { 0 } else { rest.parse().ok()? };
+    let rest_value = if rest.is_empty() {
+        0
+    } else {
+        rest.parse().ok()?
+    };
     Some((whole.parse().ok()?, rest_value, rest.len() as u32, unit))
 }
 
 fn scaled(word: &str, what: &str, units: &[(&str, u64)], example: &str) -> Result<u64, Fault> {
-    let names = || units.iter().rev().map(|(name, _)| *name).collect::<Vec<_>>().join(", ");
+    let names = || {
+        units
+            .iter()
+            .rev()
+            .map(|(name, _)| *name)
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     let help = || format!("write {example}; the units are {}", names());
     let Some((whole, rest, digits, unit)) = split(word) else {
         return Err(Fault::new(format!("{word:?} is no {what}")).help(help()));
@@ -398,10 +437,9 @@
         return Err(Fault::new(format!("the {what} {word} has no unit")).help(help()));
     }
     let Some((_, size)) = units.iter().find(|(name, _)| *name == unit) else {
-        let near = units
-            .iter()
-            .map(|(name, _)| *name)
-            .find(|name| name.eq_ignore_ascii_case(unit) || name.replace('i', "").eq_ignore_ascii_case(unit));
+        let near = units.iter().map(|(name, _)| *name).find(|name| {
+            name.eq_ignore_ascii_case(unit) || name.replace('i', "").eq_ignore_ascii_case(unit)
+        });
         let fault = Fault::new(format!("{unit:?} is no unit of a {what}"));
         return Err(match near {
             Some(name) => fault.help(format!("did you mean {name}? the units are {}", names())),
@@ -437,10 +475,9 @@
 
 fn parse_number(word: &str) -> Result<f64, Fault> {
     let plain = word.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    word.parse()
-        .ok()
-        .filter(|_| plain)
-        .ok_or_else(|| Fault::new(format!("{word:?} is no number")).help("write 2 or 0.35; it has no unit"))
+    word.parse().ok().filter(|_| plain).ok_or_else(|| {
+        Fault::new(format!("{word:?} is no number")).help("write 2 or 0.35; it has no unit")
+    })
 }
 
 fn parse_rate(word: &str) -> Result<Rate, Fault> {
@@ -458,16 +495,28 @@
         "h" => 3_600,
         _ => return Err(Fault::new(format!("{unit:?} is no unit of a rate")).help(HELP)),
     };
-    let number = number.parse().map_err(|_| Fault::new(format!("{word:?} is no rate")).help(HELP))?;
-    Ok(Rate { number, per: Duration::from_secs(per) })
+    let number = number
+        .parse()
+        .map_err(|_| Fault::new(format!("{word:?} is no rate")).help(HELP))?;
+    Ok(Rate {
+        number,
+        per: Duration::from_secs(per),
+    })
 }
 
 fn parse_share(word: &str) -> Result<Share, Fault> {
     const HELP: &str = "write 33%, 12.5% or 1/6";
     let fault = || Fault::new(format!("{word:?} is no share")).help(HELP);
     if let Some((part, whole)) = word.split_once('/') {
-        let (part, whole) = (part.parse().map_err(|_| fault())?, whole.parse().map_err(|_| fault())?);
-        return if whole == 0 { Err(fault()) } else { Ok(Share { part, whole }) };
+        let (part, whole) = (
+            part.parse().map_err(|_| fault())?,
+            whole.parse().map_err(|_| fault())?,
+        );
+        return if whole == 0 {
+            Err(fault())
+        } else {
+            Ok(Share { part, whole })
+        };
     }
     let Some(number) = word.strip_suffix('%') else {
         return Err(match word.parse::<f64>() {
@@ -475,14 +524,22 @@
             Err(_) => fault(),
         });
     };
-    let Some((whole, rest, digits, "")) = split(number) else { return Err(fault()) };
+    let Some((whole, rest, digits, "")) = split(number) else {
+        return Err(fault());
+    };
     let scale = 10_u64.pow(digits.min(4));
-    let part = whole.checked_mul(scale).and_then(|n| n.checked_add(rest)).ok_or_else(fault)?;
+    let part = whole
+        .checked_mul(scale)
+        .and_then(|n| n.checked_add(rest))
+        .ok_or_else(fault)?;
     let narrow = |n: u64| u32::try_from(n).map_err(|_| fault());
     if digits > 4 {
         return Err(fault());
     }
-    Ok(Share { part: narrow(part)?, whole: narrow(100 * scale)? })
+    Ok(Share {
+        part: narrow(part)?,
+        whole: narrow(100 * scale)?,
+    })
 }
 
 fn parse_network(word: &str) -> Result<IpNet, Fault> {
@@ -504,17 +561,18 @@
 }
 
 fn parse_groups(word: &str) -> Result<RangeInclusive<u32>, Fault> {
-    let fault =
-        || Fault::new(format!("{word:?} is no group")).help("write a number like 3, or a range like 0-4");
+    let fault = || {
+        Fault::new(format!("{word:?} is no group"))
+            .help("write a number like 3, or a range like 0-4")
+    };
     let number = |text: &str| text.parse::<u32>().map_err(|_| fault());
     let (from, to) = match word.split_once('-') {
         Some((from, to)) => (number(from)?, number(to)?),
         None => (number(word)?, number(word)?),
     };
     if from > to {
-        return Err(
-            Fault::new(format!("the range {word} runs backwards")).help(format!("did you mean {to}-{from}?"))
-        );
+        return Err(Fault::new(format!("the range {word} runs backwards"))
+            .help(format!("did you mean {to}-{from}?")));
     }
     Ok(from..=to)
 }
@@ -537,9 +595,8 @@
         (text.len() == 10 && (YEARS.0..=YEARS.1).contains(&date.year())).then_some(date)
     };
     match (once(from), once(to)) {
-        (Some(a), Some(b)) if a > b => {
-            Err(Fault::new(format!("the dates {word} run backwards")).help(format!("did you mean {b}..{a}?")))
-        }
+        (Some(a), Some(b)) if a > b => Err(Fault::new(format!("the dates {word} run backwards"))
+            .help(format!("did you mean {b}..{a}?"))),
         (Some(a), Some(b)) => Ok(Dates::Once(a, b)),
         _ => match (yearly(from), yearly(to)) {
             (Some(a), Some(b)) => Ok(Dates::Yearly(a, b)),
@@ -572,7 +629,9 @@
         let mut parts = text.split(':');
         let mut number = |most: u32| {
             let part = parts.next()?;
-            part.parse().ok().filter(|n: &u32| part.len() == 2 && *n <= most)
+            part.parse()
+                .ok()
+                .filter(|n: &u32| part.len() == 2 && *n <= most)
         };
         let (hour, minute) = (number(24)?, number(59)?);
         let second = if text.len() > 5 { number(59)? } else { 0 };
@@ -581,7 +640,10 @@
     };
     let fault = || Fault::new(format!("{word:?} are no hours")).help(HELP);
     let (from, to) = word.split_once('-').ok_or_else(fault)?;
-    let (from, to) = (moment(from).ok_or_else(fault)?, moment(to).ok_or_else(fault)?);
+    let (from, to) = (
+        moment(from).ok_or_else(fault)?,
+        moment(to).ok_or_else(fault)?,
+    );
     if from == to || from == DAY || to == 0 {
         return Err(Fault::new(format!("the hours {word} hold no time")).help(HELP));
     }
@@ -628,7 +690,10 @@
         assert!(time_of("99999999999999999999s").is_err());
         assert!(time_of("18446744073709551615d").is_err());
         for text in ["1us", "250ms", "90s", "36h", "7d"] {
-            assert_eq!(time(time_of(&time(time_of(text).unwrap())).unwrap()), time(time_of(text).unwrap()));
+            assert_eq!(
+                time(time_of(&time(time_of(text).unwrap())).unwrap()),
+                time(time_of(text).unwrap())
+            );
         }
     }
 
@@ -644,11 +709,23 @@
 
     #[test]
     fn windows_may_run_over_the_end_of_day_week_and_year() {
-        assert_eq!(parse_hours("22:00-02:00").unwrap(), Hours { from: 79_200, to: 7_200 });
-        assert_eq!(parse_hours("00:00-24:00").unwrap(), Hours { from: 0, to: DAY });
+        assert_eq!(
+            parse_hours("22:00-02:00").unwrap(),
+            Hours {
+                from: 79_200,
+                to: 7_200
+            }
+        );
+        assert_eq!(
+            parse_hours("00:00-24:00").unwrap(),
+            Hours { from: 0, to: DAY }
+        );
         assert!(parse_hours("08:00-08:00").is_err());
         assert_eq!(parse_weekdays("sat-mon").unwrap(), 0b110_0001);
-        assert_eq!(parse_dates("12-20..01-10").unwrap(), Dates::Yearly((12, 20), (1, 10)));
+        assert_eq!(
+            parse_dates("12-20..01-10").unwrap(),
+            Dates::Yearly((12, 20), (1, 10))
+        );
         assert!(parse_dates("2026-02-30..2026-03-01").is_err());
         assert!(parse_dates("02-30..03-01").is_err());
         assert!(parse_dates("2026-03-02..2026-03-01").is_err());
@@ -656,8 +733,15 @@
 
     #[test]
     fn networks_hold_no_stray_bits() {
-        assert_eq!(parse_network("10.1.0.7").unwrap().to_string(), "10.1.0.7/32");
-        assert!(parse_network("10.1.0.7/16").unwrap_err().help.unwrap().contains("10.1.0.0/16"));
+        assert_eq!(
+            parse_network("10.1.0.7").unwrap().to_string(),
+            "10.1.0.7/32"
+        );
+        assert!(parse_network("10.1.0.7/16")
+            .unwrap_err()
+            .help
+            .unwrap()
+            .contains("10.1.0.0/16"));
         assert!(parse_network("10.1.0.0/33").is_err());
     }
 }
--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -16,7 +16,10 @@
 
 impl<'a> Values<'a> {
     pub fn of(section: &'a Section) -> Values<'a> {
-        Values { section: Some(section), spec: section.spec }
+        Values {
+            section: Some(section),
+            spec: section.spec,
+        }
     }
 
     pub fn value(&self, keyword: &'static str) -> Option<Value> {
@@ -24,7 +27,8 @@
             return Some(value.clone());
         }
         let spec = self.spec.directive(keyword)?;
-        let (schema::Args::One(kind) | schema::Args::Optional(kind) | schema::Args::Many(kind)) = spec.args;
+        let (schema::Args::One(kind) | schema::Args::Optional(kind) | schema::Args::Many(kind)) =
+            spec.args;
         if spec.default.is_empty() {
             None
         } else {
--- a/crates/configuration/tests/broken.rs
+++ b/crates/configuration/tests/broken.rs
@@ -15,12 +15,18 @@
     }
 
     fn identity(&self, path: &Path) -> Result<PathBuf, String> {
-        self.0.join(path).canonicalize().map_err(|e| e.kind().to_string())
+        self.0
+            .join(path)
+            .canonicalize()
+            .map_err(|e| e.kind().to_string())
     }
 
     fn names(&self, folder: &Path) -> Result<Vec<String>, String> {
         let entries = std::fs::read_dir(self.0.join(folder)).map_err(|e| e.kind().to_string())?;
-        Ok(entries.flatten().map(|e| e.file_name().to_string_lossy().into_owned()).collect())
+        Ok(entries
+            .flatten()
+            .map(|e| e.file_name().to_string_lossy().into_owned())
+            .collect())
     }
 }
 
@@ -47,7 +53,10 @@
         let reading = checked(name, &corpus);
         let text = render(&reading.sources, &reading.diagnostics);
         if reading.diagnostics.len() != 1 {
-            wrong.push(format!("{name}: {} messages\n{text}", reading.diagnostics.len()));
+            wrong.push(format!(
+                "{name}: {} messages\n{text}",
+                reading.diagnostics.len()
+            ));
         }
         insta::assert_snapshot!(name.trim_end_matches(".conf"), text);
     }
@@ -64,8 +73,14 @@
         let parsed: serde_json::Value =
             serde_json::from_str(&json(&reading.sources, &reading.diagnostics)).unwrap();
         let one = &parsed[0];
-        assert!(one["file"].as_str().unwrap().ends_with(".conf"), "{name}: {one}");
-        assert!(one["line"].as_u64().unwrap() >= 1 && one["column"].as_u64().unwrap() >= 1, "{name}: {one}");
+        assert!(
+            one["file"].as_str().unwrap().ends_with(".conf"),
+            "{name}: {one}"
+        );
+        assert!(
+            one["line"].as_u64().unwrap() >= 1 && one["column"].as_u64().unwrap() >= 1,
+            "{name}: {one}"
+        );
         assert!(!one["message"].as_str().unwrap().is_empty());
     }
 }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -16,8 +16,14 @@
 
 pub const CLASSES: [&str; 4] = ["nearby-cabs", "my-booking", "trip-history", "confirm-ride"];
 pub const TENANTS: [&str; 3] = ["ratna-park", "koteshwor", "patan-dhoka"];
-pub const STATEMENTS: [&str; 6] =
-    ["select", "SELECT doc", "select doc from items", "insert", "INSERT INTO items (id", "with"];
+pub const STATEMENTS: [&str; 6] = [
+    "select",
+    "SELECT doc",
+    "select doc from items",
+    "insert",
+    "INSERT INTO items (id",
+    "with",
+];
 const NETWORKS: [&str; 8] = [
     "10.0.0.0/8",
     "10.1.0.0/16",
@@ -47,7 +53,11 @@
 }
 
 fn quoted(words: Vec<&str>) -> String {
-    words.iter().map(|w| format!("\"{w}\"")).collect::<Vec<_>>().join(" ")
+    words
+        .iter()
+        .map(|w| format!("\"{w}\""))
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 /// The lines inside a route.
@@ -61,7 +71,11 @@
     }
     if rng.random_bool(0.3) {
         let from = rng.random_range(0..6);
-        lines.push(format!("group {from}-{} {}", from + rng.random_range(0..200), rng.random_range(0..9)));
+        lines.push(format!(
+            "group {from}-{} {}",
+            from + rng.random_range(0..200),
+            rng.random_range(0..9)
+        ));
     }
     if rng.random_bool(0.4) {
         lines.push(format!("network {}", some(rng, &NETWORKS, 3).join(" ")));
@@ -91,14 +105,29 @@
 pub fn sections(rng: &mut StdRng, routes: usize) -> Vec<(String, Vec<String>)> {
     let mut all = vec![("calendar".to_owned(), vec!["offset +05:45".to_owned()])];
     for (at, window) in WINDOWS.iter().enumerate() {
-        all.push((format!("window w{at}"), window.lines().map(|l| l.trim().to_owned()).collect()));
+        all.push((
+            format!("window w{at}"),
+            window.lines().map(|l| l.trim().to_owned()).collect(),
+        ));
     }
-    all.push(("pool p0".into(), vec!["requests 20".into(), "groups 0-4294967295".into()]));
-    all.push(("pool p1".into(), vec!["rate 100/s".into(), "burst 20".into()]));
+    all.push((
+        "pool p0".into(),
+        vec!["requests 20".into(), "groups 0-4294967295".into()],
+    ));
+    all.push((
+        "pool p1".into(),
+        vec!["rate 100/s".into(), "burst 20".into()],
+    ));
     for at in 0..routes {
         all.push((format!("route r{at}"), route_lines(rng)));
     }
-    all.push(("limits".into(), vec![format!("pipeline {}", rng.random_range(1..9)), "unsent 64KiB".into()]));
+    all.push((
+        "limits".into(),
+        vec![
+            format!("pipeline {}", rng.random_range(1..9)),
+            "unsent 64KiB".into(),
+        ],
+    ));
     all
 }
 
@@ -106,7 +135,9 @@
     let mut out = String::new();
     for (head, lines) in sections {
         writeln!(out, "{head} {{").unwrap();
-        lines.iter().for_each(|line| writeln!(out, "    {line}").unwrap());
+        lines
+            .iter()
+            .for_each(|line| writeln!(out, "    {line}").unwrap());
         out.push_str("}\n");
     }
     out
@@ -115,10 +146,19 @@
 /// The same, written without care: blanks, comments, continued lines, needless quotes.
 pub fn untidy(rng: &mut StdRng, sections: &[(String, Vec<String>)]) -> String {
     let mut out = String::new();
-    let blank = |rng: &mut StdRng| [" ", "  ", "\t", " \t "].choose(rng).copied().unwrap_or(" ");
+    let blank = |rng: &mut StdRng| {
+        [" ", "  ", "\t", " \t "]
+            .choose(rng)
+            .copied()
+            .unwrap_or(" ")
+    };
     for (head, lines) in sections {
         for _ in 0..rng.random_range(0..3) {
-            out.push_str(["\n", "  # a remark \n", "\r\n", "#\n"].choose(rng).unwrap());
+            out.push_str(
+                ["\n", "  # a remark \n", "\r\n", "#\n"]
+                    .choose(rng)
+                    .unwrap(),
+            );
         }
         write!(out, "{}{head}{}{{", blank(rng), blank(rng)).unwrap();
         out.push_str([" # begins\n", "\n", "\r\n"].choose(rng).unwrap());
@@ -155,20 +195,42 @@
         .into_iter()
         .map(|e| (e.section, e.directive, e.value))
         .collect();
-    let routes: Vec<_> =
-        model.routes.iter().map(|r| (r.name.clone(), r.conditions.clone(), r.outcome.clone())).collect();
-    let codes: Vec<_> = reading.diagnostics.iter().map(|d| (d.code, d.message.clone())).collect();
+    let routes: Vec<_> = model
+        .routes
+        .iter()
+        .map(|r| (r.name.clone(), r.conditions.clone(), r.outcome.clone()))
+        .collect();
+    let codes: Vec<_> = reading
+        .diagnostics
+        .iter()
+        .map(|d| (d.code, d.message.clone()))
+        .collect();
     (entries, routes, codes)
 }
 
 pub fn request(rng: &mut StdRng) -> Example {
-    let class = if rng.random_bool(0.9) { CLASSES.choose(rng).copied().unwrap() } else { "other" };
-    let tenant = if rng.random_bool(0.8) { TENANTS.choose(rng).copied().unwrap() } else { "" };
+    let class = if rng.random_bool(0.9) {
+        CLASSES.choose(rng).copied().unwrap()
+    } else {
+        "other"
+    };
+    let tenant = if rng.random_bool(0.8) {
+        TENANTS.choose(rng).copied().unwrap()
+    } else {
+        ""
+    };
     let client = match rng.random_range(0..5) {
         0 => IpAddr::V4(Ipv4Addr::from(rng.random::<u32>())),
-        1 => IpAddr::V6(Ipv6Addr::from(0x2001_0db8_u128 << 96 | rng.random_range(0..3_u128) << 80 | 1)),
+        1 => IpAddr::V6(Ipv6Addr::from(
+            0x2001_0db8_u128 << 96 | rng.random_range(0..3_u128) << 80 | 1,
+        )),
         2 => IpAddr::V4(Ipv4Addr::new(10, 1, 2, rng.random_range(1..5))),
-        _ => IpAddr::V4(Ipv4Addr::new(10, *[1, 2, 200].choose(rng).unwrap(), rng.random_range(0..4), 9)),
+        _ => IpAddr::V4(Ipv4Addr::new(
+            10,
+            *[1, 2, 200].choose(rng).unwrap(),
+            rng.random_range(0..4),
+            9,
+        )),
     };
     let mut statement = STATEMENTS.choose(rng).copied().unwrap().to_owned();
     if rng.random_bool(0.5) {
@@ -181,11 +243,18 @@
         statement = format!("  {}", statement.to_uppercase());
     }
     // The years round the festival of 2026.
-    let at = Moment { day: rng.random_range(20_600..21_600), second: rng.random_range(0..86_400) };
+    let at = Moment {
+        day: rng.random_range(20_600..21_600),
+        second: rng.random_range(0..86_400),
+    };
     Example {
         class: class.to_owned(),
         tenant: tenant.to_owned(),
-        group: if rng.random_bool(0.8) { rng.random_range(0..10) } else { rng.random_range(0..400) },
+        group: if rng.random_bool(0.8) {
+            rng.random_range(0..10)
+        } else {
+            rng.random_range(0..400)
+        },
         statement: statement.into_bytes(),
         client,
         at,
@@ -200,8 +269,11 @@
 }
 
 pub fn find(index: &Index, names: &Names, example: &Example) -> Option<usize> {
-    let place =
-        |list: &[String], name: &str| list.iter().position(|n| n == name).map_or(u32::MAX - 1, |n| n as u32);
+    let place = |list: &[String], name: &str| {
+        list.iter()
+            .position(|n| n == name)
+            .map_or(u32::MAX - 1, |n| n as u32)
+    };
     index.find(&Facts {
         class: place(&names.classes, &example.class),
         tenant: place(&names.tenants, &example.tenant),
--- a/crates/configuration/tests/lending.rs
+++ b/crates/configuration/tests/lending.rs
@@ -50,7 +50,11 @@
 fn credits_are_read_with_their_defaults() {
     let reading = parsed(TEXT);
     let codes: Vec<&str> = reading.diagnostics.iter().map(|d| d.code).collect();
-    assert_eq!(codes, ["unused-window"], "only the window that no credit names");
+    assert_eq!(
+        codes,
+        ["unused-window"],
+        "only the window that no credit names"
+    );
     let seconds = Duration::from_secs;
     let first = Credit {
         stand: "ratna-park".into(),
@@ -101,7 +105,12 @@
     ] {
         assert!(TEXT.contains(from), "{from}");
         let reading = parsed(&TEXT.replacen(from, to, 1));
-        assert_eq!(reading.diagnostics.len(), 1, "{to}: {:?}", reading.diagnostics);
+        assert_eq!(
+            reading.diagnostics.len(),
+            1,
+            "{to}: {:?}",
+            reading.diagnostics
+        );
     }
 }
 
@@ -109,18 +118,29 @@
 fn a_changed_credit_or_its_window_is_a_difference() {
     let old = parsed(TEXT);
     let told = |pairs: &[(&str, &str)]| {
-        let text = pairs.iter().fold(TEXT.to_owned(), |text, (from, to)| text.replacen(from, to, 1));
+        let text = pairs.iter().fold(TEXT.to_owned(), |text, (from, to)| {
+            text.replacen(from, to, 1)
+        });
         diff(&old, &parsed(&text), None).to_string()
     };
     assert_eq!(
-        told(&[("line 500ms", "line 2s"), ("lease 3s", "lease 4s"), ("10-17..", "10-18..")]),
+        told(&[
+            ("line 500ms", "line 2s"),
+            ("lease 3s", "lease 4s"),
+            ("10-17..", "10-18..")
+        ]),
         "credit ratna-park line: 500ms -> 2s\nlending lease: 3s -> 4s\n\
          window dashain dates: 10-17..11-02 -> 10-18..11-02\n"
     );
-    let same =
-        [("nearby-cabs my-booking", "my-booking nearby-cabs"), ("10-17..11-02", "10-17..10-31 11-01..11-02")];
+    let same = [
+        ("nearby-cabs my-booking", "my-booking nearby-cabs"),
+        ("10-17..11-02", "10-17..10-31 11-01..11-02"),
+    ];
     assert_eq!(told(&same), "no difference in behaviour\n");
-    assert_eq!(told(&[("weekdays fri", "weekdays sat")]), "no difference in behaviour\n");
+    assert_eq!(
+        told(&[("weekdays fri", "weekdays sat")]),
+        "no difference in behaviour\n"
+    );
 }
 
 #[test]
--- a/crates/configuration/tests/members.rs
+++ b/crates/configuration/tests/members.rs
@@ -11,7 +11,11 @@
 
 fn fleet(number: usize) -> String {
     let members = (0..number).map(|n| {
-        format!("member \"n {n}\" {{\n address 10.0.{}.{}:7946\n region thamel\n}}\n", n / 250, n % 250 + 1)
+        format!(
+            "member \"n {n}\" {{\n address 10.0.{}.{}:7946\n region thamel\n}}\n",
+            n / 250,
+            n % 250 + 1
+        )
     });
     let head = "members {\n version 3\n listen 10.0.0.1:7946\n key-file /etc/members.key\n period 500ms\n}\n";
     head.to_owned() + &members.collect::<String>()
@@ -23,8 +27,17 @@
     assert!(full.sound());
     let members = full.model.members.unwrap();
     assert_eq!((members.version, members.roster.len()), (3, 1_000));
-    assert_eq!((members.period, members.suspicion), (Duration::from_millis(500), Duration::from_secs(1)));
-    assert_eq!((members.roster[999].name.as_str(), members.roster[999].region.as_str()), ("n 999", "thamel"));
+    assert_eq!(
+        (members.period, members.suspicion),
+        (Duration::from_millis(500), Duration::from_secs(1))
+    );
+    assert_eq!(
+        (
+            members.roster[999].name.as_str(),
+            members.roster[999].region.as_str()
+        ),
+        ("n 999", "thamel")
+    );
     let more = parsed(&fleet(1_001));
     let codes: Vec<&str> = more.diagnostics.iter().map(|d| d.code).collect();
     assert_eq!((codes, more.model.members), (vec!["many-members"], None));
@@ -42,20 +55,31 @@
         ("member \"", "membr \""),
     ] {
         let reading = parsed(&whole.replacen(from, to, 1));
-        assert_eq!(reading.diagnostics.len(), 1, "{to}: {:?}", reading.diagnostics);
+        assert_eq!(
+            reading.diagnostics.len(),
+            1,
+            "{to}: {:?}",
+            reading.diagnostics
+        );
     }
 }
 
 #[test]
 fn a_changed_roster_is_a_difference_that_is_neither_tighter_nor_looser() {
     let text = fleet(2);
-    let changed = text.replace("version 3", "version 4").replace("period 500ms", "period 1s");
+    let changed = text
+        .replace("version 3", "version 4")
+        .replace("period 500ms", "period 1s");
     let changed = changed.replacen("region thamel", "region patan", 1);
     let told = diff(&parsed(&text), &parsed(&changed), None).to_string();
     let lines: Vec<&str> = told.lines().collect();
     assert_eq!(
         lines,
-        ["member n 0 region: thamel -> patan", "members period: 500ms -> 1s", "members version: 3 -> 4"]
+        [
+            "member n 0 region: thamel -> patan",
+            "members period: 500ms -> 1s",
+            "members version: 3 -> 4"
+        ]
     );
     assert!(diff(&parsed(&text), &parsed(&text), None).is_empty());
 }
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -24,22 +24,39 @@
         for _ in 0..10_000 {
             let example = request(&mut rng);
             let expected = scan(&model.routes, &model.windows, &example.request());
-            assert_eq!(find(&index, &names, &example), expected, "seed {seed}: {example}");
+            assert_eq!(
+                find(&index, &names, &example),
+                expected,
+                "seed {seed}: {example}"
+            );
             requests += 1;
             found += usize::from(expected.is_some());
         }
     }
     assert_eq!(requests, 1_000_000);
-    assert!(found > 100_000 && found < 1_000_000, "{found} of them met a route");
+    assert!(
+        found > 100_000 && found < 1_000_000,
+        "{found} of them met a route"
+    );
 }
 
 /// Lists too long for keys are asked, and nothing changes.
 #[test]
 fn routes_with_very_long_lists_are_found_too() {
-    let many =
-        |what: &str, number: usize| (0..number).map(|n| format!("{what}{n}")).collect::<Vec<_>>().join(" ");
-    let groups = (0..60).map(|n| (n * 3).to_string()).collect::<Vec<_>>().join(" ");
-    let statements = (0..300).map(|n| format!("\"select {n}\"")).collect::<Vec<_>>().join(" ");
+    let many = |what: &str, number: usize| {
+        (0..number)
+            .map(|n| format!("{what}{n}"))
+            .collect::<Vec<_>>()
+            .join(" ")
+    };
+    let groups = (0..60)
+        .map(|n| (n * 3).to_string())
+        .collect::<Vec<_>>()
+        .join(" ");
+    let statements = (0..300)
+        .map(|n| format!("\"select {n}\""))
+        .collect::<Vec<_>>()
+        .join(" ");
     let text = format!(
         "route a {{\n class {}\n tenant {}\n group {groups}\n statement {statements}\n tries 2\n}}\nroute b {{\n refuse\n}}\n",
         many("c", 600),
@@ -55,7 +72,11 @@
         example.class = format!("c{}", rng.random_range(0..700));
         example.tenant = format!("t{}", rng.random_range(0..700));
         example.statement = format!("select {}", rng.random_range(0..400)).into_bytes();
-        let expected = scan(&reading.model.routes, &reading.model.windows, &example.request());
+        let expected = scan(
+            &reading.model.routes,
+            &reading.model.windows,
+            &example.request(),
+        );
         assert_eq!(find(&index, &names, &example), expected, "{example}");
         met += usize::from(expected == Some(0));
     }
@@ -71,9 +92,18 @@
         let reading = parsed(&plain(&sections(&mut rng, 25)));
         let model = &reading.model;
         let names: Vec<String> = model.named_windows.iter().map(|w| w.name.clone()).collect();
-        let side = Side { routes: &model.routes, windows: &model.windows, window_names: &names, offset: 0 };
+        let side = Side {
+            routes: &model.routes,
+            windows: &model.windows,
+            window_names: &names,
+            offset: 0,
+        };
         let space = Space::new(&[side], None);
-        let regions: Vec<Region> = model.routes.iter().map(|r| space.region(0, &r.conditions)).collect();
+        let regions: Vec<Region> = model
+            .routes
+            .iter()
+            .map(|r| space.region(0, &r.conditions))
+            .collect();
         let hidden = shadow::unreached(&regions);
         assert_eq!(hidden.unexamined, 0);
         let hidden: Vec<usize> = hidden.routes.iter().map(|(at, _)| *at).collect();
@@ -86,16 +116,26 @@
             }
         }
         for (at, region) in regions.iter().enumerate() {
-            assert!(!(met[at] && hidden.contains(&at)), "seed {seed}: route {at} is found");
+            assert!(
+                !(met[at] && hidden.contains(&at)),
+                "seed {seed}: route {at} is found"
+            );
             if !met[at] && !hidden.contains(&at) {
                 // It is said to be reached: then some request reaches it.
                 let mut left = vec![region.clone()];
                 for earlier in &regions[..at] {
                     left = configuration::ranges::minus_all(left, earlier);
                 }
-                let example = left.iter().find_map(|part| space.example(part)).expect("a part is left");
+                let example = left
+                    .iter()
+                    .find_map(|part| space.example(part))
+                    .expect("a part is left");
                 let request = example.request();
-                assert_eq!(scan(&model.routes, &model.windows, &request), Some(at), "seed {seed}: {example}");
+                assert_eq!(
+                    scan(&model.routes, &model.windows, &request),
+                    Some(at),
+                    "seed {seed}: {example}"
+                );
             }
         }
     }
@@ -110,10 +150,14 @@
         let mut rng = rng(2_000 + seed);
         let before = sections(&mut rng, 12);
         let mut after = before.clone();
-        let routes: Vec<usize> = (0..after.len()).filter(|at| after[*at].0.starts_with("route")).collect();
+        let routes: Vec<usize> = (0..after.len())
+            .filter(|at| after[*at].0.starts_with("route"))
+            .collect();
         for _ in 0..rng.random_range(1..4) {
-            let (a, b) =
-                (routes[rng.random_range(0..routes.len())], routes[rng.random_range(0..routes.len())]);
+            let (a, b) = (
+                routes[rng.random_range(0..routes.len())],
+                routes[rng.random_range(0..routes.len())],
+            );
             match rng.random_range(0..5) {
                 0 => after[a].1 = common::route_lines(&mut rng),
                 1 => after.swap(a, b),
@@ -138,14 +182,21 @@
             };
             let (was, is) = (outcome(&old), outcome(&new));
             let point = difference.space.point(&request);
-            let told: Vec<_> =
-                difference.routes.iter().filter(|c| c.regions.iter().any(|r| r.contains(&point))).collect();
+            let told: Vec<_> = difference
+                .routes
+                .iter()
+                .filter(|c| c.regions.iter().any(|r| r.contains(&point)))
+                .collect();
             if was == is {
                 assert!(told.is_empty(), "seed {seed}: {example} fares as before");
             } else {
                 changed += 1;
                 assert_eq!(told.len(), 1, "seed {seed}: {example}");
-                assert_eq!((&told[0].old, &told[0].new), (&was, &is), "seed {seed}: {example}");
+                assert_eq!(
+                    (&told[0].old, &told[0].new),
+                    (&was, &is),
+                    "seed {seed}: {example}"
+                );
             }
         }
         for change in &difference.routes {
@@ -177,8 +228,9 @@
 #[test]
 fn a_difference_reads_as_an_operator_would_say_it() {
     let old = "pool calm {\n requests 50\n}\npool feast {\n requests 20\n}\nroute r {\n class my-booking\n network 10.1.0.0/16\n pool calm\n}\nlimits {\n client-patience 2s\n}\n";
-    let new =
-        old.replace("pool calm\n}", "pool feast\n}").replace("client-patience 2s", "client-patience 500ms");
+    let new = old
+        .replace("pool calm\n}", "pool feast\n}")
+        .replace("client-patience 2s", "client-patience 500ms");
     let difference = diff(&parsed(old), &parsed(&new), None);
     insta::assert_snapshot!(difference.to_string());
 }
@@ -188,7 +240,12 @@
 fn routes_that_are_apart_may_stand_in_any_order() {
     let mut routes: Vec<String> = (0..300)
         .map(|n| {
-            format!("route r{n} {{\n network 10.{}.{}.0/24\n tries {}\n}}\n", n / 250, n % 250, n % 5 + 1)
+            format!(
+                "route r{n} {{\n network 10.{}.{}.0/24\n tries {}\n}}\n",
+                n / 250,
+                n % 250,
+                n % 5 + 1
+            )
         })
         .collect();
     let old = parsed(&routes.concat());
--- a/crates/configuration/tests/text.rs
+++ b/crates/configuration/tests/text.rs
@@ -46,7 +46,11 @@
 }
 
 fn codes(path: &str, files: &dyn Loader) -> Vec<&'static str> {
-    read(Path::new(path), files).diagnostics.iter().map(|d| d.code).collect()
+    read(Path::new(path), files)
+        .diagnostics
+        .iter()
+        .map(|d| d.code)
+        .collect()
 }
 
 #[test]
@@ -57,13 +61,19 @@
         ("sub/c.conf", "include ../a.conf\n"),
     ]);
     assert_eq!(codes("a.conf", &three), ["include-loop"]);
-    let link = Memory::from([("a.conf", "include other.conf\n"), ("other.conf", "link:a.conf")]);
+    let link = Memory::from([
+        ("a.conf", "include other.conf\n"),
+        ("other.conf", "link:a.conf"),
+    ]);
     assert_eq!(codes("a.conf", &link), ["include-loop"]);
     let pattern = Memory::from([("conf.d/a.conf", "include *.conf\n"), ("conf.d/b.conf", "")]);
     assert_eq!(codes("conf.d/a.conf", &pattern), ["include-loop"]);
     let reading = read(Path::new("a.conf"), &three);
     let help = reading.diagnostics[0].help.as_ref().unwrap();
-    assert!(help.contains("a.conf -> b.conf -> c.conf -> a.conf"), "{help}");
+    assert!(
+        help.contains("a.conf -> b.conf -> c.conf -> a.conf"),
+        "{help}"
+    );
 }
 
 #[test]
@@ -80,7 +90,10 @@
 
 impl Loader for Endless {
     fn read(&self, path: &Path) -> Result<Vec<u8>, String> {
-        let number: u32 = path.to_string_lossy().parse().map_err(|_| "no number".to_owned())?;
+        let number: u32 = path
+            .to_string_lossy()
+            .parse()
+            .map_err(|_| "no number".to_owned())?;
         Ok(format!("include {}\n", number + 1).into_bytes())
     }
 
@@ -104,15 +117,33 @@
 #[test]
 fn files_go_on_where_their_folder_is_and_names_are_shared() {
     let files = Memory::from([
-        ("etc/main.conf", "define most 20\ninclude pools.d/*.conf\nroute r {\n    pool feast\n}\n"),
-        ("etc/pools.d/b.conf", "pool calm {\n    requests 5\n}\nroute s {\n    class x\n    pool calm\n}\n"),
-        ("etc/pools.d/a.conf", "pool feast {\n    requests $most\n}\n"),
+        (
+            "etc/main.conf",
+            "define most 20\ninclude pools.d/*.conf\nroute r {\n    pool feast\n}\n",
+        ),
+        (
+            "etc/pools.d/b.conf",
+            "pool calm {\n    requests 5\n}\nroute s {\n    class x\n    pool calm\n}\n",
+        ),
+        (
+            "etc/pools.d/a.conf",
+            "pool feast {\n    requests $most\n}\n",
+        ),
         ("etc/pools.d/.hidden.conf", "no such thing\n"),
         ("etc/pools.d/a.conf~", "no such thing\n"),
     ]);
     let reading = read(Path::new("etc/main.conf"), &files);
-    assert!(reading.diagnostics.is_empty(), "{}", render(&reading.sources, &reading.diagnostics));
-    let names: Vec<&str> = reading.model.routes.iter().map(|r| r.name.as_str()).collect();
+    assert!(
+        reading.diagnostics.is_empty(),
+        "{}",
+        render(&reading.sources, &reading.diagnostics)
+    );
+    let names: Vec<&str> = reading
+        .model
+        .routes
+        .iter()
+        .map(|r| r.name.as_str())
+        .collect();
     assert_eq!(names, ["s", "r"]);
     assert_eq!(reading.model.pools[0].requests, Some(20));
 }
@@ -120,24 +151,37 @@
 #[test]
 fn a_name_may_stand_once_in_all_files() {
     let files = Memory::from([
-        ("a.conf", "include b.conf\npool p {\n    requests 5\n}\nroute r {\n    pool p\n}\n"),
+        (
+            "a.conf",
+            "include b.conf\npool p {\n    requests 5\n}\nroute r {\n    pool p\n}\n",
+        ),
         ("b.conf", "pool p {\n    requests 6\n}\n"),
     ]);
     let reading = read(Path::new("a.conf"), &files);
     assert_eq!(reading.diagnostics.len(), 1);
     let text = render(&reading.sources, &reading.diagnostics);
-    assert!(text.contains("a.conf:2:1") && text.contains("b.conf:1:1"), "{text}");
+    assert!(
+        text.contains("a.conf:2:1") && text.contains("b.conf:1:1"),
+        "{text}"
+    );
 }
 
 /// A 10 MB line is refused without being shown.
 #[test]
 fn a_very_long_line_is_one_short_message() {
     let mut files = Memory::default();
-    files.add("x.conf", format!("limits {{\n    # {}\n}}\n", "x".repeat(10 << 20)));
+    files.add(
+        "x.conf",
+        format!("limits {{\n    # {}\n}}\n", "x".repeat(10 << 20)),
+    );
     let reading = read(Path::new("x.conf"), &files);
     assert_eq!(reading.diagnostics.len(), 1);
     let text = render(&reading.sources, &reading.diagnostics);
-    assert!(text.contains("x.conf:2:1") && text.len() < 1_000, "{} bytes", text.len());
+    assert!(
+        text.contains("x.conf:2:1") && text.len() < 1_000,
+        "{} bytes",
+        text.len()
+    );
 }
 
 /// Texts made to be slow: with work that grew faster than the text, none of them would end in a test's time.
@@ -154,12 +198,19 @@
         ("sections open", "a {\n".repeat(lines)),
         ("blanks", " \n".repeat(lines)),
         ("continued", "a \\\n".repeat(lines)),
-        ("dollars", "limits {\n pipeline $$$$$$$$\n}\n".repeat(lines / 3)),
+        (
+            "dollars",
+            "limits {\n pipeline $$$$$$$$\n}\n".repeat(lines / 3),
+        ),
         ("routes", many),
         ("defines", defines),
     ] {
         let reading = parsed(&text);
-        assert!(reading.diagnostics.len() <= lines * 2 + 1, "{what}: {}", reading.diagnostics.len());
+        assert!(
+            reading.diagnostics.len() <= lines * 2 + 1,
+            "{what}: {}",
+            reading.diagnostics.len()
+        );
         _ = format(&text);
     }
 }
@@ -167,7 +218,10 @@
 #[test]
 fn crlf_and_lf_read_alike() {
     let text = plain(&sections(&mut rng(3), 5));
-    assert_eq!(meaning(&parsed(&text)), meaning(&parsed(&text.replace('\n', "\r\n"))));
+    assert_eq!(
+        meaning(&parsed(&text)),
+        meaning(&parsed(&text.replace('\n', "\r\n")))
+    );
     assert_eq!(format(&text.replace('\n', "\r\n")), format(&text));
 }
 
@@ -180,6 +234,14 @@
     }
     text.push_str("route r {\n    class $a59\n    refuse\n}\n");
     let reading = parsed(&text);
-    assert!(reading.diagnostics.iter().any(|d| d.code == "expansion"), "{:?}", reading.diagnostics);
-    assert!(reading.diagnostics.len() <= 2, "{} messages", reading.diagnostics.len());
+    assert!(
+        reading.diagnostics.iter().any(|d| d.code == "expansion"),
+        "{:?}",
+        reading.diagnostics
+    );
+    assert!(
+        reading.diagnostics.len() <= 2,
+        "{} messages",
+        reading.diagnostics.len()
+    );
 }
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -42,7 +42,11 @@
 impl Settings {
     /// Until the slowest balancer has heard.
     pub fn wait(&self) -> Duration {
-        self.balancers.iter().map(Balancer::hears_within).max().unwrap_or_default()
+        self.balancers
+            .iter()
+            .map(Balancer::hears_within)
+            .max()
+            .unwrap_or_default()
     }
 }
 
@@ -107,7 +111,13 @@
 
 impl Drain {
     pub fn new(set: Settings, now: Time) -> Drain {
-        Drain { set, phase: Phase::Serving, now, settled: true, end: None }
+        Drain {
+            set,
+            phase: Phase::Serving,
+            now,
+            settled: true,
+            end: None,
+        }
     }
 
     /// Other settings; what is under way goes on by the old ones.
@@ -147,7 +157,10 @@
             Event::Drain => {
                 if self.phase == Phase::Serving {
                     actions.push(Action::Announce);
-                    self.phase = Phase::Announced { until: self.now + self.set.wait(), ending: false };
+                    self.phase = Phase::Announced {
+                        until: self.now + self.set.wait(),
+                        ending: false,
+                    };
                 }
             }
             Event::Undrain => match self.phase {
@@ -175,16 +188,31 @@
         let (now, set) = (self.now, &self.set);
         let (phase, end) = match self.phase {
             // What balancers were told before counts.
-            Phase::Announced { until, .. } if set.announce_end => {
-                (Phase::Announced { until, ending: true }, until.max(now) + set.give_up)
-            }
+            Phase::Announced { until, .. } if set.announce_end => (
+                Phase::Announced {
+                    until,
+                    ending: true,
+                },
+                until.max(now) + set.give_up,
+            ),
             Phase::Drained => (Phase::Closing, now + set.give_up),
             _ if set.announce_end && set.wait() > Duration::ZERO => {
                 let until = now + set.wait();
-                (Phase::Announced { until, ending: true }, until + set.give_up)
+                (
+                    Phase::Announced {
+                        until,
+                        ending: true,
+                    },
+                    until + set.give_up,
+                )
             }
             // A listener that is closed before the end refuses who still waits there.
-            _ => (Phase::Lingering { until: now + set.linger.min(set.give_up) }, now + set.give_up),
+            _ => (
+                Phase::Lingering {
+                    until: now + set.linger.min(set.give_up),
+                },
+                now + set.give_up,
+            ),
         };
         if self.phase == Phase::Serving {
             actions.push(Action::Announce);
@@ -204,7 +232,11 @@
         match self.phase {
             Phase::Announced { until, ending } if self.now >= until => {
                 self.stop_listening(actions);
-                self.phase = if ending { Phase::Closing } else { Phase::Drained };
+                self.phase = if ending {
+                    Phase::Closing
+                } else {
+                    Phase::Drained
+                };
             }
             Phase::Lingering { until } if self.now >= until => {
                 self.stop_listening(actions);
--- a/crates/drain/tests/exhaustive.rs
+++ b/crates/drain/tests/exhaustive.rs
@@ -129,8 +129,15 @@
         let mut all = Vec::new();
         for a in 1..=BALANCERS[0].0 {
             for b in 1..=BALANCERS[1].0 {
-                let watcher = |next| Watcher { next, down: 0, sends: true };
-                all.push(World { watchers: vec![watcher(a), watcher(b)], ..world.clone() });
+                let watcher = |next| Watcher {
+                    next,
+                    down: 0,
+                    sends: true,
+                };
+                all.push(World {
+                    watchers: vec![watcher(a), watcher(b)],
+                    ..world.clone()
+                });
             }
         }
         all
@@ -195,7 +202,11 @@
                     watcher.next -= 1;
                     if watcher.next == 0 {
                         watcher.next = *interval;
-                        watcher.down = if told { (watcher.down + 1).min(*fall) } else { 0 };
+                        watcher.down = if told {
+                            (watcher.down + 1).min(*fall)
+                        } else {
+                            0
+                        };
                         watcher.sends = watcher.down < *fall;
                     }
                 }
@@ -213,16 +224,27 @@
                 "no client that a balancer sends finds the door closed",
                 |model: &Self, world: &World| !model.announce_end || !world.closed_door,
             ),
-            Property::always("a drain stays told until it is undone", |_, world: &World| {
-                let phase = world.drain.phase();
-                world.told == (phase != Phase::Serving)
-            }),
+            Property::always(
+                "a drain stays told until it is undone",
+                |_, world: &World| {
+                    let phase = world.drain.phase();
+                    world.told == (phase != Phase::Serving)
+                },
+            ),
             Property::always("the door is open while it serves", |_, world: &World| {
-                world.listening || !matches!(world.drain.phase(), Phase::Serving | Phase::Announced { .. })
-            }),
-            Property::always("what has been told to end does not come back", |_, world: &World| {
-                !(world.undrained_after_end || world.terminated && world.drain.phase() == Phase::Serving)
+                world.listening
+                    || !matches!(
+                        world.drain.phase(),
+                        Phase::Serving | Phase::Announced { .. }
+                    )
             }),
+            Property::always(
+                "what has been told to end does not come back",
+                |_, world: &World| {
+                    !(world.undrained_after_end
+                        || world.terminated && world.drain.phase() == Phase::Serving)
+                },
+            ),
             Property::always("nothing is owed when it is over", |_, world: &World| {
                 !world.over || world.owed + world.waiting == 0
             }),
@@ -253,14 +275,29 @@
 
 #[test]
 fn with_balancers_told_first() {
-    let checker = Choreography { announce_end: true }.checker().threads(2).spawn_bfs().join();
+    let checker = Choreography { announce_end: true }
+        .checker()
+        .threads(2)
+        .spawn_bfs()
+        .join();
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{} states",
+        checker.unique_state_count()
+    );
 }
 
 #[test]
 fn as_the_platform_has_it() {
-    Choreography { announce_end: false }.checker().threads(2).spawn_bfs().join().assert_properties();
+    Choreography {
+        announce_end: false,
+    }
+    .checker()
+    .threads(2)
+    .spawn_bfs()
+    .join()
+    .assert_properties();
 }
 
 /// The check can fail: a proxy that waits for one check too few closes the door on clients.
@@ -274,7 +311,11 @@
             let mut worlds = self.0.init_states();
             for world in &mut worlds {
                 let settings = Settings {
-                    balancers: vec![Balancer { interval: TICK, fall: 2, timeout: Duration::ZERO }],
+                    balancers: vec![Balancer {
+                        interval: TICK,
+                        fall: 2,
+                        timeout: Duration::ZERO,
+                    }],
                     announce_end: true,
                     linger: TICK,
                     give_up: time(GIVE_UP),
@@ -290,9 +331,15 @@
             self.0.next_state(before, step)
         }
         fn properties(&self) -> Vec<Property<Self>> {
-            vec![Property::always("door", |_, world: &World| !world.closed_door)]
+            vec![Property::always("door", |_, world: &World| {
+                !world.closed_door
+            })]
         }
     }
-    let checker = Hasty(Choreography { announce_end: true }).checker().threads(2).spawn_bfs().join();
+    let checker = Hasty(Choreography { announce_end: true })
+        .checker()
+        .threads(2)
+        .spawn_bfs()
+        .join();
     assert!(checker.discovery("door").is_some());
 }
--- a/crates/engine/src/wheel.rs
+++ b/crates/engine/src/wheel.rs
@@ -29,7 +29,13 @@
 impl<E> Default for Wheel<E> {
     fn default() -> Wheel<E> {
         let slots = (0..LEVELS * SLOTS).map(|_| Vec::new()).collect();
-        Wheel { now: 0, slots, taken: [0; LEVELS], ready: VecDeque::new(), length: 0 }
+        Wheel {
+            now: 0,
+            slots,
+            taken: [0; LEVELS],
+            ready: VecDeque::new(),
+            length: 0,
+        }
     }
 }
 
--- a/crates/engine/tests/order.rs
+++ b/crates/engine/tests/order.rs
@@ -8,7 +8,13 @@
 use std::collections::BinaryHeap;
 
 fn time() -> impl Strategy<Value = u64> {
-    prop_oneof![0..200_u64, 0..1_000_000_u64, any::<u64>(), Just(u64::MAX), Just(0)]
+    prop_oneof![
+        0..200_u64,
+        0..1_000_000_u64,
+        any::<u64>(),
+        Just(u64::MAX),
+        Just(0)
+    ]
 }
 
 proptest! {
--- a/crates/grpc-health/src/lib.rs
+++ b/crates/grpc-health/src/lib.rs
@@ -59,10 +59,19 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let (publish, snapshots) = watch::channel(Arc::new(Snapshot::new()));
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_io()
+            .enable_time()
+            .build()?;
         let work = move || runtime.block_on(serve(listener, settings, snapshots));
-        let thread = std::thread::Builder::new().name("grpc-health".into()).spawn(work)?;
-        Ok(Server { publish, address, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("grpc-health".into())
+            .spawn(work)?;
+        Ok(Server {
+            publish,
+            address,
+            thread: Some(thread),
+        })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -100,7 +109,9 @@
     let places = Arc::new(Semaphore::new(settings.connections));
     let mut over = snapshots.clone();
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else { return };
+        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+            return;
+        };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             // The proxy's end is gone: watches hear the last word, if they are quick.
@@ -132,8 +143,12 @@
 async fn connection(stream: TcpStream, settings: Settings, snapshots: Snapshots) {
     _ = stream.set_nodelay(true);
     let mut builder = h2::server::Builder::new();
-    builder.max_concurrent_streams(STREAMS).max_header_list_size(4 << 10).initial_window_size(16 << 10);
-    let Ok(Ok(mut connection)) = timeout(settings.patience, builder.handshake::<_, Bytes>(stream)).await
+    builder
+        .max_concurrent_streams(STREAMS)
+        .max_header_list_size(4 << 10)
+        .initial_window_size(16 << 10);
+    let Ok(Ok(mut connection)) =
+        timeout(settings.patience, builder.handshake::<_, Bytes>(stream)).await
     else {
         return;
     };
@@ -147,7 +162,9 @@
                 return;
             }
         };
-        let Some(Ok((request, respond))) = call else { return };
+        let Some(Ok((request, respond))) = call else {
+            return;
+        };
         let snapshots = snapshots.clone();
         tokio::spawn(async move { call_of(request, respond, settings, snapshots).await });
     }
@@ -178,9 +195,12 @@
         },
         "/grpc.health.v1.Health/List" => {
             let known = Arc::clone(&snapshots.borrow());
-            let statuses =
-                known.iter().map(|(name, serves)| (name.clone(), CheckResponse::of(Some(*serves))));
-            let list = ListResponse { statuses: statuses.collect() };
+            let statuses = known
+                .iter()
+                .map(|(name, serves)| (name.clone(), CheckResponse::of(Some(*serves))));
+            let list = ListResponse {
+                statuses: statuses.collect(),
+            };
             answer(respond, &list);
         }
         "/grpc.health.v1.Health/Watch" => match CheckRequest::decode(message) {
@@ -225,7 +245,9 @@
 
 fn head() -> Response<()> {
     let mut response = Response::new(());
-    response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
+    response
+        .headers_mut()
+        .insert("content-type", HeaderValue::from_static("application/grpc"));
     response
 }
 
@@ -244,13 +266,17 @@
 
 fn answer(mut respond: SendResponse<Bytes>, message: &impl Message) {
     if let Ok(mut stream) = respond.send_response(head(), false) {
-        _ = stream.send_data(framed(message), false).and_then(|()| stream.send_trailers(trailers(OK)));
+        _ = stream
+            .send_data(framed(message), false)
+            .and_then(|()| stream.send_trailers(trailers(OK)));
     }
 }
 
 /// Tells the state now, and then every change, until the watcher goes. A service that is not there may yet come.
 async fn watch_service(mut respond: SendResponse<Bytes>, service: &str, mut snapshots: Snapshots) {
-    let Ok(mut stream) = respond.send_response(head(), false) else { return };
+    let Ok(mut stream) = respond.send_response(head(), false) else {
+        return;
+    };
     let mut told: Option<CheckResponse> = None;
     loop {
         let now = CheckResponse::of(snapshots.borrow_and_update().get(service).copied());
@@ -290,6 +316,8 @@
             Some(false) => Status::NotServing,
             None => Status::ServiceUnknown,
         };
-        CheckResponse { status: status.into() }
+        CheckResponse {
+            status: status.into(),
+        }
     }
 }
--- a/crates/grpc-health/tests/calls.rs
+++ b/crates/grpc-health/tests/calls.rs
@@ -13,19 +13,35 @@
 
 fn server() -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let server =
-        Server::start(listener, Settings { connections: 4, patience: Duration::from_secs(2) }).unwrap();
+    let server = Server::start(
+        listener,
+        Settings {
+            connections: 4,
+            patience: Duration::from_secs(2),
+        },
+    )
+    .unwrap();
     server.publish(snapshot(&[("", true), ("group/3", false)]));
     server
 }
 
 fn snapshot(services: &[(&str, bool)]) -> Snapshot {
-    services.iter().map(|(name, serves)| ((*name).to_owned(), *serves)).collect()
+    services
+        .iter()
+        .map(|(name, serves)| ((*name).to_owned(), *serves))
+        .collect()
 }
 
 fn run<T>(work: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(Duration::from_secs(20), work).await.expect("in time") })
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        tokio::time::timeout(Duration::from_secs(20), work)
+            .await
+            .expect("in time")
+    })
 }
 
 async fn client(server: &Server) -> SendRequest<Bytes> {
@@ -35,9 +51,17 @@
     send.ready().await.unwrap()
 }
 
-async fn call(client: &mut SendRequest<Bytes>, method: &str, body: Bytes) -> (HeaderMap, RecvStream) {
+async fn call(
+    client: &mut SendRequest<Bytes>,
+    method: &str,
+    body: Bytes,
+) -> (HeaderMap, RecvStream) {
     let uri = format!("http://x/grpc.health.v1.Health/{method}");
-    let request = Request::builder().method(Method::POST).uri(uri).body(()).unwrap();
+    let request = Request::builder()
+        .method(Method::POST)
+        .uri(uri)
+        .body(())
+        .unwrap();
     let (response, mut stream) = client.send_request(request, false).unwrap();
     stream.send_data(body, true).unwrap();
     let (head, body) = response.await.unwrap().into_parts();
@@ -45,7 +69,9 @@
 }
 
 fn code(headers: &HeaderMap) -> Option<u32> {
-    headers.get("grpc-status").map(|v| v.to_str().unwrap().parse().unwrap())
+    headers
+        .get("grpc-status")
+        .map(|v| v.to_str().unwrap().parse().unwrap())
 }
 
 /// The next message of a call, if there is one.
@@ -65,12 +91,16 @@
 }
 
 fn asked(service: &str) -> Bytes {
-    framed(&CheckRequest { service: service.into() })
+    framed(&CheckRequest {
+        service: service.into(),
+    })
 }
 
 async fn check(client: &mut SendRequest<Bytes>, service: &str) -> Result<Status, Option<u32>> {
     let (head, mut body) = call(client, "Check", asked(service)).await;
-    let Some(bytes) = message(&mut body, &mut BytesMut::new()).await else { return Err(code(&head)) };
+    let Some(bytes) = message(&mut body, &mut BytesMut::new()).await else {
+        return Err(code(&head));
+    };
     assert_eq!(code(&body.trailers().await.unwrap().unwrap()), Some(0));
     Ok(CheckResponse::decode(bytes).unwrap().status())
 }
@@ -82,9 +112,14 @@
         let mut client = client(&server).await;
         assert_eq!(check(&mut client, "").await, Ok(Status::Serving));
         assert_eq!(check(&mut client, "group/3").await, Ok(Status::NotServing));
-        assert_eq!(check(&mut client, "group/4").await, Err(Some(5)), "NOT_FOUND");
+        assert_eq!(
+            check(&mut client, "group/4").await,
+            Err(Some(5)),
+            "NOT_FOUND"
+        );
         let (_, mut body) = call(&mut client, "List", framed(&CheckRequest::default())).await;
-        let list = ListResponse::decode(message(&mut body, &mut BytesMut::new()).await.unwrap()).unwrap();
+        let list =
+            ListResponse::decode(message(&mut body, &mut BytesMut::new()).await.unwrap()).unwrap();
         assert_eq!(list.statuses.len(), 2);
         assert_eq!(list.statuses["group/3"].status(), Status::NotServing);
     });
@@ -138,7 +173,9 @@
 #[test]
 fn silent_connections_make_place() {
     let server = server();
-    let silent: Vec<_> = (0..8).map(|_| std::net::TcpStream::connect(server.address()).unwrap()).collect();
+    let silent: Vec<_> = (0..8)
+        .map(|_| std::net::TcpStream::connect(server.address()).unwrap())
+        .collect();
     run(async {
         let mut client = client(&server).await;
         assert_eq!(check(&mut client, "").await, Ok(Status::Serving));
--- a/crates/incidents/src/balancer.rs
+++ b/crates/incidents/src/balancer.rs
@@ -63,7 +63,10 @@
             bad: 0,
             next: set.interval * at as u32 / servers as u32,
         };
-        Balancer { set, servers: (0..servers).map(server).collect() }
+        Balancer {
+            set,
+            servers: (0..servers).map(server).collect(),
+        }
     }
 
     pub fn due(&self, server: usize, now: Time) -> bool {
@@ -100,36 +103,70 @@
     }
 
     pub fn belief(&self, at: usize) -> Belief {
-        let Server { up, drained, maint, weight, .. } = self.servers[at];
-        Belief { up: up && !maint, drained, weight }
+        let Server {
+            up,
+            drained,
+            maint,
+            weight,
+            ..
+        } = self.servers[at];
+        Belief {
+            up: up && !maint,
+            drained,
+            weight,
+        }
     }
 
     /// The part of its traffic that each server gets.
     pub fn shares(&self) -> Vec<f64> {
         let weights: Vec<f64> = (0..self.servers.len())
             .map(|at| match self.belief(at) {
-                Belief { up: true, drained: false, weight } => f64::from(weight),
+                Belief {
+                    up: true,
+                    drained: false,
+                    weight,
+                } => f64::from(weight),
                 _ => 0.0,
             })
             .collect();
         let sum: f64 = weights.iter().sum();
-        weights.iter().map(|w| if sum > 0.0 { w / sum } else { 0.0 }).collect()
+        weights
+            .iter()
+            .map(|w| if sum > 0.0 { w / sum } else { 0.0 })
+            .collect()
     }
 }
 
 /// What the real codec answers, as far as a balancer reads it.
 fn code(status: &Status, drain_is_404: bool) -> u16 {
     let request = b"GET /readyz HTTP/1.1\r\nConnection: close\r\n\r\n";
-    let Ok(Some((check, _))) = http::parse(request) else { return 0 };
-    let statuses = if drain_is_404 { Statuses::DrainIs404 } else { Statuses::Plain };
+    let Ok(Some((check, _))) = http::parse(request) else {
+        return 0;
+    };
+    let statuses = if drain_is_404 {
+        Statuses::DrainIs404
+    } else {
+        Statuses::Plain
+    };
     let answer = http::answer(&check, status, statuses);
     let text = String::from_utf8_lossy(&answer);
-    text.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+    text.split(' ')
+        .nth(1)
+        .and_then(|code| code.parse().ok())
+        .unwrap_or(0)
 }
 
 impl Server {
     pub fn new() -> Server {
-        Server { up: true, drained: false, maint: false, weight: 100, good: 0, bad: 0, next: Time::ZERO }
+        Server {
+            up: true,
+            drained: false,
+            maint: false,
+            weight: 100,
+            good: 0,
+            bad: 0,
+            next: Time::ZERO,
+        }
     }
 
     fn counted(&mut self, good: bool, set: Settings) {
--- a/crates/incidents/src/main.rs
+++ b/crates/incidents/src/main.rs
@@ -6,7 +6,10 @@
 
 fn main() -> ExitCode {
     let mut arguments = std::env::args().skip(1);
-    let (folder, seed) = (arguments.next(), arguments.next().map_or(Ok(1), |s| s.parse()));
+    let (folder, seed) = (
+        arguments.next(),
+        arguments.next().map_or(Ok(1), |s| s.parse()),
+    );
     let (Some(folder), Ok(seed)) = (folder, seed) else {
         eprintln!("usage: incidents FOLDER [SEED]");
         return ExitCode::from(2);
@@ -48,11 +51,24 @@
             outcome.nowhere,
             outcome.closed_door,
         ));
-        std::fs::write(folder.join(format!("{}.svg", incident.name)), chart::svg(&incident, &outcome)?)?;
-        let mut rows: Vec<(std::time::Duration, usize, String)> =
-            outcome.told.iter().map(|t| (t.at, t.proxy, t.state.name().to_owned())).collect();
-        let link = |place: u16, link: availability::Link| format!("link to building {place} {}", link.name());
-        rows.extend(outcome.links.iter().map(|(at, proxy, place, l)| (*at, *proxy, link(*place, *l))));
+        std::fs::write(
+            folder.join(format!("{}.svg", incident.name)),
+            chart::svg(&incident, &outcome)?,
+        )?;
+        let mut rows: Vec<(std::time::Duration, usize, String)> = outcome
+            .told
+            .iter()
+            .map(|t| (t.at, t.proxy, t.state.name().to_owned()))
+            .collect();
+        let link = |place: u16, link: availability::Link| {
+            format!("link to building {place} {}", link.name())
+        };
+        rows.extend(
+            outcome
+                .links
+                .iter()
+                .map(|(at, proxy, place, l)| (*at, *proxy, link(*place, *l))),
+        );
         rows.sort();
         let mut lines = String::from("seconds,proxy,state\n");
         for (at, proxy, what) in rows {
@@ -60,7 +76,9 @@
         }
         std::fs::write(folder.join(format!("{}.csv", incident.name)), lines)?;
     }
-    table.push_str("\nEach incident's changes of state, with their times: the `.csv` beside its chart.\n");
+    table.push_str(
+        "\nEach incident's changes of state, with their times: the `.csv` beside its chart.\n",
+    );
     std::fs::write(folder.join("README.md"), table)?;
     Ok(())
 }
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -106,7 +106,15 @@
         let mut model = Availability::new(availability::Settings::default(), Time::ZERO);
         for server in 0..world.servers() {
             let (place, group) = (world.place(server), world.group(server));
-            model.handle(Time::ZERO, Event::Listed { server, place, group, there: true });
+            model.handle(
+                Time::ZERO,
+                Event::Listed {
+                    server,
+                    place,
+                    group,
+                    there: true,
+                },
+            );
         }
         model.handle(Time::ZERO, Event::Started);
         let balancers = incident.balancers.iter().map(|b| drain::Balancer {
@@ -148,19 +156,34 @@
     }
 
     /// A request, sent once: a write to the primary, a read to a member that does not rest.
-    fn ask(&mut self, own: usize, group: u32, number: u64, world: &World, now: Time, rng: &mut StdRng) {
+    fn ask(
+        &mut self,
+        own: usize,
+        group: u32,
+        number: u64,
+        world: &World,
+        now: Time,
+        rng: &mut StdRng,
+    ) {
         self.open += 1;
         self.model.handle(now, Event::Asked { group });
         let write = rng.random_bool(WRITES);
         let members = world.members(group);
-        let rested: Vec<u32> = members.clone().filter(|m| self.rests[*m as usize] <= now).collect();
+        let rested: Vec<u32> = members
+            .clone()
+            .filter(|m| self.rests[*m as usize] <= now)
+            .collect();
         let picked = rng.random_range(0..1_000_usize);
         let any = if rested.is_empty() {
             members.start + picked as u32 % (members.end - members.start)
         } else {
             rested[picked % rested.len()]
         };
-        let server = if write { world.primary(group).unwrap_or(any) } else { any };
+        let server = if write {
+            world.primary(group).unwrap_or(any)
+        } else {
+            any
+        };
         // Run times scatter: the sum of two uniform parts.
         let scatter = 0.4 + 0.6 * (rng.random::<f64>() + rng.random::<f64>());
         let (end, took) = match world.reach(own, server) {
@@ -172,12 +195,15 @@
             Reach::Servers(Servers::Answer(slower)) if write => {
                 (End::Wrote, USUAL.mul_f64(slower * scatter * 2.0))
             }
-            Reach::Servers(Servers::Answer(slower)) => (End::Answered, USUAL.mul_f64(slower * scatter)),
+            Reach::Servers(Servers::Answer(slower)) => {
+                (End::Answered, USUAL.mul_f64(slower * scatter))
+            }
             Reach::Servers(Servers::NoPrimary) => (End::Answered, USUAL.mul_f64(scatter)),
         };
         self.model.handle(now, Event::Sent { group });
         self.model.handle(now, Event::Asks { server });
-        self.out.push(Reverse((now + took, number, server, end, took)));
+        self.out
+            .push(Reverse((now + took, number, server, end, took)));
     }
 
     /// Answers and time; how many were served.
@@ -192,11 +218,23 @@
             let group = world.group(server);
             let late = now.saturating_sub(at);
             if matches!(end, End::Wrote | End::Away) {
-                self.model.handle(now, Event::Wrote { group, served: end == End::Wrote });
+                self.model.handle(
+                    now,
+                    Event::Wrote {
+                        group,
+                        served: end == End::Wrote,
+                    },
+                );
             }
             let (how, answer) = match end {
                 End::Answered | End::Wrote => (Ended::Answered, Event::Served { group }),
-                End::Away => (Ended::TurnedAway, Event::Refused { group, cause: Cause::Servers }),
+                End::Away => (
+                    Ended::TurnedAway,
+                    Event::Refused {
+                        group,
+                        cause: Cause::Servers,
+                    },
+                ),
                 End::Refused | End::Silent => (Ended::Broken, Event::Failed { group }),
             };
             served += u64::from(how == Ended::Answered);
@@ -205,10 +243,30 @@
             } else {
                 let position = Some(world.position(server, now));
                 let primary = Some(world.primary(group) == Some(server));
-                self.model.handle(now, Event::Told { server, position, primary });
+                self.model.handle(
+                    now,
+                    Event::Told {
+                        server,
+                        position,
+                        primary,
+                    },
+                );
             }
-            self.model.handle(now, Event::Over { server, word: end != End::Silent });
-            self.model.handle(now, Event::Ended { group, how, elapsed: elapsed + late });
+            self.model.handle(
+                now,
+                Event::Over {
+                    server,
+                    word: end != End::Silent,
+                },
+            );
+            self.model.handle(
+                now,
+                Event::Ended {
+                    group,
+                    how,
+                    elapsed: elapsed + late,
+                },
+            );
             self.model.handle(now, answer);
         }
         if now.as_nanos().is_multiple_of(LIST.as_nanos()) {
@@ -225,7 +283,15 @@
         if now.as_millis().is_multiple_of(100) {
             let descriptors = (f64::from(self.open) / DESCRIPTORS + self.crowd).min(1.0);
             let open = f64::from(self.open) / DESCRIPTORS;
-            self.model.handle(now, Event::Load(Load { lag: self.lag, open, descriptors, memory: 0.2 }));
+            self.model.handle(
+                now,
+                Event::Load(Load {
+                    lag: self.lag,
+                    open,
+                    descriptors,
+                    memory: 0.2,
+                }),
+            );
             self.drain(drain::Event::Tick, now);
         }
         served
@@ -236,11 +302,19 @@
 pub fn play(incident: &Incident, seed: u64) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::new(incident.groups, incident.proxies);
-    let mut proxies: Vec<Proxy> = (0..incident.proxies).map(|_| Proxy::new(incident, &world)).collect();
-    let mut balancers: Vec<Balancer> =
-        incident.balancers.iter().map(|set| Balancer::new(*set, incident.proxies)).collect();
+    let mut proxies: Vec<Proxy> = (0..incident.proxies)
+        .map(|_| Proxy::new(incident, &world))
+        .collect();
+    let mut balancers: Vec<Balancer> = incident
+        .balancers
+        .iter()
+        .map(|set| Balancer::new(*set, incident.proxies))
+        .collect();
     let mut demand = 1.0;
-    let mut outcome = Outcome { least_sum: 100 * incident.proxies as u32, ..Outcome::default() };
+    let mut outcome = Outcome {
+        least_sum: 100 * incident.proxies as u32,
+        ..Outcome::default()
+    };
     let mut states: Vec<State> = proxies.iter().map(|p| p.model.report().state).collect();
     let mut told_by = vec![false; incident.proxies];
     let (mut now, mut next_change, mut owed, mut number) = (Time::ZERO, 0, 0.0, 0);
@@ -255,7 +329,15 @@
         for (server, there) in world.step(now) {
             let (place, group) = (world.place(server), world.group(server));
             for proxy in &mut proxies {
-                proxy.model.handle(now, Event::Listed { server, place, group, there });
+                proxy.model.handle(
+                    now,
+                    Event::Listed {
+                        server,
+                        place,
+                        group,
+                        there,
+                    },
+                );
             }
         }
         // Requests come by each balancer in turn, and by its shares.
@@ -290,11 +372,18 @@
             }
             let state = proxy.model.report().state;
             if std::mem::discriminant(&state) != std::mem::discriminant(&states[at]) {
-                outcome.told.push(Told { at: now, proxy: at, state });
+                outcome.told.push(Told {
+                    at: now,
+                    proxy: at,
+                    state,
+                });
             }
             states[at] = state;
             // The trouble is told by another state, by a group's condition, or by how a link stands.
-            let sick = proxy.model.groups().any(|(_, g)| g.condition != Condition::Serving)
+            let sick = proxy
+                .model
+                .groups()
+                .any(|(_, g)| g.condition != Condition::Serving)
                 || proxy.links.iter().any(|link| *link != Link::Up);
             if now >= incident.trouble.0 && !told_by[at] && (state != State::Ready || sick) {
                 told_by[at] = true;
@@ -319,11 +408,16 @@
             }
         }
         let weights: Vec<u8> = proxies.iter().map(|p| p.model.report().weight).collect();
-        let kept = weights.iter().enumerate().filter(|(at, _)| !incident.may_be_out.contains(at));
+        let kept = weights
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| !incident.may_be_out.contains(at));
         let sum: u32 = kept.map(|(_, w)| u32::from(*w)).sum();
         outcome.least_sum = outcome.least_sum.min(sum);
         if now.as_millis().is_multiple_of(100) {
-            let beliefs = balancers.iter().map(|b| (0..proxies.len()).map(|at| b.belief(at)).collect());
+            let beliefs = balancers
+                .iter()
+                .map(|b| (0..proxies.len()).map(|at| b.belief(at)).collect());
             outcome.samples.push(Sample {
                 at: now,
                 states: states.clone(),
@@ -359,11 +453,26 @@
 
 fn flaps(told: &[Told], proxies: usize) -> usize {
     let minute = Duration::from_secs(60);
-    let of = |proxy: usize| -> Vec<Time> { told.iter().filter(|t| t.proxy == proxy).map(|t| t.at).collect() };
+    let of = |proxy: usize| -> Vec<Time> {
+        told.iter()
+            .filter(|t| t.proxy == proxy)
+            .map(|t| t.at)
+            .collect()
+    };
     let worst = |times: &[Time]| {
-        (0..times.len()).map(|at| times[at..].iter().take_while(|t| **t - times[at] < minute).count()).max()
+        (0..times.len())
+            .map(|at| {
+                times[at..]
+                    .iter()
+                    .take_while(|t| **t - times[at] < minute)
+                    .count()
+            })
+            .max()
     };
-    (0..proxies).filter_map(|proxy| worst(&of(proxy))).max().unwrap_or(0)
+    (0..proxies)
+        .filter_map(|proxy| worst(&of(proxy)))
+        .max()
+        .unwrap_or(0)
 }
 
 /// As the proxy puts the model into the codecs' words.
--- a/crates/incidents/src/world.rs
+++ b/crates/incidents/src/world.rs
@@ -87,7 +87,9 @@
     }
 
     pub fn primary(&self, group: u32) -> Option<u32> {
-        self.groups[group as usize].primary.filter(|_| self.writes(group))
+        self.groups[group as usize]
+            .primary
+            .filter(|_| self.writes(group))
     }
 
     /// Whether somebody adds to the group's log.
@@ -101,7 +103,9 @@
         let Some(primary) = group.primary.filter(|_| self.writes(self.group(server))) else {
             return group.stands;
         };
-        let parted = self.apart.filter(|_| self.place(primary) != self.place(server));
+        let parted = self
+            .apart
+            .filter(|_| self.place(primary) != self.place(server));
         if primary == server {
             now
         } else {
@@ -159,6 +163,8 @@
         }
         let (due, later): (Vec<_>, Vec<_>) = self.list.drain(..).partition(|(at, ..)| *at <= now);
         self.list = later;
-        due.into_iter().map(|(_, server, there)| (server, there)).collect()
+        due.into_iter()
+            .map(|(_, server, there)| (server, there))
+            .collect()
     }
 }
--- a/crates/incidents/tests/incidents.rs
+++ b/crates/incidents/tests/incidents.rs
@@ -31,7 +31,11 @@
         let incident = incident(name);
         let counted = incident.proxies - incident.may_be_out.len();
         for outcome in seeds(&incident) {
-            assert!(outcome.least_sum >= 50 * counted as u32, "{name}: {}", outcome.least_sum);
+            assert!(
+                outcome.least_sum >= 50 * counted as u32,
+                "{name}: {}",
+                outcome.least_sum
+            );
         }
     }
 }
@@ -40,7 +44,11 @@
 fn a_group_that_hangs_or_dies_shows_within_a_second() {
     for name in ["group-hung", "group-dead", "all-dead"] {
         for outcome in seeds(&incident(name)) {
-            assert!(outcome.last_told <= Some(Duration::from_secs(1)), "{name}: {:?}", outcome.last_told);
+            assert!(
+                outcome.last_told <= Some(Duration::from_secs(1)),
+                "{name}: {:?}",
+                outcome.last_told
+            );
             // The other groups' traffic goes on: three of four, and the time before and after.
             if name != "all-dead" {
                 assert!(
@@ -60,7 +68,11 @@
     for name in ["two-intervals", "drain-in-overload"] {
         for outcome in seeds(&incident(name)) {
             assert_eq!(outcome.closed_door, 0, "{name}");
-            assert!(outcome.first_told <= Some(Duration::from_millis(5)), "{name}: {:?}", outcome.first_told);
+            assert!(
+                outcome.first_told <= Some(Duration::from_millis(5)),
+                "{name}: {:?}",
+                outcome.first_told
+            );
         }
     }
 }
@@ -69,7 +81,12 @@
 fn states_do_not_flap() {
     for incident in all() {
         for outcome in seeds(&incident) {
-            assert!(outcome.flaps <= 12, "{}: {} changes in a minute", incident.name, outcome.flaps);
+            assert!(
+                outcome.flaps <= 12,
+                "{}: {} changes in a minute",
+                incident.name,
+                outcome.flaps
+            );
         }
     }
 }
@@ -85,9 +102,17 @@
 #[test]
 fn own_trouble_is_told_by_its_proxy_alone() {
     for outcome in seeds(&incident("own-loop-late")) {
-        let middle = outcome.samples.iter().find(|s| s.at == Duration::from_secs(45)).unwrap();
+        let middle = outcome
+            .samples
+            .iter()
+            .find(|s| s.at == Duration::from_secs(45))
+            .unwrap();
         assert!(middle.weights[0] <= 10, "{:?}", middle.weights);
-        assert!(middle.weights[1..].iter().all(|w| *w == 100), "{:?}", middle.weights);
+        assert!(
+            middle.weights[1..].iter().all(|w| *w == 100),
+            "{:?}",
+            middle.weights
+        );
         let last = outcome.samples.last().unwrap();
         assert!(last.weights.iter().all(|w| *w == 100), "{:?}", last.weights);
     }
@@ -125,25 +150,55 @@
     let incident = incident("link-cut");
     for outcome in seeds(&incident) {
         assert!(
-            outcome.links.iter().all(|(_, proxy, place, _)| (*proxy, *place) == (0, 1)),
+            outcome
+                .links
+                .iter()
+                .all(|(_, proxy, place, _)| (*proxy, *place) == (0, 1)),
             "{:?}",
             outcome.links
         );
-        let when = |link| outcome.links.iter().find(|(.., l)| *l == link).map(|(at, ..)| *at);
+        let when = |link| {
+            outcome
+                .links
+                .iter()
+                .find(|(.., l)| *l == link)
+                .map(|(at, ..)| *at)
+        };
         let cut = when(Link::Cut).unwrap() - incident.trouble.0;
         assert!(cut <= Duration::from_millis(1_500), "{cut:?}");
         let up = when(Link::Up).unwrap();
-        assert!((incident.trouble.1..incident.trouble.1 + Duration::from_secs(3)).contains(&up), "{up:?}");
-        let middle = outcome.samples.iter().find(|s| s.at == Duration::from_secs(45)).unwrap();
-        assert!((25..=75).contains(&middle.weights[0]), "{:?}", middle.weights);
-        assert!(middle.weights[1..].iter().all(|w| *w == 100), "{:?}", middle.weights);
+        assert!(
+            (incident.trouble.1..incident.trouble.1 + Duration::from_secs(3)).contains(&up),
+            "{up:?}"
+        );
+        let middle = outcome
+            .samples
+            .iter()
+            .find(|s| s.at == Duration::from_secs(45))
+            .unwrap();
+        assert!(
+            (25..=75).contains(&middle.weights[0]),
+            "{:?}",
+            middle.weights
+        );
+        assert!(
+            middle.weights[1..].iter().all(|w| *w == 100),
+            "{:?}",
+            middle.weights
+        );
     }
 }
 
 /// Servers that are dead or hang are nobody's own trouble.
 #[test]
 fn a_building_that_dies_or_hangs_is_no_cut_link() {
-    for name in ["building-dies", "building-hung", "all-dead", "all-slow", "group-hung"] {
+    for name in [
+        "building-dies",
+        "building-hung",
+        "all-dead",
+        "all-slow",
+        "group-hung",
+    ] {
         for outcome in seeds(&incident(name)) {
             assert!(
                 !outcome.links.iter().any(|(.., link)| *link == Link::Cut),
@@ -151,8 +206,17 @@
                 outcome.links
             );
             assert!(outcome.least_sum >= 150, "{name}: {}", outcome.least_sum);
-            let dead = outcome.links.iter().filter(|(.., link)| *link == Link::Gone).count();
-            assert_eq!(dead, if name == "building-dies" { 3 } else { 0 }, "{name}: {:?}", outcome.links);
+            let dead = outcome
+                .links
+                .iter()
+                .filter(|(.., link)| *link == Link::Gone)
+                .count();
+            assert_eq!(
+                dead,
+                if name == "building-dies" { 3 } else { 0 },
+                "{name}: {:?}",
+                outcome.links
+            );
         }
     }
 }
@@ -163,9 +227,16 @@
     let incident = incident("buildings-apart");
     for outcome in seeds(&incident) {
         for proxy in 0..3 {
-            let cut = outcome.links.iter().find(|(_, p, _, link)| (*p, *link) == (proxy, Link::Cut)).unwrap();
+            let cut = outcome
+                .links
+                .iter()
+                .find(|(_, p, _, link)| (*p, *link) == (proxy, Link::Cut))
+                .unwrap();
             let after = cut.0 - incident.trouble.0;
-            assert!((Duration::from_secs(10)..Duration::from_secs(14)).contains(&after), "{after:?}");
+            assert!(
+                (Duration::from_secs(10)..Duration::from_secs(14)).contains(&after),
+                "{after:?}"
+            );
         }
         assert!(outcome.least_sum >= 75, "{}", outcome.least_sum);
         assert_eq!(outcome.samples.last().unwrap().weights, vec![100; 3]);
--- a/crates/ledger/src/cold.rs
+++ b/crates/ledger/src/cold.rs
@@ -114,7 +114,13 @@
 
 impl Checker {
     pub fn new(bounds: Bounds, mean_work: f64) -> Checker {
-        Checker { bounds, mean_work, starts: BTreeMap::new(), told: FxHashMap::default(), breaches: 0 }
+        Checker {
+            bounds,
+            mean_work,
+            starts: BTreeMap::new(),
+            told: FxHashMap::default(),
+            breaches: 0,
+        }
     }
 
     pub fn told(&mut self, proxy: usize, server: ServerId, started: Micros) {
@@ -125,12 +131,26 @@
     }
 
     /// A request has reached a server that runs since `started`; 0: since long ago.
-    pub fn got(&mut self, now: Micros, proxy: usize, server: ServerId, started: Micros, work: Micros) {
+    pub fn got(
+        &mut self,
+        now: Micros,
+        proxy: usize,
+        server: ServerId,
+        started: Micros,
+        work: Micros,
+    ) {
         self.count(now, proxy, server, started, work, true);
     }
 
     /// The same of a probe or a new connection: its work counts, and it is no request.
-    pub fn got_chore(&mut self, now: Micros, proxy: usize, server: ServerId, started: Micros, work: Micros) {
+    pub fn got_chore(
+        &mut self,
+        now: Micros,
+        proxy: usize,
+        server: ServerId,
+        started: Micros,
+        work: Micros,
+    ) {
         self.count(now, proxy, server, started, work, false);
     }
 
@@ -144,14 +164,29 @@
         request: bool,
     ) {
         let age = now.saturating_sub(started);
-        let Some(allowed) = self.bounds.allowed(age).filter(|_| started > 0) else { return };
-        let told = self.told.get(&(proxy, server)).is_some_and(|at| *at >= started);
+        let Some(allowed) = self.bounds.allowed(age).filter(|_| started > 0) else {
+            return;
+        };
+        let told = self
+            .told
+            .get(&(proxy, server))
+            .is_some_and(|at| *at >= started);
         let start = self.starts.entry((server, started)).or_default();
-        start.recent.push_back(Came { at: now, work, proxy, told, request });
+        start.recent.push_back(Came {
+            at: now,
+            work,
+            proxy,
+            told,
+            request,
+        });
         start.requests += u64::from(request);
         start.work += work;
         start.told += if told { work } else { 0 };
-        while let Some(old) = start.recent.front().filter(|old| old.at + self.bounds.window <= now) {
+        while let Some(old) = start
+            .recent
+            .front()
+            .filter(|old| old.at + self.bounds.window <= now)
+        {
             start.work -= old.work;
             start.told -= if old.told { old.work } else { 0 };
             start.requests -= u64::from(old.request);
@@ -169,12 +204,18 @@
         };
         let former = start.told_peak.map_or(0.0, |former| former.ratio());
         if peak.mostly_told() && peak.ratio() > former {
-            start.told_peak = Some(Peak { proxies: proxies_of(&start.recent), ..peak });
+            start.told_peak = Some(Peak {
+                proxies: proxies_of(&start.recent),
+                ..peak
+            });
         }
         let former = start.peak.ratio();
         if peak.ratio() > former {
             self.breaches += u64::from(peak.ratio() > 1.0 && former <= 1.0);
-            start.peak = Peak { proxies: proxies_of(&start.recent), ..peak };
+            start.peak = Peak {
+                proxies: proxies_of(&start.recent),
+                ..peak
+            };
         }
     }
 
@@ -185,10 +226,17 @@
     /// One for each start that had a time in which it got something and over two thirds came from proxies that had been
     /// told, by server and start.
     pub fn told_peaks(&self) -> Vec<Peak> {
-        self.starts.values().filter_map(|start| start.told_peak).collect()
+        self.starts
+            .values()
+            .filter_map(|start| start.told_peak)
+            .collect()
     }
 }
 
 fn proxies_of(recent: &VecDeque<Came>) -> u64 {
-    recent.iter().map(|came| came.proxy).collect::<BTreeSet<_>>().len() as u64
+    recent
+        .iter()
+        .map(|came| came.proxy)
+        .collect::<BTreeSet<_>>()
+        .len() as u64
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -123,7 +123,10 @@
 
 impl<B> Default for Breaches<B> {
     fn default() -> Breaches<B> {
-        Breaches { count: 0, first: Vec::new() }
+        Breaches {
+            count: 0,
+            first: Vec::new(),
+        }
     }
 }
 
@@ -141,7 +144,11 @@
 
 impl Checker {
     pub fn new(try_limit: u16, drain_grace: Micros) -> Checker {
-        Checker { try_limit, drain_grace, ..Checker::default() }
+        Checker {
+            try_limit,
+            drain_grace,
+            ..Checker::default()
+        }
     }
 
     pub fn breaks(&mut self, rule: Rule) {
@@ -168,11 +175,29 @@
         self.last = self.last.max(id);
         let (attempts, out) = (0, 0);
         let (may_have_run, since, answered) = (false, None, false);
-        let new = Try { request, repeat, proxy, deadline, attempts, out, may_have_run, since, answered };
+        let new = Try {
+            request,
+            repeat,
+            proxy,
+            deadline,
+            attempts,
+            out,
+            may_have_run,
+            since,
+            answered,
+        };
         self.open.insert(id, new);
         if write {
             let once = repeat == Repeat::Never;
-            self.writes.insert(id, Write { request, once, refused: false, applied: false });
+            self.writes.insert(
+                id,
+                Write {
+                    request,
+                    once,
+                    refused: false,
+                    applied: false,
+                },
+            );
         }
     }
 
@@ -191,7 +216,9 @@
     }
 
     pub fn sends(&mut self, id: TryId, server: ServerId, now: Micros) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let again = open.may_have_run || open.out > 0;
         let repeats = again
             && match open.repeat {
@@ -203,10 +230,15 @@
         open.out += 1;
         open.since.get_or_insert(now);
         let beyond = self.try_limit > 0 && open.attempts > self.try_limit;
-        let late = self.leaving.get(&(open.proxy, server)).is_some_and(|at| now > at + self.drain_grace);
-        for (broken, rule) in
-            [(repeats, Rule::Repeated), (beyond, Rule::TooManyAttempts), (late, Rule::Drained)]
-        {
+        let late = self
+            .leaving
+            .get(&(open.proxy, server))
+            .is_some_and(|at| now > at + self.drain_grace);
+        for (broken, rule) in [
+            (repeats, Rule::Repeated),
+            (beyond, Rule::TooManyAttempts),
+            (late, Rule::Drained),
+        ] {
             if broken {
                 self.found(rule, id, now);
             }
@@ -214,7 +246,9 @@
     }
 
     pub fn ends(&mut self, id: TryId, outcome: Outcome) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.out = open.out.saturating_sub(1);
         open.may_have_run |= matches!(
             outcome,
@@ -229,7 +263,15 @@
         let Some(open) = self.open.get_mut(&id) else {
             // Its numbers rise: what was asked and is no longer open has been answered, or its client has left.
             let known = (1..=self.last).contains(&id);
-            return self.found(if known { Rule::AnsweredTwice } else { Rule::Lost }, id, now);
+            return self.found(
+                if known {
+                    Rule::AnsweredTwice
+                } else {
+                    Rule::Lost
+                },
+                id,
+                now,
+            );
         };
         open.answered = true;
         let late = now > open.deadline + GRACE;
@@ -252,9 +294,16 @@
 
     /// A try of a write took effect.
     pub fn applied(&mut self, id: TryId) {
-        let Some(write) = self.writes.get_mut(&id) else { return };
+        let Some(write) = self.writes.get_mut(&id) else {
+            return;
+        };
         write.applied = true;
-        let Write { request, once, refused, .. } = *write;
+        let Write {
+            request,
+            once,
+            refused,
+            ..
+        } = *write;
         let effect = self.effects.entry(request).or_default();
         effect.applied += 1;
         if once && effect.applied > 1 {
@@ -291,7 +340,11 @@
         if self.asked != self.answered + self.left + self.gone + open {
             self.breaks(Rule::Lost);
         }
-        let phantoms = self.effects.values().filter(|e| e.served && e.applied == 0).count() as u64;
+        let phantoms = self
+            .effects
+            .values()
+            .filter(|e| e.served && e.applied == 0)
+            .count() as u64;
         if phantoms > 0 {
             *self.broken.entry(Rule::Phantom).or_default() += phantoms;
         }
--- a/crates/ledger/src/loans.rs
+++ b/crates/ledger/src/loans.rs
@@ -23,13 +23,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Breach {
     #[error("{proxy} on {stand}: lent is not repaid, owed and written off together in {book:?}")]
-    Unbalanced { proxy: String, stand: String, book: Book },
+    Unbalanced {
+        proxy: String,
+        stand: String,
+        book: Book,
+    },
     #[error(
         "{stand} owes at least {owed} thousandths of a request over all proxies, beyond the line of {line}"
     )]
     LinePassed { stand: String, owed: u64, line: u64 },
     #[error("{proxy} on {stand}: a count shrank from {was:?} to {is:?}")]
-    Backwards { proxy: String, stand: String, was: Book, is: Book },
+    Backwards {
+        proxy: String,
+        stand: String,
+        was: Book,
+        is: Book,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -85,7 +94,10 @@
 
 fn least(base: &Book, before: &Book, after: &Book) -> u64 {
     let back = |book: &Book| book.repaid.saturating_add(book.written_off);
-    before.lent.saturating_sub(base.lent).saturating_sub(back(after).saturating_sub(back(base)))
+    before
+        .lent
+        .saturating_sub(base.lent)
+        .saturating_sub(back(after).saturating_sub(back(base)))
 }
 
 #[derive(Clone, Debug, Default)]
@@ -116,13 +128,21 @@
     /// largest binds. None: some can't hear the others, and the largest binds always.
     pub fn new(settle: Option<u32>) -> Checker {
         let (books, lines) = (BTreeMap::new(), BTreeMap::new());
-        Checker { settle, books, lines, broken: Breaches::default() }
+        Checker {
+            settle,
+            books,
+            lines,
+            broken: Breaches::default(),
+        }
     }
 
     /// `start`: a number of the process that differs from that of any other start of the proxy.
     pub fn look(&mut self, proxy: &str, start: u64, stand: &str, book: Book) {
         let named = || (proxy.to_owned(), stand.to_owned());
-        let sum = [book.repaid, book.owed, book.written_off].map(u128::from).iter().sum();
+        let sum = [book.repaid, book.owed, book.written_off]
+            .map(u128::from)
+            .iter()
+            .sum();
         if u128::from(book.lent) != sum {
             let (proxy, stand) = named();
             self.broken.add(Breach::Unbalanced { proxy, stand, book });
@@ -132,9 +152,18 @@
         if let Some(known) = former.filter(|known| known.start == start) {
             let was = known.last;
             let counts = |b: &Book| [b.lent, b.repaid, b.written_off];
-            if counts(&book).iter().zip(counts(&was)).any(|(is, was)| *is < was) {
+            if counts(&book)
+                .iter()
+                .zip(counts(&was))
+                .any(|(is, was)| *is < was)
+            {
                 let (proxy, stand) = named();
-                self.broken.add(Breach::Backwards { proxy, stand, was, is: book });
+                self.broken.add(Breach::Backwards {
+                    proxy,
+                    stand,
+                    was,
+                    is: book,
+                });
             }
             known.after.get_or_insert(book);
             (known.last, known.dead, known.gone) = (book, None, false);
@@ -145,10 +174,16 @@
         // its own, and what the former start left is owed beside it. What a former start owed is otherwise not counted
         // on: it may have been repaid since its last look, and its room given away.
         let forgot = former.is_some_and(|former| book.lent < former.last.lent);
-        let base = if former.is_none() || forgot { Book::default() } else { book };
+        let base = if former.is_none() || forgot {
+            Book::default()
+        } else {
+            book
+        };
         let left = former.map_or(0, |former| former.left);
         let leaves = former.map_or(0, |former| {
-            former.leaves.saturating_add(if forgot { former.least_at_death() } else { 0 })
+            former
+                .leaves
+                .saturating_add(if forgot { former.least_at_death() } else { 0 })
         });
         let known = Known {
             start,
@@ -169,18 +204,27 @@
     /// stand since its last look, such as the quota over that time. It holds until its next start is looked at, which
     /// has to be before the next round, or until [`Checker::forget`].
     pub fn dead(&mut self, proxy: &str, repaid: u64) {
-        for known in self.books.values_mut().filter_map(|books| books.get_mut(proxy)) {
+        for known in self
+            .books
+            .values_mut()
+            .filter_map(|books| books.get_mut(proxy))
+        {
             known.dead = Some(repaid);
         }
     }
 
     /// What its dead starts lent is over; to be said before others may use the room.
     pub fn forget(&mut self, proxy: &str) {
-        for known in self.books.values_mut().filter_map(|books| books.get_mut(proxy)) {
+        for known in self
+            .books
+            .values_mut()
+            .filter_map(|books| books.get_mut(proxy))
+        {
             (known.left, known.leaves) = (0, 0);
             if known.dead.take().is_some() {
                 // Should it come back, its book tells of them still.
-                (known.base, known.before, known.after, known.gone) = (known.last, None, None, true);
+                (known.base, known.before, known.after, known.gone) =
+                    (known.last, None, None, true);
             }
         }
     }
@@ -191,21 +235,35 @@
             let line = self.lines.entry(stand.clone()).or_default();
             let there = || books.values().filter(|known| !known.gone);
             let seen = there().filter(|known| known.after.is_some());
-            let smallest = seen.map(Known::line).filter(|line| *line > 0).min().unwrap_or_default();
+            let smallest = seen
+                .map(Known::line)
+                .filter(|line| *line > 0)
+                .min()
+                .unwrap_or_default();
             let moved = std::mem::take(&mut line.joined) || smallest < line.smallest;
-            line.steady = if moved { 0 } else { line.steady.saturating_add(1) };
+            line.steady = if moved {
+                0
+            } else {
+                line.steady.saturating_add(1)
+            };
             line.smallest = smallest;
             // Nobody alive says a line: what the dead lent is judged by theirs.
             let settled = smallest > 0 && self.settle.is_some_and(|rounds| line.steady >= rounds);
             let largest = there().map(Known::line).max().unwrap_or_default();
             let wanted = if settled { smallest } else { largest };
-            let most = there().map(Known::most).try_fold(0, |sum: u64, most| sum.checked_add(most?));
+            let most = there()
+                .map(Known::most)
+                .try_fold(0, |sum: u64, most| sum.checked_add(most?));
             if wanted >= line.binds || most.is_some_and(|most| most <= wanted) {
                 line.binds = wanted;
             }
             let owed = there().fold(0, |sum: u64, known| sum.saturating_add(known.least()));
             if owed > line.binds {
-                self.broken.add(Breach::LinePassed { stand: stand.clone(), owed, line: line.binds });
+                self.broken.add(Breach::LinePassed {
+                    stand: stand.clone(),
+                    owed,
+                    line: line.binds,
+                });
             }
             for known in books.values_mut().filter(|known| !known.gone) {
                 (known.before, known.after) = (Some(known.last), None);
--- a/crates/ledger/src/versions.rs
+++ b/crates/ledger/src/versions.rs
@@ -45,7 +45,11 @@
     #[error("{proxy} runs {version:?}, which was halted")]
     HaltedRun { proxy: String, version: Version },
     #[error("{proxy} runs epoch {epoch}, which no proxy of the earlier region {skipped} ever ran")]
-    OutOfOrder { proxy: String, epoch: u64, skipped: String },
+    OutOfOrder {
+        proxy: String,
+        epoch: u64,
+        skipped: String,
+    },
 }
 
 /// Versions that are remembered of a proxy, the newest.
@@ -70,13 +74,25 @@
 
 impl Known {
     fn knows(&self, version: &Version) -> Option<Duration> {
-        self.halted.iter().find(|(halted, _)| halted.halts(version)).map(|(_, since)| *since)
+        self.halted
+            .iter()
+            .find(|(halted, _)| halted.halts(version))
+            .map(|(_, since)| *since)
     }
 
     fn new(look: &Look, at: Duration, restarted: bool) -> Known {
         let (halted, idle) = (BTreeMap::new(), None);
         let (before, after) = (None, Some(look.clone()));
-        Known { last: look.clone(), at, before, after, halted, idle, restarted, round: 0 }
+        Known {
+            last: look.clone(),
+            at,
+            before,
+            after,
+            halted,
+            idle,
+            restarted,
+            round: 0,
+        }
     }
 
     fn sees(&mut self, look: Look, at: Duration, round: u64) {
@@ -99,7 +115,8 @@
     /// What it ran when the former round ended: what it ran before and after, with nothing in between.
     fn ran(&self) -> Option<&Version> {
         let (before, after) = (self.before.as_ref()?, self.after.as_ref()?);
-        let same = before.start == after.start && before.moves == after.moves && before.runs == after.runs;
+        let same =
+            before.start == after.start && before.moves == after.moves && before.runs == after.runs;
         after.runs.as_ref().filter(|_| same)
     }
 }
@@ -142,12 +159,20 @@
         }
         if let Some(version) = &look.runs {
             if self.halted(proxy, &look, version) {
-                self.broken.add(Breach::HaltedRun { proxy: proxy.to_owned(), version: version.clone() });
+                self.broken.add(Breach::HaltedRun {
+                    proxy: proxy.to_owned(),
+                    version: version.clone(),
+                });
             }
-            let region = self.order.iter().position(|(_, proxies)| proxies.iter().any(|p| p == proxy));
+            let region = self
+                .order
+                .iter()
+                .position(|(_, proxies)| proxies.iter().any(|p| p == proxy));
             if let Some(region) = region {
                 let new = || (proxy.to_owned(), self.round, (0..region).collect());
-                self.runners.entry((version.epoch, region)).or_insert_with(new);
+                self.runners
+                    .entry((version.epoch, region))
+                    .or_insert_with(new);
                 while self.runners.len() > REMEMBERED {
                     self.runners.pop_first();
                 }
@@ -155,7 +180,8 @@
         }
         let former = self.known.get(proxy);
         if former.is_none_or(|known| known.last.start != look.start) {
-            self.known.insert(proxy.to_owned(), Known::new(&look, now, former.is_some()));
+            self.known
+                .insert(proxy.to_owned(), Known::new(&look, now, former.is_some()));
         }
         if let Some(known) = self.known.get_mut(proxy) {
             known.sees(look, now, self.round);
@@ -165,12 +191,20 @@
     /// It was seen to know of the halt itself, in this life; or all others did so long ago that no vote can have moved
     /// it, and it began since. One that ran it before and hears nobody goes on until it notes that, which is no breach.
     fn halted(&self, proxy: &str, look: &Look, version: &Version) -> bool {
-        let Some(known) = self.known.get(proxy).filter(|known| known.last.start == look.start) else {
+        let Some(known) = self
+            .known
+            .get(proxy)
+            .filter(|known| known.last.start == look.start)
+        else {
             return false;
         };
         let began = known.last.runs.as_ref() != Some(version);
-        let mut others =
-            self.order.iter().flat_map(|(_, proxies)| proxies).filter(|p| *p != proxy).peekable();
+        let mut others = self
+            .order
+            .iter()
+            .flat_map(|(_, proxies)| proxies)
+            .filter(|p| *p != proxy)
+            .peekable();
         let long = |other: &String| {
             let since = self.known.get(other).and_then(|other| other.knows(version));
             since.is_some_and(|since| known.at >= since + self.lasts)
@@ -182,14 +216,19 @@
     pub fn round(&mut self) {
         let mut running = BTreeMap::new();
         for (proxy, known) in &mut self.known {
-            if let Some(version) = known.ran().filter(|version| !self.whole.contains(&version.epoch)) {
+            if let Some(version) = known
+                .ran()
+                .filter(|version| !self.whole.contains(&version.epoch))
+            {
                 running.insert(proxy.clone(), version.clone());
             }
             (known.before, known.after) = (Some(known.last.clone()), None);
         }
         // The same file proposed again is one version.
-        let versions: BTreeSet<_> =
-            running.values().map(|v| (v.hash.as_ref(), v.hash.is_none().then_some(v.epoch))).collect();
+        let versions: BTreeSet<_> = running
+            .values()
+            .map(|v| (v.hash.as_ref(), v.hash.is_none().then_some(v.epoch)))
+            .collect();
         if versions.len() > 1 {
             self.broken.add(Breach::TwoNew(running));
         }
@@ -212,7 +251,11 @@
                     return true;
                 }
                 let (proxy, skipped) = (runner.clone(), region.clone());
-                self.broken.add(Breach::OutOfOrder { proxy, epoch: *epoch, skipped });
+                self.broken.add(Breach::OutOfOrder {
+                    proxy,
+                    epoch: *epoch,
+                    skipped,
+                });
                 false
             });
         }
--- a/crates/ledger/tests/cold.rs
+++ b/crates/ledger/tests/cold.rs
@@ -4,7 +4,13 @@
 use proptest::prelude::*;
 
 /// In a second, 16 requests of mean work at the start, then more, up to 64 when the server is warm after 10 s.
-const BOUNDS: Bounds = Bounds { cold: 0.25, warm_after: 10_000_000, tip: 2.0, window: 1_000_000, warm: 32.0 };
+const BOUNDS: Bounds = Bounds {
+    cold: 0.25,
+    warm_after: 10_000_000,
+    tip: 2.0,
+    window: 1_000_000,
+    warm: 32.0,
+};
 const START: u64 = 5_000_000;
 const MEAN: u64 = 1_000;
 
@@ -19,10 +25,15 @@
     // 16 + 3 x 4 + 3.
     for (number, breaches) in [(31, 0), (32, 1), (90, 1)] {
         let checker = burst(number, 60);
-        let [peak] = checker.peaks()[..] else { panic!("one start") };
+        let [peak] = checker.peaks()[..] else {
+            panic!("one start")
+        };
         assert_eq!(peak.ratio(), number as f64 / 31.0);
         assert_eq!(peak.of_allowed(), number as f64 / 16.0);
-        assert_eq!((checker.breaches, peak.proxies), (breaches, number.min(60) as u64));
+        assert_eq!(
+            (checker.breaches, peak.proxies),
+            (breaches, number.min(60) as u64)
+        );
     }
 }
 
@@ -44,9 +55,16 @@
     let later = START + 2 * BOUNDS.window;
     (0..8).for_each(|_| checker.got(later, 0, 7, START, MEAN));
     (0..4).for_each(|_| checker.got(later, 1, 7, START, MEAN));
-    let [fullest] = checker.peaks()[..] else { panic!("one start") };
-    assert_eq!((fullest.got, fullest.told, fullest.mostly_told()), (30.0, 0.0, false));
-    let [told] = checker.told_peaks()[..] else { panic!("one start") };
+    let [fullest] = checker.peaks()[..] else {
+        panic!("one start")
+    };
+    assert_eq!(
+        (fullest.got, fullest.told, fullest.mostly_told()),
+        (30.0, 0.0, false)
+    );
+    let [told] = checker.told_peaks()[..] else {
+        panic!("one start")
+    };
     assert_eq!((told.got, told.told, told.proxies), (11.0, 8.0, 2));
 }
 
@@ -54,7 +72,9 @@
 fn the_work_of_probes_and_new_connections_counts_but_they_are_no_requests() {
     let mut checker = burst(20, 1);
     (0..4).for_each(|_| checker.got_chore(START, 0, 7, START, MEAN / 2));
-    let [peak] = checker.peaks()[..] else { panic!("one start") };
+    let [peak] = checker.peaks()[..] else {
+        panic!("one start")
+    };
     assert_eq!((peak.got, peak.requests), (22.0, 20));
 }
 
@@ -76,7 +96,9 @@
     checker.told(1, 7, START - 1);
     checker.told(2, 7, 0);
     (0..3).for_each(|proxy| checker.got(START + 1, proxy, 7, START, MEAN));
-    let [peak] = checker.peaks()[..] else { panic!("one start") };
+    let [peak] = checker.peaks()[..] else {
+        panic!("one start")
+    };
     assert_eq!((peak.got, peak.told), (3.0, 1.0));
 }
 
--- a/crates/ledger/tests/loans.rs
+++ b/crates/ledger/tests/loans.rs
@@ -4,7 +4,14 @@
 use proptest::prelude::*;
 
 fn book(lent: u64, repaid: u64, written_off: u64, line: u64) -> Book {
-    Book { lent, repaid, written_off, owed: lent - repaid - written_off, part: line / 2, line }
+    Book {
+        lent,
+        repaid,
+        written_off,
+        owed: lent - repaid - written_off,
+        part: line / 2,
+        line,
+    }
 }
 
 /// Rounds of looks at a, b and so on, in their first starts, each after the word that goes with it.
@@ -27,17 +34,35 @@
 #[test]
 fn books_that_do_not_add_up_are_found() {
     let mut checker = Checker::new(None);
-    rounds(&mut checker, &[&[Book { owed: 4, ..book(10, 5, 0, 100) }]]);
-    assert!(matches!(checker.broken.first[..], [Breach::Unbalanced { .. }]), "{:?}", checker.broken);
+    rounds(
+        &mut checker,
+        &[&[Book {
+            owed: 4,
+            ..book(10, 5, 0, 100)
+        }]],
+    );
+    assert!(
+        matches!(checker.broken.first[..], [Breach::Unbalanced { .. }]),
+        "{:?}",
+        checker.broken
+    );
 }
 
 #[test]
 fn a_count_that_shrinks_is_found_unless_the_proxy_started_anew() {
     let was = book(30, 10, 5, 100);
-    for is in [book(29, 10, 5, 100), book(30, 9, 5, 100), book(30, 10, 4, 100)] {
+    for is in [
+        book(29, 10, 5, 100),
+        book(30, 9, 5, 100),
+        book(30, 10, 4, 100),
+    ] {
         let mut checker = Checker::new(None);
         rounds(&mut checker, &[&[was], &[is]]);
-        assert!(matches!(checker.broken.first[..], [Breach::Backwards { .. }]), "{:?}", checker.broken);
+        assert!(
+            matches!(checker.broken.first[..], [Breach::Backwards { .. }]),
+            "{:?}",
+            checker.broken
+        );
         let mut checker = Checker::new(None);
         rounds(&mut checker, &[&[was]]);
         checker.look("a", 2, "bus", is);
@@ -58,10 +83,21 @@
     let (a, b) = (book(60, 0, 0, 100), book(40, 0, 0, 100));
     let (low, back) = (|b: Book| Book { line: 50, ..b }, book(60, 50, 0, 100));
     let mut checker = Checker::new(Some(1));
-    rounds(&mut checker, &[&[a, b], &[low(a), b], &[low(a), b], &[low(a), b]]);
+    rounds(
+        &mut checker,
+        &[&[a, b], &[low(a), b], &[low(a), b], &[low(a), b]],
+    );
     assert_eq!(checker.broken.count, 0, "{:?}", checker.broken);
     let more = book(45, 0, 0, 100);
-    rounds(&mut checker, &[&[low(back), b], &[low(back), b], &[low(back), more], &[low(back), more]]);
+    rounds(
+        &mut checker,
+        &[
+            &[low(back), b],
+            &[low(back), b],
+            &[low(back), more],
+            &[low(back), more],
+        ],
+    );
     assert_eq!(passed(&checker), Some((55, 50)));
 }
 
@@ -84,8 +120,19 @@
     assert_eq!(dead(10, |_| ()), Some((101, 100)));
     assert_eq!(dead(11, |_| ()), None);
     assert_eq!(dead(0, |checker| checker.forget("a")), None);
-    assert_eq!(dead(0, |checker| checker.look("a", 2, "bus", book(78, 0, 0, 100))), None);
-    assert_eq!(dead(0, |checker| checker.look("a", 2, "bus", book(0, 0, 0, 100))), Some((111, 100)));
+    assert_eq!(
+        dead(0, |checker| checker.look(
+            "a",
+            2,
+            "bus",
+            book(78, 0, 0, 100)
+        )),
+        None
+    );
+    assert_eq!(
+        dead(0, |checker| checker.look("a", 2, "bus", book(0, 0, 0, 100))),
+        Some((111, 100))
+    );
 }
 
 #[derive(Clone, Debug)]
@@ -129,7 +176,12 @@
 impl Proxy {
     fn looked(&mut self, checker: &mut Checker, at: usize, line: u64) {
         if !self.dead {
-            checker.look(&at.to_string(), self.start, "bus", Book { line, ..self.book });
+            checker.look(
+                &at.to_string(),
+                self.start,
+                "bus",
+                Book { line, ..self.book },
+            );
             self.returned = 0;
         }
     }
--- a/crates/ledger/tests/versions.rs
+++ b/crates/ledger/tests/versions.rs
@@ -10,17 +10,30 @@
 /// Of a proxy in its first start.
 fn look(epoch: u64, new: bool, moves: u64) -> Look {
     let runs = new.then(|| version(epoch));
-    Look { start: 1, epoch, runs, whole: false, halted: Vec::new(), moves: Some(moves) }
+    Look {
+        start: 1,
+        epoch,
+        runs,
+        whole: false,
+        halted: Vec::new(),
+        moves: Some(moves),
+    }
 }
 
 fn halted(epoch: u64) -> Look {
-    Look { halted: vec![version(epoch)], ..look(epoch, false, 0) }
+    Look {
+        halted: vec![version(epoch)],
+        ..look(epoch, false, 0)
+    }
 }
 
 /// Rounds a second apart over a, then b in the next region; votes last for two.
 fn after(rounds: &[[Look; 2]]) -> Vec<Breach> {
     let region = |region: &str, proxy: &str| (region.to_owned(), vec![proxy.to_owned()]);
-    let mut checker = Checker::new(vec![region("east", "a"), region("west", "b")], Duration::from_secs(2));
+    let mut checker = Checker::new(
+        vec![region("east", "a"), region("west", "b")],
+        Duration::from_secs(2),
+    );
     for (second, round) in (0..).zip(rounds) {
         for (proxy, look) in ["a", "b"].into_iter().zip(round) {
             checker.look(Duration::from_secs(second), proxy, look.clone());
@@ -34,28 +47,67 @@
 fn two_new_versions_at_once_are_found() {
     let round = || [look(1, true, 1), look(2, true, 1)];
     let found = after(&[round(), round()]);
-    assert!(found.iter().any(|breach| matches!(breach, Breach::TwoNew(_))), "{found:?}");
-    let whole = || [Look { whole: true, ..look(1, true, 1) }, look(2, true, 1)];
+    assert!(
+        found
+            .iter()
+            .any(|breach| matches!(breach, Breach::TwoNew(_))),
+        "{found:?}"
+    );
+    let whole = || {
+        [
+            Look {
+                whole: true,
+                ..look(1, true, 1)
+            },
+            look(2, true, 1),
+        ]
+    };
     let apart = || [look(1, true, 2), look(2, true, 1)];
-    let file =
-        || round().map(|l| Look { runs: l.runs.map(|v| Version { hash: Some("f".into()), ..v }), ..l });
+    let file = || {
+        round().map(|l| Look {
+            runs: l.runs.map(|v| Version {
+                hash: Some("f".into()),
+                ..v
+            }),
+            ..l
+        })
+    };
     for sound in [[whole(), whole()], [round(), apart()], [file(), file()]] {
         let found = after(&sound);
-        assert!(!found.iter().any(|breach| matches!(breach, Breach::TwoNew(_))), "{found:?}");
+        assert!(
+            !found
+                .iter()
+                .any(|breach| matches!(breach, Breach::TwoNew(_))),
+            "{found:?}"
+        );
     }
 }
 
 fn runs_halted(found: &[Breach]) -> bool {
-    found.iter().any(|breach| matches!(breach, Breach::HaltedRun { .. }))
+    found
+        .iter()
+        .any(|breach| matches!(breach, Breach::HaltedRun { .. }))
 }
 
 #[test]
 fn one_that_runs_what_it_knew_was_halted_is_found() {
     let idle = || look(0, false, 0);
-    assert!(runs_halted(&after(&[[halted(1), idle()], [look(1, true, 1), idle()]])));
-    let again = Look { start: 2, ..look(1, true, 1) };
-    assert!(!runs_halted(&after(&[[halted(1), idle()], [again, idle()]])), "it may have forgotten");
-    assert!(!runs_halted(&after(&[[halted(1), idle()], [look(2, true, 1), idle()]])), "a new word");
+    assert!(runs_halted(&after(&[
+        [halted(1), idle()],
+        [look(1, true, 1), idle()]
+    ])));
+    let again = Look {
+        start: 2,
+        ..look(1, true, 1)
+    };
+    assert!(
+        !runs_halted(&after(&[[halted(1), idle()], [again, idle()]])),
+        "it may have forgotten"
+    );
+    assert!(
+        !runs_halted(&after(&[[halted(1), idle()], [look(2, true, 1), idle()]])),
+        "a new word"
+    );
 }
 
 #[test]
@@ -63,21 +115,46 @@
     let waits = || [look(1, false, 0), halted(1)];
     let begins = || [look(1, true, 1), halted(1)];
     assert!(runs_halted(&after(&[waits(), waits(), waits(), begins()])));
-    assert!(!runs_halted(&after(&[waits(), waits(), begins()])), "votes may still move it");
-    assert!(!runs_halted(&after(&[begins(), begins(), begins(), begins()])), "it is cut off");
+    assert!(
+        !runs_halted(&after(&[waits(), waits(), begins()])),
+        "votes may still move it"
+    );
+    assert!(
+        !runs_halted(&after(&[begins(), begins(), begins(), begins()])),
+        "it is cut off"
+    );
 }
 
 #[test]
 fn a_region_that_was_passed_over_is_found() {
     let begin = || [look(0, false, 0), look(0, false, 0)];
-    let found =
-        after(&[begin(), [look(1, false, 0), look(1, true, 1)], [look(1, false, 0), look(1, true, 1)]]);
-    assert!(matches!(&found[..], [Breach::OutOfOrder { skipped, .. }] if skipped == "east"), "{found:?}");
+    let found = after(&[
+        begin(),
+        [look(1, false, 0), look(1, true, 1)],
+        [look(1, false, 0), look(1, true, 1)],
+    ]);
+    assert!(
+        matches!(&found[..], [Breach::OutOfOrder { skipped, .. }] if skipped == "east"),
+        "{found:?}"
+    );
     let begun = || [look(1, true, 1), look(1, true, 1)];
     let between = || [look(1, false, 2), look(1, true, 1)];
-    let anew = || [Look { start: 2, ..look(1, false, 0) }, look(1, true, 1)];
+    let anew = || {
+        [
+            Look {
+                start: 2,
+                ..look(1, false, 0)
+            },
+            look(1, true, 1),
+        ]
+    };
     for sound in [begun(), between(), anew()] {
-        let found = after(&[begin(), [look(1, false, 0), look(1, true, 1)], sound.clone(), sound]);
+        let found = after(&[
+            begin(),
+            [look(1, false, 0), look(1, true, 1)],
+            sound.clone(),
+            sound,
+        ]);
         assert!(found.is_empty(), "{found:?}");
     }
 }
--- a/crates/lending/src/api.rs
+++ b/crates/lending/src/api.rs
@@ -155,7 +155,9 @@
     LaneLost,
     #[error("{amount} thousandths of a request of stand {stand} are written off")]
     WrittenOff { stand: String, amount: Milli },
-    #[error("what proxy number {1} says of loans is not kept: {0}; said once, counted from now on")]
+    #[error(
+        "what proxy number {1} says of loans is not kept: {0}; said once, counted from now on"
+    )]
     NotKept(NotKept, u32),
     #[error("a fact of kind {0} is longer than fits and was not said")]
     Unsaid(u8),
--- a/crates/lending/src/book.rs
+++ b/crates/lending/src/book.rs
@@ -41,7 +41,12 @@
     /// What a file says was lent counts as lent now.
     pub fn from_file(now: Duration, lent: Milli, repaid: Milli, written_off: Milli) -> Self {
         let owed = lent.saturating_sub(repaid).saturating_sub(written_off);
-        let mut loans = Self { lent: repaid + written_off + owed, repaid, written_off, ..Self::default() };
+        let mut loans = Self {
+            lent: repaid + written_off + owed,
+            repaid,
+            written_off,
+            ..Self::default()
+        };
         if owed > 0 {
             loans.open.push_back((now, now, owed));
         }
@@ -96,12 +101,17 @@
     }
 
     pub fn in_default(&self, now: Duration, term: Duration) -> bool {
-        self.open.front().is_some_and(|(since, _, _)| now.saturating_sub(*since) >= term)
+        self.open
+            .front()
+            .is_some_and(|(since, _, _)| now.saturating_sub(*since) >= term)
     }
 
     /// May so much be lent by the rate, of which a second may come at once? Takes it if so.
     pub fn rate(&mut self, now: Duration, amount: Milli, most: Milli) -> bool {
-        let passed = now.saturating_sub(self.at).min(Duration::from_secs(1)).as_millis() as u64;
+        let passed = now
+            .saturating_sub(self.at)
+            .min(Duration::from_secs(1))
+            .as_millis() as u64;
         // The time that makes less than a thousandth of a request is not lost.
         let more = most.saturating_mul(passed) / 1000;
         if more > 0 {
@@ -117,19 +127,37 @@
 
     /// What is owed that this proxy's part of the quota won't repay in time: the stand is elsewhere.
     pub fn beyond_means(&self, now: Duration, rule: &Rule, quota: Milli) -> Milli {
-        let Some((since, _, _)) = self.open.front() else { return 0 };
-        let left = rule.term.saturating_sub(now.saturating_sub(*since)).as_millis();
+        let Some((since, _, _)) = self.open.front() else {
+            return 0;
+        };
+        let left = rule
+            .term
+            .saturating_sub(now.saturating_sub(*since))
+            .as_millis();
         let most = u128::from(1000_u32.saturating_sub(rule.floor));
         let means = u128::from(quota) * most * left / 1_000_000;
-        self.owed().saturating_sub(Milli::try_from(means).unwrap_or(Milli::MAX))
+        self.owed()
+            .saturating_sub(Milli::try_from(means).unwrap_or(Milli::MAX))
     }
 
     /// The thousandths of this proxy's part of its quota that are withheld now.
-    pub fn withhold(&self, now: Duration, rule: &Rule, quota: Milli, used: u32, short: bool) -> u32 {
+    pub fn withhold(
+        &self,
+        now: Duration,
+        rule: &Rule,
+        quota: Milli,
+        used: u32,
+        short: bool,
+    ) -> u32 {
         let owed = self.owed();
         let most = 1000_u32.saturating_sub(rule.floor);
-        let Some((since, _, _)) = self.open.front() else { return 0 };
-        let left = rule.term.saturating_sub(now.saturating_sub(*since)).as_millis() as u64;
+        let Some((since, _, _)) = self.open.front() else {
+            return 0;
+        };
+        let left = rule
+            .term
+            .saturating_sub(now.saturating_sub(*since))
+            .as_millis() as u64;
         if owed == 0 || quota == 0 || left == 0 || short {
             return most;
         }
--- a/crates/lending/src/core.rs
+++ b/crates/lending/src/core.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::api::{Action, Config, Event, Guards, Member, NotKept, Notice, Reason, Verdict, FOUNDERS};
+use crate::api::{
+    Action, Config, Event, Guards, Member, NotKept, Notice, Reason, Verdict, FOUNDERS,
+};
 use crate::book::{Book, Loans};
 use crate::file::{BadFile, Kept};
 use crate::help::Help;
@@ -113,10 +115,17 @@
         let read = file.map(|bytes| Kept::read(&config.name, bytes));
         let bad = read.as_ref().and_then(|read| read.as_ref().err().copied());
         let known = read.and_then(Result::ok);
-        let fresh = Kept { memory: config.start, lane: config.start, ..Kept::default() };
+        let fresh = Kept {
+            memory: config.start,
+            lane: config.start,
+            ..Kept::default()
+        };
         let kept = known.unwrap_or(fresh);
         let loans = |row: &Row| Loans::from_file(now, row.lent, row.repaid, row.written_off);
-        let stand = |row: &Row| Stand { loans: loans(row), ..Stand::default() };
+        let stand = |row: &Row| Stand {
+            loans: loans(row),
+            ..Stand::default()
+        };
         let lasting = config.longest + config.lease;
         Self {
             name: config.name.clone(),
@@ -129,7 +138,11 @@
             hold: lasting + lasting / 10 + config.lease * 3,
             guards: config.guards,
             began: now,
-            stands: kept.rows.iter().map(|(key, row)| (*key, stand(row))).collect(),
+            stands: kept
+                .rows
+                .iter()
+                .map(|(key, row)| (*key, stand(row)))
+                .collect(),
             saved: kept.clone(),
             kept,
             dirty: false,
@@ -164,10 +177,25 @@
 
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::View { lend, roster, members } => self.view(lend, roster, members, actions),
-            Event::Fact { source, start, kind, key, body, age } => {
+            Event::View {
+                lend,
+                roster,
+                members,
+            } => self.view(lend, roster, members, actions),
+            Event::Fact {
+                source,
+                start,
+                kind,
+                key,
+                body,
+                age,
+            } => {
                 let source = number(source);
-                if source != self.me && self.fact(now, source, start, kind, key, body, age).is_none() {
+                if source != self.me
+                    && self
+                        .fact(now, source, start, kind, key, body, age)
+                        .is_none()
+                {
                     self.malformed = self.malformed.saturating_add(1);
                 }
                 if let Some(why) = self.unkept.take() {
@@ -197,7 +225,13 @@
         self.save(now, actions);
     }
 
-    fn view(&mut self, lend: bool, roster: &[String], members: &[Member], actions: &mut Vec<Action>) {
+    fn view(
+        &mut self,
+        lend: bool,
+        roster: &[String],
+        members: &[Member],
+        actions: &mut Vec<Action>,
+    ) {
         self.lend = lend;
         let numbers: BTreeSet<u32> = roster.iter().map(|name| number(name)).collect();
         if numbers.len() < roster.len() {
@@ -209,7 +243,11 @@
             actions.push(Action::Notice(Notice::TooMany(numbers.len())));
         }
         self.roster = numbers;
-        self.up = members.iter().filter(|member| member.up).map(|member| number(&member.name)).collect();
+        self.up = members
+            .iter()
+            .filter(|member| member.up)
+            .map(|member| number(&member.name))
+            .collect();
         self.up.insert(self.me);
     }
 
@@ -233,7 +271,10 @@
     fn part(&mut self, now: Duration, stand: u32) {
         let own = self.rules.by.get(&stand).map_or(0, |(_, rule)| rule.line());
         let rows = self.lanes.values().filter_map(|lane| lane.rows.get(&stand));
-        let said = rows.filter(|(row, until)| *until > now && row.line > 0).map(|(row, _)| row.line).min();
+        let said = rows
+            .filter(|(row, until)| *until > now && row.line > 0)
+            .map(|(row, _)| row.line)
+            .min();
         let line = said.map_or(own, |said| said.min(own));
         let part = (u128::from(line) * u128::from(self.share(stand)) / u128::from(WHOLE)) as Milli;
         if let Some(row) = self.kept.rows.get_mut(&stand) {
@@ -254,9 +295,17 @@
 
     /// Chunks of an eighth of the part, at least two requests: the file has them before they are lent.
     fn reserve(&mut self, stand: u32) {
-        let Some(known) = self.stands.get(&stand) else { return };
-        let chunk = if self.guards.reserve { (known.part / 8).max(2000) } else { 0 };
-        let Some(row) = self.kept.rows.get_mut(&stand) else { return };
+        let Some(known) = self.stands.get(&stand) else {
+            return;
+        };
+        let chunk = if self.guards.reserve {
+            (known.part / 8).max(2000)
+        } else {
+            0
+        };
+        let Some(row) = self.kept.rows.get_mut(&stand) else {
+            return;
+        };
         if row.lent < known.loans.lent + chunk / 2 && self.guards.reserve {
             row.lent = known.loans.lent + chunk;
             self.dirty = true;
@@ -267,23 +316,40 @@
     fn help(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let means = |(key, known): (&u32, &Stand)| {
             let (_, rule) = self.rules.by.get(key)?;
-            Some((*key, known.loans.beyond_means(now, rule, known.quota?))).filter(|(_, amount)| *amount > 0)
+            Some((*key, known.loans.beyond_means(now, rule, known.quota?)))
+                .filter(|(_, amount)| *amount > 0)
         };
         let stands: Vec<(u32, Milli)> = self.stands.iter().filter_map(means).collect();
         let (head, lasts) = (self.head(), self.lease);
         if !stands.is_empty() {
-            self.tell(said::ASKS, vec![], encode(&said::Asks { head, stands }), lasts, actions);
+            self.tell(
+                said::ASKS,
+                vec![],
+                encode(&said::Asks { head, stands }),
+                lasts,
+                actions,
+            );
         }
         let lanes = self.help.says(now);
         if !lanes.is_empty() {
-            self.tell(said::PAID, vec![], encode(&said::Paid { head, lanes }), self.row_lasts(), actions);
+            self.tell(
+                said::PAID,
+                vec![],
+                encode(&said::Paid { head, lanes }),
+                self.row_lasts(),
+                actions,
+            );
         }
     }
 
     pub fn book(&self, now: Duration, stand: &str) -> Option<Book> {
         let key = number(stand);
         let known = self.stands.get(&key)?;
-        let term = self.rules.by.get(&key).map_or(Duration::MAX, |(_, rule)| rule.term);
+        let term = self
+            .rules
+            .by
+            .get(&key)
+            .map_or(Duration::MAX, |(_, rule)| rule.term);
         Some(Book {
             lent: known.loans.lent,
             repaid: known.loans.repaid,
@@ -298,7 +364,10 @@
 
     /// The line of each stand that may borrow, by this proxy's rules.
     pub fn lines(&self) -> impl Iterator<Item = (&str, Milli)> + '_ {
-        self.rules.by.values().map(|(stand, rule)| (stand.as_str(), rule.line()))
+        self.rules
+            .by
+            .values()
+            .map(|(stand, rule)| (stand.as_str(), rule.line()))
     }
 
     /// The part of all of a stand's line that this lane holds, of [`WHOLE`], and the start that names the lane.
@@ -338,7 +407,10 @@
             self.dirty = true;
         }
         self.token += 1;
-        actions.push(Action::Timer { after: self.step, token: self.token });
+        actions.push(Action::Timer {
+            after: self.step,
+            token: self.token,
+        });
         self.found(now, actions);
         self.write_off(now, actions);
         if self.lost() {
@@ -365,14 +437,25 @@
         }
         let others = self.roster.iter().filter(|name| **name != self.me);
         let peer = |name: &u32| {
-            let peer = self.peers.get(name).filter(|peer| peer.fresh && peer.until > now)?;
-            Some(Id { name: *name, from: peer.memory })
+            let peer = self
+                .peers
+                .get(name)
+                .filter(|peer| peer.fresh && peer.until > now)?;
+            Some(Id {
+                name: *name,
+                from: peer.memory,
+            })
+        };
+        let Some(mut founders) = others.map(peer).collect::<Option<Vec<Id>>>() else {
+            return;
         };
-        let Some(mut founders) = others.map(peer).collect::<Option<Vec<Id>>>() else { return };
         if founders.is_empty() || !self.roster.contains(&self.me) {
             return;
         }
-        founders.push(Id { name: self.me, from: self.kept.memory });
+        founders.push(Id {
+            name: self.me,
+            from: self.kept.memory,
+        });
         founders.sort_unstable();
         actions.push(Action::Notice(Notice::Founded(founders.len())));
         self.kept.founders = founders;
@@ -385,10 +468,15 @@
 
     fn write_off(&mut self, now: Duration, actions: &mut Vec<Action>) {
         for (key, known) in &mut self.stands {
-            let Some((name, rule)) = self.rules.by.get(key) else { continue };
+            let Some((name, rule)) = self.rules.by.get(key) else {
+                continue;
+            };
             let amount = known.loans.write_off(now, rule.term + rule.write_off);
             if amount > 0 {
-                actions.push(Action::Notice(Notice::WrittenOff { stand: name.clone(), amount }));
+                actions.push(Action::Notice(Notice::WrittenOff {
+                    stand: name.clone(),
+                    amount,
+                }));
                 self.dirty = true;
             }
         }
@@ -409,7 +497,10 @@
             for lane in self.claimable(now).into_iter().take(CLAIMS) {
                 let to = self.lane();
                 self.vote(now, lane, to);
-                let body = encode(&said::Claim { head: self.head(), lane });
+                let body = encode(&said::Claim {
+                    head: self.head(),
+                    lane,
+                });
                 self.tell(said::CLAIM, say::key(lane), body, self.row_lasts(), actions);
                 if self.count(lane) {
                     actions.push(Action::Notice(Notice::Took(lane.name)));
@@ -428,12 +519,17 @@
     /// Half of what is held beyond the part of the traffic, and not used, to who lacks most.
     fn give(&mut self, now: Duration) {
         let living = |(name, peer): (&u32, &Peer)| {
-            (peer.until > now && self.up.contains(name)).then_some(Id { name: *name, from: peer.lane })
+            (peer.until > now && self.up.contains(name)).then_some(Id {
+                name: *name,
+                from: peer.lane,
+            })
         };
         let lanes: Vec<Id> = self.peers.iter().filter_map(living).collect();
         let mut gifts = Vec::new();
         for (stand, known) in &mut self.stands {
-            let Some(row) = self.kept.rows.get_mut(stand) else { continue };
+            let Some(row) = self.kept.rows.get_mut(stand) else {
+                continue;
+            };
             row.demand = (row.demand - row.demand / 8).saturating_add(known.asked);
             known.asked = 0;
             if row.demand.abs_diff(known.demand) > known.demand / 4 {
@@ -441,7 +537,9 @@
             }
         }
         for (stand, known) in &self.stands {
-            let Some(row) = self.kept.rows.get(stand) else { continue };
+            let Some(row) = self.kept.rows.get(stand) else {
+                continue;
+            };
             if !self.lend || now >= self.lease_until || lanes.is_empty() || row.line == 0 {
                 continue;
             }
@@ -450,18 +548,34 @@
                 u128::from(row.map_or(0, |(row, _)| row.demand))
             };
             let floor = u128::from(row.line) / 64 / (lanes.len() as u128 + 1) + 1;
-            let all: u128 =
-                lanes.iter().map(|lane| demand(lane) + floor).sum::<u128>() + u128::from(row.demand) + floor;
+            let all: u128 = lanes.iter().map(|lane| demand(lane) + floor).sum::<u128>()
+                + u128::from(row.demand)
+                + floor;
             let share = self.share(*stand);
-            let held: u128 = lanes.iter().map(|lane| u128::from(self.guess(*lane, *stand))).sum::<u128>()
+            let held: u128 = lanes
+                .iter()
+                .map(|lane| u128::from(self.guess(*lane, *stand)))
+                .sum::<u128>()
                 + u128::from(share);
             let fair = |demand: u128| (held * (demand + floor) / all) as u64;
-            let used = u128::from(known.loans.owed()) * u128::from(share) / u128::from(known.part.max(1)) + 1;
-            let spare = share.saturating_sub(fair(u128::from(row.demand)).max(used.min(1 << 62) as u64));
-            let lacks = |lane: &Id| (fair(demand(lane)).saturating_sub(self.guess(*lane, *stand)), *lane);
+            let used = u128::from(known.loans.owed()) * u128::from(share)
+                / u128::from(known.part.max(1))
+                + 1;
+            let spare =
+                share.saturating_sub(fair(u128::from(row.demand)).max(used.min(1 << 62) as u64));
+            let lacks = |lane: &Id| {
+                (
+                    fair(demand(lane)).saturating_sub(self.guess(*lane, *stand)),
+                    *lane,
+                )
+            };
             let full = row.gave.len() >= RECEIVERS;
-            let able = lanes.iter().filter(|lane| !full || row.gave.contains_key(lane));
-            let Some((lack, to)) = able.map(lacks).max() else { continue };
+            let able = lanes
+                .iter()
+                .filter(|lane| !full || row.gave.contains_key(lane));
+            let Some((lack, to)) = able.map(lacks).max() else {
+                continue;
+            };
             let gift = spare.min(lack) / 2;
             // What is not a hundredth of an even part is not worth a word.
             if gift > WHOLE / 100 / (lanes.len() as u64 + 1) && self.may_give(row, to, gift) {
@@ -483,7 +597,10 @@
         let gave = row.gave.entry(to).or_default();
         *gave = gave.saturating_add(gift);
         let said = row.given() < Given::UNTRUE;
-        let body = encode(&said::SaidRow { head: self.head(), row });
+        let body = encode(&said::SaidRow {
+            head: self.head(),
+            row,
+        });
         said && body.is_some_and(|body| body.len() + ROW_ROOM <= said::BODY_BYTES)
     }
 }
--- a/crates/lending/src/core/heard.rs
+++ b/crates/lending/src/core/heard.rs
@@ -39,7 +39,10 @@
             said::ROW => {
                 let (said, stand): (said::SaidRow, u32) = (decode(body)?, stand()?);
                 if self.same(&said.head) {
-                    let lane = Id { name: source, from: said.head.lane };
+                    let lane = Id {
+                        name: source,
+                        from: said.head.lane,
+                    };
                     return self.row(now, lane, stand, said.row, age);
                 }
             }
@@ -55,7 +58,14 @@
                     if self.claims.len() < LANES {
                         self.claims.insert(said.lane, now + self.hold);
                     }
-                    self.vote(now, said.lane, Id { name: source, from: said.head.lane });
+                    self.vote(
+                        now,
+                        said.lane,
+                        Id {
+                            name: source,
+                            from: said.head.lane,
+                        },
+                    );
                 }
             }
             said::VOTE => {
@@ -67,7 +77,8 @@
             said::ASKS => {
                 let asks: said::Asks = decode(body)?;
                 if self.same(&asks.head) {
-                    self.help.heard(source, asks, now + self.lease.saturating_sub(age));
+                    self.help
+                        .heard(source, asks, now + self.lease.saturating_sub(age));
                 }
             }
             said::PAID => {
@@ -92,10 +103,12 @@
 
     pub(super) fn witness(&mut self, source: u32, said: said::Witness, stand: u32) {
         let founders = said.founders.into_iter();
-        let named =
-            founders.filter_map(|(at, given)| Some((*self.kept.founders.get(usize::from(at))?, given)));
+        let named = founders
+            .filter_map(|(at, given)| Some((*self.kept.founders.get(usize::from(at))?, given)));
         let all: Vec<(Id, Given)> = named.chain(said.others).collect();
-        let Some(peer) = self.heard(source, &said.head) else { return };
+        let Some(peer) = self.heard(source, &said.head) else {
+            return;
+        };
         for (lane, given) in all {
             // What is not kept of its word is one witness less: a gift may not count then, never count twice.
             if peer.seen.len() < ROWS || peer.seen.contains_key(&(lane, stand)) {
@@ -108,7 +121,9 @@
 
     pub(super) fn voted(&mut self, source: u32, said: said::SaidVote) {
         let once = self.guards.once;
-        let Some(peer) = self.heard(source, &said.head) else { return };
+        let Some(peer) = self.heard(source, &said.head) else {
+            return;
+        };
         if peer.votes.len() >= VOTES {
             return;
         }
@@ -134,7 +149,10 @@
             return None;
         }
         if head.memory != peer.memory {
-            *peer = Peer { memory: head.memory, ..Peer::default() };
+            *peer = Peer {
+                memory: head.memory,
+                ..Peer::default()
+            };
         }
         peer.life = head.life;
         peer.lane = head.lane;
@@ -143,21 +161,39 @@
 
     pub(super) fn pulse(&mut self, now: Duration, source: u32, pulse: Pulse, age: Duration) {
         let mine = self.lane();
-        let at = self.kept.founders.binary_search(&mine).ok().filter(|_| self.same(&pulse.head));
+        let at = self
+            .kept
+            .founders
+            .binary_search(&mine)
+            .ok()
+            .filter(|_| self.same(&pulse.head));
         let own = |(founder, _): &&(u8, u32)| at == Some(usize::from(*founder));
         let echo = pulse.founders.iter().find(own).map(|(_, mark)| *mark);
-        let echo = echo.or(pulse.others.iter().find(|(id, _)| *id == mine).map(|(_, mark)| *mark));
+        let echo = echo.or(pulse
+            .others
+            .iter()
+            .find(|(id, _)| *id == mine)
+            .map(|(_, mark)| *mark));
         let life = self.life;
-        let said = echo.and_then(|echo| self.beats.iter().rfind(|(beat, _)| mark(life, *beat) == echo));
+        let said = echo.and_then(|echo| {
+            self.beats
+                .iter()
+                .rfind(|(beat, _)| mark(life, *beat) == echo)
+        });
         let said = said.map(|(_, at)| *at);
         let (until, lease) = (now + self.lease.saturating_sub(age), self.lease);
-        let Some(peer) = self.heard(source, &pulse.head) else { return };
+        let Some(peer) = self.heard(source, &pulse.head) else {
+            return;
+        };
         if age < lease {
             peer.until = until;
             peer.fresh = pulse.head.founders == 0 && pulse.ripe;
         }
         peer.echoed = peer.echoed.max(said);
-        let lane = Id { name: source, from: pulse.head.lane };
+        let lane = Id {
+            name: source,
+            from: pulse.head.lane,
+        };
         if self.has_room(now, lane) {
             let known = self.lanes.entry(lane).or_default();
             if (pulse.head.life, pulse.beat) > known.last {
@@ -172,17 +208,30 @@
     }
 
     pub(super) fn founded(&mut self, founded: said::Founded) {
-        if !self.kept.founders.is_empty() || founded.members.is_empty() || founded.members.len() > FOUNDERS {
+        if !self.kept.founders.is_empty()
+            || founded.members.is_empty()
+            || founded.members.len() > FOUNDERS
+        {
             return;
         }
-        let id = |(name, more): &(u32, u64)| Id { name: *name, from: founded.least.saturating_add(*more) };
+        let id = |(name, more): &(u32, u64)| Id {
+            name: *name,
+            from: founded.least.saturating_add(*more),
+        };
         let founders: Vec<Id> = founded.members.iter().map(id).collect();
-        if !founders.is_sorted_by(|a, b| a.name < b.name) || digest(&founders) != founded.head.founders {
+        if !founders.is_sorted_by(|a, b| a.name < b.name)
+            || digest(&founders) != founded.head.founders
+        {
             return;
         }
         self.kept.founders = founders;
         if !self.guards.memory {
-            let of = self.kept.founders.iter().find(|id| id.name == self.me).map(|id| id.from);
+            let of = self
+                .kept
+                .founders
+                .iter()
+                .find(|id| id.name == self.me)
+                .map(|id| id.from);
             self.kept.memory = of.unwrap_or(self.kept.memory);
             self.kept.lane = self.kept.memory;
         }
@@ -193,7 +242,14 @@
     /// rest the lane seems to have given less, and whoever takes it over would hold again what others have. So nothing of it
     /// is, as if it had been lost on its way. But this proxy may have witnessed as great a sum of other gifts of that lane, and
     /// for who heard only these that would make them count: so from now on it says that the lane's row is untrue.
-    pub(super) fn row(&mut self, now: Duration, lane: Id, stand: u32, row: Row, age: Duration) -> Option<()> {
+    pub(super) fn row(
+        &mut self,
+        now: Duration,
+        lane: Id,
+        stand: u32,
+        row: Row,
+        age: Duration,
+    ) -> Option<()> {
         if !self.has_room(now, lane) {
             return Some(());
         }
@@ -210,7 +266,12 @@
             *held = (*held).max(until);
         }
         let given = if kept { mine.given() } else { Given::UNTRUE };
-        let seen = self.kept.seen.get(&(lane, stand)).copied().unwrap_or_default();
+        let seen = self
+            .kept
+            .seen
+            .get(&(lane, stand))
+            .copied()
+            .unwrap_or_default();
         let room = self.kept.seen.len() < ROWS || self.kept.seen.contains_key(&(lane, stand));
         if given > seen && !frozen && room {
             self.kept.seen.insert((lane, stand), given);
@@ -230,9 +291,18 @@
         if self.lanes.contains_key(&lane) {
             return true;
         }
-        let of_name = Id { name: lane.name, from: 0 }..=Id { name: lane.name, from: u64::MAX };
-        let lives: Vec<(Duration, Id)> =
-            self.lanes.range(of_name).map(|(id, known)| (known.heard, *id)).collect();
+        let of_name = Id {
+            name: lane.name,
+            from: 0,
+        }..=Id {
+            name: lane.name,
+            from: u64::MAX,
+        };
+        let lives: Vec<(Duration, Id)> = self
+            .lanes
+            .range(of_name)
+            .map(|(id, known)| (known.heard, *id))
+            .collect();
         if lives.len() >= LIVES {
             let idle = |id: Id| self.silent(now, id) && !self.worth(id);
             let Some((_, oldest)) = lives.into_iter().filter(|(_, id)| idle(*id)).min() else {
--- a/crates/lending/src/core/lend.rs
+++ b/crates/lending/src/core/lend.rs
@@ -41,12 +41,17 @@
         if !self.stands.contains_key(&key) && !self.open_row(now, key) {
             return Err(Reason::Crowded);
         }
-        let reserved =
-            if self.stored { self.saved.rows.get(&key).map_or(0, |row| row.lent) } else { Milli::MAX };
+        let reserved = if self.stored {
+            self.saved.rows.get(&key).map_or(0, |row| row.lent)
+        } else {
+            Milli::MAX
+        };
         let guards = self.guards;
         let share = (self.share(key) << 10) / WHOLE;
         let rate = (rule.rate_most.saturating_mul(share) >> 10).max(cost);
-        let Some(known) = self.stands.get_mut(&key) else { return Err(Reason::Crowded) };
+        let Some(known) = self.stands.get_mut(&key) else {
+            return Err(Reason::Crowded);
+        };
         known.asked = known.asked.saturating_add(cost);
         let known_owed = known.loans.owed();
         let checks = [
@@ -55,8 +60,14 @@
             (!self.lend, Reason::View),
             (now >= self.lease_until, Reason::Alone),
             (known.loans.in_default(now, rule.term), Reason::Default),
-            (guards.part && known_owed.saturating_add(cost) > known.part, Reason::Line),
-            (guards.reserve && known.loans.lent.saturating_add(cost) > reserved, Reason::Unsaved),
+            (
+                guards.part && known_owed.saturating_add(cost) > known.part,
+                Reason::Line,
+            ),
+            (
+                guards.reserve && known.loans.lent.saturating_add(cost) > reserved,
+                Reason::Unsaved,
+            ),
         ];
         if let Some((_, reason)) = checks.into_iter().find(|(no, _)| *no) {
             if reason == Reason::Unsaved {
@@ -76,11 +87,18 @@
     /// What was lent here comes first; what others ask for is withheld besides.
     pub fn withhold(&mut self, now: Duration, stand: &str, quota: Milli, used: u32) -> u32 {
         let key = number(stand);
-        let Some((_, rule)) = self.rules.by.get(&key) else { return 0 };
+        let Some((_, rule)) = self.rules.by.get(&key) else {
+            return 0;
+        };
         let help = self.help.share(now, key, rule);
-        let Some(known) = self.stands.get_mut(&key) else { return help };
+        let Some(known) = self.stands.get_mut(&key) else {
+            return help;
+        };
         known.quota = Some(quota);
-        known.loans.withhold(now, rule, quota, used, self.short).max(help)
+        known
+            .loans
+            .withhold(now, rule, quota, used, self.short)
+            .max(help)
     }
 
     /// So much of a stand's quota was withheld: returns what of it was owed here. The rest is for others that ask.
@@ -93,7 +111,9 @@
 
     /// Of what was lent, so much was not used after all.
     pub fn give_back(&mut self, stand: &str, amount: Milli) -> Milli {
-        let Some(known) = self.stands.get_mut(&number(stand)) else { return 0 };
+        let Some(known) = self.stands.get_mut(&number(stand)) else {
+            return 0;
+        };
         let paid = known.loans.repay(amount);
         self.dirty |= paid > 0 && known.loans.owed() == 0;
         paid
--- a/crates/lending/src/core/say.rs
+++ b/crates/lending/src/core/say.rs
@@ -5,7 +5,12 @@
 impl Core {
     pub(super) fn head(&self) -> Head {
         let kept = &self.saved;
-        Head { founders: digest(&kept.founders), memory: kept.memory, lane: kept.lane, life: self.life }
+        Head {
+            founders: digest(&kept.founders),
+            memory: kept.memory,
+            lane: kept.lane,
+            life: self.life,
+        }
     }
 
     pub(super) fn beat(&mut self, now: Duration, actions: &mut Vec<Action>) {
@@ -27,7 +32,13 @@
             }
         }
         others.truncate(8);
-        let pulse = Pulse { head: self.head(), ripe: self.ripe(now), beat, founders, others };
+        let pulse = Pulse {
+            head: self.head(),
+            ripe: self.ripe(now),
+            beat,
+            founders,
+            others,
+        };
         self.tell(said::PULSE, vec![], encode(&pulse), self.lease, actions);
     }
 
@@ -52,7 +63,10 @@
         self.sequence += 1;
         if let Some(bytes) = self.kept.write(&self.name) {
             self.saving = Some((self.sequence, self.kept.clone()));
-            actions.push(Action::Save { sequence: self.sequence, bytes });
+            actions.push(Action::Save {
+                sequence: self.sequence,
+                bytes,
+            });
         }
     }
 
@@ -65,9 +79,24 @@
             return;
         }
         let lasts = self.row_lasts();
-        let least = self.saved.founders.iter().map(|id| id.from).min().unwrap_or(0);
-        let members = self.saved.founders.iter().map(|id| (id.name, id.from - least)).collect();
-        let founded = encode(&said::Founded { head, least, members });
+        let least = self
+            .saved
+            .founders
+            .iter()
+            .map(|id| id.from)
+            .min()
+            .unwrap_or(0);
+        let members = self
+            .saved
+            .founders
+            .iter()
+            .map(|id| (id.name, id.from - least))
+            .collect();
+        let founded = encode(&said::Founded {
+            head,
+            least,
+            members,
+        });
         let mut says = Vec::new();
         for (stand, row) in &self.saved.rows {
             let mut row = row.clone();
@@ -87,13 +116,21 @@
                 }
             }
             others.truncate(4);
-            let said = encode(&said::Witness { head, founders, others });
+            let said = encode(&said::Witness {
+                head,
+                founders,
+                others,
+            });
             says.push((said::WITNESS, stand.to_le_bytes().to_vec(), said));
         }
         let asked = self.claims.iter().filter(|(_, until)| **until > now);
         let votes = asked.filter_map(|(lane, _)| Some((*lane, self.saved.votes.get(lane)?)));
         for (lane, vote) in votes.take(VOTES_SAID) {
-            let said = encode(&said::SaidVote { head, lane, vote: vote.clone() });
+            let said = encode(&said::SaidVote {
+                head,
+                lane,
+                vote: vote.clone(),
+            });
             says.push((said::VOTE, key(lane), said));
         }
         says.push((said::FOUNDED, vec![], founded));
@@ -115,7 +152,12 @@
         let mut first = now;
         if let (Some((former, since, last)), Some(body)) = (self.said.get(&of), &body) {
             if former == body {
-                if now < *last + last.saturating_sub(*since).clamp(self.step.min(self.lease), self.lease) {
+                if now
+                    < *last
+                        + last
+                            .saturating_sub(*since)
+                            .clamp(self.step.min(self.lease), self.lease)
+                {
                     return;
                 }
                 first = *since;
@@ -137,7 +179,12 @@
         actions: &mut Vec<Action>,
     ) {
         actions.push(match body {
-            Some(body) => Action::Tell { kind, key, body, lasts },
+            Some(body) => Action::Tell {
+                kind,
+                key,
+                body,
+                lasts,
+            },
             None => Action::Notice(Notice::Unsaid(kind)),
         });
     }
--- a/crates/lending/src/help.rs
+++ b/crates/lending/src/help.rs
@@ -28,20 +28,28 @@
 impl Help {
     pub fn heard(&mut self, source: u32, asks: Asks, until: Duration) {
         if self.asked.contains_key(&source) || self.asked.len() < ASKERS {
-            self.asked.insert(source, (asks.stands.into_iter().take(ENTRIES).collect(), until));
+            self.asked.insert(
+                source,
+                (asks.stands.into_iter().take(ENTRIES).collect(), until),
+            );
         }
     }
 
     fn asks(&self, now: Duration, stand: u32) -> impl Iterator<Item = (u32, Milli)> + '_ {
         let of = move |(source, (stands, until)): (&u32, &(BTreeMap<u32, Milli>, Duration))| {
-            (*until > now).then(|| Some((*source, *stands.get(&stand)?))).flatten()
+            (*until > now)
+                .then(|| Some((*source, *stands.get(&stand)?)))
+                .flatten()
         };
         self.asked.iter().filter_map(of)
     }
 
     /// The thousandths of its quota that a stand does without everywhere for what others ask.
     pub fn share(&self, now: Duration, stand: u32, rule: &Rule) -> u32 {
-        let asked: u128 = self.asks(now, stand).map(|(_, amount)| u128::from(amount)).sum();
+        let asked: u128 = self
+            .asks(now, stand)
+            .map(|(_, amount)| u128::from(amount))
+            .sum();
         let within = u128::from(rule.quota) * (rule.term / PART_OF_TERM).as_millis();
         // In milli-requests, thousandths and milliseconds.
         let share = (asked * 1_000_000).div_ceil(within.max(1));
@@ -67,15 +75,25 @@
     pub fn says(&mut self, now: Duration) -> Vec<(u32, u32, Milli)> {
         self.asked.retain(|_, (_, until)| *until > now);
         let asks = |source| self.asked.contains_key(source);
-        let paid = self.paid.iter().filter(|((source, _), _)| asks(source)).take(ENTRIES);
-        paid.map(|((source, stand), paid)| (*source, *stand, *paid)).collect()
+        let paid = self
+            .paid
+            .iter()
+            .filter(|((source, _), _)| asks(source))
+            .take(ENTRIES);
+        paid.map(|((source, stand), paid)| (*source, *stand, *paid))
+            .collect()
     }
 
     /// What of it is new, by stand. The first word of another's life tells where its count stands, no more: it may be of what
     /// a former life of this lane owed.
     pub fn got(&mut self, me: u32, source: u32, life: u64, paid: Paid) -> Vec<(u32, Milli)> {
         let mut new = Vec::new();
-        for (_, stand, total) in paid.lanes.into_iter().take(ENTRIES).filter(|(lane, ..)| *lane == me) {
+        for (_, stand, total) in paid
+            .lanes
+            .into_iter()
+            .take(ENTRIES)
+            .filter(|(lane, ..)| *lane == me)
+        {
             let key = (source, life, stand);
             let known = self.seen.contains_key(&key);
             if !known && self.seen.len() >= PAYERS {
--- a/crates/lending/src/lanes.rs
+++ b/crates/lending/src/lanes.rs
@@ -23,7 +23,9 @@
     }
 
     pub fn is_founder(&self, name: u32, memory: u64) -> bool {
-        self.founders.binary_search(&Id { name, from: memory }).is_ok()
+        self.founders
+            .binary_search(&Id { name, from: memory })
+            .is_ok()
     }
 
     pub fn initial(&self, lane: Id) -> u64 {
@@ -42,33 +44,57 @@
 
 impl Core {
     pub(crate) fn lane(&self) -> Id {
-        Id { name: self.me, from: self.kept.lane }
+        Id {
+            name: self.me,
+            from: self.kept.lane,
+        }
     }
 
     /// The own share: what may be given away or lent from.
     pub(crate) fn share(&self, stand: u32) -> u64 {
         let row = self.kept.rows.get(&stand);
         let lane = self.lane();
-        let received = self.kept.received(lane, stand).saturating_add(row.map_or(0, |row| row.took));
+        let received = self
+            .kept
+            .received(lane, stand)
+            .saturating_add(row.map_or(0, |row| row.took));
         let held = self.kept.initial(lane).saturating_add(received);
         // Whatever others say that they gave, nobody holds more than there is.
-        row.map_or(Given::default(), Row::given).left(held).min(WHOLE)
+        row.map_or(Given::default(), Row::given)
+            .left(held)
+            .min(WHOLE)
     }
 
     /// What a lane held in all, gifts that it made not taken off.
     fn held_by(&self, lane: Id, stand: u32) -> u64 {
-        let took =
-            self.lanes.get(&lane).and_then(|lane| lane.rows.get(&stand)).map_or(0, |(row, _)| row.took);
-        total(&[self.kept.initial(lane), self.kept.received(lane, stand), took])
+        let took = self
+            .lanes
+            .get(&lane)
+            .and_then(|lane| lane.rows.get(&stand))
+            .map_or(0, |(row, _)| row.took);
+        total(&[
+            self.kept.initial(lane),
+            self.kept.received(lane, stand),
+            took,
+        ])
     }
 
     /// What another is thought to hold, with gifts that don't count yet: only to judge who lacks.
     pub(crate) fn guess(&self, lane: Id, stand: u32) -> u64 {
-        let rows = self.lanes.values().filter_map(|lane| lane.rows.get(&stand)).map(|(row, _)| row);
-        let received = total(rows.chain(self.kept.rows.get(&stand)).filter_map(|row| row.gave.get(&lane)));
+        let rows = self
+            .lanes
+            .values()
+            .filter_map(|lane| lane.rows.get(&stand))
+            .map(|(row, _)| row);
+        let received = total(
+            rows.chain(self.kept.rows.get(&stand))
+                .filter_map(|row| row.gave.get(&lane)),
+        );
         let row = self.lanes.get(&lane).and_then(|lane| lane.rows.get(&stand));
         let (took, given) = row.map_or((0, Given::default()), |(row, _)| (row.took, row.given()));
-        given.left(total(&[self.kept.initial(lane), received, took])).min(WHOLE)
+        given
+            .left(total(&[self.kept.initial(lane), received, took]))
+            .min(WHOLE)
     }
 
     /// Until when this lane may lend: the time at which the last beat was said that more than half echo, and a lease.
@@ -80,14 +106,18 @@
             return Duration::ZERO;
         }
         let founder = |(name, peer): (&u32, &Peer)| {
-            self.kept.is_founder(*name, peer.memory).then_some(peer.echoed).flatten()
+            self.kept
+                .is_founder(*name, peer.memory)
+                .then_some(peer.echoed)
+                .flatten()
         };
         let mut said: Vec<Duration> = self.peers.iter().filter_map(founder).collect();
         if self.kept.is_founder(self.me, self.kept.memory) {
             said.extend(self.beats.back().map(|(_, at)| *at));
         }
         said.sort_unstable_by(|a, b| b.cmp(a));
-        said.get(self.kept.majority() - 1).map_or(Duration::ZERO, |at| *at + self.lease)
+        said.get(self.kept.majority() - 1)
+            .map_or(Duration::ZERO, |at| *at + self.lease)
     }
 
     /// Looks which rows of others have been seen by more than half, in the version known here.
@@ -99,7 +129,11 @@
             for (stand, (row, _)) in &known.rows {
                 let given = row.given();
                 let key = (*lane, *stand);
-                let counted = self.kept.firm.get(&key).map_or(0, |gave| total(gave.values()));
+                let counted = self
+                    .kept
+                    .firm
+                    .get(&key)
+                    .map_or(0, |gave| total(gave.values()));
                 if given.is_none() || Given::from(counted) >= given {
                     continue;
                 }
@@ -125,13 +159,25 @@
     /// Dead lanes that this proxy is the one to claim: the first living one after it by number.
     pub(crate) fn claimable(&self, now: Duration) -> Vec<Id> {
         let mut lanes: Vec<Id> = self.kept.founders.clone();
-        lanes.extend(self.lanes.keys().filter(|lane| !self.kept.founders.contains(lane)));
+        lanes.extend(
+            self.lanes
+                .keys()
+                .filter(|lane| !self.kept.founders.contains(lane)),
+        );
         let living = |name: u32| self.up.contains(&name);
         lanes.retain(|lane| {
-            let next = self.up.range(lane.name..).chain(self.up.iter()).find(|name| **name != lane.name);
+            let next = self
+                .up
+                .range(lane.name..)
+                .chain(self.up.iter())
+                .find(|name| **name != lane.name);
             *lane != self.lane()
                 && !self.kept.taken.contains_key(lane)
-                && self.kept.votes.get(lane).is_none_or(|vote| vote.to == self.lane())
+                && self
+                    .kept
+                    .votes
+                    .get(lane)
+                    .is_none_or(|vote| vote.to == self.lane())
                 && self.silent(now, *lane)
                 && (living(self.me) && next == Some(&self.me))
                 && self.worth(*lane)
@@ -140,14 +186,28 @@
     }
 
     pub(crate) fn worth(&self, lane: Id) -> bool {
-        let given = |stand: u32| self.kept.seen.get(&(lane, stand)).copied().unwrap_or_default();
+        let given = |stand: u32| {
+            self.kept
+                .seen
+                .get(&(lane, stand))
+                .copied()
+                .unwrap_or_default()
+        };
         self.kept.initial(lane) > 0
-            || self.kept.rows.keys().any(|stand| given(*stand).left(self.held_by(lane, *stand)) > 0)
+            || self
+                .kept
+                .rows
+                .keys()
+                .any(|stand| given(*stand).left(self.held_by(lane, *stand)) > 0)
     }
 
     /// No new beat of it for so long that all that it lent is over.
     pub(crate) fn silent(&self, now: Duration, lane: Id) -> bool {
-        let heard = self.lanes.get(&lane).map_or(Duration::ZERO, |lane| lane.heard).max(self.began);
+        let heard = self
+            .lanes
+            .get(&lane)
+            .map_or(Duration::ZERO, |lane| lane.heard)
+            .max(self.began);
         now.saturating_sub(heard) >= self.hold || !self.guards.hold
     }
 
@@ -163,7 +223,8 @@
         if self.kept.votes.len() >= crate::core::VOTES {
             return;
         }
-        let of = |((of, stand), given): (&(Id, u32), &Given)| (*of == lane).then_some((*stand, *given));
+        let of =
+            |((of, stand), given): (&(Id, u32), &Given)| (*of == lane).then_some((*stand, *given));
         let given = self.kept.seen.iter().filter_map(of).collect();
         self.kept.votes.insert(lane, Vote { to, given });
         self.dirty = true;
@@ -194,7 +255,11 @@
 
     fn votes_of_others(&self, lane: Id, to: Id) -> Vec<&Vote> {
         let founder = |(name, peer): &(&u32, &Peer)| self.kept.is_founder(**name, peer.memory);
-        let votes = self.peers.iter().filter(founder).filter_map(|(_, peer)| peer.votes.get(&lane));
+        let votes = self
+            .peers
+            .iter()
+            .filter(founder)
+            .filter_map(|(_, peer)| peer.votes.get(&lane));
         votes.filter(|vote| vote.to == to).collect()
     }
 
@@ -202,15 +267,26 @@
     pub(crate) fn lost(&self) -> bool {
         let mine = self.lane();
         let founder = |(name, peer): &(&u32, &Peer)| self.kept.is_founder(**name, peer.memory);
-        let votes = self.peers.iter().filter(founder).filter(|(_, peer)| peer.votes.contains_key(&mine));
+        let votes = self
+            .peers
+            .iter()
+            .filter(founder)
+            .filter(|(_, peer)| peer.votes.contains_key(&mine));
         !self.kept.founders.is_empty() && votes.count() >= self.kept.majority()
     }
 
     /// What is held of dead lanes: it only grows, as more gifts to them become known.
     pub(crate) fn took(&self, stand: u32) -> u64 {
         let of = |(lane, given): (&Id, &BTreeMap<u32, Given>)| {
-            given.get(&stand).copied().unwrap_or_default().left(self.held_by(*lane, stand))
+            given
+                .get(&stand)
+                .copied()
+                .unwrap_or_default()
+                .left(self.held_by(*lane, stand))
         };
-        self.kept.taken.iter().fold(0, |sum, taken| sum.saturating_add(of(taken)))
+        self.kept
+            .taken
+            .iter()
+            .fold(0, |sum, taken| sum.saturating_add(of(taken)))
     }
 }
--- a/crates/lending/src/recorded.rs
+++ b/crates/lending/src/recorded.rs
@@ -14,8 +14,14 @@
 /// The bytes of that name.
 fn recorded(name: &str) -> Vec<u8> {
     let lines = include_str!("../tests/version-1.hex").lines();
-    let hex = lines.filter_map(|line| line.split_once(' ')).find(|(of, _)| *of == name);
-    hex::decode(hex.unwrap_or_else(|| panic!("nothing is recorded as {name}")).1).unwrap()
+    let hex = lines
+        .filter_map(|line| line.split_once(' '))
+        .find(|(of, _)| *of == name);
+    hex::decode(
+        hex.unwrap_or_else(|| panic!("nothing is recorded as {name}"))
+            .1,
+    )
+    .unwrap()
 }
 
 fn id(name: u32, from: u64) -> Id {
@@ -44,14 +50,22 @@
 }
 
 fn vote() -> Vote {
-    Vote { to: id(5, 6), given: [(DEPOT, 300.into())].into() }
+    Vote {
+        to: id(5, 6),
+        given: [(DEPOT, 300.into())].into(),
+    }
 }
 
 #[test]
 fn facts_of_the_first_version_are_read_for_good() {
     let head = head();
-    let pulse =
-        Pulse { head, ripe: true, beat: 700, founders: vec![(2, 0xffff_fff0)], others: vec![(id(7, 8), 9)] };
+    let pulse = Pulse {
+        head,
+        ripe: true,
+        beat: 700,
+        founders: vec![(2, 0xffff_fff0)],
+        others: vec![(id(7, 8), 9)],
+    };
     assert_eq!(said::decode(&recorded("pulse")), Some(pulse));
     let founded = Founded {
         head,
@@ -59,22 +73,59 @@
         members: vec![(N0, 1_800_000_000_001), (N1, 1_800_000_000_002)],
     };
     assert_eq!(said::decode(&recorded("founded")), Some(founded));
-    assert_eq!(said::decode(&recorded("row")), Some(SaidRow { head, row: row() }));
-    let witness = Witness { head, founders: vec![(1, 129.into())], others: vec![(id(7, 8), 65_536.into())] };
+    assert_eq!(
+        said::decode(&recorded("row")),
+        Some(SaidRow { head, row: row() })
+    );
+    let witness = Witness {
+        head,
+        founders: vec![(1, 129.into())],
+        others: vec![(id(7, 8), 65_536.into())],
+    };
     assert_eq!(said::decode(&recorded("witness")), Some(witness));
-    assert_eq!(said::decode(&recorded("claim")), Some(Claim { head, lane: id(7, 8) }));
-    assert_eq!(said::decode(&recorded("vote")), Some(SaidVote { head, lane: id(7, 8), vote: vote() }));
+    assert_eq!(
+        said::decode(&recorded("claim")),
+        Some(Claim {
+            head,
+            lane: id(7, 8)
+        })
+    );
+    assert_eq!(
+        said::decode(&recorded("vote")),
+        Some(SaidVote {
+            head,
+            lane: id(7, 8),
+            vote: vote()
+        })
+    );
 }
 
 /// Numbers of names and of beats, hashes of founders, and kinds are all said to others: they are of the form too.
 #[test]
 fn numbers_of_the_first_version_are_the_same_for_good() {
-    assert_eq!((said::number("depot"), said::number("n0"), said::number("n1")), (DEPOT, N0, N1));
     assert_eq!(
-        (said::mark(1_800_000_000_003, 700), said::digest(&[id(1, 2), id(7, 8)])),
+        (
+            said::number("depot"),
+            said::number("n0"),
+            said::number("n1")
+        ),
+        (DEPOT, N0, N1)
+    );
+    assert_eq!(
+        (
+            said::mark(1_800_000_000_003, 700),
+            said::digest(&[id(1, 2), id(7, 8)])
+        ),
         (0x09ec_2fa4, 0x2091_4f51_87eb_e21d)
     );
-    let kinds = [said::PULSE, said::FOUNDED, said::ROW, said::WITNESS, said::CLAIM, said::VOTE];
+    let kinds = [
+        said::PULSE,
+        said::FOUNDED,
+        said::ROW,
+        said::WITNESS,
+        said::CLAIM,
+        said::VOTE,
+    ];
     assert_eq!((kinds, said::WHOLE), ([64, 65, 66, 67, 68, 69], 1 << 30));
 }
 
@@ -99,7 +150,10 @@
     let mut file = recorded("file");
     file.truncate(file.len() - 32);
     file[0] += 1;
-    let sum = Sha256::new().chain_update(2_u64.to_le_bytes()).chain_update("n0").chain_update(&file);
+    let sum = Sha256::new()
+        .chain_update(2_u64.to_le_bytes())
+        .chain_update("n0")
+        .chain_update(&file);
     file.extend(sum.finalize());
     assert_eq!(Kept::read("n0", &file), Err(BadFile::Version));
     let mut actions = Vec::new();
@@ -108,7 +162,10 @@
         Event::Timer(0),
         &mut actions,
     );
-    assert!(actions.contains(&Action::Notice(Notice::BadFile(BadFile::Version))), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Notice(Notice::BadFile(BadFile::Version))),
+        "{actions:?}"
+    );
 }
 
 /// What is said in a later version, or with more behind it, is counted and not heard: what a core does is what it does without.
@@ -118,12 +175,23 @@
     let play = |change: Option<fn(&mut Vec<u8>)>| {
         let mut core = Core::new(&Config::new("n0", 9, true), Duration::ZERO, None);
         let mut actions = Vec::new();
-        for (name, kind) in bodies.into_iter().zip(said::PULSE..).filter(|_| change.is_some()) {
+        for (name, kind) in bodies
+            .into_iter()
+            .zip(said::PULSE..)
+            .filter(|_| change.is_some())
+        {
             let mut body = recorded(name);
             change.into_iter().for_each(|change| change(&mut body));
             let key = DEPOT.to_le_bytes();
             let (start, age) = (head().life, Duration::ZERO);
-            let fact = Event::Fact { source: "n1", start, kind, key: &key, body: &body, age };
+            let fact = Event::Fact {
+                source: "n1",
+                start,
+                kind,
+                key: &key,
+                body: &body,
+                age,
+            };
             core.handle(Duration::ZERO, fact, &mut actions);
         }
         core.handle(Duration::from_secs(1), Event::Timer(0), &mut actions);
--- a/crates/lending/src/rules.rs
+++ b/crates/lending/src/rules.rs
@@ -62,7 +62,11 @@
             if rule.term.is_zero() {
                 return Err(RulesError::NoTerm(name));
             }
-            if rule.term.checked_add(rule.write_off).is_none_or(|all| all > longest) {
+            if rule
+                .term
+                .checked_add(rule.write_off)
+                .is_none_or(|all| all > longest)
+            {
                 return Err(RulesError::Long(name, longest));
             }
             if rule.floor > 990 {
--- a/crates/lending/src/said.rs
+++ b/crates/lending/src/said.rs
@@ -36,7 +36,9 @@
 /// What a lane gave in all for a stand, as far as seen: it only grows. At half of the whole in each second a lane gives for a
 /// thousand years before 64 bits are full. A number takes as many bytes as it needs, so the numbers of 32 bits that earlier
 /// builds say and keep are the same bytes; what is greater these can't read, and so count it as lost.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(from = "u64", into = "u64")]
 pub struct Given(u64);
 
@@ -138,7 +140,8 @@
 
 /// A sum that a liar's numbers do not overflow.
 pub(crate) fn total<'a>(gave: impl IntoIterator<Item = &'a u64>) -> u64 {
-    gave.into_iter().fold(0, |sum, gave| sum.saturating_add(*gave))
+    gave.into_iter()
+        .fold(0, |sum, gave| sum.saturating_add(*gave))
 }
 
 /// What a lane says of a stand. One writer; every number but the line and the demand only grows.
@@ -163,7 +166,12 @@
 
     /// How many both name together.
     pub fn receivers_with(&self, other: &Row) -> usize {
-        self.gave.len() + other.gave.keys().filter(|to| !self.gave.contains_key(to)).count()
+        self.gave.len()
+            + other
+                .gave
+                .keys()
+                .filter(|to| !self.gave.contains_key(to))
+                .count()
     }
 
     /// The greater of each number. Line and demand are those of the newer row, which has lent, repaid and given no less;
--- a/crates/lending/src/shortage.rs
+++ b/crates/lending/src/shortage.rs
@@ -34,7 +34,15 @@
 impl Shortage {
     pub fn new(least: u32, part: f64) -> Shortage {
         let (began, until) = (Duration::ZERO, Duration::ZERO);
-        Shortage { least, part, began, ended: 0, refused: 0, until, lasts: SHORT_LASTS }
+        Shortage {
+            least,
+            part,
+            began,
+            ended: 0,
+            refused: 0,
+            until,
+            lasts: SHORT_LASTS,
+        }
     }
 
     pub fn ended(&mut self, now: Duration, refused: bool) {
@@ -43,12 +51,17 @@
         }
         self.ended += 1;
         self.refused += u32::from(refused);
-        if self.refused < self.least || f64::from(self.refused) <= self.part * f64::from(self.ended) {
+        if self.refused < self.least || f64::from(self.refused) <= self.part * f64::from(self.ended)
+        {
             return;
         }
         if !self.is_short(now) {
             let soon = !self.until.is_zero() && now < self.until + self.lasts * SOON;
-            self.lasts = if soon { (self.lasts * 2).min(LASTS_MOST) } else { SHORT_LASTS };
+            self.lasts = if soon {
+                (self.lasts * 2).min(LASTS_MOST)
+            } else {
+                SHORT_LASTS
+            };
         }
         self.until = now + self.lasts;
     }
@@ -97,10 +110,16 @@
         let mut shortage = Shortage::default();
         refuse(&mut shortage, 1_000);
         refuse(&mut shortage, 4_000);
-        assert!(shortage.is_short(ms(7_999)) && !shortage.is_short(ms(8_000)), "four seconds");
+        assert!(
+            shortage.is_short(ms(7_999)) && !shortage.is_short(ms(8_000)),
+            "four seconds"
+        );
         refuse(&mut shortage, 10_000);
         assert!(shortage.is_short(ms(17_999)), "eight");
         refuse(&mut shortage, 60_000);
-        assert!(shortage.is_short(ms(61_999)) && !shortage.is_short(ms(62_000)), "two again");
+        assert!(
+            shortage.is_short(ms(61_999)) && !shortage.is_short(ms(62_000)),
+            "two again"
+        );
     }
 }
--- a/crates/lending/tests/bytes.rs
+++ b/crates/lending/tests/bytes.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use lending::said::{
-    digest, encode, number, Claim, Founded, Given, Head, Id, Pulse, Row, SaidRow, SaidVote, Vote, Witness,
-    BODY_BYTES, CLAIM, FOUNDED, PULSE, ROW, VOTE, WITNESS,
+    digest, encode, number, Claim, Founded, Given, Head, Id, Pulse, Row, SaidRow, SaidVote, Vote,
+    Witness, BODY_BYTES, CLAIM, FOUNDED, PULSE, ROW, VOTE, WITNESS,
 };
 use lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
 use proptest::collection::{btree_map, vec};
@@ -17,7 +17,13 @@
 const STAND: &str = "stand";
 
 fn founders() -> Vec<Id> {
-    let mut founders: Vec<Id> = NAMES.iter().map(|name| Id { name: number(name), from: 1 }).collect();
+    let mut founders: Vec<Id> = NAMES
+        .iter()
+        .map(|name| Id {
+            name: number(name),
+            from: 1,
+        })
+        .collect();
     founders.sort_unstable();
     founders
 }
@@ -40,47 +46,103 @@
 }
 
 fn id() -> impl Strategy<Value = Id> {
-    let names = prop_oneof![proptest::sample::select(&NAMES[..]).prop_map(number), any::<u32>()];
+    let names = prop_oneof![
+        proptest::sample::select(&NAMES[..]).prop_map(number),
+        any::<u32>()
+    ];
     (names, big()).prop_map(|(name, from)| Id { name, from })
 }
 
 fn head() -> impl Strategy<Value = Head> {
     let known = digest(&founders());
-    (prop_oneof![Just(known), Just(0), any::<u64>()], big(), big(), big())
-        .prop_map(|(founders, memory, lane, life)| Head { founders, memory, lane, life })
+    (
+        prop_oneof![Just(known), Just(0), any::<u64>()],
+        big(),
+        big(),
+        big(),
+    )
+        .prop_map(|(founders, memory, lane, life)| Head {
+            founders,
+            memory,
+            lane,
+            life,
+        })
 }
 
 fn row() -> impl Strategy<Value = Row> {
-    ((big(), big(), big(), big(), big()), parts(), btree_map(id(), parts(), 0..30)).prop_map(
-        |((line, lent, repaid, written_off, demand), took, gave)| Row {
-            line,
-            lent,
-            repaid,
-            written_off,
-            demand,
-            took,
-            gave,
-        },
+    (
+        (big(), big(), big(), big(), big()),
+        parts(),
+        btree_map(id(), parts(), 0..30),
     )
+        .prop_map(
+            |((line, lent, repaid, written_off, demand), took, gave)| Row {
+                line,
+                lent,
+                repaid,
+                written_off,
+                demand,
+                took,
+                gave,
+            },
+        )
 }
 
 /// Kind, start and body of any values, which others could not have said.
 fn sound() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
     let few = || vec((any::<u8>(), small()), 0..9);
     let lanes = || vec((id(), small()), 0..9);
-    let pulse =
-        (head(), any::<bool>(), small(), few(), lanes()).prop_map(|(head, ripe, beat, founders, others)| {
-            (head.life, encode(&Pulse { head, ripe, beat, founders, others }))
+    let pulse = (head(), any::<bool>(), small(), few(), lanes()).prop_map(
+        |(head, ripe, beat, founders, others)| {
+            (
+                head.life,
+                encode(&Pulse {
+                    head,
+                    ripe,
+                    beat,
+                    founders,
+                    others,
+                }),
+            )
+        },
+    );
+    let founded =
+        (head(), big(), vec((small(), big()), 0..60)).prop_map(|(head, least, members)| {
+            (
+                0,
+                encode(&Founded {
+                    head,
+                    least,
+                    members,
+                }),
+            )
         });
-    let founded = (head(), big(), vec((small(), big()), 0..60))
-        .prop_map(|(head, least, members)| (0, encode(&Founded { head, least, members })));
     let seen = || vec((any::<u8>(), given()), 0..9);
     let row = (head(), row()).prop_map(|(head, row)| (0, encode(&SaidRow { head, row })));
-    let witness = (head(), seen(), vec((id(), given()), 0..9))
-        .prop_map(|(head, founders, others)| (0, encode(&Witness { head, founders, others })));
+    let witness =
+        (head(), seen(), vec((id(), given()), 0..9)).prop_map(|(head, founders, others)| {
+            (
+                0,
+                encode(&Witness {
+                    head,
+                    founders,
+                    others,
+                }),
+            )
+        });
     let claim = (head(), id()).prop_map(|(head, lane)| (0, encode(&Claim { head, lane })));
-    let vote = (head(), id(), id(), btree_map(small(), given(), 0..9))
-        .prop_map(|(head, lane, to, given)| (0, encode(&SaidVote { head, lane, vote: Vote { to, given } })));
+    let vote = (head(), id(), id(), btree_map(small(), given(), 0..9)).prop_map(
+        |(head, lane, to, given)| {
+            (
+                0,
+                encode(&SaidVote {
+                    head,
+                    lane,
+                    vote: Vote { to, given },
+                }),
+            )
+        },
+    );
     prop_oneof![
         pulse.prop_map(|(start, body)| (PULSE, start, body)),
         founded.prop_map(|(start, body)| (FOUNDED, start, body)),
@@ -101,7 +163,11 @@
         }
         (kind, start, body)
     });
-    prop_oneof![sound(), mutated, (PULSE..=VOTE, big(), vec(any::<u8>(), 0..BODY_BYTES))]
+    prop_oneof![
+        sound(),
+        mutated,
+        (PULSE..=VOTE, big(), vec(any::<u8>(), 0..BODY_BYTES))
+    ]
 }
 
 fn rules() -> Rules {
