--- a/crates/lending/tests/fleet/mod.rs
+++ b/crates/lending/tests/fleet/mod.rs
@@ -37,7 +37,8 @@
 impl Node {
     /// What is written off by now is not what is paid.
     fn paid(&mut self, local: Duration, mut paid: u64) {
-        self.loans.retain(|(since, _)| local < *since + TERM + WRITE_OFF);
+        self.loans
+            .retain(|(since, _)| local < *since + TERM + WRITE_OFF);
         while let Some((_, left)) = self.loans.front_mut() {
             let part = paid.min(*left);
             (*left, paid) = (*left - part, paid - part);
@@ -155,7 +156,10 @@
     }
 
     fn line(&self) -> u64 {
-        self.quota.iter().max().map_or(0, |quota| quota * LINE_SECONDS)
+        self.quota
+            .iter()
+            .max()
+            .map_or(0, |quota| quota * LINE_SECONDS)
     }
 
     pub fn start(&mut self, at: usize, keep_file: bool) {
@@ -177,8 +181,14 @@
             let loans = std::mem::take(&mut node.loans);
             node.former.extend(loans);
         }
-        node.process =
-            Some(Process { core, start, token: 0, due: self.now, paused: false, known: BTreeMap::new() });
+        node.process = Some(Process {
+            core,
+            start,
+            token: 0,
+            due: self.now,
+            paused: false,
+            known: BTreeMap::new(),
+        });
         let rules = self.rules(at);
         self.event(at, Event::Rules(rules));
     }
@@ -187,7 +197,9 @@
         let mut actions = Vec::new();
         let (now, node) = (self.now, &mut self.nodes[at]);
         let local = node.clock.at(now);
-        let Some(process) = node.process.as_mut() else { return };
+        let Some(process) = node.process.as_mut() else {
+            return;
+        };
         let repaid = |core: &Core| core.book(local, STAND).map_or(0, |book| book.repaid);
         let before = repaid(&process.core);
         process.core.handle(local, event, &mut actions);
@@ -200,13 +212,24 @@
     fn act(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell { kind, key, body, lasts } => {
+                Action::Tell {
+                    kind,
+                    key,
+                    body,
+                    lasts,
+                } => {
                     assert!(body.len() <= 512 && key.len() <= 32, "a fact is too long");
                     self.sequence += 1;
                     self.told += body.len() + key.len();
                     let node = &mut self.nodes[at];
                     let start = node.process.as_ref().map_or(0, |process| process.start);
-                    let said = Said { start, sequence: self.sequence, body, at: self.now, lasts };
+                    let said = Said {
+                        start,
+                        sequence: self.sequence,
+                        body,
+                        at: self.now,
+                        lasts,
+                    };
                     let versions = node.said.entry((at, kind, key)).or_default();
                     versions.push_back(said);
                     if versions.len() > 3 {
@@ -242,35 +265,65 @@
                 name: self.nodes[other].name.clone(),
                 start: 0,
                 up: self.linked(at, other)
-                    && self.nodes[other].process.as_ref().is_some_and(|process| !process.paused),
+                    && self.nodes[other]
+                        .process
+                        .as_ref()
+                        .is_some_and(|process| !process.paused),
             })
             .collect();
         let roster: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
         let heard = members.iter().filter(|member| member.up).count();
         let lend = heard * 2 > members.len() || self.wrong_views && self.rng.random_bool(0.3);
-        self.event(at, Event::View { lend, roster: &roster, members: &members });
+        self.event(
+            at,
+            Event::View {
+                lend,
+                roster: &roster,
+                members: &members,
+            },
+        );
     }
 
     /// What one knows of all that another knows or says, some of it old or twice, some lost.
     fn hear(&mut self, at: usize, from: usize) {
         let keys: Vec<Key> = {
-            let Some(there) = &self.nodes[from].process else { return };
-            there.known.keys().chain(self.nodes[from].said.keys()).cloned().collect()
+            let Some(there) = &self.nodes[from].process else {
+                return;
+            };
+            there
+                .known
+                .keys()
+                .chain(self.nodes[from].said.keys())
+                .cloned()
+                .collect()
         };
         for key in keys.into_iter().filter(|key| key.0 != at) {
             if self.drops > 0 && self.rng.random_range(0..100) < self.drops {
                 continue;
             }
             let old = self.rng.random_range(0..40) == 0;
-            let there =
-                self.nodes[from].process.as_ref().and_then(|process| process.known.get(&key)).copied();
+            let there = self.nodes[from]
+                .process
+                .as_ref()
+                .and_then(|process| process.known.get(&key))
+                .copied();
             let versions = &self.nodes[key.0].said[&key];
-            let has = |said: &&Said| key.0 == from || there.is_some_and(|v| (said.start, said.sequence) <= v);
+            let has = |said: &&Said| {
+                key.0 == from || there.is_some_and(|v| (said.start, said.sequence) <= v)
+            };
             let mut versions = versions.iter().rev().filter(has);
-            let said = if old { versions.next_back() } else { versions.next() };
-            let Some(said) = said.filter(|said| self.now < said.at + said.lasts).cloned() else { continue };
+            let said = if old {
+                versions.next_back()
+            } else {
+                versions.next()
+            };
+            let Some(said) = said.filter(|said| self.now < said.at + said.lasts).cloned() else {
+                continue;
+            };
             let version = (said.start, said.sequence);
-            let Some(process) = self.nodes[at].process.as_mut() else { return };
+            let Some(process) = self.nodes[at].process.as_mut() else {
+                return;
+            };
             let known = process.known.get(&key).copied().unwrap_or_default();
             if version <= known && !old {
                 continue;
@@ -278,8 +331,14 @@
             process.known.insert(key.clone(), known.max(version));
             let source = self.nodes[key.0].name.clone();
             let (key, kind, age) = (key.2, key.1, self.now - said.at);
-            let fact =
-                Event::Fact { source: &source, start: said.start, kind, key: &key, body: &said.body, age };
+            let fact = Event::Fact {
+                source: &source,
+                start: said.start,
+                kind,
+                key: &key,
+                body: &said.body,
+                age,
+            };
             self.event(at, fact);
         }
     }
@@ -287,7 +346,9 @@
     pub fn ask(&mut self, at: usize) {
         let local = self.nodes[at].clock.at(self.now);
         let mut actions = Vec::new();
-        let Some(process) = self.nodes[at].process.as_mut() else { return };
+        let Some(process) = self.nodes[at].process.as_mut() else {
+            return;
+        };
         if process.paused {
             return;
         }
@@ -303,7 +364,9 @@
 
     fn repay(&mut self, at: usize, amount: u64, elsewhere: bool) {
         let node = &mut self.nodes[at];
-        let Some(process) = node.process.as_mut().filter(|process| !process.paused) else { return };
+        let Some(process) = node.process.as_mut().filter(|process| !process.paused) else {
+            return;
+        };
         let local = node.clock.at(self.now);
         if elsewhere {
             // Little of its quota is here, so that others are asked; these withhold more than is owed to them.
@@ -321,13 +384,20 @@
             self.trouble();
         }
         for at in 0..members {
-            if self.nodes[at].process.as_ref().is_none_or(|process| process.paused) {
+            if self.nodes[at]
+                .process
+                .as_ref()
+                .is_none_or(|process| process.paused)
+            {
                 continue;
             }
             if self.rng.random_range(0..4) == 0 || self.now < Duration::from_secs(1) {
                 self.view(at);
             }
-            let process = self.nodes[at].process.as_ref().map(|process| (process.due, process.token));
+            let process = self.nodes[at]
+                .process
+                .as_ref()
+                .map(|process| (process.due, process.token));
             if let Some((due, token)) = process.filter(|(due, _)| *due <= self.now) {
                 let _ = due;
                 self.event(at, Event::Timer(token));
@@ -335,7 +405,8 @@
             for _ in 0..3 {
                 let from = self.rng.random_range(0..members);
                 if from != at && self.linked(at, from) {
-                    let awake = |node: &Node| node.process.as_ref().is_some_and(|there| !there.paused);
+                    let awake =
+                        |node: &Node| node.process.as_ref().is_some_and(|there| !there.paused);
                     if awake(&self.nodes[from]) {
                         self.hear(at, from);
                     }
@@ -373,7 +444,9 @@
             }
             2 => {
                 let sides = self.rng.random_range(2..4);
-                self.side = (0..self.nodes.len()).map(|_| self.rng.random_range(0..sides)).collect();
+                self.side = (0..self.nodes.len())
+                    .map(|_| self.rng.random_range(0..sides))
+                    .collect();
             }
             3..6 if self.rng.random_bool(self.heals) => self.side.fill(0),
             6 => self.side[at] = 9,
@@ -407,7 +480,11 @@
     }
 
     fn resume(&mut self, at: usize) {
-        if let Some(process) = self.nodes[at].process.as_mut().filter(|process| process.paused) {
+        if let Some(process) = self.nodes[at]
+            .process
+            .as_mut()
+            .filter(|process| process.paused)
+        {
             process.paused = false;
             // The first thing that it does is to lend, if it may.
             (0..8).for_each(|_| self.ask(at));
@@ -424,10 +501,15 @@
                 loans.retain(|(since, _)| local < *since + longest);
                 out += loans.iter().map(|(_, left)| left).sum::<u64>();
             }
-            let Some(process) = &node.process else { continue };
+            let Some(process) = &node.process else {
+                continue;
+            };
             if let Some(book) = process.core.book(local, STAND) {
                 if book.lent != book.repaid + book.owed + book.written_off {
-                    return Err(format!("{} at {:?}: {book:?} does not add up", node.name, self.now));
+                    return Err(format!(
+                        "{} at {:?}: {book:?} does not add up",
+                        node.name, self.now
+                    ));
                 }
                 if local < book.lends_until {
                     may += book.part.saturating_sub(book.owed);
@@ -439,26 +521,42 @@
                     at
                 });
                 if first != at {
-                    return Err(format!("{lane:?} was taken by {first} and {at} at {:?}", self.now));
+                    return Err(format!(
+                        "{lane:?} was taken by {first} and {at} at {:?}",
+                        self.now
+                    ));
                 }
             }
         }
         if out + may > self.line() {
             let line = self.line();
-            return Err(format!("{out} is owed at {:?}, {may} may be lent, of a line of {line}", self.now));
+            return Err(format!(
+                "{out} is owed at {:?}, {may} may be lent, of a line of {line}",
+                self.now
+            ));
         }
         Ok(())
     }
 
     /// The most that a lane says that it gave in all.
     pub fn given(&self) -> u64 {
-        let said = self.nodes.iter().flat_map(|node| &node.said).filter(|((_, kind, _), _)| *kind == ROW);
+        let said = self
+            .nodes
+            .iter()
+            .flat_map(|node| &node.said)
+            .filter(|((_, kind, _), _)| *kind == ROW);
         let rows = said.filter_map(|(_, versions)| decode::<SaidRow>(&versions.back()?.body));
-        rows.map(|said| said.row.gave.values().sum()).max().unwrap_or(0)
+        rows.map(|said| said.row.gave.values().sum())
+            .max()
+            .unwrap_or(0)
     }
 
     pub fn founded(&self) -> usize {
-        let founded = |node: &&Node| node.process.as_ref().is_some_and(|process| process.core.is_founded());
+        let founded = |node: &&Node| {
+            node.process
+                .as_ref()
+                .is_some_and(|process| process.core.is_founded())
+        };
         self.nodes.iter().filter(founded).count()
     }
 
@@ -534,7 +632,12 @@
         fleet.event(at, Event::Rules(rules));
         // What was lent before has to be over.
         fleet.steps(24)?;
-        let part = |at: usize| fleet.withheld(at, 0, Duration::ZERO).1.map_or(0, |book| book.part);
+        let part = |at: usize| {
+            fleet
+                .withheld(at, 0, Duration::ZERO)
+                .1
+                .map_or(0, |book| book.part)
+        };
         Ok(((0..5).map(part).sum(), former / 4))
     }
 
@@ -543,14 +646,24 @@
         let local = self.nodes[at].clock.at(self.now);
         let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
         let mut asked = (0..1000).map(|_| core.ask(local, STAND, "normal", 1000, &mut Vec::new()));
-        asked.find(|verdict| *verdict != Verdict::Borrowed).unwrap_or(Verdict::Borrowed)
+        asked
+            .find(|verdict| *verdict != Verdict::Borrowed)
+            .unwrap_or(Verdict::Borrowed)
     }
 
     /// Withheld at such a use of the quota of one request a second; and the book.
-    pub fn withheld(&mut self, at: usize, used: u32, later: Duration) -> (u32, Option<lending::Book>) {
+    pub fn withheld(
+        &mut self,
+        at: usize,
+        used: u32,
+        later: Duration,
+    ) -> (u32, Option<lending::Book>) {
         let local = self.nodes[at].clock.at(self.now) + later;
         let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
-        (core.withhold(local, STAND, 1 << 40, used), core.book(local, STAND))
+        (
+            core.withhold(local, STAND, 1 << 40, used),
+            core.book(local, STAND),
+        )
     }
 
     pub fn founded_in_peace(seed: u64) -> Fleet {
--- a/crates/lending/tests/help.rs
+++ b/crates/lending/tests/help.rs
@@ -36,7 +36,10 @@
     fn new(helps: bool) -> Fleet {
         let longest = Duration::from_secs(40);
         let core = |n: u64| {
-            let config = Config { longest, ..Config::new(&format!("n{n}"), 1_000 + n, false) };
+            let config = Config {
+                longest,
+                ..Config::new(&format!("n{n}"), 1_000 + n, false)
+            };
             Core::new(&config, Duration::ZERO, None)
         };
         let timers = vec![(Duration::ZERO, 0); 3];
@@ -76,8 +79,16 @@
     fn act(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell { kind, key, body, .. } => {
-                    self.facts.push_back(Fact { at: self.now + LATE, from, kind, key, body });
+                Action::Tell {
+                    kind, key, body, ..
+                } => {
+                    self.facts.push_back(Fact {
+                        at: self.now + LATE,
+                        from,
+                        kind,
+                        key,
+                        body,
+                    });
                 }
                 Action::Timer { after, token } => self.timers[from] = (self.now + after, token),
                 _ => {}
@@ -90,26 +101,56 @@
         while self.now < Duration::from_secs(seconds) {
             self.now += LOOK;
             while self.facts.front().is_some_and(|fact| fact.at <= self.now) {
-                let Some(Fact { from, kind, key, body, .. }) = self.facts.pop_front() else { break };
+                let Some(Fact {
+                    from,
+                    kind,
+                    key,
+                    body,
+                    ..
+                }) = self.facts.pop_front()
+                else {
+                    break;
+                };
                 let told = self.helps || kind != PAID;
                 for at in (0..3).filter(|at| *at != from && told) {
                     let (source, start) = (&roster[from], 1_000 + from as u64);
-                    self.event(at, Event::Fact { source, start, kind, key: &key, body: &body, age: LATE });
+                    self.event(
+                        at,
+                        Event::Fact {
+                            source,
+                            start,
+                            kind,
+                            key: &key,
+                            body: &body,
+                            age: LATE,
+                        },
+                    );
                 }
             }
             for at in 0..3 {
                 let others = (0..3).filter(|n| *n != at);
-                let others =
-                    others.map(|n| Member { name: roster[n].clone(), start: 1_000 + n as u64, up: true });
+                let others = others.map(|n| Member {
+                    name: roster[n].clone(),
+                    start: 1_000 + n as u64,
+                    up: true,
+                });
                 let members: Vec<Member> = others.collect();
-                self.event(at, Event::View { lend: true, roster: &roster, members: &members });
+                self.event(
+                    at,
+                    Event::View {
+                        lend: true,
+                        roster: &roster,
+                        members: &members,
+                    },
+                );
                 let (due, token) = self.timers[at];
                 if due <= self.now {
                     self.event(at, Event::Timer(token));
                 }
                 // A tenth is held everywhere, as the account of quotas does.
                 let quota = QUOTA * (self.parts[at] + 30) / 1090;
-                let withheld = quota * u64::from(self.shares[at]) / 1000 * LOOK.as_millis() as u64 / 1000;
+                let withheld =
+                    quota * u64::from(self.shares[at]) / 1000 * LOOK.as_millis() as u64 / 1000;
                 self.cores[at].repay(self.now, STAND, withheld);
                 self.withheld += withheld;
                 self.shares[at] = self.cores[at].withhold(self.now, STAND, quota, 1000);
@@ -129,7 +170,11 @@
         while fleet.cores[0].ask(now, STAND, "any", 1000, &mut actions) == Verdict::Borrowed {}
         fleet.act(0, actions);
         let owed = fleet.book(0).owed;
-        assert!(owed > 10 * QUOTA / 4, "{owed} of {:?}", fleet.cores[0].held(STAND).0 as f64 / WHOLE as f64);
+        assert!(
+            owed > 10 * QUOTA / 4,
+            "{owed} of {:?}",
+            fleet.cores[0].held(STAND).0 as f64 / WHOLE as f64
+        );
         fleet.parts = [0, 500, 500];
         (fleet, owed)
     }
@@ -142,7 +187,11 @@
     let book = fleet.book(0);
     println!("{owed} were owed, {} withheld: {book:?}", fleet.withheld);
     assert_eq!((book.owed, book.written_off, book.repaid), (0, 0, owed));
-    assert!(fleet.withheld <= owed + owed / 4, "{} for {owed}", fleet.withheld);
+    assert!(
+        fleet.withheld <= owed + owed / 4,
+        "{} for {owed}",
+        fleet.withheld
+    );
     // Nothing more is withheld than what it is for.
     let before = fleet.withheld;
     fleet.until(130);
--- a/crates/lending/tests/model.rs
+++ b/crates/lending/tests/model.rs
@@ -67,7 +67,8 @@
 impl Three {
     fn core(&self, at: usize, start: u64, now: Duration, file: Option<&[u8]>) -> Core {
         let mut config = Config::new(NAMES[at], start, true);
-        (config.longest, config.lease, config.step) = (Duration::from_millis(900), TICK + TICK / 2, TICK);
+        (config.longest, config.lease, config.step) =
+            (Duration::from_millis(900), TICK + TICK / 2, TICK);
         config.lease += if self.gifts { TICK } else { Duration::ZERO };
         config.guards = self.guards;
         let mut core = Core::new(&config, now, file);
@@ -88,7 +89,12 @@
     fn act(proxy: &mut Proxy, now: Duration, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell { kind, key, body, lasts } => {
+                Action::Tell {
+                    kind,
+                    key,
+                    body,
+                    lasts,
+                } => {
                     let start = proxy.core.as_ref().map_or(0, |(_, start)| *start);
                     proxy.said.insert((kind, key), (start, body, now, lasts));
                 }
@@ -121,13 +127,21 @@
         let roster: Vec<String> = NAMES.iter().map(|name| (*name).to_owned()).collect();
         for to in 0..3 {
             let up = |from: usize| state.proxies[from].core.is_some() && cut & bit(to, from) == 0;
-            let member = |at: usize| Member { name: NAMES[at].into(), start: 0, up: at == to || up(at) };
+            let member = |at: usize| Member {
+                name: NAMES[at].into(),
+                start: 0,
+                up: at == to || up(at),
+            };
             let members: Vec<Member> = (0..3).map(member).collect();
             // The view is as wrong as it can be: the line must not hang on it.
             Self::event(
                 &mut state.proxies[to],
                 now,
-                Event::View { lend: true, roster: &roster, members: &members },
+                Event::View {
+                    lend: true,
+                    roster: &roster,
+                    members: &members,
+                },
             );
             let token = state.proxies[to].token;
             Self::event(&mut state.proxies[to], now, Event::Timer(token));
@@ -141,7 +155,14 @@
             for ((kind, key), (start, body, at, lasts)) in said {
                 if now < at + lasts {
                     let (source, age) = (NAMES[from], now - at);
-                    let fact = Event::Fact { source, start, kind, key: &key, body: &body, age };
+                    let fact = Event::Fact {
+                        source,
+                        start,
+                        kind,
+                        key: &key,
+                        body: &body,
+                        age,
+                    };
                     Self::event(&mut state.proxies[to], now, fact);
                 }
             }
@@ -154,7 +175,9 @@
             }
             for _ in 0..8 {
                 let mut actions = Vec::new();
-                let Some((core, _)) = &mut proxy.core else { break };
+                let Some((core, _)) = &mut proxy.core else {
+                    break;
+                };
                 if core.ask(now, "s", "any", 500, &mut actions) != Verdict::Borrowed {
                     Self::act(proxy, now, actions);
                     break;
@@ -164,7 +187,9 @@
             }
         }
         for (at, proxy) in state.proxies.iter().enumerate() {
-            let Some((core, _)) = &proxy.core else { continue };
+            let Some((core, _)) = &proxy.core else {
+                continue;
+            };
             state.taken.extend(core.taken().map(|lane| (lane, at)));
         }
     }
@@ -176,23 +201,44 @@
 
     fn init_states(&self) -> Vec<State> {
         let proxy = |at: usize| Proxy {
-            core: Some((self.core(at, 1 + at as u64, Duration::ZERO, None), 1 + at as u64)),
+            core: Some((
+                self.core(at, 1 + at as u64, Duration::ZERO, None),
+                1 + at as u64,
+            )),
             token: 0,
             file: None,
             said: BTreeMap::new(),
             loans: vec![],
         };
         let proxies = (0..3).map(proxy).collect();
-        let mut state = State { now: Duration::ZERO, ticks: 0, proxies, taken: BTreeSet::new(), faults: 0 };
+        let mut state = State {
+            now: Duration::ZERO,
+            ticks: 0,
+            proxies,
+            taken: BTreeSet::new(),
+            faults: 0,
+        };
         (0..16).for_each(|_| Self::tick(&mut state, 0, None));
-        let founded = |proxy: &Proxy| proxy.core.as_ref().is_some_and(|(core, _)| core.held("s").0 > 0);
+        let founded = |proxy: &Proxy| {
+            proxy
+                .core
+                .as_ref()
+                .is_some_and(|(core, _)| core.held("s").0 > 0)
+        };
         assert!(state.proxies.iter().all(founded), "the fleet is founded");
         if self.gifts {
             (0..600).for_each(|tick| Self::tick(&mut state, 0, Some(tick / 8 % 3)));
-            let rows = state.proxies.iter().flat_map(|p| &p.said).filter(|((kind, _), _)| *kind == ROW);
+            let rows = state
+                .proxies
+                .iter()
+                .flat_map(|p| &p.said)
+                .filter(|((kind, _), _)| *kind == ROW);
             let rows = rows.filter_map(|(_, said)| decode::<SaidRow>(&said.1));
             let most = rows.map(|said| said.row.gave.values().sum::<u64>()).max();
-            assert!(most.is_some_and(|most| most > u64::from(u32::MAX)), "{most:?}");
+            assert!(
+                most.is_some_and(|most| most > u64::from(u32::MAX)),
+                "{most:?}"
+            );
         }
         // From there; from one dead for a while; from one cut off for a while.
         let (mut dead, mut apart) = (state.clone(), state.clone());
@@ -235,7 +281,10 @@
                 let proxy = &mut state.proxies[at];
                 proxy.file = proxy.file.take().filter(|_| keep);
                 proxy.token = 0;
-                proxy.core = Some((self.core(at, start, state.now, proxy.file.as_deref()), start));
+                proxy.core = Some((
+                    self.core(at, start, state.now, proxy.file.as_deref()),
+                    start,
+                ));
             }
         }
         Some(state)
@@ -244,11 +293,18 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("the line holds", |_, state: &State| {
-                let out: u64 = state.proxies.iter().map(|proxy| proxy.loans.len() as u64 * 500).sum();
+                let out: u64 = state
+                    .proxies
+                    .iter()
+                    .map(|proxy| proxy.loans.len() as u64 * 500)
+                    .sum();
                 let cores = state.proxies.iter().filter_map(|proxy| proxy.core.as_ref());
                 let books = cores.filter_map(|(core, _)| core.book(state.now, "s"));
                 let lends = books.filter(|book| state.now < book.lends_until);
-                out + lends.map(|book| book.part.saturating_sub(book.owed)).sum::<u64>() <= LINE
+                out + lends
+                    .map(|book| book.part.saturating_sub(book.owed))
+                    .sum::<u64>()
+                    <= LINE
             }),
             Property::always("a lane is taken once", |_, state: &State| {
                 let lanes: BTreeSet<Id> = state.taken.iter().map(|(lane, _)| *lane).collect();
@@ -259,7 +315,9 @@
                 let mut books = cores.filter_map(|(core, _)| core.book(state.now, "s"));
                 books.all(|book| book.lent == book.repaid + book.owed + book.written_off)
             }),
-            Property::sometimes("a lane is taken", |_, state: &State| !state.taken.is_empty()),
+            Property::sometimes("a lane is taken", |_, state: &State| {
+                !state.taken.is_empty()
+            }),
             Property::sometimes("a loan is out", |_, state: &State| {
                 state.proxies.iter().any(|proxy| !proxy.loans.is_empty())
             }),
@@ -267,9 +325,20 @@
     }
 }
 
-fn check(guards: Guards, ticks: u8, faults: u8, gifts: bool, most: usize) -> (usize, Vec<&'static str>) {
+fn check(
+    guards: Guards,
+    ticks: u8,
+    faults: u8,
+    gifts: bool,
+    most: usize,
+) -> (usize, Vec<&'static str>) {
     let began = std::time::Instant::now();
-    let model = Three { guards, ticks, faults, gifts };
+    let model = Three {
+        guards,
+        ticks,
+        faults,
+        gifts,
+    };
     let checker = model
         .checker()
         .threads(3)
@@ -313,13 +382,34 @@
     let all = Guards::ALL;
     let without = [
         ("part", Guards { part: false, ..all }),
-        ("lease", Guards { lease: false, ..all }),
-        ("frozen", Guards { frozen: false, ..all }),
-        ("memory", Guards { memory: false, ..all }),
+        (
+            "lease",
+            Guards {
+                lease: false,
+                ..all
+            },
+        ),
+        (
+            "frozen",
+            Guards {
+                frozen: false,
+                ..all
+            },
+        ),
+        (
+            "memory",
+            Guards {
+                memory: false,
+                ..all
+            },
+        ),
     ];
     for (name, guards) in without {
         print!("without {name}: ");
         let (_, found) = check(guards, 4, 2, false, 400_000);
-        assert!(found.contains(&"the line holds"), "nobody notices that {name} is gone");
+        assert!(
+            found.contains(&"the line holds"),
+            "nobody notices that {name} is gone"
+        );
     }
 }
--- a/crates/lending/tests/rows_and_files.rs
+++ b/crates/lending/tests/rows_and_files.rs
@@ -9,17 +9,23 @@
 fn row() -> impl Strategy<Value = Row> {
     let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| Id { name, from });
     let gave = prop::collection::btree_map(id, 0..9_u64, 0..4);
-    ((0..4_u64, 0..4_u64, 0..4_u64, 0..4_u64), 0..4_u64, 0..4_u64, gave).prop_map(
-        |((line, lent, repaid, written_off), demand, took, gave)| Row {
-            line,
-            lent,
-            repaid,
-            written_off,
-            demand,
-            took,
-            gave,
-        },
+    (
+        (0..4_u64, 0..4_u64, 0..4_u64, 0..4_u64),
+        0..4_u64,
+        0..4_u64,
+        gave,
     )
+        .prop_map(
+            |((line, lent, repaid, written_off), demand, took, gave)| Row {
+                line,
+                lent,
+                repaid,
+                written_off,
+                demand,
+                took,
+                gave,
+            },
+        )
 }
 
 fn merged(a: &Row, b: &Row) -> Row {
@@ -30,7 +36,11 @@
 
 /// What a row says of rights and debts: line and demand are only the last word on these.
 fn lasting(row: &Row) -> Row {
-    Row { line: 0, demand: 0, ..row.clone() }
+    Row {
+        line: 0,
+        demand: 0,
+        ..row.clone()
+    }
 }
 
 fn file() -> Vec<u8> {
@@ -82,7 +92,12 @@
 /// A lane at rest says a stricter rule with the numbers that it had: it binds, in whichever order the two are heard.
 #[test]
 fn the_stricter_line_of_a_lane_at_rest_is_taken() {
-    let row = |line| Row { line, lent: 5, repaid: 2, ..Row::default() };
+    let row = |line| Row {
+        line,
+        lent: 5,
+        repaid: 2,
+        ..Row::default()
+    };
     assert_eq!(merged(&row(80), &row(20)).line, 20);
     assert_eq!(merged(&row(20), &row(80)).line, 20);
     // A looser one is, too, as soon as anything has moved.
--- a/crates/lending/tests/schedules.rs
+++ b/crates/lending/tests/schedules.rs
@@ -23,14 +23,21 @@
     };
     let add = |a: (u64, usize, usize), b: (u64, usize, usize)| (a.0 + b.0, a.1 + b.1, a.2 + b.2);
     let (lent, takings, founded) = std::thread::scope(|scope| {
-        let all: Vec<_> = (0..THREADS).map(|thread| scope.spawn(move || part(thread))).collect();
-        all.into_iter().map(|part| part.join().expect("a schedule failed")).fold((0, 0, 0), add)
+        let all: Vec<_> = (0..THREADS)
+            .map(|thread| scope.spawn(move || part(thread)))
+            .collect();
+        all.into_iter()
+            .map(|part| part.join().expect("a schedule failed"))
+            .fold((0, 0, 0), add)
     });
     println!(
         "{count} schedules of {members}: {lent} loans, {takings} lanes taken over, founded in {founded}, {:?}",
         began.elapsed()
     );
-    assert!(lent > count * 20 && takings > 0, "schedules in which nothing happens prove nothing");
+    assert!(
+        lent > count * 20 && takings > 0,
+        "schedules in which nothing happens prove nothing"
+    );
 }
 
 #[test]
@@ -62,13 +69,43 @@
     let all = Guards::ALL;
     let without = [
         ("part", Guards { part: false, ..all }),
-        ("lease", Guards { lease: false, ..all }),
-        ("witness", Guards { witness: false, ..all }),
+        (
+            "lease",
+            Guards {
+                lease: false,
+                ..all
+            },
+        ),
+        (
+            "witness",
+            Guards {
+                witness: false,
+                ..all
+            },
+        ),
         ("hold", Guards { hold: false, ..all }),
         ("once", Guards { once: false, ..all }),
-        ("frozen", Guards { frozen: false, ..all }),
-        ("reserve", Guards { reserve: false, ..all }),
-        ("memory", Guards { memory: false, ..all }),
+        (
+            "frozen",
+            Guards {
+                frozen: false,
+                ..all
+            },
+        ),
+        (
+            "reserve",
+            Guards {
+                reserve: false,
+                ..all
+            },
+        ),
+        (
+            "memory",
+            Guards {
+                memory: false,
+                ..all
+            },
+        ),
     ];
     for (name, guards) in without {
         let noticed = (0..400).find_map(|seed| {
@@ -89,22 +126,35 @@
 fn lanes_of_the_dead_and_of_the_cut_off_are_taken_once() {
     let mut takings = 0;
     for seed in 0..20 {
-        for play in [Fleet::gift_in_the_dark, Fleet::cut_off, Fleet::kill_and_return] {
-            takings += play(seed, Guards::ALL).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}")).takings;
+        for play in [
+            Fleet::gift_in_the_dark,
+            Fleet::cut_off,
+            Fleet::kill_and_return,
+        ] {
+            takings += play(seed, Guards::ALL)
+                .unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"))
+                .takings;
         }
     }
-    assert!(takings >= 30, "{takings} lanes were taken over in 60 schedules");
+    assert!(
+        takings >= 30,
+        "{takings} lanes were taken over in 60 schedules"
+    );
 }
 
 /// Bytes a second that each says: with loans, and long after.
 fn said(members: usize) -> [usize; 2] {
     let mut fleet = Fleet::new(1, members, true, Guards::ALL);
     fleet.sound_disks = true;
-    fleet.steps(140).unwrap_or_else(|wrong| panic!("{members} members: {wrong}"));
+    fleet
+        .steps(140)
+        .unwrap_or_else(|wrong| panic!("{members} members: {wrong}"));
     assert!(fleet.founded() == members || members > 55);
     let mut said = |quiet, steps: usize| {
         (fleet.quiet, fleet.told) = (quiet, 0);
-        fleet.steps(steps).unwrap_or_else(|wrong| panic!("{members} members: {wrong}"));
+        fleet
+            .steps(steps)
+            .unwrap_or_else(|wrong| panic!("{members} members: {wrong}"));
         fleet.told * 4 / steps / members
     };
     let busy = said(false, 80);
@@ -133,10 +183,18 @@
     for seed in 0..2 {
         let mut fleet = Fleet::peace(seed, Guards::ALL).unwrap_or_else(|wrong| panic!("{wrong}"));
         fleet.sound_disks = true;
-        fleet.steps(8000).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
+        fleet
+            .steps(8000)
+            .unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
         let lent = fleet.lent;
-        assert!(fleet.given() > u64::from(u32::MAX), "seed {seed}: {}", fleet.given());
-        fleet.steps(400).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
+        assert!(
+            fleet.given() > u64::from(u32::MAX),
+            "seed {seed}: {}",
+            fleet.given()
+        );
+        fleet
+            .steps(400)
+            .unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
         assert!(fleet.lent > lent, "seed {seed}: nothing is lent any more");
     }
 }
@@ -144,22 +202,38 @@
 #[test]
 fn the_stricter_of_two_lines_holds_for_all() {
     for seed in 0..10 {
-        let (parts, line) = Fleet::stricter(seed).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
-        assert!(parts <= line && parts > line / 2, "seed {seed}: {parts} of {line}");
+        let (parts, line) =
+            Fleet::stricter(seed).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
+        assert!(
+            parts <= line && parts > line / 2,
+            "seed {seed}: {parts} of {line}"
+        );
     }
 }
 
 #[test]
 fn each_reason_for_no_is_said_and_the_floor_stays() {
     let mut fleet = Fleet::founded_in_peace(1);
-    assert!(matches!(fleet.exhaust(0), Verdict::No(Reason::Line | Reason::Unsaved)));
+    assert!(matches!(
+        fleet.exhaust(0),
+        Verdict::No(Reason::Line | Reason::Unsaved)
+    ));
     // Quiet: all but the floor. In full use: what the term needs. Others need the room: all but the floor.
     assert_eq!(fleet.withheld(0, 0, Duration::ZERO).0, 500);
     assert!(fleet.withheld(0, 1000, Duration::ZERO).0 < 10);
-    assert!(fleet.withheld(0, 1000, Duration::from_secs(2)).1.is_some_and(|book| book.in_default));
+    assert!(fleet
+        .withheld(0, 1000, Duration::from_secs(2))
+        .1
+        .is_some_and(|book| book.in_default));
     for (event, reason) in [
         (Event::Short(true), Reason::Short),
-        (Event::Open { stand: fleet::STAND, open: false }, Reason::Closed),
+        (
+            Event::Open {
+                stand: fleet::STAND,
+                open: false,
+            },
+            Reason::Closed,
+        ),
         (Event::Rules(Rules::default()), Reason::NoRule),
     ] {
         fleet.tell(0, event);
--- a/crates/leverlab/build.rs
+++ b/crates/leverlab/build.rs
@@ -4,7 +4,9 @@
 use std::path::{Path, PathBuf};
 
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    let Ok(entries) = std::fs::read_dir(folder) else { return };
+    let Ok(entries) = std::fs::read_dir(folder) else {
+        return;
+    };
     for path in entries.flatten().map(|e| e.path()) {
         if path.is_dir() {
             sources(&path, found);
@@ -17,7 +19,14 @@
 fn main() {
     let own = PathBuf::from(std::env::var("CARGO_MANIFEST_DIR").unwrap_or_default());
     let mut found = Vec::new();
-    for package in ["engine", "ledger", "mountshift", "quota", "site-plan", "world"] {
+    for package in [
+        "engine",
+        "ledger",
+        "mountshift",
+        "quota",
+        "site-plan",
+        "world",
+    ] {
         let folder = own.join("..").join(package).join("src");
         println!("cargo:rerun-if-changed={}", folder.display());
         sources(&folder, &mut found);
@@ -37,6 +46,11 @@
     for path in found {
         hash.update(std::fs::read(&path).unwrap_or_default());
     }
-    let hash: String = hash.finalize().iter().take(8).map(|byte| format!("{byte:02x}")).collect();
+    let hash: String = hash
+        .finalize()
+        .iter()
+        .take(8)
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     println!("cargo:rustc-env=LEVERLAB_SOURCES={hash}");
 }
--- a/crates/leverlab/src/cli/bisect.rs
+++ b/crates/leverlab/src/cli/bisect.rs
@@ -13,15 +13,27 @@
     let book = book(with)?;
     let (aim, within) = (number(with, "aim"), number(with, "within"));
     let key = word(with, "key");
-    let (section, directive) = key.split_once('.').ok_or_else(|| format!("{key:?} is no key"))?;
+    let (section, directive) = key
+        .split_once('.')
+        .ok_or_else(|| format!("{key:?} is no key"))?;
     let seeds = seed_range(word(with, "seeds"))?;
     let store = store(with)?;
     let policy = word(with, "policy").to_owned();
     let goodput = |value: f64| -> Result<f64> {
         let key = (section.to_owned(), directive.to_owned());
-        let grid = Grid { name: "bisect".into(), key, values: vec![value.to_string()] };
+        let grid = Grid {
+            name: "bisect".into(),
+            key,
+            values: vec![value.to_string()],
+        };
         let scenarios = vec![word(with, "scenario").to_owned()];
-        let cells = made_up(&book, scenarios, std::slice::from_ref(&policy), vec![grid], seeds.clone())?;
+        let cells = made_up(
+            &book,
+            scenarios,
+            std::slice::from_ref(&policy),
+            vec![grid],
+            seeds.clone(),
+        )?;
         let outcomes = play_cells(&cells, store.as_ref(), threads(with))?;
         let found: Vec<f64> = outcomes.iter().flatten().map(|o| o.goodput).collect();
         let mean = found.iter().sum::<f64>() / found.len().max(1) as f64;
@@ -35,7 +47,10 @@
     if goodput(bad)? >= aim {
         return Err(format!("the aim of {aim} is still met at {bad}"));
     }
-    let whole = matches!((section, directive), ("load", "proxies") | ("fleet", "groups" | "members"));
+    let whole = matches!(
+        (section, directive),
+        ("load", "proxies") | ("fleet", "groups" | "members")
+    );
     for _ in 0..STEPS {
         let mut middle = (good + bad) / 2.0;
         if whole {
--- a/crates/leverlab/src/cli/gate.rs
+++ b/crates/leverlab/src/cli/gate.rs
@@ -23,11 +23,17 @@
     let name = word(with, "experiment");
     let experiment = book.experiments.iter().find(|e| e.name == name);
     let experiment = experiment.ok_or_else(|| format!("there is no experiment {name}"))?;
-    let path = with.get_one::<PathBuf>("baseline").cloned().unwrap_or_default();
+    let path = with
+        .get_one::<PathBuf>("baseline")
+        .cloned()
+        .unwrap_or_default();
     let cells = cells(&book, experiment)?;
     let store = store(with)?;
     let outcomes = play_cells(&cells, store.as_ref(), threads(with))?;
-    let mut now = Baseline { sources: SOURCES.into(), ..Baseline::default() };
+    let mut now = Baseline {
+        sources: SOURCES.into(),
+        ..Baseline::default()
+    };
     for (cell, outcomes) in cells.iter().zip(&outcomes) {
         let Some(outcomes) = outcomes else { continue };
         let key = format!("{} {}", cell.scenario.name, cell.player);
@@ -43,7 +49,8 @@
         return Ok(End::Done);
     }
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let before: Baseline = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let before: Baseline =
+        serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let allowed = number(with, "allow");
     let mut failed = false;
     for (key, new) in &now.scores {
@@ -51,14 +58,19 @@
             say!("new    {key}");
             continue;
         };
-        let (a, b): (Vec<f64>, Vec<f64>) =
-            new.iter().filter_map(|(seed, new)| Some((*old.get(seed)?, *new))).unzip();
+        let (a, b): (Vec<f64>, Vec<f64>) = new
+            .iter()
+            .filter_map(|(seed, new)| Some((*old.get(seed)?, *new)))
+            .unzip();
         let Some(d) = paired(&a, &b) else { continue };
         let fell = d.mean < -allowed && d.high < 0.0;
         failed |= fell;
         say!("{} {key}: {d}", if fell { "FALLEN" } else { "holds " });
     }
-    for row in all.iter().filter(|r| r.policy == "module" && r.rules_broken() > 0) {
+    for row in all
+        .iter()
+        .filter(|r| r.policy == "module" && r.rules_broken() > 0)
+    {
         failed = true;
         say!("BROKEN {}: {:?}", row.title(), row.broken);
     }
--- a/crates/leverlab/src/cli/hunt.rs
+++ b/crates/leverlab/src/cli/hunt.rs
@@ -8,7 +8,10 @@
 pub fn hunt(with: &ArgMatches) -> Result<End> {
     let book = book(with)?;
     let scenario = book.varied(word(with, "scenario"), &[])?;
-    let policy = |name: &str| book.policy(name).ok_or_else(|| format!("there is no policy {name}"));
+    let policy = |name: &str| {
+        book.policy(name)
+            .ok_or_else(|| format!("there is no policy {name}"))
+    };
     let number = |name: &str| with.get_one::<u64>(name).copied().unwrap_or(1);
     let set = Hunt {
         scenario,
--- a/crates/leverlab/src/cli/mod.rs
+++ b/crates/leverlab/src/cli/mod.rs
@@ -67,7 +67,11 @@
 }
 
 fn seeds(default: &'static str) -> Arg {
-    Arg::new("seeds").long("seeds").value_name("FROM-TO").default_value(default).help("The seeds")
+    Arg::new("seeds")
+        .long("seeds")
+        .value_name("FROM-TO")
+        .default_value(default)
+        .help("The seeds")
 }
 
 pub fn command() -> Command {
@@ -300,9 +304,16 @@
     }
 
     fn names(&self, folder: &Path) -> std::result::Result<Vec<String>, String> {
-        let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
+        let folder = if folder.as_os_str().is_empty() {
+            Path::new(".")
+        } else {
+            folder
+        };
         let entries = std::fs::read_dir(folder).map_err(|e| e.to_string())?;
-        Ok(entries.flatten().map(|entry| entry.file_name().to_string_lossy().into_owned()).collect())
+        Ok(entries
+            .flatten()
+            .map(|entry| entry.file_name().to_string_lossy().into_owned())
+            .collect())
     }
 }
 
@@ -315,7 +326,10 @@
 
 fn threads(with: &ArgMatches) -> usize {
     let cores = || std::thread::available_parallelism().map_or(1, usize::from);
-    with.get_one::<usize>("threads").copied().unwrap_or_else(cores).max(1)
+    with.get_one::<usize>("threads")
+        .copied()
+        .unwrap_or_else(cores)
+        .max(1)
 }
 
 fn store(with: &ArgMatches) -> Result<Option<Store>> {
@@ -329,7 +343,11 @@
 }
 
 fn words(with: &ArgMatches, name: &str) -> Vec<String> {
-    word(with, name).split(',').filter(|w| !w.is_empty()).map(|w| w.trim().to_owned()).collect()
+    word(with, name)
+        .split(',')
+        .filter(|w| !w.is_empty())
+        .map(|w| w.trim().to_owned())
+        .collect()
 }
 
 fn number(with: &ArgMatches, name: &str) -> f64 {
@@ -340,7 +358,10 @@
 fn seed_range(text: &str) -> Result<Vec<u64>> {
     let fault = || format!("{text:?} are no seeds like 1-8");
     let (from, to) = text.split_once('-').unwrap_or((text, text));
-    let (from, to): (u64, u64) = (from.parse().map_err(|_| fault())?, to.parse().map_err(|_| fault())?);
+    let (from, to): (u64, u64) = (
+        from.parse().map_err(|_| fault())?,
+        to.parse().map_err(|_| fault())?,
+    );
     if from > to || to - from >= 100_000 {
         return Err(fault());
     }
@@ -351,34 +372,51 @@
     let book = book(with)?;
     for scenario in &book.scenarios {
         let (all, writes) = scenario.loads();
-        say!("scenario {}: {} (load {all:.2}, primaries {writes:.2})", scenario.name, scenario.about);
+        say!(
+            "scenario {}: {} (load {all:.2}, primaries {writes:.2})",
+            scenario.name,
+            scenario.about
+        );
     }
     for player in &book.players {
         say!("policy {}", player.name);
     }
     NAMES.iter().for_each(|(name, _)| say!("policy {name}"));
     for e in &book.experiments {
-        say!("experiment {}: {} scenarios, {} policies", e.name, e.scenarios.len(), e.players.len());
+        say!(
+            "experiment {}: {} scenarios, {} policies",
+            e.name,
+            e.scenarios.len(),
+            e.players.len()
+        );
     }
     Ok(End::Done)
 }
 
 /// Runs cells with a bar on standard error; an error if they were not all reached.
-fn play_cells(cells: &[Cell], store: Option<&Store>, threads: usize) -> Result<Vec<Option<Outcomes>>> {
+fn play_cells(
+    cells: &[Cell],
+    store: Option<&Store>,
+    threads: usize,
+) -> Result<Vec<Option<Outcomes>>> {
     let style = ProgressStyle::with_template("{bar:32} {pos} of {len} runs, {eta} left").ok();
     let bar = ProgressBar::new(cells.len() as u64);
     if let Some(style) = style {
         bar.set_style(style);
     }
     let show = |progress: Progress| bar.set_position(progress.done as u64);
-    let outcomes = run(cells, store, threads, &AtomicBool::new(false), &show).map_err(|e| e.to_string());
+    let outcomes =
+        run(cells, store, threads, &AtomicBool::new(false), &show).map_err(|e| e.to_string());
     bar.finish_and_clear();
     outcomes
 }
 
 fn run_experiments(with: &ArgMatches) -> Result<End> {
     let book = book(with)?;
-    let named: Vec<&String> = with.get_many::<String>("experiment").unwrap_or_default().collect();
+    let named: Vec<&String> = with
+        .get_many::<String>("experiment")
+        .unwrap_or_default()
+        .collect();
     for name in &named {
         if !book.experiments.iter().any(|e| e.name == **name) {
             return Err(format!("there is no experiment {name}; see leverlab list"));
@@ -397,8 +435,15 @@
         show::rows(&rows, &experiment.against);
         broken |= module_broke(&rows);
         if let Some(store) = &store {
-            show::write(store, &experiment.name, &experiment.against, &cells, &outcomes, &rows)
-                .map_err(|e| e.to_string())?;
+            show::write(
+                store,
+                &experiment.name,
+                &experiment.against,
+                &cells,
+                &outcomes,
+                &rows,
+            )
+            .map_err(|e| e.to_string())?;
         }
     }
     Ok(if broken { End::Found } else { End::Done })
@@ -406,7 +451,8 @@
 
 /// Baselines may push servers over; the module may not.
 fn module_broke(rows: &[Row]) -> bool {
-    rows.iter().any(|row| row.policy == "module" && row.rules_broken() > 0)
+    rows.iter()
+        .any(|row| row.policy == "module" && row.rules_broken() > 0)
 }
 
 /// Cells of an experiment that no file states.
@@ -417,10 +463,20 @@
     grids: Vec<file::Grid>,
     seeds: Vec<u64>,
 ) -> Result<Vec<Cell>> {
-    let player = |name: &String| book.policy(name).ok_or_else(|| format!("there is no policy {name}"));
+    let player = |name: &String| {
+        book.policy(name)
+            .ok_or_else(|| format!("there is no policy {name}"))
+    };
     let players = policies.iter().map(player).collect::<Result<Vec<_>>>()?;
     let against = policies.first().cloned().unwrap_or_default();
-    let experiment = file::Experiment { name: "made-up".into(), scenarios, players, grids, seeds, against };
+    let experiment = file::Experiment {
+        name: "made-up".into(),
+        scenarios,
+        players,
+        grids,
+        seeds,
+        against,
+    };
     cells(book, &experiment)
 }
 
@@ -431,7 +487,13 @@
         scenarios = book.scenarios.iter().map(|s| s.name.clone()).collect();
     }
     let policies = [word(with, "old").to_owned(), word(with, "new").to_owned()];
-    let cells = made_up(&book, scenarios, &policies, Vec::new(), seed_range(word(with, "seeds"))?)?;
+    let cells = made_up(
+        &book,
+        scenarios,
+        &policies,
+        Vec::new(),
+        seed_range(word(with, "seeds"))?,
+    )?;
     let store = store(with)?;
     let outcomes = play_cells(&cells, store.as_ref(), threads(with))?;
     show::rows(&rows(&cells, &outcomes, &policies[0]), &policies[0]);
@@ -441,12 +503,24 @@
 fn sweep(with: &ArgMatches) -> Result<End> {
     let book = book(with)?;
     let key = word(with, "key");
-    let (section, directive) = key.split_once('.').ok_or_else(|| format!("{key:?} is no key"))?;
+    let (section, directive) = key
+        .split_once('.')
+        .ok_or_else(|| format!("{key:?} is no key"))?;
     let key = (section.to_owned(), directive.to_owned());
-    let grid = file::Grid { name: "sweep".into(), key, values: words(with, "values") };
+    let grid = file::Grid {
+        name: "sweep".into(),
+        key,
+        values: words(with, "values"),
+    };
     let policies = words(with, "policies");
     let scenarios = vec![word(with, "scenario").to_owned()];
-    let cells = made_up(&book, scenarios, &policies, vec![grid], seed_range(word(with, "seeds"))?)?;
+    let cells = made_up(
+        &book,
+        scenarios,
+        &policies,
+        vec![grid],
+        seed_range(word(with, "seeds"))?,
+    )?;
     let store = store(with)?;
     let outcomes = play_cells(&cells, store.as_ref(), threads(with))?;
     let against = policies.first().cloned().unwrap_or_default();
@@ -456,7 +530,10 @@
 }
 
 fn report(with: &ArgMatches) -> Result<End> {
-    let folder = with.get_one::<PathBuf>("folder").cloned().unwrap_or_default();
+    let folder = with
+        .get_one::<PathBuf>("folder")
+        .cloned()
+        .unwrap_or_default();
     let page = crate::report::write(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     say(page.display());
     Ok(End::Done)
@@ -466,7 +543,9 @@
     let book = book(with)?;
     let scenario = book.varied(word(with, "scenario"), &[])?;
     let name = word(with, "policy");
-    let player = book.policy(name).ok_or_else(|| format!("there is no policy {name}"))?;
+    let player = book
+        .policy(name)
+        .ok_or_else(|| format!("there is no policy {name}"))?;
     let seed = with.get_one::<u64>("seed").copied().unwrap_or(1);
     let outcomes = crate::play::play(&scenario, &player.policy, seed);
     show::one(&scenario, &outcomes);
--- a/crates/leverlab/src/cli/plan.rs
+++ b/crates/leverlab/src/cli/plan.rs
@@ -8,7 +8,9 @@
     let book = book(with)?;
     let scenario = book.varied(word(with, "scenario"), &[])?;
     let name = word(with, "policy");
-    let player = book.policy(name).ok_or_else(|| format!("there is no policy {name}"))?;
+    let player = book
+        .policy(name)
+        .ok_or_else(|| format!("there is no policy {name}"))?;
     let aims = Aims {
         goodput: number(with, "aim"),
         load: number(with, "load"),
@@ -34,15 +36,27 @@
     );
     let mut out = super::show::table(&["group", "servers", "by building", "with one fewer"]);
     for (group, size) in found.sizes.iter().enumerate() {
-        let split: Vec<String> = (0..places).map(|p| in_place(*size, p, places).to_string()).collect();
+        let split: Vec<String> = (0..places)
+            .map(|p| in_place(*size, p, places).to_string())
+            .collect();
         let binding = match &found.binding[group] {
             Some((loss, goodput)) => format!("{goodput:.4} with {loss}"),
             None => "a group has two at least".into(),
         };
-        out.add_row([group.to_string(), size.to_string(), split.join(" + "), binding]);
+        out.add_row([
+            group.to_string(),
+            size.to_string(),
+            split.join(" + "),
+            binding,
+        ]);
     }
     super::say(format!("{out}\n"));
-    let mut out = super::show::table(&["loss", "goodput after it", "worst group", "its goodput, whole run"]);
+    let mut out = super::show::table(&[
+        "loss",
+        "goodput after it",
+        "worst group",
+        "its goodput, whole run",
+    ]);
     for judged in &found.judged {
         let least = judged.groups.iter().copied().fold(1.0, f64::min);
         let group = judged.groups.iter().position(|g| *g == least).unwrap_or(0);
--- a/crates/leverlab/src/cli/show.rs
+++ b/crates/leverlab/src/cli/show.rs
@@ -59,7 +59,8 @@
             format!("{:.4}", row.worst_kind),
             difference,
             effect,
-            row.verdict().map_or("-".to_owned(), |v| v.name().to_owned()),
+            row.verdict()
+                .map_or("-".to_owned(), |v| v.name().to_owned()),
             format!("{:.2}", row.attempts),
             format!("{:.3}", row.probes),
             format!("{:.0}", row.p50 as f64 / 1e3),
@@ -91,7 +92,11 @@
         outcomes.worst_kind,
         outcomes.worst_tenant
     );
-    say!("by count: goodput {:.4}, worst 10 s {:.4}", outcomes.by_count.0, outcomes.by_count.1);
+    say!(
+        "by count: goodput {:.4}, worst 10 s {:.4}",
+        outcomes.by_count.0,
+        outcomes.by_count.1
+    );
     say!(
         "tries {}, attempts {}, misses {}, probes {}, dials {}, writes applied {}, undone {}; rules broken {:?}\n",
         outcomes.tries,
@@ -116,26 +121,56 @@
         "p99 ms",
         "p99.9 ms",
     ]);
-    let kinds = scenario.clients.kinds.iter().zip(&outcomes.kinds).enumerate();
+    let kinds = scenario
+        .clients
+        .kinds
+        .iter()
+        .zip(&outcomes.kinds)
+        .enumerate();
     for (at, (kind, part)) in kinds {
         let latencies = merged(std::iter::once(outcomes), Some(at));
         let ms = |q: f64| format!("{:.0}", latencies.value_at_quantile(q) as f64 / 1e3);
-        out.add_row([kind.name.clone()].into_iter().chain(cells(part)).chain([ms(0.5), ms(0.99), ms(0.999)]));
+        out.add_row([kind.name.clone()].into_iter().chain(cells(part)).chain([
+            ms(0.5),
+            ms(0.99),
+            ms(0.999),
+        ]));
     }
     for (tenant, part) in scenario.clients.tenants.iter().zip(&outcomes.tenants) {
         let blank = || String::from("-");
-        out.add_row([tenant.name.clone()].into_iter().chain(cells(part)).chain([blank(), blank(), blank()]));
+        out.add_row([tenant.name.clone()].into_iter().chain(cells(part)).chain([
+            blank(),
+            blank(),
+            blank(),
+        ]));
     }
     say(format!("{out}\n"));
     loans(scenario, outcomes);
-    let mut out =
-        table(&["second", "goodput", "asked", "served", "refused", "failed", "left", "what happens"]);
+    let mut out = table(&[
+        "second",
+        "goodput",
+        "asked",
+        "served",
+        "refused",
+        "failed",
+        "left",
+        "what happens",
+    ]);
     for (second, part) in outcomes.seconds.iter().enumerate() {
         let inside = |at: u64| at / SECOND == second as u64;
-        let marks: Vec<&str> =
-            outcomes.marks.iter().filter(|m| inside(m.at)).map(|m| m.what.as_str()).collect();
+        let marks: Vec<&str> = outcomes
+            .marks
+            .iter()
+            .filter(|m| inside(m.at))
+            .map(|m| m.what.as_str())
+            .collect();
         if part.asked > 0 || !marks.is_empty() {
-            out.add_row([second.to_string()].into_iter().chain(cells(part)).chain([marks.join("; ")]));
+            out.add_row(
+                [second.to_string()]
+                    .into_iter()
+                    .chain(cells(part))
+                    .chain([marks.join("; ")]),
+            );
         }
     }
     say(out);
@@ -143,7 +178,12 @@
 
 /// What was lent, where proxies talk: in requests.
 fn loans(scenario: &Scenario, outcomes: &Outcomes) {
-    let lent = scenario.clients.tenants.iter().zip(&outcomes.loans).filter(|(_, loans)| loans.line > 0);
+    let lent = scenario
+        .clients
+        .tenants
+        .iter()
+        .zip(&outcomes.loans)
+        .filter(|(_, loans)| loans.line > 0);
     let mut out = table(&[
         "tenant",
         "line",
@@ -182,11 +222,28 @@
 
 /// Where requests beyond quota come, who was turned away meanwhile: of all tenants, by second.
 fn turned_away(outcomes: &Outcomes) {
-    let mut out = table(&["second", "within", "refused", "borrowed", "given back", "beyond", "refused"]);
-    let seconds = outcomes.loans.iter().map(|loans| loans.seconds.len()).max().unwrap_or(0);
+    let mut out = table(&[
+        "second",
+        "within",
+        "refused",
+        "borrowed",
+        "given back",
+        "beyond",
+        "refused",
+    ]);
+    let seconds = outcomes
+        .loans
+        .iter()
+        .map(|loans| loans.seconds.len())
+        .max()
+        .unwrap_or(0);
     let sum = |second: usize| {
         let mut sum = Stand::default();
-        outcomes.loans.iter().filter_map(|loans| loans.seconds.get(second)).for_each(|stand| sum.add(stand));
+        outcomes
+            .loans
+            .iter()
+            .filter_map(|loans| loans.seconds.get(second))
+            .for_each(|stand| sum.add(stand));
         sum
     };
     let mut former = Stand::default();
@@ -196,9 +253,16 @@
         let of = |count: fn(&Stand) -> u64| count(&now).saturating_sub(count(&former));
         if of(|s| s.borrowed + s.beyond) > 0 {
             let counts = [of(|s| s.within), of(|s| s.refused), of(|s| s.borrowed)];
-            let counts =
-                counts.into_iter().chain([of(|s| s.back / 1000), of(|s| s.beyond), of(|s| s.turned)]);
-            out.add_row(std::iter::once(second as u64).chain(counts).map(|n| n.to_string()));
+            let counts = counts.into_iter().chain([
+                of(|s| s.back / 1000),
+                of(|s| s.beyond),
+                of(|s| s.turned),
+            ]);
+            out.add_row(
+                std::iter::once(second as u64)
+                    .chain(counts)
+                    .map(|n| n.to_string()),
+            );
         }
         former = now;
     }
@@ -242,10 +306,17 @@
             format!("{:.2}", peak.ratio()),
             peak.requests.to_string(),
             peak.proxies.to_string(),
-            format!("{:.0}%", 100.0 * peak.told / peak.got.max(f64::MIN_POSITIVE)),
+            format!(
+                "{:.0}%",
+                100.0 * peak.told / peak.got.max(f64::MIN_POSITIVE)
+            ),
         ]);
     }
-    say!("{what} {}, of what they bear p50/p99/max {}", starts.starts, cold(&starts));
+    say!(
+        "{what} {}, of what they bear p50/p99/max {}",
+        starts.starts,
+        cold(&starts)
+    );
     say(format!("{out}\n"));
 }
 
--- a/crates/leverlab/src/cli/trial.rs
+++ b/crates/leverlab/src/cli/trial.rs
@@ -27,7 +27,10 @@
         ("", [only]) => Ok(only.clone()),
         ("", all) => {
             let names: Vec<&str> = all.iter().map(|s| s.name.as_str()).collect();
-            Err(format!("--scenario is missing: there are {}", names.join(", ")))
+            Err(format!(
+                "--scenario is missing: there are {}",
+                names.join(", ")
+            ))
         }
         (name, _) => book.varied(name, &[]),
     }
@@ -37,7 +40,11 @@
     let book = book(with)?;
     let scenario = chosen(&book, word(with, "scenario"))?;
     let seed = with.get_one::<u64>("seed").copied().unwrap_or(1);
-    let programs: Vec<PathBuf> = with.get_many::<PathBuf>("program").unwrap_or_default().cloned().collect();
+    let programs: Vec<PathBuf> = with
+        .get_many::<PathBuf>("program")
+        .unwrap_or_default()
+        .cloned()
+        .collect();
     let logs = with.get_one::<PathBuf>("logs").cloned();
     if let Some(folder) = &logs {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -56,7 +63,9 @@
                 eprintln!("proxy {n}: process {number}");
             }
         }
-        marks.iter().for_each(|mark| eprintln!("{:>6.1} s: {mark}", rig.truth.now() as f64 / 1e6));
+        marks
+            .iter()
+            .for_each(|mark| eprintln!("{:>6.1} s: {mark}", rig.truth.now() as f64 / 1e6));
     });
     let out = out.map_err(|fault| fault.to_string())?;
     summary(&scenario, &out);
@@ -79,10 +88,24 @@
 }
 
 fn summary(scenario: &Scenario, out: &Outcomes) {
-    let mut rows =
-        table(&["class", "asked", "served", "refused", "failed", "left", "goodput", "p50 ms", "p99 ms"]);
-    for ((kind, book), took) in scenario.clients.kinds.iter().zip(&out.books).zip(&out.latencies) {
-        let counts = [book.asked, book.served, book.refused, book.failed, book.left].map(|n| n.to_string());
+    let mut rows = table(&[
+        "class", "asked", "served", "refused", "failed", "left", "goodput", "p50 ms", "p99 ms",
+    ]);
+    for ((kind, book), took) in scenario
+        .clients
+        .kinds
+        .iter()
+        .zip(&out.books)
+        .zip(&out.latencies)
+    {
+        let counts = [
+            book.asked,
+            book.served,
+            book.refused,
+            book.failed,
+            book.left,
+        ]
+        .map(|n| n.to_string());
         let mut row = vec![kind.name.clone()];
         row.extend(counts);
         row.push(format!("{:.3}", part(book.earned, book.worth)));
@@ -101,15 +124,33 @@
 /// The same day on virtual time.
 fn beside(scenario: &Scenario, seed: u64, out: &Outcomes) {
     let lab = crate::play::play(scenario, &Policy::of(Name::Module), seed);
-    let mut rows =
-        table(&["class", "goodput, rig", "goodput, virtual", "difference", "p99 ms, rig", "p99 ms, virtual"]);
+    let mut rows = table(&[
+        "class",
+        "goodput, rig",
+        "goodput, virtual",
+        "difference",
+        "p99 ms, rig",
+        "p99 ms, virtual",
+    ]);
     for (at, kind) in scenario.clients.kinds.iter().enumerate() {
         let book = &out.books[at];
-        let (here, there) = (part(book.earned, book.worth), lab.kinds[at].goodput().unwrap_or(1.0));
-        let far = lab.latencies[at].open().map_or(0, |h| h.value_at_quantile(0.99));
+        let (here, there) = (
+            part(book.earned, book.worth),
+            lab.kinds[at].goodput().unwrap_or(1.0),
+        );
+        let far = lab.latencies[at]
+            .open()
+            .map_or(0, |h| h.value_at_quantile(0.99));
         let (name, near) = (kind.name.clone(), out.latencies[at].value_at_quantile(0.99));
         let figures = [here, there, here - there].map(|figure| format!("{figure:.3}"));
-        rows.add_row([vec![name], figures.to_vec(), vec![millis(near), millis(far)]].concat());
+        rows.add_row(
+            [
+                vec![name],
+                figures.to_vec(),
+                vec![millis(near), millis(far)],
+            ]
+            .concat(),
+        );
     }
     say!("{rows}");
 }
@@ -119,7 +160,10 @@
         say!("rule broken: {rule:?}, {times} times");
     }
     for (rule, id, proxy, at) in &out.found {
-        say!("  {rule:?}: id={id:016x} at proxy {proxy}, {:.3} s", *at as f64 / 1e6);
+        say!(
+            "  {rule:?}: id={id:016x} at proxy {proxy}, {:.3} s",
+            *at as f64 / 1e6
+        );
     }
     match out.goodput() {
         Some(goodput) => say!(
@@ -133,7 +177,11 @@
             ));
         }
     }
-    Ok(if out.broken.is_empty() { End::Done } else { End::Found })
+    Ok(if out.broken.is_empty() {
+        End::Done
+    } else {
+        End::Found
+    })
 }
 
 pub fn demo(with: &ArgMatches) -> Result<End> {
@@ -141,8 +189,11 @@
     let mut scenario = chosen(&file::read(Path::new("demo.conf"), &files)?, "")?;
     let length = word(with, "for");
     if !length.is_empty() {
-        let change =
-            file::Change { section: "scenario".into(), directive: "length".into(), value: length.into() };
+        let change = file::Change {
+            section: "scenario".into(),
+            directive: "length".into(),
+            value: length.into(),
+        };
         scenario = file::read(Path::new("demo.conf"), &files)?.varied(&scenario.name, &[change])?;
     }
     say!("{}", scenario.about);
@@ -163,8 +214,15 @@
             }
             if live {
                 // The screen anew, from its top.
-                say!("\x1b[2J\x1b[H{at:.1} s\n{}", screen(&scenario, rig, &mut last));
-                news.iter().rev().take(6).rev().for_each(|line| say!("{line}"));
+                say!(
+                    "\x1b[2J\x1b[H{at:.1} s\n{}",
+                    screen(&scenario, rig, &mut last)
+                );
+                news.iter()
+                    .rev()
+                    .take(6)
+                    .rev()
+                    .for_each(|line| say!("{line}"));
             }
         },
     );
@@ -178,14 +236,33 @@
     let books = rig.truth.books();
     let inner = rig.truth.look();
     let mut now = Vec::new();
-    let mut proxies = table(&["proxy", "process", "sent on a second", "connections of clients"]);
+    let mut proxies = table(&[
+        "proxy",
+        "process",
+        "sent on a second",
+        "connections of clients",
+    ]);
     for (n, proxy) in rig.proxies.iter().enumerate() {
-        let sent: u64 = inner.reached.iter().filter(|((p, _), _)| *p == n).map(|(_, n)| n).sum();
+        let sent: u64 = inner
+            .reached
+            .iter()
+            .filter(|((p, _), _)| *p == n)
+            .map(|(_, n)| n)
+            .sum();
         let since = sent - last.get(n).copied().unwrap_or(0);
-        let state = if proxy.process.is_some() { "serves" } else { "killed" };
+        let state = if proxy.process.is_some() {
+            "serves"
+        } else {
+            "killed"
+        };
         now.push(sent);
         let connections = proxy.clients.connections().to_string();
-        proxies.add_row([format!("n{n}"), state.into(), (since * 2).to_string(), connections]);
+        proxies.add_row([
+            format!("n{n}"),
+            state.into(),
+            (since * 2).to_string(),
+            connections,
+        ]);
     }
     *last = now;
     let mut classes = table(&["class", "asked", "served", "refused", "failed", "goodput"]);
--- a/crates/leverlab/src/file.rs
+++ b/crates/leverlab/src/file.rs
@@ -81,33 +81,53 @@
 pub const SUITE: &str = include_str!("../../../lab/suite.conf");
 
 pub fn suite() -> Result<Book, String> {
-    read(Path::new("suite.conf"), &configuration::load::Memory::from([("suite.conf", SUITE)]))
+    read(
+        Path::new("suite.conf"),
+        &configuration::load::Memory::from([("suite.conf", SUITE)]),
+    )
 }
 
 impl Book {
     fn new(sections: Vec<Section>, faults: &mut Vec<Diagnostic>) -> Book {
-        let mut book = Book { sections, scenarios: Vec::new(), players: Vec::new(), experiments: Vec::new() };
+        let mut book = Book {
+            sections,
+            scenarios: Vec::new(),
+            players: Vec::new(),
+            experiments: Vec::new(),
+        };
         let names = |keyword: &str| -> Vec<String> {
-            book.sections.iter().filter(|s| s.spec.keyword == keyword).map(|s| s.name.clone()).collect()
+            book.sections
+                .iter()
+                .filter(|s| s.spec.keyword == keyword)
+                .map(|s| s.name.clone())
+                .collect()
         };
         let scenarios = names("scenario");
-        let scenarios = scenarios.iter().filter_map(|name| book.scenario(name, &[], faults).ok());
+        let scenarios = scenarios
+            .iter()
+            .filter_map(|name| book.scenario(name, &[], faults).ok());
         let scenarios: Vec<Scenario> = scenarios.collect();
         let players: Vec<Player> = book.all("policy").map(|s| book.player(s, faults)).collect();
         book.scenarios = scenarios;
         book.players = players;
-        let experiments: Vec<Experiment> =
-            book.all("experiment").filter_map(|s| book.experiment(s, faults)).collect();
+        let experiments: Vec<Experiment> = book
+            .all("experiment")
+            .filter_map(|s| book.experiment(s, faults))
+            .collect();
         book.experiments = experiments;
         book
     }
 
     fn all<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Section> + 'a {
-        self.sections.iter().filter(move |s| s.spec.keyword == keyword)
+        self.sections
+            .iter()
+            .filter(move |s| s.spec.keyword == keyword)
     }
 
     fn find(&self, keyword: &str, name: &str) -> Option<&Section> {
-        self.sections.iter().find(|s| s.spec.keyword == keyword && s.name == name)
+        self.sections
+            .iter()
+            .find(|s| s.spec.keyword == keyword && s.name == name)
     }
 
     /// A policy by its section's name, or a kind of policy as it is.
@@ -115,7 +135,10 @@
         let own = self.players.iter().find(|p| p.name == name).cloned();
         own.or_else(|| {
             let (_, kind) = NAMES.iter().find(|(n, _)| *n == name)?;
-            Some(Player { name: name.into(), policy: Policy::of(*kind) })
+            Some(Player {
+                name: name.into(),
+                policy: Policy::of(*kind),
+            })
         })
     }
 
@@ -126,8 +149,15 @@
         changes: &[Change],
         faults: &mut Vec<Diagnostic>,
     ) -> Result<Scenario, String> {
-        let section = self.find("scenario", name).ok_or_else(|| format!("there is no scenario {name}"))?;
-        Maker { book: self, changes, faults }.scenario(section)
+        let section = self
+            .find("scenario", name)
+            .ok_or_else(|| format!("there is no scenario {name}"))?;
+        Maker {
+            book: self,
+            changes,
+            faults,
+        }
+        .scenario(section)
     }
 
     /// A scenario with some of its values changed, as by a grid.
@@ -145,22 +175,32 @@
 
     fn player(&self, section: &Section, faults: &mut Vec<Diagnostic>) -> Player {
         let v = Values::of(section);
-        let kind = NAMES.iter().find(|(n, _)| *n == v.choice("kind")).map_or(Name::Module, |(_, kind)| *kind);
+        let kind = NAMES
+            .iter()
+            .find(|(n, _)| *n == v.choice("kind"))
+            .map_or(Name::Module, |(_, kind)| *kind);
         let mut policy = Policy::of(kind);
         if let Some(tuning) = v.name("tuning").and_then(|name| self.find("tuning", &name)) {
             for (value, span) in tuning.values("set") {
                 let Value::Text(word) = value else { continue };
                 if let Err(message) = set(&mut policy.tuning, word) {
-                    faults.push(Diagnostic::error("bad-value", *span, message).label("can't be set"));
+                    faults
+                        .push(Diagnostic::error("bad-value", *span, message).label("can't be set"));
                 }
             }
             if kind != Name::Module {
-                let fault =
-                    Diagnostic::error("cross-check", section.span, "only the module has constants to tune");
+                let fault = Diagnostic::error(
+                    "cross-check",
+                    section.span,
+                    "only the module has constants to tune",
+                );
                 faults.push(fault.label("a tuning says nothing to this kind"));
             }
         }
-        Player { name: section.name.clone(), policy }
+        Player {
+            name: section.name.clone(),
+            policy,
+        }
     }
 
     fn experiment(&self, section: &Section, faults: &mut Vec<Diagnostic>) -> Option<Experiment> {
@@ -172,30 +212,51 @@
             }
         };
         if section.setting("scenarios").is_none() {
-            fault(section.span, "the experiment names no scenario".into(), "scenarios is missing here");
+            fault(
+                section.span,
+                "the experiment names no scenario".into(),
+                "scenarios is missing here",
+            );
         }
         let mut players = Vec::new();
         let named = texts("policies");
-        let named = if named.is_empty() { vec!["module".to_owned()] } else { named };
+        let named = if named.is_empty() {
+            vec!["module".to_owned()]
+        } else {
+            named
+        };
         for (at, name) in named.iter().enumerate() {
             match self.policy(name) {
                 Some(player) => players.push(player),
                 None => {
-                    let span = section.values("policies").get(at).map_or(section.span, |(_, span)| *span);
+                    let span = section
+                        .values("policies")
+                        .get(at)
+                        .map_or(section.span, |(_, span)| *span);
                     let known = self.players.iter().map(|p| p.name.as_str());
                     let near = nearest(name, known.chain(NAMES.iter().map(|(n, _)| *n)));
                     let hint = near.map_or(String::new(), |n| format!("; did you mean {n}?"));
-                    fault(span, format!("there is no policy {name}{hint}"), "not known");
+                    fault(
+                        span,
+                        format!("there is no policy {name}{hint}"),
+                        "not known",
+                    );
                 }
             }
         }
         let mut grids = Vec::new();
         for name in texts("grids") {
-            let Some(grid) = self.find("grid", &name) else { continue };
+            let Some(grid) = self.find("grid", &name) else {
+                continue;
+            };
             let g = Values::of(grid);
             let key = g.value("key").and_then(|v| text_of(&v)).unwrap_or_default();
             let Some((part, directive)) = key.split_once('.') else {
-                fault(grid.span, format!("{key:?} is no key like load.rate"), "not a key");
+                fault(
+                    grid.span,
+                    format!("{key:?} is no key like load.rate"),
+                    "not a key",
+                );
                 continue;
             };
             let values = g.all("values", text_of);
@@ -214,16 +275,26 @@
         }
         let mut seeds = Vec::new();
         for range in v.all("seeds", groups_of) {
-            seeds.extend(range.take(SEEDS_LIMIT + 1 - seeds.len().min(SEEDS_LIMIT)).map(u64::from));
+            seeds.extend(
+                range
+                    .take(SEEDS_LIMIT + 1 - seeds.len().min(SEEDS_LIMIT))
+                    .map(u64::from),
+            );
         }
         if seeds.is_empty() {
             seeds = (1..=4).collect();
         }
         if seeds.len() > SEEDS_LIMIT {
-            fault(section.span, format!("there are more than {SEEDS_LIMIT} seeds"), "too many");
+            fault(
+                section.span,
+                format!("there are more than {SEEDS_LIMIT} seeds"),
+                "too many",
+            );
         }
         let against = v.all("against", name_of).pop();
-        let against = against.or_else(|| players.first().map(|p| p.name.clone())).unwrap_or_default();
+        let against = against
+            .or_else(|| players.first().map(|p| p.name.clone()))
+            .unwrap_or_default();
         if players.len() == named.len() && !players.iter().any(|p| p.name == against) {
             fault(
                 section.span,
@@ -232,14 +303,25 @@
             );
         }
         let (name, scenarios) = (section.name.clone(), texts("scenarios"));
-        Some(Experiment { name, scenarios, players, grids, seeds, against })
+        Some(Experiment {
+            name,
+            scenarios,
+            players,
+            grids,
+            seeds,
+            against,
+        })
     }
 }
 
 /// `name=value` for one of the module's constants.
 pub fn set(tuning: &mut Tuning, word: &str) -> Result<(), String> {
-    let (name, value) = word.split_once('=').ok_or_else(|| format!("{word:?} is not like room_late=0.6"))?;
-    let value: f64 = value.parse().map_err(|_| format!("{value:?} is no number"))?;
+    let (name, value) = word
+        .split_once('=')
+        .ok_or_else(|| format!("{word:?} is not like room_late=0.6"))?;
+    let value: f64 = value
+        .parse()
+        .map_err(|_| format!("{value:?} is no number"))?;
     let known = || match nearest(name, Tuning::NAMES.iter().copied()) {
         Some(near) => format!("did you mean {near}?"),
         None => format!("the constants are {}", Tuning::NAMES.join(", ")),
@@ -256,13 +338,19 @@
 
 /// Whether a value may stand where the key says.
 fn check(change: &Change) -> Result<(), String> {
-    let Change { section, directive, value } = change;
+    let Change {
+        section,
+        directive,
+        value,
+    } = change;
     if section == "tuning" {
         return set(&mut Tuning::default(), &format!("{directive}={value}"));
     }
     let spec = TABLE.iter().find(|s| s.keyword == section);
     let spec = spec.ok_or_else(|| format!("there is no section {section}"))?;
-    let spec = spec.directive(directive).ok_or_else(|| format!("{section} has no directive {directive}"))?;
+    let spec = spec
+        .directive(directive)
+        .ok_or_else(|| format!("{section} has no directive {directive}"))?;
     let (Args::One(kind) | Args::Optional(kind) | Args::Many(kind)) = spec.args;
     kind.parse(value).map(|_| ()).map_err(|fault| fault.message)
 }
@@ -303,7 +391,11 @@
 
 impl Seen<'_> {
     fn value(&self, keyword: &'static str) -> Option<Value> {
-        let changed = self.changes.iter().find(|(k, _)| *k == keyword).map(|(_, value)| value.clone());
+        let changed = self
+            .changes
+            .iter()
+            .find(|(k, _)| *k == keyword)
+            .map(|(_, value)| value.clone());
         changed.or_else(|| self.values.value(keyword))
     }
 
@@ -353,14 +445,20 @@
 
 impl<'a> Maker<'a, '_> {
     fn seen(&self, keyword: &'static str, section: Option<&'a Section>) -> Seen<'a> {
-        let spec = TABLE.iter().find(|s| s.keyword == keyword).unwrap_or(&TABLE[0]);
+        let spec = TABLE
+            .iter()
+            .find(|s| s.keyword == keyword)
+            .unwrap_or(&TABLE[0]);
         let own = self.changes.iter().filter(|c| c.section == keyword);
         let changes = own.filter_map(|change| {
             let spec = spec.directive(&change.directive)?;
             let (Args::One(kind) | Args::Optional(kind) | Args::Many(kind)) = spec.args;
             Some((spec.keyword, kind.parse(&change.value).ok()?))
         });
-        Seen { changes: changes.collect(), values: Values { section, spec } }
+        Seen {
+            changes: changes.collect(),
+            values: Values { section, spec },
+        }
     }
 
     /// The section that a scenario refers to.
@@ -373,7 +471,8 @@
     }
 
     fn fault(&mut self, span: Span, message: impl Into<String>, label: &str) {
-        self.faults.push(Diagnostic::error("bad-value", span, message).label(label));
+        self.faults
+            .push(Diagnostic::error("bad-value", span, message).label(label));
     }
 
     fn scenario(&mut self, section: &'a Section) -> Result<Scenario, String> {
@@ -399,10 +498,17 @@
             .iter()
             .filter_map(|name| self.book.find("trouble", name))
             .collect();
-        let troubles = troubles.into_iter().filter_map(|t| self.trouble(t, &clients)).collect();
+        let troubles = troubles
+            .into_iter()
+            .filter_map(|t| self.trouble(t, &clients))
+            .collect();
         Ok(Scenario {
             name: section.name.clone(),
-            about: s.value("about").as_ref().and_then(text_of).unwrap_or_default(),
+            about: s
+                .value("about")
+                .as_ref()
+                .and_then(text_of)
+                .unwrap_or_default(),
             site: site_of(&fleet),
             network: network::Settings {
                 within: n.micros("within"),
@@ -450,8 +556,11 @@
     ) -> clients::Settings {
         let named = |keyword| load.values.all(keyword, name_of);
         let (classes, tenants) = (named("classes"), named("tenants"));
-        let kinds: Vec<Kind> =
-            classes.iter().filter_map(|name| self.book.find("class", name)).map(|c| self.kind(c)).collect();
+        let kinds: Vec<Kind> = classes
+            .iter()
+            .filter_map(|name| self.book.find("class", name))
+            .map(|c| self.kind(c))
+            .collect();
         // A load that is named and not there is reported as that.
         let named = load.values.section.is_some() || scenario.setting("load").is_none();
         if kinds.is_empty() && classes.is_empty() && named && !scenario.partial {
@@ -467,7 +576,12 @@
             .map(|section| {
                 let t = self.seen("tenant", Some(section));
                 let (share, quota) = (t.number("share"), t.number("quota"));
-                Tenant { name: section.name.clone(), share, quota, credit: credit(&t, &kinds) }
+                Tenant {
+                    name: section.name.clone(),
+                    share,
+                    quota,
+                    credit: credit(&t, &kinds),
+                }
             })
             .collect();
         let mut profile = Vec::new();
@@ -481,13 +595,21 @@
         }
         if !profile.is_sorted_by_key(|(at, _)| *at) {
             if let Some((_, span)) = words.first() {
-                self.fault(*span, "the points of a profile run backwards", "in this profile");
+                self.fault(
+                    *span,
+                    "the points of a profile run backwards",
+                    "in this profile",
+                );
             }
         }
         let (from, to) = (load.part("patience-from"), load.part("patience-to"));
         if from > to {
             if let Some(section) = load.values.section {
-                self.fault(section.span, "patience-from is above patience-to", "in this load");
+                self.fault(
+                    section.span,
+                    "patience-from is above patience-to",
+                    "in this load",
+                );
             }
         }
         let proxies: usize = load.count("proxies");
@@ -525,7 +647,11 @@
             _ => Law::LogNormal { variation: spread },
         };
         if matches!(law, Law::Pareto { shape } if shape <= 1.0) {
-            self.fault(section.span, "a pareto law of shape 1 or less has no mean", "spread is the shape");
+            self.fault(
+                section.span,
+                "a pareto law of shape 1 or less has no mean",
+                "spread is the shape",
+            );
         }
         Kind {
             name: section.name.clone(),
@@ -542,7 +668,11 @@
                 _ => Repeat::Safe,
             },
             share: c.number("share"),
-            work: Work { law, mean: c.micros("work") as f64, by_key: c.part("by-key") },
+            work: Work {
+                law,
+                mean: c.micros("work") as f64,
+                by_key: c.part("by-key"),
+            },
             aim: c.micros("aim"),
             deadline: c.micros("deadline"),
             worth: c.number("worth"),
@@ -554,7 +684,11 @@
         let t = self.seen("trouble", Some(section));
         let Some(Value::Choice(kind)) = t.value("kind") else {
             if !section.partial {
-                self.fault(section.span, "the trouble does not say what it is", "kind is missing here");
+                self.fault(
+                    section.span,
+                    "the trouble does not say what it is",
+                    "kind is missing here",
+                );
             }
             return None;
         };
@@ -568,19 +702,29 @@
             "deploy" => What::Deploy,
             "list-behind" => What::ListBehind(t.micros("more")),
             "list-down" => What::ListDown,
-            "cut" => What::Cut { place, back_only: t.choice("ways") == "back" },
+            "cut" => What::Cut {
+                place,
+                back_only: t.choice("ways") == "back",
+            },
             "split" => What::Split(place),
             "loss" => What::Loss(t.part("part")),
             "proxy-dies" => What::ProxyDies,
             "apart" => What::Apart,
             _ => {
                 let named = t.value("tenant").as_ref().and_then(name_of);
-                let tenant = named.as_ref().and_then(|n| clients.tenants.iter().position(|x| x.name == *n));
+                let tenant = named
+                    .as_ref()
+                    .and_then(|n| clients.tenants.iter().position(|x| x.name == *n));
                 if let (Some(name), None) = (&named, tenant) {
-                    self.fault(section.span, format!("the load has no tenant {name}"), "of this trouble");
+                    self.fault(
+                        section.span,
+                        format!("the load has no tenant {name}"),
+                        "of this trouble",
+                    );
                 }
                 if times > SURGE_MOST {
-                    let message = format!("requests can't come more than {SURGE_MOST} times as often");
+                    let message =
+                        format!("requests can't come more than {SURGE_MOST} times as often");
                     self.fault(section.span, message, "of this trouble");
                 }
                 What::Surge(times, tenant)
@@ -609,10 +753,20 @@
                 | What::Apart
         );
         if section.setting("of").is_none() && needed && !section.partial {
-            self.fault(section.span, "the trouble does not say whose it is", "of is missing here");
+            self.fault(
+                section.span,
+                "the trouble does not say whose it is",
+                "of is missing here",
+            );
         }
         let (at, span) = (t.micros("at"), t.micros("for"));
-        Some(Trouble { name: section.name.clone(), at, span, what, targets })
+        Some(Trouble {
+            name: section.name.clone(),
+            at,
+            span,
+            what,
+            targets,
+        })
     }
 }
 
@@ -625,7 +779,12 @@
         term: t.micros("term"),
         write_off: t.micros("write-off"),
         floor: (t.part("floor") * 1000.0).round() as u32,
-        kinds: kinds.iter().enumerate().filter(lent).map(|(at, _)| at).collect(),
+        kinds: kinds
+            .iter()
+            .enumerate()
+            .filter(lent)
+            .map(|(at, _)| at)
+            .collect(),
         rate: t.count("lend-rate"),
     };
     Some(credit).filter(|credit| credit.line > 0)
@@ -672,11 +831,32 @@
 fn points(word: &str, length: Micros) -> Result<Vec<(Micros, f64)>, String> {
     let named: &[(f64, f64)] = match word {
         // An evening that swells to the double and ebbs away.
-        "dashain" => &[(0.0, 0.8), (0.3, 1.2), (0.5, 2.0), (0.7, 2.0), (0.9, 1.0), (1.0, 0.8)],
+        "dashain" => &[
+            (0.0, 0.8),
+            (0.3, 1.2),
+            (0.5, 2.0),
+            (0.7, 2.0),
+            (0.9, 1.0),
+            (1.0, 0.8),
+        ],
         // Two waves.
-        "tihar" => &[(0.0, 0.7), (0.2, 1.6), (0.4, 0.9), (0.6, 1.8), (0.8, 1.0), (1.0, 0.7)],
+        "tihar" => &[
+            (0.0, 0.7),
+            (0.2, 1.6),
+            (0.4, 0.9),
+            (0.6, 1.8),
+            (0.8, 1.0),
+            (1.0, 0.7),
+        ],
         // It begins to rain, and everybody wants a cab until it is over.
-        "rain" => &[(0.0, 1.0), (0.3, 1.0), (0.35, 1.7), (0.65, 1.7), (0.8, 1.0), (1.0, 1.0)],
+        "rain" => &[
+            (0.0, 1.0),
+            (0.3, 1.0),
+            (0.35, 1.7),
+            (0.65, 1.7),
+            (0.8, 1.0),
+            (1.0, 1.0),
+        ],
         // A long-distance bus arrives, and another.
         "bus" => &[
             (0.0, 1.0),
@@ -692,15 +872,23 @@
             let fault = || format!("{word:?} is no point like 10s:250%");
             let (at, times) = word.split_once(':').ok_or_else(fault)?;
             let any = configuration::schema::time(0, 3_600_000);
-            let Ok(Value::Time(at)) = any.parse(at) else { return Err(fault()) };
-            let times: f64 = times.strip_suffix('%').and_then(|t| t.parse().ok()).ok_or_else(fault)?;
+            let Ok(Value::Time(at)) = any.parse(at) else {
+                return Err(fault());
+            };
+            let times: f64 = times
+                .strip_suffix('%')
+                .and_then(|t| t.parse().ok())
+                .ok_or_else(fault)?;
             if !(0.0..=10_000.0).contains(&times) {
                 return Err(fault());
             }
             return Ok(vec![(micros(at), times / 100.0)]);
         }
     };
-    Ok(named.iter().map(|(part, times)| ((part * length as f64) as Micros, *times)).collect())
+    Ok(named
+        .iter()
+        .map(|(part, times)| ((part * length as f64) as Micros, *times))
+        .collect())
 }
 
 fn target(word: &str) -> Option<Target> {
--- a/crates/leverlab/src/hunt.rs
+++ b/crates/leverlab/src/hunt.rs
@@ -41,7 +41,14 @@
             .scenario
             .troubles
             .iter()
-            .map(|t| format!("{:?} at {:.1} s for {:.1} s", t.what, seconds(t.at), seconds(t.span)))
+            .map(|t| {
+                format!(
+                    "{:?} at {:.1} s for {:.1} s",
+                    t.what,
+                    seconds(t.at),
+                    seconds(t.span)
+                )
+            })
             .collect();
         write!(
             f,
@@ -52,7 +59,11 @@
             self.seed,
             self.scenario.proxies(),
             self.scenario.clients.per_s,
-            if troubles.is_empty() { "no trouble".to_owned() } else { troubles.join(", ") }
+            if troubles.is_empty() {
+                "no trouble".to_owned()
+            } else {
+                troubles.join(", ")
+            }
         )
     }
 }
@@ -91,7 +102,10 @@
                     Some(day) if number % 2 == 1 => &day.scenario,
                     _ => &set.scenario,
                 };
-                (mutated(from, &mut stream), streams.seed("seed", number) % 1_000)
+                (
+                    mutated(from, &mut stream),
+                    streams.seed("seed", number) % 1_000,
+                )
             })
             .collect();
         drawn += batch.len() as u64;
@@ -106,16 +120,29 @@
     let small = shrunk(set, &worst, say);
     let scenario = Scenario {
         name: "found".into(),
-        about: format!("found by a search: {:.3} behind at seed {}", small.gap(), small.seed),
+        about: format!(
+            "found by a search: {:.3} behind at seed {}",
+            small.gap(),
+            small.seed
+        ),
         ..small.scenario.clone()
     };
-    Some(Found { worst, small, text: crate::write::text(&scenario) })
+    Some(Found {
+        worst,
+        small,
+        text: crate::write::text(&scenario),
+    })
 }
 
 fn judge(set: &Hunt, scenario: Scenario, seed: u64) -> Day {
     let own = play(&scenario, &set.policy, seed).score;
     let other = play(&scenario, &set.against, seed).score;
-    Day { scenario, seed, own, other }
+    Day {
+        scenario,
+        seed,
+        own,
+        other,
+    }
 }
 
 fn played(set: &Hunt, days: Vec<(Scenario, u64)>) -> Vec<Day> {
@@ -125,7 +152,9 @@
         for _ in 0..set.threads.clamp(1, days.len().max(1)) {
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
-                let Some((scenario, seed)) = days.get(at) else { return };
+                let Some((scenario, seed)) = days.get(at) else {
+                    return;
+                };
                 let day = judge(set, scenario.clone(), *seed);
                 if let Ok(mut results) = results.lock() {
                     results[at] = Some(day);
@@ -133,7 +162,12 @@
             });
         }
     });
-    results.into_inner().unwrap_or_default().into_iter().flatten().collect()
+    results
+        .into_inner()
+        .unwrap_or_default()
+        .into_iter()
+        .flatten()
+        .collect()
 }
 
 /// Times in whole tenths of a second and shares in whole percents: they are written to files.
@@ -188,16 +222,28 @@
         4 => (What::Slow(times), Vec::new()),
         5 => (What::Hold, vec![some]),
         6 => (What::Deploy, vec![Target::All]),
-        7 => (What::ListBehind(draw.random_range(10..=100) * tenth), Vec::new()),
+        7 => (
+            What::ListBehind(draw.random_range(10..=100) * tenth),
+            Vec::new(),
+        ),
         8 => (What::Surge(times, None), Vec::new()),
         9 => {
             let back_only = draw.random_bool(0.3);
             (What::Cut { place, back_only }, vec![Target::All])
         }
-        10 => (What::Loss(draw.random_range(1..=8) as f64 / 100.0), Vec::new()),
+        10 => (
+            What::Loss(draw.random_range(1..=8) as f64 / 100.0),
+            Vec::new(),
+        ),
         _ => (What::ListDown, Vec::new()),
     };
-    Trouble { name: String::new(), at, span, what, targets }
+    Trouble {
+        name: String::new(),
+        at,
+        span,
+        what,
+        targets,
+    }
 }
 
 /// Takes away whatever is not needed to show the same.
@@ -205,15 +251,21 @@
     let wanted = worst.gap() * KEPT;
     let mut small = worst.clone();
     loop {
-        let tries: Vec<(Scenario, u64)> =
-            smaller(&small.scenario).into_iter().map(|s| (s, small.seed)).collect();
-        let fits = played(set, tries).into_iter().filter(|day| day.gap() >= wanted);
+        let tries: Vec<(Scenario, u64)> = smaller(&small.scenario)
+            .into_iter()
+            .map(|s| (s, small.seed))
+            .collect();
+        let fits = played(set, tries)
+            .into_iter()
+            .filter(|day| day.gap() >= wanted);
         // Of those that still show it the one that costs least to play.
         let cost = |day: &Day| {
             let s = &day.scenario;
             (s.clients.per_s * seconds(s.length())) as u64 + 1_000 * s.troubles.len() as u64
         };
-        let Some(next) = fits.min_by_key(cost) else { return small };
+        let Some(next) = fits.min_by_key(cost) else {
+            return small;
+        };
         say(&format!("smaller: {next}"));
         small = next;
     }
@@ -236,7 +288,13 @@
             s.troubles[at].span = (tenths * (SECOND / 10)).max(SECOND);
         });
     }
-    let end = day.troubles.iter().map(|t| t.at + t.span).max().unwrap_or(0) + 5 * SECOND;
+    let end = day
+        .troubles
+        .iter()
+        .map(|t| t.at + t.span)
+        .max()
+        .unwrap_or(0)
+        + 5 * SECOND;
     add(&|s| s.clients.length = s.clients.length.min(end.max(5 * SECOND)));
     // Servers and requests together, so that the load stays.
     if day.site.groups > 1 {
--- a/crates/leverlab/src/member.rs
+++ b/crates/leverlab/src/member.rs
@@ -75,7 +75,16 @@
 
 impl Stand {
     pub fn add(&mut self, other: &Stand) {
-        let Stand { within, borrowed, beyond, refused, turned, back, repaid, written_off } = other;
+        let Stand {
+            within,
+            borrowed,
+            beyond,
+            refused,
+            turned,
+            back,
+            repaid,
+            written_off,
+        } = other;
         self.within += within;
         self.borrowed += borrowed;
         self.beyond += beyond;
@@ -125,11 +134,24 @@
 
 impl Member {
     pub fn new(settings: &Settings) -> Member {
-        let quotas: Vec<f64> = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
+        let quotas: Vec<f64> = settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.quota_per_s)
+            .collect();
         let stands = vec![Stand::default(); quotas.len()];
         let worths = settings.classes.iter().map(|class| class.worth).collect();
-        let quota = Quota::new(&quota::Settings { proxies: settings.routers, quotas, worths });
-        Member { quota, stands, waiting: FxHashMap::default(), talking: None }
+        let quota = Quota::new(&quota::Settings {
+            proxies: settings.routers,
+            quotas,
+            worths,
+        });
+        Member {
+            quota,
+            stands,
+            waiting: FxHashMap::default(),
+            talking: None,
+        }
     }
 
     /// From now on it is one of a fleet. `file`: what a former life left.
@@ -139,7 +161,10 @@
         let mut core = Core::new(&config, now.0, file.as_deref());
         let mut out = Vec::new();
         core.handle(now.0, lending::Event::Rules(place.rules.clone()), &mut out);
-        let books = place.tenants.iter().map(|name| core.book(now.0, name).unwrap_or_default());
+        let books = place
+            .tenants
+            .iter()
+            .map(|name| core.book(now.0, name).unwrap_or_default());
         let began = books.map(|book| (book.lent, book.repaid)).collect();
         let shortage = Shortage::new(place.short_least as u32, place.short_part);
         let mut talking = Talking {
@@ -163,7 +188,9 @@
 
     pub fn arrived(&mut self, now: Time, arrival: &Arrival) -> Standing {
         let tenant = usize::from(arrival.tenant.0);
-        let mark = self.quota.asked(now.0, tenant, arrival.class.0.into(), arrival.repeated);
+        let mark = self
+            .quota
+            .asked(now.0, tenant, arrival.class.0.into(), arrival.repeated);
         let Some(talking) = self.talking.as_mut().filter(|_| tenant < self.stands.len()) else {
             return if matches!(mark, Mark::Free | Mark::Within) {
                 Standing::Within
@@ -173,7 +200,9 @@
         };
         let standing = match mark {
             Mark::Free | Mark::Within => Standing::Within,
-            Mark::Beyond if talking.lends(now, tenant, arrival, &mut self.stands) => Standing::Borrowed,
+            Mark::Beyond if talking.lends(now, tenant, arrival, &mut self.stands) => {
+                Standing::Borrowed
+            }
             Mark::Withheld | Mark::Beyond => Standing::Beyond,
         };
         let stand = &mut self.stands[tenant];
@@ -206,10 +235,16 @@
 
     /// A request is over. One that was lent and not used is given back.
     pub fn ended(&mut self, now: Time, id: RequestId, refused: bool) {
-        let Some((tenant, standing)) = self.waiting.remove(&id) else { return };
-        let (Some(talking), stand) = (&mut self.talking, &mut self.stands[tenant]) else { return };
+        let Some((tenant, standing)) = self.waiting.remove(&id) else {
+            return;
+        };
+        let (Some(talking), stand) = (&mut self.talking, &mut self.stands[tenant]) else {
+            return;
+        };
         match standing {
-            Standing::Borrowed => stand.back += talking.core.give_back(&talking.place.tenants[tenant], ONE),
+            Standing::Borrowed => {
+                stand.back += talking.core.give_back(&talking.place.tenants[tenant], ONE)
+            }
             Standing::Beyond => stand.turned += u64::from(refused),
             Standing::Within if refused => {
                 stand.refused += 1;
@@ -227,14 +262,18 @@
 
     /// Every [`LOOK`]; what it says goes to `out`.
     pub fn look(&mut self, now: Time, out: &mut Vec<Said>) {
-        let Some(talking) = &mut self.talking else { return };
+        let Some(talking) = &mut self.talking else {
+            return;
+        };
         talking.look(now, &mut self.quota, &mut self.stands);
         out.append(&mut talking.out);
     }
 
     /// Of its process; 0: it is of no fleet.
     pub fn start(&self) -> u64 {
-        self.talking.as_ref().map_or(0, |talking| talking.place.start)
+        self.talking
+            .as_ref()
+            .map_or(0, |talking| talking.place.start)
     }
 
     pub fn stands(&self) -> &[Stand] {
@@ -243,14 +282,21 @@
 
     /// What the tenant owes here.
     pub fn owes(&self, now: Time, tenant: usize) -> u64 {
-        let book = self.talking.as_ref().and_then(|t| t.core.book(now.0, &t.place.tenants[tenant]));
+        let book = self
+            .talking
+            .as_ref()
+            .and_then(|t| t.core.book(now.0, &t.place.tenants[tenant]));
         book.map_or(0, |book| book.owed)
     }
 
     /// Whether its book says what was seen of it: all that was lent and repaid since it began, and nothing lost.
     pub fn balances(&self, now: Time, tenant: usize) -> bool {
-        let Some(talking) = &self.talking else { return true };
-        let Some(book) = talking.core.book(now.0, &talking.place.tenants[tenant]) else { return true };
+        let Some(talking) = &self.talking else {
+            return true;
+        };
+        let Some(book) = talking.core.book(now.0, &talking.place.tenants[tenant]) else {
+            return true;
+        };
         let (stand, (lent, repaid)) = (&self.stands[tenant], talking.began[tenant]);
         book.lent == book.repaid + book.written_off + book.owed
             && book.lent == lent.wrapping_add(stand.borrowed * ONE)
@@ -259,13 +305,18 @@
 
     /// What its file has, for the next life.
     pub fn file(&self) -> Option<Vec<u8>> {
-        self.talking.as_ref().and_then(|talking| talking.file.clone())
+        self.talking
+            .as_ref()
+            .and_then(|talking| talking.file.clone())
     }
 }
 
 impl Talking {
     fn lends(&mut self, now: Time, tenant: usize, arrival: &Arrival, stands: &mut [Stand]) -> bool {
-        let (stand, class) = (&self.place.tenants[tenant], &self.place.classes[usize::from(arrival.class.0)]);
+        let (stand, class) = (
+            &self.place.tenants[tenant],
+            &self.place.classes[usize::from(arrival.class.0)],
+        );
         let mut asked = Vec::new();
         let verdict = self.core.ask(now.0, stand, class, ONE, &mut asked);
         self.asked(now, asked, stands);
@@ -276,7 +327,9 @@
     fn asked(&mut self, now: Time, asked: Vec<Asked>, stands: &mut [Stand]) {
         for action in asked {
             match action {
-                Asked::Tell { kind, key, body, .. } => self.out.push(Said::Loans { kind, key, body }),
+                Asked::Tell {
+                    kind, key, body, ..
+                } => self.out.push(Said::Loans { kind, key, body }),
                 Asked::Save { sequence, bytes } => self.saving = Some((sequence, bytes)),
                 Asked::Timer { after, token } => self.timer = Some((now.plus(after), token)),
                 Asked::Notice(Notice::WrittenOff { stand, amount }) => {
@@ -305,7 +358,11 @@
     }
 
     fn hear(&mut self, now: Time, word: &Word, stands: &mut [Stand]) {
-        let fresh = Other { start: word.start, heard: word.at, rates: Vec::new() };
+        let fresh = Other {
+            start: word.start,
+            heard: word.at,
+            rates: Vec::new(),
+        };
         let other = self.others.entry(word.from).or_insert(fresh);
         if word.start < other.start {
             return;
@@ -322,14 +379,28 @@
             Said::Loans { kind, key, body } => {
                 let source = self.place.names[word.from].clone();
                 let (start, kind, age) = (word.start, *kind, now.since(word.at));
-                let event = lending::Event::Fact { source: &source, start, kind, key, body, age };
-                let repaid =
-                    |core: &Core, name: &String| core.book(now.0, name).map_or(0, |book| book.repaid);
-                let names = self.place.tenants.iter().filter(|_| kind == lending::said::PAID);
+                let event = lending::Event::Fact {
+                    source: &source,
+                    start,
+                    kind,
+                    key,
+                    body,
+                    age,
+                };
+                let repaid = |core: &Core, name: &String| {
+                    core.book(now.0, name).map_or(0, |book| book.repaid)
+                };
+                let names = self
+                    .place
+                    .tenants
+                    .iter()
+                    .filter(|_| kind == lending::said::PAID);
                 let before: Vec<u64> = names.map(|name| repaid(&self.core, name)).collect();
                 self.handle(now, event, stands);
                 // Others may have paid for it.
-                for ((stand, name), before) in stands.iter_mut().zip(self.place.tenants.iter()).zip(before) {
+                for ((stand, name), before) in
+                    stands.iter_mut().zip(self.place.tenants.iter()).zip(before)
+                {
                     stand.repaid += repaid(&self.core, name).saturating_sub(before);
                 }
             }
@@ -352,14 +423,19 @@
         }
         for (tenant, name) in self.place.tenants.iter().enumerate() {
             let (rate, used) = (quota.rate_of(tenant) * 1000.0, quota.used(tenant) * 1000.0);
-            let share = self.core.withhold(now.0, name, rate as u64, used.min(1e6) as u32);
+            let share = self
+                .core
+                .withhold(now.0, name, rate as u64, used.min(1e6) as u32);
             let withheld = quota.withhold(now.0, tenant, f64::from(share) / 1000.0);
             self.rest[tenant] += withheld * ONE as f64;
             let whole = self.rest[tenant].floor();
             self.rest[tenant] -= whole;
             stands[tenant].repaid += self.core.repay(now.0, name, whole as u64);
         }
-        if self.told.is_none_or(|told| now.since(told) >= self.place.every) {
+        if self
+            .told
+            .is_none_or(|told| now.since(told) >= self.place.every)
+        {
             self.told = Some(now);
             self.out.push(Said::Rates(quota.rates(now.0).collect()));
         }
@@ -369,14 +445,26 @@
     fn who_is_there(&mut self, now: Time, quota: &mut Quota, stands: &mut [Stand]) {
         let dead = self.place.dead;
         let heard = |other: &Other| now.since(other.heard) < dead;
-        let up: Vec<(usize, u64)> =
-            self.others.iter().filter(|(_, o)| heard(o)).map(|(at, o)| (*at, o.start)).collect();
+        let up: Vec<(usize, u64)> = self
+            .others
+            .iter()
+            .filter(|(_, o)| heard(o))
+            .map(|(at, o)| (*at, o.start))
+            .collect();
         let most = (up.len() + 1) * 2 > self.place.names.len();
-        self.others.retain(|_, other| heard(other) || (!most && now.since(other.heard) < LASTS));
-        let mut others = Others { proxies: 0, rates: vec![0.0; self.place.tenants.len()] };
+        self.others
+            .retain(|_, other| heard(other) || (!most && now.since(other.heard) < LASTS));
+        let mut others = Others {
+            proxies: 0,
+            rates: vec![0.0; self.place.tenants.len()],
+        };
         for other in self.others.values().filter(|other| !other.rates.is_empty()) {
             others.proxies += 1;
-            others.rates.iter_mut().zip(&other.rates).for_each(|(sum, rate)| *sum += rate);
+            others
+                .rates
+                .iter_mut()
+                .zip(&other.rates)
+                .for_each(|(sum, rate)| *sum += rate);
         }
         quota.heard(Some(&others).filter(|others| others.proxies > 0));
         let view = (most, up);
@@ -389,7 +477,11 @@
             };
             let members: Vec<_> = view.1.iter().map(member).collect();
             self.view = Some(view);
-            let event = lending::Event::View { lend: most, roster: &names, members: &members };
+            let event = lending::Event::View {
+                lend: most,
+                roster: &names,
+                members: &members,
+            };
             self.handle(now, event, stands);
         }
     }
--- a/crates/leverlab/src/plan.rs
+++ b/crates/leverlab/src/plan.rs
@@ -10,7 +10,9 @@
 use crate::policy::Policy;
 use crate::scenario::{Scenario, Target, Trouble, What, SECOND};
 use crate::tally::Part;
-use good_lp::{constraint, microlp, variable, variables, Expression, Solution, SolverModel, Variable};
+use good_lp::{
+    constraint, microlp, variable, variables, Expression, Solution, SolverModel, Variable,
+};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -59,7 +61,9 @@
 impl Judged {
     /// The group that fares worst.
     fn worst(&self) -> usize {
-        (0..self.groups.len()).min_by(|a, b| self.groups[*a].total_cmp(&self.groups[*b])).unwrap_or(0)
+        (0..self.groups.len())
+            .min_by(|a, b| self.groups[*a].total_cmp(&self.groups[*b]))
+            .unwrap_or(0)
     }
 }
 
@@ -90,11 +94,20 @@
     let weight = |n: usize| ((n + 1) as f64).powf(-clients.skew);
     let weights: f64 = (0..scenario.site.groups).map(weight).sum();
     let shares: f64 = clients.kinds.iter().map(|k| k.share).sum();
-    let highest = clients.profile.iter().map(|(_, times)| *times).fold(1.0, f64::max);
+    let highest = clients
+        .profile
+        .iter()
+        .map(|(_, times)| *times)
+        .fold(1.0, f64::max);
     let per_s = clients.per_s * highest;
     let work = |writes: bool| -> f64 {
-        let counted = clients.kinds.iter().filter(|k| !writes || k.need == world::clients::Need::Write);
-        counted.map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6).sum::<f64>()
+        let counted = clients
+            .kinds
+            .iter()
+            .filter(|k| !writes || k.need == world::clients::Need::Write);
+        counted
+            .map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6)
+            .sum::<f64>()
     };
     let (all, writes) = (work(false), work(true));
     (0..scenario.site.groups)
@@ -126,7 +139,11 @@
     // By group and building, so that a loss of one can be stated.
     let servers: Vec<Vec<Variable>> = demands
         .iter()
-        .map(|_| (0..places).map(|_| problem.add(variable().integer().min(0))).collect())
+        .map(|_| {
+            (0..places)
+                .map(|_| problem.add(variable().integer().min(0)))
+                .collect()
+        })
         .collect();
     let all: Expression = servers.iter().flatten().sum();
     let mut model = problem.minimise(all).using(microlp);
@@ -152,7 +169,9 @@
                 }
                 // By chance more than its part of one group can be struck: one more of each.
                 Loss::Share(part) => {
-                    model = model.with(constraint!(total.clone() * (1.0 - part) - 1.0 >= *work / bears));
+                    model = model.with(constraint!(
+                        total.clone() * (1.0 - part) - 1.0 >= *work / bears
+                    ));
                 }
             }
         }
@@ -166,7 +185,10 @@
         }
     }
     let solution = model.solve().map_err(|error| {
-        NoPlan(format!("no split of at most {} servers a group bears it: {error}", aims.most))
+        NoPlan(format!(
+            "no split of at most {} servers a group bears it: {error}",
+            aims.most
+        ))
     })?;
     let size = |of: &Vec<Variable>| of.iter().map(|v| solution.value(*v).round() as usize).sum();
     Ok(servers.iter().map(size).collect())
@@ -206,16 +228,25 @@
 }
 
 /// Plays every loss over all seeds; the time before it does not count.
-fn judge(scenario: &Scenario, sizes: &Sizes, aims: &Aims, losses: &[Loss], threads: usize) -> Vec<Judged> {
-    let cells: Vec<(usize, u64)> =
-        (0..losses.len()).flat_map(|l| aims.seeds.iter().map(move |s| (l, *s))).collect();
+fn judge(
+    scenario: &Scenario,
+    sizes: &Sizes,
+    aims: &Aims,
+    losses: &[Loss],
+    threads: usize,
+) -> Vec<Judged> {
+    let cells: Vec<(usize, u64)> = (0..losses.len())
+        .flat_map(|l| aims.seeds.iter().map(move |s| (l, *s)))
+        .collect();
     let next = std::sync::atomic::AtomicUsize::new(0);
     let results: std::sync::Mutex<BTreeMap<usize, (Part, Vec<Part>)>> = Default::default();
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, cells.len().max(1)) {
             scope.spawn(|| loop {
                 let at = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                let Some((loss, seed)) = cells.get(at) else { return };
+                let Some((loss, seed)) = cells.get(at) else {
+                    return;
+                };
                 let outcomes = play(&day(scenario, sizes, &losses[*loss]), &aims.policy, *seed);
                 let mut after = Part::default();
                 for second in outcomes.seconds.iter().skip((AT / SECOND) as usize) {
@@ -259,10 +290,18 @@
 }
 
 /// `say` hears of each step.
-pub fn plan(scenario: &Scenario, aims: &Aims, threads: usize, say: &dyn Fn(&str)) -> Result<Plan, NoPlan> {
+pub fn plan(
+    scenario: &Scenario,
+    aims: &Aims,
+    threads: usize,
+    say: &dyn Fn(&str),
+) -> Result<Plan, NoPlan> {
     let losses = losses(scenario);
     let first = guess(scenario, aims, &losses)?;
-    say(&format!("by work alone: {first:?}, {} servers", first.iter().sum::<usize>()));
+    say(&format!(
+        "by work alone: {first:?}, {} servers",
+        first.iter().sum::<usize>()
+    ));
     let mut played = 0;
     let mut look = |sizes: &Sizes| {
         played += 1;
@@ -278,23 +317,32 @@
                 sizes[group], w.groups[group], w.loss
             )));
         }
-        say(&format!("{sizes:?}: {:.4} with {}; one more for group {group}", w.goodput, w.loss));
+        say(&format!(
+            "{sizes:?}: {:.4} with {}; one more for group {group}",
+            w.goodput, w.loss
+        ));
         sizes[group] += 1;
         judged = look(&sizes);
     }
     // From those that have most to spare.
     let mut binding: Vec<Option<(Loss, f64)>> = vec![None; sizes.len()];
     loop {
-        let mut open: Vec<usize> =
-            (0..sizes.len()).filter(|g| binding[*g].is_none() && sizes[*g] > 2).collect();
+        let mut open: Vec<usize> = (0..sizes.len())
+            .filter(|g| binding[*g].is_none() && sizes[*g] > 2)
+            .collect();
         open.sort_by_key(|g| std::cmp::Reverse(sizes[*g]));
-        let Some(group) = open.first().copied() else { break };
+        let Some(group) = open.first().copied() else {
+            break;
+        };
         let mut fewer = sizes.clone();
         fewer[group] -= 1;
         let without = look(&fewer);
         match worst(&without).filter(|w| w.goodput < aims.goodput) {
             Some(w) => {
-                say(&format!("{fewer:?}: {:.4} with {}; group {group} can spare none", w.goodput, w.loss));
+                say(&format!(
+                    "{fewer:?}: {:.4} with {}; group {group} can spare none",
+                    w.goodput, w.loss
+                ));
                 binding[group] = Some((w.loss.clone(), w.goodput));
             }
             None => {
@@ -304,5 +352,11 @@
             }
         }
     }
-    Ok(Plan { guess: first, sizes, judged, binding, played })
+    Ok(Plan {
+        guess: first,
+        sizes,
+        judged,
+        binding,
+        played,
+    })
 }
--- a/crates/leverlab/src/planned.rs
+++ b/crates/leverlab/src/planned.rs
@@ -3,7 +3,8 @@
 use crate::member::Member;
 use crate::policy::{Decider, View};
 use mountshift::{
-    Action, Ended, Entry, Event, ListNews, Listed, Need, Outcome, RequestId, Settings, StoreId, Time,
+    Action, Ended, Entry, Event, ListNews, Listed, Need, Outcome, RequestId, Settings, StoreId,
+    Time,
 };
 use rustc_hash::FxHashMap;
 use site_plan::order::Standing;
@@ -31,9 +32,23 @@
             worth: class.worth,
             aim: class.aim,
         };
-        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        plan.configure(settings.classes.iter().map(class).collect(), quotas, settings.over_share_worth);
-        Planned { module, plan, named: BTreeSet::new(), open: FxHashMap::default(), ticked: now }
+        let quotas = settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.quota_per_s)
+            .collect();
+        plan.configure(
+            settings.classes.iter().map(class).collect(),
+            quotas,
+            settings.over_share_worth,
+        );
+        Planned {
+            module,
+            plan,
+            named: BTreeSet::new(),
+            open: FxHashMap::default(),
+            ticked: now,
+        }
     }
 
     fn listed(&mut self, now: Time, entries: &[Entry], complete: bool) {
@@ -43,14 +58,28 @@
                 Listed::Draining => site_plan::Listed::Draining,
                 Listed::Gone => site_plan::Listed::Gone,
             };
-            self.plan.handle(now.0, Sign::Listed { server: entry.store.0, site: entry.zone.0, listed });
+            self.plan.handle(
+                now.0,
+                Sign::Listed {
+                    server: entry.store.0,
+                    site: entry.zone.0,
+                    listed,
+                },
+            );
         }
         let named: BTreeSet<StoreId> = entries.iter().map(|entry| entry.store).collect();
         if complete {
             let gone: Vec<StoreId> = self.named.difference(&named).copied().collect();
             for store in gone {
                 let listed = site_plan::Listed::Gone;
-                self.plan.handle(now.0, Sign::Listed { server: store.0, site: 0, listed });
+                self.plan.handle(
+                    now.0,
+                    Sign::Listed {
+                        server: store.0,
+                        site: 0,
+                        listed,
+                    },
+                );
             }
             self.named.clear();
         }
@@ -59,7 +88,11 @@
 
     fn ended(&mut self, now: Time, ended: &Ended) {
         let server = ended.store.0;
-        let asked = if ended.last { self.open.remove(&ended.id) } else { self.open.get(&ended.id).copied() };
+        let asked = if ended.last {
+            self.open.remove(&ended.id)
+        } else {
+            self.open.get(&ended.id).copied()
+        };
         if let (Some((group, class)), Outcome::Ok) = (asked, ended.outcome) {
             self.plan.served(now.0, server, group, class, ended.elapsed);
         }
@@ -75,7 +108,13 @@
 }
 
 impl Decider for Planned {
-    fn handle(&mut self, now: Time, mut event: Event, view: &mut dyn View, actions: &mut Vec<Action>) {
+    fn handle(
+        &mut self,
+        now: Time,
+        mut event: Event,
+        view: &mut dyn View,
+        actions: &mut Vec<Action>,
+    ) {
         let before = actions.len();
         if now.since(self.ticked) >= TICK {
             self.ticked = now;
@@ -116,7 +155,8 @@
                 Action::Send { id, .. } => self.plan.settled(id.0, false),
                 Action::Fail { id } | Action::Refuse { id, .. } => {
                     self.open.remove(id);
-                    self.plan.settled(id.0, matches!(action, Action::Refuse { .. }));
+                    self.plan
+                        .settled(id.0, matches!(action, Action::Refuse { .. }));
                 }
                 _ => {}
             }
--- a/crates/leverlab/src/play/fleet.rs
+++ b/crates/leverlab/src/play/fleet.rs
@@ -59,7 +59,11 @@
         term: super::span(credit.term),
         write_off: super::span(credit.write_off),
         floor: credit.floor,
-        classes: credit.kinds.iter().filter_map(|at| classes.get(*at).cloned()).collect(),
+        classes: credit
+            .kinds
+            .iter()
+            .filter_map(|at| classes.get(*at).cloned())
+            .collect(),
         rate_most: credit.rate * 1000,
     }
 }
@@ -69,17 +73,38 @@
     pub fn new(scenario: &Scenario, streams: &Streams) -> Option<Fleet> {
         let (talk, clients) = (scenario.talk?, &scenario.clients);
         let classes: Arc<[String]> = clients.kinds.iter().map(|kind| kind.name.clone()).collect();
-        let lent = clients.tenants.iter().filter_map(|t| Some((t.name.clone(), t.credit.as_ref()?, t.quota)));
-        let rules: Vec<(String, Rule)> =
-            lent.map(|(name, c, quota)| (name, rule(c, quota, &classes))).collect();
-        let longest = rules.iter().map(|(_, rule)| rule.term + rule.write_off).max().unwrap_or_default();
-        let line = |name: &str| rules.iter().find(|(n, _)| n == name).map_or(0, |(_, rule)| rule.line());
-        let loans =
-            clients.tenants.iter().map(|t| Loans { line: line(&t.name), ..Loans::default() }).collect();
+        let lent = clients
+            .tenants
+            .iter()
+            .filter_map(|t| Some((t.name.clone(), t.credit.as_ref()?, t.quota)));
+        let rules: Vec<(String, Rule)> = lent
+            .map(|(name, c, quota)| (name, rule(c, quota, &classes)))
+            .collect();
+        let longest = rules
+            .iter()
+            .map(|(_, rule)| rule.term + rule.write_off)
+            .max()
+            .unwrap_or_default();
+        let line = |name: &str| {
+            rules
+                .iter()
+                .find(|(n, _)| n == name)
+                .map_or(0, |(_, rule)| rule.line())
+        };
+        let loans = clients
+            .tenants
+            .iter()
+            .map(|t| Loans {
+                line: line(&t.name),
+                ..Loans::default()
+            })
+            .collect();
         let place = Place {
             number: 0,
             start: 0,
-            names: (0..scenario.proxies()).map(|n| format!("proxy-{n}")).collect(),
+            names: (0..scenario.proxies())
+                .map(|n| format!("proxy-{n}"))
+                .collect(),
             tenants: clients.tenants.iter().map(|t| t.name.clone()).collect(),
             classes,
             // What the core does not take nobody borrows by.
@@ -118,68 +143,128 @@
 impl Play<'_> {
     /// A proxy that has started is one of the fleet.
     pub(super) fn join(&mut self, proxy: usize) {
-        let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else { return };
-        let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else { return };
+        let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else {
+            return;
+        };
+        let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else {
+            return;
+        };
         let start = ORIGIN + self.now + 1;
-        let place = Place { number: proxy, start, ..fleet.place.clone() };
+        let place = Place {
+            number: proxy,
+            start,
+            ..fleet.place.clone()
+        };
         member.join(time(self.now), place, fleet.files[proxy].clone());
         fleet.left[proxy] = None;
         // Not all at the same instant.
         let first = self.now + 1 + (fleet.draws.random::<f64>() * LOOK_MICROS as f64) as Micros;
-        self.wheel.put(first, Step::Look { proxy, epoch: host.epoch });
+        self.wheel.put(
+            first,
+            Step::Look {
+                proxy,
+                epoch: host.epoch,
+            },
+        );
     }
 
     /// What it knew goes, but for its file.
     pub(super) fn leaves(&mut self, proxy: usize) {
         let now = time(self.now);
-        let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else { return };
-        let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else { return };
+        let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else {
+            return;
+        };
+        let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else {
+            return;
+        };
         fleet.files[proxy] = member.file();
         let stands = member.stands();
-        fleet.former.iter_mut().zip(stands).for_each(|(sum, stand)| sum.add(stand));
-        let owed = (0..stands.len()).map(|tenant| member.owes(now, tenant)).collect();
+        fleet
+            .former
+            .iter_mut()
+            .zip(stands)
+            .for_each(|(sum, stand)| sum.add(stand));
+        let owed = (0..stands.len())
+            .map(|tenant| member.owes(now, tenant))
+            .collect();
         fleet.left[proxy] = Some(Left { at: self.now, owed });
     }
 
     pub(super) fn look(&mut self, proxy: usize) {
         let at = time(self.now);
-        let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else { return };
-        let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else { return };
+        let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else {
+            return;
+        };
+        let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else {
+            return;
+        };
         let mut said: Vec<Said> = Vec::new();
         member.look(at, &mut said);
         let start = member.start();
         let proxies = fleet.files.len();
         for said in said {
-            let word = Arc::new(Word { from: proxy, start, at, said });
+            let word = Arc::new(Word {
+                from: proxy,
+                start,
+                at,
+                said,
+            });
             for to in (0..proxies).filter(|to| *to != proxy) {
                 if let Some(way) = fleet.hears(proxy, to).then(|| fleet.way()).flatten() {
-                    self.wheel.put(self.now + way.max(1), Step::Hear { proxy: to, word: word.clone() });
+                    self.wheel.put(
+                        self.now + way.max(1),
+                        Step::Hear {
+                            proxy: to,
+                            word: word.clone(),
+                        },
+                    );
                 }
             }
         }
-        self.wheel.put(self.now + LOOK_MICROS, Step::Look { proxy, epoch: self.hosts[proxy].epoch });
+        self.wheel.put(
+            self.now + LOOK_MICROS,
+            Step::Look {
+                proxy,
+                epoch: self.hosts[proxy].epoch,
+            },
+        );
     }
 
     pub(super) fn hear(&mut self, proxy: usize, word: &Word) {
-        let member = self.hosts[proxy].policy.as_mut().and_then(|policy| policy.member());
-        member.into_iter().for_each(|member| member.hear(time(self.now), word));
+        let member = self.hosts[proxy]
+            .policy
+            .as_mut()
+            .and_then(|policy| policy.member());
+        member
+            .into_iter()
+            .for_each(|member| member.hear(time(self.now), word));
     }
 
     pub(super) fn apart(&mut self, proxies: Vec<usize>) {
-        self.fleet.iter_mut().for_each(|fleet| fleet.apart.clone_from(&proxies));
+        self.fleet
+            .iter_mut()
+            .for_each(|fleet| fleet.apart.clone_from(&proxies));
     }
 
     /// Is the line kept, at this instant, and at the end: does each book add up?
     pub(super) fn books(&mut self, last: bool) {
-        let (Some(fleet), now) = (&mut self.fleet, self.now) else { return };
+        let (Some(fleet), now) = (&mut self.fleet, self.now) else {
+            return;
+        };
         let at: Time = time(now);
         let longest = fleet.place.longest.as_micros() as Micros;
         for (tenant, loans) in fleet.loans.iter_mut().enumerate() {
-            let left = fleet.left.iter().flatten().filter(|left| now < left.at + longest);
+            let left = fleet
+                .left
+                .iter()
+                .flatten()
+                .filter(|left| now < left.at + longest);
             let mut owed: u64 = left.filter_map(|left| left.owed.get(tenant)).sum();
             let mut all = fleet.former[tenant];
             for host in &mut self.hosts {
-                let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else { continue };
+                let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else {
+                    continue;
+                };
                 owed += member.owes(at, tenant);
                 all.add(&member.stands()[tenant]);
                 loans.unbalanced += u64::from(last && !member.balances(at, tenant));
--- a/crates/leverlab/src/play/host.rs
+++ b/crates/leverlab/src/play/host.rs
@@ -38,7 +38,11 @@
             Status::Gone => Listed::Gone,
         },
         primary: false,
-        started: if record.started > 0 { time(record.started) } else { Time::ZERO },
+        started: if record.started > 0 {
+            time(record.started)
+        } else {
+            Time::ZERO
+        },
     }
 }
 
@@ -173,18 +177,27 @@
 
 impl View for Eyes<'_> {
     fn members(&self, group: GroupId) -> Vec<StoreId> {
-        self.ready.get(group.0 as usize).cloned().unwrap_or_default()
+        self.ready
+            .get(group.0 as usize)
+            .cloned()
+            .unwrap_or_default()
     }
 
     fn primary(&mut self, group: GroupId) -> Option<StoreId> {
         let primary = store(self.site.primary(group.0)?);
         // Nobody may send to what the list has not named.
-        self.ready.get(group.0 as usize)?.contains(&primary).then_some(primary)
+        self.ready
+            .get(group.0 as usize)?
+            .contains(&primary)
+            .then_some(primary)
     }
 
     fn answers(&self, store: StoreId) -> bool {
         let at = server(store);
-        let there = Spot { place: self.site.place(at), proxy: None };
+        let there = Spot {
+            place: self.site.place(at),
+            proxy: None,
+        };
         self.site.answers(at)
             && self.network.passes(self.spot, there)
             && self.network.passes(there, self.spot)
@@ -202,7 +215,9 @@
     fn expected(&self, store: StoreId) -> Duration {
         let at = server(store);
         let shared = ((self.site.held(at) as f64 + 1.0) / self.cores.max(1e-6)).max(1.0);
-        Duration::from_secs_f64(self.mean_work / 1e6 * shared / self.site.capacity(at, self.now).max(1e-6))
+        Duration::from_secs_f64(
+            self.mean_work / 1e6 * shared / self.site.capacity(at, self.now).max(1e-6),
+        )
     }
 
     fn within(&self, id: RequestId) -> bool {
@@ -214,7 +229,8 @@
     }
 
     fn bears(&self, store: StoreId) -> bool {
-        self.site.bears(server(store), self.now, HEAVY * self.mean_work, COLD_SPARE)
+        self.site
+            .bears(server(store), self.now, HEAVY * self.mean_work, COLD_SPARE)
     }
 
     fn spare(&self, store: StoreId) -> f64 {
--- a/crates/leverlab/src/play/lots.rs
+++ b/crates/leverlab/src/play/lots.rs
@@ -18,13 +18,19 @@
 impl Lots {
     pub fn new(tenants: usize, streams: &Streams) -> Lots {
         let bags = vec![Vec::with_capacity(BAG); tenants];
-        Lots { draws: streams.stream("lots", 0), bags, dealt: FxHashMap::default() }
+        Lots {
+            draws: streams.stream("lots", 0),
+            bags,
+            dealt: FxHashMap::default(),
+        }
     }
 
     /// For a try of this request, whose true mark is `within`.
     pub fn draw(&mut self, request: u64, tenant: usize, within: bool) -> bool {
         let Lots { draws, bags, dealt } = self;
-        let Some(bag) = bags.get_mut(tenant) else { return within };
+        let Some(bag) = bags.get_mut(tenant) else {
+            return within;
+        };
         *dealt.entry(request).or_insert_with(|| {
             if bag.len() < BAG {
                 bag.push(within);
@@ -50,9 +56,16 @@
         let (mut within, mut hits) = (0_u64, 0);
         for request in 0..10_000 {
             let drawn = lots.draw(request, 0, truth(request));
-            assert_eq!(lots.draw(request, 0, truth(request)), drawn, "a repeat keeps its mark");
+            assert_eq!(
+                lots.draw(request, 0, truth(request)),
+                drawn,
+                "a repeat keeps its mark"
+            );
             lots.settled(request);
-            (within, hits) = (within + u64::from(drawn), hits + u64::from(drawn && truth(request)));
+            (within, hits) = (
+                within + u64::from(drawn),
+                hits + u64::from(drawn && truth(request)),
+            );
         }
         assert!(within.abs_diff(2_000) <= BAG as u64, "{within}");
         // A fifth of them by chance.
--- a/crates/leverlab/src/play/mod.rs
+++ b/crates/leverlab/src/play/mod.rs
@@ -16,8 +16,8 @@
 use ledger::{cold, Checker, Final, Rule};
 use lots::Lots;
 use mountshift::{
-    Action, Arrival, AttemptNo, ClassId, Ended, Event, GroupId, ListNews, Listed, Note, Outcome, Report,
-    RequestId, SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote,
+    Action, Arrival, AttemptNo, ClassId, Ended, Event, GroupId, ListNews, Listed, Note, Outcome,
+    Report, RequestId, SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote,
 };
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -193,9 +193,14 @@
 ) -> Outcomes {
     let streams = Streams::new(seed);
     let site = Site::new(scenario.site.clone());
-    let list = Catalog::new(scenario.catalog, site.servers().map(|s| catalog::Record::of(&site, s)));
+    let list = Catalog::new(
+        scenario.catalog,
+        site.servers().map(|s| catalog::Record::of(&site, s)),
+    );
     let places = scenario.site.places.max(1);
-    let hosts = (0..scenario.proxies()).map(|proxy| Host::new((proxy % places) as u16)).collect();
+    let hosts = (0..scenario.proxies())
+        .map(|proxy| Host::new((proxy % places) as u16))
+        .collect();
     let kinds = &scenario.clients.kinds;
     let shares: f64 = kinds.iter().map(|k| k.share).sum();
     let mean_work = kinds.iter().map(|k| k.share * k.work.mean).sum::<f64>() / shares.max(1e-9);
@@ -270,9 +275,16 @@
             Step::Clients(event) => self.clients(event),
             Step::Site(wake) => self.site(site::Event::Wake(wake)),
             Step::List => self.list(catalog::Event::Due),
-            Step::Call { proxy, epoch, after } => {
+            Step::Call {
+                proxy,
+                epoch,
+                after,
+            } => {
                 if self.hosts[proxy].epoch == epoch {
-                    self.list(catalog::Event::Watch { caller: proxy, after });
+                    self.list(catalog::Event::Watch {
+                        caller: proxy,
+                        after,
+                    });
                 }
             }
             Step::Told { proxy, epoch, news } => {
@@ -280,7 +292,11 @@
                     self.news(proxy, *news);
                 }
             }
-            Step::Timer { proxy, epoch, token } => {
+            Step::Timer {
+                proxy,
+                epoch,
+                token,
+            } => {
                 if self.hosts[proxy].epoch == epoch {
                     self.tell(proxy, Event::Timer(token));
                 }
@@ -288,18 +304,28 @@
             Step::Dial(attempt) => self.dial(attempt),
             Step::Dialled { attempt, up } => self.dialled(attempt, up),
             Step::Reach(attempt) => self.reach(attempt),
-            Step::Back { attempt, outcome, note } => self.back(attempt, outcome, note),
+            Step::Back {
+                attempt,
+                outcome,
+                note,
+            } => self.back(attempt, outcome, note),
             Step::TimeOut(attempt) => {
                 let state = self.attempts.get(&attempt).map(|a| a.state);
-                let outcome =
-                    if state == Some(State::Dialling) { Outcome::ConnectFailed } else { Outcome::TimedOut };
+                let outcome = if state == Some(State::Dialling) {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::TimedOut
+                };
                 self.give_up(attempt, outcome);
             }
             Step::ProbeReach(exchange) => {
                 if let Some(probe) = self.probes.get(&exchange) {
                     let (proxy, server) = (probe.proxy, probe.server);
                     self.chore(proxy, server, self.scenario.site.probe_work);
-                    self.site(site::Event::Probe { exchange: exchange << 1 | 1, server });
+                    self.site(site::Event::Probe {
+                        exchange: exchange << 1 | 1,
+                        server,
+                    });
                 }
             }
             Step::ProbeBack { probe, report } => self.probed(probe, report),
@@ -317,22 +343,35 @@
                     self.clients(clients::Event::Proxy { proxy, up: false });
                 }
             }
-            Step::Deploy { trouble, server, phase } => self.deploy(trouble, server, phase),
+            Step::Deploy {
+                trouble,
+                server,
+                phase,
+            } => self.deploy(trouble, server, phase),
         }
     }
 
     fn spot(&self, proxy: usize) -> Spot {
-        Spot { place: self.hosts[proxy].place, proxy: Some(proxy) }
+        Spot {
+            place: self.hosts[proxy].place,
+            proxy: Some(proxy),
+        }
     }
 
     /// The way between a proxy and a server; none: nothing comes through.
     fn there(&mut self, proxy: usize, server: ServerId) -> Option<Micros> {
-        let to = Spot { place: self.site.place(server), proxy: None };
+        let to = Spot {
+            place: self.site.place(server),
+            proxy: None,
+        };
         self.network.one_way(self.spot(proxy), to, &mut self.way)
     }
 
     fn home(&mut self, server: ServerId, proxy: usize) -> Option<Micros> {
-        let from = Spot { place: self.site.place(server), proxy: None };
+        let from = Spot {
+            place: self.site.place(server),
+            proxy: None,
+        };
         self.network.one_way(from, self.spot(proxy), &mut self.way)
     }
 
@@ -362,10 +401,14 @@
 
     fn ask(&mut self, asked: Try) {
         let now = self.now;
-        let Some(host) = self.hosts.get(asked.proxy) else { return };
+        let Some(host) = self.hosts.get(asked.proxy) else {
+            return;
+        };
         if !host.up() {
-            return self
-                .clients(clients::Event::Answered(asked.id, clients::Answer::Gone { reached: false }));
+            return self.clients(clients::Event::Answered(
+                asked.id,
+                clients::Answer::Gone { reached: false },
+            ));
         }
         let kind = &self.scenario.clients.kinds[asked.kind];
         let write = kind.need == clients::Need::Write;
@@ -375,9 +418,26 @@
             _ => 0,
         };
         self.tally.counts().tries += 1;
-        self.checker.asks(asked.id, asked.request, kind.repeat, write, asked.proxy, now + asked.wait);
+        self.checker.asks(
+            asked.id,
+            asked.request,
+            kind.repeat,
+            write,
+            asked.proxy,
+            now + asked.wait,
+        );
         let drawn = self.lots.draw(asked.request, asked.tenant, asked.within);
-        self.open.insert(asked.id, Open { asked, drawn, came: now, attempts: 0, answered: false, need });
+        self.open.insert(
+            asked.id,
+            Open {
+                asked,
+                drawn,
+                came: now,
+                attempts: 0,
+                answered: false,
+                need,
+            },
+        );
         let sessions = matches!(kind.need, clients::Need::Session | clients::Need::Write);
         let arrival = Arrival {
             id: RequestId(asked.id),
@@ -405,7 +465,9 @@
 
     fn answer(&mut self, id: TryId, answer: Final, told: clients::Answer) {
         self.checker.answers(id, answer, self.now);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         if std::mem::replace(&mut open.answered, true) {
             return;
         }
@@ -419,9 +481,14 @@
     fn tell(&mut self, proxy: usize, event: Event) {
         let now = self.now;
         let host = &mut self.hosts[proxy];
-        let Some(mut policy) = host.policy.take() else { return };
+        let Some(mut policy) = host.policy.take() else {
+            return;
+        };
         let mut actions = std::mem::take(&mut host.actions);
-        let spot = Spot { place: host.place, proxy: Some(proxy) };
+        let spot = Spot {
+            place: host.place,
+            proxy: Some(proxy),
+        };
         let mut eyes = Eyes {
             site: &mut self.site,
             network: &self.network,
@@ -444,14 +511,30 @@
         let now = self.now;
         let epoch = self.hosts[proxy].epoch;
         match action {
-            Action::Send { id, store, time_out, .. } => self.send(proxy, id.0, store, time_out),
+            Action::Send {
+                id,
+                store,
+                time_out,
+                ..
+            } => self.send(proxy, id.0, store, time_out),
             Action::Cancel { id, attempt } => {
                 let wanted = |a: &Attempt| a.id == id.0 && a.no == attempt.0 && a.proxy == proxy;
-                let found = self.attempts.iter().find(|(_, a)| wanted(a)).map(|(number, _)| *number);
+                let found = self
+                    .attempts
+                    .iter()
+                    .find(|(_, a)| wanted(a))
+                    .map(|(number, _)| *number);
                 if let Some(attempt) = found {
                     // It is told in a later step, as everything is.
                     let (outcome, note) = (Outcome::Cancelled, Note::default());
-                    self.wheel.put(now + 1, Step::Back { attempt, outcome, note });
+                    self.wheel.put(
+                        now + 1,
+                        Step::Back {
+                            attempt,
+                            outcome,
+                            note,
+                        },
+                    );
                 }
             }
             Action::Refuse { id, come_back } => {
@@ -462,13 +545,30 @@
             Action::Probe { store } => self.probe(proxy, store),
             Action::Timer { after, token } => {
                 let at = now + (after.as_micros() as Micros).max(1);
-                self.wheel.put(at, Step::Timer { proxy, epoch, token });
+                self.wheel.put(
+                    at,
+                    Step::Timer {
+                        proxy,
+                        epoch,
+                        token,
+                    },
+                );
             }
             Action::Subscribe => {
-                let to = Spot { place: LIST_PLACE, proxy: None };
+                let to = Spot {
+                    place: LIST_PLACE,
+                    proxy: None,
+                };
                 let after = self.hosts[proxy].index;
                 match self.network.one_way(self.spot(proxy), to, &mut self.way) {
-                    Some(way) => self.wheel.put(now + way, Step::Call { proxy, epoch, after }),
+                    Some(way) => self.wheel.put(
+                        now + way,
+                        Step::Call {
+                            proxy,
+                            epoch,
+                            after,
+                        },
+                    ),
                     None => {
                         let news = Box::new(catalog::Action::Fail(proxy));
                         let at = now + self.scenario.platform.dial_wait;
@@ -483,7 +583,9 @@
         let now = self.now;
         let server = host::server(to);
         self.checker.sends(id, server, now);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let kind = &self.scenario.clients.kinds[open.asked.kind];
         let (no, came, wait) = (open.attempts, open.came, open.asked.wait);
         open.attempts += 1;
@@ -492,7 +594,9 @@
             _ => open.need,
         };
         // Of the request and the attempt alone, so that every policy sees the same work for them.
-        let seed = self.streams.seed_of(open.asked.request << 8 | u64::from(no));
+        let seed = self
+            .streams
+            .seed_of(open.asked.request << 8 | u64::from(no));
         let mut draws = Xoshiro256PlusPlus::seed_from_u64(seed);
         let work = kind.work.draw(open.asked.session, &mut draws);
         let write = (kind.need == clients::Need::Write).then_some(id);
@@ -514,7 +618,10 @@
         };
         let keepalive = self.scenario.platform.keepalive;
         let life = self.site.started(server);
-        if self.hosts[proxy].pool(server).take(life, now, keepalive, &mut self.site, server) {
+        if self.hosts[proxy]
+            .pool(server)
+            .take(life, now, keepalive, &mut self.site, server)
+        {
             (attempt.state, attempt.connected) = (State::Written, true);
             self.attempts.insert(number, attempt);
             self.write(number, proxy, server);
@@ -525,12 +632,23 @@
                 self.wheel.put(now + way, Step::Dial(number));
             }
             let at = now + self.scenario.platform.dial_wait;
-            self.wheel.put(at, Step::Dialled { attempt: number, up: false });
+            self.wheel.put(
+                at,
+                Step::Dialled {
+                    attempt: number,
+                    up: false,
+                },
+            );
         }
         // Without a time of its own it is waited for as long as the client waits.
         let longest = (came + wait).saturating_sub(now);
-        let wait = if time_out.is_zero() { longest } else { time_out.as_micros() as Micros };
-        self.wheel.put(now + wait.min(longest).max(1), Step::TimeOut(number));
+        let wait = if time_out.is_zero() {
+            longest
+        } else {
+            time_out.as_micros() as Micros
+        };
+        self.wheel
+            .put(now + wait.min(longest).max(1), Step::TimeOut(number));
     }
 
     /// The request goes out on its connection; on a cut way it goes nowhere.
@@ -541,7 +659,13 @@
     }
 
     fn dial(&mut self, number: u64) {
-        let Some(attempt) = self.attempts.get(&number).filter(|a| a.state == State::Dialling) else { return };
+        let Some(attempt) = self
+            .attempts
+            .get(&number)
+            .filter(|a| a.state == State::Dialling)
+        else {
+            return;
+        };
         let (server, proxy) = (attempt.server, attempt.proxy);
         let mut actions = std::mem::take(&mut self.site_actions);
         let up = self.site.dial(server, self.now, &mut actions);
@@ -560,11 +684,19 @@
                 None => return,
             }
         }
-        self.wheel.put(self.now + took, Step::Dialled { attempt: number, up });
+        self.wheel.put(
+            self.now + took,
+            Step::Dialled {
+                attempt: number,
+                up,
+            },
+        );
     }
 
     fn dialled(&mut self, number: u64, up: bool) {
-        let Some(attempt) = self.attempts.get_mut(&number) else { return };
+        let Some(attempt) = self.attempts.get_mut(&number) else {
+            return;
+        };
         match attempt.state {
             State::Dialling if up => {
                 attempt.state = State::Written;
@@ -589,15 +721,22 @@
             let (server, ask) = (attempt.server, attempt.ask);
             if self.site.runs(server) {
                 let started = self.site.started(server);
-                self.cold.got(self.now, attempt.proxy, server, started, ask.work);
+                self.cold
+                    .got(self.now, attempt.proxy, server, started, ask.work);
             }
-            self.site(site::Event::Request { exchange: number << 1, server, ask });
+            self.site(site::Event::Request {
+                exchange: number << 1,
+                server,
+                ask,
+            });
         }
     }
 
     /// An answer has come to its proxy, if that still waits for it.
     fn back(&mut self, number: u64, outcome: Outcome, note: Note) {
-        let Some(attempt) = self.attempts.get(&number) else { return };
+        let Some(attempt) = self.attempts.get(&number) else {
+            return;
+        };
         if attempt.state == State::Over {
             self.attempts.remove(&number);
             return;
@@ -605,7 +744,12 @@
         if outcome == Outcome::Cancelled {
             return self.give_up(number, outcome);
         }
-        let Attempt { server, proxy, connected, .. } = *attempt;
+        let Attempt {
+            server,
+            proxy,
+            connected,
+            ..
+        } = *attempt;
         if connected && outcome != Outcome::Reset {
             let life = self.site.started(server);
             self.hosts[proxy].pool(server).give_back(life, self.now);
@@ -616,7 +760,13 @@
 
     /// The proxy waits no longer; its connection, if there is one, ends with that.
     fn give_up(&mut self, number: u64, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(&number).filter(|a| a.state != State::Over) else { return };
+        let Some(attempt) = self
+            .attempts
+            .get_mut(&number)
+            .filter(|a| a.state != State::Over)
+        else {
+            return;
+        };
         attempt.state = State::Over;
         if std::mem::take(&mut attempt.connected) {
             self.site.hang_up(attempt.server);
@@ -626,15 +776,28 @@
 
     fn end(&mut self, number: u64, outcome: Outcome, note: Note) {
         let now = self.now;
-        let Some(attempt) = self.attempts.get(&number) else { return };
-        let Attempt { id, no, server, proxy, epoch, sent, ask, .. } = *attempt;
+        let Some(attempt) = self.attempts.get(&number) else {
+            return;
+        };
+        let Attempt {
+            id,
+            no,
+            server,
+            proxy,
+            epoch,
+            sent,
+            ask,
+            ..
+        } = *attempt;
         self.checker.ends(id, outcome);
         if self.hosts[proxy].epoch != epoch {
             return;
         }
         self.tally.counts().misses += u64::from(outcome == Outcome::Miss);
         if outcome == Outcome::Ok && self.open.contains_key(&id) {
-            let position = note.position.map_or(0, |at| (at.0.as_micros() as Micros).saturating_sub(ORIGIN));
+            let position = note
+                .position
+                .map_or(0, |at| (at.0.as_micros() as Micros).saturating_sub(ORIGIN));
             if ask.write.is_none() && ask.need > 0 && position < ask.need {
                 self.checker.breaks(Rule::Stale);
             }
@@ -644,7 +807,18 @@
         let last = !self.open.contains_key(&id);
         let elapsed = span(now - sent);
         let (id, attempt, store) = (RequestId(id), AttemptNo(no), store(server));
-        self.tell(proxy, Event::Ended(Ended { id, attempt, store, outcome, elapsed, last, note }));
+        self.tell(
+            proxy,
+            Event::Ended(Ended {
+                id,
+                attempt,
+                store,
+                outcome,
+                elapsed,
+                last,
+                note,
+            }),
+        );
     }
 
     fn probe(&mut self, proxy: usize, to: StoreId) {
@@ -652,16 +826,38 @@
         self.tally.counts().probes += 1;
         self.next += 1;
         let (probe, epoch) = (self.next, self.hosts[proxy].epoch);
-        self.probes.insert(probe, Probe { server, proxy, epoch, sent: self.now });
+        self.probes.insert(
+            probe,
+            Probe {
+                server,
+                proxy,
+                epoch,
+                sent: self.now,
+            },
+        );
         if let Some(way) = self.there(proxy, server) {
             self.wheel.put(self.now + way, Step::ProbeReach(probe));
         }
         let at = self.now + self.scenario.platform.dial_wait;
-        self.wheel.put(at, Step::ProbeBack { probe, report: None });
+        self.wheel.put(
+            at,
+            Step::ProbeBack {
+                probe,
+                report: None,
+            },
+        );
     }
 
     fn probed(&mut self, number: u64, report: Option<site::Report>) {
-        let Some(Probe { server, proxy, epoch, sent }) = self.probes.remove(&number) else { return };
+        let Some(Probe {
+            server,
+            proxy,
+            epoch,
+            sent,
+        }) = self.probes.remove(&number)
+        else {
+            return;
+        };
         if self.hosts[proxy].epoch != epoch {
             return;
         }
@@ -673,7 +869,15 @@
             queued: Some(r.queued as f64),
         });
         let elapsed = span(self.now - sent);
-        self.tell(proxy, Event::Probed { store: store(server), ok, elapsed, report });
+        self.tell(
+            proxy,
+            Event::Probed {
+                store: store(server),
+                ok,
+                elapsed,
+                report,
+            },
+        );
     }
 
     // ---- Servers and their list ----
@@ -689,12 +893,18 @@
         for action in actions.drain(..) {
             match action {
                 site::Action::WakeAt(at, wake) => self.wheel.put(at, Step::Site(wake)),
-                site::Action::Answer { exchange, answer, note } => {
+                site::Action::Answer {
+                    exchange,
+                    answer,
+                    note,
+                } => {
                     self.site_answers(exchange >> 1, answer, note);
                 }
                 site::Action::Report { exchange, report } => {
                     let probe = exchange >> 1;
-                    let Some((server, proxy)) = self.probes.get(&probe).map(|p| (p.server, p.proxy)) else {
+                    let Some((server, proxy)) =
+                        self.probes.get(&probe).map(|p| (p.server, p.proxy))
+                    else {
                         continue;
                     };
                     if let Some(way) = self.home(server, proxy) {
@@ -706,10 +916,12 @@
                     self.list(catalog::Event::Changed(record));
                 }
                 site::Action::Primary { group, server } => {
-                    self.tally.mark(now, format!("server {server} is primary of group {group}"));
+                    self.tally
+                        .mark(now, format!("server {server} is primary of group {group}"));
                 }
                 site::Action::Vacant { group } => {
-                    self.tally.mark(now, format!("group {group} has no primary"));
+                    self.tally
+                        .mark(now, format!("group {group} has no primary"));
                 }
                 site::Action::Applied { key, .. } => {
                     self.tally.counts().applied += 1;
@@ -717,11 +929,13 @@
                 }
                 site::Action::Undone { server, .. } => {
                     self.tally.counts().undone += 1;
-                    self.tally.mark(now, format!("what server {server} took in last is undone"));
+                    self.tally
+                        .mark(now, format!("what server {server} took in last is undone"));
                 }
                 site::Action::Collapsed(server) => {
                     self.checker.breaks(Rule::Collapsed);
-                    self.tally.mark(now, format!("server {server} is pushed over"));
+                    self.tally
+                        .mark(now, format!("server {server} is pushed over"));
                 }
             }
         }
@@ -732,7 +946,9 @@
 
     /// What a server says is on its way back.
     fn site_answers(&mut self, attempt: u64, answer: Answer, note: Option<site::Note>) {
-        let Some((server, proxy)) = self.attempts.get(&attempt).map(|a| (a.server, a.proxy)) else { return };
+        let Some((server, proxy)) = self.attempts.get(&attempt).map(|a| (a.server, a.proxy)) else {
+            return;
+        };
         let outcome = match answer {
             Answer::Ok => Outcome::Ok,
             Answer::Miss => Outcome::Miss,
@@ -740,11 +956,24 @@
             Answer::Error => Outcome::Failed,
             Answer::Reset | Answer::Refused => Outcome::Reset,
         };
-        let note = note
-            .map_or(Note::default(), |n| Note { primary: Some(n.primary), position: Some(time(n.position)) });
+        let note = note.map_or(Note::default(), |n| Note {
+            primary: Some(n.primary),
+            position: Some(time(n.position)),
+        });
         if let Some(way) = self.home(server, proxy) {
-            self.wheel.put(self.now + way, Step::Back { attempt, outcome, note });
-        } else if self.attempts.get(&attempt).is_some_and(|a| a.state == State::Over) {
+            self.wheel.put(
+                self.now + way,
+                Step::Back {
+                    attempt,
+                    outcome,
+                    note,
+                },
+            );
+        } else if self
+            .attempts
+            .get(&attempt)
+            .is_some_and(|a| a.state == State::Over)
+        {
             self.attempts.remove(&attempt);
         }
     }
@@ -760,25 +989,43 @@
                 }
                 catalog::Action::Tell { caller, .. } | catalog::Action::Fail(caller) => *caller,
             };
-            let from = Spot { place: LIST_PLACE, proxy: None };
+            let from = Spot {
+                place: LIST_PLACE,
+                proxy: None,
+            };
             let epoch = self.hosts[proxy].epoch;
             if let Some(way) = self.network.one_way(from, self.spot(proxy), &mut self.way) {
-                self.wheel.put(self.now + way, Step::Told { proxy, epoch, news: Box::new(action) });
+                self.wheel.put(
+                    self.now + way,
+                    Step::Told {
+                        proxy,
+                        epoch,
+                        news: Box::new(action),
+                    },
+                );
             }
         }
     }
 
     fn news(&mut self, proxy: usize, news: catalog::Action) {
         let event = match news {
-            catalog::Action::Tell { index, complete, records, .. } => {
+            catalog::Action::Tell {
+                index,
+                complete,
+                records,
+                ..
+            } => {
                 let host = &mut self.hosts[proxy];
                 host.index = index;
                 host.learn(&records, complete);
-                records.iter().for_each(|r| self.cold.told(proxy, r.server, r.started));
+                records
+                    .iter()
+                    .for_each(|r| self.cold.told(proxy, r.server, r.started));
                 let entries: Vec<_> = records.iter().map(|r| entry(r, time)).collect();
                 for entry in &entries {
                     let leaving = entry.listed != Listed::Ready;
-                    self.checker.told(proxy, host::server(entry.store), leaving, self.now);
+                    self.checker
+                        .told(proxy, host::server(entry.store), leaving, self.now);
                 }
                 match complete {
                     true => ListNews::Complete(entries),
@@ -799,8 +1046,14 @@
         host.index = self.list.index();
         host.learn(&records, true);
         self.join(proxy);
-        records.iter().for_each(|r| self.cold.told(proxy, r.server, r.started));
-        let entries = records.iter().filter(|r| r.status != Status::Gone).map(|r| entry(r, time)).collect();
+        records
+            .iter()
+            .for_each(|r| self.cold.told(proxy, r.server, r.started));
+        let entries = records
+            .iter()
+            .filter(|r| r.status != Status::Gone)
+            .map(|r| entry(r, time))
+            .collect();
         self.tell(proxy, Event::List(ListNews::Cached(entries)));
     }
 }
--- a/crates/leverlab/src/play/troubles.rs
+++ b/crates/leverlab/src/play/troubles.rs
@@ -22,12 +22,20 @@
 
 impl Troubles {
     pub fn new(number: usize) -> Troubles {
-        Troubles { servers: vec![Vec::new(); number], proxies: vec![Vec::new(); number] }
+        Troubles {
+            servers: vec![Vec::new(); number],
+            proxies: vec![Vec::new(); number],
+        }
     }
 }
 
 /// The servers that a trouble is of, now that it comes; each once. `at`: its number in the scenario.
-pub(crate) fn struck(site: &Site, targets: &[Target], streams: &Streams, at: usize) -> Vec<ServerId> {
+pub(crate) fn struck(
+    site: &Site,
+    targets: &[Target],
+    streams: &Streams,
+    at: usize,
+) -> Vec<ServerId> {
     let mut found = Vec::new();
     let running: Vec<ServerId> = site.servers().filter(|s| site.runs(*s)).collect();
     for target in targets {
@@ -39,7 +47,9 @@
             Target::Member(group, member) => {
                 found.extend(site.members(*group).get(*member as usize).copied());
             }
-            Target::Place(place) => found.extend(running.iter().filter(|s| site.place(**s) == *place)),
+            Target::Place(place) => {
+                found.extend(running.iter().filter(|s| site.place(**s) == *place))
+            }
             Target::Share(part) => {
                 let wanted = (running.len() as f64 * part).ceil() as usize;
                 let mut draws = streams.stream("trouble", at as u64);
@@ -70,11 +80,17 @@
         Target::Place(place) => proxy % places.max(1) == usize::from(*place),
         _ => false,
     };
-    (0..number).filter(|proxy| targets.iter().any(|target| of(target, *proxy))).collect()
+    (0..number)
+        .filter(|proxy| targets.iter().any(|target| of(target, *proxy)))
+        .collect()
 }
 
 /// One of each group after the other, so that none loses all at once, each so much after the one before.
-pub(crate) fn rolling(site: &Site, mut servers: Vec<ServerId>, span: Micros) -> (Vec<ServerId>, Micros) {
+pub(crate) fn rolling(
+    site: &Site,
+    mut servers: Vec<ServerId>,
+    span: Micros,
+) -> (Vec<ServerId>, Micros) {
     servers.sort_by_key(|s| {
         let group = site.group(*s);
         (site.members(group).iter().position(|m| m == s), group)
@@ -94,22 +110,38 @@
         let now = self.now;
         let trouble = self.scenario.troubles[at].clone();
         let servers = struck(&self.site, &trouble.targets, &self.streams, at);
-        let proxies = struck_proxies(self.hosts.len(), self.scenario.site.places, &trouble.targets);
+        let proxies = struck_proxies(
+            self.hosts.len(),
+            self.scenario.site.places,
+            &trouble.targets,
+        );
         self.tally.mark(now, format!("{} begins", trouble.name));
-        self.wheel.put(now.saturating_add(trouble.span), Step::Over(at));
+        self.wheel
+            .put(now.saturating_add(trouble.span), Step::Over(at));
         match trouble.what {
             What::Die => self.each(&servers, Trouble::Die),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: true }),
             What::Slow(times) => {
                 let all: Vec<ServerId> = self.site.servers().collect();
-                let servers = if trouble.targets.is_empty() { &all } else { &servers };
+                let servers = if trouble.targets.is_empty() {
+                    &all
+                } else {
+                    &servers
+                };
                 self.each(servers, |server| Trouble::Slow { server, times });
             }
-            What::Hold => self.each(&servers, |server| Trouble::Hold { server, span: trouble.span }),
+            What::Hold => self.each(&servers, |server| Trouble::Hold {
+                server,
+                span: trouble.span,
+            }),
             What::Deploy => {
                 let (servers, gap) = rolling(&self.site, servers.clone(), trouble.span);
                 for (n, server) in (0..).zip(&servers) {
-                    let step = Step::Deploy { trouble: at, server: *server, phase: 0 };
+                    let step = Step::Deploy {
+                        trouble: at,
+                        server: *server,
+                        phase: 0,
+                    };
                     self.wheel.put(now + gap * n, step);
                 }
             }
@@ -129,13 +161,18 @@
         let trouble = self.scenario.troubles[at].clone();
         let servers = self.troubles.servers[at].clone();
         let proxies = self.troubles.proxies[at].clone();
-        self.tally.mark(self.now, format!("{} is over", trouble.name));
+        self.tally
+            .mark(self.now, format!("{} is over", trouble.name));
         match trouble.what {
             What::Die => self.each(&servers, Trouble::Start),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: false }),
             What::Slow(_) => {
                 let all: Vec<ServerId> = self.site.servers().collect();
-                let servers = if trouble.targets.is_empty() { &all } else { &servers };
+                let servers = if trouble.targets.is_empty() {
+                    &all
+                } else {
+                    &servers
+                };
                 self.each(servers, |server| Trouble::Slow { server, times: 1.0 });
             }
             What::Hold | What::Deploy => {}
@@ -159,7 +196,10 @@
     fn cut(&mut self, proxies: &[usize], place: u16, back_only: bool, cut: bool) {
         for proxy in proxies {
             let (a, b) = (End::Proxy(*proxy), End::Place(place));
-            for (from, to) in [(b, a), (a, b)].into_iter().take(if back_only { 1 } else { 2 }) {
+            for (from, to) in [(b, a), (a, b)]
+                .into_iter()
+                .take(if back_only { 1 } else { 2 })
+            {
                 if cut {
                     self.network.cut(from, to);
                 } else {
@@ -174,7 +214,14 @@
         if phase == 0 {
             if self.site.status(server) == Status::Ready {
                 self.site(site::Event::Trouble(Trouble::Drain(server)));
-                self.wheel.put(self.now + LINGER, Step::Deploy { trouble, server, phase: 1 });
+                self.wheel.put(
+                    self.now + LINGER,
+                    Step::Deploy {
+                        trouble,
+                        server,
+                        phase: 1,
+                    },
+                );
             }
         } else {
             let (group, place) = (self.site.group(server), self.site.place(server));
@@ -190,8 +237,12 @@
         self.leaves(proxy);
         self.hosts[proxy].die(&mut self.site);
         self.list(world::catalog::Event::Leave(proxy));
-        let mut held: Vec<u64> =
-            self.open.iter().filter(|(_, o)| o.asked.proxy == proxy).map(|(id, _)| *id).collect();
+        let mut held: Vec<u64> = self
+            .open
+            .iter()
+            .filter(|(_, o)| o.asked.proxy == proxy)
+            .map(|(id, _)| *id)
+            .collect();
         held.sort_unstable();
         for id in held {
             self.open.remove(&id);
@@ -201,6 +252,7 @@
         }
         // Only after a while do clients go elsewhere at once.
         let epoch = self.hosts[proxy].epoch;
-        self.wheel.put(self.now + NOTICE, Step::Unseen { proxy, epoch });
+        self.wheel
+            .put(self.now + NOTICE, Step::Unseen { proxy, epoch });
     }
 }
--- a/crates/leverlab/src/policy.rs
+++ b/crates/leverlab/src/policy.rs
@@ -3,8 +3,8 @@
 use crate::member::Member;
 use crate::planned::Planned;
 use mountshift::{
-    Action, Arrival, ClassId, Effect, Event, GroupId, ListNews, Need, Outcome, RequestId, Router, Settings,
-    StoreId, Time, TimerToken, Tuning, Wrote,
+    Action, Arrival, ClassId, Effect, Event, GroupId, ListNews, Need, Outcome, RequestId, Router,
+    Settings, StoreId, Time, TimerToken, Tuning, Wrote,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -87,15 +87,20 @@
 
 impl Policy {
     pub fn of(kind: Name) -> Policy {
-        Policy { kind, tuning: Tuning::default() }
+        Policy {
+            kind,
+            tuning: Tuning::default(),
+        }
     }
 
     pub fn make(&self, settings: &Settings, seed: u64, now: Time) -> Box<dyn Decider> {
         match self.kind {
             Name::Module | Name::Planned => {
                 let member = Member::new(settings);
-                let module: Box<dyn Decider> =
-                    Box::new(Module(Router::tuned(settings.clone(), self.tuning, seed, now), member));
+                let module: Box<dyn Decider> = Box::new(Module(
+                    Router::tuned(settings.clone(), self.tuning, seed, now),
+                    member,
+                ));
                 match self.kind {
                     Name::Planned => Box::new(Planned::new(module, settings, now)),
                     _ => module,
@@ -119,7 +124,9 @@
             _ => {}
         }
         router.handle(now, event, actions);
-        actions[before..].iter().for_each(|action| member.did(now, action));
+        actions[before..]
+            .iter()
+            .for_each(|action| member.did(now, action));
     }
 
     fn member(&mut self) -> Option<&mut Member> {
@@ -172,7 +179,11 @@
     fn new(choice: Name, set: Settings, seed: u64) -> Baseline {
         let proxies = f64::from(set.routers.max(1));
         Baseline {
-            shares: set.tenants.iter().map(|t| Account::new(t.quota_per_s / proxies)).collect(),
+            shares: set
+                .tenants
+                .iter()
+                .map(|t| Account::new(t.quota_per_s / proxies))
+                .collect(),
             choice,
             set,
             open: BTreeMap::new(),
@@ -233,10 +244,15 @@
             // Of equals any: all proxies see the same.
             let start = self.rng.random_range(0..members.len().max(1));
             members.rotate_left(start);
-            return members.into_iter().min_by(|a, b| view.load(*a).total_cmp(&view.load(*b)));
+            return members
+                .into_iter()
+                .min_by(|a, b| view.load(*a).total_cmp(&view.load(*b)));
         }
         let number = members.len();
-        let (a, b) = (self.rng.random_range(0..number), self.rng.random_range(0..number));
+        let (a, b) = (
+            self.rng.random_range(0..number),
+            self.rng.random_range(0..number),
+        );
         Some(match self.choice {
             Name::RoundRobin => {
                 self.turn += 1;
@@ -246,13 +262,17 @@
                 members.rotate_left(a);
                 members.into_iter().min_by_key(|m| self.outstanding(*m))?
             }
-            Name::TwoChoices => *[members[a], members[b]].iter().min_by_key(|m| self.outstanding(**m))?,
+            Name::TwoChoices => *[members[a], members[b]]
+                .iter()
+                .min_by_key(|m| self.outstanding(**m))?,
             Name::PeakEwma | Name::LocalQuota => {
                 let cost = |m: &StoreId| {
                     let known = self.cost.get(m).map_or(0.05, |(cost, _)| *cost);
                     known * f64::from(self.outstanding(*m) + 1)
                 };
-                *[members[a], members[b]].iter().min_by(|x, y| cost(x).total_cmp(&cost(y)))?
+                *[members[a], members[b]]
+                    .iter()
+                    .min_by(|x, y| cost(x).total_cmp(&cost(y)))?
             }
             _ => members[a],
         })
@@ -262,32 +282,62 @@
     /// others their time.
     fn in_time(&self, open: &Open, store: StoreId, now: Time, view: &dyn View) -> bool {
         let class = self.class(open.arrival.class);
-        let worth_for = if class.late_worth > 0.0 { class.deadline } else { class.aim };
+        let worth_for = if class.late_worth > 0.0 {
+            class.deadline
+        } else {
+            class.aim
+        };
         let left = worth_for.saturating_sub(now.since(open.came));
         // What is beyond its tenant's quota is served only from room that is left when those within have theirs.
         if !self.within(open.arrival.id, view) && view.spare(store) < KEPT {
             return false;
         }
         // What is worth less gives way before a server is full.
-        let best = self.set.classes.iter().map(|c| c.worth).fold(0.0, f64::max).max(1e-9);
-        let part = if view.crowded(store) { (class.worth / best).sqrt() } else { 1.0 };
-        view.answers(store) && view.bears(store) && view.expected(store) <= left.mul_f64(ADMITTED * part)
+        let best = self
+            .set
+            .classes
+            .iter()
+            .map(|c| c.worth)
+            .fold(0.0, f64::max)
+            .max(1e-9);
+        let part = if view.crowded(store) {
+            (class.worth / best).sqrt()
+        } else {
+            1.0
+        };
+        view.answers(store)
+            && view.bears(store)
+            && view.expected(store) <= left.mul_f64(ADMITTED * part)
     }
 
     /// Whether the oracle waits for a server that may come to serve it in time: a primary, a free one, a fresh one.
     fn waits(&self, open: &Open, now: Time) -> bool {
         let class = self.class(open.arrival.class);
-        let worth_for = if class.late_worth > 0.0 { class.deadline } else { class.aim };
+        let worth_for = if class.late_worth > 0.0 {
+            class.deadline
+        } else {
+            class.aim
+        };
         let most = worth_for.min(open.arrival.time_left).mul_f64(HELD);
         self.sees_all() && !open.ran && now.since(open.came) + LOOK_AGAIN < most
     }
 
-    fn attempt(&mut self, id: RequestId, now: Time, view: &mut dyn View, actions: &mut Vec<Action>) {
-        let Some(mut open) = self.open.remove(&id) else { return };
+    fn attempt(
+        &mut self,
+        id: RequestId,
+        now: Time,
+        view: &mut dyn View,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut open) = self.open.remove(&id) else {
+            return;
+        };
         let left = open.arrival.time_left.saturating_sub(now.since(open.came));
         let allowed = self.set.try_limit == 0 || open.tried.len() < usize::from(self.set.try_limit);
         let again = !open.ran || self.class(open.arrival.class).effect == Effect::Safe;
-        let picked = (allowed && again && !left.is_zero()).then(|| self.pick(&open, now, view)).flatten();
+        let picked = (allowed && again && !left.is_zero())
+            .then(|| self.pick(&open, now, view))
+            .flatten();
         match picked {
             Some(store) => {
                 *self.out.entry(store).or_default() += 1;
@@ -295,20 +345,36 @@
                 // A safe read is tried elsewhere before its time is over, if there is time for that; who sees
                 // everything has no need of it.
                 let class = self.class(open.arrival.class);
-                let twice = class.effect == Effect::Safe && open.tried.len() == 1 && left / 2 >= class.aim;
-                let time_out = if twice && !self.sees_all() { left / 2 } else { left };
-                actions.push(Action::Send { id, store, time_out, begin_within: left });
+                let twice =
+                    class.effect == Effect::Safe && open.tried.len() == 1 && left / 2 >= class.aim;
+                let time_out = if twice && !self.sees_all() {
+                    left / 2
+                } else {
+                    left
+                };
+                actions.push(Action::Send {
+                    id,
+                    store,
+                    time_out,
+                    begin_within: left,
+                });
                 self.open.insert(id, open);
             }
             None if self.waits(&open, now) => {
                 if self.held.is_empty() {
-                    actions.push(Action::Timer { after: LOOK_AGAIN, token: TimerToken(0) });
+                    actions.push(Action::Timer {
+                        after: LOOK_AGAIN,
+                        token: TimerToken(0),
+                    });
                 }
                 self.held.push(id);
                 self.open.insert(id, open);
             }
             None if open.ran => actions.push(Action::Fail { id }),
-            None => actions.push(Action::Refuse { id, come_back: Some(COME_BACK) }),
+            None => actions.push(Action::Refuse {
+                id,
+                come_back: Some(COME_BACK),
+            }),
         }
     }
 }
@@ -321,10 +387,21 @@
                 let share = self.shares.get_mut(usize::from(arrival.tenant.0));
                 let limited = self.choice == Name::LocalQuota;
                 if limited && share.is_some_and(|share| !share.draw(now.0.as_micros() as u64)) {
-                    actions.push(Action::Refuse { id, come_back: Some(COME_BACK) });
+                    actions.push(Action::Refuse {
+                        id,
+                        come_back: Some(COME_BACK),
+                    });
                     return;
                 }
-                self.open.insert(id, Open { arrival, came: now, tried: Vec::new(), ran: false });
+                self.open.insert(
+                    id,
+                    Open {
+                        arrival,
+                        came: now,
+                        tried: Vec::new(),
+                        ran: false,
+                    },
+                );
                 self.attempt(id, now, view, actions);
             }
             Event::Ended(ended) => {
@@ -335,21 +412,31 @@
                 let took = ended.elapsed.as_secs_f64();
                 let (known, told) = self.cost.get(&store).copied().unwrap_or((0.05, now));
                 let keep = (-now.since(told).as_secs_f64() / DECAY).exp();
-                let cost = if took > known { took } else { known * keep + took * (1.0 - keep) };
+                let cost = if took > known {
+                    took
+                } else {
+                    known * keep + took * (1.0 - keep)
+                };
                 self.cost.insert(store, (cost, now));
                 if ended.last {
                     self.open.remove(&ended.id);
                     return;
                 }
                 if let Some(open) = self.open.get_mut(&ended.id) {
-                    open.ran |= matches!(ended.outcome, Outcome::Failed | Outcome::TimedOut | Outcome::Reset);
+                    open.ran |= matches!(
+                        ended.outcome,
+                        Outcome::Failed | Outcome::TimedOut | Outcome::Reset
+                    );
                 }
                 self.attempt(ended.id, now, view, actions);
             }
             Event::Left(id) => _ = self.open.remove(&id),
             Event::List(ListNews::Cached(_)) => actions.push(Action::Subscribe),
             Event::List(ListNews::Failed) => {
-                actions.push(Action::Timer { after: ASK_AGAIN, token: LIST_TIMER });
+                actions.push(Action::Timer {
+                    after: ASK_AGAIN,
+                    token: LIST_TIMER,
+                });
             }
             Event::Timer(token) if token == LIST_TIMER => actions.push(Action::Subscribe),
             Event::Timer(_) => {
--- a/crates/leverlab/src/report/mod.rs
+++ b/crates/leverlab/src/report/mod.rs
@@ -35,7 +35,9 @@
     let mut number = 0;
     for path in manifests {
         // Whatever else lies there is none of ours.
-        let Ok(manifest) = serde_json::from_slice::<Manifest>(&std::fs::read(&path)?) else { continue };
+        let Ok(manifest) = serde_json::from_slice::<Manifest>(&std::fs::read(&path)?) else {
+            continue;
+        };
         number += 1;
         experiment(&store, &manifest, &mut body)?;
     }
@@ -77,8 +79,10 @@
     }];
     charts.extend(varied(manifest)?);
     for day in &manifest.days {
-        let of_day: Vec<&Line> =
-            lines.iter().filter(|l| l.scenario == day.name && l.varied.is_empty()).collect();
+        let of_day: Vec<&Line> = lines
+            .iter()
+            .filter(|l| l.scenario == day.name && l.varied.is_empty())
+            .collect();
         if of_day.is_empty() {
             continue;
         }
@@ -100,8 +104,11 @@
             latencies.push((policy.to_owned(), merged(runs.iter(), None)));
             seconds.push((policy.to_owned(), added(&runs)));
         }
-        let title =
-            if day.about.is_empty() { day.name.clone() } else { format!("{}: {}", day.name, day.about) };
+        let title = if day.about.is_empty() {
+            day.name.clone()
+        } else {
+            format!("{}: {}", day.name, day.about)
+        };
         charts.push(Chart {
             name: format!("{}-{}-time", manifest.experiment, day.name),
             title: title.clone(),
@@ -114,7 +121,10 @@
         });
     }
     for chart in charts {
-        std::fs::write(store.folder().join(format!("{}.svg", chart.name)), &chart.svg)?;
+        std::fs::write(
+            store.folder().join(format!("{}.svg", chart.name)),
+            &chart.svg,
+        )?;
         writeln!(body, "<h3>{}</h3>\n{}", escape(&chart.title), chart.svg)?;
     }
     Ok(())
@@ -172,8 +182,11 @@
 fn varied(manifest: &Manifest) -> Result<Vec<Chart>> {
     let mut found = Vec::new();
     for day in &manifest.days {
-        let rows: Vec<_> =
-            manifest.rows.iter().filter(|r| r.scenario == day.name && !r.varied.is_empty()).collect();
+        let rows: Vec<_> = manifest
+            .rows
+            .iter()
+            .filter(|r| r.scenario == day.name && !r.varied.is_empty())
+            .collect();
         let Some(first) = rows.first() else { continue };
         let keys: Vec<String> = first.varied.iter().map(|(k, _)| k.clone()).collect();
         match keys.as_slice() {
@@ -217,5 +230,7 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
--- a/crates/leverlab/src/results.rs
+++ b/crates/leverlab/src/results.rs
@@ -47,7 +47,11 @@
 
 impl Line {
     pub fn new(cell: &Cell, o: &Outcomes) -> Line {
-        let varied: Vec<String> = cell.varied.iter().map(|(k, v)| format!("{k}={v}")).collect();
+        let varied: Vec<String> = cell
+            .varied
+            .iter()
+            .map(|(k, v)| format!("{k}={v}"))
+            .collect();
         let latencies = merged(std::iter::once(o), None);
         let cold = Cold::of(&o.cold);
         let told = Cold::of(&o.cold_told);
@@ -100,12 +104,21 @@
     pub fn new(scenario: &Scenario) -> Day {
         let seconds = |micros: u64| micros as f64 / 1e6;
         let trouble = |t: &crate::scenario::Trouble| {
-            (t.name.clone(), seconds(t.at), seconds(t.at.saturating_add(t.span)))
+            (
+                t.name.clone(),
+                seconds(t.at),
+                seconds(t.at.saturating_add(t.span)),
+            )
         };
         Day {
             name: scenario.name.clone(),
             about: scenario.about.clone(),
-            classes: scenario.clients.kinds.iter().map(|k| k.name.clone()).collect(),
+            classes: scenario
+                .clients
+                .kinds
+                .iter()
+                .map(|k| k.name.clone())
+                .collect(),
             troubles: scenario.troubles.iter().map(trouble).collect(),
         }
     }
--- a/crates/leverlab/src/run.rs
+++ b/crates/leverlab/src/run.rs
@@ -13,10 +13,18 @@
 
 /// Every combination, in an order that is always the same: seeds last, so that pairs stand together.
 pub fn cells(book: &Book, experiment: &Experiment) -> Result<Vec<Cell>, String> {
-    let variants: usize = experiment.grids.iter().map(|g| g.values.len().max(1)).product();
-    let number = variants * experiment.scenarios.len() * experiment.players.len() * experiment.seeds.len();
+    let variants: usize = experiment
+        .grids
+        .iter()
+        .map(|g| g.values.len().max(1))
+        .product();
+    let number =
+        variants * experiment.scenarios.len() * experiment.players.len() * experiment.seeds.len();
     if number > CELLS_LIMIT {
-        return Err(format!("{} has {number} runs; at most {CELLS_LIMIT} are made", experiment.name));
+        return Err(format!(
+            "{} has {number} runs; at most {CELLS_LIMIT} are made",
+            experiment.name
+        ));
     }
     let mut cells = Vec::with_capacity(number);
     for scenario in &experiment.scenarios {
@@ -27,7 +35,11 @@
                 let value = grid.values[left % grid.values.len()].clone();
                 left /= grid.values.len();
                 let (section, directive) = grid.key.clone();
-                changes.push(Change { section, directive, value });
+                changes.push(Change {
+                    section,
+                    directive,
+                    value,
+                });
             }
             let made = book.varied(scenario, &changes)?;
             for player in &experiment.players {
@@ -76,10 +88,15 @@
     let next = AtomicUsize::new(0);
     let results: Mutex<Vec<Option<Outcomes>>> = Mutex::new(vec![None; cells.len()]);
     let failed: Mutex<Option<io::Error>> = Mutex::new(None);
-    let so_far = Mutex::new(Progress { all: cells.len(), ..Progress::default() });
+    let so_far = Mutex::new(Progress {
+        all: cells.len(),
+        ..Progress::default()
+    });
     let work = || loop {
         let at = next.fetch_add(1, Ordering::Relaxed);
-        let Some(cell) = cells.get(at).filter(|_| !stop.load(Ordering::Relaxed)) else { return };
+        let Some(cell) = cells.get(at).filter(|_| !stop.load(Ordering::Relaxed)) else {
+            return;
+        };
         let key = cell.key();
         let there = store.and_then(|s| s.load(&key));
         let found = there.is_some();
--- a/crates/leverlab/src/scenario.rs
+++ b/crates/leverlab/src/scenario.rs
@@ -76,7 +76,12 @@
 
 impl Default for Weights {
     fn default() -> Weights {
-        Weights { whole: 0.35, worst_span: 0.35, worst_kind: 0.2, worst_tenant: 0.1 }
+        Weights {
+            whole: 0.35,
+            worst_span: 0.35,
+            worst_kind: 0.2,
+            worst_tenant: 0.1,
+        }
     }
 }
 
@@ -136,26 +141,54 @@
     pub fn loads(&self) -> (f64, f64) {
         let shares: f64 = self.clients.kinds.iter().map(|k| k.share).sum();
         let work = |writes: bool| -> f64 {
-            let counted = self.clients.kinds.iter().filter(|k| !writes || k.need == clients::Need::Write);
-            counted.map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6).sum::<f64>() * self.clients.per_s
+            let counted = self
+                .clients
+                .kinds
+                .iter()
+                .filter(|k| !writes || k.need == clients::Need::Write);
+            counted
+                .map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6)
+                .sum::<f64>()
+                * self.clients.per_s
         };
         let cores = self.site.server.cores;
-        let (all, primaries) = (self.servers() as f64 * cores, self.site.groups as f64 * cores);
-        (work(false) / all.max(1e-9), work(true) / primaries.max(1e-9))
+        let (all, primaries) = (
+            self.servers() as f64 * cores,
+            self.site.groups as f64 * cores,
+        );
+        (
+            work(false) / all.max(1e-9),
+            work(true) / primaries.max(1e-9),
+        )
     }
 
     /// What a cold server may get, where a request's work has this mean.
     pub fn bounds(&self, mean_work: f64) -> Bounds {
         let server = &self.site.server;
         let warm = server.cores * server.tip_after as f64 / mean_work.max(1e-9);
-        let (cold, warm_after, tip, window) = (server.cold, server.warm_after, server.tip, server.tip_after);
-        Bounds { cold, warm_after, tip, window, warm }
+        let (cold, warm_after, tip, window) =
+            (server.cold, server.warm_after, server.tip, server.tip_after);
+        Bounds {
+            cold,
+            warm_after,
+            tip,
+            window,
+            warm,
+        }
     }
 
     /// What the platform would tell the decision module of a proxy.
     pub fn settings(&self, proxy: usize) -> Settings {
-        let Platform { tries, probes, second_copies, come_back_most, drain_grace, keepalive, checks, .. } =
-            self.platform;
+        let Platform {
+            tries,
+            probes,
+            second_copies,
+            come_back_most,
+            drain_grace,
+            keepalive,
+            checks,
+            ..
+        } = self.platform;
         let class = |kind: &clients::Kind| Class {
             need: match kind.need {
                 clients::Need::Write => Need::Write,
@@ -166,7 +199,10 @@
             },
             effect: match kind.repeat {
                 Repeat::Safe => Effect::Safe,
-                Repeat::Keyed(window) => Effect::Keyed { scope: Scope::Group, window: span(window) },
+                Repeat::Keyed(window) => Effect::Keyed {
+                    scope: Scope::Group,
+                    window: span(window),
+                },
                 Repeat::Never => Effect::Unsafe,
             },
             aim: span(kind.aim),
@@ -174,7 +210,9 @@
             worth: kind.worth,
             late_worth: kind.late_worth,
         };
-        let tenant = |tenant: &clients::Tenant| mountshift::Tenant { quota_per_s: tenant.quota };
+        let tenant = |tenant: &clients::Tenant| mountshift::Tenant {
+            quota_per_s: tenant.quota,
+        };
         Settings {
             routers: self.proxies() as u32,
             number: proxy as u32,
--- a/crates/leverlab/src/stats.rs
+++ b/crates/leverlab/src/stats.rs
@@ -59,15 +59,27 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            (0..pairs.len()).map(|_| pairs[rng.random_range(0..pairs.len())]).sum::<f64>()
+            (0..pairs.len())
+                .map(|_| pairs[rng.random_range(0..pairs.len())])
+                .sum::<f64>()
                 / pairs.len() as f64
         })
         .collect();
     means.sort_by(f64::total_cmp);
     let at = |part: f64| means[((RESAMPLES - 1) as f64 * part) as usize];
     let (mean, deviation) = moments(&pairs);
-    let effect = if deviation > 0.0 { mean / deviation } else { 0.0 };
-    Some(Difference { mean, low: at(0.025), high: at(0.975), effect, pairs: pairs.len() })
+    let effect = if deviation > 0.0 {
+        mean / deviation
+    } else {
+        0.0
+    };
+    Some(Difference {
+        mean,
+        low: at(0.025),
+        high: at(0.975),
+        effect,
+        pairs: pairs.len(),
+    })
 }
 
 /// Mean and standard deviation.
@@ -88,7 +100,11 @@
     if dev_a == 0.0 || dev_b == 0.0 {
         return None;
     }
-    let together: f64 = a.iter().zip(&b).map(|(x, y)| (x - mean_a) * (y - mean_b)).sum();
+    let together: f64 = a
+        .iter()
+        .zip(&b)
+        .map(|(x, y)| (x - mean_a) * (y - mean_b))
+        .sum();
     Some(together / (a.len() as f64 - 1.0) / dev_a / dev_b)
 }
 
@@ -99,7 +115,10 @@
     let mut ranks = vec![0.0; of.len()];
     let mut at = 0;
     while at < order.len() {
-        let alike = order[at..].iter().take_while(|i| of[**i] == of[order[at]]).count();
+        let alike = order[at..]
+            .iter()
+            .take_while(|i| of[**i] == of[order[at]])
+            .count();
         let rank = at as f64 + (alike as f64 + 1.0) / 2.0;
         order[at..at + alike].iter().for_each(|i| ranks[*i] = rank);
         at += alike;
--- a/crates/leverlab/src/store.rs
+++ b/crates/leverlab/src/store.rs
@@ -26,10 +26,18 @@
     /// The same for all cells that come out the same: names are no part of it.
     pub fn key(&self) -> String {
         let mut hash = Sha256::new();
-        let plain = Scenario { name: String::new(), about: String::new(), ..self.scenario.clone() };
+        let plain = Scenario {
+            name: String::new(),
+            about: String::new(),
+            ..self.scenario.clone()
+        };
         hash.update(SOURCES);
         hash.update(format!("{plain:?}\n{:?}\n{}", self.policy, self.seed));
-        hash.finalize().iter().take(16).map(|byte| format!("{byte:02x}")).collect()
+        hash.finalize()
+            .iter()
+            .take(16)
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
     }
 }
 
@@ -41,7 +49,9 @@
 impl Store {
     pub fn open(folder: &Path) -> io::Result<Store> {
         std::fs::create_dir_all(folder.join("cells"))?;
-        Ok(Store { folder: folder.to_owned() })
+        Ok(Store {
+            folder: folder.to_owned(),
+        })
     }
 
     pub fn folder(&self) -> &Path {
