--- a/crates/leverlab/src/summary.rs
+++ b/crates/leverlab/src/summary.rs
@@ -29,8 +29,17 @@
             let rank = (ratios.len() as f64 * q).ceil() as usize;
             ratios.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
         };
-        let max_of_allowed = peaks.iter().map(|peak| peak.of_allowed()).fold(0.0, f64::max);
-        Cold { starts: ratios.len(), p50: at(0.5), p99: at(0.99), max: at(1.0), max_of_allowed }
+        let max_of_allowed = peaks
+            .iter()
+            .map(|peak| peak.of_allowed())
+            .fold(0.0, f64::max);
+        Cold {
+            starts: ratios.len(),
+            p50: at(0.5),
+            p99: at(0.99),
+            max: at(1.0),
+            max_of_allowed,
+        }
     }
 }
 
@@ -74,7 +83,11 @@
 
     /// Scenario and what is varied in it.
     pub fn title(&self) -> String {
-        let varied: Vec<String> = self.varied.iter().map(|(k, v)| format!("{k}={v}")).collect();
+        let varied: Vec<String> = self
+            .varied
+            .iter()
+            .map(|(k, v)| format!("{k}={v}"))
+            .collect();
         if varied.is_empty() {
             self.scenario.clone()
         } else {
@@ -91,7 +104,10 @@
     let mut by: BTreeMap<(Place, String), Vec<(u64, &Outcomes)>> = BTreeMap::new();
     for (cell, outcomes) in cells.iter().zip(outcomes) {
         let Some(outcomes) = outcomes else { continue };
-        let key = ((cell.scenario.name.clone(), cell.varied.clone()), cell.player.clone());
+        let key = (
+            (cell.scenario.name.clone(), cell.varied.clone()),
+            cell.player.clone(),
+        );
         if !by.contains_key(&key) {
             order.push(key.clone());
         }
@@ -99,8 +115,12 @@
     }
     let mut rows = Vec::new();
     for (place, policy) in order {
-        let Some(own) = by.get(&(place.clone(), policy.clone())) else { continue };
-        let other = by.get(&(place.clone(), against.to_owned())).filter(|_| policy != against);
+        let Some(own) = by.get(&(place.clone(), policy.clone())) else {
+            continue;
+        };
+        let other = by
+            .get(&(place.clone(), against.to_owned()))
+            .filter(|_| policy != against);
         let compared = other.and_then(|other| {
             let pair = |of: fn(&Outcomes) -> f64| paired_by_seed(other, own, of);
             Some((pair(|o| o.score)?, pair(|o| o.goodput)?))
@@ -135,7 +155,8 @@
     let number = runs.len().max(1) as f64;
     let mean = |of: fn(&Outcomes) -> f64| runs.iter().map(|(_, o)| of(o)).sum::<f64>() / number;
     let asked = runs.iter().map(|(_, o)| o.whole.asked).sum::<u64>().max(1) as f64;
-    let each = |of: fn(&Outcomes) -> u64| runs.iter().map(|(_, o)| of(o)).sum::<u64>() as f64 / asked;
+    let each =
+        |of: fn(&Outcomes) -> u64| runs.iter().map(|(_, o)| of(o)).sum::<u64>() as f64 / asked;
     let all = merged(runs.iter().map(|(_, o)| *o), None);
     let mut broken = BTreeMap::new();
     for (rule, times) in runs.iter().flat_map(|(_, o)| &o.broken) {
@@ -167,7 +188,11 @@
 pub fn merged<'a>(runs: impl Iterator<Item = &'a Outcomes>, kind: Option<usize>) -> Histogram<u64> {
     let mut all = histogram();
     for outcomes in runs {
-        let wanted = outcomes.latencies.iter().enumerate().filter(|(at, _)| kind.is_none_or(|k| k == *at));
+        let wanted = outcomes
+            .latencies
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| kind.is_none_or(|k| k == *at));
         for opened in wanted.filter_map(|(_, packed)| packed.open()) {
             // Of one shape, all of them, so nothing is lost.
             _ = all.add(opened);
--- a/crates/leverlab/src/table.rs
+++ b/crates/leverlab/src/table.rs
@@ -222,6 +222,9 @@
 mod tests {
     #[test]
     fn the_table_keeps_its_own_rules() {
-        assert_eq!(configuration::schema::faults(super::TABLE), Vec::<String>::new());
+        assert_eq!(
+            configuration::schema::faults(super::TABLE),
+            Vec::<String>::new()
+        );
     }
 }
--- a/crates/leverlab/src/tally.rs
+++ b/crates/leverlab/src/tally.rs
@@ -19,7 +19,8 @@
 const WORST: usize = 10;
 
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, HIGHEST, DIGITS).unwrap_or_else(|_| Histogram::new(DIGITS).expect("digits"))
+    Histogram::new_with_bounds(1, HIGHEST, DIGITS)
+        .unwrap_or_else(|_| Histogram::new(DIGITS).expect("digits"))
 }
 
 /// A part of the books: one second, one class, one tenant.
@@ -72,7 +73,9 @@
 
     pub fn open(&self) -> Option<Histogram<u64>> {
         use base64::Engine;
-        let bytes = base64::engine::general_purpose::STANDARD.decode(&self.0).ok()?;
+        let bytes = base64::engine::general_purpose::STANDARD
+            .decode(&self.0)
+            .ok()?;
         Deserializer::new().deserialize(&mut bytes.as_slice()).ok()
     }
 }
@@ -156,7 +159,11 @@
             ..Outcomes::default()
         };
         let latencies = clients.kinds.iter().map(|_| histogram()).collect();
-        Tally { out, latencies, weights: scenario.weights }
+        Tally {
+            out,
+            latencies,
+            weights: scenario.weights,
+        }
     }
 
     pub fn counts(&mut self) -> &mut Outcomes {
@@ -165,7 +172,10 @@
 
     pub fn mark(&mut self, at: Micros, what: impl Into<String>) {
         if self.out.marks.len() < MARKS {
-            self.out.marks.push(Mark { at, what: what.into() });
+            self.out.marks.push(Mark {
+                at,
+                what: what.into(),
+            });
         }
     }
 
@@ -182,25 +192,33 @@
                 part.add(settled);
             }
         }
-        if let (Some(took), Some(latencies)) = (settled.took, self.latencies.get_mut(settled.kind)) {
+        if let (Some(took), Some(latencies)) = (settled.took, self.latencies.get_mut(settled.kind))
+        {
             latencies.saturating_record(took.max(1));
         }
     }
 
     pub fn close(self, broken: BTreeMap<Rule, u64>) -> Outcomes {
-        let Tally { mut out, latencies, weights } = self;
+        let Tally {
+            mut out,
+            latencies,
+            weights,
+        } = self;
         out.broken = broken;
         out.latencies = latencies.iter().map(Packed::of).collect();
         // Where nothing was asked for nothing was missed.
         out.goodput = out.whole.goodput().unwrap_or(1.0);
-        let least = |parts: &mut dyn Iterator<Item = Option<f64>>| parts.flatten().fold(1.0, f64::min);
+        let least =
+            |parts: &mut dyn Iterator<Item = Option<f64>>| parts.flatten().fold(1.0, f64::min);
         out.worst_kind = least(&mut out.kinds.iter().map(Part::goodput));
         out.worst_tenant = match out.tenants.len() {
             0 => out.goodput,
             _ => least(&mut out.tenants.iter().map(Part::goodput)),
         };
         let window = |parts: &[Part], of: fn(&Part) -> f64| {
-            let (worth, earned) = parts.iter().fold((0.0, 0.0), |(w, e), p| (w + p.worth, e + of(p)));
+            let (worth, earned) = parts
+                .iter()
+                .fold((0.0, 0.0), |(w, e), p| (w + p.worth, e + of(p)));
             (worth > 0.0).then(|| earned / worth)
         };
         let worst = |of: fn(&Part) -> f64| match out.seconds.len() {
@@ -208,7 +226,10 @@
             _ => least(&mut out.seconds.windows(WORST).map(|parts| window(parts, of))),
         };
         out.worst_span = worst(|part| part.earned);
-        out.by_count = (window(&[out.whole], |part| part.counted).unwrap_or(1.0), worst(|part| part.counted));
+        out.by_count = (
+            window(&[out.whole], |part| part.counted).unwrap_or(1.0),
+            worst(|part| part.counted),
+        );
         out.score = weights.whole * out.goodput
             + weights.worst_span * out.worst_span
             + weights.worst_kind * out.worst_kind
--- a/crates/leverlab/src/trial.rs
+++ b/crates/leverlab/src/trial.rs
@@ -37,15 +37,21 @@
 /// What is wrong with a scenario for a trial, by key.
 pub fn fault(scenario: &Scenario) -> Option<String> {
     let (proxies, servers) = (scenario.proxies(), scenario.servers());
-    let named = |key: &str, problem: String| Some(format!("scenario {}: {key}: {problem}", scenario.name));
+    let named =
+        |key: &str, problem: String| Some(format!("scenario {}: {key}: {problem}", scenario.name));
     if !(1..=PROXIES_MOST).contains(&proxies) {
-        return named("load.proxies", format!("a trial has 1 to {PROXIES_MOST} processes, not {proxies}"));
+        return named(
+            "load.proxies",
+            format!("a trial has 1 to {PROXIES_MOST} processes, not {proxies}"),
+        );
     }
     if proxies * servers > LINKS_MOST {
         let links = proxies * servers;
         return named(
             "fleet",
-            format!("{proxies} proxies and {servers} servers have {links} links; {LINKS_MOST} at most"),
+            format!(
+                "{proxies} proxies and {servers} servers have {links} links; {LINKS_MOST} at most"
+            ),
         );
     }
     None
@@ -75,15 +81,25 @@
     adjust(&mut setup);
     let rig = Rig::start(setup)?;
     let troubles = scenario.troubles.iter().enumerate();
-    let mut agenda: BinaryHeap<_> = troubles.map(|(at, t)| Reverse((t.at, Step::Begins(at)))).collect();
+    let mut agenda: BinaryHeap<_> = troubles
+        .map(|(at, t)| Reverse((t.at, Step::Begins(at))))
+        .collect();
     agenda.push(Reverse((0, Step::Glance)));
     let struck = vec![Default::default(); scenario.troubles.len()];
-    let mut director = Director { scenario, streams: Streams::new(seed), rig, agenda, struck };
+    let mut director = Director {
+        scenario,
+        streams: Streams::new(seed),
+        rig,
+        agenda,
+        struck,
+    };
     director.rig.truth.begin();
     let mut marks = Vec::new();
     // What is to happen later than the last request has no one to see it.
-    while let Some(Reverse((at, step))) =
-        director.agenda.pop().filter(|Reverse((at, _))| *at < scenario.length())
+    while let Some(Reverse((at, step))) = director
+        .agenda
+        .pop()
+        .filter(|Reverse((at, _))| *at < scenario.length())
     {
         let wait = Duration::from_micros(at.saturating_sub(director.rig.truth.now()));
         std::thread::sleep(wait);
@@ -106,7 +122,8 @@
             Step::Drains(server) => {
                 if self.rig.truth.look().site.status(server) == Status::Ready {
                     self.rig.truth.trouble(Trouble::Drain(server));
-                    self.agenda.push(Reverse((now + LINGER, Step::Replaced(server))));
+                    self.agenda
+                        .push(Reverse((now + LINGER, Step::Replaced(server))));
                 }
                 return Ok(None);
             }
@@ -121,12 +138,16 @@
             }
             Step::Glance => return Ok(None),
         }
-        let Step::Begins(at) = step else { return Ok(None) };
+        let Step::Begins(at) = step else {
+            return Ok(None);
+        };
         Ok(Some(format!("{} begins", self.scenario.troubles[at].name)))
     }
 
     fn each(&self, servers: &[ServerId], trouble: impl Fn(ServerId) -> Trouble) {
-        servers.iter().for_each(|server| self.rig.truth.trouble(trouble(*server)));
+        servers
+            .iter()
+            .for_each(|server| self.rig.truth.trouble(trouble(*server)));
     }
 
     /// The servers that a trouble of slowness is of: all, if none is named.
@@ -143,20 +164,36 @@
 
     fn begins(&mut self, now: Micros, at: usize) {
         let trouble = &self.scenario.troubles[at];
-        let servers = struck(&self.rig.truth.look().site, &trouble.targets, &self.streams, at);
-        let proxies = struck_proxies(self.rig.proxies.len(), self.scenario.site.places, &trouble.targets);
-        self.agenda.push(Reverse((now.saturating_add(trouble.span), Step::Over(at))));
+        let servers = struck(
+            &self.rig.truth.look().site,
+            &trouble.targets,
+            &self.streams,
+            at,
+        );
+        let proxies = struck_proxies(
+            self.rig.proxies.len(),
+            self.scenario.site.places,
+            &trouble.targets,
+        );
+        self.agenda
+            .push(Reverse((now.saturating_add(trouble.span), Step::Over(at))));
         self.struck[at] = (servers.clone(), proxies.clone());
         let truth = self.rig.truth.clone();
         match trouble.what {
             What::Die => self.each(&servers, Trouble::Die),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: true }),
-            What::Slow(times) => self.each(&self.slowed(at), |server| Trouble::Slow { server, times }),
-            What::Hold => self.each(&servers, |server| Trouble::Hold { server, span: trouble.span }),
+            What::Slow(times) => {
+                self.each(&self.slowed(at), |server| Trouble::Slow { server, times })
+            }
+            What::Hold => self.each(&servers, |server| Trouble::Hold {
+                server,
+                span: trouble.span,
+            }),
             What::Deploy => {
                 let (servers, gap) = rolling(&truth.look().site, servers, trouble.span);
                 for (n, server) in (0..).zip(servers) {
-                    self.agenda.push(Reverse((now + gap * n, Step::Drains(server))));
+                    self.agenda
+                        .push(Reverse((now + gap * n, Step::Drains(server))));
                 }
             }
             What::ListBehind(more) => truth.list(catalog::Event::Behind(more)),
@@ -164,13 +201,19 @@
             What::Surge(times, tenant) => truth.surge(tenant, times),
             What::Cut { place, back_only } => {
                 let there = if back_only { Flow::Passes } else { Flow::Cut };
-                self.rig.links(&proxies, Some(place)).iter().for_each(|link| link.set(there, Flow::Cut));
+                self.rig
+                    .links(&proxies, Some(place))
+                    .iter()
+                    .for_each(|link| link.set(there, Flow::Cut));
             }
             What::Split(place) => truth.trouble(Trouble::Split(place)),
             What::Loss(part) => {
                 let resend = Duration::from_micros(self.scenario.network.resend);
                 let flow = Flow::Lossy { part, resend };
-                self.rig.links(&self.all(), None).iter().for_each(|link| link.set(flow, flow));
+                self.rig
+                    .links(&self.all(), None)
+                    .iter()
+                    .for_each(|link| link.set(flow, flow));
             }
             What::ProxyDies => proxies.iter().for_each(|proxy| self.rig.kill(*proxy)),
             // What proxies say to each other does not pass the rig's links.
@@ -185,17 +228,28 @@
         match trouble.what {
             What::Die => self.each(&servers, Trouble::Start),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: false }),
-            What::Slow(_) => self.each(&self.slowed(at), |server| Trouble::Slow { server, times: 1.0 }),
+            What::Slow(_) => self.each(&self.slowed(at), |server| Trouble::Slow {
+                server,
+                times: 1.0,
+            }),
             What::Hold | What::Deploy | What::Apart => {}
             What::ListBehind(_) => truth.list(catalog::Event::Behind(0)),
             What::ListDown => truth.list(catalog::Event::Down(false)),
             What::Surge(_, tenant) => truth.surge(tenant, 1.0),
-            What::Cut { place, .. } => {
-                self.rig.links(&proxies, Some(place)).iter().for_each(|link| link.heal())
-            }
+            What::Cut { place, .. } => self
+                .rig
+                .links(&proxies, Some(place))
+                .iter()
+                .for_each(|link| link.heal()),
             What::Split(_) => truth.trouble(Trouble::Meet),
-            What::Loss(_) => self.rig.links(&self.all(), None).iter().for_each(|link| link.heal()),
-            What::ProxyDies => proxies.iter().try_for_each(|proxy| self.rig.restart(*proxy))?,
+            What::Loss(_) => self
+                .rig
+                .links(&self.all(), None)
+                .iter()
+                .for_each(|link| link.heal()),
+            What::ProxyDies => proxies
+                .iter()
+                .try_for_each(|proxy| self.rig.restart(*proxy))?,
         }
         Ok(Some(format!("{} is over", trouble.name)))
     }
--- a/crates/leverlab/src/write.rs
+++ b/crates/leverlab/src/write.rs
@@ -88,9 +88,21 @@
         What::ProxyDies => "proxy-dies",
         What::Apart => "apart",
     };
-    let mut all = vec![("kind", kind.to_owned()), ("at", time(trouble.at)), ("for", time(trouble.span))];
+    let mut all = vec![
+        ("kind", kind.to_owned()),
+        ("at", time(trouble.at)),
+        ("for", time(trouble.span)),
+    ];
     if !trouble.targets.is_empty() {
-        all.push(("of", trouble.targets.iter().map(target).collect::<Vec<_>>().join(" ")));
+        all.push((
+            "of",
+            trouble
+                .targets
+                .iter()
+                .map(target)
+                .collect::<Vec<_>>()
+                .join(" "),
+        ));
     }
     all.extend(lines);
     out.section(&format!("trouble {}", trouble.name), &all);
@@ -145,7 +157,11 @@
     let list = &scenario.catalog;
     out.section(
         "discovery list",
-        &[("late", time(list.late)), ("call", time(list.call)), ("patience", time(list.patience))],
+        &[
+            ("late", time(list.late)),
+            ("call", time(list.call)),
+            ("patience", time(list.patience)),
+        ],
     );
     let clients = &scenario.clients;
     for kind in &clients.kinds {
@@ -188,7 +204,10 @@
         out.section(&format!("class {}", kind.name), &lines);
     }
     for tenant in &clients.tenants {
-        let mut lines = vec![("share", tenant.share.to_string()), ("quota", tenant.quota.to_string())];
+        let mut lines = vec![
+            ("share", tenant.share.to_string()),
+            ("quota", tenant.quota.to_string()),
+        ];
         if let Some(credit) = &tenant.credit {
             let kinds = credit.kinds.iter().filter_map(|at| clients.kinds.get(*at));
             lines.extend([
@@ -196,7 +215,10 @@
                 ("term", time(credit.term)),
                 ("write-off", time(credit.write_off)),
                 ("floor", share(f64::from(credit.floor) / 1000.0)),
-                ("borrows", kinds.map(|k| k.name.as_str()).collect::<Vec<_>>().join(" ")),
+                (
+                    "borrows",
+                    kinds.map(|k| k.name.as_str()).collect::<Vec<_>>().join(" "),
+                ),
                 ("lend-rate", credit.rate.to_string()),
             ]);
         }
@@ -208,7 +230,10 @@
         ("proxies", clients.proxies.to_string()),
         ("unequal", clients.unequal.to_string()),
         ("skew", clients.skew.to_string()),
-        ("classes", names(clients.kinds.iter().map(|k| k.name.as_str()).collect())),
+        (
+            "classes",
+            names(clients.kinds.iter().map(|k| k.name.as_str()).collect()),
+        ),
         ("over-worth", share(clients.over_worth)),
         ("sessions", clients.sessions.to_string()),
         ("after-write", share(clients.after_write)),
@@ -223,13 +248,22 @@
     if clients.busy > 0 {
         // Rounded down, since it is rounded up when it is read.
         let part = (clients.busy.min(clients.proxies) as f64 - 0.5) / clients.proxies.max(1) as f64;
-        lines.extend([("busy", share(part)), ("busy-carry", share(clients.busy_carry))]);
+        lines.extend([
+            ("busy", share(part)),
+            ("busy-carry", share(clients.busy_carry)),
+        ]);
     }
     if !clients.tenants.is_empty() {
-        lines.push(("tenants", names(clients.tenants.iter().map(|t| t.name.as_str()).collect())));
+        lines.push((
+            "tenants",
+            names(clients.tenants.iter().map(|t| t.name.as_str()).collect()),
+        ));
     }
     if !clients.profile.is_empty() {
-        let points = clients.profile.iter().map(|(at, times)| format!("{}:{}", time(*at), share(*times)));
+        let points = clients
+            .profile
+            .iter()
+            .map(|(at, times)| format!("{}:{}", time(*at), share(*times)));
         lines.push(("profile", points.collect::<Vec<_>>().join(" ")));
     }
     out.section("load asked", &lines);
--- a/crates/leverlab/tests/borrowing.rs
+++ b/crates/leverlab/tests/borrowing.rs
@@ -22,12 +22,14 @@
 /// A day of `lab/borrowing.conf` at an eighth of its size, with short loans and six proxies.
 fn small(name: &str) -> Scenario {
     let file = include_str!("../../../lab/borrowing.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)])).unwrap_or_else(|f| panic!("{f}"));
+    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+        .unwrap_or_else(|f| panic!("{f}"));
     let mut day = book.scenarios.into_iter().find(|s| s.name == name).unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
     (clients.groups, clients.length, clients.per_s) = (3, 36 * SECOND, clients.per_s / 8.0);
-    (clients.proxies, clients.profile) = (6, vec![(STARTS * SECOND, 0.0), (STARTS * SECOND + 1, 1.0)]);
+    (clients.proxies, clients.profile) =
+        (6, vec![(STARTS * SECOND, 0.0), (STARTS * SECOND + 1, 1.0)]);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
     let credit = clients.tenants[STAND].credit.as_mut().unwrap();
     let micros = |span: Duration| span.as_micros() as u64;
@@ -94,7 +96,10 @@
     let make = |number: usize, _: u32, streams: &engine::streams::Streams| -> Box<dyn Decider> {
         let seed = streams.seed("policy", number as u64);
         let module = Policy::of(Name::Module).make(&day.settings(number), seed, Time::ZERO);
-        let place = (times > 1).then(|| Place { number, ..place.clone() });
+        let place = (times > 1).then(|| Place {
+            number,
+            ..place.clone()
+        });
         Box::new(Generous { module, place })
     };
     play_with(day, &make, 1).loans.swap_remove(STAND)
@@ -105,12 +110,19 @@
     for name in ["bus-arrives", "bus-and-deaths", "bus-and-halves"] {
         let day = small(name);
         let loans = lent(&day, 1);
-        assert_eq!((loans.passed, loans.unbalanced), (0, 0), "{name}: {loans:?}");
+        assert_eq!(
+            (loans.passed, loans.unbalanced),
+            (0, 0),
+            "{name}: {loans:?}"
+        );
         assert!(loans.owed_most > loans.line / 4, "{name}: {loans:?}");
         // What is within and what was withheld for loans is the quota, and each proxy's bucket once.
         let quota = day.clients.tenants[STAND].quota;
         let used = loans.all.within as f64 + loans.all.repaid as f64 / 1000.0;
-        assert!(used < 1.01 * quota * 16.0 + 2.0 * quota, "{name}: {used} of {quota}");
+        assert!(
+            used < 1.01 * quota * 16.0 + 2.0 * quota,
+            "{name}: {used} of {quota}"
+        );
     }
 }
 
--- a/crates/leverlab/tests/files.rs
+++ b/crates/leverlab/tests/files.rs
@@ -51,14 +51,19 @@
 
 #[test]
 fn every_day_of_the_suite_reads_back_as_it_is_written() {
-    let days = suite().unwrap_or_else(|faults| panic!("{faults}")).scenarios;
+    let days = suite()
+        .unwrap_or_else(|faults| panic!("{faults}"))
+        .scenarios;
     let busy = days.iter().cloned().map(|mut day| {
         (day.clients.busy, day.clients.busy_carry) = (day.clients.proxies.min(3), 0.8);
         day
     });
     for scenario in days.iter().cloned().chain(busy) {
         let written = text(&scenario);
-        let book = read(Path::new("a.conf"), &Memory::from([("a.conf", written.as_str())]));
+        let book = read(
+            Path::new("a.conf"),
+            &Memory::from([("a.conf", written.as_str())]),
+        );
         let book = book.unwrap_or_else(|faults| panic!("{written}\n{faults}"));
         assert_eq!(book.scenarios, [scenario]);
     }
@@ -73,11 +78,20 @@
         value: value.into(),
     };
     let plain = book.varied("today", &[]).unwrap();
-    let other =
-        book.varied("today", &[change("load", "rate", "700"), change("fleet", "members", "7")]).unwrap();
+    let other = book
+        .varied(
+            "today",
+            &[
+                change("load", "rate", "700"),
+                change("fleet", "members", "7"),
+            ],
+        )
+        .unwrap();
     assert_eq!((other.clients.per_s, other.site.group.members), (700.0, 7));
     assert_eq!(other.clients.kinds, plain.clients.kinds);
-    assert!(book.varied("today", &[change("load", "rate", "many")]).is_err());
+    assert!(book
+        .varied("today", &[change("load", "rate", "many")])
+        .is_err());
     assert!(book.varied("toda", &[]).is_err());
 }
 
@@ -97,14 +111,25 @@
     };
     let found = hunt(&set, &|_| {}).expect("round robin is behind somewhere");
     assert!(found.worst.gap() > 0.1, "{}", found.worst);
-    assert!(found.small.gap() >= 0.7 * found.worst.gap(), "{}", found.small);
+    assert!(
+        found.small.gap() >= 0.7 * found.worst.gap(),
+        "{}",
+        found.small
+    );
     assert!(found.small.scenario.troubles.len() <= found.worst.scenario.troubles.len());
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", found.text.as_str())]));
+    let book = read(
+        Path::new("a.conf"),
+        &Memory::from([("a.conf", found.text.as_str())]),
+    );
     let book = book.unwrap_or_else(|faults| panic!("{faults}"));
     let again = &book.scenarios[0];
-    let gap =
-        play(again, &set.against, found.small.seed).score - play(again, &set.policy, found.small.seed).score;
-    assert!((gap - found.small.gap()).abs() < 1e-9, "{gap} against {}", found.small);
+    let gap = play(again, &set.against, found.small.seed).score
+        - play(again, &set.policy, found.small.seed).score;
+    assert!(
+        (gap - found.small.gap()).abs() < 1e-9,
+        "{gap} against {}",
+        found.small
+    );
     // The same search finds the same on one thread.
     let alone = hunt(&Hunt { threads: 1, ..set }, &|_| {}).unwrap();
     assert_eq!(alone.text, found.text);
--- a/crates/leverlab/tests/quota.rs
+++ b/crates/leverlab/tests/quota.rs
@@ -15,13 +15,16 @@
 /// A day of `lab/quota.conf` at an eighth of its size, and its troubles early.
 fn small(name: &str) -> Scenario {
     let file = include_str!("../../../lab/quota.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)])).unwrap_or_else(|f| panic!("{f}"));
+    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+        .unwrap_or_else(|f| panic!("{f}"));
     let mut day = book.scenarios.into_iter().find(|s| s.name == name).unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
     (clients.groups, clients.length, clients.per_s) = (3, 13 * SECOND, clients.per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
-    day.troubles.iter_mut().for_each(|t| (t.at, t.span) = (2 * SECOND, 11 * SECOND));
+    day.troubles
+        .iter_mut()
+        .for_each(|t| (t.at, t.span) = (2 * SECOND, 11 * SECOND));
     day
 }
 
@@ -88,7 +91,9 @@
             if let Action::Send { id, store, .. } = action {
                 if !view.within(*id) {
                     self.seen.beyond.fetch_add(1, Relaxed);
-                    self.seen.crowding.fetch_add(usize::from(view.spare(*store) < 1.0), Relaxed);
+                    self.seen
+                        .crowding
+                        .fetch_add(usize::from(view.spare(*store) < 1.0), Relaxed);
                 }
             }
         }
@@ -100,7 +105,11 @@
     let make = |proxy: usize, _: u32, streams: &engine::streams::Streams| -> Box<dyn Decider> {
         let seed = streams.seed("policy", proxy as u64);
         let oracle = Policy::of(Name::Oracle).make(&day.settings(proxy), seed, Time::ZERO);
-        Box::new(Watched { oracle, blind, seen: seen.clone() })
+        Box::new(Watched {
+            oracle,
+            blind,
+            seen: seen.clone(),
+        })
     };
     (play_with(day, &make, 1), seen)
 }
@@ -113,10 +122,18 @@
         let (outcomes, seen) = watched(&day, false);
         assert_eq!(seen.crowding.load(Relaxed), 0, "{name}");
         assert!(seen.beyond.load(Relaxed) > 0, "{name}");
-        assert!(outcomes.worst_span > 0.94, "{name}: {}", outcomes.worst_span);
+        assert!(
+            outcomes.worst_span > 0.94,
+            "{name}: {}",
+            outcomes.worst_span
+        );
         let (blind, seen) = watched(&day, true);
         assert!(seen.crowding.load(Relaxed) > 0, "{name}");
-        assert!(blind.worst_span < outcomes.worst_span - 0.04, "{name}: {}", blind.worst_span);
+        assert!(
+            blind.worst_span < outcomes.worst_span - 0.04,
+            "{name}: {}",
+            blind.worst_span
+        );
     }
 }
 
@@ -125,6 +142,9 @@
 fn what_is_beyond_a_quota_is_served_where_there_is_room() {
     let (outcomes, seen) = watched(&small("beyond-but-ample"), false);
     let whole = outcomes.whole;
-    assert!(seen.beyond.load(Relaxed) as u64 * 4 > whole.asked, "{whole:?}");
+    assert!(
+        seen.beyond.load(Relaxed) as u64 * 4 > whole.asked,
+        "{whole:?}"
+    );
     assert!(whole.served as f64 > 0.99 * whole.asked as f64, "{whole:?}");
 }
--- a/crates/leverlab/tests/relations.rs
+++ b/crates/leverlab/tests/relations.rs
@@ -20,18 +20,33 @@
 /// A day of `lab/quota.conf` at an eighth of its size, with servers that start cold and a proxy that dies.
 fn day() -> Scenario {
     let file = include_str!("../../../lab/quota.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)])).unwrap_or_else(|f| panic!("{f}"));
-    let mut day = book.scenarios.into_iter().find(|s| s.name == "quota-six").unwrap();
+    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+        .unwrap_or_else(|f| panic!("{f}"));
+    let mut day = book
+        .scenarios
+        .into_iter()
+        .find(|s| s.name == "quota-six")
+        .unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
     (clients.groups, clients.length, clients.per_s) = (3, 7 * SECOND, clients.per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
     day.troubles[0].at = SECOND;
-    let trouble =
-        |name: &str, at, what, targets| Trouble { name: name.into(), at, span: 2 * SECOND, what, targets };
+    let trouble = |name: &str, at, what, targets| Trouble {
+        name: name.into(),
+        at,
+        span: 2 * SECOND,
+        what,
+        targets,
+    };
     day.troubles.extend([
         trouble("deaths", 2 * SECOND, What::Die, vec![Target::Place(1)]),
-        trouble("a proxy", 3 * SECOND, What::ProxyDies, vec![Target::Proxies(1, 1)]),
+        trouble(
+            "a proxy",
+            3 * SECOND,
+            What::ProxyDies,
+            vec![Target::Proxies(1, 1)],
+        ),
     ]);
     day
 }
@@ -53,15 +68,25 @@
 
 fn moved<T: Clone>(list: &[T], map: &[u16]) -> Vec<T> {
     let mut out = list.to_vec();
-    list.iter().enumerate().for_each(|(at, one)| out[usize::from(to(map, at, at as u16))] = one.clone());
+    list.iter()
+        .enumerate()
+        .for_each(|(at, one)| out[usize::from(to(map, at, at as u16))] = one.clone());
     out
 }
 
 impl Map {
     fn settings(&self, set: Settings) -> Settings {
         let zone = ZoneId(to(&self.zones, set.zone.0.into(), set.zone.0));
-        let (classes, tenants) = (moved(&set.classes, &self.classes), moved(&set.tenants, &self.tenants));
-        Settings { classes, tenants, zone, ..set }
+        let (classes, tenants) = (
+            moved(&set.classes, &self.classes),
+            moved(&set.tenants, &self.tenants),
+        );
+        Settings {
+            classes,
+            tenants,
+            zone,
+            ..set
+        }
     }
 
     fn event(&self, mut event: Event) -> Event {
@@ -74,7 +99,9 @@
             }
             Event::Ended(ended) => ended.store.0 ^= self.stores,
             Event::Probed { store, .. } => store.0 ^= self.stores,
-            Event::List(ListNews::Changes(list) | ListNews::Complete(list) | ListNews::Cached(list)) => {
+            Event::List(
+                ListNews::Changes(list) | ListNews::Complete(list) | ListNews::Cached(list),
+            ) => {
                 for entry in list {
                     entry.store.0 ^= self.stores;
                     entry.zone = ZoneId(to(&self.zones, entry.zone.0.into(), entry.zone.0));
@@ -98,7 +125,10 @@
     fn handle(&mut self, now: Time, event: Event, view: &mut dyn View, actions: &mut Vec<Action>) {
         match self.map.event(event) {
             Event::Arrived(arrival) if self.planted && arrival.class == ClassId(0) => {
-                actions.push(Action::Refuse { id: arrival.id, come_back: None });
+                actions.push(Action::Refuse {
+                    id: arrival.id,
+                    come_back: None,
+                });
             }
             event => self.inner.handle(now, event, view, actions),
         }
@@ -114,9 +144,16 @@
     let make = |proxy: usize, life: u32, streams: &engine::streams::Streams| -> Box<dyn Decider> {
         let seed = streams.seed("policy", proxy as u64 | u64::from(life) << 32);
         let mut settings = map.settings(day.settings(proxy));
-        settings.classes.iter_mut().for_each(|class| class.worth *= worth);
+        settings
+            .classes
+            .iter_mut()
+            .for_each(|class| class.worth *= worth);
         let inner = Policy::of(Name::Module).make(&settings, seed, Time::from_micros(ORIGIN));
-        Box::new(Mapped { inner, map: map.clone(), planted })
+        Box::new(Mapped {
+            inner,
+            map: map.clone(),
+            planted,
+        })
     };
     play_with(day, &make, 5)
 }
@@ -125,17 +162,34 @@
 fn other_names_change_nothing() {
     let plain = day();
     let mut other = plain.clone();
-    let odd =
-        ["", " ", "'; DROP TABLE items; --", "काठमाडौं", "confirm", "confirm-ride-2", "a=b,c", "*/", "\u{0}"];
+    let odd = [
+        "",
+        " ",
+        "'; DROP TABLE items; --",
+        "काठमाडौं",
+        "confirm",
+        "confirm-ride-2",
+        "a=b,c",
+        "*/",
+        "\u{0}",
+    ];
     let clients = &mut other.clients;
     let kinds = clients.kinds.iter_mut().map(|k| &mut k.name);
     let tenants = clients.tenants.iter_mut().map(|t| &mut t.name);
     let troubles = other.troubles.iter_mut().map(|t| &mut t.name);
-    let names = kinds.chain(tenants).chain(troubles).chain([&mut other.name]);
-    names.zip(odd.iter().cycle()).for_each(|(name, odd)| *name = (*odd).into());
+    let names = kinds
+        .chain(tenants)
+        .chain(troubles)
+        .chain([&mut other.name]);
+    names
+        .zip(odd.iter().cycle())
+        .for_each(|(name, odd)| *name = (*odd).into());
     let module = Policy::of(Name::Module);
     let (mut a, mut b) = (play(&plain, &module, 5), play(&other, &module, 5));
-    assert!(!a.cold.is_empty() && a.whole.refused > 0, "the day decides nothing");
+    assert!(
+        !a.cold.is_empty() && a.whole.refused > 0,
+        "the day decides nothing"
+    );
     // Marks repeat the names of troubles, and nothing else does.
     assert_eq!(a.marks.len(), b.marks.len());
     (a.marks, b.marks) = (Vec::new(), Vec::new());
@@ -147,11 +201,32 @@
     let day = day();
     let plain = told(&day, &Map::default(), 1.0, false);
     for (what, map) in [
-        ("tenants", Map { tenants: vec![2, 0, 1], ..Map::default() }),
-        ("classes", Map { classes: vec![3, 0, 2, 1], ..Map::default() }),
-        ("zones", Map { zones: vec![7, 0], ..Map::default() }),
+        (
+            "tenants",
+            Map {
+                tenants: vec![2, 0, 1],
+                ..Map::default()
+            },
+        ),
+        (
+            "classes",
+            Map {
+                classes: vec![3, 0, 2, 1],
+                ..Map::default()
+            },
+        ),
+        (
+            "zones",
+            Map {
+                zones: vec![7, 0],
+                ..Map::default()
+            },
+        ),
     ] {
-        assert!(told(&day, &map, 1.0, false) == plain, "{what} by another order, and the day differs");
+        assert!(
+            told(&day, &map, 1.0, false) == plain,
+            "{what} by another order, and the day differs"
+        );
     }
 }
 
@@ -161,14 +236,33 @@
     let day = day();
     let plain = told(&day, &Map::default(), 1.0, false);
     for (what, map) in [
-        ("groups", Map { groups: vec![4, 70_000, 9], ..Map::default() }),
-        ("servers", Map { stores: 0x5bd1_e995, ..Map::default() }),
+        (
+            "groups",
+            Map {
+                groups: vec![4, 70_000, 9],
+                ..Map::default()
+            },
+        ),
+        (
+            "servers",
+            Map {
+                stores: 0x5bd1_e995,
+                ..Map::default()
+            },
+        ),
     ] {
         let other = told(&day, &map, 1.0, false);
         assert_eq!(other.whole.asked, plain.whole.asked);
-        assert_eq!((other.rules_broken(), plain.rules_broken()), (0, 0), "{what}");
+        assert_eq!(
+            (other.rules_broken(), plain.rules_broken()),
+            (0, 0),
+            "{what}"
+        );
         let apart = other.goodput - plain.goodput;
-        assert!(apart.abs() < NEAR, "{what} under other numbers: {apart} apart");
+        assert!(
+            apart.abs() < NEAR,
+            "{what} under other numbers: {apart} apart"
+        );
     }
 }
 
@@ -189,6 +283,9 @@
 #[test]
 fn a_planted_fault_shows() {
     let day = day();
-    let map = Map { classes: vec![3, 0, 2, 1], ..Map::default() };
+    let map = Map {
+        classes: vec![3, 0, 2, 1],
+        ..Map::default()
+    };
     assert!(told(&day, &Map::default(), 1.0, true) != told(&day, &map, 1.0, true));
 }
--- a/crates/leverlab/tests/runs.rs
+++ b/crates/leverlab/tests/runs.rs
@@ -19,12 +19,21 @@
 }
 
 fn short(name: &str) -> Scenario {
-    let mut found = book().scenarios.into_iter().find(|s| s.name == name).unwrap();
+    let mut found = book()
+        .scenarios
+        .into_iter()
+        .find(|s| s.name == name)
+        .unwrap();
     found.clients.length = 15 * SECOND;
     found
 }
 
-fn many(scenario: &Scenario, policy: Name, seeds: std::ops::Range<u64>, threads: usize) -> Vec<Outcomes> {
+fn many(
+    scenario: &Scenario,
+    policy: Name,
+    seeds: std::ops::Range<u64>,
+    threads: usize,
+) -> Vec<Outcomes> {
     let cell = |seed| Cell {
         scenario: scenario.clone(),
         player: "p".into(),
@@ -52,7 +61,11 @@
 fn policies_on_one_seed_see_the_same_arrivals() {
     let scenario = short("quarter-dies");
     let asked = |policy| -> Vec<f64> {
-        play(&scenario, &Policy::of(policy), 4).seconds.iter().map(|s| s.worth).collect()
+        play(&scenario, &Policy::of(policy), 4)
+            .seconds
+            .iter()
+            .map(|s| s.worth)
+            .collect()
     };
     assert_eq!(asked(Name::Module), asked(Name::Random));
 }
@@ -67,9 +80,11 @@
         }
         let mut scenario = scenario;
         scenario.clients.length = 25 * SECOND;
-        for (name, policy) in
-            [("module", Name::Module), ("two-choices", Name::TwoChoices), ("oracle", Name::Oracle)]
-        {
+        for (name, policy) in [
+            ("module", Name::Module),
+            ("two-choices", Name::TwoChoices),
+            ("oracle", Name::Oracle),
+        ] {
             if scenario.servers() > 100 && policy != Name::Module {
                 continue;
             }
@@ -96,10 +111,20 @@
 /// Nobody beats who sees everything by more than noise.
 #[test]
 fn the_oracle_is_not_beaten() {
-    for name in ["calm", "replicas-hang", "all-slow", "quarter-dies", "cut-off"] {
+    for name in [
+        "calm",
+        "replicas-hang",
+        "all-slow",
+        "quarter-dies",
+        "cut-off",
+    ] {
         let scenario = short(name);
-        let goodput =
-            |policy| -> Vec<f64> { many(&scenario, policy, 1..6, 4).iter().map(|o| o.goodput).collect() };
+        let goodput = |policy| -> Vec<f64> {
+            many(&scenario, policy, 1..6, 4)
+                .iter()
+                .map(|o| o.goodput)
+                .collect()
+        };
         let oracle = goodput(Name::Oracle);
         for (other, policy) in NAMES {
             let difference = paired(&oracle, &goodput(policy)).unwrap();
@@ -120,7 +145,10 @@
         if let Event::List(news) = event {
             if let ListNews::Changes(entries) = &news {
                 self.gone.extend(
-                    entries.iter().filter(|e| e.listed != mountshift::Listed::Ready).map(|e| e.store),
+                    entries
+                        .iter()
+                        .filter(|e| e.listed != mountshift::Listed::Ready)
+                        .map(|e| e.store),
                 );
             }
             if matches!(news, ListNews::Cached(_)) {
@@ -128,18 +156,32 @@
             }
             return;
         }
-        let Event::Arrived(arrival) = event else { return };
+        let Event::Arrived(arrival) = event else {
+            return;
+        };
         let id = arrival.id;
-        let refuse = Action::Refuse { id, come_back: None };
-        let Some(store) = view.primary(arrival.group) else { return actions.push(refuse) };
+        let refuse = Action::Refuse {
+            id,
+            come_back: None,
+        };
+        let Some(store) = view.primary(arrival.group) else {
+            return actions.push(refuse);
+        };
         let (time_out, begin_within) = (Duration::from_millis(400), Duration::from_millis(400));
-        let send = |store| Action::Send { id, store, time_out, begin_within };
+        let send = |store| Action::Send {
+            id,
+            store,
+            time_out,
+            begin_within,
+        };
         match self.rule {
             Rule::Unanswered => {}
             Rule::AnsweredTwice => actions.extend([refuse.clone(), refuse]),
             // Of writes alone: others may be sent again.
             Rule::Repeated | Rule::Doubled => actions.extend([send(store), send(store)]),
-            Rule::TooManyAttempts => actions.extend(std::iter::repeat_n(send(store), 9).chain([refuse])),
+            Rule::TooManyAttempts => {
+                actions.extend(std::iter::repeat_n(send(store), 9).chain([refuse]))
+            }
             // Everything to the one server that has just come back.
             Rule::Collapsed => {
                 let first = *view.members(arrival.group).iter().min().unwrap();
@@ -147,7 +189,10 @@
             }
             Rule::Lost => {
                 actions.extend([
-                    Action::Refuse { id: mountshift::RequestId(id.0 + 1_000_000), come_back: None },
+                    Action::Refuse {
+                        id: mountshift::RequestId(id.0 + 1_000_000),
+                        come_back: None,
+                    },
                     refuse,
                 ]);
             }
@@ -169,7 +214,13 @@
 }
 
 fn trouble(at: u64, span: u64, what: What, targets: Vec<Target>) -> Trouble {
-    Trouble { name: "t".into(), at, span, what, targets }
+    Trouble {
+        name: "t".into(),
+        at,
+        span,
+        what,
+        targets,
+    }
 }
 
 #[test]
@@ -184,15 +235,37 @@
         scenario.catalog.late = SECOND;
         scenario.site.checks = rule != Rule::Stale;
         scenario.troubles = match rule {
-            Rule::Drained => vec![trouble(SECOND, 5 * SECOND, What::Deploy, vec![Target::Member(0, 3)])],
-            Rule::Stale => vec![trouble(SECOND, 8 * SECOND, What::Hold, vec![Target::Member(0, 4)])],
-            _ => vec![trouble(SECOND, SECOND, What::Die, vec![Target::Member(0, 0)])],
+            Rule::Drained => vec![trouble(
+                SECOND,
+                5 * SECOND,
+                What::Deploy,
+                vec![Target::Member(0, 3)],
+            )],
+            Rule::Stale => vec![trouble(
+                SECOND,
+                8 * SECOND,
+                What::Hold,
+                vec![Target::Member(0, 4)],
+            )],
+            _ => vec![trouble(
+                SECOND,
+                SECOND,
+                What::Die,
+                vec![Target::Member(0, 0)],
+            )],
         };
         let make = |_: usize, _: u32, _: &engine::streams::Streams| -> Box<dyn Decider> {
-            Box::new(Rogue { rule, gone: Vec::new() })
+            Box::new(Rogue {
+                rule,
+                gone: Vec::new(),
+            })
         };
         let outcome = play_with(&scenario, &make, 1);
-        assert!(outcome.broken.contains_key(&rule), "{rule:?}: {:?}", outcome.broken);
+        assert!(
+            outcome.broken.contains_key(&rule),
+            "{rule:?}: {:?}",
+            outcome.broken
+        );
     }
     // What no policy can do: an answer to a write that nobody applied.
     let mut checker = ledger::Checker::new(0, 0);
@@ -228,7 +301,11 @@
             0,
             u64::MAX,
             What::Die,
-            vec![Target::Member(77, 3), Target::Primaries(5, 9), Target::Place(40)],
+            vec![
+                Target::Member(77, 3),
+                Target::Primaries(5, 9),
+                Target::Place(40),
+            ],
         ),
         trouble(0, 10, What::ProxyDies, vec![Target::Proxies(50, 60)]),
     ];
@@ -238,12 +315,20 @@
 /// Every write that was served took effect, and none that may run once did so twice, whatever dies and whoever repeats.
 #[test]
 fn writes_take_effect_as_they_are_answered() {
-    for (name, seed) in [("quarter-dies", 1), ("primary-hangs", 2), ("buildings-apart", 3), ("proxy-dies", 4)]
-    {
+    for (name, seed) in [
+        ("quarter-dies", 1),
+        ("primary-hangs", 2),
+        ("buildings-apart", 3),
+        ("proxy-dies", 4),
+    ] {
         let scenario = short(name);
         let outcome = play(&scenario, &Policy::of(Name::Module), seed);
         for rule in [Rule::Doubled, Rule::Phantom, Rule::FalseRefusal] {
-            assert!(!outcome.broken.contains_key(&rule), "{name}: {:?}", outcome.broken);
+            assert!(
+                !outcome.broken.contains_key(&rule),
+                "{name}: {:?}",
+                outcome.broken
+            );
         }
         assert!(outcome.applied > 0);
     }
@@ -269,12 +354,19 @@
 #[test]
 fn a_sweep_goes_on_where_it_was_stopped() {
     let book = book();
-    let mut experiment = book.experiments.iter().find(|e| e.name == "baselines").unwrap().clone();
+    let mut experiment = book
+        .experiments
+        .iter()
+        .find(|e| e.name == "baselines")
+        .unwrap()
+        .clone();
     experiment.scenarios = vec!["calm".into()];
     experiment.players.truncate(2);
     experiment.seeds = (1..=4).collect();
     let mut cells = cells(&book, &experiment).unwrap();
-    cells.iter_mut().for_each(|c| c.scenario.clients.length = 3 * SECOND);
+    cells
+        .iter_mut()
+        .for_each(|c| c.scenario.clients.length = 3 * SECOND);
     let whole = run(&cells, None, 4, &AtomicBool::new(false), &|_| {}).unwrap();
 
     let folder = Folder::new("resume");
@@ -287,8 +379,14 @@
     });
     assert_eq!(part.unwrap().iter().flatten().count(), 3);
     // What a kill has left half written is run again.
-    std::fs::write(folder.0.join("cells").join(format!("{}.json", cells[0].key())), b"{\"score\":0.")
-        .unwrap();
+    std::fs::write(
+        folder
+            .0
+            .join("cells")
+            .join(format!("{}.json", cells[0].key())),
+        b"{\"score\":0.",
+    )
+    .unwrap();
     std::fs::write(folder.0.join("cells").join("x.begun-1"), b"{").unwrap();
     let found = AtomicUsize::new(0);
     let again = run(&cells, Some(&store), 3, &AtomicBool::new(false), &|p| {
@@ -315,7 +413,10 @@
     assert_eq!(paired(&old, &noise).unwrap().verdict(), Verdict::CantTell);
     assert!(paired(&old[..1], &noise[..1]).is_none());
     let ranks = |a: &[f64], b: &[f64]| rank_correlation(a, b).map(|r| (r * 1e9).round() / 1e9);
-    assert_eq!(ranks(&[1.0, 2.0, 3.0, 9.0], &[0.1, 0.2, 0.3, 0.4]), Some(1.0));
+    assert_eq!(
+        ranks(&[1.0, 2.0, 3.0, 9.0], &[0.1, 0.2, 0.3, 0.4]),
+        Some(1.0)
+    );
     assert_eq!(ranks(&[1.0, 2.0, 3.0], &[3.0, 2.0, 1.0]), Some(-1.0));
     assert_eq!(rank_correlation(&[1.0, 1.0, 1.0], &[3.0, 2.0, 1.0]), None);
 }
--- a/crates/leverlab/tests/trial.rs
+++ b/crates/leverlab/tests/trial.rs
@@ -25,8 +25,16 @@
 #[test]
 fn a_rig_that_is_killed_leaves_no_process() {
     let path = file(&format!("{DAY}scenario s {{\n length 60s\n load l\n}}\n"));
-    let mut rig = lab().arg("trial").arg(&path).stderr(Stdio::piped()).stdout(Stdio::null()).spawn().unwrap();
-    let mut lines = BufReader::new(rig.stderr.take().unwrap()).lines().map(Result::unwrap);
+    let mut rig = lab()
+        .arg("trial")
+        .arg(&path)
+        .stderr(Stdio::piped())
+        .stdout(Stdio::null())
+        .spawn()
+        .unwrap();
+    let mut lines = BufReader::new(rig.stderr.take().unwrap())
+        .lines()
+        .map(Result::unwrap);
     let mut numbers = Vec::new();
     while numbers.len() < 2 {
         let line = lines.next().expect("the numbers of its processes");
@@ -52,7 +60,11 @@
 
 fn ended(process: Pid) -> bool {
     let state = std::fs::read_to_string(format!("/proc/{}/stat", process.as_raw_nonzero()));
-    state.map_or(true, |text| text.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('Z')))
+    state.map_or(true, |text| {
+        text.rsplit(')')
+            .next()
+            .is_some_and(|rest| rest.trim_start().starts_with('Z'))
+    })
 }
 
 /// What is wrong with a file is said with its place, and nothing is started for it.
--- a/crates/leverproxy/benches/probe_cost.rs
+++ b/crates/leverproxy/benches/probe_cost.rs
@@ -22,13 +22,21 @@
 const RATE: u64 = 500;
 
 fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// CPU time of a process, in clock ticks of 10 ms.
 fn cpu(child: &Child) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap();
-    let fields: Vec<&str> = text.rsplit(')').next().unwrap().split_whitespace().collect();
+    let fields: Vec<&str> = text
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
     Duration::from_millis(ticks * 10)
 }
@@ -73,7 +81,10 @@
             peer.startup();
             while let Ok((_, body)) = peer.message() {
                 let probe = body.starts_with(b"SHOW");
-                peer.answer(if probe { "x0=1.0,x1=1,backlog=0" } else { "x" }, &[("role", "primary")]);
+                peer.answer(
+                    if probe { "x0=1.0,x1=1,backlog=0" } else { "x" },
+                    &[("role", "primary")],
+                );
             }
         });
     });
@@ -86,7 +97,8 @@
     let mut kept = TcpStream::connect(web_at).unwrap();
     let mut answer = [0; 1_024];
     for _ in 0..CHECKS {
-        kept.write_all(b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+        kept.write_all(b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n")
+            .unwrap();
         assert!(kept.read(&mut answer).unwrap() > 0);
     }
     let web = cpu(&child) - before;
--- a/crates/leverproxy/src/admin.rs
+++ b/crates/leverproxy/src/admin.rs
@@ -37,7 +37,12 @@
         let listener = net::listen(address)?;
         reactor.add(&listener, Token::AdminListener, Interest::READ)?;
         let address = net::local_address(&listener).unwrap_or(address);
-        Ok(Admin { listener, address, callers: Slots::default(), exhausted: Seldom::default() })
+        Ok(Admin {
+            listener,
+            address,
+            callers: Slots::default(),
+            exhausted: Seldom::default(),
+        })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -50,7 +55,8 @@
                 Ok((stream, _)) => stream,
                 Err(Refusal::Empty | Refusal::Later) => return,
                 Err(Refusal::Exhausted) => {
-                    self.exhausted.warn(now, || "admin: no descriptor left for a caller".into());
+                    self.exhausted
+                        .warn(now, || "admin: no descriptor left for a caller".into());
                     if !self.put_out_oldest() {
                         return;
                     }
@@ -60,10 +66,17 @@
             if self.callers.len() >= CONNECTIONS {
                 self.put_out_oldest();
             }
-            let key = self.callers.insert(Caller { stream, since: now, answered: false, ended: false });
+            let key = self.callers.insert(Caller {
+                stream,
+                since: now,
+                answered: false,
+                ended: false,
+            });
             // Whatever has come is told of in the next round.
-            let watched =
-                self.callers.get_mut(key).map(|c| c.stream.watch(reactor, Token::Admin(key), Interest::READ));
+            let watched = self
+                .callers
+                .get_mut(key)
+                .map(|c| c.stream.watch(reactor, Token::Admin(key), Interest::READ));
             if !matches!(watched, Some(Ok(()))) {
                 self.callers.remove(key);
             }
@@ -72,7 +85,11 @@
 
     /// Of all callers, answered or not, the one that came first: whoever calls in earnest has long gone.
     fn put_out_oldest(&mut self) -> bool {
-        let oldest = self.callers.iter().min_by_key(|(_, c)| c.since).map(|(key, _)| key);
+        let oldest = self
+            .callers
+            .iter()
+            .min_by_key(|(_, c)| c.since)
+            .map(|(key, _)| key);
         oldest.is_some_and(|key| self.callers.remove(key).is_some())
     }
 
@@ -99,22 +116,34 @@
     }
 
     pub fn answer(&mut self, key: Key, answer: &Answer, reactor: &Reactor) {
-        let Some(caller) = self.callers.get_mut(key) else { return };
+        let Some(caller) = self.callers.get_mut(key) else {
+            return;
+        };
         caller.stream.push(&answer.bytes());
         caller.answered = true;
         self.write(key, reactor);
     }
 
     fn write(&mut self, key: Key, reactor: &Reactor) {
-        let Some(caller) = self.callers.get_mut(key) else { return };
+        let Some(caller) = self.callers.get_mut(key) else {
+            return;
+        };
         let flushed = caller.stream.flush();
         if matches!(flushed, Ok(true)) && !caller.ended {
             // Closed at once with bytes unread, the connection would be reset and the answer lost.
             caller.ended = true;
             caller.stream.end_output();
         }
-        let interest = Interest { read: true, write: matches!(flushed, Ok(false)) };
-        if flushed.is_err() || caller.stream.watch(reactor, Token::Admin(key), interest).is_err() {
+        let interest = Interest {
+            read: true,
+            write: matches!(flushed, Ok(false)),
+        };
+        if flushed.is_err()
+            || caller
+                .stream
+                .watch(reactor, Token::Admin(key), interest)
+                .is_err()
+        {
             self.callers.remove(key);
         }
     }
--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -54,8 +54,12 @@
     let drain = Command::new("drain")
         .about("Take a serving proxy out of service: tell the balancers, wait for them, stop listening")
         .arg(socket());
-    let undrain = Command::new("undrain").about("Bring a drained proxy back").arg(socket());
-    let status = Command::new("status").about("Print how a serving proxy fares").arg(socket());
+    let undrain = Command::new("undrain")
+        .about("Bring a drained proxy back")
+        .arg(socket());
+    let status = Command::new("status")
+        .about("Print how a serving proxy fares")
+        .arg(socket());
     let sites = Command::new("sites")
         .about("Print what a serving proxy knows of each site, where its load would go and what would be refused")
         .arg(Arg::new("name").value_name("SITE").help("Only this one"))
@@ -70,7 +74,11 @@
         .arg(socket());
     let completions = Command::new("completions")
         .about("Print completions for a shell")
-        .arg(Arg::new("shell").required(true).value_parser(clap::value_parser!(Shell)));
+        .arg(
+            Arg::new("shell")
+                .required(true)
+                .value_parser(clap::value_parser!(Shell)),
+        );
     Command::new("leverproxy")
         .about(ABOUT)
         .after_help(ENVIRONMENT)
@@ -103,7 +111,11 @@
         Ok(matches) => matches,
         Err(error) => {
             _ = error.print();
-            return if error.use_stderr() { ExitCode::from(MISUSE) } else { ExitCode::SUCCESS };
+            return if error.use_stderr() {
+                ExitCode::from(MISUSE)
+            } else {
+                ExitCode::SUCCESS
+            };
         }
     };
     match matches.subcommand() {
@@ -112,13 +124,20 @@
         Some(("config", with)) => config::run(with),
         Some((word @ ("drain" | "undrain" | "status"), with)) => tell(word, with),
         Some(("sites", with)) => {
-            let name = with.get_one::<String>("name").map_or(String::new(), |name| format!(" {name}"));
+            let name = with
+                .get_one::<String>("name")
+                .map_or(String::new(), |name| format!(" {name}"));
             tell(&format!("sites{name}"), with)
         }
         Some(("rollout", with)) => roll(with),
         Some(("completions", with)) => {
             if let Some(shell) = with.get_one::<Shell>("shell") {
-                clap_complete::generate(*shell, &mut command(), "leverproxy", &mut std::io::stdout());
+                clap_complete::generate(
+                    *shell,
+                    &mut command(),
+                    "leverproxy",
+                    &mut std::io::stdout(),
+                );
             }
             ExitCode::SUCCESS
         }
@@ -140,7 +159,9 @@
         },
         None if !needs => String::new(),
         _ => {
-            eprintln!("leverproxy: propose and resume need a HASH or a FILE, the other words need none");
+            eprintln!(
+                "leverproxy: propose and resume need a HASH or a FILE, the other words need none"
+            );
             return ExitCode::from(MISUSE);
         }
     };
@@ -195,19 +216,27 @@
 }
 
 fn misuse(error: &ConfigError) -> ExitCode {
-    eprintln!("leverproxy: configuration: {}: {}", error.key, error.problem);
+    eprintln!(
+        "leverproxy: configuration: {}: {}",
+        error.key, error.problem
+    );
     error.faults.iter().for_each(|fault| eprintln!("  {fault}"));
     ExitCode::from(MISUSE)
 }
 
 fn check(variable: impl Fn(&str) -> Option<String>) -> ExitCode {
     match crate::config::from_env(variable) {
-        Ok(Config { name, known, rules, .. }) => {
+        Ok(Config {
+            name, known, rules, ..
+        }) => {
             let routes = match rules.rulings.len() {
                 0 => String::new(),
                 n => format!(", {n} routes"),
             };
-            println!("{name}: sound; {} record servers known{routes}", known.endpoints.len());
+            println!(
+                "{name}: sound; {} record servers known{routes}",
+                known.endpoints.len()
+            );
             ExitCode::SUCCESS
         }
         Err(error) => misuse(&error),
--- a/crates/leverproxy/src/cli/config.rs
+++ b/crates/leverproxy/src/cli/config.rs
@@ -45,8 +45,18 @@
         );
     let fmt = Command::new("fmt")
         .about("Bring files into their canonical form")
-        .arg(Arg::new("files").value_name("FILE").required(true).num_args(1..))
-        .arg(Arg::new("check").long("check").action(ArgAction::SetTrue).help("Only say which are not in it"));
+        .arg(
+            Arg::new("files")
+                .value_name("FILE")
+                .required(true)
+                .num_args(1..),
+        )
+        .arg(
+            Arg::new("check")
+                .long("check")
+                .action(ArgAction::SetTrue)
+                .help("Only say which are not in it"),
+        );
     let diff = Command::new("diff")
         .about("Say what behaves otherwise under the new file")
         .arg(file("old"))
@@ -54,7 +64,11 @@
         .arg(platform_option());
     let show = Command::new("show")
         .about("Print every value that counts, with where it comes from")
-        .arg(Arg::new("file").value_name("FILE").help("The operators' file, in place of LB_OPERATORS"))
+        .arg(
+            Arg::new("file")
+                .value_name("FILE")
+                .help("The operators' file, in place of LB_OPERATORS"),
+        )
         .arg(
             Arg::new("effective")
                 .long("effective")
@@ -67,7 +81,8 @@
         .arg(Arg::new("request").long("request").value_name("KEY=VALUE,..").required(true).help(
             "class, tenant, group, network (the client's address), at (local time) and, last, statement",
         ));
-    let directives = Command::new("directives").about("Print the table of all directives, in Markdown");
+    let directives =
+        Command::new("directives").about("Print the table of all directives, in Markdown");
     Command::new("config")
         .about("Check, format, compare and explain operators' files")
         .subcommand_required(true)
@@ -103,9 +118,13 @@
 
 fn platform(with: &ArgMatches) -> Result<Option<Platform>, String> {
     let named = with.get_one::<String>("platform").cloned();
-    let Some(path) = named.or_else(|| std::env::var("LB_CONFIG").ok()) else { return Ok(None) };
+    let Some(path) = named.or_else(|| std::env::var("LB_CONFIG").ok()) else {
+        return Ok(None);
+    };
     let bytes = std::fs::read(&path).map_err(|e| format!("{path} cannot be read: {e}"))?;
-    crate::config::platform(&bytes).map(Some).map_err(|error| format!("{path}: {error}"))
+    crate::config::platform(&bytes)
+        .map(Some)
+        .map_err(|error| format!("{path}: {error}"))
 }
 
 fn check(with: &ArgMatches) -> Result<ExitCode, String> {
@@ -122,11 +141,17 @@
         let routes = reading.model.routes.len();
         say(&match (errors, warnings) {
             (0, 0) => format!("sound: {files} file(s), {routes} route(s)\n"),
-            (0, _) => format!("sound, with {warnings} warning(s): {files} file(s), {routes} route(s)\n"),
+            (0, _) => {
+                format!("sound, with {warnings} warning(s): {files} file(s), {routes} route(s)\n")
+            }
             _ => format!("{errors} error(s), {warnings} warning(s)\n"),
         });
     }
-    Ok(if reading.sound() { ExitCode::SUCCESS } else { ExitCode::from(MISUSE) })
+    Ok(if reading.sound() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(MISUSE)
+    })
 }
 
 fn fmt(with: &ArgMatches) -> Result<ExitCode, String> {
@@ -147,13 +172,21 @@
             replace(Path::new(path), &new).map_err(|e| format!("{path} cannot be written: {e}"))?;
         }
     }
-    Ok(if differ && with.get_flag("check") { ExitCode::from(DIFFERS) } else { ExitCode::SUCCESS })
+    Ok(if differ && with.get_flag("check") {
+        ExitCode::from(DIFFERS)
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 /// Whoever reads the file meanwhile finds the old text or the new, never half of it.
 fn replace(path: &Path, text: &str) -> std::io::Result<()> {
     let path = path.canonicalize()?;
-    let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+    let name = path
+        .file_name()
+        .unwrap_or_default()
+        .to_string_lossy()
+        .into_owned();
     let draft = path.with_file_name(format!(".{name}.{}", std::process::id()));
     let written = std::fs::File::create_new(&draft).and_then(|mut file| {
         file.write_all(text.as_bytes())?;
@@ -173,18 +206,27 @@
     if reading.sound() {
         Ok(reading)
     } else {
-        Err(format!("{path} is faulty\n{}", render(&reading.sources, &reading.diagnostics)))
+        Err(format!(
+            "{path} is faulty\n{}",
+            render(&reading.sources, &reading.diagnostics)
+        ))
     }
 }
 
 fn difference(with: &ArgMatches) -> Result<ExitCode, String> {
     let platform = platform(with)?;
-    let (old, new) =
-        (sound(text(with, "old"), platform.as_ref())?, sound(text(with, "new"), platform.as_ref())?);
+    let (old, new) = (
+        sound(text(with, "old"), platform.as_ref())?,
+        sound(text(with, "new"), platform.as_ref())?,
+    );
     let classes = platform.as_ref().map(classes);
     let found = diff::diff(&old, &new, classes.as_deref());
     say(&found.to_string());
-    Ok(if found.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(DIFFERS) })
+    Ok(if found.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(DIFFERS)
+    })
 }
 
 fn origin(origin: &Origin, sources: &Sources) -> String {
@@ -211,9 +253,19 @@
     };
     let lines: Vec<(String, String)> = entries
         .iter()
-        .map(|e| (format!("{}: {} {}", e.section, e.directive, e.value), origin(&e.origin, &sources)))
+        .map(|e| {
+            (
+                format!("{}: {} {}", e.section, e.directive, e.value),
+                origin(&e.origin, &sources),
+            )
+        })
         .collect();
-    let width = lines.iter().map(|(what, _)| what.chars().count()).filter(|w| *w <= 60).max().unwrap_or(0);
+    let width = lines
+        .iter()
+        .map(|(what, _)| what.chars().count())
+        .filter(|w| *w <= 60)
+        .max()
+        .unwrap_or(0);
     for (what, from) in lines {
         say(&format!("{what:width$}  # {from}\n"));
     }
@@ -222,7 +274,9 @@
 
 fn explained(with: &ArgMatches) -> Result<ExitCode, String> {
     let reading = sound(text(with, "file"), None)?;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let (mut class, mut tenant, mut group, mut statement) = ("", "", 0, "");
     let mut client = IpAddr::from([127, 0, 0, 1]);
     let mut at = Moment::from_unix(now);
@@ -233,7 +287,9 @@
             Some(_) => (rest, ""),
             None => rest.split_once(',').unwrap_or((rest, "")),
         };
-        let (key, value) = pair.split_once('=').ok_or_else(|| format!("{pair:?} is no key=value"))?;
+        let (key, value) = pair
+            .split_once('=')
+            .ok_or_else(|| format!("{pair:?} is no key=value"))?;
         let faulty = || format!("{key}={value} can't be read");
         match key.trim() {
             "class" => class = value,
@@ -242,11 +298,22 @@
             "network" => client = value.parse().map_err(|_| faulty())?,
             "at" => at = Moment::parse(value, reading.model.offset).ok_or_else(faulty)?,
             "statement" => statement = value,
-            _ => return Err(format!("{key:?} is not one of class, tenant, group, network, at, statement")),
+            _ => {
+                return Err(format!(
+                    "{key:?} is not one of class, tenant, group, network, at, statement"
+                ))
+            }
         }
         rest = behind;
     }
-    let request = Request { class, tenant, group, statement: statement.as_bytes(), client, at };
+    let request = Request {
+        class,
+        tenant,
+        group,
+        statement: statement.as_bytes(),
+        client,
+        at,
+    };
     say(&explain::text(&reading.model, &reading.sources, &request));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/leverproxy/src/clock.rs
+++ b/crates/leverproxy/src/clock.rs
@@ -45,13 +45,20 @@
 impl Clock {
     pub fn start(source: Source) -> Clock {
         let unix = source.unix();
-        Clock { anchor: Instant::now(), unix, source }
+        Clock {
+            anchor: Instant::now(),
+            unix,
+            source,
+        }
     }
 
     /// CPU time that the process has used.
     pub fn cpu() -> Duration {
         let used = rustix::time::clock_gettime(rustix::time::ClockId::ProcessCPUTime);
-        Duration::new(used.tv_sec.max(0) as u64, used.tv_nsec.clamp(0, 999_999_999) as u32)
+        Duration::new(
+            used.tv_sec.max(0) as u64,
+            used.tv_nsec.clamp(0, 999_999_999) as u32,
+        )
     }
 
     /// The Unix time of an instant of this process.
--- a/crates/leverproxy/src/clock/evidence.rs
+++ b/crates/leverproxy/src/clock/evidence.rs
@@ -68,13 +68,20 @@
     /// How far the system's clock is ahead now.
     pub fn system(&mut self, lead: Duration) {
         self.system = if lead > STEP { lead } else { Duration::ZERO };
-        if self.refuted.is_some_and(|refuted| lead.abs_diff(refuted) > STEP) {
+        if self
+            .refuted
+            .is_some_and(|refuted| lead.abs_diff(refuted) > STEP)
+        {
             self.refuted = None;
         }
     }
 
     pub fn told(&mut self, told: Told, now: Time) {
-        let Told { server, position, present_since } = told;
+        let Told {
+            server,
+            position,
+            present_since,
+        } = told;
         let lead = rounded(position.since(now));
         if lead > self.proven {
             self.leads(server, lead, now);
@@ -87,14 +94,19 @@
     /// The position of a client's last write. A client may say anything: alone it proves nothing.
     pub fn written(&mut self, position: Time, now: Time) {
         let lead = rounded(position.since(now));
-        if lead > self.proven && (self.system_supports(lead) || self.hinted(lead, None, now).is_some()) {
+        if lead > self.proven
+            && (self.system_supports(lead) || self.hinted(lead, None, now).is_some())
+        {
             self.prove(lead);
         }
     }
 
     /// The most that true time is taken to be ahead; needs for fresh data go by it.
     pub fn lead(&self, now: Time) -> Duration {
-        let doubt = self.doubt.filter(|(_, until)| now < *until).map_or(Duration::ZERO, |(lead, _)| lead);
+        let doubt = self
+            .doubt
+            .filter(|(_, until)| now < *until)
+            .map_or(Duration::ZERO, |(lead, _)| lead);
         self.standing().max(doubt)
     }
 
@@ -105,27 +117,47 @@
 
     /// The lead that counts until it is contradicted.
     fn standing(&self) -> Duration {
-        let system = if self.refuted.is_some() { Duration::ZERO } else { self.system };
+        let system = if self.refuted.is_some() {
+            Duration::ZERO
+        } else {
+            self.system
+        };
         self.proven.max(system)
     }
 
     /// A server's position is ahead of all that is proven.
     fn leads(&mut self, server: StoreId, lead: Duration, now: Time) {
-        let before = self.hints.get(&server).filter(|hint| recent(hint, now) && agree(hint.lead, lead));
+        let before = self
+            .hints
+            .get(&server)
+            .filter(|hint| recent(hint, now) && agree(hint.lead, lead));
         let words = before.map_or(0, |hint| hint.words) + 1;
         let other = self.hinted(lead, Some(server), now);
         if words >= WORDS_OF_ONE || other.is_some() || self.system_supports(lead) {
             return self.prove(lead.max(other.unwrap_or_default()));
         }
         self.hints.retain(|_, hint| recent(hint, now));
-        self.hints.insert(server, Hint { lead, words, at: now });
-        let doubt = self.doubt.filter(|(_, until)| now < *until).map_or(lead, |(before, _)| before.max(lead));
+        self.hints.insert(
+            server,
+            Hint {
+                lead,
+                words,
+                at: now,
+            },
+        );
+        let doubt = self
+            .doubt
+            .filter(|(_, until)| now < *until)
+            .map_or(lead, |(before, _)| before.max(lead));
         self.doubt = Some((doubt, now.plus(DOUBT)));
     }
 
     /// The lead that another server has told, if it agrees.
     fn hinted(&self, lead: Duration, but: Option<StoreId>, now: Time) -> Option<Duration> {
-        let others = self.hints.iter().filter(|(server, _)| Some(**server) != but);
+        let others = self
+            .hints
+            .iter()
+            .filter(|(server, _)| Some(**server) != but);
         let agreeing = others.filter(|(_, hint)| recent(hint, now) && agree(hint.lead, lead));
         agreeing.map(|(_, hint)| hint.lead).max()
     }
@@ -135,7 +167,10 @@
     }
 
     fn prove(&mut self, lead: Duration) {
-        log::warn!("clock: this process's clock is {} ms behind that of record servers", lead.as_millis());
+        log::warn!(
+            "clock: this process's clock is {} ms behind that of record servers",
+            lead.as_millis()
+        );
         (self.proven, self.doubt, self.contradiction) = (lead, None, Contradiction::default());
         self.hints.clear();
     }
@@ -150,7 +185,10 @@
             }
             return;
         }
-        let Contradiction { words, most: before } = &mut self.contradiction;
+        let Contradiction {
+            words,
+            most: before,
+        } = &mut self.contradiction;
         (*words, *before) = (*words + 1, most.max(*before));
         if *words < CONTRADICTIONS {
             return;
@@ -161,7 +199,10 @@
         if self.system > most {
             self.refuted = Some(self.system);
         }
-        log::info!("clock: primaries allow a lead of {} ms; what was beyond it is dropped", most.as_millis());
+        log::info!(
+            "clock: primaries allow a lead of {} ms; what was beyond it is dropped",
+            most.as_millis()
+        );
     }
 }
 
--- a/crates/leverproxy/src/config.rs
+++ b/crates/leverproxy/src/config.rs
@@ -42,12 +42,20 @@
         let overridden = variable(&format!("LB_{}", first.to_uppercase())).is_some();
         let path = variable("LB_CONFIG").filter(|_| stated && !overridden);
         let Some(path) = path else { return self };
-        let line = crate::locate::line_of(text, &self.key).map_or(String::new(), |line| format!(":{line}"));
-        ConfigError { problem: format!("{} ({path}{line})", self.problem), ..self }
+        let line = crate::locate::line_of(text, &self.key)
+            .map_or(String::new(), |line| format!(":{line}"));
+        ConfigError {
+            problem: format!("{} ({path}{line})", self.problem),
+            ..self
+        }
     }
 
     pub(crate) fn new(key: impl Into<String>, problem: impl ToString) -> ConfigError {
-        ConfigError { key: key.into(), problem: problem.to_string(), faults: Vec::new() }
+        ConfigError {
+            key: key.into(),
+            problem: problem.to_string(),
+            faults: Vec::new(),
+        }
     }
 
     /// What an operator can do, by the key. A reload that fails changes nothing; a start ends.
@@ -70,8 +78,16 @@
 }
 
 /// What the platform's file may state.
-const PLATFORM_KEYS: [&str; 8] =
-    ["name", "listen", "admin", "discovery", "seed", "limits", "known", "settings"];
+const PLATFORM_KEYS: [&str; 8] = [
+    "name",
+    "listen",
+    "admin",
+    "discovery",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+];
 
 struct Further<'a>(&'a [String]);
 
@@ -191,7 +207,11 @@
     /// What is left beside another process that holds so many.
     pub fn beside(self, (clients, upstream): (usize, usize)) -> Limits {
         let left = |all: usize, used: usize| all.saturating_sub(used).max(all / 4);
-        Limits { clients: left(self.clients, clients), upstream: left(self.upstream, upstream), ..self }
+        Limits {
+            clients: left(self.clients, clients),
+            upstream: left(self.upstream, upstream),
+            ..self
+        }
     }
 }
 
@@ -255,7 +275,8 @@
 pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let text = file(&variable)?;
     let read = checked(&text, &variable, Reading::First, open_files());
-    read.map(|(config, _)| config).map_err(|error| error.within(&variable, &text))
+    read.map(|(config, _)| config)
+        .map_err(|error| error.within(&variable, &text))
 }
 
 /// How many files the system lets this process hold open; none: any number.
@@ -265,7 +286,10 @@
 
 /// Reads both files once more, the platform's whole as it was at the start. Where that names discovery, `LB_DISCOVERY` no
 /// longer does.
-pub fn reread(variable: impl Fn(&str) -> Option<String>, whole: &Whole) -> Result<Config, ConfigError> {
+pub fn reread(
+    variable: impl Fn(&str) -> Option<String>,
+    whole: &Whole,
+) -> Result<Config, ConfigError> {
     let text = file(&variable)?;
     let read = || {
         let config = checked(&text, &variable, Reading::Again, open_files())?.0;
@@ -287,7 +311,10 @@
 impl Whole {
     fn of(text: &[u8], platform: &Decoded) -> Whole {
         let value = stated(text).unwrap_or_default();
-        Whole { shape: Shape::of(&value), unlimited: platform.settings.try_limit == 0 }
+        Whole {
+            shape: Shape::of(&value),
+            unlimited: platform.settings.try_limit == 0,
+        }
     }
 
     fn check(&self, text: &[u8], platform: &Decoded) -> Result<(), ConfigError> {
@@ -296,7 +323,10 @@
             return Err(ConfigError::new(key, "missing, and the first file had it"));
         }
         if platform.settings.try_limit == 0 && !self.unlimited {
-            return Err(ConfigError::new("settings.PolicyLimits.TryLimit", "is not a positive number"));
+            return Err(ConfigError::new(
+                "settings.PolicyLimits.TryLimit",
+                "is not a positive number",
+            ));
         }
         Ok(())
     }
@@ -312,7 +342,9 @@
 }
 
 /// Every value that counts, with where it comes from, and the texts of the operators' file.
-pub fn effective(variable: impl Fn(&str) -> Option<String>) -> Result<(Vec<Entry>, Sources), ConfigError> {
+pub fn effective(
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<(Vec<Entry>, Sources), ConfigError> {
     let text = file(&variable)?;
     let (config, told) = checked(&text, &variable, Reading::First, None)?;
     let limits = platform_file(&text)?.limits;
@@ -321,22 +353,45 @@
         None => configuration::Reading::default(),
     };
     let mut entries = configuration::model::entries(&reading.sections);
-    for (section, address, origin) in
-        [("listener", config.listen, told.listen), ("discovery", config.discovery, told.discovery)]
-    {
+    for (section, address, origin) in [
+        ("listener", config.listen, told.listen),
+        ("discovery", config.discovery, told.discovery),
+    ] {
         if let Some(origin) = origin {
-            put(&mut entries, section, "address", address.to_string(), origin);
+            put(
+                &mut entries,
+                section,
+                "address",
+                address.to_string(),
+                origin,
+            );
         }
     }
-    let stated = |directive| entries.iter().any(|e| e.section == "limits" && e.directive == directive);
+    let stated = |directive| {
+        entries
+            .iter()
+            .any(|e| e.section == "limits" && e.directive == directive)
+    };
     let (sockets, memory) = (stated("sockets"), stated("memory"));
     if let Some(number) = limits.sockets.filter(|_| !sockets) {
         let origin = Origin::Platform("limits.sockets".into());
-        put(&mut entries, "limits", "sockets", number.to_string(), origin);
+        put(
+            &mut entries,
+            "limits",
+            "sockets",
+            number.to_string(),
+            origin,
+        );
     }
     if let Some(mb) = limits.memory_mb.filter(|_| !memory) {
         let origin = Origin::Platform("limits.memory_mb".into());
-        put(&mut entries, "limits", "memory", value::size((mb as u64) << 20), origin);
+        put(
+            &mut entries,
+            "limits",
+            "memory",
+            value::size((mb as u64) << 20),
+            origin,
+        );
     }
     Ok((entries, reading.sources))
 }
@@ -353,7 +408,10 @@
         .map_err(|e| ConfigError::new("LB_CONFIG", format!("{path} cannot be read: {e}")))
 }
 
-pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+pub fn parse(
+    text: &[u8],
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Config, ConfigError> {
     Ok(checked(text, variable, Reading::First, None)?.0)
 }
 
@@ -361,18 +419,27 @@
 pub fn platform(text: &[u8]) -> Result<configuration::platform::Platform, ConfigError> {
     let file = platform_file(text)?;
     let decoded = decode(&file)?;
-    Ok(operators::platform(&decoded, file.limits.sockets, file.limits.memory_mb))
+    Ok(operators::platform(
+        &decoded,
+        file.limits.sockets,
+        file.limits.memory_mb,
+    ))
 }
 
 fn platform_file(text: &[u8]) -> Result<File, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    serde_path_to_error::deserialize(&mut json).map_err(|e| ConfigError::new(e.path().to_string(), e.inner()))
+    serde_path_to_error::deserialize(&mut json)
+        .map_err(|e| ConfigError::new(e.path().to_string(), e.inner()))
 }
 
 fn decode(file: &File) -> Result<Decoded, ConfigError> {
-    let settings = file.settings.as_ref().ok_or_else(|| ConfigError::new("settings", "missing"))?;
-    let platform = mountshift_settings::decode(settings.to_string().as_bytes())
-        .map_err(|BadSetting { key, problem }| ConfigError::new(format!("settings.{key}"), problem))?;
+    let settings = file
+        .settings
+        .as_ref()
+        .ok_or_else(|| ConfigError::new("settings", "missing"))?;
+    let platform = mountshift_settings::decode(settings.to_string().as_bytes()).map_err(
+        |BadSetting { key, problem }| ConfigError::new(format!("settings.{key}"), problem),
+    )?;
     check(&platform)?;
     Ok(platform)
 }
@@ -382,14 +449,20 @@
     path: Option<String>,
     platform: &configuration::platform::Platform,
 ) -> Result<Model, ConfigError> {
-    let Some(path) = path.filter(|path| !path.is_empty()) else { return Ok(Model::default()) };
+    let Some(path) = path.filter(|path| !path.is_empty()) else {
+        return Ok(Model::default());
+    };
     let reading = operators::read(Path::new(&path), Some(platform), false);
     if reading.sound() {
         return Ok(reading.model);
     }
     let faults = operators::faults(&reading);
     let problem = format!("{path} has {} fault(s)", faults.len());
-    Err(ConfigError { key: "LB_OPERATORS".into(), problem, faults })
+    Err(ConfigError {
+        key: "LB_OPERATORS".into(),
+        problem,
+        faults,
+    })
 }
 
 /// An address and whose word it is.
@@ -402,7 +475,10 @@
     match stated {
         Some((text, origin)) => match text.parse() {
             Ok(address) => Ok((address, Some(origin))),
-            Err(_) => Err(ConfigError::new(key, format!("{text:?} is not an address like 10.0.0.4:5433"))),
+            Err(_) => Err(ConfigError::new(
+                key,
+                format!("{text:?} is not an address like 10.0.0.4:5433"),
+            )),
         },
         None => match ours {
             Some(address) => Ok((address, None)),
@@ -425,38 +501,65 @@
 
     let stated = |name: &'static str, key: &str, in_file: &Option<String>| {
         let here = variable(name).map(|text| (text, Origin::Environment(name)));
-        here.or_else(|| in_file.clone().map(|text| (text, Origin::Platform(key.to_owned()))))
+        here.or_else(|| {
+            in_file
+                .clone()
+                .map(|text| (text, Origin::Platform(key.to_owned())))
+        })
     };
     let ours = model.listeners.first().and_then(|l| l.address);
-    let (listen, listen_from) =
-        address("listen", stated("LB_LISTEN", "listen", &file.listen), ours, "LB_LISTEN")?;
+    let (listen, listen_from) = address(
+        "listen",
+        stated("LB_LISTEN", "listen", &file.listen),
+        ours,
+        "LB_LISTEN",
+    )?;
     let in_file = file.discovery.clone().filter(|_| reading == Reading::Again);
     let named = match in_file {
         Some(text) => Some((text, Origin::Platform("discovery".into()))),
         None => stated("LB_DISCOVERY", "discovery", &file.discovery),
     };
-    let (discovery, discovery_from) = address("discovery", named, model.discovery.address, "LB_DISCOVERY")?;
+    let (discovery, discovery_from) =
+        address("discovery", named, model.discovery.address, "LB_DISCOVERY")?;
     let known = match file.known {
         Some(value) => Listing::parse(value.to_string().as_bytes())
             .map_err(|ListingError(problem)| ConfigError::new("known", problem))?,
         None => Listing::default(),
     };
     let seed = match &file.seed {
-        Some(text) => u64::from_str_radix(text, 16)
-            .map_err(|_| ConfigError::new("seed", format!("{text:?} is not a hexadecimal number")))?,
+        Some(text) => u64::from_str_radix(text, 16).map_err(|_| {
+            ConfigError::new("seed", format!("{text:?} is not a hexadecimal number"))
+        })?,
         None => u64::from(std::process::id()),
     };
-    let longest = platform.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let longest = platform
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .max()
+        .unwrap_or_default();
     let give_up = longest.min(KILL_DEADLINE) + LAST_MARGIN;
     let or_default = |stated: Duration, default| if stated.is_zero() { default } else { stated };
     // Like any address: the environment's, else the file's.
     let admin = stated("LB_ADMIN", "admin", &file.admin);
-    let admin = admin.map(|stated| address("admin", Some(stated), None, "LB_ADMIN")).transpose()?;
+    let admin = admin
+        .map(|stated| address("admin", Some(stated), None, "LB_ADMIN"))
+        .transpose()?;
     let admin = admin.map(|(address, _)| address);
     let limits = share_out(&file.limits, &model, admin.is_some(), open_files)?;
-    let told = Told { listen: listen_from, discovery: discovery_from };
-    let name = variable("LB_NAME").or(file.name).unwrap_or_else(|| "leverproxy".into());
-    let member_keys = model.members.as_ref().map(|m| operators::member_keys(m, &name)).transpose()?;
+    let told = Told {
+        listen: listen_from,
+        discovery: discovery_from,
+    };
+    let name = variable("LB_NAME")
+        .or(file.name)
+        .unwrap_or_else(|| "leverproxy".into());
+    let member_keys = model
+        .members
+        .as_ref()
+        .map(|m| operators::member_keys(m, &name))
+        .transpose()?;
     let place = variable("TMPDIR").filter(|place| admin.is_some() && !place.is_empty());
     // The name of a proxy is the platform's, and may hold what no file's name does.
     let file_name = name.replace(|c: char| !c.is_ascii_alphanumeric(), "-");
@@ -481,10 +584,20 @@
         lending: model.lending.clone(),
         sites: operators::sites(&model),
         windows: model.windows.clone(),
-        operators: variable("LB_OPERATORS").filter(|path| !path.is_empty()).map(PathBuf::from),
+        operators: variable("LB_OPERATORS")
+            .filter(|path| !path.is_empty())
+            .map(PathBuf::from),
         announce_end: model.announce_end,
-        checks: model.balancers.iter().flat_map(|b| b.networks.clone()).collect(),
-        proxy_from: model.listeners.iter().flat_map(|l| l.proxy_from.clone()).collect(),
+        checks: model
+            .balancers
+            .iter()
+            .flat_map(|b| b.networks.clone())
+            .collect(),
+        proxy_from: model
+            .listeners
+            .iter()
+            .flat_map(|l| l.proxy_from.clone())
+            .collect(),
         logging: model.logging,
         known,
         dial_timeout: or_default(platform.dial_timeout, DEFAULT_DIAL_TIMEOUT),
@@ -500,10 +613,22 @@
 }
 
 /// A value of the platform's or the environment's, in place of ours.
-fn put(entries: &mut Vec<Entry>, section: &str, directive: &'static str, value: String, origin: Origin) {
+fn put(
+    entries: &mut Vec<Entry>,
+    section: &str,
+    directive: &'static str,
+    value: String,
+    origin: Origin,
+) {
     let ours = |e: &Entry| e.section.split(' ').next() == Some(section) && e.directive == directive;
     entries.retain(|e| !ours(e));
-    entries.push(Entry { section: section.into(), directive, value, origin, takes: Takes::Reload });
+    entries.push(Entry {
+        section: section.into(),
+        directive,
+        value,
+        origin,
+        takes: Takes::Reload,
+    });
 }
 
 fn patience(model: &Model) -> Patience {
@@ -527,22 +652,41 @@
     let sockets = stated.sockets.unwrap_or(DEFAULT_SOCKETS);
     let memory_mb = stated.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
     if memory_mb < LEAST_MEMORY_MB {
-        return Err(ConfigError::new("limits.memory_mb", format!("{memory_mb} is under {LEAST_MEMORY_MB}")));
+        return Err(ConfigError::new(
+            "limits.memory_mb",
+            format!("{memory_mb} is under {LEAST_MEMORY_MB}"),
+        ));
     }
     if sockets < LEAST_SOCKETS {
-        return Err(ConfigError::new("limits.sockets", format!("{sockets} is under {LEAST_SOCKETS}")));
+        return Err(ConfigError::new(
+            "limits.sockets",
+            format!("{sockets} is under {LEAST_SOCKETS}"),
+        ));
     }
     let ours = &model.limits;
     let sockets = ours.sockets.map_or(sockets, |own| own.min(sockets));
     let memory = memory_mb << 20;
-    let memory = ours.memory.and_then(|own| usize::try_from(own).ok()).map_or(memory, |own| own.min(memory));
+    let memory = ours
+        .memory
+        .and_then(|own| usize::try_from(own).ok())
+        .map_or(memory, |own| own.min(memory));
     // A request takes a client's connection for all its time and a record server's for a part of it.
     let checks: usize = model.health.iter().map(|h| h.connections + 1).sum();
-    let checks = checks + if model.balancers.iter().any(|b| !b.networks.is_empty()) { BALANCERS } else { 0 };
-    let calls = if admin { crate::admin::CONNECTIONS + 1 } else { 0 };
+    let checks = checks
+        + if model.balancers.iter().any(|b| !b.networks.is_empty()) {
+            BALANCERS
+        } else {
+            0
+        };
+    let calls = if admin {
+        crate::admin::CONNECTIONS + 1
+    } else {
+        0
+    };
     let spare = SPARE_SOCKETS + calls + checks + if checks > 0 { HEALTH_RESERVE } else { 0 };
     if spare + LEAST_SOCKETS / 2 > sockets {
-        let problem = format!("{sockets} are too few for the health listeners, which take {checks}");
+        let problem =
+            format!("{sockets} are too few for the health listeners, which take {checks}");
         return Err(ConfigError::new("limits.sockets", problem));
     }
     let sockets = open_files.map_or(sockets, |most| within(most, sockets, spare));
@@ -569,7 +713,8 @@
     if most >= sockets {
         return sockets;
     }
-    let advice = "Raise the limit (`ulimit -n`, `LimitNOFILE=`), or state no more `sockets` than it allows.";
+    let advice =
+        "Raise the limit (`ulimit -n`, `LimitNOFILE=`), or state no more `sockets` than it allows.";
     if most < spare + LEAST_SOCKETS / 2 {
         log::warn!(advice; "configuration: {most} open files are allowed, too few to keep any from clients");
         return sockets;
@@ -582,7 +727,13 @@
     if platform.settings.classes.is_empty() {
         return Err(ConfigError::new("settings.Classes", "names no class"));
     }
-    for (i, (class, name)) in platform.settings.classes.iter().zip(&platform.names.classes).enumerate() {
+    for (i, (class, name)) in platform
+        .settings
+        .classes
+        .iter()
+        .zip(&platform.names.classes)
+        .enumerate()
+    {
         let key = |name| format!("settings.Classes[{i}].{name}");
         if name.is_empty() {
             return Err(ConfigError::new(key("Name"), "missing"));
--- a/crates/leverproxy/src/control.rs
+++ b/crates/leverproxy/src/control.rs
@@ -45,8 +45,17 @@
 
     /// SIGTERM and SIGINT stop the proxy, SIGUSR1 makes it report, SIGHUP reread its configuration.
     pub fn heed_signals(&self) -> io::Result<()> {
-        let Wishes { stop, report, reload } = &*self.wishes;
-        for (signal, flag) in [(SIGTERM, stop), (SIGINT, stop), (SIGUSR1, report), (SIGHUP, reload)] {
+        let Wishes {
+            stop,
+            report,
+            reload,
+        } = &*self.wishes;
+        for (signal, flag) in [
+            (SIGTERM, stop),
+            (SIGINT, stop),
+            (SIGUSR1, report),
+            (SIGHUP, reload),
+        ] {
             // The flag first: it is set when the byte wakes the loop.
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, self.wake.try_clone()?)?;
@@ -77,7 +86,17 @@
     far.set_nonblocking(true)?;
     let wishes = Arc::new(Wishes::default());
     let waker = far.try_clone()?;
-    Ok((Control { wishes: Arc::clone(&wishes), wake: far }, Listener { wishes, wake: near, waker }))
+    Ok((
+        Control {
+            wishes: Arc::clone(&wishes),
+            wake: far,
+        },
+        Listener {
+            wishes,
+            wake: near,
+            waker,
+        },
+    ))
 }
 
 impl Listener {
@@ -90,8 +109,16 @@
         let mut bytes = [0; 64];
         while matches!(self.wake.read(&mut bytes), Ok(n) if n > 0) {}
         let mut wishes = Vec::new();
-        let Wishes { stop, report, reload } = &*self.wishes;
-        for (flag, wish) in [(stop, Wish::Stop), (report, Wish::Report), (reload, Wish::Reload)] {
+        let Wishes {
+            stop,
+            report,
+            reload,
+        } = &*self.wishes;
+        for (flag, wish) in [
+            (stop, Wish::Stop),
+            (report, Wish::Report),
+            (reload, Wish::Reload),
+        ] {
             if flag.swap(false, Ordering::SeqCst) {
                 wishes.push(wish);
             }
--- a/crates/leverproxy/src/counters.rs
+++ b/crates/leverproxy/src/counters.rs
@@ -32,22 +32,33 @@
 
 impl Counters {
     pub fn new(classes: &[String]) -> Counters {
-        let classes = classes.iter().map(|name| (name.clone(), Class::default())).collect();
-        Counters { classes, ..Counters::default() }
+        let classes = classes
+            .iter()
+            .map(|name| (name.clone(), Class::default()))
+            .collect();
+        Counters {
+            classes,
+            ..Counters::default()
+        }
     }
 
     /// Classes at places beyond those that there were; what is counted stays.
     pub fn extend(&mut self, classes: &[String]) {
         let new = classes.iter().skip(self.classes.len());
-        self.classes.extend(new.map(|name| (name.clone(), Class::default())));
+        self.classes
+            .extend(new.map(|name| (name.clone(), Class::default())));
     }
 
     pub fn name(&self, class: ClassId) -> &str {
-        self.classes.get(usize::from(class.0)).map_or("", |(name, _)| name)
+        self.classes
+            .get(usize::from(class.0))
+            .map_or("", |(name, _)| name)
     }
 
     fn class(&mut self, class: ClassId) -> Option<&mut Class> {
-        self.classes.get_mut(usize::from(class.0)).map(|(_, counts)| counts)
+        self.classes
+            .get_mut(usize::from(class.0))
+            .map(|(_, counts)| counts)
     }
 
     pub fn taken(&mut self, class: ClassId) {
@@ -56,7 +67,13 @@
         }
     }
 
-    pub fn answered(&mut self, class: ClassId, standing: Standing, answer: &Answer, took: Duration) {
+    pub fn answered(
+        &mut self,
+        class: ClassId,
+        standing: Standing,
+        answer: &Answer,
+        took: Duration,
+    ) {
         self.worth.answered(class, standing, answer, took);
         if let Some(class) = self.class(class) {
             *class.answers.entry(answer.kind()).or_default() += 1;
@@ -67,10 +84,17 @@
     pub fn requests(&self) -> impl Iterator<Item = (&str, [(&'static str, u64); 3])> {
         let mut by_name: BTreeMap<&str, [(&'static str, u64); 3]> = BTreeMap::new();
         for (name, class) in &self.classes {
-            let sums = by_name.entry(name).or_insert([("served", 0), ("refused", 0), ("failed", 0)]);
+            let sums =
+                by_name
+                    .entry(name)
+                    .or_insert([("served", 0), ("refused", 0), ("failed", 0)]);
             for (kind, count) in &class.answers {
                 // Both are answered with an error, and have failed for whoever asked.
-                let kind = if matches!(*kind, "rejected" | "cancelled") { "failed" } else { kind };
+                let kind = if matches!(*kind, "rejected" | "cancelled") {
+                    "failed"
+                } else {
+                    kind
+                };
                 if let Some((_, sum)) = sums.iter_mut().find(|(outcome, _)| *outcome == kind) {
                     *sum += count;
                 }
@@ -122,7 +146,11 @@
     }
 }
 
-fn list(f: &mut fmt::Formatter<'_>, title: &str, counts: &BTreeMap<&'static str, u64>) -> fmt::Result {
+fn list(
+    f: &mut fmt::Formatter<'_>,
+    title: &str,
+    counts: &BTreeMap<&'static str, u64>,
+) -> fmt::Result {
     write!(f, "{title}")?;
     for (name, count) in counts {
         write!(f, " [{name} {count}]")?;
@@ -141,8 +169,18 @@
         write!(f, "probes: sent {}; ", self.probes_sent)?;
         list(f, "ended", &self.probes)?;
         writeln!(f)?;
-        let Counters { rejected, lists, watches_lost, reloads, reloads_failed, .. } = self;
-        write!(f, "rejected {rejected}; lists {lists}; watches lost {watches_lost}; ")?;
+        let Counters {
+            rejected,
+            lists,
+            watches_lost,
+            reloads,
+            reloads_failed,
+            ..
+        } = self;
+        write!(
+            f,
+            "rejected {rejected}; lists {lists}; watches lost {watches_lost}; "
+        )?;
         write!(f, "reloads {reloads}, turned down {reloads_failed}")
     }
 }
--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -45,7 +45,8 @@
         let mut changes = Vec::new();
         let mut entries = Vec::new();
         if listing.snapshot {
-            self.hands.only(&listing.endpoints.iter().map(|e| e.name.as_str()).collect());
+            self.hands
+                .only(&listing.endpoints.iter().map(|e| e.name.as_str()).collect());
         }
         for endpoint in listing.endpoints {
             if let Some((entry, change)) = self.entry(endpoint, names) {
@@ -55,18 +56,29 @@
         }
         if listing.snapshot {
             let listed: BTreeSet<StoreId> = entries.iter().map(|e| e.store).collect();
-            for (&store, _) in self.members.iter().filter(|(store, _)| !listed.contains(store)) {
+            for (&store, _) in self
+                .members
+                .iter()
+                .filter(|(store, _)| !listed.contains(store))
+            {
                 changes.push(Change::Leaves(store));
             }
             self.members.retain(|store, _| listed.contains(store));
         }
-        self.members
-            .retain(|store, _| !entries.iter().any(|e| e.store == *store && e.listed == Listed::Gone));
+        self.members.retain(|store, _| {
+            !entries
+                .iter()
+                .any(|e| e.store == *store && e.listed == Listed::Gone)
+        });
         // A server that comes back keeps its id; only so many names of former ones are remembered.
         if self.ids.len() > NAMES_KEPT + self.members.len() {
             self.ids.retain(|_, id| self.members.contains_key(id));
         }
-        let news = if listing.snapshot { ListNews::Complete(entries) } else { ListNews::Changes(entries) };
+        let news = if listing.snapshot {
+            ListNews::Complete(entries)
+        } else {
+            ListNews::Changes(entries)
+        };
         (news, changes)
     }
 
@@ -82,10 +94,17 @@
         };
         let whole = endpoint.address.is_some() && endpoint.group.is_some();
         if !whole && word != Word::Gone {
-            log::warn!("discovery: {} has no address or no group: left out", endpoint.name);
+            log::warn!(
+                "discovery: {} has no address or no group: left out",
+                endpoint.name
+            );
             return None;
         }
-        let joined = self.hands.hears(&endpoint.name, word, Duration::from_millis(endpoint.since_ms));
+        let joined = self.hands.hears(
+            &endpoint.name,
+            word,
+            Duration::from_millis(endpoint.since_ms),
+        );
         if !whole {
             return None;
         }
@@ -113,7 +132,11 @@
         now: Time,
         names: &Names,
     ) -> Result<Option<(ListNews, Vec<Change>)>, Unknown> {
-        let said = if out { self.hands.exclude(name, now.0) } else { self.hands.include(name, now.0) };
+        let said = if out {
+            self.hands.exclude(name, now.0)
+        } else {
+            self.hands.include(name, now.0)
+        };
         Ok(said?.and_then(|joined| self.joined(name, joined, names)))
     }
 
@@ -126,13 +149,20 @@
     /// The whole list, as discovery last told of it.
     pub fn listing(&self) -> Listing {
         let endpoints = self.members.values().cloned().collect();
-        Listing { index: self.index, snapshot: true, endpoints }
+        Listing {
+            index: self.index,
+            snapshot: true,
+            endpoints,
+        }
     }
 
     /// The operators' word as the process before this one had it, beside the list that it had.
     pub fn take_over(&mut self, hands: Vec<Hand>, names: &Names) -> Vec<(ListNews, Vec<Change>)> {
         let changed = self.hands.take_over(hands);
-        changed.iter().filter_map(|(name, joined)| self.joined(name, *joined, names)).collect()
+        changed
+            .iter()
+            .filter_map(|(name, joined)| self.joined(name, *joined, names))
+            .collect()
     }
 
     pub fn hands(&self) -> &Maintenance {
@@ -140,7 +170,12 @@
     }
 }
 
-fn told(store: StoreId, endpoint: &Endpoint, joined: Joined, names: &Names) -> Option<(Entry, Change)> {
+fn told(
+    store: StoreId,
+    endpoint: &Endpoint,
+    joined: Joined,
+    names: &Names,
+) -> Option<(Entry, Change)> {
     let (listed, change) = match joined.word {
         Word::Ready => (Listed::Ready, Change::Serves(store, endpoint.address?)),
         Word::Draining => (Listed::Draining, Change::Leaves(store)),
@@ -160,5 +195,9 @@
 
 /// The id of a name; names that the settings do not hold share one that none of theirs has.
 fn place(names: &[String], name: &str) -> u16 {
-    names.iter().position(|n| n == name).and_then(|i| u16::try_from(i).ok()).unwrap_or(u16::MAX)
+    names
+        .iter()
+        .position(|n| n == name)
+        .and_then(|i| u16::try_from(i).ok())
+        .unwrap_or(u16::MAX)
 }
--- a/crates/leverproxy/src/discovery/mod.rs
+++ b/crates/leverproxy/src/discovery/mod.rs
@@ -120,13 +120,19 @@
 
     fn act(&mut self, event: Event, index: u64, now: Instant, reactor: &Reactor) {
         let mut actions = Vec::new();
-        self.clock.handle(now.saturating_duration_since(self.start), event, &mut actions);
+        self.clock.handle(
+            now.saturating_duration_since(self.start),
+            event,
+            &mut actions,
+        );
         for action in actions {
             match action {
                 Action::Call => self.call(index, now, reactor),
                 Action::Lost { silent } => {
                     if silent {
-                        self.losses.warn(now, || "discovery: watch lost: silent for too long".to_owned());
+                        self.losses.warn(now, || {
+                            "discovery: watch lost: silent for too long".to_owned()
+                        });
                     }
                     self.news.push_back(News::Lost);
                 }
@@ -137,7 +143,11 @@
 
     /// Of the call that is out: the clock hears of it, and orders nothing by it.
     fn tell(&mut self, event: Event, now: Instant) {
-        self.clock.handle(now.saturating_duration_since(self.start), event, &mut Vec::new());
+        self.clock.handle(
+            now.saturating_duration_since(self.start),
+            event,
+            &mut Vec::new(),
+        );
     }
 
     fn call(&mut self, index: u64, now: Instant, reactor: &Reactor) {
@@ -148,19 +158,26 @@
             Ok(mut stream) => {
                 let target = format!("/catalog/members?watch=1&after={index}");
                 stream.push(&http::get(&self.address.to_string(), &target));
-                let watch = Watch { stream, up: false, reader: Reader::default(), spoke: false };
+                let watch = Watch {
+                    stream,
+                    up: false,
+                    reader: Reader::default(),
+                    spoke: false,
+                };
                 let key = self.watches.insert(watch);
                 self.current = Some(key);
-                let watched = self
-                    .watches
-                    .get_mut(key)
-                    .map(|w| w.stream.watch(reactor, Token::Discovery(key), Interest::WRITE));
+                let watched = self.watches.get_mut(key).map(|w| {
+                    w.stream
+                        .watch(reactor, Token::Discovery(key), Interest::WRITE)
+                });
                 if let Some(Err(e)) = watched {
                     self.fail(key, &e.to_string(), now, reactor);
                 }
             }
             Err(e) => {
-                self.losses.warn(now, || format!("discovery: cannot dial {}: {e}", self.address));
+                self.losses.warn(now, || {
+                    format!("discovery: cannot dial {}: {e}", self.address)
+                });
                 self.act(Event::Ended, index, now, reactor);
             }
         }
@@ -180,11 +197,15 @@
 
     fn advance(&mut self, key: Key, now: Instant, reactor: &Reactor) -> Result<(), String> {
         let current = self.current == Some(key);
-        let Some(watch) = self.watches.get_mut(key) else { return Ok(()) };
+        let Some(watch) = self.watches.get_mut(key) else {
+            return Ok(());
+        };
         let mut events = Vec::new();
         if !watch.up {
             if !watch.stream.connected().map_err(|e| e.to_string())? {
-                let watched = watch.stream.watch(reactor, Token::Discovery(key), Interest::WRITE);
+                let watched = watch
+                    .stream
+                    .watch(reactor, Token::Discovery(key), Interest::WRITE);
                 return watched.map_err(|e| e.to_string());
             }
             watch.up = true;
@@ -203,14 +224,17 @@
             events.push(Event::Whole);
         }
         let ended = filled == Filled::Ended || watch.reader.done();
-        let interest = Interest { read: true, write: !written };
+        let interest = Interest {
+            read: true,
+            write: !written,
+        };
         let watched = watch.stream.watch(reactor, Token::Discovery(key), interest);
         for part in &parts {
             self.news.push_back(match part {
                 Part::Alive => News::Heard,
-                Part::Object(text) => {
-                    News::Listing(Listing::parse(text.as_bytes()).map_err(|ListingError(problem)| problem)?)
-                }
+                Part::Object(text) => News::Listing(
+                    Listing::parse(text.as_bytes()).map_err(|ListingError(problem)| problem)?,
+                ),
             });
         }
         if current {
@@ -235,7 +259,8 @@
             log::info!("discovery: the former watch is over: {why}");
             self.former = None;
         } else {
-            self.losses.warn(now, || format!("discovery: watch lost: {why}"));
+            self.losses
+                .warn(now, || format!("discovery: watch lost: {why}"));
             self.current = None;
             // No call follows at once, so no index is needed.
             self.act(Event::Ended, 0, now, reactor);
--- a/crates/leverproxy/src/front.rs
+++ b/crates/leverproxy/src/front.rs
@@ -91,7 +91,10 @@
     fn next(&mut self) -> CancelKey {
         self.made += 1;
         let hash = self.secret.hash_one(self.made);
-        CancelKey { process: (hash >> 32) as u32, secret: hash as u32 }
+        CancelKey {
+            process: (hash >> 32) as u32,
+            secret: hash as u32,
+        }
     }
 }
 
@@ -157,8 +160,11 @@
         if self.listener.is_some() {
             return Ok(());
         }
-        let added = net::listen_shared(self.address, self.shared)
-            .and_then(|fd| reactor.add(&fd, Token::Listener, Interest::READ).map(|()| fd));
+        let added = net::listen_shared(self.address, self.shared).and_then(|fd| {
+            reactor
+                .add(&fd, Token::Listener, Interest::READ)
+                .map(|()| fd)
+        });
         if let Err(error) = &added {
             let address = self.address;
             self.exhausted.warn(now, || {
@@ -184,14 +190,20 @@
         let mut gave_way = false;
         while !self.left_to_heir {
             // Who would give way; nobody does before another client is there for the place.
-            let quiet = if self.full() { self.find_place(now, reactor) } else { None };
+            let quiet = if self.full() {
+                self.find_place(now, reactor)
+            } else {
+                None
+            };
             let full = self.full();
             // Only its address tells a balancer's check from a client, so it has to be let in to be told.
             let checks = !self.checks.is_empty() && self.checking < CHECKS;
             if full && quiet.is_none() && !checks {
                 return self.pause(true, reactor);
             }
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             match net::accept(listener) {
                 Ok((stream, peer)) => {
                     gave_way = false;
@@ -209,7 +221,9 @@
                 Err(Refusal::Later) => return self.pause(true, reactor),
                 Err(Refusal::Exhausted) => {
                     let clients = self.clients.len();
-                    self.exhausted.warn(now, || format!("front: no descriptor left, {clients} clients"));
+                    self.exhausted.warn(now, || {
+                        format!("front: no descriptor left, {clients} clients")
+                    });
                     if gave_way {
                         return self.pause(true, reactor);
                     }
@@ -232,7 +246,9 @@
         let check = within(&self.checks) && self.checking < CHECKS;
         self.checking += usize::from(check);
         let cancel_key = self.cancel_keys.next();
-        let key = self.clients.insert(Client::new(stream, cancel_key, peer, headed, check, now));
+        let key = self
+            .clients
+            .insert(Client::new(stream, cancel_key, peer, headed, check, now));
         // Read in a later round even if it has come: what others sent before is taken in before it.
         self.write(key, now, reactor);
         key
@@ -241,8 +257,13 @@
     /// While the listener is full it must not be waited on: it would be ready all the time.
     fn pause(&mut self, pause: bool, reactor: &Reactor) {
         let pause = pause || self.left_to_heir;
-        let Some(listener) = self.listener.as_ref().filter(|_| self.accepting == pause) else { return };
-        let interest = Interest { read: !pause, write: false };
+        let Some(listener) = self.listener.as_ref().filter(|_| self.accepting == pause) else {
+            return;
+        };
+        let interest = Interest {
+            read: !pause,
+            write: false,
+        };
         if let Ok(watched) = reactor.set(listener, Token::Listener, interest, true) {
             self.accepting = watched && !pause;
         }
@@ -263,12 +284,15 @@
     fn gives_way(&self, now: Instant) -> Option<Key> {
         let longest = |fits: &dyn Fn(&Client) -> bool| {
             let fitting = self.clients.iter().filter(|(_, c)| fits(c));
-            fitting.min_by_key(|(_, c)| c.quiet_since).map(|(key, _)| key)
+            fitting
+                .min_by_key(|(_, c)| c.quiet_since)
+                .map(|(key, _)| key)
         };
         let old = |c: &Client| now.saturating_duration_since(c.quiet_since) >= FIRST_WORDS;
         let crowd = self.clients.iter().filter(|(_, c)| c.silent()).count();
         longest(&|c| c.silent() && (old(c) || c.leaving.is_some())).or_else(|| {
-            longest(&|c| c.greeted && c.asked && c.idle()).filter(|_| crowd <= self.limits.clients / 4)
+            longest(&|c| c.greeted && c.asked && c.idle())
+                .filter(|_| crowd <= self.limits.clients / 4)
         })
     }
 
@@ -291,7 +315,9 @@
     /// Reads what a client has sent until now, before its connection is ended: a request among it is owed an answer.
     /// Whether anything came.
     fn take_in(&mut self, key: Key, now: Instant, reactor: &Reactor) -> bool {
-        let Some(client) = self.clients.get_mut(key) else { return false };
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
         if !client.takes_more(&self.patience) {
             return false;
         }
@@ -311,8 +337,10 @@
     fn clear_idle(&mut self, now: Instant, reactor: &Reactor) {
         let held = self.clients.iter().filter(|(_, c)| !c.silent());
         let number = held.clone().count();
-        let mut idle: Vec<(bool, Instant, Key)> =
-            held.filter(|(_, c)| c.idle()).map(|(key, c)| (c.again, c.quiet_since, key)).collect();
+        let mut idle: Vec<(bool, Instant, Key)> = held
+            .filter(|(_, c)| c.idle())
+            .map(|(key, c)| (c.again, c.quiet_since, key))
+            .collect();
         idle.sort();
         let mut left = number;
         for (_, since, key) in idle {
@@ -332,7 +360,9 @@
     /// Ends the connections of those who have run out of time; when to look again.
     pub fn look_over(&mut self, now: Instant, reactor: &Reactor) -> Instant {
         for key in self.clients.keys() {
-            let Some(client) = self.clients.get_mut(key) else { continue };
+            let Some(client) = self.clients.get_mut(key) else {
+                continue;
+            };
             let quiet = now.saturating_duration_since(client.quiet_since);
             match client.leaving {
                 Some(leaving) if now >= leaving.since + self.patience.goodbye => {
@@ -355,7 +385,11 @@
     /// Turns a client out that has run out of time, unless what it has sent until now changes that.
     fn put_out(&mut self, key: Key, now: Instant, reactor: &Reactor) {
         self.take_in(key, now, reactor);
-        if self.clients.get(key).is_some_and(|client| client.overdue(&self.patience, now)) {
+        if self
+            .clients
+            .get(key)
+            .is_some_and(|client| client.overdue(&self.patience, now))
+        {
             let why = Malformed("nothing whole was asked for in time".into());
             self.turn_out(key, server::fatal(&why));
         }
@@ -364,7 +398,9 @@
 
     /// `ended`: the client is known to have closed its side. One that has is gone, even with answers to come.
     pub fn ready(&mut self, key: Key, ended: bool, now: Instant, reactor: &Reactor) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         let takes_more = client.takes_more(&self.patience);
         let gone = match (&mut client.leaving, takes_more) {
             (Some(leaving), _) if leaving.room > 0 => {
@@ -387,7 +423,9 @@
 
     /// Turns what has come into requests, as far as the client may have more.
     fn read(&mut self, key: Key, now: Instant) {
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         let first = client.stream.input.len();
         let mut cancels = None;
         while client.takes_more(&self.patience) {
@@ -409,7 +447,9 @@
                     break;
                 }
                 Ok(Step::Rejected(why)) => {
-                    self.misunderstood.warn(now, || format!("front: a statement is not understood: {why}"));
+                    self.misunderstood.warn(now, || {
+                        format!("front: a statement is not understood: {why}")
+                    });
                     self.not_understood += 1;
                     client.expect(Some(server::answer(Answer::Rejected(why))));
                     client.quiet_since = now;
@@ -425,7 +465,8 @@
                     self.events.push_back(Event::Asked(ticket, request));
                 }
                 Err(why) => {
-                    self.misunderstood.warn(now, || format!("front: a client is not understood: {why}"));
+                    self.misunderstood
+                        .warn(now, || format!("front: a client is not understood: {why}"));
                     self.turned_out += 1;
                     client.expect(Some(server::fatal(&why)));
                     client.ending = Some(Ending::Told);
@@ -444,7 +485,9 @@
                 return self.turn_out(key, server::no_memory());
             }
         }
-        let Some(client) = self.clients.get_mut(key) else { return };
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
         // What is there now is the begin of another command than before, if any was used up.
         let same = client.begun.filter(|_| client.stream.input.len() == first);
         client.begun = same.or(Some(now)).filter(|_| partial);
@@ -452,11 +495,16 @@
 
     /// The request that the session of this key waits for is cancelled; there may be none.
     fn cancel(&mut self, named: CancelKey) {
-        let Some((key, client)) = self.clients.iter().find(|(_, c)| c.cancel_key == named) else { return };
+        let Some((key, client)) = self.clients.iter().find(|(_, c)| c.cancel_key == named) else {
+            return;
+        };
         let waits = |slot: &Slot| matches!(slot, Slot::Waiting);
         if let Some(place) = client.answers.iter().position(waits) {
             let number = client.first + place as u64;
-            self.events.push_back(Event::Cancelled(Ticket { client: key, number }));
+            self.events.push_back(Event::Cancelled(Ticket {
+                client: key,
+                number,
+            }));
         }
     }
 
@@ -471,8 +519,15 @@
 
     /// The final answer to a request; it goes out when all before it on the connection have.
     pub fn answer(&mut self, ticket: Ticket, answer: Answer, now: Instant, reactor: &Reactor) {
-        let Some(client) = self.clients.get_mut(ticket.client) else { return };
-        let Some(place) = client.place(ticket).and_then(|at| client.answers.get_mut(at)) else { return };
+        let Some(client) = self.clients.get_mut(ticket.client) else {
+            return;
+        };
+        let Some(place) = client
+            .place(ticket)
+            .and_then(|at| client.answers.get_mut(at))
+        else {
+            return;
+        };
         let mut bytes = server::answer(answer);
         if let Slot::Passing(begun) = place {
             begun.append(&mut bytes);
@@ -487,8 +542,15 @@
 
     /// A part of an answer; false: no more may come until [`Event::Room`] is told.
     pub fn pass(&mut self, ticket: Ticket, bytes: &[u8], now: Instant, reactor: &Reactor) -> bool {
-        let Some(client) = self.clients.get_mut(ticket.client) else { return true };
-        let Some(place) = client.place(ticket).and_then(|at| client.answers.get_mut(at)) else { return true };
+        let Some(client) = self.clients.get_mut(ticket.client) else {
+            return true;
+        };
+        let Some(place) = client
+            .place(ticket)
+            .and_then(|at| client.answers.get_mut(at))
+        else {
+            return true;
+        };
         match place {
             Slot::Passing(begun) => begun.extend_from_slice(bytes),
             Slot::Ready(_) => return true,
@@ -496,7 +558,9 @@
         }
         self.write(ticket.client, now, reactor);
         let crowded = self.unsent() >= self.limits.passing;
-        let Some(client) = self.clients.get_mut(ticket.client) else { return true };
+        let Some(client) = self.clients.get_mut(ticket.client) else {
+            return true;
+        };
         let first = client.first == ticket.number;
         client.starved |= !first || client.stream.unsent() >= window(crowded);
         !client.starved
@@ -504,10 +568,19 @@
 
     /// More may come for a client that has taken its answer but for so many bytes.
     fn make_room(&mut self, key: Key, left: usize) {
-        let Some(client) = self.clients.get_mut(key).filter(|c| c.stream.unsent() <= left) else { return };
+        let Some(client) = self
+            .clients
+            .get_mut(key)
+            .filter(|c| c.stream.unsent() <= left)
+        else {
+            return;
+        };
         client.starved = false;
         let number = client.first;
-        self.events.push_back(Event::Room(Ticket { client: key, number }));
+        self.events.push_back(Event::Room(Ticket {
+            client: key,
+            number,
+        }));
     }
 
     /// Bytes of answers that clients have not taken.
@@ -517,12 +590,19 @@
 
     /// An answer that has begun will never be whole: the client can tell by the end of its connection.
     pub fn cut(&mut self, ticket: Ticket, now: Instant, reactor: &Reactor) {
-        let Some(client) = self.clients.get_mut(ticket.client) else { return };
-        let Some(at) = client.place(ticket) else { return };
+        let Some(client) = self.clients.get_mut(ticket.client) else {
+            return;
+        };
+        let Some(at) = client.place(ticket) else {
+            return;
+        };
         let behind = client.answers.split_off((at + 1).min(client.answers.len()));
         for (number, slot) in (ticket.number + 1..).zip(behind) {
             if !matches!(slot, Slot::Ready(_)) {
-                self.events.push_back(Event::Left(Ticket { client: ticket.client, number }));
+                self.events.push_back(Event::Left(Ticket {
+                    client: ticket.client,
+                    number,
+                }));
             }
         }
         if let Some(slot) = client.answers.get_mut(at) {
@@ -538,7 +618,9 @@
         // Once a call: a client that never stops sending must not hold the loop.
         let mut looked = false;
         loop {
-            let Some(client) = self.clients.get_mut(key) else { return };
+            let Some(client) = self.clients.get_mut(key) else {
+                return;
+            };
             if client.gone {
                 return self.drop_client(key, reactor);
             }
@@ -560,7 +642,9 @@
                 client.first += 1;
             }
             let unsent = client.stream.unsent();
-            let Ok(written) = client.stream.flush() else { return self.drop_client(key, reactor) };
+            let Ok(written) = client.stream.flush() else {
+                return self.drop_client(key, reactor);
+            };
             if client.stream.unsent() < unsent && client.asked {
                 // It takes its answers, however slowly.
                 client.quiet_since = now;
@@ -570,29 +654,45 @@
                 let crowded = self.unsent() >= self.limits.passing;
                 self.make_room(key, window(crowded) / 2);
             }
-            let Some(client) = self.clients.get_mut(key) else { return };
+            let Some(client) = self.clients.get_mut(key) else {
+                return;
+            };
             if written && client.answers.is_empty() {
                 if self.closing && !looked && client.may_close(now) {
                     looked = true;
                     if self.take_in(key, now, reactor) {
                         continue;
                     }
-                    let Some(client) = self.clients.get_mut(key) else { return };
+                    let Some(client) = self.clients.get_mut(key) else {
+                        return;
+                    };
                     client.part();
                 } else if client.ending.is_some() && client.leaving.is_none() {
                     client.leave(now);
                 }
             }
-            let Some(client) = self.clients.get_mut(key) else { return };
+            let Some(client) = self.clients.get_mut(key) else {
+                return;
+            };
             // Commands that had to wait for room are in the buffer, not in the socket: no event tells of them.
             if full && client.takes_more(&self.patience) && !client.stream.input.is_empty() {
                 self.read(key, now);
                 continue;
             }
-            let listens =
-                client.leaving.map_or(client.takes_more(&self.patience), |leaving| leaving.room > 0);
-            let interest = Interest { read: listens, write: !written };
-            if client.stream.watch(reactor, Token::Client(key), interest).is_err() {
+            let listens = client
+                .leaving
+                .map_or(client.takes_more(&self.patience), |leaving| {
+                    leaving.room > 0
+                });
+            let interest = Interest {
+                read: listens,
+                write: !written,
+            };
+            if client
+                .stream
+                .watch(reactor, Token::Client(key), interest)
+                .is_err()
+            {
                 self.drop_client(key, reactor);
             }
             return;
@@ -606,12 +706,18 @@
     }
 
     fn drop_client(&mut self, key: Key, reactor: &Reactor) {
-        let Some(client) = self.remove(key) else { return };
+        let Some(client) = self.remove(key) else {
+            return;
+        };
         // Nothing that the chain has not seen yet is begun for it.
-        self.events.retain(|event| !matches!(event, Event::Asked(ticket, _) if ticket.client == key));
+        self.events
+            .retain(|event| !matches!(event, Event::Asked(ticket, _) if ticket.client == key));
         for (number, answer) in (client.first..).zip(&client.answers) {
             if !matches!(answer, Slot::Ready(_)) {
-                self.events.push_back(Event::Left(Ticket { client: key, number }));
+                self.events.push_back(Event::Left(Ticket {
+                    client: key,
+                    number,
+                }));
             }
         }
         self.pause(false, reactor);
--- a/crates/leverproxy/src/front/client.rs
+++ b/crates/leverproxy/src/front/client.rs
@@ -117,7 +117,8 @@
     }
 
     pub(super) fn expect(&mut self, answer: Option<Vec<u8>>) -> u64 {
-        self.answers.push_back(answer.map_or(Slot::Waiting, Slot::Ready));
+        self.answers
+            .push_back(answer.map_or(Slot::Waiting, Slot::Ready));
         self.first + self.answers.len() as u64 - 1
     }
 
@@ -129,7 +130,9 @@
     /// It has run out of time for its first request, or for the rest of a command that it has begun.
     pub(super) fn overdue(&self, patience: &Patience, now: Instant) -> bool {
         let waits = self.answers.is_empty() && self.stream.unsent() == 0;
-        let slow = self.begun.is_some_and(|at| now.saturating_duration_since(at) >= patience.first);
+        let slow = self
+            .begun
+            .is_some_and(|at| now.saturating_duration_since(at) >= patience.first);
         let quiet = now.saturating_duration_since(self.quiet_since);
         waits && (slow || !self.asked && quiet >= patience.first)
     }
@@ -137,7 +140,10 @@
     /// While the proxy closes: nothing is owed on the connection, nor is a first request about to come.
     pub(super) fn may_close(&self, now: Instant) -> bool {
         let quiet = now.saturating_duration_since(self.quiet_since);
-        self.ending.is_none() && self.greeted && self.idle() && (self.asked || quiet >= FIRST_REQUEST)
+        self.ending.is_none()
+            && self.greeted
+            && self.idle()
+            && (self.asked || quiet >= FIRST_REQUEST)
     }
 
     /// Ends the connection between two requests. The time since its last answer counts: who has had that long to read it
@@ -149,7 +155,11 @@
 
     /// Everything is written: tells the peer so, and waits for its end.
     pub(super) fn leave(&mut self, since: Instant) {
-        let room = if self.ending == Some(Ending::Told) { LEAVE_BYTES } else { 0 };
+        let room = if self.ending == Some(Ending::Told) {
+            LEAVE_BYTES
+        } else {
+            0
+        };
         self.leaving = Some(Leaving { since, room });
         self.stream.end_output();
     }
@@ -162,7 +172,10 @@
     }
 }
 
-#[allow(clippy::large_enum_variant, reason = "lives for one call, and the large variant is the usual one")]
+#[allow(
+    clippy::large_enum_variant,
+    reason = "lives for one call, and the large variant is the usual one"
+)]
 pub(super) enum Step {
     /// The next message has not come in full.
     Wait,
@@ -178,8 +191,11 @@
 
 /// Who the client is, as the balancer before it says.
 pub(super) fn header(client: &mut Client) -> Result<Step, Malformed> {
-    let found = proxy::parse(client.stream.input.unused()).map_err(|fault| Malformed(fault.to_string()))?;
-    let Some((from, used)) = found else { return Ok(Step::Wait) };
+    let found =
+        proxy::parse(client.stream.input.unused()).map_err(|fault| Malformed(fault.to_string()))?;
+    let Some((from, used)) = found else {
+        return Ok(Step::Wait);
+    };
     client.stream.input.consume(used);
     client.headed = false;
     if let From::Client(address) = from {
@@ -189,7 +205,8 @@
 }
 
 pub(super) fn greet(client: &mut Client) -> Result<Step, Malformed> {
-    let Some((startup, used)) = server::startup(client.stream.input.unused(), client.cancel_key)? else {
+    let Some((startup, used)) = server::startup(client.stream.input.unused(), client.cancel_key)?
+    else {
         return Ok(Step::Wait);
     };
     client.stream.input.consume(used);
@@ -205,7 +222,9 @@
 }
 
 pub(super) fn command(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
-    let Some((asked, used)) = server::asked(client.stream.input.unused())? else { return Ok(Step::Wait) };
+    let Some((asked, used)) = server::asked(client.stream.input.unused())? else {
+        return Ok(Step::Wait);
+    };
     let (mut request, mut rejected) = (None, None);
     let answer = match asked {
         Asked::Terminate => return Ok(Step::Gone),
@@ -223,7 +242,10 @@
             Ok(Query::Empty) => Some(server::empty_query()),
             Ok(Query::Setting(tag)) => Some(server::done(tag)),
             Ok(Query::Request(read)) => {
-                request = Some(Request { client: client.peer, ..read });
+                request = Some(Request {
+                    client: client.peer,
+                    ..read
+                });
                 None
             }
             Err(why) => {
@@ -235,7 +257,13 @@
     client.stream.input.consume(used);
     if let Some(request) = request {
         let number = client.expect(None);
-        return Ok(Step::Asked(Ticket { client: key, number }, request));
+        return Ok(Step::Asked(
+            Ticket {
+                client: key,
+                number,
+            },
+            request,
+        ));
     }
     if let Some(why) = rejected {
         return Ok(Step::Rejected(why));
--- a/crates/leverproxy/src/health.rs
+++ b/crates/leverproxy/src/health.rs
@@ -102,8 +102,9 @@
             views: BTreeMap::new(),
             counts: Counts::default(),
         };
-        let (apart, here): (Vec<&Listen>, Vec<&Listen>) =
-            listeners.iter().partition(|set| set.protocol == Protocol::Grpc);
+        let (apart, here): (Vec<&Listen>, Vec<&Listen>) = listeners
+            .iter()
+            .partition(|set| set.protocol == Protocol::Grpc);
         for set in apart {
             health.grpc.start(set)?;
         }
@@ -112,14 +113,24 @@
             reactor.add(&fd, Token::HealthListener(at), Interest::READ)?;
             let address = net::local_address(&fd).unwrap_or(set.address);
             log::info!("health {}: answering checks on {address}", set.name);
-            health.listeners.push(Listener { fd, address, set: set.clone(), open: 0, accepting: true });
+            health.listeners.push(Listener {
+                fd,
+                address,
+                set: set.clone(),
+                open: 0,
+                accepting: true,
+            });
         }
         health.fill_reserve();
         Ok(health)
     }
 
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.listeners.iter().map(|l| l.address).chain(self.grpc.addresses()).collect()
+        self.listeners
+            .iter()
+            .map(|l| l.address)
+            .chain(self.grpc.addresses())
+            .collect()
     }
 
     /// Tells those that watch, where anything has changed.
@@ -133,7 +144,9 @@
 
     /// Copies of a descriptor that is there anyway: what counts is that they can be closed.
     fn fill_reserve(&mut self) {
-        let Some(first) = self.listeners.first() else { return };
+        let Some(first) = self.listeners.first() else {
+            return;
+        };
         while self.reserve.len() < RESERVE {
             match rustix::io::fcntl_dupfd_cloexec(first.fd.as_fd(), 0) {
                 Ok(fd) => self.reserve.push(fd),
@@ -145,21 +158,26 @@
     pub fn accept(&mut self, at: u16, status: &Status, now: Instant, reactor: &Reactor) {
         let place = usize::from(at);
         loop {
-            let Some(listener) = self.listeners.get(place) else { return };
+            let Some(listener) = self.listeners.get(place) else {
+                return;
+            };
             if listener.open >= listener.set.connections && !self.put_out_idlest(at, reactor) {
                 // All are at a check; the next to end makes place.
                 self.counts.refused += 1;
                 return self.pause(place, true, reactor);
             }
-            let Some(listener) = self.listeners.get(place) else { return };
+            let Some(listener) = self.listeners.get(place) else {
+                return;
+            };
             let stream = match net::accept(&listener.fd) {
                 Ok((stream, _)) => stream,
                 Err(Refusal::Empty) => return,
                 Err(Refusal::Later) => return self.pause(place, true, reactor),
                 Err(Refusal::Exhausted) => {
                     if self.reserve.pop().is_none() {
-                        self.exhausted
-                            .warn(now, || "health: no descriptor left, nor one kept for checks".into());
+                        self.exhausted.warn(now, || {
+                            "health: no descriptor left, nor one kept for checks".into()
+                        });
                         return self.pause(place, true, reactor);
                     }
                     self.counts.reserve += 1;
@@ -169,15 +187,31 @@
             if let Some(listener) = self.listeners.get_mut(place) {
                 listener.open += 1;
             }
-            let check = Check { stream, listener: at, since: now, ending: false, ended: false, answered: 0 };
+            let check = Check {
+                stream,
+                listener: at,
+                since: now,
+                ending: false,
+                ended: false,
+                answered: 0,
+            };
             let key = self.checks.insert(check);
             self.ready(key, status, now, reactor);
         }
     }
 
     fn pause(&mut self, place: usize, pause: bool, reactor: &Reactor) {
-        let Some(listener) = self.listeners.get_mut(place).filter(|l| l.accepting == pause) else { return };
-        let interest = Interest { read: !pause, write: false };
+        let Some(listener) = self
+            .listeners
+            .get_mut(place)
+            .filter(|l| l.accepting == pause)
+        else {
+            return;
+        };
+        let interest = Interest {
+            read: !pause,
+            write: false,
+        };
         let token = Token::HealthListener(place as u16);
         if let Ok(watched) = reactor.set(&listener.fd, token, interest, true) {
             listener.accepting = watched && !pause;
@@ -186,9 +220,15 @@
 
     /// Of the connections that wait between checks, the one that does so the longest gives way.
     fn put_out_idlest(&mut self, at: u16, reactor: &Reactor) -> bool {
-        let idle = |c: &Check| c.listener == at && (c.answered > 0 || c.ending) && c.stream.input.is_empty();
-        let found =
-            self.checks.iter().filter(|(_, c)| idle(c)).min_by_key(|(_, c)| c.since).map(|(key, _)| key);
+        let idle = |c: &Check| {
+            c.listener == at && (c.answered > 0 || c.ending) && c.stream.input.is_empty()
+        };
+        let found = self
+            .checks
+            .iter()
+            .filter(|(_, c)| idle(c))
+            .min_by_key(|(_, c)| c.since)
+            .map(|(key, _)| key);
         found.is_some_and(|key| {
             self.close(key, reactor);
             true
@@ -196,8 +236,16 @@
     }
 
     pub fn ready(&mut self, key: Key, status: &Status, now: Instant, reactor: &Reactor) {
-        let Some(check) = self.checks.get_mut(key) else { return };
-        let Some(set) = self.listeners.get(usize::from(check.listener)).map(|l| &l.set) else { return };
+        let Some(check) = self.checks.get_mut(key) else {
+            return;
+        };
+        let Some(set) = self
+            .listeners
+            .get(usize::from(check.listener))
+            .map(|l| &l.set)
+        else {
+            return;
+        };
         if check.ending {
             if check.stream.drain().0 == Filled::Ended {
                 return self.close(key, reactor);
@@ -209,13 +257,26 @@
             };
             let filled = check.stream.fill(limit);
             match set.protocol {
-                Protocol::Agent { expects_text, maxconn } => {
+                Protocol::Agent {
+                    expects_text,
+                    maxconn,
+                } => {
                     let room = status.room.filter(|_| maxconn);
-                    let status = Status { room, ..status.clone() };
+                    let status = Status {
+                        room,
+                        ..status.clone()
+                    };
                     answer_agent(check, expects_text, &status, &mut self.counts);
                 }
                 Protocol::Http(statuses) => {
-                    answer_http(check, statuses, status, now, &mut self.counts, &mut self.views);
+                    answer_http(
+                        check,
+                        statuses,
+                        status,
+                        now,
+                        &mut self.counts,
+                        &mut self.views,
+                    );
                 }
                 // Never among the loop's own listeners.
                 Protocol::Grpc => {}
@@ -228,22 +289,35 @@
     }
 
     fn write(&mut self, key: Key, reactor: &Reactor) {
-        let Some(check) = self.checks.get_mut(key) else { return };
-        let Ok(written) = check.stream.flush() else { return self.close(key, reactor) };
+        let Some(check) = self.checks.get_mut(key) else {
+            return;
+        };
+        let Ok(written) = check.stream.flush() else {
+            return self.close(key, reactor);
+        };
         if written && check.ending && !check.ended {
             // The line is whole for the balancer once it sees the end; closed at once with bytes unread, it might
             // see a reset in place of the line.
             check.ended = true;
             check.stream.end_output();
         }
-        let interest = Interest { read: check.stream.unsent() < UNSENT, write: !written };
-        if check.stream.watch(reactor, Token::Health(key), interest).is_err() {
+        let interest = Interest {
+            read: check.stream.unsent() < UNSENT,
+            write: !written,
+        };
+        if check
+            .stream
+            .watch(reactor, Token::Health(key), interest)
+            .is_err()
+        {
             self.close(key, reactor);
         }
     }
 
     fn close(&mut self, key: Key, reactor: &Reactor) {
-        let Some(check) = self.checks.remove(key) else { return };
+        let Some(check) = self.checks.remove(key) else {
+            return;
+        };
         let place = usize::from(check.listener);
         drop(check);
         if let Some(listener) = self.listeners.get_mut(place) {
@@ -256,10 +330,23 @@
     /// Puts out whoever is slow; listeners that found no descriptor are looked at again.
     pub fn look_over(&mut self, now: Instant, reactor: &Reactor) {
         for key in self.checks.keys() {
-            let Some(check) = self.checks.get(key) else { continue };
-            let Some(set) = self.listeners.get(usize::from(check.listener)).map(|l| &l.set) else { continue };
-            let between = check.answered > 0 && check.stream.input.is_empty() && check.stream.unsent() == 0;
-            let allowed = if between && !check.ending { set.idle } else { set.patience };
+            let Some(check) = self.checks.get(key) else {
+                continue;
+            };
+            let Some(set) = self
+                .listeners
+                .get(usize::from(check.listener))
+                .map(|l| &l.set)
+            else {
+                continue;
+            };
+            let between =
+                check.answered > 0 && check.stream.input.is_empty() && check.stream.unsent() == 0;
+            let allowed = if between && !check.ending {
+                set.idle
+            } else {
+                set.patience
+            };
             if now.saturating_duration_since(check.since) >= allowed {
                 self.counts.slow += u64::from(!between);
                 self.close(key, reactor);
@@ -276,7 +363,13 @@
         if self.listeners.is_empty() {
             return String::new();
         }
-        let Counts { checks, refused, slow, faulty, reserve } = self.counts;
+        let Counts {
+            checks,
+            refused,
+            slow,
+            faulty,
+            reserve,
+        } = self.counts;
         let mut out = format!(
             "\nhealth: checks {checks}, connections {}; refused {refused}, slow {slow}, faulty {faulty}; of the reserve {reserve}",
             self.checks.len(),
@@ -307,11 +400,20 @@
 
 /// The status of one group: of no weight where it does not answer, since the others' traffic goes elsewhere.
 fn of_group(status: &Status, group: u32) -> Status {
-    let dead = status.groups.iter().find(|g| g.group == group).is_some_and(|g| !g.serves);
+    let dead = status
+        .groups
+        .iter()
+        .find(|g| g.group == group)
+        .is_some_and(|g| !g.serves);
     if dead && status.state.serves() {
         let weight = 1;
         let state = wire_health::State::Degraded(100);
-        return Status { state, weight, reason: format!("group {group} does not answer"), ..status.clone() };
+        return Status {
+            state,
+            weight,
+            reason: format!("group {group} does not answer"),
+            ..status.clone()
+        };
     }
     status.clone()
 }
--- a/crates/leverproxy/src/health/grpc.rs
+++ b/crates/leverproxy/src/health/grpc.rs
@@ -19,9 +19,16 @@
     impl Fronts {
         pub fn start(&mut self, set: &Listen) -> io::Result<()> {
             let listener = TcpListener::bind(set.address)?;
-            let settings = Settings { connections: set.connections, patience: set.patience };
+            let settings = Settings {
+                connections: set.connections,
+                patience: set.patience,
+            };
             let server = Server::start(listener, settings)?;
-            log::info!("health {}: answering gRPC checks on {}", set.name, server.address());
+            log::info!(
+                "health {}: answering gRPC checks on {}",
+                set.name,
+                server.address()
+            );
             self.0.push(server);
             Ok(())
         }
@@ -36,8 +43,12 @@
                 return;
             }
             let serves = status.state.serves();
-            let mut snapshot = Snapshot::from([(String::new(), serves), ("leverproxy".into(), serves)]);
-            let groups = status.groups.iter().map(|g| (format!("group/{}", g.group), serves && g.serves));
+            let mut snapshot =
+                Snapshot::from([(String::new(), serves), ("leverproxy".into(), serves)]);
+            let groups = status
+                .groups
+                .iter()
+                .map(|g| (format!("group/{}", g.group), serves && g.serves));
             snapshot.extend(groups);
             for server in &self.0 {
                 server.publish(snapshot.clone());
@@ -58,7 +69,10 @@
 
     impl Fronts {
         pub fn start(&mut self, set: &Listen) -> io::Result<()> {
-            let text = format!("health {}: this program is built without the feature grpc", set.name);
+            let text = format!(
+                "health {}: this program is built without the feature grpc",
+                set.name
+            );
             Err(io::Error::new(io::ErrorKind::Unsupported, text))
         }
 
--- a/crates/leverproxy/src/http.rs
+++ b/crates/leverproxy/src/http.rs
@@ -74,16 +74,24 @@
             let rest = &bytes[at..];
             match &mut self.state {
                 State::Head => {
-                    let Some((used, state)) = head(rest)? else { return Ok(at) };
+                    let Some((used, state)) = head(rest)? else {
+                        return Ok(at);
+                    };
                     self.state = state;
                     at += used;
                 }
                 State::Size => match httparse::parse_chunk_size(rest).map_err(|_| Fault::Chunk)? {
                     httparse::Status::Complete((used, left)) => {
-                        self.state = if left == 0 { State::Done } else { State::Chunk { left } };
+                        self.state = if left == 0 {
+                            State::Done
+                        } else {
+                            State::Chunk { left }
+                        };
                         at += used;
                     }
-                    httparse::Status::Partial if rest.len() > SIZE_LINE_LIMIT => return Err(Fault::Chunk),
+                    httparse::Status::Partial if rest.len() > SIZE_LINE_LIMIT => {
+                        return Err(Fault::Chunk)
+                    }
                     httparse::Status::Partial => return Ok(at),
                 },
                 State::Chunk { left } => {
@@ -106,7 +114,9 @@
                     _ => return Err(Fault::Chunk),
                 },
                 State::Plain { left } => {
-                    let most = left.map_or(usize::MAX, |left| usize::try_from(left).unwrap_or(usize::MAX));
+                    let most = left.map_or(usize::MAX, |left| {
+                        usize::try_from(left).unwrap_or(usize::MAX)
+                    });
                     let n = rest.len().min(most);
                     *left = left.map(|left| left - n as u64);
                     let done = *left == Some(0);
@@ -134,7 +144,9 @@
     let mut answer = httparse::Response::new(&mut headers);
     let used = match answer.parse(bytes) {
         Ok(httparse::Status::Complete(used)) => used,
-        Ok(httparse::Status::Partial) if bytes.len() > HEAD_LIMIT => return Err(Fault::HeadTooLong),
+        Ok(httparse::Status::Partial) if bytes.len() > HEAD_LIMIT => {
+            return Err(Fault::HeadTooLong)
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(Fault::HeadTooLong),
         Err(e) => return Err(Fault::NotHttp(e)),
@@ -144,14 +156,19 @@
         other => return Err(Fault::Status(other.unwrap_or_default())),
     }
     let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
-    let value =
-        |name: &str| answer.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| text(h.value));
+    let value = |name: &str| {
+        answer
+            .headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case(name))
+            .map(|h| text(h.value))
+    };
     let state = match (value("transfer-encoding"), value("content-length")) {
         (Some(encoding), _) if encoding.eq_ignore_ascii_case("chunked") => State::Size,
         (Some(encoding), _) => return Err(Fault::Encoding(encoding)),
-        (None, Some(length)) => {
-            State::Plain { left: Some(length.parse().map_err(|_| Fault::Length(length))?) }
-        }
+        (None, Some(length)) => State::Plain {
+            left: Some(length.parse().map_err(|_| Fault::Length(length))?),
+        },
         (None, None) => State::Plain { left: None },
     };
     Ok(Some((used, state)))
@@ -159,5 +176,6 @@
 
 /// A request for a stream of objects.
 pub fn get(host: &str, target: &str) -> Vec<u8> {
-    format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
+    format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
+        .into_bytes()
 }
--- a/crates/leverproxy/src/http/objects.rs
+++ b/crates/leverproxy/src/http/objects.rs
@@ -29,13 +29,17 @@
     pub fn take(&mut self, bytes: &[u8], parts: &mut Vec<Part>) -> Result<(), Fault> {
         let mut alive = !bytes.is_empty();
         for &byte in bytes {
-            let Some(place) = next(&self.place, byte)? else { continue };
+            let Some(place) = next(&self.place, byte)? else {
+                continue;
+            };
             alive = false;
             self.object.push(byte);
             self.place = place;
             if matches!(self.place, Place::Outside) {
                 let object = String::from_utf8(std::mem::take(&mut self.object));
-                parts.push(Part::Object(object.map_err(|e| Fault::NotJson(e.to_string()))?));
+                parts.push(Part::Object(
+                    object.map_err(|e| Fault::NotJson(e.to_string()))?,
+                ));
             }
             if self.object.len() > OBJECT_LIMIT {
                 return Err(Fault::TooLong);
--- a/crates/leverproxy/src/kept.rs
+++ b/crates/leverproxy/src/kept.rs
@@ -46,7 +46,12 @@
     pub fn take(folder: &Path, name: &str) -> Result<Lock, LockError> {
         let path = folder.join(name);
         let fault = |error| LockError::Io(path.clone(), error);
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path).map_err(fault)?;
+        let file = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(&path)
+            .map_err(fault)?;
         match file.try_lock() {
             Ok(()) => Ok(Lock { _file: file }),
             Err(TryLockError::WouldBlock) => Err(LockError::Held(path)),
@@ -73,14 +78,20 @@
 
 /// A name that no other process writes to: in an upgrade two may save.
 fn draft(path: &Path) -> io::Result<PathBuf> {
-    let mut name = path.file_name().ok_or(ErrorKind::IsADirectory)?.to_os_string();
+    let mut name = path
+        .file_name()
+        .ok_or(ErrorKind::IsADirectory)?
+        .to_os_string();
     name.push(format!(".{:016x}{DRAFT}", RandomState::new().hash_one(())));
     Ok(path.with_file_name(name))
 }
 
 fn write(draft: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
     injected(Call::FileCreate, || None)?;
-    let mut file = OpenOptions::new().write(true).create_new(true).open(draft)?;
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .open(draft)?;
     if let Ok(former) = fs::metadata(path) {
         // Who may read it stays as an operator has set it.
         _ = file.set_permissions(former.permissions());
@@ -107,13 +118,17 @@
 /// Without that a loss of power may bring the former file back.
 fn sync_folder(path: &Path) -> io::Result<()> {
     injected(Call::FolderSync, || None)?;
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
 /// Removes what a process that was killed has left half written, and nobody else writes now.
 pub fn remove_drafts(path: &Path) {
-    let (Some(folder), Some(name)) = (path.parent(), path.file_name()) else { return };
+    let (Some(folder), Some(name)) = (path.parent(), path.file_name()) else {
+        return;
+    };
     let mut start = OsString::from(name);
     start.push(".");
     for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
@@ -176,7 +191,10 @@
     let mut bytes = Vec::new();
     file.take(limit + 1).read_to_end(&mut bytes)?;
     if bytes.len() as u64 > limit {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, format!("it has more than {limit} bytes")));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("it has more than {limit} bytes"),
+        ));
     }
     Ok(Some(bytes))
 }
--- a/crates/leverproxy/src/kept/tests.rs
+++ b/crates/leverproxy/src/kept/tests.rs
@@ -16,8 +16,10 @@
     }
 
     fn names(&self) -> Vec<OsString> {
-        let mut names: Vec<_> =
-            fs::read_dir(&self.0).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+        let mut names: Vec<_> = fs::read_dir(&self.0)
+            .unwrap()
+            .map(|entry| entry.unwrap().file_name())
+            .collect();
         names.sort();
         names
     }
@@ -36,7 +38,12 @@
 }
 
 fn rule(call: Call, fault: Fault) -> Rule {
-    Rule { call, address: None, fault, times: 1 }
+    Rule {
+        call,
+        address: None,
+        fault,
+        times: 1,
+    }
 }
 
 #[test]
@@ -48,19 +55,30 @@
     save(&path, b"former one").unwrap();
     save(&path, b"later").unwrap();
     assert_eq!(load(&path, 9).unwrap().as_deref(), Some(&b"later"[..]));
-    assert_eq!(load(&path, 4).unwrap_err().kind(), io::ErrorKind::InvalidData);
+    assert_eq!(
+        load(&path, 4).unwrap_err().kind(),
+        io::ErrorKind::InvalidData
+    );
     let lock = Lock::take(&folder, "lock").unwrap();
-    assert!(matches!(Lock::take(&folder, "lock"), Err(LockError::Held(_))));
+    assert!(matches!(
+        Lock::take(&folder, "lock"),
+        Err(LockError::Held(_))
+    ));
     drop(lock);
     assert!(Lock::take(&folder, "lock").is_ok());
-    assert!(matches!(Lock::take(&folder.join("none"), "lock"), Err(LockError::Io(..))));
+    assert!(matches!(
+        Lock::take(&folder.join("none"), "lock"),
+        Err(LockError::Io(..))
+    ));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
 #[ignore = "a figure of the results: what a save costs on this disk"]
 fn saves_take() {
-    let folder = std::env::current_dir().unwrap().join(format!("kept-{}", std::process::id()));
+    let folder = std::env::current_dir()
+        .unwrap()
+        .join(format!("kept-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut took: Vec<u128> = (0..1_000_u32)
         .map(|n| {
@@ -71,7 +89,10 @@
         .collect();
     std::fs::remove_dir_all(&folder).unwrap();
     took.sort_unstable();
-    println!("1,000 saves of 256 bytes: p50 {} us, p99 {} us, most {} us", took[500], took[990], took[999]);
+    println!(
+        "1,000 saves of 256 bytes: p50 {} us, p99 {} us, most {} us",
+        took[500], took[990], took[999]
+    );
 }
 
 #[test]
@@ -80,13 +101,27 @@
     let path = folder.0.join("state");
     save(&path, b"former").unwrap();
     for errno in [Errno::NOSPC, Errno::IO, Errno::ROFS, Errno::DQUOT] {
-        for call in [Call::FileCreate, Call::FileWrite, Call::FileSync, Call::FileRename, Call::FolderSync] {
+        for call in [
+            Call::FileCreate,
+            Call::FileWrite,
+            Call::FileSync,
+            Call::FileRename,
+            Call::FolderSync,
+        ] {
             faults.add(rule(call, Fault::Fail(errno)));
             let error = save(&path, b"later").unwrap_err();
             assert_eq!(Errno::from_io_error(&error), Some(errno), "{call:?}");
             // Only its name's way to the disk was missing where the directory could not be synced.
-            let left = if call == Call::FolderSync { &b"later"[..] } else { b"former" };
-            assert_eq!(load(&path, 99).unwrap().as_deref(), Some(left), "{call:?} {errno}");
+            let left = if call == Call::FolderSync {
+                &b"later"[..]
+            } else {
+                b"former"
+            };
+            assert_eq!(
+                load(&path, 99).unwrap().as_deref(),
+                Some(left),
+                "{call:?} {errno}"
+            );
             assert_eq!(folder.names(), ["state"], "{call:?} {errno}");
             save(&path, b"former").unwrap();
             assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"former"[..]));
@@ -104,7 +139,10 @@
     assert!(save(&path, b"later").is_err());
     assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"former"[..]));
     // Short writes alone are gone on with.
-    faults.add(Rule { times: 4, ..rule(Call::FileWrite, Fault::AtMost(1)) });
+    faults.add(Rule {
+        times: 4,
+        ..rule(Call::FileWrite, Fault::AtMost(1))
+    });
     save(&path, b"later").unwrap();
     assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"later"[..]));
     assert_eq!((faults.met(Call::FileWrite), folder.names().len()), (6, 1));
@@ -115,11 +153,17 @@
 fn a_file_whose_sync_failed_is_written_anew() {
     let (folder, faults) = (Folder::new("sync"), faults());
     let path = folder.0.join("state");
-    faults.add(Rule { times: 2, ..rule(Call::FileSync, Fault::Fail(Errno::IO)) });
+    faults.add(Rule {
+        times: 2,
+        ..rule(Call::FileSync, Fault::Fail(Errno::IO))
+    });
     assert!(save(&path, b"state").is_err() && save(&path, b"state").is_err());
     assert_eq!(load(&path, 99).unwrap(), None);
     save(&path, b"state").unwrap();
-    assert_eq!((faults.made(Call::FileCreate), faults.made(Call::FileWrite)), (3, 3));
+    assert_eq!(
+        (faults.made(Call::FileCreate), faults.made(Call::FileWrite)),
+        (3, 3)
+    );
 }
 
 #[test]
--- a/crates/leverproxy/src/lending.rs
+++ b/crates/leverproxy/src/lending.rs
@@ -7,8 +7,8 @@
 use configuration::calendar::{Moment, Window};
 use configuration::model::{Credit, Lending as Stated};
 use lending::{
-    Action, Book, Config, Core, Event, Member, Milli, Rule, Rules, Shortage, Store, StoreError, Verdict,
-    SHORT_LASTS,
+    Action, Book, Config, Core, Event, Member, Milli, Rule, Rules, Shortage, Store, StoreError,
+    Verdict, SHORT_LASTS,
 };
 use membership::{Act, Fact, Status};
 use std::collections::BTreeMap;
@@ -61,7 +61,8 @@
 
 impl Store for Disk {
     fn save(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
-        kept::save(&self.path, bytes).map_err(|e| StoreError::Write(format!("{}: {e}", self.path.display())))
+        kept::save(&self.path, bytes)
+            .map_err(|e| StoreError::Write(format!("{}: {e}", self.path.display())))
     }
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
@@ -79,9 +80,14 @@
 
 impl Keeper {
     /// With what was kept, if anything was.
-    fn start(folder: &std::path::Path, mut waker: UnixStream) -> Result<(Keeper, Option<Vec<u8>>), Fault> {
+    fn start(
+        folder: &std::path::Path,
+        mut waker: UnixStream,
+    ) -> Result<(Keeper, Option<Vec<u8>>), Fault> {
         let lock = Lock::take(folder, LOCK)?;
-        let mut disk = Disk { path: folder.join(FILE) };
+        let mut disk = Disk {
+            path: folder.join(FILE),
+        };
         // One that is there and can't be read is a memory that is lost, which the core has to know of.
         let found = disk.load().unwrap_or_else(|error| {
             log::error!("loans: {error}");
@@ -101,8 +107,18 @@
                 _ = waker.write(&[1]);
             }
         };
-        thread::Builder::new().name("loans".into()).spawn(work).map_err(Fault::Thread)?;
-        Ok((Keeper { _lock: lock, jobs, done }, found))
+        thread::Builder::new()
+            .name("loans".into())
+            .spawn(work)
+            .map_err(Fault::Thread)?;
+        Ok((
+            Keeper {
+                _lock: lock,
+                jobs,
+                done,
+            },
+            found,
+        ))
     }
 }
 
@@ -115,7 +131,11 @@
 
 /// Nothing more is lent by it, and what is owed is repaid as before.
 fn closed(credit: Credit) -> Credit {
-    Credit { line: Duration::ZERO, not_during: Vec::new(), ..credit }
+    Credit {
+        line: Duration::ZERO,
+        not_during: Vec::new(),
+        ..credit
+    }
 }
 
 /// A fact that waits to be said.
@@ -193,8 +213,15 @@
             ("lending longest", former.longest == self.stated.longest),
         ];
         // Rules are made for the longest term that the core was started with.
-        self.stated = Stated { credits: std::mem::take(&mut self.stated.credits), ..former };
-        waits.into_iter().filter(|(_, same)| !same).map(|(key, _)| key).collect()
+        self.stated = Stated {
+            credits: std::mem::take(&mut self.stated.credits),
+            ..former
+        };
+        waits
+            .into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(key, _)| key)
+            .collect()
     }
 
     /// The file states no loans any more; the next start is without them.
@@ -208,7 +235,10 @@
         let quotas: BTreeMap<&str, f64> = quotas.collect();
         let mut rules = Vec::new();
         for credit in &self.stated.credits {
-            let Some(quota) = quotas.get(credit.stand.as_str()).filter(|quota| **quota > 0.0) else {
+            let Some(quota) = quotas
+                .get(credit.stand.as_str())
+                .filter(|quota| **quota > 0.0)
+            else {
                 log::warn!(
                     "loans: credit {}: the platform's settings have no tenant of that name with a quota; \
                             nothing is lent to it",
@@ -238,7 +268,9 @@
     /// Is a request beyond its stand's quota lent?
     pub fn ask(&mut self, stand: &str, class: &str, now: Instant) -> bool {
         let since = self.since(now);
-        let Some(running) = &mut self.running else { return false };
+        let Some(running) = &mut self.running else {
+            return false;
+        };
         let mut actions = Vec::new();
         let verdict = running.core.ask(since, stand, class, COST, &mut actions);
         self.act(actions, now);
@@ -269,12 +301,23 @@
 
     /// Of what a stand does without, so much is owed no more; and the share that it does without now. `quota`: requests a
     /// second that are its own here, of which it uses that share; `withheld`: requests that it has done without.
-    pub fn repay(&mut self, stand: &str, withheld: f64, quota: f64, used: f64, now: Instant) -> f64 {
+    pub fn repay(
+        &mut self,
+        stand: &str,
+        withheld: f64,
+        quota: f64,
+        used: f64,
+        now: Instant,
+    ) -> f64 {
         let since = self.since(now);
-        let Some(running) = &mut self.running else { return 0.0 };
+        let Some(running) = &mut self.running else {
+            return 0.0;
+        };
         running.core.repay(since, stand, (withheld * 1e3) as Milli);
         let used = (used * 1e3).min(1e3) as u32;
-        let share = running.core.withhold(since, stand, (quota * 1e3) as Milli, used);
+        let share = running
+            .core
+            .withhold(since, stand, (quota * 1e3) as Milli, used);
         match self.withheld.get_mut(stand) {
             Some(known) => *known = share,
             None if share > 0 => _ = self.withheld.insert(stand.to_owned(), share),
@@ -285,14 +328,34 @@
 
     /// The share of its quota that a stand does without.
     pub fn withheld(&self, stand: &str) -> f64 {
-        self.withheld.get(stand).map_or(0.0, |share| f64::from(*share) / 1e3)
+        self.withheld
+            .get(stand)
+            .map_or(0.0, |share| f64::from(*share) / 1e3)
     }
 
     /// What another proxy has said.
     pub fn heard(&mut self, fact: &Fact, now: Instant) {
         if lending::said::is_said(fact.kind) {
-            let Fact { source, start, kind, key, body, age, .. } = fact;
-            self.handle(Event::Fact { source, start: *start, kind: *kind, key, body, age: *age }, now);
+            let Fact {
+                source,
+                start,
+                kind,
+                key,
+                body,
+                age,
+                ..
+            } = fact;
+            self.handle(
+                Event::Fact {
+                    source,
+                    start: *start,
+                    kind: *kind,
+                    key,
+                    body,
+                    age: *age,
+                },
+                now,
+            );
         } else if fact.kind == SHORT && fact.body != [SHORT_VERSION] {
             self.malformed += 1;
         }
@@ -306,19 +369,43 @@
         }
         let view = members.view(now);
         let up = |status| matches!(status, Status::Alive | Status::Suspect);
-        let heard = view
-            .members
-            .into_iter()
-            .filter_map(|m| Some(Member { start: m.start?, up: up(m.status), name: m.name }));
+        let heard = view.members.into_iter().filter_map(|m| {
+            Some(Member {
+                start: m.start?,
+                up: up(m.status),
+                name: m.name,
+            })
+        });
         let heard: Vec<Member> = heard.collect();
-        let roster: Vec<String> = members.regions().into_iter().map(|(name, _)| name).collect();
+        let roster: Vec<String> = members
+            .regions()
+            .into_iter()
+            .map(|(name, _)| name)
+            .collect();
         let lend = members.allowed(Act::Lend, None, now).is_ok();
-        self.handle(Event::View { lend, roster: &roster, members: &heard }, now);
+        self.handle(
+            Event::View {
+                lend,
+                roster: &roster,
+                members: &heard,
+            },
+            now,
+        );
         self.look_for_room(members, now);
         let at = Moment::from_unix(Duration::from_millis(clock::unix_ms()));
         for credit in self.stated.credits.clone() {
-            let closed = credit.not_during.iter().filter_map(|w| self.windows.get(*w)).any(|w| w.holds(at));
-            self.handle(Event::Open { stand: &credit.stand, open: !closed }, now);
+            let closed = credit
+                .not_during
+                .iter()
+                .filter_map(|w| self.windows.get(*w))
+                .any(|w| w.holds(at));
+            self.handle(
+                Event::Open {
+                    stand: &credit.stand,
+                    open: !closed,
+                },
+                now,
+            );
         }
         if let Some((_, token)) = self.timer.take_if(|(due, _)| *due <= now) {
             self.handle(Event::Timer(token), now);
@@ -329,7 +416,11 @@
     /// Own shortage is told to all; another's counts as one's own.
     fn look_for_room(&mut self, members: &mut Members, now: Instant) {
         let own = self.shortage.is_short(self.since(now));
-        if own && self.short_told.is_none_or(|at| now.saturating_duration_since(at) >= SHORT_LASTS / 2) {
+        if own
+            && self
+                .short_told
+                .is_none_or(|at| now.saturating_duration_since(at) >= SHORT_LASTS / 2)
+        {
             self.short_told = Some(now);
             members.say(SHORT, Vec::new(), vec![SHORT_VERSION], SHORT_LASTS, now);
         }
@@ -366,7 +457,11 @@
     /// The core begins once this process is heard under its name and has its directory, and anew with another start.
     fn begin(&mut self, members: &Members, now: Instant) -> bool {
         let start = members.start();
-        if self.running.as_ref().is_some_and(|running| running.start == start) {
+        if self
+            .running
+            .as_ref()
+            .is_some_and(|running| running.start == start)
+        {
             return false;
         }
         if !members.is_heard() || now < self.try_again {
@@ -375,13 +470,16 @@
         if let Some(former) = self.running.take() {
             self.malformed += former.core.malformed();
         }
-        let keeper =
-            match self.stated.state.as_deref() {
-                None => Ok((None, None)),
-                Some(folder) => self.waker.try_clone().map_err(Fault::Thread).and_then(|waker| {
+        let keeper = match self.stated.state.as_deref() {
+            None => Ok((None, None)),
+            Some(folder) => self
+                .waker
+                .try_clone()
+                .map_err(Fault::Thread)
+                .and_then(|waker| {
                     Keeper::start(folder, waker).map(|(keeper, found)| (Some(keeper), found))
                 }),
-            };
+        };
         let (keeper, found) = match keeper {
             Ok(keeper) => keeper,
             Err(fault) => {
@@ -392,18 +490,41 @@
                 return false;
             }
         };
-        let Stated { lease, step, longest, .. } = self.stated;
-        let config = Config { lease, step, longest, ..Config::new(members.name(), start, keeper.is_some()) };
+        let Stated {
+            lease,
+            step,
+            longest,
+            ..
+        } = self.stated;
+        let config = Config {
+            lease,
+            step,
+            longest,
+            ..Config::new(members.name(), start, keeper.is_some())
+        };
         let core = Core::new(&config, self.since(now), found.as_deref());
-        log::info!("loans: begun, {}", if keeper.is_some() { "with a file" } else { "nothing is kept" });
-        self.running = Some(Running { core, start, keeper });
+        log::info!(
+            "loans: begun, {}",
+            if keeper.is_some() {
+                "with a file"
+            } else {
+                "nothing is kept"
+            }
+        );
+        self.running = Some(Running {
+            core,
+            start,
+            keeper,
+        });
         self.handle(Event::Timer(0), now);
         true
     }
 
     fn handle(&mut self, event: Event<'_>, now: Instant) {
         let since = self.since(now);
-        let Some(running) = &mut self.running else { return };
+        let Some(running) = &mut self.running else {
+            return;
+        };
         let mut actions = Vec::new();
         running.core.handle(since, event, &mut actions);
         self.act(actions, now);
@@ -412,7 +533,12 @@
     fn act(&mut self, actions: Vec<Action>, now: Instant) {
         for action in actions {
             match action {
-                Action::Tell { kind, key, body, lasts } => self.sayings.push((kind, key, body, lasts)),
+                Action::Tell {
+                    kind,
+                    key,
+                    body,
+                    lasts,
+                } => self.sayings.push((kind, key, body, lasts)),
                 Action::Save { sequence, bytes } => self.save(sequence, bytes),
                 Action::Timer { after, token } => self.timer = Some((now + after, token)),
                 Action::Notice(notice) => log::warn!("loans: {notice}"),
@@ -436,17 +562,35 @@
     }
 
     fn books(&self, now: Instant) -> Vec<(&str, Book)> {
-        let Some(running) = &self.running else { return Vec::new() };
+        let Some(running) = &self.running else {
+            return Vec::new();
+        };
         let book = |stand: &'_ str| running.core.book(self.since(now), stand);
-        let stands = self.stated.credits.iter().map(|credit| credit.stand.as_str());
-        stands.filter_map(|stand| Some((stand, book(stand)?))).collect()
+        let stands = self
+            .stated
+            .credits
+            .iter()
+            .map(|credit| credit.stand.as_str());
+        stands
+            .filter_map(|stand| Some((stand, book(stand)?)))
+            .collect()
     }
 
     /// For an operator, a line a stand.
     pub fn lines(&self, now: Instant) -> String {
-        let Some(running) = &self.running else { return "loans have not begun here\n".to_owned() };
-        let founded = if running.core.is_founded() { "founded" } else { "not founded: nothing is lent" };
-        let short = if self.short { ", room is short: nothing is lent" } else { "" };
+        let Some(running) = &self.running else {
+            return "loans have not begun here\n".to_owned();
+        };
+        let founded = if running.core.is_founded() {
+            "founded"
+        } else {
+            "not founded: nothing is lent"
+        };
+        let short = if self.short {
+            ", room is short: nothing is lent"
+        } else {
+            ""
+        };
         let mut text = format!("loans {founded}{short}\n");
         let since = self.since(now);
         for (stand, book) in self.books(now) {
@@ -468,43 +612,91 @@
         let books = self.books(now);
         type Of = fn(&Book) -> u64;
         let of: [(&str, &str, Of); 6] = [
-            ("lb_loan_lent_milli", "Thousandths of a request lent by this lane.", |b| b.lent),
+            (
+                "lb_loan_lent_milli",
+                "Thousandths of a request lent by this lane.",
+                |b| b.lent,
+            ),
             ("lb_loan_repaid_milli", "Of these, repaid.", |b| b.repaid),
-            ("lb_loan_written_off_milli", "Of these, given up.", |b| b.written_off),
+            ("lb_loan_written_off_milli", "Of these, given up.", |b| {
+                b.written_off
+            }),
             ("lb_loan_owed_milli", "Of these, owed still.", |b| b.owed),
-            ("lb_loan_part_milli", "What this proxy's part of the line comes to.", |b| b.part),
-            ("lb_loan_default", "Whether the stand is in default here.", |b| u64::from(b.in_default)),
+            (
+                "lb_loan_part_milli",
+                "What this proxy's part of the line comes to.",
+                |b| b.part,
+            ),
+            (
+                "lb_loan_default",
+                "Whether the stand is in default here.",
+                |b| u64::from(b.in_default),
+            ),
         ];
         for (name, help, value) in of {
-            let rows = books.iter().map(|(stand, book)| (vec![("stand", *stand)], value(book)));
+            let rows = books
+                .iter()
+                .map(|(stand, book)| (vec![("stand", *stand)], value(book)));
             figures.many(name, help, rows);
         }
         let lines = self.running.iter().flat_map(|r| r.core.lines());
         let lines = lines.map(|(stand, line)| (vec![("stand", stand)], line));
         figures.many("lb_loan_line_milli", "The line, by the rules here.", lines);
-        let withheld =
-            self.withheld.iter().map(|(s, share)| (vec![("stand", s.as_str())], u64::from(*share)));
-        figures.many("lb_loan_withheld", "Thousandths of its quota that a stand does without.", withheld);
-        let borrowed = self.borrowed.iter().map(|(s, n)| (vec![("stand", s.as_str())], *n));
+        let withheld = self
+            .withheld
+            .iter()
+            .map(|(s, share)| (vec![("stand", s.as_str())], u64::from(*share)));
+        figures.many(
+            "lb_loan_withheld",
+            "Thousandths of its quota that a stand does without.",
+            withheld,
+        );
+        let borrowed = self
+            .borrowed
+            .iter()
+            .map(|(s, n)| (vec![("stand", s.as_str())], *n));
         figures.many("lb_loans_total", "Requests lent.", borrowed);
-        let refused = self.refused.iter().map(|(reason, n)| (vec![("reason", *reason)], *n));
-        figures.many("lb_loans_refused_total", "Requests beyond quota not lent, by reason.", refused);
+        let refused = self
+            .refused
+            .iter()
+            .map(|(reason, n)| (vec![("reason", *reason)], *n));
+        figures.many(
+            "lb_loans_refused_total",
+            "Requests beyond quota not lent, by reason.",
+            refused,
+        );
         let core = self.running.as_ref().map(|running| &running.core);
         for (name, help, value) in [
-            ("lb_loans_running", "Whether the room of loans has begun.", u64::from(core.is_some())),
+            (
+                "lb_loans_running",
+                "Whether the room of loans has begun.",
+                u64::from(core.is_some()),
+            ),
             (
                 "lb_loans_founded",
                 "Whether loans can be made at all.",
                 u64::from(core.is_some_and(Core::is_founded)),
             ),
-            ("lb_loans_short", "Whether stands within quota are short of room.", u64::from(self.short)),
+            (
+                "lb_loans_short",
+                "Whether stands within quota are short of room.",
+                u64::from(self.short),
+            ),
             (
                 "lb_loans_lanes_taken",
                 "Lanes of dead proxies held.",
                 core.map_or(0, |c| c.taken().count() as u64),
             ),
-            ("lb_loans_lane_ms", "The start that names this proxy's lane.", core.map_or(0, Core::lane_from)),
-            ("lb_loans_given_back_total", "Requests lent that nothing was tried for.", self.given_back),
+            (
+                "lb_loans_lane_ms",
+                "The start that names this proxy's lane.",
+                core.map_or(0, Core::lane_from),
+            ),
+            (
+                "lb_loans_given_back_total",
+                "Requests lent that nothing was tried for.",
+                self.given_back,
+            ),
             (
                 "lb_loans_malformed_total",
                 "Facts of loans that could not be read.",
@@ -516,7 +708,11 @@
                 core.map_or(0, Core::not_kept),
             ),
             ("lb_loans_saves_total", "Files written.", self.saves),
-            ("lb_loans_saves_failed_total", "Files that could not be written.", self.saves_failed),
+            (
+                "lb_loans_saves_failed_total",
+                "Files that could not be written.",
+                self.saves_failed,
+            ),
         ] {
             figures.one(name, help, value);
         }
--- a/crates/leverproxy/src/locate.rs
+++ b/crates/leverproxy/src/locate.rs
@@ -24,7 +24,9 @@
 fn steps(path: &str) -> Vec<Step<'_>> {
     let parts = path.split(['.', '[']).filter(|part| !part.is_empty());
     let step = |part: &str| part.strip_suffix(']').and_then(|index| index.parse().ok());
-    parts.map(|part| step(part).map_or(Step::Field(part), Step::Item)).collect()
+    parts
+        .map(|part| step(part).map_or(Step::Field(part), Step::Item))
+        .collect()
 }
 
 struct Scan<'a> {
@@ -69,7 +71,10 @@
     }
 
     fn skip_space(&mut self) {
-        let space = self.text[self.at..].iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        let space = self.text[self.at..]
+            .iter()
+            .take_while(|byte| byte.is_ascii_whitespace())
+            .count();
         self.at += space;
     }
 
--- a/crates/leverproxy/src/locate/tests.rs
+++ b/crates/leverproxy/src/locate/tests.rs
@@ -32,9 +32,15 @@
 /// What is missing is missing from the last part that is there.
 #[test]
 fn a_missing_key_is_told_by_what_holds_it() {
-    assert_eq!(line_of(TEXT.as_bytes(), "settings.Classes[1].Effect"), Some(6));
+    assert_eq!(
+        line_of(TEXT.as_bytes(), "settings.Classes[1].Effect"),
+        Some(6)
+    );
     assert_eq!(line_of(TEXT.as_bytes(), "settings.RegistryMode"), Some(3));
-    assert_eq!(line_of(TEXT.as_bytes(), "settings.Classes[7].Name"), Some(4));
+    assert_eq!(
+        line_of(TEXT.as_bytes(), "settings.Classes[7].Name"),
+        Some(4)
+    );
     assert_eq!(line_of(TEXT.as_bytes(), "seed"), None);
 }
 
--- a/crates/leverproxy/src/logging.rs
+++ b/crates/leverproxy/src/logging.rs
@@ -88,7 +88,12 @@
 }
 
 pub fn text(time: &str, record: &Record<'_>) -> String {
-    let mut line = format!("[{time} {:<5} {}] {}", record.level(), record.target(), record.args());
+    let mut line = format!(
+        "[{time} {:<5} {}] {}",
+        record.level(),
+        record.target(),
+        record.args()
+    );
     _ = record.key_values().visit(&mut Text(&mut line));
     // A message is a line, whatever text of a peer it repeats.
     let mut line = line.replace('\n', "\\n");
@@ -100,10 +105,17 @@
 
 impl<'kvs> VisitSource<'kvs> for Object<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let number = value.to_u64().map(Json::from).or_else(|| value.to_i64().map(Json::from));
-        let other =
-            number.or_else(|| value.to_f64().map(Json::from)).or_else(|| value.to_bool().map(Json::from));
-        self.0.insert(key.to_string(), other.unwrap_or_else(|| Json::from(value.to_string())));
+        let number = value
+            .to_u64()
+            .map(Json::from)
+            .or_else(|| value.to_i64().map(Json::from));
+        let other = number
+            .or_else(|| value.to_f64().map(Json::from))
+            .or_else(|| value.to_bool().map(Json::from));
+        self.0.insert(
+            key.to_string(),
+            other.unwrap_or_else(|| Json::from(value.to_string())),
+        );
         Ok(())
     }
 }
