--- a/crates/leverproxy/src/members.rs
+++ b/crates/leverproxy/src/members.rs
@@ -6,7 +6,8 @@
 use crate::reactor::{Interest, Reactor, Token};
 use configuration::model::Members as Stated;
 use membership::{
-    Act, Action, Config, Core, Denied, Event, Fact, Member, Roster, RosterError, State, Status, View,
+    Act, Action, Config, Core, Denied, Event, Fact, Member, Roster, RosterError, State, Status,
+    View,
 };
 use peers::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use serde::{Deserialize, Serialize};
@@ -170,7 +171,10 @@
             return self.bind(now, reactor);
         }
         self.handle(Event::Timer(token), now);
-        if self.told.is_some_and(|told| now.saturating_duration_since(told) > ACCOUNT_LASTS / 2) {
+        if self
+            .told
+            .is_some_and(|told| now.saturating_duration_since(told) > ACCOUNT_LASTS / 2)
+        {
             self.tell(now);
         }
     }
@@ -199,7 +203,9 @@
         let mut bytes = [0; DATAGRAM_LIMIT + 1];
         for _ in 0..TURN {
             let Some(socket) = &self.socket else { return };
-            let Ok((length, _)) = socket.recv_from(&mut bytes) else { return };
+            let Ok((length, _)) = socket.recv_from(&mut bytes) else {
+                return;
+            };
             self.received += 1;
             let (from, start, payload) = match self.opener.open(&bytes[..length]) {
                 // Of a kind that this build does not know, from a later one: of no use here.
@@ -218,13 +224,24 @@
                 }
             };
             let payload = payload.to_vec();
-            self.handle(Event::Heard { from: &from, start, bytes: &payload }, now);
+            self.handle(
+                Event::Heard {
+                    from: &from,
+                    start,
+                    bytes: &payload,
+                },
+                now,
+            );
         }
     }
 
     fn handle(&mut self, event: Event<'_>, now: Instant) {
         let mut actions = Vec::new();
-        self.core.handle(now.saturating_duration_since(self.origin), event, &mut actions);
+        self.core.handle(
+            now.saturating_duration_since(self.origin),
+            event,
+            &mut actions,
+        );
         for action in actions {
             match action {
                 Action::Send { address, bytes, .. } => self.send(address, &bytes),
@@ -237,19 +254,30 @@
                     }
                 }
                 Action::State(state) => {
-                    let heads = self.core.view(now.saturating_duration_since(self.origin)).heads;
-                    log::info!("members: {state}, {} of {} are heard", heads.heard, heads.of);
+                    let heads = self
+                        .core
+                        .view(now.saturating_duration_since(self.origin))
+                        .heads;
+                    log::info!(
+                        "members: {state}, {} of {} are heard",
+                        heads.heard,
+                        heads.of
+                    );
                 }
                 // Whoever keeps it may be slow to fetch it; the newest matter.
                 Action::Fact(fact) if fact.kind != ACCOUNT => {
                     self.heard.truncate(HEARD_MOST - 1);
                     self.heard.push(fact);
                 }
-                Action::Fact(fact) => self.accounts_unread += u64::from(account(&fact.body).is_none()),
+                Action::Fact(fact) => {
+                    self.accounts_unread += u64::from(account(&fact.body).is_none())
+                }
                 Action::Untold(error) => {
                     log::warn!("members: what this proxy says of itself is not told: {error}")
                 }
-                Action::BadRoster(error) => log::error!("members: {error}; the former roster stays"),
+                Action::BadRoster(error) => {
+                    log::error!("members: {error}; the former roster stays")
+                }
                 Action::Renewed(start) => {
                     log::warn!(
                         "members: others know this name by start {} or later, and this process had {}: its clock was set back, \
@@ -266,11 +294,17 @@
 
     fn send(&mut self, to: SocketAddr, payload: &[u8]) {
         let mut out = Vec::new();
-        if let Err(error) = self.sealer.seal(MEMBERSHIP, self.stated.version, payload, &mut out) {
+        if let Err(error) = self
+            .sealer
+            .seal(MEMBERSHIP, self.stated.version, payload, &mut out)
+        {
             self.unsent += 1;
             self.unsealed += 1;
             if self.unsealed == 1 {
-                log::error!("members: {error}. {} Further ones are only counted", error.advice());
+                log::error!(
+                    "members: {error}. {} Further ones are only counted",
+                    error.advice()
+                );
             }
             return;
         }
@@ -286,15 +320,36 @@
 
     /// Says how this proxy is.
     fn tell(&mut self, now: Instant) {
-        let account = Account { build: env!("CARGO_PKG_VERSION").into(), serving: self.serving };
-        let Ok(body) = postcard::to_extend(&account, vec![ACCOUNT_VERSION]) else { return };
+        let account = Account {
+            build: env!("CARGO_PKG_VERSION").into(),
+            serving: self.serving,
+        };
+        let Ok(body) = postcard::to_extend(&account, vec![ACCOUNT_VERSION]) else {
+            return;
+        };
         self.told = Some(now);
-        self.handle(Event::Tell { kind: ACCOUNT, key: Vec::new(), body, lasts: ACCOUNT_LASTS }, now);
+        self.handle(
+            Event::Tell {
+                kind: ACCOUNT,
+                key: Vec::new(),
+                body,
+                lasts: ACCOUNT_LASTS,
+            },
+            now,
+        );
     }
 
     /// What another room of this proxy has to say to the others: it replaces what that said before under that key.
     pub fn say(&mut self, kind: u8, key: Vec<u8>, body: Vec<u8>, lasts: Duration, now: Instant) {
-        self.handle(Event::Tell { kind, key, body, lasts }, now);
+        self.handle(
+            Event::Tell {
+                kind,
+                key,
+                body,
+                lasts,
+            },
+            now,
+        );
     }
 
     /// What others have newly said, of all kinds but this room's own.
@@ -309,11 +364,13 @@
 
     /// What others have said of a kind and still holds.
     pub fn facts(&self, kind: u8, now: Instant) -> Vec<Fact> {
-        self.core.facts(now.saturating_duration_since(self.origin), kind)
+        self.core
+            .facts(now.saturating_duration_since(self.origin), kind)
     }
 
     pub fn allowed(&self, act: Act, region: Option<&str>, now: Instant) -> Result<(), Denied> {
-        self.core.allowed(now.saturating_duration_since(self.origin), act, region)
+        self.core
+            .allowed(now.saturating_duration_since(self.origin), act, region)
     }
 
     pub fn view(&self, now: Instant) -> View {
@@ -322,7 +379,11 @@
 
     /// The roster: names with their regions.
     pub fn regions(&self) -> Vec<(String, String)> {
-        self.stated.roster.iter().map(|m| (m.name.clone(), m.region.clone())).collect()
+        self.stated
+            .roster
+            .iter()
+            .map(|m| (m.name.clone(), m.region.clone()))
+            .collect()
     }
 
     /// It has been told to end, or serves after all.
@@ -340,7 +401,8 @@
 
     /// Takes over another roster and other keys; what waits for the next start.
     pub fn reload(&mut self, stated: &Stated, keys: Keys, now: Instant) -> Vec<&'static str> {
-        self.opener.set_names(stated.roster.iter().map(|m| m.name.clone()));
+        self.opener
+            .set_names(stated.roster.iter().map(|m| m.name.clone()));
         self.opener.set_keys(keys.clone());
         self.sealer.set_keys(keys);
         if (stated.version, &stated.roster) != (self.stated.version, &self.stated.roster) {
@@ -350,22 +412,42 @@
         let waits = [
             ("members listen", stated.listen == self.stated.listen),
             ("members period", stated.period == self.stated.period),
-            ("members suspicion", stated.suspicion == self.stated.suspicion),
+            (
+                "members suspicion",
+                stated.suspicion == self.stated.suspicion,
+            ),
         ];
-        self.stated = Stated { version, roster: list, ..self.stated.clone() };
-        waits.into_iter().filter(|(_, same)| !same).map(|(key, _)| key).collect()
+        self.stated = Stated {
+            version,
+            roster: list,
+            ..self.stated.clone()
+        };
+        waits
+            .into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(key, _)| key)
+            .collect()
     }
 
     fn accounts(&self, now: Instant) -> BTreeMap<String, Account> {
-        let facts = self.core.facts(now.saturating_duration_since(self.origin), ACCOUNT);
-        facts.into_iter().filter_map(|fact| Some((fact.source, account(&fact.body)?))).collect()
+        let facts = self
+            .core
+            .facts(now.saturating_duration_since(self.origin), ACCOUNT);
+        facts
+            .into_iter()
+            .filter_map(|fact| Some((fact.source, account(&fact.body)?)))
+            .collect()
     }
 
     /// For an operator, a line a member.
     pub fn lines(&self, now: Instant) -> String {
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
-        let doubting = if view.doubting { ", doubting itself" } else { "" };
+        let doubting = if view.doubting {
+            ", doubting itself"
+        } else {
+            ""
+        };
         let mut text = format!(
             "members {}{doubting}: {} of {} heard, roster version {}, {} say another\n",
             view.state, view.heads.heard, view.heads.of, view.roster, view.roster_differs
@@ -379,13 +461,21 @@
         let accounts = self.accounts(now);
         for member in view.members {
             let age = since_origin.saturating_sub(member.since).as_secs();
-            let how = if member.direct { "heard directly" } else { "not heard directly" };
+            let how = if member.direct {
+                "heard directly"
+            } else {
+                "not heard directly"
+            };
             let account = accounts.get(&member.name).map_or(String::new(), |account| {
                 let phase = if account.serving { "serving" } else { "ending" };
                 format!(", {phase}, build {}", account.build)
             });
             let status = word(member.status);
-            _ = writeln!(text, "  member {} {status} for {age} s, {how}{account}", member.name);
+            _ = writeln!(
+                text,
+                "  member {} {status} for {age} s, {how}{account}",
+                member.name
+            );
         }
         text
     }
@@ -393,11 +483,16 @@
     pub fn figures(&self, now: Instant, figures: &mut Figures) {
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
-        let states =
-            [State::Whole, State::Degraded, State::Minority, State::Alone].map(|s| (s.to_string(), s));
-        let state =
-            states.iter().map(|(name, s)| (vec![("state", name.as_str())], u64::from(*s == view.state)));
-        figures.many("lb_members_state", "How much of the roster is heard.", state);
+        let states = [State::Whole, State::Degraded, State::Minority, State::Alone]
+            .map(|s| (s.to_string(), s));
+        let state = states
+            .iter()
+            .map(|(name, s)| (vec![("state", name.as_str())], u64::from(*s == view.state)));
+        figures.many(
+            "lb_members_state",
+            "How much of the roster is heard.",
+            state,
+        );
         let members = view.members.iter().flat_map(|member| {
             STATUSES.into_iter().map(|status| {
                 let labels = vec![("member", member.name.as_str()), ("status", word(status))];
@@ -405,20 +500,49 @@
             })
         });
         figures.many("lb_member", "What is known of each other member.", members);
-        let direct = view.members.iter().map(|m| (vec![("member", m.name.as_str())], u64::from(m.direct)));
-        figures.many("lb_member_direct", "Whether its last sign of life was its own datagram.", direct);
+        let direct = view
+            .members
+            .iter()
+            .map(|m| (vec![("member", m.name.as_str())], u64::from(m.direct)));
+        figures.many(
+            "lb_member_direct",
+            "Whether its last sign of life was its own datagram.",
+            direct,
+        );
         let accounts = self.accounts(now);
-        let serving =
-            accounts.iter().map(|(name, a)| (vec![("member", name.as_str())], u64::from(a.serving)));
-        figures.many("lb_member_serving", "What it says of itself, while that has not lapsed.", serving);
+        let serving = accounts
+            .iter()
+            .map(|(name, a)| (vec![("member", name.as_str())], u64::from(a.serving)));
+        figures.many(
+            "lb_member_serving",
+            "What it says of itself, while that has not lapsed.",
+            serving,
+        );
         let allowed = ACTS.into_iter().map(|act| {
-            (vec![("act", name(act))], u64::from(self.core.allowed(since_origin, act, None).is_ok()))
+            (
+                vec![("act", name(act))],
+                u64::from(self.core.allowed(since_origin, act, None).is_ok()),
+            )
         });
-        figures.many("lb_members_allowed", "What may be done in this state.", allowed);
-        let changes = self.changes.iter().map(|(status, n)| (vec![("status", *status)], *n));
-        figures.many("lb_members_changes_total", "How often a member became that.", changes);
+        figures.many(
+            "lb_members_allowed",
+            "What may be done in this state.",
+            allowed,
+        );
+        let changes = self
+            .changes
+            .iter()
+            .map(|(status, n)| (vec![("status", *status)], *n));
+        figures.many(
+            "lb_members_changes_total",
+            "How often a member became that.",
+            changes,
+        );
         let counts = view.counts;
-        let refused = self.refused.iter().map(|(reason, n)| (vec![("reason", *reason)], *n));
+        let refused = self
+            .refused
+            .iter()
+            .map(|(reason, n)| (vec![("reason", *reason)], *n));
         let beyond = [
             ("stranger", counts.strangers),
             ("earlier", counts.earlier),
@@ -426,10 +550,21 @@
             ("malformed-inside", counts.malformed),
         ];
         let beyond = beyond.map(|(reason, n)| (vec![("reason", reason)], n));
-        figures.many("lb_members_refused_total", "Datagrams not taken in, by reason.", refused.chain(beyond));
-        let unread = [("account", self.accounts_unread), ("rates", self.rates_unread)];
+        figures.many(
+            "lb_members_refused_total",
+            "Datagrams not taken in, by reason.",
+            refused.chain(beyond),
+        );
+        let unread = [
+            ("account", self.accounts_unread),
+            ("rates", self.rates_unread),
+        ];
         let unread = unread.map(|(of, n)| (vec![("of", of)], n));
-        figures.many("lb_members_facts_unread_total", "Facts of another version, or torn.", unread);
+        figures.many(
+            "lb_members_facts_unread_total",
+            "Facts of another version, or torn.",
+            unread,
+        );
         for (name, help, value) in [
             (
                 "lb_start_ms",
@@ -482,8 +617,13 @@
 }
 
 const ACTS: [Act; 4] = [Act::Lend, Act::Repay, Act::Promote, Act::Halt];
-const STATUSES: [Status; 5] =
-    [Status::NeverHeard, Status::Alive, Status::Suspect, Status::Down, Status::Left];
+const STATUSES: [Status; 5] = [
+    Status::NeverHeard,
+    Status::Alive,
+    Status::Suspect,
+    Status::Down,
+    Status::Left,
+];
 
 /// None: of another version, or torn.
 fn account(body: &[u8]) -> Option<Account> {
@@ -520,7 +660,10 @@
         address: m.address,
         region: m.region.clone(),
     };
-    Roster { version: stated.version, members: stated.roster.iter().map(member).collect() }
+    Roster {
+        version: stated.version,
+        members: stated.roster.iter().map(member).collect(),
+    }
 }
 
 #[cfg(test)]
--- a/crates/leverproxy/src/members/recorded.rs
+++ b/crates/leverproxy/src/members/recorded.rs
@@ -28,7 +28,14 @@
 }
 
 fn hear(members: &mut Members, bytes: &[u8], now: Instant) {
-    members.handle(Event::Heard { from: "n1", start: START, bytes }, now);
+    members.handle(
+        Event::Heard {
+            from: "n1",
+            start: START,
+            bytes,
+        },
+        now,
+    );
 }
 
 #[test]
@@ -36,7 +43,10 @@
     let now = Instant::now();
     let mut members = joined(now);
     hear(&mut members, &hex::decode(DATAGRAM).unwrap(), now);
-    let account = Account { build: "0.1.0".into(), serving: true };
+    let account = Account {
+        build: "0.1.0".into(),
+        serving: true,
+    };
     assert_eq!(members.accounts(now), [("n1".to_owned(), account)].into());
     assert_eq!(members.accounts_unread, 0);
 }
@@ -47,7 +57,11 @@
     let now = Instant::now();
     let mut members = joined(now);
     let later = BODY.replacen("01", "02", 1);
-    hear(&mut members, &hex::decode(DATAGRAM.replace(BODY, &later)).unwrap(), now);
+    hear(
+        &mut members,
+        &hex::decode(DATAGRAM.replace(BODY, &later)).unwrap(),
+        now,
+    );
     assert_eq!(members.core.facts(Duration::ZERO, ACCOUNT).len(), 1);
     assert_eq!(members.accounts(now), BTreeMap::new());
     assert_eq!(members.view(now).counts.malformed, 0);
--- a/crates/leverproxy/src/memory.rs
+++ b/crates/leverproxy/src/memory.rs
@@ -93,13 +93,21 @@
 fn of_kept(hand: memoir::Hand) -> Hand {
     let ms = Duration::from_millis;
     let memoir::Hand { name, out, before } = hand;
-    Hand { name, out: out.map(ms), before: before.map(|(from, to)| (ms(from), ms(to))) }
+    Hand {
+        name,
+        out: out.map(ms),
+        before: before.map(|(from, to)| (ms(from), ms(to))),
+    }
 }
 
 fn to_keep(hand: Hand) -> memoir::Hand {
     let ms = |at: Duration| at.as_millis() as u64;
     let Hand { name, out, before } = hand;
-    memoir::Hand { name, out: out.map(ms), before: before.map(|(from, to)| (ms(from), ms(to))) }
+    memoir::Hand {
+        name,
+        out: out.map(ms),
+        before: before.map(|(from, to)| (ms(from), ms(to))),
+    }
 }
 
 impl Memory {
@@ -114,10 +122,15 @@
     ) -> (Memory, Recalled) {
         let path = stated.state.join(FILE);
         let platform = (known.index > 0 || !known.endpoints.is_empty()).then_some(known.index);
-        let after = if heir { After::Elder } else { After::Nobody { platform } };
+        let after = if heir {
+            After::Elder
+        } else {
+            After::Nobody { platform }
+        };
         let read = kept::load(&path, FILE_MOST).map_err(|error| Fault::Read(path.clone(), error));
-        let read = read
-            .and_then(|kept| recall(name, kept.as_deref(), after).map_err(|why| Fault::Unread(path, why)));
+        let read = read.and_then(|kept| {
+            recall(name, kept.as_deref(), after).map_err(|why| Fault::Unread(path, why))
+        });
         let foreign = matches!(read, Err(Fault::Unread(_, memoir::Fault::Foreign(_))));
         let unread = read.is_err();
         let (recalled, found) = read.unwrap_or_else(|fault| {
@@ -129,14 +142,21 @@
             match Listing::parse(&list.bytes) {
                 // Asked for anew in whole: discovery may count anew below it.
                 Ok(kept) => listing = Some(Listing { index: 0, ..kept }),
-                Err(error) => log::warn!("memory: the list that was kept is not understood: {}", error.0),
+                Err(error) => log::warn!(
+                    "memory: the list that was kept is not understood: {}",
+                    error.0
+                ),
             }
         }
         let hands: Vec<Hand> = recalled.hands.into_iter().map(of_kept).collect();
         if found.is_some() {
-            let servers = listing.as_ref().map_or(0, |listing| listing.endpoints.len());
+            let servers = listing
+                .as_ref()
+                .map_or(0, |listing| listing.endpoints.len());
             let out = hands.iter().filter(|hand| hand.out.is_some()).count();
-            log::info!("memory: {servers} record servers are known from before, {out} are out by hand");
+            log::info!(
+                "memory: {servers} record servers are known from before, {out} are out by hand"
+            );
         }
         let memory = Memory {
             core: Core::new(name, stated.every, found),
@@ -155,7 +175,14 @@
             saves_failed: 0,
             went_back: 0,
         };
-        (memory, Recalled { start: recalled.start, listing, hands })
+        (
+            memory,
+            Recalled {
+                start: recalled.start,
+                listing,
+                hands,
+            },
+        )
     }
 
     pub fn stated(&self) -> &Stated {
@@ -196,7 +223,8 @@
             }
         }
         let since = now.saturating_duration_since(self.origin);
-        let list = list.filter(|(index, _)| self.index != Some(*index) && self.core.takes_list(since));
+        let list =
+            list.filter(|(index, _)| self.index != Some(*index) && self.core.takes_list(since));
         if let Some((index, listing)) = list {
             // Plain data: what can't be written would be no list.
             if let Ok(bytes) = serde_json::to_vec(&listing()) {
@@ -276,7 +304,11 @@
         self.promised.retain(|(key, word, at)| {
             let answered = kept || hopeless || due(*at);
             if answered {
-                let text = if kept { (*word).to_owned() } else { format!("{word}, not kept") };
+                let text = if kept {
+                    (*word).to_owned()
+                } else {
+                    format!("{word}, not kept")
+                };
                 answers.push((*key, Answer::line(Status::Ok, &text)));
             }
             !answered
--- a/crates/leverproxy/src/monitor.rs
+++ b/crates/leverproxy/src/monitor.rs
@@ -5,7 +5,9 @@
 use crate::request::{Answer, Done, Verdict};
 use crate::sites::{self, Sites};
 use crate::upstream::Sign;
-use availability::{Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings};
+use availability::{
+    Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
+};
 use mountshift::{Arrival, Entry, GroupId, ListNews, Listed, RequestId, StoreId, Time};
 use site_plan::Event as SiteEvent;
 use std::time::{Duration, Instant};
@@ -80,7 +82,8 @@
     }
 
     pub fn event(&mut self, now: Instant, event: Event) {
-        self.model.handle(now.saturating_duration_since(self.start), event);
+        self.model
+            .handle(now.saturating_duration_since(self.start), event);
     }
 
     fn of_sites(&mut self, now: Instant, event: SiteEvent) {
@@ -99,10 +102,18 @@
 
     /// An operator's word on servers, beside what becomes of the list by it.
     pub fn hands(&mut self, news: &ListNews, now: Instant) {
-        let ListNews::Changes(entries) = news else { return };
+        let ListNews::Changes(entries) = news else {
+            return;
+        };
         for entry in entries {
             let out = entry.listed != Listed::Ready;
-            self.of_sites(now, SiteEvent::Hand { server: entry.store.0, out });
+            self.of_sites(
+                now,
+                SiteEvent::Hand {
+                    server: entry.store.0,
+                    out,
+                },
+            );
         }
     }
 
@@ -117,7 +128,9 @@
     pub fn arrived(&mut self, arrival: &Arrival, now: Instant) -> f64 {
         self.asked(arrival.group, now);
         let since = now.saturating_duration_since(self.start);
-        self.sites.as_mut().map_or(0.0, |sites| sites.asked(since, arrival))
+        self.sites
+            .as_mut()
+            .map_or(0.0, |sites| sites.asked(since, arrival))
     }
 
     /// An attempt is made for a request, or it is over; `refused`: for want of room.
@@ -151,13 +164,22 @@
     pub fn ended(&mut self, done: &Done, now: Instant) {
         let how = match done.verdict {
             // It has answered, whatever it said.
-            Verdict::Served(_) | Verdict::Reported(_) | Verdict::Failed | Verdict::Spoilt => Ended::Answered,
+            Verdict::Served(_) | Verdict::Reported(_) | Verdict::Failed | Verdict::Spoilt => {
+                Ended::Answered
+            }
             Verdict::Miss | Verdict::Full => Ended::TurnedAway,
             Verdict::ConnectFailed | Verdict::Reset | Verdict::TimedOut => Ended::Broken,
             Verdict::Cancelled | Verdict::NeverSent => Ended::CalledOff,
         };
         if let Some(group) = done.group {
-            self.event(now, Event::Ended { group: group.0, how, elapsed: done.elapsed });
+            self.event(
+                now,
+                Event::Ended {
+                    group: group.0,
+                    how,
+                    elapsed: done.elapsed,
+                },
+            );
         }
         let server = done.store.0;
         let sign = match done.verdict {
@@ -175,8 +197,15 @@
             sites.ended(now.saturating_duration_since(self.start), done);
         }
         // Of an exchange that never got a connection its dial has told.
-        let word = matches!(how, Ended::Answered | Ended::TurnedAway) || done.verdict == Verdict::Reset;
-        self.event(now, Event::Over { server: done.store.0, word });
+        let word =
+            matches!(how, Ended::Answered | Ended::TurnedAway) || done.verdict == Verdict::Reset;
+        self.event(
+            now,
+            Event::Over {
+                server: done.store.0,
+                word,
+            },
+        );
     }
 
     /// What an answer or a report tells of its server; positions are Unix times.
@@ -190,7 +219,14 @@
     ) {
         let (unix, here) = (clock.unix(now), now.saturating_duration_since(self.start));
         let position = position.map(|at| (here + at.since(unix)).saturating_sub(unix.since(at)));
-        self.event(now, Event::Told { server: store.0, position, primary });
+        self.event(
+            now,
+            Event::Told {
+                server: store.0,
+                position,
+                primary,
+            },
+        );
     }
 
     pub fn sign(&mut self, sign: Sign, now: Instant) {
@@ -206,11 +242,27 @@
         for entry in entries {
             let (server, place, group) = (entry.store.0, entry.zone.0, entry.group.0);
             let there = entry.listed != Listed::Gone;
-            self.event(now, Event::Listed { server, place, group, there });
+            self.event(
+                now,
+                Event::Listed {
+                    server,
+                    place,
+                    group,
+                    there,
+                },
+            );
             self.of_sites(now, sites::listed(entry));
         }
         for store in gone {
-            self.event(now, Event::Listed { server: store.0, place: 0, group: 0, there: false });
+            self.event(
+                now,
+                Event::Listed {
+                    server: store.0,
+                    place: 0,
+                    group: 0,
+                    there: false,
+                },
+            );
             self.of_sites(now, sites::gone(store));
         }
     }
@@ -225,12 +277,24 @@
     pub fn answered(&mut self, group: GroupId, write: bool, answer: &Answer, now: Instant) {
         let group = group.0;
         if write && !matches!(answer, Answer::Rejected(_)) {
-            self.event(now, Event::Wrote { group, served: matches!(answer, Answer::Served(_)) });
+            self.event(
+                now,
+                Event::Wrote {
+                    group,
+                    served: matches!(answer, Answer::Served(_)),
+                },
+            );
         }
         self.answered += 1;
         match answer {
             Answer::Served(_) => self.event(now, Event::Served { group }),
-            Answer::Refused(_) => self.event(now, Event::Refused { group, cause: Cause::Servers }),
+            Answer::Refused(_) => self.event(
+                now,
+                Event::Refused {
+                    group,
+                    cause: Cause::Servers,
+                },
+            ),
             Answer::Failed => {
                 self.failed += 1;
                 self.event(now, Event::Failed { group });
@@ -247,20 +311,35 @@
     /// Takes the proxy's load.
     pub fn look(&mut self, usage: Usage, now: Instant) {
         self.usage = usage;
-        if self.memory_at.is_none_or(|at| now.saturating_duration_since(at) >= MEMORY_LOOK) {
+        if self
+            .memory_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= MEMORY_LOOK)
+        {
             self.memory_at = Some(now);
             self.memory = part(resident(), usage.memory_limit);
         }
-        let span = now.saturating_duration_since(self.looked).as_secs_f64().max(1e-3);
+        let span = now
+            .saturating_duration_since(self.looked)
+            .as_secs_f64()
+            .max(1e-3);
         let used = Clock::cpu();
         let smooth = (-span / RATE_SPAN).exp();
         let mix = |old: f64, new: f64| old * smooth + new * (1.0 - smooth);
-        self.cpu = mix(self.cpu, used.saturating_sub(self.cpu_used).as_secs_f64() / span);
-        self.answered_per_s = mix(self.answered_per_s, std::mem::take(&mut self.answered) as f64 / span);
-        self.failed_per_s = mix(self.failed_per_s, std::mem::take(&mut self.failed) as f64 / span);
+        self.cpu = mix(
+            self.cpu,
+            used.saturating_sub(self.cpu_used).as_secs_f64() / span,
+        );
+        self.answered_per_s = mix(
+            self.answered_per_s,
+            std::mem::take(&mut self.answered) as f64 / span,
+        );
+        self.failed_per_s = mix(
+            self.failed_per_s,
+            std::mem::take(&mut self.failed) as f64 / span,
+        );
         (self.cpu_used, self.looked) = (used, now);
-        let descriptors =
-            part(usage.clients, usage.clients_limit).max(part(usage.upstream, usage.upstream_limit));
+        let descriptors = part(usage.clients, usage.clients_limit)
+            .max(part(usage.upstream, usage.upstream_limit));
         let load = Load {
             lag: std::mem::take(&mut self.lag),
             open: part(usage.open, usage.clients_limit),
@@ -272,7 +351,13 @@
             self.of_sites(now, SiteEvent::Late(load.lag));
             let links: Vec<(u16, Link)> = self.model.links().collect();
             for (site, link) in links {
-                self.of_sites(now, SiteEvent::Cut { site, on: link == Link::Cut });
+                self.of_sites(
+                    now,
+                    SiteEvent::Cut {
+                        site,
+                        on: link == Link::Cut,
+                    },
+                );
             }
             self.of_sites(now, SiteEvent::Tick);
         }
@@ -281,7 +366,9 @@
     /// What is told of sites, at the control socket and among the figures.
     pub fn site_lines(&self, now: Instant) -> String {
         let now = now.saturating_duration_since(self.start);
-        self.sites.as_ref().map_or(String::new(), |sites| sites.lines(now, |p| self.zone(p).to_owned()))
+        self.sites.as_ref().map_or(String::new(), |sites| {
+            sites.lines(now, |p| self.zone(p).to_owned())
+        })
     }
 
     /// The answer to who asks for sites, or for one by its name.
@@ -295,9 +382,11 @@
 
     pub fn site_figures(&self, now: Instant, figures: &mut Figures) {
         if let Some(sites) = &self.sites {
-            sites.figures(now.saturating_duration_since(self.start), figures, |place| {
-                self.zone(place).to_owned()
-            });
+            sites.figures(
+                now.saturating_duration_since(self.start),
+                figures,
+                |place| self.zone(place).to_owned(),
+            );
         }
     }
 
@@ -307,18 +396,32 @@
 
     pub fn status(&self) -> Status {
         let report = self.model.report();
-        let Load { open, descriptors, memory, .. } = report.load;
-        let groups = self.model.groups().map(|(group, state)| wire_health::Group {
-            group,
-            condition: state.condition.name(),
-            serves: !matches!(state.condition, Condition::Hung | Condition::Dead),
-        });
+        let Load {
+            open,
+            descriptors,
+            memory,
+            ..
+        } = report.load;
+        let groups = self
+            .model
+            .groups()
+            .map(|(group, state)| wire_health::Group {
+                group,
+                condition: state.condition.name(),
+                serves: !matches!(state.condition, Condition::Hung | Condition::Dead),
+            });
         Status {
             state: report.state,
             weight: report.weight,
             reason: self.reason(report),
-            room: u32::try_from(self.usage.clients_limit).ok().filter(|limit| *limit > 0),
-            come_back: if report.state.serves() { Duration::from_secs(1) } else { DRAIN_COME_BACK },
+            room: u32::try_from(self.usage.clients_limit)
+                .ok()
+                .filter(|limit| *limit > 0),
+            come_back: if report.state.serves() {
+                Duration::from_secs(1)
+            } else {
+                DRAIN_COME_BACK
+            },
             load: wire_health::Load {
                 cpu: self.cpu,
                 memory,
@@ -329,12 +432,17 @@
                 descriptors,
             },
             groups: groups.collect(),
-            links: self.links().map(|(place, link)| (place.to_owned(), link.name())).collect(),
+            links: self
+                .links()
+                .map(|(place, link)| (place.to_owned(), link.name()))
+                .collect(),
         }
     }
 
     fn links(&self) -> impl Iterator<Item = (&str, Link)> {
-        self.model.links().map(|(place, link)| (self.zone(place), link))
+        self.model
+            .links()
+            .map(|(place, link)| (self.zone(place), link))
     }
 
     fn zone(&self, place: u16) -> &str {
@@ -352,7 +460,10 @@
             Reason::Primary(group) => format!("group {group} takes no writes"),
             Reason::Link(place) => format!("the link to {} is cut", self.zone(place)),
             Reason::Servers => "record servers refuse or fail".into(),
-            Reason::Slow => format!("record servers take {:.1} times as long as usual", report.slowness),
+            Reason::Slow => format!(
+                "record servers take {:.1} times as long as usual",
+                report.slowness
+            ),
         }
     }
 
@@ -383,7 +494,9 @@
 }
 
 fn zone(zones: &[String], place: u16) -> &str {
-    zones.get(usize::from(place)).map_or("a place without a name", String::as_str)
+    zones
+        .get(usize::from(place))
+        .map_or("a place without a name", String::as_str)
 }
 
 fn part(used: usize, limit: usize) -> f64 {
@@ -394,7 +507,10 @@
 fn resident() -> usize {
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let mut pages = text.split(' ').skip(1).map(|pages| pages.parse::<usize>().unwrap_or(0));
+    let mut pages = text
+        .split(' ')
+        .skip(1)
+        .map(|pages| pages.parse::<usize>().unwrap_or(0));
     let (resident, shared) = (pages.next().unwrap_or(0), pages.next().unwrap_or(0));
     resident.saturating_sub(shared) * PAGE
 }
--- a/crates/leverproxy/src/net.rs
+++ b/crates/leverproxy/src/net.rs
@@ -18,7 +18,11 @@
 const KEPT: usize = 16 << 10;
 
 fn socket(address: &SocketAddr) -> Result<OwnedFd, Errno> {
-    system_calls::socket(if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 })
+    system_calls::socket(if address.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    })
 }
 
 /// `shared`: another process of the same owner may listen there as well.
@@ -195,7 +199,14 @@
 impl Stream {
     pub fn new(fd: OwnedFd) -> Stream {
         let (input, output) = (Buffer::default(), Buffer::default());
-        Stream { fd, input, output, interest: None, short: false, retried: false }
+        Stream {
+            fd,
+            input,
+            output,
+            interest: None,
+            short: false,
+            retried: false,
+        }
     }
 
     pub fn fd(&self) -> &OwnedFd {
--- a/crates/leverproxy/src/operate.rs
+++ b/crates/leverproxy/src/operate.rs
@@ -56,10 +56,18 @@
     /// heir takes that of its elder, whose words are its own from then on.
     pub fn listen(path: &Path, heir: bool, reactor: &Reactor) -> io::Result<Operate> {
         if !heir && UnixStream::connect(path).is_ok() {
-            return Err(io::Error::new(io::ErrorKind::AddrInUse, "the control socket is another proxy's"));
+            return Err(io::Error::new(
+                io::ErrorKind::AddrInUse,
+                "the control socket is another proxy's",
+            ));
         }
         let (listener, file) = Operate::bind(path, reactor)?;
-        Ok(Operate { listener, path: path.to_owned(), file, peers: Slots::default() })
+        Ok(Operate {
+            listener,
+            path: path.to_owned(),
+            file,
+            peers: Slots::default(),
+        })
     }
 
     /// The place was an heir's that is gone.
@@ -92,9 +100,17 @@
                 _ = stream.flush();
                 continue;
             }
-            let key = self.peers.insert(Peer { stream, since: now, answered: false });
+            let key = self.peers.insert(Peer {
+                stream,
+                since: now,
+                answered: false,
+            });
             if let Some(peer) = self.peers.get_mut(key) {
-                if peer.stream.watch(reactor, Token::Operate(key), Interest::READ).is_err() {
+                if peer
+                    .stream
+                    .watch(reactor, Token::Operate(key), Interest::READ)
+                    .is_err()
+                {
                     self.peers.remove(key);
                 }
             }
@@ -106,23 +122,31 @@
         let peer = self.peers.get_mut(key)?;
         let filled = peer.stream.fill(LINE_LIMIT);
         let input = peer.stream.input.unused();
-        let line =
-            input.iter().position(|b| *b == b'\n').and_then(|end| std::str::from_utf8(&input[..end]).ok());
+        let line = input
+            .iter()
+            .position(|b| *b == b'\n')
+            .and_then(|end| std::str::from_utf8(&input[..end]).ok());
         let word = match line.map(str::trim) {
             Some("drain") => Some(Word::Drain),
             Some("undrain") => Some(Word::Undrain),
             Some("status") => Some(Word::Status),
             Some("sites") => Some(Word::Sites(None)),
-            Some(line) if line.starts_with("sites ") => {
-                Some(Word::Sites(line.strip_prefix("sites ").map(|name| name.trim().to_owned())))
-            }
-            Some(line) => line.strip_prefix("rollout ").and_then(crate::rollout::said).map(Word::Rollout),
+            Some(line) if line.starts_with("sites ") => Some(Word::Sites(
+                line.strip_prefix("sites ")
+                    .map(|name| name.trim().to_owned()),
+            )),
+            Some(line) => line
+                .strip_prefix("rollout ")
+                .and_then(crate::rollout::said)
+                .map(Word::Rollout),
             None if filled == Filled::Ended || input.len() >= LINE_LIMIT => {
                 self.peers.remove(key);
                 return None;
             }
             None => {
-                _ = peer.stream.watch(reactor, Token::Operate(key), Interest::READ);
+                _ = peer
+                    .stream
+                    .watch(reactor, Token::Operate(key), Interest::READ);
                 return None;
             }
         };
@@ -139,7 +163,9 @@
 
     /// One answer, and the connection ends. What the socket does not take at once is sent by [`Operate::look_over`].
     pub fn answer(&mut self, key: Key, text: &str) {
-        let Some(peer) = self.peers.get_mut(key) else { return };
+        let Some(peer) = self.peers.get_mut(key) else {
+            return;
+        };
         peer.stream.push(text.as_bytes());
         if !matches!(peer.stream.flush(), Ok(false)) {
             self.peers.remove(key);
@@ -148,7 +174,9 @@
 
     pub fn look_over(&mut self, now: Instant) {
         for key in self.peers.keys() {
-            let Some(peer) = self.peers.get_mut(key) else { continue };
+            let Some(peer) = self.peers.get_mut(key) else {
+                continue;
+            };
             let sent = peer.answered && !matches!(peer.stream.flush(), Ok(false));
             if sent || now.saturating_duration_since(peer.since) >= PATIENCE {
                 self.peers.remove(key);
--- a/crates/leverproxy/src/operators.rs
+++ b/crates/leverproxy/src/operators.rs
@@ -30,7 +30,9 @@
         return Err("is not a file".into());
     }
     let mut bytes = Vec::new();
-    file.take(limit as u64).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    file.take(limit as u64)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
     Ok(bytes)
 }
 
@@ -44,9 +46,16 @@
     }
 
     fn names(&self, folder: &Path) -> Result<Vec<String>, String> {
-        let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
+        let folder = if folder.as_os_str().is_empty() {
+            Path::new(".")
+        } else {
+            folder
+        };
         let entries = std::fs::read_dir(folder).map_err(|e| e.to_string())?;
-        Ok(entries.flatten().map(|entry| entry.file_name().to_string_lossy().into_owned()).collect())
+        Ok(entries
+            .flatten()
+            .map(|entry| entry.file_name().to_string_lossy().into_owned())
+            .collect())
     }
 }
 
@@ -60,7 +69,10 @@
     }
     if search && reading.sound() {
         let classes = platform.map(classes);
-        found.extend(configuration::shadow::check(&reading.model, classes.as_deref()));
+        found.extend(configuration::shadow::check(
+            &reading.model,
+            classes.as_deref(),
+        ));
     }
     reading.add(found);
     reading
@@ -80,30 +92,42 @@
 /// In one line, with the directive that it is about: a message may tell of its value alone.
 fn fault(sources: &Sources, diagnostic: &Diagnostic) -> String {
     let line = sources.place(diagnostic.span).line;
-    let text = sources.get(diagnostic.span.file).and_then(|file| file.text.lines().nth(line.checked_sub(1)?));
+    let text = sources
+        .get(diagnostic.span.file)
+        .and_then(|file| file.text.lines().nth(line.checked_sub(1)?));
     let said = text.map_or("", str::trim);
-    format!("{}; the line is `{}`", diagnostic::line(sources, diagnostic), shown(said))
+    format!(
+        "{}; the line is `{}`",
+        diagnostic::line(sources, diagnostic),
+        shown(said)
+    )
 }
 
 /// What the operators' file has to be held against.
 pub fn platform(decoded: &Decoded, sockets: Option<usize>, memory_mb: Option<usize>) -> Platform {
-    let Decoded { settings, names, .. } = decoded;
-    let classes = settings.classes.iter().zip(&names.classes).map(|(class, name)| platform::Class {
-        name: name.clone(),
-        need: match class.need {
-            Need::Write => platform::Need::Write,
-            Need::Fresh => platform::Need::Fresh,
-            Need::Session => platform::Need::Session,
-            Need::Bounded(age) => platform::Need::Bounded(age),
-            Need::Any => platform::Need::Any,
-        },
-        repeat: match class.effect {
-            Effect::Safe => platform::Repeat::Safe,
-            Effect::Keyed { .. } => platform::Repeat::Keyed,
-            Effect::Unsafe => platform::Repeat::Never,
-        },
-        deadline: class.deadline,
-    });
+    let Decoded {
+        settings, names, ..
+    } = decoded;
+    let classes = settings
+        .classes
+        .iter()
+        .zip(&names.classes)
+        .map(|(class, name)| platform::Class {
+            name: name.clone(),
+            need: match class.need {
+                Need::Write => platform::Need::Write,
+                Need::Fresh => platform::Need::Fresh,
+                Need::Session => platform::Need::Session,
+                Need::Bounded(age) => platform::Need::Bounded(age),
+                Need::Any => platform::Need::Any,
+            },
+            repeat: match class.effect {
+                Effect::Safe => platform::Repeat::Safe,
+                Effect::Keyed { .. } => platform::Repeat::Keyed,
+                Effect::Unsafe => platform::Repeat::Never,
+            },
+            deadline: class.deadline,
+        });
     Platform {
         classes: classes.collect(),
         tenants: names.tenants.clone(),
@@ -118,7 +142,11 @@
 pub fn tighten(platform: &mut Decoded, model: &Model) {
     let settings = &mut platform.settings;
     if let Some(tries) = model.policy.tries {
-        settings.try_limit = if settings.try_limit == 0 { tries } else { settings.try_limit.min(tries) };
+        settings.try_limit = if settings.try_limit == 0 {
+            tries
+        } else {
+            settings.try_limit.min(tries)
+        };
     }
     settings.second_copies &= model.policy.second_copies;
     settings.may_probe &= model.policy.probes;
@@ -126,7 +154,12 @@
         settings.max_retry_after = settings.max_retry_after.min(most);
     }
     for class in model.classes.iter().filter(|c| c.once) {
-        if let Some(at) = platform.names.classes.iter().position(|name| *name == class.name) {
+        if let Some(at) = platform
+            .names
+            .classes
+            .iter()
+            .position(|name| *name == class.name)
+        {
             settings.classes[at].effect = Effect::Unsafe;
         }
     }
@@ -134,7 +167,10 @@
 
 /// The model's routes, classes and pools, compiled. Names of the platform keep their numbers.
 pub fn rules(model: &Model, platform: &Decoded) -> Rules {
-    let names = Names { classes: platform.names.classes.clone(), tenants: platform.names.tenants.clone() };
+    let names = Names {
+        classes: platform.names.classes.clone(),
+        tenants: platform.names.tenants.clone(),
+    };
     let names = names.with_routes(&model.routes);
     let pool_at = |name: &String| model.pools.iter().position(|p| p.name == *name);
     let class_at = |name: &String| {
@@ -155,7 +191,10 @@
     };
     let caps = platform.names.classes.iter().map(|name| {
         let stated = model.classes.iter().find(|c| c.name == *name);
-        (stated.and_then(|c| c.deadline), stated.and_then(|c| c.tries))
+        (
+            stated.and_then(|c| c.deadline),
+            stated.and_then(|c| c.tries),
+        )
     });
     Rules {
         places: Vec::new(),
@@ -163,9 +202,15 @@
         rulings: model.routes.iter().map(|r| ruling(&r.outcome)).collect(),
         caps: caps.collect(),
         pools: model.pools.iter().map(pool).collect(),
-        deadlines: platform.settings.classes.iter().map(|c| c.deadline).collect(),
+        deadlines: platform
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .collect(),
         margin: model.limits.answer_margin,
-        come_back_most: Some(platform.settings.max_retry_after).filter(|_| platform.settings.retry_after),
+        come_back_most: Some(platform.settings.max_retry_after)
+            .filter(|_| platform.settings.retry_after),
         tenants: names.tenants,
     }
 }
@@ -176,7 +221,10 @@
         address: h.address,
         protocol: match h.protocol {
             "grpc" => Protocol::Grpc,
-            "agent" => Protocol::Agent { expects_text: h.expects_text, maxconn: h.maxconn },
+            "agent" => Protocol::Agent {
+                expects_text: h.expects_text,
+                maxconn: h.maxconn,
+            },
             _ => Protocol::Http(match h.statuses {
                 "drain-is-404" => Statuses::DrainIs404,
                 "overload-is-429" => Statuses::OverloadIs429,
@@ -219,10 +267,14 @@
     let path = members.key_file.display();
     let fault = |problem: String| ConfigError::new("members.key-file", problem);
     let bytes = bytes(&members.key_file, KEY_FILE_LIMIT + 1).map_err(|e| {
-        fault(format!("{path} can't be read: {e}; put the fleet's keys there, readable for the proxy's user"))
+        fault(format!(
+            "{path} can't be read: {e}; put the fleet's keys there, readable for the proxy's user"
+        ))
     })?;
     if bytes.len() > KEY_FILE_LIMIT {
-        return Err(fault(format!("{path} has more than {KEY_FILE_LIMIT} bytes: it can't be a key file")));
+        return Err(fault(format!(
+            "{path} has more than {KEY_FILE_LIMIT} bytes: it can't be a key file"
+        )));
     }
     // What is no text is no hex digit either, and told so with its line.
     peers::Keys::parse(&String::from_utf8_lossy(&bytes)).map_err(|e| fault(format!("{path}: {e}")))
@@ -230,7 +282,8 @@
 
 pub fn availability(model: &Model) -> availability::Settings {
     let stated = &model.availability;
-    let part = |share: configuration::value::Share| f64::from(share.part) / f64::from(share.whole.max(1));
+    let part =
+        |share: configuration::value::Share| f64::from(share.part) / f64::from(share.whole.max(1));
     availability::Settings {
         floor: part(stated.floor),
         cut_floor: part(stated.cut_floor),
--- a/crates/leverproxy/src/pg/client.rs
+++ b/crates/leverproxy/src/pg/client.rs
@@ -1,6 +1,8 @@
 //! The side that record servers see: queries written, their answers read and understood.
 
-use super::{error_field, message, put, sqlstate, text, Malformed, ANSWER_LIMIT, FRAME_SLACK, VALUE_LIMIT};
+use super::{
+    error_field, message, put, sqlstate, text, Malformed, ANSWER_LIMIT, FRAME_SLACK, VALUE_LIMIT,
+};
 use crate::request::{Question, Verdict};
 use mountshift::{Note, Time};
 use std::time::Duration;
@@ -75,7 +77,10 @@
 impl AnswerReader {
     /// Reads the welcome to a new connection.
     pub fn greeting() -> AnswerReader {
-        AnswerReader { stage: Stage::Greeting, ..AnswerReader::default() }
+        AnswerReader {
+            stage: Stage::Greeting,
+            ..AnswerReader::default()
+        }
     }
 
     /// Takes whole messages off the front of `bytes`; how many bytes they took, and whether the answer ended.
@@ -87,19 +92,28 @@
                 let n = rest.len().min(left);
                 self.relayed.extend_from_slice(&rest[..n]);
                 at += n;
-                self.stage = if n == left { Stage::Row } else { Stage::Passing(left - n) };
+                self.stage = if n == left {
+                    Stage::Row
+                } else {
+                    Stage::Passing(left - n)
+                };
                 if n < left {
                     return Ok((at, false));
                 }
                 continue;
             }
-            let Some(&tag) = rest.first() else { return Ok((at, false)) };
+            let Some(&tag) = rest.first() else {
+                return Ok((at, false));
+            };
             let spoilt = |what: &str| Malformed(format!("message {:?} {what}", char::from(tag)));
             let longest = longest(tag, self.stage).ok_or_else(|| spoilt("is not expected"))?;
             if tag == b'D' && rest.len() >= 11 {
                 // Told by its head: a row that does not add up need not be waited for.
-                let length =
-                    |at: usize| rest[at..at + 4].iter().fold(0, |n: usize, &b| n << 8 | usize::from(b));
+                let length = |at: usize| {
+                    rest[at..at + 4]
+                        .iter()
+                        .fold(0, |n: usize, &b| n << 8 | usize::from(b))
+                };
                 if rest[5..7] != [0, 1] || length(7) + 10 != length(1) {
                     return Err(spoilt("is no row of one value"));
                 }
@@ -115,7 +129,9 @@
                     continue;
                 }
             }
-            let Some(message) = message(rest, longest)? else { return Ok((at, false)) };
+            let Some(message) = message(rest, longest)? else {
+                return Ok((at, false));
+            };
             at += message.raw.len();
             self.stage = match (tag, self.stage) {
                 (b'T', Stage::Asked) if one_column(message.body) => Stage::Described,
@@ -127,7 +143,9 @@
                     Stage::Over
                 }
                 (b'R', Stage::Greeting) if message.body == [0; 4] => Stage::Greeted,
-                (b'Z', Stage::Over | Stage::Greeted) if matches!(message.body, [b'I' | b'T' | b'E']) => {
+                (b'Z', Stage::Over | Stage::Greeted)
+                    if matches!(message.body, [b'I' | b'T' | b'E']) =>
+                {
                     return Ok((at, true));
                 }
                 (b'S', stage) => {
@@ -149,7 +167,11 @@
             Some(("role", "primary")) => self.note.primary = Some(true),
             Some(("role", "replica")) => self.note.primary = Some(false),
             Some(("applied_ms", value)) => {
-                let position = value.parse().ok().filter(|&ms: &u64| ms > 0).map(Duration::from_millis);
+                let position = value
+                    .parse()
+                    .ok()
+                    .filter(|&ms: &u64| ms > 0)
+                    .map(Duration::from_millis);
                 self.note.position = position.map(Time);
             }
             _ => {}
@@ -160,7 +182,13 @@
     pub fn piece(&mut self) -> Option<Vec<u8>> {
         // What follows the row goes with its end.
         let row = matches!(self.stage, Stage::Passing(_) | Stage::Row);
-        self.passes.then(|| if row { std::mem::take(&mut self.relayed) } else { Vec::new() })
+        self.passes.then(|| {
+            if row {
+                std::mem::take(&mut self.relayed)
+            } else {
+                Vec::new()
+            }
+        })
     }
 
     /// What came says how it ended, with or without ReadyForQuery: a fatal error needs none.
@@ -176,13 +204,17 @@
     /// Of an answer that ended as it should.
     pub fn verdict(self, question: &Question) -> (Verdict, Note) {
         let verdict = match (self.code.as_deref(), question) {
-            (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => Verdict::Miss,
+            (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
+                Verdict::Miss
+            }
             (Some(_), _) if self.turned_away() => Verdict::Full,
             (Some(_), _) => Verdict::Failed,
             (None, Question::Command(_)) => Verdict::Served(self.relayed),
-            (None, Question::Load) => {
-                Verdict::Reported(first_value(&self.relayed).and_then(load_fields).unwrap_or_default())
-            }
+            (None, Question::Load) => Verdict::Reported(
+                first_value(&self.relayed)
+                    .and_then(load_fields)
+                    .unwrap_or_default(),
+            ),
         };
         (verdict, self.note)
     }
@@ -211,7 +243,11 @@
 fn load_fields(text: &str) -> Option<Vec<(String, f64)>> {
     let field = |pair: &str| {
         let (name, value) = pair.split_once('=')?;
-        let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)?;
+        let value = value
+            .trim()
+            .parse()
+            .ok()
+            .filter(|value: &f64| value.is_finite() && *value >= 0.0)?;
         Some((name.trim().to_owned(), value))
     };
     text.split(',').map(field).collect()
--- a/crates/leverproxy/src/pg/mod.rs
+++ b/crates/leverproxy/src/pg/mod.rs
@@ -51,12 +51,21 @@
 /// The first message of `bytes`, once it is there in full. A length over `limit` is refused as soon as it is
 /// read, so that no peer makes a buffer grow beyond it.
 pub fn message(bytes: &[u8], limit: usize) -> Result<Option<Message<'_>>, Malformed> {
-    let [tag, a, b, c, d, ..] = *bytes else { return Ok(None) };
+    let [tag, a, b, c, d, ..] = *bytes else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     if length < 4 || length > limit {
-        return Err(Malformed(format!("message {:?} has length {length}", char::from(tag))));
+        return Err(Malformed(format!(
+            "message {:?} has length {length}",
+            char::from(tag)
+        )));
     }
-    Ok(bytes.get(..1 + length).map(|raw| Message { tag, body: &raw[5..], raw }))
+    Ok(bytes.get(..1 + length).map(|raw| Message {
+        tag,
+        body: &raw[5..],
+        raw,
+    }))
 }
 
 /// Appends a message whose body `fill` writes.
@@ -87,7 +96,12 @@
 /// Appends an ErrorResponse.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str, text: &str, detail: Option<&str>) {
     put(out, b'E', |body| {
-        let fields = [(b'S', Some(severity)), (b'V', Some(severity)), (b'C', Some(code)), (b'M', Some(text))];
+        let fields = [
+            (b'S', Some(severity)),
+            (b'V', Some(severity)),
+            (b'C', Some(code)),
+            (b'M', Some(text)),
+        ];
         for (field, value) in fields.into_iter().chain([(b'D', detail)]) {
             if let Some(value) = value {
                 body.push(field);
--- a/crates/leverproxy/src/pg/server.rs
+++ b/crates/leverproxy/src/pg/server.rs
@@ -1,8 +1,8 @@
 //! The side that clients see: their startup and queries read, the proxy's answers written.
 
 use super::{
-    message, put, put_error, put_ready, put_text, put_untagged, sqlstate, text, Malformed, QUERY_LIMIT,
-    STARTUP_LIMIT,
+    message, put, put_error, put_ready, put_text, put_untagged, sqlstate, text, Malformed,
+    QUERY_LIMIT, STARTUP_LIMIT,
 };
 use crate::request::Answer;
 
@@ -34,34 +34,53 @@
 
 impl CancelKey {
     /// Of a server whose requests can't be cancelled.
-    pub const NONE: CancelKey = CancelKey { process: 0, secret: 0 };
+    pub const NONE: CancelKey = CancelKey {
+        process: 0,
+        secret: 0,
+    };
 
     fn to_bytes(self) -> [u8; 8] {
         (u64::from(self.process) << 32 | u64::from(self.secret)).to_be_bytes()
     }
 
     fn read(bytes: &[u8]) -> Result<CancelKey, Malformed> {
-        let bytes: [u8; 8] =
-            bytes.try_into().map_err(|_| Malformed("a cancel request names no process and secret".into()))?;
+        let bytes: [u8; 8] = bytes
+            .try_into()
+            .map_err(|_| Malformed("a cancel request names no process and secret".into()))?;
         let both = u64::from_be_bytes(bytes);
-        Ok(CancelKey { process: (both >> 32) as u32, secret: both as u32 })
+        Ok(CancelKey {
+            process: (both >> 32) as u32,
+            secret: both as u32,
+        })
     }
 }
 
 /// Reads the untagged first packet, which a session is welcomed for with this key; how many bytes it took.
 pub fn startup(bytes: &[u8], key: CancelKey) -> Result<Option<(Startup, usize)>, Malformed> {
-    let Some((head, _)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((head, _)) = bytes.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*head) as usize;
     if !(8..=STARTUP_LIMIT).contains(&length) {
         return Err(Malformed(format!("startup packet has length {length}")));
     }
-    let Some(packet) = bytes.get(4..length) else { return Ok(None) };
-    let Some((code, options)) = packet.split_first_chunk::<4>() else { return Ok(None) };
+    let Some(packet) = bytes.get(4..length) else {
+        return Ok(None);
+    };
+    let Some((code, options)) = packet.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let startup = match u32::from_be_bytes(*code) {
         SSL_REQUEST | GSS_REQUEST => Startup::Encryption,
         CANCEL_REQUEST => Startup::Cancel(CancelKey::read(options)?),
         version if version >> 16 == 3 => Startup::Session(welcome(version, options, key)?),
-        other => return Err(Malformed(format!("protocol {}.{} is not spoken", other >> 16, other & 0xffff))),
+        other => {
+            return Err(Malformed(format!(
+                "protocol {}.{} is not spoken",
+                other >> 16,
+                other & 0xffff
+            )))
+        }
     };
     Ok(Some((startup, length)))
 }
@@ -115,7 +134,9 @@
 }
 
 pub fn asked(bytes: &[u8]) -> Result<Option<(Asked<'_>, usize)>, Malformed> {
-    let Some(message) = message(bytes, QUERY_LIMIT)? else { return Ok(None) };
+    let Some(message) = message(bytes, QUERY_LIMIT)? else {
+        return Ok(None);
+    };
     let asked = match message.tag {
         b'Q' => match text(message.body) {
             Some((query, [])) => Asked::Query(query),
@@ -136,11 +157,23 @@
         Answer::Refused(come_back) => {
             let millis = come_back.map(|d| d.as_millis().to_string());
             let text = "no record server can take this now";
-            put_error(&mut out, "ERROR", sqlstate::TOO_MANY_CONNECTIONS, text, millis.as_deref());
+            put_error(
+                &mut out,
+                "ERROR",
+                sqlstate::TOO_MANY_CONNECTIONS,
+                text,
+                millis.as_deref(),
+            );
         }
         Answer::Failed => {
             let text = "no answer came; whether the statement ran is not known";
-            put_error(&mut out, "ERROR", sqlstate::TRANSACTION_RESOLUTION_UNKNOWN, text, None);
+            put_error(
+                &mut out,
+                "ERROR",
+                sqlstate::TRANSACTION_RESOLUTION_UNKNOWN,
+                text,
+                None,
+            );
         }
         Answer::Cancelled => {
             let text = "cancelled by the client; whether the statement ran is not known";
@@ -168,8 +201,17 @@
 
 pub fn unsupported(tag: u8) -> Vec<u8> {
     let mut out = Vec::new();
-    let text = format!("message {:?} is not supported: send simple queries", char::from(tag));
-    put_error(&mut out, "ERROR", sqlstate::FEATURE_NOT_SUPPORTED, &text, None);
+    let text = format!(
+        "message {:?} is not supported: send simple queries",
+        char::from(tag)
+    );
+    put_error(
+        &mut out,
+        "ERROR",
+        sqlstate::FEATURE_NOT_SUPPORTED,
+        &text,
+        None,
+    );
     out
 }
 
@@ -182,7 +224,13 @@
 /// The last word to a client whose bytes make no sense.
 pub fn fatal(why: &Malformed) -> Vec<u8> {
     let mut out = Vec::new();
-    put_error(&mut out, "FATAL", sqlstate::PROTOCOL_VIOLATION, &why.0, None);
+    put_error(
+        &mut out,
+        "FATAL",
+        sqlstate::PROTOCOL_VIOLATION,
+        &why.0,
+        None,
+    );
     out
 }
 
@@ -197,7 +245,13 @@
 /// The last word to a client for whom there is no place.
 pub fn too_many() -> Vec<u8> {
     let mut out = Vec::new();
-    put_error(&mut out, "FATAL", sqlstate::TOO_MANY_CONNECTIONS, "too many clients are connected", None);
+    put_error(
+        &mut out,
+        "FATAL",
+        sqlstate::TOO_MANY_CONNECTIONS,
+        "too many clients are connected",
+        None,
+    );
     out
 }
 
--- a/crates/leverproxy/src/pg/statement.rs
+++ b/crates/leverproxy/src/pg/statement.rs
@@ -19,13 +19,17 @@
     if bare.is_empty() {
         return Ok(Query::Empty);
     }
-    let verb = bare.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or_default();
+    let verb = bare
+        .split(|c: char| !c.is_ascii_alphabetic())
+        .next()
+        .unwrap_or_default();
     for tag in ["SET", "RESET", "DISCARD"] {
         if verb.eq_ignore_ascii_case(tag) {
             return Ok(Query::Setting(tag));
         }
     }
-    let (start, comment) = comment(text).ok_or("the statement bears no comment with its id and class")?;
+    let (start, comment) =
+        comment(text).ok_or("the statement bears no comment with its id and class")?;
     let mut class = None;
     let mut tenant = None;
     let mut group = None;
@@ -51,14 +55,19 @@
             "cluster" => {
                 let number = number()?;
                 group = Some(
-                    u32::try_from(number).map_err(|_| format!("cluster={} is out of range", shown(value)))?,
+                    u32::try_from(number)
+                        .map_err(|_| format!("cluster={} is out of range", shown(value)))?,
                 );
             }
             "d" => {
                 let start = at + lead + name.len() + 1;
                 wait = Some((Duration::from_millis(number()?), start..start + value.len()));
             }
-            "after" => after = Some(number()?).filter(|&ms| ms > 0).map(Duration::from_millis),
+            "after" => {
+                after = Some(number()?)
+                    .filter(|&ms| ms > 0)
+                    .map(Duration::from_millis)
+            }
             "r" => repeated = value == "1",
             _ => {}
         }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -111,7 +111,10 @@
         reactor.add(&wishes, Token::Control, Interest::READ)?;
         crate::logging::set(&config.logging);
         let drain = Drain::new(config.drain_settings(), Duration::ZERO);
-        let elder = config.takeover.as_deref().map_or(Elder::Nobody, takeover::ask);
+        let elder = config
+            .takeover
+            .as_deref()
+            .map_or(Elder::Nobody, takeover::ask);
         let (inherited, estate, link, unheard): (Option<OwnedFd>, _, _, _) = match elder {
             Elder::Nobody => (None, None, None, false),
             Elder::Unheard(why) => {
@@ -122,16 +125,30 @@
             Elder::Left(estate, listener, link) => {
                 let there = crate::net::local_address(&listener);
                 let ours = config.listen.port() == 0 || there == Some(config.listen);
-                (Some(listener).filter(|_| ours), Some(estate), Some(link), false)
+                (
+                    Some(listener).filter(|_| ours),
+                    Some(estate),
+                    Some(link),
+                    false,
+                )
             }
         };
         // One that can't be understood serves all the same, and holds the control socket.
         let heir = estate.is_some() || unheard;
-        let elder_holds = estate.as_ref().map_or((0, 0), |estate| (estate.clients, estate.upstream));
+        let elder_holds = estate
+            .as_ref()
+            .map_or((0, 0), |estate| (estate.clients, estate.upstream));
         let limits = config.limits.beside(elder_holds);
         let shared = config.takeover.is_some();
         let in_place = inherited.is_some();
-        let mut front = Front::listen(config.listen, inherited, shared, limits, config.patience, &reactor)?;
+        let mut front = Front::listen(
+            config.listen,
+            inherited,
+            shared,
+            limits,
+            config.patience,
+            &reactor,
+        )?;
         front.set_balancers(config.checks.clone(), config.proxy_from.clone());
         let upstream = Upstream::new(limits.upstream, config.dial_timeout, config.idle_limit);
         let pushed = !config.platform.settings.list_on_request;
@@ -144,18 +161,37 @@
             sites: config.sites,
         };
         let health = Health::new(&config.health, &reactor)?;
-        let operate =
-            config.control.as_deref().map(|path| Operate::listen(path, heir, &reactor)).transpose()?;
+        let operate = config
+            .control
+            .as_deref()
+            .map(|path| Operate::listen(path, heir, &reactor))
+            .transpose()?;
         let timers = Timers::default();
-        let admin = config.admin.map(|address| Admin::listen(address, &reactor)).transpose();
+        let admin = config
+            .admin
+            .map(|address| Admin::listen(address, &reactor))
+            .transpose();
         let admin = admin.map_err(|e| io::Error::new(e.kind(), format!("admin: {e}")))?;
-        let takeover = config.takeover.as_deref().map(|path| Takeover::listen(path, &reactor));
+        let takeover = config
+            .takeover
+            .as_deref()
+            .map(|path| Takeover::listen(path, &reactor));
         let takeover = takeover.and_then(|listening| {
-            let note = |e: &io::Error| log::warn!("takeover: the next process can't be listened for: {e}");
+            let note =
+                |e: &io::Error| log::warn!("takeover: the next process can't be listened for: {e}");
             listening.inspect_err(note).ok()
         });
-        let mut sides =
-            Sides { reactor, timers, front, upstream, discovery, health, operate, admin, takeover };
+        let mut sides = Sides {
+            reactor,
+            timers,
+            front,
+            upstream,
+            discovery,
+            health,
+            operate,
+            admin,
+            takeover,
+        };
         let zones = config.platform.names.zones.clone();
         let knocks = !config.health.is_empty();
         let platform = config.platform.clone();
@@ -178,9 +214,18 @@
         let heir_of = estate.is_some();
         let begun = config.memory.map(|stated| {
             let (name, waker) = (&fixed.name, wishes.waker()?);
-            Ok::<_, io::Error>(Memory::begin(stated, name, heir_of, &config.known, waker, now))
+            Ok::<_, io::Error>(Memory::begin(
+                stated,
+                name,
+                heir_of,
+                &config.known,
+                waker,
+                now,
+            ))
         });
-        let (memory, recalled) = begun.transpose()?.map_or_else(Default::default, |(m, r)| (Some(m), r));
+        let (memory, recalled) = begun
+            .transpose()?
+            .map_or_else(Default::default, |(m, r)| (Some(m), r));
         if memory.is_some() {
             sides.timers.set(now, Timer::Memory);
         }
@@ -205,13 +250,30 @@
         chain.monitor.event(now, availability::Event::Started);
         let start = clock::unix_ms().max(recalled.start.saturating_add(1));
         let members = config.members.map(|stated| {
-            Members::join(stated, config.member_keys, &fixed.name, start, config.seed, now, &sides.reactor)
+            Members::join(
+                stated,
+                config.member_keys,
+                &fixed.name,
+                start,
+                config.seed,
+                now,
+                &sides.reactor,
+            )
         });
-        let members = members.transpose().map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e))?;
+        let members = members
+            .transpose()
+            .map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e))?;
         let rollout = config.rollout.filter(|_| members.is_some());
         let rollout = rollout.map(|stated| {
             let (name, operators) = (&fixed.name, config.operators.as_deref());
-            Ok::<_, io::Error>(Rollout::begin(stated, name, operators, (start, heir), wishes.waker()?, now))
+            Ok::<_, io::Error>(Rollout::begin(
+                stated,
+                name,
+                operators,
+                (start, heir),
+                wishes.waker()?,
+                now,
+            ))
         });
         let rollout = rollout.transpose()?;
         if rollout.is_some() {
@@ -269,7 +331,9 @@
             self.sides.reactor.wait(until, &mut ready)?;
             let woken = Instant::now();
             // How late it was for what it should have done before.
-            self.chain.monitor.busy(until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at)));
+            self.chain
+                .monitor
+                .busy(until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at)));
             ready.sort_by_key(|one| one.turn());
             for &one in &ready {
                 self.on_ready(one);
@@ -293,7 +357,12 @@
 
     /// Listens again after a drain, if it does not, and tries until it does.
     fn listen(&mut self, now: Instant) {
-        let Sides { reactor, timers, front, .. } = &mut self.sides;
+        let Sides {
+            reactor,
+            timers,
+            front,
+            ..
+        } = &mut self.sides;
         if front.open(now, reactor).is_err() {
             timers.set(now + LISTEN_AGAIN, Timer::Accept);
         }
@@ -301,7 +370,11 @@
 
     fn drain(&mut self, event: drain::Event, now: Instant) {
         let mut actions = Vec::new();
-        self.drain.handle(now.saturating_duration_since(self.start), event, &mut actions);
+        self.drain.handle(
+            now.saturating_duration_since(self.start),
+            event,
+            &mut actions,
+        );
         for action in actions {
             match action {
                 Action::Announce if self.drain.ending() => {
@@ -334,10 +407,21 @@
 
     fn on_ready(&mut self, ready: Ready) {
         let now = Instant::now();
-        let Sides { reactor, timers, front, upstream, discovery, health, operate, admin, takeover } =
-            &mut self.sides;
+        let Sides {
+            reactor,
+            timers,
+            front,
+            upstream,
+            discovery,
+            health,
+            operate,
+            admin,
+            takeover,
+        } = &mut self.sides;
         match ready.token {
-            Token::HealthListener(at) => health.accept(at, &self.chain.monitor.status(), now, reactor),
+            Token::HealthListener(at) => {
+                health.accept(at, &self.chain.monitor.status(), now, reactor)
+            }
             Token::Health(key) => health.ready(key, &self.chain.monitor.status(), now, reactor),
             Token::OperateListener => {
                 if let Some(operate) = operate {
@@ -379,7 +463,11 @@
                 }
             }
             Token::Takeover(key) => {
-                for word in takeover.as_mut().map(|t| t.ready(key, reactor)).unwrap_or_default() {
+                for word in takeover
+                    .as_mut()
+                    .map(|t| t.ready(key, reactor))
+                    .unwrap_or_default()
+                {
                     self.linked(key, word, now);
                 }
             }
@@ -464,7 +552,12 @@
                     // Whether anything is owed is told first: it may have changed since the last round.
                     self.settle(now);
                     // Whoever comes from now on is the heir's; waiting for them here would take them from it.
-                    if self.sides.takeover.as_ref().is_some_and(Takeover::heir_accepts) {
+                    if self
+                        .sides
+                        .takeover
+                        .as_ref()
+                        .is_some_and(Takeover::heir_accepts)
+                    {
                         self.sides.front.close(now, &self.sides.reactor);
                     }
                     if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
@@ -476,7 +569,9 @@
                 Wish::Report => self.report(),
                 Wish::Reload => match &mut self.reloads {
                     Some(reloads) => reloads.begin(),
-                    None => log::warn!("told to reread the configuration, which has no source here"),
+                    None => {
+                        log::warn!("told to reread the configuration, which has no source here")
+                    }
                 },
             }
         }
@@ -491,9 +586,11 @@
                     _ = self.reload(read, now);
                     continue;
                 }
-                Ask::Check(hash, _) => {
-                    (hash, read.map_err(|e| e.to_string()).and_then(|config| self.fits(&config)))
-                }
+                Ask::Check(hash, _) => (
+                    hash,
+                    read.map_err(|e| e.to_string())
+                        .and_then(|config| self.fits(&config)),
+                ),
                 Ask::Run(hash, _) => (hash, self.reload(read, now)),
             };
             if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
@@ -505,7 +602,11 @@
 
     /// Whether a file could take the place of the one that runs: it must not take this proxy out of the fleet.
     fn fits(&self, config: &Config) -> Result<(), String> {
-        let missing = |what: &str| Err(format!("it has no section {what}: include the host's own file"));
+        let missing = |what: &str| {
+            Err(format!(
+                "it has no section {what}: include the host's own file"
+            ))
+        };
         match (&config.members, &config.rollout) {
             (None, _) => missing("members"),
             (_, None) => missing("rollout"),
@@ -526,10 +627,17 @@
 
     /// What is new goes to the disk, and the answers that waited for it go out.
     fn remember(&mut self, now: Instant) {
-        let Some(memory) = &mut self.memory else { return };
-        let (chain, start) = (&self.chain, self.members.as_ref().map_or(self.born, Members::start));
+        let Some(memory) = &mut self.memory else {
+            return;
+        };
+        let (chain, start) = (
+            &self.chain,
+            self.members.as_ref().map_or(self.born, Members::start),
+        );
         let listing = || chain.known().0;
-        let list = chain.list_index().map(|index| (index, &listing as &dyn Fn() -> _));
+        let list = chain
+            .list_index()
+            .map(|index| (index, &listing as &dyn Fn() -> _));
         memory.settle(now);
         memory.look(start, chain.hands(), list, now);
         for (key, answer) in memory.answers(now) {
@@ -540,14 +648,20 @@
     }
 
     fn look_at_rollout(&mut self, now: Instant) {
-        let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) else { return };
+        let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) else {
+            return;
+        };
         let asks = rollout.look(members, &self.chain.counters, now);
-        self.sides.timers.set(now + rollout.period(), Timer::Rollout);
+        self.sides
+            .timers
+            .set(now + rollout.period(), Timer::Rollout);
         self.ask(asks);
     }
 
     fn usage(&self) -> Usage {
-        let Sides { front, upstream, .. } = &self.sides;
+        let Sides {
+            front, upstream, ..
+        } = &self.sides;
         Usage {
             clients: front.clients(),
             clients_limit: self.limits.clients,
@@ -592,15 +706,30 @@
         let phase = match self.drain.phase() {
             drain::Phase::Serving => "serving".to_owned(),
             drain::Phase::Announced { until, .. } => {
-                let left = (self.start + until).saturating_duration_since(now).as_millis();
+                let left = (self.start + until)
+                    .saturating_duration_since(now)
+                    .as_millis();
                 format!("announced, listening for {left} ms more")
             }
             drain::Phase::Drained => "drained".into(),
-            drain::Phase::Lingering { .. } | drain::Phase::Closing | drain::Phase::Over => "ending".into(),
+            drain::Phase::Lingering { .. } | drain::Phase::Closing | drain::Phase::Over => {
+                "ending".into()
+            }
         };
-        let members = self.members.as_ref().map_or(String::new(), |members| members.lines(now));
-        let loans = self.chain.quota.lending.as_ref().map_or(String::new(), |loans| loans.lines(now));
-        let (monitor, sites) = (self.chain.monitor.lines(), self.chain.monitor.site_lines(now));
+        let members = self
+            .members
+            .as_ref()
+            .map_or(String::new(), |members| members.lines(now));
+        let loans = self
+            .chain
+            .quota
+            .lending
+            .as_ref()
+            .map_or(String::new(), |loans| loans.lines(now));
+        let (monitor, sites) = (
+            self.chain.monitor.lines(),
+            self.chain.monitor.site_lines(now),
+        );
         let text = format!("phase {phase}\n{monitor}{sites}{members}{loans}");
         if let Some(operate) = &mut self.sides.operate {
             operate.answer(key, &text);
@@ -632,13 +761,22 @@
                 log::info!("admin: {} is {word} by an operator's word", shown(&name));
                 Called::Done(word)
             }
-            Err(Unknown) => Called::Answer(Answer::line(Status::NotFound, "no record server of that name")),
+            Err(Unknown) => Called::Answer(Answer::line(
+                Status::NotFound,
+                "no record server of that name",
+            )),
         }
     }
 
     /// What another process of this proxy has to tell.
     fn linked(&mut self, from: Key, word: takeover::Word, now: Instant) {
-        let Sides { reactor, front, takeover, operate, .. } = &mut self.sides;
+        let Sides {
+            reactor,
+            front,
+            takeover,
+            operate,
+            ..
+        } = &mut self.sides;
         let Some(takeover) = takeover else { return };
         let said = match word {
             takeover::Word::Said(said @ (Said::Serving | Said::ServingElsewhere)) => {
@@ -680,11 +818,20 @@
     /// The limits that are left to this process: an heir has what its elder does not hold, which holds no more than it did.
     fn share_limits(&mut self) {
         let limits = self.limits.beside(self.elder_holds);
-        let Sides { front, upstream, takeover, .. } = &mut self.sides;
+        let Sides {
+            front,
+            upstream,
+            takeover,
+            ..
+        } = &mut self.sides;
         front.set_limits(limits, self.patience);
         let has_heir = takeover.as_ref().is_some_and(Takeover::has_heir);
         let held = upstream.connections().max(1);
-        upstream.set_limit(if has_heir { held.min(limits.upstream) } else { limits.upstream });
+        upstream.set_limit(if has_heir {
+            held.min(limits.upstream)
+        } else {
+            limits.upstream
+        });
     }
 
     fn figures(&self, now: Instant) -> Answer {
@@ -695,18 +842,42 @@
             let labelled = move |(kind, n)| (vec![("class", class), ("outcome", kind)], n);
             outcomes.into_iter().map(labelled)
         });
-        figures.many("lb_requests_total", "Requests answered, by class and outcome.", requests);
+        figures.many(
+            "lb_requests_total",
+            "Requests answered, by class and outcome.",
+            requests,
+        );
         for (name, help, value) in [
-            ("lb_attempts_total", "Attempts written whole to record servers.", self.sides.upstream.attempts),
-            ("lb_in_flight", "Requests taken and not yet ended.", self.chain.owed() as u64),
-            ("lb_record_servers_known", "Record servers in the list.", known as u64),
+            (
+                "lb_attempts_total",
+                "Attempts written whole to record servers.",
+                self.sides.upstream.attempts,
+            ),
+            (
+                "lb_in_flight",
+                "Requests taken and not yet ended.",
+                self.chain.owed() as u64,
+            ),
+            (
+                "lb_record_servers_known",
+                "Record servers in the list.",
+                known as u64,
+            ),
             (
                 "lb_record_servers_excluded",
                 "Of these, avoided at present by hand or by choice.",
                 excluded as u64,
             ),
-            ("lb_reloads_ok_total", "Configurations taken over at SIGHUP.", counters.reloads),
-            ("lb_reloads_failed_total", "Configurations turned down at SIGHUP.", counters.reloads_failed),
+            (
+                "lb_reloads_ok_total",
+                "Configurations taken over at SIGHUP.",
+                counters.reloads,
+            ),
+            (
+                "lb_reloads_failed_total",
+                "Configurations turned down at SIGHUP.",
+                counters.reloads_failed,
+            ),
         ] {
             figures.one(name, help, value);
         }
@@ -771,18 +942,30 @@
         };
         self.chain.counters.reloads += 1;
         self.platform = succession.next.clone();
-        let rules = Rules { places: succession.places.clone(), ..config.rules };
+        let rules = Rules {
+            places: succession.places.clone(),
+            ..config.rules
+        };
         self.chain.configure(succession, config.dial_timeout, now);
-        self.sides.upstream.set_times(config.dial_timeout, config.idle_limit);
-        self.sides.front.set_balancers(config.checks.clone(), config.proxy_from.clone());
+        self.sides
+            .upstream
+            .set_times(config.dial_timeout, config.idle_limit);
+        self.sides
+            .front
+            .set_balancers(config.checks.clone(), config.proxy_from.clone());
         (self.limits, self.patience) = (config.limits, config.patience);
         self.share_limits();
         self.drain.configure(drain_settings);
         crate::logging::set(&config.logging);
         let routes = rules.rulings.len();
         let former = self.chain.set_rules(rules);
-        self.chain.discovery_at(config.discovery, &mut self.sides, now);
-        self.chain.set_pushed(!self.platform.settings.list_on_request, &mut self.sides, now);
+        self.chain
+            .discovery_at(config.discovery, &mut self.sides, now);
+        self.chain.set_pushed(
+            !self.platform.settings.list_on_request,
+            &mut self.sides,
+            now,
+        );
         let mut waits = self.reload_members(config.members, config.member_keys, now);
         waits.extend(self.reload_lending(config.lending, config.windows, now));
         let pause_us = begun.elapsed().as_micros() as u64;
@@ -794,10 +977,19 @@
             ("listen", config.listen == self.fixed.listen),
             ("admin", config.admin == self.fixed.admin),
             ("name", config.name == self.fixed.name),
-            ("rollout", config.rollout.as_ref() == self.rollout.as_ref().map(Rollout::stated)),
-            ("memory", config.memory.as_ref() == self.memory.as_ref().map(Memory::stated)),
+            (
+                "rollout",
+                config.rollout.as_ref() == self.rollout.as_ref().map(Rollout::stated),
+            ),
+            (
+                "memory",
+                config.memory.as_ref() == self.memory.as_ref().map(Memory::stated),
+            ),
             ("sites", config.sites == self.fixed.sites),
-            ("discovery watch-silence", config.watch_silence == self.fixed.watch_silence),
+            (
+                "discovery watch-silence",
+                config.watch_silence == self.fixed.watch_silence,
+            ),
         ]
         .into_iter()
         .chain(waits.into_iter().map(|key| (key, false)))
@@ -820,7 +1012,15 @@
             (Some(members), Some(stated), Some(keys)) => return members.reload(&stated, keys, now),
             (None, Some(stated), keys) => {
                 let (name, reactor) = (&self.fixed.name, &self.sides.reactor);
-                match Members::join(stated, keys, name, clock::unix_ms(), self.seed, now, reactor) {
+                match Members::join(
+                    stated,
+                    keys,
+                    name,
+                    clock::unix_ms(),
+                    self.seed,
+                    now,
+                    reactor,
+                ) {
                     Ok(members) => {
                         self.members = Some(members);
                         self.sides.timers.set(now, Timer::Quota);
@@ -871,7 +1071,12 @@
         if let Some(members) = &mut self.members {
             self.chain.quota.flush(members, Instant::now());
         }
-        for (at, token) in self.members.as_mut().map(Members::take_timers).unwrap_or_default() {
+        for (at, token) in self
+            .members
+            .as_mut()
+            .map(Members::take_timers)
+            .unwrap_or_default()
+        {
             self.sides.timers.set(at, Timer::Members(token));
         }
     }
@@ -886,8 +1091,11 @@
 
     /// The counters, on standard error: whoever asks wants them at any log level.
     pub fn report(&self) {
-        let Sides { front, upstream, .. } = &self.sides;
-        let (clients, turned_out, not_understood) = (front.clients(), front.turned_out, front.not_understood);
+        let Sides {
+            front, upstream, ..
+        } = &self.sides;
+        let (clients, turned_out, not_understood) =
+            (front.clients(), front.turned_out, front.not_understood);
         let (connections, dials) = (upstream.connections(), upstream.dials);
         let (steering, health) = (self.chain.steering(), self.sides.health.lines());
         let quota = &self.chain.quota;
--- a/crates/leverproxy/src/reactor.rs
+++ b/crates/leverproxy/src/reactor.rs
@@ -28,7 +28,10 @@
 
 impl<T> Default for Slots<T> {
     fn default() -> Self {
-        Slots { entries: Vec::new(), free: Vec::new() }
+        Slots {
+            entries: Vec::new(),
+            free: Vec::new(),
+        }
     }
 }
 
@@ -43,11 +46,17 @@
         });
         let entry = &mut self.entries[index as usize];
         entry.1 = Some(value);
-        Key { index, generation: entry.0 }
+        Key {
+            index,
+            generation: entry.0,
+        }
     }
 
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let entry = self.entries.get_mut(key.index as usize).filter(|e| e.0 == key.generation)?;
+        let entry = self
+            .entries
+            .get_mut(key.index as usize)
+            .filter(|e| e.0 == key.generation)?;
         let value = entry.1.take()?;
         entry.0 = (entry.0 + 1) % GENERATIONS;
         self.free.push(key.index);
@@ -55,11 +64,19 @@
     }
 
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.entries.get(key.index as usize).filter(|e| e.0 == key.generation)?.1.as_ref()
+        self.entries
+            .get(key.index as usize)
+            .filter(|e| e.0 == key.generation)?
+            .1
+            .as_ref()
     }
 
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.entries.get_mut(key.index as usize).filter(|e| e.0 == key.generation)?.1.as_mut()
+        self.entries
+            .get_mut(key.index as usize)
+            .filter(|e| e.0 == key.generation)?
+            .1
+            .as_mut()
     }
 
     pub fn len(&self) -> usize {
@@ -72,9 +89,20 @@
 
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> + Clone {
         let used = |(index, (generation, value)): (usize, &'_ (u32, Option<T>))| {
-            (Key { index: index as u32, generation: *generation }, value.is_some())
+            (
+                Key {
+                    index: index as u32,
+                    generation: *generation,
+                },
+                value.is_some(),
+            )
         };
-        self.entries.iter().enumerate().map(used).filter(|u| u.1).filter_map(|u| Some((u.0, self.get(u.0)?)))
+        self.entries
+            .iter()
+            .enumerate()
+            .map(used)
+            .filter(|u| u.1)
+            .filter_map(|u| Some((u.0, self.get(u.0)?)))
     }
 
     pub fn keys(&self) -> Vec<Key> {
@@ -109,7 +137,10 @@
 impl Token {
     /// Balancers' checks and operators' calls.
     fn is_operations(self) -> bool {
-        matches!(self, Token::Health(_) | Token::HealthListener(_) | Token::Admin(_) | Token::AdminListener)
+        matches!(
+            self,
+            Token::Health(_) | Token::HealthListener(_) | Token::Admin(_) | Token::AdminListener
+        )
     }
 
     fn encode(self) -> u64 {
@@ -119,7 +150,13 @@
             Token::Discovery(key) => (2, Some(key)),
             Token::Client(key) => (3, Some(key)),
             Token::Upstream(key) => (4, Some(key)),
-            Token::HealthListener(at) => (5, Some(Key { index: at.into(), generation: 0 })),
+            Token::HealthListener(at) => (
+                5,
+                Some(Key {
+                    index: at.into(),
+                    generation: 0,
+                }),
+            ),
             Token::Health(key) => (6, Some(key)),
             Token::OperateListener => (7, None),
             Token::Operate(key) => (8, Some(key)),
@@ -134,7 +171,10 @@
     }
 
     fn decode(raw: u64) -> Option<Token> {
-        let key = Key { index: raw as u32, generation: (raw >> 32) as u32 % GENERATIONS };
+        let key = Key {
+            index: raw as u32,
+            generation: (raw >> 32) as u32 % GENERATIONS,
+        };
         Some(match raw >> 56 {
             0 => Token::Listener,
             1 => Token::Control,
@@ -163,8 +203,14 @@
 }
 
 impl Interest {
-    pub const READ: Interest = Interest { read: true, write: false };
-    pub const WRITE: Interest = Interest { read: false, write: true };
+    pub const READ: Interest = Interest {
+        read: true,
+        write: false,
+    };
+    pub const WRITE: Interest = Interest {
+        read: false,
+        write: true,
+    };
 
     fn flags(self) -> epoll::EventFlags {
         // The end of a peer is told even while nothing is read from it.
@@ -244,17 +290,32 @@
 impl Reactor {
     pub fn new() -> io::Result<Reactor> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        Ok(Reactor { epoll, retries: RefCell::default(), resting: RefCell::default() })
+        Ok(Reactor {
+            epoll,
+            retries: RefCell::default(),
+            resting: RefCell::default(),
+        })
     }
 
     /// Watches a descriptor from the start of its life; a lack of memory for that is an error.
     pub fn add(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
-        Ok(system_calls::epoll_add(&self.epoll, fd, token.encode(), interest.flags())?)
+        Ok(system_calls::epoll_add(
+            &self.epoll,
+            fd,
+            token.encode(),
+            interest.flags(),
+        )?)
     }
 
     /// Watches a descriptor while the process serves. False: the system lacks memory for that. The descriptor is not
     /// watched then, and is called ready after a pause; its owner asks again as it does after any event.
-    pub fn set(&self, fd: impl AsFd, token: Token, interest: Interest, watched: bool) -> io::Result<bool> {
+    pub fn set(
+        &self,
+        fd: impl AsFd,
+        token: Token,
+        interest: Interest,
+        watched: bool,
+    ) -> io::Result<bool> {
         let (data, flags) = (token.encode(), interest.flags());
         let add = || system_calls::epoll_add(&self.epoll, &fd, data, flags);
         let change = || system_calls::epoll_change(&self.epoll, &fd, data, flags);
@@ -277,7 +338,9 @@
 
     /// Calls it ready after a pause, with `ended` unknown.
     pub fn retry(&self, token: Token) {
-        self.retries.borrow_mut().add(Instant::now() + RETRY_PAUSE, token);
+        self.retries
+            .borrow_mut()
+            .add(Instant::now() + RETRY_PAUSE, token);
     }
 
     /// Does not watch a listener whose next connection can't be accepted now, and calls it ready after a pause.
@@ -290,7 +353,9 @@
     /// Watches a listener again after [`Reactor::rest`].
     pub fn wake(&self, listener: impl AsFd, token: Token) {
         let mut resting = self.resting.borrow_mut();
-        if resting.contains(&token) && matches!(self.set(listener, token, Interest::READ, false), Ok(true)) {
+        if resting.contains(&token)
+            && matches!(self.set(listener, token, Interest::READ, false), Ok(true))
+        {
             resting.remove(&token);
         }
     }
@@ -308,7 +373,10 @@
         let until = until.into_iter().chain(retry).min();
         let timeout = until.map(|at| {
             let left = at.saturating_duration_since(Instant::now());
-            Timespec { tv_sec: left.as_secs().min(3_600) as i64, tv_nsec: left.subsec_nanos().into() }
+            Timespec {
+                tv_sec: left.as_secs().min(3_600) as i64,
+                tv_nsec: left.subsec_nanos().into(),
+            }
         });
         let mut buffer = [const { MaybeUninit::uninit() }; BATCH];
         match system_calls::epoll_wait(&self.epoll, &mut buffer, timeout.as_ref()) {
@@ -330,7 +398,10 @@
         }
         let now = Instant::now();
         while let Some(token) = retries.pop_due(now) {
-            ready.push(Ready { token, ended: false });
+            ready.push(Ready {
+                token,
+                ended: false,
+            });
         }
     }
 }
@@ -339,7 +410,10 @@
     let (flags, data) = (event.flags, event.data);
     let broken = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP);
     let token = Token::decode(data.u64())?;
-    Some(Ready { token, ended: broken || flags.contains(epoll::EventFlags::RDHUP) })
+    Some(Ready {
+        token,
+        ended: broken || flags.contains(epoll::EventFlags::RDHUP),
+    })
 }
 
 /// Due times. Nothing is taken back: whoever set one checks on its call whether it still means something.
@@ -351,7 +425,10 @@
 
 impl<T: Ord> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers {
+            heap: BinaryHeap::new(),
+            set: 0,
+        }
     }
 }
 
--- a/crates/leverproxy/src/reload.rs
+++ b/crates/leverproxy/src/reload.rs
@@ -48,7 +48,12 @@
 impl Reloads {
     /// `waker`: wakes the loop when something is written to it.
     pub fn new(reread: Reread, waker: UnixStream) -> Reloads {
-        Reloads { reread: Some((reread, waker)), jobs: None, ended: None, under_way: 0 }
+        Reloads {
+            reread: Some((reread, waker)),
+            jobs: None,
+            ended: None,
+            under_way: 0,
+        }
     }
 
     pub fn begin(&mut self) {
@@ -63,11 +68,15 @@
             log::error!("the configuration can't be reread: {error}");
             return false;
         }
-        self.jobs.as_ref().is_some_and(|jobs| jobs.send(Job::Read(ask)).is_ok())
+        self.jobs
+            .as_ref()
+            .is_some_and(|jobs| jobs.send(Job::Read(ask)).is_ok())
     }
 
     fn start(&mut self) -> io::Result<()> {
-        let Some((mut reread, mut waker)) = self.reread.take() else { return Ok(()) };
+        let Some((mut reread, mut waker)) = self.reread.take() else {
+            return Ok(());
+        };
         let (send, jobs) = channel();
         let (done, ended) = channel();
         let mut running = None;
@@ -82,8 +91,11 @@
                                 rollout::find(folder, hash).and_then(|path| reread(Some(&path)))
                             }
                             Ask::Run(_, None) => reread(None).inspect(|_| running = None),
-                            Ask::Run(hash, Some(folder)) => rollout::find(folder, hash)
-                                .and_then(|path| reread(Some(&path)).inspect(|_| running = Some(path))),
+                            Ask::Run(hash, Some(folder)) => {
+                                rollout::find(folder, hash).and_then(|path| {
+                                    reread(Some(&path)).inspect(|_| running = Some(path))
+                                })
+                            }
                         };
                         if done.send((ask, read)).is_err() {
                             return;
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -132,5 +132,7 @@
 
 /// As much of a client's text as an error message or a line of the log should repeat.
 pub fn shown(text: &str) -> &str {
-    text.char_indices().nth(40).map_or(text, |(end, _)| &text[..end])
+    text.char_indices()
+        .nth(40)
+        .map_or(text, |(end, _)| &text[..end])
 }
--- a/crates/leverproxy/src/rollout.rs
+++ b/crates/leverproxy/src/rollout.rs
@@ -13,7 +13,8 @@
 use configuration::model::Rollout as Stated;
 use membership::{Act, Status as Heard};
 use rollout::{
-    Action, Class, Config, Core, Event, Hash, Limits, Look, Peer, Phase, Ready, Told, Verdict, KINDS,
+    Action, Class, Config, Core, Event, Hash, Limits, Look, Peer, Phase, Ready, Told, Verdict,
+    KINDS,
 };
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -114,12 +115,15 @@
     if unhex(text).is_some() {
         return Ok(text.to_ascii_lowercase());
     }
-    let hash = of_file(Path::new(text)).map_err(|e| Fault::NoVersion(text.to_owned(), Box::new(e)))?;
+    let hash =
+        of_file(Path::new(text)).map_err(|e| Fault::NoVersion(text.to_owned(), Box::new(e)))?;
     Ok(hex(&hash))
 }
 
 fn of_file(path: &Path) -> Result<Hash, Fault> {
-    let bytes = Disk.read(path).map_err(|why| Fault::Unread(path.to_owned(), why))?;
+    let bytes = Disk
+        .read(path)
+        .map_err(|why| Fault::Unread(path.to_owned(), why))?;
     if bytes.len() > FILE_LIMIT {
         return Err(Fault::Large(path.to_owned()));
     }
@@ -143,10 +147,14 @@
 /// The candidate of that hash. Read beside the loop.
 pub fn find(folder: &Path, hash: &Hash) -> Result<PathBuf, ConfigError> {
     let fault = |fault: Fault| ConfigError::new("rollout.candidates", fault);
-    let mut names = Disk.names(folder).map_err(|why| fault(Fault::Unread(folder.to_owned(), why)))?;
+    let mut names = Disk
+        .names(folder)
+        .map_err(|why| fault(Fault::Unread(folder.to_owned(), why)))?;
     names.sort();
     let paths = names.iter().take(FILES).map(|name| folder.join(name));
-    let found = paths.into_iter().find(|path| of_file(path).is_ok_and(|h| h == *hash));
+    let found = paths
+        .into_iter()
+        .find(|path| of_file(path).is_ok_and(|h| h == *hash));
     found.ok_or_else(|| fault(Fault::Missing(folder.to_owned(), hex(hash))))
 }
 
@@ -160,7 +168,9 @@
         waker: UnixStream,
         now: Instant,
     ) -> Rollout {
-        let base = operators.and_then(|path| of_file(path).ok()).unwrap_or_default();
+        let base = operators
+            .and_then(|path| of_file(path).ok())
+            .unwrap_or_default();
         let loaded = stated.state.as_deref().map_or(Ok(None), load);
         let unloaded = loaded.is_err();
         let stored = loaded.unwrap_or_else(|fault| {
@@ -176,8 +186,16 @@
             fresh: stated.period * LASTS_PERIODS,
         };
         let lasts = (stated.period * LASTS_PERIODS).max(LASTS_LEAST);
-        let config =
-            Config { name: name.to_owned(), start, heir, base, limits, dark: stated.dark, lasts, stored };
+        let config = Config {
+            name: name.to_owned(),
+            start,
+            heir,
+            base,
+            limits,
+            dark: stated.dark,
+            lasts,
+            stored,
+        };
         Rollout {
             core: Core::new(config, Duration::ZERO),
             name: name.to_owned(),
@@ -240,8 +258,10 @@
                 left: false,
             })
             .collect();
-        let mut by_name: BTreeMap<String, &mut Peer> =
-            peers.iter_mut().map(|peer| (peer.name.clone(), peer)).collect();
+        let mut by_name: BTreeMap<String, &mut Peer> = peers
+            .iter_mut()
+            .map(|peer| (peer.name.clone(), peer))
+            .collect();
         for sight in view.members {
             if let Some(peer) = by_name.get_mut(&sight.name) {
                 peer.start = sight.start;
@@ -253,24 +273,42 @@
         let names: BTreeSet<&String> = regions.iter().map(|(_, region)| region).collect();
         let promote = names.into_iter().filter(may).cloned().collect();
         let told = |kind: u8| {
-            members.facts(KIND + kind, now).into_iter().map(move |fact| Told {
-                source: fact.source,
-                start: fact.start,
-                kind,
-                body: fact.body,
-            })
+            members
+                .facts(KIND + kind, now)
+                .into_iter()
+                .map(move |fact| Told {
+                    source: fact.source,
+                    start: fact.start,
+                    kind,
+                    body: fact.body,
+                })
         };
         // Places of one name are one class.
         let mut sums: BTreeMap<u32, Sum> = BTreeMap::new();
         for (class, more) in counters.worth.classes() {
-            let sum = sums.entry(membership::number(counters.name(class))).or_default();
+            let sum = sums
+                .entry(membership::number(counters.name(class)))
+                .or_default();
             (sum.asked, sum.lost) = (sum.asked + more.asked, sum.lost + more.lost);
         }
         // Whole ones: what is cut off here comes with the next.
-        let whole = |class: u32, sum: Sum| Class { class, asked: sum.asked as u64, lost: sum.lost as u64 };
-        let counts = sums.into_iter().map(|(class, sum)| whole(class, sum)).collect();
+        let whole = |class: u32, sum: Sum| Class {
+            class,
+            asked: sum.asked as u64,
+            lost: sum.lost as u64,
+        };
+        let counts = sums
+            .into_iter()
+            .map(|(class, sum)| whole(class, sum))
+            .collect();
         let total = whole(0, counters.worth.total());
-        Look { peers, promote, facts: (0..KINDS).flat_map(told).collect(), counts, total }
+        Look {
+            peers,
+            promote,
+            facts: (0..KINDS).flat_map(told).collect(),
+            counts,
+            total,
+        }
     }
 
     /// What came of reading a version.
@@ -302,10 +340,16 @@
         let propose = |hash, again, stated: &Stated, members: &Members| {
             let mut order = stated.order.clone();
             if order.is_empty() {
-                let regions: BTreeSet<String> = members.regions().into_iter().map(|(_, r)| r).collect();
+                let regions: BTreeSet<String> =
+                    members.regions().into_iter().map(|(_, r)| r).collect();
                 order = regions.into_iter().collect();
             }
-            Event::Propose { hash, order, canary: stated.canary, again }
+            Event::Propose {
+                hash,
+                order,
+                canary: stated.canary,
+                again,
+            }
         };
         let event = match said {
             Said::Propose(hash) => Some(propose(hash, false, &self.stated, members)),
@@ -328,12 +372,15 @@
         let (mut actions, mut asks) = (Vec::new(), Vec::new());
         let since = now.saturating_duration_since(self.origin);
         self.core.handle(since, event, &mut actions);
-        let folder =
-            |hash: &Hash, base: &Hash, stated: &Stated| (hash != base).then(|| stated.candidates.clone());
+        let folder = |hash: &Hash, base: &Hash, stated: &Stated| {
+            (hash != base).then(|| stated.candidates.clone())
+        };
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Say(kind, body, lasts) => members.say(KIND + kind, Vec::new(), body, lasts, now),
+                Action::Say(kind, body, lasts) => {
+                    members.say(KIND + kind, Vec::new(), body, lasts, now)
+                }
                 Action::Check(hash) => asks.push(Ask::Check(hash, self.stated.candidates.clone())),
                 Action::Run(hash) => {
                     log::warn!("rollout: {} is to run here", hex(&hash));
@@ -349,7 +396,12 @@
                 Action::Phase(phase) => log::warn!("rollout: {}", words(phase)),
                 Action::Refused(why) => self.refused = Some(format!("{why}. {}", why.advice())),
                 Action::Unread => {
-                    let path = self.stated.state.as_deref().unwrap_or(Path::new("")).join(STATE_FILE);
+                    let path = self
+                        .stated
+                        .state
+                        .as_deref()
+                        .unwrap_or(Path::new(""))
+                        .join(STATE_FILE);
                     let fault = Fault::NoState(path);
                     log::error!("rollout: {fault}. {}", fault.advice());
                 }
@@ -360,15 +412,23 @@
 
     /// None: it is under way; else whether it is kept.
     fn save(&mut self, bytes: Vec<u8>) -> Option<bool> {
-        let Some(folder) = &self.stated.state else { return Some(true) };
+        let Some(folder) = &self.stated.state else {
+            return Some(true);
+        };
         if self.handed {
             return Some(false);
         }
         let path = folder.join(STATE_FILE);
         let start = |waker| Writer::start(path, waker);
-        let started = self.writer.take().map_or_else(|| self.waker.try_clone().and_then(start), Ok);
+        let started = self
+            .writer
+            .take()
+            .map_or_else(|| self.waker.try_clone().and_then(start), Ok);
         self.writer = started.map_err(|error| self.unkept(error)).ok();
-        let under_way = self.writer.as_ref().is_some_and(|writer| writer.save(bytes));
+        let under_way = self
+            .writer
+            .as_ref()
+            .is_some_and(|writer| writer.save(bytes));
         if !under_way {
             // A thread that has ended is begun again.
             self.writer = None;
@@ -377,18 +437,33 @@
     }
 
     fn unkept(&self, error: io::Error) {
-        let path = self.stated.state.as_deref().unwrap_or(Path::new("")).join(STATE_FILE);
+        let path = self
+            .stated
+            .state
+            .as_deref()
+            .unwrap_or(Path::new(""))
+            .join(STATE_FILE);
         let fault = Fault::Unkept(path, error);
         log::error!("rollout: {fault}. {}", fault.advice());
     }
 
     pub fn lines(&self) -> String {
         let status = self.core.status();
-        let mut text = format!("rollout {}\n  runs {}\n", words(status.phase), hex(&status.runs));
+        let mut text = format!(
+            "rollout {}\n  runs {}\n",
+            words(status.phase),
+            hex(&status.runs)
+        );
         // Writing to a string does not fail.
         if let Some(p) = &status.proposal {
             let order = p.order.join(", then ");
-            _ = writeln!(text, "  version {} epoch {} by {}: {order}", hex(&p.hash), p.epoch, p.proposer);
+            _ = writeln!(
+                text,
+                "  version {} epoch {} by {}: {order}",
+                hex(&p.hash),
+                p.epoch,
+                p.proposer
+            );
         }
         if let Some(halted) = &status.halted {
             _ = writeln!(text, "  halted by {}: {}", halted.by, halted.why.text());
@@ -415,11 +490,22 @@
                 Ready::Yes => "can run it".to_owned(),
                 Ready::Cannot(why) => format!("cannot run it: {why}"),
             };
-            _ = writeln!(text, "  member {name} runs {runs}, votes for {} stages, {ready}", word.votes);
+            _ = writeln!(
+                text,
+                "  member {name} runs {runs}, votes for {} stages, {ready}",
+                word.votes
+            );
         }
         for (name, times) in &status.planned {
-            let often = if *times > PLANNED { ": more often than a change of builds needs" } else { "" };
-            _ = writeln!(text, "  member {name} started anew in order {times} times{often}");
+            let often = if *times > PLANNED {
+                ": more often than a change of builds needs"
+            } else {
+                ""
+            };
+            _ = writeln!(
+                text,
+                "  member {name} started anew in order {times} times{often}"
+            );
         }
         if status.unkept {
             text.push_str("  its state can't be kept: it votes for nothing new until it can\n");
@@ -429,26 +515,71 @@
 
     pub fn figures(&self, figures: &mut Figures) {
         let status = self.core.status();
-        let phases = ["idle", "proposed", "canary", "region", "whole", "halted", "returned"];
+        let phases = [
+            "idle", "proposed", "canary", "region", "whole", "halted", "returned",
+        ];
         let is = short(status.phase);
         let phase = phases.map(|name| (vec![("phase", name)], u64::from(name == is)));
         figures.many("lb_rollout_phase", "How far the rollout has come.", phase);
-        let new = status.proposal.as_ref().is_some_and(|p| p.hash == status.runs);
+        let new = status
+            .proposal
+            .as_ref()
+            .is_some_and(|p| p.hash == status.runs);
         let stage = match status.phase {
             Phase::Region(at) => at as u64 + 1,
             _ => 0,
         };
-        let ready = status.members.iter().find(|(name, _)| *name == self.name).map(|(_, word)| &word.ready);
-        let unable = status.members.iter().filter(|(_, w)| matches!(w.ready, Ready::Cannot(_))).count();
+        let ready = status
+            .members
+            .iter()
+            .find(|(name, _)| *name == self.name)
+            .map(|(_, word)| &word.ready);
+        let unable = status
+            .members
+            .iter()
+            .filter(|(_, w)| matches!(w.ready, Ready::Cannot(_)))
+            .count();
         for (name, help, value) in [
-            ("lb_rollout_epoch", "Of the proposal.", status.proposal.as_ref().map_or(0, |p| p.epoch)),
-            ("lb_rollout_region", "The region that it has come to, from 1.", stage),
-            ("lb_rollout_new", "Whether the new version runs here.", u64::from(new)),
-            ("lb_rollout_can_run", "Whether it could run here.", u64::from(ready == Some(&Ready::Yes))),
-            ("lb_rollout_cannot_run", "Proxies that say they can't run it.", unable as u64),
-            ("lb_rollout_windows_total", "Comparisons of both versions.", status.windows),
-            ("lb_rollout_superseded_total", "Proposals that gave way to another.", status.superseded),
-            ("lb_rollout_malformed_total", "Facts that could not be read.", status.malformed),
+            (
+                "lb_rollout_epoch",
+                "Of the proposal.",
+                status.proposal.as_ref().map_or(0, |p| p.epoch),
+            ),
+            (
+                "lb_rollout_region",
+                "The region that it has come to, from 1.",
+                stage,
+            ),
+            (
+                "lb_rollout_new",
+                "Whether the new version runs here.",
+                u64::from(new),
+            ),
+            (
+                "lb_rollout_can_run",
+                "Whether it could run here.",
+                u64::from(ready == Some(&Ready::Yes)),
+            ),
+            (
+                "lb_rollout_cannot_run",
+                "Proxies that say they can't run it.",
+                unable as u64,
+            ),
+            (
+                "lb_rollout_windows_total",
+                "Comparisons of both versions.",
+                status.windows,
+            ),
+            (
+                "lb_rollout_superseded_total",
+                "Proposals that gave way to another.",
+                status.superseded,
+            ),
+            (
+                "lb_rollout_malformed_total",
+                "Facts that could not be read.",
+                status.malformed,
+            ),
             (
                 "lb_rollout_state_unread",
                 "Whether this process began without the state that was kept: it could not be read.",
@@ -459,7 +590,11 @@
                 "Whether its state can't be kept at present.",
                 u64::from(status.unkept),
             ),
-            ("lb_rollout_runs_failed_total", "Versions that could not be read here.", self.runs_failed),
+            (
+                "lb_rollout_runs_failed_total",
+                "Versions that could not be read here.",
+                self.runs_failed,
+            ),
         ] {
             figures.one(name, help, value);
         }
--- a/crates/leverproxy/src/seldom.rs
+++ b/crates/leverproxy/src/seldom.rs
@@ -14,7 +14,10 @@
 impl Seldom {
     /// A line, with how many were left out before it; nothing while the last one is fresh.
     pub fn line(&mut self, now: Instant, text: impl FnOnce() -> String) -> Option<String> {
-        if self.said.is_some_and(|said| now.saturating_duration_since(said) < APART) {
+        if self
+            .said
+            .is_some_and(|said| now.saturating_duration_since(said) < APART)
+        {
             self.left_out += 1;
             return None;
         }
--- a/crates/leverproxy/src/sites.rs
+++ b/crates/leverproxy/src/sites.rs
@@ -21,7 +21,10 @@
 
 impl Sites {
     pub fn new(settings: Settings) -> Sites {
-        Sites { plan: Plan::new(settings, true, Duration::ZERO), logged: Vec::new() }
+        Sites {
+            plan: Plan::new(settings, true, Duration::ZERO),
+            logged: Vec::new(),
+        }
     }
 
     /// What requests are worth, and whose share of what is how large.
@@ -32,8 +35,13 @@
             aim: class.aim,
         };
         let classes = settings.classes.iter().map(class).collect();
-        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
-        self.plan.configure(classes, quotas, settings.over_share_worth);
+        let quotas = settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.quota_per_s)
+            .collect();
+        self.plan
+            .configure(classes, quotas, settings.over_share_worth);
     }
 
     /// A request has come: the part of its kind that is to be refused.
@@ -45,7 +53,18 @@
         };
         let (group, class, tenant) = (arrival.group.0, arrival.class.0, arrival.tenant.0);
         let (write, repeated) = (self.plan.writes(class), arrival.repeated);
-        self.plan.asked(now, arrival.id.0, Kind { group, write, class, tenant, standing, repeated })
+        self.plan.asked(
+            now,
+            arrival.id.0,
+            Kind {
+                group,
+                write,
+                class,
+                tenant,
+                standing,
+                repeated,
+            },
+        )
     }
 
     pub fn plan(&mut self) -> &mut Plan {
@@ -54,8 +73,11 @@
 
     /// What was answered in time is what a site can do.
     pub fn ended(&mut self, now: Duration, done: &Done) {
-        if let (Some(class), Some(group), Verdict::Served(_)) = (done.class, done.group, &done.verdict) {
-            self.plan.served(now, done.store.0, group.0, class.0, done.elapsed);
+        if let (Some(class), Some(group), Verdict::Served(_)) =
+            (done.class, done.group, &done.verdict)
+        {
+            self.plan
+                .served(now, done.store.0, group.0, class.0, done.elapsed);
         }
     }
 
@@ -67,9 +89,14 @@
         }
         let reports: Vec<Report> = self.plan.reports().collect();
         for report in &reports {
-            let before = self.logged.iter().find(|r| r.site == report.site).map(|r| r.state);
+            let before = self
+                .logged
+                .iter()
+                .find(|r| r.site == report.site)
+                .map(|r| r.state);
             if before.is_some_and(|before| before != report.state) {
-                let (site, state, source) = (name(report.site), report.state.name(), report.source.name());
+                let (site, state, source) =
+                    (name(report.site), report.state.name(), report.source.name());
                 log::warn!(source; "sites: {site} is {state}");
             }
         }
@@ -98,11 +125,16 @@
         zone: impl Fn(u16) -> String,
         [classes, tenants]: [&[String]; 2],
     ) -> String {
-        let mut all: Vec<(String, Report)> = self.plan.reports().map(|r| (zone(r.site), r)).collect();
+        let mut all: Vec<(String, Report)> =
+            self.plan.reports().map(|r| (zone(r.site), r)).collect();
         if let Some(named) = named {
             if !all.iter().any(|(name, _)| name == named) {
                 let known: Vec<&str> = all.iter().map(|(name, _)| name.as_str()).collect();
-                let known = if known.is_empty() { "none are told apart".into() } else { known.join(", ") };
+                let known = if known.is_empty() {
+                    "none are told apart".into()
+                } else {
+                    known.join(", ")
+                };
                 return format!("error: there is no site {named:?}; of sites {known}\n");
             }
             all.retain(|(name, _)| name == named);
@@ -115,47 +147,85 @@
         for (name, report) in &all {
             let loss = self.plan.loss(now, report.site);
             sites.push(site_row(now, name, report, &loss, &zone));
-            for (class, tenant, standing, part) in
-                loss.refused.iter().filter(|r| r.3 >= LEAST_SHOWN).take(KINDS_SHOWN)
+            for (class, tenant, standing, part) in loss
+                .refused
+                .iter()
+                .filter(|r| r.3 >= LEAST_SHOWN)
+                .take(KINDS_SHOWN)
             {
-                let word =
-                    |names: &[String], at: u16| names.get(usize::from(at)).map_or("-", |n| n).to_owned();
+                let word = |names: &[String], at: u16| {
+                    names.get(usize::from(at)).map_or("-", |n| n).to_owned()
+                };
                 let standing = match standing {
                     Standing::Within => "within",
                     Standing::Borrowed => "borrowed",
                     Standing::Beyond => "beyond",
                 };
-                let names = [name.clone(), word(classes, *class), word(tenants, *tenant), standing.into()];
+                let names = [
+                    name.clone(),
+                    word(classes, *class),
+                    word(tenants, *tenant),
+                    standing.into(),
+                ];
                 refused.push([&names[..], &[percent(*part)]].concat());
             }
         }
-        let now =
-            format!("refused now for a lost site: {} of the work of reads\n", percent(self.plan.level()));
-        let refused = if refused.len() > 1 { columns(&refused) } else { String::new() };
+        let now = format!(
+            "refused now for a lost site: {} of the work of reads\n",
+            percent(self.plan.level())
+        );
+        let refused = if refused.len() > 1 {
+            columns(&refused)
+        } else {
+            String::new()
+        };
         [columns(&sites), refused, now].concat()
     }
 
     pub fn figures(&self, now: Duration, figures: &mut Figures, name: impl Fn(u16) -> String) {
-        let reports: Vec<(String, Report)> = self.plan.reports().map(|r| (name(r.site), r)).collect();
+        let reports: Vec<(String, Report)> =
+            self.plan.reports().map(|r| (name(r.site), r)).collect();
         let states = reports.iter().flat_map(|(name, report)| {
             State::ALL.into_iter().map(|state| {
                 let labels = vec![("site", name.as_str()), ("state", state.name())];
                 (labels, u64::from(report.state == state))
             })
         });
-        figures.many("lb_site_state", "What this proxy knows of each site.", states);
-        let losses = reports.iter().map(|(name, report)| (vec![("site", name.as_str())], report.losses));
+        figures.many(
+            "lb_site_state",
+            "What this proxy knows of each site.",
+            states,
+        );
+        let losses = reports
+            .iter()
+            .map(|(name, report)| (vec![("site", name.as_str())], report.losses));
         let headroom = reports.iter().map(|(name, report)| {
-            (vec![("site", name.as_str())], (1_000.0 * self.plan.headroom(now, report.site)) as u64)
+            (
+                vec![("site", name.as_str())],
+                (1_000.0 * self.plan.headroom(now, report.site)) as u64,
+            )
         });
         let help = "Of a thousand parts of the worth asked for, those served if the site went now.";
         figures.many("lb_site_headroom", help, headroom);
-        figures.many("lb_site_losses_total", "How often this proxy lost a site.", losses);
+        figures.many(
+            "lb_site_losses_total",
+            "How often this proxy lost a site.",
+            losses,
+        );
     }
 }
 
-const HEAD: [&str; 9] =
-    ["site", "state", "by", "for", "up", "headroom", "reads left/asked", "writes left/asked", "load goes to"];
+const HEAD: [&str; 9] = [
+    "site",
+    "state",
+    "by",
+    "for",
+    "up",
+    "headroom",
+    "reads left/asked",
+    "writes left/asked",
+    "load goes to",
+];
 const REFUSED_HEAD: [&str; 5] = ["without", "class", "tenant", "quota", "refused"];
 
 fn percent(part: f64) -> String {
@@ -170,8 +240,11 @@
     loss: &Loss,
     zone: impl Fn(u16) -> String,
 ) -> Vec<String> {
-    let goes: Vec<String> =
-        loss.goes.iter().map(|(site, part)| format!("{} {}", zone(*site), percent(*part))).collect();
+    let goes: Vec<String> = loss
+        .goes
+        .iter()
+        .map(|(site, part)| format!("{} {}", zone(*site), percent(*part)))
+        .collect();
     let [reads, writes] = [0, 1].map(|at| format!("{:.2}/{:.2}", loss.left[at], loss.asked[at]));
     vec![
         name.to_owned(),
@@ -182,17 +255,26 @@
         percent(loss.headroom),
         reads,
         writes,
-        if goes.is_empty() { "nowhere".into() } else { goes.join(", ") },
+        if goes.is_empty() {
+            "nowhere".into()
+        } else {
+            goes.join(", ")
+        },
     ]
 }
 
 fn columns(rows: &[Vec<String>]) -> String {
     let most = rows.iter().map(Vec::len).max().unwrap_or(0);
     let cell = |row: &Vec<String>, at: usize| row.get(at).map_or(0, |text| text.chars().count());
-    let widths: Vec<usize> =
-        (0..most).map(|at| rows.iter().map(|row| cell(row, at)).max().unwrap_or(0)).collect();
+    let widths: Vec<usize> = (0..most)
+        .map(|at| rows.iter().map(|row| cell(row, at)).max().unwrap_or(0))
+        .collect();
     let line = |row: &Vec<String>| {
-        let cells: Vec<String> = row.iter().zip(&widths).map(|(text, w)| format!("{text:w$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(text, w)| format!("{text:w$}"))
+            .collect();
         format!("{}\n", cells.join("  ").trim_end())
     };
     rows.iter().map(line).collect()
@@ -204,9 +286,17 @@
         Listed::Draining => site_plan::Listed::Draining,
         Listed::Gone => site_plan::Listed::Gone,
     };
-    Event::Listed { server: entry.store.0, site: entry.zone.0, listed }
+    Event::Listed {
+        server: entry.store.0,
+        site: entry.zone.0,
+        listed,
+    }
 }
 
 pub fn gone(store: StoreId) -> Event {
-    Event::Listed { server: store.0, site: 0, listed: site_plan::Listed::Gone }
+    Event::Listed {
+        server: store.0,
+        site: 0,
+        listed: site_plan::Listed::Gone,
+    }
 }
--- a/crates/leverproxy/src/stages/admit.rs
+++ b/crates/leverproxy/src/stages/admit.rs
@@ -58,7 +58,10 @@
 
 impl Ledger {
     pub fn new(limit: usize) -> Ledger {
-        Ledger { limit, ..Ledger::default() }
+        Ledger {
+            limit,
+            ..Ledger::default()
+        }
     }
 
     /// What is open stays, above a lower limit too.
@@ -92,9 +95,21 @@
         pool: Option<PoolId>,
         request: Request,
     ) {
-        let Arrival { id, tenant, standing, .. } = *arrival;
+        let Arrival {
+            id,
+            tenant,
+            standing,
+            ..
+        } = *arrival;
         self.tickets.insert(ticket, id);
-        let Request { id: name, command, read_at, wait, group, .. } = request;
+        let Request {
+            id: name,
+            command,
+            read_at,
+            wait,
+            group,
+            ..
+        } = request;
         let group = GroupId(group);
         self.names.insert(name.clone());
         let command = Arc::new(command);
@@ -124,7 +139,9 @@
         let (time, number) = NAMES_KEPT;
         let old = |at: Instant| now.saturating_duration_since(at) >= time;
         while self.ended.len() > number || self.ended.front().is_some_and(|(at, _)| old(*at)) {
-            let Some((_, name)) = self.ended.pop_front() else { return };
+            let Some((_, name)) = self.ended.pop_front() else {
+                return;
+            };
             self.names.remove(&name);
         }
     }
--- a/crates/leverproxy/src/stages/book.rs
+++ b/crates/leverproxy/src/stages/book.rs
@@ -17,7 +17,10 @@
             outcome: outcome(&done.verdict),
             elapsed: done.elapsed,
             last,
-            note: Note { position: done.note.position.filter(known), ..done.note },
+            note: Note {
+                position: done.note.position.filter(known),
+                ..done.note
+            },
         }),
         Purpose::Probe => {
             let report = match &done.verdict {
@@ -28,10 +31,18 @@
             // whose position may be true, but is not believed yet, the rest counts.
             let possible = |position: &Time| *position <= latest.plus(BEHIND_MOST);
             let sound = report.position.as_ref().is_none_or(possible);
-            let report = Report { position: report.position.filter(known), ..report };
+            let report = Report {
+                position: report.position.filter(known),
+                ..report
+            };
             let ok = matches!(done.verdict, Verdict::Reported(_));
             let (store, elapsed) = (done.store, done.elapsed);
-            Event::Probed { store, ok, elapsed, report: if sound { report } else { Report::default() } }
+            Event::Probed {
+                store,
+                ok,
+                elapsed,
+                report: if sound { report } else { Report::default() },
+            }
         }
     }
 }
@@ -49,7 +60,11 @@
         (Purpose::Probe, _) => return None,
     };
     let present_since = (primary == Some(true)).then_some(since);
-    position.map(|position| Told { server: done.store, position, present_since })
+    position.map(|position| Told {
+        server: done.store,
+        position,
+        present_since,
+    })
 }
 
 fn outcome(verdict: &Verdict) -> Outcome {
@@ -75,7 +90,12 @@
 
 /// On sockets all positions are Unix times.
 fn report(fields: &[(String, f64)]) -> Report {
-    let fields = fields.iter().map(|(name, value)| (mountshift_settings::field(name), *value));
+    let fields = fields
+        .iter()
+        .map(|(name, value)| (mountshift_settings::field(name), *value));
     let report = mountshift_settings::report(Time::ZERO, fields);
-    Report { position: report.position.map(|at| at.minus(ROUNDING)), ..report }
+    Report {
+        position: report.position.map(|at| at.minus(ROUNDING)),
+        ..report
+    }
 }
--- a/crates/leverproxy/src/stages/mod.rs
+++ b/crates/leverproxy/src/stages/mod.rs
@@ -109,7 +109,12 @@
         let clock = Clock::start(wall_clock);
         let mut quota = quota::Quota::default();
         quota.configure(&platform, now);
-        let Decoded { settings, names, max_open, .. } = platform;
+        let Decoded {
+            settings,
+            names,
+            max_open,
+            ..
+        } = platform;
         monitor.configure(&settings);
         let mut counters = Counters::new(&names.classes);
         counters.worth.configure(&settings);
@@ -120,7 +125,11 @@
             end: None,
             names,
             deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
-            writes: settings.classes.iter().map(|c| c.need == Need::Write).collect(),
+            writes: settings
+                .classes
+                .iter()
+                .map(|c| c.need == Need::Write)
+                .collect(),
             probe_time,
             directory: Directory::default(),
             list_confirmed: false,
@@ -136,7 +145,13 @@
 
     /// The list as the proxy last had it, before anything else.
     pub fn start(&mut self, known: Listing, sides: &mut Sides, now: Instant) {
-        let (news, changes) = self.directory.learn(Listing { snapshot: true, ..known }, &self.names);
+        let (news, changes) = self.directory.learn(
+            Listing {
+                snapshot: true,
+                ..known
+            },
+            &self.names,
+        );
         let news = match news {
             ListNews::Complete(entries) => ListNews::Cached(entries),
             other => other,
@@ -157,7 +172,9 @@
                 self.on_done(done, sides, now);
             } else if let Some(event) = sides.front.pop() {
                 match event {
-                    front::Event::Asked(ticket, request) => self.on_request(ticket, request, sides, now),
+                    front::Event::Asked(ticket, request) => {
+                        self.on_request(ticket, request, sides, now)
+                    }
                     front::Event::Left(ticket) => self.on_left(ticket, sides, now),
                     front::Event::Cancelled(ticket) => self.on_cancelled(ticket, sides, now),
                     front::Event::Room(ticket) => self.on_room(ticket, sides, now),
@@ -175,12 +192,16 @@
     }
 
     pub fn on_watch_timer(&mut self, sides: &mut Sides, now: Instant) {
-        sides.discovery.check(self.directory.index(), now, &sides.reactor);
+        sides
+            .discovery
+            .check(self.directory.index(), now, &sides.reactor);
     }
 
     /// Where lists are pushed, the watch stands whatever the module asks for.
     pub fn set_pushed(&mut self, pushed: bool, sides: &mut Sides, now: Instant) {
-        sides.discovery.set_pushed(pushed, self.directory.index(), now, &sides.reactor);
+        sides
+            .discovery
+            .set_pushed(pushed, self.directory.index(), now, &sides.reactor);
     }
 
     pub fn on_module_timer(&mut self, token: u32, sides: &mut Sides, now: Instant) {
@@ -190,12 +211,20 @@
     fn on_request(&mut self, ticket: Ticket, request: Request, sides: &mut Sides, now: Instant) {
         let id = self.ledger.next_id();
         let margin = self.steering.rules().margin;
-        let Chain { names, deadlines, .. } = self;
+        let Chain {
+            names, deadlines, ..
+        } = self;
         let mut arrival = match take_in::take_in(id, &request, names, deadlines, margin, now) {
             Ok(arrival) => take_in::end_by(arrival, self.end, margin, now),
             Err(why) => {
-                let known = self.names.classes.iter().position(|name| *name == request.class);
-                let class = known.and_then(|at| u16::try_from(at).ok()).map(mountshift::ClassId);
+                let known = self
+                    .names
+                    .classes
+                    .iter()
+                    .position(|name| *name == request.class);
+                let class = known
+                    .and_then(|at| u16::try_from(at).ok())
+                    .map(mountshift::ClassId);
                 return self.reject(ticket, class, why, sides, now);
             }
         };
@@ -232,7 +261,8 @@
             return self.reject(ticket, Some(class), why, sides, now);
         }
         self.counters.taken(class);
-        self.counters.answered(class, Standing::Within, &answer, Duration::ZERO);
+        self.counters
+            .answered(class, Standing::Within, &answer, Duration::ZERO);
         sides.front.answer(ticket, answer, now, &sides.reactor);
     }
 
@@ -245,7 +275,8 @@
 
     fn vacate(&mut self, open: &admit::Open, now: Instant) {
         if let Some(pool) = open.pool {
-            self.steering.give_back(pool, now.saturating_duration_since(open.read_at));
+            self.steering
+                .give_back(pool, now.saturating_duration_since(open.read_at));
         }
     }
 
@@ -258,11 +289,20 @@
     pub fn configure(&mut self, succession: Succession, probe_time: Duration, now: Instant) {
         let Succession { next, heirs, .. } = succession;
         self.quota.configure(&next, now);
-        let Decoded { settings, names, max_open, .. } = next;
+        let Decoded {
+            settings,
+            names,
+            max_open,
+            ..
+        } = next;
         self.counters.extend(&names.classes);
         self.counters.worth.configure(&settings);
         self.deadlines = settings.classes.iter().map(|c| c.deadline).collect();
-        self.writes = settings.classes.iter().map(|c| c.need == Need::Write).collect();
+        self.writes = settings
+            .classes
+            .iter()
+            .map(|c| c.need == Need::Write)
+            .collect();
         (self.names, self.probe_time) = (names, probe_time);
         self.ledger.set_limit(max_open);
         self.monitor.configure(&settings);
@@ -282,10 +322,13 @@
         sides: &mut Sides,
         now: Instant,
     ) {
-        self.rejections.warn(now, || format!("front: a request is rejected: {why}"));
+        self.rejections
+            .warn(now, || format!("front: a request is rejected: {why}"));
         let answer = Answer::Rejected(why);
         match class {
-            Some(class) => self.counters.answered(class, Standing::Within, &answer, Duration::ZERO),
+            Some(class) => self
+                .counters
+                .answered(class, Standing::Within, &answer, Duration::ZERO),
             None => self.counters.rejected += 1,
         }
         sides.front.answer(ticket, answer, now, &sides.reactor);
@@ -300,13 +343,18 @@
     /// The client does not want the answer any more, and is told that this was heard. One that has begun to reach it
     /// goes on.
     fn on_cancelled(&mut self, ticket: Ticket, sides: &mut Sides, now: Instant) {
-        let open = self.ledger.id(ticket).and_then(|id| self.ledger.get_mut(id));
+        let open = self
+            .ledger
+            .id(ticket)
+            .and_then(|id| self.ledger.get_mut(id));
         if open.is_none_or(|open| open.passing.is_some()) {
             return;
         }
         if let Some(open) = self.abandon(ticket, sides, now) {
             self.counters.cancelled(open.class);
-            sides.front.answer(ticket, Answer::Cancelled, now, &sides.reactor);
+            sides
+                .front
+                .answer(ticket, Answer::Cancelled, now, &sides.reactor);
         }
     }
 
@@ -329,8 +377,19 @@
     /// A part of an answer that is too large to be kept goes to the client at once. With the first the module hears that
     /// the attempt was answered: that is what is timed.
     fn on_piece(&mut self, piece: Piece, sides: &mut Sides, now: Instant) {
-        let Piece { id, attempt, from, store, elapsed, bytes } = piece;
-        let Some(open) = self.ledger.get_mut(id).filter(|o| o.passing.is_none_or(|p| p.0 == attempt)) else {
+        let Piece {
+            id,
+            attempt,
+            from,
+            store,
+            elapsed,
+            bytes,
+        } = piece;
+        let Some(open) = self
+            .ledger
+            .get_mut(id)
+            .filter(|o| o.passing.is_none_or(|p| p.0 == attempt))
+        else {
             // Its client has left, or gets another attempt's answer.
             return sides.upstream.stop(from, now);
         };
@@ -341,15 +400,29 @@
         if first {
             let write = self.is_write(Some(class));
             let position = self.least_commit(now).filter(|_| write);
-            let note = mountshift::Note { position, ..mountshift::Note::default() };
+            let note = mountshift::Note {
+                position,
+                ..mountshift::Note::default()
+            };
             let outcome = mountshift::Outcome::Ok;
-            let ended = mountshift::Ended { id, attempt, store, outcome, elapsed, last: true, note };
+            let ended = mountshift::Ended {
+                id,
+                attempt,
+                store,
+                outcome,
+                elapsed,
+                last: true,
+                note,
+            };
             self.learn(Event::Ended(ended), sides, now);
         }
     }
 
     fn on_room(&mut self, ticket: Ticket, sides: &mut Sides, now: Instant) {
-        let open = self.ledger.id(ticket).and_then(|id| self.ledger.get_mut(id));
+        let open = self
+            .ledger
+            .id(ticket)
+            .and_then(|id| self.ledger.get_mut(id));
         if let Some((_, from)) = open.and_then(|open| open.passing) {
             sides.upstream.resume(from, now, &sides.reactor);
         }
@@ -362,15 +435,25 @@
         let Purpose::Attempt(id, attempt) = done.purpose else {
             return self.learn(book::book(&done, true, latest), sides, now);
         };
-        if let Some((open, answer)) = relay::served(id, attempt, &mut done.verdict, &mut self.ledger, now) {
+        if let Some((open, answer)) =
+            relay::served(id, attempt, &mut done.verdict, &mut self.ledger, now)
+        {
             self.vacate(&open, now);
             self.relay(open, answer, sides, now);
-        } else if self.ledger.get_mut(id).is_some_and(|o| o.passing.is_some_and(|p| p.0 == attempt)) {
+        } else if self
+            .ledger
+            .get_mut(id)
+            .is_some_and(|o| o.passing.is_some_and(|p| p.0 == attempt))
+        {
             // Its rest will never come; the module has heard of it already.
             return self.answer(id, Answer::Failed, sides, now);
         }
         let last = self.ledger.get_mut(id).is_none();
-        let latest = if self.commits(&mut done, now) { latest.plus(book::BEHIND_MOST) } else { latest };
+        let latest = if self.commits(&mut done, now) {
+            latest.plus(book::BEHIND_MOST)
+        } else {
+            latest
+        };
         self.learn(book::book(&done, last, latest), sides, now);
     }
 
@@ -395,7 +478,10 @@
 
     fn is_write(&self, class: Option<mountshift::ClassId>) -> bool {
         let class = class.map(|class| usize::from(class.0));
-        class.and_then(|class| self.writes.get(class)).copied().unwrap_or(false)
+        class
+            .and_then(|class| self.writes.get(class))
+            .copied()
+            .unwrap_or(false)
     }
 
     /// What a commit of just now counts as, if it does not tell; none: the module's own time will do.
@@ -407,11 +493,15 @@
 
     /// Needs for fresh data follow what is known of the clock's error.
     fn look_at_clock(&mut self, now: Instant) {
-        if self.clock_looked.is_none_or(|at| now.saturating_duration_since(at) >= CLOCK_LOOK) {
+        if self
+            .clock_looked
+            .is_none_or(|at| now.saturating_duration_since(at) >= CLOCK_LOOK)
+        {
             self.clock_looked = Some(now);
             self.evidence.system(self.clock.system_lead());
         }
-        self.route.set_lead(self.evidence.lead(self.clock.unix(now)));
+        self.route
+            .set_lead(self.evidence.lead(self.clock.unix(now)));
     }
 
     /// What a record server has told goes to both who ask for it.
@@ -422,7 +512,8 @@
             _ => None,
         };
         if let Some((store, position, primary)) = told {
-            self.monitor.told(store, position, primary, &self.clock, now);
+            self.monitor
+                .told(store, position, primary, &self.clock, now);
         }
         self.decide(event, sides, now);
     }
@@ -444,7 +535,8 @@
                 }
             }
             News::Listing(listing) => {
-                self.monitor.event(now, availability::Event::Discovery { heard: true });
+                self.monitor
+                    .event(now, availability::Event::Discovery { heard: true });
                 self.monitor.event(now, availability::Event::ListHeard);
                 self.counters.lists += 1;
                 self.list_confirmed = true;
@@ -454,7 +546,8 @@
             }
             News::Lost => {
                 self.monitor.list(false, now);
-                self.monitor.event(now, availability::Event::Discovery { heard: false });
+                self.monitor
+                    .event(now, availability::Event::Discovery { heard: false });
                 self.counters.watches_lost += 1;
             }
             News::Failed => self.decide(Event::List(ListNews::Failed), sides, now),
@@ -463,7 +556,10 @@
 
     /// The module hears of a list before the attempts that it ends are reported.
     fn listed(&mut self, news: ListNews, changes: Vec<Change>, sides: &mut Sides, now: Instant) {
-        if let ListNews::Changes(entries) | ListNews::Complete(entries) | ListNews::Cached(entries) = &news {
+        if let ListNews::Changes(entries)
+        | ListNews::Complete(entries)
+        | ListNews::Cached(entries) = &news
+        {
             let named = |store: &StoreId| entries.iter().any(|e| e.store == *store);
             let left = changes.iter().filter_map(|change| match change {
                 Change::Leaves(store) => Some(*store).filter(|store| !named(store)),
@@ -492,15 +588,24 @@
 
     fn act(&mut self, action: Action, sides: &mut Sides, now: Instant) {
         match action {
-            Action::Send { id, store, time_out, begin_within } => {
+            Action::Send {
+                id,
+                store,
+                time_out,
+                begin_within,
+            } => {
                 self.monitor.settled(id, false);
-                let Some(open) = self.ledger.get_mut(id) else { return };
+                let Some(open) = self.ledger.get_mut(id) else {
+                    return;
+                };
                 let exchange = send::attempt(id, open, time_out, begin_within, now);
                 self.monitor.sent(Some(open.group), store, now);
                 sides.upstream.start(store, exchange, now, &sides.reactor);
             }
             Action::Probe { store } => self.probe(store, sides, now),
-            Action::Cancel { id, attempt } => sides.upstream.cancel(Purpose::Attempt(id, attempt), now),
+            Action::Cancel { id, attempt } => {
+                sides.upstream.cancel(Purpose::Attempt(id, attempt), now)
+            }
             Action::Refuse { id, come_back } => {
                 self.monitor.settled(id, true);
                 self.answer(id, Answer::Refused(come_back), sides, now);
@@ -513,20 +618,29 @@
                 sides.timers.set(later(now, after), Timer::Module(token.0));
             }
             Action::Subscribe => {
-                sides.discovery.subscribe(self.directory.index(), now, &sides.reactor);
+                sides
+                    .discovery
+                    .subscribe(self.directory.index(), now, &sides.reactor);
             }
         }
     }
 
     /// Discovery is at another address; what is known of the record servers stays.
     pub fn discovery_at(&mut self, address: SocketAddr, sides: &mut Sides, now: Instant) {
-        sides.discovery.move_to(address, self.directory.index(), now, &sides.reactor);
+        sides
+            .discovery
+            .move_to(address, self.directory.index(), now, &sides.reactor);
     }
 
     fn probe(&mut self, store: StoreId, sides: &mut Sides, now: Instant) {
         self.counters.probe_sent();
         self.monitor.sent(None, store, now);
-        sides.upstream.start(store, send::probe(self.probe_time, now), now, &sides.reactor);
+        sides.upstream.start(
+            store,
+            send::probe(self.probe_time, now),
+            now,
+            &sides.reactor,
+        );
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer, sides: &mut Sides, now: Instant) {
@@ -539,11 +653,20 @@
     }
 
     fn relay(&mut self, open: admit::Open, answer: Answer, sides: &mut Sides, now: Instant) {
-        log::debug!("{}: {}", self.counters.name(open.class), relay::account(&open, &answer, now));
+        log::debug!(
+            "{}: {}",
+            self.counters.name(open.class),
+            relay::account(&open, &answer, now)
+        );
         let took = now.saturating_duration_since(open.read_at);
-        self.counters.answered(open.class, open.standing, &answer, took);
+        self.counters
+            .answered(open.class, open.standing, &answer, took);
         self.quota.ended(&open, Some(&answer), now);
-        let write = self.writes.get(usize::from(open.class.0)).copied().unwrap_or(false);
+        let write = self
+            .writes
+            .get(usize::from(open.class.0))
+            .copied()
+            .unwrap_or(false);
         self.monitor.answered(open.group, write, &answer, now);
         match (open.passing, &answer) {
             // It has begun to reach the client, and won't be finished: the client sees that by its connection.
@@ -567,15 +690,31 @@
     /// that nothing of it ran is known, and another proxy may still serve it.
     pub fn fail_all(&mut self, sides: &mut Sides, now: Instant) {
         for id in self.ledger.ids() {
-            let untried = self.ledger.get_mut(id).is_some_and(|open| open.attempts() == 0);
-            let answer = if untried { Answer::Refused(None) } else { Answer::Failed };
+            let untried = self
+                .ledger
+                .get_mut(id)
+                .is_some_and(|open| open.attempts() == 0);
+            let answer = if untried {
+                Answer::Refused(None)
+            } else {
+                Answer::Failed
+            };
             self.answer(id, answer, sides, now);
         }
     }
 
     /// Operators take a server out or call it back.
-    pub fn hand(&mut self, name: &str, out: bool, sides: &mut Sides, now: Instant) -> Result<(), Unknown> {
-        if let Some((news, changes)) = self.directory.hand(name, out, self.clock.unix(now), &self.names)? {
+    pub fn hand(
+        &mut self,
+        name: &str,
+        out: bool,
+        sides: &mut Sides,
+        now: Instant,
+    ) -> Result<(), Unknown> {
+        if let Some((news, changes)) =
+            self.directory
+                .hand(name, out, self.clock.unix(now), &self.names)?
+        {
             self.monitor.hands(&news, now);
             self.listed(news, changes, sides, now);
         }
@@ -607,12 +746,16 @@
 
     /// Record servers in the list, and those of them that are avoided at present.
     pub fn record_servers(&self, now: Instant) -> (usize, usize) {
-        (self.directory.hands().listed(), self.route.avoided(self.clock.unix(now)))
+        (
+            self.directory.hands().listed(),
+            self.route.avoided(self.clock.unix(now)),
+        )
     }
 
     /// What operators are told of sites, or of one.
     pub fn sites(&self, named: Option<&str>, now: Instant) -> String {
-        self.monitor.site_table(named, [&self.names.classes, &self.names.tenants], now)
+        self.monitor
+            .site_table(named, [&self.names.classes, &self.names.tenants], now)
     }
 
     /// Requests that are owed an answer.
--- a/crates/leverproxy/src/stages/quota.rs
+++ b/crates/leverproxy/src/stages/quota.rs
@@ -32,12 +32,33 @@
 impl Quota {
     /// From now on by these; a tenant keeps what is known of it by its name.
     pub fn configure(&mut self, platform: &Decoded, now: Instant) {
-        let Decoded { settings, names: Names { tenants: names, classes, .. }, .. } = platform;
-        let quotas: Vec<f64> = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
+        let Decoded {
+            settings,
+            names:
+                Names {
+                    tenants: names,
+                    classes,
+                    ..
+                },
+            ..
+        } = platform;
+        let quotas: Vec<f64> = settings
+            .tenants
+            .iter()
+            .map(|tenant| tenant.quota_per_s)
+            .collect();
         self.quotas.clone_from(&quotas);
         let worths = settings.classes.iter().map(|class| class.worth).collect();
-        let settings = ::quota::Settings { proxies: settings.routers, quotas, worths };
-        let former = |at: usize| self.names.iter().position(|name| names.get(at) == Some(name));
+        let settings = ::quota::Settings {
+            proxies: settings.routers,
+            quotas,
+            worths,
+        };
+        let former = |at: usize| {
+            self.names
+                .iter()
+                .position(|name| names.get(at) == Some(name))
+        };
         self.account.configure(&settings, former);
         self.names.clone_from(names);
         self.classes.clone_from(classes);
@@ -46,9 +67,17 @@
 
     /// Loans go by the quotas as they now are.
     pub fn rule(&mut self, now: Instant) {
-        let Quota { lending, names, quotas, .. } = self;
+        let Quota {
+            lending,
+            names,
+            quotas,
+            ..
+        } = self;
         if let Some(lending) = lending {
-            lending.rule(names.iter().map(String::as_str).zip(quotas.iter().copied()), now);
+            lending.rule(
+                names.iter().map(String::as_str).zip(quotas.iter().copied()),
+                now,
+            );
         }
     }
 
@@ -61,7 +90,11 @@
         if !named {
             return;
         }
-        let (since, tenant, class) = (self.since(now), arrival.tenant.0.into(), arrival.class.0.into());
+        let (since, tenant, class) = (
+            self.since(now),
+            arrival.tenant.0.into(),
+            arrival.class.0.into(),
+        );
         arrival.standing = match self.account.asked(since, tenant, class, arrival.repeated) {
             Mark::Free | Mark::Within => Standing::Within,
             Mark::Beyond if self.lent(arrival, now) => Standing::Borrowed,
@@ -81,7 +114,9 @@
 
     /// How a request ended; none: its client has left. A loan that nothing was tried for is given back.
     pub fn ended(&mut self, open: &Open, answer: Option<&Answer>, now: Instant) {
-        let Some(lending) = &mut self.lending else { return };
+        let Some(lending) = &mut self.lending else {
+            return;
+        };
         let tried = open.attempts() > 0;
         match open.standing {
             Standing::Within if answer.is_some() => {
@@ -119,16 +154,28 @@
     /// With others about: one account with them, and loans.
     pub fn look(&mut self, members: &mut Members, now: Instant) {
         let since = self.since(now);
-        if self.told.is_none_or(|told| now.saturating_duration_since(told) >= usage::pace(members)) {
+        if self
+            .told
+            .is_none_or(|told| now.saturating_duration_since(told) >= usage::pace(members))
+        {
             self.told = Some(now);
             usage::say(members, &self.names, self.account.rates(since), now);
         }
-        self.account.heard(usage::others(members, &self.names, now).as_ref());
-        let begun = self.lending.as_mut().is_some_and(|lending| lending.look(members, now));
+        self.account
+            .heard(usage::others(members, &self.names, now).as_ref());
+        let begun = self
+            .lending
+            .as_mut()
+            .is_some_and(|lending| lending.look(members, now));
         if begun {
             self.rule(now);
         }
-        let Quota { account, names, lending, .. } = self;
+        let Quota {
+            account,
+            names,
+            lending,
+            ..
+        } = self;
         let Some(lending) = lending else { return };
         for (at, stand) in names.iter().enumerate() {
             let (quota, used) = (account.rate_of(at), account.used(at));
@@ -147,8 +194,17 @@
 impl fmt::Display for Quota {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let asked = |counts: &Counts| counts.within + counts.beyond > 0;
-        for (name, counts) in self.names.iter().zip(self.account.counts()).filter(|(_, c)| asked(c)) {
-            write!(f, "\ntenant {name}: within its quota {}, beyond {}", counts.within, counts.beyond)?;
+        for (name, counts) in self
+            .names
+            .iter()
+            .zip(self.account.counts())
+            .filter(|(_, c)| asked(c))
+        {
+            write!(
+                f,
+                "\ntenant {name}: within its quota {}, beyond {}",
+                counts.within, counts.beyond
+            )?;
         }
         Ok(())
     }
--- a/crates/leverproxy/src/stages/relay.rs
+++ b/crates/leverproxy/src/stages/relay.rs
@@ -14,8 +14,12 @@
     ledger: &mut Ledger,
     now: Instant,
 ) -> Option<(Open, Answer)> {
-    let Verdict::Served(bytes) = verdict else { return None };
-    ledger.get_mut(id).filter(|open| open.passing.is_none_or(|(begun, _)| begun == attempt))?;
+    let Verdict::Served(bytes) = verdict else {
+        return None;
+    };
+    ledger
+        .get_mut(id)
+        .filter(|open| open.passing.is_none_or(|(begun, _)| begun == attempt))?;
     let open = ledger.close(id, now)?;
     Some((open, Answer::Served(std::mem::take(bytes))))
 }
@@ -24,5 +28,8 @@
 pub fn account(open: &Open, answer: &Answer, now: Instant) -> String {
     let took = now.saturating_duration_since(open.read_at).as_millis();
     let (wait, attempts) = (open.wait.as_millis(), open.attempts());
-    format!("{} after {took} of {wait} ms, {attempts} attempts", answer.kind())
+    format!(
+        "{} after {took} of {wait} ms, {attempts} attempts",
+        answer.kind()
+    )
 }
--- a/crates/leverproxy/src/stages/route.rs
+++ b/crates/leverproxy/src/stages/route.rs
@@ -13,12 +13,17 @@
 
 impl Route {
     pub fn new(settings: Settings, seed: u64, now: Time) -> Route {
-        Route { router: Router::new(settings.clone(), seed, now), settings, lead: Duration::ZERO }
+        Route {
+            router: Router::new(settings.clone(), seed, now),
+            settings,
+            lead: Duration::ZERO,
+        }
     }
 
     pub fn configure(&mut self, settings: Settings, heirs: &[Option<ClassId>]) {
         self.settings = settings;
-        self.router.configure(under_lead(&self.settings, self.lead), heirs);
+        self.router
+            .configure(under_lead(&self.settings, self.lead), heirs);
     }
 
     /// From now on bounds on the age of data are kept although the clock may be so far behind.
--- a/crates/leverproxy/src/stages/steer.rs
+++ b/crates/leverproxy/src/stages/steer.rs
@@ -45,7 +45,8 @@
     /// The number that the file knows a class by.
     fn in_file(&self, class: ClassId) -> ClassId {
         let at = self.places.iter().position(|place| *place == class);
-        at.and_then(|at| u16::try_from(at).ok()).map_or(class, ClassId)
+        at.and_then(|at| u16::try_from(at).ok())
+            .map_or(class, ClassId)
     }
 }
 
@@ -71,7 +72,12 @@
     pub fn new(rules: Rules) -> Steering {
         let mut pools = Bulkheads::default();
         let pool_ids = pools.configure(&rules.pools);
-        Steering { rules, pools, pool_ids, counts: Counts::default() }
+        Steering {
+            rules,
+            pools,
+            pool_ids,
+            counts: Counts::default(),
+        }
     }
 
     /// From now on by these; what is open stays counted. Returns the former ones, which may take long to drop.
@@ -98,7 +104,14 @@
     ) -> Result<Option<PoolId>, Answer> {
         let class = self.rules.in_file(arrival.class);
         let spent = now.saturating_duration_since(request.read_at) + self.rules.margin;
-        let Rules { index, rulings, caps, deadlines, tenants, .. } = &self.rules;
+        let Rules {
+            index,
+            rulings,
+            caps,
+            deadlines,
+            tenants,
+            ..
+        } = &self.rules;
         let cap = |arrival: &mut Arrival, longest: Option<Duration>| {
             if let Some(longest) = longest {
                 arrival.time_left = arrival.time_left.min(longest.saturating_sub(spent));
@@ -110,16 +123,25 @@
         if rulings.is_empty() {
             return Ok(None);
         }
-        let named = request.tenant.as_ref().and_then(|name| tenants.iter().position(|t| t == name));
+        let named = request
+            .tenant
+            .as_ref()
+            .and_then(|name| tenants.iter().position(|t| t == name));
         let facts = Facts {
             class: class.0.into(),
-            tenant: named.and_then(|at| u32::try_from(at).ok()).unwrap_or(UNNAMED),
+            tenant: named
+                .and_then(|at| u32::try_from(at).ok())
+                .unwrap_or(UNNAMED),
             group: request.group,
             statement: &request.command.before_wait,
             client: request.client,
             at: Moment::from_unix(at.0),
         };
-        let Some(ruling) = index.find(&facts).and_then(|route| rulings.get(route)).copied() else {
+        let Some(ruling) = index
+            .find(&facts)
+            .and_then(|route| rulings.get(route))
+            .copied()
+        else {
             return Ok(None);
         };
         self.counts.routed += 1;
@@ -131,9 +153,16 @@
         arrival.tries = fewer(arrival.tries, ruling.tries);
         if let Some(other) = ruling.as_class {
             cap(arrival, deadlines.get(usize::from(other.0)).copied());
-            arrival.class = self.rules.places.get(usize::from(other.0)).copied().unwrap_or(other);
+            arrival.class = self
+                .rules
+                .places
+                .get(usize::from(other.0))
+                .copied()
+                .unwrap_or(other);
         }
-        let Some(pool) = ruling.pool.and_then(|at| self.pool_ids.get(at)).copied() else { return Ok(None) };
+        let Some(pool) = ruling.pool.and_then(|at| self.pool_ids.get(at)).copied() else {
+            return Ok(None);
+        };
         match self.pools.take(pool, ruling.priority, at.0) {
             Verdict::Taken => Ok(Some(pool)),
             Verdict::Refused { cause, come_back } => {
@@ -160,13 +189,26 @@
 /// Lines of the report; nothing where there are no routes and never were.
 impl std::fmt::Display for Steering {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Counts { routed, refused, pool_full, pool_fast } = self.counts;
+        let Counts {
+            routed,
+            refused,
+            pool_full,
+            pool_fast,
+        } = self.counts;
         if routed > 0 || !self.rules.rulings.is_empty() {
             write!(f, "\nroutes: {routed} requests, refused {refused}; by pools: full {pool_full}, fast {pool_fast}")?;
         }
         for (name, counts) in self.pools.counts() {
-            let bulkheads::Counts { open, taken, full, fast } = counts;
-            write!(f, "\npool {name}: open {open}, taken {taken}; refused [full {full}] [fast {fast}]")?;
+            let bulkheads::Counts {
+                open,
+                taken,
+                full,
+                fast,
+            } = counts;
+            write!(
+                f,
+                "\npool {name}: open {open}, taken {taken}; refused [full {full}] [fast {fast}]"
+            )?;
         }
         Ok(())
     }
--- a/crates/leverproxy/src/stages/take_in.rs
+++ b/crates/leverproxy/src/stages/take_in.rs
@@ -1,7 +1,9 @@
 //! Take in: a request in the words of its protocol becomes one in the module's ids.
 
 use crate::request::{shown, Request};
-use mountshift::{Arrival, ClassId, GroupId, RequestId, SessionKey, Standing, TenantId, Time, Wrote};
+use mountshift::{
+    Arrival, ClassId, GroupId, RequestId, SessionKey, Standing, TenantId, Time, Wrote,
+};
 use mountshift_settings::Names;
 use std::time::{Duration, Instant};
 
@@ -17,19 +19,24 @@
     now: Instant,
 ) -> Result<Arrival, String> {
     let place = |names: &[String], name: &str| {
-        names.iter().position(|n| n == name && !n.is_empty()).and_then(|at| u16::try_from(at).ok())
+        names
+            .iter()
+            .position(|n| n == name && !n.is_empty())
+            .and_then(|at| u16::try_from(at).ok())
     };
     let class = place(&names.classes, &request.class)
         .map(ClassId)
         .ok_or_else(|| format!("class {:?} is not known", shown(&request.class)))?;
     let tenant = match &request.tenant {
-        Some(name) if !names.tenants.is_empty() => {
-            place(&names.tenants, name).ok_or_else(|| format!("tenant {:?} is not known", shown(name)))?
-        }
+        Some(name) if !names.tenants.is_empty() => place(&names.tenants, name)
+            .ok_or_else(|| format!("tenant {:?} is not known", shown(name)))?,
         _ => 0,
     };
     // No client waits longer than its class may: what states more must not hold a place for days.
-    let longest = deadlines.get(usize::from(class.0)).copied().unwrap_or(request.wait);
+    let longest = deadlines
+        .get(usize::from(class.0))
+        .copied()
+        .unwrap_or(request.wait);
     let wait = request.wait.min(longest);
     let spent = now.saturating_duration_since(request.read_at) + margin;
     Ok(Arrival {
@@ -50,5 +57,8 @@
 /// A proxy that is told to stop has no more time than until its end, less the way of an answer.
 pub fn end_by(arrival: Arrival, end: Option<Instant>, margin: Duration, now: Instant) -> Arrival {
     let left = end.map(|end| end.saturating_duration_since(now).saturating_sub(margin));
-    Arrival { time_left: left.map_or(arrival.time_left, |left| left.min(arrival.time_left)), ..arrival }
+    Arrival {
+        time_left: left.map_or(arrival.time_left, |left| left.min(arrival.time_left)),
+        ..arrival
+    }
 }
--- a/crates/leverproxy/src/system_calls.rs
+++ b/crates/leverproxy/src/system_calls.rs
@@ -10,7 +10,9 @@
 use rustix::event::{epoll, poll, PollFd, PollFlags, Timespec};
 use rustix::io::Errno;
 use rustix::net::addr::SocketAddrArg;
-use rustix::net::{self, sockopt, AddressFamily, SendFlags, SocketAddrAny, SocketFlags, SocketType};
+use rustix::net::{
+    self, sockopt, AddressFamily, SendFlags, SocketAddrAny, SocketFlags, SocketType,
+};
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
@@ -70,18 +72,27 @@
         // The user's limit of watched descriptors.
         (Call::EpollControl, Errno::NOSPC) => Failure::RetryLater,
         // No local port is free.
-        (Call::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => Failure::RetryLater,
+        (Call::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => {
+            Failure::RetryLater
+        }
         (Call::SocketError, Errno::ADDRNOTAVAIL) => Failure::RetryLater,
         (_, Errno::AGAIN) => Failure::NotReady,
         (Call::Accept, errno) => classify_accept(errno),
         (Call::Socket | Call::Bind | Call::Listen | Call::EpollControl | Call::EpollWait, _) => {
             Failure::Fatal
         }
-        (Call::Connect | Call::SocketError | Call::Read | Call::Send | Call::Shutdown, _) => Failure::Broken,
-        // Whatever a disk refuses now it may take after a pause.
-        (Call::FileCreate | Call::FileWrite | Call::FileSync | Call::FileRename | Call::FolderSync, _) => {
-            Failure::RetryLater
+        (Call::Connect | Call::SocketError | Call::Read | Call::Send | Call::Shutdown, _) => {
+            Failure::Broken
         }
+        // Whatever a disk refuses now it may take after a pause.
+        (
+            Call::FileCreate
+            | Call::FileWrite
+            | Call::FileSync
+            | Call::FileRename
+            | Call::FolderSync,
+            _,
+        ) => Failure::RetryLater,
     }
 }
 
@@ -132,7 +143,11 @@
 }
 
 pub fn connect(fd: &OwnedFd, address: &SocketAddr) -> Result<(), Errno> {
-    worked(Call::Connect, || Some(*address), || net::connect(fd, address))
+    worked(
+        Call::Connect,
+        || Some(*address),
+        || net::connect(fd, address),
+    )
 }
 
 /// What came of a connect; the outer error is the call's own.
@@ -146,7 +161,10 @@
 /// Whether the descriptor can be written to or is broken.
 pub fn is_writable(fd: &OwnedFd) -> bool {
     let mut asked = [PollFd::new(fd, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let at_once = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     poll(&mut asked, Some(&at_once)).is_ok_and(|ready| ready > 0)
 }
 
@@ -166,7 +184,12 @@
     net::shutdown(fd, net::Shutdown::Write)
 }
 
-pub fn epoll_add(epoll: &OwnedFd, fd: impl AsFd, data: u64, flags: epoll::EventFlags) -> Result<(), Errno> {
+pub fn epoll_add(
+    epoll: &OwnedFd,
+    fd: impl AsFd,
+    data: u64,
+    flags: epoll::EventFlags,
+) -> Result<(), Errno> {
     injected(Call::EpollControl, || peer(&fd))?;
     epoll::add(epoll, fd, epoll::EventData::new_u64(data), flags)
 }
--- a/crates/leverproxy/src/system_calls/faults.rs
+++ b/crates/leverproxy/src/system_calls/faults.rs
@@ -83,7 +83,9 @@
         let address = address();
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         let fits = |rule: &&mut Rule| {
-            rule.call == call && rule.times > 0 && (rule.address.is_none() || rule.address == address)
+            rule.call == call
+                && rule.times > 0
+                && (rule.address.is_none() || rule.address == address)
         };
         let rule = rules.iter_mut().find(fits)?;
         rule.times -= 1;
@@ -102,7 +104,10 @@
 }
 
 /// The error that this call is to give in place of its work.
-pub(crate) fn injected(call: Call, address: impl FnOnce() -> Option<SocketAddr>) -> Result<(), Errno> {
+pub(crate) fn injected(
+    call: Call,
+    address: impl FnOnce() -> Option<SocketAddr>,
+) -> Result<(), Errno> {
     match fault(call, address) {
         Some(Fault::Fail(errno) | Fault::FailAfter(errno)) => Err(errno),
         Some(Fault::AtMost(_)) | None => Ok(()),
--- a/crates/leverproxy/src/takeover.rs
+++ b/crates/leverproxy/src/takeover.rs
@@ -42,7 +42,13 @@
 
 impl Estate {
     pub fn new(listing: Listing, hands: Vec<Hand>, clients: usize, upstream: usize) -> Estate {
-        Estate { version: VERSION, listing, hands, clients, upstream }
+        Estate {
+            version: VERSION,
+            listing,
+            hands,
+            clients,
+            upstream,
+        }
     }
 }
 
@@ -102,7 +108,9 @@
 
 /// Asks the process that serves now, if there is one, for what it leaves.
 pub fn ask(path: &Path) -> Elder {
-    let Ok(stream) = UnixStream::connect(path) else { return Elder::Nobody };
+    let Ok(stream) = UnixStream::connect(path) else {
+        return Elder::Nobody;
+    };
     match receive(&stream) {
         Ok((estate, listener)) => Elder::Left(Box::new(estate), listener, stream),
         Err(error) => Elder::Unheard(error),
@@ -115,8 +123,9 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let mut parts = [IoSliceMut::new(&mut chunk)];
-    let came =
-        recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC).map_err(io::Error::from)?.bytes;
+    let came = recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)
+        .map_err(io::Error::from)?
+        .bytes;
     let listener = ancillary.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut fds) => fds.next(),
         _ => None,
@@ -164,7 +173,11 @@
     /// From now on the next process comes here, whoever was asked before.
     pub fn listen(path: &Path, reactor: &Reactor) -> io::Result<Takeover> {
         let listener = Takeover::bind(path, reactor)?;
-        Ok(Takeover { path: path.to_owned(), listener, links: Slots::default() })
+        Ok(Takeover {
+            path: path.to_owned(),
+            listener,
+            links: Slots::default(),
+        })
     }
 
     /// The place was an heir's that is gone.
@@ -185,24 +198,47 @@
     pub fn join(&mut self, stream: UnixStream, in_place: bool, reactor: &Reactor) {
         if stream.set_nonblocking(true).is_ok() {
             let stream = Stream::new(stream.into());
-            self.links.insert(Link { stream, elder: true, serving: false, in_place: false });
-            let said = if in_place { Said::Serving } else { Said::ServingElsewhere };
+            self.links.insert(Link {
+                stream,
+                elder: true,
+                serving: false,
+                in_place: false,
+            });
+            let said = if in_place {
+                Said::Serving
+            } else {
+                Said::ServingElsewhere
+            };
             self.say(&said, None, reactor);
         }
     }
 
     /// Hands the estate and the listener to whoever has come.
-    pub fn accept(&mut self, estate: impl Fn() -> Estate, clients: Option<&OwnedFd>, reactor: &Reactor) {
+    pub fn accept(
+        &mut self,
+        estate: impl Fn() -> Estate,
+        clients: Option<&OwnedFd>,
+        reactor: &Reactor,
+    ) {
         let token = Token::TakeoverListener;
         while let Ok((mut stream, _)) = net::accept_or_rest(&self.listener, token, reactor) {
-            let Some(clients) = clients.filter(|_| self.links.len() < LINKS) else { continue };
-            let Ok(mut text) = serde_json::to_vec(&estate()) else { continue };
+            let Some(clients) = clients.filter(|_| self.links.len() < LINKS) else {
+                continue;
+            };
+            let Ok(mut text) = serde_json::to_vec(&estate()) else {
+                continue;
+            };
             text.push(b'\n');
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
             let mut ancillary = SendAncillaryBuffer::new(&mut space);
             let fds = [clients.as_fd()];
             ancillary.push(SendAncillaryMessage::ScmRights(&fds));
-            match sendmsg(stream.fd(), &[IoSlice::new(&text)], &mut ancillary, SendFlags::NOSIGNAL) {
+            match sendmsg(
+                stream.fd(),
+                &[IoSlice::new(&text)],
+                &mut ancillary,
+                SendFlags::NOSIGNAL,
+            ) {
                 Ok(sent) => stream.push(&text[sent..]),
                 Err(error) => {
                     log::warn!("takeover: nothing can be handed over: {error}");
@@ -210,13 +246,20 @@
                 }
             }
             log::info!("takeover: another process has asked for what this one has");
-            let key = self.links.insert(Link { stream, elder: false, serving: false, in_place: false });
+            let key = self.links.insert(Link {
+                stream,
+                elder: false,
+                serving: false,
+                in_place: false,
+            });
             self.write(key, reactor);
         }
     }
 
     pub fn ready(&mut self, key: Key, reactor: &Reactor) -> Vec<Word> {
-        let Some(link) = self.links.get_mut(key) else { return Vec::new() };
+        let Some(link) = self.links.get_mut(key) else {
+            return Vec::new();
+        };
         let filled = link.stream.fill(LINE_LIMIT);
         let mut words = Vec::new();
         while let Some(end) = link.stream.input.unused().iter().position(|b| *b == b'\n') {
@@ -241,7 +284,9 @@
 
     /// To all other processes but the one that said it.
     pub fn say(&mut self, said: &Said, from: Option<Key>, reactor: &Reactor) {
-        let Ok(mut line) = serde_json::to_vec(said) else { return };
+        let Ok(mut line) = serde_json::to_vec(said) else {
+            return;
+        };
         line.push(b'\n');
         for key in self.links.keys() {
             if let Some(link) = self.links.get_mut(key).filter(|_| from != Some(key)) {
@@ -252,9 +297,14 @@
     }
 
     fn write(&mut self, key: Key, reactor: &Reactor) {
-        let Some(link) = self.links.get_mut(key) else { return };
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
         let flushed = link.stream.flush();
-        let interest = Interest { read: true, write: matches!(flushed, Ok(false)) };
+        let interest = Interest {
+            read: true,
+            write: matches!(flushed, Ok(false)),
+        };
         let watched = link.stream.watch(reactor, Token::Takeover(key), interest);
         if flushed.is_err() || watched.is_err() || link.stream.unsent() > UNREAD {
             self.links.remove(key);
--- a/crates/leverproxy/src/takeover/recorded.rs
+++ b/crates/leverproxy/src/takeover/recorded.rs
@@ -21,24 +21,57 @@
     let estate: Estate = serde_json::from_str(ESTATE).unwrap();
     assert_eq!((estate.version, estate.clients, estate.upstream), (1, 3, 4));
     assert_eq!((estate.listing.index, estate.listing.snapshot), (42, true));
-    let servers: Vec<_> =
-        estate.listing.endpoints.iter().map(|e| (e.name.as_str(), e.status, e.address.is_some())).collect();
-    let told =
-        [("s-1", Status::Ready, true), ("s-2", Status::Gone, false), ("s-3", Status::Terminating, true)];
+    let servers: Vec<_> = estate
+        .listing
+        .endpoints
+        .iter()
+        .map(|e| (e.name.as_str(), e.status, e.address.is_some()))
+        .collect();
+    let told = [
+        ("s-1", Status::Ready, true),
+        ("s-2", Status::Gone, false),
+        ("s-3", Status::Terminating, true),
+    ];
     assert_eq!(servers, told);
     let first = &estate.listing.endpoints[0];
-    assert_eq!((first.zone.as_str(), first.kind.as_str(), first.group), ("z1", "record", Some(2)));
-    assert_eq!((first.since_ms, first.address), (1_800_000_000_000, Some(([127, 0, 0, 1], 5_432).into())));
+    assert_eq!(
+        (first.zone.as_str(), first.kind.as_str(), first.group),
+        ("z1", "record", Some(2))
+    );
+    assert_eq!(
+        (first.since_ms, first.address),
+        (1_800_000_000_000, Some(([127, 0, 0, 1], 5_432).into()))
+    );
     let second = Duration::from_secs;
-    let (out, before) = (Some(Duration::from_millis(1_800_000_000_500)), Some((second(5), second(6))));
-    assert_eq!(estate.hands, [Hand { name: "s-1".into(), out, before }]);
+    let (out, before) = (
+        Some(Duration::from_millis(1_800_000_000_500)),
+        Some((second(5), second(6))),
+    );
+    assert_eq!(
+        estate.hands,
+        [Hand {
+            name: "s-1".into(),
+            out,
+            before
+        }]
+    );
     assert_eq!(received(ESTATE), "no listener came with its message");
 }
 
 #[test]
 fn words_of_the_first_version_are_read_for_good() {
-    let said: Vec<Said> = SAID.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
-    assert_eq!(said, [Said::Out("s-1".into()), Said::In("s-1".into()), Said::Serving]);
+    let said: Vec<Said> = SAID
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
+    assert_eq!(
+        said,
+        [
+            Said::Out("s-1".into()),
+            Said::In("s-1".into()),
+            Said::Serving
+        ]
+    );
 }
 
 /// Added within the first version: a build that does not know it goes on without it.
