--- a/crates/leverproxy/src/upstream.rs
+++ b/crates/leverproxy/src/upstream.rs
@@ -201,12 +201,16 @@
     /// The server drains or is gone: nothing new may reach it, so what is not written yet is called off. What
     /// is written goes on.
     pub fn leaves(&mut self, store: StoreId, now: Instant) {
-        let Some(mut pool) = self.pools.remove(&store) else { return };
+        let Some(mut pool) = self.pools.remove(&store) else {
+            return;
+        };
         for exchange in pool.waiting.drain(..) {
             self.finish(exchange, store, Verdict::NeverSent, Note::default(), now);
         }
         for key in self.connections.keys() {
-            let Some(connection) = self.connections.get(key).filter(|c| c.store == store) else { continue };
+            let Some(connection) = self.connections.get(key).filter(|c| c.store == store) else {
+                continue;
+            };
             let written = matches!(connection.state, State::Busy { written: true, .. });
             if !written {
                 self.close(key, Verdict::NeverSent, now);
@@ -221,7 +225,11 @@
         let queue_until = exchange.waits_until(self.dial_timeout);
         pool.waiting.push_back(exchange);
         self.serve_queue(store, now, reactor);
-        if self.pools.get(&store).is_some_and(|pool| !pool.waiting.is_empty()) {
+        if self
+            .pools
+            .get(&store)
+            .is_some_and(|pool| !pool.waiting.is_empty())
+        {
             self.due.push((queue_until, Due::Queue(store)));
         }
     }
@@ -232,12 +240,16 @@
         while let Some(pool) = self.pools.get_mut(&store).filter(|p| !p.waiting.is_empty()) {
             let Some(key) = pool.idle.pop() else { break };
             // Its end may have come unnoticed: a request written then would count as one that may have run.
-            let Some(connection) = self.connections.get_mut(key) else { continue };
+            let Some(connection) = self.connections.get_mut(key) else {
+                continue;
+            };
             if connection.stream.fill(1) == Filled::Ended || !connection.stream.input.is_empty() {
                 self.connections.remove(key);
                 continue;
             }
-            let Some(exchange) = pool.waiting.pop_front() else { break };
+            let Some(exchange) = pool.waiting.pop_front() else {
+                break;
+            };
             self.give(key, exchange, now, reactor);
         }
         self.dial_for_queue(store, now, reactor);
@@ -245,7 +257,9 @@
 
     /// Ends what has waited too long for a connection. A dial that comes up after that must not carry it.
     fn drop_late(&mut self, store: StoreId, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&store) else { return };
+        let Some(pool) = self.pools.get_mut(&store) else {
+            return;
+        };
         let (dial_timeout, short) = (self.dial_timeout, pool.short_until.is_some());
         let late = |exchange: &Exchange| exchange.waits_until(dial_timeout) <= now;
         let (late, left): (VecDeque<_>, VecDeque<_>) = pool.waiting.drain(..).partition(late);
@@ -253,7 +267,11 @@
         for exchange in late {
             // A server that was never dialled, or had no time for it, is not taken for dead.
             let own_time = exchange.until.min(exchange.sent + dial_timeout);
-            let verdict = if short || now < own_time { Verdict::NeverSent } else { Verdict::ConnectFailed };
+            let verdict = if short || now < own_time {
+                Verdict::NeverSent
+            } else {
+                Verdict::ConnectFailed
+            };
             self.finish(exchange, store, verdict, Note::default(), now);
         }
     }
@@ -271,7 +289,9 @@
             }
             match self.dial(store, address, now, reactor) {
                 Ok(()) => {}
-                Err(DialError::Failed(_)) => self.fail_first_waiting(store, Verdict::ConnectFailed, now),
+                Err(DialError::Failed(_)) => {
+                    self.fail_first_waiting(store, Verdict::ConnectFailed, now)
+                }
                 Err(DialError::Short(errno)) => return self.dial_later(store, errno, now),
             }
         }
@@ -279,12 +299,18 @@
 
     /// What waits stays where it is while this machine lacks something for a dial. The server is not to blame.
     fn dial_later(&mut self, store: StoreId, errno: Errno, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&store) else { return };
+        let Some(pool) = self.pools.get_mut(&store) else {
+            return;
+        };
         let until = now + RETRY_PAUSE;
         pool.short_until = Some(until);
         // A probe has no client whose time runs, and its time begins with the dial: told as failed it would have its
         // server rest.
-        for probe in pool.waiting.iter_mut().filter(|exchange| exchange.purpose == Purpose::Probe) {
+        for probe in pool
+            .waiting
+            .iter_mut()
+            .filter(|exchange| exchange.purpose == Purpose::Probe)
+        {
             let allowed = probe.until.saturating_duration_since(probe.sent);
             (probe.sent, probe.until, probe.begin_by) = (now, now + allowed, now + allowed);
         }
@@ -299,7 +325,9 @@
         let dialled = Stream::dial(address);
         match &dialled {
             Ok(_) => {}
-            Err(error @ DialError::Failed(_)) => log::debug!("upstream: cannot dial {address}: {error}"),
+            Err(error @ DialError::Failed(_)) => {
+                log::debug!("upstream: cannot dial {address}: {error}")
+            }
             Err(error @ DialError::Short(_)) => {
                 self.shortages.warn(now, || {
                     format!(
@@ -320,13 +348,23 @@
     ) -> Result<(), DialError> {
         let until = now + self.dial_timeout;
         let stream = self.begin_dial(address, now)?;
-        if self.pools.get_mut(&store).is_some_and(|pool| pool.short_until.take().is_some()) {
+        if self
+            .pools
+            .get_mut(&store)
+            .is_some_and(|pool| pool.short_until.take().is_some())
+        {
             // A probe whose time began anew.
             self.due.push((until, Due::Queue(store)));
         }
         log::trace!("dial {store:?}, {} open", self.connections.len());
         self.signs.push_back(Sign::Dials(store));
-        let connection = Connection { stream, store, address, state: State::Connecting, until };
+        let connection = Connection {
+            stream,
+            store,
+            address,
+            state: State::Connecting,
+            until,
+        };
         let key = self.connections.insert(connection);
         self.due.push((until, Due::Connection(key)));
         if let Some(pool) = self.pools.get_mut(&store) {
@@ -337,15 +375,24 @@
     }
 
     fn watch_dial(&mut self, key: Key, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        if connection.stream.watch(reactor, Token::Upstream(key), Interest::WRITE).is_err() {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        if connection
+            .stream
+            .watch(reactor, Token::Upstream(key), Interest::WRITE)
+            .is_err()
+        {
             self.close(key, Verdict::ConnectFailed, now);
         }
     }
 
     /// Whether a server may be dialled for nothing but to see whether its machine is there.
     pub fn may_knock(&self, store: StoreId) -> bool {
-        self.pools.get(&store).is_some_and(|pool| pool.dialling == 0) && self.connections.len() < self.limit
+        self.pools
+            .get(&store)
+            .is_some_and(|pool| pool.dialling == 0)
+            && self.connections.len() < self.limit
     }
 
     pub fn knock(&mut self, store: StoreId, now: Instant, reactor: &Reactor) {
@@ -357,8 +404,14 @@
 
     /// Closes the idle connection whose turn to end comes first; false: there is none.
     fn evict(&mut self) -> bool {
-        let idle = self.connections.iter().filter(|(_, c)| matches!(c.state, State::Idle));
-        let Some((key, store)) = idle.min_by_key(|(_, c)| c.until).map(|(key, c)| (key, c.store)) else {
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, c)| matches!(c.state, State::Idle));
+        let Some((key, store)) = idle
+            .min_by_key(|(_, c)| c.until)
+            .map(|(key, c)| (key, c.store))
+        else {
             return false;
         };
         if let Some(pool) = self.pools.get_mut(&store) {
@@ -368,10 +421,14 @@
     }
 
     fn give(&mut self, key: Key, exchange: Exchange, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         // From now, not from when it was decided: a dial took its time, and the client has less left.
         let wait = exchange.until.saturating_duration_since(now);
-        connection.stream.push(&client::question(&exchange.question, wait));
+        connection
+            .stream
+            .push(&client::question(&exchange.question, wait));
         connection.until = exchange.begin_by.min(later(now, WRITE_STALL));
         self.due.push((connection.until, Due::Connection(key)));
         connection.state = State::Busy {
@@ -385,13 +442,17 @@
     }
 
     pub fn ready(&mut self, key: Key, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if let State::Connecting = connection.state {
             let (store, connected) = (connection.store, connection.stream.connected());
             if matches!(connected, Ok(false)) {
                 return self.watch_dial(key, now, reactor);
             }
-            let there = |e: &DialError| matches!(e, DialError::Failed(Errno::CONNREFUSED | Errno::CONNRESET));
+            let there = |e: &DialError| {
+                matches!(e, DialError::Failed(Errno::CONNREFUSED | Errno::CONNRESET))
+            };
             if connected.as_ref().err().is_none_or(there) {
                 self.signs.push_back(Sign::Word(store));
             }
@@ -408,7 +469,9 @@
                     return self.close(key, Verdict::ConnectFailed, now);
                 }
             }
-            let Some(connection) = self.connections.get_mut(key) else { return };
+            let Some(connection) = self.connections.get_mut(key) else {
+                return;
+            };
             connection.stream.push(&client::startup());
             connection.state = State::Greeting(AnswerReader::greeting());
         }
@@ -417,13 +480,22 @@
 
     /// Writes and reads what there is, and acts on an answer that is whole or a connection that has ended.
     fn advance(&mut self, key: Key, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        if matches!(connection.state, State::Busy { written: false, .. }) && connection.until <= now {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        if matches!(connection.state, State::Busy { written: false, .. }) && connection.until <= now
+        {
             return self.close(key, Verdict::ConnectFailed, now);
         }
         let flushed = connection.stream.flush();
-        if let (State::Busy { exchange, written: written @ false, .. }, Ok(true)) =
-            (&mut connection.state, &flushed)
+        if let (
+            State::Busy {
+                exchange,
+                written: written @ false,
+                ..
+            },
+            Ok(true),
+        ) = (&mut connection.state, &flushed)
         {
             self.attempts += u64::from(exchange.purpose != Purpose::Probe);
             *written = true;
@@ -463,30 +535,67 @@
                 return self.spoilt(key, now);
             }
         };
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        let Ok(written) = flushed else { return self.broken(key, now) };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Ok(written) = flushed else {
+            return self.broken(key, now);
+        };
         if filled == Filled::Ended {
             return self.broken(key, now);
         }
         let came = !connection.stream.input.is_empty() || used > 0;
-        if let State::Busy { exchange, begun, passing: Passing::No, .. } = &mut connection.state {
+        if let State::Busy {
+            exchange,
+            begun,
+            passing: Passing::No,
+            ..
+        } = &mut connection.state
+        {
             if came {
                 *begun = true;
                 connection.until = exchange.until.min(now + ANSWER_STALL);
                 self.due.push((connection.until, Due::Connection(key)));
             }
         }
-        let interest = Interest { read: true, write: !written };
-        if connection.stream.watch(reactor, Token::Upstream(key), interest).is_err() {
+        let interest = Interest {
+            read: true,
+            write: !written,
+        };
+        if connection
+            .stream
+            .watch(reactor, Token::Upstream(key), interest)
+            .is_err()
+        {
             self.broken(key, now);
         }
     }
 
     /// What has come of an answer that is too large to be kept.
     fn pass_on(&mut self, key: Key, now: Instant) {
-        let Some(Connection { store, state, until, .. }) = self.connections.get_mut(key) else { return };
-        let State::Busy { exchange, reader, begun, passing, .. } = state else { return };
-        let (Purpose::Attempt(id, attempt), Some(bytes)) = (exchange.purpose, reader.piece()) else { return };
+        let Some(Connection {
+            store,
+            state,
+            until,
+            ..
+        }) = self.connections.get_mut(key)
+        else {
+            return;
+        };
+        let State::Busy {
+            exchange,
+            reader,
+            begun,
+            passing,
+            ..
+        } = state
+        else {
+            return;
+        };
+        let (Purpose::Attempt(id, attempt), Some(bytes)) = (exchange.purpose, reader.piece())
+        else {
+            return;
+        };
         if bytes.is_empty() {
             return;
         }
@@ -496,12 +605,21 @@
             self.due.push((*until, Due::Connection(key)));
         }
         let elapsed = now.saturating_duration_since(exchange.sent);
-        self.pieces.push_back(Piece { id, attempt, from: key, store: *store, elapsed, bytes });
+        self.pieces.push_back(Piece {
+            id,
+            attempt,
+            from: key,
+            store: *store,
+            elapsed,
+            bytes,
+        });
     }
 
     /// Nothing more is read of an answer until [`Upstream::resume`].
     pub fn hold_back(&mut self, key: Key, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         if let State::Busy { passing, .. } = &mut connection.state {
             *passing = Passing::HeldBack;
             // The client's own patience counts now.
@@ -511,13 +629,23 @@
     }
 
     pub fn resume(&mut self, key: Key, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
-        if let State::Busy { passing: passing @ Passing::HeldBack, .. } = &mut connection.state {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        if let State::Busy {
+            passing: passing @ Passing::HeldBack,
+            ..
+        } = &mut connection.state
+        {
             *passing = Passing::Flows;
             connection.until = now + PIECE_STALL;
             self.due.push((connection.until, Due::Connection(key)));
             // What has come is taken in its turn.
-            if connection.stream.watch(reactor, Token::Upstream(key), Interest::READ).is_err() {
+            if connection
+                .stream
+                .watch(reactor, Token::Upstream(key), Interest::READ)
+                .is_err()
+            {
                 self.broken(key, now);
             }
         }
@@ -530,12 +658,16 @@
 
     /// ReadyForQuery has come: the connection is free again.
     fn answered(&mut self, key: Key, ended: bool, now: Instant, reactor: &Reactor) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
         let (store, address) = (connection.store, connection.address);
         let half_written = matches!(connection.state, State::Busy { written: false, .. });
         connection.until = now + self.idle_limit;
         match std::mem::replace(&mut connection.state, State::Idle) {
-            State::Busy { exchange, reader, .. } => {
+            State::Busy {
+                exchange, reader, ..
+            } => {
                 let (verdict, note) = reader.verdict(&exchange.question);
                 self.finish(exchange, store, verdict, note, now);
             }
@@ -549,10 +681,17 @@
             State::Connecting | State::Idle => {}
         }
         let watched = self.connections.get_mut(key).is_some_and(|c| {
-            c.stream.input.is_empty() && c.stream.watch(reactor, Token::Upstream(key), Interest::READ).is_ok()
+            c.stream.input.is_empty()
+                && c.stream
+                    .watch(reactor, Token::Upstream(key), Interest::READ)
+                    .is_ok()
         });
         let usable = !ended && !half_written && watched;
-        let Some(pool) = self.pools.get_mut(&store).filter(|p| usable && p.address == address) else {
+        let Some(pool) = self
+            .pools
+            .get_mut(&store)
+            .filter(|p| usable && p.address == address)
+        else {
             // The server has left or moved, or the connection is of no more use.
             self.connections.remove(key);
             return self.serve_queue(store, now, reactor);
@@ -574,7 +713,11 @@
     /// What came makes no sense. Nothing that came before on the connection is believed either.
     fn spoilt(&mut self, key: Key, now: Instant) {
         match self.connections.get_mut(key).map(|c| &mut c.state) {
-            Some(State::Busy { reader, written: true, .. }) => {
+            Some(State::Busy {
+                reader,
+                written: true,
+                ..
+            }) => {
                 *reader = AnswerReader::default();
                 self.close(key, Verdict::Spoilt, now);
             }
@@ -584,10 +727,17 @@
 
     /// Ends a connection; what it was for ends with `verdict`, unless an error that came says better.
     fn close(&mut self, key: Key, verdict: Verdict, now: Instant) {
-        let Some(connection) = self.connections.remove(key) else { return };
+        let Some(connection) = self.connections.remove(key) else {
+            return;
+        };
         let store = connection.store;
         match connection.state {
-            State::Busy { exchange, reader, written, .. } => {
+            State::Busy {
+                exchange,
+                reader,
+                written,
+                ..
+            } => {
                 let (verdict, note) = match reader.conclusive() {
                     true if written => reader.verdict(&exchange.question),
                     true => (not_welcome(&reader), Note::default()),
@@ -606,7 +756,11 @@
             }
             State::Greeting(reader) => {
                 self.dial_over(store);
-                let verdict = if reader.conclusive() { not_welcome(&reader) } else { verdict };
+                let verdict = if reader.conclusive() {
+                    not_welcome(&reader)
+                } else {
+                    verdict
+                };
                 self.fail_first_waiting(store, verdict, now);
             }
         }
@@ -620,7 +774,9 @@
 
     /// A dial that failed takes one exchange with it: the one that has waited longest.
     fn fail_first_waiting(&mut self, store: StoreId, verdict: Verdict, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&store) else { return };
+        let Some(pool) = self.pools.get_mut(&store) else {
+            return;
+        };
         let exchange = pool.waiting.pop_front();
         // Guards against waiting for nothing: those over the cap on dials get the ones that are free now.
         if pool.waiting.len() > pool.dialling {
@@ -631,17 +787,40 @@
         }
     }
 
-    fn finish(&mut self, exchange: Exchange, store: StoreId, verdict: Verdict, note: Note, now: Instant) {
+    fn finish(
+        &mut self,
+        exchange: Exchange,
+        store: StoreId,
+        verdict: Verdict,
+        note: Note,
+        now: Instant,
+    ) {
         let elapsed = now.saturating_duration_since(exchange.sent);
-        let Exchange { purpose, class, group, .. } = exchange;
-        self.done.push_back(Done { purpose, class, group, store, verdict, elapsed, note });
+        let Exchange {
+            purpose,
+            class,
+            group,
+            ..
+        } = exchange;
+        self.done.push_back(Done {
+            purpose,
+            class,
+            group,
+            store,
+            verdict,
+            elapsed,
+            note,
+        });
     }
 
     /// Calls off an attempt; its connection ends with it if it is on one.
     pub fn cancel(&mut self, purpose: Purpose, now: Instant) {
-        let on =
-            |c: &Connection| matches!(&c.state, State::Busy { exchange, .. } if exchange.purpose == purpose);
-        let found = self.connections.iter().find(|(_, c)| on(c)).map(|(key, _)| key);
+        let on = |c: &Connection| matches!(&c.state, State::Busy { exchange, .. } if exchange.purpose == purpose);
+        let found = self
+            .connections
+            .iter()
+            .find(|(_, c)| on(c))
+            .map(|(key, _)| key);
         if let Some(key) = found {
             return self.close(key, Verdict::Cancelled, now);
         }
@@ -669,10 +848,18 @@
             self.finish(exchange, store, Verdict::NeverSent, Note::default(), now);
         }
         let unwritten = |connection: &Connection| match &connection.state {
-            State::Busy { exchange, written: false, .. } => of_request(exchange),
+            State::Busy {
+                exchange,
+                written: false,
+                ..
+            } => of_request(exchange),
             _ => false,
         };
-        let found = self.connections.iter().find(|(_, c)| unwritten(c)).map(|(key, _)| key);
+        let found = self
+            .connections
+            .iter()
+            .find(|(_, c)| unwritten(c))
+            .map(|(key, _)| key);
         if let Some(key) = found {
             self.close(key, Verdict::NeverSent, now);
         }
@@ -681,19 +868,33 @@
     pub fn on_due(&mut self, due: Due, now: Instant, reactor: &Reactor) {
         match due {
             Due::Connection(key) => {
-                let Some(connection) = self.connections.get(key) else { return };
+                let Some(connection) = self.connections.get(key) else {
+                    return;
+                };
                 if connection.until > now {
                     // More of its answer has come meanwhile.
-                    if matches!(connection.state, State::Busy { passing: Passing::Flows, .. }) {
+                    if matches!(
+                        connection.state,
+                        State::Busy {
+                            passing: Passing::Flows,
+                            ..
+                        }
+                    ) {
                         self.due.push((connection.until, Due::Connection(key)));
                     }
                     return;
                 }
                 let store = connection.store;
                 match connection.state {
-                    State::Busy { written: true, begun: true, .. } => self.spoilt(key, now),
+                    State::Busy {
+                        written: true,
+                        begun: true,
+                        ..
+                    } => self.spoilt(key, now),
                     State::Busy { written: true, .. } => self.close(key, Verdict::TimedOut, now),
-                    State::Busy { .. } | State::Idle => self.close(key, Verdict::ConnectFailed, now),
+                    State::Busy { .. } | State::Idle => {
+                        self.close(key, Verdict::ConnectFailed, now)
+                    }
                     State::Connecting | State::Greeting(_) => {
                         // What waits has a time of its own: a slow dial takes nothing with it.
                         self.connections.remove(key);
--- a/crates/leverproxy/src/usage.rs
+++ b/crates/leverproxy/src/usage.rs
@@ -38,9 +38,18 @@
 }
 
 /// Tenants beyond what fits are not told of: for them each proxy goes on by itself.
-pub fn say(members: &mut Members, names: &[String], rates: impl Iterator<Item = f64>, now: Instant) {
+pub fn say(
+    members: &mut Members,
+    names: &[String],
+    rates: impl Iterator<Item = f64>,
+    now: Instant,
+) {
     let milli = |rate: f64| (rate * 1e3) as u32;
-    let rates: Rates = names.iter().zip(rates).map(|(name, rate)| (number(name), milli(rate))).collect();
+    let rates: Rates = names
+        .iter()
+        .zip(rates)
+        .map(|(name, rate)| (number(name), milli(rate)))
+        .collect();
     for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(FACTS)) {
         if let Some(body) = encode(part) {
             members.say(KIND, vec![at], body, LASTS, now);
@@ -58,11 +67,15 @@
     let view = members.view(now);
     // Who is dead for the larger part sees nothing any more. The smaller part can't tell who is dead from who is cut off,
     // and leaves to all the part that they had.
-    let larger =
-        members.allowed(Act::Promote, None, now).is_ok() || members.allowed(Act::Lend, None, now).is_ok();
+    let larger = members.allowed(Act::Promote, None, now).is_ok()
+        || members.allowed(Act::Lend, None, now).is_ok();
     let gone = |status| matches!(status, Status::Left) || larger && status == Status::Down;
-    let gone: BTreeSet<&str> =
-        view.members.iter().filter(|m| gone(m.status)).map(|m| m.name.as_str()).collect();
+    let gone: BTreeSet<&str> = view
+        .members
+        .iter()
+        .filter(|m| gone(m.status))
+        .map(|m| m.name.as_str())
+        .collect();
     let mut told: BTreeMap<u32, f64> = BTreeMap::new();
     let mut proxies = BTreeSet::new();
     for fact in members.facts(KIND, now) {
@@ -75,8 +88,14 @@
         }
         proxies.insert(fact.source);
     }
-    let rates = names.iter().map(|name| told.get(&number(name)).copied().unwrap_or(0.0)).collect();
-    (!proxies.is_empty()).then_some(Others { proxies: proxies.len() as u32, rates })
+    let rates = names
+        .iter()
+        .map(|name| told.get(&number(name)).copied().unwrap_or(0.0))
+        .collect();
+    (!proxies.is_empty()).then_some(Others {
+        proxies: proxies.len() as u32,
+        rates,
+    })
 }
 
 #[cfg(test)]
@@ -88,7 +107,10 @@
     fn rates_of_version_1_are_read_for_good() {
         let kept = [1, 2, 0xe8, 0x07, 0xc0, 0xc4, 0x07, 3, 0];
         assert_eq!(decode(&kept), Some(vec![(1000, 123_456), (3, 0)]));
-        assert_eq!(encode(&[(1000, 123_456), (3, 0)]).as_deref(), Some(&kept[..]));
+        assert_eq!(
+            encode(&[(1000, 123_456), (3, 0)]).as_deref(),
+            Some(&kept[..])
+        );
     }
 
     #[test]
--- a/crates/leverproxy/src/worth.rs
+++ b/crates/leverproxy/src/worth.rs
@@ -40,22 +40,39 @@
 impl Worth {
     /// The prices from now on; what was counted stays.
     pub fn configure(&mut self, settings: &Settings) {
-        let greatest = settings.classes.iter().map(|class| class.worth).fold(0.0, f64::max);
+        let greatest = settings
+            .classes
+            .iter()
+            .map(|class| class.worth)
+            .fold(0.0, f64::max);
         let price = |class: &mountshift::Class| Price {
             // Where nothing is worth anything, all are alike.
-            worth: if greatest > 0.0 { (class.worth / greatest).clamp(0.0, 1.0) } else { 1.0 },
+            worth: if greatest > 0.0 {
+                (class.worth / greatest).clamp(0.0, 1.0)
+            } else {
+                1.0
+            },
             aim: class.aim,
             late: class.late_worth.clamp(0.0, 1.0),
         };
         self.prices = settings.classes.iter().map(price).collect();
         self.over = settings.over_share_worth.clamp(0.0, 1.0);
-        self.classes.resize(self.prices.len().max(self.classes.len()), Sum::default());
+        self.classes
+            .resize(self.prices.len().max(self.classes.len()), Sum::default());
     }
 
     /// A request that took so long has its answer.
-    pub fn answered(&mut self, class: ClassId, standing: Standing, answer: &Answer, took: Duration) {
+    pub fn answered(
+        &mut self,
+        class: ClassId,
+        standing: Standing,
+        answer: &Answer,
+        took: Duration,
+    ) {
         let at = usize::from(class.0);
-        let (Some(price), Some(sum)) = (self.prices.get(at), self.classes.get_mut(at)) else { return };
+        let (Some(price), Some(sum)) = (self.prices.get(at), self.classes.get_mut(at)) else {
+            return;
+        };
         let asked = self.over.powf(standing.beyond());
         let earned = match answer {
             Answer::Served(_) if took <= price.aim => 1.0,
@@ -104,7 +121,25 @@
         worth.answered(ClassId(1), Standing::Beyond, &Answer::Refused(None), aim);
         worth.answered(ClassId(9), Standing::Within, &Answer::Failed, aim);
         let classes: Vec<Sum> = worth.classes().map(|(_, sum)| sum).collect();
-        assert_eq!(classes, [Sum { asked: 2.0, lost: 0.75 }, Sum { asked: 0.5, lost: 0.5 }]);
-        assert_eq!(worth.total(), Sum { asked: 2.125, lost: 0.875 });
+        assert_eq!(
+            classes,
+            [
+                Sum {
+                    asked: 2.0,
+                    lost: 0.75
+                },
+                Sum {
+                    asked: 0.5,
+                    lost: 0.5
+                }
+            ]
+        );
+        assert_eq!(
+            worth.total(),
+            Sum {
+                asked: 2.125,
+                lost: 0.875
+            }
+        );
     }
 }
--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -21,7 +21,10 @@
     let (status, text) = get(admin, "/api/telemetry");
     assert_eq!(status, 200);
     let lines = text.lines().filter(|line| !line.starts_with('#'));
-    lines.map(|line| line.rsplit_once(' ').unwrap()).map(|(k, v)| (k.into(), v.parse().unwrap())).collect()
+    lines
+        .map(|line| line.rsplit_once(' ').unwrap())
+        .map(|(k, v)| (k.into(), v.parse().unwrap()))
+        .collect()
 }
 
 /// What the scripted peers did is what the figures tell, answer by answer.
@@ -34,7 +37,10 @@
     let mut upstream = server.welcome();
     upstream.query();
     let under_way = figures(admin);
-    assert_eq!((under_way["lb_in_flight"], under_way["lb_attempts_total"]), (1, 1));
+    assert_eq!(
+        (under_way["lb_in_flight"], under_way["lb_attempts_total"]),
+        (1, 1)
+    );
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     // A write that may have run, and one that is nobody's class.
@@ -99,7 +105,9 @@
     drop(dawdlers);
     // One that ends its side behind a whole call still hears.
     let mut stream = TcpStream::connect(admin).unwrap();
-    stream.write_all(b"GET /api/ready HTTP/1.1\r\n\r\n").unwrap();
+    stream
+        .write_all(b"GET /api/ready HTTP/1.1\r\n\r\n")
+        .unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -113,8 +121,10 @@
     let server = Listener::new();
     let (_stage, admin) = stage(&[("s-1", &server)]);
     let body = r#"{"target":"s-1"}"#;
-    let text =
-        format!("POST /api/exclude HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let text = format!(
+        "POST /api/exclude HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let mut waiting = Vec::new();
     for cut in 0..text.len() {
         let mut stream = TcpStream::connect(admin).unwrap();
@@ -124,7 +134,10 @@
         }
     }
     assert_eq!(figures(admin)["lb_record_servers_excluded"], 0);
-    assert_eq!(call(admin, &format!("{text}GET /api/ready HTTP/1.1\r\n\r\n")).0, 400);
+    assert_eq!(
+        call(admin, &format!("{text}GET /api/ready HTTP/1.1\r\n\r\n")).0,
+        400
+    );
     assert_eq!(figures(admin)["lb_record_servers_excluded"], 0);
     assert_eq!(post(admin, "exclude", "s-1"), 200);
     assert_eq!(figures(admin)["lb_record_servers_excluded"], 1);
@@ -158,7 +171,9 @@
         }
         match client.reply() {
             reply if reply.value.is_some() => served += 1,
-            reply if reply.code.as_deref() == Some("53300") => panic!("refused, though it may have run"),
+            reply if reply.code.as_deref() == Some("53300") => {
+                panic!("refused, though it may have run")
+            }
             _ => failed += 1,
         }
     }
@@ -172,9 +187,24 @@
     common::until(admin, "lb_in_flight 0");
     let told = figures(admin);
     assert_eq!((served, failed), (20, 40));
-    assert_eq!(told[r#"lb_requests_total{class="book",outcome="served"}"#], served);
-    assert_eq!(told[r#"lb_requests_total{class="book",outcome="failed"}"#], failed);
-    assert_eq!(told[r#"lb_requests_total{class="book",outcome="refused"}"#], 0);
+    assert_eq!(
+        told[r#"lb_requests_total{class="book",outcome="served"}"#],
+        served
+    );
+    assert_eq!(
+        told[r#"lb_requests_total{class="book",outcome="failed"}"#],
+        failed
+    );
+    assert_eq!(
+        told[r#"lb_requests_total{class="book",outcome="refused"}"#],
+        0
+    );
     assert_eq!(told["lb_attempts_total"], attempts + 1);
-    assert_eq!(told.iter().filter(|(k, _)| k.contains("\"any\"")).map(|(_, v)| v).sum::<u64>(), 0);
+    assert_eq!(
+        told.iter()
+            .filter(|(k, _)| k.contains("\"any\""))
+            .map(|(_, v)| v)
+            .sum::<u64>(),
+        0
+    );
 }
--- a/crates/leverproxy/tests/answers.rs
+++ b/crates/leverproxy/tests/answers.rs
@@ -10,13 +10,19 @@
 
 /// The end of a request whose outcome nobody knows.
 fn unknown() -> Reply {
-    Reply { code: Some("08007".into()), ..Reply::default() }
+    Reply {
+        code: Some("08007".into()),
+        ..Reply::default()
+    }
 }
 
 /// A program that knows of these servers, and a client of it.
 fn started(servers: &[(&str, &Listener)]) -> (Program, Peer) {
     let mut program = Program::start("");
-    let entries: Vec<String> = servers.iter().map(|(name, server)| server.listed(name, "Ready")).collect();
+    let entries: Vec<String> = servers
+        .iter()
+        .map(|(name, server)| server.listed(name, "Ready"))
+        .collect();
     program.watch.tell(57, &entries);
     let client = Peer::client(program.address);
     (program, client)
@@ -144,7 +150,10 @@
         let mut upstream = asked(&mut client, &leaving, "any");
         Peer::client(program.address);
         program.pause();
-        let drain = [leaving.listed("s-1", "Terminating"), staying.listed("s-2", "Ready")];
+        let drain = [
+            leaving.listed("s-1", "Terminating"),
+            staying.listed("s-2", "Ready"),
+        ];
         if answer_first {
             upstream.answer("one", &[]);
             upstream.delivered();
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -28,7 +28,12 @@
         let server = Listener::new();
         let mut upstream = Upstream::new(10, DIAL_TIMEOUT, PATIENCE);
         upstream.serves(SERVER, server.address);
-        Upstreams { reactor: Reactor::new().unwrap(), upstream, server, begun: Instant::now() }
+        Upstreams {
+            reactor: Reactor::new().unwrap(),
+            upstream,
+            server,
+            begun: Instant::now(),
+        }
     }
 
     fn at(&self, since: Duration) -> Instant {
@@ -50,17 +55,22 @@
             until: self.at(waits),
             begin_by: self.at(begins),
         };
-        self.upstream.start(SERVER, exchange, self.begun, &self.reactor);
+        self.upstream
+            .start(SERVER, exchange, self.begun, &self.reactor);
     }
 
     /// Hands on the next batch of events as if they had come at `since`.
     fn turn(&mut self, since: Duration) {
         let mut ready = Vec::new();
         while ready.is_empty() {
-            self.reactor.wait(Some(Instant::now() + PATIENCE), &mut ready).unwrap();
+            self.reactor
+                .wait(Some(Instant::now() + PATIENCE), &mut ready)
+                .unwrap();
         }
         for event in ready {
-            let Token::Upstream(key) = event.token else { panic!("{event:?}") };
+            let Token::Upstream(key) = event.token else {
+                panic!("{event:?}")
+            };
             self.upstream.ready(key, self.at(since), &self.reactor);
         }
     }
@@ -97,7 +107,10 @@
 fn a_dial_that_is_up_too_late_carries_nothing() {
     // Of one that had less time to begin than a dial may take, the server is not to blame.
     let (its_time, the_dial) = (Verdict::NeverSent, Verdict::ConnectFailed);
-    for (waits, begins, verdict) in [(400 * MS, 100 * MS, its_time), (100 * MS, 400 * MS, the_dial)] {
+    for (waits, begins, verdict) in [
+        (400 * MS, 100 * MS, its_time),
+        (100 * MS, 400 * MS, the_dial),
+    ] {
         let mut upstreams = Upstreams::new();
         upstreams.start(1, waits, begins, 0);
         let mut peer = upstreams.welcomed(100 * MS);
@@ -113,7 +126,9 @@
 fn an_attempt_that_is_called_off_during_the_dial_is_never_written() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, 400 * MS, 400 * MS, 0);
-    upstreams.upstream.call_off(RequestId(1), upstreams.at(10 * MS));
+    upstreams
+        .upstream
+        .call_off(RequestId(1), upstreams.at(10 * MS));
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
     let mut peer = upstreams.welcomed(20 * MS);
     upstreams.start(2, PATIENCE, PATIENCE, 0);
@@ -127,7 +142,9 @@
     upstreams.start(1, PATIENCE, PATIENCE, LONGER_THAN_A_SOCKET);
     let mut peer = upstreams.welcomed(20 * MS);
     assert!(upstreams.done().is_none());
-    upstreams.upstream.call_off(RequestId(1), upstreams.at(30 * MS));
+    upstreams
+        .upstream
+        .call_off(RequestId(1), upstreams.at(30 * MS));
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
     assert_eq!(upstreams.upstream.connections(), 0);
     assert!(peer.ended());
@@ -139,7 +156,12 @@
     let mut upstreams = Upstreams::new();
     upstreams.start(1, PATIENCE, PATIENCE, LONGER_THAN_A_SOCKET);
     let mut peer = upstreams.welcomed(20 * MS);
-    let (at, due) = upstreams.upstream.take_due().into_iter().rfind(|(_, d)| is_connection(d)).unwrap();
+    let (at, due) = upstreams
+        .upstream
+        .take_due()
+        .into_iter()
+        .rfind(|(_, d)| is_connection(d))
+        .unwrap();
     assert_eq!(at, upstreams.at(120 * MS));
     upstreams.upstream.on_due(due, at, &upstreams.reactor);
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::ConnectFailed);
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -32,12 +32,19 @@
 
 fn get(address: SocketAddr, path: &str) -> String {
     let mut stream = connect(address);
-    stream.write_all(format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n").as_bytes()).unwrap();
+    stream
+        .write_all(format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n").as_bytes())
+        .unwrap();
     rest(stream)
 }
 
 fn status(address: SocketAddr, path: &str) -> u16 {
-    get(address, path).split(' ').nth(1).unwrap().parse().unwrap()
+    get(address, path)
+        .split(' ')
+        .nth(1)
+        .unwrap()
+        .parse()
+        .unwrap()
 }
 
 /// Waits for what the proxy is going to tell.
@@ -53,16 +60,24 @@
 fn checks_of_each_protocol_are_answered() {
     let server = Listener::new();
     let stage = Stage::under(&[("s-1", &server)], FRONTS);
-    let [agent, web] = stage.health[..] else { panic!("{:?}", stage.health) };
+    let [agent, web] = stage.health[..] else {
+        panic!("{:?}", stage.health)
+    };
     assert_eq!(agent_says(agent), "ready up 100%\n");
-    for (path, code) in
-        [("/livez", 200), ("/readyz", 200), ("/startupz", 200), ("/readyz/group/3", 200), ("/no", 404)]
-    {
+    for (path, code) in [
+        ("/livez", 200),
+        ("/readyz", 200),
+        ("/startupz", 200),
+        ("/readyz/group/3", 200),
+        ("/no", 404),
+    ] {
         assert_eq!(status(web, path), code, "{path}");
     }
     // Several checks on a connection, one of them cut in two.
     let mut stream = connect(web);
-    stream.write_all(b"HEAD /readyz HTTP/1.1\r\n\r\nGET /livez HTTP/1.1\r\nConnection: cl").unwrap();
+    stream
+        .write_all(b"HEAD /readyz HTTP/1.1\r\n\r\nGET /livez HTTP/1.1\r\nConnection: cl")
+        .unwrap();
     stream.write_all(b"ose\r\n\r\n").unwrap();
     let text = rest(stream);
     assert_eq!(text.matches("HTTP/1.1 200 OK").count(), 2, "{text}");
@@ -75,8 +90,10 @@
 
 #[test]
 fn an_agent_reads_a_text_where_it_is_told_to() {
-    let stage =
-        Stage::under(&[], "health a {\n protocol agent\n address 127.0.0.1:0\n expects-text yes\n}\n");
+    let stage = Stage::under(
+        &[],
+        "health a {\n protocol agent\n address 127.0.0.1:0\n expects-text yes\n}\n",
+    );
     let mut stream = connect(stage.health[0]);
     stream.write_all(b"group").unwrap();
     stream.write_all(b" 3\n").unwrap();
@@ -90,7 +107,9 @@
         "health a {\n protocol agent\n address 127.0.0.1:0\n maxconn yes\n}\nlimits {\n sockets 141\n}\n",
     );
     // 141 less 32, nine for this listener and ten for the reserve leave 90, of which clients get 60%.
-    until("the limit is known", || agent_says(stage.health[0]) == "ready up 100% maxconn:54\n");
+    until("the limit is known", || {
+        agent_says(stage.health[0]) == "ready up 100% maxconn:54\n"
+    });
 }
 
 /// A group that takes requests and answers none shows within a second, and costs the others nothing.
@@ -98,7 +117,9 @@
 fn a_hung_group_shows_and_the_others_stay() {
     let server = Listener::new();
     let stage = Stage::under(&[("s-1", &server)], FRONTS);
-    let [agent, web] = stage.health[..] else { panic!() };
+    let [agent, web] = stage.health[..] else {
+        panic!()
+    };
     // Twenty requests that nobody answers.
     let mut clients: Vec<Peer> = (0..20).map(|_| Peer::client(stage.address)).collect();
     for (id, client) in (1..).zip(&mut clients) {
@@ -126,7 +147,12 @@
 fn a_proxy_that_cannot_hear_discovery_serves() {
     let server = Listener::new();
     let stage = Stage::under(&[("s-1", &server)], FRONTS);
-    let Stage { watch, discovery, health, .. } = &stage;
+    let Stage {
+        watch,
+        discovery,
+        health,
+        ..
+    } = &stage;
     watch.stream.shutdown(std::net::Shutdown::Both).unwrap();
     let again = discovery.accept();
     drop(again);
@@ -149,7 +175,9 @@
     Peer::client(stage.address);
     // The slow ones are put out without a word, and a check that had to wait comes through.
     assert_eq!(status(stage.health[0], "/livez"), 200);
-    assert!(slow.into_iter().all(|mut s| s.read(&mut [0; 16]).map_or(true, |n| n == 0)));
+    assert!(slow
+        .into_iter()
+        .all(|mut s| s.read(&mut [0; 16]).map_or(true, |n| n == 0)));
     // Connections kept between checks give way to new ones.
     let kept: Vec<TcpStream> = (0..4)
         .map(|_| {
@@ -209,7 +237,10 @@
         .env_remove("RUST_LOG")
         .output()
         .unwrap();
-    (output.status.success(), String::from_utf8(output.stdout).unwrap())
+    (
+        output.status.success(),
+        String::from_utf8(output.stdout).unwrap(),
+    )
 }
 
 /// Drained, the proxy says so at once, listens until the balancers must have heard, and comes back when told.
@@ -222,22 +253,36 @@
         &format!("{FRONTS}balancer b {{\n interval 100ms\n fall 2\n timeout 50ms\n}}\ncontrol {{\n socket {socket}\n}}\n"),
     );
     use std::os::unix::fs::PermissionsExt;
-    assert_eq!(std::fs::metadata(socket).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        std::fs::metadata(socket).unwrap().permissions().mode() & 0o777,
+        0o600
+    );
     let (done, text) = say(socket, "status");
-    assert!(done && text.starts_with("phase serving\nstate ready\nweight 100\n"), "{text}");
+    assert!(
+        done && text.starts_with("phase serving\nstate ready\nweight 100\n"),
+        "{text}"
+    );
     let mut client = Peer::client(stage.address);
     let (done, text) = say(socket, "drain");
-    assert!(done && text.contains("state draining\nweight 0\n"), "{text}");
+    assert!(
+        done && text.contains("state draining\nweight 0\n"),
+        "{text}"
+    );
     assert!(agent_says(stage.health[0]).starts_with("drain"));
     assert_eq!(status(stage.health[1], "/readyz"), 404);
     assert_eq!(status(stage.health[1], "/livez"), 200);
-    until("the listener closes", || TcpStream::connect(stage.address).is_err());
+    until("the listener closes", || {
+        TcpStream::connect(stage.address).is_err()
+    });
     assert!(say(socket, "status").1.starts_with("phase drained\n"));
     // Who was there and owed nothing is let go.
     assert!(client.ended());
     let (done, text) = say(socket, "undrain");
     assert!(done && text.starts_with("phase serving\n"), "{text}");
-    assert_eq!(agent::read(&agent_says(stage.health[0])).administrative, Some(Administrative::Ready));
+    assert_eq!(
+        agent::read(&agent_says(stage.health[0])).administrative,
+        Some(Administrative::Ready)
+    );
     Peer::client(stage.address);
     assert!(!say(socket, "drain").1.contains("phase drained"));
     stage.control.stop();
@@ -269,7 +314,9 @@
         &format!("{FRONTS}balancer b {{\n interval 200ms\n fall 2\n timeout 100ms\n}}\ndrain {{\n announce-end yes\n}}\n"),
     );
     stage.control.stop();
-    until("the agent says drain", || agent_says(stage.health[0]).starts_with("drain"));
+    until("the agent says drain", || {
+        agent_says(stage.health[0]).starts_with("drain")
+    });
     let mut late = Peer::client(stage.address);
     late.ask(" ; ");
     late.reply();
@@ -290,18 +337,32 @@
         let mut no = [0];
         stream.read_exact(&mut no).unwrap();
         assert_eq!(no, *b"N");
-        stream.write_all(&server::startup_packet("check", "check")).unwrap();
+        stream
+            .write_all(&server::startup_packet("check", "check"))
+            .unwrap();
         assert!(stream.read(&mut [0; 512]).unwrap() > 0);
     }
     // CancelRequest: closed without a word.
     let mut stream = connect(stage.address);
-    stream.write_all(&[&16_u32.to_be_bytes()[..], &80_877_102_u32.to_be_bytes(), &[0; 8]].concat()).unwrap();
+    stream
+        .write_all(
+            &[
+                &16_u32.to_be_bytes()[..],
+                &80_877_102_u32.to_be_bytes(),
+                &[0; 8],
+            ]
+            .concat(),
+        )
+        .unwrap();
     assert_eq!(stream.read(&mut [0; 16]).unwrap(), 0);
     drop(stream);
     // Nobody was put out, and the log says nothing of any of them.
     stage.signal(Signal::TERM);
     let log = stage.rest();
-    assert!(log.iter().any(|line| line.contains("turned out 0;")), "{log:?}");
+    assert!(
+        log.iter().any(|line| line.contains("turned out 0;")),
+        "{log:?}"
+    );
     assert!(!log.iter().any(|line| line.contains("front:")), "{log:?}");
 }
 
@@ -309,14 +370,20 @@
 fn a_check_comes_in_where_clients_are_too_many() {
     let server = Listener::new();
     // One client holds the only place, with a request out.
-    let stage = Stage::set_limits(&[("s-1", &server)], "balancer b {\n network 127.0.0.0/8\n}\n", 1);
+    let stage = Stage::set_limits(
+        &[("s-1", &server)],
+        "balancer b {\n network 127.0.0.0/8\n}\n",
+        1,
+    );
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19_000));
     let mut upstream = server.welcome();
     upstream.query();
     for _ in 0..5 {
         let mut check = connect(stage.address);
-        check.write_all(&server::startup_packet("check", "check")).unwrap();
+        check
+            .write_all(&server::startup_packet("check", "check"))
+            .unwrap();
         assert!(check.read(&mut [0; 512]).unwrap() > 0, "welcomed");
     }
     upstream.answer("x", &[]);
@@ -339,12 +406,25 @@
         peer.reply().detail
     };
     let server = named("127.0.0.1:1");
-    assert_eq!(told(proxy::header(named("192.0.2.7:9"), server, 1)).as_deref(), Some("1234"));
-    assert_eq!(told(b"PROXY TCP4 192.0.2.8 127.0.0.1 9 1\r\n".to_vec()).as_deref(), Some("1234"));
-    assert_eq!(told(proxy::header(named("192.0.2.7:9"), server, 0)).as_deref(), Some("1678"), "LOCAL");
+    assert_eq!(
+        told(proxy::header(named("192.0.2.7:9"), server, 1)).as_deref(),
+        Some("1234")
+    );
+    assert_eq!(
+        told(b"PROXY TCP4 192.0.2.8 127.0.0.1 9 1\r\n".to_vec()).as_deref(),
+        Some("1234")
+    );
+    assert_eq!(
+        told(proxy::header(named("192.0.2.7:9"), server, 0)).as_deref(),
+        Some("1678"),
+        "LOCAL"
+    );
     let mut without = Peer::connect(stage.address);
     without.write(&server::startup_packet("app", "shop"));
-    assert!(without.reply().code.is_some(), "no header where one has to be");
+    assert!(
+        without.reply().code.is_some(),
+        "no header where one has to be"
+    );
     let mut bad = proxy::header(named("192.0.2.7:9"), server, 1);
     bad[17] ^= 1;
     let mut peer = Peer::connect(stage.address);
@@ -355,12 +435,19 @@
 /// Checks go on being answered in the middle of a reload, by the state as it is.
 #[test]
 fn checks_during_a_reload() {
-    let port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let port = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let health = format!("health a {{\n protocol agent\n address {port}\n}}\n");
     let mut program = Program::under("", &health);
     let mut routes = health.clone();
     for n in 0..20_000 {
-        routes.push_str(&format!("route r{n} {{\n network 10.{}.{}.0/24\n tries 2\n}}\n", n / 250, n % 250));
+        routes.push_str(&format!(
+            "route r{n} {{\n network 10.{}.{}.0/24\n tries 2\n}}\n",
+            n / 250,
+            n % 250
+        ));
     }
     program.steer(&routes);
     for _ in 0..50 {
@@ -379,7 +466,9 @@
     if cfg!(feature = "grpc") {
         let stage = Stage::under(&[], operators);
         let mut stream = connect(stage.health[0]);
-        stream.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").unwrap();
+        stream
+            .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
+            .unwrap();
         let mut head = [0; 9];
         stream.read_exact(&mut head).unwrap();
         assert_eq!(head[3], 4, "a SETTINGS frame comes first: {head:?}");
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -4,7 +4,9 @@
 //! between: what comes meanwhile waits in its sockets, and the loop finds all of it at once.
 
 mod common;
-use common::{message, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE, SETTINGS};
+use common::{
+    message, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE, SETTINGS,
+};
 use leverproxy::config::Config;
 use leverproxy::pg::server::startup_packet;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
@@ -19,7 +21,9 @@
 /// The program stands still from here on.
 fn freeze(program: &Program) {
     program.signal(Signal::STOP);
-    let (_, status) = waitpid(Some(Pid::from_child(&program.child)), WaitOptions::UNTRACED).unwrap().unwrap();
+    let (_, status) = waitpid(Some(Pid::from_child(&program.child)), WaitOptions::UNTRACED)
+        .unwrap()
+        .unwrap();
     assert!(status.stopped(), "{status:?}");
 }
 
@@ -104,8 +108,9 @@
 /// One that then asks for nothing is closed without a word, and holds the end up no longer.
 #[test]
 fn a_client_that_asks_for_nothing_does_not_hold_up_the_end() {
-    let mut stage =
-        Stage::with(&[], |config| (config.linger, config.give_up) = (Duration::ZERO, 9 * PATIENCE));
+    let mut stage = Stage::with(&[], |config| {
+        (config.linger, config.give_up) = (Duration::ZERO, 9 * PATIENCE)
+    });
     let mut client = Peer::client(stage.address);
     stage.control.stop();
     assert!(client.message().is_err(), "the end, and nothing before it");
@@ -221,7 +226,10 @@
 #[test]
 fn a_request_on_a_resting_connection_is_served_among_many() {
     let server = Listener::new();
-    let program = program("limits {\n sockets 64\n crowded 1%\n client-idle 2s\n}\n", &server);
+    let program = program(
+        "limits {\n sockets 64\n crowded 1%\n client-idle 2s\n}\n",
+        &server,
+    );
     let mut client = Peer::client(program.address);
     let mut upstream = served(&mut client, &server, 1, "one");
     freeze(&program);
@@ -237,7 +245,10 @@
 #[test]
 fn a_request_on_a_resting_connection_keeps_its_place() {
     let server = Listener::new();
-    let program = program("limits {\n sockets 64\n clients 10%\n crowded 90%\n packed 90%\n}\n", &server);
+    let program = program(
+        "limits {\n sockets 64\n clients 10%\n crowded 90%\n packed 90%\n}\n",
+        &server,
+    );
     let mut clients: Vec<Peer> = (0..3).map(|_| Peer::client(program.address)).collect();
     let mut upstream = served(&mut clients[0], &server, 1, "one");
     for (id, client) in (2..).zip(&mut clients[1..]) {
@@ -258,7 +269,10 @@
     upstream.answer("four", &[]);
     assert_eq!(clients[0].reply().value.as_deref(), Some("four"));
     assert_eq!(newcomer.reply(), Reply::default(), "the welcome");
-    assert!(clients[1].ended(), "the one that rested the longest but for the first");
+    assert!(
+        clients[1].ended(),
+        "the one that rested the longest but for the first"
+    );
 }
 
 /// Out of time for its first request, which has come all the same before that was told.
@@ -277,10 +291,13 @@
 /// A proxy whose listener closes as soon as it is told to stop, and that waits long for what is owed.
 fn stage(server: &Listener, adjust: impl FnOnce(&mut Config)) -> Stage {
     // Under three names: one that has just come into the list bears little at once.
-    Stage::with(&[("s-1", server), ("s-2", server), ("s-3", server)], |config| {
-        (config.linger, config.give_up) = (Duration::ZERO, 3 * PATIENCE);
-        adjust(config);
-    })
+    Stage::with(
+        &[("s-1", server), ("s-2", server), ("s-3", server)],
+        |config| {
+            (config.linger, config.give_up) = (Duration::ZERO, 3 * PATIENCE);
+            adjust(config);
+        },
+    )
 }
 
 /// Tells it to stop, and waits until its listener is closed.
@@ -380,11 +397,14 @@
     const ANSWERS: u32 = 100;
     let value = "v".repeat(60 << 10);
     let server = Listener::new();
-    let mut stage =
-        stage(&server, |config| (config.patience.pipeline, config.patience.unsent) = (1, 64 << 20));
+    let mut stage = stage(&server, |config| {
+        (config.patience.pipeline, config.patience.unsent) = (1, 64 << 20)
+    });
     let mut idle = Peer::client(stage.address);
     let mut client = Peer::client(stage.address);
-    let asked: Vec<u8> = (1..=ANSWERS).flat_map(|id| message(&read(id, "any", 19000))).collect();
+    let asked: Vec<u8> = (1..=ANSWERS)
+        .flat_map(|id| message(&read(id, "any", 19000)))
+        .collect();
     client.write(&asked);
     let (tell, told) = channel();
     let given = value.clone();
@@ -416,7 +436,11 @@
     let mut resting = resting(&stage, &server);
     stop(&stage, &mut resting);
     resting.ask(&read(1, "any", 19000));
-    assert_eq!(resting.stream.read(&mut [0; 1]).unwrap(), 0, "still the end");
+    assert_eq!(
+        resting.stream.read(&mut [0; 1]).unwrap(),
+        0,
+        "still the end"
+    );
     assert!(resting.stream.take_error().unwrap().is_none(), "no reset");
     assert!(server.try_accept().is_none(), "nothing is sent on");
     drop(resting);
@@ -438,7 +462,10 @@
     program.line("the configuration is reread");
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
-    assert!(client.ended(), "after the linger that counted when it was told");
+    assert!(
+        client.ended(),
+        "after the linger that counted when it was told"
+    );
     drop(client);
     assert!(program.child.wait().unwrap().success());
 }
@@ -449,7 +476,11 @@
     let discovery = Listener::new();
     let place = Scratch::new("");
     std::fs::remove_file(&place.0).unwrap();
-    assert!(Command::new("mkfifo").arg(&place.0).status().unwrap().success());
+    assert!(Command::new("mkfifo")
+        .arg(&place.0)
+        .status()
+        .unwrap()
+        .success());
     let mut child = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
         .arg("serve")
         .env("LB_CONFIG", &place.0)
@@ -462,7 +493,8 @@
     let mut file = std::fs::File::create(&place.0).unwrap();
     let pid = Pid::from_child(&child);
     kill_process(pid, Signal::HUP).unwrap();
-    file.write_all(format!(r#"{{"settings":{SETTINGS}}}"#).as_bytes()).unwrap();
+    file.write_all(format!(r#"{{"settings":{SETTINGS}}}"#).as_bytes())
+        .unwrap();
     drop(file);
     discovery.accept().watch();
     kill_process(pid, Signal::TERM).unwrap();
@@ -493,7 +525,10 @@
     drop((bystander, client, clients));
     program.signal(Signal::TERM);
     let log = program.rest();
-    let told = log.iter().filter(|line| line.contains("not understood:")).count();
+    let told = log
+        .iter()
+        .filter(|line| line.contains("not understood:"))
+        .count();
     assert!((1..EACH).contains(&told), "{log:#?}");
     for figure in ["statements not understood 20", "turned out 20;"] {
         assert!(log.iter().any(|line| line.contains(figure)), "{log:#?}");
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -65,7 +65,10 @@
 
     /// Nobody connects for `span`.
     pub fn left_alone(&self, span: Duration) -> bool {
-        matches!(self.accepted.recv_timeout(span), Err(RecvTimeoutError::Timeout))
+        matches!(
+            self.accepted.recv_timeout(span),
+            Err(RecvTimeoutError::Timeout)
+        )
     }
 
     /// A connection from the proxy, welcomed as a record server does.
@@ -102,7 +105,10 @@
     pub fn new(stream: TcpStream) -> Peer {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Peer { stream, input: Vec::new() }
+        Peer {
+            stream,
+            input: Vec::new(),
+        }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
@@ -147,7 +153,12 @@
         loop {
             match self.more() {
                 Ok(()) => {}
-                Err(e) => return !matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut),
+                Err(e) => {
+                    return !matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    )
+                }
             }
         }
     }
@@ -161,7 +172,10 @@
     /// Waits until the other side's kernel has all that was sent, an end too, whether or not anybody there reads it.
     pub fn delivered(&self) {
         let begun = std::time::Instant::now();
-        let (local, peer) = (self.stream.local_addr().unwrap(), self.stream.peer_addr().unwrap());
+        let (local, peer) = (
+            self.stream.local_addr().unwrap(),
+            self.stream.peer_addr().unwrap(),
+        );
         while !acknowledged(local, peer) {
             assert!(begun.elapsed() < PATIENCE, "{peer} does not acknowledge");
             thread::yield_now();
@@ -175,7 +189,8 @@
         while server::startup(&self.input, key).unwrap().is_none() {
             self.more().unwrap();
         }
-        let Some((server::Startup::Session(welcome), used)) = server::startup(&self.input, key).unwrap()
+        let Some((server::Startup::Session(welcome), used)) =
+            server::startup(&self.input, key).unwrap()
         else {
             panic!("no session is asked for");
         };
@@ -221,7 +236,10 @@
     }
 
     pub fn tell(&mut self, index: u64, entries: &[String]) {
-        let line = format!(r#"{{"index":{index},"snapshot":false,"endpoints":[{}]}}"#, entries.join(","));
+        let line = format!(
+            r#"{{"index":{index},"snapshot":false,"endpoints":[{}]}}"#,
+            entries.join(",")
+        );
         self.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
     }
 
@@ -249,14 +267,19 @@
         loop {
             match self.message() {
                 Ok((b'Z', _)) => return reply,
-                Ok((b'D', body)) => reply.value = Some(String::from_utf8(body[6..].to_vec()).unwrap()),
+                Ok((b'D', body)) => {
+                    reply.value = Some(String::from_utf8(body[6..].to_vec()).unwrap())
+                }
                 Ok((b'E', body)) => {
                     reply.code = pg::error_field(&body, b'C').map(str::to_owned);
                     reply.detail = pg::error_field(&body, b'D').map(str::to_owned);
                 }
                 Ok(_) => {}
                 Err(e) => {
-                    assert!(reply.code.is_some(), "the connection ended without an answer: {e}");
+                    assert!(
+                        reply.code.is_some(),
+                        "the connection ended without an answer: {e}"
+                    );
                     return reply;
                 }
             }
@@ -318,7 +341,10 @@
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     let (head, text) = answer.split_once("\r\n\r\n").unwrap();
-    (head.split(' ').nth(1).unwrap().parse().unwrap(), text.to_owned())
+    (
+        head.split(' ').nth(1).unwrap().parse().unwrap(),
+        text.to_owned(),
+    )
 }
 
 pub fn get(admin: SocketAddr, path: &str) -> (u16, String) {
@@ -328,7 +354,11 @@
 pub fn post(admin: SocketAddr, word: &str, target: &str) -> u16 {
     let body = format!(r#"{{"target":"{target}"}}"#);
     let length = body.len();
-    call(admin, &format!("POST /api/{word} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}")).0
+    call(
+        admin,
+        &format!("POST /api/{word} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"),
+    )
+    .0
 }
 
 /// A request goes to a record server on a new connection, which is returned, and its value comes back.
@@ -390,7 +420,9 @@
     /// The same, with room for so many clients.
     pub fn set_limits(servers: &[(&str, &Listener)], operators: &str, clients: usize) -> Stage {
         let file = Scratch::new(operators);
-        Stage::set(servers, Some(&file.0), |config| config.limits.clients = clients)
+        Stage::set(servers, Some(&file.0), |config| {
+            config.limits.clients = clients
+        })
     }
 
     fn set(
@@ -399,7 +431,10 @@
         adjust: impl FnOnce(&mut Config),
     ) -> Stage {
         let discovery = Listener::new();
-        let known: Vec<String> = servers.iter().map(|(name, s)| s.listed(name, "Ready")).collect();
+        let known: Vec<String> = servers
+            .iter()
+            .map(|(name, s)| s.listed(name, "Ready"))
+            .collect();
         let text = format!(
             r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
                 "known":{{"index":41,"snapshot":true,"endpoints":[{}]}},"settings":{SETTINGS}}}"#,
@@ -422,8 +457,20 @@
             proxy.run()
         }));
         let mut watch = discovery.accept();
-        assert_eq!(watch.watch(), "GET /catalog/members?watch=1&after=41 HTTP/1.1");
-        Stage { address, health, admin, control, discovery, watch, faults, running }
+        assert_eq!(
+            watch.watch(),
+            "GET /catalog/members?watch=1&after=41 HTTP/1.1"
+        );
+        Stage {
+            address,
+            health,
+            admin,
+            control,
+            discovery,
+            watch,
+            faults,
+            running,
+        }
     }
 
     /// Waits until the proxy has ended by itself.
@@ -445,7 +492,8 @@
     pub fn new(text: &str) -> Scratch {
         static MADE: AtomicU32 = AtomicU32::new(0);
         let number = MADE.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("leverproxy-{}-{number}.conf", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("leverproxy-{}-{number}.conf", std::process::id()));
         let file = Scratch(path);
         file.write(text);
         file
@@ -489,10 +537,14 @@
         static STARTED: AtomicU32 = AtomicU32::new(0);
         let discovery = Listener::new();
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("leverproxy-{}-{number}.json", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("leverproxy-{}-{number}.json", std::process::id()));
         configure(&file, "");
         let mut child = Command::new("/bin/sh")
-            .args(["-c", &format!("{before} exec {} serve", env!("CARGO_BIN_EXE_leverproxy"))])
+            .args([
+                "-c",
+                &format!("{before} exec {} serve", env!("CARGO_BIN_EXE_leverproxy")),
+            ])
             .env("LB_CONFIG", &file)
             .env("LB_OPERATORS", &operators.0)
             .env("LB_LISTEN", "127.0.0.1:0")
@@ -505,7 +557,14 @@
         // Signals are heeded before its loop first tends to discovery.
         let mut watch = discovery.accept();
         watch.watch();
-        let mut program = Program { child, address: discovery.address, watch, file, operators, log };
+        let mut program = Program {
+            child,
+            address: discovery.address,
+            watch,
+            file,
+            operators,
+            log,
+        };
         let line = program.line("serving on ");
         program.address = line.rsplit(' ').next().unwrap().parse().unwrap();
         program
@@ -547,7 +606,11 @@
 
     /// The next line of its log that holds these words.
     pub fn line(&mut self, words: &str) -> String {
-        self.log.by_ref().map(Result::unwrap).find(|line| line.contains(words)).expect(words)
+        self.log
+            .by_ref()
+            .map(Result::unwrap)
+            .find(|line| line.contains(words))
+            .expect(words)
     }
 }
 
--- a/crates/leverproxy/tests/departures.rs
+++ b/crates/leverproxy/tests/departures.rs
@@ -17,7 +17,10 @@
         match peer.message().unwrap() {
             (b'K', body) => {
                 let number = |at: usize| u32::from_be_bytes(body[at..at + 4].try_into().unwrap());
-                key = Some(CancelKey { process: number(0), secret: number(4) });
+                key = Some(CancelKey {
+                    process: number(0),
+                    secret: number(4),
+                });
             }
             (b'Z', _) => return (peer, key.expect("a key comes before the welcome ends")),
             _ => {}
@@ -78,7 +81,10 @@
     let (mut client, key) = client_with_key(&stage);
     let mut upstream = dialled(&server, &mut client);
     let mut canceller = Peer::connect(stage.address);
-    canceller.write(&server::cancel_packet(CancelKey { secret: !key.secret, ..key }));
+    canceller.write(&server::cancel_packet(CancelKey {
+        secret: !key.secret,
+        ..key
+    }));
     assert!(canceller.ended());
     upstream.startup();
     next_is(&mut upstream, 1);
@@ -124,7 +130,9 @@
     // A connection is there: whatever is sent goes out at once.
     let mut upstream = served(&mut client, &server, 3, "value");
     let mut both = Vec::new();
-    pg::put(&mut both, b'Q', |body| pg::put_text(body, &read(1, "any", 19000)));
+    pg::put(&mut both, b'Q', |body| {
+        pg::put_text(body, &read(1, "any", 19000))
+    });
     pg::put(&mut both, b'X', |_| {});
     client.write(&both);
     assert!(client.ended());
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -40,11 +40,16 @@
 
 /// A list on one line, or over many.
 fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
 fn indented(text: &str) -> String {
-    text.replace(',', ",\n    ").replace('{', "{\n  ").replace('}', "\n}")
+    text.replace(',', ",\n    ")
+        .replace('{', "{\n  ")
+        .replace('}', "\n}")
 }
 
 /// The connection is reset, with what has been written before it.
@@ -58,8 +63,11 @@
     let mut peer = discovery.accept();
     let head = peer.head();
     let line = head.lines().next().unwrap();
-    let index =
-        line.strip_prefix("GET /catalog/members?watch=1&after=").unwrap().strip_suffix(" HTTP/1.1").unwrap();
+    let index = line
+        .strip_prefix("GET /catalog/members?watch=1&after=")
+        .unwrap()
+        .strip_suffix(" HTTP/1.1")
+        .unwrap();
     (peer, index.parse().unwrap())
 }
 
@@ -98,12 +106,20 @@
         let mut peer = again(&mut stage, 41);
         // Cut behind a whole entry: the first record server would be gone by it.
         let half = list(58, true, &[second.listed("s-2", "Ready")]);
-        peer.write(framing.answer(half.strip_suffix("]}").unwrap(), 2).as_bytes());
+        peer.write(
+            framing
+                .answer(half.strip_suffix("]}").unwrap(), 2)
+                .as_bytes(),
+        );
         reset(peer);
         let (mut peer, after) = call(&stage.discovery);
         assert_eq!(after, 41, "{framing:?}: half a list is none");
         let drain = list(59, false, &[second.listed("s-2", "Terminating")]);
-        peer.write(framing.answer(&format!("{drain}\n{half:.40}"), 100).as_bytes());
+        peer.write(
+            framing
+                .answer(&format!("{drain}\n{half:.40}"), 100)
+                .as_bytes(),
+        );
         reset(peer);
         let (_peer, after) = call(&stage.discovery);
         assert_eq!(after, 59, "{framing:?}: what came whole counts");
@@ -115,7 +131,10 @@
             upstream.answer("first", &[]);
             assert_eq!(client.reply().value.as_deref(), Some("first"));
         }
-        assert!(second.try_accept().is_none(), "{framing:?}: the drain is heeded");
+        assert!(
+            second.try_accept().is_none(),
+            "{framing:?}: the drain is heeded"
+        );
     }
 }
 
@@ -123,7 +142,9 @@
 #[test]
 fn a_list_counts_whatever_comes_behind_it() {
     let server = Listener::new();
-    let listed: Vec<String> = (0..100).map(|n| server.listed(&format!("s-{n}"), "Ready")).collect();
+    let listed: Vec<String> = (0..100)
+        .map(|n| server.listed(&format!("s-{n}"), "Ready"))
+        .collect();
     let whole = list(57, true, &listed);
     let (begin, end) = whole.split_at(whole.len() - 5);
     let (mut reader, mut parts) = (Reader::default(), Vec::new());
@@ -135,18 +156,28 @@
     let mut stage = Stage::new(&[]);
     let mut peer = again(&mut stage, 41);
     let drain = list(58, false, &[server.listed("s-1", "Terminating")]);
-    peer.write(Framing::Length.answer(&format!("{drain}<html>"), 0).as_bytes());
+    peer.write(
+        Framing::Length
+            .answer(&format!("{drain}<html>"), 0)
+            .as_bytes(),
+    );
     let (mut peer, after) = call(&stage.discovery);
     assert_eq!(after, 58, "before what is no JSON");
     let drain = list(59, false, &[server.listed("s-2", "Terminating")]);
-    let text =
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{drain}xx\r\n", drain.len());
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{drain}xx\r\n",
+        drain.len()
+    );
     peer.write(text.as_bytes());
     let (mut peer, after) = call(&stage.discovery);
     assert_eq!(after, 59, "before chunks that are cut wrongly");
     let text = format!("{}{{\"index\":\"soon\"}}", list(60, false, &[]));
     peer.write(Framing::NoLength.answer(&text, 0).as_bytes());
-    assert_eq!(call(&stage.discovery).1, 60, "before an object that is no list");
+    assert_eq!(
+        call(&stage.discovery).1,
+        60,
+        "before an object that is no list"
+    );
 }
 
 /// Discovery turns calls away: each is followed by another, and what was known stays known.
@@ -155,9 +186,11 @@
     let server = Listener::new();
     let mut stage = Stage::new(&[("s-1", &server)]);
     let mut peer = again(&mut stage, 41);
-    for answer in
-        ["HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy", "HTTP/1.1 503 Busy\r\n\r\n", "SSH-2.0\r\n"]
-    {
+    for answer in [
+        "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy",
+        "HTTP/1.1 503 Busy\r\n\r\n",
+        "SSH-2.0\r\n",
+    ] {
         peer.write(answer.as_bytes());
         let (next, after) = call(&stage.discovery);
         assert_eq!(after, 41);
@@ -180,16 +213,25 @@
         let (reactor, listener, now) = (Reactor::new().unwrap(), Listener::new(), Instant::now());
         let mut discovery = Discovery::new(listener.address, SILENCE, pushed, now);
         discovery.subscribe(1, now, &reactor);
-        Alone { reactor, discovery, now, listener }
+        Alone {
+            reactor,
+            discovery,
+            now,
+            listener,
+        }
     }
 
     /// Waits for what comes next and lets it take that in.
     fn step(&mut self) {
         let mut ready = Vec::new();
-        self.reactor.wait(Some(Instant::now() + PATIENCE), &mut ready).unwrap();
+        self.reactor
+            .wait(Some(Instant::now() + PATIENCE), &mut ready)
+            .unwrap();
         assert!(!ready.is_empty(), "nothing comes");
         for event in &ready {
-            let Token::Discovery(key) = event.token else { panic!("{event:?}") };
+            let Token::Discovery(key) = event.token else {
+                panic!("{event:?}")
+            };
             self.discovery.ready(key, self.now, &self.reactor);
         }
     }
@@ -226,9 +268,12 @@
 /// Silence breaks a watch and a call, wherever it begins, and the next call is made at once.
 #[test]
 fn silence_breaks_what_is_out() {
-    for begun in
-        ["", "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n{\"index\":3", "HTTP/1.1 200 OK\r\n\r\n{}"]
-    {
+    for begun in [
+        "",
+        "HTTP/1.1 200 OK\r\n\r\n",
+        "HTTP/1.1 200 OK\r\n\r\n{\"index\":3",
+        "HTTP/1.1 200 OK\r\n\r\n{}",
+    ] {
         let mut alone = Alone::new(false);
         let mut peer = alone.called();
         peer.write(begun.as_bytes());
@@ -266,14 +311,21 @@
 #[test]
 fn after_an_end_the_next_call_is_made_in_time() {
     // The peer stays open behind what it says; one that says nothing is reset.
-    for end in
-        ["", "HTTP/1.1 503 Busy\r\n\r\n", "SSH-2.0\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{ \n"]
-    {
+    for end in [
+        "",
+        "HTTP/1.1 503 Busy\r\n\r\n",
+        "SSH-2.0\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{ \n",
+    ] {
         for (pushed, again) in [(false, RETRY), (true, AGAIN)] {
             let mut alone = Alone::new(pushed);
             let mut peer = alone.called();
             peer.write(end.as_bytes());
-            let _open = if end.is_empty() { reset(peer) } else { Some(peer) };
+            let _open = if end.is_empty() {
+                reset(peer)
+            } else {
+                Some(peer)
+            };
             assert!(matches!(alone.news(), News::Lost));
             let told = alone.discovery.pop();
             assert_eq!(matches!(told, Some(News::Failed)), !pushed, "{told:?}");
@@ -291,11 +343,15 @@
     assert!(matches!(alone.news(), News::Lost));
     assert!(matches!(alone.news(), News::Failed));
     alone.listener = Listener::new();
-    alone.discovery.move_to(alone.listener.address, 1, alone.now, &alone.reactor);
+    alone
+        .discovery
+        .move_to(alone.listener.address, 1, alone.now, &alone.reactor);
     let mut peer = alone.called();
     alone.discovery.subscribe(1, alone.now, &alone.reactor);
     peer.write(Framing::Chunked.answer(&list(2, true, &[]), 0).as_bytes());
-    let News::Listing(listing) = alone.news() else { panic!("the watch is cut off") };
+    let News::Listing(listing) = alone.news() else {
+        panic!("the watch is cut off")
+    };
     assert_eq!(listing.index, 2);
 }
 
@@ -360,8 +416,16 @@
             .unwrap();
         let (send, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| send.send(line)));
-        Started { child, log, _file: file }
+        thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .try_for_each(|line| send.send(line))
+        });
+        Started {
+            child,
+            log,
+            _file: file,
+        }
     }
 
     fn address(&mut self) -> SocketAddr {
@@ -386,7 +450,10 @@
 /// slower than a call waits, pushed and asked for.
 #[test]
 fn many_that_start_together_are_ready_whatever_discovery_does() {
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let silent = Listener::new();
     // One connection fills its backlog, and further dials hang.
     let hung = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -394,13 +461,18 @@
     let hung_at = hung.local_addr().unwrap();
     let _filled = TcpStream::connect(hung_at).unwrap();
     let begun = Instant::now();
-    let mut started: Vec<Started> =
-        (0..24).map(|n| Started::new([nobody, silent.address, hung_at][n % 3], nobody, n % 2 == 0)).collect();
+    let mut started: Vec<Started> = (0..24)
+        .map(|n| Started::new([nobody, silent.address, hung_at][n % 3], nobody, n % 2 == 0))
+        .collect();
     for (n, one) in started.iter_mut().enumerate() {
         let address = one.address();
         let mut client = Peer::client(address);
         client.ask("");
         assert_eq!(client.message().unwrap().0, b'I', "EmptyQueryResponse");
-        assert!(begun.elapsed() < PATIENCE, "number {n} after {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "number {n} after {:?}",
+            begun.elapsed()
+        );
     }
 }
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -26,7 +26,9 @@
 
 fn row(table: &mut String, place: &str, what: &str, advice: &str) {
     assert!(!advice.is_empty(), "{place} has no advice");
-    let what = PLACES.iter().fold(what.to_owned(), |text, (from, to)| text.replace(from, to));
+    let what = PLACES
+        .iter()
+        .fold(what.to_owned(), |text, (from, to)| text.replace(from, to));
     let cell = |text: &str| text.replace('|', "\\|").replace('\n', " ");
     // Writing to a string does not fail.
     _ = writeln!(table, "| {place} | {} | {} |", cell(&what), cell(advice));
@@ -236,23 +238,50 @@
         ]);
     }
     // One type for all keys: the advice goes by the key.
-    for key in ["LB_CONFIG", "LB_OPERATORS", "members", "members.key-file", "rollout.candidates", "KEY"] {
-        let faults = if key == "LB_OPERATORS" { vec![text("FAULT")] } else { Vec::new() };
-        let error = ConfigError { key: text(key), problem: text("PROBLEM"), faults };
-        row(&mut table, "leverproxy: `ConfigError`", &error.to_string(), error.advice());
+    for key in [
+        "LB_CONFIG",
+        "LB_OPERATORS",
+        "members",
+        "members.key-file",
+        "rollout.candidates",
+        "KEY",
+    ] {
+        let faults = if key == "LB_OPERATORS" {
+            vec![text("FAULT")]
+        } else {
+            Vec::new()
+        };
+        let error = ConfigError {
+            key: text(key),
+            problem: text("PROBLEM"),
+            faults,
+        };
+        row(
+            &mut table,
+            "leverproxy: `ConfigError`",
+            &error.to_string(),
+            error.advice(),
+        );
     }
     table
 }
 
 #[test]
 fn the_page_of_errors_is_what_the_types_say() {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(PAGE);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .join(PAGE);
     let page = std::fs::read_to_string(&path).unwrap();
-    let (before, _) = page.split_once(HEAD).expect("the page has the table's head");
+    let (before, _) = page
+        .split_once(HEAD)
+        .expect("the page has the table's head");
     let anew = format!("{before}{}", table());
     if std::env::var_os("WRITE_PAGES").is_some() {
         std::fs::write(&path, anew).unwrap();
     } else {
-        assert!(page == anew, "{PAGE}: WRITE_PAGES=1 cargo test -p leverproxy --test errors");
+        assert!(
+            page == anew,
+            "{PAGE}: WRITE_PAGES=1 cargo test -p leverproxy --test errors"
+        );
     }
 }
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -10,7 +10,9 @@
 
 /// A value whose bytes tell their places.
 fn value(bytes: usize) -> String {
-    (0..bytes).map(|at| char::from(b'a' + (at / 7 % 26) as u8)).collect()
+    (0..bytes)
+        .map(|at| char::from(b'a' + (at / 7 % 26) as u8))
+        .collect()
 }
 
 fn asked(server: &Listener, stage: &Stage) -> (Peer, Peer) {
@@ -63,7 +65,10 @@
     let mut stage = stage;
     stage.watch.tell(42, &[other.listed("s-2", "Ready")]);
     drop(upstream);
-    assert!(client.message().is_err(), "the client can tell that the row is not whole");
+    assert!(
+        client.message().is_err(),
+        "the client can tell that the row is not whole"
+    );
     assert!(server.left_alone(Duration::from_millis(50)) && other.try_accept().is_none());
 }
 
@@ -79,10 +84,18 @@
     upstream.query();
     upstream.write(&answer(&value(1 << 20), &[])[..200 << 10]);
     assert_eq!(client.message().unwrap().0, b'T');
-    assert!(client.message().is_err(), "the row never ends, and neither does the wait for it");
+    assert!(
+        client.message().is_err(),
+        "the row never ends, and neither does the wait for it"
+    );
     assert!(upstream.ended());
     // The proxy is as it was.
-    drop(common::served(&mut Peer::client(stage.address), &server, 2, "small"));
+    drop(common::served(
+        &mut Peer::client(stage.address),
+        &server,
+        2,
+        "small",
+    ));
 }
 
 #[test]
@@ -101,7 +114,9 @@
 fn large_answers_keep_the_order_of_commands() {
     let server = Listener::new();
     let other = Listener::new();
-    let admin = |config: &mut leverproxy::config::Config| config.admin = Some("127.0.0.1:0".parse().unwrap());
+    let admin = |config: &mut leverproxy::config::Config| {
+        config.admin = Some("127.0.0.1:0".parse().unwrap())
+    };
     let mut stage = Stage::with(&[("s-1", &server)], admin);
     let (mut client, mut first) = asked(&server, &stage);
     stage.watch.tell(42, &[other.listed("s-2", "Ready")]);
@@ -136,7 +151,12 @@
         })
         .collect();
     for id in 100..110 {
-        drop(common::served(&mut Peer::client(stage.address), &server, id, "small"));
+        drop(common::served(
+            &mut Peer::client(stage.address),
+            &server,
+            id,
+            "small",
+        ));
     }
     drop(held);
 }
@@ -160,7 +180,13 @@
     upstream.report_primary();
     upstream.query();
     upstream.answer("sound", &[]);
-    assert_eq!(client.reply(), Reply { value: Some("sound".into()), ..Reply::default() });
+    assert_eq!(
+        client.reply(),
+        Reply {
+            value: Some("sound".into()),
+            ..Reply::default()
+        }
+    );
 }
 
 /// Clients that read nothing hold their senders back, each by its window, all of them by the memory's share.
@@ -181,7 +207,15 @@
     .unwrap();
     let mut limits = config.limits;
     limits.passing = 160 << 10;
-    let mut front = Front::listen(config.listen, None, false, limits, config.patience, &reactor).unwrap();
+    let mut front = Front::listen(
+        config.listen,
+        None,
+        false,
+        limits,
+        config.patience,
+        &reactor,
+    )
+    .unwrap();
     let address = front.local_address().unwrap();
     let mut clients: Vec<Peer> = (0..CLIENTS as u32)
         .map(|id| {
@@ -194,7 +228,9 @@
     let mut ready = Vec::new();
     let mut tickets: Vec<Ticket> = Vec::new();
     let mut turn = |front: &mut Front, events: &mut Vec<Event>| {
-        reactor.wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready).unwrap();
+        reactor
+            .wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready)
+            .unwrap();
         for one in &ready {
             match one.token {
                 Token::Listener => front.accept(now, &reactor),
@@ -215,11 +251,17 @@
     let piece = [b'x'; 4 << 10];
     for &ticket in &tickets {
         // Sockets take some megabytes; then it is held back.
-        let passed = (0..16 << 10).take_while(|_| front.pass(ticket, &piece, now, &reactor)).count();
+        let passed = (0..16 << 10)
+            .take_while(|_| front.pass(ticket, &piece, now, &reactor))
+            .count();
         assert!(passed < 16 << 10, "never held back");
     }
     // One piece more than its window each, at most.
-    assert!(front.unsent() <= limits.passing + CLIENTS * piece.len() * 2, "{} bytes wait", front.unsent());
+    assert!(
+        front.unsent() <= limits.passing + CLIENTS * piece.len() * 2,
+        "{} bytes wait",
+        front.unsent()
+    );
     // The one that begins to read gets room.
     let held = tickets[0];
     let reader = clients.remove(0);
--- a/crates/leverproxy/tests/links.rs
+++ b/crates/leverproxy/tests/links.rs
@@ -26,7 +26,11 @@
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
             backlog.push(stream);
         }
-        Unreachable { listener, address, _backlog: backlog }
+        Unreachable {
+            listener,
+            address,
+            _backlog: backlog,
+        }
     }
 
     fn listed(&self, name: &str) -> String {
@@ -50,7 +54,9 @@
 fn detail(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(b"GET /readyz?format=json HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+    stream
+        .write_all(b"GET /readyz?format=json HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
@@ -75,7 +81,9 @@
         });
     });
     let far = [Unreachable::new(), Unreachable::new()];
-    stage.watch.tell(42, &[far[0].listed("s-2"), far[1].listed("s-3")]);
+    stage
+        .watch
+        .tell(42, &[far[0].listed("s-2"), far[1].listed("s-3")]);
     let web = stage.health[0];
     let start = Instant::now();
     while !detail(web).contains("a place without a name") {
@@ -106,7 +114,10 @@
     let text = step(&mut stage, r#""a place without a name":"cut""#);
     assert!(text.starts_with("HTTP/1.1 200 OK"), "it serves: {text}");
     assert!(text.contains(r#""a":"up""#), "{text}");
-    assert!(text.contains(r#""reason":"the link to a place without a name is cut""#), "{text}");
+    assert!(
+        text.contains(r#""reason":"the link to a place without a name is cut""#),
+        "{text}"
+    );
     far.into_iter().for_each(Unreachable::recover);
     step(&mut stage, r#""a place without a name":"up""#);
 }
--- a/crates/leverproxy/tests/names.rs
+++ b/crates/leverproxy/tests/names.rs
@@ -8,7 +8,15 @@
 use std::thread;
 
 /// What a statement's comment can carry: all but a comma and the comment's end.
-const CLASSES: [&str; 7] = ["ride", "ride-2", "x x", "काठमाडौं", "'; DROP TABLE items; --", "a=b", "\"q\\"];
+const CLASSES: [&str; 7] = [
+    "ride",
+    "ride-2",
+    "x x",
+    "काठमाडौं",
+    "'; DROP TABLE items; --",
+    "a=b",
+    "\"q\\",
+];
 
 /// Every class is served by its own name for a tenant of that name, and one that no file names is not known.
 fn plays(tenants: &[&str], tenant: &str, stranger: bool) {
@@ -18,7 +26,10 @@
         .iter()
         .map(|name| json!({"Name": name, "Effect": "safe", "Deadline": 20_000_000, "GoalTime": 10_000_000}))
         .collect();
-    let realms: Vec<_> = tenants.iter().map(|name| json!({"Name": name, "QuotaPerS": 100.0})).collect();
+    let realms: Vec<_> = tenants
+        .iter()
+        .map(|name| json!({"Name": name, "QuotaPerS": 100.0}))
+        .collect();
     let zone = "पूर्व \"east\"";
     let known = json!({"index": 41, "snapshot": true, "endpoints": [{"name": "s 1; '\"", "zone": zone, "type": "",
         "address": server.address.to_string(), "group": 3, "status": "Ready", "since_ms": 0}]});
@@ -30,20 +41,33 @@
             "Rules": {"StopSendingWithin": 500_000, "StartCapacity": 0.15, "OverloadFactor": 2.0}}});
     let config = config::parse(text.to_string().as_bytes(), |_| None).unwrap();
     let (mut proxy, control) = Proxy::start(config).unwrap();
-    let (address, admin) = (proxy.local_address().unwrap(), proxy.admin_address().unwrap());
+    let (address, admin) = (
+        proxy.local_address().unwrap(),
+        proxy.admin_address().unwrap(),
+    );
     let running = thread::spawn(move || proxy.run());
     discovery.accept().watch();
     let mut client = Peer::client(address);
-    let ask =
-        |id, class: &str, tenant: &str| read(id, class, 19_000).replace("t=acme", &format!("t={tenant}"));
+    let ask = |id, class: &str, tenant: &str| {
+        read(id, class, 19_000).replace("t=acme", &format!("t={tenant}"))
+    };
     let mut upstream = None;
     for (id, class) in (1..).zip(CLASSES) {
         let query = ask(id, class, tenant);
         client.ask(&query);
         let upstream = upstream.get_or_insert_with(|| server.welcome());
-        assert_eq!(upstream.query().split(",d=").next(), query.split(",d=").next());
+        assert_eq!(
+            upstream.query().split(",d=").next(),
+            query.split(",d=").next()
+        );
         upstream.answer(class, &[]);
-        assert_eq!(client.reply(), Reply { value: Some(class.into()), ..Reply::default() });
+        assert_eq!(
+            client.reply(),
+            Reply {
+                value: Some(class.into()),
+                ..Reply::default()
+            }
+        );
     }
     let unknown = |client: &mut Peer, query: &str| {
         client.ask(query);
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -22,7 +22,10 @@
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "book", 19000));
     let reply = client.reply();
-    assert_eq!((reply.code.as_deref(), reply.detail.as_deref()), (Some("53300"), Some("1500")));
+    assert_eq!(
+        (reply.code.as_deref(), reply.detail.as_deref()),
+        (Some("53300"), Some("1500"))
+    );
     // No rule for others: they are served, and the name of the refused may be used again.
     client.ask(&read(1, "any", 19000));
     let mut upstream = server.welcome();
@@ -44,7 +47,10 @@
     upstream.query();
     second.ask(&read(2, "any", 19000));
     let reply = second.reply();
-    assert_eq!((reply.code.as_deref(), reply.detail.as_deref()), (Some("53300"), Some("700")));
+    assert_eq!(
+        (reply.code.as_deref(), reply.detail.as_deref()),
+        (Some("53300"), Some("700"))
+    );
     // A place is free again once the first has its answer.
     upstream.answer("one", &[]);
     assert_eq!(first.reply().value.as_deref(), Some("one"));
@@ -58,7 +64,10 @@
 #[test]
 fn a_place_in_a_pool_is_not_lost_with_its_client() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], "pool p {\n requests 1\n}\nroute r {\n pool p\n}\n");
+    let stage = Stage::under(
+        &[("s-1", &server)],
+        "pool p {\n requests 1\n}\nroute r {\n pool p\n}\n",
+    );
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
     let mut upstream = server.welcome();
@@ -107,7 +116,10 @@
 #[test]
 fn a_class_that_runs_once_is_not_repeated() {
     let (one, two) = (Listener::new(), Listener::new());
-    let stage = Stage::under(&[("s-1", &one), ("s-2", &two)], "class any {\n runs once\n}\n");
+    let stage = Stage::under(
+        &[("s-1", &one), ("s-2", &two)],
+        "class any {\n runs once\n}\n",
+    );
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
     let mut upstream = first_of(&one, &two);
@@ -123,7 +135,10 @@
 #[test]
 fn tries_bound_the_attempts() {
     let (one, two) = (Listener::new(), Listener::new());
-    let stage = Stage::under(&[("s-1", &one), ("s-2", &two)], "route r {\n class any\n tries 1\n}\n");
+    let stage = Stage::under(
+        &[("s-1", &one), ("s-2", &two)],
+        "route r {\n class any\n tries 1\n}\n",
+    );
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
     let mut upstream = first_of(&one, &two);
@@ -157,7 +172,10 @@
     program.steer("route all {\n refuse 1400ms\n}\nlogging {\n form json\n}\n");
     let line = program.line("the configuration is reread");
     let line: serde_json::Value = serde_json::from_str(&line).unwrap();
-    assert_eq!((line["routes"].as_u64(), line["level"].as_str()), (Some(1), Some("INFO")));
+    assert_eq!(
+        (line["routes"].as_u64(), line["level"].as_str()),
+        (Some(1), Some("INFO"))
+    );
     assert!(line["pause_us"].is_u64());
     assert_eq!(refused(&mut client, 4).as_deref(), Some("1400"));
 }
@@ -168,7 +186,11 @@
     let mut program = Program::under("", "route all {\n refuse 1s\n}\n");
     let mut routes = String::new();
     for n in 0..20_000 {
-        routes.push_str(&format!("route r{n} {{\n network 10.{}.{}.0/24\n tries 2\n}}\n", n / 250, n % 250));
+        routes.push_str(&format!(
+            "route r{n} {{\n network 10.{}.{}.0/24\n tries 2\n}}\n",
+            n / 250,
+            n % 250
+        ));
     }
     program.steer(&routes);
     program.signal(Signal::TERM);
@@ -192,37 +214,71 @@
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"sockets":600,"memory_mb":48}},"settings":{}}}"#,
         common::SETTINGS
     );
-    config::parse(text.as_bytes(), |name| (name == "LB_OPERATORS").then(|| file.path().to_owned()))
+    config::parse(text.as_bytes(), |name| {
+        (name == "LB_OPERATORS").then(|| file.path().to_owned())
+    })
 }
 
 /// The platform's word holds: whatever would loosen it is a fault that names its place.
 #[test]
 fn nothing_loosens_what_the_platform_says() {
     for (operators, fault) in [
-        ("limits {\n sockets 700\n}\n", "sockets is 700, but the platform states 600"),
-        ("limits {\n memory 64MiB\n}\n", "memory is 64MiB, but the platform states 48MiB"),
-        ("policy {\n tries 9\n}\n", "tries is 9, but the platform states 8"),
+        (
+            "limits {\n sockets 700\n}\n",
+            "sockets is 700, but the platform states 600",
+        ),
+        (
+            "limits {\n memory 64MiB\n}\n",
+            "memory is 64MiB, but the platform states 48MiB",
+        ),
+        (
+            "policy {\n tries 9\n}\n",
+            "tries is 9, but the platform states 8",
+        ),
         ("policy {\n come-back-most 3s\n}\n", "come-back-most is 3s"),
-        ("class any {\n deadline 30s\n}\n", "deadline is 30s, but its clients wait 20s at most"),
-        ("class anny {\n tries 2\n}\n", "the platform has no class anny"),
-        ("route r {\n tenant akme\n refuse\n}\n", "the platform has no tenant akme"),
+        (
+            "class any {\n deadline 30s\n}\n",
+            "deadline is 30s, but its clients wait 20s at most",
+        ),
+        (
+            "class anny {\n tries 2\n}\n",
+            "the platform has no class anny",
+        ),
+        (
+            "route r {\n tenant akme\n refuse\n}\n",
+            "the platform has no tenant akme",
+        ),
         (
             "route r {\n class book\n as-class any\n}\n",
             "requests of class book can't be treated as class any",
         ),
-        ("route r {\n as-class any\n}\n", "requests of class book can't be treated as class any"),
+        (
+            "route r {\n as-class any\n}\n",
+            "requests of class book can't be treated as class any",
+        ),
         (
             "class any {\n runs once\n}\nroute r {\n class any\n as-class book\n}\n",
             "can't be treated as class book",
         ),
     ] {
         let error = parse(operators).map(|_| ()).unwrap_err();
-        assert_eq!((error.key.as_str(), error.faults.len()), ("LB_OPERATORS", 1), "{operators}{error}");
+        assert_eq!(
+            (error.key.as_str(), error.faults.len()),
+            ("LB_OPERATORS", 1),
+            "{operators}{error}"
+        );
         assert!(error.faults[0].contains(fault), "{operators}{error}");
         assert!(error.faults[0].contains(".conf:"), "{error}");
     }
-    let config = parse("policy {\n tries 2\n second-copies no\n}\nlimits {\n sockets 300\n}\n").unwrap();
-    assert_eq!((config.platform.settings.try_limit, config.platform.settings.second_copies), (2, false));
+    let config =
+        parse("policy {\n tries 2\n second-copies no\n}\nlimits {\n sockets 300\n}\n").unwrap();
+    assert_eq!(
+        (
+            config.platform.settings.try_limit,
+            config.platform.settings.second_copies
+        ),
+        (2, false)
+    );
     assert_eq!(config.limits.clients + config.limits.upstream, 300 - 32);
 }
 
@@ -246,20 +302,35 @@
         (3, Duration::from_millis(200), 1)
     );
     assert_eq!(
-        (members.roster[0].name.as_str(), members.roster[0].region.as_str()),
+        (
+            members.roster[0].name.as_str(),
+            members.roster[0].region.as_str()
+        ),
         ("leverproxy", "thamel")
     );
     assert_eq!(config.member_keys.unwrap().ids().len(), 2);
     let faulty = Scratch::new(&format!("# ours\n{}\n", &first[1..]));
     for (operators, key, problem) in [
-        (roster("leverprxy", keys.path()), "members", "did you mean leverprxy?"),
+        (
+            roster("leverprxy", keys.path()),
+            "members",
+            "did you mean leverprxy?",
+        ),
         (
             roster("leverproxy", "/nowhere/members.key"),
             "members.key-file",
             "/nowhere/members.key can't be read",
         ),
-        (roster("leverproxy", "/"), "members.key-file", "is not a file"),
-        (roster("leverproxy", faulty.path()), "members.key-file", "line 2 has 63 characters"),
+        (
+            roster("leverproxy", "/"),
+            "members.key-file",
+            "is not a file",
+        ),
+        (
+            roster("leverproxy", faulty.path()),
+            "members.key-file",
+            "line 2 has 63 characters",
+        ),
     ] {
         let error = parse(&operators).map(|_| ()).unwrap_err();
         assert_eq!(error.key, key, "{error}");
@@ -274,11 +345,23 @@
 fn defaults_are_what_they_were() {
     let config = parse("").unwrap();
     let limits = config.limits;
-    assert_eq!((limits.clients, limits.upstream), (568 * 3 / 5, 568 - 568 * 3 / 5));
-    assert_eq!((limits.crowded, limits.packed, limits.unfinished), (100, 150, 6 << 20));
+    assert_eq!(
+        (limits.clients, limits.upstream),
+        (568 * 3 / 5, 568 - 568 * 3 / 5)
+    );
+    assert_eq!(
+        (limits.crowded, limits.packed, limits.unfinished),
+        (100, 150, 6 << 20)
+    );
     let patience = config.patience;
-    assert_eq!((patience.first, patience.idle), (Duration::from_millis(2_500), Duration::from_secs(2)));
-    assert_eq!((patience.unread, patience.goodbye), (Duration::from_secs(10), Duration::from_secs(1)));
+    assert_eq!(
+        (patience.first, patience.idle),
+        (Duration::from_millis(2_500), Duration::from_secs(2))
+    );
+    assert_eq!(
+        (patience.unread, patience.goodbye),
+        (Duration::from_secs(10), Duration::from_secs(1))
+    );
     assert_eq!((patience.pipeline, patience.unsent), (32, 64 << 10));
     assert_eq!(config.watch_silence, Duration::from_secs(3));
     assert_eq!(config.rules.margin, Duration::from_millis(10));
@@ -286,7 +369,10 @@
 
 fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_leverproxy"));
-    command.env_remove("LB_CONFIG").env_remove("LB_OPERATORS").env_remove("RUST_LOG");
+    command
+        .env_remove("LB_CONFIG")
+        .env_remove("LB_OPERATORS")
+        .env_remove("RUST_LOG");
     command.args(arguments).output().unwrap()
 }
 
@@ -299,38 +385,80 @@
     let untidy = Scratch::new("limits{\nclient-patience   500ms # short\n}\n");
     let path = untidy.path();
     assert_eq!(run(&["config", "check", path]).status.code(), Some(0));
-    assert_eq!(run(&["config", "fmt", "--check", path]).status.code(), Some(1));
+    assert_eq!(
+        run(&["config", "fmt", "--check", path]).status.code(),
+        Some(1)
+    );
     assert_eq!(run(&["config", "fmt", path]).status.code(), Some(0));
-    assert_eq!(std::fs::read_to_string(path).unwrap(), "limits {\n    client-patience 500ms  # short\n}\n");
-    assert_eq!(run(&["config", "fmt", "--check", path]).status.code(), Some(0));
+    assert_eq!(
+        std::fs::read_to_string(path).unwrap(),
+        "limits {\n    client-patience 500ms  # short\n}\n"
+    );
+    assert_eq!(
+        run(&["config", "fmt", "--check", path]).status.code(),
+        Some(0)
+    );
 
-    let other = Scratch::new("limits {\n client-patience 1s\n}\nroute r {\n class any\n refuse 1s\n}\n");
+    let other =
+        Scratch::new("limits {\n client-patience 1s\n}\nroute r {\n class any\n refuse 1s\n}\n");
     let same = run(&["config", "diff", path, path]);
-    assert_eq!((same.status.code(), printed(&same).trim()), (Some(0), "no difference in behaviour"));
+    assert_eq!(
+        (same.status.code(), printed(&same).trim()),
+        (Some(0), "no difference in behaviour")
+    );
     let differ = run(&["config", "diff", path, other.path()]);
     assert_eq!(differ.status.code(), Some(1));
     let text = printed(&differ);
-    assert!(text.contains("client-patience: 500ms -> 1s (looser)") && text.contains("class any"), "{text}");
+    assert!(
+        text.contains("client-patience: 500ms -> 1s (looser)") && text.contains("class any"),
+        "{text}"
+    );
 
-    let explained =
-        run(&["config", "explain", other.path(), "--request", "class=any,group=3,statement=SELECT a, b"]);
+    let explained = run(&[
+        "config",
+        "explain",
+        other.path(),
+        "--request",
+        "class=any,group=3,statement=SELECT a, b",
+    ]);
     let text = printed(&explained);
-    assert!(text.contains("route r") && text.contains("refused, to come back after 1s"), "{text}");
+    assert!(
+        text.contains("route r") && text.contains("refused, to come back after 1s"),
+        "{text}"
+    );
     let wrong = run(&["config", "explain", other.path(), "--request", "klass=any"]);
     assert_eq!(wrong.status.code(), Some(2));
 
     let faulty = Scratch::new("limits {\n client-patience 500\n}\n");
     let checked = run(&["config", "check", faulty.path()]);
     assert_eq!(checked.status.code(), Some(2));
-    assert!(printed(&checked).contains("the time 500 has no unit"), "{}", printed(&checked));
+    assert!(
+        printed(&checked).contains("the time 500 has no unit"),
+        "{}",
+        printed(&checked)
+    );
     let json = run(&["config", "check", "--format", "json", faulty.path()]);
     let parsed: serde_json::Value = serde_json::from_str(&printed(&json)).unwrap();
-    assert_eq!((parsed[0]["line"].as_u64(), parsed[0]["column"].as_u64()), (Some(2), Some(18)));
+    assert_eq!(
+        (parsed[0]["line"].as_u64(), parsed[0]["column"].as_u64()),
+        (Some(2), Some(18))
+    );
     // A file that can't be read as one is not rewritten.
     let broken = Scratch::new("limits {\n client-patience \"5\n}\n");
-    assert_eq!(run(&["config", "fmt", broken.path()]).status.code(), Some(2));
-    assert_eq!(std::fs::read_to_string(broken.path()).unwrap(), "limits {\n client-patience \"5\n}\n");
-    assert_eq!(run(&["config", "check", "/nowhere/at/all.conf"]).status.code(), Some(2));
+    assert_eq!(
+        run(&["config", "fmt", broken.path()]).status.code(),
+        Some(2)
+    );
+    assert_eq!(
+        std::fs::read_to_string(broken.path()).unwrap(),
+        "limits {\n client-patience \"5\n}\n"
+    );
+    assert_eq!(
+        run(&["config", "check", "/nowhere/at/all.conf"])
+            .status
+            .code(),
+        Some(2)
+    );
 }
 
 /// Loops through links, folders in place of files: told on a real disk as in memory.
@@ -348,8 +476,14 @@
     let not_a_file = printed(&run(&["config", "check", main.path()]));
     std::fs::remove_file(&link).unwrap();
     std::fs::remove_dir(&folder).unwrap();
-    assert!(looped.contains("include-loop") && looped.contains("1 error(s)"), "{looped}");
-    assert!(not_a_file.contains("is not a file") && not_a_file.contains("1 error(s)"), "{not_a_file}");
+    assert!(
+        looped.contains("include-loop") && looped.contains("1 error(s)"),
+        "{looped}"
+    );
+    assert!(
+        not_a_file.contains("is not a file") && not_a_file.contains("1 error(s)"),
+        "{not_a_file}"
+    );
 }
 
 #[test]
@@ -358,7 +492,8 @@
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"sockets":600}},"settings":{}}}"#,
         common::SETTINGS
     ));
-    let operators = Scratch::new("define patience 500ms\nlimits {\n    client-patience $patience\n}\n");
+    let operators =
+        Scratch::new("define patience 500ms\nlimits {\n    client-patience $patience\n}\n");
     let output = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
         .args(["config", "show", "--effective", operators.path()])
         .env("LB_CONFIG", platform.path())
@@ -367,14 +502,22 @@
         .unwrap();
     let text = printed(&output);
     let shown = |what: &str, from: &str| {
-        let line =
-            text.lines().find(|line| line.starts_with(what)).unwrap_or_else(|| panic!("{what}: {text}"));
+        let line = text
+            .lines()
+            .find(|line| line.starts_with(what))
+            .unwrap_or_else(|| panic!("{what}: {text}"));
         assert!(line.contains(from), "{line}");
     };
-    shown("limits: client-patience 500ms", &format!("# {}:3:5", operators.path()));
+    shown(
+        "limits: client-patience 500ms",
+        &format!("# {}:3:5", operators.path()),
+    );
     shown("limits: client-idle 2s", "# default");
     shown("limits: sockets 600", "# platform: limits.sockets");
-    shown("discovery: address 127.0.0.1:9", "# environment: LB_DISCOVERY");
+    shown(
+        "discovery: address 127.0.0.1:9",
+        "# environment: LB_DISCOVERY",
+    );
     shown("listener: address 127.0.0.1:0", "# platform: listen");
 }
 
@@ -397,7 +540,10 @@
         "{}",
         printed(&checked)
     );
-    assert_eq!(run(&["config", "fmt", "--check", example]).status.code(), Some(0));
+    assert_eq!(
+        run(&["config", "fmt", "--check", example]).status.code(),
+        Some(0)
+    );
 }
 
 #[test]
--- a/crates/leverproxy/tests/settings.rs
+++ b/crates/leverproxy/tests/settings.rs
@@ -12,7 +12,13 @@
 fn classes_come_and_go_while_requests_are_under_way() {
     let server = Listener::new();
     let mut program = Program::start("export LB_ADMIN=127.0.0.1:0;");
-    let admin = program.line("answering calls on ").rsplit(' ').next().unwrap().parse().unwrap();
+    let admin = program
+        .line("answering calls on ")
+        .rsplit(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
     program.watch.tell(1, &[server.listed("s-1", "Ready")]);
     until(admin, "lb_record_servers_known 1");
     let mut client = Peer::client(program.address);
@@ -33,7 +39,13 @@
     client.ask(&read(4, "any-v2", 19000));
     upstream.query();
     upstream.answer("new", &[]);
-    assert_eq!(client.reply(), Reply { value: Some("new".into()), ..Reply::default() });
+    assert_eq!(
+        client.reply(),
+        Reply {
+            value: Some("new".into()),
+            ..Reply::default()
+        }
+    );
     // One attempt it is: what is turned away is not tried again.
     client.ask(&read(5, "any-v2", 19000));
     upstream.query();
@@ -55,19 +67,50 @@
 #[test]
 fn a_broken_file_changes_nothing() {
     let mut program = Program::start("export LB_ADMIN=127.0.0.1:0;");
-    let admin = program.line("answering calls on ").rsplit(' ').next().unwrap().parse().unwrap();
-    let whole = format!(r#"{{"settings":{SETTINGS}}}"#).replace(r#""Name": "any""#, r#""Name": "any-v2""#);
+    let admin = program
+        .line("answering calls on ")
+        .rsplit(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
+    let whole =
+        format!(r#"{{"settings":{SETTINGS}}}"#).replace(r#""Name": "any""#, r#""Name": "any-v2""#);
     let cases = [
         (String::new(), "EOF"),
         (whole[..whole.len() / 2].to_owned(), "EOF"),
-        (whole.replacen(r#""Deadline": 20000000, "#, "", 1), "settings.Classes[0].Deadline"),
-        (whole.replacen("20000000", "0", 1), "settings.Classes[0].Deadline"),
-        (whole.replacen("20000000", "-5", 1), "settings.Classes[0].Deadline"),
-        (whole.replacen("20000000", "\"soon\"", 1), "settings.Classes[0].Deadline"),
-        (whole.replace(r#""TryLimit": 8"#, r#""TryLimit": 0"#), "settings.PolicyLimits.TryLimit"),
-        (whole.replace(r#", "TryLimit": 8"#, ""), "settings.PolicyLimits.TryLimit"),
-        (whole.replace(r#""TryLimit": 8"#, r#""TryLimit": -1"#), "settings.PolicyLimits.TryLimit"),
-        (whole.replace(r#""RegistryMode": "on_request","#, ""), "settings.RegistryMode"),
+        (
+            whole.replacen(r#""Deadline": 20000000, "#, "", 1),
+            "settings.Classes[0].Deadline",
+        ),
+        (
+            whole.replacen("20000000", "0", 1),
+            "settings.Classes[0].Deadline",
+        ),
+        (
+            whole.replacen("20000000", "-5", 1),
+            "settings.Classes[0].Deadline",
+        ),
+        (
+            whole.replacen("20000000", "\"soon\"", 1),
+            "settings.Classes[0].Deadline",
+        ),
+        (
+            whole.replace(r#""TryLimit": 8"#, r#""TryLimit": 0"#),
+            "settings.PolicyLimits.TryLimit",
+        ),
+        (
+            whole.replace(r#", "TryLimit": 8"#, ""),
+            "settings.PolicyLimits.TryLimit",
+        ),
+        (
+            whole.replace(r#""TryLimit": 8"#, r#""TryLimit": -1"#),
+            "settings.PolicyLimits.TryLimit",
+        ),
+        (
+            whole.replace(r#""RegistryMode": "on_request","#, ""),
+            "settings.RegistryMode",
+        ),
         ("{}".to_owned(), "settings"),
     ];
     let mut client = Peer::client(program.address);
@@ -112,11 +155,27 @@
     let missing = sound.replacen(r#""Name": "any", "#, "", 1);
     for (platform, operators, words) in [
         (cut, "", ["PLATFORM", "EOF", "line"]),
-        (&no_time, "", ["PLATFORM:2", "settings.Classes[0].Deadline", "zero"]),
-        (&missing, "", ["PLATFORM:2", "settings.Classes[0].Name", "missing"]),
+        (
+            &no_time,
+            "",
+            ["PLATFORM:2", "settings.Classes[0].Deadline", "zero"],
+        ),
+        (
+            &missing,
+            "",
+            ["PLATFORM:2", "settings.Classes[0].Name", "missing"],
+        ),
         ("{}", "", ["PLATFORM", "settings", "missing"]),
-        (&sound, "limits {\n\n client-patience 500\n}\n", ["OPERATORS:3:18", "client-patience", "no unit"]),
-        (&sound, "limits {\n clients-patience 5s\n}\n", ["OPERATORS:2:2", "clients-patience", "fault"]),
+        (
+            &sound,
+            "limits {\n\n client-patience 500\n}\n",
+            ["OPERATORS:3:18", "client-patience", "no unit"],
+        ),
+        (
+            &sound,
+            "limits {\n clients-patience 5s\n}\n",
+            ["OPERATORS:2:2", "clients-patience", "fault"],
+        ),
     ] {
         let (file, ours) = (Scratch::new(platform), Scratch::new(operators));
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_leverproxy"))
@@ -130,7 +189,9 @@
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{said}");
         for word in words {
-            let word = word.replace("PLATFORM", file.path()).replace("OPERATORS", ours.path());
+            let word = word
+                .replace("PLATFORM", file.path())
+                .replace("OPERATORS", ours.path());
             assert!(said.contains(&word), "{word} in {said}");
         }
     }
--- a/crates/leverproxy/tests/state.rs
+++ b/crates/leverproxy/tests/state.rs
@@ -15,7 +15,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("leverproxy-state-{name}-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("leverproxy-state-{name}-{}", std::process::id()));
         _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         Folder(folder)
@@ -31,7 +32,10 @@
 fn stage(folder: &Path, servers: &[(&str, &Listener)]) -> (Stage, SocketAddr) {
     let stage = Stage::with(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        config.memory = Some(Memory { state: folder.to_owned(), every: Duration::from_millis(100) });
+        config.memory = Some(Memory {
+            state: folder.to_owned(),
+            every: Duration::from_millis(100),
+        });
     });
     let admin = stage.admin.unwrap();
     (stage, admin)
@@ -62,8 +66,17 @@
         let servers = [("s-1", &server), ("s-2", &server)];
         let (mut stage, admin) = stage(&folder.0, &servers);
         until(admin, "lb_memory_waiting 0");
-        stage.faults.add(Rule { call, address: None, fault: Fault::Fail(errno), times: 1 });
-        assert_eq!(say(admin, "exclude", "s-2"), "out, not kept", "{call:?} {errno}");
+        stage.faults.add(Rule {
+            call,
+            address: None,
+            fault: Fault::Fail(errno),
+            times: 1,
+        });
+        assert_eq!(
+            say(admin, "exclude", "s-2"),
+            "out, not kept",
+            "{call:?} {errno}"
+        );
         // Clients are served meanwhile.
         served(&mut Peer::client(stage.address), &server, 1, "v");
         until(admin, "lb_memory_failing 0");
@@ -73,7 +86,13 @@
         stage.end();
         drop(stage);
         let (again, admin) = self::stage(&folder.0, &servers);
-        assert!(get(admin, "/api/telemetry").1.lines().any(|line| line == OUT), "{call:?} {errno}");
+        assert!(
+            get(admin, "/api/telemetry")
+                .1
+                .lines()
+                .any(|line| line == OUT),
+            "{call:?} {errno}"
+        );
         drop(again);
     }
 }
@@ -85,7 +104,12 @@
     let servers = [("s-1", &server), ("s-2", &server)];
     let (mut stage, admin) = stage(&folder.0, &servers);
     until(admin, "lb_memory_waiting 0");
-    stage.faults.add(Rule { call: Call::FolderSync, address: None, fault: Fault::Fail(Errno::IO), times: 1 });
+    stage.faults.add(Rule {
+        call: Call::FolderSync,
+        address: None,
+        fault: Fault::Fail(Errno::IO),
+        times: 1,
+    });
     assert_eq!(say(admin, "exclude", "s-2"), "out, not kept");
     assert_eq!(post(admin, "include", "s-2"), 200);
     until(admin, "lb_memory_waiting 0");
@@ -93,7 +117,10 @@
     stage.end();
     drop(stage);
     let (_again, admin) = self::stage(&folder.0, &servers);
-    assert!(!get(admin, "/api/telemetry").1.lines().any(|line| line == OUT));
+    assert!(!get(admin, "/api/telemetry")
+        .1
+        .lines()
+        .any(|line| line == OUT));
 }
 
 #[test]
@@ -102,8 +129,12 @@
     let servers = [("s-1", &server), ("s-2", &server)];
     let (stage, admin) = stage(&folder.0, &servers);
     until(admin, "lb_memory_waiting 0");
-    let full =
-        Rule { call: Call::FileWrite, address: None, fault: Fault::Fail(Errno::NOSPC), times: u64::MAX };
+    let full = Rule {
+        call: Call::FileWrite,
+        address: None,
+        fault: Fault::Fail(Errno::NOSPC),
+        times: u64::MAX,
+    };
     stage.faults.add(full);
     assert_eq!(say(admin, "exclude", "s-2"), "out, not kept");
     let mut client = Peer::client(stage.address);
@@ -116,5 +147,7 @@
     }
     // It is asked once a second at first, then more rarely.
     assert!(stage.faults.met(Call::FileWrite) <= 6);
-    assert!(get(admin, "/api/telemetry").1.contains("lb_memory_failing 1"));
+    assert!(get(admin, "/api/telemetry")
+        .1
+        .contains("lb_memory_failing 1"));
 }
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -25,11 +25,30 @@
     assert_eq!(client.reply(), Reply::default(), "the welcome");
     let mut upstream = server.welcome();
     let passed = upstream.query();
-    let wait = passed.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).unwrap();
-    assert!((1..19000).contains(&wait.parse::<u32>().unwrap()), "{passed}");
-    assert_eq!(passed.replacen(&format!(",d={wait}"), ",d=19000", 1), read(1, "any", 19000));
-    upstream.answer("\\x9f03", &[("role", "replica"), ("applied_ms", "1767225600123")]);
-    assert_eq!(client.reply(), Reply { value: Some("\\x9f03".into()), ..Reply::default() });
+    let wait = passed
+        .split(",d=")
+        .nth(1)
+        .and_then(|rest| rest.split(',').next())
+        .unwrap();
+    assert!(
+        (1..19000).contains(&wait.parse::<u32>().unwrap()),
+        "{passed}"
+    );
+    assert_eq!(
+        passed.replacen(&format!(",d={wait}"), ",d=19000", 1),
+        read(1, "any", 19000)
+    );
+    upstream.answer(
+        "\\x9f03",
+        &[("role", "replica"), ("applied_ms", "1767225600123")],
+    );
+    assert_eq!(
+        client.reply(),
+        Reply {
+            value: Some("\\x9f03".into()),
+            ..Reply::default()
+        }
+    );
     for nothing in ["", " ; ", "SET a = 1"] {
         client.ask(nothing);
         assert_eq!(client.reply(), Reply::default(), "{nothing:?}");
@@ -50,8 +69,17 @@
     client.ask(&insert("19000"));
     let mut upstream = server.welcome();
     let passed = upstream.query();
-    let wait = passed.rsplit(",d=").next().and_then(|rest| rest.split(',').next()).unwrap();
-    assert!(passed == insert(wait), "{} bytes of {}", passed.len(), insert(wait).len());
+    let wait = passed
+        .rsplit(",d=")
+        .next()
+        .and_then(|rest| rest.split(',').next())
+        .unwrap();
+    assert!(
+        passed == insert(wait),
+        "{} bytes of {}",
+        passed.len(),
+        insert(wait).len()
+    );
     // As long as some that record servers were seen to give.
     let value = "v".repeat(400 << 10);
     upstream.answer(&value, &[]);
@@ -91,7 +119,13 @@
     let server = Listener::new();
     let (_stage, mut client, upstream) = write_out(&server);
     drop(upstream);
-    assert_eq!(client.reply(), Reply { code: Some("08007".into()), ..Reply::default() });
+    assert_eq!(
+        client.reply(),
+        Reply {
+            code: Some("08007".into()),
+            ..Reply::default()
+        }
+    );
     assert!(server.left_alone(Duration::from_millis(100)));
 }
 
@@ -136,7 +170,13 @@
     client.ask(&read(1, "any", 19000));
     // Accepted but not welcomed: the query waits.
     let mut dialled = first.accept();
-    stage.watch.tell(42, &[first.listed("s-1", "Terminating"), second.listed("s-2", "Ready")]);
+    stage.watch.tell(
+        42,
+        &[
+            first.listed("s-1", "Terminating"),
+            second.listed("s-2", "Ready"),
+        ],
+    );
     let mut upstream = second.welcome();
     upstream.query();
     upstream.answer("moved", &[]);
@@ -148,10 +188,15 @@
 #[test]
 fn a_silent_watch_is_replaced() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[], |config| config.watch_silence = Duration::from_millis(1_500));
+    let mut stage = Stage::with(&[], |config| {
+        config.watch_silence = Duration::from_millis(1_500)
+    });
     stage.watch.tell(57, &[server.listed("s-1", "Ready")]);
     let mut again = stage.discovery.accept();
-    assert_eq!(again.watch(), "GET /catalog/members?watch=1&after=57 HTTP/1.1");
+    assert_eq!(
+        again.watch(),
+        "GET /catalog/members?watch=1&after=57 HTTP/1.1"
+    );
     assert!(stage.watch.ended());
     // What is no list breaks the watch too, and the proxy lives on.
     again.write(b"5\r\n{\"in\n\r\n");
@@ -163,13 +208,17 @@
 #[test]
 fn an_indented_list_is_taken_and_a_trickle_is_not_waited_for() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[], |config| config.watch_silence = Duration::from_millis(1_500));
+    let mut stage = Stage::with(&[], |config| {
+        config.watch_silence = Duration::from_millis(1_500)
+    });
     let list = format!(
         "{{\n  \"index\": 58,\n\n  \"endpoints\": [\n    {}\n  ]\n}}\n",
         server.listed("s-1", "Ready")
     );
     for part in [&list[..20], &list[20..]] {
-        stage.watch.write(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
+        stage
+            .watch
+            .write(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
     }
     let mut client = Peer::client(stage.address);
     common::served(&mut client, &server, 1, "listed");
@@ -180,7 +229,10 @@
             thread::sleep(Duration::from_millis(100));
         }
     });
-    assert_eq!(stage.discovery.accept().watch(), "GET /catalog/members?watch=1&after=58 HTTP/1.1");
+    assert_eq!(
+        stage.discovery.accept().watch(),
+        "GET /catalog/members?watch=1&after=58 HTTP/1.1"
+    );
 }
 
 /// Where lists are pushed nobody orders a watch: it stands from the first moment, and again as soon as it has ended.
@@ -191,11 +243,17 @@
     let mut stage = Stage::with(&[], pushed);
     stage.watch.stream.shutdown(Shutdown::Both).unwrap();
     let mut again = stage.discovery.accept();
-    assert_eq!(again.watch(), "GET /catalog/members?watch=1&after=41 HTTP/1.1");
+    assert_eq!(
+        again.watch(),
+        "GET /catalog/members?watch=1&after=41 HTTP/1.1"
+    );
     again.tell(57, &[server.listed("s-1", "Ready")]);
     again.stream.shutdown(Shutdown::Both).unwrap();
     stage.watch = stage.discovery.accept();
-    assert_eq!(stage.watch.watch(), "GET /catalog/members?watch=1&after=57 HTTP/1.1");
+    assert_eq!(
+        stage.watch.watch(),
+        "GET /catalog/members?watch=1&after=57 HTTP/1.1"
+    );
 }
 
 /// A spoilt answer is a failed attempt: the connection ends at once, not when time is out, even where half of an
@@ -258,7 +316,11 @@
 fn bad_input_is_answered_with_an_error() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
-    for startup in [&[0, 0, 0, 4, 0, 0, 0, 0][..], &[0xff; 8], &[0, 0, 0, 9, 0, 3, 0, 0, 0]] {
+    for startup in [
+        &[0, 0, 0, 4, 0, 0, 0, 0][..],
+        &[0xff; 8],
+        &[0, 0, 0, 9, 0, 3, 0, 0, 0],
+    ] {
         let mut client = Peer::connect(stage.address);
         client.write(startup);
         assert_eq!(client.reply().code.as_deref(), Some("08P01"), "{startup:?}");
@@ -266,7 +328,12 @@
     }
     let mut client = Peer::client(stage.address);
     let no_number = read(1, "any", 300).replace("cluster=3", "cluster=x");
-    let mut bad = vec![read(1, "unheard-of", 300), "SELECT 1".into(), no_number, "SELECT 1 /* id=1".into()];
+    let mut bad = vec![
+        read(1, "unheard-of", 300),
+        "SELECT 1".into(),
+        no_number,
+        "SELECT 1 /* id=1".into(),
+    ];
     bad.extend(["d=soon", "d=-5", "d="].map(|d| read(1, "any", 300).replace("d=300", d)));
     bad.extend(["", "id=,"].map(|id| read(1, "any", 300).replace("id=0000000000000001,", id)));
     for query in bad {
@@ -274,7 +341,11 @@
         assert_eq!(client.reply().code.as_deref(), Some("42601"), "{query}");
     }
     client.write(&[b'Q', 0x7f, 0xff, 0xff, 0xff]);
-    assert_eq!(client.reply().code.as_deref(), Some("08P01"), "an oversized length");
+    assert_eq!(
+        client.reply().code.as_deref(),
+        Some("08P01"),
+        "an oversized length"
+    );
     assert!(client.ended());
 }
 
@@ -356,7 +427,10 @@
     for client in &mut clients {
         client.write(&begin);
     }
-    let codes: Vec<_> = clients.iter_mut().map(|client| client.reply().code.unwrap()).collect();
+    let codes: Vec<_> = clients
+        .iter_mut()
+        .map(|client| client.reply().code.unwrap())
+        .collect();
     assert!(codes.iter().any(|code| code == "53200"), "{codes:?}");
 }
 
@@ -415,7 +489,10 @@
     stage.control.stop();
     let mut late = Peer::client(stage.address);
     late.ask(&read(2, "any", 19000));
-    assert!(idle.ended(), "closed between requests, once new connections have stopped coming");
+    assert!(
+        idle.ended(),
+        "closed between requests, once new connections have stopped coming"
+    );
     upstream.answer("busy", &[]);
     assert_eq!(busy.reply().value.as_deref(), Some("busy"));
     // The late one may have waited for this connection or for another.
@@ -430,7 +507,9 @@
 #[test]
 fn a_stop_leaves_nobody_without_an_answer() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[("s-1", &server)], |config| config.give_up = Duration::from_secs(1));
+    let mut stage = Stage::with(&[("s-1", &server)], |config| {
+        config.give_up = Duration::from_secs(1)
+    });
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
     let mut upstream = server.welcome();
@@ -481,27 +560,49 @@
         let purpose = Purpose::Attempt(RequestId(no), AttemptNo(0));
         let (question, until) = (Question::Load, now + PATIENCE);
         let (class, group, begin_by) = (None, None, until);
-        let exchange = Exchange { purpose, class, group, question, sent: now, until, begin_by };
+        let exchange = Exchange {
+            purpose,
+            class,
+            group,
+            question,
+            sent: now,
+            until,
+            begin_by,
+        };
         upstream.start(StoreId(1), exchange, now, &reactor);
     }
     let first_dials = upstream.dials;
     assert!(first_dials < exchanges);
     let (mut ready, mut done) = (Vec::new(), 0);
     while done < exchanges {
-        while server.try_accept().is_some_and(|mut peer| peer.try_error("53300")) {}
-        reactor.wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready).unwrap();
+        while server
+            .try_accept()
+            .is_some_and(|mut peer| peer.try_error("53300"))
+        {}
+        reactor
+            .wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready)
+            .unwrap();
         for event in &ready {
-            let Token::Upstream(key) = event.token else { panic!("{event:?}") };
+            let Token::Upstream(key) = event.token else {
+                panic!("{event:?}")
+            };
             upstream.ready(key, now, &reactor);
         }
         for (_, due) in upstream.take_due().into_iter().filter(|(at, _)| *at <= now) {
             upstream.on_due(due, now, &reactor);
         }
         while let Some(one) = upstream.pop() {
-            assert!(matches!(one.verdict, Verdict::Full | Verdict::ConnectFailed), "{one:?}");
+            assert!(
+                matches!(one.verdict, Verdict::Full | Verdict::ConnectFailed),
+                "{one:?}"
+            );
             done += 1;
         }
-        assert!(now.elapsed() < PATIENCE, "{done} of {exchanges} done after {} dials", upstream.dials);
+        assert!(
+            now.elapsed() < PATIENCE,
+            "{done} of {exchanges} done after {} dials",
+            upstream.dials
+        );
     }
     assert_eq!(upstream.dials, exchanges);
 }
@@ -532,10 +633,19 @@
     program.line("configuration: discovery: ");
     program.reload(&format!(r#""discovery":"{}","#, elsewhere.address));
     let mut watch = elsewhere.accept();
-    assert_eq!(watch.watch(), "GET /catalog/members?watch=1&after=57 HTTP/1.1");
+    assert_eq!(
+        watch.watch(),
+        "GET /catalog/members?watch=1&after=57 HTTP/1.1"
+    );
     // Not gone yet: what it tells still counts.
     let later = Listener::new();
-    program.watch.tell(58, &[server.listed("s-1", "Terminating"), later.listed("s-2", "Ready")]);
+    program.watch.tell(
+        58,
+        &[
+            server.listed("s-1", "Terminating"),
+            later.listed("s-2", "Ready"),
+        ],
+    );
     let mut second = Peer::client(program.address);
     second.ask(&read(2, "any", 19000));
     let mut moved = later.welcome();
--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -45,7 +45,12 @@
 
 impl Stage {
     fn fault(&self, call: Call, address: Option<SocketAddr>, fault: Fault, times: u64) {
-        self.faults.add(Rule { call, address, fault, times });
+        self.faults.add(Rule {
+            call,
+            address,
+            fault,
+            times,
+        });
     }
 
     fn fail(&self, call: Call, address: Option<SocketAddr>, errno: Errno, times: u64) {
@@ -56,7 +61,11 @@
     fn until_met(&self, call: Call, times: u64) {
         let begun = Instant::now();
         while self.faults.met(call) < times {
-            assert!(begun.elapsed() < PATIENCE, "{call:?} met {} faults", self.faults.met(call));
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "{call:?} met {} faults",
+                self.faults.met(call)
+            );
             thread::yield_now();
         }
     }
@@ -84,20 +93,72 @@
 #[test]
 fn each_error_has_one_class() {
     let table: [(Call, &[Errno], Failure); 14] = [
-        (Call::Accept, &[Errno::INTR, Errno::CONNABORTED, Errno::PERM, Errno::PROTO], Failure::RetryNow),
-        (Call::Accept, &[Errno::NETDOWN, Errno::HOSTUNREACH, Errno::TIMEDOUT], Failure::RetryNow),
+        (
+            Call::Accept,
+            &[Errno::INTR, Errno::CONNABORTED, Errno::PERM, Errno::PROTO],
+            Failure::RetryNow,
+        ),
+        (
+            Call::Accept,
+            &[Errno::NETDOWN, Errno::HOSTUNREACH, Errno::TIMEDOUT],
+            Failure::RetryNow,
+        ),
         (Call::Accept, &[Errno::AGAIN], Failure::NotReady),
-        (Call::Accept, &[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM], Failure::RetryLater),
-        (Call::Accept, &[Errno::INVAL, Errno::BADF], Failure::RetryLater),
-        (Call::Socket, &[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM], Failure::RetryLater),
-        (Call::Connect, &[Errno::INTR, Errno::INPROGRESS], Failure::NotReady),
-        (Call::Connect, &[Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::NOBUFS], Failure::RetryLater),
-        (Call::Connect, &[Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::CONNREFUSED], Failure::Broken),
-        (Call::Read, &[Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH], Failure::Broken),
-        (Call::Send, &[Errno::PIPE, Errno::CONNRESET, Errno::NETDOWN], Failure::Broken),
-        (Call::Send, &[Errno::NOBUFS, Errno::NOMEM], Failure::RetryLater),
-        (Call::EpollControl, &[Errno::NOMEM, Errno::NOSPC], Failure::RetryLater),
-        (Call::Bind, &[Errno::ADDRINUSE, Errno::ACCESS, Errno::ADDRNOTAVAIL], Failure::Fatal),
+        (
+            Call::Accept,
+            &[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM],
+            Failure::RetryLater,
+        ),
+        (
+            Call::Accept,
+            &[Errno::INVAL, Errno::BADF],
+            Failure::RetryLater,
+        ),
+        (
+            Call::Socket,
+            &[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM],
+            Failure::RetryLater,
+        ),
+        (
+            Call::Connect,
+            &[Errno::INTR, Errno::INPROGRESS],
+            Failure::NotReady,
+        ),
+        (
+            Call::Connect,
+            &[Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::NOBUFS],
+            Failure::RetryLater,
+        ),
+        (
+            Call::Connect,
+            &[Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::CONNREFUSED],
+            Failure::Broken,
+        ),
+        (
+            Call::Read,
+            &[Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH],
+            Failure::Broken,
+        ),
+        (
+            Call::Send,
+            &[Errno::PIPE, Errno::CONNRESET, Errno::NETDOWN],
+            Failure::Broken,
+        ),
+        (
+            Call::Send,
+            &[Errno::NOBUFS, Errno::NOMEM],
+            Failure::RetryLater,
+        ),
+        (
+            Call::EpollControl,
+            &[Errno::NOMEM, Errno::NOSPC],
+            Failure::RetryLater,
+        ),
+        (
+            Call::Bind,
+            &[Errno::ADDRINUSE, Errno::ACCESS, Errno::ADDRNOTAVAIL],
+            Failure::Fatal,
+        ),
     ];
     for (call, errnos, class) in table {
         for &errno in errnos {
@@ -118,7 +179,12 @@
         (Call::Bind, Errno::ADDRNOTAVAIL),
         (Call::Listen, Errno::ADDRINUSE),
     ] {
-        faults.add(Rule { call, address: None, fault: Fault::Fail(errno), times: 1 });
+        faults.add(Rule {
+            call,
+            address: None,
+            fault: Fault::Fail(errno),
+            times: 1,
+        });
         let error = net::listen(address).unwrap_err();
         assert_eq!(Errno::from_io_error(&error), Some(errno));
     }
@@ -147,14 +213,22 @@
                 thread::spawn(move || asked(&mut Peer::client(address), "v"))
             })
             .collect();
-        clients.into_iter().for_each(|client| client.join().unwrap());
+        clients
+            .into_iter()
+            .for_each(|client| client.join().unwrap());
         assert_eq!(stage.faults.met(Call::Accept), met + 3, "{errno}");
     }
 }
 
 #[test]
 fn an_accept_that_fails_for_good_keeps_nobody_busy_and_ends_nobody() {
-    for errno in [Errno::NOMEM, Errno::NOBUFS, Errno::CONNABORTED, Errno::PERM, Errno::INVAL] {
+    for errno in [
+        Errno::NOMEM,
+        Errno::NOBUFS,
+        Errno::CONNABORTED,
+        Errno::PERM,
+        Errno::INVAL,
+    ] {
         let (stage, _) = stage("v");
         let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
         clients.iter_mut().for_each(|client| asked(client, "v"));
@@ -163,10 +237,18 @@
         let late = stage.address;
         let late = thread::spawn(move || asked(&mut Peer::client(late), "v"));
         // Rounds with a pause between.
-        let per_round = if matches!(errno, Errno::CONNABORTED | Errno::PERM) { 1024 } else { 1 };
+        let per_round = if matches!(errno, Errno::CONNABORTED | Errno::PERM) {
+            1024
+        } else {
+            1
+        };
         let begun = Instant::now();
         stage.until_met(Call::Accept, 6 * per_round);
-        assert!(begun.elapsed() >= Duration::from_millis(300), "{errno}: {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() >= Duration::from_millis(300),
+            "{errno}: {:?}",
+            begun.elapsed()
+        );
         let waits = stage.faults.made(Call::EpollWait) - waits;
         assert!(waits < 200, "{errno}: {waits} rounds");
         for client in &mut clients {
@@ -190,7 +272,10 @@
         client.ask(&request());
         client.message().is_err()
     };
-    let ended = clients.iter_mut().filter_map(|client| ended(client).then_some(())).count();
+    let ended = clients
+        .iter_mut()
+        .filter_map(|client| ended(client).then_some(()))
+        .count();
     assert!(ended <= 4, "{ended} of 8 were ended");
 }
 
@@ -233,7 +318,11 @@
         asked(&mut client, "v");
         assert!(stage.faults.met(call) >= 12, "{call:?} {errno}");
         let waits = stage.faults.made(Call::EpollWait) - waits;
-        assert!(waits < 400, "{errno}: {waits} rounds in {:?}", begun.elapsed());
+        assert!(
+            waits < 400,
+            "{errno}: {waits} rounds in {:?}",
+            begun.elapsed()
+        );
         asks_on(&mut client, "v");
     }
 }
@@ -253,16 +342,29 @@
     client.ask(&request().replace("d=19000", "d=400"));
     let reply = client.reply();
     assert!(reply.value.is_none() && reply.code.is_some(), "{reply:?}");
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        begun.elapsed()
+    );
     stage.faults.clear();
     let begun = Instant::now();
     asked(&mut client, "v");
-    assert!(begun.elapsed() < Duration::from_secs(1), "a server rests: {:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(1),
+        "a server rests: {:?}",
+        begun.elapsed()
+    );
 }
 
 #[test]
 fn a_server_without_a_route_is_passed_over() {
-    for errno in [Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::PERM] {
+    for errno in [
+        Errno::NETUNREACH,
+        Errno::HOSTUNREACH,
+        Errno::TIMEDOUT,
+        Errno::PERM,
+    ] {
         let (far, near) = (Listener::new(), Listener::new());
         let lost = far.address;
         let stage = Stage::new(&[("s-1", &far), ("s-2", &near)]);
@@ -279,15 +381,24 @@
 #[test]
 fn interrupted_calls_are_made_again() {
     let (stage, server) = stage("v");
-    stage.fault(Call::Connect, Some(server), Fault::FailAfter(Errno::INTR), 1);
+    stage.fault(
+        Call::Connect,
+        Some(server),
+        Fault::FailAfter(Errno::INTR),
+        1,
+    );
     for call in [Call::EpollWait, Call::Read, Call::Send, Call::Accept] {
         stage.fail(call, None, Errno::INTR, 10);
     }
     let mut client = Peer::client(stage.address);
     asks_on(&mut client, "v");
-    for (call, times) in
-        [(Call::EpollWait, 10), (Call::Read, 10), (Call::Send, 10), (Call::Accept, 10), (Call::Connect, 1)]
-    {
+    for (call, times) in [
+        (Call::EpollWait, 10),
+        (Call::Read, 10),
+        (Call::Send, 10),
+        (Call::Accept, 10),
+        (Call::Connect, 1),
+    ] {
         assert_eq!(stage.faults.met(call), times, "{call:?}");
     }
 }
@@ -304,7 +415,9 @@
     // The list comes in bytes as well: its new server alone is left.
     let other = Listener::new();
     let gone = r#"{"name":"s-1","status":"Gone","since_ms":0}"#;
-    stage.watch.tell(42, &[other.listed("s-2", "Ready"), gone.to_owned()]);
+    stage
+        .watch
+        .tell(42, &[other.listed("s-2", "Ready"), gone.to_owned()]);
     serve(other, "other");
     let begun = Instant::now();
     loop {
@@ -381,7 +494,10 @@
     assert!(begun.elapsed() >= 20 * RETRY_PAUSE, "{:?}", begun.elapsed());
     let waits = stage.faults.made(Call::EpollWait) - waits;
     // A round has a call at least, or a timer that is due: there are fewer than one a millisecond.
-    assert!(u128::from(waits) <= 400 + begun.elapsed().as_millis(), "{waits} rounds");
+    assert!(
+        u128::from(waits) <= 400 + begun.elapsed().as_millis(),
+        "{waits} rounds"
+    );
     stage.faults.clear();
     clients.iter_mut().for_each(|client| asked(client, "v"));
 }
@@ -453,21 +569,39 @@
         // Nothing has changed; or the head of the answer is what can't be read.
         _ = stage.watch.stream.write(b"1\r\n\n\r\n");
         let mut again = stage.discovery.accept();
-        assert!(again.watch().starts_with("GET /catalog/members?watch=1&after=4"), "{errno}");
+        assert!(
+            again
+                .watch()
+                .starts_with("GET /catalog/members?watch=1&after=4"),
+            "{errno}"
+        );
         asks_on(&mut Peer::client(stage.address), "v");
     }
 }
 
 #[test]
 fn discovery_is_called_again_when_it_could_not_be_dialled() {
-    for (call, errno) in [(Call::Socket, Errno::MFILE), (Call::Connect, Errno::NETUNREACH)] {
+    for (call, errno) in [
+        (Call::Socket, Errno::MFILE),
+        (Call::Connect, Errno::NETUNREACH),
+    ] {
         let (stage, server) = stage("v");
         let mut client = Peer::client(stage.address);
         asked(&mut client, "v");
         // No dial of the server is due: it has a connection that is free.
         assert_ne!(server, stage.discovery.address);
-        stage.fail(call, Some(stage.discovery.address).filter(|_| call == Call::Connect), errno, 2);
-        let Stage { watch, discovery, faults, .. } = &stage;
+        stage.fail(
+            call,
+            Some(stage.discovery.address).filter(|_| call == Call::Connect),
+            errno,
+            2,
+        );
+        let Stage {
+            watch,
+            discovery,
+            faults,
+            ..
+        } = &stage;
         watch.stream.shutdown(std::net::Shutdown::Both).unwrap();
         discovery.accept().watch();
         assert_eq!(faults.met(call), 2, "{errno}");
@@ -498,10 +632,17 @@
     }
     let faults = Arc::<Faults>::default();
     faults.clone().install();
-    faults.add(Rule { call: Call::EpollControl, address: None, fault: Fault::Fail(Errno::NOMEM), times: 1 });
+    faults.add(Rule {
+        call: Call::EpollControl,
+        address: None,
+        fault: Fault::Fail(Errno::NOMEM),
+        times: 1,
+    });
     let (reactor, mut ready) = (Reactor::new().unwrap(), Vec::new());
     let mut stream = Stream::dial(silent).unwrap();
-    stream.watch(&reactor, Token::Control, Interest::WRITE).unwrap();
+    stream
+        .watch(&reactor, Token::Control, Interest::WRITE)
+        .unwrap();
     while ready.is_empty() {
         reactor.wait(None, &mut ready).unwrap();
     }
@@ -518,7 +659,8 @@
 
 #[test]
 fn an_undrained_proxy_is_reached_again_though_its_address_was_taken() {
-    let socket = std::env::temp_dir().join(format!("leverproxy-{}-listen-again", std::process::id()));
+    let socket =
+        std::env::temp_dir().join(format!("leverproxy-{}-listen-again", std::process::id()));
     let socket = socket.to_str().unwrap();
     let server = Listener::new();
     let stage = Stage::under(
@@ -558,11 +700,16 @@
     assert!(say(socket, "status").starts_with("phase serving\n"));
     assert_eq!(stage.faults.met(Call::Accept), 20);
     assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    for (call, errno) in
-        [(Call::Read, Errno::NOMEM), (Call::Send, Errno::NOBUFS), (Call::EpollControl, Errno::NOMEM)]
-    {
+    for (call, errno) in [
+        (Call::Read, Errno::NOMEM),
+        (Call::Send, Errno::NOBUFS),
+        (Call::EpollControl, Errno::NOMEM),
+    ] {
         stage.fail(call, None, errno, 2);
-        assert!(say(socket, "status").starts_with("phase serving\n"), "{call:?}");
+        assert!(
+            say(socket, "status").starts_with("phase serving\n"),
+            "{call:?}"
+        );
         // The retry of a watch may find the word before it is asked for again.
         assert!(stage.faults.met(call) >= 1, "{call:?}");
         stage.faults.clear();
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -15,8 +15,8 @@
 use leverproxy::stages::admit::Ledger;
 use leverproxy::stages::book;
 use mountshift::{
-    Arrival, ClassId, Event, GroupId, ListNews, Listed, Note, Report, RequestId, Standing, StoreId, TenantId,
-    Time,
+    Arrival, ClassId, Event, GroupId, ListNews, Listed, Note, Report, RequestId, Standing, StoreId,
+    TenantId, Time,
 };
 use mountshift_settings::Names;
 use std::io::{Read, Write};
@@ -53,11 +53,22 @@
     let indented = "{\n  \"a\": \"}\\\"{\",\n\n  \"b\": [ {} ]\n}";
     let chunk = |text: &str| format!("{:x};x=1\r\n{text}\r\n", text.len());
     let (first, rest) = indented.split_at(9);
-    let said = [chunk(first), chunk(rest), chunk("\n"), chunk("{}{\"c\":1}\n"), chunk("\r\n")].concat();
+    let said = [
+        chunk(first),
+        chunk(rest),
+        chunk("\n"),
+        chunk("{}{\"c\":1}\n"),
+        chunk("\r\n"),
+    ]
+    .concat();
     let stream = format!("{head}{said}0\r\n\r\n");
     for piece in [1, 2, 3, 7, stream.len()] {
         let (parts, done) = parts_of(stream.as_bytes(), piece).unwrap();
-        let objects: Vec<_> = parts.iter().filter(|part| **part != Part::Alive).cloned().collect();
+        let objects: Vec<_> = parts
+            .iter()
+            .filter(|part| **part != Part::Alive)
+            .cloned()
+            .collect();
         assert_eq!(
             objects,
             [indented, "{}", "{\"c\":1}"].map(|text| Part::Object(text.to_owned())),
@@ -69,7 +80,10 @@
         assert!(done);
     }
     let plain = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
-    assert_eq!(parts_of(plain.as_bytes(), 5).unwrap(), (vec![Part::Object("{}".into())], true));
+    assert_eq!(
+        parts_of(plain.as_bytes(), 5).unwrap(),
+        (vec![Part::Object("{}".into())], true)
+    );
     let fault = |text: &str| parts_of(format!("{head}{text}").as_bytes(), usize::MAX).unwrap_err();
     assert!(matches!(fault(&chunk("{} <html>")), Fault::NotJson(_)));
     assert_eq!(fault("2\r\n{}\n"), Fault::Chunk);
@@ -77,13 +91,29 @@
     assert_eq!(fault("1\r\n{\r\n0\r\n"), Fault::Cut);
     let broken = [
         ("HTTP/1.1 503 Busy\r\n\r\n".to_owned(), Fault::Status(503)),
-        ("SSH-2.0\r\n\r\n".to_owned(), Fault::NotHttp(httparse::Error::Version)),
-        (format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(17 << 10)), Fault::HeadTooLong),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n".into(), Fault::Encoding("gzip".into())),
-        ("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".into(), Fault::Length("-1".into())),
+        (
+            "SSH-2.0\r\n\r\n".to_owned(),
+            Fault::NotHttp(httparse::Error::Version),
+        ),
+        (
+            format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(17 << 10)),
+            Fault::HeadTooLong,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n".into(),
+            Fault::Encoding("gzip".into()),
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".into(),
+            Fault::Length("-1".into()),
+        ),
     ];
     for (text, fault) in broken {
-        assert_eq!(parts_of(text.as_bytes(), usize::MAX), Err(fault), "{text:.40}");
+        assert_eq!(
+            parts_of(text.as_bytes(), usize::MAX),
+            Err(fault),
+            "{text:.40}"
+        );
     }
 }
 
@@ -104,9 +134,15 @@
 fn an_unknown_status_counts_as_draining() {
     let json = br#"{"index":2,"snapshot":true,"endpoints":[
         {"name":"s-1","address":"127.0.0.1:1","group":3,"status":"Resting"}, {"name":"s-2","status":"Gone"}]}"#;
-    let (news, changes) = Directory::default().learn(Listing::parse(json).unwrap(), &Names::default());
-    let ListNews::Complete(entries) = news else { panic!("{news:?}") };
-    assert_eq!(entries.iter().map(|e| e.listed).collect::<Vec<_>>(), [Listed::Draining]);
+    let (news, changes) =
+        Directory::default().learn(Listing::parse(json).unwrap(), &Names::default());
+    let ListNews::Complete(entries) = news else {
+        panic!("{news:?}")
+    };
+    assert_eq!(
+        entries.iter().map(|e| e.listed).collect::<Vec<_>>(),
+        [Listed::Draining]
+    );
     assert_eq!(changes, [Change::Leaves(entries[0].store)]);
     assert!(Listing::parse(br#"{"endpoints":[{"name":7}]}"#).is_err());
 }
@@ -114,16 +150,31 @@
 /// Whatever is not one row of one value, in order, is known for spoilt before its end is waited for.
 #[test]
 fn only_a_sound_answer_is_taken() {
-    let good = common::answer("doc", &[("role", "replica"), ("load", "=?"), ("applied_ms", "soon")]);
+    let good = common::answer(
+        "doc",
+        &[("role", "replica"), ("load", "=?"), ("applied_ms", "soon")],
+    );
     let mut reader = AnswerReader::default();
     for cut in 0..good.len() {
-        assert!(!AnswerReader::default().take(&good[..cut]).unwrap().1, "{cut}");
+        assert!(
+            !AnswerReader::default().take(&good[..cut]).unwrap().1,
+            "{cut}"
+        );
     }
     assert_eq!(reader.take(&good).unwrap(), (good.len(), true));
-    let question = Question::Command(Arc::new(Command { before_wait: vec![], after_wait: vec![] }));
+    let question = Question::Command(Arc::new(Command {
+        before_wait: vec![],
+        after_wait: vec![],
+    }));
     let (verdict, note) = reader.verdict(&question);
     assert!(matches!(verdict, Verdict::Served(bytes) if good.starts_with(&bytes)));
-    assert_eq!(note, Note { primary: Some(false), position: None });
+    assert_eq!(
+        note,
+        Note {
+            primary: Some(false),
+            position: None
+        }
+    );
     let at = |tag: &[u8]| good.windows(2).position(|w| w == [tag[0], 0]).unwrap();
     let (row, done) = (at(b"D"), at(b"C"));
     let (head, rest) = good.split_at(row);
@@ -132,7 +183,11 @@
         bytes[place] = byte;
         bytes
     };
-    let huge = [head, &[b'D', 0xb2, 0xd0, 0x5e, 0, 0, 1, 0xb2, 0xd0, 0x5d, 0xf6]].concat();
+    let huge = [
+        head,
+        &[b'D', 0xb2, 0xd0, 0x5e, 0, 0, 1, 0xb2, 0xd0, 0x5d, 0xf6],
+    ]
+    .concat();
     let fits_not = [head, &rest[..10], &[9]].concat();
     let twice = [&good[..done], &rest[..done - row], &good[done..]].concat();
     let spoilt = [
@@ -164,16 +219,33 @@
         let (verdict, note) = reader.verdict(&Question::Load);
         let (purpose, elapsed, store) = (Purpose::Probe, PATIENCE, StoreId(1));
         match book::book(
-            &Done { purpose, class: None, group: None, store, verdict, elapsed, note },
+            &Done {
+                purpose,
+                class: None,
+                group: None,
+                store,
+                verdict,
+                elapsed,
+                note,
+            },
             true,
             now,
         ) {
-            Event::Probed { ok: true, report, .. } => report,
+            Event::Probed {
+                ok: true, report, ..
+            } => report,
             other => panic!("{other:?}"),
         }
     };
     assert_eq!(probed("x0=1799999999.5,x1=1,backlog=3").queued, Some(3.0));
-    for bad in ["", "%&/", "x0=NaN,x1=1", "x0=1e300,x1=1", "x0=1799999999.5,x1=1,backlog=-7", "x0=,x1"] {
+    for bad in [
+        "",
+        "%&/",
+        "x0=NaN,x1=1",
+        "x0=1e300,x1=1",
+        "x0=1799999999.5,x1=1,backlog=-7",
+        "x0=,x1",
+    ] {
         assert_eq!(probed(bad), Report::default(), "{bad:?}");
     }
 }
@@ -181,13 +253,26 @@
 #[test]
 fn a_comment_inside_a_value_is_data() {
     let text = "INSERT INTO items (id, doc) VALUES ('it''s', '/* c=x */') /* id=1, c=book,d=480,cluster=2,r=1,after=1500 */";
-    let Ok(Query::Request(request)) = statement::parse(text, Instant::now()) else { panic!("{text}") };
-    assert_eq!((request.class.as_str(), request.group, request.repeated), ("book", 2, true));
+    let Ok(Query::Request(request)) = statement::parse(text, Instant::now()) else {
+        panic!("{text}")
+    };
+    assert_eq!(
+        (request.class.as_str(), request.group, request.repeated),
+        ("book", 2, true)
+    );
     assert_eq!(
         (request.wait, request.after),
-        (Duration::from_millis(480), Some(Duration::from_millis(1500)))
+        (
+            Duration::from_millis(480),
+            Some(Duration::from_millis(1500))
+        )
     );
-    let rest = [&request.command.before_wait[..], b"480", &request.command.after_wait].concat();
+    let rest = [
+        &request.command.before_wait[..],
+        b"480",
+        &request.command.after_wait,
+    ]
+    .concat();
     assert_eq!(rest, text.as_bytes());
 }
 
@@ -214,13 +299,22 @@
     for no in 0..10_000 {
         let now = start + Duration::from_millis(10 * no);
         let text = format!("SELECT 1 /* id={no},c=any,d=480,cluster=2 */");
-        let Ok(Query::Request(request)) = statement::parse(&text, now) else { panic!("{text}") };
-        let ticket = Ticket { client: Slots::default().insert(()), number: no };
+        let Ok(Query::Request(request)) = statement::parse(&text, now) else {
+            panic!("{text}")
+        };
+        let ticket = Ticket {
+            client: Slots::default().insert(()),
+            number: no,
+        };
         assert!(ledger.bars(&request).is_none());
         ledger.admit(&arrival(no), ticket, ClassId(0), None, request);
         assert!(ledger.close(RequestId(no), now).is_some());
     }
-    assert!(ledger.is_empty() && ledger.names() <= 500, "{} names are kept", ledger.names());
+    assert!(
+        ledger.is_empty() && ledger.names() <= 500,
+        "{} names are kept",
+        ledger.names()
+    );
 }
 
 /// On a long day servers are replaced under new names all the time: what is kept of them must not grow.
@@ -235,7 +329,11 @@
         );
         directory.learn(Listing::parse(json.as_bytes()).unwrap(), &Names::default());
     }
-    assert!(directory.names() <= 1_002, "{} names are kept", directory.names());
+    assert!(
+        directory.names() <= 1_002,
+        "{} names are kept",
+        directory.names()
+    );
 }
 
 /// A reader of the log that has stopped reading must not stop the one thread.
@@ -251,7 +349,10 @@
 /// One record, one line, in both forms; key-values keep their types in JSON.
 #[test]
 fn log_lines_carry_their_key_values() {
-    let pairs = [("routes", log::kv::Value::from(3)), ("why", log::kv::Value::from("a b"))];
+    let pairs = [
+        ("routes", log::kv::Value::from(3)),
+        ("why", log::kv::Value::from("a b")),
+    ];
     let record = |message, use_it: &dyn Fn(&log::Record<'_>) -> String| {
         use_it(
             &log::Record::builder()
@@ -265,7 +366,10 @@
     let text = record(format_args!("one\ntwo"), &|r| logging::text("now", r));
     assert_eq!(text, "[now WARN  here] one\\ntwo routes=3 why=\"a b\"\n");
     let json = record(format_args!("one\ntwo"), &|r| logging::json("now", r));
-    assert!(json.ends_with("}\n") && json.matches('\n').count() == 1, "{json}");
+    assert!(
+        json.ends_with("}\n") && json.matches('\n').count() == 1,
+        "{json}"
+    );
     let json: serde_json::Value = serde_json::from_str(&json).unwrap();
     let expected = serde_json::json!({"time":"now","level":"WARN","target":"here","message":"one\ntwo","routes":3,"why":"a b"});
     assert_eq!(json, expected);
@@ -276,34 +380,55 @@
 fn the_log_does_not_grow_with_a_flood() {
     let (mut seldom, start) = (Seldom::default(), Instant::now());
     let at = |millis: u64| start + Duration::from_millis(millis);
-    let lines: Vec<String> = (0..1500).filter_map(|ms| seldom.line(at(ms), || "bad".into())).collect();
+    let lines: Vec<String> = (0..1500)
+        .filter_map(|ms| seldom.line(at(ms), || "bad".into()))
+        .collect();
     assert_eq!(lines, ["bad", "bad (999 more like it since the last)"]);
 }
 
 #[test]
 fn a_faulty_key_is_named() {
     let with = |settings: &str, more: &str| {
-        let text =
-            format!(r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"{more},"settings":{settings}}}"#);
-        config::parse(text.as_bytes(), |_| None).err().map(|e| e.key)
+        let text = format!(
+            r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"{more},"settings":{settings}}}"#
+        );
+        config::parse(text.as_bytes(), |_| None)
+            .err()
+            .map(|e| e.key)
     };
     let good = r#"{"Classes":[{"Name":"any","Deadline":1000}],"NeverHeardOf":1}"#;
     assert_eq!(with(good, ""), None);
-    assert_eq!(with(good, r#","limits":{"sockets":"many"}"#).as_deref(), Some("limits.sockets"));
-    assert_eq!(with(good, r#","limits":{"sockets":8}"#).as_deref(), Some("limits.sockets"));
+    assert_eq!(
+        with(good, r#","limits":{"sockets":"many"}"#).as_deref(),
+        Some("limits.sockets")
+    );
+    assert_eq!(
+        with(good, r#","limits":{"sockets":8}"#).as_deref(),
+        Some("limits.sockets")
+    );
     assert_eq!(with(good, r#","seed":"xyz""#).as_deref(), Some("seed"));
     assert_eq!(with("{}", "").as_deref(), Some("settings.Classes"));
     let no_deadline = r#"{"Classes":[{"Name":"any"}]}"#;
-    assert_eq!(with(no_deadline, "").as_deref(), Some("settings.Classes[0].Deadline"));
+    assert_eq!(
+        with(no_deadline, "").as_deref(),
+        Some("settings.Classes[0].Deadline")
+    );
     let text = r#"{"Classes":[{"Name":"any","Deadline":"soon"}]}"#;
-    assert_eq!(with(text, "").as_deref(), Some("settings.Classes[0].Deadline"));
+    assert_eq!(
+        with(text, "").as_deref(),
+        Some("settings.Classes[0].Deadline")
+    );
 }
 
 #[test]
 fn the_program_ends_with_2_on_bad_configuration() {
     let serve = |arguments: &[&str]| {
         let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_leverproxy"));
-        program.args(arguments).env_remove("LB_CONFIG").output().unwrap()
+        program
+            .args(arguments)
+            .env_remove("LB_CONFIG")
+            .output()
+            .unwrap()
     };
     let ended = serve(&["serve"]);
     assert_eq!(ended.status.code(), Some(2));
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -21,9 +21,13 @@
 
 /// Whether one of them takes operators' words.
 fn hears(place: &Path) -> bool {
-    let Ok(mut socket) = UnixStream::connect(place.with_extension("control")) else { return false };
+    let Ok(mut socket) = UnixStream::connect(place.with_extension("control")) else {
+        return false;
+    };
     let mut text = String::new();
-    let told = socket.write_all(b"status\n").and_then(|()| socket.read_to_string(&mut text));
+    let told = socket
+        .write_all(b"status\n")
+        .and_then(|()| socket.read_to_string(&mut text));
     told.is_ok() && text.starts_with("phase serving\n")
 }
 
@@ -60,7 +64,10 @@
     assert_eq!(old.reply().value.as_deref(), Some("late"));
     assert!(old.ended(), "nothing is owed on it");
     elder.end();
-    assert!(hears(&place.0), "the elder leaves the control socket to its heir");
+    assert!(
+        hears(&place.0),
+        "the elder leaves the control socket to its heir"
+    );
     let mut after = Peer::client(heir.address);
     let mut at_heir = served(&mut after, &server, 2, "new");
     between.ask(&read(3, "any", 19000));
@@ -99,7 +106,10 @@
 fn an_heir_at_another_address_leaves_the_elder_accepting() {
     let (place, server) = (place(), Listener::new());
     let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let elsewhere = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let heir = Stage::with(&[], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
         config.takeover = Some(place.0.clone());
@@ -146,10 +156,15 @@
 
 #[test]
 fn what_can_not_be_trusted_is_left_alone() {
-    for message in [&b"{\"version\":1,\"listing\":"[..], b"{\"version\":99}\n", b""] {
+    for message in [
+        &b"{\"version\":1,\"listing\":"[..],
+        b"{\"version\":99}\n",
+        b"",
+    ] {
         let place = place();
         let listener = UnixListener::bind(&place.0).unwrap();
-        let spoilt = thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
+        let spoilt =
+            thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
         let (mut stage, admin) = stage(&place.0, &[]);
         spoilt.join().unwrap();
         // Something was there before; what it knew has to come from discovery first.
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -47,10 +47,24 @@
         let instants = [Instant::now(), Instant::now() + 90 * MS];
         let before = instants.map(|at| clock.unix(at));
         system.store(step, Ordering::SeqCst);
-        assert_eq!(instants.map(|at| clock.unix(at)), before, "a step of {step} ms");
+        assert_eq!(
+            instants.map(|at| clock.unix(at)),
+            before,
+            "a step of {step} ms"
+        );
         assert_eq!(before[1].since(before[0]), instants[1] - instants[0]);
-        let (lead, stepped) = (clock.system_lead(), Duration::from_millis(step.unsigned_abs()));
-        assert!(if step > 0 { lead.abs_diff(stepped) < 1_000 * MS } else { lead.is_zero() }, "{lead:?}");
+        let (lead, stepped) = (
+            clock.system_lead(),
+            Duration::from_millis(step.unsigned_abs()),
+        );
+        assert!(
+            if step > 0 {
+                lead.abs_diff(stepped) < 1_000 * MS
+            } else {
+                lead.is_zero()
+            },
+            "{lead:?}"
+        );
     }
 }
 
@@ -66,12 +80,19 @@
 const NOW: Time = Time(Duration::from_secs(1_800_000_000));
 
 fn replica(server: u32, ahead: Duration) -> Told {
-    Told { server: StoreId(server), position: NOW.plus(ahead), present_since: None }
+    Told {
+        server: StoreId(server),
+        position: NOW.plus(ahead),
+        present_since: None,
+    }
 }
 
 /// A primary's word that took 5 ms, with true time this far ahead.
 fn primary(server: u32, ahead: Duration) -> Told {
-    Told { present_since: Some(NOW.minus(5 * MS)), ..replica(server, ahead) }
+    Told {
+        present_since: Some(NOW.minus(5 * MS)),
+        ..replica(server, ahead)
+    }
 }
 
 fn heard(words: &[Told]) -> Evidence {
@@ -99,7 +120,11 @@
             vec![primary(1, behind); 3],
         ] {
             let evidence = heard(&words);
-            assert_eq!(evidence.lead(NOW.plus(Duration::from_secs(600))), behind, "{words:?}");
+            assert_eq!(
+                evidence.lead(NOW.plus(Duration::from_secs(600))),
+                behind,
+                "{words:?}"
+            );
             assert!(evidence.latest(NOW) >= NOW.plus(behind));
         }
     }
@@ -111,18 +136,36 @@
     for ahead in [400 * MS, 5_000 * MS, Duration::from_secs(1 << 40)] {
         let mut evidence = heard(&[replica(1, ahead)]);
         assert_eq!(evidence.lead(NOW), ahead);
-        assert_eq!(evidence.latest(NOW), NOW.plus(1_000 * MS), "its position is not believed");
+        assert_eq!(
+            evidence.latest(NOW),
+            NOW.plus(1_000 * MS),
+            "its position is not believed"
+        );
         // A replica that says less takes back nothing of it.
         evidence.told(replica(2, Duration::ZERO), NOW);
         assert_eq!(evidence.lead(NOW.plus(1_900 * MS)), ahead);
         assert_eq!(evidence.lead(NOW.plus(2_100 * MS)), Duration::ZERO);
     }
     let spoilt: Vec<Told> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
-    assert_eq!(heard(&spoilt).lead(NOW.plus(2_100 * MS)), Duration::ZERO, "no two of them agree");
+    assert_eq!(
+        heard(&spoilt).lead(NOW.plus(2_100 * MS)),
+        Duration::ZERO,
+        "no two of them agree"
+    );
     let mut evidence = heard(&[replica(1, 5_000 * MS)]);
     let later = NOW.plus(Duration::from_secs(60));
-    evidence.told(Told { position: later.plus(5_000 * MS), ..replica(2, Duration::ZERO) }, later);
-    assert_eq!(evidence.lead(later.plus(2_100 * MS)), Duration::ZERO, "the first is forgotten by then");
+    evidence.told(
+        Told {
+            position: later.plus(5_000 * MS),
+            ..replica(2, Duration::ZERO)
+        },
+        later,
+    );
+    assert_eq!(
+        evidence.lead(later.plus(2_100 * MS)),
+        Duration::ZERO,
+        "the first is forgotten by then"
+    );
 }
 
 /// What two liars have proven is taken back by primaries, three times in a row and not sooner.
@@ -137,7 +180,11 @@
     evidence.told(primary(3, Duration::ZERO), NOW);
     assert_eq!(evidence.lead(NOW), 5_000 * MS, "one has agreed in between");
     evidence.told(primary(3, 2 * MS), NOW);
-    assert_eq!(evidence.lead(NOW), 10 * MS, "the most that they allow, in tens of milliseconds");
+    assert_eq!(
+        evidence.lead(NOW),
+        10 * MS,
+        "the most that they allow, in tens of milliseconds"
+    );
     // A replica's old position contradicts nothing: it may lag.
     let mut evidence = heard(&[primary(1, 5_000 * MS); 3]);
     (0..9).for_each(|_| evidence.told(replica(2, Duration::ZERO), NOW));
@@ -151,16 +198,28 @@
         let mut evidence = heard(&[primary(1, Duration::ZERO)]);
         evidence.system(step);
         assert_eq!(evidence.lead(NOW), step);
-        assert_eq!(evidence.latest(NOW), NOW.plus(1_000 * MS), "no position is believed by it alone");
+        assert_eq!(
+            evidence.latest(NOW),
+            NOW.plus(1_000 * MS),
+            "no position is believed by it alone"
+        );
         for _ in 0..3 {
             assert_eq!(evidence.lead(NOW), step);
             evidence.told(primary(1, Duration::ZERO), NOW);
         }
         assert_eq!(evidence.lead(NOW), Duration::ZERO);
         evidence.system(step);
-        assert_eq!(evidence.lead(NOW), Duration::ZERO, "the same reading stays refuted");
+        assert_eq!(
+            evidence.lead(NOW),
+            Duration::ZERO,
+            "the same reading stays refuted"
+        );
         evidence.system(step + 1_000 * MS);
-        assert_eq!(evidence.lead(NOW), step + 1_000 * MS, "another step is another reading");
+        assert_eq!(
+            evidence.lead(NOW),
+            step + 1_000 * MS,
+            "another step is another reading"
+        );
         evidence.system(Duration::ZERO);
         assert_eq!(evidence.lead(NOW), Duration::ZERO, "it was stepped back");
     }
@@ -169,17 +228,28 @@
 /// A report may be old, and a slow answer leaves much open: neither takes back a small lead, nor supports one.
 #[test]
 fn words_that_leave_much_open_neither_support_nor_contradict() {
-    let slow = Told { present_since: Some(NOW.minus(3_000 * MS)), ..primary(1, Duration::ZERO) };
+    let slow = Told {
+        present_since: Some(NOW.minus(3_000 * MS)),
+        ..primary(1, Duration::ZERO)
+    };
     let mut evidence = Evidence::default();
     evidence.system(2_000 * MS);
     (0..9).for_each(|_| evidence.told(slow, NOW));
     assert_eq!(evidence.lead(NOW), 2_000 * MS);
-    for word in
-        [primary(1, Duration::ZERO), slow, primary(1, Duration::ZERO), slow, primary(1, Duration::ZERO)]
-    {
+    for word in [
+        primary(1, Duration::ZERO),
+        slow,
+        primary(1, Duration::ZERO),
+        slow,
+        primary(1, Duration::ZERO),
+    ] {
         evidence.told(word, NOW);
     }
-    assert_eq!(evidence.lead(NOW), Duration::ZERO, "quick answers in a row, but for what says nothing");
+    assert_eq!(
+        evidence.lead(NOW),
+        Duration::ZERO,
+        "quick answers in a row, but for what says nothing"
+    );
 }
 
 /// Machines whose clocks differ by milliseconds: needs stay as they are from one answer to the next.
@@ -219,10 +289,20 @@
 fn a_report_ahead_of_the_clock_still_tells_the_role() {
     let probed = |ahead: Duration| {
         let fields = [("x0", NOW.plus(ahead).0.as_secs_f64()), ("x1", 1.0)];
-        let fields = fields.map(|(name, value)| (name.to_owned(), value)).to_vec();
+        let fields = fields
+            .map(|(name, value)| (name.to_owned(), value))
+            .to_vec();
         let (purpose, verdict, store) = (Purpose::Probe, Verdict::Reported(fields), StoreId(1));
         let (elapsed, note) = (MS, Note::default());
-        let done = Done { purpose, class: None, group: None, store, verdict, elapsed, note };
+        let done = Done {
+            purpose,
+            class: None,
+            group: None,
+            store,
+            verdict,
+            elapsed,
+            note,
+        };
         match book::book(&done, true, NOW) {
             Event::Probed { report, .. } => (report.primary, report.position.is_some()),
             other => panic!("{other:?}"),
@@ -231,7 +311,11 @@
     assert_eq!(probed(Duration::ZERO), (Some(true), true));
     assert_eq!(probed(5_000 * MS), (Some(true), false));
     assert_eq!(probed(3_600_000 * MS), (Some(true), false));
-    assert_eq!(probed(Duration::from_secs(1 << 40)), (None, false), "nothing in it can be true");
+    assert_eq!(
+        probed(Duration::from_secs(1 << 40)),
+        (None, false),
+        "nothing in it can be true"
+    );
 }
 
 // ---- Stories ----
@@ -251,7 +335,10 @@
 
 /// True time: that of the machine.
 fn true_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
 }
 
 /// A record server that answers each query with its own name, and tells its position as it is then.
@@ -268,7 +355,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (lag, breaks) = (off(lag_ms), Arc::new(AtomicBool::new(false)));
-        let server = Server { address, lag: lag.clone(), breaks: breaks.clone() };
+        let server = Server {
+            address,
+            lag: lag.clone(),
+            breaks: breaks.clone(),
+        };
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (lag, breaks, step) = (lag.clone(), breaks.clone(), step.clone());
@@ -334,7 +425,12 @@
             config.wall_clock = wall(clock);
         });
         let client = Peer::client(stage.address);
-        Scene { _stage: stage, client, asked: 0, replica }
+        Scene {
+            _stage: stage,
+            client,
+            asked: 0,
+            replica,
+        }
     }
 
     /// Who has answered.
@@ -347,7 +443,9 @@
             "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait},cluster=3{more} */"
         ));
         let reply = self.client.reply();
-        reply.value.unwrap_or_else(|| panic!("{class} {more}: {:?} {:?}", reply.code, reply.detail))
+        reply
+            .value
+            .unwrap_or_else(|| panic!("{class} {more}: {:?} {:?}", reply.code, reply.detail))
     }
 
     fn write(&mut self) {
@@ -356,14 +454,22 @@
 
     /// Both servers have told who they are and where.
     fn meet(&mut self) {
-        let of_replica = (0..100).filter(|_| self.ask("any", "") == "replica").take(3).count();
-        assert_eq!(of_replica, 3, "reads that may go anywhere spare the primary");
+        let of_replica = (0..100)
+            .filter(|_| self.ask("any", "") == "replica")
+            .take(3)
+            .count();
+        assert_eq!(
+            of_replica, 3,
+            "reads that may go anywhere spare the primary"
+        );
         self.write();
     }
 
     /// So many reads of a class in a row, and those that the replica had.
     fn replica_had(&mut self, reads: u32, class: &str, more: impl Fn() -> String) -> u32 {
-        (0..reads).map(|_| u32::from(self.ask(class, &more()) == "replica")).sum()
+        (0..reads)
+            .map(|_| u32::from(self.ask(class, &more()) == "replica"))
+            .sum()
     }
 }
 
@@ -376,7 +482,11 @@
         let mut scene = Scene::new(&clock, 0, 4_500, SETTINGS);
         scene.meet();
         let after = || format!(",after={}", true_ms() - 1_000);
-        assert_eq!(scene.replica_had(8, "own", after), 0, "a clock off by {start} ms at the start");
+        assert_eq!(
+            scene.replica_had(8, "own", after),
+            0,
+            "a clock off by {start} ms at the start"
+        );
     }
 }
 
@@ -388,7 +498,10 @@
         let mut scene = Scene::new(&clock, 0, 20, SETTINGS);
         scene.meet();
         let after = || format!(",after={}", true_ms() - 1_000);
-        assert!(scene.replica_had(10, "own", after) > 4, "a clock off by {start} ms at the start");
+        assert!(
+            scene.replica_had(10, "own", after) > 4,
+            "a clock off by {start} ms at the start"
+        );
     }
 }
 
@@ -411,7 +524,10 @@
         let mut scene = Scene::new(&clock, 0, lag, SETTINGS);
         scene.meet();
         let reads = scene.replica_had(8, "recent", String::new);
-        assert_eq!(reads, 0, "a clock off by {start} ms and a replica {lag} ms behind");
+        assert_eq!(
+            reads, 0,
+            "a clock off by {start} ms and a replica {lag} ms behind"
+        );
     }
 }
 
@@ -422,7 +538,11 @@
         let clock = off(start);
         let mut scene = Scene::new(&clock, 0, 4_500, SETTINGS);
         scene.meet();
-        assert_eq!(scene.replica_had(10, "recent", String::new), 0, "a clock off by {start} ms");
+        assert_eq!(
+            scene.replica_had(10, "recent", String::new),
+            0,
+            "a clock off by {start} ms"
+        );
     }
 }
 
@@ -435,7 +555,10 @@
         let clock = off(0);
         let mut scene = Scene::new(&clock, step, 20, SETTINGS);
         scene.meet();
-        assert!((0..50).any(|_| scene.ask("recent", "") == "replica"), "the replica is fresh enough");
+        assert!(
+            (0..50).any(|_| scene.ask("recent", "") == "replica"),
+            "the replica is fresh enough"
+        );
         scene.replica.breaks.store(true, Ordering::SeqCst);
         let begun = Instant::now();
         let mut by = scene.ask("recent", "");
@@ -445,7 +568,10 @@
         }
         assert_eq!(by, "primary", "a step of {step} ms");
         while scene.ask("recent", "") != "replica" {
-            assert!(begun.elapsed() < PATIENCE, "a step of {step} ms is not refuted");
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "a step of {step} ms is not refuted"
+            );
         }
     }
 }
@@ -465,8 +591,16 @@
         while begun.elapsed() < 600 * MS {
             scene.ask("recent", "");
         }
-        assert_eq!(clock.load(Ordering::SeqCst), step, "the replica got a read and broke it off");
-        assert_eq!(scene.replica_had(2, "recent", String::new), 0, "a step of {step} ms");
+        assert_eq!(
+            clock.load(Ordering::SeqCst),
+            step,
+            "the replica got a read and broke it off"
+        );
+        assert_eq!(
+            scene.replica_had(2, "recent", String::new),
+            0,
+            "a step of {step} ms"
+        );
     }
 }
 
@@ -475,7 +609,9 @@
 fn a_step_moves_no_deadline() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
         let (clock, server) = (off(0), common::Listener::new());
-        let stage = Stage::with(&[("s-1", &server)], |config| config.wall_clock = wall(&clock));
+        let stage = Stage::with(&[("s-1", &server)], |config| {
+            config.wall_clock = wall(&clock)
+        });
         let mut client = Peer::client(stage.address);
         client.ask(&common::read(1, "any", 600));
         let begun = Instant::now();
@@ -488,7 +624,10 @@
         other.reply();
         assert!(client.reply().code.is_some());
         let took = begun.elapsed();
-        assert!(took > 300 * MS && took < 2_000 * MS, "a step of {step} ms: {took:?}");
+        assert!(
+            took > 300 * MS && took < 2_000 * MS,
+            "a step of {step} ms: {took:?}"
+        );
     }
 }
 
@@ -516,8 +655,15 @@
 }
 
 /// A keyed write whose first attempt may have run, `after` which the clock is stepped and the connection breaks.
-fn broken_keyed_write(window: Duration, after: Duration, step: i64) -> (Stage, Peer, common::Listener) {
-    let keyed = format!(r#""Effect": "keyed", "Group": "all", "Window": {}"#, window.as_micros());
+fn broken_keyed_write(
+    window: Duration,
+    after: Duration,
+    step: i64,
+) -> (Stage, Peer, common::Listener) {
+    let keyed = format!(
+        r#""Effect": "keyed", "Group": "all", "Window": {}"#,
+        window.as_micros()
+    );
     let settings = SETTINGS.replace(r#""Effect": "unsafe""#, &keyed);
     let (clock, server) = (off(0), common::Listener::new());
     let stage = Stage::with(&[("s-1", &server)], |config| {
@@ -538,16 +684,23 @@
 #[test]
 fn a_step_moves_no_window_of_a_key() {
     for step in STEPS {
-        let (_stage, mut client, server) = broken_keyed_write(Duration::from_secs(4), Duration::ZERO, step);
+        let (_stage, mut client, server) =
+            broken_keyed_write(Duration::from_secs(4), Duration::ZERO, step);
         let (mut upstream, query) = next_query(&server);
-        assert!(query.contains(",k=5c0f"), "a step of {step} ms, inside the window: {query}");
+        assert!(
+            query.contains(",k=5c0f"),
+            "a step of {step} ms, inside the window: {query}"
+        );
         upstream.answer("one", &[("role", "primary")]);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
         let (_stage, mut client, _server) = broken_keyed_write(200 * MS, 300 * MS, step);
         // Sent again, it would be waited for until its client's time is over.
         let begun = Instant::now();
         assert!(client.reply().code.is_some());
-        assert!(begun.elapsed() < 2_500 * MS, "a step of {step} ms, behind the window: it is sent again");
+        assert!(
+            begun.elapsed() < 2_500 * MS,
+            "a step of {step} ms, behind the window: it is sent again"
+        );
     }
 }
 
@@ -564,7 +717,10 @@
         clock.store(step, Ordering::SeqCst);
         stage.discovery.accept().watch();
         let took = begun.elapsed();
-        assert!(took > 200 * MS && took < 2_000 * MS, "a step of {step} ms: after {took:?}");
+        assert!(
+            took > 200 * MS && took < 2_000 * MS,
+            "a step of {step} ms: after {took:?}"
+        );
     }
 }
 
@@ -583,6 +739,9 @@
         clock.store(step, Ordering::SeqCst);
         assert!(upstream.ended());
         let took = begun.elapsed();
-        assert!(took > 200 * MS && took < 2_000 * MS, "a step of {step} ms: after {took:?}");
+        assert!(
+            took > 200 * MS && took < 2_000 * MS,
+            "a step of {step} ms: after {took:?}"
+        );
     }
 }
--- a/crates/list-clock/src/lib.rs
+++ b/crates/list-clock/src/lib.rs
@@ -60,7 +60,10 @@
 /// The latest first call of a new process that has to ask within `ask_within`: its dial may hang once, and the next one may
 /// wait for its turn. Where that leaves next to nothing, a quarter: many that start together must not call together.
 pub fn first_call(ask_within: Duration) -> Duration {
-    ask_within.saturating_sub(DIAL + TURN + ACTED).max(ask_within / 4).min(FIRST)
+    ask_within
+        .saturating_sub(DIAL + TURN + ACTED)
+        .max(ask_within / 4)
+        .min(FIRST)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -120,7 +123,13 @@
 impl Clock {
     /// `silence`: the longest that a watch may say nothing.
     pub fn new(silence: Duration, pushed: bool) -> Clock {
-        Clock { silence: silence.min(SILENCE), pushed, wanted: false, call: None, again: None }
+        Clock {
+            silence: silence.min(SILENCE),
+            pushed,
+            wanted: false,
+            call: None,
+            again: None,
+        }
     }
 
     /// From now on lists are pushed, or have to be asked for.
@@ -173,15 +182,26 @@
 
     fn call(&mut self, now: Time, actions: &mut Vec<Action>) {
         (self.wanted, self.again) = (true, None);
-        self.call = Some(Call { since: now, up: false, bytes: None, whole: None });
+        self.call = Some(Call {
+            since: now,
+            up: false,
+            bytes: None,
+            whole: None,
+        });
         actions.push(Action::Call);
     }
 
     /// When [`Event::Tick`] is due.
     pub fn due(&self) -> Option<Time> {
-        let Some(call) = &self.call else { return self.again };
+        let Some(call) = &self.call else {
+            return self.again;
+        };
         let from = call.from();
-        let silence = if call.whole.is_some() { self.silence } else { SILENCE };
+        let silence = if call.whole.is_some() {
+            self.silence
+        } else {
+            SILENCE
+        };
         Some(match call.bytes {
             _ if !call.up => call.since + DIAL,
             None => from + silence,
--- a/crates/list-clock/tests/bound.rs
+++ b/crates/list-clock/tests/bound.rs
@@ -2,8 +2,8 @@
 //! that time, whatever the calls before it had met with.
 
 use list_clock::{
-    first_call, Action, Clock, Event, Time, ACTED, AGAIN, DIAL, FIRST, LATEST, OBJECT, RETRY, SILENCE, TOLD,
-    TURN,
+    first_call, Action, Clock, Event, Time, ACTED, AGAIN, DIAL, FIRST, LATEST, OBJECT, RETRY,
+    SILENCE, TOLD, TURN,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -27,18 +27,33 @@
     ] {
         assert!(answered <= TOLD, "{answered:?}");
     }
-    assert!(RETRY + DIAL + ACTED <= ms(5_000), "a dial that hangs leaves a second for the next");
-    assert!(TURN + RETRY <= LATEST, "who is turned away after its turn keeps the whole of its spread");
+    assert!(
+        RETRY + DIAL + ACTED <= ms(5_000),
+        "a dial that hangs leaves a second for the next"
+    );
+    assert!(
+        TURN + RETRY <= LATEST,
+        "who is turned away after its turn keeps the whole of its spread"
+    );
 }
 
 #[test]
 fn a_first_call_leaves_time_for_a_second() {
     for ask_within in [500, 3_000, 4_000, 6_000, 10_000, 60_000].map(ms) {
         let first = first_call(ask_within);
-        assert!(first >= (ask_within / 4).min(FIRST), "many must not call together");
-        assert!(first <= FIRST, "what changed before the start counts as told soon");
+        assert!(
+            first >= (ask_within / 4).min(FIRST),
+            "many must not call together"
+        );
+        assert!(
+            first <= FIRST,
+            "what changed before the start counts as told soon"
+        );
         let tight = ask_within < (DIAL + TURN + ACTED) * 4 / 3;
-        assert!(tight || first + DIAL + TURN + ACTED <= ask_within, "{ask_within:?}");
+        assert!(
+            tight || first + DIAL + TURN + ACTED <= ask_within,
+            "{ask_within:?}"
+        );
     }
 }
 
@@ -50,13 +65,18 @@
     /// Refused, or reset before it is up.
     Refused(u64),
     /// Up; then these events, each after a pause; then nothing more, or the end.
-    Up { after: u64, events: Vec<(u64, Event)>, ends: Option<u64> },
+    Up {
+        after: u64,
+        events: Vec<(u64, Event)>,
+        ends: Option<u64>,
+    },
 }
 
 /// A head alone, half a body and a trickle are bytes at times; a standing watch is whole objects.
 fn fate() -> impl Strategy<Value = Fate> {
     let event = prop_oneof![3 => Just(Event::Bytes), 1 => Just(Event::Whole)];
-    let trickle = (1_u64..700).prop_map(|pause| vec![(pause, Event::Bytes); 6_000 / pause as usize]);
+    let trickle =
+        (1_u64..700).prop_map(|pause| vec![(pause, Event::Bytes); 6_000 / pause as usize]);
     let events = prop_oneof![
         1 => Just(Vec::new()),
         1 => Just(vec![(10, Event::Bytes)]),
@@ -115,7 +135,11 @@
         self.calls += 1;
         self.out = true;
         if now >= self.reachable_from {
-            let takes = if self.outlived { self.takes.1 } else { self.takes.0 };
+            let takes = if self.outlived {
+                self.takes.1
+            } else {
+                self.takes.0
+            };
             self.coming.push((now, Event::Up));
             self.coming.push((now + takes, Event::Whole));
             return;
@@ -123,19 +147,25 @@
         match self.fates[self.calls % self.fates.len()].clone() {
             Fate::Hangs => {}
             Fate::Refused(after) => self.coming.push((now + ms(after), Event::Ended)),
-            Fate::Up { after, events, ends } => {
+            Fate::Up {
+                after,
+                events,
+                ends,
+            } => {
                 let mut at = now + ms(after);
                 self.coming.push((at, Event::Up));
                 for (pause, event) in events {
                     at += ms(pause);
                     self.coming.push((at, event));
                 }
-                self.coming.extend(ends.map(|ends| (at.min(now + ms(after + ends)), Event::Ended)));
+                self.coming
+                    .extend(ends.map(|ends| (at.min(now + ms(after + ends)), Event::Ended)));
             }
         }
         // What was sent before the break may arrive after it, but no whole list of a service that is not there.
         let reachable = self.reachable_from;
-        self.coming.retain(|(at, event)| *event != Event::Whole || *at < reachable);
+        self.coming
+            .retain(|(at, event)| *event != Event::Whole || *at < reachable);
         self.coming.sort_by_key(|(at, _)| *at);
     }
 
@@ -145,7 +175,12 @@
             let due = self.clock.due();
             let next = self.coming.first().map(|(at, _)| *at);
             let order = self.orders.first().copied();
-            let Some(now) = [due, next, order].into_iter().flatten().min().filter(|at| *at <= until) else {
+            let Some(now) = [due, next, order]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|at| *at <= until)
+            else {
                 return;
             };
             if next == Some(now) {
--- a/crates/list-clock/tests/table.rs
+++ b/crates/list-clock/tests/table.rs
@@ -18,7 +18,11 @@
         1 => Just(Event::Moved),
         1 => Just(Event::Ask),
     ];
-    (any::<bool>(), 500_u64..6_000, prop::collection::vec((0_u64..4_000, event), 1..60))
+    (
+        any::<bool>(),
+        500_u64..6_000,
+        prop::collection::vec((0_u64..4_000, event), 1..60),
+    )
 }
 
 /// The latest time of the next call, from what was seen of this one alone; the table again, in other words.
@@ -113,7 +117,10 @@
     while let Some(due) = clock.due().filter(|due| *due < ms(6_000)) {
         clock.handle(due, Event::Tick, &mut actions);
     }
-    let calls = actions.iter().filter(|action| **action == Action::Call).count();
+    let calls = actions
+        .iter()
+        .filter(|action| **action == Action::Call)
+        .count();
     assert_eq!(calls, 3, "at 3, 4 and 5 s");
     assert!(!actions.contains(&Action::Tell), "silence is no answer");
 }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -88,7 +88,11 @@
 
     /// The list is whole, and these are in it.
     pub fn only(&mut self, listed: &BTreeSet<&str>) {
-        for (_, server) in self.servers.iter_mut().filter(|(name, _)| !listed.contains(name.as_str())) {
+        for (_, server) in self
+            .servers
+            .iter_mut()
+            .filter(|(name, _)| !listed.contains(name.as_str()))
+        {
             server.word = None;
         }
         self.forget(|_| true);
@@ -96,7 +100,8 @@
 
     /// Nothing is kept of what nobody speaks of any more.
     fn forget(&mut self, which: impl Fn(&str) -> bool) {
-        self.servers.retain(|name, s| s.word.is_some() || s.out.is_some() || !which(name));
+        self.servers
+            .retain(|name, s| s.word.is_some() || s.out.is_some() || !which(name));
     }
 
     /// Takes a server out; what counts of it from now on, if that is anything new.
@@ -112,7 +117,9 @@
     /// Calls a server back, however often it was taken out.
     pub fn include(&mut self, name: &str, now: Duration) -> Result<Option<Joined>, Unknown> {
         let server = self.servers.get_mut(name).ok_or(Unknown)?;
-        let Some(since) = server.out.take() else { return Ok(None) };
+        let Some(since) = server.out.take() else {
+            return Ok(None);
+        };
         server.before = Some((since, now.max(since)));
         let joined = server.joined();
         self.forget(|n| n == name);
@@ -126,8 +133,16 @@
 
     /// All that operators have said and that still counts.
     pub fn hands(&self) -> Vec<Hand> {
-        let said = self.servers.iter().filter(|(_, s)| s.out.is_some() || s.before.is_some());
-        said.map(|(name, s)| Hand { name: name.clone(), out: s.out, before: s.before }).collect()
+        let said = self
+            .servers
+            .iter()
+            .filter(|(_, s)| s.out.is_some() || s.before.is_some());
+        said.map(|(name, s)| Hand {
+            name: name.clone(),
+            out: s.out,
+            before: s.before,
+        })
+        .collect()
     }
 
     /// What was said to the process before this one, of the list that it had, which comes first.
--- a/crates/maintenance/tests/words.rs
+++ b/crates/maintenance/tests/words.rs
@@ -20,16 +20,31 @@
 #[test]
 fn out_while_either_says_so_whatever_is_undone_first() {
     let mut core = one();
-    assert_eq!(core.exclude("a", at(10)).unwrap().unwrap().word, Word::Draining);
-    assert_eq!(core.hears("a", Word::Draining, LONG_AGO).word, Word::Draining);
+    assert_eq!(
+        core.exclude("a", at(10)).unwrap().unwrap().word,
+        Word::Draining
+    );
+    assert_eq!(
+        core.hears("a", Word::Draining, LONG_AGO).word,
+        Word::Draining
+    );
     // By hand first, then discovery.
-    assert_eq!(core.include("a", at(20)).unwrap().unwrap().word, Word::Draining);
+    assert_eq!(
+        core.include("a", at(20)).unwrap().unwrap().word,
+        Word::Draining
+    );
     assert_eq!(core.hears("a", Word::Ready, LONG_AGO).word, Word::Ready);
     // Discovery first, then by hand.
     core.hears("a", Word::Draining, LONG_AGO);
-    assert_eq!(core.exclude("a", at(30)).unwrap().unwrap().word, Word::Draining);
+    assert_eq!(
+        core.exclude("a", at(30)).unwrap().unwrap().word,
+        Word::Draining
+    );
     assert_eq!(core.hears("a", Word::Ready, LONG_AGO).word, Word::Draining);
-    assert_eq!(core.include("a", at(40)).unwrap().unwrap().word, Word::Ready);
+    assert_eq!(
+        core.include("a", at(40)).unwrap().unwrap().word,
+        Word::Ready
+    );
 }
 
 #[test]
@@ -50,10 +65,24 @@
     core.only(&BTreeSet::new());
     assert_eq!(core.listed(), 0);
     assert_eq!(core.exclude("a", at(2)), Ok(None), "still theirs");
-    assert_eq!(core.hears("a", Word::Ready, at(3)).word, Word::Draining, "listed again, still out");
-    assert_eq!(core.include("a", at(4)).unwrap(), Some(Joined { word: Word::Ready, started: at(3) }));
+    assert_eq!(
+        core.hears("a", Word::Ready, at(3)).word,
+        Word::Draining,
+        "listed again, still out"
+    );
+    assert_eq!(
+        core.include("a", at(4)).unwrap(),
+        Some(Joined {
+            word: Word::Ready,
+            started: at(3)
+        })
+    );
     assert_eq!(core.hears("a", Word::Gone, at(3)).word, Word::Gone);
-    assert_eq!(core.include("a", at(5)), Err(Unknown), "nobody has it any more");
+    assert_eq!(
+        core.include("a", at(5)),
+        Err(Unknown),
+        "nobody has it any more"
+    );
 }
 
 #[test]
@@ -61,9 +90,21 @@
     let mut core = one();
     core.exclude("a", at(10)).unwrap();
     assert_eq!(core.include("a", at(20)).unwrap().unwrap().started, at(20));
-    assert_eq!(core.hears("a", Word::Ready, LONG_AGO).started, at(20), "the list is late");
-    assert_eq!(core.hears("a", Word::Ready, at(15)).started, at(15), "the list tells");
-    assert_eq!(core.hears("a", Word::Ready, at(60)).started, at(60), "a restart of its own");
+    assert_eq!(
+        core.hears("a", Word::Ready, LONG_AGO).started,
+        at(20),
+        "the list is late"
+    );
+    assert_eq!(
+        core.hears("a", Word::Ready, at(15)).started,
+        at(15),
+        "the list tells"
+    );
+    assert_eq!(
+        core.hears("a", Word::Ready, at(60)).started,
+        at(60),
+        "a restart of its own"
+    );
 }
 
 #[test]
@@ -77,13 +118,30 @@
     new.hears("a", Word::Ready, LONG_AGO);
     new.hears("b", Word::Ready, LONG_AGO);
     let changed = new.take_over(old.hands());
-    assert_eq!(changed[0], ("a".into(), Joined { word: Word::Draining, started: LONG_AGO }));
+    assert_eq!(
+        changed[0],
+        (
+            "a".into(),
+            Joined {
+                word: Word::Draining,
+                started: LONG_AGO
+            }
+        )
+    );
     assert_eq!(new.hears("b", Word::Ready, LONG_AGO).started, at(12));
     assert_eq!(
         new.hands(),
         vec![
-            Hand { name: "a".into(), out: Some(at(10)), before: None },
-            Hand { name: "b".into(), out: None, before: Some((at(10), at(12))) },
+            Hand {
+                name: "a".into(),
+                out: Some(at(10)),
+                before: None
+            },
+            Hand {
+                name: "b".into(),
+                out: None,
+                before: Some((at(10), at(12)))
+            },
         ]
     );
 }
