--- a/crates/membership/src/core.rs
+++ b/crates/membership/src/core.rs
@@ -182,7 +182,12 @@
     pub fn new(config: Config, seed: u64) -> Result<Self, RosterError> {
         let roster = Known::new(&config.me, config.roster.clone())?;
         let me = number(&config.me);
-        let id = Id { number: me, start: config.start, returns: 0, roster: roster.version };
+        let id = Id {
+            number: me,
+            start: config.start,
+            returns: 0,
+            roster: roster.version,
+        };
         let swim = Swim::new(id, pace(&config, &roster), seed);
         let mut core = Self {
             me,
@@ -225,7 +230,8 @@
         self.looked.clear();
         self.swim.touched = true;
         let members = &self.roster.members;
-        self.regions.retain(|region, _| members.values().any(|member| member.region == *region));
+        self.regions
+            .retain(|region, _| members.values().any(|member| member.region == *region));
         for member in members.values() {
             self.regions.entry(member.region.clone()).or_default();
         }
@@ -254,7 +260,12 @@
                 adopted = true;
             }
             Event::Leave => self.leave(now),
-            Event::Tell { kind, key, body, lasts } => match self.store.tell(now, kind, key, body, lasts) {
+            Event::Tell {
+                kind,
+                key,
+                body,
+                lasts,
+            } => match self.store.tell(now, kind, key, body, lasts) {
                 Ok(name) => self.pass_on(name),
                 Err(error) => actions.push(Action::Untold(error)),
             },
@@ -287,13 +298,17 @@
             self.armed = due;
             if let Some(due) = due {
                 self.token += 1;
-                actions.push(Action::Timer { after: due.saturating_sub(now), token: self.token });
+                actions.push(Action::Timer {
+                    after: due.saturating_sub(now),
+                    token: self.token,
+                });
             }
         }
     }
 
     fn is_late(&self, now: Duration) -> bool {
-        self.due().is_some_and(|due| now.saturating_sub(due) > self.config.late)
+        self.due()
+            .is_some_and(|due| now.saturating_sub(due) > self.config.late)
     }
 
     /// A process that was paused has to wait for answers before it calls anyone dead, and to hear again before it
@@ -307,13 +322,23 @@
         self.swim.postpone(by);
         self.beat = self.beat.map(|_| now);
         self.counts.pauses += 1;
-        self.doubt = Some(Doubt { since: now, acked: BTreeSet::new() });
+        self.doubt = Some(Doubt {
+            since: now,
+            acked: BTreeSet::new(),
+        });
         self.seen.suspect_anew(now);
         self.fleet.forget();
         self.regions.values_mut().for_each(Standing::forget);
     }
 
-    fn heard(&mut self, now: Duration, from: &str, start: u64, bytes: &[u8], actions: &mut Vec<Action>) {
+    fn heard(
+        &mut self,
+        now: Duration,
+        from: &str,
+        start: u64,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
         let from = number(from);
         let Some(seen) = self.seen.get(from) else {
             self.counts.strangers += 1;
@@ -385,12 +410,17 @@
                 let theirs: BTreeSet<Id> = ids.into_iter().collect();
                 let mine = self.seen.downs();
                 let (seen, lacking) = (&self.seen, mine.difference(&theirs).copied().collect());
-                let new = theirs.difference(mine).filter(|id| seen.get(id.number).is_some());
+                let new = theirs
+                    .difference(mine)
+                    .filter(|id| seen.get(id.number).is_some());
                 let new: Vec<Id> = new.copied().collect();
                 let later = |id: &Id, mine: Id| (mine.start, mine.returns) > (id.start, id.returns);
                 let alive = |id: &&Id| {
-                    let seen = seen.get(id.number).filter(|seen| seen.status == Status::Alive);
-                    seen.and_then(|seen| seen.id).is_some_and(|mine| later(id, mine))
+                    let seen = seen
+                        .get(id.number)
+                        .filter(|seen| seen.status == Status::Alive);
+                    seen.and_then(|seen| seen.id)
+                        .is_some_and(|mine| later(id, mine))
                 };
                 let disputed = theirs.iter().filter(alive).map(|id| id.number);
                 disputed.for_each(|number| _ = self.disputed.entry(number).or_default());
@@ -407,10 +437,22 @@
         let downs: Vec<Id> = downs.into_iter().sample(&mut self.rng, DOWNS * ANSWERS);
         if downs.is_empty() && !answer {
             // Nothing to tell, but the other has something.
-            self.send_view(to, &Views::Down { answer, ids: Vec::new() });
+            self.send_view(
+                to,
+                &Views::Down {
+                    answer,
+                    ids: Vec::new(),
+                },
+            );
         }
         for ids in downs.chunks(DOWNS) {
-            self.send_view(to, &Views::Down { answer, ids: ids.to_vec() });
+            self.send_view(
+                to,
+                &Views::Down {
+                    answer,
+                    ids: ids.to_vec(),
+                },
+            );
         }
     }
 
@@ -437,7 +479,12 @@
                 self.pull.claimed(from, differing, &mut self.rng);
                 return Ok(());
             }
-            Frame::Detail { answer, source, part, versions } => {
+            Frame::Detail {
+                answer,
+                source,
+                part,
+                versions,
+            } => {
                 if self.answered_with < ANSWERED {
                     let answers = self.store.lacking(now, answer, source, part, &versions);
                     let before = self.swim.out.len();
@@ -448,11 +495,17 @@
             }
         };
         for said in facts {
-            let Some(source) = self.roster.members.get(&said.source).map(|member| member.name.clone()) else {
+            let Some(source) = self
+                .roster
+                .members
+                .get(&said.source)
+                .map(|member| member.name.clone())
+            else {
                 self.counts.facts_refused += 1;
                 continue;
             };
-            self.pull.got(from, said.source, said.key.len() + said.body.len());
+            self.pull
+                .got(from, said.source, said.key.len() + said.body.len());
             match self.store.hear(now, said) {
                 Taken::New(name) => {
                     actions.extend(self.store.fact(now, &name, &source).map(Action::Fact));
@@ -501,9 +554,20 @@
         if !silent && self.seen.others().len() == self.seen.len() {
             return;
         }
-        let unheard = self.seen.iter().filter(|(_, seen)| silent || !is_heard(seen.status));
-        for (number, seen) in unheard.map(|(number, seen)| (number, *seen)).sample(&mut self.rng, count) {
-            let unknown = Id { number, start: 0, returns: 0, roster: 0 };
+        let unheard = self
+            .seen
+            .iter()
+            .filter(|(_, seen)| silent || !is_heard(seen.status));
+        for (number, seen) in unheard
+            .map(|(number, seen)| (number, *seen))
+            .sample(&mut self.rng, count)
+        {
+            let unknown = Id {
+                number,
+                start: 0,
+                returns: 0,
+                roster: 0,
+            };
             self.swim.announce(now, seen.id.unwrap_or(unknown));
         }
     }
@@ -540,7 +604,10 @@
         }
         self.answered_with = 0;
         let store = &self.store;
-        for (to, source) in self.pull.asks(now, |source| store.hash(source), &mut self.rng) {
+        for (to, source) in self
+            .pull
+            .asks(now, |source| store.hash(source), &mut self.rng)
+        {
             for detail in self.store.details(source, false) {
                 self.send(to, &detail);
             }
@@ -548,7 +615,10 @@
         // Probes that nobody answers for so long, or none sent: `foca` sends none once it came back under a new
         // identity that nobody has taken up yet, and would hold all for alive meanwhile.
         if !alone && now > self.answered + self.config.settle {
-            self.doubt.get_or_insert_with(|| Doubt { since: now, acked: BTreeSet::new() });
+            self.doubt.get_or_insert_with(|| Doubt {
+                since: now,
+                acked: BTreeSet::new(),
+            });
         }
         if let Some(doubt) = &self.doubt {
             // As many as make a majority with oneself, or three.
@@ -567,7 +637,10 @@
             return;
         }
         let asked: Vec<u32> = others.sample(&mut self.rng, ASKED).copied().collect();
-        for id in asked.into_iter().filter_map(|number| self.seen.get(number)?.id) {
+        for id in asked
+            .into_iter()
+            .filter_map(|number| self.seen.get(number)?.id)
+        {
             self.swim.announce(now, id);
         }
     }
@@ -592,7 +665,9 @@
         let (seen, patience) = (&self.seen, self.config.period * 2);
         let mut silent = Vec::new();
         self.disputed.retain(|number, asked| {
-            let Some(of) = seen.get(*number).filter(|of| of.status == Status::Alive) else { return false };
+            let Some(of) = seen.get(*number).filter(|of| of.status == Status::Alive) else {
+                return false;
+            };
             let Some(asked) = *asked else { return true };
             if now >= asked + patience {
                 silent.push(*number);
@@ -602,7 +677,10 @@
         for number in silent {
             self.swim.suspect(now, number);
         }
-        let waiting = self.disputed.iter_mut().filter(|(_, asked)| asked.is_none());
+        let waiting = self
+            .disputed
+            .iter_mut()
+            .filter(|(_, asked)| asked.is_none());
         for (number, asked) in waiting.sample(&mut self.rng, DISPUTES) {
             if let Some(id) = self.seen.get(*number).and_then(|of| of.id) {
                 *asked = Some(now);
@@ -617,17 +695,28 @@
         if self.fresh.is_empty() {
             return;
         }
-        let to: Vec<u32> = self.seen.others().sample(&mut self.rng, RUMOUR).copied().collect();
+        let to: Vec<u32> = self
+            .seen
+            .others()
+            .sample(&mut self.rng, RUMOUR)
+            .copied()
+            .collect();
         if to.is_empty() {
             return;
         }
         let store = &self.store;
         self.fresh.retain(|name, _| store.holds(name));
-        let mut names: Vec<(Name, u8)> =
-            self.fresh.iter().map(|(name, times)| (name.clone(), *times)).collect();
+        let mut names: Vec<(Name, u8)> = self
+            .fresh
+            .iter()
+            .map(|(name, times)| (name.clone(), *times))
+            .collect();
         names.shuffle(&mut self.rng);
         names.sort_by_key(|(_, times)| Reverse(*times));
-        let said: Vec<Said> = names.iter().filter_map(|(name, _)| self.store.get(now, name)).collect();
+        let said: Vec<Said> = names
+            .iter()
+            .filter_map(|(name, _)| self.store.get(now, name))
+            .collect();
         let mut passed = 0;
         for number in to {
             passed = self.pack(number, vec![Frame::Facts(said.clone())]);
@@ -651,7 +740,8 @@
             match frame {
                 Frame::Facts(said) => {
                     for said in said {
-                        let size = postcard::experimental::serialized_size(&said).unwrap_or(DATAGRAM_BYTES);
+                        let size = postcard::experimental::serialized_size(&said)
+                            .unwrap_or(DATAGRAM_BYTES);
                         if bytes + size > DATAGRAM_BYTES - 8 {
                             passed += facts.len();
                             self.send(to, &Frame::Facts(std::mem::take(&mut facts)));
@@ -696,7 +786,11 @@
     fn flush(&mut self, actions: &mut Vec<Action>) {
         for (to, bytes) in self.swim.out.drain(..) {
             if let Some(member) = self.roster.members.get(&to) {
-                actions.push(Action::Send { to: member.name.clone(), address: member.address, bytes });
+                actions.push(Action::Send {
+                    to: member.name.clone(),
+                    address: member.address,
+                    bytes,
+                });
             }
         }
     }
@@ -713,7 +807,9 @@
                 Some(looked) => *looked = (id, status),
                 None => self.looked.push((id, status)),
             }
-            let Some(change) = self.seen.take(now, &self.roster, id, status) else { continue };
+            let Some(change) = self.seen.take(now, &self.roster, id, status) else {
+                continue;
+            };
             self.counts.roster_differs += u64::from(change.differs);
             if change.back {
                 self.curious = self.beats + CURIOUS;
@@ -728,7 +824,11 @@
                 if !is_heard(status) {
                     self.lively = self.beats + LIVELY;
                 }
-                let name = self.roster.members.get(&id.number).map(|member| member.name.clone());
+                let name = self
+                    .roster
+                    .members
+                    .get(&id.number)
+                    .map(|member| member.name.clone());
                 actions.extend(name.map(|name| Action::Changed(name, status)));
             }
         }
@@ -738,7 +838,9 @@
     /// Nothing has changed that was not looked at, and all is counted.
     fn is_seen(&self) -> bool {
         let same = |(id, status): (Id, Status)| {
-            self.seen.get(id.number).is_none_or(|seen| (seen.id, seen.status) == (Some(id), status))
+            self.seen
+                .get(id.number)
+                .is_none_or(|seen| (seen.id, seen.status) == (Some(id), status))
         };
         self.swim.members().all(same) && self.seen.adds_up(&self.roster, self.me)
     }
@@ -776,8 +878,10 @@
         let standings: Vec<(Option<&str>, &Standing)> = match region {
             None => vec![(None, &self.fleet)],
             Some(region) => {
-                let part =
-                    self.regions.get(region).ok_or_else(|| Denied::UnknownRegion(region.to_owned()))?;
+                let part = self
+                    .regions
+                    .get(region)
+                    .ok_or_else(|| Denied::UnknownRegion(region.to_owned()))?;
                 let fleet = (act == Act::Promote).then_some((None, &self.fleet));
                 fleet.into_iter().chain([(Some(region), part)]).collect()
             }
@@ -790,7 +894,12 @@
                 Rule::No => {
                     let Heads { heard, of, .. } = standing.heads;
                     let region = region.map(str::to_owned);
-                    return Err(Denied::TooFew { state: standing.state, heard, of, region });
+                    return Err(Denied::TooFew {
+                        state: standing.state,
+                        heard,
+                        of,
+                        region,
+                    });
                 }
                 Rule::Agreed if self.left => return Err(Denied::Left),
                 Rule::Agreed => match self.seen.differing() {
@@ -831,7 +940,8 @@
                 since: seen.since,
                 start: seen.id.map(|id| id.start),
                 roster: seen.id.map(|id| id.roster),
-                direct: is_heard(seen.status) && seen.heard.is_some_and(|heard| now <= heard + rounds),
+                direct: is_heard(seen.status)
+                    && seen.heard.is_some_and(|heard| now <= heard + rounds),
             })
         };
         View {
@@ -840,7 +950,11 @@
             heads: self.fleet.heads,
             roster: self.roster.version,
             roster_differs: self.seen.differing(),
-            regions: self.regions.iter().map(|(region, part)| (region.clone(), part.state)).collect(),
+            regions: self
+                .regions
+                .iter()
+                .map(|(region, part)| (region.clone(), part.state))
+                .collect(),
             members: self.seen.iter().filter_map(sight).collect(),
             facts: self.store.len(),
             fact_bytes: self.store.bytes(),
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -17,7 +17,10 @@
 /// Sources in one summary, versions in one detail: so that neither is longer than a datagram.
 const SUMMARY: usize = 100;
 const DETAIL: usize = 36;
-const NO_PART: Part = Part { from: 0, to: u64::MAX };
+const NO_PART: Part = Part {
+    from: 0,
+    to: u64::MAX,
+};
 
 /// A fact of another proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +46,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { facts_per_source: 64, bytes: 8 << 20, lasts_max: Duration::from_secs(600) }
+        Self {
+            facts_per_source: 64,
+            bytes: 8 << 20,
+            lasts_max: Duration::from_secs(600),
+        }
     }
 }
 
@@ -54,7 +61,9 @@
     Key(usize),
     #[error("a fact's body has {0} bytes, at most {BODY_BYTES} fit")]
     Body(usize),
-    #[error("a fact would last {0:?}, at most {1:?} are allowed: say it again before it lapses instead")]
+    #[error(
+        "a fact would last {0:?}, at most {1:?} are allowed: say it again before it lapses instead"
+    )]
     Lasts(Duration, Duration),
     #[error("no room for another fact: let some lapse, or raise the bound of facts a source or of bytes")]
     Full,
@@ -170,7 +179,9 @@
     }
 
     fn age(&self, now: Duration, held: &Held) -> Duration {
-        self.limits.lasts_max.saturating_sub(held.gone.saturating_sub(now))
+        self.limits
+            .lasts_max
+            .saturating_sub(held.gone.saturating_sub(now))
     }
 
     fn remove(&mut self, name: &Name) {
@@ -190,7 +201,11 @@
     fn put(&mut self, now: Duration, name: &Name, held: Held) -> bool {
         let size = ENTRY_BYTES + name.2.len() + held.body.len();
         self.remove(name);
-        if self.sources.get(&name.0).is_some_and(|source| source.0 >= self.limits.facts_per_source) {
+        if self
+            .sources
+            .get(&name.0)
+            .is_some_and(|source| source.0 >= self.limits.facts_per_source)
+        {
             let lapsed = self
                 .of(name.0)
                 .filter(|(_, held)| self.age(now, held) >= held.lasts)
@@ -213,7 +228,9 @@
     }
 
     fn of(&self, source: u32) -> impl Iterator<Item = (&Name, &Held)> {
-        self.held.range((source, 0, Vec::new())..).take_while(move |(name, _)| name.0 == source)
+        self.held
+            .range((source, 0, Vec::new())..)
+            .take_while(move |(name, _)| name.0 == source)
     }
 
     pub fn tell(
@@ -236,7 +253,13 @@
         self.sequence += 1;
         let name = (self.me, kind, key);
         let gone = now + self.limits.lasts_max;
-        let held = Held { start: self.start, sequence: self.sequence, body, lasts, gone };
+        let held = Held {
+            start: self.start,
+            sequence: self.sequence,
+            body,
+            lasts,
+            gone,
+        };
         if self.put(now, &name, held) {
             Ok(name)
         } else {
@@ -247,7 +270,10 @@
     pub fn hear(&mut self, now: Duration, said: Said) -> Taken {
         let age = Duration::from_millis(said.age_ms.into());
         let lasts = Duration::from_millis(said.lasts_ms.into());
-        if age >= self.limits.lasts_max || lasts > self.limits.lasts_max || said.sequence > LAST_SEQUENCE {
+        if age >= self.limits.lasts_max
+            || lasts > self.limits.lasts_max
+            || said.sequence > LAST_SEQUENCE
+        {
             return Taken::Known;
         }
         let name = (said.source, said.kind, said.key);
@@ -266,7 +292,13 @@
         }
         let lapsed = age >= lasts;
         let body = if lapsed { Vec::new() } else { said.body };
-        let held = Held { start: said.start, sequence: said.sequence, body, lasts, gone };
+        let held = Held {
+            start: said.start,
+            sequence: said.sequence,
+            body,
+            lasts,
+            gone,
+        };
         match self.put(now, &name, held) {
             true if lapsed => Taken::Known,
             true => Taken::New(name),
@@ -280,7 +312,11 @@
         if version.0 > self.start {
             return Taken::Later(version.0);
         }
-        if self.held.get(&name).is_some_and(|held| (held.start, held.sequence) >= version) {
+        if self
+            .held
+            .get(&name)
+            .is_some_and(|held| (held.start, held.sequence) >= version)
+        {
             return Taken::Known;
         }
         self.sequence = self.sequence.max(version.1) + 1;
@@ -288,7 +324,13 @@
             Some(held) => (held.body.clone(), held.lasts, held.gone),
             None => (Vec::new(), Duration::ZERO, now + self.limits.lasts_max),
         };
-        let held = Held { start: self.start, sequence: self.sequence, body, lasts, gone };
+        let held = Held {
+            start: self.start,
+            sequence: self.sequence,
+            body,
+            lasts,
+            gone,
+        };
         self.put(now, &name, held);
         if invented {
             Taken::Invented
@@ -299,13 +341,25 @@
 
     /// All that this process said it has said under a later start; gives what that was.
     pub fn renew(&mut self, now: Duration, start: u64) -> Vec<Name> {
-        let said = self.of(self.me).filter(|(_, held)| held.start == self.start);
-        let said: Vec<(Name, Held)> = said.map(|(name, held)| (name.clone(), held.clone())).collect();
+        let said = self
+            .of(self.me)
+            .filter(|(_, held)| held.start == self.start);
+        let said: Vec<(Name, Held)> = said
+            .map(|(name, held)| (name.clone(), held.clone()))
+            .collect();
         self.start = start;
         for (name, held) in &said {
             self.sequence += 1;
             // In the place of what is as long.
-            self.put(now, name, Held { start, sequence: self.sequence, ..held.clone() });
+            self.put(
+                now,
+                name,
+                Held {
+                    start,
+                    sequence: self.sequence,
+                    ..held.clone()
+                },
+            );
         }
         said.into_iter().map(|(name, _)| name).collect()
     }
@@ -368,7 +422,9 @@
 
     /// Whether it was said by an earlier process of that name.
     pub fn is_former(&self, name: &Name) -> bool {
-        self.held.get(name).is_some_and(|held| held.start < self.start)
+        self.held
+            .get(name)
+            .is_some_and(|held| held.start < self.start)
     }
 
     pub fn names(&self) -> impl Iterator<Item = &Name> {
@@ -396,13 +452,22 @@
     /// A summary from that source on, and where the next begins.
     fn summary_from(&self, from: u64) -> (Frame, Option<u64>) {
         let first = u32::try_from(from).unwrap_or(0);
-        let mut rest = self.sources.range(first..).map(|(source, (_, hash))| (*source, *hash));
+        let mut rest = self
+            .sources
+            .range(first..)
+            .map(|(source, (_, hash))| (*source, *hash));
         let sources: Vec<(u32, u32)> = rest.by_ref().take(SUMMARY).collect();
         let to = match (rest.next(), sources.last()) {
             (Some(_), Some((last, _))) => u64::from(*last),
             _ => u64::MAX,
         };
-        (Frame::Summary { part: Part { from, to }, sources }, (to != u64::MAX).then(|| to + 1))
+        (
+            Frame::Summary {
+                part: Part { from, to },
+                sources,
+            },
+            (to != u64::MAX).then(|| to + 1),
+        )
     }
 
     /// The hash of what is held of a source.
@@ -412,11 +477,16 @@
 
     /// What of a summary is not held here as its sender has it. What it lacks wholly it finds in a summary from here.
     pub fn differing(&self, sources: Vec<(u32, u32)>) -> Vec<(u32, u32)> {
-        sources.into_iter().filter(|(source, hash)| self.hash(*source) != Some(*hash)).collect()
+        sources
+            .into_iter()
+            .filter(|(source, hash)| self.hash(*source) != Some(*hash))
+            .collect()
     }
 
     fn versions(&self, source: u32) -> BTreeMap<u64, (&Name, &Held)> {
-        self.of(source).map(|(name, held)| (key_hash(name.1, &name.2), (name, held))).collect()
+        self.of(source)
+            .map(|(name, held)| (key_hash(name.1, &name.2), (name, held)))
+            .collect()
     }
 
     /// What is held of a source: who hears it answers with what is newer there.
@@ -427,15 +497,29 @@
             .map(|(hash, (_, held))| (hash, held.start, held.sequence))
             .collect();
         if versions.is_empty() {
-            return vec![Frame::Detail { answer, source, part: NO_PART, versions }];
+            return vec![Frame::Detail {
+                answer,
+                source,
+                part: NO_PART,
+                versions,
+            }];
         }
         let pieces = versions.chunks(DETAIL).count();
         let mut from = 0;
         let mut frames = Vec::new();
         for (at, piece) in versions.chunks(DETAIL).enumerate() {
-            let to = if at + 1 == pieces { u64::MAX } else { piece[piece.len() - 1].0 };
+            let to = if at + 1 == pieces {
+                u64::MAX
+            } else {
+                piece[piece.len() - 1].0
+            };
             let part = Part { from, to };
-            frames.push(Frame::Detail { answer, source, part, versions: piece.to_vec() });
+            frames.push(Frame::Detail {
+                answer,
+                source,
+                part,
+                versions: piece.to_vec(),
+            });
             from = to.saturating_add(1);
         }
         frames
@@ -451,18 +535,28 @@
         theirs: &[(u64, u64, u64)],
     ) -> Vec<Frame> {
         let mine = self.versions(source);
-        let theirs: BTreeMap<u64, (u64, u64)> =
-            theirs.iter().map(|(hash, start, sequence)| (*hash, (*start, *sequence))).collect();
+        let theirs: BTreeMap<u64, (u64, u64)> = theirs
+            .iter()
+            .map(|(hash, start, sequence)| (*hash, (*start, *sequence)))
+            .collect();
         let mut facts = Vec::new();
         for (hash, (name, held)) in &mine {
             let within = part.from <= *hash && *hash <= part.to;
-            if within && theirs.get(hash).is_none_or(|version| *version < (held.start, held.sequence)) {
+            if within
+                && theirs
+                    .get(hash)
+                    .is_none_or(|version| *version < (held.start, held.sequence))
+            {
                 facts.push(self.said(now, name, held));
             }
         }
-        let mut frames: Vec<Frame> = facts.into_iter().map(|said| Frame::Facts(vec![said])).collect();
+        let mut frames: Vec<Frame> = facts
+            .into_iter()
+            .map(|said| Frame::Facts(vec![said]))
+            .collect();
         let newer = |(hash, version): (&u64, &(u64, u64))| {
-            mine.get(hash).is_none_or(|(_, held)| (held.start, held.sequence) < *version)
+            mine.get(hash)
+                .is_none_or(|(_, held)| (held.start, held.sequence) < *version)
         };
         if !answer && theirs.iter().any(newer) {
             frames.extend(self.details(source, true));
@@ -495,10 +589,17 @@
     #[test]
     fn later_starts_and_sequences_win_and_ages_only_grow() {
         let mut store = Store::new(1, 10, Limits::default());
-        assert!(matches!(store.hear(at(100), said(2, 5, 1, 4, 0)), Taken::New(_)));
-        for (start, sequence, new) in
-            [(5, 3, false), (5, 4, false), (5, 5, true), (4, 9, false), (6, 1, true)]
-        {
+        assert!(matches!(
+            store.hear(at(100), said(2, 5, 1, 4, 0)),
+            Taken::New(_)
+        ));
+        for (start, sequence, new) in [
+            (5, 3, false),
+            (5, 4, false),
+            (5, 5, true),
+            (4, 9, false),
+            (6, 1, true),
+        ] {
             let taken = store.hear(at(100), said(2, start, 1, sequence, 0));
             assert_eq!(matches!(taken, Taken::New(_)), new, "{start} {sequence}");
         }
@@ -506,7 +607,9 @@
         store.hear(at(100), said(2, 6, 1, 1, 2000));
         let name = (2, 1, vec![1]);
         assert_eq!(store.fact(at(101), &name, "b").unwrap().age, at(10));
-        assert!(store.fact(at(120), &name, "b").is_some() && store.fact(at(121), &name, "b").is_none());
+        assert!(
+            store.fact(at(120), &name, "b").is_some() && store.fact(at(121), &name, "b").is_none()
+        );
         // It is remembered without its body, so that an older one does not come back; at last it is forgotten.
         store.tidy(at(121));
         assert!(store.bytes() < 100 && store.hear(at(122), said(2, 6, 1, 0, 0)) == Taken::Known);
@@ -516,7 +619,11 @@
 
     #[test]
     fn what_is_held_is_bounded_and_lapsed_marks_give_way() {
-        let limits = Limits { facts_per_source: 3, bytes: 900, lasts_max: at(600) };
+        let limits = Limits {
+            facts_per_source: 3,
+            bytes: 900,
+            lasts_max: at(600),
+        };
         let mut store = Store::new(1, 10, limits);
         let keys = |store: &mut Store, now, keys: std::ops::Range<u8>| {
             let taken = keys.map(|key| store.hear(now, said(2, 5, key, u64::from(key), 0)));
@@ -524,7 +631,9 @@
         };
         assert_eq!(keys(&mut store, at(100), 0..5), 3);
         assert_eq!(keys(&mut store, at(131), 5..7), 2);
-        assert!((0..5).any(|source| store.hear(at(131), said(10 + source, 5, 0, 1, 0)) == Taken::Full));
+        assert!(
+            (0..5).any(|source| store.hear(at(131), said(10 + source, 5, 0, 1, 0)) == Taken::Full)
+        );
         assert!(store.bytes() <= 900);
     }
 
@@ -539,15 +648,25 @@
         let back = store.get(at(101), &(1, 1, vec![2])).unwrap();
         assert!(back.sequence > 60 && back.lasts_ms == 0);
         assert_eq!(store.hear(at(101), said(1, 11, 1, 1, 0)), Taken::Later(11));
-        assert!(matches!(store.hear(at(101), said(1, 9, 3, 70, 0)), Taken::New(_)));
+        assert!(matches!(
+            store.hear(at(101), said(1, 9, 3, 70, 0)),
+            Taken::New(_)
+        ));
     }
 
     #[test]
     fn two_stores_agree_after_some_exchanges_of_bounded_frames() {
-        let limits = Limits { facts_per_source: 256, ..Limits::default() };
+        let limits = Limits {
+            facts_per_source: 256,
+            ..Limits::default()
+        };
         let mut stores = [Store::new(1, 10, limits), Store::new(2, 10, limits)];
         for fact in 0..600_u32 {
-            let said = Said { body: Vec::new(), key: fact.to_be_bytes().to_vec(), ..said(9, 5, 0, 1, 0) };
+            let said = Said {
+                body: Vec::new(),
+                key: fact.to_be_bytes().to_vec(),
+                ..said(9, 5, 0, 1, 0)
+            };
             let source = 10 + fact % 150 * u32::from(fact < 400);
             stores[fact as usize % 2].hear(at(1), Said { source, ..said });
         }
@@ -559,21 +678,33 @@
                 assert!(postcard::to_stdvec(&frame).unwrap().len() < 1200);
                 let answers = match frame {
                     Frame::Facts(facts) => {
-                        facts.into_iter().for_each(|said| drop(stores[to].hear(at(1), said)));
+                        facts
+                            .into_iter()
+                            .for_each(|said| drop(stores[to].hear(at(1), said)));
                         continue;
                     }
                     Frame::Summary { sources, .. } => {
                         let differing = stores[to].differing(sources);
-                        differing.into_iter().flat_map(|(of, _)| stores[to].details(of, false)).collect()
-                    }
-                    Frame::Detail { answer, source, part, versions } => {
-                        stores[to].lacking(at(1), answer, source, part, &versions)
+                        differing
+                            .into_iter()
+                            .flat_map(|(of, _)| stores[to].details(of, false))
+                            .collect()
                     }
+                    Frame::Detail {
+                        answer,
+                        source,
+                        part,
+                        versions,
+                    } => stores[to].lacking(at(1), answer, source, part, &versions),
                 };
                 waiting.extend(answers.into_iter().map(|frame| (1 - to, frame)));
             }
         }
-        assert!(stores[0].sources == stores[1].sources && stores[0].len() == 600, "{}", stores[0].len());
+        assert!(
+            stores[0].sources == stores[1].sources && stores[0].len() == 600,
+            "{}",
+            stores[0].len()
+        );
         assert!(frames < 2000, "{frames}");
     }
 }
--- a/crates/membership/src/pull.rs
+++ b/crates/membership/src/pull.rs
@@ -40,7 +40,11 @@
 
 impl Pull {
     pub fn new(patience: Duration) -> Self {
-        Self { wants: BTreeMap::new(), haste: 0, patience }
+        Self {
+            wants: BTreeMap::new(),
+            haste: 0,
+            patience,
+        }
     }
 
     /// A member came back to a roster of so many.
@@ -62,7 +66,16 @@
         let (some, _) = new.partial_shuffle(rng, CALM + self.haste);
         self.haste -= some.len().saturating_sub(CALM);
         for (source, hash) in some {
-            self.wants.insert(*source, Want { from, hash: *hash, asked: None, tries: 0, got: 0 });
+            self.wants.insert(
+                *source,
+                Want {
+                    from,
+                    hash: *hash,
+                    asked: None,
+                    tries: 0,
+                    got: 0,
+                },
+            );
         }
     }
 
@@ -94,14 +107,26 @@
             }
             want.asked.is_some() || want.tries < TRIES
         });
-        let free = UNDER_WAY.saturating_sub(self.wants.values().filter(|want| want.asked.is_some()).count());
-        let waiting = self.wants.iter_mut().filter(|(_, want)| want.asked.is_none());
+        let free = UNDER_WAY.saturating_sub(
+            self.wants
+                .values()
+                .filter(|want| want.asked.is_some())
+                .count(),
+        );
+        let waiting = self
+            .wants
+            .iter_mut()
+            .filter(|(_, want)| want.asked.is_none());
         let ask = |(source, want): (&u32, &mut Want)| {
             (want.asked, want.got) = (Some(now), 0);
             want.tries += 1;
             (want.from, *source)
         };
-        waiting.sample(rng, free.min(ASKS)).into_iter().map(ask).collect()
+        waiting
+            .sample(rng, free.min(ASKS))
+            .into_iter()
+            .map(ask)
+            .collect()
     }
 }
 
@@ -122,8 +147,15 @@
         pull.claimed(1, (0..claims).map(|source| (source, 7)).collect(), &mut rng);
         let beat = |beat: u64| {
             let asks = pull.asks(ms(100 * beat), |_| None, &mut rng);
-            assert!(pull.wants.values().filter(|want| want.asked.is_some()).count() <= UNDER_WAY);
-            asks.iter().for_each(|(to, source)| answers(&mut pull, *to, *source));
+            assert!(
+                pull.wants
+                    .values()
+                    .filter(|want| want.asked.is_some())
+                    .count()
+                    <= UNDER_WAY
+            );
+            asks.iter()
+                .for_each(|(to, source)| answers(&mut pull, *to, *source));
             asks.len()
         };
         (0..40).map(beat).collect()
@@ -135,7 +167,10 @@
         let calm = play(100, 0, |_, _, _| {});
         assert_eq!((calm[0], calm.iter().sum::<usize>()), (4, 12));
         let haste = play(100, 24, |_, _, _| {});
-        assert!(haste[0] == ASKS && haste.iter().sum::<usize>() == 300, "{haste:?}");
+        assert!(
+            haste[0] == ASKS && haste.iter().sum::<usize>() == 300,
+            "{haste:?}"
+        );
         // What comes ends the want, unless it filled the answer.
         let answered = play(100, 24, |pull, to, source| pull.got(to, source, 500));
         assert_eq!(answered.iter().sum::<usize>(), 100);
@@ -146,7 +181,12 @@
         });
         assert_eq!(long.iter().sum::<usize>(), 3);
         // What another sends is no answer.
-        assert_eq!(play(1, 0, |pull, _, source| pull.got(9, source, 500)).iter().sum::<usize>(), 3);
+        assert_eq!(
+            play(1, 0, |pull, _, source| pull.got(9, source, 500))
+                .iter()
+                .sum::<usize>(),
+            3
+        );
     }
 
     #[test]
--- a/crates/membership/src/recorded.rs
+++ b/crates/membership/src/recorded.rs
@@ -12,21 +12,34 @@
 /// The bytes of that name.
 fn recorded(name: &str) -> Vec<u8> {
     let lines = include_str!("../tests/version-1.hex").lines();
-    let hex = lines.filter_map(|line| line.split_once(' ')).find(|(of, _)| *of == name);
-    hex::decode(hex.unwrap_or_else(|| panic!("nothing is recorded as {name}")).1).unwrap()
+    let hex = lines
+        .filter_map(|line| line.split_once(' '))
+        .find(|(of, _)| *of == name);
+    hex::decode(
+        hex.unwrap_or_else(|| panic!("nothing is recorded as {name}"))
+            .1,
+    )
+    .unwrap()
 }
 
 /// The process of `n0` to `n3` as it was recorded.
 fn id(member: u32) -> Id {
     let names = ["n0", "n1", "n2", "n3"];
     let start = START + u64::from(member);
-    Id { number: number(names[member as usize]), start, returns: 0, roster: 3 }
+    Id {
+        number: number(names[member as usize]),
+        start,
+        returns: 0,
+        roster: 3,
+    }
 }
 
 /// What a packet of `foca` says: from whom, to whom, what, and of which members it tells beside.
 fn packet(name: &str) -> (Id, Id, Message<Id>, Vec<(Id, foca::State)>) {
     let bytes = recorded(name);
-    let Some((&SWIM, mut rest)) = bytes.split_first() else { panic!("{name} is no packet of foca") };
+    let Some((&SWIM, mut rest)) = bytes.split_first() else {
+        panic!("{name} is no packet of foca")
+    };
     let header: Header<Id> = PostcardCodec.decode_header(&mut rest).unwrap();
     let mut members = Vec::new();
     if let Some((count, mut updates)) = rest.split_first_chunk() {
@@ -43,7 +56,11 @@
 fn packets_of_the_first_version_are_read_for_good() {
     use foca::State::{Alive, Suspect};
     let [n0, n1, n2, n3] = [0, 1, 2, 3].map(id);
-    let unknown = Id { start: 0, roster: 0, ..n1 };
+    let unknown = Id {
+        start: 0,
+        roster: 0,
+        ..n1
+    };
     let all = vec![(n2, Alive), (n3, Alive), (n1, Alive)];
     let others = vec![(n0, Alive), (n2, Alive), (n3, Alive)];
     // It was called dead, and came back.
@@ -51,13 +68,60 @@
     let recorded = [
         ("swim-Ping", (n0, n3, Message::Ping(1), all.clone())),
         ("swim-Ack", (n0, n3, Message::Ack(1), all.clone())),
-        ("swim-PingReq", (n0, n3, Message::PingReq { target: n2, probe_number: 102 }, vec![(n3, Suspect)])),
-        ("swim-IndirectPing", (n1, n0, Message::IndirectPing { origin: n2, probe_number: 1 }, others)),
-        ("swim-IndirectAck", (n0, n1, Message::IndirectAck { target: n2, probe_number: 1 }, all)),
-        ("swim-ForwardedAck", (n1, n0, Message::ForwardedAck { origin: n2, probe_number: 130 }, back)),
+        (
+            "swim-PingReq",
+            (
+                n0,
+                n3,
+                Message::PingReq {
+                    target: n2,
+                    probe_number: 102,
+                },
+                vec![(n3, Suspect)],
+            ),
+        ),
+        (
+            "swim-IndirectPing",
+            (
+                n1,
+                n0,
+                Message::IndirectPing {
+                    origin: n2,
+                    probe_number: 1,
+                },
+                others,
+            ),
+        ),
+        (
+            "swim-IndirectAck",
+            (
+                n0,
+                n1,
+                Message::IndirectAck {
+                    target: n2,
+                    probe_number: 1,
+                },
+                all,
+            ),
+        ),
+        (
+            "swim-ForwardedAck",
+            (
+                n1,
+                n0,
+                Message::ForwardedAck {
+                    origin: n2,
+                    probe_number: 130,
+                },
+                back,
+            ),
+        ),
         ("swim-Announce", (n0, unknown, Message::Announce, vec![])),
         ("swim-Feed", (n0, n3, Message::Feed, vec![(n1, Alive)])),
-        ("swim-Gossip", (n0, n1, Message::Gossip, vec![(n1, Alive), (n3, Alive)])),
+        (
+            "swim-Gossip",
+            (n0, n1, Message::Gossip, vec![(n1, Alive), (n3, Alive)]),
+        ),
         ("swim-TurnUndead", (n0, n3, Message::TurnUndead, vec![])),
     ];
     for (name, said) in recorded {
@@ -80,12 +144,23 @@
 #[test]
 fn frames_of_the_first_version_are_read_for_good() {
     let (source, start) = (number("n0"), START);
-    let part = Part { from: 0, to: u64::MAX };
+    let part = Part {
+        from: 0,
+        to: u64::MAX,
+    };
     let sources = vec![(source, 2_076_203_121)];
     assert_eq!(frame("facts-summary"), Frame::Summary { part, sources });
     // How keys are hashed is of the form too.
     let versions = vec![(hash_bytes(1, &[9, 0]), start, 1)];
-    assert_eq!(frame("facts-detail"), Frame::Detail { answer: false, source, part, versions });
+    assert_eq!(
+        frame("facts-detail"),
+        Frame::Detail {
+            answer: false,
+            source,
+            part,
+            versions
+        }
+    );
     let said = Said {
         source,
         start,
@@ -98,7 +173,13 @@
     };
     assert_eq!(frame("facts-facts"), Frame::Facts(vec![said]));
     assert_eq!(views("views-hash"), Views::hash(&[id(3)].into()));
-    assert_eq!(views("views-down"), Views::Down { answer: false, ids: vec![id(3)] });
+    assert_eq!(
+        views("views-down"),
+        Views::Down {
+            answer: false,
+            ids: vec![id(3)]
+        }
+    );
 }
 
 fn core() -> Core {
@@ -107,7 +188,10 @@
         address: ([127, 0, 0, 1], 7_000 + at).into(),
         region: String::new(),
     });
-    let roster = Roster { version: 3, members: members.collect() };
+    let roster = Roster {
+        version: 3,
+        members: members.collect(),
+    };
     Core::new(Config::new("n3", START + 3, roster), 1).unwrap()
 }
 
@@ -115,16 +199,45 @@
 #[test]
 fn a_core_takes_in_what_the_first_version_sent() {
     let (mut core, mut actions) = (core(), Vec::new());
-    for name in ["swim-Feed", "swim-Ping", "facts-facts", "facts-summary", "facts-detail", "views-hash"] {
+    for name in [
+        "swim-Feed",
+        "swim-Ping",
+        "facts-facts",
+        "facts-summary",
+        "facts-detail",
+        "views-hash",
+    ] {
         let bytes = recorded(name);
-        core.handle(Duration::ZERO, Event::Heard { from: "n0", start: START, bytes: &bytes }, &mut actions);
+        core.handle(
+            Duration::ZERO,
+            Event::Heard {
+                from: "n0",
+                start: START,
+                bytes: &bytes,
+            },
+            &mut actions,
+        );
     }
     let view = core.view(Duration::ZERO);
-    assert_eq!((view.counts.malformed, view.counts.imposters, view.counts.errors), (0, 0, 0));
-    let alive = |name: &str| view.members.iter().any(|m| m.name == name && m.status == Status::Alive);
+    assert_eq!(
+        (
+            view.counts.malformed,
+            view.counts.imposters,
+            view.counts.errors
+        ),
+        (0, 0, 0)
+    );
+    let alive = |name: &str| {
+        view.members
+            .iter()
+            .any(|m| m.name == name && m.status == Status::Alive)
+    };
     assert!(alive("n0") && alive("n1"), "{:?}", view.members);
     let fact = core.facts(Duration::ZERO, 1).pop().unwrap();
-    assert_eq!((fact.source.as_str(), fact.sequence, fact.body.as_slice()), ("n0", 1, b"body".as_slice()));
+    assert_eq!(
+        (fact.source.as_str(), fact.sequence, fact.body.as_slice()),
+        ("n0", 1, b"body".as_slice())
+    );
 }
 
 /// A kind of datagram, of frame or of view that this build does not know, and a known one with nothing behind its kind: each
@@ -134,10 +247,23 @@
     let (mut core, mut actions) = (core(), Vec::new());
     let later: [&[u8]; 7] = [&[4, 0], &[255], &[2, 3, 0], &[3, 2, 0], &[1], &[2], &[]];
     for bytes in later {
-        core.handle(Duration::ZERO, Event::Heard { from: "n0", start: START, bytes }, &mut actions);
+        core.handle(
+            Duration::ZERO,
+            Event::Heard {
+                from: "n0",
+                start: START,
+                bytes,
+            },
+            &mut actions,
+        );
     }
     let view = core.view(Duration::ZERO);
     assert_eq!(view.counts.malformed, later.len() as u64);
     assert!(view.members.iter().all(|m| m.status == Status::NeverHeard));
-    assert!(!actions.iter().any(|action| matches!(action, Action::Send { .. })), "{actions:?}");
+    assert!(
+        !actions
+            .iter()
+            .any(|action| matches!(action, Action::Send { .. })),
+        "{actions:?}"
+    );
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -32,7 +32,9 @@
     WithoutMe(String),
     #[error("the roster names {0:?} twice: a name is one proxy, remove one of them")]
     Twice(String),
-    #[error("the names {0:?} and {1:?} have the same number (a hash of the name): rename one of them")]
+    #[error(
+        "the names {0:?} and {1:?} have the same number (a hash of the name): rename one of them"
+    )]
     SameNumber(String, String),
 }
 
@@ -50,7 +52,9 @@
 
 /// A hash goes on over bytes.
 pub(crate) fn hash_bytes(hash: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(mixed(hash), |hash, byte| mixed(hash ^ u64::from(*byte)))
+    bytes
+        .iter()
+        .fold(mixed(hash), |hash, byte| mixed(hash ^ u64::from(*byte)))
 }
 
 /// A roster with its members by number.
@@ -74,7 +78,10 @@
             members.insert(number(&member.name), member);
         }
         match members.get(&number(me)) {
-            Some(mine) if mine.name == me => Ok(Self { version: roster.version, members }),
+            Some(mine) if mine.name == me => Ok(Self {
+                version: roster.version,
+                members,
+            }),
             _ => Err(RosterError::WithoutMe(me.to_owned())),
         }
     }
--- a/crates/membership/src/seen.rs
+++ b/crates/membership/src/seen.rs
@@ -79,7 +79,9 @@
 
     /// Counts a member in, or out.
     fn moved(&mut self, roster: &Known, number: u32, sighting: &Sighting, into: bool) {
-        let Some(member) = roster.members.get(&number) else { return };
+        let Some(member) = roster.members.get(&number) else {
+            return;
+        };
         let status = sighting.status;
         for heads in self.heads(&member.region) {
             let count = match status {
@@ -97,7 +99,11 @@
                 _ => {}
             }
             if sighting.id.is_some_and(|id| id.roster != roster.version) {
-                self.differing = if into { self.differing + 1 } else { self.differing - 1 };
+                self.differing = if into {
+                    self.differing + 1
+                } else {
+                    self.differing - 1
+                };
             }
         }
         if status == Status::Suspect {
@@ -121,11 +127,20 @@
 impl Seen {
     /// Brings the members into line with the roster; gives the processes of those who are no longer in it.
     pub fn fit(&mut self, now: Duration, roster: &Known, me: u32) -> Vec<Id> {
-        let gone = self.members.iter().filter(|(number, _)| !roster.members.contains_key(number));
+        let gone = self
+            .members
+            .iter()
+            .filter(|(number, _)| !roster.members.contains_key(number));
         let gone = gone.filter_map(|(_, sighting)| sighting.id).collect();
-        self.members.retain(|number, _| roster.members.contains_key(number));
+        self.members
+            .retain(|number, _| roster.members.contains_key(number));
         for number in roster.members.keys().filter(|number| **number != me) {
-            let new = Sighting { status: Status::NeverHeard, since: now, id: None, heard: None };
+            let new = Sighting {
+                status: Status::NeverHeard,
+                since: now,
+                id: None,
+                heard: None,
+            };
             self.members.entry(*number).or_insert(new);
         }
         self.counts = Counted::of(roster, me, &self.members);
@@ -133,7 +148,13 @@
     }
 
     /// Takes over what a process of a member is; nothing if it is no member.
-    pub fn take(&mut self, now: Duration, roster: &Known, id: Id, status: Status) -> Option<Change> {
+    pub fn take(
+        &mut self,
+        now: Duration,
+        roster: &Known,
+        id: Id,
+        status: Status,
+    ) -> Option<Change> {
         let sighting = self.members.get_mut(&id.number)?;
         let was = *sighting;
         if was.id == Some(id) && was.status == status {
@@ -148,8 +169,13 @@
         self.counts.moved(roster, id.number, &was, false);
         self.counts.moved(roster, id.number, &is, true);
         let back = news && is_heard(status) && !is_heard(was.status);
-        let differs = was.id.is_none_or(|was| was.roster != id.roster) && id.roster != roster.version;
-        Some(Change { news, back, differs })
+        let differs =
+            was.id.is_none_or(|was| was.roster != id.roster) && id.roster != roster.version;
+        Some(Change {
+            news,
+            back,
+            differs,
+        })
     }
 
     pub fn get(&self, number: u32) -> Option<&Sighting> {
@@ -157,7 +183,9 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (u32, &Sighting)> {
-        self.members.iter().map(|(number, sighting)| (*number, sighting))
+        self.members
+            .iter()
+            .map(|(number, sighting)| (*number, sighting))
     }
 
     pub fn len(&self) -> usize {
@@ -194,7 +222,11 @@
     }
 
     pub fn suspected(&self) -> impl Iterator<Item = (u32, Duration)> + '_ {
-        let since = |number: &u32| self.members.get(number).map(|sighting| (*number, sighting.since));
+        let since = |number: &u32| {
+            self.members
+                .get(number)
+                .map(|sighting| (*number, sighting.since))
+        };
         self.counts.suspected.iter().filter_map(since)
     }
 
@@ -210,13 +242,21 @@
 
     pub fn downs_hash(&mut self) -> &Views {
         let counts = &mut self.counts;
-        counts.hash.get_or_insert_with(|| Views::hash(&counts.downs))
+        counts
+            .hash
+            .get_or_insert_with(|| Views::hash(&counts.downs))
     }
 
     /// What is counted is what a count of all gives.
     pub fn adds_up(&self, roster: &Known, me: u32) -> bool {
         let hash = self.counts.hash.clone();
-        let anew = Counted { hash, ..Counted::of(roster, me, &self.members) };
-        anew == self.counts && anew.hash.is_none_or(|hash| hash == Views::hash(&anew.downs))
+        let anew = Counted {
+            hash,
+            ..Counted::of(roster, me, &self.members)
+        };
+        anew == self.counts
+            && anew
+                .hash
+                .is_none_or(|hash| hash == Views::hash(&anew.downs))
     }
 }
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -67,7 +67,10 @@
         State::Minority => 2,
         State::Alone => 3,
     };
-    TABLE.iter().find(|(of, _)| *of == act).map_or(Rule::No, |(_, rules)| rules[column])
+    TABLE
+        .iter()
+        .find(|(of, _)| *of == act)
+        .map_or(Rule::No, |(_, rules)| rules[column])
 }
 
 /// Why an act may not be done now.
@@ -75,13 +78,20 @@
 pub enum Denied {
     #[error("{heard} of {of} members{} are heard, or not for long enough ({state}): look at the network between \
              proxies, or wait", In(.region))]
-    TooFew { state: State, heard: usize, of: usize, region: Option<String> },
+    TooFew {
+        state: State,
+        heard: usize,
+        of: usize,
+        region: Option<String>,
+    },
     #[error(
         "this process was paused or late, and has not heard enough others again: wait a few periods; if it \
              lasts, the host is overloaded"
     )]
     Doubting,
-    #[error("{0} members say another version of the roster: bring all proxies to one roster first")]
+    #[error(
+        "{0} members say another version of the roster: bring all proxies to one roster first"
+    )]
     RosterDiffers(usize),
     #[error("no member of the roster is in region {0:?}: ask for one that the roster has")]
     UnknownRegion(String),
@@ -93,7 +103,9 @@
 
 impl fmt::Display for In<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.as_ref().map_or(Ok(()), |region| write!(f, " of region {region:?}"))
+        self.0
+            .as_ref()
+            .map_or(Ok(()), |region| write!(f, " of region {region:?}"))
     }
 }
 
@@ -148,7 +160,12 @@
 
 impl Default for Standing {
     fn default() -> Self {
-        Self { state: State::Alone, heads: Heads::default(), majority: None, all: None }
+        Self {
+            state: State::Alone,
+            heads: Heads::default(),
+            majority: None,
+            all: None,
+        }
     }
 }
 
--- a/crates/membership/src/starts.rs
+++ b/crates/membership/src/starts.rs
@@ -31,7 +31,11 @@
 
 impl Starts {
     pub fn new(start: u64, wait: Duration) -> Self {
-        Self { start, again: Duration::ZERO, wait }
+        Self {
+            start,
+            again: Duration::ZERO,
+            wait,
+        }
     }
 
     pub fn now(&self) -> u64 {
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -44,7 +44,10 @@
 
     fn renew(&self) -> Option<Self> {
         // One before the last: the last means that it left.
-        (self.returns < LEFT - 1).then(|| Self { returns: self.returns + 1, ..*self })
+        (self.returns < LEFT - 1).then(|| Self {
+            returns: self.returns + 1,
+            ..*self
+        })
     }
 
     fn addr(&self) -> u32 {
@@ -110,7 +113,11 @@
 impl Views {
     pub fn hash(downs: &BTreeSet<Id>) -> Self {
         let bytes = |id: &Id| postcard::to_stdvec(id).unwrap_or_default();
-        Self::Hash(downs.iter().fold(0, |hash, id| hash_bytes(hash, &bytes(id))))
+        Self::Hash(
+            downs
+                .iter()
+                .fold(0, |hash, id| hash_bytes(hash, &bytes(id))),
+        )
     }
 }
 
@@ -149,7 +156,12 @@
 impl Swim {
     pub fn new(id: Id, pace: Pace, seed: u64) -> Self {
         Self {
-            foca: Foca::new(id, pace.config(), StdRng::seed_from_u64(seed), PostcardCodec),
+            foca: Foca::new(
+                id,
+                pace.config(),
+                StdRng::seed_from_u64(seed),
+                PostcardCodec,
+            ),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             count: 0,
@@ -165,7 +177,9 @@
 
     /// Each process that it knows of, and what that is.
     pub fn members(&self) -> impl Iterator<Item = (Id, Status)> + '_ {
-        self.foca.iter_membership_state().map(|member| (*member.id(), status(member)))
+        self.foca
+            .iter_membership_state()
+            .map(|member| (*member.id(), status(member)))
     }
 
     /// When it wants to be woken.
@@ -176,12 +190,17 @@
     /// Moves all its timers on, in their order: after a pause no answer is missing yet.
     pub fn postpone(&mut self, by: Duration) {
         let timers = std::mem::take(&mut self.timers);
-        self.timers = timers.into_iter().map(|((due, count), timer)| ((due + by, count), timer)).collect();
+        self.timers = timers
+            .into_iter()
+            .map(|((due, count), timer)| ((due + by, count), timer))
+            .collect();
     }
 
     pub fn run(&mut self, now: Duration) {
         while self.due().is_some_and(|due| due <= now) {
-            let Some((_, timer)) = self.timers.pop_first() else { break };
+            let Some((_, timer)) = self.timers.pop_first() else {
+                break;
+            };
             // Whoever did not answer the probe before is suspected now.
             self.touched |= matches!(timer, Timer::ProbeRandomMember(_));
             let done = self.foca.handle_timer(timer, &mut self.runtime);
@@ -200,7 +219,13 @@
         let done = self.foca.set_config(pace.config());
         self.after(now, done);
         if let Some(id) = self.id().renew().filter(|id| id.roster != version) {
-            let done = self.foca.change_identity(Id { roster: version, ..id }, &mut self.runtime);
+            let done = self.foca.change_identity(
+                Id {
+                    roster: version,
+                    ..id
+                },
+                &mut self.runtime,
+            );
             self.after(now, done);
         }
     }
@@ -210,14 +235,20 @@
         // What waits is signed by nobody any more.
         self.out.clear();
         self.touched = true;
-        let id = Id { start, returns: 0, ..self.id() };
+        let id = Id {
+            start,
+            returns: 0,
+            ..self.id()
+        };
         let done = self.foca.change_identity(id, &mut self.runtime);
         self.after(now, done);
     }
 
     /// A member is no longer in the roster: it is not probed any more, and no other is told that it died.
     pub fn drop(&mut self, now: Duration, id: Id) {
-        let done = self.foca.apply_many(std::iter::once(Member::down(id)), false, &mut self.runtime);
+        let done =
+            self.foca
+                .apply_many(std::iter::once(Member::down(id)), false, &mut self.runtime);
         self.after(now, done);
     }
 
@@ -225,7 +256,9 @@
     /// all for a suspicion whose timer it dropped, as it does with all timers when it comes back under a new
     /// identity: such a member would stay suspected for good.
     pub fn remind(&mut self, now: Duration, number: u32) {
-        let Some(member) = self.suspected(number) else { return };
+        let Some(member) = self.suspected(number) else {
+            return;
+        };
         self.say(now, *member.id(), Message::Gossip, Some(&member));
     }
 
@@ -236,7 +269,12 @@
 
     fn say(&mut self, now: Duration, dst: Id, message: Message<Id>, news: Option<&Member<Id>>) {
         // An own incarnation below the true one is taken for old news, which is all that it is meant to be.
-        let header = Header { src: self.id(), src_incarnation: 0, dst, message };
+        let header = Header {
+            src: self.id(),
+            src_incarnation: 0,
+            dst,
+            message,
+        };
         let mut datagram = vec![SWIM];
         let mut codec = PostcardCodec;
         let done = codec.encode_header(&header, &mut datagram).and_then(|()| {
@@ -252,19 +290,30 @@
 
     /// Holds a member for suspect that did not answer.
     pub fn suspect(&mut self, now: Duration, number: u32) {
-        let of = self.foca.iter_membership_state().find(|member| member.id().number == number);
-        let Some(member) = of.filter(|member| member.state() == foca::State::Alive) else { return };
+        let of = self
+            .foca
+            .iter_membership_state()
+            .find(|member| member.id().number == number);
+        let Some(member) = of.filter(|member| member.state() == foca::State::Alive) else {
+            return;
+        };
         let suspect = Member::new(*member.id(), member.incarnation(), foca::State::Suspect);
         self.touched = true;
-        let done = self.foca.apply_many(std::iter::once(suspect), true, &mut self.runtime);
+        let done = self
+            .foca
+            .apply_many(std::iter::once(suspect), true, &mut self.runtime);
         self.after(now, done);
     }
 
     /// Calls a suspected member down that said nothing for too long.
     pub fn give_up(&mut self, now: Duration, number: u32) {
-        let Some(member) = self.suspected(number) else { return };
+        let Some(member) = self.suspected(number) else {
+            return;
+        };
         let down = Member::new(*member.id(), member.incarnation(), foca::State::Down);
-        let done = self.foca.apply_many(std::iter::once(down), true, &mut self.runtime);
+        let done = self
+            .foca
+            .apply_many(std::iter::once(down), true, &mut self.runtime);
         self.after(now, done);
     }
 
@@ -272,19 +321,26 @@
     pub fn take_downs(&mut self, now: Duration, downs: Vec<Id>) {
         if !downs.is_empty() {
             self.touched = true;
-            let done = self.foca.apply_many(downs.into_iter().map(Member::down), true, &mut self.runtime);
+            let done =
+                self.foca
+                    .apply_many(downs.into_iter().map(Member::down), true, &mut self.runtime);
             self.after(now, done);
         }
     }
 
     fn suspected(&self, number: u32) -> Option<Member<Id>> {
-        let mut members =
-            self.foca.iter_membership_state().filter(|member| member.state() == foca::State::Suspect);
+        let mut members = self
+            .foca
+            .iter_membership_state()
+            .filter(|member| member.state() == foca::State::Suspect);
         members.find(|member| member.id().number == number).cloned()
     }
 
     pub fn leave(&mut self, now: Duration) {
-        let id = Id { returns: LEFT, ..self.id() };
+        let id = Id {
+            returns: LEFT,
+            ..self.id()
+        };
         let done = self.foca.change_identity(id, &mut self.runtime);
         self.after(now, done);
         let done = self.foca.leave_cluster(&mut self.runtime);
@@ -302,7 +358,9 @@
         seen: &Seen,
     ) -> Result<Told, Bad> {
         let mut rest = bytes;
-        let header: Header<Id> = PostcardCodec.decode_header(&mut rest).map_err(|_| Bad::Malformed)?;
+        let header: Header<Id> = PostcardCodec
+            .decode_header(&mut rest)
+            .map_err(|_| Bad::Malformed)?;
         if (header.src.number, header.src.start) != from {
             return Err(Bad::Sender);
         }
@@ -310,7 +368,9 @@
         let mut touched = false;
         // Whether that is a member of the roster. What says nothing else than is known changes nothing.
         let mut known = |member: &Member<Id>| {
-            let Some(seen) = seen.get(member.id().number) else { return member.id().number == me };
+            let Some(seen) = seen.get(member.id().number) else {
+                return member.id().number == me;
+            };
             touched |= (seen.id, seen.status) != (Some(*member.id()), status(member));
             true
         };
@@ -373,8 +433,12 @@
 /// Another member that the message speaks of.
 fn message_numbers(message: &Message<Id>) -> Option<u32> {
     match message {
-        Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => Some(target.number),
-        Message::IndirectPing { origin, .. } | Message::ForwardedAck { origin, .. } => Some(origin.number),
+        Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => {
+            Some(target.number)
+        }
+        Message::IndirectPing { origin, .. } | Message::ForwardedAck { origin, .. } => {
+            Some(origin.number)
+        }
         _ => None,
     }
 }
--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use fleet::{ms, roster, Fleet};
-use membership::{pace, rule, Act, Action, Config, Core, Denied, Event, Heads, Rule, State, Status, TABLE};
+use membership::{
+    pace, rule, Act, Action, Config, Core, Denied, Event, Heads, Rule, State, Status, TABLE,
+};
 
 fn state(fleet: &Fleet, who: usize) -> State {
     let (core, now) = fleet.core(who);
@@ -18,7 +20,12 @@
 
 fn direct(fleet: &Fleet, who: usize, of: usize) -> bool {
     let (core, now) = fleet.core(who);
-    core.view(now).members.iter().find(|member| member.name == format!("p{of}")).unwrap().direct
+    core.view(now)
+        .members
+        .iter()
+        .find(|member| member.name == format!("p{of}"))
+        .unwrap()
+        .direct
 }
 
 #[test]
@@ -42,7 +49,12 @@
         });
         assert_eq!(row(&act), words, "{act:?}");
     }
-    assert_eq!(note.lines().filter(|line| line.starts_with("| Halt |")).count(), 1);
+    assert_eq!(
+        note.lines()
+            .filter(|line| line.starts_with("| Halt |"))
+            .count(),
+        1
+    );
     assert_eq!(rule(Act::Promote, State::Whole, true), Rule::No);
 }
 
@@ -63,7 +75,13 @@
         ((5, 2, 0, 3), State::Minority),
     ];
     for ((of, heard, suspect, left), state) in cases {
-        let heads = Heads { of, heard, suspect, left, me: true };
+        let heads = Heads {
+            of,
+            heard,
+            suspect,
+            left,
+            me: true,
+        };
         assert_eq!(heads.state(), state, "{heads:?}");
     }
 }
@@ -77,7 +95,8 @@
     assert_eq!(allowed(&fleet, 4, Act::Promote), Err(Denied::Left));
     fleet.kill(4);
     fleet.run(ms(7000));
-    assert!((0..4).all(|who| fleet.status(who, 4) == Status::Left && state(&fleet, who) == State::Whole));
+    assert!((0..4)
+        .all(|who| fleet.status(who, 4) == Status::Left && state(&fleet, who) == State::Whole));
     fleet.changes.clear();
     fleet.start(4);
     fleet.run(ms(8000));
@@ -86,14 +105,38 @@
     fleet.changes.clear();
     fleet.start(3);
     fleet.run(ms(10_000));
-    assert!(fleet.changes.iter().all(|(.., of, status)| *of != 3 || *status == Status::Alive));
+    assert!(fleet
+        .changes
+        .iter()
+        .all(|(.., of, status)| *of != 3 || *status == Status::Alive));
     let (core, now) = fleet.core(0);
     let start = fleet.processes[3].as_ref().unwrap().start;
-    assert_eq!(core.view(now).members.iter().find(|member| member.name == "p3").unwrap().start, Some(start));
+    assert_eq!(
+        core.view(now)
+            .members
+            .iter()
+            .find(|member| member.name == "p3")
+            .unwrap()
+            .start,
+        Some(start)
+    );
     // What the earlier process sent is dropped.
-    fleet.tell(0, Event::Heard { from: "p3", start: start - 1, bytes: &[1, 2, 3] });
+    fleet.tell(
+        0,
+        Event::Heard {
+            from: "p3",
+            start: start - 1,
+            bytes: &[1, 2, 3],
+        },
+    );
     let (core, now) = fleet.core(0);
-    assert_eq!((core.view(now).counts.earlier, core.view(now).counts.malformed), (1, 0));
+    assert_eq!(
+        (
+            core.view(now).counts.earlier,
+            core.view(now).counts.malformed
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -112,7 +155,12 @@
     fleet.cut.extend([(0, 2), (2, 0)]);
     fleet.run(ms(14_000));
     assert!(fleet.status(0, 2) != Status::Down && fleet.status(2, 0) != Status::Down);
-    assert!(!direct(&fleet, 0, 2) && !direct(&fleet, 2, 0) && direct(&fleet, 1, 0) && direct(&fleet, 0, 1));
+    assert!(
+        !direct(&fleet, 0, 2)
+            && !direct(&fleet, 2, 0)
+            && direct(&fleet, 1, 0)
+            && direct(&fleet, 0, 1)
+    );
 
     type Split = (usize, fn(usize) -> usize, &'static [State]);
     let splits: [Split; 4] = [
@@ -120,10 +168,24 @@
         (
             5,
             |who| usize::from(who < 2),
-            &[State::Minority, State::Minority, State::Degraded, State::Degraded],
+            &[
+                State::Minority,
+                State::Minority,
+                State::Degraded,
+                State::Degraded,
+            ],
         ),
         (6, |who| who % 3, &[State::Minority; 6]),
-        (4, |who| usize::from(who == 0), &[State::Alone, State::Degraded, State::Degraded, State::Degraded]),
+        (
+            4,
+            |who| usize::from(who == 0),
+            &[
+                State::Alone,
+                State::Degraded,
+                State::Degraded,
+                State::Degraded,
+            ],
+        ),
     ];
     for (size, group, states) in splits {
         let mut fleet = Fleet::new(size, 4);
@@ -155,7 +217,10 @@
         assert_eq!(allowed(&fleet, 0, Act::Lend), Err(Denied::Doubting));
         assert_eq!(state(&fleet, 0), State::Degraded);
         fleet.run(ms(5000 + pause + 4000));
-        assert!(fleet.changes.iter().all(|(_, at, _, status)| *at != 0 || *status != Status::Down));
+        assert!(fleet
+            .changes
+            .iter()
+            .all(|(_, at, _, status)| *at != 0 || *status != Status::Down));
         assert_eq!(allowed(&fleet, 0, Act::Promote), Ok(()), "after {pause} ms");
         assert!((1..5).all(|who| state(&fleet, who) == State::Whole));
     }
@@ -187,7 +252,11 @@
         assert_eq!(state(&fleet, 29), State::Degraded);
         fleet.split(|who| usize::from(who >= 30));
         fleet.run(ms(27_000));
-        assert_eq!((state(&fleet, 29), fleet.status(29, 59)), (State::Minority, Status::Down), "seed {seed}");
+        assert_eq!(
+            (state(&fleet, 29), fleet.status(29, 59)),
+            (State::Minority, Status::Down),
+            "seed {seed}"
+        );
     }
 }
 
@@ -208,13 +277,19 @@
         let (core, now) = fleet.core(who);
         let view = core.view(now);
         assert_eq!(view.roster_differs, 2, "p{who}");
-        assert_eq!(allowed(&fleet, who, Act::Promote), Err(Denied::RosterDiffers(2)));
+        assert_eq!(
+            allowed(&fleet, who, Act::Promote),
+            Err(Denied::RosterDiffers(2))
+        );
         assert_eq!(allowed(&fleet, who, Act::Lend), Ok(()));
         assert_eq!(view.heads.of, if who < 2 { 5 } else { 4 });
         assert!(who < 2 || view.counts.roster_differs == 2);
     }
     // A new version is no death.
-    assert!(fleet.changes.iter().all(|(.., status)| *status != Status::Down));
+    assert!(fleet
+        .changes
+        .iter()
+        .all(|(.., status)| *status != Status::Down));
     // p4 runs, but only half of the proxies have it in their rosters: the others neither count nor kill it.
     fleet.roster = other.clone();
     fleet.start(4);
@@ -254,12 +329,17 @@
         _ => None,
     };
     let ports: Vec<u16> = actions.iter().filter_map(sent).collect();
-    assert!(ports.first() == Some(&9) && ports.last() == Some(&10), "{ports:?}");
+    assert!(
+        ports.first() == Some(&9) && ports.last() == Some(&10),
+        "{ports:?}"
+    );
     // A roster without this proxy is not taken.
     actions.clear();
     mine.members.remove(0);
     core.handle(ms(301), Event::Roster(mine), &mut actions);
-    assert!(actions.iter().any(|action| matches!(action, Action::BadRoster(_))));
+    assert!(actions
+        .iter()
+        .any(|action| matches!(action, Action::BadRoster(_))));
     assert_eq!(core.view(ms(301)).heads.of, 2);
 }
 
@@ -290,14 +370,26 @@
     fleet.loss = 0.05;
     fleet.run(ms(5000));
     let tell = |fleet: &mut Fleet, who: usize, body: &[u8], lasts| {
-        fleet.tell(who, Event::Tell { kind: 1, key: b"k".to_vec(), body: body.to_vec(), lasts });
+        fleet.tell(
+            who,
+            Event::Tell {
+                kind: 1,
+                key: b"k".to_vec(),
+                body: body.to_vec(),
+                lasts,
+            },
+        );
     };
     tell(&mut fleet, 0, b"long", ms(60_000));
     tell(&mut fleet, 1, b"other", ms(30_000));
     fleet.run(ms(8000));
     let bodies = |fleet: &Fleet, who: usize| {
         let (core, now) = fleet.core(who);
-        let mut bodies: Vec<_> = core.facts(now, 1).into_iter().map(|fact| fact.body).collect();
+        let mut bodies: Vec<_> = core
+            .facts(now, 1)
+            .into_iter()
+            .map(|fact| fact.body)
+            .collect();
         bodies.sort();
         bodies
     };
@@ -334,20 +426,33 @@
     for second in 0..6 {
         for (who, key) in (0..30).flat_map(|who| [(who, 0), (who, 1)]) {
             let body = vec![second; 500];
-            fleet.tell(who, Event::Tell { kind: 1, key: vec![key], body, lasts: ms(60_000) });
+            fleet.tell(
+                who,
+                Event::Tell {
+                    kind: 1,
+                    key: vec![key],
+                    body,
+                    lasts: ms(60_000),
+                },
+            );
         }
         fleet.run(fleet.now + ms(1000));
     }
     let (core, now) = fleet.core(29);
     let facts = core.facts(now, 1);
     let oldest = facts.iter().map(|fact| fact.age).max().unwrap();
-    assert!(facts.len() == 58 && oldest < ms(3000), "{} {oldest:?}", facts.len());
+    assert!(
+        facts.len() == 58 && oldest < ms(3000),
+        "{} {oldest:?}",
+        facts.len()
+    );
 }
 
 #[test]
 fn the_pace_of_facts_keeps_what_is_heard_even() {
     let (second, minute) = (ms(1000), ms(60_000));
-    let each = [1, 5, 50, 100, 500, 5000].map(|members| pace(members, 1, second, minute).as_millis());
+    let each =
+        [1, 5, 50, 100, 500, 5000].map(|members| pace(members, 1, second, minute).as_millis());
     assert_eq!(each, [1000, 1000, 1000, 2000, 10_000, 20_000]);
     assert_eq!(pace(100, 2, second, minute), ms(4000));
     assert_eq!(pace(usize::MAX, usize::MAX, ms(30_000), minute), ms(30_000));
@@ -360,7 +465,15 @@
         let mut fleet = Fleet::new(5, 3);
         let say = |fleet: &mut Fleet, body: &[u8]| {
             let (key, body, lasts) = (b"k".to_vec(), body.to_vec(), ms(600_000));
-            fleet.tell(0, Event::Tell { kind: 1, key, body, lasts });
+            fleet.tell(
+                0,
+                Event::Tell {
+                    kind: 1,
+                    key,
+                    body,
+                    lasts,
+                },
+            );
         };
         say(&mut fleet, b"of the former");
         fleet.run(ms(5000));
@@ -378,7 +491,11 @@
         assert!((0..5).all(|who| state(&fleet, who) == State::Whole));
         for who in 1..5 {
             let (core, now) = fleet.core(who);
-            let said: Vec<_> = core.facts(now, 1).into_iter().map(|fact| (fact.start, fact.body)).collect();
+            let said: Vec<_> = core
+                .facts(now, 1)
+                .into_iter()
+                .map(|fact| (fact.start, fact.body))
+                .collect();
             assert_eq!(said, [(start, b"of this one".to_vec())]);
             assert_eq!(core.view(now).counts.errors, 0);
         }
@@ -407,7 +524,14 @@
             match action {
                 membership::Action::Send { to, bytes, .. } => {
                     let to: usize = to[1..].parse().unwrap();
-                    fleet.tell(to, Event::Heard { from: "p0", start: twin, bytes: &bytes });
+                    fleet.tell(
+                        to,
+                        Event::Heard {
+                            from: "p0",
+                            start: twin,
+                            bytes: &bytes,
+                        },
+                    );
                 }
                 membership::Action::Timer { token, .. } => timer = Some(token),
                 _ => {}
@@ -434,24 +558,43 @@
             membership::Core::new(membership::Config::new("p2", 2_000, roster.clone()), 1).unwrap();
         let mut former =
             membership::Core::new(membership::Config::new("p0", later, roster.clone()), 2).unwrap();
-        let mut passes = |from: &mut membership::Core, to: &mut membership::Core, name: &str, at: u64| {
-            let mut actions = Vec::new();
-            from.handle(ms(at), Event::Start, &mut actions);
-            for token in 0..20 {
-                from.handle(ms(at + 100 * token), Event::Timer(token), &mut actions);
-            }
-            let start = from.start();
-            for action in actions {
-                if let membership::Action::Send { to: whom, bytes, .. } = action {
-                    if whom == "p0" || whom == "p2" {
-                        to.handle(ms(at), Event::Heard { from: name, start, bytes: &bytes }, &mut Vec::new());
-                        if name == "p2" {
-                            fleet.tell(0, Event::Heard { from: name, start, bytes: &bytes });
+        let mut passes =
+            |from: &mut membership::Core, to: &mut membership::Core, name: &str, at: u64| {
+                let mut actions = Vec::new();
+                from.handle(ms(at), Event::Start, &mut actions);
+                for token in 0..20 {
+                    from.handle(ms(at + 100 * token), Event::Timer(token), &mut actions);
+                }
+                let start = from.start();
+                for action in actions {
+                    if let membership::Action::Send {
+                        to: whom, bytes, ..
+                    } = action
+                    {
+                        if whom == "p0" || whom == "p2" {
+                            to.handle(
+                                ms(at),
+                                Event::Heard {
+                                    from: name,
+                                    start,
+                                    bytes: &bytes,
+                                },
+                                &mut Vec::new(),
+                            );
+                            if name == "p2" {
+                                fleet.tell(
+                                    0,
+                                    Event::Heard {
+                                        from: name,
+                                        start,
+                                        bytes: &bytes,
+                                    },
+                                );
+                            }
                         }
                     }
                 }
-            }
-        };
+            };
         passes(&mut former, &mut heard, "p0", 0);
         passes(&mut heard, &mut former, "p2", 100);
     }
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -18,20 +18,39 @@
     fn new(fleet: &Fleet, facts: bool) -> Self {
         let size = fleet.processes.len();
         let rates = pace(size, 1, ms(1000), ms(60_000));
-        let said = if facts { sayings(size, true, Some(rates)) } else { Vec::new() };
+        let said = if facts {
+            sayings(size, true, Some(rates))
+        } else {
+            Vec::new()
+        };
         let at = |which: usize, who: usize| fleet.now + said[which].2 * who as u32 / size as u32;
         let all = (0..said.len()).flat_map(|which| (0..size).map(move |who| (which, who)));
-        let due = all.map(|(which, who)| (at(which, who), who, which)).collect();
+        let due = all
+            .map(|(which, who)| (at(which, who), who, which))
+            .collect();
         Self { said, due }
     }
 
     fn run(&mut self, fleet: &mut Fleet, until: Duration) {
-        while let Some((at, who, which)) = self.due.first().copied().filter(|(at, ..)| *at < until) {
+        while let Some((at, who, which)) = self.due.first().copied().filter(|(at, ..)| *at < until)
+        {
             self.due.pop_first();
             fleet.run(at);
             let (kind, length, each, lasts) = self.said[which];
-            fleet.tell(who, Event::Tell { kind, key: vec![0], body: vec![7; length], lasts });
-            fleet.processes.iter_mut().flatten().for_each(|process| process.facts.clear());
+            fleet.tell(
+                who,
+                Event::Tell {
+                    kind,
+                    key: vec![0],
+                    body: vec![7; length],
+                    lasts,
+                },
+            );
+            fleet
+                .processes
+                .iter_mut()
+                .flatten()
+                .for_each(|process| process.facts.clear());
             self.due.insert((at + each, who, which));
         }
         fleet.run(until);
@@ -53,8 +72,12 @@
         talk.run(&mut fleet, killed + ms(6000));
         let others = (0..size).filter(|other| *other != who);
         let when = |other: usize| {
-            let mut told = fleet.changes.iter().filter(|(_, at, of, _)| *at == other && *of == who);
-            told.find(|(.., status)| *status == Status::Down).map_or(ms(6000), |(at, ..)| *at - killed)
+            let mut told = fleet
+                .changes
+                .iter()
+                .filter(|(_, at, of, _)| *at == other && *of == who);
+            told.find(|(.., status)| *status == Status::Down)
+                .map_or(ms(6000), |(at, ..)| *at - killed)
         };
         known.extend(others.map(when).max());
         fleet.start(who);
@@ -64,7 +87,13 @@
     known
 }
 
-fn false_deaths(size: usize, loss: f64, minutes: u64, seed: u64, facts: bool) -> (usize, usize, u64) {
+fn false_deaths(
+    size: usize,
+    loss: f64,
+    minutes: u64,
+    seed: u64,
+    facts: bool,
+) -> (usize, usize, u64) {
     let mut fleet = Fleet::new(size, seed);
     let mut talk = Talk::new(&fleet, facts);
     talk.run(&mut fleet, ms(8000));
@@ -73,20 +102,37 @@
     let (mut down, mut suspect, bytes) = (0, 0, fleet.sent_bytes);
     for minute in 1..=minutes {
         talk.run(&mut fleet, ms(8000 + 60_000 * minute));
-        down += fleet.changes.iter().filter(|(.., status)| *status == Status::Down).count();
-        suspect += fleet.changes.iter().filter(|(.., status)| *status == Status::Suspect).count();
+        down += fleet
+            .changes
+            .iter()
+            .filter(|(.., status)| *status == Status::Down)
+            .count();
+        suspect += fleet
+            .changes
+            .iter()
+            .filter(|(.., status)| *status == Status::Suspect)
+            .count();
         fleet.changes.clear();
     }
-    (down, suspect, (fleet.sent_bytes - bytes) / (size as u64 * 60 * minutes))
+    (
+        down,
+        suspect,
+        (fleet.sent_bytes - bytes) / (size as u64 * 60 * minutes),
+    )
 }
 
 #[test]
 #[ignore]
 fn figures_deaths() {
-    let number = |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
+    let number =
+        |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
     let (seed, facts) = (number("SEED", 7), number("FACTS", 0) > 0);
-    let all = [(5, 200), (20, 200), (100, 200)].map(|(size, times)| (size, number("TIMES", times) as usize));
-    for (size, times) in all.into_iter().filter(|(size, _)| *size >= number("MEMBERS", 0) as usize) {
+    let all = [(5, 200), (20, 200), (100, 200)]
+        .map(|(size, times)| (size, number("TIMES", times) as usize));
+    for (size, times) in all
+        .into_iter()
+        .filter(|(size, _)| *size >= number("MEMBERS", 0) as usize)
+    {
         let known = deaths(size, 0.05, times, seed, facts);
         let at = |part: f64| known[((known.len() - 1) as f64 * part).round() as usize];
         println!(
@@ -102,8 +148,13 @@
 #[test]
 #[ignore]
 fn figures_false_deaths() {
-    let number = |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
-    let (minutes, seed, facts) = (number("MINUTES", 60), number("SEED", 3), number("FACTS", 0) > 0);
+    let number =
+        |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
+    let (minutes, seed, facts) = (
+        number("MINUTES", 60),
+        number("SEED", 3),
+        number("FACTS", 0) > 0,
+    );
     let (down, suspect, bytes) = false_deaths(100, 0.05, minutes, seed, facts);
     println!(
         "{minutes} min, 100 members, 5 % loss, seed {seed}, facts {facts}: {down} false deaths, {suspect} suspicions told, {bytes} B/s"
@@ -179,11 +230,22 @@
     let loans = [
         (BEAT, 38 + 6 * founders + 17 * others, second, ms(5000)),
         (66, 80, second, ms(20_000)),
-        (67, 38 + 6 * founders + 17 * others.min(4), second, ms(20_000)),
+        (
+            67,
+            38 + 6 * founders + 17 * others.min(4),
+            second,
+            ms(20_000),
+        ),
     ];
-    let loans = loans.into_iter().filter(|(kind, ..)| with_loans && (size <= 55 || *kind == BEAT));
+    let loans = loans
+        .into_iter()
+        .filter(|(kind, ..)| with_loans && (size <= 55 || *kind == BEAT));
     let rates = rates.map(|each| (RATES, 60, each, ms(60_000)));
-    [(1, 12, ms(30_000), ms(60_000))].into_iter().chain(rates).chain(loans).collect()
+    [(1, 12, ms(30_000), ms(60_000))]
+        .into_iter()
+        .chain(rates)
+        .chain(loans)
+        .collect()
 }
 
 /// `MEMBERS=500 LOANS=0 RATES=1000 SECONDS=20`: what it costs, and how old rates are where they are held. `PHASE=0`: all
@@ -191,8 +253,13 @@
 #[test]
 #[ignore]
 fn figures_facts() {
-    let number = |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
-    let (size, seconds, phase) = (number("MEMBERS", 5), number("SECONDS", 20) as u64, number("PHASE", 1));
+    let number =
+        |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
+    let (size, seconds, phase) = (
+        number("MEMBERS", 5),
+        number("SECONDS", 20) as u64,
+        number("PHASE", 1),
+    );
     let (loans, rates) = (number("LOANS", 0) > 0, number("RATES", 1000) as u64);
     let mut fleet = Fleet::new(size, 1);
     fleet.loss = number("LOSS", 0) as f64 / 100.0;
@@ -214,23 +281,46 @@
         }
         fleet.run(at);
         let (kind, length, each, lasts) = said[which];
-        fleet.tell(who, Event::Tell { kind, key: vec![0], body: vec![7; length], lasts });
-        fleet.processes.iter_mut().flatten().for_each(|process| process.facts.clear());
+        fleet.tell(
+            who,
+            Event::Tell {
+                kind,
+                key: vec![0],
+                body: vec![7; length],
+                lasts,
+            },
+        );
+        fleet
+            .processes
+            .iter_mut()
+            .flatten()
+            .for_each(|process| process.facts.clear());
         due.insert((at + each, who, which));
     }
     fleet.run(end);
     // The part of a kind that is held, and how old it is there.
     let held = |kind: u8| {
         let cores = (0..size).map(|who| fleet.core(who));
-        let mut ages: Vec<Duration> =
-            cores.flat_map(|(core, now)| core.facts(now, kind)).map(|fact| fact.age).collect();
+        let mut ages: Vec<Duration> = cores
+            .flat_map(|(core, now)| core.facts(now, kind))
+            .map(|fact| fact.age)
+            .collect();
         ages.sort();
         let at = |part: f64| ages.get(((ages.len().max(1) - 1) as f64 * part) as usize);
         let part = ages.len() as f64 / (size * (size - 1)) as f64;
-        format!("{part:.4} held, age p50 {:?} p99 {:?} max {:?}", at(0.5), at(0.99), at(1.0))
+        format!(
+            "{part:.4} held, age p50 {:?} p99 {:?} max {:?}",
+            at(0.5),
+            at(0.99),
+            at(1.0)
+        )
     };
     let per = |total: u64| total as f64 / size as f64 / seconds as f64;
-    let down = fleet.changes.iter().filter(|(.., status)| *status == Status::Down).count();
+    let down = fleet
+        .changes
+        .iter()
+        .filter(|(.., status)| *status == Status::Down)
+        .count();
     println!(
         "{size} members, loans {loans}, rates each {rates} ms, phase {phase}: {:.0} B/s {:.1} datagrams/s; rates {}; beats {}; \
          {down} down",
@@ -264,7 +354,10 @@
             // The clock of a thread moves by ticks: a small fleet is watched for longer.
             fleet.run(fleet.now + ms(secs * 1000 * (500 / size as u64)));
             let (events, spent) = (fleet.events - events, processor_ns() - begun);
-            lines.push(format!("{what} {:.1} us of {events}", spent as f64 / 1000.0 / events as f64));
+            lines.push(format!(
+                "{what} {:.1} us of {events}",
+                spent as f64 / 1000.0 / events as f64
+            ));
         }
         println!("{size} members, an event: {}", lines.join(", "));
     }
@@ -276,12 +369,21 @@
     let (begun, bytes) = (fleet.now, fleet.sent_bytes);
     let holds = |fleet: &Fleet, who: usize| {
         let (core, now) = fleet.core(who);
-        let held = |kind| core.facts(now, kind).iter().filter(|fact| fact.body[0] == version).count();
+        let held = |kind| {
+            core.facts(now, kind)
+                .iter()
+                .filter(|fact| fact.body[0] == version)
+                .count()
+        };
         (1..=kinds).map(held).sum::<usize>() + usize::from(kinds) >= usize::from(kinds) * size
     };
     while !who.iter().all(|who| holds(fleet, *who)) && fleet.now < begun + ms(300_000) {
         fleet.run(fleet.now + ms(100));
-        fleet.processes.iter_mut().flatten().for_each(|process| process.facts.clear());
+        fleet
+            .processes
+            .iter_mut()
+            .flatten()
+            .for_each(|process| process.facts.clear());
     }
     let took = fleet.now - begun;
     let each = (fleet.sent_bytes - bytes) as f64 / size as f64 / took.as_secs_f64();
@@ -293,14 +395,23 @@
 #[test]
 #[ignore]
 fn figures_sync() {
-    let number = |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
+    let number =
+        |name: &str, default| std::env::var(name).map_or(default, |text| text.parse().unwrap());
     let (size, seed, kinds) = (number("MEMBERS", 100), number("SEED", 1) as u64, 4);
     let mut fleet = Fleet::new(size, seed);
     fleet.loss = 0.05;
     let say = |fleet: &mut Fleet, version: u8| {
         for (who, kind) in (0..size).flat_map(|who| (1..=kinds).map(move |kind| (who, kind))) {
             let body = vec![version; 60];
-            fleet.tell(who, Event::Tell { kind, key: vec![0], body, lasts: ms(600_000) });
+            fleet.tell(
+                who,
+                Event::Tell {
+                    kind,
+                    key: vec![0],
+                    body,
+                    lasts: ms(600_000),
+                },
+            );
         }
     };
     say(&mut fleet, 0);
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -14,8 +14,15 @@
 }
 
 enum What {
-    Datagram { from: usize, start: u64, bytes: Vec<u8> },
-    Timer { life: u64, token: u64 },
+    Datagram {
+        from: usize,
+        start: u64,
+        bytes: Vec<u8>,
+    },
+    Timer {
+        life: u64,
+        token: u64,
+    },
 }
 
 pub struct Process {
@@ -60,7 +67,10 @@
         address: ([127, 0, 0, 1], 1000 + at as u16).into(),
         region: format!("r{}", at % 3),
     };
-    Roster { version: 1, members: (0..size).map(member).collect() }
+    Roster {
+        version: 1,
+        members: (0..size).map(member).collect(),
+    }
 }
 
 fn at(name: &str) -> usize {
@@ -105,7 +115,13 @@
         (self.set)(&mut config);
         let core = Core::new(config, self.rng.random()).unwrap();
         let (start, life, since) = (self.starts, self.lives, self.now);
-        self.processes[who] = Some(Process { core, start, life, since, facts: Vec::new() });
+        self.processes[who] = Some(Process {
+            core,
+            start,
+            life,
+            since,
+            facts: Vec::new(),
+        });
         self.tell(who, Event::Start);
     }
 
@@ -144,10 +160,14 @@
     }
 
     pub fn tell(&mut self, who: usize, event: Event<'_>) {
-        let Some(process) = &mut self.processes[who] else { return };
+        let Some(process) = &mut self.processes[who] else {
+            return;
+        };
         let mut actions = Vec::new();
         self.events += 1;
-        process.core.handle(self.now - process.since, event, &mut actions);
+        process
+            .core
+            .handle(self.now - process.since, event, &mut actions);
         let life = process.life;
         let mut start = process.start;
         for action in actions {
@@ -161,12 +181,22 @@
                         continue;
                     }
                     let after = ms(self.rng.random_range(self.delay.0..=self.delay.1));
-                    self.push(self.now + after, to, What::Datagram { from: who, start, bytes });
+                    self.push(
+                        self.now + after,
+                        to,
+                        What::Datagram {
+                            from: who,
+                            start,
+                            bytes,
+                        },
+                    );
                 }
                 Action::Timer { after, token } => {
                     self.push(self.now + after, who, What::Timer { life, token });
                 }
-                Action::Changed(name, status) => self.changes.push((self.now, who, at(&name), status)),
+                Action::Changed(name, status) => {
+                    self.changes.push((self.now, who, at(&name), status))
+                }
                 Action::Fact(fact) => self.processes[who].as_mut().unwrap().facts.push(fact),
                 Action::State(_) => {}
                 Action::Renewed(later) => {
@@ -196,17 +226,29 @@
                 self.now = at;
             }
             if self.paused[who] > at && self.processes[who].is_some() {
-                self.queue.push(Reverse((self.paused[who], count, who, slot)));
+                self.queue
+                    .push(Reverse((self.paused[who], count, who, slot)));
                 continue;
             }
             self.free.push(slot);
             let what = self.slots[slot].take().unwrap();
-            let Some(life) = self.processes[who].as_ref().map(|process| process.life) else { continue };
+            let Some(life) = self.processes[who].as_ref().map(|process| process.life) else {
+                continue;
+            };
             match what {
                 What::Datagram { from, start, bytes } => {
-                    self.tell(who, Event::Heard { from: &format!("p{from}"), start, bytes: &bytes });
+                    self.tell(
+                        who,
+                        Event::Heard {
+                            from: &format!("p{from}"),
+                            start,
+                            bytes: &bytes,
+                        },
+                    );
+                }
+                What::Timer { life: of, token } if of == life => {
+                    self.tell(who, Event::Timer(token))
                 }
-                What::Timer { life: of, token } if of == life => self.tell(who, Event::Timer(token)),
                 What::Timer { .. } => {}
             }
         }
@@ -216,11 +258,20 @@
     pub fn status(&self, who: usize, of: usize) -> Status {
         let (core, now) = self.core(who);
         let name = format!("p{of}");
-        core.view(now).members.iter().find(|member| member.name == name).unwrap().status
+        core.view(now)
+            .members
+            .iter()
+            .find(|member| member.name == name)
+            .unwrap()
+            .status
     }
 
     pub fn count(&self, who: usize, status: Status) -> usize {
         let (core, now) = self.core(who);
-        core.view(now).members.iter().filter(|member| member.status == status).count()
+        core.view(now)
+            .members
+            .iter()
+            .filter(|member| member.status == status)
+            .count()
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -50,16 +50,28 @@
     fn init_states(&self) -> Vec<World> {
         let groups = [0; MEMBERS];
         let standing = [Standing::default(); MEMBERS];
-        vec![World { now: 0, groups, since: 0, learned: [groups; MEMBERS], standing }]
+        vec![World {
+            now: 0,
+            groups,
+            since: 0,
+            learned: [groups; MEMBERS],
+            standing,
+        }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         let cuts = [[0, 0, 0, 0], [0, 0, 0, 1], [0, 0, 1, 1]];
-        steps.extend(cuts.into_iter().filter(|cut| *cut != world.groups).map(Step::Cut));
+        steps.extend(
+            cuts.into_iter()
+                .filter(|cut| *cut != world.groups)
+                .map(Step::Cut),
+        );
         let behind = |who: &usize| world.learned[*who] != world.groups;
         steps.extend((0..MEMBERS).filter(behind).map(Step::Learn));
         // Time goes on only while nobody is behind for longer than the bound.
-        if world.now < LAST && (world.now < world.since + KNOWN || !(0..MEMBERS).any(|who| behind(&who))) {
+        if world.now < LAST
+            && (world.now < world.since + KNOWN || !(0..MEMBERS).any(|who| behind(&who)))
+        {
             steps.push(Step::Tick);
         }
     }
@@ -73,9 +85,21 @@
         }
         for who in 0..MEMBERS {
             let mine = next.learned[who][who];
-            let heard = next.learned[who].iter().filter(|group| **group == mine).count();
-            let heads = Heads { of: MEMBERS, heard, suspect: 0, left: 0, me: true };
-            let (now, hold) = (Duration::from_secs(next.now.into()), Duration::from_secs(HOLD.into()));
+            let heard = next.learned[who]
+                .iter()
+                .filter(|group| **group == mine)
+                .count();
+            let heads = Heads {
+                of: MEMBERS,
+                heard,
+                suspect: 0,
+                left: 0,
+                me: true,
+            };
+            let (now, hold) = (
+                Duration::from_secs(next.now.into()),
+                Duration::from_secs(HOLD.into()),
+            );
             next.standing[who].step(now, heads, hold);
         }
         Some(next)
@@ -86,7 +110,10 @@
             Property::always("one group promotes", |model: &Self, world: &World| {
                 let known = (0..MEMBERS).all(|who| world.learned[who] == world.groups);
                 let may = |who: &usize| model.may(&world.standing[*who]);
-                let mut groups: Vec<u8> = (0..MEMBERS).filter(may).map(|who| world.groups[who]).collect();
+                let mut groups: Vec<u8> = (0..MEMBERS)
+                    .filter(may)
+                    .map(|who| world.groups[who])
+                    .collect();
                 groups.dedup();
                 groups.sort_unstable();
                 groups.dedup();
@@ -109,7 +136,11 @@
 fn no_order_of_events_lets_two_groups_promote() {
     let checker = Fleet { half: false }.checker().spawn_bfs().join();
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 1000, "{}", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 1000,
+        "{}",
+        checker.unique_state_count()
+    );
     let planted = Fleet { half: true }.checker().spawn_bfs().join();
     assert!(planted.discovery("one group promotes").is_some());
 }
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -58,7 +58,11 @@
 
 impl Groups {
     fn new(now: Duration, of: Option<Box<dyn Fn(usize) -> usize>>) -> Self {
-        Self { of, since: now, lame: false }
+        Self {
+            of,
+            since: now,
+            lame: false,
+        }
     }
 
     fn of(&self, who: usize) -> usize {
@@ -90,8 +94,18 @@
         let (core, now) = fleet.core(who);
         let view = core.view(now);
         // Where probes are lost some are suspected now and then, and whoever is does not count for a majority.
-        let right = if fleet.loss > 0.0 { view.state <= wanted } else { view.state == wanted };
-        prop_assert!(right, "p{} is {:?} among {} that hear each other", who, view.state, heard);
+        let right = if fleet.loss > 0.0 {
+            view.state <= wanted
+        } else {
+            view.state == wanted
+        };
+        prop_assert!(
+            right,
+            "p{} is {:?} among {} that hear each other",
+            who,
+            view.state,
+            heard
+        );
         // Few find the many that they lost by their own rounds of all, one each period.
         let round = ms(200) * size as u32;
         let lost_are_known = heard * 2 >= size || fleet.now >= still + DETECTED + round;
@@ -118,10 +132,17 @@
         return Ok(());
     }
     let size = fleet.processes.len();
-    let mut acting: Vec<usize> = (0..size).filter(|who| may_promote(fleet, *who)).map(of).collect();
+    let mut acting: Vec<usize> = (0..size)
+        .filter(|who| may_promote(fleet, *who))
+        .map(of)
+        .collect();
     acting.sort_unstable();
     acting.dedup();
-    prop_assert!(acting.len() < 2, "groups {acting:?} may promote at {:?}", fleet.now);
+    prop_assert!(
+        acting.len() < 2,
+        "groups {acting:?} may promote at {:?}",
+        fleet.now
+    );
     Ok(())
 }
 
@@ -165,11 +186,24 @@
                 told += 1;
                 let body = told.to_be_bytes().to_vec();
                 let key = vec![key];
-                fleet.tell(who % size, Event::Tell { kind: 1, key, body, lasts: ms(600_000) });
+                fleet.tell(
+                    who % size,
+                    Event::Tell {
+                        kind: 1,
+                        key,
+                        body,
+                        lasts: ms(600_000),
+                    },
+                );
             }
         }
         let awake = fleet.paused.iter().copied().max().unwrap_or_default();
-        still = if matches!(step, Step::Tell(..)) { still } else { fleet.now }.max(awake);
+        still = if matches!(step, Step::Tell(..)) {
+            still
+        } else {
+            fleet.now
+        }
+        .max(awake);
         // In slices, so that what is allowed is looked at as it changes.
         let until = fleet.now + ms(dwell);
         while fleet.now < until {
@@ -181,9 +215,17 @@
     }
     fleet.cut.clear();
     fleet.loss = 0.0;
-    let dead: Vec<usize> = (0..size).filter(|who| fleet.processes[*who].is_none()).collect();
+    let dead: Vec<usize> = (0..size)
+        .filter(|who| fleet.processes[*who].is_none())
+        .collect();
     dead.into_iter().for_each(|who| fleet.start(who));
-    let awake = fleet.paused.iter().copied().max().unwrap_or_default().max(fleet.now);
+    let awake = fleet
+        .paused
+        .iter()
+        .copied()
+        .max()
+        .unwrap_or_default()
+        .max(fleet.now);
     fleet.run(awake + CONVERGED);
     all_agree(&fleet)
 }
@@ -194,7 +236,9 @@
 fn held(fleet: &Fleet, who: usize) -> Vec<Held> {
     let (core, now) = fleet.core(who);
     let facts = core.facts(now, 1).into_iter();
-    facts.map(|fact| (fact.source, fact.start, fact.key, fact.sequence, fact.body)).collect()
+    facts
+        .map(|fact| (fact.source, fact.start, fact.key, fact.sequence, fact.body))
+        .collect()
 }
 
 fn all_agree(fleet: &Fleet) -> Result<(), TestCaseError> {
@@ -206,28 +250,46 @@
     for (who, known) in known.iter_mut().enumerate() {
         let (core, now) = fleet.core(who);
         let view = core.view(now);
-        let alive = view.members.iter().filter(|member| member.status == Status::Alive).count();
+        let alive = view
+            .members
+            .iter()
+            .filter(|member| member.status == Status::Alive)
+            .count();
         prop_assert_eq!(alive, size - 1, "p{} sees {:?}", who, view.members);
         prop_assert_eq!(view.state, State::Whole);
         prop_assert_eq!(view.counts.errors, 0);
         known.sort();
         let me = format!("p{who}");
         let start = fleet.processes[who].as_ref().unwrap().start;
-        let wanted: Vec<_> =
-            all.iter().filter(|(source, of, ..)| *source != me || *of < start).cloned().collect();
+        let wanted: Vec<_> = all
+            .iter()
+            .filter(|(source, of, ..)| *source != me || *of < start)
+            .cloned()
+            .collect();
         prop_assert_eq!(&*known, &wanted[..], "p{} holds other facts", who);
     }
     Ok(())
 }
 
 fn many(size: usize, cases: u32) {
-    let config = Cases { cases, max_shrink_iters: 40, failure_persistence: None, ..Cases::default() };
+    let config = Cases {
+        cases,
+        max_shrink_iters: 40,
+        failure_persistence: None,
+        ..Cases::default()
+    };
     let mut runner = TestRunner::new_with_rng(
         config,
-        proptest::test_runner::TestRng::deterministic_rng(proptest::test_runner::RngAlgorithm::ChaCha),
+        proptest::test_runner::TestRng::deterministic_rng(
+            proptest::test_runner::RngAlgorithm::ChaCha,
+        ),
     );
     let begun = std::time::Instant::now();
-    runner.run(&(any::<u64>(), steps()), |(seed, steps)| play(size, seed, steps, |_| {})).unwrap();
+    runner
+        .run(&(any::<u64>(), steps()), |(seed, steps)| {
+            play(size, seed, steps, |_| {})
+        })
+        .unwrap();
     let known = KNOWN.swap(0, Relaxed);
     assert!(known > 0 || cases < 3);
     println!(
@@ -256,7 +318,11 @@
 
 #[test]
 fn one_that_came_back_and_was_cut_off_at_once() {
-    let mut steps = vec![(Step::Block(5), 4630), (Step::Heal, 336), (Step::Split(2, 3), 152)];
+    let mut steps = vec![
+        (Step::Block(5), 4630),
+        (Step::Heal, 336),
+        (Step::Split(2, 3), 152),
+    ];
     steps.extend([(Step::Pause(3, 4923), 3799), (Step::Kill(3), 5852)]);
     play(5, 5_524_463_678_602_353_450, steps, |_| {}).unwrap();
 }
@@ -265,7 +331,10 @@
 /// it called dead, for six seconds, one that lives among its own.
 #[test]
 fn one_that_missed_who_another_is_now() {
-    let mut steps = vec![(Step::OneWay(610, 505), 1959), (Step::OneWay(689, 796), 8410)];
+    let mut steps = vec![
+        (Step::OneWay(610, 505), 1959),
+        (Step::OneWay(689, 796), 8410),
+    ];
     steps.extend([(Step::Split(3, 0), 813), (Step::Block(3), 6852)]);
     play(50, 8_964_137_716_461_213_613, steps, |_| {}).unwrap();
 }
@@ -305,6 +374,12 @@
 #[ignore = "20 s in a release build"]
 fn one_that_starts_in_a_cut_of_500() {
     for start in [Step::Start(316), Step::StartBehind(316)] {
-        play(500, 13_637_317, vec![(Step::Block(3), 5806), (start, 6113)], |_| {}).unwrap();
+        play(
+            500,
+            13_637_317,
+            vec![(Step::Block(3), 5806), (start, 6113)],
+            |_| {},
+        )
+        .unwrap();
     }
 }
--- a/crates/memoir/src/core.rs
+++ b/crates/memoir/src/core.rs
@@ -102,7 +102,8 @@
     }
 
     fn go_on(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.saving.is_some() || self.again.is_some_and(|again| now < again) || !self.is_due(now) {
+        if self.saving.is_some() || self.again.is_some_and(|again| now < again) || !self.is_due(now)
+        {
             return;
         }
         self.again = None;
@@ -115,14 +116,19 @@
         if self.unsure {
             return true;
         }
-        let Some(kept) = &self.kept else { return self.now != Memory::default() };
+        let Some(kept) = &self.kept else {
+            return self.now != Memory::default();
+        };
         let said = (kept.start, &kept.hands) != (self.now.start, &self.now.hands);
         said || kept.list != self.now.list && now >= self.list_due
     }
 
     /// The index of the list that the disk has; 0: it has none.
     pub fn list_index(&self) -> u64 {
-        self.kept.as_ref().and_then(|kept| kept.list.as_ref()).map_or(0, |list| list.index)
+        self.kept
+            .as_ref()
+            .and_then(|kept| kept.list.as_ref())
+            .map_or(0, |list| list.index)
     }
 
     /// Whether a list that is told now would be written.
@@ -133,8 +139,11 @@
     /// The disk has what operators said, and the start, whatever comes of the write that is under way.
     pub fn has_words(&self) -> bool {
         let nothing = Memory::default();
-        let has = |memory: &Memory| (memory.start, &memory.hands) == (self.now.start, &self.now.hands);
-        !self.unsure && has(self.kept.as_ref().unwrap_or(&nothing)) && self.saving.as_ref().is_none_or(has)
+        let has =
+            |memory: &Memory| (memory.start, &memory.hands) == (self.now.start, &self.now.hands);
+        !self.unsure
+            && has(self.kept.as_ref().unwrap_or(&nothing))
+            && self.saving.as_ref().is_none_or(has)
     }
 
     /// The disk has all that is to be remembered.
--- a/crates/memoir/src/file.rs
+++ b/crates/memoir/src/file.rs
@@ -91,7 +91,10 @@
 pub(crate) fn encode(name: &str, memory: &Memory) -> Vec<u8> {
     // Into memory that grows, of plain data: it does not fail; what is empty is read as no memory if it did.
     let body = postcard::to_stdvec(memory).unwrap_or_default();
-    let head = Head { name, digest: digest(name, &body) };
+    let head = Head {
+        name,
+        digest: digest(name, &body),
+    };
     let mut file = MAGIC.to_vec();
     file.push(VERSION);
     let mut file = postcard::to_extend(&head, file).unwrap_or_default();
--- a/crates/memoir/src/recall.rs
+++ b/crates/memoir/src/recall.rs
@@ -24,12 +24,21 @@
 }
 
 /// `kept`: what was found under this proxy's name; none: nothing was.
-pub fn recall(me: &str, kept: Option<&[u8]>, after: After) -> Result<(Recalled, Option<Memory>), Fault> {
-    let Some(kept) = kept else { return Ok(Default::default()) };
+pub fn recall(
+    me: &str,
+    kept: Option<&[u8]>,
+    after: After,
+) -> Result<(Recalled, Option<Memory>), Fault> {
+    let Some(kept) = kept else {
+        return Ok(Default::default());
+    };
     let memory = file::decode(me, kept)?;
     let Memory { start, list, hands } = memory.clone();
     let recalled = match after {
-        After::Elder => Recalled { start, ..Recalled::default() },
+        After::Elder => Recalled {
+            start,
+            ..Recalled::default()
+        },
         After::Nobody { platform } => {
             let list = list.filter(|list| platform.is_none_or(|index| list.index > index));
             Recalled { start, list, hands }
--- a/crates/memoir/tests/crashes.rs
+++ b/crates/memoir/tests/crashes.rs
@@ -14,11 +14,18 @@
 }
 
 fn hand(name: &str, out: u64) -> Hand {
-    Hand { name: name.into(), out: Some(out), before: None }
+    Hand {
+        name: name.into(),
+        out: Some(out),
+        before: None,
+    }
 }
 
 fn list(index: u64) -> List {
-    List { index, bytes: index.to_le_bytes().repeat(20) }
+    List {
+        index,
+        bytes: index.to_le_bytes().repeat(20),
+    }
 }
 
 /// The last write, of a proxy of that name.
@@ -73,7 +80,10 @@
                 .rposition(|w| *w == now)
                 .unwrap_or_else(|| panic!("seed {seed}: {now:?} never was"));
             assert!(place >= sure, "seed {seed}: older than what was kept");
-            assert_eq!((recalled.start, &recalled.list, &recalled.hands), (now.start, &now.list, &now.hands));
+            assert_eq!(
+                (recalled.start, &recalled.list, &recalled.hands),
+                (now.start, &now.list, &now.hands)
+            );
             let mut core = Core::new("n0", ms(500), found);
             was.push(now.clone());
             let mut memory = now;
@@ -87,8 +97,9 @@
                         Event::Start(memory.start)
                     }
                     1 => {
-                        memory.hands =
-                            (0..rng.random_range(0..4)).map(|n| hand(&format!("s{n}"), n)).collect();
+                        memory.hands = (0..rng.random_range(0..4))
+                            .map(|n| hand(&format!("s{n}"), n))
+                            .collect();
                         Event::Hands(memory.hands.clone())
                     }
                     2 => {
@@ -112,7 +123,9 @@
                 let mut actions = Vec::new();
                 core.handle(at, event, &mut actions);
                 for action in actions {
-                    let Action::Save(bytes) = action else { panic!("{action:?}") };
+                    let Action::Save(bytes) = action else {
+                        panic!("{action:?}")
+                    };
                     assert!(writing.is_none(), "seed {seed}: two writes at once");
                     writing = Some((bytes, was.len() - 1));
                 }
@@ -123,7 +136,11 @@
                     at += ms(60_000);
                     let mut actions = Vec::new();
                     let ended = writing.take();
-                    core.handle(at, ended.as_ref().map_or(Event::Tick, |_| Event::Kept(true)), &mut actions);
+                    core.handle(
+                        at,
+                        ended.as_ref().map_or(Event::Tick, |_| Event::Kept(true)),
+                        &mut actions,
+                    );
                     disk = ended.map(|(bytes, _)| bytes).or(disk);
                     writing = actions.into_iter().find_map(|a| match a {
                         Action::Save(bytes) => Some((bytes, was.len() - 1)),
@@ -161,11 +178,18 @@
             if let Some(promised) = promised.filter(|_| whole) {
                 // A file that was torn in a former life, and not written since, holds nothing.
                 let found = recall("n0", disk.as_deref(), NOBODY).unwrap_or_default().0;
-                assert_eq!((found.start, found.hands), promised, "seed {seed}: a yes is forgotten");
+                assert_eq!(
+                    (found.start, found.hands),
+                    promised,
+                    "seed {seed}: a yes is forgotten"
+                );
             }
         }
     }
-    assert!((50..2_000).contains(&lost_words), "{lost_words} files were torn");
+    assert!(
+        (50..2_000).contains(&lost_words),
+        "{lost_words} files were torn"
+    );
 }
 
 #[test]
@@ -179,8 +203,16 @@
     assert_eq!(at(0, Event::List(list(1))), (1, false));
     assert_eq!(at(1, Event::Kept(true)), (0, true));
     assert_eq!(at(10, Event::List(list(2))), (0, false), "not yet");
-    assert_eq!(at(20, Event::Hands(vec![hand("a", 1)])), (1, false), "with the list that waits");
-    assert_eq!(at(21, Event::Hands(vec![hand("a", 1), hand("b", 2)])), (0, false), "one at a time");
+    assert_eq!(
+        at(20, Event::Hands(vec![hand("a", 1)])),
+        (1, false),
+        "with the list that waits"
+    );
+    assert_eq!(
+        at(21, Event::Hands(vec![hand("a", 1), hand("b", 2)])),
+        (0, false),
+        "one at a time"
+    );
     assert_eq!(at(22, Event::Kept(true)), (1, false));
     assert_eq!(at(23, Event::Kept(true)), (0, true));
     assert_eq!(at(30, Event::List(list(3))), (0, false));
@@ -188,7 +220,10 @@
     assert_eq!(at(5_022, Event::Tick), (1, false));
     assert_eq!(at(5_023, Event::Kept(true)), (0, true));
     // Nothing is written that is there already, nor a start that went back.
-    assert_eq!(at(20_000, Event::Hands(vec![hand("a", 1), hand("b", 2)])), (0, true));
+    assert_eq!(
+        at(20_000, Event::Hands(vec![hand("a", 1), hand("b", 2)])),
+        (0, true)
+    );
     assert_eq!(at(20_000, Event::Start(7)), (1, false));
     assert_eq!(at(20_001, Event::Kept(true)), (0, true));
     assert_eq!(at(20_002, Event::Start(3)), (0, true));
@@ -219,7 +254,11 @@
     let (mut writes, mut failing) = (Vec::new(), Vec::new());
     for second in 0..200 {
         let mut actions = Vec::new();
-        core.handle(ms(second * 1_000), Event::Hands(vec![hand("a", second)]), &mut actions);
+        core.handle(
+            ms(second * 1_000),
+            Event::Hands(vec![hand("a", second)]),
+            &mut actions,
+        );
         if !actions.is_empty() {
             writes.push(second);
             core.handle(ms(second * 1_000), Event::Kept(false), &mut actions);
@@ -238,33 +277,66 @@
 fn what_is_too_long_or_too_much_is_left_out_and_the_rest_is_kept() {
     let mut core = Core::new("n0", ms(0), None);
     let mut actions = Vec::new();
-    let long = List { index: 1, bytes: vec![7; memoir::LIST_MOST + 1] };
+    let long = List {
+        index: 1,
+        bytes: vec![7; memoir::LIST_MOST + 1],
+    };
     core.handle(ms(0), Event::List(long.clone()), &mut actions);
     core.handle(ms(0), Event::List(long.clone()), &mut actions);
     assert_eq!(actions, [Action::TooLong(memoir::LIST_MOST + 1)]);
-    let hands: Vec<Hand> = (0..memoir::HANDS_MOST as u64 + 5).map(|n| hand(&format!("s{n}"), n)).collect();
+    let hands: Vec<Hand> = (0..memoir::HANDS_MOST as u64 + 5)
+        .map(|n| hand(&format!("s{n}"), n))
+        .collect();
     core.handle(ms(0), Event::Hands(hands), &mut actions);
-    let Some(Action::Save(bytes)) = actions.pop() else { panic!("nothing is saved") };
+    let Some(Action::Save(bytes)) = actions.pop() else {
+        panic!("nothing is saved")
+    };
     assert!((bytes.len() as u64) < memoir::FILE_MOST);
     let (recalled, _) = recall("n0", Some(&bytes), NOBODY).unwrap();
-    assert_eq!((recalled.hands.len(), recalled.list), (memoir::HANDS_MOST, None));
-    assert!(recalled.hands.iter().all(|hand| hand.out >= Some(5)), "the oldest words go");
+    assert_eq!(
+        (recalled.hands.len(), recalled.list),
+        (memoir::HANDS_MOST, None)
+    );
+    assert!(
+        recalled.hands.iter().all(|hand| hand.out >= Some(5)),
+        "the oldest words go"
+    );
 }
 
 #[test]
 fn the_table_of_trust() {
-    let events = vec![Event::Start(9), Event::Hands(vec![hand("a", 1)]), Event::List(list(40))];
+    let events = vec![
+        Event::Start(9),
+        Event::Hands(vec![hand("a", 1)]),
+        Event::List(list(40)),
+    ];
     let bytes = saved("n0", events);
     let with = |after| recall("n0", Some(&bytes), after).unwrap().0;
     let all = with(NOBODY);
-    assert_eq!((all.start, all.hands.len(), all.list.as_ref().map(|l| l.index)), (9, 1, Some(40)));
+    assert_eq!(
+        (
+            all.start,
+            all.hands.len(),
+            all.list.as_ref().map(|l| l.index)
+        ),
+        (9, 1, Some(40))
+    );
     for (platform, used) in [(39, true), (40, false), (41, false)] {
-        let recalled = with(After::Nobody { platform: Some(platform) });
-        assert_eq!((recalled.list.is_some(), recalled.hands.len()), (used, 1), "known {platform}");
+        let recalled = with(After::Nobody {
+            platform: Some(platform),
+        });
+        assert_eq!(
+            (recalled.list.is_some(), recalled.hands.len()),
+            (used, 1),
+            "known {platform}"
+        );
     }
     let heir = with(After::Elder);
     assert_eq!((heir.start, heir.hands.len(), heir.list), (9, 0, None));
-    assert_eq!(recall("n1", Some(&bytes), NOBODY), Err(Fault::Foreign("n0".into())));
+    assert_eq!(
+        recall("n1", Some(&bytes), NOBODY),
+        Err(Fault::Foreign("n0".into()))
+    );
     assert_eq!(recall("n0", Some(b"LVPX"), NOBODY), Err(Fault::NotOurs));
     let mut later = bytes.clone();
     later[4] = 2;
@@ -276,16 +348,35 @@
 #[test]
 fn a_file_of_version_1_is_read_for_good() {
     let hex = include_str!("version-1.hex").trim();
-    let kept: Vec<u8> =
-        (0..hex.len() / 2).map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).unwrap()).collect();
+    let kept: Vec<u8> = (0..hex.len() / 2)
+        .map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).unwrap())
+        .collect();
     let events = vec![
         Event::Start(1_764_000_000_000),
-        Event::Hands(vec![hand("rs-1", 17), Hand { name: "rs-2".into(), out: None, before: Some((3, 300)) }]),
-        Event::List(List { index: 300, bytes: b"{}".to_vec() }),
+        Event::Hands(vec![
+            hand("rs-1", 17),
+            Hand {
+                name: "rs-2".into(),
+                out: None,
+                before: Some((3, 300)),
+            },
+        ]),
+        Event::List(List {
+            index: 300,
+            bytes: b"{}".to_vec(),
+        }),
     ];
     let bytes = saved("n0", events);
-    assert_eq!(bytes, kept, "{}", bytes.iter().map(|b| format!("{b:02x}")).collect::<String>());
-    assert_eq!(recall("n0", Some(&kept), NOBODY).unwrap().0.start, 1_764_000_000_000);
+    assert_eq!(
+        bytes,
+        kept,
+        "{}",
+        bytes.iter().map(|b| format!("{b:02x}")).collect::<String>()
+    );
+    assert_eq!(
+        recall("n0", Some(&kept), NOBODY).unwrap().0.start,
+        1_764_000_000_000
+    );
 }
 
 proptest! {
--- a/crates/mountshift/src/decide.rs
+++ b/crates/mountshift/src/decide.rs
@@ -156,7 +156,11 @@
 impl Store {
     /// The least part of its full capacity that it has now.
     fn capacity(&self, set: &Settings, now: Time) -> f64 {
-        let age = if self.started == Time::ZERO { Duration::MAX } else { now.since(self.started) };
+        let age = if self.started == Time::ZERO {
+            Duration::MAX
+        } else {
+            now.since(self.started)
+        };
         let warmth = age.div_duration_f64(set.warm_after.max(LEAST));
         (set.cold_share + (1.0 - set.cold_share) * warmth).min(1.0)
     }
@@ -280,8 +284,16 @@
     /// With other constants, for those who measure what they do.
     pub fn tuned(settings: Settings, tune: Tuning, seed: u64, now: Time) -> Router {
         let (random, own_order, trust, proved) = (seed, seed, 1.0, now);
-        let mut router =
-            Router { tune, now, random, own_order, trust, proved, spare: 1.0, ..Router::default() };
+        let mut router = Router {
+            tune,
+            now,
+            random,
+            own_order,
+            trust,
+            proved,
+            spare: 1.0,
+            ..Router::default()
+        };
         router.configure(settings, &[]);
         router
     }
@@ -289,17 +301,39 @@
     /// From now on by these settings. Classes keep their places, so that requests under way keep theirs with
     /// its rights; one at a new place begins with what is known of the class that it stands in for.
     pub fn configure(&mut self, settings: Settings, heirs: &[Option<ClassId>]) {
-        let aims = settings.classes.iter().map(|c| c.aim).filter(|aim| !aim.is_zero());
+        let aims = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .filter(|aim| !aim.is_zero());
         self.tightest_aim = aims.min().unwrap_or(AIM_UNSTATED);
-        let bound = |c: &Class| if let Need::Bounded(b) = c.need { Some(b) } else { None };
-        let bounds = settings.classes.iter().filter_map(bound).filter(|bound| !bound.is_zero());
+        let bound = |c: &Class| {
+            if let Need::Bounded(b) = c.need {
+                Some(b)
+            } else {
+                None
+            }
+        };
+        let bounds = settings
+            .classes
+            .iter()
+            .filter_map(bound)
+            .filter(|bound| !bound.is_zero());
         self.tightest_bound = bounds.min().unwrap_or(self.tightest_aim);
         for (at, class) in settings.classes.iter().enumerate().skip(self.work.len()) {
-            let heir = heirs.get(at).copied().flatten().map(|heir| usize::from(heir.0));
-            self.work.push(heir.map_or(class.aim, |heir| self.work[heir]));
-            self.first_wait.push(heir.map_or(Duration::ZERO, |heir| self.first_wait[heir]));
+            let heir = heirs
+                .get(at)
+                .copied()
+                .flatten()
+                .map(|heir| usize::from(heir.0));
+            self.work
+                .push(heir.map_or(class.aim, |heir| self.work[heir]));
+            self.first_wait
+                .push(heir.map_or(Duration::ZERO, |heir| self.first_wait[heir]));
             for store in self.stores.values_mut() {
-                store.run_time.push(heir.and_then(|heir| store.run_time[heir]));
+                store
+                    .run_time
+                    .push(heir.and_then(|heir| store.run_time[heir]));
             }
         }
         self.set = settings;
@@ -308,7 +342,11 @@
     /// Members in the list that get nothing at `now`: they leave, or rest.
     pub fn avoided(&self, now: Time) -> usize {
         let avoids = |s: &&Store| s.told_leaving.is_some() || now < s.rests_until;
-        self.stores.values().filter(|s| s.listed != Listed::Gone).filter(avoids).count()
+        self.stores
+            .values()
+            .filter(|s| s.listed != Listed::Gone)
+            .filter(avoids)
+            .count()
     }
 
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Out) {
@@ -317,7 +355,9 @@
             Event::List(news) => self.on_list(news, out),
             Event::Arrived(arrival) => self.on_arrival(arrival, out),
             Event::Ended(ended) => self.on_end(ended, out),
-            Event::Probed { store, ok, report, .. } => self.on_probed(store, ok, report, out),
+            Event::Probed {
+                store, ok, report, ..
+            } => self.on_probed(store, ok, report, out),
             Event::Left(id) => self.forget(id),
             Event::Timer(_) => self.alarm = None,
         }
@@ -331,14 +371,21 @@
         }
         let next = self.agenda.first().map(|&(due, _)| due);
         if let Some(due) = next.filter(|&due| self.alarm.is_none_or(|set| due < set)) {
-            out.push(Action::Timer { after: due.since(now), token: TimerToken(0) });
+            out.push(Action::Timer {
+                after: due.since(now),
+                token: TimerToken(0),
+            });
             self.alarm = Some(due);
         }
     }
 
     /// What is left of a memory of that time.
     fn kept(&self, since: Time) -> f64 {
-        (-self.now.since(since).div_duration_f64(self.tightest_aim.mul_f64(self.tune.forget))).exp()
+        (-self
+            .now
+            .since(since)
+            .div_duration_f64(self.tightest_aim.mul_f64(self.tune.forget)))
+        .exp()
     }
 
     /// How alone it is among the routers: 1 among few, less in proportion among many.
@@ -371,7 +418,11 @@
                 let wait = (LIST_WAIT * (1 << self.list_failures.min(16))).min(most);
                 let latest = wait.max(self.list_spread(most));
                 let placed = self.list_failures > 1;
-                let earliest = if placed { latest.mul_f64(LIST_PACE.1) } else { wait / 2 };
+                let earliest = if placed {
+                    latest.mul_f64(LIST_PACE.1)
+                } else {
+                    wait / 2
+                };
                 return self.ask_list(earliest, latest);
             }
         };
@@ -404,9 +455,12 @@
         }
         // Where removal does not bind, what left without a drain stays: own attempts tell whether it serves.
         let soft = self.set.soft_removal;
-        self.stores
-            .retain(|_, s| soft && s.told_leaving.is_none() || s.listed != Listed::Gone || !s.out.is_empty());
-        self.groups.values_mut().for_each(|group| group.members.clear());
+        self.stores.retain(|_, s| {
+            soft && s.told_leaving.is_none() || s.listed != Listed::Gone || !s.out.is_empty()
+        });
+        self.groups
+            .values_mut()
+            .for_each(|group| group.members.clear());
         for (&id, store) in &self.stores {
             if store.listed != Listed::Gone || soft {
                 self.groups.entry(store.group).or_default().members.push(id);
@@ -414,7 +468,11 @@
         }
         // In one order for all, routers that know little of the members would crowd the first.
         for (id, group) in &mut self.groups {
-            let serve = group.members.iter().filter(|id| self.stores[id].told_leaving.is_none()).count();
+            let serve = group
+                .members
+                .iter()
+                .filter(|id| self.stores[id].told_leaving.is_none())
+                .count();
             group.widest = group.widest.max(serve);
             concert::order(self.set.number, id.0, &mut group.members, |store| store.0);
         }
@@ -432,11 +490,16 @@
     /// Asks for the list within this span.
     fn ask_list(&mut self, earliest: Duration, latest: Duration) {
         let span = latest.saturating_sub(earliest).mul_f64(self.chance());
-        self.agenda.insert((self.now.plus(earliest + span), Task::AskList));
+        self.agenda
+            .insert((self.now.plus(earliest + span), Task::AskList));
     }
 
     fn on_arrival(&mut self, mut arrival: Arrival, out: &mut Out) {
-        arrival.standing = if self.set.over_share_worth < 1.0 { arrival.standing } else { Standing::Within };
+        arrival.standing = if self.set.over_share_worth < 1.0 {
+            arrival.standing
+        } else {
+            Standing::Within
+        };
         let id = arrival.id;
         let token = match (arrival.wrote, arrival.session) {
             (Some(Wrote::Ago(ago)), _) => self.now.minus(ago),
@@ -449,7 +512,14 @@
         let deadline = self.now.plus(arrival.time_left);
         let known = usize::from(arrival.class.0) < self.set.classes.len();
         let aim_end = self.aim_end(&arrival);
-        let request = Request { arrival, came: self.now, deadline, aim_end, token, ..Request::default() };
+        let request = Request {
+            arrival,
+            came: self.now,
+            deadline,
+            aim_end,
+            token,
+            ..Request::default()
+        };
         self.requests.insert(id, request);
         if !known || !self.takes_in(id) {
             return self.give_up(id, out);
@@ -461,8 +531,13 @@
 
     /// Repeats are no usual work: starting replicas get none of them.
     fn note_usual(&mut self, id: RequestId) {
-        let Some(Request { arrival, .. }) = self.requests.get(&id) else { return };
-        let (work, memory) = (self.work[usize::from(arrival.class.0)], self.set.warm_after.max(LEAST));
+        let Some(Request { arrival, .. }) = self.requests.get(&id) else {
+            return;
+        };
+        let (work, memory) = (
+            self.work[usize::from(arrival.class.0)],
+            self.set.warm_after.max(LEAST),
+        );
         let needs_primary = self.needs_primary(arrival.class);
         if needs_primary || !arrival.repeated {
             let group = self.groups.entry(arrival.group).or_default();
@@ -471,9 +546,24 @@
     }
 
     fn on_end(&mut self, ended: Ended, out: &mut Out) {
-        let Ended { id, attempt, store, outcome, elapsed, last, note } = ended;
-        let known = self.stores.get_mut(&store).and_then(|s| s.out.remove(&(id, attempt)));
-        let class = self.requests.get(&id).map(|r| r.arrival.class).or(known.map(|(class, ..)| class));
+        let Ended {
+            id,
+            attempt,
+            store,
+            outcome,
+            elapsed,
+            last,
+            note,
+        } = ended;
+        let known = self
+            .stores
+            .get_mut(&store)
+            .and_then(|s| s.out.remove(&(id, attempt)));
+        let class = self
+            .requests
+            .get(&id)
+            .map(|r| r.arrival.class)
+            .or(known.map(|(class, ..)| class));
         let (_, sent, overtaken) = known.unwrap_or((ClassId(0), self.now.minus(elapsed), 0));
         if let (Some(request), Outcome::Miss) = (self.requests.get(&id), outcome) {
             if let (Some(need), Some(store)) = (self.needed(request), self.stores.get_mut(&store)) {
@@ -496,7 +586,12 @@
             self.forget(id);
         } else if let Some(request) = self.requests.get_mut(&id) {
             request.out.retain(|&(no, _)| no != attempt);
-            let never = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss];
+            let never = [
+                Outcome::Full,
+                Outcome::ConnectFailed,
+                Outcome::Moot,
+                Outcome::Miss,
+            ];
             if !never.contains(&outcome) {
                 let earliest = request.may_have_run.filter(|&(at, _)| at <= sent);
                 request.may_have_run = earliest.or(Some((sent, store)));
@@ -510,7 +605,9 @@
     }
 
     fn on_probed(&mut self, id: StoreId, ok: bool, report: Report, out: &mut Out) {
-        let Some(store) = self.stores.get_mut(&id) else { return };
+        let Some(store) = self.stores.get_mut(&id) else {
+            return;
+        };
         store.probe_out = false;
         if !ok {
             return self.rest(id, self.tune.rest_first);
@@ -536,35 +633,77 @@
 
     /// What an answer, or the want of one, says of the store.
     fn learn(&mut self, class: ClassId, sent: Time, ended: Ended) {
-        let (now, tune, Ended { store: id, outcome, elapsed, note, .. }) = (self.now, self.tune, ended);
-        let Class { need, aim, deadline, late_worth, .. } = *self.class(class);
+        let (
+            now,
+            tune,
+            Ended {
+                store: id,
+                outcome,
+                elapsed,
+                note,
+                ..
+            },
+        ) = (self.now, self.tune, ended);
+        let Class {
+            need,
+            aim,
+            deadline,
+            late_worth,
+            ..
+        } = *self.class(class);
         let (write, aim, at) = (need == Need::Write, aim.max(LEAST), usize::from(class.0));
         // A time-out hides how long it would have taken. Among few routers rooms are cut, and that is enough.
         let many = self.alone() < 1.0;
         let hidden = many && outcome == Outcome::TimedOut;
-        let waited = if hidden || outcome == Outcome::Full { deadline } else { elapsed };
+        let waited = if hidden || outcome == Outcome::Full {
+            deadline
+        } else {
+            elapsed
+        };
         let tells = matches!(outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Full);
         let took = tells.then(|| waited.div_duration_f64(aim));
-        let told = self.stores.get(&id).map(|store| (1.0 - self.kept(store.judged), store.group));
-        let Some((memory, at_group)) = told else { return };
+        let told = self
+            .stores
+            .get(&id)
+            .map(|store| (1.0 - self.kept(store.judged), store.group));
+        let Some((memory, at_group)) = told else {
+            return;
+        };
         if let Some(took) = took {
             let earned = if took < 1.0 { 1.0 } else { late_worth };
             // No answer may tell of a connection: it weighs no more than one in time. A full store is late.
-            let fall = if many { tune.door_fall } else { tune.door_fall / 2.0 };
+            let fall = if many {
+                tune.door_fall
+            } else {
+                tune.door_fall / 2.0
+            };
             let earns = |fall: f64| earned - fall * (1.0 - earned);
-            let step = if outcome == Outcome::TimedOut { -1.0 } else { earns(fall) };
+            let step = if outcome == Outcome::TimedOut {
+                -1.0
+            } else {
+                earns(fall)
+            };
             let judged = |door: f64, weight: f64, step: f64| {
                 (door + door * weight.min(tune.run_weight) * step).clamp(tune.door_least, tune.door)
             };
             let (all, here) = self.doors(at_group);
-            let (here, weight) = (judged(here, 1.0, step) - 1.0, 1.0 - self.kept(self.all.judged));
-            self.spare = judged(self.spare, weight.min(0.5 / tune.spare_fall), earns(tune.spare_fall));
+            let (here, weight) = (
+                judged(here, 1.0, step) - 1.0,
+                1.0 - self.kept(self.all.judged),
+            );
+            self.spare = judged(
+                self.spare,
+                weight.min(0.5 / tune.spare_fall),
+                earns(tune.spare_fall),
+            );
             (self.all.door, self.all.judged) = (judged(all, weight, step) - 1.0, now);
             if let Some(group) = self.groups.get_mut(&at_group) {
                 (group.door, group.judged) = (here, now);
             }
         }
-        let Some(store) = self.stores.get_mut(&id) else { return };
+        let Some(store) = self.stores.get_mut(&id) else {
+            return;
+        };
         if let Some(primary) = note.primary {
             store.role = Some((primary, now));
         }
@@ -576,7 +715,11 @@
         // store that loses work, or fails it quickly, looks no worse than others, and one that hangs only
         // while attempts are out there. A trace more than an untried one, which so gets its turn.
         let in_vain = matches!(outcome, Outcome::Failed | Outcome::ConnectFailed);
-        let spent = if in_vain { aim + self.tightest_aim / 2 + LEAST } else { elapsed };
+        let spent = if in_vain {
+            aim + self.tightest_aim / 2 + LEAST
+        } else {
+            elapsed
+        };
         if in_vain || matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
             let average = &mut store.run_time[at];
             *average = Some(average.map_or(spent, |a| drawn(a, spent, tune.run_weight)));
@@ -593,7 +736,12 @@
             let judged = |trust: f64, before: Time| {
                 let rise = tune.trust_rise * now.since(before).min(tip / 4).div_duration_f64(tip);
                 let proven = easy && outcome == Outcome::Ok;
-                if proven { trust + rise } else { trust * tune.trust_cut }.clamp(1.0, tune.trust_most)
+                if proven {
+                    trust + rise
+                } else {
+                    trust * tune.trust_cut
+                }
+                .clamp(1.0, tune.trust_most)
             };
             store.trust = judged(store.trust, store.judged);
             if capacity < 1.0 {
@@ -608,7 +756,11 @@
                     *overtaken += u32::from(*before < sent);
                 }
                 let work = &mut self.work[at];
-                let weight = if spent < *work { tune.run_weight } else { tune.run_weight * tune.work_rise };
+                let weight = if spent < *work {
+                    tune.run_weight
+                } else {
+                    tune.run_weight * tune.work_rise
+                };
                 *work = drawn(*work, spent, weight);
                 // Guards against queues that grow out of the routers' sight (overload, slow stores, others'
                 // load): answers near their aim shrink the room, early ones that used it widen it.
@@ -636,7 +788,10 @@
             self.forgotten = self.now.minus(self.set.warm_after);
             self.written.retain(|_, commit| *commit > self.forgotten);
         }
-        self.written.entry(key).and_modify(|known| *known = commit.max(*known)).or_insert(commit);
+        self.written
+            .entry(key)
+            .and_modify(|known| *known = commit.max(*known))
+            .or_insert(commit);
     }
 
     fn forget(&mut self, id: RequestId) {
@@ -648,12 +803,18 @@
 
     /// News of a store: whatever is held in its group gets another look, the most valuable first.
     fn wake(&mut self, store: StoreId, out: &mut Out) {
-        let Some(group) = self.stores.get(&store).map(|s| s.group) else { return };
-        let (first, last) = ((group, Time::ZERO, RequestId(0)), (group, Time::MAX, RequestId(u64::MAX)));
+        let Some(group) = self.stores.get(&store).map(|s| s.group) else {
+            return;
+        };
+        let (first, last) = (
+            (group, Time::ZERO, RequestId(0)),
+            (group, Time::MAX, RequestId(u64::MAX)),
+        );
         let here = self.held.range(first..=last).map(|h| h.2);
         // Of equal value the newest first: it has the most time left to be served in, while the oldest
         // would be served just too late, all of them, whenever more waits than can be served.
-        let mut waiting: Vec<(f64, RequestId)> = here.rev().map(|id| (self.value(id), id)).collect();
+        let mut waiting: Vec<(f64, RequestId)> =
+            here.rev().map(|id| (self.value(id), id)).collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0));
         for (_, id) in waiting.into_iter().take(WAKE_LOOK) {
             self.dispatch(id, out);
@@ -663,7 +824,9 @@
     // ---- The choice ----
 
     fn dispatch(&mut self, id: RequestId, out: &mut Out) {
-        let Some(request) = self.requests.get(&id).filter(|r| r.out.is_empty()) else { return };
+        let Some(request) = self.requests.get(&id).filter(|r| r.out.is_empty()) else {
+            return;
+        };
         match self.choose(request) {
             Choice::Send(store) => self.send(id, store, out),
             Choice::GiveUp => self.give_up(id, out),
@@ -672,11 +835,17 @@
                 let recheck = self.now.plus(self.tightest_aim.mul_f64(self.tune.recheck));
                 // Guards against giving up a look later than patience ends.
                 let until = self.patient_until(request);
-                let recheck = if until > self.now { until.min(recheck) } else { recheck };
+                let recheck = if until > self.now {
+                    until.min(recheck)
+                } else {
+                    recheck
+                };
                 if let Choice::Ask(whom) = hold {
                     self.ask(group, whom, out);
                 }
-                let Some(request) = self.requests.get_mut(&id) else { return };
+                let Some(request) = self.requests.get_mut(&id) else {
+                    return;
+                };
                 // One look ahead, however often it is woken: each would bring the next.
                 if request.recheck.is_none_or(|at| at <= self.now) {
                     request.recheck = Some(recheck);
@@ -696,13 +865,21 @@
     /// The member to send to, by least cost; or hold, or give up.
     fn choose(&self, request: &Request) -> Choice {
         let class = self.class(request.arrival.class);
-        let worth_until = if class.late_worth > 0.0 { request.deadline } else { request.aim_end };
+        let worth_until = if class.late_worth > 0.0 {
+            request.deadline
+        } else {
+            request.aim_end
+        };
         if self.now >= worth_until || self.now >= request.deadline {
             return Choice::GiveUp;
         }
         let patient = self.now < self.patient_until(request);
         if self.list_is_unconfirmed() {
-            return if patient { Choice::Hold } else { Choice::GiveUp };
+            return if patient {
+                Choice::Hold
+            } else {
+                Choice::GiveUp
+            };
         }
         let time_left = worth_until.since(self.now);
         let primary = self.primary(request.arrival.group);
@@ -713,7 +890,11 @@
         let mut best: Option<(bool, Duration, StoreId, bool)> = None;
         let (mut some_later, mut busy, mut shut) = (false, false, false);
         let members = self.members(request.arrival.group);
-        let met = if self.alone() < 1.0 { concert::reach(members.len()) } else { members.len() };
+        let met = if self.alone() < 1.0 {
+            concert::reach(members.len())
+        } else {
+            members.len()
+        };
         for (place, &id) in members.iter().enumerate() {
             let is_primary = primary == Some(id);
             let bar = self.guard(request, id).err();
@@ -726,18 +907,33 @@
             if !fits || self.now < store.rests_until || request.avoid.contains(&id) {
                 continue;
             }
-            let wait = if is_primary { Duration::ZERO } else { self.catch_up(request, store) };
+            let wait = if is_primary {
+                Duration::ZERO
+            } else {
+                self.catch_up(request, store)
+            };
             let run = self.run_time(store, request.arrival.class);
             if !wait.is_zero() && wait + run > time_left {
                 continue;
             }
-            let asking =
-                if bar.is_none() { Duration::ZERO } else { self.tightest_aim.mul_f64(self.tune.recheck) };
+            let asking = if bar.is_none() {
+                Duration::ZERO
+            } else {
+                self.tightest_aim.mul_f64(self.tune.recheck)
+            };
             // One of many learns more of few members than of all, and goes on to the rest when those fail.
-            let unmet = if place < met { Duration::ZERO } else { self.tightest_aim / 2 };
+            let unmet = if place < met {
+                Duration::ZERO
+            } else {
+                self.tightest_aim / 2
+            };
             let cost = self.remaining_work(store) + wait + run + asking + unmet;
             let candidate = (spares_primary && is_primary, cost, id, bar.is_none());
-            let share = if is_primary { self.primary_share(request.arrival.class) } else { 1.0 };
+            let share = if is_primary {
+                self.primary_share(request.arrival.class)
+            } else {
+                1.0
+            };
             if !self.has_room(request, id, store, share) {
                 // The draw of one of many is the same at each look, and its own answers seldom change it.
                 let lasts = store.out.is_empty() && self.alone() < 1.0;
@@ -763,14 +959,17 @@
     /// a word for as long as it takes to count as told, discovery can't be reached, and the list is all that there is.
     fn list_is_unconfirmed(&self) -> bool {
         let doubtful = list_clock::CACHED..list_clock::TOLD;
-        self.cached_since.is_some_and(|since| doubtful.contains(&self.now.since(since)))
+        self.cached_since
+            .is_some_and(|since| doubtful.contains(&self.now.since(since)))
     }
 
     /// Nothing that it has told of late says that it is none. Where nobody may be asked, a write finds that out: a store
     /// that is no primary turns it away untouched, and tells its role.
     fn may_be_primary(&self, store: &Store) -> bool {
         let lasts = self.tightest_bound.max(self.tightest_aim);
-        store.role.is_none_or(|(_, as_of)| self.now.since(as_of) >= lasts)
+        store
+            .role
+            .is_none_or(|(_, as_of)| self.now.since(as_of) >= lasts)
     }
 
     fn primary_share(&self, class: ClassId) -> f64 {
@@ -779,7 +978,10 @@
         }
         let value = |(class, work): (&Class, &Duration)| class.worth / work.as_secs_f64();
         let classes = self.set.classes.iter().zip(&self.work);
-        let best_write = classes.filter(|(c, _)| c.need == Need::Write).map(value).fold(0.0, f64::max);
+        let best_write = classes
+            .filter(|(c, _)| c.need == Need::Write)
+            .map(value)
+            .fold(0.0, f64::max);
         let own = value((self.class(class), &self.work[usize::from(class.0)]));
         (own / best_write).clamp(self.tune.reads_at_primary, 1.0)
     }
@@ -795,10 +997,18 @@
         }
         let memory = self.kept(store.judged).powf(self.alone().sqrt());
         let class = self.class(request.arrival.class);
-        let (write, own) = (class.need == Need::Write, store.took.div_duration_f64(class.aim.max(LEAST)));
-        let in_time = share * self.tune.room_late / (if write { own } else { store.pressure } * memory);
+        let (write, own) = (
+            class.need == Need::Write,
+            store.took.div_duration_f64(class.aim.max(LEAST)),
+        );
+        let in_time =
+            share * self.tune.room_late / (if write { own } else { store.pressure } * memory);
         let spares = self.alone() < 1.0 && !write;
-        let part = if spares { (self.tune.room_easy * in_time).powi(2) } else { in_time };
+        let part = if spares {
+            (self.tune.room_easy * in_time).powi(2)
+        } else {
+            in_time
+        };
         share_of(self.own_order ^ request.arrival.id.0 ^ u64::from(id.0)) < part
     }
 
@@ -817,11 +1027,20 @@
     /// than the bound, and against all reads crowding the primaries where a router knows few positions: at
     /// start, with little traffic. Does harm where misses or probes are dear.
     fn catch_up(&self, request: &Request, store: &Store) -> Duration {
-        let Some(need) = self.needed(request) else { return Duration::ZERO };
-        let gap = |from, at, age: Duration| need.since(from).saturating_sub(self.now.since(at) + age);
-        let missed = store.missed.filter(|&(from, _)| store.position.is_none_or(|told| told < from));
-        let behind = missed.map_or(Duration::ZERO, |(from, at)| gap(from, at, Duration::ZERO).max(LEAST));
-        let told = store.position.map_or(Duration::ZERO, |at| gap(at, store.told, self.report_age));
+        let Some(need) = self.needed(request) else {
+            return Duration::ZERO;
+        };
+        let gap =
+            |from, at, age: Duration| need.since(from).saturating_sub(self.now.since(at) + age);
+        let missed = store
+            .missed
+            .filter(|&(from, _)| store.position.is_none_or(|told| told < from));
+        let behind = missed.map_or(Duration::ZERO, |(from, at)| {
+            gap(from, at, Duration::ZERO).max(LEAST)
+        });
+        let told = store
+            .position
+            .map_or(Duration::ZERO, |at| gap(at, store.told, self.report_age));
         told.max(behind)
     }
 
@@ -851,11 +1070,17 @@
                 None => store.listed_primary.then_some((false, Time::ZERO)),
             }
         };
-        self.members(group).iter().filter(|id| rank(id).is_some()).max_by_key(rank).copied()
+        self.members(group)
+            .iter()
+            .filter(|id| rank(id).is_some())
+            .max_by_key(rank)
+            .copied()
     }
 
     fn members(&self, group: GroupId) -> &[StoreId] {
-        self.groups.get(&group).map_or(&[], |group| group.members.as_slice())
+        self.groups
+            .get(&group)
+            .map_or(&[], |group| group.members.as_slice())
     }
 
     fn class(&self, class: ClassId) -> &Class {
@@ -864,9 +1089,17 @@
 
     /// What an answer would earn for the work it takes.
     fn value(&self, id: RequestId) -> f64 {
-        let Some(request) = self.requests.get(&id) else { return 0.0 };
-        let Arrival { class, standing, .. } = request.arrival;
-        let late = if self.now >= request.aim_end { self.class(class).late_worth } else { 1.0 };
+        let Some(request) = self.requests.get(&id) else {
+            return 0.0;
+        };
+        let Arrival {
+            class, standing, ..
+        } = request.arrival;
+        let late = if self.now >= request.aim_end {
+            self.class(class).late_worth
+        } else {
+            1.0
+        };
         let counted = self.set.over_share_worth.powf(standing.beyond());
         self.class(class).worth * late * counted / self.work[usize::from(class.0)].as_secs_f64()
     }
@@ -875,11 +1108,21 @@
     /// left of the deadline. Guards against storms of repeats that come too late to earn anything and take
     /// the place of those that would. Where repeats bear no mark nothing is known of them.
     fn aim_end(&mut self, arrival: &Arrival) -> Time {
-        let Some(class) = self.set.classes.get(usize::from(arrival.class.0)) else { return self.now };
+        let Some(class) = self.set.classes.get(usize::from(arrival.class.0)) else {
+            return self.now;
+        };
         let first = &mut self.first_wait[usize::from(arrival.class.0)];
         let late = arrival.repeated && arrival.time_left < first.mul_f64(self.tune.less_time);
-        let spent = class.deadline.saturating_sub(if late { arrival.time_left } else { class.deadline });
-        *first = if arrival.repeated { *first } else { arrival.time_left.max(*first) };
+        let spent = class.deadline.saturating_sub(if late {
+            arrival.time_left
+        } else {
+            class.deadline
+        });
+        *first = if arrival.repeated {
+            *first
+        } else {
+            arrival.time_left.max(*first)
+        };
         self.now.plus(class.aim.saturating_sub(spent))
     }
 
@@ -887,7 +1130,11 @@
 
     fn guard(&self, request: &Request, id: StoreId) -> Result<(), Bar> {
         let class = self.class(request.arrival.class);
-        let Some(store) = self.stores.get(&id).filter(|s| s.group == request.arrival.group) else {
+        let Some(store) = self
+            .stores
+            .get(&id)
+            .filter(|s| s.group == request.arrival.group)
+        else {
             return Err(Bar::No);
         };
         // Drains: nothing new at all once told, well inside the grace.
@@ -895,7 +1142,9 @@
             return Err(Bar::No);
         }
         let allowed = [self.set.try_limit, request.arrival.tries.unwrap_or(0)];
-        let spent = allowed.into_iter().any(|limit| limit > 0 && request.attempts >= limit);
+        let spent = allowed
+            .into_iter()
+            .any(|limit| limit > 0 && request.attempts >= limit);
         // Effects: what may have run, or is still out, binds later attempts.
         if spent || !request.out.is_empty() && !self.set.second_copies {
             return Err(Bar::No);
@@ -906,7 +1155,8 @@
                 Effect::Unsafe => return Err(Bar::No),
                 Effect::Keyed { scope, window } => {
                     let same_zone = self.stores.get(&at).is_some_and(|s| s.zone == store.zone);
-                    if self.now >= last_repeat(since, window) || scope == Scope::Zone && !same_zone {
+                    if self.now >= last_repeat(since, window) || scope == Scope::Zone && !same_zone
+                    {
                         return Err(Bar::No);
                     }
                 }
@@ -944,19 +1194,31 @@
     /// a keyed repeat that arrives after its window is not recognised as one, and a read is not to find data that has
     /// become too old meanwhile.
     fn begins_by(&self, request: &Request, to: StoreId) -> Time {
-        let window_end = match (self.class(request.arrival.class).effect, self.earliest_effect(request)) {
+        let window_end = match (
+            self.class(request.arrival.class).effect,
+            self.earliest_effect(request),
+        ) {
             (Effect::Keyed { window, .. }, Some((since, _))) => last_repeat(since, window),
             _ => Time::MAX,
         };
-        request.deadline.min(window_end).min(self.fresh_until(request, to))
+        request
+            .deadline
+            .min(window_end)
+            .min(self.fresh_until(request, to))
     }
 
     /// Until when a store that answers reads however old its data is may get this one, by what it has told.
     fn fresh_until(&self, request: &Request, id: StoreId) -> Time {
         let store = &self.stores[&id];
         let primary = self.primary(store.group) == Some(id);
-        match (self.class(request.arrival.class).need, self.set.checks, store.position) {
-            (Need::Bounded(bound), Checks::None, Some(position)) if !primary => position.plus(bound),
+        match (
+            self.class(request.arrival.class).need,
+            self.set.checks,
+            store.position,
+        ) {
+            (Need::Bounded(bound), Checks::None, Some(position)) if !primary => {
+                position.plus(bound)
+            }
             _ => Time::MAX,
         }
     }
@@ -974,8 +1236,12 @@
             return false;
         }
         let work = self.work[usize::from(request.arrival.class.0)];
-        let (memory, least) = (self.set.warm_after.max(LEAST), self.set.tip_after.max(LEAST));
-        let usual = self.groups[&store.group].usual[usize::from(primary)].over(self.now, memory, least);
+        let (memory, least) = (
+            self.set.warm_after.max(LEAST),
+            self.set.tip_after.max(LEAST),
+        );
+        let usual =
+            self.groups[&store.group].usual[usize::from(primary)].over(self.now, memory, least);
         let part = self.cold_part(store, primary);
         let turn = self.turn(id, store, self.now);
         // One that waits would have a turn in each slice, with a part of what would come in all of them.
@@ -983,7 +1249,11 @@
         if waits && usual.is_less(self.cold_slice(), work) {
             return false;
         }
-        store.sent.allows(turn, part * usual.quota(self.cold_slice(), work, self.tune.cold_light), work)
+        store.sent.allows(
+            turn,
+            part * usual.quota(self.cold_slice(), work, self.tune.cold_light),
+            work,
+        )
     }
 
     /// The part of the work for its role that a starting store may get.
@@ -1003,9 +1273,18 @@
     }
 
     fn turn(&self, id: StoreId, store: &Store, at: Time) -> Turn {
-        let place = self.members(store.group).iter().filter(|&&member| member < id).count() as f64;
+        let place = self
+            .members(store.group)
+            .iter()
+            .filter(|&&member| member < id)
+            .count() as f64;
         let place = place / self.groups[&store.group].widest as f64;
-        Turn::at(at.since(store.started), self.cold_slice(), self.set.number, place)
+        Turn::at(
+            at.since(store.started),
+            self.cold_slice(),
+            self.set.number,
+            place,
+        )
     }
 
     fn needs_primary(&self, class: ClassId) -> bool {
@@ -1013,29 +1292,50 @@
     }
 
     fn send(&mut self, id: RequestId, to: StoreId, out: &mut Out) {
-        let may = self.requests.get(&id).is_some_and(|request| self.guard(request, to).is_ok());
-        let Some(request) = self.requests.get(&id).filter(|_| may) else { return };
+        let may = self
+            .requests
+            .get(&id)
+            .is_some_and(|request| self.guard(request, to).is_ok());
+        let Some(request) = self.requests.get(&id).filter(|_| may) else {
+            return;
+        };
         let begin_within = self.begins_by(request, to).since(self.now);
         self.count_starting(id, to);
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(store) = self.stores.get_mut(&to) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(store) = self.stores.get_mut(&to) else {
+            return;
+        };
         let attempt = AttemptNo(request.attempts);
         request.attempts += 1;
         request.out.push((attempt, to));
         request.tried.push(to);
         request.held = false;
         self.held.remove(&(request.arrival.group, request.came, id));
-        store.out.insert((id, attempt), (request.arrival.class, self.now, 0));
+        store
+            .out
+            .insert((id, attempt), (request.arrival.class, self.now, 0));
         let time_out = request.deadline.since(self.now);
-        out.push(Action::Send { id, store: to, time_out, begin_within });
+        out.push(Action::Send {
+            id,
+            store: to,
+            time_out,
+            begin_within,
+        });
     }
 
     fn count_starting(&mut self, id: RequestId, to: StoreId) {
-        let (Some(request), Some(store)) = (self.requests.get(&id), self.stores.get(&to)) else { return };
+        let (Some(request), Some(store)) = (self.requests.get(&id), self.stores.get(&to)) else {
+            return;
+        };
         if !store.starts(&self.set, self.now) {
             return;
         }
-        let (turn, work) = (self.turn(to, store, self.now), self.work[usize::from(request.arrival.class.0)]);
+        let (turn, work) = (
+            self.turn(to, store, self.now),
+            self.work[usize::from(request.arrival.class.0)],
+        );
         if let Some(store) = self.stores.get_mut(&to) {
             store.sent.add(turn, work);
         }
@@ -1046,9 +1346,17 @@
     /// The store is down, cut off or full: it is left alone for a while, longer each time.
     fn rest(&mut self, id: StoreId, first: f64) {
         let jitter = 0.5 + self.chance();
-        let (first, most) = (self.tightest_aim.mul_f64(first), self.tightest_aim.mul_f64(self.tune.rest_max));
-        let Some(store) = self.stores.get_mut(&id) else { return };
-        let rest = first.saturating_mul(1 << store.setbacks.min(16)).min(most).mul_f64(jitter);
+        let (first, most) = (
+            self.tightest_aim.mul_f64(first),
+            self.tightest_aim.mul_f64(self.tune.rest_max),
+        );
+        let Some(store) = self.stores.get_mut(&id) else {
+            return;
+        };
+        let rest = first
+            .saturating_mul(1 << store.setbacks.min(16))
+            .min(most)
+            .mul_f64(jitter);
         store.setbacks += 1;
         store.rests_until = self.now.plus(rest);
     }
@@ -1061,16 +1369,31 @@
     /// slowly: asked for at every look they cost most where connects fail. Harms where round trips are long.
     fn ask(&mut self, group: GroupId, whom: Option<StoreId>, out: &mut Out) {
         let role = self.tightest_bound.max(self.tightest_aim);
-        let spacing = if whom.is_none() { role } else { self.tightest_bound.mul_f64(self.tune.ask_again) };
+        let spacing = if whom.is_none() {
+            role
+        } else {
+            self.tightest_bound.mul_f64(self.tune.ask_again)
+        };
         let may = |id: &StoreId| {
             let store = &self.stores[id];
             let due = store.probed == Time::ZERO || self.now.since(store.probed) >= spacing;
             due && !store.probe_out && self.now >= store.rests_until && store.told_leaving.is_none()
         };
-        let longest =
-            || self.members(group).iter().filter(|&id| may(id)).min_by_key(|id| self.stores[id].probed);
-        let Some(id) = whom.filter(may).or_else(|| whom.is_none().then(longest)?.copied()) else { return };
-        let Some(store) = self.stores.get_mut(&id).filter(|_| self.set.may_probe) else { return };
+        let longest = || {
+            self.members(group)
+                .iter()
+                .filter(|&id| may(id))
+                .min_by_key(|id| self.stores[id].probed)
+        };
+        let Some(id) = whom
+            .filter(may)
+            .or_else(|| whom.is_none().then(longest)?.copied())
+        else {
+            return;
+        };
+        let Some(store) = self.stores.get_mut(&id).filter(|_| self.set.may_probe) else {
+            return;
+        };
         (store.probe_out, store.probed) = (true, self.now);
         out.push(Action::Probe { store: id });
     }
@@ -1086,12 +1409,17 @@
     fn takes_in(&mut self, id: RequestId) -> bool {
         let value = self.value(id);
         self.usual_value += self.tune.run_weight * (value - self.usual_value);
-        let Some(Request { arrival, .. }) = self.requests.get(&id) else { return true };
+        let Some(Request { arrival, .. }) = self.requests.get(&id) else {
+            return true;
+        };
         let part = match (arrival.standing, arrival.repeated) {
             (Standing::Beyond, false) => self.spare,
             (Standing::Beyond, true) => self.spare.floor(),
             (Standing::Borrowed, _) => self.doors(arrival.group).1.floor(),
-            _ => self.doors(arrival.group).1.powf((self.usual_value / value).powi(2)),
+            _ => self
+                .doors(arrival.group)
+                .1
+                .powf((self.usual_value / value).powi(2)),
         };
         share_of(self.own_order ^ id.0.rotate_left(32)) < part.min(1.0 - arrival.shed)
     }
@@ -1105,12 +1433,35 @@
 
     /// The final answer, at once. A refusal promises that nothing ran which a repeat could double.
     fn give_up(&mut self, id: RequestId, out: &mut Out) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let effect = self.set.classes.get(usize::from(request.arrival.class.0)).map(|c| c.effect);
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let effect = self
+            .set
+            .classes
+            .get(usize::from(request.arrival.class.0))
+            .map(|c| c.effect);
         let clean = request.out.is_empty() && request.may_have_run.is_none();
-        if clean || matches!(effect, Some(Effect::Safe | Effect::Keyed { scope: Scope::All, .. })) {
-            let come_back = self.tightest_aim.mul_f64(self.tune.rest_max).min(self.set.max_retry_after);
-            out.push(Action::Refuse { id, come_back: self.set.retry_after.then_some(come_back) });
+        if clean
+            || matches!(
+                effect,
+                Some(
+                    Effect::Safe
+                        | Effect::Keyed {
+                            scope: Scope::All,
+                            ..
+                        }
+                )
+            )
+        {
+            let come_back = self
+                .tightest_aim
+                .mul_f64(self.tune.rest_max)
+                .min(self.set.max_retry_after);
+            out.push(Action::Refuse {
+                id,
+                come_back: self.set.retry_after.then_some(come_back),
+            });
         } else {
             out.push(Action::Fail { id });
         }
@@ -1119,7 +1470,9 @@
 
     /// How long a request is held that nothing can be sent for.
     fn patient_until(&self, request: &Request) -> Time {
-        request.came.plus(request.arrival.time_left.mul_f64(self.tune.hold_share))
+        request
+            .came
+            .plus(request.arrival.time_left.mul_f64(self.tune.hold_share))
     }
 }
 
--- a/crates/mountshift/src/slow_start.rs
+++ b/crates/mountshift/src/slow_start.rs
@@ -41,10 +41,15 @@
 
     /// What came in the memory's time. What began less than `least` ago counts as spread over that long.
     pub(crate) fn over(&self, now: Time, memory: Duration, least: Duration) -> Usual {
-        let Some(first) = self.first else { return Usual::default() };
+        let Some(first) = self.first else {
+            return Usual::default();
+        };
         let seen = memory.as_secs_f64() * (1.0 - fading(now.since(first).max(least), memory));
         let left = fading(now.since(self.last), memory);
-        Usual { per_second: self.work * left / seen, mean: self.work / self.requests }
+        Usual {
+            per_second: self.work * left / seen,
+            mean: self.work / self.requests,
+        }
     }
 }
 
@@ -90,7 +95,10 @@
     pub(crate) fn at(age: Duration, slice: Duration, number: u32, place: f64) -> Turn {
         let slice = age.div_duration_f64(slice) as u64;
         let router = f64::from(number) * ROOT_OF_TWO;
-        Turn { slice, point: (router + place + (slice as f64 * GOLDEN).fract()).fract() }
+        Turn {
+            slice,
+            point: (router + place + (slice as f64 * GOLDEN).fract()).fract(),
+        }
     }
 }
 
@@ -117,6 +125,9 @@
 
     pub(crate) fn add(&mut self, turn: Turn, work: Duration) {
         let before = self.in_slice(turn.slice);
-        *self = Sent { slice: turn.slice, work: before + work.as_secs_f64() };
+        *self = Sent {
+            slice: turn.slice,
+            work: before + work.as_secs_f64(),
+        };
     }
 }
--- a/crates/mountshift/tests/common/mod.rs
+++ b/crates/mountshift/tests/common/mod.rs
@@ -16,11 +16,21 @@
 pub const BEGIN: Time = Time(Duration::from_secs(1_000));
 
 fn class(need: Need, effect: Effect, late_worth: f64) -> Class {
-    Class { need, effect, aim: 300 * MS, deadline: 1_000 * MS, worth: 1.0, late_worth }
+    Class {
+        need,
+        effect,
+        aim: 300 * MS,
+        deadline: 1_000 * MS,
+        worth: 1.0,
+        late_worth,
+    }
 }
 
 pub fn settings() -> Settings {
-    let keyed = Effect::Keyed { scope: Scope::Group, window: 600 * MS };
+    let keyed = Effect::Keyed {
+        scope: Scope::Group,
+        window: 600 * MS,
+    };
     Settings {
         routers: 2,
         number: 0,
@@ -89,8 +99,19 @@
     }
 
     pub fn seeded(settings: Settings, members: u32, seed: u64) -> Bench {
-        let router = Router::new(Settings { number: seed as u32, ..settings }, seed, BEGIN);
-        let mut bench = Bench { router, now: BEGIN, next: 1 };
+        let router = Router::new(
+            Settings {
+                number: seed as u32,
+                ..settings
+            },
+            seed,
+            BEGIN,
+        );
+        let mut bench = Bench {
+            router,
+            now: BEGIN,
+            next: 1,
+        };
         bench.list((1..=members).map(|s| entry(s, Listed::Ready)).collect());
         bench
     }
@@ -111,9 +132,17 @@
 
     /// A store reports a position that is `behind` old.
     pub fn report(&mut self, store: u32, primary: bool, behind: Duration) -> Vec<Action> {
-        let report =
-            Report { position: Some(self.now.minus(behind)), primary: Some(primary), ..Report::default() };
-        self.event(Event::Probed { store: StoreId(store), ok: true, elapsed: Duration::ZERO, report })
+        let report = Report {
+            position: Some(self.now.minus(behind)),
+            primary: Some(primary),
+            ..Report::default()
+        };
+        self.event(Event::Probed {
+            store: StoreId(store),
+            ok: true,
+            elapsed: Duration::ZERO,
+            report,
+        })
     }
 
     pub fn arrival(&mut self, class: u16) -> Arrival {
@@ -138,7 +167,13 @@
         (arrival.id, self.event(Event::Arrived(arrival)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u16, store: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        id: RequestId,
+        attempt: u16,
+        store: u32,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         self.end_with(id, attempt, store, outcome, Note::default())
     }
 
@@ -173,21 +208,36 @@
 }
 
 pub fn sends(actions: &[Action]) -> Vec<u32> {
-    let to = |a: &Action| if let Action::Send { store, .. } = a { Some(store.0) } else { None };
+    let to = |a: &Action| {
+        if let Action::Send { store, .. } = a {
+            Some(store.0)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(to).collect()
 }
 
 /// How long the first attempt among these may take to begin.
 pub fn begins_within(actions: &[Action]) -> Duration {
-    let within =
-        |a: &Action| if let Action::Send { begin_within, .. } = a { Some(*begin_within) } else { None };
+    let within = |a: &Action| {
+        if let Action::Send { begin_within, .. } = a {
+            Some(*begin_within)
+        } else {
+            None
+        }
+    };
     actions.iter().find_map(within).expect("an attempt")
 }
 
 pub fn refused(actions: &[Action], wanted: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted))
 }
 
 pub fn failed(actions: &[Action], wanted: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id } if *id == wanted))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Fail { id } if *id == wanted))
 }
