--- a/crates/rig/tests/common/turns.rs
+++ b/crates/rig/tests/common/turns.rs
@@ -14,7 +14,9 @@
 
 pub fn turn() -> Turn {
     let up = UP.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut up = FREE.wait_while(up, |up| *up >= AT_ONCE).unwrap_or_else(PoisonError::into_inner);
+    let mut up = FREE
+        .wait_while(up, |up| *up >= AT_ONCE)
+        .unwrap_or_else(PoisonError::into_inner);
     *up += 1;
     Turn(())
 }
--- a/crates/rig/tests/datagrams.rs
+++ b/crates/rig/tests/datagrams.rs
@@ -27,14 +27,21 @@
         let hears = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let talk = Talk::open(&Handle::current(), seed).unwrap();
         talk.lead_to(hears.local_addr().ok());
-        Pair { sends: UdpSocket::bind("127.0.0.1:0").await.unwrap(), talk, hears }
+        Pair {
+            sends: UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+            talk,
+            hears,
+        }
     }
 
     /// One after the other, each once the one before was taken: the order is that of sending.
     async fn send(&self, texts: impl IntoIterator<Item = u32>) {
         for text in texts {
             let came = self.talk.counts().came;
-            self.sends.send_to(&text.to_be_bytes(), self.talk.address).await.unwrap();
+            self.sends
+                .send_to(&text.to_be_bytes(), self.talk.address)
+                .await
+                .unwrap();
             self.talk.until(|counts| counts.came > came).await.unwrap();
         }
     }
@@ -46,11 +53,17 @@
         let mut heard = Vec::new();
         let mut bytes = [0; 64];
         while *before < counts.passed {
-            let n = timeout(PATIENCE, self.hears.recv(&mut bytes)).await.expect("it passed").unwrap();
+            let n = timeout(PATIENCE, self.hears.recv(&mut bytes))
+                .await
+                .expect("it passed")
+                .unwrap();
             heard.push(u32::from_be_bytes(bytes[..n].try_into().unwrap()));
             *before += 1;
         }
-        assert!(self.hears.try_recv(&mut bytes).is_err(), "more came than passed");
+        assert!(
+            self.hears.try_recv(&mut bytes).is_err(),
+            "more came than passed"
+        );
         heard
     }
 }
@@ -63,20 +76,68 @@
 #[test]
 fn each_fault_is_seen_and_counted() {
     let way = Way::default();
-    let of = |came, passed| Counts { came, passed, ..Counts::default() };
+    let of = |came, passed| Counts {
+        came,
+        passed,
+        ..Counts::default()
+    };
     let millis = Duration::from_millis;
     let late = Flow::Late(millis(30), millis(30));
     let cases: [(Way, &[u32], Counts); 7] = [
         (way, &[1, 2, 3, 4], of(4, 4)),
         (Flow::Cut.into(), &[], Counts { cut: 4, ..of(4, 0) }),
-        (Way { lost: 1.0, ..way }, &[], Counts { lost: 4, ..of(4, 0) }),
-        (Way { doubled: 1.0, ..way }, &[1, 1, 2, 2, 3, 3, 4, 4], Counts { doubled: 4, ..of(4, 8) }),
-        (Way { reordered: 1.0, ..way }, &[2, 1, 4, 3], Counts { reordered: 2, ..of(4, 4) }),
-        (late.into(), &[1, 2, 3, 4], Counts { late: 4, ..of(4, 4) }),
         (
-            Way { doubled: 1.0, reordered: 1.0, flow: late, ..way },
+            Way { lost: 1.0, ..way },
+            &[],
+            Counts {
+                lost: 4,
+                ..of(4, 0)
+            },
+        ),
+        (
+            Way {
+                doubled: 1.0,
+                ..way
+            },
+            &[1, 1, 2, 2, 3, 3, 4, 4],
+            Counts {
+                doubled: 4,
+                ..of(4, 8)
+            },
+        ),
+        (
+            Way {
+                reordered: 1.0,
+                ..way
+            },
+            &[2, 1, 4, 3],
+            Counts {
+                reordered: 2,
+                ..of(4, 4)
+            },
+        ),
+        (
+            late.into(),
+            &[1, 2, 3, 4],
+            Counts {
+                late: 4,
+                ..of(4, 4)
+            },
+        ),
+        (
+            Way {
+                doubled: 1.0,
+                reordered: 1.0,
+                flow: late,
+                ..way
+            },
             &[2, 2, 1, 1, 4, 4, 3, 3],
-            Counts { doubled: 4, late: 8, reordered: 2, ..of(4, 8) },
+            Counts {
+                doubled: 4,
+                late: 8,
+                reordered: 2,
+                ..of(4, 8)
+            },
         ),
     ];
     block(async {
@@ -87,7 +148,10 @@
             pair.send(1..5).await;
             assert_eq!(pair.heard(&mut 0).await, texts, "{way:?}");
             assert_eq!(pair.talk.counts(), counts, "{way:?}");
-            assert!(counts.late == 0 || begun.elapsed() >= millis(30), "{way:?}: earlier than it is set");
+            assert!(
+                counts.late == 0 || begun.elapsed() >= millis(30),
+                "{way:?}: earlier than it is set"
+            );
         }
     });
 }
@@ -97,7 +161,11 @@
 fn shares_are_as_set_and_one_bit_is_flipped() {
     block(async {
         let (pair, mut before) = (Pair::new(7).await, 0);
-        pair.talk.set(Way { lost: 0.2, corrupted: 1.0, ..Way::default() });
+        pair.talk.set(Way {
+            lost: 0.2,
+            corrupted: 1.0,
+            ..Way::default()
+        });
         let mut all = 0;
         for _ in 0..1_000 {
             pair.send([0]).await;
@@ -108,7 +176,11 @@
         }
         assert_eq!(all, u32::MAX);
         // Five standard deviations.
-        assert!(pair.talk.counts().lost.abs_diff(200) < 64, "{:?}", pair.talk.counts());
+        assert!(
+            pair.talk.counts().lost.abs_diff(200) < 64,
+            "{:?}",
+            pair.talk.counts()
+        );
     });
 }
 
@@ -117,7 +189,13 @@
 fn a_cut_takes_what_is_on_its_way() {
     block(async {
         let hour = Duration::from_secs(3_600);
-        for way in [Flow::Late(hour, hour).into(), Way { reordered: 1.0, ..Way::default() }] {
+        for way in [
+            Flow::Late(hour, hour).into(),
+            Way {
+                reordered: 1.0,
+                ..Way::default()
+            },
+        ] {
             let pair = Pair::new(1).await;
             pair.talk.set(way);
             pair.send([1]).await;
@@ -135,7 +213,10 @@
 fn what_nothing_follows_comes_once_it_is_healed() {
     block(async {
         let pair = Pair::new(1).await;
-        pair.talk.set(Way { reordered: 1.0, ..Way::default() });
+        pair.talk.set(Way {
+            reordered: 1.0,
+            ..Way::default()
+        });
         pair.send([1]).await;
         pair.talk.heal();
         assert_eq!(pair.heard(&mut 0).await, [1]);
@@ -180,24 +261,47 @@
 fn each_proxy_is_told_of_the_others() {
     let mut setup = common::setup(4, 1.0, common::SECOND);
     setup.misrule = Some(Rule::Stale);
-    let (regions, settings) = (vec!["north".to_owned()], "period 50ms\nsuspicion 500ms".to_owned());
+    let (regions, settings) = (
+        vec!["north".to_owned()],
+        "period 50ms\nsuspicion 500ms".to_owned(),
+    );
     let roster = vec![0, 1, 3];
-    setup.members = Some(Members { version: 7, settings, keys: vec![2, 1], roster, regions });
+    setup.members = Some(Members {
+        version: 7,
+        settings,
+        keys: vec![2, 1],
+        roster,
+        regions,
+    });
     let rig = Rig::start(setup).unwrap();
     let read = |proxy| {
         let plan = rig.plan(proxy, "127.0.0.1:0").unwrap();
-        let at = |name: &str| plan.variables.iter().find(|(n, _)| n == name).unwrap().1.clone();
+        let at = |name: &str| {
+            plan.variables
+                .iter()
+                .find(|(n, _)| n == name)
+                .unwrap()
+                .1
+                .clone()
+        };
         let file = at("LB_OPERATORS");
         let key_file = file.replace("operators.conf", "members.key");
         let text = std::fs::read_to_string(&file).unwrap();
-        let read = configuration::read(file.as_ref(), &configuration::load::Memory::from([(&*file, &*text)]));
+        let read = configuration::read(
+            file.as_ref(),
+            &configuration::load::Memory::from([(&*file, &*text)]),
+        );
         assert!(read.sound(), "{:?}", read.diagnostics);
         assert_eq!(
             read.model.members.map_or(0, |members| members.roster.len()),
             if proxy == 2 { 0 } else { 3 }
         );
         let keys = std::fs::read_to_string(&key_file).unwrap();
-        (text.split_once("members {").map(|(_, t)| t.to_owned()), key_file, keys)
+        (
+            text.split_once("members {").map(|(_, t)| t.to_owned()),
+            key_file,
+            keys,
+        )
     };
     let (text, key_file, keys) = read(1);
     let to = |member| rig.talk(1, member).unwrap().address;
@@ -210,9 +314,17 @@
     );
     assert_eq!(text.unwrap(), expected);
     let lines: Vec<&str> = keys.lines().collect();
-    assert!(lines.iter().all(|key| key.len() == 64 && key.bytes().all(|b| b.is_ascii_hexdigit())), "{keys}");
+    assert!(
+        lines
+            .iter()
+            .all(|key| key.len() == 64 && key.bytes().all(|b| b.is_ascii_hexdigit())),
+        "{keys}"
+    );
     assert!(lines.len() == 2 && lines[0] != lines[1]);
-    assert_eq!(std::fs::metadata(key_file).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        std::fs::metadata(key_file).unwrap().permissions().mode() & 0o777,
+        0o600
+    );
     assert_eq!(read(3).2, keys, "all have the same");
     assert_eq!(read(2).0, None, "who is not on the roster has none");
     assert!(rig.talk(1, 1).is_err());
@@ -225,14 +337,26 @@
         let talk = rig.talk(from, to).unwrap();
         rig.wait(async {
             let before = talk.counts();
-            ears[from].send_to(&[from as u8, to as u8], talk.address).await.unwrap();
-            let after = talk.until(|counts| counts.came > before.came).await.unwrap();
-            assert_eq!(after.dropped() + after.passed, before.dropped() + before.passed + 1);
+            ears[from]
+                .send_to(&[from as u8, to as u8], talk.address)
+                .await
+                .unwrap();
+            let after = talk
+                .until(|counts| counts.came > before.came)
+                .await
+                .unwrap();
+            assert_eq!(
+                after.dropped() + after.passed,
+                before.dropped() + before.passed + 1
+            );
             if after.passed == before.passed {
                 return false;
             }
             let mut bytes = [0; 2];
-            timeout(PATIENCE, ears[to].recv(&mut bytes)).await.expect("it passed").unwrap();
+            timeout(PATIENCE, ears[to].recv(&mut bytes))
+                .await
+                .expect("it passed")
+                .unwrap();
             assert_eq!(bytes, [from as u8, to as u8]);
             true
         })
@@ -257,8 +381,10 @@
     }
     let ear = |proxy: usize, on: &Runtime| {
         let ear = on.block_on(UdpSocket::bind("127.0.0.1:0")).unwrap();
-        let says =
-            format!("n{proxy}: serving on 127.0.0.1:9\nmembers: heard on {}\n", ear.local_addr().unwrap());
+        let says = format!(
+            "n{proxy}: serving on 127.0.0.1:9\nmembers: heard on {}\n",
+            ear.local_addr().unwrap()
+        );
         std::fs::write(format!("{}.says", at(proxy).display()), says).unwrap();
         ear
     };
--- a/crates/rig/tests/days.rs
+++ b/crates/rig/tests/days.rs
@@ -47,17 +47,27 @@
     let books = rig.truth.books();
     let told = [fine(rig.figures(0)), fine(rig.figures(1))];
     for (name, book) in ["any", "mine", "book"].iter().zip(&books) {
-        for (outcome, count) in [("served", book.served), ("refused", book.refused), ("failed", book.failed)]
-        {
+        for (outcome, count) in [
+            ("served", book.served),
+            ("refused", book.refused),
+            ("failed", book.failed),
+        ] {
             let figure = format!(r#"lb_requests_total{{class="{name}",outcome="{outcome}"}}"#);
             let sum: u64 = told.iter().map(|t| t[&figure]).sum();
             assert_eq!(sum, count, "{figure}");
         }
     }
     let sent: u64 = rig.truth.look().reached.values().sum();
-    assert_eq!(told.iter().map(|t| t["lb_attempts_total"]).sum::<u64>(), sent);
+    assert_eq!(
+        told.iter().map(|t| t["lb_attempts_total"]).sum::<u64>(),
+        sent
+    );
     let out = sound(rig);
-    assert!(books.iter().map(|b| b.asked).sum::<u64>() > 200, "{:?}", out.books);
+    assert!(
+        books.iter().map(|b| b.asked).sum::<u64>() > 200,
+        "{:?}",
+        out.books
+    );
 }
 
 /// Builds side by side: each proxy takes the next in turn, and what they share is the protocol alone.
@@ -71,7 +81,10 @@
     setup.programs.push(other.clone());
     let rig = start(setup);
     let number = rig.proxies[1].process.as_ref().unwrap().number();
-    assert_eq!(std::fs::read_link(format!("/proc/{number}/exe")).unwrap(), other);
+    assert_eq!(
+        std::fs::read_link(format!("/proc/{number}/exe")).unwrap(),
+        other
+    );
     answered(&rig, 30);
     sound(rig);
 }
--- a/crates/rig/tests/faults.rs
+++ b/crates/rig/tests/faults.rs
@@ -12,17 +12,29 @@
 
 /// Answers to one proxy's clients so far: those that reached a server are the measure.
 fn through(rig: &Rig, proxy: usize) -> u64 {
-    rig.truth.look().reached.iter().filter(|((p, _), _)| *p == proxy).map(|(_, n)| n).sum()
+    rig.truth
+        .look()
+        .reached
+        .iter()
+        .filter(|((p, _), _)| *p == proxy)
+        .map(|(_, n)| n)
+        .sum()
 }
 
 /// Until a proxy has sent more on.
 fn sends(rig: &Rig, proxy: usize, more: u64) {
     let before = through(rig, proxy);
     let is = |inner: &rig::truth::Inner| {
-        let sent: u64 = inner.reached.iter().filter(|((p, _), _)| *p == proxy).map(|(_, n)| n).sum();
+        let sent: u64 = inner
+            .reached
+            .iter()
+            .filter(|((p, _), _)| *p == proxy)
+            .map(|(_, n)| n)
+            .sum();
         sent >= before + more
     };
-    rig.until("a proxy sends on", is).unwrap_or_else(|fault| panic!("{fault}"));
+    rig.until("a proxy sends on", is)
+        .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
 /// Nothing but what the dead one held is lost, and the others go on as they were.
@@ -51,7 +63,10 @@
     rig.signal(1, Signal::STOP);
     let last = *rig.truth.look().site.members(0).last().unwrap();
     rig.truth.trouble(Trouble::Drain(last));
-    rig.until("the list has told it", |inner| inner.checker.leaves(1, last)).unwrap();
+    rig.until("the list has told it", |inner| {
+        inner.checker.leaves(1, last)
+    })
+    .unwrap();
     // By their schedule these take longer than the grace for drains, however fast the machine.
     answered(&rig, 150);
     rig.signal(1, Signal::CONT);
@@ -66,7 +81,9 @@
     sends(&rig, 0, 5);
     let links = rig.links(&[0], Some(1));
     assert!(!links.is_empty());
-    links.iter().for_each(|link| link.set(Flow::Passes, Flow::Cut));
+    links
+        .iter()
+        .for_each(|link| link.set(Flow::Passes, Flow::Cut));
     sends(&rig, 0, 30);
     sends(&rig, 1, 30);
     links.iter().for_each(|link| link.heal());
@@ -93,12 +110,30 @@
     sends(&rig, 0, 5);
     let (first, second) = (rig.links(&[0], None), rig.links(&[1], None));
     let millis = Duration::from_millis;
-    first.iter().for_each(|link| link.set(Flow::Passes, Flow::Late(millis(5), millis(40))));
-    second.iter().for_each(|link| link.set(Flow::Lossy { part: 0.1, resend: millis(100) }, Flow::Passes));
+    first
+        .iter()
+        .for_each(|link| link.set(Flow::Passes, Flow::Late(millis(5), millis(40))));
+    second.iter().for_each(|link| {
+        link.set(
+            Flow::Lossy {
+                part: 0.1,
+                resend: millis(100),
+            },
+            Flow::Passes,
+        )
+    });
     answered(&rig, 20);
     first.iter().for_each(|link| link.reset());
     answered(&rig, 20);
-    second.iter().for_each(|link| link.set(Flow::Passes, Flow::Trickles { bytes: 7, gap: millis(1) }));
+    second.iter().for_each(|link| {
+        link.set(
+            Flow::Passes,
+            Flow::Trickles {
+                bytes: 7,
+                gap: millis(1),
+            },
+        )
+    });
     answered(&rig, 20);
     first.iter().for_each(|link| link.refuse());
     sends(&rig, 1, 20);
@@ -116,16 +151,26 @@
     answered(&rig, 20);
     let (primary, members) = {
         let inner = rig.truth.look();
-        (inner.site.primary(0).unwrap(), inner.site.members(1).to_vec())
+        (
+            inner.site.primary(0).unwrap(),
+            inner.site.members(1).to_vec(),
+        )
     };
     rig.truth.trouble(Trouble::Die(primary));
-    rig.truth.trouble(Trouble::Hang { server: members[1], on: true });
+    rig.truth.trouble(Trouble::Hang {
+        server: members[1],
+        on: true,
+    });
     rig.truth.trouble(Trouble::Drain(members[2]));
-    let another = |inner: &rig::truth::Inner| inner.site.primary(0).is_some_and(|now| now != primary);
+    let another =
+        |inner: &rig::truth::Inner| inner.site.primary(0).is_some_and(|now| now != primary);
     rig.until("another primary", another).unwrap();
     answered(&rig, 60);
     rig.truth.trouble(Trouble::Start(primary));
-    rig.truth.trouble(Trouble::Hang { server: members[1], on: false });
+    rig.truth.trouble(Trouble::Hang {
+        server: members[1],
+        on: false,
+    });
     rig.truth.trouble(Trouble::Join { group: 1, place: 0 });
     answered(&rig, 60);
     sound(rig);
@@ -150,7 +195,8 @@
     rig.truth.trouble(Trouble::Retire(gone));
     answered(&rig, 40);
     rig.truth.list(catalog::Event::Down(false));
-    rig.until("all watch again", |inner| inner.watching() == 6).unwrap();
+    rig.until("all watch again", |inner| inner.watching() == 6)
+        .unwrap();
     answered(&rig, 20);
     sound(rig);
 }
@@ -161,9 +207,16 @@
     let mut setup = setup(4, 200.0, 5 * SECOND);
     setup.site.connections = 2;
     // So slow that connections are used side by side.
-    setup.clients.kinds.iter_mut().for_each(|kind| kind.work.mean = 20_000.0);
+    setup
+        .clients
+        .kinds
+        .iter_mut()
+        .for_each(|kind| kind.work.mean = 20_000.0);
     let rig = start(setup);
-    rig.until("a server turned a connection away", |inner| inner.turned_away > 0).unwrap();
+    rig.until("a server turned a connection away", |inner| {
+        inner.turned_away > 0
+    })
+    .unwrap();
     answered(&rig, 100);
     sound(rig);
 }
@@ -190,9 +243,21 @@
     setup.operators = "nonsense {".into();
     let fault = Rig::start(setup).err().expect("it can't start");
     assert_eq!(fault.code, Some(2), "{fault}");
-    assert!(fault.words.iter().any(|line| line.contains("nonsense")), "{fault}");
-    let missing = Plan { program: "/nowhere".into(), words: vec![], variables: vec![], files: 0, log: None };
-    let fault = Process::start(&missing).unwrap().line("serving", 0).unwrap_err();
+    assert!(
+        fault.words.iter().any(|line| line.contains("nonsense")),
+        "{fault}"
+    );
+    let missing = Plan {
+        program: "/nowhere".into(),
+        words: vec![],
+        variables: vec![],
+        files: 0,
+        log: None,
+    };
+    let fault = Process::start(&missing)
+        .unwrap()
+        .line("serving", 0)
+        .unwrap_err();
     assert_eq!(fault.code, Some(127), "{fault}");
 }
 
--- a/crates/rig/tests/lending.rs
+++ b/crates/rig/tests/lending.rs
@@ -32,7 +32,11 @@
         fleet.until([proxy], &refused("view"), |n| n > view);
         let before = fleet.figure(proxy, LOANS);
         fleet.lends([2], 5);
-        assert_eq!(fleet.figure(proxy, LOANS), before, "the smaller side has ended");
+        assert_eq!(
+            fleet.figure(proxy, LOANS),
+            before,
+            "the smaller side has ended"
+        );
     }
     fleet.rig.heal_talk();
     fleet.lends(0..5, 5);
@@ -47,7 +51,11 @@
     let mut fleet = Fleet::start(4, |setup| setup.clients.unequal = 2.0);
     fleet.surge(true);
     let first = LINE / 4;
-    let greatest = |fleet: &Fleet| (0..4).max_by_key(|proxy| fleet.figure(*proxy, &book("part"))).unwrap();
+    let greatest = |fleet: &Fleet| {
+        (0..4)
+            .max_by_key(|proxy| fleet.figure(*proxy, &book("part")))
+            .unwrap()
+    };
     fleet.lends(0..1, 1);
     let end = Instant::now() + PATIENCE;
     let holder = loop {
@@ -74,11 +82,18 @@
     fleet.surge(true);
     fleet.lends(0..4, 5);
     fleet.kill(3);
-    let taken = |fleet: &Fleet| (0..3).map(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken")).sum::<u64>();
+    let taken = |fleet: &Fleet| {
+        (0..3)
+            .map(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken"))
+            .sum::<u64>()
+    };
     let end = Instant::now() + PATIENCE;
     while taken(&fleet) == 0 {
         fleet.look();
-        assert!(Instant::now() < end, "the lane of the dead one is not taken");
+        assert!(
+            Instant::now() < end,
+            "the lane of the dead one is not taken"
+        );
     }
     // By then all that it lent was over.
     fleet.checker.forget("n3");
@@ -99,7 +114,10 @@
     fleet.rig.signal(1, Signal::STOP);
     fleet.looked.retain(|proxy| *proxy != 1);
     let down = "lb_member{member=\"n1\",status=\"down\"}";
-    fleet.rig.figure_until(0, down, |n| n == 1).unwrap_or_else(|fault| panic!("{fault}"));
+    fleet
+        .rig
+        .figure_until(0, down, |n| n == 1)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     fleet.rig.signal(1, Signal::CONT);
     let stopped = fleet.figure(1, LOANS);
     fleet.looked.push(1);
@@ -117,9 +135,17 @@
     fleet.surge(true);
     fleet.lends(0..3, 5);
     fleet.kill(1);
-    let clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let ghost = fleet.rig.ghost(1, clock + 3_600_000).unwrap_or_else(|fault| panic!("{fault}"));
-    ghost.until_whole().unwrap_or_else(|fault| panic!("{fault}"));
+    let clock = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
+    let ghost = fleet
+        .rig
+        .ghost(1, clock + 3_600_000)
+        .unwrap_or_else(|fault| panic!("{fault}"));
+    ghost
+        .until_whole()
+        .unwrap_or_else(|fault| panic!("{fault}"));
     drop(ghost);
     fleet.restart(1);
     fleet.until([1], "lb_members_renewals_total", |n| n == 1);
@@ -159,7 +185,10 @@
     fleet.surge(true);
     fleet.lends(0..3, 5);
     let strict = |setup: &mut Setup| setup.operators = operators(STATE, "1s");
-    fleet.rig.reload(1, strict).unwrap_or_else(|fault| panic!("{fault}"));
+    fleet
+        .rig
+        .reload(1, strict)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in 0..3 {
         fleet.until([proxy], &book("part"), |part| part <= LINE / 5);
     }
--- a/crates/rig/tests/links.rs
+++ b/crates/rig/tests/links.rs
@@ -43,7 +43,11 @@
 fn on_a_link(test: impl AsyncFnOnce(Link, mpsc::UnboundedReceiver<Vec<u8>>)) {
     Runtime::new().unwrap().block_on(async {
         let (address, came) = echo().await;
-        test(Link::open(&Handle::current(), Some(address), 1).unwrap(), came).await;
+        test(
+            Link::open(&Handle::current(), Some(address), 1).unwrap(),
+            came,
+        )
+        .await;
     });
 }
 
@@ -90,7 +94,10 @@
         write_all(&stream, b"one").await.unwrap();
         assert_eq!(hear(&stream, 3).await, b"one");
         link.reset();
-        assert!(read(&stream, &mut [0; 8]).await.is_err(), "a reset, no end in order");
+        assert!(
+            read(&stream, &mut [0; 8]).await.is_err(),
+            "a reset, no end in order"
+        );
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"two").await.unwrap();
         assert_eq!(hear(&stream, 3).await, b"two");
@@ -113,8 +120,14 @@
         let text: Vec<u8> = (0..200).collect();
         for flow in [
             Flow::Late(millis(1), millis(3)),
-            Flow::Lossy { part: 0.5, resend: millis(2) },
-            Flow::Trickles { bytes: 3, gap: millis(1) },
+            Flow::Lossy {
+                part: 0.5,
+                resend: millis(2),
+            },
+            Flow::Trickles {
+                bytes: 3,
+                gap: millis(1),
+            },
         ] {
             link.set(flow, flow);
             write_all(&stream, &text).await.unwrap();
--- a/crates/rig/tests/many.rs
+++ b/crates/rig/tests/many.rs
@@ -23,20 +23,34 @@
 /// The members that a proxy should meet before the others.
 fn part(rig: &Rig, proxy: usize, group: u32) -> BTreeSet<ServerId> {
     let mut members = rig.truth.look().site.members(group).to_vec();
-    concert::order(proxy as u32, group, &mut members, |server| concert::key(&discovery::name(server)));
+    concert::order(proxy as u32, group, &mut members, |server| {
+        concert::key(&discovery::name(server))
+    });
     members.into_iter().take(concert::reach(MEMBERS)).collect()
 }
 
 /// What each proxy sent to anybody but primaries and its own part, and what it sent in all.
 fn astray(rig: &Rig) -> (u64, u64) {
-    let parts: Vec<BTreeSet<ServerId>> =
-        (0..PROXIES).map(|proxy| (0..GROUPS).flat_map(|group| part(rig, proxy, group)).collect()).collect();
+    let parts: Vec<BTreeSet<ServerId>> = (0..PROXIES)
+        .map(|proxy| {
+            (0..GROUPS)
+                .flat_map(|group| part(rig, proxy, group))
+                .collect()
+        })
+        .collect();
     let look = rig.truth.look();
-    let primaries: BTreeSet<_> = (0..GROUPS).filter_map(|group| look.site.primary(group)).collect();
-    let beyond =
-        |(proxy, server): &(usize, ServerId)| !parts[*proxy].contains(server) && !primaries.contains(server);
+    let primaries: BTreeSet<_> = (0..GROUPS)
+        .filter_map(|group| look.site.primary(group))
+        .collect();
+    let beyond = |(proxy, server): &(usize, ServerId)| {
+        !parts[*proxy].contains(server) && !primaries.contains(server)
+    };
     let sent = |counts: &dyn Fn(&(usize, ServerId)) -> bool| -> u64 {
-        look.reached.iter().filter(|(pair, _)| counts(pair)).map(|(_, n)| n).sum()
+        look.reached
+            .iter()
+            .filter(|(pair, _)| counts(pair))
+            .map(|(_, n)| n)
+            .sum()
     };
     (sent(&beyond), sent(&|_| true))
 }
@@ -48,9 +62,22 @@
     let rig = start(fleet(8 * SECOND));
     answered(&rig, 900);
     let (beyond, all) = astray(&rig);
-    assert!(beyond * 20 < all, "{beyond} of {all} were sent beyond the parts");
-    let met: BTreeSet<ServerId> = rig.truth.look().reached.keys().map(|&(_, server)| server).collect();
-    assert_eq!(met.len(), GROUPS as usize * MEMBERS, "nobody meets some: {met:?}");
+    assert!(
+        beyond * 20 < all,
+        "{beyond} of {all} were sent beyond the parts"
+    );
+    let met: BTreeSet<ServerId> = rig
+        .truth
+        .look()
+        .reached
+        .keys()
+        .map(|&(_, server)| server)
+        .collect();
+    assert_eq!(
+        met.len(),
+        GROUPS as usize * MEMBERS,
+        "nobody meets some: {met:?}"
+    );
     sound(rig);
 }
 
@@ -68,11 +95,17 @@
         let beyond = |(proxy, server): &(usize, ServerId)| {
             *proxy == 0 && inner.site.members(0).contains(server) && !own.contains(server)
         };
-        let sent = inner.reached.iter().filter(|(pair, _)| beyond(pair) && Some(pair.1) != primary);
+        let sent = inner
+            .reached
+            .iter()
+            .filter(|(pair, _)| beyond(pair) && Some(pair.1) != primary);
         sent.map(|(_, n)| n).sum::<u64>()
     };
     let before = others(&rig.truth.look());
-    rig.until("it goes on with the others", |inner| others(inner) >= before + 20).unwrap();
+    rig.until("it goes on with the others", |inner| {
+        others(inner) >= before + 20
+    })
+    .unwrap();
     sound(rig);
 }
 
@@ -82,11 +115,15 @@
     let mut rig = start(fleet(10 * SECOND));
     answered(&rig, 300);
     for proxy in 0..PROXIES / 2 {
-        rig.reload(proxy, |setup| setup.clients.proxies = 40).unwrap();
+        rig.reload(proxy, |setup| setup.clients.proxies = 40)
+            .unwrap();
     }
     answered(&rig, 700);
     let (beyond, all) = astray(&rig);
-    assert!(beyond * 20 < all, "{beyond} of {all} were sent beyond the parts");
+    assert!(
+        beyond * 20 < all,
+        "{beyond} of {all} were sent beyond the parts"
+    );
     sound(rig);
 }
 
@@ -97,7 +134,12 @@
     answered(&rig, 200);
     let primary = rig.truth.look().site.primary(0);
     let slow: Vec<ServerId> = (0..PROXIES)
-        .map(|proxy| part(&rig, proxy, 0).into_iter().find(|&server| Some(server) != primary).unwrap())
+        .map(|proxy| {
+            part(&rig, proxy, 0)
+                .into_iter()
+                .find(|&server| Some(server) != primary)
+                .unwrap()
+        })
         .collect();
     for (proxy, &server) in slow.iter().enumerate() {
         let late = Flow::Late(Duration::from_millis(300), Duration::from_millis(300));
@@ -105,7 +147,8 @@
     }
     let sent = || {
         let look = rig.truth.look();
-        let group = |server: &ServerId| look.site.members(0).contains(server) && Some(*server) != primary;
+        let group =
+            |server: &ServerId| look.site.members(0).contains(server) && Some(*server) != primary;
         let all = look.reached.iter().filter(|((_, server), _)| group(server));
         let (mut late, mut sum) = (0, 0);
         for (&(proxy, server), number) in all {
@@ -145,14 +188,23 @@
 #[test]
 fn most_members_are_replaced() {
     let mut setup = fleet(20 * SECOND);
-    setup.clients.kinds.iter_mut().for_each(|kind| kind.work.mean = 10_000.0);
+    setup
+        .clients
+        .kinds
+        .iter_mut()
+        .for_each(|kind| kind.work.mean = 10_000.0);
     let rig = start(setup);
     answered(&rig, 200);
     let old: Vec<ServerId> = (0..GROUPS)
         .flat_map(|group| {
             let look = rig.truth.look();
             let stays = look.site.primary(group);
-            let replicas = look.site.members(group).iter().copied().filter(move |&s| Some(s) != stays);
+            let replicas = look
+                .site
+                .members(group)
+                .iter()
+                .copied()
+                .filter(move |&s| Some(s) != stays);
             replicas.take(5).collect::<Vec<_>>()
         })
         .collect();
@@ -160,14 +212,17 @@
     for group in 0..GROUPS {
         (0..5).for_each(|_| rig.truth.trouble(Trouble::Join { group, place: 0 }));
     }
-    old.iter().for_each(|&server| rig.truth.trouble(Trouble::Drain(server)));
+    old.iter()
+        .for_each(|&server| rig.truth.trouble(Trouble::Drain(server)));
     answered(&rig, 300);
-    old.iter().for_each(|&server| rig.truth.trouble(Trouble::Retire(server)));
+    old.iter()
+        .for_each(|&server| rig.truth.trouble(Trouble::Retire(server)));
     let new = |inner: &Inner| {
         let met: BTreeSet<ServerId> = inner.reached.keys().map(|&(_, server)| server).collect();
         met.range(known..).count()
     };
     // A cold one gets a few in a hundred of its part: some are met soon, all of them only in good time.
-    rig.until("new members are met", |inner| new(inner) >= GROUPS as usize).unwrap();
+    rig.until("new members are met", |inner| new(inner) >= GROUPS as usize)
+        .unwrap();
     sound(rig);
 }
--- a/crates/rig/tests/members.rs
+++ b/crates/rig/tests/members.rs
@@ -28,7 +28,8 @@
 /// Until a figure of each of these proxies is that.
 fn each(rig: &Rig, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
     for proxy in proxies {
-        rig.figure_until(proxy, name, |n| n == value).unwrap_or_else(|fault| panic!("{fault}"));
+        rig.figure_until(proxy, name, |n| n == value)
+            .unwrap_or_else(|fault| panic!("{fault}"));
     }
 }
 
@@ -137,7 +138,8 @@
     rig.signal(2, Signal::STOP);
     each(&rig, [0, 1, 3], &status(2, "down"), 1);
     rig.signal(2, Signal::CONT);
-    rig.figure_until(2, "lb_members_pauses_total", |n| n >= 1).unwrap_or_else(|fault| panic!("{fault}"));
+    rig.figure_until(2, "lb_members_pauses_total", |n| n >= 1)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     each(&rig, 0..4, &state("whole"), 1);
     each(&rig, [2], "lb_members_doubting", 0);
     assert_eq!(deaths(&rig, 2), 0, "it was away, not they");
@@ -148,11 +150,18 @@
 #[test]
 fn a_bad_network_kills_nobody() {
     let rig = fleet(4);
-    rig.set_talk(Way { lost: 0.1, doubled: 0.1, reordered: 0.1, corrupted: 0.1, ..Way::default() });
+    rig.set_talk(Way {
+        lost: 0.1,
+        doubled: 0.1,
+        reordered: 0.1,
+        corrupted: 0.1,
+        ..Way::default()
+    });
     for proxy in 0..4 {
         for reason in ["bad-mac", "replayed"] {
             let name = format!("lb_members_refused_total{{reason=\"{reason}\"}}");
-            rig.figure_until(proxy, &name, |n| n >= 5).unwrap_or_else(|fault| panic!("{fault}"));
+            rig.figure_until(proxy, &name, |n| n >= 5)
+                .unwrap_or_else(|fault| panic!("{fault}"));
         }
     }
     assert_eq!([0, 1, 2, 3].map(|proxy| deaths(&rig, proxy)), [0; 4]);
@@ -183,19 +192,23 @@
 fn rosters_that_differ_and_keys_that_change() {
     let mut rig = fleet(3);
     let version = |setup: &mut Setup| setup.members.as_mut().unwrap().version = 2;
-    rig.reload(0, version).unwrap_or_else(|fault| panic!("{fault}"));
+    rig.reload(0, version)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     each(&rig, 0..3, &may("promote"), 0);
     each(&rig, [1, 2], "lb_members_roster_differs", 1);
     each(&rig, 0..3, &may("lend"), 1);
     for proxy in 1..3 {
-        rig.reload(proxy, |_| {}).unwrap_or_else(|fault| panic!("{fault}"));
+        rig.reload(proxy, |_| {})
+            .unwrap_or_else(|fault| panic!("{fault}"));
     }
     each(&rig, 0..3, &may("promote"), 1);
     for (step, keys) in [vec![1, 2], vec![2, 1], vec![2]].into_iter().enumerate() {
         for proxy in 0..3 {
             let keys = keys.clone();
-            rig.reload(proxy, move |setup| setup.members.as_mut().unwrap().keys = keys)
-                .unwrap_or_else(|fault| panic!("{fault}"));
+            rig.reload(proxy, move |setup| {
+                setup.members.as_mut().unwrap().keys = keys
+            })
+            .unwrap_or_else(|fault| panic!("{fault}"));
         }
         each(&rig, 0..3, "lb_reloads_ok_total", step as u64 + 2);
     }
@@ -216,8 +229,12 @@
 fn an_heir_goes_on_under_the_name() {
     let mut rig = fleet_of(3, |setup| setup.slack = Duration::from_secs(10));
     let heir = rig.heir(1).unwrap_or_else(|fault| panic!("{fault}"));
-    rig.succeed(1, heir).unwrap_or_else(|fault| panic!("{fault}"));
+    rig.succeed(1, heir)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     each(&rig, 0..3, &state("whole"), 1);
-    assert_eq!(figure(&rig, 0, "lb_members_changes_total{status=\"left\"}"), 0);
+    assert_eq!(
+        figure(&rig, 0, "lb_members_changes_total{status=\"left\"}"),
+        0
+    );
     sound(rig);
 }
--- a/crates/rig/tests/planted.rs
+++ b/crates/rig/tests/planted.rs
@@ -13,9 +13,17 @@
     setup.platform.checks = rule != Rule::Stale;
     match rule {
         // Clients have to give up for it to be seen.
-        Rule::Unanswered => setup.clients.kinds.iter_mut().for_each(|k| k.deadline = SECOND / 2),
+        Rule::Unanswered => setup
+            .clients
+            .kinds
+            .iter_mut()
+            .for_each(|k| k.deadline = SECOND / 2),
         Rule::Collapsed => {
-            setup.clients.kinds.iter_mut().for_each(|k| k.work.mean = 100_000.0);
+            setup
+                .clients
+                .kinds
+                .iter_mut()
+                .for_each(|k| k.work.mean = 100_000.0);
         }
         Rule::Stale => setup.site.group.ship = 5 * SECOND,
         _ => {}
@@ -30,7 +38,9 @@
         }
         _ => {}
     }
-    let found = rig.until("the planted fault is found", |inner| inner.checker.broken.contains_key(&rule));
+    let found = rig.until("the planted fault is found", |inner| {
+        inner.checker.broken.contains_key(&rule)
+    });
     found.unwrap_or_else(|fault| panic!("{rule:?}: {fault}"));
 }
 
--- a/crates/rig/tests/power.rs
+++ b/crates/rig/tests/power.rs
@@ -49,11 +49,14 @@
 }
 
 fn until(rig: &Rig, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
-    rig.figure_until(proxy, name, is).unwrap_or_else(|fault| panic!("{fault}"));
+    rig.figure_until(proxy, name, is)
+        .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
 fn each(rig: &Rig, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
-    proxies.into_iter().for_each(|proxy| until(rig, proxy, name, |n| n == value));
+    proxies
+        .into_iter()
+        .for_each(|proxy| until(rig, proxy, name, |n| n == value));
 }
 
 fn figure(rig: &Rig, proxy: usize, name: &str) -> u64 {
@@ -62,7 +65,8 @@
 }
 
 fn hand(rig: &Rig, proxy: usize, server: u32, out: bool) -> String {
-    rig.hand(proxy, &name(server), out).unwrap_or_else(|fault| panic!("{fault}"))
+    rig.hand(proxy, &name(server), out)
+        .unwrap_or_else(|fault| panic!("{fault}"))
 }
 
 fn restart(rig: &mut Rig, proxy: usize) {
@@ -113,7 +117,10 @@
         assert!(Instant::now() < end, "{:#?}", rig.figures(0));
         answered(&rig, 5);
     }
-    assert_eq!((served(&rig, 2), figure(&rig, 2, "lb_record_servers_known")), (0, 0));
+    assert_eq!(
+        (served(&rig, 2), figure(&rig, 2, "lb_record_servers_known")),
+        (0, 0)
+    );
     (0..3).for_each(|proxy| rig.proxies[proxy].list.heal());
     until(&rig, 2, "lb_record_servers_known", |n| n == 6);
     let end = Instant::now() + rig::process::PATIENCE;
@@ -131,8 +138,12 @@
     let (mut rig, _turn) = with_directories(1, |setup| setup.known = false);
     rig.kill(0);
     let bytes = std::fs::read(file(&rig, 0)).unwrap();
-    let (recalled, _) = memoir::recall("n0", Some(&bytes), memoir::After::Nobody { platform: None }).unwrap();
-    let ahead = memoir::List { index: 1_000_000, ..recalled.list.unwrap() };
+    let (recalled, _) =
+        memoir::recall("n0", Some(&bytes), memoir::After::Nobody { platform: None }).unwrap();
+    let ahead = memoir::List {
+        index: 1_000_000,
+        ..recalled.list.unwrap()
+    };
     std::fs::write(file(&rig, 0), kept("n0", memoir::Event::List(ahead))).unwrap();
     restart(&mut rig, 0);
     each(&rig, [0], "lb_memory_list_went_back_total", 1);
@@ -166,11 +177,18 @@
     std::fs::write(folder(&rig, 2), "no directory").unwrap();
     (0..4).for_each(|proxy| restart(&mut rig, proxy));
     let looks = |rig: &Rig, proxy| (figure(rig, proxy, UNREAD), figure(rig, proxy, OUT));
-    assert_eq!([0, 1, 2, 3].map(|proxy| looks(&rig, proxy)), [(1, 0), (1, 0), (1, 0), (0, 1)]);
+    assert_eq!(
+        [0, 1, 2, 3].map(|proxy| looks(&rig, proxy)),
+        [(1, 0), (1, 0), (1, 0), (0, 1)]
+    );
     each(&rig, [0, 3], FAILING, 0);
     each(&rig, [1, 2], FAILING, 1);
     assert_eq!(hand(&rig, 1, 2, true), "out, not kept");
-    assert_eq!(std::fs::read(file(&rig, 1)).unwrap(), others, "the other's memory is left alone");
+    assert_eq!(
+        std::fs::read(file(&rig, 1)).unwrap(),
+        others,
+        "the other's memory is left alone"
+    );
     // What was torn is written anew.
     assert_eq!(hand(&rig, 0, 2, true), "out");
     rig.kill(0);
@@ -214,7 +232,13 @@
     rig.kill(0);
     restart(&mut rig, 0);
     each(&rig, 0..3, "lb_members_state{state=\"whole\"}", 1);
-    assert_eq!((figure(&rig, 0, "lb_start_ms"), figure(&rig, 0, "lb_members_renewals_total")), (far + 2, 0));
+    assert_eq!(
+        (
+            figure(&rig, 0, "lb_start_ms"),
+            figure(&rig, 0, "lb_members_renewals_total")
+        ),
+        (far + 2, 0)
+    );
 }
 
 /// In an upgrade the elder writes until it ends, then the heir: what either was told is kept.
@@ -223,8 +247,13 @@
     let (mut rig, _turn) = with_directories(1, |_| {});
     assert_eq!(hand(&rig, 0, 0, true), "out");
     let mut heir = rig.heir(0).unwrap_or_else(|fault| panic!("{fault}"));
-    heir.line(": serving on ", 0).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(rig.succeed(0, heir).unwrap_or_else(|fault| panic!("{fault}")), Some(0));
+    heir.line(": serving on ", 0)
+        .unwrap_or_else(|fault| panic!("{fault}"));
+    assert_eq!(
+        rig.succeed(0, heir)
+            .unwrap_or_else(|fault| panic!("{fault}")),
+        Some(0)
+    );
     each(&rig, [0], OUT, 1);
     each(&rig, [0], FAILING, 0);
     assert_eq!(hand(&rig, 0, 1, true), "out");
@@ -269,6 +298,9 @@
             })
             .collect();
         took.sort_unstable();
-        println!("memory {memory}: p50 {} us, p99 {} us, most {} us", took[200], took[396], took[399]);
+        println!(
+            "memory {memory}: p50 {} us, p99 {} us, most {} us",
+            took[200], took[396], took[399]
+        );
     }
 }
--- a/crates/rig/tests/rollout.rs
+++ b/crates/rig/tests/rollout.rs
@@ -55,7 +55,9 @@
         let mut versions = self.versions.borrow_mut();
         for _ in 0..2 {
             let proxies = (0..self.rig.proxies.len()).filter(alive);
-            let looked = self.rig.look_at_versions(proxies, self.from.elapsed(), &mut versions);
+            let looked = self
+                .rig
+                .look_at_versions(proxies, self.from.elapsed(), &mut versions);
             looked.unwrap_or_else(|fault| panic!("{fault}"));
         }
         assert_eq!(versions.broken.count, 0, "{:?}", versions.broken.first);
@@ -73,14 +75,25 @@
     setup.admin = true;
     setup.operators = operators.to_owned();
     let region = |proxy| if proxy + 2 < proxies { "east" } else { "west" }.to_owned();
-    setup.members = Some(Members { regions: (0..proxies).map(region).collect(), ..Members::default() });
+    setup.members = Some(Members {
+        regions: (0..proxies).map(region).collect(),
+        ..Members::default()
+    });
     let named = |name: &str| {
         let of = (0..proxies).filter(|proxy| region(*proxy) == name);
-        (name.to_owned(), of.map(|proxy| format!("n{proxy}")).collect())
+        (
+            name.to_owned(),
+            of.map(|proxy| format!("n{proxy}")).collect(),
+        )
     };
     let versions = RefCell::new(Checker::new(vec![named("east"), named("west")], VOTES_LAST));
     let rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    let rig = Fleet { rig, versions, from: Instant::now(), _turn: turn };
+    let rig = Fleet {
+        rig,
+        versions,
+        from: Instant::now(),
+        _turn: turn,
+    };
     (0..proxies).for_each(|proxy| place(&rig, proxy, candidate));
     each(&rig, 0..proxies, "lb_members_state{state=\"whole\"}", 1);
     rig.truth.begin();
@@ -99,7 +112,13 @@
 fn say(rig: &Rig, proxy: usize, words: &[&str]) -> String {
     let program = process::built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
     let socket = rig.folder(proxy).join("control");
-    let out = Command::new(program).arg("rollout").args(words).arg("--socket").arg(socket).output().unwrap();
+    let out = Command::new(program)
+        .arg("rollout")
+        .args(words)
+        .arg("--socket")
+        .arg(socket)
+        .output()
+        .unwrap();
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
 }
 
@@ -155,9 +174,15 @@
     propose(&rig, 0);
     each(&rig, 0..4, &phase("halted"), 1);
     each(&rig, 0..4, NEW, 0);
-    let ran = (2..4).map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total")).sum::<u64>();
+    let ran = (2..4)
+        .map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total"))
+        .sum::<u64>();
     assert_eq!(ran, 0, "the second region never ran it");
-    let file = rig.folder(3).join("candidates/new.conf").display().to_string();
+    let file = rig
+        .folder(3)
+        .join("candidates/new.conf")
+        .display()
+        .to_string();
     assert!(say(&rig, 3, &["propose", &file]).contains("halted in epoch 1"));
 }
 
@@ -196,12 +221,19 @@
 fn a_file_that_a_host_cannot_run_stops_there() {
     let rig = fleet(4, GOOD);
     std::fs::remove_file(rig.folder(2).join("candidates/new.conf")).unwrap();
-    std::fs::write(rig.folder(3).join("candidates/extra.part"), "route broken {\n").unwrap();
+    std::fs::write(
+        rig.folder(3).join("candidates/extra.part"),
+        "route broken {\n",
+    )
+    .unwrap();
     propose(&rig, 0);
     each(&rig, 0..4, "lb_rollout_cannot_run", 2);
     each(&rig, 0..2, REGION, 1);
     let status = say(&rig, 0, &["status"]);
-    assert!(status.contains("has no file of the hash") && status.contains("fault(s)"), "{status}");
+    assert!(
+        status.contains("has no file of the hash") && status.contains("fault(s)"),
+        "{status}"
+    );
     place(&rig, 2, GOOD);
     place(&rig, 3, GOOD);
     each(&rig, 0..4, &phase("whole"), 1);
@@ -247,13 +279,27 @@
     propose_file(&rig, 3, "other.conf");
     each(&rig, [1], &phase("proposed"), 1);
     each(&rig, [2], &phase("proposed"), 1);
-    assert_eq!((0..4).map(|proxy| figure(&rig, proxy, NEW)).sum::<u64>(), 0, "no side has a quorum");
+    assert_eq!(
+        (0..4).map(|proxy| figure(&rig, proxy, NEW)).sum::<u64>(),
+        0,
+        "no side has a quorum"
+    );
     rig.heal_talk();
     each(&rig, 0..4, &phase("whole"), 1);
     each(&rig, 0..4, NEW, 1);
-    let runs = |proxy| say(&rig, proxy, &["status"]).lines().nth(1).map(str::to_owned);
-    assert!((1..4).all(|proxy| runs(proxy) == runs(0)), "all run the same one");
-    let gave_way = (0..4).map(|proxy| figure(&rig, proxy, "lb_rollout_superseded_total")).sum::<u64>();
+    let runs = |proxy| {
+        say(&rig, proxy, &["status"])
+            .lines()
+            .nth(1)
+            .map(str::to_owned)
+    };
+    assert!(
+        (1..4).all(|proxy| runs(proxy) == runs(0)),
+        "all run the same one"
+    );
+    let gave_way = (0..4)
+        .map(|proxy| figure(&rig, proxy, "lb_rollout_superseded_total"))
+        .sum::<u64>();
     assert!(gave_way >= 2, "{gave_way}");
 }
 
@@ -266,7 +312,8 @@
     rig.signal(1, rustix::process::Signal::STOP);
     let down = "lb_member{member=\"n1\",status=\"down\"}";
     for proxy in [0, 2, 3] {
-        rig.figure_until(proxy, down, |n| n == 1).unwrap_or_else(|fault| panic!("{fault}"));
+        rig.figure_until(proxy, down, |n| n == 1)
+            .unwrap_or_else(|fault| panic!("{fault}"));
     }
     assert_eq!((figure(&rig, 2, NEW), figure(&rig, 3, NEW)), (0, 0));
     rig.signal(1, rustix::process::Signal::CONT);
@@ -276,8 +323,13 @@
 /// A proxy that runs the new version and is not heard for `dark` ends the rollout on all, and does not run it again.
 #[test]
 fn one_that_goes_dark_on_the_new_version_ends_it() {
-    let mut rig =
-        fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 1min").replace("dark 1min", "dark 2s"));
+    let mut rig = fleet_by(
+        4,
+        GOOD,
+        &OPERATORS
+            .replace("soak 2s", "soak 1min")
+            .replace("dark 1min", "dark 2s"),
+    );
     propose(&rig, 2);
     each(&rig, 0..1, NEW, 1);
     rig.kill(0);
@@ -307,7 +359,12 @@
     }
     each(&rig, 0..4, &phase("halted"), 1);
     each(&rig, 0..4, NEW, 0);
-    assert_eq!((1..4).map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total")).sum::<u64>(), 0);
+    assert_eq!(
+        (1..4)
+            .map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total"))
+            .sum::<u64>(),
+        0
+    );
 }
 
 /// Restarts that operators ask for, in the middle of a stage, are no crashes.
@@ -325,8 +382,13 @@
         } else {
             // An upgrade: the heir has the control socket while its elder still serves.
             let mut heir = rig.heir(0).unwrap_or_else(|fault| panic!("{fault}"));
-            heir.line(": serving on ", 0).unwrap_or_else(|fault| panic!("{fault}"));
-            assert_eq!(rig.succeed(0, heir).unwrap_or_else(|fault| panic!("{fault}")), Some(0));
+            heir.line(": serving on ", 0)
+                .unwrap_or_else(|fault| panic!("{fault}"));
+            assert_eq!(
+                rig.succeed(0, heir)
+                    .unwrap_or_else(|fault| panic!("{fault}")),
+                Some(0)
+            );
         }
         let end = Instant::now() + process::PATIENCE;
         let told = format!("member n0 started anew in order {planned} times");
@@ -344,14 +406,16 @@
     propose(&rig, 2);
     each(&rig, 0..1, NEW, 1);
     let version = |setup: &mut rig::Setup| setup.members.as_mut().unwrap().version = 2;
-    rig.reload(1, version).unwrap_or_else(|fault| panic!("{fault}"));
+    rig.reload(1, version)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in [0, 2, 3] {
         each(&rig, [proxy], "lb_members_roster_differs", 1);
         each(&rig, [proxy], "lb_members_allowed{act=\"promote\"}", 0);
     }
     assert_eq!((figure(&rig, 2, NEW), figure(&rig, 3, NEW)), (0, 0));
     for proxy in [0, 2, 3] {
-        rig.reload(proxy, |_| {}).unwrap_or_else(|fault| panic!("{fault}"));
+        rig.reload(proxy, |_| {})
+            .unwrap_or_else(|fault| panic!("{fault}"));
     }
     each(&rig, 0..4, "lb_members_allowed{act=\"promote\"}", 1);
     each(&rig, 0..4, &phase("whole"), 1);
@@ -367,9 +431,16 @@
 /// A proxy whose process has been killed, and that the rig speaks for; `ahead`: by a clock that is so many milliseconds fast.
 fn ghost(rig: &mut Fleet, proxy: usize, ahead: u64) -> Ghost {
     rig.kill(proxy);
-    let clock = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let ghost = rig.ghost(proxy, clock + ahead).unwrap_or_else(|fault| panic!("{fault}"));
-    ghost.until_whole().unwrap_or_else(|fault| panic!("{fault}"));
+    let clock = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
+    let ghost = rig
+        .ghost(proxy, clock + ahead)
+        .unwrap_or_else(|fault| panic!("{fault}"));
+    ghost
+        .until_whole()
+        .unwrap_or_else(|fault| panic!("{fault}"));
     ghost
 }
 
@@ -384,20 +455,51 @@
 /// Votes for all stages, goes along with the others, and says that the version loses nothing, while `until` does not hold.
 fn lie(rig: &Fleet, ghost: &Ghost, mut until: impl FnMut(&Fleet) -> bool) {
     let proposal = ghost.until_said(PROPOSAL, |fact| read::<Proposal>(&fact.body));
-    let Proposal { epoch, hash, proposer, order, .. } = proposal.unwrap_or_else(|fault| panic!("{fault}"));
+    let Proposal {
+        epoch,
+        hash,
+        proposer,
+        order,
+        ..
+    } = proposal.unwrap_or_else(|fault| panic!("{fault}"));
     let votes = order.len() as u8 + 2;
     let end = Instant::now() + process::PATIENCE;
     let mut asked = 0;
     while !until(rig) {
         assert!(Instant::now() < end, "{}", say(rig, 2, &["status"]));
         asked += 20;
-        let words = ghost.facts(WORD).into_iter().filter_map(|fact| read::<Word>(&fact.body));
-        let reached = words.filter(|word| word.epoch == epoch).map(|word| word.reached).max().unwrap_or(0);
+        let words = ghost
+            .facts(WORD)
+            .into_iter()
+            .filter_map(|fact| read::<Word>(&fact.body));
+        let reached = words
+            .filter(|word| word.epoch == epoch)
+            .map(|word| word.reached)
+            .max()
+            .unwrap_or(0);
         let new = reached > 0;
         let proposer = proposer.clone();
-        let word = Word { epoch, hash, proposer, votes, reached, new, ready: Ready::Yes };
-        let total = Class { class: 0, asked, lost: 0 };
-        let counts = Counts { epoch, new, turn: u32::from(new), total, classes: Vec::new() };
+        let word = Word {
+            epoch,
+            hash,
+            proposer,
+            votes,
+            reached,
+            new,
+            ready: Ready::Yes,
+        };
+        let total = Class {
+            class: 0,
+            asked,
+            lost: 0,
+        };
+        let counts = Counts {
+            epoch,
+            new,
+            turn: u32::from(new),
+            total,
+            classes: Vec::new(),
+        };
         ghost.say(WORD, said(&word), VOTES_LAST);
         ghost.say(COUNTS, said(&counts), VOTES_LAST);
         answered(rig, 20);
@@ -412,7 +514,10 @@
     let halted = phase("halted");
     lie(&rig, &ghost, |rig| figure(rig, 2, &halted) == 1);
     each(&rig, (0..5).filter(|proxy| *proxy != liar), &halted, 1);
-    assert_eq!([2, 3, 4].map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total")), [0; 3]);
+    assert_eq!(
+        [2, 3, 4].map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total")),
+        [0; 3]
+    );
     rig
 }
 
@@ -420,14 +525,20 @@
 #[test]
 fn a_voter_that_lies_well_promotes_nothing() {
     let rig = halted_in_spite_of(1);
-    assert!(figure(&rig, 0, "lb_reloads_ok_total") > 0, "the canary ran it");
+    assert!(
+        figure(&rig, 0, "lb_reloads_ok_total") > 0,
+        "the canary ran it"
+    );
 }
 
 /// A canary that lies well hides the harm as long as it is all of the evidence: it ends in the first region.
 #[test]
 fn a_canary_that_lies_well_is_found_out_in_its_region() {
     let rig = halted_in_spite_of(0);
-    assert!(figure(&rig, 1, "lb_reloads_ok_total") > 0, "the next of the region ran it");
+    assert!(
+        figure(&rig, 1, "lb_reloads_ok_total") > 0,
+        "the next of the region ran it"
+    );
 }
 
 /// A host whose clock was an hour fast and was set right starts behind itself, and once more in mid-stage: each time it goes on
--- a/crates/rig/tests/sites.rs
+++ b/crates/rig/tests/sites.rs
@@ -24,7 +24,11 @@
     setup.site.group.members = 4;
     (setup.site.group.give_up, setup.site.group.take_over) = (300_000, 300_000);
     // Less the slack they have two seconds.
-    setup.clients.kinds.iter_mut().for_each(|kind| (kind.aim, kind.deadline) = (SECOND, 7 * SECOND));
+    setup
+        .clients
+        .kinds
+        .iter_mut()
+        .for_each(|kind| (kind.aim, kind.deadline) = (SECOND, 7 * SECOND));
     setup.operators = SITES.into();
     setup.admin = true;
     setup
@@ -60,9 +64,16 @@
     while !is(figure(rig, proxy, name)) {
         let sites = || -> Vec<_> {
             let figures = rig.figures(proxy).unwrap_or_default();
-            figures.into_iter().filter(|(name, _)| name.starts_with("lb_site")).collect()
+            figures
+                .into_iter()
+                .filter(|(name, _)| name.starts_with("lb_site"))
+                .collect()
         };
-        assert!(Instant::now() < end, "{name} of proxy {proxy}: {:?}", sites());
+        assert!(
+            Instant::now() < end,
+            "{name} of proxy {proxy}: {:?}",
+            sites()
+        );
     }
 }
 
@@ -73,7 +84,11 @@
     while !silent.is_empty() {
         // In turns: none is to be missed that says so for a while only.
         silent.retain(|proxy| figure(rig, *proxy, &state(place, word)) == 0);
-        assert!(begun.elapsed() < PATIENCE, "{silent:?} never say {word}, {:?}", rig.figures(silent[0]));
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "{silent:?} never say {word}, {:?}",
+            rig.figures(silent[0])
+        );
     }
     println!("{word} after {:?}", begun.elapsed());
 }
@@ -89,12 +104,18 @@
 /// No proxy ever called these sites lost.
 fn never_lost(rig: &Rig, places: [u16; 2]) {
     for proxy in 0..PROXIES {
-        assert_eq!(places.map(|place| losses(rig, proxy, place)), [0, 0], "proxy {proxy}");
+        assert_eq!(
+            places.map(|place| losses(rig, proxy, place)),
+            [0, 0],
+            "proxy {proxy}"
+        );
     }
 }
 
 fn all(rig: &Rig, servers: &[ServerId], trouble: impl Fn(ServerId) -> Trouble) {
-    servers.iter().for_each(|server| rig.truth.trouble(trouble(*server)));
+    servers
+        .iter()
+        .for_each(|server| rig.truth.trouble(trouble(*server)));
 }
 
 /// The site of all primaries dies while the list still names it as ready, and comes back.
@@ -124,7 +145,11 @@
     say(&rig, 0..PROXIES, 0, "returning");
     say(&rig, 0..PROXIES, 0, "whole");
     for proxy in 0..PROXIES {
-        assert_eq!((losses(&rig, proxy, 0), losses(&rig, proxy, 1)), (1, 0), "proxy {proxy}");
+        assert_eq!(
+            (losses(&rig, proxy, 0), losses(&rig, proxy, 1)),
+            (1, 0),
+            "proxy {proxy}"
+        );
     }
     sound(rig);
 }
@@ -133,8 +158,17 @@
 fn told(rig: &Rig, proxy: usize, name: &[&str]) -> (bool, String) {
     let program = built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
     let socket = rig.folder(proxy).join("control");
-    let out = Command::new(program).arg("sites").args(name).arg("--socket").arg(socket).output().unwrap();
-    (out.status.success(), String::from_utf8_lossy(&out.stdout).into_owned())
+    let out = Command::new(program)
+        .arg("sites")
+        .args(name)
+        .arg("--socket")
+        .arg(socket)
+        .output()
+        .unwrap();
+    (
+        out.status.success(),
+        String::from_utf8_lossy(&out.stdout).into_owned(),
+    )
 }
 
 /// One of three goes while a server of another is drained: the two others stay, and bear its load.
@@ -156,7 +190,10 @@
         "{text}"
     );
     let (unknown, text) = told(&rig, 0, &["p7"]);
-    assert!(!unknown && text.contains("no site \"p7\"; of sites p0, p1, p2"), "{text}");
+    assert!(
+        !unknown && text.contains("no site \"p7\"; of sites p0, p1, p2"),
+        "{text}"
+    );
     never_lost(&rig, [1, 2]);
     sound(rig);
 }
@@ -169,7 +206,11 @@
     (setup.site.group.members, setup.site.group.quorum) = (3, false);
     // One server of two cores in each of two groups, for 400 requests of 10 ms and more in a second.
     setup.clients.per_s = 400.0;
-    setup.clients.kinds.iter_mut().for_each(|kind| kind.work.mean = 20_000.0);
+    setup
+        .clients
+        .kinds
+        .iter_mut()
+        .for_each(|kind| kind.work.mean = 20_000.0);
     setup.site.server.cores = 2.0;
     let rig = start(setup);
     answered(&rig, 300);
@@ -190,7 +231,9 @@
     let rig = start(two_sites(26 * SECOND));
     answered(&rig, 200);
     let links = rig.links(&[0], Some(0));
-    links.iter().for_each(|link| link.set(Flow::Passes, Flow::Cut));
+    links
+        .iter()
+        .for_each(|link| link.set(Flow::Passes, Flow::Cut));
     say(&rig, 0..1, 0, "lost");
     answered(&rig, 100);
     assert!((1..PROXIES).all(|proxy| losses(&rig, proxy, 0) == 0));
@@ -230,7 +273,10 @@
     let rig = start(two_sites(8 * SECOND));
     let slow = at(&rig, 0);
     answered(&rig, 100);
-    all(&rig, &slow, |server| Trouble::Slow { server, times: 50.0 });
+    all(&rig, &slow, |server| Trouble::Slow {
+        server,
+        times: 50.0,
+    });
     answered(&rig, 300);
     all(&rig, &slow, |server| Trouble::Slow { server, times: 1.0 });
     let dead = at(&rig, 1)[0];
@@ -275,7 +321,11 @@
     (0..PROXIES).for_each(|proxy| until(&rig, proxy, &losses_name(0), |n| n == 2));
     answered(&rig, 100);
     for proxy in 0..PROXIES {
-        assert_eq!((losses(&rig, proxy, 0), losses(&rig, proxy, 1)), (2, 0), "proxy {proxy}");
+        assert_eq!(
+            (losses(&rig, proxy, 0), losses(&rig, proxy, 1)),
+            (2, 0),
+            "proxy {proxy}"
+        );
     }
     sound(rig);
 }
@@ -298,7 +348,11 @@
 fn a_site_of_one_server() {
     let _turn = turn();
     let mut setup = two_sites(6 * SECOND);
-    (setup.site.groups, setup.clients.groups, setup.site.group.members) = (1, 1, 2);
+    (
+        setup.site.groups,
+        setup.clients.groups,
+        setup.site.group.members,
+    ) = (1, 1, 2);
     // Most of two are two: without a quorum the one that is left takes over.
     setup.site.group.quorum = false;
     let rig = start(setup);
@@ -317,6 +371,9 @@
     let rig = start(setup);
     answered(&rig, 100);
     let figures = rig.figures(0).unwrap_or_else(|fault| panic!("{fault}"));
-    assert!(figures.keys().all(|name| !name.starts_with("lb_site")), "{figures:?}");
+    assert!(
+        figures.keys().all(|name| !name.starts_with("lb_site")),
+        "{figures:?}"
+    );
     sound(rig);
 }
--- a/crates/rig/tests/versions.rs
+++ b/crates/rig/tests/versions.rs
@@ -22,7 +22,8 @@
 fn earlier() -> PathBuf {
     let path = std::env::var_os(VARIABLE).map(PathBuf::from);
     let path = path.unwrap_or_else(|| panic!("{VARIABLE} names no program: run lab/versions.sh"));
-    path.canonicalize().unwrap_or_else(|e| panic!("{VARIABLE}, {}: {e}", path.display()))
+    path.canonicalize()
+        .unwrap_or_else(|e| panic!("{VARIABLE}, {}: {e}", path.display()))
 }
 
 fn this() -> PathBuf {
@@ -57,7 +58,8 @@
 
 fn each(rig: &Rig, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
     for proxy in proxies {
-        rig.figure_until(proxy, name, |n| n == value).unwrap_or_else(|fault| panic!("{fault}"));
+        rig.figure_until(proxy, name, |n| n == value)
+            .unwrap_or_else(|fault| panic!("{fault}"));
     }
 }
 
@@ -81,9 +83,19 @@
 fn not_understood(rig: &Rig, proxies: usize) -> u64 {
     let of = |proxy| {
         let figures = rig.figures(proxy).unwrap_or_else(|fault| panic!("{fault}"));
-        let reasons = ["newer", "malformed", "malformed-inside", "imposter", "other-kind"];
-        let refused = reasons.map(|reason| format!("lb_members_refused_total{{reason=\"{reason}\"}}"));
-        let names = refused.iter().map(String::as_str).chain(["lb_rollout_malformed_total"]);
+        let reasons = [
+            "newer",
+            "malformed",
+            "malformed-inside",
+            "imposter",
+            "other-kind",
+        ];
+        let refused =
+            reasons.map(|reason| format!("lb_members_refused_total{{reason=\"{reason}\"}}"));
+        let names = refused
+            .iter()
+            .map(String::as_str)
+            .chain(["lb_rollout_malformed_total"]);
         names.filter_map(|name| figures.get(name)).sum::<u64>()
     };
     (0..proxies).map(of).sum()
@@ -100,8 +112,11 @@
 fn succeed_by(rig: &mut Rig, proxy: usize, program: PathBuf) {
     rig.set_program(proxy, program.clone());
     let mut heir = rig.heir(proxy).unwrap_or_else(|fault| panic!("{fault}"));
-    heir.line(": serving on ", 0).unwrap_or_else(|fault| panic!("{fault}"));
-    let code = rig.succeed(proxy, heir).unwrap_or_else(|fault| panic!("{fault}"));
+    heir.line(": serving on ", 0)
+        .unwrap_or_else(|fault| panic!("{fault}"));
+    let code = rig
+        .succeed(proxy, heir)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(code, Some(0), "the elder ended in order");
     assert_eq!(runs(rig, proxy), program);
 }
@@ -118,7 +133,12 @@
     each(&rig, 0..5, WHOLE, 1);
     for (proxy, program) in [(0, this()), (1, earlier()), (1, this())] {
         rig.kill(proxy);
-        each(&rig, (0..5).filter(|other| *other != proxy), &status(proxy, "down"), 1);
+        each(
+            &rig,
+            (0..5).filter(|other| *other != proxy),
+            &status(proxy, "down"),
+            1,
+        );
         return_as(&mut rig, proxy, program);
         each(&rig, 0..5, WHOLE, 1);
         each(
@@ -137,11 +157,18 @@
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_bad_network_between_builds_kills_nobody() {
     let rig = fleet(4, earlier(), |_| {});
-    rig.set_talk(Way { lost: 0.1, doubled: 0.1, reordered: 0.1, corrupted: 0.1, ..Way::default() });
+    rig.set_talk(Way {
+        lost: 0.1,
+        doubled: 0.1,
+        reordered: 0.1,
+        corrupted: 0.1,
+        ..Way::default()
+    });
     for proxy in 0..4 {
         for reason in ["bad-mac", "replayed"] {
             let name = format!("lb_members_refused_total{{reason=\"{reason}\"}}");
-            rig.figure_until(proxy, &name, |n| n >= 5).unwrap_or_else(|fault| panic!("{fault}"));
+            rig.figure_until(proxy, &name, |n| n >= 5)
+                .unwrap_or_else(|fault| panic!("{fault}"));
         }
     }
     let deaths = |proxy| figure(&rig, proxy, "lb_members_changes_total{status=\"down\"}");
@@ -156,14 +183,19 @@
     for (first, other) in [(earlier(), this()), (this(), earlier())] {
         let mut rig = fleet(3, first.clone(), |setup| setup.clients.length = 8 * SECOND);
         answered(&rig, 20);
-        rig.hand(0, &name(0), true).unwrap_or_else(|fault| panic!("{fault}"));
+        rig.hand(0, &name(0), true)
+            .unwrap_or_else(|fault| panic!("{fault}"));
         for program in [other, first] {
             succeed_by(&mut rig, 0, program);
             each(&rig, [0], "lb_record_servers_excluded", 1);
             each(&rig, 0..3, WHOLE, 1);
             answered(&rig, 20);
         }
-        assert_eq!(figure(&rig, 1, "lb_members_changes_total{status=\"left\"}"), 0, "never missed for good");
+        assert_eq!(
+            figure(&rig, 1, "lb_members_changes_total{status=\"left\"}"),
+            0,
+            "never missed for good"
+        );
         assert_eq!(not_understood(&rig, 3), 0);
         sound(rig);
     }
@@ -176,7 +208,10 @@
         setup.clients.per_s = 150.0;
         setup.operators = ROLLOUT.to_owned();
         let regions = ["east", "east", "west", "west"].map(str::to_owned).into();
-        setup.members = Some(Members { regions, ..Members::default() });
+        setup.members = Some(Members {
+            regions,
+            ..Members::default()
+        });
     });
     for proxy in 0..4 {
         let folder = rig.folder(proxy).join("candidates");
@@ -190,7 +225,12 @@
 /// An operator's words, by the program that the proxy runs.
 fn say(rig: &Rig, proxy: usize, words: &[&str]) -> String {
     let socket = rig.folder(proxy).join("control");
-    let out = Command::new(runs(rig, proxy)).arg("rollout").args(words).arg("--socket").arg(socket).output();
+    let out = Command::new(runs(rig, proxy))
+        .arg("rollout")
+        .args(words)
+        .arg("--socket")
+        .arg(socket)
+        .output();
     let out = out.unwrap();
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
 }
--- a/crates/rollout/src/core.rs
+++ b/crates/rollout/src/core.rs
@@ -4,7 +4,8 @@
 use crate::machine::{Machine, Peer, Phase, Sight, REGIONS};
 use crate::watch::{Said, Sign, Watch};
 use crate::words::{
-    self, Class, Counts, Halted, Hash, Orderly, Proposal, Ready, Stored, Why, Word, BODY_BYTES, CLASSES,
+    self, Class, Counts, Halted, Hash, Orderly, Proposal, Ready, Stored, Why, Word, BODY_BYTES,
+    CLASSES,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -214,19 +215,32 @@
                 self.look = look;
                 self.mind_start();
             }
-            Event::Propose { hash, order, canary, again } => match self.propose(hash, order, canary, again) {
+            Event::Propose {
+                hash,
+                order,
+                canary,
+                again,
+            } => match self.propose(hash, order, canary, again) {
                 Ok(()) => {}
                 Err(refused) => return actions.push(Action::Refused(refused)),
             },
             Event::Halt | Event::Return => {
-                let why = if matches!(event, Event::Halt) { Why::Operator } else { Why::Return };
+                let why = if matches!(event, Event::Halt) {
+                    Why::Operator
+                } else {
+                    Why::Return
+                };
                 if !self.machine.halt(why) {
                     return actions.push(Action::Refused(Refused::Nothing));
                 }
             }
             Event::Kept(done) => {
                 let kept = self.keeping.take().filter(|_| done);
-                self.keep_again = if done { None } else { Some(now + self.config.lasts) };
+                self.keep_again = if done {
+                    None
+                } else {
+                    Some(now + self.config.lasts)
+                };
                 self.kept = kept.unwrap_or_else(|| std::mem::take(&mut self.kept));
             }
             Event::Leave => self.orderly = Some(Orderly::Left(self.config.start)),
@@ -243,8 +257,15 @@
 
     /// The members may go on under a later start of this process, and what it says of its start goes with that.
     fn mind_start(&mut self) {
-        let me = self.look.peers.iter().find(|peer| peer.name == self.config.name);
-        let Some(start) = me.and_then(|me| me.start).filter(|start| *start != self.config.start) else {
+        let me = self
+            .look
+            .peers
+            .iter()
+            .find(|peer| peer.name == self.config.name);
+        let Some(start) = me
+            .and_then(|me| me.start)
+            .filter(|start| *start != self.config.start)
+        else {
             return;
         };
         self.config.start = start;
@@ -254,7 +275,13 @@
         });
     }
 
-    fn propose(&mut self, hash: Hash, order: Vec<String>, canary: u16, again: bool) -> Result<(), Refused> {
+    fn propose(
+        &mut self,
+        hash: Hash,
+        order: Vec<String>,
+        canary: u16,
+        again: bool,
+    ) -> Result<(), Refused> {
         if self.machine.under_way() {
             return Err(Refused::UnderWay(self.machine.epoch()));
         }
@@ -266,13 +293,24 @@
             return Err(Refused::Halted(halted.epoch));
         }
         let regions: BTreeSet<&String> = self.look.peers.iter().map(|p| &p.region).collect();
-        if order.len() > REGIONS || regions.len() != order.len() || !order.iter().all(|r| regions.contains(r))
+        if order.len() > REGIONS
+            || regions.len() != order.len()
+            || !order.iter().all(|r| regions.contains(r))
         {
             return Err(Refused::Order(order));
         }
-        let epoch = self.machine.epoch().max(self.words.values().map(|(_, w)| w.epoch).max().unwrap_or(0));
+        let epoch = self
+            .machine
+            .epoch()
+            .max(self.words.values().map(|(_, w)| w.epoch).max().unwrap_or(0));
         let epoch = epoch.saturating_add(1);
-        let proposal = Proposal { epoch, hash, proposer: self.config.name.clone(), order, canary };
+        let proposal = Proposal {
+            epoch,
+            hash,
+            proposer: self.config.name.clone(),
+            order,
+            canary,
+        };
         let length = words::encode(&proposal).len();
         if length > BODY_BYTES {
             return Err(Refused::Long(length));
@@ -294,7 +332,8 @@
                 HALTS => words::decode::<Vec<Halted>>(&told.body).map(|h| halts.extend(h)),
                 COUNTS => words::decode::<Counts>(&told.body)
                     .map(|counts| said.push((told.source.as_str(), told.start, counts))),
-                ORDERLY => words::decode(&told.body).map(|how| _ = orderly.insert(told.source.clone(), how)),
+                ORDERLY => words::decode(&told.body)
+                    .map(|how| _ = orderly.insert(told.source.clone(), how)),
                 _ => None,
             };
             self.malformed += u64::from(read.is_none());
@@ -305,21 +344,32 @@
         let mine = self.counts();
         let start = self.config.start;
         let epoch = mine.epoch;
-        let of_now = said.into_iter().filter(|(name, _, c)| *name != me && c.epoch == epoch);
+        let of_now = said
+            .into_iter()
+            .filter(|(name, _, c)| *name != me && c.epoch == epoch);
         let all = of_now.chain([(me.as_str(), start, mine.clone())]);
         let region = |p: &'_ Peer| (p.name.clone(), p.region.clone());
         let regions: BTreeMap<String, String> = self.look.peers.iter().map(region).collect();
-        let all =
-            all.filter_map(|(name, start, counts)| Some((name, regions.get(name)?.as_str(), start, counts)));
+        let all = all.filter_map(|(name, start, counts)| {
+            Some((name, regions.get(name)?.as_str(), start, counts))
+        });
         self.evidence.look(now, all);
         self.verdict = match (self.watch(now, &orderly), self.evidence.verdict(now)) {
             (Sign::Harm(why), _) => Verdict::Harm(why),
             (Sign::Waits, Verdict::Clean) => Verdict::Missing,
             (_, verdict) => verdict,
         };
-        let verdict = if self.judged_now() { self.verdict } else { Verdict::TooLittle };
+        let verdict = if self.judged_now() {
+            self.verdict
+        } else {
+            Verdict::TooLittle
+        };
         let under_way = self.machine.under_way();
-        let words = self.words.iter().map(|(name, (_, word))| (name.clone(), word.clone())).collect();
+        let words = self
+            .words
+            .iter()
+            .map(|(name, (_, word))| (name.clone(), word.clone()))
+            .collect();
         self.machine.step(
             now,
             &Sight {
@@ -335,7 +385,12 @@
         self.begin(now);
         let after = self.judged.map(|(epoch, hash, _)| (epoch, hash));
         if let Some(current) = self.machine.current().filter(|_| self.machine.under_way()) {
-            self.watch.begin(&current.proposal, current.reached, &self.look.peers, &self.words);
+            self.watch.begin(
+                &current.proposal,
+                current.reached,
+                &self.look.peers,
+                &self.words,
+            );
         }
         self.superseded += u64::from(under_way && before.is_some() && before != after);
         let kept = self.act(now, actions);
@@ -344,7 +399,9 @@
 
     /// What the evidence is about: the proposal and its stage.
     fn subject(&self) -> Option<(u64, Hash, u8)> {
-        self.machine.current().map(|c| (c.proposal.epoch, c.proposal.hash, c.reached))
+        self.machine
+            .current()
+            .map(|c| (c.proposal.epoch, c.proposal.hash, c.reached))
     }
 
     fn judged_now(&self) -> bool {
@@ -369,7 +426,13 @@
 
     fn watch(&mut self, now: Duration, orderly: &BTreeMap<String, Orderly>) -> Sign {
         match self.machine.current().filter(|_| self.machine.under_way()) {
-            Some(current) => self.watch.look(now, &current.proposal, &self.look.peers, &self.words, orderly),
+            Some(current) => self.watch.look(
+                now,
+                &current.proposal,
+                &self.look.peers,
+                &self.words,
+                orderly,
+            ),
             None => {
                 self.watch.clear();
                 Sign::Well
@@ -424,13 +487,22 @@
         let of = &self.machine.current()?.proposal;
         let last = self.word.as_ref().filter(|last| last.of(of))?;
         let (votes, reached) = (word.votes.min(last.votes), word.reached.min(last.reached));
-        Some(Word { votes, reached, new: word.new && last.new, ..word })
+        Some(Word {
+            votes,
+            reached,
+            new: word.new && last.new,
+            ..word
+        })
     }
 
     fn counts(&self) -> Counts {
         let (from, from_total) = &self.from;
         let since = |class: &Class| {
-            let was = from.iter().find(|c| c.class == class.class).copied().unwrap_or_default();
+            let was = from
+                .iter()
+                .find(|c| c.class == class.class)
+                .copied()
+                .unwrap_or_default();
             class.since(was)
         };
         let mut classes: Vec<Class> = self.look.counts.iter().map(since).collect();
@@ -451,7 +523,11 @@
         let lasts = self.config.lasts;
         let word = self.word(kept);
         let new = word.as_ref().is_some_and(|word| word.new);
-        self.entered = if new { self.entered.or(Some(now)) } else { None };
+        self.entered = if new {
+            self.entered.or(Some(now))
+        } else {
+            None
+        };
         let counts = self.machine.under_way().then(|| self.counts());
         let mut say = |kind, body: Vec<u8>, lasts: Duration| {
             let again = self
@@ -482,9 +558,16 @@
 
     pub fn status(&self) -> Status {
         let (windows, harm, safe) = self.evidence.figures();
-        let mut members: Vec<(String, Word)> =
-            self.words.iter().map(|(name, (_, word))| (name.clone(), word.clone())).collect();
-        members.extend(self.machine.word(&self.look.peers).map(|word| (self.config.name.clone(), word)));
+        let mut members: Vec<(String, Word)> = self
+            .words
+            .iter()
+            .map(|(name, (_, word))| (name.clone(), word.clone()))
+            .collect();
+        members.extend(
+            self.machine
+                .word(&self.look.peers)
+                .map(|word| (self.config.name.clone(), word)),
+        );
         members.sort_by(|a, b| a.0.cmp(&b.0));
         Status {
             phase: self.machine.phase(),
@@ -500,7 +583,11 @@
             malformed: self.malformed,
             unread: self.unread,
             unkept: self.keep_again.is_some(),
-            planned: self.watch.planned().map(|(name, times)| (name.to_owned(), times)).collect(),
+            planned: self
+                .watch
+                .planned()
+                .map(|(name, times)| (name.to_owned(), times))
+                .collect(),
         }
     }
 
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -89,7 +89,11 @@
         if strata.is_empty() {
             // Regions of one proxy each: there is nothing else to compare with.
             let mut all = Sides::default();
-            for (sides, sum) in self.regions.values().flat_map(|sides| sides.iter().zip(0..)) {
+            for (sides, sum) in self
+                .regions
+                .values()
+                .flat_map(|sides| sides.iter().zip(0..))
+            {
                 let more = sides.iter().map(|(name, class)| (name.clone(), *class));
                 if let Some(all) = all.get_mut::<usize>(sum) {
                     all.extend(more);
@@ -125,7 +129,11 @@
 fn rate(side: &Side) -> f64 {
     let mut asked: Vec<u64> = side.values().map(|c| c.asked).filter(|&n| n > 0).collect();
     asked.sort_unstable();
-    let most = asked.get(asked.len() / 2).copied().unwrap_or(1).saturating_mul(CLIP);
+    let most = asked
+        .get(asked.len() / 2)
+        .copied()
+        .unwrap_or(1)
+        .saturating_mul(CLIP);
     let (mut weights, mut sum) = (0.0, 0.0);
     for class in side.values().filter(|c| c.asked > 0) {
         let weight = class.asked.min(most) as f64;
@@ -178,19 +186,30 @@
     }
 
     /// What is said now: name and region, start of the process, counts. A look without news counts for nothing.
-    pub fn look<'a>(&mut self, now: Duration, said: impl Iterator<Item = (&'a str, &'a str, u64, Counts)>) {
+    pub fn look<'a>(
+        &mut self,
+        now: Duration,
+        said: impl Iterator<Item = (&'a str, &'a str, u64, Counts)>,
+    ) {
         for (name, region, start, counts) in said {
             let before = self.last.insert(name.to_owned(), (start, counts.clone()));
             let Some((_, before)) = before.filter(|(s, c)| {
-                *s == start && c.turn == counts.turn && c.new == counts.new && c.epoch == counts.epoch
+                *s == start
+                    && c.turn == counts.turn
+                    && c.new == counts.new
+                    && c.epoch == counts.epoch
             }) else {
                 continue;
             };
             let total = counts.total.since(before.total);
             self.total.add((name, region), counts.new, total);
-            self.stage_asked = self.stage_asked.saturating_add(if counts.new { total.asked } else { 0 });
+            self.stage_asked =
+                self.stage_asked
+                    .saturating_add(if counts.new { total.asked } else { 0 });
             for class in &counts.classes {
-                let Some(was) = before.classes.iter().find(|c| c.class == class.class) else { continue };
+                let Some(was) = before.classes.iter().find(|c| c.class == class.class) else {
+                    continue;
+                };
                 if self.classes.contains_key(&class.class) || self.classes.len() < CLASSES {
                     self.classes.entry(class.class).or_default().add(
                         (name, region),
@@ -213,7 +232,13 @@
     }
 
     pub fn verdict(&self, now: Duration) -> Verdict {
-        let Limits { error, soak, stage_least, fresh, .. } = self.limits;
+        let Limits {
+            error,
+            soak,
+            stage_least,
+            fresh,
+            ..
+        } = self.limits;
         let each = 2.0 * CLASSES as f64 / error;
         if self.total.harm.wealth() >= 2.0 / error {
             return Verdict::Harm(Why::Loss);
@@ -231,8 +256,8 @@
         if now.saturating_sub(self.since) < soak {
             return Verdict::Soaking;
         }
-        let sign =
-            self.total.harm.wealth() >= SIGN || self.classes.values().any(|s| s.harm.wealth() >= CLASS_SIGN);
+        let sign = self.total.harm.wealth() >= SIGN
+            || self.classes.values().any(|s| s.harm.wealth() >= CLASS_SIGN);
         if sign {
             Verdict::Doubtful
         } else {
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -121,11 +121,20 @@
         if guard!(self, Remembers) {
             self.merge(&stored.halts);
         }
-        self.current = stored.proposal.filter(|p| p.order.len() <= REGIONS).map(|proposal| {
-            // No file says more stages than there are, unless it was changed.
-            let reached = u8::try_from(stages(&proposal)).map_or(0, |all| stored.reached.min(all));
-            Current { proposal, reached, votes: reached, ready: Ready::NotYet }
-        });
+        self.current = stored
+            .proposal
+            .filter(|p| p.order.len() <= REGIONS)
+            .map(|proposal| {
+                // No file says more stages than there are, unless it was changed.
+                let reached =
+                    u8::try_from(stages(&proposal)).map_or(0, |all| stored.reached.min(all));
+                Current {
+                    proposal,
+                    reached,
+                    votes: reached,
+                    ready: Ready::NotYet,
+                }
+            });
         self.seen = false;
     }
 
@@ -153,23 +162,38 @@
     /// The greatest epoch that is known.
     pub fn epoch(&self) -> u64 {
         let halted = self.halts.iter().map(|h| h.epoch).max();
-        self.current.as_ref().map(|c| c.proposal.epoch).max(halted).unwrap_or_default()
+        self.current
+            .as_ref()
+            .map(|c| c.proposal.epoch)
+            .max(halted)
+            .unwrap_or_default()
     }
 
     /// The halt of a proposal. One of the same file by a later epoch is an operator's new word, and is not halted by
     /// what was before it.
     pub fn halt_of(&self, p: &Proposal) -> Option<&Halted> {
-        self.halts.iter().find(|h| h.epoch == p.epoch || (h.hash == p.hash && h.epoch > p.epoch))
+        self.halts
+            .iter()
+            .find(|h| h.epoch == p.epoch || (h.hash == p.hash && h.epoch > p.epoch))
     }
 
     pub fn halted(&self) -> Option<&Halted> {
-        self.current.as_ref().and_then(|c| self.halt_of(&c.proposal))
+        self.current
+            .as_ref()
+            .and_then(|c| self.halt_of(&c.proposal))
     }
 
     pub fn phase(&self) -> Phase {
-        let Some(current) = &self.current else { return Phase::Idle };
+        let Some(current) = &self.current else {
+            return Phase::Idle;
+        };
         match (self.halted(), current.reached) {
-            (Some(Halted { why: Why::Return, .. }), _) => Phase::Returned,
+            (
+                Some(Halted {
+                    why: Why::Return, ..
+                }),
+                _,
+            ) => Phase::Returned,
             (Some(halted), _) => Phase::Halted(halted.why),
             (None, 0) => Phase::Proposed,
             (None, 1) => Phase::Canary,
@@ -179,12 +203,17 @@
     }
 
     pub fn under_way(&self) -> bool {
-        matches!(self.phase(), Phase::Proposed | Phase::Canary | Phase::Region(_))
+        matches!(
+            self.phase(),
+            Phase::Proposed | Phase::Canary | Phase::Region(_)
+        )
     }
 
     /// Whether the new version runs here, once it can.
     pub fn new_here(&self, peers: &[Peer]) -> bool {
-        let Some(current) = &self.current else { return false };
+        let Some(current) = &self.current else {
+            return false;
+        };
         let may = self.halted().is_none() || !guard!(self, HaltWins);
         may && self.seen
             && current.ready == Ready::Yes
@@ -206,21 +235,35 @@
 
     /// Anyone may, at any time.
     pub fn halt(&mut self, why: Why) -> bool {
-        let Some(current) = &self.current else { return false };
+        let Some(current) = &self.current else {
+            return false;
+        };
         if self.halted().is_some() {
             return false;
         }
         let Proposal { epoch, hash, .. } = current.proposal;
         let by = words::name(&self.me);
-        self.merge(&[Halted { epoch, hash, by, why }]);
+        self.merge(&[Halted {
+            epoch,
+            hash,
+            by,
+            why,
+        }]);
         true
     }
 
     fn merge(&mut self, heard: &[Halted]) {
         for halted in heard {
-            if !self.halts.iter().any(|h| h.epoch == halted.epoch && h.hash == halted.hash) {
+            if !self
+                .halts
+                .iter()
+                .any(|h| h.epoch == halted.epoch && h.hash == halted.hash)
+            {
                 // All of them have to fit into one fact, whatever name another gave.
-                self.halts.push(Halted { by: words::name(&halted.by), ..halted.clone() });
+                self.halts.push(Halted {
+                    by: words::name(&halted.by),
+                    ..halted.clone()
+                });
             }
         }
         self.halts.sort_by(|a, b| b.cmp(a));
@@ -230,14 +273,20 @@
     /// Takes a proposal that is greater than what it goes by.
     pub fn adopt(&mut self, proposal: &Proposal) {
         let former = self.current.as_ref();
-        if former.is_some_and(|c| c.proposal.rank() >= proposal.rank()) || proposal.order.len() > REGIONS {
+        if former.is_some_and(|c| c.proposal.rank() >= proposal.rank())
+            || proposal.order.len() > REGIONS
+        {
             return;
         }
         if self.phase() == Phase::Whole && self.seen {
             self.base = former.map_or(self.base, |c| c.proposal.hash);
         }
-        self.current =
-            Some(Current { proposal: proposal.clone(), reached: 0, votes: 0, ready: Ready::NotYet });
+        self.current = Some(Current {
+            proposal: proposal.clone(),
+            reached: 0,
+            votes: 0,
+            ready: Ready::NotYet,
+        });
         (self.cut_off, self.seen) = (None, false);
     }
 
@@ -257,14 +306,23 @@
         self.mind_cut(now, sight);
         // What was judged is the stage before; the next one has yet to show itself.
         let same = before == self.current.as_ref().map(|c| c.reached);
-        let votes = self.votes(sight, if same { sight.verdict } else { Verdict::TooLittle }, now);
+        let votes = self.votes(
+            sight,
+            if same {
+                sight.verdict
+            } else {
+                Verdict::TooLittle
+            },
+            now,
+        );
         if let Some(current) = &mut self.current {
             current.votes = votes;
         }
     }
 
     fn mind_unheard(&mut self, now: Duration, sight: &Sight<'_>) {
-        self.unheard.retain(|name, _| sight.peers.iter().any(|p| p.name == *name && !p.heard));
+        self.unheard
+            .retain(|name, _| sight.peers.iter().any(|p| p.name == *name && !p.heard));
         for peer in sight.peers.iter().filter(|p| !p.heard) {
             self.unheard.entry(peer.name.clone()).or_insert(now);
         }
@@ -275,9 +333,14 @@
         if guard!(self, HaltWins) && self.halted().is_some() {
             return;
         }
-        let Some(mut current) = self.current.take() else { return };
+        let Some(mut current) = self.current.take() else {
+            return;
+        };
         let stages = stages(&current.proposal);
-        if !self.seen && current.reached > 0 && self.quorum(&current, usize::from(current.reached), sight) {
+        if !self.seen
+            && current.reached > 0
+            && self.quorum(&current, usize::from(current.reached), sight)
+        {
             self.seen = true;
         }
         while (self.seen || current.reached == 0)
@@ -301,7 +364,11 @@
             let votes = if peer.name == self.me {
                 current.votes
             } else {
-                sight.words.get(&peer.name).filter(|w| w.of(p)).map_or(0, |w| w.votes)
+                sight
+                    .words
+                    .get(&peer.name)
+                    .filter(|w| w.of(p))
+                    .map_or(0, |w| w.votes)
             };
             usize::from(votes) >= stage
         };
@@ -310,7 +377,10 @@
             let of = || sight.peers.iter().filter(of).filter(|p| roster || p.heard);
             of().filter(votes).count() * 2 > of().count() || !guard!(self, Quorum)
         };
-        regions.iter().all(|region| enough(&|p| p.region == **region)) && (stage > 1 || enough(&|_| true))
+        regions
+            .iter()
+            .all(|region| enough(&|p| p.region == **region))
+            && (stage > 1 || enough(&|_| true))
     }
 
     /// One that runs the new version and is cut off can't hear a halt: it goes back by itself.
@@ -322,15 +392,23 @@
                 .iter()
                 .find(|p| p.name == self.me)
                 .is_some_and(|p| !sight.promote.contains(&p.region));
-        self.cut_off = if cut { self.cut_off.or(Some(now)) } else { None };
-        let over = self.cut_off.is_some_and(|since| now.saturating_sub(since) >= self.dark);
+        self.cut_off = if cut {
+            self.cut_off.or(Some(now))
+        } else {
+            None
+        };
+        let over = self
+            .cut_off
+            .is_some_and(|since| now.saturating_sub(since) >= self.dark);
         if over && guard!(self, OneAtATime) {
             self.halt(Why::CutOff);
         }
     }
 
     fn votes(&self, sight: &Sight<'_>, verdict: Verdict, now: Duration) -> u8 {
-        let Some(current) = &self.current else { return 0 };
+        let Some(current) = &self.current else {
+            return 0;
+        };
         if self.halted().is_some() {
             return 0;
         }
@@ -354,10 +432,13 @@
     /// No other new version can be running any more.
     fn clear(&self, now: Duration, current: &Current, sight: &Sight<'_>) -> bool {
         let p = &current.proposal;
-        let goes_by =
-            |peer: &Peer| peer.name == self.me || sight.words.get(&peer.name).is_some_and(|w| w.of(p));
+        let goes_by = |peer: &Peer| {
+            peer.name == self.me || sight.words.get(&peer.name).is_some_and(|w| w.of(p))
+        };
         let gone_back = |peer: &Peer| {
-            self.unheard.get(&peer.name).is_some_and(|since| now.saturating_sub(*since) >= self.dark * 2)
+            self.unheard
+                .get(&peer.name)
+                .is_some_and(|since| now.saturating_sub(*since) >= self.dark * 2)
         };
         !guard!(self, OneAtATime) || sight.peers.iter().all(|p| goes_by(p) || gone_back(p))
     }
@@ -367,13 +448,21 @@
         let p = &current.proposal;
         let entries = entries(p, sight.peers);
         sight.peers.iter().all(|peer| {
-            if entries.get(peer.name.as_str()).is_none_or(|at| usize::from(*at) > stage) {
+            if entries
+                .get(peer.name.as_str())
+                .is_none_or(|at| usize::from(*at) > stage)
+            {
                 return true;
             }
             if peer.name == self.me {
                 return current.ready == Ready::Yes;
             }
-            match sight.words.get(&peer.name).filter(|w| w.of(p)).map(|w| &w.ready) {
+            match sight
+                .words
+                .get(&peer.name)
+                .filter(|w| w.of(p))
+                .map(|w| &w.ready)
+            {
                 Some(Ready::Yes) => true,
                 Some(_) => false,
                 None => !peer.heard,
@@ -388,7 +477,11 @@
             epoch: p.epoch,
             hash: p.hash,
             proposer: p.proposer.clone(),
-            votes: if self.halted().is_some() { 0 } else { current.votes },
+            votes: if self.halted().is_some() {
+                0
+            } else {
+                current.votes
+            },
             reached: current.reached,
             new: self.new_here(peers),
             ready: current.ready.clone(),
@@ -406,7 +499,10 @@
     let last = p.order.len().saturating_sub(1);
     let enters = stage.saturating_sub(2).min(last);
     let ran = stage.saturating_sub(3).min(last);
-    let mut regions: Vec<&String> = [ran, enters].iter().filter_map(|&at| p.order.get(at)).collect();
+    let mut regions: Vec<&String> = [ran, enters]
+        .iter()
+        .filter_map(|&at| p.order.get(at))
+        .collect();
     regions.dedup();
     regions
 }
@@ -421,7 +517,11 @@
     for (at, region) in p.order.iter().enumerate() {
         let mut names = regions.remove(region.as_str()).unwrap_or_default();
         names.sort_unstable();
-        let canaries = if at == 0 { usize::from(p.canary.max(1)) } else { 0 };
+        let canaries = if at == 0 {
+            usize::from(p.canary.max(1))
+        } else {
+            0
+        };
         let length = names.len();
         for (place, name) in names.into_iter().enumerate() {
             let stage = if place < canaries {
--- a/crates/rollout/src/model.rs
+++ b/crates/rollout/src/model.rs
@@ -85,7 +85,9 @@
         epoch: 1 + at as u64,
         hash: [1 + at as u8; 32],
         proposer: NAMES[[0, 2][at]].into(),
-        order: [["one", "two"], ["two", "one"]][at].map(String::from).into(),
+        order: [["one", "two"], ["two", "one"]][at]
+            .map(String::from)
+            .into(),
         canary: 1,
     }
 }
@@ -123,9 +125,15 @@
 
     fn go(&mut self, at: usize) {
         let (peers, promote) = (self.peers(at), self.promote(at));
-        let heard = || self.heard[at].iter().enumerate().filter_map(|(from, h)| Some((from, h.as_ref()?)));
-        let words: BTreeMap<String, Said> =
-            heard().filter_map(|(from, h)| Some((NAMES[from].to_owned(), h.word.clone()?))).collect();
+        let heard = || {
+            self.heard[at]
+                .iter()
+                .enumerate()
+                .filter_map(|(from, h)| Some((from, h.as_ref()?)))
+        };
+        let words: BTreeMap<String, Said> = heard()
+            .filter_map(|(from, h)| Some((NAMES[from].to_owned(), h.word.clone()?)))
+            .collect();
         let proposals: Vec<Proposal> = heard().filter_map(|(_, h)| h.proposal.clone()).collect();
         let halts: Vec<Halted> = heard().flat_map(|(_, h)| h.halts.clone()).collect();
         let now = Duration::from_secs(u64::from(self.clock));
@@ -141,7 +149,10 @@
         if self.regions == ONE_REGION && current.is_some_and(|c| c.reached > 0) {
             self.saw[at].insert(self.starts[0]);
         }
-        let said = words.iter().map(|(name, (_, word))| (name.clone(), word.clone())).collect();
+        let said = words
+            .iter()
+            .map(|(name, (_, word))| (name.clone(), word.clone()))
+            .collect();
         let before = machine.current().map(|c| (c.proposal.epoch, c.reached));
         let sight = Sight {
             peers: &peers,
@@ -159,11 +170,17 @@
             machine.set_ready(hash, Ready::Yes);
         }
         let after = machine.current().map(|c| (c.proposal.epoch, c.reached));
-        let Some((epoch, reached)) = after else { return };
+        let Some((epoch, reached)) = after else {
+            return;
+        };
         let version = epoch as usize - 1;
-        self.voted[version][at] = self.voted[version][at].max(machine.current().map_or(0, |c| c.votes));
+        self.voted[version][at] =
+            self.voted[version][at].max(machine.current().map_or(0, |c| c.votes));
         for version in 0..2 {
-            self.knew[version][at] |= machine.halts().iter().any(|h| h.epoch == version as u64 + 1);
+            self.knew[version][at] |= machine
+                .halts()
+                .iter()
+                .any(|h| h.epoch == version as u64 + 1);
             let most = self.knew[version].iter().filter(|k| **k).count() * 2 > ALL;
             self.known[version] = self.known[version].or(most.then_some(self.clock));
         }
@@ -173,12 +190,20 @@
                 self.wrong = Some("promoted in a minority");
             }
             if self.known[version].is_some_and(|since| self.clock > since + LASTS) {
-                self.wrong = Some("promoted beside a halt that a majority knew before the votes lapsed");
+                self.wrong =
+                    Some("promoted beside a halt that a majority knew before the votes lapsed");
             }
-            let votes = self.voted[version].iter().filter(|v| **v >= reached).count();
-            let first: Vec<usize> =
-                (0..ALL).filter(|&at| self.regions[at] == ["one", "two"][version]).collect();
-            let of_first = first.iter().filter(|at| self.voted[version][**at] >= reached).count();
+            let votes = self.voted[version]
+                .iter()
+                .filter(|v| **v >= reached)
+                .count();
+            let first: Vec<usize> = (0..ALL)
+                .filter(|&at| self.regions[at] == ["one", "two"][version])
+                .collect();
+            let of_first = first
+                .iter()
+                .filter(|at| self.voted[version][**at] >= reached)
+                .count();
             let clean = first.iter().filter(|at| self.clean[**at]).count();
             if reached == 1 && votes * 2 <= ALL || reached <= 3 && of_first * 2 <= first.len() {
                 self.wrong = Some("promoted without more than half of the roster");
@@ -213,7 +238,10 @@
     }
 
     fn running(&self) -> BTreeSet<Hash> {
-        (0..ALL).map(|at| self.machines[at].runs(&self.peers(at))).filter(|h| *h != BASE).collect()
+        (0..ALL)
+            .map(|at| self.machines[at].runs(&self.peers(at)))
+            .filter(|h| *h != BASE)
+            .collect()
     }
 }
 
@@ -259,12 +287,18 @@
         if world.wrong.is_some() {
             return;
         }
-        steps.extend((0..self.proposals).filter(|&at| !world.proposed[at]).map(Step::Propose));
+        steps.extend(
+            (0..self.proposals)
+                .filter(|&at| !world.proposed[at])
+                .map(Step::Propose),
+        );
         for to in 0..ALL {
             steps.extend(
                 (0..ALL)
                     .filter(|&from| {
-                        world.machines[from].current().is_some() && from != to && !world.apart(from, to)
+                        world.machines[from].current().is_some()
+                            && from != to
+                            && !world.apart(from, to)
                     })
                     .map(|f| Step::Hear(f, to)),
             );
@@ -308,7 +342,9 @@
                 let peers = world.peers(from);
                 let machine = &world.machines[from];
                 world.heard[to][from] = Some(Heard {
-                    word: machine.word(&peers).map(|word| (world.starts[from].into(), word)),
+                    word: machine
+                        .word(&peers)
+                        .map(|word| (world.starts[from].into(), word)),
                     proposal: machine.current().map(|c| c.proposal.clone()),
                     halts: machine.halts().to_vec(),
                     age: 0,
@@ -365,7 +401,9 @@
                     (0..2).all(|v| !w.knew[v][at] || runs != proposal(v).hash)
                 })
             }),
-            Property::always("one new version beside the old", |_, w: &World| w.running().len() <= 1),
+            Property::always("one new version beside the old", |_, w: &World| {
+                w.running().len() <= 1
+            }),
             Property::always("none runs it before its turn", |_, w: &World| {
                 (0..ALL).all(|at| {
                     let peers = w.peers(at);
@@ -382,15 +420,37 @@
     }
 }
 
-fn fleet(without: Option<Guard>, proposals: usize, [restarts, halts, cuts, clock, kills]: [u8; 5]) -> Fleet {
-    Fleet { without, proposals, restarts, halts, cuts, clock, kills }
+fn fleet(
+    without: Option<Guard>,
+    proposals: usize,
+    [restarts, halts, cuts, clock, kills]: [u8; 5],
+) -> Fleet {
+    Fleet {
+        without,
+        proposals,
+        restarts,
+        halts,
+        cuts,
+        clock,
+        kills,
+    }
 }
 
 /// Broken rules that a search finds.
 fn broken(fleet: Fleet, depth: usize) -> (Vec<&'static str>, usize) {
     let failed = HasDiscoveries::AnyFailures;
-    let checker = fleet.checker().threads(3).target_max_depth(depth).finish_when(failed).spawn_bfs().join();
-    let broken = checker.discoveries().into_keys().filter(|name| *name != "the whole").collect();
+    let checker = fleet
+        .checker()
+        .threads(3)
+        .target_max_depth(depth)
+        .finish_when(failed)
+        .spawn_bfs()
+        .join();
+    let broken = checker
+        .discoveries()
+        .into_keys()
+        .filter(|name| *name != "the whole")
+        .collect();
     (broken, checker.unique_state_count())
 }
 
@@ -411,7 +471,11 @@
         let depth = if deeper { DEEP + 1 - proposals } else { depth };
         let (broken, states) = broken(fleet(None, proposals, budget), depth);
         println!("{proposals} proposals, {budget:?}: {states} states to depth {depth}");
-        assert_eq!(broken, Vec::<&str>::new(), "{proposals} proposals, {budget:?}");
+        assert_eq!(
+            broken,
+            Vec::<&str>::new(),
+            "{proposals} proposals, {budget:?}"
+        );
     }
 }
 
@@ -419,7 +483,10 @@
 fn no_order_of_events_breaks_a_rule() {
     search(false);
     let checker = fleet(None, 1, [0; 5]).checker().spawn_dfs().join();
-    assert!(checker.discovery("the whole").is_some(), "a good version comes to its end");
+    assert!(
+        checker.discovery("the whole").is_some(),
+        "a good version comes to its end"
+    );
 }
 
 #[test]
@@ -443,7 +510,10 @@
     ] {
         let (proposals, budget, _) = SCENARIOS[scenario];
         let (broken, _) = broken(fleet(Some(guard), proposals, budget), DEEP);
-        assert!(!broken.is_empty(), "without {guard:?} nothing is found wrong");
+        assert!(
+            !broken.is_empty(),
+            "without {guard:?} nothing is found wrong"
+        );
         println!("without {guard:?}: {broken:?}");
     }
 }
--- a/crates/rollout/src/recorded.rs
+++ b/crates/rollout/src/recorded.rs
@@ -1,14 +1,22 @@
 //! Bodies and a state file as a build of the first form wrote them, and what comes of those of a later one.
 
-use crate::words::{self, Class, Counts, Halted, Hash, Orderly, Proposal, Ready, Stored, Why, Word};
+use crate::words::{
+    self, Class, Counts, Halted, Hash, Orderly, Proposal, Ready, Stored, Why, Word,
+};
 use crate::{Action, Config, Core, Event, Limits, Look, Peer, Phase, Told, KINDS};
 use std::time::Duration;
 
 /// The bytes of that name.
 fn recorded(name: &str) -> Vec<u8> {
     let lines = include_str!("../tests/version-1.hex").lines();
-    let hex = lines.filter_map(|line| line.split_once(' ')).find(|(of, _)| *of == name);
-    hex::decode(hex.unwrap_or_else(|| panic!("nothing is recorded as {name}")).1).unwrap()
+    let hex = lines
+        .filter_map(|line| line.split_once(' '))
+        .find(|(of, _)| *of == name);
+    hex::decode(
+        hex.unwrap_or_else(|| panic!("nothing is recorded as {name}"))
+            .1,
+    )
+    .unwrap()
 }
 
 fn hash() -> Hash {
@@ -17,13 +25,29 @@
 
 fn proposal() -> Proposal {
     let order = vec!["east".into(), "west".into()];
-    Proposal { epoch: 300, hash: hash(), proposer: "n2".into(), order, canary: 1 }
+    Proposal {
+        epoch: 300,
+        hash: hash(),
+        proposer: "n2".into(),
+        order,
+        canary: 1,
+    }
 }
 
 fn halts() -> Vec<Halted> {
     vec![
-        Halted { epoch: 299, hash: [7; 32], by: "n1".into(), why: Why::Class },
-        Halted { epoch: 3, hash: hash(), by: "n0".into(), why: Why::CutOff },
+        Halted {
+            epoch: 299,
+            hash: [7; 32],
+            by: "n1".into(),
+            why: Why::Class,
+        },
+        Halted {
+            epoch: 3,
+            hash: hash(),
+            by: "n0".into(),
+            why: Why::CutOff,
+        },
     ]
 }
 
@@ -31,14 +55,25 @@
 fn facts_of_the_first_form_are_read_for_good() {
     assert_eq!(words::decode(&recorded("proposal")), Some(proposal()));
     let longer = [recorded("proposal"), vec![0]].concat();
-    assert_eq!(words::decode::<Proposal>(&longer), None, "with more behind it");
+    assert_eq!(
+        words::decode::<Proposal>(&longer),
+        None,
+        "with more behind it"
+    );
     for (name, ready) in [
         ("word-not-yet", Ready::NotYet),
         ("word", Ready::Yes),
         ("word-cannot", Ready::Cannot("no file".into())),
     ] {
-        let word =
-            Word { epoch: 300, hash: hash(), proposer: "n2".into(), votes: 2, reached: 1, new: true, ready };
+        let word = Word {
+            epoch: 300,
+            hash: hash(),
+            proposer: "n2".into(),
+            votes: 2,
+            reached: 1,
+            new: true,
+            ready,
+        };
         assert_eq!(words::decode(&recorded(name)), Some(word), "{name}");
     }
     assert_eq!(words::decode(&recorded("halts")), Some(halts()));
@@ -46,30 +81,62 @@
         epoch: 300,
         new: true,
         turn: 2,
-        total: Class { class: 0, asked: 1_000, lost: 129 },
-        classes: vec![Class { class: 0xdead_beef, asked: 400, lost: 3 }],
+        total: Class {
+            class: 0,
+            asked: 1_000,
+            lost: 129,
+        },
+        classes: vec![Class {
+            class: 0xdead_beef,
+            asked: 400,
+            lost: 3,
+        }],
     };
     assert_eq!(words::decode(&recorded("counts")), Some(counts));
-    assert_eq!(words::decode(&recorded("orderly")), Some(Orderly::Left(300)));
+    assert_eq!(
+        words::decode(&recorded("orderly")),
+        Some(Orderly::Left(300))
+    );
     assert_eq!(words::decode(&[1, 1, 5]), Some(Orderly::Heir(5)));
 }
 
 #[test]
 fn reasons_of_halts_keep_their_numbers() {
-    let whys = [Why::Operator, Why::Return, Why::Loss, Why::Class, Why::Crash, Why::Gone, Why::CutOff];
+    let whys = [
+        Why::Operator,
+        Why::Return,
+        Why::Loss,
+        Why::Class,
+        Why::Crash,
+        Why::Gone,
+        Why::CutOff,
+    ];
     for (number, why) in whys.into_iter().enumerate() {
         assert_eq!(words::decode(&[1, number as u8]), Some(why));
     }
-    assert_eq!(words::decode::<Why>(&[1, whys.len() as u8]), None, "of a later build");
+    assert_eq!(
+        words::decode::<Why>(&[1, whys.len() as u8]),
+        None,
+        "of a later build"
+    );
 }
 
 #[test]
 fn a_state_file_of_the_first_form_is_read_for_good() {
-    let stored = Stored { base: [9; 32], proposal: Some(proposal()), reached: 1, halts: halts() };
+    let stored = Stored {
+        base: [9; 32],
+        proposal: Some(proposal()),
+        reached: 1,
+        halts: halts(),
+    };
     assert_eq!(words::decode(&recorded("state")), Some(stored));
     let epoch = |core: &Core| core.status().proposal.map(|p| p.epoch);
     assert_eq!(epoch(&core(Some(recorded("state")))), Some(300));
-    assert_eq!(epoch(&core(Some(later(recorded("state"))))), None, "of a later form: no memory");
+    assert_eq!(
+        epoch(&core(Some(later(recorded("state"))))),
+        None,
+        "of a later form: no memory"
+    );
 }
 
 /// One that is torn, of a later form or longer is no memory: it is said once, and what runs is the operators' own file.
@@ -83,9 +150,19 @@
         let mut core = core(stored);
         let mut actions = Vec::new();
         for _ in 0..2 {
-            core.handle(Duration::from_secs(1), Event::Look(Look::default()), &mut actions);
+            core.handle(
+                Duration::from_secs(1),
+                Event::Look(Look::default()),
+                &mut actions,
+            );
         }
-        assert_eq!(actions.iter().filter(|action| **action == Action::Unread).count(), times);
+        assert_eq!(
+            actions
+                .iter()
+                .filter(|action| **action == Action::Unread)
+                .count(),
+            times
+        );
         let status = core.status();
         assert_eq!((status.unread, status.runs), (times == 1, [9; 32]));
         assert!(times == 0 || status.proposal.is_none());
@@ -119,9 +196,19 @@
 #[test]
 fn nothing_is_said_before_it_is_kept() {
     let mut core = core(None);
-    let peer = Peer { name: "n0".into(), region: "east".into(), start: Some(5), heard: true, left: false };
+    let peer = Peer {
+        name: "n0".into(),
+        region: "east".into(),
+        start: Some(5),
+        heard: true,
+        left: false,
+    };
     let promote = ["east".to_owned()].into();
-    let look = Look { peers: vec![peer], promote, ..Look::default() };
+    let look = Look {
+        peers: vec![peer],
+        promote,
+        ..Look::default()
+    };
     let (mut kept, mut saving, mut told_new, mut ran) = (Vec::new(), None, None, None);
     for second in 0..20 {
         let now = Duration::from_secs(second);
@@ -134,7 +221,16 @@
         core.handle(now, Event::Look(look.clone()), &mut actions);
         if second == 1 {
             let order = vec!["east".to_owned()];
-            core.handle(now, Event::Propose { hash: hash(), order, canary: 1, again: false }, &mut actions);
+            core.handle(
+                now,
+                Event::Propose {
+                    hash: hash(),
+                    order,
+                    canary: 1,
+                    again: false,
+                },
+                &mut actions,
+            );
         }
         let has = words::decode::<Stored>(&kept);
         for action in actions {
@@ -143,10 +239,14 @@
                 Action::Say(0, ..) => assert!(has.as_ref().is_some_and(|s| s.proposal.is_some())),
                 Action::Say(1, body, _) => {
                     let word: Word = words::decode(&body).unwrap();
-                    assert!(has.as_ref().is_some_and(|s| s.proposal.is_some() && s.reached >= word.reached));
+                    assert!(has
+                        .as_ref()
+                        .is_some_and(|s| s.proposal.is_some() && s.reached >= word.reached));
                     told_new = told_new.or(word.new.then_some(second));
                 }
-                Action::Check(hash) => core.handle(now, Event::Ready(hash, Ok(())), &mut Vec::new()),
+                Action::Check(hash) => {
+                    core.handle(now, Event::Ready(hash, Ok(())), &mut Vec::new())
+                }
                 Action::Run(_) => ran = Some(second),
                 _ => {}
             }
@@ -190,5 +290,10 @@
     let status = core.status();
     assert_eq!(status.malformed, u64::from(KINDS));
     assert_eq!((status.phase, status.proposal), (Phase::Idle, None));
-    assert!(!actions.iter().any(|action| matches!(action, Action::Run(_) | Action::Check(_))), "{actions:?}");
+    assert!(
+        !actions
+            .iter()
+            .any(|action| matches!(action, Action::Run(_) | Action::Check(_))),
+        "{actions:?}"
+    );
 }
--- a/crates/rollout/src/watch.rs
+++ b/crates/rollout/src/watch.rs
@@ -61,8 +61,13 @@
         // The word of it may come after the new start.
         let before = self.unplanned.len();
         let unplanned = std::mem::take(&mut self.unplanned);
-        self.unplanned = unplanned.into_iter().filter(|change| !self.is_in_order(*change)).collect();
-        self.planned = self.planned.saturating_add((before - self.unplanned.len()) as u32);
+        self.unplanned = unplanned
+            .into_iter()
+            .filter(|change| !self.is_in_order(*change))
+            .collect();
+        self.planned = self
+            .planned
+            .saturating_add((before - self.unplanned.len()) as u32);
     }
 }
 
@@ -91,17 +96,39 @@
     }
 
     /// Those that are to take it by now: by one's own quorums, or by what another says that it has seen.
-    pub fn begin(&mut self, p: &Proposal, reached: u8, peers: &[Peer], words: &BTreeMap<String, Said>) {
-        let others = words.values().filter(|(_, w)| w.of(p)).map(|(_, w)| w.reached);
+    pub fn begin(
+        &mut self,
+        p: &Proposal,
+        reached: u8,
+        peers: &[Peer],
+        words: &BTreeMap<String, Said>,
+    ) {
+        let others = words
+            .values()
+            .filter(|(_, w)| w.of(p))
+            .map(|(_, w)| w.reached);
         let reached = others.fold(reached, u8::max);
         if reached == 0 {
             return;
         }
         let entries = entries(p, peers);
-        let enters = |peer: &&Peer| entries.get(peer.name.as_str()).is_some_and(|at| *at <= reached);
-        for peer in peers.iter().filter(enters).filter(|peer| peer.heard && peer.name != self.me) {
+        let enters = |peer: &&Peer| {
+            entries
+                .get(peer.name.as_str())
+                .is_some_and(|at| *at <= reached)
+        };
+        for peer in peers
+            .iter()
+            .filter(enters)
+            .filter(|peer| peer.heard && peer.name != self.me)
+        {
             let start = peer.start;
-            self.members.entry(peer.name.clone()).or_insert_with(|| Member { start, ..Member::default() });
+            self.members
+                .entry(peer.name.clone())
+                .or_insert_with(|| Member {
+                    start,
+                    ..Member::default()
+                });
         }
     }
 
@@ -115,18 +142,37 @@
     ) -> Sign {
         // One that hears no more than half may be the one that is cut off.
         let most = peers.iter().filter(|peer| peer.heard).count() * 2 > peers.len();
-        let beside = |of: &Peer| peers.iter().any(|p| p.region == of.region && p.name != of.name && p.heard);
+        let beside = |of: &Peer| {
+            peers
+                .iter()
+                .any(|p| p.region == of.region && p.name != of.name && p.heard)
+        };
         let mut sign = Sign::Well;
         for (name, member) in &mut self.members {
             // Of another roster, it is nobody's.
-            let Some(peer) = peers.iter().find(|peer| peer.name == *name) else { continue };
+            let Some(peer) = peers.iter().find(|peer| peer.name == *name) else {
+                continue;
+            };
             member.sees(peer, orderly.get(name));
-            let word = words.get(name).filter(|(start, _)| Some(*start) >= member.start).map(|(_, w)| w);
+            let word = words
+                .get(name)
+                .filter(|(start, _)| Some(*start) >= member.start)
+                .map(|(_, w)| w);
             let runs = word.is_some_and(|w| w.new && w.of(p));
             member.ran |= runs;
-            let missed = if peer.heard { word.is_none() } else { !peer.left };
-            member.off = if missed && most { member.off.or(Some(now)) } else { None };
-            let long = member.off.is_some_and(|since| now.saturating_sub(since) >= self.dark);
+            let missed = if peer.heard {
+                word.is_none()
+            } else {
+                !peer.left
+            };
+            member.off = if missed && most {
+                member.off.or(Some(now))
+            } else {
+                None
+            };
+            let long = member
+                .off
+                .is_some_and(|since| now.saturating_sub(since) >= self.dark);
             if member.unplanned.len() > STARTS && guard!(self, Crash) {
                 return Sign::Harm(Why::Crash);
             }
@@ -143,6 +189,9 @@
 
     /// Members that started anew in order, and how often.
     pub fn planned(&self) -> impl Iterator<Item = (&str, u32)> {
-        self.members.iter().map(|(name, member)| (name.as_str(), member.planned)).filter(|(_, n)| *n > 0)
+        self.members
+            .iter()
+            .map(|(name, member)| (name.as_str(), member.planned))
+            .filter(|(_, n)| *n > 0)
     }
 }
--- a/crates/rollout/src/words.rs
+++ b/crates/rollout/src/words.rs
@@ -62,7 +62,9 @@
             Why::Return => "an operator asked for the former version",
             Why::Loss => "it loses more than the former version beside it",
             Why::Class => "it loses more of one class than the former version beside it",
-            Why::Crash => "a proxy that was to run it started anew more than once, and not in order",
+            Why::Crash => {
+                "a proxy that was to run it started anew more than once, and not in order"
+            }
             Why::Gone => "a proxy that was to run it has not been heard for too long",
             Why::CutOff => "the proxy that ran it was cut off from the fleet for too long",
         }
@@ -126,8 +128,15 @@
 impl Class {
     /// What has come since. Counts only grow; what falls is another process's, or a lie.
     pub(crate) fn since(self, was: Class) -> Class {
-        let (asked, lost) = (self.asked.saturating_sub(was.asked), self.lost.saturating_sub(was.lost));
-        Class { class: self.class, asked, lost }
+        let (asked, lost) = (
+            self.asked.saturating_sub(was.asked),
+            self.lost.saturating_sub(was.lost),
+        );
+        Class {
+            class: self.class,
+            asked,
+            lost,
+        }
     }
 }
 
@@ -151,7 +160,10 @@
 }
 
 pub(crate) fn cut(text: &str, most: usize) -> String {
-    let end = (0..=most.min(text.len())).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
+    let end = (0..=most.min(text.len()))
+        .rev()
+        .find(|&at| text.is_char_boundary(at))
+        .unwrap_or(0);
     text[..end].to_owned()
 }
 
--- a/crates/rollout/tests/bytes.rs
+++ b/crates/rollout/tests/bytes.rs
@@ -7,15 +7,21 @@
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
 use rollout::{
-    Action, Class, Config, Core, Counts, Event, Halted, Hash, Limits, Look, Orderly, Peer, Proposal, Ready,
-    Told, Why, Word, BODY_BYTES, KINDS,
+    Action, Class, Config, Core, Counts, Event, Halted, Hash, Limits, Look, Orderly, Peer,
+    Proposal, Ready, Told, Why, Word, BODY_BYTES, KINDS,
 };
 use serde::Serialize;
 use std::time::Duration;
 
 const OLD: Hash = [0; 32];
-const FLEET: [(&str, &str); 6] =
-    [("a", "east"), ("b", "east"), ("c", "east"), ("d", "west"), ("e", "west"), ("f", "west")];
+const FLEET: [(&str, &str); 6] = [
+    ("a", "east"),
+    ("b", "east"),
+    ("c", "east"),
+    ("d", "west"),
+    ("e", "west"),
+    ("f", "west"),
+];
 /// The host reads no longer state file.
 const STATE_BYTES: usize = 16 << 10;
 
@@ -32,41 +38,100 @@
 }
 
 fn order() -> impl Strategy<Value = Vec<String>> {
-    let names = prop_oneof![Just("east".to_owned()), Just("west".to_owned()), "[a-z]{0,3}"];
-    prop_oneof![Just(vec!["east".to_owned(), "west".to_owned()]), vec(names, 0..300)]
+    let names = prop_oneof![
+        Just("east".to_owned()),
+        Just("west".to_owned()),
+        "[a-z]{0,3}"
+    ];
+    prop_oneof![
+        Just(vec!["east".to_owned(), "west".to_owned()]),
+        vec(names, 0..300)
+    ]
 }
 
 fn proposal() -> impl Strategy<Value = Proposal> {
-    (epoch(), hash(), "[a-f]", order(), any::<u16>())
-        .prop_map(|(epoch, hash, proposer, order, canary)| Proposal { epoch, hash, proposer, order, canary })
+    (epoch(), hash(), "[a-f]", order(), any::<u16>()).prop_map(
+        |(epoch, hash, proposer, order, canary)| Proposal {
+            epoch,
+            hash,
+            proposer,
+            order,
+            canary,
+        },
+    )
 }
 
 fn halted() -> impl Strategy<Value = Halted> {
-    let why = prop_oneof![Just(Why::Operator), Just(Why::Return), Just(Why::Loss), Just(Why::CutOff)];
-    (epoch(), hash(), ".{0,90}", why).prop_map(|(epoch, hash, by, why)| Halted { epoch, hash, by, why })
+    let why = prop_oneof![
+        Just(Why::Operator),
+        Just(Why::Return),
+        Just(Why::Loss),
+        Just(Why::CutOff)
+    ];
+    (epoch(), hash(), ".{0,90}", why).prop_map(|(epoch, hash, by, why)| Halted {
+        epoch,
+        hash,
+        by,
+        why,
+    })
 }
 
 fn class() -> impl Strategy<Value = Class> {
-    (0..9_u32, any::<u64>(), any::<u64>()).prop_map(|(class, asked, lost)| Class { class, asked, lost })
+    (0..9_u32, any::<u64>(), any::<u64>()).prop_map(|(class, asked, lost)| Class {
+        class,
+        asked,
+        lost,
+    })
 }
 
 /// A body of that kind with any values, which others could not have said.
 fn sound() -> impl Strategy<Value = (u8, Vec<u8>)> {
     let word = (epoch(), hash(), "[a-f]", any::<[u8; 2]>(), any::<bool>()).prop_map(
         |(epoch, hash, proposer, [votes, reached], new)| {
-            let ready = if new { Ready::Yes } else { Ready::Cannot("x".repeat(300)) };
-            Word { epoch, hash, proposer, votes, reached, new, ready }
+            let ready = if new {
+                Ready::Yes
+            } else {
+                Ready::Cannot("x".repeat(300))
+            };
+            Word {
+                epoch,
+                hash,
+                proposer,
+                votes,
+                reached,
+                new,
+                ready,
+            }
         },
     );
-    let counts = (epoch(), any::<bool>(), any::<u32>(), class(), vec(class(), 0..20))
-        .prop_map(|(epoch, new, turn, total, classes)| Counts { epoch, new, turn, total, classes });
+    let counts = (
+        epoch(),
+        any::<bool>(),
+        any::<u32>(),
+        class(),
+        vec(class(), 0..20),
+    )
+        .prop_map(|(epoch, new, turn, total, classes)| Counts {
+            epoch,
+            new,
+            turn,
+            total,
+            classes,
+        });
     prop_oneof![
         proposal().prop_map(|p| (0, body(&p))),
         word.prop_map(|w| (1, body(&w))),
         vec(halted(), 0..12).prop_map(|h| (2, body(&h))),
         counts.prop_map(|c| (3, body(&c))),
         any::<(bool, u64)>().prop_map(|(left, start)| {
-            (4, body(&if left { Orderly::Left(start) } else { Orderly::Heir(start) }))
+            (
+                4,
+                body(&if left {
+                    Orderly::Left(start)
+                } else {
+                    Orderly::Heir(start)
+                }),
+            )
         }),
     ]
 }
@@ -86,12 +151,21 @@
     let some = vec((any::<Index>(), any::<u8>()), 0..4);
     let mutated = (sound(), some, any::<Option<Index>>())
         .prop_map(|((kind, body), changes, cut)| (kind, changed(body, &changes, cut)));
-    prop_oneof![sound(), mutated, (0..=KINDS, vec(any::<u8>(), 0..BODY_BYTES))]
+    prop_oneof![
+        sound(),
+        mutated,
+        (0..=KINDS, vec(any::<u8>(), 0..BODY_BYTES))
+    ]
 }
 
 /// As the file has it: base, proposal, how far it was, halts.
 fn state() -> impl Strategy<Value = Vec<u8>> {
-    let sound = (hash(), proptest::option::of(proposal()), any::<u8>(), vec(halted(), 0..12))
+    let sound = (
+        hash(),
+        proptest::option::of(proposal()),
+        any::<u8>(),
+        vec(halted(), 0..12),
+    )
         .prop_map(|stored| body(&stored))
         .boxed();
     let some = vec((any::<Index>(), any::<u8>()), 1..4);
@@ -111,7 +185,16 @@
     };
     let (dark, lasts) = (Duration::from_secs(60), Duration::from_secs(10));
     Core::new(
-        Config { name: "a".into(), start: 1, heir: false, base: OLD, limits, dark, lasts, stored },
+        Config {
+            name: "a".into(),
+            start: 1,
+            heir: false,
+            base: OLD,
+            limits,
+            dark,
+            lasts,
+            stored,
+        },
         Duration::ZERO,
     )
 }
@@ -128,8 +211,16 @@
         peers: FLEET.iter().map(peer).collect(),
         promote: ["east", "west"].map(String::from).into(),
         facts,
-        counts: vec![Class { class: 1, asked: 1_000, lost: 20 }],
-        total: Class { class: 0, asked: 1_000, lost: 20 },
+        counts: vec![Class {
+            class: 1,
+            asked: 1_000,
+            lost: 20,
+        }],
+        total: Class {
+            class: 0,
+            asked: 1_000,
+            lost: 20,
+        },
     }
 }
 
@@ -150,7 +241,10 @@
             Action::Phase(_) | Action::Refused(_) | Action::Unread => {}
         }
     }
-    prop_assert!(body(&core.machine().halts()).len() <= BODY_BYTES, "halts can't be told any more");
+    prop_assert!(
+        body(&core.machine().halts()).len() <= BODY_BYTES,
+        "halts can't be told any more"
+    );
     prop_assert_eq!(core.status().runs, OLD);
     Ok(())
 }
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -9,8 +9,14 @@
 
 const OLD: [u8; 32] = [0; 32];
 const NEW: [u8; 32] = [1; 32];
-const FLEET: [(&str, &str); 6] =
-    [("a", "east"), ("b", "east"), ("c", "east"), ("d", "west"), ("e", "west"), ("f", "west")];
+const FLEET: [(&str, &str); 6] = [
+    ("a", "east"),
+    ("b", "east"),
+    ("c", "east"),
+    ("d", "west"),
+    ("e", "west"),
+    ("f", "west"),
+];
 
 #[derive(Clone, Copy)]
 struct Site {
@@ -113,13 +119,22 @@
         let now = Duration::from_secs(second);
         for at in 0..FLEET.len() {
             for (class, asked) in [(0, site.asked * 3 / 4), (1, site.asked / 4)] {
-                let worse = if class == 1 { site.harm + site.class_harm } else { site.harm };
-                let west = if FLEET[at].1 == "west" { site.west } else { 0.0 };
+                let worse = if class == 1 {
+                    site.harm + site.class_harm
+                } else {
+                    site.harm
+                };
+                let west = if FLEET[at].1 == "west" {
+                    site.west
+                } else {
+                    0.0
+                };
                 let loss = site.loss + west + if runs[at] == NEW { worse } else { 0.0 };
                 counts[at][class].class = class as u32 + 1;
                 counts[at][class].asked += asked;
-                counts[at][class].lost +=
-                    (0..asked).filter(|_| rng.random_bool(loss.min(1.0))).count() as u64;
+                counts[at][class].lost += (0..asked)
+                    .filter(|_| rng.random_bool(loss.min(1.0)))
+                    .count() as u64;
             }
         }
         for at in 0..FLEET.len() {
@@ -137,7 +152,11 @@
             let worth = |of: fn(&Class) -> u64| {
                 (of(&counts[at][0]) as f64 * site.worth + of(&counts[at][1]) as f64) as u64
             };
-            let total = Class { class: 0, asked: worth(|c| c.asked), lost: worth(|c| c.lost) };
+            let total = Class {
+                class: 0,
+                asked: worth(|c| c.asked),
+                lost: worth(|c| c.lost),
+            };
             let look = Look {
                 peers: peers.clone(),
                 promote: ["east", "west"].map(String::from).into(),
@@ -150,7 +169,9 @@
             match site.canary {
                 Canary::Silent if second >= 30 => seen.heard = at == 0,
                 Canary::Apart if (30..150).contains(&second) => {
-                    look.peers.iter_mut().for_each(|peer| peer.heard = peer.region == FLEET[at].1);
+                    look.peers
+                        .iter_mut()
+                        .for_each(|peer| peer.heard = peer.region == FLEET[at].1);
                 }
                 _ => {}
             }
@@ -162,7 +183,12 @@
             cores[at].handle(now, Event::Look(look), &mut actions);
             if second == 5 && at == 0 {
                 let order = vec!["east".into(), "west".into()];
-                let event = Event::Propose { hash: NEW, order, canary: 1, again: false };
+                let event = Event::Propose {
+                    hash: NEW,
+                    order,
+                    canary: 1,
+                    again: false,
+                };
                 cores[at].handle(now, event, &mut actions);
             }
             if at == 0 && site.canary == Canary::Leaves && second >= 30 && second % 20 == 19 {
@@ -185,7 +211,9 @@
                         _ = said.insert((at, kind), (peers[at].start.unwrap_or(1), body));
                     }
                     Action::Save(bytes) => saving[at] = Some(bytes),
-                    Action::Check(hash) => cores[at].handle(now, Event::Ready(hash, Ok(())), &mut actions),
+                    Action::Check(hash) => {
+                        cores[at].handle(now, Event::Ready(hash, Ok(())), &mut actions)
+                    }
                     Action::Run(hash) => {
                         runs[at] = hash;
                         exposed[at] |= hash == NEW;
@@ -195,17 +223,32 @@
             }
             if dies {
                 saving[0] = None;
-                (cores[0], runs[0], peers[0].start) = (core(0, second, kept[0].clone()), OLD, Some(second));
+                (cores[0], runs[0], peers[0].start) =
+                    (core(0, second, kept[0].clone()), OLD, Some(second));
             }
         }
         let phases: Vec<Phase> = cores.iter().map(|c| c.status().phase).collect();
         let all_run = runs == [NEW; FLEET.len()];
         let over = |p: &Phase| matches!(p, Phase::Halted(_)) || *p == Phase::Whole && all_run;
         if phases.iter().all(|p| over(p) && *p == phases[0]) || second == site.seconds {
-            assert!(!matches!(phases[0], Phase::Halted(_)) || runs == [OLD; FLEET.len()], "all are back");
-            let exposed_of = |region| FLEET.iter().zip(exposed).filter(|(f, e)| f.1 == region && *e).count();
+            assert!(
+                !matches!(phases[0], Phase::Halted(_)) || runs == [OLD; FLEET.len()],
+                "all are back"
+            );
+            let exposed_of = |region| {
+                FLEET
+                    .iter()
+                    .zip(exposed)
+                    .filter(|(f, e)| f.1 == region && *e)
+                    .count()
+            };
             let (east, west) = (exposed_of("east"), exposed_of("west"));
-            return End { phase: phases[0], seconds: second, exposed: east + west, beyond: west > 0 };
+            return End {
+                phase: phases[0],
+                seconds: second,
+                exposed: east + west,
+                beyond: west > 0,
+            };
         }
     }
     unreachable!("the last second returns")
@@ -214,9 +257,15 @@
 /// Runs so many seeds; (halted, whole, halted in the first region, median seconds).
 fn table(title: &str, site: Site, seeds: u64) -> (usize, usize, usize, u64) {
     let ends: Vec<End> = (0..seeds).map(|seed| play(site, seed)).collect();
-    let halted = ends.iter().filter(|e| matches!(e.phase, Phase::Halted(_))).count();
+    let halted = ends
+        .iter()
+        .filter(|e| matches!(e.phase, Phase::Halted(_)))
+        .count();
     let whole = ends.iter().filter(|e| e.phase == Phase::Whole).count();
-    let first = ends.iter().filter(|e| matches!(e.phase, Phase::Halted(_)) && !e.beyond).count();
+    let first = ends
+        .iter()
+        .filter(|e| matches!(e.phase, Phase::Halted(_)) && !e.beyond)
+        .count();
     let mut seconds: Vec<u64> = ends.iter().map(|e| e.seconds).collect();
     seconds.sort_unstable();
     let median = seconds[seconds.len() / 2];
@@ -232,11 +281,26 @@
 fn a_good_version_comes_to_its_end_and_a_bad_one_does_not() {
     let (halted, whole, ..) = table("A against A", SITE, 40);
     assert!(halted <= 1 && whole >= 39);
-    let (halted, ..) = table("A against A, one region worse", Site { loss: 0.2, west: -0.15, ..SITE }, 20);
+    let (halted, ..) = table(
+        "A against A, one region worse",
+        Site {
+            loss: 0.2,
+            west: -0.15,
+            ..SITE
+        },
+        20,
+    );
     assert_eq!(halted, 0, "what regions differ in is no harm of a version");
     let (_, _, first, _) = table("harm 0.05", Site { harm: 0.05, ..SITE }, 20);
     assert!(first >= 18);
-    let (_, _, first, seconds) = table("refuses a class", Site { class_harm: 1.0, ..SITE }, 5);
+    let (_, _, first, seconds) = table(
+        "refuses a class",
+        Site {
+            class_harm: 1.0,
+            ..SITE
+        },
+        5,
+    );
     assert!(first == 5 && seconds < 60);
     for (canary, phase, exposed) in [
         (Canary::Dies, Phase::Halted(Why::Crash), 1),
@@ -244,11 +308,29 @@
         (Canary::Leaves, Phase::Whole, FLEET.len()),
         (Canary::Apart, Phase::Whole, FLEET.len()),
     ] {
-        let end = play(Site { asked: 5, canary, ..SITE }, 1);
+        let end = play(
+            Site {
+                asked: 5,
+                canary,
+                ..SITE
+            },
+            1,
+        );
         assert_eq!((end.phase, end.exposed), (phase, exposed));
     }
-    let end = play(Site { asked: 0, seconds: 300, ..SITE }, 1);
-    assert_eq!((end.phase, end.exposed), (Phase::Canary, 1), "without traffic it waits");
+    let end = play(
+        Site {
+            asked: 0,
+            seconds: 300,
+            ..SITE
+        },
+        1,
+    );
+    assert_eq!(
+        (end.phase, end.exposed),
+        (Phase::Canary, 1),
+        "without traffic it waits"
+    );
 }
 
 /// Whatever comes as a fact, of this form or another: it is read or counted, and nothing new runs by it.
@@ -269,9 +351,16 @@
     let mut actions = Vec::new();
     for second in 0..20_000 {
         let length = rng.random_range(0..120);
-        let mut body: Vec<u8> = (0..length).map(|_| rng.random::<u8>() >> rng.random_range(0..8)).collect();
+        let mut body: Vec<u8> = (0..length)
+            .map(|_| rng.random::<u8>() >> rng.random_range(0..8))
+            .collect();
         body.iter_mut().take(1).for_each(|form| *form %= 3);
-        let told = Told { source: "b".into(), start: 1, kind: rng.random_range(0..6), body };
+        let told = Told {
+            source: "b".into(),
+            start: 1,
+            kind: rng.random_range(0..6),
+            body,
+        };
         let peer = |(name, region): &(&str, &str)| Peer {
             name: (*name).into(),
             region: (*region).into(),
@@ -280,10 +369,17 @@
             left: false,
         };
         let peers = FLEET.iter().map(peer).collect();
-        let look = Look { peers, promote: ["east".to_owned()].into(), facts: vec![told], ..Look::default() };
+        let look = Look {
+            peers,
+            promote: ["east".to_owned()].into(),
+            facts: vec![told],
+            ..Look::default()
+        };
         core.handle(Duration::from_secs(second), Event::Look(look), &mut actions);
     }
-    assert!(!actions.iter().any(|action| matches!(action, Action::Run(_))));
+    assert!(!actions
+        .iter()
+        .any(|action| matches!(action, Action::Run(_))));
     assert!(core.status().malformed > 10_000);
 }
 
@@ -294,15 +390,59 @@
     table("A against A", SITE, 400);
     table("A against A, loss 0.2", Site { loss: 0.2, ..SITE }, 400);
     table("A against A, 8 a second", Site { asked: 8, ..SITE }, 200);
-    table("A against A, the first region loses 0.15 more", Site { loss: 0.2, west: -0.15, ..SITE }, 200);
+    table(
+        "A against A, the first region loses 0.15 more",
+        Site {
+            loss: 0.2,
+            west: -0.15,
+            ..SITE
+        },
+        200,
+    );
     table("harm 0.02", Site { harm: 0.02, ..SITE }, 100);
     table("harm 0.05", Site { harm: 0.05, ..SITE }, 200);
-    table("harm 0.05, loss 0.2", Site { harm: 0.05, loss: 0.2, ..SITE }, 100);
+    table(
+        "harm 0.05, loss 0.2",
+        Site {
+            harm: 0.05,
+            loss: 0.2,
+            ..SITE
+        },
+        100,
+    );
     table("harm 0.2", Site { harm: 0.2, ..SITE }, 100);
-    table("refuses a class of a quarter", Site { class_harm: 1.0, ..SITE }, 100);
+    table(
+        "refuses a class of a quarter",
+        Site {
+            class_harm: 1.0,
+            ..SITE
+        },
+        100,
+    );
     let cheap = Site { worth: 0.1, ..SITE };
     table("A against A, larger class worth 0.1", cheap, 400);
-    table("harm 0.05, larger class worth 0.1", Site { harm: 0.05, ..cheap }, 200);
-    table("0.3 of the smaller class, worth 1 to 1", Site { class_harm: 0.3, ..SITE }, 100);
-    table("0.3 of the smaller class, worth 1 to 0.1", Site { class_harm: 0.3, ..cheap }, 100);
+    table(
+        "harm 0.05, larger class worth 0.1",
+        Site {
+            harm: 0.05,
+            ..cheap
+        },
+        200,
+    );
+    table(
+        "0.3 of the smaller class, worth 1 to 1",
+        Site {
+            class_harm: 0.3,
+            ..SITE
+        },
+        100,
+    );
+    table(
+        "0.3 of the smaller class, worth 1 to 0.1",
+        Site {
+            class_harm: 0.3,
+            ..cheap
+        },
+        100,
+    );
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -172,21 +172,24 @@
 }
 
 fn position(zero: Time, seconds: f64) -> Option<Time> {
-    (seconds.is_finite() && seconds > 0.0).then(|| zero.plus(Duration::from_micros((seconds * 1e6) as u64)))
+    (seconds.is_finite() && seconds > 0.0)
+        .then(|| zero.plus(Duration::from_micros((seconds * 1e6) as u64)))
 }
 
 pub fn decode(json: &[u8]) -> Result<Decoded, BadSetting> {
     let mut json = serde_json::Deserializer::from_slice(json);
-    let conf: Conf = serde_path_to_error::deserialize(&mut json)
-        .map_err(|e| BadSetting { key: e.path().to_string(), problem: e.inner().to_string() })?;
+    let conf: Conf = serde_path_to_error::deserialize(&mut json).map_err(|e| BadSetting {
+        key: e.path().to_string(),
+        problem: e.inner().to_string(),
+    })?;
     let info = &conf.family_info;
     let class = |(i, c): (usize, &ConfClass)| Class {
         need: match info.needs_by_class.get(i).map_or("", String::as_str) {
             "update" => Need::Write,
             "own_writes" => Need::Session,
-            "recent" => {
-                Need::Bounded(Duration::from_micros(info.staleness_bound.get(i).copied().unwrap_or(0)))
-            }
+            "recent" => Need::Bounded(Duration::from_micros(
+                info.staleness_bound.get(i).copied().unwrap_or(0),
+            )),
             "loose" => Need::Any,
             // "latest", and the safe reading of a word not known.
             _ => Need::Fresh,
@@ -213,7 +216,13 @@
         number: conf.me,
         zone: ZoneId(conf.my_zone),
         classes: conf.classes.iter().enumerate().map(class).collect(),
-        tenants: conf.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
+        tenants: conf
+            .realms
+            .iter()
+            .map(|r| Tenant {
+                quota_per_s: r.quota_per_s,
+            })
+            .collect(),
         over_share_worth: conf.over_share_worth.unwrap_or(1.0),
         checks: match info.behind.as_str() {
             "reject" => Checks::Refuse,
@@ -222,7 +231,10 @@
         },
         tokens_carried: info.token_mode == "client",
         list_on_request: conf.registry_mode == "on_request",
-        list_within: conf.rules.ask_within.map_or(LIST_WITHIN, Duration::from_micros),
+        list_within: conf
+            .rules
+            .ask_within
+            .map_or(LIST_WITHIN, Duration::from_micros),
         may_probe: conf.policy_limits.probing,
         may_cancel: conf.policy_limits.may_cancel,
         second_copies: conf.policy_limits.second_copies,
@@ -239,7 +251,12 @@
     };
     Ok(Decoded {
         settings,
-        fields: conf.load_report.fields.iter().map(|name| field(name)).collect(),
+        fields: conf
+            .load_report
+            .fields
+            .iter()
+            .map(|name| field(name))
+            .collect(),
         names: Names {
             classes: conf.classes.into_iter().map(|c| c.name).collect(),
             tenants: conf.realms.into_iter().map(|r| r.name).collect(),
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -15,9 +15,12 @@
 impl Shape {
     pub fn of(value: &Value) -> Shape {
         match value {
-            Value::Object(fields) => {
-                Shape::Object(fields.iter().map(|(key, value)| (key.clone(), Shape::of(value))).collect())
-            }
+            Value::Object(fields) => Shape::Object(
+                fields
+                    .iter()
+                    .map(|(key, value)| (key.clone(), Shape::of(value)))
+                    .collect(),
+            ),
             Value::Array(elements) => {
                 let shapes = elements.iter().map(Shape::of);
                 Shape::Array(Box::new(shapes.reduce(Shape::common).unwrap_or_default()))
@@ -29,7 +32,9 @@
     fn common(self, other: Shape) -> Shape {
         match (self, other) {
             (Shape::Object(a), Shape::Object(mut b)) => Shape::Object(
-                a.into_iter().filter_map(|(key, a)| b.remove(&key).map(|b| (key, a.common(b)))).collect(),
+                a.into_iter()
+                    .filter_map(|(key, a)| b.remove(&key).map(|b| (key, a.common(b))))
+                    .collect(),
             ),
             (Shape::Array(a), Shape::Array(b)) => Shape::Array(Box::new(a.common(*b))),
             _ => Shape::Plain,
@@ -41,19 +46,30 @@
         match (self, value) {
             (Shape::Plain, Value::Null) => Some(String::new()),
             (Shape::Plain, _) => None,
-            (Shape::Object(fields), Value::Object(there)) => fields.iter().find_map(|(key, shape)| {
-                let inner = there.get(key).map_or(Some(String::new()), |value| shape.missing(value));
-                inner.map(|inner| {
-                    format!(
-                        "{key}{}{inner}",
-                        if inner.is_empty() || inner.starts_with('[') { "" } else { "." }
-                    )
+            (Shape::Object(fields), Value::Object(there)) => {
+                fields.iter().find_map(|(key, shape)| {
+                    let inner = there
+                        .get(key)
+                        .map_or(Some(String::new()), |value| shape.missing(value));
+                    inner.map(|inner| {
+                        format!(
+                            "{key}{}{inner}",
+                            if inner.is_empty() || inner.starts_with('[') {
+                                ""
+                            } else {
+                                "."
+                            }
+                        )
+                    })
                 })
-            }),
+            }
             (Shape::Array(shape), Value::Array(elements)) => {
                 elements.iter().enumerate().find_map(|(at, value)| {
                     let inner = shape.missing(value)?;
-                    Some(format!("[{at}]{}{inner}", if inner.is_empty() { "" } else { "." }))
+                    Some(format!(
+                        "[{at}]{}{inner}",
+                        if inner.is_empty() { "" } else { "." }
+                    ))
                 })
             }
             _ => Some(String::new()),
--- a/crates/settings/src/succession.rs
+++ b/crates/settings/src/succession.rs
@@ -36,8 +36,12 @@
         places.push(id(at));
     }
     if classes.len() > PLACES {
-        let problem = format!("this process has known {PLACES} classes, which is all it may: restart it");
-        return Err(BadSetting { key: "Classes".into(), problem });
+        let problem =
+            format!("this process has known {PLACES} classes, which is all it may: restart it");
+        return Err(BadSetting {
+            key: "Classes".into(),
+            problem,
+        });
     }
     let mut settings = file.settings;
     let zone = file.names.zones.get(usize::from(settings.zone.0));
@@ -47,8 +51,21 @@
     }
     settings.classes = classes;
     let kinds = beside(&former.names.kinds, &file.names.kinds);
-    let names = Names { classes: names, zones, kinds, ..file.names };
-    Ok(Succession { next: Decoded { settings, names, ..file }, heirs, places })
+    let names = Names {
+        classes: names,
+        zones,
+        kinds,
+        ..file.names
+    };
+    Ok(Succession {
+        next: Decoded {
+            settings,
+            names,
+            ..file
+        },
+        heirs,
+        places,
+    })
 }
 
 fn id(at: usize) -> ClassId {
--- a/crates/settings/tests/names.rs
+++ b/crates/settings/tests/names.rs
@@ -15,8 +15,11 @@
                 "Importance": at, "LateValue": 0.5, "Group": "zone", "Window": 7})
         })
         .collect();
-    let realms: Vec<_> =
-        tenants.iter().enumerate().map(|(at, name)| json!({"Name": name, "QuotaPerS": at})).collect();
+    let realms: Vec<_> = tenants
+        .iter()
+        .enumerate()
+        .map(|(at, name)| json!({"Name": name, "QuotaPerS": at}))
+        .collect();
     let text = json!({"Classes": classes, "Realms": realms, "Zones": zones, "HostTypes": kinds, "MyZone": 1,
         "Balancers": 3, "FamilyInfo": {"NeedsByClass": needs, "StalenessBound": [1, 2, 3, 4]}});
     decode(text.to_string().as_bytes()).unwrap()
@@ -62,11 +65,26 @@
 #[test]
 fn tenants_in_another_order_are_the_same_tenants() {
     let quotas = |tenants: &[(&str, f64)]| {
-        let realms: Vec<_> = tenants.iter().map(|(n, q)| json!({"Name": n, "QuotaPerS": q})).collect();
+        let realms: Vec<_> = tenants
+            .iter()
+            .map(|(n, q)| json!({"Name": n, "QuotaPerS": q}))
+            .collect();
         let decoded = decode(json!({ "Realms": realms }).to_string().as_bytes()).unwrap();
-        let quotas = decoded.settings.tenants.iter().map(|t| t.quota_per_s.to_string());
-        decoded.names.tenants.into_iter().zip(quotas).collect::<std::collections::BTreeMap<_, _>>()
+        let quotas = decoded
+            .settings
+            .tenants
+            .iter()
+            .map(|t| t.quota_per_s.to_string());
+        decoded
+            .names
+            .tenants
+            .into_iter()
+            .zip(quotas)
+            .collect::<std::collections::BTreeMap<_, _>>()
     };
-    assert_eq!(quotas(&[("t", 1.0), ("u", 2.0), ("", 3.0)]), quotas(&[("", 3.0), ("t", 1.0), ("u", 2.0)]));
+    assert_eq!(
+        quotas(&[("t", 1.0), ("u", 2.0), ("", 3.0)]),
+        quotas(&[("", 3.0), ("t", 1.0), ("u", 2.0)])
+    );
     assert!(quotas(&[]).is_empty());
 }
--- a/crates/settings/tests/succession.rs
+++ b/crates/settings/tests/succession.rs
@@ -24,8 +24,17 @@
     assert_eq!(next.next.names.classes, ["", "", "c", "b"]);
     assert_eq!(next.heirs, [None, None, None, Some(ClassId(1))]);
     // Requests under way keep their rights at the former places.
-    let effects: Vec<Effect> = next.next.settings.classes.iter().map(|c| c.effect).collect();
-    assert_eq!(effects, [Effect::Safe, Effect::Safe, Effect::Safe, Effect::Unsafe]);
+    let effects: Vec<Effect> = next
+        .next
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.effect)
+        .collect();
+    assert_eq!(
+        effects,
+        [Effect::Safe, Effect::Safe, Effect::Safe, Effect::Unsafe]
+    );
     assert_eq!(next.next.names.zones, ["x", "y", "z"]);
     assert_eq!(next.next.settings.zone, ZoneId(2));
     // The same file again changes nothing; a class that comes back is a new one.
@@ -51,12 +60,18 @@
     let first = json!({"a": 1, "b": {"c": [{"d": 1, "e": 2}, {"d": 3}]}, "f": []});
     let shape = Shape::of(&first);
     assert_eq!(shape.missing(&first), None);
-    assert_eq!(shape.missing(&json!({"a": "x", "b": {"c": [{"d": 9}], "more": 1}, "f": [7]})), None);
+    assert_eq!(
+        shape.missing(&json!({"a": "x", "b": {"c": [{"d": 9}], "more": 1}, "f": [7]})),
+        None
+    );
     for (later, key) in [
         (json!({"b": {"c": []}, "f": []}), "a"),
         (json!({"a": null, "b": {"c": []}, "f": []}), "a"),
         (json!({"a": 1, "b": {}, "f": []}), "b.c"),
-        (json!({"a": 1, "b": {"c": [{"d": 1}, {"e": 1}]}, "f": []}), "b.c[1].d"),
+        (
+            json!({"a": 1, "b": {"c": [{"d": 1}, {"e": 1}]}, "f": []}),
+            "b.c[1].d",
+        ),
         (json!({"a": 1, "b": 2, "f": []}), "b"),
         (json!([]), ""),
     ] {
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,7 +1,9 @@
 //! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing.
 
 use crate::wire::{batch_header, ListKind, Malformed, Reader, Record, Reply, BATCH_HEADER};
-use mountshift::{Action, Ended, Entry, Event, ListNews, Note, Outcome, Report, Router, Standing, Time};
+use mountshift::{
+    Action, Ended, Entry, Event, ListNews, Note, Outcome, Report, Router, Standing, Time,
+};
 use mountshift_settings::{self as conf, Field};
 use quota::{Mark, Quota};
 use std::collections::BTreeMap;
@@ -39,7 +41,10 @@
         _ => None,
     };
     let ms = u64::from(raw >> 2);
-    Note { primary, position: (ms > 0).then_some(zero.plus(Duration::from_millis(ms))) }
+    Note {
+        primary,
+        position: (ms > 0).then_some(zero.plus(Duration::from_millis(ms))),
+    }
 }
 
 impl Host {
@@ -52,12 +57,29 @@
                 Record::Spawn { inst, seed, conf } => {
                     let decoded = conf::decode(conf)
                         .map_err(|e| reader.fault(format!("settings are not sound: {e}")))?;
-                    let quotas = decoded.settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
+                    let quotas = decoded
+                        .settings
+                        .tenants
+                        .iter()
+                        .map(|tenant| tenant.quota_per_s)
+                        .collect();
                     let proxies = decoded.settings.routers;
-                    let quota = Quota::new(&quota::Settings { proxies, quotas, worths: Vec::new() });
+                    let quota = Quota::new(&quota::Settings {
+                        proxies,
+                        quotas,
+                        worths: Vec::new(),
+                    });
                     let router = Router::new(decoded.settings, seed, now);
                     let (fields, zero) = (decoded.fields, decoded.zero);
-                    self.instances.insert(inst, Instance { router, quota, fields, zero });
+                    self.instances.insert(
+                        inst,
+                        Instance {
+                            router,
+                            quota,
+                            fields,
+                            zero,
+                        },
+                    );
                     continue;
                 }
                 Record::Stop { inst } => {
@@ -86,25 +108,45 @@
                 Record::Incoming { inst, mut arrival } => {
                     if let Some(instance) = self.instances.get_mut(&inst) {
                         let (now, tenant) = (now.since(Time::ZERO), arrival.tenant.0.into());
-                        let mark =
-                            instance.quota.asked(now, tenant, arrival.class.0.into(), arrival.repeated);
+                        let mark = instance.quota.asked(
+                            now,
+                            tenant,
+                            arrival.class.0.into(),
+                            arrival.repeated,
+                        );
                         if mark == Mark::Beyond {
                             arrival.standing = Standing::Beyond;
                         }
                     }
                     (inst, Event::Arrived(arrival))
                 }
-                Record::Probed { inst, store, ok, elapsed, gauge } => {
+                Record::Probed {
+                    inst,
+                    store,
+                    ok,
+                    elapsed,
+                    gauge,
+                } => {
                     let report = match self.instances.get(&inst) {
                         Some(i) => report(&i.fields, i.zero, &gauge),
                         None => Report::default(),
                     };
-                    (inst, Event::Probed { store, ok, elapsed, report })
+                    (
+                        inst,
+                        Event::Probed {
+                            store,
+                            ok,
+                            elapsed,
+                            report,
+                        },
+                    )
                 }
                 Record::Ended(e) => {
                     let zero = self.instances.get(&e.inst).map_or(Time::ZERO, |i| i.zero);
                     let note = match e.outcome {
-                        Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Failed => note(zero, e.note),
+                        Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Failed => {
+                            note(zero, e.note)
+                        }
                         _ => Note::default(),
                     };
                     let ended = Ended {
@@ -159,7 +201,10 @@
         }
         let header = batch_header(header);
         body.clear();
-        let got = input.by_ref().take(header.bytes.into()).read_to_end(&mut body)?;
+        let got = input
+            .by_ref()
+            .take(header.bytes.into())
+            .read_to_end(&mut body)?;
         if got < header.bytes as usize {
             return Err(format!("input ends {got} bytes into a batch of {}", header.bytes).into());
         }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,8 +1,8 @@
 //! Frames of the wire: big-endian, no padding. See the record layouts in `decode` and `encode`.
 
 use mountshift::{
-    Action, Arrival, AttemptNo, ClassId, Entry, GroupId, KindId, Listed, Outcome, RequestId, SessionKey,
-    Standing, StoreId, TenantId, Time, TimerToken, Wrote, ZoneId,
+    Action, Arrival, AttemptNo, ClassId, Entry, GroupId, KindId, Listed, Outcome, RequestId,
+    SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote, ZoneId,
 };
 use std::fmt;
 use std::time::Duration;
@@ -19,7 +19,11 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "malformed frame at byte {} (record code {}): {}", self.offset, self.code, self.what)
+        write!(
+            f,
+            "malformed frame at byte {} (record code {}): {}",
+            self.offset, self.code, self.what
+        )
     }
 }
 
@@ -54,17 +58,49 @@
 /// One record as it stands on the wire.
 #[derive(Debug, PartialEq)]
 pub enum Record<'a> {
-    Spawn { inst: u16, seed: u64, conf: &'a [u8] },
-    Page { number: u32, entries: Vec<Entry> },
-    Directory { inst: u16, kind: ListKind, page: u32 },
-    Incoming { inst: u16, arrival: Arrival },
-    Probed { inst: u16, store: StoreId, ok: bool, elapsed: Duration, gauge: Vec<f32> },
-    Established { inst: u16 },
-    Memo { inst: u16 },
+    Spawn {
+        inst: u16,
+        seed: u64,
+        conf: &'a [u8],
+    },
+    Page {
+        number: u32,
+        entries: Vec<Entry>,
+    },
+    Directory {
+        inst: u16,
+        kind: ListKind,
+        page: u32,
+    },
+    Incoming {
+        inst: u16,
+        arrival: Arrival,
+    },
+    Probed {
+        inst: u16,
+        store: StoreId,
+        ok: bool,
+        elapsed: Duration,
+        gauge: Vec<f32>,
+    },
+    Established {
+        inst: u16,
+    },
+    Memo {
+        inst: u16,
+    },
     Ended(Ended),
-    Stop { inst: u16 },
-    Left { inst: u16, id: RequestId },
-    Alarm { inst: u16, token: TimerToken },
+    Stop {
+        inst: u16,
+    },
+    Left {
+        inst: u16,
+        id: RequestId,
+    },
+    Alarm {
+        inst: u16,
+        token: TimerToken,
+    },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,11 +123,19 @@
 
 impl<'a> Reader<'a> {
     pub fn new(body: &'a [u8]) -> Self {
-        Reader { body, at: 0, code: 0 }
+        Reader {
+            body,
+            at: 0,
+            code: 0,
+        }
     }
 
     pub fn fault(&self, what: impl Into<String>) -> Malformed {
-        Malformed { offset: self.at, code: self.code, what: what.into() }
+        Malformed {
+            offset: self.at,
+            code: self.code,
+            what: what.into(),
+        }
     }
 
     pub fn at_end(&self) -> bool {
@@ -153,7 +197,15 @@
         };
         let _share = self.f32()?;
         let started = Time::from_micros(self.u64()?);
-        Ok(Entry { store, group, zone, kind, listed, primary, started })
+        Ok(Entry {
+            store,
+            group,
+            zone,
+            kind,
+            listed,
+            primary,
+            started,
+        })
     }
 
     pub fn record(&mut self) -> Result<Record<'a>, Malformed> {
@@ -165,7 +217,11 @@
                 let inst = self.u16()?;
                 let seed = self.u64()?;
                 let n = self.u32()? as usize;
-                Record::Spawn { inst, seed, conf: self.bytes(n)? }
+                Record::Spawn {
+                    inst,
+                    seed,
+                    conf: self.bytes(n)?,
+                }
             }
             2 => {
                 let inst = self.u16()?;
@@ -177,7 +233,11 @@
                     other => return Err(self.fault(format!("unknown kind of list {other}"))),
                 };
                 let _version = self.u32()?;
-                Record::Directory { inst, kind, page: self.u32()? }
+                Record::Directory {
+                    inst,
+                    kind,
+                    page: self.u32()?,
+                }
             }
             3 => Record::Stop { inst: self.u16()? },
             4 => {
@@ -187,17 +247,29 @@
                 self.bytes(n)?;
                 Record::Memo { inst }
             }
-            5 => Record::Alarm { inst: self.u16()?, token: TimerToken(self.u32()?) },
+            5 => Record::Alarm {
+                inst: self.u16()?,
+                token: TimerToken(self.u32()?),
+            },
             6 => self.incoming()?,
             7 => {
                 let inst = self.u16()?;
                 let store = StoreId(self.u32()?);
                 let ok = self.u16()? == 200;
                 let elapsed = Duration::from_micros(self.u32()?.into());
-                Record::Probed { inst, store, ok, elapsed, gauge: self.gauge()? }
+                Record::Probed {
+                    inst,
+                    store,
+                    ok,
+                    elapsed,
+                    gauge: self.gauge()?,
+                }
             }
             8 => self.report_back()?,
-            9 => Record::Left { inst: self.u16()?, id: RequestId(self.u64()?) },
+            9 => Record::Left {
+                inst: self.u16()?,
+                id: RequestId(self.u64()?),
+            },
             10 => {
                 let number = self.u32()?;
                 let n = self.u32()? as usize;
@@ -270,7 +342,16 @@
         let last = self.u8()? != 0;
         let note = self.u32()?;
         self.gauge()?;
-        Ok(Record::Ended(Ended { inst, id, attempt, store, outcome, elapsed, last, note }))
+        Ok(Record::Ended(Ended {
+            inst,
+            id,
+            attempt,
+            store,
+            outcome,
+            elapsed,
+            last,
+            note,
+        }))
     }
 }
 
@@ -300,17 +381,24 @@
 
     pub fn push(&mut self, inst: u16, action: &Action) {
         match *action {
-            Action::Send { id, store, time_out, .. } => {
+            Action::Send {
+                id,
+                store,
+                time_out,
+                ..
+            } => {
                 self.start(65, inst);
                 self.body.extend(id.0.to_be_bytes());
                 self.body.extend(store.0.to_be_bytes());
                 // Longer than any client waits means the same on the wire, whose field is signed.
-                self.body.extend(wire_span(time_out).min(i32::MAX as u32).to_be_bytes());
+                self.body
+                    .extend(wire_span(time_out).min(i32::MAX as u32).to_be_bytes());
             }
             Action::Refuse { id, come_back } => {
                 self.start(66, inst);
                 self.body.extend(id.0.to_be_bytes());
-                self.body.extend(come_back.map_or(0, wire_span).to_be_bytes());
+                self.body
+                    .extend(come_back.map_or(0, wire_span).to_be_bytes());
             }
             Action::Fail { id } => {
                 self.start(67, inst);
--- a/crates/simhost/tests/codec.rs
+++ b/crates/simhost/tests/codec.rs
@@ -8,7 +8,10 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+        .collect()
 }
 
 const SETTINGS: &str = r#"{"Balancers": 3, "MyZone": 2, "NeverHeardOf": [1],
@@ -37,8 +40,15 @@
 
 #[test]
 fn header_of_a_batch() {
-    let header = batch_header(hex("0000000000805c5a 0000003a 00000003").try_into().unwrap());
-    assert_eq!((header.clock, header.bytes, header.records), (Time::from_micros(0x80_5c5a), 0x3a, 3));
+    let header = batch_header(
+        hex("0000000000805c5a 0000003a 00000003")
+            .try_into()
+            .unwrap(),
+    );
+    assert_eq!(
+        (header.clock, header.bytes, header.records),
+        (Time::from_micros(0x80_5c5a), 0x3a, 3)
+    );
 }
 
 #[test]
@@ -48,15 +58,29 @@
          05 0003 0000004d 09 0005 0001b0ec0e6f2b19");
     assert_eq!(body.len(), 0x3a);
     let mut reader = Reader::new(&body);
-    let Record::Incoming { inst: 3, arrival } = reader.record().unwrap() else { panic!() };
+    let Record::Incoming { inst: 3, arrival } = reader.record().unwrap() else {
+        panic!()
+    };
     assert_eq!(arrival.id, RequestId(0x000a_1bbb_5d3a_91c4));
     assert_eq!(arrival.session, Some(SessionKey(0x91f0_3b7c_55d2_0a64)));
     assert_eq!(arrival.time_left, Duration::from_micros(240_000));
-    assert_eq!(arrival.wrote, Some(Wrote::Ago(Duration::from_micros(412_500))));
+    assert_eq!(
+        arrival.wrote,
+        Some(Wrote::Ago(Duration::from_micros(412_500)))
+    );
     assert_eq!(arrival.group, GroupId(11));
     assert!(!arrival.repeated);
-    assert_eq!(reader.record().unwrap(), Record::Alarm { inst: 3, token: TimerToken(77) });
-    let left = Record::Left { inst: 5, id: RequestId(0x0001_b0ec_0e6f_2b19) };
+    assert_eq!(
+        reader.record().unwrap(),
+        Record::Alarm {
+            inst: 3,
+            token: TimerToken(77)
+        }
+    );
+    let left = Record::Left {
+        inst: 5,
+        id: RequestId(0x0001_b0ec_0e6f_2b19),
+    };
     assert_eq!(reader.record().unwrap(), left);
     assert!(reader.at_end());
 }
@@ -65,18 +89,35 @@
 fn a_list_and_its_update() {
     let body = hex(&format!("{PAGE} 02 0003 02 00000029 00000000"));
     let mut reader = Reader::new(&body);
-    let Record::Page { number: 0, entries } = reader.record().unwrap() else { panic!() };
+    let Record::Page { number: 0, entries } = reader.record().unwrap() else {
+        panic!()
+    };
     assert_eq!(entries.len(), 2);
     assert!(entries[0].primary && !entries[1].primary);
-    assert_eq!((entries[0].store, entries[0].group), (StoreId(0x0312_4a07), GroupId(11)));
-    assert_eq!((entries[1].zone, entries[1].started), (ZoneId(1), Time::from_micros(0x5d_1420)));
-    assert_eq!(reader.record().unwrap(), Record::Directory { inst: 3, kind: ListKind::Cached, page: 0 });
+    assert_eq!(
+        (entries[0].store, entries[0].group),
+        (StoreId(0x0312_4a07), GroupId(11))
+    );
+    assert_eq!(
+        (entries[1].zone, entries[1].started),
+        (ZoneId(1), Time::from_micros(0x5d_1420))
+    );
+    assert_eq!(
+        reader.record().unwrap(),
+        Record::Directory {
+            inst: 3,
+            kind: ListKind::Cached,
+            page: 0
+        }
+    );
 }
 
 #[test]
 fn an_outcome() {
     let body = hex("08 0003 000a1bbb5d3a91c4 0000 03124a07 00c8 00004844 01 0000638e 00");
-    let Record::Ended(ended) = Reader::new(&body).record().unwrap() else { panic!() };
+    let Record::Ended(ended) = Reader::new(&body).record().unwrap() else {
+        panic!()
+    };
     assert_eq!(
         (ended.outcome, ended.elapsed, ended.last),
         (Outcome::Ok, Duration::from_micros(0x4844), true)
@@ -89,23 +130,61 @@
     let mut reply = Reply::default();
     let id = RequestId(0x000a_1bbb_5d3a_91c4);
     let time_out = Duration::from_micros(0x13880);
-    reply.push(3, &Action::Send { id, store: StoreId(0x0312_4a07), time_out, begin_within: time_out });
-    reply.push(3, &Action::Timer { after: Duration::from_micros(500_000), token: TimerToken(77) });
-    let expected = "00000002 0000001e 41 0003 000a1bbb5d3a91c4 03124a07 00013880 45 0003 0007a120 0000004d";
+    reply.push(
+        3,
+        &Action::Send {
+            id,
+            store: StoreId(0x0312_4a07),
+            time_out,
+            begin_within: time_out,
+        },
+    );
+    reply.push(
+        3,
+        &Action::Timer {
+            after: Duration::from_micros(500_000),
+            token: TimerToken(77),
+        },
+    );
+    let expected =
+        "00000002 0000001e 41 0003 000a1bbb5d3a91c4 03124a07 00013880 45 0003 0007a120 0000004d";
     assert_eq!(reply.frame(), hex(expected));
-    assert_eq!(reply.frame(), [0; 8], "an empty reply follows an empty batch");
+    assert_eq!(
+        reply.frame(),
+        [0; 8],
+        "an empty reply follows an empty batch"
+    );
 }
 
 #[test]
 fn settings_with_unknown_and_absent_keys() {
     let decoded = conf::decode(SETTINGS.as_bytes()).unwrap();
     let settings = decoded.settings;
-    assert_eq!(settings.classes[0].need, Need::Bounded(Duration::from_micros(200_000)));
-    let keyed = Effect::Keyed { scope: Scope::Group, window: Duration::from_micros(1_200_000) };
-    assert_eq!((settings.classes[1].need, settings.classes[1].effect), (Need::Write, keyed));
-    assert_eq!(settings.checks, Checks::Wait(Duration::from_micros(100_000)));
+    assert_eq!(
+        settings.classes[0].need,
+        Need::Bounded(Duration::from_micros(200_000))
+    );
+    let keyed = Effect::Keyed {
+        scope: Scope::Group,
+        window: Duration::from_micros(1_200_000),
+    };
+    assert_eq!(
+        (settings.classes[1].need, settings.classes[1].effect),
+        (Need::Write, keyed)
+    );
+    assert_eq!(
+        settings.checks,
+        Checks::Wait(Duration::from_micros(100_000))
+    );
     assert!(settings.tokens_carried && !settings.list_on_request && !settings.second_copies);
-    assert_eq!(decoded.fields, [conf::Field::Position, conf::Field::Primary, conf::Field::Queued]);
+    assert_eq!(
+        decoded.fields,
+        [
+            conf::Field::Position,
+            conf::Field::Primary,
+            conf::Field::Queued
+        ]
+    );
     assert!(conf::decode(b"{}").unwrap().settings.classes.is_empty());
     assert!(conf::decode(b"not json").is_err());
 }
@@ -116,7 +195,9 @@
     body.extend(hex(PAGE));
     body.extend(hex("02 0003 02 00000001 00000000"));
     // The same number again, now with one other store: it must not change what instance 3 was told.
-    body.extend(hex("0a 00000000 00000001 00000005 0000 0000 000b 00000000 01 3f800000 0000000000000000"));
+    body.extend(hex(
+        "0a 00000000 00000001 00000005 0000 0000 000b 00000000 01 3f800000 0000000000000000",
+    ));
     let mut host = Host::default();
     body.extend(hex(WRITE));
     let reply = host.batch(Time::from_micros(6_000_000), 5, &body).unwrap();
@@ -134,7 +215,9 @@
     while at < reply.len() {
         match reply[at] {
             65 => {
-                found.push(u32::from_be_bytes(reply[at + 11..at + 15].try_into().unwrap()));
+                found.push(u32::from_be_bytes(
+                    reply[at + 11..at + 15].try_into().unwrap(),
+                ));
                 at += 19;
             }
             70 => at += 7,
@@ -158,12 +241,18 @@
     body.extend(hex("02 0003 02 00000002 00000000"));
     body.extend(hex(WRITE));
     let reply = host.batch(Time::from_micros(6_001_000), 4, &body).unwrap();
-    assert_eq!(assigned(&reply), [0x0312_4a07], "the old life's attempt takes no room in the new one");
+    assert_eq!(
+        assigned(&reply),
+        [0x0312_4a07],
+        "the old life's attempt takes no room in the new one"
+    );
 }
 
 #[test]
 fn an_event_for_an_unknown_instance_is_skipped() {
-    let reply = Host::default().batch(Time::from_micros(1), 1, &hex("05 0007 0000004d")).unwrap();
+    let reply = Host::default()
+        .batch(Time::from_micros(1), 1, &hex("05 0007 0000004d"))
+        .unwrap();
     assert_eq!(reply, [0; 8]);
 }
 
@@ -175,15 +264,23 @@
         ("0a 00000000 00ffffff", 10, "overrun"),
         ("01 0003 0000000000000001 00000001 7b", 1, "settings"),
         ("02 0003 02 00000001 00000009", 2, "never sent"),
-        ("08 0003 000a1bbb5d3a91c4 0000 03124a07 00c9 00004844 01 00000000 00", 8, "outcome 201"),
+        (
+            "08 0003 000a1bbb5d3a91c4 0000 03124a07 00c9 00004844 01 00000000 00",
+            8,
+            "outcome 201",
+        ),
     ];
     for (frame, code, what) in cases {
         let mut host = Host::default();
-        let fault = host.batch(Time::from_micros(1), 1, &hex(frame)).unwrap_err();
+        let fault = host
+            .batch(Time::from_micros(1), 1, &hex(frame))
+            .unwrap_err();
         assert_eq!(fault.code, code, "{frame}");
         assert!(fault.to_string().contains(what), "{fault}");
     }
-    let trailing = Host::default().batch(Time::from_micros(1), 0, &[5]).unwrap_err();
+    let trailing = Host::default()
+        .batch(Time::from_micros(1), 0, &[5])
+        .unwrap_err();
     assert!(trailing.what.contains("after the last record"));
 }
 
@@ -194,5 +291,9 @@
     run(&empty[..], &mut out).unwrap();
     assert_eq!(out, [0; 8]);
     assert!(run(&empty[..9], Vec::new()).is_err());
-    assert!(run(&hex("0000000000805c5a 00000002 00000001 05")[..], Vec::new()).is_err());
+    assert!(run(
+        &hex("0000000000805c5a 00000002 00000001 05")[..],
+        Vec::new()
+    )
+    .is_err());
 }
--- a/crates/site-plan/src/capacity.rs
+++ b/crates/site-plan/src/capacity.rs
@@ -65,7 +65,11 @@
         let took = elapsed.as_secs_f64().max(1e-6);
         if self.works.len() < KINDS_LIMIT || self.works.contains_key(&kind) {
             let work = self.works.entry(kind).or_insert(took);
-            *work = if took < *work { took } else { *work + (took - *work) * FORGET };
+            *work = if took < *work {
+                took
+            } else {
+                *work + (took - *work) * FORGET
+            };
         }
         let work = self.work(kind);
         if usize::from(room.site) >= SITES_LIMIT
@@ -73,7 +77,10 @@
         {
             return;
         }
-        let shown = self.rooms.entry(room).or_insert(Shown { began: now, ..Shown::default() });
+        let shown = self.rooms.entry(room).or_insert(Shown {
+            began: now,
+            ..Shown::default()
+        });
         shown.turn(now);
         shown.now += work;
     }
@@ -85,19 +92,26 @@
 
     /// Work in a second that a site has shown.
     pub fn shown(&self, now: Time, room: Room) -> f64 {
-        let Some(mut shown) = self.rooms.get(&room).copied() else { return 0.0 };
+        let Some(mut shown) = self.rooms.get(&room).copied() else {
+            return 0.0;
+        };
         shown.turn(now);
         shown.faded(now)
     }
 
     /// Groups of which a site has served requests.
     pub fn groups(&self, site: u16) -> impl Iterator<Item = u32> + '_ {
-        self.rooms.keys().filter(move |room| room.site == site).map(|room| room.group)
+        self.rooms
+            .keys()
+            .filter(move |room| room.site == site)
+            .map(|room| room.group)
     }
 
     /// What a group's other sites have shown.
     pub fn without(&self, now: Time, lost: u16, group: u32, write: bool) -> f64 {
-        self.others(now, lost, group, write).map(|(_, shown)| shown).sum()
+        self.others(now, lost, group, write)
+            .map(|(_, shown)| shown)
+            .sum()
     }
 
     /// What each of them has.
@@ -108,7 +122,15 @@
         group: u32,
         write: bool,
     ) -> impl Iterator<Item = (u16, f64)> + '_ {
-        let of_group = Room { group, site: 0, write: false }..=Room { group, site: u16::MAX, write: true };
+        let of_group = Room {
+            group,
+            site: 0,
+            write: false,
+        }..=Room {
+            group,
+            site: u16::MAX,
+            write: true,
+        };
         let others = self.rooms.range(of_group).map(|(room, _)| *room);
         others
             .filter(move |r| r.site != lost && r.write == write)
--- a/crates/site-plan/src/demand.rs
+++ b/crates/site-plan/src/demand.rs
@@ -33,7 +33,8 @@
 impl Demand {
     pub fn asked(&mut self, now: Time, kind: Kind) {
         if self.kinds.len() >= KINDS_LIMIT && !self.kinds.contains_key(&kind) {
-            self.kinds.retain(|_, seen| faded(*seen, now) / FORGET >= RARE);
+            self.kinds
+                .retain(|_, seen| faded(*seen, now) / FORGET >= RARE);
             if self.kinds.len() >= KINDS_LIMIT {
                 return;
             }
@@ -44,6 +45,8 @@
 
     /// Each kind with how often it is asked for in a second.
     pub fn rates(&self, now: Time) -> impl Iterator<Item = (Kind, f64)> + '_ {
-        self.kinds.iter().map(move |(kind, seen)| (*kind, faded(*seen, now) / FORGET))
+        self.kinds
+            .iter()
+            .map(move |(kind, seen)| (*kind, faded(*seen, now) / FORGET))
     }
 }
--- a/crates/site-plan/src/order.rs
+++ b/crates/site-plan/src/order.rs
@@ -59,9 +59,18 @@
 pub fn served(asks: &[Ask], rooms: &[f64]) -> Vec<f64> {
     let mut parts = vec![0.0; asks.len()];
     let mut order: Vec<usize> = (0..asks.len()).filter(|at| asks[*at].sound()).collect();
-    order.sort_by(|a, b| asks[*a].room.cmp(&asks[*b].room).then_with(|| rank(&asks[*a], &asks[*b])));
+    order.sort_by(|a, b| {
+        asks[*a]
+            .room
+            .cmp(&asks[*b].room)
+            .then_with(|| rank(&asks[*a], &asks[*b]))
+    });
     for of_room in order.chunk_by(|a, b| asks[*a].room == asks[*b].room) {
-        let room = of_room.first().and_then(|at| rooms.get(asks[*at].room)).copied().unwrap_or(0.0);
+        let room = of_room
+            .first()
+            .and_then(|at| rooms.get(asks[*at].room))
+            .copied()
+            .unwrap_or(0.0);
         let mut left = if room.is_finite() { room.max(0.0) } else { 0.0 };
         for equal in of_room.chunk_by(|a, b| rank(&asks[*a], &asks[*b]).is_eq()) {
             let all: f64 = equal.iter().map(|at| asks[*at].demand()).sum();
@@ -86,8 +95,10 @@
         *wants += asks[*at].demand();
         *share = share.max(asks[*at].share);
     }
-    let mut thirst: Vec<(f64, f64, u16)> =
-        tenants.into_iter().map(|(tenant, (wants, share))| (wants, share, tenant)).collect();
+    let mut thirst: Vec<(f64, f64, u16)> = tenants
+        .into_iter()
+        .map(|(tenant, (wants, share))| (wants, share, tenant))
+        .collect();
     thirst.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
     let (mut left, mut shares) = (room, thirst.iter().map(|t| t.1).sum::<f64>());
     for (wants, share, tenant) in thirst {
@@ -100,9 +111,19 @@
 
 /// The worth that is served, as a part of the worth that is asked for; all of it where nothing is asked.
 pub fn headroom(asks: &[Ask], rooms: &[f64]) -> f64 {
-    let worth = |ask: &Ask| if ask.sound() { ask.worth.max(0.0) * ask.rate } else { 0.0 };
+    let worth = |ask: &Ask| {
+        if ask.sound() {
+            ask.worth.max(0.0) * ask.rate
+        } else {
+            0.0
+        }
+    };
     let all: f64 = asks.iter().map(worth).sum();
-    let kept: f64 = asks.iter().zip(served(asks, rooms)).map(|(ask, part)| worth(ask) * part).sum();
+    let kept: f64 = asks
+        .iter()
+        .zip(served(asks, rooms))
+        .map(|(ask, part)| worth(ask) * part)
+        .sum();
     if all > 0.0 {
         kept / all
     } else {
--- a/crates/site-plan/src/plan.rs
+++ b/crates/site-plan/src/plan.rs
@@ -70,7 +70,9 @@
     }
 
     pub fn writes(&self, class: u16) -> bool {
-        self.classes.get(usize::from(class)).is_some_and(|class| class.write)
+        self.classes
+            .get(usize::from(class))
+            .is_some_and(|class| class.write)
     }
 
     pub fn reports(&self) -> impl Iterator<Item = Report> + '_ {
@@ -103,11 +105,24 @@
 
     /// A server has served a request after so long.
     pub fn served(&mut self, now: Time, server: u32, group: u32, class: u16, elapsed: Duration) {
-        let Some(known) = self.classes.get(usize::from(class)).filter(|known| elapsed <= known.aim) else {
+        let Some(known) = self
+            .classes
+            .get(usize::from(class))
+            .filter(|known| elapsed <= known.aim)
+        else {
             return;
         };
         if let Some(site) = self.sites.site_of(server) {
-            self.capacity.answered(now, Room { group, site, write: known.write }, class, elapsed);
+            self.capacity.answered(
+                now,
+                Room {
+                    group,
+                    site,
+                    write: known.write,
+                },
+                class,
+                elapsed,
+            );
         }
     }
 
@@ -122,7 +137,10 @@
         let lost = self.sites.reports().filter(|r| r.state == State::Lost);
         let lost: Vec<u16> = lost.map(|r| r.site).collect();
         if !lost.is_empty() {
-            self.touched = lost.iter().flat_map(|site| self.capacity.groups(*site)).collect();
+            self.touched = lost
+                .iter()
+                .flat_map(|site| self.capacity.groups(*site))
+                .collect();
         } else if self.steer.level() <= 0.0 {
             self.touched.clear();
             return;
@@ -132,17 +150,35 @@
     }
 
     /// What is asked, and the rooms that it names: what others than the site that is lost have shown.
-    fn asks(&self, now: Time, lost: Option<u16>, of: impl Fn(&Kind) -> bool) -> (Vec<(Kind, Ask)>, Vec<f64>) {
+    fn asks(
+        &self,
+        now: Time,
+        lost: Option<u16>,
+        of: impl Fn(&Kind) -> bool,
+    ) -> (Vec<(Kind, Ask)>, Vec<f64>) {
         let mut at: BTreeMap<(u32, bool), usize> = BTreeMap::new();
         let mut rooms = Vec::new();
         let ask = |(kind, rate): (Kind, f64)| {
             let room = *at.entry((kind.group, kind.write)).or_insert_with(|| {
-                rooms.push(lost.map_or(0.0, |lost| self.capacity.without(now, lost, kind.group, kind.write)));
+                rooms.push(lost.map_or(0.0, |lost| {
+                    self.capacity.without(now, lost, kind.group, kind.write)
+                }));
                 rooms.len() - 1
             });
-            let worth = self.classes.get(usize::from(kind.class)).map_or(0.0, |class| class.worth);
-            let part = if kind.standing == Standing::Beyond { self.over_worth } else { 1.0 };
-            let quota = self.quotas.get(usize::from(kind.tenant)).copied().unwrap_or(0.0);
+            let worth = self
+                .classes
+                .get(usize::from(kind.class))
+                .map_or(0.0, |class| class.worth);
+            let part = if kind.standing == Standing::Beyond {
+                self.over_worth
+            } else {
+                1.0
+            };
+            let quota = self
+                .quotas
+                .get(usize::from(kind.tenant))
+                .copied()
+                .unwrap_or(0.0);
             let ask = Ask {
                 room,
                 tenant: kind.tenant,
@@ -156,7 +192,12 @@
             };
             (kind, ask)
         };
-        let asks = self.demand.rates(now).filter(|(kind, _)| of(kind)).map(ask).collect();
+        let asks = self
+            .demand
+            .rates(now)
+            .filter(|(kind, _)| of(kind))
+            .map(ask)
+            .collect();
         (asks, rooms)
     }
 
@@ -183,13 +224,18 @@
             }
             let served = part * ask.work * ask.rate;
             for (other, shown) in self.capacity.others(now, site, kind.group, kind.write) {
-                *goes.entry(other).or_default() += served * shown / rooms[ask.room].max(f64::MIN_POSITIVE);
+                *goes.entry(other).or_default() +=
+                    served * shown / rooms[ask.room].max(f64::MIN_POSITIVE);
             }
-            let (rate, refused) = kinds.entry((kind.class, kind.tenant, kind.standing)).or_default();
+            let (rate, refused) = kinds
+                .entry((kind.class, kind.tenant, kind.standing))
+                .or_default();
             (*rate, *refused) = (*rate + ask.rate, *refused + (1.0 - part) * ask.rate);
         }
         let all: f64 = goes.values().sum();
-        let part = |(kind, (rate, refused)): (_, (f64, f64))| (kind, refused / rate.max(f64::MIN_POSITIVE));
+        let part = |(kind, (rate, refused)): (_, (f64, f64))| {
+            (kind, refused / rate.max(f64::MIN_POSITIVE))
+        };
         let mut refused: Vec<_> = kinds
             .into_iter()
             .map(part)
@@ -198,7 +244,13 @@
         refused.sort_by(|a, b| b.3.total_cmp(&a.3));
         let goes = goes.into_iter().filter(|(_, work)| *work > 0.0);
         let goes = goes.map(|(site, work)| (site, work / all)).collect();
-        Loss { headroom: self.headroom(now, site), left, asked, goes, refused }
+        Loss {
+            headroom: self.headroom(now, site),
+            left,
+            asked,
+            goes,
+            refused,
+        }
     }
 
     /// The part of the work of reads that is refused now.
--- a/crates/site-plan/src/state.rs
+++ b/crates/site-plan/src/state.rs
@@ -129,35 +129,19 @@
         listed: Listed,
     },
     /// The watch on the list stands, or is lost.
-    List {
-        heard: bool,
-    },
+    List { heard: bool },
     /// An operator's word on a server.
-    Hand {
-        server: u32,
-        out: bool,
-    },
+    Hand { server: u32, out: bool },
     /// It gave a whole answer, whatever it said.
-    Answered {
-        server: u32,
-    },
+    Answered { server: u32 },
     /// No connection to it came up: refused, reset or not in time.
-    Unreached {
-        server: u32,
-    },
+    Unreached { server: u32 },
     /// A connection broke with a request on it.
-    Reset {
-        server: u32,
-    },
+    Reset { server: u32 },
     /// A request on a connection ran out of time.
-    Silent {
-        server: u32,
-    },
+    Silent { server: u32 },
     /// Whether it is proven that a site's servers work though nothing of them comes here.
-    Cut {
-        site: u16,
-        on: bool,
-    },
+    Cut { site: u16, on: bool },
     /// The caller's loop was so late.
     Late(Duration),
     /// Time passes.
@@ -293,18 +277,21 @@
     /// Each site's state. With one site, or none, there is nothing to tell.
     pub fn reports(&self) -> impl Iterator<Item = Report> + '_ {
         let several = self.sites.len() > 1;
-        self.sites.iter().filter(move |_| several).map(|(id, site)| {
-            let tally = self.tally(*id);
-            Report {
-                site: *id,
-                state: site.state,
-                source: site.source,
-                since: site.since,
-                members: tally.members,
-                down: tally.down,
-                losses: site.losses,
-            }
-        })
+        self.sites
+            .iter()
+            .filter(move |_| several)
+            .map(|(id, site)| {
+                let tally = self.tally(*id);
+                Report {
+                    site: *id,
+                    state: site.state,
+                    source: site.source,
+                    since: site.since,
+                    members: tally.members,
+                    down: tally.down,
+                    losses: site.losses,
+                }
+            })
     }
 
     pub fn state(&self, site: u16) -> Option<State> {
@@ -324,7 +311,11 @@
         self.now = now;
         let calm = matches!(event, Event::Answered { server } if self.calm(server));
         match event {
-            Event::Listed { server, site, listed } => self.listed(server, site, listed),
+            Event::Listed {
+                server,
+                site,
+                listed,
+            } => self.listed(server, site, listed),
             Event::List { heard } => self.list_heard = heard,
             Event::Hand { server, out } => {
                 if let Some(server) = self.servers.get_mut(&server) {
@@ -343,15 +334,21 @@
             Event::Late(_) | Event::Tick => {}
         }
         // One site: there is nowhere to lead its load, and nothing to tell it from.
-        if self.sites.len() < 2 || calm && self.sites.values().all(|site| site.suspicion.is_none()) {
+        if self.sites.len() < 2 || calm && self.sites.values().all(|site| site.suspicion.is_none())
+        {
             return;
         }
         let ids: Vec<u16> = match event {
             // An answer tells of the others too, where there is something to tell.
             Event::Answered { server } => {
                 let here = self.site_of(server);
-                let concerns = |(id, site): &(&u16, &Site)| Some(**id) == here || site.suspicion.is_some();
-                self.sites.iter().filter(concerns).map(|(id, _)| *id).collect()
+                let concerns =
+                    |(id, site): &(&u16, &Site)| Some(**id) == here || site.suspicion.is_some();
+                self.sites
+                    .iter()
+                    .filter(concerns)
+                    .map(|(id, _)| *id)
+                    .collect()
             }
             Event::Unreached { server }
             | Event::Reset { server }
@@ -360,7 +357,9 @@
             // A list is judged when all of it has been told.
             Event::Listed { .. } => Vec::new(),
             Event::Cut { site, .. } => vec![site],
-            Event::List { .. } | Event::Late(_) | Event::Tick => self.sites.keys().copied().collect(),
+            Event::List { .. } | Event::Late(_) | Event::Tick => {
+                self.sites.keys().copied().collect()
+            }
         };
         for id in ids {
             self.judge(id);
@@ -397,7 +396,11 @@
         }
         if self.servers.len() >= SERVERS_LIMIT {
             // Those that are gone make place.
-            let Some(old) = self.servers.iter().find(|(_, s)| s.listed == Listed::Gone).map(|(id, _)| *id)
+            let Some(old) = self
+                .servers
+                .iter()
+                .find(|(_, s)| s.listed == Listed::Gone)
+                .map(|(id, _)| *id)
             else {
                 return;
             };
@@ -420,15 +423,28 @@
         });
         self.servers.insert(
             server,
-            Server { site, listed, out: false, hard: 0, soft: 0, signed: None, last: self.now, sure: 0 },
+            Server {
+                site,
+                listed,
+                out: false,
+                hard: 0,
+                soft: 0,
+                signed: None,
+                last: self.now,
+                sure: 0,
+            },
         );
     }
 
     fn answered(&mut self, server: u32) {
-        let Some(server) = self.servers.get_mut(&server) else { return };
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
         server.clear();
         let (away, id, now) = (server.away(), server.site, self.now);
-        let Some(site) = self.sites.get_mut(&id) else { return };
+        let Some(site) = self.sites.get_mut(&id) else {
+            return;
+        };
         site.answered = Some(now);
         let was = site.suspicion.take();
         if away {
@@ -439,7 +455,10 @@
         // What was bad everywhere is over: what it left behind proves nothing.
         let shared = !lost && was.is_some_and(|was| now - was.first >= self.set.lost_after);
         if was.is_some() {
-            let over = self.servers.values_mut().filter(|server| shared || server.site == id);
+            let over = self
+                .servers
+                .values_mut()
+                .filter(|server| shared || server.site == id);
             over.for_each(|server| server.sure = 0);
         }
         if lost {
@@ -457,7 +476,9 @@
         if guards.late && self.now < self.deaf_until {
             return;
         }
-        let Some(server) = self.servers.get_mut(&server) else { return };
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
         server.last = self.now;
         let apart = self.set.lost_after / APART;
         if guards.span && hard && server.signed.is_some_and(|at| self.now - at < apart) {
@@ -466,16 +487,29 @@
         if hard {
             server.signed = Some(self.now);
         }
-        let signs = if hard { &mut server.hard } else { &mut server.soft };
+        let signs = if hard {
+            &mut server.hard
+        } else {
+            &mut server.soft
+        };
         *signs = signs.saturating_add(1).min(FAILURES);
         if server.away() || !hard && guards.soft {
             return;
         }
-        let Some(site) = self.sites.get_mut(&server.site) else { return };
+        let Some(site) = self.sites.get_mut(&server.site) else {
+            return;
+        };
         let since = (!guards.contrast).then_some(self.now);
-        let suspicion = site.suspicion.get_or_insert(Suspicion { since, first: self.now, last: self.now });
+        let suspicion = site.suspicion.get_or_insert(Suspicion {
+            since,
+            first: self.now,
+            last: self.now,
+        });
         suspicion.last = self.now;
-        server.sure = server.sure.saturating_add(u8::from(suspicion.since.is_some())).min(FAILURES);
+        server.sure = server
+            .sure
+            .saturating_add(u8::from(suspicion.since.is_some()))
+            .min(FAILURES);
     }
 
     fn tally(&self, site: u16) -> Tally {
@@ -504,36 +538,76 @@
     fn answers_elsewhere(&self, id: u16, since: Time) -> bool {
         !self.set.guards.contrast
             || self.sites.iter().any(|(other, site)| {
-                *other != id && site.state != State::Lost && site.answered.is_some_and(|at| at >= since)
+                *other != id
+                    && site.state != State::Lost
+                    && site.answered.is_some_and(|at| at >= since)
             })
     }
 
     /// Why a site is lost, if it is.
     fn lost(&self, id: u16, site: &Site, tally: Tally) -> Option<Source> {
-        let Settings { lost_after, list_late, guards, .. } = self.set;
+        let Settings {
+            lost_after,
+            list_late,
+            guards,
+            ..
+        } = self.set;
         if tally.members == 0 {
             // Operators are never late, nor is a list that says what the servers' own signs say.
             let by_hand = tally.out == tally.away && tally.out > 0;
-            let struck = site.suspicion.filter(|_| tally.struck >= WITNESSES.min(site.size));
-            let source = if by_hand { Source::Operators } else { Source::List };
-            let late = if guards.list && !by_hand && struck.is_none() { list_late } else { lost_after };
-            let spoke = struck.map(|s| s.first).or(site.answered).unwrap_or(site.known);
+            let struck = site
+                .suspicion
+                .filter(|_| tally.struck >= WITNESSES.min(site.size));
+            let source = if by_hand {
+                Source::Operators
+            } else {
+                Source::List
+            };
+            let late = if guards.list && !by_hand && struck.is_none() {
+                list_late
+            } else {
+                lost_after
+            };
+            let spoke = struck
+                .map(|s| s.first)
+                .or(site.answered)
+                .unwrap_or(site.known);
             let until = spoke + late;
             let sure = !guards.list || self.list_heard && self.now >= until;
             return (sure && self.answers_elsewhere(id, until)).then_some(source);
         }
         let Suspicion { since, last, .. } = site.suspicion?;
         // So long after others were first known to answer, signs are still bad here, and they answer after that.
-        let until = since? + if guards.span { lost_after } else { Duration::ZERO };
-        let need = if guards.witnesses { WITNESSES.min(tally.members) } else { 1 };
+        let until = since?
+            + if guards.span {
+                lost_after
+            } else {
+                Duration::ZERO
+            };
+        let need = if guards.witnesses {
+            WITNESSES.min(tally.members)
+        } else {
+            1
+        };
         let lost = tally.sure >= need && last >= until && self.answers_elsewhere(id, last);
-        let source = if site.cut { Source::Link } else { Source::Servers };
+        let source = if site.cut {
+            Source::Link
+        } else {
+            Source::Servers
+        };
         lost.then_some(source)
     }
 
     fn judge(&mut self, id: u16) {
-        let Some(site) = self.sites.get(&id) else { return };
-        let Settings { dwell, return_after, guards, .. } = self.set;
+        let Some(site) = self.sites.get(&id) else {
+            return;
+        };
+        let Settings {
+            dwell,
+            return_after,
+            guards,
+            ..
+        } = self.set;
         let (now, tally) = (self.now, self.tally(id));
         let trouble = if tally.down + tally.silent > 0 {
             Some(Source::Servers)
@@ -557,7 +631,9 @@
             }
             now_state => match (self.lost(id, site, tally), now_state) {
                 (Some(source), _) if may_cross => (State::Lost, source),
-                (_, State::Returning) if held < return_after || guards.proof && site.proof < PROOF => {
+                (_, State::Returning)
+                    if held < return_after || guards.proof && site.proof < PROOF =>
+                {
                     (State::Returning, site.source)
                 }
                 (..) => match trouble {
@@ -569,7 +645,9 @@
                 },
             },
         };
-        let Some(site) = self.sites.get_mut(&id) else { return };
+        let Some(site) = self.sites.get_mut(&id) else {
+            return;
+        };
         if tally.members > 0 {
             site.size = tally.members;
         }
--- a/crates/site-plan/src/steer.rs
+++ b/crates/site-plan/src/steer.rs
@@ -56,7 +56,10 @@
 
     /// Whether what becomes of it tells of room for those who are served in full.
     pub fn tells(&self, kind: &Kind) -> bool {
-        !kind.write && !kind.repeated && kind.standing == Standing::Within && !self.refused.contains_key(kind)
+        !kind.write
+            && !kind.repeated
+            && kind.standing == Standing::Within
+            && !self.refused.contains_key(kind)
     }
 
     /// One that tells had no room, or had it.
@@ -68,7 +71,11 @@
     /// `lost`: a site is. `asks`: what is asked of the groups that it served; the rooms that they name are made here.
     pub fn look(&mut self, now: Time, lost: bool, asks: &[(Kind, Ask)]) {
         self.looked = now;
-        let beyond = if self.asked < FEW { 0.0 } else { self.short / self.asked - USUAL };
+        let beyond = if self.asked < FEW {
+            0.0
+        } else {
+            self.short / self.asked - USUAL
+        };
         let fall = FALL + FADE * self.level;
         let step = match lost {
             true if beyond > 0.0 => (RISE * beyond).min(RISE_MOST),
@@ -89,7 +96,8 @@
         }
         let parts = served(&plain, &rooms).into_iter().zip(reads);
         // What is not asked for takes no part; nor what rounding leaves.
-        let short = parts.filter(|(part, (_, ask))| *part < 1.0 - 1e-6 && ask.work > 0.0 && ask.rate > 0.0);
+        let short =
+            parts.filter(|(part, (_, ask))| *part < 1.0 - 1e-6 && ask.work > 0.0 && ask.rate > 0.0);
         self.refused = short.map(|(part, (kind, _))| (*kind, 1.0 - part)).collect();
     }
 }
