--- a/crates/site-plan/tests/model.rs
+++ b/crates/site-plan/tests/model.rs
@@ -122,7 +122,9 @@
             self.died[usize::from(site)] = false;
         }
         self.answered[usize::from(site)] = self.now;
-        self.tell(Event::Answered { server: server(site, n) });
+        self.tell(Event::Answered {
+            server: server(site, n),
+        });
     }
 
     /// Time passes, and what is asked of these servers ends.
@@ -167,19 +169,26 @@
             calm.tick(u8::MAX);
         }
         let alive = calm.truth.iter().any(|truth| *truth != Truth::Dead);
-        calm.truth.iter().zip(&calm.state).all(|(truth, state)| match truth {
-            Truth::Up => *state == State::Whole,
-            Truth::Slow => matches!(state, State::Weakened | State::Whole),
-            Truth::Half => *state == State::Weakened,
-            // With nothing alive there is nothing to tell it from.
-            Truth::Dead => *state == State::Lost || !alive,
-        })
+        calm.truth
+            .iter()
+            .zip(&calm.state)
+            .all(|(truth, state)| match truth {
+                Truth::Up => *state == State::Whole,
+                Truth::Slow => matches!(state, State::Weakened | State::Whole),
+                Truth::Half => *state == State::Weakened,
+                // With nothing alive there is nothing to tell it from.
+                Truth::Dead => *state == State::Lost || !alive,
+            })
     }
 
     fn list(&mut self, site: u16, listed: Listed) {
         self.dropped[usize::from(site)] = listed != Listed::Ready;
         for n in 0..SERVERS {
-            self.tell(Event::Listed { server: server(site, n), site, listed });
+            self.tell(Event::Listed {
+                server: server(site, n),
+                site,
+                listed,
+            });
         }
         self.tell(Event::List { heard: self.heard });
     }
@@ -218,7 +227,14 @@
         for site in 0..self.sites {
             for n in 0..SERVERS {
                 let listed = Listed::Ready;
-                world.core.handle(Duration::ZERO, Event::Listed { server: server(site, n), site, listed });
+                world.core.handle(
+                    Duration::ZERO,
+                    Event::Listed {
+                        server: server(site, n),
+                        site,
+                        listed,
+                    },
+                );
             }
         }
         // The same, with the first site lost: deeper than paths from the beginning lead.
@@ -231,7 +247,12 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.ticks >= self.ticks || world.broken.iter().any(|b| self.about.is_none_or(|a| a == *b)) {
+        if world.ticks >= self.ticks
+            || world
+                .broken
+                .iter()
+                .any(|b| self.about.is_none_or(|a| a == *b))
+        {
             return;
         }
         let all = (1 << (u32::from(self.sites) * SERVERS)) - 1;
@@ -242,7 +263,12 @@
                 let turns = [Truth::Up, Truth::Dead, Truth::Slow, Truth::Half];
                 let turns = &turns[..if site == 0 { 4 } else { 2 }];
                 let other = |truth: &&Truth| **truth != world.truth[usize::from(site)];
-                steps.extend(turns.iter().filter(other).map(|truth| Step::Turn(site, *truth)));
+                steps.extend(
+                    turns
+                        .iter()
+                        .filter(other)
+                        .map(|truth| Step::Turn(site, *truth)),
+                );
             }
         }
         if world.faults == 0 {
@@ -268,7 +294,9 @@
             Step::Burst(site) => {
                 world.faults += 1;
                 for n in (0..SERVERS).chain(0..SERVERS) {
-                    world.tell(Event::Reset { server: server(site, n) });
+                    world.tell(Event::Reset {
+                        server: server(site, n),
+                    });
                 }
                 // Others go on as they were.
                 world.answer((site + 1) % self.sites, 0);
@@ -281,7 +309,9 @@
                 for _ in 0..2 {
                     for site in sites.clone().filter(|site| of.is_none_or(|of| of == *site)) {
                         for n in (0..SERVERS).chain(0..SERVERS) {
-                            world.tell(Event::Unreached { server: server(site, n) });
+                            world.tell(Event::Unreached {
+                                server: server(site, n),
+                            });
                         }
                     }
                     if of.is_some() && world.truth[1] == Truth::Up {
@@ -296,7 +326,9 @@
                 world.faults += 1;
                 for _ in 0..3 {
                     world.now += TICK;
-                    for id in (0..u32::from(self.sites) * SERVERS).chain(0..u32::from(self.sites) * SERVERS) {
+                    for id in (0..u32::from(self.sites) * SERVERS)
+                        .chain(0..u32::from(self.sites) * SERVERS)
+                    {
                         world.tell(Event::Unreached { server: id });
                     }
                 }
@@ -328,8 +360,12 @@
             Property::always(APART, |_, w: &World| !w.broken.contains(&APART)),
             Property::always(PROVEN, |_, w: &World| !w.broken.contains(&PROVEN)),
             Property::always(SETTLES, |_, w: &World| w.settles()),
-            Property::sometimes("a site is lost", |_, w: &World| w.state.contains(&State::Lost)),
-            Property::sometimes("a site returns", |_, w: &World| w.state.contains(&State::Returning)),
+            Property::sometimes("a site is lost", |_, w: &World| {
+                w.state.contains(&State::Lost)
+            }),
+            Property::sometimes("a site returns", |_, w: &World| {
+                w.state.contains(&State::Returning)
+            }),
         ];
         all.retain(|property| self.about.is_none_or(|about| property.name == about));
         all
@@ -343,16 +379,28 @@
     most: usize,
     about: Option<&'static str>,
 ) -> Vec<&'static str> {
-    let fleet = Fleet { guards, sites, ticks, about };
+    let fleet = Fleet {
+        guards,
+        sites,
+        ticks,
+        about,
+    };
     let checker = fleet.checker().threads(3).target_state_count(most);
-    let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let checker = checker
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
     let mut found = Vec::new();
     for (name, path) in checker.discoveries() {
         println!("{name}: {:?}", path.into_actions());
         found.push(name);
     }
     found.sort_unstable();
-    println!("{} states, depth {}: {found:?}", checker.unique_state_count(), checker.max_depth());
+    println!(
+        "{} states, depth {}: {found:?}",
+        checker.unique_state_count(),
+        checker.max_depth()
+    );
     found
 }
 
@@ -375,19 +423,57 @@
 fn each_guard_is_missed() {
     let all = Guards::ALL;
     let without = [
-        ("contrast", Guards { contrast: false, ..all }, FALSE_LOSS),
-        ("contrast", Guards { contrast: false, ..all }, ALL_LOST),
-        ("witnesses", Guards { witnesses: false, ..all }, FALSE_LOSS),
+        (
+            "contrast",
+            Guards {
+                contrast: false,
+                ..all
+            },
+            FALSE_LOSS,
+        ),
+        (
+            "contrast",
+            Guards {
+                contrast: false,
+                ..all
+            },
+            ALL_LOST,
+        ),
+        (
+            "witnesses",
+            Guards {
+                witnesses: false,
+                ..all
+            },
+            FALSE_LOSS,
+        ),
         ("span", Guards { span: false, ..all }, FALSE_LOSS),
         ("late", Guards { late: false, ..all }, FALSE_LOSS),
-        ("dwell", Guards { dwell: false, ..all }, APART),
-        ("proof", Guards { proof: false, ..all }, PROVEN),
+        (
+            "dwell",
+            Guards {
+                dwell: false,
+                ..all
+            },
+            APART,
+        ),
+        (
+            "proof",
+            Guards {
+                proof: false,
+                ..all
+            },
+            PROVEN,
+        ),
         ("list", Guards { list: false, ..all }, FALSE_LOSS),
         ("soft", Guards { soft: false, ..all }, FALSE_LOSS),
     ];
     for (name, guards, broken) in without {
         print!("without {name}: ");
         let found = check(guards, 2, 9, 300_000, Some(broken));
-        assert!(found.contains(&broken), "nobody notices that {name} is gone");
+        assert!(
+            found.contains(&broken),
+            "nobody notices that {name} is gone"
+        );
     }
 }
--- a/crates/site-plan/tests/order.rs
+++ b/crates/site-plan/tests/order.rs
@@ -9,19 +9,32 @@
 const NEARLY: f64 = 1e-6;
 
 fn ask() -> impl Strategy<Value = Ask> {
-    let standing = prop_oneof![Just(Standing::Within), Just(Standing::Borrowed), Just(Standing::Beyond)];
-    (0..ROOMS, 0..4_u16, standing, any::<bool>(), 1..4_u8, 1..3_u8, 0..50_u16).prop_map(
-        |(room, tenant, standing, repeated, worth, work, rate)| Ask {
-            room,
-            tenant,
-            share: f64::from(tenant + 1),
-            standing,
-            repeated,
-            worth: f64::from(worth),
-            work: f64::from(work) * 0.01,
-            rate: f64::from(rate),
-        },
+    let standing = prop_oneof![
+        Just(Standing::Within),
+        Just(Standing::Borrowed),
+        Just(Standing::Beyond)
+    ];
+    (
+        0..ROOMS,
+        0..4_u16,
+        standing,
+        any::<bool>(),
+        1..4_u8,
+        1..3_u8,
+        0..50_u16,
     )
+        .prop_map(
+            |(room, tenant, standing, repeated, worth, work, rate)| Ask {
+                room,
+                tenant,
+                share: f64::from(tenant + 1),
+                standing,
+                repeated,
+                worth: f64::from(worth),
+                work: f64::from(work) * 0.01,
+                rate: f64::from(rate),
+            },
+        )
 }
 
 fn asks() -> impl Strategy<Value = Vec<Ask>> {
@@ -100,7 +113,11 @@
 #[test]
 fn capacity_is_what_was_shown() {
     let mut capacity = Capacity::default();
-    let room = |site, write| Room { group: 7, site, write };
+    let room = |site, write| Room {
+        group: 7,
+        site,
+        write,
+    };
     let (mut now, ms) = (Duration::ZERO, Duration::from_millis);
     for n in 0..4_000 {
         now += ms(1);
@@ -110,7 +127,10 @@
     let shown = capacity.shown(now, room(0, false));
     // 500 in a second, of 10 ms each as the shortest tell, and a little more by the longer ones.
     assert!((4.9..5.6).contains(&shown), "{shown}");
-    assert_eq!(capacity.without(now, 0, 7, false), capacity.shown(now, room(1, false)));
+    assert_eq!(
+        capacity.without(now, 0, 7, false),
+        capacity.shown(now, room(1, false))
+    );
     assert_eq!(capacity.without(now, 0, 7, true), 0.0);
     assert_eq!(capacity.without(now, 0, 8, false), 0.0);
     let later = now + Duration::from_secs(60);
@@ -122,7 +142,14 @@
     let mut demand = Demand::default();
     let kind = |group| {
         let standing = Standing::Within;
-        Kind { group, write: false, class: 0, tenant: 0, standing, repeated: false }
+        Kind {
+            group,
+            write: false,
+            class: 0,
+            tenant: 0,
+            standing,
+            repeated: false,
+        }
     };
     for n in 0..60_000_u64 {
         demand.asked(Duration::from_millis(n), kind(1));
@@ -143,7 +170,16 @@
 fn the_order() {
     let ask = |standing, repeated, worth, work| {
         let (room, tenant, share, rate) = (0, 0, 1.0, 1.0);
-        Ask { room, tenant, share, standing, repeated, worth, work, rate }
+        Ask {
+            room,
+            tenant,
+            share,
+            standing,
+            repeated,
+            worth,
+            work,
+            rate,
+        }
     };
     let asks = [
         ask(Standing::Beyond, false, 9.0, 1.0),
@@ -163,10 +199,28 @@
 /// Seconds of a proxy that is asked 20 times a second for each of two kinds; of the kind that is worth more, so many find no room.
 fn steered(steer: &mut Steer, from: u64, seconds: u64, on: bool, refused: u64) -> (f64, f64) {
     let kinds = [(0, 2.0), (1, 1.0)].map(|(class, worth)| {
-        let kind =
-            Kind { group: 0, write: false, class, tenant: 0, standing: Standing::Within, repeated: false };
+        let kind = Kind {
+            group: 0,
+            write: false,
+            class,
+            tenant: 0,
+            standing: Standing::Within,
+            repeated: false,
+        };
         let (room, tenant, standing, repeated) = (0, 0, Standing::Within, false);
-        (kind, Ask { room, tenant, share: 1.0, standing, repeated, worth, work: 0.01, rate: 20.0 })
+        (
+            kind,
+            Ask {
+                room,
+                tenant,
+                share: 1.0,
+                standing,
+                repeated,
+                worth,
+                work: 0.01,
+                rate: 20.0,
+            },
+        )
     });
     for look in from * 4..(from + seconds) * 4 {
         (0..5).for_each(|n| steer.ended(n < refused));
@@ -178,8 +232,16 @@
 #[test]
 fn the_lowest_rank_pays_for_refusals_of_others_and_nobody_without_them() {
     let mut steer = Steer::default();
-    assert_eq!(steered(&mut steer, 0, 10, true, 0), (0.0, 0.0), "while servers have room");
-    assert_eq!(steered(&mut steer, 10, 10, false, 3), (0.0, 0.0), "while no site is lost");
+    assert_eq!(
+        steered(&mut steer, 0, 10, true, 0),
+        (0.0, 0.0),
+        "while servers have room"
+    );
+    assert_eq!(
+        steered(&mut steer, 10, 10, false, 3),
+        (0.0, 0.0),
+        "while no site is lost"
+    );
     let (high, low) = steered(&mut steer, 20, 2, true, 2);
     assert!(high == 0.0 && low > 0.3, "{high} {low}");
     let (high, low) = steered(&mut steer, 22, 10, true, 2);
--- a/crates/wire-admin/src/lib.rs
+++ b/crates/wire-admin/src/lib.rs
@@ -57,13 +57,20 @@
 
 impl Answer {
     pub fn line(status: Status, text: impl fmt::Display) -> Answer {
-        Answer { status, text: format!("{text}\n") }
+        Answer {
+            status,
+            text: format!("{text}\n"),
+        }
     }
 
     /// The connection ends behind it.
     pub fn bytes(&self) -> Vec<u8> {
         let (line, text) = (self.status.line(), &self.text);
-        let allow = if self.status == Status::MethodNotAllowed { "Allow: GET, POST\r\n" } else { "" };
+        let allow = if self.status == Status::MethodNotAllowed {
+            "Allow: GET, POST\r\n"
+        } else {
+            ""
+        };
         let length = text.len();
         format!(
             "HTTP/1.1 {line}\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\n{allow}\
@@ -105,11 +112,23 @@
         }
     };
     if request.method != Some(if post { "POST" } else { "GET" }) {
-        return no(Status::MethodNotAllowed, if post { "this wants POST" } else { "this wants GET" });
+        return no(
+            Status::MethodNotAllowed,
+            if post {
+                "this wants POST"
+            } else {
+                "this wants GET"
+            },
+        );
     }
     let header = |name: &str| {
-        let found = request.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
-        found.map(|h| std::str::from_utf8(h.value).unwrap_or("?").trim()).collect::<Vec<_>>()
+        let found = request
+            .headers
+            .iter()
+            .filter(|h| h.name.eq_ignore_ascii_case(name));
+        found
+            .map(|h| std::str::from_utf8(h.value).unwrap_or("?").trim())
+            .collect::<Vec<_>>()
     };
     if !header("transfer-encoding").is_empty() {
         return no(Status::LengthRequired, "the body wants a Content-Length");
@@ -127,7 +146,9 @@
         return no(Status::ContentTooLarge, "the body is too long");
     }
     let rest = &input[used..];
-    let Some((body, behind)) = rest.split_at_checked(length) else { return Ok(None) };
+    let Some((body, behind)) = rest.split_at_checked(length) else {
+        return Ok(None);
+    };
     // A line's end behind the body, as some callers send, is no second call.
     if !behind.trim_ascii().is_empty() {
         return no(Status::BadRequest, "one call to a connection");
@@ -136,11 +157,15 @@
         return Ok(Some(to(String::new())));
     }
     match serde_json::from_slice::<Body>(body) {
-        Ok(Body { target }) if target.is_empty() || target.len() > NAME_LIMIT => {
-            no(Status::BadRequest, "the target is no name of a record server")
-        }
+        Ok(Body { target }) if target.is_empty() || target.len() > NAME_LIMIT => no(
+            Status::BadRequest,
+            "the target is no name of a record server",
+        ),
         Ok(Body { target }) => Ok(Some(to(target))),
-        Err(error) => no(Status::BadRequest, &format!("the body is not {{\"target\":\"ID\"}}: {error}")),
+        Err(error) => no(
+            Status::BadRequest,
+            &format!("the body is not {{\"target\":\"ID\"}}: {error}"),
+        ),
     }
 }
 
@@ -163,13 +188,20 @@
         help: &str,
         values: impl IntoIterator<Item = (Vec<(&'a str, &'a str)>, u64)>,
     ) {
-        let kind = if name.ends_with("_total") { "counter" } else { "gauge" };
+        let kind = if name.ends_with("_total") {
+            "counter"
+        } else {
+            "gauge"
+        };
         _ = write!(self.text, "# HELP {name} {help}\n# TYPE {name} {kind}\n");
         for (labels, value) in values {
             self.text.push_str(name);
             for (at, (label, text)) in labels.iter().enumerate() {
                 let open = if at == 0 { '{' } else { ',' };
-                let text = text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
+                let text = text
+                    .replace('\\', "\\\\")
+                    .replace('"', "\\\"")
+                    .replace('\n', "\\n");
                 _ = write!(self.text, "{open}{label}=\"{text}\"");
             }
             let close = if labels.is_empty() { "" } else { "}" };
@@ -178,6 +210,9 @@
     }
 
     pub fn answer(self) -> Answer {
-        Answer { status: Status::Ok, text: self.text }
+        Answer {
+            status: Status::Ok,
+            text: self.text,
+        }
     }
 }
--- a/crates/wire-admin/tests/calls.rs
+++ b/crates/wire-admin/tests/calls.rs
@@ -13,17 +13,40 @@
 #[test]
 fn a_call_is_none_until_its_last_byte() {
     for (text, call) in [
-        ("GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(), Call::Ready),
-        ("GET /api/telemetry HTTP/1.1\r\n\r\n".to_owned(), Call::Telemetry),
-        (post("/api/exclude", r#"{"target":"s-1"}"#), Call::Exclude("s-1".into())),
-        (post("/api/include", r#"{ "target" : "s-1", "why": "disk" }"#), Call::Include("s-1".into())),
+        (
+            "GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(),
+            Call::Ready,
+        ),
+        (
+            "GET /api/telemetry HTTP/1.1\r\n\r\n".to_owned(),
+            Call::Telemetry,
+        ),
+        (
+            post("/api/exclude", r#"{"target":"s-1"}"#),
+            Call::Exclude("s-1".into()),
+        ),
+        (
+            post("/api/include", r#"{ "target" : "s-1", "why": "disk" }"#),
+            Call::Include("s-1".into()),
+        ),
     ] {
         for cut in 0..text.len() {
-            assert_eq!(parse(&text.as_bytes()[..cut]), Ok(None), "{cut} bytes of {text}");
+            assert_eq!(
+                parse(&text.as_bytes()[..cut]),
+                Ok(None),
+                "{cut} bytes of {text}"
+            );
         }
         assert_eq!(parse(text.as_bytes()), Ok(Some(call.clone())));
-        assert_eq!(parse(format!("{text}\r\n").as_bytes()), Ok(Some(call)), "a line's end behind it");
-        assert_eq!(status(&format!("{text}GET /api/ready HTTP/1.1\r\n\r\n")), Status::BadRequest);
+        assert_eq!(
+            parse(format!("{text}\r\n").as_bytes()),
+            Ok(Some(call)),
+            "a line's end behind it"
+        );
+        assert_eq!(
+            status(&format!("{text}GET /api/ready HTTP/1.1\r\n\r\n")),
+            Status::BadRequest
+        );
     }
 }
 
@@ -32,24 +55,53 @@
     let long = format!("GET /api/ready HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
     let cases = [
         (status("GET /metrics HTTP/1.1\r\n\r\n"), Status::NotFound),
-        (status("POST /api/ready HTTP/1.1\r\n\r\n"), Status::MethodNotAllowed),
-        (status("GET /api/exclude HTTP/1.1\r\n\r\n"), Status::MethodNotAllowed),
+        (
+            status("POST /api/ready HTTP/1.1\r\n\r\n"),
+            Status::MethodNotAllowed,
+        ),
+        (
+            status("GET /api/exclude HTTP/1.1\r\n\r\n"),
+            Status::MethodNotAllowed,
+        ),
         (status("hello\r\n\r\n"), Status::BadRequest),
-        (status("POST /api/exclude HTTP/1.1\r\n\r\n"), Status::LengthRequired),
-        (status("POST /api/exclude HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), Status::LengthRequired),
-        (status("POST /api/exclude HTTP/1.1\r\nContent-Length: -1\r\n\r\n"), Status::BadRequest),
         (
-            status("POST /api/exclude HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}"),
+            status("POST /api/exclude HTTP/1.1\r\n\r\n"),
+            Status::LengthRequired,
+        ),
+        (
+            status("POST /api/exclude HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+            Status::LengthRequired,
+        ),
+        (
+            status("POST /api/exclude HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
             Status::BadRequest,
         ),
         (
-            status(&format!("POST /api/exclude HTTP/1.1\r\nContent-Length: {}\r\n\r\n", BODY_LIMIT + 1)),
+            status(
+                "POST /api/exclude HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}",
+            ),
+            Status::BadRequest,
+        ),
+        (
+            status(&format!(
+                "POST /api/exclude HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
+                BODY_LIMIT + 1
+            )),
             Status::ContentTooLarge,
         ),
         (status(&post("/api/exclude", "{}")), Status::BadRequest),
-        (status(&post("/api/exclude", r#"{"target":7}"#)), Status::BadRequest),
-        (status(&post("/api/exclude", r#"{"target":""}"#)), Status::BadRequest),
-        (status(&post("/api/exclude", r#"{"target":"s-1""#)), Status::BadRequest),
+        (
+            status(&post("/api/exclude", r#"{"target":7}"#)),
+            Status::BadRequest,
+        ),
+        (
+            status(&post("/api/exclude", r#"{"target":""}"#)),
+            Status::BadRequest,
+        ),
+        (
+            status(&post("/api/exclude", r#"{"target":"s-1""#)),
+            Status::BadRequest,
+        ),
         (status(&long), Status::HeadTooLarge),
     ];
     for (at, (got, wanted)) in cases.iter().enumerate() {
@@ -62,7 +114,10 @@
         bytes.starts_with("HTTP/1.1 400 ") && bytes.ends_with(&format!("\r\n\r\n{}", no.text)),
         "{bytes}"
     );
-    assert!(bytes.contains(&format!("Content-Length: {}\r\n", no.text.len())), "{bytes}");
+    assert!(
+        bytes.contains(&format!("Content-Length: {}\r\n", no.text.len())),
+        "{bytes}"
+    );
 }
 
 #[test]
@@ -73,6 +128,12 @@
     figures.many("lb_requests_total", "By class.", [(labels, 812)]);
     let text = figures.answer().text;
     assert!(text.contains("\nlb_in_flight 14\n"), "{text}");
-    assert!(text.contains("# TYPE lb_requests_total counter\n"), "{text}");
-    assert!(text.ends_with("\nlb_requests_total{class=\"a\\\"b\",outcome=\"served\"} 812\n"), "{text}");
+    assert!(
+        text.contains("# TYPE lb_requests_total counter\n"),
+        "{text}"
+    );
+    assert!(
+        text.ends_with("\nlb_requests_total{class=\"a\\\"b\",outcome=\"served\"} 812\n"),
+        "{text}"
+    );
 }
--- a/crates/wire-health/src/agent.rs
+++ b/crates/wire-health/src/agent.rs
@@ -20,21 +20,35 @@
 /// The text up to its newline, if that is there yet; what it asks.
 pub fn asked(input: &[u8]) -> Option<Asked> {
     let end = input.iter().position(|b| *b == b'\n')?;
-    let text = std::str::from_utf8(&input[..end]).unwrap_or_default().trim();
-    let group = text.strip_prefix("group").map(str::trim).and_then(|n| n.parse().ok());
+    let text = std::str::from_utf8(&input[..end])
+        .unwrap_or_default()
+        .trim();
+    let group = text
+        .strip_prefix("group")
+        .map(str::trim)
+        .and_then(|n| n.parse().ok());
     Some(group.map_or(Asked::Proxy, Asked::Group))
 }
 
 /// The line that tells a status.
 pub fn line(status: &Status) -> String {
     // One line, whatever the reason holds, and no second comment.
-    let reason: String =
-        status.reason.chars().map(|c| if c.is_control() || c == '#' { ' ' } else { c }).take(120).collect();
-    let room = status.room.map(|room| format!(" maxconn:{room}")).unwrap_or_default();
+    let reason: String = status
+        .reason
+        .chars()
+        .map(|c| if c.is_control() || c == '#' { ' ' } else { c })
+        .take(120)
+        .collect();
+    let room = status
+        .room
+        .map(|room| format!(" maxconn:{room}"))
+        .unwrap_or_default();
     let words = match status.state {
         State::Ready => format!("ready up {}%{room}", status.weight),
         // Of a proxy that serves no weight of 0 is told: it would be a drain by another name.
-        State::Degraded(_) | State::Overloaded => format!("ready up {}%{room}", status.weight.max(1)),
+        State::Degraded(_) | State::Overloaded => {
+            format!("ready up {}%{room}", status.weight.max(1))
+        }
         State::Starting => "maint".to_owned(),
         State::Draining => "drain".to_owned(),
         State::Stopping => "drain".to_owned(),
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -65,8 +65,17 @@
 
 pub fn server_state(value: &str) -> Option<ServerState> {
     let mut parts = value.split(';').map(str::trim);
-    let state = parts.next().filter(|s| !s.is_empty() && s.len() <= 64)?.to_owned();
-    let mut found = ServerState { state, node: None, weight: None, sessions: None, queued: None };
+    let state = parts
+        .next()
+        .filter(|s| !s.is_empty() && s.len() <= 64)?
+        .to_owned();
+    let mut found = ServerState {
+        state,
+        node: None,
+        weight: None,
+        sessions: None,
+        queued: None,
+    };
     let pair = |text: &str| {
         let (a, b) = text.split_once('/')?;
         Some((a.parse().ok()?, b.parse().ok()?))
@@ -107,7 +116,9 @@
     if used > HEAD_LIMIT {
         return Err(Fault::TooLong);
     }
-    let (path, query) = request.path.map_or(("", ""), |p| p.split_once('?').unwrap_or((p, "")));
+    let (path, query) = request
+        .path
+        .map_or(("", ""), |p| p.split_once('?').unwrap_or((p, "")));
     let method = match request.method {
         Some("GET") => Method::Get,
         Some("HEAD") => Method::Head,
@@ -126,7 +137,9 @@
         method,
         target,
         keep: request.version == Some(1),
-        detail: query.split('&').any(|pair| pair == "verbose" || pair == "format=json"),
+        detail: query
+            .split('&')
+            .any(|pair| pair == "verbose" || pair == "format=json"),
         load: None,
         server_state: None,
     };
@@ -137,7 +150,8 @@
                 for word in value.split(',').map(str::trim) {
                     if word.eq_ignore_ascii_case("close") {
                         check.keep = false;
-                    } else if word.eq_ignore_ascii_case("keep-alive") && request.version == Some(0) {
+                    } else if word.eq_ignore_ascii_case("keep-alive") && request.version == Some(0)
+                    {
                         check.keep = true;
                     }
                 }
@@ -192,12 +206,20 @@
         Target::Ready => (unready(state, statuses), state.name()),
     };
     if check.method == Method::Other {
-        return respond("405 Method Not Allowed", &["Allow: GET, HEAD".to_owned()], "", check);
+        return respond(
+            "405 Method Not Allowed",
+            &["Allow: GET, HEAD".to_owned()],
+            "",
+            check,
+        );
     }
     let mut headers = vec!["Cache-Control: no-store".to_owned()];
     if !code.starts_with("200") && check.target != Target::Unknown || state == State::Overloaded {
         // Whole seconds, rounded up: earlier is of no use.
-        headers.push(format!("Retry-After: {}", status.come_back.as_millis().div_ceil(1_000).max(1)));
+        headers.push(format!(
+            "Retry-After: {}",
+            status.come_back.as_millis().div_ceil(1_000).max(1)
+        ));
     }
     if matches!(state, State::Degraded(_) | State::Overloaded) {
         headers.push("x-envoy-degraded: true".to_owned());
@@ -216,9 +238,16 @@
             .iter()
             .map(|g| json!({"group": g.group, "condition": g.condition, "serves": g.serves}))
             .collect();
-        let links: serde_json::Map<_, _> =
-            status.links.iter().map(|(place, link)| (place.clone(), json!(link))).collect();
-        let degraded = if let State::Degraded(share) = state { share } else { 0 };
+        let links: serde_json::Map<_, _> = status
+            .links
+            .iter()
+            .map(|(place, link)| (place.clone(), json!(link)))
+            .collect();
+        let degraded = if let State::Degraded(share) = state {
+            share
+        } else {
+            0
+        };
         let detail = json!({
             "state": state.name(),
             "weight": status.weight,
@@ -255,7 +284,11 @@
         out.push_str(header);
         out.push_str("\r\n");
     }
-    out.push_str(if check.keep { "Connection: keep-alive\r\n\r\n" } else { "Connection: close\r\n\r\n" });
+    out.push_str(if check.keep {
+        "Connection: keep-alive\r\n\r\n"
+    } else {
+        "Connection: close\r\n\r\n"
+    });
     if check.method != Method::Head {
         out.push_str(body);
     }
--- a/crates/wire-health/src/orca.rs
+++ b/crates/wire-health/src/orca.rs
@@ -38,7 +38,10 @@
             ("eps", 7, load.errors_per_s),
             ("application_utilization", 9, load.application),
         ],
-        [("open_requests", load.open), ("descriptors", load.descriptors)],
+        [
+            ("open_requests", load.open),
+            ("descriptors", load.descriptors),
+        ],
     )
 }
 
@@ -51,18 +54,33 @@
     let (own, named) = fields(load);
     match format {
         Format::Text => {
-            let own = own.iter().map(|(name, _, value)| format!("{name}={}", round(*value)));
-            let named = named.iter().map(|(name, value)| format!("utilization.{name}={}", round(*value)));
-            (HEADER, format!("TEXT {}", own.chain(named).collect::<Vec<_>>().join(",")))
+            let own = own
+                .iter()
+                .map(|(name, _, value)| format!("{name}={}", round(*value)));
+            let named = named
+                .iter()
+                .map(|(name, value)| format!("utilization.{name}={}", round(*value)));
+            (
+                HEADER,
+                format!("TEXT {}", own.chain(named).collect::<Vec<_>>().join(",")),
+            )
         }
         Format::Json => {
             let mut object = serde_json::Map::new();
             for (name, _, value) in own {
                 object.insert(name.into(), round(value).into());
             }
-            let named = named.iter().map(|(name, value)| ((*name).to_owned(), round(*value).into()));
-            object.insert("utilization".into(), serde_json::Value::Object(named.collect()));
-            (HEADER, format!("JSON {}", serde_json::Value::Object(object)))
+            let named = named
+                .iter()
+                .map(|(name, value)| ((*name).to_owned(), round(*value).into()));
+            object.insert(
+                "utilization".into(),
+                serde_json::Value::Object(named.collect()),
+            );
+            (
+                HEADER,
+                format!("JSON {}", serde_json::Value::Object(object)),
+            )
         }
         Format::Binary => (BINARY_HEADER, STANDARD.encode(message(load))),
     }
--- a/crates/wire-health/src/proxy.rs
+++ b/crates/wire-health/src/proxy.rs
@@ -62,7 +62,11 @@
 fn first(input: &[u8]) -> Result<Option<(From, usize)>, Fault> {
     let window = &input[..input.len().min(LINE_LIMIT)];
     let Some(end) = window.windows(2).position(|w| w == b"\r\n") else {
-        return if input.len() >= LINE_LIMIT { Err(Fault::TooLong) } else { Ok(None) };
+        return if input.len() >= LINE_LIMIT {
+            Err(Fault::TooLong)
+        } else {
+            Ok(None)
+        };
     };
     let line = std::str::from_utf8(&window[..end]).map_err(|_| Fault::Malformed)?;
     let mut words = line.split(' ').skip(1);
@@ -76,15 +80,26 @@
         let plain = text.len() <= 5
             && text.bytes().all(|b| b.is_ascii_digit())
             && (text == "0" || !text.starts_with('0'));
-        text.parse::<u16>().ok().filter(|_| plain).ok_or(Fault::Malformed)
+        text.parse::<u16>()
+            .ok()
+            .filter(|_| plain)
+            .ok_or(Fault::Malformed)
     };
     let (source, _destination): (IpAddr, IpAddr) = match family {
         "TCP4" => {
-            let read = |text: &str| text.parse::<Ipv4Addr>().map(IpAddr::V4).map_err(|_| Fault::Malformed);
+            let read = |text: &str| {
+                text.parse::<Ipv4Addr>()
+                    .map(IpAddr::V4)
+                    .map_err(|_| Fault::Malformed)
+            };
             (read(source)?, read(destination)?)
         }
         "TCP6" => {
-            let read = |text: &str| text.parse::<Ipv6Addr>().map(IpAddr::V6).map_err(|_| Fault::Malformed);
+            let read = |text: &str| {
+                text.parse::<Ipv6Addr>()
+                    .map(IpAddr::V6)
+                    .map_err(|_| Fault::Malformed)
+            };
             (read(source)?, read(destination)?)
         }
         _ => return Err(Fault::Malformed),
@@ -93,7 +108,10 @@
     if words.next().is_some() {
         return Err(Fault::Malformed);
     }
-    Ok(Some((From::Client(SocketAddr::new(source, port(from_port)?)), end + 2)))
+    Ok(Some((
+        From::Client(SocketAddr::new(source, port(from_port)?)),
+        end + 2,
+    )))
 }
 
 fn second(input: &[u8]) -> Result<Option<(From, usize)>, Fault> {
@@ -108,7 +126,9 @@
     if length > BODY_LIMIT {
         return Err(Fault::TooLong);
     }
-    let Some(whole) = input.get(..HEAD + length) else { return Ok(None) };
+    let Some(whole) = input.get(..HEAD + length) else {
+        return Ok(None);
+    };
     let body = &whole[HEAD..];
     let (from, addresses) = match family {
         0x11 => (v4(body), 12),
@@ -134,13 +154,19 @@
 fn v4(body: &[u8]) -> Option<From> {
     let address: [u8; 4] = body.get(..4)?.try_into().ok()?;
     let port = u16::from_be_bytes(body.get(8..10)?.try_into().ok()?);
-    Some(From::Client(SocketAddr::new(Ipv4Addr::from(address).into(), port)))
+    Some(From::Client(SocketAddr::new(
+        Ipv4Addr::from(address).into(),
+        port,
+    )))
 }
 
 fn v6(body: &[u8]) -> Option<From> {
     let address: [u8; 16] = body.get(..16)?.try_into().ok()?;
     let port = u16::from_be_bytes(body.get(32..34)?.try_into().ok()?);
-    Some(From::Client(SocketAddr::new(Ipv6Addr::from(address).into(), port)))
+    Some(From::Client(SocketAddr::new(
+        Ipv6Addr::from(address).into(),
+        port,
+    )))
 }
 
 /// Every TLV has to fit, and a checksum, where there is one, to be right: over the whole header with its own bytes
@@ -154,7 +180,10 @@
         if head[0] == CRC32C {
             let told: [u8; 4] = value.try_into().map_err(|_| Fault::Malformed)?;
             let (before, after) = (&whole[..at + 3], &whole[at + 7..]);
-            let sum = crc32c::crc32c_append(crc32c::crc32c_append(crc32c::crc32c(before), &[0; 4]), after);
+            let sum = crc32c::crc32c_append(
+                crc32c::crc32c_append(crc32c::crc32c(before), &[0; 4]),
+                after,
+            );
             if sum != u32::from_be_bytes(told) {
                 return Err(Fault::Checksum);
             }
--- a/crates/wire-health/tests/codecs.rs
+++ b/crates/wire-health/tests/codecs.rs
@@ -12,10 +12,24 @@
 use wire_health::{Group, Load, State, Status};
 
 fn status(state: State, weight: u8) -> Status {
-    let load = Load { cpu: 0.25, memory: 0.5, requests_per_s: 300.0, open: 0.125, ..Load::default() };
+    let load = Load {
+        cpu: 0.25,
+        memory: 0.5,
+        requests_per_s: 300.0,
+        open: 0.125,
+        ..Load::default()
+    };
     let groups = vec![
-        Group { group: 0, condition: "serving", serves: true },
-        Group { group: 3, condition: "hung", serves: false },
+        Group {
+            group: 0,
+            condition: "serving",
+            serves: true,
+        },
+        Group {
+            group: 3,
+            condition: "hung",
+            serves: false,
+        },
     ];
     let come_back = Duration::from_millis(1_200);
     Status {
@@ -30,14 +44,23 @@
     }
 }
 
-const STATES: [State; 6] =
-    [State::Starting, State::Ready, State::Degraded(25), State::Overloaded, State::Draining, State::Stopping];
+const STATES: [State; 6] = [
+    State::Starting,
+    State::Ready,
+    State::Degraded(25),
+    State::Overloaded,
+    State::Draining,
+    State::Stopping,
+];
 
 #[test]
 fn an_agent_that_serves_undoes_every_drain() {
     for state in STATES {
         let line = agent::line(&status(state, 0));
-        assert!(line.ends_with('\n') && line.matches('\n').count() == 1, "{line}");
+        assert!(
+            line.ends_with('\n') && line.matches('\n').count() == 1,
+            "{line}"
+        );
         let words = agent::read(&line);
         if state.serves() {
             assert_eq!(words.administrative, Some(Administrative::Ready), "{line}");
@@ -46,12 +69,18 @@
             assert_eq!(words.maxconn, Some(40));
         } else {
             assert_ne!(words.administrative, Some(Administrative::Ready));
-            assert_eq!(words.operational, None, "a drain is no death: connections that are there go on");
+            assert_eq!(
+                words.operational, None,
+                "a drain is no death: connections that are there go on"
+            );
         }
     }
     let mut odd = status(State::Ready, 75);
     odd.reason = "two\nlines # and a sign".into();
-    assert_eq!(agent::line(&odd), "ready up 75% maxconn:40 # two lines   and a sign\n");
+    assert_eq!(
+        agent::line(&odd),
+        "ready up 75% maxconn:40 # two lines   and a sign\n"
+    );
 }
 
 #[test]
@@ -95,9 +124,15 @@
         assert_eq!(code(READY, state, Statuses::Plain), plain);
         assert_eq!(code(READY, state, Statuses::DrainIs404), drain);
         assert_eq!(code(READY, state, Statuses::OverloadIs429), overload);
-        assert_eq!(code("GET /livez HTTP/1.1\r\n\r\n", state, Statuses::Plain), 200);
+        assert_eq!(
+            code("GET /livez HTTP/1.1\r\n\r\n", state, Statuses::Plain),
+            200
+        );
         let started = if state == State::Starting { 503 } else { 200 };
-        assert_eq!(code("GET /startupz HTTP/1.0\r\n\r\n", state, Statuses::Plain), started);
+        assert_eq!(
+            code("GET /startupz HTTP/1.0\r\n\r\n", state, Statuses::Plain),
+            started
+        );
     }
     for (target, expected) in [
         ("/readyz/group/0", 200),
@@ -106,19 +141,41 @@
         ("/readyz/group/x", 404),
         ("/x", 404),
     ] {
-        assert_eq!(code(&format!("HEAD {target} HTTP/1.1\r\n\r\n"), State::Ready, Statuses::Plain), expected);
+        assert_eq!(
+            code(
+                &format!("HEAD {target} HTTP/1.1\r\n\r\n"),
+                State::Ready,
+                Statuses::Plain
+            ),
+            expected
+        );
     }
-    assert_eq!(code("POST /readyz HTTP/1.1\r\n\r\n", State::Ready, Statuses::Plain), 405);
+    assert_eq!(
+        code(
+            "POST /readyz HTTP/1.1\r\n\r\n",
+            State::Ready,
+            Statuses::Plain
+        ),
+        405
+    );
 }
 
 #[test]
 fn headers_carry_the_rest() {
     let answer = |text: &str, state| {
-        String::from_utf8(http::answer(&ask(text), &status(state, 50), Statuses::Plain)).unwrap()
+        String::from_utf8(http::answer(
+            &ask(text),
+            &status(state, 50),
+            Statuses::Plain,
+        ))
+        .unwrap()
     };
     let get = "GET /readyz?format=json HTTP/1.1\r\nendpoint-load-metrics-format: text\r\n\r\n";
     let degraded = answer(get, State::Degraded(25));
-    assert!(degraded.contains("x-envoy-degraded: true\r\n"), "{degraded}");
+    assert!(
+        degraded.contains("x-envoy-degraded: true\r\n"),
+        "{degraded}"
+    );
     assert!(
         degraded.contains("endpoint-load-metrics: TEXT cpu_utilization=0.25,mem_utilization=0.5,"),
         "{degraded}"
@@ -126,14 +183,20 @@
     let (head, body) = degraded.split_once("\r\n\r\n").unwrap();
     assert!(head.contains(&format!("Content-Length: {}", body.len())));
     let body: serde_json::Value = serde_json::from_str(body).unwrap();
-    assert_eq!((body["state"].as_str(), body["unserved_percent"].as_u64()), (Some("degraded"), Some(25)));
+    assert_eq!(
+        (body["state"].as_str(), body["unserved_percent"].as_u64()),
+        (Some("degraded"), Some(25))
+    );
     let draining = answer("GET /readyz HTTP/1.1\r\n\r\n", State::Draining);
     assert!(
         draining.contains("x-envoy-immediate-health-check-fail: true\r\n")
             && draining.contains("Retry-After: 2\r\n")
     );
     let head = answer("HEAD /readyz HTTP/1.1\r\n\r\n", State::Ready);
-    assert!(head.ends_with("\r\n\r\n") && head.contains("Content-Length: 6\r\n"), "{head}");
+    assert!(
+        head.ends_with("\r\n\r\n") && head.contains("Content-Length: 6\r\n"),
+        "{head}"
+    );
     for (text, keep) in [
         ("GET / HTTP/1.1\r\n\r\n", true),
         ("GET / HTTP/1.1\r\nConnection: Close\r\n\r\n", false),
@@ -148,15 +211,24 @@
 fn a_balancers_view_is_read() {
     let check = ask("GET / HTTP/1.1\r\nX-Haproxy-Server-State: UP 2/3; name=bck/srv2; node=lb1; weight=1/2; scur=13/22; qcur=0\r\n\r\n");
     let state = check.server_state.unwrap();
-    assert_eq!((state.state.as_str(), state.node.as_deref()), ("UP 2/3", Some("lb1")));
-    assert_eq!((state.weight, state.sessions, state.queued), (Some((1, 2)), Some((13, 22)), Some(0)));
+    assert_eq!(
+        (state.state.as_str(), state.node.as_deref()),
+        ("UP 2/3", Some("lb1"))
+    );
+    assert_eq!(
+        (state.weight, state.sessions, state.queued),
+        (Some((1, 2)), Some((13, 22)), Some(0))
+    );
     assert_eq!(http::server_state(";;"), None);
 }
 
 #[test]
 fn what_is_no_check_is_told_so() {
     assert_eq!(http::parse(b"\x16\x03\x01\x00"), Err(Fault::Malformed));
-    assert_eq!(http::parse(b"GET / HTTP/1.1\r\nContent-Length: 9\r\n\r\n"), Err(Fault::Body));
+    assert_eq!(
+        http::parse(b"GET / HTTP/1.1\r\nContent-Length: 9\r\n\r\n"),
+        Err(Fault::Body)
+    );
     let long = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(http::HEAD_LIMIT));
     assert_eq!(http::parse(long.as_bytes()), Err(Fault::TooLong));
     assert_eq!(http::parse(b"GET /livez HTT"), Ok(None));
@@ -181,16 +253,33 @@
 
 #[test]
 fn the_binary_report_is_the_protobuf_message() {
-    let load = Load { cpu: 0.25, errors_per_s: 2.5, application: 0.75, open: 0.5, ..Load::default() };
+    let load = Load {
+        cpu: 0.25,
+        errors_per_s: 2.5,
+        application: 0.75,
+        open: 0.5,
+        ..Load::default()
+    };
     let report = OrcaLoadReport::decode(orca::message(&load).as_slice()).unwrap();
-    assert_eq!((report.cpu_utilization, report.eps, report.application_utilization), (0.25, 2.5, 0.75));
+    assert_eq!(
+        (
+            report.cpu_utilization,
+            report.eps,
+            report.application_utilization
+        ),
+        (0.25, 2.5, 0.75)
+    );
     assert_eq!((report.mem_utilization, report.rps_fractional), (0.0, 0.0));
     assert_eq!(report.utilization["open_requests"], 0.5);
     let (name, value) = orca::header(&load, Format::Json);
     assert_eq!(name, "endpoint-load-metrics");
-    let json: serde_json::Value = serde_json::from_str(value.strip_prefix("JSON ").unwrap()).unwrap();
+    let json: serde_json::Value =
+        serde_json::from_str(value.strip_prefix("JSON ").unwrap()).unwrap();
     assert_eq!(json["utilization"]["open_requests"], 0.5);
-    assert_eq!(orca::header(&load, Format::Binary).0, "endpoint-load-metrics-bin");
+    assert_eq!(
+        orca::header(&load, Format::Binary).0,
+        "endpoint-load-metrics-bin"
+    );
 }
 
 fn address(text: &str) -> SocketAddr {
@@ -200,13 +289,31 @@
 #[test]
 fn proxy_headers_of_both_versions_name_the_client() {
     let first = b"PROXY TCP4 192.0.2.7 198.51.100.1 56324 443\r\nrest";
-    assert_eq!(proxy::parse(first), Ok(Some((From::Client(address("192.0.2.7:56324")), first.len() - 4))));
+    assert_eq!(
+        proxy::parse(first),
+        Ok(Some((
+            From::Client(address("192.0.2.7:56324")),
+            first.len() - 4
+        )))
+    );
     let six = b"PROXY TCP6 2001:db8::7 2001:db8::1 1 2\r\n";
-    assert_eq!(proxy::parse(six), Ok(Some((From::Client(address("[2001:db8::7]:1")), six.len()))));
-    assert_eq!(proxy::parse(b"PROXY UNKNOWN whatever\r\n"), Ok(Some((From::Local, 24))));
-    for (from, to) in [("192.0.2.7:1", "198.51.100.1:2"), ("[2001:db8::7]:1", "[2001:db8::1]:2")] {
+    assert_eq!(
+        proxy::parse(six),
+        Ok(Some((From::Client(address("[2001:db8::7]:1")), six.len())))
+    );
+    assert_eq!(
+        proxy::parse(b"PROXY UNKNOWN whatever\r\n"),
+        Ok(Some((From::Local, 24)))
+    );
+    for (from, to) in [
+        ("192.0.2.7:1", "198.51.100.1:2"),
+        ("[2001:db8::7]:1", "[2001:db8::1]:2"),
+    ] {
         let header = proxy::header(address(from), address(to), 1);
-        assert_eq!(proxy::parse(&header), Ok(Some((From::Client(address(from)), header.len()))));
+        assert_eq!(
+            proxy::parse(&header),
+            Ok(Some((From::Client(address(from)), header.len())))
+        );
         let local = proxy::header(address(from), address(to), 0);
         assert_eq!(proxy::parse(&local), Ok(Some((From::Local, local.len()))));
         // Whole or not at all, and any changed byte of the body is found.
@@ -235,7 +342,10 @@
     ] {
         assert_eq!(proxy::parse(bad.as_bytes()), Err(Fault::Malformed), "{bad}");
     }
-    assert_eq!(proxy::parse(&[b"PROXY TCP4 ".as_slice(), &[b'1'; 120]].concat()), Err(Fault::TooLong));
+    assert_eq!(
+        proxy::parse(&[b"PROXY TCP4 ".as_slice(), &[b'1'; 120]].concat()),
+        Err(Fault::TooLong)
+    );
     let mut long = proxy::header(address("192.0.2.7:1"), address("192.0.2.8:1"), 1);
     long[14] = 0xff;
     assert_eq!(proxy::parse(&long), Err(Fault::TooLong));
--- a/crates/world/src/account.rs
+++ b/crates/world/src/account.rs
@@ -53,7 +53,12 @@
     /// Of so many requests a second; 0: all of them.
     pub fn new(per_s: f64) -> Account {
         let rate = (per_s > 0.0).then_some((per_s * 1e6).round() as u128);
-        let mut account = Account { rate, left: 0, since: 0, loans: None };
+        let mut account = Account {
+            rate,
+            left: 0,
+            since: 0,
+            loans: None,
+        };
         account.left = account.depth();
         account
     }
@@ -62,7 +67,12 @@
     pub fn with(mut self, credit: Option<Credit>) -> Account {
         self.loans = credit.filter(|_| self.rate.is_some()).map(|credit| {
             let pace = Account::new(credit.rate as f64);
-            Box::new(Loans { credit, open: VecDeque::new(), owed: 0, pace })
+            Box::new(Loans {
+                credit,
+                open: VecDeque::new(),
+                owed: 0,
+                pace,
+            })
         });
         self
     }
@@ -78,7 +88,10 @@
         let came = rate * u128::from(now.saturating_sub(self.since));
         self.since = self.since.max(now);
         let depth = self.depth();
-        let repaid = self.loans.as_mut().map_or(0, |loans| loans.repay(now, rate, came, self.left, depth));
+        let repaid = self
+            .loans
+            .as_mut()
+            .map_or(0, |loans| loans.repay(now, rate, came, self.left, depth));
         self.left = (self.left + came - repaid).min(depth);
         let within = self.left >= WHOLE;
         if within {
@@ -92,7 +105,11 @@
             return Drawn::Within;
         }
         let rate = self.rate.unwrap_or(0);
-        match self.loans.as_mut().is_some_and(|loans| room && loans.lend(now, kind, rate)) {
+        match self
+            .loans
+            .as_mut()
+            .is_some_and(|loans| room && loans.lend(now, kind, rate))
+        {
             true => Drawn::Borrowed,
             false => Drawn::Beyond,
         }
@@ -103,16 +120,25 @@
     /// Of what came in, what is withheld: enough to be done in half of the term, and what the bucket can't hold.
     fn repay(&mut self, now: Micros, rate: u128, came: u128, left: u128, depth: u128) -> u128 {
         let over = self.credit.term + self.credit.write_off;
-        while let Some((_, lost)) =
-            self.open.front().copied().filter(|(since, _)| now.saturating_sub(*since) >= over)
+        while let Some((_, lost)) = self
+            .open
+            .front()
+            .copied()
+            .filter(|(since, _)| now.saturating_sub(*since) >= over)
         {
             self.owed -= lost;
             self.open.pop_front();
         }
-        let Some((since, _)) = self.open.front() else { return 0 };
+        let Some((since, _)) = self.open.front() else {
+            return 0;
+        };
         let time = u128::from(self.credit.term.saturating_sub(now.saturating_sub(*since)));
         let most = 1000 - u128::from(self.credit.floor.min(1000));
-        let need = if time == 0 { most } else { (2000 * self.owed / (rate * time).max(1) + 1).min(most) };
+        let need = if time == 0 {
+            most
+        } else {
+            (2000 * self.owed / (rate * time).max(1) + 1).min(most)
+        };
         let withheld = came * need / 1000;
         let mut paid = (withheld + (left + came - withheld).saturating_sub(depth)).min(self.owed);
         let all = paid;
@@ -128,14 +154,26 @@
     }
 
     fn lend(&mut self, now: Micros, kind: usize, rate: u128) -> bool {
-        let Credit { line, term, ref kinds, .. } = self.credit;
-        let late = self.open.front().is_some_and(|(since, _)| now.saturating_sub(*since) >= term);
+        let Credit {
+            line,
+            term,
+            ref kinds,
+            ..
+        } = self.credit;
+        let late = self
+            .open
+            .front()
+            .is_some_and(|(since, _)| now.saturating_sub(*since) >= term);
         let full = self.owed + WHOLE > rate * u128::from(line);
         if late || full || !kinds.contains(&kind) || !self.pace.draw(now) {
             return false;
         }
         self.owed += WHOLE;
-        match self.open.back_mut().filter(|(since, _)| now.saturating_sub(*since) < term / 16) {
+        match self
+            .open
+            .back_mut()
+            .filter(|(since, _)| now.saturating_sub(*since) < term / 16)
+        {
             Some((_, open)) => *open += WHOLE,
             None => self.open.push_back((now, WHOLE)),
         }
--- a/crates/world/src/catalog.rs
+++ b/crates/world/src/catalog.rs
@@ -16,7 +16,11 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { late: 4_000_000, call: 2_000, patience: 2_000_000 }
+        Settings {
+            late: 4_000_000,
+            call: 2_000,
+            patience: 2_000_000,
+        }
     }
 }
 
@@ -65,7 +69,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    Tell { caller: Caller, index: u64, complete: bool, records: Vec<Record> },
+    Tell {
+        caller: Caller,
+        index: u64,
+        complete: bool,
+        records: Vec<Record>,
+    },
     Fail(Caller),
     DueAt(Micros),
 }
@@ -91,7 +100,10 @@
 
 impl Catalog {
     pub fn new(set: Settings, records: impl IntoIterator<Item = Record>) -> Catalog {
-        let known = records.into_iter().map(|record| (record.server, (1, record))).collect();
+        let known = records
+            .into_iter()
+            .map(|record| (record.server, (1, record)))
+            .collect();
         Catalog {
             set,
             behind: 0,
@@ -111,7 +123,10 @@
 
     /// Everything that is not gone.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
-        self.known.values().map(|(_, record)| *record).filter(|r| r.status != Status::Gone)
+        self.known
+            .values()
+            .map(|(_, record)| *record)
+            .filter(|r| r.status != Status::Gone)
     }
 
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
@@ -161,11 +176,18 @@
             self.forget();
             for caller in &self.watchers {
                 let (caller, index, records) = (*caller, self.index, changes.clone());
-                actions.push(Action::Tell { caller, index, complete: false, records });
+                actions.push(Action::Tell {
+                    caller,
+                    index,
+                    complete: false,
+                    records,
+                });
             }
         }
         while !self.calls.is_empty() && self.busy_until <= now {
-            let Some((came, caller, after)) = self.calls.pop_front() else { break };
+            let Some((came, caller, after)) = self.calls.pop_front() else {
+                break;
+            };
             if now - came > self.set.patience {
                 actions.push(Action::Fail(caller));
             } else {
@@ -181,16 +203,32 @@
     fn answer(&mut self, caller: Caller, after: u64, actions: &mut Vec<Action>) {
         self.watchers.insert(caller);
         let complete = after == 0 || after > self.index;
-        let newer = self.known.values().filter(|(at, _)| complete || *at > after).map(|(_, r)| *r);
-        let records = newer.filter(|r| !complete || r.status != Status::Gone).collect();
-        actions.push(Action::Tell { caller, index: self.index, complete, records });
+        let newer = self
+            .known
+            .values()
+            .filter(|(at, _)| complete || *at > after)
+            .map(|(_, r)| *r);
+        let records = newer
+            .filter(|r| !complete || r.status != Status::Gone)
+            .collect();
+        actions.push(Action::Tell {
+            caller,
+            index: self.index,
+            complete,
+            records,
+        });
     }
 
     fn forget(&mut self) {
         let gone = |(_, r): &(u64, Record)| r.status == Status::Gone;
         let number = self.known.values().filter(|k| gone(k)).count();
         if number > GONE_KEPT {
-            let mut indices: Vec<u64> = self.known.values().filter(|k| gone(k)).map(|(at, _)| *at).collect();
+            let mut indices: Vec<u64> = self
+                .known
+                .values()
+                .filter(|k| gone(k))
+                .map(|(at, _)| *at)
+                .collect();
             indices.sort_unstable();
             let oldest = indices[number - GONE_KEPT];
             self.known.retain(|_, k| !gone(k) || k.0 >= oldest);
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -261,7 +261,11 @@
                 })
                 .collect()
         };
-        let highest = set.profile.iter().map(|(_, times)| *times).fold(f64::NAN, f64::max);
+        let highest = set
+            .profile
+            .iter()
+            .map(|(_, times)| *times)
+            .fold(f64::NAN, f64::max);
         let most = set.per_s * if highest.is_nan() { 1.0 } else { highest };
         Clients {
             arrivals: streams.stream("arrivals", 0),
@@ -343,8 +347,13 @@
     fn times(&self, now: Micros) -> f64 {
         let points = &self.set.profile;
         let after = points.partition_point(|(at, _)| *at <= now);
-        match (after.checked_sub(1).and_then(|at| points.get(at)), points.get(after)) {
-            (Some((from, a)), Some((to, b))) => a + (b - a) * (now - from) as f64 / (to - from).max(1) as f64,
+        match (
+            after.checked_sub(1).and_then(|at| points.get(at)),
+            points.get(after),
+        ) {
+            (Some((from, a)), Some((to, b))) => {
+                a + (b - a) * (now - from) as f64 / (to - from).max(1) as f64
+            }
             (Some((_, times)), None) | (None, Some((_, times))) => *times,
             (None, None) => 1.0,
         }
@@ -358,21 +367,30 @@
         let tenant = pick(&self.shares, u[1]);
         let own = self.surge_all * self.surges.get(tenant).copied().unwrap_or(1.0);
         let rate = self.set.per_s * self.times(now) * own;
-        if u[0] * self.most * surge.max(1.0) >= rate || self.set.proxies == 0 || self.set.groups == 0 {
+        if u[0] * self.most * surge.max(1.0) >= rate
+            || self.set.proxies == 0
+            || self.set.groups == 0
+        {
             return;
         }
         let kind = pick(&self.kinds, u[2]);
-        let Some(stated) = self.set.kinds.get(kind) else { return };
+        let Some(stated) = self.set.kinds.get(kind) else {
+            return;
+        };
         let proxy = pick(&self.proxies, u[3]);
         let mut group = pick(&self.groups, u[4]) as u32;
         let own_sessions = self.set.sessions.max(1);
         let number = (u[5] * own_sessions as f64) as u64;
         // A session is of one group and one proxy.
-        let mut session =
-            (proxy as u64 * own_sessions + number) * u64::from(self.set.groups) + u64::from(group) + 1;
+        let mut session = (proxy as u64 * own_sessions + number) * u64::from(self.set.groups)
+            + u64::from(group)
+            + 1;
         if stated.need == Need::Session && u[6] < self.set.after_write {
             let lately = |at: Micros| now.saturating_sub(at) <= 3 * self.set.soon;
-            let recent = self.recent[proxy].iter().rev().take_while(|(.., at)| lately(*at));
+            let recent = self.recent[proxy]
+                .iter()
+                .rev()
+                .take_while(|(.., at)| lately(*at));
             let recent: Vec<(u64, u32)> = recent.map(|(s, g, _)| (*s, *g)).collect();
             if let Some((s, g)) = recent.get((u[5] * recent.len() as f64) as usize) {
                 (session, group) = (*s, *g);
@@ -384,7 +402,8 @@
         let busy = busy * (-((now - since) as f64) / BUSY).exp();
         let room = busy < self.cores;
         let account = self.accounts.get_mut(tenant);
-        let within = account.is_none_or(|account| account.draw_on(now, kind, room) != Drawn::Beyond);
+        let within =
+            account.is_none_or(|account| account.draw_on(now, kind, room) != Drawn::Beyond);
         let work = if within { stated.work.mean / BUSY } else { 0.0 };
         self.busy = (busy + work, now);
         let worth = stated.worth * if within { 1.0 } else { self.set.over_worth };
@@ -409,7 +428,9 @@
     }
 
     fn ask(&mut self, request: u64, now: Micros, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(open) = self.requests.get_mut(&request) else {
+            return;
+        };
         let kind = &self.set.kinds[open.kind];
         let left = (open.came + kind.deadline).saturating_sub(now);
         let (from, to) = self.set.patience;
@@ -448,8 +469,12 @@
     }
 
     fn answered(&mut self, id: TryId, answer: Answer, now: Micros, actions: &mut Vec<Action>) {
-        let Some(request) = self.tries.remove(&id) else { return };
-        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(request) = self.tries.remove(&id) else {
+            return;
+        };
+        let Some(open) = self.requests.get_mut(&request) else {
+            return;
+        };
         open.out = None;
         match answer {
             Answer::Served { commit } => {
@@ -464,18 +489,27 @@
                     }
                 }
                 let took = now - open.came;
-                let part = if took <= kind.aim { 1.0 } else { kind.late_worth };
+                let part = if took <= kind.aim {
+                    1.0
+                } else {
+                    kind.late_worth
+                };
                 let part = if took <= kind.deadline { part } else { 0.0 };
                 let earned = open.worth * part;
                 let (at, room, whole) = (open.kind, self.busy.0 < self.cores, kind.worth * part);
                 let account = self.served.get_mut(open.tenant).filter(|_| part > 0.0);
-                let full = account.is_none_or(|account| account.draw_on(now, at, room) != Drawn::Beyond);
+                let full =
+                    account.is_none_or(|account| account.draw_on(now, at, room) != Drawn::Beyond);
                 let counted = whole * if full { 1.0 } else { self.set.over_worth };
                 self.settle(request, End::Served, (earned, counted), Some(took), actions);
             }
-            Answer::Refused { come_back } => self.ended(request, End::Refused, come_back, now, actions),
+            Answer::Refused { come_back } => {
+                self.ended(request, End::Refused, come_back, now, actions)
+            }
             Answer::Failed => self.ended(request, End::Failed, None, now, actions),
-            Answer::Gone { reached: false } => self.ended(request, End::Refused, None, now, actions),
+            Answer::Gone { reached: false } => {
+                self.ended(request, End::Refused, None, now, actions)
+            }
             Answer::Gone { reached: true } => self.ended(request, End::Failed, None, now, actions),
         }
     }
@@ -489,7 +523,9 @@
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
-        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(open) = self.requests.get_mut(&request) else {
+            return;
+        };
         open.last = end;
         let kind = &self.set.kinds[open.kind];
         // What may have run is asked for again only where that does no harm.
@@ -513,8 +549,18 @@
         took: Option<Micros>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(open) = self.requests.remove(&request) else { return };
-        let Request { kind, tenant, group, came, worth, tries, .. } = open;
+        let Some(open) = self.requests.remove(&request) else {
+            return;
+        };
+        let Request {
+            kind,
+            tenant,
+            group,
+            came,
+            worth,
+            tries,
+            ..
+        } = open;
         actions.push(Action::Settled(Settled {
             request,
             kind,
@@ -541,12 +587,17 @@
 }
 
 fn accounts(set: &Settings) -> Vec<Account> {
-    set.tenants.iter().map(|t| Account::new(t.quota).with(t.credit.clone())).collect()
+    set.tenants
+        .iter()
+        .map(|t| Account::new(t.quota).with(t.credit.clone()))
+        .collect()
 }
 
 /// Parts of the requests that proxies get, in proportion.
 fn proxy_parts(set: &Settings) -> Vec<f64> {
-    let mut parts: Vec<f64> = (0..set.proxies).map(|n| ((n + 1) as f64).powf(-set.unequal)).collect();
+    let mut parts: Vec<f64> = (0..set.proxies)
+        .map(|n| ((n + 1) as f64).powf(-set.unequal))
+        .collect();
     let busy = set.busy.min(parts.len());
     if busy > 0 && busy < parts.len() {
         let (first, others) = parts.split_at_mut(busy);
@@ -561,7 +612,8 @@
 /// The place of a draw among sums of shares.
 fn pick(sums: &[f64], u: f64) -> usize {
     let all = sums.last().copied().unwrap_or(0.0);
-    sums.partition_point(|sum| *sum <= u * all).min(sums.len().saturating_sub(1))
+    sums.partition_point(|sum| *sum <= u * all)
+        .min(sums.len().saturating_sub(1))
 }
 
 /// A number from 0 to 1 that looks random and is the same for the same seed.
--- a/crates/world/src/group.rs
+++ b/crates/world/src/group.rs
@@ -127,7 +127,10 @@
 impl Group {
     pub fn new(set: Settings) -> Group {
         let members = vec![Member::default(); set.members];
-        let side = Side { primary: (set.members > 0).then_some(0), ..Side::default() };
+        let side = Side {
+            primary: (set.members > 0).then_some(0),
+            ..Side::default()
+        };
         Group {
             set,
             members,
@@ -155,10 +158,16 @@
 
     /// Up to when a member has all commits. It never goes back.
     pub fn position(&mut self, member: usize, now: Micros) -> Micros {
-        let Some(state) = self.members.get_mut(member) else { return 0 };
+        let Some(state) = self.members.get_mut(member) else {
+            return 0;
+        };
         let side = &self.sides[state.side];
         // Without a primary the log stands still.
-        let end = if side.primary.is_some() { side.silent.unwrap_or(now) } else { side.log_end };
+        let end = if side.primary.is_some() {
+            side.silent.unwrap_or(now)
+        } else {
+            side.log_end
+        };
         if side.primary == Some(member) {
             return now;
         }
@@ -202,7 +211,9 @@
     }
 
     fn commit(&mut self, primary: usize, now: Micros) {
-        let Some(at) = self.sides.iter().position(|s| s.primary == Some(primary)) else { return };
+        let Some(at) = self.sides.iter().position(|s| s.primary == Some(primary)) else {
+            return;
+        };
         let side = &mut self.sides[at];
         side.last_commit = now.max(side.last_commit + 1);
         let commit = side.last_commit;
@@ -225,13 +236,17 @@
     }
 
     fn silence(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
-        let Some(state) = self.members.get(member).filter(|m| !m.gone) else { return };
+        let Some(state) = self.members.get(member).filter(|m| !m.gone) else {
+            return;
+        };
         let side = state.side;
         if self.sides[side].primary != Some(member) {
             return self.lose(member, now, actions);
         }
         // How far each had it before the log stood still.
-        (0..self.members.len()).filter(|m| *m != member).for_each(|m| _ = self.position(m, now));
+        (0..self.members.len())
+            .filter(|m| *m != member)
+            .for_each(|m| _ = self.position(m, now));
         if self.sides[side].silent.is_none() {
             self.sides[side].silent = Some(now);
             actions.push(Action::DueAt(now + self.set.give_up));
@@ -240,19 +255,27 @@
 
     /// A silent primary is heard of no more by anybody: what it committed since is lost.
     fn give_up(&mut self, side: usize, now: Micros, actions: &mut Vec<Action>) {
-        let (Some(since), Some(member)) = (self.sides[side].silent, self.sides[side].primary) else { return };
+        let (Some(since), Some(member)) = (self.sides[side].silent, self.sides[side].primary)
+        else {
+            return;
+        };
         self.vacate(side, now, now + self.set.take_over, actions);
         self.sides[side].log_end = since;
         self.members[member].gone = true;
         if !self.unheard.is_empty() {
             self.unheard.clear();
-            actions.push(Action::Lost { member, after: since });
+            actions.push(Action::Lost {
+                member,
+                after: since,
+            });
         }
     }
 
     fn lose(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
         let position = self.position(member, now);
-        let Some(state) = self.members.get_mut(member) else { return };
+        let Some(state) = self.members.get_mut(member) else {
+            return;
+        };
         if std::mem::replace(&mut state.gone, true) {
             return;
         }
@@ -262,30 +285,47 @@
         if self.sides[side].primary == Some(member) {
             if let Some(since) = self.sides[side].silent.filter(|_| !self.unheard.is_empty()) {
                 self.unheard.clear();
-                actions.push(Action::Lost { member, after: since });
+                actions.push(Action::Lost {
+                    member,
+                    after: since,
+                });
             }
-            self.vacate(side, now, now + self.set.give_up + self.set.take_over, actions);
+            self.vacate(
+                side,
+                now,
+                now + self.set.give_up + self.set.take_over,
+                actions,
+            );
         }
         self.judge(side, now, actions);
     }
 
     /// The side's log ends here, and somebody takes over then.
     fn vacate(&mut self, side: usize, now: Micros, until: Micros, actions: &mut Vec<Action>) {
-        if let Some(state) = self.sides[side].primary.take().and_then(|old| self.members.get_mut(old)) {
+        if let Some(state) = self.sides[side]
+            .primary
+            .take()
+            .and_then(|old| self.members.get_mut(old))
+        {
             state.applied = now;
         }
         let side = &mut self.sides[side];
-        (side.log_end, side.election, side.steps_down) = (side.silent.unwrap_or(now), Some(until), None);
+        (side.log_end, side.election, side.steps_down) =
+            (side.silent.unwrap_or(now), Some(until), None);
         side.silent = None;
         actions.extend([Action::Vacant, Action::DueAt(until)]);
     }
 
     fn come_back(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
-        let Some(state) = self.members.get_mut(member) else { return };
+        let Some(state) = self.members.get_mut(member) else {
+            return;
+        };
         let at = state.side;
         if self.sides[at].primary == Some(member) && self.sides[at].silent.take().is_some() {
             let unheard = std::mem::take(&mut self.unheard);
-            return unheard.into_iter().for_each(|commit| self.ship(at, member, commit, now));
+            return unheard
+                .into_iter()
+                .for_each(|commit| self.ship(at, member, commit, now));
         }
         if !state.gone {
             return;
@@ -300,7 +340,9 @@
     /// It has to apply what was committed meanwhile; how much that is shows in its distance from the end.
     fn catch_up(&mut self, member: usize, now: Micros) {
         let (ship, apply) = (self.set.ship, self.set.apply);
-        let Some(state) = self.members.get_mut(member) else { return };
+        let Some(state) = self.members.get_mut(member) else {
+            return;
+        };
         let commits = self.sides[state.side].last_commit;
         let missed = commits.saturating_sub(state.applied);
         if missed > 0 {
@@ -318,13 +360,18 @@
     }
 
     fn join(&mut self, copy_age: Micros, now: Micros, actions: &mut Vec<Action>) {
-        self.members.push(Member { applied: now.saturating_sub(copy_age), ..Member::default() });
+        self.members.push(Member {
+            applied: now.saturating_sub(copy_age),
+            ..Member::default()
+        });
         self.catch_up(self.members.len() - 1, now);
         self.call_election(0, now, actions);
     }
 
     fn leave(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
-        let Some(state) = self.members.get_mut(member) else { return };
+        let Some(state) = self.members.get_mut(member) else {
+            return;
+        };
         state.leaving = true;
         let side = state.side;
         if self.sides[side].primary == Some(member) {
@@ -347,8 +394,18 @@
         }
         let with = whole.primary.map_or(0, |p| self.members[p].side);
         let until = now + self.set.give_up + self.set.take_over;
-        let without = Side { primary: None, election: Some(until), steps_down: None, log_end: now, ..whole };
-        self.sides = if with == 0 { [whole, without] } else { [without, whole] };
+        let without = Side {
+            primary: None,
+            election: Some(until),
+            steps_down: None,
+            log_end: now,
+            ..whole
+        };
+        self.sides = if with == 0 {
+            [whole, without]
+        } else {
+            [without, whole]
+        };
         // What is on its way between the sides is lost to those that it was for, until they meet.
         for state in self.members.iter_mut().filter(|m| m.side != with) {
             state.pending.clear();
@@ -360,11 +417,15 @@
 
     /// Members of a side that stand.
     fn standing(&self, side: usize) -> usize {
-        self.members.iter().filter(|m| m.side == side && !m.gone).count()
+        self.members
+            .iter()
+            .filter(|m| m.side == side && !m.gone)
+            .count()
     }
 
     fn is_quorum(&self, side: usize) -> bool {
-        !self.set.quorum || self.standing(side) * 2 > self.members.iter().filter(|m| !m.leaving).count()
+        !self.set.quorum
+            || self.standing(side) * 2 > self.members.iter().filter(|m| !m.leaving).count()
     }
 
     /// A primary that hears too few has so long to hear more.
@@ -378,7 +439,9 @@
     }
 
     fn meet(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some(split_at) = self.split_at.take() else { return };
+        let Some(split_at) = self.split_at.take() else {
+            return;
+        };
         (0..self.members.len()).for_each(|m| _ = self.position(m, now));
         let kept = match (self.sides[0].primary, self.sides[1].primary) {
             (Some(_), Some(_)) => usize::from(self.sides[1].since > self.sides[0].since),
@@ -393,7 +456,10 @@
             let state = &mut self.members[old];
             state.applied = state.applied.max(now);
             if self.sides[other].last_commit > split_at {
-                actions.push(Action::Lost { member: old, after: split_at });
+                actions.push(Action::Lost {
+                    member: old,
+                    after: split_at,
+                });
             }
         }
         let mut side = self.sides[kept];
@@ -413,7 +479,10 @@
 
     fn due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for side in 0..self.sides.len() {
-            if self.sides[side].silent.is_some_and(|at| at + self.set.give_up <= now) {
+            if self.sides[side]
+                .silent
+                .is_some_and(|at| at + self.set.give_up <= now)
+            {
                 self.give_up(side, now, actions);
             }
             if self.sides[side].steps_down.is_some_and(|at| at <= now) {
@@ -433,9 +502,13 @@
             return;
         }
         let may = |m: &Member| m.side == side && !m.gone && !m.leaving;
-        let standing: Vec<usize> = (0..self.members.len()).filter(|m| may(&self.members[*m])).collect();
+        let standing: Vec<usize> = (0..self.members.len())
+            .filter(|m| may(&self.members[*m]))
+            .collect();
         // Of equals the first: every proxy and every run must see the same.
-        let best = standing.into_iter().max_by_key(|m| (self.position(*m, now), Reverse(*m)));
+        let best = standing
+            .into_iter()
+            .max_by_key(|m| (self.position(*m, now), Reverse(*m)));
         let Some(best) = best else { return };
         self.members[best].pending.clear();
         let side = &mut self.sides[side];
--- a/crates/world/src/law.rs
+++ b/crates/world/src/law.rs
@@ -29,7 +29,11 @@
 
 impl Work {
     pub fn new(law: Law, mean: f64) -> Work {
-        Work { law, mean, by_key: 0.0 }
+        Work {
+            law,
+            mean,
+            by_key: 0.0,
+        }
     }
 
     /// Draws for a request of that key.
@@ -43,12 +47,15 @@
                 let law = LogNormal::new(mean.ln() - sigma2 / 2.0, sigma2.sqrt());
                 law.ok().map(|law| law.sample(stream))
             }
-            Law::Pareto { shape } => {
-                Pareto::new(mean * (shape - 1.0) / shape, shape).ok().map(|law| law.sample(stream))
-            }
+            Law::Pareto { shape } => Pareto::new(mean * (shape - 1.0) / shape, shape)
+                .ok()
+                .map(|law| law.sample(stream)),
         };
         // A law that can't be is its mean.
-        drawn.filter(|w| w.is_finite()).unwrap_or(mean).clamp(1.0, 1e12) as Micros
+        drawn
+            .filter(|w| w.is_finite())
+            .unwrap_or(mean)
+            .clamp(1.0, 1e12) as Micros
     }
 
     /// A key's own factor: between 1 - `by_key` and 1 + `by_key`, the same each time, 1 on average.
--- a/crates/world/src/network.rs
+++ b/crates/world/src/network.rs
@@ -17,7 +17,13 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { within: 300, between: 600, jitter: 0.1, loss: 0.0, resend: 200_000 }
+        Settings {
+            within: 300,
+            between: 600,
+            jitter: 0.1,
+            loss: 0.0,
+            resend: 200_000,
+        }
     }
 }
 
@@ -59,7 +65,11 @@
 
 impl Network {
     pub fn new(set: Settings) -> Network {
-        Network { set, cuts: Vec::new(), extra_loss: 0.0 }
+        Network {
+            set,
+            cuts: Vec::new(),
+            extra_loss: 0.0,
+        }
     }
 
     pub fn cut(&mut self, from: End, to: End) {
@@ -79,7 +89,10 @@
 
     /// No cut stands between.
     pub fn passes(&self, from: Spot, to: Spot) -> bool {
-        !self.cuts.iter().any(|(a, b)| from.is_at(*a) && to.is_at(*b))
+        !self
+            .cuts
+            .iter()
+            .any(|(a, b)| from.is_at(*a) && to.is_at(*b))
     }
 
     /// What a message takes; none: it does not come through.
@@ -87,7 +100,11 @@
         if !self.passes(from, to) {
             return None;
         }
-        let way = if from.place == to.place { self.set.within } else { self.set.between };
+        let way = if from.place == to.place {
+            self.set.within
+        } else {
+            self.set.between
+        };
         let jitter = (way as f64 * self.set.jitter * random.random::<f64>()) as Micros;
         let mut took = way + jitter;
         let loss = (self.set.loss + self.extra_loss).min(1.0);
--- a/crates/world/src/server.rs
+++ b/crates/world/src/server.rs
@@ -153,7 +153,12 @@
 
     /// Cores' worth of work that it does with so many requests in work.
     fn power(&self, now: Micros, in_work: usize) -> f64 {
-        let Settings { cores, slots, crowding, .. } = self.set;
+        let Settings {
+            cores,
+            slots,
+            crowding,
+            ..
+        } = self.set;
         let over = (in_work as f64 - cores).max(0.0) / (slots as f64 - cores).max(1.0);
         cores.min(in_work as f64) * (1.0 - crowding * over.min(1.0)) * self.capacity(now)
     }
@@ -210,12 +215,15 @@
 
     fn begin(&mut self, id: u64, work: Micros) {
         let done = self.attained + work as f64;
-        self.work.push(Reverse(((done * 1e3).round() as Service, id)));
+        self.work
+            .push(Reverse(((done * 1e3).round() as Service, id)));
     }
 
     fn fill(&mut self) {
         while self.work.len() < self.set.slots {
-            let Some((id, work)) = self.waiting.pop_front() else { return };
+            let Some((id, work)) = self.waiting.pop_front() else {
+                return;
+            };
             self.begin(id, work);
         }
     }
@@ -225,7 +233,11 @@
         while let Some(&Reverse((done, id))) = self.work.peek() {
             let rate = self.rate(self.now);
             let left = (done as f64 / 1e3 - self.attained).max(0.0);
-            let span = if rate > 0.0 { (left / rate).ceil() } else { f64::INFINITY };
+            let span = if rate > 0.0 {
+                (left / rate).ceil()
+            } else {
+                f64::INFINITY
+            };
             if !self.up || span > (now - self.now) as f64 {
                 break;
             }
@@ -234,7 +246,11 @@
             self.attained = done as f64 / 1e3;
             self.work.pop();
             self.served += 1;
-            actions.push(if self.hung { Action::Untold(id) } else { Action::Done(id) });
+            actions.push(if self.hung {
+                Action::Untold(id)
+            } else {
+                Action::Done(id)
+            });
             self.fill();
         }
         self.attained += self.rate(self.now) * (now - self.now) as f64;
@@ -242,7 +258,9 @@
     }
 
     fn ask_wake(&mut self, actions: &mut Vec<Action>) {
-        let Some(&Reverse((done, _))) = self.work.peek() else { return };
+        let Some(&Reverse((done, _))) = self.work.peek() else {
+            return;
+        };
         let rate = self.rate(self.now);
         if rate <= 0.0 {
             return;
@@ -250,7 +268,10 @@
         let left = (done as f64 / 1e3 - self.attained).max(0.0);
         let mut span = (left / rate).ceil().clamp(1.0, 1e15) as Micros;
         // What it can do grows meanwhile.
-        if self.started.is_some_and(|at| self.now - at < self.set.warm_after) {
+        if self
+            .started
+            .is_some_and(|at| self.now - at < self.set.warm_after)
+        {
             span = span.min(WARMING);
         }
         self.wake += 1;
@@ -259,11 +280,18 @@
 
     /// Whether so much more work can come now and a cold server still has this part of its budget to spare.
     pub fn bears(&self, now: Micros, more: f64, spare: f64) -> bool {
-        let Some(at) = self.started.filter(|at| now.saturating_sub(*at) < self.set.warm_after) else {
+        let Some(at) = self
+            .started
+            .filter(|at| now.saturating_sub(*at) < self.set.warm_after)
+        else {
             return true;
         };
         let length = (self.set.tip_after / WINDOWS as u64).max(1);
-        let passed = if now < at { 0 } else { (now.saturating_sub(self.window_start) / length) as usize };
+        let passed = if now < at {
+            0
+        } else {
+            (now.saturating_sub(self.window_start) / length) as usize
+        };
         let gone = (self.windows.len() + passed).saturating_sub(WINDOWS);
         let came: f64 = self.windows.iter().skip(gone).sum();
         let could = self.capacity(now) * self.set.cores * self.set.tip_after as f64;
@@ -301,8 +329,11 @@
     }
 
     fn die(&mut self, actions: &mut Vec<Action>) {
-        let lost =
-            self.work.drain().map(|Reverse((_, id))| id).chain(self.waiting.drain(..).map(|(id, _)| id));
+        let lost = self
+            .work
+            .drain()
+            .map(|Reverse((_, id))| id)
+            .chain(self.waiting.drain(..).map(|(id, _)| id));
         actions.extend(lost.map(Action::Lost));
         (self.up, self.hung) = (false, false);
         self.wake += 1;
--- a/crates/world/src/site.rs
+++ b/crates/world/src/site.rs
@@ -243,7 +243,10 @@
             let size = set.size(group);
             let first = machines.len() as ServerId;
             members.push((first..first + size as ServerId).collect());
-            groups.push(Group::new(group::Settings { members: size, ..set.group }));
+            groups.push(Group::new(group::Settings {
+                members: size,
+                ..set.group
+            }));
             machines.extend((0..size).map(|member| Machine {
                 server: Server::new(set.server),
                 group: group as u32,
@@ -303,11 +306,14 @@
     }
 
     pub fn is_primary(&self, server: ServerId) -> bool {
-        self.machine(server).is_some_and(|m| self.groups[m.group as usize].is_primary(m.member))
+        self.machine(server)
+            .is_some_and(|m| self.groups[m.group as usize].is_primary(m.member))
     }
 
     pub fn position(&mut self, server: ServerId, now: Micros) -> Micros {
-        let Some(machine) = self.machines.get(server as usize) else { return 0 };
+        let Some(machine) = self.machines.get(server as usize) else {
+            return 0;
+        };
         self.groups[machine.group as usize].position(machine.member, now)
     }
 
@@ -318,7 +324,8 @@
 
     /// It would answer a request.
     pub fn answers(&self, server: ServerId) -> bool {
-        self.machine(server).is_some_and(|m| m.server.up() && !m.server.hung() && m.status == Status::Ready)
+        self.machine(server)
+            .is_some_and(|m| m.server.up() && !m.server.hung() && m.status == Status::Ready)
     }
 
     /// Requests that it holds.
@@ -333,7 +340,8 @@
 
     /// Whether so much more work can come to it, and a cold one still has this part of its budget to spare.
     pub fn bears(&self, server: ServerId, now: Micros, more: f64, spare: f64) -> bool {
-        self.machine(server).is_some_and(|m| m.server.bears(now, more, spare))
+        self.machine(server)
+            .is_some_and(|m| m.server.bears(now, more, spare))
     }
 
     fn machine(&self, server: ServerId) -> Option<&Machine> {
@@ -343,7 +351,9 @@
     /// A connection to a server: whether it takes it. What hangs does.
     pub fn dial(&mut self, server: ServerId, now: Micros, actions: &mut Vec<Action>) -> bool {
         let limit = self.set.connections;
-        let Some(machine) = self.machines.get_mut(server as usize) else { return false };
+        let Some(machine) = self.machines.get_mut(server as usize) else {
+            return false;
+        };
         if !machine.server.up() || machine.connections >= limit {
             return false;
         }
@@ -361,77 +371,148 @@
 
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Request { exchange, server, ask } => self.request(exchange, server, ask, now, actions),
+            Event::Request {
+                exchange,
+                server,
+                ask,
+            } => self.request(exchange, server, ask, now, actions),
             Event::Probe { exchange, server } => self.probe(exchange, server, now, actions),
             Event::Wake(Wake::Server { server, number }) => {
                 self.work(server, server::Event::Wake { number }, now, actions)
             }
-            Event::Wake(Wake::Group(group)) => self.replicate(group, group::Event::Due, now, actions),
+            Event::Wake(Wake::Group(group)) => {
+                self.replicate(group, group::Event::Due, now, actions)
+            }
             Event::Trouble(trouble) => self.trouble(trouble, now, actions),
         }
     }
 
-    fn request(&mut self, exchange: u64, server: ServerId, ask: Ask, now: Micros, actions: &mut Vec<Action>) {
+    fn request(
+        &mut self,
+        exchange: u64,
+        server: ServerId,
+        ask: Ask,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(machine) = self.machines.get(server as usize).filter(|m| m.server.up()) else {
-            return actions.push(Action::Answer { exchange, answer: Answer::Refused, note: None });
+            return actions.push(Action::Answer {
+                exchange,
+                answer: Answer::Refused,
+                note: None,
+            });
         };
-        let (group, member, hung) = (machine.group as usize, machine.member, machine.server.hung());
+        let (group, member, hung) = (
+            machine.group as usize,
+            machine.member,
+            machine.server.hung(),
+        );
         if machine.status != Status::Ready {
             let note = Some(self.note(server, now));
-            return actions.push(Action::Answer { exchange, answer: Answer::Full, note });
+            return actions.push(Action::Answer {
+                exchange,
+                answer: Answer::Full,
+                note,
+            });
         }
         let primary = self.groups[group].is_primary(member);
         let misses = match ask.write {
             Some(_) => !primary,
-            None => self.set.checks && ask.need > 0 && self.groups[group].position(member, now) < ask.need,
+            None => {
+                self.set.checks
+                    && ask.need > 0
+                    && self.groups[group].position(member, now) < ask.need
+            }
         };
         if misses && !hung {
             let note = Some(self.note(server, now));
-            return actions.push(Action::Answer { exchange, answer: Answer::Miss, note });
+            return actions.push(Action::Answer {
+                exchange,
+                answer: Answer::Miss,
+                note,
+            });
         }
         if let Some(key) = ask.write {
             self.writes.insert(exchange, key);
         }
-        self.work(server, server::Event::Arrive { id: exchange, work: ask.work }, now, actions);
+        self.work(
+            server,
+            server::Event::Arrive {
+                id: exchange,
+                work: ask.work,
+            },
+            now,
+            actions,
+        );
     }
 
     fn note(&mut self, server: ServerId, now: Micros) -> Note {
-        Note { primary: self.is_primary(server), position: self.position(server, now) }
+        Note {
+            primary: self.is_primary(server),
+            position: self.position(server, now),
+        }
     }
 
     fn probe(&mut self, exchange: u64, server: ServerId, now: Micros, actions: &mut Vec<Action>) {
         if !self.runs(server) {
-            return actions.push(Action::Report { exchange, report: None });
+            return actions.push(Action::Report {
+                exchange,
+                report: None,
+            });
         }
         self.chore(server, self.set.probe_work, now, actions);
         if self.machines[server as usize].server.hung() {
             return;
         }
         let every = self.set.report_every;
-        let known = self.machines[server as usize].report.filter(|(at, _)| now < at + every);
+        let known = self.machines[server as usize]
+            .report
+            .filter(|(at, _)| now < at + every);
         let report = match known {
             Some((_, report)) => report,
             None => {
                 let Note { primary, position } = self.note(server, now);
                 let machine = &mut self.machines[server as usize];
                 let (queued, in_flight) = (machine.server.waiting(), machine.server.held());
-                let report = Report { position, primary, queued, in_flight };
+                let report = Report {
+                    position,
+                    primary,
+                    queued,
+                    in_flight,
+                };
                 machine.report = Some((now, report));
                 report
             }
         };
-        actions.push(Action::Report { exchange, report: Some(report) });
+        actions.push(Action::Report {
+            exchange,
+            report: Some(report),
+        });
     }
 
     /// Work that nobody waits for.
     fn chore(&mut self, server: ServerId, work: Micros, now: Micros, actions: &mut Vec<Action>) {
         if work > 0 {
             self.chores += 1;
-            self.work(server, server::Event::Arrive { id: self.chores, work }, now, actions);
+            self.work(
+                server,
+                server::Event::Arrive {
+                    id: self.chores,
+                    work,
+                },
+                now,
+                actions,
+            );
         }
     }
 
-    fn work(&mut self, server: ServerId, event: server::Event, now: Micros, actions: &mut Vec<Action>) {
+    fn work(
+        &mut self,
+        server: ServerId,
+        event: server::Event,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
         let mut did = std::mem::take(&mut self.scratch);
         if let Some(machine) = self.machines.get_mut(server as usize) {
             machine.server.handle(now, event, &mut did);
@@ -452,15 +533,25 @@
                 | server::Action::Lost(id)
                     if id >= CHORES => {}
                 server::Action::Done(exchange) => self.done(exchange, server, true, now, actions),
-                server::Action::Untold(exchange) => self.done(exchange, server, false, now, actions),
+                server::Action::Untold(exchange) => {
+                    self.done(exchange, server, false, now, actions)
+                }
                 server::Action::Full(exchange) => {
                     self.writes.remove(&exchange);
                     let note = Some(self.note(server, now));
-                    actions.push(Action::Answer { exchange, answer: Answer::Full, note });
+                    actions.push(Action::Answer {
+                        exchange,
+                        answer: Answer::Full,
+                        note,
+                    });
                 }
                 server::Action::Lost(exchange) => {
                     self.writes.remove(&exchange);
-                    actions.push(Action::Answer { exchange, answer: Answer::Reset, note: None });
+                    actions.push(Action::Answer {
+                        exchange,
+                        answer: Answer::Reset,
+                        note: None,
+                    });
                 }
             }
         }
@@ -468,7 +559,14 @@
     }
 
     /// A request's work is done: a write takes effect, if its server is still the primary, and if nobody hears of it too.
-    fn done(&mut self, exchange: u64, server: ServerId, told: bool, now: Micros, actions: &mut Vec<Action>) {
+    fn done(
+        &mut self,
+        exchange: u64,
+        server: ServerId,
+        told: bool,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
         let machine = &self.machines[server as usize];
         let (group, member) = (machine.group, machine.member);
         let mut note = self.note(server, now);
@@ -477,33 +575,56 @@
             if note.primary {
                 self.replicate(group, group::Event::Commit(member), now, actions);
                 note.position = self.groups[group as usize].last_commit();
-                actions.push(Action::Applied { key, at: note.position });
+                actions.push(Action::Applied {
+                    key,
+                    at: note.position,
+                });
             } else {
                 // It was primary when the write came, and is no longer.
                 answer = Answer::Error;
             }
         }
         if told {
-            actions.push(Action::Answer { exchange, answer, note: Some(note) });
+            actions.push(Action::Answer {
+                exchange,
+                answer,
+                note: Some(note),
+            });
         }
     }
 
-    fn replicate(&mut self, group: u32, event: group::Event<'_>, now: Micros, actions: &mut Vec<Action>) {
-        let Some(state) = self.groups.get_mut(group as usize) else { return };
+    fn replicate(
+        &mut self,
+        group: u32,
+        event: group::Event<'_>,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(state) = self.groups.get_mut(group as usize) else {
+            return;
+        };
         let mut did = Vec::new();
         state.handle(now, event, &mut did);
         let members = &self.members[group as usize];
         actions.extend(did.into_iter().map(|action| match action {
             group::Action::DueAt(at) => Action::WakeAt(at, Wake::Group(group)),
-            group::Action::Primary(member) => Action::Primary { group, server: members[member] },
+            group::Action::Primary(member) => Action::Primary {
+                group,
+                server: members[member],
+            },
             group::Action::Vacant => Action::Vacant { group },
-            group::Action::Lost { member, after } => Action::Undone { server: members[member], after },
+            group::Action::Lost { member, after } => Action::Undone {
+                server: members[member],
+                after,
+            },
         }));
     }
 
     /// A machine that is dead says nothing to its group either.
     fn gone(&mut self, server: ServerId, now: Micros, actions: &mut Vec<Action>) {
-        let Some(machine) = self.machines.get_mut(server as usize) else { return };
+        let Some(machine) = self.machines.get_mut(server as usize) else {
+            return;
+        };
         (machine.connections, machine.report, machine.status) = (0, None, Status::Gone);
         let (group, member) = (machine.group, machine.member);
         self.replicate(group, group::Event::Lose(member), now, actions);
@@ -519,7 +640,11 @@
                 }
             }
             Trouble::Start(server) => {
-                let Some(machine) = self.machines.get_mut(server as usize).filter(|m| !m.server.up()) else {
+                let Some(machine) = self
+                    .machines
+                    .get_mut(server as usize)
+                    .filter(|m| !m.server.up())
+                else {
                     return;
                 };
                 (machine.status, machine.started) = (Status::Ready, now);
@@ -529,24 +654,33 @@
                 actions.push(Action::Changed(server));
             }
             Trouble::Hang { server, on } => {
-                let Some(machine) = self.machines.get(server as usize).filter(|m| m.server.up()) else {
+                let Some(machine) = self.machines.get(server as usize).filter(|m| m.server.up())
+                else {
                     return;
                 };
                 let (group, member) = (machine.group, machine.member);
                 self.work(server, server::Event::Hang(on), now, actions);
-                let event = if on { group::Event::Silence(member) } else { group::Event::Return(member) };
+                let event = if on {
+                    group::Event::Silence(member)
+                } else {
+                    group::Event::Return(member)
+                };
                 self.replicate(group, event, now, actions);
             }
             Trouble::Slow { server, times } => {
                 self.work(server, server::Event::Slow(times), now, actions);
             }
             Trouble::Hold { server, span } => {
-                let Some(machine) = self.machine(server) else { return };
+                let Some(machine) = self.machine(server) else {
+                    return;
+                };
                 let (group, member) = (machine.group, machine.member);
                 self.replicate(group, group::Event::Hold { member, span }, now, actions);
             }
             Trouble::Drain(server) => {
-                let Some(machine) = self.machines.get_mut(server as usize) else { return };
+                let Some(machine) = self.machines.get_mut(server as usize) else {
+                    return;
+                };
                 if machine.status != Status::Ready {
                     return;
                 }
@@ -576,7 +710,10 @@
 
     fn away(&self, group: u32, place: u16) -> Vec<usize> {
         let members = self.members(group).iter().enumerate();
-        members.filter(|(_, server)| self.place(**server) == place).map(|(member, _)| member).collect()
+        members
+            .filter(|(_, server)| self.place(**server) == place)
+            .map(|(member, _)| member)
+            .collect()
     }
 
     fn join(&mut self, group: u32, place: u16, now: Micros, actions: &mut Vec<Action>) {
--- a/crates/world/tests/account.rs
+++ b/crates/world/tests/account.rs
@@ -14,7 +14,8 @@
         let mut room = true;
         for from in (0..=at).rev() {
             counted += u128::from(from == at || verdicts[from]);
-            room &= counted * whole <= depth + u128::from(micro_per_s) * u128::from(times[at] - times[from]);
+            room &= counted * whole
+                <= depth + u128::from(micro_per_s) * u128::from(times[at] - times[from]);
         }
         verdicts[at] != room
     })
--- a/crates/world/tests/groups.rs
+++ b/crates/world/tests/groups.rs
@@ -2,8 +2,15 @@
 
 use world::group::{Action, Event, Group, Settings};
 
-const SET: Settings =
-    Settings { members: 3, ship: 10, apply: 5, give_up: 100, take_over: 200, hand_over: 50, quorum: true };
+const SET: Settings = Settings {
+    members: 3,
+    ship: 10,
+    apply: 5,
+    give_up: 100,
+    take_over: 200,
+    hand_over: 50,
+    quorum: true,
+};
 
 fn acts(group: &mut Group, now: u64, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
@@ -14,14 +21,27 @@
 #[test]
 fn a_replica_follows_the_log_and_falls_behind_a_long_query() {
     let mut group = Group::new(SET);
-    assert_eq!((group.position(0, 1_000), group.position(1, 1_000)), (1_000, 990));
+    assert_eq!(
+        (group.position(0, 1_000), group.position(1, 1_000)),
+        (1_000, 990)
+    );
     acts(&mut group, 1_000, Event::Commit(0));
     // On its way until 1,010 and applied by 1,015; all before it is there.
     assert_eq!(group.position(1, 1_012), 999);
     assert_eq!(group.position(1, 1_015), 1_005);
-    acts(&mut group, 1_020, Event::Hold { member: 2, span: 500 });
+    acts(
+        &mut group,
+        1_020,
+        Event::Hold {
+            member: 2,
+            span: 500,
+        },
+    );
     acts(&mut group, 1_030, Event::Commit(0));
-    assert_eq!((group.position(1, 1_100), group.position(2, 1_100)), (1_090, 1_029));
+    assert_eq!(
+        (group.position(1, 1_100), group.position(2, 1_100)),
+        (1_090, 1_029)
+    );
     assert_eq!(group.position(2, 1_600), 1_590);
 }
 
@@ -40,7 +60,14 @@
 #[test]
 fn a_lost_primary_is_given_up_and_the_best_replica_takes_over() {
     let mut group = Group::new(SET);
-    acts(&mut group, 500, Event::Hold { member: 1, span: 10_000 });
+    acts(
+        &mut group,
+        500,
+        Event::Hold {
+            member: 1,
+            span: 10_000,
+        },
+    );
     acts(&mut group, 600, Event::Commit(0));
     let lost = acts(&mut group, 1_000, Event::Lose(0));
     assert_eq!(lost, [Action::Vacant, Action::DueAt(1_300)]);
@@ -66,7 +93,9 @@
             200 => _ = acts(&mut group, now, Event::Split(&[(now / 700 % 3) as usize])),
             500 => _ = acts(&mut group, now, Event::Meet),
             100 | 400 => _ = acts(&mut group, now, Event::Due),
-            n if n % 7 == 0 => (0..3).for_each(|member| _ = acts(&mut group, now, Event::Commit(member))),
+            n if n % 7 == 0 => {
+                (0..3).for_each(|member| _ = acts(&mut group, now, Event::Commit(member)))
+            }
             250 => _ = acts(&mut group, now, Event::Silence((now / 700 % 3) as usize)),
             333 => _ = acts(&mut group, now, Event::Lose((now / 700 % 3) as usize)),
             600 => _ = acts(&mut group, now, Event::Return((now / 700 % 3) as usize)),
@@ -95,7 +124,10 @@
     let mut group = Group::new(Settings { members: 1, ..SET });
     acts(&mut group, 10, Event::Lose(0));
     assert_eq!(acts(&mut group, 310, Event::Due), []);
-    assert_eq!(acts(&mut group, 400, Event::Return(0)), [Action::DueAt(600)]);
+    assert_eq!(
+        acts(&mut group, 400, Event::Return(0)),
+        [Action::DueAt(600)]
+    );
     assert_eq!(acts(&mut group, 600, Event::Due), [Action::Primary(0)]);
 }
 
@@ -118,15 +150,25 @@
 #[test]
 fn a_member_that_leaves_hands_over_and_takes_no_role() {
     let mut group = Group::new(SET);
-    assert_eq!(acts(&mut group, 100, Event::Leave(0)), [Action::Vacant, Action::DueAt(150)]);
+    assert_eq!(
+        acts(&mut group, 100, Event::Leave(0)),
+        [Action::Vacant, Action::DueAt(150)]
+    );
     assert_eq!(acts(&mut group, 150, Event::Due), [Action::Primary(1)]);
     acts(&mut group, 200, Event::Leave(2));
     acts(&mut group, 200, Event::Lose(1));
-    assert_eq!(acts(&mut group, 500, Event::Due), [], "the others want no role");
+    assert_eq!(
+        acts(&mut group, 500, Event::Due),
+        [],
+        "the others want no role"
+    );
     assert_eq!(group.primary(), None);
     // Started anew it may have one.
     acts(&mut group, 600, Event::Lose(2));
-    assert_eq!(acts(&mut group, 700, Event::Return(2)), [Action::DueAt(900)]);
+    assert_eq!(
+        acts(&mut group, 700, Event::Return(2)),
+        [Action::DueAt(900)]
+    );
     assert_eq!(acts(&mut group, 900, Event::Due), [Action::Primary(2)]);
 }
 
@@ -135,14 +177,20 @@
 #[test]
 fn with_a_quorum_the_lesser_side_steps_down() {
     let mut group = Group::new(SET);
-    assert_eq!(acts(&mut group, 1_000, Event::Split(&[0])), [Action::DueAt(1_300), Action::DueAt(1_100)]);
+    assert_eq!(
+        acts(&mut group, 1_000, Event::Split(&[0])),
+        [Action::DueAt(1_300), Action::DueAt(1_100)]
+    );
     acts(&mut group, 1_050, Event::Commit(0));
     assert!(group.is_primary(0));
     assert_eq!(group.position(1, 1_050), 990, "its side's log stands still");
     assert!(acts(&mut group, 1_100, Event::Due).contains(&Action::Vacant));
     assert!(!group.is_primary(0) && group.primary().is_none());
     assert_eq!(acts(&mut group, 1_300, Event::Due), [Action::Primary(1)]);
-    assert!(acts(&mut group, 1_400, Event::Due).is_empty(), "no quorum, no primary");
+    assert!(
+        acts(&mut group, 1_400, Event::Due).is_empty(),
+        "no quorum, no primary"
+    );
     acts(&mut group, 2_000, Event::Meet);
     assert_eq!((group.primary(), group.is_primary(0)), (Some(1), false));
     assert_eq!(group.position(0, 3_000), 2_990);
@@ -150,7 +198,10 @@
 
 #[test]
 fn without_a_quorum_both_sides_have_one_until_they_meet() {
-    let mut group = Group::new(Settings { quorum: false, ..SET });
+    let mut group = Group::new(Settings {
+        quorum: false,
+        ..SET
+    });
     acts(&mut group, 1_000, Event::Split(&[1, 2]));
     assert_eq!(acts(&mut group, 1_300, Event::Due), [Action::Primary(1)]);
     assert!(group.is_primary(0) && group.is_primary(1));
@@ -158,10 +209,19 @@
     acts(&mut group, 1_500, Event::Commit(0));
     acts(&mut group, 1_600, Event::Commit(1));
     assert_eq!(group.position(2, 1_700), 1_690);
-    assert_eq!(acts(&mut group, 2_000, Event::Meet), [Action::Lost { member: 0, after: 1_000 }]);
+    assert_eq!(
+        acts(&mut group, 2_000, Event::Meet),
+        [Action::Lost {
+            member: 0,
+            after: 1_000
+        }]
+    );
     assert!(!group.is_primary(0) && group.is_primary(1));
     // An older primary that took nothing in loses nothing.
-    let mut group = Group::new(Settings { quorum: false, ..SET });
+    let mut group = Group::new(Settings {
+        quorum: false,
+        ..SET
+    });
     acts(&mut group, 1_000, Event::Split(&[1, 2]));
     acts(&mut group, 1_300, Event::Due);
     assert_eq!(acts(&mut group, 2_000, Event::Meet), []);
@@ -171,12 +231,25 @@
 #[test]
 fn a_silent_primary_keeps_its_role_until_it_is_given_up() {
     let mut group = Group::new(SET);
-    assert_eq!(acts(&mut group, 1_000, Event::Silence(0)), [Action::DueAt(1_100)]);
+    assert_eq!(
+        acts(&mut group, 1_000, Event::Silence(0)),
+        [Action::DueAt(1_100)]
+    );
     acts(&mut group, 1_050, Event::Commit(0));
     assert!(group.is_primary(0));
     assert_eq!(group.position(1, 1_090), 990, "nobody hears of it");
     let given_up = acts(&mut group, 1_100, Event::Due);
-    assert_eq!(given_up, [Action::Vacant, Action::DueAt(1_300), Action::Lost { member: 0, after: 1_000 }]);
+    assert_eq!(
+        given_up,
+        [
+            Action::Vacant,
+            Action::DueAt(1_300),
+            Action::Lost {
+                member: 0,
+                after: 1_000
+            }
+        ]
+    );
     assert_eq!(acts(&mut group, 1_300, Event::Due), [Action::Primary(1)]);
     acts(&mut group, 1_400, Event::Return(0));
     assert_eq!((group.primary(), group.is_primary(0)), (Some(1), false));
--- a/crates/world/tests/queueing.rs
+++ b/crates/world/tests/queueing.rs
@@ -32,7 +32,10 @@
                 came.insert(id, now);
                 if id + 1 < requests {
                     next += gaps.sample(&mut arrivals);
-                    wheel.put(next as Micros, Step::Arrive(id + 1, work.draw(id, &mut works)));
+                    wheel.put(
+                        next as Micros,
+                        Step::Arrive(id + 1, work.draw(id, &mut works)),
+                    );
                 }
                 Event::Arrive { id, work: cost }
             }
@@ -49,39 +52,74 @@
             }
         }
     }
-    assert_eq!(times.len() as u64, requests, "every request is accounted for");
+    assert_eq!(
+        times.len() as u64,
+        requests,
+        "every request is accounted for"
+    );
     // Batches long enough to be nearly independent; the first is not in its steady state.
     let batch = times.len() / 40;
-    let means: Vec<f64> =
-        times.chunks_exact(batch).skip(1).map(|c| c.iter().sum::<f64>() / batch as f64).collect();
+    let means: Vec<f64> = times
+        .chunks_exact(batch)
+        .skip(1)
+        .map(|c| c.iter().sum::<f64>() / batch as f64)
+        .collect();
     let mean = means.iter().sum::<f64>() / means.len() as f64;
     let spread = means.iter().map(|m| (m - mean).powi(2)).sum::<f64>() / (means.len() - 1) as f64;
     (mean, (spread / means.len() as f64).sqrt())
 }
 
 fn plain(cores: usize, slots: usize) -> Settings {
-    Settings { cores: cores as f64, slots, room: usize::MAX, crowding: 0.0, ..Settings::default() }
+    Settings {
+        cores: cores as f64,
+        slots,
+        room: usize::MAX,
+        crowding: 0.0,
+        ..Settings::default()
+    }
 }
 
 /// Within four standard errors, and those small enough to tell.
 fn agrees((mean, error): (f64, f64), expected: f64, what: &str) {
-    assert!(error < 0.04 * expected, "{what}: {mean} +- {error} says little about {expected}");
-    assert!((mean - expected).abs() < 4.0 * error + 2.0, "{what}: {mean} +- {error}, expected {expected}");
+    assert!(
+        error < 0.04 * expected,
+        "{what}: {mean} +- {error} says little about {expected}"
+    );
+    assert!(
+        (mean - expected).abs() < 4.0 * error + 2.0,
+        "{what}: {mean} +- {error}, expected {expected}"
+    );
 }
 
 const MEAN: f64 = 10_000.0;
 
 #[test]
 fn one_core_in_order_is_m_m_1() {
-    let found = sojourn(plain(1, 1), Work::new(Law::Exponential, MEAN), 70.0, 400_000, 1);
+    let found = sojourn(
+        plain(1, 1),
+        Work::new(Law::Exponential, MEAN),
+        70.0,
+        400_000,
+        1,
+    );
     agrees(found, MEAN / (1.0 - 0.7), "M/M/1");
 }
 
 #[test]
 fn one_core_shared_is_m_m_1_too_whatever_the_law() {
     // Processor sharing: the mean depends on the law's mean alone.
-    for (law, seed) in [(Law::Exponential, 2), (Law::Fixed, 3), (Law::LogNormal { variation: 1.5 }, 4)] {
-        let found = sojourn(plain(1, 1_000_000), Work::new(law, MEAN), 60.0, 400_000, seed);
+    for (law, seed) in [
+        (Law::Exponential, 2),
+        (Law::Fixed, 3),
+        (Law::LogNormal { variation: 1.5 }, 4),
+    ] {
+        let found = sojourn(
+            plain(1, 1_000_000),
+            Work::new(law, MEAN),
+            60.0,
+            400_000,
+            seed,
+        );
         agrees(found, MEAN / (1.0 - 0.6), "M/G/1-PS");
     }
 }
@@ -101,8 +139,13 @@
     let last = term(cores) / (1.0 - load);
     let waits = last / ((0..cores).map(term).sum::<f64>() + last);
     let expected = MEAN + waits * MEAN / (cores as f64 * (1.0 - load));
-    let found =
-        sojourn(plain(cores, cores), Work::new(Law::Exponential, MEAN), 1e6 / MEAN * offered, 400_000, 6);
+    let found = sojourn(
+        plain(cores, cores),
+        Work::new(Law::Exponential, MEAN),
+        1e6 / MEAN * offered,
+        400_000,
+        6,
+    );
     agrees(found, expected, "M/M/4");
 }
 
@@ -139,72 +182,165 @@
 #[test]
 fn cores_are_shared_evenly() {
     // Two on one core: each gets half until the first is done.
-    let out = script(plain(1, 4), vec![(0, arrive(1, 1_000)), (0, arrive(2, 3_000))]);
+    let out = script(
+        plain(1, 4),
+        vec![(0, arrive(1, 1_000)), (0, arrive(2, 3_000))],
+    );
     assert_eq!(out, [(2_000, Action::Done(1)), (4_000, Action::Done(2))]);
-    let crowded = Settings { crowding: 0.5, ..plain(1, 2) };
+    let crowded = Settings {
+        crowding: 0.5,
+        ..plain(1, 2)
+    };
     let out = script(crowded, vec![(0, arrive(1, 1_000)), (0, arrive(2, 1_000))]);
-    assert_eq!(out, [(4_000, Action::Done(1)), (4_000, Action::Done(2))], "half of the efficiency is lost");
+    assert_eq!(
+        out,
+        [(4_000, Action::Done(1)), (4_000, Action::Done(2))],
+        "half of the efficiency is lost"
+    );
 }
 
 #[test]
 fn beyond_the_room_requests_are_turned_away() {
-    let set = Settings { room: 1, ..plain(1, 1) };
-    let out = script(set, vec![(0, arrive(1, 500)), (0, arrive(2, 500)), (0, arrive(3, 500))]);
-    assert_eq!(out, [(0, Action::Full(3)), (500, Action::Done(1)), (1_000, Action::Done(2))]);
-    let none = Settings { slots: 0, room: 0, ..plain(1, 1) };
-    assert_eq!(script(none, vec![(0, arrive(1, 500))]), [(0, Action::Full(1))]);
+    let set = Settings {
+        room: 1,
+        ..plain(1, 1)
+    };
+    let out = script(
+        set,
+        vec![
+            (0, arrive(1, 500)),
+            (0, arrive(2, 500)),
+            (0, arrive(3, 500)),
+        ],
+    );
+    assert_eq!(
+        out,
+        [
+            (0, Action::Full(3)),
+            (500, Action::Done(1)),
+            (1_000, Action::Done(2))
+        ]
+    );
+    let none = Settings {
+        slots: 0,
+        room: 0,
+        ..plain(1, 1)
+    };
+    assert_eq!(
+        script(none, vec![(0, arrive(1, 500))]),
+        [(0, Action::Full(1))]
+    );
 }
 
 #[test]
 fn the_dead_lose_what_they_hold_and_the_hung_tell_nobody() {
     let out = script(
         plain(1, 1),
-        vec![(0, arrive(1, 500)), (0, arrive(2, 500)), (100, Event::Die), (200, arrive(3, 1))],
+        vec![
+            (0, arrive(1, 500)),
+            (0, arrive(2, 500)),
+            (100, Event::Die),
+            (200, arrive(3, 1)),
+        ],
+    );
+    assert_eq!(
+        out,
+        [
+            (100, Action::Lost(1)),
+            (100, Action::Lost(2)),
+            (200, Action::Lost(3))
+        ]
     );
-    assert_eq!(out, [(100, Action::Lost(1)), (100, Action::Lost(2)), (200, Action::Lost(3))]);
     let out = script(
         plain(1, 1),
-        vec![(0, arrive(1, 500)), (10, Event::Hang(true)), (600, Event::Hang(false)), (700, arrive(2, 50))],
+        vec![
+            (0, arrive(1, 500)),
+            (10, Event::Hang(true)),
+            (600, Event::Hang(false)),
+            (700, arrive(2, 50)),
+        ],
     );
     assert_eq!(out, [(500, Action::Untold(1)), (750, Action::Done(2))]);
-    let out = script(plain(1, 1), vec![(0, arrive(1, 500)), (100, Event::Slow(2.0))]);
-    assert_eq!(out, [(900, Action::Done(1))], "the rest takes twice as long");
+    let out = script(
+        plain(1, 1),
+        vec![(0, arrive(1, 500)), (100, Event::Slow(2.0))],
+    );
+    assert_eq!(
+        out,
+        [(900, Action::Done(1))],
+        "the rest takes twice as long"
+    );
 }
 
 #[test]
 fn a_cold_server_warms_up_and_collapses_when_it_is_overrun() {
-    let set = Settings { cold: 0.25, warm_after: 1_000_000, tip: 2.0, tip_after: 100_000, ..plain(1, 64) };
+    let set = Settings {
+        cold: 0.25,
+        warm_after: 1_000_000,
+        tip: 2.0,
+        tip_after: 100_000,
+        ..plain(1, 64)
+    };
     // At a quarter, then more: under four times its work, over one.
     let out = script(set, vec![(0, Event::Start), (1, arrive(1, 10_000))]);
-    assert!(matches!(out[..], [(at, Action::Done(1))] if (30_000..41_000).contains(&at)), "{out:?}");
+    assert!(
+        matches!(out[..], [(at, Action::Done(1))] if (30_000..41_000).contains(&at)),
+        "{out:?}"
+    );
     let flood = |gap: Micros| -> Vec<(Micros, Action)> {
         let mut steps = vec![(0, Event::Start)];
         steps.extend((0..100).map(|n| (1_000 + n * gap, arrive(n, 1_500))));
         script(set, steps)
     };
     assert!(
-        flood(2_000).iter().any(|(_, action)| *action == Action::Collapsed),
+        flood(2_000)
+            .iter()
+            .any(|(_, action)| *action == Action::Collapsed),
         "three times what it can do"
     );
-    assert!(flood(5_000).iter().all(|(_, action)| *action != Action::Collapsed));
+    assert!(flood(5_000)
+        .iter()
+        .all(|(_, action)| *action != Action::Collapsed));
 }
 
 #[test]
 fn laws_have_their_means_and_keys_their_own() {
     let mut stream = Streams::new(9).stream("work", 0);
-    for law in [Law::Fixed, Law::Exponential, Law::LogNormal { variation: 2.0 }, Law::Pareto { shape: 3.0 }] {
-        let work = Work { law, mean: MEAN, by_key: 0.5 };
-        let mean = (0..400_000).map(|_| work.draw(stream.random(), &mut stream) as f64).sum::<f64>() / 4e5;
+    for law in [
+        Law::Fixed,
+        Law::Exponential,
+        Law::LogNormal { variation: 2.0 },
+        Law::Pareto { shape: 3.0 },
+    ] {
+        let work = Work {
+            law,
+            mean: MEAN,
+            by_key: 0.5,
+        };
+        let mean = (0..400_000)
+            .map(|_| work.draw(stream.random(), &mut stream) as f64)
+            .sum::<f64>()
+            / 4e5;
         assert!((mean / MEAN - 1.0).abs() < 0.03, "{law:?}: {mean}");
     }
-    let fixed = Work { law: Law::Fixed, mean: MEAN, by_key: 0.5 };
+    let fixed = Work {
+        law: Law::Fixed,
+        mean: MEAN,
+        by_key: 0.5,
+    };
     assert_eq!(fixed.draw(7, &mut stream), fixed.draw(7, &mut stream));
 }
 
 /// Who asks before each arrival whether a cold server bears it never tips it, and comes to what it bears.
 #[test]
 fn a_cold_server_that_is_asked_first_does_not_collapse() {
-    let set = Settings { cold: 0.25, warm_after: 1_000_000, tip: 2.0, tip_after: 100_000, ..plain(4, 64) };
+    let set = Settings {
+        cold: 0.25,
+        warm_after: 1_000_000,
+        tip: 2.0,
+        tip_after: 100_000,
+        ..plain(4, 64)
+    };
     let run = |spare: f64, heeds: bool| {
         let mut server = Server::new(set);
         let mut actions = Vec::new();
--- a/crates/world/tests/site.rs
+++ b/crates/world/tests/site.rs
@@ -2,7 +2,9 @@
 
 use engine::streams::Streams;
 use world::catalog::{self, Catalog, Record};
-use world::clients::{self, Answer as Told, Clients, Due, End as Ended, Kind, Need, Repeat, Tenant};
+use world::clients::{
+    self, Answer as Told, Clients, Due, End as Ended, Kind, Need, Repeat, Tenant,
+};
 use world::law::{Law, Work};
 use world::network::{self, End, Network, Spot};
 use world::site::{self, Action, Answer, Ask, Event, Site, Status, Trouble, Wake};
@@ -11,7 +13,10 @@
 const SECOND: Micros = 1_000_000;
 
 fn site() -> Site {
-    Site::new(site::Settings { groups: 2, ..site::Settings::default() })
+    Site::new(site::Settings {
+        groups: 2,
+        ..site::Settings::default()
+    })
 }
 
 /// Drives a site alone: all that it asks to be woken for, up to a time.
@@ -23,7 +28,11 @@
 
 impl Alone {
     fn new(site: Site) -> Alone {
-        Alone { site, wakes: Vec::new(), said: Vec::new() }
+        Alone {
+            site,
+            wakes: Vec::new(),
+            said: Vec::new(),
+        }
     }
 
     fn tell(&mut self, now: Micros, event: Event) {
@@ -49,20 +58,37 @@
 
     fn answer(&self, wanted: u64) -> Option<Answer> {
         self.said.iter().find_map(|(_, action)| match action {
-            Action::Answer { exchange, answer, .. } if *exchange == wanted => Some(*answer),
+            Action::Answer {
+                exchange, answer, ..
+            } if *exchange == wanted => Some(*answer),
             _ => None,
         })
     }
 
     fn request(&mut self, now: Micros, exchange: u64, server: u32, ask: Ask) {
-        self.tell(now, Event::Request { exchange, server, ask });
+        self.tell(
+            now,
+            Event::Request {
+                exchange,
+                server,
+                ask,
+            },
+        );
     }
 }
 
-const READ: Ask = Ask { write: None, need: 0, work: 50_000 };
+const READ: Ask = Ask {
+    write: None,
+    need: 0,
+    work: 50_000,
+};
 
 fn write(key: u64) -> Ask {
-    Ask { write: Some(key), need: 0, work: 100_000 }
+    Ask {
+        write: Some(key),
+        need: 0,
+        work: 100_000,
+    }
 }
 
 #[test]
@@ -71,16 +97,31 @@
     alone.request(SECOND, 1, 0, write(7));
     alone.request(SECOND, 2, 1, write(8));
     alone.request(SECOND, 3, 1, READ);
-    alone.request(SECOND, 4, 1, Ask { need: SECOND, ..READ });
+    alone.request(
+        SECOND,
+        4,
+        1,
+        Ask {
+            need: SECOND,
+            ..READ
+        },
+    );
     alone.request(SECOND, 5, 99, READ);
     alone.until(2 * SECOND);
     assert_eq!(alone.answer(1), Some(Answer::Ok));
-    assert_eq!(alone.answer(2), Some(Answer::Miss), "a replica takes no write");
+    assert_eq!(
+        alone.answer(2),
+        Some(Answer::Miss),
+        "a replica takes no write"
+    );
     assert_eq!(alone.answer(3), Some(Answer::Ok));
     assert_eq!(alone.answer(4), Some(Answer::Miss), "it is 8 ms behind");
     assert_eq!(alone.answer(5), Some(Answer::Refused));
-    let applied: Vec<_> =
-        alone.said.iter().filter(|(_, a)| matches!(a, Action::Applied { key: 7, .. })).collect();
+    let applied: Vec<_> = alone
+        .said
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Applied { key: 7, .. }))
+        .collect();
     assert_eq!(applied.len(), 1);
 }
 
@@ -88,13 +129,23 @@
 fn a_write_at_a_primary_that_hangs_may_run_and_is_never_answered() {
     let mut alone = Alone::new(site());
     alone.request(SECOND, 1, 0, write(7));
-    alone.tell(SECOND + 10_000, Event::Trouble(Trouble::Hang { server: 0, on: true }));
+    alone.tell(
+        SECOND + 10_000,
+        Event::Trouble(Trouble::Hang {
+            server: 0,
+            on: true,
+        }),
+    );
     alone.request(SECOND + 20_000, 2, 0, READ);
     alone.until(20 * SECOND);
     assert_eq!((alone.answer(1), alone.answer(2)), (None, None));
     let said = |wanted: fn(&Action) -> bool| alone.said.iter().filter(|(_, a)| wanted(a)).count();
     assert_eq!(said(|a| matches!(a, Action::Applied { .. })), 1);
-    assert_eq!(said(|a| matches!(a, Action::Undone { server: 0, .. })), 1, "nobody had heard of it");
+    assert_eq!(
+        said(|a| matches!(a, Action::Undone { server: 0, .. })),
+        1,
+        "nobody had heard of it"
+    );
     assert_eq!(said(|a| matches!(a, Action::Primary { group: 0, .. })), 1);
     assert!(alone.site.primary(0) != Some(0) && alone.site.primary(1) == Some(5));
 }
@@ -107,24 +158,46 @@
     alone.request(SECOND + 20, 2, 0, READ);
     assert_eq!(alone.answer(2), Some(Answer::Full), "nothing new");
     alone.until(2 * SECOND);
-    assert_eq!(alone.answer(1), Some(Answer::Error), "its role had gone when the work was done");
+    assert_eq!(
+        alone.answer(1),
+        Some(Answer::Error),
+        "its role had gone when the work was done"
+    );
     assert_eq!(alone.site.status(0), Status::Draining);
     alone.tell(2 * SECOND, Event::Trouble(Trouble::Retire(0)));
-    alone.tell(2 * SECOND, Event::Trouble(Trouble::Join { group: 0, place: 0 }));
+    alone.tell(
+        2 * SECOND,
+        Event::Trouble(Trouble::Join { group: 0, place: 0 }),
+    );
     let new = alone.site.servers().end - 1;
-    assert_eq!((alone.site.group(new), alone.site.started(new)), (0, 2 * SECOND));
-    assert!(alone.site.capacity(new, 2 * SECOND) < 0.2 && alone.site.position(new, 2 * SECOND) < 2 * SECOND);
+    assert_eq!(
+        (alone.site.group(new), alone.site.started(new)),
+        (0, 2 * SECOND)
+    );
+    assert!(
+        alone.site.capacity(new, 2 * SECOND) < 0.2
+            && alone.site.position(new, 2 * SECOND) < 2 * SECOND
+    );
     let changed: Vec<_> = alone
         .said
         .iter()
-        .filter_map(|(_, a)| if let Action::Changed(s) = a { Some(*s) } else { None })
+        .filter_map(|(_, a)| {
+            if let Action::Changed(s) = a {
+                Some(*s)
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(changed, [0, 0, new]);
 }
 
 #[test]
 fn connections_are_bounded_and_end_with_their_server() {
-    let set = site::Settings { connections: 3, ..site::Settings::default() };
+    let set = site::Settings {
+        connections: 3,
+        ..site::Settings::default()
+    };
     let mut site = Site::new(set);
     let mut actions = Vec::new();
     let taken = (0..5).filter(|_| site.dial(0, 10, &mut actions)).count();
@@ -145,8 +218,18 @@
 
 #[test]
 fn the_list_is_late_and_works_through_its_calls_in_turn() {
-    let record = |server, status| Record { server, group: 0, place: 0, status, started: 0 };
-    let set = catalog::Settings { late: 1_000, call: 100, patience: 250 };
+    let record = |server, status| Record {
+        server,
+        group: 0,
+        place: 0,
+        status,
+        started: 0,
+    };
+    let set = catalog::Settings {
+        late: 1_000,
+        call: 100,
+        patience: 250,
+    };
     let mut list = Catalog::new(set, (0..3).map(|s| record(s, Status::Ready)));
     for caller in 0..5 {
         told(&mut list, 0, catalog::Event::Watch { caller, after: 0 });
@@ -155,25 +238,52 @@
     for now in (100..=600).step_by(100) {
         answered.extend(told(&mut list, now, catalog::Event::Due));
     }
-    let complete =
-        answered.iter().filter(|a| matches!(a, catalog::Action::Tell { complete: true, .. })).count();
-    let failed = answered.iter().filter(|a| matches!(a, catalog::Action::Fail(_))).count();
+    let complete = answered
+        .iter()
+        .filter(|a| matches!(a, catalog::Action::Tell { complete: true, .. }))
+        .count();
+    let failed = answered
+        .iter()
+        .filter(|a| matches!(a, catalog::Action::Fail(_)))
+        .count();
     assert_eq!((complete, failed), (2, 3), "those who waited too long fail");
-    told(&mut list, 1_000, catalog::Event::Changed(record(1, Status::Gone)));
+    told(
+        &mut list,
+        1_000,
+        catalog::Event::Changed(record(1, Status::Gone)),
+    );
     assert_eq!(told(&mut list, 1_999, catalog::Event::Due), []);
     let news = told(&mut list, 2_000, catalog::Event::Due);
     assert_eq!(news.len(), 2, "each who watches: {news:?}");
     assert_eq!(list.records().count(), 2);
     // Down, all watches end; up again, a watch goes on from where it was.
     assert_eq!(told(&mut list, 2_100, catalog::Event::Down(true)).len(), 2);
-    told(&mut list, 2_200, catalog::Event::Changed(record(2, Status::Draining)));
+    told(
+        &mut list,
+        2_200,
+        catalog::Event::Changed(record(2, Status::Draining)),
+    );
     told(&mut list, 3_300, catalog::Event::Due);
     assert!(matches!(
-        told(&mut list, 3_300, catalog::Event::Watch { caller: 0, after: 2 })[..],
+        told(
+            &mut list,
+            3_300,
+            catalog::Event::Watch {
+                caller: 0,
+                after: 2
+            }
+        )[..],
         [catalog::Action::Fail(0)]
     ));
     told(&mut list, 3_400, catalog::Event::Down(false));
-    told(&mut list, 3_400, catalog::Event::Watch { caller: 0, after: 2 });
+    told(
+        &mut list,
+        3_400,
+        catalog::Event::Watch {
+            caller: 0,
+            after: 2,
+        },
+    );
     let news = told(&mut list, 3_500, catalog::Event::Due);
     assert!(
         matches!(&news[..], [catalog::Action::Tell { complete: false, records, .. }] if records.len() == 1),
@@ -184,20 +294,55 @@
 #[test]
 fn cuts_may_go_one_way_and_losses_cost_resends() {
     let mut random = Streams::new(1).stream("network", 0);
-    let set = network::Settings { jitter: 0.0, ..network::Settings::default() };
+    let set = network::Settings {
+        jitter: 0.0,
+        ..network::Settings::default()
+    };
     let mut network = Network::new(set);
-    let proxy = Spot { place: 0, proxy: Some(3) };
-    let server = Spot { place: 1, proxy: None };
+    let proxy = Spot {
+        place: 0,
+        proxy: Some(3),
+    };
+    let server = Spot {
+        place: 1,
+        proxy: None,
+    };
     assert_eq!(network.one_way(proxy, server, &mut random), Some(600));
-    assert_eq!(network.one_way(proxy, Spot { place: 0, proxy: None }, &mut random), Some(300));
+    assert_eq!(
+        network.one_way(
+            proxy,
+            Spot {
+                place: 0,
+                proxy: None
+            },
+            &mut random
+        ),
+        Some(300)
+    );
     network.cut(End::Proxy(3), End::Place(1));
     assert_eq!(network.one_way(proxy, server, &mut random), None);
-    assert_eq!(network.one_way(server, proxy, &mut random), Some(600), "the other way passes");
-    assert_eq!(network.one_way(Spot { place: 0, proxy: Some(2) }, server, &mut random), Some(600));
+    assert_eq!(
+        network.one_way(server, proxy, &mut random),
+        Some(600),
+        "the other way passes"
+    );
+    assert_eq!(
+        network.one_way(
+            Spot {
+                place: 0,
+                proxy: Some(2)
+            },
+            server,
+            &mut random
+        ),
+        Some(600)
+    );
     network.heal(End::Proxy(3), End::Place(1));
     assert_eq!(network.one_way(proxy, server, &mut random), Some(600));
     network.set_extra_loss(0.25);
-    let took: Vec<Micros> = (0..20_000).filter_map(|_| network.one_way(proxy, server, &mut random)).collect();
+    let took: Vec<Micros> = (0..20_000)
+        .filter_map(|_| network.one_way(proxy, server, &mut random))
+        .collect();
     let resent = took.iter().filter(|t| **t > 600).count() as f64 / took.len() as f64;
     assert!((0.24..0.26).contains(&resent), "{resent}");
     assert!(took.contains(&(600 + 200_000 + 400_000)));
@@ -223,7 +368,12 @@
 }
 
 fn settings() -> clients::Settings {
-    let tenant = |name: &str, share, quota| Tenant { name: name.into(), share, quota, credit: None };
+    let tenant = |name: &str, share, quota| Tenant {
+        name: name.into(),
+        share,
+        quota,
+        credit: None,
+    };
     clients::Settings {
         kinds: kinds(),
         tenants: vec![tenant("a", 0.75, 0.0), tenant("b", 0.25, 10.0)],
@@ -282,13 +432,25 @@
 
 fn asked(all: &[(Micros, clients::Action)]) -> Vec<(Micros, clients::Try)> {
     all.iter()
-        .filter_map(|(at, a)| if let clients::Action::Ask(t) = a { Some((*at, *t)) } else { None })
+        .filter_map(|(at, a)| {
+            if let clients::Action::Ask(t) = a {
+                Some((*at, *t))
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
 fn settled(all: &[(Micros, clients::Action)]) -> Vec<clients::Settled> {
     all.iter()
-        .filter_map(|(_, a)| if let clients::Action::Settled(s) = a { Some(*s) } else { None })
+        .filter_map(|(_, a)| {
+            if let clients::Action::Settled(s) = a {
+                Some(*s)
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
@@ -299,7 +461,11 @@
     // 5,000 in the first half, 10,000 in the second; two standard deviations are about 140 and 200.
     let early = asked.iter().filter(|(at, _)| *at < 50 * SECOND).count();
     assert!((4_800..5_200).contains(&early), "{early}");
-    assert!((9_700..10_300).contains(&(asked.len() - early)), "{}", asked.len());
+    assert!(
+        (9_700..10_300).contains(&(asked.len() - early)),
+        "{}",
+        asked.len()
+    );
     let part = |fits: &dyn Fn(&clients::Try) -> bool| {
         asked.iter().filter(|(_, t)| fits(t)).count() as f64 / asked.len() as f64
     };
@@ -309,9 +475,14 @@
     assert!((part(&|t| t.proxy == 0) - 6.0 / 11.0).abs() < 0.015);
     let settled = settled(&all);
     assert_eq!(settled.len(), asked.len());
-    assert!(settled.iter().all(|s| s.end == Ended::Served && s.earned == s.worth));
+    assert!(settled
+        .iter()
+        .all(|s| s.end == Ended::Served && s.earned == s.worth));
     // Of tenant b only ten a second count in full.
-    let full = settled.iter().filter(|s| s.tenant == 1 && s.worth == 2.0).count();
+    let full = settled
+        .iter()
+        .filter(|s| s.tenant == 1 && s.worth == 2.0)
+        .count();
     assert!((980..1_020).contains(&full), "{full}");
 }
 
@@ -319,26 +490,57 @@
 fn only_what_does_no_harm_is_asked_for_again() {
     let all = play(settings(), |_| Some(Told::Failed), 2);
     assert!(asked(&all).iter().all(|(_, t)| t.kind != 2 || !t.repeated));
-    let tries = settled(&all).iter().filter(|s| s.kind == 0).map(|s| s.tries).max();
+    let tries = settled(&all)
+        .iter()
+        .filter(|s| s.kind == 0)
+        .map(|s| s.tries)
+        .max();
     assert_eq!(tries, Some(4), "three further ones");
-    let refused = play(settings(), |_| Some(Told::Refused { come_back: Some(300_000) }), 2);
-    let writes: Vec<_> = asked(&refused).into_iter().filter(|(_, t)| t.kind == 2).collect();
-    assert!(writes.iter().any(|(_, t)| t.repeated), "a refusal is harmless");
+    let refused = play(
+        settings(),
+        |_| {
+            Some(Told::Refused {
+                come_back: Some(300_000),
+            })
+        },
+        2,
+    );
+    let writes: Vec<_> = asked(&refused)
+        .into_iter()
+        .filter(|(_, t)| t.kind == 2)
+        .collect();
+    assert!(
+        writes.iter().any(|(_, t)| t.repeated),
+        "a refusal is harmless"
+    );
     // They come back as told, spread by a half to both sides.
     let (at, first) = writes[0];
-    let (back, _) = writes.iter().find(|(b, t)| t.request == first.request && *b > at).unwrap();
-    assert!((at + 60_000 + 150_000..=at + 60_000 + 450_000).contains(back), "{}", back - at);
+    let (back, _) = writes
+        .iter()
+        .find(|(b, t)| t.request == first.request && *b > at)
+        .unwrap();
+    assert!(
+        (at + 60_000 + 150_000..=at + 60_000 + 450_000).contains(back),
+        "{}",
+        back - at
+    );
     let left = play(settings(), |_| None, 3);
-    assert!(settled(&left).iter().all(|s| s.end == Ended::Left && s.earned == 0.0));
+    assert!(settled(&left)
+        .iter()
+        .all(|s| s.end == Ended::Left && s.earned == 0.0));
     // A try is given 40 to 100 percent of the deadline, and no request is tried beyond it.
-    assert!(asked(&left).iter().all(|(_, t)| t.wait <= SECOND && (t.repeated || t.wait >= 400_000)));
+    assert!(asked(&left)
+        .iter()
+        .all(|(_, t)| t.wait <= SECOND && (t.repeated || t.wait >= 400_000)));
 }
 
 #[test]
 fn what_is_asked_does_not_depend_on_the_answers() {
     let first = |all: &[(Micros, clients::Action)]| -> Vec<(Micros, usize, usize, usize)> {
         let tries = asked(all).into_iter().filter(|(_, t)| !t.repeated);
-        tries.map(|(at, t)| (at, t.kind, t.proxy, t.tenant)).collect()
+        tries
+            .map(|(at, t)| (at, t.kind, t.proxy, t.tenant))
+            .collect()
     };
     let served = play(settings(), |_| Some(Told::Served { commit: 0 }), 5);
     let failed = play(settings(), |_| Some(Told::Failed), 5);
@@ -347,8 +549,19 @@
 
 #[test]
 fn sessions_read_soon_after_they_wrote() {
-    let all = play(settings(), |t| Some(Told::Served { commit: if t.kind == 2 { 9 } else { 0 } }), 6);
-    let reads: Vec<_> = asked(&all).into_iter().filter(|(_, t)| t.kind == 1).collect();
+    let all = play(
+        settings(),
+        |t| {
+            Some(Told::Served {
+                commit: if t.kind == 2 { 9 } else { 0 },
+            })
+        },
+        6,
+    );
+    let reads: Vec<_> = asked(&all)
+        .into_iter()
+        .filter(|(_, t)| t.kind == 1)
+        .collect();
     let told = reads.iter().filter(|(_, t)| t.wrote > 0).count();
     assert!(told * 2 > reads.len(), "{told} of {}", reads.len());
 }
@@ -357,22 +570,45 @@
 fn whose_proxy_is_down_goes_to_another() {
     let mut clients = Clients::new(settings(), &Streams::new(1));
     let mut actions = Vec::new();
-    clients.handle(0, clients::Event::Proxy { proxy: 0, up: false }, &mut actions);
+    clients.handle(
+        0,
+        clients::Event::Proxy {
+            proxy: 0,
+            up: false,
+        },
+        &mut actions,
+    );
     clients.handle(0, clients::Event::Start, &mut actions);
     for _ in 0..2_000 {
         clients.handle(1_000, clients::Event::Due(Due::Arrival), &mut actions);
     }
-    let tries =
-        actions.iter().filter_map(|a| if let clients::Action::Ask(t) = a { Some(t.proxy) } else { None });
+    let tries = actions.iter().filter_map(|a| {
+        if let clients::Action::Ask(t) = a {
+            Some(t.proxy)
+        } else {
+            None
+        }
+    });
     let tries: Vec<usize> = tries.collect();
     assert!(!tries.is_empty() && tries.iter().all(|proxy| *proxy != 0));
 }
 
 #[test]
 fn busy_proxies_carry_their_part() {
-    let set = clients::Settings { busy: 1, busy_carry: 0.8, unequal: 0.0, ..settings() };
+    let set = clients::Settings {
+        busy: 1,
+        busy_carry: 0.8,
+        unequal: 0.0,
+        ..settings()
+    };
     let asked = asked(&play(set, |_| Some(Told::Served { commit: 0 }), 2));
-    let part = |proxy| asked.iter().filter(|(_, t)| t.proxy == proxy).count() as f64 / asked.len() as f64;
+    let part =
+        |proxy| asked.iter().filter(|(_, t)| t.proxy == proxy).count() as f64 / asked.len() as f64;
     // Three standard deviations are 0.01.
-    assert!((part(0) - 0.8).abs() < 0.01 && (part(1) - 0.1).abs() < 0.01, "{} {}", part(0), part(1));
+    assert!(
+        (part(0) - 0.8).abs() < 0.01 && (part(1) - 0.1).abs() < 0.01,
+        "{} {}",
+        part(0),
+        part(1)
+    );
 }
--- a/fuzz/fuzz_targets/datagram.rs
+++ b/fuzz/fuzz_targets/datagram.rs
@@ -19,7 +19,10 @@
     }
     signed.extend(&Sha256::digest(KEY)[..4]);
     signed.extend(bytes.get(2..).unwrap_or_default());
-    let mac = Hmac::<Sha256>::new_from_slice(&KEY).expect("any length").chain_update(&signed).finalize();
+    let mac = Hmac::<Sha256>::new_from_slice(&KEY)
+        .expect("any length")
+        .chain_update(&signed)
+        .finalize();
     signed.extend(&mac.into_bytes()[..16]);
     if let Ok(opened) = opener.open(&signed) {
         assert!(opened.from.len() <= NAME_LIMIT && opened.payload.len() <= PAYLOAD_LIMIT);
--- a/fuzz/fuzz_targets/lending.rs
+++ b/fuzz/fuzz_targets/lending.rs
@@ -21,14 +21,33 @@
 }
 
 fn founded(core: &mut Core) -> Vec<Action> {
-    let mut founders = NAMES.map(|name| Id { name: number(name), from: 1 });
+    let mut founders = NAMES.map(|name| Id {
+        name: number(name),
+        from: 1,
+    });
     founders.sort_unstable();
-    let head = Head { founders: digest(&founders), memory: 1, lane: 1, life: 1 };
+    let head = Head {
+        founders: digest(&founders),
+        memory: 1,
+        lane: 1,
+        life: 1,
+    };
     let members = founders.iter().map(|id| (id.name, 0)).collect();
-    let body = encode(&Founded { head, least: 1, members }).expect("five fit");
+    let body = encode(&Founded {
+        head,
+        least: 1,
+        members,
+    })
+    .expect("five fit");
     let mut actions = Vec::new();
-    let fact =
-        Event::Fact { source: "b", start: 1, kind: FOUNDED, key: &[], body: &body, age: Duration::ZERO };
+    let fact = Event::Fact {
+        source: "b",
+        start: 1,
+        kind: FOUNDED,
+        key: &[],
+        body: &body,
+        age: Duration::ZERO,
+    };
     core.handle(Duration::ZERO, fact, &mut actions);
     actions
 }
@@ -46,20 +65,38 @@
         classes: vec!["class".into()],
         rate_most: 10_000,
     };
-    let rules = Rules::new(vec![(STAND.into(), rule)], Duration::from_secs(120)).expect("the rule is sound");
+    let rules = Rules::new(vec![(STAND.into(), rule)], Duration::from_secs(120))
+        .expect("the rule is sound");
     let (roster, mut actions, mut token) = (NAMES.map(String::from), Vec::new(), 0);
-    let members = NAMES.map(|name| Member { name: name.into(), start: 1, up: true });
-    let view = Event::View { lend: true, roster: &roster, members: &members };
+    let members = NAMES.map(|name| Member {
+        name: name.into(),
+        start: 1,
+        up: true,
+    });
+    let view = Event::View {
+        lend: true,
+        roster: &roster,
+        members: &members,
+    };
     core.handle(Duration::ZERO, view, &mut actions);
     core.handle(Duration::ZERO, Event::Rules(rules), &mut actions);
     actions.extend(founded(&mut core));
     let mut now = Duration::ZERO;
     while let Some(said) = part(&mut bytes) {
         now += Duration::from_millis(said.len() as u64 * 7);
-        let Some(([kind, start], body)) = said.split_first_chunk::<2>() else { continue };
+        let Some(([kind, start], body)) = said.split_first_chunk::<2>() else {
+            continue;
+        };
         let (kind, start) = (PULSE + kind % KINDS, u64::from(*start));
         let key = number(STAND).to_le_bytes();
-        let fact = Event::Fact { source: "b", start, kind, key: &key, body, age: Duration::ZERO };
+        let fact = Event::Fact {
+            source: "b",
+            start,
+            kind,
+            key: &key,
+            body,
+            age: Duration::ZERO,
+        };
         core.handle(now, fact, &mut actions);
         core.handle(now, Event::Timer(token), &mut actions);
         let asked = core.ask(now, STAND, "class", 1_000, &mut actions);
@@ -69,7 +106,9 @@
             next += 1;
             match action {
                 Action::Tell { body, .. } => assert!(body.len() <= BODY_BYTES),
-                Action::Save { sequence, .. } => core.handle(now, Event::Saved(sequence), &mut actions),
+                Action::Save { sequence, .. } => {
+                    core.handle(now, Event::Saved(sequence), &mut actions)
+                }
                 Action::Timer { token: new, .. } => token = new,
                 Action::Notice(_) => {}
             }
--- a/fuzz/fuzz_targets/memory.rs
+++ b/fuzz/fuzz_targets/memory.rs
@@ -5,7 +5,10 @@
 use std::time::Duration;
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
-    let Ok((recalled, Some(found))) = recall("n0", Some(bytes), After::Nobody { platform: None }) else { return };
+    let Ok((recalled, Some(found))) = recall("n0", Some(bytes), After::Nobody { platform: None })
+    else {
+        return;
+    };
     assert_eq!(recalled.start, found.start);
     let mut core = Core::new("n0", Duration::ZERO, Some(found));
     let mut actions = Vec::new();
@@ -13,7 +16,8 @@
     core.handle(Duration::ZERO, Event::Start(u64::MAX), &mut actions);
     for action in actions {
         if let Action::Save(bytes) = action {
-            let (again, _) = recall("n0", Some(&bytes), After::Elder).expect("what is written is read");
+            let (again, _) =
+                recall("n0", Some(&bytes), After::Elder).expect("what is written is read");
             assert_eq!(again.start, u64::MAX);
             assert!(bytes.len() < LIST_MOST * 2 + HANDS_MOST * 400);
         }
--- a/fuzz/fuzz_targets/rollout.rs
+++ b/fuzz/fuzz_targets/rollout.rs
@@ -5,8 +5,14 @@
 use rollout::{Action, Class, Config, Core, Event, Limits, Look, Peer, Told, BODY_BYTES, KINDS};
 use std::time::Duration;
 
-const FLEET: [(&str, &str); 6] =
-    [("a", "east"), ("b", "east"), ("c", "east"), ("d", "west"), ("e", "west"), ("f", "west")];
+const FLEET: [(&str, &str); 6] = [
+    ("a", "east"),
+    ("b", "east"),
+    ("c", "east"),
+    ("d", "west"),
+    ("e", "west"),
+    ("f", "west"),
+];
 /// The host reads no longer state file.
 const STATE_BYTES: usize = 16 << 10;
 
@@ -31,8 +37,16 @@
     };
     let (dark, lasts) = (Duration::from_secs(60), Duration::from_secs(10));
     let stored = part(&mut bytes).map(<[u8]>::to_vec);
-    let config =
-        Config { name: "a".into(), start: 1, heir: false, base: [0; 32], limits, dark, lasts, stored };
+    let config = Config {
+        name: "a".into(),
+        start: 1,
+        heir: false,
+        base: [0; 32],
+        limits,
+        dark,
+        lasts,
+        stored,
+    };
     let mut core = Core::new(config, Duration::ZERO);
     let peer = |(name, region): &(&str, &str)| Peer {
         name: (*name).into(),
@@ -49,9 +63,18 @@
         let look = Look {
             peers: FLEET.iter().map(peer).collect(),
             promote: ["east", "west"].map(String::from).into(),
-            facts: vec![Told { source: "b".into(), start: 1, kind, body }],
+            facts: vec![Told {
+                source: "b".into(),
+                start: 1,
+                kind,
+                body,
+            }],
             counts: Vec::new(),
-            total: Class { class: 0, asked: 1_000, lost: 20 },
+            total: Class {
+                class: 0,
+                asked: 1_000,
+                lost: 20,
+            },
         };
         let (mut actions, mut next) = (Vec::new(), 0);
         core.handle(now, Event::Look(look), &mut actions);
--- a/fuzz/fuzz_targets/text.rs
+++ b/fuzz/fuzz_targets/text.rs
@@ -20,7 +20,9 @@
     if first.sound() {
         _ = shadow::check(&first.model, None);
     }
-    let Ok(text) = std::str::from_utf8(bytes) else { return };
+    let Ok(text) = std::str::from_utf8(bytes) else {
+        return;
+    };
     if let Some(tidy) = format(text) {
         assert_eq!(format(&tidy).as_ref(), Some(&tidy));
         if first.sound() {
