--- a/crates/peers/tests/envelope.rs
+++ b/crates/datagram-auth/tests/envelope.rs
@@ -1,8 +1,8 @@
 //! The envelope from outside: what is refused and why, whatever is done to a datagram, and bytes of version 1 that
 //! every later build must read.
 
+use datagram_auth::{KeyError, Keys, Opener, Refused, SealError, Sealer, MEMBERSHIP};
 use hmac::{Hmac, Mac};
-use peers::{KeyError, Keys, Opener, Refused, SealError, Sealer, MEMBERSHIP};
 use proptest::prelude::*;
 use std::collections::HashSet;
 use std::sync::LazyLock;
--- a/crates/list-clock/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -1,5 +1,5 @@
 //! When a call for the list of record servers counts as broken, and when the next one is made. No clock, no I/O: events of
-//! the one connection in, what to do out. The table that it keeps stands in `docs/design/list-clock.md`.
+//! the one connection in, what to do out. The table that it keeps stands in `docs/design/discovery-schedule.md`.
 //!
 //! **Asked**: the first call, and each after an answer that says no, is the decision module's to order ([`Event::Ask`]).
 //! Silence is no answer: what it hides counts as told soon, so the next call is made at once. A call that nobody has
--- a/crates/list-clock/tests/bound.rs
+++ b/crates/discovery-schedule/tests/bound.rs
@@ -1,7 +1,7 @@
 //! The latest next call: whenever discovery could be reached for [`TOLD`] without a break, a call was answered within
 //! that time, whatever the calls before it had met with.
 
-use list_clock::{
+use discovery_schedule::{
     first_call, Action, Clock, Event, Time, ACTED, AGAIN, DIAL, FIRST, LATEST, OBJECT, RETRY,
     SILENCE, TOLD, TURN,
 };
--- a/crates/list-clock/tests/table.rs
+++ b/crates/discovery-schedule/tests/table.rs
@@ -1,6 +1,6 @@
-//! The table of `docs/design/list-clock.md`: however a connection behaves, the next call is never later.
+//! The table of `docs/design/discovery-schedule.md`: however a connection behaves, the next call is never later.
 
-use list_clock::{Action, Clock, Event, Time, AGAIN, DIAL, LATEST, OBJECT, RETRY, SILENCE};
+use discovery_schedule::{Action, Clock, Event, Time, AGAIN, DIAL, LATEST, OBJECT, RETRY, SILENCE};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/ledger/src/cold.rs
+++ b/crates/invariant-checkers/src/cold.rs
@@ -8,9 +8,9 @@
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
+use server_model::site::ServerId;
+use server_model::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use world::site::ServerId;
-use world::Micros;
 
 /// Under this N the allowance for chance is wider.
 const FEW: f64 = 30.0;
--- a/crates/ledger/src/lib.rs
+++ b/crates/invariant-checkers/src/lib.rs
@@ -5,13 +5,13 @@
 pub mod loans;
 pub mod versions;
 
-use mountshift::Outcome;
+use routing::Outcome;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
+use server_model::clients::{Repeat, TryId};
+use server_model::site::ServerId;
+use server_model::Micros;
 use std::collections::BTreeMap;
-use world::clients::{Repeat, TryId};
-use world::site::ServerId;
-use world::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Rule {
--- a/crates/ledger/tests/cold.rs
+++ b/crates/invariant-checkers/tests/cold.rs
@@ -1,6 +1,6 @@
 //! The margin of cold servers, by plain counts and by planted breaches.
 
-use ledger::cold::{line, Bounds, Checker, Peak};
+use invariant_checkers::cold::{line, Bounds, Checker, Peak};
 use proptest::prelude::*;
 
 /// In a second, 16 requests of mean work at the start, then more, up to 64 when the server is warm after 10 s.
--- a/crates/ledger/tests/loans.rs
+++ b/crates/invariant-checkers/tests/loans.rs
@@ -1,6 +1,6 @@
 //! Each rule of loans is broken once and found; skewed looks at a history that keeps the line find nothing.
 
-use ledger::loans::{Book, Breach, Checker};
+use invariant_checkers::loans::{Book, Breach, Checker};
 use proptest::prelude::*;
 
 fn book(lent: u64, repaid: u64, written_off: u64, line: u64) -> Book {
--- a/crates/ledger/tests/versions.rs
+++ b/crates/invariant-checkers/tests/versions.rs
@@ -1,6 +1,6 @@
 //! Each rule of rollouts is broken once and found, and what only looks like it is not.
 
-use ledger::versions::{Breach, Checker, Look, Version};
+use invariant_checkers::versions::{Breach, Checker, Look, Version};
 use std::time::Duration;
 
 fn version(epoch: u64) -> Version {
--- a/crates/leverlab/src/main.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! `leverlab`: experiments on virtual time.
-
-fn main() -> std::process::ExitCode {
-    leverlab::cli::main()
-}
--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -14,8 +14,7 @@
 /// Exit code for a wrong command line or configuration.
 const MISUSE: u8 = 2;
 
-const ABOUT: &str =
-    "A proxy before replicated record servers that routes each request by mountshift's decisions";
+const ABOUT: &str = "A proxy before replicated record servers with cost-to-fresh routing";
 
 const ENVIRONMENT: &str = "\
 Environment:
--- a/crates/leverproxy/src/clock.rs
+++ b/crates/leverproxy/src/clock.rs
@@ -3,7 +3,7 @@
 
 pub mod evidence;
 
-use mountshift::Time;
+use routing::Time;
 use std::fmt;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/leverproxy/src/clock/evidence.rs
+++ b/crates/leverproxy/src/clock/evidence.rs
@@ -3,7 +3,7 @@
 //! The reasoning is in `docs/design/wall-clock.md`. Only one direction is kept: a clock that is behind lets old data
 //! pass for fresh, while one that is ahead only asks for more than is needed.
 
-use mountshift::{StoreId, Time};
+use routing::{StoreId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/leverproxy/src/config.rs
+++ b/crates/leverproxy/src/config.rs
@@ -15,7 +15,7 @@
 use configuration::source::Sources;
 use configuration::value;
 use ipnet::IpNet;
-use mountshift_settings::{BadSetting, Decoded, Shape};
+use platform_settings::{BadSetting, Decoded, Shape};
 use rustix::process::{getrlimit, Resource};
 use serde::Deserialize;
 use std::fmt;
@@ -121,7 +121,7 @@
     /// The fleet that this proxy is of, its own name in the roster, and the keys of its key file; none without the
     /// section `members`.
     pub members: Option<Members>,
-    pub member_keys: Option<peers::Keys>,
+    pub member_keys: Option<datagram_auth::Keys>,
     /// How new operators' files reach the fleet.
     pub rollout: Option<Rollout>,
     /// What outlives a kill or a power loss; none: nothing does.
@@ -129,7 +129,7 @@
     /// What stands may borrow beyond their quota; none: nothing is lent.
     pub lending: Option<Lending>,
     /// How sites are told of; none: nothing is.
-    pub sites: Option<site_plan::Settings>,
+    pub sites: Option<site_failover::Settings>,
     /// Windows of the file, in which a credit may be closed.
     pub windows: Vec<Window>,
     /// The operators' file that was read.
@@ -437,7 +437,7 @@
         .settings
         .as_ref()
         .ok_or_else(|| ConfigError::new("settings", "missing"))?;
-    let platform = mountshift_settings::decode(settings.to_string().as_bytes()).map_err(
+    let platform = platform_settings::decode(settings.to_string().as_bytes()).map_err(
         |BadSetting { key, problem }| ConfigError::new(format!("settings.{key}"), problem),
     )?;
     check(&platform)?;
--- a/crates/leverproxy/src/counters.rs
+++ b/crates/leverproxy/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{Answer, Verdict};
 use crate::worth::Worth;
-use mountshift::{ClassId, Standing};
+use routing::{ClassId, Standing};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -2,8 +2,8 @@
 
 use super::wire::{Endpoint, Listing, Status};
 use maintenance::{Hand, Joined, Maintenance, Unknown, Word};
-use mountshift::{Entry, GroupId, KindId, ListNews, Listed, StoreId, Time, ZoneId};
-use mountshift_settings::Names;
+use platform_settings::Names;
+use routing::{Entry, GroupId, KindId, ListNews, Listed, StoreId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -116,7 +116,7 @@
 
     /// An id that all proxies give it alike, whenever they heard of it; but for two names with one hash.
     fn name(&mut self, name: &str) -> StoreId {
-        let mut id = concert::key(name);
+        let mut id = subsetting::key(name);
         while self.ids.values().any(|known| known.0 == id) {
             id = id.wrapping_add(1);
         }
--- a/crates/leverproxy/src/discovery/mod.rs
+++ b/crates/leverproxy/src/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! The watch on the list of record servers. Whether to ask, and when again after an answer that says no, is the module's
-//! to say where the list has to be asked for; when a call is broken is [`list_clock`]'s. This keeps one watch at most and
+//! to say where the list has to be asked for; when a call is broken is [`discovery_schedule`]'s. This keeps one watch at most and
 //! tells when it has broken; while discovery moves, the former one stays open until the new one speaks.
 
 pub mod directory;
@@ -9,7 +9,7 @@
 use crate::net::{Filled, Stream};
 use crate::reactor::{Interest, Key, Reactor, Slots, Token};
 use crate::seldom::Seldom;
-use list_clock::{Action, Clock, Event};
+use discovery_schedule::{Action, Clock, Event};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/leverproxy/src/lending.rs
+++ b/crates/leverproxy/src/lending.rs
@@ -6,11 +6,11 @@
 use crate::members::Members;
 use configuration::calendar::{Moment, Window};
 use configuration::model::{Credit, Lending as Stated};
-use lending::{
+use membership::{Act, Fact, Status};
+use quota_lending::{
     Action, Book, Config, Core, Event, Member, Milli, Rule, Rules, Shortage, Store, StoreError,
     Verdict, SHORT_LASTS,
 };
-use membership::{Act, Fact, Status};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -335,7 +335,7 @@
 
     /// What another proxy has said.
     pub fn heard(&mut self, fact: &Fact, now: Instant) {
-        if lending::said::is_said(fact.kind) {
+        if quota_lending::said::is_said(fact.kind) {
             let Fact {
                 source,
                 start,
--- a/crates/leverproxy/src/lib.rs
+++ b/crates/leverproxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! A proxy before replicated record servers: requests come in on sockets, mountshift decides where each goes,
+//! A proxy before replicated record servers: requests come in on sockets, the decision module (`routing`) decides where each goes,
 //! and the first whole answer goes back. `main.rs` only starts [`cli::main`]; a program that embeds a proxy
 //! starts one itself:
 //!
--- a/crates/leverproxy/src/members.rs
+++ b/crates/leverproxy/src/members.rs
@@ -5,11 +5,11 @@
 
 use crate::reactor::{Interest, Reactor, Token};
 use configuration::model::Members as Stated;
+use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use membership::{
     Act, Action, Config, Core, Denied, Event, Fact, Member, Roster, RosterError, State, Status,
     View,
 };
-use peers::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/leverproxy/src/memory.rs
+++ b/crates/leverproxy/src/memory.rs
@@ -1,12 +1,12 @@
 //! What the proxy remembers over a kill or a power loss: the file in its directory, read at the start and written by a thread
-//! beside the loop. What is trusted and when it is written is `memoir`'s; here is what carries it to the disk.
+//! beside the loop. What is trusted and when it is written is `persistent_state`'s; here is what carries it to the disk.
 
 use crate::discovery::wire::Listing;
 use crate::kept::{self, Lock, LockError, Writer};
 use crate::reactor::Key;
 use configuration::model::Memory as Stated;
 use maintenance::Hand;
-use memoir::{recall, Action, After, Core, Event, List, FILE_MOST};
+use persistent_state::{recall, Action, After, Core, Event, List, FILE_MOST};
 use std::io;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
     #[error("memory: {0} can't be read: {1}")]
     Read(PathBuf, #[source] io::Error),
     #[error("memory: {0}: {1}")]
-    Unread(PathBuf, #[source] memoir::Fault),
+    Unread(PathBuf, #[source] persistent_state::Fault),
     #[error("memory: {0} can't be written: {1}")]
     Write(PathBuf, #[source] io::Error),
     #[error("memory: the list has {0} bytes: it is too long to be kept")]
@@ -90,9 +90,9 @@
     went_back: u64,
 }
 
-fn of_kept(hand: memoir::Hand) -> Hand {
+fn of_kept(hand: persistent_state::Hand) -> Hand {
     let ms = Duration::from_millis;
-    let memoir::Hand { name, out, before } = hand;
+    let persistent_state::Hand { name, out, before } = hand;
     Hand {
         name,
         out: out.map(ms),
@@ -100,10 +100,10 @@
     }
 }
 
-fn to_keep(hand: Hand) -> memoir::Hand {
+fn to_keep(hand: Hand) -> persistent_state::Hand {
     let ms = |at: Duration| at.as_millis() as u64;
     let Hand { name, out, before } = hand;
-    memoir::Hand {
+    persistent_state::Hand {
         name,
         out: out.map(ms),
         before: before.map(|(from, to)| (ms(from), ms(to))),
@@ -131,7 +131,10 @@
         let read = read.and_then(|kept| {
             recall(name, kept.as_deref(), after).map_err(|why| Fault::Unread(path, why))
         });
-        let foreign = matches!(read, Err(Fault::Unread(_, memoir::Fault::Foreign(_))));
+        let foreign = matches!(
+            read,
+            Err(Fault::Unread(_, persistent_state::Fault::Foreign(_)))
+        );
         let unread = read.is_err();
         let (recalled, found) = read.unwrap_or_else(|fault| {
             log::error!("{fault}. {}", fault.advice());
--- a/crates/leverproxy/src/monitor.rs
+++ b/crates/leverproxy/src/monitor.rs
@@ -8,8 +8,8 @@
 use availability::{
     Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
 };
-use mountshift::{Arrival, Entry, GroupId, ListNews, Listed, RequestId, StoreId, Time};
-use site_plan::Event as SiteEvent;
+use routing::{Arrival, Entry, GroupId, ListNews, Listed, RequestId, StoreId, Time};
+use site_failover::Event as SiteEvent;
 use std::time::{Duration, Instant};
 use wire_admin::Figures;
 use wire_health::Status;
@@ -58,7 +58,7 @@
 impl Monitor {
     pub fn new(
         settings: Settings,
-        sites: Option<site_plan::Settings>,
+        sites: Option<site_failover::Settings>,
         zones: Vec<String>,
         now: Instant,
     ) -> Monitor {
@@ -118,7 +118,7 @@
     }
 
     /// What requests are worth and may ask, where sites are told of.
-    pub fn configure(&mut self, settings: &mountshift::Settings) {
+    pub fn configure(&mut self, settings: &routing::Settings) {
         if let Some(sites) = &mut self.sites {
             sites.configure(settings);
         }
--- a/crates/leverproxy/src/operators.rs
+++ b/crates/leverproxy/src/operators.rs
@@ -13,8 +13,8 @@
 use configuration::route::{self, Outcome};
 use configuration::source::Sources;
 use configuration::Reading;
-use mountshift::{ClassId, Effect, Need};
-use mountshift_settings::Decoded;
+use platform_settings::Decoded;
+use routing::{ClassId, Effect, Need};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use wire_health::http::Statuses;
@@ -251,7 +251,7 @@
 const KEY_FILE_LIMIT: usize = 16 << 10;
 
 /// The keys of the fleet, if a proxy of that name is of it.
-pub fn member_keys(members: &Members, name: &str) -> Result<peers::Keys, ConfigError> {
+pub fn member_keys(members: &Members, name: &str) -> Result<datagram_auth::Keys, ConfigError> {
     if !members.roster.iter().any(|m| m.name == name) {
         let names = members.roster.iter().map(|m| m.name.as_str());
         let near = match diagnostic::nearest(name, names) {
@@ -277,7 +277,8 @@
         )));
     }
     // What is no text is no hex digit either, and told so with its line.
-    peers::Keys::parse(&String::from_utf8_lossy(&bytes)).map_err(|e| fault(format!("{path}: {e}")))
+    datagram_auth::Keys::parse(&String::from_utf8_lossy(&bytes))
+        .map_err(|e| fault(format!("{path}: {e}")))
 }
 
 pub fn availability(model: &Model) -> availability::Settings {
@@ -296,14 +297,14 @@
     }
 }
 
-pub fn sites(model: &Model) -> Option<site_plan::Settings> {
+pub fn sites(model: &Model) -> Option<site_failover::Settings> {
     let stated = model.sites.as_ref()?;
-    Some(site_plan::Settings {
+    Some(site_failover::Settings {
         lost_after: stated.lost_after,
         return_after: stated.return_after,
         dwell: stated.dwell,
         list_late: model.availability.list_late,
-        ..site_plan::Settings::default()
+        ..site_failover::Settings::default()
     })
 }
 
--- a/crates/leverproxy/src/pg/client.rs
+++ b/crates/leverproxy/src/pg/client.rs
@@ -4,7 +4,7 @@
     error_field, message, put, sqlstate, text, Malformed, ANSWER_LIMIT, FRAME_SLACK, VALUE_LIMIT,
 };
 use crate::request::{Question, Verdict};
-use mountshift::{Note, Time};
+use routing::{Note, Time};
 use std::time::Duration;
 
 /// Bytes of an answer that may wait unread: the largest that is relayed in one piece, and what follows it.
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -25,7 +25,7 @@
 use configuration::calendar::Window;
 use drain::{Action, Drain};
 use maintenance::Unknown;
-use mountshift_settings::Decoded;
+use platform_settings::Decoded;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -94,7 +94,7 @@
     listen: SocketAddr,
     admin: Option<SocketAddr>,
     watch_silence: Duration,
-    sites: Option<site_plan::Settings>,
+    sites: Option<site_failover::Settings>,
 }
 
 impl Proxy {
@@ -610,7 +610,7 @@
         match (&config.members, &config.rollout) {
             (None, _) => missing("members"),
             (_, None) => missing("rollout"),
-            _ => mountshift_settings::succeed(&self.platform, config.platform.clone())
+            _ => platform_settings::succeed(&self.platform, config.platform.clone())
                 .map(|_| ())
                 .map_err(|error| format!("settings.{error}")),
         }
@@ -932,7 +932,7 @@
         };
         let begun = Instant::now();
         let drain_settings = config.drain_settings();
-        let succession = match mountshift_settings::succeed(&self.platform, config.platform) {
+        let succession = match platform_settings::succeed(&self.platform, config.platform) {
             Ok(succession) => succession,
             Err(error) => {
                 self.chain.counters.reloads_failed += 1;
@@ -1005,7 +1005,7 @@
     fn reload_members(
         &mut self,
         stated: Option<configuration::model::Members>,
-        keys: Option<peers::Keys>,
+        keys: Option<datagram_auth::Keys>,
         now: Instant,
     ) -> Vec<&'static str> {
         match (&mut self.members, stated, keys) {
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,7 +1,7 @@
 //! What passes between a protocol's front, the stages and the upstream side, in no protocol's words.
 
 use crate::reactor::Key;
-use mountshift::{AttemptNo, ClassId, GroupId, Note, RequestId, StoreId};
+use routing::{AttemptNo, ClassId, GroupId, Note, RequestId, StoreId};
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/leverproxy/src/sites.rs
+++ b/crates/leverproxy/src/sites.rs
@@ -2,9 +2,9 @@
 //! with what availability is fed with.
 
 use crate::request::{Done, Verdict};
-use mountshift::{Arrival, Entry, Listed, Need, StoreId};
-use site_plan::order::Standing;
-use site_plan::{Class, Event, Kind, Loss, Plan, Report, Settings, State};
+use routing::{Arrival, Entry, Listed, Need, StoreId};
+use site_failover::order::Standing;
+use site_failover::{Class, Event, Kind, Loss, Plan, Report, Settings, State};
 use std::time::Duration;
 use wire_admin::Figures;
 
@@ -28,8 +28,8 @@
     }
 
     /// What requests are worth, and whose share of what is how large.
-    pub fn configure(&mut self, settings: &mountshift::Settings) {
-        let class = |class: &mountshift::Class| Class {
+    pub fn configure(&mut self, settings: &routing::Settings) {
+        let class = |class: &routing::Class| Class {
             write: class.need == Need::Write,
             worth: class.worth,
             aim: class.aim,
@@ -47,9 +47,9 @@
     /// A request has come: the part of its kind that is to be refused.
     pub fn asked(&mut self, now: Duration, arrival: &Arrival) -> f64 {
         let standing = match arrival.standing {
-            mountshift::Standing::Within => Standing::Within,
-            mountshift::Standing::Borrowed => Standing::Borrowed,
-            mountshift::Standing::Beyond => Standing::Beyond,
+            routing::Standing::Within => Standing::Within,
+            routing::Standing::Borrowed => Standing::Borrowed,
+            routing::Standing::Beyond => Standing::Beyond,
         };
         let (group, class, tenant) = (arrival.group.0, arrival.class.0, arrival.tenant.0);
         let (write, repeated) = (self.plan.writes(class), arrival.repeated);
@@ -282,9 +282,9 @@
 
 pub fn listed(entry: &Entry) -> Event {
     let listed = match entry.listed {
-        Listed::Ready => site_plan::Listed::Ready,
-        Listed::Draining => site_plan::Listed::Draining,
-        Listed::Gone => site_plan::Listed::Gone,
+        Listed::Ready => site_failover::Listed::Ready,
+        Listed::Draining => site_failover::Listed::Draining,
+        Listed::Gone => site_failover::Listed::Gone,
     };
     Event::Listed {
         server: entry.store.0,
@@ -297,6 +297,6 @@
     Event::Listed {
         server: store.0,
         site: 0,
-        listed: site_plan::Listed::Gone,
+        listed: site_failover::Listed::Gone,
     }
 }
--- a/crates/leverproxy/src/stages/admit.rs
+++ b/crates/leverproxy/src/stages/admit.rs
@@ -3,7 +3,7 @@
 use crate::reactor::Key;
 use crate::request::{shown, Answer, Command, Request, Ticket};
 use bulkheads::PoolId;
-use mountshift::{Arrival, AttemptNo, ClassId, GroupId, RequestId, Standing, TenantId};
+use routing::{Arrival, AttemptNo, ClassId, GroupId, RequestId, Standing, TenantId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/leverproxy/src/stages/book.rs
+++ b/crates/leverproxy/src/stages/book.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::evidence::{Told, REPORT_AGE};
 use crate::request::{Done, Purpose, Verdict};
-use mountshift::{Ended, Event, Note, Outcome, Report, Time};
+use routing::{Ended, Event, Note, Outcome, Report, Time};
 use std::time::Duration;
 
 /// `last`: the request is owed nothing more. A position ahead of `latest` is no position: believed, it would make a
@@ -92,8 +92,8 @@
 fn report(fields: &[(String, f64)]) -> Report {
     let fields = fields
         .iter()
-        .map(|(name, value)| (mountshift_settings::field(name), *value));
-    let report = mountshift_settings::report(Time::ZERO, fields);
+        .map(|(name, value)| (platform_settings::field(name), *value));
+    let report = platform_settings::report(Time::ZERO, fields);
     Report {
         position: report.position.map(|at| at.minus(ROUNDING)),
         ..report
--- a/crates/leverproxy/src/stages/mod.rs
+++ b/crates/leverproxy/src/stages/mod.rs
@@ -26,8 +26,8 @@
 use crate::takeover::Takeover;
 use crate::upstream::{Due, Upstream};
 use maintenance::{Hand, Unknown};
-use mountshift::{Action, Event, ListNews, Need, RequestId, Standing, StoreId, Time, TimerToken};
-use mountshift_settings::{Decoded, Names, Succession};
+use platform_settings::{Decoded, Names, Succession};
+use routing::{Action, Event, ListNews, Need, RequestId, Standing, StoreId, Time, TimerToken};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -224,7 +224,7 @@
                     .position(|name| *name == request.class);
                 let class = known
                     .and_then(|at| u16::try_from(at).ok())
-                    .map(mountshift::ClassId);
+                    .map(routing::ClassId);
                 return self.reject(ticket, class, why, sides, now);
             }
         };
@@ -252,7 +252,7 @@
     fn turn_away(
         &mut self,
         ticket: Ticket,
-        class: mountshift::ClassId,
+        class: routing::ClassId,
         answer: Answer,
         sides: &mut Sides,
         now: Instant,
@@ -317,7 +317,7 @@
     fn reject(
         &mut self,
         ticket: Ticket,
-        class: Option<mountshift::ClassId>,
+        class: Option<routing::ClassId>,
         why: String,
         sides: &mut Sides,
         now: Instant,
@@ -400,12 +400,12 @@
         if first {
             let write = self.is_write(Some(class));
             let position = self.least_commit(now).filter(|_| write);
-            let note = mountshift::Note {
+            let note = routing::Note {
                 position,
-                ..mountshift::Note::default()
+                ..routing::Note::default()
             };
-            let outcome = mountshift::Outcome::Ok;
-            let ended = mountshift::Ended {
+            let outcome = routing::Outcome::Ok;
+            let ended = routing::Ended {
                 id,
                 attempt,
                 store,
@@ -476,7 +476,7 @@
         commits
     }
 
-    fn is_write(&self, class: Option<mountshift::ClassId>) -> bool {
+    fn is_write(&self, class: Option<routing::ClassId>) -> bool {
         let class = class.map(|class| usize::from(class.0));
         class
             .and_then(|class| self.writes.get(class))
--- a/crates/leverproxy/src/stages/quota.rs
+++ b/crates/leverproxy/src/stages/quota.rs
@@ -7,8 +7,8 @@
 use crate::usage;
 use ::quota::{Counts, Mark};
 use membership::Fact;
-use mountshift::{Arrival, Standing};
-use mountshift_settings::{Decoded, Names};
+use platform_settings::{Decoded, Names};
+use routing::{Arrival, Standing};
 use std::fmt;
 use std::time::{Duration, Instant};
 
--- a/crates/leverproxy/src/stages/relay.rs
+++ b/crates/leverproxy/src/stages/relay.rs
@@ -3,7 +3,7 @@
 
 use super::admit::{Ledger, Open};
 use crate::request::{Answer, Verdict};
-use mountshift::{AttemptNo, RequestId};
+use routing::{AttemptNo, RequestId};
 use std::time::Instant;
 
 /// Takes a served answer out of `verdict`, if the request is still owed one and no other has begun to reach its client.
--- a/crates/leverproxy/src/stages/route.rs
+++ b/crates/leverproxy/src/stages/route.rs
@@ -1,6 +1,6 @@
 //! Route: the one place where the module is asked. It alone decides.
 
-use mountshift::{Action, ClassId, Event, Need, Router, Settings, Time};
+use routing::{Action, ClassId, Event, Need, Router, Settings, Time};
 use std::time::Duration;
 
 pub struct Route {
--- a/crates/leverproxy/src/stages/send.rs
+++ b/crates/leverproxy/src/stages/send.rs
@@ -4,7 +4,7 @@
 use crate::reactor::later;
 use crate::request::{Purpose, Question};
 use crate::upstream::Exchange;
-use mountshift::RequestId;
+use routing::RequestId;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
--- a/crates/leverproxy/src/stages/steer.rs
+++ b/crates/leverproxy/src/stages/steer.rs
@@ -5,7 +5,7 @@
 use bulkheads::{Bulkheads, Cause, PoolId, Priority, Verdict};
 use configuration::calendar::Moment;
 use configuration::index::{Facts, Index};
-use mountshift::{Arrival, ClassId, Time};
+use routing::{Arrival, ClassId, Time};
 use std::time::{Duration, Instant};
 
 /// What a route says of its requests.
--- a/crates/leverproxy/src/stages/take_in.rs
+++ b/crates/leverproxy/src/stages/take_in.rs
@@ -1,10 +1,8 @@
 //! Take in: a request in the words of its protocol becomes one in the module's ids.
 
 use crate::request::{shown, Request};
-use mountshift::{
-    Arrival, ClassId, GroupId, RequestId, SessionKey, Standing, TenantId, Time, Wrote,
-};
-use mountshift_settings::Names;
+use platform_settings::Names;
+use routing::{Arrival, ClassId, GroupId, RequestId, SessionKey, Standing, TenantId, Time, Wrote};
 use std::time::{Duration, Instant};
 
 /// The arrival, or what the client is told of a request that makes no sense. The client's time counts from its
--- a/crates/leverproxy/src/upstream.rs
+++ b/crates/leverproxy/src/upstream.rs
@@ -9,7 +9,7 @@
 use crate::request::{Done, Piece, Purpose, Question, Verdict};
 use crate::seldom::Seldom;
 use crate::system_calls::{lacks_descriptors, RETRY_PAUSE};
-use mountshift::{ClassId, GroupId, Note, RequestId, StoreId};
+use routing::{ClassId, GroupId, Note, RequestId, StoreId};
 use rustix::io::Errno;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/leverproxy/src/worth.rs
+++ b/crates/leverproxy/src/worth.rs
@@ -1,7 +1,7 @@
 //! What answers are worth to the platform: asked for and lost, by class and in all.
 
 use crate::request::Answer;
-use mountshift::{ClassId, Settings, Standing};
+use routing::{ClassId, Settings, Standing};
 use std::time::Duration;
 
 /// Of a class.
@@ -45,7 +45,7 @@
             .iter()
             .map(|class| class.worth)
             .fold(0.0, f64::max);
-        let price = |class: &mountshift::Class| Price {
+        let price = |class: &routing::Class| Price {
             // Where nothing is worth anything, all are alike.
             worth: if greatest > 0.0 {
                 (class.worth / greatest).clamp(0.0, 1.0)
@@ -95,7 +95,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use mountshift::{Class, Effect, Need};
+    use routing::{Class, Effect, Need};
 
     #[test]
     fn a_request_asks_and_earns_what_the_settings_say() {
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -6,7 +6,7 @@
 use leverproxy::reactor::{Reactor, Token};
 use leverproxy::request::{Command, Done, Purpose, Question, Verdict};
 use leverproxy::upstream::{Due, Exchange, Upstream};
-use mountshift::{AttemptNo, RequestId, StoreId};
+use routing::{AttemptNo, RequestId, StoreId};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -2,10 +2,10 @@
 
 mod common;
 use common::{read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE};
+use discovery_schedule::{AGAIN, DIAL, OBJECT, RETRY, SILENCE};
 use leverproxy::discovery::{Discovery, News};
 use leverproxy::http::{Part, Reader};
 use leverproxy::reactor::{Reactor, Token};
-use list_clock::{AGAIN, DIAL, OBJECT, RETRY, SILENCE};
 use rustix::net::sockopt;
 use std::io::{BufRead, BufReader};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -58,9 +58,9 @@
     let cause = || io::Error::other("CAUSE");
     let mut table = HEAD.to_owned();
     {
-        use peers::KeyError as E;
+        use datagram_auth::KeyError as E;
         let line = M as usize;
-        rows!(table, "peers: `KeyError`", peers::KeyError, [
+        rows!(table, "datagram-auth: `KeyError`", datagram_auth::KeyError, [
             NoKey => E::NoKey,
             TooMany => E::TooMany { line },
             Length => E::Length { line, found: N as usize },
@@ -69,8 +69,8 @@
         ]);
     }
     {
-        use peers::Refused as E;
-        rows!(table, "peers: `Refused`", peers::Refused, [
+        use datagram_auth::Refused as E;
+        rows!(table, "datagram-auth: `Refused`", datagram_auth::Refused, [
             TooLong => E::TooLong(N as usize),
             NotOurs => E::NotOurs(ID),
             Newer => E::Newer { least: SMALL },
@@ -84,8 +84,8 @@
         ]);
     }
     {
-        use peers::SealError as E;
-        rows!(table, "peers: `SealError`", peers::SealError, [
+        use datagram_auth::SealError as E;
+        rows!(table, "datagram-auth: `SealError`", datagram_auth::SealError, [
             Name => E::Name(N as usize),
             LongPayload => E::LongPayload(N as usize),
             Spent => E::Spent,
@@ -137,8 +137,8 @@
         ]);
     }
     {
-        use lending::RulesError as E;
-        rows!(table, "lending: `RulesError`", lending::RulesError, [
+        use quota_lending::RulesError as E;
+        rows!(table, "quota-lending: `RulesError`", quota_lending::RulesError, [
             Long => E::Long(text("STAND"), Duration::from_secs(N.into())),
             NoTerm => E::NoTerm(text("STAND")),
             Floor => E::Floor(text("STAND"), N),
@@ -147,31 +147,31 @@
         ]);
     }
     {
-        use lending::StoreError as E;
-        rows!(table, "lending: `StoreError`", lending::StoreError, [
+        use quota_lending::StoreError as E;
+        rows!(table, "quota-lending: `StoreError`", quota_lending::StoreError, [
             Write => E::Write(text("CAUSE")),
             Read => E::Read(text("CAUSE")),
         ]);
     }
     {
-        use lending::BadFile as E;
-        rows!(table, "lending: `BadFile`", lending::BadFile, [
+        use quota_lending::BadFile as E;
+        rows!(table, "quota-lending: `BadFile`", quota_lending::BadFile, [
             Version => E::Version,
             Sum => E::Sum,
             Form => E::Form,
         ]);
     }
     {
-        use lending::Notice as E;
-        rows!(table, "lending: `Notice`", lending::Notice, [
-            BadFile => E::BadFile(lending::BadFile::Sum),
+        use quota_lending::Notice as E;
+        rows!(table, "quota-lending: `Notice`", quota_lending::Notice, [
+            BadFile => E::BadFile(quota_lending::BadFile::Sum),
             Founded => E::Founded(N as usize),
             TooMany => E::TooMany(N as usize),
             Alike => E::Alike,
             Took => E::Took(N),
             LaneLost => E::LaneLost,
             WrittenOff => E::WrittenOff { stand: text("STAND"), amount: N.into() },
-            NotKept => E::NotKept(lending::NotKept::Lives, N),
+            NotKept => E::NotKept(quota_lending::NotKept::Lives, N),
             Unsaid => E::Unsaid(SMALL),
         ]);
     }
@@ -197,7 +197,7 @@
     }
     {
         use leverproxy::lending::Fault as E;
-        rows!(table, "leverproxy: `lending::Fault`", leverproxy::lending::Fault, [
+        rows!(table, "leverproxy: `quota_lending::Fault`", leverproxy::lending::Fault, [
             Lock => E::Lock(leverproxy::kept::LockError::Io("DIRECTORY".into(), cause())),
             Thread => E::Thread(cause()),
         ]);
@@ -212,13 +212,13 @@
         rows!(table, "leverproxy: `memory::Fault`", leverproxy::memory::Fault, [
             Lock => E::Lock(leverproxy::kept::LockError::Io("DIRECTORY".into(), cause())),
             Read => E::Read("PATH".into(), cause()),
-            Unread => E::Unread("PATH".into(), memoir::Fault::Torn),
+            Unread => E::Unread("PATH".into(), persistent_state::Fault::Torn),
             Write => E::Write("PATH".into(), cause()),
             TooLong => E::TooLong(N as usize),
             WentBack => E::WentBack { kept: 2, given: 1 },
         ]);
-        use memoir::Fault as M;
-        rows!(table, "memoir: `Fault`", memoir::Fault, [
+        use persistent_state::Fault as M;
+        rows!(table, "persistent-state: `Fault`", persistent_state::Fault, [
             NotOurs => M::NotOurs,
             Form => M::Form(2),
             Torn => M::Torn,
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -6,7 +6,7 @@
 use leverproxy::reactor::{Reactor, Token};
 use leverproxy::request::{Purpose, Question, Verdict};
 use leverproxy::upstream::{Exchange, Upstream};
-use mountshift::{AttemptNo, RequestId, StoreId};
+use routing::{AttemptNo, RequestId, StoreId};
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::Shutdown;
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -14,11 +14,11 @@
 use leverproxy::seldom::Seldom;
 use leverproxy::stages::admit::Ledger;
 use leverproxy::stages::book;
-use mountshift::{
+use platform_settings::Names;
+use routing::{
     Arrival, ClassId, Event, GroupId, ListNews, Listed, Note, Report, RequestId, Standing, StoreId,
     TenantId, Time,
 };
-use mountshift_settings::Names;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use leverproxy::discovery::wire::Listing;
 use leverproxy::request::{Done, Purpose, Verdict};
 use leverproxy::stages::book;
-use mountshift::{Event, Note, StoreId, Time};
+use routing::{Event, Note, StoreId, Time};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::sync::Arc;
@@ -421,7 +421,7 @@
         let known = format!(r#"{{"index":41,"snapshot":true,"endpoints":[{entries}]}}"#);
         let stage = Stage::with(&[], |config| {
             config.known = Listing::parse(known.as_bytes()).unwrap();
-            config.platform = mountshift_settings::decode(settings.as_bytes()).unwrap();
+            config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
             config.wall_clock = wall(clock);
         });
         let client = Peer::client(stage.address);
@@ -667,7 +667,7 @@
     let settings = SETTINGS.replace(r#""Effect": "unsafe""#, &keyed);
     let (clock, server) = (off(0), common::Listener::new());
     let stage = Stage::with(&[("s-1", &server)], |config| {
-        config.platform = mountshift_settings::decode(settings.as_bytes()).unwrap();
+        config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
         config.wall_clock = wall(&clock);
     });
     let mut client = Peer::client(stage.address);
--- a/crates/memoir/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -1,7 +1,7 @@
 //! A disk that loses power, tears, flips, mixes up and fails: what is read back is a state that once was, and no older than
 //! what was said to be kept, or nothing.
 
-use memoir::{recall, Action, After, Core, Event, Fault, Hand, List, Memory};
+use persistent_state::{recall, Action, After, Core, Event, Fault, Hand, List, Memory};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -279,23 +279,23 @@
     let mut actions = Vec::new();
     let long = List {
         index: 1,
-        bytes: vec![7; memoir::LIST_MOST + 1],
+        bytes: vec![7; persistent_state::LIST_MOST + 1],
     };
     core.handle(ms(0), Event::List(long.clone()), &mut actions);
     core.handle(ms(0), Event::List(long.clone()), &mut actions);
-    assert_eq!(actions, [Action::TooLong(memoir::LIST_MOST + 1)]);
-    let hands: Vec<Hand> = (0..memoir::HANDS_MOST as u64 + 5)
+    assert_eq!(actions, [Action::TooLong(persistent_state::LIST_MOST + 1)]);
+    let hands: Vec<Hand> = (0..persistent_state::HANDS_MOST as u64 + 5)
         .map(|n| hand(&format!("s{n}"), n))
         .collect();
     core.handle(ms(0), Event::Hands(hands), &mut actions);
     let Some(Action::Save(bytes)) = actions.pop() else {
         panic!("nothing is saved")
     };
-    assert!((bytes.len() as u64) < memoir::FILE_MOST);
+    assert!((bytes.len() as u64) < persistent_state::FILE_MOST);
     let (recalled, _) = recall("n0", Some(&bytes), NOBODY).unwrap();
     assert_eq!(
         (recalled.hands.len(), recalled.list),
-        (memoir::HANDS_MOST, None)
+        (persistent_state::HANDS_MOST, None)
     );
     assert!(
         recalled.hands.iter().all(|hand| hand.out >= Some(5)),
--- a/crates/settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -8,7 +8,7 @@
 pub use shape::Shape;
 pub use succession::{succeed, Succession};
 
-use mountshift::{Checks, Class, Effect, Need, Report, Scope, Settings, Tenant, Time, ZoneId};
+use routing::{Checks, Class, Effect, Need, Report, Scope, Settings, Tenant, Time, ZoneId};
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
--- a/crates/settings/src/succession.rs
+++ b/crates/platform-settings/src/succession.rs
@@ -1,7 +1,7 @@
 //! From the settings in force and those of a new file to the settings that count next.
 
 use crate::{BadSetting, Decoded, Names};
-use mountshift::{ClassId, ZoneId};
+use routing::{ClassId, ZoneId};
 
 /// Places that classes may take in the life of a process: each costs an average a record server.
 const PLACES: usize = 1_024;
--- a/crates/settings/tests/names.rs
+++ b/crates/platform-settings/tests/names.rs
@@ -1,6 +1,6 @@
 //! Names are labels: whatever they are, the module's settings come out the same, and the names as they were written.
 
-use mountshift_settings::{decode, Decoded};
+use platform_settings::{decode, Decoded};
 use proptest::prelude::*;
 use serde_json::json;
 
--- a/crates/settings/tests/succession.rs
+++ b/crates/platform-settings/tests/succession.rs
@@ -1,7 +1,7 @@
 //! New settings under way: places for good, and files that are not whole.
 
-use mountshift::{ClassId, Effect, ZoneId};
-use mountshift_settings::{decode, succeed, Decoded, Shape};
+use platform_settings::{decode, succeed, Decoded, Shape};
+use routing::{ClassId, Effect, ZoneId};
 use serde_json::{json, Value};
 
 fn settings(classes: &[(&str, &str, u64)], zones: &[&str]) -> Decoded {
--- a/crates/leverlab/build.rs
+++ b/crates/proxy-experiments/build.rs
@@ -20,12 +20,12 @@
     let own = PathBuf::from(std::env::var("CARGO_MANIFEST_DIR").unwrap_or_default());
     let mut found = Vec::new();
     for package in [
-        "engine",
-        "ledger",
-        "mountshift",
+        "simulation-engine",
+        "invariant-checkers",
+        "routing",
         "quota",
-        "site-plan",
-        "world",
+        "site-failover",
+        "server-model",
     ] {
         let folder = own.join("..").join(package).join("src");
         println!("cargo:rerun-if-changed={}", folder.display());
@@ -52,5 +52,5 @@
         .take(8)
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    println!("cargo:rustc-env=LEVERLAB_SOURCES={hash}");
+    println!("cargo:rustc-env=EXPERIMENT_SOURCES={hash}");
 }
--- a/crates/leverlab/src/cli/mod.rs
+++ b/crates/proxy-experiments/src/cli/mod.rs
@@ -79,7 +79,7 @@
     let option = |name: &'static str, value: &'static str, help: &'static str| {
         Arg::new(name).long(name).value_name(value).help(help)
     };
-    Command::new("leverlab")
+    Command::new("proxy-experiments")
         .about("Experiments on virtual time: policies before the model of record servers")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
@@ -279,7 +279,7 @@
         Some(("plan", with)) => plan::plan(with),
         Some(("report", with)) => report(with),
         Some(("gate", with)) => gate::gate(with),
-        _ => Err("see leverlab --help".into()),
+        _ => Err("see proxy-experiments --help".into()),
     };
     match ended {
         Ok(End::Done) => ExitCode::SUCCESS,
@@ -419,7 +419,9 @@
         .collect();
     for name in &named {
         if !book.experiments.iter().any(|e| e.name == **name) {
-            return Err(format!("there is no experiment {name}; see leverlab list"));
+            return Err(format!(
+                "there is no experiment {name}; see proxy-experiments list"
+            ));
         }
     }
     let store = store(with)?;
--- a/crates/leverlab/src/cli/show.rs
+++ b/crates/proxy-experiments/src/cli/show.rs
@@ -9,7 +9,7 @@
 use crate::tally::Outcomes;
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::{CellAlignment, Table};
-use ledger::cold::Peak;
+use invariant_checkers::cold::Peak;
 use std::error::Error;
 use std::fs::File;
 
@@ -358,7 +358,7 @@
     let manifest = Manifest {
         experiment: experiment.into(),
         against: against.into(),
-        program: concat!("leverlab ", env!("CARGO_PKG_VERSION")).into(),
+        program: concat!("proxy-experiments ", env!("CARGO_PKG_VERSION")).into(),
         sources: SOURCES.into(),
         table,
         days,
--- a/crates/leverlab/src/cli/trial.rs
+++ b/crates/proxy-experiments/src/cli/trial.rs
@@ -7,11 +7,11 @@
 use crate::trial;
 use clap::ArgMatches;
 use comfy_table::{presets, Table};
-use rig::truth::Outcomes;
-use rig::{Rig, Setup};
+use server_model::site::Status;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
-use world::site::Status;
+use testbed::truth::Outcomes;
+use testbed::{Rig, Setup};
 
 /// What the demonstration plays.
 const DEMO: &str = include_str!("../../../../lab/demo.conf");
@@ -171,7 +171,7 @@
             out.late().as_secs_f64() * 1e3
         ),
         None => {
-            let (late, most) = (out.late(), rig::truth::LATE);
+            let (late, most) = (out.late(), testbed::truth::LATE);
             return Err(format!(
                 "the rig was itself {late:?} late (99th percentile, {most:?} at most): it claims no goodput"
             ));
--- a/crates/leverlab/src/file.rs
+++ b/crates/proxy-experiments/src/file.rs
@@ -10,14 +10,14 @@
 use configuration::source::Span;
 use configuration::value::Value;
 use configuration::values::Values;
-use mountshift::Tuning;
+use routing::Tuning;
+use server_model::account::Credit;
+use server_model::clients::{self, Kind, Need, Repeat, Tenant, SURGE_MOST};
+use server_model::law::{Law, Work};
+use server_model::platform::Platform;
+use server_model::{catalog, group, network, server, site, Micros};
 use std::path::Path;
 use std::time::Duration;
-use world::account::Credit;
-use world::clients::{self, Kind, Need, Repeat, Tenant, SURGE_MOST};
-use world::law::{Law, Work};
-use world::platform::Platform;
-use world::{catalog, group, network, server, site, Micros};
 
 /// Who decides, by a name.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/leverlab/src/hunt.rs
+++ b/crates/proxy-experiments/src/hunt.rs
@@ -4,11 +4,11 @@
 use crate::play::play;
 use crate::policy::Policy;
 use crate::scenario::{Scenario, Target, Trouble, What, SECOND};
-use engine::streams::{Stream, Streams};
 use rand::Rng;
+use server_model::Micros;
+use simulation_engine::streams::{Stream, Streams};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
-use world::Micros;
 
 pub struct Hunt {
     /// The day to begin from; its own troubles stay.
--- /dev/null
+++ b/crates/proxy-experiments/src/main.rs
@@ -0,0 +1,5 @@
+//! `proxy-experiments`: experiments on virtual time.
+
+fn main() -> std::process::ExitCode {
+    proxy_experiments::cli::main()
+}
--- a/crates/leverlab/src/member.rs
+++ b/crates/proxy-experiments/src/member.rs
@@ -1,8 +1,8 @@
 //! What one proxy of a fleet knows of its tenants' quotas: its own account, what others see, and its loans.
 
-use lending::{Action as Asked, Config, Core, Notice, Rules, Shortage, Verdict, SHORT_LASTS};
-use mountshift::{Action, Arrival, RequestId, Settings, Standing, Time};
 use quota::{Mark, Others, Quota};
+use quota_lending::{Action as Asked, Config, Core, Notice, Rules, Shortage, Verdict, SHORT_LASTS};
+use routing::{Action, Arrival, RequestId, Settings, Standing, Time};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -160,7 +160,11 @@
         (config.longest, config.lease) = (place.longest, place.lease);
         let mut core = Core::new(&config, now.0, file.as_deref());
         let mut out = Vec::new();
-        core.handle(now.0, lending::Event::Rules(place.rules.clone()), &mut out);
+        core.handle(
+            now.0,
+            quota_lending::Event::Rules(place.rules.clone()),
+            &mut out,
+        );
         let books = place
             .tenants
             .iter()
@@ -351,7 +355,7 @@
         }
     }
 
-    fn handle(&mut self, now: Time, event: lending::Event<'_>, stands: &mut [Stand]) {
+    fn handle(&mut self, now: Time, event: quota_lending::Event<'_>, stands: &mut [Stand]) {
         let mut asked = Vec::new();
         self.core.handle(now.0, event, &mut asked);
         self.asked(now, asked, stands);
@@ -379,7 +383,7 @@
             Said::Loans { kind, key, body } => {
                 let source = self.place.names[word.from].clone();
                 let (start, kind, age) = (word.start, *kind, now.since(word.at));
-                let event = lending::Event::Fact {
+                let event = quota_lending::Event::Fact {
                     source: &source,
                     start,
                     kind,
@@ -394,7 +398,7 @@
                     .place
                     .tenants
                     .iter()
-                    .filter(|_| kind == lending::said::PAID);
+                    .filter(|_| kind == quota_lending::said::PAID);
                 let before: Vec<u64> = names.map(|name| repaid(&self.core, name)).collect();
                 self.handle(now, event, stands);
                 // Others may have paid for it.
@@ -410,16 +414,20 @@
     fn look(&mut self, now: Time, quota: &mut Quota, stands: &mut [Stand]) {
         if let Some((sequence, bytes)) = self.saving.take() {
             self.file = Some(bytes);
-            self.handle(now, lending::Event::Saved(sequence), stands);
+            self.handle(now, quota_lending::Event::Saved(sequence), stands);
         }
         self.who_is_there(now, quota, stands);
         let own = self.shortage.is_short(now.0);
         if own {
             self.out.push(Said::Short);
         }
-        self.handle(now, lending::Event::Short(own || now < self.short), stands);
+        self.handle(
+            now,
+            quota_lending::Event::Short(own || now < self.short),
+            stands,
+        );
         if let Some((_, token)) = self.timer.take_if(|(at, _)| *at <= now) {
-            self.handle(now, lending::Event::Timer(token), stands);
+            self.handle(now, quota_lending::Event::Timer(token), stands);
         }
         for (tenant, name) in self.place.tenants.iter().enumerate() {
             let (rate, used) = (quota.rate_of(tenant) * 1000.0, quota.used(tenant) * 1000.0);
@@ -470,14 +478,14 @@
         let view = (most, up);
         if self.view.as_ref() != Some(&view) {
             let names = self.place.names.clone();
-            let member = |(at, start): &(usize, u64)| lending::Member {
+            let member = |(at, start): &(usize, u64)| quota_lending::Member {
                 name: names[*at].clone(),
                 start: *start,
                 up: true,
             };
             let members: Vec<_> = view.1.iter().map(member).collect();
             self.view = Some(view);
-            let event = lending::Event::View {
+            let event = quota_lending::Event::View {
                 lend: most,
                 roster: &names,
                 members: &members,
--- a/crates/leverlab/src/plan.rs
+++ b/crates/proxy-experiments/src/plan.rs
@@ -104,7 +104,7 @@
         let counted = clients
             .kinds
             .iter()
-            .filter(|k| !writes || k.need == world::clients::Need::Write);
+            .filter(|k| !writes || k.need == server_model::clients::Need::Write);
         counted
             .map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6)
             .sum::<f64>()
--- a/crates/leverlab/src/planned.rs
+++ b/crates/proxy-experiments/src/planned.rs
@@ -2,13 +2,13 @@
 
 use crate::member::Member;
 use crate::policy::{Decider, View};
-use mountshift::{
+use routing::{
     Action, Ended, Entry, Event, ListNews, Listed, Need, Outcome, RequestId, Settings, StoreId,
     Time,
 };
 use rustc_hash::FxHashMap;
-use site_plan::order::Standing;
-use site_plan::{Class, Event as Sign, Kind, Plan};
+use site_failover::order::Standing;
+use site_failover::{Class, Event as Sign, Kind, Plan};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
 
 impl Planned {
     pub fn new(module: Box<dyn Decider>, settings: &Settings, now: Time) -> Planned {
-        let mut plan = Plan::new(site_plan::Settings::default(), true, now.0);
-        let class = |class: &mountshift::Class| Class {
+        let mut plan = Plan::new(site_failover::Settings::default(), true, now.0);
+        let class = |class: &routing::Class| Class {
             write: class.need == Need::Write,
             worth: class.worth,
             aim: class.aim,
@@ -54,9 +54,9 @@
     fn listed(&mut self, now: Time, entries: &[Entry], complete: bool) {
         for entry in entries {
             let listed = match entry.listed {
-                Listed::Ready => site_plan::Listed::Ready,
-                Listed::Draining => site_plan::Listed::Draining,
-                Listed::Gone => site_plan::Listed::Gone,
+                Listed::Ready => site_failover::Listed::Ready,
+                Listed::Draining => site_failover::Listed::Draining,
+                Listed::Gone => site_failover::Listed::Gone,
             };
             self.plan.handle(
                 now.0,
@@ -71,7 +71,7 @@
         if complete {
             let gone: Vec<StoreId> = self.named.difference(&named).copied().collect();
             for store in gone {
-                let listed = site_plan::Listed::Gone;
+                let listed = site_failover::Listed::Gone;
                 self.plan.handle(
                     now.0,
                     Sign::Listed {
--- a/crates/leverlab/src/play/fleet.rs
+++ b/crates/proxy-experiments/src/play/fleet.rs
@@ -3,14 +3,14 @@
 use super::{time, Play, Step};
 use crate::member::{Place, Said, Stand, Word, LOOK};
 use crate::scenario::{Scenario, Talk, ORIGIN, SECOND};
-use engine::streams::{Stream, Streams};
-use lending::{Rule, Rules};
-use mountshift::Time;
+use quota_lending::{Rule, Rules};
 use rand::Rng;
+use routing::Time;
 use serde::{Deserialize, Serialize};
+use server_model::account::Credit;
+use server_model::Micros;
+use simulation_engine::streams::{Stream, Streams};
 use std::sync::Arc;
-use world::account::Credit;
-use world::Micros;
 
 const LOOK_MICROS: Micros = LOOK.as_micros() as Micros;
 /// Of the most that a word is late, the least.
--- a/crates/leverlab/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -3,19 +3,19 @@
 use super::Open;
 use crate::policy::{Decider, View};
 use crate::scenario::ORIGIN;
-use mountshift::{Action, Entry, GroupId, KindId, Listed, RequestId, StoreId, Time, ZoneId};
+use routing::{Action, Entry, GroupId, KindId, Listed, RequestId, StoreId, Time, ZoneId};
 use rustc_hash::FxHashMap;
+use server_model::catalog::Record;
+use server_model::clients::TryId;
+use server_model::network::{Network, Spot};
+use server_model::site::{ServerId, Site, Status};
 use std::time::Duration;
-use world::catalog::Record;
-use world::clients::TryId;
-use world::network::{Network, Spot};
-use world::site::{ServerId, Site, Status};
 
 /// What all-seeing policies take a request for, in mean ones, where a cold server's budget is looked at; and the part of that budget
 /// which they leave, since others' requests are on their way there.
 const HEAVY: f64 = 2.5;
 const COLD_SPARE: f64 = 0.3;
-use world::Micros;
+use server_model::Micros;
 
 /// Of the module's numbers 0 is none of a server.
 pub fn store(server: ServerId) -> StoreId {
--- a/crates/leverlab/src/play/lots.rs
+++ b/crates/proxy-experiments/src/play/lots.rs
@@ -1,8 +1,8 @@
 //! How many of a tenant's requests are within its quota, without which: their marks, dealt out anew.
 
-use engine::streams::{Stream, Streams};
 use rand::Rng;
 use rustc_hash::FxHashMap;
+use simulation_engine::streams::{Stream, Streams};
 
 /// Marks that lie in a tenant's bag. One in so many requests draws its own, and what is drawn is so many requests late.
 const BAG: usize = 64;
--- a/crates/leverlab/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -9,27 +9,27 @@
 use crate::policy::{Decider, Policy};
 use crate::scenario::{Scenario, ORIGIN};
 use crate::tally::{Outcomes, Tally};
-use engine::streams::{Stream, Streams};
-use engine::wheel::Wheel;
 use fleet::Fleet;
 use host::{entry, store, Eyes, Host};
-use ledger::{cold, Checker, Final, Rule};
+use invariant_checkers::{cold, Checker, Final, Rule};
 use lots::Lots;
-use mountshift::{
+use rand::SeedableRng;
+use rand_xoshiro::Xoshiro256PlusPlus;
+use routing::{
     Action, Arrival, AttemptNo, ClassId, Ended, Event, GroupId, ListNews, Listed, Note, Outcome,
     Report, RequestId, SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote,
 };
-use rand::SeedableRng;
-use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
+use server_model::catalog::{self, Catalog};
+use server_model::clients::{self, Clients, Try, TryId};
+use server_model::network::{Network, Spot};
+use server_model::site::{self, Answer, Ask, ServerId, Site, Status, Wake};
+use server_model::Micros;
+use simulation_engine::streams::{Stream, Streams};
+use simulation_engine::wheel::Wheel;
 use std::sync::Arc;
 use std::time::Duration;
 use troubles::Troubles;
-use world::catalog::{self, Catalog};
-use world::clients::{self, Clients, Try, TryId};
-use world::network::{Network, Spot};
-use world::site::{self, Answer, Ask, ServerId, Site, Status, Wake};
-use world::Micros;
 
 /// Kept back from each client's time, as the proxy does.
 const MARGIN: Micros = 10_000;
--- a/crates/leverlab/src/play/troubles.rs
+++ b/crates/proxy-experiments/src/play/troubles.rs
@@ -2,12 +2,12 @@
 
 use super::{Play, Step};
 use crate::scenario::{Target, What};
-use engine::streams::Streams;
 use rand::Rng;
-use world::clients;
-use world::network::End;
-use world::site::{self, ServerId, Site, Status, Trouble};
-use world::Micros;
+use server_model::clients;
+use server_model::network::End;
+use server_model::site::{self, ServerId, Site, Status, Trouble};
+use server_model::Micros;
+use simulation_engine::streams::Streams;
 
 /// A draining server has so long to finish what it has.
 pub(crate) const LINGER: Micros = 2_000_000;
@@ -145,8 +145,8 @@
                     self.wheel.put(now + gap * n, step);
                 }
             }
-            What::ListBehind(extra) => self.list(world::catalog::Event::Behind(extra)),
-            What::ListDown => self.list(world::catalog::Event::Down(true)),
+            What::ListBehind(extra) => self.list(server_model::catalog::Event::Behind(extra)),
+            What::ListDown => self.list(server_model::catalog::Event::Down(true)),
             What::Surge(times, tenant) => self.clients(clients::Event::Surge { tenant, times }),
             What::Cut { place, back_only } => self.cut(&proxies, place, back_only, true),
             What::Split(place) => self.site(site::Event::Trouble(Trouble::Split(place))),
@@ -176,8 +176,8 @@
                 self.each(servers, |server| Trouble::Slow { server, times: 1.0 });
             }
             What::Hold | What::Deploy => {}
-            What::ListBehind(_) => self.list(world::catalog::Event::Behind(0)),
-            What::ListDown => self.list(world::catalog::Event::Down(false)),
+            What::ListBehind(_) => self.list(server_model::catalog::Event::Behind(0)),
+            What::ListDown => self.list(server_model::catalog::Event::Down(false)),
             What::Surge(_, tenant) => self.clients(clients::Event::Surge { tenant, times: 1.0 }),
             What::Cut { place, back_only } => self.cut(&proxies, place, back_only, false),
             What::Split(_) => self.site(site::Event::Trouble(Trouble::Meet)),
@@ -236,7 +236,7 @@
         }
         self.leaves(proxy);
         self.hosts[proxy].die(&mut self.site);
-        self.list(world::catalog::Event::Leave(proxy));
+        self.list(server_model::catalog::Event::Leave(proxy));
         let mut held: Vec<u64> = self
             .open
             .iter()
--- a/crates/leverlab/src/policy.rs
+++ b/crates/proxy-experiments/src/policy.rs
@@ -2,15 +2,15 @@
 
 use crate::member::Member;
 use crate::planned::Planned;
-use mountshift::{
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use routing::{
     Action, Arrival, ClassId, Effect, Event, GroupId, ListNews, Need, Outcome, RequestId, Router,
     Settings, StoreId, Time, TimerToken, Tuning, Wrote,
 };
-use rand::rngs::StdRng;
-use rand::{Rng, SeedableRng};
+use server_model::account::Account;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use world::account::Account;
 
 /// What is true, for those that may look.
 pub trait View {
@@ -195,7 +195,7 @@
         }
     }
 
-    fn class(&self, class: ClassId) -> &mountshift::Class {
+    fn class(&self, class: ClassId) -> &routing::Class {
         &self.set.classes[usize::from(class.0)]
     }
 
--- a/crates/leverlab/src/report/mod.rs
+++ b/crates/proxy-experiments/src/report/mod.rs
@@ -45,13 +45,13 @@
         return Err(format!("{} holds no results of experiments", folder.display()).into());
     }
     let page = folder.join("report.html");
-    let head = "<!doctype html><meta charset=\"utf-8\"><title>leverlab</title><style>\
+    let head = "<!doctype html><meta charset=\"utf-8\"><title>proxy-experiments</title><style>\
         body{font:15px/1.4 sans-serif;max-width:1000px;margin:2em auto;color:#222}\
         table{border-collapse:collapse;font-size:13px;margin:1em 0}\
         td,th{border-bottom:1px solid #ddd;padding:3px 8px;text-align:right}\
         td:first-child,th:first-child,td:nth-child(2),th:nth-child(2){text-align:left}\
         .better{color:#06670f}.worse{color:#a11}.broken{background:#fdd}svg{max-width:100%;height:auto}\
-        </style><h1>leverlab</h1>\n";
+        </style><h1>proxy-experiments</h1>\n";
     std::fs::write(&page, format!("{head}{body}"))?;
     Ok(page)
 }
--- a/crates/leverlab/src/scenario.rs
+++ b/crates/proxy-experiments/src/scenario.rs
@@ -1,11 +1,11 @@
 //! What there is, who asks for what, and what goes wrong.
 
-use ledger::cold::Bounds;
-use mountshift::{Checks, Class, Effect, Need, Scope, Settings, ZoneId};
+use invariant_checkers::cold::Bounds;
+use routing::{Checks, Class, Effect, Need, Scope, Settings, ZoneId};
+use server_model::clients::{self, Repeat};
+use server_model::platform::Platform;
+use server_model::{catalog, network, site, Micros};
 use std::time::Duration;
-use world::clients::{self, Repeat};
-use world::platform::Platform;
-use world::{catalog, network, site, Micros};
 
 pub const SECOND: Micros = 1_000_000;
 
@@ -210,7 +210,7 @@
             worth: kind.worth,
             late_worth: kind.late_worth,
         };
-        let tenant = |tenant: &clients::Tenant| mountshift::Tenant {
+        let tenant = |tenant: &clients::Tenant| routing::Tenant {
             quota_per_s: tenant.quota,
         };
         Settings {
--- a/crates/leverlab/src/store.rs
+++ b/crates/proxy-experiments/src/store.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 /// Of everything that decides how a run goes: the model, the engine, the module and this program's own sources.
-pub const SOURCES: &str = env!("LEVERLAB_SOURCES");
+pub const SOURCES: &str = env!("EXPERIMENT_SOURCES");
 
 /// One run: what is played, by whom, with which seed.
 #[derive(Clone, Debug)]
--- a/crates/leverlab/src/summary.rs
+++ b/crates/proxy-experiments/src/summary.rs
@@ -4,8 +4,8 @@
 use crate::store::Cell;
 use crate::tally::{histogram, Outcomes};
 use hdrhistogram::Histogram;
-use ledger::cold::Peak;
-use ledger::Rule;
+use invariant_checkers::cold::Peak;
+use invariant_checkers::Rule;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/leverlab/src/tally.rs
+++ b/crates/proxy-experiments/src/tally.rs
@@ -4,12 +4,12 @@
 use crate::scenario::{Scenario, Weights, SECOND};
 use hdrhistogram::serialization::{Deserializer, Serializer, V2Serializer};
 use hdrhistogram::Histogram;
-use ledger::cold::Peak;
-use ledger::Rule;
+use invariant_checkers::cold::Peak;
+use invariant_checkers::Rule;
 use serde::{Deserialize, Serialize};
+use server_model::clients::{End, Settled};
+use server_model::Micros;
 use std::collections::BTreeMap;
-use world::clients::{End, Settled};
-use world::Micros;
 
 /// Latencies are kept up to a minute, with two significant digits.
 const HIGHEST: u64 = 60 * SECOND;
--- a/crates/leverlab/src/trial.rs
+++ b/crates/proxy-experiments/src/trial.rs
@@ -5,17 +5,17 @@
 
 use crate::play::troubles::{rolling, struck, struck_proxies, LINGER};
 use crate::scenario::{Scenario, What};
-use engine::streams::Streams;
-use rig::link::Flow;
-use rig::process::Fault;
-use rig::truth::Outcomes;
-use rig::{Rig, Setup};
+use server_model::catalog;
+use server_model::site::{ServerId, Status, Trouble};
+use server_model::Micros;
+use simulation_engine::streams::Streams;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
-use world::catalog;
-use world::site::{ServerId, Status, Trouble};
-use world::Micros;
+use testbed::link::Flow;
+use testbed::process::Fault;
+use testbed::truth::Outcomes;
+use testbed::{Rig, Setup};
 
 /// Processes, and links from them to servers, that one machine bears.
 const PROXIES_MOST: usize = 64;
--- a/crates/leverlab/src/write.rs
+++ b/crates/proxy-experiments/src/write.rs
@@ -2,11 +2,11 @@
 
 use crate::scenario::{Scenario, Target, Trouble, What};
 use configuration::value;
+use server_model::clients::{Need, Repeat};
+use server_model::law::Law;
+use server_model::Micros;
 use std::fmt::Write;
 use std::time::Duration;
-use world::clients::{Need, Repeat};
-use world::law::Law;
-use world::Micros;
 
 fn time(micros: Micros) -> String {
     value::time(Duration::from_micros(micros))
--- a/crates/leverlab/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -1,14 +1,14 @@
 //! A fleet that lends: the line is kept, books add up, and a fleet that lends more than it may is found out.
 
 use configuration::load::Memory;
-use lending::{Rule, Rules};
-use leverlab::file::read;
-use leverlab::member::{Member, Place};
-use leverlab::play::fleet::Loans;
-use leverlab::play::play_with;
-use leverlab::policy::{Decider, Name, Policy, View};
-use leverlab::scenario::{Scenario, What, ORIGIN, SECOND};
-use mountshift::{Action, Event, Time};
+use proxy_experiments::file::read;
+use proxy_experiments::member::{Member, Place};
+use proxy_experiments::play::fleet::Loans;
+use proxy_experiments::play::play_with;
+use proxy_experiments::policy::{Decider, Name, Policy, View};
+use proxy_experiments::scenario::{Scenario, What, ORIGIN, SECOND};
+use quota_lending::{Rule, Rules};
+use routing::{Action, Event, Time};
 use std::path::Path;
 use std::time::Duration;
 
@@ -93,7 +93,10 @@
         short_least: 1_000,
         short_part: 1.0,
     };
-    let make = |number: usize, _: u32, streams: &engine::streams::Streams| -> Box<dyn Decider> {
+    let make = |number: usize,
+                _: u32,
+                streams: &simulation_engine::streams::Streams|
+     -> Box<dyn Decider> {
         let seed = streams.seed("policy", number as u64);
         let module = Policy::of(Name::Module).make(&day.settings(number), seed, Time::ZERO);
         let place = (times > 1).then(|| Place {
--- a/crates/leverlab/tests/cold.rs
+++ b/crates/proxy-experiments/tests/cold.rs
@@ -1,12 +1,12 @@
 //! Whether the lab sees how much cold servers get: of who heeds their starts, and of who does not.
 
 use configuration::load::Memory;
-use ledger::Rule;
-use leverlab::file::read;
-use leverlab::play::play;
-use leverlab::policy::{Name, Policy};
-use leverlab::scenario::SECOND;
-use leverlab::summary::Cold;
+use invariant_checkers::Rule;
+use proxy_experiments::file::read;
+use proxy_experiments::play::play;
+use proxy_experiments::policy::{Name, Policy};
+use proxy_experiments::scenario::SECOND;
+use proxy_experiments::summary::Cold;
 use std::path::Path;
 
 #[test]
--- a/crates/leverlab/tests/files.rs
+++ b/crates/proxy-experiments/tests/files.rs
@@ -1,12 +1,12 @@
 //! Files of experiments: what is wrong in them, and that a written day is the day that was written.
 
 use configuration::load::Memory;
-use leverlab::file::{read, suite, Change};
-use leverlab::hunt::{hunt, Hunt};
-use leverlab::play::play;
-use leverlab::policy::{Name, Policy};
-use leverlab::scenario::SECOND;
-use leverlab::write::text;
+use proxy_experiments::file::{read, suite, Change};
+use proxy_experiments::hunt::{hunt, Hunt};
+use proxy_experiments::play::play;
+use proxy_experiments::policy::{Name, Policy};
+use proxy_experiments::scenario::SECOND;
+use proxy_experiments::write::text;
 use std::path::Path;
 
 fn faults(file: &str) -> String {
--- a/crates/leverlab/tests/quota.rs
+++ b/crates/proxy-experiments/tests/quota.rs
@@ -1,12 +1,12 @@
 //! Whom the oracle serves when tenants ask for more than their quota.
 
 use configuration::load::Memory;
-use leverlab::file::read;
-use leverlab::play::play_with;
-use leverlab::policy::{Decider, Name, Policy, View};
-use leverlab::scenario::{Scenario, SECOND};
-use leverlab::tally::Outcomes;
-use mountshift::{Action, Event, GroupId, RequestId, StoreId, Time};
+use proxy_experiments::file::read;
+use proxy_experiments::play::play_with;
+use proxy_experiments::policy::{Decider, Name, Policy, View};
+use proxy_experiments::scenario::{Scenario, SECOND};
+use proxy_experiments::tally::Outcomes;
+use routing::{Action, Event, GroupId, RequestId, StoreId, Time};
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
@@ -102,15 +102,16 @@
 
 fn watched(day: &Scenario, blind: bool) -> (Outcomes, Arc<Seen>) {
     let seen = Arc::new(Seen::default());
-    let make = |proxy: usize, _: u32, streams: &engine::streams::Streams| -> Box<dyn Decider> {
-        let seed = streams.seed("policy", proxy as u64);
-        let oracle = Policy::of(Name::Oracle).make(&day.settings(proxy), seed, Time::ZERO);
-        Box::new(Watched {
-            oracle,
-            blind,
-            seen: seen.clone(),
-        })
-    };
+    let make =
+        |proxy: usize, _: u32, streams: &simulation_engine::streams::Streams| -> Box<dyn Decider> {
+            let seed = streams.seed("policy", proxy as u64);
+            let oracle = Policy::of(Name::Oracle).make(&day.settings(proxy), seed, Time::ZERO);
+            Box::new(Watched {
+                oracle,
+                blind,
+                seen: seen.clone(),
+            })
+        };
     (play_with(day, &make, 1), seen)
 }
 
--- a/crates/leverlab/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -6,12 +6,12 @@
 //! drawn by them. Other numbers there are another draw, so only the outcome has to be much the same.
 
 use configuration::load::Memory;
-use leverlab::file::read;
-use leverlab::play::{play, play_with};
-use leverlab::policy::{Decider, Name, Policy, View};
-use leverlab::scenario::{Scenario, Target, Trouble, What, ORIGIN, SECOND};
-use leverlab::tally::Outcomes;
-use mountshift::{Action, ClassId, Event, GroupId, ListNews, Settings, TenantId, Time, ZoneId};
+use proxy_experiments::file::read;
+use proxy_experiments::play::{play, play_with};
+use proxy_experiments::policy::{Decider, Name, Policy, View};
+use proxy_experiments::scenario::{Scenario, Target, Trouble, What, ORIGIN, SECOND};
+use proxy_experiments::tally::Outcomes;
+use routing::{Action, ClassId, Event, GroupId, ListNews, Settings, TenantId, Time, ZoneId};
 use std::path::Path;
 
 /// Two draws of one day are no further apart in goodput.
@@ -141,7 +141,10 @@
 }
 
 fn told(day: &Scenario, map: &Map, worth: f64, planted: bool) -> Outcomes {
-    let make = |proxy: usize, life: u32, streams: &engine::streams::Streams| -> Box<dyn Decider> {
+    let make = |proxy: usize,
+                life: u32,
+                streams: &simulation_engine::streams::Streams|
+     -> Box<dyn Decider> {
         let seed = streams.seed("policy", proxy as u64 | u64::from(life) << 32);
         let mut settings = map.settings(day.settings(proxy));
         settings
--- a/crates/leverlab/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -1,15 +1,15 @@
 //! Runs as a whole: the same again, rules caught, bounds kept.
 
-use ledger::{Rule, RULES};
-use leverlab::file::{suite, Book};
-use leverlab::play::{play, play_with};
-use leverlab::policy::{Decider, Name, Policy, View, NAMES};
-use leverlab::run::{cells, run};
-use leverlab::scenario::{Scenario, Target, Trouble, What, SECOND};
-use leverlab::stats::{paired, rank_correlation, Verdict};
-use leverlab::store::{Cell, Store};
-use leverlab::tally::Outcomes;
-use mountshift::{Action, Event, ListNews, StoreId, Time};
+use invariant_checkers::{Rule, RULES};
+use proxy_experiments::file::{suite, Book};
+use proxy_experiments::play::{play, play_with};
+use proxy_experiments::policy::{Decider, Name, Policy, View, NAMES};
+use proxy_experiments::run::{cells, run};
+use proxy_experiments::scenario::{Scenario, Target, Trouble, What, SECOND};
+use proxy_experiments::stats::{paired, rank_correlation, Verdict};
+use proxy_experiments::store::{Cell, Store};
+use proxy_experiments::tally::Outcomes;
+use routing::{Action, Event, ListNews, StoreId, Time};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
@@ -147,7 +147,7 @@
                 self.gone.extend(
                     entries
                         .iter()
-                        .filter(|e| e.listed != mountshift::Listed::Ready)
+                        .filter(|e| e.listed != routing::Listed::Ready)
                         .map(|e| e.store),
                 );
             }
@@ -190,7 +190,7 @@
             Rule::Lost => {
                 actions.extend([
                     Action::Refuse {
-                        id: mountshift::RequestId(id.0 + 1_000_000),
+                        id: routing::RequestId(id.0 + 1_000_000),
                         come_back: None,
                     },
                     refuse,
@@ -254,12 +254,13 @@
                 vec![Target::Member(0, 0)],
             )],
         };
-        let make = |_: usize, _: u32, _: &engine::streams::Streams| -> Box<dyn Decider> {
-            Box::new(Rogue {
-                rule,
-                gone: Vec::new(),
-            })
-        };
+        let make =
+            |_: usize, _: u32, _: &simulation_engine::streams::Streams| -> Box<dyn Decider> {
+                Box::new(Rogue {
+                    rule,
+                    gone: Vec::new(),
+                })
+            };
         let outcome = play_with(&scenario, &make, 1);
         assert!(
             outcome.broken.contains_key(&rule),
@@ -268,9 +269,9 @@
         );
     }
     // What no policy can do: an answer to a write that nobody applied.
-    let mut checker = ledger::Checker::new(0, 0);
-    checker.asks(1, 1, world::clients::Repeat::Never, true, 0, 1_000);
-    checker.answers(1, ledger::Final::Served, 10);
+    let mut checker = invariant_checkers::Checker::new(0, 0);
+    checker.asks(1, 1, server_model::clients::Repeat::Never, true, 0, 1_000);
+    checker.answers(1, invariant_checkers::Final::Served, 10);
     checker.close();
     assert!(checker.broken.contains_key(&Rule::Phantom));
 }
@@ -338,7 +339,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("leverlab-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("proxy-experiments-{}-{name}", std::process::id()));
         _ = std::fs::remove_dir_all(&path);
         Folder(path)
     }
--- a/crates/leverlab/tests/trial.rs
+++ b/crates/proxy-experiments/tests/trial.rs
@@ -10,7 +10,7 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn lab() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_leverlab"))
+    Command::new(env!("CARGO_BIN_EXE_proxy-experiments"))
 }
 
 fn file(text: &str) -> std::path::PathBuf {
--- a/crates/lending/tests/bytes.rs
+++ b/crates/quota-lending/tests/bytes.rs
@@ -3,15 +3,15 @@
 
 use std::time::Duration;
 
-use lending::said::{
-    digest, encode, number, Claim, Founded, Given, Head, Id, Pulse, Row, SaidRow, SaidVote, Vote,
-    Witness, BODY_BYTES, CLAIM, FOUNDED, PULSE, ROW, VOTE, WITNESS,
-};
-use lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
+use quota_lending::said::{
+    digest, encode, number, Claim, Founded, Given, Head, Id, Pulse, Row, SaidRow, SaidVote, Vote,
+    Witness, BODY_BYTES, CLAIM, FOUNDED, PULSE, ROW, VOTE, WITNESS,
+};
+use quota_lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const STAND: &str = "stand";
--- a/crates/lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use lending::said::{decode, Id, SaidRow, ROW};
-use lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
+use quota_lending::said::{decode, Id, SaidRow, ROW};
+use quota_lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -657,7 +657,7 @@
         at: usize,
         used: u32,
         later: Duration,
-    ) -> (u32, Option<lending::Book>) {
+    ) -> (u32, Option<quota_lending::Book>) {
         let local = self.nodes[at].clock.at(self.now) + later;
         let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
         (
--- a/crates/lending/tests/help.rs
+++ b/crates/quota-lending/tests/help.rs
@@ -1,7 +1,7 @@
 //! A stand that borrowed at one proxy and then went to others: these withhold its quota, and who lent books it.
 
-use lending::said::{PAID, WHOLE};
-use lending::{Action, Book, Config, Core, Event, Member, Rule, Rules, Verdict};
+use quota_lending::said::{PAID, WHOLE};
+use quota_lending::{Action, Book, Config, Core, Event, Member, Rule, Rules, Verdict};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lending::said::{decode, Id, SaidRow, ROW};
-use lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
+use quota_lending::said::{decode, Id, SaidRow, ROW};
+use quota_lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const TICK: Duration = Duration::from_secs(1);
--- a/crates/lending/tests/rows_and_files.rs
+++ b/crates/quota-lending/tests/rows_and_files.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use lending::said::{Id, Row};
-use lending::{Action, Config, Core, Event, Notice};
 use proptest::prelude::*;
+use quota_lending::said::{Id, Row};
+use quota_lending::{Action, Config, Core, Event, Notice};
 
 fn row() -> impl Strategy<Value = Row> {
     let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| Id { name, from });
--- a/crates/lending/tests/schedules.rs
+++ b/crates/quota-lending/tests/schedules.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::Fleet;
-use lending::{Event, Guards, Reason, Rules, Verdict};
+use quota_lending::{Event, Guards, Reason, Rules, Verdict};
 
 fn play(seeds: std::ops::Range<u64>, members: usize, steps: usize) {
     const THREADS: usize = 3;
--- a/crates/mountshift/src/decide.rs
+++ b/crates/routing/src/decide.rs
@@ -1,4 +1,4 @@
-//! Every decision of mountshift. Types, events and actions: `interface.rs`.
+//! Every decision of the router. Types, events and actions: `interface.rs`.
 //!
 //! **Mechanism** (cost-to-fresh routing, after DTR2). A read goes to the member of its group with the
 //! least sum of this router's own remaining work there, the predicted wait until the member has applied
@@ -92,10 +92,10 @@
     less_time: 0.95,
 }
 
-/// The list is asked for again after a failure within twice this, doubled each time up to [`list_clock::RETRY`].
+/// The list is asked for again after a failure within twice this, doubled each time up to [`discovery_schedule::RETRY`].
 const LIST_WAIT: Duration = Duration::from_millis(125);
 /// Beyond a few routers calls are spread so far apart over all, as far as the time allows in which one has to be made:
-/// `list_clock`'s to say. After the first failure a call comes at any time of that span, so that each router has its place
+/// `discovery_schedule`'s to say. After the first failure a call comes at any time of that span, so that each router has its place
 /// in it. From the second on it comes after this share of the span at least: routers that keep their places make the
 /// fewest calls, and the fewest of these fall together when the service is back.
 const LIST_PACE: (Duration, f64) = (Duration::from_millis(80), 0.75);
@@ -402,7 +402,7 @@
 
     fn on_list(&mut self, news: ListNews, out: &mut Out) {
         if matches!(news, ListNews::Cached(_)) && self.set.list_on_request {
-            let latest = self.list_spread(list_clock::first_call(self.set.list_within));
+            let latest = self.list_spread(discovery_schedule::first_call(self.set.list_within));
             self.ask_list(Duration::ZERO, latest);
             self.cached_since = Some(self.now);
         } else {
@@ -414,7 +414,7 @@
             ListNews::Failed => {
                 self.list_failures += 1;
                 // Where the settings give less time for asking, that binds after a failure too.
-                let most = list_clock::RETRY.min(self.set.list_within);
+                let most = discovery_schedule::RETRY.min(self.set.list_within);
                 let wait = (LIST_WAIT * (1 << self.list_failures.min(16))).min(most);
                 let latest = wait.max(self.list_spread(most));
                 let placed = self.list_failures > 1;
@@ -474,7 +474,7 @@
                 .filter(|id| self.stores[id].told_leaving.is_none())
                 .count();
             group.widest = group.widest.max(serve);
-            concert::order(self.set.number, id.0, &mut group.members, |store| store.0);
+            subsetting::order(self.set.number, id.0, &mut group.members, |store| store.0);
         }
         for id in self.held.iter().map(|h| h.2).collect::<Vec<_>>() {
             self.dispatch(id, out);
@@ -891,7 +891,7 @@
         let (mut some_later, mut busy, mut shut) = (false, false, false);
         let members = self.members(request.arrival.group);
         let met = if self.alone() < 1.0 {
-            concert::reach(members.len())
+            subsetting::reach(members.len())
         } else {
             members.len()
         };
@@ -958,7 +958,7 @@
     /// The list of the process before this one is too old to go by: members of it may have left that count as told. Without
     /// a word for as long as it takes to count as told, discovery can't be reached, and the list is all that there is.
     fn list_is_unconfirmed(&self) -> bool {
-        let doubtful = list_clock::CACHED..list_clock::TOLD;
+        let doubtful = discovery_schedule::CACHED..discovery_schedule::TOLD;
         self.cached_since
             .is_some_and(|since| doubtful.contains(&self.now.since(since)))
     }
--- a/crates/mountshift/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`Action`]s. It opens no socket, reads no clock and shares nothing with other routers.
 //!
 //! ```
-//! use mountshift::*;
+//! use routing::*;
 //! use std::time::Duration;
 //!
 //! let settings = Settings {
--- a/crates/mountshift/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Their multiples lie about evenly between 0 and 1 for any number of them, and evenly beside each other. Routers go by
-/// another sequence than `concert::order`, which puts the members in an order by the router's number too: else those
+/// another sequence than `subsetting::order`, which puts the members in an order by the router's number too: else those
 /// whose turn it is would be the ones that meet other members first.
 const GOLDEN: f64 = 0.618_033_988_749_895;
 const ROOT_OF_TWO: f64 = std::f64::consts::SQRT_2 - 1.0;
--- a/crates/mountshift/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A router with its clock and ledger, for scripted event sequences.
 #![allow(dead_code)]
 
-use mountshift::*;
+use routing::*;
 use std::time::Duration;
 
 pub const WRITE: u16 = 0;
--- a/crates/mountshift/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use mountshift::*;
+use routing::*;
 use std::time::Duration;
 
 /// Reads that a router has of a starting replica in each of 48 groups, in the fifth second after
@@ -259,8 +259,8 @@
     let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::List(ListNews::Failed));
     // After a failure less time is left, and all of it is used.
     let spans = [
-        (start, list_clock::first_call(10_000 * MS)),
-        (lost, list_clock::RETRY),
+        (start, discovery_schedule::first_call(10_000 * MS)),
+        (lost, discovery_schedule::RETRY),
     ];
     for (after, span) in spans {
         let (many, longest) = calls_for_the_list(100, after);
@@ -306,7 +306,7 @@
         "at first it serves by it"
     );
     let mut old = bench();
-    old.wait(list_clock::CACHED);
+    old.wait(discovery_schedule::CACHED);
     let (id, actions) = old.ask(ANY);
     assert!(
         sends(&actions).is_empty() && !refused(&actions, id),
@@ -315,18 +315,18 @@
     let actions = old.event(Event::List(ListNews::Changes(vec![entry(1, Listed::Gone)])));
     assert_eq!(sends(&actions), [2], "served as soon as the list is known");
     let mut same = bench();
-    same.wait(list_clock::CACHED);
+    same.wait(discovery_schedule::CACHED);
     same.event(Event::List(ListNews::Changes(Vec::new())));
     assert_eq!(sends(&same.ask(ANY).1).len(), 1, "nothing has changed");
     let mut silent = bench();
-    silent.wait(list_clock::TOLD);
+    silent.wait(discovery_schedule::TOLD);
     assert_eq!(
         sends(&silent.ask(ANY).1).len(),
         1,
         "discovery says nothing at all: the list is all there is"
     );
     let mut failed = bench();
-    failed.wait(list_clock::CACHED);
+    failed.wait(discovery_schedule::CACHED);
     failed.event(Event::List(ListNews::Failed));
     assert_eq!(
         sends(&failed.ask(ANY).1).len(),
@@ -356,7 +356,7 @@
                 }
                 let waited = bench.now.since(begin);
                 assert!(
-                    waited <= list_clock::RETRY + 10 * MS,
+                    waited <= discovery_schedule::RETRY + 10 * MS,
                     "{waited:?}, failure {failure} among {routers}"
                 );
             }
--- a/crates/mountshift/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use mountshift::*;
+use routing::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/mountshift/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use mountshift::*;
+use routing::*;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/world/src/clients.rs
+++ b/crates/server-model/src/clients.rs
@@ -6,10 +6,10 @@
 use crate::account::{Account, Credit, Drawn};
 use crate::law::Work;
 use crate::Micros;
-use engine::streams::{Stream, Streams};
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 use rustc_hash::FxHashMap;
+use simulation_engine::streams::{Stream, Streams};
 use std::collections::VecDeque;
 
 /// What a request needs of the data.
--- a/crates/world/src/lib.rs
+++ b/crates/server-model/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod server;
 pub mod site;
 
-pub use engine::Micros;
+pub use simulation_engine::Micros;
--- a/crates/world/tests/account.rs
+++ b/crates/server-model/tests/account.rs
@@ -1,8 +1,8 @@
 //! A tenant's account against what a bucket of one second's depth is by its definition.
 
 use proptest::prelude::*;
-use world::account::Account;
-use world::Micros;
+use server_model::account::Account;
+use server_model::Micros;
 
 /// A request counts in full if, from every earlier arrival on and from the start, those that did are no more than a
 /// second's worth and what came since. None: the verdicts are those; else the first that is not.
--- a/crates/world/tests/groups.rs
+++ b/crates/server-model/tests/groups.rs
@@ -1,6 +1,6 @@
 //! Logs and elections.
 
-use world::group::{Action, Event, Group, Settings};
+use server_model::group::{Action, Event, Group, Settings};
 
 const SET: Settings = Settings {
     members: 3,
--- a/crates/world/tests/queueing.rs
+++ b/crates/server-model/tests/queueing.rs
@@ -1,13 +1,13 @@
 //! The server against closed forms of queueing theory, and against what its words promise.
 
-use engine::streams::Streams;
-use engine::wheel::Wheel;
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
+use server_model::law::{Law, Work};
+use server_model::server::{Action, Event, Server, Settings};
+use server_model::Micros;
+use simulation_engine::streams::Streams;
+use simulation_engine::wheel::Wheel;
 use std::collections::HashMap;
-use world::law::{Law, Work};
-use world::server::{Action, Event, Server, Settings};
-use world::Micros;
 
 enum Step {
     Arrive(u64, Micros),
--- a/crates/world/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -1,14 +1,14 @@
 //! Sites, lists, networks and clients: what their words promise.
 
-use engine::streams::Streams;
-use world::catalog::{self, Catalog, Record};
-use world::clients::{
+use server_model::catalog::{self, Catalog, Record};
+use server_model::clients::{
     self, Answer as Told, Clients, Due, End as Ended, Kind, Need, Repeat, Tenant,
 };
-use world::law::{Law, Work};
-use world::network::{self, End, Network, Spot};
-use world::site::{self, Action, Answer, Ask, Event, Site, Status, Trouble, Wake};
-use world::Micros;
+use server_model::law::{Law, Work};
+use server_model::network::{self, End, Network, Spot};
+use server_model::site::{self, Action, Answer, Ask, Event, Site, Status, Trouble, Wake};
+use server_model::Micros;
+use simulation_engine::streams::Streams;
 
 const SECOND: Micros = 1_000_000;
 
@@ -405,7 +405,7 @@
     seed: u64,
 ) -> Vec<(Micros, clients::Action)> {
     let mut clients = Clients::new(set, &Streams::new(seed));
-    let mut wheel = engine::wheel::Wheel::default();
+    let mut wheel = simulation_engine::wheel::Wheel::default();
     let mut all = Vec::new();
     wheel.put(0, clients::Event::Start);
     while let Some((now, event)) = wheel.take() {
--- a/crates/engine/benches/queue.rs
+++ b/crates/simulation-engine/benches/queue.rs
@@ -2,9 +2,9 @@
 //! `cargo bench -p engine`.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use engine::streams::Streams;
-use engine::wheel::Wheel;
 use rand::Rng;
+use simulation_engine::streams::Streams;
+use simulation_engine::wheel::Wheel;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/engine/tests/order.rs
+++ b/crates/simulation-engine/tests/order.rs
@@ -1,9 +1,9 @@
 //! The wheel against a sorted list, and streams against each other.
 
-use engine::streams::Streams;
-use engine::wheel::Wheel;
 use proptest::prelude::*;
 use rand::Rng;
+use simulation_engine::streams::Streams;
+use simulation_engine::wheel::Wheel;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/simhost/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,11 +1,11 @@
 //! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing.
 
 use crate::wire::{batch_header, ListKind, Malformed, Reader, Record, Reply, BATCH_HEADER};
-use mountshift::{
+use platform_settings::{self as conf, Field};
+use quota::{Mark, Quota};
+use routing::{
     Action, Ended, Entry, Event, ListNews, Note, Outcome, Report, Router, Standing, Time,
 };
-use mountshift_settings::{self as conf, Field};
-use quota::{Mark, Quota};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::time::Duration;
@@ -84,7 +84,7 @@
                 }
                 Record::Stop { inst } => {
                     if self.instances.remove(&inst).is_none() {
-                        eprintln!("mountshift-simhost: stop for unknown instance {inst}");
+                        eprintln!("simulator-host: stop for unknown instance {inst}");
                     }
                     continue;
                 }
@@ -165,13 +165,13 @@
                 // Streams and messages between routers are not used.
                 Record::Established { inst } | Record::Memo { inst } => {
                     if !self.instances.contains_key(&inst) {
-                        eprintln!("mountshift-simhost: event for unknown instance {inst}");
+                        eprintln!("simulator-host: event for unknown instance {inst}");
                     }
                     continue;
                 }
             };
             let Some(instance) = self.instances.get_mut(&inst) else {
-                eprintln!("mountshift-simhost: event for unknown instance {inst}");
+                eprintln!("simulator-host: event for unknown instance {inst}");
                 continue;
             };
             instance.router.handle(now, event, &mut self.actions);
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -4,10 +4,10 @@
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match mountshift_simhost::host::run(input, output) {
+    match simulator_host::host::run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("mountshift-simhost: {error}");
+            eprintln!("simulator-host: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simulator-host/src/wire.rs
@@ -1,6 +1,6 @@
 //! Frames of the wire: big-endian, no padding. See the record layouts in `decode` and `encode`.
 
-use mountshift::{
+use routing::{
     Action, Arrival, AttemptNo, ClassId, Entry, GroupId, KindId, Listed, Outcome, RequestId,
     SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote, ZoneId,
 };
--- a/crates/simhost/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -1,9 +1,9 @@
 //! Sample frames of the wire, decoded and answered.
 
-use mountshift::*;
-use mountshift_settings as conf;
-use mountshift_simhost::host::{run, Host};
-use mountshift_simhost::wire::{batch_header, ListKind, Reader, Record, Reply};
+use platform_settings as conf;
+use routing::*;
+use simulator_host::host::{run, Host};
+use simulator_host::wire::{batch_header, ListKind, Reader, Record, Reply};
 use std::time::Duration;
 
 fn hex(text: &str) -> Vec<u8> {
--- a/crates/site-plan/tests/model.rs
+++ b/crates/site-failover/tests/model.rs
@@ -1,7 +1,7 @@
 //! Model check of the states of sites: three sites of two servers, each of which lives, is slow or dies, seen by an observer that
 //! misses much, and a few lies of the kinds that proxies meet, in every order up to a depth.
 
-use site_plan::{Event, Guards, Listed, Settings, Sites, State};
+use site_failover::{Event, Guards, Listed, Settings, Sites, State};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::time::Duration;
 
--- a/crates/site-plan/tests/order.rs
+++ b/crates/site-failover/tests/order.rs
@@ -1,8 +1,8 @@
 //! Order of refusal, for any load and any fleet.
 
 use proptest::prelude::*;
-use site_plan::order::{before, headroom, served, Ask, Standing};
-use site_plan::{Capacity, Demand, Kind, Room, Steer};
+use site_failover::order::{before, headroom, served, Ask, Standing};
+use site_failover::{Capacity, Demand, Kind, Room, Steer};
 use std::time::Duration;
 
 const ROOMS: usize = 2;
--- a/crates/concert/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,8 +1,8 @@
 //! The bounds that the package states, over fleets of 1 to 1,000 proxies and groups of 1 to 200 members.
 
-use concert::{key, order, reach};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
+use subsetting::{key, order, reach};
 
 fn met(number: u32, group: u32, members: &[u32], first: usize) -> BTreeSet<u32> {
     let mut members = members.to_vec();
--- a/crates/rig/src/bin/rig-launch.rs
+++ b/crates/testbed/src/bin/testbed-launch.rs
@@ -1,4 +1,4 @@
-//! Starts a program as the rig wants it: `rig-launch RIG FILES PROGRAM [WORD...]`. It dies with the rig, whose process
+//! Starts a program as the rig wants it: `testbed-launch RIG FILES PROGRAM [WORD...]`. It dies with the rig, whose process
 //! number is RIG, and may hold FILES descriptors (0: as many as the rig).
 
 use rustix::process::{
@@ -10,15 +10,15 @@
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let [rig, files, program, rest @ ..] = words.as_slice() else {
-        eprintln!("rig-launch: RIG FILES PROGRAM [WORD...]");
+        eprintln!("testbed-launch: RIG FILES PROGRAM [WORD...]");
         return ExitCode::from(2);
     };
     let (Ok(rig), Ok(files)) = (rig.parse::<i32>(), files.parse::<u64>()) else {
-        eprintln!("rig-launch: RIG and FILES are numbers");
+        eprintln!("testbed-launch: RIG and FILES are numbers");
         return ExitCode::from(2);
     };
     if let Err(e) = set_parent_process_death_signal(Some(Signal::KILL)) {
-        eprintln!("rig-launch: can't be told of the rig's death: {e}");
+        eprintln!("testbed-launch: can't be told of the rig's death: {e}");
         return ExitCode::FAILURE;
     }
     // It may have died before it could be heard of.
@@ -33,11 +33,11 @@
                 maximum: Some(files),
             },
         ) {
-            eprintln!("rig-launch: {files} descriptors can't be set: {e}");
+            eprintln!("testbed-launch: {files} descriptors can't be set: {e}");
             return ExitCode::FAILURE;
         }
     }
     let fault = Command::new(program).args(rest).exec();
-    eprintln!("rig-launch: {program}: {fault}");
+    eprintln!("testbed-launch: {program}: {fault}");
     ExitCode::from(127)
 }
--- a/crates/rig/src/books.rs
+++ b/crates/testbed/src/books.rs
@@ -2,8 +2,8 @@
 
 use crate::process::Fault;
 use crate::Rig;
-use ledger::loans::{self, Book};
-use ledger::versions::{self, Look, Version};
+use invariant_checkers::loans::{self, Book};
+use invariant_checkers::versions::{self, Look, Version};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
--- a/crates/rig/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -5,13 +5,13 @@
 use crate::truth::Truth;
 use rustc_hash::FxHashMap;
 use serde_json::json;
+use server_model::catalog::{Action, Event, Record};
+use server_model::site::{ServerId, Status};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use world::catalog::{Action, Event, Record};
-use world::site::{ServerId, Status};
 
 /// Where each proxy finds each server.
 pub type Addresses = FxHashMap<(usize, ServerId), SocketAddr>;
--- a/crates/rig/src/ghost.rs
+++ b/crates/testbed/src/ghost.rs
@@ -4,8 +4,8 @@
 use crate::members::KEY_FILE;
 use crate::process::{lock, Fault, PATIENCE};
 use crate::Rig;
+use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use membership::{Action, Config, Core, Event, Fact, Member, Roster, State};
-use peers::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use std::net::UdpSocket;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
--- a/crates/rig/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -21,13 +21,17 @@
 pub mod wire;
 
 use discovery::Addresses;
-use ledger::Rule;
+use invariant_checkers::Rule;
 use link::Link;
 use load::Load;
 use members::{Members, Talks};
 use misrule::Misrule;
 use process::{Fault, Folder, Plan, Process};
 use rustix::process::Signal;
+use server_model::catalog;
+use server_model::clients;
+use server_model::platform::Platform;
+use server_model::site::{self, ServerId};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -36,10 +40,6 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 use truth::{Outcomes, Truth};
-use world::catalog;
-use world::clients;
-use world::platform::Platform;
-use world::site::{self, ServerId};
 
 /// What is put up.
 #[derive(Clone, Debug)]
--- a/crates/rig/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -4,13 +4,13 @@
 use crate::servers::exchange;
 use crate::truth::{Errand, Truth};
 use crate::wire::{Connection, Idle};
-use ledger::Rule;
+use invariant_checkers::Rule;
+use server_model::clients::{Need, Settings, Try};
+use server_model::Micros;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::sync::mpsc;
-use world::clients::{Need, Settings, Try};
-use world::Micros;
 
 /// Connections that nothing is on, by proxy.
 type Pools = Arc<Vec<Mutex<Vec<Connection>>>>;
--- a/crates/rig/src/misrule.rs
+++ b/crates/testbed/src/misrule.rs
@@ -5,16 +5,16 @@
 use crate::process::Fault;
 use crate::truth::Truth;
 use crate::wire::{self, Connection, Reply};
-use ledger::Rule;
+use invariant_checkers::Rule;
 use leverproxy::pg::server::{self, Asked, CancelKey, Startup};
 use leverproxy::pg::statement::{self, Query};
+use server_model::site::ServerId;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Instant;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use world::site::ServerId;
 
 #[derive(Clone)]
 pub struct Misrule {
--- a/crates/rig/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -128,7 +128,7 @@
 impl Process {
     /// The thread that calls this has to outlive the process: the kernel takes its end for the rig's.
     pub fn start(plan: &Plan) -> Result<Process, Fault> {
-        let mut command = Command::new(built("rig-launch")?);
+        let mut command = Command::new(built("testbed-launch")?);
         command
             .arg(getpid().as_raw_nonzero().to_string())
             .arg(plan.files.to_string());
--- a/crates/rig/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -7,10 +7,10 @@
 use leverproxy::pg::server::{self, Asked, CancelKey, Startup};
 use leverproxy::pg::sqlstate;
 use leverproxy::pg::statement::{self, Query};
+use server_model::site::{Answer, ServerId};
 use std::net::SocketAddr;
 use std::time::Instant;
 use tokio::net::{TcpListener, TcpStream};
-use world::site::{Answer, ServerId};
 
 /// Listens for a server, on a port that stays its own whatever becomes of it.
 pub async fn open(truth: Truth, server: ServerId) -> Result<SocketAddr, Fault> {
--- a/crates/rig/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -2,9 +2,9 @@
 
 use crate::discovery::zone;
 use serde_json::{json, Value};
-use world::clients::{self, Need, Repeat};
-use world::platform::Platform;
-use world::site;
+use server_model::clients::{self, Need, Repeat};
+use server_model::platform::Platform;
+use server_model::site;
 
 /// The settings object of proxy `number`, which stands in `place`; times in microseconds, as the platform has them.
 pub fn settings(
--- a/crates/rig/src/truth.rs
+++ b/crates/testbed/src/truth.rs
@@ -2,22 +2,22 @@
 //! of what was asked, ran and was answered. Its faces on sockets bring events, one at a time, and get answers.
 
 use crate::process::{lock, Fault};
-use engine::streams::Streams;
 use hdrhistogram::Histogram;
-use ledger::{Checker, Final, Rule};
-use mountshift::Outcome;
+use invariant_checkers::{Checker, Final, Rule};
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
+use routing::Outcome;
 use rustc_hash::{FxHashMap, FxHashSet};
+use server_model::catalog::{self, Catalog, Record};
+use server_model::clients::{self, Clients, Due, End, Need, Settled, Try, TryId};
+use server_model::site::{self, Answer, Ask, ServerId, Site, Status, Trouble, Wake};
+use server_model::Micros;
+use simulation_engine::streams::Streams;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot, watch, Notify};
-use world::catalog::{self, Catalog, Record};
-use world::clients::{self, Clients, Due, End, Need, Settled, Try, TryId};
-use world::site::{self, Answer, Ask, ServerId, Site, Status, Trouble, Wake};
-use world::Micros;
 
 /// What a record server answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/rig/tests/common/loans.rs
+++ b/crates/testbed/tests/common/loans.rs
@@ -2,12 +2,12 @@
 
 use super::turns::{turn, Turn};
 use super::{setup, SECOND};
-use ledger::loans::Checker;
-use rig::members::Members;
-use rig::process::PATIENCE;
-use rig::{Rig, Setup};
+use invariant_checkers::loans::Checker;
+use server_model::clients::Tenant;
 use std::time::{Duration, Instant};
-use world::clients::Tenant;
+use testbed::members::Members;
+use testbed::process::PATIENCE;
+use testbed::{Rig, Setup};
 
 /// Loans are over soon, so that what waits for their end does not wait long.
 const LENDING: &str = "lending {\n lease 1s\n step 200ms\n longest 3s\n";
--- a/crates/rig/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -4,12 +4,12 @@
 pub mod loans;
 pub mod turns;
 
-use rig::truth::Outcomes;
-use rig::{Rig, Setup};
+use server_model::clients::{self, Kind, Need, Repeat};
+use server_model::law::{Law, Work};
+use server_model::site;
 use std::time::Duration;
-use world::clients::{self, Kind, Need, Repeat};
-use world::law::{Law, Work};
-use world::site;
+use testbed::truth::Outcomes;
+use testbed::{Rig, Setup};
 
 pub const SECOND: u64 = 1_000_000;
 
@@ -64,7 +64,7 @@
         ..site::Settings::default()
     };
     let site = site::Settings {
-        group: world::group::Settings {
+        group: server_model::group::Settings {
             members: 3,
             ..site.group
         },
--- a/crates/rig/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -2,15 +2,15 @@
 //! them that say where they are heard.
 
 mod common;
-use ledger::Rule;
+use invariant_checkers::Rule;
 use proptest::prelude::*;
-use rig::datagrams::{Counts, Flow, Talk, Way};
-use rig::members::Members;
-use rig::process::{Folder, PATIENCE};
-use rig::Rig;
 use std::future::Future;
 use std::os::unix::fs::PermissionsExt;
 use std::time::Duration;
+use testbed::datagrams::{Counts, Flow, Talk, Way};
+use testbed::members::Members;
+use testbed::process::{Folder, PATIENCE};
+use testbed::Rig;
 use tokio::net::UdpSocket;
 use tokio::runtime::{Handle, Runtime};
 use tokio::time::{timeout, Instant};
--- a/crates/rig/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::{answered, setup, sound, start, SECOND};
 
-fn fine<T>(done: Result<T, rig::process::Fault>) -> T {
+fn fine<T>(done: Result<T, testbed::process::Fault>) -> T {
     done.unwrap_or_else(|fault| panic!("{fault}"))
 }
 
@@ -75,7 +75,7 @@
 fn two_builds_side_by_side() {
     let mut setup = setup(2, 60.0, 2 * SECOND);
     // The same build under another path stands for an older one; which it is makes no difference to the rig.
-    let folder = rig::process::Folder::new().unwrap();
+    let folder = testbed::process::Folder::new().unwrap();
     let other = folder.path().join("older");
     std::fs::copy(&setup.programs[0], &other).unwrap();
     setup.programs.push(other.clone());
--- a/crates/rig/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -2,13 +2,13 @@
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
-use rig::link::Flow;
-use rig::process::{Plan, Process};
-use rig::Rig;
 use rustix::process::Signal;
+use server_model::catalog;
+use server_model::site::Trouble;
 use std::time::Duration;
-use world::catalog;
-use world::site::Trouble;
+use testbed::link::Flow;
+use testbed::process::{Plan, Process};
+use testbed::Rig;
 
 /// Answers to one proxy's clients so far: those that reached a server are the measure.
 fn through(rig: &Rig, proxy: usize) -> u64 {
@@ -24,7 +24,7 @@
 /// Until a proxy has sent more on.
 fn sends(rig: &Rig, proxy: usize, more: u64) {
     let before = through(rig, proxy);
-    let is = |inner: &rig::truth::Inner| {
+    let is = |inner: &testbed::truth::Inner| {
         let sent: u64 = inner
             .reached
             .iter()
@@ -163,7 +163,7 @@
     });
     rig.truth.trouble(Trouble::Drain(members[2]));
     let another =
-        |inner: &rig::truth::Inner| inner.site.primary(0).is_some_and(|now| now != primary);
+        |inner: &testbed::truth::Inner| inner.site.primary(0).is_some_and(|now| now != primary);
     rig.until("another primary", another).unwrap();
     answered(&rig, 60);
     rig.truth.trouble(Trouble::Start(primary));
@@ -279,9 +279,9 @@
     {
         // Nothing of the rig goes on meanwhile; what was due in this time is late, however fast the machine.
         let _held = rig.truth.look();
-        std::thread::sleep(20 * rig::truth::LATE);
+        std::thread::sleep(20 * testbed::truth::LATE);
     }
     let out = rig.finish().unwrap();
-    assert!(out.late() > rig::truth::LATE, "{:?}", out.late());
+    assert!(out.late() > testbed::truth::LATE, "{:?}", out.late());
     assert_eq!(out.goodput(), None);
 }
--- a/crates/rig/tests/lending.rs
+++ b/crates/testbed/tests/lending.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::loans::{book, operators, refused, Fleet, LINE, LOANS, STATE};
 use common::SECOND;
-use rig::process::PATIENCE;
-use rig::Setup;
 use rustix::process::Signal;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use testbed::process::PATIENCE;
+use testbed::Setup;
 
 /// A bus arrives: its stand borrows at each proxy, nothing beyond the line, and repays it when the bus is gone.
 #[test]
@@ -205,7 +205,7 @@
         setup.slack = Duration::ZERO;
         for kind in &mut setup.clients.kinds {
             (kind.aim, kind.deadline) = (SECOND, 2 * SECOND);
-            kind.work = world::law::Work::new(world::law::Law::Fixed, 40_000.0);
+            kind.work = server_model::law::Work::new(server_model::law::Law::Fixed, 40_000.0);
         }
     });
     fleet.surge(true);
--- a/crates/rig/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,8 +1,8 @@
 //! What a link does to bytes, between a server that echoes and one client.
 
-use rig::link::{read, write_all, Flow, Link};
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::link::{read, write_all, Flow, Link};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::{Handle, Runtime};
 use tokio::sync::mpsc;
--- a/crates/rig/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -2,12 +2,12 @@
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
-use rig::link::Flow;
-use rig::truth::Inner;
-use rig::{discovery, Rig, Setup};
+use server_model::site::{ServerId, Trouble};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use world::site::{ServerId, Trouble};
+use testbed::link::Flow;
+use testbed::truth::Inner;
+use testbed::{discovery, Rig, Setup};
 
 const PROXIES: usize = 12;
 const GROUPS: u32 = 2;
@@ -23,10 +23,13 @@
 /// The members that a proxy should meet before the others.
 fn part(rig: &Rig, proxy: usize, group: u32) -> BTreeSet<ServerId> {
     let mut members = rig.truth.look().site.members(group).to_vec();
-    concert::order(proxy as u32, group, &mut members, |server| {
-        concert::key(&discovery::name(server))
+    subsetting::order(proxy as u32, group, &mut members, |server| {
+        subsetting::key(&discovery::name(server))
     });
-    members.into_iter().take(concert::reach(MEMBERS)).collect()
+    members
+        .into_iter()
+        .take(subsetting::reach(MEMBERS))
+        .collect()
 }
 
 /// What each proxy sent to anybody but primaries and its own part, and what it sent in all.
--- a/crates/rig/tests/members.rs
+++ b/crates/testbed/tests/members.rs
@@ -3,11 +3,11 @@
 
 mod common;
 use common::{answered, setup, sound, SECOND};
-use rig::datagrams::Way;
-use rig::members::Members;
-use rig::{Rig, Setup};
 use rustix::process::Signal;
 use std::time::Duration;
+use testbed::datagrams::Way;
+use testbed::members::Members;
+use testbed::{Rig, Setup};
 
 /// A roster of so many, all on it, each heard by all before anything goes wrong.
 fn fleet(proxies: usize) -> Rig {
--- a/crates/rig/tests/planted.rs
+++ b/crates/testbed/tests/planted.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
-use ledger::Rule;
-use world::site::Trouble;
+use invariant_checkers::Rule;
+use server_model::site::Trouble;
 
 /// Whether a fleet of planted proxies is found out.
 fn caught(rule: Rule) {
@@ -79,7 +79,7 @@
 
 #[test]
 fn every_rule_has_its_planted_fault() {
-    for rule in ledger::RULES {
+    for rule in invariant_checkers::RULES {
         assert!(PLANTED.contains(&rule), "{rule:?} has no planted fault");
     }
 }
--- a/crates/rig/tests/power.rs
+++ b/crates/testbed/tests/power.rs
@@ -3,11 +3,11 @@
 mod common;
 use common::turns::{turn, Turn};
 use common::{answered, setup, sound, SECOND};
-use rig::discovery::name;
-use rig::members::Members;
-use rig::{Rig, Setup};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use testbed::discovery::name;
+use testbed::members::Members;
+use testbed::{Rig, Setup};
 
 const MEMORY: &str = "memory {\n state {folder}/memory\n every 100ms\n}\n";
 const OUT: &str = "lb_record_servers_excluded";
@@ -112,7 +112,7 @@
     (0..3).for_each(|proxy| rig.kill(proxy));
     std::fs::remove_file(file(&rig, 2)).unwrap();
     (0..3).for_each(|proxy| restart(&mut rig, proxy));
-    let end = Instant::now() + rig::process::PATIENCE;
+    let end = Instant::now() + testbed::process::PATIENCE;
     while served(&rig, 0) < 20 || served(&rig, 1) < 20 {
         assert!(Instant::now() < end, "{:#?}", rig.figures(0));
         answered(&rig, 5);
@@ -123,7 +123,7 @@
     );
     (0..3).for_each(|proxy| rig.proxies[proxy].list.heal());
     until(&rig, 2, "lb_record_servers_known", |n| n == 6);
-    let end = Instant::now() + rig::process::PATIENCE;
+    let end = Instant::now() + testbed::process::PATIENCE;
     while served(&rig, 2) < 20 {
         assert!(Instant::now() < end);
         answered(&rig, 5);
@@ -138,26 +138,38 @@
     let (mut rig, _turn) = with_directories(1, |setup| setup.known = false);
     rig.kill(0);
     let bytes = std::fs::read(file(&rig, 0)).unwrap();
-    let (recalled, _) =
-        memoir::recall("n0", Some(&bytes), memoir::After::Nobody { platform: None }).unwrap();
-    let ahead = memoir::List {
+    let (recalled, _) = persistent_state::recall(
+        "n0",
+        Some(&bytes),
+        persistent_state::After::Nobody { platform: None },
+    )
+    .unwrap();
+    let ahead = persistent_state::List {
         index: 1_000_000,
         ..recalled.list.unwrap()
     };
-    std::fs::write(file(&rig, 0), kept("n0", memoir::Event::List(ahead))).unwrap();
+    std::fs::write(
+        file(&rig, 0),
+        kept("n0", persistent_state::Event::List(ahead)),
+    )
+    .unwrap();
     restart(&mut rig, 0);
     each(&rig, [0], "lb_memory_list_went_back_total", 1);
-    rig.truth.trouble(world::site::Trouble::Retire(5));
+    rig.truth.trouble(server_model::site::Trouble::Retire(5));
     each(&rig, [0], "lb_record_servers_known", 5);
     until(&rig, 0, LIST, |n| n < 1_000_000);
 }
 
 /// What a proxy of that name would keep.
-fn kept(name: &str, event: memoir::Event) -> Vec<u8> {
+fn kept(name: &str, event: persistent_state::Event) -> Vec<u8> {
     let mut actions = Vec::new();
-    memoir::Core::new(name, Duration::ZERO, None).handle(Duration::ZERO, event, &mut actions);
+    persistent_state::Core::new(name, Duration::ZERO, None).handle(
+        Duration::ZERO,
+        event,
+        &mut actions,
+    );
     match actions.pop() {
-        Some(memoir::Action::Save(bytes)) => bytes,
+        Some(persistent_state::Action::Save(bytes)) => bytes,
         other => panic!("{other:?} is kept"),
     }
 }
@@ -224,7 +236,11 @@
     each(&rig, 0..3, "lb_members_state{state=\"whole\"}", 1);
     rig.kill(0);
     let far = 4_000_000_000_000;
-    std::fs::write(file(&rig, 0), kept("n0", memoir::Event::Start(far))).unwrap();
+    std::fs::write(
+        file(&rig, 0),
+        kept("n0", persistent_state::Event::Start(far)),
+    )
+    .unwrap();
     restart(&mut rig, 0);
     each(&rig, 0..3, "lb_members_state{state=\"whole\"}", 1);
     assert_eq!(figure(&rig, 0, "lb_start_ms"), far + 1);
@@ -272,7 +288,7 @@
     assert_eq!(hand(&rig, 1, 3, true), "out");
     assert!(size(&file(&rig, 1)) > 0);
     (0..3).for_each(|proxy| rig.kill(proxy));
-    rig.truth.trouble(world::site::Trouble::Die(5));
+    rig.truth.trouble(server_model::site::Trouble::Die(5));
     for proxy in [2, 0, 1] {
         restart(&mut rig, proxy);
     }
--- a/crates/rig/tests/rollout.rs
+++ b/crates/testbed/tests/rollout.rs
@@ -4,15 +4,15 @@
 mod common;
 use common::turns::{turn, Turn};
 use common::{answered, setup, SECOND};
-use ledger::versions::Checker;
-use rig::ghost::Ghost;
-use rig::members::Members;
-use rig::{process, Rig};
+use invariant_checkers::versions::Checker;
 use rollout::{Class, Counts, Proposal, Ready, Word};
 use std::cell::RefCell;
 use std::ops::{Deref, DerefMut};
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use testbed::ghost::Ghost;
+use testbed::members::Members;
+use testbed::{process, Rig};
 
 const OPERATORS: &str = "control {\n socket {folder}/control\n}\nrollout {\n candidates {folder}/candidates\n \
                          state {folder}/candidates/state\n soak 2s\n dark 1min\n period 200ms\n window-least 3\n \
@@ -405,7 +405,7 @@
     let mut rig = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
     propose(&rig, 2);
     each(&rig, 0..1, NEW, 1);
-    let version = |setup: &mut rig::Setup| setup.members.as_mut().unwrap().version = 2;
+    let version = |setup: &mut testbed::Setup| setup.members.as_mut().unwrap().version = 2;
     rig.reload(1, version)
         .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in [0, 2, 3] {
--- a/crates/rig/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -3,14 +3,14 @@
 mod common;
 use common::turns::turn;
 use common::{answered, setup, sound, start, SECOND};
-use rig::link::Flow;
-use rig::process::{built, PATIENCE};
-use rig::{Rig, Setup};
 use rustix::process::Signal;
+use server_model::catalog;
+use server_model::site::{ServerId, Trouble};
 use std::process::Command;
 use std::time::Instant;
-use world::catalog;
-use world::site::{ServerId, Trouble};
+use testbed::link::Flow;
+use testbed::process::{built, PATIENCE};
+use testbed::{Rig, Setup};
 
 const SITES: &str =
     "control {\n socket {folder}/control\n}\nsites {\n lost-after 300ms\n return-after 1s\n dwell 500ms\n}\n";
--- a/crates/rig/tests/versions.rs
+++ b/crates/testbed/tests/versions.rs
@@ -4,10 +4,10 @@
 mod common;
 use common::loans::{Fleet, LOANS};
 use common::{answered, setup, sound, SECOND};
-use rig::datagrams::Way;
-use rig::discovery::name;
-use rig::members::Members;
-use rig::{process, Rig, Setup};
+use testbed::datagrams::Way;
+use testbed::discovery::name;
+use testbed::members::Members;
+use testbed::{process, Rig, Setup};
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/fuzz/fuzz_targets/datagram.rs
+++ b/fuzz/fuzz_targets/datagram.rs
@@ -2,7 +2,7 @@
 #![no_main]
 
 use hmac::{Hmac, Mac};
-use peers::{Keys, Opener, NAME_LIMIT, PAYLOAD_LIMIT};
+use datagram_auth::{Keys, Opener, NAME_LIMIT, PAYLOAD_LIMIT};
 use sha2::{Digest, Sha256};
 
 const KEY: [u8; 32] = [7; 32];
--- a/fuzz/fuzz_targets/lending.rs
+++ b/fuzz/fuzz_targets/lending.rs
@@ -2,8 +2,8 @@
 //! lent: one of five is no majority of the founders.
 #![no_main]
 
-use lending::said::{digest, encode, number, Founded, Head, Id, BODY_BYTES, FOUNDED, PULSE};
-use lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
+use quota_lending::said::{digest, encode, number, Founded, Head, Id, BODY_BYTES, FOUNDED, PULSE};
+use quota_lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
 use std::time::Duration;
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
--- a/fuzz/fuzz_targets/memory.rs
+++ b/fuzz/fuzz_targets/memory.rs
@@ -1,7 +1,7 @@
 //! Any bytes as the file that a proxy kept: no panic, and what is read is within the bounds and written as it was read.
 #![no_main]
 
-use memoir::{recall, Action, After, Core, Event, HANDS_MOST, LIST_MOST};
+use persistent_state::{recall, Action, After, Core, Event, HANDS_MOST, LIST_MOST};
 use std::time::Duration;
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
