--- a/crates/bulkheads/src/lib.rs
+++ b/crates/bulkheads/src/lib.rs
@@ -36,7 +36,7 @@
     /// Part of both bounds that a priority leaves to the next higher one.
     pub reserve: f64,
     /// What the refused are told; else it is worked out.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// A pool, for as long as it is in use; a name's number stays the same until nothing of it is open any more.
@@ -49,7 +49,7 @@
     Taken,
     Refused {
         cause: Cause,
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -162,12 +162,12 @@
                 pool.queued = pool.queued.saturating_add(1);
                 // Places come free one by one, each after its share of the time that requests are open.
                 let wait = pool.held / open_to * pool.queued;
-                let come_back = settings
-                    .come_back
+                let retry_after = settings
+                    .retry_after
                     .unwrap_or(wait.clamp(COME_BACK.0, COME_BACK.1));
                 return Verdict::Refused {
                     cause: Cause::Full,
-                    come_back,
+                    retry_after,
                 };
             }
         }
@@ -178,12 +178,12 @@
                 pool.counts.fast += 1;
                 pool.queued = pool.queued.saturating_add(1);
                 let wait = next - now - tolerance + rate.interval * (pool.queued - 1);
-                let come_back = settings
-                    .come_back
+                let retry_after = settings
+                    .retry_after
                     .unwrap_or(wait.clamp(COME_BACK.0, COME_BACK.1));
                 return Verdict::Refused {
                     cause: Cause::Fast,
-                    come_back,
+                    retry_after,
                 };
             }
             pool.caught_up = next;
@@ -241,7 +241,7 @@
             requests,
             rate,
             reserve: 0.1,
-            come_back: None,
+            retry_after: None,
         };
         let ids = bulkheads.configure(&[settings]);
         (bulkheads, ids[0])
@@ -305,8 +305,8 @@
             .map(|_| match all.take(id, Priority::High, Time::ZERO) {
                 Verdict::Refused {
                     cause: Cause::Full,
-                    come_back,
-                } => come_back,
+                    retry_after,
+                } => retry_after,
                 other => panic!("{other:?}"),
             })
             .collect();
@@ -324,10 +324,10 @@
             }),
         );
         assert!(taken(all.take(id, Priority::High, MS)));
-        let Verdict::Refused { come_back, .. } = all.take(id, Priority::High, MS) else {
+        let Verdict::Refused { retry_after, .. } = all.take(id, Priority::High, MS) else {
             panic!()
         };
-        assert!(taken(all.take(id, Priority::High, MS + come_back)));
+        assert!(taken(all.take(id, Priority::High, MS + retry_after)));
     }
 
     #[test]
@@ -339,7 +339,7 @@
             requests: Some(n),
             rate: None,
             reserve: 0.0,
-            come_back: None,
+            retry_after: None,
         };
         let ids = all.configure(&[settings("q", 1), settings("p", 1)]);
         assert_eq!(ids[1], id);
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -113,7 +113,7 @@
     pub rate: Option<Rate>,
     pub burst: u32,
     pub reserve: Share,
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     pub groups: Vec<RangeInclusive<u32>>,
 }
 
@@ -138,7 +138,7 @@
     pub tries: Option<u16>,
     pub second_copies: bool,
     pub probes: bool,
-    pub come_back_most: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -291,7 +291,7 @@
                 },
                 burst: v.small("burst").unwrap_or(1),
                 reserve: v.share("reserve"),
-                come_back: v.time("come-back"),
+                retry_after: v.time("come-back"),
                 groups: v.all("groups", groups),
             }
         })
@@ -317,7 +317,7 @@
         tries: v.small("tries"),
         second_copies: v.choice("second-copies") == "yes",
         probes: v.choice("probes") == "yes",
-        come_back_most: v.time("come-back-most"),
+        max_retry_after: v.time("come-back-most"),
     };
     let health = health(sections, faults);
     let balancers = all("balancer").map(|s| {
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -483,7 +483,7 @@
         weight: report.weight,
         reason: String::new(),
         room: None,
-        come_back: Duration::from_secs(1),
+        retry_after: Duration::from_secs(1),
         load: wire_health::Load::default(),
         groups: Vec::new(),
         links: Vec::new(),
--- a/crates/invariant-checkers/src/cold.rs
+++ b/crates/invariant-checkers/src/cold.rs
@@ -8,7 +8,7 @@
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
-use server_model::site::ServerId;
+use server_model::site::ServerIndex;
 use server_model::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -48,7 +48,7 @@
 /// The fullest time of one start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Peak {
-    pub server: ServerId,
+    pub server: ServerIndex,
     pub started: Micros,
     /// When that time ended.
     pub at: Micros,
@@ -105,9 +105,9 @@
     bounds: Bounds,
     mean_work: f64,
     /// By server and when it started.
-    starts: BTreeMap<(ServerId, Micros), Start>,
+    starts: BTreeMap<(ServerIndex, Micros), Start>,
     /// By proxy and server, the latest start that it was told of.
-    told: FxHashMap<(usize, ServerId), Micros>,
+    told: FxHashMap<(usize, ServerIndex), Micros>,
     /// Starts that got more than they bear.
     pub breaches: u64,
 }
@@ -123,7 +123,7 @@
         }
     }
 
-    pub fn told(&mut self, proxy: usize, server: ServerId, started: Micros) {
+    pub fn told(&mut self, proxy: usize, server: ServerIndex, started: Micros) {
         if started > 0 {
             let latest = self.told.entry((proxy, server)).or_default();
             *latest = started.max(*latest);
@@ -135,7 +135,7 @@
         &mut self,
         now: Micros,
         proxy: usize,
-        server: ServerId,
+        server: ServerIndex,
         started: Micros,
         work: Micros,
     ) {
@@ -147,7 +147,7 @@
         &mut self,
         now: Micros,
         proxy: usize,
-        server: ServerId,
+        server: ServerIndex,
         started: Micros,
         work: Micros,
     ) {
@@ -158,7 +158,7 @@
         &mut self,
         now: Micros,
         proxy: usize,
-        server: ServerId,
+        server: ServerIndex,
         started: Micros,
         work: Micros,
         request: bool,
--- a/crates/invariant-checkers/src/lib.rs
+++ b/crates/invariant-checkers/src/lib.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use server_model::clients::{Repeat, TryId};
-use server_model::site::ServerId;
+use server_model::site::ServerIndex;
 use server_model::Micros;
 use std::collections::BTreeMap;
 
@@ -100,7 +100,7 @@
     /// By request.
     effects: FxHashMap<u64, Effect>,
     /// By proxy and server, when it was told to send nothing more.
-    leaving: FxHashMap<(usize, ServerId), Micros>,
+    leaving: FxHashMap<(usize, ServerIndex), Micros>,
     pub broken: BTreeMap<Rule, u64>,
     /// The first that each was found by, for whoever follows one.
     pub found: Vec<(Rule, TryId, Micros)>,
@@ -202,7 +202,7 @@
     }
 
     /// A proxy has been told by the list that it may send to a server, or that it may not.
-    pub fn told(&mut self, proxy: usize, server: ServerId, leaving: bool, now: Micros) {
+    pub fn told(&mut self, proxy: usize, server: ServerIndex, leaving: bool, now: Micros) {
         if leaving {
             self.leaving.entry((proxy, server)).or_insert(now);
         } else {
@@ -211,11 +211,11 @@
     }
 
     /// Whether a proxy has been told to send nothing more to a server.
-    pub fn leaves(&self, proxy: usize, server: ServerId) -> bool {
+    pub fn leaves(&self, proxy: usize, server: ServerIndex) -> bool {
         self.leaving.contains_key(&(proxy, server))
     }
 
-    pub fn sends(&mut self, id: TryId, server: ServerId, now: Micros) {
+    pub fn sends(&mut self, id: TryId, server: ServerIndex, now: Micros) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
--- a/crates/leverproxy/src/clock/evidence.rs
+++ b/crates/leverproxy/src/clock/evidence.rs
@@ -3,7 +3,7 @@
 //! The reasoning is in `docs/design/wall-clock.md`. Only one direction is kept: a clock that is behind lets old data
 //! pass for fresh, while one that is ahead only asks for more than is needed.
 
-use routing::{StoreId, Time};
+use routing::{ServerId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 /// A position that a record server told. No truthful one lies ahead of true time.
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
-    pub server: StoreId,
+    pub server: ServerId,
     pub position: Time,
     /// Of a primary, whose position is its present: it was told no earlier than this, by the process's clock.
     pub present_since: Option<Time>,
@@ -58,7 +58,7 @@
     /// What the system's clock says now, and what it said when primaries contradicted it.
     system: Duration,
     refuted: Option<Duration>,
-    hints: BTreeMap<StoreId, Hint>,
+    hints: BTreeMap<ServerId, Hint>,
     /// Of an unsupported word, and until when it counts.
     doubt: Option<(Duration, Time)>,
     contradiction: Contradiction,
@@ -126,7 +126,7 @@
     }
 
     /// A server's position is ahead of all that is proven.
-    fn leads(&mut self, server: StoreId, lead: Duration, now: Time) {
+    fn leads(&mut self, server: ServerId, lead: Duration, now: Time) {
         let before = self
             .hints
             .get(&server)
@@ -153,7 +153,7 @@
     }
 
     /// The lead that another server has told, if it agrees.
-    fn hinted(&self, lead: Duration, but: Option<StoreId>, now: Time) -> Option<Duration> {
+    fn hinted(&self, lead: Duration, but: Option<ServerId>, now: Time) -> Option<Duration> {
         let others = self
             .hints
             .iter()
--- a/crates/leverproxy/src/config.rs
+++ b/crates/leverproxy/src/config.rs
@@ -313,7 +313,7 @@
         let value = stated(text).unwrap_or_default();
         Whole {
             shape: Shape::of(&value),
-            unlimited: platform.settings.try_limit == 0,
+            unlimited: platform.settings.attempt_limit == 0,
         }
     }
 
@@ -322,7 +322,7 @@
         if let Some(key) = self.shape.missing(&value) {
             return Err(ConfigError::new(key, "missing, and the first file had it"));
         }
-        if platform.settings.try_limit == 0 && !self.unlimited {
+        if platform.settings.attempt_limit == 0 && !self.unlimited {
             return Err(ConfigError::new(
                 "settings.PolicyLimits.TryLimit",
                 "is not a positive number",
@@ -601,7 +601,7 @@
         logging: model.logging,
         known,
         dial_timeout: or_default(platform.dial_timeout, DEFAULT_DIAL_TIMEOUT),
-        idle_limit: or_default(platform.settings.keepalive, DEFAULT_IDLE).mul_f64(IDLE_SHARE),
+        idle_limit: or_default(platform.settings.idle_timeout, DEFAULT_IDLE).mul_f64(IDLE_SHARE),
         watch_silence: model.discovery.watch_silence,
         linger: model.linger.unwrap_or(LINGER),
         give_up,
--- a/crates/leverproxy/src/counters.rs
+++ b/crates/leverproxy/src/counters.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{Answer, Verdict};
 use crate::worth::Worth;
-use routing::{ClassId, Standing};
+use routing::{ClassId, QuotaStatus};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -70,7 +70,7 @@
     pub fn answered(
         &mut self,
         class: ClassId,
-        standing: Standing,
+        standing: QuotaStatus,
         answer: &Answer,
         took: Duration,
     ) {
--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -1,9 +1,9 @@
 //! The record servers by name: which id the module knows them by, and where they listen.
 
-use super::wire::{Endpoint, Listing, Status};
+use super::wire::{ListedEndpoint, Listing, Status};
 use maintenance::{Hand, Joined, Maintenance, Unknown, Word};
 use platform_settings::Names;
-use routing::{Entry, GroupId, KindId, ListNews, Listed, StoreId, Time, ZoneId};
+use routing::{Endpoint, EndpointState, EndpointUpdate, GroupId, KindId, ServerId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 
 #[derive(Default)]
 pub struct Directory {
-    ids: BTreeMap<String, StoreId>,
+    ids: BTreeMap<String, ServerId>,
     /// As discovery last told of them, with address and group filled in.
-    members: BTreeMap<StoreId, Endpoint>,
+    members: BTreeMap<ServerId, ListedEndpoint>,
     /// The operators' word beside discovery's.
     hands: Maintenance,
     index: u64,
@@ -24,9 +24,9 @@
 /// What a listing means for connections: where a server is, and whether it takes anything new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    Serves(StoreId, SocketAddr),
+    Serves(ServerId, SocketAddr),
     /// Told to drain, or gone from the list.
-    Leaves(StoreId),
+    Leaves(ServerId),
 }
 
 impl Directory {
@@ -40,7 +40,7 @@
     }
 
     /// Takes a listing in; what it tells the module and the pools.
-    pub fn learn(&mut self, listing: Listing, names: &Names) -> (ListNews, Vec<Change>) {
+    pub fn learn(&mut self, listing: Listing, names: &Names) -> (EndpointUpdate, Vec<Change>) {
         self.index = listing.index;
         let mut changes = Vec::new();
         let mut entries = Vec::new();
@@ -55,34 +55,34 @@
             }
         }
         if listing.snapshot {
-            let listed: BTreeSet<StoreId> = entries.iter().map(|e| e.store).collect();
-            for (&store, _) in self
+            let listed: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            for (&server, _) in self
                 .members
                 .iter()
-                .filter(|(store, _)| !listed.contains(store))
+                .filter(|(server, _)| !listed.contains(server))
             {
-                changes.push(Change::Leaves(store));
+                changes.push(Change::Leaves(server));
             }
-            self.members.retain(|store, _| listed.contains(store));
+            self.members.retain(|server, _| listed.contains(server));
         }
-        self.members.retain(|store, _| {
+        self.members.retain(|server, _| {
             !entries
                 .iter()
-                .any(|e| e.store == *store && e.listed == Listed::Gone)
+                .any(|e| e.server == *server && e.state == EndpointState::Removed)
         });
         // A server that comes back keeps its id; only so many names of former ones are remembered.
         if self.ids.len() > NAMES_KEPT + self.members.len() {
             self.ids.retain(|_, id| self.members.contains_key(id));
         }
         let news = if listing.snapshot {
-            ListNews::Complete(entries)
+            EndpointUpdate::Snapshot(entries)
         } else {
-            ListNews::Changes(entries)
+            EndpointUpdate::Changes(entries)
         };
         (news, changes)
     }
 
-    fn entry(&mut self, mut endpoint: Endpoint, names: &Names) -> Option<(Entry, Change)> {
+    fn entry(&mut self, mut endpoint: ListedEndpoint, names: &Names) -> Option<(Endpoint, Change)> {
         let known = self.ids.get(&endpoint.name).copied();
         let member = known.and_then(|id| self.members.get(&id));
         endpoint.address = endpoint.address.or(member.and_then(|m| m.address));
@@ -108,20 +108,20 @@
         if !whole {
             return None;
         }
-        let store = known.unwrap_or_else(|| self.name(&endpoint.name));
-        let told = told(store, &endpoint, joined, names)?;
-        self.members.insert(store, endpoint);
+        let server = known.unwrap_or_else(|| self.name(&endpoint.name));
+        let told = told(server, &endpoint, joined, names)?;
+        self.members.insert(server, endpoint);
         Some(told)
     }
 
     /// An id that all proxies give it alike, whenever they heard of it; but for two names with one hash.
-    fn name(&mut self, name: &str) -> StoreId {
+    fn name(&mut self, name: &str) -> ServerId {
         let mut id = subsetting::key(name);
         while self.ids.values().any(|known| known.0 == id) {
             id = id.wrapping_add(1);
         }
-        self.ids.insert(name.to_owned(), StoreId(id));
-        StoreId(id)
+        self.ids.insert(name.to_owned(), ServerId(id));
+        ServerId(id)
     }
 
     /// What operators say of a server; what it means for the module and the pools, if that is anything new.
@@ -131,7 +131,7 @@
         out: bool,
         now: Time,
         names: &Names,
-    ) -> Result<Option<(ListNews, Vec<Change>)>, Unknown> {
+    ) -> Result<Option<(EndpointUpdate, Vec<Change>)>, Unknown> {
         let said = if out {
             self.hands.exclude(name, now.0)
         } else {
@@ -140,10 +140,15 @@
         Ok(said?.and_then(|joined| self.joined(name, joined, names)))
     }
 
-    fn joined(&self, name: &str, joined: Joined, names: &Names) -> Option<(ListNews, Vec<Change>)> {
-        let store = *self.ids.get(name)?;
-        let (entry, change) = told(store, self.members.get(&store)?, joined, names)?;
-        Some((ListNews::Changes(vec![entry]), vec![change]))
+    fn joined(
+        &self,
+        name: &str,
+        joined: Joined,
+        names: &Names,
+    ) -> Option<(EndpointUpdate, Vec<Change>)> {
+        let server = *self.ids.get(name)?;
+        let (entry, change) = told(server, self.members.get(&server)?, joined, names)?;
+        Some((EndpointUpdate::Changes(vec![entry]), vec![change]))
     }
 
     /// The whole list, as discovery last told of it.
@@ -157,7 +162,11 @@
     }
 
     /// The operators' word as the process before this one had it, beside the list that it had.
-    pub fn take_over(&mut self, hands: Vec<Hand>, names: &Names) -> Vec<(ListNews, Vec<Change>)> {
+    pub fn take_over(
+        &mut self,
+        hands: Vec<Hand>,
+        names: &Names,
+    ) -> Vec<(EndpointUpdate, Vec<Change>)> {
         let changed = self.hands.take_over(hands);
         changed
             .iter()
@@ -171,22 +180,25 @@
 }
 
 fn told(
-    store: StoreId,
-    endpoint: &Endpoint,
+    server: ServerId,
+    endpoint: &ListedEndpoint,
     joined: Joined,
     names: &Names,
-) -> Option<(Entry, Change)> {
+) -> Option<(Endpoint, Change)> {
     let (listed, change) = match joined.word {
-        Word::Ready => (Listed::Ready, Change::Serves(store, endpoint.address?)),
-        Word::Draining => (Listed::Draining, Change::Leaves(store)),
-        Word::Gone => (Listed::Gone, Change::Leaves(store)),
+        Word::Ready => (
+            EndpointState::Ready,
+            Change::Serves(server, endpoint.address?),
+        ),
+        Word::Draining => (EndpointState::Draining, Change::Leaves(server)),
+        Word::Gone => (EndpointState::Removed, Change::Leaves(server)),
     };
-    let entry = Entry {
-        store,
+    let entry = Endpoint {
+        server,
         group: GroupId(endpoint.group?),
         zone: ZoneId(place(&names.zones, &endpoint.zone)),
         kind: KindId(place(&names.kinds, &endpoint.kind)),
-        listed,
+        state: listed,
         primary: false,
         started: Time(joined.started),
     };
--- a/crates/leverproxy/src/discovery/wire.rs
+++ b/crates/leverproxy/src/discovery/wire.rs
@@ -9,11 +9,11 @@
 pub struct Listing {
     pub index: u64,
     pub snapshot: bool,
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Endpoint {
+pub struct ListedEndpoint {
     pub name: String,
     /// Absent where a change tells of an end alone.
     pub address: Option<SocketAddr>,
--- a/crates/leverproxy/src/monitor.rs
+++ b/crates/leverproxy/src/monitor.rs
@@ -8,7 +8,9 @@
 use availability::{
     Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
 };
-use routing::{Arrival, Entry, GroupId, ListNews, Listed, RequestId, StoreId, Time};
+use routing::{
+    Arrival, Endpoint, EndpointState, EndpointUpdate, GroupId, RequestId, ServerId, Time,
+};
 use site_failover::Event as SiteEvent;
 use std::time::{Duration, Instant};
 use wire_admin::Figures;
@@ -101,16 +103,16 @@
     }
 
     /// An operator's word on servers, beside what becomes of the list by it.
-    pub fn hands(&mut self, news: &ListNews, now: Instant) {
-        let ListNews::Changes(entries) = news else {
+    pub fn hands(&mut self, news: &EndpointUpdate, now: Instant) {
+        let EndpointUpdate::Changes(entries) = news else {
             return;
         };
         for entry in entries {
-            let out = entry.listed != Listed::Ready;
+            let out = entry.state != EndpointState::Ready;
             self.of_sites(
                 now,
                 SiteEvent::Hand {
-                    server: entry.store.0,
+                    server: entry.server.0,
                     out,
                 },
             );
@@ -154,11 +156,11 @@
     }
 
     /// An exchange with a record server has begun; a probe is of no group.
-    pub fn sent(&mut self, group: Option<GroupId>, store: StoreId, now: Instant) {
+    pub fn sent(&mut self, group: Option<GroupId>, server: ServerId, now: Instant) {
         if let Some(group) = group {
             self.event(now, Event::Sent { group: group.0 });
         }
-        self.event(now, Event::Asks { server: store.0 });
+        self.event(now, Event::Asks { server: server.0 });
     }
 
     pub fn ended(&mut self, done: &Done, now: Instant) {
@@ -181,7 +183,7 @@
                 },
             );
         }
-        let server = done.store.0;
+        let server = done.server.0;
         let sign = match done.verdict {
             // One whose time was over before it was written got no connection.
             Verdict::ConnectFailed => Some(SiteEvent::Unreached { server }),
@@ -202,7 +204,7 @@
         self.event(
             now,
             Event::Over {
-                server: done.store.0,
+                server: done.server.0,
                 word,
             },
         );
@@ -211,7 +213,7 @@
     /// What an answer or a report tells of its server; positions are Unix times.
     pub fn told(
         &mut self,
-        store: StoreId,
+        server: ServerId,
         position: Option<Time>,
         primary: Option<bool>,
         clock: &Clock,
@@ -222,7 +224,7 @@
         self.event(
             now,
             Event::Told {
-                server: store.0,
+                server: server.0,
                 position,
                 primary,
             },
@@ -231,17 +233,22 @@
 
     pub fn sign(&mut self, sign: Sign, now: Instant) {
         let event = match sign {
-            Sign::Dials(store) => Event::Dials { server: store.0 },
-            Sign::Word(store) => Event::Word { server: store.0 },
+            Sign::Dials(server) => Event::Dials { server: server.0 },
+            Sign::Word(server) => Event::Word { server: server.0 },
         };
         self.event(now, event);
     }
 
     /// The list's word on servers, and on those that it names no more.
-    pub fn listed(&mut self, entries: &[Entry], gone: impl Iterator<Item = StoreId>, now: Instant) {
+    pub fn listed(
+        &mut self,
+        entries: &[Endpoint],
+        gone: impl Iterator<Item = ServerId>,
+        now: Instant,
+    ) {
         for entry in entries {
-            let (server, place, group) = (entry.store.0, entry.zone.0, entry.group.0);
-            let there = entry.listed != Listed::Gone;
+            let (server, place, group) = (entry.server.0, entry.zone.0, entry.group.0);
+            let there = entry.state != EndpointState::Removed;
             self.event(
                 now,
                 Event::Listed {
@@ -253,24 +260,26 @@
             );
             self.of_sites(now, sites::listed(entry));
         }
-        for store in gone {
+        for server in gone {
             self.event(
                 now,
                 Event::Listed {
-                    server: store.0,
+                    server: server.0,
                     place: 0,
                     group: 0,
                     there: false,
                 },
             );
-            self.of_sites(now, sites::gone(store));
+            self.of_sites(now, sites::gone(server));
         }
     }
 
     /// A record server that should be dialled to see whether its machine is there; only balancers ask for what that
     /// tells.
-    pub fn knock(&self, may: impl Fn(StoreId) -> bool) -> Option<StoreId> {
-        self.model.knock(|server| may(StoreId(server))).map(StoreId)
+    pub fn knock(&self, may: impl Fn(ServerId) -> bool) -> Option<ServerId> {
+        self.model
+            .knock(|server| may(ServerId(server)))
+            .map(ServerId)
     }
 
     /// A request had its final answer, of the module or of a record server.
@@ -417,7 +426,7 @@
             room: u32::try_from(self.usage.clients_limit)
                 .ok()
                 .filter(|limit| *limit > 0),
-            come_back: if report.state.serves() {
+            retry_after: if report.state.serves() {
                 Duration::from_secs(1)
             } else {
                 DRAIN_COME_BACK
--- a/crates/leverproxy/src/operators.rs
+++ b/crates/leverproxy/src/operators.rs
@@ -14,7 +14,7 @@
 use configuration::source::Sources;
 use configuration::Reading;
 use platform_settings::Decoded;
-use routing::{ClassId, Effect, Need};
+use routing::{ClassId, Consistency, Idempotency};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use wire_health::http::Statuses;
@@ -114,27 +114,29 @@
         .zip(&names.classes)
         .map(|(class, name)| platform::Class {
             name: name.clone(),
-            need: match class.need {
-                Need::Write => platform::Need::Write,
-                Need::Fresh => platform::Need::Fresh,
-                Need::Session => platform::Need::Session,
-                Need::Bounded(age) => platform::Need::Bounded(age),
-                Need::Any => platform::Need::Any,
+            need: match class.consistency {
+                Consistency::Write => platform::Need::Write,
+                Consistency::Strong => platform::Need::Fresh,
+                Consistency::ReadYourWrites => platform::Need::Session,
+                Consistency::BoundedStaleness(age) => platform::Need::Bounded(age),
+                Consistency::Eventual => platform::Need::Any,
             },
-            repeat: match class.effect {
-                Effect::Safe => platform::Repeat::Safe,
-                Effect::Keyed { .. } => platform::Repeat::Keyed,
-                Effect::Unsafe => platform::Repeat::Never,
+            repeat: match class.idempotency {
+                Idempotency::Idempotent => platform::Repeat::Safe,
+                Idempotency::Keyed { .. } => platform::Repeat::Keyed,
+                Idempotency::NonIdempotent => platform::Repeat::Never,
             },
             deadline: class.deadline,
         });
     Platform {
         classes: classes.collect(),
         tenants: names.tenants.clone(),
-        try_limit: settings.try_limit,
+        try_limit: settings.attempt_limit,
         sockets,
         memory: memory_mb.map(|mb| (mb as u64) << 20),
-        max_retry_after: settings.retry_after.then_some(settings.max_retry_after),
+        max_retry_after: settings
+            .may_send_retry_after
+            .then_some(settings.max_retry_after),
     }
 }
 
@@ -142,15 +144,15 @@
 pub fn tighten(platform: &mut Decoded, model: &Model) {
     let settings = &mut platform.settings;
     if let Some(tries) = model.policy.tries {
-        settings.try_limit = if settings.try_limit == 0 {
+        settings.attempt_limit = if settings.attempt_limit == 0 {
             tries
         } else {
-            settings.try_limit.min(tries)
+            settings.attempt_limit.min(tries)
         };
     }
-    settings.second_copies &= model.policy.second_copies;
+    settings.may_hedge &= model.policy.second_copies;
     settings.may_probe &= model.policy.probes;
-    if let Some(most) = model.policy.come_back_most {
+    if let Some(most) = model.policy.max_retry_after {
         settings.max_retry_after = settings.max_retry_after.min(most);
     }
     for class in model.classes.iter().filter(|c| c.once) {
@@ -160,7 +162,7 @@
             .iter()
             .position(|name| *name == class.name)
         {
-            settings.classes[at].effect = Effect::Unsafe;
+            settings.classes[at].idempotency = Idempotency::NonIdempotent;
         }
     }
 }
@@ -209,8 +211,8 @@
             .map(|c| c.deadline)
             .collect(),
         margin: model.limits.answer_margin,
-        come_back_most: Some(platform.settings.max_retry_after)
-            .filter(|_| platform.settings.retry_after),
+        max_retry_after: Some(platform.settings.max_retry_after)
+            .filter(|_| platform.settings.may_send_retry_after),
         tenants: names.tenants,
     }
 }
@@ -321,6 +323,6 @@
             burst: pool.burst,
         }),
         reserve: f64::from(pool.reserve.part) / f64::from(pool.reserve.whole.max(1)),
-        come_back: pool.come_back,
+        retry_after: pool.retry_after,
     }
 }
--- a/crates/leverproxy/src/pg/client.rs
+++ b/crates/leverproxy/src/pg/client.rs
@@ -4,7 +4,7 @@
     error_field, message, put, sqlstate, text, Malformed, ANSWER_LIMIT, FRAME_SLACK, VALUE_LIMIT,
 };
 use crate::request::{Question, Verdict};
-use routing::{Note, Time};
+use routing::{ResponseMetadata, Time};
 use std::time::Duration;
 
 /// Bytes of an answer that may wait unread: the largest that is relayed in one piece, and what follows it.
@@ -58,7 +58,7 @@
     /// The answer is passed on as it comes.
     passes: bool,
     code: Option<String>,
-    note: Note,
+    note: ResponseMetadata,
 }
 
 /// Longest message of a kind; none of other kinds is expected.
@@ -202,7 +202,7 @@
     }
 
     /// Of an answer that ended as it should.
-    pub fn verdict(self, question: &Question) -> (Verdict, Note) {
+    pub fn verdict(self, question: &Question) -> (Verdict, ResponseMetadata) {
         let verdict = match (self.code.as_deref(), question) {
             (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
                 Verdict::Miss
--- a/crates/leverproxy/src/pg/server.rs
+++ b/crates/leverproxy/src/pg/server.rs
@@ -154,8 +154,8 @@
     let mut out = Vec::new();
     match answer {
         Answer::Served(bytes) => out = bytes,
-        Answer::Refused(come_back) => {
-            let millis = come_back.map(|d| d.as_millis().to_string());
+        Answer::Refused(retry_after) => {
+            let millis = retry_after.map(|d| d.as_millis().to_string());
             let text = "no record server can take this now";
             put_error(
                 &mut out,
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -151,7 +151,7 @@
         )?;
         front.set_balancers(config.checks.clone(), config.proxy_from.clone());
         let upstream = Upstream::new(limits.upstream, config.dial_timeout, config.idle_limit);
-        let pushed = !config.platform.settings.list_on_request;
+        let pushed = !config.platform.settings.endpoints_are_polled;
         let discovery = Discovery::new(config.discovery, config.watch_silence, pushed, now);
         let fixed = Fixed {
             name: config.name,
@@ -962,7 +962,7 @@
         self.chain
             .discovery_at(config.discovery, &mut self.sides, now);
         self.chain.set_pushed(
-            !self.platform.settings.list_on_request,
+            !self.platform.settings.endpoints_are_polled,
             &mut self.sides,
             now,
         );
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,7 +1,7 @@
 //! What passes between a protocol's front, the stages and the upstream side, in no protocol's words.
 
 use crate::reactor::Key;
-use routing::{AttemptNo, ClassId, GroupId, Note, RequestId, StoreId};
+use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -113,7 +113,7 @@
     pub attempt: AttemptNo,
     /// Of the connection that it came on.
     pub from: Key,
-    pub store: StoreId,
+    pub server: ServerId,
     pub elapsed: Duration,
     pub bytes: Vec<u8>,
 }
@@ -124,10 +124,10 @@
     pub class: Option<ClassId>,
     /// Of a request's attempt; a probe has none.
     pub group: Option<GroupId>,
-    pub store: StoreId,
+    pub server: ServerId,
     pub verdict: Verdict,
     pub elapsed: Duration,
-    pub note: Note,
+    pub metadata: ResponseMetadata,
 }
 
 /// As much of a client's text as an error message or a line of the log should repeat.
--- a/crates/leverproxy/src/sites.rs
+++ b/crates/leverproxy/src/sites.rs
@@ -2,7 +2,7 @@
 //! with what availability is fed with.
 
 use crate::request::{Done, Verdict};
-use routing::{Arrival, Entry, Listed, Need, StoreId};
+use routing::{Arrival, Consistency, Endpoint, EndpointState, ServerId};
 use site_failover::order::Standing;
 use site_failover::{Class, Event, Kind, Loss, Plan, Report, Settings, State};
 use std::time::Duration;
@@ -30,9 +30,9 @@
     /// What requests are worth, and whose share of what is how large.
     pub fn configure(&mut self, settings: &routing::Settings) {
         let class = |class: &routing::Class| Class {
-            write: class.need == Need::Write,
-            worth: class.worth,
-            aim: class.aim,
+            write: class.consistency == Consistency::Write,
+            worth: class.priority_weight,
+            aim: class.latency_objective,
         };
         let classes = settings.classes.iter().map(class).collect();
         let quotas = settings
@@ -41,18 +41,18 @@
             .map(|tenant| tenant.quota_per_s)
             .collect();
         self.plan
-            .configure(classes, quotas, settings.over_share_worth);
+            .configure(classes, quotas, settings.over_quota_weight_fraction);
     }
 
     /// A request has come: the part of its kind that is to be refused.
     pub fn asked(&mut self, now: Duration, arrival: &Arrival) -> f64 {
-        let standing = match arrival.standing {
-            routing::Standing::Within => Standing::Within,
-            routing::Standing::Borrowed => Standing::Borrowed,
-            routing::Standing::Beyond => Standing::Beyond,
+        let standing = match arrival.quota_status {
+            routing::QuotaStatus::WithinQuota => Standing::Within,
+            routing::QuotaStatus::Borrowed => Standing::Borrowed,
+            routing::QuotaStatus::OverQuota => Standing::Beyond,
         };
         let (group, class, tenant) = (arrival.group.0, arrival.class.0, arrival.tenant.0);
-        let (write, repeated) = (self.plan.writes(class), arrival.repeated);
+        let (write, repeated) = (self.plan.writes(class), arrival.is_client_retry);
         self.plan.asked(
             now,
             arrival.id.0,
@@ -77,7 +77,7 @@
             (done.class, done.group, &done.verdict)
         {
             self.plan
-                .served(now, done.store.0, group.0, class.0, done.elapsed);
+                .served(now, done.server.0, group.0, class.0, done.elapsed);
         }
     }
 
@@ -280,22 +280,22 @@
     rows.iter().map(line).collect()
 }
 
-pub fn listed(entry: &Entry) -> Event {
-    let listed = match entry.listed {
-        Listed::Ready => site_failover::Listed::Ready,
-        Listed::Draining => site_failover::Listed::Draining,
-        Listed::Gone => site_failover::Listed::Gone,
+pub fn listed(entry: &Endpoint) -> Event {
+    let listed = match entry.state {
+        EndpointState::Ready => site_failover::Listed::Ready,
+        EndpointState::Draining => site_failover::Listed::Draining,
+        EndpointState::Removed => site_failover::Listed::Gone,
     };
     Event::Listed {
-        server: entry.store.0,
+        server: entry.server.0,
         site: entry.zone.0,
         listed,
     }
 }
 
-pub fn gone(store: StoreId) -> Event {
+pub fn gone(server: ServerId) -> Event {
     Event::Listed {
-        server: store.0,
+        server: server.0,
         site: 0,
         listed: site_failover::Listed::Gone,
     }
--- a/crates/leverproxy/src/stages/admit.rs
+++ b/crates/leverproxy/src/stages/admit.rs
@@ -3,7 +3,7 @@
 use crate::reactor::Key;
 use crate::request::{shown, Answer, Command, Request, Ticket};
 use bulkheads::PoolId;
-use routing::{Arrival, AttemptNo, ClassId, GroupId, RequestId, Standing, TenantId};
+use routing::{Arrival, AttemptNo, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
     pub group: GroupId,
     /// Whose it is, and where it stands in that quota.
     pub tenant: TenantId,
-    pub standing: Standing,
+    pub standing: QuotaStatus,
     /// The pool that it counts against.
     pub pool: Option<PoolId>,
     pub command: Arc<Command>,
@@ -98,7 +98,7 @@
         let Arrival {
             id,
             tenant,
-            standing,
+            quota_status: standing,
             ..
         } = *arrival;
         self.tickets.insert(ticket, id);
--- a/crates/leverproxy/src/stages/book.rs
+++ b/crates/leverproxy/src/stages/book.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::evidence::{Told, REPORT_AGE};
 use crate::request::{Done, Purpose, Verdict};
-use routing::{Ended, Event, Note, Outcome, Report, Time};
+use routing::{AttemptEnded, Event, LoadReport, Outcome, ResponseMetadata, Time};
 use std::time::Duration;
 
 /// `last`: the request is owed nothing more. A position ahead of `latest` is no position: believed, it would make a
@@ -10,38 +10,38 @@
 pub fn book(done: &Done, last: bool, latest: Time) -> Event {
     let known = |position: &Time| *position <= latest;
     match done.purpose {
-        Purpose::Attempt(id, attempt) => Event::Ended(Ended {
+        Purpose::Attempt(id, attempt) => Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
-            store: done.store,
+            server: done.server,
             outcome: outcome(&done.verdict),
             elapsed: done.elapsed,
-            last,
-            note: Note {
-                position: done.note.position.filter(known),
-                ..done.note
+            request_finished: last,
+            metadata: ResponseMetadata {
+                position: done.metadata.position.filter(known),
+                ..done.metadata
             },
         }),
         Purpose::Probe => {
             let report = match &done.verdict {
                 Verdict::Reported(fields) => report(fields),
-                _ => Report::default(),
+                _ => LoadReport::default(),
             };
             // A report that can't be read, or can't be true, is none; the server has answered all the same. Of one
             // whose position may be true, but is not believed yet, the rest counts.
             let possible = |position: &Time| *position <= latest.plus(BEHIND_MOST);
             let sound = report.position.as_ref().is_none_or(possible);
-            let report = Report {
+            let report = LoadReport {
                 position: report.position.filter(known),
                 ..report
             };
             let ok = matches!(done.verdict, Verdict::Reported(_));
-            let (store, elapsed) = (done.store, done.elapsed);
-            Event::Probed {
-                store,
+            let (server, elapsed) = (done.server, done.elapsed);
+            Event::ProbeEnded {
+                server,
                 ok,
                 elapsed,
-                report: if sound { report } else { Report::default() },
+                report: if sound { report } else { LoadReport::default() },
             }
         }
     }
@@ -52,7 +52,7 @@
     let since = now.minus(done.elapsed);
     let (position, primary, since) = match (done.purpose, &done.verdict) {
         (_, Verdict::Spoilt) => return None,
-        (Purpose::Attempt(..), _) => (done.note.position, done.note.primary, since),
+        (Purpose::Attempt(..), _) => (done.metadata.position, done.metadata.primary, since),
         (Purpose::Probe, Verdict::Reported(fields)) => {
             let report = report(fields);
             (report.position, report.primary, since.minus(REPORT_AGE))
@@ -61,7 +61,7 @@
     };
     let present_since = (primary == Some(true)).then_some(since);
     position.map(|position| Told {
-        server: done.store,
+        server: done.server,
         position,
         present_since,
     })
@@ -70,15 +70,15 @@
 fn outcome(verdict: &Verdict) -> Outcome {
     match verdict {
         Verdict::Served(_) | Verdict::Reported(_) => Outcome::Ok,
-        Verdict::Miss => Outcome::Miss,
+        Verdict::Miss => Outcome::Misdirected,
         // It has answered, so it is not taken for dead.
         Verdict::Failed | Verdict::Spoilt => Outcome::Failed,
-        Verdict::Full => Outcome::Full,
+        Verdict::Full => Outcome::Rejected,
         Verdict::ConnectFailed => Outcome::ConnectFailed,
         Verdict::Reset => Outcome::Reset,
         Verdict::TimedOut => Outcome::TimedOut,
         Verdict::Cancelled => Outcome::Cancelled,
-        Verdict::NeverSent => Outcome::Moot,
+        Verdict::NeverSent => Outcome::NotSent,
     }
 }
 
@@ -89,12 +89,12 @@
 const ROUNDING: Duration = Duration::from_micros(1);
 
 /// On sockets all positions are Unix times.
-fn report(fields: &[(String, f64)]) -> Report {
+fn report(fields: &[(String, f64)]) -> LoadReport {
     let fields = fields
         .iter()
         .map(|(name, value)| (platform_settings::field(name), *value));
     let report = platform_settings::report(Time::ZERO, fields);
-    Report {
+    LoadReport {
         position: report.position.map(|at| at.minus(ROUNDING)),
         ..report
     }
--- a/crates/leverproxy/src/stages/mod.rs
+++ b/crates/leverproxy/src/stages/mod.rs
@@ -27,7 +27,9 @@
 use crate::upstream::{Due, Upstream};
 use maintenance::{Hand, Unknown};
 use platform_settings::{Decoded, Names, Succession};
-use routing::{Action, Event, ListNews, Need, RequestId, Standing, StoreId, Time, TimerToken};
+use routing::{
+    Action, Consistency, EndpointUpdate, Event, QuotaStatus, RequestId, ServerId, Time, TimerToken,
+};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -128,7 +130,7 @@
             writes: settings
                 .classes
                 .iter()
-                .map(|c| c.need == Need::Write)
+                .map(|c| c.consistency == Consistency::Write)
                 .collect(),
             probe_time,
             directory: Directory::default(),
@@ -153,7 +155,7 @@
             &self.names,
         );
         let news = match news {
-            ListNews::Complete(entries) => ListNews::Cached(entries),
+            EndpointUpdate::Snapshot(entries) => EndpointUpdate::Cached(entries),
             other => other,
         };
         self.listed(news, changes, sides, now);
@@ -244,8 +246,8 @@
         self.quota.mark(&mut arrival, request.tenant.is_some(), now);
         self.ledger.admit(&arrival, ticket, class, pool, request);
         self.counters.taken(class);
-        arrival.shed = self.monitor.arrived(&arrival, now);
-        self.decide(Event::Arrived(arrival), sides, now);
+        arrival.shed_fraction = self.monitor.arrived(&arrival, now);
+        self.decide(Event::RequestArrived(arrival), sides, now);
     }
 
     /// An answer before the request is owed one by the ledger.
@@ -262,7 +264,7 @@
         }
         self.counters.taken(class);
         self.counters
-            .answered(class, Standing::Within, &answer, Duration::ZERO);
+            .answered(class, QuotaStatus::WithinQuota, &answer, Duration::ZERO);
         sides.front.answer(ticket, answer, now, &sides.reactor);
     }
 
@@ -301,7 +303,7 @@
         self.writes = settings
             .classes
             .iter()
-            .map(|c| c.need == Need::Write)
+            .map(|c| c.consistency == Consistency::Write)
             .collect();
         (self.names, self.probe_time) = (names, probe_time);
         self.ledger.set_limit(max_open);
@@ -326,9 +328,10 @@
             .warn(now, || format!("front: a request is rejected: {why}"));
         let answer = Answer::Rejected(why);
         match class {
-            Some(class) => self
-                .counters
-                .answered(class, Standing::Within, &answer, Duration::ZERO),
+            Some(class) => {
+                self.counters
+                    .answered(class, QuotaStatus::WithinQuota, &answer, Duration::ZERO)
+            }
             None => self.counters.rejected += 1,
         }
         sides.front.answer(ticket, answer, now, &sides.reactor);
@@ -370,7 +373,7 @@
         }
         self.quota.ended(&open, None, now);
         self.monitor.left(id, open.group, now);
-        self.decide(Event::Left(id), sides, now);
+        self.decide(Event::ClientLeft(id), sides, now);
         Some(open)
     }
 
@@ -381,7 +384,7 @@
             id,
             attempt,
             from,
-            store,
+            server,
             elapsed,
             bytes,
         } = piece;
@@ -400,21 +403,21 @@
         if first {
             let write = self.is_write(Some(class));
             let position = self.least_commit(now).filter(|_| write);
-            let note = routing::Note {
+            let metadata = routing::ResponseMetadata {
                 position,
-                ..routing::Note::default()
+                ..routing::ResponseMetadata::default()
             };
             let outcome = routing::Outcome::Ok;
-            let ended = routing::Ended {
+            let ended = routing::AttemptEnded {
                 id,
                 attempt,
-                store,
+                server,
                 outcome,
                 elapsed,
-                last: true,
-                note,
+                request_finished: true,
+                metadata,
             };
-            self.learn(Event::Ended(ended), sides, now);
+            self.learn(Event::AttemptEnded(ended), sides, now);
         }
     }
 
@@ -471,7 +474,7 @@
     fn commits(&self, done: &mut Done, now: Instant) -> bool {
         let commits = self.is_write(done.class) && matches!(done.verdict, Verdict::Served(_));
         if commits {
-            done.note.position = done.note.position.or(self.least_commit(now));
+            done.metadata.position = done.metadata.position.or(self.least_commit(now));
         }
         commits
     }
@@ -507,21 +510,30 @@
     /// What a record server has told goes to both who ask for it.
     fn learn(&mut self, event: Event, sides: &mut Sides, now: Instant) {
         let told = match &event {
-            Event::Ended(ended) => Some((ended.store, ended.note.position, ended.note.primary)),
-            Event::Probed { store, report, .. } => Some((*store, report.position, report.primary)),
+            Event::AttemptEnded(ended) => Some((
+                ended.server,
+                ended.metadata.position,
+                ended.metadata.primary,
+            )),
+            Event::ProbeEnded { server, report, .. } => {
+                Some((*server, report.position, report.primary))
+            }
             _ => None,
         };
-        if let Some((store, position, primary)) = told {
+        if let Some((server, position, primary)) = told {
             self.monitor
-                .told(store, position, primary, &self.clock, now);
+                .told(server, position, primary, &self.clock, now);
         }
         self.decide(event, sides, now);
     }
 
     /// Dials a server whose silence may be its link's.
     pub fn knock(&mut self, sides: &mut Sides, now: Instant) {
-        if let Some(store) = self.monitor.knock(|store| sides.upstream.may_knock(store)) {
-            sides.upstream.knock(store, now, &sides.reactor);
+        if let Some(server) = self
+            .monitor
+            .knock(|server| sides.upstream.may_knock(server))
+        {
+            sides.upstream.knock(server, now, &sides.reactor);
         }
     }
 
@@ -531,7 +543,11 @@
                 self.monitor.event(now, availability::Event::ListHeard);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
                     // Nothing has changed since the list that this process began with.
-                    self.decide(Event::List(ListNews::Changes(Vec::new())), sides, now);
+                    self.decide(
+                        Event::Endpoints(EndpointUpdate::Changes(Vec::new())),
+                        sides,
+                        now,
+                    );
                 }
             }
             News::Listing(listing) => {
@@ -550,30 +566,36 @@
                     .event(now, availability::Event::Discovery { heard: false });
                 self.counters.watches_lost += 1;
             }
-            News::Failed => self.decide(Event::List(ListNews::Failed), sides, now),
+            News::Failed => self.decide(Event::Endpoints(EndpointUpdate::Failed), sides, now),
         }
     }
 
     /// The module hears of a list before the attempts that it ends are reported.
-    fn listed(&mut self, news: ListNews, changes: Vec<Change>, sides: &mut Sides, now: Instant) {
-        if let ListNews::Changes(entries)
-        | ListNews::Complete(entries)
-        | ListNews::Cached(entries) = &news
+    fn listed(
+        &mut self,
+        news: EndpointUpdate,
+        changes: Vec<Change>,
+        sides: &mut Sides,
+        now: Instant,
+    ) {
+        if let EndpointUpdate::Changes(entries)
+        | EndpointUpdate::Snapshot(entries)
+        | EndpointUpdate::Cached(entries) = &news
         {
-            let named = |store: &StoreId| entries.iter().any(|e| e.store == *store);
+            let named = |server: &ServerId| entries.iter().any(|e| e.server == *server);
             let left = changes.iter().filter_map(|change| match change {
-                Change::Leaves(store) => Some(*store).filter(|store| !named(store)),
+                Change::Leaves(server) => Some(*server).filter(|server| !named(server)),
                 Change::Serves(..) => None,
             });
             self.monitor.listed(entries, left, now);
         }
         for change in changes {
             match change {
-                Change::Serves(store, address) => sides.upstream.serves(store, address),
-                Change::Leaves(store) => sides.upstream.leaves(store, now),
+                Change::Serves(server, address) => sides.upstream.serves(server, address),
+                Change::Leaves(server) => sides.upstream.leaves(server, now),
             }
         }
-        self.decide(Event::List(news), sides, now);
+        self.decide(Event::Endpoints(news), sides, now);
     }
 
     /// What the module hears and says is told at the level of traces: whoever counts over many proxies reads it there.
@@ -590,25 +612,25 @@
         match action {
             Action::Send {
                 id,
-                store,
-                time_out,
+                server,
+                timeout,
                 begin_within,
             } => {
                 self.monitor.settled(id, false);
                 let Some(open) = self.ledger.get_mut(id) else {
                     return;
                 };
-                let exchange = send::attempt(id, open, time_out, begin_within, now);
-                self.monitor.sent(Some(open.group), store, now);
-                sides.upstream.start(store, exchange, now, &sides.reactor);
+                let exchange = send::attempt(id, open, timeout, begin_within, now);
+                self.monitor.sent(Some(open.group), server, now);
+                sides.upstream.start(server, exchange, now, &sides.reactor);
             }
-            Action::Probe { store } => self.probe(store, sides, now),
+            Action::Probe { server } => self.probe(server, sides, now),
             Action::Cancel { id, attempt } => {
                 sides.upstream.cancel(Purpose::Attempt(id, attempt), now)
             }
-            Action::Refuse { id, come_back } => {
+            Action::Reject { id, retry_after } => {
                 self.monitor.settled(id, true);
-                self.answer(id, Answer::Refused(come_back), sides, now);
+                self.answer(id, Answer::Refused(retry_after), sides, now);
             }
             Action::Fail { id } => {
                 self.monitor.settled(id, false);
@@ -632,11 +654,11 @@
             .move_to(address, self.directory.index(), now, &sides.reactor);
     }
 
-    fn probe(&mut self, store: StoreId, sides: &mut Sides, now: Instant) {
+    fn probe(&mut self, server: ServerId, sides: &mut Sides, now: Instant) {
         self.counters.probe_sent();
-        self.monitor.sent(None, store, now);
+        self.monitor.sent(None, server, now);
         sides.upstream.start(
-            store,
+            server,
             send::probe(self.probe_time, now),
             now,
             &sides.reactor,
--- a/crates/leverproxy/src/stages/quota.rs
+++ b/crates/leverproxy/src/stages/quota.rs
@@ -8,7 +8,7 @@
 use ::quota::{Counts, Mark};
 use membership::Fact;
 use platform_settings::{Decoded, Names};
-use routing::{Arrival, Standing};
+use routing::{Arrival, QuotaStatus};
 use std::fmt;
 use std::time::{Duration, Instant};
 
@@ -48,9 +48,13 @@
             .map(|tenant| tenant.quota_per_s)
             .collect();
         self.quotas.clone_from(&quotas);
-        let worths = settings.classes.iter().map(|class| class.worth).collect();
+        let worths = settings
+            .classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .collect();
         let settings = ::quota::Settings {
-            proxies: settings.routers,
+            proxies: settings.router_count,
             quotas,
             worths,
         };
@@ -95,12 +99,16 @@
             arrival.tenant.0.into(),
             arrival.class.0.into(),
         );
-        arrival.standing = match self.account.asked(since, tenant, class, arrival.repeated) {
-            Mark::Free | Mark::Within => Standing::Within,
-            Mark::Beyond if self.lent(arrival, now) => Standing::Borrowed,
-            // Who repays does not borrow for it.
-            Mark::Withheld | Mark::Beyond => Standing::Beyond,
-        };
+        arrival.quota_status =
+            match self
+                .account
+                .asked(since, tenant, class, arrival.is_client_retry)
+            {
+                Mark::Free | Mark::Within => QuotaStatus::WithinQuota,
+                Mark::Beyond if self.lent(arrival, now) => QuotaStatus::Borrowed,
+                // Who repays does not borrow for it.
+                Mark::Withheld | Mark::Beyond => QuotaStatus::OverQuota,
+            };
     }
 
     fn lent(&mut self, arrival: &Arrival, now: Instant) -> bool {
@@ -119,10 +127,10 @@
         };
         let tried = open.attempts() > 0;
         match open.standing {
-            Standing::Within if answer.is_some() => {
+            QuotaStatus::WithinQuota if answer.is_some() => {
                 lending.within(!tried && matches!(answer, Some(Answer::Refused(_))), now);
             }
-            Standing::Borrowed if !tried => {
+            QuotaStatus::Borrowed if !tried => {
                 if let Some(stand) = self.names.get(usize::from(open.tenant.0)) {
                     lending.give_back(stand);
                 }
--- a/crates/leverproxy/src/stages/route.rs
+++ b/crates/leverproxy/src/stages/route.rs
@@ -1,6 +1,6 @@
 //! Route: the one place where the module is asked. It alone decides.
 
-use routing::{Action, ClassId, Event, Need, Router, Settings, Time};
+use routing::{Action, ClassId, Consistency, Event, Router, Settings, Time};
 use std::time::Duration;
 
 pub struct Route {
@@ -50,10 +50,14 @@
 fn under_lead(settings: &Settings, lead: Duration) -> Settings {
     let mut settings = settings.clone();
     for class in &mut settings.classes {
-        class.need = match class.need {
-            Need::Bounded(bound) if lead.is_zero() => Need::Bounded(bound),
-            Need::Bounded(bound) if lead < bound => Need::Bounded(bound - lead),
-            Need::Bounded(_) => Need::Fresh,
+        class.consistency = match class.consistency {
+            Consistency::BoundedStaleness(bound) if lead.is_zero() => {
+                Consistency::BoundedStaleness(bound)
+            }
+            Consistency::BoundedStaleness(bound) if lead < bound => {
+                Consistency::BoundedStaleness(bound - lead)
+            }
+            Consistency::BoundedStaleness(_) => Consistency::Strong,
             other => other,
         };
     }
--- a/crates/leverproxy/src/stages/send.rs
+++ b/crates/leverproxy/src/stages/send.rs
@@ -12,7 +12,7 @@
 pub fn attempt(
     id: RequestId,
     open: &mut Open,
-    time_out: Duration,
+    timeout: Duration,
     begin_within: Duration,
     now: Instant,
 ) -> Exchange {
@@ -22,20 +22,20 @@
         group: Some(open.group),
         question: Question::Command(Arc::clone(&open.command)),
         sent: now,
-        until: later(now, time_out),
-        begin_by: later(now, begin_within.min(time_out)),
+        until: later(now, timeout),
+        begin_by: later(now, begin_within.min(timeout)),
     }
 }
 
 /// A probe waits as long as a dial does: a server that takes longer counts as silent.
-pub fn probe(time_out: Duration, now: Instant) -> Exchange {
+pub fn probe(timeout: Duration, now: Instant) -> Exchange {
     Exchange {
         purpose: Purpose::Probe,
         class: None,
         group: None,
         question: Question::Load,
         sent: now,
-        until: later(now, time_out),
-        begin_by: later(now, time_out),
+        until: later(now, timeout),
+        begin_by: later(now, timeout),
     }
 }
--- a/crates/leverproxy/src/stages/steer.rs
+++ b/crates/leverproxy/src/stages/steer.rs
@@ -34,7 +34,7 @@
     /// Kept back from each client's time.
     pub margin: Duration,
     /// The longest that the refused are told to wait; none: they may not be told.
-    pub come_back_most: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// The places of the platform's classes, in the order that all else here goes by; none: they are as the file has them.
     pub places: Vec<ClassId>,
     /// Names by the numbers that the index knows.
@@ -119,7 +119,7 @@
         };
         let (longest, tries) = caps.get(usize::from(class.0)).copied().unwrap_or_default();
         cap(arrival, longest);
-        arrival.tries = fewer(arrival.tries, tries);
+        arrival.attempt_limit = fewer(arrival.attempt_limit, tries);
         if rulings.is_empty() {
             return Ok(None);
         }
@@ -145,12 +145,12 @@
             return Ok(None);
         };
         self.counts.routed += 1;
-        if let Some(come_back) = ruling.refuse {
+        if let Some(retry_after) = ruling.refuse {
             self.counts.refused += 1;
-            return Err(self.refusal(come_back));
+            return Err(self.refusal(retry_after));
         }
         cap(arrival, ruling.deadline);
-        arrival.tries = fewer(arrival.tries, ruling.tries);
+        arrival.attempt_limit = fewer(arrival.attempt_limit, ruling.tries);
         if let Some(other) = ruling.as_class {
             cap(arrival, deadlines.get(usize::from(other.0)).copied());
             arrival.class = self
@@ -165,12 +165,12 @@
         };
         match self.pools.take(pool, ruling.priority, at.0) {
             Verdict::Taken => Ok(Some(pool)),
-            Verdict::Refused { cause, come_back } => {
+            Verdict::Refused { cause, retry_after } => {
                 match cause {
                     Cause::Full => self.counts.pool_full += 1,
                     Cause::Fast => self.counts.pool_fast += 1,
                 }
-                Err(self.refusal(Some(come_back)))
+                Err(self.refusal(Some(retry_after)))
             }
         }
     }
@@ -180,9 +180,9 @@
         self.pools.give_back(pool, held);
     }
 
-    fn refusal(&self, come_back: Option<Duration>) -> Answer {
-        let most = self.rules.come_back_most;
-        Answer::Refused(come_back.and_then(|after| most.map(|most| after.min(most))))
+    fn refusal(&self, retry_after: Option<Duration>) -> Answer {
+        let most = self.rules.max_retry_after;
+        Answer::Refused(retry_after.and_then(|after| most.map(|most| after.min(most))))
     }
 }
 
--- a/crates/leverproxy/src/stages/take_in.rs
+++ b/crates/leverproxy/src/stages/take_in.rs
@@ -2,7 +2,9 @@
 
 use crate::request::{shown, Request};
 use platform_settings::Names;
-use routing::{Arrival, ClassId, GroupId, RequestId, SessionKey, Standing, TenantId, Time, Wrote};
+use routing::{
+    Arrival, ClassId, GroupId, QuotaStatus, RequestId, SessionKey, SessionPosition, TenantId, Time,
+};
 use std::time::{Duration, Instant};
 
 /// The arrival, or what the client is told of a request that makes no sense. The client's time counts from its
@@ -44,11 +46,11 @@
         group: GroupId(request.group),
         session: request.session.map(SessionKey),
         time_left: wait.saturating_sub(spent),
-        wrote: request.after.map(|at| Wrote::At(Time(at))),
-        repeated: request.repeated,
-        standing: Standing::Within,
-        tries: None,
-        shed: 0.0,
+        session_position: request.after.map(|at| SessionPosition::At(Time(at))),
+        is_client_retry: request.repeated,
+        quota_status: QuotaStatus::WithinQuota,
+        attempt_limit: None,
+        shed_fraction: 0.0,
     })
 }
 
--- a/crates/leverproxy/src/upstream.rs
+++ b/crates/leverproxy/src/upstream.rs
@@ -9,7 +9,7 @@
 use crate::request::{Done, Piece, Purpose, Question, Verdict};
 use crate::seldom::Seldom;
 use crate::system_calls::{lacks_descriptors, RETRY_PAUSE};
-use routing::{ClassId, GroupId, Note, RequestId, StoreId};
+use routing::{ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use rustix::io::Errno;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -58,20 +58,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Connection(Key),
-    Queue(StoreId),
+    Queue(ServerId),
 }
 
 /// What dials tell of a server's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    Dials(StoreId),
+    Dials(ServerId),
     /// It has said something: a connection is up, or was refused.
-    Word(StoreId),
+    Word(ServerId),
 }
 
 pub struct Upstream {
     connections: Slots<Connection>,
-    pools: BTreeMap<StoreId, Pool>,
+    pools: BTreeMap<ServerId, Pool>,
     done: VecDeque<Done>,
     pieces: VecDeque<Piece>,
     signs: VecDeque<Sign>,
@@ -99,7 +99,7 @@
 
 struct Connection {
     stream: Stream,
-    store: StoreId,
+    server: ServerId,
     address: SocketAddr,
     state: State,
     /// When the present state has lasted too long.
@@ -182,8 +182,8 @@
     }
 
     /// The server is there and takes requests.
-    pub fn serves(&mut self, store: StoreId, address: SocketAddr) {
-        let pool = self.pools.entry(store).or_insert_with(|| Pool {
+    pub fn serves(&mut self, server: ServerId, address: SocketAddr) {
+        let pool = self.pools.entry(server).or_insert_with(|| Pool {
             address,
             idle: Vec::new(),
             waiting: VecDeque::new(),
@@ -200,15 +200,21 @@
 
     /// The server drains or is gone: nothing new may reach it, so what is not written yet is called off. What
     /// is written goes on.
-    pub fn leaves(&mut self, store: StoreId, now: Instant) {
-        let Some(mut pool) = self.pools.remove(&store) else {
+    pub fn leaves(&mut self, server: ServerId, now: Instant) {
+        let Some(mut pool) = self.pools.remove(&server) else {
             return;
         };
         for exchange in pool.waiting.drain(..) {
-            self.finish(exchange, store, Verdict::NeverSent, Note::default(), now);
+            self.finish(
+                exchange,
+                server,
+                Verdict::NeverSent,
+                ResponseMetadata::default(),
+                now,
+            );
         }
         for key in self.connections.keys() {
-            let Some(connection) = self.connections.get(key).filter(|c| c.store == store) else {
+            let Some(connection) = self.connections.get(key).filter(|c| c.server == server) else {
                 continue;
             };
             let written = matches!(connection.state, State::Busy { written: true, .. });
@@ -218,26 +224,36 @@
         }
     }
 
-    pub fn start(&mut self, store: StoreId, exchange: Exchange, now: Instant, reactor: &Reactor) {
-        let Some(pool) = self.pools.get_mut(&store) else {
-            return self.finish(exchange, store, Verdict::NeverSent, Note::default(), now);
+    pub fn start(&mut self, server: ServerId, exchange: Exchange, now: Instant, reactor: &Reactor) {
+        let Some(pool) = self.pools.get_mut(&server) else {
+            return self.finish(
+                exchange,
+                server,
+                Verdict::NeverSent,
+                ResponseMetadata::default(),
+                now,
+            );
         };
         let queue_until = exchange.waits_until(self.dial_timeout);
         pool.waiting.push_back(exchange);
-        self.serve_queue(store, now, reactor);
+        self.serve_queue(server, now, reactor);
         if self
             .pools
-            .get(&store)
+            .get(&server)
             .is_some_and(|pool| !pool.waiting.is_empty())
         {
-            self.due.push((queue_until, Due::Queue(store)));
+            self.due.push((queue_until, Due::Queue(server)));
         }
     }
 
     /// Gives waiting exchanges the idle connections, and dials for the rest.
-    fn serve_queue(&mut self, store: StoreId, now: Instant, reactor: &Reactor) {
-        self.drop_late(store, now);
-        while let Some(pool) = self.pools.get_mut(&store).filter(|p| !p.waiting.is_empty()) {
+    fn serve_queue(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
+        self.drop_late(server, now);
+        while let Some(pool) = self
+            .pools
+            .get_mut(&server)
+            .filter(|p| !p.waiting.is_empty())
+        {
             let Some(key) = pool.idle.pop() else { break };
             // Its end may have come unnoticed: a request written then would count as one that may have run.
             let Some(connection) = self.connections.get_mut(key) else {
@@ -252,12 +268,12 @@
             };
             self.give(key, exchange, now, reactor);
         }
-        self.dial_for_queue(store, now, reactor);
+        self.dial_for_queue(server, now, reactor);
     }
 
     /// Ends what has waited too long for a connection. A dial that comes up after that must not carry it.
-    fn drop_late(&mut self, store: StoreId, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&store) else {
+    fn drop_late(&mut self, server: ServerId, now: Instant) {
+        let Some(pool) = self.pools.get_mut(&server) else {
             return;
         };
         let (dial_timeout, short) = (self.dial_timeout, pool.short_until.is_some());
@@ -272,12 +288,12 @@
             } else {
                 Verdict::ConnectFailed
             };
-            self.finish(exchange, store, verdict, Note::default(), now);
+            self.finish(exchange, server, verdict, ResponseMetadata::default(), now);
         }
     }
 
-    fn dial_for_queue(&mut self, store: StoreId, now: Instant, reactor: &Reactor) {
-        while let Some(pool) = self.pools.get_mut(&store) {
+    fn dial_for_queue(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
+        while let Some(pool) = self.pools.get_mut(&server) {
             let enough = pool.waiting.len() <= pool.dialling || pool.dialling >= DIALS_AT_ONCE;
             if enough || pool.short_until.is_some_and(|until| now < until) {
                 return;
@@ -287,19 +303,19 @@
                 // What waits gets the next connection that comes free, or runs out of time.
                 return;
             }
-            match self.dial(store, address, now, reactor) {
+            match self.dial(server, address, now, reactor) {
                 Ok(()) => {}
                 Err(DialError::Failed(_)) => {
-                    self.fail_first_waiting(store, Verdict::ConnectFailed, now)
+                    self.fail_first_waiting(server, Verdict::ConnectFailed, now)
                 }
-                Err(DialError::Short(errno)) => return self.dial_later(store, errno, now),
+                Err(DialError::Short(errno)) => return self.dial_later(server, errno, now),
             }
         }
     }
 
     /// What waits stays where it is while this machine lacks something for a dial. The server is not to blame.
-    fn dial_later(&mut self, store: StoreId, errno: Errno, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&store) else {
+    fn dial_later(&mut self, server: ServerId, errno: Errno, now: Instant) {
+        let Some(pool) = self.pools.get_mut(&server) else {
             return;
         };
         let until = now + RETRY_PAUSE;
@@ -314,7 +330,7 @@
             let allowed = probe.until.saturating_duration_since(probe.sent);
             (probe.sent, probe.until, probe.begin_by) = (now, now + allowed, now + allowed);
         }
-        self.due.push((until, Due::Queue(store)));
+        self.due.push((until, Due::Queue(server)));
         if lacks_descriptors(errno) {
             self.evict();
         }
@@ -341,7 +357,7 @@
 
     fn dial(
         &mut self,
-        store: StoreId,
+        server: ServerId,
         address: SocketAddr,
         now: Instant,
         reactor: &Reactor,
@@ -350,24 +366,24 @@
         let stream = self.begin_dial(address, now)?;
         if self
             .pools
-            .get_mut(&store)
+            .get_mut(&server)
             .is_some_and(|pool| pool.short_until.take().is_some())
         {
             // A probe whose time began anew.
-            self.due.push((until, Due::Queue(store)));
+            self.due.push((until, Due::Queue(server)));
         }
-        log::trace!("dial {store:?}, {} open", self.connections.len());
-        self.signs.push_back(Sign::Dials(store));
+        log::trace!("dial {server:?}, {} open", self.connections.len());
+        self.signs.push_back(Sign::Dials(server));
         let connection = Connection {
             stream,
-            store,
+            server,
             address,
             state: State::Connecting,
             until,
         };
         let key = self.connections.insert(connection);
         self.due.push((until, Due::Connection(key)));
-        if let Some(pool) = self.pools.get_mut(&store) {
+        if let Some(pool) = self.pools.get_mut(&server) {
             pool.dialling += 1;
         }
         self.watch_dial(key, now, reactor);
@@ -388,17 +404,17 @@
     }
 
     /// Whether a server may be dialled for nothing but to see whether its machine is there.
-    pub fn may_knock(&self, store: StoreId) -> bool {
+    pub fn may_knock(&self, server: ServerId) -> bool {
         self.pools
-            .get(&store)
+            .get(&server)
             .is_some_and(|pool| pool.dialling == 0)
             && self.connections.len() < self.limit
     }
 
-    pub fn knock(&mut self, store: StoreId, now: Instant, reactor: &Reactor) {
-        if let Some(address) = self.pools.get(&store).map(|pool| pool.address) {
+    pub fn knock(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
+        if let Some(address) = self.pools.get(&server).map(|pool| pool.address) {
             // Another look is as good when this machine lacks something for it.
-            _ = self.dial(store, address, now, reactor);
+            _ = self.dial(server, address, now, reactor);
         }
     }
 
@@ -408,13 +424,13 @@
             .connections
             .iter()
             .filter(|(_, c)| matches!(c.state, State::Idle));
-        let Some((key, store)) = idle
+        let Some((key, server)) = idle
             .min_by_key(|(_, c)| c.until)
-            .map(|(key, c)| (key, c.store))
+            .map(|(key, c)| (key, c.server))
         else {
             return false;
         };
-        if let Some(pool) = self.pools.get_mut(&store) {
+        if let Some(pool) = self.pools.get_mut(&server) {
             pool.idle.retain(|&k| k != key);
         }
         self.connections.remove(key).is_some()
@@ -446,7 +462,7 @@
             return;
         };
         if let State::Connecting = connection.state {
-            let (store, connected) = (connection.store, connection.stream.connected());
+            let (server, connected) = (connection.server, connection.stream.connected());
             if matches!(connected, Ok(false)) {
                 return self.watch_dial(key, now, reactor);
             }
@@ -454,15 +470,15 @@
                 matches!(e, DialError::Failed(Errno::CONNREFUSED | Errno::CONNRESET))
             };
             if connected.as_ref().err().is_none_or(there) {
-                self.signs.push_back(Sign::Word(store));
+                self.signs.push_back(Sign::Word(server));
             }
             match connected {
                 Ok(_) => {}
                 Err(DialError::Short(errno)) => {
                     log::debug!("upstream: dial failed for want of something here: {errno}");
                     self.connections.remove(key);
-                    self.dial_over(store);
-                    return self.dial_later(store, errno, now);
+                    self.dial_over(server);
+                    return self.dial_later(server, errno, now);
                 }
                 Err(error) => {
                     log::debug!("upstream: dial failed: {error}");
@@ -574,7 +590,7 @@
     /// What has come of an answer that is too large to be kept.
     fn pass_on(&mut self, key: Key, now: Instant) {
         let Some(Connection {
-            store,
+            server,
             state,
             until,
             ..
@@ -609,7 +625,7 @@
             id,
             attempt,
             from: key,
-            store: *store,
+            server: *server,
             elapsed,
             bytes,
         });
@@ -661,21 +677,21 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let (store, address) = (connection.store, connection.address);
+        let (server, address) = (connection.server, connection.address);
         let half_written = matches!(connection.state, State::Busy { written: false, .. });
         connection.until = now + self.idle_limit;
         match std::mem::replace(&mut connection.state, State::Idle) {
             State::Busy {
                 exchange, reader, ..
             } => {
-                let (verdict, note) = reader.verdict(&exchange.question);
-                self.finish(exchange, store, verdict, note, now);
+                let (verdict, metadata) = reader.verdict(&exchange.question);
+                self.finish(exchange, server, verdict, metadata, now);
             }
             State::Greeting(reader) => {
-                self.dial_over(store);
+                self.dial_over(server);
                 if reader.conclusive() {
                     self.connections.remove(key);
-                    return self.fail_first_waiting(store, not_welcome(&reader), now);
+                    return self.fail_first_waiting(server, not_welcome(&reader), now);
                 }
             }
             State::Connecting | State::Idle => {}
@@ -689,16 +705,16 @@
         let usable = !ended && !half_written && watched;
         let Some(pool) = self
             .pools
-            .get_mut(&store)
+            .get_mut(&server)
             .filter(|p| usable && p.address == address)
         else {
             // The server has left or moved, or the connection is of no more use.
             self.connections.remove(key);
-            return self.serve_queue(store, now, reactor);
+            return self.serve_queue(server, now, reactor);
         };
         pool.idle.push(key);
         self.due.push((now + self.idle_limit, Due::Connection(key)));
-        self.serve_queue(store, now, reactor);
+        self.serve_queue(server, now, reactor);
     }
 
     /// The connection has ended or makes no sense.
@@ -730,7 +746,7 @@
         let Some(connection) = self.connections.remove(key) else {
             return;
         };
-        let store = connection.store;
+        let server = connection.server;
         match connection.state {
             State::Busy {
                 exchange,
@@ -738,61 +754,61 @@
                 written,
                 ..
             } => {
-                let (verdict, note) = match reader.conclusive() {
+                let (verdict, metadata) = match reader.conclusive() {
                     true if written => reader.verdict(&exchange.question),
-                    true => (not_welcome(&reader), Note::default()),
-                    false => (verdict, Note::default()),
+                    true => (not_welcome(&reader), ResponseMetadata::default()),
+                    false => (verdict, ResponseMetadata::default()),
                 };
-                self.finish(exchange, store, verdict, note, now);
+                self.finish(exchange, server, verdict, metadata, now);
             }
             State::Idle => {
-                if let Some(pool) = self.pools.get_mut(&store) {
+                if let Some(pool) = self.pools.get_mut(&server) {
                     pool.idle.retain(|&k| k != key);
                 }
             }
             State::Connecting => {
-                self.dial_over(store);
-                self.fail_first_waiting(store, verdict, now);
+                self.dial_over(server);
+                self.fail_first_waiting(server, verdict, now);
             }
             State::Greeting(reader) => {
-                self.dial_over(store);
+                self.dial_over(server);
                 let verdict = if reader.conclusive() {
                     not_welcome(&reader)
                 } else {
                     verdict
                 };
-                self.fail_first_waiting(store, verdict, now);
+                self.fail_first_waiting(server, verdict, now);
             }
         }
     }
 
-    fn dial_over(&mut self, store: StoreId) {
-        if let Some(pool) = self.pools.get_mut(&store) {
+    fn dial_over(&mut self, server: ServerId) {
+        if let Some(pool) = self.pools.get_mut(&server) {
             pool.dialling = pool.dialling.saturating_sub(1);
         }
     }
 
     /// A dial that failed takes one exchange with it: the one that has waited longest.
-    fn fail_first_waiting(&mut self, store: StoreId, verdict: Verdict, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&store) else {
+    fn fail_first_waiting(&mut self, server: ServerId, verdict: Verdict, now: Instant) {
+        let Some(pool) = self.pools.get_mut(&server) else {
             return;
         };
         let exchange = pool.waiting.pop_front();
         // Guards against waiting for nothing: those over the cap on dials get the ones that are free now.
         if pool.waiting.len() > pool.dialling {
-            self.due.push((now, Due::Queue(store)));
+            self.due.push((now, Due::Queue(server)));
         }
         if let Some(exchange) = exchange {
-            self.finish(exchange, store, verdict, Note::default(), now);
+            self.finish(exchange, server, verdict, ResponseMetadata::default(), now);
         }
     }
 
     fn finish(
         &mut self,
         exchange: Exchange,
-        store: StoreId,
+        server: ServerId,
         verdict: Verdict,
-        note: Note,
+        metadata: ResponseMetadata,
         now: Instant,
     ) {
         let elapsed = now.saturating_duration_since(exchange.sent);
@@ -806,10 +822,10 @@
             purpose,
             class,
             group,
-            store,
+            server,
             verdict,
             elapsed,
-            note,
+            metadata,
         });
     }
 
@@ -825,13 +841,19 @@
             return self.close(key, Verdict::Cancelled, now);
         }
         let mut called_off = Vec::new();
-        for (&store, pool) in &mut self.pools {
+        for (&server, pool) in &mut self.pools {
             if let Some(at) = pool.waiting.iter().position(|e| e.purpose == purpose) {
-                called_off.extend(pool.waiting.remove(at).map(|e| (store, e)));
+                called_off.extend(pool.waiting.remove(at).map(|e| (server, e)));
             }
         }
-        for (store, exchange) in called_off {
-            self.finish(exchange, store, Verdict::Cancelled, Note::default(), now);
+        for (server, exchange) in called_off {
+            self.finish(
+                exchange,
+                server,
+                Verdict::Cancelled,
+                ResponseMetadata::default(),
+                now,
+            );
         }
     }
 
@@ -839,13 +861,19 @@
     pub fn call_off(&mut self, id: RequestId, now: Instant) {
         let of_request = |e: &Exchange| matches!(e.purpose, Purpose::Attempt(of, _) if of == id);
         let mut called_off = Vec::new();
-        for (&store, pool) in &mut self.pools {
+        for (&server, pool) in &mut self.pools {
             if let Some(at) = pool.waiting.iter().position(of_request) {
-                called_off.extend(pool.waiting.remove(at).map(|exchange| (store, exchange)));
+                called_off.extend(pool.waiting.remove(at).map(|exchange| (server, exchange)));
             }
         }
-        for (store, exchange) in called_off {
-            self.finish(exchange, store, Verdict::NeverSent, Note::default(), now);
+        for (server, exchange) in called_off {
+            self.finish(
+                exchange,
+                server,
+                Verdict::NeverSent,
+                ResponseMetadata::default(),
+                now,
+            );
         }
         let unwritten = |connection: &Connection| match &connection.state {
             State::Busy {
@@ -884,7 +912,7 @@
                     }
                     return;
                 }
-                let store = connection.store;
+                let server = connection.server;
                 match connection.state {
                     State::Busy {
                         written: true,
@@ -898,14 +926,14 @@
                     State::Connecting | State::Greeting(_) => {
                         // What waits has a time of its own: a slow dial takes nothing with it.
                         self.connections.remove(key);
-                        self.dial_over(store);
-                        self.dial_for_queue(store, now, reactor);
+                        self.dial_over(server);
+                        self.dial_for_queue(server, now, reactor);
                     }
                 }
             }
-            Due::Queue(store) => {
-                self.drop_late(store, now);
-                self.dial_for_queue(store, now, reactor);
+            Due::Queue(server) => {
+                self.drop_late(server, now);
+                self.dial_for_queue(server, now, reactor);
             }
         }
     }
--- a/crates/leverproxy/src/worth.rs
+++ b/crates/leverproxy/src/worth.rs
@@ -1,7 +1,7 @@
 //! What answers are worth to the platform: asked for and lost, by class and in all.
 
 use crate::request::Answer;
-use routing::{ClassId, Settings, Standing};
+use routing::{ClassId, QuotaStatus, Settings};
 use std::time::Duration;
 
 /// Of a class.
@@ -43,20 +43,20 @@
         let greatest = settings
             .classes
             .iter()
-            .map(|class| class.worth)
+            .map(|class| class.priority_weight)
             .fold(0.0, f64::max);
         let price = |class: &routing::Class| Price {
             // Where nothing is worth anything, all are alike.
             worth: if greatest > 0.0 {
-                (class.worth / greatest).clamp(0.0, 1.0)
+                (class.priority_weight / greatest).clamp(0.0, 1.0)
             } else {
                 1.0
             },
-            aim: class.aim,
-            late: class.late_worth.clamp(0.0, 1.0),
+            aim: class.latency_objective,
+            late: class.late_weight_fraction.clamp(0.0, 1.0),
         };
         self.prices = settings.classes.iter().map(price).collect();
-        self.over = settings.over_share_worth.clamp(0.0, 1.0);
+        self.over = settings.over_quota_weight_fraction.clamp(0.0, 1.0);
         self.classes
             .resize(self.prices.len().max(self.classes.len()), Sum::default());
     }
@@ -65,7 +65,7 @@
     pub fn answered(
         &mut self,
         class: ClassId,
-        standing: Standing,
+        standing: QuotaStatus,
         answer: &Answer,
         took: Duration,
     ) {
@@ -73,7 +73,7 @@
         let (Some(price), Some(sum)) = (self.prices.get(at), self.classes.get_mut(at)) else {
             return;
         };
-        let asked = self.over.powf(standing.beyond());
+        let asked = self.over.powf(standing.over_quota_fraction());
         let earned = match answer {
             Answer::Served(_) if took <= price.aim => 1.0,
             Answer::Served(_) => price.late,
@@ -95,31 +95,36 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use routing::{Class, Effect, Need};
+    use routing::{Class, Consistency, Idempotency};
 
     #[test]
     fn a_request_asks_and_earns_what_the_settings_say() {
         let (aim, deadline) = (Duration::from_millis(100), Duration::from_secs(1));
         let class = |worth, late_worth| Class {
-            need: Need::Write,
-            effect: Effect::Unsafe,
-            aim,
+            consistency: Consistency::Write,
+            idempotency: Idempotency::NonIdempotent,
+            latency_objective: aim,
             deadline,
-            worth,
-            late_worth,
+            priority_weight: worth,
+            late_weight_fraction: late_worth,
         };
         let settings = Settings {
             classes: vec![class(4.0, 0.25), class(1.0, 0.0)],
-            over_share_worth: 0.5,
+            over_quota_weight_fraction: 0.5,
             ..Settings::default()
         };
         let mut worth = Worth::default();
         worth.configure(&settings);
         let served = || Answer::Served(Vec::new());
-        worth.answered(ClassId(0), Standing::Within, &served(), aim);
-        worth.answered(ClassId(0), Standing::Within, &served(), aim * 2);
-        worth.answered(ClassId(1), Standing::Beyond, &Answer::Refused(None), aim);
-        worth.answered(ClassId(9), Standing::Within, &Answer::Failed, aim);
+        worth.answered(ClassId(0), QuotaStatus::WithinQuota, &served(), aim);
+        worth.answered(ClassId(0), QuotaStatus::WithinQuota, &served(), aim * 2);
+        worth.answered(
+            ClassId(1),
+            QuotaStatus::OverQuota,
+            &Answer::Refused(None),
+            aim,
+        );
+        worth.answered(ClassId(9), QuotaStatus::WithinQuota, &Answer::Failed, aim);
         let classes: Vec<Sum> = worth.classes().map(|(_, sum)| sum).collect();
         assert_eq!(
             classes,
--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -11,7 +11,7 @@
     let stage = Stage::with(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
         // A server that comes back takes its full part at once: no draw decides what these tests see.
-        config.platform.settings.cold_share = 1.0;
+        config.platform.settings.initial_capacity_fraction = 1.0;
     });
     let admin = stage.admin.unwrap();
     (stage, admin)
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -6,12 +6,12 @@
 use leverproxy::reactor::{Reactor, Token};
 use leverproxy::request::{Command, Done, Purpose, Question, Verdict};
 use leverproxy::upstream::{Due, Exchange, Upstream};
-use routing::{AttemptNo, RequestId, StoreId};
+use routing::{AttemptNo, RequestId, ServerId};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-const SERVER: StoreId = StoreId(1);
+const SERVER: ServerId = ServerId(1);
 const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
 /// More than a loopback connection takes in while its other end reads nothing.
 const LONGER_THAN_A_SOCKET: usize = 32 << 20;
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -274,8 +274,8 @@
         parse("policy {\n tries 2\n second-copies no\n}\nlimits {\n sockets 300\n}\n").unwrap();
     assert_eq!(
         (
-            config.platform.settings.try_limit,
-            config.platform.settings.second_copies
+            config.platform.settings.attempt_limit,
+            config.platform.settings.may_hedge
         ),
         (2, false)
     );
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -6,7 +6,7 @@
 use leverproxy::reactor::{Reactor, Token};
 use leverproxy::request::{Purpose, Question, Verdict};
 use leverproxy::upstream::{Exchange, Upstream};
-use routing::{AttemptNo, RequestId, StoreId};
+use routing::{AttemptNo, RequestId, ServerId};
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::Shutdown;
@@ -239,7 +239,7 @@
 #[test]
 fn a_pushed_list_is_watched_from_the_first_moment() {
     let server = Listener::new();
-    let pushed = |config: &mut Config| config.platform.settings.list_on_request = false;
+    let pushed = |config: &mut Config| config.platform.settings.endpoints_are_polled = false;
     let mut stage = Stage::with(&[], pushed);
     stage.watch.stream.shutdown(Shutdown::Both).unwrap();
     let mut again = stage.discovery.accept();
@@ -554,7 +554,7 @@
     let reactor = Reactor::new().unwrap();
     let now = Instant::now();
     let mut upstream = Upstream::new(100, PATIENCE, PATIENCE);
-    upstream.serves(StoreId(1), server.address);
+    upstream.serves(ServerId(1), server.address);
     let exchanges = 40;
     for no in 0..exchanges {
         let purpose = Purpose::Attempt(RequestId(no), AttemptNo(0));
@@ -569,7 +569,7 @@
             until,
             begin_by,
         };
-        upstream.start(StoreId(1), exchange, now, &reactor);
+        upstream.start(ServerId(1), exchange, now, &reactor);
     }
     let first_dials = upstream.dials;
     assert!(first_dials < exchanges);
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -16,8 +16,8 @@
 use leverproxy::stages::book;
 use platform_settings::Names;
 use routing::{
-    Arrival, ClassId, Event, GroupId, ListNews, Listed, Note, Report, RequestId, Standing, StoreId,
-    TenantId, Time,
+    Arrival, ClassId, EndpointState, EndpointUpdate, Event, GroupId, LoadReport, QuotaStatus,
+    RequestId, ResponseMetadata, ServerId, TenantId, Time,
 };
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -136,14 +136,14 @@
         {"name":"s-1","address":"127.0.0.1:1","group":3,"status":"Resting"}, {"name":"s-2","status":"Gone"}]}"#;
     let (news, changes) =
         Directory::default().learn(Listing::parse(json).unwrap(), &Names::default());
-    let ListNews::Complete(entries) = news else {
+    let EndpointUpdate::Snapshot(entries) = news else {
         panic!("{news:?}")
     };
     assert_eq!(
-        entries.iter().map(|e| e.listed).collect::<Vec<_>>(),
-        [Listed::Draining]
+        entries.iter().map(|e| e.state).collect::<Vec<_>>(),
+        [EndpointState::Draining]
     );
-    assert_eq!(changes, [Change::Leaves(entries[0].store)]);
+    assert_eq!(changes, [Change::Leaves(entries[0].server)]);
     assert!(Listing::parse(br#"{"endpoints":[{"name":7}]}"#).is_err());
 }
 
@@ -166,11 +166,11 @@
         before_wait: vec![],
         after_wait: vec![],
     }));
-    let (verdict, note) = reader.verdict(&question);
+    let (verdict, metadata) = reader.verdict(&question);
     assert!(matches!(verdict, Verdict::Served(bytes) if good.starts_with(&bytes)));
     assert_eq!(
-        note,
-        Note {
+        metadata,
+        ResponseMetadata {
             primary: Some(false),
             position: None
         }
@@ -216,22 +216,22 @@
     let probed = |text: &str| {
         let mut reader = AnswerReader::default();
         reader.take(&common::answer(text, &[])).unwrap();
-        let (verdict, note) = reader.verdict(&Question::Load);
-        let (purpose, elapsed, store) = (Purpose::Probe, PATIENCE, StoreId(1));
+        let (verdict, metadata) = reader.verdict(&Question::Load);
+        let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
         match book::book(
             &Done {
                 purpose,
                 class: None,
                 group: None,
-                store,
+                server,
                 verdict,
                 elapsed,
-                note,
+                metadata,
             },
             true,
             now,
         ) {
-            Event::Probed {
+            Event::ProbeEnded {
                 ok: true, report, ..
             } => report,
             other => panic!("{other:?}"),
@@ -246,7 +246,7 @@
         "x0=1799999999.5,x1=1,backlog=-7",
         "x0=,x1",
     ] {
-        assert_eq!(probed(bad), Report::default(), "{bad:?}");
+        assert_eq!(probed(bad), LoadReport::default(), "{bad:?}");
     }
 }
 
@@ -284,11 +284,11 @@
         group: GroupId(2),
         session: None,
         time_left: Duration::from_millis(480),
-        wrote: None,
-        repeated: false,
-        standing: Standing::Within,
-        tries: None,
-        shed: 0.0,
+        session_position: None,
+        is_client_retry: false,
+        quota_status: QuotaStatus::WithinQuota,
+        attempt_limit: None,
+        shed_fraction: 0.0,
     }
 }
 
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use leverproxy::discovery::wire::Listing;
 use leverproxy::request::{Done, Purpose, Verdict};
 use leverproxy::stages::book;
-use routing::{Event, Note, StoreId, Time};
+use routing::{Event, ResponseMetadata, ServerId, Time};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 use std::sync::Arc;
@@ -81,7 +81,7 @@
 
 fn replica(server: u32, ahead: Duration) -> Told {
     Told {
-        server: StoreId(server),
+        server: ServerId(server),
         position: NOW.plus(ahead),
         present_since: None,
     }
@@ -292,19 +292,19 @@
         let fields = fields
             .map(|(name, value)| (name.to_owned(), value))
             .to_vec();
-        let (purpose, verdict, store) = (Purpose::Probe, Verdict::Reported(fields), StoreId(1));
-        let (elapsed, note) = (MS, Note::default());
+        let (purpose, verdict, server) = (Purpose::Probe, Verdict::Reported(fields), ServerId(1));
+        let (elapsed, metadata) = (MS, ResponseMetadata::default());
         let done = Done {
             purpose,
             class: None,
             group: None,
-            store,
+            server,
             verdict,
             elapsed,
-            note,
+            metadata,
         };
         match book::book(&done, true, NOW) {
-            Event::Probed { report, .. } => (report.primary, report.position.is_some()),
+            Event::ProbeEnded { report, .. } => (report.primary, report.position.is_some()),
             other => panic!("{other:?}"),
         }
     };
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -8,7 +8,10 @@
 pub use shape::Shape;
 pub use succession::{succeed, Succession};
 
-use routing::{Checks, Class, Effect, Need, Report, Scope, Settings, Tenant, Time, ZoneId};
+use routing::{
+    Class, Consistency, DeduplicationScope, Idempotency, LoadReport, Settings, StalenessCheck,
+    Tenant, Time, ZoneId,
+};
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
@@ -26,7 +29,7 @@
     over_share_worth: Option<f64>,
     registry_mode: String,
     family_info: FamilyInfo,
-    load_report: LoadReport,
+    load_report: ReportFields,
     policy_limits: Limits,
     rules: Rules,
 }
@@ -64,7 +67,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-struct LoadReport {
+struct ReportFields {
     fields: Vec<String>,
 }
 
@@ -157,8 +160,8 @@
 }
 
 /// A load report from the fields that came, positions in seconds after `zero`.
-pub fn report(zero: Time, values: impl IntoIterator<Item = (Field, f64)>) -> Report {
-    let mut report = Report::default();
+pub fn report(zero: Time, values: impl IntoIterator<Item = (Field, f64)>) -> LoadReport {
+    let mut report = LoadReport::default();
     for (field, value) in values {
         match field {
             Field::Position => report.position = position(zero, value),
@@ -184,36 +187,36 @@
     })?;
     let info = &conf.family_info;
     let class = |(i, c): (usize, &ConfClass)| Class {
-        need: match info.needs_by_class.get(i).map_or("", String::as_str) {
-            "update" => Need::Write,
-            "own_writes" => Need::Session,
-            "recent" => Need::Bounded(Duration::from_micros(
+        consistency: match info.needs_by_class.get(i).map_or("", String::as_str) {
+            "update" => Consistency::Write,
+            "own_writes" => Consistency::ReadYourWrites,
+            "recent" => Consistency::BoundedStaleness(Duration::from_micros(
                 info.staleness_bound.get(i).copied().unwrap_or(0),
             )),
-            "loose" => Need::Any,
+            "loose" => Consistency::Eventual,
             // "latest", and the safe reading of a word not known.
-            _ => Need::Fresh,
+            _ => Consistency::Strong,
         },
-        effect: match c.effect.as_str() {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed {
+        idempotency: match c.effect.as_str() {
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::Keyed {
                 scope: match c.group.as_str() {
-                    "all" => Scope::All,
-                    "zone" => Scope::Zone,
-                    _ => Scope::Group,
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Group,
                 },
                 window: Duration::from_micros(c.window),
             },
-            _ => Effect::Unsafe,
+            _ => Idempotency::NonIdempotent,
         },
-        aim: Duration::from_micros(c.goal_time),
+        latency_objective: Duration::from_micros(c.goal_time),
         deadline: Duration::from_micros(c.deadline),
-        worth: c.importance.unwrap_or(1.0),
-        late_worth: c.late_value,
+        priority_weight: c.importance.unwrap_or(1.0),
+        late_weight_fraction: c.late_value,
     };
     let settings = Settings {
-        routers: conf.balancers,
-        number: conf.me,
+        router_count: conf.balancers,
+        router_index: conf.me,
         zone: ZoneId(conf.my_zone),
         classes: conf.classes.iter().enumerate().map(class).collect(),
         tenants: conf
@@ -223,31 +226,31 @@
                 quota_per_s: r.quota_per_s,
             })
             .collect(),
-        over_share_worth: conf.over_share_worth.unwrap_or(1.0),
-        checks: match info.behind.as_str() {
-            "reject" => Checks::Refuse,
-            "hold" => Checks::Wait(Duration::from_micros(info.holds_for)),
-            _ => Checks::None,
+        over_quota_weight_fraction: conf.over_share_worth.unwrap_or(1.0),
+        staleness_check: match info.behind.as_str() {
+            "reject" => StalenessCheck::Reject,
+            "hold" => StalenessCheck::Wait(Duration::from_micros(info.holds_for)),
+            _ => StalenessCheck::None,
         },
-        tokens_carried: info.token_mode == "client",
-        list_on_request: conf.registry_mode == "on_request",
-        list_within: conf
+        clients_carry_session_position: info.token_mode == "client",
+        endpoints_are_polled: conf.registry_mode == "on_request",
+        max_poll_interval: conf
             .rules
             .ask_within
             .map_or(LIST_WITHIN, Duration::from_micros),
         may_probe: conf.policy_limits.probing,
         may_cancel: conf.policy_limits.may_cancel,
-        second_copies: conf.policy_limits.second_copies,
-        retry_after: conf.policy_limits.retry_after,
+        may_hedge: conf.policy_limits.second_copies,
+        may_send_retry_after: conf.policy_limits.retry_after,
         max_retry_after: Duration::from_micros(conf.policy_limits.max_retry_after),
-        try_limit: conf.policy_limits.try_limit,
+        attempt_limit: conf.policy_limits.try_limit,
         drain_grace: Duration::from_micros(conf.rules.stop_sending_within),
         soft_removal: conf.rules.soft_removal,
-        cold_share: conf.rules.start_capacity.unwrap_or(1.0),
-        warm_after: Duration::from_micros(conf.rules.warm_after),
+        initial_capacity_fraction: conf.rules.start_capacity.unwrap_or(1.0),
+        warm_up_duration: Duration::from_micros(conf.rules.warm_after),
         overload_factor: conf.rules.overload_factor.unwrap_or(1.0),
-        tip_after: Duration::from_micros(conf.rules.tip_after),
-        keepalive: Duration::from_micros(conf.policy_limits.keepalive),
+        overload_duration: Duration::from_micros(conf.rules.tip_after),
+        idle_timeout: Duration::from_micros(conf.policy_limits.keepalive),
     };
     Ok(Decoded {
         settings,
--- a/crates/platform-settings/tests/succession.rs
+++ b/crates/platform-settings/tests/succession.rs
@@ -1,7 +1,7 @@
 //! New settings under way: places for good, and files that are not whole.
 
 use platform_settings::{decode, succeed, Decoded, Shape};
-use routing::{ClassId, Effect, ZoneId};
+use routing::{ClassId, Idempotency, ZoneId};
 use serde_json::{json, Value};
 
 fn settings(classes: &[(&str, &str, u64)], zones: &[&str]) -> Decoded {
@@ -24,16 +24,21 @@
     assert_eq!(next.next.names.classes, ["", "", "c", "b"]);
     assert_eq!(next.heirs, [None, None, None, Some(ClassId(1))]);
     // Requests under way keep their rights at the former places.
-    let effects: Vec<Effect> = next
+    let effects: Vec<Idempotency> = next
         .next
         .settings
         .classes
         .iter()
-        .map(|c| c.effect)
+        .map(|c| c.idempotency)
         .collect();
     assert_eq!(
         effects,
-        [Effect::Safe, Effect::Safe, Effect::Safe, Effect::Unsafe]
+        [
+            Idempotency::Idempotent,
+            Idempotency::Idempotent,
+            Idempotency::Idempotent,
+            Idempotency::NonIdempotent
+        ]
     );
     assert_eq!(next.next.names.zones, ["x", "y", "z"]);
     assert_eq!(next.next.settings.zone, ZoneId(2));
--- a/crates/proxy-experiments/src/file.rs
+++ b/crates/proxy-experiments/src/file.rs
@@ -527,7 +527,7 @@
                 tries: s.count("tries"),
                 probes: s.yes("probes"),
                 second_copies: s.yes("second-copies"),
-                come_back_most: s.micros("come-back-most"),
+                max_retry_after: s.micros("come-back-most"),
                 drain_grace: s.micros("drain-grace"),
                 keepalive: s.micros("keepalive"),
                 dial_wait: s.micros("dial-wait"),
--- a/crates/proxy-experiments/src/member.rs
+++ b/crates/proxy-experiments/src/member.rs
@@ -2,7 +2,7 @@
 
 use quota::{Mark, Others, Quota};
 use quota_lending::{Action as Asked, Config, Core, Notice, Rules, Shortage, Verdict, SHORT_LASTS};
-use routing::{Action, Arrival, RequestId, Settings, Standing, Time};
+use routing::{Action, Arrival, QuotaStatus, RequestId, Settings, Time};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -128,7 +128,7 @@
     quota: Quota,
     stands: Vec<Stand>,
     /// Requests that no attempt was made for.
-    waiting: FxHashMap<RequestId, (usize, Standing)>,
+    waiting: FxHashMap<RequestId, (usize, QuotaStatus)>,
     talking: Option<Box<Talking>>,
 }
 
@@ -140,9 +140,13 @@
             .map(|tenant| tenant.quota_per_s)
             .collect();
         let stands = vec![Stand::default(); quotas.len()];
-        let worths = settings.classes.iter().map(|class| class.worth).collect();
+        let worths = settings
+            .classes
+            .iter()
+            .map(|class| class.priority_weight)
+            .collect();
         let quota = Quota::new(&quota::Settings {
-            proxies: settings.routers,
+            proxies: settings.router_count,
             quotas,
             worths,
         });
@@ -190,32 +194,35 @@
         self.talking = Some(Box::new(talking));
     }
 
-    pub fn arrived(&mut self, now: Time, arrival: &Arrival) -> Standing {
+    pub fn arrived(&mut self, now: Time, arrival: &Arrival) -> QuotaStatus {
         let tenant = usize::from(arrival.tenant.0);
-        let mark = self
-            .quota
-            .asked(now.0, tenant, arrival.class.0.into(), arrival.repeated);
+        let mark = self.quota.asked(
+            now.0,
+            tenant,
+            arrival.class.0.into(),
+            arrival.is_client_retry,
+        );
         let Some(talking) = self.talking.as_mut().filter(|_| tenant < self.stands.len()) else {
             return if matches!(mark, Mark::Free | Mark::Within) {
-                Standing::Within
+                QuotaStatus::WithinQuota
             } else {
-                Standing::Beyond
+                QuotaStatus::OverQuota
             };
         };
         let standing = match mark {
-            Mark::Free | Mark::Within => Standing::Within,
+            Mark::Free | Mark::Within => QuotaStatus::WithinQuota,
             Mark::Beyond if talking.lends(now, tenant, arrival, &mut self.stands) => {
-                Standing::Borrowed
+                QuotaStatus::Borrowed
             }
-            Mark::Withheld | Mark::Beyond => Standing::Beyond,
+            Mark::Withheld | Mark::Beyond => QuotaStatus::OverQuota,
         };
         let stand = &mut self.stands[tenant];
         match standing {
-            Standing::Borrowed => stand.borrowed += 1,
-            Standing::Beyond => stand.beyond += 1,
-            Standing::Within => {
+            QuotaStatus::Borrowed => stand.borrowed += 1,
+            QuotaStatus::OverQuota => stand.beyond += 1,
+            QuotaStatus::WithinQuota => {
                 // A repeat is no request more, and takes nothing.
-                stand.within += u64::from(!arrival.repeated);
+                stand.within += u64::from(!arrival.is_client_retry);
             }
         }
         self.waiting.insert(arrival.id, (tenant, standing));
@@ -227,11 +234,13 @@
         match action {
             Action::Send { id, .. } => {
                 let standing = self.waiting.remove(id).map(|(_, standing)| standing);
-                if let (Some(talking), Some(Standing::Within)) = (&mut self.talking, standing) {
+                if let (Some(talking), Some(QuotaStatus::WithinQuota)) =
+                    (&mut self.talking, standing)
+                {
                     talking.shortage.ended(now.0, false);
                 }
             }
-            Action::Refuse { id, .. } => self.ended(now, *id, true),
+            Action::Reject { id, .. } => self.ended(now, *id, true),
             Action::Fail { id } => self.ended(now, *id, false),
             _ => {}
         }
@@ -246,15 +255,15 @@
             return;
         };
         match standing {
-            Standing::Borrowed => {
+            QuotaStatus::Borrowed => {
                 stand.back += talking.core.give_back(&talking.place.tenants[tenant], ONE)
             }
-            Standing::Beyond => stand.turned += u64::from(refused),
-            Standing::Within if refused => {
+            QuotaStatus::OverQuota => stand.turned += u64::from(refused),
+            QuotaStatus::WithinQuota if refused => {
                 stand.refused += 1;
                 talking.shortage.ended(now.0, true);
             }
-            Standing::Within => {}
+            QuotaStatus::WithinQuota => {}
         }
     }
 
--- a/crates/proxy-experiments/src/planned.rs
+++ b/crates/proxy-experiments/src/planned.rs
@@ -3,8 +3,8 @@
 use crate::member::Member;
 use crate::policy::{Decider, View};
 use routing::{
-    Action, Ended, Entry, Event, ListNews, Listed, Need, Outcome, RequestId, Settings, StoreId,
-    Time,
+    Action, AttemptEnded, Consistency, Endpoint, EndpointState, EndpointUpdate, Event, Outcome,
+    RequestId, ServerId, Settings, Time,
 };
 use rustc_hash::FxHashMap;
 use site_failover::order::Standing;
@@ -18,7 +18,7 @@
 pub struct Planned {
     module: Box<dyn Decider>,
     plan: Plan,
-    named: BTreeSet<StoreId>,
+    named: BTreeSet<ServerId>,
     /// Group and class of each request that is open.
     open: FxHashMap<RequestId, (u32, u16)>,
     ticked: Time,
@@ -28,9 +28,9 @@
     pub fn new(module: Box<dyn Decider>, settings: &Settings, now: Time) -> Planned {
         let mut plan = Plan::new(site_failover::Settings::default(), true, now.0);
         let class = |class: &routing::Class| Class {
-            write: class.need == Need::Write,
-            worth: class.worth,
-            aim: class.aim,
+            write: class.consistency == Consistency::Write,
+            worth: class.priority_weight,
+            aim: class.latency_objective,
         };
         let quotas = settings
             .tenants
@@ -40,7 +40,7 @@
         plan.configure(
             settings.classes.iter().map(class).collect(),
             quotas,
-            settings.over_share_worth,
+            settings.over_quota_weight_fraction,
         );
         Planned {
             module,
@@ -51,25 +51,25 @@
         }
     }
 
-    fn listed(&mut self, now: Time, entries: &[Entry], complete: bool) {
+    fn listed(&mut self, now: Time, entries: &[Endpoint], complete: bool) {
         for entry in entries {
-            let listed = match entry.listed {
-                Listed::Ready => site_failover::Listed::Ready,
-                Listed::Draining => site_failover::Listed::Draining,
-                Listed::Gone => site_failover::Listed::Gone,
+            let listed = match entry.state {
+                EndpointState::Ready => site_failover::Listed::Ready,
+                EndpointState::Draining => site_failover::Listed::Draining,
+                EndpointState::Removed => site_failover::Listed::Gone,
             };
             self.plan.handle(
                 now.0,
                 Sign::Listed {
-                    server: entry.store.0,
+                    server: entry.server.0,
                     site: entry.zone.0,
                     listed,
                 },
             );
         }
-        let named: BTreeSet<StoreId> = entries.iter().map(|entry| entry.store).collect();
+        let named: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
         if complete {
-            let gone: Vec<StoreId> = self.named.difference(&named).copied().collect();
+            let gone: Vec<ServerId> = self.named.difference(&named).copied().collect();
             for store in gone {
                 let listed = site_failover::Listed::Gone;
                 self.plan.handle(
@@ -86,9 +86,9 @@
         self.named.extend(named);
     }
 
-    fn ended(&mut self, now: Time, ended: &Ended) {
-        let server = ended.store.0;
-        let asked = if ended.last {
+    fn ended(&mut self, now: Time, ended: &AttemptEnded) {
+        let server = ended.server.0;
+        let asked = if ended.request_finished {
             self.open.remove(&ended.id)
         } else {
             self.open.get(&ended.id).copied()
@@ -100,7 +100,7 @@
             Outcome::ConnectFailed => Sign::Unreached { server },
             Outcome::Reset => Sign::Reset { server },
             Outcome::TimedOut => Sign::Silent { server },
-            Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Cancelled | Outcome::NotSent => return,
             _ => Sign::Answered { server },
         };
         self.plan.handle(now.0, sign);
@@ -121,29 +121,33 @@
             self.plan.handle(now.0, Sign::Tick);
         }
         match &mut event {
-            Event::List(ListNews::Failed) => self.plan.handle(now.0, Sign::List { heard: false }),
-            Event::List(ListNews::Changes(entries)) => {
+            Event::Endpoints(EndpointUpdate::Failed) => {
+                self.plan.handle(now.0, Sign::List { heard: false })
+            }
+            Event::Endpoints(EndpointUpdate::Changes(entries)) => {
                 self.listed(now, entries, false);
                 self.plan.handle(now.0, Sign::List { heard: true });
             }
-            Event::List(ListNews::Complete(entries) | ListNews::Cached(entries)) => {
+            Event::Endpoints(
+                EndpointUpdate::Snapshot(entries) | EndpointUpdate::Cached(entries),
+            ) => {
                 self.listed(now, entries, true);
                 self.plan.handle(now.0, Sign::List { heard: true });
             }
-            Event::Arrived(arrival) => {
+            Event::RequestArrived(arrival) => {
                 let kind = Kind {
                     group: arrival.group.0,
                     write: self.plan.writes(arrival.class.0),
                     class: arrival.class.0,
                     tenant: arrival.tenant.0,
                     standing: Standing::Within,
-                    repeated: arrival.repeated,
+                    repeated: arrival.is_client_retry,
                 };
                 self.open.insert(arrival.id, (kind.group, kind.class));
-                arrival.shed = self.plan.asked(now.0, arrival.id.0, kind);
+                arrival.shed_fraction = self.plan.asked(now.0, arrival.id.0, kind);
             }
-            Event::Ended(ended) => self.ended(now, ended),
-            Event::Left(id) => {
+            Event::AttemptEnded(ended) => self.ended(now, ended),
+            Event::ClientLeft(id) => {
                 self.open.remove(id);
                 self.plan.left(id.0);
             }
@@ -153,10 +157,10 @@
         for action in &actions[before..] {
             match action {
                 Action::Send { id, .. } => self.plan.settled(id.0, false),
-                Action::Fail { id } | Action::Refuse { id, .. } => {
+                Action::Fail { id } | Action::Reject { id, .. } => {
                     self.open.remove(id);
                     self.plan
-                        .settled(id.0, matches!(action, Action::Refuse { .. }));
+                        .settled(id.0, matches!(action, Action::Reject { .. }));
                 }
                 _ => {}
             }
--- a/crates/proxy-experiments/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -3,12 +3,14 @@
 use super::Open;
 use crate::policy::{Decider, View};
 use crate::scenario::ORIGIN;
-use routing::{Action, Entry, GroupId, KindId, Listed, RequestId, StoreId, Time, ZoneId};
+use routing::{
+    Action, Endpoint, EndpointState, GroupId, KindId, RequestId, ServerId, Time, ZoneId,
+};
 use rustc_hash::FxHashMap;
 use server_model::catalog::Record;
 use server_model::clients::TryId;
 use server_model::network::{Network, Spot};
-use server_model::site::{ServerId, Site, Status};
+use server_model::site::{ServerIndex, Site, Status};
 use std::time::Duration;
 
 /// What all-seeing policies take a request for, in mean ones, where a cold server's budget is looked at; and the part of that budget
@@ -18,24 +20,24 @@
 use server_model::Micros;
 
 /// Of the module's numbers 0 is none of a server.
-pub fn store(server: ServerId) -> StoreId {
-    StoreId(server + 1)
+pub fn store(server: ServerIndex) -> ServerId {
+    ServerId(server + 1)
 }
 
-pub fn server(store: StoreId) -> ServerId {
+pub fn server(store: ServerId) -> ServerIndex {
     store.0.wrapping_sub(1)
 }
 
-pub fn entry(record: &Record, time: impl Fn(Micros) -> Time) -> Entry {
-    Entry {
-        store: store(record.server),
+pub fn entry(record: &Record, time: impl Fn(Micros) -> Time) -> Endpoint {
+    Endpoint {
+        server: store(record.server),
         group: GroupId(record.group),
         zone: ZoneId(record.place),
         kind: KindId(0),
-        listed: match record.status {
-            Status::Ready => Listed::Ready,
-            Status::Draining => Listed::Draining,
-            Status::Gone => Listed::Gone,
+        state: match record.status {
+            Status::Ready => EndpointState::Ready,
+            Status::Draining => EndpointState::Draining,
+            Status::Gone => EndpointState::Removed,
         },
         primary: false,
         started: if record.started > 0 {
@@ -63,7 +65,7 @@
         now: Micros,
         keepalive: Micros,
         site: &mut Site,
-        server: ServerId,
+        server: ServerIndex,
     ) -> bool {
         if self.life != life {
             (self.idle, self.life) = (0, life);
@@ -98,10 +100,10 @@
     pub down: bool,
     /// Of the list as it knows it.
     pub index: u64,
-    listed: FxHashMap<ServerId, u32>,
+    listed: FxHashMap<ServerIndex, u32>,
     /// By group, those that are ready.
-    pub ready: Vec<Vec<StoreId>>,
-    pools: FxHashMap<ServerId, Pool>,
+    pub ready: Vec<Vec<ServerId>>,
+    pools: FxHashMap<ServerIndex, Pool>,
     pub actions: Vec<Action>,
 }
 
@@ -124,7 +126,7 @@
         !self.down
     }
 
-    pub fn pool(&mut self, server: ServerId) -> &mut Pool {
+    pub fn pool(&mut self, server: ServerIndex) -> &mut Pool {
         self.pools.entry(server).or_default()
     }
 
@@ -167,7 +169,7 @@
     pub network: &'a Network,
     /// Where the proxy stands.
     pub spot: Spot,
-    pub ready: &'a [Vec<StoreId>],
+    pub ready: &'a [Vec<ServerId>],
     pub open: &'a FxHashMap<TryId, Open>,
     pub now: Micros,
     pub cores: f64,
@@ -176,14 +178,14 @@
 }
 
 impl View for Eyes<'_> {
-    fn members(&self, group: GroupId) -> Vec<StoreId> {
+    fn members(&self, group: GroupId) -> Vec<ServerId> {
         self.ready
             .get(group.0 as usize)
             .cloned()
             .unwrap_or_default()
     }
 
-    fn primary(&mut self, group: GroupId) -> Option<StoreId> {
+    fn primary(&mut self, group: GroupId) -> Option<ServerId> {
         let primary = store(self.site.primary(group.0)?);
         // Nobody may send to what the list has not named.
         self.ready
@@ -192,7 +194,7 @@
             .then_some(primary)
     }
 
-    fn answers(&self, store: StoreId) -> bool {
+    fn answers(&self, store: ServerId) -> bool {
         let at = server(store);
         let there = Spot {
             place: self.site.place(at),
@@ -203,16 +205,16 @@
             && self.network.passes(there, self.spot)
     }
 
-    fn load(&self, store: StoreId) -> f64 {
+    fn load(&self, store: ServerId) -> f64 {
         let at = server(store);
         (self.site.held(at) as f64 + 1.0) / self.site.capacity(at, self.now).max(1e-6)
     }
 
-    fn crowded(&self, store: StoreId) -> bool {
+    fn crowded(&self, store: ServerId) -> bool {
         self.site.held(server(store)) as f64 + 1.0 > self.cores
     }
 
-    fn expected(&self, store: StoreId) -> Duration {
+    fn expected(&self, store: ServerId) -> Duration {
         let at = server(store);
         let shared = ((self.site.held(at) as f64 + 1.0) / self.cores.max(1e-6)).max(1.0);
         Duration::from_secs_f64(
@@ -228,16 +230,16 @@
         self.open.get(&id.0).is_none_or(|open| open.drawn)
     }
 
-    fn bears(&self, store: StoreId) -> bool {
+    fn bears(&self, store: ServerId) -> bool {
         self.site
             .bears(server(store), self.now, HEAVY * self.mean_work, COLD_SPARE)
     }
 
-    fn spare(&self, store: StoreId) -> f64 {
+    fn spare(&self, store: ServerId) -> f64 {
         self.cores - self.site.held(server(store)) as f64 - 1.0
     }
 
-    fn position(&mut self, store: StoreId) -> Time {
+    fn position(&mut self, store: ServerId) -> Time {
         Time::from_micros(ORIGIN + self.site.position(server(store), self.now))
     }
 }
--- a/crates/proxy-experiments/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -16,14 +16,15 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use routing::{
-    Action, Arrival, AttemptNo, ClassId, Ended, Event, GroupId, ListNews, Listed, Note, Outcome,
-    Report, RequestId, SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote,
+    Action, Arrival, AttemptEnded, AttemptNo, ClassId, EndpointState, EndpointUpdate, Event,
+    GroupId, LoadReport, Outcome, QuotaStatus, RequestId, ResponseMetadata, ServerId, SessionKey,
+    SessionPosition, TenantId, Time, TimerToken,
 };
 use rustc_hash::FxHashMap;
 use server_model::catalog::{self, Catalog};
 use server_model::clients::{self, Clients, Try, TryId};
 use server_model::network::{Network, Spot};
-use server_model::site::{self, Answer, Ask, ServerId, Site, Status, Wake};
+use server_model::site::{self, Answer, Ask, ServerIndex, Site, Status, Wake};
 use server_model::Micros;
 use simulation_engine::streams::{Stream, Streams};
 use simulation_engine::wheel::Wheel;
@@ -75,7 +76,7 @@
     Back {
         attempt: u64,
         outcome: Outcome,
-        note: Note,
+        note: ResponseMetadata,
     },
     TimeOut(u64),
     ProbeReach(u64),
@@ -103,7 +104,7 @@
     /// One server of a rolling deploy.
     Deploy {
         trouble: usize,
-        server: ServerId,
+        server: ServerIndex,
         phase: u8,
     },
 }
@@ -131,7 +132,7 @@
 struct Attempt {
     id: TryId,
     no: u16,
-    server: ServerId,
+    server: ServerIndex,
     proxy: usize,
     epoch: u32,
     sent: Micros,
@@ -142,7 +143,7 @@
 }
 
 struct Probe {
-    server: ServerId,
+    server: ServerIndex,
     proxy: usize,
     epoch: u32,
     sent: Micros,
@@ -359,7 +360,7 @@
     }
 
     /// The way between a proxy and a server; none: nothing comes through.
-    fn there(&mut self, proxy: usize, server: ServerId) -> Option<Micros> {
+    fn there(&mut self, proxy: usize, server: ServerIndex) -> Option<Micros> {
         let to = Spot {
             place: self.site.place(server),
             proxy: None,
@@ -367,7 +368,7 @@
         self.network.one_way(self.spot(proxy), to, &mut self.way)
     }
 
-    fn home(&mut self, server: ServerId, proxy: usize) -> Option<Micros> {
+    fn home(&mut self, server: ServerIndex, proxy: usize) -> Option<Micros> {
         let from = Spot {
             place: self.site.place(server),
             proxy: None,
@@ -446,20 +447,21 @@
             group: GroupId(asked.group),
             session: sessions.then_some(SessionKey(asked.session)),
             time_left: span(asked.wait.saturating_sub(MARGIN).max(1)),
-            wrote: (asked.wrote > 0).then(|| Wrote::Ago(span(now.saturating_sub(asked.wrote)))),
-            repeated: asked.repeated,
-            standing: Standing::Within,
-            tries: None,
-            shed: 0.0,
+            session_position: (asked.wrote > 0)
+                .then(|| SessionPosition::Ago(span(now.saturating_sub(asked.wrote)))),
+            is_client_retry: asked.repeated,
+            quota_status: QuotaStatus::WithinQuota,
+            attempt_limit: None,
+            shed_fraction: 0.0,
         };
-        self.tell(asked.proxy, Event::Arrived(arrival));
+        self.tell(asked.proxy, Event::RequestArrived(arrival));
     }
 
     /// Its client no longer waits.
     fn left(&mut self, id: TryId, proxy: usize) {
         self.checker.gives_up(id, self.now);
         if self.open.remove(&id).is_some_and(|open| !open.answered) {
-            self.tell(proxy, Event::Left(RequestId(id)));
+            self.tell(proxy, Event::ClientLeft(RequestId(id)));
         }
     }
 
@@ -513,8 +515,8 @@
         match action {
             Action::Send {
                 id,
-                store,
-                time_out,
+                server: store,
+                timeout: time_out,
                 ..
             } => self.send(proxy, id.0, store, time_out),
             Action::Cancel { id, attempt } => {
@@ -526,7 +528,7 @@
                     .map(|(number, _)| *number);
                 if let Some(attempt) = found {
                     // It is told in a later step, as everything is.
-                    let (outcome, note) = (Outcome::Cancelled, Note::default());
+                    let (outcome, note) = (Outcome::Cancelled, ResponseMetadata::default());
                     self.wheel.put(
                         now + 1,
                         Step::Back {
@@ -537,12 +539,16 @@
                     );
                 }
             }
-            Action::Refuse { id, come_back } => {
-                let come_back = come_back.map(|after| after.as_micros() as Micros);
-                self.answer(id.0, Final::Refused, clients::Answer::Refused { come_back });
+            Action::Reject { id, retry_after } => {
+                let retry_after = retry_after.map(|after| after.as_micros() as Micros);
+                self.answer(
+                    id.0,
+                    Final::Refused,
+                    clients::Answer::Refused { retry_after },
+                );
             }
             Action::Fail { id } => self.answer(id.0, Final::Failed, clients::Answer::Failed),
-            Action::Probe { store } => self.probe(proxy, store),
+            Action::Probe { server: store } => self.probe(proxy, store),
             Action::Timer { after, token } => {
                 let at = now + (after.as_micros() as Micros).max(1);
                 self.wheel.put(
@@ -579,7 +585,7 @@
         }
     }
 
-    fn send(&mut self, proxy: usize, id: TryId, to: StoreId, time_out: Duration) {
+    fn send(&mut self, proxy: usize, id: TryId, to: ServerId, time_out: Duration) {
         let now = self.now;
         let server = host::server(to);
         self.checker.sends(id, server, now);
@@ -652,7 +658,7 @@
     }
 
     /// The request goes out on its connection; on a cut way it goes nowhere.
-    fn write(&mut self, attempt: u64, proxy: usize, server: ServerId) {
+    fn write(&mut self, attempt: u64, proxy: usize, server: ServerIndex) {
         if let Some(way) = self.there(proxy, server) {
             self.wheel.put(self.now + way, Step::Reach(attempt));
         }
@@ -709,7 +715,7 @@
     }
 
     /// A probe or a new connection has reached a server.
-    fn chore(&mut self, proxy: usize, server: ServerId, work: Micros) {
+    fn chore(&mut self, proxy: usize, server: ServerIndex, work: Micros) {
         if self.site.runs(server) {
             let started = self.site.started(server);
             self.cold.got_chore(self.now, proxy, server, started, work);
@@ -733,7 +739,7 @@
     }
 
     /// An answer has come to its proxy, if that still waits for it.
-    fn back(&mut self, number: u64, outcome: Outcome, note: Note) {
+    fn back(&mut self, number: u64, outcome: Outcome, note: ResponseMetadata) {
         let Some(attempt) = self.attempts.get(&number) else {
             return;
         };
@@ -771,10 +777,10 @@
         if std::mem::take(&mut attempt.connected) {
             self.site.hang_up(attempt.server);
         }
-        self.end(number, outcome, Note::default());
+        self.end(number, outcome, ResponseMetadata::default());
     }
 
-    fn end(&mut self, number: u64, outcome: Outcome, note: Note) {
+    fn end(&mut self, number: u64, outcome: Outcome, note: ResponseMetadata) {
         let now = self.now;
         let Some(attempt) = self.attempts.get(&number) else {
             return;
@@ -793,7 +799,7 @@
         if self.hosts[proxy].epoch != epoch {
             return;
         }
-        self.tally.counts().misses += u64::from(outcome == Outcome::Miss);
+        self.tally.counts().misses += u64::from(outcome == Outcome::Misdirected);
         if outcome == Outcome::Ok && self.open.contains_key(&id) {
             let position = note
                 .position
@@ -809,19 +815,19 @@
         let (id, attempt, store) = (RequestId(id), AttemptNo(no), store(server));
         self.tell(
             proxy,
-            Event::Ended(Ended {
+            Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
-                store,
+                server: store,
                 outcome,
                 elapsed,
-                last,
-                note,
+                request_finished: last,
+                metadata: note,
             }),
         );
     }
 
-    fn probe(&mut self, proxy: usize, to: StoreId) {
+    fn probe(&mut self, proxy: usize, to: ServerId) {
         let server = host::server(to);
         self.tally.counts().probes += 1;
         self.next += 1;
@@ -862,7 +868,7 @@
             return;
         }
         let ok = report.is_some();
-        let report = report.map_or(Report::default(), |r| Report {
+        let report = report.map_or(LoadReport::default(), |r| LoadReport {
             position: Some(time(r.position)),
             primary: Some(r.primary),
             in_flight: Some(r.in_flight as f64),
@@ -871,8 +877,8 @@
         let elapsed = span(self.now - sent);
         self.tell(
             proxy,
-            Event::Probed {
-                store: store(server),
+            Event::ProbeEnded {
+                server: store(server),
                 ok,
                 elapsed,
                 report,
@@ -951,12 +957,12 @@
         };
         let outcome = match answer {
             Answer::Ok => Outcome::Ok,
-            Answer::Miss => Outcome::Miss,
-            Answer::Full => Outcome::Full,
+            Answer::Miss => Outcome::Misdirected,
+            Answer::Full => Outcome::Rejected,
             Answer::Error => Outcome::Failed,
             Answer::Reset | Answer::Refused => Outcome::Reset,
         };
-        let note = note.map_or(Note::default(), |n| Note {
+        let note = note.map_or(ResponseMetadata::default(), |n| ResponseMetadata {
             primary: Some(n.primary),
             position: Some(time(n.position)),
         });
@@ -1023,19 +1029,19 @@
                     .for_each(|r| self.cold.told(proxy, r.server, r.started));
                 let entries: Vec<_> = records.iter().map(|r| entry(r, time)).collect();
                 for entry in &entries {
-                    let leaving = entry.listed != Listed::Ready;
+                    let leaving = entry.state != EndpointState::Ready;
                     self.checker
-                        .told(proxy, host::server(entry.store), leaving, self.now);
+                        .told(proxy, host::server(entry.server), leaving, self.now);
                 }
                 match complete {
-                    true => ListNews::Complete(entries),
-                    false => ListNews::Changes(entries),
+                    true => EndpointUpdate::Snapshot(entries),
+                    false => EndpointUpdate::Changes(entries),
                 }
             }
-            catalog::Action::Fail(_) => ListNews::Failed,
+            catalog::Action::Fail(_) => EndpointUpdate::Failed,
             catalog::Action::DueAt(_) => return,
         };
-        self.tell(proxy, Event::List(event));
+        self.tell(proxy, Event::Endpoints(event));
     }
 
     /// A proxy begins, with the list as it was at the start of the run.
@@ -1054,6 +1060,6 @@
             .filter(|r| r.status != Status::Gone)
             .map(|r| entry(r, time))
             .collect();
-        self.tell(proxy, Event::List(ListNews::Cached(entries)));
+        self.tell(proxy, Event::Endpoints(EndpointUpdate::Cached(entries)));
     }
 }
--- a/crates/proxy-experiments/src/play/troubles.rs
+++ b/crates/proxy-experiments/src/play/troubles.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use server_model::clients;
 use server_model::network::End;
-use server_model::site::{self, ServerId, Site, Status, Trouble};
+use server_model::site::{self, ServerIndex, Site, Status, Trouble};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 
@@ -16,7 +16,7 @@
 
 /// Whom each trouble has struck.
 pub struct Troubles {
-    servers: Vec<Vec<ServerId>>,
+    servers: Vec<Vec<ServerIndex>>,
     proxies: Vec<Vec<usize>>,
 }
 
@@ -35,9 +35,9 @@
     targets: &[Target],
     streams: &Streams,
     at: usize,
-) -> Vec<ServerId> {
+) -> Vec<ServerIndex> {
     let mut found = Vec::new();
-    let running: Vec<ServerId> = site.servers().filter(|s| site.runs(*s)).collect();
+    let running: Vec<ServerIndex> = site.servers().filter(|s| site.runs(*s)).collect();
     for target in targets {
         match target {
             Target::All => found.extend(&running),
@@ -54,7 +54,7 @@
                 let wanted = (running.len() as f64 * part).ceil() as usize;
                 let mut draws = streams.stream("trouble", at as u64);
                 // Each has a key by its weight; the largest are drawn.
-                let mut keyed: Vec<(f64, ServerId)> = running
+                let mut keyed: Vec<(f64, ServerIndex)> = running
                     .iter()
                     .map(|server| {
                         let weight = if site.is_primary(*server) { 2.0 } else { 1.0 };
@@ -88,9 +88,9 @@
 /// One of each group after the other, so that none loses all at once, each so much after the one before.
 pub(crate) fn rolling(
     site: &Site,
-    mut servers: Vec<ServerId>,
+    mut servers: Vec<ServerIndex>,
     span: Micros,
-) -> (Vec<ServerId>, Micros) {
+) -> (Vec<ServerIndex>, Micros) {
     servers.sort_by_key(|s| {
         let group = site.group(*s);
         (site.members(group).iter().position(|m| m == s), group)
@@ -100,7 +100,7 @@
 }
 
 impl Play<'_> {
-    fn each(&mut self, servers: &[ServerId], trouble: impl Fn(ServerId) -> Trouble) {
+    fn each(&mut self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
         for server in servers {
             self.site(site::Event::Trouble(trouble(*server)));
         }
@@ -122,7 +122,7 @@
             What::Die => self.each(&servers, Trouble::Die),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: true }),
             What::Slow(times) => {
-                let all: Vec<ServerId> = self.site.servers().collect();
+                let all: Vec<ServerIndex> = self.site.servers().collect();
                 let servers = if trouble.targets.is_empty() {
                     &all
                 } else {
@@ -167,7 +167,7 @@
             What::Die => self.each(&servers, Trouble::Start),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: false }),
             What::Slow(_) => {
-                let all: Vec<ServerId> = self.site.servers().collect();
+                let all: Vec<ServerIndex> = self.site.servers().collect();
                 let servers = if trouble.targets.is_empty() {
                     &all
                 } else {
@@ -210,7 +210,7 @@
     }
 
     /// Drained, then ended and replaced by a new one.
-    pub(super) fn deploy(&mut self, trouble: usize, server: ServerId, phase: u8) {
+    pub(super) fn deploy(&mut self, trouble: usize, server: ServerIndex, phase: u8) {
         if phase == 0 {
             if self.site.status(server) == Status::Ready {
                 self.site(site::Event::Trouble(Trouble::Drain(server)));
--- a/crates/proxy-experiments/src/policy.rs
+++ b/crates/proxy-experiments/src/policy.rs
@@ -5,8 +5,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use routing::{
-    Action, Arrival, ClassId, Effect, Event, GroupId, ListNews, Need, Outcome, RequestId, Router,
-    Settings, StoreId, Time, TimerToken, Tuning, Wrote,
+    Action, Arrival, ClassId, Consistency, EndpointUpdate, Event, GroupId, Idempotency, Outcome,
+    RequestId, Router, ServerId, SessionPosition, Settings, Time, TimerToken, Tuning,
 };
 use server_model::account::Account;
 use std::collections::BTreeMap;
@@ -14,25 +14,25 @@
 
 /// What is true, for those that may look.
 pub trait View {
-    fn members(&self, group: GroupId) -> Vec<StoreId>;
-    fn primary(&mut self, group: GroupId) -> Option<StoreId>;
+    fn members(&self, group: GroupId) -> Vec<ServerId>;
+    fn primary(&mut self, group: GroupId) -> Option<ServerId>;
     /// It would answer.
-    fn answers(&self, store: StoreId) -> bool;
+    fn answers(&self, store: ServerId) -> bool;
     /// Requests that it holds over what it can do.
-    fn load(&self, store: StoreId) -> f64;
+    fn load(&self, store: ServerId) -> f64;
     /// A request more would have to share a core there.
-    fn crowded(&self, store: StoreId) -> bool;
+    fn crowded(&self, store: ServerId) -> bool;
     /// What a request more would take there, about.
-    fn expected(&self, store: StoreId) -> Duration;
-    fn position(&mut self, store: StoreId) -> Time;
+    fn expected(&self, store: ServerId) -> Duration;
+    fn position(&mut self, store: ServerId) -> Time;
     /// The request is within its tenant's quota, by the fleet's one account.
     fn within(&self, id: RequestId) -> bool;
     /// The mark of another request of its tenant, drawn at random: as many are within, but not the same.
     fn drawn(&self, id: RequestId) -> bool;
     /// It is not cold, or not near to what tips it over.
-    fn bears(&self, store: StoreId) -> bool;
+    fn bears(&self, store: ServerId) -> bool;
     /// A request more would leave this many cores there that nothing is on.
-    fn spare(&self, store: StoreId) -> f64;
+    fn spare(&self, store: ServerId) -> f64;
 }
 
 /// Who decides in one proxy.
@@ -119,8 +119,8 @@
         let Module(router, member) = self;
         let before = actions.len();
         match &mut event {
-            Event::Arrived(arrival) => arrival.standing = member.arrived(now, arrival),
-            Event::Left(id) => member.ended(now, *id, false),
+            Event::RequestArrived(arrival) => arrival.quota_status = member.arrived(now, arrival),
+            Event::ClientLeft(id) => member.ended(now, *id, false),
             _ => {}
         }
         router.handle(now, event, actions);
@@ -137,7 +137,7 @@
 struct Open {
     arrival: Arrival,
     came: Time,
-    tried: Vec<StoreId>,
+    tried: Vec<ServerId>,
     /// It may have run, so what may not run twice is over.
     ran: bool,
 }
@@ -148,9 +148,9 @@
     choice: Name,
     set: Settings,
     open: BTreeMap<RequestId, Open>,
-    out: BTreeMap<StoreId, u32>,
+    out: BTreeMap<ServerId, u32>,
     /// Peak-EWMA's cost, and when it was last told.
-    cost: BTreeMap<StoreId, (f64, Time)>,
+    cost: BTreeMap<ServerId, (f64, Time)>,
     turn: usize,
     rng: StdRng,
     /// Requests that the oracle holds.
@@ -177,7 +177,7 @@
 
 impl Baseline {
     fn new(choice: Name, set: Settings, seed: u64) -> Baseline {
-        let proxies = f64::from(set.routers.max(1));
+        let proxies = f64::from(set.router_count.max(1));
         Baseline {
             shares: set
                 .tenants
@@ -212,15 +212,17 @@
         }
     }
 
-    fn outstanding(&self, store: StoreId) -> u32 {
+    fn outstanding(&self, store: ServerId) -> u32 {
         self.out.get(&store).copied().unwrap_or(0)
     }
 
-    fn pick(&mut self, open: &Open, now: Time, view: &mut dyn View) -> Option<StoreId> {
+    fn pick(&mut self, open: &Open, now: Time, view: &mut dyn View) -> Option<ServerId> {
         let group = open.arrival.group;
-        let need = self.class(open.arrival.class).need;
+        let need = self.class(open.arrival.class).consistency;
         let primary = view.primary(group);
-        if matches!(need, Need::Write | Need::Fresh) || self.choice == Name::PrimaryOnly {
+        if matches!(need, Consistency::Write | Consistency::Strong)
+            || self.choice == Name::PrimaryOnly
+        {
             return primary.filter(|p| !self.sees_all() || self.in_time(open, *p, now, view));
         }
         let mut members = view.members(group);
@@ -232,10 +234,10 @@
         }
         if self.sees_all() {
             let position = match need {
-                Need::Bounded(age) => now.minus(age),
-                Need::Session => match open.arrival.wrote {
-                    Some(Wrote::Ago(ago)) => open.came.minus(ago),
-                    Some(Wrote::At(position)) => position,
+                Consistency::BoundedStaleness(age) => now.minus(age),
+                Consistency::ReadYourWrites => match open.arrival.session_position {
+                    Some(SessionPosition::Ago(ago)) => open.came.minus(ago),
+                    Some(SessionPosition::At(position)) => position,
                     None => Time::ZERO,
                 },
                 _ => Time::ZERO,
@@ -266,7 +268,7 @@
                 .iter()
                 .min_by_key(|m| self.outstanding(**m))?,
             Name::PeakEwma | Name::LocalQuota => {
-                let cost = |m: &StoreId| {
+                let cost = |m: &ServerId| {
                     let known = self.cost.get(m).map_or(0.05, |(cost, _)| *cost);
                     known * f64::from(self.outstanding(*m) + 1)
                 };
@@ -280,12 +282,12 @@
 
     /// Who sees everything takes in no more than it can answer in time: what comes too late earns nothing and costs
     /// others their time.
-    fn in_time(&self, open: &Open, store: StoreId, now: Time, view: &dyn View) -> bool {
+    fn in_time(&self, open: &Open, store: ServerId, now: Time, view: &dyn View) -> bool {
         let class = self.class(open.arrival.class);
-        let worth_for = if class.late_worth > 0.0 {
+        let worth_for = if class.late_weight_fraction > 0.0 {
             class.deadline
         } else {
-            class.aim
+            class.latency_objective
         };
         let left = worth_for.saturating_sub(now.since(open.came));
         // What is beyond its tenant's quota is served only from room that is left when those within have theirs.
@@ -297,11 +299,11 @@
             .set
             .classes
             .iter()
-            .map(|c| c.worth)
+            .map(|c| c.priority_weight)
             .fold(0.0, f64::max)
             .max(1e-9);
         let part = if view.crowded(store) {
-            (class.worth / best).sqrt()
+            (class.priority_weight / best).sqrt()
         } else {
             1.0
         };
@@ -313,10 +315,10 @@
     /// Whether the oracle waits for a server that may come to serve it in time: a primary, a free one, a fresh one.
     fn waits(&self, open: &Open, now: Time) -> bool {
         let class = self.class(open.arrival.class);
-        let worth_for = if class.late_worth > 0.0 {
+        let worth_for = if class.late_weight_fraction > 0.0 {
             class.deadline
         } else {
-            class.aim
+            class.latency_objective
         };
         let most = worth_for.min(open.arrival.time_left).mul_f64(HELD);
         self.sees_all() && !open.ran && now.since(open.came) + LOOK_AGAIN < most
@@ -333,8 +335,10 @@
             return;
         };
         let left = open.arrival.time_left.saturating_sub(now.since(open.came));
-        let allowed = self.set.try_limit == 0 || open.tried.len() < usize::from(self.set.try_limit);
-        let again = !open.ran || self.class(open.arrival.class).effect == Effect::Safe;
+        let allowed =
+            self.set.attempt_limit == 0 || open.tried.len() < usize::from(self.set.attempt_limit);
+        let again =
+            !open.ran || self.class(open.arrival.class).idempotency == Idempotency::Idempotent;
         let picked = (allowed && again && !left.is_zero())
             .then(|| self.pick(&open, now, view))
             .flatten();
@@ -345,8 +349,9 @@
                 // A safe read is tried elsewhere before its time is over, if there is time for that; who sees
                 // everything has no need of it.
                 let class = self.class(open.arrival.class);
-                let twice =
-                    class.effect == Effect::Safe && open.tried.len() == 1 && left / 2 >= class.aim;
+                let twice = class.idempotency == Idempotency::Idempotent
+                    && open.tried.len() == 1
+                    && left / 2 >= class.latency_objective;
                 let time_out = if twice && !self.sees_all() {
                     left / 2
                 } else {
@@ -354,8 +359,8 @@
                 };
                 actions.push(Action::Send {
                     id,
-                    store,
-                    time_out,
+                    server: store,
+                    timeout: time_out,
                     begin_within: left,
                 });
                 self.open.insert(id, open);
@@ -371,9 +376,9 @@
                 self.open.insert(id, open);
             }
             None if open.ran => actions.push(Action::Fail { id }),
-            None => actions.push(Action::Refuse {
+            None => actions.push(Action::Reject {
                 id,
-                come_back: Some(COME_BACK),
+                retry_after: Some(COME_BACK),
             }),
         }
     }
@@ -382,14 +387,14 @@
 impl Decider for Baseline {
     fn handle(&mut self, now: Time, event: Event, view: &mut dyn View, actions: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => {
+            Event::RequestArrived(arrival) => {
                 let id = arrival.id;
                 let share = self.shares.get_mut(usize::from(arrival.tenant.0));
                 let limited = self.choice == Name::LocalQuota;
                 if limited && share.is_some_and(|share| !share.draw(now.0.as_micros() as u64)) {
-                    actions.push(Action::Refuse {
+                    actions.push(Action::Reject {
                         id,
-                        come_back: Some(COME_BACK),
+                        retry_after: Some(COME_BACK),
                     });
                     return;
                 }
@@ -404,8 +409,8 @@
                 );
                 self.attempt(id, now, view, actions);
             }
-            Event::Ended(ended) => {
-                let store = ended.store;
+            Event::AttemptEnded(ended) => {
+                let store = ended.server;
                 if let Some(out) = self.out.get_mut(&store) {
                     *out = out.saturating_sub(1);
                 }
@@ -418,7 +423,7 @@
                     known * keep + took * (1.0 - keep)
                 };
                 self.cost.insert(store, (cost, now));
-                if ended.last {
+                if ended.request_finished {
                     self.open.remove(&ended.id);
                     return;
                 }
@@ -430,9 +435,9 @@
                 }
                 self.attempt(ended.id, now, view, actions);
             }
-            Event::Left(id) => _ = self.open.remove(&id),
-            Event::List(ListNews::Cached(_)) => actions.push(Action::Subscribe),
-            Event::List(ListNews::Failed) => {
+            Event::ClientLeft(id) => _ = self.open.remove(&id),
+            Event::Endpoints(EndpointUpdate::Cached(_)) => actions.push(Action::Subscribe),
+            Event::Endpoints(EndpointUpdate::Failed) => {
                 actions.push(Action::Timer {
                     after: ASK_AGAIN,
                     token: LIST_TIMER,
--- a/crates/proxy-experiments/src/scenario.rs
+++ b/crates/proxy-experiments/src/scenario.rs
@@ -1,7 +1,9 @@
 //! What there is, who asks for what, and what goes wrong.
 
 use invariant_checkers::cold::Bounds;
-use routing::{Checks, Class, Effect, Need, Scope, Settings, ZoneId};
+use routing::{
+    Class, Consistency, DeduplicationScope, Idempotency, Settings, StalenessCheck, ZoneId,
+};
 use server_model::clients::{self, Repeat};
 use server_model::platform::Platform;
 use server_model::{catalog, network, site, Micros};
@@ -183,60 +185,64 @@
             tries,
             probes,
             second_copies,
-            come_back_most,
+            max_retry_after,
             drain_grace,
             keepalive,
             checks,
             ..
         } = self.platform;
         let class = |kind: &clients::Kind| Class {
-            need: match kind.need {
-                clients::Need::Write => Need::Write,
-                clients::Need::Fresh => Need::Fresh,
-                clients::Need::Session => Need::Session,
-                clients::Need::Bounded(age) => Need::Bounded(span(age)),
-                clients::Need::Any => Need::Any,
+            consistency: match kind.need {
+                clients::Need::Write => Consistency::Write,
+                clients::Need::Fresh => Consistency::Strong,
+                clients::Need::Session => Consistency::ReadYourWrites,
+                clients::Need::Bounded(age) => Consistency::BoundedStaleness(span(age)),
+                clients::Need::Any => Consistency::Eventual,
             },
-            effect: match kind.repeat {
-                Repeat::Safe => Effect::Safe,
-                Repeat::Keyed(window) => Effect::Keyed {
-                    scope: Scope::Group,
+            idempotency: match kind.repeat {
+                Repeat::Safe => Idempotency::Idempotent,
+                Repeat::Keyed(window) => Idempotency::Keyed {
+                    scope: DeduplicationScope::Group,
                     window: span(window),
                 },
-                Repeat::Never => Effect::Unsafe,
+                Repeat::Never => Idempotency::NonIdempotent,
             },
-            aim: span(kind.aim),
+            latency_objective: span(kind.aim),
             deadline: span(kind.deadline),
-            worth: kind.worth,
-            late_worth: kind.late_worth,
+            priority_weight: kind.worth,
+            late_weight_fraction: kind.late_worth,
         };
         let tenant = |tenant: &clients::Tenant| routing::Tenant {
             quota_per_s: tenant.quota,
         };
         Settings {
-            routers: self.proxies() as u32,
-            number: proxy as u32,
+            router_count: self.proxies() as u32,
+            router_index: proxy as u32,
             zone: ZoneId((proxy % self.site.places.max(1)) as u16),
             classes: self.clients.kinds.iter().map(class).collect(),
             tenants: self.clients.tenants.iter().map(tenant).collect(),
-            over_share_worth: self.clients.over_worth,
-            checks: if checks { Checks::Refuse } else { Checks::None },
-            tokens_carried: true,
-            list_on_request: true,
-            list_within: Duration::from_secs(10),
+            over_quota_weight_fraction: self.clients.over_worth,
+            staleness_check: if checks {
+                StalenessCheck::Reject
+            } else {
+                StalenessCheck::None
+            },
+            clients_carry_session_position: true,
+            endpoints_are_polled: true,
+            max_poll_interval: Duration::from_secs(10),
             may_probe: probes,
             may_cancel: true,
-            second_copies,
-            retry_after: come_back_most > 0,
-            max_retry_after: span(come_back_most),
-            try_limit: tries,
+            may_hedge: second_copies,
+            may_send_retry_after: max_retry_after > 0,
+            max_retry_after: span(max_retry_after),
+            attempt_limit: tries,
             drain_grace: span(drain_grace),
             soft_removal: false,
-            cold_share: self.site.server.cold,
-            warm_after: span(self.site.server.warm_after),
+            initial_capacity_fraction: self.site.server.cold,
+            warm_up_duration: span(self.site.server.warm_after),
             overload_factor: self.site.server.tip,
-            tip_after: span(self.site.server.tip_after),
-            keepalive: span(keepalive),
+            overload_duration: span(self.site.server.tip_after),
+            idle_timeout: span(keepalive),
         }
     }
 }
--- a/crates/proxy-experiments/src/trial.rs
+++ b/crates/proxy-experiments/src/trial.rs
@@ -6,7 +6,7 @@
 use crate::play::troubles::{rolling, struck, struck_proxies, LINGER};
 use crate::scenario::{Scenario, What};
 use server_model::catalog;
-use server_model::site::{ServerId, Status, Trouble};
+use server_model::site::{ServerIndex, Status, Trouble};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 use std::cmp::Reverse;
@@ -29,8 +29,8 @@
     Begins(usize),
     Over(usize),
     /// One server of a rolling deploy: drained first, then replaced.
-    Drains(ServerId),
-    Replaced(ServerId),
+    Drains(ServerIndex),
+    Replaced(ServerIndex),
     Glance,
 }
 
@@ -63,7 +63,7 @@
     rig: Rig,
     agenda: BinaryHeap<Reverse<(Micros, Step)>>,
     /// Whom each trouble has struck.
-    struck: Vec<(Vec<ServerId>, Vec<usize>)>,
+    struck: Vec<(Vec<ServerIndex>, Vec<usize>)>,
 }
 
 /// Plays a scenario on what `adjust` has made of the usual setup; `watch` is shown the rig now and then, and what has just begun or ended.
@@ -144,14 +144,14 @@
         Ok(Some(format!("{} begins", self.scenario.troubles[at].name)))
     }
 
-    fn each(&self, servers: &[ServerId], trouble: impl Fn(ServerId) -> Trouble) {
+    fn each(&self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
         servers
             .iter()
             .for_each(|server| self.rig.truth.trouble(trouble(*server)));
     }
 
     /// The servers that a trouble of slowness is of: all, if none is named.
-    fn slowed(&self, at: usize) -> Vec<ServerId> {
+    fn slowed(&self, at: usize) -> Vec<ServerIndex> {
         match self.scenario.troubles[at].targets.is_empty() {
             true => self.rig.truth.look().site.servers().collect(),
             false => self.struck[at].0.clone(),
--- a/crates/proxy-experiments/src/write.rs
+++ b/crates/proxy-experiments/src/write.rs
@@ -281,7 +281,7 @@
         ("tries", platform.tries.to_string()),
         ("probes", yes(platform.probes).into()),
         ("second-copies", yes(platform.second_copies).into()),
-        ("come-back-most", time(platform.come_back_most)),
+        ("come-back-most", time(platform.max_retry_after)),
         ("drain-grace", time(platform.drain_grace)),
         ("keepalive", time(platform.keepalive)),
         ("dial-wait", time(platform.dial_wait)),
--- a/crates/proxy-experiments/tests/quota.rs
+++ b/crates/proxy-experiments/tests/quota.rs
@@ -6,7 +6,7 @@
 use proxy_experiments::policy::{Decider, Name, Policy, View};
 use proxy_experiments::scenario::{Scenario, SECOND};
 use proxy_experiments::tally::Outcomes;
-use routing::{Action, Event, GroupId, RequestId, StoreId, Time};
+use routing::{Action, Event, GroupId, RequestId, ServerId, Time};
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
@@ -32,25 +32,25 @@
 struct Blind<'a>(&'a mut dyn View);
 
 impl View for Blind<'_> {
-    fn members(&self, group: GroupId) -> Vec<StoreId> {
+    fn members(&self, group: GroupId) -> Vec<ServerId> {
         self.0.members(group)
     }
-    fn primary(&mut self, group: GroupId) -> Option<StoreId> {
+    fn primary(&mut self, group: GroupId) -> Option<ServerId> {
         self.0.primary(group)
     }
-    fn answers(&self, store: StoreId) -> bool {
+    fn answers(&self, store: ServerId) -> bool {
         self.0.answers(store)
     }
-    fn load(&self, store: StoreId) -> f64 {
+    fn load(&self, store: ServerId) -> f64 {
         self.0.load(store)
     }
-    fn crowded(&self, store: StoreId) -> bool {
+    fn crowded(&self, store: ServerId) -> bool {
         self.0.crowded(store)
     }
-    fn expected(&self, store: StoreId) -> Duration {
+    fn expected(&self, store: ServerId) -> Duration {
         self.0.expected(store)
     }
-    fn position(&mut self, store: StoreId) -> Time {
+    fn position(&mut self, store: ServerId) -> Time {
         self.0.position(store)
     }
     fn within(&self, _: RequestId) -> bool {
@@ -59,10 +59,10 @@
     fn drawn(&self, _: RequestId) -> bool {
         true
     }
-    fn bears(&self, store: StoreId) -> bool {
+    fn bears(&self, store: ServerId) -> bool {
         self.0.bears(store)
     }
-    fn spare(&self, store: StoreId) -> f64 {
+    fn spare(&self, store: ServerId) -> f64 {
         self.0.spare(store)
     }
 }
@@ -88,7 +88,10 @@
             false => self.oracle.handle(now, event, view, actions),
         }
         for action in actions.iter() {
-            if let Action::Send { id, store, .. } = action {
+            if let Action::Send {
+                id, server: store, ..
+            } = action
+            {
                 if !view.within(*id) {
                     self.seen.beyond.fetch_add(1, Relaxed);
                     self.seen
--- a/crates/proxy-experiments/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -11,7 +11,7 @@
 use proxy_experiments::policy::{Decider, Name, Policy, View};
 use proxy_experiments::scenario::{Scenario, Target, Trouble, What, ORIGIN, SECOND};
 use proxy_experiments::tally::Outcomes;
-use routing::{Action, ClassId, Event, GroupId, ListNews, Settings, TenantId, Time, ZoneId};
+use routing::{Action, ClassId, EndpointUpdate, Event, GroupId, Settings, TenantId, Time, ZoneId};
 use std::path::Path;
 
 /// Two draws of one day are no further apart in goodput.
@@ -92,18 +92,20 @@
     fn event(&self, mut event: Event) -> Event {
         let group = |group: GroupId| GroupId(to(&self.groups, group.0 as usize, group.0));
         match &mut event {
-            Event::Arrived(a) => {
+            Event::RequestArrived(a) => {
                 a.class = ClassId(to(&self.classes, a.class.0.into(), a.class.0));
                 a.tenant = TenantId(to(&self.tenants, a.tenant.0.into(), a.tenant.0));
                 a.group = group(a.group);
             }
-            Event::Ended(ended) => ended.store.0 ^= self.stores,
-            Event::Probed { store, .. } => store.0 ^= self.stores,
-            Event::List(
-                ListNews::Changes(list) | ListNews::Complete(list) | ListNews::Cached(list),
+            Event::AttemptEnded(ended) => ended.server.0 ^= self.stores,
+            Event::ProbeEnded { server: store, .. } => store.0 ^= self.stores,
+            Event::Endpoints(
+                EndpointUpdate::Changes(list)
+                | EndpointUpdate::Snapshot(list)
+                | EndpointUpdate::Cached(list),
             ) => {
                 for entry in list {
-                    entry.store.0 ^= self.stores;
+                    entry.server.0 ^= self.stores;
                     entry.zone = ZoneId(to(&self.zones, entry.zone.0.into(), entry.zone.0));
                     entry.group = group(entry.group);
                 }
@@ -124,16 +126,16 @@
 impl Decider for Mapped {
     fn handle(&mut self, now: Time, event: Event, view: &mut dyn View, actions: &mut Vec<Action>) {
         match self.map.event(event) {
-            Event::Arrived(arrival) if self.planted && arrival.class == ClassId(0) => {
-                actions.push(Action::Refuse {
+            Event::RequestArrived(arrival) if self.planted && arrival.class == ClassId(0) => {
+                actions.push(Action::Reject {
                     id: arrival.id,
-                    come_back: None,
+                    retry_after: None,
                 });
             }
             event => self.inner.handle(now, event, view, actions),
         }
         for action in actions {
-            if let Action::Send { store, .. } | Action::Probe { store } = action {
+            if let Action::Send { server: store, .. } | Action::Probe { server: store } = action {
                 store.0 ^= self.map.stores;
             }
         }
@@ -150,7 +152,7 @@
         settings
             .classes
             .iter_mut()
-            .for_each(|class| class.worth *= worth);
+            .for_each(|class| class.priority_weight *= worth);
         let inner = Policy::of(Name::Module).make(&settings, seed, Time::from_micros(ORIGIN));
         Box::new(Mapped {
             inner,
--- a/crates/proxy-experiments/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -9,7 +9,7 @@
 use proxy_experiments::stats::{paired, rank_correlation, Verdict};
 use proxy_experiments::store::{Cell, Store};
 use proxy_experiments::tally::Outcomes;
-use routing::{Action, Event, ListNews, StoreId, Time};
+use routing::{Action, EndpointUpdate, Event, ServerId, Time};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
@@ -137,32 +137,32 @@
 struct Rogue {
     rule: Rule,
     /// Servers as the list last had them, and those that it had told to leave.
-    gone: Vec<StoreId>,
+    gone: Vec<ServerId>,
 }
 
 impl Decider for Rogue {
     fn handle(&mut self, _: Time, event: Event, view: &mut dyn View, actions: &mut Vec<Action>) {
-        if let Event::List(news) = event {
-            if let ListNews::Changes(entries) = &news {
+        if let Event::Endpoints(news) = event {
+            if let EndpointUpdate::Changes(entries) = &news {
                 self.gone.extend(
                     entries
                         .iter()
-                        .filter(|e| e.listed != routing::Listed::Ready)
-                        .map(|e| e.store),
+                        .filter(|e| e.state != routing::EndpointState::Ready)
+                        .map(|e| e.server),
                 );
             }
-            if matches!(news, ListNews::Cached(_)) {
+            if matches!(news, EndpointUpdate::Cached(_)) {
                 actions.push(Action::Subscribe);
             }
             return;
         }
-        let Event::Arrived(arrival) = event else {
+        let Event::RequestArrived(arrival) = event else {
             return;
         };
         let id = arrival.id;
-        let refuse = Action::Refuse {
+        let refuse = Action::Reject {
             id,
-            come_back: None,
+            retry_after: None,
         };
         let Some(store) = view.primary(arrival.group) else {
             return actions.push(refuse);
@@ -170,8 +170,8 @@
         let (time_out, begin_within) = (Duration::from_millis(400), Duration::from_millis(400));
         let send = |store| Action::Send {
             id,
-            store,
-            time_out,
+            server: store,
+            timeout: time_out,
             begin_within,
         };
         match self.rule {
@@ -189,9 +189,9 @@
             }
             Rule::Lost => {
                 actions.extend([
-                    Action::Refuse {
+                    Action::Reject {
                         id: routing::RequestId(id.0 + 1_000_000),
-                        come_back: None,
+                        retry_after: None,
                     },
                     refuse,
                 ]);
