--- a/crates/routing/src/decide.rs
+++ b/crates/routing/src/decide.rs
@@ -6,7 +6,7 @@
 //! Writes and fresh reads go to the primary; bounded and any reads only when no replica meets the need.
 //!
 //! **Departures**, each explained where it acts:
-//! - a store without room for this router is passed over; what finds none is held (`has_room`, `wake`); the
+//! - a server without room for this router is passed over; what finds none is held (`has_room`, `wake`); the
 //!   room shrinks while answers take too long for their aims (`learn`); with none out a draw decides;
 //! - a router takes in what its attempts show a group to bear (`takes_in`);
 //! - an attempt that outlived its average counts as work (`remaining_work`), one in vain as run time;
@@ -14,7 +14,7 @@
 //! - with every replica behind, reads share the primary by worth (`primary_share`);
 //! - what was never sent is refused before half of its time is over (`patient_until`);
 //! - the aim of a marked repeat counts from its client's first try (`aim_end`);
-//! - a dead or cut-off store rests (`rest`); a starting one gets its part only (`cold_room`).
+//! - a dead or cut-off server rests (`rest`); a starting one gets its part only (`cold_room`).
 
 use crate::interface::*;
 use crate::slow_start::{Sent, Turn, UsualWork};
@@ -35,19 +35,19 @@
     /// for want of room; the rest is the client's, to come back in. Under half, since a client that hears
     /// only after that that nothing was tried has lost most of it.
     hold_share: 0.45,
-    /// After a hard failure a store is left alone for this share of the tightest aim, doubling each time ...
+    /// After a hard failure a server is left alone for this share of the tightest aim, doubling each time ...
     rest_first: 0.25,
     /// ... to this many aims at most: well under what an election takes, so that a new role is not missed
     /// long.
     rest_max: 2.0,
     /// A held request with nothing to wake it is looked at again after this share of the tightest aim.
     recheck: 0.1,
-    /// Of the multiple of a cold store's capacity that makes it collapse, this share is used, of what first
+    /// Of the multiple of a cold server's capacity that makes it collapse, this share is used, of what first
     /// tries bring a fully used group: a quarter more demand, or as much by chance, still does not reach it.
     cold_caution: 0.8,
-    /// What a starting store bears is shared out by slices of this part of the time that a collapse takes.
+    /// What a starting server bears is shared out by slices of this part of the time that a collapse takes.
     cold_slice: 0.5,
-    /// The part of what is heavier than the mean is less by this power of how much heavier it is: where a store
+    /// The part of what is heavier than the mean is less by this power of how much heavier it is: where a server
     /// bears a few requests, some heavy ones at once are what tips it.
     cold_light: 1.5,
     /// That part grows so much within the time that a collapse takes, while answers take under so many times
@@ -57,28 +57,28 @@
     trust_aim: 0.75,
     trust_most: 3.0,
     trust_cut: 0.8,
-    /// Own attempts out at a store that nothing is known of; one answer in time doubles that (`learn`).
+    /// Own attempts out at a server that nothing is known of; one answer in time doubles that (`learn`).
     room_start: 1.0,
-    /// What answers took is held against a store for about this many of the tightest aims: a router that
+    /// What answers took is held against a server for about this many of the tightest aims: a router that
     /// sends there every few seconds goes by the last answer or two, one that sends often by an average.
     forget: 10.0,
     /// Among more routers than these a late answer keeps one off for longer, by the root of their number:
-    /// what all try again in that time would else be all that the store can do.
+    /// what all try again in that time would else be all that the server can do.
     few: 8.0,
-    /// A store whose answers take more than this share of their aims on average holds too much, and its room
+    /// A server whose answers take more than this share of their aims on average holds too much, and its room
     /// is cut: run times scatter about as widely as their mean, so half the aim keeps most answers inside it.
     room_late: 0.5,
     /// Under this share of that it may hold more; between the two the room stays.
     room_easy: 0.7,
     /// The part of its requests that a router takes in grows while answers come in time, up to this much, and
-    /// shrinks so many times as fast while they are late: what the stores do in vain stays under a fifth.
+    /// shrinks so many times as fast while they are late: what the servers do in vain stays under a fifth.
     door: 1.5,
     door_fall: 4.0,
     /// The door for what is beyond a quota falls so fast that few answers are late for it; by half at once.
     spare_fall: 30.0,
     /// How fast what nothing more is heard of is forgotten, as a share of other memories' speed.
     door_fade: 0.1,
-    /// Least part taken in: without any a router would not learn that the stores have recovered.
+    /// Least part taken in: without any a router would not learn that the servers have recovered.
     door_least: 0.05,
     /// Weight of a new answer in that average.
     room_weight: 0.2,
@@ -103,7 +103,7 @@
 const REPEAT_MARGIN: Duration = Duration::from_millis(20);
 /// Writes remembered; beyond it the old ones are folded into one position that all sessions must see.
 const WRITES_KEPT: usize = 100_000;
-/// An attempt in vain that so many sent later have overtaken tells of its connection, not of the store.
+/// An attempt in vain that so many sent later have overtaken tells of its connection, not of the server.
 const OVERTAKEN: u32 = 4;
 /// Held requests looked at for one piece of news, the most valuable first: bounds the time an event takes.
 const WAKE_LOOK: usize = 16;
@@ -116,10 +116,10 @@
 type Out = Vec<Action>;
 
 #[derive(Default)]
-struct Store {
+struct Server {
     group: GroupId,
     zone: ZoneId,
-    listed: Listed,
+    listed: EndpointState,
     listed_primary: bool,
     /// When this router was told that it drains or is gone.
     told_leaving: Option<Time>,
@@ -147,13 +147,13 @@
     judged: Time,
     setbacks: u32,
     rests_until: Time,
-    /// Times the part that a starting store gets without proof that it bears more.
+    /// Times the part that a starting server gets without proof that it bears more.
     trust: f64,
     /// What it got of this router in the present slice of its start.
     sent: Sent,
 }
 
-impl Store {
+impl Server {
     /// The least part of its full capacity that it has now.
     fn capacity(&self, set: &Settings, now: Time) -> f64 {
         let age = if self.started == Time::ZERO {
@@ -161,8 +161,8 @@
         } else {
             now.since(self.started)
         };
-        let warmth = age.div_duration_f64(set.warm_after.max(LEAST));
-        (set.cold_share + (1.0 - set.cold_share) * warmth).min(1.0)
+        let warmth = age.div_duration_f64(set.warm_up_duration.max(LEAST));
+        (set.initial_capacity_fraction + (1.0 - set.initial_capacity_fraction) * warmth).min(1.0)
     }
 
     fn starts(&self, set: &Settings, now: Time) -> bool {
@@ -170,19 +170,21 @@
     }
 
     /// The list's word on its state. Draining binds; gone does too unless the settings say that it does not.
-    fn leave(&mut self, listed: Listed, soft: bool, now: Time) {
+    fn leave(&mut self, listed: EndpointState, soft: bool, now: Time) {
         self.listed = listed;
         match listed {
-            Listed::Ready => self.told_leaving = None,
-            Listed::Gone if soft => {}
-            Listed::Draining | Listed::Gone => _ = self.told_leaving.get_or_insert(now),
+            EndpointState::Ready => self.told_leaving = None,
+            EndpointState::Removed if soft => {}
+            EndpointState::Draining | EndpointState::Removed => {
+                _ = self.told_leaving.get_or_insert(now)
+            }
         }
     }
 }
 
 #[derive(Default)]
 struct Group {
-    members: Vec<StoreId>,
+    members: Vec<ServerId>,
     /// Most members that it had at once: its requests were meant for as many.
     widest: usize,
     /// How much more or less than all of its requests is taken in, and when that was last judged.
@@ -202,12 +204,12 @@
     /// Position that a session read must see.
     token: Time,
     attempts: u16,
-    out: Vec<(AttemptNo, StoreId)>,
-    /// Send time and store of the earliest attempt that may have run.
-    may_have_run: Option<(Time, StoreId)>,
+    out: Vec<(AttemptNo, ServerId)>,
+    /// Send time and server of the earliest attempt that may have run.
+    may_have_run: Option<(Time, ServerId)>,
     /// Members that turned it away or failed it; and all that it was ever sent to.
-    avoid: Vec<StoreId>,
-    tried: Vec<StoreId>,
+    avoid: Vec<ServerId>,
+    tried: Vec<ServerId>,
     held: bool,
     /// When it is looked at again, if it is held and nothing wakes it.
     recheck: Option<Time>,
@@ -230,11 +232,11 @@
 }
 
 enum Choice {
-    Send(StoreId),
+    Send(ServerId),
     /// For room.
     Hold,
     /// For news of positions or roles: of this member, or of any.
-    Ask(Option<StoreId>),
+    Ask(Option<ServerId>),
     GiveUp,
 }
 
@@ -245,13 +247,13 @@
     now: Time,
     random: u64,
     own_order: u64,
-    stores: BTreeMap<StoreId, Store>,
+    servers: BTreeMap<ServerId, Server>,
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, Request>,
     held: BTreeSet<(GroupId, Time, RequestId)>,
     written: BTreeMap<SessionKey, Time>,
     forgotten: Time,
-    /// What each class takes unhindered, over all stores.
+    /// What each class takes unhindered, over all servers.
     work: Vec<Duration>,
     /// The longest time that a first try of each class has had.
     first_wait: Vec<Duration>,
@@ -262,7 +264,7 @@
     list_failures: u32,
     /// Since when it goes by the list of the process before it, with no word of discovery yet.
     cached_since: Option<Time>,
-    /// `Store::trust` over all starting stores, and when it was judged: what they bear goes by the load that
+    /// `Server::trust` over all starting servers, and when it was judged: what they bear goes by the load that
     /// all share, and a router among many hears too seldom from each.
     trust: f64,
     proved: Time,
@@ -304,11 +306,11 @@
         let aims = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .filter(|aim| !aim.is_zero());
         self.tightest_aim = aims.min().unwrap_or(AIM_UNSTATED);
         let bound = |c: &Class| {
-            if let Need::Bounded(b) = c.need {
+            if let Consistency::BoundedStaleness(b) = c.consistency {
                 Some(b)
             } else {
                 None
@@ -327,13 +329,13 @@
                 .flatten()
                 .map(|heir| usize::from(heir.0));
             self.work
-                .push(heir.map_or(class.aim, |heir| self.work[heir]));
+                .push(heir.map_or(class.latency_objective, |heir| self.work[heir]));
             self.first_wait
                 .push(heir.map_or(Duration::ZERO, |heir| self.first_wait[heir]));
-            for store in self.stores.values_mut() {
-                store
+            for server in self.servers.values_mut() {
+                server
                     .run_time
-                    .push(heir.and_then(|heir| store.run_time[heir]));
+                    .push(heir.and_then(|heir| server.run_time[heir]));
             }
         }
         self.set = settings;
@@ -341,10 +343,10 @@
 
     /// Members in the list that get nothing at `now`: they leave, or rest.
     pub fn avoided(&self, now: Time) -> usize {
-        let avoids = |s: &&Store| s.told_leaving.is_some() || now < s.rests_until;
-        self.stores
+        let avoids = |s: &&Server| s.told_leaving.is_some() || now < s.rests_until;
+        self.servers
             .values()
-            .filter(|s| s.listed != Listed::Gone)
+            .filter(|s| s.listed != EndpointState::Removed)
             .filter(avoids)
             .count()
     }
@@ -352,13 +354,13 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Out) {
         self.now = now;
         match event {
-            Event::List(news) => self.on_list(news, out),
-            Event::Arrived(arrival) => self.on_arrival(arrival, out),
-            Event::Ended(ended) => self.on_end(ended, out),
-            Event::Probed {
-                store, ok, report, ..
-            } => self.on_probed(store, ok, report, out),
-            Event::Left(id) => self.forget(id),
+            Event::Endpoints(news) => self.on_list(news, out),
+            Event::RequestArrived(arrival) => self.on_arrival(arrival, out),
+            Event::AttemptEnded(ended) => self.on_end(ended, out),
+            Event::ProbeEnded {
+                server, ok, report, ..
+            } => self.on_probed(server, ok, report, out),
+            Event::ClientLeft(id) => self.forget(id),
             Event::Timer(_) => self.alarm = None,
         }
         while let Some(&(due, task)) = self.agenda.first().filter(|(due, _)| *due <= now) {
@@ -390,7 +392,7 @@
 
     /// How alone it is among the routers: 1 among few, less in proportion among many.
     fn alone(&self) -> f64 {
-        self.tune.few / f64::from(self.set.routers).max(self.tune.few)
+        self.tune.few / f64::from(self.set.router_count).max(self.tune.few)
     }
 
     fn chance(&mut self) -> f64 {
@@ -400,21 +402,22 @@
 
     // ---- Events ----
 
-    fn on_list(&mut self, news: ListNews, out: &mut Out) {
-        if matches!(news, ListNews::Cached(_)) && self.set.list_on_request {
-            let latest = self.list_spread(discovery_schedule::first_call(self.set.list_within));
+    fn on_list(&mut self, news: EndpointUpdate, out: &mut Out) {
+        if matches!(news, EndpointUpdate::Cached(_)) && self.set.endpoints_are_polled {
+            let latest =
+                self.list_spread(discovery_schedule::first_call(self.set.max_poll_interval));
             self.ask_list(Duration::ZERO, latest);
             self.cached_since = Some(self.now);
         } else {
             self.cached_since = None;
         }
         let (entries, complete) = match news {
-            ListNews::Changes(entries) => (entries, false),
-            ListNews::Complete(entries) | ListNews::Cached(entries) => (entries, true),
-            ListNews::Failed => {
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Snapshot(entries) | EndpointUpdate::Cached(entries) => (entries, true),
+            EndpointUpdate::Failed => {
                 self.list_failures += 1;
                 // Where the settings give less time for asking, that binds after a failure too.
-                let most = discovery_schedule::RETRY.min(self.set.list_within);
+                let most = discovery_schedule::RETRY.min(self.set.max_poll_interval);
                 let wait = (LIST_WAIT * (1 << self.list_failures.min(16))).min(most);
                 let latest = wait.max(self.list_spread(most));
                 let placed = self.list_failures > 1;
@@ -427,43 +430,53 @@
             }
         };
         if complete {
-            let named: BTreeSet<StoreId> = entries.iter().map(|e| e.store).collect();
-            for (_, store) in self.stores.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                store.leave(Listed::Gone, self.set.soft_removal, self.now);
+            let named: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
+            for (_, server) in self
+                .servers
+                .iter_mut()
+                .filter(|(id, _)| !named.contains(id))
+            {
+                server.leave(EndpointState::Removed, self.set.soft_removal, self.now);
             }
         }
         self.list_failures = 0;
         for e in entries {
-            let store = self.stores.entry(e.store).or_insert_with(|| Store {
+            let server = self.servers.entry(e.server).or_insert_with(|| Server {
                 started: e.started,
                 run_time: vec![None; self.set.classes.len()],
                 room: self.tune.room_start,
                 trust: 1.0,
-                ..Store::default()
+                ..Server::default()
             });
-            store.leave(e.listed, self.set.soft_removal, self.now);
-            if e.started > store.started {
+            server.leave(e.state, self.set.soft_removal, self.now);
+            if e.started > server.started {
                 // A new life: what it was before says nothing of it now.
-                store.started = e.started;
-                store.role = store.role.filter(|&(_, as_of)| as_of > e.started);
-                (store.trust, store.judged) = (1.0, Time::ZERO);
-                store.sent = Sent::default();
-                (store.setbacks, store.rests_until) = (0, Time::ZERO);
+                server.started = e.started;
+                server.role = server.role.filter(|&(_, as_of)| as_of > e.started);
+                (server.trust, server.judged) = (1.0, Time::ZERO);
+                server.sent = Sent::default();
+                (server.setbacks, server.rests_until) = (0, Time::ZERO);
             }
-            store.listed_primary = e.primary;
-            (store.zone, store.group) = (e.zone, e.group);
+            server.listed_primary = e.primary;
+            (server.zone, server.group) = (e.zone, e.group);
         }
         // Where removal does not bind, what left without a drain stays: own attempts tell whether it serves.
         let soft = self.set.soft_removal;
-        self.stores.retain(|_, s| {
-            soft && s.told_leaving.is_none() || s.listed != Listed::Gone || !s.out.is_empty()
+        self.servers.retain(|_, s| {
+            soft && s.told_leaving.is_none()
+                || s.listed != EndpointState::Removed
+                || !s.out.is_empty()
         });
         self.groups
             .values_mut()
             .for_each(|group| group.members.clear());
-        for (&id, store) in &self.stores {
-            if store.listed != Listed::Gone || soft {
-                self.groups.entry(store.group).or_default().members.push(id);
+        for (&id, server) in &self.servers {
+            if server.listed != EndpointState::Removed || soft {
+                self.groups
+                    .entry(server.group)
+                    .or_default()
+                    .members
+                    .push(id);
             }
         }
         // In one order for all, routers that know little of the members would crowd the first.
@@ -471,10 +484,12 @@
             let serve = group
                 .members
                 .iter()
-                .filter(|id| self.stores[id].told_leaving.is_none())
+                .filter(|id| self.servers[id].told_leaving.is_none())
                 .count();
             group.widest = group.widest.max(serve);
-            subsetting::order(self.set.number, id.0, &mut group.members, |store| store.0);
+            subsetting::order(self.set.router_index, id.0, &mut group.members, |server| {
+                server.0
+            });
         }
         for id in self.held.iter().map(|h| h.2).collect::<Vec<_>>() {
             self.dispatch(id, out);
@@ -484,7 +499,7 @@
     /// How far calls are spread. The list is one service for all routers, which takes calls in turn and wastes those that
     /// waited too long: started or cut off together they would keep each other from it for good.
     fn list_spread(&self, most: Duration) -> Duration {
-        (LIST_PACE.0 * self.set.routers.saturating_sub(self.tune.few as u32)).min(most)
+        (LIST_PACE.0 * self.set.router_count.saturating_sub(self.tune.few as u32)).min(most)
     }
 
     /// Asks for the list within this span.
@@ -495,16 +510,16 @@
     }
 
     fn on_arrival(&mut self, mut arrival: Arrival, out: &mut Out) {
-        arrival.standing = if self.set.over_share_worth < 1.0 {
-            arrival.standing
+        arrival.quota_status = if self.set.over_quota_weight_fraction < 1.0 {
+            arrival.quota_status
         } else {
-            Standing::Within
+            QuotaStatus::WithinQuota
         };
         let id = arrival.id;
-        let token = match (arrival.wrote, arrival.session) {
-            (Some(Wrote::Ago(ago)), _) => self.now.minus(ago),
-            (Some(Wrote::At(position)), _) => position,
-            (None, Some(key)) if !self.set.tokens_carried => {
+        let token = match (arrival.session_position, arrival.session) {
+            (Some(SessionPosition::Ago(ago)), _) => self.now.minus(ago),
+            (Some(SessionPosition::At(position)), _) => position,
+            (None, Some(key)) if !self.set.clients_carry_session_position => {
                 self.written.get(&key).copied().unwrap_or(self.forgotten)
             }
             _ => Time::ZERO,
@@ -536,28 +551,28 @@
         };
         let (work, memory) = (
             self.work[usize::from(arrival.class.0)],
-            self.set.warm_after.max(LEAST),
+            self.set.warm_up_duration.max(LEAST),
         );
         let needs_primary = self.needs_primary(arrival.class);
-        if needs_primary || !arrival.repeated {
+        if needs_primary || !arrival.is_client_retry {
             let group = self.groups.entry(arrival.group).or_default();
             group.usual[usize::from(needs_primary)].add(work, self.now, memory);
         }
     }
 
-    fn on_end(&mut self, ended: Ended, out: &mut Out) {
-        let Ended {
+    fn on_end(&mut self, ended: AttemptEnded, out: &mut Out) {
+        let AttemptEnded {
             id,
             attempt,
-            store,
+            server,
             outcome,
             elapsed,
-            last,
-            note,
+            request_finished,
+            metadata,
         } = ended;
         let known = self
-            .stores
-            .get_mut(&store)
+            .servers
+            .get_mut(&server)
             .and_then(|s| s.out.remove(&(id, attempt)));
         let class = self
             .requests
@@ -565,64 +580,66 @@
             .map(|r| r.arrival.class)
             .or(known.map(|(class, ..)| class));
         let (_, sent, overtaken) = known.unwrap_or((ClassId(0), self.now.minus(elapsed), 0));
-        if let (Some(request), Outcome::Miss) = (self.requests.get(&id), outcome) {
-            if let (Some(need), Some(store)) = (self.needed(request), self.stores.get_mut(&store)) {
-                store.missed = Some((need, self.now));
+        if let (Some(request), Outcome::Misdirected) = (self.requests.get(&id), outcome) {
+            if let (Some(need), Some(server)) =
+                (self.needed(request), self.servers.get_mut(&server))
+            {
+                server.missed = Some((need, self.now));
             }
         }
         if let Some(class) = class {
-            // Guards against taking a connection that has fallen silent for a store that holds too much.
+            // Guards against taking a connection that has fallen silent for a server that holds too much.
             if outcome != Outcome::TimedOut || overtaken < OVERTAKEN {
                 self.learn(class, sent, ended);
             }
-            if outcome == Outcome::Ok && self.class(class).need == Need::Write {
+            if outcome == Outcome::Ok && self.class(class).consistency == Consistency::Write {
                 let key = self.requests.get(&id).and_then(|r| r.arrival.session);
-                if let Some(key) = key.filter(|_| !self.set.tokens_carried) {
-                    self.remember_write(key, note.position.unwrap_or(self.now));
+                if let Some(key) = key.filter(|_| !self.set.clients_carry_session_position) {
+                    self.remember_write(key, metadata.position.unwrap_or(self.now));
                 }
             }
         }
-        if last {
+        if request_finished {
             self.forget(id);
         } else if let Some(request) = self.requests.get_mut(&id) {
             request.out.retain(|&(no, _)| no != attempt);
             let never = [
-                Outcome::Full,
+                Outcome::Rejected,
                 Outcome::ConnectFailed,
-                Outcome::Moot,
-                Outcome::Miss,
+                Outcome::NotSent,
+                Outcome::Misdirected,
             ];
             if !never.contains(&outcome) {
                 let earliest = request.may_have_run.filter(|&(at, _)| at <= sent);
-                request.may_have_run = earliest.or(Some((sent, store)));
+                request.may_have_run = earliest.or(Some((sent, server)));
             }
-            request.avoid.push(store);
+            request.avoid.push(server);
             if request.out.is_empty() {
                 self.dispatch(id, out);
             }
         }
-        self.wake(store, out);
+        self.wake(server, out);
     }
 
-    fn on_probed(&mut self, id: StoreId, ok: bool, report: Report, out: &mut Out) {
-        let Some(store) = self.stores.get_mut(&id) else {
+    fn on_probed(&mut self, id: ServerId, ok: bool, report: LoadReport, out: &mut Out) {
+        let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
-        store.probe_out = false;
+        server.probe_out = false;
         if !ok {
             return self.rest(id, self.tune.rest_first);
         }
-        store.heard = Some(self.now);
-        (store.setbacks, store.rests_until) = (0, Time::ZERO);
+        server.heard = Some(self.now);
+        (server.setbacks, server.rests_until) = (0, Time::ZERO);
         if report.position.is_some() {
-            store.position = store.position.max(report.position);
-            (store.told, store.missed) = (self.now, None);
+            server.position = server.position.max(report.position);
+            (server.told, server.missed) = (self.now, None);
         }
         if let Some(primary) = report.primary {
             // A report is as old as its position at most; a primary's position is its very time.
-            let as_of = report.position.unwrap_or(store.probed);
-            if store.role.is_none_or(|(_, before)| before <= as_of) {
-                store.role = Some((primary, as_of));
+            let as_of = report.position.unwrap_or(server.probed);
+            if server.role.is_none_or(|(_, before)| before <= as_of) {
+                server.role = Some((primary, as_of));
             }
             if let Some(at) = report.position.filter(|_| primary) {
                 self.report_age = drawn(self.report_age, self.now.since(at), self.tune.run_weight);
@@ -631,47 +648,55 @@
         self.wake(id, out);
     }
 
-    /// What an answer, or the want of one, says of the store.
-    fn learn(&mut self, class: ClassId, sent: Time, ended: Ended) {
+    /// What an answer, or the want of one, says of the server.
+    fn learn(&mut self, class: ClassId, sent: Time, ended: AttemptEnded) {
         let (
             now,
             tune,
-            Ended {
-                store: id,
+            AttemptEnded {
+                server: id,
                 outcome,
                 elapsed,
-                note,
+                metadata,
                 ..
             },
         ) = (self.now, self.tune, ended);
         let Class {
-            need,
-            aim,
+            consistency: need,
+            latency_objective: aim,
             deadline,
-            late_worth,
+            late_weight_fraction,
             ..
         } = *self.class(class);
-        let (write, aim, at) = (need == Need::Write, aim.max(LEAST), usize::from(class.0));
+        let (write, aim, at) = (
+            need == Consistency::Write,
+            aim.max(LEAST),
+            usize::from(class.0),
+        );
         // A time-out hides how long it would have taken. Among few routers rooms are cut, and that is enough.
         let many = self.alone() < 1.0;
         let hidden = many && outcome == Outcome::TimedOut;
-        let waited = if hidden || outcome == Outcome::Full {
+        let waited = if hidden || outcome == Outcome::Rejected {
             deadline
         } else {
             elapsed
         };
-        let tells = matches!(outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Full);
+        let tells = matches!(outcome, Outcome::Ok | Outcome::TimedOut | Outcome::Rejected);
         let took = tells.then(|| waited.div_duration_f64(aim));
         let told = self
-            .stores
+            .servers
             .get(&id)
-            .map(|store| (1.0 - self.kept(store.judged), store.group));
+            .map(|server| (1.0 - self.kept(server.judged), server.group));
         let Some((memory, at_group)) = told else {
             return;
         };
         if let Some(took) = took {
-            let earned = if took < 1.0 { 1.0 } else { late_worth };
-            // No answer may tell of a connection: it weighs no more than one in time. A full store is late.
+            let earned = if took < 1.0 {
+                1.0
+            } else {
+                late_weight_fraction
+            };
+            // No answer may tell of a connection: it weighs no more than one in time. A full server is late.
             let fall = if many {
                 tune.door_fall
             } else {
@@ -701,18 +726,18 @@
                 (group.door, group.judged) = (here, now);
             }
         }
-        let Some(store) = self.stores.get_mut(&id) else {
+        let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
-        if let Some(primary) = note.primary {
-            store.role = Some((primary, now));
+        if let Some(primary) = metadata.primary {
+            server.role = Some((primary, now));
         }
-        if note.position.is_some() && !(write && outcome == Outcome::Ok) {
-            store.position = store.position.max(note.position);
-            (store.told, store.missed) = (now, None);
+        if metadata.position.is_some() && !(write && outcome == Outcome::Ok) {
+            server.position = server.position.max(metadata.position);
+            (server.told, server.missed) = (now, None);
         }
         // An attempt without an answer took its time too; an error or no connection costs another: else a
-        // store that loses work, or fails it quickly, looks no worse than others, and one that hangs only
+        // server that loses work, or fails it quickly, looks no worse than others, and one that hangs only
         // while attempts are out there. A trace more than an untried one, which so gets its turn.
         let in_vain = matches!(outcome, Outcome::Failed | Outcome::ConnectFailed);
         let spent = if in_vain {
@@ -721,18 +746,18 @@
             elapsed
         };
         if in_vain || matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
-            let average = &mut store.run_time[at];
+            let average = &mut server.run_time[at];
             *average = Some(average.map_or(spent, |a| drawn(a, spent, tune.run_weight)));
         }
         if let Some(took) = took {
-            store.pressure += memory.max(tune.room_weight) * (took - store.pressure);
-            store.took = drawn(store.took, waited, memory.max(tune.room_weight));
-            // A starting store that answers about as fast as one so cold can is not crowded, and bears more:
+            server.pressure += memory.max(tune.room_weight) * (took - server.pressure);
+            server.took = drawn(server.took, waited, memory.max(tune.room_weight));
+            // A starting server that answers about as fast as one so cold can is not crowded, and bears more:
             // all routers see the same of it. Answers far apart prove little.
-            let capacity = store.capacity(&self.set, now);
+            let capacity = server.capacity(&self.set, now);
             let fastest = self.work[at].div_duration_f64(aim) / capacity;
-            let easy = store.pressure < (tune.trust_late * fastest).min(tune.trust_aim);
-            let tip = self.set.tip_after.max(LEAST);
+            let easy = server.pressure < (tune.trust_late * fastest).min(tune.trust_aim);
+            let tip = self.set.overload_duration.max(LEAST);
             let judged = |trust: f64, before: Time| {
                 let rise = tune.trust_rise * now.since(before).min(tip / 4).div_duration_f64(tip);
                 let proven = easy && outcome == Outcome::Ok;
@@ -743,16 +768,16 @@
                 }
                 .clamp(1.0, tune.trust_most)
             };
-            store.trust = judged(store.trust, store.judged);
+            server.trust = judged(server.trust, server.judged);
             if capacity < 1.0 {
                 (self.trust, self.proved) = (judged(self.trust, self.proved), now);
             }
-            store.judged = now;
+            server.judged = now;
         }
-        let silent = store.heard.is_none_or(|heard| heard < sent);
+        let silent = server.heard.is_none_or(|heard| heard < sent);
         match outcome {
             Outcome::Ok => {
-                for (.., before, overtaken) in store.out.values_mut() {
+                for (.., before, overtaken) in server.out.values_mut() {
                     *overtaken += u32::from(*before < sent);
                 }
                 let work = &mut self.work[at];
@@ -762,30 +787,30 @@
                     tune.run_weight * tune.work_rise
                 };
                 *work = drawn(*work, spent, weight);
-                // Guards against queues that grow out of the routers' sight (overload, slow stores, others'
+                // Guards against queues that grow out of the routers' sight (overload, slow servers, others'
                 // load): answers near their aim shrink the room, early ones that used it widen it.
-                let easy = store.pressure < tune.room_easy * tune.room_late;
-                if store.pressure > tune.room_late && spent > aim.mul_f64(tune.room_late) {
-                    cut_room(store, tune.room_cut, now, sent);
-                } else if easy && store.out.len() as f64 + 2.0 > store.room {
-                    store.room += 1.0 / store.room;
+                let easy = server.pressure < tune.room_easy * tune.room_late;
+                if server.pressure > tune.room_late && spent > aim.mul_f64(tune.room_late) {
+                    cut_room(server, tune.room_cut, now, sent);
+                } else if easy && server.out.len() as f64 + 2.0 > server.room {
+                    server.room += 1.0 / server.room;
                 }
             }
-            Outcome::Full => cut_room(store, tune.room_cut, now, sent),
+            Outcome::Rejected => cut_room(server, tune.room_cut, now, sent),
             Outcome::ConnectFailed | Outcome::Reset => return self.rest(id, tune.rest_first),
-            // Silence since before it was sent: the store hangs. One that answered others is only slow.
+            // Silence since before it was sent: the server hangs. One that answered others is only slow.
             Outcome::TimedOut if silent => return self.rest(id, tune.rest_first),
-            Outcome::TimedOut => return cut_room(store, tune.room_cut, now, sent),
-            Outcome::Cancelled | Outcome::Moot => return,
-            Outcome::Failed | Outcome::Miss => {}
+            Outcome::TimedOut => return cut_room(server, tune.room_cut, now, sent),
+            Outcome::Cancelled | Outcome::NotSent => return,
+            Outcome::Failed | Outcome::Misdirected => {}
         }
-        store.heard = Some(now);
-        (store.setbacks, store.rests_until) = (0, Time::ZERO);
+        server.heard = Some(now);
+        (server.setbacks, server.rests_until) = (0, Time::ZERO);
     }
 
     fn remember_write(&mut self, key: SessionKey, commit: Time) {
         if self.written.len() >= WRITES_KEPT {
-            self.forgotten = self.now.minus(self.set.warm_after);
+            self.forgotten = self.now.minus(self.set.warm_up_duration);
             self.written.retain(|_, commit| *commit > self.forgotten);
         }
         self.written
@@ -801,9 +826,9 @@
         }
     }
 
-    /// News of a store: whatever is held in its group gets another look, the most valuable first.
-    fn wake(&mut self, store: StoreId, out: &mut Out) {
-        let Some(group) = self.stores.get(&store).map(|s| s.group) else {
+    /// News of a server: whatever is held in its group gets another look, the most valuable first.
+    fn wake(&mut self, server: ServerId, out: &mut Out) {
+        let Some(group) = self.servers.get(&server).map(|s| s.group) else {
             return;
         };
         let (first, last) = (
@@ -828,7 +853,7 @@
             return;
         };
         match self.choose(request) {
-            Choice::Send(store) => self.send(id, store, out),
+            Choice::Send(server) => self.send(id, server, out),
             Choice::GiveUp => self.give_up(id, out),
             hold => {
                 let group = request.arrival.group;
@@ -865,7 +890,7 @@
     /// The member to send to, by least cost; or hold, or give up.
     fn choose(&self, request: &Request) -> Choice {
         let class = self.class(request.arrival.class);
-        let worth_until = if class.late_worth > 0.0 {
+        let worth_until = if class.late_weight_fraction > 0.0 {
             request.deadline
         } else {
             request.aim_end
@@ -883,11 +908,15 @@
         }
         let time_left = worth_until.since(self.now);
         let primary = self.primary(request.arrival.group);
-        let needs_primary = matches!(class.need, Need::Write | Need::Fresh);
-        let spares_primary = matches!(class.need, Need::Bounded(_) | Need::Any);
-        let seeks_primary = class.need == Need::Write && primary.is_none() && !self.set.may_probe;
+        let needs_primary = matches!(class.consistency, Consistency::Write | Consistency::Strong);
+        let spares_primary = matches!(
+            class.consistency,
+            Consistency::BoundedStaleness(_) | Consistency::Eventual
+        );
+        let seeks_primary =
+            class.consistency == Consistency::Write && primary.is_none() && !self.set.may_probe;
         // (kept for when no replica meets the need, cost, member, may go now)
-        let mut best: Option<(bool, Duration, StoreId, bool)> = None;
+        let mut best: Option<(bool, Duration, ServerId, bool)> = None;
         let (mut some_later, mut busy, mut shut) = (false, false, false);
         let members = self.members(request.arrival.group);
         let met = if self.alone() < 1.0 {
@@ -902,17 +931,17 @@
                 continue;
             }
             some_later = true;
-            let store = &self.stores[&id];
-            let fits = is_primary || !needs_primary || seeks_primary && self.may_be_primary(store);
-            if !fits || self.now < store.rests_until || request.avoid.contains(&id) {
+            let server = &self.servers[&id];
+            let fits = is_primary || !needs_primary || seeks_primary && self.may_be_primary(server);
+            if !fits || self.now < server.rests_until || request.avoid.contains(&id) {
                 continue;
             }
             let wait = if is_primary {
                 Duration::ZERO
             } else {
-                self.catch_up(request, store)
+                self.catch_up(request, server)
             };
-            let run = self.run_time(store, request.arrival.class);
+            let run = self.run_time(server, request.arrival.class);
             if !wait.is_zero() && wait + run > time_left {
                 continue;
             }
@@ -927,16 +956,16 @@
             } else {
                 self.tightest_aim / 2
             };
-            let cost = self.remaining_work(store) + wait + run + asking + unmet;
+            let cost = self.remaining_work(server) + wait + run + asking + unmet;
             let candidate = (spares_primary && is_primary, cost, id, bar.is_none());
             let share = if is_primary {
                 self.primary_share(request.arrival.class)
             } else {
                 1.0
             };
-            if !self.has_room(request, id, store, share) {
+            if !self.has_room(request, id, server, share) {
                 // The draw of one of many is the same at each look, and its own answers seldom change it.
-                let lasts = store.out.is_empty() && self.alone() < 1.0;
+                let lasts = server.out.is_empty() && self.alone() < 1.0;
                 (busy, shut) = (busy || !lasts, shut || lasts);
                 continue;
             }
@@ -944,7 +973,7 @@
                 best = Some(candidate);
             }
         }
-        let lasting = patient || request.attempts > 0 || class.late_worth > 0.0;
+        let lasting = patient || request.attempts > 0 || class.late_weight_fraction > 0.0;
         let soon = self.work[usize::from(request.arrival.class.0)] < time_left;
         match best {
             Some((_, _, id, true)) => Choice::Send(id),
@@ -963,23 +992,26 @@
             .is_some_and(|since| doubtful.contains(&self.now.since(since)))
     }
 
-    /// Nothing that it has told of late says that it is none. Where nobody may be asked, a write finds that out: a store
+    /// Nothing that it has told of late says that it is none. Where nobody may be asked, a write finds that out: a server
     /// that is no primary turns it away untouched, and tells its role.
-    fn may_be_primary(&self, store: &Store) -> bool {
+    fn may_be_primary(&self, server: &Server) -> bool {
         let lasts = self.tightest_bound.max(self.tightest_aim);
-        store
+        server
             .role
             .is_none_or(|(_, as_of)| self.now.since(as_of) >= lasts)
     }
 
     fn primary_share(&self, class: ClassId) -> f64 {
-        if matches!(self.class(class).need, Need::Write | Need::Fresh) {
+        if matches!(
+            self.class(class).consistency,
+            Consistency::Write | Consistency::Strong
+        ) {
             return 1.0;
         }
-        let value = |(class, work): (&Class, &Duration)| class.worth / work.as_secs_f64();
+        let value = |(class, work): (&Class, &Duration)| class.priority_weight / work.as_secs_f64();
         let classes = self.set.classes.iter().zip(&self.work);
         let best_write = classes
-            .filter(|(c, _)| c.need == Need::Write)
+            .filter(|(c, _)| c.consistency == Consistency::Write)
             .map(value)
             .fold(0.0, f64::max);
         let own = value((self.class(class), &self.work[usize::from(class.0)]));
@@ -990,19 +1022,21 @@
     /// draw that lets the part through by which its answers came in time of late; among many, of reads the
     /// square of what came easily: they are too many with one attempt each, and a full queue, fed by what all
     /// try again, would never end. A write goes by its own aim: what is late for reads may do for it. A draw
-    /// is made once for a request and a store. Harms a store that is slow for another reason than its load.
-    fn has_room(&self, request: &Request, id: StoreId, store: &Store, share: f64) -> bool {
-        if !store.out.is_empty() {
-            return (store.out.len() + 1) as f64 <= share * store.room;
+    /// is made once for a request and a server. Harms a server that is slow for another reason than its load.
+    fn has_room(&self, request: &Request, id: ServerId, server: &Server, share: f64) -> bool {
+        if !server.out.is_empty() {
+            return (server.out.len() + 1) as f64 <= share * server.room;
         }
-        let memory = self.kept(store.judged).powf(self.alone().sqrt());
+        let memory = self.kept(server.judged).powf(self.alone().sqrt());
         let class = self.class(request.arrival.class);
         let (write, own) = (
-            class.need == Need::Write,
-            store.took.div_duration_f64(class.aim.max(LEAST)),
+            class.consistency == Consistency::Write,
+            server
+                .took
+                .div_duration_f64(class.latency_objective.max(LEAST)),
         );
         let in_time =
-            share * self.tune.room_late / (if write { own } else { store.pressure } * memory);
+            share * self.tune.room_late / (if write { own } else { server.pressure } * memory);
         let spares = self.alone() < 1.0 && !write;
         let part = if spares {
             (self.tune.room_easy * in_time).powi(2)
@@ -1013,61 +1047,61 @@
     }
 
     /// Own requests in flight there: for each the average less the time spent. One that has outlived its
-    /// average counts for as long as it has done so: floored at zero, a hung store would look idle. Harms
+    /// average counts for as long as it has done so: floored at zero, a hung server would look idle. Harms
     /// where run times fall into two kinds.
-    fn remaining_work(&self, store: &Store) -> Duration {
-        let left = |&(class, sent, _)| self.run_time(store, class).abs_diff(self.now.since(sent));
-        store.out.values().map(left).sum()
+    fn remaining_work(&self, server: &Server) -> Duration {
+        let left = |&(class, sent, _)| self.run_time(server, class).abs_diff(self.now.since(sent));
+        server.out.values().map(left).sum()
     }
 
     /// From the last known position to the one needed, at one second of log a second. The time since the
     /// position was told counts as caught up, and one never told of counts as caught up in full: that tells
-    /// whom to try or to ask. Where stores check, a wrong guess ends as a miss, runs nothing and takes the
+    /// whom to try or to ask. Where servers check, a wrong guess ends as a miss, runs nothing and takes the
     /// guess back (`missed`); elsewhere the member is asked first (`guard`). Guards against reports older
     /// than the bound, and against all reads crowding the primaries where a router knows few positions: at
     /// start, with little traffic. Does harm where misses or probes are dear.
-    fn catch_up(&self, request: &Request, store: &Store) -> Duration {
+    fn catch_up(&self, request: &Request, server: &Server) -> Duration {
         let Some(need) = self.needed(request) else {
             return Duration::ZERO;
         };
         let gap =
             |from, at, age: Duration| need.since(from).saturating_sub(self.now.since(at) + age);
-        let missed = store
+        let missed = server
             .missed
-            .filter(|&(from, _)| store.position.is_none_or(|told| told < from));
+            .filter(|&(from, _)| server.position.is_none_or(|told| told < from));
         let behind = missed.map_or(Duration::ZERO, |(from, at)| {
             gap(from, at, Duration::ZERO).max(LEAST)
         });
-        let told = store
+        let told = server
             .position
-            .map_or(Duration::ZERO, |at| gap(at, store.told, self.report_age));
+            .map_or(Duration::ZERO, |at| gap(at, server.told, self.report_age));
         told.max(behind)
     }
 
     /// The moving average there; where nothing was answered yet, what the class takes elsewhere: with the aim
     /// as the seed, far above what most take, a router would stay with the first members it tried.
-    fn run_time(&self, store: &Store, class: ClassId) -> Duration {
-        store.run_time[usize::from(class.0)].unwrap_or(self.work[usize::from(class.0)])
+    fn run_time(&self, server: &Server, class: ClassId) -> Duration {
+        server.run_time[usize::from(class.0)].unwrap_or(self.work[usize::from(class.0)])
     }
 
     /// The log position that a read must see if sent now; none: any will do.
     fn needed(&self, request: &Request) -> Option<Time> {
-        match self.class(request.arrival.class).need {
-            Need::Write | Need::Any => None,
-            Need::Fresh => Some(request.came),
-            Need::Session => Some(request.token).filter(|&t| t > Time::ZERO),
-            Need::Bounded(bound) => Some(self.now.minus(bound)),
+        match self.class(request.arrival.class).consistency {
+            Consistency::Write | Consistency::Eventual => None,
+            Consistency::Strong => Some(request.came),
+            Consistency::ReadYourWrites => Some(request.token).filter(|&t| t > Time::ZERO),
+            Consistency::BoundedStaleness(bound) => Some(self.now.minus(bound)),
         }
     }
 
     /// The member with the newest evidence of being primary; the list counts only where there is none.
-    fn primary(&self, group: GroupId) -> Option<StoreId> {
-        let rank = |id: &&StoreId| {
-            let store = &self.stores[*id];
-            match store.role {
-                _ if store.told_leaving.is_some() => None,
+    fn primary(&self, group: GroupId) -> Option<ServerId> {
+        let rank = |id: &&ServerId| {
+            let server = &self.servers[*id];
+            match server.role {
+                _ if server.told_leaving.is_some() => None,
                 Some((primary, as_of)) => primary.then_some((true, as_of)),
-                None => store.listed_primary.then_some((false, Time::ZERO)),
+                None => server.listed_primary.then_some((false, Time::ZERO)),
             }
         };
         self.members(group)
@@ -1077,7 +1111,7 @@
             .copied()
     }
 
-    fn members(&self, group: GroupId) -> &[StoreId] {
+    fn members(&self, group: GroupId) -> &[ServerId] {
         self.groups
             .get(&group)
             .map_or(&[], |group| group.members.as_slice())
@@ -1093,15 +1127,21 @@
             return 0.0;
         };
         let Arrival {
-            class, standing, ..
+            class,
+            quota_status: standing,
+            ..
         } = request.arrival;
         let late = if self.now >= request.aim_end {
-            self.class(class).late_worth
+            self.class(class).late_weight_fraction
         } else {
             1.0
         };
-        let counted = self.set.over_share_worth.powf(standing.beyond());
-        self.class(class).worth * late * counted / self.work[usize::from(class.0)].as_secs_f64()
+        let counted = self
+            .set
+            .over_quota_weight_fraction
+            .powf(standing.over_quota_fraction());
+        self.class(class).priority_weight * late * counted
+            / self.work[usize::from(class.0)].as_secs_f64()
     }
 
     /// The aim counts from a client's first try. A repeat with less time than first tries have has what is
@@ -1112,50 +1152,55 @@
             return self.now;
         };
         let first = &mut self.first_wait[usize::from(arrival.class.0)];
-        let late = arrival.repeated && arrival.time_left < first.mul_f64(self.tune.less_time);
+        let late =
+            arrival.is_client_retry && arrival.time_left < first.mul_f64(self.tune.less_time);
         let spent = class.deadline.saturating_sub(if late {
             arrival.time_left
         } else {
             class.deadline
         });
-        *first = if arrival.repeated {
+        *first = if arrival.is_client_retry {
             *first
         } else {
             arrival.time_left.max(*first)
         };
-        self.now.plus(class.aim.saturating_sub(spent))
+        self.now.plus(class.latency_objective.saturating_sub(spent))
     }
 
     // ---- The rules: every send passes here ----
 
-    fn guard(&self, request: &Request, id: StoreId) -> Result<(), Bar> {
+    fn guard(&self, request: &Request, id: ServerId) -> Result<(), Bar> {
         let class = self.class(request.arrival.class);
-        let Some(store) = self
-            .stores
+        let Some(server) = self
+            .servers
             .get(&id)
             .filter(|s| s.group == request.arrival.group)
         else {
             return Err(Bar::No);
         };
         // Drains: nothing new at all once told, well inside the grace.
-        if store.told_leaving.is_some() || self.now >= request.deadline {
+        if server.told_leaving.is_some() || self.now >= request.deadline {
             return Err(Bar::No);
         }
-        let allowed = [self.set.try_limit, request.arrival.tries.unwrap_or(0)];
+        let allowed = [
+            self.set.attempt_limit,
+            request.arrival.attempt_limit.unwrap_or(0),
+        ];
         let spent = allowed
             .into_iter()
             .any(|limit| limit > 0 && request.attempts >= limit);
         // Effects: what may have run, or is still out, binds later attempts.
-        if spent || !request.out.is_empty() && !self.set.second_copies {
+        if spent || !request.out.is_empty() && !self.set.may_hedge {
             return Err(Bar::No);
         }
         if let Some((since, at)) = self.earliest_effect(request) {
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => return Err(Bar::No),
-                Effect::Keyed { scope, window } => {
-                    let same_zone = self.stores.get(&at).is_some_and(|s| s.zone == store.zone);
-                    if self.now >= last_repeat(since, window) || scope == Scope::Zone && !same_zone
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => return Err(Bar::No),
+                Idempotency::Keyed { scope, window } => {
+                    let same_zone = self.servers.get(&at).is_some_and(|s| s.zone == server.zone);
+                    if self.now >= last_repeat(since, window)
+                        || scope == DeduplicationScope::Zone && !same_zone
                     {
                         return Err(Bar::No);
                     }
@@ -1163,16 +1208,16 @@
             }
         }
         // Freshness: only a told position counts, unless the member is primary or checks by itself.
-        let primary = self.primary(store.group) == Some(id);
-        if store.starts(&self.set, self.now) && !self.cold_room(request, id, store, primary) {
+        let primary = self.primary(server.group) == Some(id);
+        if server.starts(&self.set, self.now) && !self.cold_room(request, id, server, primary) {
             return Err(Bar::No);
         }
         if let Some(need) = self.needed(request).filter(|_| !primary) {
-            let told = store.position.is_some_and(|position| position >= need);
-            let tolerated = match self.set.checks {
-                Checks::None => false,
-                Checks::Refuse => self.catch_up(request, store).is_zero(),
-                Checks::Wait(span) => self.catch_up(request, store) <= span,
+            let told = server.position.is_some_and(|position| position >= need);
+            let tolerated = match self.set.staleness_check {
+                StalenessCheck::None => false,
+                StalenessCheck::Reject => self.catch_up(request, server).is_zero(),
+                StalenessCheck::Wait(span) => self.catch_up(request, server) <= span,
             };
             if !told && !tolerated {
                 return Err(Bar::Stale);
@@ -1181,11 +1226,15 @@
         Ok(())
     }
 
-    /// Send time and store of the earliest attempt that may have taken effect, or may yet.
-    fn earliest_effect(&self, request: &Request) -> Option<(Time, StoreId)> {
-        let still_out = request.out.first().and_then(|&(no, store)| {
-            let sent = self.stores.get(&store)?.out.get(&(request.arrival.id, no));
-            sent.map(|&(_, at, _)| (at, store))
+    /// Send time and server of the earliest attempt that may have taken effect, or may yet.
+    fn earliest_effect(&self, request: &Request) -> Option<(Time, ServerId)> {
+        let still_out = request.out.first().and_then(|&(no, server)| {
+            let sent = self
+                .servers
+                .get(&server)?
+                .out
+                .get(&(request.arrival.id, no));
+            sent.map(|&(_, at, _)| (at, server))
         });
         request.may_have_run.into_iter().chain(still_out).min()
     }
@@ -1193,12 +1242,12 @@
     /// The instant by which an attempt sent there now has to be on its way. Its connection may have to be dialled first:
     /// a keyed repeat that arrives after its window is not recognised as one, and a read is not to find data that has
     /// become too old meanwhile.
-    fn begins_by(&self, request: &Request, to: StoreId) -> Time {
+    fn begins_by(&self, request: &Request, to: ServerId) -> Time {
         let window_end = match (
-            self.class(request.arrival.class).effect,
+            self.class(request.arrival.class).idempotency,
             self.earliest_effect(request),
         ) {
-            (Effect::Keyed { window, .. }, Some((since, _))) => last_repeat(since, window),
+            (Idempotency::Keyed { window, .. }, Some((since, _))) => last_repeat(since, window),
             _ => Time::MAX,
         };
         request
@@ -1207,91 +1256,99 @@
             .min(self.fresh_until(request, to))
     }
 
-    /// Until when a store that answers reads however old its data is may get this one, by what it has told.
-    fn fresh_until(&self, request: &Request, id: StoreId) -> Time {
-        let store = &self.stores[&id];
-        let primary = self.primary(store.group) == Some(id);
+    /// Until when a server that answers reads however old its data is may get this one, by what it has told.
+    fn fresh_until(&self, request: &Request, id: ServerId) -> Time {
+        let server = &self.servers[&id];
+        let primary = self.primary(server.group) == Some(id);
         match (
-            self.class(request.arrival.class).need,
-            self.set.checks,
-            store.position,
+            self.class(request.arrival.class).consistency,
+            self.set.staleness_check,
+            server.position,
         ) {
-            (Need::Bounded(bound), Checks::None, Some(position)) if !primary => {
+            (Consistency::BoundedStaleness(bound), StalenessCheck::None, Some(position))
+                if !primary =>
+            {
                 position.plus(bound)
             }
             _ => Time::MAX,
         }
     }
 
-    /// Whether a starting store may get this request: in each slice of its start this router's part of the work
+    /// Whether a starting server may get this request: in each slice of its start this router's part of the work
     /// that usually comes, in turns of all routers (`slow_start`). An attempt there that failed is the last.
     /// Each member has turns of its own, as far as they go round: what one may not have another may. The part is
     /// what it bears even if the group is full, and more as answers prove it (`learn`). Reads are for as many
     /// members as it ever had; one bears all that needs the primary. Guards against many routers that each send
-    /// just one, and against all that was held for the store at once.
-    fn cold_room(&self, request: &Request, id: StoreId, store: &Store, primary: bool) -> bool {
-        let repeated = !primary && request.arrival.repeated;
+    /// just one, and against all that was held for the server at once.
+    fn cold_room(&self, request: &Request, id: ServerId, server: &Server, primary: bool) -> bool {
+        let repeated = !primary && request.arrival.is_client_retry;
         let read_at_primary = primary && !self.needs_primary(request.arrival.class);
         if repeated || read_at_primary || request.tried.contains(&id) {
             return false;
         }
         let work = self.work[usize::from(request.arrival.class.0)];
         let (memory, least) = (
-            self.set.warm_after.max(LEAST),
-            self.set.tip_after.max(LEAST),
+            self.set.warm_up_duration.max(LEAST),
+            self.set.overload_duration.max(LEAST),
         );
         let usual =
-            self.groups[&store.group].usual[usize::from(primary)].over(self.now, memory, least);
-        let part = self.cold_part(store, primary);
-        let turn = self.turn(id, store, self.now);
+            self.groups[&server.group].usual[usize::from(primary)].over(self.now, memory, least);
+        let part = self.cold_part(server, primary);
+        let turn = self.turn(id, server, self.now);
         // One that waits would have a turn in each slice, with a part of what would come in all of them.
-        let waits = self.turn(id, store, request.came).slice != turn.slice;
+        let waits = self.turn(id, server, request.came).slice != turn.slice;
         if waits && usual.is_less(self.cold_slice(), work) {
             return false;
         }
-        store.sent.allows(
+        server.sent.allows(
             turn,
             part * usual.quota(self.cold_slice(), work, self.tune.cold_light),
             work,
         )
     }
 
-    /// The part of the work for its role that a starting store may get.
-    fn cold_part(&self, store: &Store, primary: bool) -> f64 {
-        let trust = self.trust + self.kept(store.judged) * (store.trust - self.trust);
-        let most = store.capacity(&self.set, self.now) * self.set.overload_factor;
+    /// The part of the work for its role that a starting server may get.
+    fn cold_part(&self, server: &Server, primary: bool) -> f64 {
+        let trust = self.trust + self.kept(server.judged) * (server.trust - self.trust);
+        let most = server.capacity(&self.set, self.now) * self.set.overload_factor;
         let bears = self.tune.cold_caution * trust * most;
         if primary {
             bears
         } else {
-            bears / self.groups[&store.group].widest as f64
+            bears / self.groups[&server.group].widest as f64
         }
     }
 
     fn cold_slice(&self) -> Duration {
-        self.set.tip_after.mul_f64(self.tune.cold_slice).max(LEAST)
+        self.set
+            .overload_duration
+            .mul_f64(self.tune.cold_slice)
+            .max(LEAST)
     }
 
-    fn turn(&self, id: StoreId, store: &Store, at: Time) -> Turn {
+    fn turn(&self, id: ServerId, server: &Server, at: Time) -> Turn {
         let place = self
-            .members(store.group)
+            .members(server.group)
             .iter()
             .filter(|&&member| member < id)
             .count() as f64;
-        let place = place / self.groups[&store.group].widest as f64;
+        let place = place / self.groups[&server.group].widest as f64;
         Turn::at(
-            at.since(store.started),
+            at.since(server.started),
             self.cold_slice(),
-            self.set.number,
+            self.set.router_index,
             place,
         )
     }
 
     fn needs_primary(&self, class: ClassId) -> bool {
-        matches!(self.class(class).need, Need::Write | Need::Fresh)
+        matches!(
+            self.class(class).consistency,
+            Consistency::Write | Consistency::Strong
+        )
     }
 
-    fn send(&mut self, id: RequestId, to: StoreId, out: &mut Out) {
+    fn send(&mut self, id: RequestId, to: ServerId, out: &mut Out) {
         let may = self
             .requests
             .get(&id)
@@ -1304,7 +1361,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(store) = self.stores.get_mut(&to) else {
+        let Some(server) = self.servers.get_mut(&to) else {
             return;
         };
         let attempt = AttemptNo(request.attempts);
@@ -1313,52 +1370,52 @@
         request.tried.push(to);
         request.held = false;
         self.held.remove(&(request.arrival.group, request.came, id));
-        store
+        server
             .out
             .insert((id, attempt), (request.arrival.class, self.now, 0));
-        let time_out = request.deadline.since(self.now);
+        let timeout = request.deadline.since(self.now);
         out.push(Action::Send {
             id,
-            store: to,
-            time_out,
+            server: to,
+            timeout,
             begin_within,
         });
     }
 
-    fn count_starting(&mut self, id: RequestId, to: StoreId) {
-        let (Some(request), Some(store)) = (self.requests.get(&id), self.stores.get(&to)) else {
+    fn count_starting(&mut self, id: RequestId, to: ServerId) {
+        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else {
             return;
         };
-        if !store.starts(&self.set, self.now) {
+        if !server.starts(&self.set, self.now) {
             return;
         }
         let (turn, work) = (
-            self.turn(to, store, self.now),
+            self.turn(to, server, self.now),
             self.work[usize::from(request.arrival.class.0)],
         );
-        if let Some(store) = self.stores.get_mut(&to) {
-            store.sent.add(turn, work);
+        if let Some(server) = self.servers.get_mut(&to) {
+            server.sent.add(turn, work);
         }
     }
 
     // ---- Health ----
 
-    /// The store is down, cut off or full: it is left alone for a while, longer each time.
-    fn rest(&mut self, id: StoreId, first: f64) {
+    /// The server is down, cut off or full: it is left alone for a while, longer each time.
+    fn rest(&mut self, id: ServerId, first: f64) {
         let jitter = 0.5 + self.chance();
         let (first, most) = (
             self.tightest_aim.mul_f64(first),
             self.tightest_aim.mul_f64(self.tune.rest_max),
         );
-        let Some(store) = self.stores.get_mut(&id) else {
+        let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
         let rest = first
-            .saturating_mul(1 << store.setbacks.min(16))
+            .saturating_mul(1 << server.setbacks.min(16))
             .min(most)
             .mul_f64(jitter);
-        store.setbacks += 1;
-        store.rests_until = self.now.plus(rest);
+        server.setbacks += 1;
+        server.rests_until = self.now.plus(rest);
     }
 
     // ---- Probing ----
@@ -1367,23 +1424,25 @@
     /// group that was not asked for longest. Only what holds a request is asked: probes cost by members times
     /// routers else, and what a router with little traffic was told is old before it is used. Roles change
     /// slowly: asked for at every look they cost most where connects fail. Harms where round trips are long.
-    fn ask(&mut self, group: GroupId, whom: Option<StoreId>, out: &mut Out) {
+    fn ask(&mut self, group: GroupId, whom: Option<ServerId>, out: &mut Out) {
         let role = self.tightest_bound.max(self.tightest_aim);
         let spacing = if whom.is_none() {
             role
         } else {
             self.tightest_bound.mul_f64(self.tune.ask_again)
         };
-        let may = |id: &StoreId| {
-            let store = &self.stores[id];
-            let due = store.probed == Time::ZERO || self.now.since(store.probed) >= spacing;
-            due && !store.probe_out && self.now >= store.rests_until && store.told_leaving.is_none()
+        let may = |id: &ServerId| {
+            let server = &self.servers[id];
+            let due = server.probed == Time::ZERO || self.now.since(server.probed) >= spacing;
+            due && !server.probe_out
+                && self.now >= server.rests_until
+                && server.told_leaving.is_none()
         };
         let longest = || {
             self.members(group)
                 .iter()
                 .filter(|&id| may(id))
-                .min_by_key(|id| self.stores[id].probed)
+                .min_by_key(|id| self.servers[id].probed)
         };
         let Some(id) = whom
             .filter(may)
@@ -1391,18 +1450,18 @@
         else {
             return;
         };
-        let Some(store) = self.stores.get_mut(&id).filter(|_| self.set.may_probe) else {
+        let Some(server) = self.servers.get_mut(&id).filter(|_| self.set.may_probe) else {
             return;
         };
-        (store.probe_out, store.probed) = (true, self.now);
-        out.push(Action::Probe { store: id });
+        (server.probe_out, server.probed) = (true, self.now);
+        out.push(Action::Probe { server: id });
     }
 
     // ---- Giving up ----
 
-    /// Whether a new request is taken in at all: the part that the stores have lately shown to bear, the more
-    /// valuable for their work sooner. Guards against jams of which no store and no room is the cause: many
-    /// routers' attempts, retried by clients and run in vain, keep every store full (flash crowds, mass
+    /// Whether a new request is taken in at all: the part that the servers have lately shown to bear, the more
+    /// valuable for their work sooner. Guards against jams of which no server and no room is the cause: many
+    /// routers' attempts, retried by clients and run in vain, keep every server full (flash crowds, mass
     /// restarts, too few primaries). Harms when a fault that costs worth is over, for the time of memory.
     /// What is beyond a quota has its own door, its repeats wait until that is quite open; what is borrowed
     /// takes no place that one within is refused for. `shed` draws with it: of the two the narrower counts.
@@ -1412,16 +1471,16 @@
         let Some(Request { arrival, .. }) = self.requests.get(&id) else {
             return true;
         };
-        let part = match (arrival.standing, arrival.repeated) {
-            (Standing::Beyond, false) => self.spare,
-            (Standing::Beyond, true) => self.spare.floor(),
-            (Standing::Borrowed, _) => self.doors(arrival.group).1.floor(),
+        let part = match (arrival.quota_status, arrival.is_client_retry) {
+            (QuotaStatus::OverQuota, false) => self.spare,
+            (QuotaStatus::OverQuota, true) => self.spare.floor(),
+            (QuotaStatus::Borrowed, _) => self.doors(arrival.group).1.floor(),
             _ => self
                 .doors(arrival.group)
                 .1
                 .powf((self.usual_value / value).powi(2)),
         };
-        share_of(self.own_order ^ id.0.rotate_left(32)) < part.min(1.0 - arrival.shed)
+        share_of(self.own_order ^ id.0.rotate_left(32)) < part.min(1.0 - arrival.shed_fraction)
     }
 
     /// Of all groups, and of one: a jam there turns no other's requests away, but is seldom heard of by many.
@@ -1440,27 +1499,27 @@
             .set
             .classes
             .get(usize::from(request.arrival.class.0))
-            .map(|c| c.effect);
+            .map(|c| c.idempotency);
         let clean = request.out.is_empty() && request.may_have_run.is_none();
         if clean
             || matches!(
                 effect,
                 Some(
-                    Effect::Safe
-                        | Effect::Keyed {
-                            scope: Scope::All,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DeduplicationScope::All,
                             ..
                         }
                 )
             )
         {
-            let come_back = self
+            let retry_after = self
                 .tightest_aim
                 .mul_f64(self.tune.rest_max)
                 .min(self.set.max_retry_after);
-            out.push(Action::Refuse {
+            out.push(Action::Reject {
                 id,
-                come_back: self.set.retry_after.then_some(come_back),
+                retry_after: self.set.may_send_retry_after.then_some(retry_after),
             });
         } else {
             out.push(Action::Fail { id });
@@ -1495,9 +1554,9 @@
 }
 
 /// What was sent before the last cut says nothing of the room since.
-fn cut_room(store: &mut Store, to: f64, now: Time, sent: Time) {
-    if sent >= store.room_cut {
-        store.room = (to * store.room.min(store.out.len() as f64 + 1.0)).max(1.0);
-        store.room_cut = now;
+fn cut_room(server: &mut Server, to: f64, now: Time, sent: Time) {
+    if sent >= server.room_cut {
+        server.room = (to * server.room.min(server.out.len() as f64 + 1.0)).max(1.0);
+        server.room_cut = now;
     }
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -78,7 +78,7 @@
 
 id! {
     /// A member of a group: a primary or a replica.
-    StoreId(u32);
+    ServerId(u32);
     /// Members that hold the same data.
     GroupId(u32);
     /// A client's request, as named by the gateway.
@@ -101,22 +101,22 @@
 
 /// What a class of request needs of the data that answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Consistency {
     /// Only the primary takes it.
     Write,
     /// Must see everything committed before it arrived.
-    Fresh,
+    Strong,
     /// Must see what its session has written.
-    Session,
+    ReadYourWrites,
     /// Data no older than this when it is sent.
-    Bounded(Duration),
+    BoundedStaleness(Duration),
     /// Any member may answer.
-    Any,
+    Eventual,
 }
 
 /// Where the duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     All,
     Zone,
     Group,
@@ -124,22 +124,25 @@
 
 /// What a repetition of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Safe,
-    Keyed { scope: Scope, window: Duration },
-    Unsafe,
+pub enum Idempotency {
+    Idempotent,
+    Keyed {
+        scope: DeduplicationScope,
+        window: Duration,
+    },
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    pub need: Need,
-    pub effect: Effect,
+    pub consistency: Consistency,
+    pub idempotency: Idempotency,
     /// Answers within this earn the full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     pub deadline: Duration,
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight_fraction: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -150,59 +153,59 @@
 
 /// What a replica does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Checks {
+pub enum StalenessCheck {
     /// Answers from what it has: the router alone keeps reads fresh.
     #[default]
     None,
     /// Turns it away untouched.
-    Refuse,
+    Reject,
     /// Waits this long to catch up, then turns it away untouched.
     Wait(Duration),
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    pub routers: u32,
+    pub router_count: u32,
     /// Its number among them, from 0.
-    pub number: u32,
+    pub router_index: u32,
     pub zone: ZoneId,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's quota, as a share of the usual.
-    pub over_share_worth: f64,
-    pub checks: Checks,
+    pub over_quota_weight_fraction: f64,
+    pub staleness_check: StalenessCheck,
     /// The session's last write comes with the request (else remembered by the router).
-    pub tokens_carried: bool,
+    pub clients_carry_session_position: bool,
     /// The list must be asked for.
-    pub list_on_request: bool,
+    pub endpoints_are_polled: bool,
     /// It has to be asked for within this; what has changed counts as told then.
-    pub list_within: Duration,
+    pub max_poll_interval: Duration,
     pub may_probe: bool,
     pub may_cancel: bool,
-    pub second_copies: bool,
-    pub retry_after: bool,
+    pub may_hedge: bool,
+    pub may_send_retry_after: bool,
     pub max_retry_after: Duration,
     /// Attempts allowed for a request; 0: no limit.
-    pub try_limit: u16,
-    /// Sends to a draining or removed store stop within this.
+    pub attempt_limit: u16,
+    /// Sends to a draining or removed server stop within this.
     pub drain_grace: Duration,
     /// Removal without a drain does not bind.
     pub soft_removal: bool,
-    /// A starting store has at least this share of its capacity ...
-    pub cold_share: f64,
+    /// A starting server has at least this share of its capacity ...
+    pub initial_capacity_fraction: f64,
     /// ... and all of it after this.
-    pub warm_after: Duration,
+    pub warm_up_duration: Duration,
     /// More than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long, from all routers together, makes it collapse.
-    pub tip_after: Duration,
+    pub overload_duration: Duration,
     /// An idle connection is closed after this.
-    pub keepalive: Duration,
+    pub idle_timeout: Duration,
 }
 
-/// A store's word on itself. Absent where the deployment does not report it.
+/// A server's word on itself. Absent where the deployment does not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// All commits up to this instant are applied (rounded towards the past).
     pub position: Option<Time>,
     pub primary: Option<bool>,
@@ -212,9 +215,9 @@
 
 /// What came with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Note {
+pub struct ResponseMetadata {
     pub primary: Option<bool>,
-    /// For a write that went through, its commit; else the position of the store.
+    /// For a write that went through, its commit; else the position of the server.
     pub position: Option<Time>,
 }
 
@@ -224,33 +227,33 @@
     /// Answered with an error; may have taken effect.
     Failed,
     /// Turned away unseen: full or draining.
-    Full,
+    Rejected,
     TimedOut,
     ConnectFailed,
     /// The connection broke with the attempt out.
     Reset,
     Cancelled,
     /// Never left: too late, ended, or over the limit.
-    Moot,
+    NotSent,
     /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    Misdirected,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     #[default]
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
-    pub store: StoreId,
+pub struct Endpoint {
+    pub server: ServerId,
     pub group: GroupId,
     pub zone: ZoneId,
     pub kind: KindId,
-    pub listed: Listed,
+    pub state: EndpointState,
     /// The list believes it to be the primary.
     pub primary: bool,
     /// Latest start; zero: long ago.
@@ -258,18 +261,18 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListNews {
-    Changes(Vec<Entry>),
-    Complete(Vec<Entry>),
+pub enum EndpointUpdate {
+    Changes(Vec<Endpoint>),
+    Snapshot(Vec<Endpoint>),
     /// The complete list as this router last held it, perhaps long ago.
-    Cached(Vec<Entry>),
+    Cached(Vec<Endpoint>),
     /// A request for the list failed or the subscription broke.
     Failed,
 }
 
 /// How a session's last write is named: what a read of the session must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrote {
+pub enum SessionPosition {
     /// So long before the arrival.
     Ago(Duration),
     /// By its position, on the clock that positions are told by, however the router's own is set.
@@ -286,64 +289,64 @@
     /// Until the client gives up this try.
     pub time_left: Duration,
     /// The session's last write, where carried.
-    pub wrote: Option<Wrote>,
+    pub session_position: Option<SessionPosition>,
     /// The client says that it repeats itself.
-    pub repeated: bool,
+    pub is_client_retry: bool,
     /// Whether its tenant may ask so much.
-    pub standing: Standing,
+    pub quota_status: QuotaStatus,
     /// Attempts allowed for it, where that is fewer than the settings allow.
-    pub tries: Option<u16>,
+    pub attempt_limit: Option<u16>,
     /// The part of its kind that is to be refused whatever room there seems to be, from 0 (none) to 1 (all).
-    pub shed: f64,
+    pub shed_fraction: f64,
 }
 
 /// Where a request stands in its tenant's quota, the best first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum QuotaStatus {
     #[default]
-    Within,
+    WithinQuota,
     /// Beyond it, and to be repaid.
     Borrowed,
-    Beyond,
+    OverQuota,
 }
 
-impl Standing {
+impl QuotaStatus {
     /// How far beyond, from 0 to 1: a loan is halfway, so what it counts for is as far from the one as from the other.
-    pub fn beyond(self) -> f64 {
+    pub fn over_quota_fraction(self) -> f64 {
         match self {
-            Standing::Within => 0.0,
-            Standing::Borrowed => 0.5,
-            Standing::Beyond => 1.0,
+            QuotaStatus::WithinQuota => 0.0,
+            QuotaStatus::Borrowed => 0.5,
+            QuotaStatus::OverQuota => 1.0,
         }
     }
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct AttemptEnded {
     pub id: RequestId,
     pub attempt: AttemptNo,
-    pub store: StoreId,
+    pub server: ServerId,
     pub outcome: Outcome,
     pub elapsed: Duration,
     /// The request needs no further answer.
-    pub last: bool,
-    pub note: Note,
+    pub request_finished: bool,
+    pub metadata: ResponseMetadata,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    List(ListNews),
-    Arrived(Arrival),
-    Ended(Ended),
-    Probed {
-        store: StoreId,
+    Endpoints(EndpointUpdate),
+    RequestArrived(Arrival),
+    AttemptEnded(AttemptEnded),
+    ProbeEnded {
+        server: ServerId,
         ok: bool,
         elapsed: Duration,
-        report: Report,
+        report: LoadReport,
     },
     /// The client left.
-    Left(RequestId),
+    ClientLeft(RequestId),
     Timer(TimerToken),
 }
 
@@ -351,9 +354,9 @@
 pub enum Action {
     Send {
         id: RequestId,
-        store: StoreId,
+        server: ServerId,
         /// The answer is waited for no longer than this.
-        time_out: Duration,
+        timeout: Duration,
         /// The attempt may not begin later than this: whoever has to dial first drops it then, unsent.
         begin_within: Duration,
     },
@@ -362,16 +365,16 @@
         attempt: AttemptNo,
     },
     /// Final answer: nothing ran that a repeat could double.
-    Refuse {
+    Reject {
         id: RequestId,
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Final answer: no promise.
     Fail {
         id: RequestId,
     },
     Probe {
-        store: StoreId,
+        server: ServerId,
     },
     Timer {
         after: Duration,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -8,49 +8,49 @@
 //! use std::time::Duration;
 //!
 //! let settings = Settings {
-//!     routers: 1,
-//!     number: 0,
+//!     router_count: 1,
+//!     router_index: 0,
 //!     zone: ZoneId(0),
 //!     classes: vec![Class {
-//!         need: Need::Any,
-//!         effect: Effect::Safe,
-//!         aim: Duration::from_millis(200),
+//!         consistency: Consistency::Eventual,
+//!         idempotency: Idempotency::Idempotent,
+//!         latency_objective: Duration::from_millis(200),
 //!         deadline: Duration::from_secs(1),
-//!         worth: 1.0,
-//!         late_worth: 0.0,
+//!         priority_weight: 1.0,
+//!         late_weight_fraction: 0.0,
 //!     }],
 //!     tenants: vec![],
-//!     over_share_worth: 1.0,
-//!     checks: Checks::Refuse,
-//!     tokens_carried: false,
-//!     list_on_request: false,
-//!     list_within: Duration::from_secs(10),
+//!     over_quota_weight_fraction: 1.0,
+//!     staleness_check: StalenessCheck::Reject,
+//!     clients_carry_session_position: false,
+//!     endpoints_are_polled: false,
+//!     max_poll_interval: Duration::from_secs(10),
 //!     may_probe: true,
 //!     may_cancel: true,
-//!     second_copies: true,
-//!     retry_after: true,
+//!     may_hedge: true,
+//!     may_send_retry_after: true,
 //!     max_retry_after: Duration::from_millis(500),
-//!     try_limit: 4,
+//!     attempt_limit: 4,
 //!     drain_grace: Duration::from_millis(250),
 //!     soft_removal: false,
-//!     cold_share: 0.25,
-//!     warm_after: Duration::from_secs(10),
+//!     initial_capacity_fraction: 0.25,
+//!     warm_up_duration: Duration::from_secs(10),
 //!     overload_factor: 3.0,
-//!     tip_after: Duration::from_secs(1),
-//!     keepalive: Duration::from_secs(15),
+//!     overload_duration: Duration::from_secs(1),
+//!     idle_timeout: Duration::from_secs(15),
 //! };
 //! let mut actions = Vec::new();
 //! let mut router = Router::new(settings, 7, Time::ZERO);
-//! let replica = Entry {
-//!     store: StoreId(1),
+//! let replica = Endpoint {
+//!     server: ServerId(1),
 //!     group: GroupId(0),
 //!     zone: ZoneId(0),
 //!     kind: KindId(0),
-//!     listed: Listed::Ready,
+//!     state: EndpointState::Ready,
 //!     primary: false,
 //!     started: Time::ZERO,
 //! };
-//! router.handle(Time::ZERO, Event::List(ListNews::Complete(vec![replica])), &mut actions);
+//! router.handle(Time::ZERO, Event::Endpoints(EndpointUpdate::Snapshot(vec![replica])), &mut actions);
 //! let read = Arrival {
 //!     id: RequestId(42),
 //!     class: ClassId(0),
@@ -58,14 +58,14 @@
 //!     group: GroupId(0),
 //!     session: None,
 //!     time_left: Duration::from_secs(1),
-//!     wrote: None,
-//!     repeated: false,
-//!     standing: Standing::Within,
-//!     shed: 0.0,
-//!     tries: None,
+//!     session_position: None,
+//!     is_client_retry: false,
+//!     quota_status: QuotaStatus::WithinQuota,
+//!     shed_fraction: 0.0,
+//!     attempt_limit: None,
 //! };
-//! router.handle(Time::from_micros(1_000), Event::Arrived(read), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { store: StoreId(1), .. })));
+//! router.handle(Time::from_micros(1_000), Event::RequestArrived(read), &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
 //! ```
 #![forbid(unsafe_code)]
 
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,11 +1,11 @@
-//! How a starting store's share of the work is spread over time and over routers.
+//! How a starting server's share of the work is spread over time and over routers.
 //!
-//! What all routers together send to a starting store in a short time is to stay below a bound, and they do not talk.
-//! An independent draw for each request keeps the mean only: what was held until the store was listed comes at once,
+//! What all routers together send to a starting server in a short time is to stay below a bound, and they do not talk.
+//! An independent draw for each request keeps the mean only: what was held until the server was listed comes at once,
 //! heavy requests count no more than light ones, and the draws of many routers add up by chance.
 //!
-//! Here the time since the store's start, which all routers know from the list, is cut into slices. In each slice a
-//! router may send the store its part of the work that usually comes to that router in such a time, or that part of one
+//! Here the time since the server's start, which all routers know from the list, is cut into slices. In each slice a
+//! router may send the server its part of the work that usually comes to that router in such a time, or that part of one
 //! request, if that is more. Parts of requests are rounded by a point between 0 and 1: a request may go while what was
 //! sent in the slice and that much of the request's own work stay within the quota. The points of all routers in one
 //! slice lie evenly (multiples of an irrational number, by the router's number), so that of many routers with a tenth of a
@@ -66,7 +66,7 @@
         self.per_second * slice.as_secs_f64() < work.as_secs_f64()
     }
 
-    /// Seconds of work that a request of so much work may count on in a slice, if the store bore all of them: those
+    /// Seconds of work that a request of so much work may count on in a slice, if the server bore all of them: those
     /// that usually come in such a time, or its own. Less for a heavy one, by this power of how much heavier than the
     /// mean it is: a few of those at once are what goes far beyond the mean.
     pub(crate) fn quota(&self, slice: Duration, work: Duration, care: f64) -> f64 {
@@ -81,7 +81,7 @@
     (-age.div_duration_f64(memory)).exp()
 }
 
-/// Where in a store's slow start a router stands, the same for all routers but for `number`.
+/// Where in a server's slow start a router stands, the same for all routers but for `number`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Turn {
     pub(crate) slice: u64,
@@ -90,7 +90,7 @@
 }
 
 impl Turn {
-    /// `age`: time since the store started; `number`: the router's, from 0; `place`: the store's in its group, as a
+    /// `age`: time since the server started; `number`: the router's, from 0; `place`: the server's in its group, as a
     /// part of all members, so that one router has its turns with the members of a group at different times.
     pub(crate) fn at(age: Duration, slice: Duration, number: u32, place: f64) -> Turn {
         let slice = age.div_duration_f64(slice) as u64;
@@ -102,7 +102,7 @@
     }
 }
 
-/// What one router has sent one starting store in the present slice, in seconds of work.
+/// What one router has sent one starting server in the present slice, in seconds of work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Sent {
     slice: u64,
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -15,63 +15,67 @@
 /// Positions and starts need room before the first event.
 pub const BEGIN: Time = Time(Duration::from_secs(1_000));
 
-fn class(need: Need, effect: Effect, late_worth: f64) -> Class {
+fn class(need: Consistency, effect: Idempotency, late_weight_fraction: f64) -> Class {
     Class {
-        need,
-        effect,
-        aim: 300 * MS,
+        consistency: need,
+        idempotency: effect,
+        latency_objective: 300 * MS,
         deadline: 1_000 * MS,
-        worth: 1.0,
-        late_worth,
+        priority_weight: 1.0,
+        late_weight_fraction,
     }
 }
 
 pub fn settings() -> Settings {
-    let keyed = Effect::Keyed {
-        scope: Scope::Group,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::Group,
         window: 600 * MS,
     };
     Settings {
-        routers: 2,
-        number: 0,
+        router_count: 2,
+        router_index: 0,
         zone: ZoneId(0),
         classes: vec![
-            class(Need::Write, keyed, 0.5),
-            class(Need::Bounded(500 * MS), Effect::Safe, 0.0),
-            class(Need::Session, Effect::Safe, 0.0),
-            class(Need::Any, Effect::Safe, 0.0),
-            class(Need::Write, Effect::Unsafe, 0.5),
-            class(Need::Fresh, Effect::Safe, 0.0),
+            class(Consistency::Write, keyed, 0.5),
+            class(
+                Consistency::BoundedStaleness(500 * MS),
+                Idempotency::Idempotent,
+                0.0,
+            ),
+            class(Consistency::ReadYourWrites, Idempotency::Idempotent, 0.0),
+            class(Consistency::Eventual, Idempotency::Idempotent, 0.0),
+            class(Consistency::Write, Idempotency::NonIdempotent, 0.5),
+            class(Consistency::Strong, Idempotency::Idempotent, 0.0),
         ],
         tenants: vec![],
-        over_share_worth: 1.0,
-        checks: Checks::None,
-        tokens_carried: false,
-        list_on_request: false,
-        list_within: Duration::from_secs(10),
+        over_quota_weight_fraction: 1.0,
+        staleness_check: StalenessCheck::None,
+        clients_carry_session_position: false,
+        endpoints_are_polled: false,
+        max_poll_interval: Duration::from_secs(10),
         may_probe: true,
         may_cancel: true,
-        second_copies: true,
-        retry_after: true,
+        may_hedge: true,
+        may_send_retry_after: true,
         max_retry_after: 500 * MS,
-        try_limit: 6,
+        attempt_limit: 6,
         drain_grace: 250 * MS,
         soft_removal: false,
-        cold_share: 0.25,
-        warm_after: 10_000 * MS,
+        initial_capacity_fraction: 0.25,
+        warm_up_duration: 10_000 * MS,
         overload_factor: 3.0,
-        tip_after: 1_000 * MS,
-        keepalive: 15_000 * MS,
+        overload_duration: 1_000 * MS,
+        idle_timeout: 15_000 * MS,
     }
 }
 
-pub fn entry(store: u32, listed: Listed) -> Entry {
-    Entry {
-        store: StoreId(store),
+pub fn entry(server: u32, listed: EndpointState) -> Endpoint {
+    Endpoint {
+        server: ServerId(server),
         group: GroupId(0),
         zone: ZoneId(0),
         kind: KindId(0),
-        listed,
+        state: listed,
         primary: false,
         started: Time::ZERO,
     }
@@ -84,16 +88,16 @@
 }
 
 impl Bench {
-    /// A router that knows `members` stores of one group, store 1 being told to be primary.
+    /// A router that knows `members` servers of one group, server 1 being told to be primary.
     pub fn new(settings: Settings, members: u32) -> Bench {
         let mut bench = Bench::unheard(settings, members);
-        for store in 1..=members {
-            bench.report(store, store == 1, Duration::ZERO);
+        for server in 1..=members {
+            bench.report(server, server == 1, Duration::ZERO);
         }
         bench
     }
 
-    /// The same without a word from any store.
+    /// The same without a word from any server.
     pub fn unheard(settings: Settings, members: u32) -> Bench {
         Bench::seeded(settings, members, 1)
     }
@@ -101,7 +105,7 @@
     pub fn seeded(settings: Settings, members: u32, seed: u64) -> Bench {
         let router = Router::new(
             Settings {
-                number: seed as u32,
+                router_index: seed as u32,
                 ..settings
             },
             seed,
@@ -112,7 +116,11 @@
             now: BEGIN,
             next: 1,
         };
-        bench.list((1..=members).map(|s| entry(s, Listed::Ready)).collect());
+        bench.list(
+            (1..=members)
+                .map(|s| entry(s, EndpointState::Ready))
+                .collect(),
+        );
         bench
     }
 
@@ -126,19 +134,19 @@
         actions
     }
 
-    pub fn list(&mut self, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List(ListNews::Changes(entries)))
+    pub fn list(&mut self, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::Endpoints(EndpointUpdate::Changes(entries)))
     }
 
-    /// A store reports a position that is `behind` old.
-    pub fn report(&mut self, store: u32, primary: bool, behind: Duration) -> Vec<Action> {
-        let report = Report {
+    /// A server reports a position that is `behind` old.
+    pub fn report(&mut self, server: u32, primary: bool, behind: Duration) -> Vec<Action> {
+        let report = LoadReport {
             position: Some(self.now.minus(behind)),
             primary: Some(primary),
-            ..Report::default()
+            ..LoadReport::default()
         };
-        self.event(Event::Probed {
-            store: StoreId(store),
+        self.event(Event::ProbeEnded {
+            server: ServerId(server),
             ok: true,
             elapsed: Duration::ZERO,
             report,
@@ -154,45 +162,45 @@
             group: GroupId(0),
             session: Some(SessionKey(7)),
             time_left: 1_000 * MS,
-            wrote: None,
-            repeated: false,
-            standing: Standing::Within,
-            tries: None,
-            shed: 0.0,
+            session_position: None,
+            is_client_retry: false,
+            quota_status: QuotaStatus::WithinQuota,
+            attempt_limit: None,
+            shed_fraction: 0.0,
         }
     }
 
     pub fn ask(&mut self, class: u16) -> (RequestId, Vec<Action>) {
         let arrival = self.arrival(class);
-        (arrival.id, self.event(Event::Arrived(arrival)))
+        (arrival.id, self.event(Event::RequestArrived(arrival)))
     }
 
     pub fn end(
         &mut self,
         id: RequestId,
         attempt: u16,
-        store: u32,
+        server: u32,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_with(id, attempt, store, outcome, Note::default())
+        self.end_with(id, attempt, server, outcome, ResponseMetadata::default())
     }
 
     pub fn end_with(
         &mut self,
         id: RequestId,
         attempt: u16,
-        store: u32,
+        server: u32,
         outcome: Outcome,
-        note: Note,
+        metadata: ResponseMetadata,
     ) -> Vec<Action> {
-        self.event(Event::Ended(Ended {
+        self.event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt: AttemptNo(attempt),
-            store: StoreId(store),
+            server: ServerId(server),
             outcome,
             elapsed: 10 * MS,
-            last: outcome == Outcome::Ok,
-            note,
+            request_finished: outcome == Outcome::Ok,
+            metadata,
         }))
     }
 
@@ -209,8 +217,8 @@
 
 pub fn sends(actions: &[Action]) -> Vec<u32> {
     let to = |a: &Action| {
-        if let Action::Send { store, .. } = a {
-            Some(store.0)
+        if let Action::Send { server, .. } = a {
+            Some(server.0)
         } else {
             None
         }
@@ -233,7 +241,7 @@
 pub fn refused(actions: &[Action], wanted: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted))
+        .any(|a| matches!(a, Action::Reject { id, .. } if *id == wanted))
 }
 
 pub fn failed(actions: &[Action], wanted: RequestId) -> bool {
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -13,16 +13,16 @@
         ..Tuning::default()
     };
     let many = Settings {
-        routers: 100,
+        router_count: 100,
         ..settings()
     };
     let mut sent = 0;
     for seed in 0..8 {
         let mut bench = Bench::new(many.clone(), 0);
         bench.router = Router::tuned(many.clone(), tuning, seed, BEGIN);
-        let of = |group: u32, store: u32| Entry {
+        let of = |group: u32, server: u32| Endpoint {
             group: GroupId(group),
-            ..entry(2 * group + store, Listed::Ready)
+            ..entry(2 * group + server, EndpointState::Ready)
         };
         let started = bench.now;
         bench.list(
@@ -30,7 +30,7 @@
                 .flat_map(|g| {
                     [
                         of(g, 1),
-                        Entry {
+                        Endpoint {
                             started,
                             ..of(g, 2)
                         },
@@ -51,25 +51,25 @@
                     ..bench.arrival(ANY)
                 };
                 let id = arrival.id;
-                let actions = bench.event(Event::Arrived(arrival));
-                let Some(&store) = sends(&actions).first() else {
+                let actions = bench.event(Event::RequestArrived(arrival));
+                let Some(&server) = sends(&actions).first() else {
                     continue;
                 };
-                sent += usize::from(store % 2 == 0 && second == 4);
+                sent += usize::from(server % 2 == 0 && second == 4);
                 let outcome = if second == 4 {
                     Outcome::Cancelled
                 } else {
                     Outcome::Ok
                 };
-                bench.event(Event::Ended(Ended {
+                bench.event(Event::AttemptEnded(AttemptEnded {
                     id,
                     attempt: AttemptNo(0),
-                    store: StoreId(store),
+                    server: ServerId(server),
                     outcome,
                     elapsed: 60 * MS,
-                    last: true,
-                    note: Note {
-                        primary: Some(store % 2 == 1),
+                    request_finished: true,
+                    metadata: ResponseMetadata {
+                        primary: Some(server % 2 == 1),
                         position: None,
                     },
                 }));
@@ -94,9 +94,9 @@
 fn a_jam_in_one_group_turns_nobody_away_from_another() {
     // Seen on join+vast: one part for all groups refused half of the requests of groups that answered all others.
     let mut bench = Bench::new(settings(), 3);
-    let other = |store: u32| Entry {
+    let other = |server: u32| Endpoint {
         group: GroupId(1),
-        ..entry(store, Listed::Ready)
+        ..entry(server, EndpointState::Ready)
     };
     bench.list((11..=13).map(other).collect());
     let mut turned = [0; 2];
@@ -107,18 +107,18 @@
                 ..bench.arrival(ANY)
             };
             let id = arrival.id;
-            let actions = bench.event(Event::Arrived(arrival));
+            let actions = bench.event(Event::RequestArrived(arrival));
             turned[group as usize] += usize::from(refused(&actions, id) && round >= 100);
             bench.wait(20 * MS);
             let outcome = if group == 0 {
-                Outcome::Full
+                Outcome::Rejected
             } else {
                 Outcome::Ok
             };
             sends(&actions)
                 .iter()
-                .for_each(|&store| _ = bench.end(id, 0, store, outcome));
-            bench.event(Event::Left(id));
+                .for_each(|&server| _ = bench.end(id, 0, server, outcome));
+            bench.event(Event::ClientLeft(id));
         }
     }
     assert!(
@@ -136,36 +136,36 @@
         for (at, repeated) in [false, true].into_iter().enumerate() {
             let mut bench = Bench::seeded(
                 Settings {
-                    routers: 200,
+                    router_count: 200,
                     ..settings()
                 },
                 3,
                 seed,
             );
-            bench.list(vec![Entry {
+            bench.list(vec![Endpoint {
                 started: bench.now,
-                ..entry(3, Listed::Ready)
+                ..entry(3, EndpointState::Ready)
             }]);
             bench.report(3, false, Duration::ZERO);
             let arrival = Arrival {
-                repeated,
+                is_client_retry: repeated,
                 ..bench.arrival(ANY)
             };
-            let actions = bench.event(Event::Arrived(arrival));
+            let actions = bench.event(Event::RequestArrived(arrival));
             sent[at] += sends(&actions).iter().filter(|&&s| s == 3).count();
         }
     }
     assert!(sent[0] > 0 && sent[1] == 0, "{sent:?}");
 }
 
-/// Of a hundred requests in a hundred fleets, how many go to the only store so long after it has kept one for three times
+/// Of a hundred requests in a hundred fleets, how many go to the only server so long after it has kept one for three times
 /// its aim, or until the client's time was over.
 fn sent_after_a_late_answer(routers: u32, outcome: Outcome, pause: Duration) -> usize {
     let mut sent = 0;
     for seed in 0..100 {
         let mut bench = Bench::seeded(
             Settings {
-                routers,
+                router_count: routers,
                 ..settings()
             },
             1,
@@ -175,7 +175,7 @@
         let (id, _) = bench.ask(WRITE);
         // It answers another meanwhile, so that it is slow and not silent.
         let (other, _) = bench.ask(WRITE);
-        bench.event(Event::Left(other));
+        bench.event(Event::ClientLeft(other));
         bench.wait(200 * MS);
         bench.end(other, 0, 1, Outcome::Failed);
         let elapsed = if outcome == Outcome::Ok {
@@ -184,15 +184,15 @@
             350 * MS
         };
         bench.wait(elapsed - 200 * MS);
-        let (store, attempt, note) = (StoreId(1), AttemptNo(0), Note::default());
-        bench.event(Event::Ended(Ended {
+        let (server, attempt, metadata) = (ServerId(1), AttemptNo(0), ResponseMetadata::default());
+        bench.event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
-            store,
+            server,
             outcome,
             elapsed,
-            last: true,
-            note,
+            request_finished: true,
+            metadata,
         }));
         bench.wait(pause);
         sent += sends(&bench.ask(WRITE).1).len();
@@ -202,7 +202,7 @@
 
 #[test]
 fn many_routers_together_do_not_try_a_crowded_store_again_as_soon_as_few_do() {
-    // Seen on join+vast: each of a hundred routers came back to a full store every two or three seconds, as if nothing
+    // Seen on join+vast: each of a hundred routers came back to a full server every two or three seconds, as if nothing
     // had been, and all that came was answered late or never until the day's end.
     let few = sent_after_a_late_answer(4, Outcome::Ok, 10_000 * MS);
     let many = sent_after_a_late_answer(100, Outcome::Ok, 10_000 * MS);
@@ -232,8 +232,8 @@
     let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
     for seed in 0..u64::from(routers) {
         let set = Settings {
-            list_on_request: true,
-            routers,
+            endpoints_are_polled: true,
+            router_count: routers,
             ..settings()
         };
         let mut bench = Bench::seeded(set, 0, seed * 7_919);
@@ -254,9 +254,13 @@
     // Seen on herd+vast: of seventy proxies that started again in the same instant five got the list, and none of all
     // their further calls was answered in twelve seconds: each call takes the service 50 to 60 ms, in turn, and a call
     // that has waited for two seconds has failed but is worked through all the same.
-    let start: fn(&mut Bench) -> _ =
-        |bench| bench.event(Event::List(ListNews::Cached(vec![entry(1, Listed::Ready)])));
-    let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::List(ListNews::Failed));
+    let start: fn(&mut Bench) -> _ = |bench| {
+        bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![entry(
+            1,
+            EndpointState::Ready,
+        )])))
+    };
+    let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::Endpoints(EndpointUpdate::Failed));
     // After a failure less time is left, and all of it is used.
     let spans = [
         (start, discovery_schedule::first_call(10_000 * MS)),
@@ -287,15 +291,15 @@
 #[test]
 fn a_list_from_before_the_start_is_gone_by_for_a_short_time_only() {
     let set = Settings {
-        list_on_request: true,
-        routers: 300,
+        endpoints_are_polled: true,
+        router_count: 300,
         ..settings()
     };
     let bench = || {
         let mut bench = Bench::new(set.clone(), 0);
-        bench.event(Event::List(ListNews::Cached(vec![
-            entry(1, Listed::Ready),
-            entry(2, Listed::Ready),
+        bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![
+            entry(1, EndpointState::Ready),
+            entry(2, EndpointState::Ready),
         ])));
         bench
     };
@@ -312,11 +316,14 @@
         sends(&actions).is_empty() && !refused(&actions, id),
         "held: {actions:?}"
     );
-    let actions = old.event(Event::List(ListNews::Changes(vec![entry(1, Listed::Gone)])));
+    let actions = old.event(Event::Endpoints(EndpointUpdate::Changes(vec![entry(
+        1,
+        EndpointState::Removed,
+    )])));
     assert_eq!(sends(&actions), [2], "served as soon as the list is known");
     let mut same = bench();
     same.wait(discovery_schedule::CACHED);
-    same.event(Event::List(ListNews::Changes(Vec::new())));
+    same.event(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
     assert_eq!(sends(&same.ask(ANY).1).len(), 1, "nothing has changed");
     let mut silent = bench();
     silent.wait(discovery_schedule::TOLD);
@@ -327,7 +334,7 @@
     );
     let mut failed = bench();
     failed.wait(discovery_schedule::CACHED);
-    failed.event(Event::List(ListNews::Failed));
+    failed.event(Event::Endpoints(EndpointUpdate::Failed));
     assert_eq!(
         sends(&failed.ask(ANY).1).len(),
         1,
@@ -343,14 +350,14 @@
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
             let set = Settings {
-                list_on_request: true,
-                routers,
+                endpoints_are_polled: true,
+                router_count: routers,
                 ..settings()
             };
             let mut bench = Bench::seeded(set, 0, seed * 7_919);
             for failure in 1..12 {
                 let begin = bench.now;
-                let mut actions = bench.event(Event::List(ListNews::Failed));
+                let mut actions = bench.event(Event::Endpoints(EndpointUpdate::Failed));
                 while !asks(&actions) {
                     actions = bench.pass(10);
                 }
@@ -372,13 +379,13 @@
     let back = 20_000 * MS;
     for seed in 0..300 {
         let set = Settings {
-            list_on_request: true,
-            routers: 300,
+            endpoints_are_polled: true,
+            router_count: 300,
             ..settings()
         };
         let mut bench = Bench::seeded(set, 0, seed * 7_919);
         let begin = bench.now;
-        let mut actions = bench.event(Event::List(ListNews::Failed));
+        let mut actions = bench.event(Event::Endpoints(EndpointUpdate::Failed));
         loop {
             while !asks(&actions) {
                 actions = bench.pass(10);
@@ -389,7 +396,7 @@
                 break;
             }
             calls += 1;
-            actions = bench.event(Event::List(ListNews::Failed));
+            actions = bench.event(Event::Endpoints(EndpointUpdate::Failed));
         }
     }
     // Even would be 40 in each half second.
@@ -408,16 +415,16 @@
         .filter(|&seed| {
             let mut bench = Bench::seeded(
                 Settings {
-                    routers: 1_000,
+                    router_count: 1_000,
                     ..settings()
                 },
                 6,
                 seed,
             );
-            bench.list((2..=5).map(|s| entry(s, Listed::Gone)).collect());
-            bench.list(vec![Entry {
+            bench.list((2..=5).map(|s| entry(s, EndpointState::Removed)).collect());
+            bench.list(vec![Endpoint {
                 started: bench.now,
-                ..entry(6, Listed::Ready)
+                ..entry(6, EndpointState::Ready)
             }]);
             bench.report(1, true, Duration::ZERO);
             bench.report(6, false, Duration::ZERO);
@@ -437,7 +444,7 @@
     for seed in 0..100 {
         let mut bench = Bench::seeded(
             Settings {
-                routers: 100,
+                router_count: 100,
                 ..settings()
             },
             1,
@@ -446,7 +453,7 @@
         bench.report(1, true, Duration::ZERO);
         let (id, _) = bench.ask(WRITE);
         bench.end(id, 0, 1, Outcome::ConnectFailed);
-        bench.event(Event::Left(id));
+        bench.event(Event::ClientLeft(id));
         for slot in &mut by_slot {
             bench.wait(10 * MS);
             let (id, actions) = bench.ask(WRITE);
@@ -455,7 +462,7 @@
                 break;
             }
             assert!(!failed(&actions, id), "what never ran is held or refused");
-            bench.event(Event::Left(id));
+            bench.event(Event::ClientLeft(id));
         }
     }
     assert_eq!(
@@ -472,7 +479,7 @@
     for seed in 0..1_000 {
         let mut bench = Bench::seeded(
             Settings {
-                routers: 1_000,
+                router_count: 1_000,
                 ..settings()
             },
             6,
@@ -481,9 +488,9 @@
         let started = bench.now;
         bench.list(
             (4..=6)
-                .map(|s| Entry {
+                .map(|s| Endpoint {
                     started,
-                    ..entry(s, Listed::Ready)
+                    ..entry(s, EndpointState::Ready)
                 })
                 .collect(),
         );
@@ -506,7 +513,7 @@
         for seed in 0..100 {
             let mut bench = Bench::seeded(
                 Settings {
-                    routers: 100,
+                    router_count: 100,
                     ..settings()
                 },
                 4,
@@ -516,24 +523,24 @@
                 bench.wait(1_500 * MS);
                 (1..=4).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
                 let (id, actions) = bench.ask(ANY);
-                let Some(&store) = sends(&actions).first() else {
+                let Some(&server) = sends(&actions).first() else {
                     continue;
                 };
-                sent[store as usize] += usize::from(round >= 10);
-                let (outcome, elapsed) = if store == 2 {
+                sent[server as usize] += usize::from(round >= 10);
+                let (outcome, elapsed) = if server == 2 {
                     (outcome, 900 * MS)
                 } else {
                     (Outcome::Ok, 60 * MS)
                 };
-                bench.event(Event::Ended(Ended {
+                bench.event(Event::AttemptEnded(AttemptEnded {
                     id,
                     attempt: AttemptNo(0),
-                    store: StoreId(store),
+                    server: ServerId(server),
                     outcome,
                     elapsed,
-                    last: true,
-                    note: Note {
-                        primary: Some(store == 1),
+                    request_finished: true,
+                    metadata: ResponseMetadata {
+                        primary: Some(server == 1),
                         position: None,
                     },
                 }));
@@ -548,14 +555,14 @@
     // Seen on calm+mass: half a minute after a burst routers still refused for groups that answered all in time.
     let mut bench = Bench::new(
         Settings {
-            routers: 300,
+            router_count: 300,
             ..settings()
         },
         3,
     );
-    let entries = (1..20).map(|g| Entry {
+    let entries = (1..20).map(|g| Endpoint {
         group: GroupId(g),
-        ..entry(10 + g, Listed::Ready)
+        ..entry(10 + g, EndpointState::Ready)
     });
     bench.list(entries.collect());
     let mut refusals = Vec::new();
@@ -566,22 +573,23 @@
                 ..bench.arrival(ANY)
             };
             let id = arrival.id;
-            let actions = bench.event(Event::Arrived(arrival));
+            let actions = bench.event(Event::RequestArrived(arrival));
             let elapsed = if late { 900 * MS } else { 20 * MS };
             bench.wait(elapsed);
-            for store in sends(&actions).into_iter().map(StoreId) {
-                let (attempt, outcome, note) = (AttemptNo(0), Outcome::Ok, Note::default());
-                bench.event(Event::Ended(Ended {
+            for server in sends(&actions).into_iter().map(ServerId) {
+                let (attempt, outcome, metadata) =
+                    (AttemptNo(0), Outcome::Ok, ResponseMetadata::default());
+                bench.event(Event::AttemptEnded(AttemptEnded {
                     id,
                     attempt,
-                    store,
+                    server,
                     outcome,
                     elapsed,
-                    last: true,
-                    note,
+                    request_finished: true,
+                    metadata,
                 }));
             }
-            bench.event(Event::Left(id));
+            bench.event(Event::ClientLeft(id));
             bench.wait(100 * MS);
         }
         // Of a group that was not heard of at all.
@@ -591,8 +599,8 @@
                 ..bench.arrival(ANY)
             };
             let id = arrival.id;
-            let actions = bench.event(Event::Arrived(arrival));
-            bench.event(Event::Left(id));
+            let actions = bench.event(Event::RequestArrived(arrival));
+            bench.event(Event::ClientLeft(id));
             usize::from(refused(&actions, id))
         };
         refusals.push((0..100).map(|_| ask(&mut bench)).sum::<usize>());
@@ -609,7 +617,7 @@
     for seed in 0..100 {
         let mut bench = Bench::seeded(
             Settings {
-                routers: 300,
+                router_count: 300,
                 ..settings()
             },
             1,
@@ -630,15 +638,16 @@
             } else {
                 (Outcome::Ok, 60 * MS)
             };
-            let (attempt, store, note) = (AttemptNo(0), StoreId(1), Note::default());
-            bench.event(Event::Ended(Ended {
+            let (attempt, server, metadata) =
+                (AttemptNo(0), ServerId(1), ResponseMetadata::default());
+            bench.event(Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
-                store,
+                server,
                 outcome,
                 elapsed,
-                last: true,
-                note,
+                request_finished: true,
+                metadata,
             }));
         }
     }
@@ -650,13 +659,13 @@
     assert_eq!(held, 0, "what a draw refuses is told at once");
 }
 
-/// Of two hundred requests in as many fleets, how many are sent after six answers, so many of the last of a full store.
-fn sent_of_those(full: usize, standing: Standing, over_share_worth: f64, shed: f64) -> usize {
+/// Of two hundred requests in as many fleets, how many are sent after six answers, so many of the last of a full server.
+fn sent_of_those(full: usize, standing: QuotaStatus, over_share_worth: f64, shed: f64) -> usize {
     let mut sent = 0;
     for seed in 0..200 {
         let mut bench = Bench::seeded(
             Settings {
-                over_share_worth,
+                over_quota_weight_fraction: over_share_worth,
                 ..settings()
             },
             3,
@@ -667,39 +676,39 @@
             bench.pass(100);
             let (id, actions) = bench.ask(ANY);
             let outcome = if answer + full >= 6 {
-                Outcome::Full
+                Outcome::Rejected
             } else {
                 Outcome::Ok
             };
             if let Some(&to) = sends(&actions).first() {
                 bench.end(id, 0, to, outcome);
             }
-            bench.event(Event::Left(id));
+            bench.event(Event::ClientLeft(id));
         }
         let arrival = Arrival {
-            standing,
-            shed,
+            quota_status: standing,
+            shed_fraction: shed,
             ..bench.arrival(ANY)
         };
-        sent += sends(&bench.event(Event::Arrived(arrival))).len();
+        sent += sends(&bench.event(Event::RequestArrived(arrival))).len();
     }
     sent
 }
 
 #[test]
 fn what_is_beyond_a_quota_is_refused_first_and_served_when_there_is_room() {
-    assert_eq!(sent_of_those(0, Standing::Beyond, 0.05, 0.0), 200);
+    assert_eq!(sent_of_those(0, QuotaStatus::OverQuota, 0.05, 0.0), 200);
     // One alone may be chance.
-    let one = sent_of_those(1, Standing::Beyond, 0.05, 0.0);
+    let one = sent_of_those(1, QuotaStatus::OverQuota, 0.05, 0.0);
     assert!((70..140).contains(&one), "{one}");
-    assert!(sent_of_those(3, Standing::Beyond, 0.05, 0.0) < 50);
-    assert!(sent_of_those(1, Standing::Within, 0.05, 0.0) > 120);
+    assert!(sent_of_those(3, QuotaStatus::OverQuota, 0.05, 0.0) < 50);
+    assert!(sent_of_those(1, QuotaStatus::WithinQuota, 0.05, 0.0) > 120);
     // Where it is worth as much as any, it is served as any.
-    assert!(sent_of_those(1, Standing::Beyond, 1.0, 0.0) > 120);
+    assert!(sent_of_those(1, QuotaStatus::OverQuota, 1.0, 0.0) > 120);
     // What is to be shed is, and no more: of the two doors the narrower counts, not their product.
-    assert!((80..120).contains(&sent_of_those(0, Standing::Within, 0.05, 0.5)));
-    assert_eq!(sent_of_those(0, Standing::Within, 0.05, 1.0), 0);
-    let beyond = |shed| sent_of_those(3, Standing::Beyond, 0.05, shed);
+    assert!((80..120).contains(&sent_of_those(0, QuotaStatus::WithinQuota, 0.05, 0.5)));
+    assert_eq!(sent_of_those(0, QuotaStatus::WithinQuota, 0.05, 1.0), 0);
+    let beyond = |shed| sent_of_those(3, QuotaStatus::OverQuota, 0.05, shed);
     assert!(
         beyond(0.0) > 0 && beyond(0.5) == beyond(0.0),
         "{} {}",
@@ -707,8 +716,8 @@
         beyond(0.5)
     );
     // What is borrowed takes nobody's place.
-    assert_eq!(sent_of_those(0, Standing::Borrowed, 0.05, 0.0), 200);
-    assert_eq!(sent_of_those(3, Standing::Borrowed, 0.05, 0.0), 0);
+    assert_eq!(sent_of_those(0, QuotaStatus::Borrowed, 0.05, 0.0), 200);
+    assert_eq!(sent_of_those(3, QuotaStatus::Borrowed, 0.05, 0.0), 0);
 }
 
 #[test]
@@ -718,26 +727,28 @@
     let after_a_read = |class, took| {
         let sent = (0..200).filter(|&seed| {
             let mut settings = Settings {
-                routers: 300,
+                router_count: 300,
                 ..settings()
             };
-            settings.classes[usize::from(WRITE)].aim = 5 * settings.classes[usize::from(ANY)].aim;
+            settings.classes[usize::from(WRITE)].latency_objective =
+                5 * settings.classes[usize::from(ANY)].latency_objective;
             settings.classes[usize::from(WRITE)].deadline =
-                2 * settings.classes[usize::from(WRITE)].aim;
+                2 * settings.classes[usize::from(WRITE)].latency_objective;
             let mut bench = Bench::seeded(settings, 1, seed);
             bench.report(1, true, Duration::ZERO);
             let (id, _) = bench.ask(ANY);
             bench.wait(took);
-            let (attempt, store, note) = (AttemptNo(0), StoreId(1), Note::default());
+            let (attempt, server, metadata) =
+                (AttemptNo(0), ServerId(1), ResponseMetadata::default());
             let (outcome, elapsed) = (Outcome::Ok, took);
-            bench.event(Event::Ended(Ended {
+            bench.event(Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
-                store,
+                server,
                 outcome,
                 elapsed,
-                last: true,
-                note,
+                request_finished: true,
+                metadata,
             }));
             // What was in time opens the doors again, so that the room alone decides.
             bench.wait(1_000 * MS);
@@ -745,7 +756,7 @@
                 time_left: 2_000 * MS,
                 ..bench.arrival(class)
             };
-            !sends(&bench.event(Event::Arrived(arrival))).is_empty()
+            !sends(&bench.event(Event::RequestArrived(arrival))).is_empty()
         });
         sent.count()
     };
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -47,8 +47,8 @@
             match *action {
                 Action::Send {
                     id,
-                    store,
-                    time_out,
+                    server,
+                    timeout,
                     begin_within,
                 } => {
                     self.sends += 1;
@@ -59,7 +59,7 @@
                     let class = &self.set.classes[usize::from(r.class)];
                     assert!(!r.answered, "a send after the final answer");
                     assert!(
-                        now.plus(time_out) <= r.deadline,
+                        now.plus(timeout) <= r.deadline,
                         "a time-out beyond the deadline"
                     );
                     assert!(
@@ -67,23 +67,23 @@
                         "a begin beyond the deadline"
                     );
                     assert!(
-                        !self.told_leaving.contains_key(&store.0),
-                        "a send to a leaving store"
+                        !self.told_leaving.contains_key(&server.0),
+                        "a send to a leaving server"
                     );
-                    assert!(r.sent.len() < usize::from(self.set.try_limit));
+                    assert!(r.sent.len() < usize::from(self.set.attempt_limit));
                     assert!(
-                        self.set.second_copies || r.out.is_empty(),
+                        self.set.may_hedge || r.out.is_empty(),
                         "two attempts at once"
                     );
-                    match class.effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => {
+                    match class.idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => {
                             assert!(
                                 r.earliest_maybe.is_none() && r.out.is_empty(),
                                 "unsafe twice"
                             );
                         }
-                        Effect::Keyed { window, .. } => {
+                        Idempotency::Keyed { window, .. } => {
                             let since = r
                                 .out
                                 .iter()
@@ -97,22 +97,22 @@
                             );
                         }
                     }
-                    let need = match class.need {
-                        Need::Bounded(bound) => now.minus(bound),
-                        Need::Session => r.token,
-                        Need::Fresh => r.came,
-                        Need::Write | Need::Any => Time::ZERO,
+                    let need = match class.consistency {
+                        Consistency::BoundedStaleness(bound) => now.minus(bound),
+                        Consistency::ReadYourWrites => r.token,
+                        Consistency::Strong => r.came,
+                        Consistency::Write | Consistency::Eventual => Time::ZERO,
                     };
-                    let told = self.position.get(&store.0).copied().unwrap_or_default();
-                    let excused = self.ever_primary.get(&store.0) == Some(&true);
+                    let told = self.position.get(&server.0).copied().unwrap_or_default();
+                    let excused = self.ever_primary.get(&server.0) == Some(&true);
                     assert!(
-                        told >= need || excused || self.set.checks != Checks::None,
+                        told >= need || excused || self.set.staleness_check != StalenessCheck::None,
                         "a stale read"
                     );
                     r.out.push(r.sent.len() as u16);
-                    r.sent.push((now, store.0));
+                    r.sent.push((now, server.0));
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.answers += 1;
                     let r = self
                         .requests
@@ -126,13 +126,14 @@
                         now <= r.deadline.plus(5 * MS),
                         "an answer after the deadline"
                     );
-                    let refused = matches!(action, Action::Refuse { .. });
-                    let safe = self.set.classes[usize::from(r.class)].effect == Effect::Safe;
+                    let refused = matches!(action, Action::Reject { .. });
+                    let safe = self.set.classes[usize::from(r.class)].idempotency
+                        == Idempotency::Idempotent;
                     let clean = r.out.is_empty() && r.earliest_maybe.is_none();
                     assert!(!refused || safe || clean, "a refusal of what may have run");
                 }
                 Action::Cancel { .. } => assert!(self.set.may_cancel),
-                Action::Probe { store } => assert!(store.0 <= 6 && self.set.may_probe),
+                Action::Probe { server } => assert!(server.0 <= 6 && self.set.may_probe),
                 Action::Timer { .. } | Action::Subscribe => {}
             }
         }
@@ -171,7 +172,7 @@
                     answered: false,
                 };
                 world.requests.insert(arrival.id, tracked);
-                bench.event(Event::Arrived(arrival))
+                bench.event(Event::RequestArrived(arrival))
             }
             4..=6 => {
                 let open = world.requests.iter().filter(|(_, r)| !r.out.is_empty());
@@ -182,22 +183,22 @@
                 let id = &open[dice.roll(open.len() as u64) as usize];
                 let tracked = &world.requests[id];
                 let attempt = tracked.out[dice.roll(tracked.out.len() as u64) as usize];
-                let (sent, store) = tracked.sent[usize::from(attempt)];
+                let (sent, server) = tracked.sent[usize::from(attempt)];
                 let outcomes = [
                     Outcome::Ok,
                     Outcome::Ok,
                     Outcome::Ok,
                     Outcome::Failed,
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::TimedOut,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
-                    Outcome::Miss,
+                    Outcome::Misdirected,
                 ];
                 let outcome = outcomes[dice.roll(outcomes.len() as u64) as usize];
                 let never_ran = matches!(
                     outcome,
-                    Outcome::Full | Outcome::ConnectFailed | Outcome::Miss
+                    Outcome::Rejected | Outcome::ConnectFailed | Outcome::Misdirected
                 );
                 let r = world.requests.get_mut(id).expect("it is open");
                 r.out.retain(|&n| n != attempt);
@@ -206,56 +207,60 @@
                 }
                 let last = r.answered || outcome == Outcome::Ok;
                 r.answered = last;
-                let mut note = Note::default();
+                let mut metadata = ResponseMetadata::default();
                 if matches!(
                     outcome,
-                    Outcome::Ok | Outcome::Full | Outcome::Miss | Outcome::Failed
+                    Outcome::Ok | Outcome::Rejected | Outcome::Misdirected | Outcome::Failed
                 ) {
-                    let primary = outcome != Outcome::Miss && dice.roll(3) == 0;
-                    note.primary = Some(primary);
-                    world.ever_primary.insert(store, primary);
+                    let primary = outcome != Outcome::Misdirected && dice.roll(3) == 0;
+                    metadata.primary = Some(primary);
+                    world.ever_primary.insert(server, primary);
                     if outcome == Outcome::Ok
-                        && world.set.classes[usize::from(r.class)].need == Need::Write
+                        && world.set.classes[usize::from(r.class)].consistency == Consistency::Write
                     {
-                        note.position = Some(now.minus(MS));
+                        metadata.position = Some(now.minus(MS));
                         commits = commits.max(now.minus(MS));
                     }
                 }
-                let (store, attempt, elapsed) =
-                    (StoreId(store), AttemptNo(attempt), now.since(sent));
-                bench.event(Event::Ended(Ended {
+                let (server, attempt, elapsed) =
+                    (ServerId(server), AttemptNo(attempt), now.since(sent));
+                bench.event(Event::AttemptEnded(AttemptEnded {
                     id: *id,
                     attempt,
-                    store,
+                    server,
                     outcome,
                     elapsed,
-                    last,
-                    note,
+                    request_finished: last,
+                    metadata,
                 }))
             }
             7 | 8 => {
-                let store = 1 + dice.roll(6) as u32;
+                let server = 1 + dice.roll(6) as u32;
                 let primary = dice.roll(4) == 0;
                 let position = now.minus(dice.roll(900) as u32 * MS);
-                let told = world.position.entry(store).or_default();
+                let told = world.position.entry(server).or_default();
                 *told = (*told).max(position);
                 if primary {
-                    world.ever_primary.insert(store, true);
+                    world.ever_primary.insert(server, true);
                 }
-                bench.report(store, primary, now.since(position))
+                bench.report(server, primary, now.since(position))
             }
             _ => {
-                let store = 1 + dice.roll(6) as u32;
-                let listed = [Listed::Ready, Listed::Ready, Listed::Draining, Listed::Gone]
-                    [dice.roll(4) as usize];
+                let server = 1 + dice.roll(6) as u32;
+                let listed = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][dice.roll(4) as usize];
                 match listed {
-                    Listed::Ready => _ = world.told_leaving.remove(&store),
-                    _ => _ = world.told_leaving.entry(store).or_insert(now),
+                    EndpointState::Ready => _ = world.told_leaving.remove(&server),
+                    _ => _ = world.told_leaving.entry(server).or_insert(now),
                 }
                 let started = if dice.roll(3) == 0 { now } else { Time::ZERO };
-                bench.list(vec![Entry {
+                bench.list(vec![Endpoint {
                     started,
-                    ..entry(store, listed)
+                    ..entry(server, listed)
                 }])
             }
         };
@@ -278,10 +283,14 @@
 #[test]
 fn the_rules_hold_whatever_comes() {
     for seed in 1..=12 {
-        let checks = [Checks::None, Checks::Refuse, Checks::Wait(100 * MS)][seed as usize % 3];
+        let checks = [
+            StalenessCheck::None,
+            StalenessCheck::Reject,
+            StalenessCheck::Wait(100 * MS),
+        ][seed as usize % 3];
         let set = Settings {
-            checks,
-            second_copies: seed % 2 == 0,
+            staleness_check: checks,
+            may_hedge: seed % 2 == 0,
             ..settings()
         };
         let World { sends, answers, .. } = play(seed * 7919, set);
@@ -306,7 +315,7 @@
     const EACH: u64 = 40;
     for seed in 1..=3 {
         let set = Settings {
-            routers: ROUTERS as u32,
+            router_count: ROUTERS as u32,
             ..settings()
         };
         let mut dice = Dice(seed * 104_729);
@@ -314,9 +323,9 @@
             .map(|r| Bench::seeded(set.clone(), 6, seed << 32 | r))
             .collect();
         for bench in &mut routers {
-            bench.list(vec![Entry {
+            bench.list(vec![Endpoint {
                 started: BEGIN,
-                ..entry(6, Listed::Ready)
+                ..entry(6, EndpointState::Ready)
             }]);
             (1..=6).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
         }
@@ -330,13 +339,13 @@
             if step == 2_000 {
                 for (r, bench) in routers.iter_mut().enumerate() {
                     bench.now = now;
-                    actions.push((r, bench.list(vec![entry(2, Listed::Draining)])));
+                    actions.push((r, bench.list(vec![entry(2, EndpointState::Draining)])));
                 }
             }
-            for (r, id, attempt, store) in pending.remove(&now).unwrap_or_default() {
+            for (r, id, attempt, server) in pending.remove(&now).unwrap_or_default() {
                 routers[r].now = now;
                 served += 1;
-                actions.push((r, routers[r].end(id, attempt, store, Outcome::Ok)));
+                actions.push((r, routers[r].end(id, attempt, server, Outcome::Ok)));
             }
             if dice.roll(1_000) < 6 * EACH {
                 let r = if dice.roll(2) == 0 {
@@ -351,23 +360,23 @@
             while let Some((r, list)) = actions.pop() {
                 for action in list {
                     match action {
-                        Action::Send { id, store, .. } => {
+                        Action::Send { id, server, .. } => {
                             assert!(
-                                store != StoreId(2) || step < 2_000,
-                                "a send to a draining store"
+                                server != ServerId(2) || step < 2_000,
+                                "a send to a draining server"
                             );
-                            if store == StoreId(6) {
+                            if server == ServerId(6) {
                                 to_starting.push(step);
                             }
                             let no = attempts.entry((r, id)).or_default();
                             let due = now.plus((10 + dice.roll(30) as u32) * MS);
-                            pending.entry(due).or_default().push((r, id, *no, store.0));
+                            pending.entry(due).or_default().push((r, id, *no, server.0));
                             *no += 1;
                         }
-                        Action::Probe { store } => {
+                        Action::Probe { server } => {
                             actions.push((
                                 r,
-                                routers[r].report(store.0, store == StoreId(1), Duration::ZERO),
+                                routers[r].report(server.0, server == ServerId(1), Duration::ZERO),
                             ));
                         }
                         _ => {}
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -50,7 +50,7 @@
     let mut bench = Bench::new(settings(), 2);
     let (write, _) = bench.ask(WRITE);
     bench.wait(20 * MS);
-    let commit = Note {
+    let commit = ResponseMetadata {
         primary: Some(true),
         position: Some(bench.now.minus(MS)),
     };
@@ -72,7 +72,7 @@
 fn misses_take_back_the_guess_that_a_replica_has_caught_up() {
     let mut bench = Bench::new(
         Settings {
-            checks: Checks::Refuse,
+            staleness_check: StalenessCheck::Reject,
             ..settings()
         },
         2,
@@ -87,11 +87,11 @@
         [2],
         "550 ms since the position, so 450 ms behind by the guess"
     );
-    let note = Note {
+    let metadata = ResponseMetadata {
         primary: Some(false),
         position: None,
     };
-    let actions = bench.end_with(id, 0, 2, Outcome::Miss, note);
+    let actions = bench.end_with(id, 0, 2, Outcome::Misdirected, metadata);
     assert_eq!(
         sends(&actions),
         [1],
@@ -109,15 +109,15 @@
     // Failure of recorded day i10d23f: with old reports no replica ever seemed fit.
     let mut bench = Bench::new(
         Settings {
-            checks: Checks::Refuse,
+            staleness_check: StalenessCheck::Reject,
             ..settings()
         },
         3,
     );
     for _ in 0..60 {
         bench.pass(50);
-        for store in 1..=3 {
-            bench.report(store, store == 1, 600 * MS);
+        for server in 1..=3 {
+            bench.report(server, server == 1, 600 * MS);
         }
     }
     let (_, actions) = bench.ask(BOUNDED);
@@ -126,7 +126,7 @@
 
 #[test]
 fn nothing_new_to_a_draining_or_removed_store() {
-    for listed in [Listed::Draining, Listed::Gone] {
+    for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut bench = Bench::new(settings(), 2);
         bench.list(vec![entry(2, listed)]);
         let (_, actions) = bench.ask(BOUNDED);
@@ -143,7 +143,7 @@
         },
         2,
     );
-    bench.list(vec![entry(2, Listed::Gone)]);
+    bench.list(vec![entry(2, EndpointState::Removed)]);
     assert_eq!(sends(&bench.ask(BOUNDED).1), [2]);
     let mut bench = Bench::new(
         Settings {
@@ -152,8 +152,8 @@
         },
         2,
     );
-    bench.list(vec![entry(2, Listed::Draining)]);
-    bench.list(vec![entry(2, Listed::Gone)]);
+    bench.list(vec![entry(2, EndpointState::Draining)]);
+    bench.list(vec![entry(2, EndpointState::Removed)]);
     assert!(!sends(&bench.ask(BOUNDED).1).contains(&2));
 }
 
@@ -179,7 +179,7 @@
 fn an_unsafe_write_that_never_ran_is_sent_again_or_refused() {
     let mut bench = Bench::new(settings(), 2);
     let (id, _) = bench.ask(UNSAFE_WRITE);
-    let mut actions = bench.end(id, 0, 1, Outcome::Full);
+    let mut actions = bench.end(id, 0, 1, Outcome::Rejected);
     actions.extend(bench.pass(1_000));
     assert!(
         sends(&actions) == [1] || refused(&actions, id),
@@ -245,7 +245,7 @@
     assert_eq!(begins_within(&actions), 300 * MS, "of a bound of 500 ms");
     let mut checked = Bench::new(
         Settings {
-            checks: Checks::Refuse,
+            staleness_check: StalenessCheck::Reject,
             ..settings()
         },
         2,
@@ -273,11 +273,11 @@
     let (id, actions) = bench.ask(UNSAFE_WRITE);
     let tried = sends(&actions);
     assert_eq!(tried.len(), 1, "{actions:?}");
-    let replica = Note {
+    let replica = ResponseMetadata {
         primary: Some(false),
         position: None,
     };
-    let mut actions = bench.end_with(id, 0, tried[0], Outcome::Miss, replica);
+    let mut actions = bench.end_with(id, 0, tried[0], Outcome::Misdirected, replica);
     actions.extend(bench.pass(100));
     let other = sends(&actions);
     assert!(
@@ -296,7 +296,7 @@
         let (id, mut actions) = bench.ask(class);
         actions.extend(bench.pass(1_005));
         let answers = actions.iter().filter(|a| match a {
-            Action::Refuse { id: i, .. } | Action::Fail { id: i } => *i == id,
+            Action::Reject { id: i, .. } | Action::Fail { id: i } => *i == id,
             _ => false,
         });
         assert_eq!(answers.count(), 1, "class {class}");
@@ -309,7 +309,7 @@
     let (id, actions) = bench.ask(WRITE);
     assert!(sends(&actions).is_empty() && !refused(&actions, id));
     let actions = bench.pass(600);
-    let hint = |a: &Action| matches!(a, Action::Refuse { id: i, come_back: Some(_) } if *i == id);
+    let hint = |a: &Action| matches!(a, Action::Reject { id: i, retry_after: Some(_) } if *i == id);
     assert!(actions.iter().any(hint), "{actions:?}");
 }
 
@@ -334,11 +334,11 @@
 fn an_answer_that_tells_a_replica_ends_a_primary() {
     let mut bench = Bench::new(settings(), 2);
     let (id, _) = bench.ask(WRITE);
-    let replica = Note {
+    let replica = ResponseMetadata {
         primary: Some(false),
         position: None,
     };
-    let actions = bench.end_with(id, 0, 1, Outcome::Miss, replica);
+    let actions = bench.end_with(id, 0, 1, Outcome::Misdirected, replica);
     assert!(sends(&actions).is_empty(), "held until a primary is known");
     assert_eq!(sends(&bench.report(2, true, Duration::ZERO)), [2]);
 }
@@ -351,9 +351,9 @@
     for _ in 0..40 {
         let (id, mut actions) = bench.ask(BOUNDED);
         let mut no = 0;
-        while let Some(&store) = sends(&actions).first() {
+        while let Some(&server) = sends(&actions).first() {
             attempts += 1;
-            actions = bench.end(id, no, store, Outcome::Full);
+            actions = bench.end(id, no, server, Outcome::Rejected);
             no += 1;
         }
         bench.pass(5);
@@ -367,24 +367,24 @@
 #[test]
 fn a_cold_store_gets_a_part_of_what_warm_members_answer() {
     let mut bench = Bench::new(settings(), 3);
-    let cold = Entry {
+    let cold = Endpoint {
         started: bench.now,
-        ..entry(4, Listed::Ready)
+        ..entry(4, EndpointState::Ready)
     };
     bench.list(vec![cold]);
     let mut sent = [0; 5];
     for _ in 0..400 {
         bench.wait(2 * MS);
         if bench.now.0.as_millis().is_multiple_of(50) {
-            for store in 1..=4 {
-                bench.report(store, store == 1, Duration::ZERO);
+            for server in 1..=4 {
+                bench.report(server, server == 1, Duration::ZERO);
             }
         }
         let asked: Vec<_> = (0..3).map(|_| bench.ask(ANY)).collect();
         for (id, actions) in asked {
-            for store in sends(&actions) {
-                sent[store as usize] += 1;
-                bench.end(id, 0, store, Outcome::Ok);
+            for server in sends(&actions) {
+                sent[server as usize] += 1;
+                bench.end(id, 0, server, Outcome::Ok);
             }
         }
     }
@@ -398,11 +398,11 @@
         classes: vec![],
         may_probe: false,
         may_cancel: false,
-        second_copies: false,
-        retry_after: false,
-        try_limit: 0,
-        warm_after: Duration::ZERO,
-        tip_after: Duration::ZERO,
+        may_hedge: false,
+        may_send_retry_after: false,
+        attempt_limit: 0,
+        warm_up_duration: Duration::ZERO,
+        overload_duration: Duration::ZERO,
         ..settings()
     };
     let mut bench = Bench::unheard(none, 1);
@@ -412,8 +412,8 @@
         "a class that the settings do not name: {actions:?}"
     );
     let mut zero = settings();
-    zero.classes[1].need = Need::Bounded(Duration::ZERO);
-    zero.classes[1].aim = Duration::ZERO;
+    zero.classes[1].consistency = Consistency::BoundedStaleness(Duration::ZERO);
+    zero.classes[1].latency_objective = Duration::ZERO;
     let mut bench = Bench::new(zero, 1);
     let (id, mut actions) = bench.ask(BOUNDED);
     actions.extend(bench.pass(1_100));
@@ -441,7 +441,7 @@
 fn the_list_is_asked_for_again_after_a_failure_and_one_call_is_out_at_a_time() {
     let mut bench = Bench::unheard(
         Settings {
-            list_on_request: true,
+            endpoints_are_polled: true,
             ..settings()
         },
         0,
@@ -452,10 +452,13 @@
             .filter(|a| matches!(a, Action::Subscribe))
             .count()
     };
-    let cached = bench.event(Event::List(ListNews::Cached(vec![entry(1, Listed::Ready)])));
+    let cached = bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![entry(
+        1,
+        EndpointState::Ready,
+    )])));
     assert_eq!(asked(&cached), 1);
     assert_eq!(asked(&bench.pass(5_000)), 0, "one is out");
-    let mut after = bench.event(Event::List(ListNews::Failed));
+    let mut after = bench.event(Event::Endpoints(EndpointUpdate::Failed));
     after.extend(bench.pass(1_000));
     assert_eq!(asked(&after), 1);
 }
@@ -465,14 +468,14 @@
 fn the_list_is_asked_for_within_its_time_where_that_is_short() {
     for (within, routers) in [(1_000_u32, 2), (1_000, 300), (3_000, 2), (3_000, 300)] {
         let settings = Settings {
-            list_on_request: true,
-            list_within: within * MS,
-            routers,
+            endpoints_are_polled: true,
+            max_poll_interval: within * MS,
+            router_count: routers,
             ..settings()
         };
         let mut bench = Bench::unheard(settings, 0);
         for failures in 1..20 {
-            let mut after = bench.event(Event::List(ListNews::Failed));
+            let mut after = bench.event(Event::Endpoints(EndpointUpdate::Failed));
             after.extend(bench.pass(within.into()));
             let calls = after
                 .iter()
@@ -490,7 +493,7 @@
 fn a_retry_time_far_away_does_not_leak_requests_into_later_events() {
     let mut bench = Bench::new(settings(), 2);
     let (id, _) = bench.ask(ANY);
-    bench.event(Event::Left(id));
+    bench.event(Event::ClientLeft(id));
     let actions = bench.pass(1_100);
     assert!(
         !refused(&actions, id) && !failed(&actions, id),
@@ -504,23 +507,23 @@
     // Both replicas answer two reads at once, so each may hold two.
     for _ in 0..6 {
         let (id, actions) = bench.ask(ANY);
-        let [store] = sends(&actions)[..] else {
+        let [server] = sends(&actions)[..] else {
             panic!("{actions:?}")
         };
         bench.wait(10 * MS);
-        bench.end(id, 0, store, Outcome::Ok);
+        bench.end(id, 0, server, Outcome::Ok);
     }
     let (_, actions) = bench.ask(ANY);
     let hung = sends(&actions)[0];
     bench.wait(400 * MS);
     for _ in 0..5 {
         let (id, actions) = bench.ask(ANY);
-        let [store] = sends(&actions)[..] else {
+        let [server] = sends(&actions)[..] else {
             panic!("{actions:?}")
         };
-        assert_ne!(store, hung, "it has not answered for many run times");
+        assert_ne!(server, hung, "it has not answered for many run times");
         bench.wait(10 * MS);
-        bench.end(id, 0, store, Outcome::Ok);
+        bench.end(id, 0, server, Outcome::Ok);
     }
 }
 
@@ -528,21 +531,21 @@
 fn stores_that_always_lag_do_not_take_all_probes() {
     // Failure of recorded day i2d132c: in a fixed order whole groups were not heard of for half a minute.
     let mut bench = Bench::new(settings(), 3);
-    bench.list(vec![Entry {
+    bench.list(vec![Endpoint {
         group: GroupId(1),
-        ..entry(9, Listed::Ready)
+        ..entry(9, EndpointState::Ready)
     }]);
     let mut probes = [0; 10];
     for _ in 0..200 {
         bench.ask(ANY);
         for action in bench.pass(100) {
             if let Action::Probe {
-                store: StoreId(store),
+                server: ServerId(server),
             } = action
             {
-                probes[store as usize] += 1;
+                probes[server as usize] += 1;
                 // All lag by more than the bound, so that each is always worth a probe.
-                bench.report(store, store == 1 || store == 9, 2_000 * MS);
+                bench.report(server, server == 1 || server == 9, 2_000 * MS);
             }
         }
     }
@@ -557,12 +560,12 @@
 fn a_removed_store_that_answers_late_does_no_harm() {
     let mut bench = Bench::new(settings(), 2);
     let (id, actions) = bench.ask(ANY);
-    let store = sends(&actions)[0];
-    bench.list(vec![entry(store, Listed::Gone)]);
-    let actions = bench.end(id, 0, store, Outcome::Reset);
-    assert_ne!(sends(&actions), [store]);
-    bench.list(vec![entry(store, Listed::Gone)]);
-    assert!(!sends(&bench.ask(ANY).1).contains(&store));
+    let server = sends(&actions)[0];
+    bench.list(vec![entry(server, EndpointState::Removed)]);
+    let actions = bench.end(id, 0, server, Outcome::Reset);
+    assert_ne!(sends(&actions), [server]);
+    bench.list(vec![entry(server, EndpointState::Removed)]);
+    assert!(!sends(&bench.ask(ANY).1).contains(&server));
 }
 
 #[test]
@@ -582,23 +585,23 @@
     for seed in 0..100 {
         let mut bench = Bench::seeded(
             Settings {
-                routers: 100,
+                router_count: 100,
                 ..settings()
             },
             4,
             seed,
         );
-        for store in 1..=4 {
-            bench.report(store, store == 1, Duration::ZERO);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
         }
         let id = if primary { 1 } else { 4 };
-        bench.list(vec![Entry {
+        bench.list(vec![Endpoint {
             started: bench.now,
-            ..entry(id, Listed::Ready)
+            ..entry(id, EndpointState::Ready)
         }]);
         bench.wait(MS);
-        for store in 1..=4 {
-            bench.report(store, store == 1, Duration::ZERO);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
         }
         let (_, mut actions) = bench.ask(class);
         actions.extend(bench.pass(200));
@@ -637,7 +640,7 @@
     for seed in 0..1_000 {
         let mut bench = Bench::seeded(
             Settings {
-                routers: 100,
+                router_count: 100,
                 ..settings()
             },
             4,
@@ -645,15 +648,15 @@
         );
         bench.list(
             (1..=4)
-                .map(|s| Entry {
+                .map(|s| Endpoint {
                     started: bench.now,
-                    ..entry(s, Listed::Ready)
+                    ..entry(s, EndpointState::Ready)
                 })
                 .collect(),
         );
         bench.wait(MS);
-        for store in 1..=4 {
-            bench.report(store, store == 1, Duration::ZERO);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
         }
         let (_, mut actions) = bench.ask(ANY);
         actions.extend(bench.pass(200));
@@ -669,8 +672,8 @@
 
 fn probed(actions: &[Action]) -> Vec<u32> {
     let of = |a: &Action| {
-        if let Action::Probe { store } = a {
-            Some(store.0)
+        if let Action::Probe { server } = a {
+            Some(server.0)
         } else {
             None
         }
@@ -722,7 +725,7 @@
         },
         3,
     );
-    bench.list((1..=3).map(|s| entry(s, Listed::Gone)).collect());
+    bench.list((1..=3).map(|s| entry(s, EndpointState::Removed)).collect());
     bench.pass(2_000);
     bench.report(1, true, Duration::ZERO);
     let asked = probed(&bench.ask(BOUNDED).1);
@@ -736,18 +739,18 @@
     for _ in 0..ends {
         let (id, actions) = bench.ask(ANY);
         bench.wait(100 * MS);
-        if let Some(&store) = sends(&actions).first() {
-            bench.end(id, 0, store, outcome);
+        if let Some(&server) = sends(&actions).first() {
+            bench.end(id, 0, server, outcome);
         }
     }
     bench.wait(10_000 * MS);
     let turned = |bench: &mut Bench| {
         let (id, actions) = bench.ask(class);
         // Nothing stays out, and nothing is learned from it.
-        bench.event(Event::Left(id));
+        bench.event(Event::ClientLeft(id));
         sends(&actions)
             .iter()
-            .for_each(|&store| _ = bench.end(id, 0, store, Outcome::Cancelled));
+            .for_each(|&server| _ = bench.end(id, 0, server, Outcome::Cancelled));
         usize::from(refused(&actions, id))
     };
     (0..100).map(|_| turned(&mut bench)).sum()
@@ -757,7 +760,7 @@
 fn a_jam_that_retries_keep_up_is_answered_by_taking_in_less() {
     // Failure of recorded days i30461c and ic9dd48: full answers and attempts run in vain for the whole day.
     assert_eq!(refused_at_the_door(WRITE, Outcome::Ok, 40), 0);
-    assert!(refused_at_the_door(ANY, Outcome::Full, 40) > 30);
+    assert!(refused_at_the_door(ANY, Outcome::Rejected, 40) > 30);
     // Failed connections are no jam: nothing is gained by refusing.
     assert_eq!(refused_at_the_door(WRITE, Outcome::ConnectFailed, 40), 0);
 }
@@ -773,24 +776,25 @@
                 bench.report(1, true, Duration::ZERO);
                 let (id, actions) = bench.ask(ANY);
                 bench.wait(200 * MS);
-                for store in sends(&actions) {
-                    sent[store as usize] += 1;
-                    let bad = store == 2 && round % 3 == 0;
+                for server in sends(&actions) {
+                    sent[server as usize] += 1;
+                    let bad = server == 2 && round % 3 == 0;
                     let (outcome, ms) = if bad {
                         (outcome, 900)
                     } else {
                         (Outcome::Ok, 50)
                     };
-                    let (note, attempt, store) = (Note::default(), AttemptNo(0), StoreId(store));
+                    let (metadata, attempt, server) =
+                        (ResponseMetadata::default(), AttemptNo(0), ServerId(server));
                     let (elapsed, last) = (ms * MS, true);
-                    bench.event(Event::Ended(Ended {
+                    bench.event(Event::AttemptEnded(AttemptEnded {
                         id,
                         attempt,
-                        store,
+                        server,
                         outcome,
                         elapsed,
-                        last,
-                        note,
+                        request_finished: last,
+                        metadata,
                     }));
                 }
             }
@@ -806,17 +810,17 @@
     for seed in 0..200 {
         let mut bench = Bench::seeded(
             Settings {
-                routers: 200,
+                router_count: 200,
                 ..settings()
             },
             6,
             seed,
         );
-        bench.list((2..=5).map(|s| entry(s, Listed::Draining)).collect());
-        bench.list((2..=5).map(|s| entry(s, Listed::Gone)).collect());
-        bench.list(vec![Entry {
+        bench.list((2..=5).map(|s| entry(s, EndpointState::Draining)).collect());
+        bench.list((2..=5).map(|s| entry(s, EndpointState::Removed)).collect());
+        bench.list(vec![Endpoint {
             started: bench.now,
-            ..entry(6, Listed::Ready)
+            ..entry(6, EndpointState::Ready)
         }]);
         bench.wait(MS);
         bench.report(6, false, Duration::ZERO);
@@ -836,24 +840,24 @@
     // Failure of recorded day i60ceae: with errors everywhere the same requests came back up to eight times.
     for seed in 0..40 {
         let mut bench = Bench::seeded(settings(), 2, seed);
-        bench.list(vec![Entry {
+        bench.list(vec![Endpoint {
             started: bench.now,
-            ..entry(2, Listed::Ready)
+            ..entry(2, EndpointState::Ready)
         }]);
         let (id, mut actions) = bench.ask(ANY);
         let mut there = 0;
         for no in 0..6 {
-            let Some(&store) = sends(&actions).first() else {
+            let Some(&server) = sends(&actions).first() else {
                 break;
             };
-            there += usize::from(store == 2);
+            there += usize::from(server == 2);
             bench.wait(MS);
-            actions = bench.end(id, no, store, Outcome::Failed);
+            actions = bench.end(id, no, server, Outcome::Failed);
             actions.extend(bench.pass(60));
         }
         assert!(
             there <= 1,
-            "seed {seed}: {there} attempts at the starting store"
+            "seed {seed}: {there} attempts at the starting server"
         );
     }
 }
@@ -868,9 +872,9 @@
     let (mut asked, mut attempts) = (0, 0);
     let mut actions = bench.end(id, 0, 1, Outcome::ConnectFailed);
     for _ in 0..80 {
-        for store in probed(&actions) {
+        for server in probed(&actions) {
             asked += 1;
-            bench.report(store, store == 1, Duration::ZERO);
+            bench.report(server, server == 1, Duration::ZERO);
         }
         if !sends(&actions).is_empty() {
             attempts += 1;
@@ -894,18 +898,18 @@
         bench.report(1, true, Duration::ZERO);
         let (id, _) = bench.ask(WRITE);
         bench.wait(900 * MS);
-        let note = Note::default();
-        let (store, attempt, outcome, last) = (StoreId(1), AttemptNo(0), Outcome::Ok, true);
-        let ended = Ended {
+        let metadata = ResponseMetadata::default();
+        let (server, attempt, outcome, last) = (ServerId(1), AttemptNo(0), Outcome::Ok, true);
+        let ended = AttemptEnded {
             id,
             attempt,
-            store,
+            server,
             outcome,
             elapsed: 900 * MS,
-            last,
-            note,
+            request_finished: last,
+            metadata,
         };
-        bench.event(Event::Ended(ended));
+        bench.event(Event::AttemptEnded(ended));
         sent += sends(&bench.ask(WRITE).1).len();
     }
     assert!(
@@ -920,8 +924,8 @@
     let mut sent = [0; 5];
     for seed in 0..100 {
         let mut bench = Bench::seeded(settings(), 4, seed);
-        for store in 1..=4 {
-            bench.report(store, store == 1, Duration::ZERO);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
         }
         sends(&bench.ask(BOUNDED).1)
             .iter()
@@ -937,8 +941,8 @@
         let (id, actions) = bench.ask(BOUNDED);
         bench.wait(10 * MS);
         bench.end(id, 0, sends(&actions)[0], Outcome::Ok);
-        for store in 1..=3 {
-            bench.report(store, store == 1, Duration::ZERO);
+        for server in 1..=3 {
+            bench.report(server, server == 1, Duration::ZERO);
         }
     }
     let (_, busy) = bench.ask(BOUNDED);
@@ -955,14 +959,14 @@
     // Failure of grown icd days: at start all routers sent all reads to the listed primaries.
     let mut bench = Bench::unheard(
         Settings {
-            checks: Checks::Refuse,
+            staleness_check: StalenessCheck::Reject,
             ..settings()
         },
         3,
     );
-    bench.list(vec![Entry {
+    bench.list(vec![Endpoint {
         primary: true,
-        ..entry(1, Listed::Ready)
+        ..entry(1, EndpointState::Ready)
     }]);
     for _ in 0..2 {
         assert!(matches!(sends(&bench.ask(BOUNDED).1)[..], [2 | 3]));
@@ -973,7 +977,7 @@
 fn a_carried_token_is_what_a_session_read_must_see() {
     let mut bench = Bench::new(
         Settings {
-            tokens_carried: true,
+            clients_carry_session_position: true,
             ..settings()
         },
         2,
@@ -981,10 +985,10 @@
     bench.pass(100);
     let mut ask = |wrote_ago| {
         let arrival = Arrival {
-            wrote: Some(Wrote::Ago(wrote_ago)),
+            session_position: Some(SessionPosition::Ago(wrote_ago)),
             ..bench.arrival(SESSION)
         };
-        sends(&bench.event(Event::Arrived(arrival)))
+        sends(&bench.event(Event::RequestArrived(arrival)))
     };
     assert_ne!(
         ask(50 * MS),
@@ -1003,29 +1007,29 @@
     // Positions are told by another clock, which is five seconds ahead of the router's.
     let mut bench = Bench::new(
         Settings {
-            tokens_carried: true,
+            clients_carry_session_position: true,
             ..settings()
         },
         2,
     );
     bench.pass(100);
     let there = bench.now.plus(5_000 * MS);
-    let report = Report {
+    let report = LoadReport {
         position: Some(there),
-        ..Report::default()
+        ..LoadReport::default()
     };
-    bench.event(Event::Probed {
-        store: StoreId(2),
+    bench.event(Event::ProbeEnded {
+        server: ServerId(2),
         ok: true,
         elapsed: MS,
         report,
     });
     let mut ask = |position| {
         let arrival = Arrival {
-            wrote: Some(Wrote::At(position)),
+            session_position: Some(SessionPosition::At(position)),
             ..bench.arrival(SESSION)
         };
-        sends(&bench.event(Event::Arrived(arrival)))
+        sends(&bench.event(Event::RequestArrived(arrival)))
     };
     assert_eq!(ask(there.plus(MS)), [1], "not there yet");
     assert_eq!(ask(there), [2], "the primary is busy");
@@ -1035,7 +1039,7 @@
 fn attempts_stop_at_the_limit() {
     let mut bench = Bench::new(
         Settings {
-            try_limit: 2,
+            attempt_limit: 2,
             ..settings()
         },
         4,
@@ -1043,11 +1047,11 @@
     let (id, mut actions) = bench.ask(ANY);
     let mut attempts = 0;
     for no in 0..4 {
-        let Some(&store) = sends(&actions).first() else {
+        let Some(&server) = sends(&actions).first() else {
             break;
         };
         attempts += 1;
-        actions = bench.end(id, no, store, Outcome::ConnectFailed);
+        actions = bench.end(id, no, server, Outcome::ConnectFailed);
     }
     assert_eq!(attempts, 2);
     assert!(
@@ -1060,10 +1064,10 @@
 fn what_was_never_sent_is_refused_before_half_of_its_time() {
     // Failure of a real day with a cut-off primary: refusals came just after half, a look too late.
     let mut set = Settings {
-        checks: Checks::Refuse,
+        staleness_check: StalenessCheck::Reject,
         ..settings()
     };
-    set.classes[usize::from(ANY)].aim = 900 * MS;
+    set.classes[usize::from(ANY)].latency_objective = 900 * MS;
     for (class, members) in [(UNSAFE_WRITE, 3), (ANY, 1)] {
         let mut bench = Bench::unheard(set.clone(), members);
         for _ in 0..10 {
@@ -1100,10 +1104,10 @@
     let mut ask = |time_left: Duration, repeated| {
         let arrival = Arrival {
             time_left,
-            repeated,
+            is_client_retry: repeated,
             ..bench.arrival(ANY)
         };
-        let (id, actions) = (arrival.id, bench.event(Event::Arrived(arrival)));
+        let (id, actions) = (arrival.id, bench.event(Event::RequestArrived(arrival)));
         (sends(&actions).len(), refused(&actions, id))
     };
     assert_eq!(
@@ -1123,7 +1127,7 @@
     );
 }
 
-/// Connections that fell silent were taken for stores that hold too much, whose room shrank for nothing.
+/// Connections that fell silent were taken for servers that hold too much, whose room shrank for nothing.
 #[test]
 fn a_time_out_that_others_have_overtaken_cuts_no_room() {
     for (overtaken, sent) in [(4, 3), (0, 1)] {
@@ -1164,11 +1168,11 @@
         1,
         BEGIN,
     );
-    bench.list(vec![entry(1, Listed::Ready)]);
+    bench.list(vec![entry(1, EndpointState::Ready)]);
     bench.report(1, true, Duration::ZERO);
-    let cold = Entry {
+    let cold = Endpoint {
         started: bench.now,
-        ..entry(5, Listed::Ready)
+        ..entry(5, EndpointState::Ready)
     };
     bench.list(vec![cold]);
     bench.report(5, false, Duration::ZERO);
@@ -1177,23 +1181,23 @@
         // One read after the other, so that room is no matter; a hundred a second.
         bench.wait(10 * MS);
         let (id, actions) = bench.ask(ANY);
-        let Some(&store) = sends(&actions).first() else {
+        let Some(&server) = sends(&actions).first() else {
             continue;
         };
-        sent += usize::from(store == 5 && step >= 400);
-        let elapsed = MS * if store == 5 { took_ms } else { 60 };
-        let note = Note {
-            primary: Some(store == 1),
+        sent += usize::from(server == 5 && step >= 400);
+        let elapsed = MS * if server == 5 { took_ms } else { 60 };
+        let metadata = ResponseMetadata {
+            primary: Some(server == 1),
             position: None,
         };
-        bench.event(Event::Ended(Ended {
+        bench.event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt: AttemptNo(0),
-            store: StoreId(store),
+            server: ServerId(server),
             outcome: Outcome::Ok,
             elapsed,
-            last: true,
-            note,
+            request_finished: true,
+            metadata,
         }));
     }
     sent
@@ -1221,7 +1225,7 @@
 fn a_held_request_has_one_look_ahead_however_often_it_is_woken() {
     let mut bench = Bench::unheard(settings(), 3);
     let held: Vec<RequestId> = (0..8).map(|_| bench.ask(WRITE).0).collect();
-    // News of a store that does not help wakes them again and again.
+    // News of a server that does not help wakes them again and again.
     for _ in 0..200 {
         bench.wait(MS / 2);
         bench.report(2, false, Duration::ZERO);
@@ -1261,7 +1265,7 @@
     let mut next = settings();
     let place = next.classes.len() as u16;
     next.classes.push(Class {
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         ..next.classes[usize::from(WRITE)].clone()
     });
     let mut heirs = vec![None; usize::from(place)];
@@ -1284,10 +1288,10 @@
     );
     // One attempt in all from now on, under what one under way has used already.
     let (used, _) = bench.ask(ANY);
-    let first = bench.end(used, 0, 2, Outcome::Full);
+    let first = bench.end(used, 0, 2, Outcome::Rejected);
     bench.router.configure(
         Settings {
-            try_limit: 1,
+            attempt_limit: 1,
             ..next
         },
         &[],
@@ -1305,13 +1309,13 @@
 fn what_leaves_or_rests_is_told_as_avoided() {
     let mut bench = Bench::new(settings(), 3);
     assert_eq!(bench.router.avoided(bench.now), 0);
-    bench.list(vec![entry(2, Listed::Draining)]);
+    bench.list(vec![entry(2, EndpointState::Draining)]);
     assert_eq!(bench.router.avoided(bench.now), 1);
     let (id, _) = bench.ask(WRITE);
     bench.end(id, 0, 1, Outcome::ConnectFailed);
     assert_eq!(bench.router.avoided(bench.now), 2);
     bench.wait(10_000 * MS);
     assert_eq!(bench.router.avoided(bench.now), 1);
-    bench.list(vec![entry(2, Listed::Gone)]);
+    bench.list(vec![entry(2, EndpointState::Removed)]);
     assert_eq!(bench.router.avoided(bench.now), 0);
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What many routers that do not talk send one starting store together, on virtual time.
+//! What many routers that do not talk send one starting server together, on virtual time.
 
 mod common;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// What the operators let a starting store bear where the settings allow it `allowed` requests.
+/// What the operators let a starting server bear where the settings allow it `allowed` requests.
 fn line(allowed: f64) -> f64 {
     let chance = if allowed < 30.0 { 3.0 } else { 2.0 };
     allowed + chance * allowed.sqrt() + chance
@@ -32,25 +32,25 @@
 
 struct Day {
     routers: usize,
-    /// Requests that a warm store does in the time that a collapse takes.
+    /// Requests that a warm server does in the time that a collapse takes.
     warm: f64,
     /// Of all requests, those that come to the first router; the others share the rest evenly.
     first_router: f64,
-    /// Of what fully used stores would get, what comes, and from three seconds after the start.
+    /// Of what fully used servers would get, what comes, and from three seconds after the start.
     load: [f64; 2],
 }
 
-fn answer(bench: &mut Bench, id: RequestId, store: u32, elapsed: Duration) {
-    let (attempt, store, note) = (AttemptNo(0), StoreId(store), Note::default());
+fn answer(bench: &mut Bench, id: RequestId, server: u32, elapsed: Duration) {
+    let (attempt, server, metadata) = (AttemptNo(0), ServerId(server), ResponseMetadata::default());
     let (outcome, last) = (Outcome::Ok, true);
-    bench.event(Event::Ended(Ended {
+    bench.event(Event::AttemptEnded(AttemptEnded {
         id,
         attempt,
-        store,
+        server,
         outcome,
         elapsed,
-        last,
-        note,
+        request_finished: last,
+        metadata,
     }));
 }
 
@@ -64,18 +64,18 @@
     }
 }
 
-/// The greatest ratio to the line over eight seconds after the start of the only store that is left of five, which all
+/// The greatest ratio to the line over eight seconds after the start of the only server that is left of five, which all
 /// five were warm for twenty seconds before.
 fn nearest(day: &Day, seed: u64) -> f64 {
     let set = Settings {
-        routers: day.routers as u32,
+        router_count: day.routers as u32,
         ..settings()
     };
     let mut routers: Vec<Bench> = (0..day.routers)
         .map(|number| Bench::seeded(set.clone(), STARTING, number as u64))
         .collect();
     for bench in &mut routers {
-        (1..=STARTING).for_each(|store| _ = bench.report(store, store == 1, Duration::ZERO));
+        (1..=STARTING).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
     }
     let started = routers[0].now.plus(STEP * WARM_STEPS);
     let mut random = Random(seed << 32);
@@ -96,28 +96,28 @@
             let bench = &mut routers[drawn_router(day, &mut random)];
             bench.now = now;
             let (id, actions) = bench.ask(ANY);
-            let Some(&store) = sends(&actions).first() else {
-                bench.event(Event::Left(id));
+            let Some(&server) = sends(&actions).first() else {
+                bench.event(Event::ClientLeft(id));
                 continue;
             };
             if now < started {
-                answer(bench, id, store, 50 * MS);
+                answer(bench, id, server, 50 * MS);
                 continue;
             }
             came.push_back(now);
             while came
                 .front()
-                .is_some_and(|&at| now.since(at) >= set.tip_after)
+                .is_some_and(|&at| now.since(at) >= set.overload_duration)
             {
                 came.pop_front();
             }
-            let capacity =
-                set.cold_share + (1.0 - set.cold_share) * age / set.warm_after.as_secs_f64();
+            let capacity = set.initial_capacity_fraction
+                + (1.0 - set.initial_capacity_fraction) * age / set.warm_up_duration.as_secs_f64();
             let allowed = set.overload_factor * capacity * day.warm;
             most = most.max(came.len() as f64 / line(allowed));
-            // Answers take as much longer as the store is colder, and as more than it can do has come.
+            // Answers take as much longer as the server is colder, and as more than it can do has come.
             let crowded = (came.len() as f64 / (capacity * day.warm)).max(1.0);
-            answer(bench, id, store, (50 * MS).mul_f64(crowded / capacity));
+            answer(bench, id, server, (50 * MS).mul_f64(crowded / capacity));
         }
     }
     most
@@ -127,12 +127,12 @@
     bench.now = started;
     bench.list(
         (1..STARTING)
-            .map(|store| entry(store, Listed::Gone))
+            .map(|server| entry(server, EndpointState::Removed))
             .collect(),
     );
-    bench.list(vec![Entry {
+    bench.list(vec![Endpoint {
         started,
-        ..entry(STARTING, Listed::Ready)
+        ..entry(STARTING, EndpointState::Ready)
     }]);
     bench.report(STARTING, false, Duration::ZERO);
 }
@@ -192,7 +192,7 @@
             .map(|number| {
                 let mut bench = Bench::seeded(
                     Settings {
-                        routers: 900,
+                        router_count: 900,
                         ..settings()
                     },
                     STARTING + 1,
@@ -200,12 +200,12 @@
                 );
                 bench.list(
                     (1..=STARTING)
-                        .map(|store| entry(store, Listed::Gone))
+                        .map(|server| entry(server, EndpointState::Removed))
                         .collect(),
                 );
-                bench.list(vec![Entry {
+                bench.list(vec![Endpoint {
                     started: bench.now,
-                    ..entry(STARTING + 1, Listed::Ready)
+                    ..entry(STARTING + 1, EndpointState::Ready)
                 }]);
                 bench.report(STARTING + 1, false, Duration::ZERO);
                 sends(&bench.ask(ANY).1).len()
@@ -227,7 +227,7 @@
         .filter(|&number| {
             let mut bench = Bench::seeded(
                 Settings {
-                    routers: routers as u32,
+                    router_count: routers as u32,
                     ..settings()
                 },
                 2,
@@ -236,21 +236,21 @@
             // It seldom gets a request, and knows that they take less than their aim.
             for _ in 0..20 {
                 bench.wait(5_000 * MS);
-                (1..=2).for_each(|store| _ = bench.report(store, store == 1, Duration::ZERO));
+                (1..=2).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
                 let (id, actions) = bench.ask(ANY);
                 sends(&actions)
                     .iter()
-                    .for_each(|&store| answer(&mut bench, id, store, 10 * MS));
+                    .for_each(|&server| answer(&mut bench, id, server, 10 * MS));
             }
             bench.wait(5_000 * MS);
-            bench.list(vec![Entry {
+            bench.list(vec![Endpoint {
                 started: bench.now,
-                ..entry(2, Listed::Ready)
+                ..entry(2, EndpointState::Ready)
             }]);
             bench.report(1, true, Duration::ZERO);
             bench.report(2, false, Duration::ZERO);
             bench.wait(400 * MS);
-            // The other store has no room for a second one.
+            // The other server has no room for a second one.
             assert_eq!(sends(&bench.ask(WRITE).1), [1]);
             let (_, mut actions) = bench.ask(ANY);
             actions.extend(bench.pass(200));
--- a/crates/server-model/src/catalog.rs
+++ b/crates/server-model/src/catalog.rs
@@ -1,7 +1,7 @@
 //! Discovery: the list of servers as one service keeps it for all proxies. It is late, it works through calls in turn,
 //! and it can fall further behind or go down.
 
-use crate::site::{ServerId, Site, Status};
+use crate::site::{ServerIndex, Site, Status};
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
-    pub server: ServerId,
+    pub server: ServerIndex,
     pub group: u32,
     pub place: u16,
     pub status: Status,
@@ -35,7 +35,7 @@
 
 impl Record {
     /// What is true of a server, as the list would have it.
-    pub fn of(site: &Site, server: ServerId) -> Record {
+    pub fn of(site: &Site, server: ServerIndex) -> Record {
         Record {
             server,
             group: site.group(server),
@@ -86,7 +86,7 @@
     down: bool,
     index: u64,
     /// What it knows, and at which index each was told last.
-    known: BTreeMap<ServerId, (u64, Record)>,
+    known: BTreeMap<ServerIndex, (u64, Record)>,
     /// Changes that it will know of, in their order.
     coming: VecDeque<(Micros, Record)>,
     watchers: BTreeSet<Caller>,
--- a/crates/server-model/src/clients.rs
+++ b/crates/server-model/src/clients.rs
@@ -119,7 +119,7 @@
         commit: Micros,
     },
     Refused {
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
     },
     Failed,
     /// The proxy can't be reached, or has died with it.
@@ -503,8 +503,8 @@
                 let counted = whole * if full { 1.0 } else { self.set.over_worth };
                 self.settle(request, End::Served, (earned, counted), Some(took), actions);
             }
-            Answer::Refused { come_back } => {
-                self.ended(request, End::Refused, come_back, now, actions)
+            Answer::Refused { retry_after } => {
+                self.ended(request, End::Refused, retry_after, now, actions)
             }
             Answer::Failed => self.ended(request, End::Failed, None, now, actions),
             Answer::Gone { reached: false } => {
@@ -519,7 +519,7 @@
         &mut self,
         request: u64,
         end: End,
-        come_back: Option<Micros>,
+        retry_after: Option<Micros>,
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
@@ -531,7 +531,7 @@
         // What may have run is asked for again only where that does no harm.
         let may = end == End::Refused || kind.repeat == Repeat::Safe;
         let jitter = 0.5 + share_of(open.seed ^ u64::from(open.tries) << 24);
-        let told = come_back.filter(|_| self.set.heeds);
+        let told = retry_after.filter(|_| self.set.heeds);
         let wait = told.unwrap_or(self.set.wait) as f64 * jitter;
         let at = now + (wait as Micros).max(1);
         if may && open.tries <= self.set.repeats && at < open.came + kind.deadline {
--- a/crates/server-model/src/group.rs
+++ b/crates/server-model/src/group.rs
@@ -201,7 +201,7 @@
             }
             Event::Lose(member) => self.lose(member, now, actions),
             Event::Silence(member) => self.silence(member, now, actions),
-            Event::Return(member) => self.come_back(member, now, actions),
+            Event::Return(member) => self.retry_after(member, now, actions),
             Event::Join { copy_age } => self.join(copy_age, now, actions),
             Event::Leave(member) => self.leave(member, now, actions),
             Event::Split(away) => self.split(away, now, actions),
@@ -316,7 +316,7 @@
         actions.extend([Action::Vacant, Action::DueAt(until)]);
     }
 
-    fn come_back(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
+    fn retry_after(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
         let Some(state) = self.members.get_mut(member) else {
             return;
         };
--- a/crates/server-model/src/platform.rs
+++ b/crates/server-model/src/platform.rs
@@ -10,7 +10,7 @@
     pub probes: bool,
     pub second_copies: bool,
     /// The refused may be told to wait; for so long at the most. 0: they may not.
-    pub come_back_most: Micros,
+    pub max_retry_after: Micros,
     pub drain_grace: Micros,
     /// A connection that idles is closed after this; one that does not come up is given up after that.
     pub keepalive: Micros,
@@ -25,7 +25,7 @@
             tries: 8,
             probes: true,
             second_copies: true,
-            come_back_most: 2_000_000,
+            max_retry_after: 2_000_000,
             drain_grace: 500_000,
             keepalive: 30_000_000,
             dial_wait: 250_000,
--- a/crates/server-model/src/site.rs
+++ b/crates/server-model/src/site.rs
@@ -61,7 +61,7 @@
 }
 
 /// Servers count from 0 in the order in which they came; no number is given twice.
-pub type ServerId = u32;
+pub type ServerIndex = u32;
 
 /// What a request asks of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    Server { server: ServerId, number: u64 },
+    Server { server: ServerIndex, number: u64 },
     Group(u32),
 }
 
@@ -85,12 +85,12 @@
     /// A request's last byte has reached a server; `exchange` is the driver's name for it.
     Request {
         exchange: u64,
-        server: ServerId,
+        server: ServerIndex,
         ask: Ask,
     },
     Probe {
         exchange: u64,
-        server: ServerId,
+        server: ServerIndex,
     },
     Wake(Wake),
     Trouble(Trouble),
@@ -98,27 +98,27 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
-    Die(ServerId),
+    Die(ServerIndex),
     /// One that died starts again, cold, with the data that it had.
-    Start(ServerId),
+    Start(ServerIndex),
     /// It takes requests and answers none, until it no longer does so.
     Hang {
-        server: ServerId,
+        server: ServerIndex,
         on: bool,
     },
     Slow {
-        server: ServerId,
+        server: ServerIndex,
         times: f64,
     },
     /// A long query holds its replication.
     Hold {
-        server: ServerId,
+        server: ServerIndex,
         span: Micros,
     },
     /// It finishes what it has, wants nothing new, and hands over its role.
-    Drain(ServerId),
+    Drain(ServerIndex),
     /// It is gone for good.
-    Retire(ServerId),
+    Retire(ServerIndex),
     /// A new one comes into that group and place, cold, with an old copy.
     Join {
         group: u32,
@@ -182,10 +182,10 @@
     },
     WakeAt(Micros, Wake),
     /// What a list of servers would say of it if it knew at once.
-    Changed(ServerId),
+    Changed(ServerIndex),
     Primary {
         group: u32,
-        server: ServerId,
+        server: ServerIndex,
     },
     /// A group, or a side of it, takes no writes.
     Vacant {
@@ -198,11 +198,11 @@
     },
     /// What took effect on the side that lost a split is undone.
     Undone {
-        server: ServerId,
+        server: ServerIndex,
         after: Micros,
     },
     /// Overrun while it was cold: dead until it is started.
-    Collapsed(ServerId),
+    Collapsed(ServerIndex),
 }
 
 #[derive(Debug)]
@@ -224,7 +224,7 @@
     machines: Vec<Machine>,
     groups: Vec<Group>,
     /// By group: the servers by their place in it.
-    members: Vec<Vec<ServerId>>,
+    members: Vec<Vec<ServerIndex>>,
     /// Keys of writes that are at a server.
     writes: FxHashMap<u64, u64>,
     split: Option<u16>,
@@ -241,8 +241,8 @@
         let (mut machines, mut members, mut groups) = (Vec::new(), Vec::new(), Vec::new());
         for group in 0..set.groups {
             let size = set.size(group);
-            let first = machines.len() as ServerId;
-            members.push((first..first + size as ServerId).collect());
+            let first = machines.len() as ServerIndex;
+            members.push((first..first + size as ServerIndex).collect());
             groups.push(Group::new(group::Settings {
                 members: size,
                 ..set.group
@@ -270,8 +270,8 @@
         }
     }
 
-    pub fn servers(&self) -> std::ops::Range<ServerId> {
-        0..self.machines.len() as ServerId
+    pub fn servers(&self) -> std::ops::Range<ServerIndex> {
+        0..self.machines.len() as ServerIndex
     }
 
     pub fn groups(&self) -> u32 {
@@ -279,38 +279,38 @@
     }
 
     /// Those that are or were in a group, in the order in which they came.
-    pub fn members(&self, group: u32) -> &[ServerId] {
+    pub fn members(&self, group: u32) -> &[ServerIndex] {
         self.members.get(group as usize).map_or(&[], Vec::as_slice)
     }
 
-    pub fn group(&self, server: ServerId) -> u32 {
+    pub fn group(&self, server: ServerIndex) -> u32 {
         self.machine(server).map_or(0, |m| m.group)
     }
 
-    pub fn place(&self, server: ServerId) -> u16 {
+    pub fn place(&self, server: ServerIndex) -> u16 {
         self.machine(server).map_or(0, |m| m.place)
     }
 
-    pub fn status(&self, server: ServerId) -> Status {
+    pub fn status(&self, server: ServerIndex) -> Status {
         self.machine(server).map_or(Status::Gone, |m| m.status)
     }
 
-    pub fn started(&self, server: ServerId) -> Micros {
+    pub fn started(&self, server: ServerIndex) -> Micros {
         self.machine(server).map_or(0, |m| m.started)
     }
 
     /// The group's primary; of two the younger.
-    pub fn primary(&self, group: u32) -> Option<ServerId> {
+    pub fn primary(&self, group: u32) -> Option<ServerIndex> {
         let member = self.groups.get(group as usize)?.primary()?;
         self.members(group).get(member).copied()
     }
 
-    pub fn is_primary(&self, server: ServerId) -> bool {
+    pub fn is_primary(&self, server: ServerIndex) -> bool {
         self.machine(server)
             .is_some_and(|m| self.groups[m.group as usize].is_primary(m.member))
     }
 
-    pub fn position(&mut self, server: ServerId, now: Micros) -> Micros {
+    pub fn position(&mut self, server: ServerIndex, now: Micros) -> Micros {
         let Some(machine) = self.machines.get(server as usize) else {
             return 0;
         };
@@ -318,38 +318,38 @@
     }
 
     /// Its process runs; it may hang all the same.
-    pub fn runs(&self, server: ServerId) -> bool {
+    pub fn runs(&self, server: ServerIndex) -> bool {
         self.machine(server).is_some_and(|m| m.server.up())
     }
 
     /// It would answer a request.
-    pub fn answers(&self, server: ServerId) -> bool {
+    pub fn answers(&self, server: ServerIndex) -> bool {
         self.machine(server)
             .is_some_and(|m| m.server.up() && !m.server.hung() && m.status == Status::Ready)
     }
 
     /// Requests that it holds.
-    pub fn held(&self, server: ServerId) -> usize {
+    pub fn held(&self, server: ServerIndex) -> usize {
         self.machine(server).map_or(0, |m| m.server.held())
     }
 
     /// Part of its full capacity that it has now.
-    pub fn capacity(&self, server: ServerId, now: Micros) -> f64 {
+    pub fn capacity(&self, server: ServerIndex, now: Micros) -> f64 {
         self.machine(server).map_or(0.0, |m| m.server.capacity(now))
     }
 
     /// Whether so much more work can come to it, and a cold one still has this part of its budget to spare.
-    pub fn bears(&self, server: ServerId, now: Micros, more: f64, spare: f64) -> bool {
+    pub fn bears(&self, server: ServerIndex, now: Micros, more: f64, spare: f64) -> bool {
         self.machine(server)
             .is_some_and(|m| m.server.bears(now, more, spare))
     }
 
-    fn machine(&self, server: ServerId) -> Option<&Machine> {
+    fn machine(&self, server: ServerIndex) -> Option<&Machine> {
         self.machines.get(server as usize)
     }
 
     /// A connection to a server: whether it takes it. What hangs does.
-    pub fn dial(&mut self, server: ServerId, now: Micros, actions: &mut Vec<Action>) -> bool {
+    pub fn dial(&mut self, server: ServerIndex, now: Micros, actions: &mut Vec<Action>) -> bool {
         let limit = self.set.connections;
         let Some(machine) = self.machines.get_mut(server as usize) else {
             return false;
@@ -363,7 +363,7 @@
     }
 
     /// A connection to it has ended.
-    pub fn hang_up(&mut self, server: ServerId) {
+    pub fn hang_up(&mut self, server: ServerIndex) {
         if let Some(machine) = self.machines.get_mut(server as usize) {
             machine.connections = machine.connections.saturating_sub(1);
         }
@@ -390,7 +390,7 @@
     fn request(
         &mut self,
         exchange: u64,
-        server: ServerId,
+        server: ServerIndex,
         ask: Ask,
         now: Micros,
         actions: &mut Vec<Action>,
@@ -446,14 +446,20 @@
         );
     }
 
-    fn note(&mut self, server: ServerId, now: Micros) -> Note {
+    fn note(&mut self, server: ServerIndex, now: Micros) -> Note {
         Note {
             primary: self.is_primary(server),
             position: self.position(server, now),
         }
     }
 
-    fn probe(&mut self, exchange: u64, server: ServerId, now: Micros, actions: &mut Vec<Action>) {
+    fn probe(
+        &mut self,
+        exchange: u64,
+        server: ServerIndex,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
         if !self.runs(server) {
             return actions.push(Action::Report {
                 exchange,
@@ -491,7 +497,7 @@
     }
 
     /// Work that nobody waits for.
-    fn chore(&mut self, server: ServerId, work: Micros, now: Micros, actions: &mut Vec<Action>) {
+    fn chore(&mut self, server: ServerIndex, work: Micros, now: Micros, actions: &mut Vec<Action>) {
         if work > 0 {
             self.chores += 1;
             self.work(
@@ -508,7 +514,7 @@
 
     fn work(
         &mut self,
-        server: ServerId,
+        server: ServerIndex,
         event: server::Event,
         now: Micros,
         actions: &mut Vec<Action>,
@@ -562,7 +568,7 @@
     fn done(
         &mut self,
         exchange: u64,
-        server: ServerId,
+        server: ServerIndex,
         told: bool,
         now: Micros,
         actions: &mut Vec<Action>,
@@ -621,7 +627,7 @@
     }
 
     /// A machine that is dead says nothing to its group either.
-    fn gone(&mut self, server: ServerId, now: Micros, actions: &mut Vec<Action>) {
+    fn gone(&mut self, server: ServerIndex, now: Micros, actions: &mut Vec<Action>) {
         let Some(machine) = self.machines.get_mut(server as usize) else {
             return;
         };
@@ -720,7 +726,7 @@
         if group >= self.groups() {
             return;
         }
-        let server = self.machines.len() as ServerId;
+        let server = self.machines.len() as ServerIndex;
         let members = &mut self.members[group as usize];
         members.push(server);
         self.machines.push(Machine {
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -500,7 +500,7 @@
         settings(),
         |_| {
             Some(Told::Refused {
-                come_back: Some(300_000),
+                retry_after: Some(300_000),
             })
         },
         2,
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -4,7 +4,8 @@
 use platform_settings::{self as conf, Field};
 use quota::{Mark, Quota};
 use routing::{
-    Action, Ended, Entry, Event, ListNews, Note, Outcome, Report, Router, Standing, Time,
+    Action, AttemptEnded, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, QuotaStatus,
+    ResponseMetadata, Router, Time,
 };
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -20,13 +21,13 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
-    pages: BTreeMap<u32, Vec<Entry>>,
+    pages: BTreeMap<u32, Vec<Endpoint>>,
     actions: Vec<Action>,
     reply: Reply,
 }
 
 /// Figures come as 32-bit floats: for a position a step down undoes any rounding up.
-fn report(fields: &[Field], zero: Time, gauge: &[f32]) -> Report {
+fn report(fields: &[Field], zero: Time, gauge: &[f32]) -> LoadReport {
     let exact = |(&field, &value): (&Field, &f32)| match field {
         Field::Position if value > 0.0 => (field, f32::from_bits(value.to_bits() - 1).into()),
         _ => (field, value.into()),
@@ -34,14 +35,14 @@
     conf::report(zero, fields.iter().zip(gauge).map(exact))
 }
 
-fn note(zero: Time, raw: u32) -> Note {
+fn metadata(zero: Time, raw: u32) -> ResponseMetadata {
     let primary = match raw & 3 {
         1 => Some(true),
         2 => Some(false),
         _ => None,
     };
     let ms = u64::from(raw >> 2);
-    Note {
+    ResponseMetadata {
         primary,
         position: (ms > 0).then_some(zero.plus(Duration::from_millis(ms))),
     }
@@ -63,7 +64,7 @@
                         .iter()
                         .map(|tenant| tenant.quota_per_s)
                         .collect();
-                    let proxies = decoded.settings.routers;
+                    let proxies = decoded.settings.router_count;
                     let quota = Quota::new(&quota::Settings {
                         proxies,
                         quotas,
@@ -98,12 +99,12 @@
                         page.ok_or_else(|| reader.fault("a list that was never sent"))
                     };
                     let news = match kind {
-                        ListKind::Delta => ListNews::Changes(entries()?),
-                        ListKind::Full => ListNews::Complete(entries()?),
-                        ListKind::Cached => ListNews::Cached(entries()?),
-                        ListKind::Failed => ListNews::Failed,
+                        ListKind::Delta => EndpointUpdate::Changes(entries()?),
+                        ListKind::Full => EndpointUpdate::Snapshot(entries()?),
+                        ListKind::Cached => EndpointUpdate::Cached(entries()?),
+                        ListKind::Failed => EndpointUpdate::Failed,
                     };
-                    (inst, Event::List(news))
+                    (inst, Event::Endpoints(news))
                 }
                 Record::Incoming { inst, mut arrival } => {
                     if let Some(instance) = self.instances.get_mut(&inst) {
@@ -112,29 +113,29 @@
                             now,
                             tenant,
                             arrival.class.0.into(),
-                            arrival.repeated,
+                            arrival.is_client_retry,
                         );
                         if mark == Mark::Beyond {
-                            arrival.standing = Standing::Beyond;
+                            arrival.quota_status = QuotaStatus::OverQuota;
                         }
                     }
-                    (inst, Event::Arrived(arrival))
+                    (inst, Event::RequestArrived(arrival))
                 }
                 Record::Probed {
                     inst,
-                    store,
+                    server,
                     ok,
                     elapsed,
                     gauge,
                 } => {
                     let report = match self.instances.get(&inst) {
                         Some(i) => report(&i.fields, i.zero, &gauge),
-                        None => Report::default(),
+                        None => LoadReport::default(),
                     };
                     (
                         inst,
-                        Event::Probed {
-                            store,
+                        Event::ProbeEnded {
+                            server,
                             ok,
                             elapsed,
                             report,
@@ -143,24 +144,25 @@
                 }
                 Record::Ended(e) => {
                     let zero = self.instances.get(&e.inst).map_or(Time::ZERO, |i| i.zero);
-                    let note = match e.outcome {
-                        Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Failed => {
-                            note(zero, e.note)
-                        }
-                        _ => Note::default(),
+                    let metadata = match e.outcome {
+                        Outcome::Ok
+                        | Outcome::Misdirected
+                        | Outcome::Rejected
+                        | Outcome::Failed => metadata(zero, e.metadata),
+                        _ => ResponseMetadata::default(),
                     };
-                    let ended = Ended {
+                    let ended = AttemptEnded {
                         id: e.id,
                         attempt: e.attempt,
-                        store: e.store,
+                        server: e.server,
                         outcome: e.outcome,
                         elapsed: e.elapsed,
-                        last: e.last,
-                        note,
+                        request_finished: e.last,
+                        metadata,
                     };
-                    (e.inst, Event::Ended(ended))
+                    (e.inst, Event::AttemptEnded(ended))
                 }
-                Record::Left { inst, id } => (inst, Event::Left(id)),
+                Record::Left { inst, id } => (inst, Event::ClientLeft(id)),
                 Record::Alarm { inst, token } => (inst, Event::Timer(token)),
                 // Streams and messages between routers are not used.
                 Record::Established { inst } | Record::Memo { inst } => {
