--- a/crates/simulator-host/src/wire.rs
+++ b/crates/simulator-host/src/wire.rs
@@ -1,8 +1,9 @@
 //! Frames of the wire: big-endian, no padding. See the record layouts in `decode` and `encode`.
 
 use routing::{
-    Action, Arrival, AttemptNo, ClassId, Entry, GroupId, KindId, Listed, Outcome, RequestId,
-    SessionKey, Standing, StoreId, TenantId, Time, TimerToken, Wrote, ZoneId,
+    Action, Arrival, AttemptNo, ClassId, Endpoint, EndpointState, GroupId, KindId, Outcome,
+    QuotaStatus, RequestId, ServerId, SessionKey, SessionPosition, TenantId, Time, TimerToken,
+    ZoneId,
 };
 use std::fmt;
 use std::time::Duration;
@@ -65,7 +66,7 @@
     },
     Page {
         number: u32,
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
     },
     Directory {
         inst: u16,
@@ -78,7 +79,7 @@
     },
     Probed {
         inst: u16,
-        store: StoreId,
+        server: ServerId,
         ok: bool,
         elapsed: Duration,
         gauge: Vec<f32>,
@@ -108,11 +109,11 @@
     pub inst: u16,
     pub id: RequestId,
     pub attempt: AttemptNo,
-    pub store: StoreId,
+    pub server: ServerId,
     pub outcome: Outcome,
     pub elapsed: Duration,
     pub last: bool,
-    pub note: u32,
+    pub metadata: u32,
 }
 
 pub struct Reader<'a> {
@@ -183,26 +184,26 @@
         (0..n).map(|_| self.f32()).collect()
     }
 
-    fn entry(&mut self) -> Result<Entry, Malformed> {
-        let store = StoreId(self.u32()?);
+    fn entry(&mut self) -> Result<Endpoint, Malformed> {
+        let server = ServerId(self.u32()?);
         let zone = ZoneId(self.u16()?);
         let kind = KindId(self.u16()?);
         let group = GroupId(self.u16()?.into());
         let primary = self.f32()? == 1.0;
         let listed = match self.u8()? {
-            0 => Listed::Gone,
-            1 => Listed::Ready,
-            2 => Listed::Draining,
-            other => return Err(self.fault(format!("unknown store condition {other}"))),
+            0 => EndpointState::Removed,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
+            other => return Err(self.fault(format!("unknown server condition {other}"))),
         };
         let _share = self.f32()?;
         let started = Time::from_micros(self.u64()?);
-        Ok(Entry {
-            store,
+        Ok(Endpoint {
+            server,
             group,
             zone,
             kind,
-            listed,
+            state: listed,
             primary,
             started,
         })
@@ -254,12 +255,12 @@
             6 => self.incoming()?,
             7 => {
                 let inst = self.u16()?;
-                let store = StoreId(self.u32()?);
+                let server = ServerId(self.u32()?);
                 let ok = self.u16()? == 200;
                 let elapsed = Duration::from_micros(self.u32()?.into());
                 Record::Probed {
                     inst,
-                    store,
+                    server,
                     ok,
                     elapsed,
                     gauge: self.gauge()?,
@@ -300,7 +301,7 @@
         // by less than a microsecond, so the age is rounded down: a later commit asks for more.
         let wrote_ms = self.f32()?;
         let micros = (f64::from(wrote_ms) * 1e3) as u64;
-        let wrote = (wrote_ms > 0.0).then_some(Wrote::Ago(Duration::from_micros(micros)));
+        let wrote = (wrote_ms > 0.0).then_some(SessionPosition::Ago(Duration::from_micros(micros)));
         let set = self.f32()?;
         let group = GroupId(if set >= 0.0 { set as u32 } else { u32::MAX });
         let _work = self.u32()?;
@@ -312,11 +313,11 @@
             group,
             session,
             time_left,
-            wrote,
-            repeated,
-            standing: Standing::Within,
-            shed: 0.0,
-            tries: None,
+            session_position: wrote,
+            is_client_retry: repeated,
+            quota_status: QuotaStatus::WithinQuota,
+            shed_fraction: 0.0,
+            attempt_limit: None,
         };
         Ok(Record::Incoming { inst, arrival })
     }
@@ -325,32 +326,32 @@
         let inst = self.u16()?;
         let id = RequestId(self.u64()?);
         let attempt = AttemptNo(self.u16()?);
-        let store = StoreId(self.u32()?);
+        let server = ServerId(self.u32()?);
         let outcome = match self.u16()? {
             200 => Outcome::Ok,
-            404 => Outcome::Miss,
-            410 => Outcome::Moot,
+            404 => Outcome::Misdirected,
+            410 => Outcome::NotSent,
             499 => Outcome::Cancelled,
             500 => Outcome::Failed,
             502 => Outcome::ConnectFailed,
-            503 => Outcome::Full,
+            503 => Outcome::Rejected,
             504 => Outcome::TimedOut,
             598 => Outcome::Reset,
             other => return Err(self.fault(format!("unknown outcome {other}"))),
         };
         let elapsed = Duration::from_micros(self.u32()?.into());
         let last = self.u8()? != 0;
-        let note = self.u32()?;
+        let metadata = self.u32()?;
         self.gauge()?;
         Ok(Record::Ended(Ended {
             inst,
             id,
             attempt,
-            store,
+            server,
             outcome,
             elapsed,
             last,
-            note,
+            metadata,
         }))
     }
 }
@@ -383,22 +384,22 @@
         match *action {
             Action::Send {
                 id,
-                store,
-                time_out,
+                server,
+                timeout,
                 ..
             } => {
                 self.start(65, inst);
                 self.body.extend(id.0.to_be_bytes());
-                self.body.extend(store.0.to_be_bytes());
+                self.body.extend(server.0.to_be_bytes());
                 // Longer than any client waits means the same on the wire, whose field is signed.
                 self.body
-                    .extend(wire_span(time_out).min(i32::MAX as u32).to_be_bytes());
+                    .extend(wire_span(timeout).min(i32::MAX as u32).to_be_bytes());
             }
-            Action::Refuse { id, come_back } => {
+            Action::Reject { id, retry_after } => {
                 self.start(66, inst);
                 self.body.extend(id.0.to_be_bytes());
                 self.body
-                    .extend(come_back.map_or(0, wire_span).to_be_bytes());
+                    .extend(retry_after.map_or(0, wire_span).to_be_bytes());
             }
             Action::Fail { id } => {
                 self.start(67, inst);
@@ -414,9 +415,9 @@
                 self.body.extend(wire_delay(after).to_be_bytes());
                 self.body.extend(token.0.to_be_bytes());
             }
-            Action::Probe { store } => {
+            Action::Probe { server } => {
                 self.start(70, inst);
-                self.body.extend(store.0.to_be_bytes());
+                self.body.extend(server.0.to_be_bytes());
             }
             Action::Subscribe => {
                 self.start(75, inst);
--- a/crates/simulator-host/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -65,11 +65,11 @@
     assert_eq!(arrival.session, Some(SessionKey(0x91f0_3b7c_55d2_0a64)));
     assert_eq!(arrival.time_left, Duration::from_micros(240_000));
     assert_eq!(
-        arrival.wrote,
-        Some(Wrote::Ago(Duration::from_micros(412_500)))
+        arrival.session_position,
+        Some(SessionPosition::Ago(Duration::from_micros(412_500)))
     );
     assert_eq!(arrival.group, GroupId(11));
-    assert!(!arrival.repeated);
+    assert!(!arrival.is_client_retry);
     assert_eq!(
         reader.record().unwrap(),
         Record::Alarm {
@@ -95,8 +95,8 @@
     assert_eq!(entries.len(), 2);
     assert!(entries[0].primary && !entries[1].primary);
     assert_eq!(
-        (entries[0].store, entries[0].group),
-        (StoreId(0x0312_4a07), GroupId(11))
+        (entries[0].server, entries[0].group),
+        (ServerId(0x0312_4a07), GroupId(11))
     );
     assert_eq!(
         (entries[1].zone, entries[1].started),
@@ -122,21 +122,21 @@
         (ended.outcome, ended.elapsed, ended.last),
         (Outcome::Ok, Duration::from_micros(0x4844), true)
     );
-    assert_eq!(ended.note, 0x638e);
+    assert_eq!(ended.metadata, 0x638e);
 }
 
 #[test]
 fn actions_of_the_sample_reply() {
     let mut reply = Reply::default();
     let id = RequestId(0x000a_1bbb_5d3a_91c4);
-    let time_out = Duration::from_micros(0x13880);
+    let timeout = Duration::from_micros(0x13880);
     reply.push(
         3,
         &Action::Send {
             id,
-            store: StoreId(0x0312_4a07),
-            time_out,
-            begin_within: time_out,
+            server: ServerId(0x0312_4a07),
+            timeout,
+            begin_within: timeout,
         },
     );
     reply.push(
@@ -161,22 +161,29 @@
     let decoded = conf::decode(SETTINGS.as_bytes()).unwrap();
     let settings = decoded.settings;
     assert_eq!(
-        settings.classes[0].need,
-        Need::Bounded(Duration::from_micros(200_000))
+        settings.classes[0].consistency,
+        Consistency::BoundedStaleness(Duration::from_micros(200_000))
     );
-    let keyed = Effect::Keyed {
-        scope: Scope::Group,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::Group,
         window: Duration::from_micros(1_200_000),
     };
     assert_eq!(
-        (settings.classes[1].need, settings.classes[1].effect),
-        (Need::Write, keyed)
+        (
+            settings.classes[1].consistency,
+            settings.classes[1].idempotency
+        ),
+        (Consistency::Write, keyed)
     );
     assert_eq!(
-        settings.checks,
-        Checks::Wait(Duration::from_micros(100_000))
+        settings.staleness_check,
+        StalenessCheck::Wait(Duration::from_micros(100_000))
+    );
+    assert!(
+        settings.clients_carry_session_position
+            && !settings.endpoints_are_polled
+            && !settings.may_hedge
     );
-    assert!(settings.tokens_carried && !settings.list_on_request && !settings.second_copies);
     assert_eq!(
         decoded.fields,
         [
@@ -194,7 +201,7 @@
     let mut body = spawn(3);
     body.extend(hex(PAGE));
     body.extend(hex("02 0003 02 00000001 00000000"));
-    // The same number again, now with one other store: it must not change what instance 3 was told.
+    // The same number again, now with one other server: it must not change what instance 3 was told.
     body.extend(hex(
         "0a 00000000 00000001 00000005 0000 0000 000b 00000000 01 3f800000 0000000000000000",
     ));
@@ -204,7 +211,7 @@
     assert_eq!(assigned(&reply), [0x0312_4a07]);
 }
 
-/// A write for the group of the listed stores.
+/// A write for the group of the listed servers.
 const WRITE: &str =
     "06 0003 000a1bbb5d3a91c4 0000 0001 04 91f03b7c55d20a64 0003a980 00000000 41300000 00000000";
 
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 use serde_json::json;
 use server_model::catalog::{Action, Event, Record};
-use server_model::site::{ServerId, Status};
+use server_model::site::{ServerIndex, Status};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 /// Where each proxy finds each server.
-pub type Addresses = FxHashMap<(usize, ServerId), SocketAddr>;
+pub type Addresses = FxHashMap<(usize, ServerIndex), SocketAddr>;
 
 /// While nothing changes, an empty line comes this often.
 const QUIET: Duration = Duration::from_secs(2);
@@ -26,7 +26,7 @@
 }
 
 /// What the list calls a server.
-pub fn name(server: ServerId) -> String {
+pub fn name(server: ServerIndex) -> String {
     format!("s-{server:04}")
 }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -31,7 +31,7 @@
 use server_model::catalog;
 use server_model::clients;
 use server_model::platform::Platform;
-use server_model::site::{self, ServerId};
+use server_model::site::{self, ServerIndex};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -119,7 +119,7 @@
 }
 
 /// By proxy and server.
-pub type Links = rustc_hash::FxHashMap<(usize, ServerId), Link>;
+pub type Links = rustc_hash::FxHashMap<(usize, ServerIndex), Link>;
 
 /// In the operators' file: the proxy's own folder.
 pub const FOLDER: &str = "{folder}";
@@ -511,7 +511,7 @@
         found.map(|(_, link)| link.clone()).collect()
     }
 
-    pub fn link(&self, proxy: usize, server: ServerId) -> Option<Link> {
+    pub fn link(&self, proxy: usize, server: ServerIndex) -> Option<Link> {
         self.links.borrow().get(&(proxy, server)).cloned()
     }
 
@@ -546,7 +546,7 @@
 
 impl Maker {
     /// A server's listener, and a link to it from each proxy.
-    async fn open(&self, server: ServerId) -> Result<(), Fault> {
+    async fn open(&self, server: ServerIndex) -> Result<(), Fault> {
         let address = servers::open(self.truth.clone(), server).await?;
         let on = tokio::runtime::Handle::current();
         for proxy in 0..self.number {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -145,7 +145,7 @@
                 }
                 return match (&reply.value, reply.refused()) {
                     (Some(value), _) => truth.served(asked.id, exchange(value, asked.id)),
-                    (None, true) => truth.refused(asked.id, reply.come_back()),
+                    (None, true) => truth.refused(asked.id, reply.retry_after()),
                     (None, false) => truth.failed(asked.id),
                 };
             }
--- a/crates/testbed/src/misrule.rs
+++ b/crates/testbed/src/misrule.rs
@@ -8,7 +8,7 @@
 use invariant_checkers::Rule;
 use leverproxy::pg::server::{self, Asked, CancelKey, Startup};
 use leverproxy::pg::statement::{self, Query};
-use server_model::site::ServerId;
+use server_model::site::ServerIndex;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -140,7 +140,7 @@
         })
     }
 
-    async fn forward(&self, server: ServerId, text: &str) -> io::Result<Reply> {
+    async fn forward(&self, server: ServerIndex, text: &str) -> io::Result<Reply> {
         let address = self.addresses.borrow().get(&(self.proxy, server)).copied();
         let address = address.ok_or(io::ErrorKind::NotFound)?;
         Connection::open(address).await?.ask(text).await
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -7,13 +7,13 @@
 use leverproxy::pg::server::{self, Asked, CancelKey, Startup};
 use leverproxy::pg::sqlstate;
 use leverproxy::pg::statement::{self, Query};
-use server_model::site::{Answer, ServerId};
+use server_model::site::{Answer, ServerIndex};
 use std::net::SocketAddr;
 use std::time::Instant;
 use tokio::net::{TcpListener, TcpStream};
 
 /// Listens for a server, on a port that stays its own whatever becomes of it.
-pub async fn open(truth: Truth, server: ServerId) -> Result<SocketAddr, Fault> {
+pub async fn open(truth: Truth, server: ServerIndex) -> Result<SocketAddr, Fault> {
     let bound = TcpListener::bind("127.0.0.1:0").await;
     let listener = bound.map_err(|e| Fault::new(format!("no port for server {server}: {e}")))?;
     let address = listener
@@ -30,7 +30,7 @@
 /// A place in the server's table of connections, until it is let go.
 struct Place<'a> {
     truth: &'a Truth,
-    server: ServerId,
+    server: ServerIndex,
     life: u64,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-async fn connection(truth: Truth, server: ServerId, stream: TcpStream) {
+async fn connection(truth: Truth, server: ServerIndex, stream: TcpStream) {
     _ = stream.set_nodelay(true);
     let mut life = truth.life(server);
     let born = *life.borrow_and_update();
@@ -70,7 +70,7 @@
 
 async fn converse(
     truth: &Truth,
-    server: ServerId,
+    server: ServerIndex,
     stream: &TcpStream,
     welcome: bool,
 ) -> Result<(), Over> {
@@ -116,7 +116,7 @@
     }
 }
 
-async fn query(truth: &Truth, server: ServerId, text: &str) -> Result<Vec<u8>, Over> {
+async fn query(truth: &Truth, server: ServerIndex, text: &str) -> Result<Vec<u8>, Over> {
     if text == "SHOW load" || text == "SELECT 1" {
         let Some(report) = truth.probe(server).await.ok().flatten() else {
             return Err(Over);
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -58,7 +58,7 @@
         "LoadReport": {"Fields": ["x0", "x1", "backlog", "outstanding"], "How": "on_probe"},
         "PolicyLimits": {
             "DialTimeout": platform.dial_wait, "Keepalive": platform.keepalive, "MayCancel": true,
-            "MaxRetryAfter": platform.come_back_most, "RetryAfter": platform.come_back_most > 0,
+            "MaxRetryAfter": platform.max_retry_after, "RetryAfter": platform.max_retry_after > 0,
             "Probing": platform.probes, "SecondCopies": platform.second_copies, "TryLimit": platform.tries,
         },
         "Rules": {
--- a/crates/testbed/src/truth.rs
+++ b/crates/testbed/src/truth.rs
@@ -10,7 +10,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use server_model::catalog::{self, Catalog, Record};
 use server_model::clients::{self, Clients, Due, End, Need, Settled, Try, TryId};
-use server_model::site::{self, Answer, Ask, ServerId, Site, Status, Trouble, Wake};
+use server_model::site::{self, Answer, Ask, ServerIndex, Site, Status, Trouble, Wake};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 use std::cmp::Reverse;
@@ -90,14 +90,14 @@
     probes: FxHashMap<u64, oneshot::Sender<Option<site::Report>>>,
     /// By server: how often it has died. What was connected to it before is broken by that.
     lives: Vec<watch::Sender<u64>>,
-    born: mpsc::UnboundedSender<ServerId>,
+    born: mpsc::UnboundedSender<ServerIndex>,
     watchers: FxHashMap<usize, mpsc::UnboundedSender<catalog::Action>>,
     errands: mpsc::UnboundedSender<Errand>,
     books: Vec<Book>,
     latencies: Vec<Histogram<u64>>,
     lateness: Histogram<u64>,
     /// By proxy and server: attempts that came whole.
-    pub reached: FxHashMap<(usize, ServerId), u64>,
+    pub reached: FxHashMap<(usize, ServerIndex), u64>,
     pub probed: u64,
     /// Connections for which a server had no place.
     pub turned_away: u64,
@@ -119,7 +119,7 @@
 /// What the truth's faces wait on.
 pub struct Faces {
     /// Servers that are new.
-    pub born: mpsc::UnboundedReceiver<ServerId>,
+    pub born: mpsc::UnboundedReceiver<ServerIndex>,
     pub errands: mpsc::UnboundedReceiver<Errand>,
 }
 
@@ -276,7 +276,7 @@
     // ---- Record servers ----
 
     /// A connection has been asked for: whether it is taken.
-    pub fn dial(&self, server: ServerId) -> bool {
+    pub fn dial(&self, server: ServerIndex) -> bool {
         self.with(|inner, now| {
             let mut actions = Vec::new();
             let up = inner.site.dial(server, now, &mut actions);
@@ -286,16 +286,16 @@
         })
     }
 
-    pub fn hang_up(&self, server: ServerId) {
+    pub fn hang_up(&self, server: ServerIndex) {
         self.with(|inner, _| inner.site.hang_up(server));
     }
 
     /// A request's last byte has come to a server. None: no client has asked that.
-    pub fn request(&self, server: ServerId, id: TryId) -> Option<oneshot::Receiver<Said>> {
+    pub fn request(&self, server: ServerIndex, id: TryId) -> Option<oneshot::Receiver<Said>> {
         self.with(|inner, now| inner.request(server, id, now))
     }
 
-    pub fn probe(&self, server: ServerId) -> oneshot::Receiver<Option<site::Report>> {
+    pub fn probe(&self, server: ServerIndex) -> oneshot::Receiver<Option<site::Report>> {
         self.with(|inner, now| {
             let (send, reply) = oneshot::channel();
             inner.next += 1;
@@ -308,7 +308,7 @@
     }
 
     /// A watch on a server's deaths.
-    pub fn life(&self, server: ServerId) -> watch::Receiver<u64> {
+    pub fn life(&self, server: ServerIndex) -> watch::Receiver<u64> {
         self.look().lives[server as usize].subscribe()
     }
 
@@ -383,13 +383,13 @@
         });
     }
 
-    pub fn refused(&self, id: TryId, come_back: Option<Duration>) {
-        let come_back = come_back.map(|d| d.as_micros() as Micros);
+    pub fn refused(&self, id: TryId, retry_after: Option<Duration>) {
+        let retry_after = retry_after.map(|d| d.as_micros() as Micros);
         self.with(|inner, now| {
             inner.answered(
                 id,
                 Final::Refused,
-                clients::Answer::Refused { come_back },
+                clients::Answer::Refused { retry_after },
                 now,
             );
         });
@@ -504,7 +504,7 @@
     /// Connections that proxies made to servers.
     pub dials: u64,
     /// Requests that each proxy brought to each server.
-    pub reached: FxHashMap<(usize, ServerId), u64>,
+    pub reached: FxHashMap<(usize, ServerIndex), u64>,
 }
 
 /// Later than this in one of a hundred cases, the rig claims nothing.
@@ -518,7 +518,7 @@
 
     /// How many servers a proxy met in the mean, and how much more than the mean the busiest server got.
     pub fn spread(&self) -> (f64, f64) {
-        let (mut proxies, mut servers) = (BTreeSet::new(), BTreeMap::<ServerId, u64>::new());
+        let (mut proxies, mut servers) = (BTreeSet::new(), BTreeMap::<ServerIndex, u64>::new());
         for (&(proxy, server), &number) in &self.reached {
             proxies.insert(proxy);
             *servers.entry(server).or_default() += number;
@@ -616,7 +616,7 @@
 
     fn request(
         &mut self,
-        server: ServerId,
+        server: ServerIndex,
         id: TryId,
         now: Micros,
     ) -> Option<oneshot::Receiver<Said>> {
@@ -678,8 +678,8 @@
             id,
             match answer {
                 Answer::Ok => Outcome::Ok,
-                Answer::Miss => Outcome::Miss,
-                Answer::Full => Outcome::Full,
+                Answer::Miss => Outcome::Misdirected,
+                Answer::Full => Outcome::Rejected,
                 Answer::Error => Outcome::Failed,
                 Answer::Reset | Answer::Refused => Outcome::Reset,
             },
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -54,7 +54,7 @@
         matches!(self.code.as_deref(), Some("53300" | "57P03"))
     }
 
-    pub fn come_back(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.detail
             .as_ref()?
             .parse()
--- a/crates/testbed/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
-use server_model::site::{ServerId, Trouble};
+use server_model::site::{ServerIndex, Trouble};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use testbed::link::Flow;
@@ -21,7 +21,7 @@
 }
 
 /// The members that a proxy should meet before the others.
-fn part(rig: &Rig, proxy: usize, group: u32) -> BTreeSet<ServerId> {
+fn part(rig: &Rig, proxy: usize, group: u32) -> BTreeSet<ServerIndex> {
     let mut members = rig.truth.look().site.members(group).to_vec();
     subsetting::order(proxy as u32, group, &mut members, |server| {
         subsetting::key(&discovery::name(server))
@@ -34,7 +34,7 @@
 
 /// What each proxy sent to anybody but primaries and its own part, and what it sent in all.
 fn astray(rig: &Rig) -> (u64, u64) {
-    let parts: Vec<BTreeSet<ServerId>> = (0..PROXIES)
+    let parts: Vec<BTreeSet<ServerIndex>> = (0..PROXIES)
         .map(|proxy| {
             (0..GROUPS)
                 .flat_map(|group| part(rig, proxy, group))
@@ -45,10 +45,10 @@
     let primaries: BTreeSet<_> = (0..GROUPS)
         .filter_map(|group| look.site.primary(group))
         .collect();
-    let beyond = |(proxy, server): &(usize, ServerId)| {
+    let beyond = |(proxy, server): &(usize, ServerIndex)| {
         !parts[*proxy].contains(server) && !primaries.contains(server)
     };
-    let sent = |counts: &dyn Fn(&(usize, ServerId)) -> bool| -> u64 {
+    let sent = |counts: &dyn Fn(&(usize, ServerIndex)) -> bool| -> u64 {
         look.reached
             .iter()
             .filter(|(pair, _)| counts(pair))
@@ -69,7 +69,7 @@
         beyond * 20 < all,
         "{beyond} of {all} were sent beyond the parts"
     );
-    let met: BTreeSet<ServerId> = rig
+    let met: BTreeSet<ServerIndex> = rig
         .truth
         .look()
         .reached
@@ -95,7 +95,7 @@
         rig.truth.trouble(Trouble::Die(server));
     }
     let others = |inner: &Inner| {
-        let beyond = |(proxy, server): &(usize, ServerId)| {
+        let beyond = |(proxy, server): &(usize, ServerIndex)| {
             *proxy == 0 && inner.site.members(0).contains(server) && !own.contains(server)
         };
         let sent = inner
@@ -136,7 +136,7 @@
     let rig = start(fleet(10 * SECOND));
     answered(&rig, 200);
     let primary = rig.truth.look().site.primary(0);
-    let slow: Vec<ServerId> = (0..PROXIES)
+    let slow: Vec<ServerIndex> = (0..PROXIES)
         .map(|proxy| {
             part(&rig, proxy, 0)
                 .into_iter()
@@ -150,8 +150,9 @@
     }
     let sent = || {
         let look = rig.truth.look();
-        let group =
-            |server: &ServerId| look.site.members(0).contains(server) && Some(*server) != primary;
+        let group = |server: &ServerIndex| {
+            look.site.members(0).contains(server) && Some(*server) != primary
+        };
         let all = look.reached.iter().filter(|((_, server), _)| group(server));
         let (mut late, mut sum) = (0, 0);
         for (&(proxy, server), number) in all {
@@ -198,7 +199,7 @@
         .for_each(|kind| kind.work.mean = 10_000.0);
     let rig = start(setup);
     answered(&rig, 200);
-    let old: Vec<ServerId> = (0..GROUPS)
+    let old: Vec<ServerIndex> = (0..GROUPS)
         .flat_map(|group| {
             let look = rig.truth.look();
             let stays = look.site.primary(group);
@@ -221,7 +222,7 @@
     old.iter()
         .for_each(|&server| rig.truth.trouble(Trouble::Retire(server)));
     let new = |inner: &Inner| {
-        let met: BTreeSet<ServerId> = inner.reached.keys().map(|&(_, server)| server).collect();
+        let met: BTreeSet<ServerIndex> = inner.reached.keys().map(|&(_, server)| server).collect();
         met.range(known..).count()
     };
     // A cold one gets a few in a hundred of its part: some are met soon, all of them only in good time.
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -5,7 +5,7 @@
 use common::{answered, setup, sound, start, SECOND};
 use rustix::process::Signal;
 use server_model::catalog;
-use server_model::site::{ServerId, Trouble};
+use server_model::site::{ServerIndex, Trouble};
 use std::process::Command;
 use std::time::Instant;
 use testbed::link::Flow;
@@ -34,11 +34,11 @@
     setup
 }
 
-fn at(rig: &Rig, place: u16) -> Vec<ServerId> {
+fn at(rig: &Rig, place: u16) -> Vec<ServerIndex> {
     at_of(rig, 2, place)
 }
 
-fn at_of(rig: &Rig, groups: u32, place: u16) -> Vec<ServerId> {
+fn at_of(rig: &Rig, groups: u32, place: u16) -> Vec<ServerIndex> {
     let inner = rig.truth.look();
     (0..groups)
         .flat_map(|g| inner.site.members(g).to_vec())
@@ -112,7 +112,7 @@
     }
 }
 
-fn all(rig: &Rig, servers: &[ServerId], trouble: impl Fn(ServerId) -> Trouble) {
+fn all(rig: &Rig, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
     servers
         .iter()
         .for_each(|server| rig.truth.trouble(trouble(*server)));
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -218,7 +218,7 @@
         // Whole seconds, rounded up: earlier is of no use.
         headers.push(format!(
             "Retry-After: {}",
-            status.come_back.as_millis().div_ceil(1_000).max(1)
+            status.retry_after.as_millis().div_ceil(1_000).max(1)
         ));
     }
     if matches!(state, State::Degraded(_) | State::Overloaded) {
--- a/crates/wire-health/src/lib.rs
+++ b/crates/wire-health/src/lib.rs
@@ -21,7 +21,7 @@
     /// Clients that the proxy has room for; none: that is not told.
     pub room: Option<u32>,
     /// When whoever is turned away may come again.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     pub load: Load,
     pub groups: Vec<Group>,
     /// Places of record servers, and how the link to each stands.
--- a/crates/wire-health/tests/codecs.rs
+++ b/crates/wire-health/tests/codecs.rs
@@ -31,13 +31,13 @@
             serves: false,
         },
     ];
-    let come_back = Duration::from_millis(1_200);
+    let retry_after = Duration::from_millis(1_200);
     Status {
         state,
         weight,
         reason: "group 3 is hung".into(),
         room: Some(40),
-        come_back,
+        retry_after,
         load,
         groups,
         links: vec![("thamel".into(), "cut")],
