--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -100,7 +100,7 @@
 }
 
 pub fn main() -> ExitCode {
-    crate::logging::start();
+    crate::observability::logging::start();
     let arguments: Vec<std::ffi::OsString> = std::env::args_os().collect();
     // A program of few words asked for its version need not be told that it has sub-commands.
     if arguments.len() == 2 && (arguments[1] == "-V" || arguments[1] == "--version") {
@@ -149,7 +149,7 @@
     let word = with.get_one::<String>("word").map_or("", String::as_str);
     let needs = matches!(word, "propose" | "resume");
     let version = match with.get_one::<String>("version") {
-        Some(text) if needs => match crate::rollout::version(text) {
+        Some(text) if needs => match crate::cluster::rollout::version(text) {
             Ok(hash) => format!(" {hash}"),
             Err(problem) => {
                 eprintln!("leverproxy: {problem}");
--- a/crates/leverproxy/src/members.rs
+++ b/crates/leverproxy/src/cluster/members.rs
@@ -3,7 +3,7 @@
 //!
 //! Nothing of it waits: a datagram that can't be sent now is lost, as one on the wire may be.
 
-use crate::reactor::{Interest, Reactor, Token};
+use crate::event_loop::reactor::{Interest, Reactor, Token};
 use configuration::model::Members as Stated;
 use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use membership::{
--- a/crates/leverproxy/src/lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -2,8 +2,8 @@
 //! file, and asks it for each request that is beyond its tenant's quota.
 
 use crate::clock;
-use crate::kept::{self, Lock, LockError};
-use crate::members::Members;
+use crate::cluster::members::Members;
+use crate::persistence::state_file::{self, Lock, LockError};
 use configuration::calendar::{Moment, Window};
 use configuration::model::{Credit, Lending as Stated};
 use membership::{Act, Fact, Status};
@@ -61,12 +61,12 @@
 
 impl Store for Disk {
     fn save(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
-        kept::save(&self.path, bytes)
+        state_file::save(&self.path, bytes)
             .map_err(|e| StoreError::Write(format!("{}: {e}", self.path.display())))
     }
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
-        kept::load(&self.path, FILE_LIMIT)
+        state_file::load(&self.path, FILE_LIMIT)
             .map_err(|e| StoreError::Read(format!("{}: {e}", self.path.display())))
     }
 }
@@ -97,7 +97,7 @@
         let (jobs, wanted) = channel::<(u64, Vec<u8>)>();
         let (tell, done) = channel();
         let work = move || {
-            kept::remove_drafts(&disk.path);
+            state_file::remove_drafts(&disk.path);
             for (sequence, bytes) in wanted {
                 let saved = disk.save(&bytes);
                 if tell.send((sequence, bytes, saved)).is_err() {
--- a/crates/leverproxy/src/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -1,14 +1,14 @@
 //! New versions of the operators' file, between the fleet and the reload: what others say comes from `members`, what
 //! runs goes through `reload`, and which version runs is `rollout`'s to say.
 
+use crate::cluster::members::Members;
+use crate::config::operator_config::Disk;
+use crate::config::reload::Ask;
 use crate::config::ConfigError;
-use crate::counters::Counters;
-use crate::kept::{self, Writer};
-use crate::members::Members;
-use crate::operate::Said;
-use crate::operators::Disk;
-use crate::reload::Ask;
-use crate::worth::Sum;
+use crate::control::control_socket::Said;
+use crate::observability::counters::Counters;
+use crate::observability::goodput::Sum;
+use crate::persistence::state_file::{self, Writer};
 use configuration::load::{Loader, FILE_LIMIT};
 use configuration::model::Rollout as Stated;
 use membership::{Act, Status as Heard};
@@ -604,7 +604,7 @@
 /// None: the first start with that directory.
 fn load(folder: &Path) -> Result<Option<Vec<u8>>, Fault> {
     let path = folder.join(STATE_FILE);
-    kept::load(&path, STATE_LIMIT).map_err(|error| Fault::Forgotten(path, error))
+    state_file::load(&path, STATE_LIMIT).map_err(|error| Fault::Forgotten(path, error))
 }
 
 fn short(phase: Phase) -> &'static str {
--- a/crates/leverproxy/src/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -1,6 +1,6 @@
 //! How much of each tenant's traffic each proxy sees, told to the others: so all parts of a quota together are the quota.
 
-use crate::members::Members;
+use crate::cluster::members::Members;
 use membership::{number, Act, Fact, Status};
 use quota::Others;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/leverproxy/src/config.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -4,11 +4,14 @@
 //! there is one. What the platform states holds; the operators' file sets what is ours to choose, tightens, and
 //! never loosens. Variables of the environment count over both.
 
+mod json_position;
+pub mod operator_config;
+pub mod reload;
+
 use crate::clock::Source;
 use crate::discovery::wire::{Listing, ListingError};
 use crate::health::Listen;
-use crate::operators;
-use crate::stages::steer::Rules;
+use crate::pipeline::route_rules::Rules;
 use configuration::calendar::Window;
 use configuration::model::{Entry, Lending, Logging, Members, Memory, Model, Origin, Rollout};
 use configuration::schema::Takes;
@@ -42,7 +45,7 @@
         let overridden = variable(&format!("LB_{}", first.to_uppercase())).is_some();
         let path = variable("LB_CONFIG").filter(|_| stated && !overridden);
         let Some(path) = path else { return self };
-        let line = crate::locate::line_of(text, &self.key)
+        let line = crate::config::json_position::line_of(text, &self.key)
             .map_or(String::new(), |line| format!(":{line}"));
         ConfigError {
             problem: format!("{} ({path}{line})", self.problem),
@@ -223,7 +226,7 @@
 /// moment (the load, a configuration, a memory with its lock and its place).
 const SPARE_SOCKETS: usize = 32;
 /// Kept for balancers' connections to the clients' listener that ask for nothing.
-const BALANCERS: usize = crate::front::CHECKS;
+const BALANCERS: usize = crate::downstream::CHECKS;
 /// Kept for checks beside their own number, and for the operators' socket.
 const HEALTH_RESERVE: usize = 10;
 const DEFAULT_SOCKETS: usize = 1_024;
@@ -349,7 +352,7 @@
     let (config, told) = checked(&text, &variable, Reading::First, None)?;
     let limits = platform_file(&text)?.limits;
     let reading = match variable("LB_OPERATORS").filter(|path| !path.is_empty()) {
-        Some(path) => operators::read(Path::new(&path), None, false),
+        Some(path) => operator_config::read(Path::new(&path), None, false),
         None => configuration::Reading::default(),
     };
     let mut entries = configuration::model::entries(&reading.sections);
@@ -419,7 +422,7 @@
 pub fn platform(text: &[u8]) -> Result<configuration::platform::Platform, ConfigError> {
     let file = platform_file(text)?;
     let decoded = decode(&file)?;
-    Ok(operators::platform(
+    Ok(operator_config::platform(
         &decoded,
         file.limits.sockets,
         file.limits.memory_mb,
@@ -452,11 +455,11 @@
     let Some(path) = path.filter(|path| !path.is_empty()) else {
         return Ok(Model::default());
     };
-    let reading = operators::read(Path::new(&path), Some(platform), false);
+    let reading = operator_config::read(Path::new(&path), Some(platform), false);
     if reading.sound() {
         return Ok(reading.model);
     }
-    let faults = operators::faults(&reading);
+    let faults = operator_config::faults(&reading);
     let problem = format!("{path} has {} fault(s)", faults.len());
     Err(ConfigError {
         key: "LB_OPERATORS".into(),
@@ -495,9 +498,9 @@
 ) -> Result<(Config, Told), ConfigError> {
     let file = platform_file(text)?;
     let mut platform = decode(&file)?;
-    let against = operators::platform(&platform, file.limits.sockets, file.limits.memory_mb);
+    let against = operator_config::platform(&platform, file.limits.sockets, file.limits.memory_mb);
     let model = operators_model(variable("LB_OPERATORS"), &against)?;
-    operators::tighten(&mut platform, &model);
+    operator_config::tighten(&mut platform, &model);
 
     let stated = |name: &'static str, key: &str, in_file: &Option<String>| {
         let here = variable(name).map(|text| (text, Origin::Environment(name)));
@@ -558,7 +561,7 @@
     let member_keys = model
         .members
         .as_ref()
-        .map(|m| operators::member_keys(m, &name))
+        .map(|m| operator_config::member_keys(m, &name))
         .transpose()?;
     let place = variable("TMPDIR").filter(|place| admin.is_some() && !place.is_empty());
     // The name of a proxy is the platform's, and may hold what no file's name does.
@@ -572,17 +575,17 @@
         seed,
         limits,
         patience: patience(&model),
-        rules: operators::rules(&model, &platform),
-        health: operators::health(&model),
-        availability: operators::availability(&model),
+        rules: operator_config::rules(&model, &platform),
+        health: operator_config::health(&model),
+        availability: operator_config::availability(&model),
         control: model.control.clone(),
-        balancers: operators::balancers(&model),
+        balancers: operator_config::balancers(&model),
         members: model.members.clone(),
         member_keys,
         rollout: model.rollout.clone(),
         memory: model.memory.clone(),
         lending: model.lending.clone(),
-        sites: operators::sites(&model),
+        sites: operator_config::sites(&model),
         windows: model.windows.clone(),
         operators: variable("LB_OPERATORS")
             .filter(|path| !path.is_empty())
@@ -679,7 +682,7 @@
             0
         };
     let calls = if admin {
-        crate::admin::CONNECTIONS + 1
+        crate::control::admin::CONNECTIONS + 1
     } else {
         0
     };
--- a/crates/leverproxy/src/operators.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -2,8 +2,8 @@
 
 use crate::config::ConfigError;
 use crate::health::{Listen, Protocol};
+use crate::pipeline::route_rules::{Rules, Ruling};
 use crate::request::shown;
-use crate::stages::steer::{Rules, Ruling};
 use bulkheads::{Priority, Rate, Settings as Pool};
 use configuration::diagnostic::{self, Diagnostic};
 use configuration::index::{Index, Names};
--- a/crates/leverproxy/src/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -3,9 +3,9 @@
 //!
 //! One thread for all of it, which lasts from the first reload on: memory that one reload needed serves the next.
 
+use crate::cluster::rollout;
 use crate::config::{Config, ConfigError};
-use crate::rollout;
-use crate::stages::steer::Rules;
+use crate::pipeline::route_rules::Rules;
 use ::rollout::Hash;
 use std::io::{self, Write};
 use std::os::unix::net::UnixStream;
--- a/crates/leverproxy/src/admin.rs
+++ b/crates/leverproxy/src/control/admin.rs
@@ -3,9 +3,9 @@
 //! Callers that dawdle cost nobody else an answer: the connections are few and counted apart from clients, the loop looks
 //! at them first, and at the limit the one that has gone longest without a whole call gives way to the next caller.
 
-use crate::net::{self, Filled, Refusal, Stream};
-use crate::reactor::{Interest, Key, Reactor, Slots, Token};
-use crate::seldom::Seldom;
+use crate::event_loop::connection::{self, Filled, Refusal, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::observability::log_rate_limit::LogRateLimit;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -21,7 +21,7 @@
     listener: OwnedFd,
     address: SocketAddr,
     callers: Slots<Caller>,
-    exhausted: Seldom,
+    exhausted: LogRateLimit,
 }
 
 struct Caller {
@@ -34,14 +34,14 @@
 
 impl Admin {
     pub fn listen(address: SocketAddr, reactor: &Reactor) -> io::Result<Admin> {
-        let listener = net::listen(address)?;
+        let listener = connection::listen(address)?;
         reactor.add(&listener, Token::AdminListener, Interest::READ)?;
-        let address = net::local_address(&listener).unwrap_or(address);
+        let address = connection::local_address(&listener).unwrap_or(address);
         Ok(Admin {
             listener,
             address,
             callers: Slots::default(),
-            exhausted: Seldom::default(),
+            exhausted: LogRateLimit::default(),
         })
     }
 
@@ -51,18 +51,19 @@
 
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         loop {
-            let stream = match net::accept_or_rest(&self.listener, Token::AdminListener, reactor) {
-                Ok((stream, _)) => stream,
-                Err(Refusal::Empty | Refusal::Later) => return,
-                Err(Refusal::Exhausted) => {
-                    self.exhausted
-                        .warn(now, || "admin: no descriptor left for a caller".into());
-                    if !self.put_out_oldest() {
-                        return;
+            let stream =
+                match connection::accept_or_rest(&self.listener, Token::AdminListener, reactor) {
+                    Ok((stream, _)) => stream,
+                    Err(Refusal::Empty | Refusal::Later) => return,
+                    Err(Refusal::Exhausted) => {
+                        self.exhausted
+                            .warn(now, || "admin: no descriptor left for a caller".into());
+                        if !self.put_out_oldest() {
+                            return;
+                        }
+                        continue;
                     }
-                    continue;
-                }
-            };
+                };
             if self.callers.len() >= CONNECTIONS {
                 self.put_out_oldest();
             }
--- a/crates/leverproxy/src/operate.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -1,7 +1,7 @@
 //! The operators' control socket: a line in, lines out, over a Unix socket that only its owner may use.
 
-use crate::net::{self, Filled, Stream};
-use crate::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::connection::{self, Filled, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
 use ::rollout::Hash;
 use std::io;
 use std::os::fd::OwnedFd;
@@ -87,14 +87,14 @@
     }
 
     fn bind(path: &Path, reactor: &Reactor) -> io::Result<(OwnedFd, u64)> {
-        let listener = net::take_unix(path)?;
+        let listener = connection::take_unix(path)?;
         reactor.add(&listener, Token::OperateListener, Interest::READ)?;
         Ok((listener, std::fs::symlink_metadata(path)?.ino()))
     }
 
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         let token = Token::OperateListener;
-        while let Ok((mut stream, _)) = net::accept_or_rest(&self.listener, token, reactor) {
+        while let Ok((mut stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
             if self.peers.len() >= CONNECTIONS {
                 stream.push(b"error: too many at once\n");
                 _ = stream.flush();
@@ -137,7 +137,7 @@
             )),
             Some(line) => line
                 .strip_prefix("rollout ")
-                .and_then(crate::rollout::said)
+                .and_then(crate::cluster::rollout::said)
                 .map(Word::Rollout),
             None if filled == Filled::Ended || input.len() >= LINE_LIMIT => {
                 self.peers.remove(key);
--- a/crates/leverproxy/src/control.rs
+++ b/crates/leverproxy/src/control/mod.rs
@@ -1,5 +1,8 @@
 //! Words from outside to a running proxy: from an embedding program by [`Control`], or by signals.
 
+pub mod admin;
+pub mod control_socket;
+
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io::{self, Read, Write};
 use std::os::fd::{AsFd, BorrowedFd};
--- a/crates/leverproxy/src/discovery/mod.rs
+++ b/crates/leverproxy/src/discovery/mod.rs
@@ -5,10 +5,10 @@
 pub mod directory;
 pub mod wire;
 
-use crate::http::{self, Part, Reader};
-use crate::net::{Filled, Stream};
-use crate::reactor::{Interest, Key, Reactor, Slots, Token};
-use crate::seldom::Seldom;
+use crate::event_loop::connection::{Filled, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::observability::log_rate_limit::LogRateLimit;
+use crate::protocol::http::{self, Part, Reader};
 use discovery_schedule::{Action, Clock, Event};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     former: Option<Key>,
     news: VecDeque<News>,
     /// An agent that is down is called ten times a second.
-    losses: Seldom,
+    losses: LogRateLimit,
 }
 
 struct Watch {
@@ -64,7 +64,7 @@
             current: None,
             former: None,
             news: VecDeque::new(),
-            losses: Seldom::default(),
+            losses: LogRateLimit::default(),
         }
     }
 
--- a/crates/leverproxy/src/front/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -1,12 +1,12 @@
 //! One client: what is known of its connection, and its next command read off it.
 
 use crate::config::Patience;
-use crate::net::Stream;
-use crate::pg::server::{self, Asked, CancelKey, Startup};
-use crate::pg::statement::{self, Query};
-use crate::pg::Malformed;
-use crate::reactor::Key;
-use crate::request::{Request, Ticket};
+use crate::event_loop::connection::Stream;
+use crate::event_loop::reactor::Key;
+use crate::protocol::postgres::server::{self, Asked, CancelKey, Startup};
+use crate::protocol::postgres::statement::{self, Query};
+use crate::protocol::postgres::Malformed;
+use crate::request::{Request, ResponseSlot};
 use std::collections::VecDeque;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -108,7 +108,7 @@
     }
 
     /// Of a request among those not answered yet.
-    pub(super) fn place(&self, ticket: Ticket) -> Option<usize> {
+    pub(super) fn place(&self, ticket: ResponseSlot) -> Option<usize> {
         usize::try_from(ticket.number.checked_sub(self.first)?).ok()
     }
 
@@ -184,7 +184,7 @@
     Gone,
     /// The client came to cancel another session's request, and goes.
     Cancel(CancelKey),
-    Asked(Ticket, Request),
+    Asked(ResponseSlot, Request),
     /// A statement that is no request, and why.
     Rejected(String),
 }
@@ -258,7 +258,7 @@
     if let Some(request) = request {
         let number = client.expect(None);
         return Ok(Step::Asked(
-            Ticket {
+            ResponseSlot {
                 client: key,
                 number,
             },
--- a/crates/leverproxy/src/front.rs
+++ b/crates/leverproxy/src/downstream/mod.rs
@@ -3,12 +3,12 @@
 mod client;
 
 use crate::config::{Limits, Patience};
-use crate::net::{self, Filled, Refusal, Stream};
-use crate::pg::server::{self, CancelKey};
-use crate::pg::Malformed;
-use crate::reactor::{Interest, Key, Reactor, Slots, Token};
-use crate::request::{Answer, Request, Ticket};
-use crate::seldom::Seldom;
+use crate::event_loop::connection::{self, Filled, Refusal, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::observability::log_rate_limit::LogRateLimit;
+use crate::protocol::postgres::server::{self, CancelKey};
+use crate::protocol::postgres::Malformed;
+use crate::request::{Answer, Request, ResponseSlot};
 use client::{command, greet, header, Client, Ending, Slot, Step};
 use ipnet::IpNet;
 use std::collections::VecDeque;
@@ -42,16 +42,16 @@
 
 #[derive(Debug)]
 pub enum Event {
-    Asked(Ticket, Request),
+    Asked(ResponseSlot, Request),
     /// Nobody waits for the answer any more.
-    Left(Ticket),
+    Left(ResponseSlot),
     /// The client has taken its request back on another connection.
-    Cancelled(Ticket),
-    /// More of an answer that passes in pieces may come, after [`Front::pass`] had no room.
-    Room(Ticket),
+    Cancelled(ResponseSlot),
+    /// More of an answer that passes in pieces may come, after [`Downstream::pass`] had no room.
+    Room(ResponseSlot),
 }
 
-pub struct Front {
+pub struct Downstream {
     listener: Option<OwnedFd>,
     /// At the limit of clients the listener is not looked at.
     accepting: bool,
@@ -59,8 +59,8 @@
     patience: Patience,
     clients: Slots<Client>,
     events: VecDeque<Event>,
-    misunderstood: Seldom,
-    exhausted: Seldom,
+    misunderstood: LogRateLimit,
+    exhausted: LogRateLimit,
     /// Connections ended for what came on them, or for nothing sound having come in time.
     pub turned_out: u64,
     /// Statements that are answered with an error, since they are no request.
@@ -98,7 +98,7 @@
     }
 }
 
-impl Front {
+impl Downstream {
     /// Listens with `inherited` if that is there, else at `address`, which others may share.
     pub fn listen(
         address: SocketAddr,
@@ -107,22 +107,22 @@
         limits: Limits,
         patience: Patience,
         reactor: &Reactor,
-    ) -> io::Result<Front> {
+    ) -> io::Result<Downstream> {
         let listener = match inherited {
             Some(listener) => listener,
-            None => net::listen_shared(address, shared)?,
+            None => connection::listen_shared(address, shared)?,
         };
         reactor.add(&listener, Token::Listener, Interest::READ)?;
-        let address = net::local_address(&listener).unwrap_or(address);
-        Ok(Front {
+        let address = connection::local_address(&listener).unwrap_or(address);
+        Ok(Downstream {
             listener: Some(listener),
             accepting: true,
             limits,
             patience,
             clients: Slots::default(),
             events: VecDeque::new(),
-            misunderstood: Seldom::default(),
-            exhausted: Seldom::default(),
+            misunderstood: LogRateLimit::default(),
+            exhausted: LogRateLimit::default(),
             turned_out: 0,
             not_understood: 0,
             address,
@@ -137,7 +137,7 @@
     }
 
     pub fn local_address(&self) -> Option<SocketAddr> {
-        net::local_address(self.listener.as_ref()?)
+        connection::local_address(self.listener.as_ref()?)
     }
 
     pub fn pop(&mut self) -> Option<Event> {
@@ -154,13 +154,13 @@
         (self.checks, self.proxy_from) = (checks, proxy_from);
     }
 
-    /// Listens again, after [`Front::close`].
+    /// Listens again, after [`Downstream::close`].
     pub fn open(&mut self, now: Instant, reactor: &Reactor) -> io::Result<()> {
         self.closing = false;
         if self.listener.is_some() {
             return Ok(());
         }
-        let added = net::listen_shared(self.address, self.shared).and_then(|fd| {
+        let added = connection::listen_shared(self.address, self.shared).and_then(|fd| {
             reactor
                 .add(&fd, Token::Listener, Interest::READ)
                 .map(|()| fd)
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    /// Clients are to be served and can't come yet: [`Front::open`] has failed.
+    /// Clients are to be served and can't come yet: [`Downstream::open`] has failed.
     pub fn lacks_listener(&self) -> bool {
         self.listener.is_none() && !self.closing
     }
@@ -204,7 +204,7 @@
             let Some(listener) = &self.listener else {
                 return;
             };
-            match net::accept(listener) {
+            match connection::accept(listener) {
                 Ok((stream, peer)) => {
                     gave_way = false;
                     if let Some(key) = quiet {
@@ -269,7 +269,7 @@
         }
     }
 
-    /// The listener is not looked at until a client has left or [`Front::resume`] is called.
+    /// The listener is not looked at until a client has left or [`Downstream::resume`] is called.
     pub fn paused(&self) -> bool {
         !self.accepting
     }
@@ -501,7 +501,7 @@
         let waits = |slot: &Slot| matches!(slot, Slot::Waiting);
         if let Some(place) = client.answers.iter().position(waits) {
             let number = client.first + place as u64;
-            self.events.push_back(Event::Cancelled(Ticket {
+            self.events.push_back(Event::Cancelled(ResponseSlot {
                 client: key,
                 number,
             }));
@@ -518,7 +518,13 @@
     }
 
     /// The final answer to a request; it goes out when all before it on the connection have.
-    pub fn answer(&mut self, ticket: Ticket, answer: Answer, now: Instant, reactor: &Reactor) {
+    pub fn answer(
+        &mut self,
+        ticket: ResponseSlot,
+        answer: Answer,
+        now: Instant,
+        reactor: &Reactor,
+    ) {
         let Some(client) = self.clients.get_mut(ticket.client) else {
             return;
         };
@@ -541,7 +547,13 @@
     }
 
     /// A part of an answer; false: no more may come until [`Event::Room`] is told.
-    pub fn pass(&mut self, ticket: Ticket, bytes: &[u8], now: Instant, reactor: &Reactor) -> bool {
+    pub fn pass(
+        &mut self,
+        ticket: ResponseSlot,
+        bytes: &[u8],
+        now: Instant,
+        reactor: &Reactor,
+    ) -> bool {
         let Some(client) = self.clients.get_mut(ticket.client) else {
             return true;
         };
@@ -577,7 +589,7 @@
         };
         client.starved = false;
         let number = client.first;
-        self.events.push_back(Event::Room(Ticket {
+        self.events.push_back(Event::Room(ResponseSlot {
             client: key,
             number,
         }));
@@ -589,7 +601,7 @@
     }
 
     /// An answer that has begun will never be whole: the client can tell by the end of its connection.
-    pub fn cut(&mut self, ticket: Ticket, now: Instant, reactor: &Reactor) {
+    pub fn cut(&mut self, ticket: ResponseSlot, now: Instant, reactor: &Reactor) {
         let Some(client) = self.clients.get_mut(ticket.client) else {
             return;
         };
@@ -599,7 +611,7 @@
         let behind = client.answers.split_off((at + 1).min(client.answers.len()));
         for (number, slot) in (ticket.number + 1..).zip(behind) {
             if !matches!(slot, Slot::Ready(_)) {
-                self.events.push_back(Event::Left(Ticket {
+                self.events.push_back(Event::Left(ResponseSlot {
                     client: ticket.client,
                     number,
                 }));
@@ -714,7 +726,7 @@
             .retain(|event| !matches!(event, Event::Asked(ticket, _) if ticket.client == key));
         for (number, answer) in (client.first..).zip(&client.answers) {
             if !matches!(answer, Slot::Ready(_)) {
-                self.events.push_back(Event::Left(Ticket {
+                self.events.push_back(Event::Left(ResponseSlot {
                     client: key,
                     number,
                 }));
@@ -735,7 +747,7 @@
 
     /// Whoever there was no place for is told so: closed with the listener, its connection would just be reset.
     fn refuse_waiting(&mut self, now: Instant, reactor: &Reactor) {
-        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(net::accept) {
+        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(connection::accept) {
             let key = self.adopt(stream, peer, now, reactor);
             self.turn_out(key, server::too_many());
             self.write(key, now, reactor);
--- a/crates/leverproxy/src/net.rs
+++ b/crates/leverproxy/src/event_loop/connection.rs
@@ -1,7 +1,7 @@
 //! Non-blocking TCP connections with bounded buffers on both sides.
 
-use crate::reactor::{Interest, Reactor, Token};
-use crate::system_calls::{self, classify, lacks_descriptors, Call, Failure};
+use crate::event_loop::reactor::{Interest, Reactor, Token};
+use crate::event_loop::system_calls::{self, classify, lacks_descriptors, Call, Failure};
 use rustix::io::Errno;
 use rustix::net::{self, sockopt, AddressFamily, SocketAddrUnix};
 use std::io;
--- a/crates/leverproxy/src/reactor.rs
+++ b/crates/leverproxy/src/event_loop/reactor.rs
@@ -1,6 +1,6 @@
 //! What the single thread waits on: descriptors with tokens, timers, and signals.
 
-use crate::system_calls::{self, classify, Call, Failure, RETRY_PAUSE};
+use crate::event_loop::system_calls::{self, classify, Call, Failure, RETRY_PAUSE};
 use rustix::event::{epoll, Timespec};
 use rustix::io::Errno;
 use std::cell::RefCell;
--- a/crates/leverproxy/src/system_calls.rs
+++ b/crates/leverproxy/src/event_loop/system_calls.rs
@@ -39,7 +39,7 @@
     /// epoll_ctl that adds or changes.
     EpollControl,
     EpollWait,
-    /// Steps of a file's replacement: see [`crate::kept::save`].
+    /// Steps of a file's replacement: see [`crate::persistence::state_file::save`].
     FileCreate,
     FileWrite,
     FileSync,
--- a/crates/leverproxy/src/health.rs
+++ b/crates/leverproxy/src/health/mod.rs
@@ -4,11 +4,13 @@
 //! the loop looks at these connections first, a few descriptors are kept for them, each listener holds a bounded
 //! number, and whoever is slow is put out.
 
+pub mod monitor;
+
 mod grpc;
 
-use crate::net::{self, Filled, Refusal, Stream};
-use crate::reactor::{Interest, Key, Reactor, Slots, Token};
-use crate::seldom::Seldom;
+use crate::event_loop::connection::{self, Filled, Refusal, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::observability::log_rate_limit::LogRateLimit;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -82,7 +84,7 @@
     listeners: Vec<Listener>,
     checks: Slots<Check>,
     reserve: Vec<OwnedFd>,
-    exhausted: Seldom,
+    exhausted: LogRateLimit,
     /// What balancers last said of this server, by their names: a bounded number of them.
     views: BTreeMap<String, String>,
     pub counts: Counts,
@@ -98,7 +100,7 @@
             listeners: Vec::new(),
             checks: Slots::default(),
             reserve: Vec::new(),
-            exhausted: Seldom::default(),
+            exhausted: LogRateLimit::default(),
             views: BTreeMap::new(),
             counts: Counts::default(),
         };
@@ -109,9 +111,9 @@
             health.grpc.start(set)?;
         }
         for (at, set) in (0..).zip(here) {
-            let fd = net::listen(set.address)?;
+            let fd = connection::listen(set.address)?;
             reactor.add(&fd, Token::HealthListener(at), Interest::READ)?;
-            let address = net::local_address(&fd).unwrap_or(set.address);
+            let address = connection::local_address(&fd).unwrap_or(set.address);
             log::info!("health {}: answering checks on {address}", set.name);
             health.listeners.push(Listener {
                 fd,
@@ -169,7 +171,7 @@
             let Some(listener) = self.listeners.get(place) else {
                 return;
             };
-            let stream = match net::accept(&listener.fd) {
+            let stream = match connection::accept(&listener.fd) {
                 Ok((stream, _)) => stream,
                 Err(Refusal::Empty) => return,
                 Err(Refusal::Later) => return self.pause(place, true, reactor),
--- a/crates/leverproxy/src/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -2,8 +2,8 @@
 //! of the health codecs.
 
 use crate::clock::Clock;
+use crate::cluster::sites::{self, Sites};
 use crate::request::{Answer, Done, Verdict};
-use crate::sites::{self, Sites};
 use crate::upstream::Sign;
 use availability::{
     Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
--- a/crates/leverproxy/src/lib.rs
+++ b/crates/leverproxy/src/lib.rs
@@ -15,37 +15,19 @@
 //! ```
 #![forbid(unsafe_code)]
 
-pub mod admin;
 pub mod cli;
 pub mod clock;
+pub mod cluster;
 pub mod config;
 pub mod control;
-pub mod counters;
 pub mod discovery;
-pub mod front;
+pub mod downstream;
+pub mod event_loop;
 pub mod health;
-pub mod http;
-pub mod kept;
-pub mod lending;
-mod locate;
-pub mod logging;
-pub mod members;
-pub mod memory;
-pub mod monitor;
-pub mod net;
-pub mod operate;
-pub mod operators;
-pub mod pg;
+pub mod observability;
+pub mod persistence;
+pub mod pipeline;
+pub mod protocol;
 pub mod proxy;
-pub mod reactor;
-pub mod reload;
 pub mod request;
-pub mod rollout;
-pub mod seldom;
-pub mod sites;
-pub mod stages;
-pub mod system_calls;
-pub mod takeover;
 pub mod upstream;
-mod usage;
-mod worth;
--- a/crates/leverproxy/src/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -1,7 +1,7 @@
 //! What the proxy has taken in, sent and answered.
 
+use crate::observability::goodput::Goodput;
 use crate::request::{Answer, Verdict};
-use crate::worth::Worth;
 use routing::{ClassId, QuotaStatus};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,7 +20,7 @@
     classes: Vec<(String, Class)>,
     probes: BTreeMap<&'static str, u64>,
     probes_sent: u64,
-    pub worth: Worth,
+    pub worth: Goodput,
     /// Requests of no class that is known.
     pub rejected: u64,
     pub lists: u64,
--- a/crates/leverproxy/src/worth.rs
+++ b/crates/leverproxy/src/observability/goodput.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Worth {
+pub struct Goodput {
     prices: Vec<Price>,
     /// What is left of it for a request that is wholly beyond its tenant's quota.
     over: f64,
@@ -37,7 +37,7 @@
     total: Sum,
 }
 
-impl Worth {
+impl Goodput {
     /// The prices from now on; what was counted stays.
     pub fn configure(&mut self, settings: &Settings) {
         let greatest = settings
@@ -113,7 +113,7 @@
             over_quota_weight_fraction: 0.5,
             ..Settings::default()
         };
-        let mut worth = Worth::default();
+        let mut worth = Goodput::default();
         worth.configure(&settings);
         let served = || Answer::Served(Vec::new());
         worth.answered(ClassId(0), QuotaStatus::WithinQuota, &served(), aim);
--- a/crates/leverproxy/src/seldom.rs
+++ b/crates/leverproxy/src/observability/log_rate_limit.rs
@@ -6,12 +6,12 @@
 const APART: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
-pub struct Seldom {
+pub struct LogRateLimit {
     said: Option<Instant>,
     left_out: u64,
 }
 
-impl Seldom {
+impl LogRateLimit {
     /// A line, with how many were left out before it; nothing while the last one is fresh.
     pub fn line(&mut self, now: Instant, text: impl FnOnce() -> String) -> Option<String> {
         if self
--- a/crates/leverproxy/src/takeover.rs
+++ b/crates/leverproxy/src/persistence/hot_restart.rs
@@ -2,8 +2,8 @@
 //! while both live, what operators say to either.
 
 use crate::discovery::wire::Listing;
-use crate::net::{self, Filled, Stream};
-use crate::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::connection::{self, Filled, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
 use maintenance::Hand;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -189,7 +189,7 @@
     }
 
     fn bind(path: &Path, reactor: &Reactor) -> io::Result<OwnedFd> {
-        let listener = net::take_unix(path)?;
+        let listener = connection::take_unix(path)?;
         reactor.add(&listener, Token::TakeoverListener, Interest::READ)?;
         Ok(listener)
     }
@@ -221,7 +221,7 @@
         reactor: &Reactor,
     ) {
         let token = Token::TakeoverListener;
-        while let Ok((mut stream, _)) = net::accept_or_rest(&self.listener, token, reactor) {
+        while let Ok((mut stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
             let Some(clients) = clients.filter(|_| self.links.len() < LINKS) else {
                 continue;
             };
--- a/crates/leverproxy/src/memory.rs
+++ b/crates/leverproxy/src/persistence/saved_state.rs
@@ -2,8 +2,8 @@
 //! beside the loop. What is trusted and when it is written is `persistent_state`'s; here is what carries it to the disk.
 
 use crate::discovery::wire::Listing;
-use crate::kept::{self, Lock, LockError, Writer};
-use crate::reactor::Key;
+use crate::event_loop::reactor::Key;
+use crate::persistence::state_file::{self, Lock, LockError, Writer};
 use configuration::model::Memory as Stated;
 use maintenance::Hand;
 use persistent_state::{recall, Action, After, Core, Event, List, FILE_MOST};
@@ -127,7 +127,8 @@
         } else {
             After::Nobody { platform }
         };
-        let read = kept::load(&path, FILE_MOST).map_err(|error| Fault::Read(path.clone(), error));
+        let read =
+            state_file::load(&path, FILE_MOST).map_err(|error| Fault::Read(path.clone(), error));
         let read = read.and_then(|kept| {
             recall(name, kept.as_deref(), after).map_err(|why| Fault::Unread(path, why))
         });
--- a/crates/leverproxy/src/kept.rs
+++ b/crates/leverproxy/src/persistence/state_file.rs
@@ -1,8 +1,8 @@
 //! Small files that outlive the process, in a directory that the operators' file names. Each is written whole to a new name,
 //! synced, and put in the place of the former one: what is found is one or the other, never half of each.
 
-use crate::system_calls::faults::{self, injected, limited};
-use crate::system_calls::Call;
+use crate::event_loop::system_calls::faults::{self, injected, limited};
+use crate::event_loop::system_calls::Call;
 use std::collections::hash_map::RandomState;
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions, TryLockError};
--- a/crates/leverproxy/src/kept/tests.rs
+++ b/crates/leverproxy/src/persistence/state_file/tests.rs
@@ -1,7 +1,7 @@
 //! Files that are replaced whole, and what failing disks and kills leave.
 
 use super::*;
-use crate::system_calls::faults::{Fault, Faults, Rule};
+use crate::event_loop::system_calls::faults::{Fault, Faults, Rule};
 use rustix::io::Errno;
 use std::sync::Arc;
 
--- a/crates/leverproxy/src/stages/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -1,7 +1,7 @@
 //! Admit: what is owed an answer is entered, once, and struck off with its final answer.
 
-use crate::reactor::Key;
-use crate::request::{shown, Answer, Command, Request, Ticket};
+use crate::event_loop::reactor::Key;
+use crate::request::{shown, Answer, Command, Request, ResponseSlot};
 use bulkheads::PoolId;
 use routing::{Arrival, AttemptNo, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,9 +14,9 @@
 
 /// A request that is owed an answer.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     name: Box<str>,
-    pub ticket: Ticket,
+    pub ticket: ResponseSlot,
     pub class: ClassId,
     pub group: GroupId,
     /// Whose it is, and where it stands in that quota.
@@ -32,7 +32,7 @@
     attempts: u16,
 }
 
-impl Open {
+impl OpenRequest {
     pub fn attempts(&self) -> u16 {
         self.attempts
     }
@@ -45,9 +45,9 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Ledger {
-    open: BTreeMap<RequestId, Open>,
-    tickets: BTreeMap<Ticket, RequestId>,
+pub struct OpenRequests {
+    open: BTreeMap<RequestId, OpenRequest>,
+    tickets: BTreeMap<ResponseSlot, RequestId>,
     /// The clients' names of what is open or was of late, and when which of these ended.
     names: BTreeSet<Box<str>>,
     ended: VecDeque<(Instant, Box<str>)>,
@@ -56,11 +56,11 @@
     limit: usize,
 }
 
-impl Ledger {
-    pub fn new(limit: usize) -> Ledger {
-        Ledger {
+impl OpenRequests {
+    pub fn new(limit: usize) -> OpenRequests {
+        OpenRequests {
             limit,
-            ..Ledger::default()
+            ..OpenRequests::default()
         }
     }
 
@@ -90,7 +90,7 @@
     pub fn admit(
         &mut self,
         arrival: &Arrival,
-        ticket: Ticket,
+        ticket: ResponseSlot,
         class: ClassId,
         pool: Option<PoolId>,
         request: Request,
@@ -114,7 +114,7 @@
         self.names.insert(name.clone());
         let command = Arc::new(command);
         let (passing, attempts) = (None, 0);
-        let open = Open {
+        let open = OpenRequest {
             name,
             ticket,
             class,
@@ -131,7 +131,7 @@
         self.open.insert(id, open);
     }
 
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Open> {
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
@@ -152,14 +152,14 @@
     }
 
     /// Strikes a request off: whoever gets it owes its answer, and nobody else can.
-    pub fn close(&mut self, id: RequestId, now: Instant) -> Option<Open> {
+    pub fn close(&mut self, id: RequestId, now: Instant) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
         self.tickets.remove(&open.ticket);
         self.ended.push_back((now, open.name.clone()));
         Some(open)
     }
 
-    pub fn id(&self, ticket: Ticket) -> Option<RequestId> {
+    pub fn id(&self, ticket: ResponseSlot) -> Option<RequestId> {
         self.tickets.get(&ticket).copied()
     }
 
--- a/crates/leverproxy/src/stages/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -1,29 +1,29 @@
 //! The chain that a request passes: take in, steer, quota, admit, route, send, relay, book.
 
 pub mod admit;
-pub mod book;
+pub mod decode;
 pub mod quota;
+pub mod record;
 pub mod relay;
 pub mod route;
+pub mod route_rules;
 pub mod send;
-pub mod steer;
-pub mod take_in;
 
-use crate::admin::Admin;
 use crate::clock::evidence::Evidence;
 use crate::clock::{Clock, Source};
-use crate::counters::Counters;
+use crate::control::admin::Admin;
+use crate::control::control_socket::Operate;
 use crate::discovery::directory::{Change, Directory};
 use crate::discovery::wire::Listing;
 use crate::discovery::{Discovery, News};
-use crate::front::{self, Front};
+use crate::downstream::{self, Downstream};
+use crate::event_loop::reactor::{later, Reactor, Timers};
+use crate::health::monitor::Monitor;
 use crate::health::Health;
-use crate::monitor::Monitor;
-use crate::operate::Operate;
-use crate::reactor::{later, Reactor, Timers};
-use crate::request::{Answer, Done, Piece, Purpose, Request, Ticket, Verdict};
-use crate::seldom::Seldom;
-use crate::takeover::Takeover;
+use crate::observability::counters::Counters;
+use crate::observability::log_rate_limit::LogRateLimit;
+use crate::persistence::hot_restart::Takeover;
+use crate::request::{Answer, Done, Piece, Purpose, Request, ResponseSlot, Verdict};
 use crate::upstream::{Due, Upstream};
 use maintenance::{Hand, Unknown};
 use platform_settings::{Decoded, Names, Succession};
@@ -61,10 +61,10 @@
 }
 
 /// The sides that the chain works on.
-pub struct Sides {
+pub struct IoEndpoints {
     pub reactor: Reactor,
     pub timers: Timers<Timer>,
-    pub front: Front,
+    pub front: Downstream,
     pub upstream: Upstream,
     pub discovery: Discovery,
     pub health: Health,
@@ -73,7 +73,7 @@
     pub takeover: Option<Takeover>,
 }
 
-pub struct Chain {
+pub struct Pipeline {
     clock: Clock,
     /// What is known of the clock's error.
     evidence: Evidence,
@@ -87,27 +87,27 @@
     directory: Directory,
     /// Discovery has spoken to this process.
     list_confirmed: bool,
-    ledger: admit::Ledger,
+    open_requests: admit::OpenRequests,
     route: route::Route,
-    steering: steer::Steering,
+    steering: route_rules::Steering,
     pub quota: quota::Quota,
-    rejections: Seldom,
+    rejections: LogRateLimit,
     /// When the proxy ends, once it is told to: no request has time beyond that.
     end: Option<Instant>,
     pub counters: Counters,
     pub monitor: Monitor,
 }
 
-impl Chain {
+impl Pipeline {
     pub fn new(
         platform: Decoded,
-        rules: steer::Rules,
+        rules: route_rules::Rules,
         mut monitor: Monitor,
         seed: u64,
         probe_time: Duration,
         wall_clock: Source,
         now: Instant,
-    ) -> Chain {
+    ) -> Pipeline {
         let clock = Clock::start(wall_clock);
         let mut quota = quota::Quota::default();
         quota.configure(&platform, now);
@@ -120,10 +120,10 @@
         monitor.configure(&settings);
         let mut counters = Counters::new(&names.classes);
         counters.worth.configure(&settings);
-        Chain {
+        Pipeline {
             counters,
             monitor,
-            rejections: Seldom::default(),
+            rejections: LogRateLimit::default(),
             end: None,
             names,
             deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
@@ -135,8 +135,8 @@
             probe_time,
             directory: Directory::default(),
             list_confirmed: false,
-            ledger: admit::Ledger::new(max_open),
-            steering: steer::Steering::new(rules),
+            open_requests: admit::OpenRequests::new(max_open),
+            steering: route_rules::Steering::new(rules),
             quota,
             route: route::Route::new(settings, seed, clock.unix(now)),
             clock,
@@ -146,7 +146,7 @@
     }
 
     /// The list as the proxy last had it, before anything else.
-    pub fn start(&mut self, known: Listing, sides: &mut Sides, now: Instant) {
+    pub fn start(&mut self, known: Listing, sides: &mut IoEndpoints, now: Instant) {
         let (news, changes) = self.directory.learn(
             Listing {
                 snapshot: true,
@@ -162,7 +162,7 @@
     }
 
     /// Works through all that the sides have to tell.
-    pub fn turn(&mut self, sides: &mut Sides, now: Instant) {
+    pub fn turn(&mut self, sides: &mut IoEndpoints, now: Instant) {
         loop {
             if let Some(sign) = sides.upstream.sign() {
                 self.monitor.sign(sign, now);
@@ -174,12 +174,12 @@
                 self.on_done(done, sides, now);
             } else if let Some(event) = sides.front.pop() {
                 match event {
-                    front::Event::Asked(ticket, request) => {
+                    downstream::Event::Asked(ticket, request) => {
                         self.on_request(ticket, request, sides, now)
                     }
-                    front::Event::Left(ticket) => self.on_left(ticket, sides, now),
-                    front::Event::Cancelled(ticket) => self.on_cancelled(ticket, sides, now),
-                    front::Event::Room(ticket) => self.on_room(ticket, sides, now),
+                    downstream::Event::Left(ticket) => self.on_left(ticket, sides, now),
+                    downstream::Event::Cancelled(ticket) => self.on_cancelled(ticket, sides, now),
+                    downstream::Event::Room(ticket) => self.on_room(ticket, sides, now),
                 }
             } else {
                 break;
@@ -193,31 +193,37 @@
         }
     }
 
-    pub fn on_watch_timer(&mut self, sides: &mut Sides, now: Instant) {
+    pub fn on_watch_timer(&mut self, sides: &mut IoEndpoints, now: Instant) {
         sides
             .discovery
             .check(self.directory.index(), now, &sides.reactor);
     }
 
     /// Where lists are pushed, the watch stands whatever the module asks for.
-    pub fn set_pushed(&mut self, pushed: bool, sides: &mut Sides, now: Instant) {
+    pub fn set_pushed(&mut self, pushed: bool, sides: &mut IoEndpoints, now: Instant) {
         sides
             .discovery
             .set_pushed(pushed, self.directory.index(), now, &sides.reactor);
     }
 
-    pub fn on_module_timer(&mut self, token: u32, sides: &mut Sides, now: Instant) {
+    pub fn on_module_timer(&mut self, token: u32, sides: &mut IoEndpoints, now: Instant) {
         self.decide(Event::Timer(TimerToken(token)), sides, now);
     }
 
-    fn on_request(&mut self, ticket: Ticket, request: Request, sides: &mut Sides, now: Instant) {
-        let id = self.ledger.next_id();
+    fn on_request(
+        &mut self,
+        ticket: ResponseSlot,
+        request: Request,
+        sides: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        let id = self.open_requests.next_id();
         let margin = self.steering.rules().margin;
-        let Chain {
+        let Pipeline {
             names, deadlines, ..
         } = self;
-        let mut arrival = match take_in::take_in(id, &request, names, deadlines, margin, now) {
-            Ok(arrival) => take_in::end_by(arrival, self.end, margin, now),
+        let mut arrival = match decode::take_in(id, &request, names, deadlines, margin, now) {
+            Ok(arrival) => decode::end_by(arrival, self.end, margin, now),
             Err(why) => {
                 let known = self
                     .names
@@ -230,9 +236,9 @@
                 return self.reject(ticket, class, why, sides, now);
             }
         };
-        // Counters and the ledger go by the client's word; the class that the module hears may be another.
+        // Counters and the open requests go by the client's word; the class that the module hears may be another.
         let class = arrival.class;
-        if let Some(answer) = self.ledger.bars(&request) {
+        if let Some(answer) = self.open_requests.bars(&request) {
             return self.turn_away(ticket, class, answer, sides, now);
         }
         let unix = self.clock.unix(now);
@@ -244,19 +250,20 @@
             Err(answer) => return self.turn_away(ticket, class, answer, sides, now),
         };
         self.quota.mark(&mut arrival, request.tenant.is_some(), now);
-        self.ledger.admit(&arrival, ticket, class, pool, request);
+        self.open_requests
+            .admit(&arrival, ticket, class, pool, request);
         self.counters.taken(class);
         arrival.shed_fraction = self.monitor.arrived(&arrival, now);
         self.decide(Event::RequestArrived(arrival), sides, now);
     }
 
-    /// An answer before the request is owed one by the ledger.
+    /// An answer before the request is owed one by the open requests.
     fn turn_away(
         &mut self,
-        ticket: Ticket,
+        ticket: ResponseSlot,
         class: routing::ClassId,
         answer: Answer,
-        sides: &mut Sides,
+        sides: &mut IoEndpoints,
         now: Instant,
     ) {
         if let Answer::Rejected(why) = answer {
@@ -269,13 +276,13 @@
     }
 
     /// Strikes a request off, and frees its place in its pool.
-    fn close(&mut self, id: RequestId, now: Instant) -> Option<admit::Open> {
-        let open = self.ledger.close(id, now)?;
+    fn close(&mut self, id: RequestId, now: Instant) -> Option<admit::OpenRequest> {
+        let open = self.open_requests.close(id, now)?;
         self.vacate(&open, now);
         Some(open)
     }
 
-    fn vacate(&mut self, open: &admit::Open, now: Instant) {
+    fn vacate(&mut self, open: &admit::OpenRequest, now: Instant) {
         if let Some(pool) = open.pool {
             self.steering
                 .give_back(pool, now.saturating_duration_since(open.read_at));
@@ -283,7 +290,7 @@
     }
 
     /// The operators' rules from now on; the former ones.
-    pub fn set_rules(&mut self, rules: steer::Rules) -> steer::Rules {
+    pub fn set_rules(&mut self, rules: route_rules::Rules) -> route_rules::Rules {
         self.steering.replace(rules)
     }
 
@@ -306,22 +313,22 @@
             .map(|c| c.consistency == Consistency::Write)
             .collect();
         (self.names, self.probe_time) = (names, probe_time);
-        self.ledger.set_limit(max_open);
+        self.open_requests.set_limit(max_open);
         self.monitor.configure(&settings);
         self.route.configure(settings, &heirs);
     }
 
-    pub fn steering(&self) -> &steer::Steering {
+    pub fn steering(&self) -> &route_rules::Steering {
         &self.steering
     }
 
     /// The request makes no sense: the client is told, and nobody else hears of it.
     fn reject(
         &mut self,
-        ticket: Ticket,
+        ticket: ResponseSlot,
         class: Option<routing::ClassId>,
         why: String,
-        sides: &mut Sides,
+        sides: &mut IoEndpoints,
         now: Instant,
     ) {
         self.rejections
@@ -337,7 +344,7 @@
         sides.front.answer(ticket, answer, now, &sides.reactor);
     }
 
-    fn on_left(&mut self, ticket: Ticket, sides: &mut Sides, now: Instant) {
+    fn on_left(&mut self, ticket: ResponseSlot, sides: &mut IoEndpoints, now: Instant) {
         if let Some(open) = self.abandon(ticket, sides, now) {
             self.counters.left(open.class);
         }
@@ -345,11 +352,11 @@
 
     /// The client does not want the answer any more, and is told that this was heard. One that has begun to reach it
     /// goes on.
-    fn on_cancelled(&mut self, ticket: Ticket, sides: &mut Sides, now: Instant) {
+    fn on_cancelled(&mut self, ticket: ResponseSlot, sides: &mut IoEndpoints, now: Instant) {
         let open = self
-            .ledger
+            .open_requests
             .id(ticket)
-            .and_then(|id| self.ledger.get_mut(id));
+            .and_then(|id| self.open_requests.get_mut(id));
         if open.is_none_or(|open| open.passing.is_some()) {
             return;
         }
@@ -362,8 +369,13 @@
     }
 
     /// Strikes off a request that nobody waits for: nothing new is sent for it.
-    fn abandon(&mut self, ticket: Ticket, sides: &mut Sides, now: Instant) -> Option<admit::Open> {
-        let id = self.ledger.id(ticket)?;
+    fn abandon(
+        &mut self,
+        ticket: ResponseSlot,
+        sides: &mut IoEndpoints,
+        now: Instant,
+    ) -> Option<admit::OpenRequest> {
+        let id = self.open_requests.id(ticket)?;
         let open = self.close(id, now)?;
         if open.attempts() > 0 {
             sides.upstream.call_off(id, now);
@@ -379,7 +391,7 @@
 
     /// A part of an answer that is too large to be kept goes to the client at once. With the first the module hears that
     /// the attempt was answered: that is what is timed.
-    fn on_piece(&mut self, piece: Piece, sides: &mut Sides, now: Instant) {
+    fn on_piece(&mut self, piece: Piece, sides: &mut IoEndpoints, now: Instant) {
         let Piece {
             id,
             attempt,
@@ -389,7 +401,7 @@
             bytes,
         } = piece;
         let Some(open) = self
-            .ledger
+            .open_requests
             .get_mut(id)
             .filter(|o| o.passing.is_none_or(|p| p.0 == attempt))
         else {
@@ -421,49 +433,49 @@
         }
     }
 
-    fn on_room(&mut self, ticket: Ticket, sides: &mut Sides, now: Instant) {
+    fn on_room(&mut self, ticket: ResponseSlot, sides: &mut IoEndpoints, now: Instant) {
         let open = self
-            .ledger
+            .open_requests
             .id(ticket)
-            .and_then(|id| self.ledger.get_mut(id));
+            .and_then(|id| self.open_requests.get_mut(id));
         if let Some((_, from)) = open.and_then(|open| open.passing) {
             sides.upstream.resume(from, now, &sides.reactor);
         }
     }
 
-    fn on_done(&mut self, mut done: Done, sides: &mut Sides, now: Instant) {
+    fn on_done(&mut self, mut done: Done, sides: &mut IoEndpoints, now: Instant) {
         self.counters.ended(done.class, &done.verdict);
         self.monitor.ended(&done, now);
         let latest = self.believed(&done, now);
         let Purpose::Attempt(id, attempt) = done.purpose else {
-            return self.learn(book::book(&done, true, latest), sides, now);
+            return self.learn(record::book(&done, true, latest), sides, now);
         };
         if let Some((open, answer)) =
-            relay::served(id, attempt, &mut done.verdict, &mut self.ledger, now)
+            relay::served(id, attempt, &mut done.verdict, &mut self.open_requests, now)
         {
             self.vacate(&open, now);
             self.relay(open, answer, sides, now);
         } else if self
-            .ledger
+            .open_requests
             .get_mut(id)
             .is_some_and(|o| o.passing.is_some_and(|p| p.0 == attempt))
         {
             // Its rest will never come; the module has heard of it already.
             return self.answer(id, Answer::Failed, sides, now);
         }
-        let last = self.ledger.get_mut(id).is_none();
+        let last = self.open_requests.get_mut(id).is_none();
         let latest = if self.commits(&mut done, now) {
-            latest.plus(book::BEHIND_MOST)
+            latest.plus(record::BEHIND_MOST)
         } else {
             latest
         };
-        self.learn(book::book(&done, last, latest), sides, now);
+        self.learn(record::book(&done, last, latest), sides, now);
     }
 
     /// The latest position that is believed, after what this exchange tells of the time.
     fn believed(&mut self, done: &Done, now: Instant) -> Time {
         let unix = self.clock.unix(now);
-        if let Some(told) = book::told(done, unix) {
+        if let Some(told) = record::told(done, unix) {
             self.evidence.told(told, unix);
         }
         self.evidence.latest(unix)
@@ -508,7 +520,7 @@
     }
 
     /// What a record server has told goes to both who ask for it.
-    fn learn(&mut self, event: Event, sides: &mut Sides, now: Instant) {
+    fn learn(&mut self, event: Event, sides: &mut IoEndpoints, now: Instant) {
         let told = match &event {
             Event::AttemptEnded(ended) => Some((
                 ended.server,
@@ -528,7 +540,7 @@
     }
 
     /// Dials a server whose silence may be its link's.
-    pub fn knock(&mut self, sides: &mut Sides, now: Instant) {
+    pub fn knock(&mut self, sides: &mut IoEndpoints, now: Instant) {
         if let Some(server) = self
             .monitor
             .knock(|server| sides.upstream.may_knock(server))
@@ -537,7 +549,7 @@
         }
     }
 
-    fn on_news(&mut self, news: News, sides: &mut Sides, now: Instant) {
+    fn on_news(&mut self, news: News, sides: &mut IoEndpoints, now: Instant) {
         match news {
             News::Heard => {
                 self.monitor.event(now, availability::Event::ListHeard);
@@ -575,7 +587,7 @@
         &mut self,
         news: EndpointUpdate,
         changes: Vec<Change>,
-        sides: &mut Sides,
+        sides: &mut IoEndpoints,
         now: Instant,
     ) {
         if let EndpointUpdate::Changes(entries)
@@ -599,7 +611,7 @@
     }
 
     /// What the module hears and says is told at the level of traces: whoever counts over many proxies reads it there.
-    fn decide(&mut self, event: Event, sides: &mut Sides, now: Instant) {
+    fn decide(&mut self, event: Event, sides: &mut IoEndpoints, now: Instant) {
         log::trace!("event {event:?}");
         self.look_at_clock(now);
         for action in self.route.decide(self.clock.unix(now), event) {
@@ -608,7 +620,7 @@
         }
     }
 
-    fn act(&mut self, action: Action, sides: &mut Sides, now: Instant) {
+    fn act(&mut self, action: Action, sides: &mut IoEndpoints, now: Instant) {
         match action {
             Action::Send {
                 id,
@@ -617,7 +629,7 @@
                 begin_within,
             } => {
                 self.monitor.settled(id, false);
-                let Some(open) = self.ledger.get_mut(id) else {
+                let Some(open) = self.open_requests.get_mut(id) else {
                     return;
                 };
                 let exchange = send::attempt(id, open, timeout, begin_within, now);
@@ -648,13 +660,13 @@
     }
 
     /// Discovery is at another address; what is known of the record servers stays.
-    pub fn discovery_at(&mut self, address: SocketAddr, sides: &mut Sides, now: Instant) {
+    pub fn discovery_at(&mut self, address: SocketAddr, sides: &mut IoEndpoints, now: Instant) {
         sides
             .discovery
             .move_to(address, self.directory.index(), now, &sides.reactor);
     }
 
-    fn probe(&mut self, server: ServerId, sides: &mut Sides, now: Instant) {
+    fn probe(&mut self, server: ServerId, sides: &mut IoEndpoints, now: Instant) {
         self.counters.probe_sent();
         self.monitor.sent(None, server, now);
         sides.upstream.start(
@@ -665,7 +677,7 @@
         );
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer, sides: &mut Sides, now: Instant) {
+    fn answer(&mut self, id: RequestId, answer: Answer, sides: &mut IoEndpoints, now: Instant) {
         if let Some(open) = self.close(id, now) {
             if open.attempts() > 0 {
                 sides.upstream.call_off(id, now);
@@ -674,7 +686,13 @@
         }
     }
 
-    fn relay(&mut self, open: admit::Open, answer: Answer, sides: &mut Sides, now: Instant) {
+    fn relay(
+        &mut self,
+        open: admit::OpenRequest,
+        answer: Answer,
+        sides: &mut IoEndpoints,
+        now: Instant,
+    ) {
         log::debug!(
             "{}: {}",
             self.counters.name(open.class),
@@ -710,10 +728,10 @@
 
     /// The last word to all who are owed one: better than a connection that just ends. What was never sent is refused:
     /// that nothing of it ran is known, and another proxy may still serve it.
-    pub fn fail_all(&mut self, sides: &mut Sides, now: Instant) {
-        for id in self.ledger.ids() {
+    pub fn fail_all(&mut self, sides: &mut IoEndpoints, now: Instant) {
+        for id in self.open_requests.ids() {
             let untried = self
-                .ledger
+                .open_requests
                 .get_mut(id)
                 .is_some_and(|open| open.attempts() == 0);
             let answer = if untried {
@@ -730,7 +748,7 @@
         &mut self,
         name: &str,
         out: bool,
-        sides: &mut Sides,
+        sides: &mut IoEndpoints,
         now: Instant,
     ) -> Result<(), Unknown> {
         if let Some((news, changes)) =
@@ -744,7 +762,7 @@
     }
 
     /// What the process before this one was told by operators, beside the list that it had.
-    pub fn take_over(&mut self, hands: Vec<Hand>, sides: &mut Sides, now: Instant) {
+    pub fn take_over(&mut self, hands: Vec<Hand>, sides: &mut IoEndpoints, now: Instant) {
         for (news, changes) in self.directory.take_over(hands, &self.names) {
             self.monitor.hands(&news, now);
             self.listed(news, changes, sides, now);
@@ -782,6 +800,6 @@
 
     /// Requests that are owed an answer.
     pub fn owed(&self) -> usize {
-        self.ledger.len()
+        self.open_requests.len()
     }
 }
--- a/crates/leverproxy/src/stages/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -1,10 +1,10 @@
 //! Quota: whether a request is beyond what its tenant may ask, or borrowed, as the module should know. Refuses nothing.
 
-use crate::lending::Lending;
-use crate::members::Members;
+use crate::cluster::members::Members;
+use crate::cluster::quota_lending::Lending;
+use crate::cluster::usage;
+use crate::pipeline::admit::OpenRequest;
 use crate::request::Answer;
-use crate::stages::admit::Open;
-use crate::usage;
 use ::quota::{Counts, Mark};
 use membership::Fact;
 use platform_settings::{Decoded, Names};
@@ -121,7 +121,7 @@
     }
 
     /// How a request ended; none: its client has left. A loan that nothing was tried for is given back.
-    pub fn ended(&mut self, open: &Open, answer: Option<&Answer>, now: Instant) {
+    pub fn ended(&mut self, open: &OpenRequest, answer: Option<&Answer>, now: Instant) {
         let Some(lending) = &mut self.lending else {
             return;
         };
--- a/crates/leverproxy/src/stages/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -1,7 +1,7 @@
 //! Send: an attempt or a probe that the module wants becomes an exchange with a record server.
 
-use super::admit::Open;
-use crate::reactor::later;
+use super::admit::OpenRequest;
+use crate::event_loop::reactor::later;
 use crate::request::{Purpose, Question};
 use crate::upstream::Exchange;
 use routing::RequestId;
@@ -11,7 +11,7 @@
 /// An attempt whose answer is waited for until its time-out, and that is dropped unsent if it can't begin in time.
 pub fn attempt(
     id: RequestId,
-    open: &mut Open,
+    open: &mut OpenRequest,
     timeout: Duration,
     begin_within: Duration,
     now: Instant,
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -1,27 +1,27 @@
 //! The loop of the one thread: waits, lets the sides take what has come, and runs the chain over it.
 
-use crate::admin::Admin;
 use crate::clock;
+use crate::cluster::members::Members;
+use crate::cluster::quota_lending::Lending;
+use crate::cluster::rollout::Rollout;
+use crate::cluster::usage;
+use crate::config::reload::{Ask, Reloads};
 use crate::config::{Config, ConfigError, Limits, Patience};
+use crate::control::admin::Admin;
+use crate::control::control_socket::{Operate, Word};
 use crate::control::{self, Control, Wish};
 use crate::discovery::Discovery;
-use crate::front::Front;
+use crate::downstream::Downstream;
+use crate::event_loop::reactor::{Interest, Key, Reactor, Ready, Timers, Token};
+use crate::health::monitor::{self, Monitor, Usage};
 use crate::health::Health;
-use crate::lending::Lending;
-use crate::members::Members;
-use crate::memory::{self, Memory};
-use crate::monitor::{self, Monitor, Usage};
-use crate::operate::{Operate, Word};
-use crate::reactor::{Interest, Key, Reactor, Ready, Timers, Token};
-use crate::reload::{Ask, Reloads};
+use crate::persistence::hot_restart::{self, Elder, Estate, Said, Takeover};
+use crate::persistence::saved_state::{self, Memory};
+use crate::pipeline::quota;
+use crate::pipeline::route_rules::Rules;
+use crate::pipeline::{IoEndpoints, Pipeline, Timer};
 use crate::request::shown;
-use crate::rollout::Rollout;
-use crate::stages::quota;
-use crate::stages::steer::Rules;
-use crate::stages::{Chain, Sides, Timer};
-use crate::takeover::{self, Elder, Estate, Said, Takeover};
 use crate::upstream::Upstream;
-use crate::usage;
 use configuration::calendar::Window;
 use drain::{Action, Drain};
 use maintenance::Unknown;
@@ -56,8 +56,8 @@
 }
 
 pub struct Proxy {
-    sides: Sides,
-    chain: Chain,
+    sides: IoEndpoints,
+    chain: Pipeline,
     wishes: control::Listener,
     start: Instant,
     drain: Drain,
@@ -109,12 +109,12 @@
         let now = Instant::now();
         let reactor = Reactor::new()?;
         reactor.add(&wishes, Token::Control, Interest::READ)?;
-        crate::logging::set(&config.logging);
+        crate::observability::logging::set(&config.logging);
         let drain = Drain::new(config.drain_settings(), Duration::ZERO);
         let elder = config
             .takeover
             .as_deref()
-            .map_or(Elder::Nobody, takeover::ask);
+            .map_or(Elder::Nobody, hot_restart::ask);
         let (inherited, estate, link, unheard): (Option<OwnedFd>, _, _, _) = match elder {
             Elder::Nobody => (None, None, None, false),
             Elder::Unheard(why) => {
@@ -123,7 +123,7 @@
             }
             // Of another address, it would be no use to the clients of this one.
             Elder::Left(estate, listener, link) => {
-                let there = crate::net::local_address(&listener);
+                let there = crate::event_loop::connection::local_address(&listener);
                 let ours = config.listen.port() == 0 || there == Some(config.listen);
                 (
                     Some(listener).filter(|_| ours),
@@ -141,7 +141,7 @@
         let limits = config.limits.beside(elder_holds);
         let shared = config.takeover.is_some();
         let in_place = inherited.is_some();
-        let mut front = Front::listen(
+        let mut front = Downstream::listen(
             config.listen,
             inherited,
             shared,
@@ -181,7 +181,7 @@
                 |e: &io::Error| log::warn!("takeover: the next process can't be listened for: {e}");
             listening.inspect_err(note).ok()
         });
-        let mut sides = Sides {
+        let mut sides = IoEndpoints {
             reactor,
             timers,
             front,
@@ -195,7 +195,7 @@
         let zones = config.platform.names.zones.clone();
         let knocks = !config.health.is_empty();
         let platform = config.platform.clone();
-        let mut chain = Chain::new(
+        let mut chain = Pipeline::new(
             config.platform,
             config.rules,
             Monitor::new(config.availability, config.sites, zones, now),
@@ -357,7 +357,7 @@
 
     /// Listens again after a drain, if it does not, and tries until it does.
     fn listen(&mut self, now: Instant) {
-        let Sides {
+        let IoEndpoints {
             reactor,
             timers,
             front,
@@ -407,7 +407,7 @@
 
     fn on_ready(&mut self, ready: Ready) {
         let now = Instant::now();
-        let Sides {
+        let IoEndpoints {
             reactor,
             timers,
             front,
@@ -526,7 +526,9 @@
             Timer::Rollout => self.look_at_rollout(now),
             Timer::Memory => {
                 self.remember(now);
-                self.sides.timers.set(now + memory::LOOK, Timer::Memory);
+                self.sides
+                    .timers
+                    .set(now + saved_state::LOOK, Timer::Memory);
             }
             Timer::Quota => {
                 if let Some(members) = &mut self.members {
@@ -659,7 +661,7 @@
     }
 
     fn usage(&self) -> Usage {
-        let Sides {
+        let IoEndpoints {
             front, upstream, ..
         } = &self.sides;
         Usage {
@@ -672,7 +674,7 @@
         }
     }
 
-    fn operate(&mut self, key: crate::reactor::Key, word: Word, now: Instant) {
+    fn operate(&mut self, key: crate::event_loop::reactor::Key, word: Word, now: Instant) {
         if let Word::Rollout(said) = word {
             let text = match (&mut self.rollout, &mut self.members) {
                 (Some(rollout), Some(members)) => {
@@ -769,8 +771,8 @@
     }
 
     /// What another process of this proxy has to tell.
-    fn linked(&mut self, from: Key, word: takeover::Word, now: Instant) {
-        let Sides {
+    fn linked(&mut self, from: Key, word: hot_restart::Word, now: Instant) {
+        let IoEndpoints {
             reactor,
             front,
             takeover,
@@ -779,7 +781,7 @@
         } = &mut self.sides;
         let Some(takeover) = takeover else { return };
         let said = match word {
-            takeover::Word::Said(said @ (Said::Serving | Said::ServingElsewhere)) => {
+            hot_restart::Word::Said(said @ (Said::Serving | Said::ServingElsewhere)) => {
                 log::info!(said:? = said; "takeover: the next process serves");
                 front.leave_to_heir(takeover.heir_accepts(), reactor);
                 if let Some(rollout) = &mut self.rollout {
@@ -787,7 +789,7 @@
                 }
                 return self.share_limits();
             }
-            takeover::Word::Gone => {
+            hot_restart::Word::Gone => {
                 log::info!("takeover: the other process is gone");
                 front.leave_to_heir(takeover.heir_accepts(), reactor);
                 if let Some(rollout) = &mut self.rollout {
@@ -804,7 +806,7 @@
                 }
                 return self.share_limits();
             }
-            takeover::Word::Said(said) => said,
+            hot_restart::Word::Said(said) => said,
         };
         takeover.say(&said, Some(from), reactor);
         let out = matches!(said, Said::Out(_));
@@ -818,7 +820,7 @@
     /// The limits that are left to this process: an heir has what its elder does not hold, which holds no more than it did.
     fn share_limits(&mut self) {
         let limits = self.limits.beside(self.elder_holds);
-        let Sides {
+        let IoEndpoints {
             front,
             upstream,
             takeover,
@@ -956,7 +958,7 @@
         (self.limits, self.patience) = (config.limits, config.patience);
         self.share_limits();
         self.drain.configure(drain_settings);
-        crate::logging::set(&config.logging);
+        crate::observability::logging::set(&config.logging);
         let routes = rules.rulings.len();
         let former = self.chain.set_rules(rules);
         self.chain
@@ -1091,7 +1093,7 @@
 
     /// The counters, on standard error: whoever asks wants them at any log level.
     pub fn report(&self) {
-        let Sides {
+        let IoEndpoints {
             front, upstream, ..
         } = &self.sides;
         let (clients, turned_out, not_understood) =
@@ -1099,7 +1101,7 @@
         let (connections, dials) = (upstream.connections(), upstream.dials);
         let (steering, health) = (self.chain.steering(), self.sides.health.lines());
         let quota = &self.chain.quota;
-        crate::logging::say(&format!(
+        crate::observability::logging::say(&format!(
             "{}\nstatements not understood {not_understood}\nconnections: clients {clients}, turned out {turned_out}; upstream {connections}; dials {dials}{steering}{quota}{health}",
             self.chain.counters,
         ));
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,6 +1,6 @@
 //! What passes between a protocol's front, the stages and the upstream side, in no protocol's words.
 
-use crate::reactor::Key;
+use crate::event_loop::reactor::Key;
 use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 /// Where the answer to a request goes: which client's connection, and which of its requests in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket {
+pub struct ResponseSlot {
     pub client: Key,
     pub number: u64,
 }
--- a/crates/leverproxy/src/upstream.rs
+++ b/crates/leverproxy/src/upstream/mod.rs
@@ -3,12 +3,12 @@
 //! An exchange takes the connection that was used last, or waits for the first that is dialled or comes free.
 //! Nothing is ever sent a second time from here: what can't be finished is reported, and the module decides.
 
-use crate::net::{DialError, Filled, Stream};
-use crate::pg::client::{self, AnswerReader};
-use crate::reactor::{later, Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::connection::{DialError, Filled, Stream};
+use crate::event_loop::reactor::{later, Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::system_calls::{lacks_descriptors, RETRY_PAUSE};
+use crate::observability::log_rate_limit::LogRateLimit;
+use crate::protocol::postgres::client::{self, AnswerReader};
 use crate::request::{Done, Piece, Purpose, Question, Verdict};
-use crate::seldom::Seldom;
-use crate::system_calls::{lacks_descriptors, RETRY_PAUSE};
 use routing::{ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use rustix::io::Errno;
 use std::collections::{BTreeMap, VecDeque};
@@ -77,8 +77,8 @@
     signs: VecDeque<Sign>,
     /// Timers asked for.
     due: Vec<(Instant, Due)>,
-    misunderstood: Seldom,
-    shortages: Seldom,
+    misunderstood: LogRateLimit,
+    shortages: LogRateLimit,
     limit: usize,
     dial_timeout: Duration,
     idle_limit: Duration,
@@ -140,8 +140,8 @@
             pieces: VecDeque::new(),
             signs: VecDeque::new(),
             due: Vec::new(),
-            misunderstood: Seldom::default(),
-            shortages: Seldom::default(),
+            misunderstood: LogRateLimit::default(),
+            shortages: LogRateLimit::default(),
             limit,
             dial_timeout,
             idle_limit,
@@ -530,7 +530,9 @@
         let taken = match &mut connection.state {
             State::Connecting => Ok((0, false)),
             State::Idle if connection.stream.input.is_empty() => Ok((0, false)),
-            State::Idle => Err(crate::pg::Malformed("bytes that nobody asked for".into())),
+            State::Idle => Err(crate::protocol::postgres::Malformed(
+                "bytes that nobody asked for".into(),
+            )),
             State::Greeting(reader) | State::Busy { reader, .. } => {
                 reader.take(connection.stream.input.unused())
             }
--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{call, get, post, read, served, Listener, Peer, Stage};
-use leverproxy::admin::CONNECTIONS;
+use leverproxy::control::admin::CONNECTIONS;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/crates/leverproxy/tests/answers.rs
+++ b/crates/leverproxy/tests/answers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{answer, read, served, Listener, Peer, Program, Reply};
-use leverproxy::pg;
+use leverproxy::protocol::postgres;
 use rustix::net::sockopt;
 use rustix::process::Signal;
 use std::net::Shutdown;
@@ -180,9 +180,9 @@
     let mut upstream = server.welcome();
     upstream.query();
     let mut notice = Vec::new();
-    pg::put(&mut notice, b'S', |body| {
-        pg::put_text(body, "name");
-        pg::put_text(body, "value");
+    postgres::put(&mut notice, b'S', |body| {
+        postgres::put_text(body, "name");
+        postgres::put_text(body, "value");
     });
     let endless = std::thread::spawn(move || {
         use std::io::Write;
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{Listener, Peer, PATIENCE};
-use leverproxy::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::{Reactor, Token};
 use leverproxy::request::{Command, Done, Purpose, Question, Verdict};
 use leverproxy::upstream::{Due, Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{read, Listener, Peer, Program, Stage, PATIENCE};
-use leverproxy::pg::server;
+use leverproxy::protocol::postgres::server;
 use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -8,7 +8,7 @@
     message, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE, SETTINGS,
 };
 use leverproxy::config::Config;
-use leverproxy::pg::server::startup_packet;
+use leverproxy::protocol::postgres::server::startup_packet;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -3,9 +3,9 @@
 
 use leverproxy::config::{self, Config};
 use leverproxy::control::Control;
-use leverproxy::pg::{self, server};
+use leverproxy::event_loop::system_calls::faults::Faults;
+use leverproxy::protocol::postgres::{self, server};
 use leverproxy::proxy::Proxy;
-use leverproxy::system_calls::faults::Faults;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use std::io::{self, BufRead, BufReader, Lines, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -129,7 +129,7 @@
     /// The next message: its tag and body.
     pub fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
         loop {
-            if let Some(message) = pg::message(&self.input, 8 << 20).unwrap() {
+            if let Some(message) = postgres::message(&self.input, 8 << 20).unwrap() {
                 let (tag, body, used) = (message.tag, message.body.to_vec(), message.raw.len());
                 self.input.drain(..used);
                 return Ok((tag, body));
@@ -215,8 +215,8 @@
     /// False: the other side has ended the connection.
     pub fn try_error(&mut self, code: &str) -> bool {
         let mut out = Vec::new();
-        pg::put_error(&mut out, "ERROR", code, "scripted", None);
-        pg::put_ready(&mut out);
+        postgres::put_error(&mut out, "ERROR", code, "scripted", None);
+        postgres::put_ready(&mut out);
         self.stream.write_all(&out).is_ok()
     }
 
@@ -271,8 +271,8 @@
                     reply.value = Some(String::from_utf8(body[6..].to_vec()).unwrap())
                 }
                 Ok((b'E', body)) => {
-                    reply.code = pg::error_field(&body, b'C').map(str::to_owned);
-                    reply.detail = pg::error_field(&body, b'D').map(str::to_owned);
+                    reply.code = postgres::error_field(&body, b'C').map(str::to_owned);
+                    reply.detail = postgres::error_field(&body, b'D').map(str::to_owned);
                 }
                 Ok(_) => {}
                 Err(e) => {
@@ -305,31 +305,31 @@
 /// A query as a client sends it.
 pub fn message(query: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put(&mut out, b'Q', |body| pg::put_text(body, query));
+    postgres::put(&mut out, b'Q', |body| postgres::put_text(body, query));
     out
 }
 
 /// An answer as a record server gives it.
 pub fn answer(value: &str, parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put(&mut out, b'T', |body| {
+    postgres::put(&mut out, b'T', |body| {
         body.extend([0, 1]);
-        pg::put_text(body, "doc");
+        postgres::put_text(body, "doc");
         body.extend([0; 18]);
     });
-    pg::put(&mut out, b'D', |body| {
+    postgres::put(&mut out, b'D', |body| {
         body.extend([0, 1]);
         body.extend((value.len() as u32).to_be_bytes());
         body.extend(value.as_bytes());
     });
-    pg::put(&mut out, b'C', |body| pg::put_text(body, "SELECT 1"));
+    postgres::put(&mut out, b'C', |body| postgres::put_text(body, "SELECT 1"));
     for (name, value) in parameters {
-        pg::put(&mut out, b'S', |body| {
-            pg::put_text(body, name);
-            pg::put_text(body, value);
+        postgres::put(&mut out, b'S', |body| {
+            postgres::put_text(body, name);
+            postgres::put_text(body, value);
         });
     }
-    pg::put_ready(&mut out);
+    postgres::put_ready(&mut out);
     out
 }
 
--- a/crates/leverproxy/tests/departures.rs
+++ b/crates/leverproxy/tests/departures.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use leverproxy::pg;
-use leverproxy::pg::server::{self, CancelKey};
+use leverproxy::protocol::postgres;
+use leverproxy::protocol::postgres::server::{self, CancelKey};
 use rustix::process::Signal;
 use std::net::Shutdown;
 
@@ -130,10 +130,10 @@
     // A connection is there: whatever is sent goes out at once.
     let mut upstream = served(&mut client, &server, 3, "value");
     let mut both = Vec::new();
-    pg::put(&mut both, b'Q', |body| {
-        pg::put_text(body, &read(1, "any", 19000))
+    postgres::put(&mut both, b'Q', |body| {
+        postgres::put_text(body, &read(1, "any", 19000))
     });
-    pg::put(&mut both, b'X', |_| {});
+    postgres::put(&mut both, b'X', |_| {});
     client.write(&both);
     assert!(client.ended());
     served_next(&mut Peer::client(stage.address), &mut upstream, 2);
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -176,16 +176,16 @@
         ]);
     }
     {
-        use leverproxy::members::Fault as E;
-        rows!(table, "leverproxy: `members::Fault`", leverproxy::members::Fault, [
+        use leverproxy::cluster::members::Fault as E;
+        rows!(table, "leverproxy: `members::Fault`", leverproxy::cluster::members::Fault, [
             Roster => E::Roster(membership::RosterError::WithoutMe(text("NAME"))),
             NoKeys => E::NoKeys,
         ]);
     }
     {
-        use leverproxy::rollout::Fault as E;
+        use leverproxy::cluster::rollout::Fault as E;
         let path = || "PATH".into();
-        rows!(table, "leverproxy: `rollout::Fault`", leverproxy::rollout::Fault, [
+        rows!(table, "leverproxy: `rollout::Fault`", leverproxy::cluster::rollout::Fault, [
             Unread => E::Unread(path(), text("CAUSE")),
             Large => E::Large(path()),
             NoVersion => E::NoVersion(text("TEXT"), Box::new(E::Unread(path(), text("CAUSE")))),
@@ -196,21 +196,21 @@
         ]);
     }
     {
-        use leverproxy::lending::Fault as E;
-        rows!(table, "leverproxy: `quota_lending::Fault`", leverproxy::lending::Fault, [
-            Lock => E::Lock(leverproxy::kept::LockError::Io("DIRECTORY".into(), cause())),
+        use leverproxy::cluster::quota_lending::Fault as E;
+        rows!(table, "leverproxy: `quota_lending::Fault`", leverproxy::cluster::quota_lending::Fault, [
+            Lock => E::Lock(leverproxy::persistence::state_file::LockError::Io("DIRECTORY".into(), cause())),
             Thread => E::Thread(cause()),
         ]);
-        use leverproxy::kept::LockError as L;
-        rows!(table, "leverproxy: `kept::LockError`", leverproxy::kept::LockError, [
+        use leverproxy::persistence::state_file::LockError as L;
+        rows!(table, "leverproxy: `state_file::LockError`", leverproxy::persistence::state_file::LockError, [
             Held => L::Held("DIRECTORY".into()),
             Io => L::Io("DIRECTORY".into(), cause()),
         ]);
     }
     {
-        use leverproxy::memory::Fault as E;
-        rows!(table, "leverproxy: `memory::Fault`", leverproxy::memory::Fault, [
-            Lock => E::Lock(leverproxy::kept::LockError::Io("DIRECTORY".into(), cause())),
+        use leverproxy::persistence::saved_state::Fault as E;
+        rows!(table, "leverproxy: `saved_state::Fault`", leverproxy::persistence::saved_state::Fault, [
+            Lock => E::Lock(leverproxy::persistence::state_file::LockError::Io("DIRECTORY".into(), cause())),
             Read => E::Read("PATH".into(), cause()),
             Unread => E::Unread("PATH".into(), persistent_state::Fault::Torn),
             Write => E::Write("PATH".into(), cause()),
@@ -226,9 +226,9 @@
         ]);
     }
     {
-        use leverproxy::takeover::Fault as E;
+        use leverproxy::persistence::hot_restart::Fault as E;
         let form = || serde_json::from_str::<u8>("").expect_err("nothing is no number");
-        rows!(table, "leverproxy: `takeover::Fault`", leverproxy::takeover::Fault, [
+        rows!(table, "leverproxy: `hot_restart::Fault`", leverproxy::persistence::hot_restart::Fault, [
             Read => E::Read(cause()),
             CutShort => E::CutShort,
             Long => E::Long,
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::{answer, read, Listener, Peer, Reply, Stage};
-use leverproxy::front::{Event, Front};
-use leverproxy::reactor::{Reactor, Token};
-use leverproxy::request::{Answer, Ticket};
+use leverproxy::downstream::{Downstream, Event};
+use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::request::{Answer, ResponseSlot};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
@@ -207,7 +207,7 @@
     .unwrap();
     let mut limits = config.limits;
     limits.passing = 160 << 10;
-    let mut front = Front::listen(
+    let mut front = Downstream::listen(
         config.listen,
         None,
         false,
@@ -220,14 +220,16 @@
     let mut clients: Vec<Peer> = (0..CLIENTS as u32)
         .map(|id| {
             let mut client = Peer::connect(address);
-            client.write(&leverproxy::pg::server::startup_packet("app", "shop"));
+            client.write(&leverproxy::protocol::postgres::server::startup_packet(
+                "app", "shop",
+            ));
             client.ask(&read(id, "any", 19000));
             client
         })
         .collect();
     let mut ready = Vec::new();
-    let mut tickets: Vec<Ticket> = Vec::new();
-    let mut turn = |front: &mut Front, events: &mut Vec<Event>| {
+    let mut tickets: Vec<ResponseSlot> = Vec::new();
+    let mut turn = |front: &mut Downstream, events: &mut Vec<Event>| {
         reactor
             .wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready)
             .unwrap();
--- a/crates/leverproxy/tests/state.rs
+++ b/crates/leverproxy/tests/state.rs
@@ -4,8 +4,8 @@
 mod common;
 use common::{get, post, read, served, until, Listener, Peer, Stage};
 use configuration::model::Memory;
-use leverproxy::system_calls::faults::{Fault, Rule};
-use leverproxy::system_calls::Call;
+use leverproxy::event_loop::system_calls::faults::{Fault, Rule};
+use leverproxy::event_loop::system_calls::Call;
 use rustix::io::Errno;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::{answer, read, Listener, Peer, Program, Reply, Stage, PATIENCE};
 use leverproxy::config::Config;
-use leverproxy::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::{Reactor, Token};
 use leverproxy::request::{Purpose, Question, Verdict};
 use leverproxy::upstream::{Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
@@ -20,7 +20,9 @@
     let stage = Stage::new(&[("s-1", &server)]);
     // The first query comes right behind the startup.
     let mut client = Peer::connect(stage.address);
-    client.write(&leverproxy::pg::server::startup_packet("app", "shop"));
+    client.write(&leverproxy::protocol::postgres::server::startup_packet(
+        "app", "shop",
+    ));
     client.ask(&read(1, "any", 19000));
     assert_eq!(client.reply(), Reply::default(), "the welcome");
     let mut upstream = server.welcome();
@@ -538,7 +540,9 @@
     let mut upstream = server.welcome();
     upstream.query();
     let mut second = Peer::connect(stage.address);
-    second.write(&leverproxy::pg::server::startup_packet("app", "shop"));
+    second.write(&leverproxy::protocol::postgres::server::startup_packet(
+        "app", "shop",
+    ));
     drop(first);
     assert_eq!(second.reply(), Reply::default());
     // Between requests a connection gives way to one that waits.
--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -3,10 +3,10 @@
 
 mod common;
 use common::{read, Listener, Peer, Stage, PATIENCE};
-use leverproxy::net::{self, Stream};
-use leverproxy::reactor::{Interest, Reactor, Token};
-use leverproxy::system_calls::faults::{Fault, Faults, Rule};
-use leverproxy::system_calls::{classify, Call, Failure, RETRY_PAUSE};
+use leverproxy::event_loop::connection::{self, Stream};
+use leverproxy::event_loop::reactor::{Interest, Reactor, Token};
+use leverproxy::event_loop::system_calls::faults::{Fault, Faults, Rule};
+use leverproxy::event_loop::system_calls::{classify, Call, Failure, RETRY_PAUSE};
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketType};
 use std::io::{Read, Write};
@@ -185,10 +185,10 @@
             fault: Fault::Fail(errno),
             times: 1,
         });
-        let error = net::listen(address).unwrap_err();
+        let error = connection::listen(address).unwrap_err();
         assert_eq!(Errno::from_io_error(&error), Some(errno));
     }
-    assert!(net::listen(address).is_ok());
+    assert!(connection::listen(address).is_ok());
 }
 
 #[test]
@@ -624,7 +624,7 @@
     let backlog = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     rustix::net::bind(&backlog, &"127.0.0.1:0".parse::<SocketAddr>().unwrap()).unwrap();
     rustix::net::listen(&backlog, 0).unwrap();
-    let silent = net::local_address(&backlog).unwrap();
+    let silent = connection::local_address(&backlog).unwrap();
     // Its backlog is full once a connection does not come up any more.
     let mut held = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&silent, Duration::from_millis(200)) {
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -5,15 +5,15 @@
 use leverproxy::config;
 use leverproxy::discovery::directory::{Change, Directory};
 use leverproxy::discovery::wire::Listing;
-use leverproxy::http::{Fault, Part, Reader};
-use leverproxy::logging::{self, NeverWaits};
-use leverproxy::pg::client::AnswerReader;
-use leverproxy::pg::statement::{self, Query};
-use leverproxy::reactor::Slots;
-use leverproxy::request::{Command, Done, Purpose, Question, Ticket, Verdict};
-use leverproxy::seldom::Seldom;
-use leverproxy::stages::admit::Ledger;
-use leverproxy::stages::book;
+use leverproxy::event_loop::reactor::Slots;
+use leverproxy::observability::log_rate_limit::LogRateLimit;
+use leverproxy::observability::logging::{self, NeverWaits};
+use leverproxy::pipeline::admit::OpenRequests;
+use leverproxy::pipeline::record;
+use leverproxy::protocol::http::{Fault, Part, Reader};
+use leverproxy::protocol::postgres::client::AnswerReader;
+use leverproxy::protocol::postgres::statement::{self, Query};
+use leverproxy::request::{Command, Done, Purpose, Question, ResponseSlot, Verdict};
 use platform_settings::Names;
 use routing::{
     Arrival, ClassId, EndpointState, EndpointUpdate, Event, GroupId, LoadReport, QuotaStatus,
@@ -218,7 +218,7 @@
         reader.take(&common::answer(text, &[])).unwrap();
         let (verdict, metadata) = reader.verdict(&Question::Load);
         let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
-        match book::book(
+        match record::book(
             &Done {
                 purpose,
                 class: None,
@@ -295,14 +295,14 @@
 /// On a long day every name is new: what is kept of them must not grow.
 #[test]
 fn names_of_requests_are_forgotten() {
-    let (mut ledger, start) = (Ledger::new(0), Instant::now());
+    let (mut ledger, start) = (OpenRequests::new(0), Instant::now());
     for no in 0..10_000 {
         let now = start + Duration::from_millis(10 * no);
         let text = format!("SELECT 1 /* id={no},c=any,d=480,cluster=2 */");
         let Ok(Query::Request(request)) = statement::parse(&text, now) else {
             panic!("{text}")
         };
-        let ticket = Ticket {
+        let ticket = ResponseSlot {
             client: Slots::default().insert(()),
             number: no,
         };
@@ -378,7 +378,7 @@
 /// What bad peers can bring about at will is a line a second at most, which tells how many it stands for.
 #[test]
 fn the_log_does_not_grow_with_a_flood() {
-    let (mut seldom, start) = (Seldom::default(), Instant::now());
+    let (mut seldom, start) = (LogRateLimit::default(), Instant::now());
     let at = |millis: u64| start + Duration::from_millis(millis);
     let lines: Vec<String> = (0..1500)
         .filter_map(|ms| seldom.line(at(ms), || "bad".into()))
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -6,8 +6,8 @@
 use leverproxy::clock::evidence::{Evidence, Told};
 use leverproxy::clock::{Clock, Source};
 use leverproxy::discovery::wire::Listing;
+use leverproxy::pipeline::record;
 use leverproxy::request::{Done, Purpose, Verdict};
-use leverproxy::stages::book;
 use routing::{Event, ResponseMetadata, ServerId, Time};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
@@ -303,7 +303,7 @@
             elapsed,
             metadata,
         };
-        match book::book(&done, true, NOW) {
+        match record::book(&done, true, NOW) {
             Event::ProbeEnded { report, .. } => (report.primary, report.position.is_some()),
             other => panic!("{other:?}"),
         }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,6 +1,6 @@
 //! The protocol's bytes that only peers of a proxy write and read, on the proxy's own codec.
 
-use leverproxy::pg::{self, server};
+use leverproxy::protocol::postgres::{self, server};
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -8,34 +8,34 @@
 /// A row of one column as a record server gives it.
 pub fn row(value: &str, parameters: &[(&str, String)]) -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put(&mut out, b'T', |body| {
+    postgres::put(&mut out, b'T', |body| {
         body.extend([0, 1]);
-        pg::put_text(body, "doc");
+        postgres::put_text(body, "doc");
         body.extend([0; 18]);
     });
-    pg::put(&mut out, b'D', |body| {
+    postgres::put(&mut out, b'D', |body| {
         body.extend([0, 1]);
         body.extend((value.len() as u32).to_be_bytes());
         body.extend(value.as_bytes());
     });
-    pg::put(&mut out, b'C', |body| pg::put_text(body, "SELECT 1"));
+    postgres::put(&mut out, b'C', |body| postgres::put_text(body, "SELECT 1"));
     end(out, parameters)
 }
 
 pub fn error(code: &str, parameters: &[(&str, String)]) -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put_error(&mut out, "ERROR", code, "as the rig's model has it", None);
+    postgres::put_error(&mut out, "ERROR", code, "as the rig's model has it", None);
     end(out, parameters)
 }
 
 fn end(mut out: Vec<u8>, parameters: &[(&str, String)]) -> Vec<u8> {
     for (name, value) in parameters {
-        pg::put(&mut out, b'S', |body| {
-            pg::put_text(body, name);
-            pg::put_text(body, value);
+        postgres::put(&mut out, b'S', |body| {
+            postgres::put_text(body, name);
+            postgres::put_text(body, value);
         });
     }
-    pg::put_ready(&mut out);
+    postgres::put_ready(&mut out);
     out
 }
 
@@ -89,7 +89,7 @@
 
     pub async fn send(&self, query: &str) -> io::Result<()> {
         let mut out = Vec::new();
-        pg::put(&mut out, b'Q', |body| pg::put_text(body, query));
+        postgres::put(&mut out, b'Q', |body| postgres::put_text(body, query));
         crate::link::write_all(&self.stream, &out).await
     }
 
@@ -103,8 +103,10 @@
         let mut reply = Reply::default();
         let mut bytes = vec![0; 16 << 10];
         loop {
-            let fault = |e: pg::Malformed| io::Error::new(io::ErrorKind::InvalidData, e.0);
-            while let Some(message) = pg::message(&self.input, MESSAGE_LIMIT).map_err(fault)? {
+            let fault = |e: postgres::Malformed| io::Error::new(io::ErrorKind::InvalidData, e.0);
+            while let Some(message) =
+                postgres::message(&self.input, MESSAGE_LIMIT).map_err(fault)?
+            {
                 match message.tag {
                     b'D' => {
                         reply.value = message
@@ -113,7 +115,8 @@
                             .map(|v| String::from_utf8_lossy(v).into_owned())
                     }
                     b'E' => {
-                        let field = |name| pg::error_field(message.body, name).map(str::to_owned);
+                        let field =
+                            |name| postgres::error_field(message.body, name).map(str::to_owned);
                         (reply.code, reply.detail) = (field(b'C'), field(b'D'));
                         reply.fatal = field(b'S').as_deref() == Some("FATAL");
                     }
