--- a/crates/proxy-experiments/src/lib.rs
+++ b/crates/proxy-experiments/src/lib.rs
@@ -1,6 +1,6 @@
 //! Experiments on virtual time: many proxies, each with a policy of its own, before the model of record servers.
 //!
-//! A [`scenario::Scenario`] says what there is, who asks and what goes wrong, as a file says it ([`file`]);
+//! A [`scenario::Scenario`] says what there is, who asks and what goes wrong, as a file says it ([`mod@file`]);
 //! [`play::play`] plays it for one policy and one seed; [`invariant_checkers::Checker`] watches the rules from outside and
 //! [`tally::Tally`] keeps the books.
 
