--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -11,7 +11,7 @@
 use leverproxy::protocol::postgres::server::startup_packet;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use std::io::{Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
 use std::process::Command;
 use std::sync::mpsc::channel;
@@ -146,6 +146,19 @@
     stage.end();
 }
 
+/// Binds an address whose listener has been closed. A child process that another test of this program starts holds a copy
+/// of that listener from its fork to its exec, and the system calls the address in use until then.
+fn bind_released(address: SocketAddr) -> TcpListener {
+    let begun = Instant::now();
+    loop {
+        match TcpListener::bind(address) {
+            Ok(listener) => return listener,
+            Err(error) => assert!(begun.elapsed() < PATIENCE, "{address}: {error}"),
+        }
+        thread::yield_now();
+    }
+}
+
 /// Called back from a drain while something else has its address: it listens as soon as it can.
 #[test]
 fn a_listener_that_can_not_be_had_again_is_tried_for() {
@@ -160,7 +173,7 @@
         told
     };
     assert!(say("drain").starts_with("phase drained"));
-    let other = TcpListener::bind(stage.address).unwrap();
+    let other = bind_released(stage.address);
     assert!(say("undrain").starts_with("phase serving"));
     drop(other);
     let begun = Instant::now();
