--- a/crates/leverproxy/src/cli/config.rs
+++ b/crates/leverproxy/src/cli/config.rs
@@ -1,7 +1,7 @@
 //! `leverproxy config`: what an operator does with a file before it is served by.
 
 use super::MISUSE;
-use crate::config::operator_config::{self, classes};
+use crate::config::operators_file::{self, classes};
 use crate::config::ConfigError;
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, ArgMatches, Command};
@@ -129,7 +129,7 @@
 
 fn check(with: &ArgMatches) -> Result<ExitCode, String> {
     let platform = platform(with)?;
-    let reading = operator_config::read(Path::new(text(with, "file")), platform.as_ref(), true);
+    let reading = operators_file::read(Path::new(text(with, "file")), platform.as_ref(), true);
     if text(with, "format") == "json" {
         say(&json(&reading.sources, &reading.diagnostics));
         say("\n");
@@ -202,7 +202,7 @@
 
 /// A file that is sound, or its faults.
 fn sound(path: &str, platform: Option<&Platform>) -> Result<Reading, String> {
-    let reading = operator_config::read(Path::new(path), platform, false);
+    let reading = operators_file::read(Path::new(path), platform, false);
     if reading.sound() {
         Ok(reading)
     } else {
--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -2,7 +2,7 @@
 //! runs goes through `reload`, and which version runs is `rollout`'s to say.
 
 use crate::cluster::members::Members;
-use crate::config::operator_config::Disk;
+use crate::config::operators_file::Disk;
 use crate::config::reload::Ask;
 use crate::config::ConfigError;
 use crate::control::control_socket::Said;
--- /dev/null
+++ b/crates/leverproxy/src/config/load.rs
@@ -0,0 +1,345 @@
+//! Reads both files and the environment into one checked [`Config`].
+
+use super::key_file;
+use super::limits;
+use super::platform_file::{self, PlatformFile, RequiredKeys};
+use super::{operator_config, operators_file, Config, ConfigError, Patience};
+use crate::clock::Source;
+use crate::discovery::wire::{Listing, ListingError};
+use configuration::model::{Model, Origin};
+use configuration::platform::Platform;
+use platform_settings::Decoded;
+use rustix::process::{getrlimit, Resource};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// After SIGTERM new connections go on coming for up to 0.4 s.
+const LINGER: Duration = Duration::from_millis(500);
+/// SIGKILL comes no sooner than 0.7 s and the longest deadline after SIGTERM, which counts for this much at most.
+const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
+/// Beyond that deadline, for answers on their way out.
+const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(600);
+/// Share of the time that a server keeps an idle connection after which it is closed here: a request written while the
+/// server closes would be lost.
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
+
+/// Which source counts where file and environment both state a key that may change while the proxy serves.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Precedence {
+    /// At the start the environment counts.
+    EnvironmentFirst,
+    /// Later the file counts: it has been replaced since, which the environment can't have been.
+    FileFirst,
+}
+
+/// A checked configuration, and the origin of the addresses that the operators' file did not state.
+pub(super) struct Loaded {
+    pub config: Config,
+    pub listen_origin: Option<Origin>,
+    pub discovery_origin: Option<Origin>,
+}
+
+/// Reads `LB_CONFIG`, `LB_OPERATORS` and what the other variables state instead.
+pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let text = platform_file::read_text(&variable)?;
+    load(&text, &variable, Precedence::EnvironmentFirst, open_files())
+        .map(|loaded| loaded.config)
+        .map_err(|error| error.located(&variable, &text))
+}
+
+/// Reads both files again. The platform's has to have all keys of the first one; where it names discovery, `LB_DISCOVERY`
+/// no longer counts.
+pub fn reread(
+    variable: impl Fn(&str) -> Option<String>,
+    required: &RequiredKeys,
+) -> Result<Config, ConfigError> {
+    let text = platform_file::read_text(&variable)?;
+    let read = || {
+        let config = load(&text, &variable, Precedence::FileFirst, open_files())?.config;
+        required.check(&text, &config.platform)?;
+        Ok(config)
+    };
+    read().map_err(|error: ConfigError| error.located(&variable, &text))
+}
+
+/// Parses the text of a platform's file, with the variables that count over it.
+pub fn parse(
+    text: &[u8],
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Config, ConfigError> {
+    Ok(load(text, variable, Precedence::EnvironmentFirst, None)?.config)
+}
+
+/// What the platform's file states that an operators' file is checked against.
+pub fn platform(text: &[u8]) -> Result<Platform, ConfigError> {
+    let file = PlatformFile::parse(text)?;
+    let decoded = file.decoded_settings()?;
+    Ok(platform_bounds(&file, &decoded))
+}
+
+fn platform_bounds(file: &PlatformFile, decoded: &Decoded) -> Platform {
+    operator_config::platform(decoded, file.limits.sockets, file.limits.memory_mb)
+}
+
+/// How many files the system lets this process hold open; none: any number.
+fn open_files() -> Option<usize> {
+    usize::try_from(getrlimit(Resource::Nofile).current?).ok()
+}
+
+pub(super) fn load(
+    text: &[u8],
+    variable: impl Fn(&str) -> Option<String>,
+    precedence: Precedence,
+    open_files: Option<usize>,
+) -> Result<Loaded, ConfigError> {
+    let file = PlatformFile::parse(text)?;
+    let mut platform = file.decoded_settings()?;
+    let model = operators_model(variable("LB_OPERATORS"), &platform_bounds(&file, &platform))?;
+    operator_config::tighten(&mut platform, &model);
+
+    let addresses = Addresses::read(&file, &variable, &model, precedence)?;
+    let known = known_endpoints(&file)?;
+    let seed = seed(&file)?;
+    let admin = admin_address(&file, &variable)?;
+    let limits = limits::divide(&file.limits, &model, admin.is_some(), open_files)?;
+    let name = variable("LB_NAME")
+        .or(file.name)
+        .unwrap_or_else(|| "leverproxy".into());
+    let member_keys = model
+        .members
+        .as_ref()
+        .map(|members| key_file::member_keys(members, &name))
+        .transpose()?;
+    let config = Config {
+        takeover: hot_restart_socket(&name, &variable, admin.is_some()),
+        name,
+        listen: addresses.listen,
+        admin,
+        discovery: addresses.discovery,
+        seed,
+        limits,
+        patience: patience(&model),
+        rules: operator_config::rules(&model, &platform),
+        health: operator_config::health(&model),
+        availability: operator_config::availability(&model),
+        control: model.control.clone(),
+        balancers: operator_config::balancers(&model),
+        member_keys,
+        sites: operator_config::sites(&model),
+        operators: stated_path(&variable, "LB_OPERATORS"),
+        checks: check_networks(&model),
+        proxy_from: proxy_protocol_networks(&model),
+        known,
+        dial_timeout: or_default(platform.dial_timeout, DEFAULT_DIAL_TIMEOUT),
+        idle_limit: or_default(platform.settings.idle_timeout, DEFAULT_IDLE_TIMEOUT)
+            .mul_f64(IDLE_TIMEOUT_SHARE),
+        watch_silence: model.discovery.watch_silence,
+        linger: model.linger.unwrap_or(LINGER),
+        give_up: longest_deadline(&platform).min(MAX_KILL_DEADLINE) + FINAL_ANSWER_MARGIN,
+        whole: RequiredKeys::of(text, &platform),
+        wall_clock: Source::default(),
+        platform,
+        announce_end: model.announce_end,
+        logging: model.logging,
+        members: model.members,
+        rollout: model.rollout,
+        memory: model.memory,
+        lending: model.lending,
+        windows: model.windows,
+    };
+    Ok(Loaded {
+        config,
+        listen_origin: addresses.listen_origin,
+        discovery_origin: addresses.discovery_origin,
+    })
+}
+
+/// The operators' model, if a file is named: valid, and no looser than the platform.
+fn operators_model(path: Option<String>, platform: &Platform) -> Result<Model, ConfigError> {
+    let Some(path) = path.filter(|path| !path.is_empty()) else {
+        return Ok(Model::default());
+    };
+    let reading = operators_file::read(Path::new(&path), Some(platform), false);
+    if reading.sound() {
+        return Ok(reading.model);
+    }
+    let faults = operators_file::faults(&reading);
+    let problem = format!("{path} has {} fault(s)", faults.len());
+    Err(ConfigError {
+        key: "LB_OPERATORS".into(),
+        problem,
+        faults,
+    })
+}
+
+/// The addresses that the proxy listens on or calls, and the origins of those that the operators' file did not state.
+struct Addresses {
+    listen: SocketAddr,
+    listen_origin: Option<Origin>,
+    discovery: SocketAddr,
+    discovery_origin: Option<Origin>,
+}
+
+impl Addresses {
+    fn read(
+        file: &PlatformFile,
+        variable: &impl Fn(&str) -> Option<String>,
+        model: &Model,
+        precedence: Precedence,
+    ) -> Result<Addresses, ConfigError> {
+        let (listen, listen_origin) = address(
+            "listen",
+            stated_address(variable, "LB_LISTEN", "listen", &file.listen),
+            model.listeners.first().and_then(|l| l.address),
+            "LB_LISTEN",
+        )?;
+        let file_first = (precedence == Precedence::FileFirst)
+            .then(|| file.discovery.clone())
+            .flatten();
+        let stated_discovery = match file_first {
+            Some(text) => Some((text, Origin::Platform("discovery".into()))),
+            None => stated_address(variable, "LB_DISCOVERY", "discovery", &file.discovery),
+        };
+        let (discovery, discovery_origin) = address(
+            "discovery",
+            stated_discovery,
+            model.discovery.address,
+            "LB_DISCOVERY",
+        )?;
+        Ok(Addresses {
+            listen,
+            listen_origin,
+            discovery,
+            discovery_origin,
+        })
+    }
+}
+
+/// The address where operators call, if one is stated.
+fn admin_address(
+    file: &PlatformFile,
+    variable: &impl Fn(&str) -> Option<String>,
+) -> Result<Option<SocketAddr>, ConfigError> {
+    stated_address(variable, "LB_ADMIN", "admin", &file.admin)
+        .map(|stated| address("admin", Some(stated), None, "LB_ADMIN"))
+        .transpose()
+        .map(|stated| stated.map(|(address, _)| address))
+}
+
+/// What the environment states, else what the platform's file does.
+fn stated_address(
+    variable: &impl Fn(&str) -> Option<String>,
+    name: &'static str,
+    key: &str,
+    in_file: &Option<String>,
+) -> Option<(String, Origin)> {
+    let in_environment = variable(name).map(|text| (text, Origin::Environment(name)));
+    in_environment.or_else(|| {
+        in_file
+            .clone()
+            .map(|text| (text, Origin::Platform(key.to_owned())))
+    })
+}
+
+/// An address as stated outside the operators' file, with its origin, else as the operators' file states it.
+fn address(
+    key: &str,
+    stated: Option<(String, Origin)>,
+    in_operators_file: Option<SocketAddr>,
+    variable: &str,
+) -> Result<(SocketAddr, Option<Origin>), ConfigError> {
+    match stated {
+        Some((text, origin)) => match text.parse() {
+            Ok(address) => Ok((address, Some(origin))),
+            Err(_) => Err(ConfigError::new(
+                key,
+                format!("{text:?} is not an address like 10.0.0.4:5433"),
+            )),
+        },
+        None => match in_operators_file {
+            Some(address) => Ok((address, None)),
+            None => Err(ConfigError::new(
+                key,
+                format!("missing (or set {variable})"),
+            )),
+        },
+    }
+}
+
+fn known_endpoints(file: &PlatformFile) -> Result<Listing, ConfigError> {
+    match &file.known {
+        Some(value) => Listing::parse(value.to_string().as_bytes())
+            .map_err(|ListingError(problem)| ConfigError::new("known", problem)),
+        None => Ok(Listing::default()),
+    }
+}
+
+fn seed(file: &PlatformFile) -> Result<u64, ConfigError> {
+    match &file.seed {
+        Some(text) => u64::from_str_radix(text, 16)
+            .map_err(|_| ConfigError::new("seed", format!("{text:?} is not a hexadecimal number"))),
+        None => Ok(u64::from(std::process::id())),
+    }
+}
+
+/// Where the next process finds this one; none without an admin address or a folder for temporary files.
+fn hot_restart_socket(
+    name: &str,
+    variable: impl Fn(&str) -> Option<String>,
+    has_admin: bool,
+) -> Option<PathBuf> {
+    let folder = variable("TMPDIR").filter(|folder| has_admin && !folder.is_empty())?;
+    // A proxy's name may hold characters that a file's name can't.
+    let file_name = name.replace(|c: char| !c.is_ascii_alphanumeric(), "-");
+    Some(Path::new(&folder).join(format!("leverproxy-{file_name}")))
+}
+
+fn stated_path(variable: impl Fn(&str) -> Option<String>, name: &str) -> Option<PathBuf> {
+    variable(name)
+        .filter(|path| !path.is_empty())
+        .map(PathBuf::from)
+}
+
+fn check_networks(model: &Model) -> Vec<ipnet::IpNet> {
+    model
+        .balancers
+        .iter()
+        .flat_map(|balancer| balancer.networks.clone())
+        .collect()
+}
+
+fn proxy_protocol_networks(model: &Model) -> Vec<ipnet::IpNet> {
+    model
+        .listeners
+        .iter()
+        .flat_map(|listener| listener.proxy_from.clone())
+        .collect()
+}
+
+fn longest_deadline(platform: &Decoded) -> Duration {
+    let deadlines = platform.settings.classes.iter().map(|c| c.deadline);
+    deadlines.max().unwrap_or_default()
+}
+
+fn or_default(stated: Duration, default: Duration) -> Duration {
+    if stated.is_zero() {
+        default
+    } else {
+        stated
+    }
+}
+
+fn patience(model: &Model) -> Patience {
+    let limits = &model.limits;
+    Patience {
+        first: limits.client_patience,
+        idle: limits.client_idle,
+        unread: limits.answer_unread,
+        goodbye: limits.goodbye,
+        pipeline: limits.pipeline,
+        unsent: limits.unsent,
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/config/operators_file.rs
@@ -0,0 +1,93 @@
+//! The operators' file on disk: read with the files that it includes, and checked.
+
+use crate::request::shown;
+use configuration::diagnostic::{self, Diagnostic};
+use configuration::load::Loader;
+use configuration::platform::{self, Platform};
+use configuration::source::Sources;
+use configuration::Reading;
+use std::io::Read;
+use std::path::{Path, PathBuf};
+
+/// Loads files of the operators' language from the file system.
+pub struct Disk;
+
+/// The first bytes of a regular file, at most `limit`.
+pub(super) fn read_at_most(path: &Path, limit: usize) -> Result<Vec<u8>, String> {
+    let file = std::fs::File::open(path).map_err(|e| e.to_string())?;
+    if !file.metadata().map_err(|e| e.to_string())?.is_file() {
+        return Err("is not a file".into());
+    }
+    let mut bytes = Vec::new();
+    file.take(limit as u64)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
+    Ok(bytes)
+}
+
+impl Loader for Disk {
+    fn read(&self, path: &Path) -> Result<Vec<u8>, String> {
+        read_at_most(path, configuration::load::FILE_LIMIT + 1)
+    }
+
+    fn identity(&self, path: &Path) -> Result<PathBuf, String> {
+        path.canonicalize().map_err(|e| e.to_string())
+    }
+
+    fn names(&self, folder: &Path) -> Result<Vec<String>, String> {
+        let folder = if folder.as_os_str().is_empty() {
+            Path::new(".")
+        } else {
+            folder
+        };
+        let entries = std::fs::read_dir(folder).map_err(|e| e.to_string())?;
+        Ok(entries
+            .flatten()
+            .map(|entry| entry.file_name().to_string_lossy().into_owned())
+            .collect())
+    }
+}
+
+/// Reads a file and checks it, against the platform's bounds where they are known. `search`: also look for routes that no
+/// request reaches, which takes long where there are many.
+pub fn read(path: &Path, platform: Option<&Platform>, search: bool) -> Reading {
+    let mut reading = configuration::read(path, &Disk);
+    let mut found = Vec::new();
+    if let Some(platform) = platform {
+        found = platform::check(&reading.sections, &reading.model, platform);
+    }
+    if search && reading.sound() {
+        let classes = platform.map(classes);
+        found.extend(configuration::shadow::check(
+            &reading.model,
+            classes.as_deref(),
+        ));
+    }
+    reading.add(found);
+    reading
+}
+
+/// The names of all classes, in the platform's order.
+pub fn classes(platform: &Platform) -> Vec<String> {
+    platform.classes.iter().map(|c| c.name.clone()).collect()
+}
+
+/// Each error in a line, for the log.
+pub fn faults(reading: &Reading) -> Vec<String> {
+    let errors = reading.diagnostics.iter().filter(|d| d.is_error());
+    errors.map(|d| fault_line(&reading.sources, d)).collect()
+}
+
+/// In one line, with the directive that it is about: a message may show its value alone.
+fn fault_line(sources: &Sources, diagnostic: &Diagnostic) -> String {
+    let line = sources.place(diagnostic.span).line;
+    let text = sources
+        .get(diagnostic.span.file)
+        .and_then(|file| file.text.lines().nth(line.checked_sub(1)?));
+    let directive = text.map_or("", str::trim);
+    format!(
+        "{}; the line is `{}`",
+        diagnostic::line(sources, diagnostic),
+        shown(directive)
+    )
+}
--- /dev/null
+++ b/crates/leverproxy/src/config/platform_file.rs
@@ -0,0 +1,137 @@
+//! The platform's JSON file (`LB_CONFIG`): its top-level keys, its settings object, and whether a later version of it is
+//! complete.
+
+use super::ConfigError;
+use platform_settings::{BadSetting, Decoded, Shape};
+use serde::Deserialize;
+use std::path::Path;
+
+/// The keys that the platform's file may have.
+pub(super) const TOP_LEVEL_KEYS: [&str; 8] = [
+    "name",
+    "listen",
+    "admin",
+    "discovery",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+];
+
+/// The platform's file as it stands there. Unknown keys are ignored.
+#[derive(Deserialize, Default)]
+#[serde(default)]
+pub(super) struct PlatformFile {
+    pub name: Option<String>,
+    pub listen: Option<String>,
+    pub admin: Option<String>,
+    pub discovery: Option<String>,
+    /// Hexadecimal.
+    pub seed: Option<String>,
+    pub limits: ProcessLimits,
+    /// The list of record servers as this proxy last had it, in discovery's form.
+    pub known: Option<serde_json::Value>,
+    /// The settings object that the simulator's hosts get too.
+    pub settings: Option<serde_json::Value>,
+}
+
+/// What the platform allows this process.
+#[derive(Deserialize, Default)]
+#[serde(default)]
+pub(super) struct ProcessLimits {
+    /// File descriptors.
+    pub sockets: Option<usize>,
+    /// Memory in MiB.
+    pub memory_mb: Option<usize>,
+}
+
+impl PlatformFile {
+    /// Parses the file's text.
+    pub fn parse(text: &[u8]) -> Result<PlatformFile, ConfigError> {
+        let mut json = serde_json::Deserializer::from_slice(text);
+        serde_path_to_error::deserialize(&mut json)
+            .map_err(|e| ConfigError::new(e.path().to_string(), e.inner()))
+    }
+
+    /// The settings object, decoded and checked.
+    pub fn decoded_settings(&self) -> Result<Decoded, ConfigError> {
+        let settings = self
+            .settings
+            .as_ref()
+            .ok_or_else(|| ConfigError::new("settings", "missing"))?;
+        let decoded = platform_settings::decode(settings.to_string().as_bytes()).map_err(
+            |BadSetting { key, problem }| ConfigError::new(format!("settings.{key}"), problem),
+        )?;
+        check_classes(&decoded)?;
+        Ok(decoded)
+    }
+}
+
+/// Reads the text of the file that `LB_CONFIG` names.
+pub(super) fn read_text(variable: impl Fn(&str) -> Option<String>) -> Result<Vec<u8>, ConfigError> {
+    let path = variable("LB_CONFIG").ok_or_else(|| ConfigError::new("LB_CONFIG", "is not set"))?;
+    std::fs::read(Path::new(&path))
+        .map_err(|e| ConfigError::new("LB_CONFIG", format!("{path} cannot be read: {e}")))
+}
+
+/// Requests cannot be served without a class, nor a class without a name and a deadline.
+fn check_classes(decoded: &Decoded) -> Result<(), ConfigError> {
+    let classes = &decoded.settings.classes;
+    if classes.is_empty() {
+        return Err(ConfigError::new("settings.Classes", "names no class"));
+    }
+    for (i, (class, name)) in classes.iter().zip(&decoded.names.classes).enumerate() {
+        let key = |name| format!("settings.Classes[{i}].{name}");
+        if name.is_empty() {
+            return Err(ConfigError::new(key("Name"), "missing"));
+        }
+        if class.deadline.is_zero() {
+            return Err(ConfigError::new(key("Deadline"), "missing or zero"));
+        }
+    }
+    Ok(())
+}
+
+/// Which keys the platform's first file had.
+///
+/// A later file that lacks one of them was cut off while it was written, or is not the platform's. Filled up with
+/// defaults it would change settings that nobody meant to change, so it is rejected.
+#[derive(Clone, Debug, Default)]
+pub struct RequiredKeys {
+    shape: Shape,
+    /// The first file allowed any number of attempts.
+    attempts_were_unlimited: bool,
+}
+
+impl RequiredKeys {
+    pub(super) fn of(text: &[u8], platform: &Decoded) -> RequiredKeys {
+        let value = without_endpoints(text).unwrap_or_default();
+        RequiredKeys {
+            shape: Shape::of(&value),
+            attempts_were_unlimited: platform.settings.attempt_limit == 0,
+        }
+    }
+
+    pub(super) fn check(&self, text: &[u8], platform: &Decoded) -> Result<(), ConfigError> {
+        let value = without_endpoints(text).map_err(|e| ConfigError::new(".", e))?;
+        if let Some(key) = self.shape.missing(&value) {
+            return Err(ConfigError::new(key, "missing, and the first file had it"));
+        }
+        if platform.settings.attempt_limit == 0 && !self.attempts_were_unlimited {
+            return Err(ConfigError::new(
+                "settings.PolicyLimits.TryLimit",
+                "is not a positive number",
+            ));
+        }
+        Ok(())
+    }
+}
+
+/// The file's JSON without the list of record servers, whose entries may differ in their keys.
+fn without_endpoints(text: &[u8]) -> Result<serde_json::Value, serde_json::Error> {
+    let mut value: serde_json::Value = serde_json::from_slice(text)?;
+    if let Some(fields) = value.as_object_mut() {
+        fields.remove("known");
+    }
+    Ok(value)
+}
--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -1,7 +1,7 @@
-//! Rereading the configuration beside the loop: files are read, routes compiled and former rules taken apart on one
-//! thread of its own, and the loop takes over what is ready in one step.
+//! Rereads the configuration beside the event loop: files are read, routes compiled and replaced rules dropped on a thread
+//! of its own, and the loop applies a finished configuration in one step.
 //!
-//! One thread for all of it, which lasts from the first reload on: memory that one reload needed serves the next.
+//! One thread serves all reloads, from the first one on, so that memory that one reload needed serves the next.
 
 use crate::cluster::rollout;
 use crate::config::{Config, ConfigError};
@@ -13,56 +13,61 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
-type Read = Result<Config, ConfigError>;
+type ReadResult = Result<Config, ConfigError>;
+
 /// Reads the configuration again, wherever it came from; with a path, with that as the operators' file.
-pub type Reread = Box<dyn FnMut(Option<&Path>) -> Read + Send>;
+pub type Reread = Box<dyn FnMut(Option<&Path>) -> ReadResult + Send>;
 
-/// What is to be read, and what for.
+/// What is to be read, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// What runs now may have changed.
+    /// The files in force, which may have changed.
     Again,
-    /// Whether a candidate could run.
+    /// A candidate of a rollout, to see whether it could run; the folder of candidates.
     Check(Hash, PathBuf),
-    /// A candidate, or the operators' own file, is to run.
+    /// A candidate that is to run, with its folder; without one, the operators' own file.
     Run(Hash, Option<PathBuf>),
 }
 
 enum Job {
     Read(Ask),
-    /// Taking apart what is large takes long.
+    /// Dropping large rules takes long.
     Drop(Box<Rules>),
 }
 
-/// One is at work, and one more will see what has changed meanwhile; any further would see the same.
-const UNDER_WAY: usize = 2;
+/// Reloads at work or waiting: one more than the running one sees whatever has changed meanwhile, any further would see
+/// the same.
+const MAX_PENDING_RELOADS: usize = 2;
 
+/// The reload thread as the event loop sees it.
 pub struct Reloads {
-    /// Until the thread has it.
+    /// Taken by the thread when it starts.
     reread: Option<(Reread, UnixStream)>,
     jobs: Option<Sender<Job>>,
-    ended: Option<Receiver<(Ask, Read)>>,
-    under_way: usize,
+    results: Option<Receiver<(Ask, ReadResult)>>,
+    pending_reloads: usize,
 }
 
 impl Reloads {
-    /// `waker`: wakes the loop when something is written to it.
+    /// `waker`: a byte written to it wakes the event loop.
     pub fn new(reread: Reread, waker: UnixStream) -> Reloads {
         Reloads {
             reread: Some((reread, waker)),
             jobs: None,
-            ended: None,
-            under_way: 0,
+            results: None,
+            pending_reloads: 0,
         }
     }
 
+    /// Requests a reload of the files in force, unless a pending one will see the same.
     pub fn begin(&mut self) {
-        if self.under_way < UNDER_WAY && self.ask(Ask::Again) {
-            self.under_way += 1;
+        if self.pending_reloads < MAX_PENDING_RELOADS && self.ask(Ask::Again) {
+            self.pending_reloads += 1;
         }
     }
 
-    /// A version of a rollout. There are few: a check and a run for each proposal.
+    /// Requests any read; false if the thread can't be started. Versions of a rollout are few: a check and a run for each
+    /// proposal.
     pub fn ask(&mut self, ask: Ask) -> bool {
         if let Err(error) = self.start() {
             log::error!("the configuration can't be reread: {error}");
@@ -74,54 +79,85 @@
     }
 
     fn start(&mut self) -> io::Result<()> {
-        let Some((mut reread, mut waker)) = self.reread.take() else {
+        let Some((reread, waker)) = self.reread.take() else {
             return Ok(());
         };
-        let (send, jobs) = channel();
-        let (done, ended) = channel();
-        let mut running = None;
-        let work = move || {
-            for job in jobs {
-                match job {
-                    Job::Drop(rules) => drop(rules),
-                    Job::Read(ask) => {
-                        let read = match &ask {
-                            Ask::Again => reread(running.as_deref()),
-                            Ask::Check(hash, folder) => {
-                                rollout::find(folder, hash).and_then(|path| reread(Some(&path)))
-                            }
-                            Ask::Run(_, None) => reread(None).inspect(|_| running = None),
-                            Ask::Run(hash, Some(folder)) => {
-                                rollout::find(folder, hash).and_then(|path| {
-                                    reread(Some(&path)).inspect(|_| running = Some(path))
-                                })
-                            }
-                        };
-                        if done.send((ask, read)).is_err() {
-                            return;
-                        }
-                        // A full socket wakes the loop as well as one more byte would.
-                        _ = waker.write(&[1]);
-                    }
-                }
-            }
+        let (jobs, queue) = channel();
+        let (sender, results) = channel();
+        let worker = Worker {
+            reread,
+            waker,
+            results: sender,
+            running: None,
         };
-        thread::Builder::new().name("reload".into()).spawn(work)?;
-        (self.jobs, self.ended) = (Some(send), Some(ended));
+        thread::Builder::new()
+            .name("reload".into())
+            .spawn(move || worker.run(queue))?;
+        (self.jobs, self.results) = (Some(jobs), Some(results));
         Ok(())
     }
 
-    /// What was read, once it is there.
-    pub fn ended(&mut self) -> Option<(Ask, Read)> {
-        let read = self.ended.as_ref()?.try_recv().ok()?;
-        self.under_way -= usize::from(read.0 == Ask::Again && self.under_way > 0);
-        Some(read)
+    /// The next finished read.
+    pub fn ended(&mut self) -> Option<(Ask, ReadResult)> {
+        let finished = self.results.as_ref()?.try_recv().ok()?;
+        let is_reload = finished.0 == Ask::Again;
+        self.pending_reloads -= usize::from(is_reload && self.pending_reloads > 0);
+        Some(finished)
     }
 
-    /// Former rules, to be taken apart elsewhere.
+    /// Drops replaced rules on the thread.
     pub fn discard(&self, rules: Rules) {
         if let Some(jobs) = &self.jobs {
             _ = jobs.send(Job::Drop(Box::new(rules)));
         }
     }
 }
+
+/// The thread's side.
+struct Worker {
+    reread: Reread,
+    waker: UnixStream,
+    results: Sender<(Ask, ReadResult)>,
+    /// The candidate that runs in place of the operators' own file.
+    running: Option<PathBuf>,
+}
+
+impl Worker {
+    /// Works until the event loop's side is gone.
+    fn run(mut self, queue: Receiver<Job>) {
+        for job in queue {
+            match job {
+                Job::Drop(rules) => drop(rules),
+                Job::Read(ask) => {
+                    let result = self.read(&ask);
+                    if self.results.send((ask, result)).is_err() {
+                        return;
+                    }
+                    // A full socket wakes the loop as well as one more byte would.
+                    _ = self.waker.write(&[1]);
+                }
+            }
+        }
+    }
+
+    fn read(&mut self, ask: &Ask) -> ReadResult {
+        match ask {
+            Ask::Again => (self.reread)(self.running.as_deref()),
+            Ask::Check(hash, folder) => {
+                let path = rollout::find(folder, hash)?;
+                (self.reread)(Some(&path))
+            }
+            Ask::Run(_, None) => {
+                let config = (self.reread)(None)?;
+                self.running = None;
+                Ok(config)
+            }
+            Ask::Run(hash, Some(folder)) => {
+                let path = rollout::find(folder, hash)?;
+                let config = (self.reread)(Some(&path))?;
+                self.running = Some(path);
+                Ok(config)
+            }
+        }
+    }
+}
