--- a/crates/grpc-health/src/lib.rs
+++ b/crates/grpc-health/src/lib.rs
@@ -26,6 +26,7 @@
 /// Which services there are, and whether each serves. The empty name is the whole server.
 pub type Snapshot = BTreeMap<String, bool>;
 
+/// Bounds on what checks may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// Connections at once; further ones wait in the backlog.
@@ -55,6 +56,7 @@
 }
 
 impl Server {
+    /// Serves on a thread of its own until the returned value is dropped. Fails if the thread or its event loop can't be had.
     pub fn start(listener: TcpListener, settings: Settings) -> io::Result<Server> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -74,6 +76,7 @@
         })
     }
 
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -234,6 +237,7 @@
     (bytes.len() == length).then_some(bytes)
 }
 
+/// A message as a gRPC frame: not compressed, with its length.
 pub fn framed(message: &impl Message) -> Bytes {
     let body = message.encode_to_vec();
     let mut out = Vec::with_capacity(body.len() + 5);
--- a/crates/invariant-checkers/src/cold.rs
+++ b/crates/invariant-checkers/src/cold.rs
@@ -29,9 +29,11 @@
 pub struct Bounds {
     /// Part of its capacity that a server starts with, and when it has all of it.
     pub cold: f64,
+    /// Time after the start, in microseconds, at which it has all of its capacity.
     pub warm_after: Micros,
     /// Times what it can do that it may get, over this time.
     pub tip: f64,
+    /// Length of the window in which requests add up, in microseconds.
     pub window: Micros,
     /// Requests of mean work that a warm server does in that time.
     pub warm: f64,
@@ -48,17 +50,21 @@
 /// The fullest time of one start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Peak {
+    /// The server.
     pub server: ServerIndex,
+    /// When it started, in microseconds of virtual time.
     pub started: Micros,
     /// When that time ended.
     pub at: Micros,
     /// What came, in requests of mean work, and what of it came from proxies that had been told of the start.
     pub got: f64,
+    /// The part of `got` from proxies that had been notified of the start.
     pub told: f64,
     /// N.
     pub allowed: f64,
     /// How many requests those were, and of how many proxies.
     pub requests: u64,
+    /// How many proxies sent them.
     pub proxies: u64,
 }
 
@@ -100,6 +106,7 @@
     told_peak: Option<Peak>,
 }
 
+/// Adds up what each starting server gets, over all proxies.
 #[derive(Clone, Debug)]
 pub struct Checker {
     bounds: Bounds,
@@ -113,6 +120,7 @@
 }
 
 impl Checker {
+    /// `mean_work`: the work of a mean request, in microseconds.
     pub fn new(bounds: Bounds, mean_work: f64) -> Checker {
         Checker {
             bounds,
@@ -123,6 +131,7 @@
         }
     }
 
+    /// A proxy has been notified that a server started; 0: long ago, which does not count.
     pub fn told(&mut self, proxy: usize, server: ServerIndex, started: Micros) {
         if started > 0 {
             let latest = self.told.entry((proxy, server)).or_default();
--- a/crates/invariant-checkers/src/lib.rs
+++ b/crates/invariant-checkers/src/lib.rs
@@ -13,13 +13,16 @@
 use server_model::Micros;
 use std::collections::BTreeMap;
 
+/// A safety rule that a run may break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Rule {
     /// One final answer, before the client gives up.
     Unanswered,
+    /// A second final answer came.
     AnsweredTwice,
     /// What may have run is not sent again beyond what its class allows.
     Repeated,
+    /// More attempts than the settings allow.
     TooManyAttempts,
     /// A cold server was pushed over.
     Collapsed,
@@ -37,6 +40,7 @@
     Lost,
 }
 
+/// All rules, in the order of reports.
 pub const RULES: [Rule; 11] = [
     Rule::Unanswered,
     Rule::AnsweredTwice,
@@ -54,8 +58,11 @@
 /// The final answer to a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
+    /// With the value that the record server gave.
     Served,
+    /// Rejected: nothing ran that a retry could double.
     Refused,
+    /// Failed: it may have run.
     Failed,
 }
 
@@ -89,6 +96,7 @@
     served: bool,
 }
 
+/// Checks the safety rules over the recorded history of one run: feed it each event in the order in which it happened.
 #[derive(Debug, Default)]
 pub struct Checker {
     try_limit: u16,
@@ -101,11 +109,15 @@
     effects: FxHashMap<u64, Effect>,
     /// By proxy and server, when it was told to send nothing more.
     leaving: FxHashMap<(usize, ServerIndex), Micros>,
+    /// How often each rule was broken.
     pub broken: BTreeMap<Rule, u64>,
     /// The first that each was found by, for whoever follows one.
     pub found: Vec<(Rule, TryId, Micros)>,
+    /// Requests that clients sent.
     pub asked: u64,
+    /// Requests that got a final answer.
     pub answered: u64,
+    /// Requests whose client left before the answer.
     pub left: u64,
     /// Tries that died with their proxy: nobody owes them an answer.
     pub gone: u64,
@@ -117,7 +129,9 @@
 /// Breaches of what several proxies do together: how many, and the first of them.
 #[derive(Clone, Debug)]
 pub struct Breaches<B> {
+    /// How many there were.
     pub count: u64,
+    /// The first of them.
     pub first: Vec<B>,
 }
 
@@ -143,6 +157,7 @@
 const GRACE: Micros = 20_000;
 
 impl Checker {
+    /// `try_limit`: attempts allowed for a request, 0: any number; `drain_grace`: microseconds after a drain was notified in which a server may still get requests.
     pub fn new(try_limit: u16, drain_grace: Micros) -> Checker {
         Checker {
             try_limit,
@@ -151,6 +166,7 @@
         }
     }
 
+    /// Counts a broken rule that was found elsewhere.
     pub fn breaks(&mut self, rule: Rule) {
         *self.broken.entry(rule).or_default() += 1;
     }
@@ -162,6 +178,7 @@
         }
     }
 
+    /// A client has sent a request to a proxy; `deadline` is when the client gives up.
     pub fn asks(
         &mut self,
         id: TryId,
@@ -215,6 +232,7 @@
         self.leaving.contains_key(&(proxy, server))
     }
 
+    /// A proxy has sent an attempt to a server.
     pub fn sends(&mut self, id: TryId, server: ServerIndex, now: Micros) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -245,6 +263,7 @@
         }
     }
 
+    /// An attempt has ended, as the proxy was told.
     pub fn ends(&mut self, id: TryId, outcome: Outcome) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -259,6 +278,7 @@
         }
     }
 
+    /// A client has received a final answer.
     pub fn answers(&mut self, id: TryId, answer: Final, now: Micros) {
         let Some(open) = self.open.get_mut(&id) else {
             // Its numbers rise: what was asked and is no longer open has been answered, or its client has left.
--- a/crates/invariant-checkers/src/loans.rs
+++ b/crates/invariant-checkers/src/loans.rs
@@ -10,9 +10,13 @@
 /// What a proxy says of a stand, in thousandths of a request. All of it is from one instant of that proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Book {
+    /// Lent to the tenant so far.
     pub lent: u64,
+    /// Repaid by the tenant so far.
     pub repaid: u64,
+    /// Given up as lost so far.
     pub written_off: u64,
+    /// Still owed.
     pub owed: u64,
     /// Of the line, what the proxy may lend alone. It moves by gifts: no rule goes by it.
     pub part: u64,
@@ -20,23 +24,41 @@
     pub line: u64,
 }
 
+/// A rule of lending that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Breach {
+    /// The accounts of one proxy do not add up.
     #[error("{proxy} on {stand}: lent is not repaid, owed and written off together in {book:?}")]
     Unbalanced {
+        /// The proxy's name.
         proxy: String,
+        /// The tenant's name.
         stand: String,
+        /// Its accounts as it showed them.
         book: Book,
     },
     #[error(
         "{stand} owes at least {owed} thousandths of a request over all proxies, beyond the line of {line}"
     )]
-    LinePassed { stand: String, owed: u64, line: u64 },
+    /// More is owed over the whole fleet than the credit limit allows, in thousandths of a request.
+    LinePassed {
+        /// The tenant's name.
+        stand: String,
+        /// Owed at the least, over all proxies.
+        owed: u64,
+        /// The credit limit.
+        line: u64,
+    },
+    /// A count that can only grow has shrunk.
     #[error("{proxy} on {stand}: a count shrank from {was:?} to {is:?}")]
     Backwards {
+        /// The proxy's name.
         proxy: String,
+        /// The tenant's name.
         stand: String,
+        /// Its accounts before.
         was: Book,
+        /// Its accounts now.
         is: Book,
     },
 }
@@ -120,6 +142,7 @@
     /// By stand and proxy.
     books: BTreeMap<String, BTreeMap<String, Known>>,
     lines: BTreeMap<String, Line>,
+    /// The breaches found so far.
     pub broken: Breaches<Breach>,
 }
 
--- a/crates/invariant-checkers/src/versions.rs
+++ b/crates/invariant-checkers/src/versions.rs
@@ -9,6 +9,7 @@
 /// A version as it was proposed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
+    /// The epoch of the proposal.
     pub epoch: u64,
     /// None: not told, and versions differ by their epochs alone.
     pub hash: Option<String>,
@@ -33,21 +34,34 @@
     pub runs: Option<Version>,
     /// Its rollout has reached the whole: what it runs is no longer new.
     pub whole: bool,
+    /// Versions that it knows to be halted.
     pub halted: Vec<Version>,
     /// Versions that it has taken over or failed to since its start; none: not told, and the order can't be judged.
     pub moves: Option<u64>,
 }
 
+/// A rule of rollouts that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Breach {
+    /// Two new versions ran at one time, by proxy.
     #[error("more than one new version runs at once: {0:?}")]
     TwoNew(BTreeMap<String, Version>),
+    /// A proxy ran a version that had been halted.
     #[error("{proxy} runs {version:?}, which was halted")]
-    HaltedRun { proxy: String, version: Version },
+    HaltedRun {
+        /// The proxy's name.
+        proxy: String,
+        /// The version that it ran.
+        version: Version,
+    },
+    /// A region ran a version before an earlier one had.
     #[error("{proxy} runs epoch {epoch}, which no proxy of the earlier region {skipped} ever ran")]
     OutOfOrder {
+        /// The proxy's name.
         proxy: String,
+        /// The epoch that it ran.
         epoch: u64,
+        /// The earlier region in which it never ran.
         skipped: String,
     },
 }
@@ -133,6 +147,7 @@
     /// Who was seen running which epoch, by region: the round, and which regions may have been passed over.
     runners: BTreeMap<(u64, usize), (String, u64, BTreeSet<usize>)>,
     round: u64,
+    /// The breaches found so far.
     pub broken: Breaches<Breach>,
 }
 
@@ -150,6 +165,7 @@
         }
     }
 
+    /// Takes in what a proxy says of itself at `now`.
     pub fn look(&mut self, now: Duration, proxy: &str, look: Look) {
         if look.whole {
             self.whole.insert(look.epoch);
--- a/crates/simulation-engine/src/streams.rs
+++ b/crates/simulation-engine/src/streams.rs
@@ -16,6 +16,7 @@
 }
 
 impl Streams {
+    /// The streams of a run with this seed.
     pub fn new(seed: u64) -> Streams {
         Streams { seed }
     }
--- a/crates/simulation-engine/src/wheel.rs
+++ b/crates/simulation-engine/src/wheel.rs
@@ -14,6 +14,7 @@
 const SLOTS: usize = 1 << BITS;
 const LEVELS: usize = (u64::BITS as usize).div_ceil(BITS as usize);
 
+/// A queue of events by the virtual time at which they are due; events of one time keep their order.
 #[derive(Debug)]
 pub struct Wheel<E> {
     /// No event that waits is earlier.
@@ -40,10 +41,12 @@
 }
 
 impl<E> Wheel<E> {
+    /// How many events wait.
     pub fn len(&self) -> usize {
         self.length
     }
 
+    /// Whether no event waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
--- a/crates/wire-admin/src/lib.rs
+++ b/crates/wire-admin/src/lib.rs
@@ -7,29 +7,43 @@
 
 /// Bytes of a call: its head, and its body.
 pub const HEAD_LIMIT: usize = 8 << 10;
+/// Bytes of a call's body.
 pub const BODY_LIMIT: usize = 4 << 10;
 const HEADERS: usize = 64;
 /// Longest name of a record server.
 const NAME_LIMIT: usize = 256;
 
+/// What an operator's tool asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
+    /// Whether the proxy is ready to serve.
     Ready,
+    /// The figures.
     Telemetry,
     /// By the name of the record server.
     Exclude(String),
+    /// To put a server back into service, by its name.
     Include(String),
 }
 
+/// The HTTP status of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
+    /// 200
     Ok,
+    /// 400
     BadRequest,
+    /// 404
     NotFound,
+    /// 405
     MethodNotAllowed,
+    /// 411
     LengthRequired,
+    /// 413
     ContentTooLarge,
+    /// 431
     HeadTooLarge,
+    /// 503
     Unavailable,
 }
 
@@ -51,11 +65,14 @@
 /// What a call gets: its status and one plain line, or the figures.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
+    /// The HTTP status.
     pub status: Status,
+    /// The body, with its last newline.
     pub text: String,
 }
 
 impl Answer {
+    /// An answer of one line.
     pub fn line(status: Status, text: impl fmt::Display) -> Answer {
         Answer {
             status,
@@ -209,6 +226,7 @@
         }
     }
 
+    /// The answer to a call for the figures.
     pub fn answer(self) -> Answer {
         Answer {
             status: Status::Ok,
--- a/crates/wire-health/src/agent.rs
+++ b/crates/wire-health/src/agent.rs
@@ -13,7 +13,9 @@
 /// What a balancer asks about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asked {
+    /// The whole proxy.
     Proxy,
+    /// One group of record servers, by its number.
     Group(u32),
 }
 
@@ -62,23 +64,33 @@
 /// What a balancer understands of a line; the other side of the protocol, for stand-ins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Words {
+    /// The operational state, if the line sets one.
     pub operational: Option<Operational>,
+    /// The administrative state, if the line sets one.
     pub administrative: Option<Administrative>,
     /// Percent of the weight that the balancer's own file states.
     pub weight: Option<u32>,
+    /// The most connections that the balancer may open.
     pub maxconn: Option<u32>,
 }
 
+/// Whether the server works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operational {
+    /// `up`
     Up,
+    /// `down`, `failed` or `stopped`
     Down,
 }
 
+/// Whether operators want the server used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Administrative {
+    /// `ready`
     Ready,
+    /// `drain`: no new sessions.
     Drain,
+    /// `maint`: out of service.
     Maint,
 }
 
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -11,19 +11,29 @@
 pub const HEAD_LIMIT: usize = 4 << 10;
 const HEADERS: usize = 32;
 
+/// The request's method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
+    /// GET
     Get,
+    /// HEAD
     Head,
+    /// Any other; it is rejected.
     Other,
 }
 
+/// The endpoint that a check asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
+    /// `/livez`: the process works.
     Live,
+    /// `/readyz`: the proxy takes requests.
     Ready,
+    /// `/startupz`: the proxy has started.
     Started,
+    /// `/readyz/group/N`: the proxy takes requests for group N.
     Group(u32),
+    /// Any other path.
     Unknown,
 }
 
@@ -39,14 +49,18 @@
     OverloadIs429,
 }
 
+/// A health check as it was asked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Check {
+    /// The method.
     pub method: Method,
+    /// The endpoint.
     pub target: Target,
     /// The connection goes on after the answer.
     pub keep: bool,
     /// Detail in JSON is wanted.
     pub detail: bool,
+    /// The format of the load report that is wanted; none: no report.
     pub load: Option<Format>,
     /// What the balancer says of this server.
     pub server_state: Option<ServerState>,
@@ -57,12 +71,17 @@
 pub struct ServerState {
     /// The word and the progress behind it.
     pub state: String,
+    /// The balancer's own name.
     pub node: Option<String>,
+    /// The server's weight, and that of its whole backend.
     pub weight: Option<(u32, u32)>,
+    /// Sessions on this server, and on the whole backend.
     pub sessions: Option<(u32, u32)>,
+    /// Requests queued for this server.
     pub queued: Option<u32>,
 }
 
+/// Parses the value of `X-Haproxy-Server-State`; none: it can't be read.
 pub fn server_state(value: &str) -> Option<ServerState> {
     let mut parts = value.split(';').map(str::trim);
     let state = parts
@@ -92,6 +111,7 @@
     Some(found)
 }
 
+/// Why a request is no health check. None is worth a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// No HTTP.
@@ -178,6 +198,7 @@
     format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").into_bytes()
 }
 
+/// The response to a check, with the status that `statuses` prescribes.
 pub fn answer(check: &Check, status: &Status, statuses: Statuses) -> Vec<u8> {
     let state = status.state;
     let group = match check.target {
--- a/crates/wire-health/src/orca.rs
+++ b/crates/wire-health/src/orca.rs
@@ -6,18 +6,25 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 
+/// The encoding of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
+    /// `TEXT name=value, name=value`
     Text,
+    /// `JSON {...}`
     Json,
+    /// A serialised message in base64.
     Binary,
 }
 
+/// The response header of a report in text or JSON.
 pub const HEADER: &str = "endpoint-load-metrics";
+/// The response header of a binary report.
 pub const BINARY_HEADER: &str = "endpoint-load-metrics-bin";
 /// The request header that names the form.
 pub const FORMAT_HEADER: &str = "endpoint-load-metrics-format";
 
+/// The format of that name; none: there is none.
 pub fn format(name: &str) -> Option<Format> {
     match name.trim().to_ascii_lowercase().as_str() {
         "text" => Some(Format::Text),
--- a/crates/wire-health/src/proxy.rs
+++ b/crates/wire-health/src/proxy.rs
@@ -12,19 +12,25 @@
 const HEAD: usize = 16;
 const CRC32C: u8 = 0x03;
 
+/// Who a connection is from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum From {
     /// The balancer speaks for itself (a check), or does not know: the connection's own address counts.
     Local,
+    /// The client's address, as the balancer names it.
     Client(SocketAddr),
 }
 
+/// Why a header can't be used. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It begins otherwise than a header does.
     Missing,
+    /// It can't be parsed.
     Malformed,
+    /// It is longer than the specification or this program allows.
     TooLong,
+    /// Its CRC-32C is not that of its bytes.
     Checksum,
 }
 
