--- a/crates/incidents/src/balancer.rs
+++ b/crates/incidents/src/balancer.rs
@@ -6,21 +6,30 @@
 use wire_health::http::{self, Statuses};
 use wire_health::Status;
 
+/// The health protocol that a balancer uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Speaks {
+    /// HAProxy's agent check.
     Agent,
     /// `disable_on_404`: a 404 puts a server into drain and is no failure.
     Http {
+        /// Whether a 404 means drain.
         disable_on_404: bool,
     },
 }
 
+/// How a balancer checks its servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
+    /// Its name in reports.
     pub name: &'static str,
+    /// The protocol of its checks.
     pub speaks: Speaks,
+    /// Time between two checks of one server.
     pub interval: Duration,
+    /// Good checks in a row after which a server is up.
     pub rise: u32,
+    /// Bad checks in a row after which a server is down.
     pub fall: u32,
 }
 
@@ -36,16 +45,21 @@
     next: Time,
 }
 
+/// A balancer in front of the proxies.
 #[derive(Debug)]
 pub struct Balancer {
+    /// How it checks.
     pub set: Settings,
+    /// The proxies, as it sees them.
     pub servers: Vec<Server>,
 }
 
 /// What a balancer has come to believe of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Belief {
+    /// It is sent new requests unless it is drained.
     pub up: bool,
+    /// It is sent nothing new.
     pub drained: bool,
     /// Percent of the configured weight.
     pub weight: u32,
@@ -69,6 +83,7 @@
         }
     }
 
+    /// Whether the next check of a server is due.
     pub fn due(&self, server: usize, now: Time) -> bool {
         self.servers[server].next <= now
     }
@@ -102,6 +117,7 @@
         }
     }
 
+    /// What it believes of a server.
     pub fn belief(&self, at: usize) -> Belief {
         let Server {
             up,
@@ -157,6 +173,7 @@
 }
 
 impl Server {
+    /// A server that is up, with its full weight.
     pub fn new() -> Server {
         Server {
             up: true,
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -30,9 +30,11 @@
 /// What was told and believed, sampled.
 #[derive(Clone, Debug)]
 pub struct Sample {
+    /// When it was sampled.
     pub at: Time,
     /// By proxy.
     pub states: Vec<State>,
+    /// By proxy, in percent.
     pub weights: Vec<u8>,
     /// By balancer, by proxy.
     pub beliefs: Vec<Vec<Belief>>,
@@ -40,19 +42,27 @@
     pub nowhere: u64,
 }
 
+/// A proxy's change of state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
+    /// When.
     pub at: Time,
+    /// Which proxy.
     pub proxy: usize,
+    /// Its state from then on.
     pub state: State,
 }
 
+/// What came of an incident.
 #[derive(Debug, Default)]
 pub struct Outcome {
+    /// States and beliefs over time.
     pub samples: Vec<Sample>,
     /// Every change of a proxy's state.
     pub told: Vec<Told>,
+    /// Requests that clients sent.
     pub asked: u64,
+    /// Requests that were answered.
     pub served: u64,
     /// Requests that came while every proxy was out for their balancer.
     pub nowhere: u64,
@@ -60,6 +70,7 @@
     pub closed_door: u64,
     /// From the start of the trouble to the first proxy, and the last, that tells of it.
     pub first_told: Option<Duration>,
+    /// From the start of the fault to the last proxy that reports it.
     pub last_told: Option<Duration>,
     /// Balancers that held a proxy for down or drained that may not be.
     pub false_downs: u64,
--- a/crates/incidents/src/script.rs
+++ b/crates/incidents/src/script.rs
@@ -11,13 +11,18 @@
     Answer(f64),
     /// Answers no write for want of a primary; reads are served.
     NoPrimary,
+    /// Takes requests and answers none.
     Silent,
+    /// Refuses connections.
     Dead,
 }
 
+/// A change in a scripted incident.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
+    /// One group behaves so from now on.
     Group(u32, Servers),
+    /// All groups behave so from now on.
     AllGroups(Servers),
     /// A proxy's loop is late by this.
     Lag(usize, Duration),
@@ -25,8 +30,11 @@
     Descriptors(usize, f64),
     /// All proxies get so many times the usual requests.
     Demand(f64),
+    /// An operator drains a proxy.
     Drain(usize),
+    /// An operator puts a proxy back into service.
     Undrain(usize),
+    /// Whether a proxy hears discovery.
     Discovery(usize, bool),
     /// Nothing of a proxy moves for so long.
     Stall(usize, Duration),
@@ -44,19 +52,28 @@
 /// Buildings; every group has two members in each.
 pub const PLACES: u16 = 2;
 
+/// A scripted incident: what goes wrong, when, and who may be out of service for it.
 #[derive(Clone, Debug)]
 pub struct Incident {
+    /// Its name.
     pub name: &'static str,
+    /// What happens, in a sentence.
     pub about: &'static str,
+    /// Number of proxies.
     pub proxies: usize,
+    /// Number of groups.
     pub groups: u32,
     /// Requests a second, to all proxies together.
     pub per_s: f64,
+    /// How long it is played.
     pub length: Duration,
+    /// What changes, in the order of time.
     pub changes: Vec<(Time, Change)>,
+    /// The balancers in front of the proxies.
     pub balancers: Vec<Settings>,
     /// When the trouble is there, and which proxies may truly be told to be out of service meanwhile.
     pub trouble: (Time, Time),
+    /// Proxies that may be reported out of service during the fault.
     pub may_be_out: Vec<usize>,
 }
 
--- a/crates/incidents/src/world.rs
+++ b/crates/incidents/src/world.rs
@@ -20,6 +20,7 @@
 pub enum Reach {
     /// Neither request nor answer passes; connections don't come up.
     Nothing,
+    /// Both pass, and the servers behave so.
     Servers(Servers),
 }
 
@@ -33,6 +34,7 @@
     stands: Time,
 }
 
+/// The record servers of two buildings.
 #[derive(Debug)]
 pub struct World {
     groups: Vec<Group>,
@@ -47,6 +49,7 @@
 }
 
 impl World {
+    /// All servers up, all links standing.
     pub fn new(groups: u32, proxies: usize) -> World {
         let places = usize::from(PLACES);
         let group = |number: u32| Group {
@@ -66,26 +69,32 @@
         }
     }
 
+    /// Number of groups.
     pub fn groups(&self) -> u32 {
         self.groups.len() as u32
     }
 
+    /// Number of servers.
     pub fn servers(&self) -> u32 {
         self.groups() * MEMBERS
     }
 
+    /// The servers of a group.
     pub fn members(&self, group: u32) -> Range<u32> {
         group * MEMBERS..(group + 1) * MEMBERS
     }
 
+    /// A server's building.
     pub fn place(&self, server: u32) -> u16 {
         (server % u32::from(PLACES)) as u16
     }
 
+    /// A server's group.
     pub fn group(&self, server: u32) -> u32 {
         server / MEMBERS
     }
 
+    /// The group's primary; none while it takes no writes.
     pub fn primary(&self, group: u32) -> Option<u32> {
         self.groups[group as usize]
             .primary
@@ -113,6 +122,7 @@
         }
     }
 
+    /// What a proxy's request to a server meets.
     pub fn reach(&self, proxy: usize, server: u32) -> Reach {
         let place = usize::from(self.place(server));
         if !self.links[proxy][place] || !self.powered[place] {
@@ -124,23 +134,28 @@
         }
     }
 
+    /// A group behaves so from now on.
     pub fn set_group(&mut self, group: u32, servers: Servers, now: Time) {
         let group = &mut self.groups[group as usize];
         (group.servers, group.stands) = (servers, now);
     }
 
+    /// Sets up or cuts the link from a proxy to a building.
     pub fn link(&mut self, proxy: usize, place: u16, up: bool) {
         self.links[proxy][usize::from(place)] = up;
     }
 
+    /// Cuts or heals the link between the buildings.
     pub fn apart(&mut self, apart: bool, now: Time) {
         self.apart = apart.then_some(now);
     }
 
+    /// The servers of a building hang, or no longer do.
     pub fn hang(&mut self, place: u16, hung: bool) {
         self.hung[usize::from(place)] = hung;
     }
 
+    /// Cuts or restores the power of a building.
     pub fn power(&mut self, place: u16, on: bool, now: Time) {
         self.powered[usize::from(place)] = on;
         for server in (0..self.servers()).filter(|s| s % u32::from(PLACES) == u32::from(place)) {
--- a/crates/server-model/src/account.rs
+++ b/crates/server-model/src/account.rs
@@ -14,6 +14,7 @@
     pub line: Micros,
     /// In which a loan is repaid; who owes for longer gets none, and after so much more it is written off.
     pub term: Micros,
+    /// How long after the term an unpaid loan is written off.
     pub write_off: Micros,
     /// The part of its quota that always stays, in thousandths.
     pub floor: u32,
@@ -23,10 +24,14 @@
     pub rate: u64,
 }
 
+/// How a request counts against its tenant's account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Drawn {
+    /// Within the quota.
     Within,
+    /// Beyond the quota, on credit.
     Borrowed,
+    /// Beyond the quota and without credit.
     Beyond,
 }
 
--- a/crates/server-model/src/catalog.rs
+++ b/crates/server-model/src/catalog.rs
@@ -5,12 +5,14 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// How late and how slow the discovery service is, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// A change is told this much later.
     pub late: Micros,
     /// What a call takes; a call that has waited for longer than that fails.
     pub call: Micros,
+    /// How long a call may wait.
     pub patience: Micros,
 }
 
@@ -24,12 +26,18 @@
     }
 }
 
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
+    /// The server.
     pub server: ServerIndex,
+    /// Its group.
     pub group: u32,
+    /// Its building.
     pub place: u16,
+    /// Its state.
     pub status: Status,
+    /// When it started; 0: long ago.
     pub started: Micros,
 }
 
@@ -49,13 +57,16 @@
 /// Whoever calls: a proxy.
 pub type Caller = usize;
 
+/// What happens to the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Something is true of a server from now on.
     Changed(Record),
     /// A call for all changes behind an index, and those to come.
     Watch {
+        /// The proxy that calls.
         caller: Caller,
+        /// The index up to which it knows the list.
         after: u64,
     },
     /// The caller is gone, and its watch with it.
@@ -64,21 +75,31 @@
     Behind(Micros),
     /// Calls fail and watches end, until it is up again.
     Down(bool),
+    /// A time that was asked for with [`Action::DueAt`].
     Due,
 }
 
+/// What the service does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// Sends entries to a caller.
     Tell {
+        /// The proxy that gets them.
         caller: Caller,
+        /// The list's index with these entries.
         index: u64,
+        /// The entries are the whole list.
         complete: bool,
+        /// The entries.
         records: Vec<Record>,
     },
+    /// Fails a call or ends a watch.
     Fail(Caller),
+    /// Asks for [`Event::Due`] at that time.
     DueAt(Micros),
 }
 
+/// The discovery service.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     set: Settings,
@@ -99,6 +120,7 @@
 const GONE_KEPT: usize = 10_000;
 
 impl Catalog {
+    /// A service that knows these servers.
     pub fn new(set: Settings, records: impl IntoIterator<Item = Record>) -> Catalog {
         let known = records
             .into_iter()
@@ -117,6 +139,7 @@
         }
     }
 
+    /// The list's present index.
     pub fn index(&self) -> u64 {
         self.index
     }
@@ -129,6 +152,7 @@
             .filter(|r| r.status != Status::Gone)
     }
 
+    /// Applies an event and appends what follows from it.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Changed(record) => {
--- a/crates/server-model/src/clients.rs
+++ b/crates/server-model/src/clients.rs
@@ -15,6 +15,7 @@
 /// What a request needs of the data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
+    /// The primary has to take it.
     Write,
     /// All that was written before it came.
     Fresh,
@@ -22,67 +23,95 @@
     Session,
     /// Data no older than this.
     Bounded(Micros),
+    /// Any member may answer, however old its data.
     Any,
 }
 
+/// What a retry of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
+    /// Idempotent: any number of attempts may run.
     Safe,
     /// Duplicates are dropped by its group for this long.
     Keyed(Micros),
+    /// Not idempotent: it may run once.
     Never,
 }
 
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kind {
+    /// The class's name.
     pub name: String,
+    /// The data that it needs.
     pub need: Need,
+    /// Whether it may run again.
     pub repeat: Repeat,
     /// Part of the requests, in proportion to the others'.
     pub share: f64,
+    /// The work of a request, in microseconds of a core.
     pub work: Work,
+    /// Latency objective: an answer within it earns the full weight.
     pub aim: Micros,
+    /// After this the client gives up.
     pub deadline: Micros,
+    /// Priority weight.
     pub worth: f64,
     /// Part of the worth that a late answer earns.
     pub late_worth: f64,
 }
 
+/// A customer, of whom a part of the requests are.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
+    /// The tenant's name.
     pub name: String,
+    /// Its part of the requests, in proportion to the others'.
     pub share: f64,
     /// Requests a second that count in full; 0: all.
     pub quota: f64,
+    /// What it may borrow; none: nothing.
     pub credit: Option<Credit>,
 }
 
+/// The load that clients bring.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
+    /// The classes of requests.
     pub kinds: Vec<Kind>,
+    /// The tenants.
     pub tenants: Vec<Tenant>,
     /// Worth of what is beyond a tenant's quota.
     pub over_worth: f64,
     /// Requests a second, and how many times that at which time: straight lines between the points.
     pub per_s: f64,
+    /// Time, and the multiple of `per_s` at that time.
     pub profile: Vec<(Micros, f64)>,
+    /// How long requests come.
     pub length: Micros,
+    /// Number of proxies.
     pub proxies: usize,
+    /// Number of groups of servers.
     pub groups: u32,
     /// How unequal the proxies' shares are: the n-th gets in proportion to n to the power of minus this.
     pub unequal: f64,
     /// So many of the first proxies carry this part of the requests together; 0: no more than by `unequal`.
     pub busy: usize,
+    /// The part of all requests that the `busy` proxies carry.
     pub busy_carry: f64,
     /// The same of the groups.
     pub skew: f64,
     /// Sessions at each proxy; the part of their reads that come soon after one of their writes, and how soon.
     pub sessions: u64,
+    /// The part of session reads that follow a write of their session.
     pub after_write: f64,
+    /// How soon they follow it.
     pub soon: Micros,
     /// Further tries at the most, after this wait unless the proxy tells another that is heeded.
     pub repeats: u32,
+    /// The wait before a client's retry.
     pub wait: Micros,
+    /// Clients wait as long as the proxy tells them to.
     pub heeds: bool,
     /// Repeats say that they are.
     pub marks: bool,
@@ -90,64 +119,90 @@
     pub patience: (f64, f64),
 }
 
+/// Names one try of a client, from 1.
 pub type TryId = u64;
 
 /// One try of a request, at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Try {
+    /// The try's name.
     pub id: TryId,
     /// The request that it belongs to: what its work and its effect go by.
     pub request: u64,
+    /// Its class, by position in [`Settings::kinds`].
     pub kind: usize,
+    /// Its tenant, by position in [`Settings::tenants`].
     pub tenant: usize,
+    /// The group that it is for.
     pub group: u32,
+    /// The session that it belongs to.
     pub session: u64,
+    /// The proxy that it is sent to.
     pub proxy: usize,
     /// Until its client gives it up.
     pub wait: Micros,
     /// The session's last write, as the client knows it; 0: none.
     pub wrote: Micros,
+    /// The client says that it is a retry.
     pub repeated: bool,
     /// Its request is within its tenant's quota, or lent to it, which a proxy can't know.
     pub within: bool,
 }
 
+/// The final answer to a try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     /// Of a write: its commit.
     Served {
+        /// When it took effect.
         commit: Micros,
     },
+    /// Rejected: nothing ran that a retry could double.
     Refused {
+        /// The wait that the proxy asks for.
         retry_after: Option<Micros>,
     },
+    /// Failed: it may have run.
     Failed,
     /// The proxy can't be reached, or has died with it.
     Gone {
+        /// The try had reached the proxy.
         reached: bool,
     },
 }
 
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
+    /// The next request of a client.
     Arrival,
+    /// A client's retry of that request.
     Repeat(u64),
+    /// The client of that try gives up.
     GiveUp(TryId),
 }
 
+/// What happens to the clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
+    /// The run begins.
     Start,
+    /// A timer asked for with [`Action::DueAt`].
     Due(Due),
+    /// A try has its final answer.
     Answered(TryId, Answer),
     /// One tenant's requests, or all, come so many times as fast from now on.
     Surge {
+        /// The tenant; none: all.
         tenant: Option<usize>,
+        /// The multiple of the usual rate.
         times: f64,
     },
     /// Whether new tries find a proxy.
     Proxy {
+        /// The proxy.
         proxy: usize,
+        /// Whether it accepts connections.
         up: bool,
     },
 }
@@ -155,39 +210,58 @@
 /// How a request ended, for whoever keeps the books.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settled {
+    /// The request.
     pub request: u64,
+    /// Its class, by position.
     pub kind: usize,
+    /// Its tenant, by position.
     pub tenant: usize,
+    /// Its group.
     pub group: u32,
+    /// When the client first sent it.
     pub came: Micros,
+    /// Its priority weight.
     pub worth: f64,
     /// What it earned, and after which time; none: it was not served.
     pub earned: f64,
     /// The same if those of its tenant that were served count in full as far as its account goes, whichever they are.
     pub counted: f64,
+    /// Time from the first try to the answer; none: it was not served.
     pub took: Option<Micros>,
+    /// How many tries the client made.
     pub tries: u32,
+    /// How it ended.
     pub end: End,
 }
 
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// With an answer.
     Served,
+    /// Rejected, and not tried again.
     Refused,
+    /// Failed, and not tried again.
     Failed,
     /// Its client's time was over.
     Left,
 }
 
+/// What clients do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
+    /// Send a try to its proxy.
     Ask(Try),
     /// Nobody waits for that try any more.
     Leave {
+        /// The try.
         id: TryId,
+        /// The proxy that has it.
         proxy: usize,
     },
+    /// Ask for [`Event::Due`] at that time.
     DueAt(Micros, Due),
+    /// A request is over.
     Settled(Settled),
 }
 
@@ -216,6 +290,7 @@
 /// The last writes of a proxy's clients, which reads come after.
 const RECENT: usize = 32;
 
+/// All clients of all proxies.
 #[derive(Debug)]
 pub struct Clients {
     set: Settings,
@@ -251,6 +326,7 @@
 pub const SURGE_MOST: f64 = 16.0;
 
 impl Clients {
+    /// Clients whose draws come from these streams.
     pub fn new(set: Settings, streams: &Streams) -> Clients {
         let sums = |parts: &mut dyn Iterator<Item = f64>| -> Vec<f64> {
             let mut sum = 0.0;
@@ -304,6 +380,7 @@
         self.requests.len()
     }
 
+    /// Applies an event and appends what follows from it.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.schedule(actions),
--- a/crates/server-model/src/group.rs
+++ b/crates/server-model/src/group.rs
@@ -16,8 +16,10 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
+/// The size of a group and the times of its replication, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
+    /// Members at the start.
     pub members: usize,
     /// The log's way to a replica.
     pub ship: Micros,
@@ -25,6 +27,7 @@
     pub apply: Micros,
     /// A lost primary is given up after this, and a replica takes over so much later.
     pub give_up: Micros,
+    /// How much later a replica takes over.
     pub take_over: Micros,
     /// A primary that drains hands over within this.
     pub hand_over: Micros,
@@ -60,12 +63,18 @@
     applied: Micros,
 }
 
+/// What happens to a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
     /// A member that is primary commits a write.
     Commit(usize),
     /// A long query holds a member's thread.
-    Hold { member: usize, span: Micros },
+    Hold {
+        /// The member.
+        member: usize,
+        /// For how long.
+        span: Micros,
+    },
     /// A member dies, hangs or is cut off from the others.
     Lose(usize),
     /// A member is heard of no more, though it may go on working.
@@ -73,7 +82,10 @@
     /// It is back, with what it had.
     Return(usize),
     /// A new member comes, from a copy that is so old; it is the last one from now on.
-    Join { copy_age: Micros },
+    Join {
+        /// How old the copy is.
+        copy_age: Micros,
+    },
     /// A member is to hand over if it is primary, and never takes over any more.
     Leave(usize),
     /// These members can't hear the others from now on.
@@ -84,6 +96,7 @@
     Due,
 }
 
+/// What follows for whoever drives the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// [`Event::Due`] is wanted then.
@@ -93,7 +106,12 @@
     /// From now on a side of the group takes no writes.
     Vacant,
     /// What was committed on one side after that time is lost.
-    Lost { member: usize, after: Micros },
+    Lost {
+        /// The member that committed it.
+        member: usize,
+        /// Commits after this time are lost.
+        after: Micros,
+    },
 }
 
 /// One side of a group: all of it, unless it is split.
@@ -113,6 +131,7 @@
     silent: Option<Micros>,
 }
 
+/// A primary and its replicas.
 #[derive(Clone, Debug)]
 pub struct Group {
     set: Settings,
@@ -125,6 +144,7 @@
 }
 
 impl Group {
+    /// A group whose first member is the primary.
     pub fn new(set: Settings) -> Group {
         let members = vec![Member::default(); set.members];
         let side = Side {
@@ -141,6 +161,7 @@
         }
     }
 
+    /// How many members there have been, those that are gone included.
     pub fn members(&self) -> usize {
         self.members.len()
     }
@@ -191,6 +212,7 @@
         self.last_commit
     }
 
+    /// Applies an event and appends what follows from it.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Commit(member) => self.commit(member, now),
--- a/crates/server-model/src/law.rs
+++ b/crates/server-model/src/law.rs
@@ -4,16 +4,21 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Pareto};
 
+/// A distribution of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Law {
+    /// Always the mean.
     Fixed,
+    /// Exponential.
     Exponential,
     /// With this coefficient of variation.
     LogNormal {
+        /// Standard deviation divided by the mean.
         variation: f64,
     },
     /// A heavy tail; the shape is above 1, or there would be no mean.
     Pareto {
+        /// The tail's exponent.
         shape: f64,
     },
 }
@@ -21,13 +26,16 @@
 /// A law with its mean; what it draws has that mean, and is one microsecond at least.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
+    /// The distribution.
     pub law: Law,
+    /// Its mean, in microseconds of a core.
     pub mean: f64,
     /// How far a key's own factor spreads: requests of one key take alike.
     pub by_key: f64,
 }
 
 impl Work {
+    /// Work that goes by the law alone, whatever the key.
     pub fn new(law: Law, mean: f64) -> Work {
         Work {
             law,
--- a/crates/server-model/src/network.rs
+++ b/crates/server-model/src/network.rs
@@ -3,15 +3,18 @@
 use crate::Micros;
 use rand::Rng;
 
+/// Delays and losses of the network, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// One way inside a building, and from one to another.
     pub within: Micros,
+    /// One way from one building to another.
     pub between: Micros,
     /// The most that a message is late, as a part of its way.
     pub jitter: f64,
     /// Part of the messages that are lost once, and what it takes to send one again; twice lost takes twice that more.
     pub loss: f64,
+    /// Time until a lost message is sent again.
     pub resend: Micros,
 }
 
@@ -30,13 +33,16 @@
 /// One of those that a cut can part: all of a place, or a proxy alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// All that stands in a building.
     Place(u16),
+    /// One proxy.
     Proxy(usize),
 }
 
 /// Where a message starts or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spot {
+    /// The building.
     pub place: u16,
     /// If it is a proxy.
     pub proxy: Option<usize>,
@@ -51,6 +57,7 @@
     }
 }
 
+/// The network between proxies and servers.
 #[derive(Clone, Debug)]
 pub struct Network {
     set: Settings,
@@ -64,6 +71,7 @@
 const RESENDS: u32 = 6;
 
 impl Network {
+    /// A network without cuts.
     pub fn new(set: Settings) -> Network {
         Network {
             set,
@@ -72,6 +80,7 @@
         }
     }
 
+    /// Cuts one direction. Cuts of one kind add up: each has to be healed.
     pub fn cut(&mut self, from: End, to: End) {
         self.cuts.push((from, to));
     }
@@ -83,6 +92,7 @@
         }
     }
 
+    /// Adds to the part of the messages that are lost; 0: no longer.
     pub fn set_extra_loss(&mut self, loss: f64) {
         self.extra_loss = loss.clamp(0.0, 1.0);
     }
--- a/crates/server-model/src/platform.rs
+++ b/crates/server-model/src/platform.rs
@@ -7,13 +7,17 @@
 pub struct Platform {
     /// Attempts for a request; 0: no limit.
     pub tries: u16,
+    /// Probes are allowed.
     pub probes: bool,
+    /// Hedged requests are allowed.
     pub second_copies: bool,
     /// The refused may be told to wait; for so long at the most. 0: they may not.
     pub max_retry_after: Micros,
+    /// Time after a drain was notified in which the server may still get requests.
     pub drain_grace: Micros,
     /// A connection that idles is closed after this; one that does not come up is given up after that.
     pub keepalive: Micros,
+    /// A connection that is not made by then has failed.
     pub dial_wait: Micros,
     /// Servers turn away reads that they are too far behind for.
     pub checks: bool,
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -8,8 +8,10 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
+/// The capacity of a server, with times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
+    /// Cores.
     pub cores: f64,
     /// Requests in work at once.
     pub slots: usize,
@@ -19,9 +21,11 @@
     pub crowding: f64,
     /// A start begins at this part of its capacity, which grows evenly to the whole over `warm_after`.
     pub cold: f64,
+    /// Time from a start to full capacity.
     pub warm_after: Micros,
     /// More work within that time than so many times what a cold server can do in it makes it collapse.
     pub tip: f64,
+    /// Length of the window in which work adds up.
     pub tip_after: Micros,
     /// Whether it does collapse; else it goes on, and only whoever counts sees what it was sent.
     pub falls: bool,
@@ -43,12 +47,21 @@
     }
 }
 
+/// What happens to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// A request arrives, with its work in microseconds of a core.
-    Arrive { id: u64, work: Micros },
+    Arrive {
+        /// The driver's name for it.
+        id: u64,
+        /// Its work.
+        work: Micros,
+    },
     /// A wake-up that was asked for.
-    Wake { number: u64 },
+    Wake {
+        /// The number that was given with it.
+        number: u64,
+    },
     /// It is so many times as slow as usual, from now on.
     Slow(f64),
     /// It takes requests and answers none; what it holds goes on and is told to nobody.
@@ -59,6 +72,7 @@
     Start,
 }
 
+/// What follows for whoever drives the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The request's work is done.
@@ -78,6 +92,7 @@
 /// Service attained, in nanoseconds of a core: finer than time, so that shares add up.
 type Service = u64;
 
+/// A record server's machine.
 #[derive(Clone, Debug)]
 pub struct Server {
     set: Settings,
@@ -95,6 +110,7 @@
     /// Work that came in windows of a tenth of `tip_after`.
     windows: VecDeque<f64>,
     window_start: Micros,
+    /// Requests done since the beginning.
     pub served: u64,
 }
 
@@ -122,10 +138,12 @@
         }
     }
 
+    /// Its process runs.
     pub fn up(&self) -> bool {
         self.up
     }
 
+    /// It takes requests and answers none.
     pub fn hung(&self) -> bool {
         self.hung
     }
@@ -135,6 +153,7 @@
         self.work.len() + self.waiting.len()
     }
 
+    /// Requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -173,6 +192,7 @@
         }
     }
 
+    /// Applies an event and appends what follows from it.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.advance(now.max(self.now), actions);
         match event {
--- a/crates/server-model/src/site.rs
+++ b/crates/server-model/src/site.rs
@@ -9,19 +9,24 @@
 use crate::Micros;
 use rustc_hash::FxHashMap;
 
+/// All record servers of a deployment. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
+    /// Number of groups.
     pub groups: usize,
     /// Members of each group, where they are not all of one size.
     pub sizes: Vec<usize>,
     /// Buildings; members of a group stand in each of them in turn.
     pub places: usize,
+    /// Each server's capacity.
     pub server: server::Settings,
+    /// Each group's replication.
     pub group: group::Settings,
     /// Reports that probes bring are made anew this often at the most.
     pub report_every: Micros,
     /// Work of a core that a probe costs, and that a new connection does.
     pub probe_work: Micros,
+    /// Work of a core that a new connection costs.
     pub dial_work: Micros,
     /// Connections that a server holds; further ones are refused.
     pub connections: usize,
@@ -37,6 +42,7 @@
         self.sizes.get(group).copied().unwrap_or(self.group.members)
     }
 
+    /// Servers at the start.
     pub fn servers(&self) -> usize {
         (0..self.groups).map(|group| self.size(group)).sum()
     }
@@ -74,45 +80,71 @@
     pub work: Micros,
 }
 
+/// Whom a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    Server { server: ServerIndex, number: u64 },
+    /// A server.
+    Server {
+        /// The server.
+        server: ServerIndex,
+        /// The number that the server gave its timer.
+        number: u64,
+    },
+    /// A group.
     Group(u32),
 }
 
+/// What happens to the servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A request's last byte has reached a server; `exchange` is the driver's name for it.
     Request {
+        /// The driver's name for it.
         exchange: u64,
+        /// The server that it has reached.
         server: ServerIndex,
+        /// What it asks for.
         ask: Ask,
     },
+    /// A probe has reached a server.
     Probe {
+        /// The driver's name for it.
         exchange: u64,
+        /// The server that it has reached.
         server: ServerIndex,
     },
+    /// A timer asked for with [`Action::WakeAt`].
     Wake(Wake),
+    /// A fault is injected.
     Trouble(Trouble),
 }
 
+/// A fault, or an operation on a server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
+    /// The process dies with all that it holds.
     Die(ServerIndex),
     /// One that died starts again, cold, with the data that it had.
     Start(ServerIndex),
     /// It takes requests and answers none, until it no longer does so.
     Hang {
+        /// The server.
         server: ServerIndex,
+        /// Whether it hangs from now on.
         on: bool,
     },
+    /// It gets slower.
     Slow {
+        /// The server.
         server: ServerIndex,
+        /// So many times as slow as usual.
         times: f64,
     },
     /// A long query holds its replication.
     Hold {
+        /// The server.
         server: ServerIndex,
+        /// For how long.
         span: Micros,
     },
     /// It finishes what it has, wants nothing new, and hands over its role.
@@ -121,16 +153,21 @@
     Retire(ServerIndex),
     /// A new one comes into that group and place, cold, with an old copy.
     Join {
+        /// The group that it joins.
         group: u32,
+        /// The building that it stands in.
         place: u16,
     },
     /// Servers of a place can't hear those of the others.
     Split(u16),
+    /// All buildings hear each other again.
     Meet,
 }
 
+/// How a request ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// Done.
     Ok,
     /// Turned away untouched: no primary, or too far behind.
     Miss,
@@ -147,58 +184,83 @@
 /// What an answer tells of its server: for a write that went through its commit, else how far it has the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Note {
+    /// Whether the server takes itself for the primary.
     pub primary: bool,
+    /// A position in the log.
     pub position: Micros,
 }
 
+/// What a probe tells of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
+    /// All commits up to here are applied.
     pub position: Micros,
+    /// Whether it takes itself for the primary.
     pub primary: bool,
+    /// Requests that wait.
     pub queued: usize,
+    /// Requests that it holds, in work and waiting.
     pub in_flight: usize,
 }
 
+/// What the endpoint list would say of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
+    /// It takes requests.
     Ready,
+    /// It finishes what it holds and takes nothing new.
     Draining,
     /// It is dead or gone.
     Gone,
 }
 
+/// What follows for whoever drives the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
+    /// A request has ended at its server.
     Answer {
+        /// The driver's name for it.
         exchange: u64,
+        /// How it ended.
         answer: Answer,
         /// None of a server that is gone.
         note: Option<Note>,
     },
     /// None: nobody is there.
     Report {
+        /// The driver's name for the probe.
         exchange: u64,
+        /// What the server tells.
         report: Option<Report>,
     },
+    /// Asks for [`Event::Wake`] at that time.
     WakeAt(Micros, Wake),
     /// What a list of servers would say of it if it knew at once.
     Changed(ServerIndex),
+    /// A group has a new primary.
     Primary {
+        /// The group.
         group: u32,
+        /// The primary.
         server: ServerIndex,
     },
     /// A group, or a side of it, takes no writes.
     Vacant {
+        /// The group.
         group: u32,
     },
     /// A write has taken effect.
     Applied {
+        /// The write's key.
         key: u64,
+        /// Its commit time.
         at: Micros,
     },
     /// What took effect on the side that lost a split is undone.
     Undone {
+        /// The server that committed it.
         server: ServerIndex,
+        /// Commits after this time are undone.
         after: Micros,
     },
     /// Overrun while it was cold: dead until it is started.
@@ -218,6 +280,7 @@
     report: Option<(Micros, Report)>,
 }
 
+/// All record servers of a deployment.
 #[derive(Debug)]
 pub struct Site {
     set: Settings,
@@ -237,6 +300,7 @@
 const CHORES: u64 = 1 << 63;
 
 impl Site {
+    /// Servers that are all up and warm.
     pub fn new(set: Settings) -> Site {
         let (mut machines, mut members, mut groups) = (Vec::new(), Vec::new(), Vec::new());
         for group in 0..set.groups {
@@ -270,10 +334,12 @@
         }
     }
 
+    /// All servers that there ever were.
     pub fn servers(&self) -> std::ops::Range<ServerIndex> {
         0..self.machines.len() as ServerIndex
     }
 
+    /// Number of groups.
     pub fn groups(&self) -> u32 {
         self.groups.len() as u32
     }
@@ -283,18 +349,22 @@
         self.members.get(group as usize).map_or(&[], Vec::as_slice)
     }
 
+    /// The server's group.
     pub fn group(&self, server: ServerIndex) -> u32 {
         self.machine(server).map_or(0, |m| m.group)
     }
 
+    /// The server's building.
     pub fn place(&self, server: ServerIndex) -> u16 {
         self.machine(server).map_or(0, |m| m.place)
     }
 
+    /// The server's state in a list that is up to date.
     pub fn status(&self, server: ServerIndex) -> Status {
         self.machine(server).map_or(Status::Gone, |m| m.status)
     }
 
+    /// When the server started; 0: long ago.
     pub fn started(&self, server: ServerIndex) -> Micros {
         self.machine(server).map_or(0, |m| m.started)
     }
@@ -305,11 +375,13 @@
         self.members(group).get(member).copied()
     }
 
+    /// Whether the server takes itself for the primary.
     pub fn is_primary(&self, server: ServerIndex) -> bool {
         self.machine(server)
             .is_some_and(|m| self.groups[m.group as usize].is_primary(m.member))
     }
 
+    /// The time up to which the server has all commits.
     pub fn position(&mut self, server: ServerIndex, now: Micros) -> Micros {
         let Some(machine) = self.machines.get(server as usize) else {
             return 0;
@@ -369,6 +441,7 @@
         }
     }
 
+    /// Applies an event and appends what follows from it.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request {
