--- a/crates/configuration/src/calendar.rs
+++ b/crates/configuration/src/calendar.rs
@@ -12,11 +12,14 @@
 /// A second of UTC, as the day since 1970 and the second in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
+    /// Days since 1970-01-01.
     pub day: u32,
+    /// Second of that day.
     pub second: u32,
 }
 
 impl Moment {
+    /// The second of a Unix time.
     pub fn from_unix(since_1970: Duration) -> Moment {
         let seconds = since_1970.as_secs();
         let day = u32::try_from(seconds / u64::from(DAY)).unwrap_or(u32::MAX);
@@ -134,9 +137,11 @@
 /// What a window section states; empty lists stand for what always holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stated {
+    /// Dates on which it holds.
     pub dates: Vec<Dates>,
     /// A bit for each day, Monday first; none: every day.
     pub weekdays: u8,
+    /// Hours of the day in which it holds.
     pub hours: Vec<Hours>,
 }
 
@@ -148,6 +153,7 @@
     to: u32,
 }
 
+/// A window of time, compiled: days and the seconds of each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Window {
     parts: Vec<Part>,
@@ -245,12 +251,14 @@
 }
 
 impl Window {
+    /// Whether a moment lies in the window.
     pub fn holds(&self, at: Moment) -> bool {
         self.parts
             .iter()
             .any(|p| p.from <= at.second && at.second < p.to && p.days.holds(at.day))
     }
 
+    /// Whether no moment lies in the window.
     pub fn never(&self) -> bool {
         self.parts.is_empty()
     }
@@ -266,6 +274,7 @@
 }
 
 impl Pieces {
+    /// The pieces into which these windows cut time.
     pub fn of<'a>(windows: impl Iterator<Item = &'a Window>) -> Pieces {
         let parts: Vec<&Part> = windows.flat_map(|w| &w.parts).collect();
         let mut cuts: Vec<u32> = parts
@@ -322,14 +331,17 @@
         }
     }
 
+    /// How many pieces there are.
     pub fn number(&self) -> u128 {
         self.days.len() as u128 * self.cuts.len() as u128
     }
 
+    /// All pieces.
     pub fn all(&self) -> Ranges {
         Ranges::one(0, self.number() - 1)
     }
 
+    /// The pieces of a window.
     pub fn of_window(&self, window: &Window) -> Ranges {
         let width = self.cuts.len() as u128;
         let mut list = Vec::new();
@@ -345,6 +357,7 @@
         Ranges::from_list(list)
     }
 
+    /// The piece in which a moment lies.
     pub fn of_moment(&self, at: Moment) -> u128 {
         let day = at.day.saturating_sub(EDGE) as usize;
         let kind = self.kind_of_day.get(day).copied().unwrap_or(0);
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -10,31 +10,41 @@
 /// A section whose words are what the table asks for.
 #[derive(Debug)]
 pub struct Section {
+    /// What the table says of sections of this keyword.
     pub spec: &'static schema::Section,
     /// Its keyword and name.
     pub span: Span,
+    /// Its name; empty: it has none.
     pub name: String,
+    /// Its directives that were valid.
     pub settings: Vec<Setting>,
     /// A line of it was faulty: what it seems not to state may be stated there.
     pub partial: bool,
 }
 
+/// A valid directive with its values.
 #[derive(Debug)]
 pub struct Setting {
+    /// What the table says of it.
     pub spec: &'static schema::Directive,
+    /// Where it stands.
     pub span: Span,
+    /// Its values, and where each stands.
     pub values: Vec<(Value, Span)>,
 }
 
 impl Section {
+    /// The directive of that keyword.
     pub fn setting(&self, keyword: &str) -> Option<&Setting> {
         self.settings.iter().find(|s| s.spec.keyword == keyword)
     }
 
+    /// The values of a directive; none if it is not stated.
     pub fn values(&self, keyword: &str) -> &[(Value, Span)] {
         self.setting(keyword).map_or(&[], |s| s.values.as_slice())
     }
 
+    /// The first value of a directive.
     pub fn value(&self, keyword: &str) -> Option<&Value> {
         self.values(keyword).first().map(|(value, _)| value)
     }
--- a/crates/configuration/src/diagnostic.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -5,28 +5,37 @@
 use codespan_reporting::term;
 use serde::Serialize;
 
+/// How serious a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
+    /// The file can't be used.
     Error,
+    /// The file can be used, and probably does not say what was meant.
     Warning,
 }
 
+/// A finding about the operators' file, with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
+    /// How serious it is.
     pub severity: Severity,
     /// A stable name of the fault, for scripts.
     pub code: &'static str,
+    /// Where it is.
     pub span: Span,
+    /// What is wrong, in one line.
     pub message: String,
     /// What stands beside the carets.
     pub label: String,
     /// Other places that have to do with it.
     pub related: Vec<(Span, String)>,
+    /// What would be right.
     pub help: Option<String>,
 }
 
 impl Diagnostic {
+    /// An error; `code` names its kind.
     pub fn error(code: &'static str, span: Span, message: impl Into<String>) -> Diagnostic {
         Diagnostic {
             severity: Severity::Error,
@@ -39,6 +48,7 @@
         }
     }
 
+    /// A warning; `code` names its kind.
     pub fn warning(code: &'static str, span: Span, message: impl Into<String>) -> Diagnostic {
         Diagnostic {
             severity: Severity::Warning,
@@ -46,6 +56,7 @@
         }
     }
 
+    /// With a text at its place.
     #[must_use]
     pub fn label(self, label: impl Into<String>) -> Diagnostic {
         Diagnostic {
@@ -54,12 +65,14 @@
         }
     }
 
+    /// With another place that it has to do with.
     #[must_use]
     pub fn related(mut self, span: Span, text: impl Into<String>) -> Diagnostic {
         self.related.push((span, text.into()));
         self
     }
 
+    /// With what would be right.
     #[must_use]
     pub fn help(self, help: impl Into<String>) -> Diagnostic {
         Diagnostic {
@@ -68,6 +81,7 @@
         }
     }
 
+    /// Whether it is an error.
     pub fn is_error(&self) -> bool {
         self.severity == Severity::Error
     }
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -16,7 +16,9 @@
 pub struct Change {
     /// Section and directive.
     pub what: String,
+    /// The former value; none: the default.
     pub old: Option<String>,
+    /// The new value; none: the default.
     pub new: Option<String>,
     /// Tighter or looser, where that can be said.
     pub sense: Option<&'static str>,
@@ -25,21 +27,28 @@
 /// Requests that fare otherwise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChange {
+    /// What became of these requests before.
     pub old: Outcome,
+    /// What becomes of them now.
     pub new: Outcome,
     /// Exactly the requests, in parts that do not overlap.
     pub regions: Vec<Region>,
     /// The regions in words.
     pub described: Vec<String>,
+    /// One such request.
     pub example: Option<Example>,
 }
 
+/// What two configurations do differently.
 #[derive(Debug)]
 pub struct Difference {
+    /// Values that differ.
     pub changes: Vec<Change>,
+    /// Requests that are routed differently.
     pub routes: Vec<RouteChange>,
     /// The routes differ in more ways than could be told; those told are right.
     pub incomplete: bool,
+    /// The space of requests in which the regions lie.
     pub space: Space,
 }
 
@@ -50,6 +59,7 @@
 }
 
 impl Difference {
+    /// Whether the two do the same.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty() && self.routes.is_empty() && !self.incomplete
     }
--- a/crates/configuration/src/explain.rs
+++ b/crates/configuration/src/explain.rs
@@ -7,7 +7,9 @@
 /// A route that was asked, and the condition that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
+    /// The route's position.
     pub route: usize,
+    /// The condition that does not hold; none: all hold.
     pub fails: Option<&'static str>,
 }
 
@@ -27,6 +29,7 @@
 /// Routes that are told one by one; of more, the last.
 const SHOWN: usize = 200;
 
+/// The steps in words, as `config explain` prints them.
 pub fn text(model: &Model, sources: &Sources, request: &Request<'_>) -> String {
     let steps = steps(model, request);
     let mut out = String::new();
--- a/crates/configuration/src/index.rs
+++ b/crates/configuration/src/index.rs
@@ -27,10 +27,15 @@
 pub struct Facts<'a> {
     /// Position in the names that the index was made with; any other number is a name that no route knows.
     pub class: u32,
+    /// Position of the tenant's name.
     pub tenant: u32,
+    /// The group of record servers.
     pub group: u32,
+    /// The statement as it was sent.
     pub statement: &'a [u8],
+    /// The client's address.
     pub client: IpAddr,
+    /// When the request came.
     pub at: Moment,
 }
 
@@ -101,7 +106,9 @@
 /// Classes and tenants by number. Those of the platform come first, in its order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
+    /// Names of classes.
     pub classes: Vec<String>,
+    /// Names of tenants.
     pub tenants: Vec<String>,
 }
 
@@ -122,6 +129,7 @@
     }
 }
 
+/// An index over the routes: finds the first that holds without asking all.
 #[derive(Debug, Default)]
 pub struct Index {
     networks: NetTrie,
@@ -137,6 +145,7 @@
 }
 
 impl Index {
+    /// Compiles the routes. Names that no request can have are left out.
     pub fn new(routes: &[Route], windows: &[Window], names: &Names) -> Index {
         let numbers =
             |names: &[String]| -> HashMap<String, u32> { names.iter().cloned().zip(0..).collect() };
--- a/crates/configuration/src/lending.rs
+++ b/crates/configuration/src/lending.rs
@@ -10,24 +10,31 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// The section `lending`: loans of quota among the proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lending {
     /// Without it a restarted proxy has no memory.
     pub state: Option<PathBuf>,
+    /// How long a lease lasts.
     pub lease: Duration,
+    /// How often proxies tell each other of loans.
     pub step: Duration,
     /// No credit's term and write-off together are longer. The same at all proxies.
     pub longest: Duration,
+    /// The tenants that may borrow.
     pub credits: Vec<Credit>,
 }
 
+/// The section `credit`: what one tenant may borrow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Credit {
     /// The platform's name of the tenant.
     pub stand: String,
     /// What it may owe, as time of its quota of the whole fleet.
     pub line: Duration,
+    /// Within this a loan is repaid.
     pub term: Duration,
+    /// How long after the term an unpaid loan is written off.
     pub write_off: Duration,
     /// Thousandths of the quota that always stay.
     pub floor: u32,
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -48,7 +48,9 @@
 /// What reading a configuration has brought: the model as far as it goes, and all that is wrong with it.
 #[derive(Debug, Default)]
 pub struct Reading {
+    /// The texts that were read.
     pub sources: Sources,
+    /// The model.
     pub model: Model,
     /// What the model was made of, with the place of every word.
     pub sections: Vec<check::Section>,
@@ -73,12 +75,16 @@
 /// reported, what else its values have to do with one another is the caller's to check.
 #[derive(Debug, Default)]
 pub struct Plain {
+    /// The texts that were read.
     pub sources: Sources,
+    /// The sections.
     pub sections: Vec<check::Section>,
+    /// What was found, in the order of places.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Plain {
+    /// Whether nothing found is an error.
     pub fn sound(&self) -> bool {
         !self.diagnostics.iter().any(Diagnostic::is_error)
     }
--- a/crates/configuration/src/load.rs
+++ b/crates/configuration/src/load.rs
@@ -29,13 +29,18 @@
 /// A word as it counts, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arg {
+    /// The word's text, without quotes.
     pub text: String,
+    /// Where it stands.
     pub span: Span,
 }
 
+/// A directive as it is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directive {
+    /// Its keyword.
     pub keyword: Arg,
+    /// Its values.
     pub args: Vec<Arg>,
 }
 
@@ -48,17 +53,23 @@
     }
 }
 
+/// A section as it is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
+    /// Its keyword.
     pub keyword: Arg,
+    /// Its names.
     pub names: Vec<Arg>,
+    /// Its directives.
     pub directives: Vec<Directive>,
     /// Some of its lines could not be read.
     pub partial: bool,
 }
 
+/// The sections of a file and of all that it includes.
 #[derive(Debug, Default)]
 pub struct Document {
+    /// The sections, in their order.
     pub sections: Vec<Section>,
     /// Some of it could not be read: names may be missing for that alone.
     pub partial: bool,
@@ -662,6 +673,7 @@
 }
 
 impl Memory {
+    /// Adds a file.
     pub fn add(&mut self, path: impl Into<PathBuf>, text: impl Into<Vec<u8>>) {
         self.files.insert(path.into(), text.into());
     }
--- a/crates/configuration/src/members.rs
+++ b/crates/configuration/src/members.rs
@@ -9,12 +9,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// The section `members`: the fleet that this proxy belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
     /// Of the roster; raised with each change of it.
     pub version: u64,
     /// Where this proxy hears the others.
     pub listen: SocketAddr,
+    /// The file with the fleet's keys.
     pub key_file: PathBuf,
     /// Each member asks another one this often.
     pub period: Duration,
@@ -24,10 +26,12 @@
     pub roster: Vec<Member>,
 }
 
+/// The section `member`: one proxy of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The platform's name for the proxy.
     pub name: String,
+    /// Where it receives datagrams.
     pub address: SocketAddr,
     /// The part of a rollout that it belongs to; may be empty.
     pub region: String,
--- a/crates/configuration/src/memory.rs
+++ b/crates/configuration/src/memory.rs
@@ -6,6 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// The section `memory`: what outlives the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Memory {
     /// A directory of this proxy alone.
@@ -14,6 +15,7 @@
     pub every: Duration,
 }
 
+/// The section's values; none without the section.
 pub fn memory(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Option<Memory> {
     let section = sections.iter().find(|s| s.spec.keyword == "memory")?;
     let v = Values::of(section);
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -23,7 +23,9 @@
 /// Where a value comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
+    /// The table's default.
     Default,
+    /// A place in the operators' file.
     File(Span),
     /// A key of the platform's file.
     Platform(String),
@@ -36,142 +38,231 @@
 pub struct Entry {
     /// Keyword and name of the section.
     pub section: String,
+    /// The directive's keyword.
     pub directive: &'static str,
+    /// The value as it would be written.
     pub value: String,
+    /// Where it comes from.
     pub origin: Origin,
+    /// When a change of it counts.
     pub takes: Takes,
 }
 
+/// The section `limits`. Shares are of the descriptors or of the memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// `client-patience`: time until a connection's first valid request, and for each command.
     pub client_patience: Duration,
+    /// `client-idle`: time that an idle connection is kept when clients are many.
     pub client_idle: Duration,
+    /// `answer-unread`: time without a byte read after which a client is disconnected.
     pub answer_unread: Duration,
+    /// `goodbye`: time to read why a connection ends.
     pub goodbye: Duration,
+    /// `answer-margin`: part of the client's time that is kept for the answer's way.
     pub answer_margin: Duration,
+    /// `pipeline`: unanswered commands of one connection.
     pub pipeline: usize,
+    /// `unsent`: bytes of unsent answers of one connection.
     pub unsent: usize,
+    /// `clients`: clients' share of the descriptors.
     pub clients: Share,
+    /// `crowded`: share from which idle connections are closed after `client-idle`.
     pub crowded: Share,
+    /// `packed`: share from which idle connections are closed at once.
     pub packed: Share,
+    /// `unfinished`: share of the memory for commands that are not complete.
     pub unfinished: Share,
+    /// `sockets`: descriptors in all.
     pub sockets: Option<usize>,
+    /// `memory`: bytes in all.
     pub memory: Option<u64>,
 }
 
+/// The section `discovery`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Discovery {
+    /// Where the endpoint list is served.
     pub address: Option<SocketAddr>,
+    /// A watch that is silent for so long is broken.
     pub watch_silence: Duration,
 }
 
+/// A section `listener`: where clients connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listener {
+    /// Its name.
     pub name: String,
+    /// Its address.
     pub address: Option<SocketAddr>,
     /// Balancers that name their clients.
     pub proxy_from: Vec<IpNet>,
 }
 
+/// A section `health`: where balancers' checks are answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
+    /// Its name.
     pub name: String,
+    /// `http`, `agent` or `grpc`.
     pub protocol: &'static str,
+    /// Its address.
     pub address: SocketAddr,
+    /// Which HTTP statuses are used.
     pub statuses: &'static str,
+    /// An agent check's text is waited for.
     pub expects_text: bool,
+    /// An agent check's answer states `maxconn`.
     pub maxconn: bool,
+    /// Connections at once.
     pub connections: usize,
+    /// Time for a check to be complete.
     pub patience: Duration,
+    /// Time that an idle connection is kept.
     pub idle: Duration,
 }
 
+/// A section `balancer`: who checks this proxy, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Balancer {
+    /// Its name.
     pub name: String,
+    /// Time between two checks.
     pub interval: Duration,
+    /// Failed checks after which it takes the proxy for down.
     pub fall: u32,
+    /// Time after which a check has failed.
     pub timeout: Duration,
+    /// Networks that it checks from.
     pub networks: Vec<IpNet>,
 }
 
+/// The section `availability`: when the proxy counts as degraded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Availability {
+    /// Share of the traffic below which it is not ready.
     pub floor: Share,
+    /// The same while a link is cut.
     pub cut_floor: Share,
+    /// How late the endpoint list may be.
     pub list_late: Duration,
+    /// How long an election takes.
     pub election: Duration,
+    /// How long a state lasts at least.
     pub dwell: Duration,
+    /// How long discovery may be silent.
     pub silence: Duration,
+    /// How late the event loop may be.
     pub lag: Duration,
 }
 
+/// A section `pool`: a bound on part of the requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
+    /// Its name.
     pub name: String,
+    /// Open requests at once.
     pub requests: Option<u32>,
+    /// Requests in a span of time.
     pub rate: Option<Rate>,
+    /// Requests that may come at once beyond the rate.
     pub burst: u32,
+    /// Share that only requests of high priority may take.
     pub reserve: Share,
+    /// Retry-After of requests that find it full.
     pub retry_after: Option<Duration>,
+    /// Groups whose requests it bounds.
     pub groups: Vec<RangeInclusive<u32>>,
 }
 
+/// A section `class`: tighter bounds on a class of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
+    /// The class's name.
     pub name: String,
+    /// Where the section stands.
     pub span: Span,
+    /// A shorter deadline.
     pub deadline: Option<Duration>,
+    /// A lower attempt limit.
     pub tries: Option<u16>,
     /// Never sent again once it may have run.
     pub once: bool,
 }
 
+/// A section `window`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedWindow {
+    /// Its name.
     pub name: String,
+    /// When it holds.
     pub stated: Stated,
 }
 
+/// The section `policy`: tighter settings of the decision module.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
+    /// A lower attempt limit.
     pub tries: Option<u16>,
+    /// Hedged requests are allowed.
     pub second_copies: bool,
+    /// Probes are allowed.
     pub probes: bool,
+    /// A shorter longest Retry-After.
     pub max_retry_after: Option<Duration>,
 }
 
+/// The section `logging`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Logging {
+    /// The level.
     pub level: &'static str,
+    /// Lines are JSON.
     pub json: bool,
 }
 
+/// All sections, checked, with defaults where none is stated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
+    /// Limits of the process and of its clients.
     pub limits: Limits,
+    /// Discovery.
     pub discovery: Discovery,
+    /// Where clients connect.
     pub listeners: Vec<Listener>,
     /// Seconds east of UTC.
     pub offset: i32,
+    /// Windows of time by their names.
     pub named_windows: Vec<NamedWindow>,
     /// In the order of `named_windows`.
     pub windows: Vec<Window>,
+    /// Bounds on parts of the requests.
     pub pools: Vec<Pool>,
+    /// Bounds on classes.
     pub classes: Vec<Class>,
+    /// Routes, in the order in which they are asked.
     pub routes: Vec<Route>,
+    /// Settings of the decision module.
     pub policy: Policy,
+    /// The log.
     pub logging: Logging,
+    /// Where checks are answered.
     pub health: Vec<Health>,
+    /// Who checks.
     pub balancers: Vec<Balancer>,
+    /// When the proxy counts as degraded.
     pub availability: Availability,
+    /// Balancers are told of the process's end first.
     pub announce_end: bool,
+    /// Time in which a proxy that was told to stop still accepts connections.
     pub linger: Option<Duration>,
     /// The operators' socket.
     pub control: Option<PathBuf>,
     /// The other proxies; none: nobody listens for them.
     pub members: Option<Members>,
+    /// Staged rollouts of the operators' file.
     pub rollout: Option<Rollout>,
+    /// State that outlives the process.
     pub memory: Option<Memory>,
     /// Who may borrow; none: nothing is lent.
     pub lending: Option<Lending>,
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -10,39 +10,56 @@
 /// What a class needs of the data that answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
+    /// Only the primary takes it.
     Write,
+    /// Everything that was committed before it arrived.
     Fresh,
+    /// Everything that its session has written.
     Session,
+    /// Data no older than this.
     Bounded(Duration),
+    /// Any data.
     Any,
 }
 
 /// What a repeat of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
+    /// Idempotent.
     Safe,
     /// Dropped by its key, within limits of its own.
     Keyed,
+    /// Not idempotent.
     Never,
 }
 
+/// A class as the platform states it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
+    /// Its name.
     pub name: String,
+    /// The data that it needs.
     pub need: Need,
+    /// Whether it may run again.
     pub repeat: Repeat,
+    /// After this its client gives up.
     pub deadline: Duration,
 }
 
 /// The platform as far as the operators' file has to do with it. What it does not state is none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Platform {
+    /// All classes.
     pub classes: Vec<Class>,
+    /// The names of all tenants.
     pub tenants: Vec<String>,
     /// 0: no limit.
     pub try_limit: u16,
+    /// Descriptors that the process may hold.
     pub sockets: Option<usize>,
+    /// Bytes of memory that the process may use.
     pub memory: Option<u64>,
+    /// The longest Retry-After; none: the platform allows none.
     pub max_retry_after: Option<Duration>,
 }
 
@@ -62,6 +79,7 @@
     own == other || other == Repeat::Safe || own == Repeat::Never
 }
 
+/// What of the operators' file is looser than the platform, or names what it does not have.
 pub fn check(sections: &[Section], model: &Model, platform: &Platform) -> Vec<Diagnostic> {
     let mut faults = Vec::new();
     for section in sections {
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -5,10 +5,12 @@
 pub struct Ranges(Vec<(u128, u128)>);
 
 impl Ranges {
+    /// The empty set.
     pub fn none() -> Ranges {
         Ranges(Vec::new())
     }
 
+    /// The numbers from one to another, both included.
     pub fn one(from: u128, to: u128) -> Ranges {
         Ranges(vec![(from, to)])
     }
@@ -28,14 +30,17 @@
         Ranges(out)
     }
 
+    /// The ranges.
     pub fn list(&self) -> &[(u128, u128)] {
         &self.0
     }
 
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// The least number.
     pub fn first(&self) -> Option<u128> {
         self.0.first().map(|(from, _)| *from)
     }
@@ -45,11 +50,13 @@
         Some((self.0.first()?.0, self.0.last()?.1))
     }
 
+    /// Whether a number is in the set.
     pub fn contains(&self, number: u128) -> bool {
         let at = self.0.partition_point(|(_, to)| *to < number);
         self.0.get(at).is_some_and(|(from, _)| *from <= number)
     }
 
+    /// Whether the sets have a number in common.
     pub fn meets(&self, other: &Ranges) -> bool {
         let (mut a, mut b) = (0, 0);
         while let (Some(x), Some(y)) = (self.0.get(a), other.0.get(b)) {
@@ -65,6 +72,7 @@
         false
     }
 
+    /// The intersection.
     pub fn and(&self, other: &Ranges) -> Ranges {
         let mut out = Vec::new();
         let (mut a, mut b) = (0, 0);
@@ -82,10 +90,12 @@
         Ranges(out)
     }
 
+    /// The union.
     pub fn or(&self, other: &Ranges) -> Ranges {
         Ranges::from_list(self.0.iter().chain(&other.0).copied())
     }
 
+    /// The difference.
     pub fn minus(&self, other: &Ranges) -> Ranges {
         let mut out = Vec::new();
         let mut cuts = other.0.iter().peekable();
@@ -121,13 +131,20 @@
 /// The dimensions in which requests differ.
 pub const DIMENSIONS: usize = 6;
 
+/// A dimension in which requests differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Dimension {
+    /// The class.
     Class,
+    /// The tenant.
     Tenant,
+    /// The group.
     Group,
+    /// The statement.
     Statement,
+    /// The client's network.
     Network,
+    /// The time.
     Time,
 }
 
@@ -139,22 +156,27 @@
 pub type Point = [u128; DIMENSIONS];
 
 impl Region {
+    /// The set in one dimension.
     pub fn dimension(&self, which: Dimension) -> &Ranges {
         &self.0[which as usize]
     }
 
+    /// Whether no request is in the region.
     pub fn is_empty(&self) -> bool {
         self.0.iter().any(Ranges::is_empty)
     }
 
+    /// Whether a request is in the region.
     pub fn contains(&self, point: &Point) -> bool {
         self.0.iter().zip(point).all(|(set, at)| set.contains(*at))
     }
 
+    /// Whether the regions have a request in common.
     pub fn meets(&self, other: &Region) -> bool {
         self.0.iter().zip(&other.0).all(|(a, b)| a.meets(b))
     }
 
+    /// The intersection.
     pub fn and(&self, other: &Region) -> Region {
         Region(std::array::from_fn(|d| self.0[d].and(&other.0[d])))
     }
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -7,20 +7,30 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// The section `rollout`: how a new version of the operators' file reaches the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
     /// Where new files are.
     pub candidates: PathBuf,
     /// Regions; empty: by their names.
     pub order: Vec<String>,
+    /// Proxies of the first stage.
     pub canary: u16,
+    /// The least harm that halts a rollout, as a share of goodput.
     pub least_harm: f64,
+    /// The chance of halting a harmless version that is accepted.
     pub error: f64,
+    /// How long a stage is watched at least.
     pub soak: Duration,
+    /// How long a member may be silent in a stage.
     pub dark: Duration,
+    /// How often members report.
     pub period: Duration,
+    /// Requests that a report has at least.
     pub window_least: u64,
+    /// Requests that a stage has at least.
     pub stage_least: u64,
+    /// A directory for the rollout's state.
     pub state: Option<PathBuf>,
 }
 
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -8,11 +8,15 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
+/// The priority of a request in its pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
+    /// After all others.
     Low,
+    /// As usual.
     #[default]
     Normal,
+    /// Before all others, with the pool's reserve.
     High,
 }
 
@@ -29,11 +33,15 @@
 /// What has to hold of a request. An empty list always does; of a list one has to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Conditions {
+    /// Names of classes.
     pub classes: Vec<String>,
+    /// Names of tenants.
     pub tenants: Vec<String>,
+    /// Ranges of groups.
     pub groups: Vec<RangeInclusive<u32>>,
     /// Folded by [`fold`].
     pub statements: Vec<String>,
+    /// Networks of clients.
     pub networks: Vec<IpNet>,
     /// Positions in the list of windows.
     pub during: Vec<usize>,
@@ -42,10 +50,15 @@
 /// What becomes of a request; the default changes nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Outcome {
+    /// The pool that it counts against.
     pub pool: Option<String>,
+    /// The class that it is handled as.
     pub as_class: Option<String>,
+    /// A shorter deadline.
     pub deadline: Option<Duration>,
+    /// Its priority.
     pub priority: Priority,
+    /// A lower attempt limit.
     pub tries: Option<u16>,
     /// Refused, and when the client is told to come back.
     pub refuse: Option<Option<Duration>>,
@@ -83,23 +96,33 @@
     }
 }
 
+/// A section `route`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// Its name.
     pub name: String,
+    /// Where it stands.
     pub span: Span,
+    /// What has to hold.
     pub conditions: Conditions,
+    /// What becomes of the request then.
     pub outcome: Outcome,
 }
 
 /// What routes see of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request<'a> {
+    /// The class's name.
     pub class: &'a str,
     /// Empty: it names none.
     pub tenant: &'a str,
+    /// The group.
     pub group: u32,
+    /// The statement as it was sent.
     pub statement: &'a [u8],
+    /// The client's address.
     pub client: IpAddr,
+    /// When the request came.
     pub at: Moment,
 }
 
@@ -109,6 +132,7 @@
         .to_ascii_lowercase()
 }
 
+/// Whether a statement begins with a folded prefix, blanks and case aside.
 pub fn begins(statement: &[u8], prefix: &str) -> bool {
     let text = statement.trim_ascii_start();
     let prefix = prefix.as_bytes();
--- a/crates/configuration/src/schema.rs
+++ b/crates/configuration/src/schema.rs
@@ -7,47 +7,66 @@
 /// How many values a directive takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Args {
+    /// Exactly one.
     One(Type),
+    /// One or none.
     Optional(Type),
+    /// One or more.
     Many(Type),
 }
 
 /// When a changed value begins to count in a proxy that serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Takes {
+    /// With a reload (SIGHUP).
     Reload,
+    /// With the next start.
     Start,
 }
 
+/// A directive of the language.
 #[derive(Clone, Copy, Debug)]
 pub struct Directive {
+    /// Its keyword.
     pub keyword: &'static str,
+    /// Its values.
     pub args: Args,
     /// Empty: none.
     pub default: &'static str,
+    /// When a change counts.
     pub takes: Takes,
+    /// What it does, for the operators' page.
     pub help: &'static str,
+    /// An example, for the operators' page.
     pub example: &'static str,
 }
 
+/// How sections of a keyword are named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Naming {
     /// Stands once and bears no name.
     Unnamed,
+    /// By a name of their own, which references use.
     Named,
     /// By a name that others have given: any text.
     Called,
 }
 
+/// A kind of section.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
+    /// Its keyword.
     pub keyword: &'static str,
+    /// How it is named.
     pub naming: Naming,
+    /// What it is for, for the operators' page.
     pub help: &'static str,
+    /// The directives that it may have.
     pub directives: &'static [Directive],
 }
 
 impl Section {
+    /// The directive of that keyword.
     pub fn directive(&self, keyword: &str) -> Option<&'static Directive> {
         self.directives.iter().find(|d| d.keyword == keyword)
     }
@@ -61,10 +80,12 @@
     SECTIONS.iter().find(|s| s.keyword == keyword)
 }
 
+/// Milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
+/// A span of time within these bounds, in milliseconds.
 pub const fn time(least: u64, most: u64) -> Type {
     Type::Time {
         least: ms(least),
@@ -72,10 +93,12 @@
     }
 }
 
+/// A whole number within these bounds.
 pub const fn count(least: u64, most: u64) -> Type {
     Type::Count { least, most }
 }
 
+/// A share within these bounds.
 pub const fn share(least: (u32, u32), most: (u32, u32)) -> Type {
     Type::Share {
         least: Share::new(least.0, least.1),
@@ -83,10 +106,12 @@
     }
 }
 
+/// A size in bytes within these bounds.
 pub const fn size(least: u64, most: u64) -> Type {
     Type::Size { least, most }
 }
 
+/// A directive whose changes count with a reload.
 pub const fn directive(
     keyword: &'static str,
     args: Args,
@@ -121,13 +146,16 @@
 
 /// Of a directive's values and of a section's list of values, more are refused.
 pub const VALUES_LIMIT: usize = 10_000;
+/// Sections `window`.
 pub const WINDOWS_LIMIT: usize = 1_000;
+/// Sections `member`.
 pub const MEMBERS_LIMIT: usize = 1_000;
 /// Stands that may borrow: the core keeps books of no more.
 pub const CREDITS_LIMIT: usize = 20;
 /// Bytes of a member's name.
 pub const MEMBER_NAME_LIMIT: usize = 64;
 
+/// The table of the operators' file.
 pub static SECTIONS: &[Section] = &[
     Section {
         keyword: "limits",
--- a/crates/configuration/src/shadow.rs
+++ b/crates/configuration/src/shadow.rs
@@ -15,6 +15,7 @@
 /// What is never reached, and by which earlier routes it is covered.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Unreached {
+    /// A route that no request reaches, and the earlier routes that cover it.
     pub routes: Vec<(usize, Vec<usize>)>,
     /// Routes that were too much work to tell.
     pub unexamined: usize,
@@ -99,6 +100,7 @@
         .all(|(a, b)| a == b || a.minus(b).is_empty())
 }
 
+/// Which regions lie wholly in earlier ones.
 pub fn unreached(regions: &[Region]) -> Unreached {
     let overlaps = Overlaps::new(regions);
     let mut found = Unreached::default();
--- a/crates/configuration/src/sites.rs
+++ b/crates/configuration/src/sites.rs
@@ -4,10 +4,14 @@
 use crate::values::Values;
 use std::time::Duration;
 
+/// The section `sites`: how long evidence lasts before a site's state changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sites {
+    /// Evidence of a loss.
     pub lost_after: Duration,
+    /// Evidence of a return.
     pub return_after: Duration,
+    /// How long a state lasts at least.
     pub dwell: Duration,
 }
 
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -9,12 +9,16 @@
 /// A stretch of bytes of one file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span {
+    /// The file.
     pub file: FileId,
+    /// The first byte.
     pub start: u32,
+    /// The byte after the last.
     pub end: u32,
 }
 
 impl Span {
+    /// That range of a file.
     pub fn new(file: FileId, range: Range<usize>) -> Span {
         let at = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         Span {
@@ -24,6 +28,7 @@
         }
     }
 
+    /// The bytes as a range.
     pub fn range(self) -> Range<usize> {
         self.start as usize..self.end as usize
     }
@@ -37,9 +42,12 @@
     }
 }
 
+/// A file that was read.
 #[derive(Debug)]
 pub struct SourceFile {
+    /// Its path.
     pub name: String,
+    /// Its text.
     pub text: String,
     /// Where each line starts.
     lines: Vec<u32>,
@@ -48,8 +56,11 @@
 /// A place as people count: lines and columns from 1, columns in characters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place<'a> {
+    /// The file's path.
     pub file: &'a str,
+    /// The line, from 1.
     pub line: usize,
+    /// The column in characters, from 1.
     pub column: usize,
 }
 
@@ -59,12 +70,14 @@
     }
 }
 
+/// The files of one reading.
 #[derive(Debug, Default)]
 pub struct Sources {
     files: Vec<SourceFile>,
 }
 
 impl Sources {
+    /// Adds a file.
     pub fn add(&mut self, name: String, text: String) -> FileId {
         let starts = text
             .bytes()
@@ -76,20 +89,24 @@
         FileId(self.files.len() as u32 - 1)
     }
 
+    /// A file.
     pub fn get(&self, file: FileId) -> Option<&SourceFile> {
         self.files.get(file.0 as usize)
     }
 
+    /// All files.
     pub fn files(&self) -> impl Iterator<Item = (FileId, &SourceFile)> {
         (0u32..).map(FileId).zip(&self.files)
     }
 
+    /// The text at a place; empty if there is none.
     pub fn text(&self, span: Span) -> &str {
         self.get(span.file)
             .and_then(|f| f.text.get(span.range()))
             .unwrap_or_default()
     }
 
+    /// Line and column of a place's start.
     pub fn place(&self, span: Span) -> Place<'_> {
         let Some(file) = self.get(span.file) else {
             return Place {
--- a/crates/configuration/src/space.rs
+++ b/crates/configuration/src/space.rs
@@ -12,7 +12,9 @@
 /// The routes and windows of one configuration.
 #[derive(Clone, Copy)]
 pub struct Side<'a> {
+    /// The routes, in their order.
     pub routes: &'a [Route],
+    /// The windows that they name.
     pub windows: &'a [Window],
     /// In the order of `windows`.
     pub window_names: &'a [String],
@@ -20,6 +22,7 @@
     pub offset: i32,
 }
 
+/// All requests that the routes of one or two configurations can tell apart.
 pub struct Space {
     names: Names,
     class_number: HashMap<String, u128>,
@@ -110,6 +113,7 @@
         }
     }
 
+    /// The region of all requests.
     pub fn whole(&self) -> Region {
         Region([
             self.all_classes(),
@@ -164,6 +168,7 @@
         region
     }
 
+    /// The point of a request.
     pub fn point(&self, request: &Request<'_>) -> Point {
         let other = |of: &HashMap<String, u128>, name: &str| {
             of.get(name).copied().unwrap_or(of.len() as u128)
@@ -398,16 +403,24 @@
 /// A request in full, as `explain` takes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Example {
+    /// The class's name.
     pub class: String,
+    /// The tenant's name.
     pub tenant: String,
+    /// The group.
     pub group: u32,
+    /// The statement.
     pub statement: Vec<u8>,
+    /// The client's address.
     pub client: IpAddr,
+    /// When it comes.
     pub at: Moment,
+    /// Seconds east of UTC in which the time is shown.
     pub offset: i32,
 }
 
 impl Example {
+    /// The request as routes see it.
     pub fn request(&self) -> Request<'_> {
         Request {
             class: &self.class,
--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -34,43 +34,56 @@
     Word,
 }
 
+/// How a word is quoted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quote {
+    /// Without quotes.
     Bare,
+    /// In double quotes, with escapes.
     Double,
+    /// In single quotes, as it stands.
     Single,
 }
 
 /// A word as it is written, quotes included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Word {
+    /// Where it stands.
     pub span: Span,
+    /// How it is quoted.
     pub quote: Quote,
     /// It stands on a continued line.
     pub continued: bool,
 }
 
+/// What a line says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A keyword and its values.
     Directive(Vec<Word>),
     /// The same, with an opening brace behind it. Without words the line is faulty, and reported.
     Open(Vec<Word>, Span),
+    /// A closing brace.
     Close(Span),
     /// Nothing but the comment.
     Comment,
 }
 
+/// A line, with its continuations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
+    /// What it says.
     pub entry: Entry,
+    /// The comment behind it.
     pub comment: Option<Span>,
     /// Blank lines stand before it.
     pub apart: bool,
 }
 
+/// The lines of a file.
 #[derive(Debug, Default)]
 pub struct Syntax {
+    /// In their order.
     pub lines: Vec<Line>,
     /// Blank or not, what ends the file is no line of its own.
     pub faults: Vec<Diagnostic>,
--- a/crates/configuration/src/value.rs
+++ b/crates/configuration/src/value.rs
@@ -10,7 +10,9 @@
 /// Why a word is no value of its type.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// What is wrong.
     pub message: String,
+    /// What would be right.
     pub help: Option<String>,
 }
 
@@ -33,11 +35,14 @@
 /// A part of a whole, exact.
 #[derive(Clone, Copy, Debug)]
 pub struct Share {
+    /// The numerator.
     pub part: u32,
+    /// The denominator.
     pub whole: u32,
 }
 
 impl Share {
+    /// `part` of `whole`.
     pub const fn new(part: u32, whole: u32) -> Share {
         Share { part, whole }
     }
@@ -90,7 +95,9 @@
 /// So many in so long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
+    /// How many.
     pub number: u32,
+    /// In how long.
     pub per: Duration,
 }
 
@@ -115,6 +122,7 @@
 /// Days from one to another; without a year they come back each year.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dates {
+    /// From one date to another, once.
     Once(Date, Date),
     /// Month and day of the first and of the last; the last may lie in the next year.
     Yearly((i8, i8), (i8, i8)),
@@ -123,30 +131,47 @@
 /// Seconds after midnight; an end that is not after the start lies on the next day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hours {
+    /// The first second.
     pub from: u32,
+    /// The second after the last.
     pub to: u32,
 }
 
+/// Seconds of a day.
 pub const DAY: u32 = 86_400;
 
+/// A value of a directive.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// A span of time.
     Time(Duration),
+    /// Bytes.
     Size(u64),
+    /// A rate.
     Rate(Rate),
+    /// A share.
     Share(Share),
+    /// A whole number.
     Count(u64),
+    /// A number.
     Number(f64),
+    /// An address with its port.
     Address(SocketAddr),
     /// One of a fixed choice.
     Choice(&'static str),
+    /// A name.
     Name(String),
+    /// Any text.
     Text(String),
+    /// A network.
     Network(IpNet),
+    /// A range of groups.
     Groups(RangeInclusive<u32>),
+    /// Dates.
     Dates(Dates),
     /// A bit for each day, Monday first.
     Weekdays(u8),
+    /// Hours of the day.
     Hours(Hours),
     /// Seconds east of UTC.
     Offset(i32),
@@ -155,32 +180,51 @@
 /// What a word has to be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Type {
+    /// A span of time.
     Time {
+        /// The least.
         least: Duration,
+        /// The most.
         most: Duration,
     },
+    /// Bytes.
     Size {
+        /// The least.
         least: u64,
+        /// The most.
         most: u64,
     },
+    /// A rate.
     Rate {
+        /// The least.
         least: u32,
+        /// The most.
         most: u32,
     },
+    /// A share.
     Share {
+        /// The least.
         least: Share,
+        /// The most.
         most: Share,
     },
+    /// A whole number.
     Count {
+        /// The least.
         least: u64,
+        /// The most.
         most: u64,
     },
     /// With a point, if need be.
     Number {
+        /// The least.
         least: f64,
+        /// The most.
         most: f64,
     },
+    /// An address with its port.
     Address,
+    /// One of these words.
     Choice(&'static [&'static str]),
     /// The name of a section of this keyword.
     Reference(&'static str),
@@ -188,13 +232,20 @@
     Name,
     /// Any text of at most so many bytes.
     Text {
+        /// Bytes.
         most: usize,
     },
+    /// A network in CIDR notation.
     Network,
+    /// A range of groups.
     Groups,
+    /// Dates, with or without a year.
     Dates,
+    /// Days of the week.
     Weekdays,
+    /// Hours of the day.
     Hours,
+    /// An offset from UTC.
     Offset,
 }
 
@@ -238,6 +289,7 @@
         }
     }
 
+    /// The value that a word states. Fails if it is none of this type or out of bounds.
     pub fn parse(&self, word: &str) -> Result<Value, Fault> {
         match *self {
             Type::Time { least, most } => {
@@ -380,6 +432,7 @@
     ("KiB", 1 << 10),
     ("B", 1),
 ];
+/// The days of the week, as they are written.
 pub const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 /// A span in the largest unit that tells it exactly.
@@ -394,6 +447,7 @@
     format!("{}{unit}", micros / u128::from(*size))
 }
 
+/// A size as it is written.
 pub fn size(bytes: u64) -> String {
     let (unit, size) = SIZE_UNITS
         .iter()
--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -10,11 +10,14 @@
 /// Typed values of a section, from the file or from the table's defaults.
 #[derive(Clone, Copy)]
 pub struct Values<'a> {
+    /// The section; none: defaults alone.
     pub section: Option<&'a Section>,
+    /// What the table says of it.
     pub spec: &'static schema::Section,
 }
 
 impl<'a> Values<'a> {
+    /// The values of a section.
     pub fn of(section: &'a Section) -> Values<'a> {
         Values {
             section: Some(section),
@@ -22,6 +25,7 @@
         }
     }
 
+    /// The stated value, or the default; none if there is neither.
     pub fn value(&self, keyword: &'static str) -> Option<Value> {
         if let Some(value) = self.section.and_then(|s| s.value(keyword)) {
             return Some(value.clone());
@@ -36,6 +40,7 @@
         }
     }
 
+    /// A span of time.
     pub fn time(&self, keyword: &'static str) -> Option<Duration> {
         match self.value(keyword)? {
             Value::Time(span) => Some(span),
@@ -43,6 +48,7 @@
         }
     }
 
+    /// A whole number or a size.
     pub fn count(&self, keyword: &'static str) -> Option<u64> {
         match self.value(keyword)? {
             Value::Count(n) | Value::Size(n) => Some(n),
@@ -55,6 +61,7 @@
         N::try_from(self.count(keyword)?).ok()
     }
 
+    /// A number; 0 if there is none.
     pub fn number(&self, keyword: &'static str) -> f64 {
         match self.value(keyword) {
             Some(Value::Number(number)) => number,
@@ -81,6 +88,7 @@
         }
     }
 
+    /// A path.
     pub fn path(&self, keyword: &'static str) -> Option<PathBuf> {
         match self.value(keyword)? {
             Value::Text(path) => Some(PathBuf::from(path)),
@@ -88,6 +96,7 @@
         }
     }
 
+    /// A share; 0 if there is none.
     pub fn share(&self, keyword: &'static str) -> Share {
         match self.value(keyword) {
             Some(Value::Share(share)) => share,
@@ -95,6 +104,7 @@
         }
     }
 
+    /// An address.
     pub fn address(&self, keyword: &'static str) -> Option<SocketAddr> {
         match self.value(keyword)? {
             Value::Address(address) => Some(address),
@@ -102,6 +112,7 @@
         }
     }
 
+    /// A word of a fixed choice; empty if there is none.
     pub fn choice(&self, keyword: &'static str) -> &'static str {
         match self.value(keyword) {
             Some(Value::Choice(word)) => word,
@@ -109,6 +120,7 @@
         }
     }
 
+    /// What `pick` makes of each value.
     pub fn all<T>(&self, keyword: &str, pick: impl Fn(&Value) -> Option<T>) -> Vec<T> {
         let values = self.section.map_or(&[][..], |s| s.values(keyword));
         values.iter().filter_map(|(value, _)| pick(value)).collect()
