--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -140,19 +140,19 @@
 /// The section `availability`: when the proxy counts as degraded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Availability {
-    /// Share of the traffic below which it is not ready.
+    /// Share of its weight that faults which other proxies may share leave at least.
     pub floor: Share,
-    /// The same while a link is cut.
+    /// Share of its weight that a proven cut of a link leaves at least; the lower of the two counts.
     pub cut_floor: Share,
     /// How late the endpoint list may be.
     pub list_late: Duration,
-    /// How long an election takes.
+    /// No lost primary is replaced sooner than this.
     pub election: Duration,
     /// How long a state lasts at least.
     pub dwell: Duration,
-    /// How long discovery may be silent.
+    /// A group that owes answers and gives none for so long counts as hung.
     pub silence: Duration,
-    /// How late the event loop may be.
+    /// Lag of the event loop from which the weight falls.
     pub lag: Duration,
 }
 
@@ -165,9 +165,9 @@
     pub requests: Option<u32>,
     /// Requests in a span of time.
     pub rate: Option<Rate>,
-    /// Requests that may come at once beyond the rate.
+    /// Requests that may come at once within the rate.
     pub burst: u32,
-    /// Share that only requests of high priority may take.
+    /// Share that low priority leaves to normal, and normal to high.
     pub reserve: Share,
     /// Retry-After of requests that find it full.
     pub retry_after: Option<Duration>,
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -14,21 +14,21 @@
     pub candidates: PathBuf,
     /// Regions; empty: by their names.
     pub order: Vec<String>,
-    /// Proxies of the first stage.
+    /// Proxies of the first region that run a new version before all others.
     pub canary: u16,
-    /// The least harm that halts a rollout, as a share of goodput.
+    /// The least loss that has to be found, as a share of what is asked.
     pub least_harm: f64,
-    /// The chance of halting a harmless version that is accepted.
+    /// The accepted chance that a harmless version is halted.
     pub error: f64,
-    /// How long a stage is watched at least.
+    /// How long a stage lasts, unless harm or its absence is shown before.
     pub soak: Duration,
-    /// How long a member may be silent in a stage.
+    /// A member that runs the new version and is not heard, or hears too few, for so long halts the rollout.
     pub dark: Duration,
-    /// How often members report.
+    /// How often the versions are compared.
     pub period: Duration,
-    /// Requests that a report has at least.
+    /// Weight asked of both versions that one comparison needs, in requests of the class with the highest weight.
     pub window_least: u64,
-    /// Requests that a stage has at least.
+    /// Weight that the new version has to be asked in a stage, in requests of the class with the highest weight.
     pub stage_least: u64,
     /// A directory for the rollout's state.
     pub state: Option<PathBuf>,
