--- a/crates/proxy-experiments/src/cli/mod.rs
+++ b/crates/proxy-experiments/src/cli/mod.rs
@@ -31,7 +31,9 @@
 
 /// What a command comes to: done, done with a finding (for scripts), or a message.
 pub enum End {
+    /// Done, and nothing was found.
     Done,
+    /// Done with a finding: the exit code is not 0.
     Found,
 }
 
@@ -74,6 +76,7 @@
         .help("The seeds")
 }
 
+/// The commands of the program.
 pub fn command() -> Command {
     let text = |name: &'static str, help: &'static str| Arg::new(name).value_name(name).help(help);
     let option = |name: &'static str, value: &'static str, help: &'static str| {
@@ -259,6 +262,7 @@
         )
 }
 
+/// Runs the command that the arguments name.
 pub fn main() -> ExitCode {
     let matches = command().get_matches();
     let ended = match matches.subcommand() {
--- a/crates/proxy-experiments/src/file.rs
+++ b/crates/proxy-experiments/src/file.rs
@@ -22,41 +22,59 @@
 /// Who decides, by a name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Player {
+    /// The name that experiments use.
     pub name: String,
+    /// The policy under test.
     pub policy: Policy,
 }
 
+/// A value that is varied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grid {
+    /// Its name.
     pub name: String,
     /// Section and directive; `tuning` and the name of a constant.
     pub key: (String, String),
+    /// The values, as they would be written.
     pub values: Vec<String>,
 }
 
+/// A set of runs that are compared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Experiment {
+    /// Its name.
     pub name: String,
+    /// Names of scenarios.
     pub scenarios: Vec<String>,
+    /// The policies.
     pub players: Vec<Player>,
+    /// Values that are varied, each with each.
     pub grids: Vec<Grid>,
+    /// The seeds of the runs.
     pub seeds: Vec<u64>,
+    /// The policy that the others are compared with.
     pub against: String,
 }
 
 /// A file of experiments, sound in itself.
 pub struct Book {
     sections: Vec<Section>,
+    /// The scenarios.
     pub scenarios: Vec<Scenario>,
+    /// The policies.
     pub players: Vec<Player>,
+    /// The experiments.
     pub experiments: Vec<Experiment>,
 }
 
 /// One value that is another than the file says.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
+    /// The section's keyword, or `tuning`.
     pub section: String,
+    /// The directive, or the name of a constant.
     pub directive: String,
+    /// The value, as it would be written.
     pub value: String,
 }
 
@@ -80,6 +98,7 @@
 /// The suite that the program brings along.
 pub const SUITE: &str = include_str!("../../../lab/suite.conf");
 
+/// The suite that the program brings along.
 pub fn suite() -> Result<Book, String> {
     read(
         Path::new("suite.conf"),
--- a/crates/proxy-experiments/src/hunt.rs
+++ b/crates/proxy-experiments/src/hunt.rs
@@ -10,26 +10,37 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
+/// A search for days on which a policy falls behind another.
 pub struct Hunt {
     /// The day to begin from; its own troubles stay.
     pub scenario: Scenario,
+    /// The policy that is to fall behind.
     pub policy: Policy,
+    /// The policy that it is compared with.
     pub against: Policy,
+    /// How many random days are played.
     pub days: u64,
+    /// The seed of the random faults.
     pub seed: u64,
+    /// Threads that play.
     pub threads: usize,
 }
 
 /// A day and how far behind the policy was on it.
 #[derive(Clone, Debug)]
 pub struct Day {
+    /// The day with its faults.
     pub scenario: Scenario,
+    /// The seed of its run.
     pub seed: u64,
+    /// The policy's score.
     pub own: f64,
+    /// The other policy's score.
     pub other: f64,
 }
 
 impl Day {
+    /// How far the policy is behind.
     pub fn gap(&self) -> f64 {
         self.other - self.own
     }
@@ -68,8 +79,11 @@
     }
 }
 
+/// What a search found.
 pub struct Found {
+    /// The day on which the policy was furthest behind.
     pub worst: Day,
+    /// The same day with as few faults as still show it.
     pub small: Day,
     /// The small one as a file.
     pub text: String,
--- a/crates/proxy-experiments/src/plan.rs
+++ b/crates/proxy-experiments/src/plan.rs
@@ -23,7 +23,9 @@
     pub goodput: f64,
     /// Of a server's cores, the part that the first guess lets work take.
     pub load: f64,
+    /// The seeds of the runs.
     pub seeds: Vec<u64>,
+    /// The policy that routes.
     pub policy: Policy,
     /// Members of one group at the most.
     pub most: usize,
@@ -32,8 +34,11 @@
 /// A loss that has to be borne.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Loss {
+    /// None.
     Nothing,
+    /// All servers of a building.
     Place(u16),
+    /// This part of all servers.
     Share(f64),
 }
 
@@ -53,8 +58,11 @@
 /// What a plan comes to under a loss.
 #[derive(Clone, Debug)]
 pub struct Judged {
+    /// The loss.
     pub loss: Loss,
+    /// Goodput over all groups.
     pub goodput: f64,
+    /// Goodput by group.
     pub groups: Vec<f64>,
 }
 
@@ -67,17 +75,23 @@
     }
 }
 
+/// How many servers each group needs.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// The first guess, by load alone.
     pub guess: Sizes,
+    /// The sizes found.
     pub sizes: Sizes,
+    /// What they come to under each loss.
     pub judged: Vec<Judged>,
     /// Of each group: with a server fewer, which loss is not borne, and what it comes to.
     pub binding: Vec<Option<(Loss, f64)>>,
+    /// How many runs were played.
     pub played: usize,
 }
 
 impl Plan {
+    /// Servers in all.
     pub fn servers(&self) -> usize {
         self.sizes.iter().sum()
     }
--- a/crates/proxy-experiments/src/planned.rs
+++ b/crates/proxy-experiments/src/planned.rs
@@ -15,6 +15,7 @@
 /// Time passes for the plan this often.
 const TICK: Duration = Duration::from_millis(100);
 
+/// The decision module behind the plan for the loss of a site.
 pub struct Planned {
     module: Box<dyn Decider>,
     plan: Plan,
@@ -25,6 +26,7 @@
 }
 
 impl Planned {
+    /// A module behind a plan for these settings.
     pub fn new(module: Box<dyn Decider>, settings: &Settings, now: Time) -> Planned {
         let mut plan = Plan::new(site_failover::Settings::default(), true, now.0);
         let class = |class: &routing::Class| Class {
--- a/crates/proxy-experiments/src/play/fleet.rs
+++ b/crates/proxy-experiments/src/play/fleet.rs
@@ -21,12 +21,15 @@
 pub struct Loans {
     /// The most that may be owed, and the most that was, in thousandths.
     pub line: u64,
+    /// The most that was owed.
     pub owed_most: u64,
     /// Looks that found the line passed, and books of proxies that did not say what was lent.
     pub passed: u64,
+    /// Accounts of proxies that did not say what was lent.
     pub unbalanced: u64,
     /// At the end: owed still, and all of it.
     pub owed: u64,
+    /// The requests of the tenant, over all proxies.
     pub all: Stand,
     /// As of each second.
     pub seconds: Vec<Stand>,
--- a/crates/proxy-experiments/src/policy.rs
+++ b/crates/proxy-experiments/src/policy.rs
@@ -14,7 +14,9 @@
 
 /// What is true, for those that may look.
 pub trait View {
+    /// The members of a group.
     fn members(&self, group: GroupId) -> Vec<ServerId>;
+    /// The primary of a group.
     fn primary(&mut self, group: GroupId) -> Option<ServerId>;
     /// It would answer.
     fn answers(&self, store: ServerId) -> bool;
@@ -24,6 +26,7 @@
     fn crowded(&self, store: ServerId) -> bool;
     /// What a request more would take there, about.
     fn expected(&self, store: ServerId) -> Duration;
+    /// Up to when a server has all commits.
     fn position(&mut self, store: ServerId) -> Time;
     /// The request is within its tenant's quota, by the fleet's one account.
     fn within(&self, id: RequestId) -> bool;
@@ -37,6 +40,7 @@
 
 /// Who decides in one proxy.
 pub trait Decider: Send {
+    /// Takes an event and appends what is to be done.
     fn handle(&mut self, now: Time, event: Event, view: &mut dyn View, actions: &mut Vec<Action>);
 
     /// What it has of a fleet whose proxies talk; none: it knows of no others.
@@ -45,25 +49,35 @@
     }
 }
 
+/// The policies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Name {
+    /// The decision module of the proxy.
     #[default]
     Module,
     /// The module, with the plan for the loss of a site before it.
     Planned,
+    /// Everything to the primary.
     PrimaryOnly,
+    /// A member at random.
     Random,
+    /// The members in turn.
     RoundRobin,
+    /// The member with the fewest requests of this proxy in flight.
     LeastOutstanding,
+    /// The better of two members drawn at random.
     TwoChoices,
+    /// The member with the least product of latency (peak-sensitive average) and requests in flight.
     PeakEwma,
     /// Peak-EWMA behind a plain limiter: each proxy has an even share of each tenant's quota, and refuses the rest.
     LocalQuota,
+    /// Sees the true state of all servers.
     Oracle,
     /// The oracle, told how many of each tenant's requests are within its quota, but not which.
     BlindOracle,
 }
 
+/// The policies by the names that files use.
 pub const NAMES: [(&str, Name); 11] = [
     ("module", Name::Module),
     ("planned", Name::Planned),
@@ -81,11 +95,14 @@
 /// A policy under test, and the constants that the module goes by if it is the one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
+    /// Which policy.
     pub kind: Name,
+    /// The constants of the decision module.
     pub tuning: Tuning,
 }
 
 impl Policy {
+    /// A policy with the usual constants.
     pub fn of(kind: Name) -> Policy {
         Policy {
             kind,
@@ -93,6 +110,7 @@
         }
     }
 
+    /// A decider for one proxy.
     pub fn make(&self, settings: &Settings, seed: u64, now: Time) -> Box<dyn Decider> {
         match self.kind {
             Name::Module | Name::Planned => {
--- a/crates/proxy-experiments/src/results.rs
+++ b/crates/proxy-experiments/src/results.rs
@@ -9,43 +9,70 @@
 /// One run, in the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
+    /// The scenario's name.
     pub scenario: String,
     /// As `key=value`, divided by blanks.
     pub varied: String,
+    /// The policy's name.
     pub policy: String,
+    /// The seed.
     pub seed: u64,
+    /// The weighted score.
     pub score: f64,
+    /// Goodput.
     pub goodput: f64,
+    /// Goodput of the worst ten seconds.
     pub worst_10s: f64,
+    /// Goodput of the worst class.
     pub worst_class: f64,
+    /// Goodput of the worst tenant.
     pub worst_tenant: f64,
+    /// Requests that clients sent.
     pub asked: u64,
+    /// Requests that were served.
     pub served: u64,
+    /// Requests that were rejected.
     pub refused: u64,
+    /// Requests that failed.
     pub failed: u64,
+    /// Requests whose client left.
     pub left: u64,
+    /// Tries of clients.
     pub tries: u64,
+    /// Attempts of proxies.
     pub attempts: u64,
+    /// Attempts that a server rejected untouched.
     pub misses: u64,
+    /// Probes.
     pub probes: u64,
+    /// Connections made.
     pub dials: u64,
+    /// Median latency in microseconds.
     pub p50_us: u64,
+    /// 99th percentile of latency in microseconds.
     pub p99_us: u64,
+    /// How often any rule was broken.
     pub rules_broken: u64,
     /// Cold starts, and what they got at the most, over what they bear.
     pub cold_starts: usize,
+    /// Median over the cold starts.
     pub cold_p50: f64,
+    /// 99th percentile over the cold starts.
     pub cold_p99: f64,
+    /// The greatest.
     pub cold_max: f64,
     /// The same of those times alone of which over two thirds came from proxies that had been told of the start.
     pub cold_told_starts: usize,
+    /// 99th percentile.
     pub cold_told_p99: f64,
+    /// The greatest.
     pub cold_told_max: f64,
     /// The run itself, by its key.
     pub cell: String,
 }
 
 impl Line {
+    /// The line of a run.
     pub fn new(cell: &Cell, o: &Outcomes) -> Line {
         let varied: Vec<String> = cell
             .varied
@@ -93,14 +120,18 @@
 /// A scenario, as far as a report tells of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Day {
+    /// The scenario's name.
     pub name: String,
+    /// What it is about.
     pub about: String,
+    /// Names of the classes.
     pub classes: Vec<String>,
     /// In seconds: name, begin and end.
     pub troubles: Vec<(String, f64, f64)>,
 }
 
 impl Day {
+    /// What a report shows of a scenario.
     pub fn new(scenario: &Scenario) -> Day {
         let seconds = |micros: u64| micros as f64 / 1e6;
         let trouble = |t: &crate::scenario::Trouble| {
@@ -124,16 +155,21 @@
     }
 }
 
+/// What stands beside the results of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
+    /// The experiment's name.
     pub experiment: String,
     /// The policy that the others are compared with.
     pub against: String,
+    /// Name and version of the program.
     pub program: String,
     /// Of all that decides how a run goes.
     pub sources: String,
     /// The file with a line for each run.
     pub table: String,
+    /// The scenarios.
     pub days: Vec<Day>,
+    /// The means over seeds.
     pub rows: Vec<Row>,
 }
--- a/crates/proxy-experiments/src/run.rs
+++ b/crates/proxy-experiments/src/run.rs
@@ -70,9 +70,11 @@
 /// Where a run of many cells is, for whoever shows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
+    /// Runs that are done.
     pub done: usize,
     /// Of these, those that were there already.
     pub found: usize,
+    /// Runs in all.
     pub all: usize,
 }
 
--- a/crates/proxy-experiments/src/scenario.rs
+++ b/crates/proxy-experiments/src/scenario.rs
@@ -9,11 +9,13 @@
 use server_model::{catalog, network, site, Micros};
 use std::time::Duration;
 
+/// Microseconds of a second.
 pub const SECOND: Micros = 1_000_000;
 
 /// Which servers or proxies a trouble is of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
+    /// All servers or proxies.
     All,
     /// Whoever is primary of these groups when it comes.
     Primaries(u32, u32),
@@ -27,9 +29,12 @@
     Proxies(usize, usize),
 }
 
+/// A kind of fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
+    /// Servers die and start again cold.
     Die,
+    /// Servers take requests and answer none.
     Hang,
     /// Times as slow.
     Slow(f64),
@@ -39,12 +44,15 @@
     Deploy,
     /// The list falls behind by so much more, or its service is down.
     ListBehind(Micros),
+    /// The service of the list is down.
     ListDown,
     /// Requests come so many times as often, all or those of one tenant.
     Surge(f64, Option<usize>),
     /// Nothing passes between the targets' proxies and a building; one way only, if so.
     Cut {
+        /// The building.
         place: u16,
+        /// Only answers are lost.
         back_only: bool,
     },
     /// Groups are split along a building's walls.
@@ -57,22 +65,31 @@
     Apart,
 }
 
+/// A fault with its time and targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trouble {
+    /// Its name.
     pub name: String,
+    /// When it begins.
     pub at: Micros,
     /// Until it is over.
     pub span: Micros,
+    /// What goes wrong.
     pub what: What,
+    /// Whom it strikes.
     pub targets: Vec<Target>,
 }
 
 /// How goodput is weighed: the whole run, its worst ten seconds, the worst class and the worst tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
+    /// The whole run.
     pub whole: f64,
+    /// The worst ten seconds.
     pub worst_span: f64,
+    /// The worst class.
     pub worst_kind: f64,
+    /// The worst tenant.
     pub worst_tenant: f64,
 }
 
@@ -94,6 +111,7 @@
     pub every: Micros,
     /// The most that a word is late, and the part of them that never comes.
     pub late: Micros,
+    /// The part of the messages that never come.
     pub loss: f64,
     /// Who was not heard for so long is taken to be dead by those that hear most of the fleet.
     pub dead: Micros,
@@ -101,20 +119,32 @@
     pub lease: Micros,
     /// In half a second of one proxy: so many refused within their quota, and more than this part, and room is short.
     pub short_least: u64,
+    /// See `short_least`.
     pub short_part: f64,
 }
 
+/// A day: what there is, who asks, and what goes wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
+    /// Its name.
     pub name: String,
+    /// What it is about.
     pub about: String,
+    /// The record servers.
     pub site: site::Settings,
+    /// The network.
     pub network: network::Settings,
+    /// The discovery service.
     pub catalog: catalog::Settings,
+    /// The load.
     pub clients: clients::Settings,
+    /// What the platform allows.
     pub platform: Platform,
+    /// How proxies talk; none: they do not.
     pub talk: Option<Talk>,
+    /// How goodput is weighted.
     pub weights: Weights,
+    /// The faults.
     pub troubles: Vec<Trouble>,
 }
 
@@ -126,6 +156,7 @@
 }
 
 impl Scenario {
+    /// Number of proxies.
     pub fn proxies(&self) -> usize {
         self.clients.proxies
     }
@@ -135,6 +166,7 @@
         self.site.servers()
     }
 
+    /// How long requests come.
     pub fn length(&self) -> Micros {
         self.clients.length
     }
--- a/crates/proxy-experiments/src/stats.rs
+++ b/crates/proxy-experiments/src/stats.rs
@@ -4,25 +4,34 @@
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
+/// A difference of paired runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
+    /// The mean over the pairs.
     pub mean: f64,
     /// Where the mean lies with 95% confidence, by the bootstrap over seeds.
     pub low: f64,
+    /// The upper end of the confidence interval.
     pub high: f64,
     /// The mean over the standard deviation of the pairs (Cohen's d for pairs); 0 where they don't scatter.
     pub effect: f64,
+    /// Number of pairs.
     pub pairs: usize,
 }
 
+/// What a difference says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
+    /// Better, with 95% confidence.
     Better,
+    /// Worse, with 95% confidence.
     Worse,
+    /// Neither can be told.
     CantTell,
 }
 
 impl Verdict {
+    /// The verdict in words.
     pub fn name(self) -> &'static str {
         match self {
             Verdict::Better => "better",
@@ -33,6 +42,7 @@
 }
 
 impl Difference {
+    /// What the confidence interval says.
     pub fn verdict(&self) -> Verdict {
         match self {
             d if d.low > 0.0 => Verdict::Better,
--- a/crates/proxy-experiments/src/store.rs
+++ b/crates/proxy-experiments/src/store.rs
@@ -14,9 +14,13 @@
 /// One run: what is played, by whom, with which seed.
 #[derive(Clone, Debug)]
 pub struct Cell {
+    /// The scenario.
     pub scenario: Scenario,
+    /// The policy's name.
     pub player: String,
+    /// The policy.
     pub policy: Policy,
+    /// The seed.
     pub seed: u64,
     /// What a grid has changed, for people.
     pub varied: Vec<(String, String)>,
@@ -41,12 +45,14 @@
     }
 }
 
+/// Outcomes of runs on disk, by the key of the run.
 #[derive(Clone, Debug)]
 pub struct Store {
     folder: PathBuf,
 }
 
 impl Store {
+    /// Opens a folder, which is made if need be.
     pub fn open(folder: &Path) -> io::Result<Store> {
         std::fs::create_dir_all(folder.join("cells"))?;
         Ok(Store {
@@ -54,6 +60,7 @@
         })
     }
 
+    /// The folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/proxy-experiments/src/summary.rs
+++ b/crates/proxy-experiments/src/summary.rs
@@ -12,15 +12,20 @@
 /// Over cold starts, what each got in its fullest time over what it bears: above 1 it falls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cold {
+    /// Number of starts.
     pub starts: usize,
+    /// Median.
     pub p50: f64,
+    /// 99th percentile.
     pub p99: f64,
+    /// The greatest.
     pub max: f64,
     /// The greatest over N alone, without what is left to chance.
     pub max_of_allowed: f64,
 }
 
 impl Cold {
+    /// The distribution over these peaks.
     pub fn of<'a>(peaks: impl IntoIterator<Item = &'a Peak>) -> Cold {
         let peaks: Vec<&Peak> = peaks.into_iter().collect();
         let mut ratios: Vec<f64> = peaks.iter().map(|peak| peak.ratio()).collect();
@@ -46,37 +51,53 @@
 /// Means over seeds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
+    /// The scenario's name.
     pub scenario: String,
+    /// What a grid has changed.
     pub varied: Vec<(String, String)>,
+    /// The policy's name.
     pub policy: String,
+    /// Number of seeds.
     pub seeds: usize,
+    /// The weighted score.
     pub score: f64,
+    /// Goodput.
     pub goodput: f64,
+    /// Goodput of the worst ten seconds.
     pub worst_span: f64,
+    /// Goodput of the worst class.
     pub worst_kind: f64,
+    /// Goodput of the worst tenant.
     pub worst_tenant: f64,
     /// Per request.
     pub tries: f64,
+    /// Attempts for a request.
     pub attempts: f64,
+    /// Probes for a request.
     pub probes: f64,
     /// Of all that was served, in microseconds; histograms are put together, not their quantiles.
     pub p50: u64,
+    /// 99th percentile of latency.
     pub p99: u64,
+    /// Slow start: what cold starts got.
     #[serde(default)]
     pub cold: Cold,
     /// The same of mostly told times alone.
     #[serde(default)]
     pub cold_told: Cold,
+    /// How often each rule was broken.
     pub broken: BTreeMap<Rule, u64>,
     /// This policy's score, and its goodput, less that of the one which it is compared with.
     pub against: Option<(Difference, Difference)>,
 }
 
 impl Row {
+    /// What the difference in score says; none: nothing to compare with.
     pub fn verdict(&self) -> Option<Verdict> {
         self.against.as_ref().map(|(score, _)| score.verdict())
     }
 
+    /// How often any rule was broken.
     pub fn rules_broken(&self) -> u64 {
         self.broken.values().sum()
     }
--- a/crates/proxy-experiments/src/table.rs
+++ b/crates/proxy-experiments/src/table.rs
@@ -16,6 +16,7 @@
     Type::Text { most: 200 }
 }
 
+/// The sections of files of experiments.
 pub static TABLE: &[Section] = &[
     Section {
         keyword: "fleet",
--- a/crates/proxy-experiments/src/tally.rs
+++ b/crates/proxy-experiments/src/tally.rs
@@ -18,6 +18,7 @@
 /// The span over which a run is at its worst.
 const WORST: usize = 10;
 
+/// A histogram of latencies in microseconds.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, HIGHEST, DIGITS)
         .unwrap_or_else(|_| Histogram::new(DIGITS).expect("digits"))
@@ -26,14 +27,22 @@
 /// A part of the books: one second, one class, one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Part {
+    /// Weight that was asked for.
     pub worth: f64,
+    /// Weight that was earned.
     pub earned: f64,
+    /// Weight earned if the tenant's account counts what is served.
     #[serde(default)]
     pub counted: f64,
+    /// Requests.
     pub asked: u64,
+    /// Requests that were served.
     pub served: u64,
+    /// Requests that were rejected.
     pub refused: u64,
+    /// Requests that failed.
     pub failed: u64,
+    /// Requests whose client left.
     pub left: u64,
 }
 
@@ -63,6 +72,7 @@
 pub struct Packed(String);
 
 impl Packed {
+    /// The stored form of a histogram.
     pub fn of(histogram: &Histogram<u64>) -> Packed {
         use base64::Engine;
         let mut bytes = Vec::new();
@@ -71,6 +81,7 @@
         Packed(base64::engine::general_purpose::STANDARD.encode(bytes))
     }
 
+    /// The histogram; none: the text can't be read.
     pub fn open(&self) -> Option<Histogram<u64>> {
         use base64::Engine;
         let bytes = base64::engine::general_purpose::STANDARD
@@ -83,7 +94,9 @@
 /// Something that happened, for time-lines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
+    /// When.
     pub at: Micros,
+    /// What happened.
     pub what: String,
 }
 
@@ -94,27 +107,40 @@
     pub score: f64,
     /// Worth answered within its aim, and less for late, over the worth asked for.
     pub goodput: f64,
+    /// Goodput of the worst ten seconds.
     pub worst_span: f64,
     /// Goodput and its worst span, if a tenant's account is drawn on by what is served, whichever of its requests that is.
     #[serde(default)]
     pub by_count: (f64, f64),
+    /// Goodput of the worst class.
     pub worst_kind: f64,
+    /// Goodput of the worst tenant.
     pub worst_tenant: f64,
+    /// The whole run.
     pub whole: Part,
     /// By second, by class, by tenant and by group, in the scenario's order.
     pub seconds: Vec<Part>,
+    /// By class.
     pub kinds: Vec<Part>,
+    /// By tenant.
     pub tenants: Vec<Part>,
+    /// By group.
     pub groups: Vec<Part>,
     /// Latencies of what was served, by class, in microseconds from the first try.
     pub latencies: Vec<Packed>,
+    /// Tries of clients.
     pub tries: u64,
+    /// Attempts of proxies.
     pub attempts: u64,
+    /// Attempts that a server rejected untouched.
     pub misses: u64,
+    /// Probes.
     pub probes: u64,
+    /// Connections made.
     pub dials: u64,
     /// Writes that took effect, and those of them that were undone when the groups met again or another took over.
     pub applied: u64,
+    /// Writes that were undone.
     pub undone: u64,
     /// The fullest time of each cold start.
     #[serde(default)]
@@ -122,7 +148,9 @@
     /// Of each that had one, the fullest time in which over two thirds came from proxies that had been told of the start.
     #[serde(default)]
     pub cold_told: Vec<Peak>,
+    /// How often each rule was broken.
     pub broken: BTreeMap<Rule, u64>,
+    /// What happened, for time-lines.
     pub marks: Vec<Mark>,
     /// By tenant, where proxies talk.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -132,11 +160,13 @@
 }
 
 impl Outcomes {
+    /// How often any rule was broken.
     pub fn rules_broken(&self) -> u64 {
         self.broken.values().sum()
     }
 }
 
+/// Adds up the outcomes of a run.
 #[derive(Debug)]
 pub struct Tally {
     out: Outcomes,
@@ -148,6 +178,7 @@
 const MARKS: usize = 2_000;
 
 impl Tally {
+    /// An empty tally for a scenario.
     pub fn new(scenario: &Scenario) -> Tally {
         let clients = &scenario.clients;
         let seconds = (clients.length / SECOND + 1) as usize;
@@ -166,10 +197,12 @@
         }
     }
 
+    /// The counts, for whoever drives the run.
     pub fn counts(&mut self) -> &mut Outcomes {
         &mut self.out
     }
 
+    /// Notes something that happened.
     pub fn mark(&mut self, at: Micros, what: impl Into<String>) {
         if self.out.marks.len() < MARKS {
             self.out.marks.push(Mark {
@@ -179,6 +212,7 @@
         }
     }
 
+    /// Counts a request that is over.
     pub fn settled(&mut self, settled: &Settled) {
         self.out.whole.add(settled);
         let second = (settled.came / SECOND) as usize;
@@ -198,6 +232,7 @@
         }
     }
 
+    /// The outcomes, once the run is over.
     pub fn close(self, broken: BTreeMap<Rule, u64>) -> Outcomes {
         let Tally {
             mut out,
