--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -244,8 +244,8 @@
 
 fn serve(variable: impl Fn(&str) -> Option<String> + Clone + Send + 'static) -> ExitCode {
     // Signals first: what comes while the configuration is read must not end the process.
-    let heeded = control::pair().and_then(|(control, wishes)| {
-        control.heed_signals()?;
+    let heeded = control::channel().and_then(|(control, wishes)| {
+        control.install_signal_handlers()?;
         Ok((control, wishes))
     });
     let (_control, wishes) = match heeded {
--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -5,7 +5,7 @@
 use crate::config::operator_config::Disk;
 use crate::config::reload::Ask;
 use crate::config::ConfigError;
-use crate::control::control_socket::Said;
+use crate::control::control_socket::RolloutCommand;
 use crate::observability::counters::Counters;
 use crate::observability::goodput::Sum;
 use crate::persistence::state_file::{self, Writer};
@@ -131,14 +131,14 @@
 }
 
 /// What an operator says over the control socket.
-pub fn said(line: &str) -> Option<Said> {
+pub fn said(line: &str) -> Option<RolloutCommand> {
     let mut words = line.split_whitespace();
     let said = match (words.next()?, words.next()) {
-        ("propose", Some(hash)) => Said::Propose(unhex(hash)?),
-        ("resume", Some(hash)) => Said::Resume(unhex(hash)?),
-        ("halt", None) => Said::Halt,
-        ("return", None) => Said::Return,
-        ("status", None) => Said::Status,
+        ("propose", Some(hash)) => RolloutCommand::Propose(unhex(hash)?),
+        ("resume", Some(hash)) => RolloutCommand::Resume(unhex(hash)?),
+        ("halt", None) => RolloutCommand::Halt,
+        ("return", None) => RolloutCommand::Return,
+        ("status", None) => RolloutCommand::Status,
         _ => return None,
     };
     words.next().is_none().then_some(said)
@@ -331,7 +331,7 @@
 
     pub fn told(
         &mut self,
-        said: Said,
+        said: RolloutCommand,
         members: &mut Members,
         counters: &Counters,
         now: Instant,
@@ -352,11 +352,11 @@
             }
         };
         let event = match said {
-            Said::Propose(hash) => Some(propose(hash, false, &self.stated, members)),
-            Said::Resume(hash) => Some(propose(hash, true, &self.stated, members)),
-            Said::Halt => Some(Event::Halt),
-            Said::Return => Some(Event::Return),
-            Said::Status => None,
+            RolloutCommand::Propose(hash) => Some(propose(hash, false, &self.stated, members)),
+            RolloutCommand::Resume(hash) => Some(propose(hash, true, &self.stated, members)),
+            RolloutCommand::Halt => Some(Event::Halt),
+            RolloutCommand::Return => Some(Event::Return),
+            RolloutCommand::Status => None,
         };
         if let Some(event) = event {
             log::info!(said:?; "rollout: told by an operator");
--- a/crates/leverproxy/src/cluster/sites.rs
+++ b/crates/leverproxy/src/cluster/sites.rs
@@ -1,7 +1,7 @@
 //! What is told of sites, and what is refused first while one is lost, where the operators' file asks for it: the core, fed
 //! with what availability is fed with.
 
-use crate::request::{Done, Verdict};
+use crate::request::{CompletedExchange, ExchangeOutcome};
 use routing::{Arrival, Consistency, Endpoint, EndpointState, ServerId};
 use site_failover::order::Standing;
 use site_failover::{Class, Event, Kind, Loss, Plan, Report, Settings, State};
@@ -72,9 +72,9 @@
     }
 
     /// What was answered in time is what a site can do.
-    pub fn ended(&mut self, now: Duration, done: &Done) {
-        if let (Some(class), Some(group), Verdict::Served(_)) =
-            (done.class, done.group, &done.verdict)
+    pub fn ended(&mut self, now: Duration, done: &CompletedExchange) {
+        if let (Some(class), Some(group), ExchangeOutcome::Served(_)) =
+            (done.class, done.group, &done.outcome)
         {
             self.plan
                 .served(now, done.server.0, group.0, class.0, done.elapsed);
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -3,7 +3,7 @@
 use crate::config::ConfigError;
 use crate::health::{Listen, Protocol};
 use crate::pipeline::route_rules::{Rules, Ruling};
-use crate::request::shown;
+use crate::request::truncate_for_display;
 use bulkheads::{Priority, Rate, Settings as Pool};
 use configuration::diagnostic::{self, Diagnostic};
 use configuration::index::{Index, Names};
@@ -99,7 +99,7 @@
     format!(
         "{}; the line is `{}`",
         diagnostic::line(sources, diagnostic),
-        shown(said)
+        truncate_for_display(said)
     )
 }
 
--- a/crates/leverproxy/src/control/admin.rs
+++ b/crates/leverproxy/src/control/admin.rs
@@ -15,7 +15,7 @@
 /// Callers at once; kept back from the descriptors by the configuration.
 pub const CONNECTIONS: usize = 32;
 /// A call has to come whole within this, and its answer to be taken.
-const PATIENCE: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub struct Admin {
     listener: OwnedFd,
@@ -58,14 +58,14 @@
                     Err(Refusal::Exhausted) => {
                         self.exhausted
                             .warn(now, || "admin: no descriptor left for a caller".into());
-                        if !self.put_out_oldest() {
+                        if !self.disconnect_oldest() {
                             return;
                         }
                         continue;
                     }
                 };
             if self.callers.len() >= CONNECTIONS {
-                self.put_out_oldest();
+                self.disconnect_oldest();
             }
             let key = self.callers.insert(Caller {
                 stream,
@@ -85,7 +85,7 @@
     }
 
     /// Of all callers, answered or not, the one that came first: whoever calls in earnest has long gone.
-    fn put_out_oldest(&mut self) -> bool {
+    fn disconnect_oldest(&mut self) -> bool {
         let oldest = self
             .callers
             .iter()
@@ -95,7 +95,7 @@
     }
 
     /// A call that has come whole; [`Admin::answer`] is owed for it.
-    pub fn ready(&mut self, key: Key, reactor: &Reactor) -> Option<Call> {
+    pub fn read_call(&mut self, key: Key, reactor: &Reactor) -> Option<Call> {
         let caller = self.callers.get_mut(key)?;
         if caller.answered {
             if caller.stream.drain().0 == Filled::Ended {
@@ -149,9 +149,9 @@
         }
     }
 
-    pub fn look_over(&mut self, now: Instant) {
+    pub fn close_expired(&mut self, now: Instant) {
         for key in self.callers.keys() {
-            let slow = |c: &Caller| now.saturating_duration_since(c.since) >= PATIENCE;
+            let slow = |c: &Caller| now.saturating_duration_since(c.since) >= CALL_TIMEOUT;
             if self.callers.get(key).is_some_and(slow) {
                 self.callers.remove(key);
             }
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -11,18 +11,18 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum OperatorCommand {
     Drain,
     Undrain,
     Status,
     /// All of them, or one by its name.
     Sites(Option<String>),
-    Rollout(Said),
+    Rollout(RolloutCommand),
 }
 
 /// Of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum RolloutCommand {
     Propose(Hash),
     /// The same, though it was halted before.
     Resume(Hash),
@@ -36,7 +36,7 @@
 const LINE_LIMIT: usize = 128;
 const PATIENCE: Duration = Duration::from_secs(2);
 
-pub struct Operate {
+pub struct ControlSocket {
     listener: OwnedFd,
     path: PathBuf,
     /// Which file of the place is this process's.
@@ -51,18 +51,18 @@
     answered: bool,
 }
 
-impl Operate {
+impl ControlSocket {
     /// A socket that is left over from a process that is gone is replaced; one that answers is another proxy's, but an
     /// heir takes that of its elder, whose words are its own from then on.
-    pub fn listen(path: &Path, heir: bool, reactor: &Reactor) -> io::Result<Operate> {
+    pub fn listen(path: &Path, heir: bool, reactor: &Reactor) -> io::Result<ControlSocket> {
         if !heir && UnixStream::connect(path).is_ok() {
             return Err(io::Error::new(
                 io::ErrorKind::AddrInUse,
                 "the control socket is another proxy's",
             ));
         }
-        let (listener, file) = Operate::bind(path, reactor)?;
-        Ok(Operate {
+        let (listener, file) = ControlSocket::bind(path, reactor)?;
+        Ok(ControlSocket {
             listener,
             path: path.to_owned(),
             file,
@@ -75,7 +75,7 @@
         if UnixStream::connect(&self.path).is_ok() {
             return;
         }
-        match Operate::bind(&self.path, reactor) {
+        match ControlSocket::bind(&self.path, reactor) {
             Ok((listener, file)) => (self.listener, self.file) = (listener, file),
             Err(error) => {
                 let path = self.path.display();
@@ -118,7 +118,7 @@
     }
 
     /// A word that has come whole, and who awaits its answer.
-    pub fn ready(&mut self, key: Key, reactor: &Reactor) -> Option<(Key, Word)> {
+    pub fn read_command(&mut self, key: Key, reactor: &Reactor) -> Option<(Key, OperatorCommand)> {
         let peer = self.peers.get_mut(key)?;
         let filled = peer.stream.fill(LINE_LIMIT);
         let input = peer.stream.input.unused();
@@ -127,18 +127,18 @@
             .position(|b| *b == b'\n')
             .and_then(|end| std::str::from_utf8(&input[..end]).ok());
         let word = match line.map(str::trim) {
-            Some("drain") => Some(Word::Drain),
-            Some("undrain") => Some(Word::Undrain),
-            Some("status") => Some(Word::Status),
-            Some("sites") => Some(Word::Sites(None)),
-            Some(line) if line.starts_with("sites ") => Some(Word::Sites(
+            Some("drain") => Some(OperatorCommand::Drain),
+            Some("undrain") => Some(OperatorCommand::Undrain),
+            Some("status") => Some(OperatorCommand::Status),
+            Some("sites") => Some(OperatorCommand::Sites(None)),
+            Some(line) if line.starts_with("sites ") => Some(OperatorCommand::Sites(
                 line.strip_prefix("sites ")
                     .map(|name| name.trim().to_owned()),
             )),
             Some(line) => line
                 .strip_prefix("rollout ")
                 .and_then(crate::cluster::rollout::said)
-                .map(Word::Rollout),
+                .map(OperatorCommand::Rollout),
             None if filled == Filled::Ended || input.len() >= LINE_LIMIT => {
                 self.peers.remove(key);
                 return None;
@@ -161,7 +161,7 @@
         word.map(|word| (key, word))
     }
 
-    /// One answer, and the connection ends. What the socket does not take at once is sent by [`Operate::look_over`].
+    /// One answer, and the connection ends. What the socket does not take at once is sent by [`ControlSocket::look_over`].
     pub fn answer(&mut self, key: Key, text: &str) {
         let Some(peer) = self.peers.get_mut(key) else {
             return;
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn look_over(&mut self, now: Instant) {
+    pub fn close_expired(&mut self, now: Instant) {
         for key in self.peers.keys() {
             let Some(peer) = self.peers.get_mut(key) else {
                 continue;
@@ -185,7 +185,7 @@
     }
 }
 
-impl Drop for Operate {
+impl Drop for ControlSocket {
     fn drop(&mut self) {
         if std::fs::symlink_metadata(&self.path).is_ok_and(|at| at.ino() == self.file) {
             _ = std::fs::remove_file(&self.path);
--- a/crates/leverproxy/src/control/mod.rs
+++ b/crates/leverproxy/src/control/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 #[derive(Debug, Default)]
-struct Wishes {
+struct CommandFlags {
     stop: Arc<AtomicBool>,
     report: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
@@ -20,39 +20,39 @@
 /// Tells a proxy to stop, to report or to reread its configuration, from any thread.
 #[derive(Debug)]
 pub struct Control {
-    wishes: Arc<Wishes>,
+    flags: Arc<CommandFlags>,
     wake: UnixStream,
 }
 
 impl Control {
     /// Answer what has been taken, then end.
     pub fn stop(&self) {
-        self.wish(&self.wishes.stop);
+        self.send(&self.flags.stop);
     }
 
     /// Print the counters.
     pub fn report(&self) {
-        self.wish(&self.wishes.report);
+        self.send(&self.flags.report);
     }
 
     /// Read the configuration again (see `Proxy::reread_with`).
     pub fn reload(&self) {
-        self.wish(&self.wishes.reload);
+        self.send(&self.flags.reload);
     }
 
-    fn wish(&self, flag: &AtomicBool) {
+    fn send(&self, flag: &AtomicBool) {
         flag.store(true, Ordering::SeqCst);
         // A full socket wakes the loop as well as one more byte would.
         _ = (&self.wake).write(&[1]);
     }
 
     /// SIGTERM and SIGINT stop the proxy, SIGUSR1 makes it report, SIGHUP reread its configuration.
-    pub fn heed_signals(&self) -> io::Result<()> {
-        let Wishes {
+    pub fn install_signal_handlers(&self) -> io::Result<()> {
+        let CommandFlags {
             stop,
             report,
             reload,
-        } = &*self.wishes;
+        } = &*self.flags;
         for (signal, flag) in [
             (SIGTERM, stop),
             (SIGINT, stop),
@@ -69,68 +69,68 @@
 
 /// The proxy's end.
 #[derive(Debug)]
-pub struct Listener {
-    wishes: Arc<Wishes>,
+pub struct CommandReceiver {
+    flags: Arc<CommandFlags>,
     wake: UnixStream,
     /// Wakes the loop, from another thread of the proxy's own.
     waker: UnixStream,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum ControlCommand {
     Stop,
     Report,
     Reload,
 }
 
-pub fn pair() -> io::Result<(Control, Listener)> {
+pub fn channel() -> io::Result<(Control, CommandReceiver)> {
     let (near, far) = UnixStream::pair()?;
     near.set_nonblocking(true)?;
     far.set_nonblocking(true)?;
-    let wishes = Arc::new(Wishes::default());
+    let flags = Arc::new(CommandFlags::default());
     let waker = far.try_clone()?;
     Ok((
         Control {
-            wishes: Arc::clone(&wishes),
+            flags: Arc::clone(&flags),
             wake: far,
         },
-        Listener {
-            wishes,
+        CommandReceiver {
+            flags,
             wake: near,
             waker,
         },
     ))
 }
 
-impl Listener {
+impl CommandReceiver {
     /// What wakes the loop when a byte is written to it.
     pub fn waker(&self) -> io::Result<UnixStream> {
         self.waker.try_clone()
     }
 
-    pub fn take(&mut self) -> Vec<Wish> {
+    pub fn take_commands(&mut self) -> Vec<ControlCommand> {
         let mut bytes = [0; 64];
         while matches!(self.wake.read(&mut bytes), Ok(n) if n > 0) {}
-        let mut wishes = Vec::new();
-        let Wishes {
+        let mut commands = Vec::new();
+        let CommandFlags {
             stop,
             report,
             reload,
-        } = &*self.wishes;
-        for (flag, wish) in [
-            (stop, Wish::Stop),
-            (report, Wish::Report),
-            (reload, Wish::Reload),
+        } = &*self.flags;
+        for (flag, command) in [
+            (stop, ControlCommand::Stop),
+            (report, ControlCommand::Report),
+            (reload, ControlCommand::Reload),
         ] {
             if flag.swap(false, Ordering::SeqCst) {
-                wishes.push(wish);
+                commands.push(command);
             }
         }
-        wishes
+        commands
     }
 }
 
-impl AsFd for Listener {
+impl AsFd for CommandReceiver {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.wake.as_fd()
     }
--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::cluster::sites::{self, Sites};
-use crate::request::{Answer, Done, Verdict};
+use crate::request::{Answer, CompletedExchange, ExchangeOutcome};
 use crate::upstream::Sign;
 use availability::{
     Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
@@ -163,15 +163,18 @@
         self.event(now, Event::Asks { server: server.0 });
     }
 
-    pub fn ended(&mut self, done: &Done, now: Instant) {
-        let how = match done.verdict {
+    pub fn ended(&mut self, done: &CompletedExchange, now: Instant) {
+        let how = match done.outcome {
             // It has answered, whatever it said.
-            Verdict::Served(_) | Verdict::Reported(_) | Verdict::Failed | Verdict::Spoilt => {
-                Ended::Answered
+            ExchangeOutcome::Served(_)
+            | ExchangeOutcome::Reported(_)
+            | ExchangeOutcome::Failed
+            | ExchangeOutcome::InvalidResponse => Ended::Answered,
+            ExchangeOutcome::Misdirected | ExchangeOutcome::Rejected => Ended::TurnedAway,
+            ExchangeOutcome::ConnectFailed | ExchangeOutcome::Reset | ExchangeOutcome::TimedOut => {
+                Ended::Broken
             }
-            Verdict::Miss | Verdict::Full => Ended::TurnedAway,
-            Verdict::ConnectFailed | Verdict::Reset | Verdict::TimedOut => Ended::Broken,
-            Verdict::Cancelled | Verdict::NeverSent => Ended::CalledOff,
+            ExchangeOutcome::Cancelled | ExchangeOutcome::NotSent => Ended::CalledOff,
         };
         if let Some(group) = done.group {
             self.event(
@@ -184,12 +187,12 @@
             );
         }
         let server = done.server.0;
-        let sign = match done.verdict {
+        let sign = match done.outcome {
             // One whose time was over before it was written got no connection.
-            Verdict::ConnectFailed => Some(SiteEvent::Unreached { server }),
-            Verdict::Reset => Some(SiteEvent::Reset { server }),
-            Verdict::TimedOut => Some(SiteEvent::Silent { server }),
-            Verdict::Cancelled | Verdict::NeverSent => None,
+            ExchangeOutcome::ConnectFailed => Some(SiteEvent::Unreached { server }),
+            ExchangeOutcome::Reset => Some(SiteEvent::Reset { server }),
+            ExchangeOutcome::TimedOut => Some(SiteEvent::Silent { server }),
+            ExchangeOutcome::Cancelled | ExchangeOutcome::NotSent => None,
             _ => Some(SiteEvent::Answered { server }),
         };
         if let Some(sign) = sign {
@@ -199,8 +202,8 @@
             sites.ended(now.saturating_duration_since(self.start), done);
         }
         // Of an exchange that never got a connection its dial has told.
-        let word =
-            matches!(how, Ended::Answered | Ended::TurnedAway) || done.verdict == Verdict::Reset;
+        let word = matches!(how, Ended::Answered | Ended::TurnedAway)
+            || done.outcome == ExchangeOutcome::Reset;
         self.event(
             now,
             Event::Over {
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -1,7 +1,7 @@
 //! What the proxy has taken in, sent and answered.
 
 use crate::observability::goodput::Goodput;
-use crate::request::{Answer, Verdict};
+use crate::request::{Answer, ExchangeOutcome};
 use routing::{ClassId, QuotaStatus};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -120,7 +120,7 @@
     }
 
     /// An attempt for a request of that class has ended, or a probe.
-    pub fn ended(&mut self, class: Option<ClassId>, verdict: &Verdict) {
+    pub fn ended(&mut self, class: Option<ClassId>, verdict: &ExchangeOutcome) {
         let ends = match class {
             None => Some(&mut self.probes),
             Some(class) => self.class(class).map(|c| &mut c.attempts),
@@ -131,18 +131,18 @@
     }
 }
 
-fn name(verdict: &Verdict) -> &'static str {
+fn name(verdict: &ExchangeOutcome) -> &'static str {
     match verdict {
-        Verdict::Served(_) | Verdict::Reported(_) => "ok",
-        Verdict::Miss => "miss",
-        Verdict::Failed => "error",
-        Verdict::Spoilt => "spoilt",
-        Verdict::Full => "full",
-        Verdict::ConnectFailed => "connect failed",
-        Verdict::Reset => "reset",
-        Verdict::TimedOut => "timed out",
-        Verdict::Cancelled => "cancelled",
-        Verdict::NeverSent => "never sent",
+        ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => "ok",
+        ExchangeOutcome::Misdirected => "miss",
+        ExchangeOutcome::Failed => "error",
+        ExchangeOutcome::InvalidResponse => "spoilt",
+        ExchangeOutcome::Rejected => "full",
+        ExchangeOutcome::ConnectFailed => "connect failed",
+        ExchangeOutcome::Reset => "reset",
+        ExchangeOutcome::TimedOut => "timed out",
+        ExchangeOutcome::Cancelled => "cancelled",
+        ExchangeOutcome::NotSent => "never sent",
     }
 }
 
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -1,7 +1,7 @@
 //! Admit: what is owed an answer is entered, once, and struck off with its final answer.
 
 use crate::event_loop::reactor::Key;
-use crate::request::{shown, Answer, Command, Request, ResponseSlot};
+use crate::request::{truncate_for_display, Answer, Command, Request, ResponseSlot};
 use bulkheads::PoolId;
 use routing::{Arrival, AttemptNo, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -83,7 +83,12 @@
         }
         self.forget_names(request.read_at);
         let taken = self.names.contains(&request.id);
-        taken.then(|| Answer::Rejected(format!("id={} is another request's", shown(&request.id))))
+        taken.then(|| {
+            Answer::Rejected(format!(
+                "id={} is another request's",
+                truncate_for_display(&request.id)
+            ))
+        })
     }
 
     /// Enters a request that nothing bars. `class`: the one that its client said.
--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -1,6 +1,6 @@
 //! Take in: a request in the words of its protocol becomes one in the module's ids.
 
-use crate::request::{shown, Request};
+use crate::request::{truncate_for_display, Request};
 use platform_settings::Names;
 use routing::{
     Arrival, ClassId, GroupId, QuotaStatus, RequestId, SessionKey, SessionPosition, TenantId, Time,
@@ -26,10 +26,15 @@
     };
     let class = place(&names.classes, &request.class)
         .map(ClassId)
-        .ok_or_else(|| format!("class {:?} is not known", shown(&request.class)))?;
+        .ok_or_else(|| {
+            format!(
+                "class {:?} is not known",
+                truncate_for_display(&request.class)
+            )
+        })?;
     let tenant = match &request.tenant {
         Some(name) if !names.tenants.is_empty() => place(&names.tenants, name)
-            .ok_or_else(|| format!("tenant {:?} is not known", shown(name)))?,
+            .ok_or_else(|| format!("tenant {:?} is not known", truncate_for_display(name)))?,
         _ => 0,
     };
     // No client waits longer than its class may: what states more must not hold a place for days.
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -12,7 +12,7 @@
 use crate::clock::evidence::Evidence;
 use crate::clock::{Clock, Source};
 use crate::control::admin::Admin;
-use crate::control::control_socket::Operate;
+use crate::control::control_socket::ControlSocket;
 use crate::discovery::directory::{Change, Directory};
 use crate::discovery::wire::Listing;
 use crate::discovery::{Discovery, News};
@@ -23,7 +23,9 @@
 use crate::observability::counters::Counters;
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::persistence::hot_restart::Takeover;
-use crate::request::{Answer, Done, Piece, Purpose, Request, ResponseSlot, Verdict};
+use crate::request::{
+    Answer, CompletedExchange, ExchangeOutcome, Purpose, Request, ResponseChunk, ResponseSlot,
+};
 use crate::upstream::{Due, Upstream};
 use maintenance::{Hand, Unknown};
 use platform_settings::{Decoded, Names, Succession};
@@ -68,7 +70,7 @@
     pub upstream: Upstream,
     pub discovery: Discovery,
     pub health: Health,
-    pub operate: Option<Operate>,
+    pub operate: Option<ControlSocket>,
     pub admin: Option<Admin>,
     pub takeover: Option<Takeover>,
 }
@@ -391,11 +393,11 @@
 
     /// A part of an answer that is too large to be kept goes to the client at once. With the first the module hears that
     /// the attempt was answered: that is what is timed.
-    fn on_piece(&mut self, piece: Piece, sides: &mut IoEndpoints, now: Instant) {
-        let Piece {
+    fn on_piece(&mut self, piece: ResponseChunk, sides: &mut IoEndpoints, now: Instant) {
+        let ResponseChunk {
             id,
             attempt,
-            from,
+            connection: from,
             server,
             elapsed,
             bytes,
@@ -443,15 +445,15 @@
         }
     }
 
-    fn on_done(&mut self, mut done: Done, sides: &mut IoEndpoints, now: Instant) {
-        self.counters.ended(done.class, &done.verdict);
+    fn on_done(&mut self, mut done: CompletedExchange, sides: &mut IoEndpoints, now: Instant) {
+        self.counters.ended(done.class, &done.outcome);
         self.monitor.ended(&done, now);
         let latest = self.believed(&done, now);
         let Purpose::Attempt(id, attempt) = done.purpose else {
             return self.learn(record::book(&done, true, latest), sides, now);
         };
         if let Some((open, answer)) =
-            relay::served(id, attempt, &mut done.verdict, &mut self.open_requests, now)
+            relay::served(id, attempt, &mut done.outcome, &mut self.open_requests, now)
         {
             self.vacate(&open, now);
             self.relay(open, answer, sides, now);
@@ -473,7 +475,7 @@
     }
 
     /// The latest position that is believed, after what this exchange tells of the time.
-    fn believed(&mut self, done: &Done, now: Instant) -> Time {
+    fn believed(&mut self, done: &CompletedExchange, now: Instant) -> Time {
         let unix = self.clock.unix(now);
         if let Some(told) = record::told(done, unix) {
             self.evidence.told(told, unix);
@@ -483,8 +485,9 @@
 
     /// Whether it is a write that went through. Its commit is what later reads of its session have to see: it counts
     /// although it lies ahead, and where none is told it may be as late as true time may be.
-    fn commits(&self, done: &mut Done, now: Instant) -> bool {
-        let commits = self.is_write(done.class) && matches!(done.verdict, Verdict::Served(_));
+    fn commits(&self, done: &mut CompletedExchange, now: Instant) -> bool {
+        let commits =
+            self.is_write(done.class) && matches!(done.outcome, ExchangeOutcome::Served(_));
         if commits {
             done.metadata.position = done.metadata.position.or(self.least_commit(now));
         }
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -1,20 +1,20 @@
 //! Book: how an exchange ended, as the module is told of it.
 
 use crate::clock::evidence::{Told, REPORT_AGE};
-use crate::request::{Done, Purpose, Verdict};
+use crate::request::{CompletedExchange, ExchangeOutcome, Purpose};
 use routing::{AttemptEnded, Event, LoadReport, Outcome, ResponseMetadata, Time};
 use std::time::Duration;
 
 /// `last`: the request is owed nothing more. A position ahead of `latest` is no position: believed, it would make a
 /// replica seem to hold what is not written yet.
-pub fn book(done: &Done, last: bool, latest: Time) -> Event {
+pub fn book(done: &CompletedExchange, last: bool, latest: Time) -> Event {
     let known = |position: &Time| *position <= latest;
     match done.purpose {
         Purpose::Attempt(id, attempt) => Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
             server: done.server,
-            outcome: outcome(&done.verdict),
+            outcome: outcome(&done.outcome),
             elapsed: done.elapsed,
             request_finished: last,
             metadata: ResponseMetadata {
@@ -23,8 +23,8 @@
             },
         }),
         Purpose::Probe => {
-            let report = match &done.verdict {
-                Verdict::Reported(fields) => report(fields),
+            let report = match &done.outcome {
+                ExchangeOutcome::Reported(fields) => report(fields),
                 _ => LoadReport::default(),
             };
             // A report that can't be read, or can't be true, is none; the server has answered all the same. Of one
@@ -35,7 +35,7 @@
                 position: report.position.filter(known),
                 ..report
             };
-            let ok = matches!(done.verdict, Verdict::Reported(_));
+            let ok = matches!(done.outcome, ExchangeOutcome::Reported(_));
             let (server, elapsed) = (done.server, done.elapsed);
             Event::ProbeEnded {
                 server,
@@ -48,12 +48,12 @@
 }
 
 /// What an exchange tells of the time, by the clock of this process.
-pub fn told(done: &Done, now: Time) -> Option<Told> {
+pub fn told(done: &CompletedExchange, now: Time) -> Option<Told> {
     let since = now.minus(done.elapsed);
-    let (position, primary, since) = match (done.purpose, &done.verdict) {
-        (_, Verdict::Spoilt) => return None,
+    let (position, primary, since) = match (done.purpose, &done.outcome) {
+        (_, ExchangeOutcome::InvalidResponse) => return None,
         (Purpose::Attempt(..), _) => (done.metadata.position, done.metadata.primary, since),
-        (Purpose::Probe, Verdict::Reported(fields)) => {
+        (Purpose::Probe, ExchangeOutcome::Reported(fields)) => {
             let report = report(fields);
             (report.position, report.primary, since.minus(REPORT_AGE))
         }
@@ -67,18 +67,18 @@
     })
 }
 
-fn outcome(verdict: &Verdict) -> Outcome {
+fn outcome(verdict: &ExchangeOutcome) -> Outcome {
     match verdict {
-        Verdict::Served(_) | Verdict::Reported(_) => Outcome::Ok,
-        Verdict::Miss => Outcome::Misdirected,
+        ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => Outcome::Ok,
+        ExchangeOutcome::Misdirected => Outcome::Misdirected,
         // It has answered, so it is not taken for dead.
-        Verdict::Failed | Verdict::Spoilt => Outcome::Failed,
-        Verdict::Full => Outcome::Rejected,
-        Verdict::ConnectFailed => Outcome::ConnectFailed,
-        Verdict::Reset => Outcome::Reset,
-        Verdict::TimedOut => Outcome::TimedOut,
-        Verdict::Cancelled => Outcome::Cancelled,
-        Verdict::NeverSent => Outcome::NotSent,
+        ExchangeOutcome::Failed | ExchangeOutcome::InvalidResponse => Outcome::Failed,
+        ExchangeOutcome::Rejected => Outcome::Rejected,
+        ExchangeOutcome::ConnectFailed => Outcome::ConnectFailed,
+        ExchangeOutcome::Reset => Outcome::Reset,
+        ExchangeOutcome::TimedOut => Outcome::TimedOut,
+        ExchangeOutcome::Cancelled => Outcome::Cancelled,
+        ExchangeOutcome::NotSent => Outcome::NotSent,
     }
 }
 
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -2,7 +2,7 @@
 //! to answer. An answer is passed on once it is there in full, so that none is half sent, but for those too large to be kept.
 
 use super::admit::{OpenRequest, OpenRequests};
-use crate::request::{Answer, Verdict};
+use crate::request::{Answer, ExchangeOutcome};
 use routing::{AttemptNo, RequestId};
 use std::time::Instant;
 
@@ -10,11 +10,11 @@
 pub fn served(
     id: RequestId,
     attempt: AttemptNo,
-    verdict: &mut Verdict,
+    verdict: &mut ExchangeOutcome,
     open_requests: &mut OpenRequests,
     now: Instant,
 ) -> Option<(OpenRequest, Answer)> {
-    let Verdict::Served(bytes) = verdict else {
+    let ExchangeOutcome::Served(bytes) = verdict else {
         return None;
     };
     open_requests
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -3,7 +3,7 @@
 use super::{
     error_field, message, put, sqlstate, text, Malformed, ANSWER_LIMIT, FRAME_SLACK, VALUE_LIMIT,
 };
-use crate::request::{Question, Verdict};
+use crate::request::{ExchangeOutcome, Question};
 use routing::{ResponseMetadata, Time};
 use std::time::Duration;
 
@@ -202,15 +202,15 @@
     }
 
     /// Of an answer that ended as it should.
-    pub fn verdict(self, question: &Question) -> (Verdict, ResponseMetadata) {
+    pub fn verdict(self, question: &Question) -> (ExchangeOutcome, ResponseMetadata) {
         let verdict = match (self.code.as_deref(), question) {
             (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
-                Verdict::Miss
+                ExchangeOutcome::Misdirected
             }
-            (Some(_), _) if self.turned_away() => Verdict::Full,
-            (Some(_), _) => Verdict::Failed,
-            (None, Question::Command(_)) => Verdict::Served(self.relayed),
-            (None, Question::Load) => Verdict::Reported(
+            (Some(_), _) if self.turned_away() => ExchangeOutcome::Rejected,
+            (Some(_), _) => ExchangeOutcome::Failed,
+            (None, Question::Command(_)) => ExchangeOutcome::Served(self.relayed),
+            (None, Question::Load) => ExchangeOutcome::Reported(
                 first_value(&self.relayed)
                     .and_then(load_fields)
                     .unwrap_or_default(),
--- a/crates/leverproxy/src/protocol/postgres/statement.rs
+++ b/crates/leverproxy/src/protocol/postgres/statement.rs
@@ -1,6 +1,6 @@
 //! What a statement says of itself in its comment: `/* id=..,c=..,t=..,d=..,cluster=..,after=..,r=1 */`.
 
-use crate::request::{shown, Command, Request};
+use crate::request::{truncate_for_display, Command, Request};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
 
@@ -41,12 +41,19 @@
     for pair in comment.split(',') {
         let lead = pair.len() - pair.trim_start().len();
         let Some((name, value)) = pair.trim().split_once('=') else {
-            return Err(format!("{:?} in the comment is no name=value", shown(pair)));
+            return Err(format!(
+                "{:?} in the comment is no name=value",
+                truncate_for_display(pair)
+            ));
         };
         let number = || {
-            value
-                .parse::<u64>()
-                .map_err(|_| format!("{}={} is not a whole number", shown(name), shown(value)))
+            value.parse::<u64>().map_err(|_| {
+                format!(
+                    "{}={} is not a whole number",
+                    truncate_for_display(name),
+                    truncate_for_display(value)
+                )
+            })
         };
         match name {
             "id" => id = Some(value).filter(|value| !value.is_empty()),
@@ -54,10 +61,9 @@
             "t" => tenant = Some(value.to_owned()),
             "cluster" => {
                 let number = number()?;
-                group = Some(
-                    u32::try_from(number)
-                        .map_err(|_| format!("cluster={} is out of range", shown(value)))?,
-                );
+                group = Some(u32::try_from(number).map_err(|_| {
+                    format!("cluster={} is out of range", truncate_for_display(value))
+                })?);
             }
             "d" => {
                 let start = at + lead + name.len() + 1;
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -8,8 +8,8 @@
 use crate::config::reload::{Ask, Reloads};
 use crate::config::{Config, ConfigError, Limits, Patience};
 use crate::control::admin::Admin;
-use crate::control::control_socket::{Operate, Word};
-use crate::control::{self, Control, Wish};
+use crate::control::control_socket::{ControlSocket, OperatorCommand};
+use crate::control::{self, Control, ControlCommand};
 use crate::discovery::Discovery;
 use crate::downstream::Downstream;
 use crate::event_loop::reactor::{Interest, Key, Reactor, Ready, Timers, Token};
@@ -20,7 +20,7 @@
 use crate::pipeline::quota;
 use crate::pipeline::route_rules::Rules;
 use crate::pipeline::{IoEndpoints, Pipeline, Timer};
-use crate::request::shown;
+use crate::request::truncate_for_display;
 use crate::upstream::Upstream;
 use configuration::calendar::Window;
 use drain::{Action, Drain};
@@ -58,7 +58,7 @@
 pub struct Proxy {
     sides: IoEndpoints,
     chain: Pipeline,
-    wishes: control::Listener,
+    wishes: control::CommandReceiver,
     start: Instant,
     drain: Drain,
     /// It has been told that nothing is owed.
@@ -100,12 +100,12 @@
 impl Proxy {
     /// Listens, and begins with the list of record servers as it was last known.
     pub fn start(config: Config) -> io::Result<(Proxy, Control)> {
-        let (control, wishes) = control::pair()?;
+        let (control, wishes) = control::channel()?;
         Ok((Proxy::start_heeding(config, wishes)?, control))
     }
 
     /// The same, for whom words may have been said already: they are heeded once it runs.
-    pub fn start_heeding(config: Config, wishes: control::Listener) -> io::Result<Proxy> {
+    pub fn start_heeding(config: Config, wishes: control::CommandReceiver) -> io::Result<Proxy> {
         let now = Instant::now();
         let reactor = Reactor::new()?;
         reactor.add(&wishes, Token::Control, Interest::READ)?;
@@ -164,7 +164,7 @@
         let operate = config
             .control
             .as_deref()
-            .map(|path| Operate::listen(path, heir, &reactor))
+            .map(|path| ControlSocket::listen(path, heir, &reactor))
             .transpose()?;
         let timers = Timers::default();
         let admin = config
@@ -429,7 +429,9 @@
                 }
             }
             Token::Operate(key) => {
-                if let Some((key, word)) = operate.as_mut().and_then(|o| o.ready(key, reactor)) {
+                if let Some((key, word)) =
+                    operate.as_mut().and_then(|o| o.read_command(key, reactor))
+                {
                     self.operate(key, word, now);
                 }
             }
@@ -439,7 +441,7 @@
                 }
             }
             Token::Admin(key) => {
-                if let Some(call) = admin.as_mut().and_then(|a| a.ready(key, reactor)) {
+                if let Some(call) = admin.as_mut().and_then(|a| a.read_call(key, reactor)) {
                     match (self.call(call, now), &mut self.memory) {
                         // It waits for the disk.
                         (Called::Done(word), Some(memory)) => {
@@ -506,10 +508,10 @@
                 let again = self.sides.front.look_over(now, &self.sides.reactor);
                 self.sides.health.look_over(now, &self.sides.reactor);
                 if let Some(operate) = &mut self.sides.operate {
-                    operate.look_over(now);
+                    operate.close_expired(now);
                 }
                 if let Some(admin) = &mut self.sides.admin {
-                    admin.look_over(now);
+                    admin.close_expired(now);
                 }
                 self.sides.timers.set(again, Timer::LookOver);
             }
@@ -547,9 +549,9 @@
     }
 
     fn on_wishes(&mut self, now: Instant) {
-        for wish in self.wishes.take() {
-            match wish {
-                Wish::Stop if !self.drain.ending() => {
+        for command in self.wishes.take_commands() {
+            match command {
+                ControlCommand::Stop if !self.drain.ending() => {
                     log::info!("told to stop: answering what has come");
                     // Whether anything is owed is told first: it may have changed since the last round.
                     self.settle(now);
@@ -567,9 +569,9 @@
                     }
                     self.drain(drain::Event::Terminate, now);
                 }
-                Wish::Stop => {}
-                Wish::Report => self.report(),
-                Wish::Reload => match &mut self.reloads {
+                ControlCommand::Stop => {}
+                ControlCommand::Report => self.report(),
+                ControlCommand::Reload => match &mut self.reloads {
                     Some(reloads) => reloads.begin(),
                     None => {
                         log::warn!("told to reread the configuration, which has no source here")
@@ -674,8 +676,13 @@
         }
     }
 
-    fn operate(&mut self, key: crate::event_loop::reactor::Key, word: Word, now: Instant) {
-        if let Word::Rollout(said) = word {
+    fn operate(
+        &mut self,
+        key: crate::event_loop::reactor::Key,
+        word: OperatorCommand,
+        now: Instant,
+    ) {
+        if let OperatorCommand::Rollout(said) = word {
             let text = match (&mut self.rollout, &mut self.members) {
                 (Some(rollout), Some(members)) => {
                     let (text, asks) = rollout.told(said, members, &self.chain.counters, now);
@@ -689,7 +696,7 @@
             }
             return;
         }
-        if let Word::Sites(named) = &word {
+        if let OperatorCommand::Sites(named) = &word {
             let text = self.chain.sites(named.as_deref(), now);
             if let Some(operate) = &mut self.sides.operate {
                 operate.answer(key, &text);
@@ -697,9 +704,11 @@
             return;
         }
         let event = match word {
-            Word::Drain => Some(drain::Event::Drain),
-            Word::Undrain => Some(drain::Event::Undrain),
-            Word::Status | Word::Sites(_) | Word::Rollout(_) => None,
+            OperatorCommand::Drain => Some(drain::Event::Drain),
+            OperatorCommand::Undrain => Some(drain::Event::Undrain),
+            OperatorCommand::Status | OperatorCommand::Sites(_) | OperatorCommand::Rollout(_) => {
+                None
+            }
         };
         if let Some(event) = event {
             log::info!(word:? = word; "told by an operator");
@@ -760,7 +769,10 @@
                     takeover.say(&said(name.clone()), None, &self.sides.reactor);
                 }
                 let word = if out { "out" } else { "in" };
-                log::info!("admin: {} is {word} by an operator's word", shown(&name));
+                log::info!(
+                    "admin: {} is {word} by an operator's word",
+                    truncate_for_display(&name)
+                );
                 Called::Done(word)
             }
             Err(Unknown) => Called::Answer(Answer::line(
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -84,54 +84,54 @@
 
 /// How an exchange with a record server ended.
 #[derive(Debug, PartialEq)]
-pub enum Verdict {
+pub enum ExchangeOutcome {
     /// The answer to a command, in the words of its protocol.
     Served(Vec<u8>),
     /// The fields of a load report; none if it could not be read.
     Reported(Vec<(String, f64)>),
-    Miss,
+    Misdirected,
     Failed,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// Its last byte was never written.
     ConnectFailed,
     /// What came back is no answer; the command has run all the same, or may have.
-    Spoilt,
+    InvalidResponse,
     /// The connection broke after that.
     Reset,
     TimedOut,
     /// Called off by the module.
     Cancelled,
     /// Dropped before it was written, since the server leaves or this machine lacks something for a connection.
-    NeverSent,
+    NotSent,
 }
 
 /// A part of an answer that is too large to be kept: it goes to the client before the rest is there.
 #[derive(Debug)]
-pub struct Piece {
+pub struct ResponseChunk {
     pub id: RequestId,
     pub attempt: AttemptNo,
     /// Of the connection that it came on.
-    pub from: Key,
+    pub connection: Key,
     pub server: ServerId,
     pub elapsed: Duration,
     pub bytes: Vec<u8>,
 }
 
 #[derive(Debug)]
-pub struct Done {
+pub struct CompletedExchange {
     pub purpose: Purpose,
     pub class: Option<ClassId>,
     /// Of a request's attempt; a probe has none.
     pub group: Option<GroupId>,
     pub server: ServerId,
-    pub verdict: Verdict,
+    pub outcome: ExchangeOutcome,
     pub elapsed: Duration,
     pub metadata: ResponseMetadata,
 }
 
 /// As much of a client's text as an error message or a line of the log should repeat.
-pub fn shown(text: &str) -> &str {
+pub fn truncate_for_display(text: &str) -> &str {
     text.char_indices()
         .nth(40)
         .map_or(text, |(end, _)| &text[..end])
--- a/crates/leverproxy/src/upstream/mod.rs
+++ b/crates/leverproxy/src/upstream/mod.rs
@@ -8,7 +8,7 @@
 use crate::event_loop::system_calls::{lacks_descriptors, RETRY_PAUSE};
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::protocol::postgres::client::{self, AnswerReader};
-use crate::request::{Done, Piece, Purpose, Question, Verdict};
+use crate::request::{CompletedExchange, ExchangeOutcome, Purpose, Question, ResponseChunk};
 use routing::{ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use rustix::io::Errno;
 use std::collections::{BTreeMap, VecDeque};
@@ -72,8 +72,8 @@
 pub struct Upstream {
     connections: Slots<Connection>,
     pools: BTreeMap<ServerId, Pool>,
-    done: VecDeque<Done>,
-    pieces: VecDeque<Piece>,
+    done: VecDeque<CompletedExchange>,
+    pieces: VecDeque<ResponseChunk>,
     signs: VecDeque<Sign>,
     /// Timers asked for.
     due: Vec<(Instant, Due)>,
@@ -150,12 +150,12 @@
         }
     }
 
-    pub fn pop(&mut self) -> Option<Done> {
+    pub fn pop(&mut self) -> Option<CompletedExchange> {
         self.done.pop_front()
     }
 
     /// A part of an answer; [`Upstream::pop`] tells of its end when no more of these is there.
-    pub fn piece(&mut self) -> Option<Piece> {
+    pub fn piece(&mut self) -> Option<ResponseChunk> {
         self.pieces.pop_front()
     }
 
@@ -208,7 +208,7 @@
             self.finish(
                 exchange,
                 server,
-                Verdict::NeverSent,
+                ExchangeOutcome::NotSent,
                 ResponseMetadata::default(),
                 now,
             );
@@ -219,7 +219,7 @@
             };
             let written = matches!(connection.state, State::Busy { written: true, .. });
             if !written {
-                self.close(key, Verdict::NeverSent, now);
+                self.close(key, ExchangeOutcome::NotSent, now);
             }
         }
     }
@@ -229,7 +229,7 @@
             return self.finish(
                 exchange,
                 server,
-                Verdict::NeverSent,
+                ExchangeOutcome::NotSent,
                 ResponseMetadata::default(),
                 now,
             );
@@ -284,9 +284,9 @@
             // A server that was never dialled, or had no time for it, is not taken for dead.
             let own_time = exchange.until.min(exchange.sent + dial_timeout);
             let verdict = if short || now < own_time {
-                Verdict::NeverSent
+                ExchangeOutcome::NotSent
             } else {
-                Verdict::ConnectFailed
+                ExchangeOutcome::ConnectFailed
             };
             self.finish(exchange, server, verdict, ResponseMetadata::default(), now);
         }
@@ -306,7 +306,7 @@
             match self.dial(server, address, now, reactor) {
                 Ok(()) => {}
                 Err(DialError::Failed(_)) => {
-                    self.fail_first_waiting(server, Verdict::ConnectFailed, now)
+                    self.fail_first_waiting(server, ExchangeOutcome::ConnectFailed, now)
                 }
                 Err(DialError::Short(errno)) => return self.dial_later(server, errno, now),
             }
@@ -399,7 +399,7 @@
             .watch(reactor, Token::Upstream(key), Interest::WRITE)
             .is_err()
         {
-            self.close(key, Verdict::ConnectFailed, now);
+            self.close(key, ExchangeOutcome::ConnectFailed, now);
         }
     }
 
@@ -482,7 +482,7 @@
                 }
                 Err(error) => {
                     log::debug!("upstream: dial failed: {error}");
-                    return self.close(key, Verdict::ConnectFailed, now);
+                    return self.close(key, ExchangeOutcome::ConnectFailed, now);
                 }
             }
             let Some(connection) = self.connections.get_mut(key) else {
@@ -501,7 +501,7 @@
         };
         if matches!(connection.state, State::Busy { written: false, .. }) && connection.until <= now
         {
-            return self.close(key, Verdict::ConnectFailed, now);
+            return self.close(key, ExchangeOutcome::ConnectFailed, now);
         }
         let flushed = connection.stream.flush();
         if let (
@@ -623,10 +623,10 @@
             self.due.push((*until, Due::Connection(key)));
         }
         let elapsed = now.saturating_duration_since(exchange.sent);
-        self.pieces.push_back(Piece {
+        self.pieces.push_back(ResponseChunk {
             id,
             attempt,
-            from: key,
+            connection: key,
             server: *server,
             elapsed,
             bytes,
@@ -671,7 +671,7 @@
 
     /// Nobody wants the rest of an answer.
     pub fn stop(&mut self, key: Key, now: Instant) {
-        self.close(key, Verdict::Cancelled, now);
+        self.close(key, ExchangeOutcome::Cancelled, now);
     }
 
     /// ReadyForQuery has come: the connection is free again.
@@ -722,8 +722,8 @@
     /// The connection has ended or makes no sense.
     fn broken(&mut self, key: Key, now: Instant) {
         let verdict = match self.connections.get(key).map(|c| &c.state) {
-            Some(State::Busy { written: true, .. }) => Verdict::Reset,
-            _ => Verdict::ConnectFailed,
+            Some(State::Busy { written: true, .. }) => ExchangeOutcome::Reset,
+            _ => ExchangeOutcome::ConnectFailed,
         };
         self.close(key, verdict, now);
     }
@@ -737,14 +737,14 @@
                 ..
             }) => {
                 *reader = AnswerReader::default();
-                self.close(key, Verdict::Spoilt, now);
+                self.close(key, ExchangeOutcome::InvalidResponse, now);
             }
             _ => self.broken(key, now),
         }
     }
 
     /// Ends a connection; what it was for ends with `verdict`, unless an error that came says better.
-    fn close(&mut self, key: Key, verdict: Verdict, now: Instant) {
+    fn close(&mut self, key: Key, verdict: ExchangeOutcome, now: Instant) {
         let Some(connection) = self.connections.remove(key) else {
             return;
         };
@@ -791,7 +791,7 @@
     }
 
     /// A dial that failed takes one exchange with it: the one that has waited longest.
-    fn fail_first_waiting(&mut self, server: ServerId, verdict: Verdict, now: Instant) {
+    fn fail_first_waiting(&mut self, server: ServerId, verdict: ExchangeOutcome, now: Instant) {
         let Some(pool) = self.pools.get_mut(&server) else {
             return;
         };
@@ -809,7 +809,7 @@
         &mut self,
         exchange: Exchange,
         server: ServerId,
-        verdict: Verdict,
+        verdict: ExchangeOutcome,
         metadata: ResponseMetadata,
         now: Instant,
     ) {
@@ -820,12 +820,12 @@
             group,
             ..
         } = exchange;
-        self.done.push_back(Done {
+        self.done.push_back(CompletedExchange {
             purpose,
             class,
             group,
             server,
-            verdict,
+            outcome: verdict,
             elapsed,
             metadata,
         });
@@ -840,7 +840,7 @@
             .find(|(_, c)| on(c))
             .map(|(key, _)| key);
         if let Some(key) = found {
-            return self.close(key, Verdict::Cancelled, now);
+            return self.close(key, ExchangeOutcome::Cancelled, now);
         }
         let mut called_off = Vec::new();
         for (&server, pool) in &mut self.pools {
@@ -852,7 +852,7 @@
             self.finish(
                 exchange,
                 server,
-                Verdict::Cancelled,
+                ExchangeOutcome::Cancelled,
                 ResponseMetadata::default(),
                 now,
             );
@@ -872,7 +872,7 @@
             self.finish(
                 exchange,
                 server,
-                Verdict::NeverSent,
+                ExchangeOutcome::NotSent,
                 ResponseMetadata::default(),
                 now,
             );
@@ -891,7 +891,7 @@
             .find(|(_, c)| unwritten(c))
             .map(|(key, _)| key);
         if let Some(key) = found {
-            self.close(key, Verdict::NeverSent, now);
+            self.close(key, ExchangeOutcome::NotSent, now);
         }
     }
 
@@ -921,9 +921,11 @@
                         begun: true,
                         ..
                     } => self.spoilt(key, now),
-                    State::Busy { written: true, .. } => self.close(key, Verdict::TimedOut, now),
+                    State::Busy { written: true, .. } => {
+                        self.close(key, ExchangeOutcome::TimedOut, now)
+                    }
                     State::Busy { .. } | State::Idle => {
-                        self.close(key, Verdict::ConnectFailed, now)
+                        self.close(key, ExchangeOutcome::ConnectFailed, now)
                     }
                     State::Connecting | State::Greeting(_) => {
                         // What waits has a time of its own: a slow dial takes nothing with it.
@@ -943,10 +945,10 @@
 
 /// An error to a connection that no request has been written to in full: none of them has run, whatever the
 /// error is.
-fn not_welcome(reader: &AnswerReader) -> Verdict {
+fn not_welcome(reader: &AnswerReader) -> ExchangeOutcome {
     if reader.turned_away() {
-        Verdict::Full
+        ExchangeOutcome::Rejected
     } else {
-        Verdict::ConnectFailed
+        ExchangeOutcome::ConnectFailed
     }
 }
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::{Listener, Peer, PATIENCE};
 use leverproxy::event_loop::reactor::{Reactor, Token};
-use leverproxy::request::{Command, Done, Purpose, Question, Verdict};
+use leverproxy::request::{Command, CompletedExchange, ExchangeOutcome, Purpose, Question};
 use leverproxy::upstream::{Due, Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
 use std::sync::Arc;
@@ -85,7 +85,7 @@
         peer
     }
 
-    fn done(&mut self) -> Option<Done> {
+    fn done(&mut self) -> Option<CompletedExchange> {
         self.upstream.pop()
     }
 }
@@ -106,7 +106,7 @@
 #[test]
 fn a_dial_that_is_up_too_late_carries_nothing() {
     // Of one that had less time to begin than a dial may take, the server is not to blame.
-    let (its_time, the_dial) = (Verdict::NeverSent, Verdict::ConnectFailed);
+    let (its_time, the_dial) = (ExchangeOutcome::NotSent, ExchangeOutcome::ConnectFailed);
     for (waits, begins, verdict) in [
         (400 * MS, 100 * MS, its_time),
         (100 * MS, 400 * MS, the_dial),
@@ -114,7 +114,7 @@
         let mut upstreams = Upstreams::new();
         upstreams.start(1, waits, begins, 0);
         let mut peer = upstreams.welcomed(100 * MS);
-        assert_eq!(upstreams.done().unwrap().verdict, verdict);
+        assert_eq!(upstreams.done().unwrap().outcome, verdict);
         assert_eq!(upstreams.upstream.attempts, 0);
         // The connection is there for the next.
         upstreams.start(2, PATIENCE, PATIENCE, 0);
@@ -129,7 +129,7 @@
     upstreams
         .upstream
         .call_off(RequestId(1), upstreams.at(10 * MS));
-    assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
+    assert_eq!(upstreams.done().unwrap().outcome, ExchangeOutcome::NotSent);
     let mut peer = upstreams.welcomed(20 * MS);
     upstreams.start(2, PATIENCE, PATIENCE, 0);
     assert_eq!(told(&mut peer), "d=10000 */");
@@ -145,7 +145,7 @@
     upstreams
         .upstream
         .call_off(RequestId(1), upstreams.at(30 * MS));
-    assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
+    assert_eq!(upstreams.done().unwrap().outcome, ExchangeOutcome::NotSent);
     assert_eq!(upstreams.upstream.connections(), 0);
     assert!(peer.ended());
 }
@@ -164,7 +164,10 @@
         .unwrap();
     assert_eq!(at, upstreams.at(120 * MS));
     upstreams.upstream.on_due(due, at, &upstreams.reactor);
-    assert_eq!(upstreams.done().unwrap().verdict, Verdict::ConnectFailed);
+    assert_eq!(
+        upstreams.done().unwrap().outcome,
+        ExchangeOutcome::ConnectFailed
+    );
     assert!(peer.ended());
 }
 
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -4,7 +4,7 @@
 use common::{answer, read, Listener, Peer, Program, Reply, Stage, PATIENCE};
 use leverproxy::config::Config;
 use leverproxy::event_loop::reactor::{Reactor, Token};
-use leverproxy::request::{Purpose, Question, Verdict};
+use leverproxy::request::{ExchangeOutcome, Purpose, Question};
 use leverproxy::upstream::{Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
 use rustix::process::Signal;
@@ -597,7 +597,10 @@
         }
         while let Some(one) = upstream.pop() {
             assert!(
-                matches!(one.verdict, Verdict::Full | Verdict::ConnectFailed),
+                matches!(
+                    one.outcome,
+                    ExchangeOutcome::Rejected | ExchangeOutcome::ConnectFailed
+                ),
                 "{one:?}"
             );
             done += 1;
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -13,7 +13,9 @@
 use leverproxy::protocol::http::{Fault, Part, Reader};
 use leverproxy::protocol::postgres::client::AnswerReader;
 use leverproxy::protocol::postgres::statement::{self, Query};
-use leverproxy::request::{Command, Done, Purpose, Question, ResponseSlot, Verdict};
+use leverproxy::request::{
+    Command, CompletedExchange, ExchangeOutcome, Purpose, Question, ResponseSlot,
+};
 use platform_settings::Names;
 use routing::{
     Arrival, ClassId, EndpointState, EndpointUpdate, Event, GroupId, LoadReport, QuotaStatus,
@@ -167,7 +169,7 @@
         after_wait: vec![],
     }));
     let (verdict, metadata) = reader.verdict(&question);
-    assert!(matches!(verdict, Verdict::Served(bytes) if good.starts_with(&bytes)));
+    assert!(matches!(verdict, ExchangeOutcome::Served(bytes) if good.starts_with(&bytes)));
     assert_eq!(
         metadata,
         ResponseMetadata {
@@ -219,12 +221,12 @@
         let (verdict, metadata) = reader.verdict(&Question::Load);
         let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
         match record::book(
-            &Done {
+            &CompletedExchange {
                 purpose,
                 class: None,
                 group: None,
                 server,
-                verdict,
+                outcome: verdict,
                 elapsed,
                 metadata,
             },
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -7,7 +7,7 @@
 use leverproxy::clock::{Clock, Source};
 use leverproxy::discovery::wire::Listing;
 use leverproxy::pipeline::record;
-use leverproxy::request::{Done, Purpose, Verdict};
+use leverproxy::request::{CompletedExchange, ExchangeOutcome, Purpose};
 use routing::{Event, ResponseMetadata, ServerId, Time};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
@@ -292,14 +292,18 @@
         let fields = fields
             .map(|(name, value)| (name.to_owned(), value))
             .to_vec();
-        let (purpose, verdict, server) = (Purpose::Probe, Verdict::Reported(fields), ServerId(1));
+        let (purpose, verdict, server) = (
+            Purpose::Probe,
+            ExchangeOutcome::Reported(fields),
+            ServerId(1),
+        );
         let (elapsed, metadata) = (MS, ResponseMetadata::default());
-        let done = Done {
+        let done = CompletedExchange {
             purpose,
             class: None,
             group: None,
             server,
-            verdict,
+            outcome: verdict,
             elapsed,
             metadata,
         };
