--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -228,7 +228,7 @@
         Ok(Config {
             name, known, rules, ..
         }) => {
-            let routes = match rules.rulings.len() {
+            let routes = match rules.actions.len() {
                 0 => String::new(),
                 n => format!(", {n} routes"),
             };
@@ -267,7 +267,7 @@
         Err(_) => return ExitCode::FAILURE,
     };
     let whole = config.whole.clone();
-    let mut proxy = match Proxy::start_heeding(config, wishes) {
+    let mut proxy = match Proxy::start_with_commands(config, wishes) {
         Ok(started) => started,
         Err(error) => {
             // An address that is taken or not of this machine, most of all: nothing has been served.
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -226,7 +226,7 @@
 /// moment (the load, a configuration, a memory with its lock and its place).
 const SPARE_SOCKETS: usize = 32;
 /// Kept for balancers' connections to the clients' listener that ask for nothing.
-const BALANCERS: usize = crate::downstream::CHECKS;
+const BALANCERS: usize = crate::downstream::MAX_BALANCER_CONNECTIONS;
 /// Kept for checks beside their own number, and for the operators' socket.
 const HEALTH_RESERVE: usize = 10;
 const DEFAULT_SOCKETS: usize = 1_024;
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -2,7 +2,7 @@
 
 use crate::config::ConfigError;
 use crate::health::{Listen, Protocol};
-use crate::pipeline::route_rules::{Rules, Ruling};
+use crate::pipeline::route_rules::{RouteAction, Rules};
 use crate::request::truncate_for_display;
 use bulkheads::{Priority, Rate, Settings as Pool};
 use configuration::diagnostic::{self, Diagnostic};
@@ -179,7 +179,7 @@
         let at = platform.names.classes.iter().position(|n| n == name)?;
         u16::try_from(at).ok().map(ClassId)
     };
-    let ruling = |outcome: &Outcome| Ruling {
+    let ruling = |outcome: &Outcome| RouteAction {
         pool: outcome.pool.as_ref().and_then(pool_at),
         as_class: outcome.as_class.as_ref().and_then(class_at),
         deadline: outcome.deadline,
@@ -188,8 +188,8 @@
             route::Priority::Normal => Priority::Normal,
             route::Priority::High => Priority::High,
         },
-        tries: outcome.tries,
-        refuse: outcome.refuse,
+        attempt_limit: outcome.tries,
+        reject: outcome.refuse,
     };
     let caps = platform.names.classes.iter().map(|name| {
         let stated = model.classes.iter().find(|c| c.name == *name);
@@ -199,10 +199,10 @@
         )
     });
     Rules {
-        places: Vec::new(),
+        class_ids: Vec::new(),
         index: Index::new(&model.routes, &model.windows, &names),
-        rulings: model.routes.iter().map(|r| ruling(&r.outcome)).collect(),
-        caps: caps.collect(),
+        actions: model.routes.iter().map(|r| ruling(&r.outcome)).collect(),
+        class_limits: caps.collect(),
         pools: model.pools.iter().map(pool).collect(),
         deadlines: platform
             .settings
--- a/crates/leverproxy/src/downstream/mod.rs
+++ b/crates/leverproxy/src/downstream/mod.rs
@@ -38,17 +38,17 @@
 }
 
 /// Balancers' connections that have asked for nothing, beside the clients.
-pub const CHECKS: usize = 16;
+pub const MAX_BALANCER_CONNECTIONS: usize = 16;
 
 #[derive(Debug)]
 pub enum Event {
-    Asked(ResponseSlot, Request),
+    Request(ResponseSlot, Request),
     /// Nobody waits for the answer any more.
-    Left(ResponseSlot),
+    ClientLeft(ResponseSlot),
     /// The client has taken its request back on another connection.
     Cancelled(ResponseSlot),
-    /// More of an answer that passes in pieces may come, after [`Downstream::pass`] had no room.
-    Room(ResponseSlot),
+    /// More of an answer that passes in pieces may come, after [`Downstream::send_chunk`] had no room.
+    Writable(ResponseSlot),
 }
 
 pub struct Downstream {
@@ -62,14 +62,14 @@
     misunderstood: LogRateLimit,
     exhausted: LogRateLimit,
     /// Connections ended for what came on them, or for nothing sound having come in time.
-    pub turned_out: u64,
+    pub rejected_clients: u64,
     /// Statements that are answered with an error, since they are no request.
-    pub not_understood: u64,
+    pub malformed_statements: u64,
     /// Where listeners are, to listen there again.
     address: SocketAddr,
     shared: bool,
     /// Another process accepts from the same queue; this one only waits for whether it lives.
-    left_to_heir: bool,
+    new_process_accepts: bool,
     /// Networks of balancers, whose checks count for nothing, and of those that name their clients.
     checks: Vec<IpNet>,
     proxy_from: Vec<IpNet>,
@@ -123,11 +123,11 @@
             events: VecDeque::new(),
             misunderstood: LogRateLimit::default(),
             exhausted: LogRateLimit::default(),
-            turned_out: 0,
-            not_understood: 0,
+            rejected_clients: 0,
+            malformed_statements: 0,
             address,
             shared,
-            left_to_heir: false,
+            new_process_accepts: false,
             checks: Vec::new(),
             proxy_from: Vec::new(),
             checking: 0,
@@ -140,11 +140,11 @@
         connection::local_address(self.listener.as_ref()?)
     }
 
-    pub fn pop(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    pub fn clients(&self) -> usize {
+    pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
@@ -154,8 +154,8 @@
         (self.checks, self.proxy_from) = (checks, proxy_from);
     }
 
-    /// Listens again, after [`Downstream::close`].
-    pub fn open(&mut self, now: Instant, reactor: &Reactor) -> io::Result<()> {
+    /// Listens again, after [`Downstream::start_draining`].
+    pub fn listen_again(&mut self, now: Instant, reactor: &Reactor) -> io::Result<()> {
         self.closing = false;
         if self.listener.is_some() {
             return Ok(());
@@ -175,8 +175,8 @@
         Ok(())
     }
 
-    /// Clients are to be served and can't come yet: [`Downstream::open`] has failed.
-    pub fn lacks_listener(&self) -> bool {
+    /// Clients are to be served and can't come yet: [`Downstream::listen_again`] has failed.
+    pub fn is_listener_missing(&self) -> bool {
         self.listener.is_none() && !self.closing
     }
 
@@ -188,7 +188,7 @@
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         // One that gives way is enough for the next; if it is not, descriptors are short elsewhere.
         let mut gave_way = false;
-        while !self.left_to_heir {
+        while !self.new_process_accepts {
             // Who would give way; nobody does before another client is there for the place.
             let quiet = if self.full() {
                 self.find_place(now, reactor)
@@ -197,7 +197,7 @@
             };
             let full = self.full();
             // Only its address tells a balancer's check from a client, so it has to be let in to be told.
-            let checks = !self.checks.is_empty() && self.checking < CHECKS;
+            let checks = !self.checks.is_empty() && self.checking < MAX_BALANCER_CONNECTIONS;
             if full && quiet.is_none() && !checks {
                 return self.pause(true, reactor);
             }
@@ -243,7 +243,7 @@
         let within = |networks: &[IpNet]| networks.iter().any(|net| net.contains(&peer));
         let headed = within(&self.proxy_from);
         // Bounded: whatever calls itself a balancer beyond that is a client like any other.
-        let check = within(&self.checks) && self.checking < CHECKS;
+        let check = within(&self.checks) && self.checking < MAX_BALANCER_CONNECTIONS;
         self.checking += usize::from(check);
         let cancel_key = self.cancel_keys.next();
         let key = self
@@ -256,7 +256,7 @@
 
     /// While the listener is full it must not be waited on: it would be ready all the time.
     fn pause(&mut self, pause: bool, reactor: &Reactor) {
-        let pause = pause || self.left_to_heir;
+        let pause = pause || self.new_process_accepts;
         let Some(listener) = self.listener.as_ref().filter(|_| self.accepting == pause) else {
             return;
         };
@@ -269,12 +269,12 @@
         }
     }
 
-    /// The listener is not looked at until a client has left or [`Downstream::resume`] is called.
-    pub fn paused(&self) -> bool {
+    /// The listener is not looked at until a client has left or [`Downstream::resume_accept`] is called.
+    pub fn is_accept_paused(&self) -> bool {
         !self.accepting
     }
 
-    pub fn resume(&mut self, reactor: &Reactor) {
+    pub fn resume_accept(&mut self, reactor: &Reactor) {
         self.pause(false, reactor);
     }
 
@@ -358,7 +358,7 @@
     }
 
     /// Ends the connections of those who have run out of time; when to look again.
-    pub fn look_over(&mut self, now: Instant, reactor: &Reactor) -> Instant {
+    pub fn close_expired(&mut self, now: Instant, reactor: &Reactor) -> Instant {
         for key in self.clients.keys() {
             let Some(client) = self.clients.get_mut(key) else {
                 continue;
@@ -450,7 +450,7 @@
                     self.misunderstood.warn(now, || {
                         format!("front: a statement is not understood: {why}")
                     });
-                    self.not_understood += 1;
+                    self.malformed_statements += 1;
                     client.expect(Some(server::answer(Answer::Rejected(why))));
                     client.quiet_since = now;
                 }
@@ -462,12 +462,12 @@
                     // Whoever asks is a client.
                     self.checking -= usize::from(std::mem::take(&mut client.check));
                     client.quiet_since = now;
-                    self.events.push_back(Event::Asked(ticket, request));
+                    self.events.push_back(Event::Request(ticket, request));
                 }
                 Err(why) => {
                     self.misunderstood
                         .warn(now, || format!("front: a client is not understood: {why}"));
-                    self.turned_out += 1;
+                    self.rejected_clients += 1;
                     client.expect(Some(server::fatal(&why)));
                     client.ending = Some(Ending::Told);
                 }
@@ -511,7 +511,7 @@
     /// The last word to a client: nothing more is taken in from it.
     fn turn_out(&mut self, key: Key, why: Vec<u8>) {
         if let Some(client) = self.clients.get_mut(key) {
-            self.turned_out += 1;
+            self.rejected_clients += 1;
             client.expect(Some(why));
             client.ending = Some(Ending::Told);
         }
@@ -546,8 +546,8 @@
         }
     }
 
-    /// A part of an answer; false: no more may come until [`Event::Room`] is told.
-    pub fn pass(
+    /// A part of an answer; false: no more may come until [`Event::Writable`] is told.
+    pub fn send_chunk(
         &mut self,
         ticket: ResponseSlot,
         bytes: &[u8],
@@ -569,7 +569,7 @@
             Slot::Waiting => *place = Slot::Passing(bytes.to_vec()),
         }
         self.write(ticket.client, now, reactor);
-        let crowded = self.unsent() >= self.limits.passing;
+        let crowded = self.unsent_bytes() >= self.limits.passing;
         let Some(client) = self.clients.get_mut(ticket.client) else {
             return true;
         };
@@ -589,19 +589,19 @@
         };
         client.starved = false;
         let number = client.first;
-        self.events.push_back(Event::Room(ResponseSlot {
+        self.events.push_back(Event::Writable(ResponseSlot {
             client: key,
             number,
         }));
     }
 
     /// Bytes of answers that clients have not taken.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.clients.iter().map(|(_, c)| c.stream.unsent()).sum()
     }
 
     /// An answer that has begun will never be whole: the client can tell by the end of its connection.
-    pub fn cut(&mut self, ticket: ResponseSlot, now: Instant, reactor: &Reactor) {
+    pub fn abort_response(&mut self, ticket: ResponseSlot, now: Instant, reactor: &Reactor) {
         let Some(client) = self.clients.get_mut(ticket.client) else {
             return;
         };
@@ -611,7 +611,7 @@
         let behind = client.answers.split_off((at + 1).min(client.answers.len()));
         for (number, slot) in (ticket.number + 1..).zip(behind) {
             if !matches!(slot, Slot::Ready(_)) {
-                self.events.push_back(Event::Left(ResponseSlot {
+                self.events.push_back(Event::ClientLeft(ResponseSlot {
                     client: ticket.client,
                     number,
                 }));
@@ -663,7 +663,7 @@
             }
             let passes = matches!(client.answers.front(), Some(Slot::Passing(_)));
             if client.starved && passes && client.stream.unsent() <= WINDOW.1 / 2 {
-                let crowded = self.unsent() >= self.limits.passing;
+                let crowded = self.unsent_bytes() >= self.limits.passing;
                 self.make_room(key, window(crowded) / 2);
             }
             let Some(client) = self.clients.get_mut(key) else {
@@ -723,10 +723,10 @@
         };
         // Nothing that the chain has not seen yet is begun for it.
         self.events
-            .retain(|event| !matches!(event, Event::Asked(ticket, _) if ticket.client == key));
+            .retain(|event| !matches!(event, Event::Request(ticket, _) if ticket.client == key));
         for (number, answer) in (client.first..).zip(&client.answers) {
             if !matches!(answer, Slot::Ready(_)) {
-                self.events.push_back(Event::Left(ResponseSlot {
+                self.events.push_back(Event::ClientLeft(ResponseSlot {
                     client: key,
                     number,
                 }));
@@ -736,8 +736,8 @@
     }
 
     /// Whether another process accepts from the same queue in place of this one.
-    pub fn leave_to_heir(&mut self, leave: bool, reactor: &Reactor) {
-        self.left_to_heir = leave;
+    pub fn set_new_process_accepts(&mut self, leave: bool, reactor: &Reactor) {
+        self.new_process_accepts = leave;
         self.pause(leave, reactor);
     }
 
@@ -756,8 +756,8 @@
 
     /// Takes no new connection from now on, once those that wait are taken, and closes each connection as
     /// soon as nothing is owed on it. One that has not sent its startup may have a request right behind it.
-    pub fn close(&mut self, now: Instant, reactor: &Reactor) {
-        if !self.left_to_heir {
+    pub fn start_draining(&mut self, now: Instant, reactor: &Reactor) {
+        if !self.new_process_accepts {
             self.accept(now, reactor);
             self.refuse_waiting(now, reactor);
         }
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/actions.rs
@@ -0,0 +1,100 @@
+//! Events to the decision module, and what its actions do.
+
+use super::io_endpoints::IoEndpoints;
+use super::send;
+use super::state::Pipeline;
+use super::timer_kind::TimerKind;
+use crate::event_loop::reactor::later;
+use crate::request::{Answer, Purpose};
+use routing::{Action, Event, RequestId, ServerId};
+use std::time::{Duration, Instant};
+
+/// The system's estimate of its clock error is read no more often than this.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+impl Pipeline {
+    /// Gives an event to the decision module and carries out its actions. Both are logged at trace level, in the form
+    /// that tools which count over many proxies read.
+    pub(super) fn decide(&mut self, event: Event, io: &mut IoEndpoints, now: Instant) {
+        log::trace!("event {event:?}");
+        self.update_clock_lead(now);
+        for action in self.route.decide(self.clock.unix(now), event) {
+            log::trace!("action {action:?}");
+            self.perform(action, io, now);
+        }
+    }
+
+    /// Bounds on staleness are kept although the clock may be wrong: they follow the bound of its error.
+    fn update_clock_lead(&mut self, now: Instant) {
+        let is_fresh = |at| now.saturating_duration_since(at) < CLOCK_CHECK_INTERVAL;
+        if !self.clock_checked_at.is_some_and(is_fresh) {
+            self.clock_checked_at = Some(now);
+            self.clock_evidence.system(self.clock.system_lead());
+        }
+        let lead = self.clock_evidence.lead(self.clock.unix(now));
+        self.route.set_lead(lead);
+    }
+
+    fn perform(&mut self, action: Action, io: &mut IoEndpoints, now: Instant) {
+        match action {
+            Action::Send {
+                id,
+                server,
+                timeout,
+                begin_within,
+            } => self.send_attempt(id, server, (timeout, begin_within), io, now),
+            Action::Probe { server } => self.send_probe(server, io, now),
+            Action::Cancel { id, attempt } => {
+                io.upstream.cancel(Purpose::Attempt(id, attempt), now)
+            }
+            Action::Reject { id, retry_after } => {
+                self.monitor.settled(id, true);
+                self.answer(id, Answer::Refused(retry_after), io, now);
+            }
+            Action::Fail { id } => {
+                self.monitor.settled(id, false);
+                self.answer(id, Answer::Failed, io, now);
+            }
+            Action::Timer { after, token } => {
+                io.timers.set(later(now, after), TimerKind::Router(token.0));
+            }
+            Action::Subscribe => {
+                let index = self.directory.index();
+                io.discovery.subscribe(index, now, &io.reactor);
+            }
+        }
+    }
+
+    /// `limits`: how long the answer is waited for, and how long the attempt may wait for its connection.
+    fn send_attempt(
+        &mut self,
+        id: RequestId,
+        server: ServerId,
+        limits: (Duration, Duration),
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        self.monitor.settled(id, false);
+        let Some(open) = self.open_requests.get_mut(id) else {
+            return;
+        };
+        let exchange = send::attempt(id, open, limits.0, limits.1, now);
+        self.monitor.sent(Some(open.group), server, now);
+        io.upstream.start(server, exchange, now, &io.reactor);
+    }
+
+    fn send_probe(&mut self, server: ServerId, io: &mut IoEndpoints, now: Instant) {
+        self.counters.probe_sent();
+        self.monitor.sent(None, server, now);
+        let exchange = send::probe(self.probe_timeout, now);
+        io.upstream.start(server, exchange, now, &io.reactor);
+    }
+
+    /// Dials a server that is silent, to tell whether its link is at fault.
+    pub fn probe_reachability(&mut self, io: &mut IoEndpoints, now: Instant) {
+        let server = self.monitor.knock(|server| io.upstream.may_knock(server));
+        if let Some(server) = server {
+            io.upstream.knock(server, now, &io.reactor);
+        }
+    }
+}
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -1,4 +1,4 @@
-//! Admit: what is owed an answer is entered, once, and struck off with its final answer.
+//! Admit: the open requests. Each is entered once, and removed with its one final answer.
 
 use crate::event_loop::reactor::Key;
 use crate::request::{truncate_for_display, Answer, Command, Request, ResponseSlot};
@@ -8,55 +8,68 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A name stays taken for this long after its request has ended, and no more names than this are kept: whoever
-/// repeats another's request goes on for a while after it is answered.
-const NAMES_KEPT: (Duration, usize) = (Duration::from_secs(5), 20_000);
+/// A request's name stays reserved for this long after its end: a client that copies another's request does so for a
+/// while after that is answered.
+const NAME_RETENTION: Duration = Duration::from_secs(5);
+/// Most names of ended requests that are reserved.
+const MAX_ENDED_NAMES: usize = 20_000;
 
-/// A request that is owed an answer.
+/// A request that has no final answer yet.
 #[derive(Debug)]
 pub struct OpenRequest {
     name: Box<str>,
-    pub ticket: ResponseSlot,
+    /// Where its answer goes.
+    pub slot: ResponseSlot,
+    /// Its class as the client named it.
     pub class: ClassId,
+    /// The group of servers that holds its data.
     pub group: GroupId,
-    /// Whose it is, and where it stands in that quota.
+    /// The tenant whose quota it counts against.
     pub tenant: TenantId,
-    pub standing: QuotaStatus,
-    /// The pool that it counts against.
+    /// Its status in that quota.
+    pub quota_status: QuotaStatus,
+    /// The bulkhead pool that it counts against.
     pub pool: Option<PoolId>,
+    /// What is sent to servers.
     pub command: Arc<Command>,
+    /// When it was read from the client.
     pub read_at: Instant,
+    /// How long the client waits, from its send.
     pub wait: Duration,
-    /// The attempt whose answer is on its way to the client in pieces, and the connection that it comes on.
-    pub passing: Option<(AttemptNo, Key)>,
+    /// The attempt whose answer is being forwarded in chunks, and the upstream connection that it comes on.
+    pub streaming: Option<(AttemptNo, Key)>,
     attempts: u16,
 }
 
 impl OpenRequest {
+    /// Attempts sent so far.
     pub fn attempts(&self) -> u16 {
         self.attempts
     }
 
-    /// Attempts count from 0 in the order sent.
+    /// Counts an attempt, and returns its number: from 0, in the order sent.
     pub fn next_attempt(&mut self) -> AttemptNo {
         self.attempts += 1;
         AttemptNo(self.attempts - 1)
     }
 }
 
+/// All open requests, and the names that no other request may have.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     open: BTreeMap<RequestId, OpenRequest>,
-    tickets: BTreeMap<ResponseSlot, RequestId>,
-    /// The clients' names of what is open or was of late, and when which of these ended.
+    ids_by_slot: BTreeMap<ResponseSlot, RequestId>,
+    /// Names of requests that are open or ended lately.
     names: BTreeSet<Box<str>>,
+    /// Names of ended requests, by the time of their end.
     ended: VecDeque<(Instant, Box<str>)>,
     last_id: u64,
-    /// Most requests open at once; 0: no limit.
+    /// Most open requests; 0: no limit.
     limit: usize,
 }
 
 impl OpenRequests {
+    /// `limit`: most open requests; 0: no limit.
     pub fn new(limit: usize) -> OpenRequests {
         OpenRequests {
             limit,
@@ -64,24 +77,25 @@
         }
     }
 
-    /// What is open stays, above a lower limit too.
+    /// Sets the limit. Requests that are open stay, above a lower limit too.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
+    /// An id that no request had before.
     pub fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
-    /// What is to be answered instead of entering a request: the platform allows no more at once, or its name is
-    /// that of another. Names are new with every request. Guards against a client that asks under another's name:
-    /// record servers know a request by its name, and one of the two would get what was made for the other.
-    pub fn bars(&mut self, request: &Request) -> Option<Answer> {
+    /// The answer that rejects a request, if it can't be admitted: the limit is reached, or its name is that of another
+    /// request. A name must be new with every request: record servers recognise repeats of a request by its name, so of
+    /// two clients with one name, one would get the answer that was made for the other.
+    pub fn check_admission(&mut self, request: &Request) -> Option<Answer> {
         if self.limit > 0 && self.open.len() >= self.limit {
             return Some(Answer::Refused(None));
         }
-        self.forget_names(request.read_at);
+        self.expire_names(request.read_at);
         let taken = self.names.contains(&request.id);
         taken.then(|| {
             Answer::Rejected(format!(
@@ -91,11 +105,11 @@
         })
     }
 
-    /// Enters a request that nothing bars. `class`: the one that its client said.
+    /// Enters a request that [`OpenRequests::check_admission`] lets pass. `class`: the client's.
     pub fn admit(
         &mut self,
         arrival: &Arrival,
-        ticket: ResponseSlot,
+        slot: ResponseSlot,
         class: ClassId,
         pool: Option<PoolId>,
         request: Request,
@@ -103,10 +117,10 @@
         let Arrival {
             id,
             tenant,
-            quota_status: standing,
+            quota_status,
             ..
         } = *arrival;
-        self.tickets.insert(ticket, id);
+        self.ids_by_slot.insert(slot, id);
         let Request {
             id: name,
             command,
@@ -118,32 +132,34 @@
         let group = GroupId(group);
         self.names.insert(name.clone());
         let command = Arc::new(command);
-        let (passing, attempts) = (None, 0);
+        let (streaming, attempts) = (None, 0);
         let open = OpenRequest {
             name,
-            ticket,
+            slot,
             class,
             group,
             tenant,
-            standing,
+            quota_status,
             pool,
             command,
             read_at,
             wait,
-            passing,
+            streaming,
             attempts,
         };
         self.open.insert(id, open);
     }
 
+    /// An open request; none if it has ended.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    fn forget_names(&mut self, now: Instant) {
-        let (time, number) = NAMES_KEPT;
-        let old = |at: Instant| now.saturating_duration_since(at) >= time;
-        while self.ended.len() > number || self.ended.front().is_some_and(|(at, _)| old(*at)) {
+    fn expire_names(&mut self, now: Instant) {
+        let expired = |at: Instant| now.saturating_duration_since(at) >= NAME_RETENTION;
+        while self.ended.len() > MAX_ENDED_NAMES
+            || self.ended.front().is_some_and(|(at, _)| expired(*at))
+        {
             let Some((_, name)) = self.ended.pop_front() else {
                 return;
             };
@@ -151,31 +167,35 @@
         }
     }
 
-    /// Names that no other request may bear.
-    pub fn names(&self) -> usize {
+    /// Number of names that no other request may have.
+    pub fn reserved_names(&self) -> usize {
         self.names.len()
     }
 
-    /// Strikes a request off: whoever gets it owes its answer, and nobody else can.
+    /// Removes a request. The caller owes its answer: nobody else can get the request.
     pub fn close(&mut self, id: RequestId, now: Instant) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
-        self.tickets.remove(&open.ticket);
+        self.ids_by_slot.remove(&open.slot);
         self.ended.push_back((now, open.name.clone()));
         Some(open)
     }
 
-    pub fn id(&self, ticket: ResponseSlot) -> Option<RequestId> {
-        self.tickets.get(&ticket).copied()
+    /// The open request whose answer goes to `slot`.
+    pub fn id(&self, slot: ResponseSlot) -> Option<RequestId> {
+        self.ids_by_slot.get(&slot).copied()
     }
 
+    /// All open requests.
     pub fn ids(&self) -> Vec<RequestId> {
         self.open.keys().copied().collect()
     }
 
+    /// Number of open requests.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -0,0 +1,70 @@
+//! The one final answer to each request.
+
+use super::io_endpoints::IoEndpoints;
+use super::state::Pipeline;
+use super::{admit, relay};
+use crate::request::Answer;
+use routing::RequestId;
+use std::time::Instant;
+
+impl Pipeline {
+    /// Ends a request with an answer of the proxy's own, and cancels its attempts.
+    pub(super) fn answer(
+        &mut self,
+        id: RequestId,
+        answer: Answer,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        if let Some(open) = self.close_request(id, now) {
+            if open.attempts() > 0 {
+                io.upstream.call_off(id, now);
+            }
+            self.relay(open, answer, io, now);
+        }
+    }
+
+    /// Records the final answer, and writes it to the client.
+    pub(super) fn relay(
+        &mut self,
+        open: admit::OpenRequest,
+        answer: Answer,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        let class = self.counters.name(open.class);
+        log::debug!("{class}: {}", relay::describe(&open, &answer, now));
+        let took = now.saturating_duration_since(open.read_at);
+        self.counters
+            .answered(open.class, open.quota_status, &answer, took);
+        self.quota.ended(&open, Some(&answer), now);
+        let is_write = self.is_write(Some(open.class));
+        self.monitor.answered(open.group, is_write, &answer, now);
+        match (open.streaming, &answer) {
+            // The answer has begun to reach the client and won't be completed: the client sees that by the end of its
+            // connection.
+            (
+                Some((_, connection)),
+                Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_),
+            ) => {
+                io.upstream.stop(connection, now);
+                io.downstream.abort_response(open.slot, now, &io.reactor);
+            }
+            _ => io.downstream.answer(open.slot, answer, now, &io.reactor),
+        }
+    }
+
+    /// Answers every open request at the end of the process: better than a connection that just ends. A request
+    /// without an attempt is refused, not failed: nothing of it ran, so another proxy may still serve it.
+    pub fn fail_open_requests(&mut self, io: &mut IoEndpoints, now: Instant) {
+        for id in self.open_requests.ids() {
+            let open = self.open_requests.get_mut(id);
+            let answer = if open.is_some_and(|open| open.attempts() == 0) {
+                Answer::Refused(None)
+            } else {
+                Answer::Failed
+            };
+            self.answer(id, answer, io, now);
+        }
+    }
+}
--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -1,4 +1,4 @@
-//! Take in: a request in the words of its protocol becomes one in the module's ids.
+//! Decode: a request as the client named things becomes an arrival in the ids of the decision module.
 
 use crate::request::{truncate_for_display, Request};
 use platform_settings::Names;
@@ -6,38 +6,49 @@
     Arrival, ClassId, GroupId, QuotaStatus, RequestId, SessionKey, SessionPosition, TenantId, Time,
 };
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// The arrival, or what the client is told of a request that makes no sense. The client's time counts from its
-/// send, and an answer has to reach it inside that time: the margin is kept back for both ways and for the proxy's
-/// own delays. The position of its last write stays as the client named it, whatever the clock here says.
-pub fn take_in(
+/// Why a request makes no sense. The text goes to the client: it repeats at most the start of a name.
+#[derive(Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// The platform has no class of this name.
+    #[error("class {:?} is not known", truncate_for_display(.0))]
+    UnknownClass(String),
+    /// The platform has tenants, and none of this name.
+    #[error("tenant {:?} is not known", truncate_for_display(.0))]
+    UnknownTenant(String),
+}
+
+/// Decodes a request. The client's time counts from its send, and an answer has to reach it inside that time: `margin`
+/// is subtracted for both ways and for the proxy's own delays. The position of the client's last write stays as the
+/// client named it, whatever the clock here says.
+///
+/// # Errors
+/// The class or the tenant is not known.
+pub fn decode(
     id: RequestId,
     request: &Request,
     names: &Names,
     deadlines: &[Duration],
     margin: Duration,
     now: Instant,
-) -> Result<Arrival, String> {
-    let place = |names: &[String], name: &str| {
+) -> Result<Arrival, DecodeError> {
+    let find = |names: &[String], name: &str| {
         names
             .iter()
             .position(|n| n == name && !n.is_empty())
             .and_then(|at| u16::try_from(at).ok())
     };
-    let class = place(&names.classes, &request.class)
+    let class = find(&names.classes, &request.class)
         .map(ClassId)
-        .ok_or_else(|| {
-            format!(
-                "class {:?} is not known",
-                truncate_for_display(&request.class)
-            )
-        })?;
+        .ok_or_else(|| DecodeError::UnknownClass(request.class.clone()))?;
     let tenant = match &request.tenant {
-        Some(name) if !names.tenants.is_empty() => place(&names.tenants, name)
-            .ok_or_else(|| format!("tenant {:?} is not known", truncate_for_display(name)))?,
+        Some(name) if !names.tenants.is_empty() => {
+            find(&names.tenants, name).ok_or_else(|| DecodeError::UnknownTenant(name.clone()))?
+        }
         _ => 0,
     };
-    // No client waits longer than its class may: what states more must not hold a place for days.
+    // A client that states more than its class allows must not hold a place among the open requests for days.
     let longest = deadlines
         .get(usize::from(class.0))
         .copied()
@@ -59,8 +70,13 @@
     })
 }
 
-/// A proxy that is told to stop has no more time than until its end, less the way of an answer.
-pub fn end_by(arrival: Arrival, end: Option<Instant>, margin: Duration, now: Instant) -> Arrival {
+/// Limits the time of a request by the end of the process, less `margin` for the way of the answer.
+pub fn limit_time(
+    arrival: Arrival,
+    end: Option<Instant>,
+    margin: Duration,
+    now: Instant,
+) -> Arrival {
     let left = end.map(|end| end.saturating_duration_since(now).saturating_sub(margin));
     Arrival {
         time_left: left.map_or(arrival.time_left, |left| left.min(arrival.time_left)),
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/events.rs
@@ -0,0 +1,59 @@
+//! The events of the endpoints, in the order in which they are handled.
+
+use super::io_endpoints::IoEndpoints;
+use super::state::Pipeline;
+use super::timer_kind::TimerKind;
+use crate::downstream;
+use routing::{Event, TimerToken};
+use std::time::Instant;
+
+impl Pipeline {
+    /// Handles every event that the endpoints have queued, and sets the timers that they ask for.
+    pub fn process_events(&mut self, io: &mut IoEndpoints, now: Instant) {
+        while self.process_next_event(io, now) {}
+        for (at, timer) in io.upstream.take_due() {
+            io.timers.set(at, TimerKind::Upstream(timer));
+        }
+        if let Some(at) = io.discovery.alarm() {
+            io.timers.set(at, TimerKind::CheckDiscovery);
+        }
+    }
+
+    /// Whether there was an event. Health and the endpoint list come first, then servers' answers, then clients: a
+    /// request is routed by what is known by then.
+    fn process_next_event(&mut self, io: &mut IoEndpoints, now: Instant) -> bool {
+        if let Some(signal) = io.upstream.sign() {
+            self.monitor.sign(signal, now);
+        } else if let Some(event) = io.discovery.pop() {
+            self.on_discovery_event(event, io, now);
+        } else if let Some(chunk) = io.upstream.piece() {
+            self.on_response_chunk(chunk, io, now);
+        } else if let Some(completed) = io.upstream.pop() {
+            self.on_exchange_completed(completed, io, now);
+        } else if let Some(event) = io.downstream.next_event() {
+            self.on_downstream_event(event, io, now);
+        } else {
+            return false;
+        }
+        true
+    }
+
+    fn on_downstream_event(
+        &mut self,
+        event: downstream::Event,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        match event {
+            downstream::Event::Request(slot, request) => self.on_request(slot, request, io, now),
+            downstream::Event::ClientLeft(slot) => self.on_client_left(slot, io, now),
+            downstream::Event::Cancelled(slot) => self.on_cancelled(slot, io, now),
+            downstream::Event::Writable(slot) => self.on_client_writable(slot, io, now),
+        }
+    }
+
+    /// A timer of the decision module is due.
+    pub fn on_router_timer(&mut self, token: u32, io: &mut IoEndpoints, now: Instant) {
+        self.decide(Event::Timer(TimerToken(token)), io, now);
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -0,0 +1,158 @@
+//! What comes back from servers: chunks of answers, exchanges that have ended, and the positions that they tell.
+
+use super::io_endpoints::IoEndpoints;
+use super::state::Pipeline;
+use super::{record, relay};
+use crate::request::{
+    Answer, CompletedExchange, ExchangeOutcome, Purpose, ResponseChunk, ResponseSlot,
+};
+use routing::{AttemptEnded, AttemptNo, Event, Outcome, RequestId, ResponseMetadata, Time};
+use std::time::Instant;
+
+impl Pipeline {
+    /// Forwards a chunk of an answer that is too large to be buffered. With the first chunk the decision module learns
+    /// that the attempt was answered: that is the time it measures.
+    pub(super) fn on_response_chunk(
+        &mut self,
+        chunk: ResponseChunk,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        let (attempt, connection) = (chunk.attempt, chunk.connection);
+        let open = self.open_requests.get_mut(chunk.id);
+        let open = open.filter(|open| open.streaming.is_none_or(|current| current.0 == attempt));
+        let Some(open) = open else {
+            // Its client has left, or gets another attempt's answer.
+            return io.upstream.stop(connection, now);
+        };
+        let is_first = open.streaming.replace((attempt, connection)).is_none();
+        let (slot, class) = (open.slot, open.class);
+        if !io
+            .downstream
+            .send_chunk(slot, &chunk.bytes, now, &io.reactor)
+        {
+            io.upstream.hold_back(connection, now, &io.reactor);
+        }
+        if is_first {
+            let is_write = self.is_write(Some(class));
+            let position = self.commit_position(now).filter(|_| is_write);
+            self.record_event(first_chunk_event(&chunk, position), io, now);
+        }
+    }
+
+    /// The client has taken what it had of a chunked answer: the server's connection is read on.
+    pub(super) fn on_client_writable(
+        &mut self,
+        slot: ResponseSlot,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        let id = self.open_requests.id(slot);
+        let open = id.and_then(|id| self.open_requests.get_mut(id));
+        if let Some((_, connection)) = open.and_then(|open| open.streaming) {
+            io.upstream.resume(connection, now, &io.reactor);
+        }
+    }
+
+    pub(super) fn on_exchange_completed(
+        &mut self,
+        mut completed: CompletedExchange,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        self.counters.ended(completed.class, &completed.outcome);
+        self.monitor.ended(&completed, now);
+        let latest = self.latest_position(&completed, now);
+        let Purpose::Attempt(id, attempt) = completed.purpose else {
+            return self.record_event(record::record(&completed, true, latest), io, now);
+        };
+        let outcome = &mut completed.outcome;
+        let served = relay::take_served(id, attempt, outcome, &mut self.open_requests, now);
+        if let Some((open, answer)) = served {
+            self.release_pool(&open, now);
+            self.relay(open, answer, io, now);
+        } else if self.is_streaming(id, attempt) {
+            // Its rest will never come. The decision module has learned of the attempt with its first chunk.
+            return self.answer(id, Answer::Failed, io, now);
+        }
+        let request_finished = self.open_requests.get_mut(id).is_none();
+        let latest = if self.set_commit_position(&mut completed, now) {
+            latest.plus(record::MAX_CLOCK_LAG)
+        } else {
+            latest
+        };
+        let event = record::record(&completed, request_finished, latest);
+        self.record_event(event, io, now);
+    }
+
+    fn is_streaming(&mut self, id: RequestId, attempt: AttemptNo) -> bool {
+        self.open_requests
+            .get_mut(id)
+            .is_some_and(|open| open.streaming.is_some_and(|current| current.0 == attempt))
+    }
+
+    /// The latest position that is believed, after what this exchange tells of the time.
+    fn latest_position(&mut self, completed: &CompletedExchange, now: Instant) -> Time {
+        let unix = self.clock.unix(now);
+        if let Some(evidence) = record::clock_evidence(completed, unix) {
+            self.clock_evidence.told(evidence, unix);
+        }
+        self.clock_evidence.latest(unix)
+    }
+
+    /// Sets the position of a write that went through, if the server told none; whether it is such a write. Later reads
+    /// of its session have to see its commit: its position counts although it lies ahead of this process's clock, and
+    /// where none is told it may be as late as true time may be.
+    fn set_commit_position(&self, completed: &mut CompletedExchange, now: Instant) -> bool {
+        let is_commit = self.is_write(completed.class)
+            && matches!(completed.outcome, ExchangeOutcome::Served(_));
+        if is_commit {
+            let position = completed.metadata.position;
+            completed.metadata.position = position.or(self.commit_position(now));
+        }
+        is_commit
+    }
+
+    /// What a commit of just now counts as, if the server tells no position. None: the decision module's own time will
+    /// do.
+    fn commit_position(&self, now: Instant) -> Option<Time> {
+        let unix = self.clock.unix(now);
+        let lead = self.clock_evidence.lead(unix);
+        (!lead.is_zero()).then(|| unix.plus(lead))
+    }
+
+    /// Passes what a server has told to both the monitor and the decision module.
+    fn record_event(&mut self, event: Event, io: &mut IoEndpoints, now: Instant) {
+        let position = match &event {
+            Event::AttemptEnded(ended) => Some((
+                ended.server,
+                ended.metadata.position,
+                ended.metadata.primary,
+            )),
+            Event::ProbeEnded { server, report, .. } => {
+                Some((*server, report.position, report.primary))
+            }
+            _ => None,
+        };
+        if let Some((server, position, primary)) = position {
+            self.monitor
+                .told(server, position, primary, &self.clock, now);
+        }
+        self.decide(event, io, now);
+    }
+}
+
+fn first_chunk_event(chunk: &ResponseChunk, position: Option<Time>) -> Event {
+    Event::AttemptEnded(AttemptEnded {
+        id: chunk.id,
+        attempt: chunk.attempt,
+        server: chunk.server,
+        outcome: Outcome::Ok,
+        elapsed: chunk.elapsed,
+        request_finished: true,
+        metadata: ResponseMetadata {
+            position,
+            ..ResponseMetadata::default()
+        },
+    })
+}
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -126,7 +126,7 @@
             return;
         };
         let tried = open.attempts() > 0;
-        match open.standing {
+        match open.quota_status {
             QuotaStatus::WithinQuota if answer.is_some() => {
                 lending.within(!tried && matches!(answer, Some(Answer::Refused(_))), now);
             }
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -1,77 +1,85 @@
-//! Book: how an exchange ended, as the module is told of it.
+//! Record: a completed exchange becomes an event for the decision module.
 
 use crate::clock::evidence::{Told, REPORT_AGE};
 use crate::request::{CompletedExchange, ExchangeOutcome, Purpose};
 use routing::{AttemptEnded, Event, LoadReport, Outcome, ResponseMetadata, Time};
 use std::time::Duration;
 
-/// `last`: the request is owed nothing more. A position ahead of `latest` is no position: believed, it would make a
-/// replica seem to hold what is not written yet.
-pub fn book(done: &CompletedExchange, last: bool, latest: Time) -> Event {
+/// The event of a completed exchange. `request_finished`: the request has its final answer. A position ahead of `latest`
+/// is dropped: believed, it would make a replica seem to hold what is not written yet.
+pub fn record(completed: &CompletedExchange, request_finished: bool, latest: Time) -> Event {
     let known = |position: &Time| *position <= latest;
-    match done.purpose {
+    match completed.purpose {
         Purpose::Attempt(id, attempt) => Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
-            server: done.server,
-            outcome: outcome(&done.outcome),
-            elapsed: done.elapsed,
-            request_finished: last,
+            server: completed.server,
+            outcome: attempt_outcome(&completed.outcome),
+            elapsed: completed.elapsed,
+            request_finished,
             metadata: ResponseMetadata {
-                position: done.metadata.position.filter(known),
-                ..done.metadata
+                position: completed.metadata.position.filter(known),
+                ..completed.metadata
             },
         }),
         Purpose::Probe => {
-            let report = match &done.outcome {
-                ExchangeOutcome::Reported(fields) => report(fields),
+            let report = match &completed.outcome {
+                ExchangeOutcome::Reported(fields) => parse_load_report(fields),
                 _ => LoadReport::default(),
             };
-            // A report that can't be read, or can't be true, is none; the server has answered all the same. Of one
-            // whose position may be true, but is not believed yet, the rest counts.
-            let possible = |position: &Time| *position <= latest.plus(BEHIND_MOST);
-            let sound = report.position.as_ref().is_none_or(possible);
+            // A report that can't be read or can't be true counts as empty; the server has answered all the same. Of a
+            // report whose position may be true but is not believed yet, the rest counts.
+            let possible = |position: &Time| *position <= latest.plus(MAX_CLOCK_LAG);
+            let plausible = report.position.as_ref().is_none_or(possible);
             let report = LoadReport {
                 position: report.position.filter(known),
                 ..report
             };
-            let ok = matches!(done.outcome, ExchangeOutcome::Reported(_));
-            let (server, elapsed) = (done.server, done.elapsed);
+            let ok = matches!(completed.outcome, ExchangeOutcome::Reported(_));
+            let (server, elapsed) = (completed.server, completed.elapsed);
             Event::ProbeEnded {
                 server,
                 ok,
                 elapsed,
-                report: if sound { report } else { LoadReport::default() },
+                report: if plausible {
+                    report
+                } else {
+                    LoadReport::default()
+                },
             }
         }
     }
 }
 
-/// What an exchange tells of the time, by the clock of this process.
-pub fn told(done: &CompletedExchange, now: Time) -> Option<Told> {
-    let since = now.minus(done.elapsed);
-    let (position, primary, since) = match (done.purpose, &done.outcome) {
+/// What an exchange tells of the error of this process's clock.
+pub fn clock_evidence(completed: &CompletedExchange, now: Time) -> Option<Told> {
+    let since = now.minus(completed.elapsed);
+    let (position, primary, since) = match (completed.purpose, &completed.outcome) {
         (_, ExchangeOutcome::InvalidResponse) => return None,
-        (Purpose::Attempt(..), _) => (done.metadata.position, done.metadata.primary, since),
+        (Purpose::Attempt(..), _) => (
+            completed.metadata.position,
+            completed.metadata.primary,
+            since,
+        ),
         (Purpose::Probe, ExchangeOutcome::Reported(fields)) => {
-            let report = report(fields);
+            let report = parse_load_report(fields);
             (report.position, report.primary, since.minus(REPORT_AGE))
         }
         (Purpose::Probe, _) => return None,
     };
     let present_since = (primary == Some(true)).then_some(since);
     position.map(|position| Told {
-        server: done.server,
+        server: completed.server,
         position,
         present_since,
     })
 }
 
-fn outcome(verdict: &ExchangeOutcome) -> Outcome {
-    match verdict {
+fn attempt_outcome(outcome: &ExchangeOutcome) -> Outcome {
+    match outcome {
         ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => Outcome::Ok,
         ExchangeOutcome::Misdirected => Outcome::Misdirected,
-        // It has answered, so it is not taken for dead.
+        // It has answered, so it is not taken to be down.
         ExchangeOutcome::Failed | ExchangeOutcome::InvalidResponse => Outcome::Failed,
         ExchangeOutcome::Rejected => Outcome::Rejected,
         ExchangeOutcome::ConnectFailed => Outcome::ConnectFailed,
@@ -82,14 +90,14 @@
     }
 }
 
-/// No clock that serves is taken to be further behind.
-pub const BEHIND_MOST: Duration = Duration::from_secs(24 * 60 * 60);
+/// A working clock is never further behind true time than this.
+pub const MAX_CLOCK_LAG: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// What a position in seconds may be off by as a 64-bit float: it is told rounded towards the past.
+/// Error of a position in seconds as a 64-bit float: positions are reported rounded towards the past.
 const ROUNDING: Duration = Duration::from_micros(1);
 
-/// On sockets all positions are Unix times.
-fn report(fields: &[(String, f64)]) -> LoadReport {
+/// A load report. Over sockets all positions are Unix times.
+fn parse_load_report(fields: &[(String, f64)]) -> LoadReport {
     let fields = fields
         .iter()
         .map(|(name, value)| (platform_settings::field(name), *value));
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -1,31 +1,33 @@
-//! Relay: the first whole answer of a record server goes to the client as it came; all else is the module's
-//! to answer. An answer is passed on once it is there in full, so that none is half sent, but for those too large to be kept.
+//! Relay: the first complete answer of a record server goes to the client as it came; all other answers are the decision
+//! module's. An answer is forwarded once it is complete, so that none is half sent, except those too large to be
+//! buffered.
 
 use super::admit::{OpenRequest, OpenRequests};
 use crate::request::{Answer, ExchangeOutcome};
 use routing::{AttemptNo, RequestId};
 use std::time::Instant;
 
-/// Takes a served answer out of `verdict`, if the request is still owed one and no other has begun to reach its client.
-pub fn served(
+/// Takes a served answer out of `outcome`, and closes its request: if that is still open, and no other attempt's answer
+/// has begun to reach the client.
+pub fn take_served(
     id: RequestId,
     attempt: AttemptNo,
-    verdict: &mut ExchangeOutcome,
+    outcome: &mut ExchangeOutcome,
     open_requests: &mut OpenRequests,
     now: Instant,
 ) -> Option<(OpenRequest, Answer)> {
-    let ExchangeOutcome::Served(bytes) = verdict else {
+    let ExchangeOutcome::Served(bytes) = outcome else {
         return None;
     };
     open_requests
         .get_mut(id)
-        .filter(|open| open.passing.is_none_or(|(begun, _)| begun == attempt))?;
+        .filter(|open| open.streaming.is_none_or(|(current, _)| current == attempt))?;
     let open = open_requests.close(id, now)?;
     Some((open, Answer::Served(std::mem::take(bytes))))
 }
 
 /// A line for the log on how a request ended.
-pub fn account(open: &OpenRequest, answer: &Answer, now: Instant) -> String {
+pub fn describe(open: &OpenRequest, answer: &Answer, now: Instant) -> String {
     let took = now.saturating_duration_since(open.read_at).as_millis();
     let (wait, attempts) = (open.wait.as_millis(), open.attempts());
     format!(
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -0,0 +1,162 @@
+//! Requests until they are admitted, and those that end without an answer of a server.
+
+use super::io_endpoints::IoEndpoints;
+use super::state::Pipeline;
+use super::{admit, decode};
+use crate::request::{Answer, Request, ResponseSlot};
+use routing::{ClassId, Event, QuotaStatus, RequestId, Time};
+use std::time::{Duration, Instant};
+
+impl Pipeline {
+    /// Takes a request through decode, route rules, quota and admit to the decision module.
+    pub(super) fn on_request(
+        &mut self,
+        slot: ResponseSlot,
+        request: Request,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        let id = self.open_requests.next_id();
+        let margin = self.route_rules.rules().margin;
+        let decoded = decode::decode(id, &request, &self.names, &self.deadlines, margin, now);
+        let mut arrival = match decoded {
+            Ok(arrival) => decode::limit_time(arrival, self.termination_deadline, margin, now),
+            Err(error) => {
+                let class = self.find_class(&request.class);
+                return self.reject_malformed(slot, class, error.to_string(), io, now);
+            }
+        };
+        // Counters and open requests go by the client's class; a route rule may give the decision module another.
+        let class = arrival.class;
+        if let Some(answer) = self.open_requests.check_admission(&request) {
+            return self.reject(slot, class, answer, io, now);
+        }
+        let unix = self.clock.unix(now);
+        if let Some(after) = request.after {
+            self.clock_evidence.written(Time(after), unix);
+        }
+        let routed = self
+            .route_rules
+            .apply_route_rules(&mut arrival, &request, unix, now);
+        let pool = match routed {
+            Ok(pool) => pool,
+            Err(answer) => return self.reject(slot, class, answer, io, now),
+        };
+        self.quota.mark(&mut arrival, request.tenant.is_some(), now);
+        self.open_requests
+            .admit(&arrival, slot, class, pool, request);
+        self.counters.taken(class);
+        arrival.shed_fraction = self.monitor.arrived(&arrival, now);
+        self.decide(Event::RequestArrived(arrival), io, now);
+    }
+
+    fn find_class(&self, name: &str) -> Option<ClassId> {
+        let index = self.names.classes.iter().position(|class| class == name)?;
+        u16::try_from(index).ok().map(ClassId)
+    }
+
+    /// Answers a request that is not admitted.
+    fn reject(
+        &mut self,
+        slot: ResponseSlot,
+        class: ClassId,
+        answer: Answer,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        if let Answer::Rejected(reason) = answer {
+            return self.reject_malformed(slot, Some(class), reason, io, now);
+        }
+        self.counters.taken(class);
+        self.counters
+            .answered(class, QuotaStatus::WithinQuota, &answer, Duration::ZERO);
+        io.downstream.answer(slot, answer, now, &io.reactor);
+    }
+
+    /// Answers a request that makes no sense. The decision module never sees it.
+    fn reject_malformed(
+        &mut self,
+        slot: ResponseSlot,
+        class: Option<ClassId>,
+        reason: String,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        self.rejection_log
+            .warn(now, || format!("front: a request is rejected: {reason}"));
+        let answer = Answer::Rejected(reason);
+        let quota_status = QuotaStatus::WithinQuota;
+        match class {
+            Some(class) => self
+                .counters
+                .answered(class, quota_status, &answer, Duration::ZERO),
+            None => self.counters.rejected += 1,
+        }
+        io.downstream.answer(slot, answer, now, &io.reactor);
+    }
+
+    pub(super) fn on_client_left(
+        &mut self,
+        slot: ResponseSlot,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
+        if let Some(open) = self.abandon(slot, io, now) {
+            self.counters.left(open.class);
+        }
+    }
+
+    /// The client has cancelled its request, and gets an answer that says so. An answer that has begun to reach the
+    /// client goes on.
+    pub(super) fn on_cancelled(&mut self, slot: ResponseSlot, io: &mut IoEndpoints, now: Instant) {
+        let id = self.open_requests.id(slot);
+        let open = id.and_then(|id| self.open_requests.get_mut(id));
+        if open.is_none_or(|open| open.streaming.is_some()) {
+            return;
+        }
+        if let Some(open) = self.abandon(slot, io, now) {
+            self.counters.cancelled(open.class);
+            io.downstream
+                .answer(slot, Answer::Cancelled, now, &io.reactor);
+        }
+    }
+
+    /// Ends a request that nobody waits for. Nothing more is sent for it.
+    fn abandon(
+        &mut self,
+        slot: ResponseSlot,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) -> Option<admit::OpenRequest> {
+        let id = self.open_requests.id(slot)?;
+        let open = self.close_request(id, now)?;
+        if open.attempts() > 0 {
+            io.upstream.call_off(id, now);
+        }
+        if let Some((_, connection)) = open.streaming {
+            io.upstream.stop(connection, now);
+        }
+        self.quota.ended(&open, None, now);
+        self.monitor.left(id, open.group, now);
+        self.decide(Event::ClientLeft(id), io, now);
+        Some(open)
+    }
+
+    /// Ends a request, and frees its place in its pool. The caller owes the answer.
+    pub(super) fn close_request(
+        &mut self,
+        id: RequestId,
+        now: Instant,
+    ) -> Option<admit::OpenRequest> {
+        let open = self.open_requests.close(id, now)?;
+        self.release_pool(&open, now);
+        Some(open)
+    }
+
+    pub(super) fn release_pool(&mut self, open: &admit::OpenRequest, now: Instant) {
+        if let Some(pool) = open.pool {
+            let held = now.saturating_duration_since(open.read_at);
+            self.route_rules.release_pool(pool, held);
+        }
+    }
+}
--- a/crates/leverproxy/src/pipeline/route.rs
+++ b/crates/leverproxy/src/pipeline/route.rs
@@ -1,17 +1,19 @@
-//! Route: the one place where the module is asked. It alone decides.
+//! Route: the only place that calls the decision module. It alone decides where requests go.
 
 use routing::{Action, ClassId, Consistency, Event, Router, Settings, Time};
 use std::time::Duration;
 
+/// The decision module, under settings that allow for the error of the clock.
 pub struct Route {
     router: Router,
-    /// As the platform has them.
+    /// As the platform states them.
     settings: Settings,
-    /// How far true time may be ahead of the clock that the module goes by.
+    /// How far true time may be ahead of the clock that the decision module goes by.
     lead: Duration,
 }
 
 impl Route {
+    /// A decision module that knows no servers yet.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Route {
         Route {
             router: Router::new(settings.clone(), seed, now),
@@ -20,25 +22,30 @@
         }
     }
 
-    pub fn configure(&mut self, settings: Settings, heirs: &[Option<ClassId>]) {
+    /// Applies new settings. `class_map`: the new id of each former class.
+    pub fn configure(&mut self, settings: Settings, class_map: &[Option<ClassId>]) {
         self.settings = settings;
-        self.router
-            .configure(under_lead(&self.settings, self.lead), heirs);
+        self.router.configure(
+            reduce_staleness_bounds(&self.settings, self.lead),
+            class_map,
+        );
     }
 
-    /// From now on bounds on the age of data are kept although the clock may be so far behind.
+    /// Sets how far the clock may be behind: bounds on staleness are kept all the same.
     pub fn set_lead(&mut self, lead: Duration) {
         if lead != self.lead {
             self.lead = lead;
-            self.router.configure(under_lead(&self.settings, lead), &[]);
+            self.router
+                .configure(reduce_staleness_bounds(&self.settings, lead), &[]);
         }
     }
 
-    /// Listed members that get nothing at present.
-    pub fn avoided(&self, now: Time) -> usize {
+    /// Number of listed servers that get no requests at present.
+    pub fn avoided_count(&self, now: Time) -> usize {
         self.router.avoided(now)
     }
 
+    /// Handles an event, and returns the actions that follow.
     pub fn decide(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(now, event, &mut actions);
@@ -46,8 +53,8 @@
     }
 }
 
-/// Bounds less the lead; a bound that it uses up leaves only the primary.
-fn under_lead(settings: &Settings, lead: Duration) -> Settings {
+/// Subtracts `lead` from the bounds on staleness. A bound that is used up leaves only the primary.
+fn reduce_staleness_bounds(settings: &Settings, lead: Duration) -> Settings {
     let mut settings = settings.clone();
     for class in &mut settings.classes {
         class.consistency = match class.consistency {
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -1,5 +1,5 @@
-//! Steer: what the operators' routes and classes say of a request, before the module is asked. They bound it,
-//! count it against a pool or refuse it; where it goes stays the module's to decide.
+//! Route rules: what the operators' routes and classes state of a request, before the decision module sees it. They
+//! bound it, count it against a pool or reject it; which server gets it stays the decision module's choice.
 
 use crate::request::{Answer, Request};
 use bulkheads::{Bulkheads, Cause, PoolId, Priority, Verdict};
@@ -8,71 +8,115 @@
 use routing::{Arrival, ClassId, Time};
 use std::time::{Duration, Instant};
 
-/// What a route says of its requests.
+/// What a route does with its requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ruling {
+pub struct RouteAction {
     /// Position in [`Rules::pools`].
     pub pool: Option<usize>,
+    /// The class that the decision module sees in place of the client's.
     pub as_class: Option<ClassId>,
+    /// Longest time of a request.
     pub deadline: Option<Duration>,
+    /// Priority in the pool.
     pub priority: Priority,
-    pub tries: Option<u16>,
-    pub refuse: Option<Option<Duration>>,
+    /// Most attempts of a request.
+    pub attempt_limit: Option<u16>,
+    /// Requests are rejected, with this time to retry after.
+    pub reject: Option<Option<Duration>>,
 }
 
-/// The operators' file, compiled: made on any thread, taken over in one step.
+/// The route rules of the operators' file, compiled: built on any thread, applied in one step.
 #[derive(Debug, Default)]
 pub struct Rules {
+    /// Finds the route of a request.
     pub index: Index,
-    /// By route.
-    pub rulings: Vec<Ruling>,
-    /// By class: the longest that a request is worked on, and its attempts.
-    pub caps: Vec<(Option<Duration>, Option<u16>)>,
+    /// What each route does, by the index's route numbers.
+    pub actions: Vec<RouteAction>,
+    /// Longest time and most attempts of a request, by class.
+    pub class_limits: Vec<(Option<Duration>, Option<u16>)>,
+    /// The bulkhead pools.
     pub pools: Vec<bulkheads::Settings>,
-    /// The platform's, by class.
+    /// The platform's deadlines, by class.
     pub deadlines: Vec<Duration>,
-    /// Kept back from each client's time.
+    /// Subtracted from each client's time, for the ways of the request and of its answer.
     pub margin: Duration,
-    /// The longest that the refused are told to wait; none: they may not be told.
+    /// Longest time to retry after that a rejected client is told; none: it is not told any.
     pub max_retry_after: Option<Duration>,
-    /// The places of the platform's classes, in the order that all else here goes by; none: they are as the file has them.
-    pub places: Vec<ClassId>,
-    /// Names by the numbers that the index knows.
+    /// Ids of the platform's classes, in the file's order, which all else here goes by; empty: the file's order is that
+    /// of the ids.
+    pub class_ids: Vec<ClassId>,
+    /// Names of tenants, by the index's numbers.
     pub tenants: Vec<String>,
 }
 
 impl Rules {
-    /// The number that the file knows a class by.
-    fn in_file(&self, class: ClassId) -> ClassId {
-        let at = self.places.iter().position(|place| *place == class);
-        at.and_then(|at| u16::try_from(at).ok())
+    /// The class's number in the file's order.
+    fn file_class(&self, class: ClassId) -> ClassId {
+        let index = self.class_ids.iter().position(|id| *id == class);
+        index
+            .and_then(|index| u16::try_from(index).ok())
             .map_or(class, ClassId)
     }
+
+    /// The class's id, of its number in the file's order.
+    fn platform_class(&self, class: ClassId) -> ClassId {
+        let id = self.class_ids.get(usize::from(class.0));
+        id.copied().unwrap_or(class)
+    }
+
+    /// What the route of a request does; none: no route is for it.
+    fn find_action(&self, class: ClassId, request: &Request, at: Time) -> Option<RouteAction> {
+        if self.actions.is_empty() {
+            return None;
+        }
+        let route = self.index.find(&Facts {
+            class: class.0.into(),
+            tenant: self.find_tenant(request.tenant.as_deref()),
+            group: request.group,
+            statement: &request.command.before_wait,
+            client: request.client,
+            at: Moment::from_unix(at.0),
+        })?;
+        self.actions.get(route).copied()
+    }
+
+    fn find_tenant(&self, name: Option<&str>) -> u32 {
+        name.and_then(|name| self.tenants.iter().position(|tenant| tenant == name))
+            .and_then(|index| u32::try_from(index).ok())
+            .unwrap_or(UNNAMED_TENANT)
+    }
 }
 
-/// What the routes have made of requests, by reason.
+/// Requests by what the routes did with them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// A route applied.
     pub routed: u64,
-    pub refused: u64,
+    /// The route rejects its requests.
+    pub rejected: u64,
+    /// The pool was full.
     pub pool_full: u64,
+    /// The pool's rate was used up.
     pub pool_fast: u64,
 }
 
+/// The route rules stage: the rules in force, and the pools that they fill.
 #[derive(Debug)]
-pub struct Steering {
+pub struct RouteRules {
     rules: Rules,
     pools: Bulkheads,
     /// In the order of the rules' pools.
     pool_ids: Vec<PoolId>,
+    /// Requests by what was done with them.
     pub counts: Counts,
 }
 
-impl Steering {
-    pub fn new(rules: Rules) -> Steering {
+impl RouteRules {
+    /// A stage with empty pools.
+    pub fn new(rules: Rules) -> RouteRules {
         let mut pools = Bulkheads::default();
         let pool_ids = pools.configure(&rules.pools);
-        Steering {
+        RouteRules {
             rules,
             pools,
             pool_ids,
@@ -80,123 +124,96 @@
         }
     }
 
-    /// From now on by these; what is open stays counted. Returns the former ones, which may take long to drop.
+    /// Applies new rules; open requests stay counted in their pools. Returns the former rules, which may take long to drop.
     pub fn replace(&mut self, rules: Rules) -> Rules {
         self.pool_ids = self.pools.configure(&rules.pools);
         std::mem::replace(&mut self.rules, rules)
     }
 
+    /// The rules in force.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
+    /// The bulkhead pools.
     pub fn pools(&self) -> &Bulkheads {
         &self.pools
     }
 
-    /// Bounds the arrival as the file says; the pool that it counts against, or the refusal.
-    pub fn steer(
+    /// Bounds the arrival as the rules state. Returns the pool that it counts against.
+    ///
+    /// # Errors
+    /// The answer that rejects the request.
+    pub fn apply_route_rules(
         &mut self,
         arrival: &mut Arrival,
         request: &Request,
         at: Time,
         now: Instant,
     ) -> Result<Option<PoolId>, Answer> {
-        let class = self.rules.in_file(arrival.class);
+        let class = self.rules.file_class(arrival.class);
         let spent = now.saturating_duration_since(request.read_at) + self.rules.margin;
-        let Rules {
-            index,
-            rulings,
-            caps,
-            deadlines,
-            tenants,
-            ..
-        } = &self.rules;
-        let cap = |arrival: &mut Arrival, longest: Option<Duration>| {
-            if let Some(longest) = longest {
-                arrival.time_left = arrival.time_left.min(longest.saturating_sub(spent));
-            }
-        };
-        let (longest, tries) = caps.get(usize::from(class.0)).copied().unwrap_or_default();
-        cap(arrival, longest);
-        arrival.attempt_limit = fewer(arrival.attempt_limit, tries);
-        if rulings.is_empty() {
-            return Ok(None);
-        }
-        let named = request
-            .tenant
-            .as_ref()
-            .and_then(|name| tenants.iter().position(|t| t == name));
-        let facts = Facts {
-            class: class.0.into(),
-            tenant: named
-                .and_then(|at| u32::try_from(at).ok())
-                .unwrap_or(UNNAMED),
-            group: request.group,
-            statement: &request.command.before_wait,
-            client: request.client,
-            at: Moment::from_unix(at.0),
-        };
-        let Some(ruling) = index
-            .find(&facts)
-            .and_then(|route| rulings.get(route))
-            .copied()
-        else {
+        let limits = self.rules.class_limits.get(usize::from(class.0));
+        let (longest, attempt_limit) = limits.copied().unwrap_or_default();
+        limit_time(arrival, longest, spent);
+        arrival.attempt_limit = min_limit(arrival.attempt_limit, attempt_limit);
+        let Some(action) = self.rules.find_action(class, request, at) else {
             return Ok(None);
         };
         self.counts.routed += 1;
-        if let Some(retry_after) = ruling.refuse {
-            self.counts.refused += 1;
-            return Err(self.refusal(retry_after));
+        if let Some(retry_after) = action.reject {
+            self.counts.rejected += 1;
+            return Err(self.rejection(retry_after));
         }
-        cap(arrival, ruling.deadline);
-        arrival.attempt_limit = fewer(arrival.attempt_limit, ruling.tries);
-        if let Some(other) = ruling.as_class {
-            cap(arrival, deadlines.get(usize::from(other.0)).copied());
-            arrival.class = self
-                .rules
-                .places
-                .get(usize::from(other.0))
-                .copied()
-                .unwrap_or(other);
+        limit_time(arrival, action.deadline, spent);
+        arrival.attempt_limit = min_limit(arrival.attempt_limit, action.attempt_limit);
+        if let Some(other) = action.as_class {
+            let deadline = self.rules.deadlines.get(usize::from(other.0)).copied();
+            limit_time(arrival, deadline, spent);
+            arrival.class = self.rules.platform_class(other);
         }
-        let Some(pool) = ruling.pool.and_then(|at| self.pool_ids.get(at)).copied() else {
+        self.take_pool(&action, at)
+    }
+
+    fn take_pool(&mut self, action: &RouteAction, at: Time) -> Result<Option<PoolId>, Answer> {
+        let pool = action.pool.and_then(|index| self.pool_ids.get(index));
+        let Some(pool) = pool.copied() else {
             return Ok(None);
         };
-        match self.pools.take(pool, ruling.priority, at.0) {
+        match self.pools.take(pool, action.priority, at.0) {
             Verdict::Taken => Ok(Some(pool)),
             Verdict::Refused { cause, retry_after } => {
                 match cause {
                     Cause::Full => self.counts.pool_full += 1,
                     Cause::Fast => self.counts.pool_fast += 1,
                 }
-                Err(self.refusal(Some(retry_after)))
+                Err(self.rejection(Some(retry_after)))
             }
         }
     }
 
-    /// The request is over after so long.
-    pub fn give_back(&mut self, pool: PoolId, held: Duration) {
+    /// Frees a request's place in its pool. `held`: how long the request was open.
+    pub fn release_pool(&mut self, pool: PoolId, held: Duration) {
         self.pools.give_back(pool, held);
     }
 
-    fn refusal(&self, retry_after: Option<Duration>) -> Answer {
+    fn rejection(&self, retry_after: Option<Duration>) -> Answer {
         let most = self.rules.max_retry_after;
         Answer::Refused(retry_after.and_then(|after| most.map(|most| after.min(most))))
     }
 }
 
-/// Lines of the report; nothing where there are no routes and never were.
-impl std::fmt::Display for Steering {
+/// Lines of the report; empty where there are no routes and never were.
+impl std::fmt::Display for RouteRules {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Counts {
             routed,
-            refused,
+            rejected,
             pool_full,
             pool_fast,
         } = self.counts;
-        if routed > 0 || !self.rules.rulings.is_empty() {
-            write!(f, "\nroutes: {routed} requests, refused {refused}; by pools: full {pool_full}, fast {pool_fast}")?;
+        if routed > 0 || !self.rules.actions.is_empty() {
+            write!(f, "\nroutes: {routed} requests, refused {rejected}; by pools: full {pool_full}, fast {pool_fast}")?;
         }
         for (name, counts) in self.pools.counts() {
             let bulkheads::Counts {
@@ -214,10 +231,16 @@
     }
 }
 
-/// A tenant that no route names, and a class likewise.
-const UNNAMED: u32 = u32::MAX - 1;
+/// The index's number of a tenant that no route names.
+const UNNAMED_TENANT: u32 = u32::MAX - 1;
+
+fn limit_time(arrival: &mut Arrival, longest: Option<Duration>, spent: Duration) {
+    if let Some(longest) = longest {
+        arrival.time_left = arrival.time_left.min(longest.saturating_sub(spent));
+    }
+}
 
-fn fewer(a: Option<u16>, b: Option<u16>) -> Option<u16> {
+fn min_limit(a: Option<u16>, b: Option<u16>) -> Option<u16> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -1,4 +1,4 @@
-//! Send: an attempt or a probe that the module wants becomes an exchange with a record server.
+//! Send: an attempt or a probe of the decision module becomes an exchange with a record server.
 
 use super::admit::OpenRequest;
 use crate::event_loop::reactor::later;
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An attempt whose answer is waited for until its time-out, and that is dropped unsent if it can't begin in time.
+/// The exchange of a request's next attempt. It waits for its answer until `timeout`, and is dropped unsent if it does not
+/// get a connection within `begin_within`.
 pub fn attempt(
     id: RequestId,
     open: &mut OpenRequest,
@@ -27,7 +28,7 @@
     }
 }
 
-/// A probe waits as long as a dial does: a server that takes longer counts as silent.
+/// The exchange of a probe. A server that does not answer within `timeout` counts as silent.
 pub fn probe(timeout: Duration, now: Instant) -> Exchange {
     Exchange {
         purpose: Purpose::Probe,
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -0,0 +1,175 @@
+//! The `Pipeline` type: what it knows, and settings that change while it runs.
+
+use super::{admit, quota, route, route_rules};
+use crate::clock::evidence::Evidence;
+use crate::clock::{Clock, Source};
+use crate::discovery::directory::Directory;
+use crate::discovery::wire::Listing;
+use crate::health::monitor::Monitor;
+use crate::observability::counters::Counters;
+use crate::observability::log_rate_limit::LogRateLimit;
+use maintenance::Hand;
+use platform_settings::{Decoded, Names, Succession};
+use routing::{ClassId, Consistency, Settings};
+use std::time::{Duration, Instant};
+
+/// The stages and what they share. All I/O is handed in with each call.
+pub struct Pipeline {
+    pub(super) clock: Clock,
+    /// Bounds of the clock's error.
+    pub(super) clock_evidence: Evidence,
+    pub(super) clock_checked_at: Option<Instant>,
+    pub(super) names: Names,
+    /// Longest time of a request, by class.
+    pub(super) deadlines: Vec<Duration>,
+    /// Whether only a primary takes the requests, by class.
+    pub(super) write_classes: Vec<bool>,
+    pub(super) probe_timeout: Duration,
+    pub(super) directory: Directory,
+    /// Discovery has sent or confirmed the list to this process.
+    pub(super) list_confirmed: bool,
+    pub(super) open_requests: admit::OpenRequests,
+    pub(super) route: route::Route,
+    pub(super) route_rules: route_rules::RouteRules,
+    /// The quota stage.
+    pub quota: quota::Quota,
+    pub(super) rejection_log: LogRateLimit,
+    /// When the process ends, once it is told to stop: no request has time beyond that.
+    pub(super) termination_deadline: Option<Instant>,
+    /// Counters of requests and exchanges.
+    pub counters: Counters,
+    /// Health of the servers, the sites and this process.
+    pub monitor: Monitor,
+}
+
+impl Pipeline {
+    /// An empty pipeline: no endpoints are known before [`Pipeline::load_endpoints`].
+    pub fn new(
+        platform: Decoded,
+        rules: route_rules::Rules,
+        mut monitor: Monitor,
+        seed: u64,
+        probe_timeout: Duration,
+        wall_clock: Source,
+        now: Instant,
+    ) -> Pipeline {
+        let clock = Clock::start(wall_clock);
+        let mut quota = quota::Quota::default();
+        quota.configure(&platform, now);
+        let Decoded {
+            settings,
+            names,
+            max_open,
+            ..
+        } = platform;
+        monitor.configure(&settings);
+        let mut counters = Counters::new(&names.classes);
+        counters.worth.configure(&settings);
+        Pipeline {
+            counters,
+            monitor,
+            rejection_log: LogRateLimit::default(),
+            termination_deadline: None,
+            names,
+            deadlines: class_deadlines(&settings),
+            write_classes: find_write_classes(&settings),
+            probe_timeout,
+            directory: Directory::default(),
+            list_confirmed: false,
+            open_requests: admit::OpenRequests::new(max_open),
+            route_rules: route_rules::RouteRules::new(rules),
+            quota,
+            route: route::Route::new(settings, seed, clock.unix(now)),
+            clock,
+            clock_evidence: Evidence::default(),
+            clock_checked_at: None,
+        }
+    }
+
+    /// Applies new platform settings. Requests in flight and what was learned stay.
+    pub fn configure(&mut self, succession: Succession, probe_timeout: Duration, now: Instant) {
+        let Succession { next, heirs, .. } = succession;
+        self.quota.configure(&next, now);
+        let Decoded {
+            settings,
+            names,
+            max_open,
+            ..
+        } = next;
+        self.counters.extend(&names.classes);
+        self.counters.worth.configure(&settings);
+        self.deadlines = class_deadlines(&settings);
+        self.write_classes = find_write_classes(&settings);
+        (self.names, self.probe_timeout) = (names, probe_timeout);
+        self.open_requests.set_limit(max_open);
+        self.monitor.configure(&settings);
+        self.route.configure(settings, &heirs);
+    }
+
+    /// Applies new route rules. Returns the former ones, which may take long to drop.
+    pub fn replace_route_rules(&mut self, rules: route_rules::Rules) -> route_rules::Rules {
+        self.route_rules.replace(rules)
+    }
+
+    /// The route rules stage.
+    pub fn route_rules(&self) -> &route_rules::RouteRules {
+        &self.route_rules
+    }
+
+    /// Bounds the time of every request that comes from now on by the end of the process.
+    pub fn set_termination_deadline(&mut self, deadline: Instant) {
+        self.termination_deadline = Some(deadline);
+    }
+
+    /// Requests that have no final answer yet.
+    pub fn open_request_count(&self) -> usize {
+        self.open_requests.len()
+    }
+
+    /// Discovery's index of the endpoint list, once discovery has sent a list to this process.
+    pub fn confirmed_list_index(&self) -> Option<u64> {
+        (self.counters.lists > 0).then(|| self.directory.index())
+    }
+
+    /// What the new process of a hot restart gets: the endpoint list and the manual exclusions.
+    pub fn handover_state(&self) -> (Listing, Vec<Hand>) {
+        (self.directory.listing(), self.manual_exclusions())
+    }
+
+    /// The operators' manual exclusions.
+    pub fn manual_exclusions(&self) -> Vec<Hand> {
+        self.directory.hands().hands()
+    }
+
+    /// Number of endpoints in the list, and of those that get no requests at present.
+    pub fn endpoint_counts(&self, now: Instant) -> (usize, usize) {
+        let listed = self.directory.hands().listed();
+        (listed, self.route.avoided_count(self.clock.unix(now)))
+    }
+
+    /// The operators' table of all sites, or of one.
+    pub fn site_report(&self, site: Option<&str>, now: Instant) -> String {
+        let Names {
+            classes, tenants, ..
+        } = &self.names;
+        self.monitor.site_table(site, [classes, tenants], now)
+    }
+
+    pub(super) fn is_write(&self, class: Option<ClassId>) -> bool {
+        class
+            .and_then(|class| self.write_classes.get(usize::from(class.0)))
+            .copied()
+            .unwrap_or(false)
+    }
+}
+
+fn class_deadlines(settings: &Settings) -> Vec<Duration> {
+    settings.classes.iter().map(|c| c.deadline).collect()
+}
+
+fn find_write_classes(settings: &Settings) -> Vec<bool> {
+    let classes = settings.classes.iter();
+    classes
+        .map(|class| class.consistency == Consistency::Write)
+        .collect()
+}
--- /dev/null
+++ b/crates/leverproxy/src/pipeline/timer_kind.rs
@@ -0,0 +1,30 @@
+//! The kinds of timers.
+
+use crate::upstream::Due;
+
+/// What a timer is for. Timers that are due at the same instant run in the order of the kinds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum TimerKind {
+    /// A timer of the decision module, by its token.
+    Router(u32),
+    /// A timer of an upstream connection or queue.
+    Upstream(Due),
+    /// The watch on discovery is checked.
+    CheckDiscovery,
+    /// Connections that have run out of time are closed.
+    CloseExpired,
+    /// Accepting, paused for want of capacity or of a listener, is tried again.
+    RetryAccept,
+    /// The load of this process is measured.
+    MeasureLoad,
+    /// The drain state machine is due.
+    Drain,
+    /// A timer of the fleet membership, by its token.
+    Members(u64),
+    /// The rollout is checked.
+    Rollout,
+    /// Quotas and lending are checked.
+    Quota,
+    /// State that has changed is saved.
+    Persist,
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/admin_calls.rs
@@ -0,0 +1,84 @@
+//! Calls on the admin address: readiness, metrics, and manual exclusion of record servers.
+
+use super::state::Proxy;
+use crate::event_loop::reactor::Key;
+use crate::persistence::hot_restart::Said;
+use crate::request::truncate_for_display;
+use maintenance::Unknown;
+use std::time::Instant;
+use wire_admin::{Answer, Call, Status};
+
+/// What a call came to.
+enum CallResult {
+    Answer(Answer),
+    /// State has changed. The answer goes out once the change is on disk.
+    Changed(&'static str),
+}
+
+impl CallResult {
+    fn into_answer(self) -> Answer {
+        match self {
+            CallResult::Answer(answer) => answer,
+            CallResult::Changed(text) => Answer::line(Status::Ok, text),
+        }
+    }
+}
+
+impl Proxy {
+    pub(super) fn on_admin_call(&mut self, key: Key, call: Call, now: Instant) {
+        match (self.run_admin_call(call, now), &mut self.saved_state) {
+            (CallResult::Changed(text), Some(saved_state)) => {
+                saved_state.promise(key, text, now);
+                self.persist(now);
+            }
+            (result, _) => {
+                if let Some(admin) = &mut self.io.admin {
+                    admin.answer(key, &result.into_answer(), &self.io.reactor);
+                }
+            }
+        }
+    }
+
+    fn run_admin_call(&mut self, call: Call, now: Instant) -> CallResult {
+        match call {
+            Call::Ready => CallResult::Answer(self.readiness()),
+            Call::Telemetry => CallResult::Answer(self.metrics(now)),
+            Call::Exclude(name) => self.set_manual_exclusion(name, true, now),
+            Call::Include(name) => self.set_manual_exclusion(name, false, now),
+        }
+    }
+
+    fn readiness(&self) -> Answer {
+        if self.drain.ending() {
+            Answer::line(Status::Unavailable, "ending: told to stop")
+        } else if self.awaits_discovery && self.pipeline.counters.lists == 0 {
+            Answer::line(
+                Status::Unavailable,
+                "starting: discovery has not spoken yet",
+            )
+        } else {
+            Answer::line(Status::Ok, "ready")
+        }
+    }
+
+    fn set_manual_exclusion(&mut self, name: String, excluded: bool, now: Instant) -> CallResult {
+        let result = self
+            .pipeline
+            .set_manual_exclusion(&name, excluded, &mut self.io, now);
+        if let Err(Unknown) = result {
+            let text = "no record server of that name";
+            return CallResult::Answer(Answer::line(Status::NotFound, text));
+        }
+        let (text, message) = if excluded {
+            ("out", Said::Out(name.clone()))
+        } else {
+            ("in", Said::In(name.clone()))
+        };
+        if let Some(hot_restart) = &mut self.io.hot_restart {
+            hot_restart.say(&message, None, &self.io.reactor);
+        }
+        let name = truncate_for_display(&name);
+        log::info!("admin: {name} is {text} by an operator's word");
+        CallResult::Changed(text)
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -0,0 +1,108 @@
+//! Commands of signals and of an embedding program, and what the reload thread has read.
+
+use super::state::Proxy;
+use crate::config::reload::{Ask, Reloads};
+use crate::config::{Config, ConfigError};
+use crate::control::ControlCommand;
+use crate::persistence::hot_restart::Takeover;
+use std::time::Instant;
+
+impl Proxy {
+    /// Runs what has come over the command channel. Other threads of the proxy wake the loop through it too: their
+    /// results are taken here.
+    pub(super) fn on_commands(&mut self, now: Instant) {
+        for command in self.commands.take_commands() {
+            match command {
+                ControlCommand::Stop => self.stop(now),
+                ControlCommand::Report => self.report(),
+                ControlCommand::Reload => self.request_reload(),
+            }
+        }
+        if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
+            let requests = rollout.kept(members, now);
+            self.request_reads(requests);
+        }
+        self.persist(now);
+        while let Some((request, read)) = self.reloads.as_mut().and_then(Reloads::ended) {
+            self.on_configuration_read(request, read, now);
+        }
+    }
+
+    fn stop(&mut self, now: Instant) {
+        if self.drain.ending() {
+            return;
+        }
+        log::info!("told to stop: answering what has come");
+        // The drain needs the state of now: it may have changed since the last round.
+        self.update_drained(now);
+        // Clients from now on are the new process's. To wait for them here would take them from its queue.
+        let hot_restart = self.io.hot_restart.as_ref();
+        if hot_restart.is_some_and(Takeover::heir_accepts) {
+            self.io.downstream.start_draining(now, &self.io.reactor);
+        }
+        if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
+            rollout.leave(members, now);
+        }
+        self.handle_drain_event(::drain::Event::Terminate, now);
+    }
+
+    fn request_reload(&mut self) {
+        match &mut self.reloads {
+            Some(reloads) => reloads.begin(),
+            None => log::warn!("told to reread the configuration, which has no source here"),
+        }
+    }
+
+    /// Asks the reload thread for files of a rollout.
+    pub(super) fn request_reads(&mut self, requests: Vec<Ask>) {
+        for request in requests {
+            match &mut self.reloads {
+                Some(reloads) => _ = reloads.ask(request),
+                None => log::warn!("rollout: the configuration has no source here"),
+            }
+        }
+    }
+
+    fn on_configuration_read(
+        &mut self,
+        request: Ask,
+        read: Result<Config, ConfigError>,
+        now: Instant,
+    ) {
+        let (hash, result) = match request {
+            Ask::Again => {
+                // A failure is logged; the configuration stays as it was.
+                _ = self.reload(read, now);
+                return;
+            }
+            Ask::Check(hash, _) => {
+                let config = read.map_err(|error| error.to_string());
+                (
+                    hash,
+                    config.and_then(|config| self.check_candidate(&config)),
+                )
+            }
+            Ask::Run(hash, _) => (hash, self.reload(read, now)),
+        };
+        if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
+            let requests = rollout.read(hash, result, members, &self.pipeline.counters, now);
+            self.request_reads(requests);
+        }
+    }
+
+    /// Whether a candidate of a rollout could run here: it must not take this proxy out of the fleet.
+    fn check_candidate(&self, config: &Config) -> Result<(), String> {
+        let missing = |section: &str| {
+            Err(format!(
+                "it has no section {section}: include the host's own file"
+            ))
+        };
+        match (&config.members, &config.rollout) {
+            (None, _) => missing("members"),
+            (_, None) => missing("rollout"),
+            _ => platform_settings::succeed(&self.platform, config.platform.clone())
+                .map(|_| ())
+                .map_err(|error| format!("settings.{error}")),
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/drain.rs
@@ -0,0 +1,70 @@
+//! Carries out the actions of the drain state machine.
+
+use super::state::Proxy;
+use crate::pipeline::TimerKind;
+use ::drain::{Action, Event, Phase};
+use std::time::{Duration, Instant};
+
+/// An address that could not be listened on is tried again after this.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+
+impl Proxy {
+    /// Notifies the drain state machine when the proxy gets, or stops being, without clients and open requests.
+    pub(super) fn update_drained(&mut self, now: Instant) {
+        let drained =
+            self.io.downstream.client_count() == 0 && self.pipeline.open_request_count() == 0;
+        if drained != self.drained {
+            self.drained = drained;
+            self.handle_drain_event(Event::Settled(drained), now);
+        }
+    }
+
+    /// Listens for clients after a drain, and retries until it does.
+    pub(super) fn listen_again(&mut self, now: Instant) {
+        let io = &mut self.io;
+        if io.downstream.listen_again(now, &io.reactor).is_err() {
+            io.timers
+                .set(now + LISTEN_RETRY_INTERVAL, TimerKind::RetryAccept);
+        }
+    }
+
+    pub(super) fn handle_drain_event(&mut self, event: Event, now: Instant) {
+        let mut actions = Vec::new();
+        let elapsed = now.saturating_duration_since(self.started_at);
+        self.drain.handle(elapsed, event, &mut actions);
+        for action in actions {
+            self.perform_drain_action(action, now);
+        }
+        if let Some(members) = &mut self.members {
+            members.serves(self.drain.phase() == Phase::Serving, now);
+        }
+        self.io.health.publish(&self.pipeline.monitor.status());
+        if let Some(due) = self.drain.due() {
+            self.io.timers.set(self.started_at + due, TimerKind::Drain);
+        }
+    }
+
+    fn perform_drain_action(&mut self, action: Action, now: Instant) {
+        let monitor = &mut self.pipeline.monitor;
+        match action {
+            Action::Announce if self.drain.ending() => {
+                monitor.event(now, availability::Event::Stop);
+            }
+            Action::Announce => monitor.event(now, availability::Event::Drain),
+            Action::Retract => monitor.event(now, availability::Event::Undrain),
+            Action::EndsAt(end) => {
+                monitor.event(now, availability::Event::Stop);
+                self.pipeline
+                    .set_termination_deadline(self.started_at + end);
+            }
+            Action::StopListening => {
+                self.io.downstream.start_draining(now, &self.io.reactor);
+                // Clients that waited at the listener are connected now.
+                self.drained = false;
+            }
+            Action::Listen => self.listen_again(now),
+            Action::GiveUp => self.pipeline.fail_open_requests(&mut self.io, now),
+            Action::End => self.terminated = true,
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -0,0 +1,171 @@
+//! The event loop: waits for descriptors and timers, and dispatches each event to its owner.
+
+use super::state::Proxy;
+use crate::cluster::usage;
+use crate::event_loop::reactor::{Key, Ready, Token};
+use crate::persistence::hot_restart::Estate;
+use crate::pipeline::{IoEndpoints, TimerKind};
+use std::io;
+use std::time::{Duration, Instant};
+
+/// A listener that was paused for want of capacity is read again after this, even if no client has left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+impl Proxy {
+    /// Serves until told to stop and every admitted request is answered.
+    ///
+    /// # Errors
+    /// Waiting for events failed.
+    pub fn run(&mut self) -> io::Result<()> {
+        let mut ready = Vec::new();
+        loop {
+            self.pipeline.process_events(&mut self.io, Instant::now());
+            self.update_drained(Instant::now());
+            self.flush_members();
+            if self.terminated {
+                self.leave_fleet();
+                self.log_end();
+                return Ok(());
+            }
+            let until = self.io.timers.next();
+            self.io.reactor.wait(until, &mut ready)?;
+            self.dispatch(until, &mut ready);
+        }
+    }
+
+    /// One round of events and due timers. Its load is the time that it takes, and how late it began.
+    fn dispatch(&mut self, until: Option<Instant>, ready: &mut [Ready]) {
+        let woken = Instant::now();
+        let late = until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at));
+        self.pipeline.monitor.busy(late);
+        ready.sort_by_key(|event| event.turn());
+        for &event in ready.iter() {
+            self.on_ready(event);
+        }
+        let now = Instant::now();
+        while let Some(timer) = self.io.timers.pop_due(now) {
+            self.on_timer(timer, now);
+        }
+        self.pipeline.monitor.busy(woken.elapsed());
+    }
+
+    fn log_end(&self) {
+        let clients = self.io.downstream.client_count();
+        let open = self.pipeline.open_request_count();
+        log::info!("ended, with {clients} clients left and {open} requests owed an answer");
+    }
+
+    fn on_ready(&mut self, ready: Ready) {
+        let now = Instant::now();
+        let IoEndpoints {
+            reactor,
+            downstream,
+            upstream,
+            discovery,
+            ..
+        } = &mut self.io;
+        match ready.token {
+            Token::Client(key) => downstream.ready(key, ready.ended, now, reactor),
+            Token::Upstream(key) => upstream.ready(key, now, reactor),
+            Token::Discovery(key) => discovery.ready(key, now, reactor),
+            Token::Listener => self.on_listener_ready(now),
+            Token::Members => self.on_members_ready(now),
+            Token::Control => self.on_commands(now),
+            Token::HealthListener(_) | Token::Health(_) => self.on_health_ready(ready.token, now),
+            Token::OperateListener | Token::Operate(_) => {
+                self.on_control_socket_ready(ready.token, now)
+            }
+            Token::AdminListener | Token::Admin(_) => self.on_admin_ready(ready.token, now),
+            Token::TakeoverListener => self.on_handover_request(),
+            Token::Takeover(key) => self.on_hot_restart_link_ready(key, now),
+        }
+        // Each event is worked through at once: the next may be about what this one changed.
+        self.pipeline.process_events(&mut self.io, now);
+    }
+
+    fn on_listener_ready(&mut self, now: Instant) {
+        let IoEndpoints {
+            reactor,
+            timers,
+            downstream,
+            ..
+        } = &mut self.io;
+        downstream.accept(now, reactor);
+        if downstream.is_accept_paused() {
+            timers.set(now + ACCEPT_RETRY_INTERVAL, TimerKind::RetryAccept);
+        }
+    }
+
+    fn on_members_ready(&mut self, now: Instant) {
+        let Some(members) = &mut self.members else {
+            return;
+        };
+        members.ready(now);
+        for fact in members.take_heard() {
+            if usage::is_unread(&fact) {
+                members.rates_unread();
+            }
+            self.pipeline.quota.heard(&fact, now);
+        }
+    }
+
+    fn on_health_ready(&mut self, token: Token, now: Instant) {
+        let status = self.pipeline.monitor.status();
+        let (health, reactor) = (&mut self.io.health, &self.io.reactor);
+        match token {
+            Token::HealthListener(listener) => health.accept(listener, &status, now, reactor),
+            Token::Health(key) => health.ready(key, &status, now, reactor),
+            _ => {}
+        }
+    }
+
+    fn on_control_socket_ready(&mut self, token: Token, now: Instant) {
+        let Some(control_socket) = &mut self.io.control_socket else {
+            return;
+        };
+        let Token::Operate(key) = token else {
+            return control_socket.accept(now, &self.io.reactor);
+        };
+        if let Some((key, command)) = control_socket.read_command(key, &self.io.reactor) {
+            self.on_operator_command(key, command, now);
+        }
+    }
+
+    fn on_admin_ready(&mut self, token: Token, now: Instant) {
+        let Some(admin) = &mut self.io.admin else {
+            return;
+        };
+        let Token::Admin(key) = token else {
+            return admin.accept(now, &self.io.reactor);
+        };
+        if let Some(call) = admin.read_call(key, &self.io.reactor) {
+            self.on_admin_call(key, call, now);
+        }
+    }
+
+    /// A new process asks for the handover.
+    fn on_handover_request(&mut self) {
+        let (listing, exclusions) = self.pipeline.handover_state();
+        let IoEndpoints {
+            reactor,
+            downstream,
+            upstream,
+            hot_restart,
+            ..
+        } = &mut self.io;
+        let (clients, connections) = (downstream.client_count(), upstream.connections());
+        let state = || Estate::new(listing.clone(), exclusions.clone(), clients, connections);
+        if let Some(hot_restart) = hot_restart {
+            hot_restart.accept(state, downstream.listener(), reactor);
+        }
+    }
+
+    fn on_hot_restart_link_ready(&mut self, key: Key, now: Instant) {
+        let Some(hot_restart) = &mut self.io.hot_restart else {
+            return;
+        };
+        for message in hot_restart.ready(key, &self.io.reactor) {
+            self.on_hot_restart_message(key, message, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/fleet.rs
@@ -0,0 +1,108 @@
+//! The fleet that this proxy is a member of: membership, rollouts and quota lending.
+
+use super::state::Proxy;
+use crate::clock;
+use crate::cluster::members::Members;
+use crate::cluster::quota_lending::Lending;
+use crate::persistence::hot_restart::Takeover;
+use crate::pipeline::TimerKind;
+use configuration::calendar::Window;
+use configuration::model;
+use std::time::Instant;
+
+impl Proxy {
+    pub(super) fn check_rollout(&mut self, now: Instant) {
+        let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) else {
+            return;
+        };
+        let requests = rollout.look(members, &self.pipeline.counters, now);
+        self.io
+            .timers
+            .set(now + rollout.period(), TimerKind::Rollout);
+        self.request_reads(requests);
+    }
+
+    /// Sends what quotas have to publish, and sets the timers that the membership asks for.
+    pub(super) fn flush_members(&mut self) {
+        let Some(members) = &mut self.members else {
+            return;
+        };
+        self.pipeline.quota.flush(members, Instant::now());
+        for (at, token) in members.take_timers() {
+            self.io.timers.set(at, TimerKind::Members(token));
+        }
+    }
+
+    /// Leaves the fleet at the end, unless a new process goes on under the same name.
+    pub(super) fn leave_fleet(&mut self) {
+        let hot_restart = self.io.hot_restart.as_ref();
+        let new_process_serves = hot_restart.is_some_and(Takeover::has_heir);
+        if let Some(members) = self.members.as_mut().filter(|_| !new_process_serves) {
+            members.leave(Instant::now());
+        }
+    }
+
+    /// Applies the section `members`: the fleet is joined, left or has another roster. Returns the keys of what
+    /// counts only from the next start.
+    pub(super) fn reload_members(
+        &mut self,
+        settings: Option<model::Members>,
+        keys: Option<datagram_auth::Keys>,
+        now: Instant,
+    ) -> Vec<&'static str> {
+        match (&mut self.members, settings, keys) {
+            (Some(members), Some(settings), Some(keys)) => {
+                return members.reload(&settings, keys, now)
+            }
+            (None, Some(settings), keys) => self.join_members(settings, keys, now),
+            (Some(members), ..) => {
+                log::info!("members: the file names none any more; the fleet is left");
+                members.leave(now);
+                self.members = None;
+                self.pipeline.quota.alone();
+            }
+            (None, None, _) => {}
+        }
+        Vec::new()
+    }
+
+    fn join_members(
+        &mut self,
+        settings: model::Members,
+        keys: Option<datagram_auth::Keys>,
+        now: Instant,
+    ) {
+        let (name, reactor) = (&self.restart_settings.name, &self.io.reactor);
+        let incarnation = clock::unix_ms();
+        match Members::join(settings, keys, name, incarnation, self.seed, now, reactor) {
+            Ok(members) => {
+                self.members = Some(members);
+                self.io.timers.set(now, TimerKind::Quota);
+            }
+            Err(error) => log::error!("configuration: {error}; this proxy stays by itself"),
+        }
+    }
+
+    /// Applies the section `lending`. Without it nothing more is lent; running transfers are settled. Returns the
+    /// keys of what counts only from the next start.
+    pub(super) fn reload_lending(
+        &mut self,
+        settings: Option<model::Lending>,
+        windows: Vec<Window>,
+        now: Instant,
+    ) -> Vec<&'static str> {
+        let lending = &mut self.pipeline.quota.lending;
+        let mut deferred = Vec::new();
+        match (lending.as_mut(), settings) {
+            (Some(lending), Some(settings)) => deferred = lending.reload(settings, windows),
+            (Some(lending), None) => lending.end(),
+            (None, Some(settings)) if self.members.is_some() => match self.commands.waker() {
+                Ok(waker) => *lending = Some(Lending::new(settings, windows, waker, now)),
+                Err(error) => log::error!("loans: {error}; nothing is lent here"),
+            },
+            (None, _) => {}
+        }
+        self.pipeline.quota.rule(now);
+        deferred
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -0,0 +1,88 @@
+//! Messages between the old and the new process of a hot restart, and how the two share the limits.
+
+use super::state::Proxy;
+use crate::event_loop::reactor::Key;
+use crate::persistence::hot_restart::{Said, Takeover, Word};
+use std::time::Instant;
+
+impl Proxy {
+    /// A message of another process of this proxy, or the end of its link.
+    pub(super) fn on_hot_restart_message(&mut self, from: Key, message: Word, now: Instant) {
+        match message {
+            Word::Said(message @ (Said::Serving | Said::ServingElsewhere)) => {
+                self.on_new_process_serving(&message)
+            }
+            Word::Said(message) => self.on_exclusion_message(from, message, now),
+            Word::Gone => self.on_process_gone(),
+        }
+    }
+
+    fn on_new_process_serving(&mut self, message: &Said) {
+        let Some(hot_restart) = &mut self.io.hot_restart else {
+            return;
+        };
+        log::info!(said:? = message; "takeover: the next process serves");
+        let accepts = hot_restart.heir_accepts();
+        self.io
+            .downstream
+            .set_new_process_accepts(accepts, &self.io.reactor);
+        if let Some(rollout) = &mut self.rollout {
+            rollout.hand_over(true);
+        }
+        self.share_limits();
+    }
+
+    fn on_process_gone(&mut self) {
+        let Some(hot_restart) = &mut self.io.hot_restart else {
+            return;
+        };
+        let (downstream, reactor) = (&mut self.io.downstream, &self.io.reactor);
+        log::info!("takeover: the other process is gone");
+        downstream.set_new_process_accepts(hot_restart.heir_accepts(), reactor);
+        if let Some(rollout) = &mut self.rollout {
+            rollout.hand_over(hot_restart.has_heir());
+        }
+        if downstream.listener().is_some() {
+            hot_restart.listen_again(reactor);
+            let control_socket = self.io.control_socket.as_mut();
+            if let Some(socket) = control_socket.filter(|_| !hot_restart.has_heir()) {
+                socket.listen_again(reactor);
+            }
+        }
+        if !hot_restart.has_elder() {
+            self.old_process_usage = (0, 0);
+        }
+        self.share_limits();
+    }
+
+    /// An operator has changed a manual exclusion at another process: applied here, and forwarded to the rest.
+    fn on_exclusion_message(&mut self, from: Key, message: Said, now: Instant) {
+        let Some(hot_restart) = &mut self.io.hot_restart else {
+            return;
+        };
+        hot_restart.say(&message, Some(from), &self.io.reactor);
+        let excluded = matches!(message, Said::Out(_));
+        if let Said::Out(name) | Said::In(name) = message {
+            // An unknown name is not an error: this process's list may be older.
+            _ = self
+                .pipeline
+                .set_manual_exclusion(&name, excluded, &mut self.io, now);
+            self.persist(now);
+        }
+    }
+
+    /// Sets the limits that are left to this process. A new process has what the old one does not hold; an old one
+    /// opens no more upstream connections than it has.
+    pub(super) fn share_limits(&mut self) {
+        let limits = self.limits.beside(self.old_process_usage);
+        let io = &mut self.io;
+        io.downstream.set_limits(limits, self.client_timeouts);
+        let hot_restart = io.hot_restart.as_ref();
+        let upstream = if hot_restart.is_some_and(Takeover::has_heir) {
+            io.upstream.connections().max(1).min(limits.upstream)
+        } else {
+            limits.upstream
+        };
+        io.upstream.set_limit(upstream);
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -0,0 +1,80 @@
+//! The metrics of the admin address.
+
+use super::state::Proxy;
+use std::time::Instant;
+use wire_admin::{Answer, Figures};
+
+impl Proxy {
+    /// Metrics of the whole process, in the text format of the admin API.
+    pub(super) fn metrics(&self, now: Instant) -> Answer {
+        let mut figures = Figures::default();
+        self.add_request_metrics(&mut figures);
+        self.add_process_metrics(&mut figures, now);
+        if let Some(members) = &self.members {
+            members.figures(now, &mut figures);
+        }
+        if let Some(lending) = &self.pipeline.quota.lending {
+            lending.figures(now, &mut figures);
+        }
+        self.pipeline.monitor.site_figures(now, &mut figures);
+        if let Some(rollout) = &self.rollout {
+            rollout.figures(&mut figures);
+        }
+        if let Some(saved_state) = &self.saved_state {
+            saved_state.figures(&mut figures);
+        }
+        figures.answer()
+    }
+
+    fn add_request_metrics(&self, figures: &mut Figures) {
+        let counters = &self.pipeline.counters;
+        let requests = counters.requests().flat_map(|(class, outcomes)| {
+            let labelled = move |(kind, n)| (vec![("class", class), ("outcome", kind)], n);
+            outcomes.into_iter().map(labelled)
+        });
+        figures.many(
+            "lb_requests_total",
+            "Requests answered, by class and outcome.",
+            requests,
+        );
+    }
+
+    fn add_process_metrics(&self, figures: &mut Figures, now: Instant) {
+        let counters = &self.pipeline.counters;
+        let (known, excluded) = self.pipeline.endpoint_counts(now);
+        for (name, help, value) in [
+            (
+                "lb_attempts_total",
+                "Attempts written whole to record servers.",
+                self.io.upstream.attempts,
+            ),
+            (
+                "lb_in_flight",
+                "Requests taken and not yet ended.",
+                self.pipeline.open_request_count() as u64,
+            ),
+            (
+                "lb_record_servers_known",
+                "Record servers in the list.",
+                known as u64,
+            ),
+            (
+                "lb_record_servers_excluded",
+                "Of these, avoided at present by hand or by choice.",
+                excluded as u64,
+            ),
+            (
+                "lb_reloads_ok_total",
+                "Configurations taken over at SIGHUP.",
+                counters.reloads,
+            ),
+            (
+                "lb_reloads_failed_total",
+                "Configurations turned down at SIGHUP.",
+                counters.reloads_failed,
+            ),
+        ] {
+            figures.one(name, help, value);
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/persistence.rs
@@ -0,0 +1,28 @@
+//! Saves state to disk, and sends the admin answers that wait for it.
+
+use super::state::Proxy;
+use crate::cluster::members::Members;
+use std::time::Instant;
+
+impl Proxy {
+    /// Saves what has changed, and sends the answers whose state is on disk.
+    pub(super) fn persist(&mut self, now: Instant) {
+        let Some(saved_state) = &mut self.saved_state else {
+            return;
+        };
+        let members = self.members.as_ref();
+        let incarnation = members.map_or(self.incarnation, Members::start);
+        let pipeline = &self.pipeline;
+        let listing = || pipeline.handover_state().0;
+        let list = pipeline
+            .confirmed_list_index()
+            .map(|index| (index, &listing as &dyn Fn() -> _));
+        saved_state.settle(now);
+        saved_state.look(incarnation, pipeline.manual_exclusions(), list, now);
+        for (key, answer) in saved_state.answers(now) {
+            if let Some(admin) = &mut self.io.admin {
+                admin.answer(key, &answer, &self.io.reactor);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -0,0 +1,315 @@
+//! Start-up, one step a function: what an old process hands over, what is listened on, what is loaded, the fleet.
+
+use super::state::{Proxy, RestartSettings};
+use crate::clock;
+use crate::cluster::members::Members;
+use crate::cluster::quota_lending::Lending;
+use crate::cluster::rollout::Rollout;
+use crate::config::Config;
+use crate::control::admin::Admin;
+use crate::control::control_socket::ControlSocket;
+use crate::control::{self, CommandReceiver, Control};
+use crate::discovery::Discovery;
+use crate::downstream::Downstream;
+use crate::event_loop::connection::local_address;
+use crate::event_loop::reactor::{Interest, Reactor, Timers, Token};
+use crate::health::monitor::Monitor;
+use crate::health::Health;
+use crate::observability::logging;
+use crate::persistence::hot_restart::{self, Elder, Estate, Takeover};
+use crate::persistence::saved_state::{Memory, Recalled};
+use crate::pipeline::{IoEndpoints, Pipeline, TimerKind};
+use crate::upstream::Upstream;
+use ::drain::Drain;
+use std::io;
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+use std::time::{Duration, Instant};
+
+impl Proxy {
+    /// Listens, and starts with the endpoint list as it was last known.
+    ///
+    /// # Errors
+    /// An address or a file that the configuration names can't be used.
+    pub fn start(config: Config) -> io::Result<(Proxy, Control)> {
+        let (control, commands) = control::channel()?;
+        Ok((Proxy::start_with_commands(config, commands)?, control))
+    }
+
+    /// As [`Proxy::start`], with a command channel made earlier: commands sent meanwhile run once the loop does.
+    ///
+    /// # Errors
+    /// As [`Proxy::start`].
+    pub fn start_with_commands(mut config: Config, commands: CommandReceiver) -> io::Result<Proxy> {
+        let now = Instant::now();
+        let reactor = Reactor::new()?;
+        reactor.add(&commands, Token::Control, Interest::READ)?;
+        logging::set(&config.logging);
+        let mut handover = Handover::request(&config);
+        let io = open_endpoints(&config, &mut handover, reactor, now)?;
+        let mut proxy = Proxy::assemble(&mut config, &handover, commands, io, now);
+        proxy.log_addresses(&config);
+        proxy.io.timers.set(now, TimerKind::CloseExpired);
+        proxy.io.timers.set(now, TimerKind::MeasureLoad);
+        let new_process = handover.state.is_some() || handover.old_process_unknown;
+        let recovered = proxy.open_saved_state(&mut config, handover.state.is_some(), now)?;
+        let last_incarnation = recovered.start;
+        proxy.load_endpoints(&config, handover.state, recovered, now);
+        proxy.join_old_process(handover.link, handover.in_place);
+        let event = availability::Event::Started;
+        proxy.pipeline.monitor.event(now, event);
+        proxy.incarnation = clock::unix_ms().max(last_incarnation.saturating_add(1));
+        proxy.join_fleet(config, new_process, now)?;
+        Ok(proxy)
+    }
+
+    /// The proxy before anything is loaded, and of no fleet yet.
+    fn assemble(
+        config: &mut Config,
+        handover: &Handover,
+        commands: CommandReceiver,
+        io: IoEndpoints,
+        now: Instant,
+    ) -> Proxy {
+        let zones = config.platform.names.zones.clone();
+        let monitor = Monitor::new(config.availability, config.sites, zones, now);
+        let pipeline = Pipeline::new(
+            config.platform.clone(),
+            std::mem::take(&mut config.rules),
+            monitor,
+            config.seed,
+            config.dial_timeout,
+            config.wall_clock.clone(),
+            now,
+        );
+        Proxy {
+            io,
+            pipeline,
+            commands,
+            started_at: now,
+            drain: Drain::new(config.drain_settings(), Duration::ZERO),
+            drained: true,
+            terminated: false,
+            probes_reachability: !config.health.is_empty(),
+            limits: config.limits,
+            client_timeouts: config.patience,
+            old_process_usage: handover.usage(),
+            reloads: None,
+            awaits_discovery: handover.old_process_unknown,
+            platform: config.platform.clone(),
+            restart_settings: RestartSettings::new(config),
+            members: None,
+            rollout: None,
+            saved_state: None,
+            incarnation: 0,
+            seed: config.seed,
+        }
+    }
+
+    fn log_addresses(&self, config: &Config) {
+        let address = self.local_address().unwrap_or(config.listen);
+        log::info!("{}: serving on {address}", config.name);
+        if let Some(admin) = self.admin_address() {
+            log::info!("admin: answering calls on {admin}");
+        }
+    }
+
+    /// Opens the state file and recovers what an earlier process saved.
+    fn open_saved_state(
+        &mut self,
+        config: &mut Config,
+        handed_over: bool,
+        now: Instant,
+    ) -> io::Result<Recalled> {
+        let Some(settings) = config.memory.take() else {
+            return Ok(Recalled::default());
+        };
+        let waker = self.commands.waker()?;
+        let (name, known) = (&config.name, &config.known);
+        let (saved_state, recovered) =
+            Memory::begin(settings, name, handed_over, known, waker, now);
+        self.saved_state = Some(saved_state);
+        self.io.timers.set(now, TimerKind::Persist);
+        Ok(recovered)
+    }
+
+    /// Loads the endpoint list and the manual exclusions: of the old process, else of the state file, else of the
+    /// platform's file.
+    fn load_endpoints(
+        &mut self,
+        config: &Config,
+        state: Option<Box<Estate>>,
+        recovered: Recalled,
+        now: Instant,
+    ) {
+        let (listing, exclusions) = match state {
+            Some(state) => {
+                let known = state.listing.endpoints.len();
+                log::info!("takeover: {known} record servers are known from before");
+                (state.listing, state.hands)
+            }
+            None => {
+                let listing = recovered.listing.unwrap_or_else(|| config.known.clone());
+                (listing, recovered.hands)
+            }
+        };
+        let pushed = !config.platform.settings.endpoints_are_polled;
+        let (pipeline, io) = (&mut self.pipeline, &mut self.io);
+        pipeline.load_endpoints(listing, io, now);
+        pipeline.restore_manual_exclusions(exclusions, io, now);
+        pipeline.set_endpoint_push(pushed, io, now);
+    }
+
+    /// Tells the old process that this one accepts.
+    fn join_old_process(&mut self, link: Option<UnixStream>, in_place: bool) {
+        if let (Some(hot_restart), Some(link)) = (&mut self.io.hot_restart, link) {
+            hot_restart.join(link, in_place, &self.io.reactor);
+        }
+    }
+
+    /// Joins the fleet, and starts what only members of one do: rollouts and quota lending.
+    fn join_fleet(&mut self, config: Config, new_process: bool, now: Instant) -> io::Result<()> {
+        if let Some(settings) = config.members {
+            let name = &self.restart_settings.name;
+            let keys = config.member_keys;
+            let (incarnation, seed) = (self.incarnation, self.seed);
+            let reactor = &self.io.reactor;
+            let joined = Members::join(settings, keys, name, incarnation, seed, now, reactor);
+            let invalid = |error| io::Error::new(io::ErrorKind::InvalidInput, error);
+            self.members = Some(joined.map_err(invalid)?);
+        }
+        if self.members.is_none() {
+            return Ok(());
+        }
+        if let Some(settings) = config.rollout {
+            let name = &self.restart_settings.name;
+            let operators = config.operators.as_deref();
+            let started = (self.incarnation, new_process);
+            let waker = self.commands.waker()?;
+            let rollout = Rollout::begin(settings, name, operators, started, waker, now);
+            self.rollout = Some(rollout);
+            self.io.timers.set(now, TimerKind::Rollout);
+        }
+        self.io.timers.set(now, TimerKind::Quota);
+        if let Some(settings) = config.lending {
+            let waker = self.commands.waker()?;
+            let lending = Lending::new(settings, config.windows, waker, now);
+            self.pipeline.quota.lending = Some(lending);
+            self.pipeline.quota.rule(now);
+        }
+        Ok(())
+    }
+}
+
+/// What the old process of a hot restart hands over; nothing where there is none.
+#[derive(Default)]
+struct Handover {
+    listener: Option<OwnedFd>,
+    state: Option<Box<Estate>>,
+    link: Option<UnixStream>,
+    /// This process accepts from the old one's queue.
+    in_place: bool,
+    /// An old process may run, but its state could not be read. This process serves all the same, and takes the
+    /// control socket.
+    old_process_unknown: bool,
+}
+
+impl Handover {
+    /// Asks the old process, if there is one.
+    fn request(config: &Config) -> Handover {
+        let old_process = config
+            .takeover
+            .as_deref()
+            .map_or(Elder::Nobody, hot_restart::ask);
+        match old_process {
+            Elder::Nobody => Handover::default(),
+            Elder::Unheard(fault) => {
+                log::warn!(
+                    "takeover: nothing sound comes from the process before this one: {fault}"
+                );
+                Handover {
+                    old_process_unknown: true,
+                    ..Handover::default()
+                }
+            }
+            Elder::Left(state, listener, link) => {
+                // A listener on another address is of no use to this process's clients.
+                let in_place =
+                    config.listen.port() == 0 || local_address(&listener) == Some(config.listen);
+                Handover {
+                    listener: Some(listener).filter(|_| in_place),
+                    state: Some(state),
+                    link: Some(link),
+                    in_place,
+                    old_process_unknown: false,
+                }
+            }
+        }
+    }
+
+    /// Clients and upstream connections that the old process holds.
+    fn usage(&self) -> (usize, usize) {
+        self.state
+            .as_ref()
+            .map_or((0, 0), |state| (state.clients, state.upstream))
+    }
+}
+
+/// Listens on every address that the configuration names.
+fn open_endpoints(
+    config: &Config,
+    handover: &mut Handover,
+    reactor: Reactor,
+    now: Instant,
+) -> io::Result<IoEndpoints> {
+    let limits = config.limits.beside(handover.usage());
+    let mut downstream = Downstream::listen(
+        config.listen,
+        handover.listener.take(),
+        config.takeover.is_some(),
+        limits,
+        config.patience,
+        &reactor,
+    )?;
+    downstream.set_balancers(config.checks.clone(), config.proxy_from.clone());
+    let pushed = !config.platform.settings.endpoints_are_polled;
+    let new_process = handover.state.is_some() || handover.old_process_unknown;
+    Ok(IoEndpoints {
+        downstream,
+        upstream: Upstream::new(limits.upstream, config.dial_timeout, config.idle_limit),
+        discovery: Discovery::new(config.discovery, config.watch_silence, pushed, now),
+        health: Health::new(&config.health, &reactor)?,
+        control_socket: open_control_socket(config, new_process, &reactor)?,
+        admin: open_admin(config, &reactor)?,
+        hot_restart: open_hot_restart(config, &reactor),
+        timers: Timers::default(),
+        reactor,
+    })
+}
+
+fn open_control_socket(
+    config: &Config,
+    new_process: bool,
+    reactor: &Reactor,
+) -> io::Result<Option<ControlSocket>> {
+    let path = config.control.as_deref();
+    path.map(|path| ControlSocket::listen(path, new_process, reactor))
+        .transpose()
+}
+
+fn open_admin(config: &Config, reactor: &Reactor) -> io::Result<Option<Admin>> {
+    let admin = config.admin.map(|address| Admin::listen(address, reactor));
+    admin
+        .transpose()
+        .map_err(|error| io::Error::new(error.kind(), format!("admin: {error}")))
+}
+
+/// Where the next process asks for a handover. Without it this process serves, but can't be replaced in place.
+fn open_hot_restart(config: &Config, reactor: &Reactor) -> Option<Takeover> {
+    let path = config.takeover.as_deref()?;
+    Takeover::listen(path, reactor)
+        .inspect_err(|error| {
+            log::warn!("takeover: the next process can't be listened for: {error}")
+        })
+        .ok()
+}
--- /dev/null
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -0,0 +1,140 @@
+//! The state of a running proxy, and what can be read of it from outside.
+
+use crate::cluster::members::Members;
+use crate::cluster::rollout::Rollout;
+use crate::config::reload::Reloads;
+use crate::config::{Config, ConfigError, Limits, Patience};
+use crate::control::admin::Admin;
+use crate::control::CommandReceiver;
+use crate::health::monitor::Usage;
+use crate::persistence::saved_state::Memory;
+use crate::pipeline::{IoEndpoints, Pipeline};
+use ::drain::Drain;
+use platform_settings::Decoded;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// One proxy. [`Proxy::start`] listens, [`Proxy::run`] serves until the proxy is told to stop.
+pub struct Proxy {
+    pub(super) io: IoEndpoints,
+    pub(super) pipeline: Pipeline,
+    pub(super) commands: CommandReceiver,
+    /// The drain state machine counts time from here.
+    pub(super) started_at: Instant,
+    pub(super) drain: Drain,
+    /// No client is connected and no request is open, as the drain state machine was last notified.
+    pub(super) drained: bool,
+    /// The drain state machine has ended: the loop returns.
+    pub(super) terminated: bool,
+    /// Balancers ask for health, so servers that are silent are dialled to test their links.
+    pub(super) probes_reachability: bool,
+    pub(super) limits: Limits,
+    pub(super) client_timeouts: Patience,
+    /// Clients and upstream connections that the old process holds during a hot restart.
+    pub(super) old_process_usage: (usize, usize),
+    pub(super) reloads: Option<Reloads>,
+    /// An old process may run whose state is unknown: not ready before discovery has sent a list.
+    pub(super) awaits_discovery: bool,
+    /// The platform's settings in force, with classes in the order of the counters.
+    pub(super) platform: Decoded,
+    pub(super) restart_settings: RestartSettings,
+    /// The fleet; none where the operators' file has no section `members`.
+    pub(super) members: Option<Members>,
+    pub(super) rollout: Option<Rollout>,
+    pub(super) saved_state: Option<Memory>,
+    /// Incarnation of this process, higher than that of any earlier one of its name.
+    pub(super) incarnation: u64,
+    pub(super) seed: u64,
+}
+
+/// Settings that a reload can't change: a new value counts from the next start.
+#[derive(PartialEq)]
+pub(super) struct RestartSettings {
+    pub(super) name: String,
+    pub(super) listen: SocketAddr,
+    pub(super) admin: Option<SocketAddr>,
+    pub(super) watch_silence: Duration,
+    pub(super) sites: Option<site_failover::Settings>,
+}
+
+impl RestartSettings {
+    pub(super) fn new(config: &Config) -> RestartSettings {
+        RestartSettings {
+            name: config.name.clone(),
+            listen: config.listen,
+            admin: config.admin,
+            watch_silence: config.watch_silence,
+            sites: config.sites,
+        }
+    }
+}
+
+impl Proxy {
+    /// The address that clients connect to; none while nothing listens.
+    pub fn local_address(&self) -> Option<SocketAddr> {
+        self.io.downstream.local_address()
+    }
+
+    /// The address of the admin API; none where none is configured.
+    pub fn admin_address(&self) -> Option<SocketAddr> {
+        self.io.admin.as_ref().map(Admin::address)
+    }
+
+    /// The addresses on which balancers' health checks are answered.
+    pub fn health_addresses(&self) -> Vec<SocketAddr> {
+        self.io.health.addresses()
+    }
+
+    /// Sets the source of the configuration for reloads. It is called on a thread of its own, with a path where
+    /// that file is to be read as the operators' file.
+    ///
+    /// # Errors
+    /// The descriptor that wakes the event loop can't be duplicated.
+    pub fn reread_with(
+        &mut self,
+        reread: impl FnMut(Option<&Path>) -> Result<Config, ConfigError> + Send + 'static,
+    ) -> io::Result<()> {
+        self.reloads = Some(Reloads::new(Box::new(reread), self.commands.waker()?));
+        Ok(())
+    }
+
+    /// Prints the counters on standard error, at any log level.
+    pub fn report(&self) {
+        let IoEndpoints {
+            downstream,
+            upstream,
+            ..
+        } = &self.io;
+        let (clients, rejected, malformed) = (
+            downstream.client_count(),
+            downstream.rejected_clients,
+            downstream.malformed_statements,
+        );
+        let (connections, dials) = (upstream.connections(), upstream.dials);
+        let (route_rules, health) = (self.pipeline.route_rules(), self.io.health.lines());
+        let quota = &self.pipeline.quota;
+        crate::observability::logging::say(&format!(
+            "{}\nstatements not understood {malformed}\nconnections: clients {clients}, turned out {rejected}; upstream {connections}; dials {dials}{route_rules}{quota}{health}",
+            self.pipeline.counters,
+        ));
+    }
+
+    /// What the process uses of its limits.
+    pub(super) fn usage(&self) -> Usage {
+        let IoEndpoints {
+            downstream,
+            upstream,
+            ..
+        } = &self.io;
+        Usage {
+            clients: downstream.client_count(),
+            clients_limit: self.limits.clients,
+            upstream: upstream.connections(),
+            upstream_limit: self.limits.upstream,
+            open: self.pipeline.open_request_count(),
+            memory_limit: self.limits.memory,
+        }
+    }
+}
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -207,7 +207,7 @@
     .unwrap();
     let mut limits = config.limits;
     limits.passing = 160 << 10;
-    let mut front = Downstream::listen(
+    let mut downstream = Downstream::listen(
         config.listen,
         None,
         false,
@@ -216,7 +216,7 @@
         &reactor,
     )
     .unwrap();
-    let address = front.local_address().unwrap();
+    let address = downstream.local_address().unwrap();
     let mut clients: Vec<Peer> = (0..CLIENTS as u32)
         .map(|id| {
             let mut client = Peer::connect(address);
@@ -229,24 +229,24 @@
         .collect();
     let mut ready = Vec::new();
     let mut tickets: Vec<ResponseSlot> = Vec::new();
-    let mut turn = |front: &mut Downstream, events: &mut Vec<Event>| {
+    let mut turn = |downstream: &mut Downstream, events: &mut Vec<Event>| {
         reactor
             .wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready)
             .unwrap();
         for one in &ready {
             match one.token {
-                Token::Listener => front.accept(now, &reactor),
-                Token::Client(key) => front.ready(key, one.ended, now, &reactor),
+                Token::Listener => downstream.accept(now, &reactor),
+                Token::Client(key) => downstream.ready(key, one.ended, now, &reactor),
                 _ => {}
             }
         }
-        events.extend(std::iter::from_fn(|| front.pop()));
+        events.extend(std::iter::from_fn(|| downstream.next_event()));
     };
     while tickets.len() < CLIENTS {
         let mut events = Vec::new();
-        turn(&mut front, &mut events);
+        turn(&mut downstream, &mut events);
         tickets.extend(events.into_iter().filter_map(|e| match e {
-            Event::Asked(ticket, _) => Some(ticket),
+            Event::Request(ticket, _) => Some(ticket),
             _ => None,
         }));
     }
@@ -254,15 +254,15 @@
     for &ticket in &tickets {
         // Sockets take some megabytes; then it is held back.
         let passed = (0..16 << 10)
-            .take_while(|_| front.pass(ticket, &piece, now, &reactor))
+            .take_while(|_| downstream.send_chunk(ticket, &piece, now, &reactor))
             .count();
         assert!(passed < 16 << 10, "never held back");
     }
     // One piece more than its window each, at most.
     assert!(
-        front.unsent() <= limits.passing + CLIENTS * piece.len() * 2,
+        downstream.unsent_bytes() <= limits.passing + CLIENTS * piece.len() * 2,
         "{} bytes wait",
-        front.unsent()
+        downstream.unsent_bytes()
     );
     // The one that begins to read gets room.
     let held = tickets[0];
@@ -273,10 +273,10 @@
         let mut bytes = vec![0; 1 << 16];
         while reader.stream.read(&mut bytes).is_ok_and(|n| n > 0) {}
     });
-    while !events.iter().any(|e| matches!(e, Event::Room(_))) {
-        turn(&mut front, &mut events);
+    while !events.iter().any(|e| matches!(e, Event::Writable(_))) {
+        turn(&mut downstream, &mut events);
     }
-    front.answer(held, Answer::Served(Vec::new()), now, &reactor);
-    drop((clients, front));
+    downstream.answer(held, Answer::Served(Vec::new()), now, &reactor);
+    drop((clients, downstream));
     reading.join().unwrap();
 }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -220,7 +220,7 @@
         reader.take(&common::answer(text, &[])).unwrap();
         let (verdict, metadata) = reader.verdict(&Question::Load);
         let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
-        match record::book(
+        match record::record(
             &CompletedExchange {
                 purpose,
                 class: None,
@@ -308,14 +308,14 @@
             client: Slots::default().insert(()),
             number: no,
         };
-        assert!(ledger.bars(&request).is_none());
+        assert!(ledger.check_admission(&request).is_none());
         ledger.admit(&arrival(no), ticket, ClassId(0), None, request);
         assert!(ledger.close(RequestId(no), now).is_some());
     }
     assert!(
-        ledger.is_empty() && ledger.names() <= 500,
+        ledger.is_empty() && ledger.reserved_names() <= 500,
         "{} names are kept",
-        ledger.names()
+        ledger.reserved_names()
     );
 }
 
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -307,7 +307,7 @@
             elapsed,
             metadata,
         };
-        match record::book(&done, true, NOW) {
+        match record::record(&done, true, NOW) {
             Event::ProbeEnded { report, .. } => (report.primary, report.position.is_some()),
             other => panic!("{other:?}"),
         }
