--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -1,275 +1,202 @@
-//! One client: what is known of its connection, and its next command read off it.
+//! One client's connection: what is known of it, and the answers that it waits for.
 
+use super::connection_end::{CloseReason, ConnectionEnd};
 use crate::config::Patience;
 use crate::event_loop::connection::Stream;
-use crate::event_loop::reactor::Key;
-use crate::protocol::postgres::server::{self, Asked, CancelKey, Startup};
-use crate::protocol::postgres::statement::{self, Query};
-use crate::protocol::postgres::Malformed;
-use crate::request::{Request, ResponseSlot};
+use crate::protocol::postgres::server::CancelKey;
+use crate::request::ResponseSlot;
 use std::collections::VecDeque;
+use std::io;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
-use wire_health::proxy::{self, From};
 
-/// A client that has been told why its connection ends may still send this much while it has time to read it:
-/// closed at once with bytes unread, the connection would be reset and the word lost on its way.
-const LEAVE_BYTES: usize = 1 << 20;
-/// While the proxy closes, a new connection that has been welcomed has this long, from its accept, to send its first
-/// request: many clients wait for the welcome first.
-const FIRST_REQUEST: Duration = Duration::from_millis(500);
+/// While the process drains, a new connection has this long, from its accept, to send its first request: many clients
+/// wait for the server's greeting first.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a command of a client gets.
+/// The answer to one command of a client.
 #[derive(Debug)]
-pub(super) enum Slot {
+pub(super) enum PendingResponse {
+    /// Nothing of it is there yet.
     Waiting,
-    /// Whole, or all that there will be of it.
+    /// It is complete, or all that there will be of it.
     Ready(Vec<u8>),
-    /// Some of it; it goes out as soon as it is the first.
-    Passing(Vec<u8>),
-}
-
-/// Why nothing more is taken in from a client.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ending {
-    /// It has been told why. What it still sends is read and thrown away, or it might not come to read that.
-    Told,
-    /// It is between requests, or its answer was cut off. What it still sends stays unread: it asks that again elsewhere.
-    Unread,
-}
-
-/// A connection whose last byte is written, and whose peer has been told so.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct Leaving {
-    /// Since when it has had time to read all that it gets.
-    pub(super) since: Instant,
-    /// Bytes that are still read and thrown away.
-    pub(super) room: usize,
+    /// Chunks of it that are not written yet. They go out as soon as it is the first.
+    Streaming(Vec<u8>),
 }
 
+/// A client, or a balancer's check that has sent no request.
 pub(super) struct Client {
     pub(super) stream: Stream,
     pub(super) cancel_key: CancelKey,
+    /// Its address, as the connection or the PROXY protocol header names it.
     pub(super) peer: IpAddr,
-    /// A header has to name the client first.
-    pub(super) headed: bool,
-    /// A balancer's connection that has asked for nothing: no client.
-    pub(super) check: bool,
-    pub(super) greeted: bool,
-    /// Ignores messages until Sync, as after any error in the extended protocol.
-    pub(super) skipping: bool,
-    /// Nothing more is taken in; the connection ends once everything is written and the peer has read it.
-    pub(super) ending: Option<Ending>,
-    pub(super) leaving: Option<Leaving>,
-    /// Some request of it was sound; more than one.
-    pub(super) asked: bool,
-    pub(super) again: bool,
-    /// It has said that it goes: no answer is of use any more.
-    pub(super) gone: bool,
-    pub(super) answers: VecDeque<Slot>,
-    /// More of an answer is held back for it.
-    pub(super) starved: bool,
+    /// A PROXY protocol header has to come first.
+    pub(super) awaits_proxy_header: bool,
+    /// A balancer's connection that has sent no request. It does not count as a client.
+    pub(super) is_balancer: bool,
+    /// Its startup message has come.
+    pub(super) is_started: bool,
+    /// Messages are ignored until Sync, as after any error in the extended protocol.
+    pub(super) skips_until_sync: bool,
+    pub(super) end: ConnectionEnd,
+    /// It has sent a valid request.
+    pub(super) has_requested: bool,
+    /// It has sent more than one.
+    pub(super) has_requested_again: bool,
+    /// Answers to its commands, in their order.
+    pub(super) responses: VecDeque<PendingResponse>,
     /// The number of the first of these.
-    pub(super) first: u64,
-    /// Since when no command has come whole from it and no answer gone to it.
+    pub(super) first_number: u64,
+    /// Chunks of its answer are held back until it has taken more.
+    pub(super) is_backpressured: bool,
+    /// Since when no complete command has come from it and no answer gone to it.
     pub(super) quiet_since: Instant,
-    /// Since when it is at a command that has not come whole.
-    pub(super) begun: Option<Instant>,
+    /// Since when a command of it is incomplete.
+    pub(super) partial_since: Option<Instant>,
 }
 
 impl Client {
+    /// A connection that was accepted just now.
     pub(super) fn new(
         stream: Stream,
         cancel_key: CancelKey,
         peer: IpAddr,
-        headed: bool,
-        check: bool,
+        awaits_proxy_header: bool,
+        is_balancer: bool,
         now: Instant,
     ) -> Client {
         Client {
             stream,
             cancel_key,
             peer,
-            headed,
-            check,
-            greeted: false,
-            skipping: false,
-            ending: None,
-            leaving: None,
-            asked: false,
-            again: false,
-            gone: false,
-            answers: VecDeque::new(),
-            starved: false,
-            first: 0,
+            awaits_proxy_header,
+            is_balancer,
+            is_started: false,
+            skips_until_sync: false,
+            end: ConnectionEnd::new(),
+            has_requested: false,
+            has_requested_again: false,
+            responses: VecDeque::new(),
+            first_number: 0,
+            is_backpressured: false,
             quiet_since: now,
-            begun: None,
+            partial_since: None,
         }
     }
 
-    /// Of a request among those not answered yet.
-    pub(super) fn place(&self, ticket: ResponseSlot) -> Option<usize> {
-        usize::try_from(ticket.number.checked_sub(self.first)?).ok()
+    /// The pending answer of a slot; none if it has gone out.
+    pub(super) fn response(&mut self, slot: ResponseSlot) -> Option<&mut PendingResponse> {
+        let index = self.response_index(slot)?;
+        self.responses.get_mut(index)
     }
 
-    pub(super) fn idle(&self) -> bool {
-        self.answers.is_empty() && self.stream.unsent() == 0 && self.stream.input.is_empty()
+    /// Where the answer of a slot stands among those not written yet.
+    pub(super) fn response_index(&self, slot: ResponseSlot) -> Option<usize> {
+        usize::try_from(slot.number.checked_sub(self.first_number)?).ok()
     }
 
-    pub(super) fn expect(&mut self, answer: Option<Vec<u8>>) -> u64 {
-        self.answers
-            .push_back(answer.map_or(Slot::Waiting, Slot::Ready));
-        self.first + self.answers.len() as u64 - 1
+    /// Appends an answer, or a place for one. Returns its number.
+    pub(super) fn push_response(&mut self, response: Option<Vec<u8>>) -> u64 {
+        self.responses
+            .push_back(response.map_or(PendingResponse::Waiting, PendingResponse::Ready));
+        self.first_number + self.responses.len() as u64 - 1
     }
 
-    /// It has never got as far as a request.
-    pub(super) fn silent(&self) -> bool {
-        !self.asked && self.answers.is_empty() || self.leaving.is_some()
+    /// Numbers of the answers that are not complete, from `first` on.
+    pub(super) fn incomplete_responses(&self) -> impl Iterator<Item = u64> + '_ {
+        let numbered = (self.first_number..).zip(&self.responses);
+        numbered
+            .filter(|(_, response)| !matches!(response, PendingResponse::Ready(_)))
+            .map(|(number, _)| number)
     }
 
-    /// It has run out of time for its first request, or for the rest of a command that it has begun.
-    pub(super) fn overdue(&self, patience: &Patience, now: Instant) -> bool {
-        let waits = self.answers.is_empty() && self.stream.unsent() == 0;
-        let slow = self
-            .begun
-            .is_some_and(|at| now.saturating_duration_since(at) >= patience.first);
-        let quiet = now.saturating_duration_since(self.quiet_since);
-        waits && (slow || !self.asked && quiet >= patience.first)
+    /// Hands to the stream every answer whose turn it is.
+    pub(super) fn queue_responses(&mut self, now: Instant) {
+        while let Some(response) = self.responses.front_mut() {
+            let (bytes, is_complete) = match response {
+                PendingResponse::Waiting => break,
+                PendingResponse::Ready(bytes) => (std::mem::take(bytes), true),
+                PendingResponse::Streaming(bytes) => (std::mem::take(bytes), false),
+            };
+            self.stream.push(&bytes);
+            if self.has_requested {
+                self.quiet_since = now;
+            }
+            if !is_complete {
+                break;
+            }
+            self.responses.pop_front();
+            self.first_number += 1;
+        }
     }
 
-    /// While the proxy closes: nothing is owed on the connection, nor is a first request about to come.
-    pub(super) fn may_close(&self, now: Instant) -> bool {
-        let quiet = now.saturating_duration_since(self.quiet_since);
-        self.ending.is_none()
-            && self.greeted
-            && self.idle()
-            && (self.asked || quiet >= FIRST_REQUEST)
+    /// Writes what the socket takes; whether that was everything.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub(super) fn flush(&mut self, now: Instant) -> io::Result<bool> {
+        let unsent = self.stream.unsent();
+        let is_written = self.stream.flush()?;
+        if self.stream.unsent() < unsent && self.has_requested {
+            // It takes its answers, however slowly.
+            self.quiet_since = now;
+        }
+        Ok(is_written)
     }
 
-    /// Ends the connection between two requests. The time since its last answer counts: who has had that long to read it
-    /// need not be waited for.
-    pub(super) fn part(&mut self) {
-        self.ending = Some(Ending::Unread);
-        self.leave(self.quiet_since);
+    /// Nothing is owed to it, and nothing of a command has come.
+    pub(super) fn is_idle(&self) -> bool {
+        self.responses.is_empty() && self.stream.unsent() == 0 && self.stream.input.is_empty()
     }
 
-    /// Everything is written: tells the peer so, and waits for its end.
-    pub(super) fn leave(&mut self, since: Instant) {
-        let room = if self.ending == Some(Ending::Told) {
-            LEAVE_BYTES
-        } else {
-            0
-        };
-        self.leaving = Some(Leaving { since, room });
-        self.stream.end_output();
+    /// It has never got as far as a request, or its connection is about to close.
+    pub(super) fn is_silent(&self) -> bool {
+        !self.has_requested && self.responses.is_empty() || self.end.is_lingering()
     }
 
-    /// Room for more commands, and a peer that takes its answers.
-    pub(super) fn takes_more(&self, patience: &Patience) -> bool {
-        self.ending.is_none()
-            && self.answers.len() < patience.pipeline
-            && self.stream.unsent() < patience.unsent
+    /// It has run out of time for its first request, or for the rest of a command.
+    pub(super) fn is_overdue(&self, timeouts: &Patience, now: Instant) -> bool {
+        let owed_nothing = self.responses.is_empty() && self.stream.unsent() == 0;
+        let is_over = |since| now.saturating_duration_since(since) >= timeouts.first;
+        let is_partial_over = self.partial_since.is_some_and(is_over);
+        owed_nothing && (is_partial_over || !self.has_requested && is_over(self.quiet_since))
     }
-}
-
-#[allow(
-    clippy::large_enum_variant,
-    reason = "lives for one call, and the large variant is the usual one"
-)]
-pub(super) enum Step {
-    /// The next message has not come in full.
-    Wait,
-    Next,
-    /// The client takes its leave.
-    Gone,
-    /// The client came to cancel another session's request, and goes.
-    Cancel(CancelKey),
-    Asked(ResponseSlot, Request),
-    /// A statement that is no request, and why.
-    Rejected(String),
-}
 
-/// Who the client is, as the balancer before it says.
-pub(super) fn header(client: &mut Client) -> Result<Step, Malformed> {
-    let found =
-        proxy::parse(client.stream.input.unused()).map_err(|fault| Malformed(fault.to_string()))?;
-    let Some((from, used)) = found else {
-        return Ok(Step::Wait);
-    };
-    client.stream.input.consume(used);
-    client.headed = false;
-    if let From::Client(address) = from {
-        client.peer = address.ip();
+    /// While the process drains: nothing is owed on the connection, nor is a first request about to come.
+    pub(super) fn can_close(&self, now: Instant) -> bool {
+        let quiet = now.saturating_duration_since(self.quiet_since);
+        self.end.is_open()
+            && self.is_started
+            && self.is_idle()
+            && (self.has_requested || quiet >= FIRST_REQUEST_TIMEOUT)
     }
-    Ok(Step::Next)
-}
 
-pub(super) fn greet(client: &mut Client) -> Result<Step, Malformed> {
-    let Some((startup, used)) = server::startup(client.stream.input.unused(), client.cancel_key)?
-    else {
-        return Ok(Step::Wait);
-    };
-    client.stream.input.consume(used);
-    match startup {
-        Startup::Session(welcome) => {
-            client.greeted = true;
-            client.expect(Some(welcome));
-        }
-        Startup::Encryption => _ = client.expect(Some(b"N".to_vec())),
-        Startup::Cancel(named) => return Ok(Step::Cancel(named)),
+    /// Ends the connection between two requests. The peer's time to read counts from its last answer: a client that has
+    /// been idle for long is not waited for.
+    pub(super) fn close_between_requests(&mut self) {
+        self.end.start_closing(CloseReason::Ended);
+        self.finish_output(self.quiet_since);
     }
-    Ok(Step::Next)
-}
 
-pub(super) fn command(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
-    let Some((asked, used)) = server::asked(client.stream.input.unused())? else {
-        return Ok(Step::Wait);
-    };
-    let (mut request, mut rejected) = (None, None);
-    let answer = match asked {
-        Asked::Terminate => return Ok(Step::Gone),
-        Asked::Sync => {
-            client.skipping = false;
-            Some(server::ready())
-        }
-        Asked::Unsupported(tag) if !client.skipping => {
-            client.skipping = true;
-            Some(server::unsupported(tag))
-        }
-        Asked::Unsupported(_) => None,
-        Asked::Query(_) if client.skipping => None,
-        Asked::Query(text) => match statement::parse(text, now) {
-            Ok(Query::Empty) => Some(server::empty_query()),
-            Ok(Query::Setting(tag)) => Some(server::done(tag)),
-            Ok(Query::Request(read)) => {
-                request = Some(Request {
-                    client: client.peer,
-                    ..read
-                });
-                None
-            }
-            Err(why) => {
-                rejected = Some(why);
-                None
-            }
-        },
-    };
-    client.stream.input.consume(used);
-    if let Some(request) = request {
-        let number = client.expect(None);
-        return Ok(Step::Asked(
-            ResponseSlot {
-                client: key,
-                number,
-            },
-            request,
-        ));
+    /// Sends the end of the output. `since`: since when the peer has had time to read what it got.
+    pub(super) fn finish_output(&mut self, since: Instant) {
+        self.end.finish_output(since);
+        self.stream.end_output();
     }
-    if let Some(why) = rejected {
-        return Ok(Step::Rejected(why));
+
+    /// Requests are read: it may have more of them, and it takes its answers.
+    pub(super) fn accepts_requests(&self, timeouts: &Patience) -> bool {
+        self.end.is_open()
+            && self.responses.len() < timeouts.pipeline
+            && self.stream.unsent() < timeouts.unsent
     }
-    if answer.is_some() {
-        client.expect(answer);
+
+    /// Whether its bytes are read, as requests or to be discarded.
+    pub(super) fn wants_input(&self, timeouts: &Patience) -> bool {
+        match self.end.discard_budget() {
+            Some(budget) => budget > 0,
+            None => self.accepts_requests(timeouts),
+        }
     }
-    Ok(Step::Next)
 }
--- /dev/null
+++ b/crates/leverproxy/src/downstream/close.rs
@@ -0,0 +1,71 @@
+//! Rejected clients, and closing while the process drains.
+
+use super::client::Client;
+use super::connection_end::CloseReason;
+use super::event::Event;
+use super::state::Downstream;
+use crate::event_loop::connection;
+use crate::event_loop::reactor::{Key, Reactor};
+use crate::protocol::postgres::server;
+use crate::request::ResponseSlot;
+use std::time::Instant;
+
+impl Downstream {
+    /// Accepts no new connection from now on, once those that wait are accepted. Closes each connection as soon as
+    /// nothing is owed on it; one that has not sent its startup message may have a request right behind it.
+    pub fn start_draining(&mut self, now: Instant, reactor: &Reactor) {
+        if !self.new_process_accepts {
+            self.accept(now, reactor);
+            self.reject_waiting(now, reactor);
+        }
+        if let Some(listener) = self.listener.take() {
+            reactor.remove(&listener);
+        }
+        self.is_draining = true;
+        for key in self.clients.keys() {
+            // A request that has come already is read and answered.
+            self.ready(key, false, now, reactor);
+        }
+    }
+
+    /// Rejects with an error the connections for which there is no capacity. Closed with the listener, they would be
+    /// reset.
+    fn reject_waiting(&mut self, now: Instant, reactor: &Reactor) {
+        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(connection::accept) {
+            let key = self.add_client(stream, peer, now, reactor);
+            self.reject_client(key, server::too_many());
+            self.write(key, now, reactor);
+        }
+    }
+
+    /// Ends a client's connection with an error message. No more requests are read from it.
+    pub(super) fn reject_client(&mut self, key: Key, error: Vec<u8>) {
+        if let Some(client) = self.clients.get_mut(key) {
+            self.rejected_clients += 1;
+            client.push_response(Some(error));
+            client.end.start_closing(CloseReason::Rejected);
+        }
+    }
+
+    /// Closes a client's descriptor. Its requests are abandoned; those that the pipeline has not seen yet are dropped.
+    pub(super) fn drop_client(&mut self, key: Key, reactor: &Reactor) {
+        let Some(client) = self.remove(key) else {
+            return;
+        };
+        self.events
+            .retain(|event| !matches!(event, Event::Request(slot, _) if slot.client == key));
+        for number in client.incomplete_responses() {
+            self.events.push_back(Event::ClientLeft(ResponseSlot {
+                client: key,
+                number,
+            }));
+        }
+        self.pause_accept(false, reactor);
+    }
+
+    pub(super) fn remove(&mut self, key: Key) -> Option<Client> {
+        let client = self.clients.remove(key)?;
+        self.balancer_connections -= usize::from(client.is_balancer);
+        Some(client)
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/downstream/decode.rs
@@ -0,0 +1,132 @@
+//! The next message of a client: PROXY protocol header, startup message, then commands.
+
+use super::client::Client;
+use crate::event_loop::reactor::Key;
+use crate::protocol::postgres::server::{self, Asked, CancelKey, Startup};
+use crate::protocol::postgres::statement::{self, Query};
+use crate::protocol::postgres::Malformed;
+use crate::request::{Request, ResponseSlot};
+use std::time::Instant;
+use wire_health::proxy::{self, From};
+
+/// What a message came to.
+#[allow(
+    clippy::large_enum_variant,
+    reason = "lives for one call, and the large variant is the usual one"
+)]
+pub(super) enum Step {
+    /// The next message has not come in full.
+    Incomplete,
+    /// It is dealt with.
+    Done,
+    /// The client takes its leave.
+    Terminate,
+    /// The client came to cancel another session's request.
+    Cancel(CancelKey),
+    Request(ResponseSlot, Request),
+    /// A statement that is no request, and why.
+    Rejected(String),
+}
+
+/// Decodes the next message.
+///
+/// # Errors
+/// What came is no message of the protocol.
+pub(super) fn decode_next(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
+    if client.awaits_proxy_header {
+        decode_proxy_header(client)
+    } else if client.is_started {
+        decode_command(client, key, now)
+    } else {
+        decode_startup(client)
+    }
+}
+
+/// The client's address, as the balancer before it states it.
+fn decode_proxy_header(client: &mut Client) -> Result<Step, Malformed> {
+    let found =
+        proxy::parse(client.stream.input.unused()).map_err(|fault| Malformed(fault.to_string()))?;
+    let Some((from, used)) = found else {
+        return Ok(Step::Incomplete);
+    };
+    client.stream.input.consume(used);
+    client.awaits_proxy_header = false;
+    if let From::Client(address) = from {
+        client.peer = address.ip();
+    }
+    Ok(Step::Done)
+}
+
+fn decode_startup(client: &mut Client) -> Result<Step, Malformed> {
+    let input = client.stream.input.unused();
+    let Some((startup, used)) = server::startup(input, client.cancel_key)? else {
+        return Ok(Step::Incomplete);
+    };
+    client.stream.input.consume(used);
+    match startup {
+        Startup::Session(greeting) => {
+            client.is_started = true;
+            client.push_response(Some(greeting));
+        }
+        Startup::Encryption => _ = client.push_response(Some(b"N".to_vec())),
+        Startup::Cancel(cancel_key) => return Ok(Step::Cancel(cancel_key)),
+    }
+    Ok(Step::Done)
+}
+
+fn decode_command(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
+    let Some((command, used)) = server::asked(client.stream.input.unused())? else {
+        return Ok(Step::Incomplete);
+    };
+    let mut skips_until_sync = client.skips_until_sync;
+    let decoded = match command {
+        Asked::Terminate => return Ok(Step::Terminate),
+        Asked::Sync => {
+            skips_until_sync = false;
+            Decoded::Answer(server::ready())
+        }
+        Asked::Unsupported(_) | Asked::Query(_) if skips_until_sync => Decoded::Ignored,
+        Asked::Unsupported(tag) => {
+            skips_until_sync = true;
+            Decoded::Answer(server::unsupported(tag))
+        }
+        Asked::Query(text) => decode_query(text, now),
+    };
+    client.skips_until_sync = skips_until_sync;
+    client.stream.input.consume(used);
+    match decoded {
+        Decoded::Ignored => {}
+        Decoded::Answer(answer) => _ = client.push_response(Some(answer)),
+        Decoded::Rejected(reason) => return Ok(Step::Rejected(reason)),
+        Decoded::Request(mut request) => {
+            request.client = client.peer;
+            let number = client.push_response(None);
+            let slot = ResponseSlot {
+                client: key,
+                number,
+            };
+            return Ok(Step::Request(slot, request));
+        }
+    }
+    Ok(Step::Done)
+}
+
+#[allow(
+    clippy::large_enum_variant,
+    reason = "lives for one call, and the large variant is the usual one"
+)]
+enum Decoded {
+    Ignored,
+    Answer(Vec<u8>),
+    Request(Request),
+    Rejected(String),
+}
+
+fn decode_query(text: &str, now: Instant) -> Decoded {
+    match statement::parse(text, now) {
+        Ok(Query::Empty) => Decoded::Answer(server::empty_query()),
+        Ok(Query::Setting(tag)) => Decoded::Answer(server::done(tag)),
+        Ok(Query::Request(request)) => Decoded::Request(request),
+        Err(reason) => Decoded::Rejected(reason),
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/downstream/idle.rs
@@ -0,0 +1,80 @@
+//! Closing clients that have run out of time, or that are idle while there are many.
+
+use super::state::Downstream;
+use crate::event_loop::reactor::{Key, Reactor};
+use crate::protocol::postgres::server;
+use crate::protocol::postgres::Malformed;
+use std::time::{Duration, Instant};
+
+/// How often clients are checked for timeouts.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+impl Downstream {
+    /// Closes the connections that have run out of time. Returns when to check again.
+    pub fn close_expired(&mut self, now: Instant, reactor: &Reactor) -> Instant {
+        for key in self.clients.keys() {
+            self.check_timeouts(key, now, reactor);
+        }
+        self.close_idle(now, reactor);
+        now + TIMEOUT_CHECK_INTERVAL
+    }
+
+    fn check_timeouts(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
+        if client.end.is_lingering() {
+            if client.end.is_linger_over(self.timeouts.goodbye, now) {
+                self.drop_client(key, reactor);
+            }
+            return;
+        }
+        let quiet = now.saturating_duration_since(client.quiet_since);
+        if client.stream.unsent() > 0 && quiet >= self.timeouts.unread {
+            self.drop_client(key, reactor);
+        } else if client.is_overdue(&self.timeouts, now) {
+            self.disconnect_overdue(key, now, reactor);
+        } else if self.is_draining {
+            // Its time for a first request may be over.
+            self.write(key, now, reactor);
+        }
+    }
+
+    /// Disconnects a client that has run out of time, unless what it has sent until now changes that.
+    fn disconnect_overdue(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        self.read_pending(key, now, reactor);
+        let client = self.clients.get(key);
+        if client.is_some_and(|client| client.is_overdue(&self.timeouts, now)) {
+            let reason = Malformed("nothing whole was asked for in time".into());
+            self.reject_client(key, server::fatal(&reason));
+        }
+        self.write(key, now, reactor);
+    }
+
+    /// While there are many clients, closes idle ones: first those that have sent one request and stay, then those that
+    /// have been idle the longest.
+    pub(super) fn close_idle(&mut self, now: Instant, reactor: &Reactor) {
+        let active = self.clients.iter().filter(|(_, c)| !c.is_silent());
+        let mut remaining = active.clone().count();
+        let mut idle: Vec<(bool, Instant, Key)> = active
+            .filter(|(_, c)| c.is_idle())
+            .map(|(key, c)| (c.has_requested_again, c.quiet_since, key))
+            .collect();
+        idle.sort();
+        for (_, since, key) in idle {
+            let is_old = now.saturating_duration_since(since) >= self.timeouts.idle;
+            let is_packed = remaining > self.limits.packed;
+            let is_crowded = remaining > self.limits.crowded;
+            if !(is_packed || is_old && is_crowded) {
+                continue;
+            }
+            if !self.read_pending(key, now, reactor) {
+                remaining -= 1;
+                if let Some(client) = self.clients.get_mut(key) {
+                    client.close_between_requests();
+                }
+            }
+            self.write(key, now, reactor);
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/downstream/state.rs
@@ -0,0 +1,161 @@
+//! The `Downstream` type, its settings and counters.
+
+use super::cancel_keys::CancelKeys;
+use super::client::Client;
+use super::event::Event;
+use crate::config::{Limits, Patience};
+use crate::event_loop::connection;
+use crate::event_loop::reactor::{Interest, Reactor, Slots, Token};
+use crate::observability::log_rate_limit::LogRateLimit;
+use ipnet::IpNet;
+use std::collections::VecDeque;
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+use std::time::Instant;
+
+/// Most connections of balancers that have sent no request, beside the limit of clients.
+pub const MAX_BALANCER_CONNECTIONS: usize = 16;
+
+/// All clients. Every call that can have events leaves them for [`Downstream::next_event`].
+pub struct Downstream {
+    pub(super) listener: Option<OwnedFd>,
+    /// The listener is watched: not at the limit of clients.
+    pub(super) is_accepting: bool,
+    pub(super) limits: Limits,
+    pub(super) timeouts: Patience,
+    pub(super) clients: Slots<Client>,
+    pub(super) events: VecDeque<Event>,
+    pub(super) malformed_log: LogRateLimit,
+    pub(super) descriptors_log: LogRateLimit,
+    /// Connections ended for what came on them, or because no request came in time.
+    pub rejected_clients: u64,
+    /// Statements that were answered with an error because they are no request.
+    pub malformed_statements: u64,
+    /// Where to listen again after a drain.
+    pub(super) address: SocketAddr,
+    /// Others may listen on the address too.
+    pub(super) is_address_shared: bool,
+    /// A new process accepts from the same queue. This one keeps the listener, in case the new one fails.
+    pub(super) new_process_accepts: bool,
+    /// Networks from which balancers come whose connections only check.
+    pub(super) balancer_networks: Vec<IpNet>,
+    /// Networks whose connections begin with a PROXY protocol header.
+    pub(super) proxy_header_networks: Vec<IpNet>,
+    /// Number of clients that are balancers' checks.
+    pub(super) balancer_connections: usize,
+    /// Only what is under way is served: each client's connection closes once nothing is owed on it.
+    pub(super) is_draining: bool,
+    pub(super) cancel_keys: CancelKeys,
+}
+
+impl Downstream {
+    /// Listens with the old process's listener if it was inherited, else at `address`. `shared`: other processes may
+    /// listen there too.
+    ///
+    /// # Errors
+    /// The address can't be listened on.
+    pub fn listen(
+        address: SocketAddr,
+        inherited: Option<OwnedFd>,
+        shared: bool,
+        limits: Limits,
+        timeouts: Patience,
+        reactor: &Reactor,
+    ) -> io::Result<Downstream> {
+        let listener = match inherited {
+            Some(listener) => listener,
+            None => connection::listen_shared(address, shared)?,
+        };
+        reactor.add(&listener, Token::Listener, Interest::READ)?;
+        let address = connection::local_address(&listener).unwrap_or(address);
+        Ok(Downstream {
+            listener: Some(listener),
+            is_accepting: true,
+            limits,
+            timeouts,
+            clients: Slots::default(),
+            events: VecDeque::new(),
+            malformed_log: LogRateLimit::default(),
+            descriptors_log: LogRateLimit::default(),
+            rejected_clients: 0,
+            malformed_statements: 0,
+            address,
+            is_address_shared: shared,
+            new_process_accepts: false,
+            balancer_networks: Vec::new(),
+            proxy_header_networks: Vec::new(),
+            balancer_connections: 0,
+            is_draining: false,
+            cancel_keys: CancelKeys::default(),
+        })
+    }
+
+    /// Listens again, after [`Downstream::start_draining`].
+    ///
+    /// # Errors
+    /// The address can't be listened on. It is logged here; the caller tries again later.
+    pub fn listen_again(&mut self, now: Instant, reactor: &Reactor) -> io::Result<()> {
+        self.is_draining = false;
+        if self.listener.is_some() {
+            return Ok(());
+        }
+        let added =
+            connection::listen_shared(self.address, self.is_address_shared).and_then(|listener| {
+                reactor
+                    .add(&listener, Token::Listener, Interest::READ)
+                    .map(|()| listener)
+            });
+        if let Err(error) = &added {
+            let address = self.address;
+            self.descriptors_log.warn(now, || {
+                format!("front: clients can't be listened to on {address}: {error}. It is tried again; see who listens there.")
+            });
+        }
+        (self.listener, self.is_accepting) = (Some(added?), true);
+        Ok(())
+    }
+
+    /// The next event for the pipeline.
+    pub fn next_event(&mut self) -> Option<Event> {
+        self.events.pop_front()
+    }
+
+    /// The address that clients connect to; none while nothing listens.
+    pub fn local_address(&self) -> Option<SocketAddr> {
+        connection::local_address(self.listener.as_ref()?)
+    }
+
+    /// The listener; none while the process drains.
+    pub fn listener(&self) -> Option<&OwnedFd> {
+        self.listener.as_ref()
+    }
+
+    /// Clients are to be served, but the address can't be listened on: [`Downstream::listen_again`] has failed.
+    pub fn is_listener_missing(&self) -> bool {
+        self.listener.is_none() && !self.is_draining
+    }
+
+    /// Number of connections, balancers' checks included.
+    pub fn client_count(&self) -> usize {
+        self.clients.len()
+    }
+
+    /// Bytes of answers that clients have not taken.
+    pub fn unsent_bytes(&self) -> usize {
+        let clients = self.clients.iter();
+        clients.map(|(_, client)| client.stream.unsent()).sum()
+    }
+
+    /// Sets the networks of balancers that only check, and of those whose connections begin with a PROXY protocol
+    /// header. Open connections stay as they are.
+    pub fn set_balancers(&mut self, checks: Vec<IpNet>, proxy_headers: Vec<IpNet>) {
+        self.balancer_networks = checks;
+        self.proxy_header_networks = proxy_headers;
+    }
+
+    /// Sets limits and timeouts. Above a lower limit, clients stay until they leave or give way.
+    pub fn set_limits(&mut self, limits: Limits, timeouts: Patience) {
+        (self.limits, self.timeouts) = (limits, timeouts);
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -0,0 +1,211 @@
+//! Answers and chunks of answers to a client.
+
+use super::client::PendingResponse;
+use super::connection_end::CloseReason;
+use super::event::Event;
+use super::state::Downstream;
+use crate::event_loop::reactor::{Interest, Key, Reactor, Token};
+use crate::protocol::postgres::server;
+use crate::request::{Answer, ResponseSlot};
+use std::time::Instant;
+
+/// Bytes of a chunked answer that wait for its client, while those of all clients are within their part of the memory.
+const STREAM_WINDOW: usize = 64 << 10;
+/// The same while they are not. Less would cost more calls than bytes.
+const CROWDED_STREAM_WINDOW: usize = 4 << 10;
+
+impl Downstream {
+    /// Sets the final answer to a request. It goes out once all before it on the connection have.
+    pub fn answer(&mut self, slot: ResponseSlot, answer: Answer, now: Instant, reactor: &Reactor) {
+        let Some(client) = self.clients.get_mut(slot.client) else {
+            return;
+        };
+        let Some(response) = client.response(slot) else {
+            return;
+        };
+        let mut bytes = server::answer(answer);
+        if let PendingResponse::Streaming(chunks) = response {
+            chunks.append(&mut bytes);
+            bytes = std::mem::take(chunks);
+        }
+        *response = PendingResponse::Ready(bytes);
+        self.write(slot.client, now, reactor);
+        if self.clients.len() > self.limits.packed {
+            self.close_idle(now, reactor);
+        }
+    }
+
+    /// Writes a chunk of an answer. False: no more may come until [`Event::Writable`].
+    pub fn send_chunk(
+        &mut self,
+        slot: ResponseSlot,
+        bytes: &[u8],
+        now: Instant,
+        reactor: &Reactor,
+    ) -> bool {
+        let Some(client) = self.clients.get_mut(slot.client) else {
+            return true;
+        };
+        match client.response(slot) {
+            None | Some(PendingResponse::Ready(_)) => return true,
+            Some(PendingResponse::Streaming(chunks)) => chunks.extend_from_slice(bytes),
+            Some(response) => *response = PendingResponse::Streaming(bytes.to_vec()),
+        }
+        self.write(slot.client, now, reactor);
+        let window = self.stream_window();
+        let Some(client) = self.clients.get_mut(slot.client) else {
+            return true;
+        };
+        let is_first = client.first_number == slot.number;
+        client.is_backpressured |= !is_first || client.stream.unsent() >= window;
+        !client.is_backpressured
+    }
+
+    fn stream_window(&self) -> usize {
+        if self.unsent_bytes() >= self.limits.passing {
+            CROWDED_STREAM_WINDOW
+        } else {
+            STREAM_WINDOW
+        }
+    }
+
+    /// Ends an answer that has begun and won't be completed. The client can tell by the end of its connection.
+    pub fn abort_response(&mut self, slot: ResponseSlot, now: Instant, reactor: &Reactor) {
+        let Some(client) = self.clients.get_mut(slot.client) else {
+            return;
+        };
+        let Some(index) = client.response_index(slot) else {
+            return;
+        };
+        let end = (index + 1).min(client.responses.len());
+        let behind = client.responses.split_off(end);
+        for (number, response) in (slot.number + 1..).zip(behind) {
+            if !matches!(response, PendingResponse::Ready(_)) {
+                self.events
+                    .push_back(Event::ClientLeft(ResponseSlot { number, ..slot }));
+            }
+        }
+        if let Some(response) = client.responses.get_mut(index) {
+            if let PendingResponse::Streaming(chunks) = response {
+                *response = PendingResponse::Ready(std::mem::take(chunks));
+            }
+            client.end.start_closing(CloseReason::Ended);
+        }
+        self.write(slot.client, now, reactor);
+    }
+
+    /// Writes what is due to a client, and goes on with its connection: reads more requests, or closes it.
+    pub(super) fn write(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        // Once a call: a client that never stops sending must not hold the loop.
+        let mut has_read = false;
+        while self.write_once(key, &mut has_read, now, reactor) {}
+    }
+
+    /// Whether to write again: more requests were read, and some of them may be answered already.
+    fn write_once(
+        &mut self,
+        key: Key,
+        has_read: &mut bool,
+        now: Instant,
+        reactor: &Reactor,
+    ) -> bool {
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
+        if client.end.has_peer_left() {
+            self.drop_client(key, reactor);
+            return false;
+        }
+        let was_full = !client.accepts_requests(&self.timeouts);
+        client.queue_responses(now);
+        let Ok(is_written) = client.flush(now) else {
+            self.drop_client(key, reactor);
+            return false;
+        };
+        self.resume_chunks(key);
+        if is_written && self.close_if_done(key, has_read, now, reactor) {
+            return true;
+        }
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
+        // Commands that had to wait for their place are in the buffer, not in the socket: no event tells of them.
+        let accepts_again = was_full && client.accepts_requests(&self.timeouts);
+        if accepts_again && !client.stream.input.is_empty() {
+            self.read(key, now);
+            return true;
+        }
+        self.watch(key, is_written, reactor);
+        false
+    }
+
+    /// Asks for more chunks, once the client has taken half of its window.
+    fn resume_chunks(&mut self, key: Key) {
+        let Some(client) = self.clients.get(key) else {
+            return;
+        };
+        let is_streaming = matches!(
+            client.responses.front(),
+            Some(PendingResponse::Streaming(_))
+        );
+        let unsent = client.stream.unsent();
+        // The first comparison spares the sum over all clients.
+        if !client.is_backpressured
+            || !is_streaming
+            || unsent > STREAM_WINDOW / 2
+            || unsent > self.stream_window() / 2
+        {
+            return;
+        }
+        if let Some(client) = self.clients.get_mut(key) {
+            client.is_backpressured = false;
+            let number = client.first_number;
+            self.events.push_back(Event::Writable(ResponseSlot {
+                client: key,
+                number,
+            }));
+        }
+    }
+
+    /// Everything is written: the connection closes if it is to. True: a request has come before that.
+    fn close_if_done(
+        &mut self,
+        key: Key,
+        has_read: &mut bool,
+        now: Instant,
+        reactor: &Reactor,
+    ) -> bool {
+        let Some(client) = self.clients.get_mut(key) else {
+            return false;
+        };
+        if !client.responses.is_empty() {
+            return false;
+        }
+        if self.is_draining && !*has_read && client.can_close(now) {
+            *has_read = true;
+            if self.read_pending(key, now, reactor) {
+                return true;
+            }
+            if let Some(client) = self.clients.get_mut(key) {
+                client.close_between_requests();
+            }
+        } else if client.end.is_flushing() {
+            client.finish_output(now);
+        }
+        false
+    }
+
+    fn watch(&mut self, key: Key, is_written: bool, reactor: &Reactor) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
+        let interest = Interest {
+            read: client.wants_input(&self.timeouts),
+            write: !is_written,
+        };
+        let watched = client.stream.watch(reactor, Token::Client(key), interest);
+        if watched.is_err() {
+            self.drop_client(key, reactor);
+        }
+    }
+}
