--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -112,7 +112,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    pub patience: Patience,
+    pub client_timeouts: ClientTimeouts,
     /// What the operators' file says of requests.
     pub rules: Rules,
     /// Where balancers' checks are answered.
@@ -172,23 +172,23 @@
     }
 }
 
-/// What clients are given, in time and otherwise.
+/// Timeouts of a client's connection, and bounds on what one client may have open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
-    /// A connection has to come to its first sound request within this, and every command to its end.
-    pub first: Duration,
-    /// Among many, a connection is kept between requests for this long, and for no time when most of those that
-    /// clients may hold are taken. Guards against clients that ask once and stay: clients may hold only so many
-    /// connections, and those who come to ask would find none left.
+pub struct ClientTimeouts {
+    /// A connection has to send its first valid request within this, and every command completely.
+    pub first_request: Duration,
+    /// While there are many clients, a connection is kept between requests for this long; while most of the places are
+    /// taken, for no time. Stops clients that send one request and stay: they would take the places of those who come to
+    /// send requests.
     pub idle: Duration,
-    /// A client that takes nothing of its answers for this long is given up.
-    pub unread: Duration,
-    /// A client that has been told why its connection ends has this long to read it.
-    pub goodbye: Duration,
-    /// Unanswered commands of one connection; more wait in its socket.
-    pub pipeline: usize,
-    /// Unsent bytes of answers beyond which nothing more is read from a client.
-    pub unsent: usize,
+    /// A client that takes nothing of its answers for this long is disconnected.
+    pub unread_response: Duration,
+    /// A client that was told why its connection ends has this long to read it.
+    pub linger: Duration,
+    /// Most commands of one connection without an answer; further ones wait in its socket.
+    pub max_pipelined: usize,
+    /// Unsent bytes of answers from which on nothing more is read from a client.
+    pub max_unsent_bytes: usize,
 }
 
 /// How the descriptors are shared out, and the memory.
@@ -574,7 +574,7 @@
         discovery,
         seed,
         limits,
-        patience: patience(&model),
+        client_timeouts: client_timeouts(&model),
         rules: operator_config::rules(&model, &platform),
         health: operator_config::health(&model),
         availability: operator_config::availability(&model),
@@ -634,15 +634,15 @@
     });
 }
 
-fn patience(model: &Model) -> Patience {
+fn client_timeouts(model: &Model) -> ClientTimeouts {
     let limits = &model.limits;
-    Patience {
-        first: limits.client_patience,
+    ClientTimeouts {
+        first_request: limits.client_patience,
         idle: limits.client_idle,
-        unread: limits.answer_unread,
-        goodbye: limits.goodbye,
-        pipeline: limits.pipeline,
-        unsent: limits.unsent,
+        unread_response: limits.answer_unread,
+        linger: limits.goodbye,
+        max_pipelined: limits.pipeline,
+        max_unsent_bytes: limits.unsent,
     }
 }
 
@@ -682,7 +682,7 @@
             0
         };
     let calls = if admin {
-        crate::control::admin::CONNECTIONS + 1
+        crate::control::admin::MAX_CONNECTIONS + 1
     } else {
         0
     };
--- a/crates/leverproxy/src/control/admin.rs
+++ b/crates/leverproxy/src/control/admin.rs
@@ -1,7 +1,7 @@
-//! The second address: operators' calls, one to a connection, in the one loop.
+//! The admin API: operators' calls over HTTP on the second address, one to a connection, in the event loop.
 //!
-//! Callers that dawdle cost nobody else an answer: the connections are few and counted apart from clients, the loop looks
-//! at them first, and at the limit the one that has gone longest without a whole call gives way to the next caller.
+//! Slow callers cost nobody else an answer: their connections are few and counted apart from clients, the loop handles
+//! them first, and at the limit the oldest connection gives way to the next caller.
 
 use crate::event_loop::connection::{self, Filled, Refusal, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
@@ -12,27 +12,33 @@
 use std::time::{Duration, Instant};
 use wire_admin::{Answer, Call, BODY_LIMIT, HEAD_LIMIT};
 
-/// Callers at once; kept back from the descriptors by the configuration.
-pub const CONNECTIONS: usize = 32;
-/// A call has to come whole within this, and its answer to be taken.
-const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Most connections at once. The configuration reserves their descriptors.
+pub const MAX_CONNECTIONS: usize = 32;
+/// A connection is closed after this, whether its call has come and its answer is read or not.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// The admin address, and the connections to it.
 pub struct Admin {
     listener: OwnedFd,
     address: SocketAddr,
-    callers: Slots<Caller>,
-    exhausted: LogRateLimit,
+    connections: Slots<AdminConnection>,
+    descriptors_log: LogRateLimit,
 }
 
-struct Caller {
+struct AdminConnection {
     stream: Stream,
-    since: Instant,
-    /// It has its answer; the connection ends once that is read.
-    answered: bool,
-    ended: bool,
+    accepted_at: Instant,
+    /// It has its answer. The connection closes once the caller has read that.
+    is_answered: bool,
+    /// The end of the output has been sent.
+    is_output_ended: bool,
 }
 
 impl Admin {
+    /// Listens for calls.
+    ///
+    /// # Errors
+    /// The address can't be listened on.
     pub fn listen(address: SocketAddr, reactor: &Reactor) -> io::Result<Admin> {
         let listener = connection::listen(address)?;
         reactor.add(&listener, Token::AdminListener, Interest::READ)?;
@@ -40,120 +46,123 @@
         Ok(Admin {
             listener,
             address,
-            callers: Slots::default(),
-            exhausted: LogRateLimit::default(),
+            connections: Slots::default(),
+            descriptors_log: LogRateLimit::default(),
         })
     }
 
+    /// The address that calls come to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
+    /// Accepts the connections that wait.
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
+        let token = Token::AdminListener;
         loop {
-            let stream =
-                match connection::accept_or_rest(&self.listener, Token::AdminListener, reactor) {
-                    Ok((stream, _)) => stream,
-                    Err(Refusal::Empty | Refusal::Later) => return,
-                    Err(Refusal::Exhausted) => {
-                        self.exhausted
-                            .warn(now, || "admin: no descriptor left for a caller".into());
-                        if !self.disconnect_oldest() {
-                            return;
-                        }
-                        continue;
+            match connection::accept_or_rest(&self.listener, token, reactor) {
+                Ok((stream, _)) => self.add_connection(stream, now, reactor),
+                Err(Refusal::Empty | Refusal::Later) => return,
+                Err(Refusal::Exhausted) => {
+                    self.descriptors_log
+                        .warn(now, || "admin: no descriptor left for a caller".into());
+                    if !self.disconnect_oldest() {
+                        return;
                     }
-                };
-            if self.callers.len() >= CONNECTIONS {
-                self.disconnect_oldest();
-            }
-            let key = self.callers.insert(Caller {
-                stream,
-                since: now,
-                answered: false,
-                ended: false,
-            });
-            // Whatever has come is told of in the next round.
-            let watched = self
-                .callers
-                .get_mut(key)
-                .map(|c| c.stream.watch(reactor, Token::Admin(key), Interest::READ));
-            if !matches!(watched, Some(Ok(()))) {
-                self.callers.remove(key);
+                }
             }
         }
     }
 
-    /// Of all callers, answered or not, the one that came first: whoever calls in earnest has long gone.
+    fn add_connection(&mut self, stream: Stream, now: Instant, reactor: &Reactor) {
+        if self.connections.len() >= MAX_CONNECTIONS {
+            self.disconnect_oldest();
+        }
+        let key = self.connections.insert(AdminConnection {
+            stream,
+            accepted_at: now,
+            is_answered: false,
+            is_output_ended: false,
+        });
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        // Whatever has come already is an event of the next round.
+        let token = Token::Admin(key);
+        let watched = connection.stream.watch(reactor, token, Interest::READ);
+        if watched.is_err() {
+            self.connections.remove(key);
+        }
+    }
+
+    /// Closes the oldest connection, answered or not: a working caller is done long before. Whether there was one.
     fn disconnect_oldest(&mut self) -> bool {
-        let oldest = self
-            .callers
-            .iter()
-            .min_by_key(|(_, c)| c.since)
-            .map(|(key, _)| key);
-        oldest.is_some_and(|key| self.callers.remove(key).is_some())
+        let connections = self.connections.iter();
+        let oldest = connections.min_by_key(|(_, connection)| connection.accepted_at);
+        let oldest = oldest.map(|(key, _)| key);
+        oldest.is_some_and(|key| self.connections.remove(key).is_some())
     }
 
-    /// A call that has come whole; [`Admin::answer`] is owed for it.
+    /// Reads from a connection that is ready. Returns a call that is complete: the caller owes [`Admin::answer`] for it.
     pub fn read_call(&mut self, key: Key, reactor: &Reactor) -> Option<Call> {
-        let caller = self.callers.get_mut(key)?;
-        if caller.answered {
-            if caller.stream.drain().0 == Filled::Ended {
-                self.callers.remove(key);
+        let connection = self.connections.get_mut(key)?;
+        if connection.is_answered {
+            if connection.stream.drain().0 == Filled::Ended {
+                self.connections.remove(key);
             } else {
                 self.write(key, reactor);
             }
             return None;
         }
-        let filled = caller.stream.fill(HEAD_LIMIT + BODY_LIMIT);
-        match wire_admin::parse(caller.stream.input.unused()) {
+        let filled = connection.stream.fill(HEAD_LIMIT + BODY_LIMIT);
+        match wire_admin::parse(connection.stream.input.unused()) {
             Ok(Some(call)) => return Some(call),
-            Err(no) => self.answer(key, &no, reactor),
-            // Half a call, and no more will come: whoever left hears nothing.
-            Ok(None) if filled == Filled::Ended => _ = self.callers.remove(key),
+            Err(rejection) => self.answer(key, &rejection, reactor),
+            // The caller has left before the end of its call.
+            Ok(None) if filled == Filled::Ended => _ = self.connections.remove(key),
             Ok(None) => {}
         }
         None
     }
 
+    /// Writes the answer, and closes the connection once the caller has read it.
     pub fn answer(&mut self, key: Key, answer: &Answer, reactor: &Reactor) {
-        let Some(caller) = self.callers.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        caller.stream.push(&answer.bytes());
-        caller.answered = true;
+        connection.stream.push(&answer.bytes());
+        connection.is_answered = true;
         self.write(key, reactor);
     }
 
     fn write(&mut self, key: Key, reactor: &Reactor) {
-        let Some(caller) = self.callers.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let flushed = caller.stream.flush();
-        if matches!(flushed, Ok(true)) && !caller.ended {
+        let flushed = connection.stream.flush();
+        if matches!(flushed, Ok(true)) && !connection.is_output_ended {
             // Closed at once with bytes unread, the connection would be reset and the answer lost.
-            caller.ended = true;
-            caller.stream.end_output();
+            connection.is_output_ended = true;
+            connection.stream.end_output();
         }
         let interest = Interest {
             read: true,
             write: matches!(flushed, Ok(false)),
         };
-        if flushed.is_err()
-            || caller
-                .stream
-                .watch(reactor, Token::Admin(key), interest)
-                .is_err()
-        {
-            self.callers.remove(key);
+        let token = Token::Admin(key);
+        if flushed.is_err() || connection.stream.watch(reactor, token, interest).is_err() {
+            self.connections.remove(key);
         }
     }
 
+    /// Closes the connections that have run out of time.
     pub fn close_expired(&mut self, now: Instant) {
-        for key in self.callers.keys() {
-            let slow = |c: &Caller| now.saturating_duration_since(c.since) >= CALL_TIMEOUT;
-            if self.callers.get(key).is_some_and(slow) {
-                self.callers.remove(key);
+        for key in self.connections.keys() {
+            let is_expired = |connection: &AdminConnection| {
+                now.saturating_duration_since(connection.accepted_at) >= CONNECTION_TIMEOUT
+            };
+            if self.connections.get(key).is_some_and(is_expired) {
+                self.connections.remove(key);
             }
         }
     }
--- /dev/null
+++ b/crates/leverproxy/src/control/commands.rs
@@ -0,0 +1,150 @@
+//! Commands by signals and by an embedding program. They are flags and a byte that wakes the event loop, so that a signal
+//! handler can send them, and a command that is sent twice before the loop wakes runs once.
+
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
+use std::io::{self, Read, Write};
+use std::os::fd::{AsFd, BorrowedFd};
+use std::os::unix::net::UnixStream;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+
+/// A command to a running proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ControlCommand {
+    /// Answer the requests that have come, then end.
+    Stop,
+    /// Print the counters.
+    Report,
+    /// Read the configuration again.
+    Reload,
+}
+
+/// Commands that were sent and not taken yet.
+#[derive(Debug, Default)]
+struct PendingCommands {
+    stop: Arc<AtomicBool>,
+    report: Arc<AtomicBool>,
+    reload: Arc<AtomicBool>,
+}
+
+/// Sends commands to a proxy, from any thread.
+#[derive(Debug)]
+pub struct Control {
+    pending: Arc<PendingCommands>,
+    wake: UnixStream,
+}
+
+impl Control {
+    /// Stops the proxy: it answers the requests that have come, then ends.
+    pub fn stop(&self) {
+        self.send(&self.pending.stop);
+    }
+
+    /// Makes the proxy print its counters.
+    pub fn report(&self) {
+        self.send(&self.pending.report);
+    }
+
+    /// Makes the proxy read its configuration again (see `Proxy::reread_with`).
+    pub fn reload(&self) {
+        self.send(&self.pending.reload);
+    }
+
+    fn send(&self, flag: &AtomicBool) {
+        flag.store(true, Ordering::SeqCst);
+        // A full socket wakes the loop as well as one more byte would.
+        _ = (&self.wake).write(&[1]);
+    }
+
+    /// SIGTERM and SIGINT stop the proxy, SIGUSR1 makes it report, SIGHUP makes it read its configuration again.
+    ///
+    /// # Errors
+    /// A signal handler can't be installed.
+    pub fn install_signal_handlers(&self) -> io::Result<()> {
+        let PendingCommands {
+            stop,
+            report,
+            reload,
+        } = &*self.pending;
+        for (signal, flag) in [
+            (SIGTERM, stop),
+            (SIGINT, stop),
+            (SIGUSR1, report),
+            (SIGHUP, reload),
+        ] {
+            // The flag first: it is set when the byte wakes the loop.
+            signal_hook::flag::register(signal, Arc::clone(flag))?;
+            signal_hook::low_level::pipe::register(signal, self.wake.try_clone()?)?;
+        }
+        Ok(())
+    }
+}
+
+/// The proxy's end of the command channel. Its descriptor is readable when there is something to take.
+#[derive(Debug)]
+pub struct CommandReceiver {
+    pending: Arc<PendingCommands>,
+    woken: UnixStream,
+    /// Wakes the event loop, from another thread of the proxy.
+    waker: UnixStream,
+}
+
+/// A command channel.
+///
+/// # Errors
+/// There are no descriptors for it.
+pub fn channel() -> io::Result<(Control, CommandReceiver)> {
+    let (woken, wake) = UnixStream::pair()?;
+    woken.set_nonblocking(true)?;
+    wake.set_nonblocking(true)?;
+    let pending = Arc::new(PendingCommands::default());
+    let waker = wake.try_clone()?;
+    let control = Control {
+        pending: Arc::clone(&pending),
+        wake,
+    };
+    let receiver = CommandReceiver {
+        pending,
+        woken,
+        waker,
+    };
+    Ok((control, receiver))
+}
+
+impl CommandReceiver {
+    /// A byte that is written to this wakes the event loop.
+    ///
+    /// # Errors
+    /// There is no descriptor for it.
+    pub fn waker(&self) -> io::Result<UnixStream> {
+        self.waker.try_clone()
+    }
+
+    /// Takes the commands sent since the last call, each once.
+    pub fn take_commands(&mut self) -> Vec<ControlCommand> {
+        let mut bytes = [0; 64];
+        while matches!(self.woken.read(&mut bytes), Ok(n) if n > 0) {}
+        let PendingCommands {
+            stop,
+            report,
+            reload,
+        } = &*self.pending;
+        let mut commands = Vec::new();
+        for (flag, command) in [
+            (stop, ControlCommand::Stop),
+            (report, ControlCommand::Report),
+            (reload, ControlCommand::Reload),
+        ] {
+            if flag.swap(false, Ordering::SeqCst) {
+                commands.push(command);
+            }
+        }
+        commands
+    }
+}
+
+impl AsFd for CommandReceiver {
+    fn as_fd(&self) -> BorrowedFd<'_> {
+        self.woken.as_fd()
+    }
+}
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -1,5 +1,6 @@
-//! The operators' control socket: a line in, lines out, over a Unix socket that only its owner may use.
+//! The operators' control socket: one line in, lines out, over a Unix socket that only its owner may use.
 
+use crate::cluster::rollout;
 use crate::event_loop::connection::{self, Filled, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
 use ::rollout::Hash;
@@ -10,73 +11,88 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
+/// Most connections at once; further ones get an error.
+const MAX_CONNECTIONS: usize = 4;
+/// Longest command, in bytes.
+const LINE_LIMIT: usize = 128;
+/// A connection is closed after this, whatever has come on it.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+const USAGE: &str = "error: the words are drain, undrain, status, sites (NAME) and rollout (propose HASH, resume HASH, halt, return, status)\n";
+
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
+    /// Take this proxy out of its balancers.
     Drain,
+    /// Bring it back.
     Undrain,
+    /// Print the proxy's state.
     Status,
-    /// All of them, or one by its name.
+    /// Print the table of all sites, or of one by its name.
     Sites(Option<String>),
+    /// A command to the rollout.
     Rollout(RolloutCommand),
 }
 
-/// Of a rollout.
+/// A command to the rollout of the operators' file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutCommand {
+    /// Roll a candidate out.
     Propose(Hash),
-    /// The same, though it was halted before.
+    /// The same, although it was halted before.
     Resume(Hash),
+    /// Halt the rollout.
     Halt,
+    /// Return to the version before.
     Return,
+    /// Print the rollout's state.
     Status,
 }
 
-/// At once; who has more to say waits.
-const CONNECTIONS: usize = 4;
-const LINE_LIMIT: usize = 128;
-const PATIENCE: Duration = Duration::from_secs(2);
-
+/// The listener, and the connections of operators. Its file is removed when it is dropped.
 pub struct ControlSocket {
     listener: OwnedFd,
     path: PathBuf,
-    /// Which file of the place is this process's.
-    file: u64,
-    peers: Slots<Peer>,
+    /// Inode of this process's socket: another process may have replaced the file.
+    inode: u64,
+    connections: Slots<OperatorConnection>,
 }
 
-struct Peer {
+struct OperatorConnection {
     stream: Stream,
-    since: Instant,
-    /// It has its answer.
-    answered: bool,
+    accepted_at: Instant,
+    is_answered: bool,
 }
 
 impl ControlSocket {
-    /// A socket that is left over from a process that is gone is replaced; one that answers is another proxy's, but an
-    /// heir takes that of its elder, whose words are its own from then on.
-    pub fn listen(path: &Path, heir: bool, reactor: &Reactor) -> io::Result<ControlSocket> {
-        if !heir && UnixStream::connect(path).is_ok() {
+    /// Listens at `path`. A socket that is left over from a process that is gone is replaced. `new_process`: a hot restart
+    /// replaces the socket of the old process too.
+    ///
+    /// # Errors
+    /// Another proxy listens there, or the path can't be used.
+    pub fn listen(path: &Path, new_process: bool, reactor: &Reactor) -> io::Result<ControlSocket> {
+        if !new_process && UnixStream::connect(path).is_ok() {
             return Err(io::Error::new(
                 io::ErrorKind::AddrInUse,
                 "the control socket is another proxy's",
             ));
         }
-        let (listener, file) = ControlSocket::bind(path, reactor)?;
+        let (listener, inode) = bind(path, reactor)?;
         Ok(ControlSocket {
             listener,
             path: path.to_owned(),
-            file,
-            peers: Slots::default(),
+            inode,
+            connections: Slots::default(),
         })
     }
 
-    /// The place was an heir's that is gone.
+    /// Listens again after a new process, which had replaced the socket, is gone.
     pub fn listen_again(&mut self, reactor: &Reactor) {
         if UnixStream::connect(&self.path).is_ok() {
             return;
         }
-        match ControlSocket::bind(&self.path, reactor) {
-            Ok((listener, file)) => (self.listener, self.file) = (listener, file),
+        match bind(&self.path, reactor) {
+            Ok((listener, inode)) => (self.listener, self.inode) = (listener, inode),
             Err(error) => {
                 let path = self.path.display();
                 log::warn!(
@@ -86,100 +102,85 @@
         }
     }
 
-    fn bind(path: &Path, reactor: &Reactor) -> io::Result<(OwnedFd, u64)> {
-        let listener = connection::take_unix(path)?;
-        reactor.add(&listener, Token::OperateListener, Interest::READ)?;
-        Ok((listener, std::fs::symlink_metadata(path)?.ino()))
-    }
-
+    /// Accepts the connections that wait.
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         let token = Token::OperateListener;
         while let Ok((mut stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
-            if self.peers.len() >= CONNECTIONS {
+            if self.connections.len() >= MAX_CONNECTIONS {
                 stream.push(b"error: too many at once\n");
                 _ = stream.flush();
                 continue;
             }
-            let key = self.peers.insert(Peer {
-                stream,
-                since: now,
-                answered: false,
-            });
-            if let Some(peer) = self.peers.get_mut(key) {
-                if peer
-                    .stream
-                    .watch(reactor, Token::Operate(key), Interest::READ)
-                    .is_err()
-                {
-                    self.peers.remove(key);
-                }
-            }
+            self.add_connection(stream, now, reactor);
+        }
+    }
+
+    fn add_connection(&mut self, stream: Stream, now: Instant, reactor: &Reactor) {
+        let key = self.connections.insert(OperatorConnection {
+            stream,
+            accepted_at: now,
+            is_answered: false,
+        });
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let token = Token::Operate(key);
+        let watched = connection.stream.watch(reactor, token, Interest::READ);
+        if watched.is_err() {
+            self.connections.remove(key);
         }
     }
 
-    /// A word that has come whole, and who awaits its answer.
+    /// Reads from a connection that is ready. Returns a command that is complete, and the connection that waits for its
+    /// answer. An unknown command is answered here.
     pub fn read_command(&mut self, key: Key, reactor: &Reactor) -> Option<(Key, OperatorCommand)> {
-        let peer = self.peers.get_mut(key)?;
-        let filled = peer.stream.fill(LINE_LIMIT);
-        let input = peer.stream.input.unused();
-        let line = input
-            .iter()
-            .position(|b| *b == b'\n')
-            .and_then(|end| std::str::from_utf8(&input[..end]).ok());
-        let word = match line.map(str::trim) {
-            Some("drain") => Some(OperatorCommand::Drain),
-            Some("undrain") => Some(OperatorCommand::Undrain),
-            Some("status") => Some(OperatorCommand::Status),
-            Some("sites") => Some(OperatorCommand::Sites(None)),
-            Some(line) if line.starts_with("sites ") => Some(OperatorCommand::Sites(
-                line.strip_prefix("sites ")
-                    .map(|name| name.trim().to_owned()),
-            )),
-            Some(line) => line
-                .strip_prefix("rollout ")
-                .and_then(crate::cluster::rollout::said)
-                .map(OperatorCommand::Rollout),
-            None if filled == Filled::Ended || input.len() >= LINE_LIMIT => {
-                self.peers.remove(key);
-                return None;
-            }
-            None => {
-                _ = peer
-                    .stream
-                    .watch(reactor, Token::Operate(key), Interest::READ);
-                return None;
+        let connection = self.connections.get_mut(key)?;
+        let filled = connection.stream.fill(LINE_LIMIT);
+        let input = connection.stream.input.unused();
+        let Some(line) = first_line(input) else {
+            if filled == Filled::Ended || input.len() >= LINE_LIMIT {
+                self.connections.remove(key);
+            } else {
+                let token = Token::Operate(key);
+                // Unwatched, it is closed after its time.
+                _ = connection.stream.watch(reactor, token, Interest::READ);
             }
+            return None;
         };
-        if peer.answered {
-            self.peers.remove(key);
+        let command = parse_command(line);
+        if connection.is_answered {
+            self.connections.remove(key);
             return None;
         }
-        peer.answered = true;
-        if word.is_none() {
-            self.answer(key, "error: the words are drain, undrain, status, sites (NAME) and rollout (propose HASH, resume HASH, halt, return, status)\n");
+        connection.is_answered = true;
+        if command.is_none() {
+            self.answer(key, USAGE);
         }
-        word.map(|word| (key, word))
+        command.map(|command| (key, command))
     }
 
-    /// One answer, and the connection ends. What the socket does not take at once is sent by [`ControlSocket::look_over`].
+    /// Writes the answer, and closes the connection once it is written. What the socket does not take at once is written
+    /// by [`ControlSocket::close_expired`].
     pub fn answer(&mut self, key: Key, text: &str) {
-        let Some(peer) = self.peers.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        peer.stream.push(text.as_bytes());
-        if !matches!(peer.stream.flush(), Ok(false)) {
-            self.peers.remove(key);
+        connection.stream.push(text.as_bytes());
+        if !matches!(connection.stream.flush(), Ok(false)) {
+            self.connections.remove(key);
         }
     }
 
+    /// Closes the connections that are answered or have run out of time.
     pub fn close_expired(&mut self, now: Instant) {
-        for key in self.peers.keys() {
-            let Some(peer) = self.peers.get_mut(key) else {
+        for key in self.connections.keys() {
+            let Some(connection) = self.connections.get_mut(key) else {
                 continue;
             };
-            let sent = peer.answered && !matches!(peer.stream.flush(), Ok(false));
-            if sent || now.saturating_duration_since(peer.since) >= PATIENCE {
-                self.peers.remove(key);
+            let is_sent = connection.is_answered && !matches!(connection.stream.flush(), Ok(false));
+            let age = now.saturating_duration_since(connection.accepted_at);
+            if is_sent || age >= CONNECTION_TIMEOUT {
+                self.connections.remove(key);
             }
         }
     }
@@ -187,8 +188,37 @@
 
 impl Drop for ControlSocket {
     fn drop(&mut self) {
-        if std::fs::symlink_metadata(&self.path).is_ok_and(|at| at.ino() == self.file) {
+        let metadata = std::fs::symlink_metadata(&self.path);
+        if metadata.is_ok_and(|metadata| metadata.ino() == self.inode) {
             _ = std::fs::remove_file(&self.path);
         }
     }
 }
+
+/// The listener, and the inode of its file.
+fn bind(path: &Path, reactor: &Reactor) -> io::Result<(OwnedFd, u64)> {
+    let listener = connection::take_unix(path)?;
+    reactor.add(&listener, Token::OperateListener, Interest::READ)?;
+    Ok((listener, std::fs::symlink_metadata(path)?.ino()))
+}
+
+fn first_line(input: &[u8]) -> Option<&str> {
+    let end = input.iter().position(|byte| *byte == b'\n')?;
+    std::str::from_utf8(&input[..end]).ok().map(str::trim)
+}
+
+fn parse_command(line: &str) -> Option<OperatorCommand> {
+    match line {
+        "drain" => Some(OperatorCommand::Drain),
+        "undrain" => Some(OperatorCommand::Undrain),
+        "status" => Some(OperatorCommand::Status),
+        "sites" => Some(OperatorCommand::Sites(None)),
+        _ => {
+            if let Some(name) = line.strip_prefix("sites ") {
+                return Some(OperatorCommand::Sites(Some(name.trim().to_owned())));
+            }
+            let command = rollout::said(line.strip_prefix("rollout ")?)?;
+            Some(OperatorCommand::Rollout(command))
+        }
+    }
+}
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -1,7 +1,7 @@
 //! One client's connection: what is known of it, and the answers that it waits for.
 
 use super::connection_end::{CloseReason, ConnectionEnd};
-use crate::config::Patience;
+use crate::config::ClientTimeouts;
 use crate::event_loop::connection::Stream;
 use crate::protocol::postgres::server::CancelKey;
 use crate::request::ResponseSlot;
@@ -156,9 +156,9 @@
     }
 
     /// It has run out of time for its first request, or for the rest of a command.
-    pub(super) fn is_overdue(&self, timeouts: &Patience, now: Instant) -> bool {
+    pub(super) fn is_overdue(&self, timeouts: &ClientTimeouts, now: Instant) -> bool {
         let owed_nothing = self.responses.is_empty() && self.stream.unsent() == 0;
-        let is_over = |since| now.saturating_duration_since(since) >= timeouts.first;
+        let is_over = |since| now.saturating_duration_since(since) >= timeouts.first_request;
         let is_partial_over = self.partial_since.is_some_and(is_over);
         owed_nothing && (is_partial_over || !self.has_requested && is_over(self.quiet_since))
     }
@@ -186,14 +186,14 @@
     }
 
     /// Requests are read: it may have more of them, and it takes its answers.
-    pub(super) fn accepts_requests(&self, timeouts: &Patience) -> bool {
+    pub(super) fn accepts_requests(&self, timeouts: &ClientTimeouts) -> bool {
         self.end.is_open()
-            && self.responses.len() < timeouts.pipeline
-            && self.stream.unsent() < timeouts.unsent
+            && self.responses.len() < timeouts.max_pipelined
+            && self.stream.unsent() < timeouts.max_unsent_bytes
     }
 
     /// Whether its bytes are read, as requests or to be discarded.
-    pub(super) fn wants_input(&self, timeouts: &Patience) -> bool {
+    pub(super) fn wants_input(&self, timeouts: &ClientTimeouts) -> bool {
         match self.end.discard_budget() {
             Some(budget) => budget > 0,
             None => self.accepts_requests(timeouts),
--- a/crates/leverproxy/src/downstream/idle.rs
+++ b/crates/leverproxy/src/downstream/idle.rs
@@ -24,13 +24,13 @@
             return;
         };
         if client.end.is_lingering() {
-            if client.end.is_linger_over(self.timeouts.goodbye, now) {
+            if client.end.is_linger_over(self.timeouts.linger, now) {
                 self.drop_client(key, reactor);
             }
             return;
         }
         let quiet = now.saturating_duration_since(client.quiet_since);
-        if client.stream.unsent() > 0 && quiet >= self.timeouts.unread {
+        if client.stream.unsent() > 0 && quiet >= self.timeouts.unread_response {
             self.drop_client(key, reactor);
         } else if client.is_overdue(&self.timeouts, now) {
             self.disconnect_overdue(key, now, reactor);
--- a/crates/leverproxy/src/downstream/state.rs
+++ b/crates/leverproxy/src/downstream/state.rs
@@ -3,7 +3,7 @@
 use super::cancel_keys::CancelKeys;
 use super::client::Client;
 use super::event::Event;
-use crate::config::{Limits, Patience};
+use crate::config::{ClientTimeouts, Limits};
 use crate::event_loop::connection;
 use crate::event_loop::reactor::{Interest, Reactor, Slots, Token};
 use crate::observability::log_rate_limit::LogRateLimit;
@@ -23,7 +23,7 @@
     /// The listener is watched: not at the limit of clients.
     pub(super) is_accepting: bool,
     pub(super) limits: Limits,
-    pub(super) timeouts: Patience,
+    pub(super) timeouts: ClientTimeouts,
     pub(super) clients: Slots<Client>,
     pub(super) events: VecDeque<Event>,
     pub(super) malformed_log: LogRateLimit,
@@ -60,7 +60,7 @@
         inherited: Option<OwnedFd>,
         shared: bool,
         limits: Limits,
-        timeouts: Patience,
+        timeouts: ClientTimeouts,
         reactor: &Reactor,
     ) -> io::Result<Downstream> {
         let listener = match inherited {
@@ -155,7 +155,7 @@
     }
 
     /// Sets limits and timeouts. Above a lower limit, clients stay until they leave or give way.
-    pub fn set_limits(&mut self, limits: Limits, timeouts: Patience) {
+    pub fn set_limits(&mut self, limits: Limits, timeouts: ClientTimeouts) {
         (self.limits, self.timeouts) = (limits, timeouts);
     }
 }
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -114,38 +114,22 @@
         pool: Option<PoolId>,
         request: Request,
     ) {
-        let Arrival {
-            id,
-            tenant,
-            quota_status,
-            ..
-        } = *arrival;
+        let id = arrival.id;
         self.ids_by_slot.insert(slot, id);
-        let Request {
-            id: name,
-            command,
-            read_at,
-            wait,
-            group,
-            ..
-        } = request;
-        let group = GroupId(group);
-        self.names.insert(name.clone());
-        let command = Arc::new(command);
-        let (streaming, attempts) = (None, 0);
+        self.names.insert(request.id.clone());
         let open = OpenRequest {
-            name,
+            name: request.id,
             slot,
             class,
-            group,
-            tenant,
-            quota_status,
+            group: GroupId(request.group),
+            tenant: arrival.tenant,
+            quota_status: arrival.quota_status,
             pool,
-            command,
-            read_at,
-            wait,
-            streaming,
-            attempts,
+            command: Arc::new(request.command),
+            read_at: request.read_at,
+            wait: request.wait,
+            streaming: None,
+            attempts: 0,
         };
         self.open.insert(id, open);
     }
--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -8,14 +8,14 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Why a request makes no sense. The text goes to the client: it repeats at most the start of a name.
+/// Why a request makes no sense. The text goes to the client, so of a long name only the start is kept.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The platform has no class of this name.
-    #[error("class {:?} is not known", truncate_for_display(.0))]
+    #[error("class {0:?} is not known")]
     UnknownClass(String),
     /// The platform has tenants, and none of this name.
-    #[error("tenant {:?} is not known", truncate_for_display(.0))]
+    #[error("tenant {0:?} is not known")]
     UnknownTenant(String),
 }
 
@@ -33,19 +33,12 @@
     margin: Duration,
     now: Instant,
 ) -> Result<Arrival, DecodeError> {
-    let find = |names: &[String], name: &str| {
-        names
-            .iter()
-            .position(|n| n == name && !n.is_empty())
-            .and_then(|at| u16::try_from(at).ok())
-    };
-    let class = find(&names.classes, &request.class)
+    let class = find_index(&names.classes, &request.class)
         .map(ClassId)
-        .ok_or_else(|| DecodeError::UnknownClass(request.class.clone()))?;
+        .ok_or_else(|| DecodeError::UnknownClass(truncate(&request.class)))?;
     let tenant = match &request.tenant {
-        Some(name) if !names.tenants.is_empty() => {
-            find(&names.tenants, name).ok_or_else(|| DecodeError::UnknownTenant(name.clone()))?
-        }
+        Some(name) if !names.tenants.is_empty() => find_index(&names.tenants, name)
+            .ok_or_else(|| DecodeError::UnknownTenant(truncate(name)))?,
         _ => 0,
     };
     // A client that states more than its class allows must not hold a place among the open requests for days.
@@ -70,6 +63,16 @@
     })
 }
 
+/// Position of a name in a list. Empty names are those of classes and tenants that are gone.
+fn find_index(names: &[String], name: &str) -> Option<u16> {
+    let index = names.iter().position(|n| n == name && !n.is_empty())?;
+    u16::try_from(index).ok()
+}
+
+fn truncate(name: &str) -> String {
+    truncate_for_display(name).to_owned()
+}
+
 /// Limits the time of a request by the end of the process, less `margin` for the way of the answer.
 pub fn limit_time(
     arrival: Arrival,
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -8,7 +8,7 @@
 /// The event of a completed exchange. `request_finished`: the request has its final answer. A position ahead of `latest`
 /// is dropped: believed, it would make a replica seem to hold what is not written yet.
 pub fn record(completed: &CompletedExchange, request_finished: bool, latest: Time) -> Event {
-    let known = |position: &Time| *position <= latest;
+    let is_believed = |position: &Time| *position <= latest;
     match completed.purpose {
         Purpose::Attempt(id, attempt) => Event::AttemptEnded(AttemptEnded {
             id,
@@ -18,36 +18,34 @@
             elapsed: completed.elapsed,
             request_finished,
             metadata: ResponseMetadata {
-                position: completed.metadata.position.filter(known),
+                position: completed.metadata.position.filter(is_believed),
                 ..completed.metadata
             },
         }),
-        Purpose::Probe => {
-            let report = match &completed.outcome {
-                ExchangeOutcome::Reported(fields) => parse_load_report(fields),
-                _ => LoadReport::default(),
-            };
-            // A report that can't be read or can't be true counts as empty; the server has answered all the same. Of a
-            // report whose position may be true but is not believed yet, the rest counts.
-            let possible = |position: &Time| *position <= latest.plus(MAX_CLOCK_LAG);
-            let plausible = report.position.as_ref().is_none_or(possible);
-            let report = LoadReport {
-                position: report.position.filter(known),
-                ..report
-            };
-            let ok = matches!(completed.outcome, ExchangeOutcome::Reported(_));
-            let (server, elapsed) = (completed.server, completed.elapsed);
-            Event::ProbeEnded {
-                server,
-                ok,
-                elapsed,
-                report: if plausible {
-                    report
-                } else {
-                    LoadReport::default()
-                },
-            }
-        }
+        Purpose::Probe => Event::ProbeEnded {
+            server: completed.server,
+            ok: matches!(completed.outcome, ExchangeOutcome::Reported(_)),
+            elapsed: completed.elapsed,
+            report: believed_load_report(&completed.outcome, latest),
+        },
+    }
+}
+
+/// The part of a probe's load report that is believed. A report that can't be read or can't be true counts as empty; the
+/// server has answered all the same. Of a report whose position may be true but is not believed yet, the rest counts.
+fn believed_load_report(outcome: &ExchangeOutcome, latest: Time) -> LoadReport {
+    let ExchangeOutcome::Reported(fields) = outcome else {
+        return LoadReport::default();
+    };
+    let report = parse_load_report(fields);
+    let latest_possible = latest.plus(MAX_CLOCK_LAG);
+    match report.position {
+        Some(position) if position > latest_possible => LoadReport::default(),
+        Some(position) if position > latest => LoadReport {
+            position: None,
+            ..report
+        },
+        _ => report,
     }
 }
 
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -75,7 +75,7 @@
             .set_times(config.dial_timeout, config.idle_limit);
         io.downstream
             .set_balancers(config.checks, config.proxy_from);
-        (self.limits, self.client_timeouts) = (config.limits, config.patience);
+        (self.limits, self.client_timeouts) = (config.limits, config.client_timeouts);
         self.share_limits();
         self.drain.configure(drain_settings);
         logging::set(&config.logging);
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -92,7 +92,7 @@
             terminated: false,
             probes_reachability: !config.health.is_empty(),
             limits: config.limits,
-            client_timeouts: config.patience,
+            client_timeouts: config.client_timeouts,
             old_process_usage: handover.usage(),
             reloads: None,
             awaits_discovery: handover.old_process_unknown,
@@ -268,7 +268,7 @@
         handover.listener.take(),
         config.takeover.is_some(),
         limits,
-        config.patience,
+        config.client_timeouts,
         &reactor,
     )?;
     downstream.set_balancers(config.checks.clone(), config.proxy_from.clone());
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -3,7 +3,7 @@
 use crate::cluster::members::Members;
 use crate::cluster::rollout::Rollout;
 use crate::config::reload::Reloads;
-use crate::config::{Config, ConfigError, Limits, Patience};
+use crate::config::{ClientTimeouts, Config, ConfigError, Limits};
 use crate::control::admin::Admin;
 use crate::control::CommandReceiver;
 use crate::health::monitor::Usage;
@@ -31,7 +31,7 @@
     /// Balancers ask for health, so servers that are silent are dialled to test their links.
     pub(super) probes_reachability: bool,
     pub(super) limits: Limits,
-    pub(super) client_timeouts: Patience,
+    pub(super) client_timeouts: ClientTimeouts,
     /// Clients and upstream connections that the old process holds during a hot restart.
     pub(super) old_process_usage: (usize, usize),
     pub(super) reloads: Option<Reloads>,
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,4 +1,5 @@
-//! What passes between a protocol's front, the stages and the upstream side, in no protocol's words.
+//! Requests, answers and exchanges: what passes between the clients' side, the pipeline and the upstream side. Nothing
+//! here depends on a wire protocol, except commands and answers as opaque bytes.
 
 use crate::event_loop::reactor::Key;
 use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
@@ -6,55 +7,71 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Where the answer to a request goes: which client's connection, and which of its requests in order.
+/// Longest part of a client's text that an error message or a line of the log repeats, in characters.
+const DISPLAY_LIMIT: usize = 40;
+
+/// Where the answer to a request goes: the client's connection, and the number of the command on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ResponseSlot {
+    /// The client's connection.
     pub client: Key,
+    /// The command's number on that connection, from 0.
     pub number: u64,
 }
 
-/// A request as a front has read it.
+/// A request as it was read from a client.
 #[derive(Debug)]
 pub struct Request {
     /// The client's name for it, new with every request.
     pub id: Box<str>,
+    /// Name of its class.
     pub class: String,
+    /// Name of its tenant.
     pub tenant: Option<String>,
+    /// Number of the group of servers that holds its data.
     pub group: u32,
+    /// The session whose writes it has to see.
     pub session: Option<u64>,
     /// How long the client waits, from its send.
     pub wait: Duration,
     /// Unix time of the commit that a read must see.
     pub after: Option<Duration>,
+    /// The client has sent it before.
     pub repeated: bool,
+    /// What is sent to servers.
     pub command: Command,
-    /// Where it came from; the front knows.
+    /// The client's address.
     pub client: IpAddr,
+    /// When it was read.
     pub read_at: Instant,
 }
 
-/// The command in the words of its protocol, in two parts with the time to wait between them.
+/// A command in the bytes of its protocol, in two parts. The time that is left for it goes between them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
+    /// Everything before the time that is left.
     pub before_wait: Vec<u8>,
+    /// Everything after it.
     pub after_wait: Vec<u8>,
 }
 
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// As the record server gave it.
+    /// The record server's answer, in the bytes of its protocol.
     Served(Vec<u8>),
-    /// Nothing ran that a repeat could double; the client may come back after so long.
+    /// Load was shed: nothing ran that a repeat could double. The client may retry after this time, if there is one.
     Refused(Option<Duration>),
+    /// No server gave an answer in time, or part of the request may have run.
     Failed,
-    /// Its client has taken it back.
+    /// The client has cancelled the request.
     Cancelled,
-    /// The request makes no sense.
+    /// The request makes no sense; why.
     Rejected(String),
 }
 
 impl Answer {
+    /// The outcome's name in logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
@@ -69,7 +86,9 @@
 /// What an upstream exchange is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
+    /// An attempt of a request.
     Attempt(RequestId, AttemptNo),
+    /// A probe of the server's load and position.
     Probe,
 }
 
@@ -85,54 +104,69 @@
 /// How an exchange with a record server ended.
 #[derive(Debug, PartialEq)]
 pub enum ExchangeOutcome {
-    /// The answer to a command, in the words of its protocol.
+    /// The answer to a command, in the bytes of its protocol.
     Served(Vec<u8>),
-    /// The fields of a load report; none if it could not be read.
+    /// The fields of a load report; empty if it could not be read.
     Reported(Vec<(String, f64)>),
+    /// The server can't take the command: it is not the primary, or its data is not fresh enough.
     Misdirected,
+    /// The server answered with an error.
     Failed,
-    /// Turned away unseen.
+    /// The server rejected the command without running it: it is at its limit.
     Rejected,
-    /// Its last byte was never written.
+    /// The command was not written completely: it did not run.
     ConnectFailed,
-    /// What came back is no answer; the command has run all the same, or may have.
+    /// What came back is no valid answer. The command may have run.
     InvalidResponse,
-    /// The connection broke after that.
+    /// The connection broke after the command was written. The command may have run.
     Reset,
+    /// No answer came in time. The command may have run.
     TimedOut,
-    /// Called off by the module.
+    /// The decision module has cancelled it.
     Cancelled,
-    /// Dropped before it was written, since the server leaves or this machine lacks something for a connection.
+    /// Dropped before it was written: the server is being removed, or this host lacks what a connection needs.
     NotSent,
 }
 
-/// A part of an answer that is too large to be kept: it goes to the client before the rest is there.
+/// A part of an answer that is too large to be buffered. It goes to the client before the rest has come.
 #[derive(Debug)]
 pub struct ResponseChunk {
+    /// The request.
     pub id: RequestId,
+    /// The attempt that it answers.
     pub attempt: AttemptNo,
-    /// Of the connection that it came on.
+    /// The upstream connection that it came on.
     pub connection: Key,
+    /// The server.
     pub server: ServerId,
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
+    /// The bytes, in the server's protocol.
     pub bytes: Vec<u8>,
 }
 
+/// An exchange with a record server that has ended.
 #[derive(Debug)]
 pub struct CompletedExchange {
+    /// What it was for.
     pub purpose: Purpose,
+    /// The request's class; a probe has none.
     pub class: Option<ClassId>,
-    /// Of a request's attempt; a probe has none.
+    /// The request's group; a probe has none.
     pub group: Option<GroupId>,
+    /// The server.
     pub server: ServerId,
+    /// How it ended.
     pub outcome: ExchangeOutcome,
+    /// Time since it was sent.
     pub elapsed: Duration,
+    /// What the server told beside the answer: its position, load and role.
     pub metadata: ResponseMetadata,
 }
 
-/// As much of a client's text as an error message or a line of the log should repeat.
+/// As much of a client's text as an error message or a line of the log repeats.
 pub fn truncate_for_display(text: &str) -> &str {
     text.char_indices()
-        .nth(40)
+        .nth(DISPLAY_LIMIT)
         .map_or(text, |(end, _)| &text[..end])
 }
--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{call, get, post, read, served, Listener, Peer, Stage};
-use leverproxy::control::admin::CONNECTIONS;
+use leverproxy::control::admin::MAX_CONNECTIONS;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -94,7 +94,7 @@
 #[test]
 fn callers_that_dawdle_keep_nobody_from_an_answer() {
     let (_stage, admin) = stage(&[]);
-    let dawdlers: Vec<TcpStream> = (0..2 * CONNECTIONS)
+    let dawdlers: Vec<TcpStream> = (0..2 * MAX_CONNECTIONS)
         .map(|_| {
             let mut stream = TcpStream::connect(admin).unwrap();
             stream.write_all(b"GET /api/ready HT").unwrap();
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -177,7 +177,7 @@
 fn a_client_that_does_not_look_does_not_hold_up_the_end() {
     const GOODBYE: Duration = Duration::from_secs(2);
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.patience.goodbye = GOODBYE);
+    let mut stage = stage(&server, |config| config.client_timeouts.linger = GOODBYE);
     let resting = resting(&stage, &server);
     thread::sleep(GOODBYE);
     let told = Instant::now();
@@ -349,7 +349,7 @@
 #[test]
 fn commands_over_the_limit_of_a_connection_are_answered_before_the_end() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.patience.pipeline = 1);
+    let mut stage = stage(&server, |config| config.client_timeouts.max_pipelined = 1);
     let mut resting = resting(&stage, &server);
     let mut client = Peer::client(stage.address);
     for id in 1..4 {
@@ -373,7 +373,9 @@
 #[test]
 fn a_request_half_read_at_the_stop_is_served() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.patience.first = PATIENCE);
+    let mut stage = stage(&server, |config| {
+        config.client_timeouts.first_request = PATIENCE
+    });
     // Looked at before the other when the listener closes.
     let mut client = Peer::client(stage.address);
     // One that has asked before is not given time for a first request.
@@ -398,7 +400,10 @@
     let value = "v".repeat(60 << 10);
     let server = Listener::new();
     let mut stage = stage(&server, |config| {
-        (config.patience.pipeline, config.patience.unsent) = (1, 64 << 20)
+        (
+            config.client_timeouts.max_pipelined,
+            config.client_timeouts.max_unsent_bytes,
+        ) = (1, 64 << 20)
     });
     let mut idle = Peer::client(stage.address);
     let mut client = Peer::client(stage.address);
@@ -432,7 +437,7 @@
 #[test]
 fn a_request_that_crosses_the_end_is_left_unread() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.patience.goodbye = PATIENCE);
+    let mut stage = stage(&server, |config| config.client_timeouts.linger = PATIENCE);
     let mut resting = resting(&stage, &server);
     stop(&stage, &mut resting);
     resting.ask(&read(1, "any", 19000));
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -212,7 +212,7 @@
         None,
         false,
         limits,
-        config.patience,
+        config.client_timeouts,
         &reactor,
     )
     .unwrap();
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -353,16 +353,19 @@
         (limits.crowded, limits.packed, limits.unfinished),
         (100, 150, 6 << 20)
     );
-    let patience = config.patience;
+    let timeouts = config.client_timeouts;
     assert_eq!(
-        (patience.first, patience.idle),
+        (timeouts.first_request, timeouts.idle),
         (Duration::from_millis(2_500), Duration::from_secs(2))
     );
     assert_eq!(
-        (patience.unread, patience.goodbye),
+        (timeouts.unread_response, timeouts.linger),
         (Duration::from_secs(10), Duration::from_secs(1))
     );
-    assert_eq!((patience.pipeline, patience.unsent), (32, 64 << 10));
+    assert_eq!(
+        (timeouts.max_pipelined, timeouts.max_unsent_bytes),
+        (32, 64 << 10)
+    );
     assert_eq!(config.watch_silence, Duration::from_secs(3));
     assert_eq!(config.rules.margin, Duration::from_millis(10));
 }
