--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -243,13 +243,13 @@
 }
 
 fn serve(variable: impl Fn(&str) -> Option<String> + Clone + Send + 'static) -> ExitCode {
-    // Signals first: what comes while the configuration is read must not end the process.
-    let heeded = control::channel().and_then(|(control, wishes)| {
+    // Signals first: one that comes while the configuration is read must not end the process.
+    let channel = control::channel().and_then(|(control, commands)| {
         control.install_signal_handlers()?;
-        Ok((control, wishes))
+        Ok((control, commands))
     });
-    let (_control, wishes) = match heeded {
-        Ok(heeded) => heeded,
+    let (_control, commands) = match channel {
+        Ok(channel) => channel,
         Err(error) => {
             eprintln!("leverproxy: signals can't be heeded: {error}");
             return ExitCode::FAILURE;
@@ -267,7 +267,7 @@
         Err(_) => return ExitCode::FAILURE,
     };
     let whole = config.whole.clone();
-    let mut proxy = match Proxy::start_with_commands(config, wishes) {
+    let mut proxy = match Proxy::start_with_commands(config, commands) {
         Ok(started) => started,
         Err(error) => {
             // An address that is taken or not of this machine, most of all: nothing has been served.
--- a/crates/leverproxy/src/downstream/accept.rs
+++ b/crates/leverproxy/src/downstream/accept.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether a balancer's check may come in beside the limit. Only its address tells it from a client, so it has to be
-    /// accepted to be told.
+    /// Whether a balancer's check may come in beside the limit. Only its address distinguishes it from a client, so it
+    /// has to be accepted first.
     fn may_accept_balancer(&self) -> bool {
         !self.balancer_networks.is_empty() && self.balancer_connections < MAX_BALANCER_CONNECTIONS
     }
@@ -139,7 +139,7 @@
 
     /// The client that gives way first: one that has sent no request, else the one that has been idle the longest
     /// between its requests. While a crowd that sends nothing fills the places, clients that have sent requests keep
-    /// theirs, and the crowd gives way as fast as it can be told from newcomers.
+    /// theirs, and the crowd gives way as fast as it can be distinguished from new clients.
     fn select_evictable(&self, now: Instant) -> Option<Key> {
         let longest_quiet = |is_candidate: &dyn Fn(&Client) -> bool| {
             let candidates = self.clients.iter().filter(|(_, c)| is_candidate(c));
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -149,7 +149,7 @@
             Some(PendingResponse::Streaming(_))
         );
         let unsent = client.stream.unsent();
-        // The first comparison spares the sum over all clients.
+        // The window is a sum over all clients: looked at last.
         if !client.is_backpressured
             || !is_streaming
             || unsent > STREAM_WINDOW / 2
--- a/crates/leverproxy/src/lib.rs
+++ b/crates/leverproxy/src/lib.rs
@@ -1,6 +1,10 @@
-//! A proxy before replicated record servers: requests come in on sockets, the decision module (`routing`) decides where each goes,
-//! and the first whole answer goes back. `main.rs` only starts [`cli::main`]; a program that embeds a proxy
-//! starts one itself:
+//! A proxy in front of replicated record servers. Requests come in on PostgreSQL connections; the decision module
+//! (`routing`) decides which server gets each; the first complete answer goes back to the client.
+//!
+//! `proxy` wires the parts and runs the event loop. `downstream` (clients), `upstream` (record servers), `discovery`,
+//! `health`, `control` and `cluster` own their connections; `pipeline` takes a request from one to the other.
+//!
+//! `main.rs` only calls [`cli::main`]. A program that embeds a proxy starts one itself:
 //!
 //! ```no_run
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
--- a/crates/leverproxy/src/main.rs
+++ b/crates/leverproxy/src/main.rs
@@ -1,3 +1,5 @@
+//! The program: see the library's `cli` module.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -35,7 +35,7 @@
     /// When it was read from the client.
     pub read_at: Instant,
     /// How long the client waits, from its send.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// The attempt whose answer is being forwarded in chunks, and the upstream connection that it comes on.
     pub streaming: Option<(AttemptNo, Key)>,
     attempts: u16,
@@ -127,7 +127,7 @@
             pool,
             command: Arc::new(request.command),
             read_at: request.read_at,
-            wait: request.wait,
+            timeout: request.timeout,
             streaming: None,
             attempts: 0,
         };
--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -45,8 +45,8 @@
     let longest = deadlines
         .get(usize::from(class.0))
         .copied()
-        .unwrap_or(request.wait);
-    let wait = request.wait.min(longest);
+        .unwrap_or(request.timeout);
+    let timeout = request.timeout.min(longest);
     let spent = now.saturating_duration_since(request.read_at) + margin;
     Ok(Arrival {
         id,
@@ -54,9 +54,11 @@
         tenant: TenantId(tenant),
         group: GroupId(request.group),
         session: request.session.map(SessionKey),
-        time_left: wait.saturating_sub(spent),
-        session_position: request.after.map(|at| SessionPosition::At(Time(at))),
-        is_client_retry: request.repeated,
+        time_left: timeout.saturating_sub(spent),
+        session_position: request
+            .min_commit_time
+            .map(|at| SessionPosition::At(Time(at))),
+        is_client_retry: request.is_client_retry,
         quota_status: QuotaStatus::WithinQuota,
         attempt_limit: None,
         shed_fraction: 0.0,
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -91,7 +91,7 @@
             .is_some_and(|open| open.streaming.is_some_and(|current| current.0 == attempt))
     }
 
-    /// The latest position that is believed, after what this exchange tells of the time.
+    /// The latest position that is believed, after what this exchange shows of the clock's error.
     fn latest_position(&mut self, completed: &CompletedExchange, now: Instant) -> Time {
         let unix = self.clock.unix(now);
         if let Some(evidence) = record::clock_evidence(completed, unix) {
@@ -100,9 +100,9 @@
         self.clock_evidence.latest(unix)
     }
 
-    /// Sets the position of a write that went through, if the server told none; whether it is such a write. Later reads
+    /// Sets the position of a write that went through, if the server sent none. Returns whether it is such a write. Later reads
     /// of its session have to see its commit: its position counts although it lies ahead of this process's clock, and
-    /// where none is told it may be as late as true time may be.
+    /// where none was sent, it may be as late as true time may be.
     fn set_commit_position(&self, completed: &mut CompletedExchange, now: Instant) -> bool {
         let is_commit = self.is_write(completed.class)
             && matches!(completed.outcome, ExchangeOutcome::Served(_));
@@ -113,7 +113,7 @@
         is_commit
     }
 
-    /// What a commit of just now counts as, if the server tells no position. None: the decision module's own time will
+    /// What a commit of just now counts as, if the server sends no position. None: the decision module's own time will
     /// do.
     fn commit_position(&self, now: Instant) -> Option<Time> {
         let unix = self.clock.unix(now);
@@ -121,7 +121,7 @@
         (!lead.is_zero()).then(|| unix.plus(lead))
     }
 
-    /// Passes what a server has told to both the monitor and the decision module.
+    /// Passes what a server has reported to both the monitor and the decision module.
     fn record_event(&mut self, event: Event, io: &mut IoEndpoints, now: Instant) {
         let position = match &event {
             Event::AttemptEnded(ended) => Some((
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// What an exchange tells of the error of this process's clock.
+/// What an exchange shows of the error of this process's clock.
 pub fn clock_evidence(completed: &CompletedExchange, now: Time) -> Option<Told> {
     let since = now.minus(completed.elapsed);
     let (position, primary, since) = match (completed.purpose, &completed.outcome) {
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -29,9 +29,9 @@
 /// A line for the log on how a request ended.
 pub fn describe(open: &OpenRequest, answer: &Answer, now: Instant) -> String {
     let took = now.saturating_duration_since(open.read_at).as_millis();
-    let (wait, attempts) = (open.wait.as_millis(), open.attempts());
+    let (timeout, attempts) = (open.timeout.as_millis(), open.attempts());
     format!(
-        "{} after {took} of {wait} ms, {attempts} attempts",
+        "{} after {took} of {timeout} ms, {attempts} attempts",
         answer.kind()
     )
 }
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -32,8 +32,8 @@
             return self.reject(slot, class, answer, io, now);
         }
         let unix = self.clock.unix(now);
-        if let Some(after) = request.after {
-            self.clock_evidence.written(Time(after), unix);
+        if let Some(committed_at) = request.min_commit_time {
+            self.clock_evidence.written(Time(committed_at), unix);
         }
         let routed = self
             .route_rules
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -40,7 +40,7 @@
     pub deadlines: Vec<Duration>,
     /// Subtracted from each client's time, for the ways of the request and of its answer.
     pub margin: Duration,
-    /// Longest time to retry after that a rejected client is told; none: it is not told any.
+    /// Longest time to retry after that a rejected client is given; none: it gets no time.
     pub max_retry_after: Option<Duration>,
     /// Ids of the platform's classes, in the file's order, which all else here goes by; empty: the file's order is that
     /// of the ids.
--- a/crates/leverproxy/src/protocol/postgres/statement.rs
+++ b/crates/leverproxy/src/protocol/postgres/statement.rs
@@ -87,9 +87,9 @@
         tenant,
         group: group.ok_or_else(|| missing("cluster"))?,
         session: quoted(&text[..start]).map(session),
-        wait,
-        after,
-        repeated,
+        timeout: wait,
+        min_commit_time: after,
+        is_client_retry: repeated,
         command: Command {
             before_wait: text.as_bytes()[..place.start].to_vec(),
             after_wait: text.as_bytes()[place.end..].to_vec(),
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -33,11 +33,11 @@
     /// The session whose writes it has to see.
     pub session: Option<u64>,
     /// How long the client waits, from its send.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// Unix time of the commit that a read must see.
-    pub after: Option<Duration>,
+    pub min_commit_time: Option<Duration>,
     /// The client has sent it before.
-    pub repeated: bool,
+    pub is_client_retry: bool,
     /// What is sent to servers.
     pub command: Command,
     /// The client's address.
@@ -160,7 +160,7 @@
     pub outcome: ExchangeOutcome,
     /// Time since it was sent.
     pub elapsed: Duration,
-    /// What the server told beside the answer: its position, load and role.
+    /// What the server reported beside the answer: its position, load and role.
     pub metadata: ResponseMetadata,
 }
 
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -259,11 +259,15 @@
         panic!("{text}")
     };
     assert_eq!(
-        (request.class.as_str(), request.group, request.repeated),
+        (
+            request.class.as_str(),
+            request.group,
+            request.is_client_retry
+        ),
         ("book", 2, true)
     );
     assert_eq!(
-        (request.wait, request.after),
+        (request.timeout, request.min_commit_time),
         (
             Duration::from_millis(480),
             Some(Duration::from_millis(1500))
