--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on the second address of a real proxy between scripted peers.
+//! Calls on the admin API of a real proxy, between scripted clients and record servers.
 
 mod common;
 use common::{call, get, post, read, served, Listener, Peer, Stage};
@@ -10,14 +10,14 @@
 fn stage(servers: &[(&str, &Listener)]) -> (Stage, SocketAddr) {
     let stage = Stage::with(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        // A server that comes back takes its full part at once: no draw decides what these tests see.
+        // A server that is included again takes its full load at once: no random number decides what these tests see.
         config.platform.settings.initial_capacity_fraction = 1.0;
     });
     let admin = stage.admin.unwrap();
     (stage, admin)
 }
 
-fn figures(admin: SocketAddr) -> BTreeMap<String, u64> {
+fn metrics(admin: SocketAddr) -> BTreeMap<String, u64> {
     let (status, text) = get(admin, "/api/telemetry");
     assert_eq!(status, 200);
     let lines = text.lines().filter(|line| !line.starts_with('#'));
@@ -27,23 +27,23 @@
         .collect()
 }
 
-/// What the scripted peers did is what the figures tell, answer by answer.
+/// The metrics count exactly what the scripted clients and servers did, answer by answer.
 #[test]
-fn figures_are_what_peers_saw() {
+fn metrics_are_what_the_peers_saw() {
     let server = Listener::new();
     let (stage, admin) = stage(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
     let mut upstream = server.welcome();
     upstream.query();
-    let under_way = figures(admin);
+    let under_way = metrics(admin);
     assert_eq!(
         (under_way["lb_in_flight"], under_way["lb_attempts_total"]),
         (1, 1)
     );
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
-    // A write that may have run, and one that is nobody's class.
+    // A write that may have run, and a request of an unknown class.
     client.ask(&read(2, "book", 19000));
     upstream.report_primary();
     upstream.query();
@@ -51,10 +51,10 @@
     assert!(client.reply().code.is_some());
     client.ask(&read(3, "unheard-of", 19000));
     assert!(client.reply().code.is_some());
-    // A sound class, but the id of the request before.
+    // A known class, but the id of the request before.
     client.ask(&read(2, "any", 19000));
     assert!(client.reply().code.is_some());
-    let told = figures(admin);
+    let counted = metrics(admin);
     for (name, value) in [
         (r#"lb_requests_total{class="any",outcome="served"}"#, 1),
         (r#"lb_requests_total{class="any",outcome="refused"}"#, 0),
@@ -67,19 +67,20 @@
         ("lb_reloads_ok_total", 0),
         ("lb_reloads_failed_total", 0),
     ] {
-        assert_eq!(told[name], value, "{name}");
+        assert_eq!(counted[name], value, "{name}");
     }
 }
 
-/// Out by hand: nothing new goes there, whatever discovery says, until one call back.
+/// An operator excludes a server. It gets no new requests, whatever discovery says of it, until an operator includes it
+/// again.
 #[test]
-fn a_server_that_is_out_gets_nothing_until_it_is_called_back() {
+fn an_excluded_server_gets_no_requests_until_it_is_included() {
     let (first, second) = (Listener::new(), Listener::new());
     let (mut stage, admin) = stage(&[("s-1", &first), ("s-2", &second)]);
     assert_eq!(post(admin, "exclude", "s-9"), 404);
     assert_eq!(post(admin, "exclude", "s-1"), 200);
     assert_eq!(post(admin, "exclude", "s-1"), 200);
-    assert_eq!(figures(admin)["lb_record_servers_excluded"], 1);
+    assert_eq!(metrics(admin)["lb_record_servers_excluded"], 1);
     stage.watch.tell(42, &[first.listed("s-1", "Ready")]);
     let mut client = Peer::client(stage.address);
     drop(served(&mut client, &second, 1, "one"));
@@ -90,11 +91,12 @@
     assert!(second.try_accept().is_none());
 }
 
-/// As many callers as there are places hold half a call each; a whole one behind them is answered all the same.
+/// More callers than there are connections send half a call each and wait. A complete call behind them is answered: the
+/// oldest connections give way.
 #[test]
-fn callers_that_dawdle_keep_nobody_from_an_answer() {
+fn slow_callers_do_not_block_others() {
     let (_stage, admin) = stage(&[]);
-    let dawdlers: Vec<TcpStream> = (0..2 * MAX_CONNECTIONS)
+    let slow_callers: Vec<TcpStream> = (0..2 * MAX_CONNECTIONS)
         .map(|_| {
             let mut stream = TcpStream::connect(admin).unwrap();
             stream.write_all(b"GET /api/ready HT").unwrap();
@@ -102,8 +104,8 @@
         })
         .collect();
     assert_eq!(get(admin, "/api/ready"), (200, "ready\n".into()));
-    drop(dawdlers);
-    // One that ends its side behind a whole call still hears.
+    drop(slow_callers);
+    // A caller that ends its side behind a complete call still gets its answer.
     let mut stream = TcpStream::connect(admin).unwrap();
     stream
         .write_all(b"GET /api/ready HTTP/1.1\r\n\r\n")
@@ -115,9 +117,10 @@
     assert_eq!(get(admin, "/api/readyz").0, 404);
 }
 
-/// A call cut at every byte, its caller gone or waiting: nothing changes, and a whole one behind them all is answered.
+/// A call that excludes a server is cut at every byte, and its caller leaves or waits. None of these excludes the server. A
+/// complete call behind all of them does.
 #[test]
-fn a_call_cut_anywhere_changes_nothing() {
+fn an_incomplete_call_changes_nothing() {
     let server = Listener::new();
     let (_stage, admin) = stage(&[("s-1", &server)]);
     let body = r#"{"target":"s-1"}"#;
@@ -133,19 +136,20 @@
             waiting.push(stream);
         }
     }
-    assert_eq!(figures(admin)["lb_record_servers_excluded"], 0);
+    assert_eq!(metrics(admin)["lb_record_servers_excluded"], 0);
     assert_eq!(
         call(admin, &format!("{text}GET /api/ready HTTP/1.1\r\n\r\n")).0,
         400
     );
-    assert_eq!(figures(admin)["lb_record_servers_excluded"], 0);
+    assert_eq!(metrics(admin)["lb_record_servers_excluded"], 0);
     assert_eq!(post(admin, "exclude", "s-1"), 200);
-    assert_eq!(figures(admin)["lb_record_servers_excluded"], 1);
+    assert_eq!(metrics(admin)["lb_record_servers_excluded"], 1);
 }
 
-/// Refusals, errors, retries, a server lost, clients that leave: the figures against a ledger that the peers keep.
+/// Answers, errors, a connection that breaks and a client that leaves: over a whole run the metrics equal what the scripted
+/// peers counted.
 #[test]
-fn figures_over_a_run_equal_the_peers_ledger() {
+fn metrics_over_a_run_equal_what_the_peers_counted() {
     let server = Listener::new();
     let (stage, admin) = stage(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
@@ -177,7 +181,7 @@
             _ => failed += 1,
         }
     }
-    // One leaves while it is under way.
+    // A client leaves while its request is in flight.
     client.ask(&read(100, "any", 19000));
     let peer = upstream.get_or_insert_with(|| server.welcome());
     while peer.query() == "SHOW load" {
@@ -185,23 +189,24 @@
     }
     drop(client);
     common::until(admin, "lb_in_flight 0");
-    let told = figures(admin);
+    let counted = metrics(admin);
     assert_eq!((served, failed), (20, 40));
     assert_eq!(
-        told[r#"lb_requests_total{class="book",outcome="served"}"#],
+        counted[r#"lb_requests_total{class="book",outcome="served"}"#],
         served
     );
     assert_eq!(
-        told[r#"lb_requests_total{class="book",outcome="failed"}"#],
+        counted[r#"lb_requests_total{class="book",outcome="failed"}"#],
         failed
     );
     assert_eq!(
-        told[r#"lb_requests_total{class="book",outcome="refused"}"#],
+        counted[r#"lb_requests_total{class="book",outcome="refused"}"#],
         0
     );
-    assert_eq!(told["lb_attempts_total"], attempts + 1);
+    assert_eq!(counted["lb_attempts_total"], attempts + 1);
     assert_eq!(
-        told.iter()
+        counted
+            .iter()
             .filter(|(k, _)| k.contains("\"any\""))
             .map(|(_, v)| v)
             .sum::<u64>(),
--- a/crates/leverproxy/tests/answers.rs
+++ b/crates/leverproxy/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What record servers do while they answer: ends, resets and drains that cross an answer. Each order is forced by stopping
+//! Events of record servers that cross an answer: ends of connections, resets and drains. Each order is forced by stopping
 //! the program, so that one batch of events holds both.
 
 mod common;
@@ -8,15 +8,15 @@
 use rustix::process::Signal;
 use std::net::Shutdown;
 
-/// The end of a request whose outcome nobody knows.
-fn unknown() -> Reply {
+/// The answer to a request that may have run.
+fn unknown_outcome() -> Reply {
     Reply {
         code: Some("08007".into()),
         ..Reply::default()
     }
 }
 
-/// A program that knows of these servers, and a client of it.
+/// A program that knows these servers, and a client of it.
 fn started(servers: &[(&str, &Listener)]) -> (Program, Peer) {
     let mut program = Program::start("");
     let entries: Vec<String> = servers
@@ -28,12 +28,12 @@
     (program, client)
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 fn reset(peer: Peer) {
     sockopt::set_socket_linger(&peer.stream, Some(std::time::Duration::ZERO)).unwrap();
 }
 
-/// The connection that a request of this class comes on, the request read.
+/// Sends a request of this class. Returns the server's connection, with the request read.
 fn asked(client: &mut Peer, server: &Listener, class: &str) -> Peer {
     client.ask(&read(1, class, 19000));
     let mut upstream = server.welcome();
@@ -44,9 +44,9 @@
     upstream
 }
 
-/// Half of an answer and a reset come in one batch of events.
+/// Sends half of an answer and a reset, in one batch of events.
 fn break_off(program: &Program, mut upstream: Peer) {
-    // Whoever is welcomed now finds the program done with what came before.
+    // A client that is greeted now comes after all earlier events.
     Peer::client(program.address);
     program.pause();
     let whole = answer("whole", &[]);
@@ -56,6 +56,8 @@
     program.signal(Signal::CONT);
 }
 
+/// A server writes a complete answer and resets its connection; the proxy sees both at once. The answer is served, and the
+/// next request goes out on another connection.
 #[test]
 fn an_answer_with_a_reset_right_behind_it_is_served() {
     let server = Listener::new();
@@ -68,10 +70,11 @@
     reset(upstream);
     program.signal(Signal::CONT);
     assert_eq!(client.reply().value.as_deref(), Some("whole"));
-    // The connection is of no more use.
+    // The connection is not used again.
     served(&mut client, &server, 2, "next");
 }
 
+/// A server resets its connection in the middle of the answer to a read. A read may run twice, so it is retried.
 #[test]
 fn a_read_whose_answer_breaks_off_is_served_by_another_attempt() {
     let server = Listener::new();
@@ -84,20 +87,22 @@
     assert_eq!(client.reply().value.as_deref(), Some("again"));
 }
 
+/// A server resets its connection in the middle of the answer to a write. The write may have run, so it is not retried: the
+/// client gets an error that says so.
 #[test]
 fn a_write_whose_answer_breaks_off_fails() {
     let server = Listener::new();
     let (program, mut client) = started(&[("s-1", &server)]);
     let upstream = asked(&mut client, &server, "book");
     break_off(&program, upstream);
-    assert_eq!(client.reply(), unknown());
+    assert_eq!(client.reply(), unknown_outcome());
     assert!(server.try_accept().is_none());
 }
 
-/// A server that closes an idle connection while a request is on its way to it resets that connection. What may have run
-/// is repeated where its class allows that.
+/// A server closes an idle connection while a request is on its way to it, and so resets the connection. The request may
+/// have run: it is retried only if its class is idempotent.
 #[test]
-fn a_request_that_crosses_the_end_of_an_idle_connection_goes_by_its_effect() {
+fn a_request_that_crosses_the_end_of_an_idle_connection_is_retried_if_idempotent() {
     for (class, repeated) in [("any", true), ("book", false)] {
         let server = Listener::new();
         let (_program, mut client) = started(&[("s-1", &server)]);
@@ -114,13 +119,14 @@
             second.answer("two", &[]);
             assert_eq!(client.reply().value.as_deref(), Some("two"));
         } else {
-            assert_eq!(client.reply(), unknown());
+            assert_eq!(client.reply(), unknown_outcome());
             assert!(server.try_accept().is_none());
         }
     }
 }
 
-/// The end of an idle connection that comes in one batch with a request is found before the request is written.
+/// A request and the end of the idle connection that it would go out on come in one batch of events. The end is seen before
+/// the request is written, so a write goes out on another connection.
 #[test]
 fn a_write_in_one_batch_with_the_end_of_its_connection_goes_out_on_another() {
     let server = Listener::new();
@@ -141,9 +147,10 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// Whichever comes first, the answer is served and nothing new goes to the server that drains.
+/// A server's answer and discovery's notice that it drains come in one batch of events, in either order. The answer is served,
+/// and nothing new goes to that server.
 #[test]
-fn an_answer_and_the_notice_of_a_drain_in_one_batch_both_count() {
+fn an_answer_and_a_drain_in_one_batch_both_count() {
     for answer_first in [true, false] {
         let (leaving, staying) = (Listener::new(), Listener::new());
         let (mut program, mut client) = started(&[("s-1", &leaving)]);
@@ -171,9 +178,10 @@
     }
 }
 
-/// Sound messages without end are no answer: the client gets one in its time, and the connection ends.
+/// A server sends valid messages without end, and none of them is the answer. The client gets an error at its deadline, and
+/// the server's connection ends.
 #[test]
-fn an_answer_without_end_costs_no_more_than_its_request() {
+fn an_endless_answer_ends_at_the_deadline() {
     let server = Listener::new();
     let (program, mut client) = started(&[("s-1", &server)]);
     client.ask(&read(1, "any", 300));
@@ -190,6 +198,6 @@
     });
     assert!(client.reply().code.is_some());
     endless.join().unwrap();
-    // It goes on.
+    // The program goes on.
     Peer::client(program.address);
 }
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -1,4 +1,4 @@
-//! Stories with balancers in front: checks of every protocol, drains, and clients that balancers name.
+//! Balancers in front of the proxy: health checks of every protocol, drains, and PROXY protocol headers.
 
 mod common;
 use common::{read, Listener, Peer, Program, Stage, PATIENCE};
@@ -11,7 +11,7 @@
 use wire_health::agent::{self, Administrative, Operational};
 use wire_health::proxy;
 
-const FRONTS: &str = "health agent {\n protocol agent\n address 127.0.0.1:0\n}\nhealth web {\n address 127.0.0.1:0\n statuses drain-is-404\n}\n";
+const HEALTH_LISTENERS: &str = "health agent {\n protocol agent\n address 127.0.0.1:0\n}\nhealth web {\n address 127.0.0.1:0\n statuses drain-is-404\n}\n";
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
@@ -19,14 +19,14 @@
     stream
 }
 
-/// All that comes until the end.
+/// Everything that comes until the end of the connection.
 fn rest(mut stream: TcpStream) -> String {
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
 }
 
-fn agent_says(address: SocketAddr) -> String {
+fn agent_check(address: SocketAddr) -> String {
     rest(connect(address))
 }
 
@@ -47,7 +47,7 @@
         .unwrap()
 }
 
-/// Waits for what the proxy is going to tell.
+/// Waits until the proxy's state has changed.
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
@@ -59,11 +59,11 @@
 #[test]
 fn checks_of_each_protocol_are_answered() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], FRONTS);
+    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
     let [agent, web] = stage.health[..] else {
         panic!("{:?}", stage.health)
     };
-    assert_eq!(agent_says(agent), "ready up 100%\n");
+    assert_eq!(agent_check(agent), "ready up 100%\n");
     for (path, code) in [
         ("/livez", 200),
         ("/readyz", 200),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_agent_reads_a_text_where_it_is_told_to() {
+fn an_agent_check_reads_a_text_where_configured() {
     let stage = Stage::under(
         &[],
         "health a {\n protocol agent\n address 127.0.0.1:0\n expects-text yes\n}\n",
@@ -101,31 +101,32 @@
 }
 
 #[test]
-fn an_agent_tells_how_many_clients_fit_where_it_is_told_to() {
+fn an_agent_check_reports_the_client_limit_where_configured() {
     let stage = Stage::under(
         &[],
         "health a {\n protocol agent\n address 127.0.0.1:0\n maxconn yes\n}\nlimits {\n sockets 141\n}\n",
     );
     // 141 less 32, nine for this listener and ten for the reserve leave 90, of which clients get 60%.
     until("the limit is known", || {
-        agent_says(stage.health[0]) == "ready up 100% maxconn:54\n"
+        agent_check(stage.health[0]) == "ready up 100% maxconn:54\n"
     });
 }
 
-/// A group that takes requests and answers none shows within a second, and costs the others nothing.
+/// A group of servers takes requests and answers none. Within a second its own readiness check fails; the proxy stays ready
+/// for the other groups.
 #[test]
-fn a_hung_group_shows_and_the_others_stay() {
+fn a_hung_group_is_reported_and_others_stay_ready() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], FRONTS);
+    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
     let [agent, web] = stage.health[..] else {
         panic!()
     };
-    // Twenty requests that nobody answers.
+    // Twenty requests that are not answered.
     let mut clients: Vec<Peer> = (0..20).map(|_| Peer::client(stage.address)).collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.ask(&read(id, "any", 19_000));
     }
-    // Connections are welcomed, and silent from then on.
+    // The servers greet connections, and are silent from then on.
     let mut peers = Vec::new();
     until("the group is hung", || {
         while let Some(mut peer) = server.try_accept() {
@@ -135,7 +136,7 @@
         status(web, "/readyz/group/3") == 503
     });
     assert_eq!(status(web, "/readyz"), 200, "others are not drained for it");
-    let words = agent::read(&agent_says(agent));
+    let words = agent::read(&agent_check(agent));
     assert_eq!(
         (words.administrative, words.operational),
         (Some(Administrative::Ready), Some(Operational::Up))
@@ -144,9 +145,9 @@
 }
 
 #[test]
-fn a_proxy_that_cannot_hear_discovery_serves() {
+fn a_proxy_without_discovery_stays_ready() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], FRONTS);
+    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
     let Stage {
         watch,
         discovery,
@@ -157,12 +158,13 @@
     let again = discovery.accept();
     drop(again);
     assert_eq!(status(health[1], "/readyz"), 200);
-    assert_eq!(agent_says(health[0]), "ready up 100%\n");
+    assert_eq!(agent_check(health[0]), "ready up 100%\n");
 }
 
-/// Whoever is slow at a check, or opens one after the other, is bounded, and other checks and clients go on.
+/// Balancers open more connections for checks than there are, and send half a check on each. They are disconnected after
+/// their time, and other checks and clients are served meanwhile.
 #[test]
-fn slow_checks_are_put_out_and_starve_nobody() {
+fn slow_checks_are_disconnected_and_block_nobody() {
     let stage = Stage::under(
         &[],
         "health web {\n address 127.0.0.1:0\n connections 4\n patience 300ms\n}\nhealth agent {\n protocol agent\n address 127.0.0.1:0\n}\n",
@@ -171,14 +173,14 @@
     for stream in &mut slow {
         _ = stream.write_all(b"GET /rea");
     }
-    assert_eq!(agent_says(stage.health[1]), "ready up 100%\n");
+    assert_eq!(agent_check(stage.health[1]), "ready up 100%\n");
     Peer::client(stage.address);
-    // The slow ones are put out without a word, and a check that had to wait comes through.
+    // The slow ones are disconnected without an answer, and a check that had to wait is answered.
     assert_eq!(status(stage.health[0], "/livez"), 200);
     assert!(slow
         .into_iter()
         .all(|mut s| s.read(&mut [0; 16]).map_or(true, |n| n == 0)));
-    // Connections kept between checks give way to new ones.
+    // Idle connections between checks give way to new ones.
     let kept: Vec<TcpStream> = (0..4)
         .map(|_| {
             let mut stream = connect(stage.health[0]);
@@ -194,10 +196,11 @@
 #[test]
 fn five_hundred_checks_are_answered_while_a_client_is_served() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], FRONTS);
+    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
     let (agent, web) = (stage.health[0], stage.health[1]);
     let checks = std::thread::spawn(move || {
-        (0..250).all(|_| agent_says(agent).starts_with("ready up") && status(web, "/readyz") == 200)
+        (0..250)
+            .all(|_| agent_check(agent).starts_with("ready up") && status(web, "/readyz") == 200)
     });
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19_000));
@@ -211,7 +214,8 @@
     assert!(checks.join().unwrap());
 }
 
-/// Out of descriptors, with clients waiting at the door, checks are still answered.
+/// Clients have used up all descriptors, and more of them wait at the listener. Checks are still answered: their descriptors
+/// are reserved.
 #[test]
 fn checks_are_answered_when_no_descriptor_is_left() {
     let port = {
@@ -223,7 +227,7 @@
     let crowd: Vec<Peer> = (0..60).map(|_| Peer::connect(program.address)).collect();
     program.line("no descriptor left");
     for _ in 0..10 {
-        let line = agent_says(port);
+        let line = agent_check(port);
         assert!(line.starts_with("ready up"), "{line}");
     }
     drop(crowd);
@@ -243,14 +247,15 @@
     )
 }
 
-/// Drained, the proxy says so at once, listens until the balancers must have heard, and comes back when told.
+/// An operator drains the proxy. Checks fail at once, and the proxy listens until the balancers must have seen that. Undrain
+/// brings it back.
 #[test]
 fn an_operator_drains_and_undrains() {
     let socket = std::env::temp_dir().join(format!("leverproxy-{}-control", std::process::id()));
     let socket = socket.to_str().unwrap();
     let stage = Stage::under(
         &[],
-        &format!("{FRONTS}balancer b {{\n interval 100ms\n fall 2\n timeout 50ms\n}}\ncontrol {{\n socket {socket}\n}}\n"),
+        &format!("{HEALTH_LISTENERS}balancer b {{\n interval 100ms\n fall 2\n timeout 50ms\n}}\ncontrol {{\n socket {socket}\n}}\n"),
     );
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(
@@ -268,19 +273,19 @@
         done && text.contains("state draining\nweight 0\n"),
         "{text}"
     );
-    assert!(agent_says(stage.health[0]).starts_with("drain"));
+    assert!(agent_check(stage.health[0]).starts_with("drain"));
     assert_eq!(status(stage.health[1], "/readyz"), 404);
     assert_eq!(status(stage.health[1], "/livez"), 200);
     until("the listener closes", || {
         TcpStream::connect(stage.address).is_err()
     });
     assert!(say(socket, "status").1.starts_with("phase drained\n"));
-    // Who was there and owed nothing is let go.
+    // A client that is owed nothing is closed.
     assert!(client.ended());
     let (done, text) = say(socket, "undrain");
     assert!(done && text.starts_with("phase serving\n"), "{text}");
     assert_eq!(
-        agent::read(&agent_says(stage.health[0])).administrative,
+        agent::read(&agent_check(stage.health[0])).administrative,
         Some(Administrative::Ready)
     );
     Peer::client(stage.address);
@@ -288,9 +293,10 @@
     stage.control.stop();
 }
 
-/// A control socket that another proxy answers on is not taken from it; one that is left over is.
+/// A second proxy is started with the control socket of a running one. It does not start. A socket that a killed process has
+/// left behind is replaced.
 #[test]
-fn a_control_socket_is_one_proxys() {
+fn a_control_socket_belongs_to_one_proxy() {
     let path = std::env::temp_dir().join(format!("leverproxy-{}-single", std::process::id()));
     let text = format!("control {{\n socket {}\n}}\n", path.display());
     let mut first = Stage::under(&[], &text);
@@ -306,16 +312,17 @@
     drop(second);
 }
 
-/// Announced, the end waits for the balancers: they are told of it while clients still come and are served.
+/// The proxy is told to stop and announces its end first: checks fail, while new clients are still served until the
+/// balancers have seen that.
 #[test]
-fn an_announced_end_serves_until_the_balancers_have_heard() {
+fn an_announced_end_serves_until_the_balancers_have_seen_it() {
     let mut stage = Stage::under(
         &[],
-        &format!("{FRONTS}balancer b {{\n interval 200ms\n fall 2\n timeout 100ms\n}}\ndrain {{\n announce-end yes\n}}\n"),
+        &format!("{HEALTH_LISTENERS}balancer b {{\n interval 200ms\n fall 2\n timeout 100ms\n}}\ndrain {{\n announce-end yes\n}}\n"),
     );
     stage.control.stop();
     until("the agent says drain", || {
-        agent_says(stage.health[0]).starts_with("drain")
+        agent_check(stage.health[0]).starts_with("drain")
     });
     let mut late = Peer::client(stage.address);
     late.ask(" ; ");
@@ -324,9 +331,10 @@
     assert!(late.ended());
 }
 
-/// What balancers do to see whether a PostgreSQL server is there is no fault of a client's, and takes no place.
+/// Balancers check a PostgreSQL server by connecting, asking for encryption, or a startup message without a request. These
+/// do not count as clients, and are not logged as malformed.
 #[test]
-fn postgres_checks_are_no_clients() {
+fn postgresql_checks_are_not_clients() {
     let mut stage = Program::under("", "balancer b {\n network 127.0.0.0/8\n}\n");
     drop(connect(stage.address));
     let code = |number: u32| [8_u32.to_be_bytes(), number.to_be_bytes()].concat();
@@ -342,7 +350,7 @@
             .unwrap();
         assert!(stream.read(&mut [0; 512]).unwrap() > 0);
     }
-    // CancelRequest: closed without a word.
+    // CancelRequest: closed without an answer.
     let mut stream = connect(stage.address);
     stream
         .write_all(
@@ -356,7 +364,7 @@
         .unwrap();
     assert_eq!(stream.read(&mut [0; 16]).unwrap(), 0);
     drop(stream);
-    // Nobody was put out, and the log says nothing of any of them.
+    // No client was rejected, and the log has no line about any of them.
     stage.signal(Signal::TERM);
     let log = stage.rest();
     assert!(
@@ -366,8 +374,9 @@
     assert!(!log.iter().any(|line| line.contains("front:")), "{log:?}");
 }
 
+/// The proxy is at its limit of clients. A check from a balancer's network is accepted all the same.
 #[test]
-fn a_check_comes_in_where_clients_are_too_many() {
+fn a_check_is_accepted_at_the_limit_of_clients() {
     let server = Listener::new();
     // One client holds the only place, with a request out.
     let stage = Stage::set_limits(
@@ -384,13 +393,14 @@
         check
             .write_all(&server::startup_packet("check", "check"))
             .unwrap();
-        assert!(check.read(&mut [0; 512]).unwrap() > 0, "welcomed");
+        assert!(check.read(&mut [0; 512]).unwrap() > 0, "greeted");
     }
     upstream.answer("x", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("x"));
 }
 
-/// Limits and routes see who the balancer names; a header is wanted where it is said to come, and only there.
+/// Routes go by the client's address that the balancer states in a PROXY protocol header. The header is required from the
+/// configured networks, and only there.
 #[test]
 fn a_proxy_header_names_the_client() {
     let operators = "listener l {\n address 127.0.0.1:0\n proxy-from 127.0.0.0/8\n}\nroute far {\n network 192.0.2.0/24\n refuse 1234ms\n}\nroute rest {\n refuse 1678ms\n}\n";
@@ -432,9 +442,9 @@
     assert!(peer.reply().code.is_some());
 }
 
-/// Checks go on being answered in the middle of a reload, by the state as it is.
+/// A large configuration is reloaded. Checks are answered meanwhile, by the state as it is.
 #[test]
-fn checks_during_a_reload() {
+fn checks_are_answered_during_a_reload() {
     let port = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -451,15 +461,16 @@
     }
     program.steer(&routes);
     for _ in 0..50 {
-        assert_eq!(agent_says(port), "ready up 100%\n");
+        assert_eq!(agent_check(port), "ready up 100%\n");
     }
     program.line("the configuration is reread");
-    assert_eq!(agent_says(port), "ready up 100%\n");
+    assert_eq!(agent_check(port), "ready up 100%\n");
     program.signal(Signal::TERM);
     until("it ends", || program.child.try_wait().unwrap().is_some());
 }
 
-/// Built with it, the program answers HTTP/2 on that listener; without it, it says so and does not start.
+/// Built with the feature `grpc`, the program answers HTTP/2 on that listener. Without it, it reports that and does not
+/// start.
 #[test]
 fn grpc_checks_are_answered_by_a_program_that_is_built_for_them() {
     let operators = "health g {\n protocol grpc\n address 127.0.0.1:0\n}\n";
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -1,6 +1,6 @@
-//! Connections that end, from either side, while something is on its way: each order of two events that may cross.
+//! Connections that end, from either side, while bytes are under way: every order of two events that may cross.
 //!
-//! Where the program's own loop must not see an event before another has come, the program is stopped (SIGSTOP) in
+//! Where the program's event loop must not see one event before another has come, the program is stopped (SIGSTOP) in
 //! between: what comes meanwhile waits in its sockets, and the loop finds all of it at once.
 
 mod common;
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The program stands still from here on.
+/// Stops the program: it sees no event from here on.
 fn freeze(program: &Program) {
     program.signal(Signal::STOP);
     let (_, status) = waitpid(Some(Pid::from_child(&program.child)), WaitOptions::UNTRACED)
@@ -31,14 +31,14 @@
     program.signal(Signal::CONT);
 }
 
-/// A program that knows of one record server.
+/// A program that knows one record server.
 fn program(operators: &str, server: &Listener) -> Program {
     let mut program = Program::under("", operators);
     program.watch.tell(57, &[server.listed("s-1", "Ready")]);
     program
 }
 
-/// Told to stop, the program has heard of it, stands still, and its time for new connections passes.
+/// Stops the program after it has received SIGTERM, for longer than it goes on listening.
 fn freeze_past_the_linger(program: &mut Program) {
     program.signal(Signal::TERM);
     program.line("told to stop");
@@ -47,7 +47,8 @@
 
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Nothing is owed and no client is left, and one waits at the listener as it closes: it is taken and served.
+/// The proxy has been told to stop, no client is connected, and the time for new connections is over. One connection waits
+/// in the listener's queue. Closing the listener would reset it, so it is accepted and its request is served first.
 #[test]
 fn a_client_at_the_listener_as_it_closes_is_served() {
     let server = Listener::new();
@@ -58,7 +59,7 @@
     client.ask(&read(1, "any", 2000));
     thread::sleep(LINGER);
     thaw(&program);
-    assert_eq!(client.reply(), Reply::default(), "the welcome");
+    assert_eq!(client.reply(), Reply::default(), "the greeting");
     served_last(&mut client, &server, "late");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
@@ -71,7 +72,7 @@
     assert_eq!(client.reply().value.as_deref(), Some(value));
 }
 
-/// One that has waited at the listener since before the word to stop is served as well.
+/// A connection has waited in the listener's queue since before the proxy was told to stop. It is accepted and served.
 #[test]
 fn a_client_at_the_listener_when_told_to_stop_is_served() {
     let server = Listener::new();
@@ -82,15 +83,16 @@
     client.ask(&read(1, "any", 2000));
     program.signal(Signal::TERM);
     thaw(&program);
-    assert_eq!(client.reply(), Reply::default(), "the welcome");
+    assert_eq!(client.reply(), Reply::default(), "the greeting");
     served_last(&mut client, &server, "early");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Many clients wait for the welcome before they ask: one that gets it as the proxy closes has time to do so.
+/// Many clients wait for the server's greeting before they send a request. A client that is greeted just as the proxy
+/// closes its listener has time to send that request, and is served.
 #[test]
-fn a_client_welcomed_as_the_listener_closes_may_still_ask() {
+fn a_client_greeted_as_the_listener_closes_may_still_send_its_request() {
     let server = Listener::new();
     let mut program = program("", &server);
     freeze_past_the_linger(&mut program);
@@ -98,16 +100,17 @@
     client.write(&startup_packet("app", "shop"));
     thread::sleep(LINGER);
     thaw(&program);
-    assert_eq!(client.reply(), Reply::default(), "the welcome");
+    assert_eq!(client.reply(), Reply::default(), "the greeting");
     client.ask(&read(1, "any", 2000));
     served_last(&mut client, &server, "first");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
 
-/// One that then asks for nothing is closed without a word, and holds the end up no longer.
+/// A client that is connected as the proxy stops sends no request. Its connection is closed after a short time, without an
+/// error, and the proxy ends.
 #[test]
-fn a_client_that_asks_for_nothing_does_not_hold_up_the_end() {
+fn a_client_that_sends_no_request_does_not_delay_the_end() {
     let mut stage = Stage::with(&[], |config| {
         (config.linger, config.give_up) = (Duration::ZERO, 9 * PATIENCE)
     });
@@ -118,9 +121,10 @@
     stage.end();
 }
 
-/// There has been no place for it: it is told so, and may ask elsewhere, as the listener closes.
+/// The proxy is at its limit of clients, and connections wait in the listener's queue as it stops. Closed with the listener,
+/// they would be reset. Each gets an error instead, with which a client knows that it can try another proxy.
 #[test]
-fn a_client_without_a_place_as_the_listener_closes_is_refused() {
+fn a_client_over_the_limit_as_the_listener_closes_gets_an_error() {
     let server = Listener::new();
     let mut stage = Stage::with(&[("s-1", &server)], |config| {
         (config.linger, config.give_up) = (Duration::ZERO, 3 * PATIENCE);
@@ -146,9 +150,9 @@
     stage.end();
 }
 
-/// Called back from a drain while something else has its address: it listens as soon as it can.
+/// A drain is cancelled while another process has taken the proxy's address. The proxy retries until it can listen.
 #[test]
-fn a_listener_that_can_not_be_had_again_is_tried_for() {
+fn listening_again_is_retried_until_the_address_is_free() {
     let place = Scratch::new("");
     std::fs::remove_file(&place.0).unwrap();
     let stage = Stage::with(&[], |config| config.control = Some(place.0.clone()));
@@ -171,33 +175,36 @@
     Peer::client(stage.address);
 }
 
-/// Pools look at a connection when they use it next. One that has rested for longer than it takes to read an answer does
-/// not hold up the end, although its client never says that it has seen it.
+/// A client's connection pool looks at a connection only when it uses it next, so an idle client may never read that the
+/// proxy closes. One that has been idle for longer than it takes to read an answer does not delay the end.
 #[test]
-fn a_client_that_does_not_look_does_not_hold_up_the_end() {
-    const GOODBYE: Duration = Duration::from_secs(2);
+fn an_idle_client_that_never_reads_does_not_delay_the_end() {
+    const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_timeouts.linger = GOODBYE);
-    let resting = resting(&stage, &server);
-    thread::sleep(GOODBYE);
-    let told = Instant::now();
+    let mut stage = stage(&server, |config| {
+        config.client_timeouts.linger = LINGER_TIMEOUT
+    });
+    let idle = idle_client(&stage, &server);
+    thread::sleep(LINGER_TIMEOUT);
+    let stopped_at = Instant::now();
     stage.control.stop();
     stage.end();
-    assert!(told.elapsed() < GOODBYE);
-    drop(resting);
+    assert!(stopped_at.elapsed() < LINGER_TIMEOUT);
+    drop(idle);
 }
 
-/// With nobody there, the end comes with the listener's.
+/// Without clients the proxy ends as soon as its listener is closed.
 #[test]
-fn a_stop_with_nobody_there_ends_at_once() {
+fn a_stop_without_clients_ends_at_once() {
     let mut stage = stage(&Listener::new(), |_| {});
-    let told = Instant::now();
+    let stopped_at = Instant::now();
     stage.control.stop();
     stage.end();
-    assert!(told.elapsed() < PATIENCE);
+    assert!(stopped_at.elapsed() < PATIENCE);
 }
 
-/// An answer goes out on a connection that would close behind it, and the client's next request has come already.
+/// While the proxy drains, it writes the last answer that it owes on a connection. The client's next request has come
+/// already, but was not read yet. Closing behind the answer would lose it: it is read and answered first.
 #[test]
 fn a_request_behind_the_last_answer_is_served() {
     let server = Listener::new();
@@ -222,9 +229,10 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A resting client sends just as the proxy would close its connection, since there are many.
+/// There are many clients, and one has been idle for long. It sends a request just as the proxy is about to close its
+/// connection. The request is served.
 #[test]
-fn a_request_on_a_resting_connection_is_served_among_many() {
+fn a_request_on_an_idle_connection_is_served_among_many_clients() {
     let server = Listener::new();
     let program = program(
         "limits {\n sockets 64\n crowded 1%\n client-idle 2s\n}\n",
@@ -241,9 +249,10 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// A resting client sends just as a newcomer would get its place: the one that rests next gives way.
+/// The proxy is at its limit, and the client that has been idle the longest is to give way to a new one. It sends a request
+/// just then. It stays, and the one that has been idle the next longest gives way.
 #[test]
-fn a_request_on_a_resting_connection_keeps_its_place() {
+fn an_idle_client_that_sends_a_request_does_not_give_way() {
     let server = Listener::new();
     let program = program(
         "limits {\n sockets 64\n clients 10%\n crowded 90%\n packed 90%\n}\n",
@@ -268,14 +277,14 @@
     upstream.query();
     upstream.answer("four", &[]);
     assert_eq!(clients[0].reply().value.as_deref(), Some("four"));
-    assert_eq!(newcomer.reply(), Reply::default(), "the welcome");
+    assert_eq!(newcomer.reply(), Reply::default(), "the greeting");
     assert!(
         clients[1].ended(),
-        "the one that rested the longest but for the first"
+        "the one that was idle the longest but for the first"
     );
 }
 
-/// Out of time for its first request, which has come all the same before that was told.
+/// A client's time for its first request is over, but the request came before the proxy had seen that. It is served.
 #[test]
 fn a_first_request_at_the_last_moment_is_served() {
     let server = Listener::new();
@@ -288,7 +297,7 @@
     served_last(&mut client, &server, "in time");
 }
 
-/// A proxy whose listener closes as soon as it is told to stop, and that waits long for what is owed.
+/// A proxy that closes its listener as soon as it is told to stop, and waits long for open requests.
 fn stage(server: &Listener, adjust: impl FnOnce(&mut Config)) -> Stage {
     // Under three names: one that has just come into the list bears little at once.
     Stage::with(
@@ -300,25 +309,26 @@
     )
 }
 
-/// Tells it to stop, and waits until its listener is closed.
-fn stop(stage: &Stage, resting: &mut Peer) {
+/// Tells the proxy to stop, and waits until its listener is closed.
+fn stop(stage: &Stage, idle: &mut Peer) {
     stage.control.stop();
-    assert!(resting.ended());
+    assert!(idle.ended());
 }
 
-/// A client that rests: it has asked, and is closed with the listener.
-fn resting(stage: &Stage, server: &Listener) -> Peer {
+/// A client that is idle after one request. Its connection closes with the listener.
+fn idle_client(stage: &Stage, server: &Listener) -> Peer {
     let mut client = Peer::client(stage.address);
-    drop(served(&mut client, server, 99, "rests"));
+    drop(served(&mut client, server, 99, "idle"));
     client
 }
 
-/// Commands read before the listener closes are answered in their order, then the connection ends.
+/// A client has sent several commands before the listener closes. All are answered, in their order, then the connection
+/// ends.
 #[test]
-fn commands_in_a_row_are_answered_in_order_before_the_end() {
+fn pipelined_commands_are_answered_in_order_before_the_end() {
     let server = Listener::new();
     let mut stage = stage(&server, |_| {});
-    let mut resting = resting(&stage, &server);
+    let mut idle = idle_client(&stage, &server);
     let mut client = Peer::client(stage.address);
     for id in 1..4 {
         client.ask(&read(id, "any", 19000));
@@ -330,7 +340,7 @@
             (upstream.query(), upstream)
         })
         .collect();
-    stop(&stage, &mut resting);
+    stop(&stage, &mut idle);
     // The last is answered first.
     upstreams.sort_by(|a, b| b.0.cmp(&a.0));
     for (query, upstream) in &mut upstreams {
@@ -345,19 +355,20 @@
     stage.end();
 }
 
-/// Commands that wait for those before them are owed their answers as well.
+/// A client has sent more commands than the proxy reads at once, so some wait in the buffer as the listener closes. They are
+/// answered as well.
 #[test]
-fn commands_over_the_limit_of_a_connection_are_answered_before_the_end() {
+fn commands_over_the_pipelining_limit_are_answered_before_the_end() {
     let server = Listener::new();
     let mut stage = stage(&server, |config| config.client_timeouts.max_pipelined = 1);
-    let mut resting = resting(&stage, &server);
+    let mut idle = idle_client(&stage, &server);
     let mut client = Peer::client(stage.address);
     for id in 1..4 {
         client.ask(&read(id, "any", 19000));
     }
     let mut upstream = server.welcome();
     upstream.query();
-    stop(&stage, &mut resting);
+    stop(&stage, &mut idle);
     for value in ["one", "two", "three"] {
         upstream.answer(value, &[]);
         assert_eq!(client.reply().value.as_deref(), Some(value));
@@ -369,9 +380,9 @@
     stage.end();
 }
 
-/// Half of a request had come when the listener closed; the other half still comes.
+/// Half of a request had come when the listener closed. The other half comes later, and the request is served.
 #[test]
-fn a_request_half_read_at_the_stop_is_served() {
+fn a_request_that_is_half_read_at_the_stop_is_served() {
     let server = Listener::new();
     let mut stage = stage(&server, |config| {
         config.client_timeouts.first_request = PATIENCE
@@ -380,21 +391,22 @@
     let mut client = Peer::client(stage.address);
     // One that has asked before is not given time for a first request.
     drop(served(&mut client, &server, 1, "one"));
-    let mut resting = resting(&stage, &server);
+    let mut idle = idle_client(&stage, &server);
     let request = message(&read(2, "any", 19000));
     client.write(&request[..40]);
     // A welcome on another connection: what came before it has been read.
     drop(Peer::client(stage.address));
-    stop(&stage, &mut resting);
+    stop(&stage, &mut idle);
     client.write(&request[40..]);
     served_last(&mut client, &server, "whole");
     assert!(client.ended());
     stage.end();
 }
 
-/// A client that reads slowly gets all of its answers before the program ends, also what the system would not take yet.
+/// A client reads slowly, and its socket does not take all of its answers at once. The program ends only after it has
+/// written all of them.
 #[test]
-fn a_slow_reader_gets_its_whole_answer() {
+fn a_slow_reader_gets_all_of_its_answers() {
     // More than the sockets' buffers hold.
     const ANSWERS: u32 = 100;
     let value = "v".repeat(60 << 10);
@@ -432,29 +444,25 @@
     stage.end();
 }
 
-/// A request that crosses the end of its connection is not read, and not answered with a reset either, which could
-/// destroy the answer before it on its way: its client reads the end, and asks elsewhere.
+/// A client sends a request just as the proxy ends its connection. The request is not read, so the client knows that nothing
+/// of it ran. Nor is the connection reset, which could destroy the answer before it on its way.
 #[test]
-fn a_request_that_crosses_the_end_is_left_unread() {
+fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
     let server = Listener::new();
     let mut stage = stage(&server, |config| config.client_timeouts.linger = PATIENCE);
-    let mut resting = resting(&stage, &server);
-    stop(&stage, &mut resting);
-    resting.ask(&read(1, "any", 19000));
-    assert_eq!(
-        resting.stream.read(&mut [0; 1]).unwrap(),
-        0,
-        "still the end"
-    );
-    assert!(resting.stream.take_error().unwrap().is_none(), "no reset");
+    let mut idle = idle_client(&stage, &server);
+    stop(&stage, &mut idle);
+    idle.ask(&read(1, "any", 19000));
+    assert_eq!(idle.stream.read(&mut [0; 1]).unwrap(), 0, "still the end");
+    assert!(idle.stream.take_error().unwrap().is_none(), "no reset");
     assert!(server.try_accept().is_none(), "nothing is sent on");
-    drop(resting);
+    drop(idle);
     stage.end();
 }
 
-/// Told to stop, and then to reread its configuration: what is under way goes on as it was.
+/// The proxy is told to stop, and then to reload its configuration. The stop goes on with the settings that it began with.
 #[test]
-fn a_reload_behind_the_stop_changes_nothing_of_it() {
+fn a_reload_after_the_stop_does_not_change_the_stop() {
     let server = Listener::new();
     let mut program = program("", &server);
     let mut client = Peer::client(program.address);
@@ -475,9 +483,10 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A word to reread the configuration that comes before the first reading of it is over ends nothing.
+/// SIGHUP comes while the program reads its configuration for the first time. By default that signal ends a process, so the
+/// handlers have to be installed before.
 #[test]
-fn a_reload_in_the_middle_of_the_start_is_outlived() {
+fn a_reload_during_the_start_does_not_end_the_program() {
     let discovery = Listener::new();
     let place = Scratch::new("");
     std::fs::remove_file(&place.0).unwrap();
@@ -506,10 +515,10 @@
     assert!(child.wait().unwrap().success());
 }
 
-/// What clients send that makes no sense ends no more than their own connections. It is counted, and the log says it
-/// once a second at most.
+/// Clients send bytes that are no messages, and statements that are no requests. Only their own connections end. Each is
+/// counted, and the log has a line about them once a second at most.
 #[test]
-fn broken_bytes_are_counted_and_seldom_told() {
+fn malformed_input_is_counted_and_its_log_is_rate_limited() {
     const EACH: usize = 20;
     let server = Listener::new();
     let mut program = program("", &server);
--- a/crates/leverproxy/tests/departures.rs
+++ b/crates/leverproxy/tests/departures.rs
@@ -1,5 +1,5 @@
-//! A client that leaves or cancels: whatever else happens at the same moment, nothing of its request is begun after
-//! that.
+//! Clients that leave or cancel a request. Whatever else happens at the same moment, no attempt of that request begins
+//! afterwards.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 use std::net::Shutdown;
 
-/// A client and the key by which its requests can be cancelled.
+/// A client, and the key that cancels its requests.
 fn client_with_key(stage: &Stage) -> (Peer, CancelKey) {
     let mut peer = Peer::connect(stage.address);
     peer.write(&server::startup_packet("app", "shop"));
@@ -22,19 +22,19 @@
                     secret: number(4),
                 });
             }
-            (b'Z', _) => return (peer, key.expect("a key comes before the welcome ends")),
+            (b'Z', _) => return (peer, key.expect("a key comes before the greeting ends")),
             _ => {}
         }
     }
 }
 
-/// The next query on the connection is that of request `id`.
+/// Asserts that the next query on the connection is that of request `id`.
 fn next_is(upstream: &mut Peer, id: u32) {
     let query = upstream.query();
     assert!(query.contains(&format!("id={id:016x}")), "{query}");
 }
 
-/// Request `id` of this client is the next that reaches the record server, and is served.
+/// Asserts that request `id` of this client is the next that reaches the record server, and serves it.
 fn served_next(client: &mut Peer, upstream: &mut Peer, id: u32) {
     client.ask(&read(id, "any", 19000));
     next_is(upstream, id);
@@ -42,12 +42,13 @@
     assert_eq!(client.reply().value.as_deref(), Some("value"));
 }
 
-/// The other side of a dial that is accepted but not welcomed yet, with request 1 of `client` waiting for it.
+/// A server's connection that is accepted but not greeted yet, with request 1 of `client` waiting for it.
 fn dialled(server: &Listener, client: &mut Peer) -> Peer {
     client.ask(&read(1, "any", 19000));
     server.accept()
 }
 
+/// A client leaves while the connection for its request is being opened.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_the_dial() {
     let server = Listener::new();
@@ -59,6 +60,7 @@
     served_next(&mut Peer::client(stage.address), &mut upstream, 2);
 }
 
+/// A client cancels its request while the connection for it is being opened. Its session goes on.
 #[test]
 fn nothing_is_sent_for_a_request_that_was_cancelled_during_the_dial() {
     let server = Listener::new();
@@ -74,6 +76,7 @@
     served_next(&mut client, &mut upstream, 2);
 }
 
+/// A cancel request names a session, but not its secret. The request goes on.
 #[test]
 fn a_cancel_with_a_wrong_secret_changes_nothing() {
     let server = Listener::new();
@@ -92,7 +95,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("one"));
 }
 
-/// With one command of a connection taken at a time, the second stays unread in the socket.
+/// A client is at its pipelining limit, so its second command stays unread in the socket. It leaves, and that is noticed all
+/// the same: the second command is not sent.
 #[test]
 fn a_client_that_leaves_is_noticed_while_nothing_is_read_from_it() {
     let server = Listener::new();
@@ -109,9 +113,9 @@
     served_next(&mut Peer::client(stage.address), &mut upstream, 3);
 }
 
-/// A write waits until its group's primary is known; the client leaves meanwhile.
+/// A write is queued until its group's primary is known. The client leaves meanwhile.
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_its_request_was_held() {
+fn nothing_is_sent_for_a_client_that_left_while_its_request_was_queued() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
@@ -123,9 +127,9 @@
     served_next(&mut Peer::client(stage.address), &mut upstream, 2);
 }
 
-/// A query with a goodbye right behind it: both are read at once, and nothing is sent.
+/// A query and the message that ends the session come at once. Nothing is sent for the query.
 #[test]
-fn nothing_is_sent_for_a_query_whose_client_said_goodbye_behind_it() {
+fn nothing_is_sent_for_a_query_followed_by_terminate() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
@@ -141,8 +145,8 @@
     served_next(&mut Peer::client(stage.address), &mut upstream, 2);
 }
 
-/// The program is stopped while the answer that would release a held write and the end of its client come, in this order:
-/// one batch of events holds both.
+/// A write is queued until its group's primary is known. The answer that tells it and the end of the write's client come in one
+/// batch of events. The client's end is handled first, so the write is not sent.
 #[test]
 fn in_one_batch_of_events_the_client_that_left_comes_first() {
     let server = Listener::new();
@@ -152,7 +156,7 @@
     client.ask(&read(1, "book", 19000));
     let mut upstream = server.welcome();
     assert_eq!(upstream.query(), "SHOW load");
-    // Whoever is welcomed now finds the program done with what came before.
+    // A client that is greeted now comes after all earlier events.
     let mut next = Peer::client(program.address);
     program.pause();
     upstream.answer("x0=1.0,x1=1,backlog=0", &[]);
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -1,4 +1,4 @@
-//! Values too large to be kept, on their way through a real proxy, and through its front alone.
+//! Answers that are too large to be buffered, through a real proxy and through its clients' side alone.
 
 mod common;
 use common::{answer, read, Listener, Peer, Reply, Stage};
@@ -8,7 +8,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// A value whose bytes tell their places.
+/// A value whose bytes depend on their positions.
 fn value(bytes: usize) -> String {
     (0..bytes)
         .map(|at| char::from(b'a' + (at / 7 % 26) as u8))
@@ -23,8 +23,10 @@
     (client, upstream)
 }
 
+/// A server writes a large answer in chunks of odd sizes, cut at every byte through the head of its row. The client gets it
+/// unchanged, and the connection serves another request.
 #[test]
-fn four_mebibytes_pass_unchanged_in_pieces_cut_anywhere() {
+fn a_large_answer_passes_unchanged_in_chunks_cut_anywhere() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let (mut client, mut upstream) = asked(&server, &stage);
@@ -52,9 +54,10 @@
     assert_eq!(client.reply().value.as_deref(), Some("small"));
 }
 
-/// The first bytes are with the client before the last are written; a server that dies then is not made up for.
+/// The first bytes of a large answer have reached the client when the server dies. Another server could answer, but a second
+/// answer can't continue the first. The connection ends, by which the client knows that the row is incomplete.
 #[test]
-fn what_has_begun_is_never_tried_elsewhere() {
+fn an_answer_that_has_begun_is_not_retried_on_another_server() {
     let (server, other) = (Listener::new(), Listener::new());
     let stage = Stage::new(&[("s-1", &server)]);
     let (mut client, mut upstream) = asked(&server, &stage);
@@ -67,15 +70,15 @@
     drop(upstream);
     assert!(
         client.message().is_err(),
-        "the client can tell that the row is not whole"
+        "the client can tell that the row is incomplete"
     );
     assert!(server.left_alone(Duration::from_millis(50)) && other.try_accept().is_none());
 }
 
-/// A server that stands still midway, and does not die: the client is let go when its time is over, with a row that it
-/// can tell is not whole, and the server's connection ends with that.
+/// A server writes the start of a large answer, and then nothing more, without closing its connection. At the request's
+/// deadline both connections end, and the client can tell that the row is incomplete.
 #[test]
-fn a_server_that_stalls_midway_costs_no_more_than_the_request_s_time() {
+fn a_server_that_stalls_midway_holds_its_client_until_the_deadline() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
@@ -89,7 +92,7 @@
         "the row never ends, and neither does the wait for it"
     );
     assert!(upstream.ended());
-    // The proxy is as it was.
+    // The proxy serves on.
     drop(common::served(
         &mut Peer::client(stage.address),
         &server,
@@ -98,8 +101,9 @@
     ));
 }
 
+/// A client leaves while its large answer is under way. The server's connection ends, or the rest would be read for nobody.
 #[test]
-fn a_client_that_leaves_midway_ends_the_sending() {
+fn a_client_that_leaves_midway_ends_the_exchange() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let (mut client, mut upstream) = asked(&server, &stage);
@@ -109,7 +113,7 @@
     assert!(upstream.ended());
 }
 
-/// A large answer that is there before the one asked for first waits for it.
+/// A large answer to a client's second command is there before the answer to its first. It waits for that.
 #[test]
 fn large_answers_keep_the_order_of_commands() {
     let server = Listener::new();
@@ -131,9 +135,10 @@
     assert!(client.reply().value == Some(large));
 }
 
-/// Large values on their way to clients that read nothing keep no small request from its answer.
+/// Several clients read nothing of their large answers, so the servers' connections are held back. Small requests of other
+/// clients are answered all the same.
 #[test]
-fn small_requests_pass_beside_held_back_values() {
+fn small_requests_pass_beside_large_answers_that_are_held_back() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let bytes = std::sync::Arc::new(answer(&value(4 << 20), &[]));
@@ -161,9 +166,10 @@
     drop(held);
 }
 
-/// What is no row of its length costs its attempt only, while nothing of it has passed.
+/// A server sends a row whose length can't be true. Nothing of it has reached the client yet, so only the attempt fails, and
+/// the request is served by another one.
 #[test]
-fn a_length_beyond_all_values_is_a_lie() {
+fn a_row_with_an_impossible_length_fails_only_its_attempt() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let (mut client, mut upstream) = asked(&server, &stage);
@@ -175,7 +181,7 @@
     lie.extend([0, 1]);
     lie.extend((length - 10).to_be_bytes());
     upstream.write(&lie);
-    // It is asked how it fares before it gets the request again.
+    // It is probed before it gets the request again.
     let mut upstream = server.welcome();
     upstream.report_primary();
     upstream.query();
@@ -189,9 +195,10 @@
     );
 }
 
-/// Clients that read nothing hold their senders back, each by its window, all of them by the memory's share.
+/// Many clients read nothing of their large answers. Each holds back its server at its own window, and all of them together
+/// stay within their part of the memory. A client that begins to read gets more.
 #[test]
-fn slow_readers_hold_back_and_the_sum_is_bounded() {
+fn slow_readers_are_held_back_and_their_sum_is_bounded() {
     const CLIENTS: usize = 20;
     let stage = Stage::new(&[]);
     let (now, reactor) = (Instant::now(), Reactor::new().unwrap());
@@ -228,7 +235,7 @@
         })
         .collect();
     let mut ready = Vec::new();
-    let mut tickets: Vec<ResponseSlot> = Vec::new();
+    let mut slots: Vec<ResponseSlot> = Vec::new();
     let mut turn = |downstream: &mut Downstream, events: &mut Vec<Event>| {
         reactor
             .wait(Some(Instant::now() + Duration::from_millis(10)), &mut ready)
@@ -242,30 +249,30 @@
         }
         events.extend(std::iter::from_fn(|| downstream.next_event()));
     };
-    while tickets.len() < CLIENTS {
+    while slots.len() < CLIENTS {
         let mut events = Vec::new();
         turn(&mut downstream, &mut events);
-        tickets.extend(events.into_iter().filter_map(|e| match e {
-            Event::Request(ticket, _) => Some(ticket),
+        slots.extend(events.into_iter().filter_map(|e| match e {
+            Event::Request(slot, _) => Some(slot),
             _ => None,
         }));
     }
-    let piece = [b'x'; 4 << 10];
-    for &ticket in &tickets {
-        // Sockets take some megabytes; then it is held back.
+    let chunk = [b'x'; 4 << 10];
+    for &slot in &slots {
+        // Sockets take some megabytes, then the server is held back.
         let passed = (0..16 << 10)
-            .take_while(|_| downstream.send_chunk(ticket, &piece, now, &reactor))
+            .take_while(|_| downstream.send_chunk(slot, &chunk, now, &reactor))
             .count();
         assert!(passed < 16 << 10, "never held back");
     }
-    // One piece more than its window each, at most.
+    // One chunk more than its window each, at most.
     assert!(
-        downstream.unsent_bytes() <= limits.passing + CLIENTS * piece.len() * 2,
+        downstream.unsent_bytes() <= limits.passing + CLIENTS * chunk.len() * 2,
         "{} bytes wait",
         downstream.unsent_bytes()
     );
-    // The one that begins to read gets room.
-    let held = tickets[0];
+    // The one that begins to read gets more.
+    let held = slots[0];
     let reader = clients.remove(0);
     let mut events = Vec::new();
     let reading = std::thread::spawn(move || {
