--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_route_refuses_and_tells_when_to_come_back() {
+fn a_route_rejects_with_the_time_to_retry_after() {
     let server = Listener::new();
     let stage = Stage::under(
         &[("s-1", &server)],
@@ -60,9 +60,9 @@
     assert_eq!(second.reply().value.as_deref(), Some("three"));
 }
 
-/// A client that leaves gives its place back.
+/// A client leaves while its request counts against a pool. Its place in the pool is free again.
 #[test]
-fn a_place_in_a_pool_is_not_lost_with_its_client() {
+fn a_client_that_leaves_frees_its_place_in_the_pool() {
     let server = Listener::new();
     let stage = Stage::under(
         &[("s-1", &server)],
@@ -101,7 +101,7 @@
     assert_eq!(client.reply().code.as_deref(), Some("53300"));
 }
 
-/// The first connection to either, welcomed.
+/// The first connection to either server, greeted.
 fn first_of(one: &Listener, two: &Listener) -> Peer {
     loop {
         if let Some(mut peer) = one.try_accept().or_else(|| two.try_accept()) {
@@ -112,9 +112,9 @@
     }
 }
 
-/// A class that is safe to repeat, of which the operators say that it runs once, is not sent again.
+/// A class is idempotent, and the operators limit it to one attempt. It is not retried.
 #[test]
-fn a_class_that_runs_once_is_not_repeated() {
+fn a_class_with_one_attempt_is_not_retried() {
     let (one, two) = (Listener::new(), Listener::new());
     let stage = Stage::under(
         &[("s-1", &one), ("s-2", &two)],
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn tries_bound_the_attempts() {
+fn a_route_limits_the_attempts() {
     let (one, two) = (Listener::new(), Listener::new());
     let stage = Stage::under(
         &[("s-1", &one), ("s-2", &two)],
@@ -148,7 +148,7 @@
     assert!(one.try_accept().is_none() && two.try_accept().is_none());
 }
 
-/// SIGHUP takes over routes at once; a faulty or half-written file is reported by its lines and changes nothing.
+/// SIGHUP applies new routes at once. A faulty or half-written file is logged by its lines and changes nothing.
 #[test]
 fn a_reload_is_all_or_nothing() {
     let mut program = Program::under("", "");
@@ -180,7 +180,7 @@
     assert_eq!(refused(&mut client, 4).as_deref(), Some("1400"));
 }
 
-/// A stop in the middle of reloads is a stop, and a reload in the middle of a stop does not undo it.
+/// The proxy is told to stop in the middle of reloads: it stops. A reload in the middle of the stop does not undo that.
 #[test]
 fn reloads_and_stops_may_cross() {
     let mut program = Program::under("", "route all {\n refuse 1s\n}\n");
@@ -200,9 +200,9 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// What only a start can change is named.
+/// A reload changes settings that count only from the next start. The log names them.
 #[test]
-fn what_waits_for_a_start_is_named() {
+fn settings_that_need_a_restart_are_logged() {
     let mut program = Program::under("", "");
     program.steer("discovery {\n watch-silence 2s\n}\n");
     program.line("watch-silence: a change of it counts from the next start");
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Stories over loopback: a real proxy between scripted clients, record servers and discovery.
+//! A real proxy over loopback, between scripted clients, record servers and discovery.
 
 mod common;
 use common::{answer, read, Listener, Peer, Program, Reply, Stage, PATIENCE};
@@ -13,9 +13,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The statement and its id pass unchanged, `d` tells the rest of the time, the value comes as it was given.
+/// The statement and its id reach the server unchanged, `d` states the time that is left, and the client gets the server's
+/// value unchanged.
 #[test]
-fn a_read_is_served_as_a_record_server_gave_it() {
+fn a_read_is_answered_as_the_server_answered_it() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     // The first query comes right behind the startup.
@@ -57,7 +58,7 @@
     }
 }
 
-/// The largest values pass both ways, in as many pieces as the sockets take.
+/// The largest values pass in both directions unchanged, in as many parts as the sockets take.
 #[test]
 fn the_largest_values_pass_unchanged() {
     let server = Listener::new();
@@ -88,7 +89,7 @@
     assert!(client.reply().value == Some(value));
 }
 
-/// Answers on a connection come in the order of its commands, whatever order they were ready in.
+/// Answers on a connection come in the order of its commands, in whatever order servers gave them.
 #[test]
 fn pipelined_queries_are_answered_in_order() {
     let server = Listener::new();
@@ -105,7 +106,7 @@
 }
 
 /// A client's write that has reached the primary, on the connection that the probe before it opened.
-fn write_out(server: &Listener) -> (Stage, Peer, Peer) {
+fn write_in_flight(server: &Listener) -> (Stage, Peer, Peer) {
     let stage = Stage::new(&[("s-1", server)]);
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "book", 19000));
@@ -115,11 +116,11 @@
     (stage, client, upstream)
 }
 
-/// A write whose connection breaks after its last byte may have run: it fails, and is never sent again.
+/// A server's connection breaks after the last byte of a write. The write may have run: it fails, and is not sent again.
 #[test]
-fn a_write_that_may_have_run_is_not_sent_again() {
+fn a_write_that_may_have_run_is_not_retried() {
     let server = Listener::new();
-    let (_stage, mut client, upstream) = write_out(&server);
+    let (_stage, mut client, upstream) = write_in_flight(&server);
     drop(upstream);
     assert_eq!(
         client.reply(),
@@ -131,11 +132,11 @@
     assert!(server.left_alone(Duration::from_millis(100)));
 }
 
-/// A pooled connection that the server has closed is found out before anything is written to it.
+/// A server has closed a pooled connection. That is noticed before a write goes out on it.
 #[test]
 fn a_write_does_not_go_out_on_a_stale_connection() {
     let server = Listener::new();
-    let (_stage, mut client, mut upstream) = write_out(&server);
+    let (_stage, mut client, mut upstream) = write_in_flight(&server);
     upstream.answer("one", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     upstream.leave();
@@ -146,11 +147,12 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// An error to the startup proves that no request ran, whatever its code: a write may go out again.
+/// A server answers the startup message with an error, whatever its code. No request can have run on that connection, so
+/// even a write is retried.
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn a_rejected_connection_proves_that_nothing_ran() {
     let server = Listener::new();
-    let (_stage, mut client, mut upstream) = write_out(&server);
+    let (_stage, mut client, mut upstream) = write_in_flight(&server);
     upstream.answer("one", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     // The second write has to dial.
@@ -163,9 +165,9 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// Told that a server drains, the proxy calls off what still waits for a connection there.
+/// Discovery says that a server drains. Attempts that still wait for a connection to it are cancelled.
 #[test]
-fn a_drain_calls_off_what_is_not_written_yet() {
+fn a_drain_cancels_attempts_that_are_not_written_yet() {
     let (first, second) = (Listener::new(), Listener::new());
     let mut stage = Stage::new(&[("s-1", &first)]);
     let mut client = Peer::client(stage.address);
@@ -186,7 +188,8 @@
     assert!(dialled.ended(), "the dial is called off");
 }
 
-/// A watch that is cut off stays open and says nothing: it is replaced, and goes on where the list was.
+/// The watch on discovery is cut off in such a way that its connection stays open and silent. It is replaced, and the new
+/// watch continues from the same index.
 #[test]
 fn a_silent_watch_is_replaced() {
     let server = Listener::new();
@@ -206,9 +209,10 @@
     stage.discovery.accept().watch();
 }
 
-/// A list may come indented, over many lines; a watch that trickles it without end is replaced all the same.
+/// Discovery sends a list that is indented over many lines: it is applied. It sends one that comes byte by byte without end:
+/// the watch is replaced.
 #[test]
-fn an_indented_list_is_taken_and_a_trickle_is_not_waited_for() {
+fn an_indented_list_is_applied_and_an_endless_one_is_replaced() {
     let server = Listener::new();
     let mut stage = Stage::with(&[], |config| {
         config.watch_silence = Duration::from_millis(1_500)
@@ -237,9 +241,10 @@
     );
 }
 
-/// Where lists are pushed nobody orders a watch: it stands from the first moment, and again as soon as it has ended.
+/// Where discovery pushes lists, the watch is opened at the start without an order of the decision module, and again as soon
+/// as it has ended.
 #[test]
-fn a_pushed_list_is_watched_from_the_first_moment() {
+fn a_pushed_list_is_watched_from_the_start() {
     let server = Listener::new();
     let pushed = |config: &mut Config| config.platform.settings.endpoints_are_polled = false;
     let mut stage = Stage::with(&[], pushed);
@@ -258,12 +263,12 @@
     );
 }
 
-/// A spoilt answer is a failed attempt: the connection ends at once, not when time is out, even where half of an
-/// answer is all that comes; what may be repeated is, and a write is not.
+/// A server sends something that is no answer. The attempt fails and the connection ends at once, not at the time-out, even
+/// where only half of an answer comes. A read is retried, a write is not.
 #[test]
-fn a_spoilt_answer_reaches_nobody() {
+fn an_invalid_answer_reaches_no_client() {
     let server = Listener::new();
-    let (_stage, mut client, mut upstream) = write_out(&server);
+    let (_stage, mut client, mut upstream) = write_in_flight(&server);
     upstream.write(b"D\0\0\0\x0dnoise");
     assert!(upstream.ended());
     assert_eq!(client.reply().code.as_deref(), Some("08007"));
@@ -280,9 +285,10 @@
     assert_eq!(client.reply().value.as_deref(), Some("good"));
 }
 
-/// More than an answer came: the answer counts, and nothing else is asked on that connection.
+/// A server sends more than one answer. The first counts; the connection ends, so that the rest is never taken for the answer
+/// to another request.
 #[test]
-fn bytes_behind_an_answer_are_nobodys() {
+fn a_connection_with_bytes_behind_its_answer_is_not_used_again() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
@@ -296,9 +302,9 @@
     }
 }
 
-/// A server that takes a request and says nothing: the client is refused in time, and told when to come back.
+/// A server takes a request and sends nothing. The client is refused in time, with the time to retry after.
 #[test]
-fn a_silent_server_costs_no_deadline() {
+fn a_silent_server_does_not_hold_its_client_past_the_deadline() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let mut client = Peer::client(stage.address);
@@ -313,9 +319,9 @@
     assert!(upstream.ended(), "a time-out closes the connection");
 }
 
-/// Nothing that a client sends brings the proxy down, and each gets a clear error.
+/// Nothing that a client sends ends the proxy. Each malformed message or statement gets an error of its own.
 #[test]
-fn bad_input_is_answered_with_an_error() {
+fn malformed_input_is_answered_with_an_error() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     for startup in [
@@ -351,9 +357,10 @@
     assert!(client.ended());
 }
 
-/// Whoever never gets to a request, or to the end of one, hears so and is put out; an idle client is not.
+/// Clients that send no request, or only a part of one, get an error after their time and are disconnected. An idle client
+/// that has sent a request is not.
 #[test]
-fn who_asks_for_nothing_whole_is_turned_out() {
+fn clients_without_a_complete_request_are_rejected() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let mut usual = Peer::client(stage.address);
@@ -365,10 +372,10 @@
     let mut quiet = Peer::connect(stage.address);
     let mut slow = Peer::connect(stage.address);
     slow.write(&[0, 0, 0, 40, 0, 3]);
-    let mut welcomed = Peer::client(stage.address);
+    let mut greeted = Peer::client(stage.address);
     let mut half = Peer::client(stage.address);
     half.write(&[b'Q', 0, 0, 1, 0, b'S']);
-    for client in [&mut quiet, &mut slow, &mut welcomed, &mut half] {
+    for client in [&mut quiet, &mut slow, &mut greeted, &mut half] {
         assert_eq!(client.reply().code.as_deref(), Some("08P01"));
         assert!(client.ended());
     }
@@ -378,10 +385,10 @@
     assert_eq!(usual.reply().value.as_deref(), Some("two"));
 }
 
-/// Clients that ask once and stay do not use up the connections there are: among many they go, and those who ask
-/// again and again keep theirs. Where hardly any connection is left they go at once.
+/// Clients that send one request and stay would use up the connections. While there are many clients, they are closed first,
+/// and clients that send requests again and again stay. While hardly any connection is left, they are closed at once.
 #[test]
-fn who_asks_once_and_stays_goes_among_many() {
+fn clients_that_send_one_request_and_stay_are_closed_among_many() {
     let server = Listener::new();
     for (crowded, packed) in [(1, 100), (100, 1)] {
         let stage = Stage::with(&[("s-1", &server)], |config| {
@@ -409,9 +416,10 @@
     }
 }
 
-/// The word to a client that is still sending arrives: a close with bytes unread would reset it away.
+/// A client is rejected while it is still sending. Closed with bytes unread, its connection would be reset and the error lost
+/// on its way: the proxy reads and discards them first.
 #[test]
-fn an_error_reaches_who_is_still_sending() {
+fn an_error_reaches_a_client_that_is_still_sending() {
     let stage = Stage::new(&[]);
     let mut client = Peer::client(stage.address);
     client.write(&[&[b'Q', 3, 0x93, 0x87, 0][..], &[b'x'; 600_000]].concat());
@@ -420,9 +428,10 @@
     assert!(client.ended());
 }
 
-/// Commands that many begin and none ends are each within their limit; together they must be as well.
+/// Many clients begin large commands and end none. Each is within its limit; when all of them together are not, one is
+/// rejected.
 #[test]
-fn unfinished_commands_take_no_more_memory_than_there_is() {
+fn incomplete_commands_together_stay_within_the_memory() {
     let stage = Stage::with(&[], |config| config.limits.unfinished = 200_000);
     let begin = [&[b'Q', 0, 1, 0xfb, 0xd0][..], &[b'x'; 120_000]].concat();
     let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
@@ -436,9 +445,10 @@
     assert!(codes.iter().any(|code| code == "53200"), "{codes:?}");
 }
 
-/// Connections that say nothing fill the place, and go for one that asks; who has asked before keeps its own.
+/// Connections without a request fill all places. They give way to a new client, and a client that has sent requests before
+/// keeps its place.
 #[test]
-fn a_silent_crowd_keeps_nobody_out() {
+fn a_crowd_of_silent_clients_does_not_block_others() {
     let server = Listener::new();
     let stage = Stage::with(&[("s-1", &server)], |config| config.limits.clients = 8);
     let mut usual = Peer::client(stage.address);
@@ -457,9 +467,10 @@
     }
 }
 
-/// A request under the name of one that is open is no request: record servers would take the two for one.
+/// A client sends a request with the id of another client's open request. Servers would take the two for one, and give one
+/// client the answer of the other: the second request is rejected.
 #[test]
-fn the_id_of_an_open_request_is_nobody_elses() {
+fn a_request_with_the_id_of_another_is_rejected() {
     let server = Listener::new();
     let stage = Stage::new(&[("s-1", &server)]);
     let (mut first, mut second) = (Peer::client(stage.address), Peer::client(stage.address));
@@ -470,15 +481,15 @@
     assert_eq!(second.reply().code.as_deref(), Some("42601"));
     upstream.answer("one", &[]);
     assert_eq!(first.reply().value.as_deref(), Some("one"));
-    // Nor once it has been answered.
+    // Nor is it accepted once the first has been answered.
     second.ask(&read(1, "any", 19000));
     assert_eq!(second.reply().code.as_deref(), Some("42601"));
     assert!(server.try_accept().is_none(), "nothing more was sent");
 }
 
-/// Told to stop, the proxy takes what still comes, answers it, closes what is idle and ends.
+/// Told to stop, the proxy still accepts clients for a while, answers every request, closes idle clients and ends.
 #[test]
-fn a_stop_answers_what_was_taken() {
+fn a_stop_answers_the_requests_that_have_come() {
     let server = Listener::new();
     let mut stage = Stage::with(&[("s-1", &server)], |config| {
         (config.linger, config.give_up) = (Duration::from_secs(2), 3 * PATIENCE);
@@ -497,7 +508,7 @@
     );
     upstream.answer("busy", &[]);
     assert_eq!(busy.reply().value.as_deref(), Some("busy"));
-    // The late one may have waited for this connection or for another.
+    // The late request may have waited for this connection or for another.
     upstream.query();
     upstream.answer("late", &[]);
     assert_eq!(late.reply().value.as_deref(), Some("late"));
@@ -505,9 +516,10 @@
     stage.end();
 }
 
-/// The platform kills what does not end in time: whoever is still owed an answer then gets one before.
+/// The platform kills a process that does not end in time. Before that the proxy answers the requests that are still open. One
+/// that was never sent gets an answer that says so.
 #[test]
-fn a_stop_leaves_nobody_without_an_answer() {
+fn a_stop_answers_every_open_request_before_the_deadline() {
     let server = Listener::new();
     let mut stage = Stage::with(&[("s-1", &server)], |config| {
         config.give_up = Duration::from_secs(1)
@@ -516,7 +528,7 @@
     client.ask(&read(1, "any", 19000));
     let mut upstream = server.welcome();
     upstream.query();
-    // The primary is not known: this one is held.
+    // The primary is not known: this one is queued.
     let mut untried = Peer::client(stage.address);
     untried.ask(&read(2, "book", 19000));
     let _probed = server.welcome();
@@ -530,9 +542,9 @@
     stage.end();
 }
 
-/// A client that leaves is owed nothing, and its place is free for the next one at the limit.
+/// The proxy is at its limit of clients. A client leaves, and the next one gets its place. An idle client gives way as well.
 #[test]
-fn a_full_house_takes_the_next_client() {
+fn a_client_at_the_limit_is_accepted_once_another_leaves() {
     let server = Listener::new();
     let stage = Stage::with(&[("s-1", &server)], |config| config.limits.clients = 1);
     let mut first = Peer::client(stage.address);
@@ -545,15 +557,15 @@
     ));
     drop(first);
     assert_eq!(second.reply(), Reply::default());
-    // Between requests a connection gives way to one that waits.
+    // An idle connection gives way to one that waits.
     let _third = Peer::client(stage.address);
     assert!(second.ended());
 }
 
-/// More exchanges wait than dials may be under way, and each dial is turned away: every one gets its turn to
-/// be refused, or goes out in the end. None is left waiting for a dial that nobody makes.
+/// More exchanges wait than dials may be open, and the server rejects each dial. Every exchange ends, and none waits for a
+/// dial that nobody makes.
 #[test]
-fn those_over_the_cap_on_dials_are_dialled_for_later() {
+fn exchanges_over_the_dial_limit_are_dialled_for_later() {
     let server = Listener::new();
     let reactor = Reactor::new().unwrap();
     let now = Instant::now();
@@ -614,9 +626,9 @@
     assert_eq!(upstream.dials, exchanges);
 }
 
-/// The program itself: SIGUSR1 prints the counters while it serves, SIGTERM ends it with them.
+/// SIGUSR1 prints the counters while the program serves, SIGTERM ends it and prints them.
 #[test]
-fn the_program_heeds_signals() {
+fn the_program_handles_signals() {
     let mut program = Program::start("");
     for signal in [Signal::USR1, Signal::TERM] {
         program.signal(signal);
@@ -625,10 +637,10 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// SIGHUP moves the watch to where the file now says discovery is, whatever the environment said at the start.
-/// The former watch counts until the new one speaks; a faulty file changes nothing; requests and connections stay.
+/// SIGHUP moves the watch to the discovery address of the changed file. The former watch counts until the new one has sent
+/// something. A faulty file changes nothing. Requests and connections stay.
 #[test]
-fn a_reload_moves_the_watch_and_keeps_the_rest() {
+fn a_reload_moves_the_watch_and_keeps_requests() {
     let (server, elsewhere) = (Listener::new(), Listener::new());
     let mut program = Program::start("");
     program.watch.tell(57, &[server.listed("s-1", "Ready")]);
@@ -644,7 +656,7 @@
         watch.watch(),
         "GET /catalog/members?watch=1&after=57 HTTP/1.1"
     );
-    // Not gone yet: what it tells still counts.
+    // Still connected: what it sends still counts.
     let later = Listener::new();
     program.watch.tell(
         58,
@@ -670,9 +682,9 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Out of descriptors, the program leaves who comes in the backlog, and serves again once others have left.
+/// Out of descriptors, the program leaves new clients in the listener's queue. It serves again once others have left.
 #[test]
-fn running_out_of_descriptors_is_outlived() {
+fn the_program_recovers_from_running_out_of_descriptors() {
     let mut program = Program::start("ulimit -n 24;");
     let mut crowd: Vec<Peer> = (0..30).map(|_| Peer::connect(program.address)).collect();
     program.line("no descriptor left");
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -211,9 +211,9 @@
     }
 }
 
-/// A report that can't be read, or can't be true, is none, and its server is not taken for dead.
+/// A server sends a load report that can't be read or can't be true. It counts as empty, and the server is not taken to be down.
 #[test]
-fn an_absurd_report_is_none() {
+fn an_impossible_load_report_counts_as_empty() {
     let now = Time(Duration::from_secs(1_800_000_000));
     let probed = |text: &str| {
         let mut reader = AnswerReader::default();
@@ -298,10 +298,10 @@
     }
 }
 
-/// On a long day every name is new: what is kept of them must not grow.
+/// Every request has a new name. If names were kept for good, a process that runs for long would run out of memory.
 #[test]
-fn names_of_requests_are_forgotten() {
-    let (mut ledger, start) = (OpenRequests::new(0), Instant::now());
+fn names_of_ended_requests_expire() {
+    let (mut open_requests, start) = (OpenRequests::new(0), Instant::now());
     for no in 0..10_000 {
         let now = start + Duration::from_millis(10 * no);
         let text = format!("SELECT 1 /* id={no},c=any,d=480,cluster=2 */");
@@ -312,14 +312,14 @@
             client: Slots::default().insert(()),
             number: no,
         };
-        assert!(ledger.check_admission(&request).is_none());
-        ledger.admit(&arrival(no), ticket, ClassId(0), None, request);
-        assert!(ledger.close(RequestId(no), now).is_some());
+        assert!(open_requests.check_admission(&request).is_none());
+        open_requests.admit(&arrival(no), ticket, ClassId(0), None, request);
+        assert!(open_requests.close(RequestId(no), now).is_some());
     }
     assert!(
-        ledger.is_empty() && ledger.reserved_names() <= 500,
+        open_requests.is_empty() && open_requests.reserved_names() <= 500,
         "{} names are kept",
-        ledger.reserved_names()
+        open_requests.reserved_names()
     );
 }
 
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! One proxy in two processes: what an elder leaves to its heir, at every step of an upgrade.
+//! Hot restart: one proxy in two processes. What the old process hands over to the new one, at every step of an upgrade.
 
 mod common;
 use common::{get, message, post, read, served, until, Listener, Peer, Scratch, Stage};
@@ -19,8 +19,8 @@
     (stage, admin)
 }
 
-/// Whether one of them takes operators' words.
-fn hears(place: &Path) -> bool {
+/// Whether either process answers on the control socket.
+fn answers_operators(place: &Path) -> bool {
     let Ok(mut socket) = UnixStream::connect(place.with_extension("control")) else {
         return false;
     };
@@ -37,60 +37,63 @@
     scratch
 }
 
+/// The new process knows only what the old one hands over: endpoints, manual exclusions and the listener. An operator's change
+/// at either process reaches the other. The old one answers its open requests and ends; no client is lost in between.
 #[test]
-fn the_heir_serves_from_the_same_queue_and_the_elder_ends_what_it_has() {
+fn the_new_process_serves_from_the_same_queue_and_the_old_one_ends() {
     let (place, server) = (place(), Listener::new());
-    let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server), ("s-2", &server)]);
-    assert_eq!(post(elder_admin, "exclude", "s-2"), 200);
-    let mut old = Peer::client(elder.address);
-    old.ask(&read(1, "any", 19000));
-    let mut at_elder = server.welcome();
-    at_elder.query();
-    // The heir knows nothing by itself but what the elder leaves it.
-    let (heir, heir_admin) = stage(&place.0, &[]);
-    assert_eq!(heir.address, elder.address);
-    assert_eq!(get(heir_admin, "/api/ready").0, 200);
-    until(heir_admin, "lb_record_servers_known 2");
-    until(heir_admin, "lb_record_servers_excluded 1");
-    // What operators say to either holds for both.
-    assert_eq!(post(heir_admin, "include", "s-2"), 200);
-    until(elder_admin, "lb_record_servers_excluded 0");
-    assert_eq!(post(elder_admin, "exclude", "s-2"), 200);
-    until(heir_admin, "lb_record_servers_excluded 1");
-    // Between the heir's yes and the elder's end, and after it.
-    let mut between = Peer::client(elder.address);
-    elder.control.stop();
-    at_elder.answer("late", &[]);
-    assert_eq!(old.reply().value.as_deref(), Some("late"));
-    assert!(old.ended(), "nothing is owed on it");
-    elder.end();
+    let (mut old_process, old_admin) = stage(&place.0, &[("s-1", &server), ("s-2", &server)]);
+    assert_eq!(post(old_admin, "exclude", "s-2"), 200);
+    let mut client = Peer::client(old_process.address);
+    client.ask(&read(1, "any", 19000));
+    let mut at_old = server.welcome();
+    at_old.query();
+    // The new process knows only what the old one hands over.
+    let (new_process, new_admin) = stage(&place.0, &[]);
+    assert_eq!(new_process.address, old_process.address);
+    assert_eq!(get(new_admin, "/api/ready").0, 200);
+    until(new_admin, "lb_record_servers_known 2");
+    until(new_admin, "lb_record_servers_excluded 1");
+    // An operator's change at either process counts for both.
+    assert_eq!(post(new_admin, "include", "s-2"), 200);
+    until(old_admin, "lb_record_servers_excluded 0");
+    assert_eq!(post(old_admin, "exclude", "s-2"), 200);
+    until(new_admin, "lb_record_servers_excluded 1");
+    // One client connects between the new process's start and the old one's end, and one after that.
+    let mut between = Peer::client(old_process.address);
+    old_process.control.stop();
+    at_old.answer("late", &[]);
+    assert_eq!(client.reply().value.as_deref(), Some("late"));
+    assert!(client.ended(), "nothing is owed on it");
+    old_process.end();
     assert!(
-        hears(&place.0),
-        "the elder leaves the control socket to its heir"
+        answers_operators(&place.0),
+        "the old process leaves the control socket to the new one"
     );
-    let mut after = Peer::client(heir.address);
-    let mut at_heir = served(&mut after, &server, 2, "new");
+    let mut after = Peer::client(new_process.address);
+    let mut at_new = served(&mut after, &server, 2, "new");
     between.ask(&read(3, "any", 19000));
-    at_heir.query();
-    at_heir.answer("value", &[]);
+    at_new.query();
+    at_new.answer("value", &[]);
     assert_eq!(between.reply().value.as_deref(), Some("value"));
 }
 
-/// Half of a request has come to the elder when the heir takes over: the other half finds it there.
+/// Half of a request has come to the old process when the new one takes over. The old process reads the other half and answers
+/// the request.
 #[test]
-fn a_request_half_read_at_the_elder_is_served_by_it() {
+fn a_request_half_read_at_the_old_process_is_served_by_it() {
     let (place, server) = (place(), Listener::new());
-    let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
-    let mut client = Peer::client(elder.address);
+    let (mut old_process, old_admin) = stage(&place.0, &[("s-1", &server)]);
+    let mut client = Peer::client(old_process.address);
     drop(served(&mut client, &server, 1, "one"));
     let request = message(&read(2, "any", 19000));
     client.write(&request[..40]);
-    let (_heir, heir_admin) = stage(&place.0, &[]);
-    assert_eq!(post(heir_admin, "exclude", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 1");
-    assert_eq!(post(heir_admin, "include", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 0");
-    elder.control.stop();
+    let (_new, new_admin) = stage(&place.0, &[]);
+    assert_eq!(post(new_admin, "exclude", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 1");
+    assert_eq!(post(new_admin, "include", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 0");
+    old_process.control.stop();
     client.write(&request[40..]);
     let mut upstream = server.welcome();
     upstream.query();
@@ -98,64 +101,74 @@
     assert_eq!(client.reply().value.as_deref(), Some("whole"));
     assert!(client.ended());
     drop(client);
-    elder.end();
+    old_process.end();
 }
 
-/// An heir that listens elsewhere takes nobody off the elder's queue: the elder goes on accepting, up to its end.
+/// The new process listens at another address, so it accepts nobody from the old one's queue. The old process goes on
+/// accepting until it ends.
 #[test]
-fn an_heir_at_another_address_leaves_the_elder_accepting() {
+fn a_new_process_at_another_address_leaves_the_old_one_accepting() {
     let (place, server) = (place(), Listener::new());
-    let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
+    let (mut old_process, old_admin) = stage(&place.0, &[("s-1", &server)]);
     let elsewhere = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let heir = Stage::with(&[], |config| {
+    let new_process = Stage::with(&[], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
         config.takeover = Some(place.0.clone());
         config.listen = elsewhere;
     });
-    assert_eq!(heir.address, elsewhere);
-    // What it says next shows that the elder has heard that it serves.
-    assert_eq!(post(heir.admin.unwrap(), "exclude", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 1");
-    assert_eq!(post(heir.admin.unwrap(), "include", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 0");
-    let mut former = Peer::client(elder.address);
+    assert_eq!(new_process.address, elsewhere);
+    // The next message shows that the old process knows that this one serves.
+    assert_eq!(post(new_process.admin.unwrap(), "exclude", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 1");
+    assert_eq!(post(new_process.admin.unwrap(), "include", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 0");
+    let mut former = Peer::client(old_process.address);
     drop(served(&mut former, &server, 1, "former"));
-    drop(served(&mut Peer::client(heir.address), &server, 2, "new"));
-    elder.control.stop();
-    let mut late = Peer::client(elder.address);
+    drop(served(
+        &mut Peer::client(new_process.address),
+        &server,
+        2,
+        "new",
+    ));
+    old_process.control.stop();
+    let mut late = Peer::client(old_process.address);
     drop(served(&mut late, &server, 3, "late"));
     assert!(former.ended() && late.ended());
     drop((former, late));
-    elder.end();
+    old_process.end();
 }
 
+/// The new process takes over and dies. The old one serves on, gets the control socket back, and hands over to the next new
+/// process.
 #[test]
-fn an_heir_that_dies_leaves_the_elder_serving() {
+fn a_new_process_that_dies_leaves_the_old_one_serving() {
     let (place, server) = (place(), Listener::new());
-    let (elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
-    let (mut heir, _) = stage(&place.0, &[]);
-    heir.control.stop();
-    heir.end();
-    let mut client = Peer::client(elder.address);
+    let (old_process, old_admin) = stage(&place.0, &[("s-1", &server)]);
+    let (mut new_process, _) = stage(&place.0, &[]);
+    new_process.control.stop();
+    new_process.end();
+    let mut client = Peer::client(old_process.address);
     drop(served(&mut client, &server, 1, "value"));
-    // Its place among operators is the elder's again, as soon as that has heard.
+    // The control socket is the old process's again, as soon as it has noticed.
     let end = Instant::now() + Duration::from_secs(10);
-    while !hears(&place.0) {
-        assert!(Instant::now() < end, "nobody takes operators' words");
+    while !answers_operators(&place.0) {
+        assert!(Instant::now() < end, "no process answers operators");
         thread::yield_now();
     }
-    // The next one finds the elder as the first did.
-    assert_eq!(get(elder_admin, "/api/ready").0, 200);
+    // The next new process finds the old one as the first did.
+    assert_eq!(get(old_admin, "/api/ready").0, 200);
     let (second, admin) = stage(&place.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
-    assert_eq!(second.address, elder.address);
+    assert_eq!(second.address, old_process.address);
 }
 
+/// The old process sends something that is no handover. The new one starts without it, and is not ready before discovery has
+/// sent a list. A file in place of the old process's socket means that there is no old process.
 #[test]
-fn what_can_not_be_trusted_is_left_alone() {
+fn an_invalid_handover_is_ignored() {
     for message in [
         &b"{\"version\":1,\"listing\":"[..],
         b"{\"version\":99}\n",
@@ -167,14 +180,14 @@
             thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
         let (mut stage, admin) = stage(&place.0, &[]);
         spoilt.join().unwrap();
-        // Something was there before; what it knew has to come from discovery first.
+        // There was an old process: what it knew has to come from discovery first.
         assert_eq!(get(admin, "/api/ready").0, 503);
         stage.watch.tell(42, &[]);
         while get(admin, "/api/ready").0 != 200 {
             thread::yield_now();
         }
     }
-    // A file that is left over from nobody.
+    // A file that no process has left.
     let place = Scratch::new("not a socket");
     let (_stage, admin) = stage(&place.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
