--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -225,8 +225,8 @@
 /// discovery moves, the next process (a listener, four links, and one turned away), the fleet's socket, and files for a
 /// moment (the load, a configuration, a memory with its lock and its place).
 const SPARE_SOCKETS: usize = 32;
-/// Kept for balancers' connections to the clients' listener that ask for nothing.
-const BALANCERS: usize = crate::downstream::MAX_BALANCER_CONNECTIONS;
+/// Most connections of balancers that have sent no request, beside the limit of clients.
+pub const MAX_BALANCER_CONNECTIONS: usize = 16;
 /// Kept for checks beside their own number, and for the operators' socket.
 const HEALTH_RESERVE: usize = 10;
 const DEFAULT_SOCKETS: usize = 1_024;
@@ -677,7 +677,7 @@
     let checks: usize = model.health.iter().map(|h| h.connections + 1).sum();
     let checks = checks
         + if model.balancers.iter().any(|b| !b.networks.is_empty()) {
-            BALANCERS
+            MAX_BALANCER_CONNECTIONS
         } else {
             0
         };
--- a/crates/leverproxy/src/downstream/accept.rs
+++ b/crates/leverproxy/src/downstream/accept.rs
@@ -1,7 +1,8 @@
 //! Accepting, the limit of clients, and who gives way at the limit.
 
 use super::client::Client;
-use super::state::{Downstream, MAX_BALANCER_CONNECTIONS};
+use super::state::Downstream;
+use crate::config::MAX_BALANCER_CONNECTIONS;
 use crate::event_loop::connection::{self, Refusal, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Token};
 use crate::protocol::postgres::server;
--- a/crates/leverproxy/src/downstream/mod.rs
+++ b/crates/leverproxy/src/downstream/mod.rs
@@ -27,4 +27,4 @@
 mod write;
 
 pub use event::Event;
-pub use state::{Downstream, MAX_BALANCER_CONNECTIONS};
+pub use state::Downstream;
--- a/crates/leverproxy/src/downstream/state.rs
+++ b/crates/leverproxy/src/downstream/state.rs
@@ -14,9 +14,6 @@
 use std::os::fd::OwnedFd;
 use std::time::Instant;
 
-/// Most connections of balancers that have sent no request, beside the limit of clients.
-pub const MAX_BALANCER_CONNECTIONS: usize = 16;
-
 /// All clients. Every call that can have events leaves them for [`Downstream::next_event`].
 pub struct Downstream {
     pub(super) listener: Option<OwnedFd>,
