--- a/crates/leverproxy/src/config/limits.rs
+++ b/crates/leverproxy/src/config/limits.rs
@@ -9,7 +9,7 @@
 pub struct Limits {
     /// Connections of clients.
     pub clients: usize,
-    /// From this many client connections on, an idle one is closed after [`super::Patience::idle`].
+    /// From this many client connections on, an idle one is closed after [`super::ClientTimeouts::idle`].
     pub crowded: usize,
     /// From this many client connections on, an idle one is closed at once.
     pub packed: usize,
@@ -43,8 +43,8 @@
 /// while discovery moves, the next process (a listener, four links, and one rejected), the fleet's socket, and files for a
 /// moment (the load, a configuration, the state file with its lock and its folder).
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Descriptors kept for balancers that connect to the clients' listener and ask for nothing.
-const BALANCER_CONNECTIONS: usize = crate::downstream::CHECKS;
+/// Most connections of balancers that have sent no request, beside the limit of clients.
+pub const MAX_BALANCER_CONNECTIONS: usize = 16;
 /// Descriptors kept for the operators' socket and beside the health checks' own number.
 const HEALTH_RESERVE: usize = 10;
 const DEFAULT_SOCKETS: usize = 1_024;
@@ -112,13 +112,13 @@
     let listeners: usize = model.health.iter().map(|h| h.connections + 1).sum();
     let has_balancers = model.balancers.iter().any(|b| !b.networks.is_empty());
     let for_balancers = if has_balancers {
-        BALANCER_CONNECTIONS
+        MAX_BALANCER_CONNECTIONS
     } else {
         0
     };
     let for_checks = listeners + for_balancers;
     let for_admin = if has_admin {
-        crate::control::admin::CONNECTIONS + 1
+        crate::control::admin::MAX_CONNECTIONS + 1
     } else {
         0
     };
--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -3,7 +3,7 @@
 use super::key_file;
 use super::limits;
 use super::platform_file::{self, PlatformFile, RequiredKeys};
-use super::{operator_config, operators_file, Config, ConfigError, Patience};
+use super::{operator_config, operators_file, ClientTimeouts, Config, ConfigError};
 use crate::clock::Source;
 use crate::discovery::wire::{Listing, ListingError};
 use configuration::model::{Model, Origin};
@@ -121,7 +121,7 @@
         discovery: addresses.discovery,
         seed,
         limits,
-        patience: patience(&model),
+        client_timeouts: client_timeouts(&model),
         rules: operator_config::rules(&model, &platform),
         health: operator_config::health(&model),
         availability: operator_config::availability(&model),
@@ -332,14 +332,14 @@
     }
 }
 
-fn patience(model: &Model) -> Patience {
+fn client_timeouts(model: &Model) -> ClientTimeouts {
     let limits = &model.limits;
-    Patience {
-        first: limits.client_patience,
+    ClientTimeouts {
+        first_request: limits.client_patience,
         idle: limits.client_idle,
-        unread: limits.answer_unread,
-        goodbye: limits.goodbye,
-        pipeline: limits.pipeline,
-        unsent: limits.unsent,
+        unread_response: limits.answer_unread,
+        linger: limits.goodbye,
+        max_pipelined: limits.pipeline,
+        max_unsent_bytes: limits.unsent,
     }
 }
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -17,7 +17,7 @@
 
 pub use effective::effective;
 pub use error::ConfigError;
-pub use limits::Limits;
+pub use limits::{Limits, MAX_BALANCER_CONNECTIONS};
 pub use load::{from_env, parse, platform, reread};
 pub use platform_file::RequiredKeys;
 
@@ -51,7 +51,7 @@
     /// How descriptors and memory are divided.
     pub limits: Limits,
     /// What one client may use, in time and otherwise.
-    pub patience: Patience,
+    pub client_timeouts: ClientTimeouts,
     /// The operators' routes, classes and pools.
     pub rules: Rules,
     /// Where balancers' health checks are answered.
@@ -118,20 +118,21 @@
     }
 }
 
-/// What one client may use, in time and otherwise.
+/// Timeouts of a client's connection, and bounds on what one client may have open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
-    /// A connection has to come to its first valid request within this, and every command to its end.
-    pub first: Duration,
-    /// Once many clients are connected, an idle connection is closed after this; once most of their share is taken, at
-    /// once. Without it, clients that ask once and stay would leave no connection for those who come to ask.
+pub struct ClientTimeouts {
+    /// A connection has to send its first valid request within this, and every command completely.
+    pub first_request: Duration,
+    /// While there are many clients, a connection is kept between requests for this long; while most of the places are
+    /// taken, for no time. Stops clients that send one request and stay: they would take the places of those who come to
+    /// send requests.
     pub idle: Duration,
-    /// A client that reads nothing of its answers for this long is disconnected.
-    pub unread: Duration,
-    /// A client that has been told why its connection ends has this long to read it.
-    pub goodbye: Duration,
-    /// Unanswered commands of one connection; more wait in its socket.
-    pub pipeline: usize,
-    /// Unsent bytes of answers beyond which nothing more is read from a client.
-    pub unsent: usize,
+    /// A client that takes nothing of its answers for this long is disconnected.
+    pub unread_response: Duration,
+    /// A client that was told why its connection ends has this long to read it.
+    pub linger: Duration,
+    /// Most commands of one connection without an answer; further ones wait in its socket.
+    pub max_pipelined: usize,
+    /// Unsent bytes of answers from which on nothing more is read from a client.
+    pub max_unsent_bytes: usize,
 }
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -2,7 +2,7 @@
 //! tighter than the platform's.
 
 use crate::health::{Listen, Protocol};
-use crate::pipeline::route_rules::{Rules, Ruling};
+use crate::pipeline::route_rules::{RouteAction, Rules};
 use bulkheads::{Priority, Rate, Settings as Pool};
 use configuration::index::{Index, Names};
 use configuration::model::Model;
@@ -92,7 +92,7 @@
         let at = platform.names.classes.iter().position(|n| n == name)?;
         u16::try_from(at).ok().map(ClassId)
     };
-    let ruling = |outcome: &Outcome| Ruling {
+    let action = |outcome: &Outcome| RouteAction {
         pool: outcome.pool.as_ref().and_then(pool_at),
         as_class: outcome.as_class.as_ref().and_then(class_at),
         deadline: outcome.deadline,
@@ -101,10 +101,10 @@
             route::Priority::Normal => Priority::Normal,
             route::Priority::High => Priority::High,
         },
-        tries: outcome.tries,
-        refuse: outcome.refuse,
+        attempt_limit: outcome.tries,
+        reject: outcome.refuse,
     };
-    let caps = platform.names.classes.iter().map(|name| {
+    let class_limits = platform.names.classes.iter().map(|name| {
         let stated = model.classes.iter().find(|c| c.name == *name);
         (
             stated.and_then(|c| c.deadline),
@@ -112,10 +112,10 @@
         )
     });
     Rules {
-        places: Vec::new(),
+        class_ids: Vec::new(),
         index: Index::new(&model.routes, &model.windows, &names),
-        rulings: model.routes.iter().map(|r| ruling(&r.outcome)).collect(),
-        caps: caps.collect(),
+        actions: model.routes.iter().map(|r| action(&r.outcome)).collect(),
+        class_limits: class_limits.collect(),
         pools: model.pools.iter().map(pool).collect(),
         deadlines: platform
             .settings
--- a/crates/leverproxy/src/config/operators_file.rs
+++ b/crates/leverproxy/src/config/operators_file.rs
@@ -1,6 +1,6 @@
 //! The operators' file on disk: read with the files that it includes, and checked.
 
-use crate::request::shown;
+use crate::request::truncate_for_display;
 use configuration::diagnostic::{self, Diagnostic};
 use configuration::load::Loader;
 use configuration::platform::{self, Platform};
@@ -88,6 +88,6 @@
     format!(
         "{}; the line is `{}`",
         diagnostic::line(sources, diagnostic),
-        shown(directive)
+        truncate_for_display(directive)
     )
 }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -13,7 +13,9 @@
 use leverproxy::protocol::http::{Fault, Part, Reader};
 use leverproxy::protocol::postgres::client::AnswerReader;
 use leverproxy::protocol::postgres::statement::{self, Query};
-use leverproxy::request::{Command, Done, Purpose, Question, ResponseSlot, Verdict};
+use leverproxy::request::{
+    Command, CompletedExchange, ExchangeOutcome, Purpose, Question, ResponseSlot,
+};
 use platform_settings::Names;
 use routing::{
     Arrival, ClassId, EndpointState, EndpointUpdate, Event, GroupId, LoadReport, QuotaStatus,
@@ -167,7 +169,7 @@
         after_wait: vec![],
     }));
     let (verdict, metadata) = reader.verdict(&question);
-    assert!(matches!(verdict, Verdict::Served(bytes) if good.starts_with(&bytes)));
+    assert!(matches!(verdict, ExchangeOutcome::Served(bytes) if good.starts_with(&bytes)));
     assert_eq!(
         metadata,
         ResponseMetadata {
@@ -209,22 +211,22 @@
     }
 }
 
-/// A report that can't be read, or can't be true, is none, and its server is not taken for dead.
+/// A server sends a load report that can't be read or can't be true. It counts as empty, and the server is not taken to be down.
 #[test]
-fn an_absurd_report_is_none() {
+fn an_impossible_load_report_counts_as_empty() {
     let now = Time(Duration::from_secs(1_800_000_000));
     let probed = |text: &str| {
         let mut reader = AnswerReader::default();
         reader.take(&common::answer(text, &[])).unwrap();
         let (verdict, metadata) = reader.verdict(&Question::Load);
         let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
-        match record::book(
-            &Done {
+        match record::record(
+            &CompletedExchange {
                 purpose,
                 class: None,
                 group: None,
                 server,
-                verdict,
+                outcome: verdict,
                 elapsed,
                 metadata,
             },
@@ -257,11 +259,15 @@
         panic!("{text}")
     };
     assert_eq!(
-        (request.class.as_str(), request.group, request.repeated),
+        (
+            request.class.as_str(),
+            request.group,
+            request.is_client_retry
+        ),
         ("book", 2, true)
     );
     assert_eq!(
-        (request.wait, request.after),
+        (request.timeout, request.min_commit_time),
         (
             Duration::from_millis(480),
             Some(Duration::from_millis(1500))
@@ -292,10 +298,10 @@
     }
 }
 
-/// On a long day every name is new: what is kept of them must not grow.
+/// Every request has a new name. If names were kept for good, a process that runs for long would run out of memory.
 #[test]
-fn names_of_requests_are_forgotten() {
-    let (mut ledger, start) = (OpenRequests::new(0), Instant::now());
+fn names_of_ended_requests_expire() {
+    let (mut open_requests, start) = (OpenRequests::new(0), Instant::now());
     for no in 0..10_000 {
         let now = start + Duration::from_millis(10 * no);
         let text = format!("SELECT 1 /* id={no},c=any,d=480,cluster=2 */");
@@ -306,14 +312,14 @@
             client: Slots::default().insert(()),
             number: no,
         };
-        assert!(ledger.bars(&request).is_none());
-        ledger.admit(&arrival(no), ticket, ClassId(0), None, request);
-        assert!(ledger.close(RequestId(no), now).is_some());
+        assert!(open_requests.check_admission(&request).is_none());
+        open_requests.admit(&arrival(no), ticket, ClassId(0), None, request);
+        assert!(open_requests.close(RequestId(no), now).is_some());
     }
     assert!(
-        ledger.is_empty() && ledger.names() <= 500,
+        open_requests.is_empty() && open_requests.reserved_names() <= 500,
         "{} names are kept",
-        ledger.names()
+        open_requests.reserved_names()
     );
 }
 
