--- a/crates/leverproxy/src/pipeline/route.rs
+++ b/crates/leverproxy/src/pipeline/route.rs
@@ -36,7 +36,7 @@
 
     /// Listed members that get nothing at present.
     pub fn avoided(&self, now: Time) -> usize {
-        self.router.avoided(now)
+        self.router.unavailable_servers(now)
     }
 
     pub fn decide(&mut self, now: Time, event: Event) -> Vec<Action> {
--- a/crates/proxy-experiments/src/policy.rs
+++ b/crates/proxy-experiments/src/policy.rs
@@ -98,7 +98,7 @@
             Name::Module | Name::Planned => {
                 let member = Member::new(settings);
                 let module: Box<dyn Decider> = Box::new(Module(
-                    Router::tuned(settings.clone(), self.tuning, seed, now),
+                    Router::with_tuning(settings.clone(), self.tuning, seed, now),
                     member,
                 ));
                 match self.kind {
--- a/crates/proxy-experiments/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -398,7 +398,7 @@
     assert_eq!(found.into_inner(), 2);
     // Other constants are another run, another name is not.
     let mut other = cells[0].clone();
-    other.policy.tuning.room_late = 0.6;
+    other.policy.tuning.limit_high_latency = 0.6;
     assert_ne!(other.key(), cells[0].key());
     let mut named = cells[0].clone();
     named.scenario.name = "x".into();
--- /dev/null
+++ b/crates/routing/src/admission.rs
@@ -0,0 +1,154 @@
+//! Which new requests are admitted at all.
+//!
+//! A router admits the fraction of its requests that answers of late have shown the servers to bear. Guards against
+//! overload of which no single server and no concurrency limit is the cause: attempts of many routers, retried by their
+//! clients and executed in vain, keep every server full (flash crowds, mass restarts, too few primaries).
+//!
+//! **Inputs**: latency over objective of each answer, and the weight that a late one still earns.
+//! **Fractions**: one over all groups, one for each group (overload in one rejects no other's requests, but a router
+//! hears too seldom from each), and one for over-quota requests, which falls at the first late answers. A fraction rises
+//! by a step for an answer in time and falls by several for a late one. Without answers it decays towards 1.
+//! **Priority**: weight of an answer per second of work. Requests of less than the usual priority are shed first.
+//! **Quota**: borrowed requests take no place for which one within its quota is rejected; retries of over-quota requests
+//! wait until that fraction is 1. `Arrival::shed_fraction` draws with the fraction: the narrower of the two counts.
+//! **Cost**: when a fault that costs weight is over, requests are still shed while the estimate lasts.
+
+#[cfg(test)]
+mod tests;
+
+use crate::interface::*;
+use crate::random::unit_hash;
+use crate::state::{Admission, Request, Router};
+use crate::tuning::Tuning;
+
+/// Fractions of a group's requests to admit.
+struct AdmissionFractions {
+    /// By what all groups' answers show.
+    all_groups: f64,
+    /// By what this group's show.
+    group: f64,
+}
+
+impl Router {
+    /// Whether a new request is admitted.
+    pub(crate) fn admit(&mut self, id: RequestId) -> bool {
+        let priority = self.priority(id);
+        self.usual_priority += self.tuning.run_time_weight * (priority - self.usual_priority);
+        let Some(Request { arrival, .. }) = self.requests.get(&id) else {
+            return true;
+        };
+        let fraction = self.admission_fraction(arrival, priority);
+        let draw = unit_hash(self.hash_seed ^ id.0.rotate_left(32));
+        draw < fraction.min(1.0 - arrival.shed_fraction)
+    }
+
+    fn admission_fraction(&self, arrival: &Arrival, priority: f64) -> f64 {
+        match (arrival.quota_status, arrival.is_client_retry) {
+            (QuotaStatus::OverQuota, false) => self.over_quota_admission,
+            (QuotaStatus::OverQuota, true) => self.over_quota_admission.floor(),
+            (QuotaStatus::Borrowed, _) => self.admission_fractions(arrival.group).group.floor(),
+            (QuotaStatus::WithinQuota, _) => {
+                let fraction = self.admission_fractions(arrival.group).group;
+                fraction_for_priority(fraction, self.usual_priority, priority)
+            }
+        }
+    }
+
+    fn admission_fractions(&self, group: GroupId) -> AdmissionFractions {
+        let decay = self
+            .decay_since(self.admission.updated)
+            .powf(self.tuning.admission_decay);
+        let all_groups = 1.0 + decay * self.admission.offset;
+        let beyond_all = |admission: &Admission| {
+            self.decay_since(admission.updated).sqrt() * (1.0 + admission.offset - all_groups)
+        };
+        let group = self.groups.get(&group);
+        AdmissionFractions {
+            all_groups,
+            group: all_groups + group.map_or(0.0, |group| beyond_all(&group.admission)),
+        }
+    }
+
+    /// Adapts the fractions to an answer of a server of this group. `latency_ratio`: latency over objective.
+    pub(crate) fn learn_admission(
+        &mut self,
+        group: GroupId,
+        outcome: Outcome,
+        latency_ratio: f64,
+        late_weight_fraction: f64,
+    ) {
+        let tuning = self.tuning;
+        let earned = if latency_ratio < 1.0 {
+            1.0
+        } else {
+            late_weight_fraction
+        };
+        // A time-out may be its connection's fault: it weighs no more than an answer in time.
+        let step = if outcome == Outcome::TimedOut {
+            -1.0
+        } else {
+            admission_step(earned, self.admission_fall())
+        };
+        let fractions = self.admission_fractions(group);
+        let weight = 1.0 - self.decay_since(self.admission.updated);
+        self.over_quota_admission = adjusted_fraction(
+            self.over_quota_admission,
+            weight.min(0.5 / tuning.over_quota_admission_fall),
+            admission_step(earned, tuning.over_quota_admission_fall),
+            &tuning,
+        );
+        self.admission = Admission {
+            offset: adjusted_fraction(fractions.all_groups, weight, step, &tuning) - 1.0,
+            updated: self.now,
+        };
+        if let Some(group) = self.groups.get_mut(&group) {
+            group.admission = Admission {
+                offset: adjusted_fraction(fractions.group, 1.0, step, &tuning) - 1.0,
+                updated: self.now,
+            };
+        }
+    }
+
+    fn admission_fall(&self) -> f64 {
+        if self.is_large_fleet() {
+            self.tuning.admission_fall
+        } else {
+            self.tuning.admission_fall / 2.0
+        }
+    }
+
+    /// What an answer would earn now, per second of the class's work.
+    pub(crate) fn priority(&self, id: RequestId) -> f64 {
+        let Some(request) = self.requests.get(&id) else {
+            return 0.0;
+        };
+        let class = request.arrival.class;
+        let lateness = if self.now >= request.objective_deadline {
+            self.class(class).late_weight_fraction
+        } else {
+            1.0
+        };
+        let quota = self
+            .settings
+            .over_quota_weight_fraction
+            .powf(request.arrival.quota_status.over_quota_fraction());
+        let work = self.class_work[usize::from(class.0)].as_secs_f64();
+        self.class(class).priority_weight * lateness * quota / work
+    }
+}
+
+/// A fraction as it applies to a request of this priority: requests below the usual are shed first.
+fn fraction_for_priority(fraction: f64, usual_priority: f64, priority: f64) -> f64 {
+    fraction.powf((usual_priority / priority).powi(2))
+}
+
+/// 1 for an answer that earned all its weight, down to `-fall` for one that earned nothing.
+fn admission_step(earned: f64, fall: f64) -> f64 {
+    earned - fall * (1.0 - earned)
+}
+
+/// The fraction after a step in proportion to itself, inside its limits.
+fn adjusted_fraction(fraction: f64, weight: f64, step: f64, tuning: &Tuning) -> f64 {
+    (fraction + fraction * weight.min(tuning.run_time_weight) * step)
+        .clamp(tuning.admission_min, tuning.admission_max)
+}
--- /dev/null
+++ b/crates/routing/src/endpoints.rs
@@ -0,0 +1,182 @@
+//! What discovery says of the servers: list updates, drains, restarts, and when the list is polled.
+//!
+//! Inputs: [`EndpointUpdate`]s. A server that drains gets nothing from the moment that this router learns of it, well
+//! inside the grace (`Settings::drain_grace`). A removed one neither, unless the settings say that removal without a
+//! drain does not bind (`Settings::soft_removal`): then own attempts tell whether it still serves.
+//!
+//! **Polling.** After a failed poll the next one comes after a backoff that doubles up to [`discovery_schedule::RETRY`].
+//! The list is one service for all routers, which takes calls in turn and wastes those that waited too long. Routers
+//! that start together, or lose it together, would keep each other from it for good. So the calls of a large fleet are
+//! spread over `POLL_SPACING` for each router, as far as the time allows within which a call has to be made. After the
+//! first failure a call comes anywhere in that span, so that each router gets its place in it; from the second on it
+//! comes late in the span, which keeps the places and makes the fewest calls.
+
+use crate::interface::*;
+use crate::slow_start_budget::SliceBudget;
+use crate::state::{Router, Server, TimerKind};
+use crate::tuning::{POLL_BACKOFF_UNIT, POLL_PLACED_FRACTION, POLL_SPACING};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+impl Server {
+    /// Draining binds. Removal does too, unless it is soft.
+    fn set_state(&mut self, state: EndpointState, soft_removal: bool, now: Time) {
+        self.state = state;
+        match state {
+            EndpointState::Ready => self.draining_since = None,
+            EndpointState::Removed if soft_removal => {}
+            EndpointState::Draining | EndpointState::Removed => {
+                _ = self.draining_since.get_or_insert(now);
+            }
+        }
+    }
+
+    /// A new incarnation: what the former one did says nothing of it.
+    fn restart(&mut self, started: Time) {
+        self.started = started;
+        self.role = self.role.filter(|role| role.as_of > started);
+        self.ramp_confidence = 1.0;
+        self.latency_updated = Time::ZERO;
+        self.slow_start_spent = SliceBudget::default();
+        self.end_backoff();
+    }
+}
+
+impl Router {
+    pub(crate) fn on_endpoint_update(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
+        self.cached_since = None;
+        if matches!(update, EndpointUpdate::Cached(_)) && self.settings.endpoints_are_polled {
+            self.schedule_first_poll();
+            self.cached_since = Some(self.now);
+        }
+        match update {
+            EndpointUpdate::Failed => return self.on_poll_failure(),
+            EndpointUpdate::Changes(endpoints) => self.apply_endpoints(endpoints),
+            EndpointUpdate::Snapshot(endpoints) | EndpointUpdate::Cached(endpoints) => {
+                self.remove_unlisted(&endpoints);
+                self.apply_endpoints(endpoints);
+            }
+        }
+        self.drop_departed_servers();
+        self.rebuild_groups();
+        for id in self.queue.iter().map(|queued| queued.2).collect::<Vec<_>>() {
+            self.dispatch(id, actions);
+        }
+    }
+
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|e| e.server).collect();
+        let soft_removal = self.settings.soft_removal;
+        let unlisted = self
+            .servers
+            .iter_mut()
+            .filter(|(id, _)| !listed.contains(id));
+        for (_, server) in unlisted {
+            server.set_state(EndpointState::Removed, soft_removal, self.now);
+        }
+    }
+
+    fn apply_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.poll_failures = 0;
+        for endpoint in endpoints {
+            self.apply_endpoint(endpoint);
+        }
+    }
+
+    fn apply_endpoint(&mut self, endpoint: Endpoint) {
+        let server = self
+            .servers
+            .entry(endpoint.server)
+            .or_insert_with(|| Server {
+                started: endpoint.started,
+                run_time: vec![None; self.settings.classes.len()],
+                concurrency_limit: self.tuning.initial_concurrency_limit,
+                ramp_confidence: 1.0,
+                ..Server::default()
+            });
+        server.set_state(endpoint.state, self.settings.soft_removal, self.now);
+        if endpoint.started > server.started {
+            server.restart(endpoint.started);
+        }
+        server.listed_primary = endpoint.primary;
+        server.zone = endpoint.zone;
+        server.group = endpoint.group;
+    }
+
+    /// Forgets removed servers without attempts in flight. Where removal is soft, those that left without a drain stay.
+    fn drop_departed_servers(&mut self) {
+        let soft_removal = self.settings.soft_removal;
+        self.servers.retain(|_, server| {
+            soft_removal && !server.is_draining()
+                || server.state != EndpointState::Removed
+                || !server.in_flight.is_empty()
+        });
+    }
+
+    fn rebuild_groups(&mut self) {
+        for group in self.groups.values_mut() {
+            group.members.clear();
+        }
+        for (&id, server) in &self.servers {
+            if server.state != EndpointState::Removed || self.settings.soft_removal {
+                let group = self.groups.entry(server.group).or_default();
+                group.members.push(id);
+            }
+        }
+        for (id, group) in &mut self.groups {
+            let serving = group
+                .members
+                .iter()
+                .filter(|id| !self.servers[id].is_draining());
+            group.largest_size = group.largest_size.max(serving.count());
+            // In one order for all, routers that know little of the members would crowd the first.
+            subsetting::order(
+                self.settings.router_index,
+                id.0,
+                &mut group.members,
+                |server| server.0,
+            );
+        }
+    }
+
+    /// The cached list of the process before this one is too old to go by: what has left it since counts as known to this
+    /// router. Without an answer for as long as that takes, discovery can't be reached, and the list is all there is.
+    pub(crate) fn endpoints_are_outdated(&self) -> bool {
+        let outdated = discovery_schedule::CACHED..discovery_schedule::TOLD;
+        self.cached_since
+            .is_some_and(|since| outdated.contains(&self.now.since(since)))
+    }
+
+    fn schedule_first_poll(&mut self) {
+        let longest = discovery_schedule::first_call(self.settings.max_poll_interval);
+        self.schedule_poll(Duration::ZERO, self.poll_spread(longest));
+    }
+
+    fn on_poll_failure(&mut self) {
+        self.poll_failures += 1;
+        // Where the settings give less time for polling, that binds after a failure too.
+        let longest = discovery_schedule::RETRY.min(self.settings.max_poll_interval);
+        let backoff = (POLL_BACKOFF_UNIT * (1 << self.poll_failures.min(16))).min(longest);
+        let latest = backoff.max(self.poll_spread(longest));
+        let has_place = self.poll_failures > 1;
+        let earliest = if has_place {
+            latest.mul_f64(POLL_PLACED_FRACTION)
+        } else {
+            backoff / 2
+        };
+        self.schedule_poll(earliest, latest);
+    }
+
+    /// Over how long the fleet's polls are spread.
+    fn poll_spread(&self, longest: Duration) -> Duration {
+        let small_fleet = self.tuning.small_fleet_size as u32;
+        let others = self.settings.router_count.saturating_sub(small_fleet);
+        (POLL_SPACING * others).min(longest)
+    }
+
+    fn schedule_poll(&mut self, earliest: Duration, latest: Duration) {
+        let jitter = latest.saturating_sub(earliest).mul_f64(self.random_unit());
+        let due = self.now.plus(earliest + jitter);
+        self.timers.insert((due, TimerKind::PollEndpoints));
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,22 @@
 //! Decisions of a gateway that spreads reads over replicas: cost-to-fresh routing after DTR2.
 //!
-//! A [`Router`] is a pure state machine: it takes an [`Event`] and a clock reading and appends
-//! [`Action`]s. It opens no socket, reads no clock and shares nothing with other routers.
+//! A [`Router`] is a pure state machine: it takes an [`Event`] and a clock reading and appends [`Action`]s. It opens no
+//! socket, reads no clock, logs nothing and shares nothing with other routers.
+//!
+//! # What happens to a request
+//!
+//! 1. `expiry` takes it in: its deadlines, and the log position that its session needs (`freshness`).
+//! 2. `admission` sheds it if the servers have lately shown to bear less than all requests.
+//! 3. `selection` picks the member of its group with the least cost: this router's remaining work there, the wait until
+//!    the member has caught up, and the expected run time. Servers are passed over that `retry` (idempotency, windows,
+//!    attempts, drains), `slow_start`, `backoff` or `concurrency` exclude. Writes and strong reads need `primary`.
+//! 4. It is sent (`retry`), or queued (`expiry`) while positions or roles are probed (`probing`) or capacity is missing,
+//!    or rejected (`expiry`).
+//! 5. The end of an attempt updates the estimates (`outcomes` calls each rule's module) and gives queued requests of the
+//!    group another look.
+//!
+//! `endpoints` follows discovery's list and polls it; `router` holds the event loop; `state` the data; `tuning` every
+//! constant. `averages`, `random` and `slow_start_budget` hold arithmetic.
 //!
 //! ```
 //! use routing::*;
@@ -68,10 +83,29 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
 //! ```
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-mod decide;
+mod admission;
+mod averages;
+mod backoff;
+mod concurrency;
+mod endpoints;
+mod estimates;
+mod expiry;
+mod freshness;
 mod interface;
+mod outcomes;
+mod primary;
+mod probing;
+mod random;
+mod retry;
+mod router;
+mod selection;
 mod slow_start;
+mod slow_start_budget;
+mod state;
+mod tuning;
 
-pub use decide::{Router, Tuning};
 pub use interface::*;
+pub use state::Router;
+pub use tuning::Tuning;
--- /dev/null
+++ b/crates/routing/src/retry/tests.rs
@@ -0,0 +1,31 @@
+use super::*;
+
+const MS: Duration = Duration::from_millis(1);
+
+#[test]
+fn a_deduplication_window_ends_early_by_its_margin() {
+    let sent = Time::from_micros(1_000_000);
+    assert_eq!(window_end(sent, 600 * MS), sent.plus(580 * MS));
+    assert_eq!(window_end(sent, 10 * MS), sent, "shorter than the margin");
+}
+
+#[test]
+fn only_rejected_and_unsent_attempts_have_surely_not_run() {
+    for outcome in [
+        Outcome::Rejected,
+        Outcome::ConnectFailed,
+        Outcome::NotSent,
+        Outcome::Misdirected,
+    ] {
+        assert!(!may_have_run(outcome), "{outcome:?}");
+    }
+    for outcome in [
+        Outcome::Ok,
+        Outcome::Failed,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
+        assert!(may_have_run(outcome), "{outcome:?}");
+    }
+}
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,133 +1,173 @@
-//! How a starting server's share of the work is spread over time and over routers.
+//! Budget of servers that warm up.
 //!
-//! What all routers together send to a starting server in a short time is to stay below a bound, and they do not talk.
-//! An independent draw for each request keeps the mean only: what was held until the server was listed comes at once,
-//! heavy requests count no more than light ones, and the draws of many routers add up by chance.
+//! A server that has just started has a fraction of its capacity (`Settings::initial_capacity_fraction`, growing to all
+//! within `warm_up_duration`) and collapses if all routers together send it more than `overload_factor` times that for
+//! `overload_duration`. Routers do not talk to each other, so each keeps to its part of that bound in slices of time,
+//! by the arithmetic of `slow_start_budget`. Guards against many routers that each send just one request, and against
+//! all that was queued for a server at once.
 //!
-//! Here the time since the server's start, which all routers know from the list, is cut into slices. In each slice a
-//! router may send the server its part of the work that usually comes to that router in such a time, or that part of one
-//! request, if that is more. Parts of requests are rounded by a point between 0 and 1: a request may go while what was
-//! sent in the slice and that much of the request's own work stay within the quota. The points of all routers in one
-//! slice lie evenly (multiples of an irrational number, by the router's number), so that of many routers with a tenth of a
-//! request each a tenth send one. From slice to slice all points move by the same step, so that each router has its
-//! turns.
+//! **Inputs**: the work (seconds) that usually comes to this router for the group, the server's age and capacity, and
+//! ramp confidence: a factor of at least 1 that grows while the server answers about as fast as one so cold can.
+//! **Rule**: the budget is what the server bears even if its group is fully used. Reads are meant for as many members
+//! as the group ever had; one member bears all that needs the primary. A failed attempt there was the request's last
+//! one there, clients' retries never go to a replica that warms up, and a primary that does takes no reads that
+//! replicas could answer. What one member may not have another may: each has slices of its own.
 
-use crate::interface::Time;
+use crate::interface::*;
+use crate::slow_start_budget::Turn;
+use crate::state::{Request, Router, Server};
+use crate::tuning::{Tuning, MIN_SPAN};
 use std::time::Duration;
 
-/// Their multiples lie about evenly between 0 and 1 for any number of them, and evenly beside each other. Routers go by
-/// another sequence than `subsetting::order`, which puts the members in an order by the router's number too: else those
-/// whose turn it is would be the ones that meet other members first.
-const GOLDEN: f64 = 0.618_033_988_749_895;
-const ROOT_OF_TWO: f64 = std::f64::consts::SQRT_2 - 1.0;
-
-/// Work and requests that usually come to a router, as moving sums from when the first came.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct UsualWork {
-    work: f64,
-    requests: f64,
-    first: Option<Time>,
-    last: Time,
-}
-
-impl UsualWork {
-    pub(crate) fn add(&mut self, work: Duration, now: Time, memory: Duration) {
-        let left = fading(now.since(self.last), memory);
-        self.work = self.work * left + work.as_secs_f64();
-        self.requests = self.requests * left + 1.0;
-        self.first.get_or_insert(now);
-        self.last = now;
-    }
-
-    /// What came in the memory's time. What began less than `least` ago counts as spread over that long.
-    pub(crate) fn over(&self, now: Time, memory: Duration, least: Duration) -> Usual {
-        let Some(first) = self.first else {
-            return Usual::default();
+impl Router {
+    /// Counts a new request as work that usually comes. Clients' retries do not count for replicas, which get none.
+    pub(crate) fn record_usual_work(&mut self, id: RequestId) {
+        let Some(Request { arrival, .. }) = self.requests.get(&id) else {
+            return;
         };
-        let seen = memory.as_secs_f64() * (1.0 - fading(now.since(first).max(least), memory));
-        let left = fading(now.since(self.last), memory);
-        Usual {
-            per_second: self.work * left / seen,
-            mean: self.work / self.requests,
+        let work = self.class_work[usize::from(arrival.class.0)];
+        let memory = self.settings.warm_up_duration.max(MIN_SPAN);
+        let needs_primary = self.needs_primary(arrival.class);
+        if needs_primary || !arrival.is_client_retry {
+            let group = self.groups.entry(arrival.group).or_default();
+            group.usual_work[usize::from(needs_primary)].add(work, self.now, memory);
         }
     }
-}
-
-/// Seconds of work that usually come to a router in a second, and with one request.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Usual {
-    per_second: f64,
-    mean: f64,
-}
 
-impl Usual {
-    /// Whether less than so much work usually comes in a slice.
-    pub(crate) fn is_less(&self, slice: Duration, work: Duration) -> bool {
-        self.per_second * slice.as_secs_f64() < work.as_secs_f64()
+    /// Whether a server that warms up may get this request.
+    pub(crate) fn slow_start_allows(
+        &self,
+        request: &Request,
+        id: ServerId,
+        server: &Server,
+        is_primary: bool,
+    ) -> bool {
+        let retry_at_replica = !is_primary && request.arrival.is_client_retry;
+        let read_at_primary = is_primary && !self.needs_primary(request.arrival.class);
+        let repeated = request.attempted_servers.contains(&id);
+        if retry_at_replica || read_at_primary || repeated {
+            return false;
+        }
+        let work = self.class_work[usize::from(request.arrival.class.0)];
+        let slice = self.slow_start_slice();
+        let usual = self.groups[&server.group].usual_work[usize::from(is_primary)].over(
+            self.now,
+            self.settings.warm_up_duration.max(MIN_SPAN),
+            self.settings.overload_duration.max(MIN_SPAN),
+        );
+        let budget = self.slow_start_budget(server, is_primary);
+        let turn = self.slow_start_turn(id, server, self.now);
+        // A request that waits would get a turn in every slice, each with the budget of what comes in all of them.
+        let has_waited = self.slow_start_turn(id, server, request.arrived).slice != turn.slice;
+        if has_waited && usual.is_less(slice, work) {
+            return false;
+        }
+        let quota = budget * usual.quota(slice, work, self.tuning.slow_start_heavy_exponent);
+        server.slow_start_spent.allows(turn, quota, work)
     }
 
-    /// Seconds of work that a request of so much work may count on in a slice, if the server bore all of them: those
-    /// that usually come in such a time, or its own. Less for a heavy one, by this power of how much heavier than the
-    /// mean it is: a few of those at once are what goes far beyond the mean.
-    pub(crate) fn quota(&self, slice: Duration, work: Duration, care: f64) -> f64 {
-        let work = work.as_secs_f64();
-        let lightness = (self.mean / work).min(1.0).powf(care);
-        (self.per_second * slice.as_secs_f64()).max(work) * lightness
+    /// The fraction of the usual work for its role that a server may get while it warms up.
+    fn slow_start_budget(&self, server: &Server, is_primary: bool) -> f64 {
+        let confidence = self.ramp_confidence
+            + self.decay_since(server.latency_updated)
+                * (server.ramp_confidence - self.ramp_confidence);
+        let bound = server.capacity(&self.settings, self.now) * self.settings.overload_factor;
+        let borne = self.tuning.slow_start_margin * confidence * bound;
+        if is_primary {
+            borne
+        } else {
+            borne / self.groups[&server.group].largest_size as f64
+        }
     }
-}
 
-/// What is left of a memory after `age`.
-fn fading(age: Duration, memory: Duration) -> f64 {
-    (-age.div_duration_f64(memory)).exp()
-}
+    fn slow_start_slice(&self) -> Duration {
+        self.settings
+            .overload_duration
+            .mul_f64(self.tuning.slow_start_slice)
+            .max(MIN_SPAN)
+    }
 
-/// Where in a server's slow start a router stands, the same for all routers but for `number`.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Turn {
-    pub(crate) slice: u64,
-    /// From 0 to 1.
-    pub(crate) point: f64,
-}
+    fn slow_start_turn(&self, id: ServerId, server: &Server, at: Time) -> Turn {
+        let lower = self
+            .members(server.group)
+            .iter()
+            .filter(|&&member| member < id);
+        let place = lower.count() as f64 / self.groups[&server.group].largest_size as f64;
+        Turn::at(
+            at.since(server.started),
+            self.slow_start_slice(),
+            self.settings.router_index,
+            place,
+        )
+    }
 
-impl Turn {
-    /// `age`: time since the server started; `number`: the router's, from 0; `place`: the server's in its group, as a
-    /// part of all members, so that one router has its turns with the members of a group at different times.
-    pub(crate) fn at(age: Duration, slice: Duration, number: u32, place: f64) -> Turn {
-        let slice = age.div_duration_f64(slice) as u64;
-        let router = f64::from(number) * ROOT_OF_TWO;
-        Turn {
-            slice,
-            point: (router + place + (slice as f64 * GOLDEN).fract()).fract(),
+    /// Counts an attempt against the budget of a server that warms up.
+    pub(crate) fn spend_slow_start_budget(&mut self, id: RequestId, to: ServerId) {
+        let (Some(request), Some(server)) = (self.requests.get(&id), self.servers.get(&to)) else {
+            return;
+        };
+        if !server.is_warming_up(&self.settings, self.now) {
+            return;
+        }
+        let turn = self.slow_start_turn(to, server, self.now);
+        let work = self.class_work[usize::from(request.arrival.class.0)];
+        if let Some(server) = self.servers.get_mut(&to) {
+            server.slow_start_spent.add(turn, work);
         }
     }
-}
-
-/// What one router has sent one starting server in the present slice, in seconds of work.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sent {
-    slice: u64,
-    work: f64,
-}
 
-impl Sent {
-    fn in_slice(&self, slice: u64) -> f64 {
-        if self.slice == slice {
-            self.work
-        } else {
-            0.0
+    /// Adapts ramp confidence to an answer, for the server and, if it warms up, for all that do: what they bear goes by
+    /// the load that all share, and one of many routers hears too seldom from each. Answers far apart prove little.
+    pub(crate) fn learn_ramp_confidence(
+        &mut self,
+        id: ServerId,
+        class: ClassId,
+        objective: Duration,
+        outcome: Outcome,
+    ) {
+        let (now, tuning) = (self.now, self.tuning);
+        let overload_duration = self.settings.overload_duration.max(MIN_SPAN);
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
+        let capacity = server.capacity(&self.settings, now);
+        let work = self.class_work[usize::from(class.0)];
+        let fastest = work.div_duration_f64(objective) / capacity;
+        let is_fast = outcome == Outcome::Ok && is_fast_for_ramp(server, fastest, &tuning);
+        let adapted = |confidence: f64, updated: Time| {
+            let span = now.since(updated);
+            adapted_confidence(confidence, is_fast, span, overload_duration, &tuning)
+        };
+        server.ramp_confidence = adapted(server.ramp_confidence, server.latency_updated);
+        if capacity < 1.0 {
+            self.ramp_confidence = adapted(self.ramp_confidence, self.ramp_confidence_updated);
+            self.ramp_confidence_updated = now;
         }
     }
+}
 
-    /// Whether a request of so much work may go in this turn, of all of which `quota` may.
-    pub(crate) fn allows(&self, turn: Turn, quota: f64, work: Duration) -> bool {
-        self.in_slice(turn.slice) + turn.point * work.as_secs_f64() < quota
-    }
+/// Whether the server answers about as fast as one so cold can: it is not crowded, and bears more. `fastest`: latency
+/// over objective that its present capacity allows.
+fn is_fast_for_ramp(server: &Server, fastest: f64, tuning: &Tuning) -> bool {
+    server.latency_ratio
+        < (tuning.ramp_latency_factor * fastest).min(tuning.ramp_objective_fraction)
+}
 
-    pub(crate) fn add(&mut self, turn: Turn, work: Duration) {
-        let before = self.in_slice(turn.slice);
-        *self = Sent {
-            slice: turn.slice,
-            work: before + work.as_secs_f64(),
-        };
-    }
+/// Ramp confidence `span` after its last change. It rises with the time that has been proved, a quarter of the overload
+/// duration at most.
+fn adapted_confidence(
+    confidence: f64,
+    is_fast: bool,
+    span: Duration,
+    overload_duration: Duration,
+    tuning: &Tuning,
+) -> f64 {
+    let proved = span.min(overload_duration / 4);
+    let rise = tuning.ramp_rise * proved.div_duration_f64(overload_duration);
+    let adapted = if is_fast {
+        confidence + rise
+    } else {
+        confidence * tuning.ramp_cut
+    };
+    adapted.clamp(1.0, tuning.ramp_confidence_max)
 }
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -9,7 +9,7 @@
 /// four in which each group had two reads.
 fn sent_to_starting_stores(trust_most: f64) -> usize {
     let tuning = Tuning {
-        trust_most,
+        ramp_confidence_max: trust_most,
         ..Tuning::default()
     };
     let many = Settings {
@@ -19,7 +19,7 @@
     let mut sent = 0;
     for seed in 0..8 {
         let mut bench = Bench::new(many.clone(), 0);
-        bench.router = Router::tuned(many.clone(), tuning, seed, BEGIN);
+        bench.router = Router::with_tuning(many.clone(), tuning, seed, BEGIN);
         let of = |group: u32, server: u32| Endpoint {
             group: GroupId(group),
             ..entry(2 * group + server, EndpointState::Ready)
--- a/crates/routing/tests/rules.rs
+++ b/crates/routing/tests/rules.rs
@@ -1159,10 +1159,10 @@
 /// is the only one, and what it may not have goes to the primary.
 fn sent_to_a_starting_store(took_ms: u32, trust_most: f64) -> usize {
     let mut bench = Bench::new(settings(), 0);
-    bench.router = Router::tuned(
+    bench.router = Router::with_tuning(
         settings(),
         Tuning {
-            trust_most,
+            ramp_confidence_max: trust_most,
             ..Tuning::default()
         },
         1,
@@ -1308,14 +1308,14 @@
 #[test]
 fn what_leaves_or_rests_is_told_as_avoided() {
     let mut bench = Bench::new(settings(), 3);
-    assert_eq!(bench.router.avoided(bench.now), 0);
+    assert_eq!(bench.router.unavailable_servers(bench.now), 0);
     bench.list(vec![entry(2, EndpointState::Draining)]);
-    assert_eq!(bench.router.avoided(bench.now), 1);
+    assert_eq!(bench.router.unavailable_servers(bench.now), 1);
     let (id, _) = bench.ask(WRITE);
     bench.end(id, 0, 1, Outcome::ConnectFailed);
-    assert_eq!(bench.router.avoided(bench.now), 2);
+    assert_eq!(bench.router.unavailable_servers(bench.now), 2);
     bench.wait(10_000 * MS);
-    assert_eq!(bench.router.avoided(bench.now), 1);
+    assert_eq!(bench.router.unavailable_servers(bench.now), 1);
     bench.list(vec![entry(2, EndpointState::Removed)]);
-    assert_eq!(bench.router.avoided(bench.now), 0);
+    assert_eq!(bench.router.unavailable_servers(bench.now), 0);
 }
