--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -18,7 +18,7 @@
 use configuration::source::Sources;
 use configuration::value;
 use ipnet::IpNet;
-use platform_settings::{BadSetting, Decoded, Shape};
+use platform_settings::{PlatformSettings, Shape};
 use rustix::process::{getrlimit, Resource};
 use serde::Deserialize;
 use std::fmt;
@@ -145,7 +145,7 @@
     pub logging: Logging,
     /// The list as this proxy last had it, maybe old.
     pub known: Listing,
-    pub platform: Decoded,
+    pub platform: PlatformSettings,
     /// Where wall time is read.
     pub wall_clock: Source,
     /// What a later file has to state as this one does.
@@ -312,7 +312,7 @@
 }
 
 impl Whole {
-    fn of(text: &[u8], platform: &Decoded) -> Whole {
+    fn of(text: &[u8], platform: &PlatformSettings) -> Whole {
         let value = stated(text).unwrap_or_default();
         Whole {
             shape: Shape::of(&value),
@@ -320,7 +320,7 @@
         }
     }
 
-    fn check(&self, text: &[u8], platform: &Decoded) -> Result<(), ConfigError> {
+    fn check(&self, text: &[u8], platform: &PlatformSettings) -> Result<(), ConfigError> {
         let value = stated(text).map_err(|e| ConfigError::new(".", e))?;
         if let Some(key) = self.shape.missing(&value) {
             return Err(ConfigError::new(key, "missing, and the first file had it"));
@@ -435,14 +435,13 @@
         .map_err(|e| ConfigError::new(e.path().to_string(), e.inner()))
 }
 
-fn decode(file: &File) -> Result<Decoded, ConfigError> {
+fn decode(file: &File) -> Result<PlatformSettings, ConfigError> {
     let settings = file
         .settings
         .as_ref()
         .ok_or_else(|| ConfigError::new("settings", "missing"))?;
-    let platform = platform_settings::decode(settings.to_string().as_bytes()).map_err(
-        |BadSetting { key, problem }| ConfigError::new(format!("settings.{key}"), problem),
-    )?;
+    let platform = platform_settings::decode(settings.to_string().as_bytes())
+        .map_err(|error| ConfigError::new(format!("settings.{}", error.key()), error.problem()))?;
     check(&platform)?;
     Ok(platform)
 }
@@ -726,7 +725,7 @@
     most
 }
 
-fn check(platform: &Decoded) -> Result<(), ConfigError> {
+fn check(platform: &PlatformSettings) -> Result<(), ConfigError> {
     if platform.settings.classes.is_empty() {
         return Err(ConfigError::new("settings.Classes", "names no class"));
     }
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -13,7 +13,7 @@
 use configuration::route::{self, Outcome};
 use configuration::source::Sources;
 use configuration::Reading;
-use platform_settings::Decoded;
+use platform_settings::PlatformSettings;
 use routing::{ClassId, Consistency, Idempotency};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -104,8 +104,12 @@
 }
 
 /// What the operators' file has to be held against.
-pub fn platform(decoded: &Decoded, sockets: Option<usize>, memory_mb: Option<usize>) -> Platform {
-    let Decoded {
+pub fn platform(
+    decoded: &PlatformSettings,
+    sockets: Option<usize>,
+    memory_mb: Option<usize>,
+) -> Platform {
+    let PlatformSettings {
         settings, names, ..
     } = decoded;
     let classes = settings
@@ -141,7 +145,7 @@
 }
 
 /// What the file says of the module's settings, each value only where it is tighter.
-pub fn tighten(platform: &mut Decoded, model: &Model) {
+pub fn tighten(platform: &mut PlatformSettings, model: &Model) {
     let settings = &mut platform.settings;
     if let Some(tries) = model.policy.tries {
         settings.attempt_limit = if settings.attempt_limit == 0 {
@@ -168,7 +172,7 @@
 }
 
 /// The model's routes, classes and pools, compiled. Names of the platform keep their numbers.
-pub fn rules(model: &Model, platform: &Decoded) -> Rules {
+pub fn rules(model: &Model, platform: &PlatformSettings) -> Rules {
     let names = Names {
         classes: platform.names.classes.clone(),
         tenants: platform.names.tenants.clone(),
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -26,7 +26,7 @@
 use crate::request::{Answer, Done, Piece, Purpose, Request, ResponseSlot, Verdict};
 use crate::upstream::{Due, Upstream};
 use maintenance::{Hand, Unknown};
-use platform_settings::{Decoded, Names, Succession};
+use platform_settings::{ClassMapping, Names, PlatformSettings};
 use routing::{
     Action, Consistency, EndpointUpdate, Event, QuotaStatus, RequestId, ServerId, Time, TimerToken,
 };
@@ -100,7 +100,7 @@
 
 impl Pipeline {
     pub fn new(
-        platform: Decoded,
+        platform: PlatformSettings,
         rules: route_rules::Rules,
         mut monitor: Monitor,
         seed: u64,
@@ -111,7 +111,7 @@
         let clock = Clock::start(wall_clock);
         let mut quota = quota::Quota::default();
         quota.configure(&platform, now);
-        let Decoded {
+        let PlatformSettings {
             settings,
             names,
             max_open,
@@ -295,10 +295,12 @@
     }
 
     /// The platform's settings from now on; what was known, and requests under way, stay.
-    pub fn configure(&mut self, succession: Succession, probe_time: Duration, now: Instant) {
-        let Succession { next, heirs, .. } = succession;
+    pub fn configure(&mut self, succession: ClassMapping, probe_time: Duration, now: Instant) {
+        let ClassMapping {
+            next, predecessors, ..
+        } = succession;
         self.quota.configure(&next, now);
-        let Decoded {
+        let PlatformSettings {
             settings,
             names,
             max_open,
@@ -315,7 +317,7 @@
         (self.names, self.probe_time) = (names, probe_time);
         self.open_requests.set_limit(max_open);
         self.monitor.configure(&settings);
-        self.route.configure(settings, &heirs);
+        self.route.configure(settings, &predecessors);
     }
 
     pub fn steering(&self) -> &route_rules::Steering {
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -7,7 +7,7 @@
 use crate::request::Answer;
 use ::quota::{Counts, Mark};
 use membership::Fact;
-use platform_settings::{Decoded, Names};
+use platform_settings::{Names, PlatformSettings};
 use routing::{Arrival, QuotaStatus};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -31,8 +31,8 @@
 
 impl Quota {
     /// From now on by these; a tenant keeps what is known of it by its name.
-    pub fn configure(&mut self, platform: &Decoded, now: Instant) {
-        let Decoded {
+    pub fn configure(&mut self, platform: &PlatformSettings, now: Instant) {
+        let PlatformSettings {
             settings,
             names:
                 Names {
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -92,8 +92,8 @@
 fn report(fields: &[(String, f64)]) -> LoadReport {
     let fields = fields
         .iter()
-        .map(|(name, value)| (platform_settings::field(name), *value));
-    let report = platform_settings::report(Time::ZERO, fields);
+        .map(|(name, value)| (platform_settings::report_field(name), *value));
+    let report = platform_settings::load_report(Time::ZERO, fields);
     LoadReport {
         position: report.position.map(|at| at.minus(ROUNDING)),
         ..report
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -25,7 +25,7 @@
 use configuration::calendar::Window;
 use drain::{Action, Drain};
 use maintenance::Unknown;
-use platform_settings::Decoded;
+use platform_settings::PlatformSettings;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -74,7 +74,7 @@
     /// There was a process before this one of which nothing is known: discovery has to speak first.
     unheard: bool,
     /// The settings in force, with classes at their places.
-    platform: Decoded,
+    platform: PlatformSettings,
     fixed: Fixed,
     /// The other proxies of the fleet, where the operators' file names them.
     members: Option<Members>,
@@ -612,7 +612,7 @@
         match (&config.members, &config.rollout) {
             (None, _) => missing("members"),
             (_, None) => missing("rollout"),
-            _ => platform_settings::succeed(&self.platform, config.platform.clone())
+            _ => platform_settings::map_classes(&self.platform, config.platform.clone())
                 .map(|_| ())
                 .map_err(|error| format!("settings.{error}")),
         }
@@ -934,7 +934,7 @@
         };
         let begun = Instant::now();
         let drain_settings = config.drain_settings();
-        let succession = match platform_settings::succeed(&self.platform, config.platform) {
+        let succession = match platform_settings::map_classes(&self.platform, config.platform) {
             Ok(succession) => succession,
             Err(error) => {
                 self.chain.counters.reloads_failed += 1;
@@ -945,7 +945,7 @@
         self.chain.counters.reloads += 1;
         self.platform = succession.next.clone();
         let rules = Rules {
-            places: succession.places.clone(),
+            places: succession.class_ids.clone(),
             ..config.rules
         };
         self.chain.configure(succession, config.dial_timeout, now);
--- a/crates/platform-settings/src/shape.rs
+++ b/crates/platform-settings/src/shape.rs
@@ -1,18 +1,22 @@
-//! Which keys an object has, at every depth: what a later one must have as well to be whole.
+//! Which keys a JSON object has, at every depth: what a later one needs to be complete.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// The keys of a JSON value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Shape {
+    /// A number, text, boolean or null.
     #[default]
     Plain,
+    /// The shapes of an object's fields.
     Object(BTreeMap<String, Shape>),
-    /// What all elements have.
+    /// What all elements of an array have in common.
     Array(Box<Shape>),
 }
 
 impl Shape {
+    /// The shape of a value.
     pub fn of(value: &Value) -> Shape {
         match value {
             Value::Object(fields) => Shape::Object(
@@ -41,7 +45,7 @@
         }
     }
 
-    /// Where `value` lacks what this has.
+    /// The path of the first key of this shape that `value` lacks; none if it has them all.
     pub fn missing(&self, value: &Value) -> Option<String> {
         match (self, value) {
             (Shape::Plain, Value::Null) => Some(String::new()),
--- a/crates/platform-settings/tests/succession.rs
+++ b/crates/platform-settings/tests/class_mapping.rs
@@ -1,10 +1,10 @@
 //! New settings under way: places for good, and files that are not whole.
 
-use platform_settings::{decode, succeed, Decoded, Shape};
+use platform_settings::{decode, map_classes, PlatformSettings, Shape};
 use routing::{ClassId, Idempotency, ZoneId};
 use serde_json::{json, Value};
 
-fn settings(classes: &[(&str, &str, u64)], zones: &[&str]) -> Decoded {
+fn settings(classes: &[(&str, &str, u64)], zones: &[&str]) -> PlatformSettings {
     let classes: Vec<Value> = classes
         .iter()
         .map(|(name, effect, deadline)| json!({"Name": name, "Effect": effect, "Deadline": deadline, "GoalTime": 1}))
@@ -19,10 +19,10 @@
     let first = settings(&[("a", "safe", 5), ("b", "safe", 5)], &["x", "y"]);
     // Another order, one that changes, one that is new, one that is gone.
     let file = settings(&[("c", "safe", 5), ("b", "unsafe", 5)], &["y", "z"]);
-    let next = succeed(&first, file.clone()).unwrap();
-    assert_eq!(next.places, [ClassId(2), ClassId(3)]);
+    let next = map_classes(&first, file.clone()).unwrap();
+    assert_eq!(next.class_ids, [ClassId(2), ClassId(3)]);
     assert_eq!(next.next.names.classes, ["", "", "c", "b"]);
-    assert_eq!(next.heirs, [None, None, None, Some(ClassId(1))]);
+    assert_eq!(next.predecessors, [None, None, None, Some(ClassId(1))]);
     // Requests under way keep their rights at the former places.
     let effects: Vec<Idempotency> = next
         .next
@@ -43,20 +43,20 @@
     assert_eq!(next.next.names.zones, ["x", "y", "z"]);
     assert_eq!(next.next.settings.zone, ZoneId(2));
     // The same file again changes nothing; a class that comes back is a new one.
-    let again = succeed(&next.next, file).unwrap();
+    let again = map_classes(&next.next, file).unwrap();
     assert_eq!(again.next, next.next);
-    let back = succeed(&again.next, settings(&[("a", "safe", 5)], &["x", "y"])).unwrap();
-    assert_eq!(back.places, [ClassId(4)]);
+    let back = map_classes(&again.next, settings(&[("a", "safe", 5)], &["x", "y"])).unwrap();
+    assert_eq!(back.class_ids, [ClassId(4)]);
 }
 
 #[test]
 fn places_are_bounded() {
     let mut now = settings(&[("a", "safe", 1)], &["x"]);
     let turned_down = (2..5_000).find_map(|deadline| {
-        let next = succeed(&now, settings(&[("a", "safe", deadline)], &["x"]));
+        let next = map_classes(&now, settings(&[("a", "safe", deadline)], &["x"]));
         next.map(|s| now = s.next).err()
     });
-    assert_eq!(turned_down.unwrap().key, "Classes");
+    assert_eq!(turned_down.unwrap().key(), "Classes");
     assert_eq!(now.settings.classes.len(), 1_024);
 }
 
--- a/crates/platform-settings/tests/names.rs
+++ b/crates/platform-settings/tests/names.rs
@@ -1,10 +1,15 @@
 //! Names are labels: whatever they are, the module's settings come out the same, and the names as they were written.
 
-use platform_settings::{decode, Decoded};
+use platform_settings::{decode, PlatformSettings};
 use proptest::prelude::*;
 use serde_json::json;
 
-fn settings(classes: &[String], tenants: &[String], zones: &[String], kinds: &[String]) -> Decoded {
+fn settings(
+    classes: &[String],
+    tenants: &[String],
+    zones: &[String],
+    kinds: &[String],
+) -> PlatformSettings {
     let needs = ["update", "own_writes", "recent", "loose"];
     let effects = ["unsafe", "safe", "keyed", "safe"];
     let classes: Vec<_> = classes
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,23 +1,39 @@
-//! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing.
+//! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing but the pages of endpoints.
 
-use crate::wire::{batch_header, ListKind, Malformed, Reader, Record, Reply, BATCH_HEADER};
-use platform_settings::{self as conf, Field};
-use quota::{Mark, Quota};
-use routing::{
-    Action, AttemptEnded, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, QuotaStatus,
-    ResponseMetadata, Router, Time,
-};
+use crate::instance::Instance;
+use crate::wire::{batch_header, FrameFault, ListKind, Malformed, Reader, Record, Reply};
+use crate::wire::{BatchHeader, BATCH_HEADER};
+use routing::{Action, Endpoint, EndpointUpdate, Event, Time};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
-use std::time::Duration;
+use thiserror::Error;
 
-struct Instance {
-    router: Router,
-    quota: Quota,
-    fields: Vec<Field>,
-    zero: Time,
+/// Why the host stops. The simulator has to be started again.
+#[derive(Debug, Error)]
+pub enum HostError {
+    /// Input can't be read or output can't be written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A batch breaks the wire's rules.
+    #[error(transparent)]
+    Malformed(#[from] Malformed),
+    /// The input ends inside a batch header.
+    #[error("input ends {got} bytes into a batch header")]
+    TruncatedHeader {
+        /// Bytes of the header that came.
+        got: usize,
+    },
+    /// The input ends inside a batch.
+    #[error("input ends {got} bytes into a batch of {expected}")]
+    TruncatedBatch {
+        /// Bytes of the records that came.
+        got: usize,
+        /// Their length by the header.
+        expected: u32,
+    },
 }
 
+/// The routers of one simulation.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
@@ -26,197 +42,157 @@
     reply: Reply,
 }
 
-/// Figures come as 32-bit floats: for a position a step down undoes any rounding up.
-fn report(fields: &[Field], zero: Time, gauge: &[f32]) -> LoadReport {
-    let exact = |(&field, &value): (&Field, &f32)| match field {
-        Field::Position if value > 0.0 => (field, f32::from_bits(value.to_bits() - 1).into()),
-        _ => (field, value.into()),
-    };
-    conf::report(zero, fields.iter().zip(gauge).map(exact))
-}
-
-fn metadata(zero: Time, raw: u32) -> ResponseMetadata {
-    let primary = match raw & 3 {
-        1 => Some(true),
-        2 => Some(false),
-        _ => None,
-    };
-    let ms = u64::from(raw >> 2);
-    ResponseMetadata {
-        primary,
-        position: (ms > 0).then_some(zero.plus(Duration::from_millis(ms))),
-    }
-}
-
 impl Host {
-    /// Plays one batch and returns the reply frame.
+    /// Plays one batch of `records` records at `now` and returns the reply frame.
+    ///
+    /// # Errors
+    /// If the batch breaks the wire's rules. Records before the fault have been played.
     pub fn batch(&mut self, now: Time, records: u32, body: &[u8]) -> Result<Vec<u8>, Malformed> {
         let mut reader = Reader::new(body);
         for _ in 0..records {
             let record = reader.record()?;
-            let (inst, event) = match record {
-                Record::Spawn { inst, seed, conf } => {
-                    let decoded = conf::decode(conf)
-                        .map_err(|e| reader.fault(format!("settings are not sound: {e}")))?;
-                    let quotas = decoded
-                        .settings
-                        .tenants
-                        .iter()
-                        .map(|tenant| tenant.quota_per_s)
-                        .collect();
-                    let proxies = decoded.settings.router_count;
-                    let quota = Quota::new(&quota::Settings {
-                        proxies,
-                        quotas,
-                        worths: Vec::new(),
-                    });
-                    let router = Router::new(decoded.settings, seed, now);
-                    let (fields, zero) = (decoded.fields, decoded.zero);
-                    self.instances.insert(
-                        inst,
-                        Instance {
-                            router,
-                            quota,
-                            fields,
-                            zero,
-                        },
-                    );
-                    continue;
-                }
-                Record::Stop { inst } => {
-                    if self.instances.remove(&inst).is_none() {
-                        eprintln!("simulator-host: stop for unknown instance {inst}");
-                    }
-                    continue;
-                }
-                Record::Page { number, entries } => {
-                    self.pages.insert(number, entries);
-                    continue;
-                }
-                Record::Directory { inst, kind, page } => {
-                    let entries = || {
-                        let page = self.pages.get(&page).cloned();
-                        page.ok_or_else(|| reader.fault("a list that was never sent"))
-                    };
-                    let news = match kind {
-                        ListKind::Delta => EndpointUpdate::Changes(entries()?),
-                        ListKind::Full => EndpointUpdate::Snapshot(entries()?),
-                        ListKind::Cached => EndpointUpdate::Cached(entries()?),
-                        ListKind::Failed => EndpointUpdate::Failed,
-                    };
-                    (inst, Event::Endpoints(news))
-                }
-                Record::Incoming { inst, mut arrival } => {
-                    if let Some(instance) = self.instances.get_mut(&inst) {
-                        let (now, tenant) = (now.since(Time::ZERO), arrival.tenant.0.into());
-                        let mark = instance.quota.asked(
-                            now,
-                            tenant,
-                            arrival.class.0.into(),
-                            arrival.is_client_retry,
-                        );
-                        if mark == Mark::Beyond {
-                            arrival.quota_status = QuotaStatus::OverQuota;
-                        }
-                    }
-                    (inst, Event::RequestArrived(arrival))
-                }
-                Record::Probed {
-                    inst,
-                    server,
-                    ok,
-                    elapsed,
-                    gauge,
-                } => {
-                    let report = match self.instances.get(&inst) {
-                        Some(i) => report(&i.fields, i.zero, &gauge),
-                        None => LoadReport::default(),
-                    };
-                    (
-                        inst,
-                        Event::ProbeEnded {
-                            server,
-                            ok,
-                            elapsed,
-                            report,
-                        },
-                    )
-                }
-                Record::Ended(e) => {
-                    let zero = self.instances.get(&e.inst).map_or(Time::ZERO, |i| i.zero);
-                    let metadata = match e.outcome {
-                        Outcome::Ok
-                        | Outcome::Misdirected
-                        | Outcome::Rejected
-                        | Outcome::Failed => metadata(zero, e.metadata),
-                        _ => ResponseMetadata::default(),
-                    };
-                    let ended = AttemptEnded {
-                        id: e.id,
-                        attempt: e.attempt,
-                        server: e.server,
-                        outcome: e.outcome,
-                        elapsed: e.elapsed,
-                        request_finished: e.last,
-                        metadata,
-                    };
-                    (e.inst, Event::AttemptEnded(ended))
-                }
-                Record::Left { inst, id } => (inst, Event::ClientLeft(id)),
-                Record::Alarm { inst, token } => (inst, Event::Timer(token)),
-                // Streams and messages between routers are not used.
-                Record::Established { inst } | Record::Memo { inst } => {
-                    if !self.instances.contains_key(&inst) {
-                        eprintln!("simulator-host: event for unknown instance {inst}");
-                    }
-                    continue;
-                }
-            };
-            let Some(instance) = self.instances.get_mut(&inst) else {
-                eprintln!("simulator-host: event for unknown instance {inst}");
-                continue;
-            };
-            instance.router.handle(now, event, &mut self.actions);
-            for action in self.actions.drain(..) {
-                self.reply.push(inst, &action);
-            }
+            self.play(now, record)
+                .map_err(|fault| reader.malformed(fault))?;
         }
         if !reader.at_end() {
-            return Err(reader.fault("bytes after the last record"));
+            return Err(reader.malformed(FrameFault::TrailingBytes));
         }
         Ok(self.reply.frame())
     }
-}
 
-/// Reads batches until the input ends at a frame boundary.
-pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), Box<dyn std::error::Error>> {
-    let mut host = Host::default();
-    let mut body = Vec::new();
-    loop {
-        let mut header = [0; BATCH_HEADER];
-        let got = fill(&mut input, &mut header)?;
-        if got == 0 {
-            return Ok(());
+    fn play(&mut self, now: Time, record: Record) -> Result<(), FrameFault> {
+        match record {
+            Record::Spawn {
+                instance,
+                seed,
+                settings,
+            } => self.spawn(now, instance, seed, settings)?,
+            Record::Stop { instance } => self.stop(instance),
+            Record::Page { number, entries } => _ = self.pages.insert(number, entries),
+            Record::EndpointUpdate {
+                instance,
+                kind,
+                page,
+            } => {
+                let update = self.endpoint_update(kind, page)?;
+                self.handle(now, instance, |_| Event::Endpoints(update));
+            }
+            Record::RequestArrived { instance, arrival } => {
+                self.handle(now, instance, |instance| {
+                    instance.request_arrived(arrival, now)
+                })
+            }
+            Record::ProbeEnded(record) => self.handle(now, record.instance, |instance| {
+                instance.probe_ended(&record)
+            }),
+            Record::AttemptEnded(record) => self.handle(now, record.instance, |instance| {
+                instance.attempt_ended(record)
+            }),
+            Record::ClientLeft { instance, id } => {
+                self.handle(now, instance, |_| Event::ClientLeft(id));
+            }
+            Record::Timer { instance, token } => {
+                self.handle(now, instance, |_| Event::Timer(token));
+            }
+            Record::StreamOpened { instance } | Record::PeerMessage { instance } => {
+                self.ignore(instance);
+            }
+        }
+        Ok(())
+    }
+
+    fn spawn(
+        &mut self,
+        now: Time,
+        instance: u16,
+        seed: u64,
+        settings: &[u8],
+    ) -> Result<(), FrameFault> {
+        let platform = platform_settings::decode(settings)?;
+        self.instances
+            .insert(instance, Instance::new(platform, seed, now));
+        Ok(())
+    }
+
+    fn stop(&mut self, instance: u16) {
+        if self.instances.remove(&instance).is_none() {
+            eprintln!("simulator-host: stop for unknown instance {instance}");
         }
-        if got < BATCH_HEADER {
-            return Err(format!("input ends {got} bytes into a batch header").into());
+    }
+
+    /// Streams and messages between routers are not used.
+    fn ignore(&self, instance: u16) {
+        if !self.instances.contains_key(&instance) {
+            report_unknown(instance);
         }
-        let header = batch_header(header);
-        body.clear();
-        let got = input
-            .by_ref()
-            .take(header.bytes.into())
-            .read_to_end(&mut body)?;
-        if got < header.bytes as usize {
-            return Err(format!("input ends {got} bytes into a batch of {}", header.bytes).into());
+    }
+
+    fn endpoint_update(&self, kind: ListKind, page: u32) -> Result<EndpointUpdate, FrameFault> {
+        let entries = || {
+            let entries = self.pages.get(&page).cloned();
+            entries.ok_or(FrameFault::UnknownPage)
+        };
+        Ok(match kind {
+            ListKind::Changes => EndpointUpdate::Changes(entries()?),
+            ListKind::Snapshot => EndpointUpdate::Snapshot(entries()?),
+            ListKind::Cached => EndpointUpdate::Cached(entries()?),
+            ListKind::Failed => EndpointUpdate::Failed,
+        })
+    }
+
+    /// Has an instance's router handle an event and appends its actions to the reply.
+    fn handle(&mut self, now: Time, id: u16, event: impl FnOnce(&mut Instance) -> Event) {
+        let Some(instance) = self.instances.get_mut(&id) else {
+            return report_unknown(id);
+        };
+        let event = event(instance);
+        instance.router.handle(now, event, &mut self.actions);
+        for action in self.actions.drain(..) {
+            self.reply.push(id, &action);
         }
+    }
+}
+
+fn report_unknown(instance: u16) {
+    eprintln!("simulator-host: event for unknown instance {instance}");
+}
+
+/// Reads batches and writes replies until the input ends at a frame boundary.
+///
+/// # Errors
+/// If the input ends elsewhere, breaks the wire's rules, or input or output fail.
+pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
+    let mut host = Host::default();
+    let mut body = Vec::new();
+    while let Some(header) = read_header(&mut input)? {
+        read_body(&mut input, header.bytes, &mut body)?;
         output.write_all(&host.batch(header.clock, header.records, &body)?)?;
         output.flush()?;
     }
+    Ok(())
+}
+
+/// None at the end of the input.
+fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, HostError> {
+    let mut header = [0; BATCH_HEADER];
+    match read_up_to(input, &mut header)? {
+        0 => Ok(None),
+        BATCH_HEADER => Ok(Some(batch_header(header))),
+        got => Err(HostError::TruncatedHeader { got }),
+    }
+}
+
+fn read_body(input: &mut impl Read, expected: u32, body: &mut Vec<u8>) -> Result<(), HostError> {
+    body.clear();
+    let got = input.by_ref().take(expected.into()).read_to_end(body)?;
+    if got < expected as usize {
+        return Err(HostError::TruncatedBatch { got, expected });
+    }
+    Ok(())
 }
 
 /// Reads until `buffer` is full or the input ends; how many bytes came.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut got = 0;
     while got < buffer.len() {
         match input.read(&mut buffer[got..]) {
--- /dev/null
+++ b/crates/simulator-host/src/instance.rs
@@ -0,0 +1,106 @@
+//! One router that the host plays, with what the simulator leaves to its surroundings: quotas, and the meaning of figures.
+
+use crate::wire::{AttemptEndedRecord, ProbeEndedRecord};
+use platform_settings::{load_report, PlatformSettings, ReportField};
+use quota::{Mark, Quota};
+use routing::{
+    Arrival, AttemptEnded, Event, LoadReport, Outcome, QuotaStatus, ResponseMetadata, Router, Time,
+};
+use std::time::Duration;
+
+pub(crate) struct Instance {
+    pub(crate) router: Router,
+    quota: Quota,
+    report_fields: Vec<ReportField>,
+    position_origin: Time,
+}
+
+impl Instance {
+    pub(crate) fn new(platform: PlatformSettings, seed: u64, now: Time) -> Instance {
+        let settings = platform.settings;
+        let quota = Quota::new(&quota::Settings {
+            proxies: settings.router_count,
+            quotas: settings
+                .tenants
+                .iter()
+                .map(|tenant| tenant.quota_per_s)
+                .collect(),
+            worths: Vec::new(),
+        });
+        Instance {
+            router: Router::new(settings, seed, now),
+            quota,
+            report_fields: platform.report_fields,
+            position_origin: platform.position_origin,
+        }
+    }
+
+    /// Counts the request against its tenant's quota, and marks it if it is over.
+    pub(crate) fn request_arrived(&mut self, mut arrival: Arrival, now: Time) -> Event {
+        let mark = self.quota.asked(
+            now.since(Time::ZERO),
+            arrival.tenant.0.into(),
+            arrival.class.0.into(),
+            arrival.is_client_retry,
+        );
+        if mark == Mark::Beyond {
+            arrival.quota_status = QuotaStatus::OverQuota;
+        }
+        Event::RequestArrived(arrival)
+    }
+
+    pub(crate) fn probe_ended(&self, record: &ProbeEndedRecord) -> Event {
+        Event::ProbeEnded {
+            server: record.server,
+            ok: record.ok,
+            elapsed: record.elapsed,
+            report: self.report(&record.figures),
+        }
+    }
+
+    /// Figures come as 32-bit floats: for a position a step down undoes any rounding up.
+    fn report(&self, figures: &[f32]) -> LoadReport {
+        let exact = |(&field, &value): (&ReportField, &f32)| match field {
+            ReportField::Position if value > 0.0 => {
+                (field, f32::from_bits(value.to_bits() - 1).into())
+            }
+            _ => (field, value.into()),
+        };
+        let values = self.report_fields.iter().zip(figures).map(exact);
+        load_report(self.position_origin, values)
+    }
+
+    pub(crate) fn attempt_ended(&self, record: AttemptEndedRecord) -> Event {
+        let is_answered = matches!(
+            record.outcome,
+            Outcome::Ok | Outcome::Misdirected | Outcome::Rejected | Outcome::Failed
+        );
+        Event::AttemptEnded(AttemptEnded {
+            id: record.id,
+            attempt: record.attempt,
+            server: record.server,
+            outcome: record.outcome,
+            elapsed: record.elapsed,
+            request_finished: record.request_finished,
+            metadata: if is_answered {
+                self.metadata(record.metadata)
+            } else {
+                ResponseMetadata::default()
+            },
+        })
+    }
+
+    fn metadata(&self, raw: u32) -> ResponseMetadata {
+        let primary = match raw & 3 {
+            1 => Some(true),
+            2 => Some(false),
+            _ => None,
+        };
+        let ms = u64::from(raw >> 2);
+        let position = self.position_origin.plus(Duration::from_millis(ms));
+        ResponseMetadata {
+            primary,
+            position: (ms > 0).then_some(position),
+        }
+    }
+}
--- a/crates/simulator-host/src/lib.rs
+++ b/crates/simulator-host/src/lib.rs
@@ -1,5 +1,7 @@
-//! The simulator's wire: decodes batches, hosts one router an instance, encodes replies.
+//! Hosts the decision module on the simulator's protocol: decodes batches, plays one router an instance, encodes replies.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod host;
+mod instance;
 pub mod wire;
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -1,3 +1,5 @@
+//! Plays routers for the simulator on standard input and output.
+
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
--- a/crates/simulator-host/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -58,7 +58,11 @@
          05 0003 0000004d 09 0005 0001b0ec0e6f2b19");
     assert_eq!(body.len(), 0x3a);
     let mut reader = Reader::new(&body);
-    let Record::Incoming { inst: 3, arrival } = reader.record().unwrap() else {
+    let Record::RequestArrived {
+        instance: 3,
+        arrival,
+    } = reader.record().unwrap()
+    else {
         panic!()
     };
     assert_eq!(arrival.id, RequestId(0x000a_1bbb_5d3a_91c4));
@@ -72,13 +76,13 @@
     assert!(!arrival.is_client_retry);
     assert_eq!(
         reader.record().unwrap(),
-        Record::Alarm {
-            inst: 3,
+        Record::Timer {
+            instance: 3,
             token: TimerToken(77)
         }
     );
-    let left = Record::Left {
-        inst: 5,
+    let left = Record::ClientLeft {
+        instance: 5,
         id: RequestId(0x0001_b0ec_0e6f_2b19),
     };
     assert_eq!(reader.record().unwrap(), left);
@@ -104,8 +108,8 @@
     );
     assert_eq!(
         reader.record().unwrap(),
-        Record::Directory {
-            inst: 3,
+        Record::EndpointUpdate {
+            instance: 3,
             kind: ListKind::Cached,
             page: 0
         }
@@ -115,11 +119,11 @@
 #[test]
 fn an_outcome() {
     let body = hex("08 0003 000a1bbb5d3a91c4 0000 03124a07 00c8 00004844 01 0000638e 00");
-    let Record::Ended(ended) = Reader::new(&body).record().unwrap() else {
+    let Record::AttemptEnded(ended) = Reader::new(&body).record().unwrap() else {
         panic!()
     };
     assert_eq!(
-        (ended.outcome, ended.elapsed, ended.last),
+        (ended.outcome, ended.elapsed, ended.request_finished),
         (Outcome::Ok, Duration::from_micros(0x4844), true)
     );
     assert_eq!(ended.metadata, 0x638e);
@@ -185,11 +189,11 @@
             && !settings.may_hedge
     );
     assert_eq!(
-        decoded.fields,
+        decoded.report_fields,
         [
-            conf::Field::Position,
-            conf::Field::Primary,
-            conf::Field::Queued
+            conf::ReportField::Position,
+            conf::ReportField::Primary,
+            conf::ReportField::Queued
         ]
     );
     assert!(conf::decode(b"{}").unwrap().settings.classes.is_empty());
@@ -288,7 +292,7 @@
     let trailing = Host::default()
         .batch(Time::from_micros(1), 0, &[5])
         .unwrap_err();
-    assert!(trailing.what.contains("after the last record"));
+    assert!(trailing.fault.to_string().contains("after the last record"));
 }
 
 #[test]
