--- /dev/null
+++ b/crates/routing/tests/backoff.rs
@@ -0,0 +1,41 @@
+//! Servers left alone after hard failures.
+
+mod common;
+use common::*;
+use routing::*;
+use std::time::Duration;
+
+#[test]
+fn routers_whose_connects_failed_together_do_not_come_back_in_step() {
+    let mut by_slot = [0_usize; 40];
+    for seed in 0..100 {
+        let mut bench = Bench::seeded(
+            Settings {
+                router_count: 100,
+                ..settings()
+            },
+            1,
+            seed,
+        );
+        bench.report(1, true, Duration::ZERO);
+        let (id, _) = bench.request(WRITE);
+        bench.end(id, 0, 1, Outcome::ConnectFailed);
+        bench.event(Event::ClientLeft(id));
+        for slot in &mut by_slot {
+            bench.wait(10 * MS);
+            let (id, actions) = bench.request(WRITE);
+            if sends(&actions) == [1] {
+                *slot += 1;
+                break;
+            }
+            assert!(!failed(&actions, id), "what never ran is held or refused");
+            bench.event(Event::ClientLeft(id));
+        }
+    }
+    assert_eq!(
+        by_slot.iter().sum::<usize>(),
+        100,
+        "all come back: {by_slot:?}"
+    );
+    assert!(by_slot.iter().all(|&dials| dials <= 25), "{by_slot:?}");
+}
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router with its clock and ledger, for scripted event sequences.
+//! A router with its clock, for scripted event sequences.
 #![allow(dead_code)]
 
 use routing::*;
@@ -12,7 +12,7 @@
 pub const FRESH: u16 = 5;
 
 pub const MS: Duration = Duration::from_millis(1);
-/// Positions and starts need room before the first event.
+/// Positions and starts lie before the first event too.
 pub const BEGIN: Time = Time(Duration::from_secs(1_000));
 
 fn class(need: Consistency, effect: Idempotency, late_weight_fraction: f64) -> Class {
@@ -69,7 +69,7 @@
     }
 }
 
-pub fn entry(server: u32, listed: EndpointState) -> Endpoint {
+pub fn endpoint(server: u32, listed: EndpointState) -> Endpoint {
     Endpoint {
         server: ServerId(server),
         group: GroupId(0),
@@ -88,17 +88,17 @@
 }
 
 impl Bench {
-    /// A router that knows `members` servers of one group, server 1 being told to be primary.
+    /// A router that knows `members` servers of one group, server 1 being reported as primary.
     pub fn new(settings: Settings, members: u32) -> Bench {
-        let mut bench = Bench::unheard(settings, members);
+        let mut bench = Bench::without_reports(settings, members);
         for server in 1..=members {
             bench.report(server, server == 1, Duration::ZERO);
         }
         bench
     }
 
-    /// The same without a word from any server.
-    pub fn unheard(settings: Settings, members: u32) -> Bench {
+    /// The same before any server has reported.
+    pub fn without_reports(settings: Settings, members: u32) -> Bench {
         Bench::seeded(settings, members, 1)
     }
 
@@ -118,7 +118,7 @@
         };
         bench.list(
             (1..=members)
-                .map(|s| entry(s, EndpointState::Ready))
+                .map(|s| endpoint(s, EndpointState::Ready))
                 .collect(),
         );
         bench
@@ -170,7 +170,7 @@
         }
     }
 
-    pub fn ask(&mut self, class: u16) -> (RequestId, Vec<Action>) {
+    pub fn request(&mut self, class: u16) -> (RequestId, Vec<Action>) {
         let arrival = self.arrival(class);
         (arrival.id, self.event(Event::RequestArrived(arrival)))
     }
@@ -238,7 +238,7 @@
     actions.iter().find_map(within).expect("an attempt")
 }
 
-pub fn refused(actions: &[Action], wanted: RequestId) -> bool {
+pub fn rejected(actions: &[Action], wanted: RequestId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { id, .. } if *id == wanted))
--- /dev/null
+++ b/crates/routing/tests/estimates.rs
@@ -0,0 +1,134 @@
+//! What servers and classes are expected to take.
+
+mod common;
+use common::*;
+use routing::*;
+use std::time::Duration;
+
+#[test]
+fn a_hung_replica_does_not_look_idle() {
+    let mut bench = Bench::new(settings(), 3);
+    // Both replicas answer two reads at once, so each may hold two.
+    for _ in 0..6 {
+        let (id, actions) = bench.request(ANY);
+        let [server] = sends(&actions)[..] else {
+            panic!("{actions:?}")
+        };
+        bench.wait(10 * MS);
+        bench.end(id, 0, server, Outcome::Ok);
+    }
+    let (_, actions) = bench.request(ANY);
+    let hung = sends(&actions)[0];
+    bench.wait(400 * MS);
+    for _ in 0..5 {
+        let (id, actions) = bench.request(ANY);
+        let [server] = sends(&actions)[..] else {
+            panic!("{actions:?}")
+        };
+        assert_ne!(server, hung, "it has not answered for many run times");
+        bench.wait(10 * MS);
+        bench.end(id, 0, server, Outcome::Ok);
+    }
+}
+
+#[test]
+fn a_server_that_loses_requests_or_fails_them_quickly_is_left_for_others() {
+    // Failure of grown tracking days: run times were learned from answers alone, and probes were answered.
+    for outcome in [Outcome::TimedOut, Outcome::Failed, Outcome::ConnectFailed] {
+        let mut sent = [0; 4];
+        for seed in 0..20 {
+            let mut bench = Bench::seeded(settings(), 3, seed);
+            for round in 0..100 {
+                bench.report(1, true, Duration::ZERO);
+                let (id, actions) = bench.request(ANY);
+                bench.wait(200 * MS);
+                for server in sends(&actions) {
+                    sent[server as usize] += 1;
+                    let bad = server == 2 && round % 3 == 0;
+                    let (outcome, ms) = if bad {
+                        (outcome, 900)
+                    } else {
+                        (Outcome::Ok, 50)
+                    };
+                    let (metadata, attempt, server) =
+                        (ResponseMetadata::default(), AttemptNo(0), ServerId(server));
+                    let (elapsed, last) = (ms * MS, true);
+                    bench.event(Event::AttemptEnded(AttemptEnded {
+                        id,
+                        attempt,
+                        server,
+                        outcome,
+                        elapsed,
+                        request_finished: last,
+                        metadata,
+                    }));
+                }
+            }
+        }
+        assert!(sent[2] < sent[3] / 2, "{outcome:?}: {sent:?}");
+    }
+}
+
+#[test]
+fn an_untried_member_is_expected_to_take_what_the_class_takes_elsewhere() {
+    let mut bench = Bench::new(settings(), 3);
+    for _ in 0..60 {
+        let (id, actions) = bench.request(BOUNDED);
+        bench.wait(10 * MS);
+        bench.end(id, 0, sends(&actions)[0], Outcome::Ok);
+        for server in 1..=3 {
+            bench.report(server, server == 1, Duration::ZERO);
+        }
+    }
+    let (_, busy) = bench.request(BOUNDED);
+    let (_, other) = bench.request(BOUNDED);
+    assert_ne!(
+        sends(&busy),
+        sends(&other),
+        "the second goes to the member not tried yet"
+    );
+}
+
+#[test]
+fn a_server_that_hangs_or_fails_gets_less_though_each_router_uses_it_once_in_seconds() {
+    for outcome in [Outcome::TimedOut, Outcome::Failed] {
+        let mut sent = [0_usize; 5];
+        for seed in 0..100 {
+            let mut bench = Bench::seeded(
+                Settings {
+                    router_count: 100,
+                    ..settings()
+                },
+                4,
+                seed,
+            );
+            for round in 0..40 {
+                bench.wait(1_500 * MS);
+                (1..=4).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
+                let (id, actions) = bench.request(ANY);
+                let Some(&server) = sends(&actions).first() else {
+                    continue;
+                };
+                sent[server as usize] += usize::from(round >= 10);
+                let (outcome, elapsed) = if server == 2 {
+                    (outcome, 900 * MS)
+                } else {
+                    (Outcome::Ok, 60 * MS)
+                };
+                bench.event(Event::AttemptEnded(AttemptEnded {
+                    id,
+                    attempt: AttemptNo(0),
+                    server: ServerId(server),
+                    outcome,
+                    elapsed,
+                    request_finished: true,
+                    metadata: ResponseMetadata {
+                        primary: Some(server == 1),
+                        position: None,
+                    },
+                }));
+            }
+        }
+        assert!(sent[2] * 4 < sent[3].min(sent[4]), "{outcome:?}: {sent:?}");
+    }
+}
--- /dev/null
+++ b/crates/routing/tests/expiry.rs
@@ -0,0 +1,151 @@
+//! Queueing, rejecting, and the final answer.
+
+mod common;
+use common::*;
+use routing::*;
+use std::time::Duration;
+
+#[test]
+fn every_request_is_answered_once_by_its_deadline_when_nothing_answers() {
+    let mut bench = Bench::new(settings(), 2);
+    for class in [WRITE, BOUNDED, SESSION, ANY, UNSAFE_WRITE, FRESH] {
+        let (id, mut actions) = bench.request(class);
+        actions.extend(bench.pass(1_005));
+        let answers = actions.iter().filter(|a| match a {
+            Action::Reject { id: i, .. } | Action::Fail { id: i } => *i == id,
+            _ => false,
+        });
+        assert_eq!(answers.count(), 1, "class {class}");
+    }
+}
+
+#[test]
+fn without_a_primary_a_write_is_queued_briefly_then_rejected_with_a_retry_after() {
+    let mut bench = Bench::without_reports(settings(), 2);
+    let (id, actions) = bench.request(WRITE);
+    assert!(sends(&actions).is_empty() && !rejected(&actions, id));
+    let actions = bench.pass(600);
+    let hint = |a: &Action| matches!(a, Action::Reject { id: i, retry_after: Some(_) } if *i == id);
+    assert!(actions.iter().any(hint), "{actions:?}");
+}
+
+#[test]
+fn a_queued_write_is_sent_when_a_report_names_the_primary() {
+    let mut bench = Bench::without_reports(settings(), 2);
+    bench.request(WRITE);
+    assert_eq!(sends(&bench.report(2, true, Duration::ZERO)), [2]);
+}
+
+#[test]
+fn a_request_whose_client_left_gets_no_answer() {
+    let mut bench = Bench::new(settings(), 2);
+    let (id, _) = bench.request(ANY);
+    bench.event(Event::ClientLeft(id));
+    let actions = bench.pass(1_100);
+    assert!(
+        !rejected(&actions, id) && !failed(&actions, id),
+        "no answer after the client left"
+    );
+}
+
+#[test]
+fn what_was_never_sent_is_rejected_before_half_of_its_time() {
+    // Failure of a real day with a cut-off primary: refusals came just after half, a look too late.
+    let mut set = Settings {
+        staleness_check: StalenessCheck::Reject,
+        ..settings()
+    };
+    set.classes[usize::from(ANY)].latency_objective = 900 * MS;
+    for (class, members) in [(UNSAFE_WRITE, 3), (ANY, 1)] {
+        let mut bench = Bench::without_reports(set.clone(), members);
+        for _ in 0..10 {
+            let (id, _) = bench.request(ANY);
+            bench.end(id, 0, 1, Outcome::Ok);
+        }
+        // The first that finds no room, or no primary.
+        let (id, mut actions) = loop {
+            let (id, actions) = bench.request(class);
+            if sends(&actions).is_empty() {
+                break (id, actions);
+            }
+        };
+        let came = bench.now;
+        while !rejected(&actions, id) {
+            actions = bench.pass(5);
+            assert!(
+                sends(&actions).is_empty(),
+                "nothing can take it: {actions:?}"
+            );
+        }
+        let held = bench.now.since(came);
+        assert!(
+            held > 200 * MS && held < 500 * MS,
+            "class {class}: held for {held:?} of a second"
+        );
+    }
+}
+
+/// Storms of repeats, each with the rest of its client's time, took the room of first tries and earned nothing.
+#[test]
+fn a_retry_that_comes_too_late_to_earn_anything_is_rejected_at_once() {
+    let mut bench = Bench::new(settings(), 3);
+    let mut ask = |time_left: Duration, repeated| {
+        let arrival = Arrival {
+            time_left,
+            is_client_retry: repeated,
+            ..bench.arrival(ANY)
+        };
+        let (id, actions) = (arrival.id, bench.event(Event::RequestArrived(arrival)));
+        (sends(&actions).len(), rejected(&actions, id))
+    };
+    assert_eq!(
+        ask(500 * MS, false),
+        (1, false),
+        "a first try has half of the deadline here"
+    );
+    assert_eq!(
+        ask(500 * MS, true),
+        (1, false),
+        "how long ago the first try was is not known"
+    );
+    assert_eq!(
+        ask(400 * MS, true),
+        (0, true),
+        "600 ms after the first try the aim of 300 ms is over"
+    );
+}
+
+#[test]
+fn a_queued_request_has_one_timer_however_often_it_is_dispatched() {
+    let mut bench = Bench::without_reports(settings(), 3);
+    let held: Vec<RequestId> = (0..8).map(|_| bench.request(WRITE).0).collect();
+    // News of a server that does not help wakes them again and again.
+    for _ in 0..200 {
+        bench.wait(MS / 2);
+        bench.report(2, false, Duration::ZERO);
+    }
+    // From now on alarms alone, each when it is due: a look at all of them in a tenth of the tightest aim (30 ms).
+    let (end, mut alarms) = (bench.now.plus(200 * MS), 0);
+    let mut actions = bench.report(2, false, Duration::ZERO);
+    actions.extend(bench.event(Event::Timer(TimerToken(0))));
+    loop {
+        let after = actions.iter().filter_map(|a| {
+            if let Action::Timer { after, .. } = a {
+                Some(*after)
+            } else {
+                None
+            }
+        });
+        let Some(after) = after.min().filter(|after| bench.now.plus(*after) < end) else {
+            break;
+        };
+        bench.wait(after);
+        actions = bench.event(Event::Timer(TimerToken(0)));
+        alarms += 1;
+    }
+    assert!(
+        (1..=20).contains(&alarms),
+        "{alarms} alarms for {} held requests",
+        held.len()
+    );
+}
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -142,7 +142,7 @@
 
 fn play(seed: u64, set: Settings) -> World {
     let mut dice = Dice(seed);
-    let mut bench = Bench::unheard(set.clone(), 6);
+    let mut bench = Bench::without_reports(set.clone(), 6);
     let mut world = World {
         set,
         requests: BTreeMap::new(),
@@ -260,7 +260,7 @@
                 let started = if dice.roll(3) == 0 { now } else { Time::ZERO };
                 bench.list(vec![Endpoint {
                     started,
-                    ..entry(server, listed)
+                    ..endpoint(server, listed)
                 }])
             }
         };
@@ -325,7 +325,7 @@
         for bench in &mut routers {
             bench.list(vec![Endpoint {
                 started: BEGIN,
-                ..entry(6, EndpointState::Ready)
+                ..endpoint(6, EndpointState::Ready)
             }]);
             (1..=6).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
         }
@@ -339,7 +339,7 @@
             if step == 2_000 {
                 for (r, bench) in routers.iter_mut().enumerate() {
                     bench.now = now;
-                    actions.push((r, bench.list(vec![entry(2, EndpointState::Draining)])));
+                    actions.push((r, bench.list(vec![endpoint(2, EndpointState::Draining)])));
                 }
             }
             for (r, id, attempt, server) in pending.remove(&now).unwrap_or_default() {
@@ -355,7 +355,7 @@
                 } as usize;
                 routers[r].now = now;
                 let class = [ANY, BOUNDED, ANY, SESSION][dice.roll(4) as usize];
-                actions.push((r, routers[r].ask(class).1));
+                actions.push((r, routers[r].request(class).1));
             }
             while let Some((r, list)) = actions.pop() {
                 for action in list {
--- /dev/null
+++ b/crates/routing/tests/selection.rs
@@ -0,0 +1,36 @@
+//! Which member gets a request.
+
+mod common;
+use common::*;
+use std::time::Duration;
+
+#[test]
+fn a_bounded_read_goes_to_a_fresh_replica_not_to_the_primary() {
+    let mut bench = Bench::new(settings(), 3);
+    let (_, actions) = bench.request(BOUNDED);
+    assert!(matches!(sends(&actions)[..], [2 | 3]), "{actions:?}");
+}
+
+#[test]
+fn replicas_without_reports_are_tried_in_turn_by_eventual_reads() {
+    let mut bench = Bench::without_reports(settings(), 3);
+    let mut tried: Vec<u32> = (0..3).flat_map(|_| sends(&bench.request(ANY).1)).collect();
+    tried.sort();
+    assert_eq!(tried, [1, 2, 3]);
+}
+
+#[test]
+fn routers_to_which_all_members_look_alike_spread_over_them() {
+    // Failure of big days: all routers took the first id among equals.
+    let mut sent = [0; 5];
+    for seed in 0..100 {
+        let mut bench = Bench::seeded(settings(), 4, seed);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
+        }
+        sends(&bench.request(BOUNDED).1)
+            .iter()
+            .for_each(|&s| sent[s as usize] += 1);
+    }
+    assert!(sent[2..].iter().all(|&n| n > 20), "{sent:?}");
+}
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,266 +1,441 @@
-//! What many routers that do not talk send one starting server together, on virtual time.
+//! What a server that warms up gets: one router, and many with few requests each.
 
 mod common;
-
 use common::*;
 use routing::*;
-use std::collections::VecDeque;
 use std::time::Duration;
 
-const STARTING: u32 = 5;
-const STEP: Duration = Duration::from_millis(5);
-const WARM_STEPS: u32 = 4_000;
-const COLD_STEPS: u32 = 1_600;
-
-/// A number from 0 to 1 that looks random: SplitMix64.
-struct Random(u64);
-
-impl Random {
-    fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
+#[test]
+fn a_server_that_warms_up_gets_a_part_of_what_warm_members_answer() {
+    let mut bench = Bench::new(settings(), 3);
+    let cold = Endpoint {
+        started: bench.now,
+        ..endpoint(4, EndpointState::Ready)
+    };
+    bench.list(vec![cold]);
+    let mut sent = [0; 5];
+    for _ in 0..400 {
+        bench.wait(2 * MS);
+        if bench.now.0.as_millis().is_multiple_of(50) {
+            for server in 1..=4 {
+                bench.report(server, server == 1, Duration::ZERO);
+            }
+        }
+        let asked: Vec<_> = (0..3).map(|_| bench.request(ANY)).collect();
+        for (id, actions) in asked {
+            for server in sends(&actions) {
+                sent[server as usize] += 1;
+                bench.end(id, 0, server, Outcome::Ok);
+            }
+        }
     }
+    let warm = (sent[2] + sent[3]) / 2;
+    assert!(sent[4] > 0 && sent[4] < warm, "{sent:?}");
 }
 
-/// What the operators let a starting server bear where the settings allow it `allowed` requests.
-fn line(allowed: f64) -> f64 {
-    let chance = if allowed < 30.0 { 3.0 } else { 2.0 };
-    allowed + chance * allowed.sqrt() + chance
+/// What a hundred routers send a starting member when each of them gets one request, and looks again.
+fn sent_by_many_to_a_starting_member(class: u16, primary: bool) -> usize {
+    let mut total = 0;
+    for seed in 0..100 {
+        let mut bench = Bench::seeded(
+            Settings {
+                router_count: 100,
+                ..settings()
+            },
+            4,
+            seed,
+        );
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
+        }
+        let id = if primary { 1 } else { 4 };
+        bench.list(vec![Endpoint {
+            started: bench.now,
+            ..endpoint(id, EndpointState::Ready)
+        }]);
+        bench.wait(MS);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
+        }
+        let (_, mut actions) = bench.request(class);
+        actions.extend(bench.pass(200));
+        total += sends(&actions).iter().filter(|&&s| s == id).count();
+    }
+    total
 }
 
-struct Day {
-    routers: usize,
-    /// Requests that a warm server does in the time that a collapse takes.
-    warm: f64,
-    /// Of all requests, those that come to the first router; the others share the rest evenly.
-    first_router: f64,
-    /// Of what fully used servers would get, what comes, and from three seconds after the start.
-    load: [f64; 2],
+#[test]
+fn many_routers_with_little_traffic_do_not_overload_a_starting_server() {
+    // Failure of a day drawn to test rules: each router let one attempt through, 6.3 times what it could do.
+    let bears = 3.0 * 0.25 * 100.0;
+    let writes = sent_by_many_to_a_starting_member(WRITE, true) as f64;
+    assert!(
+        writes > 0.2 * bears && writes < bears,
+        "{writes} writes of 100 at a starting primary"
+    );
+    let reads = sent_by_many_to_a_starting_member(ANY, false) as f64;
+    assert!(
+        reads > 0.0 && reads < bears / 4.0,
+        "{reads} reads of 100 at one of four members"
+    );
+    assert_eq!(
+        sent_by_many_to_a_starting_member(ANY, true),
+        0,
+        "reads have others to go to"
+    );
 }
 
-fn answer(bench: &mut Bench, id: RequestId, server: u32, elapsed: Duration) {
-    let (attempt, server, metadata) = (AttemptNo(0), ServerId(server), ResponseMetadata::default());
-    let (outcome, last) = (Outcome::Ok, true);
-    bench.event(Event::AttemptEnded(AttemptEnded {
-        id,
-        attempt,
-        server,
-        outcome,
-        elapsed,
-        request_finished: last,
-        metadata,
-    }));
+#[test]
+fn what_one_starting_server_may_not_have_another_may() {
+    // Seen in the lab's day of a power loss: where all of a group start, one draw for each member refused more than they
+    // left in sum. Three of four bear a part of 0.15 each, as the list and the settings have it.
+    let bears = 0.8 * 3.0 * 0.25;
+    let mut sent = 0;
+    for seed in 0..1_000 {
+        let mut bench = Bench::seeded(
+            Settings {
+                router_count: 100,
+                ..settings()
+            },
+            4,
+            seed,
+        );
+        bench.list(
+            (1..=4)
+                .map(|s| Endpoint {
+                    started: bench.now,
+                    ..endpoint(s, EndpointState::Ready)
+                })
+                .collect(),
+        );
+        bench.wait(MS);
+        for server in 1..=4 {
+            bench.report(server, server == 1, Duration::ZERO);
+        }
+        let (_, mut actions) = bench.request(ANY);
+        actions.extend(bench.pass(200));
+        sent += usize::from(!sends(&actions).is_empty());
+    }
+    let (apart, together) = (1.0 - (1.0 - bears / 4.0_f64).powi(3), bears * 3.0 / 4.0);
+    let served = sent as f64 / 1_000.0;
+    assert!(
+        served > (apart + together) / 2.0 && served < together + 0.04,
+        "{served}"
+    );
 }
 
-/// Which router the next request comes to.
-fn drawn_router(day: &Day, random: &mut Random) -> usize {
-    let others = 1 + (random.next() * (day.routers - 1) as f64) as usize;
-    if random.next() < day.first_router {
-        0
-    } else {
-        others
+#[test]
+fn a_starting_server_gets_no_more_when_most_of_its_group_has_left() {
+    // Failure of found day h99f668: the requests were for six members, and their parts went by the two left.
+    let mut sent = 0;
+    for seed in 0..200 {
+        let mut bench = Bench::seeded(
+            Settings {
+                router_count: 200,
+                ..settings()
+            },
+            6,
+            seed,
+        );
+        bench.list(
+            (2..=5)
+                .map(|s| endpoint(s, EndpointState::Draining))
+                .collect(),
+        );
+        bench.list(
+            (2..=5)
+                .map(|s| endpoint(s, EndpointState::Removed))
+                .collect(),
+        );
+        bench.list(vec![Endpoint {
+            started: bench.now,
+            ..endpoint(6, EndpointState::Ready)
+        }]);
+        bench.wait(MS);
+        bench.report(6, false, Duration::ZERO);
+        let (_, mut actions) = bench.request(ANY);
+        actions.extend(bench.pass(200));
+        sent += sends(&actions).iter().filter(|&&s| s == 6).count();
     }
+    let bears = 3.0 * 0.25 * 200.0 / 6.0;
+    assert!(
+        sent > 0 && (sent as f64) < bears,
+        "{sent} of 200 reads for six members"
+    );
 }
 
-/// The greatest ratio to the line over eight seconds after the start of the only server that is left of five, which all
-/// five were warm for twenty seconds before.
-fn nearest(day: &Day, seed: u64) -> f64 {
-    let set = Settings {
-        router_count: day.routers as u32,
-        ..settings()
-    };
-    let mut routers: Vec<Bench> = (0..day.routers)
-        .map(|number| Bench::seeded(set.clone(), STARTING, number as u64))
-        .collect();
-    for bench in &mut routers {
-        (1..=STARTING).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
-    }
-    let started = routers[0].now.plus(STEP * WARM_STEPS);
-    let mut random = Random(seed << 32);
-    let mut came: VecDeque<Time> = VecDeque::new();
-    let mut most: f64 = 0.0;
-    for step in 1..=WARM_STEPS + COLD_STEPS {
-        let now = BEGIN.plus(STEP * step);
-        if now == started {
-            routers
-                .iter_mut()
-                .for_each(|bench| one_starts(bench, started));
-        }
-        let age = now.since(started).as_secs_f64();
-        let load = if age < 3.0 { day.load[0] } else { day.load[1] };
-        let mut wanted = load * day.warm * f64::from(STARTING) * STEP.as_secs_f64();
-        while random.next() < wanted {
-            wanted -= 1.0;
-            let bench = &mut routers[drawn_router(day, &mut random)];
-            bench.now = now;
-            let (id, actions) = bench.ask(ANY);
+#[test]
+fn a_request_goes_to_a_starting_server_once_at_most() {
+    // Failure of recorded day i60ceae: with errors everywhere the same requests came back up to eight times.
+    for seed in 0..40 {
+        let mut bench = Bench::seeded(settings(), 2, seed);
+        bench.list(vec![Endpoint {
+            started: bench.now,
+            ..endpoint(2, EndpointState::Ready)
+        }]);
+        let (id, mut actions) = bench.request(ANY);
+        let mut there = 0;
+        for no in 0..6 {
             let Some(&server) = sends(&actions).first() else {
-                bench.event(Event::ClientLeft(id));
-                continue;
+                break;
             };
-            if now < started {
-                answer(bench, id, server, 50 * MS);
-                continue;
-            }
-            came.push_back(now);
-            while came
-                .front()
-                .is_some_and(|&at| now.since(at) >= set.overload_duration)
-            {
-                came.pop_front();
-            }
-            let capacity = set.initial_capacity_fraction
-                + (1.0 - set.initial_capacity_fraction) * age / set.warm_up_duration.as_secs_f64();
-            let allowed = set.overload_factor * capacity * day.warm;
-            most = most.max(came.len() as f64 / line(allowed));
-            // Answers take as much longer as the server is colder, and as more than it can do has come.
-            let crowded = (came.len() as f64 / (capacity * day.warm)).max(1.0);
-            answer(bench, id, server, (50 * MS).mul_f64(crowded / capacity));
+            there += usize::from(server == 2);
+            bench.wait(MS);
+            actions = bench.end(id, no, server, Outcome::Failed);
+            actions.extend(bench.pass(60));
         }
+        assert!(
+            there <= 1,
+            "seed {seed}: {there} attempts at the starting server"
+        );
     }
-    most
 }
 
-fn one_starts(bench: &mut Bench, started: Time) {
-    bench.now = started;
-    bench.list(
-        (1..STARTING)
-            .map(|server| entry(server, EndpointState::Removed))
-            .collect(),
+/// Reads that a starting replica is sent within a second, after four seconds in which its answers took so long each. It
+/// is the only one, and what it may not have goes to the primary.
+fn sent_to_a_starting_server(took_ms: u32, trust_most: f64) -> usize {
+    let mut bench = Bench::new(settings(), 0);
+    bench.router = Router::with_tuning(
+        settings(),
+        Tuning {
+            ramp_confidence_max: trust_most,
+            ..Tuning::default()
+        },
+        1,
+        BEGIN,
     );
-    bench.list(vec![Endpoint {
-        started,
-        ..entry(STARTING, EndpointState::Ready)
-    }]);
-    bench.report(STARTING, false, Duration::ZERO);
-}
-
-/// By number of routers, the greatest ratio over some seeds.
-fn nearest_of_fleets(warm: f64, first_router: Option<f64>, load: [f64; 2]) -> Vec<(usize, f64)> {
-    let fleet = |routers: usize| {
-        let day = Day {
-            routers,
-            warm,
-            first_router: first_router.unwrap_or(1.0 / routers as f64),
-            load,
-        };
-        (
-            routers,
-            (1..=5).map(|seed| nearest(&day, seed)).fold(0.0, f64::max),
-        )
+    bench.list(vec![endpoint(1, EndpointState::Ready)]);
+    bench.report(1, true, Duration::ZERO);
+    let cold = Endpoint {
+        started: bench.now,
+        ..endpoint(5, EndpointState::Ready)
     };
-    [3, 8, 30, 300].into_iter().map(fleet).collect()
+    bench.list(vec![cold]);
+    bench.report(5, false, Duration::ZERO);
+    let mut sent = 0;
+    for step in 0..500_u64 {
+        // One read after the other, so that room is no matter; a hundred a second.
+        bench.wait(10 * MS);
+        let (id, actions) = bench.request(ANY);
+        let Some(&server) = sends(&actions).first() else {
+            continue;
+        };
+        sent += usize::from(server == 5 && step >= 400);
+        let elapsed = MS * if server == 5 { took_ms } else { 60 };
+        let metadata = ResponseMetadata {
+            primary: Some(server == 1),
+            position: None,
+        };
+        bench.event(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt: AttemptNo(0),
+            server: ServerId(server),
+            outcome: Outcome::Ok,
+            elapsed,
+            request_finished: true,
+            metadata,
+        }));
+    }
+    sent
 }
 
-fn assert_within_the_line(nearest: &[(usize, f64)]) {
+#[test]
+fn a_starting_server_gets_more_while_it_answers_as_fast_as_one_so_cold_can() {
+    // It has half of its capacity by then: 60 ms of work take 120.
+    let (fast, slow) = (
+        sent_to_a_starting_server(100, 3.0),
+        sent_to_a_starting_server(290, 3.0),
+    );
+    let (unproven, crowded) = (
+        sent_to_a_starting_server(100, 1.0),
+        sent_to_a_starting_server(290, 1.0),
+    );
     assert!(
-        nearest
-            .iter()
-            .all(|&(_, ratio)| ratio > 0.1 && ratio <= 1.0),
-        "by routers: {nearest:?}"
+        unproven > 0 && fast as f64 >= 1.2 * unproven as f64,
+        "{fast} proven, {unproven} without that"
     );
+    assert_eq!(slow, crowded, "where it is crowded nothing is proven");
 }
 
-#[test]
-fn a_burst_after_calm_keeps_a_starting_store_within_what_it_bears() {
-    assert_within_the_line(&nearest_of_fleets(100.0, None, [0.3, 0.69]));
-}
-
-#[test]
-fn more_than_full_use_keeps_a_starting_store_within_what_it_bears() {
-    assert_within_the_line(&nearest_of_fleets(100.0, None, [1.0, 1.2]));
-}
-
-#[test]
-fn a_starting_store_that_bears_a_few_requests_gets_no_more_from_many_routers() {
-    assert_within_the_line(&nearest_of_fleets(6.0, None, [0.6, 1.0]));
+/// Reads that a router has of a starting replica in each of 48 groups, in the fifth second after
+/// four in which each group had two reads.
+fn sent_to_starting_servers(trust_most: f64) -> usize {
+    let tuning = Tuning {
+        ramp_confidence_max: trust_most,
+        ..Tuning::default()
+    };
+    let many = Settings {
+        router_count: 100,
+        ..settings()
+    };
+    let mut sent = 0;
+    for seed in 0..8 {
+        let mut bench = Bench::new(many.clone(), 0);
+        bench.router = Router::with_tuning(many.clone(), tuning, seed, BEGIN);
+        let of = |group: u32, server: u32| Endpoint {
+            group: GroupId(group),
+            ..endpoint(2 * group + server, EndpointState::Ready)
+        };
+        let started = bench.now;
+        bench.list(
+            (0..48)
+                .flat_map(|g| {
+                    [
+                        of(g, 1),
+                        Endpoint {
+                            started,
+                            ..of(g, 2)
+                        },
+                    ]
+                })
+                .collect(),
+        );
+        for group in 0..48 {
+            bench.report(2 * group + 1, true, Duration::ZERO);
+            bench.report(2 * group + 2, false, Duration::ZERO);
+        }
+        for second in 0..5 {
+            let reads = if second == 4 { 480 } else { 24 };
+            for read in 0..reads {
+                bench.wait(1_000 * MS / reads);
+                let arrival = Arrival {
+                    group: GroupId((second * 24 + read) % 48),
+                    ..bench.arrival(ANY)
+                };
+                let id = arrival.id;
+                let actions = bench.event(Event::RequestArrived(arrival));
+                let Some(&server) = sends(&actions).first() else {
+                    continue;
+                };
+                sent += usize::from(server % 2 == 0 && second == 4);
+                let outcome = if second == 4 {
+                    Outcome::Cancelled
+                } else {
+                    Outcome::Ok
+                };
+                bench.event(Event::AttemptEnded(AttemptEnded {
+                    id,
+                    attempt: AttemptNo(0),
+                    server: ServerId(server),
+                    outcome,
+                    elapsed: 60 * MS,
+                    request_finished: true,
+                    metadata: ResponseMetadata {
+                        primary: Some(server % 2 == 1),
+                        position: None,
+                    },
+                }));
+            }
+        }
+    }
+    sent
 }
 
 #[test]
-fn one_router_with_nine_tenths_of_the_requests_keeps_a_starting_store_within_what_it_bears() {
-    assert_within_the_line(&nearest_of_fleets(100.0, Some(0.9), [0.3, 0.69]));
+fn a_router_that_seldom_hears_from_each_starting_server_learns_over_all_of_them() {
+    // Seen on join+vast: new members had 2 to 5 requests a second from a hundred routers together while they answered
+    // as fast as warm ones, and the rest of each group was crowded: each router heard from each once in many seconds.
+    let (learned, unproven) = (sent_to_starting_servers(3.0), sent_to_starting_servers(1.0));
+    assert!(
+        learned as f64 >= 1.4 * unproven as f64,
+        "{learned} learned, {unproven} without"
+    );
 }
 
 #[test]
-fn of_many_routers_with_one_request_each_an_even_part_goes_to_a_starting_store() {
-    // A draw by each router for itself gives 90 of 900 give or take ten.
-    for seed in 0..6 {
-        let routers = 150 * seed..150 * seed + 900;
-        let sent: usize = routers
-            .map(|number| {
-                let mut bench = Bench::seeded(
-                    Settings {
-                        router_count: 900,
-                        ..settings()
-                    },
-                    STARTING + 1,
-                    number,
-                );
-                bench.list(
-                    (1..=STARTING)
-                        .map(|server| entry(server, EndpointState::Removed))
-                        .collect(),
-                );
-                bench.list(vec![Endpoint {
-                    started: bench.now,
-                    ..entry(STARTING + 1, EndpointState::Ready)
-                }]);
-                bench.report(STARTING + 1, false, Duration::ZERO);
-                sends(&bench.ask(ANY).1).len()
-            })
-            .sum();
-        assert!(
-            (87..=93).contains(&sent),
-            "from router {}: {sent} of 900, where a tenth is even",
-            150 * seed
-        );
+fn retries_do_not_add_to_what_a_starting_server_gets() {
+    // Clients whose tries are refused come back up to three times: parts of those would be more than first tries bring.
+    let mut sent = [0; 2];
+    for seed in 0..200 {
+        for (at, repeated) in [false, true].into_iter().enumerate() {
+            let mut bench = Bench::seeded(
+                Settings {
+                    router_count: 200,
+                    ..settings()
+                },
+                3,
+                seed,
+            );
+            bench.list(vec![Endpoint {
+                started: bench.now,
+                ..endpoint(3, EndpointState::Ready)
+            }]);
+            bench.report(3, false, Duration::ZERO);
+            let arrival = Arrival {
+                is_client_retry: repeated,
+                ..bench.arrival(ANY)
+            };
+            let actions = bench.event(Event::RequestArrived(arrival));
+            sent[at] += sends(&actions).iter().filter(|&&s| s == 3).count();
+        }
     }
+    assert!(sent[0] > 0 && sent[1] == 0, "{sent:?}");
 }
 
 #[test]
-fn a_request_that_waits_has_no_second_turn_at_a_starting_store() {
-    // One turn each gives 30 in 100, one in each slice of the wait nearly twice as many.
-    let routers = 900;
-    let sent = (0..routers)
-        .filter(|&number| {
+fn first_requests_of_a_fully_used_group_use_most_of_what_a_starting_server_bears() {
+    // Seen on join+vast: groups of starting members alone refused half of their requests while they answered the rest as
+    // fast as warm ones. Half of the bound was kept for repeats, which no longer go there.
+    let sent = (0..1_000)
+        .filter(|&seed| {
             let mut bench = Bench::seeded(
                 Settings {
-                    router_count: routers as u32,
+                    router_count: 1_000,
                     ..settings()
                 },
-                2,
-                number,
+                6,
+                seed,
+            );
+            bench.list(
+                (2..=5)
+                    .map(|s| endpoint(s, EndpointState::Removed))
+                    .collect(),
             );
-            // It seldom gets a request, and knows that they take less than their aim.
-            for _ in 0..20 {
-                bench.wait(5_000 * MS);
-                (1..=2).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
-                let (id, actions) = bench.ask(ANY);
-                sends(&actions)
-                    .iter()
-                    .for_each(|&server| answer(&mut bench, id, server, 10 * MS));
-            }
-            bench.wait(5_000 * MS);
             bench.list(vec![Endpoint {
                 started: bench.now,
-                ..entry(2, EndpointState::Ready)
+                ..endpoint(6, EndpointState::Ready)
             }]);
             bench.report(1, true, Duration::ZERO);
-            bench.report(2, false, Duration::ZERO);
-            bench.wait(400 * MS);
-            // The other server has no room for a second one.
-            assert_eq!(sends(&bench.ask(WRITE).1), [1]);
-            let (_, mut actions) = bench.ask(ANY);
-            actions.extend(bench.pass(200));
-            sends(&actions).contains(&2)
+            bench.report(6, false, Duration::ZERO);
+            sends(&bench.request(ANY).1) == [6]
         })
         .count();
-    let part = 0.8 * 3.0 * (0.25 + 0.75 * 0.04) / 2.0;
-    let turns = part * routers as f64;
+    let tips = 3.0 * 0.25 * 1_000.0 / 6.0;
+    assert!(
+        (0.7 * tips..0.95 * tips).contains(&(sent as f64)),
+        "{sent} of 1000, where {tips} tip it"
+    );
+}
+
+#[test]
+fn half_a_group_of_starting_servers_is_not_overloaded_by_routers_that_each_send_one_request() {
+    let mut sent = [0_usize; 7];
+    for seed in 0..1_000 {
+        let mut bench = Bench::seeded(
+            Settings {
+                router_count: 1_000,
+                ..settings()
+            },
+            6,
+            seed,
+        );
+        let started = bench.now;
+        bench.list(
+            (4..=6)
+                .map(|s| Endpoint {
+                    started,
+                    ..endpoint(s, EndpointState::Ready)
+                })
+                .collect(),
+        );
+        (1..=6).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
+        let (_, mut actions) = bench.request(ANY);
+        actions.extend(bench.pass(200));
+        sends(&actions).iter().for_each(|&s| sent[s as usize] += 1);
+    }
+    let tips = 3.0 * 0.25 * 1_000.0 / 6.0;
     assert!(
-        (0.8 * turns..1.2 * turns).contains(&(sent as f64)),
-        "{sent}, where {turns} have a turn"
+        sent[4..].iter().all(|&n| n > 0 && (n as f64) < 0.95 * tips),
+        "{sent:?}, where {tips} tip one"
     );
 }
