--- a/crates/platform-settings/tests/class_mapping.rs
+++ b/crates/platform-settings/tests/class_mapping.rs
@@ -1,4 +1,4 @@
-//! New settings under way: places for good, and files that are not whole.
+//! Reloads: class ids that last, and files that are incomplete.
 
 use platform_settings::{decode, map_classes, PlatformSettings, Shape};
 use routing::{ClassId, Idempotency, ZoneId};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_class_keeps_its_place_for_as_long_as_it_is_the_same() {
+fn a_class_keeps_its_id_for_as_long_as_it_is_the_same() {
     let first = settings(&[("a", "safe", 5), ("b", "safe", 5)], &["x", "y"]);
     // Another order, one that changes, one that is new, one that is gone.
     let file = settings(&[("c", "safe", 5), ("b", "unsafe", 5)], &["y", "z"]);
@@ -23,7 +23,7 @@
     assert_eq!(next.class_ids, [ClassId(2), ClassId(3)]);
     assert_eq!(next.next.names.classes, ["", "", "c", "b"]);
     assert_eq!(next.predecessors, [None, None, None, Some(ClassId(1))]);
-    // Requests under way keep their rights at the former places.
+    // Open requests keep their rights under the former ids.
     let effects: Vec<Idempotency> = next
         .next
         .settings
@@ -50,18 +50,18 @@
 }
 
 #[test]
-fn places_are_bounded() {
+fn class_ids_are_bounded() {
     let mut now = settings(&[("a", "safe", 1)], &["x"]);
-    let turned_down = (2..5_000).find_map(|deadline| {
+    let rejected = (2..5_000).find_map(|deadline| {
         let next = map_classes(&now, settings(&[("a", "safe", deadline)], &["x"]));
         next.map(|s| now = s.next).err()
     });
-    assert_eq!(turned_down.unwrap().key(), "Classes");
+    assert_eq!(rejected.unwrap().key(), "Classes");
     assert_eq!(now.settings.classes.len(), 1_024);
 }
 
 #[test]
-fn what_the_first_had_a_later_one_must_have() {
+fn a_later_file_must_have_what_the_first_had() {
     let first = json!({"a": 1, "b": {"c": [{"d": 1, "e": 2}, {"d": 3}]}, "f": []});
     let shape = Shape::of(&first);
     assert_eq!(shape.missing(&first), None);
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -5,11 +5,11 @@
 use routing::*;
 use std::time::Duration;
 
-/// Requests of 100 that are refused on arrival, after this many attempts ended so.
+/// Of 100 requests, how many are rejected on arrival after this many attempts ended with `outcome`.
 fn rejected_on_arrival(class: u16, outcome: Outcome, ends: usize) -> usize {
     let mut bench = Bench::new(settings(), 3);
     for _ in 0..ends {
-        let (id, actions) = bench.request(ANY);
+        let (id, actions) = bench.request(EVENTUAL);
         bench.wait(100 * MS);
         if let Some(&server) = sends(&actions).first() {
             bench.end(id, 0, server, outcome);
@@ -18,7 +18,7 @@
     bench.wait(10_000 * MS);
     let turned = |bench: &mut Bench| {
         let (id, actions) = bench.request(class);
-        // Nothing stays out, and nothing is learned from it.
+        // Nothing stays in flight, and nothing is learned from it.
         bench.event(Event::ClientLeft(id));
         sends(&actions)
             .iter()
@@ -30,16 +30,18 @@
 
 #[test]
 fn overload_that_retries_keep_up_is_answered_by_admitting_less() {
-    // Failure of recorded days i30461c and ic9dd48: full answers and attempts run in vain for the whole day.
+    // Seen on recorded days i30461c and ic9dd48: retries kept every server full, and attempts were rejected or executed in
+    // vain for the whole day. A router has to admit less while that lasts.
     assert_eq!(rejected_on_arrival(WRITE, Outcome::Ok, 40), 0);
-    assert!(rejected_on_arrival(ANY, Outcome::Rejected, 40) > 30);
-    // Failed connections are no jam: nothing is gained by refusing.
+    assert!(rejected_on_arrival(EVENTUAL, Outcome::Rejected, 40) > 30);
+    // Failed connects are no overload: nothing is gained by rejecting.
     assert_eq!(rejected_on_arrival(WRITE, Outcome::ConnectFailed, 40), 0);
 }
 
 #[test]
 fn overload_in_one_group_rejects_no_requests_of_another() {
-    // Seen on join+vast: one part for all groups refused half of the requests of groups that answered all others.
+    // Seen on join+vast: one admission fraction for all groups rejected half of the requests of groups that were not
+    // overloaded.
     let mut bench = Bench::new(settings(), 3);
     let other = |server: u32| Endpoint {
         group: GroupId(1),
@@ -51,7 +53,7 @@
         for group in 0..2 {
             let arrival = Arrival {
                 group: GroupId(group),
-                ..bench.arrival(ANY)
+                ..bench.arrival(EVENTUAL)
             };
             let id = arrival.id;
             let actions = bench.event(Event::RequestArrived(arrival));
@@ -68,16 +70,13 @@
             bench.event(Event::ClientLeft(id));
         }
     }
-    assert!(
-        turned[0] > 30,
-        "the group that is full is spared: {turned:?}"
-    );
+    assert!(turned[0] > 30, "the overloaded group is spared: {turned:?}");
     assert_eq!(turned[1], 0, "the other serves all");
 }
 
 #[test]
 fn one_of_many_routers_learns_of_a_burst_and_of_its_end_from_all_groups() {
-    // Seen on calm+mass: half a minute after a burst routers still refused for groups that answered all in time.
+    // Seen on calm+mass: half a minute after a burst, routers still rejected requests of groups that answered in time.
     let mut bench = Bench::new(
         Settings {
             router_count: 300,
@@ -95,7 +94,7 @@
         for round in 0..120 {
             let arrival = Arrival {
                 group: GroupId(1 + round % 19),
-                ..bench.arrival(ANY)
+                ..bench.arrival(EVENTUAL)
             };
             let id = arrival.id;
             let actions = bench.event(Event::RequestArrived(arrival));
@@ -117,11 +116,11 @@
             bench.event(Event::ClientLeft(id));
             bench.wait(100 * MS);
         }
-        // Of a group that was not heard of at all.
+        // Of a group without any answer so far.
         let ask = |bench: &mut Bench| {
             let arrival = Arrival {
                 group: GroupId(0),
-                ..bench.arrival(ANY)
+                ..bench.arrival(EVENTUAL)
             };
             let id = arrival.id;
             let actions = bench.event(Event::RequestArrived(arrival));
@@ -133,7 +132,7 @@
     assert!(refusals[0] > 30 && refusals[1] == 0, "{refusals:?}");
 }
 
-/// Of two hundred requests in as many fleets, how many are sent after six answers, so many of the last of a full server.
+/// Of 200 requests in as many fleets, how many are sent after six answers, the last `full` of which are rejections.
 fn sent_after_answers(
     full: usize,
     standing: QuotaStatus,
@@ -153,7 +152,7 @@
         bench.report(1, true, Duration::ZERO);
         for answer in 0..6 {
             bench.pass(100);
-            let (id, actions) = bench.request(ANY);
+            let (id, actions) = bench.request(EVENTUAL);
             let outcome = if answer + full >= 6 {
                 Outcome::Rejected
             } else {
@@ -167,7 +166,7 @@
         let arrival = Arrival {
             quota_status: standing,
             shed_fraction: shed,
-            ..bench.arrival(ANY)
+            ..bench.arrival(EVENTUAL)
         };
         sent += sends(&bench.event(Event::RequestArrived(arrival))).len();
     }
@@ -180,14 +179,14 @@
         sent_after_answers(0, QuotaStatus::OverQuota, 0.05, 0.0),
         200
     );
-    // One alone may be chance.
+    // A single rejection by a server may be chance.
     let one = sent_after_answers(1, QuotaStatus::OverQuota, 0.05, 0.0);
     assert!((70..140).contains(&one), "{one}");
     assert!(sent_after_answers(3, QuotaStatus::OverQuota, 0.05, 0.0) < 50);
     assert!(sent_after_answers(1, QuotaStatus::WithinQuota, 0.05, 0.0) > 120);
-    // Where it is worth as much as any, it is served as any.
+    // With the full weight it is served as any.
     assert!(sent_after_answers(1, QuotaStatus::OverQuota, 1.0, 0.0) > 120);
-    // What is to be shed is, and no more: of the two doors the narrower counts, not their product.
+    // What is to be shed is, and no more: the narrower of the two fractions counts, not their product.
     assert!((80..120).contains(&sent_after_answers(0, QuotaStatus::WithinQuota, 0.05, 0.5)));
     assert_eq!(
         sent_after_answers(0, QuotaStatus::WithinQuota, 0.05, 1.0),
@@ -200,7 +199,7 @@
         beyond(0.0),
         beyond(0.5)
     );
-    // What is borrowed takes nobody's place.
+    // A borrowed request takes no other's place.
     assert_eq!(sent_after_answers(0, QuotaStatus::Borrowed, 0.05, 0.0), 200);
     assert_eq!(sent_after_answers(3, QuotaStatus::Borrowed, 0.05, 0.0), 0);
 }
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -28,7 +28,10 @@
                 *slot += 1;
                 break;
             }
-            assert!(!failed(&actions, id), "what never ran is held or refused");
+            assert!(
+                !failed(&actions, id),
+                "what never ran is queued or rejected"
+            );
             bench.event(Event::ClientLeft(id));
         }
     }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -7,9 +7,9 @@
 pub const WRITE: u16 = 0;
 pub const BOUNDED: u16 = 1;
 pub const SESSION: u16 = 2;
-pub const ANY: u16 = 3;
-pub const UNSAFE_WRITE: u16 = 4;
-pub const FRESH: u16 = 5;
+pub const EVENTUAL: u16 = 3;
+pub const NON_IDEMPOTENT_WRITE: u16 = 4;
+pub const STRONG: u16 = 5;
 
 pub const MS: Duration = Duration::from_millis(1);
 /// Positions and starts lie before the first event too.
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn rejections_are_not_answered_with_a_storm_of_attempts() {
-    // Failure of the first version: 8 attempts a request, nine in ten turned away as full.
+    // Seen with the first version: 8 attempts for each request, nine in ten rejected by full servers.
     let mut bench = Bench::new(settings(), 3);
     let mut attempts = 0;
     for _ in 0..40 {
@@ -28,7 +28,8 @@
 
 #[test]
 fn routers_with_little_traffic_relieve_a_server_that_answers_late() {
-    // Failure of grown slots days: one attempt from each of a hundred routers was within each one's room.
+    // Seen on grown slots days: one attempt of each of a hundred routers was within each one's limit, and together they kept
+    // a slow server full.
     let mut sent = 0;
     for seed in 0..100 {
         let mut bench = Bench::seeded(settings(), 2, seed);
@@ -51,11 +52,12 @@
     }
     assert!(
         (5..60).contains(&sent),
-        "{sent} of 100 after an answer at three times the aim"
+        "{sent} of 100 after an answer at three times the objective"
     );
 }
 
-/// Connections that fell silent were taken for servers that hold too much, whose room shrank for nothing.
+/// Connections that fell silent were taken for overloaded servers, whose limits were reduced for nothing. A time-out that
+/// later attempts have overtaken must not count.
 #[test]
 fn a_time_out_that_others_have_overtaken_reduces_no_limit() {
     for (overtaken, sent) in [(4, 3), (0, 1)] {
@@ -63,9 +65,9 @@
         let mut silent = None;
         for round in 0..8 + overtaken {
             let out = (0..2)
-                .map(|_| bench.request(ANY))
+                .map(|_| bench.request(EVENTUAL))
                 .find(|(_, actions)| !sends(actions).is_empty());
-            let (id, _) = out.unwrap_or_else(|| panic!("round {round} has no room"));
+            let (id, _) = out.unwrap_or_else(|| panic!("round {round} has no capacity"));
             bench.wait(5 * MS);
             if round == 7 {
                 silent = Some(id);
@@ -75,7 +77,9 @@
         }
         bench.wait(600 * MS);
         bench.end(silent.unwrap(), 0, 1, Outcome::TimedOut);
-        let taken: usize = (0..3).map(|_| sends(&bench.request(ANY).1).len()).sum();
+        let taken: usize = (0..3)
+            .map(|_| sends(&bench.request(EVENTUAL).1).len())
+            .sum();
         assert!(
             taken >= sent && (overtaken > 0 || taken < 3),
             "{taken} with {overtaken}"
@@ -83,8 +87,8 @@
     }
 }
 
-/// Of a hundred requests in a hundred fleets, how many go to the only server so long after it has kept one for three times
-/// its aim, or until the client's time was over.
+/// Of a hundred requests in as many fleets, how many go to the only server `pause` after it took three times the
+/// objective for one, or let it time out.
 fn sent_after_a_late_answer(routers: u32, outcome: Outcome, pause: Duration) -> usize {
     let mut sent = 0;
     for seed in 0..100 {
@@ -98,7 +102,7 @@
         );
         bench.report(1, true, Duration::ZERO);
         let (id, _) = bench.request(WRITE);
-        // It answers another meanwhile, so that it is slow and not silent.
+        // It answers another one meanwhile, so that it is slow and not silent.
         let (other, _) = bench.request(WRITE);
         bench.event(Event::ClientLeft(other));
         bench.wait(200 * MS);
@@ -127,8 +131,8 @@
 
 #[test]
 fn many_routers_together_do_not_try_an_overloaded_server_again_as_soon_as_few_do() {
-    // Seen on join+vast: each of a hundred routers came back to a full server every two or three seconds, as if nothing
-    // had been, and all that came was answered late or never until the day's end.
+    // Seen on join+vast: each of a hundred routers came back to a full server every two or three seconds, and everything
+    // sent there was answered late or never until the day's end.
     let few = sent_after_a_late_answer(4, Outcome::Ok, 10_000 * MS);
     let many = sent_after_a_late_answer(100, Outcome::Ok, 10_000 * MS);
     assert!(
@@ -137,16 +141,16 @@
     );
     assert!(
         sent_after_a_late_answer(100, Outcome::Ok, 120_000 * MS) >= 95,
-        "it is forgotten all the same"
+        "the estimate decays all the same"
     );
 }
 
 #[test]
 fn in_a_large_fleet_a_time_out_counts_as_the_whole_deadline() {
-    // A try with 350 ms for an aim of 300 that got no answer looked like one that was answered nearly in time.
+    // An attempt with 350 ms for an objective of 300 that got no answer looked like one answered nearly in time.
     let sent = sent_after_a_late_answer(100, Outcome::TimedOut, Duration::ZERO);
     assert!((5..25).contains(&sent), "{sent} of 100");
-    // Among few, whose rooms are cut, so much more cost answers on days with bad connections.
+    // In a small fleet, whose limits are reduced anyway, that would cost answers on days with bad connections.
     let sent = sent_after_a_late_answer(4, Outcome::TimedOut, Duration::ZERO);
     assert!((30..60).contains(&sent), "{sent} of 100 among few");
 }
@@ -154,8 +158,8 @@
 #[test]
 fn a_server_where_all_attempts_time_out_gets_few_requests_of_many_routers_and_soon_its_part_again()
 {
-    // Seen on join+mass: members left alone in their groups ended none of their attempts in time for many seconds,
-    // since all proxies together went on to send each half of what it could bear with an empty queue.
+    // Seen on join+mass: the last members of their groups answered no attempt in time for many seconds, since all proxies
+    // together went on to send each of them half of what it could bear with an empty queue.
     let (mut sent, mut held) = ([0; 2], 0);
     for seed in 0..100 {
         let mut bench = Bench::seeded(
@@ -169,14 +173,14 @@
         for round in 0..40 {
             bench.wait(1_500 * MS);
             bench.report(1, true, Duration::ZERO);
-            let jammed = round < 20;
-            let (id, actions) = bench.request(ANY);
+            let overloaded = round < 20;
+            let (id, actions) = bench.request(EVENTUAL);
             if sends(&actions).is_empty() {
                 held += usize::from(!rejected(&actions, id));
                 continue;
             }
-            sent[usize::from(!jammed)] += usize::from(round % 20 >= 5);
-            let (outcome, elapsed) = if jammed {
+            sent[usize::from(!overloaded)] += usize::from(round % 20 >= 5);
+            let (outcome, elapsed) = if overloaded {
                 (Outcome::TimedOut, 900 * MS)
             } else {
                 (Outcome::Ok, 60 * MS)
@@ -197,15 +201,15 @@
     let asked = 100 * 15;
     assert!(
         sent[0] * 10 < asked && sent[1] * 2 > asked,
-        "{sent:?} of {asked} while jammed, and after"
+        "{sent:?} of {asked} while overloaded, and after"
     );
-    assert_eq!(held, 0, "what a draw refuses is told at once");
+    assert_eq!(held, 0, "what a draw rejects is answered at once");
 }
 
 #[test]
 fn a_write_goes_by_its_own_objective_after_a_read_that_missed_its() {
-    // Seen on zone+mass: a read that ran out of time at two and a half of its aims kept four in five writes, whose aim is five
-    // times as long, from a primary at which the writes of others were in time.
+    // Seen on zone+mass: a read that took two and a half of its objectives kept four in five writes, with an objective five
+    // times as long, from a primary at which other routers' writes were in time.
     let after_a_read = |class, took| {
         let sent = (0..200).filter(|&seed| {
             let mut settings = Settings {
@@ -213,12 +217,12 @@
                 ..settings()
             };
             settings.classes[usize::from(WRITE)].latency_objective =
-                5 * settings.classes[usize::from(ANY)].latency_objective;
+                5 * settings.classes[usize::from(EVENTUAL)].latency_objective;
             settings.classes[usize::from(WRITE)].deadline =
                 2 * settings.classes[usize::from(WRITE)].latency_objective;
             let mut bench = Bench::seeded(settings, 1, seed);
             bench.report(1, true, Duration::ZERO);
-            let (id, _) = bench.request(ANY);
+            let (id, _) = bench.request(EVENTUAL);
             bench.wait(took);
             let (attempt, server, metadata) =
                 (AttemptNo(0), ServerId(1), ResponseMetadata::default());
@@ -232,7 +236,7 @@
                 request_finished: true,
                 metadata,
             }));
-            // What was in time opens the doors again, so that the room alone decides.
+            // Admission has recovered by then, so that the concurrency limit alone decides.
             bench.wait(1_000 * MS);
             let arrival = Arrival {
                 time_left: 2_000 * MS,
@@ -242,10 +246,10 @@
         });
         sent.count()
     };
-    assert!(after_a_read(ANY, 750 * MS) < 60);
+    assert!(after_a_read(EVENTUAL, 750 * MS) < 60);
     assert!(after_a_read(WRITE, 750 * MS) > 150);
     assert!(
         after_a_read(WRITE, 9_000 * MS) < 120,
-        "by its own aim it is held back as well"
+        "by its own objective it is held back as well"
     );
 }
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -57,13 +57,13 @@
         EndpointState::Ready,
     )])));
     assert_eq!(asked(&cached), 1);
-    assert_eq!(asked(&bench.pass(5_000)), 0, "one is out");
+    assert_eq!(asked(&bench.pass(5_000)), 0, "one is in flight");
     let mut after = bench.event(Event::Endpoints(EndpointUpdate::Failed));
     after.extend(bench.pass(1_000));
     assert_eq!(asked(&after), 1);
 }
 
-/// However many calls have failed, the next comes within the time that the settings give for asking.
+/// However many polls have failed, the next one comes within the poll interval of the settings.
 #[test]
 fn the_list_is_polled_within_a_short_poll_interval() {
     for (within, routers) in [(1_000_u32, 2), (1_000, 300), (3_000, 2), (3_000, 300)] {
@@ -92,13 +92,13 @@
 #[test]
 fn a_removed_server_that_answers_late_does_no_harm() {
     let mut bench = Bench::new(settings(), 2);
-    let (id, actions) = bench.request(ANY);
+    let (id, actions) = bench.request(EVENTUAL);
     let server = sends(&actions)[0];
     bench.list(vec![endpoint(server, EndpointState::Removed)]);
     let actions = bench.end(id, 0, server, Outcome::Reset);
     assert_ne!(sends(&actions), [server]);
     bench.list(vec![endpoint(server, EndpointState::Removed)]);
-    assert!(!sends(&bench.request(ANY).1).contains(&server));
+    assert!(!sends(&bench.request(EVENTUAL).1).contains(&server));
 }
 
 #[test]
@@ -116,7 +116,7 @@
     assert_eq!(bench.router.unavailable_servers(bench.now), 0);
 }
 
-/// How many of a hundred routers ask for the list within each second, and the longest that one waits.
+/// How many routers poll the list within each second after an event, and the longest wait in milliseconds.
 fn polls_of_a_fleet(routers: u32, after: fn(&mut Bench) -> Vec<Action>) -> (Vec<usize>, u64) {
     let (mut by_second, mut longest) = (vec![0; 12], 0);
     let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
@@ -141,9 +141,9 @@
 
 #[test]
 fn a_hundred_routers_that_start_or_lose_the_list_together_do_not_poll_in_step() {
-    // Seen on herd+vast: of seventy proxies that started again in the same instant five got the list, and none of all
-    // their further calls was answered in twelve seconds: each call takes the service 50 to 60 ms, in turn, and a call
-    // that has waited for two seconds has failed but is worked through all the same.
+    // Seen on herd+vast: of seventy proxies that restarted in the same instant five got the list, and none of their further
+    // polls was answered in twelve seconds. Discovery takes 50 to 60 ms for each call, one after the other, and works
+    // through calls whose callers have given up after two seconds all the same.
     let start: fn(&mut Bench) -> _ = |bench| {
         bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
             1,
@@ -151,7 +151,7 @@
         )])))
     };
     let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::Endpoints(EndpointUpdate::Failed));
-    // After a failure less time is left, and all of it is used.
+    // After a failure there is less time, and all of it is used.
     let spans = [
         (start, discovery_schedule::first_call(10_000 * MS)),
         (lost, discovery_schedule::RETRY),
@@ -176,8 +176,8 @@
     }
 }
 
-/// Seen on zone+mass: of a hundred proxies 53 were killed and started again 2.6 s later, with the list as it was before.
-/// Those that called 4 s after that and later still sent to members that counted as gone: six seconds after the change.
+/// Seen on zone+mass: of a hundred proxies 53 were killed and started again 2.6 s later with their cached list. Those that
+/// polled more than 4 s after that still sent to members whose removal counted as known, six seconds after it.
 #[test]
 fn a_cached_list_is_used_for_a_short_time_only() {
     let set = Settings {
@@ -195,16 +195,16 @@
     };
     let mut begun = bench();
     assert_eq!(
-        sends(&begun.request(ANY).1).len(),
+        sends(&begun.request(EVENTUAL).1).len(),
         1,
-        "at first it serves by it"
+        "at first it is used"
     );
     let mut old = bench();
     old.wait(discovery_schedule::CACHED);
-    let (id, actions) = old.request(ANY);
+    let (id, actions) = old.request(EVENTUAL);
     assert!(
         sends(&actions).is_empty() && !rejected(&actions, id),
-        "held: {actions:?}"
+        "queued: {actions:?}"
     );
     let actions = old.event(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint(
         1,
@@ -214,11 +214,15 @@
     let mut same = bench();
     same.wait(discovery_schedule::CACHED);
     same.event(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
-    assert_eq!(sends(&same.request(ANY).1).len(), 1, "nothing has changed");
+    assert_eq!(
+        sends(&same.request(EVENTUAL).1).len(),
+        1,
+        "nothing has changed"
+    );
     let mut silent = bench();
     silent.wait(discovery_schedule::TOLD);
     assert_eq!(
-        sends(&silent.request(ANY).1).len(),
+        sends(&silent.request(EVENTUAL).1).len(),
         1,
         "discovery says nothing at all: the list is all there is"
     );
@@ -226,16 +230,16 @@
     failed.wait(discovery_schedule::CACHED);
     failed.event(Event::Endpoints(EndpointUpdate::Failed));
     assert_eq!(
-        sends(&failed.request(ANY).1).len(),
+        sends(&failed.request(EVENTUAL).1).len(),
         1,
-        "discovery can't be reached: nothing newer counts as told"
+        "discovery can't be reached: nothing newer counts as known"
     );
 }
 
 #[test]
 fn however_often_a_poll_has_failed_and_in_any_fleet_the_next_one_is_in_time() {
-    // Among a hundred routers the next call came up to 7.5 s after a failure, and up to 4.5 s among four: what changes
-    // counts as told 6 s after discovery can be reached again, and the call has to wait for its turn.
+    // In a fleet of a hundred the next poll came up to 7.5 s after a failure, and up to 4.5 s in one of four. A change counts
+    // as known 6 s after discovery can be reached again, and the poll has to wait for its turn there.
     let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
@@ -263,7 +267,7 @@
 
 #[test]
 fn routers_that_wait_for_discovery_stay_spread_over_the_time_that_there_is() {
-    // By failures of calls that are refused at once, as while the service is down.
+    // Polls are refused at once, as while discovery is down.
     let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
     let (mut next, mut calls) = (vec![0; 8], 0);
     let back = 20_000 * MS;
--- a/crates/routing/tests/estimates.rs
+++ b/crates/routing/tests/estimates.rs
@@ -8,20 +8,20 @@
 #[test]
 fn a_hung_replica_does_not_look_idle() {
     let mut bench = Bench::new(settings(), 3);
-    // Both replicas answer two reads at once, so each may hold two.
+    // Both replicas answer two reads at once, so each may have two in flight.
     for _ in 0..6 {
-        let (id, actions) = bench.request(ANY);
+        let (id, actions) = bench.request(EVENTUAL);
         let [server] = sends(&actions)[..] else {
             panic!("{actions:?}")
         };
         bench.wait(10 * MS);
         bench.end(id, 0, server, Outcome::Ok);
     }
-    let (_, actions) = bench.request(ANY);
+    let (_, actions) = bench.request(EVENTUAL);
     let hung = sends(&actions)[0];
     bench.wait(400 * MS);
     for _ in 0..5 {
-        let (id, actions) = bench.request(ANY);
+        let (id, actions) = bench.request(EVENTUAL);
         let [server] = sends(&actions)[..] else {
             panic!("{actions:?}")
         };
@@ -33,14 +33,15 @@
 
 #[test]
 fn a_server_that_loses_requests_or_fails_them_quickly_is_left_for_others() {
-    // Failure of grown tracking days: run times were learned from answers alone, and probes were answered.
+    // Seen on grown tracking days: run times were learned from answers alone, so that a server that lost requests but
+    // answered probes looked like any other.
     for outcome in [Outcome::TimedOut, Outcome::Failed, Outcome::ConnectFailed] {
         let mut sent = [0; 4];
         for seed in 0..20 {
             let mut bench = Bench::seeded(settings(), 3, seed);
             for round in 0..100 {
                 bench.report(1, true, Duration::ZERO);
-                let (id, actions) = bench.request(ANY);
+                let (id, actions) = bench.request(EVENTUAL);
                 bench.wait(200 * MS);
                 for server in sends(&actions) {
                     sent[server as usize] += 1;
@@ -105,7 +106,7 @@
             for round in 0..40 {
                 bench.wait(1_500 * MS);
                 (1..=4).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
-                let (id, actions) = bench.request(ANY);
+                let (id, actions) = bench.request(EVENTUAL);
                 let Some(&server) = sends(&actions).first() else {
                     continue;
                 };
--- a/crates/routing/tests/expiry.rs
+++ b/crates/routing/tests/expiry.rs
@@ -8,7 +8,14 @@
 #[test]
 fn every_request_is_answered_once_by_its_deadline_when_nothing_answers() {
     let mut bench = Bench::new(settings(), 2);
-    for class in [WRITE, BOUNDED, SESSION, ANY, UNSAFE_WRITE, FRESH] {
+    for class in [
+        WRITE,
+        BOUNDED,
+        SESSION,
+        EVENTUAL,
+        NON_IDEMPOTENT_WRITE,
+        STRONG,
+    ] {
         let (id, mut actions) = bench.request(class);
         actions.extend(bench.pass(1_005));
         let answers = actions.iter().filter(|a| match a {
@@ -39,7 +46,7 @@
 #[test]
 fn a_request_whose_client_left_gets_no_answer() {
     let mut bench = Bench::new(settings(), 2);
-    let (id, _) = bench.request(ANY);
+    let (id, _) = bench.request(EVENTUAL);
     bench.event(Event::ClientLeft(id));
     let actions = bench.pass(1_100);
     assert!(
@@ -50,19 +57,19 @@
 
 #[test]
 fn what_was_never_sent_is_rejected_before_half_of_its_time() {
-    // Failure of a real day with a cut-off primary: refusals came just after half, a look too late.
+    // Seen on a real day with a cut-off primary: rejections came just after half of the client's time, one recheck too late.
     let mut set = Settings {
         staleness_check: StalenessCheck::Reject,
         ..settings()
     };
-    set.classes[usize::from(ANY)].latency_objective = 900 * MS;
-    for (class, members) in [(UNSAFE_WRITE, 3), (ANY, 1)] {
+    set.classes[usize::from(EVENTUAL)].latency_objective = 900 * MS;
+    for (class, members) in [(NON_IDEMPOTENT_WRITE, 3), (EVENTUAL, 1)] {
         let mut bench = Bench::without_reports(set.clone(), members);
         for _ in 0..10 {
-            let (id, _) = bench.request(ANY);
+            let (id, _) = bench.request(EVENTUAL);
             bench.end(id, 0, 1, Outcome::Ok);
         }
-        // The first that finds no room, or no primary.
+        // The first that finds no capacity, or no primary.
         let (id, mut actions) = loop {
             let (id, actions) = bench.request(class);
             if sends(&actions).is_empty() {
@@ -80,12 +87,12 @@
         let held = bench.now.since(came);
         assert!(
             held > 200 * MS && held < 500 * MS,
-            "class {class}: held for {held:?} of a second"
+            "class {class}: queued for {held:?} of a second"
         );
     }
 }
 
-/// Storms of repeats, each with the rest of its client's time, took the room of first tries and earned nothing.
+/// Storms of retries, each with the rest of its client's time, took the capacity for first requests and earned nothing.
 #[test]
 fn a_retry_that_comes_too_late_to_earn_anything_is_rejected_at_once() {
     let mut bench = Bench::new(settings(), 3);
@@ -93,7 +100,7 @@
         let arrival = Arrival {
             time_left,
             is_client_retry: repeated,
-            ..bench.arrival(ANY)
+            ..bench.arrival(EVENTUAL)
         };
         let (id, actions) = (arrival.id, bench.event(Event::RequestArrived(arrival)));
         (sends(&actions).len(), rejected(&actions, id))
@@ -101,17 +108,17 @@
     assert_eq!(
         ask(500 * MS, false),
         (1, false),
-        "a first try has half of the deadline here"
+        "a first request has half of the deadline here"
     );
     assert_eq!(
         ask(500 * MS, true),
         (1, false),
-        "how long ago the first try was is not known"
+        "how long ago the first request was is not known"
     );
     assert_eq!(
         ask(400 * MS, true),
         (0, true),
-        "600 ms after the first try the aim of 300 ms is over"
+        "600 ms after the first request the objective of 300 ms is over"
     );
 }
 
@@ -119,13 +126,13 @@
 fn a_queued_request_has_one_timer_however_often_it_is_dispatched() {
     let mut bench = Bench::without_reports(settings(), 3);
     let held: Vec<RequestId> = (0..8).map(|_| bench.request(WRITE).0).collect();
-    // News of a server that does not help wakes them again and again.
+    // Reports of a server that does not help dispatch them again and again.
     for _ in 0..200 {
         bench.wait(MS / 2);
         bench.report(2, false, Duration::ZERO);
     }
-    // From now on alarms alone, each when it is due: a look at all of them in a tenth of the tightest aim (30 ms).
-    let (end, mut alarms) = (bench.now.plus(200 * MS), 0);
+    // From now on timers alone, each when it is due: all are rechecked within a tenth of the tightest objective (30 ms).
+    let (end, mut timers) = (bench.now.plus(200 * MS), 0);
     let mut actions = bench.report(2, false, Duration::ZERO);
     actions.extend(bench.event(Event::Timer(TimerToken(0))));
     loop {
@@ -141,11 +148,11 @@
         };
         bench.wait(after);
         actions = bench.event(Event::Timer(TimerToken(0)));
-        alarms += 1;
+        timers += 1;
     }
     assert!(
-        (1..=20).contains(&alarms),
-        "{alarms} alarms for {} held requests",
+        (1..=20).contains(&timers),
+        "{timers} timers for {} queued requests",
         held.len()
     );
 }
--- a/crates/routing/tests/freshness.rs
+++ b/crates/routing/tests/freshness.rs
@@ -83,7 +83,8 @@
 
 #[test]
 fn reports_older_than_the_bound_do_not_push_bounded_reads_onto_the_primary() {
-    // Failure of recorded day i10d23f: with old reports no replica ever seemed fit.
+    // Seen on recorded day i10d23f: reports were always older than the bound, no replica ever seemed fresh enough, and all
+    // bounded reads went to the primaries.
     let mut bench = Bench::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
@@ -101,7 +102,8 @@
     assert!(matches!(sends(&actions)[..], [2 | 3]), "{actions:?}");
 }
 
-/// A replica that checks nothing answers from what it has: the read may begin only while its position is new enough.
+/// A replica that does not check staleness answers from what it has. A dial may delay the read, so the host is told until
+/// when it may begin.
 #[test]
 fn a_bounded_read_has_to_begin_while_its_replica_is_fresh() {
     let mut bench = Bench::new(settings(), 2);
@@ -124,7 +126,7 @@
     let (_, actions) = checked.request(BOUNDED);
     assert!(
         begins_within(&actions) > 500 * MS,
-        "the replica turns it away by itself: {actions:?}"
+        "the replica rejects it by itself: {actions:?}"
     );
 }
 
@@ -159,7 +161,7 @@
 
 #[test]
 fn a_carried_position_counts_however_the_routers_clock_is_set() {
-    // Positions are told by another clock, which is five seconds ahead of the router's.
+    // Positions come from another clock, which is five seconds ahead of the router's.
     let mut bench = Bench::new(
         Settings {
             clients_carry_session_position: true,
--- a/crates/routing/tests/primary.rs
+++ b/crates/routing/tests/primary.rs
@@ -7,13 +7,14 @@
 
 #[test]
 fn writes_and_strong_reads_go_to_the_primary() {
-    for class in [WRITE, FRESH] {
+    for class in [WRITE, STRONG] {
         let mut bench = Bench::new(settings(), 3);
         assert_eq!(sends(&bench.request(class).1), [1]);
     }
 }
 
-/// Seen on a variant of the deployments that allows no probes: on a calm day half of the writes were refused.
+/// Seen on a variant of the deployments that allows no probes: on a calm day half of the writes were rejected, since no
+/// primary was known and nobody was asked.
 #[test]
 fn where_nobody_may_be_probed_a_write_looks_for_the_primary_itself() {
     let mut bench = Bench::without_reports(
@@ -23,7 +24,7 @@
         },
         2,
     );
-    let (id, actions) = bench.request(UNSAFE_WRITE);
+    let (id, actions) = bench.request(NON_IDEMPOTENT_WRITE);
     let tried = sends(&actions);
     assert_eq!(tried.len(), 1, "{actions:?}");
     let replica = ResponseMetadata {
@@ -37,9 +38,9 @@
         other.len() == 1 && other != tried,
         "the member that has not said no: {actions:?}"
     );
-    // Where they may be probed, they are asked first.
+    // Where members may be probed, that comes first.
     let mut bench = Bench::without_reports(settings(), 2);
-    assert!(sends(&bench.request(UNSAFE_WRITE).1).is_empty());
+    assert!(sends(&bench.request(NON_IDEMPOTENT_WRITE).1).is_empty());
 }
 
 #[test]
@@ -61,24 +62,27 @@
         position: None,
     };
     let actions = bench.end_with(id, 0, 1, Outcome::Misdirected, replica);
-    assert!(sends(&actions).is_empty(), "held until a primary is known");
+    assert!(
+        sends(&actions).is_empty(),
+        "queued until a primary is known"
+    );
     assert_eq!(sends(&bench.report(2, true, Duration::ZERO)), [2]);
 }
 
 #[test]
 fn strong_reads_may_use_the_whole_primary() {
-    // Failure of recorded day i497776: they were paced like reads that replicas may answer, and a class starved.
+    // Seen on recorded day i497776: strong reads were limited like reads that replicas may answer, and a class starved.
     let mut bench = Bench::new(settings(), 2);
-    let (id, actions) = bench.request(FRESH);
+    let (id, actions) = bench.request(STRONG);
     assert_eq!(sends(&actions), [1]);
     bench.wait(10 * MS);
     bench.end(id, 0, 1, Outcome::Failed);
-    assert_eq!(sends(&bench.request(FRESH).1), [1]);
+    assert_eq!(sends(&bench.request(STRONG).1), [1]);
 }
 
 #[test]
 fn reads_do_not_crowd_the_primary_before_positions_are_known() {
-    // Failure of grown icd days: at start all routers sent all reads to the listed primaries.
+    // Seen on grown icd days: at start all routers sent all reads to the listed primaries.
     let mut bench = Bench::without_reports(
         Settings {
             staleness_check: StalenessCheck::Reject,
--- a/crates/routing/tests/probing.rs
+++ b/crates/routing/tests/probing.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn servers_that_always_lag_do_not_take_all_probes() {
-    // Failure of recorded day i2d132c: in a fixed order whole groups were not heard of for half a minute.
+    // Seen on recorded day i2d132c: probes went out in a fixed order, and whole groups were not probed for half a minute.
     let mut bench = Bench::new(settings(), 3);
     bench.list(vec![Endpoint {
         group: GroupId(1),
@@ -28,14 +28,14 @@
     }]);
     let mut probes = [0; 10];
     for _ in 0..200 {
-        bench.request(ANY);
+        bench.request(EVENTUAL);
         for action in bench.pass(100) {
             if let Action::Probe {
                 server: ServerId(server),
             } = action
             {
                 probes[server as usize] += 1;
-                // All lag by more than the bound, so that each is always worth a probe.
+                // All lag by more than the bound, so that each always deserves a probe.
                 bench.report(server, server == 1 || server == 9, 2_000 * MS);
             }
         }
@@ -60,20 +60,20 @@
 
 #[test]
 fn a_read_probes_one_replica_for_its_position_and_does_not_crowd_the_primary() {
-    // Failure of grown tracking days: with old positions all reads of hundreds of routers went to primaries.
+    // Seen on grown tracking days: with old positions all reads of hundreds of routers went to the primaries.
     let mut bench = Bench::new(settings(), 3);
     bench.pass(2_000);
     bench.report(1, true, Duration::ZERO);
     let (_, actions) = bench.request(BOUNDED);
     assert!(sends(&actions).is_empty(), "{actions:?}");
     let asked = probed(&actions);
-    assert_eq!(asked.len(), 1, "one is asked, not the fleet: {actions:?}");
+    assert_eq!(asked.len(), 1, "one is probed, not the fleet: {actions:?}");
     assert!(asked[0] != 1);
     bench.wait(5 * MS);
     assert_eq!(sends(&bench.report(asked[0], false, 100 * MS)), asked);
     assert!(
         probed(&bench.pass(5_000)).is_empty(),
-        "without requests nothing is asked"
+        "without requests nothing is probed"
     );
 }
 
@@ -94,7 +94,7 @@
 
 #[test]
 fn removed_members_are_probed_where_only_draining_binds() {
-    // Failure of days with a wrong list: their positions went stale and all reads crowded the primaries.
+    // Seen on days with a wrong list: the members' positions went stale, and all reads crowded the primaries.
     let mut bench = Bench::new(
         Settings {
             soft_removal: true,
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_primary_that_cannot_be_reached_does_not_set_off_a_flood_of_probes() {
-    // Failure of grown slots days with scarce connections: 4.7 probes a request.
+    // Seen on grown slots days with scarce connections: 4.7 probes for each request.
     let mut bench = Bench::new(settings(), 4);
     bench.pass(1_000);
     let (id, actions) = bench.request(WRITE);
@@ -137,6 +137,6 @@
     }
     assert!(
         asked < 4,
-        "{asked} questions in 0.4 s, {attempts} more attempts"
+        "{asked} probes in 0.4 s, {attempts} more attempts"
     );
 }
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -21,18 +21,18 @@
 struct Tracked {
     class: u16,
     deadline: Time,
-    came: Time,
-    token: Time,
+    arrived: Time,
+    session_position: Time,
     sent: Vec<(Time, u32)>,
-    out: Vec<u16>,
-    earliest_maybe: Option<Time>,
+    in_flight: Vec<u16>,
+    earliest_effect: Option<Time>,
     answered: bool,
 }
 
 struct World {
     set: Settings,
     requests: BTreeMap<RequestId, Tracked>,
-    told_leaving: BTreeMap<u32, Time>,
+    draining: BTreeMap<u32, Time>,
     position: BTreeMap<u32, Time>,
     ever_primary: BTreeMap<u32, bool>,
     answers: usize,
@@ -67,28 +67,28 @@
                         "a begin beyond the deadline"
                     );
                     assert!(
-                        !self.told_leaving.contains_key(&server.0),
-                        "a send to a leaving server"
+                        !self.draining.contains_key(&server.0),
+                        "a send to a draining server"
                     );
                     assert!(r.sent.len() < usize::from(self.set.attempt_limit));
                     assert!(
-                        self.set.may_hedge || r.out.is_empty(),
+                        self.set.may_hedge || r.in_flight.is_empty(),
                         "two attempts at once"
                     );
                     match class.idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => {
                             assert!(
-                                r.earliest_maybe.is_none() && r.out.is_empty(),
-                                "unsafe twice"
+                                r.earliest_effect.is_none() && r.in_flight.is_empty(),
+                                "non-idempotent twice"
                             );
                         }
                         Idempotency::Keyed { window, .. } => {
                             let since = r
-                                .out
+                                .in_flight
                                 .iter()
                                 .map(|&n| r.sent[usize::from(n)].0)
-                                .chain(r.earliest_maybe)
+                                .chain(r.earliest_effect)
                                 .min();
                             let arrives = now.plus(begin_within);
                             assert!(
@@ -99,8 +99,8 @@
                     }
                     let need = match class.consistency {
                         Consistency::BoundedStaleness(bound) => now.minus(bound),
-                        Consistency::ReadYourWrites => r.token,
-                        Consistency::Strong => r.came,
+                        Consistency::ReadYourWrites => r.session_position,
+                        Consistency::Strong => r.arrived,
                         Consistency::Write | Consistency::Eventual => Time::ZERO,
                     };
                     let told = self.position.get(&server.0).copied().unwrap_or_default();
@@ -109,7 +109,7 @@
                         told >= need || excused || self.set.staleness_check != StalenessCheck::None,
                         "a stale read"
                     );
-                    r.out.push(r.sent.len() as u16);
+                    r.in_flight.push(r.sent.len() as u16);
                     r.sent.push((now, server.0));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
@@ -129,7 +129,7 @@
                     let refused = matches!(action, Action::Reject { .. });
                     let safe = self.set.classes[usize::from(r.class)].idempotency
                         == Idempotency::Idempotent;
-                    let clean = r.out.is_empty() && r.earliest_maybe.is_none();
+                    let clean = r.in_flight.is_empty() && r.earliest_effect.is_none();
                     assert!(!refused || safe || clean, "a refusal of what may have run");
                 }
                 Action::Cancel { .. } => assert!(self.set.may_cancel),
@@ -146,7 +146,7 @@
     let mut world = World {
         set,
         requests: BTreeMap::new(),
-        told_leaving: BTreeMap::new(),
+        draining: BTreeMap::new(),
         position: BTreeMap::new(),
         ever_primary: BTreeMap::new(),
         answers: 0,
@@ -164,25 +164,28 @@
                 let tracked = Tracked {
                     class,
                     deadline: now.plus(arrival.time_left),
-                    came: now,
-                    token: commits,
+                    arrived: now,
+                    session_position: commits,
                     sent: vec![],
-                    out: vec![],
-                    earliest_maybe: None,
+                    in_flight: vec![],
+                    earliest_effect: None,
                     answered: false,
                 };
                 world.requests.insert(arrival.id, tracked);
                 bench.event(Event::RequestArrived(arrival))
             }
             4..=6 => {
-                let open = world.requests.iter().filter(|(_, r)| !r.out.is_empty());
+                let open = world
+                    .requests
+                    .iter()
+                    .filter(|(_, r)| !r.in_flight.is_empty());
                 let open: Vec<_> = open.map(|(&id, _)| id).collect();
                 if open.is_empty() {
                     continue;
                 }
                 let id = &open[dice.roll(open.len() as u64) as usize];
                 let tracked = &world.requests[id];
-                let attempt = tracked.out[dice.roll(tracked.out.len() as u64) as usize];
+                let attempt = tracked.in_flight[dice.roll(tracked.in_flight.len() as u64) as usize];
                 let (sent, server) = tracked.sent[usize::from(attempt)];
                 let outcomes = [
                     Outcome::Ok,
@@ -201,9 +204,9 @@
                     Outcome::Rejected | Outcome::ConnectFailed | Outcome::Misdirected
                 );
                 let r = world.requests.get_mut(id).expect("it is open");
-                r.out.retain(|&n| n != attempt);
+                r.in_flight.retain(|&n| n != attempt);
                 if !never_ran {
-                    r.earliest_maybe = Some(r.earliest_maybe.map_or(sent, |m| m.min(sent)));
+                    r.earliest_effect = Some(r.earliest_effect.map_or(sent, |m| m.min(sent)));
                 }
                 let last = r.answered || outcome == Outcome::Ok;
                 r.answered = last;
@@ -254,8 +257,8 @@
                     EndpointState::Removed,
                 ][dice.roll(4) as usize];
                 match listed {
-                    EndpointState::Ready => _ = world.told_leaving.remove(&server),
-                    _ => _ = world.told_leaving.entry(server).or_insert(now),
+                    EndpointState::Ready => _ = world.draining.remove(&server),
+                    _ => _ = world.draining.entry(server).or_insert(now),
                 }
                 let started = if dice.roll(3) == 0 { now } else { Time::ZERO };
                 bench.list(vec![Endpoint {
@@ -354,7 +357,7 @@
                     dice.roll(ROUTERS)
                 } as usize;
                 routers[r].now = now;
-                let class = [ANY, BOUNDED, ANY, SESSION][dice.roll(4) as usize];
+                let class = [EVENTUAL, BOUNDED, EVENTUAL, SESSION][dice.roll(4) as usize];
                 actions.push((r, routers[r].request(class).1));
             }
             while let Some((r, list)) = actions.pop() {
--- a/crates/routing/tests/reload.rs
+++ b/crates/routing/tests/reload.rs
@@ -19,7 +19,7 @@
         ..settings()
     };
     let mut bench = Bench::without_reports(none, 1);
-    let (id, actions) = bench.request(ANY);
+    let (id, actions) = bench.request(EVENTUAL);
     assert!(
         rejected(&actions, id),
         "a class that the settings do not name: {actions:?}"
@@ -32,7 +32,7 @@
     actions.extend(bench.pass(1_100));
     assert!(rejected(&actions, id) || sends(&actions) == [1]);
     let mut bench = Bench::without_reports(settings(), 0);
-    let (id, mut actions) = bench.request(ANY);
+    let (id, mut actions) = bench.request(EVENTUAL);
     actions.extend(bench.pass(1_100));
     assert!(rejected(&actions, id), "an empty list: {actions:?}");
 }
@@ -68,7 +68,7 @@
         "{ended:?}"
     );
     // One attempt in all from now on, under what one under way has used already.
-    let (used, _) = bench.request(ANY);
+    let (used, _) = bench.request(EVENTUAL);
     let first = bench.end(used, 0, 2, Outcome::Rejected);
     bench.router.configure(
         Settings {
@@ -80,7 +80,7 @@
     let mut rest = bench.end(used, 1, sends(&first)[0], Outcome::Failed);
     rest.extend(bench.pass(1_000));
     assert!(sends(&rest).is_empty(), "{rest:?}");
-    let (once, _) = bench.request(ANY);
+    let (once, _) = bench.request(EVENTUAL);
     let mut actions = bench.end(once, 0, 2, Outcome::Failed);
     actions.extend(bench.pass(1_000));
     assert!(sends(&actions).is_empty(), "{actions:?}");
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -13,7 +13,7 @@
         Outcome::Cancelled,
     ] {
         let mut bench = Bench::new(settings(), 2);
-        let (id, _) = bench.request(UNSAFE_WRITE);
+        let (id, _) = bench.request(NON_IDEMPOTENT_WRITE);
         let actions = bench.end(id, 0, 1, outcome);
         assert!(
             failed(&actions, id) && sends(&actions).is_empty(),
@@ -25,7 +25,7 @@
 #[test]
 fn a_non_idempotent_write_that_never_ran_is_sent_again_or_rejected() {
     let mut bench = Bench::new(settings(), 2);
-    let (id, _) = bench.request(UNSAFE_WRITE);
+    let (id, _) = bench.request(NON_IDEMPOTENT_WRITE);
     let mut actions = bench.end(id, 0, 1, Outcome::Rejected);
     actions.extend(bench.pass(1_000));
     assert!(
@@ -53,7 +53,7 @@
     assert!(failed(&actions, id) && !rejected(&actions, id));
 }
 
-/// A repeat may have to dial first: what is left of the window goes with it, less the margin for its way.
+/// A repetition may have to dial first. The host is told what is left of the window, less the margin for the way.
 #[test]
 fn a_keyed_repetition_has_to_begin_inside_its_window() {
     let mut bench = Bench::new(settings(), 2);
@@ -89,7 +89,7 @@
         },
         4,
     );
-    let (id, mut actions) = bench.request(ANY);
+    let (id, mut actions) = bench.request(EVENTUAL);
     let mut attempts = 0;
     for no in 0..4 {
         let Some(&server) = sends(&actions).first() else {
--- a/crates/routing/tests/selection.rs
+++ b/crates/routing/tests/selection.rs
@@ -14,7 +14,9 @@
 #[test]
 fn replicas_without_reports_are_tried_in_turn_by_eventual_reads() {
     let mut bench = Bench::without_reports(settings(), 3);
-    let mut tried: Vec<u32> = (0..3).flat_map(|_| sends(&bench.request(ANY).1)).collect();
+    let mut tried: Vec<u32> = (0..3)
+        .flat_map(|_| sends(&bench.request(EVENTUAL).1))
+        .collect();
     tried.sort();
     assert_eq!(tried, [1, 2, 3]);
 }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -21,7 +21,7 @@
                 bench.report(server, server == 1, Duration::ZERO);
             }
         }
-        let asked: Vec<_> = (0..3).map(|_| bench.request(ANY)).collect();
+        let asked: Vec<_> = (0..3).map(|_| bench.request(EVENTUAL)).collect();
         for (id, actions) in asked {
             for server in sends(&actions) {
                 sent[server as usize] += 1;
@@ -66,20 +66,20 @@
 
 #[test]
 fn many_routers_with_little_traffic_do_not_overload_a_starting_server() {
-    // Failure of a day drawn to test rules: each router let one attempt through, 6.3 times what it could do.
+    // Seen on a day drawn to test rules: each router let one attempt through, together 6.3 times what the server could do.
     let bears = 3.0 * 0.25 * 100.0;
     let writes = sent_by_many_to_a_starting_member(WRITE, true) as f64;
     assert!(
         writes > 0.2 * bears && writes < bears,
         "{writes} writes of 100 at a starting primary"
     );
-    let reads = sent_by_many_to_a_starting_member(ANY, false) as f64;
+    let reads = sent_by_many_to_a_starting_member(EVENTUAL, false) as f64;
     assert!(
         reads > 0.0 && reads < bears / 4.0,
         "{reads} reads of 100 at one of four members"
     );
     assert_eq!(
-        sent_by_many_to_a_starting_member(ANY, true),
+        sent_by_many_to_a_starting_member(EVENTUAL, true),
         0,
         "reads have others to go to"
     );
@@ -87,8 +87,8 @@
 
 #[test]
 fn what_one_starting_server_may_not_have_another_may() {
-    // Seen in the lab's day of a power loss: where all of a group start, one draw for each member refused more than they
-    // left in sum. Three of four bear a part of 0.15 each, as the list and the settings have it.
+    // Seen in the experiment of a power loss: where all members of a group start, one draw for each of them excluded more
+    // than they could not bear in sum. Three of four bear a part of 0.15 each, as the list and the settings have it.
     let bears = 0.8 * 3.0 * 0.25;
     let mut sent = 0;
     for seed in 0..1_000 {
@@ -112,7 +112,7 @@
         for server in 1..=4 {
             bench.report(server, server == 1, Duration::ZERO);
         }
-        let (_, mut actions) = bench.request(ANY);
+        let (_, mut actions) = bench.request(EVENTUAL);
         actions.extend(bench.pass(200));
         sent += usize::from(!sends(&actions).is_empty());
     }
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_starting_server_gets_no_more_when_most_of_its_group_has_left() {
-    // Failure of found day h99f668: the requests were for six members, and their parts went by the two left.
+    // Seen on day h99f668: the requests were meant for six members, and the budget went by the two that were left.
     let mut sent = 0;
     for seed in 0..200 {
         let mut bench = Bench::seeded(
@@ -153,7 +153,7 @@
         }]);
         bench.wait(MS);
         bench.report(6, false, Duration::ZERO);
-        let (_, mut actions) = bench.request(ANY);
+        let (_, mut actions) = bench.request(EVENTUAL);
         actions.extend(bench.pass(200));
         sent += sends(&actions).iter().filter(|&&s| s == 6).count();
     }
@@ -166,14 +166,14 @@
 
 #[test]
 fn a_request_goes_to_a_starting_server_once_at_most() {
-    // Failure of recorded day i60ceae: with errors everywhere the same requests came back up to eight times.
+    // Seen on recorded day i60ceae: with errors everywhere the same requests came back up to eight times.
     for seed in 0..40 {
         let mut bench = Bench::seeded(settings(), 2, seed);
         bench.list(vec![Endpoint {
             started: bench.now,
             ..endpoint(2, EndpointState::Ready)
         }]);
-        let (id, mut actions) = bench.request(ANY);
+        let (id, mut actions) = bench.request(EVENTUAL);
         let mut there = 0;
         for no in 0..6 {
             let Some(&server) = sends(&actions).first() else {
@@ -214,9 +214,9 @@
     bench.report(5, false, Duration::ZERO);
     let mut sent = 0;
     for step in 0..500_u64 {
-        // One read after the other, so that room is no matter; a hundred a second.
+        // One read after the other, so that no limit matters; a hundred a second.
         bench.wait(10 * MS);
-        let (id, actions) = bench.request(ANY);
+        let (id, actions) = bench.request(EVENTUAL);
         let Some(&server) = sends(&actions).first() else {
             continue;
         };
@@ -254,7 +254,7 @@
         unproven > 0 && fast as f64 >= 1.2 * unproven as f64,
         "{fast} proven, {unproven} without that"
     );
-    assert_eq!(slow, crowded, "where it is crowded nothing is proven");
+    assert_eq!(slow, crowded, "where it is overloaded nothing is proven");
 }
 
 /// Reads that a router has of a starting replica in each of 48 groups, in the fifth second after
@@ -300,7 +300,7 @@
                 bench.wait(1_000 * MS / reads);
                 let arrival = Arrival {
                     group: GroupId((second * 24 + read) % 48),
-                    ..bench.arrival(ANY)
+                    ..bench.arrival(EVENTUAL)
                 };
                 let id = arrival.id;
                 let actions = bench.event(Event::RequestArrived(arrival));
@@ -333,8 +333,8 @@
 
 #[test]
 fn a_router_that_seldom_hears_from_each_starting_server_learns_over_all_of_them() {
-    // Seen on join+vast: new members had 2 to 5 requests a second from a hundred routers together while they answered
-    // as fast as warm ones, and the rest of each group was crowded: each router heard from each once in many seconds.
+    // Seen on join+vast: new members had 2 to 5 requests a second from a hundred routers together while they answered as fast
+    // as warm ones, and the rest of each group was overloaded. Each router had an answer of each only once in many seconds.
     let (learned, unproven) = (sent_to_starting_servers(3.0), sent_to_starting_servers(1.0));
     assert!(
         learned as f64 >= 1.4 * unproven as f64,
@@ -344,7 +344,7 @@
 
 #[test]
 fn retries_do_not_add_to_what_a_starting_server_gets() {
-    // Clients whose tries are refused come back up to three times: parts of those would be more than first tries bring.
+    // Clients that are rejected come back up to three times: a budget for retries too would exceed what first requests bring.
     let mut sent = [0; 2];
     for seed in 0..200 {
         for (at, repeated) in [false, true].into_iter().enumerate() {
@@ -363,7 +363,7 @@
             bench.report(3, false, Duration::ZERO);
             let arrival = Arrival {
                 is_client_retry: repeated,
-                ..bench.arrival(ANY)
+                ..bench.arrival(EVENTUAL)
             };
             let actions = bench.event(Event::RequestArrived(arrival));
             sent[at] += sends(&actions).iter().filter(|&&s| s == 3).count();
@@ -374,8 +374,8 @@
 
 #[test]
 fn first_requests_of_a_fully_used_group_use_most_of_what_a_starting_server_bears() {
-    // Seen on join+vast: groups of starting members alone refused half of their requests while they answered the rest as
-    // fast as warm ones. Half of the bound was kept for repeats, which no longer go there.
+    // Seen on join+vast: groups of starting members alone rejected half of their requests while they answered the rest as
+    // fast as warm ones. Half of the bound was kept for retries, which no longer go there.
     let sent = (0..1_000)
         .filter(|&seed| {
             let mut bench = Bench::seeded(
@@ -397,13 +397,13 @@
             }]);
             bench.report(1, true, Duration::ZERO);
             bench.report(6, false, Duration::ZERO);
-            sends(&bench.request(ANY).1) == [6]
+            sends(&bench.request(EVENTUAL).1) == [6]
         })
         .count();
     let tips = 3.0 * 0.25 * 1_000.0 / 6.0;
     assert!(
         (0.7 * tips..0.95 * tips).contains(&(sent as f64)),
-        "{sent} of 1000, where {tips} tip it"
+        "{sent} of 1000, where {tips} overload it"
     );
 }
 
@@ -429,13 +429,13 @@
                 .collect(),
         );
         (1..=6).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
-        let (_, mut actions) = bench.request(ANY);
+        let (_, mut actions) = bench.request(EVENTUAL);
         actions.extend(bench.pass(200));
         sends(&actions).iter().for_each(|&s| sent[s as usize] += 1);
     }
     let tips = 3.0 * 0.25 * 1_000.0 / 6.0;
     assert!(
         sent[4..].iter().all(|&n| n > 0 && (n as f64) < 0.95 * tips),
-        "{sent:?}, where {tips} tip one"
+        "{sent:?}, where {tips} overload one"
     );
 }
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -95,7 +95,7 @@
             wanted -= 1.0;
             let bench = &mut routers[drawn_router(day, &mut random)];
             bench.now = now;
-            let (id, actions) = bench.request(ANY);
+            let (id, actions) = bench.request(EVENTUAL);
             let Some(&server) = sends(&actions).first() else {
                 bench.event(Event::ClientLeft(id));
                 continue;
@@ -208,7 +208,7 @@
                     ..endpoint(STARTING + 1, EndpointState::Ready)
                 }]);
                 bench.report(STARTING + 1, false, Duration::ZERO);
-                sends(&bench.request(ANY).1).len()
+                sends(&bench.request(EVENTUAL).1).len()
             })
             .sum();
         assert!(
@@ -233,11 +233,11 @@
                 2,
                 number,
             );
-            // It seldom gets a request, and knows that they take less than their aim.
+            // It seldom gets a request, and knows that they take less than their objective.
             for _ in 0..20 {
                 bench.wait(5_000 * MS);
                 (1..=2).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
-                let (id, actions) = bench.request(ANY);
+                let (id, actions) = bench.request(EVENTUAL);
                 sends(&actions)
                     .iter()
                     .for_each(|&server| answer(&mut bench, id, server, 10 * MS));
@@ -250,9 +250,9 @@
             bench.report(1, true, Duration::ZERO);
             bench.report(2, false, Duration::ZERO);
             bench.wait(400 * MS);
-            // The other server has no room for a second one.
+            // The other server has no capacity for a second one.
             assert_eq!(sends(&bench.request(WRITE).1), [1]);
-            let (_, mut actions) = bench.request(ANY);
+            let (_, mut actions) = bench.request(EVENTUAL);
             actions.extend(bench.pass(200));
             sends(&actions).contains(&2)
         })
--- a/crates/simulator-host/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_list_and_its_update() {
+fn a_page_and_its_update() {
     let body = hex(&format!("{PAGE} 02 0003 02 00000029 00000000"));
     let mut reader = Reader::new(&body);
     let Record::Page { number: 0, entries } = reader.record().unwrap() else {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_outcome() {
+fn the_end_of_an_attempt() {
     let body = hex("08 0003 000a1bbb5d3a91c4 0000 03124a07 00c8 00004844 01 0000638e 00");
     let Record::AttemptEnded(ended) = Reader::new(&body).record().unwrap() else {
         panic!()
@@ -201,26 +201,26 @@
 }
 
 #[test]
-fn list_numbers_are_resolved_in_the_order_of_events() {
+fn page_numbers_are_resolved_in_the_order_of_records() {
     let mut body = spawn(3);
     body.extend(hex(PAGE));
     body.extend(hex("02 0003 02 00000001 00000000"));
-    // The same number again, now with one other server: it must not change what instance 3 was told.
+    // The same number again, now with one other server: it must not change what instance 3 knows.
     body.extend(hex(
         "0a 00000000 00000001 00000005 0000 0000 000b 00000000 01 3f800000 0000000000000000",
     ));
     let mut host = Host::default();
     body.extend(hex(WRITE));
     let reply = host.batch(Time::from_micros(6_000_000), 5, &body).unwrap();
-    assert_eq!(assigned(&reply), [0x0312_4a07]);
+    assert_eq!(sent_to(&reply), [0x0312_4a07]);
 }
 
 /// A write for the group of the listed servers.
 const WRITE: &str =
     "06 0003 000a1bbb5d3a91c4 0000 0001 04 91f03b7c55d20a64 0003a980 00000000 41300000 00000000";
 
-/// Stores assigned to in a reply that holds sends, probes and timers only.
-fn assigned(reply: &[u8]) -> Vec<u32> {
+/// Servers that attempts go to in a reply that holds sends, probes and timers only.
+fn sent_to(reply: &[u8]) -> Vec<u32> {
     let mut at = 8;
     let mut found = Vec::new();
     while at < reply.len() {
@@ -253,9 +253,9 @@
     body.extend(hex(WRITE));
     let reply = host.batch(Time::from_micros(6_001_000), 4, &body).unwrap();
     assert_eq!(
-        assigned(&reply),
+        sent_to(&reply),
         [0x0312_4a07],
-        "the old life's attempt takes no room in the new one"
+        "the old incarnation's attempt takes no capacity in the new one"
     );
 }
 
