--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -8,7 +8,7 @@
 use crate::discovery::wire::{Listing, ListingError};
 use configuration::model::{Model, Origin};
 use configuration::platform::Platform;
-use platform_settings::Decoded;
+use platform_settings::PlatformSettings;
 use rustix::process::{getrlimit, Resource};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -80,7 +80,7 @@
     Ok(platform_bounds(&file, &decoded))
 }
 
-fn platform_bounds(file: &PlatformFile, decoded: &Decoded) -> Platform {
+fn platform_bounds(file: &PlatformFile, decoded: &PlatformSettings) -> Platform {
     operator_config::platform(decoded, file.limits.sockets, file.limits.memory_mb)
 }
 
@@ -319,7 +319,7 @@
         .collect()
 }
 
-fn longest_deadline(platform: &Decoded) -> Duration {
+fn longest_deadline(platform: &PlatformSettings) -> Duration {
     let deadlines = platform.settings.classes.iter().map(|c| c.deadline);
     deadlines.max().unwrap_or_default()
 }
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -28,7 +28,7 @@
 use configuration::calendar::Window;
 use configuration::model::{Lending, Logging, Members, Memory, Rollout};
 use ipnet::IpNet;
-use platform_settings::Decoded;
+use platform_settings::PlatformSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -89,7 +89,7 @@
     /// The list of record servers as this proxy last had it; it may be old.
     pub known: Listing,
     /// The platform's settings, tightened by the operators' file.
-    pub platform: Decoded,
+    pub platform: PlatformSettings,
     /// Where wall time is read.
     pub wall_clock: Source,
     /// What a later version of the platform's file has to state.
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -8,7 +8,7 @@
 use configuration::model::Model;
 use configuration::platform::{self, Platform};
 use configuration::route::{self, Outcome};
-use platform_settings::Decoded;
+use platform_settings::PlatformSettings;
 use routing::{ClassId, Consistency, Idempotency};
 use std::time::Duration;
 use wire_health::http::Statuses;
@@ -17,8 +17,12 @@
 const WORST_LAG_FACTOR: u32 = 20;
 
 /// The platform's bounds, which an operators' file is checked against.
-pub fn platform(decoded: &Decoded, sockets: Option<usize>, memory_mb: Option<usize>) -> Platform {
-    let Decoded {
+pub fn platform(
+    decoded: &PlatformSettings,
+    sockets: Option<usize>,
+    memory_mb: Option<usize>,
+) -> Platform {
+    let PlatformSettings {
         settings, names, ..
     } = decoded;
     let classes = settings
@@ -54,7 +58,7 @@
 }
 
 /// Applies what the operators' file states of the decision module's settings, each value only where it is tighter.
-pub fn tighten(platform: &mut Decoded, model: &Model) {
+pub fn tighten(platform: &mut PlatformSettings, model: &Model) {
     let settings = &mut platform.settings;
     if let Some(tries) = model.policy.tries {
         settings.attempt_limit = if settings.attempt_limit == 0 {
@@ -81,7 +85,7 @@
 }
 
 /// The routes, classes and pools, compiled. Names of the platform keep their numbers.
-pub fn rules(model: &Model, platform: &Decoded) -> Rules {
+pub fn rules(model: &Model, platform: &PlatformSettings) -> Rules {
     let names = Names {
         classes: platform.names.classes.clone(),
         tenants: platform.names.tenants.clone(),
--- a/crates/leverproxy/src/config/platform_file.rs
+++ b/crates/leverproxy/src/config/platform_file.rs
@@ -2,7 +2,7 @@
 //! complete.
 
 use super::ConfigError;
-use platform_settings::{BadSetting, Decoded, Shape};
+use platform_settings::{PlatformSettings, Shape};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -54,14 +54,13 @@
     }
 
     /// The settings object, decoded and checked.
-    pub fn decoded_settings(&self) -> Result<Decoded, ConfigError> {
+    pub fn decoded_settings(&self) -> Result<PlatformSettings, ConfigError> {
         let settings = self
             .settings
             .as_ref()
             .ok_or_else(|| ConfigError::new("settings", "missing"))?;
-        let decoded = platform_settings::decode(settings.to_string().as_bytes()).map_err(
-            |BadSetting { key, problem }| ConfigError::new(format!("settings.{key}"), problem),
-        )?;
+        let decoded = platform_settings::decode(settings.to_string().as_bytes())
+            .map_err(|e| ConfigError::new(format!("settings.{}", e.key()), e.problem()))?;
         check_classes(&decoded)?;
         Ok(decoded)
     }
@@ -75,7 +74,7 @@
 }
 
 /// Requests cannot be served without a class, nor a class without a name and a deadline.
-fn check_classes(decoded: &Decoded) -> Result<(), ConfigError> {
+fn check_classes(decoded: &PlatformSettings) -> Result<(), ConfigError> {
     let classes = &decoded.settings.classes;
     if classes.is_empty() {
         return Err(ConfigError::new("settings.Classes", "names no class"));
@@ -104,7 +103,7 @@
 }
 
 impl RequiredKeys {
-    pub(super) fn of(text: &[u8], platform: &Decoded) -> RequiredKeys {
+    pub(super) fn of(text: &[u8], platform: &PlatformSettings) -> RequiredKeys {
         let value = without_endpoints(text).unwrap_or_default();
         RequiredKeys {
             shape: Shape::of(&value),
@@ -112,7 +111,11 @@
         }
     }
 
-    pub(super) fn check(&self, text: &[u8], platform: &Decoded) -> Result<(), ConfigError> {
+    pub(super) fn check(
+        &self,
+        text: &[u8],
+        platform: &PlatformSettings,
+    ) -> Result<(), ConfigError> {
         let value = without_endpoints(text).map_err(|e| ConfigError::new(".", e))?;
         if let Some(key) = self.shape.missing(&value) {
             return Err(ConfigError::new(key, "missing, and the first file had it"));
--- a/crates/leverproxy/src/pipeline/route.rs
+++ b/crates/leverproxy/src/pipeline/route.rs
@@ -42,7 +42,7 @@
 
     /// Number of listed servers that get no requests at present.
     pub fn avoided_count(&self, now: Time) -> usize {
-        self.router.avoided(now)
+        self.router.unavailable_servers(now)
     }
 
     /// Handles an event, and returns the actions that follow.
--- a/crates/leverproxy/src/pipeline/state.rs
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -9,7 +9,7 @@
 use crate::observability::counters::Counters;
 use crate::observability::log_rate_limit::LogRateLimit;
 use maintenance::Hand;
-use platform_settings::{Decoded, Names, Succession};
+use platform_settings::{ClassMapping, Names, PlatformSettings};
 use routing::{ClassId, Consistency, Settings};
 use std::time::{Duration, Instant};
 
@@ -45,7 +45,7 @@
 impl Pipeline {
     /// An empty pipeline: no endpoints are known before [`Pipeline::load_endpoints`].
     pub fn new(
-        platform: Decoded,
+        platform: PlatformSettings,
         rules: route_rules::Rules,
         mut monitor: Monitor,
         seed: u64,
@@ -56,7 +56,7 @@
         let clock = Clock::start(wall_clock);
         let mut quota = quota::Quota::default();
         quota.configure(&platform, now);
-        let Decoded {
+        let PlatformSettings {
             settings,
             names,
             max_open,
@@ -87,10 +87,14 @@
     }
 
     /// Applies new platform settings. Requests in flight and what was learned stay.
-    pub fn configure(&mut self, succession: Succession, probe_timeout: Duration, now: Instant) {
-        let Succession { next, heirs, .. } = succession;
+    pub fn configure(&mut self, succession: ClassMapping, probe_timeout: Duration, now: Instant) {
+        let ClassMapping {
+            next,
+            predecessors: heirs,
+            ..
+        } = succession;
         self.quota.configure(&next, now);
-        let Decoded {
+        let PlatformSettings {
             settings,
             names,
             max_open,
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -100,7 +100,7 @@
         match (&config.members, &config.rollout) {
             (None, _) => missing("members"),
             (_, None) => missing("rollout"),
-            _ => platform_settings::succeed(&self.platform, config.platform.clone())
+            _ => platform_settings::map_classes(&self.platform, config.platform.clone())
                 .map(|_| ())
                 .map_err(|error| format!("settings.{error}")),
         }
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -6,7 +6,7 @@
 use crate::observability::logging;
 use crate::persistence::saved_state::Memory;
 use crate::pipeline::route_rules::Rules;
-use platform_settings::BadSetting;
+use platform_settings::SettingsError;
 use std::time::Instant;
 
 impl Proxy {
@@ -52,7 +52,7 @@
         error.to_string()
     }
 
-    fn reject_platform_settings(&mut self, error: &BadSetting) -> String {
+    fn reject_platform_settings(&mut self, error: &SettingsError) -> String {
         self.pipeline.counters.reloads_failed += 1;
         log::error!("configuration: settings.{error}; the configuration stays as it was");
         format!("settings.{error}")
@@ -61,12 +61,12 @@
     /// Applies all that concerns requests and connections. Returns the former route rules, which take long to drop.
     fn apply_to_requests(&mut self, config: Config, now: Instant) -> Result<Rules, String> {
         let drain_settings = config.drain_settings();
-        let succession = platform_settings::succeed(&self.platform, config.platform)
+        let succession = platform_settings::map_classes(&self.platform, config.platform)
             .map_err(|error| self.reject_platform_settings(&error))?;
         self.pipeline.counters.reloads += 1;
         self.platform = succession.next.clone();
         let rules = Rules {
-            class_ids: succession.places.clone(),
+            class_ids: succession.class_ids.clone(),
             ..config.rules
         };
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -10,7 +10,7 @@
 use crate::persistence::saved_state::Memory;
 use crate::pipeline::{IoEndpoints, Pipeline};
 use ::drain::Drain;
-use platform_settings::Decoded;
+use platform_settings::PlatformSettings;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -38,7 +38,7 @@
     /// An old process may run whose state is unknown: not ready before discovery has sent a list.
     pub(super) awaits_discovery: bool,
     /// The platform's settings in force, with classes in the order of the counters.
-    pub(super) platform: Decoded,
+    pub(super) platform: PlatformSettings,
     pub(super) restart_settings: RestartSettings,
     /// The fleet; none where the operators' file has no section `members`.
     pub(super) members: Option<Members>,
