--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -12,6 +12,9 @@
 //! objective: what is late for reads may do for it. The draw is made once for each request and server.
 //! **Cost**: a server that is slow for another reason than its load gets less than it could bear.
 
+#[cfg(test)]
+mod tests;
+
 use crate::averages::exponential_average;
 use crate::interface::*;
 use crate::random::unit_hash;
--- a/crates/routing/src/freshness.rs
+++ b/crates/routing/src/freshness.rs
@@ -12,6 +12,9 @@
 //!
 //! **Sessions.** The commit of a session's last write comes with its requests or is remembered here.
 
+#[cfg(test)]
+mod tests;
+
 use crate::interface::*;
 use crate::state::{Request, Router, Server, StaleRejection};
 use crate::tuning::{MAX_SESSION_WRITES, MIN_SPAN};
@@ -45,8 +48,7 @@
             return Duration::ZERO;
         };
         let gap = |position, known_at, age: Duration| {
-            let caught_up = self.now.since(known_at) + age;
-            needed.since(position).saturating_sub(caught_up)
+            remaining_gap(needed, position, self.now.since(known_at) + age)
         };
         let rejection = server.stale_rejection.filter(|rejection| {
             server
@@ -143,3 +145,8 @@
             .or_insert(commit);
     }
 }
+
+/// Log that a server still has to apply, at one second of log per second, if it had `position` this long ago.
+fn remaining_gap(needed: Time, position: Time, elapsed: Duration) -> Duration {
+    needed.since(position).saturating_sub(elapsed)
+}
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -13,6 +13,9 @@
 //! one there, clients' retries never go to a replica that warms up, and a primary that does takes no reads that
 //! replicas could answer. What one member may not have another may: each has slices of its own.
 
+#[cfg(test)]
+mod tests;
+
 use crate::interface::*;
 use crate::slow_start_budget::Turn;
 use crate::state::{Request, Router, Server};
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -4,6 +4,9 @@
 //! language and stored results know it; the words are mapped here and nowhere else. "Objectives" as a unit means
 //! multiples of the tightest latency objective of all classes, so that the rules scale with the deployment.
 
+#[cfg(test)]
+mod tests;
+
 use std::time::Duration;
 
 /// Declares [`Tuning`]: `field as "word": default`.
--- /dev/null
+++ b/crates/routing/src/tuning/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+
+/// The words stand in files of experiments and in stored results, so they outlast the names in the code.
+#[test]
+fn every_word_of_the_experiments_reaches_its_constant() {
+    let words = "run_weight work_rise ask_again hold_share rest_first rest_max recheck cold_caution cold_slice cold_light \
+        trust_rise trust_late trust_aim trust_most trust_cut room_start forget few room_late room_easy door door_fall \
+        spare_fall door_fade door_least room_weight room_cut reads_at_primary less_time";
+    assert_eq!(Tuning::NAMES, words.split_whitespace().collect::<Vec<_>>());
+    for (place, word) in Tuning::NAMES.iter().enumerate() {
+        let mut tuning = Tuning::default();
+        let value = 100.0 + place as f64;
+        assert!(tuning.set(word, value));
+        assert_eq!(tuning.get(word), Some(value), "{word}");
+        let changed = Tuning::NAMES
+            .iter()
+            .filter(|other| tuning.get(other) != Tuning::default().get(other));
+        assert_eq!(changed.collect::<Vec<_>>(), [word], "it alone");
+    }
+    let mut tuning = Tuning::default();
+    assert!(
+        !tuning.set("run_time_weight", 1.0),
+        "the name in the code is no word"
+    );
+    assert_eq!(tuning.get("run_time_weight"), None);
+    tuning.set("room_late", 0.25);
+    assert_eq!(tuning.limit_high_latency, 0.25);
+}
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -100,18 +100,8 @@
             let actions = bench.event(Event::RequestArrived(arrival));
             let elapsed = if late { 900 * MS } else { 20 * MS };
             bench.wait(elapsed);
-            for server in sends(&actions).into_iter().map(ServerId) {
-                let (attempt, outcome, metadata) =
-                    (AttemptNo(0), Outcome::Ok, ResponseMetadata::default());
-                bench.event(Event::AttemptEnded(AttemptEnded {
-                    id,
-                    attempt,
-                    server,
-                    outcome,
-                    elapsed,
-                    request_finished: true,
-                    metadata,
-                }));
+            for server in sends(&actions) {
+                bench.finish(id, server, Outcome::Ok, elapsed);
             }
             bench.event(Event::ClientLeft(id));
             bench.wait(100 * MS);
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -9,14 +9,7 @@
 fn routers_whose_connects_failed_together_do_not_come_back_in_step() {
     let mut by_slot = [0_usize; 40];
     for seed in 0..100 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: 100,
-                ..settings()
-            },
-            1,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(100, 1, seed);
         bench.report(1, true, Duration::ZERO);
         let (id, _) = bench.request(WRITE);
         bench.end(id, 0, 1, Outcome::ConnectFailed);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -124,6 +124,15 @@
         bench
     }
 
+    /// One of so many routers, before any server has reported.
+    pub fn of_fleet(router_count: u32, members: u32, seed: u64) -> Bench {
+        let settings = Settings {
+            router_count,
+            ..settings()
+        };
+        Bench::seeded(settings, members, seed)
+    }
+
     pub fn wait(&mut self, span: Duration) {
         self.now = self.now.plus(span);
     }
@@ -204,6 +213,45 @@
         }))
     }
 
+    /// The first and only attempt of a request ends, and with it the request.
+    pub fn finish(&mut self, id: RequestId, server: u32, outcome: Outcome, elapsed: Duration) {
+        self.finish_with(id, server, outcome, elapsed, None);
+    }
+
+    /// The same where the answer tells the server's role.
+    pub fn finish_with_role(
+        &mut self,
+        id: RequestId,
+        server: u32,
+        outcome: Outcome,
+        elapsed: Duration,
+        is_primary: bool,
+    ) {
+        self.finish_with(id, server, outcome, elapsed, Some(is_primary));
+    }
+
+    fn finish_with(
+        &mut self,
+        id: RequestId,
+        server: u32,
+        outcome: Outcome,
+        elapsed: Duration,
+        primary: Option<bool>,
+    ) {
+        self.event(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt: AttemptNo(0),
+            server: ServerId(server),
+            outcome,
+            elapsed,
+            request_finished: true,
+            metadata: ResponseMetadata {
+                primary,
+                position: None,
+            },
+        }));
+    }
+
     /// Time passes, with a timer event every 5 ms; all actions of that time.
     pub fn pass(&mut self, ms: u64) -> Vec<Action> {
         let mut all = Vec::new();
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -36,18 +36,7 @@
         bench.report(1, true, Duration::ZERO);
         let (id, _) = bench.request(WRITE);
         bench.wait(900 * MS);
-        let metadata = ResponseMetadata::default();
-        let (server, attempt, outcome, last) = (ServerId(1), AttemptNo(0), Outcome::Ok, true);
-        let ended = AttemptEnded {
-            id,
-            attempt,
-            server,
-            outcome,
-            elapsed: 900 * MS,
-            request_finished: last,
-            metadata,
-        };
-        bench.event(Event::AttemptEnded(ended));
+        bench.finish(id, 1, Outcome::Ok, 900 * MS);
         sent += sends(&bench.request(WRITE).1).len();
     }
     assert!(
@@ -92,14 +81,7 @@
 fn sent_after_a_late_answer(routers: u32, outcome: Outcome, pause: Duration) -> usize {
     let mut sent = 0;
     for seed in 0..100 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: routers,
-                ..settings()
-            },
-            1,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(routers, 1, seed);
         bench.report(1, true, Duration::ZERO);
         let (id, _) = bench.request(WRITE);
         // It answers another one meanwhile, so that it is slow and not silent.
@@ -113,16 +95,7 @@
             350 * MS
         };
         bench.wait(elapsed - 200 * MS);
-        let (server, attempt, metadata) = (ServerId(1), AttemptNo(0), ResponseMetadata::default());
-        bench.event(Event::AttemptEnded(AttemptEnded {
-            id,
-            attempt,
-            server,
-            outcome,
-            elapsed,
-            request_finished: true,
-            metadata,
-        }));
+        bench.finish(id, 1, outcome, elapsed);
         bench.wait(pause);
         sent += sends(&bench.request(WRITE).1).len();
     }
@@ -162,14 +135,7 @@
     // together went on to send each of them half of what it could bear with an empty queue.
     let (mut sent, mut held) = ([0; 2], 0);
     for seed in 0..100 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: 300,
-                ..settings()
-            },
-            1,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(300, 1, seed);
         for round in 0..40 {
             bench.wait(1_500 * MS);
             bench.report(1, true, Duration::ZERO);
@@ -185,17 +151,7 @@
             } else {
                 (Outcome::Ok, 60 * MS)
             };
-            let (attempt, server, metadata) =
-                (AttemptNo(0), ServerId(1), ResponseMetadata::default());
-            bench.event(Event::AttemptEnded(AttemptEnded {
-                id,
-                attempt,
-                server,
-                outcome,
-                elapsed,
-                request_finished: true,
-                metadata,
-            }));
+            bench.finish(id, 1, outcome, elapsed);
         }
     }
     let asked = 100 * 15;
@@ -224,18 +180,7 @@
             bench.report(1, true, Duration::ZERO);
             let (id, _) = bench.request(EVENTUAL);
             bench.wait(took);
-            let (attempt, server, metadata) =
-                (AttemptNo(0), ServerId(1), ResponseMetadata::default());
-            let (outcome, elapsed) = (Outcome::Ok, took);
-            bench.event(Event::AttemptEnded(AttemptEnded {
-                id,
-                attempt,
-                server,
-                outcome,
-                elapsed,
-                request_finished: true,
-                metadata,
-            }));
+            bench.finish(id, 1, Outcome::Ok, took);
             // Admission has recovered by then, so that the concurrency limit alone decides.
             bench.wait(1_000 * MS);
             let arrival = Arrival {
--- a/crates/routing/tests/estimates.rs
+++ b/crates/routing/tests/estimates.rs
@@ -51,18 +51,7 @@
                     } else {
                         (Outcome::Ok, 50)
                     };
-                    let (metadata, attempt, server) =
-                        (ResponseMetadata::default(), AttemptNo(0), ServerId(server));
-                    let (elapsed, last) = (ms * MS, true);
-                    bench.event(Event::AttemptEnded(AttemptEnded {
-                        id,
-                        attempt,
-                        server,
-                        outcome,
-                        elapsed,
-                        request_finished: last,
-                        metadata,
-                    }));
+                    bench.finish(id, server, outcome, ms * MS);
                 }
             }
         }
@@ -95,14 +84,7 @@
     for outcome in [Outcome::TimedOut, Outcome::Failed] {
         let mut sent = [0_usize; 5];
         for seed in 0..100 {
-            let mut bench = Bench::seeded(
-                Settings {
-                    router_count: 100,
-                    ..settings()
-                },
-                4,
-                seed,
-            );
+            let mut bench = Bench::of_fleet(100, 4, seed);
             for round in 0..40 {
                 bench.wait(1_500 * MS);
                 (1..=4).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
@@ -116,18 +98,7 @@
                 } else {
                     (Outcome::Ok, 60 * MS)
                 };
-                bench.event(Event::AttemptEnded(AttemptEnded {
-                    id,
-                    attempt: AttemptNo(0),
-                    server: ServerId(server),
-                    outcome,
-                    elapsed,
-                    request_finished: true,
-                    metadata: ResponseMetadata {
-                        primary: Some(server == 1),
-                        position: None,
-                    },
-                }));
+                bench.finish_with_role(id, server, outcome, elapsed, server == 1);
             }
         }
         assert!(sent[2] * 4 < sent[3].min(sent[4]), "{outcome:?}: {sent:?}");
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -37,14 +37,7 @@
 fn sent_by_many_to_a_starting_member(class: u16, primary: bool) -> usize {
     let mut total = 0;
     for seed in 0..100 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: 100,
-                ..settings()
-            },
-            4,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(100, 4, seed);
         for server in 1..=4 {
             bench.report(server, server == 1, Duration::ZERO);
         }
@@ -92,14 +85,7 @@
     let bears = 0.8 * 3.0 * 0.25;
     let mut sent = 0;
     for seed in 0..1_000 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: 100,
-                ..settings()
-            },
-            4,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(100, 4, seed);
         bench.list(
             (1..=4)
                 .map(|s| Endpoint {
@@ -129,14 +115,7 @@
     // Seen on day h99f668: the requests were meant for six members, and the budget went by the two that were left.
     let mut sent = 0;
     for seed in 0..200 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: 200,
-                ..settings()
-            },
-            6,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(200, 6, seed);
         bench.list(
             (2..=5)
                 .map(|s| endpoint(s, EndpointState::Draining))
@@ -222,19 +201,7 @@
         };
         sent += usize::from(server == 5 && step >= 400);
         let elapsed = MS * if server == 5 { took_ms } else { 60 };
-        let metadata = ResponseMetadata {
-            primary: Some(server == 1),
-            position: None,
-        };
-        bench.event(Event::AttemptEnded(AttemptEnded {
-            id,
-            attempt: AttemptNo(0),
-            server: ServerId(server),
-            outcome: Outcome::Ok,
-            elapsed,
-            request_finished: true,
-            metadata,
-        }));
+        bench.finish_with_role(id, server, Outcome::Ok, elapsed, server == 1);
     }
     sent
 }
@@ -313,18 +280,7 @@
                 } else {
                     Outcome::Ok
                 };
-                bench.event(Event::AttemptEnded(AttemptEnded {
-                    id,
-                    attempt: AttemptNo(0),
-                    server: ServerId(server),
-                    outcome,
-                    elapsed: 60 * MS,
-                    request_finished: true,
-                    metadata: ResponseMetadata {
-                        primary: Some(server % 2 == 1),
-                        position: None,
-                    },
-                }));
+                bench.finish_with_role(id, server, outcome, 60 * MS, server % 2 == 1);
             }
         }
     }
@@ -348,14 +304,7 @@
     let mut sent = [0; 2];
     for seed in 0..200 {
         for (at, repeated) in [false, true].into_iter().enumerate() {
-            let mut bench = Bench::seeded(
-                Settings {
-                    router_count: 200,
-                    ..settings()
-                },
-                3,
-                seed,
-            );
+            let mut bench = Bench::of_fleet(200, 3, seed);
             bench.list(vec![Endpoint {
                 started: bench.now,
                 ..endpoint(3, EndpointState::Ready)
@@ -378,14 +327,7 @@
     // fast as warm ones. Half of the bound was kept for retries, which no longer go there.
     let sent = (0..1_000)
         .filter(|&seed| {
-            let mut bench = Bench::seeded(
-                Settings {
-                    router_count: 1_000,
-                    ..settings()
-                },
-                6,
-                seed,
-            );
+            let mut bench = Bench::of_fleet(1_000, 6, seed);
             bench.list(
                 (2..=5)
                     .map(|s| endpoint(s, EndpointState::Removed))
@@ -411,14 +353,7 @@
 fn half_a_group_of_starting_servers_is_not_overloaded_by_routers_that_each_send_one_request() {
     let mut sent = [0_usize; 7];
     for seed in 0..1_000 {
-        let mut bench = Bench::seeded(
-            Settings {
-                router_count: 1_000,
-                ..settings()
-            },
-            6,
-            seed,
-        );
+        let mut bench = Bench::of_fleet(1_000, 6, seed);
         let started = bench.now;
         bench.list(
             (4..=6)
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -41,17 +41,7 @@
 }
 
 fn answer(bench: &mut Bench, id: RequestId, server: u32, elapsed: Duration) {
-    let (attempt, server, metadata) = (AttemptNo(0), ServerId(server), ResponseMetadata::default());
-    let (outcome, last) = (Outcome::Ok, true);
-    bench.event(Event::AttemptEnded(AttemptEnded {
-        id,
-        attempt,
-        server,
-        outcome,
-        elapsed,
-        request_finished: last,
-        metadata,
-    }));
+    bench.finish(id, server, Outcome::Ok, elapsed);
 }
 
 /// Which router the next request comes to.
@@ -190,14 +180,7 @@
         let routers = 150 * seed..150 * seed + 900;
         let sent: usize = routers
             .map(|number| {
-                let mut bench = Bench::seeded(
-                    Settings {
-                        router_count: 900,
-                        ..settings()
-                    },
-                    STARTING + 1,
-                    number,
-                );
+                let mut bench = Bench::of_fleet(900, STARTING + 1, number);
                 bench.list(
                     (1..=STARTING)
                         .map(|server| endpoint(server, EndpointState::Removed))
@@ -225,14 +208,7 @@
     let routers = 900;
     let sent = (0..routers)
         .filter(|&number| {
-            let mut bench = Bench::seeded(
-                Settings {
-                    router_count: routers as u32,
-                    ..settings()
-                },
-                2,
-                number,
-            );
+            let mut bench = Bench::of_fleet(routers as u32, 2, number);
             // It seldom gets a request, and knows that they take less than their objective.
             for _ in 0..20 {
                 bench.wait(5_000 * MS);
