--- a/crates/routing/src/expiry.rs
+++ b/crates/routing/src/expiry.rs
@@ -1,4 +1,4 @@
-//! Queueing and rejecting: how long a request waits here, and what its client is told.
+//! Queueing and rejecting: how long a request waits here, and its final answer.
 //!
 //! **Objective.** The latency objective counts from the client's first request. A marked retry with less time than first
 //! requests have had has what is left of the deadline. Guards against storms of retries that come too late to earn
--- a/crates/routing/src/freshness.rs
+++ b/crates/routing/src/freshness.rs
@@ -5,7 +5,7 @@
 //!
 //! **Catch-up.** The wait until a replica has the position that a read needs is predicted at one second of log per
 //! second. The time since its position was reported counts as caught up, and a replica that never reported counts as
-//! caught up in full: that tells which one to try or to probe. Where replicas check staleness, a wrong guess ends in a
+//! caught up in full: so one is tried or probed. Where replicas check staleness, a wrong guess ends in a
 //! rejection, runs nothing and takes the guess back; elsewhere the replica is probed first, since only a reported
 //! position permits a send. Guards against reports older than the bound, and against all reads crowding the primaries
 //! where a router knows few positions (at start, with little traffic). Costs most where rejections or probes are dear.
--- a/crates/routing/src/interface/actions.rs
+++ b/crates/routing/src/interface/actions.rs
@@ -1,4 +1,4 @@
-//! What a router tells its host to do.
+//! What a router orders its host to do.
 
 use super::ids::{AttemptNo, RequestId, ServerId, TimerToken};
 use std::time::Duration;
--- a/crates/routing/src/interface/events.rs
+++ b/crates/routing/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What a router is told: endpoint lists, requests, ended attempts, probes and timers.
+//! Events: endpoint lists, requests, ended attempts, probes and timers.
 
 use super::ids::*;
 use super::time::Time;
@@ -171,7 +171,7 @@
     pub metadata: ResponseMetadata,
 }
 
-/// What a router is told.
+/// Something that a router learns.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Discovery's endpoint list, or a failure to get it.
--- a/crates/routing/src/outcomes.rs
+++ b/crates/routing/src/outcomes.rs
@@ -150,7 +150,7 @@
     fn is_silent_since(&self, id: ServerId, sent: Time) -> bool {
         self.servers[&id]
             .last_heard
-            .is_none_or(|heard| heard < sent)
+            .is_none_or(|last_heard| last_heard < sent)
     }
 
     fn count_overtaken(&mut self, id: ServerId, sent: Time) {
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -1,9 +1,9 @@
 //! Who is primary, and how much of it reads may use.
 //!
-//! **Inputs**: roles told by probes and answers, each with the time at which it was true, and discovery's belief.
-//! The member with the newest evidence of being primary is; discovery's belief counts only for a member that has told
-//! nothing. Where nobody may be probed, a write finds the primary itself: a server that is none rejects it unexecuted and
-//! tells its role.
+//! **Inputs**: roles reported by probes and answers, each with the time at which it was true, and discovery's belief.
+//! The member with the newest evidence of being primary is; discovery's belief counts only for a member that has
+//! reported nothing. Where nobody may be probed, a write finds the primary itself: a server that is none rejects it unexecuted and
+//! reports its role.
 //! **Reads.** Writes can't go elsewhere, so a read that replicas could answer gets a fraction of the primary's
 //! concurrency limit: its weight per second of work over that of the best write, within limits.
 
@@ -37,7 +37,7 @@
             .copied()
     }
 
-    /// It has not lately told that it is none.
+    /// Whether it has not lately reported that it is none.
     pub(crate) fn may_be_primary(&self, server: &Server) -> bool {
         let lifetime = self.tightest_staleness_bound.max(self.tightest_objective);
         server
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// Whether the server answers about as fast as one so cold can: it is not crowded, and bears more. `fastest`: latency
+/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `fastest`: latency
 /// over objective that its present capacity allows.
 fn is_fast_for_ramp(server: &Server, fastest: f64, tuning: &Tuning) -> bool {
     server.latency_ratio
