--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -13,6 +13,9 @@
 //! one there, clients' retries never go to a replica that warms up, and a primary that does takes no reads that
 //! replicas could answer. What one member may not have another may: each has slices of its own.
 
+#[cfg(test)]
+mod tests;
+
 use crate::interface::*;
 use crate::slow_start_budget::Turn;
 use crate::state::{Request, Router, Server};
@@ -146,7 +149,7 @@
     }
 }
 
-/// Whether the server answers about as fast as one so cold can: it is not crowded, and bears more. `fastest`: latency
+/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `fastest`: latency
 /// over objective that its present capacity allows.
 fn is_fast_for_ramp(server: &Server, fastest: f64, tuning: &Tuning) -> bool {
     server.latency_ratio
