--- a/crates/leverproxy/src/cluster/members.rs
+++ b/crates/leverproxy/src/cluster/members.rs
@@ -7,8 +7,8 @@
 use configuration::model::Members as Stated;
 use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use membership::{
-    Act, Action, Config, Core, Denied, Event, Fact, Member, Roster, RosterError, State, Status,
-    View,
+    Action, Config, Core, Event, Fact, GuardedOperation, Member, OperationDenied, QuorumState,
+    Roster, RosterError, Status, View,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
     ) -> Result<Members, Fault> {
         let keys = keys.ok_or(Fault::NoKeys)?;
         let mut config = Config::with_period(name, start, roster(&stated), stated.period);
-        config.suspicion = stated.suspicion;
+        config.suspicion_timeout = stated.suspicion;
         let names = stated.roster.iter().map(|m| m.name.clone());
         let mut members = Members {
             core: Core::new(config, seed)?,
@@ -225,9 +225,9 @@
             };
             let payload = payload.to_vec();
             self.handle(
-                Event::Heard {
+                Event::Datagram {
                     from: &from,
-                    start,
+                    incarnation: start,
                     bytes: &payload,
                 },
                 now,
@@ -246,39 +246,39 @@
             match action {
                 Action::Send { address, bytes, .. } => self.send(address, &bytes),
                 Action::Timer { after, token } => self.timers.push((now + after, token)),
-                Action::Changed(name, status) => {
+                Action::MemberChanged(name, status) => {
                     *self.changes.entry(word(status)).or_default() += 1;
                     match status {
                         Status::Alive => log::info!("members: {name} is alive"),
                         status => log::warn!("members: {name} is {}", word(status)),
                     }
                 }
-                Action::State(state) => {
+                Action::QuorumStateChanged(state) => {
                     let heads = self
                         .core
                         .view(now.saturating_duration_since(self.origin))
-                        .heads;
+                        .member_counts;
                     log::info!(
                         "members: {state}, {} of {} are heard",
-                        heads.heard,
-                        heads.of
+                        heads.alive,
+                        heads.total
                     );
                 }
                 // Whoever keeps it may be slow to fetch it; the newest matter.
-                Action::Fact(fact) if fact.kind != ACCOUNT => {
+                Action::FactReceived(fact) if fact.kind != ACCOUNT => {
                     self.heard.truncate(HEARD_MOST - 1);
                     self.heard.push(fact);
                 }
-                Action::Fact(fact) => {
+                Action::FactReceived(fact) => {
                     self.accounts_unread += u64::from(account(&fact.body).is_none())
                 }
-                Action::Untold(error) => {
+                Action::PublishRejected(error) => {
                     log::warn!("members: what this proxy says of itself is not told: {error}")
                 }
-                Action::BadRoster(error) => {
+                Action::RosterRejected(error) => {
                     log::error!("members: {error}; the former roster stays")
                 }
-                Action::Renewed(start) => {
+                Action::IncarnationRenewed(start) => {
                     log::warn!(
                         "members: others know this name by start {} or later, and this process had {}: its clock was set back, \
                          and it goes on under {start}. If that comes again, two processes have this name",
@@ -329,11 +329,11 @@
         };
         self.told = Some(now);
         self.handle(
-            Event::Tell {
+            Event::Publish {
                 kind: ACCOUNT,
                 key: Vec::new(),
                 body,
-                lasts: ACCOUNT_LASTS,
+                ttl: ACCOUNT_LASTS,
             },
             now,
         );
@@ -342,11 +342,11 @@
     /// What another room of this proxy has to say to the others: it replaces what that said before under that key.
     pub fn say(&mut self, kind: u8, key: Vec<u8>, body: Vec<u8>, lasts: Duration, now: Instant) {
         self.handle(
-            Event::Tell {
+            Event::Publish {
                 kind,
                 key,
                 body,
-                lasts,
+                ttl: lasts,
             },
             now,
         );
@@ -368,9 +368,14 @@
             .facts(now.saturating_duration_since(self.origin), kind)
     }
 
-    pub fn allowed(&self, act: Act, region: Option<&str>, now: Instant) -> Result<(), Denied> {
+    pub fn allowed(
+        &self,
+        act: GuardedOperation,
+        region: Option<&str>,
+        now: Instant,
+    ) -> Result<(), OperationDenied> {
         self.core
-            .allowed(now.saturating_duration_since(self.origin), act, region)
+            .check_operation(now.saturating_duration_since(self.origin), act, region)
     }
 
     pub fn view(&self, now: Instant) -> View {
@@ -443,18 +448,22 @@
     pub fn lines(&self, now: Instant) -> String {
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
-        let doubting = if view.doubting {
+        let doubting = if view.self_suspected {
             ", doubting itself"
         } else {
             ""
         };
         let mut text = format!(
             "members {}{doubting}: {} of {} heard, roster version {}, {} say another\n",
-            view.state, view.heads.heard, view.heads.of, view.roster, view.roster_differs
+            view.state,
+            view.member_counts.alive,
+            view.member_counts.total,
+            view.roster_version,
+            view.roster_mismatches
         );
         for act in ACTS {
             // Writing to a string does not fail.
-            if let Err(why) = self.core.allowed(since_origin, act, None) {
+            if let Err(why) = self.core.check_operation(since_origin, act, None) {
                 _ = writeln!(text, "  may not {}: {why}", name(act));
             }
         }
@@ -483,8 +492,13 @@
     pub fn figures(&self, now: Instant, figures: &mut Figures) {
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
-        let states = [State::Whole, State::Degraded, State::Minority, State::Alone]
-            .map(|s| (s.to_string(), s));
+        let states = [
+            QuorumState::Complete,
+            QuorumState::Degraded,
+            QuorumState::Minority,
+            QuorumState::Alone,
+        ]
+        .map(|s| (s.to_string(), s));
         let state = states
             .iter()
             .map(|(name, s)| (vec![("state", name.as_str())], u64::from(*s == view.state)));
@@ -521,7 +535,7 @@
         let allowed = ACTS.into_iter().map(|act| {
             (
                 vec![("act", name(act))],
-                u64::from(self.core.allowed(since_origin, act, None).is_ok()),
+                u64::from(self.core.check_operation(since_origin, act, None).is_ok()),
             )
         });
         figures.many(
@@ -538,15 +552,15 @@
             "How often a member became that.",
             changes,
         );
-        let counts = view.counts;
+        let counts = view.counters;
         let refused = self
             .refused
             .iter()
             .map(|(reason, n)| (vec![("reason", *reason)], *n));
         let beyond = [
-            ("stranger", counts.strangers),
-            ("earlier", counts.earlier),
-            ("imposter", counts.imposters),
+            ("stranger", counts.unknown_members),
+            ("earlier", counts.earlier_incarnations),
+            ("imposter", counts.sender_mismatches),
             ("malformed-inside", counts.malformed),
         ];
         let beyond = beyond.map(|(reason, n)| (vec![("reason", reason)], n));
@@ -579,28 +593,28 @@
             (
                 "lb_members_renewals_held_total",
                 "Words of a later start that came too soon after the last renewal.",
-                counts.renewals_held,
+                counts.renewals_rate_limited,
             ),
             (
                 "lb_members_renewals_spent_total",
                 "Words of a start beyond all clocks; they are not believed.",
-                counts.renewals_spent,
+                counts.renewals_out_of_range,
             ),
-            ("lb_members_heard", "Members heard, this one too.", view.heads.heard as u64),
-            ("lb_members_roster_version", "Version of the roster.", view.roster),
+            ("lb_members_heard", "Members heard, this one too.", view.member_counts.alive as u64),
+            ("lb_members_roster_version", "Version of the roster.", view.roster_version),
             (
                 "lb_members_roster_differs",
                 "Members heard that say another version.",
-                view.roster_differs as u64,
+                view.roster_mismatches as u64,
             ),
             (
                 "lb_members_doubting",
                 "Whether this process was late and doubts itself.",
-                u64::from(view.doubting),
+                u64::from(view.self_suspected),
             ),
             ("lb_members_pauses_total", "Times that it was late enough for that.", counts.pauses),
             ("lb_members_facts", "Facts of others that are kept.", view.facts as u64),
-            ("lb_members_facts_invented_total", "Facts told in this one's name by others.", counts.invented),
+            ("lb_members_facts_invented_total", "Facts told in this one's name by others.", counts.forged_facts),
             (
                 "lb_members_unsealed_total",
                 "Datagrams that could not be made; the first has a line in the log.",
@@ -616,7 +630,12 @@
     }
 }
 
-const ACTS: [Act; 4] = [Act::Lend, Act::Repay, Act::Promote, Act::Halt];
+const ACTS: [GuardedOperation; 4] = [
+    GuardedOperation::Lend,
+    GuardedOperation::Repay,
+    GuardedOperation::Promote,
+    GuardedOperation::Halt,
+];
 const STATUSES: [Status; 5] = [
     Status::NeverHeard,
     Status::Alive,
@@ -633,14 +652,14 @@
     }
 }
 
-fn name(act: Act) -> &'static str {
+fn name(act: GuardedOperation) -> &'static str {
     match act {
-        Act::Lend => "lend",
-        Act::SpendOwn => "spend-own",
-        Act::Repay => "repay",
-        Act::Promote => "promote",
-        Act::Halt => "halt",
-        Act::TrustRemoteFact => "trust-remote-fact",
+        GuardedOperation::Lend => "lend",
+        GuardedOperation::SpendOwn => "spend-own",
+        GuardedOperation::Repay => "repay",
+        GuardedOperation::Promote => "promote",
+        GuardedOperation::Halt => "halt",
+        GuardedOperation::TrustRemoteFact => "trust-remote-fact",
     }
 }
 
--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -29,9 +29,9 @@
 
 fn hear(members: &mut Members, bytes: &[u8], now: Instant) {
     members.handle(
-        Event::Heard {
+        Event::Datagram {
             from: "n1",
-            start: START,
+            incarnation: START,
             bytes,
         },
         now,
@@ -64,6 +64,6 @@
     );
     assert_eq!(members.core.facts(Duration::ZERO, ACCOUNT).len(), 1);
     assert_eq!(members.accounts(now), BTreeMap::new());
-    assert_eq!(members.view(now).counts.malformed, 0);
+    assert_eq!(members.view(now).counters.malformed, 0);
     assert_eq!((members.accounts_unread, members.rates_unread), (1, 0));
 }
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -6,7 +6,7 @@
 use crate::persistence::state_file::{self, Lock, LockError};
 use configuration::calendar::{Moment, Window};
 use configuration::model::{Credit, Lending as Stated};
-use membership::{Act, Fact, Status};
+use membership::{Fact, GuardedOperation, Status};
 use quota_lending::{
     Action, Book, Config, Core, Event, Member, Milli, Rule, Rules, Shortage, Store, StoreError,
     Verdict, SHORT_LASTS,
@@ -338,7 +338,7 @@
         if quota_lending::said::is_said(fact.kind) {
             let Fact {
                 source,
-                start,
+                incarnation: start,
                 kind,
                 key,
                 body,
@@ -371,7 +371,7 @@
         let up = |status| matches!(status, Status::Alive | Status::Suspect);
         let heard = view.members.into_iter().filter_map(|m| {
             Some(Member {
-                start: m.start?,
+                start: m.incarnation?,
                 up: up(m.status),
                 name: m.name,
             })
@@ -382,7 +382,7 @@
             .into_iter()
             .map(|(name, _)| name)
             .collect();
-        let lend = members.allowed(Act::Lend, None, now).is_ok();
+        let lend = members.allowed(GuardedOperation::Lend, None, now).is_ok();
         self.handle(
             Event::View {
                 lend,
--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -11,7 +11,7 @@
 use crate::persistence::state_file::{self, Writer};
 use configuration::load::{Loader, FILE_LIMIT};
 use configuration::model::Rollout as Stated;
-use membership::{Act, Status as Heard};
+use membership::{GuardedOperation, Status as Heard};
 use rollout::{
     Action, Class, Config, Core, Event, Hash, Limits, Look, Peer, Phase, Ready, Told, Verdict,
     KINDS,
@@ -264,12 +264,16 @@
             .collect();
         for sight in view.members {
             if let Some(peer) = by_name.get_mut(&sight.name) {
-                peer.start = sight.start;
+                peer.start = sight.incarnation;
                 peer.heard = matches!(sight.status, Heard::Alive | Heard::Suspect);
                 peer.left = sight.status == Heard::Left;
             }
         }
-        let may = |region: &&String| members.allowed(Act::Promote, Some(region), now).is_ok();
+        let may = |region: &&String| {
+            members
+                .allowed(GuardedOperation::Promote, Some(region), now)
+                .is_ok()
+        };
         let names: BTreeSet<&String> = regions.iter().map(|(_, region)| region).collect();
         let promote = names.into_iter().filter(may).cloned().collect();
         let told = |kind: u8| {
@@ -278,7 +282,7 @@
                 .into_iter()
                 .map(move |fact| Told {
                     source: fact.source,
-                    start: fact.start,
+                    start: fact.incarnation,
                     kind,
                     body: fact.body,
                 })
@@ -287,7 +291,7 @@
         let mut sums: BTreeMap<u32, Sum> = BTreeMap::new();
         for (class, more) in counters.worth.classes() {
             let sum = sums
-                .entry(membership::number(counters.name(class)))
+                .entry(membership::member_id(counters.name(class)))
                 .or_default();
             (sum.asked, sum.lost) = (sum.asked + more.asked, sum.lost + more.lost);
         }
--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -1,7 +1,7 @@
 //! How much of each tenant's traffic each proxy sees, told to the others: so all parts of a quota together are the quota.
 
 use crate::cluster::members::Members;
-use membership::{number, Act, Fact, Status};
+use membership::{member_id, Fact, GuardedOperation, Status};
 use quota::Others;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -34,7 +34,7 @@
 
 /// How often to say it, in a fleet of that size.
 pub fn pace(members: &Members) -> Duration {
-    membership::pace(members.size(), 1, EVERY, LASTS)
+    membership::republish_interval(members.size(), 1, EVERY, LASTS)
 }
 
 /// Tenants beyond what fits are not told of: for them each proxy goes on by itself.
@@ -48,7 +48,7 @@
     let rates: Rates = names
         .iter()
         .zip(rates)
-        .map(|(name, rate)| (number(name), milli(rate)))
+        .map(|(name, rate)| (member_id(name), milli(rate)))
         .collect();
     for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(FACTS)) {
         if let Some(body) = encode(part) {
@@ -67,8 +67,10 @@
     let view = members.view(now);
     // Who is dead for the larger part sees nothing any more. The smaller part can't tell who is dead from who is cut off,
     // and leaves to all the part that they had.
-    let larger = members.allowed(Act::Promote, None, now).is_ok()
-        || members.allowed(Act::Lend, None, now).is_ok();
+    let larger = members
+        .allowed(GuardedOperation::Promote, None, now)
+        .is_ok()
+        || members.allowed(GuardedOperation::Lend, None, now).is_ok();
     let gone = |status| matches!(status, Status::Left) || larger && status == Status::Down;
     let gone: BTreeSet<&str> = view
         .members
@@ -90,7 +92,7 @@
     }
     let rates = names
         .iter()
-        .map(|name| told.get(&number(name)).copied().unwrap_or(0.0))
+        .map(|name| told.get(&member_id(name)).copied().unwrap_or(0.0))
         .collect();
     (!proxies.is_empty()).then_some(Others {
         proxies: proxies.len() as u32,
@@ -119,13 +121,13 @@
             assert_eq!(decode(body), None);
             let fact = |kind| Fact {
                 source: "n1".into(),
-                start: 1,
+                incarnation: 1,
                 kind,
                 key: vec![0],
                 sequence: 1,
                 body: body.into(),
                 age: Duration::ZERO,
-                lasts: LASTS,
+                ttl: LASTS,
             };
             assert!(is_unread(&fact(KIND)) && !is_unread(&fact(KIND + 1)));
         }
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -95,31 +95,31 @@
     {
         use membership::RosterError as E;
         rows!(table, "membership: `RosterError`", membership::RosterError, [
-            WithoutMe => E::WithoutMe(text("NAME")),
-            Twice => E::Twice(text("NAME")),
-            SameNumber => E::SameNumber(text("NAME"), text("OTHER")),
+            MissingSelf => E::MissingSelf(text("NAME")),
+            DuplicateName => E::DuplicateName(text("NAME")),
+            IdCollision => E::IdCollision(text("NAME"), text("OTHER")),
         ]);
     }
     {
-        use membership::TellError as E;
-        rows!(table, "membership: `TellError`", membership::TellError, [
-            Key => E::Key(N as usize),
-            Body => E::Body(N as usize),
-            Lasts => E::Lasts(Duration::from_secs(N.into()), Duration::from_secs(M.into())),
-            Full => E::Full,
+        use membership::PublishError as E;
+        rows!(table, "membership: `PublishError`", membership::PublishError, [
+            KeyTooLong => E::KeyTooLong(N as usize),
+            BodyTooLong => E::BodyTooLong(N as usize),
+            TtlTooLong => E::TtlTooLong(Duration::from_secs(N.into()), Duration::from_secs(M.into())),
+            CapacityExceeded => E::CapacityExceeded,
         ]);
     }
     {
-        use membership::Denied as E;
-        let few = |region| E::TooFew {
-            state: membership::State::Minority,
-            heard: N as usize,
-            of: M as usize,
+        use membership::OperationDenied as E;
+        let few = |region| E::NoQuorum {
+            state: membership::QuorumState::Minority,
+            alive: N as usize,
+            total: M as usize,
             region,
         };
-        rows!(table, "membership: `Denied`", membership::Denied, [
-            TooFew => few(Some(text("REGION"))),
-            Doubting => E::Doubting,
+        rows!(table, "membership: `OperationDenied`", membership::OperationDenied, [
+            NoQuorum => few(Some(text("REGION"))),
+            SelfSuspected => E::SelfSuspected,
             RosterDiffers => E::RosterDiffers(N as usize),
             UnknownRegion => E::UnknownRegion(text("REGION")),
             Left => E::Left,
@@ -178,7 +178,7 @@
     {
         use leverproxy::cluster::members::Fault as E;
         rows!(table, "leverproxy: `members::Fault`", leverproxy::cluster::members::Fault, [
-            Roster => E::Roster(membership::RosterError::WithoutMe(text("NAME"))),
+            Roster => E::Roster(membership::RosterError::MissingSelf(text("NAME"))),
             NoKeys => E::NoKeys,
         ]);
     }
--- /dev/null
+++ b/crates/membership/src/core/heartbeat.rs
@@ -0,0 +1,88 @@
+//! What is done twice in each probe period, beside the timers of SWIM.
+
+use std::time::Duration;
+
+use rand_10::seq::IndexedRandom;
+
+use super::{Core, SelfSuspicion, JOIN_ANNOUNCEMENTS};
+
+/// Heartbeats from one digest to the next, and between comparisons of views while no member is lost.
+const EXCHANGE_HEARTBEATS: u64 = 4;
+/// Members that have to answer before a process trusts its view again, if the roster has as many.
+const ENOUGH_ACKS: usize = 3;
+
+impl Core {
+    /// The order matters: each step draws from the same random numbers.
+    pub(super) fn on_heartbeat(&mut self, now: Duration) {
+        self.heartbeats += 1;
+        self.next_heartbeat = Some(now + self.config.probe_period / 2);
+        let alone = self.observations.reachable().is_empty();
+        if self.heartbeats.is_multiple_of(2) {
+            self.announce_to_silent(now, if alone { JOIN_ANNOUNCEMENTS } else { 1 });
+            self.facts.expire(now);
+        }
+        self.discover_members(now);
+        self.resolve_suspicions(now);
+        self.resolve_disputes(now);
+        self.gossip_facts(now);
+        self.compare_views();
+        self.send_digests();
+        self.replies_sent = 0;
+        self.pull_missing_facts(now);
+        self.update_self_suspicion(now, alone);
+    }
+
+    fn compare_views(&mut self) {
+        let exchange = self.heartbeats.is_multiple_of(EXCHANGE_HEARTBEATS);
+        if self.heartbeats < self.compare_views_until || exchange {
+            if let Some(to) = self.observations.reachable().choose(&mut self.rng).copied() {
+                let hash = self.observations.down_hash().clone();
+                self.send_view(to, &hash);
+            }
+        }
+    }
+
+    /// One digest to one member, and all digests to one that rejoined.
+    fn send_digests(&mut self) {
+        if self.heartbeats.is_multiple_of(EXCHANGE_HEARTBEATS) {
+            let to = self.observations.reachable().choose(&mut self.rng).copied();
+            if let Some(to) = to {
+                let digest = self.facts.next_digest();
+                self.send(to, &digest);
+            }
+        }
+        if let Some(to) = self.rejoined.pop_first() {
+            for digest in self.facts.all_digests() {
+                self.send(to, &digest);
+            }
+        }
+    }
+
+    fn pull_missing_facts(&mut self, now: Duration) {
+        let facts = &self.facts;
+        let requests =
+            self.anti_entropy
+                .next_requests(now, |source| facts.source_hash(source), &mut self.rng);
+        for (to, source) in requests {
+            for versions in self.facts.version_messages(source, false) {
+                self.send(to, &versions);
+            }
+        }
+    }
+
+    fn update_self_suspicion(&mut self, now: Duration, alone: bool) {
+        // `foca` sends no probes after it came back under a new identity that nobody has taken up yet, and would hold all
+        // members for alive meanwhile: so a process whose probes nobody answers does not trust its view.
+        if !alone && now > self.last_ack + self.config.settle_time {
+            self.self_suspicion
+                .get_or_insert_with(|| SelfSuspicion::since(now));
+        }
+        if let Some(suspicion) = &self.self_suspicion {
+            let enough = (self.roster.members.len() / 2).min(ENOUGH_ACKS);
+            let settled = now >= suspicion.since + self.config.settle_time;
+            if suspicion.acked.len() >= enough && settled {
+                self.self_suspicion = None;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/core/mod.rs
@@ -0,0 +1,327 @@
+//! The core: `Core::handle` matches an event and delegates; each concern of the core has a file here.
+
+mod failure_detection;
+mod gossip;
+mod heartbeat;
+mod operations;
+mod status;
+mod view_exchange;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use rand_10::rngs::StdRng;
+use rand_10::SeedableRng;
+
+use crate::anti_entropy::AntiEntropy;
+use crate::config::Config;
+use crate::event::{Action, Event};
+use crate::facts::{FactId, FactStore};
+use crate::incarnation::IncarnationClock;
+use crate::observations::Observations;
+use crate::process_id::ProcessId;
+use crate::quorum::{QuorumState, QuorumTracker};
+use crate::roster::{member_id, IndexedRoster, Roster, RosterError};
+use crate::swim::{PacketError, Swim, SwimConfig, SWIM_KIND};
+use crate::view::{Counters, Status};
+use failure_detection::DISCOVERY_HEARTBEATS;
+
+/// No datagram is longer.
+pub const DATAGRAM_BYTES: usize = 1200;
+/// Datagrams in reply to one, at most.
+const MAX_REPLY_DATAGRAMS: usize = 4;
+/// The first byte of a datagram about facts.
+const FACTS_KIND: u8 = 2;
+/// The first byte of a datagram about who is down.
+const VIEWS_KIND: u8 = 3;
+/// Members that a process announces itself to at its start, and with each round while nobody is reachable.
+const JOIN_ANNOUNCEMENTS: usize = 3;
+/// Keeps the random draws of the core apart from those of SWIM, which has the same seed.
+const SEED_OF_CORE: u64 = 0x6d65_6d62;
+
+/// One process of the fleet: what it knows of the other members and of their facts.
+pub struct Core {
+    own_id: u32,
+    incarnation: IncarnationClock,
+    config: Config,
+    roster: IndexedRoster,
+    swim: Swim,
+    facts: FactStore,
+    rng: StdRng,
+    observations: Observations,
+    /// What `foca` held after the last event, in its order, which rarely changes.
+    last_members: Vec<(ProcessId, Status)>,
+    fleet_quorum: QuorumTracker,
+    region_quorums: BTreeMap<String, QuorumTracker>,
+    reported_state: QuorumState,
+    self_suspicion: Option<SelfSuspicion>,
+    /// When a probe of ours was last answered.
+    last_ack: Duration,
+    /// Facts to send to others, and in how many more heartbeats.
+    facts_to_gossip: BTreeMap<FactId, u8>,
+    /// Members that became reachable and are to be sent all digests.
+    rejoined: BTreeSet<u32>,
+    anti_entropy: AntiEntropy,
+    /// Reply datagrams since the last heartbeat.
+    replies_sent: usize,
+    next_heartbeat: Option<Duration>,
+    heartbeats: u64,
+    /// Members alive here and down elsewhere under an earlier identity, and when each was pinged.
+    disputed: BTreeMap<u32, Option<Duration>>,
+    /// Heartbeat until which views are compared with each heartbeat.
+    compare_views_until: u64,
+    /// Heartbeat until which others are asked whom they hear.
+    discover_until: u64,
+    timer_due: Option<Duration>,
+    timer_token: u64,
+    has_left: bool,
+    counters: Counters,
+}
+
+/// Why a process does not trust its view: it was paused, or nobody answers its probes.
+#[derive(Clone, Debug)]
+struct SelfSuspicion {
+    since: Duration,
+    /// Members that answered a probe since.
+    acked: BTreeSet<u32>,
+}
+
+impl SelfSuspicion {
+    fn since(now: Duration) -> Self {
+        Self {
+            since: now,
+            acked: BTreeSet::new(),
+        }
+    }
+}
+
+impl Core {
+    /// A core that waits for `Event::Start`. Fails if the roster is inconsistent or lacks this process.
+    pub fn new(config: Config, seed: u64) -> Result<Self, RosterError> {
+        let roster = IndexedRoster::new(&config.name, config.roster.clone())?;
+        let own_id = member_id(&config.name);
+        let id = ProcessId {
+            member: own_id,
+            incarnation: config.incarnation,
+            rejoins: 0,
+            roster_version: roster.version,
+        };
+        let swim = Swim::new(id, swim_config(&config, &roster), seed);
+        let mut core = Self {
+            own_id,
+            incarnation: IncarnationClock::new(config.incarnation, config.settle_time),
+            swim,
+            facts: FactStore::new(own_id, config.incarnation, config.fact_limits),
+            rng: StdRng::seed_from_u64(seed ^ SEED_OF_CORE),
+            observations: Observations::default(),
+            last_members: Vec::new(),
+            fleet_quorum: QuorumTracker::default(),
+            region_quorums: BTreeMap::new(),
+            reported_state: QuorumState::Alone,
+            self_suspicion: None,
+            last_ack: Duration::ZERO,
+            facts_to_gossip: BTreeMap::new(),
+            rejoined: BTreeSet::new(),
+            anti_entropy: AntiEntropy::new(config.probe_period * 2),
+            replies_sent: 0,
+            next_heartbeat: None,
+            heartbeats: 0,
+            disputed: BTreeMap::new(),
+            compare_views_until: 0,
+            discover_until: DISCOVERY_HEARTBEATS,
+            timer_due: None,
+            timer_token: 0,
+            has_left: false,
+            counters: Counters::default(),
+            config,
+            roster,
+        };
+        core.apply_roster(Duration::ZERO);
+        Ok(core)
+    }
+
+    /// Fits the observations and the quorums to the roster.
+    fn apply_roster(&mut self, now: Duration) {
+        for id in self
+            .observations
+            .apply_roster(now, &self.roster, self.own_id)
+        {
+            self.swim.remove_member(now, id);
+        }
+        self.last_members.clear();
+        self.swim.changed = true;
+        let members = &self.roster.members;
+        self.region_quorums
+            .retain(|region, _| members.values().any(|member| member.region == *region));
+        for member in members.values() {
+            self.region_quorums
+                .entry(member.region.clone())
+                .or_default();
+        }
+    }
+
+    /// Handles an event at `now`, the time since an origin that never changes. Nothing is done after `Event::Leave`.
+    pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
+        if self.has_left {
+            return;
+        }
+        self.detect_pause(now);
+        let roster_event = matches!(event, Event::Roster(_));
+        match event {
+            Event::Start => self.start(now),
+            Event::Datagram {
+                from,
+                incarnation,
+                bytes,
+            } => self.receive_datagram(now, from, incarnation, bytes, actions),
+            Event::Timer(token) => self.timer_fired(token),
+            Event::Roster(roster) => self.replace_roster(now, roster, actions),
+            Event::Leave => self.leave(now),
+            Event::Publish {
+                kind,
+                key,
+                body,
+                ttl,
+            } => match self.facts.publish(now, kind, key, body, ttl) {
+                Ok(id) => self.queue_for_gossip(id),
+                Err(error) => actions.push(Action::PublishRejected(error)),
+            },
+        }
+        self.run_due(now, roster_event, actions);
+    }
+
+    /// Runs what is due, and reports what the event and the timers changed.
+    fn run_due(&mut self, now: Duration, roster_event: bool, actions: &mut Vec<Action>) {
+        self.swim.run_timers(now);
+        let heartbeat = self.next_heartbeat.is_some_and(|due| due <= now);
+        if heartbeat {
+            self.on_heartbeat(now);
+        }
+        let member_changed = self.observe_members(now, actions);
+        debug_assert!(!heartbeat || self.observations_are_current());
+        // Most datagrams change no member, so quorums are not counted for each of them.
+        if heartbeat || member_changed || roster_event {
+            self.update_quorum(now, actions);
+        }
+        self.flush(actions);
+        self.counters.errors = self.swim.errors;
+        if !self.has_left {
+            self.arm_timer(now, actions);
+        }
+    }
+
+    fn start(&mut self, now: Duration) {
+        if self.next_heartbeat.is_none() {
+            self.next_heartbeat = Some(now + self.config.probe_period / 2);
+            self.announce_to_silent(now, JOIN_ANNOUNCEMENTS);
+        }
+    }
+
+    /// Only the last token counts: a later timer replaces an earlier one.
+    fn timer_fired(&mut self, token: u64) {
+        if token == self.timer_token {
+            self.timer_due = None;
+        }
+    }
+
+    fn next_due(&self) -> Option<Duration> {
+        self.swim
+            .next_due()
+            .into_iter()
+            .chain(self.next_heartbeat)
+            .min()
+    }
+
+    fn arm_timer(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let due = self.next_due();
+        if due != self.timer_due {
+            self.timer_due = due;
+            if let Some(due) = due {
+                self.timer_token += 1;
+                actions.push(Action::Timer {
+                    after: due.saturating_sub(now),
+                    token: self.timer_token,
+                });
+            }
+        }
+    }
+
+    fn receive_datagram(
+        &mut self,
+        now: Duration,
+        from: &str,
+        incarnation: u64,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        let from = member_id(from);
+        let Some(observed) = self.observations.get(from) else {
+            self.counters.unknown_members += 1;
+            return;
+        };
+        if observed
+            .process
+            .is_some_and(|process| process.incarnation > incarnation)
+        {
+            self.counters.earlier_incarnations += 1;
+            return;
+        }
+        let result = match bytes.split_first() {
+            _ if bytes.len() > DATAGRAM_BYTES => Err(PacketError::Malformed),
+            Some((&SWIM_KIND, packet)) => {
+                self.receive_swim(now, (from, incarnation), packet, actions)
+            }
+            Some((&FACTS_KIND, packet)) => self.receive_facts(now, from, packet, actions),
+            Some((&VIEWS_KIND, packet)) => self.receive_view(now, from, packet),
+            _ => Err(PacketError::Malformed),
+        };
+        match result {
+            Ok(()) => self.observations.record_datagram(from, now),
+            Err(PacketError::Malformed) => self.counters.malformed += 1,
+            Err(PacketError::SenderMismatch) => self.counters.sender_mismatches += 1,
+        }
+    }
+
+    fn replace_roster(&mut self, now: Duration, roster: Roster, actions: &mut Vec<Action>) {
+        match IndexedRoster::new(&self.config.name, roster) {
+            Ok(known) => {
+                self.roster = known;
+                self.apply_roster(now);
+                let swim_config = swim_config(&self.config, &self.roster);
+                self.swim
+                    .change_roster(now, self.roster.version, swim_config);
+            }
+            Err(error) => {
+                self.counters.rosters_rejected += 1;
+                actions.push(Action::RosterRejected(error));
+            }
+        }
+    }
+
+    fn enqueue(&mut self, to: u32, bytes: Vec<u8>) {
+        self.swim.outbox.push((to, bytes));
+    }
+
+    /// Turns queued datagrams into actions. Addresses are those of the own roster: relays make them differ between members.
+    fn flush(&mut self, actions: &mut Vec<Action>) {
+        for (to, bytes) in self.swim.outbox.drain(..) {
+            if let Some(member) = self.roster.members.get(&to) {
+                actions.push(Action::Send {
+                    to: member.name.clone(),
+                    address: member.address,
+                    bytes,
+                });
+            }
+        }
+    }
+}
+
+fn swim_config(config: &Config, roster: &IndexedRoster) -> SwimConfig {
+    SwimConfig {
+        probe_period: config.probe_period,
+        suspicion_timeout: config.suspicion_timeout,
+        indirect_probes: config.indirect_probes,
+        gossip_fanout: config.gossip_fanout,
+        roster_size: roster.members.len(),
+    }
+}
--- /dev/null
+++ b/crates/membership/src/core/status.rs
@@ -0,0 +1,66 @@
+//! What operators and the other parts of the proxy read from the core.
+
+use std::time::Duration;
+
+use super::Core;
+use crate::facts::Fact;
+use crate::observations::{is_reachable, Observation};
+use crate::view::{MemberObservation, View};
+
+impl Core {
+    /// Facts of one kind that others published and that have not expired; of this name those of an earlier incarnation.
+    pub fn facts(&self, now: Duration, kind: u8) -> Vec<Fact> {
+        self.facts
+            .ids()
+            .filter(|id| id.kind == kind)
+            .filter(|id| id.source != self.own_id || self.facts.is_of_earlier_incarnation(id))
+            .filter_map(|id| {
+                let source = self.roster.members.get(&id.source)?;
+                self.facts.live_fact(now, id, &source.name)
+            })
+            .collect()
+    }
+
+    /// All that is known of the members at `now`.
+    pub fn view(&self, now: Duration) -> View {
+        // In a round each process probes each member once, in an order that changes.
+        let two_rounds = self.config.probe_period * (2 * self.observations.len() as u32 + 2);
+        let observation = |(member, observed): (u32, &Observation)| {
+            let member = self.roster.members.get(&member)?;
+            Some(MemberObservation {
+                name: member.name.clone(),
+                address: member.address,
+                region: member.region.clone(),
+                status: observed.status,
+                since: observed.since,
+                incarnation: observed.process.map(|id| id.incarnation),
+                roster_version: observed.process.map(|id| id.roster_version),
+                direct: is_reachable(observed.status)
+                    && observed
+                        .last_datagram
+                        .is_some_and(|heard| now <= heard + two_rounds),
+            })
+        };
+        View {
+            state: self.quorum_state(now),
+            self_suspected: self.is_self_suspected(now),
+            member_counts: self.fleet_quorum.counts,
+            roster_version: self.roster.version,
+            roster_mismatches: self.observations.roster_mismatches(),
+            regions: self
+                .region_quorums
+                .iter()
+                .map(|(region, part)| (region.clone(), part.state))
+                .collect(),
+            members: self.observations.iter().filter_map(observation).collect(),
+            facts: self.facts.len(),
+            fact_bytes: self.facts.bytes(),
+            counters: self.counters,
+        }
+    }
+
+    /// The incarnation that this process has now, in Unix milliseconds.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.current()
+    }
+}
--- /dev/null
+++ b/crates/membership/src/core/view_exchange.rs
@@ -0,0 +1,97 @@
+//! Comparing who is down with other members. Death notices travel by chance; where many members die at once, as in a cut into
+//! halves, some notices are lost, and one dead member held for alive can keep a majority that is lost.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use rand_10::seq::IteratorRandom;
+
+use super::{Core, DATAGRAM_BYTES, MAX_REPLY_DATAGRAMS, VIEWS_KIND};
+use crate::process_id::ProcessId;
+use crate::swim::PacketError;
+use crate::view::Status;
+use crate::view_message::ViewMessage;
+
+/// Members in one message of who is down, so that it fits into a datagram.
+const DOWN_IDS_PER_DATAGRAM: usize = 40;
+
+impl Core {
+    pub(super) fn receive_view(
+        &mut self,
+        now: Duration,
+        from: u32,
+        packet: &[u8],
+    ) -> Result<(), PacketError> {
+        match postcard::from_bytes(packet).map_err(|_| PacketError::Malformed)? {
+            hash @ ViewMessage::Hash(_) => {
+                if hash != *self.observations.down_hash() {
+                    let own = self.observations.down().clone();
+                    self.send_down_members(from, false, own);
+                }
+            }
+            ViewMessage::Down { is_reply, ids } => {
+                self.receive_down_members(now, from, is_reply, ids.into_iter().collect());
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes over who is down for another member, and replies with those that it lacks.
+    fn receive_down_members(
+        &mut self,
+        now: Duration,
+        from: u32,
+        is_reply: bool,
+        theirs: BTreeSet<ProcessId>,
+    ) {
+        let observations = &self.observations;
+        let own = observations.down();
+        let missing_there = own.difference(&theirs).copied().collect();
+        let missing_here: Vec<ProcessId> = theirs
+            .difference(own)
+            .filter(|id| observations.get(id.member).is_some())
+            .copied()
+            .collect();
+        let disputed: Vec<u32> = theirs
+            .iter()
+            .filter(|id| self.is_alive_under_later_identity(id))
+            .map(|id| id.member)
+            .collect();
+        for member in disputed {
+            self.disputed.entry(member).or_default();
+        }
+        if !is_reply {
+            self.send_down_members(from, true, missing_there);
+        }
+        self.swim.apply_down(now, missing_here);
+    }
+
+    fn is_alive_under_later_identity(&self, id: &ProcessId) -> bool {
+        let observed = self.observations.get(id.member);
+        observed
+            .filter(|observed| observed.status == Status::Alive)
+            .and_then(|observed| observed.process)
+            .is_some_and(|own| (own.incarnation, own.rejoins) > (id.incarnation, id.rejoins))
+    }
+
+    fn send_down_members(&mut self, to: u32, is_reply: bool, down: BTreeSet<ProcessId>) {
+        let most = DOWN_IDS_PER_DATAGRAM * MAX_REPLY_DATAGRAMS;
+        let down: Vec<ProcessId> = down.into_iter().sample(&mut self.rng, most);
+        if down.is_empty() && !is_reply {
+            // The other's hash differs, so it has members to name: an empty list asks for them.
+            let ids = Vec::new();
+            self.send_view(to, &ViewMessage::Down { is_reply, ids });
+        }
+        for ids in down.chunks(DOWN_IDS_PER_DATAGRAM) {
+            let ids = ids.to_vec();
+            self.send_view(to, &ViewMessage::Down { is_reply, ids });
+        }
+    }
+
+    pub(super) fn send_view(&mut self, to: u32, message: &ViewMessage) {
+        match postcard::to_extend(message, vec![VIEWS_KIND]) {
+            Ok(bytes) if bytes.len() <= DATAGRAM_BYTES => self.enqueue(to, bytes),
+            _ => self.counters.errors += 1,
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/facts/digest.rs
@@ -0,0 +1,157 @@
+//! Digests and version lists of the fact store: how two members find out what each lacks.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::message::{AntiEntropyMessage, HashRange};
+use super::store::{key_hash, FactId, FactStore, StoredFact};
+
+/// Sources in one digest, so that it fits into a datagram.
+const DIGEST_SOURCES: usize = 100;
+/// Versions in one message, so that it fits into a datagram.
+const VERSIONS_PER_MESSAGE: usize = 36;
+const FULL_RANGE: HashRange = HashRange {
+    first: 0,
+    last: u64::MAX,
+};
+
+impl FactStore {
+    /// The next digest, of the sources after those of the last one.
+    pub fn next_digest(&mut self) -> AntiEntropyMessage {
+        let (digest, next) = self.digest_from(self.next_digest_source);
+        self.next_digest_source = next.unwrap_or(0);
+        digest
+    }
+
+    /// Digests of all sources.
+    pub fn all_digests(&self) -> Vec<AntiEntropyMessage> {
+        let (mut messages, mut from) = (Vec::new(), Some(0));
+        while let Some(first) = from {
+            let (digest, next) = self.digest_from(first);
+            messages.push(digest);
+            from = next;
+        }
+        messages
+    }
+
+    /// A digest from that source on, and where the next one begins.
+    fn digest_from(&self, from: u64) -> (AntiEntropyMessage, Option<u64>) {
+        let first = u32::try_from(from).unwrap_or(0);
+        let mut rest = self
+            .sources
+            .range(first..)
+            .map(|(source, (_, hash))| (*source, *hash));
+        let sources: Vec<(u32, u32)> = rest.by_ref().take(DIGEST_SOURCES).collect();
+        let to = match (rest.next(), sources.last()) {
+            (Some(_), Some((last, _))) => u64::from(*last),
+            _ => u64::MAX,
+        };
+        (
+            AntiEntropyMessage::Digest {
+                range: HashRange {
+                    first: from,
+                    last: to,
+                },
+                sources,
+            },
+            (to != u64::MAX).then(|| to + 1),
+        )
+    }
+
+    /// The hash of the versions held of a source.
+    pub fn source_hash(&self, source: u32) -> Option<u32> {
+        self.sources.get(&source).map(|(_, hash)| *hash)
+    }
+
+    /// Sources of a digest that are held in another version here. What the sender lacks altogether it finds in a digest from here.
+    pub fn differing_sources(&self, sources: Vec<(u32, u32)>) -> Vec<(u32, u32)> {
+        sources
+            .into_iter()
+            .filter(|(source, hash)| self.source_hash(*source) != Some(*hash))
+            .collect()
+    }
+
+    fn facts_by_key_hash(&self, source: u32) -> BTreeMap<u64, (&FactId, &StoredFact)> {
+        self.facts_of(source)
+            .map(|(id, stored)| (key_hash(id.kind, &id.key), (id, stored)))
+            .collect()
+    }
+
+    /// The versions held of a source; the receiver replies with what is newer there.
+    pub fn version_messages(&self, source: u32, is_reply: bool) -> Vec<AntiEntropyMessage> {
+        let versions: Vec<(u64, u64, u64)> = self
+            .facts_by_key_hash(source)
+            .into_iter()
+            .map(|(hash, (_, stored))| (hash, stored.incarnation, stored.sequence))
+            .collect();
+        if versions.is_empty() {
+            return vec![AntiEntropyMessage::Versions {
+                is_reply,
+                source,
+                range: FULL_RANGE,
+                versions,
+            }];
+        }
+        let chunk_count = versions.chunks(VERSIONS_PER_MESSAGE).count();
+        let mut from = 0;
+        let mut messages = Vec::new();
+        for (at, chunk) in versions.chunks(VERSIONS_PER_MESSAGE).enumerate() {
+            let to = if at + 1 == chunk_count {
+                u64::MAX
+            } else {
+                chunk[chunk.len() - 1].0
+            };
+            let range = HashRange {
+                first: from,
+                last: to,
+            };
+            messages.push(AntiEntropyMessage::Versions {
+                is_reply,
+                source,
+                range,
+                versions: chunk.to_vec(),
+            });
+            from = to.saturating_add(1);
+        }
+        messages
+    }
+
+    /// Facts that the sender of versions lacks; and if it has newer ones, the versions held here.
+    pub fn reply_to_versions(
+        &self,
+        now: Duration,
+        is_reply: bool,
+        source: u32,
+        range: HashRange,
+        theirs: &[(u64, u64, u64)],
+    ) -> Vec<AntiEntropyMessage> {
+        let own = self.facts_by_key_hash(source);
+        let theirs: BTreeMap<u64, (u64, u64)> = theirs
+            .iter()
+            .map(|(hash, incarnation, sequence)| (*hash, (*incarnation, *sequence)))
+            .collect();
+        let mut facts = Vec::new();
+        for (hash, (id, stored)) in &own {
+            let within = range.first <= *hash && *hash <= range.last;
+            if within
+                && theirs
+                    .get(hash)
+                    .is_none_or(|version| *version < (stored.incarnation, stored.sequence))
+            {
+                facts.push(self.to_wire(now, id, stored));
+            }
+        }
+        let mut messages: Vec<AntiEntropyMessage> = facts
+            .into_iter()
+            .map(|fact| AntiEntropyMessage::Facts(vec![fact]))
+            .collect();
+        let newer = |(hash, version): (&u64, &(u64, u64))| {
+            own.get(hash)
+                .is_none_or(|(_, stored)| (stored.incarnation, stored.sequence) < *version)
+        };
+        if !is_reply && theirs.iter().any(newer) {
+            messages.extend(self.version_messages(source, true));
+        }
+        messages
+    }
+}
--- a/crates/membership/src/recorded.rs
+++ b/crates/membership/src/recorded.rs
@@ -1,9 +1,11 @@
-//! Datagrams of the first version, as they were sent: each is read for good, and what is of a later one is counted.
+//! Datagrams of the first version, as they were sent. Every build has to read them; datagrams of a later version are counted.
 
-use crate::facts::{Frame, Part, Said};
+use crate::facts::{AntiEntropyMessage, HashRange, WireFact};
+use crate::process_id::ProcessId;
 use crate::roster::hash_bytes;
-use crate::swim::{Id, Views, SWIM};
-use crate::{number, Action, Config, Core, Event, Member, Roster, Status};
+use crate::swim::SWIM_KIND;
+use crate::view_message::ViewMessage;
+use crate::{member_id, Action, Config, Core, Event, Member, Roster, Status};
 use foca::{Codec, Header, Message, PostcardCodec};
 use std::time::Duration;
 
@@ -23,28 +25,36 @@
 }
 
 /// The process of `n0` to `n3` as it was recorded.
-fn id(member: u32) -> Id {
+fn id(member: u32) -> ProcessId {
     let names = ["n0", "n1", "n2", "n3"];
     let start = START + u64::from(member);
-    Id {
-        number: number(names[member as usize]),
-        start,
-        returns: 0,
-        roster: 3,
+    ProcessId {
+        member: member_id(names[member as usize]),
+        incarnation: start,
+        rejoins: 0,
+        roster_version: 3,
     }
 }
 
 /// What a packet of `foca` says: from whom, to whom, what, and of which members it tells beside.
-fn packet(name: &str) -> (Id, Id, Message<Id>, Vec<(Id, foca::State)>) {
+fn packet(
+    name: &str,
+) -> (
+    ProcessId,
+    ProcessId,
+    Message<ProcessId>,
+    Vec<(ProcessId, foca::State)>,
+) {
     let bytes = recorded(name);
-    let Some((&SWIM, mut rest)) = bytes.split_first() else {
+    let Some((&SWIM_KIND, mut rest)) = bytes.split_first() else {
         panic!("{name} is no packet of foca")
     };
-    let header: Header<Id> = PostcardCodec.decode_header(&mut rest).unwrap();
+    let header: Header<ProcessId> = PostcardCodec.decode_header(&mut rest).unwrap();
     let mut members = Vec::new();
     if let Some((count, mut updates)) = rest.split_first_chunk() {
         for _ in 0..u16::from_be_bytes(*count) {
-            let member: foca::Member<Id> = PostcardCodec.decode_member(&mut updates).unwrap();
+            let member: foca::Member<ProcessId> =
+                PostcardCodec.decode_member(&mut updates).unwrap();
             members.push((*member.id(), member.state()));
         }
         assert_eq!(updates, &[] as &[u8], "{name}");
@@ -53,18 +63,18 @@
 }
 
 #[test]
-fn packets_of_the_first_version_are_read_for_good() {
+fn swim_packets_of_the_first_version_are_read() {
     use foca::State::{Alive, Suspect};
     let [n0, n1, n2, n3] = [0, 1, 2, 3].map(id);
-    let unknown = Id {
-        start: 0,
-        roster: 0,
+    let unknown = ProcessId {
+        incarnation: 0,
+        roster_version: 0,
         ..n1
     };
     let all = vec![(n2, Alive), (n3, Alive), (n1, Alive)];
     let others = vec![(n0, Alive), (n2, Alive), (n3, Alive)];
     // It was called dead, and came back.
-    let back = vec![(Id { returns: 1, ..n3 }, Alive)];
+    let back = vec![(ProcessId { rejoins: 1, ..n3 }, Alive)];
     let recorded = [
         ("swim-Ping", (n0, n3, Message::Ping(1), all.clone())),
         ("swim-Ack", (n0, n3, Message::Ack(1), all.clone())),
@@ -129,54 +139,60 @@
     }
 }
 
-fn frame(name: &str) -> Frame {
+fn frame(name: &str) -> AntiEntropyMessage {
     let bytes = recorded(name);
     assert_eq!(bytes[0], 2, "{name} is about facts");
     postcard::from_bytes(&bytes[1..]).unwrap()
 }
 
-fn views(name: &str) -> Views {
+fn views(name: &str) -> ViewMessage {
     let bytes = recorded(name);
     assert_eq!(bytes[0], 3, "{name} is about views");
     postcard::from_bytes(&bytes[1..]).unwrap()
 }
 
 #[test]
-fn frames_of_the_first_version_are_read_for_good() {
-    let (source, start) = (number("n0"), START);
-    let part = Part {
-        from: 0,
-        to: u64::MAX,
+fn messages_of_the_first_version_are_read() {
+    let (source, start) = (member_id("n0"), START);
+    let part = HashRange {
+        first: 0,
+        last: u64::MAX,
     };
     let sources = vec![(source, 2_076_203_121)];
-    assert_eq!(frame("facts-summary"), Frame::Summary { part, sources });
+    assert_eq!(
+        frame("facts-summary"),
+        AntiEntropyMessage::Digest {
+            range: part,
+            sources
+        }
+    );
     // How keys are hashed is of the form too.
     let versions = vec![(hash_bytes(1, &[9, 0]), start, 1)];
     assert_eq!(
         frame("facts-detail"),
-        Frame::Detail {
-            answer: false,
+        AntiEntropyMessage::Versions {
+            is_reply: false,
             source,
-            part,
+            range: part,
             versions
         }
     );
-    let said = Said {
+    let said = WireFact {
         source,
-        start,
+        incarnation: start,
         kind: 1,
         key: vec![9, 0],
         sequence: 1,
         age_ms: 100,
-        lasts_ms: 60_000,
+        ttl_ms: 60_000,
         body: b"body".to_vec(),
     };
-    assert_eq!(frame("facts-facts"), Frame::Facts(vec![said]));
-    assert_eq!(views("views-hash"), Views::hash(&[id(3)].into()));
+    assert_eq!(frame("facts-facts"), AntiEntropyMessage::Facts(vec![said]));
+    assert_eq!(views("views-hash"), ViewMessage::hash(&[id(3)].into()));
     assert_eq!(
         views("views-down"),
-        Views::Down {
-            answer: false,
+        ViewMessage::Down {
+            is_reply: false,
             ids: vec![id(3)]
         }
     );
@@ -197,7 +213,7 @@
 
 /// Whole datagrams, as they come in: who sent them is heard, and what it says is held.
 #[test]
-fn a_core_takes_in_what_the_first_version_sent() {
+fn a_core_accepts_datagrams_of_the_first_version() {
     let (mut core, mut actions) = (core(), Vec::new());
     for name in [
         "swim-Feed",
@@ -210,9 +226,9 @@
         let bytes = recorded(name);
         core.handle(
             Duration::ZERO,
-            Event::Heard {
+            Event::Datagram {
                 from: "n0",
-                start: START,
+                incarnation: START,
                 bytes: &bytes,
             },
             &mut actions,
@@ -221,9 +237,9 @@
     let view = core.view(Duration::ZERO);
     assert_eq!(
         (
-            view.counts.malformed,
-            view.counts.imposters,
-            view.counts.errors
+            view.counters.malformed,
+            view.counters.sender_mismatches,
+            view.counters.errors
         ),
         (0, 0, 0)
     );
@@ -243,22 +259,22 @@
 /// A kind of datagram, of frame or of view that this build does not know, and a known one with nothing behind its kind: each
 /// is counted, none is answered, and nobody is heard by it.
 #[test]
-fn what_a_later_version_sends_is_counted_and_not_heard() {
+fn datagrams_of_a_later_version_are_counted_and_dropped() {
     let (mut core, mut actions) = (core(), Vec::new());
     let later: [&[u8]; 7] = [&[4, 0], &[255], &[2, 3, 0], &[3, 2, 0], &[1], &[2], &[]];
     for bytes in later {
         core.handle(
             Duration::ZERO,
-            Event::Heard {
+            Event::Datagram {
                 from: "n0",
-                start: START,
+                incarnation: START,
                 bytes,
             },
             &mut actions,
         );
     }
     let view = core.view(Duration::ZERO);
-    assert_eq!(view.counts.malformed, later.len() as u64);
+    assert_eq!(view.counters.malformed, later.len() as u64);
     assert!(view.members.iter().all(|m| m.status == Status::NeverHeard));
     assert!(
         !actions
--- /dev/null
+++ b/crates/membership/src/swim/config.rs
@@ -0,0 +1,48 @@
+//! How `foca` is set.
+
+use std::num::{NonZeroU8, NonZeroUsize};
+use std::time::Duration;
+
+use foca::{Config, PeriodicParams};
+
+/// What `foca` may fill of a datagram of 1,200 bytes, beside the byte of its kind.
+const PACKET_BYTES: usize = 1199;
+
+/// How `foca` is set.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SwimConfig {
+    pub probe_period: Duration,
+    pub suspicion_timeout: Duration,
+    pub indirect_probes: usize,
+    pub gossip_fanout: usize,
+    pub roster_size: usize,
+}
+
+fn some(count: usize) -> NonZeroUsize {
+    NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
+}
+
+impl SwimConfig {
+    pub fn foca(self) -> Config {
+        // Each update is sent often enough that all hear of it: as often as a number of that size has bits, and
+        // half again against loss.
+        let bits = usize::BITS - self.roster_size.leading_zeros();
+        Config {
+            probe_period: self.probe_period,
+            probe_rtt: self.probe_period * 2 / 5,
+            num_indirect_probes: some(self.indirect_probes),
+            max_transmissions: NonZeroU8::new(4 + 3 * bits as u8 / 2).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: self.suspicion_timeout,
+            // As many as the roster has are remembered: strangers never reach it.
+            remove_down_after: None,
+            max_packet_size: some(PACKET_BYTES),
+            notify_down_members: true,
+            periodic_announce: None,
+            periodic_announce_to_down_members: None,
+            periodic_gossip: Some(PeriodicParams {
+                frequency: self.probe_period / 2,
+                num_members: some(self.gossip_fanout),
+            }),
+        }
+    }
+}
--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -1,21 +1,22 @@
-//! What a fleet does in each case that the design note names.
+//! What a fleet does in each case that the design page names.
 mod fleet;
 
 use std::time::Duration;
 
 use fleet::{ms, roster, Fleet};
 use membership::{
-    pace, rule, Act, Action, Config, Core, Denied, Event, Heads, Rule, State, Status, TABLE,
+    permission, republish_interval, Action, Config, Core, Event, GuardedOperation, MemberCounts,
+    OperationDenied, Permission, QuorumState, Status, POLICY_TABLE,
 };
 
-fn state(fleet: &Fleet, who: usize) -> State {
+fn state(fleet: &Fleet, who: usize) -> QuorumState {
     let (core, now) = fleet.core(who);
     core.view(now).state
 }
 
-fn allowed(fleet: &Fleet, who: usize, act: Act) -> Result<(), Denied> {
+fn allowed(fleet: &Fleet, who: usize, act: GuardedOperation) -> Result<(), OperationDenied> {
     let (core, now) = fleet.core(who);
-    core.allowed(now, act, None)
+    core.check_operation(now, act, None)
 }
 
 fn direct(fleet: &Fleet, who: usize, of: usize) -> bool {
@@ -29,9 +30,9 @@
 }
 
 #[test]
-fn the_table_in_the_note_is_the_one_in_code() {
+fn policy_table_matches_the_design_page() {
     let note = include_str!("../../../docs/design/members.md");
-    let row = |act: &Act| {
+    let row = |act: &GuardedOperation| {
         let begin = format!("| {act:?} |");
         let line = note.lines().find(|line| line.starts_with(&begin)).unwrap();
         line[begin.len()..]
@@ -40,12 +41,12 @@
             .map(|cell| cell.trim().to_owned())
             .collect::<Vec<_>>()
     };
-    for (act, rules) in TABLE {
+    for (act, rules) in POLICY_TABLE {
         let words = rules.map(|rule| match rule {
-            Rule::Yes => "yes",
-            Rule::No => "no",
-            Rule::Agreed => "yes*",
-            Rule::UntilLapse => "lapse",
+            Permission::Allowed => "yes",
+            Permission::Denied => "no",
+            Permission::IfRosterAgreed => "yes*",
+            Permission::UntilExpiry => "lapse",
         });
         assert_eq!(row(&act), words, "{act:?}");
     }
@@ -55,48 +56,55 @@
             .count(),
         1
     );
-    assert_eq!(rule(Act::Promote, State::Whole, true), Rule::No);
+    assert_eq!(
+        permission(GuardedOperation::Promote, QuorumState::Complete, true),
+        Permission::Denied
+    );
 }
 
 #[test]
-fn states_by_heads() {
+fn quorum_state_by_member_counts() {
     let cases = [
         // of, heard, suspect, left
-        ((1, 1, 0, 0), State::Whole),
-        ((2, 1, 0, 0), State::Alone),
-        ((2, 1, 1, 0), State::Minority),
-        ((3, 1, 0, 2), State::Alone),
-        ((3, 2, 1, 0), State::Whole),
-        ((3, 2, 0, 0), State::Degraded),
-        ((3, 2, 0, 1), State::Whole),
-        ((4, 2, 0, 0), State::Minority),
-        ((4, 2, 2, 0), State::Minority),
-        ((4, 3, 0, 0), State::Degraded),
-        ((5, 2, 0, 3), State::Minority),
+        ((1, 1, 0, 0), QuorumState::Complete),
+        ((2, 1, 0, 0), QuorumState::Alone),
+        ((2, 1, 1, 0), QuorumState::Minority),
+        ((3, 1, 0, 2), QuorumState::Alone),
+        ((3, 2, 1, 0), QuorumState::Complete),
+        ((3, 2, 0, 0), QuorumState::Degraded),
+        ((3, 2, 0, 1), QuorumState::Complete),
+        ((4, 2, 0, 0), QuorumState::Minority),
+        ((4, 2, 2, 0), QuorumState::Minority),
+        ((4, 3, 0, 0), QuorumState::Degraded),
+        ((5, 2, 0, 3), QuorumState::Minority),
     ];
     for ((of, heard, suspect, left), state) in cases {
-        let heads = Heads {
-            of,
-            heard,
+        let heads = MemberCounts {
+            total: of,
+            alive: heard,
             suspect,
             left,
-            me: true,
+            includes_self: true,
         };
         assert_eq!(heads.state(), state, "{heads:?}");
     }
 }
 
 #[test]
-fn join_leave_and_return_under_the_same_name() {
+fn members_join_leave_and_rejoin_under_the_same_name() {
     let mut fleet = Fleet::new(5, 1);
     fleet.run(ms(5000));
-    assert!((0..5).all(|who| state(&fleet, who) == State::Whole));
+    assert!((0..5).all(|who| state(&fleet, who) == QuorumState::Complete));
     fleet.tell(4, Event::Leave);
-    assert_eq!(allowed(&fleet, 4, Act::Promote), Err(Denied::Left));
+    assert_eq!(
+        allowed(&fleet, 4, GuardedOperation::Promote),
+        Err(OperationDenied::Left)
+    );
     fleet.kill(4);
     fleet.run(ms(7000));
     assert!((0..4)
-        .all(|who| fleet.status(who, 4) == Status::Left && state(&fleet, who) == State::Whole));
+        .all(|who| fleet.status(who, 4) == Status::Left
+            && state(&fleet, who) == QuorumState::Complete));
     fleet.changes.clear();
     fleet.start(4);
     fleet.run(ms(8000));
@@ -117,30 +125,30 @@
             .iter()
             .find(|member| member.name == "p3")
             .unwrap()
-            .start,
+            .incarnation,
         Some(start)
     );
     // What the earlier process sent is dropped.
     fleet.tell(
         0,
-        Event::Heard {
+        Event::Datagram {
             from: "p3",
-            start: start - 1,
+            incarnation: start - 1,
             bytes: &[1, 2, 3],
         },
     );
     let (core, now) = fleet.core(0);
     assert_eq!(
         (
-            core.view(now).counts.earlier,
-            core.view(now).counts.malformed
+            core.view(now).counters.earlier_incarnations,
+            core.view(now).counters.malformed
         ),
         (1, 0)
     );
 }
 
 #[test]
-fn cuts_say_what_the_note_says() {
+fn views_in_partitions_match_the_design_page() {
     // One way: A (0) hears nothing of B (1).
     let mut fleet = Fleet::new(5, 2);
     fleet.run(ms(4000));
@@ -162,28 +170,28 @@
             && direct(&fleet, 0, 1)
     );
 
-    type Split = (usize, fn(usize) -> usize, &'static [State]);
+    type Split = (usize, fn(usize) -> usize, &'static [QuorumState]);
     let splits: [Split; 4] = [
-        (6, |who| who % 2, &[State::Minority; 6]),
+        (6, |who| who % 2, &[QuorumState::Minority; 6]),
         (
             5,
             |who| usize::from(who < 2),
             &[
-                State::Minority,
-                State::Minority,
-                State::Degraded,
-                State::Degraded,
+                QuorumState::Minority,
+                QuorumState::Minority,
+                QuorumState::Degraded,
+                QuorumState::Degraded,
             ],
         ),
-        (6, |who| who % 3, &[State::Minority; 6]),
+        (6, |who| who % 3, &[QuorumState::Minority; 6]),
         (
             4,
             |who| usize::from(who == 0),
             &[
-                State::Alone,
-                State::Degraded,
-                State::Degraded,
-                State::Degraded,
+                QuorumState::Alone,
+                QuorumState::Degraded,
+                QuorumState::Degraded,
+                QuorumState::Degraded,
             ],
         ),
     ];
@@ -194,54 +202,67 @@
         fleet.run(ms(10_000));
         for (who, wanted) in states.iter().enumerate() {
             assert_eq!(state(&fleet, who), *wanted, "{size} members, p{who}");
-            let may = allowed(&fleet, who, Act::Promote).is_ok();
-            assert_eq!(may, *wanted >= State::Degraded);
-            assert_eq!(allowed(&fleet, who, Act::Halt), Ok(()));
+            let may = allowed(&fleet, who, GuardedOperation::Promote).is_ok();
+            assert_eq!(may, *wanted >= QuorumState::Degraded);
+            assert_eq!(allowed(&fleet, who, GuardedOperation::Halt), Ok(()));
         }
     }
 }
 
 #[test]
-fn a_paused_process_doubts_itself_and_calls_nobody_dead() {
+fn a_paused_process_suspects_itself_and_declares_nobody_down() {
     for pause in [600, 3000, 60_000] {
         let mut fleet = Fleet::new(5, 5);
         fleet.run(ms(5000));
-        assert_eq!(allowed(&fleet, 0, Act::Promote), Ok(()));
+        assert_eq!(allowed(&fleet, 0, GuardedOperation::Promote), Ok(()));
         fleet.paused[0] = ms(5000 + pause);
         fleet.run(ms(5000 + pause - 1));
         // It may be asked before it handles anything.
-        assert_eq!(allowed(&fleet, 0, Act::Promote), Err(Denied::Doubting));
-        assert_eq!(allowed(&fleet, 0, Act::Repay), Ok(()));
+        assert_eq!(
+            allowed(&fleet, 0, GuardedOperation::Promote),
+            Err(OperationDenied::SelfSuspected)
+        );
+        assert_eq!(allowed(&fleet, 0, GuardedOperation::Repay), Ok(()));
         fleet.changes.clear();
         fleet.run(ms(5000 + pause + 1900));
-        assert_eq!(allowed(&fleet, 0, Act::Lend), Err(Denied::Doubting));
-        assert_eq!(state(&fleet, 0), State::Degraded);
+        assert_eq!(
+            allowed(&fleet, 0, GuardedOperation::Lend),
+            Err(OperationDenied::SelfSuspected)
+        );
+        assert_eq!(state(&fleet, 0), QuorumState::Degraded);
         fleet.run(ms(5000 + pause + 4000));
         assert!(fleet
             .changes
             .iter()
             .all(|(_, at, _, status)| *at != 0 || *status != Status::Down));
-        assert_eq!(allowed(&fleet, 0, Act::Promote), Ok(()), "after {pause} ms");
-        assert!((1..5).all(|who| state(&fleet, who) == State::Whole));
+        assert_eq!(
+            allowed(&fleet, 0, GuardedOperation::Promote),
+            Ok(()),
+            "after {pause} ms"
+        );
+        assert!((1..5).all(|who| state(&fleet, who) == QuorumState::Complete));
     }
 }
 
 #[test]
-fn a_doubter_that_hears_nobody_goes_on_doubting() {
+fn a_process_without_acks_goes_on_suspecting_itself() {
     let mut fleet = Fleet::new(5, 6);
     fleet.run(ms(5000));
     fleet.paused[0] = ms(8000);
     fleet.run(ms(7000));
     fleet.split(|who| usize::from(who == 0));
     fleet.run(ms(20_000));
-    assert_eq!(allowed(&fleet, 0, Act::Lend), Err(Denied::Doubting));
-    assert_eq!(state(&fleet, 0), State::Alone);
+    assert_eq!(
+        allowed(&fleet, 0, GuardedOperation::Lend),
+        Err(OperationDenied::SelfSuspected)
+    );
+    assert_eq!(state(&fleet, 0), QuorumState::Alone);
 }
 
-/// Half of a fleet holds p59 for down since its earlier start; p29, which alone of that half has heard of the later one, has been
-/// cut off with them. It would be a majority to itself until its probes come round to p59.
+/// Half of a fleet holds p59 for down under its earlier incarnation. p29 alone in that half has heard of the later one when it is
+/// cut off with them. It would count a majority until its own probes reach p59; it has to ping p59 at once.
 #[test]
-fn one_that_is_down_elsewhere_under_an_earlier_start_is_asked() {
+fn a_member_down_elsewhere_under_an_earlier_incarnation_is_pinged() {
     for seed in 0..2 {
         let mut fleet = Fleet::new(60, seed);
         fleet.run(ms(6000));
@@ -249,19 +270,19 @@
         fleet.run(ms(12_000));
         fleet.start(59);
         fleet.run(ms(24_000));
-        assert_eq!(state(&fleet, 29), State::Degraded);
+        assert_eq!(state(&fleet, 29), QuorumState::Degraded);
         fleet.split(|who| usize::from(who >= 30));
         fleet.run(ms(27_000));
         assert_eq!(
             (state(&fleet, 29), fleet.status(29, 59)),
-            (State::Minority, Status::Down),
+            (QuorumState::Minority, Status::Down),
             "seed {seed}"
         );
     }
 }
 
 #[test]
-fn another_roster_is_noticed_and_strangers_do_not_count() {
+fn another_roster_is_noticed_and_unknown_members_do_not_count() {
     let mut fleet = Fleet::new(4, 7);
     fleet.run(ms(5000));
     let mut other = roster(5);
@@ -276,14 +297,14 @@
     for who in 0..4 {
         let (core, now) = fleet.core(who);
         let view = core.view(now);
-        assert_eq!(view.roster_differs, 2, "p{who}");
+        assert_eq!(view.roster_mismatches, 2, "p{who}");
         assert_eq!(
-            allowed(&fleet, who, Act::Promote),
-            Err(Denied::RosterDiffers(2))
+            allowed(&fleet, who, GuardedOperation::Promote),
+            Err(OperationDenied::RosterDiffers(2))
         );
-        assert_eq!(allowed(&fleet, who, Act::Lend), Ok(()));
-        assert_eq!(view.heads.of, if who < 2 { 5 } else { 4 });
-        assert!(who < 2 || view.counts.roster_differs == 2);
+        assert_eq!(allowed(&fleet, who, GuardedOperation::Lend), Ok(()));
+        assert_eq!(view.member_counts.total, if who < 2 { 5 } else { 4 });
+        assert!(who < 2 || view.counters.roster_mismatches == 2);
     }
     // A new version is no death.
     assert!(fleet
@@ -296,13 +317,13 @@
     fleet.run(ms(14_000));
     assert!(fleet.status(0, 4) == Status::Alive && fleet.status(1, 4) == Status::Alive);
     let (core, now) = fleet.core(2);
-    assert!(core.view(now).counts.strangers > 0 && core.view(now).heads.of == 4);
+    assert!(core.view(now).counters.unknown_members > 0 && core.view(now).member_counts.total == 4);
     for who in 2..4 {
         fleet.tell(who, Event::Roster(other.clone()));
     }
     fleet.run(ms(20_000));
-    assert!((0..5).all(|who| state(&fleet, who) == State::Whole));
-    assert!((0..5).all(|who| allowed(&fleet, who, Act::Promote).is_ok()));
+    assert!((0..5).all(|who| state(&fleet, who) == QuorumState::Complete));
+    assert!((0..5).all(|who| allowed(&fleet, who, GuardedOperation::Promote).is_ok()));
     // One fewer: it is no longer sent to, and nobody is told that it died.
     let mut fewer = roster(4);
     fewer.version = 3;
@@ -310,11 +331,13 @@
     fleet.kill(4);
     fleet.changes.clear();
     fleet.run(ms(24_000));
-    assert!((0..4).all(|who| state(&fleet, who) == State::Whole) && fleet.changes.is_empty());
+    assert!(
+        (0..4).all(|who| state(&fleet, who) == QuorumState::Complete) && fleet.changes.is_empty()
+    );
 }
 
 #[test]
-fn datagrams_go_to_the_address_in_ones_own_roster() {
+fn datagrams_go_to_the_address_in_the_own_roster() {
     let mut mine = roster(2);
     mine.members[1].address = ([127, 0, 0, 1], 9).into();
     let mut core = Core::new(Config::new("p0", 1, mine.clone()), 1).unwrap();
@@ -339,12 +362,12 @@
     core.handle(ms(301), Event::Roster(mine), &mut actions);
     assert!(actions
         .iter()
-        .any(|action| matches!(action, Action::BadRoster(_))));
-    assert_eq!(core.view(ms(301)).heads.of, 2);
+        .any(|action| matches!(action, Action::RosterRejected(_))));
+    assert_eq!(core.view(ms(301)).member_counts.total, 2);
 }
 
 #[test]
-fn regions_have_a_standing_of_their_own() {
+fn each_region_has_its_own_quorum_state() {
     // Regions by number modulo 3; 9 members. The group of 4 has all of region 0 and one of region 1.
     let mut fleet = Fleet::new(9, 8);
     fleet.run(ms(5000));
@@ -352,31 +375,39 @@
     fleet.run(ms(12_000));
     let may = |who: usize, act, region: &str| {
         let (core, now) = fleet.core(who);
-        core.allowed(now, act, Some(region)).is_ok()
+        core.check_operation(now, act, Some(region)).is_ok()
     };
-    assert!(may(0, Act::Lend, "r0") && !may(0, Act::Lend, "r1") && !may(0, Act::Lend, "r2"));
-    assert!(!may(2, Act::Lend, "r0") && may(2, Act::Lend, "r1") && may(2, Act::Lend, "r2"));
-    assert!(!may(0, Act::Promote, "r0") && may(2, Act::Promote, "r2"));
+    assert!(
+        may(0, GuardedOperation::Lend, "r0")
+            && !may(0, GuardedOperation::Lend, "r1")
+            && !may(0, GuardedOperation::Lend, "r2")
+    );
+    assert!(
+        !may(2, GuardedOperation::Lend, "r0")
+            && may(2, GuardedOperation::Lend, "r1")
+            && may(2, GuardedOperation::Lend, "r2")
+    );
+    assert!(!may(0, GuardedOperation::Promote, "r0") && may(2, GuardedOperation::Promote, "r2"));
     let (core, now) = fleet.core(0);
     assert_eq!(
-        core.allowed(now, Act::Lend, Some("nowhere")),
-        Err(Denied::UnknownRegion("nowhere".to_owned()))
+        core.check_operation(now, GuardedOperation::Lend, Some("nowhere")),
+        Err(OperationDenied::UnknownRegion("nowhere".to_owned()))
     );
 }
 
 #[test]
-fn facts_spread_lapse_and_give_way_to_later_ones() {
+fn facts_spread_expire_and_are_replaced_by_later_versions() {
     let mut fleet = Fleet::new(10, 9);
     fleet.loss = 0.05;
     fleet.run(ms(5000));
     let tell = |fleet: &mut Fleet, who: usize, body: &[u8], lasts| {
         fleet.tell(
             who,
-            Event::Tell {
+            Event::Publish {
                 kind: 1,
                 key: b"k".to_vec(),
                 body: body.to_vec(),
-                lasts,
+                ttl: lasts,
             },
         );
     };
@@ -420,7 +451,7 @@
 }
 
 #[test]
-fn what_does_not_fit_waits_and_no_source_is_left_out() {
+fn facts_that_do_not_fit_wait_and_no_source_is_starved() {
     let mut fleet = Fleet::new(30, 2);
     fleet.run(ms(5000));
     for second in 0..6 {
@@ -428,11 +459,11 @@
             let body = vec![second; 500];
             fleet.tell(
                 who,
-                Event::Tell {
+                Event::Publish {
                     kind: 1,
                     key: vec![key],
                     body,
-                    lasts: ms(60_000),
+                    ttl: ms(60_000),
                 },
             );
         }
@@ -449,29 +480,33 @@
 }
 
 #[test]
-fn the_pace_of_facts_keeps_what_is_heard_even() {
+fn republish_interval_bounds_facts_received_per_second() {
     let (second, minute) = (ms(1000), ms(60_000));
-    let each =
-        [1, 5, 50, 100, 500, 5000].map(|members| pace(members, 1, second, minute).as_millis());
+    let each = [1, 5, 50, 100, 500, 5000]
+        .map(|members| republish_interval(members, 1, second, minute).as_millis());
     assert_eq!(each, [1000, 1000, 1000, 2000, 10_000, 20_000]);
-    assert_eq!(pace(100, 2, second, minute), ms(4000));
-    assert_eq!(pace(usize::MAX, usize::MAX, ms(30_000), minute), ms(30_000));
+    assert_eq!(republish_interval(100, 2, second, minute), ms(4000));
+    assert_eq!(
+        republish_interval(usize::MAX, usize::MAX, ms(30_000), minute),
+        ms(30_000)
+    );
 }
 
-/// By a clock that was set back it starts behind what others know of its name: it is heard again, and what it says counts.
+/// A host's clock is set back, and its proxy restarts with an incarnation that all others hold for stale. They would drop all that
+/// it sends. It has to take a later incarnation; then it is reachable again and its facts are accepted.
 #[test]
-fn one_whose_clock_was_set_back_goes_on_under_a_later_start() {
+fn a_process_whose_clock_was_set_back_takes_a_later_incarnation() {
     for at_once in [false, true] {
         let mut fleet = Fleet::new(5, 3);
         let say = |fleet: &mut Fleet, body: &[u8]| {
             let (key, body, lasts) = (b"k".to_vec(), body.to_vec(), ms(600_000));
             fleet.tell(
                 0,
-                Event::Tell {
+                Event::Publish {
                     kind: 1,
                     key,
                     body,
-                    lasts,
+                    ttl: lasts,
                 },
             );
         };
@@ -488,26 +523,31 @@
         fleet.run(ms(22_000));
         let start = fleet.processes[0].as_ref().unwrap().start;
         assert_eq!(start, former + 1);
-        assert!((0..5).all(|who| state(&fleet, who) == State::Whole));
+        assert!((0..5).all(|who| state(&fleet, who) == QuorumState::Complete));
         for who in 1..5 {
             let (core, now) = fleet.core(who);
             let said: Vec<_> = core
                 .facts(now, 1)
                 .into_iter()
-                .map(|fact| (fact.start, fact.body))
+                .map(|fact| (fact.incarnation, fact.body))
                 .collect();
             assert_eq!(said, [(start, b"of this one".to_vec())]);
-            assert_eq!(core.view(now).counts.errors, 0);
+            assert_eq!(core.view(now).counters.errors, 0);
         }
         let (core, now) = fleet.core(0);
-        assert_eq!(core.view(now).counts.renewals, 1);
-        assert!(core.allowed(now, Act::Promote, None).is_ok() && core.facts(now, 1).is_empty());
+        assert_eq!(core.view(now).counters.renewals, 1);
+        assert!(
+            core.check_operation(now, GuardedOperation::Promote, None)
+                .is_ok()
+                && core.facts(now, 1).is_empty()
+        );
     }
 }
 
-/// Of two processes of one name the one at its address stays: they do not drive each other on.
+/// Two processes have one name. Each hears of the other's incarnation and would take a later one without end; the renewals have to
+/// wait longer each time, and the one at the roster's address stays.
 #[test]
-fn two_of_one_name_do_not_drive_each_other_on() {
+fn two_processes_of_one_name_do_not_outbid_each_other() {
     let mut fleet = Fleet::new(4, 8);
     fleet.run(ms(4000));
     // What another process of p0 says from elsewhere; all that is for p0 comes to the first.
@@ -526,9 +566,9 @@
                     let to: usize = to[1..].parse().unwrap();
                     fleet.tell(
                         to,
-                        Event::Heard {
+                        Event::Datagram {
                             from: "p0",
-                            start: twin,
+                            incarnation: twin,
                             bytes: &bytes,
                         },
                     );
@@ -540,14 +580,17 @@
         fleet.run(ms(4000) + now);
     }
     let (core, now) = fleet.core(0);
-    assert!(core.start() > twin, "{}", core.start());
-    assert_eq!((core.view(now).counts.renewals, other.start()), (1, twin));
+    assert!(core.incarnation() > twin, "{}", core.incarnation());
+    assert_eq!(
+        (core.view(now).counters.renewals, other.incarnation()),
+        (1, twin)
+    );
     assert!((1..4).all(|who| fleet.status(who, 0) == Status::Alive));
 }
 
-/// A member that says that this one ran in the far future does not take its numbers away for good.
+/// A member claims an incarnation of this process in the far future. Taking the next one would use up all numbers; it is rejected.
 #[test]
-fn a_start_beyond_all_clocks_is_not_believed() {
+fn an_incarnation_beyond_all_clocks_is_rejected() {
     let mut fleet = Fleet::new(3, 4);
     fleet.run(ms(3000));
     let roster = fleet.roster.clone();
@@ -565,7 +608,7 @@
                 for token in 0..20 {
                     from.handle(ms(at + 100 * token), Event::Timer(token), &mut actions);
                 }
-                let start = from.start();
+                let start = from.incarnation();
                 for action in actions {
                     if let membership::Action::Send {
                         to: whom, bytes, ..
@@ -574,9 +617,9 @@
                         if whom == "p0" || whom == "p2" {
                             to.handle(
                                 ms(at),
-                                Event::Heard {
+                                Event::Datagram {
                                     from: name,
-                                    start,
+                                    incarnation: start,
                                     bytes: &bytes,
                                 },
                                 &mut Vec::new(),
@@ -584,9 +627,9 @@
                             if name == "p2" {
                                 fleet.tell(
                                     0,
-                                    Event::Heard {
+                                    Event::Datagram {
                                         from: name,
-                                        start,
+                                        incarnation: start,
                                         bytes: &bytes,
                                     },
                                 );
@@ -599,6 +642,9 @@
         passes(&mut heard, &mut former, "p2", 100);
     }
     let (core, now) = fleet.core(0);
-    assert!(core.view(now).counts.renewals_spent > 0);
-    assert_eq!((core.start(), core.view(now).counts.renewals), (before, 0));
+    assert!(core.view(now).counters.renewals_out_of_range > 0);
+    assert_eq!(
+        (core.incarnation(), core.view(now).counters.renewals),
+        (before, 0)
+    );
 }
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fleet::{ms, Fleet};
-use membership::{pace, Act, Event, Status};
+use membership::{republish_interval, Event, GuardedOperation, Status};
 
 /// Runs on while each says all that the program says with loans, at its pace; `facts`: no, it is silent.
 struct Talk {
@@ -17,7 +17,7 @@
 impl Talk {
     fn new(fleet: &Fleet, facts: bool) -> Self {
         let size = fleet.processes.len();
-        let rates = pace(size, 1, ms(1000), ms(60_000));
+        let rates = republish_interval(size, 1, ms(1000), ms(60_000));
         let said = if facts {
             sayings(size, true, Some(rates))
         } else {
@@ -39,11 +39,11 @@
             let (kind, length, each, lasts) = self.said[which];
             fleet.tell(
                 who,
-                Event::Tell {
+                Event::Publish {
                     kind,
                     key: vec![0],
                     body: vec![7; length],
-                    lasts,
+                    ttl: lasts,
                 },
             );
             fleet
@@ -175,7 +175,8 @@
             let may = |fleet: &Fleet| {
                 let all = (0..size).filter(|who| {
                     let (core, now) = fleet.core(*who);
-                    core.allowed(now, Act::Promote, None).is_ok()
+                    core.check_operation(now, GuardedOperation::Promote, None)
+                        .is_ok()
                 });
                 all.count()
             };
@@ -283,11 +284,11 @@
         let (kind, length, each, lasts) = said[which];
         fleet.tell(
             who,
-            Event::Tell {
+            Event::Publish {
                 kind,
                 key: vec![0],
                 body: vec![7; length],
-                lasts,
+                ttl: lasts,
             },
         );
         fleet
@@ -405,11 +406,11 @@
             let body = vec![version; 60];
             fleet.tell(
                 who,
-                Event::Tell {
+                Event::Publish {
                     kind,
                     key: vec![0],
                     body,
-                    lasts: ms(600_000),
+                    ttl: ms(600_000),
                 },
             );
         }
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -194,18 +194,20 @@
                 Action::Timer { after, token } => {
                     self.push(self.now + after, who, What::Timer { life, token });
                 }
-                Action::Changed(name, status) => {
+                Action::MemberChanged(name, status) => {
                     self.changes.push((self.now, who, at(&name), status))
                 }
-                Action::Fact(fact) => self.processes[who].as_mut().unwrap().facts.push(fact),
-                Action::State(_) => {}
-                Action::Renewed(later) => {
+                Action::FactReceived(fact) => {
+                    self.processes[who].as_mut().unwrap().facts.push(fact)
+                }
+                Action::QuorumStateChanged(_) => {}
+                Action::IncarnationRenewed(later) => {
                     assert!(later > start);
                     start = later;
                     self.processes[who].as_mut().unwrap().start = later;
                 }
-                Action::Untold(error) => panic!("{error}"),
-                Action::BadRoster(error) => panic!("{error}"),
+                Action::PublishRejected(error) => panic!("{error}"),
+                Action::RosterRejected(error) => panic!("{error}"),
             }
         }
     }
@@ -239,9 +241,9 @@
                 What::Datagram { from, start, bytes } => {
                     self.tell(
                         who,
-                        Event::Heard {
+                        Event::Datagram {
                             from: &format!("p{from}"),
-                            start,
+                            incarnation: start,
                             bytes: &bytes,
                         },
                     );
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,27 +1,26 @@
-//! All orders of what may happen to the standings of four proxies, with stateright: links come and go between
-//! groups, and each proxy takes the news of that at its own time, at most a moment late. A small world: a larger one
-//! (six cuts, six moments) held as well, in 407 s.
+//! Model check (stateright) of the quorum states of four members: partitions come and go, and each member learns of them at its
+//! own time, at most one moment late. A larger model (six partitions, six moments) held as well, in 407 s.
 
 use std::time::Duration;
 
-use membership::{rule, Act, Heads, Rule, Standing};
+use membership::{permission, GuardedOperation, MemberCounts, Permission, QuorumTracker};
 use stateright::{Checker, Model, Property};
 
 const MEMBERS: usize = 4;
-/// Moments that a majority has to hold, and after which a cut is known: the bound of detection.
+/// Moments that a majority has to hold, and after which a partition is detected.
 const HOLD: u8 = 1;
 const KNOWN: u8 = 1;
-const LAST: u8 = 3;
+const LAST_MOMENT: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u8,
-    /// In which group each is, and since when the groups are so.
+    /// The group of each member, and since when.
     groups: [u8; MEMBERS],
     since: u8,
-    /// What each believes of that, by the groups that it last learned.
+    /// The groups that each member last learned of.
     learned: [[u8; MEMBERS]; MEMBERS],
-    standing: [Standing; MEMBERS],
+    standing: [QuorumTracker; MEMBERS],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -31,15 +30,16 @@
     Tick,
 }
 
-/// `half`: a planted fault, by which half of the fleet is enough.
+/// `half`: a planted fault: half of the fleet counts as a majority.
 struct Fleet {
     half: bool,
 }
 
 impl Fleet {
-    fn may(&self, standing: &Standing) -> bool {
-        let half = self.half && standing.heads.heard * 2 >= MEMBERS;
-        half || rule(Act::Promote, standing.state, false) == Rule::Agreed
+    fn may(&self, standing: &QuorumTracker) -> bool {
+        let half = self.half && standing.counts.alive * 2 >= MEMBERS;
+        half || permission(GuardedOperation::Promote, standing.state, false)
+            == Permission::IfRosterAgreed
     }
 }
 
@@ -49,7 +49,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let groups = [0; MEMBERS];
-        let standing = [Standing::default(); MEMBERS];
+        let standing = [QuorumTracker::default(); MEMBERS];
         vec![World {
             now: 0,
             groups,
@@ -69,7 +69,7 @@
         let behind = |who: &usize| world.learned[*who] != world.groups;
         steps.extend((0..MEMBERS).filter(behind).map(Step::Learn));
         // Time goes on only while nobody is behind for longer than the bound.
-        if world.now < LAST
+        if world.now < LAST_MOMENT
             && (world.now < world.since + KNOWN || !(0..MEMBERS).any(|who| behind(&who)))
         {
             steps.push(Step::Tick);
@@ -89,18 +89,18 @@
                 .iter()
                 .filter(|group| **group == mine)
                 .count();
-            let heads = Heads {
-                of: MEMBERS,
-                heard,
+            let heads = MemberCounts {
+                total: MEMBERS,
+                alive: heard,
                 suspect: 0,
                 left: 0,
-                me: true,
+                includes_self: true,
             };
             let (now, hold) = (
                 Duration::from_secs(next.now.into()),
                 Duration::from_secs(HOLD.into()),
             );
-            next.standing[who].step(now, heads, hold);
+            next.standing[who].update(now, heads, hold);
         }
         Some(next)
     }
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -1,12 +1,12 @@
-//! Any schedule of cuts, losses, pauses, deaths and returns: no two groups that both may promote, and after it
-//! all agree. More and larger: `cargo test --release -p membership --test schedules -- --ignored --nocapture`.
+//! Random schedules of partitions, loss, pauses, crashes and restarts: no two groups may both promote, and afterwards
+//! all members agree. More and larger: `cargo test --release -p membership --test schedules -- --ignored --nocapture`.
 mod fleet;
 
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use std::time::Duration;
 
 use fleet::{ms, Fleet};
-use membership::{Act, Config, Event, State, Status};
+use membership::{Config, Event, GuardedOperation, QuorumState, Status};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, TestRunner};
 
@@ -86,10 +86,10 @@
     for who in (0..size).filter(|who| lives(*who)) {
         let heard = (0..size).filter(|other| with(who, *other)).count();
         let wanted = match heard {
-            1 => State::Alone,
-            heard if heard * 2 <= size => State::Minority,
-            heard if heard == size => State::Whole,
-            _ => State::Degraded,
+            1 => QuorumState::Alone,
+            heard if heard * 2 <= size => QuorumState::Minority,
+            heard if heard == size => QuorumState::Complete,
+            _ => QuorumState::Degraded,
         };
         let (core, now) = fleet.core(who);
         let view = core.view(now);
@@ -122,7 +122,8 @@
 fn may_promote(fleet: &Fleet, who: usize) -> bool {
     fleet.processes[who].is_some() && fleet.paused[who] <= fleet.now && {
         let (core, now) = fleet.core(who);
-        core.allowed(now, Act::Promote, None).is_ok()
+        core.check_operation(now, GuardedOperation::Promote, None)
+            .is_ok()
     }
 }
 
@@ -188,11 +189,11 @@
                 let key = vec![key];
                 fleet.tell(
                     who % size,
-                    Event::Tell {
+                    Event::Publish {
                         kind: 1,
                         key,
                         body,
-                        lasts: ms(600_000),
+                        ttl: ms(600_000),
                     },
                 );
             }
@@ -231,13 +232,21 @@
 }
 
 /// A fact without its age: two proxies that hold it hear of it at different times.
-type Held = (String, u64, Vec<u8>, u64, Vec<u8>);
+type HeldFact = (String, u64, Vec<u8>, u64, Vec<u8>);
 
-fn held(fleet: &Fleet, who: usize) -> Vec<Held> {
+fn held(fleet: &Fleet, who: usize) -> Vec<HeldFact> {
     let (core, now) = fleet.core(who);
     let facts = core.facts(now, 1).into_iter();
     facts
-        .map(|fact| (fact.source, fact.start, fact.key, fact.sequence, fact.body))
+        .map(|fact| {
+            (
+                fact.source,
+                fact.incarnation,
+                fact.key,
+                fact.sequence,
+                fact.body,
+            )
+        })
         .collect()
 }
 
@@ -256,8 +265,8 @@
             .filter(|member| member.status == Status::Alive)
             .count();
         prop_assert_eq!(alive, size - 1, "p{} sees {:?}", who, view.members);
-        prop_assert_eq!(view.state, State::Whole);
-        prop_assert_eq!(view.counts.errors, 0);
+        prop_assert_eq!(view.state, QuorumState::Complete);
+        prop_assert_eq!(view.counters.errors, 0);
         known.sort();
         let me = format!("p{who}");
         let start = fleet.processes[who].as_ref().unwrap().start;
@@ -305,19 +314,19 @@
 }
 
 #[test]
-fn the_checker_sees_a_fleet_that_does_not_look() {
+fn the_checker_finds_a_fleet_that_detects_no_failures() {
     // Probes each minute: after the start all keep holding all for alive, whatever is cut.
     fn lazy(config: &mut Config) {
-        config.period = Duration::from_secs(60);
-        config.late = Duration::from_secs(600);
-        config.regain = Duration::ZERO;
+        config.probe_period = Duration::from_secs(60);
+        config.pause_threshold = Duration::from_secs(600);
+        config.quorum_hold = Duration::ZERO;
     }
     let parted = play(6, 1, vec![(Step::Split(2, 0), 6000)], lazy);
     assert!(format!("{parted:?}").contains("may promote"), "{parted:?}");
 }
 
 #[test]
-fn one_that_came_back_and_was_cut_off_at_once() {
+fn a_member_that_rejoined_and_was_cut_off_at_once() {
     let mut steps = vec![
         (Step::Block(5), 4630),
         (Step::Heal, 336),
@@ -327,10 +336,10 @@
     play(5, 5_524_463_678_602_353_450, steps, |_| {}).unwrap();
 }
 
-/// It held another for alive under a former identity, and nobody told it of the later one: what it asked was let lie, and
-/// it called dead, for six seconds, one that lives among its own.
+/// A member knows another one under a former identity, and nobody tells it of the later one. Its pings to the former identity
+/// were ignored, and it declared a living member of its own group down for six seconds.
 #[test]
-fn one_that_missed_who_another_is_now() {
+fn a_member_that_missed_the_new_identity_of_another() {
     let mut steps = vec![
         (Step::OneWay(610, 505), 1959),
         (Step::OneWay(689, 796), 8410),
@@ -361,18 +370,18 @@
     many(500, cases(10_000));
 }
 
-/// Two cuts in a row bring parts together that held each other for down; p41 held p29 so for over 5 s.
+/// Two partitions in a row join groups that held each other for down; p41 held p29 for down for over 5 s.
 #[test]
-fn one_that_missed_a_return_asks_who_is_heard() {
+fn a_member_that_missed_a_rejoin_asks_whom_others_hear() {
     let mut steps = vec![(Step::Start(754), 2269), (Step::Split(3, 1), 1224)];
     steps.extend([(Step::Start(396), 3142), (Step::Split(2, 5), 5127)]);
     play(50, 8_746_647_398_290_880_070, steps, |_| {}).unwrap();
 }
 
-/// One that starts in the larger part of 500 that are cut: it found the last by chance, and not within 10 s.
+/// A member starts in the larger part of a partitioned fleet of 500. It found the last members only by chance, not within 10 s.
 #[test]
 #[ignore = "20 s in a release build"]
-fn one_that_starts_in_a_cut_of_500() {
+fn a_member_that_starts_in_a_partition_of_500() {
     for start in [Step::Start(316), Step::StartBehind(316)] {
         play(
             500,
--- a/crates/testbed/src/ghost.rs
+++ b/crates/testbed/src/ghost.rs
@@ -5,7 +5,7 @@
 use crate::process::{lock, Fault, PATIENCE};
 use crate::Rig;
 use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
-use membership::{Action, Config, Core, Event, Fact, Member, Roster, State};
+use membership::{Action, Config, Core, Event, Fact, Member, QuorumState, Roster};
 use std::net::UdpSocket;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -198,11 +198,11 @@
                 use std::sync::mpsc::TryRecvError::{Disconnected, Empty};
                 match wanted.try_recv() {
                     Ok(Saying { kind, body, lasts }) => {
-                        self.handle(Event::Tell {
+                        self.handle(Event::Publish {
                             kind,
                             key: Vec::new(),
                             body,
-                            lasts,
+                            ttl: lasts,
                         });
                     }
                     Err(Empty) => break,
@@ -213,9 +213,9 @@
                 if let Ok(opened) = self.opener.open(&bytes[..length]) {
                     let (from, start) = (opened.from.to_owned(), opened.start);
                     let payload = opened.payload.to_vec();
-                    self.handle(Event::Heard {
+                    self.handle(Event::Datagram {
                         from: &from,
-                        start,
+                        incarnation: start,
                         bytes: &payload,
                     });
                 }
@@ -248,15 +248,19 @@
                     }
                 }
                 Action::Timer { after, token } => self.due = Some((now + after, token)),
-                Action::Renewed(start) => self.sealer.renew(start),
-                Action::State(state) => self.tell(|known| known.whole = state == State::Whole),
-                Action::Fact(fact) => self.tell(|known| {
+                Action::IncarnationRenewed(start) => self.sealer.renew(start),
+                Action::QuorumStateChanged(state) => {
+                    self.tell(|known| known.whole = state == QuorumState::Complete)
+                }
+                Action::FactReceived(fact) => self.tell(|known| {
                     known.facts.retain(|f| {
                         (&f.source, f.kind, &f.key) != (&fact.source, fact.kind, &fact.key)
                     });
                     known.facts.push(fact);
                 }),
-                Action::Changed(..) | Action::Untold(_) | Action::BadRoster(_) => {}
+                Action::MemberChanged(..)
+                | Action::PublishRejected(_)
+                | Action::RosterRejected(_) => {}
             }
         }
     }
