--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -13,8 +13,8 @@
 use configuration::model::Rollout as Stated;
 use membership::{GuardedOperation, Status as Heard};
 use rollout::{
-    Action, Class, Config, Core, Event, Hash, Limits, Look, Peer, Phase, Ready, Told, Verdict,
-    KINDS,
+    Action, ClassCounts, Config, Core, Event, EvidenceLimits, Observation, Peer, PeerFact, Phase,
+    Readiness, Verdict, VersionHash, KINDS,
 };
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -87,7 +87,7 @@
     core: Core,
     name: String,
     /// The operators' own file, as it was at the start.
-    base: Hash,
+    base: VersionHash,
     origin: Instant,
     refused: Option<String>,
     runs_failed: u64,
@@ -100,11 +100,11 @@
     handed: bool,
 }
 
-pub fn hex(hash: &Hash) -> String {
+pub fn hex(hash: &VersionHash) -> String {
     ::hex::encode(hash)
 }
 
-fn unhex(text: &str) -> Option<Hash> {
+fn unhex(text: &str) -> Option<VersionHash> {
     let mut hash = [0; 32];
     ::hex::decode_to_slice(text, &mut hash).ok()?;
     Some(hash)
@@ -120,7 +120,7 @@
     Ok(hex(&hash))
 }
 
-fn of_file(path: &Path) -> Result<Hash, Fault> {
+fn of_file(path: &Path) -> Result<VersionHash, Fault> {
     let bytes = Disk
         .read(path)
         .map_err(|why| Fault::Unread(path.to_owned(), why))?;
@@ -145,7 +145,7 @@
 }
 
 /// The candidate of that hash. Read beside the loop.
-pub fn find(folder: &Path, hash: &Hash) -> Result<PathBuf, ConfigError> {
+pub fn find(folder: &Path, hash: &VersionHash) -> Result<PathBuf, ConfigError> {
     let fault = |fault: Fault| ConfigError::new("rollout.candidates", fault);
     let mut names = Disk
         .names(folder)
@@ -177,24 +177,24 @@
             log::error!("rollout: {fault}. {}", fault.advice());
             None
         });
-        let limits = Limits {
-            least_harm: stated.least_harm,
-            error: stated.error,
-            soak: stated.soak,
-            window_least: stated.window_least,
-            stage_least: stated.stage_least,
-            fresh: stated.period * LASTS_PERIODS,
+        let limits = EvidenceLimits {
+            min_harm: stated.least_harm,
+            error_probability: stated.error,
+            soak_time: stated.soak,
+            min_window_demand: stated.window_least,
+            min_stage_demand: stated.stage_least,
+            max_age: stated.period * LASTS_PERIODS,
         };
         let lasts = (stated.period * LASTS_PERIODS).max(LASTS_LEAST);
         let config = Config {
             name: name.to_owned(),
-            start,
-            heir,
-            base,
-            limits,
-            dark: stated.dark,
-            lasts,
-            stored,
+            incarnation: start,
+            took_over: heir,
+            base_version: base,
+            evidence_limits: limits,
+            unreachable_timeout: stated.dark,
+            message_ttl: lasts,
+            persisted: stored,
         };
         Rollout {
             core: Core::new(config, Duration::ZERO),
@@ -220,7 +220,7 @@
     }
 
     pub fn look(&mut self, members: &mut Members, counters: &Counters, now: Instant) -> Vec<Ask> {
-        let event = Event::Look(self.sight(members, counters, now));
+        let event = Event::Observe(self.sight(members, counters, now));
         self.handle(event, members, now)
     }
 
@@ -240,12 +240,12 @@
         let mut asks = Vec::new();
         while let Some(saved) = self.writer.as_ref().and_then(Writer::ended) {
             let done = saved.map_err(|error| self.unkept(error)).is_ok();
-            asks.extend(self.handle(Event::Kept(done), members, now));
+            asks.extend(self.handle(Event::Persisted(done), members, now));
         }
         asks
     }
 
-    fn sight(&self, members: &Members, counters: &Counters, now: Instant) -> Look {
+    fn sight(&self, members: &Members, counters: &Counters, now: Instant) -> Observation {
         let view = members.view(now);
         let regions = members.regions();
         let mut peers: Vec<Peer> = regions
@@ -253,8 +253,8 @@
             .map(|(name, region)| Peer {
                 name: name.clone(),
                 region: region.clone(),
-                start: (*name == self.name).then(|| members.start()),
-                heard: *name == self.name,
+                incarnation: (*name == self.name).then(|| members.start()),
+                reachable: *name == self.name,
                 left: false,
             })
             .collect();
@@ -264,8 +264,8 @@
             .collect();
         for sight in view.members {
             if let Some(peer) = by_name.get_mut(&sight.name) {
-                peer.start = sight.incarnation;
-                peer.heard = matches!(sight.status, Heard::Alive | Heard::Suspect);
+                peer.incarnation = sight.incarnation;
+                peer.reachable = matches!(sight.status, Heard::Alive | Heard::Suspect);
                 peer.left = sight.status == Heard::Left;
             }
         }
@@ -280,9 +280,9 @@
             members
                 .facts(KIND + kind, now)
                 .into_iter()
-                .map(move |fact| Told {
+                .map(move |fact| PeerFact {
                     source: fact.source,
-                    start: fact.incarnation,
+                    incarnation: fact.incarnation,
                     kind,
                     body: fact.body,
                 })
@@ -296,9 +296,9 @@
             (sum.asked, sum.lost) = (sum.asked + more.asked, sum.lost + more.lost);
         }
         // Whole ones: what is cut off here comes with the next.
-        let whole = |class: u32, sum: Sum| Class {
+        let whole = |class: u32, sum: Sum| ClassCounts {
             class,
-            asked: sum.asked as u64,
+            offered: sum.asked as u64,
             lost: sum.lost as u64,
         };
         let counts = sums
@@ -306,19 +306,19 @@
             .map(|(class, sum)| whole(class, sum))
             .collect();
         let total = whole(0, counters.worth.total());
-        Look {
+        Observation {
             peers,
-            promote,
+            promotable_regions: promote,
             facts: (0..KINDS).flat_map(told).collect(),
-            counts,
-            total,
+            class_counts: counts,
+            total_counts: total,
         }
     }
 
     /// What came of reading a version.
     pub fn read(
         &mut self,
-        hash: Hash,
+        hash: VersionHash,
         result: Result<(), String>,
         members: &mut Members,
         counters: &Counters,
@@ -328,7 +328,7 @@
             self.runs_failed += 1;
             log::error!("rollout: {} can't run here: {why}", hex(&hash));
         }
-        let mut asks = self.handle(Event::Ready(hash, result), members, now);
+        let mut asks = self.handle(Event::VersionChecked(hash, result), members, now);
         asks.extend(self.look(members, counters, now));
         asks
     }
@@ -351,15 +351,15 @@
             Event::Propose {
                 hash,
                 order,
-                canary: stated.canary,
-                again,
+                canary_size: stated.canary,
+                resume: again,
             }
         };
         let event = match said {
             Said::Propose(hash) => Some(propose(hash, false, &self.stated, members)),
             Said::Resume(hash) => Some(propose(hash, true, &self.stated, members)),
             Said::Halt => Some(Event::Halt),
-            Said::Return => Some(Event::Return),
+            Said::Return => Some(Event::Rollback),
             Said::Status => None,
         };
         if let Some(event) = event {
@@ -376,30 +376,32 @@
         let (mut actions, mut asks) = (Vec::new(), Vec::new());
         let since = now.saturating_duration_since(self.origin);
         self.core.handle(since, event, &mut actions);
-        let folder = |hash: &Hash, base: &Hash, stated: &Stated| {
+        let folder = |hash: &VersionHash, base: &VersionHash, stated: &Stated| {
             (hash != base).then(|| stated.candidates.clone())
         };
         let mut actions = VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Say(kind, body, lasts) => {
+                Action::Publish(kind, body, lasts) => {
                     members.say(KIND + kind, Vec::new(), body, lasts, now)
                 }
-                Action::Check(hash) => asks.push(Ask::Check(hash, self.stated.candidates.clone())),
-                Action::Run(hash) => {
+                Action::CheckVersion(hash) => {
+                    asks.push(Ask::Check(hash, self.stated.candidates.clone()))
+                }
+                Action::RunVersion(hash) => {
                     log::warn!("rollout: {} is to run here", hex(&hash));
                     asks.push(Ask::Run(hash, folder(&hash, &self.base, &self.stated)));
                 }
-                Action::Save(bytes) => {
+                Action::Persist(bytes) => {
                     if let Some(done) = self.save(bytes) {
                         let mut more = Vec::new();
-                        self.core.handle(since, Event::Kept(done), &mut more);
+                        self.core.handle(since, Event::Persisted(done), &mut more);
                         actions.extend(more);
                     }
                 }
-                Action::Phase(phase) => log::warn!("rollout: {}", words(phase)),
-                Action::Refused(why) => self.refused = Some(format!("{why}. {}", why.advice())),
-                Action::Unread => {
+                Action::PhaseChanged(phase) => log::warn!("rollout: {}", words(phase)),
+                Action::Rejected(why) => self.refused = Some(format!("{why}. {}", why.advice())),
+                Action::StateUnreadable => {
                     let path = self
                         .stated
                         .state
@@ -456,7 +458,7 @@
         let mut text = format!(
             "rollout {}\n  runs {}\n",
             words(status.phase),
-            hex(&status.runs)
+            hex(&status.running_version)
         );
         // Writing to a string does not fail.
         if let Some(p) = &status.proposal {
@@ -469,30 +471,39 @@
                 p.proposer
             );
         }
-        if let Some(halted) = &status.halted {
-            _ = writeln!(text, "  halted by {}: {}", halted.by, halted.why.text());
+        if let Some(halted) = &status.halt {
+            _ = writeln!(
+                text,
+                "  halted by {}: {}",
+                halted.halted_by,
+                halted.reason.text()
+            );
         }
         let evidence = match status.verdict {
             Verdict::Harm(why) => why.text(),
             Verdict::Clean => "no harm",
             Verdict::Soaking => "soaking, nothing shown yet",
-            Verdict::TooLittle => "too little traffic, or not on both versions: waiting",
-            Verdict::Doubtful => "a sign of harm, not shown: waiting",
-            Verdict::Missing => {
+            Verdict::InsufficientTraffic => "too little traffic, or not on both versions: waiting",
+            Verdict::Inconclusive => "a sign of harm, not shown: waiting",
+            Verdict::MembersMissing => {
                 "no harm, but a proxy of the stage is missing or does not run it yet: waiting"
             }
         };
-        let (windows, harm, safe) = (status.windows, status.harm, status.safe);
+        let (windows, harm, safe) = (
+            status.evidence.windows,
+            status.evidence.harm_wealth,
+            status.evidence.safety_wealth,
+        );
         _ = writeln!(
             text,
             "  evidence {evidence}; {windows} windows, wealth {harm:.2} for harm, {safe:.2} against"
         );
         for (name, word) in &status.members {
-            let runs = if word.new { "new" } else { "former" };
-            let ready = match &word.ready {
-                Ready::NotYet => "has not looked at it yet".to_owned(),
-                Ready::Yes => "can run it".to_owned(),
-                Ready::Cannot(why) => format!("cannot run it: {why}"),
+            let runs = if word.runs_new { "new" } else { "former" };
+            let ready = match &word.readiness {
+                Readiness::Unchecked => "has not looked at it yet".to_owned(),
+                Readiness::Ready => "can run it".to_owned(),
+                Readiness::Unable(why) => format!("cannot run it: {why}"),
             };
             _ = writeln!(
                 text,
@@ -500,7 +511,7 @@
                 word.votes
             );
         }
-        for (name, times) in &status.planned {
+        for (name, times) in &status.planned_restarts {
             let often = if *times > PLANNED {
                 ": more often than a change of builds needs"
             } else {
@@ -511,7 +522,7 @@
                 "  member {name} started anew in order {times} times{often}"
             );
         }
-        if status.unkept {
+        if status.persisting_fails {
             text.push_str("  its state can't be kept: it votes for nothing new until it can\n");
         }
         text
@@ -528,7 +539,7 @@
         let new = status
             .proposal
             .as_ref()
-            .is_some_and(|p| p.hash == status.runs);
+            .is_some_and(|p| p.hash == status.running_version);
         let stage = match status.phase {
             Phase::Region(at) => at as u64 + 1,
             _ => 0,
@@ -537,11 +548,11 @@
             .members
             .iter()
             .find(|(name, _)| *name == self.name)
-            .map(|(_, word)| &word.ready);
+            .map(|(_, word)| &word.readiness);
         let unable = status
             .members
             .iter()
-            .filter(|(_, w)| matches!(w.ready, Ready::Cannot(_)))
+            .filter(|(_, w)| matches!(w.readiness, Readiness::Unable(_)))
             .count();
         for (name, help, value) in [
             (
@@ -562,7 +573,7 @@
             (
                 "lb_rollout_can_run",
                 "Whether it could run here.",
-                u64::from(ready == Some(&Ready::Yes)),
+                u64::from(ready == Some(&Readiness::Ready)),
             ),
             (
                 "lb_rollout_cannot_run",
@@ -572,27 +583,27 @@
             (
                 "lb_rollout_windows_total",
                 "Comparisons of both versions.",
-                status.windows,
+                status.evidence.windows,
             ),
             (
                 "lb_rollout_superseded_total",
                 "Proposals that gave way to another.",
-                status.superseded,
+                status.superseded_proposals,
             ),
             (
                 "lb_rollout_malformed_total",
                 "Facts that could not be read.",
-                status.malformed,
+                status.malformed_facts,
             ),
             (
                 "lb_rollout_state_unread",
                 "Whether this process began without the state that was kept: it could not be read.",
-                u64::from(self.unloaded || status.unread),
+                u64::from(self.unloaded || status.state_unreadable),
             ),
             (
                 "lb_rollout_state_unkept",
                 "Whether its state can't be kept at present.",
-                u64::from(status.unkept),
+                u64::from(status.persisting_fails),
             ),
             (
                 "lb_rollout_runs_failed_total",
@@ -617,9 +628,9 @@
         Phase::Proposed => "proposed",
         Phase::Canary => "canary",
         Phase::Region(_) => "region",
-        Phase::Whole => "whole",
+        Phase::Complete => "whole",
         Phase::Halted(_) => "halted",
-        Phase::Returned => "returned",
+        Phase::RolledBack => "returned",
     }
 }
 
--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -6,7 +6,7 @@
 use crate::cluster::rollout;
 use crate::config::{Config, ConfigError};
 use crate::pipeline::route_rules::Rules;
-use ::rollout::Hash;
+use ::rollout::VersionHash;
 use std::io::{self, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -23,9 +23,9 @@
     /// What runs now may have changed.
     Again,
     /// Whether a candidate could run.
-    Check(Hash, PathBuf),
+    Check(VersionHash, PathBuf),
     /// A candidate, or the operators' own file, is to run.
-    Run(Hash, Option<PathBuf>),
+    Run(VersionHash, Option<PathBuf>),
 }
 
 enum Job {
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -2,7 +2,7 @@
 
 use crate::event_loop::connection::{self, Filled, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
-use ::rollout::Hash;
+use ::rollout::VersionHash;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::os::unix::fs::MetadataExt;
@@ -23,9 +23,9 @@
 /// Of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    Propose(Hash),
+    Propose(VersionHash),
     /// The same, though it was halted before.
-    Resume(Hash),
+    Resume(VersionHash),
     Halt,
     Return,
     Status,
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -126,14 +126,14 @@
         ]);
     }
     {
-        use rollout::Refused as E;
-        rows!(table, "rollout: `Refused`", rollout::Refused, [
-            UnderWay => E::UnderWay(N.into()),
-            Halted => E::Halted(N.into()),
-            Runs => E::Runs,
-            Nothing => E::Nothing,
-            Order => E::Order(vec![text("REGION")]),
-            Long => E::Long(N as usize),
+        use rollout::CommandRejected as E;
+        rows!(table, "rollout: `CommandRejected`", rollout::CommandRejected, [
+            InProgress => E::InProgress(N.into()),
+            HaltedBefore => E::HaltedBefore(N.into()),
+            AlreadyRunning => E::AlreadyRunning,
+            NoRollout => E::NoRollout,
+            InvalidOrder => E::InvalidOrder(vec![text("REGION")]),
+            OrderTooLong => E::OrderTooLong(N as usize),
         ]);
     }
     {
--- /dev/null
+++ b/crates/rollout/src/core/proposing.rs
@@ -0,0 +1,77 @@
+//! Proposals of this process, and its incarnation.
+
+use super::Core;
+use crate::command::CommandRejected;
+use crate::messages::{self, PlannedRestart, Proposal, VersionHash, BODY_BYTES};
+use crate::stages::MAX_REGIONS;
+use std::collections::BTreeSet;
+
+impl Core {
+    /// The membership may give this process a later incarnation; a planned restart that it announced goes with that.
+    pub(super) fn update_incarnation(&mut self) {
+        let me = self
+            .observation
+            .peers
+            .iter()
+            .find(|peer| peer.name == self.config.name);
+        let Some(incarnation) = me
+            .and_then(|me| me.incarnation)
+            .filter(|incarnation| *incarnation != self.config.incarnation)
+        else {
+            return;
+        };
+        self.config.incarnation = incarnation;
+        self.planned_restart = self.planned_restart.map(|restart| match restart {
+            PlannedRestart::Leaving(_) => PlannedRestart::Leaving(incarnation),
+            PlannedRestart::TookOver(_) => PlannedRestart::TookOver(incarnation),
+        });
+    }
+
+    /// Follows a proposal of this process with an epoch greater than all that it knows.
+    pub(super) fn propose(
+        &mut self,
+        hash: VersionHash,
+        order: Vec<String>,
+        canary_size: u16,
+        resume: bool,
+    ) -> Result<(), CommandRejected> {
+        if self.machine.is_in_progress() {
+            return Err(CommandRejected::InProgress(self.machine.epoch()));
+        }
+        if hash == self.running_version {
+            return Err(CommandRejected::AlreadyRunning);
+        }
+        let halted = self.machine.halts().iter().find(|h| h.hash == hash);
+        if let Some(halted) = halted.filter(|_| !resume) {
+            return Err(CommandRejected::HaltedBefore(halted.epoch));
+        }
+        let regions: BTreeSet<&String> = self.observation.peers.iter().map(|p| &p.region).collect();
+        if order.len() > MAX_REGIONS
+            || regions.len() != order.len()
+            || !order.iter().all(|r| regions.contains(r))
+        {
+            return Err(CommandRejected::InvalidOrder(order));
+        }
+        let epoch = self.machine.epoch().max(
+            self.votes
+                .values()
+                .map(|received| received.vote.epoch)
+                .max()
+                .unwrap_or(0),
+        );
+        let epoch = epoch.saturating_add(1);
+        let proposal = Proposal {
+            epoch,
+            hash,
+            proposer: self.config.name.clone(),
+            order,
+            canary: canary_size,
+        };
+        let length = messages::encode(&proposal).len();
+        if length > BODY_BYTES {
+            return Err(CommandRejected::OrderTooLong(length));
+        }
+        self.machine.adopt(&proposal);
+        Ok(())
+    }
+}
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,54 +1,62 @@
-//! New against old, the lost part of the worth asked for, side by side in the same windows, by a test that may be looked at at any time.
+//! Canary analysis: the loss rates of the new and the former version, compared in the same windows by a sequential test that is
+//! valid at any time (testing by betting).
 //!
-//! A bettor stakes a part of its wealth on each window. Where the null holds its wealth is a supermartingale that began
-//! at 1, so by Ville's inequality it ever reaches 1/error with a chance of `error` at most, however often one looks and
-//! whenever one stops. No crate that is kept does this; it is little enough to be here.
+//! A bettor stakes a part of its wealth on each window. Under the null hypothesis its wealth is a supermartingale that began at
+//! 1, so by Ville's inequality it ever reaches 1/p with probability p at most, however often it is read and whenever one stops.
 
-use crate::words::{Class, Counts, Why, CLASSES};
+use crate::messages::{ClassCounts, HaltReason, TrafficCounts, MAX_CLASSES};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Parts of the wealth staked, one bettor each; the wealth is their mean.
+/// Parts of the wealth staked, by one bettor each; the wealth is their mean.
 const STAKES: [f64; 3] = [0.25, 0.5, 0.95];
-/// Wealth at which the end of the soak is not enough to go on, in total and for a class.
-const SIGN: f64 = 2.0;
-const CLASS_SIGN: f64 = 8.0;
-/// A proxy weighs at most so many times the median of its side.
-const CLIP: u64 = 2;
+/// Wealth of harm in total with which the end of the soak time is not enough to advance.
+const SUSPICIOUS_WEALTH: f64 = 2.0;
+/// The same for one class.
+const SUSPICIOUS_CLASS_WEALTH: f64 = 8.0;
+/// A proxy weighs at most so many times the median of its side: one proxy's counts alone decide nothing.
+const MAX_WEIGHT_TO_MEDIAN: u64 = 2;
 
+/// Bounds of the canary analysis.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
-    /// The least harm that has to be found, as a part of worth.
-    pub least_harm: f64,
-    /// The chance that a version that does no harm is ever halted by this test.
-    pub error: f64,
-    pub soak: Duration,
-    /// Worth that both sides have to be asked for in a window that counts.
-    pub window_least: u64,
-    /// Worth that the new version has to be asked for in a stage.
-    pub stage_least: u64,
-    /// Evidence older than that is none.
-    pub fresh: Duration,
+pub struct EvidenceLimits {
+    /// The least harm that has to be found, as a part of the offered weight.
+    pub min_harm: f64,
+    /// The probability that this test ever halts a version that does no harm.
+    pub error_probability: f64,
+    /// How long a stage runs before it counts as clean without proof.
+    pub soak_time: Duration,
+    /// Weight that both versions have to be offered in a window.
+    pub min_window_demand: u64,
+    /// Weight that the new version has to be offered in a stage.
+    pub min_stage_demand: u64,
+    /// Without a window for so long there is no evidence.
+    pub max_age: Duration,
 }
 
+/// What the evidence says of the current stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    Harm(Why),
-    /// A harm of more than the least is excluded, or the soak is over without a sign of harm.
+    /// The new version does harm.
+    Harm(HaltReason),
+    /// Harm of the least size is excluded, or the soak time is over without a sign of harm.
     Clean,
+    /// Nothing is shown yet, and the soak time is not over.
     Soaking,
-    TooLittle,
-    /// Neither harm nor its absence is shown yet, and there is a sign of harm.
-    Doubtful,
-    /// No harm is shown, and a proxy of the stage is missing or has not said that it runs it.
-    Missing,
+    /// Too little traffic to compare, or not on both versions.
+    InsufficientTraffic,
+    /// The soak time is over, harm is not shown, and there is a sign of it.
+    Inconclusive,
+    /// No harm is shown, but a proxy of the stage is missing or has not reported that it runs the version.
+    MembersMissing,
 }
 
+/// The logarithm of the wealth for each stake.
 #[derive(Clone, Debug, Default)]
 struct Bettor([f64; STAKES.len()]);
 
 impl Bettor {
-    /// `gain`: in [-1, 1], of a mean of 0 or less where the null holds.
+    /// `gain` is in [-1, 1], with a mean of 0 or less under the null hypothesis.
     fn bet(&mut self, gain: f64) {
         for (log, stake) in self.0.iter_mut().zip(STAKES) {
             *log += (stake * gain.clamp(-1.0, 1.0)).ln_1p();
@@ -60,34 +68,36 @@
     }
 }
 
-/// What has come of one side since the last bet, by proxy.
-type Side = BTreeMap<String, Class>;
+/// Counts of one side since the last window, by proxy.
+type Side = BTreeMap<String, ClassCounts>;
 
-/// Old and new.
+/// The former and the new version.
 type Sides = [Side; 2];
 
+/// The comparison of one class, or of all together.
 #[derive(Clone, Debug, Default)]
 struct Series {
     harm: Bettor,
-    /// By region: what regions differ in is no harm of a version, so that proxies of one are compared.
+    /// By region: only proxies of one region are compared, since differences between regions are no harm of a version.
     regions: BTreeMap<String, Sides>,
 }
 
 impl Series {
-    fn add(&mut self, (who, region): (&str, &str), new: bool, more: Class) {
+    fn add(&mut self, (who, region): (&str, &str), new: bool, more: ClassCounts) {
         let side = &mut self.regions.entry(region.to_owned()).or_default()[usize::from(new)];
         let sum = side.entry(who.to_owned()).or_default();
-        // What others say may be any number.
-        sum.asked = sum.asked.saturating_add(more.asked);
+        // Others may report any number.
+        sum.offered = sum.offered.saturating_add(more.offered);
         sum.lost = sum.lost.saturating_add(more.lost);
     }
 
-    /// The difference, once enough has been asked of both sides. That depends on what was asked, never on what was lost.
-    fn window(&mut self, least: u64) -> Option<f64> {
-        let both = |sides: &&Sides| sides.iter().all(|side| asked(side) > 0);
+    /// The difference of the loss rates, once both sides were offered enough. When a window closes must depend on what was offered,
+    /// never on what was lost, or the test is not valid.
+    fn close_window(&mut self, least: u64) -> Option<f64> {
+        let both = |sides: &&Sides| sides.iter().all(|side| offered(side) > 0);
         let mut strata: Vec<Sides> = self.regions.values().filter(both).cloned().collect();
         if strata.is_empty() {
-            // Regions of one proxy each: there is nothing else to compare with.
+            // No region has both versions, as with one proxy each: compare over all regions.
             let mut all = Sides::default();
             for (sides, sum) in self
                 .regions
@@ -101,15 +111,15 @@
             }
             strata.push(all);
         }
-        let all = |side: usize| total(strata.iter().map(|sides| asked(&sides[side])));
+        let all = |side: usize| saturating_sum(strata.iter().map(|sides| offered(&sides[side])));
         if [0, 1].into_iter().any(|side| all(side) < least.max(1)) {
             return None;
         }
         let (mut weights, mut sum) = (0.0, 0.0);
         for [old, new] in &strata {
-            let weight = asked(old).min(asked(new)) as f64;
+            let weight = offered(old).min(offered(new)) as f64;
             weights += weight;
-            sum += weight * (rate(new) - rate(old));
+            sum += weight * (loss_rate(new) - loss_rate(old));
         }
         self.regions.clear();
         let difference = sum / f64::max(weights, 1.0);
@@ -118,28 +128,32 @@
     }
 }
 
-fn asked(side: &Side) -> u64 {
-    total(side.values().map(|c| c.asked))
+fn offered(side: &Side) -> u64 {
+    saturating_sum(side.values().map(|c| c.offered))
 }
 
-fn total(parts: impl Iterator<Item = u64>) -> u64 {
+fn saturating_sum(parts: impl Iterator<Item = u64>) -> u64 {
     parts.fold(0, u64::saturating_add)
 }
 
-fn rate(side: &Side) -> f64 {
-    let mut asked: Vec<u64> = side.values().map(|c| c.asked).filter(|&n| n > 0).collect();
+fn loss_rate(side: &Side) -> f64 {
+    let mut asked: Vec<u64> = side
+        .values()
+        .map(|c| c.offered)
+        .filter(|&n| n > 0)
+        .collect();
     asked.sort_unstable();
     let most = asked
         .get(asked.len() / 2)
         .copied()
         .unwrap_or(1)
-        .saturating_mul(CLIP);
+        .saturating_mul(MAX_WEIGHT_TO_MEDIAN);
     let (mut weights, mut sum) = (0.0, 0.0);
-    for class in side.values().filter(|c| c.asked > 0) {
-        let weight = class.asked.min(most) as f64;
+    for class in side.values().filter(|c| c.offered > 0) {
+        let weight = class.offered.min(most) as f64;
         weights += weight;
-        // Of a whole window: fractions of worth may be told a little late. So a side's part is within [0, 1].
-        sum += weight * (class.lost.min(class.asked) as f64 / class.asked as f64);
+        // A loss may be reported a little after its offer; the rate stays within [0, 1].
+        sum += weight * (class.lost.min(class.offered) as f64 / class.offered as f64);
     }
     if weights > 0.0 {
         sum / weights
@@ -148,125 +162,178 @@
     }
 }
 
-/// The evidence of one rollout, as one proxy sees it.
+/// The traffic counts of one proxy.
+#[derive(Clone, Debug)]
+pub struct ReportedCounts<'a> {
+    /// Name of the proxy.
+    pub name: &'a str,
+    /// Its region.
+    pub region: &'a str,
+    /// The incarnation that counted.
+    pub incarnation: u64,
+    /// The counts.
+    pub counts: TrafficCounts,
+}
+
+/// Figures of the evidence, for operators.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EvidenceSummary {
+    /// Windows that were compared.
+    pub windows: u64,
+    /// Wealth of the bet on harm; with 2/error the version is halted.
+    pub harm_wealth: f64,
+    /// Wealth of the bet against harm; with 1/error the stage is clean.
+    pub safety_wealth: f64,
+}
+
+/// The evidence of one rollout as one proxy sees it.
 #[derive(Clone, Debug)]
 pub struct Evidence {
-    limits: Limits,
+    limits: EvidenceLimits,
     total: Series,
     classes: BTreeMap<u32, Series>,
-    /// What each said last, with the start of its process.
-    last: BTreeMap<String, (u64, Counts)>,
-    /// Against a harm of the least or more, in this stage.
-    safe: Bettor,
-    stage_asked: u64,
+    /// The last counts of each proxy, with its incarnation.
+    last_counts: BTreeMap<String, (u64, TrafficCounts)>,
+    /// Bets against harm of the least size or more, in this stage.
+    safety: Bettor,
+    stage_demand: u64,
     windows: u64,
-    counted: Option<Duration>,
-    since: Duration,
+    last_window: Option<Duration>,
+    stage_began: Duration,
 }
 
 impl Evidence {
-    pub fn new(limits: Limits, now: Duration) -> Self {
+    /// No evidence yet.
+    pub fn new(limits: EvidenceLimits, now: Duration) -> Self {
         Self {
             limits,
             total: Series::default(),
             classes: BTreeMap::new(),
-            last: BTreeMap::new(),
-            safe: Bettor::default(),
-            stage_asked: 0,
+            last_counts: BTreeMap::new(),
+            safety: Bettor::default(),
+            stage_demand: 0,
             windows: 0,
-            counted: None,
-            since: now,
+            last_window: None,
+            stage_began: now,
         }
     }
 
-    /// Another stage: its soak and its traffic begin anew; the wealth of harm does not, so that all stages together
-    /// have the one error.
-    pub fn stage(&mut self, now: Duration) {
-        (self.safe, self.stage_asked, self.since, self.counted) = (Bettor::default(), 0, now, None);
+    /// Begins a stage with a soak time and traffic of its own. The wealth of harm stays, so that all stages together have the one
+    /// error probability.
+    pub fn start_stage(&mut self, now: Duration) {
+        (
+            self.safety,
+            self.stage_demand,
+            self.stage_began,
+            self.last_window,
+        ) = (Bettor::default(), 0, now, None);
     }
 
-    /// What is said now: name and region, start of the process, counts. A look without news counts for nothing.
-    pub fn look<'a>(
+    /// Takes what all proxies report now. Reports without new counts change nothing.
+    pub fn observe<'a>(
         &mut self,
         now: Duration,
-        said: impl Iterator<Item = (&'a str, &'a str, u64, Counts)>,
+        reports: impl Iterator<Item = ReportedCounts<'a>>,
     ) {
-        for (name, region, start, counts) in said {
-            let before = self.last.insert(name.to_owned(), (start, counts.clone()));
-            let Some((_, before)) = before.filter(|(s, c)| {
-                *s == start
-                    && c.turn == counts.turn
-                    && c.new == counts.new
-                    && c.epoch == counts.epoch
-            }) else {
-                continue;
-            };
-            let total = counts.total.since(before.total);
-            self.total.add((name, region), counts.new, total);
-            self.stage_asked =
-                self.stage_asked
-                    .saturating_add(if counts.new { total.asked } else { 0 });
-            for class in &counts.classes {
-                let Some(was) = before.classes.iter().find(|c| c.class == class.class) else {
-                    continue;
-                };
-                if self.classes.contains_key(&class.class) || self.classes.len() < CLASSES {
-                    self.classes.entry(class.class).or_default().add(
-                        (name, region),
-                        counts.new,
-                        class.since(*was),
-                    );
-                }
-            }
+        for report in reports {
+            self.add_report(report);
         }
-        let least = self.limits.window_least;
-        if let Some(difference) = self.total.window(least) {
-            let harm = self.limits.least_harm;
-            self.safe.bet((harm - difference) / (1.0 + harm));
+        let min_demand = self.limits.min_window_demand;
+        if let Some(difference) = self.total.close_window(min_demand) {
+            let harm = self.limits.min_harm;
+            self.safety.bet((harm - difference) / (1.0 + harm));
             self.windows += 1;
-            self.counted = Some(now);
+            self.last_window = Some(now);
         }
         for series in self.classes.values_mut() {
-            series.window(least);
+            series.close_window(min_demand);
         }
     }
 
-    pub fn verdict(&self, now: Duration) -> Verdict {
-        let Limits {
-            error,
-            soak,
-            stage_least,
-            fresh,
-            ..
-        } = self.limits;
-        let each = 2.0 * CLASSES as f64 / error;
-        if self.total.harm.wealth() >= 2.0 / error {
-            return Verdict::Harm(Why::Loss);
+    /// Adds what has come since the last report of the same process under the same version.
+    fn add_report(&mut self, report: ReportedCounts<'_>) {
+        let ReportedCounts {
+            name,
+            region,
+            incarnation,
+            counts,
+        } = report;
+        let last = self
+            .last_counts
+            .insert(name.to_owned(), (incarnation, counts.clone()));
+        let comparable = last.filter(|(last_incarnation, last)| {
+            *last_incarnation == incarnation
+                && last.generation == counts.generation
+                && last.runs_new == counts.runs_new
+                && last.epoch == counts.epoch
+        });
+        let Some((_, last)) = comparable else { return };
+        let total = counts.total.since(last.total);
+        self.total.add((name, region), counts.runs_new, total);
+        if counts.runs_new {
+            self.stage_demand = self.stage_demand.saturating_add(total.offered);
+        }
+        for class in &counts.classes {
+            let Some(last) = last.classes.iter().find(|c| c.class == class.class) else {
+                continue;
+            };
+            if self.classes.contains_key(&class.class) || self.classes.len() < MAX_CLASSES {
+                let series = self.classes.entry(class.class).or_default();
+                series.add((name, region), counts.runs_new, class.since(*last));
+            }
         }
-        if self.classes.values().any(|s| s.harm.wealth() >= each) {
-            return Verdict::Harm(Why::Class);
+    }
+
+    /// What the evidence says at `now`.
+    pub fn verdict(&self, now: Duration) -> Verdict {
+        let limits = &self.limits;
+        if let Some(reason) = self.harm() {
+            return Verdict::Harm(reason);
         }
-        let stale = self.counted.is_none_or(|at| now.saturating_sub(at) > fresh);
-        if stale || self.stage_asked < stage_least {
-            return Verdict::TooLittle;
+        let stale = self
+            .last_window
+            .is_none_or(|at| now.saturating_sub(at) > limits.max_age);
+        if stale || self.stage_demand < limits.min_stage_demand {
+            return Verdict::InsufficientTraffic;
         }
-        if self.safe.wealth() >= 1.0 / error {
+        if self.safety.wealth() >= 1.0 / limits.error_probability {
             return Verdict::Clean;
         }
-        if now.saturating_sub(self.since) < soak {
+        if now.saturating_sub(self.stage_began) < limits.soak_time {
             return Verdict::Soaking;
         }
-        let sign = self.total.harm.wealth() >= SIGN
-            || self.classes.values().any(|s| s.harm.wealth() >= CLASS_SIGN);
-        if sign {
-            Verdict::Doubtful
+        if self.total.harm.wealth() >= SUSPICIOUS_WEALTH
+            || self.any_class_reaches(SUSPICIOUS_CLASS_WEALTH)
+        {
+            Verdict::Inconclusive
         } else {
             Verdict::Clean
         }
     }
 
-    /// Windows that counted, the wealth of harm and that against it.
-    pub fn figures(&self) -> (u64, f64, f64) {
-        (self.windows, self.total.harm.wealth(), self.safe.wealth())
+    /// Half of the error probability goes to the total, half to all classes together.
+    fn harm(&self) -> Option<HaltReason> {
+        let error = self.limits.error_probability;
+        if self.total.harm.wealth() >= 2.0 / error {
+            return Some(HaltReason::Loss);
+        }
+        let class_threshold = 2.0 * MAX_CLASSES as f64 / error;
+        self.any_class_reaches(class_threshold)
+            .then_some(HaltReason::ClassLoss)
+    }
+
+    fn any_class_reaches(&self, wealth: f64) -> bool {
+        self.classes
+            .values()
+            .any(|series| series.harm.wealth() >= wealth)
+    }
+
+    /// Figures for operators.
+    pub fn summary(&self) -> EvidenceSummary {
+        EvidenceSummary {
+            windows: self.windows,
+            harm_wealth: self.total.harm.wealth(),
+            safety_wealth: self.safety.wealth(),
+        }
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,21 +1,37 @@
-//! A policy that reaches a fleet of proxies in stages, is compared with the one before while both serve, and halts by
-//! itself. No clock, no I/O, no log: `Core::handle` takes an event and the time since some start, and gives actions.
-//! How facts travel and who is heard is told to it; it knows neither files nor what a policy says.
+//! A version of the operators' file that reaches a fleet of proxies in stages, is compared with the former one while both serve,
+//! and is halted automatically when it does harm. No clock, no I/O, no log: `Core::handle` takes an event and the time since
+//! some start, and gives actions. The host tells it which facts came and who is reachable; what a version says, and where its
+//! file is, is not known here.
 //!
-//! The reasons and all bounds: `docs/design/rollout.md`.
+//! Reasons and all bounds: `docs/design/rollout.md`.
+
+#![warn(missing_docs)]
 
 mod advice;
+mod command;
 mod core;
+mod event;
 mod evidence;
+mod guard;
 mod machine;
+mod messages;
 #[cfg(test)]
 mod model;
+mod monitor;
+mod peer;
 #[cfg(test)]
 mod recorded;
-mod watch;
-mod words;
+mod stages;
+mod status;
 
-pub use core::{Action, Config, Core, Event, Look, Refused, Status, Told, KINDS};
-pub use evidence::{Evidence, Limits, Verdict};
-pub use machine::{Machine, Peer, Phase, Sight};
-pub use words::{Class, Counts, Halted, Hash, Orderly, Proposal, Ready, Why, Word, BODY_BYTES};
+pub use command::CommandRejected;
+pub use core::{Core, KINDS};
+pub use event::{Action, Config, Event, Observation, PeerFact};
+pub use evidence::{Evidence, EvidenceLimits, EvidenceSummary, ReportedCounts, Verdict};
+pub use machine::{CurrentRollout, Phase, StageMachine, StepInput};
+pub use messages::{
+    ClassCounts, HaltReason, HaltRecord, PlannedRestart, Proposal, Readiness, TrafficCounts,
+    VersionHash, Vote, BODY_BYTES,
+};
+pub use peer::Peer;
+pub use status::Status;
--- /dev/null
+++ b/crates/rollout/src/machine/mod.rs
@@ -0,0 +1,264 @@
+//! The stage machine: which proposal a proxy follows, how far it has advanced, and what it runs. There is no leader; each proxy
+//! advances itself by the votes of all.
+
+mod halting;
+mod votes;
+
+use crate::evidence::Verdict;
+use crate::guard::guard;
+#[cfg(test)]
+use crate::guard::Guard;
+use crate::messages::{self, HaltReason, HaltRecord, Proposal, Readiness, VersionHash, Vote};
+use crate::peer::Peer;
+use crate::stages::{entry_stage, stages, MAX_REGIONS};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// What is known at one moment.
+pub struct StepInput<'a> {
+    /// The roster.
+    pub peers: &'a [Peer],
+    /// Regions to which a change may be promoted now.
+    pub promotable_regions: &'a BTreeSet<String>,
+    /// The last vote of each other member that has not expired.
+    pub votes: &'a BTreeMap<String, Vote>,
+    /// Proposals of other members.
+    pub proposals: &'a [Proposal],
+    /// Halts of other members.
+    pub halts: &'a [HaltRecord],
+    /// What the evidence says of the current stage.
+    pub verdict: Verdict,
+}
+
+/// How far a rollout has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Phase {
+    /// There is none.
+    Idle,
+    /// It waits for the votes for its canary.
+    Proposed,
+    /// The canary runs it.
+    Canary,
+    /// It has come to the region at this place of the order.
+    Region(usize),
+    /// The whole fleet runs it.
+    Complete,
+    /// It was halted.
+    Halted(HaltReason),
+    /// An operator asked for the former version.
+    RolledBack,
+}
+
+/// The proposal that this process follows.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct CurrentRollout {
+    /// The proposal.
+    pub proposal: Proposal,
+    /// Stages for which a quorum was seen; 1 is the canary.
+    pub quorums_seen: u8,
+    /// Stages that this process votes for.
+    pub votes: u8,
+    /// Whether this process can run it.
+    pub readiness: Readiness,
+}
+
+/// The rollout as one process sees it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct StageMachine {
+    name: String,
+    unreachable_timeout: Duration,
+    base_version: VersionHash,
+    current: Option<CurrentRollout>,
+    halts: Vec<HaltRecord>,
+    /// Since when this process runs the new version and may not promote.
+    partitioned_since: Option<Duration>,
+    /// Members that are unreachable, and since when.
+    unreachable_since: BTreeMap<String, Duration>,
+    /// This process has seen a quorum for what it runs since its start.
+    confirmed: bool,
+    #[cfg(test)]
+    pub(crate) without: Option<Guard>,
+}
+
+impl StageMachine {
+    /// A machine that runs `base_version`. A process that can't promote for `unreachable_timeout` rolls back.
+    pub fn new(name: &str, base_version: VersionHash, unreachable_timeout: Duration) -> Self {
+        Self {
+            name: name.to_owned(),
+            unreachable_timeout,
+            base_version,
+            current: None,
+            halts: Vec::new(),
+            partitioned_since: None,
+            unreachable_since: BTreeMap::new(),
+            confirmed: false,
+            #[cfg(test)]
+            without: None,
+        }
+    }
+
+    /// Takes over what an earlier process persisted. Its stages count as votes only: this process runs nothing new before it
+    /// has seen a quorum again, since the rollout may have been halted meanwhile.
+    pub(crate) fn restore(&mut self, stored: messages::PersistedState) {
+        if guard!(self, Remembers) {
+            self.merge_halts(&stored.halts);
+        }
+        self.current = stored
+            .proposal
+            .filter(|p| p.order.len() <= MAX_REGIONS)
+            .map(|proposal| {
+                // A file with more stages than there are was modified.
+                let quorums_seen =
+                    u8::try_from(stages(&proposal)).map_or(0, |all| stored.quorums_seen.min(all));
+                CurrentRollout {
+                    proposal,
+                    quorums_seen,
+                    votes: quorums_seen,
+                    readiness: Readiness::Unchecked,
+                }
+            });
+        self.confirmed = false;
+    }
+
+    pub(crate) fn persisted_state(&self) -> messages::PersistedState {
+        messages::PersistedState {
+            base: self.base_version,
+            proposal: self.current.as_ref().map(|c| c.proposal.clone()),
+            quorums_seen: self.current.as_ref().map_or(0, |c| c.quorums_seen),
+            halts: self.halts.clone(),
+        }
+    }
+
+    /// The rollout that this process follows.
+    pub fn current(&self) -> Option<&CurrentRollout> {
+        self.current.as_ref()
+    }
+
+    /// All halts that are remembered, the latest first.
+    pub fn halts(&self) -> &[HaltRecord] {
+        &self.halts
+    }
+
+    /// What runs while no rollout does.
+    pub fn base_version(&self) -> VersionHash {
+        self.base_version
+    }
+
+    /// The greatest epoch that is known.
+    pub fn epoch(&self) -> u64 {
+        let halted = self.halts.iter().map(|h| h.epoch).max();
+        self.current
+            .as_ref()
+            .map(|c| c.proposal.epoch)
+            .max(halted)
+            .unwrap_or_default()
+    }
+
+    /// How far the current rollout has come.
+    pub fn phase(&self) -> Phase {
+        let Some(current) = &self.current else {
+            return Phase::Idle;
+        };
+        match (self.halt_record(), current.quorums_seen) {
+            (
+                Some(HaltRecord {
+                    reason: HaltReason::Rollback,
+                    ..
+                }),
+                _,
+            ) => Phase::RolledBack,
+            (Some(halted), _) => Phase::Halted(halted.reason),
+            (None, 0) => Phase::Proposed,
+            (None, 1) => Phase::Canary,
+            (None, n) if usize::from(n) == stages(&current.proposal) => Phase::Complete,
+            (None, n) => Phase::Region(usize::from(n) - 2),
+        }
+    }
+
+    /// Whether a rollout is neither complete nor halted.
+    pub fn is_in_progress(&self) -> bool {
+        matches!(
+            self.phase(),
+            Phase::Proposed | Phase::Canary | Phase::Region(_)
+        )
+    }
+
+    /// Whether the new version may run here.
+    pub fn runs_new_here(&self, peers: &[Peer]) -> bool {
+        let Some(current) = &self.current else {
+            return false;
+        };
+        let not_halted = self.halt_record().is_none() || !guard!(self, HaltWins);
+        not_halted
+            && self.confirmed
+            && current.readiness == Readiness::Ready
+            && entry_stage(&current.proposal, peers, &self.name)
+                .is_some_and(|at| current.quorums_seen >= at)
+    }
+
+    /// The version that is to run here.
+    pub fn running_version(&self, peers: &[Peer]) -> VersionHash {
+        match &self.current {
+            Some(current) if self.runs_new_here(peers) => current.proposal.hash,
+            _ => self.base_version,
+        }
+    }
+
+    /// Takes the result of checking a version.
+    pub fn set_readiness(&mut self, hash: VersionHash, readiness: Readiness) {
+        if let Some(current) = self.current.as_mut().filter(|c| c.proposal.hash == hash) {
+            current.readiness = readiness;
+        }
+    }
+
+    /// Follows a proposal if it is greater than the current one.
+    pub fn adopt(&mut self, proposal: &Proposal) {
+        let former = self.current.as_ref();
+        if former.is_some_and(|c| c.proposal.rank() >= proposal.rank())
+            || proposal.order.len() > MAX_REGIONS
+        {
+            return;
+        }
+        if self.phase() == Phase::Complete && self.confirmed {
+            self.base_version = former.map_or(self.base_version, |c| c.proposal.hash);
+        }
+        self.current = Some(CurrentRollout {
+            proposal: proposal.clone(),
+            quorums_seen: 0,
+            votes: 0,
+            readiness: Readiness::Unchecked,
+        });
+        (self.partitioned_since, self.confirmed) = (None, false);
+    }
+
+    /// Takes what is known now: halts, advances, and votes.
+    pub fn step(&mut self, now: Duration, input: &StepInput<'_>) {
+        self.merge_halts(input.halts);
+        for proposal in input.proposals {
+            self.adopt(proposal);
+        }
+        if self.is_in_progress() {
+            if let Verdict::Harm(reason) = input.verdict {
+                self.halt(reason);
+            }
+        }
+        self.track_unreachable(now, input);
+        let before = self.current.as_ref().map(|c| c.quorums_seen);
+        self.advance_stages(input);
+        self.halt_if_partitioned(now, input);
+        // The verdict is about the stage before; the next one has no evidence yet.
+        let same_stage = before == self.current.as_ref().map(|c| c.quorums_seen);
+        let votes = self.votes_cast(
+            input,
+            if same_stage {
+                input.verdict
+            } else {
+                Verdict::InsufficientTraffic
+            },
+            now,
+        );
+        if let Some(current) = &mut self.current {
+            current.votes = votes;
+        }
+    }
+}
--- /dev/null
+++ b/crates/rollout/src/machine/votes.rs
@@ -0,0 +1,186 @@
+//! Votes and quorums: which stages this process votes for, and which a majority has voted for.
+
+use super::{CurrentRollout, StageMachine, StepInput};
+use crate::evidence::Verdict;
+use crate::guard::guard;
+use crate::messages::{Readiness, Vote};
+use crate::peer::Peer;
+use crate::stages::{entry_stages, quorum_regions, stages};
+use std::time::Duration;
+
+impl StageMachine {
+    /// The number of stages that this process votes for.
+    pub(super) fn votes_cast(&self, input: &StepInput<'_>, verdict: Verdict, now: Duration) -> u8 {
+        let Some(current) = &self.current else {
+            return 0;
+        };
+        if self.halt_record().is_some() {
+            return 0;
+        }
+        let next = usize::from(current.quorums_seen) + 1;
+        let may = match current.quorums_seen {
+            0 => self.no_other_version_runs(now, current, input),
+            _ if next > stages(&current.proposal) => false,
+            _ => verdict == Verdict::Clean || !guard!(self, Consent),
+        };
+        if may && self.is_confirmed_or_first(current) && self.members_can_run(current, next, input)
+        {
+            current.quorums_seen + 1
+        } else {
+            current.quorums_seen
+        }
+    }
+
+    pub(super) fn is_confirmed_or_first(&self, current: &CurrentRollout) -> bool {
+        self.confirmed || current.quorums_seen == 0
+    }
+
+    /// Whether no other new version can still run: each member follows this proposal, or was unreachable for so long that it
+    /// rolled back by itself.
+    pub(super) fn no_other_version_runs(
+        &self,
+        now: Duration,
+        current: &CurrentRollout,
+        input: &StepInput<'_>,
+    ) -> bool {
+        let p = &current.proposal;
+        let follows_this = |peer: &Peer| {
+            peer.name == self.name
+                || input
+                    .votes
+                    .get(&peer.name)
+                    .is_some_and(|vote| vote.is_for(p))
+        };
+        let rolled_back = |peer: &Peer| {
+            self.unreachable_since
+                .get(&peer.name)
+                .is_some_and(|since| now.saturating_sub(*since) >= self.unreachable_timeout * 2)
+        };
+        !guard!(self, OneAtATime)
+            || input
+                .peers
+                .iter()
+                .all(|p| follows_this(p) || rolled_back(p))
+    }
+
+    /// Whether all reachable members that run the version in this stage have said that they can, and none that it can't.
+    pub(super) fn members_can_run(
+        &self,
+        current: &CurrentRollout,
+        stage: usize,
+        input: &StepInput<'_>,
+    ) -> bool {
+        let p = &current.proposal;
+        let entries = entry_stages(p, input.peers);
+        input.peers.iter().all(|peer| {
+            if entries
+                .get(peer.name.as_str())
+                .is_none_or(|at| usize::from(*at) > stage)
+            {
+                return true;
+            }
+            if peer.name == self.name {
+                return current.readiness == Readiness::Ready;
+            }
+            match input
+                .votes
+                .get(&peer.name)
+                .filter(|vote| vote.is_for(p))
+                .map(|vote| &vote.readiness)
+            {
+                Some(Readiness::Ready) => true,
+                Some(_) => false,
+                None => !peer.reachable,
+            }
+        })
+    }
+
+    /// This process's vote on the current proposal.
+    pub fn vote(&self, peers: &[Peer]) -> Option<Vote> {
+        let current = self.current.as_ref()?;
+        let p = &current.proposal;
+        Some(Vote {
+            epoch: p.epoch,
+            hash: p.hash,
+            proposer: p.proposer.clone(),
+            votes: if self.halt_record().is_some() {
+                0
+            } else {
+                current.votes
+            },
+            quorums_seen: current.quorums_seen,
+            runs_new: self.runs_new_here(peers),
+            readiness: current.readiness.clone(),
+        })
+    }
+
+    pub(super) fn has_quorum(
+        &self,
+        current: &CurrentRollout,
+        stage: usize,
+        input: &StepInput<'_>,
+    ) -> bool {
+        let p = &current.proposal;
+        let regions = quorum_regions(p, stage);
+        if guard!(self, Permission)
+            && !regions
+                .last()
+                .is_some_and(|r| input.promotable_regions.contains(*r))
+        {
+            return false;
+        }
+        let votes = |peer: &&Peer| {
+            let votes = if peer.name == self.name {
+                current.votes
+            } else {
+                input
+                    .votes
+                    .get(&peer.name)
+                    .filter(|vote| vote.is_for(p))
+                    .map_or(0, |vote| vote.votes)
+            };
+            usize::from(votes) >= stage
+        };
+        let roster = guard!(self, Roster);
+        let enough = |of: &dyn Fn(&&Peer) -> bool| {
+            let of = || {
+                input
+                    .peers
+                    .iter()
+                    .filter(of)
+                    .filter(|p| roster || p.reachable)
+            };
+            of().filter(votes).count() * 2 > of().count() || !guard!(self, Quorum)
+        };
+        regions
+            .iter()
+            .all(|region| enough(&|p| p.region == **region))
+            && (stage > 1 || enough(&|_| true))
+    }
+
+    /// Advances as far as there are quorums.
+    pub(super) fn advance_stages(&mut self, input: &StepInput<'_>) {
+        if guard!(self, HaltWins) && self.halt_record().is_some() {
+            return;
+        }
+        let Some(mut current) = self.current.take() else {
+            return;
+        };
+        let stages = stages(&current.proposal);
+        if !self.confirmed
+            && current.quorums_seen > 0
+            && self.has_quorum(&current, usize::from(current.quorums_seen), input)
+        {
+            self.confirmed = true;
+        }
+        while (self.confirmed || current.quorums_seen == 0)
+            && usize::from(current.quorums_seen) < stages
+            && self.has_quorum(&current, usize::from(current.quorums_seen) + 1, input)
+        {
+            current.quorums_seen += 1;
+            current.votes = current.votes.max(current.quorums_seen);
+            self.confirmed = true;
+        }
+        self.current = Some(current);
+    }
+}
--- a/crates/rollout/src/model.rs
+++ b/crates/rollout/src/model.rs
@@ -1,10 +1,13 @@
-//! Every order of words, losses, restarts, cuts and votes in a small fleet, by a model checker; and that each guard
-//! is missed when it is gone.
+//! Model check (stateright) of a small fleet: every order of messages, losses, restarts, partitions and votes. Each guard is
+//! switched off in turn, and the checker has to find the fault that it stops.
 
 use crate::evidence::Verdict;
-use crate::machine::{entry, Guard, Machine, Peer, Phase, Sight};
-use crate::watch::{Said, Sign, Watch};
-use crate::words::{Halted, Hash, Proposal, Ready, Why};
+use crate::guard::Guard;
+use crate::machine::{Phase, StageMachine, StepInput};
+use crate::messages::{HaltReason, HaltRecord, Proposal, Readiness, VersionHash};
+use crate::monitor::{CanaryMonitor, MonitorVerdict, ReceivedVote};
+use crate::peer::Peer;
+use crate::stages::entry_stage;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,32 +16,32 @@
 const REGIONS: [&str; 3] = ["one", "one", "two"];
 const ONE_REGION: [&str; 3] = ["one"; 3];
 const ALL: usize = NAMES.len();
-const BASE: Hash = [0; 32];
+const BASE: VersionHash = [0; 32];
 const DARK: u8 = 1;
-/// Ticks for which a word holds.
+/// Ticks for which a vote is valid.
 const LASTS: u8 = 2;
 
-/// What one knows of another, and how old it is.
+/// What one member knows of another, and how old that is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Heard {
-    word: Option<Said>,
+    vote: Option<ReceivedVote>,
     proposal: Option<Proposal>,
-    halts: Vec<Halted>,
+    halts: Vec<HaltRecord>,
     age: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     regions: [&'static str; ALL],
-    machines: [Machine; ALL],
-    watches: [Watch; ALL],
+    machines: [StageMachine; ALL],
+    monitors: [CanaryMonitor; ALL],
     starts: [u8; ALL],
-    /// So often the first to run the version dies of it before anyone has heard so.
+    /// How often the first member to run the version may crash of it before anyone hears that it ran it.
     kills: u8,
     heard: [[Option<Heard>; ALL]; ALL],
     clean: [bool; ALL],
     clock: u8,
-    /// The one that is cut off from the others, and whether it was so at the last tick.
+    /// The member that is cut off, and whether it was so at the last tick.
     cut: Option<usize>,
     permits: Option<usize>,
     /// What has been used of the scenario.
@@ -46,11 +49,11 @@
     restarts: u8,
     halts: u8,
     cuts: u8,
-    /// Ghosts: the most votes for each version, who has ever known a halt of it, when a majority did.
+    /// History for the checks: the most votes for each version, who has ever known a halt of it, and when a majority did.
     voted: [[u8; ALL]; 2],
     knew: [[bool; ALL]; 2],
     known: [Option<u8>; 2],
-    /// Who has run the version and lived; which starts of the canary each saw since its own canary stage.
+    /// Who has run the version and survived; which incarnations of the canary each member saw since its own canary stage.
     lived: [bool; ALL],
     saw: [BTreeSet<u8>; ALL],
     wrong: Option<&'static str>,
@@ -101,8 +104,8 @@
         let peer = |at: usize| Peer {
             name: NAMES[at].into(),
             region: self.regions[at].into(),
-            start: Some(self.starts[at].into()),
-            heard: !self.apart(of, at),
+            incarnation: Some(self.starts[at].into()),
+            reachable: !self.apart(of, at),
             left: false,
         };
         (0..ALL).map(peer).collect()
@@ -131,45 +134,50 @@
                 .enumerate()
                 .filter_map(|(from, h)| Some((from, h.as_ref()?)))
         };
-        let words: BTreeMap<String, Said> = heard()
-            .filter_map(|(from, h)| Some((NAMES[from].to_owned(), h.word.clone()?)))
+        let votes: BTreeMap<String, ReceivedVote> = heard()
+            .filter_map(|(from, h)| Some((NAMES[from].to_owned(), h.vote.clone()?)))
             .collect();
         let proposals: Vec<Proposal> = heard().filter_map(|(_, h)| h.proposal.clone()).collect();
-        let halts: Vec<Halted> = heard().flat_map(|(_, h)| h.halts.clone()).collect();
+        let halts: Vec<HaltRecord> = heard().flat_map(|(_, h)| h.halts.clone()).collect();
         let now = Duration::from_secs(u64::from(self.clock));
-        let (machine, watch) = (&mut self.machines[at], &mut self.watches[at]);
-        let current = machine.current().filter(|_| machine.under_way());
-        let sign = current.map(|c| watch.look(now, &c.proposal, &peers, &words, &BTreeMap::new()));
+        let (machine, monitor) = (&mut self.machines[at], &mut self.monitors[at]);
+        let current = machine.current().filter(|_| machine.is_in_progress());
+        let sign =
+            current.map(|c| monitor.observe(now, &c.proposal, &peers, &votes, &BTreeMap::new()));
         let verdict = match sign {
-            Some(Sign::Harm(why)) => Verdict::Harm(why),
-            Some(Sign::Waits) => Verdict::Missing,
+            Some(MonitorVerdict::Harm(why)) => Verdict::Harm(why),
+            Some(MonitorVerdict::Waiting) => Verdict::MembersMissing,
             _ if self.clean[at] => Verdict::Clean,
             _ => Verdict::Soaking,
         };
-        if self.regions == ONE_REGION && current.is_some_and(|c| c.reached > 0) {
+        if self.regions == ONE_REGION && current.is_some_and(|c| c.quorums_seen > 0) {
             self.saw[at].insert(self.starts[0]);
         }
-        let said = words
+        let said = votes
             .iter()
-            .map(|(name, (_, word))| (name.clone(), word.clone()))
+            .map(|(name, received)| (name.clone(), received.vote.clone()))
             .collect();
-        let before = machine.current().map(|c| (c.proposal.epoch, c.reached));
-        let sight = Sight {
+        let before = machine
+            .current()
+            .map(|c| (c.proposal.epoch, c.quorums_seen));
+        let sight = StepInput {
             peers: &peers,
-            promote: &promote,
-            words: &said,
+            promotable_regions: &promote,
+            votes: &said,
             proposals: &proposals,
             halts: &halts,
             verdict,
         };
         machine.step(now, &sight);
-        if let Some(current) = machine.current().filter(|_| machine.under_way()) {
-            watch.begin(&current.proposal, current.reached, &peers, &words);
+        if let Some(current) = machine.current().filter(|_| machine.is_in_progress()) {
+            monitor.add_members(&current.proposal, current.quorums_seen, &peers, &votes);
         }
         if let Some(hash) = machine.current().map(|c| c.proposal.hash) {
-            machine.set_ready(hash, Ready::Yes);
+            machine.set_readiness(hash, Readiness::Ready);
         }
-        let after = machine.current().map(|c| (c.proposal.epoch, c.reached));
+        let after = machine
+            .current()
+            .map(|c| (c.proposal.epoch, c.quorums_seen));
         let Some((epoch, reached)) = after else {
             return;
         };
@@ -215,42 +223,42 @@
                 self.wrong = Some("promoted past a canary that never lived with it");
             }
         }
-        if at != 0 && self.saw[at].len() > 2 && self.machines[at].under_way() {
+        if at != 0 && self.saw[at].len() > 2 && self.machines[at].is_in_progress() {
             self.wrong = Some("goes on with a version that was seen to kill twice");
         }
-        if self.machines[at].new_here(&peers) && at == 0 && self.kills > 0 {
+        if self.machines[at].runs_new_here(&peers) && at == 0 && self.kills > 0 {
             self.kills -= 1;
             self.starts[at] += 1;
             self.start_again(at);
         } else {
-            self.lived[at] |= self.regions == ONE_REGION && self.machines[at].new_here(&peers);
+            self.lived[at] |= self.regions == ONE_REGION && self.machines[at].runs_new_here(&peers);
         }
     }
 
     /// From what was kept.
     fn start_again(&mut self, at: usize) {
         let without = self.machines[at].without;
-        let stored = self.machines[at].stored();
-        (self.machines[at], self.watches[at]) = begin(at, without);
+        let stored = self.machines[at].persisted_state();
+        (self.machines[at], self.monitors[at]) = begin(at, without);
         self.machines[at].restore(stored);
         self.heard[at] = Default::default();
         self.saw[at].clear();
     }
 
-    fn running(&self) -> BTreeSet<Hash> {
+    fn running(&self) -> BTreeSet<VersionHash> {
         (0..ALL)
-            .map(|at| self.machines[at].runs(&self.peers(at)))
+            .map(|at| self.machines[at].running_version(&self.peers(at)))
             .filter(|h| *h != BASE)
             .collect()
     }
 }
 
-fn begin(at: usize, without: Option<Guard>) -> (Machine, Watch) {
+fn begin(at: usize, without: Option<Guard>) -> (StageMachine, CanaryMonitor) {
     let dark = Duration::from_secs(u64::from(DARK));
-    let mut machine = Machine::new(NAMES[at], BASE, dark);
-    let mut watch = Watch::new(NAMES[at], dark);
-    (machine.without, watch.without) = (without, without);
-    (machine, watch)
+    let mut machine = StageMachine::new(NAMES[at], BASE, dark);
+    let mut monitor = CanaryMonitor::new(NAMES[at], dark);
+    (machine.without, monitor.without) = (without, without);
+    (machine, monitor)
 }
 
 impl Model for Fleet {
@@ -261,7 +269,7 @@
         let world = World {
             regions: if self.kills > 0 { ONE_REGION } else { REGIONS },
             machines: [0, 1, 2].map(|at| begin(at, self.without).0),
-            watches: [0, 1, 2].map(|at| begin(at, self.without).1),
+            monitors: [0, 1, 2].map(|at| begin(at, self.without).1),
             starts: [1; ALL],
             kills: self.kills,
             heard: Default::default(),
@@ -304,11 +312,13 @@
             );
             if self.proposals == 1
                 && !world.clean[to]
-                && world.machines[to].current().is_some_and(|c| c.reached > 0)
+                && world.machines[to]
+                    .current()
+                    .is_some_and(|c| c.quorums_seen > 0)
             {
                 steps.push(Step::Clean(to));
             }
-            if world.halts < self.halts && world.machines[to].under_way() {
+            if world.halts < self.halts && world.machines[to].is_in_progress() {
                 steps.push(Step::Halt(to));
             }
             if world.restarts < self.restarts && world.machines[to].current().is_some() {
@@ -342,9 +352,10 @@
                 let peers = world.peers(from);
                 let machine = &world.machines[from];
                 world.heard[to][from] = Some(Heard {
-                    word: machine
-                        .word(&peers)
-                        .map(|word| (world.starts[from].into(), word)),
+                    vote: machine.vote(&peers).map(|vote| ReceivedVote {
+                        incarnation: world.starts[from].into(),
+                        vote,
+                    }),
                     proposal: machine.current().map(|c| c.proposal.clone()),
                     halts: machine.halts().to_vec(),
                     age: 0,
@@ -358,7 +369,7 @@
             }
             Step::Halt(at) => {
                 world.halts += 1;
-                world.machines[at].halt(Why::Operator);
+                world.machines[at].halt(HaltReason::Operator);
                 world.go(at);
             }
             Step::Restart(at) => {
@@ -397,7 +408,7 @@
             Property::always("nothing of that is done", |_, w: &World| w.wrong.is_none()),
             Property::always("a halt that is known stops it", |_, w: &World| {
                 (0..ALL).all(|at| {
-                    let runs = w.machines[at].runs(&w.peers(at));
+                    let runs = w.machines[at].running_version(&w.peers(at));
                     (0..2).all(|v| !w.knew[v][at] || runs != proposal(v).hash)
                 })
             }),
@@ -408,13 +419,13 @@
                 (0..ALL).all(|at| {
                     let peers = w.peers(at);
                     w.machines[at].current().is_none_or(|c| {
-                        !w.machines[at].new_here(&peers)
-                            || entry(&c.proposal, &peers, NAMES[at]) <= Some(c.reached)
+                        !w.machines[at].runs_new_here(&peers)
+                            || entry_stage(&c.proposal, &peers, NAMES[at]) <= Some(c.quorums_seen)
                     })
                 })
             }),
             Property::sometimes("the whole", |_, w: &World| {
-                w.machines.iter().all(|m| m.phase() == Phase::Whole)
+                w.machines.iter().all(|m| m.phase() == Phase::Complete)
             }),
         ]
     }
@@ -480,7 +491,7 @@
 }
 
 #[test]
-fn no_order_of_events_breaks_a_rule() {
+fn no_order_of_events_breaks_an_invariant() {
     search(false);
     let checker = fleet(None, 1, [0; 5]).checker().spawn_dfs().join();
     assert!(
@@ -491,12 +502,12 @@
 
 #[test]
 #[ignore = "minutes long; as deep as the orders in which guards are missed"]
-fn no_order_breaks_a_rule_as_deep_as_guards_are_missed() {
+fn no_order_breaks_an_invariant_as_deep_as_missing_guards_are_found() {
     search(true);
 }
 
 #[test]
-fn each_guard_is_missed() {
+fn the_checker_finds_each_missing_guard() {
     for (guard, scenario) in [
         (Guard::Quorum, 0),
         (Guard::Roster, 1),
--- /dev/null
+++ b/crates/rollout/src/monitor.rs
@@ -0,0 +1,228 @@
+//! The canary monitor: whether members that are to run the new version are still there, and are the processes that they were.
+//! The table of `docs/design/rollout.md`, line by line.
+
+use crate::guard::guard;
+#[cfg(test)]
+use crate::guard::Guard;
+use crate::messages::{HaltReason, PlannedRestart, Proposal, Vote};
+use crate::peer::Peer;
+use crate::stages::entry_stages;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Unplanned restarts of one member that are taken for its host's fault.
+const MAX_UNPLANNED_RESTARTS: usize = 1;
+
+/// What the monitored members say of the version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MonitorVerdict {
+    /// The version has to be halted.
+    Harm(HaltReason),
+    /// A member is missing, or has not reported that it runs the version: nobody votes for the next stage.
+    Waiting,
+    /// All run the version, or left.
+    Healthy,
+}
+
+/// The last vote of another member.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct ReceivedVote {
+    /// The incarnation that voted.
+    pub incarnation: u64,
+    /// The vote.
+    pub vote: Vote,
+}
+
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+struct Member {
+    incarnation: Option<u64>,
+    /// Restarts that nothing explains: from which incarnation to which.
+    unplanned_restarts: Vec<(u64, u64)>,
+    planned_restarts: u32,
+    /// The last incarnation that is known to have ended in order.
+    left_incarnation: Option<u64>,
+    /// The last incarnation that is known to have taken over (hot restart).
+    takeover_incarnation: Option<u64>,
+    /// It reported that it runs the new version.
+    ran_new: bool,
+    /// Since when it is unreachable, or sends no vote.
+    missing_since: Option<Duration>,
+}
+
+impl Member {
+    fn explains(&self, (from, to): (u64, u64)) -> bool {
+        self.left_incarnation == Some(from) || self.takeover_incarnation == Some(to)
+    }
+
+    fn is_missing_for(&self, now: Duration, timeout: Duration) -> bool {
+        self.missing_since
+            .is_some_and(|since| now.saturating_sub(since) >= timeout)
+    }
+
+    fn update_missing(
+        &mut self,
+        now: Duration,
+        peer: &Peer,
+        has_voted: bool,
+        reaches_majority: bool,
+    ) {
+        let missing = if peer.reachable {
+            !has_voted
+        } else {
+            !peer.left
+        };
+        self.missing_since = if missing && reaches_majority {
+            self.missing_since.or(Some(now))
+        } else {
+            None
+        };
+    }
+
+    fn observe(&mut self, peer: &Peer, restart: Option<&PlannedRestart>) {
+        match restart {
+            Some(PlannedRestart::Leaving(start)) => self.left_incarnation = Some(*start),
+            Some(PlannedRestart::TookOver(start)) => self.takeover_incarnation = Some(*start),
+            None => {}
+        }
+        if let Some(start) = peer.incarnation {
+            if let Some(was) = self.incarnation.filter(|was| *was < start) {
+                self.unplanned_restarts.push((was, start));
+            }
+            self.incarnation = self.incarnation.max(Some(start));
+            if peer.left {
+                self.left_incarnation = Some(start);
+            }
+        }
+        // The notice of a planned restart may come after the restart.
+        let before = self.unplanned_restarts.len();
+        let unplanned = std::mem::take(&mut self.unplanned_restarts);
+        self.unplanned_restarts = unplanned
+            .into_iter()
+            .filter(|change| !self.explains(*change))
+            .collect();
+        self.planned_restarts = self
+            .planned_restarts
+            .saturating_add((before - self.unplanned_restarts.len()) as u32);
+    }
+}
+
+/// Whether another member of its region is reachable, so that not the whole region is cut off.
+fn region_is_reachable(of: &Peer, peers: &[Peer]) -> bool {
+    peers
+        .iter()
+        .any(|p| p.region == of.region && p.name != of.name && p.reachable)
+}
+
+/// Members that run the new version by now, or are to.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct CanaryMonitor {
+    own_name: String,
+    unreachable_timeout: Duration,
+    members: BTreeMap<String, Member>,
+    #[cfg(test)]
+    pub(crate) without: Option<Guard>,
+}
+
+impl CanaryMonitor {
+    /// Monitors nobody yet. A member may be missing for `unreachable_timeout`.
+    pub fn new(own_name: &str, unreachable_timeout: Duration) -> Self {
+        Self {
+            own_name: own_name.to_owned(),
+            unreachable_timeout,
+            members: BTreeMap::new(),
+            #[cfg(test)]
+            without: None,
+        }
+    }
+
+    /// Forgets all members.
+    pub fn clear(&mut self) {
+        self.members.clear();
+    }
+
+    /// Adds members that are to run the version by now, by the quorums that this process or any other has seen.
+    pub fn add_members(
+        &mut self,
+        p: &Proposal,
+        quorums_seen: u8,
+        peers: &[Peer],
+        votes: &BTreeMap<String, ReceivedVote>,
+    ) {
+        let others = votes
+            .values()
+            .map(|received| &received.vote)
+            .filter(|vote| vote.is_for(p))
+            .map(|vote| vote.quorums_seen);
+        let reached = others.fold(quorums_seen, u8::max);
+        if reached == 0 {
+            return;
+        }
+        let entries = entry_stages(p, peers);
+        let enters = |peer: &&Peer| {
+            entries
+                .get(peer.name.as_str())
+                .is_some_and(|at| *at <= reached)
+        };
+        for peer in peers
+            .iter()
+            .filter(enters)
+            .filter(|peer| peer.reachable && peer.name != self.own_name)
+        {
+            let start = peer.incarnation;
+            self.members
+                .entry(peer.name.clone())
+                .or_insert_with(|| Member {
+                    incarnation: start,
+                    ..Member::default()
+                });
+        }
+    }
+
+    /// Takes what is known of the members now, and judges them.
+    pub fn observe(
+        &mut self,
+        now: Duration,
+        p: &Proposal,
+        peers: &[Peer],
+        votes: &BTreeMap<String, ReceivedVote>,
+        planned_restarts: &BTreeMap<String, PlannedRestart>,
+    ) -> MonitorVerdict {
+        // A process that reaches no more than half of the fleet may be the one that is cut off.
+        let reaches_majority = peers.iter().filter(|p| p.reachable).count() * 2 > peers.len();
+        let mut verdict = MonitorVerdict::Healthy;
+        for (name, member) in &mut self.members {
+            // It is not in this roster any more.
+            let Some(peer) = peers.iter().find(|peer| peer.name == *name) else {
+                continue;
+            };
+            member.observe(peer, planned_restarts.get(name));
+            let vote = votes
+                .get(name)
+                .filter(|received| Some(received.incarnation) >= member.incarnation)
+                .map(|received| &received.vote);
+            let runs_new = vote.is_some_and(|vote| vote.runs_new && vote.is_for(p));
+            member.ran_new |= runs_new;
+            member.update_missing(now, peer, vote.is_some(), reaches_majority);
+            if member.unplanned_restarts.len() > MAX_UNPLANNED_RESTARTS && guard!(self, Crash) {
+                return MonitorVerdict::Harm(HaltReason::Crash);
+            }
+            let suspicious = peer.reachable || member.ran_new || region_is_reachable(peer, peers);
+            if member.is_missing_for(now, self.unreachable_timeout) && suspicious {
+                return MonitorVerdict::Harm(HaltReason::Unreachable);
+            }
+            let settled = if peer.reachable { runs_new } else { peer.left };
+            if !settled && guard!(self, Settled) {
+                verdict = MonitorVerdict::Waiting;
+            }
+        }
+        verdict
+    }
+
+    /// Members that restarted in order, and how often.
+    pub fn planned_restarts(&self) -> impl Iterator<Item = (&str, u32)> {
+        self.members
+            .iter()
+            .map(|(name, member)| (name.as_str(), member.planned_restarts))
+            .filter(|(_, n)| *n > 0)
+    }
+}
--- a/crates/rollout/src/recorded.rs
+++ b/crates/rollout/src/recorded.rs
@@ -1,9 +1,12 @@
-//! Bodies and a state file as a build of the first form wrote them, and what comes of those of a later one.
+//! Messages and a state file as a build of the first format wrote them, and how those of a later format are handled.
 
-use crate::words::{
-    self, Class, Counts, Halted, Hash, Orderly, Proposal, Ready, Stored, Why, Word,
+use crate::messages::{
+    self, ClassCounts, HaltReason, HaltRecord, PersistedState, PlannedRestart, Proposal, Readiness,
+    TrafficCounts, VersionHash, Vote,
+};
+use crate::{
+    Action, Config, Core, Event, EvidenceLimits, Observation, Peer, PeerFact, Phase, KINDS,
 };
-use crate::{Action, Config, Core, Event, Limits, Look, Peer, Phase, Told, KINDS};
 use std::time::Duration;
 
 /// The bytes of that name.
@@ -19,7 +22,7 @@
     .unwrap()
 }
 
-fn hash() -> Hash {
+fn hash() -> VersionHash {
     std::array::from_fn(|at| at as u8 + 1)
 }
 
@@ -34,102 +37,105 @@
     }
 }
 
-fn halts() -> Vec<Halted> {
+fn halts() -> Vec<HaltRecord> {
     vec![
-        Halted {
+        HaltRecord {
             epoch: 299,
             hash: [7; 32],
-            by: "n1".into(),
-            why: Why::Class,
+            halted_by: "n1".into(),
+            reason: HaltReason::ClassLoss,
         },
-        Halted {
+        HaltRecord {
             epoch: 3,
             hash: hash(),
-            by: "n0".into(),
-            why: Why::CutOff,
+            halted_by: "n0".into(),
+            reason: HaltReason::Partitioned,
         },
     ]
 }
 
 #[test]
-fn facts_of_the_first_form_are_read_for_good() {
-    assert_eq!(words::decode(&recorded("proposal")), Some(proposal()));
+fn messages_of_the_first_format_are_read() {
+    assert_eq!(messages::decode(&recorded("proposal")), Some(proposal()));
     let longer = [recorded("proposal"), vec![0]].concat();
     assert_eq!(
-        words::decode::<Proposal>(&longer),
+        messages::decode::<Proposal>(&longer),
         None,
         "with more behind it"
     );
     for (name, ready) in [
-        ("word-not-yet", Ready::NotYet),
-        ("word", Ready::Yes),
-        ("word-cannot", Ready::Cannot("no file".into())),
+        ("word-not-yet", Readiness::Unchecked),
+        ("word", Readiness::Ready),
+        ("word-cannot", Readiness::Unable("no file".into())),
     ] {
-        let word = Word {
+        let word = Vote {
             epoch: 300,
             hash: hash(),
             proposer: "n2".into(),
             votes: 2,
-            reached: 1,
-            new: true,
-            ready,
+            quorums_seen: 1,
+            runs_new: true,
+            readiness: ready,
         };
-        assert_eq!(words::decode(&recorded(name)), Some(word), "{name}");
+        assert_eq!(messages::decode(&recorded(name)), Some(word), "{name}");
     }
-    assert_eq!(words::decode(&recorded("halts")), Some(halts()));
-    let counts = Counts {
+    assert_eq!(messages::decode(&recorded("halts")), Some(halts()));
+    let counts = TrafficCounts {
         epoch: 300,
-        new: true,
-        turn: 2,
-        total: Class {
+        runs_new: true,
+        generation: 2,
+        total: ClassCounts {
             class: 0,
-            asked: 1_000,
+            offered: 1_000,
             lost: 129,
         },
-        classes: vec![Class {
+        classes: vec![ClassCounts {
             class: 0xdead_beef,
-            asked: 400,
+            offered: 400,
             lost: 3,
         }],
     };
-    assert_eq!(words::decode(&recorded("counts")), Some(counts));
+    assert_eq!(messages::decode(&recorded("counts")), Some(counts));
+    assert_eq!(
+        messages::decode(&recorded("orderly")),
+        Some(PlannedRestart::Leaving(300))
+    );
     assert_eq!(
-        words::decode(&recorded("orderly")),
-        Some(Orderly::Left(300))
+        messages::decode(&[1, 1, 5]),
+        Some(PlannedRestart::TookOver(5))
     );
-    assert_eq!(words::decode(&[1, 1, 5]), Some(Orderly::Heir(5)));
 }
 
 #[test]
-fn reasons_of_halts_keep_their_numbers() {
+fn halt_reasons_keep_their_numbers() {
     let whys = [
-        Why::Operator,
-        Why::Return,
-        Why::Loss,
-        Why::Class,
-        Why::Crash,
-        Why::Gone,
-        Why::CutOff,
+        HaltReason::Operator,
+        HaltReason::Rollback,
+        HaltReason::Loss,
+        HaltReason::ClassLoss,
+        HaltReason::Crash,
+        HaltReason::Unreachable,
+        HaltReason::Partitioned,
     ];
     for (number, why) in whys.into_iter().enumerate() {
-        assert_eq!(words::decode(&[1, number as u8]), Some(why));
+        assert_eq!(messages::decode(&[1, number as u8]), Some(why));
     }
     assert_eq!(
-        words::decode::<Why>(&[1, whys.len() as u8]),
+        messages::decode::<HaltReason>(&[1, whys.len() as u8]),
         None,
         "of a later build"
     );
 }
 
 #[test]
-fn a_state_file_of_the_first_form_is_read_for_good() {
-    let stored = Stored {
+fn state_files_of_the_first_format_are_read() {
+    let stored = PersistedState {
         base: [9; 32],
         proposal: Some(proposal()),
-        reached: 1,
+        quorums_seen: 1,
         halts: halts(),
     };
-    assert_eq!(words::decode(&recorded("state")), Some(stored));
+    assert_eq!(messages::decode(&recorded("state")), Some(stored));
     let epoch = |core: &Core| core.status().proposal.map(|p| p.epoch);
     assert_eq!(epoch(&core(Some(recorded("state")))), Some(300));
     assert_eq!(
@@ -141,7 +147,7 @@
 
 /// One that is torn, of a later form or longer is no memory: it is said once, and what runs is the operators' own file.
 #[test]
-fn a_state_file_that_cannot_be_read_is_told() {
+fn an_unreadable_state_file_is_reported() {
     let torn = recorded("state")[..40].to_vec();
     let longer = [recorded("state"), vec![0]].concat();
     let all = [(None, 0), (Some(recorded("state")), 0)];
@@ -152,62 +158,65 @@
         for _ in 0..2 {
             core.handle(
                 Duration::from_secs(1),
-                Event::Look(Look::default()),
+                Event::Observe(Observation::default()),
                 &mut actions,
             );
         }
         assert_eq!(
             actions
                 .iter()
-                .filter(|action| **action == Action::Unread)
+                .filter(|action| **action == Action::StateUnreadable)
                 .count(),
             times
         );
         let status = core.status();
-        assert_eq!((status.unread, status.runs), (times == 1, [9; 32]));
+        assert_eq!(
+            (status.state_unreadable, status.running_version),
+            (times == 1, [9; 32])
+        );
         assert!(times == 0 || status.proposal.is_none());
     }
 }
 
 fn core(stored: Option<Vec<u8>>) -> Core {
-    let limits = Limits {
-        least_harm: 0.01,
-        error: 0.05,
-        soak: Duration::from_secs(10),
-        window_least: 3,
-        stage_least: 10,
-        fresh: Duration::from_secs(5),
+    let limits = EvidenceLimits {
+        min_harm: 0.01,
+        error_probability: 0.05,
+        soak_time: Duration::from_secs(10),
+        min_window_demand: 3,
+        min_stage_demand: 10,
+        max_age: Duration::from_secs(5),
     };
     let second = Duration::from_secs(1);
     let config = Config {
         name: "n0".into(),
-        start: 5,
-        heir: false,
-        base: [9; 32],
-        limits,
-        dark: second,
-        lasts: second,
-        stored,
+        incarnation: 5,
+        took_over: false,
+        base_version: [9; 32],
+        evidence_limits: limits,
+        unreachable_timeout: second,
+        message_ttl: second,
+        persisted: stored,
     };
     Core::new(config, Duration::ZERO)
 }
 
 /// A disk that takes its time, and fails at first: nothing is said or run that a restart from it would not know.
 #[test]
-fn nothing_is_said_before_it_is_kept() {
+fn nothing_is_published_before_it_is_persisted() {
     let mut core = core(None);
     let peer = Peer {
         name: "n0".into(),
         region: "east".into(),
-        start: Some(5),
-        heard: true,
+        incarnation: Some(5),
+        reachable: true,
         left: false,
     };
     let promote = ["east".to_owned()].into();
-    let look = Look {
+    let look = Observation {
         peers: vec![peer],
-        promote,
-        ..Look::default()
+        promotable_regions: promote,
+        ..Observation::default()
     };
     let (mut kept, mut saving, mut told_new, mut ran) = (Vec::new(), None, None, None);
     for second in 0..20 {
@@ -215,10 +224,10 @@
         let mut actions = Vec::new();
         if let Some(bytes) = saving.take() {
             let done = second > 3;
-            core.handle(now, Event::Kept(done), &mut actions);
+            core.handle(now, Event::Persisted(done), &mut actions);
             kept = if done { bytes } else { kept };
         }
-        core.handle(now, Event::Look(look.clone()), &mut actions);
+        core.handle(now, Event::Observe(look.clone()), &mut actions);
         if second == 1 {
             let order = vec!["east".to_owned()];
             core.handle(
@@ -226,28 +235,30 @@
                 Event::Propose {
                     hash: hash(),
                     order,
-                    canary: 1,
-                    again: false,
+                    canary_size: 1,
+                    resume: false,
                 },
                 &mut actions,
             );
         }
-        let has = words::decode::<Stored>(&kept);
+        let has = messages::decode::<PersistedState>(&kept);
         for action in actions {
             match action {
-                Action::Save(bytes) => assert!(saving.replace(bytes).is_none(), "one at a time"),
-                Action::Say(0, ..) => assert!(has.as_ref().is_some_and(|s| s.proposal.is_some())),
-                Action::Say(1, body, _) => {
-                    let word: Word = words::decode(&body).unwrap();
-                    assert!(has
-                        .as_ref()
-                        .is_some_and(|s| s.proposal.is_some() && s.reached >= word.reached));
-                    told_new = told_new.or(word.new.then_some(second));
+                Action::Persist(bytes) => assert!(saving.replace(bytes).is_none(), "one at a time"),
+                Action::Publish(0, ..) => {
+                    assert!(has.as_ref().is_some_and(|s| s.proposal.is_some()))
+                }
+                Action::Publish(1, body, _) => {
+                    let word: Vote = messages::decode(&body).unwrap();
+                    assert!(has.as_ref().is_some_and(
+                        |s| s.proposal.is_some() && s.quorums_seen >= word.quorums_seen
+                    ));
+                    told_new = told_new.or(word.runs_new.then_some(second));
                 }
-                Action::Check(hash) => {
-                    core.handle(now, Event::Ready(hash, Ok(())), &mut Vec::new())
+                Action::CheckVersion(hash) => {
+                    core.handle(now, Event::VersionChecked(hash, Ok(())), &mut Vec::new())
                 }
-                Action::Run(_) => ran = Some(second),
+                Action::RunVersion(_) => ran = Some(second),
                 _ => {}
             }
         }
@@ -260,40 +271,40 @@
     body
 }
 
-/// What is said in a later form is counted, and changes nothing: no proposal, no halt, nothing that runs.
+/// Messages of a later format are counted and change nothing: no proposal, no halt, no other version runs.
 #[test]
-fn facts_of_a_later_form_are_counted_and_not_heard() {
+fn messages_of_a_later_format_are_counted_and_dropped() {
     let mut core = core(None);
     let bodies = ["proposal", "word", "halts", "counts", "orderly"];
     assert_eq!(bodies.len(), usize::from(KINDS));
-    let facts = bodies.into_iter().zip(0..).map(|(name, kind)| Told {
+    let facts = bodies.into_iter().zip(0..).map(|(name, kind)| PeerFact {
         source: "n1".into(),
-        start: 6,
+        incarnation: 6,
         kind,
         body: later(recorded(name)),
     });
     let peer = |name: &str| Peer {
         name: name.into(),
         region: "east".into(),
-        start: Some(6),
-        heard: true,
+        incarnation: Some(6),
+        reachable: true,
         left: false,
     };
-    let look = Look {
+    let look = Observation {
         peers: vec![peer("n0"), peer("n1")],
-        promote: ["east".to_owned()].into(),
+        promotable_regions: ["east".to_owned()].into(),
         facts: facts.collect(),
-        ..Look::default()
+        ..Observation::default()
     };
     let mut actions = Vec::new();
-    core.handle(Duration::from_secs(1), Event::Look(look), &mut actions);
+    core.handle(Duration::from_secs(1), Event::Observe(look), &mut actions);
     let status = core.status();
-    assert_eq!(status.malformed, u64::from(KINDS));
+    assert_eq!(status.malformed_facts, u64::from(KINDS));
     assert_eq!((status.phase, status.proposal), (Phase::Idle, None));
     assert!(
         !actions
             .iter()
-            .any(|action| matches!(action, Action::Run(_) | Action::Check(_))),
+            .any(|action| matches!(action, Action::RunVersion(_) | Action::CheckVersion(_))),
         "{actions:?}"
     );
 }
--- /dev/null
+++ b/crates/rollout/src/stages.rs
@@ -0,0 +1,67 @@
+//! The stages of a rollout: who runs the new version from which stage on, and whose majorities a stage needs.
+
+use crate::messages::Proposal;
+use crate::peer::Peer;
+use std::collections::BTreeMap;
+
+/// Regions of one rollout, at most: stages are counted in a byte.
+pub const MAX_REGIONS: usize = 200;
+/// The stage of the canary; before it nobody runs the new version.
+const CANARY_STAGE: usize = 1;
+/// The stage of the rest of the first region.
+const FIRST_REGION_STAGE: usize = 2;
+
+/// Number of stages: the canary, each region, and the members held back for comparison.
+pub(crate) fn stages(p: &Proposal) -> usize {
+    p.order.len() + 2
+}
+
+/// Regions whose majorities a stage needs: the one that took the version last, and the one that takes it now (the last here).
+pub(crate) fn quorum_regions(p: &Proposal, stage: usize) -> Vec<&String> {
+    let last = p.order.len().saturating_sub(1);
+    let enters = stage.saturating_sub(2).min(last);
+    let ran = stage.saturating_sub(3).min(last);
+    let mut regions: Vec<&String> = [ran, enters]
+        .iter()
+        .filter_map(|&at| p.order.get(at))
+        .collect();
+    regions.dedup();
+    regions
+}
+
+/// The stage with which each member begins to run the new version, by name.
+pub(crate) fn entry_stages<'a>(p: &Proposal, peers: &'a [Peer]) -> BTreeMap<&'a str, u8> {
+    let mut regions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+    for peer in peers {
+        regions.entry(&peer.region).or_default().push(&peer.name);
+    }
+    let mut entries = BTreeMap::new();
+    for (at, region) in p.order.iter().enumerate() {
+        let mut names = regions.remove(region.as_str()).unwrap_or_default();
+        names.sort_unstable();
+        let canaries = if at == 0 {
+            usize::from(p.canary.max(1))
+        } else {
+            0
+        };
+        let last = names.len().saturating_sub(1);
+        for (place, name) in names.into_iter().enumerate() {
+            // The last of each region is held back to compare with, unless it would be the only one to come.
+            let held_back = place == last && last > canaries;
+            let stage = if place < canaries {
+                CANARY_STAGE
+            } else if held_back {
+                stages(p)
+            } else {
+                at + FIRST_REGION_STAGE
+            };
+            entries.extend(u8::try_from(stage).map(|stage| (name, stage)));
+        }
+    }
+    entries
+}
+
+/// The stage with which a member begins to run the new version; `None` if it is not in the roster.
+pub(crate) fn entry_stage(p: &Proposal, peers: &[Peer], name: &str) -> Option<u8> {
+    entry_stages(p, peers).get(name).copied()
+}
--- a/crates/rollout/tests/bytes.rs
+++ b/crates/rollout/tests/bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever one member says, and whatever the state file holds: no panic, nothing beyond the bounds, and no other version
+//! Whatever one member publishes, and whatever the state file holds: no panic, nothing beyond the bounds, and no other version
 //! runs. One of three in a region is no quorum.
 
 use postcard::to_extend;
@@ -7,13 +7,14 @@
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
 use rollout::{
-    Action, Class, Config, Core, Counts, Event, Halted, Hash, Limits, Look, Orderly, Peer,
-    Proposal, Ready, Told, Why, Word, BODY_BYTES, KINDS,
+    Action, ClassCounts, Config, Core, Event, EvidenceLimits, HaltReason, HaltRecord, Observation,
+    Peer, PeerFact, PlannedRestart, Proposal, Readiness, TrafficCounts, VersionHash, Vote,
+    BODY_BYTES, KINDS,
 };
 use serde::Serialize;
 use std::time::Duration;
 
-const OLD: Hash = [0; 32];
+const OLD: VersionHash = [0; 32];
 const FLEET: [(&str, &str); 6] = [
     ("a", "east"),
     ("b", "east"),
@@ -29,8 +30,8 @@
     to_extend(what, vec![1]).expect("into memory")
 }
 
-fn hash() -> impl Strategy<Value = Hash> {
-    prop_oneof![Just(OLD), Just([1; 32]), any::<Hash>()]
+fn hash() -> impl Strategy<Value = VersionHash> {
+    prop_oneof![Just(OLD), Just([1; 32]), any::<VersionHash>()]
 }
 
 fn epoch() -> impl Strategy<Value = u64> {
@@ -61,25 +62,25 @@
     )
 }
 
-fn halted() -> impl Strategy<Value = Halted> {
+fn halted() -> impl Strategy<Value = HaltRecord> {
     let why = prop_oneof![
-        Just(Why::Operator),
-        Just(Why::Return),
-        Just(Why::Loss),
-        Just(Why::CutOff)
+        Just(HaltReason::Operator),
+        Just(HaltReason::Rollback),
+        Just(HaltReason::Loss),
+        Just(HaltReason::Partitioned)
     ];
-    (epoch(), hash(), ".{0,90}", why).prop_map(|(epoch, hash, by, why)| Halted {
+    (epoch(), hash(), ".{0,90}", why).prop_map(|(epoch, hash, by, why)| HaltRecord {
         epoch,
         hash,
-        by,
-        why,
+        halted_by: by,
+        reason: why,
     })
 }
 
-fn class() -> impl Strategy<Value = Class> {
-    (0..9_u32, any::<u64>(), any::<u64>()).prop_map(|(class, asked, lost)| Class {
+fn class() -> impl Strategy<Value = ClassCounts> {
+    (0..9_u32, any::<u64>(), any::<u64>()).prop_map(|(class, asked, lost)| ClassCounts {
         class,
-        asked,
+        offered: asked,
         lost,
     })
 }
@@ -89,18 +90,18 @@
     let word = (epoch(), hash(), "[a-f]", any::<[u8; 2]>(), any::<bool>()).prop_map(
         |(epoch, hash, proposer, [votes, reached], new)| {
             let ready = if new {
-                Ready::Yes
+                Readiness::Ready
             } else {
-                Ready::Cannot("x".repeat(300))
+                Readiness::Unable("x".repeat(300))
             };
-            Word {
+            Vote {
                 epoch,
                 hash,
                 proposer,
                 votes,
-                reached,
-                new,
-                ready,
+                quorums_seen: reached,
+                runs_new: new,
+                readiness: ready,
             }
         },
     );
@@ -111,10 +112,10 @@
         class(),
         vec(class(), 0..20),
     )
-        .prop_map(|(epoch, new, turn, total, classes)| Counts {
+        .prop_map(|(epoch, new, turn, total, classes)| TrafficCounts {
             epoch,
-            new,
-            turn,
+            runs_new: new,
+            generation: turn,
             total,
             classes,
         });
@@ -127,9 +128,9 @@
             (
                 4,
                 body(&if left {
-                    Orderly::Left(start)
+                    PlannedRestart::Leaving(start)
                 } else {
-                    Orderly::Heir(start)
+                    PlannedRestart::TookOver(start)
                 }),
             )
         }),
@@ -175,50 +176,50 @@
 }
 
 fn core(stored: Option<Vec<u8>>) -> Core {
-    let limits = Limits {
-        least_harm: 0.05,
-        error: 0.01,
-        soak: Duration::from_secs(30),
-        window_least: 20,
-        stage_least: 500,
-        fresh: Duration::from_secs(10),
+    let limits = EvidenceLimits {
+        min_harm: 0.05,
+        error_probability: 0.01,
+        soak_time: Duration::from_secs(30),
+        min_window_demand: 20,
+        min_stage_demand: 500,
+        max_age: Duration::from_secs(10),
     };
     let (dark, lasts) = (Duration::from_secs(60), Duration::from_secs(10));
     Core::new(
         Config {
             name: "a".into(),
-            start: 1,
-            heir: false,
-            base: OLD,
-            limits,
-            dark,
-            lasts,
-            stored,
+            incarnation: 1,
+            took_over: false,
+            base_version: OLD,
+            evidence_limits: limits,
+            unreachable_timeout: dark,
+            message_ttl: lasts,
+            persisted: stored,
         },
         Duration::ZERO,
     )
 }
 
-fn look(facts: Vec<Told>) -> Look {
+fn look(facts: Vec<PeerFact>) -> Observation {
     let peer = |(name, region): &(&str, &str)| Peer {
         name: (*name).into(),
         region: (*region).into(),
-        start: Some(1),
-        heard: true,
+        incarnation: Some(1),
+        reachable: true,
         left: false,
     };
-    Look {
+    Observation {
         peers: FLEET.iter().map(peer).collect(),
-        promote: ["east", "west"].map(String::from).into(),
+        promotable_regions: ["east", "west"].map(String::from).into(),
         facts,
-        counts: vec![Class {
+        class_counts: vec![ClassCounts {
             class: 1,
-            asked: 1_000,
+            offered: 1_000,
             lost: 20,
         }],
-        total: Class {
+        total_counts: ClassCounts {
             class: 0,
-            asked: 1_000,
+            offered: 1_000,
             lost: 20,
         },
     }
@@ -231,21 +232,23 @@
     while let Some(action) = actions.get(next).cloned() {
         next += 1;
         match action {
-            Action::Say(_, body, _) => prop_assert!(body.len() <= BODY_BYTES),
-            Action::Save(bytes) => {
+            Action::Publish(_, body, _) => prop_assert!(body.len() <= BODY_BYTES),
+            Action::Persist(bytes) => {
                 prop_assert!(bytes.len() <= STATE_BYTES, "{} bytes to keep", bytes.len());
-                core.handle(now, Event::Kept(true), &mut actions);
+                core.handle(now, Event::Persisted(true), &mut actions);
             }
-            Action::Run(hash) => prop_assert!(false, "{hash:?} runs by one member's word"),
-            Action::Check(hash) => core.handle(now, Event::Ready(hash, Ok(())), &mut actions),
-            Action::Phase(_) | Action::Refused(_) | Action::Unread => {}
+            Action::RunVersion(hash) => prop_assert!(false, "{hash:?} runs by one member's word"),
+            Action::CheckVersion(hash) => {
+                core.handle(now, Event::VersionChecked(hash, Ok(())), &mut actions)
+            }
+            Action::PhaseChanged(_) | Action::Rejected(_) | Action::StateUnreadable => {}
         }
     }
     prop_assert!(
         body(&core.machine().halts()).len() <= BODY_BYTES,
         "halts can't be told any more"
     );
-    prop_assert_eq!(core.status().runs, OLD);
+    prop_assert_eq!(core.status().running_version, OLD);
     Ok(())
 }
 
@@ -254,7 +257,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn one_member_and_the_file_make_nothing_run(
+    fn one_member_and_the_state_file_start_no_version(
         stored in proptest::option::of(state()),
         steps in vec((vec(fact(), 0..5), 0..40_u64, any::<u64>()), 1..12),
         operator in any::<Index>(),
@@ -263,12 +266,12 @@
         let (mut now, asked) = (Duration::ZERO, operator.index(steps.len()));
         for (at, (facts, seconds, start)) in steps.into_iter().enumerate() {
             now += Duration::from_secs(seconds);
-            let told = |(kind, body)| Told { source: "b".into(), start, kind, body };
-            play(&mut core, now, Event::Look(look(facts.into_iter().map(told).collect())))?;
+            let told = |(kind, body)| PeerFact { source: "b".into(), incarnation: start, kind, body };
+            play(&mut core, now, Event::Observe(look(facts.into_iter().map(told).collect())))?;
             if at == asked {
                 play(&mut core, now, Event::Halt)?;
                 let order = vec!["east".into(), "west".into()];
-                play(&mut core, now, Event::Propose { hash: [1; 32], order, canary: 1, again: true })?;
+                play(&mut core, now, Event::Propose { hash: [1; 32], order, canary_size: 1, resume: true })?;
             }
         }
     }
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -3,7 +3,10 @@
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use rollout::{Action, Class, Config, Core, Event, Limits, Look, Peer, Phase, Told, Why};
+use rollout::{
+    Action, ClassCounts, Config, Core, Event, EvidenceLimits, HaltReason, Observation, Peer,
+    PeerFact, Phase,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -70,14 +73,14 @@
     beyond: bool,
 }
 
-fn limits() -> Limits {
-    Limits {
-        least_harm: 0.05,
-        error: 0.01,
-        soak: Duration::from_secs(30),
-        window_least: 20,
-        stage_least: 500,
-        fresh: Duration::from_secs(10),
+fn limits() -> EvidenceLimits {
+    EvidenceLimits {
+        min_harm: 0.05,
+        error_probability: 0.01,
+        soak_time: Duration::from_secs(30),
+        min_window_demand: 20,
+        min_stage_demand: 500,
+        max_age: Duration::from_secs(10),
     }
 }
 
@@ -86,13 +89,13 @@
     let core = |at: usize, start: u64, stored: Option<Vec<u8>>| {
         let config = Config {
             name: FLEET[at].0.into(),
-            start,
-            heir: start % 20 == 10,
-            base: OLD,
-            limits: limits(),
-            dark: Duration::from_secs(60),
-            lasts: Duration::from_secs(10),
-            stored,
+            incarnation: start,
+            took_over: start % 20 == 10,
+            base_version: OLD,
+            evidence_limits: limits(),
+            unreachable_timeout: Duration::from_secs(60),
+            message_ttl: Duration::from_secs(10),
+            persisted: stored,
         };
         Core::new(config, Duration::from_secs(start - 1))
     };
@@ -102,8 +105,8 @@
         .map(|(name, region)| Peer {
             name: (*name).into(),
             region: (*region).into(),
-            start: Some(1),
-            heard: true,
+            incarnation: Some(1),
+            reachable: true,
             left: false,
         })
         .collect();
@@ -113,7 +116,10 @@
     // The disk of each has what it was given a second ago.
     let mut saving: Vec<Option<Vec<u8>>> = vec![None; FLEET.len()];
     let mut kept = saving.clone();
-    let (mut counts, mut runs) = (vec![[Class::default(); 2]; FLEET.len()], [OLD; FLEET.len()]);
+    let (mut counts, mut runs) = (
+        vec![[ClassCounts::default(); 2]; FLEET.len()],
+        [OLD; FLEET.len()],
+    );
     let mut exposed = [false; FLEET.len()];
     for second in 1..=site.seconds {
         let now = Duration::from_secs(second);
@@ -131,7 +137,7 @@
                 };
                 let loss = site.loss + west + if runs[at] == NEW { worse } else { 0.0 };
                 counts[at][class].class = class as u32 + 1;
-                counts[at][class].asked += asked;
+                counts[at][class].offered += asked;
                 counts[at][class].lost += (0..asked)
                     .filter(|_| rng.random_bool(loss.min(1.0)))
                     .count() as u64;
@@ -143,51 +149,51 @@
                     heard[at].insert(*key, body.clone());
                 }
             }
-            let told = |((from, kind), (start, body)): (&(usize, u8), &(u64, Vec<u8>))| Told {
+            let told = |((from, kind), (start, body)): (&(usize, u8), &(u64, Vec<u8>))| PeerFact {
                 source: FLEET[*from].0.into(),
-                start: *start,
+                incarnation: *start,
                 kind: *kind,
                 body: body.clone(),
             };
-            let worth = |of: fn(&Class) -> u64| {
+            let worth = |of: fn(&ClassCounts) -> u64| {
                 (of(&counts[at][0]) as f64 * site.worth + of(&counts[at][1]) as f64) as u64
             };
-            let total = Class {
+            let total = ClassCounts {
                 class: 0,
-                asked: worth(|c| c.asked),
+                offered: worth(|c| c.offered),
                 lost: worth(|c| c.lost),
             };
-            let look = Look {
+            let look = Observation {
                 peers: peers.clone(),
-                promote: ["east", "west"].map(String::from).into(),
+                promotable_regions: ["east", "west"].map(String::from).into(),
                 facts: heard[at].iter().map(told).collect(),
-                counts: counts[at].to_vec(),
-                total,
+                class_counts: counts[at].to_vec(),
+                total_counts: total,
             };
             let mut look = look;
             let seen = &mut look.peers[0];
             match site.canary {
-                Canary::Silent if second >= 30 => seen.heard = at == 0,
+                Canary::Silent if second >= 30 => seen.reachable = at == 0,
                 Canary::Apart if (30..150).contains(&second) => {
                     look.peers
                         .iter_mut()
-                        .for_each(|peer| peer.heard = peer.region == FLEET[at].1);
+                        .for_each(|peer| peer.reachable = peer.region == FLEET[at].1);
                 }
                 _ => {}
             }
             let mut actions = Vec::new();
             if let Some(bytes) = saving[at].take() {
                 kept[at] = Some(bytes);
-                cores[at].handle(now, Event::Kept(true), &mut actions);
+                cores[at].handle(now, Event::Persisted(true), &mut actions);
             }
-            cores[at].handle(now, Event::Look(look), &mut actions);
+            cores[at].handle(now, Event::Observe(look), &mut actions);
             if second == 5 && at == 0 {
                 let order = vec!["east".into(), "west".into()];
                 let event = Event::Propose {
                     hash: NEW,
                     order,
-                    canary: 1,
-                    again: false,
+                    canary_size: 1,
+                    resume: false,
                 };
                 cores[at].handle(now, event, &mut actions);
             }
@@ -195,7 +201,7 @@
                 cores[0].handle(now, Event::Leave, &mut actions);
             }
             let dies = match site.canary {
-                Canary::Dies => at == 0 && actions.contains(&Action::Run(NEW)),
+                Canary::Dies => at == 0 && actions.contains(&Action::RunVersion(NEW)),
                 Canary::Leaves => at == 0 && second >= 30 && second % 10 == 0,
                 _ => false,
             };
@@ -204,17 +210,18 @@
                 next += 1;
                 match action {
                     // Its word that it goes is lost on the way.
-                    Action::Say(1, ..)
-                        if site.canary == Canary::Dies && cores[at].machine().new_here(&peers) => {}
-                    Action::Say(..) if dies => {}
-                    Action::Say(kind, body, _) => {
-                        _ = said.insert((at, kind), (peers[at].start.unwrap_or(1), body));
+                    Action::Publish(1, ..)
+                        if site.canary == Canary::Dies
+                            && cores[at].machine().runs_new_here(&peers) => {}
+                    Action::Publish(..) if dies => {}
+                    Action::Publish(kind, body, _) => {
+                        _ = said.insert((at, kind), (peers[at].incarnation.unwrap_or(1), body));
                     }
-                    Action::Save(bytes) => saving[at] = Some(bytes),
-                    Action::Check(hash) => {
-                        cores[at].handle(now, Event::Ready(hash, Ok(())), &mut actions)
+                    Action::Persist(bytes) => saving[at] = Some(bytes),
+                    Action::CheckVersion(hash) => {
+                        cores[at].handle(now, Event::VersionChecked(hash, Ok(())), &mut actions)
                     }
-                    Action::Run(hash) => {
+                    Action::RunVersion(hash) => {
                         runs[at] = hash;
                         exposed[at] |= hash == NEW;
                     }
@@ -223,13 +230,13 @@
             }
             if dies {
                 saving[0] = None;
-                (cores[0], runs[0], peers[0].start) =
+                (cores[0], runs[0], peers[0].incarnation) =
                     (core(0, second, kept[0].clone()), OLD, Some(second));
             }
         }
         let phases: Vec<Phase> = cores.iter().map(|c| c.status().phase).collect();
         let all_run = runs == [NEW; FLEET.len()];
-        let over = |p: &Phase| matches!(p, Phase::Halted(_)) || *p == Phase::Whole && all_run;
+        let over = |p: &Phase| matches!(p, Phase::Halted(_)) || *p == Phase::Complete && all_run;
         if phases.iter().all(|p| over(p) && *p == phases[0]) || second == site.seconds {
             assert!(
                 !matches!(phases[0], Phase::Halted(_)) || runs == [OLD; FLEET.len()],
@@ -261,7 +268,7 @@
         .iter()
         .filter(|e| matches!(e.phase, Phase::Halted(_)))
         .count();
-    let whole = ends.iter().filter(|e| e.phase == Phase::Whole).count();
+    let whole = ends.iter().filter(|e| e.phase == Phase::Complete).count();
     let first = ends
         .iter()
         .filter(|e| matches!(e.phase, Phase::Halted(_)) && !e.beyond)
@@ -278,7 +285,7 @@
 }
 
 #[test]
-fn a_good_version_comes_to_its_end_and_a_bad_one_does_not() {
+fn a_good_version_completes_and_a_bad_one_is_halted() {
     let (halted, whole, ..) = table("A against A", SITE, 40);
     assert!(halted <= 1 && whole >= 39);
     let (halted, ..) = table(
@@ -303,10 +310,10 @@
     );
     assert!(first == 5 && seconds < 60);
     for (canary, phase, exposed) in [
-        (Canary::Dies, Phase::Halted(Why::Crash), 1),
-        (Canary::Silent, Phase::Halted(Why::Gone), 1),
-        (Canary::Leaves, Phase::Whole, FLEET.len()),
-        (Canary::Apart, Phase::Whole, FLEET.len()),
+        (Canary::Dies, Phase::Halted(HaltReason::Crash), 1),
+        (Canary::Silent, Phase::Halted(HaltReason::Unreachable), 1),
+        (Canary::Leaves, Phase::Complete, FLEET.len()),
+        (Canary::Apart, Phase::Complete, FLEET.len()),
     ] {
         let end = play(
             Site {
@@ -339,13 +346,13 @@
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
     let config = Config {
         name: "a".into(),
-        start: 1,
-        heir: false,
-        base: OLD,
-        limits: limits(),
-        dark: Duration::from_secs(60),
-        lasts: Duration::from_secs(10),
-        stored: Some(vec![1, 255, 255]),
+        incarnation: 1,
+        took_over: false,
+        base_version: OLD,
+        evidence_limits: limits(),
+        unreachable_timeout: Duration::from_secs(60),
+        message_ttl: Duration::from_secs(10),
+        persisted: Some(vec![1, 255, 255]),
     };
     let mut core = Core::new(config, Duration::ZERO);
     let mut actions = Vec::new();
@@ -355,32 +362,36 @@
             .map(|_| rng.random::<u8>() >> rng.random_range(0..8))
             .collect();
         body.iter_mut().take(1).for_each(|form| *form %= 3);
-        let told = Told {
+        let told = PeerFact {
             source: "b".into(),
-            start: 1,
+            incarnation: 1,
             kind: rng.random_range(0..6),
             body,
         };
         let peer = |(name, region): &(&str, &str)| Peer {
             name: (*name).into(),
             region: (*region).into(),
-            start: Some(1),
-            heard: true,
+            incarnation: Some(1),
+            reachable: true,
             left: false,
         };
         let peers = FLEET.iter().map(peer).collect();
-        let look = Look {
+        let look = Observation {
             peers,
-            promote: ["east".to_owned()].into(),
+            promotable_regions: ["east".to_owned()].into(),
             facts: vec![told],
-            ..Look::default()
+            ..Observation::default()
         };
-        core.handle(Duration::from_secs(second), Event::Look(look), &mut actions);
+        core.handle(
+            Duration::from_secs(second),
+            Event::Observe(look),
+            &mut actions,
+        );
     }
     assert!(!actions
         .iter()
-        .any(|action| matches!(action, Action::Run(_))));
-    assert!(core.status().malformed > 10_000);
+        .any(|action| matches!(action, Action::RunVersion(_))));
+    assert!(core.status().malformed_facts > 10_000);
 }
 
 #[test]
--- a/crates/testbed/tests/rollout.rs
+++ b/crates/testbed/tests/rollout.rs
@@ -5,7 +5,7 @@
 use common::turns::{turn, Turn};
 use common::{answered, setup, SECOND};
 use invariant_checkers::versions::Checker;
-use rollout::{Class, Counts, Proposal, Ready, Word};
+use rollout::{ClassCounts, Proposal, Readiness, TrafficCounts, Vote};
 use std::cell::RefCell;
 use std::ops::{Deref, DerefMut};
 use std::process::Command;
@@ -471,32 +471,32 @@
         let words = ghost
             .facts(WORD)
             .into_iter()
-            .filter_map(|fact| read::<Word>(&fact.body));
+            .filter_map(|fact| read::<Vote>(&fact.body));
         let reached = words
             .filter(|word| word.epoch == epoch)
-            .map(|word| word.reached)
+            .map(|word| word.quorums_seen)
             .max()
             .unwrap_or(0);
         let new = reached > 0;
         let proposer = proposer.clone();
-        let word = Word {
+        let word = Vote {
             epoch,
             hash,
             proposer,
             votes,
-            reached,
-            new,
-            ready: Ready::Yes,
+            quorums_seen: reached,
+            runs_new: new,
+            readiness: Readiness::Ready,
         };
-        let total = Class {
+        let total = ClassCounts {
             class: 0,
-            asked,
+            offered: asked,
             lost: 0,
         };
-        let counts = Counts {
+        let counts = TrafficCounts {
             epoch,
-            new,
-            turn: u32::from(new),
+            runs_new: new,
+            generation: u32::from(new),
             total,
             classes: Vec::new(),
         };
--- a/fuzz/fuzz_targets/rollout.rs
+++ b/fuzz/fuzz_targets/rollout.rs
@@ -1,8 +1,11 @@
-//! Any bytes as a state file and as what one member says of a rollout: no panic, nothing said or kept beyond the bounds, and
-//! nothing else runs: one of three in a region is no quorum.
+//! Any bytes as a state file and as facts of one member: no panic, nothing published or persisted beyond the bounds, and no
+//! other version runs, since one of three in a region is no quorum.
 #![no_main]
 
-use rollout::{Action, Class, Config, Core, Event, Limits, Look, Peer, Told, BODY_BYTES, KINDS};
+use rollout::{
+    Action, ClassCounts, Config, Core, Event, EvidenceLimits, Observation, Peer, PeerFact,
+    BODY_BYTES, KINDS,
+};
 use std::time::Duration;
 
 const FLEET: [(&str, &str); 6] = [
@@ -27,32 +30,32 @@
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
     let mut bytes = bytes;
-    let limits = Limits {
-        least_harm: 0.05,
-        error: 0.01,
-        soak: Duration::from_secs(30),
-        window_least: 20,
-        stage_least: 500,
-        fresh: Duration::from_secs(10),
+    let limits = EvidenceLimits {
+        min_harm: 0.05,
+        error_probability: 0.01,
+        soak_time: Duration::from_secs(30),
+        min_window_demand: 20,
+        min_stage_demand: 500,
+        max_age: Duration::from_secs(10),
     };
-    let (dark, lasts) = (Duration::from_secs(60), Duration::from_secs(10));
-    let stored = part(&mut bytes).map(<[u8]>::to_vec);
+    let (unreachable_timeout, message_ttl) = (Duration::from_secs(60), Duration::from_secs(10));
+    let persisted = part(&mut bytes).map(<[u8]>::to_vec);
     let config = Config {
         name: "a".into(),
-        start: 1,
-        heir: false,
-        base: [0; 32],
-        limits,
-        dark,
-        lasts,
-        stored,
+        incarnation: 1,
+        took_over: false,
+        base_version: [0; 32],
+        evidence_limits: limits,
+        unreachable_timeout,
+        message_ttl,
+        persisted,
     };
     let mut core = Core::new(config, Duration::ZERO);
     let peer = |(name, region): &(&str, &str)| Peer {
         name: (*name).into(),
         region: (*region).into(),
-        start: Some(1),
-        heard: true,
+        incarnation: Some(1),
+        reachable: true,
         left: false,
     };
     let mut now = Duration::ZERO;
@@ -60,37 +63,39 @@
         now += Duration::from_secs(body.len() as u64 % 40);
         let kind = body.first().map_or(0, |byte| byte % (KINDS + 1));
         let body = body.get(1..).unwrap_or_default().to_vec();
-        let look = Look {
+        let observation = Observation {
             peers: FLEET.iter().map(peer).collect(),
-            promote: ["east", "west"].map(String::from).into(),
-            facts: vec![Told {
+            promotable_regions: ["east", "west"].map(String::from).into(),
+            facts: vec![PeerFact {
                 source: "b".into(),
-                start: 1,
+                incarnation: 1,
                 kind,
                 body,
             }],
-            counts: Vec::new(),
-            total: Class {
+            class_counts: Vec::new(),
+            total_counts: ClassCounts {
                 class: 0,
-                asked: 1_000,
+                offered: 1_000,
                 lost: 20,
             },
         };
         let (mut actions, mut next) = (Vec::new(), 0);
-        core.handle(now, Event::Look(look), &mut actions);
+        core.handle(now, Event::Observe(observation), &mut actions);
         while let Some(action) = actions.get(next).cloned() {
             next += 1;
             match action {
-                Action::Say(_, body, _) => assert!(body.len() <= BODY_BYTES),
-                Action::Save(bytes) => {
+                Action::Publish(_, body, _) => assert!(body.len() <= BODY_BYTES),
+                Action::Persist(bytes) => {
                     assert!(bytes.len() <= STATE_BYTES);
-                    core.handle(now, Event::Kept(true), &mut actions);
+                    core.handle(now, Event::Persisted(true), &mut actions);
                 }
-                Action::Run(_) => panic!("runs by one member's word"),
-                Action::Check(hash) => core.handle(now, Event::Ready(hash, Ok(())), &mut actions),
-                Action::Phase(_) | Action::Refused(_) | Action::Unread => {}
+                Action::RunVersion(_) => panic!("runs by one member's facts"),
+                Action::CheckVersion(hash) => {
+                    core.handle(now, Event::VersionChecked(hash, Ok(())), &mut actions)
+                }
+                Action::PhaseChanged(_) | Action::Rejected(_) | Action::StateUnreadable => {}
             }
         }
-        assert_eq!(core.status().runs, [0; 32]);
+        assert_eq!(core.status().running_version, [0; 32]);
     }
 });
