--- a/crates/datagram-auth/src/keys.rs
+++ b/crates/datagram-auth/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of a fleet: one that signs, and one more that is accepted while the key is being changed.
+//! The keys of a fleet: one that signs, and one more that is accepted during a key rotation.
 
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
@@ -7,29 +7,50 @@
 
 /// Bytes of a key: as many as the digest has.
 const KEY_BYTES: usize = 32;
+/// Bytes of the truncated HMAC-SHA256 in a datagram.
 pub(crate) const MAC_BYTES: usize = 16;
 
+/// The first bytes of the key's SHA-256: tells which key signed, and tells nothing of the key.
 pub(crate) type KeyId = [u8; 4];
 
-/// Why a key file is none. No message holds any part of a key.
+/// Why a key file is rejected. No message holds any part of a key.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
+    /// The file has no key.
     #[error(
         "the key file holds no key: write one of 64 hex digits into a line (openssl rand -hex 32)"
     )]
     NoKey,
+    /// The file has more than two keys.
     #[error(
         "line {line} holds a third key: keep the one that signs and one more that is accepted"
     )]
-    TooMany { line: usize },
+    TooManyKeys {
+        /// Line in the file, from 1.
+        line: usize,
+    },
+    /// A key has the wrong number of digits.
     #[error("line {line} has {found} characters: a key has 64 hex digits (openssl rand -hex 32)")]
-    Length { line: usize, found: usize },
+    WrongLength {
+        /// Line in the file, from 1.
+        line: usize,
+        /// Characters that it has.
+        found: usize,
+    },
+    /// A key has other characters than hex digits.
     #[error(
         "line {line} is not of hex digits only (0-9, a-f): make a new key (openssl rand -hex 32)"
     )]
-    NotHex { line: usize },
+    NotHex {
+        /// Line in the file, from 1.
+        line: usize,
+    },
+    /// Two keys have the same id.
     #[error("line {line} has the key of the line before, or one that can't be told from it: make a new key, or remove the line")]
-    Twice { line: usize },
+    DuplicateKey {
+        /// Line of the second key, from 1.
+        line: usize,
+    },
 }
 
 #[derive(Clone)]
@@ -39,15 +60,15 @@
     mac: Hmac<Sha256>,
 }
 
-/// One key or two: the first signs, all are accepted.
+/// The keys of a fleet: the first signs, all are accepted.
 #[derive(Clone)]
 pub struct Keys {
     signing: Key,
-    other: Option<Key>,
+    accepted: Option<Key>,
 }
 
 impl Keys {
-    /// From a key file: a key a line, `#` begins a comment.
+    /// Reads a key file: one key per line, `#` begins a comment.
     pub fn parse(text: &str) -> Result<Keys, KeyError> {
         let words = text
             .lines()
@@ -60,20 +81,20 @@
             .map(|(at, word)| Ok((at + 1, Key::parse(at + 1, word)?)))
             .transpose()?;
         if let Some((line, _)) = other.as_ref().filter(|(_, key)| key.id == signing.id) {
-            return Err(KeyError::Twice { line: *line });
+            return Err(KeyError::DuplicateKey { line: *line });
         }
         if let Some((at, _)) = stated.next() {
-            return Err(KeyError::TooMany { line: at + 1 });
+            return Err(KeyError::TooManyKeys { line: at + 1 });
         }
         Ok(Keys {
             signing,
-            other: other.map(|(_, key)| key),
+            accepted: other.map(|(_, key)| key),
         })
     }
 
-    /// The key's name in the clear, for logs: the one that signs first.
+    /// The ids of the keys in hex, the one that signs first. Safe to log.
     pub fn ids(&self) -> Vec<String> {
-        [Some(&self.signing), self.other.as_ref()]
+        [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
             .flatten()
             .map(|k| hex::encode(k.id))
@@ -85,22 +106,22 @@
     }
 
     pub(crate) fn sign(&self, bytes: &[u8]) -> [u8; MAC_BYTES] {
-        let whole = self
+        let digest = self
             .signing
             .mac
             .clone()
             .chain_update(bytes)
             .finalize()
             .into_bytes();
-        let mut cut = [0; MAC_BYTES];
-        cut.copy_from_slice(&whole[..MAC_BYTES]);
-        cut
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(&digest[..MAC_BYTES]);
+        mac
     }
 
-    /// Whether the bytes are signed by the key of that name; none: there is no such key. Takes the same time whatever
-    /// the first wrong byte is.
+    /// Whether the key of that id signed the bytes; `None` if there is no such key. The time does not depend on which byte of
+    /// the MAC is wrong.
     pub(crate) fn verify(&self, id: KeyId, bytes: &[u8], mac: &[u8; MAC_BYTES]) -> Option<bool> {
-        let key = [Some(&self.signing), self.other.as_ref()]
+        let key = [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
             .flatten()
             .find(|k| k.id == id)?;
@@ -115,7 +136,7 @@
 }
 
 impl fmt::Debug for Keys {
-    /// The names in the clear alone.
+    /// Shows the ids only.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_tuple("Keys").field(&self.ids()).finish()
     }
@@ -125,7 +146,7 @@
     fn parse(line: usize, word: &str) -> Result<Key, KeyError> {
         let found = word.chars().count();
         if found != 2 * KEY_BYTES {
-            return Err(KeyError::Length { line, found });
+            return Err(KeyError::WrongLength { line, found });
         }
         let mut bytes = [0; KEY_BYTES];
         hex::decode_to_slice(word, &mut bytes).map_err(|_| KeyError::NotHex { line })?;
--- a/crates/datagram-auth/src/lib.rs
+++ b/crates/datagram-auth/src/lib.rs
@@ -1,23 +1,27 @@
-//! The envelope of datagrams between the proxies of a fleet: bytes in, messages out; no socket, no clock.
+//! Authenticated datagrams between the proxies of a fleet: bytes in, messages out; no socket, no clock.
 //!
-//! A datagram is bounded, versioned and authenticated by a key that all members have, and none is taken in twice.
-//! What its payload says is for others to read. See `docs/design/peers-envelope.md`.
+//! A datagram is bounded, versioned and authenticated (HMAC-SHA256) by a key that all members share, and is accepted once
+//! (anti-replay window). What its payload means is not known here. See `docs/design/datagram-auth.md`.
+
+#![warn(missing_docs)]
 
 mod advice;
-mod head;
+mod envelope;
 mod keys;
-mod open;
-mod seal;
-mod window;
+mod opener;
+mod replay_window;
+mod sealer;
 
 pub use keys::{KeyError, Keys};
-pub use open::{Opened, Opener, Refused};
-pub use seal::{SealError, Sealer};
+pub use opener::{OpenError, OpenedDatagram, Opener};
+pub use sealer::{SealError, Sealer};
 
-/// Bytes of a whole datagram: no usual path cuts it up.
-pub const DATAGRAM_LIMIT: usize = 1_400;
-pub const PAYLOAD_LIMIT: usize = 1_200;
-pub const NAME_LIMIT: usize = 64;
+/// Bytes of a datagram: no usual path fragments it.
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Bytes of a payload.
+pub const MAX_PAYLOAD_BYTES: usize = 1_200;
+/// Bytes of a sender's name.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// Kinds of payload.
-pub const MEMBERSHIP: u8 = 1;
+/// The kind of payload that the membership sends.
+pub const MEMBERSHIP_KIND: u8 = 1;
--- a/crates/datagram-auth/tests/envelope.rs
+++ b/crates/datagram-auth/tests/envelope.rs
@@ -1,7 +1,7 @@
-//! The envelope from outside: what is refused and why, whatever is done to a datagram, and bytes of version 1 that
-//! every later build must read.
+//! Sealing and opening from outside: what is rejected and why, damaged and forged datagrams, and bytes of version 1 that every
+//! later build has to read.
 
-use datagram_auth::{KeyError, Keys, Opener, Refused, SealError, Sealer, MEMBERSHIP};
+use datagram_auth::{KeyError, Keys, OpenError, Opener, SealError, Sealer, MEMBERSHIP_KIND};
 use hmac::{Hmac, Mac};
 use proptest::prelude::*;
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 
 fn seal(sealer: &mut Sealer, payload: &[u8]) -> Vec<u8> {
     let mut out = vec![7; 3];
-    sealer.seal(MEMBERSHIP, 3, payload, &mut out).unwrap();
+    sealer.seal(MEMBERSHIP_KIND, 3, payload, &mut out).unwrap();
     out
 }
 
@@ -40,14 +40,14 @@
 
 /// As the first build of version 1 sent it.
 #[test]
-fn a_datagram_of_version_1_is_read_for_good() {
+fn datagrams_of_version_1_are_read() {
     let golden = hex::decode(include_str!("version-1.hex").trim()).unwrap();
     let mut opener = opener(OLD);
     let opened = opener.open(&golden).unwrap();
     assert_eq!(
         (
             opened.from,
-            opened.start,
+            opened.incarnation,
             opened.kind,
             opened.roster_version
         ),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn each_refusal_has_its_reason() {
+fn each_rejection_has_its_reason() {
     let good = from("n1", 5, OLD);
     let at_least = |version| forged(&good, |bytes| (bytes[4], bytes[5]) = (version, version));
     let cases = [
@@ -83,7 +83,7 @@
     opener.open(&from("n2", 5, OLD)).unwrap();
     for (datagram, kind) in &cases {
         let refused = opener.open(datagram).unwrap_err();
-        assert_eq!(refused.kind(), *kind, "{refused}");
+        assert_eq!(refused.label(), *kind, "{refused}");
         assert!(
             refused.to_string().contains(": "),
             "says what can be done: {refused}"
@@ -92,7 +92,7 @@
     // Nothing of that has taken the place of a good one.
     opener.open(&good).unwrap();
     let seen: HashSet<&str> = cases.iter().map(|(_, kind)| *kind).collect();
-    assert_eq!(seen, HashSet::from(Refused::KINDS));
+    assert_eq!(seen, HashSet::from(OpenError::LABELS));
 }
 
 #[test]
@@ -105,12 +105,12 @@
     let at = damaged.len() - 17;
     damaged[at] ^= 1;
     let mut opener = opener(OLD);
-    assert_eq!(opener.open(&damaged), Err(Refused::BadMac));
+    assert_eq!(opener.open(&damaged), Err(OpenError::InvalidMac));
     assert_eq!(opener.open(&later).unwrap().payload, b"hello");
 }
 
 #[test]
-fn a_key_is_changed_without_a_silent_moment() {
+fn keys_rotate_without_losing_datagrams() {
     // New first, then old; as each side has it. No member is behind by more than one step.
     let (old, both, turned, new) = (OLD, format!("{OLD}\n{NEW}"), format!("{NEW}\n{OLD}"), NEW);
     let steps = [old, &both, &turned, new];
@@ -134,7 +134,7 @@
             .open(&from("n1", 5, steps[theirs]))
             .map(|_| ());
         assert_eq!(result.is_ok(), heard, "{mine} hears {theirs}");
-        assert!(heard || matches!(result, Err(Refused::UnknownKey(_))));
+        assert!(heard || matches!(result, Err(OpenError::UnknownKey(_))));
     }
     let (mut sealer, mut opener) = (Sealer::new("n1", 5, keys(OLD)), opener(OLD));
     let first = seal(&mut sealer, b"");
@@ -144,27 +144,27 @@
     opener.open(&seal(&mut sealer, b"")).unwrap();
     assert_eq!(
         opener.open(&first),
-        Err(Refused::Replayed),
+        Err(OpenError::Replayed),
         "windows outlive the key"
     );
 }
 
 #[test]
-fn a_roster_that_changes_keeps_what_is_known() {
+fn a_roster_change_keeps_the_windows_of_its_members() {
     let mut opener = opener(OLD);
     let first = from("n1", 5, OLD);
     opener.open(&first).unwrap();
-    opener.set_names(["n1", "n1", "n7"].map(String::from));
-    assert_eq!(opener.open(&first), Err(Refused::Replayed));
+    opener.set_members(["n1", "n1", "n7"].map(String::from));
+    assert_eq!(opener.open(&first), Err(OpenError::Replayed));
     assert!(opener.open(&from("n7", 1, OLD)).is_ok());
     assert_eq!(
-        opener.open(&from("n2", 1, OLD)).unwrap_err().kind(),
+        opener.open(&from("n2", 1, OLD)).unwrap_err().label(),
         "unknown-sender"
     );
 }
 
 #[test]
-fn a_later_start_ends_the_former() {
+fn a_later_incarnation_makes_the_former_stale() {
     let mut opener = opener(OLD);
     let mut former = Sealer::new("n1", 5, keys(OLD));
     let late = seal(&mut former, b"");
@@ -172,7 +172,10 @@
     opener.open(&from("n1", 6, OLD)).unwrap();
     assert_eq!(
         opener.open(&late),
-        Err(Refused::Stale { start: 5, known: 6 })
+        Err(OpenError::StaleIncarnation {
+            incarnation: 5,
+            known: 6
+        })
     );
 }
 
@@ -183,13 +186,13 @@
         ("# none\n\n".to_owned(), KeyError::NoKey),
         (
             format!("# ours\n{}", &OLD[1..]),
-            KeyError::Length { line: 2, found: 63 },
+            KeyError::WrongLength { line: 2, found: 63 },
         ),
         (format!("\n\n{bad}"), KeyError::NotHex { line: 3 }),
-        (format!("{OLD}\n{OLD}"), KeyError::Twice { line: 2 }),
+        (format!("{OLD}\n{OLD}"), KeyError::DuplicateKey { line: 2 }),
         (
             format!("{OLD}\n{NEW}\n\n{bad}"),
-            KeyError::TooMany { line: 4 },
+            KeyError::TooManyKeys { line: 4 },
         ),
     ];
     for (text, error) in cases {
@@ -213,16 +216,16 @@
 }
 
 #[test]
-fn what_does_not_fit_is_not_sent() {
+fn what_exceeds_a_limit_is_not_sealed() {
     let mut out = Vec::new();
     for (name, length, error) in [
-        ("n".repeat(65), 0, SealError::Name(65)),
-        (String::new(), 0, SealError::Name(0)),
-        ("n".to_owned(), 1_201, SealError::LongPayload(1_201)),
+        ("n".repeat(65), 0, SealError::InvalidName(65)),
+        (String::new(), 0, SealError::InvalidName(0)),
+        ("n".to_owned(), 1_201, SealError::PayloadTooLong(1_201)),
     ] {
         let mut sealer = Sealer::new(name, 1, keys(OLD));
         assert_eq!(
-            sealer.seal(MEMBERSHIP, 1, &vec![0; length], &mut out),
+            sealer.seal(MEMBERSHIP_KIND, 1, &vec![0; length], &mut out),
             Err(error)
         );
         assert!(out.is_empty());
@@ -231,7 +234,7 @@
 
 /// The oldest that the window holds, and the one before it.
 #[test]
-fn the_window_holds_1024() {
+fn the_replay_window_holds_1024() {
     let mut opener = opener(OLD);
     for (at, taken) in [
         (0, true),
@@ -272,9 +275,9 @@
         prop_assert!(out.len() <= 1_400);
         let mut opener = Opener::new("another one altogether", keys(OLD), [name.clone()]);
         let opened = opener.open(&out).unwrap();
-        prop_assert_eq!((opened.from, opened.start, opened.kind), (name.as_str(), start, kind));
+        prop_assert_eq!((opened.from, opened.incarnation, opened.kind), (name.as_str(), start, kind));
         prop_assert_eq!((opened.roster_version, opened.payload), (roster, payload.as_slice()));
-        prop_assert_eq!(opener.open(&out), Err(Refused::Replayed));
+        prop_assert_eq!(opener.open(&out), Err(OpenError::Replayed));
     }
 
     /// Of each datagram every bit; the window is as it was.
--- a/crates/leverproxy/src/cluster/members.rs
+++ b/crates/leverproxy/src/cluster/members.rs
@@ -5,7 +5,7 @@
 
 use crate::event_loop::reactor::{Interest, Reactor, Token};
 use configuration::model::Members as Stated;
-use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
+use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
 use membership::{
     Action, Config, Core, Event, Fact, GuardedOperation, Member, OperationDenied, QuorumState,
     Roster, RosterError, Status, View,
@@ -200,7 +200,7 @@
     /// Datagrams have come.
     pub fn ready(&mut self, now: Instant) {
         // One byte more than the longest, so that a longer one is known for it.
-        let mut bytes = [0; DATAGRAM_LIMIT + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..TURN {
             let Some(socket) = &self.socket else { return };
             let Ok((length, _)) = socket.recv_from(&mut bytes) else {
@@ -209,13 +209,13 @@
             self.received += 1;
             let (from, start, payload) = match self.opener.open(&bytes[..length]) {
                 // Of a kind that this build does not know, from a later one: of no use here.
-                Ok(opened) if opened.kind != MEMBERSHIP => {
+                Ok(opened) if opened.kind != MEMBERSHIP_KIND => {
                     *self.refused.entry("other-kind").or_default() += 1;
                     continue;
                 }
-                Ok(opened) => (opened.from.to_owned(), opened.start, opened.payload),
+                Ok(opened) => (opened.from.to_owned(), opened.incarnation, opened.payload),
                 Err(refused) => {
-                    let count = self.refused.entry(refused.kind()).or_default();
+                    let count = self.refused.entry(refused.label()).or_default();
                     *count += 1;
                     if *count == 1 {
                         log::warn!("members: {refused}; further ones are only counted");
@@ -286,7 +286,7 @@
                         self.start
                     );
                     self.start = start;
-                    self.sealer.renew(start);
+                    self.sealer.set_incarnation(start);
                 }
             }
         }
@@ -294,9 +294,9 @@
 
     fn send(&mut self, to: SocketAddr, payload: &[u8]) {
         let mut out = Vec::new();
-        if let Err(error) = self
-            .sealer
-            .seal(MEMBERSHIP, self.stated.version, payload, &mut out)
+        if let Err(error) =
+            self.sealer
+                .seal(MEMBERSHIP_KIND, self.stated.version, payload, &mut out)
         {
             self.unsent += 1;
             self.unsealed += 1;
@@ -407,7 +407,7 @@
     /// Takes over another roster and other keys; what waits for the next start.
     pub fn reload(&mut self, stated: &Stated, keys: Keys, now: Instant) -> Vec<&'static str> {
         self.opener
-            .set_names(stated.roster.iter().map(|m| m.name.clone()));
+            .set_members(stated.roster.iter().map(|m| m.name.clone()));
         self.opener.set_keys(keys.clone());
         self.sealer.set_keys(keys);
         if (stated.version, &stated.roster) != (self.stated.version, &self.stated.roster) {
--- a/crates/leverproxy/src/cluster/members/unsealed.rs
+++ b/crates/leverproxy/src/cluster/members/unsealed.rs
@@ -29,7 +29,7 @@
     log::set_max_level(log::LevelFilter::Error);
     let mut members = joined(Instant::now());
     LINES.with_borrow_mut(Vec::clear);
-    let long = vec![0; DATAGRAM_LIMIT];
+    let long = vec![0; MAX_DATAGRAM_BYTES];
     for _ in 0..2 {
         members.send(([127, 0, 0, 1], 9).into(), &long);
     }
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -62,33 +62,33 @@
         let line = M as usize;
         rows!(table, "datagram-auth: `KeyError`", datagram_auth::KeyError, [
             NoKey => E::NoKey,
-            TooMany => E::TooMany { line },
-            Length => E::Length { line, found: N as usize },
+            TooManyKeys => E::TooManyKeys { line },
+            WrongLength => E::WrongLength { line, found: N as usize },
             NotHex => E::NotHex { line },
-            Twice => E::Twice { line },
+            DuplicateKey => E::DuplicateKey { line },
         ]);
     }
     {
-        use datagram_auth::Refused as E;
-        rows!(table, "datagram-auth: `Refused`", datagram_auth::Refused, [
+        use datagram_auth::OpenError as E;
+        rows!(table, "datagram-auth: `OpenError`", datagram_auth::OpenError, [
             TooLong => E::TooLong(N as usize),
-            NotOurs => E::NotOurs(ID),
-            Newer => E::Newer { least: SMALL },
+            WrongMagic => E::WrongMagic(ID),
+            UnsupportedVersion => E::UnsupportedVersion { min_version: SMALL },
             UnknownKey => E::UnknownKey(ID),
-            BadMac => E::BadMac,
+            InvalidMac => E::InvalidMac,
             Malformed => E::Malformed,
             OwnName => E::OwnName,
             UnknownSender => E::UnknownSender(text("NAME")),
-            Stale => E::Stale { start: N.into(), known: M.into() },
+            StaleIncarnation => E::StaleIncarnation { incarnation: N.into(), known: M.into() },
             Replayed => E::Replayed,
         ]);
     }
     {
         use datagram_auth::SealError as E;
         rows!(table, "datagram-auth: `SealError`", datagram_auth::SealError, [
-            Name => E::Name(N as usize),
-            LongPayload => E::LongPayload(N as usize),
-            Spent => E::Spent,
+            InvalidName => E::InvalidName(N as usize),
+            PayloadTooLong => E::PayloadTooLong(N as usize),
+            SequenceExhausted => E::SequenceExhausted,
             Encoding => E::Encoding(postcard::Error::SerializeBufferFull),
         ]);
     }
--- a/crates/testbed/src/ghost.rs
+++ b/crates/testbed/src/ghost.rs
@@ -4,7 +4,7 @@
 use crate::members::KEY_FILE;
 use crate::process::{lock, Fault, PATIENCE};
 use crate::Rig;
-use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
+use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
 use membership::{Action, Config, Core, Event, Fact, Member, QuorumState, Roster};
 use std::net::UdpSocket;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -192,7 +192,7 @@
 impl Life {
     fn live(mut self, wanted: &Receiver<Saying>) {
         self.handle(Event::Start);
-        let mut bytes = [0; DATAGRAM_LIMIT + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             loop {
                 use std::sync::mpsc::TryRecvError::{Disconnected, Empty};
@@ -211,7 +211,7 @@
             }
             if let Ok((length, _)) = self.socket.recv_from(&mut bytes) {
                 if let Ok(opened) = self.opener.open(&bytes[..length]) {
-                    let (from, start) = (opened.from.to_owned(), opened.start);
+                    let (from, start) = (opened.from.to_owned(), opened.incarnation);
                     let payload = opened.payload.to_vec();
                     self.handle(Event::Datagram {
                         from: &from,
@@ -240,7 +240,7 @@
                     let mut out = Vec::new();
                     if self
                         .sealer
-                        .seal(MEMBERSHIP, self.version, &bytes, &mut out)
+                        .seal(MEMBERSHIP_KIND, self.version, &bytes, &mut out)
                         .is_ok()
                     {
                         // What can't be sent is lost, as on any wire.
@@ -248,7 +248,7 @@
                     }
                 }
                 Action::Timer { after, token } => self.due = Some((now + after, token)),
-                Action::IncarnationRenewed(start) => self.sealer.renew(start),
+                Action::IncarnationRenewed(start) => self.sealer.set_incarnation(start),
                 Action::QuorumStateChanged(state) => {
                     self.tell(|known| known.whole = state == QuorumState::Complete)
                 }
--- a/fuzz/fuzz_targets/datagram.rs
+++ b/fuzz/fuzz_targets/datagram.rs
@@ -1,8 +1,8 @@
 //! Any bytes as a datagram, as they are and under a good signature: no panic, nothing beyond the bounds, nothing twice.
 #![no_main]
 
+use datagram_auth::{Keys, Opener, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
 use hmac::{Hmac, Mac};
-use datagram_auth::{Keys, Opener, NAME_LIMIT, PAYLOAD_LIMIT};
 use sha2::{Digest, Sha256};
 
 const KEY: [u8; 32] = [7; 32];
@@ -25,7 +25,7 @@
         .finalize();
     signed.extend(&mac.into_bytes()[..16]);
     if let Ok(opened) = opener.open(&signed) {
-        assert!(opened.from.len() <= NAME_LIMIT && opened.payload.len() <= PAYLOAD_LIMIT);
+        assert!(opened.from.len() <= MAX_NAME_BYTES && opened.payload.len() <= MAX_PAYLOAD_BYTES);
         assert!(["n1", "n2"].contains(&opened.from));
         assert!(opener.open(&signed).is_err(), "opened twice");
     }
