--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -149,7 +149,7 @@
     let word = with.get_one::<String>("word").map_or("", String::as_str);
     let needs = matches!(word, "propose" | "resume");
     let version = match with.get_one::<String>("version") {
-        Some(text) if needs => match crate::cluster::rollout::version(text) {
+        Some(text) if needs => match crate::cluster::rollout::resolve_version(text) {
             Ok(hash) => format!(" {hash}"),
             Err(problem) => {
                 eprintln!("leverproxy: {problem}");
--- /dev/null
+++ b/crates/leverproxy/src/cluster/members/mod.rs
@@ -0,0 +1,421 @@
+//! The other proxies of the fleet: the socket that their datagrams come to, authentication (`datagram-auth`), and the membership
+//! core (`membership`), whose actions are carried out here.
+//!
+//! Nothing here waits: a datagram that can't be sent now is lost, as any datagram may be.
+
+mod account;
+mod error;
+mod metrics;
+mod names;
+#[cfg(test)]
+mod recorded;
+mod status_text;
+#[cfg(test)]
+mod unsealed;
+
+use crate::event_loop::reactor::{Interest, Reactor, Token};
+use account::{decode_account, ACCOUNT_KIND, ACCOUNT_TTL};
+use configuration::model::Members as MembersSettings;
+use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
+pub use error::MembersError;
+use membership::{
+    Action, Config, Core, Event, Fact, GuardedOperation, Member, OperationDenied, Roster, Status,
+    View,
+};
+use names::status_name;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::time::{Duration, Instant};
+
+/// Datagrams received before clients get their turn again.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// When a port that another process has is tried again: in a hot restart the old process has it until it ends.
+const BIND_RETRY: Duration = Duration::from_millis(500);
+/// Token of the timer for that; tokens of the core count up from 1.
+const BIND_TIMER: u64 = u64::MAX;
+/// Facts of others that wait to be fetched.
+const MAX_PENDING_FACTS: usize = 1_024;
+
+/// This proxy as a member of its fleet.
+pub struct Members {
+    settings: MembersSettings,
+    name: String,
+    /// The start of this process in Unix milliseconds, or later if others know its name by a later incarnation.
+    incarnation: u64,
+    socket: Option<UdpSocket>,
+    core: Core,
+    sealer: Sealer,
+    opener: Opener,
+    origin: Instant,
+    serving: bool,
+    account_published: Option<Instant>,
+    timers: Vec<(Instant, u64)>,
+    pending_facts: Vec<Fact>,
+    bind_failure_logged: bool,
+    sent: u64,
+    sent_bytes: u64,
+    unsent: u64,
+    /// Those of `unsent` that could not be sealed.
+    unsealed: u64,
+    received: u64,
+    malformed_accounts: u64,
+    malformed_rates: u64,
+    /// Datagrams by the reason of their rejection; the first of each is logged.
+    rejected: BTreeMap<&'static str, u64>,
+    /// How often members took each status.
+    status_changes: BTreeMap<&'static str, u64>,
+}
+
+impl Members {
+    /// Joins the fleet. `start` is the start of this process in Unix milliseconds.
+    pub fn join(
+        settings: MembersSettings,
+        keys: Option<Keys>,
+        name: &str,
+        start: u64,
+        seed: u64,
+        now: Instant,
+        reactor: &Reactor,
+    ) -> Result<Members, MembersError> {
+        let keys = keys.ok_or(MembersError::NoKeys)?;
+        let mut config = Config::with_period(name, start, roster_of(&settings), settings.period);
+        config.suspicion_timeout = settings.suspicion;
+        let names = settings.roster.iter().map(|m| m.name.clone());
+        let mut members = Members {
+            core: Core::new(config, seed)?,
+            sealer: Sealer::new(name, start, keys.clone()),
+            opener: Opener::new(name, keys, names),
+            settings,
+            name: name.to_owned(),
+            incarnation: start,
+            socket: None,
+            origin: now,
+            serving: true,
+            account_published: None,
+            timers: Vec::new(),
+            pending_facts: Vec::new(),
+            bind_failure_logged: false,
+            sent: 0,
+            sent_bytes: 0,
+            unsent: 0,
+            unsealed: 0,
+            received: 0,
+            malformed_accounts: 0,
+            malformed_rates: 0,
+            rejected: BTreeMap::new(),
+            status_changes: BTreeMap::new(),
+        };
+        members.bind(now, reactor);
+        Ok(members)
+    }
+
+    /// Without its port a proxy is alone, and serves clients all the same.
+    fn bind(&mut self, now: Instant, reactor: &Reactor) {
+        match self.open(reactor) {
+            Ok(address) => {
+                log::info!("members: heard on {address}");
+                self.handle(Event::Start, now);
+                self.publish_account(now);
+            }
+            Err(error) => {
+                if !self.bind_failure_logged {
+                    self.bind_failure_logged = true;
+                    let listen = self.settings.listen;
+                    log::warn!("members: {listen} can't be listened on ({error}): asked for again every half second; \
+                                in an upgrade the former process has it, else see who does");
+                }
+                self.timers.push((now + BIND_RETRY, BIND_TIMER));
+            }
+        }
+    }
+
+    fn open(&mut self, reactor: &Reactor) -> io::Result<SocketAddr> {
+        let socket = UdpSocket::bind(self.settings.listen)?;
+        socket.set_nonblocking(true)?;
+        reactor.add(&socket, Token::Members, Interest::READ)?;
+        let address = socket.local_addr()?;
+        self.socket = Some(socket);
+        Ok(address)
+    }
+
+    /// Timers to set, with their tokens.
+    pub fn take_timers(&mut self) -> Vec<(Instant, u64)> {
+        std::mem::take(&mut self.timers)
+    }
+
+    /// A timer of `take_timers` is due.
+    pub fn on_timer(&mut self, token: u64, now: Instant, reactor: &Reactor) {
+        if token == BIND_TIMER {
+            return self.bind(now, reactor);
+        }
+        self.handle(Event::Timer(token), now);
+        if self
+            .account_published
+            .is_some_and(|at| now.saturating_duration_since(at) > ACCOUNT_TTL / 2)
+        {
+            self.publish_account(now);
+        }
+    }
+
+    /// The name of this proxy.
+    pub fn name(&self) -> &str {
+        &self.name
+    }
+
+    /// Members of the roster.
+    pub fn roster_size(&self) -> usize {
+        self.settings.roster.len()
+    }
+
+    /// The incarnation of this process.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
+    }
+
+    /// Whether it has its port: in a hot restart, once the old process has ended.
+    pub fn is_listening(&self) -> bool {
+        self.socket.is_some()
+    }
+
+    /// The socket is readable.
+    pub fn receive_datagrams(&mut self, now: Instant) {
+        // One byte more than the limit, so that a longer datagram is recognised.
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            let Some(socket) = &self.socket else { return };
+            let Ok((length, _)) = socket.recv_from(&mut bytes) else {
+                return;
+            };
+            self.received += 1;
+            self.receive(&bytes[..length], now);
+        }
+    }
+
+    fn receive(&mut self, bytes: &[u8], now: Instant) {
+        let (from, incarnation, payload) = match self.opener.open(bytes) {
+            // A kind of a later build.
+            Ok(opened) if opened.kind != MEMBERSHIP_KIND => {
+                *self.rejected.entry("other-kind").or_default() += 1;
+                return;
+            }
+            Ok(opened) => (opened.from, opened.incarnation, opened.payload),
+            Err(error) => {
+                let count = self.rejected.entry(error.label()).or_default();
+                *count += 1;
+                if *count == 1 {
+                    log::warn!("members: {error}; further ones are only counted");
+                }
+                return;
+            }
+        };
+        let event = Event::Datagram {
+            from,
+            incarnation,
+            bytes: payload,
+        };
+        self.handle(event, now);
+    }
+
+    /// Time since this proxy joined: the clock of the core.
+    fn since_origin(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.origin)
+    }
+
+    fn handle(&mut self, event: Event<'_>, now: Instant) {
+        let mut actions = Vec::new();
+        self.core
+            .handle(self.since_origin(now), event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { address, bytes, .. } => self.send(address, &bytes),
+                Action::Timer { after, token } => self.timers.push((now + after, token)),
+                Action::MemberChanged(name, status) => self.member_changed(&name, status),
+                Action::QuorumStateChanged(state) => {
+                    let counts = self.view(now).member_counts;
+                    log::info!(
+                        "members: {state}, {} of {} are heard",
+                        counts.alive,
+                        counts.total
+                    );
+                }
+                Action::FactReceived(fact) => self.fact_received(fact),
+                Action::PublishRejected(error) => {
+                    log::warn!("members: what this proxy says of itself is not told: {error}")
+                }
+                Action::RosterRejected(error) => {
+                    log::error!("members: {error}; the former roster stays")
+                }
+                Action::IncarnationRenewed(incarnation) => self.incarnation_renewed(incarnation),
+            }
+        }
+    }
+
+    fn member_changed(&mut self, name: &str, status: Status) {
+        *self.status_changes.entry(status_name(status)).or_default() += 1;
+        match status {
+            Status::Alive => log::info!("members: {name} is alive"),
+            status => log::warn!("members: {name} is {}", status_name(status)),
+        }
+    }
+
+    fn fact_received(&mut self, fact: Fact) {
+        if fact.kind == ACCOUNT_KIND {
+            self.malformed_accounts += u64::from(decode_account(&fact.body).is_none());
+        } else {
+            // Whoever needs it may be slow to fetch it.
+            self.pending_facts.truncate(MAX_PENDING_FACTS - 1);
+            self.pending_facts.push(fact);
+        }
+    }
+
+    fn incarnation_renewed(&mut self, incarnation: u64) {
+        log::warn!(
+            "members: others know this name by start {} or later, and this process had {}: its clock was set back, \
+             and it goes on under {incarnation}. If that comes again, two processes have this name",
+            incarnation.saturating_sub(1),
+            self.incarnation
+        );
+        self.incarnation = incarnation;
+        self.sealer.set_incarnation(incarnation);
+    }
+
+    fn send(&mut self, to: SocketAddr, payload: &[u8]) {
+        let mut out = Vec::new();
+        if let Err(error) =
+            self.sealer
+                .seal(MEMBERSHIP_KIND, self.settings.version, payload, &mut out)
+        {
+            self.unsent += 1;
+            self.unsealed += 1;
+            if self.unsealed == 1 {
+                log::error!(
+                    "members: {error}. {} Further ones are only counted",
+                    error.advice()
+                );
+            }
+            return;
+        }
+        let Some(socket) = &self.socket else { return };
+        match socket.send_to(&out, to) {
+            Ok(_) => {
+                self.sent += 1;
+                self.sent_bytes += out.len() as u64;
+            }
+            Err(_) => self.unsent += 1,
+        }
+    }
+
+    /// Publishes a fact for another part of the proxy, in place of the one of that kind and key.
+    pub fn publish(&mut self, kind: u8, key: Vec<u8>, body: Vec<u8>, ttl: Duration, now: Instant) {
+        self.handle(
+            Event::Publish {
+                kind,
+                key,
+                body,
+                ttl,
+            },
+            now,
+        );
+    }
+
+    /// New facts of others, without accounts.
+    pub fn take_facts(&mut self) -> Vec<Fact> {
+        std::mem::take(&mut self.pending_facts)
+    }
+
+    /// A fact with usage rates could not be decoded.
+    pub fn count_malformed_rates(&mut self) {
+        self.malformed_rates += 1;
+    }
+
+    /// Facts of one kind of others that have not expired.
+    pub fn facts(&self, kind: u8, now: Instant) -> Vec<Fact> {
+        self.core.facts(self.since_origin(now), kind)
+    }
+
+    /// Whether an operation may be done now: in the fleet, or in one region.
+    pub fn check_operation(
+        &self,
+        operation: GuardedOperation,
+        region: Option<&str>,
+        now: Instant,
+    ) -> Result<(), OperationDenied> {
+        self.core
+            .check_operation(self.since_origin(now), operation, region)
+    }
+
+    /// All that is known of the fleet now.
+    pub fn view(&self, now: Instant) -> View {
+        self.core.view(self.since_origin(now))
+    }
+
+    /// Names and regions of the roster.
+    pub fn regions(&self) -> Vec<(String, String)> {
+        self.settings
+            .roster
+            .iter()
+            .map(|m| (m.name.clone(), m.region.clone()))
+            .collect()
+    }
+
+    /// Whether this proxy serves, or was told to end.
+    pub fn set_serving(&mut self, serving: bool, now: Instant) {
+        if self.serving != serving {
+            self.serving = serving;
+            self.publish_account(now);
+        }
+    }
+
+    /// Tells the others that this proxy leaves, so that they do not miss it.
+    pub fn leave(&mut self, now: Instant) {
+        self.handle(Event::Leave, now);
+    }
+
+    /// Takes over another roster and other keys. Returns settings that differ and wait for the next start.
+    pub fn reload(
+        &mut self,
+        settings: &MembersSettings,
+        keys: Keys,
+        now: Instant,
+    ) -> Vec<&'static str> {
+        self.opener
+            .set_members(settings.roster.iter().map(|m| m.name.clone()));
+        self.opener.set_keys(keys.clone());
+        self.sealer.set_keys(keys);
+        if (settings.version, &settings.roster) != (self.settings.version, &self.settings.roster) {
+            self.handle(Event::Roster(roster_of(settings)), now);
+        }
+        let (version, list) = (settings.version, settings.roster.clone());
+        let waits = [
+            ("members listen", settings.listen == self.settings.listen),
+            ("members period", settings.period == self.settings.period),
+            (
+                "members suspicion",
+                settings.suspicion == self.settings.suspicion,
+            ),
+        ];
+        self.settings = MembersSettings {
+            version,
+            roster: list,
+            ..self.settings.clone()
+        };
+        waits
+            .into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(key, _)| key)
+            .collect()
+    }
+}
+
+fn roster_of(settings: &MembersSettings) -> Roster {
+    let member = |m: &configuration::model::Member| Member {
+        name: m.name.clone(),
+        address: m.address,
+        region: m.region.clone(),
+    };
+    Roster {
+        version: settings.version,
+        members: settings.roster.iter().map(member).collect(),
+    }
+}
--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -1,5 +1,6 @@
-//! What proxies said of themselves in the first version, in the whole datagram that it came in.
+//! Accounts of proxies in the first version, in a whole datagram as it was sent.
 
+use super::account::Account;
 use super::*;
 
 const START: u64 = 1_800_000_000_001;
@@ -15,7 +16,7 @@
         address: ([127, 0, 0, 1], 7_000 + at).into(),
         region: "east".into(),
     };
-    let stated = Stated {
+    let settings = MembersSettings {
         version: 3,
         listen: ([127, 0, 0, 1], 0).into(),
         key_file: "members.key".into(),
@@ -24,7 +25,16 @@
         roster: vec![member(0), member(1)],
     };
     let reactor = Reactor::new().unwrap();
-    Members::join(stated, Keys::parse(KEY).ok(), "n0", START, 1, now, &reactor).unwrap()
+    Members::join(
+        settings,
+        Keys::parse(KEY).ok(),
+        "n0",
+        START,
+        1,
+        now,
+        &reactor,
+    )
+    .unwrap()
 }
 
 fn hear(members: &mut Members, bytes: &[u8], now: Instant) {
@@ -39,7 +49,7 @@
 }
 
 #[test]
-fn an_account_of_the_first_version_is_read_for_good() {
+fn accounts_of_the_first_version_are_read() {
     let now = Instant::now();
     let mut members = joined(now);
     hear(&mut members, &hex::decode(DATAGRAM).unwrap(), now);
@@ -48,12 +58,12 @@
         serving: true,
     };
     assert_eq!(members.accounts(now), [("n1".to_owned(), account)].into());
-    assert_eq!(members.accounts_unread, 0);
+    assert_eq!(members.malformed_accounts, 0);
 }
 
-/// It is a fact that was not heard, and is counted: who says it is known, and not what it says.
+/// The fact is counted as malformed: its source is known, its content is not.
 #[test]
-fn an_account_of_a_later_version_is_not_heard() {
+fn accounts_of_a_later_version_are_counted_and_dropped() {
     let now = Instant::now();
     let mut members = joined(now);
     let later = BODY.replacen("01", "02", 1);
@@ -62,8 +72,11 @@
         &hex::decode(DATAGRAM.replace(BODY, &later)).unwrap(),
         now,
     );
-    assert_eq!(members.core.facts(Duration::ZERO, ACCOUNT).len(), 1);
+    assert_eq!(members.core.facts(Duration::ZERO, ACCOUNT_KIND).len(), 1);
     assert_eq!(members.accounts(now), BTreeMap::new());
     assert_eq!(members.view(now).counters.malformed, 0);
-    assert_eq!((members.accounts_unread, members.rates_unread), (1, 0));
+    assert_eq!(
+        (members.malformed_accounts, members.malformed_rates),
+        (1, 0)
+    );
 }
--- /dev/null
+++ b/crates/leverproxy/src/cluster/members/status_text.rs
@@ -0,0 +1,53 @@
+//! The state of the fleet as `leverproxy status` shows it.
+
+use super::names::{operation_name, status_name, REPORTED_OPERATIONS};
+use super::Members;
+use std::fmt::Write;
+use std::time::Instant;
+
+impl Members {
+    /// The state of the fleet for operators, one line per member.
+    pub fn status_text(&self, now: Instant) -> String {
+        let since_origin = now.saturating_duration_since(self.origin);
+        let view = self.core.view(since_origin);
+        let self_suspected = if view.self_suspected {
+            ", doubting itself"
+        } else {
+            ""
+        };
+        let mut text = format!(
+            "members {}{self_suspected}: {} of {} heard, roster version {}, {} say another\n",
+            view.state,
+            view.member_counts.alive,
+            view.member_counts.total,
+            view.roster_version,
+            view.roster_mismatches
+        );
+        for operation in REPORTED_OPERATIONS {
+            // Writing to a string does not fail.
+            if let Err(why) = self.core.check_operation(since_origin, operation, None) {
+                _ = writeln!(text, "  may not {}: {why}", operation_name(operation));
+            }
+        }
+        let accounts = self.accounts(now);
+        for member in view.members {
+            let age = since_origin.saturating_sub(member.since).as_secs();
+            let how = if member.direct {
+                "heard directly"
+            } else {
+                "not heard directly"
+            };
+            let account = accounts.get(&member.name).map_or(String::new(), |account| {
+                let phase = if account.serving { "serving" } else { "ending" };
+                format!(", {phase}, build {}", account.build)
+            });
+            let status = status_name(member.status);
+            _ = writeln!(
+                text,
+                "  member {} {status} for {age} s, {how}{account}",
+                member.name
+            );
+        }
+        text
+    }
+}
--- a/crates/leverproxy/src/cluster/members/unsealed.rs
+++ b/crates/leverproxy/src/cluster/members/unsealed.rs
@@ -1,4 +1,4 @@
-//! A datagram that can't be made: the log says why, once.
+//! A datagram that can't be sealed is logged once, with the reason.
 
 use super::recorded::joined;
 use super::*;
@@ -8,7 +8,7 @@
     static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Keeps lines by thread: each test has its own.
+/// Collects lines by thread, so that each test has its own.
 struct Log;
 
 impl log::Log for Log {
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn the_first_datagram_that_cannot_be_made_is_logged() {
-    log::set_logger(&Log).expect("no other test of this program keeps its log");
+fn the_first_datagram_that_cannot_be_sealed_is_logged() {
+    log::set_logger(&Log).expect("no other test of this program sets a logger");
     log::set_max_level(log::LevelFilter::Error);
     let mut members = joined(Instant::now());
     LINES.with_borrow_mut(Vec::clear);
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -382,7 +382,9 @@
             .into_iter()
             .map(|(name, _)| name)
             .collect();
-        let lend = members.allowed(GuardedOperation::Lend, None, now).is_ok();
+        let lend = members
+            .check_operation(GuardedOperation::Lend, None, now)
+            .is_ok();
         self.handle(
             Event::View {
                 lend,
@@ -422,7 +424,7 @@
                 .is_none_or(|at| now.saturating_duration_since(at) >= SHORT_LASTS / 2)
         {
             self.short_told = Some(now);
-            members.say(SHORT, Vec::new(), vec![SHORT_VERSION], SHORT_LASTS, now);
+            members.publish(SHORT, Vec::new(), vec![SHORT_VERSION], SHORT_LASTS, now);
         }
         let of_other = |fact: &Fact| fact.source != members.name() && fact.body == [SHORT_VERSION];
         self.short = own || members.facts(SHORT, now).iter().any(of_other);
@@ -456,7 +458,7 @@
 
     /// The core begins once this process is heard under its name and has its directory, and anew with another start.
     fn begin(&mut self, members: &Members, now: Instant) -> bool {
-        let start = members.start();
+        let start = members.incarnation();
         if self
             .running
             .as_ref()
@@ -464,7 +466,7 @@
         {
             return false;
         }
-        if !members.is_heard() || now < self.try_again {
+        if !members.is_listening() || now < self.try_again {
             return false;
         }
         if let Some(former) = self.running.take() {
@@ -557,7 +559,7 @@
     pub fn flush(&mut self, members: &mut Members, now: Instant) {
         self.look_at_file(now);
         for (kind, key, body, lasts) in self.sayings.drain(..) {
-            members.say(kind, key, body, lasts, now);
+            members.publish(kind, key, body, lasts, now);
         }
     }
 
--- /dev/null
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -0,0 +1,263 @@
+//! Rollouts of versions of the operators' file: facts of other proxies come from `members`, the `rollout` core decides which
+//! version runs, and `reload` runs it.
+
+mod error;
+mod metrics;
+mod observation;
+mod persistence;
+mod phase_names;
+mod status_text;
+mod version;
+
+use crate::cluster::members::Members;
+use crate::config::reload::Ask;
+use crate::control::control_socket::Said;
+use crate::observability::counters::Counters;
+use crate::persistence::state_file::Writer;
+use ::rollout::{Action, Config, Core, Event, EvidenceLimits, VersionHash};
+use configuration::model::Rollout as RolloutSettings;
+pub use error::RolloutError;
+use phase_names::phase_text;
+use std::collections::{BTreeSet, VecDeque};
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::time::{Duration, Instant};
+pub use version::{find_candidate, hex, resolve_version};
+use version::{hash_of_file, parse_hash};
+
+/// Facts of a rollout have kinds from this one on.
+const FIRST_FACT_KIND: u8 = 20;
+/// The TTL of facts, in periods.
+const TTL_PERIODS: u32 = 10;
+const MIN_TTL: Duration = Duration::from_secs(5);
+
+/// This proxy's part in rollouts.
+pub struct Rollout {
+    settings: RolloutSettings,
+    core: Core,
+    name: String,
+    /// The operators' own file at the start.
+    base_version: VersionHash,
+    origin: Instant,
+    rejected_command: Option<String>,
+    failed_versions: u64,
+    /// A state file exists and could not be read.
+    state_unreadable: bool,
+    /// Writes the state file; started with the first write.
+    writer: Option<Writer>,
+    waker: UnixStream,
+    /// Another process of this name serves, and the state file belongs to it.
+    handed_over: bool,
+}
+
+impl Rollout {
+    /// `incarnation` is that of the membership, `took_over` whether this process took over in a hot restart, and `operators` the
+    /// file that runs.
+    pub fn new(
+        settings: RolloutSettings,
+        name: &str,
+        operators: Option<&Path>,
+        (incarnation, took_over): (u64, bool),
+        waker: UnixStream,
+        now: Instant,
+    ) -> Rollout {
+        let base_version = operators
+            .and_then(|path| hash_of_file(path).ok())
+            .unwrap_or_default();
+        let loaded = settings
+            .state
+            .as_deref()
+            .map_or(Ok(None), persistence::load);
+        let state_unreadable = loaded.is_err();
+        let persisted = loaded.unwrap_or_else(|error| {
+            log_error(&error);
+            None
+        });
+        let evidence_limits = EvidenceLimits {
+            min_harm: settings.least_harm,
+            error_probability: settings.error,
+            soak_time: settings.soak,
+            min_window_demand: settings.window_least,
+            min_stage_demand: settings.stage_least,
+            max_age: settings.period * TTL_PERIODS,
+        };
+        let message_ttl = (settings.period * TTL_PERIODS).max(MIN_TTL);
+        let config = Config {
+            name: name.to_owned(),
+            incarnation,
+            took_over,
+            base_version,
+            evidence_limits,
+            unreachable_timeout: settings.dark,
+            message_ttl,
+            persisted,
+        };
+        Rollout {
+            core: Core::new(config, Duration::ZERO),
+            name: name.to_owned(),
+            base_version,
+            origin: now,
+            rejected_command: None,
+            failed_versions: 0,
+            state_unreadable,
+            writer: None,
+            waker,
+            handed_over: false,
+            settings,
+        }
+    }
+
+    /// The settings that this proxy started with.
+    pub fn settings(&self) -> &RolloutSettings {
+        &self.settings
+    }
+
+    /// How often `observe` is to be called.
+    pub fn period(&self) -> Duration {
+        self.settings.period
+    }
+
+    /// Tells the core the state of the fleet. Returns versions to check or run.
+    pub fn observe(
+        &mut self,
+        members: &mut Members,
+        counters: &Counters,
+        now: Instant,
+    ) -> Vec<Ask> {
+        let event = Event::Observe(self.observation(members, counters, now));
+        self.handle(event, members, now)
+    }
+
+    /// This process was told to end.
+    pub fn leave(&mut self, members: &mut Members, now: Instant) {
+        // What it returns could not be carried out any more.
+        _ = self.handle(Event::Leave, members, now);
+    }
+
+    /// Whether a new process serves (hot restart): only one process of a name writes the state file.
+    pub fn set_handed_over(&mut self, handed_over: bool) {
+        self.handed_over = handed_over;
+    }
+
+    /// The result of reading a version.
+    pub fn version_checked(
+        &mut self,
+        hash: VersionHash,
+        result: Result<(), String>,
+        members: &mut Members,
+        counters: &Counters,
+        now: Instant,
+    ) -> Vec<Ask> {
+        if let Err(why) = &result {
+            self.failed_versions += 1;
+            log::error!("rollout: {} can't run here: {why}", hex(&hash));
+        }
+        let mut asks = self.handle(Event::VersionChecked(hash, result), members, now);
+        asks.extend(self.observe(members, counters, now));
+        asks
+    }
+
+    /// Carries out an operator's command; returns its reply.
+    pub fn command(
+        &mut self,
+        command: Said,
+        members: &mut Members,
+        counters: &Counters,
+        now: Instant,
+    ) -> (String, Vec<Ask>) {
+        let mut asks = self.observe(members, counters, now);
+        let event = match command {
+            Said::Propose(hash) => Some(self.proposal(hash, false, members)),
+            Said::Resume(hash) => Some(self.proposal(hash, true, members)),
+            Said::Halt => Some(Event::Halt),
+            Said::Return => Some(Event::Rollback),
+            Said::Status => None,
+        };
+        if let Some(event) = event {
+            log::info!(said:? = command; "rollout: told by an operator");
+            asks.extend(self.handle(event, members, now));
+        }
+        match self.rejected_command.take() {
+            Some(why) => (format!("error: {why}\n"), asks),
+            None => (self.status_text(), asks),
+        }
+    }
+
+    /// Without an order in the settings the regions go by name.
+    fn proposal(&self, hash: VersionHash, resume: bool, members: &Members) -> Event {
+        let mut order = self.settings.order.clone();
+        if order.is_empty() {
+            let regions: BTreeSet<String> = members
+                .regions()
+                .into_iter()
+                .map(|(_, region)| region)
+                .collect();
+            order = regions.into_iter().collect();
+        }
+        Event::Propose {
+            hash,
+            order,
+            canary_size: self.settings.canary,
+            resume,
+        }
+    }
+
+    fn handle(&mut self, event: Event, members: &mut Members, now: Instant) -> Vec<Ask> {
+        let (mut actions, mut asks) = (Vec::new(), Vec::new());
+        let since_origin = now.saturating_duration_since(self.origin);
+        self.core.handle(since_origin, event, &mut actions);
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
+            match action {
+                Action::Publish(kind, body, ttl) => {
+                    members.publish(FIRST_FACT_KIND + kind, Vec::new(), body, ttl, now)
+                }
+                Action::CheckVersion(hash) => {
+                    asks.push(Ask::Check(hash, self.settings.candidates.clone()))
+                }
+                Action::RunVersion(hash) => asks.push(self.run(hash)),
+                Action::Persist(bytes) => {
+                    if let Some(done) = self.persist(bytes) {
+                        let mut more = Vec::new();
+                        self.core
+                            .handle(since_origin, Event::Persisted(done), &mut more);
+                        actions.extend(more);
+                    }
+                }
+                Action::PhaseChanged(phase) => log::warn!("rollout: {}", phase_text(phase)),
+                Action::Rejected(error) => {
+                    self.rejected_command = Some(format!("{error}. {}", error.advice()))
+                }
+                Action::StateUnreadable => {
+                    log_error(&RolloutError::StateMalformed(self.state_path()))
+                }
+            }
+        }
+        asks
+    }
+
+    fn run(&self, hash: VersionHash) -> Ask {
+        log::warn!("rollout: {} is to run here", hex(&hash));
+        let is_candidate = hash != self.base_version;
+        let folder = is_candidate.then(|| self.settings.candidates.clone());
+        Ask::Run(hash, folder)
+    }
+}
+
+fn log_error(error: &RolloutError) {
+    log::error!("rollout: {error}. {}", error.advice());
+}
+
+/// Parses an operator's command from the control socket.
+pub fn parse_command(line: &str) -> Option<Said> {
+    let mut words = line.split_whitespace();
+    let command = match (words.next()?, words.next()) {
+        ("propose", Some(hash)) => Said::Propose(parse_hash(hash)?),
+        ("resume", Some(hash)) => Said::Resume(parse_hash(hash)?),
+        ("halt", None) => Said::Halt,
+        ("return", None) => Said::Return,
+        ("status", None) => Said::Status,
+        _ => return None,
+    };
+    words.next().is_none().then_some(command)
+}
--- /dev/null
+++ b/crates/leverproxy/src/cluster/rollout/status_text.rs
@@ -0,0 +1,99 @@
+//! The state of a rollout as `leverproxy rollout status` shows it. Writing to a string does not fail, so results are ignored.
+
+use super::phase_names::phase_text;
+use super::version::hex;
+use super::Rollout;
+use ::rollout::{Readiness, Status, Verdict};
+use std::fmt::Write;
+
+/// Planned restarts of one member in one rollout that are nothing unusual.
+const USUAL_PLANNED_RESTARTS: u32 = 3;
+
+impl Rollout {
+    /// The state of the rollout for operators.
+    pub fn status_text(&self) -> String {
+        let status = self.core.status();
+        let mut text = format!(
+            "rollout {}\n  runs {}\n",
+            phase_text(status.phase),
+            hex(&status.running_version)
+        );
+        if let Some(p) = &status.proposal {
+            let order = p.order.join(", then ");
+            _ = writeln!(
+                text,
+                "  version {} epoch {} by {}: {order}",
+                hex(&p.hash),
+                p.epoch,
+                p.proposer
+            );
+        }
+        if let Some(halted) = &status.halt {
+            _ = writeln!(
+                text,
+                "  halted by {}: {}",
+                halted.halted_by,
+                halted.reason.text()
+            );
+        }
+        write_evidence(&status, &mut text);
+        write_members(&status, &mut text);
+        write_planned_restarts(&status, &mut text);
+        if status.persisting_fails {
+            text.push_str("  its state can't be kept: it votes for nothing new until it can\n");
+        }
+        text
+    }
+}
+
+fn write_evidence(status: &Status, text: &mut String) {
+    let evidence = match status.verdict {
+        Verdict::Harm(why) => why.text(),
+        Verdict::Clean => "no harm",
+        Verdict::Soaking => "soaking, nothing shown yet",
+        Verdict::InsufficientTraffic => "too little traffic, or not on both versions: waiting",
+        Verdict::Inconclusive => "a sign of harm, not shown: waiting",
+        Verdict::MembersMissing => {
+            "no harm, but a proxy of the stage is missing or does not run it yet: waiting"
+        }
+    };
+    let (windows, harm, safe) = (
+        status.evidence.windows,
+        status.evidence.harm_wealth,
+        status.evidence.safety_wealth,
+    );
+    _ = writeln!(
+        text,
+        "  evidence {evidence}; {windows} windows, wealth {harm:.2} for harm, {safe:.2} against"
+    );
+}
+
+fn write_members(status: &Status, text: &mut String) {
+    for (name, vote) in &status.members {
+        let runs = if vote.runs_new { "new" } else { "former" };
+        let ready = match &vote.readiness {
+            Readiness::Unchecked => "has not looked at it yet".to_owned(),
+            Readiness::Ready => "can run it".to_owned(),
+            Readiness::Unable(why) => format!("cannot run it: {why}"),
+        };
+        _ = writeln!(
+            text,
+            "  member {name} runs {runs}, votes for {} stages, {ready}",
+            vote.votes
+        );
+    }
+}
+
+fn write_planned_restarts(status: &Status, text: &mut String) {
+    for (name, times) in &status.planned_restarts {
+        let often = if *times > USUAL_PLANNED_RESTARTS {
+            ": more often than a change of builds needs"
+        } else {
+            ""
+        };
+        _ = writeln!(
+            text,
+            "  member {name} started anew in order {times} times{often}"
+        );
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/cluster/rollout/version.rs
@@ -0,0 +1,61 @@
+//! Versions of the operators' file: their hashes, and the files that have them.
+
+use super::RolloutError;
+use crate::config::operator_config::Disk;
+use crate::config::ConfigError;
+use ::rollout::VersionHash;
+use configuration::load::{Loader, FILE_LIMIT};
+use sha2::{Digest, Sha256};
+use std::path::{Path, PathBuf};
+
+/// Files of the directory of candidates that are read.
+const MAX_CANDIDATES: usize = 256;
+
+/// A version in hex digits.
+pub fn hex(hash: &VersionHash) -> String {
+    ::hex::encode(hash)
+}
+
+/// The version of 64 hex digits.
+pub(super) fn parse_hash(text: &str) -> Option<VersionHash> {
+    let mut hash = [0; 32];
+    ::hex::decode_to_slice(text, &mut hash).ok()?;
+    Some(hash)
+}
+
+/// The version that an operator names, in hex: by its hash, or by a file.
+pub fn resolve_version(text: &str) -> Result<String, RolloutError> {
+    if parse_hash(text).is_some() {
+        return Ok(text.to_ascii_lowercase());
+    }
+    let hash = hash_of_file(Path::new(text))
+        .map_err(|e| RolloutError::NotAVersion(text.to_owned(), Box::new(e)))?;
+    Ok(hex(&hash))
+}
+
+pub(super) fn hash_of_file(path: &Path) -> Result<VersionHash, RolloutError> {
+    let bytes = Disk
+        .read(path)
+        .map_err(|why| RolloutError::Unreadable(path.to_owned(), why))?;
+    if bytes.len() > FILE_LIMIT {
+        return Err(RolloutError::TooLarge(path.to_owned()));
+    }
+    Ok(Sha256::digest(&bytes).into())
+}
+
+/// The file of a version among the candidates. Reads files, so it runs beside the event loop.
+pub fn find_candidate(folder: &Path, hash: &VersionHash) -> Result<PathBuf, ConfigError> {
+    let fault = |fault: RolloutError| ConfigError::new("rollout.candidates", fault);
+    let mut names = Disk
+        .names(folder)
+        .map_err(|why| fault(RolloutError::Unreadable(folder.to_owned(), why)))?;
+    names.sort();
+    let paths = names
+        .iter()
+        .take(MAX_CANDIDATES)
+        .map(|name| folder.join(name));
+    let found = paths
+        .into_iter()
+        .find(|path| hash_of_file(path).is_ok_and(|h| h == *hash));
+    found.ok_or_else(|| fault(RolloutError::VersionMissing(folder.to_owned(), hex(hash))))
+}
--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -34,7 +34,7 @@
 
 /// How often to say it, in a fleet of that size.
 pub fn pace(members: &Members) -> Duration {
-    membership::republish_interval(members.size(), 1, EVERY, LASTS)
+    membership::republish_interval(members.roster_size(), 1, EVERY, LASTS)
 }
 
 /// Tenants beyond what fits are not told of: for them each proxy goes on by itself.
@@ -52,7 +52,7 @@
         .collect();
     for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(FACTS)) {
         if let Some(body) = encode(part) {
-            members.say(KIND, vec![at], body, LASTS, now);
+            members.publish(KIND, vec![at], body, LASTS, now);
         }
     }
 }
@@ -68,9 +68,11 @@
     // Who is dead for the larger part sees nothing any more. The smaller part can't tell who is dead from who is cut off,
     // and leaves to all the part that they had.
     let larger = members
-        .allowed(GuardedOperation::Promote, None, now)
+        .check_operation(GuardedOperation::Promote, None, now)
         .is_ok()
-        || members.allowed(GuardedOperation::Lend, None, now).is_ok();
+        || members
+            .check_operation(GuardedOperation::Lend, None, now)
+            .is_ok();
     let gone = |status| matches!(status, Status::Left) || larger && status == Status::Down;
     let gone: BTreeSet<&str> = view
         .members
--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -87,15 +87,13 @@
                     Job::Read(ask) => {
                         let read = match &ask {
                             Ask::Again => reread(running.as_deref()),
-                            Ask::Check(hash, folder) => {
-                                rollout::find(folder, hash).and_then(|path| reread(Some(&path)))
-                            }
+                            Ask::Check(hash, folder) => rollout::find_candidate(folder, hash)
+                                .and_then(|path| reread(Some(&path))),
                             Ask::Run(_, None) => reread(None).inspect(|_| running = None),
-                            Ask::Run(hash, Some(folder)) => {
-                                rollout::find(folder, hash).and_then(|path| {
+                            Ask::Run(hash, Some(folder)) => rollout::find_candidate(folder, hash)
+                                .and_then(|path| {
                                     reread(Some(&path)).inspect(|_| running = Some(path))
-                                })
-                            }
+                                }),
                         };
                         if done.send((ask, read)).is_err() {
                             return;
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -137,7 +137,7 @@
             )),
             Some(line) => line
                 .strip_prefix("rollout ")
-                .and_then(crate::cluster::rollout::said)
+                .and_then(crate::cluster::rollout::parse_command)
                 .map(Word::Rollout),
             None if filled == Filled::Ended || input.len() >= LINE_LIMIT => {
                 self.peers.remove(key);
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -266,7 +266,7 @@
         let rollout = config.rollout.filter(|_| members.is_some());
         let rollout = rollout.map(|stated| {
             let (name, operators) = (&fixed.name, config.operators.as_deref());
-            Ok::<_, io::Error>(Rollout::begin(
+            Ok::<_, io::Error>(Rollout::new(
                 stated,
                 name,
                 operators,
@@ -397,7 +397,7 @@
             }
         }
         if let Some(members) = &mut self.members {
-            members.serves(self.drain.phase() == drain::Phase::Serving, now);
+            members.set_serving(self.drain.phase() == drain::Phase::Serving, now);
         }
         self.sides.health.publish(&self.chain.monitor.status());
         if let Some(due) = self.drain.due() {
@@ -481,10 +481,10 @@
             Token::Discovery(key) => discovery.ready(key, now, reactor),
             Token::Members => {
                 if let Some(members) = &mut self.members {
-                    members.ready(now);
-                    for fact in members.take_heard() {
+                    members.receive_datagrams(now);
+                    for fact in members.take_facts() {
                         if usage::is_unread(&fact) {
-                            members.rates_unread();
+                            members.count_malformed_rates();
                         }
                         self.chain.quota.heard(&fact, now);
                     }
@@ -578,7 +578,7 @@
             }
         }
         if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
-            let asks = rollout.kept(members, now);
+            let asks = rollout.persist_finished(members, now);
             self.ask(asks);
         }
         self.remember(now);
@@ -596,7 +596,8 @@
                 Ask::Run(hash, _) => (hash, self.reload(read, now)),
             };
             if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
-                let asks = rollout.read(result.0, result.1, members, &self.chain.counters, now);
+                let asks =
+                    rollout.version_checked(result.0, result.1, members, &self.chain.counters, now);
                 self.ask(asks);
             }
         }
@@ -634,7 +635,9 @@
         };
         let (chain, start) = (
             &self.chain,
-            self.members.as_ref().map_or(self.born, Members::start),
+            self.members
+                .as_ref()
+                .map_or(self.born, Members::incarnation),
         );
         let listing = || chain.known().0;
         let list = chain
@@ -653,7 +656,7 @@
         let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) else {
             return;
         };
-        let asks = rollout.look(members, &self.chain.counters, now);
+        let asks = rollout.observe(members, &self.chain.counters, now);
         self.sides
             .timers
             .set(now + rollout.period(), Timer::Rollout);
@@ -678,7 +681,7 @@
         if let Word::Rollout(said) = word {
             let text = match (&mut self.rollout, &mut self.members) {
                 (Some(rollout), Some(members)) => {
-                    let (text, asks) = rollout.told(said, members, &self.chain.counters, now);
+                    let (text, asks) = rollout.command(said, members, &self.chain.counters, now);
                     self.ask(asks);
                     text
                 }
@@ -721,7 +724,7 @@
         let members = self
             .members
             .as_ref()
-            .map_or(String::new(), |members| members.lines(now));
+            .map_or(String::new(), |members| members.status_text(now));
         let loans = self
             .chain
             .quota
@@ -785,7 +788,7 @@
                 log::info!(said:? = said; "takeover: the next process serves");
                 front.leave_to_heir(takeover.heir_accepts(), reactor);
                 if let Some(rollout) = &mut self.rollout {
-                    rollout.hand_over(true);
+                    rollout.set_handed_over(true);
                 }
                 return self.share_limits();
             }
@@ -793,7 +796,7 @@
                 log::info!("takeover: the other process is gone");
                 front.leave_to_heir(takeover.heir_accepts(), reactor);
                 if let Some(rollout) = &mut self.rollout {
-                    rollout.hand_over(takeover.has_heir());
+                    rollout.set_handed_over(takeover.has_heir());
                 }
                 if front.listener().is_some() {
                     takeover.listen_again(reactor);
@@ -884,14 +887,14 @@
             figures.one(name, help, value);
         }
         if let Some(members) = &self.members {
-            members.figures(now, &mut figures);
+            members.write_metrics(now, &mut figures);
         }
         if let Some(loans) = &self.chain.quota.lending {
             loans.figures(now, &mut figures);
         }
         self.chain.monitor.site_figures(now, &mut figures);
         if let Some(rollout) = &self.rollout {
-            rollout.figures(&mut figures);
+            rollout.write_metrics(&mut figures);
         }
         if let Some(memory) = &self.memory {
             memory.figures(&mut figures);
@@ -981,7 +984,7 @@
             ("name", config.name == self.fixed.name),
             (
                 "rollout",
-                config.rollout.as_ref() == self.rollout.as_ref().map(Rollout::stated),
+                config.rollout.as_ref() == self.rollout.as_ref().map(Rollout::settings),
             ),
             (
                 "memory",
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -176,23 +176,23 @@
         ]);
     }
     {
-        use leverproxy::cluster::members::Fault as E;
-        rows!(table, "leverproxy: `members::Fault`", leverproxy::cluster::members::Fault, [
+        use leverproxy::cluster::members::MembersError as E;
+        rows!(table, "leverproxy: `MembersError`", leverproxy::cluster::members::MembersError, [
             Roster => E::Roster(membership::RosterError::MissingSelf(text("NAME"))),
             NoKeys => E::NoKeys,
         ]);
     }
     {
-        use leverproxy::cluster::rollout::Fault as E;
+        use leverproxy::cluster::rollout::RolloutError as E;
         let path = || "PATH".into();
-        rows!(table, "leverproxy: `rollout::Fault`", leverproxy::cluster::rollout::Fault, [
-            Unread => E::Unread(path(), text("CAUSE")),
-            Large => E::Large(path()),
-            NoVersion => E::NoVersion(text("TEXT"), Box::new(E::Unread(path(), text("CAUSE")))),
-            Missing => E::Missing(path(), text("HASH")),
-            Forgotten => E::Forgotten(path(), cause()),
-            NoState => E::NoState(path()),
-            Unkept => E::Unkept(path(), cause()),
+        rows!(table, "leverproxy: `RolloutError`", leverproxy::cluster::rollout::RolloutError, [
+            Unreadable => E::Unreadable(path(), text("CAUSE")),
+            TooLarge => E::TooLarge(path()),
+            NotAVersion => E::NotAVersion(text("TEXT"), Box::new(E::Unreadable(path(), text("CAUSE")))),
+            VersionMissing => E::VersionMissing(path(), text("HASH")),
+            StateUnreadable => E::StateUnreadable(path(), cause()),
+            StateMalformed => E::StateMalformed(path()),
+            PersistFailed => E::PersistFailed(path(), cause()),
         ]);
     }
     {
