--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -6,7 +6,7 @@
 use crate::cluster::rollout;
 use crate::config::{Config, ConfigError};
 use crate::pipeline::route_rules::Rules;
-use ::rollout::Hash;
+use ::rollout::VersionHash;
 use std::io::{self, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -24,9 +24,9 @@
     /// The files in force, which may have changed.
     Again,
     /// A candidate of a rollout, to see whether it could run; the folder of candidates.
-    Check(Hash, PathBuf),
+    Check(VersionHash, PathBuf),
     /// A candidate that is to run, with its folder; without one, the operators' own file.
-    Run(Hash, Option<PathBuf>),
+    Run(VersionHash, Option<PathBuf>),
 }
 
 enum Job {
@@ -144,7 +144,7 @@
         match ask {
             Ask::Again => (self.reread)(self.running.as_deref()),
             Ask::Check(hash, folder) => {
-                let path = rollout::find(folder, hash)?;
+                let path = rollout::find_candidate(folder, hash)?;
                 (self.reread)(Some(&path))
             }
             Ask::Run(_, None) => {
@@ -153,7 +153,7 @@
                 Ok(config)
             }
             Ask::Run(hash, Some(folder)) => {
-                let path = rollout::find(folder, hash)?;
+                let path = rollout::find_candidate(folder, hash)?;
                 let config = (self.reread)(Some(&path))?;
                 self.running = Some(path);
                 Ok(config)
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -1,9 +1,8 @@
 //! The operators' control socket: one line in, lines out, over a Unix socket that only its owner may use.
 
-use crate::cluster::rollout;
+use crate::cluster::rollout::RolloutCommand;
 use crate::event_loop::connection::{self, Filled, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
-use ::rollout::Hash;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::os::unix::fs::MetadataExt;
@@ -34,21 +33,6 @@
     Rollout(RolloutCommand),
 }
 
-/// A command to the rollout of the operators' file.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RolloutCommand {
-    /// Roll a candidate out.
-    Propose(Hash),
-    /// The same, although it was halted before.
-    Resume(Hash),
-    /// Halt the rollout.
-    Halt,
-    /// Return to the version before.
-    Return,
-    /// Print the rollout's state.
-    Status,
-}
-
 /// The listener, and the connections of operators. Its file is removed when it is dropped.
 pub struct ControlSocket {
     listener: OwnedFd,
@@ -217,7 +201,7 @@
             if let Some(name) = line.strip_prefix("sites ") {
                 return Some(OperatorCommand::Sites(Some(name.trim().to_owned())));
             }
-            let command = rollout::said(line.strip_prefix("rollout ")?)?;
+            let command = RolloutCommand::parse(line.strip_prefix("rollout ")?)?;
             Some(OperatorCommand::Rollout(command))
         }
     }
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -19,7 +19,7 @@
             }
         }
         if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
-            let requests = rollout.kept(members, now);
+            let requests = rollout.persist_finished(members, now);
             self.request_reads(requests);
         }
         self.persist(now);
@@ -85,7 +85,8 @@
             Ask::Run(hash, _) => (hash, self.reload(read, now)),
         };
         if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
-            let requests = rollout.read(hash, result, members, &self.pipeline.counters, now);
+            let requests =
+                rollout.version_checked(hash, result, members, &self.pipeline.counters, now);
             self.request_reads(requests);
         }
     }
--- a/crates/leverproxy/src/proxy/control_socket.rs
+++ b/crates/leverproxy/src/proxy/control_socket.rs
@@ -1,7 +1,8 @@
 //! The operators' commands on the control socket, and their replies.
 
 use super::state::Proxy;
-use crate::control::control_socket::{OperatorCommand, RolloutCommand};
+use crate::cluster::rollout::RolloutCommand;
+use crate::control::control_socket::OperatorCommand;
 use crate::event_loop::reactor::Key;
 use ::drain::{Event, Phase};
 use std::time::Instant;
@@ -24,7 +25,7 @@
         let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) else {
             return "error: the operators' file has no section rollout\n".to_owned();
         };
-        let (reply, requests) = rollout.told(command, members, &self.pipeline.counters, now);
+        let (reply, requests) = rollout.command(command, members, &self.pipeline.counters, now);
         self.request_reads(requests);
         reply
     }
@@ -44,7 +45,10 @@
         let phase = self.describe_phase(now);
         let monitor = self.pipeline.monitor.lines();
         let sites = self.pipeline.monitor.site_lines(now);
-        let members = self.members.as_ref().map(|members| members.lines(now));
+        let members = self
+            .members
+            .as_ref()
+            .map(|members| members.status_text(now));
         let members = members.unwrap_or_default();
         let lending = self.pipeline.quota.lending.as_ref();
         let lending = lending
--- a/crates/leverproxy/src/proxy/drain.rs
+++ b/crates/leverproxy/src/proxy/drain.rs
@@ -36,7 +36,7 @@
             self.perform_drain_action(action, now);
         }
         if let Some(members) = &mut self.members {
-            members.serves(self.drain.phase() == Phase::Serving, now);
+            members.set_serving(self.drain.phase() == Phase::Serving, now);
         }
         self.io.health.publish(&self.pipeline.monitor.status());
         if let Some(due) = self.drain.due() {
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -100,10 +100,10 @@
         let Some(members) = &mut self.members else {
             return;
         };
-        members.ready(now);
-        for fact in members.take_heard() {
+        members.receive_datagrams(now);
+        for fact in members.take_facts() {
             if usage::is_unread(&fact) {
-                members.rates_unread();
+                members.count_malformed_rates();
             }
             self.pipeline.quota.heard(&fact, now);
         }
--- a/crates/leverproxy/src/proxy/fleet.rs
+++ b/crates/leverproxy/src/proxy/fleet.rs
@@ -15,7 +15,7 @@
         let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) else {
             return;
         };
-        let requests = rollout.look(members, &self.pipeline.counters, now);
+        let requests = rollout.observe(members, &self.pipeline.counters, now);
         self.io
             .timers
             .set(now + rollout.period(), TimerKind::Rollout);
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -27,7 +27,7 @@
             .downstream
             .set_new_process_accepts(accepts, &self.io.reactor);
         if let Some(rollout) = &mut self.rollout {
-            rollout.hand_over(true);
+            rollout.set_handed_over(true);
         }
         self.share_limits();
     }
@@ -40,7 +40,7 @@
         log::info!("takeover: the other process is gone");
         downstream.set_new_process_accepts(hot_restart.heir_accepts(), reactor);
         if let Some(rollout) = &mut self.rollout {
-            rollout.hand_over(hot_restart.has_heir());
+            rollout.set_handed_over(hot_restart.has_heir());
         }
         if downstream.listener().is_some() {
             hot_restart.listen_again(reactor);
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -11,14 +11,14 @@
         self.add_request_metrics(&mut figures);
         self.add_process_metrics(&mut figures, now);
         if let Some(members) = &self.members {
-            members.figures(now, &mut figures);
+            members.write_metrics(now, &mut figures);
         }
         if let Some(lending) = &self.pipeline.quota.lending {
             lending.figures(now, &mut figures);
         }
         self.pipeline.monitor.site_figures(now, &mut figures);
         if let Some(rollout) = &self.rollout {
-            rollout.figures(&mut figures);
+            rollout.write_metrics(&mut figures);
         }
         if let Some(saved_state) = &self.saved_state {
             saved_state.figures(&mut figures);
--- a/crates/leverproxy/src/proxy/persistence.rs
+++ b/crates/leverproxy/src/proxy/persistence.rs
@@ -11,7 +11,7 @@
             return;
         };
         let members = self.members.as_ref();
-        let incarnation = members.map_or(self.incarnation, Members::start);
+        let incarnation = members.map_or(self.incarnation, Members::incarnation);
         let pipeline = &self.pipeline;
         let listing = || pipeline.handover_state().0;
         let list = pipeline
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -90,7 +90,7 @@
     /// Settings that differ and count only from the next start.
     fn list_deferred_settings(&self, config: &Config) -> Vec<&'static str> {
         let (new, running) = (RestartSettings::new(config), &self.restart_settings);
-        let rollout = self.rollout.as_ref().map(Rollout::stated);
+        let rollout = self.rollout.as_ref().map(Rollout::settings);
         let saved_state = self.saved_state.as_ref().map(Memory::stated);
         [
             ("listen", new.listen != running.listen),
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -186,7 +186,7 @@
             let operators = config.operators.as_deref();
             let started = (self.incarnation, new_process);
             let waker = self.commands.waker()?;
-            let rollout = Rollout::begin(settings, name, operators, started, waker, now);
+            let rollout = Rollout::new(settings, name, operators, started, waker, now);
             self.rollout = Some(rollout);
             self.io.timers.set(now, TimerKind::Rollout);
         }
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -62,78 +62,78 @@
         let line = M as usize;
         rows!(table, "datagram-auth: `KeyError`", datagram_auth::KeyError, [
             NoKey => E::NoKey,
-            TooMany => E::TooMany { line },
-            Length => E::Length { line, found: N as usize },
+            TooManyKeys => E::TooManyKeys { line },
+            WrongLength => E::WrongLength { line, found: N as usize },
             NotHex => E::NotHex { line },
-            Twice => E::Twice { line },
+            DuplicateKey => E::DuplicateKey { line },
         ]);
     }
     {
-        use datagram_auth::Refused as E;
-        rows!(table, "datagram-auth: `Refused`", datagram_auth::Refused, [
+        use datagram_auth::OpenError as E;
+        rows!(table, "datagram-auth: `OpenError`", datagram_auth::OpenError, [
             TooLong => E::TooLong(N as usize),
-            NotOurs => E::NotOurs(ID),
-            Newer => E::Newer { least: SMALL },
+            WrongMagic => E::WrongMagic(ID),
+            UnsupportedVersion => E::UnsupportedVersion { min_version: SMALL },
             UnknownKey => E::UnknownKey(ID),
-            BadMac => E::BadMac,
+            InvalidMac => E::InvalidMac,
             Malformed => E::Malformed,
             OwnName => E::OwnName,
             UnknownSender => E::UnknownSender(text("NAME")),
-            Stale => E::Stale { start: N.into(), known: M.into() },
+            StaleIncarnation => E::StaleIncarnation { incarnation: N.into(), known: M.into() },
             Replayed => E::Replayed,
         ]);
     }
     {
         use datagram_auth::SealError as E;
         rows!(table, "datagram-auth: `SealError`", datagram_auth::SealError, [
-            Name => E::Name(N as usize),
-            LongPayload => E::LongPayload(N as usize),
-            Spent => E::Spent,
+            InvalidName => E::InvalidName(N as usize),
+            PayloadTooLong => E::PayloadTooLong(N as usize),
+            SequenceExhausted => E::SequenceExhausted,
             Encoding => E::Encoding(postcard::Error::SerializeBufferFull),
         ]);
     }
     {
         use membership::RosterError as E;
         rows!(table, "membership: `RosterError`", membership::RosterError, [
-            WithoutMe => E::WithoutMe(text("NAME")),
-            Twice => E::Twice(text("NAME")),
-            SameNumber => E::SameNumber(text("NAME"), text("OTHER")),
+            MissingSelf => E::MissingSelf(text("NAME")),
+            DuplicateName => E::DuplicateName(text("NAME")),
+            IdCollision => E::IdCollision(text("NAME"), text("OTHER")),
         ]);
     }
     {
-        use membership::TellError as E;
-        rows!(table, "membership: `TellError`", membership::TellError, [
-            Key => E::Key(N as usize),
-            Body => E::Body(N as usize),
-            Lasts => E::Lasts(Duration::from_secs(N.into()), Duration::from_secs(M.into())),
-            Full => E::Full,
+        use membership::PublishError as E;
+        rows!(table, "membership: `PublishError`", membership::PublishError, [
+            KeyTooLong => E::KeyTooLong(N as usize),
+            BodyTooLong => E::BodyTooLong(N as usize),
+            TtlTooLong => E::TtlTooLong(Duration::from_secs(N.into()), Duration::from_secs(M.into())),
+            CapacityExceeded => E::CapacityExceeded,
         ]);
     }
     {
-        use membership::Denied as E;
-        let few = |region| E::TooFew {
-            state: membership::State::Minority,
-            heard: N as usize,
-            of: M as usize,
+        use membership::OperationDenied as E;
+        let few = |region| E::NoQuorum {
+            state: membership::QuorumState::Minority,
+            alive: N as usize,
+            total: M as usize,
             region,
         };
-        rows!(table, "membership: `Denied`", membership::Denied, [
-            TooFew => few(Some(text("REGION"))),
-            Doubting => E::Doubting,
+        rows!(table, "membership: `OperationDenied`", membership::OperationDenied, [
+            NoQuorum => few(Some(text("REGION"))),
+            SelfSuspected => E::SelfSuspected,
             RosterDiffers => E::RosterDiffers(N as usize),
             UnknownRegion => E::UnknownRegion(text("REGION")),
             Left => E::Left,
         ]);
     }
     {
-        use rollout::Refused as E;
-        rows!(table, "rollout: `Refused`", rollout::Refused, [
-            UnderWay => E::UnderWay(N.into()),
-            Halted => E::Halted(N.into()),
-            Runs => E::Runs,
-            Nothing => E::Nothing,
-            Order => E::Order(vec![text("REGION")]),
-            Long => E::Long(N as usize),
+        use rollout::CommandRejected as E;
+        rows!(table, "rollout: `CommandRejected`", rollout::CommandRejected, [
+            InProgress => E::InProgress(N.into()),
+            HaltedBefore => E::HaltedBefore(N.into()),
+            AlreadyRunning => E::AlreadyRunning,
+            NoRollout => E::NoRollout,
+            InvalidOrder => E::InvalidOrder(vec![text("REGION")]),
+            OrderTooLong => E::OrderTooLong(N as usize),
         ]);
     }
     {
@@ -176,23 +176,23 @@
         ]);
     }
     {
-        use leverproxy::cluster::members::Fault as E;
-        rows!(table, "leverproxy: `members::Fault`", leverproxy::cluster::members::Fault, [
-            Roster => E::Roster(membership::RosterError::WithoutMe(text("NAME"))),
+        use leverproxy::cluster::members::MembersError as E;
+        rows!(table, "leverproxy: `MembersError`", leverproxy::cluster::members::MembersError, [
+            Roster => E::Roster(membership::RosterError::MissingSelf(text("NAME"))),
             NoKeys => E::NoKeys,
         ]);
     }
     {
-        use leverproxy::cluster::rollout::Fault as E;
+        use leverproxy::cluster::rollout::RolloutError as E;
         let path = || "PATH".into();
-        rows!(table, "leverproxy: `rollout::Fault`", leverproxy::cluster::rollout::Fault, [
-            Unread => E::Unread(path(), text("CAUSE")),
-            Large => E::Large(path()),
-            NoVersion => E::NoVersion(text("TEXT"), Box::new(E::Unread(path(), text("CAUSE")))),
-            Missing => E::Missing(path(), text("HASH")),
-            Forgotten => E::Forgotten(path(), cause()),
-            NoState => E::NoState(path()),
-            Unkept => E::Unkept(path(), cause()),
+        rows!(table, "leverproxy: `RolloutError`", leverproxy::cluster::rollout::RolloutError, [
+            Unreadable => E::Unreadable(path(), text("CAUSE")),
+            TooLarge => E::TooLarge(path()),
+            NotAVersion => E::NotAVersion(text("TEXT"), Box::new(E::Unreadable(path(), text("CAUSE")))),
+            VersionMissing => E::VersionMissing(path(), text("HASH")),
+            StateUnreadable => E::StateUnreadable(path(), cause()),
+            StateMalformed => E::StateMalformed(path()),
+            PersistFailed => E::PersistFailed(path(), cause()),
         ]);
     }
     {
--- a/crates/testbed/src/ghost.rs
+++ b/crates/testbed/src/ghost.rs
@@ -4,8 +4,8 @@
 use crate::members::KEY_FILE;
 use crate::process::{lock, Fault, PATIENCE};
 use crate::Rig;
-use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
-use membership::{Action, Config, Core, Event, Fact, Member, Roster, State};
+use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
+use membership::{Action, Config, Core, Event, Fact, Member, QuorumState, Roster};
 use std::net::UdpSocket;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -192,17 +192,17 @@
 impl Life {
     fn live(mut self, wanted: &Receiver<Saying>) {
         self.handle(Event::Start);
-        let mut bytes = [0; DATAGRAM_LIMIT + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             loop {
                 use std::sync::mpsc::TryRecvError::{Disconnected, Empty};
                 match wanted.try_recv() {
                     Ok(Saying { kind, body, lasts }) => {
-                        self.handle(Event::Tell {
+                        self.handle(Event::Publish {
                             kind,
                             key: Vec::new(),
                             body,
-                            lasts,
+                            ttl: lasts,
                         });
                     }
                     Err(Empty) => break,
@@ -211,11 +211,11 @@
             }
             if let Ok((length, _)) = self.socket.recv_from(&mut bytes) {
                 if let Ok(opened) = self.opener.open(&bytes[..length]) {
-                    let (from, start) = (opened.from.to_owned(), opened.start);
+                    let (from, start) = (opened.from.to_owned(), opened.incarnation);
                     let payload = opened.payload.to_vec();
-                    self.handle(Event::Heard {
+                    self.handle(Event::Datagram {
                         from: &from,
-                        start,
+                        incarnation: start,
                         bytes: &payload,
                     });
                 }
@@ -240,7 +240,7 @@
                     let mut out = Vec::new();
                     if self
                         .sealer
-                        .seal(MEMBERSHIP, self.version, &bytes, &mut out)
+                        .seal(MEMBERSHIP_KIND, self.version, &bytes, &mut out)
                         .is_ok()
                     {
                         // What can't be sent is lost, as on any wire.
@@ -248,15 +248,19 @@
                     }
                 }
                 Action::Timer { after, token } => self.due = Some((now + after, token)),
-                Action::Renewed(start) => self.sealer.renew(start),
-                Action::State(state) => self.tell(|known| known.whole = state == State::Whole),
-                Action::Fact(fact) => self.tell(|known| {
+                Action::IncarnationRenewed(start) => self.sealer.set_incarnation(start),
+                Action::QuorumStateChanged(state) => {
+                    self.tell(|known| known.whole = state == QuorumState::Complete)
+                }
+                Action::FactReceived(fact) => self.tell(|known| {
                     known.facts.retain(|f| {
                         (&f.source, f.kind, &f.key) != (&fact.source, fact.kind, &fact.key)
                     });
                     known.facts.push(fact);
                 }),
-                Action::Changed(..) | Action::Untold(_) | Action::BadRoster(_) => {}
+                Action::MemberChanged(..)
+                | Action::PublishRejected(_)
+                | Action::RosterRejected(_) => {}
             }
         }
     }
