--- a/crates/leverproxy/src/cluster/rollout/metrics.rs
+++ b/crates/leverproxy/src/cluster/rollout/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::phase_names::phase_name;
 use super::Rollout;
-use ::rollout::{Phase, Readiness};
+use ::rollout::{Phase, Readiness, Status};
 use wire_admin::Figures;
 
 impl Rollout {
@@ -15,6 +15,10 @@
         let is = phase_name(status.phase);
         let phase = phases.map(|name| (vec![("phase", name)], u64::from(name == is)));
         figures.many("lb_rollout_phase", "How far the rollout has come.", phase);
+        self.write_totals(&status, figures);
+    }
+
+    fn write_totals(&self, status: &Status, figures: &mut Figures) {
         let new = status
             .proposal
             .as_ref()
@@ -27,11 +31,11 @@
             .members
             .iter()
             .find(|(name, _)| *name == self.name)
-            .map(|(_, word)| &word.readiness);
+            .map(|(_, vote)| &vote.readiness);
         let unable = status
             .members
             .iter()
-            .filter(|(_, w)| matches!(w.readiness, Readiness::Unable(_)))
+            .filter(|(_, vote)| matches!(vote.readiness, Readiness::Unable(_)))
             .count();
         for (name, help, value) in [
             (
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the pull schedule.
+
 use super::*;
 use rand_10::rngs::StdRng;
 use rand_10::SeedableRng;
@@ -6,75 +8,93 @@
     Duration::from_millis(ms)
 }
 
-/// Asks each beat for four seconds, of a fleet in which `answers` says what comes of an ask.
+/// Requests of forty heartbeats (four seconds) after a digest of `claims` sources and `back` rejoins; `answers` simulates replies.
 fn play(
     claims: u32,
     back: usize,
     mut answers: impl FnMut(&mut AntiEntropy, u32, u32),
 ) -> Vec<usize> {
-    let (mut pull, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
-    (0..back).for_each(|_| pull.member_rejoined(1000));
-    pull.receive_digest(1, (0..claims).map(|source| (source, 7)).collect(), &mut rng);
-    let beat = |beat: u64| {
-        let asks = pull.next_requests(ms(100 * beat), |_| None, &mut rng);
+    let (mut anti_entropy, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
+    (0..back).for_each(|_| anti_entropy.member_rejoined(1000));
+    anti_entropy.receive_digest(1, (0..claims).map(|source| (source, 7)).collect(), &mut rng);
+    let heartbeat = |number: u64| {
+        let requests = anti_entropy.next_requests(ms(100 * number), |_| None, &mut rng);
         assert!(
-            pull.pending
+            anti_entropy
+                .pending
                 .values()
-                .filter(|want| want.requested_at.is_some())
+                .filter(|pending| pending.requested_at.is_some())
                 .count()
                 <= MAX_PULLS_IN_FLIGHT
         );
-        asks.iter()
-            .for_each(|(to, source)| answers(&mut pull, *to, *source));
-        asks.len()
+        requests
+            .iter()
+            .for_each(|(to, source)| answers(&mut anti_entropy, *to, *source));
+        requests.len()
     };
-    (0..40).map(beat).collect()
+    (0..40).map(heartbeat).collect()
 }
 
 #[test]
 fn requests_are_rate_limited_and_end_without_a_reply() {
-    // In the calm four of a hundred; a peer that stops, or never held what it claimed, is asked three times.
-    let calm = play(100, 0, |_, _, _| {});
-    assert_eq!((calm[0], calm.iter().sum::<usize>()), (4, 12));
-    let haste = play(100, 24, |_, _, _| {});
+    // Without rejoins four of a hundred are pulled; a source whose sender does not reply is requested three times.
+    let without_rejoins = play(100, 0, |_, _, _| {});
+    assert_eq!(
+        (without_rejoins[0], without_rejoins.iter().sum::<usize>()),
+        (4, 12)
+    );
+    let after_rejoins = play(100, 24, |_, _, _| {});
     assert!(
-        haste[0] == PULLS_PER_HEARTBEAT && haste.iter().sum::<usize>() == 300,
-        "{haste:?}"
+        after_rejoins[0] == PULLS_PER_HEARTBEAT && after_rejoins.iter().sum::<usize>() == 300,
+        "{after_rejoins:?}"
     );
-    // What comes ends the want, unless it filled the answer.
-    let answered = play(100, 24, |pull, to, source| {
-        pull.record_received(to, source, 500)
+    // A reply ends the pull, unless it filled its datagrams.
+    let answered = play(100, 24, |anti_entropy, to, source| {
+        anti_entropy.record_received(to, source, 500)
     });
     assert_eq!(answered.iter().sum::<usize>(), 100);
     let mut left = 3;
-    let long = play(1, 0, |pull, to, source| {
+    let long = play(1, 0, |anti_entropy, to, source| {
         left -= 1;
-        pull.record_received(to, source, if left > 0 { 4000 } else { 100 });
+        anti_entropy.record_received(to, source, if left > 0 { 4000 } else { 100 });
     });
     assert_eq!(long.iter().sum::<usize>(), 3);
-    // What another sends is no answer.
+    // Facts that another member sends are no reply.
     assert_eq!(
-        play(1, 0, |pull, _, source| pull.record_received(9, source, 500))
-            .iter()
-            .sum::<usize>(),
+        play(1, 0, |anti_entropy, _, source| anti_entropy
+            .record_received(9, source, 500))
+        .iter()
+        .sum::<usize>(),
         3
     );
 }
 
 #[test]
 fn a_silent_member_is_replaced_by_the_next_whose_digest_differs() {
-    let (mut pull, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
-    pull.receive_digest(1, vec![(5, 7)], &mut rng);
-    assert_eq!(pull.next_requests(ms(0), |_| None, &mut rng), [(1, 5)]);
-    pull.receive_digest(2, vec![(5, 7)], &mut rng);
-    assert!(pull.next_requests(ms(300), |_| None, &mut rng).is_empty());
-    assert_eq!(pull.next_requests(ms(400), |_| None, &mut rng), [(1, 5)]);
-    pull.pending.get_mut(&5).unwrap().requested_at = None;
-    pull.receive_digest(2, vec![(5, 8)], &mut rng);
-    assert_eq!(pull.next_requests(ms(500), |_| None, &mut rng), [(2, 5)]);
+    let (mut anti_entropy, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
+    anti_entropy.receive_digest(1, vec![(5, 7)], &mut rng);
+    assert_eq!(
+        anti_entropy.next_requests(ms(0), |_| None, &mut rng),
+        [(1, 5)]
+    );
+    anti_entropy.receive_digest(2, vec![(5, 7)], &mut rng);
+    assert!(anti_entropy
+        .next_requests(ms(300), |_| None, &mut rng)
+        .is_empty());
+    assert_eq!(
+        anti_entropy.next_requests(ms(400), |_| None, &mut rng),
+        [(1, 5)]
+    );
+    anti_entropy.pending.get_mut(&5).unwrap().requested_at = None;
+    anti_entropy.receive_digest(2, vec![(5, 8)], &mut rng);
+    assert_eq!(
+        anti_entropy.next_requests(ms(500), |_| None, &mut rng),
+        [(2, 5)]
+    );
     assert!(
-        pull.next_requests(ms(600), |_| Some(8), &mut rng)
+        anti_entropy
+            .next_requests(ms(600), |_| Some(8), &mut rng)
             .is_empty()
-            && pull.pending.is_empty()
+            && anti_entropy.pending.is_empty()
     );
 }
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -7,7 +7,7 @@
     Duration::from_secs(secs)
 }
 
-fn said(source: u32, start: u64, key: u8, sequence: u64, age_ms: u32) -> WireFact {
+fn wire_fact(source: u32, start: u64, key: u8, sequence: u64, age_ms: u32) -> WireFact {
     WireFact {
         source,
         incarnation: start,
@@ -24,7 +24,7 @@
 fn later_incarnations_and_sequences_win_and_ages_only_grow() {
     let mut store = FactStore::new(1, 10, FactLimits::default());
     assert!(matches!(
-        store.receive(at(100), said(2, 5, 1, 4, 0)),
+        store.receive(at(100), wire_fact(2, 5, 1, 4, 0)),
         ReceiveOutcome::New(_)
     ));
     for (start, sequence, new) in [
@@ -34,15 +34,15 @@
         (4, 9, false),
         (6, 1, true),
     ] {
-        let taken = store.receive(at(100), said(2, start, 1, sequence, 0));
+        let taken = store.receive(at(100), wire_fact(2, start, 1, sequence, 0));
         assert_eq!(
             matches!(taken, ReceiveOutcome::New(_)),
             new,
             "{start} {sequence}"
         );
     }
-    store.receive(at(100), said(2, 6, 1, 1, 9000));
-    store.receive(at(100), said(2, 6, 1, 1, 2000));
+    store.receive(at(100), wire_fact(2, 6, 1, 1, 9000));
+    store.receive(at(100), wire_fact(2, 6, 1, 1, 2000));
     let name = FactId {
         source: 2,
         kind: 1,
@@ -53,10 +53,11 @@
         store.live_fact(at(120), &name, "b").is_some()
             && store.live_fact(at(121), &name, "b").is_none()
     );
-    // It is remembered without its body, so that an older one does not come back; at last it is forgotten.
+    // An expired fact is remembered without its body, so that an older version does not come back; at last it is forgotten.
     store.expire(at(121));
     assert!(
-        store.bytes() < 100 && store.receive(at(122), said(2, 6, 1, 0, 0)) == ReceiveOutcome::Known
+        store.bytes() < 100
+            && store.receive(at(122), wire_fact(2, 6, 1, 0, 0)) == ReceiveOutcome::Known
     );
     store.expire(at(692));
     assert_eq!((store.len(), store.bytes()), (0, 0));
@@ -71,7 +72,7 @@
     };
     let mut store = FactStore::new(1, 10, limits);
     let keys = |store: &mut FactStore, now, keys: std::ops::Range<u8>| {
-        let taken = keys.map(|key| store.receive(now, said(2, 5, key, u64::from(key), 0)));
+        let taken = keys.map(|key| store.receive(now, wire_fact(2, 5, key, u64::from(key), 0)));
         taken
             .filter(|taken| matches!(taken, ReceiveOutcome::New(_)))
             .count()
@@ -79,7 +80,7 @@
     assert_eq!(keys(&mut store, at(100), 0..5), 3);
     assert_eq!(keys(&mut store, at(131), 5..7), 2);
     assert!((0..5).any(
-        |source| store.receive(at(131), said(10 + source, 5, 0, 1, 0))
+        |source| store.receive(at(131), wire_fact(10 + source, 5, 0, 1, 0))
             == ReceiveOutcome::CapacityExceeded
     ));
     assert!(store.bytes() <= 900);
@@ -90,13 +91,13 @@
     let mut store = FactStore::new(1, 10, FactLimits::default());
     let mine = store.publish(at(100), 1, vec![1], vec![8], at(60)).unwrap();
     assert_eq!(
-        store.receive(at(101), said(1, 10, 1, 50, 0)),
+        store.receive(at(101), wire_fact(1, 10, 1, 50, 0)),
         ReceiveOutcome::Forged
     );
     let anew = store.wire_fact(at(101), &mine).unwrap();
     assert_eq!((anew.sequence, anew.body), (51, vec![8]));
     assert_eq!(
-        store.receive(at(101), said(1, 10, 2, 60, 0)),
+        store.receive(at(101), wire_fact(1, 10, 2, 60, 0)),
         ReceiveOutcome::Forged
     );
     let back = store
@@ -111,11 +112,11 @@
         .unwrap();
     assert!(back.sequence > 60 && back.ttl_ms == 0);
     assert_eq!(
-        store.receive(at(101), said(1, 11, 1, 1, 0)),
+        store.receive(at(101), wire_fact(1, 11, 1, 1, 0)),
         ReceiveOutcome::LaterIncarnation(11)
     );
     assert!(matches!(
-        store.receive(at(101), said(1, 9, 3, 70, 0)),
+        store.receive(at(101), wire_fact(1, 9, 3, 70, 0)),
         ReceiveOutcome::New(_)
     ));
 }
@@ -127,26 +128,26 @@
         ..FactLimits::default()
     };
     let mut stores = [FactStore::new(1, 10, limits), FactStore::new(2, 10, limits)];
-    for fact in 0..600_u32 {
-        let said = WireFact {
+    for number in 0..600_u32 {
+        let fact = WireFact {
             body: Vec::new(),
-            key: fact.to_be_bytes().to_vec(),
-            ..said(9, 5, 0, 1, 0)
+            key: number.to_be_bytes().to_vec(),
+            ..wire_fact(9, 5, 0, 1, 0)
         };
-        let source = 10 + fact % 150 * u32::from(fact < 400);
-        stores[fact as usize % 2].receive(at(1), WireFact { source, ..said });
+        let source = 10 + number % 150 * u32::from(number < 400);
+        stores[number as usize % 2].receive(at(1), WireFact { source, ..fact });
     }
-    let mut frames = 0;
+    let mut messages = 0;
     for turn in 0..8 {
         let mut waiting = vec![(1 - turn % 2, stores[turn % 2].next_digest())];
-        while let Some((to, frame)) = waiting.pop() {
-            frames += 1;
-            assert!(postcard::to_stdvec(&frame).unwrap().len() < 1200);
-            let answers = match frame {
+        while let Some((to, message)) = waiting.pop() {
+            messages += 1;
+            assert!(postcard::to_stdvec(&message).unwrap().len() < 1200);
+            let answers = match message {
                 AntiEntropyMessage::Facts(facts) => {
                     facts
                         .into_iter()
-                        .for_each(|said| drop(stores[to].receive(at(1), said)));
+                        .for_each(|fact| drop(stores[to].receive(at(1), fact)));
                     continue;
                 }
                 AntiEntropyMessage::Digest { sources, .. } => {
@@ -163,7 +164,7 @@
                     versions,
                 } => stores[to].reply_to_versions(at(1), answer, source, part, &versions),
             };
-            waiting.extend(answers.into_iter().map(|frame| (1 - to, frame)));
+            waiting.extend(answers.into_iter().map(|message| (1 - to, message)));
         }
     }
     assert!(
@@ -171,5 +172,5 @@
         "{}",
         stores[0].len()
     );
-    assert!(frames < 2000, "{frames}");
+    assert!(messages < 2000, "{messages}");
 }
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -83,9 +83,9 @@
 
 impl QuorumTracker {
     /// Takes the counts of now. A better state counts once it has held for `hold`.
-    pub fn update(&mut self, now: Duration, heads: MemberCounts, hold: Duration) -> QuorumState {
-        let raw = heads.state();
-        self.counts = heads;
+    pub fn update(&mut self, now: Duration, counts: MemberCounts, hold: Duration) -> QuorumState {
+        let raw = counts.state();
+        self.counts = counts;
         self.majority_since =
             (raw >= QuorumState::Degraded).then(|| self.majority_since.unwrap_or(now));
         self.complete_since =
--- a/crates/membership/src/recorded.rs
+++ b/crates/membership/src/recorded.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// What a packet of `foca` says: from whom, to whom, what, and of which members it tells beside.
+/// The content of a packet of `foca`: source, destination, message, and member updates.
 fn packet(
     name: &str,
 ) -> (
@@ -73,7 +73,7 @@
     };
     let all = vec![(n2, Alive), (n3, Alive), (n1, Alive)];
     let others = vec![(n0, Alive), (n2, Alive), (n3, Alive)];
-    // It was called dead, and came back.
+    // It was declared down, and rejoined.
     let back = vec![(ProcessId { rejoins: 1, ..n3 }, Alive)];
     let recorded = [
         ("swim-Ping", (n0, n3, Message::Ping(1), all.clone())),
@@ -134,18 +134,18 @@
         ),
         ("swim-TurnUndead", (n0, n3, Message::TurnUndead, vec![])),
     ];
-    for (name, said) in recorded {
-        assert_eq!(packet(name), said, "{name}");
+    for (name, expected) in recorded {
+        assert_eq!(packet(name), expected, "{name}");
     }
 }
 
-fn frame(name: &str) -> AntiEntropyMessage {
+fn anti_entropy_message(name: &str) -> AntiEntropyMessage {
     let bytes = recorded(name);
     assert_eq!(bytes[0], 2, "{name} is about facts");
     postcard::from_bytes(&bytes[1..]).unwrap()
 }
 
-fn views(name: &str) -> ViewMessage {
+fn view_message(name: &str) -> ViewMessage {
     let bytes = recorded(name);
     assert_eq!(bytes[0], 3, "{name} is about views");
     postcard::from_bytes(&bytes[1..]).unwrap()
@@ -160,16 +160,16 @@
     };
     let sources = vec![(source, 2_076_203_121)];
     assert_eq!(
-        frame("facts-summary"),
+        anti_entropy_message("facts-summary"),
         AntiEntropyMessage::Digest {
             range: part,
             sources
         }
     );
-    // How keys are hashed is of the form too.
+    // How keys are hashed is part of the format.
     let versions = vec![(hash_bytes(1, &[9, 0]), start, 1)];
     assert_eq!(
-        frame("facts-detail"),
+        anti_entropy_message("facts-detail"),
         AntiEntropyMessage::Versions {
             is_reply: false,
             source,
@@ -177,7 +177,7 @@
             versions
         }
     );
-    let said = WireFact {
+    let fact = WireFact {
         source,
         incarnation: start,
         kind: 1,
@@ -187,10 +187,16 @@
         ttl_ms: 60_000,
         body: b"body".to_vec(),
     };
-    assert_eq!(frame("facts-facts"), AntiEntropyMessage::Facts(vec![said]));
-    assert_eq!(views("views-hash"), ViewMessage::hash(&[id(3)].into()));
     assert_eq!(
-        views("views-down"),
+        anti_entropy_message("facts-facts"),
+        AntiEntropyMessage::Facts(vec![fact])
+    );
+    assert_eq!(
+        view_message("views-hash"),
+        ViewMessage::hash(&[id(3)].into())
+    );
+    assert_eq!(
+        view_message("views-down"),
         ViewMessage::Down {
             is_reply: false,
             ids: vec![id(3)]
@@ -211,7 +217,7 @@
     Core::new(Config::new("n3", START + 3, roster), 1).unwrap()
 }
 
-/// Whole datagrams, as they come in: who sent them is heard, and what it says is held.
+/// Whole datagrams: their sender becomes alive, and its fact is stored.
 #[test]
 fn a_core_accepts_datagrams_of_the_first_version() {
     let (mut core, mut actions) = (core(), Vec::new());
@@ -256,8 +262,8 @@
     );
 }
 
-/// A kind of datagram, of frame or of view that this build does not know, and a known one with nothing behind its kind: each
-/// is counted, none is answered, and nobody is heard by it.
+/// Kinds of datagrams and messages that this build does not know, and known ones without content: each is counted, none is
+/// answered, and no member becomes alive by it.
 #[test]
 fn datagrams_of_a_later_version_are_counted_and_dropped() {
     let (mut core, mut actions) = (core(), Vec::new());
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -283,10 +283,10 @@
         // `foca` may change its identity by this packet, so both are read before.
         let summary = self.summarize(&header, unknown_members);
         let answer_ping = self.is_ping_to_earlier_identity(&header);
-        let header_bytes = &bytes[..bytes.len() - rest.len()];
         let done = match filtered {
             None => self.foca.handle_data(bytes, &mut self.runtime),
             Some(updates) => {
+                let header_bytes = &bytes[..bytes.len() - rest.len()];
                 let packet = [header_bytes, &updates].concat();
                 self.foca.handle_data(&packet, &mut self.runtime)
             }
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: loss, delay, one-way cuts, pauses, kills, all from a seed.
+//! A simulated fleet in virtual time: loss, delay, one-way partitions, pauses and crashes, all from a seed.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -13,14 +13,14 @@
     Duration::from_millis(ms)
 }
 
-enum What {
+enum Delivery {
     Datagram {
         from: usize,
         start: u64,
         bytes: Vec<u8>,
     },
     Timer {
-        life: u64,
+        process_number: u64,
         token: u64,
     },
 }
@@ -28,9 +28,9 @@
 pub struct Process {
     pub core: Core,
     pub start: u64,
-    /// Timers of an earlier process of the name are nobody's.
-    life: u64,
-    /// Its own clock: the fleet's time less this.
+    /// Counts processes: timers of an earlier process of the name are dropped.
+    process_number: u64,
+    /// Origin of its own clock in the fleet's time.
     pub since: Duration,
     pub facts: Vec<Fact>,
 }
@@ -38,27 +38,27 @@
 pub struct Fleet {
     pub now: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64, usize, usize)>>,
-    slots: Vec<Option<What>>,
+    slots: Vec<Option<Delivery>>,
     free: Vec<usize>,
     count: u64,
     rng: StdRng,
     pub loss: f64,
     pub delay: (u64, u64),
-    /// From whom to whom nothing comes.
+    /// Pairs of sender and receiver whose datagrams are lost.
     pub cut: BTreeSet<(usize, usize)>,
     pub paused: Vec<Duration>,
     pub processes: Vec<Option<Process>>,
     pub roster: Roster,
     pub sent_bytes: u64,
     pub sent: u64,
-    /// Taken by cores.
+    /// Events handled by all cores.
     pub events: u64,
-    /// When, at whom, about whom.
+    /// When, at which member, about which member.
     pub changes: Vec<(Duration, usize, usize, Status)>,
     pub set: fn(&mut Config),
-    /// The clock by which processes start.
+    /// The clock that gives incarnations.
     pub starts: u64,
-    lives: u64,
+    process_count: u64,
 }
 
 pub fn roster(size: usize) -> Roster {
@@ -102,7 +102,7 @@
             changes: Vec::new(),
             set,
             starts: 1000,
-            lives: 0,
+            process_count: 0,
         };
         (0..size).for_each(|who| fleet.start(who));
         fleet
@@ -110,25 +110,25 @@
 
     pub fn start(&mut self, who: usize) {
         self.starts += 1;
-        self.lives += 1;
+        self.process_count += 1;
         let mut config = Config::new(&format!("p{who}"), self.starts, self.roster.clone());
         (self.set)(&mut config);
         let core = Core::new(config, self.rng.random()).unwrap();
-        let (start, life, since) = (self.starts, self.lives, self.now);
+        let (start, process_number, since) = (self.starts, self.process_count, self.now);
         self.processes[who] = Some(Process {
             core,
             start,
-            life,
+            process_number,
             since,
             facts: Vec::new(),
         });
         self.tell(who, Event::Start);
     }
 
-    /// By a clock that was set back, further each time.
+    /// Starts with a clock that was set back, further each time.
     pub fn start_behind(&mut self, who: usize) {
         let starts = self.starts;
-        self.starts = 900 - self.lives;
+        self.starts = 900 - self.process_count;
         self.start(who);
         self.starts = starts;
     }
@@ -142,20 +142,20 @@
         (&process.core, self.now - process.since)
     }
 
-    /// Cuts both ways between groups.
+    /// Partitions the fleet into groups.
     pub fn split(&mut self, group: impl Fn(usize) -> usize) {
         let size = self.processes.len();
         let pairs = (0..size).flat_map(|a| (0..size).map(move |b| (a, b)));
         self.cut = pairs.filter(|(a, b)| group(*a) != group(*b)).collect();
     }
 
-    fn push(&mut self, at: Duration, who: usize, what: What) {
+    fn push(&mut self, at: Duration, who: usize, delivery: Delivery) {
         self.count += 1;
         let slot = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
-        self.slots[slot] = Some(what);
+        self.slots[slot] = Some(delivery);
         self.queue.push(Reverse((at, self.count, who, slot)));
     }
 
@@ -168,7 +168,7 @@
         process
             .core
             .handle(self.now - process.since, event, &mut actions);
-        let life = process.life;
+        let process_number = process.process_number;
         let mut start = process.start;
         for action in actions {
             match action {
@@ -184,7 +184,7 @@
                     self.push(
                         self.now + after,
                         to,
-                        What::Datagram {
+                        Delivery::Datagram {
                             from: who,
                             start,
                             bytes,
@@ -192,7 +192,14 @@
                     );
                 }
                 Action::Timer { after, token } => {
-                    self.push(self.now + after, who, What::Timer { life, token });
+                    self.push(
+                        self.now + after,
+                        who,
+                        Delivery::Timer {
+                            process_number,
+                            token,
+                        },
+                    );
                 }
                 Action::MemberChanged(name, status) => {
                     self.changes.push((self.now, who, at(&name), status))
@@ -216,7 +223,7 @@
         self.run_with(until, |_| {});
     }
 
-    /// Runs, and looks after each moment at which something happened.
+    /// Runs, and calls `look` after each moment at which something happened.
     pub fn run_with(&mut self, until: Duration, mut look: impl FnMut(&Self)) {
         while let Some(Reverse((at, count, who, slot))) = self.queue.peek().copied() {
             if at > until {
@@ -233,12 +240,15 @@
                 continue;
             }
             self.free.push(slot);
-            let what = self.slots[slot].take().unwrap();
-            let Some(life) = self.processes[who].as_ref().map(|process| process.life) else {
+            let delivery = self.slots[slot].take().unwrap();
+            let Some(process_number) = self.processes[who]
+                .as_ref()
+                .map(|process| process.process_number)
+            else {
                 continue;
             };
-            match what {
-                What::Datagram { from, start, bytes } => {
+            match delivery {
+                Delivery::Datagram { from, start, bytes } => {
                     self.tell(
                         who,
                         Event::Datagram {
@@ -248,10 +258,11 @@
                         },
                     );
                 }
-                What::Timer { life: of, token } if of == life => {
-                    self.tell(who, Event::Timer(token))
-                }
-                What::Timer { .. } => {}
+                Delivery::Timer {
+                    process_number: of,
+                    token,
+                } if of == process_number => self.tell(who, Event::Timer(token)),
+                Delivery::Timer { .. } => {}
             }
         }
         self.now = until;
--- a/crates/rollout/src/core/proposing.rs
+++ b/crates/rollout/src/core/proposing.rs
@@ -35,31 +35,11 @@
         canary_size: u16,
         resume: bool,
     ) -> Result<(), CommandRejected> {
-        if self.machine.is_in_progress() {
-            return Err(CommandRejected::InProgress(self.machine.epoch()));
-        }
-        if hash == self.running_version {
-            return Err(CommandRejected::AlreadyRunning);
-        }
-        let halted = self.machine.halts().iter().find(|h| h.hash == hash);
-        if let Some(halted) = halted.filter(|_| !resume) {
-            return Err(CommandRejected::HaltedBefore(halted.epoch));
-        }
-        let regions: BTreeSet<&String> = self.observation.peers.iter().map(|p| &p.region).collect();
-        if order.len() > MAX_REGIONS
-            || regions.len() != order.len()
-            || !order.iter().all(|r| regions.contains(r))
-        {
+        self.check_proposable(hash, resume)?;
+        if !self.names_each_region_once(&order) {
             return Err(CommandRejected::InvalidOrder(order));
         }
-        let epoch = self.machine.epoch().max(
-            self.votes
-                .values()
-                .map(|received| received.vote.epoch)
-                .max()
-                .unwrap_or(0),
-        );
-        let epoch = epoch.saturating_add(1);
+        let epoch = self.next_epoch();
         let proposal = Proposal {
             epoch,
             hash,
@@ -74,4 +54,33 @@
         self.machine.adopt(&proposal);
         Ok(())
     }
+
+    fn check_proposable(&self, hash: VersionHash, resume: bool) -> Result<(), CommandRejected> {
+        if self.machine.is_in_progress() {
+            return Err(CommandRejected::InProgress(self.machine.epoch()));
+        }
+        if hash == self.running_version {
+            return Err(CommandRejected::AlreadyRunning);
+        }
+        let halted = self.machine.halts().iter().find(|h| h.hash == hash);
+        match halted {
+            Some(halted) if !resume => Err(CommandRejected::HaltedBefore(halted.epoch)),
+            _ => Ok(()),
+        }
+    }
+
+    fn names_each_region_once(&self, order: &[String]) -> bool {
+        let peers = &self.observation.peers;
+        let regions: BTreeSet<&String> = peers.iter().map(|peer| &peer.region).collect();
+        order.len() <= MAX_REGIONS
+            && order.len() == regions.len()
+            && order.iter().all(|region| regions.contains(region))
+    }
+
+    /// Greater than all epochs that this process knows, halted ones and those of votes included.
+    fn next_epoch(&self) -> u64 {
+        let voted = self.votes.values().map(|received| received.vote.epoch);
+        let greatest = self.machine.epoch().max(voted.max().unwrap_or(0));
+        greatest.saturating_add(1)
+    }
 }
--- a/crates/rollout/src/machine/votes.rs
+++ b/crates/rollout/src/machine/votes.rs
@@ -114,48 +114,51 @@
         })
     }
 
+    /// Whether a majority of each region that the stage needs has voted for it; for the canary also of the whole roster.
     pub(super) fn has_quorum(
         &self,
         current: &CurrentRollout,
         stage: usize,
         input: &StepInput<'_>,
     ) -> bool {
-        let p = &current.proposal;
-        let regions = quorum_regions(p, stage);
-        if guard!(self, Permission)
-            && !regions
-                .last()
-                .is_some_and(|r| input.promotable_regions.contains(*r))
-        {
+        let regions = quorum_regions(&current.proposal, stage);
+        let promotable = regions
+            .last()
+            .is_some_and(|region| input.promotable_regions.contains(*region));
+        if guard!(self, Permission) && !promotable {
             return false;
         }
-        let votes = |peer: &&Peer| {
-            let votes = if peer.name == self.name {
-                current.votes
-            } else {
-                input
-                    .votes
-                    .get(&peer.name)
-                    .filter(|vote| vote.is_for(p))
-                    .map_or(0, |vote| vote.votes)
-            };
-            usize::from(votes) >= stage
-        };
-        let roster = guard!(self, Roster);
-        let enough = |of: &dyn Fn(&&Peer) -> bool| {
-            let of = || {
+        let counts_all = guard!(self, Roster);
+        let has_majority = |is_counted: &dyn Fn(&Peer) -> bool| {
+            let counted = || {
                 input
                     .peers
                     .iter()
-                    .filter(of)
-                    .filter(|p| roster || p.reachable)
+                    .filter(|peer| is_counted(peer) && (counts_all || peer.reachable))
             };
-            of().filter(votes).count() * 2 > of().count() || !guard!(self, Quorum)
+            let votes = counted()
+                .filter(|peer| self.votes_of(peer, current, input) >= stage)
+                .count();
+            votes * 2 > counted().count() || !guard!(self, Quorum)
         };
         regions
             .iter()
-            .all(|region| enough(&|p| p.region == **region))
-            && (stage > 1 || enough(&|_| true))
+            .all(|region| has_majority(&|peer| peer.region == **region))
+            && (stage > 1 || has_majority(&|_| true))
+    }
+
+    /// The number of stages that a member votes for.
+    fn votes_of(&self, peer: &Peer, current: &CurrentRollout, input: &StepInput<'_>) -> usize {
+        let votes = if peer.name == self.name {
+            current.votes
+        } else {
+            input
+                .votes
+                .get(&peer.name)
+                .filter(|vote| vote.is_for(&current.proposal))
+                .map_or(0, |vote| vote.votes)
+        };
+        usize::from(votes)
     }
 
     /// Advances as far as there are quorums.
--- a/crates/rollout/src/model.rs
+++ b/crates/rollout/src/model.rs
@@ -21,9 +21,9 @@
 /// Ticks for which a vote is valid.
 const LASTS: u8 = 2;
 
-/// What one member knows of another, and how old that is.
+/// What one member received of another, and how old that is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Heard {
+struct Received {
     vote: Option<ReceivedVote>,
     proposal: Option<Proposal>,
     halts: Vec<HaltRecord>,
@@ -38,7 +38,7 @@
     starts: [u8; ALL],
     /// How often the first member to run the version may crash of it before anyone hears that it ran it.
     kills: u8,
-    heard: [[Option<Heard>; ALL]; ALL],
+    received: [[Option<Received>; ALL]; ALL],
     clean: [bool; ALL],
     clock: u8,
     /// The member that is cut off, and whether it was so at the last tick.
@@ -128,23 +128,23 @@
 
     fn go(&mut self, at: usize) {
         let (peers, promote) = (self.peers(at), self.promote(at));
-        let heard = || {
-            self.heard[at]
+        let received = || {
+            self.received[at]
                 .iter()
                 .enumerate()
                 .filter_map(|(from, h)| Some((from, h.as_ref()?)))
         };
-        let votes: BTreeMap<String, ReceivedVote> = heard()
+        let votes: BTreeMap<String, ReceivedVote> = received()
             .filter_map(|(from, h)| Some((NAMES[from].to_owned(), h.vote.clone()?)))
             .collect();
-        let proposals: Vec<Proposal> = heard().filter_map(|(_, h)| h.proposal.clone()).collect();
-        let halts: Vec<HaltRecord> = heard().flat_map(|(_, h)| h.halts.clone()).collect();
+        let proposals: Vec<Proposal> = received().filter_map(|(_, h)| h.proposal.clone()).collect();
+        let halts: Vec<HaltRecord> = received().flat_map(|(_, h)| h.halts.clone()).collect();
         let now = Duration::from_secs(u64::from(self.clock));
         let (machine, monitor) = (&mut self.machines[at], &mut self.monitors[at]);
         let current = machine.current().filter(|_| machine.is_in_progress());
-        let sign =
+        let monitored =
             current.map(|c| monitor.observe(now, &c.proposal, &peers, &votes, &BTreeMap::new()));
-        let verdict = match sign {
+        let verdict = match monitored {
             Some(MonitorVerdict::Harm(why)) => Verdict::Harm(why),
             Some(MonitorVerdict::Waiting) => Verdict::MembersMissing,
             _ if self.clean[at] => Verdict::Clean,
@@ -153,22 +153,22 @@
         if self.regions == ONE_REGION && current.is_some_and(|c| c.quorums_seen > 0) {
             self.saw[at].insert(self.starts[0]);
         }
-        let said = votes
+        let plain_votes = votes
             .iter()
             .map(|(name, received)| (name.clone(), received.vote.clone()))
             .collect();
         let before = machine
             .current()
             .map(|c| (c.proposal.epoch, c.quorums_seen));
-        let sight = StepInput {
+        let input = StepInput {
             peers: &peers,
             promotable_regions: &promote,
-            votes: &said,
+            votes: &plain_votes,
             proposals: &proposals,
             halts: &halts,
             verdict,
         };
-        machine.step(now, &sight);
+        machine.step(now, &input);
         if let Some(current) = machine.current().filter(|_| machine.is_in_progress()) {
             monitor.add_members(&current.proposal, current.quorums_seen, &peers, &votes);
         }
@@ -235,13 +235,13 @@
         }
     }
 
-    /// From what was kept.
+    /// Restarts from what was persisted.
     fn start_again(&mut self, at: usize) {
         let without = self.machines[at].without;
         let stored = self.machines[at].persisted_state();
         (self.machines[at], self.monitors[at]) = begin(at, without);
         self.machines[at].restore(stored);
-        self.heard[at] = Default::default();
+        self.received[at] = Default::default();
         self.saw[at].clear();
     }
 
@@ -272,7 +272,7 @@
             monitors: [0, 1, 2].map(|at| begin(at, self.without).1),
             starts: [1; ALL],
             kills: self.kills,
-            heard: Default::default(),
+            received: Default::default(),
             clean: [false; ALL],
             clock: 0,
             cut: None,
@@ -351,7 +351,7 @@
             Step::Hear(from, to) => {
                 let peers = world.peers(from);
                 let machine = &world.machines[from];
-                world.heard[to][from] = Some(Heard {
+                world.received[to][from] = Some(Received {
                     vote: machine.vote(&peers).map(|vote| ReceivedVote {
                         incarnation: world.starts[from].into(),
                         vote,
@@ -389,11 +389,11 @@
             Step::Tick => {
                 world.clock += 1;
                 world.permits = world.cut;
-                for heard in world.heard.iter_mut().flatten() {
-                    if let Some(h) = heard {
+                for received in world.received.iter_mut().flatten() {
+                    if let Some(h) = received {
                         h.age += 1;
                         if h.age > LASTS {
-                            *heard = None;
+                            *received = None;
                         }
                     }
                 }
--- a/crates/rollout/src/recorded.rs
+++ b/crates/rollout/src/recorded.rs
@@ -68,7 +68,7 @@
         ("word", Readiness::Ready),
         ("word-cannot", Readiness::Unable("no file".into())),
     ] {
-        let word = Vote {
+        let vote = Vote {
             epoch: 300,
             hash: hash(),
             proposer: "n2".into(),
@@ -77,7 +77,7 @@
             runs_new: true,
             readiness: ready,
         };
-        assert_eq!(messages::decode(&recorded(name)), Some(word), "{name}");
+        assert_eq!(messages::decode(&recorded(name)), Some(vote), "{name}");
     }
     assert_eq!(messages::decode(&recorded("halts")), Some(halts()));
     let counts = TrafficCounts {
@@ -108,7 +108,7 @@
 
 #[test]
 fn halt_reasons_keep_their_numbers() {
-    let whys = [
+    let reasons = [
         HaltReason::Operator,
         HaltReason::Rollback,
         HaltReason::Loss,
@@ -117,11 +117,11 @@
         HaltReason::Unreachable,
         HaltReason::Partitioned,
     ];
-    for (number, why) in whys.into_iter().enumerate() {
-        assert_eq!(messages::decode(&[1, number as u8]), Some(why));
+    for (number, reason) in reasons.into_iter().enumerate() {
+        assert_eq!(messages::decode(&[1, number as u8]), Some(reason));
     }
     assert_eq!(
-        messages::decode::<HaltReason>(&[1, whys.len() as u8]),
+        messages::decode::<HaltReason>(&[1, reasons.len() as u8]),
         None,
         "of a later build"
     );
@@ -141,11 +141,11 @@
     assert_eq!(
         epoch(&core(Some(later(recorded("state"))))),
         None,
-        "of a later form: no memory"
+        "of a later format: not restored"
     );
 }
 
-/// One that is torn, of a later form or longer is no memory: it is said once, and what runs is the operators' own file.
+/// A state file that is torn, of a later format or too long: the fault is reported once, and the operators' own file runs.
 #[test]
 fn an_unreadable_state_file_is_reported() {
     let torn = recorded("state")[..40].to_vec();
@@ -201,7 +201,8 @@
     Core::new(config, Duration::ZERO)
 }
 
-/// A disk that takes its time, and fails at first: nothing is said or run that a restart from it would not know.
+/// The disk is slow and fails at first. A process killed meanwhile would forget what it published or ran; so nothing is published
+/// or run that a restart from the disk would not know.
 #[test]
 fn nothing_is_published_before_it_is_persisted() {
     let mut core = core(None);
@@ -213,21 +214,22 @@
         left: false,
     };
     let promote = ["east".to_owned()].into();
-    let look = Observation {
+    let observation = Observation {
         peers: vec![peer],
         promotable_regions: promote,
         ..Observation::default()
     };
-    let (mut kept, mut saving, mut told_new, mut ran) = (Vec::new(), None, None, None);
+    let (mut persisted, mut persisting, mut published_new, mut ran) =
+        (Vec::new(), None, None, None);
     for second in 0..20 {
         let now = Duration::from_secs(second);
         let mut actions = Vec::new();
-        if let Some(bytes) = saving.take() {
+        if let Some(bytes) = persisting.take() {
             let done = second > 3;
             core.handle(now, Event::Persisted(done), &mut actions);
-            kept = if done { bytes } else { kept };
+            persisted = if done { bytes } else { persisted };
         }
-        core.handle(now, Event::Observe(look.clone()), &mut actions);
+        core.handle(now, Event::Observe(observation.clone()), &mut actions);
         if second == 1 {
             let order = vec!["east".to_owned()];
             core.handle(
@@ -241,19 +243,21 @@
                 &mut actions,
             );
         }
-        let has = messages::decode::<PersistedState>(&kept);
+        let has = messages::decode::<PersistedState>(&persisted);
         for action in actions {
             match action {
-                Action::Persist(bytes) => assert!(saving.replace(bytes).is_none(), "one at a time"),
+                Action::Persist(bytes) => {
+                    assert!(persisting.replace(bytes).is_none(), "one at a time")
+                }
                 Action::Publish(0, ..) => {
                     assert!(has.as_ref().is_some_and(|s| s.proposal.is_some()))
                 }
                 Action::Publish(1, body, _) => {
-                    let word: Vote = messages::decode(&body).unwrap();
+                    let vote: Vote = messages::decode(&body).unwrap();
                     assert!(has.as_ref().is_some_and(
-                        |s| s.proposal.is_some() && s.quorums_seen >= word.quorums_seen
+                        |s| s.proposal.is_some() && s.quorums_seen >= vote.quorums_seen
                     ));
-                    told_new = told_new.or(word.runs_new.then_some(second));
+                    published_new = published_new.or(vote.runs_new.then_some(second));
                 }
                 Action::CheckVersion(hash) => {
                     core.handle(now, Event::VersionChecked(hash, Ok(())), &mut Vec::new())
@@ -263,7 +267,10 @@
             }
         }
     }
-    assert!(told_new.is_some() && told_new < ran, "{told_new:?} {ran:?}");
+    assert!(
+        published_new.is_some() && published_new < ran,
+        "{published_new:?} {ran:?}"
+    );
 }
 
 fn later(mut body: Vec<u8>) -> Vec<u8> {
@@ -290,14 +297,18 @@
         reachable: true,
         left: false,
     };
-    let look = Observation {
+    let observation = Observation {
         peers: vec![peer("n0"), peer("n1")],
         promotable_regions: ["east".to_owned()].into(),
         facts: facts.collect(),
         ..Observation::default()
     };
     let mut actions = Vec::new();
-    core.handle(Duration::from_secs(1), Event::Observe(look), &mut actions);
+    core.handle(
+        Duration::from_secs(1),
+        Event::Observe(observation),
+        &mut actions,
+    );
     let status = core.status();
     assert_eq!(status.malformed_facts, u64::from(KINDS));
     assert_eq!((status.phase, status.proposal), (Phase::Idle, None));
