--- a/crates/datagram-auth/src/lib.rs
+++ b/crates/datagram-auth/src/lib.rs
@@ -8,20 +8,12 @@
 mod advice;
 mod envelope;
 mod keys;
+mod limits;
 mod opener;
 mod replay_window;
 mod sealer;
 
 pub use keys::{KeyError, Keys};
+pub use limits::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES, MEMBERSHIP_KIND};
 pub use opener::{OpenError, OpenedDatagram, Opener};
 pub use sealer::{SealError, Sealer};
-
-/// Bytes of a datagram: no usual path fragments it.
-pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Bytes of a payload.
-pub const MAX_PAYLOAD_BYTES: usize = 1_200;
-/// Bytes of a sender's name.
-pub const MAX_NAME_BYTES: usize = 64;
-
-/// The kind of payload that the membership sends.
-pub const MEMBERSHIP_KIND: u8 = 1;
--- a/crates/datagram-auth/src/opener.rs
+++ b/crates/datagram-auth/src/opener.rs
@@ -2,8 +2,8 @@
 
 use crate::envelope::{Body, VersionHeader, MAGIC, VERSION};
 use crate::keys::{KeyId, Keys, MAC_BYTES};
+use crate::limits::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
 use crate::replay_window::ReplayWindow;
-use crate::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use thiserror::Error;
--- a/crates/datagram-auth/src/sealer.rs
+++ b/crates/datagram-auth/src/sealer.rs
@@ -2,7 +2,7 @@
 
 use crate::envelope::{Body, SignedPart, VersionHeader, MAGIC, MIN_READER_VERSION, VERSION};
 use crate::keys::{Keys, MAC_BYTES};
-use crate::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
+use crate::limits::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
 use thiserror::Error;
 
 // Version header, name and the greatest numbers, with the lengths before name and payload.
--- a/crates/leverproxy/src/cluster/members/account.rs
+++ b/crates/leverproxy/src/cluster/members/account.rs
@@ -1,10 +1,7 @@
 //! The account that each proxy publishes of itself: its build, and whether it serves.
 
-use super::Members;
-use membership::Event;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// The kind of fact of an account.
 pub(super) const ACCOUNT_KIND: u8 = 1;
@@ -21,6 +18,11 @@
     pub serving: bool,
 }
 
+/// `None` if it can't be serialised.
+pub(super) fn encode_account(account: &Account) -> Option<Vec<u8>> {
+    postcard::to_extend(account, vec![ACCOUNT_VERSION]).ok()
+}
+
 /// `None` if it is of another version, or torn.
 pub(super) fn decode_account(body: &[u8]) -> Option<Account> {
     match body.split_first() {
@@ -28,33 +30,3 @@
         _ => None,
     }
 }
-
-impl Members {
-    pub(super) fn publish_account(&mut self, now: Instant) {
-        let account = Account {
-            build: env!("CARGO_PKG_VERSION").into(),
-            serving: self.serving,
-        };
-        let Ok(body) = postcard::to_extend(&account, vec![ACCOUNT_VERSION]) else {
-            return;
-        };
-        self.account_published = Some(now);
-        self.handle(
-            Event::Publish {
-                kind: ACCOUNT_KIND,
-                key: Vec::new(),
-                body,
-                ttl: ACCOUNT_TTL,
-            },
-            now,
-        );
-    }
-
-    /// The last account of each other member, by name.
-    pub(super) fn accounts(&self, now: Instant) -> BTreeMap<String, Account> {
-        self.facts(ACCOUNT_KIND, now)
-            .into_iter()
-            .filter_map(|fact| Some((fact.source, decode_account(&fact.body)?)))
-            .collect()
-    }
-}
--- a/crates/leverproxy/src/cluster/members/mod.rs
+++ b/crates/leverproxy/src/cluster/members/mod.rs
@@ -14,7 +14,7 @@
 mod unsealed;
 
 use crate::event_loop::reactor::{Interest, Reactor, Token};
-use account::{decode_account, ACCOUNT_KIND, ACCOUNT_TTL};
+use account::{decode_account, encode_account, Account, ACCOUNT_KIND, ACCOUNT_TTL};
 use configuration::model::Members as MembersSettings;
 use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
 pub use error::MembersError;
@@ -306,6 +306,34 @@
         }
     }
 
+    fn publish_account(&mut self, now: Instant) {
+        let account = Account {
+            build: env!("CARGO_PKG_VERSION").into(),
+            serving: self.serving,
+        };
+        let Some(body) = encode_account(&account) else {
+            return;
+        };
+        self.account_published = Some(now);
+        self.handle(
+            Event::Publish {
+                kind: ACCOUNT_KIND,
+                key: Vec::new(),
+                body,
+                ttl: ACCOUNT_TTL,
+            },
+            now,
+        );
+    }
+
+    /// The last account of each other member, by name.
+    fn accounts(&self, now: Instant) -> BTreeMap<String, Account> {
+        self.facts(ACCOUNT_KIND, now)
+            .into_iter()
+            .filter_map(|fact| Some((fact.source, decode_account(&fact.body)?)))
+            .collect()
+    }
+
     /// Publishes a fact for another part of the proxy, in place of the one of that kind and key.
     pub fn publish(&mut self, kind: u8, key: Vec<u8>, body: Vec<u8>, ttl: Duration, now: Instant) {
         self.handle(
--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -1,6 +1,5 @@
 //! Accounts of proxies in the first version, in a whole datagram as it was sent.
 
-use super::account::Account;
 use super::*;
 
 const START: u64 = 1_800_000_000_001;
--- a/crates/leverproxy/src/cluster/rollout/error.rs
+++ b/crates/leverproxy/src/cluster/rollout/error.rs
@@ -55,3 +55,8 @@
         }
     }
 }
+
+/// Logs an error with its advice.
+pub(super) fn log_error(error: &RolloutError) {
+    log::error!("rollout: {error}. {}", error.advice());
+}
--- a/crates/leverproxy/src/cluster/rollout/mod.rs
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -7,6 +7,7 @@
 mod persistence;
 mod phase_names;
 mod status_text;
+mod stored_state;
 mod version;
 
 use crate::cluster::members::Members;
@@ -16,12 +17,14 @@
 use crate::persistence::state_file::Writer;
 use ::rollout::{Action, Config, Core, Event, EvidenceLimits, VersionHash};
 use configuration::model::Rollout as RolloutSettings;
+use error::log_error;
 pub use error::RolloutError;
 use phase_names::phase_text;
 use std::collections::{BTreeSet, VecDeque};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 use std::time::{Duration, Instant};
+use stored_state::{load, state_path};
 pub use version::{find_candidate, hex, resolve_version};
 use version::{hash_of_file, parse_hash};
 
@@ -64,10 +67,7 @@
         let base_version = operators
             .and_then(|path| hash_of_file(path).ok())
             .unwrap_or_default();
-        let loaded = settings
-            .state
-            .as_deref()
-            .map_or(Ok(None), persistence::load);
+        let loaded = settings.state.as_deref().map_or(Ok(None), load);
         let state_unreadable = loaded.is_err();
         let persisted = loaded.unwrap_or_else(|error| {
             log_error(&error);
@@ -228,9 +228,9 @@
                 Action::Rejected(error) => {
                     self.rejected_command = Some(format!("{error}. {}", error.advice()))
                 }
-                Action::StateUnreadable => {
-                    log_error(&RolloutError::StateMalformed(self.state_path()))
-                }
+                Action::StateUnreadable => log_error(&RolloutError::StateMalformed(state_path(
+                    self.settings.state.as_deref(),
+                ))),
             }
         }
         asks
@@ -244,10 +244,6 @@
     }
 }
 
-fn log_error(error: &RolloutError) {
-    log::error!("rollout: {error}. {}", error.advice());
-}
-
 /// Parses an operator's command from the control socket.
 pub fn parse_command(line: &str) -> Option<Said> {
     let mut words = line.split_whitespace();
--- a/crates/leverproxy/src/cluster/rollout/persistence.rs
+++ b/crates/leverproxy/src/cluster/rollout/persistence.rs
@@ -1,18 +1,15 @@
 //! The state of a rollout on the disk.
 
-use super::{log_error, Rollout, RolloutError};
+use super::error::{log_error, RolloutError};
+use super::stored_state::state_path;
+use super::Rollout;
 use crate::cluster::members::Members;
 use crate::config::reload::Ask;
-use crate::persistence::state_file::{self, Writer};
+use crate::persistence::state_file::Writer;
 use ::rollout::Event;
 use std::io;
-use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-const STATE_FILE: &str = "rollout.state";
-/// A state file is far smaller.
-const MAX_STATE_BYTES: u64 = 16 << 10;
-
 impl Rollout {
     /// `None` if the write has begun; else whether there is nothing to write.
     pub(super) fn persist(&mut self, bytes: Vec<u8>) -> Option<bool> {
@@ -22,7 +19,7 @@
         if self.handed_over {
             return Some(false);
         }
-        let path = folder.join(STATE_FILE);
+        let path = state_path(Some(folder));
         let start = |waker| Writer::start(path, waker);
         let started = self
             .writer
@@ -43,7 +40,10 @@
     }
 
     fn log_persist_failure(&self, error: io::Error) {
-        log_error(&RolloutError::PersistFailed(self.state_path(), error));
+        log_error(&RolloutError::PersistFailed(
+            state_path(self.settings.state.as_deref()),
+            error,
+        ));
     }
 
     /// Writes of the state may have ended.
@@ -57,16 +57,4 @@
         }
         asks
     }
-
-    pub(super) fn state_path(&self) -> PathBuf {
-        let folder = self.settings.state.as_deref();
-        folder.unwrap_or(Path::new("")).join(STATE_FILE)
-    }
-}
-
-/// The persisted state; `None` at the first start with this directory.
-pub(super) fn load(folder: &Path) -> Result<Option<Vec<u8>>, RolloutError> {
-    let path = folder.join(STATE_FILE);
-    state_file::load(&path, MAX_STATE_BYTES)
-        .map_err(|error| RolloutError::StateUnreadable(path, error))
 }
--- a/crates/leverproxy/src/cluster/rollout/version.rs
+++ b/crates/leverproxy/src/cluster/rollout/version.rs
@@ -1,6 +1,6 @@
 //! Versions of the operators' file: their hashes, and the files that have them.
 
-use super::RolloutError;
+use super::error::RolloutError;
 use crate::config::operator_config::Disk;
 use crate::config::ConfigError;
 use ::rollout::VersionHash;
--- a/crates/membership/src/core/failure_detection.rs
+++ b/crates/membership/src/core/failure_detection.rs
@@ -5,7 +5,7 @@
 use rand_10::seq::{IndexedRandom, IteratorRandom};
 use rand_10::RngExt;
 
-use super::{Core, SelfSuspicion};
+use super::{Core, SelfSuspicion, DISCOVERY_HEARTBEATS};
 use crate::event::Action;
 use crate::incarnation::RenewalOutcome;
 use crate::observations::{is_reachable, ObservationChange};
@@ -18,8 +18,6 @@
 const DISPUTE_PROBES_PER_HEARTBEAT: usize = 2;
 /// Reachable members that are asked with one heartbeat whom they hear.
 const DISCOVERY_FANOUT: usize = 2;
-/// Heartbeats after a member became reachable during which others are asked whom they hear.
-pub(super) const DISCOVERY_HEARTBEATS: u64 = 10;
 /// Heartbeats after a member was lost in which views are compared each time, else every fourth.
 const VIEW_COMPARISON_HEARTBEATS: u64 = 20;
 /// How many of those that see a member rejoin send it their digests, on average.
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -24,7 +24,6 @@
 use crate::roster::{member_id, IndexedRoster, Roster, RosterError};
 use crate::swim::{PacketError, Swim, SwimConfig, SWIM_KIND};
 use crate::view::{Counters, Status};
-use failure_detection::DISCOVERY_HEARTBEATS;
 
 /// No datagram is longer.
 pub const DATAGRAM_BYTES: usize = 1200;
@@ -36,6 +35,8 @@
 const VIEWS_KIND: u8 = 3;
 /// Members that a process announces itself to at its start, and with each round while nobody is reachable.
 const JOIN_ANNOUNCEMENTS: usize = 3;
+/// Heartbeats after the start, and after a member became reachable, in which others are asked whom they hear.
+const DISCOVERY_HEARTBEATS: u64 = 10;
 /// Keeps the random draws of the core apart from those of SWIM, which has the same seed.
 const SEED_OF_CORE: u64 = 0x6d65_6d62;
 
