--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -90,6 +90,8 @@
     }
 }
 
+/// A member leaves, comes back, and another one restarts. A leave must not look like a crash, a later incarnation must replace
+/// the former one at once, and datagrams of the former one must be dropped.
 #[test]
 fn members_join_leave_and_rejoin_under_the_same_name() {
     let mut fleet = Fleet::new(5, 1);
@@ -109,7 +111,7 @@
     fleet.start(4);
     fleet.run(ms(8000));
     assert!((0..4).all(|who| fleet.status(who, 4) == Status::Alive));
-    // A later start replaces the former at once: nobody calls it down in between.
+    // A later incarnation replaces the former one at once: nobody declares it down in between.
     fleet.changes.clear();
     fleet.start(3);
     fleet.run(ms(10_000));
@@ -128,7 +130,7 @@
             .incarnation,
         Some(start)
     );
-    // What the earlier process sent is dropped.
+    // A datagram of the earlier incarnation is dropped.
     fleet.tell(
         0,
         Event::Datagram {
@@ -147,6 +149,8 @@
     );
 }
 
+/// Partitions of several shapes: chains, halves, three groups, one member alone. Each member has to hold its own group for alive,
+/// and at most one group may promote.
 #[test]
 fn views_in_partitions_match_the_design_page() {
     // One way: A (0) hears nothing of B (1).
@@ -209,6 +213,8 @@
     }
 }
 
+/// A process is paused. When it goes on, all its probes are overdue: it would declare the fleet down and act on a view that is
+/// old. It has to suspect itself before it does anything, and to act again only after others have answered.
 #[test]
 fn a_paused_process_suspects_itself_and_declares_nobody_down() {
     for pause in [600, 3000, 60_000] {
@@ -217,7 +223,7 @@
         assert_eq!(allowed(&fleet, 0, GuardedOperation::Promote), Ok(()));
         fleet.paused[0] = ms(5000 + pause);
         fleet.run(ms(5000 + pause - 1));
-        // It may be asked before it handles anything.
+        // The first thing after the pause may be a question, before any event.
         assert_eq!(
             allowed(&fleet, 0, GuardedOperation::Promote),
             Err(OperationDenied::SelfSuspected)
@@ -244,6 +250,7 @@
     }
 }
 
+/// A process is paused and cut off meanwhile. No other member answers its probes, so it must never trust its old majority again.
 #[test]
 fn a_process_without_acks_goes_on_suspecting_itself() {
     let mut fleet = Fleet::new(5, 6);
@@ -281,6 +288,8 @@
     }
 }
 
+/// Half of the fleet gets another roster with a further member. Promotions have to stop on both sides, and the member that the
+/// others do not know must not count there.
 #[test]
 fn another_roster_is_noticed_and_unknown_members_do_not_count() {
     let mut fleet = Fleet::new(4, 7);
@@ -366,6 +375,8 @@
     assert_eq!(core.view(ms(301)).member_counts.total, 2);
 }
 
+/// A partition leaves each group the majority of other regions. Lending in a region goes by that region alone; promoting there
+/// needs the majority of the fleet as well.
 #[test]
 fn each_region_has_its_own_quorum_state() {
     // Regions by number modulo 3; 9 members. The group of 4 has all of region 0 and one of region 1.
@@ -395,6 +406,8 @@
     );
 }
 
+/// Facts reach all members at 5 % loss and expire. A member that was cut off while a fact was replaced must not bring the former
+/// version back, and a restarted process sees what its earlier incarnation published.
 #[test]
 fn facts_spread_expire_and_are_replaced_by_later_versions() {
     let mut fleet = Fleet::new(10, 9);
@@ -430,7 +443,7 @@
         let age = core.facts(now, 1)[0].age;
         assert!(age <= ms(3000) && age >= ms(2800), "{age:?}");
     }
-    // A short one replaces the long one while p9 hears nothing; what it replaced does not come back.
+    // A short fact replaces the long one while p9 is cut off; the long one does not come back.
     fleet.split(|who| usize::from(who == 9));
     tell(&mut fleet, 0, b"short", ms(1000));
     fleet.run(ms(14_000));
@@ -439,7 +452,7 @@
     assert!((1..10).all(|who| !bodies(&fleet, who).contains(&b"long".to_vec())));
     fleet.run(ms(36_000));
     assert!((1..10).all(|who| bodies(&fleet, who).is_empty()));
-    // A process that returns hears what it said before, as another's.
+    // A restarted process receives what its earlier incarnation published, as a fact of another.
     tell(&mut fleet, 3, b"before", ms(60_000));
     fleet.run(ms(39_000));
     fleet.start(3);
@@ -450,6 +463,8 @@
     assert!(bodies(&fleet, 3).is_empty() && bodies(&fleet, 4) == [b"after".to_vec()]);
 }
 
+/// More new facts than fit into the datagrams of a heartbeat. They were once sent in the order of their ids, so that the same
+/// sources were always late; now every fact has to arrive within three seconds.
 #[test]
 fn facts_that_do_not_fit_wait_and_no_source_is_starved() {
     let mut fleet = Fleet::new(30, 2);
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -8,7 +8,7 @@
 use fleet::{ms, Fleet};
 use membership::{republish_interval, Event, GuardedOperation, Status};
 
-/// Runs on while each says all that the program says with loans, at its pace; `facts`: no, it is silent.
+/// Runs the fleet while each member publishes all that the program does with quota loans, at its intervals; without `facts` none.
 struct Talk {
     said: Vec<Saying>,
     due: BTreeSet<(Duration, usize, usize)>,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Kills one after another; gives when all others knew, in order.
+/// Crashes one member after another; returns the times until all others knew, sorted.
 fn deaths(size: usize, loss: f64, times: usize, seed: u64, facts: bool) -> Vec<Duration> {
     let mut fleet = Fleet::new(size, seed);
     fleet.loss = loss;
@@ -161,8 +161,8 @@
     );
 }
 
-/// After a cut into halves: when the last process knew that it may not promote; and after the heal, when the
-/// last one knew that it may.
+/// After a partition into halves: when the last process knew that it may not promote; after the heal: when the last one knew
+/// that it may.
 #[test]
 #[ignore]
 fn figures_majority() {
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -10,15 +10,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, TestRunner};
 
-/// Within this time of a cut a group that has become small may still act: the stated bound, at these sizes.
+/// Within this time of a partition a group that lost its majority may still act: the stated bound, at these sizes.
 const DETECTED: Duration = ms(5000);
+/// Within this time after the last change all members agree.
 const CONVERGED: Duration = ms(20_000);
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Into so many groups, by the number of the member and a shift.
+    /// Partitions into so many groups, by the number of the member and a shift.
     Split(usize, usize),
-    /// Blocks of sizes that differ: the first holds this many of ten.
+    /// Partitions into two blocks; the first has this many of ten members.
     Block(usize),
     OneWay(usize, usize),
     Heal,
@@ -44,16 +45,16 @@
         (0..20u8).prop_map(Step::Loss),
         (who, 0..4u8).prop_map(|(who, key)| Step::Tell(who, key)),
     ];
-    // Some so long that what is to be known after the bound is looked at.
+    // Some steps are so long that what has to be known after the bound is checked.
     proptest::collection::vec((step, 100..9000u64), 1..8)
 }
 
-/// Which of each other's groups hear nothing of each other; none while the cuts do not part the fleet.
+/// The groups of the present partition; none while the cuts leave the fleet connected.
 struct Groups {
     of: Option<Box<dyn Fn(usize) -> usize>>,
     since: Duration,
-    /// Some hear of each other one way only.
-    lame: bool,
+    /// Some members reach others one way only.
+    one_way: bool,
 }
 
 impl Groups {
@@ -61,7 +62,7 @@
         Self {
             of,
             since: now,
-            lame: false,
+            one_way: false,
         }
     }
 
@@ -70,10 +71,10 @@
     }
 }
 
-/// Nothing has changed since `still`, and for longer than the bound: each has the state that follows from its group, holds
-/// all who live in it for alive and no other, and since the bound nobody who lives in it was called dead.
-fn all_is_known(fleet: &Fleet, groups: &Groups, still: Duration) -> Result<bool, TestCaseError> {
-    if groups.lame || fleet.loss > 0.05 || fleet.now < still + DETECTED {
+/// If nothing has changed since `still` for longer than the bound: each member has the quorum state that follows from its group,
+/// holds exactly the running members of its group for alive, and has declared none of them down since the bound.
+fn views_are_right(fleet: &Fleet, groups: &Groups, still: Duration) -> Result<bool, TestCaseError> {
+    if groups.one_way || fleet.loss > 0.05 || fleet.now < still + DETECTED {
         return Ok(false);
     }
     let size = fleet.processes.len();
@@ -93,7 +94,7 @@
         };
         let (core, now) = fleet.core(who);
         let view = core.view(now);
-        // Where probes are lost some are suspected now and then, and whoever is does not count for a majority.
+        // With loss some members are suspected now and then, and a suspected member does not count for a majority.
         let right = if fleet.loss > 0.0 {
             view.state <= wanted
         } else {
@@ -106,7 +107,7 @@
             view.state,
             heard
         );
-        // Few find the many that they lost by their own rounds of all, one each period.
+        // A small group finds the many that it lost by its own probe rounds, one member each period.
         let round = ms(200) * size as u32;
         let lost_are_known = heard * 2 >= size || fleet.now >= still + DETECTED + round;
         for member in &view.members {
@@ -147,7 +148,7 @@
     Ok(())
 }
 
-/// How often it was looked at whether all is known.
+/// How often the views were checked.
 static KNOWN: AtomicU32 = AtomicU32::new(0);
 
 type Steps = Vec<(Step, u64)>;
@@ -171,7 +172,7 @@
                 groups = Groups::new(fleet.now, Some(Box::new(of)));
             }
             Step::OneWay(a, b) => {
-                groups.lame = true;
+                groups.one_way = true;
                 fleet.cut.insert((a % size, b % size));
             }
             Step::Heal => {
@@ -211,7 +212,7 @@
             fleet.run((fleet.now + ms(100)).min(until));
             one_group_promotes(&fleet, &groups)?;
         }
-        KNOWN.fetch_add(u32::from(all_is_known(&fleet, &groups, still)?), Relaxed);
+        KNOWN.fetch_add(u32::from(views_are_right(&fleet, &groups, still)?), Relaxed);
         fleet.changes.clear();
     }
     fleet.cut.clear();
@@ -231,7 +232,7 @@
     all_agree(&fleet)
 }
 
-/// A fact without its age: two proxies that hold it hear of it at different times.
+/// A fact without its age, which differs from member to member.
 type HeldFact = (String, u64, Vec<u8>, u64, Vec<u8>);
 
 fn held(fleet: &Fleet, who: usize) -> Vec<HeldFact> {
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: requests that fail by chance, facts that are lost, and how rollouts of good and bad versions
-//! end. Figures: `cargo test -p rollout --release --test simulation -- --ignored --nocapture`.
+//! A simulated fleet in virtual time: requests that fail at random, facts that are lost, and how rollouts of good and bad
+//! versions end. Figures: `cargo test -p rollout --release --test simulation -- --ignored --nocapture`.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -26,14 +26,14 @@
     /// Requests a second of each proxy, in two classes of three and one parts.
     asked: u64,
     loss: f64,
-    /// Worth of a request of the larger class, where one of the smaller is worth 1.
+    /// Weight of a request of the larger class; one of the smaller class has weight 1.
     worth: f64,
     /// What the new version loses beyond that, of all and of the smaller class.
     harm: f64,
     class_harm: f64,
     /// What the second region loses beyond that, whatever it runs.
     west: f64,
-    /// What others see of the canary from the 30th second on.
+    /// What happens to the canary from the 30th second on.
     canary: Canary,
     facts_lost: f64,
     seconds: u64,
@@ -54,11 +54,11 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Canary {
     Well,
-    /// Of the new version, before anyone has heard that it runs it, and starts again.
+    /// It crashes of the new version before anyone hears that it runs it, and restarts.
     Dies,
-    /// Every so often it is told to end, and starts again, or its heir takes over.
+    /// It is restarted in order again and again, or a hot restart replaces it.
     Leaves,
-    /// The regions don't hear each other for two minutes; their facts are what they were.
+    /// The regions are partitioned for two minutes; their facts stay as they were.
     Apart,
     Silent,
 }
@@ -113,7 +113,7 @@
     type Facts = BTreeMap<(usize, u8), (u64, Vec<u8>)>;
     let mut said = Facts::new();
     let mut heard = vec![Facts::new(); FLEET.len()];
-    // The disk of each has what it was given a second ago.
+    // Each disk has what it was given a second ago.
     let mut saving: Vec<Option<Vec<u8>>> = vec![None; FLEET.len()];
     let mut kept = saving.clone();
     let (mut counts, mut runs) = (
@@ -209,7 +209,7 @@
             while let Some(action) = actions.get(next).cloned() {
                 next += 1;
                 match action {
-                    // Its word that it goes is lost on the way.
+                    // Its vote, which says that it runs the new version, is lost.
                     Action::Publish(1, ..)
                         if site.canary == Canary::Dies
                             && cores[at].machine().runs_new_here(&peers) => {}
@@ -284,6 +284,8 @@
     (halted, whole, first, median)
 }
 
+/// A rollout of a good version has to complete, one of a bad version to be halted in its first region. Random loss, regions that
+/// differ, planned restarts and a partition must not halt a good one; a canary that crashes or vanishes must halt it.
 #[test]
 fn a_good_version_completes_and_a_bad_one_is_halted() {
     let (halted, whole, ..) = table("A against A", SITE, 40);
@@ -340,9 +342,9 @@
     );
 }
 
-/// Whatever comes as a fact, of this form or another: it is read or counted, and nothing new runs by it.
+/// Random bytes as facts of one member, in this format and others: each is decoded or counted, and no version runs by it.
 #[test]
-fn no_fact_harms() {
+fn random_facts_start_no_version() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
     let config = Config {
         name: "a".into(),
