--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use crate::facts::SourceHash;
 use rand_10::seq::{IteratorRandom, SliceRandom};
 use rand_10::Rng;
 
@@ -33,6 +34,15 @@
     received_bytes: usize,
 }
 
+/// A request to send.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct PullRequest {
+    /// The member to ask.
+    pub to: u32,
+    /// The source that is missing here.
+    pub source: u32,
+}
+
 /// Pending pulls by source.
 #[derive(Debug)]
 pub(crate) struct AntiEntropy {
@@ -58,23 +68,23 @@
     }
 
     /// A digest had other versions of these sources.
-    pub fn receive_digest(&mut self, from: u32, differing: Vec<(u32, u32)>, rng: &mut impl Rng) {
+    pub fn receive_digest(&mut self, from: u32, differing: Vec<SourceHash>, rng: &mut impl Rng) {
         let mut new = Vec::new();
-        for (source, hash) in differing {
-            match self.pending.get_mut(&source) {
+        for theirs in differing {
+            match self.pending.get_mut(&theirs.source) {
                 Some(pull) if pull.requested_at.is_some() => {}
-                Some(pull) => (pull.from, pull.hash) = (from, hash),
-                None => new.push((source, hash)),
+                Some(pull) => (pull.from, pull.hash) = (from, theirs.hash),
+                None => new.push(theirs),
             }
         }
         let (chosen, _) = new.partial_shuffle(rng, BASE_PULLS_PER_DIGEST + self.extra_pulls);
         self.extra_pulls -= chosen.len().saturating_sub(BASE_PULLS_PER_DIGEST);
-        for (source, hash) in chosen {
+        for theirs in chosen {
             self.pending.insert(
-                *source,
+                theirs.source,
                 PendingPull {
                     from,
-                    hash: *hash,
+                    hash: theirs.hash,
                     requested_at: None,
                     attempts: 0,
                     received_bytes: 0,
@@ -94,13 +104,13 @@
         }
     }
 
-    /// Requests to send now: the member to ask, and the source. `held_hash` gives the hash of what is held of a source.
+    /// Requests to send now. `held_hash` gives the hash of what is held of a source.
     pub fn next_requests(
         &mut self,
         now: Duration,
         held_hash: impl Fn(u32) -> Option<u32>,
         rng: &mut impl Rng,
-    ) -> Vec<(u32, u32)> {
+    ) -> Vec<PullRequest> {
         let reply_timeout = self.reply_timeout;
         self.pending
             .retain(|source, pull| pull.is_needed(now, reply_timeout, held_hash(*source)));
@@ -116,7 +126,10 @@
         let request = |(source, pull): (&u32, &mut PendingPull)| {
             (pull.requested_at, pull.received_bytes) = (Some(now), 0);
             pull.attempts += 1;
-            (pull.from, *source)
+            PullRequest {
+                to: pull.from,
+                source: *source,
+            }
         };
         waiting
             .sample(rng, free.min(PULLS_PER_HEARTBEAT))
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -16,7 +16,13 @@
 ) -> Vec<usize> {
     let (mut anti_entropy, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
     (0..back).for_each(|_| anti_entropy.member_rejoined(1000));
-    anti_entropy.receive_digest(1, (0..claims).map(|source| (source, 7)).collect(), &mut rng);
+    anti_entropy.receive_digest(
+        1,
+        (0..claims)
+            .map(|source| SourceHash { source, hash: 7 })
+            .collect(),
+        &mut rng,
+    );
     let heartbeat = |number: u64| {
         let requests = anti_entropy.next_requests(ms(100 * number), |_| None, &mut rng);
         assert!(
@@ -29,7 +35,7 @@
         );
         requests
             .iter()
-            .for_each(|(to, source)| answers(&mut anti_entropy, *to, *source));
+            .for_each(|request| answers(&mut anti_entropy, request.to, request.source));
         requests.len()
     };
     (0..40).map(heartbeat).collect()
@@ -72,24 +78,24 @@
 #[test]
 fn a_silent_member_is_replaced_by_the_next_whose_digest_differs() {
     let (mut anti_entropy, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
-    anti_entropy.receive_digest(1, vec![(5, 7)], &mut rng);
+    anti_entropy.receive_digest(1, vec![SourceHash { source: 5, hash: 7 }], &mut rng);
     assert_eq!(
         anti_entropy.next_requests(ms(0), |_| None, &mut rng),
-        [(1, 5)]
+        [PullRequest { to: 1, source: 5 }]
     );
-    anti_entropy.receive_digest(2, vec![(5, 7)], &mut rng);
+    anti_entropy.receive_digest(2, vec![SourceHash { source: 5, hash: 7 }], &mut rng);
     assert!(anti_entropy
         .next_requests(ms(300), |_| None, &mut rng)
         .is_empty());
     assert_eq!(
         anti_entropy.next_requests(ms(400), |_| None, &mut rng),
-        [(1, 5)]
+        [PullRequest { to: 1, source: 5 }]
     );
     anti_entropy.pending.get_mut(&5).unwrap().requested_at = None;
-    anti_entropy.receive_digest(2, vec![(5, 8)], &mut rng);
+    anti_entropy.receive_digest(2, vec![SourceHash { source: 5, hash: 8 }], &mut rng);
     assert_eq!(
         anti_entropy.next_requests(ms(500), |_| None, &mut rng),
-        [(2, 5)]
+        [PullRequest { to: 2, source: 5 }]
     );
     assert!(
         anti_entropy
--- a/crates/membership/src/core/gossip.rs
+++ b/crates/membership/src/core/gossip.rs
@@ -7,7 +7,9 @@
 
 use super::{Core, DATAGRAM_BYTES, FACTS_KIND, MAX_REPLY_DATAGRAMS};
 use crate::event::Action;
-use crate::facts::{AntiEntropyMessage, FactId, HashRange, ReceiveOutcome, WireFact};
+use crate::facts::{
+    AntiEntropyMessage, FactId, FactVersion, HashRange, ReceiveOutcome, SourceHash, WireFact,
+};
 use crate::swim::PacketError;
 
 /// Members that a new fact is sent to with one heartbeat.
@@ -45,9 +47,9 @@
         Ok(())
     }
 
-    fn receive_digest(&mut self, from: u32, sources: Vec<(u32, u32)>) {
+    fn receive_digest(&mut self, from: u32, sources: Vec<SourceHash>) {
         let mut differing = self.facts.differing_sources(sources);
-        differing.retain(|(source, _)| self.roster.members.contains_key(source));
+        differing.retain(|theirs| self.roster.members.contains_key(&theirs.source));
         self.anti_entropy
             .receive_digest(from, differing, &mut self.rng);
     }
@@ -58,7 +60,7 @@
         from: u32,
         is_reply: bool,
         (source, range): (u32, HashRange),
-        versions: &[(u64, u64, u64)],
+        versions: &[FactVersion],
     ) {
         if self.replies_sent < MAX_REPLIES_PER_HEARTBEAT {
             let replies = self
--- a/crates/membership/src/core/heartbeat.rs
+++ b/crates/membership/src/core/heartbeat.rs
@@ -5,6 +5,7 @@
 use rand_10::seq::IndexedRandom;
 
 use super::{Core, SelfSuspicion, JOIN_ANNOUNCEMENTS};
+use crate::anti_entropy::PullRequest;
 
 /// Heartbeats from one digest to the next, and between comparisons of views while no member is lost.
 const EXCHANGE_HEARTBEATS: u64 = 4;
@@ -63,7 +64,7 @@
         let requests =
             self.anti_entropy
                 .next_requests(now, |source| facts.source_hash(source), &mut self.rng);
-        for (to, source) in requests {
+        for PullRequest { to, source } in requests {
             for versions in self.facts.version_messages(source, false) {
                 self.send(to, &versions);
             }
--- a/crates/membership/src/facts/digest.rs
+++ b/crates/membership/src/facts/digest.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::message::{AntiEntropyMessage, HashRange};
+use super::message::{AntiEntropyMessage, FactVersion, HashRange, SourceHash};
 use super::store::{key_hash, FactId, FactStore, StoredFact};
 
 /// Sources in one digest, so that it fits into a datagram.
@@ -40,10 +40,13 @@
         let mut rest = self
             .sources
             .range(first..)
-            .map(|(source, (_, hash))| (*source, *hash));
-        let sources: Vec<(u32, u32)> = rest.by_ref().take(DIGEST_SOURCES).collect();
+            .map(|(source, summary)| SourceHash {
+                source: *source,
+                hash: summary.hash,
+            });
+        let sources: Vec<SourceHash> = rest.by_ref().take(DIGEST_SOURCES).collect();
         let to = match (rest.next(), sources.last()) {
-            (Some(_), Some((last, _))) => u64::from(*last),
+            (Some(_), Some(last)) => u64::from(last.source),
             _ => u64::MAX,
         };
         (
@@ -60,14 +63,14 @@
 
     /// The hash of the versions held of a source.
     pub fn source_hash(&self, source: u32) -> Option<u32> {
-        self.sources.get(&source).map(|(_, hash)| *hash)
+        self.sources.get(&source).map(|summary| summary.hash)
     }
 
     /// Sources of a digest that are held in another version here. What the sender lacks altogether it finds in a digest from here.
-    pub fn differing_sources(&self, sources: Vec<(u32, u32)>) -> Vec<(u32, u32)> {
+    pub fn differing_sources(&self, sources: Vec<SourceHash>) -> Vec<SourceHash> {
         sources
             .into_iter()
-            .filter(|(source, hash)| self.source_hash(*source) != Some(*hash))
+            .filter(|theirs| self.source_hash(theirs.source) != Some(theirs.hash))
             .collect()
     }
 
@@ -79,10 +82,14 @@
 
     /// The versions held of a source; the receiver replies with what is newer there.
     pub fn version_messages(&self, source: u32, is_reply: bool) -> Vec<AntiEntropyMessage> {
-        let versions: Vec<(u64, u64, u64)> = self
+        let versions: Vec<FactVersion> = self
             .facts_by_key_hash(source)
             .into_iter()
-            .map(|(hash, (_, stored))| (hash, stored.incarnation, stored.sequence))
+            .map(|(key_hash, (_, stored))| FactVersion {
+                key_hash,
+                incarnation: stored.incarnation,
+                sequence: stored.sequence,
+            })
             .collect();
         if versions.is_empty() {
             return vec![AntiEntropyMessage::Versions {
@@ -99,7 +106,7 @@
             let to = if at + 1 == chunk_count {
                 u64::MAX
             } else {
-                chunk[chunk.len() - 1].0
+                chunk[chunk.len() - 1].key_hash
             };
             let range = HashRange {
                 first: from,
@@ -123,12 +130,12 @@
         is_reply: bool,
         source: u32,
         range: HashRange,
-        theirs: &[(u64, u64, u64)],
+        theirs: &[FactVersion],
     ) -> Vec<AntiEntropyMessage> {
         let own = self.facts_by_key_hash(source);
         let theirs: BTreeMap<u64, (u64, u64)> = theirs
             .iter()
-            .map(|(hash, incarnation, sequence)| (*hash, (*incarnation, *sequence)))
+            .map(|version| (version.key_hash, (version.incarnation, version.sequence)))
             .collect();
         let mut facts = Vec::new();
         for (hash, (id, stored)) in &own {
--- a/crates/membership/src/facts/message.rs
+++ b/crates/membership/src/facts/message.rs
@@ -22,21 +22,36 @@
     pub last: u64,
 }
 
+/// A source in a digest, with the hash of the versions of its facts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct SourceHash {
+    pub source: u32,
+    pub hash: u32,
+}
+
+/// The version of a fact, by the hash of its key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct FactVersion {
+    pub key_hash: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
+}
+
 /// Messages by which two members come to hold the same facts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AntiEntropyMessage {
     /// Each source within the range, with the hash of its versions.
     Digest {
         range: HashRange,
-        sources: Vec<(u32, u32)>,
+        sources: Vec<SourceHash>,
     },
-    /// Facts of a source within the range: hash of the key, incarnation and sequence of each. The receiver sends what is newer
+    /// Versions of the facts of a source within the range. The receiver sends what is newer
     /// there, and if this is no reply, its own versions where those here are newer.
     Versions {
         is_reply: bool,
         source: u32,
         range: HashRange,
-        versions: Vec<(u64, u64, u64)>,
+        versions: Vec<FactVersion>,
     },
     /// Facts, new or in reply.
     Facts(Vec<WireFact>),
--- a/crates/membership/src/facts/mod.rs
+++ b/crates/membership/src/facts/mod.rs
@@ -9,5 +9,5 @@
 mod tests;
 
 pub use fact::{Fact, FactLimits, PublishError, BODY_BYTES, KEY_BYTES};
-pub(crate) use message::{AntiEntropyMessage, HashRange, WireFact};
+pub(crate) use message::{AntiEntropyMessage, FactVersion, HashRange, SourceHash, WireFact};
 pub(crate) use store::{FactId, FactStore, ReceiveOutcome};
--- a/crates/membership/src/facts/store.rs
+++ b/crates/membership/src/facts/store.rs
@@ -45,14 +45,24 @@
     CapacityExceeded,
 }
 
+/// What is held of one source.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub(super) struct SourceSummary {
+    /// Number of its facts.
+    facts: usize,
+    /// Hash of their versions; it does not depend on their order.
+    pub(super) hash: u32,
+}
+
+/// The facts of all members.
 pub(crate) struct FactStore {
     own_id: u32,
     incarnation: u64,
     limits: FactLimits,
     sequence: u64,
     facts: BTreeMap<FactId, StoredFact>,
-    /// For each source the number of its facts, and the hash of their versions.
-    pub(super) sources: BTreeMap<u32, (usize, u32)>,
+    /// Derived from `facts`, by source.
+    pub(super) sources: BTreeMap<u32, SourceSummary>,
     bytes: usize,
     pub(super) next_digest_source: u64,
 }
@@ -101,9 +111,9 @@
         if let Some(stored) = self.facts.remove(id) {
             self.bytes -= ENTRY_BYTES + id.key.len() + stored.body.len();
             if let Some(source) = self.sources.get_mut(&id.source) {
-                source.0 -= 1;
-                source.1 ^= version_hash(id, &stored);
-                if source.0 == 0 {
+                source.facts -= 1;
+                source.hash ^= version_hash(id, &stored);
+                if source.facts == 0 {
                     self.sources.remove(&id.source);
                 }
             }
@@ -117,7 +127,7 @@
         if self
             .sources
             .get(&id.source)
-            .is_some_and(|source| source.0 >= self.limits.facts_per_source)
+            .is_some_and(|source| source.facts >= self.limits.facts_per_source)
         {
             let expired = self
                 .facts_of(id.source)
@@ -134,8 +144,8 @@
         }
         self.bytes += size;
         let source = self.sources.entry(id.source).or_default();
-        source.0 += 1;
-        source.1 ^= version_hash(id, &stored);
+        source.facts += 1;
+        source.hash ^= version_hash(id, &stored);
         self.facts.insert(id.clone(), stored);
         true
     }
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -154,7 +154,7 @@
                     let differing = stores[to].differing_sources(sources);
                     differing
                         .into_iter()
-                        .flat_map(|(of, _)| stores[to].version_messages(of, false))
+                        .flat_map(|theirs| stores[to].version_messages(theirs.source, false))
                         .collect()
                 }
                 AntiEntropyMessage::Versions {
--- a/crates/membership/src/recorded.rs
+++ b/crates/membership/src/recorded.rs
@@ -1,6 +1,6 @@
 //! Datagrams of the first version, as they were sent. Every build has to read them; datagrams of a later version are counted.
 
-use crate::facts::{AntiEntropyMessage, HashRange, WireFact};
+use crate::facts::{AntiEntropyMessage, FactVersion, HashRange, SourceHash, WireFact};
 use crate::process_id::ProcessId;
 use crate::roster::hash_bytes;
 use crate::swim::SWIM_KIND;
@@ -158,7 +158,10 @@
         first: 0,
         last: u64::MAX,
     };
-    let sources = vec![(source, 2_076_203_121)];
+    let sources = vec![SourceHash {
+        source,
+        hash: 2_076_203_121,
+    }];
     assert_eq!(
         anti_entropy_message("facts-summary"),
         AntiEntropyMessage::Digest {
@@ -167,7 +170,11 @@
         }
     );
     // How keys are hashed is part of the format.
-    let versions = vec![(hash_bytes(1, &[9, 0]), start, 1)];
+    let versions = vec![FactVersion {
+        key_hash: hash_bytes(1, &[9, 0]),
+        incarnation: start,
+        sequence: 1,
+    }];
     assert_eq!(
         anti_entropy_message("facts-detail"),
         AntiEntropyMessage::Versions {
