--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -1,211 +1,269 @@
-//! When a call for the list of record servers counts as broken, and when the next one is made. No clock, no I/O: events of
-//! the one connection in, what to do out. The table that it keeps stands in `docs/design/discovery-schedule.md`.
+//! When a call to discovery for the endpoint list counts as lost, and when the next one is made.
 //!
-//! **Asked**: the first call, and each after an answer that says no, is the decision module's to order ([`Event::Ask`]).
-//! Silence is no answer: what it hides counts as told soon, so the next call is made at once. A call that nobody has
-//! ordered in time is made all the same ([`RETRY`], [`LATEST`]).
-//! **Pushed**: a watch on the agent stands from the first moment, and is opened again whatever ends it.
+//! A state machine without clock and I/O: events of the one connection in, actions out. The table that it implements
+//! stands in `docs/design/discovery-schedule.md`.
+//!
+//! **Polling**: the decision module orders the first call, and each one after a response that reports a failure
+//! ([`Event::PollRequested`]). Silence is no response, and the changes that it hides soon count as notified, so the next
+//! call is made at once. A call that nobody orders in time is made all the same ([`MAX_RETRY_DELAY`],
+//! [`MAX_POLL_AGE`]).
+//!
+//! **Push**: a watch on the local agent is open from the first moment, and is opened again whatever ends it.
 //!
 //! # The latest next call
 //!
-//! After a failed call a change counts as told [`TOLD`] after discovery had it and could be reached. So within that time
-//! a call has to be made, answered and acted on, whatever the call before it did:
+//! After a failed call a change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and could be reached.
+//! Within that time a call has to be made, answered and applied, whatever happened to the call before it:
 //!
 //! | the call before | next call, at the latest | answer |
 //! | --- | --- | --- |
-//! | ended (refused, reset, 503) while discovery was down | [`RETRY`] after its end | `RETRY + TURN + ACTED` = `TOLD` |
-//! | the same, and the dial of the next one hangs | [`DIAL`] after that one began | `RETRY + DIAL + ACTED` = 5 s |
-//! | began while discovery was down, and ended later | [`LATEST`] after its beginning or last whole object | `LATEST + ACTED` = `TOLD` |
-//! | never came up | [`DIAL`] after its beginning | `DIAL + TURN + ACTED` |
-//! | up, and silent | [`SILENCE`] after its beginning or last bytes | `SILENCE + TURN + ACTED` |
-//! | bytes, and no end of an object | [`OBJECT`] after its beginning or last whole object | `OBJECT + ACTED` |
+//! | ended (refused, reset, 503) while discovery was down | [`MAX_RETRY_DELAY`] after its end | `MAX_RETRY_DELAY + MAX_QUEUE_TIME + APPLY_TIME` = `NOTIFICATION_DEADLINE` |
+//! | the same, and the dial of the next one hangs | [`DIAL_TIMEOUT`] after that one began | `MAX_RETRY_DELAY + DIAL_TIMEOUT + APPLY_TIME` = 5 s |
+//! | began while discovery was down, and ended later | [`MAX_POLL_AGE`] after its beginning or last complete object | `MAX_POLL_AGE + APPLY_TIME` = `NOTIFICATION_DEADLINE` |
+//! | never connected | [`DIAL_TIMEOUT`] after its beginning | `DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
+//! | connected, and silent | [`SILENCE_TIMEOUT`] after its beginning or last bytes | `SILENCE_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
+//! | bytes, and no end of an object | [`OBJECT_TIMEOUT`] after its beginning or last complete object | `OBJECT_TIMEOUT + APPLY_TIME` |
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 use std::time::Duration;
 
-/// Since any origin.
+/// Time since an origin that the caller chooses.
 pub type Time = Duration;
 
-/// A dial that is not up by then never will be: those who listen answer in milliseconds, and the next may.
-pub const DIAL: Duration = Duration::from_secs(1);
-/// The longest that a watch may say nothing, and a call wait for the first byte of its answer: discovery lets calls wait
-/// for two seconds and then says so.
-pub const SILENCE: Duration = Duration::from_secs(3);
-/// From one whole object to the next, while bytes come: what is missed counts as told a second later.
-pub const OBJECT: Duration = Duration::from_secs(5);
-/// Where lists are pushed, from an end to the next call: a fifth of the time in which a drain has to be heeded.
-pub const AGAIN: Duration = Duration::from_millis(100);
-
-/// After a failed, refused or given-up call, a change counts as told so long after discovery had it and could be reached.
-pub const TOLD: Duration = Duration::from_secs(6);
-/// Discovery works through calls in turn, and lets one wait for so long at most.
-pub const TURN: Duration = Duration::from_secs(2);
-/// From the turn of a call to its list taken in: the way there and back, and a loop that is busy.
-pub const ACTED: Duration = Duration::from_millis(250);
-/// Where the list is asked for, from the end of a failed call to the next one, at the latest: what is left of [`TOLD`] if
-/// that one has to wait for its turn. If its dial hangs instead, the one after it is answered within 5 s.
-pub const RETRY: Duration = TOLD.saturating_sub(TURN).saturating_sub(ACTED);
-/// The same from the beginning of a call, or its last whole object, for one that fails late: while it was out discovery
-/// may have been reached by others. What is left of [`TOLD`] if the next one is answered at once; one that discovery
-/// turns away after [`TURN`] still has all of [`RETRY`] before the next, so that many keep out of each other's way.
-pub const LATEST: Duration = TOLD.saturating_sub(ACTED);
-
-/// The latest first call of a new process, however long it may go without asking. The watch of the process before it ended
-/// with that, so what has changed since counts as told [`TOLD`] later: half of that is kept for the time in between.
-pub const FIRST: Duration = Duration::from_secs(3);
-/// A new process goes by the list of the one before it for so long, unless a call has failed. A drain that came just after
-/// that one's end is heeded in time if the new one began within `TOLD - CACHED`, and the grace for drains beyond that.
-pub const CACHED: Duration = FIRST;
-
-/// The latest first call of a new process that has to ask within `ask_within`: its dial may hang once, and the next one may
-/// wait for its turn. Where that leaves next to nothing, a quarter: many that start together must not call together.
-pub fn first_call(ask_within: Duration) -> Duration {
-    ask_within
-        .saturating_sub(DIAL + TURN + ACTED)
-        .max(ask_within / 4)
-        .min(FIRST)
+/// A call that is not connected within this is replaced by another one.
+pub const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest silence on a watch, and the longest wait for the first byte of a response. Discovery holds a call for
+/// [`MAX_QUEUE_TIME`] and then says so.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The longest time from one complete object to the next while bytes arrive: a missed change counts as notified a second
+/// later.
+pub const OBJECT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Where lists are pushed, the pause between the end of a watch and the next one: a fifth of the time in which a drain has
+/// to take effect.
+pub const WATCH_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+
+/// After a failed, rejected or abandoned call, a change counts as notified so long after discovery had it and could be
+/// reached.
+pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
+/// Discovery serves calls in turn, and holds one for at most this.
+pub const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
+/// From discovery's response to the list applied: the network round trip and a busy event loop.
+pub const APPLY_TIME: Duration = Duration::from_millis(250);
+/// Where the list is polled, the longest time from the end of a failed call to the next one: what is left of
+/// [`NOTIFICATION_DEADLINE`] if the next one is held for [`MAX_QUEUE_TIME`]. If its dial hangs instead, the call after it
+/// is answered within 5 s.
+pub const MAX_RETRY_DELAY: Duration = NOTIFICATION_DEADLINE
+    .saturating_sub(MAX_QUEUE_TIME)
+    .saturating_sub(APPLY_TIME);
+/// The longest time from the beginning of a call, or from its last complete object, to the next call: while a call that
+/// fails late was open, other proxies may have reached discovery. It is what is left of [`NOTIFICATION_DEADLINE`] if the
+/// next call is answered at once. One that discovery rejects after [`MAX_QUEUE_TIME`] still has all of
+/// [`MAX_RETRY_DELAY`] before the next, so that the calls of many proxies stay spread.
+pub const MAX_POLL_AGE: Duration = NOTIFICATION_DEADLINE.saturating_sub(APPLY_TIME);
+
+/// The latest first call of a new process, however seldom it may poll. The watch of the process before it ended with that
+/// process, so later changes count as notified after [`NOTIFICATION_DEADLINE`]; half of that is left for the restart.
+pub const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(3);
+/// A new process uses the list of the one before it for this time, unless a call has failed. A drain just after the end of
+/// the old process takes effect in time if the new one started within `NOTIFICATION_DEADLINE - CACHED_LIST_LIFETIME`, and
+/// the grace period for drains beyond that.
+pub const CACHED_LIST_LIFETIME: Duration = MAX_FIRST_POLL_DELAY;
+
+/// The latest first call of a new process that has to poll within `poll_within`: its dial may hang once, and the next call
+/// may be held for [`MAX_QUEUE_TIME`]. Where little is left, it is a quarter of `poll_within`, so that processes that start
+/// together do not call together.
+pub fn first_poll_delay(poll_within: Duration) -> Duration {
+    poll_within
+        .saturating_sub(DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME)
+        .max(poll_within / 4)
+        .min(MAX_FIRST_POLL_DELAY)
 }
 
+/// What happens to the connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The list is wanted: a call, unless one is out.
-    Ask,
-    /// The connection of the call is up.
-    Up,
-    /// Bytes of an answer.
-    Bytes,
-    /// A whole object, or the word that nothing has changed.
-    Whole,
-    /// The call was refused, has ended or makes no sense.
-    Ended,
-    /// Discovery is at another address.
-    Moved,
-    /// The time that was due has come.
+    /// The list is wanted: a call is made unless one is open.
+    PollRequested,
+    /// The connection of the call is established.
+    Connected,
+    /// Bytes of a response have arrived.
+    BytesReceived,
+    /// A complete object has arrived, or the notice that nothing has changed.
+    ObjectReceived,
+    /// The call was rejected, has ended or sent something malformed.
+    CallEnded,
+    /// Discovery has another address.
+    AddressChanged,
+    /// The time of [`PollSchedule::next_deadline`] has come.
     Tick,
 }
 
+/// What the host of the state machine has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A call, in place of the one that there was.
-    Call,
-    /// The call that there was is broken: by silence, if so it says.
-    Lost { silent: bool },
-    /// Whoever orders calls hears that this one has failed.
-    Tell,
+    /// Make a call in place of the open one, if there is one.
+    StartCall,
+    /// The open call is lost.
+    CallLost {
+        /// It was silent for too long.
+        silent: bool,
+    },
+    /// Report to the module that orders calls that this one has failed.
+    ReportFailure,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
-    since: Time,
-    up: bool,
-    /// Since the last whole object, or none yet.
-    bytes: Option<Time>,
-    whole: Option<Time>,
+    started: Time,
+    connected: bool,
+    /// The last bytes since the last complete object.
+    last_bytes: Option<Time>,
+    last_object: Option<Time>,
 }
 
 impl Call {
-    /// Its last whole object, or its beginning.
-    fn from(&self) -> Time {
-        self.whole.unwrap_or(self.since)
+    fn new(started: Time) -> Call {
+        Call {
+            started,
+            connected: false,
+            last_bytes: None,
+            last_object: None,
+        }
+    }
+
+    /// The last complete object, or the beginning of the call.
+    fn last_progress(&self) -> Time {
+        self.last_object.unwrap_or(self.started)
+    }
+
+    /// When the call counts as lost unless more of it arrives.
+    fn deadline(&self, watch_silence: Duration) -> Time {
+        if !self.connected {
+            return self.started + DIAL_TIMEOUT;
+        }
+        let progress = self.last_progress();
+        match (self.last_bytes, self.last_object) {
+            (Some(last), _) => (last + watch_silence).min(progress + OBJECT_TIMEOUT),
+            (None, Some(_)) => progress + watch_silence,
+            (None, None) => progress + SILENCE_TIMEOUT,
+        }
     }
 }
 
+/// The schedule of the calls of one proxy.
 #[derive(Debug)]
-pub struct Clock {
-    silence: Duration,
-    pushed: bool,
-    wanted: bool,
-    call: Option<Call>,
-    /// When the next call is made, with none out, if nobody asks before.
-    again: Option<Time>,
+pub struct PollSchedule {
+    watch_silence: Duration,
+    push_mode: bool,
+    /// A call has been ordered at some time.
+    started: bool,
+    open: Option<Call>,
+    /// With no call open, when the next one is made if nobody orders it before.
+    next_call: Option<Time>,
 }
 
-impl Clock {
-    /// `silence`: the longest that a watch may say nothing.
-    pub fn new(silence: Duration, pushed: bool) -> Clock {
-        Clock {
-            silence: silence.min(SILENCE),
-            pushed,
-            wanted: false,
-            call: None,
-            again: None,
+impl PollSchedule {
+    /// `watch_silence`: the longest silence on a watch, at most [`SILENCE_TIMEOUT`]; `push_mode`: whether lists are pushed.
+    pub fn new(watch_silence: Duration, push_mode: bool) -> PollSchedule {
+        PollSchedule {
+            watch_silence: watch_silence.min(SILENCE_TIMEOUT),
+            push_mode,
+            started: false,
+            open: None,
+            next_call: None,
         }
     }
 
-    /// From now on lists are pushed, or have to be asked for.
-    pub fn set_pushed(&mut self, pushed: bool) {
-        self.pushed = pushed;
+    /// Sets whether lists are pushed or polled from now on.
+    pub fn set_push_mode(&mut self, push_mode: bool) {
+        self.push_mode = push_mode;
     }
 
+    /// Handles one event; `now` is the time since an origin that stays the same.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Ask if self.call.is_some() => {}
-            Event::Ask => self.call(now, actions),
-            Event::Moved if self.wanted => self.call(now, actions),
-            Event::Moved => {}
-            Event::Up => {
-                if let Some(call) = &mut self.call {
-                    call.up = true;
-                }
-            }
-            Event::Bytes => {
-                if let Some(call) = &mut self.call {
-                    call.bytes = Some(now);
-                }
-            }
-            Event::Whole => {
-                if let Some(call) = &mut self.call {
-                    (call.whole, call.bytes) = (Some(now), None);
-                }
-            }
-            Event::Ended => {
-                let Some(call) = self.call.take() else { return };
-                actions.push(Action::Lost { silent: false });
-                if self.pushed {
-                    self.again = Some(now + AGAIN);
-                } else {
-                    let latest = (call.from() + LATEST).max(now);
-                    self.again = Some(latest.min(now + RETRY));
-                    actions.push(Action::Tell);
-                }
-            }
-            Event::Tick => {
-                if self.due().is_some_and(|due| due <= now) {
-                    if self.call.is_some() {
-                        actions.push(Action::Lost { silent: true });
-                    }
-                    self.call(now, actions);
-                }
-            }
+            Event::PollRequested => self.request_poll(now, actions),
+            Event::AddressChanged => self.change_address(now, actions),
+            Event::Connected => self.mark_connected(),
+            Event::BytesReceived => self.note_bytes(now),
+            Event::ObjectReceived => self.note_object(now),
+            Event::CallEnded => self.end_call(now, actions),
+            Event::Tick => self.check_deadline(now, actions),
+        }
+    }
+
+    fn request_poll(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.open.is_none() {
+            self.start_call(now, actions);
         }
     }
 
-    fn call(&mut self, now: Time, actions: &mut Vec<Action>) {
-        (self.wanted, self.again) = (true, None);
-        self.call = Some(Call {
-            since: now,
-            up: false,
-            bytes: None,
-            whole: None,
-        });
-        actions.push(Action::Call);
+    fn change_address(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.started {
+            self.start_call(now, actions);
+        }
+    }
+
+    fn mark_connected(&mut self) {
+        if let Some(call) = &mut self.open {
+            call.connected = true;
+        }
+    }
+
+    fn note_bytes(&mut self, now: Time) {
+        if let Some(call) = &mut self.open {
+            call.last_bytes = Some(now);
+        }
+    }
+
+    fn note_object(&mut self, now: Time) {
+        if let Some(call) = &mut self.open {
+            call.last_object = Some(now);
+            call.last_bytes = None;
+        }
+    }
+
+    fn end_call(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let Some(call) = self.open.take() else { return };
+        actions.push(Action::CallLost { silent: false });
+        if self.push_mode {
+            self.next_call = Some(now + WATCH_RECONNECT_DELAY);
+            return;
+        }
+        self.next_call = Some(latest_retry(now, call.last_progress()));
+        actions.push(Action::ReportFailure);
+    }
+
+    fn check_deadline(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.next_deadline().is_none_or(|deadline| deadline > now) {
+            return;
+        }
+        if self.open.is_some() {
+            actions.push(Action::CallLost { silent: true });
+        }
+        self.start_call(now, actions);
+    }
+
+    fn start_call(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.started = true;
+        self.next_call = None;
+        self.open = Some(Call::new(now));
+        actions.push(Action::StartCall);
     }
 
     /// When [`Event::Tick`] is due.
-    pub fn due(&self) -> Option<Time> {
-        let Some(call) = &self.call else {
-            return self.again;
-        };
-        let from = call.from();
-        let silence = if call.whole.is_some() {
-            self.silence
-        } else {
-            SILENCE
-        };
-        Some(match call.bytes {
-            _ if !call.up => call.since + DIAL,
-            None => from + silence,
-            Some(last) => (last + self.silence).min(from + OBJECT),
-        })
+    pub fn next_deadline(&self) -> Option<Time> {
+        match &self.open {
+            Some(call) => Some(call.deadline(self.watch_silence)),
+            None => self.next_call,
+        }
     }
 }
+
+/// The latest time of a call after one that has failed at `now` and had its last progress at `last_progress`.
+fn latest_retry(now: Time, last_progress: Time) -> Time {
+    (last_progress + MAX_POLL_AGE)
+        .max(now)
+        .min(now + MAX_RETRY_DELAY)
+}
--- a/crates/discovery-schedule/tests/bound.rs
+++ b/crates/discovery-schedule/tests/bound.rs
@@ -1,9 +1,10 @@
-//! The latest next call: whenever discovery could be reached for [`TOLD`] without a break, a call was answered within
-//! that time, whatever the calls before it had met with.
+//! Whenever discovery can be reached for [`NOTIFICATION_DEADLINE`] without a break, a call is answered within that time,
+//! however the calls before it ended.
 
 use discovery_schedule::{
-    first_call, Action, Clock, Event, Time, ACTED, AGAIN, DIAL, FIRST, LATEST, OBJECT, RETRY,
-    SILENCE, TOLD, TURN,
+    first_poll_delay, Action, Event, PollSchedule, Time, APPLY_TIME, DIAL_TIMEOUT,
+    MAX_FIRST_POLL_DELAY, MAX_POLL_AGE, MAX_QUEUE_TIME, MAX_RETRY_DELAY, NOTIFICATION_DEADLINE,
+    OBJECT_TIMEOUT, SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
 };
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -13,59 +14,59 @@
     Duration::from_millis(n)
 }
 
-/// The sums of the table at the head of the crate.
+/// The sums of the table in the crate's documentation.
 #[test]
 fn the_bounds_add_up() {
     for answered in [
-        RETRY + TURN + ACTED,
-        RETRY + DIAL + ACTED,
-        LATEST + ACTED,
-        DIAL + TURN + ACTED,
-        SILENCE + TURN + ACTED,
-        OBJECT + ACTED,
-        AGAIN + TURN + ACTED,
+        MAX_RETRY_DELAY + MAX_QUEUE_TIME + APPLY_TIME,
+        MAX_RETRY_DELAY + DIAL_TIMEOUT + APPLY_TIME,
+        MAX_POLL_AGE + APPLY_TIME,
+        DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME,
+        SILENCE_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME,
+        OBJECT_TIMEOUT + APPLY_TIME,
+        WATCH_RECONNECT_DELAY + MAX_QUEUE_TIME + APPLY_TIME,
     ] {
-        assert!(answered <= TOLD, "{answered:?}");
+        assert!(answered <= NOTIFICATION_DEADLINE, "{answered:?}");
     }
     assert!(
-        RETRY + DIAL + ACTED <= ms(5_000),
+        MAX_RETRY_DELAY + DIAL_TIMEOUT + APPLY_TIME <= ms(5_000),
         "a dial that hangs leaves a second for the next"
     );
     assert!(
-        TURN + RETRY <= LATEST,
-        "who is turned away after its turn keeps the whole of its spread"
+        MAX_QUEUE_TIME + MAX_RETRY_DELAY <= MAX_POLL_AGE,
+        "a call that is rejected after MAX_QUEUE_TIME keeps the whole retry delay"
     );
 }
 
 #[test]
 fn a_first_call_leaves_time_for_a_second() {
-    for ask_within in [500, 3_000, 4_000, 6_000, 10_000, 60_000].map(ms) {
-        let first = first_call(ask_within);
+    for poll_within in [500, 3_000, 4_000, 6_000, 10_000, 60_000].map(ms) {
+        let first = first_poll_delay(poll_within);
         assert!(
-            first >= (ask_within / 4).min(FIRST),
+            first >= (poll_within / 4).min(MAX_FIRST_POLL_DELAY),
             "many must not call together"
         );
         assert!(
-            first <= FIRST,
-            "what changed before the start counts as told soon"
+            first <= MAX_FIRST_POLL_DELAY,
+            "changes before the start count as notified soon"
         );
-        let tight = ask_within < (DIAL + TURN + ACTED) * 4 / 3;
+        let tight = poll_within < (DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME) * 4 / 3;
         assert!(
-            tight || first + DIAL + TURN + ACTED <= ask_within,
-            "{ask_within:?}"
+            tight || first + DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME <= poll_within,
+            "{poll_within:?}"
         );
     }
 }
 
-/// What a call meets with that begins while discovery can't be reached.
+/// How a call ends that begins while discovery cannot be reached.
 #[derive(Clone, Debug)]
-enum Fate {
-    /// Nobody answers the dial.
+enum CallBehaviour {
+    /// The dial is not answered.
     Hangs,
-    /// Refused, or reset before it is up.
+    /// Refused, or reset before it is established.
     Refused(u64),
-    /// Up; then these events, each after a pause; then nothing more, or the end.
-    Up {
+    /// Established; then these events, each after a pause; then silence, or the end.
+    Connected {
         after: u64,
         events: Vec<(u64, Event)>,
         ends: Option<u64>,
@@ -73,40 +74,40 @@
 }
 
 /// A head alone, half a body and a trickle are bytes at times; a standing watch is whole objects.
-fn fate() -> impl Strategy<Value = Fate> {
-    let event = prop_oneof![3 => Just(Event::Bytes), 1 => Just(Event::Whole)];
+fn call_behaviour() -> impl Strategy<Value = CallBehaviour> {
+    let event = prop_oneof![3 => Just(Event::BytesReceived), 1 => Just(Event::ObjectReceived)];
     let trickle =
-        (1_u64..700).prop_map(|pause| vec![(pause, Event::Bytes); 6_000 / pause as usize]);
+        (1_u64..700).prop_map(|pause| vec![(pause, Event::BytesReceived); 6_000 / pause as usize]);
     let events = prop_oneof![
         1 => Just(Vec::new()),
-        1 => Just(vec![(10, Event::Bytes)]),
+        1 => Just(vec![(10, Event::BytesReceived)]),
         2 => trickle,
         3 => prop::collection::vec((0_u64..3_500, event), 1..12),
     ];
     let ends = prop::option::of(0_u64..6_000);
     prop_oneof![
-        1 => Just(Fate::Hangs),
-        1 => (0_u64..1_200).prop_map(Fate::Refused),
-        4 => (0_u64..900, events, ends).prop_map(|(after, events, ends)| Fate::Up { after, events, ends }),
+        1 => Just(CallBehaviour::Hangs),
+        1 => (0_u64..1_200).prop_map(CallBehaviour::Refused),
+        4 => (0_u64..900, events, ends).prop_map(|(after, events, ends)| CallBehaviour::Connected { after, events, ends }),
     ]
 }
 
-/// One proxy: its clock, whoever orders calls, and what is yet to come of the call that is out.
+/// One proxy: its schedule, the module that orders calls, and the coming events of the open call.
 struct Proxy {
-    clock: Clock,
-    /// What is to come: of the call that is out, and orders.
-    coming: Vec<(Time, Event)>,
+    schedule: PollSchedule,
+    /// The coming events of the open call.
+    pending: Vec<(Time, Event)>,
     orders: BTreeSet<Time>,
-    /// Orders come so long after a failure, one after the other; none: never.
+    /// The times from a failure to the order of the next call, used in turn; none: no order.
     gaps: Vec<Option<u64>>,
-    fates: Vec<Fate>,
+    behaviours: Vec<CallBehaviour>,
     calls: usize,
-    /// A call is out.
-    out: bool,
+    /// A call is open.
+    open: bool,
     reachable_from: Time,
-    /// A call was out when discovery came back.
+    /// A call was open when discovery came back.
     outlived: bool,
-    /// What an answer takes: with a turn to wait for, and where a call outlived the outage.
+    /// The time to a response: of a call that discovery queues, and of one that was open over the outage.
     takes: (Duration, Duration),
     answered: Option<Time>,
 }
@@ -114,66 +115,67 @@
 impl Proxy {
     fn act(&mut self, now: Time, event: Event) {
         let mut actions = Vec::new();
-        self.clock.handle(now, event, &mut actions);
+        self.schedule.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Call => self.call(now),
-                Action::Lost { .. } => {
-                    self.coming.clear();
-                    self.out = false;
+                Action::StartCall => self.call(now),
+                Action::CallLost { .. } => {
+                    self.pending.clear();
+                    self.open = false;
                 }
-                Action::Tell => {
+                Action::ReportFailure => {
                     let gap = self.gaps[self.calls % self.gaps.len()];
-                    self.orders.extend(gap.map(|gap| now + ms(gap).min(RETRY)));
+                    self.orders
+                        .extend(gap.map(|gap| now + ms(gap).min(MAX_RETRY_DELAY)));
                 }
             }
         }
     }
 
     fn call(&mut self, now: Time) {
-        self.coming.clear();
+        self.pending.clear();
         self.calls += 1;
-        self.out = true;
+        self.open = true;
         if now >= self.reachable_from {
             let takes = if self.outlived {
                 self.takes.1
             } else {
                 self.takes.0
             };
-            self.coming.push((now, Event::Up));
-            self.coming.push((now + takes, Event::Whole));
+            self.pending.push((now, Event::Connected));
+            self.pending.push((now + takes, Event::ObjectReceived));
             return;
         }
-        match self.fates[self.calls % self.fates.len()].clone() {
-            Fate::Hangs => {}
-            Fate::Refused(after) => self.coming.push((now + ms(after), Event::Ended)),
-            Fate::Up {
+        match self.behaviours[self.calls % self.behaviours.len()].clone() {
+            CallBehaviour::Hangs => {}
+            CallBehaviour::Refused(after) => self.pending.push((now + ms(after), Event::CallEnded)),
+            CallBehaviour::Connected {
                 after,
                 events,
                 ends,
             } => {
                 let mut at = now + ms(after);
-                self.coming.push((at, Event::Up));
+                self.pending.push((at, Event::Connected));
                 for (pause, event) in events {
                     at += ms(pause);
-                    self.coming.push((at, event));
+                    self.pending.push((at, event));
                 }
-                self.coming
-                    .extend(ends.map(|ends| (at.min(now + ms(after + ends)), Event::Ended)));
+                self.pending
+                    .extend(ends.map(|ends| (at.min(now + ms(after + ends)), Event::CallEnded)));
             }
         }
-        // What was sent before the break may arrive after it, but no whole list of a service that is not there.
+        // Bytes sent before the outage may arrive after it, but no complete object from a service that is down.
         let reachable = self.reachable_from;
-        self.coming
-            .retain(|(at, event)| *event != Event::Whole || *at < reachable);
-        self.coming.sort_by_key(|(at, _)| *at);
+        self.pending
+            .retain(|(at, event)| *event != Event::ObjectReceived || *at < reachable);
+        self.pending.sort_by_key(|(at, _)| *at);
     }
 
-    /// Runs to `until`, each thing at its time.
+    /// Runs to `until`, each event at its time.
     fn run(&mut self, until: Time) {
         loop {
-            let due = self.clock.due();
-            let next = self.coming.first().map(|(at, _)| *at);
+            let due = self.schedule.next_deadline();
+            let next = self.pending.first().map(|(at, _)| *at);
             let order = self.orders.first().copied();
             let Some(now) = [due, next, order]
                 .into_iter()
@@ -184,15 +186,15 @@
                 return;
             };
             if next == Some(now) {
-                let (_, event) = self.coming.remove(0);
-                if event == Event::Whole && now >= self.reachable_from {
+                let (_, event) = self.pending.remove(0);
+                if event == Event::ObjectReceived && now >= self.reachable_from {
                     self.answered = Some(now);
                     return;
                 }
                 self.act(now, event);
             } else if order == Some(now) {
                 self.orders.pop_first();
-                self.act(now, Event::Ask);
+                self.act(now, Event::PollRequested);
             } else {
                 self.act(now, Event::Tick);
             }
@@ -204,41 +206,41 @@
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
     #[test]
-    fn what_can_be_reached_for_so_long_has_answered(
+    fn a_reachable_discovery_answers_within_the_notification_deadline(
         (pushed, silence) in (any::<bool>(), 500_u64..6_000),
         back in 0_u64..40_000,
         moved in prop::option::of(0_u64..44_000),
-        fates in prop::collection::vec(fate(), 1..8),
+        behaviours in prop::collection::vec(call_behaviour(), 1..8),
         gaps in prop::collection::vec(prop::option::weighted(0.9, 0_u64..3_750), 1..5),
         (turn, quick) in (0_u64..=2_250, 0_u64..=250),
     ) {
         let back = ms(back);
         let mut proxy = Proxy {
-            clock: Clock::new(ms(silence), pushed),
-            coming: Vec::new(),
+            schedule: PollSchedule::new(ms(silence), pushed),
+            pending: Vec::new(),
             orders: BTreeSet::new(),
             gaps,
-            fates,
+            behaviours,
             calls: 0,
             reachable_from: back,
-            out: false,
+            open: false,
             outlived: false,
             takes: (ms(turn), ms(quick)),
             answered: None,
         };
-        proxy.act(Time::ZERO, Event::Ask);
-        // Another address counts from the move on; what was there is no matter then.
-        let moved = moved.map(ms).filter(|moved| *moved < back + TOLD);
+        proxy.act(Time::ZERO, Event::PollRequested);
+        // After the move only the new address counts.
+        let moved = moved.map(ms).filter(|moved| *moved < back + NOTIFICATION_DEADLINE);
         if let Some(moved) = moved {
             proxy.run(moved);
             if proxy.answered.is_none() {
                 proxy.reachable_from = proxy.reachable_from.max(moved);
-                proxy.act(moved, Event::Moved);
+                proxy.act(moved, Event::AddressChanged);
             }
         }
         proxy.run(proxy.reachable_from.saturating_sub(ms(1)));
-        proxy.outlived = proxy.out;
-        let until = proxy.reachable_from + TOLD;
+        proxy.outlived = proxy.open;
+        let until = proxy.reachable_from + NOTIFICATION_DEADLINE;
         proxy.run(until);
         let answered = proxy.answered;
         prop_assert!(answered.is_some_and(|at| at <= until), "back at {:?}, {answered:?}", proxy.reachable_from);
--- a/crates/discovery-schedule/tests/table.rs
+++ b/crates/discovery-schedule/tests/table.rs
@@ -1,6 +1,10 @@
-//! The table of `docs/design/discovery-schedule.md`: however a connection behaves, the next call is never later.
+//! The table of `docs/design/discovery-schedule.md`: however a connection behaves, the next call is never later than it
+//! says.
 
-use discovery_schedule::{Action, Clock, Event, Time, AGAIN, DIAL, LATEST, OBJECT, RETRY, SILENCE};
+use discovery_schedule::{
+    Action, Event, PollSchedule, Time, DIAL_TIMEOUT, MAX_POLL_AGE, MAX_RETRY_DELAY, OBJECT_TIMEOUT,
+    SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
+};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -8,15 +12,15 @@
     Duration::from_millis(n)
 }
 
-/// Ways in which a call may behave: each step is a pause and what then comes.
-fn behaviour() -> impl Strategy<Value = (bool, u64, Vec<(u64, Event)>)> {
+/// A random behaviour of a call: each step is a pause and the event after it.
+fn call_behaviour() -> impl Strategy<Value = (bool, u64, Vec<(u64, Event)>)> {
     let event = prop_oneof![
-        3 => Just(Event::Bytes),
-        3 => Just(Event::Whole),
-        1 => Just(Event::Ended),
-        2 => Just(Event::Up),
-        1 => Just(Event::Moved),
-        1 => Just(Event::Ask),
+        3 => Just(Event::BytesReceived),
+        3 => Just(Event::ObjectReceived),
+        1 => Just(Event::CallEnded),
+        2 => Just(Event::Connected),
+        1 => Just(Event::AddressChanged),
+        1 => Just(Event::PollRequested),
     ];
     (
         any::<bool>(),
@@ -25,110 +29,121 @@
     )
 }
 
-/// The latest time of the next call, from what was seen of this one alone; the table again, in other words.
+/// A second implementation of the table: the latest time of the next call, computed from the events of this one.
 #[derive(Default)]
-struct Seen {
-    dialled: Time,
-    up: bool,
+struct ObservedCall {
+    started: Time,
+    connected: bool,
     last_byte: Option<Time>,
     last_whole: Option<Time>,
 }
 
-impl Seen {
-    fn from(&self) -> Time {
-        self.last_whole.unwrap_or(self.dialled)
+impl ObservedCall {
+    fn last_progress(&self) -> Time {
+        self.last_whole.unwrap_or(self.started)
     }
 
     fn latest(&self, silence: Duration) -> Time {
-        if !self.up {
-            return self.dialled + DIAL;
+        if !self.connected {
+            return self.started + DIAL_TIMEOUT;
         }
         match (self.last_whole, self.last_byte) {
-            (None, None) => self.dialled + SILENCE,
-            (None, Some(byte)) => (byte + silence).min(self.dialled + OBJECT),
+            (None, None) => self.started + SILENCE_TIMEOUT,
+            (None, Some(byte)) => (byte + silence).min(self.started + OBJECT_TIMEOUT),
             (Some(whole), byte) if byte.is_none_or(|byte| byte <= whole) => whole + silence,
-            (Some(whole), byte) => (byte.unwrap_or_default() + silence).min(whole + OBJECT),
+            (Some(whole), byte) => (byte.unwrap_or_default() + silence).min(whole + OBJECT_TIMEOUT),
         }
     }
 }
 
 proptest! {
     #[test]
-    fn the_next_call_is_never_later_than_the_table((pushed, silence, steps) in behaviour()) {
-        let mut clock = Clock::new(ms(silence), pushed);
-        let silence = ms(silence).min(SILENCE);
+    fn the_next_call_is_never_later_than_the_table((pushed, silence, steps) in call_behaviour()) {
+        let mut schedule = PollSchedule::new(ms(silence), pushed);
+        let silence = ms(silence).min(SILENCE_TIMEOUT);
         let (mut now, mut actions) = (Time::ZERO, Vec::new());
-        clock.handle(now, Event::Ask, &mut actions);
-        prop_assert_eq!(&actions, &[Action::Call]);
-        let mut seen = Some(Seen::default());
+        schedule.handle(now, Event::PollRequested, &mut actions);
+        prop_assert_eq!(&actions, &[Action::StartCall]);
+        let mut observed = Some(ObservedCall::default());
         let mut after_end = Time::ZERO;
         for (pause, event) in steps {
             let until = now + ms(pause);
-            // Time runs to the next event as a host's timers let it: each due time is heeded when it comes.
-            while let Some(due) = clock.due().filter(|due| *due <= until) {
-                match &seen {
-                    Some(seen) => prop_assert!(due <= seen.latest(silence), "{due:?}"),
+            // Every deadline before the next event is served at its time, as a host does with timers.
+            while let Some(due) = schedule.next_deadline().filter(|due| *due <= until) {
+                match &observed {
+                    Some(observed) => prop_assert!(due <= observed.latest(silence), "{due:?}"),
                     None => prop_assert!(due <= after_end, "{due:?} after {after_end:?}"),
                 }
                 actions.clear();
-                clock.handle(due, Event::Tick, &mut actions);
-                prop_assert_eq!(actions.last(), Some(&Action::Call), "a due time that brings no call");
-                seen = Some(Seen { dialled: due, ..Seen::default() });
+                schedule.handle(due, Event::Tick, &mut actions);
+                prop_assert_eq!(actions.last(), Some(&Action::StartCall), "a deadline that starts no call");
+                observed = Some(ObservedCall { started: due, ..ObservedCall::default() });
             }
             now = until;
             actions.clear();
-            // Nothing is heard of a connection that is not up.
-            if matches!(event, Event::Bytes | Event::Whole) && !seen.as_ref().is_some_and(|seen| seen.up) {
+            // Nothing arrives on a connection that is not established.
+            if matches!(event, Event::BytesReceived | Event::ObjectReceived) && !observed.as_ref().is_some_and(|observed| observed.connected) {
                 continue;
             }
-            clock.handle(now, event, &mut actions);
+            schedule.handle(now, event, &mut actions);
             match event {
-                Event::Up => seen.iter_mut().for_each(|seen| seen.up = true),
-                Event::Bytes => seen.iter_mut().for_each(|seen| seen.last_byte = Some(now)),
-                Event::Whole => seen.iter_mut().for_each(|seen| seen.last_whole = Some(now)),
-                Event::Ended => {
-                    prop_assert_eq!(actions.contains(&Action::Tell), seen.is_some() && !pushed);
-                    if let Some(call) = seen.take() {
-                        let asked = (now + RETRY).min(now.max(call.from() + LATEST));
-                        after_end = if pushed { now + AGAIN } else { asked };
+                Event::Connected => observed.iter_mut().for_each(|observed| observed.connected = true),
+                Event::BytesReceived => observed.iter_mut().for_each(|observed| observed.last_byte = Some(now)),
+                Event::ObjectReceived => observed.iter_mut().for_each(|observed| observed.last_whole = Some(now)),
+                Event::CallEnded => {
+                    prop_assert_eq!(actions.contains(&Action::ReportFailure), observed.is_some() && !pushed);
+                    if let Some(call) = observed.take() {
+                        let polled = (now + MAX_RETRY_DELAY).min(now.max(call.last_progress() + MAX_POLL_AGE));
+                        after_end = if pushed { now + WATCH_RECONNECT_DELAY } else { polled };
                     }
                 }
-                // A call that is out is not cut short.
-                Event::Ask if seen.is_some() => prop_assert!(actions.is_empty()),
+                // An open call is not cut short.
+                Event::PollRequested if observed.is_some() => prop_assert!(actions.is_empty()),
                 _ => {
-                    prop_assert_eq!(&actions, &[Action::Call]);
-                    seen = Some(Seen { dialled: now, ..Seen::default() });
+                    prop_assert_eq!(&actions, &[Action::StartCall]);
+                    observed = Some(ObservedCall { started: now, ..ObservedCall::default() });
                 }
             }
-            // There is always a next time.
-            prop_assert!(clock.due().is_some());
+            // There is always a next deadline.
+            prop_assert!(schedule.next_deadline().is_some());
         }
     }
 }
 
-/// A watch that falls silent while every dial hangs is dialled for three times before what it missed counts as told.
+/// A watch falls silent, and then every dial hangs. There are three dials before the changes that it missed count as
+/// notified.
 #[test]
-fn hung_dials_leave_time_for_more() {
-    let (mut clock, mut actions) = (Clock::new(SILENCE, false), Vec::new());
-    for event in [Event::Ask, Event::Up, Event::Whole] {
-        clock.handle(Time::ZERO, event, &mut actions);
+fn hung_dials_leave_time_for_two_more() {
+    let (mut schedule, mut actions) = (PollSchedule::new(SILENCE_TIMEOUT, false), Vec::new());
+    for event in [
+        Event::PollRequested,
+        Event::Connected,
+        Event::ObjectReceived,
+    ] {
+        schedule.handle(Time::ZERO, event, &mut actions);
     }
     actions.clear();
-    while let Some(due) = clock.due().filter(|due| *due < ms(6_000)) {
-        clock.handle(due, Event::Tick, &mut actions);
+    while let Some(due) = schedule.next_deadline().filter(|due| *due < ms(6_000)) {
+        schedule.handle(due, Event::Tick, &mut actions);
     }
     let calls = actions
         .iter()
-        .filter(|action| **action == Action::Call)
+        .filter(|action| **action == Action::StartCall)
         .count();
     assert_eq!(calls, 3, "at 3, 4 and 5 s");
-    assert!(!actions.contains(&Action::Tell), "silence is no answer");
+    assert!(
+        !actions.contains(&Action::ReportFailure),
+        "silence is no failed response"
+    );
 }
 
 #[test]
-fn a_move_before_any_wish_calls_nobody() {
-    let (mut clock, mut actions) = (Clock::new(SILENCE, false), Vec::new());
-    clock.handle(Time::ZERO, Event::Moved, &mut actions);
-    clock.handle(Time::ZERO, Event::Ended, &mut actions);
-    assert_eq!((actions.as_slice(), clock.due()), (&[][..], None));
+fn a_change_of_address_before_the_first_call_starts_none() {
+    let (mut schedule, mut actions) = (PollSchedule::new(SILENCE_TIMEOUT, false), Vec::new());
+    schedule.handle(Time::ZERO, Event::AddressChanged, &mut actions);
+    schedule.handle(Time::ZERO, Event::CallEnded, &mut actions);
+    assert_eq!(
+        (actions.as_slice(), schedule.next_deadline()),
+        (&[][..], None)
+    );
 }
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,259 +1,285 @@
-//! How a proxy leaves service and comes back.
+//! The order of steps in which a proxy leaves service and comes back.
 //!
-//! Balancers learn of a drain at their next check, and believe it after so many. So a proxy that goes says so first,
-//! waits until every balancer must have heard, and stops listening only then: no client that a balancer sends finds
-//! the door closed. Told by an operator it may come back; told to end it does not.
+//! A balancer notices a drain at its next health check, and acts on it after several checks. So a proxy first announces
+//! the drain, waits until every balancer must have acted, and only then stops listening: no client that a balancer sends
+//! finds the port closed. A drain that an operator ordered can be undone; a termination cannot.
 //!
-//! Events in, actions out; time is an argument. The model checker runs it through every order of events (see the
-//! tests).
+//! Events in, actions out, time as an argument; no I/O. A model checker runs it through every order of events
+//! (`tests/exhaustive.rs`).
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 use std::time::Duration;
 
+/// Time since an origin that the caller chooses.
 pub type Time = Duration;
 
-/// A balancer in front, as its own configuration says.
+/// The health checks of a balancer in front of the proxy, as the balancer is configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Balancer {
-    /// Between two of its checks.
+    /// The time between two checks.
     pub interval: Duration,
-    /// Checks in a row that it takes to believe one.
+    /// The number of failed checks in a row after which the balancer takes the proxy out.
     pub fall: u32,
-    /// How long a check of it may take.
+    /// The longest that one check takes.
     pub timeout: Duration,
 }
 
 impl Balancer {
-    /// Until it has heard of a change, and believed it: the first check may have been a moment ago.
-    pub fn hears_within(&self) -> Duration {
+    /// The longest time from a change to the balancer's reaction; the check before may have ended just before the change.
+    pub fn detection_time(&self) -> Duration {
         self.interval * self.fall.max(1) + self.timeout
     }
 }
 
+/// How long each step of a drain takes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Settings {
+    /// The balancers in front of the proxy.
     pub balancers: Vec<Balancer>,
-    /// Told to end, the drain is announced first; else new connections are taken for `linger` and no longer.
-    pub announce_end: bool,
+    /// Whether a termination is announced to the balancers first. If not, new connections are accepted for `linger`.
+    pub announce_termination: bool,
+    /// How long new connections are accepted after a termination that is not announced.
     pub linger: Duration,
-    /// From the end of the announcement, what is still owed is given up after this.
-    pub give_up: Duration,
+    /// From the end of the announcement, the time after which outstanding requests are aborted.
+    pub drain_timeout: Duration,
 }
 
 impl Settings {
-    /// Until the slowest balancer has heard.
-    pub fn wait(&self) -> Duration {
+    /// The time within which the slowest balancer reacts to an announcement.
+    pub fn detection_time(&self) -> Duration {
         self.balancers
             .iter()
-            .map(Balancer::hears_within)
+            .map(Balancer::detection_time)
             .max()
             .unwrap_or_default()
     }
 }
 
+/// What happens to the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An operator wants it out of service.
+    /// An operator takes the proxy out of service.
     Drain,
+    /// An operator puts the proxy back into service.
     Undrain,
-    /// It is to end for good.
+    /// The process has to end.
     Terminate,
-    /// Nothing is owed and no client is left, or there is again. Also told after each [`Action::StopListening`].
-    Settled(bool),
+    /// Whether no request is outstanding and no client connected. It is also reported after each
+    /// [`Action::StopListening`].
+    IdleChanged(bool),
     /// Time has passed.
     Tick,
 }
 
+/// What the host of the state machine has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Whoever asks is told that it drains.
-    Announce,
-    /// It is told no longer.
-    Retract,
-    /// New connections are taken again.
-    Listen,
-    /// No new connections but those that wait already; those that are there go as soon as nothing is owed on them. What was
-    /// settled before may not be any more: it has to be told again.
+    /// Answer health checks with "draining".
+    AnnounceDrain,
+    /// Answer health checks as before the announcement.
+    RetractDrain,
+    /// Accept new connections again.
+    StartListening,
+    /// Accept the connections that wait in the backlog and no others, and close each connection once no request is
+    /// outstanding on it. The proxy may not be idle any more: [`Event::IdleChanged`] has to be reported again.
     StopListening,
-    /// No request that comes from now on may have time beyond this.
-    EndsAt(Time),
-    /// Whoever is still owed an answer is told that none comes.
-    GiveUp,
-    End,
+    /// Give no request that arrives from now on a deadline after this.
+    LimitDeadlines(Time),
+    /// Tell the clients of all outstanding requests that no response will come.
+    AbortOutstanding,
+    /// End the process.
+    Exit,
 }
 
+/// The step that a drain has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
+    /// In service.
     Serving,
-    /// Told to whoever asks; still serving whoever comes.
+    /// The drain is announced; new connections are still accepted.
     Announced {
+        /// When the balancers have reacted.
         until: Time,
-        ending: bool,
+        /// Whether the process ends after the drain.
+        terminating: bool,
     },
-    /// Out of service, until an operator says otherwise.
+    /// Out of service until an operator puts the proxy back.
     Drained,
-    /// Told to end; new connections may still come.
+    /// Terminating without an announcement; new connections are still accepted.
     Lingering {
+        /// When the proxy stops listening.
         until: Time,
     },
+    /// Terminating; outstanding requests are completed.
     Closing,
-    Over,
+    /// The process has been told to exit.
+    Finished,
 }
 
+/// The state machine of one proxy's drain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Drain {
-    set: Settings,
+    settings: Settings,
     phase: Phase,
     now: Time,
-    settled: bool,
-    /// When it ends whatever is owed, once it is told to end.
-    end: Option<Time>,
+    idle: bool,
+    /// When the process ends at the latest; set by a termination.
+    exit_deadline: Option<Time>,
 }
 
 impl Drain {
-    pub fn new(set: Settings, now: Time) -> Drain {
+    /// A proxy in service, without clients.
+    pub fn new(settings: Settings, now: Time) -> Drain {
         Drain {
-            set,
+            settings,
             phase: Phase::Serving,
             now,
-            settled: true,
-            end: None,
+            idle: true,
+            exit_deadline: None,
         }
     }
 
-    /// Other settings; what is under way goes on by the old ones.
-    pub fn configure(&mut self, set: Settings) {
-        self.set = set;
+    /// Sets other settings. The times of a drain under way stay as they are.
+    pub fn configure(&mut self, settings: Settings) {
+        self.settings = settings;
     }
 
+    /// The step that the drain has reached.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// It tells whoever asks that it drains.
-    pub fn announced(&self) -> bool {
+    /// Whether health checks are answered with "draining".
+    pub fn is_announced(&self) -> bool {
         self.phase != Phase::Serving
     }
 
-    /// It ends for good.
-    pub fn ending(&self) -> bool {
-        self.end.is_some()
+    /// Whether the process is to end.
+    pub fn is_terminating(&self) -> bool {
+        self.exit_deadline.is_some()
     }
 
-    /// When it has to be told that time has passed.
-    pub fn due(&self) -> Option<Time> {
+    /// When [`Event::Tick`] is due.
+    pub fn next_deadline(&self) -> Option<Time> {
         let step = match self.phase {
             Phase::Announced { until, .. } | Phase::Lingering { until } => Some(until),
-            Phase::Serving | Phase::Drained | Phase::Closing | Phase::Over => None,
+            Phase::Serving | Phase::Drained | Phase::Closing | Phase::Finished => None,
         };
-        let end = self.end.filter(|_| self.phase != Phase::Over);
-        step.into_iter().chain(end).min()
+        let exit = self.exit_deadline.filter(|_| self.phase != Phase::Finished);
+        step.into_iter().chain(exit).min()
     }
 
+    /// Handles one event. Time does not run backwards: an earlier `now` counts as the latest one seen.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Settled(settled) => self.settled = settled,
+            Event::IdleChanged(idle) => self.idle = idle,
             Event::Tick => {}
-            Event::Drain => {
-                if self.phase == Phase::Serving {
-                    actions.push(Action::Announce);
-                    self.phase = Phase::Announced {
-                        until: self.now + self.set.wait(),
-                        ending: false,
-                    };
-                }
-            }
-            Event::Undrain => match self.phase {
-                // What has been told to end ends.
-                _ if self.ending() => {}
-                Phase::Announced { .. } => {
-                    actions.push(Action::Retract);
-                    self.phase = Phase::Serving;
-                }
-                Phase::Drained => {
-                    actions.extend([Action::Listen, Action::Retract]);
-                    self.phase = Phase::Serving;
-                }
-                _ => {}
-            },
+            Event::Drain => self.drain(actions),
+            Event::Undrain => self.undrain(actions),
             Event::Terminate => self.terminate(actions),
         }
-        self.step(actions);
+        self.advance_phase(actions);
+        self.finish_if_due(actions);
     }
 
-    fn terminate(&mut self, actions: &mut Vec<Action>) {
-        if self.ending() {
+    fn drain(&mut self, actions: &mut Vec<Action>) {
+        if self.phase != Phase::Serving {
             return;
         }
-        let (now, set) = (self.now, &self.set);
-        let (phase, end) = match self.phase {
-            // What balancers were told before counts.
-            Phase::Announced { until, .. } if set.announce_end => (
-                Phase::Announced {
-                    until,
-                    ending: true,
-                },
-                until.max(now) + set.give_up,
-            ),
-            Phase::Drained => (Phase::Closing, now + set.give_up),
-            _ if set.announce_end && set.wait() > Duration::ZERO => {
-                let until = now + set.wait();
-                (
-                    Phase::Announced {
-                        until,
-                        ending: true,
-                    },
-                    until + set.give_up,
-                )
-            }
-            // A listener that is closed before the end refuses who still waits there.
-            _ => (
-                Phase::Lingering {
-                    until: now + set.linger.min(set.give_up),
-                },
-                now + set.give_up,
-            ),
+        actions.push(Action::AnnounceDrain);
+        self.phase = Phase::Announced {
+            until: self.now + self.settings.detection_time(),
+            terminating: false,
         };
+    }
+
+    fn undrain(&mut self, actions: &mut Vec<Action>) {
+        if self.is_terminating() {
+            return;
+        }
+        match self.phase {
+            Phase::Announced { .. } => actions.push(Action::RetractDrain),
+            Phase::Drained => actions.extend([Action::StartListening, Action::RetractDrain]),
+            _ => return,
+        }
+        self.phase = Phase::Serving;
+    }
+
+    fn terminate(&mut self, actions: &mut Vec<Action>) {
+        if self.is_terminating() {
+            return;
+        }
+        let (phase, exit_deadline) = self.termination();
         if self.phase == Phase::Serving {
-            actions.push(Action::Announce);
+            actions.push(Action::AnnounceDrain);
+        }
+        actions.push(Action::LimitDeadlines(exit_deadline));
+        self.phase = phase;
+        self.exit_deadline = Some(exit_deadline);
+    }
+
+    /// The first phase of a termination that begins now, and when the process ends at the latest.
+    fn termination(&self) -> (Phase, Time) {
+        let (now, settings) = (self.now, &self.settings);
+        let announced = |until| Phase::Announced {
+            until,
+            terminating: true,
+        };
+        match self.phase {
+            // The time since an earlier announcement counts.
+            Phase::Announced { until, .. } if settings.announce_termination => {
+                (announced(until), until.max(now) + settings.drain_timeout)
+            }
+            Phase::Drained => (Phase::Closing, now + settings.drain_timeout),
+            _ if settings.announce_termination && settings.detection_time() > Duration::ZERO => {
+                let until = now + settings.detection_time();
+                (announced(until), until + settings.drain_timeout)
+            }
+            _ => {
+                // A listener that closes only with the process resets the connections in its backlog.
+                let until = now + settings.linger.min(settings.drain_timeout);
+                (Phase::Lingering { until }, now + settings.drain_timeout)
+            }
         }
-        actions.push(Action::EndsAt(end));
-        (self.phase, self.end) = (phase, Some(end));
     }
 
-    /// Whoever waits at the listener is still taken. So it ends only once it is told anew that nothing is owed.
+    /// Connections in the backlog are still accepted, so the proxy counts as busy until it is reported idle again.
     fn stop_listening(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::StopListening);
-        self.settled = false;
+        self.idle = false;
     }
 
-    /// What time and an empty house bring about.
-    fn step(&mut self, actions: &mut Vec<Action>) {
-        match self.phase {
-            Phase::Announced { until, ending } if self.now >= until => {
-                self.stop_listening(actions);
-                self.phase = if ending {
+    fn advance_phase(&mut self, actions: &mut Vec<Action>) {
+        let next = match self.phase {
+            Phase::Announced { until, terminating } if self.now >= until => {
+                if terminating {
                     Phase::Closing
                 } else {
                     Phase::Drained
-                };
-            }
-            Phase::Lingering { until } if self.now >= until => {
-                self.stop_listening(actions);
-                self.phase = Phase::Closing;
+                }
             }
-            _ => {}
-        }
-        if self.phase == Phase::Over {
+            Phase::Lingering { until } if self.now >= until => Phase::Closing,
+            _ => return,
+        };
+        self.stop_listening(actions);
+        self.phase = next;
+    }
+
+    fn finish_if_due(&mut self, actions: &mut Vec<Action>) {
+        if self.phase == Phase::Finished {
             return;
         }
-        let late = self.end.is_some_and(|end| self.now >= end);
-        if late && !self.settled {
-            actions.push(Action::GiveUp);
+        let late = self
+            .exit_deadline
+            .is_some_and(|deadline| self.now >= deadline);
+        if late && !self.idle {
+            actions.push(Action::AbortOutstanding);
         }
-        if late || self.phase == Phase::Closing && self.settled {
-            actions.push(Action::End);
-            self.phase = Phase::Over;
+        if late || self.phase == Phase::Closing && self.idle {
+            actions.push(Action::Exit);
+            self.phase = Phase::Finished;
         }
     }
 }
--- a/crates/drain/src/tests.rs
+++ b/crates/drain/src/tests.rs
@@ -5,7 +5,7 @@
 const S: Duration = Duration::from_secs(1);
 const MS: Duration = Duration::from_millis(1);
 
-fn acts(drain: &mut Drain, now: Time, event: Event) -> Vec<Action> {
+fn handle(drain: &mut Drain, now: Time, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     drain.handle(now, event, &mut actions);
     actions
@@ -19,149 +19,165 @@
     };
     Settings {
         balancers: vec![balancer(2 * S, 3), balancer(5 * S, 1)],
-        announce_end: true,
+        announce_termination: true,
         linger: 500 * MS,
-        give_up: 3 * S,
+        drain_timeout: 3 * S,
     }
 }
 
 #[test]
 fn the_slowest_balancer_is_waited_for() {
     let mut drain = Drain::new(settings(), Time::ZERO);
-    assert_eq!(acts(&mut drain, S, Event::Drain), [Action::Announce]);
-    assert_eq!(drain.due(), Some(S + 6_500 * MS));
-    assert_eq!(acts(&mut drain, 7 * S, Event::Tick), []);
+    assert_eq!(handle(&mut drain, S, Event::Drain), [Action::AnnounceDrain]);
+    assert_eq!(drain.next_deadline(), Some(S + 6_500 * MS));
+    assert_eq!(handle(&mut drain, 7 * S, Event::Tick), []);
     assert_eq!(
-        acts(&mut drain, 7_500 * MS, Event::Tick),
+        handle(&mut drain, 7_500 * MS, Event::Tick),
         [Action::StopListening]
     );
     assert_eq!(drain.phase(), Phase::Drained);
     assert_eq!(
-        acts(&mut drain, 9 * S, Event::Undrain),
-        [Action::Listen, Action::Retract]
+        handle(&mut drain, 9 * S, Event::Undrain),
+        [Action::StartListening, Action::RetractDrain]
     );
     assert_eq!(drain.phase(), Phase::Serving);
 }
 
-/// The platform's way, to the letter: listening goes on for a while, and the end comes when all is answered.
+/// Without balancers, as the platform specifies it: the proxy keeps listening for a while, and ends when every request has
+/// its response.
 #[test]
-fn without_balancers_the_end_is_as_it_was() {
+fn without_balancers_termination_lingers_and_closes() {
     let set = Settings {
         linger: 500 * MS,
-        give_up: 3_600 * MS,
+        drain_timeout: 3_600 * MS,
         ..Settings::default()
     };
     let mut drain = Drain::new(set, Time::ZERO);
-    let told = acts(&mut drain, S, Event::Terminate);
-    assert_eq!(told, [Action::Announce, Action::EndsAt(4_600 * MS)]);
-    assert_eq!(acts(&mut drain, S, Event::Settled(false)), []);
+    let actions = handle(&mut drain, S, Event::Terminate);
     assert_eq!(
-        acts(&mut drain, 1_500 * MS, Event::Tick),
+        actions,
+        [Action::AnnounceDrain, Action::LimitDeadlines(4_600 * MS)]
+    );
+    assert_eq!(handle(&mut drain, S, Event::IdleChanged(false)), []);
+    assert_eq!(
+        handle(&mut drain, 1_500 * MS, Event::Tick),
         [Action::StopListening]
     );
-    assert_eq!(acts(&mut drain, 2 * S, Event::Settled(true)), [Action::End]);
+    assert_eq!(
+        handle(&mut drain, 2 * S, Event::IdleChanged(true)),
+        [Action::Exit]
+    );
 }
 
 #[test]
-fn what_is_owed_at_the_end_is_given_up() {
+fn outstanding_requests_are_aborted_at_the_deadline() {
     let mut drain = Drain::new(
         Settings {
-            give_up: S,
+            drain_timeout: S,
             ..Settings::default()
         },
         Time::ZERO,
     );
-    acts(&mut drain, Time::ZERO, Event::Settled(false));
-    acts(&mut drain, Time::ZERO, Event::Terminate);
+    handle(&mut drain, Time::ZERO, Event::IdleChanged(false));
+    handle(&mut drain, Time::ZERO, Event::Terminate);
     assert_eq!(
-        acts(&mut drain, S, Event::Tick),
-        [Action::GiveUp, Action::End]
+        handle(&mut drain, S, Event::Tick),
+        [Action::AbortOutstanding, Action::Exit]
     );
-    assert_eq!(drain.due(), None);
-    assert_eq!(acts(&mut drain, 2 * S, Event::Undrain), []);
+    assert_eq!(drain.next_deadline(), None);
+    assert_eq!(handle(&mut drain, 2 * S, Event::Undrain), []);
 }
 
 #[test]
-fn an_end_in_the_middle_of_a_drain_keeps_what_was_announced() {
+fn termination_during_a_drain_keeps_the_announcement() {
     let mut drain = Drain::new(settings(), Time::ZERO);
-    acts(&mut drain, Time::ZERO, Event::Drain);
+    handle(&mut drain, Time::ZERO, Event::Drain);
     assert_eq!(
-        acts(&mut drain, 2 * S, Event::Terminate),
-        [Action::EndsAt(9_500 * MS)]
+        handle(&mut drain, 2 * S, Event::Terminate),
+        [Action::LimitDeadlines(9_500 * MS)]
     );
     assert_eq!(
-        acts(&mut drain, 3 * S, Event::Undrain),
+        handle(&mut drain, 3 * S, Event::Undrain),
         [],
-        "it has been told to end"
+        "a termination cannot be undone"
     );
     assert_eq!(
-        acts(&mut drain, 6_500 * MS, Event::Tick),
+        handle(&mut drain, 6_500 * MS, Event::Tick),
         [Action::StopListening]
     );
     assert_eq!(
-        acts(&mut drain, 6_500 * MS, Event::Settled(true)),
-        [Action::End]
+        handle(&mut drain, 6_500 * MS, Event::IdleChanged(true)),
+        [Action::Exit]
     );
 }
 
-/// A connection that waits at the listener is taken with its last word: whether all is settled is told after that.
+/// A client waits in the backlog when the proxy stops listening. The proxy must not end on an earlier report that it is
+/// idle: it accepts the client, and ends once it is reported idle again.
 #[test]
-fn what_waits_at_the_listener_is_answered_before_the_end() {
+fn clients_in_the_backlog_are_answered_before_the_end() {
     for linger in [Time::ZERO, 500 * MS] {
         let mut drain = Drain::new(
             Settings {
                 linger,
-                give_up: 3 * S,
+                drain_timeout: 3 * S,
                 ..Settings::default()
             },
             Time::ZERO,
         );
-        acts(&mut drain, Time::ZERO, Event::Settled(true));
-        let mut told = acts(&mut drain, Time::ZERO, Event::Terminate);
-        told.extend(acts(&mut drain, linger, Event::Tick));
+        handle(&mut drain, Time::ZERO, Event::IdleChanged(true));
+        let mut actions = handle(&mut drain, Time::ZERO, Event::Terminate);
+        actions.extend(handle(&mut drain, linger, Event::Tick));
         assert_eq!(
-            told,
+            actions,
             [
-                Action::Announce,
-                Action::EndsAt(3 * S),
+                Action::AnnounceDrain,
+                Action::LimitDeadlines(3 * S),
                 Action::StopListening
             ]
         );
-        assert_eq!(acts(&mut drain, linger, Event::Settled(false)), []);
-        assert_eq!(acts(&mut drain, S, Event::Settled(true)), [Action::End]);
+        assert_eq!(handle(&mut drain, linger, Event::IdleChanged(false)), []);
+        assert_eq!(
+            handle(&mut drain, S, Event::IdleChanged(true)),
+            [Action::Exit]
+        );
     }
 }
 
-/// Nobody says that all is settled: it ends in time even so.
+/// The proxy is never reported idle: it ends at the deadline all the same.
 #[test]
-fn an_end_that_nobody_settles_comes_in_time() {
+fn a_proxy_that_is_never_idle_ends_at_the_deadline() {
     let mut drain = Drain::new(
         Settings {
-            give_up: S,
+            drain_timeout: S,
             ..Settings::default()
         },
         Time::ZERO,
     );
-    acts(&mut drain, Time::ZERO, Event::Terminate);
-    assert_eq!(drain.due(), Some(S));
+    handle(&mut drain, Time::ZERO, Event::Terminate);
+    assert_eq!(drain.next_deadline(), Some(S));
     assert_eq!(
-        acts(&mut drain, S, Event::Tick),
-        [Action::GiveUp, Action::End]
+        handle(&mut drain, S, Event::Tick),
+        [Action::AbortOutstanding, Action::Exit]
     );
 }
 
-/// Told to linger beyond the end, it stops listening before that: who waits at the listener is not just cut off.
+/// A linger time beyond the drain timeout is cut to it, so that the proxy stops listening before it ends and the backlog
+/// is not reset unanswered.
 #[test]
-fn a_linger_beyond_the_end_is_cut_to_it() {
+fn a_linger_time_beyond_the_drain_timeout_is_cut() {
     let set = Settings {
         linger: 9 * S,
-        give_up: S,
+        drain_timeout: S,
         ..Settings::default()
     };
     let mut drain = Drain::new(set, Time::ZERO);
-    acts(&mut drain, Time::ZERO, Event::Terminate);
+    handle(&mut drain, Time::ZERO, Event::Terminate);
     assert_eq!(
-        acts(&mut drain, S, Event::Tick),
-        [Action::StopListening, Action::GiveUp, Action::End]
+        handle(&mut drain, S, Event::Tick),
+        [
+            Action::StopListening,
+            Action::AbortOutstanding,
+            Action::Exit
+        ]
     );
 }
--- a/crates/drain/tests/exhaustive.rs
+++ b/crates/drain/tests/exhaustive.rs
@@ -1,23 +1,24 @@
-//! Every order of events, by a model checker: operators, the end, clients, two balancers with intervals of their own
-//! and any phase between their clocks and the proxy's.
+//! Every order of events, by a model checker: operators, termination, clients, two balancers with different intervals
+//! and every phase between their clocks and the proxy's.
 
 use drain::{Action, Balancer, Drain, Event, Phase, Settings, Time};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks that a run lasts, and those of each balancer between two checks, with its fall.
+/// Ticks of a run.
 const CLOCK: u8 = 14;
+/// For each balancer, the ticks between two checks and its `fall`.
 const BALANCERS: [(u8, u8); 2] = [(2, 2), (3, 1)];
-const GIVE_UP: u8 = 3;
+const DRAIN_TIMEOUT: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Watcher {
     /// Ticks until its next check.
     next: u8,
-    /// Checks in a row that told of a drain.
-    down: u8,
-    sends: bool,
+    /// Failed checks in a row.
+    failed: u8,
+    in_rotation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -25,20 +26,20 @@
     drain: Drain,
     clock: u8,
     listening: bool,
-    told: bool,
-    /// Clients at the listener that are not accepted yet.
-    waiting: u8,
-    owed: u8,
+    announced: bool,
+    /// Clients in the listener's backlog.
+    in_backlog: u8,
+    outstanding: u8,
     watchers: Vec<Watcher>,
-    /// Words of operators that are left.
-    words: u8,
+    /// Operator commands that are left.
+    commands_left: u8,
     terminated: bool,
-    over: bool,
-    given_up: bool,
-    /// A client that a balancer sent found the door closed.
-    closed_door: bool,
-    /// Clients after the end of the announcement.
-    undrained_after_end: bool,
+    finished: bool,
+    aborted: bool,
+    /// A client that a balancer sent found the port closed.
+    refused_client: bool,
+    /// The proxy listened again after a termination.
+    undrained_after_termination: bool,
     late: bool,
 }
 
@@ -54,8 +55,8 @@
     Tick,
 }
 
-struct Choreography {
-    announce_end: bool,
+struct DrainModel {
+    announce_termination: bool,
 }
 
 fn time(ticks: u8) -> Time {
@@ -63,37 +64,37 @@
 }
 
 impl World {
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.drain.handle(time(self.clock), event, &mut actions);
         let stopped = actions.contains(&Action::StopListening);
         for action in actions {
             match action {
-                Action::Announce => self.told = true,
-                Action::Retract => self.told = false,
-                Action::Listen => {
-                    self.undrained_after_end |= self.terminated;
+                Action::AnnounceDrain => self.announced = true,
+                Action::RetractDrain => self.announced = false,
+                Action::StartListening => {
+                    self.undrained_after_termination |= self.terminated;
                     self.listening = true;
                 }
                 Action::StopListening => {
                     self.listening = false;
-                    self.owed += std::mem::take(&mut self.waiting);
+                    self.outstanding += std::mem::take(&mut self.in_backlog);
                 }
-                Action::EndsAt(_) => {}
-                Action::GiveUp => {
-                    self.given_up |= self.owed > 0;
-                    self.owed = 0;
+                Action::LimitDeadlines(_) => {}
+                Action::AbortOutstanding => {
+                    self.aborted |= self.outstanding > 0;
+                    self.outstanding = 0;
                 }
-                Action::End => self.over = true,
+                Action::Exit => self.finished = true,
             }
         }
-        if stopped && !self.over {
-            self.tell(Event::Settled(self.owed == 0));
+        if stopped && !self.finished {
+            self.handle(Event::IdleChanged(self.outstanding == 0));
         }
     }
 }
 
-impl Model for Choreography {
+impl Model for DrainModel {
     type State = World;
     type Action = Step;
 
@@ -105,24 +106,24 @@
         });
         let settings = Settings {
             balancers: balancers.collect(),
-            announce_end: self.announce_end,
+            announce_termination: self.announce_termination,
             linger: TICK,
-            give_up: time(GIVE_UP),
+            drain_timeout: time(DRAIN_TIMEOUT),
         };
         let world = World {
             drain: Drain::new(settings, Time::ZERO),
             clock: 0,
             listening: true,
-            told: false,
-            waiting: 0,
-            owed: 0,
+            announced: false,
+            in_backlog: 0,
+            outstanding: 0,
             watchers: Vec::new(),
-            words: 3,
+            commands_left: 3,
             terminated: false,
-            over: false,
-            given_up: false,
-            closed_door: false,
-            undrained_after_end: false,
+            finished: false,
+            aborted: false,
+            refused_client: false,
+            undrained_after_termination: false,
             late: false,
         };
         // Any phase of either balancer's clock.
@@ -131,8 +132,8 @@
             for b in 1..=BALANCERS[1].0 {
                 let watcher = |next| Watcher {
                     next,
-                    down: 0,
-                    sends: true,
+                    failed: 0,
+                    in_rotation: true,
                 };
                 all.push(World {
                     watchers: vec![watcher(a), watcher(b)],
@@ -144,25 +145,25 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        if world.over || world.clock >= CLOCK {
+        if world.finished || world.clock >= CLOCK {
             return;
         }
         actions.push(Step::Tick);
-        if world.words > 0 {
+        if world.commands_left > 0 {
             actions.extend([Step::Drain, Step::Undrain]);
         }
         if !world.terminated {
             actions.push(Step::Terminate);
         }
         for (at, watcher) in world.watchers.iter().enumerate() {
-            if watcher.sends && world.owed + world.waiting < 2 {
+            if watcher.in_rotation && world.outstanding + world.in_backlog < 2 {
                 actions.push(Step::Client(at));
             }
         }
-        if world.waiting > 0 {
+        if world.in_backlog > 0 {
             actions.push(Step::Accept);
         }
-        if world.owed > 0 {
+        if world.outstanding > 0 {
             actions.push(Step::Answer);
         }
     }
@@ -171,48 +172,48 @@
         let mut world = before.clone();
         match step {
             Step::Drain => {
-                world.words -= 1;
-                world.tell(Event::Drain);
+                world.commands_left -= 1;
+                world.handle(Event::Drain);
             }
             Step::Undrain => {
-                world.words -= 1;
-                world.tell(Event::Undrain);
+                world.commands_left -= 1;
+                world.handle(Event::Undrain);
             }
             Step::Terminate => {
                 world.terminated = true;
-                world.tell(Event::Terminate);
+                world.handle(Event::Terminate);
             }
-            Step::Client(_) if !world.listening => world.closed_door = true,
-            Step::Client(_) => world.waiting += 1,
+            Step::Client(_) if !world.listening => world.refused_client = true,
+            Step::Client(_) => world.in_backlog += 1,
             Step::Accept => {
-                world.waiting -= 1;
-                world.owed += 1;
-                world.tell(Event::Settled(false));
+                world.in_backlog -= 1;
+                world.outstanding += 1;
+                world.handle(Event::IdleChanged(false));
             }
             Step::Answer => {
-                world.owed -= 1;
-                let settled = world.owed == 0;
-                world.tell(Event::Settled(settled));
+                world.outstanding -= 1;
+                let idle = world.outstanding == 0;
+                world.handle(Event::IdleChanged(idle));
             }
             Step::Tick => {
                 world.clock += 1;
                 for (at, (interval, fall)) in BALANCERS.iter().enumerate() {
-                    let told = world.told;
+                    let announced = world.announced;
                     let watcher = &mut world.watchers[at];
                     watcher.next -= 1;
                     if watcher.next == 0 {
                         watcher.next = *interval;
-                        watcher.down = if told {
-                            (watcher.down + 1).min(*fall)
+                        watcher.failed = if announced {
+                            (watcher.failed + 1).min(*fall)
                         } else {
                             0
                         };
-                        watcher.sends = watcher.down < *fall;
+                        watcher.in_rotation = watcher.failed < *fall;
                     }
                 }
-                world.tell(Event::Tick);
+                world.handle(Event::Tick);
                 let end = time(world.clock);
-                world.late |= world.drain.due().is_some_and(|due| due <= end);
+                world.late |= world.drain.next_deadline().is_some_and(|due| due <= end);
             }
         }
         Some(world)
@@ -221,65 +222,66 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no client that a balancer sends finds the door closed",
-                |model: &Self, world: &World| !model.announce_end || !world.closed_door,
+                "no client that a balancer sends finds the port closed",
+                |model: &Self, world: &World| !model.announce_termination || !world.refused_client,
             ),
             Property::always(
-                "a drain stays told until it is undone",
+                "a drain stays announced until it is undone",
                 |_, world: &World| {
                     let phase = world.drain.phase();
-                    world.told == (phase != Phase::Serving)
+                    world.announced == (phase != Phase::Serving)
                 },
             ),
-            Property::always("the door is open while it serves", |_, world: &World| {
+            Property::always("the proxy listens while it serves", |_, world: &World| {
                 world.listening
                     || !matches!(
                         world.drain.phase(),
                         Phase::Serving | Phase::Announced { .. }
                     )
             }),
+            Property::always("a termination is not undone", |_, world: &World| {
+                !(world.undrained_after_termination
+                    || world.terminated && world.drain.phase() == Phase::Serving)
+            }),
             Property::always(
-                "what has been told to end does not come back",
-                |_, world: &World| {
-                    !(world.undrained_after_end
-                        || world.terminated && world.drain.phase() == Phase::Serving)
-                },
+                "nothing is outstanding when it has finished",
+                |_, world: &World| !world.finished || world.outstanding + world.in_backlog == 0,
+            ),
+            Property::always(
+                "requests are aborted only at the end",
+                |_, world: &World| !world.aborted || world.finished,
             ),
-            Property::always("nothing is owed when it is over", |_, world: &World| {
-                !world.over || world.owed + world.waiting == 0
-            }),
-            Property::always("nothing is given up but at the end", |_, world: &World| {
-                !world.given_up || world.over
-            }),
             Property::always("no step is late", |_, world: &World| !world.late),
-            Property::always("it ends when it is due", |_, world: &World| {
-                // The longest way: announced anew at the end, then given up.
+            Property::always("it ends by its deadline", |_, world: &World| {
+                // The longest way: announced again at the termination, then aborted.
                 world.clock < CLOCK
                     || !world.terminated
-                    || world.over
-                    || world.drain.due() > Some(time(CLOCK))
+                    || world.finished
+                    || world.drain.next_deadline() > Some(time(CLOCK))
             }),
-            // That these can be reached at all shows that the checks above see something.
+            // States that must be reachable, or the checks above would prove nothing.
             Property::sometimes("it comes back from a drain", |_, world: &World| {
-                world.words == 0 && world.listening && !world.told && world.clock > 6
+                world.commands_left == 0 && world.listening && !world.announced && world.clock > 6
             }),
-            Property::sometimes("it ends with nothing given up", |_, world: &World| {
-                world.over && !world.given_up
+            Property::sometimes("it ends with nothing aborted", |_, world: &World| {
+                world.finished && !world.aborted
             }),
-            Property::sometimes("it ends with something given up", |_, world: &World| {
-                world.over && world.given_up
+            Property::sometimes("it ends with something aborted", |_, world: &World| {
+                world.finished && world.aborted
             }),
         ]
     }
 }
 
 #[test]
-fn with_balancers_told_first() {
-    let checker = Choreography { announce_end: true }
-        .checker()
-        .threads(2)
-        .spawn_bfs()
-        .join();
+fn termination_announced_to_balancers() {
+    let checker = DrainModel {
+        announce_termination: true,
+    }
+    .checker()
+    .threads(2)
+    .spawn_bfs()
+    .join();
     checker.assert_properties();
     assert!(
         checker.unique_state_count() > 10_000,
@@ -289,9 +291,9 @@
 }
 
 #[test]
-fn as_the_platform_has_it() {
-    Choreography {
-        announce_end: false,
+fn termination_without_announcement() {
+    DrainModel {
+        announce_termination: false,
     }
     .checker()
     .threads(2)
@@ -300,11 +302,11 @@
     .assert_properties();
 }
 
-/// The check can fail: a proxy that waits for one check too few closes the door on clients.
+/// The check can fail: a proxy that expects one health check too few refuses clients.
 #[test]
-fn a_wait_too_short_is_found() {
-    struct Hasty(Choreography);
-    impl Model for Hasty {
+fn a_detection_time_too_short_is_found() {
+    struct TooShort(DrainModel);
+    impl Model for TooShort {
         type State = World;
         type Action = Step;
         fn init_states(&self) -> Vec<World> {
@@ -316,9 +318,9 @@
                         fall: 2,
                         timeout: Duration::ZERO,
                     }],
-                    announce_end: true,
+                    announce_termination: true,
                     linger: TICK,
-                    give_up: time(GIVE_UP),
+                    drain_timeout: time(DRAIN_TIMEOUT),
                 };
                 world.drain = Drain::new(settings, Time::ZERO);
             }
@@ -331,15 +333,17 @@
             self.0.next_state(before, step)
         }
         fn properties(&self) -> Vec<Property<Self>> {
-            vec![Property::always("door", |_, world: &World| {
-                !world.closed_door
+            vec![Property::always("port", |_, world: &World| {
+                !world.refused_client
             })]
         }
     }
-    let checker = Hasty(Choreography { announce_end: true })
-        .checker()
-        .threads(2)
-        .spawn_bfs()
-        .join();
-    assert!(checker.discovery("door").is_some());
+    let checker = TooShort(DrainModel {
+        announce_termination: true,
+    })
+    .checker()
+    .threads(2)
+    .spawn_bfs()
+    .join();
+    assert!(checker.discovery("port").is_some());
 }
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -124,7 +124,7 @@
         });
         let settings = drain::Settings {
             balancers: balancers.collect(),
-            announce_end: true,
+            announce_termination: true,
             ..drain::Settings::default()
         };
         Proxy {
@@ -146,11 +146,11 @@
         self.drain.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Announce => self.model.handle(now, Event::Drain),
-                Action::Retract => self.model.handle(now, Event::Undrain),
+                Action::AnnounceDrain => self.model.handle(now, Event::Drain),
+                Action::RetractDrain => self.model.handle(now, Event::Undrain),
                 Action::StopListening => self.listening = false,
-                Action::Listen => self.listening = true,
-                Action::EndsAt(_) | Action::GiveUp | Action::End => {}
+                Action::StartListening => self.listening = true,
+                Action::LimitDeadlines(_) | Action::AbortOutstanding | Action::Exit => {}
             }
         }
     }
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -165,9 +165,9 @@
     pub fn drain_settings(&self) -> drain::Settings {
         drain::Settings {
             balancers: self.balancers.clone(),
-            announce_end: self.announce_end,
+            announce_termination: self.announce_end,
             linger: self.linger,
-            give_up: self.give_up,
+            drain_timeout: self.give_up,
         }
     }
 }
--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -1,7 +1,7 @@
 //! The record servers by name: which id the module knows them by, and where they listen.
 
 use super::wire::{ListedEndpoint, Listing, Status};
-use maintenance::{Hand, Joined, Maintenance, Unknown, Word};
+use maintenance::{EffectiveState, Maintenance, ManualExclusion, ServerStatus, UnknownServer};
 use platform_settings::Names;
 use routing::{Endpoint, EndpointState, EndpointUpdate, GroupId, KindId, ServerId, Time, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,7 +46,7 @@
         let mut entries = Vec::new();
         if listing.snapshot {
             self.hands
-                .only(&listing.endpoints.iter().map(|e| e.name.as_str()).collect());
+                .retain_listed(&listing.endpoints.iter().map(|e| e.name.as_str()).collect());
         }
         for endpoint in listing.endpoints {
             if let Some((entry, change)) = self.entry(endpoint, names) {
@@ -88,19 +88,19 @@
         endpoint.address = endpoint.address.or(member.and_then(|m| m.address));
         endpoint.group = endpoint.group.or(member.and_then(|m| m.group));
         let word = match endpoint.status {
-            Status::Ready => Word::Ready,
-            Status::Terminating | Status::Other => Word::Draining,
-            Status::Gone => Word::Gone,
+            Status::Ready => ServerStatus::Ready,
+            Status::Terminating | Status::Other => ServerStatus::Draining,
+            Status::Gone => ServerStatus::Removed,
         };
         let whole = endpoint.address.is_some() && endpoint.group.is_some();
-        if !whole && word != Word::Gone {
+        if !whole && word != ServerStatus::Removed {
             log::warn!(
                 "discovery: {} has no address or no group: left out",
                 endpoint.name
             );
             return None;
         }
-        let joined = self.hands.hears(
+        let joined = self.hands.apply_status(
             &endpoint.name,
             word,
             Duration::from_millis(endpoint.since_ms),
@@ -131,7 +131,7 @@
         out: bool,
         now: Time,
         names: &Names,
-    ) -> Result<Option<(EndpointUpdate, Vec<Change>)>, Unknown> {
+    ) -> Result<Option<(EndpointUpdate, Vec<Change>)>, UnknownServer> {
         let said = if out {
             self.hands.exclude(name, now.0)
         } else {
@@ -143,7 +143,7 @@
     fn joined(
         &self,
         name: &str,
-        joined: Joined,
+        joined: EffectiveState,
         names: &Names,
     ) -> Option<(EndpointUpdate, Vec<Change>)> {
         let server = *self.ids.get(name)?;
@@ -164,10 +164,10 @@
     /// The operators' word as the process before this one had it, beside the list that it had.
     pub fn take_over(
         &mut self,
-        hands: Vec<Hand>,
+        hands: Vec<ManualExclusion>,
         names: &Names,
     ) -> Vec<(EndpointUpdate, Vec<Change>)> {
-        let changed = self.hands.take_over(hands);
+        let changed = self.hands.restore(hands);
         changed
             .iter()
             .filter_map(|(name, joined)| self.joined(name, *joined, names))
@@ -182,16 +182,16 @@
 fn told(
     server: ServerId,
     endpoint: &ListedEndpoint,
-    joined: Joined,
+    joined: EffectiveState,
     names: &Names,
 ) -> Option<(Endpoint, Change)> {
-    let (listed, change) = match joined.word {
-        Word::Ready => (
+    let (listed, change) = match joined.status {
+        ServerStatus::Ready => (
             EndpointState::Ready,
             Change::Serves(server, endpoint.address?),
         ),
-        Word::Draining => (EndpointState::Draining, Change::Leaves(server)),
-        Word::Gone => (EndpointState::Removed, Change::Leaves(server)),
+        ServerStatus::Draining => (EndpointState::Draining, Change::Leaves(server)),
+        ServerStatus::Removed => (EndpointState::Removed, Change::Leaves(server)),
     };
     let entry = Endpoint {
         server,
--- a/crates/leverproxy/src/discovery/mod.rs
+++ b/crates/leverproxy/src/discovery/mod.rs
@@ -9,7 +9,7 @@
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::protocol::http::{self, Part, Reader};
-use discovery_schedule::{Action, Clock, Event};
+use discovery_schedule::{Action, Event, PollSchedule};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
 
 pub struct Discovery {
     address: SocketAddr,
-    clock: Clock,
+    clock: PollSchedule,
     /// The clock's origin.
     start: Instant,
     /// A timer is set for then.
@@ -57,7 +57,7 @@
     pub fn new(address: SocketAddr, silence: Duration, pushed: bool, now: Instant) -> Discovery {
         Discovery {
             address,
-            clock: Clock::new(silence, pushed),
+            clock: PollSchedule::new(silence, pushed),
             start: now,
             alarm: None,
             watches: Slots::default(),
@@ -74,7 +74,7 @@
 
     /// Lists are pushed from now on, or have to be asked for. Where they are pushed a watch is opened, if there is none.
     pub fn set_pushed(&mut self, pushed: bool, index: u64, now: Instant, reactor: &Reactor) {
-        self.clock.set_pushed(pushed);
+        self.clock.set_push_mode(pushed);
         if pushed && self.current.is_none() {
             self.subscribe(index, now, reactor);
         }
@@ -82,7 +82,7 @@
 
     /// Asks for all changes after `index`, in place of the watch there was.
     pub fn subscribe(&mut self, index: u64, now: Instant, reactor: &Reactor) {
-        self.act(Event::Ask, index, now, reactor);
+        self.act(Event::PollRequested, index, now, reactor);
     }
 
     /// Looks whether the watch has been silent for too long.
@@ -93,7 +93,7 @@
 
     /// When a timer is to be set that is not yet.
     pub fn alarm(&mut self) -> Option<Instant> {
-        let due = self.start + self.clock.due()?;
+        let due = self.start + self.clock.next_deadline()?;
         if self.alarm.is_some_and(|set| set <= due) {
             return None;
         }
@@ -115,7 +115,7 @@
             self.former = Some(key);
             self.current = None;
         }
-        self.act(Event::Moved, index, now, reactor);
+        self.act(Event::AddressChanged, index, now, reactor);
     }
 
     fn act(&mut self, event: Event, index: u64, now: Instant, reactor: &Reactor) {
@@ -127,8 +127,8 @@
         );
         for action in actions {
             match action {
-                Action::Call => self.call(index, now, reactor),
-                Action::Lost { silent } => {
+                Action::StartCall => self.call(index, now, reactor),
+                Action::CallLost { silent } => {
                     if silent {
                         self.losses.warn(now, || {
                             "discovery: watch lost: silent for too long".to_owned()
@@ -136,7 +136,7 @@
                     }
                     self.news.push_back(News::Lost);
                 }
-                Action::Tell => self.news.push_back(News::Failed),
+                Action::ReportFailure => self.news.push_back(News::Failed),
             }
         }
     }
@@ -178,7 +178,7 @@
                 self.losses.warn(now, || {
                     format!("discovery: cannot dial {}: {e}", self.address)
                 });
-                self.act(Event::Ended, index, now, reactor);
+                self.act(Event::CallEnded, index, now, reactor);
             }
         }
     }
@@ -209,19 +209,19 @@
                 return watched.map_err(|e| e.to_string());
             }
             watch.up = true;
-            events.push(Event::Up);
+            events.push(Event::Connected);
         }
         let written = watch.stream.flush().map_err(|e| e.to_string())?;
         let filled = watch.stream.fill(INPUT_LIMIT);
         if !watch.stream.input.is_empty() {
-            events.push(Event::Bytes);
+            events.push(Event::BytesReceived);
         }
         let mut parts = Vec::new();
         let taken = watch.reader.take(watch.stream.input.unused(), &mut parts);
         watch.stream.input.consume(*taken.as_ref().unwrap_or(&0));
         if !parts.is_empty() {
             watch.spoke = true;
-            events.push(Event::Whole);
+            events.push(Event::ObjectReceived);
         }
         let ended = filled == Filled::Ended || watch.reader.done();
         let interest = Interest {
@@ -263,7 +263,7 @@
                 .warn(now, || format!("discovery: watch lost: {why}"));
             self.current = None;
             // No call follows at once, so no index is needed.
-            self.act(Event::Ended, 0, now, reactor);
+            self.act(Event::CallEnded, 0, now, reactor);
         }
     }
 }
--- a/crates/leverproxy/src/persistence/hot_restart.rs
+++ b/crates/leverproxy/src/persistence/hot_restart.rs
@@ -4,7 +4,7 @@
 use crate::discovery::wire::Listing;
 use crate::event_loop::connection::{self, Filled, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
-use maintenance::Hand;
+use maintenance::ManualExclusion;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -34,14 +34,19 @@
 pub struct Estate {
     version: u32,
     pub listing: Listing,
-    pub hands: Vec<Hand>,
+    pub hands: Vec<ManualExclusion>,
     /// Descriptors in use, which the next one has to do without.
     pub clients: usize,
     pub upstream: usize,
 }
 
 impl Estate {
-    pub fn new(listing: Listing, hands: Vec<Hand>, clients: usize, upstream: usize) -> Estate {
+    pub fn new(
+        listing: Listing,
+        hands: Vec<ManualExclusion>,
+        clients: usize,
+        upstream: usize,
+    ) -> Estate {
         Estate {
             version: VERSION,
             listing,
--- a/crates/leverproxy/src/persistence/hot_restart/recorded.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/recorded.rs
@@ -49,10 +49,10 @@
     );
     assert_eq!(
         estate.hands,
-        [Hand {
+        [ManualExclusion {
             name: "s-1".into(),
-            out,
-            before
+            excluded_since: out,
+            previous: before
         }]
     );
     assert_eq!(received(ESTATE), "no listener came with its message");
--- a/crates/leverproxy/src/persistence/saved_state.rs
+++ b/crates/leverproxy/src/persistence/saved_state.rs
@@ -5,8 +5,10 @@
 use crate::event_loop::reactor::Key;
 use crate::persistence::state_file::{self, Lock, LockError, Writer};
 use configuration::model::Memory as Stated;
-use maintenance::Hand;
-use persistent_state::{recall, Action, After, Core, Event, List, FILE_MOST};
+use maintenance::ManualExclusion;
+use persistent_state::{
+    recover, Action, EndpointList, Event, SnapshotScheduler, StartMode, MAX_FILE_BYTES,
+};
 use std::io;
 use std::os::unix::net::UnixStream;
 use std::path::PathBuf;
@@ -65,12 +67,12 @@
     /// A start no greater than this was another process's.
     pub start: u64,
     pub listing: Option<Listing>,
-    pub hands: Vec<Hand>,
+    pub hands: Vec<ManualExclusion>,
 }
 
 pub struct Memory {
     stated: Stated,
-    core: Core,
+    core: SnapshotScheduler,
     lock: Option<Lock>,
     writer: Option<Writer>,
     waker: UnixStream,
@@ -90,23 +92,31 @@
     went_back: u64,
 }
 
-fn of_kept(hand: persistent_state::Hand) -> Hand {
+fn of_kept(hand: persistent_state::ManualExclusion) -> ManualExclusion {
     let ms = Duration::from_millis;
-    let persistent_state::Hand { name, out, before } = hand;
-    Hand {
+    let persistent_state::ManualExclusion {
         name,
-        out: out.map(ms),
-        before: before.map(|(from, to)| (ms(from), ms(to))),
+        excluded_since: out,
+        previous: before,
+    } = hand;
+    ManualExclusion {
+        name,
+        excluded_since: out.map(ms),
+        previous: before.map(|(from, to)| (ms(from), ms(to))),
     }
 }
 
-fn to_keep(hand: Hand) -> persistent_state::Hand {
+fn to_keep(hand: ManualExclusion) -> persistent_state::ManualExclusion {
     let ms = |at: Duration| at.as_millis() as u64;
-    let Hand { name, out, before } = hand;
-    persistent_state::Hand {
+    let ManualExclusion {
+        name,
+        excluded_since: out,
+        previous: before,
+    } = hand;
+    persistent_state::ManualExclusion {
         name,
-        out: out.map(ms),
-        before: before.map(|(from, to)| (ms(from), ms(to))),
+        excluded_since: out.map(ms),
+        previous: before.map(|(from, to)| (ms(from), ms(to))),
     }
 }
 
@@ -123,14 +133,16 @@
         let path = stated.state.join(FILE);
         let platform = (known.index > 0 || !known.endpoints.is_empty()).then_some(known.index);
         let after = if heir {
-            After::Elder
+            StartMode::HotRestart
         } else {
-            After::Nobody { platform }
+            StartMode::ColdStart {
+                platform_list_index: platform,
+            }
         };
-        let read =
-            state_file::load(&path, FILE_MOST).map_err(|error| Fault::Read(path.clone(), error));
+        let read = state_file::load(&path, MAX_FILE_BYTES)
+            .map_err(|error| Fault::Read(path.clone(), error));
         let read = read.and_then(|kept| {
-            recall(name, kept.as_deref(), after).map_err(|why| Fault::Unread(path, why))
+            recover(name, kept.as_deref(), after).map_err(|why| Fault::Unread(path, why))
         });
         let foreign = matches!(
             read,
@@ -152,18 +164,21 @@
                 ),
             }
         }
-        let hands: Vec<Hand> = recalled.hands.into_iter().map(of_kept).collect();
+        let hands: Vec<ManualExclusion> = recalled.exclusions.into_iter().map(of_kept).collect();
         if found.is_some() {
             let servers = listing
                 .as_ref()
                 .map_or(0, |listing| listing.endpoints.len());
-            let out = hands.iter().filter(|hand| hand.out.is_some()).count();
+            let out = hands
+                .iter()
+                .filter(|hand| hand.excluded_since.is_some())
+                .count();
             log::info!(
                 "memory: {servers} record servers are known from before, {out} are out by hand"
             );
         }
         let memory = Memory {
-            core: Core::new(name, stated.every, found),
+            core: SnapshotScheduler::new(name, stated.every, found),
             stated,
             lock: None,
             writer: None,
@@ -182,7 +197,7 @@
         (
             memory,
             Recalled {
-                start: recalled.start,
+                start: recalled.incarnation,
                 listing,
                 hands,
             },
@@ -212,7 +227,7 @@
     pub fn look(
         &mut self,
         start: u64,
-        hands: Vec<Hand>,
+        hands: Vec<ManualExclusion>,
         list: Option<(u64, &dyn Fn() -> Listing)>,
         now: Instant,
     ) {
@@ -228,16 +243,19 @@
         }
         let since = now.saturating_duration_since(self.origin);
         let list =
-            list.filter(|(index, _)| self.index != Some(*index) && self.core.takes_list(since));
+            list.filter(|(index, _)| self.index != Some(*index) && self.core.accepts_list(since));
         if let Some((index, listing)) = list {
             // Plain data: what can't be written would be no list.
             if let Ok(bytes) = serde_json::to_vec(&listing()) {
                 self.index = Some(index);
-                self.handle(Event::List(List { index, bytes }), now);
+                self.handle(Event::EndpointList(EndpointList { index, bytes }), now);
             }
         }
-        self.handle(Event::Start(start), now);
-        self.handle(Event::Hands(hands.into_iter().map(to_keep).collect()), now);
+        self.handle(Event::Incarnation(start), now);
+        self.handle(
+            Event::Exclusions(hands.into_iter().map(to_keep).collect()),
+            now,
+        );
     }
 
     fn handle(&mut self, event: Event, now: Instant) {
@@ -251,7 +269,7 @@
                         self.ended(Err(error), now);
                     }
                 }
-                Action::TooLong(bytes) => {
+                Action::ListTooLong(bytes) => {
                     let fault = Fault::TooLong(bytes);
                     log::warn!("{fault}. {}", fault.advice());
                 }
@@ -291,7 +309,7 @@
                 }
             }
         }
-        self.handle(Event::Kept(done), now);
+        self.handle(Event::SaveFinished(done), now);
     }
 
     /// The yes to an operator's call, once it is on the disk.
@@ -301,7 +319,7 @@
 
     /// Answers that are due: kept, or not kept for too long.
     pub fn answers(&mut self, now: Instant) -> Vec<(Key, Answer)> {
-        let kept = self.lock.is_some() && self.core.has_words();
+        let kept = self.lock.is_some() && self.core.has_saved_exclusions();
         let hopeless = self.foreign || self.core.is_failing();
         let due = |at: Instant| now.saturating_duration_since(at) >= PROMISED;
         let mut answers = Vec::new();
@@ -331,12 +349,12 @@
             (
                 "lb_memory_waiting",
                 "Whether the disk lacks something that is to be remembered.",
-                u64::from(!self.core.is_kept()),
+                u64::from(!self.core.is_saved()),
             ),
             (
                 "lb_memory_list_index",
                 "Discovery's count of the list that is kept; 0: none is.",
-                self.core.list_index(),
+                self.core.saved_list_index(),
             ),
             ("lb_memory_saves_total", "Times that it was written.", self.saves),
             ("lb_memory_saves_failed_total", "Times that it could not be.", self.saves_failed),
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -25,7 +25,7 @@
 use crate::persistence::hot_restart::Takeover;
 use crate::request::{Answer, Done, Piece, Purpose, Request, ResponseSlot, Verdict};
 use crate::upstream::{Due, Upstream};
-use maintenance::{Hand, Unknown};
+use maintenance::{ManualExclusion, UnknownServer};
 use platform_settings::{Decoded, Names, Succession};
 use routing::{
     Action, Consistency, EndpointUpdate, Event, QuotaStatus, RequestId, ServerId, Time, TimerToken,
@@ -750,7 +750,7 @@
         out: bool,
         sides: &mut IoEndpoints,
         now: Instant,
-    ) -> Result<(), Unknown> {
+    ) -> Result<(), UnknownServer> {
         if let Some((news, changes)) =
             self.directory
                 .hand(name, out, self.clock.unix(now), &self.names)?
@@ -762,7 +762,12 @@
     }
 
     /// What the process before this one was told by operators, beside the list that it had.
-    pub fn take_over(&mut self, hands: Vec<Hand>, sides: &mut IoEndpoints, now: Instant) {
+    pub fn take_over(
+        &mut self,
+        hands: Vec<ManualExclusion>,
+        sides: &mut IoEndpoints,
+        now: Instant,
+    ) {
         for (news, changes) in self.directory.take_over(hands, &self.names) {
             self.monitor.hands(&news, now);
             self.listed(news, changes, sides, now);
@@ -775,19 +780,19 @@
     }
 
     /// What the next process gets to know: the list and the operators' word.
-    pub fn known(&self) -> (Listing, Vec<Hand>) {
+    pub fn known(&self) -> (Listing, Vec<ManualExclusion>) {
         (self.directory.listing(), self.hands())
     }
 
     /// The operators' word.
-    pub fn hands(&self) -> Vec<Hand> {
-        self.directory.hands().hands()
+    pub fn hands(&self) -> Vec<ManualExclusion> {
+        self.directory.hands().exclusions()
     }
 
     /// Record servers in the list, and those of them that are avoided at present.
     pub fn record_servers(&self, now: Instant) -> (usize, usize) {
         (
-            self.directory.hands().listed(),
+            self.directory.hands().listed_count(),
             self.route.avoided(self.clock.unix(now)),
         )
     }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -24,7 +24,7 @@
 use crate::upstream::Upstream;
 use configuration::calendar::Window;
 use drain::{Action, Drain};
-use maintenance::Unknown;
+use maintenance::UnknownServer;
 use platform_settings::Decoded;
 use std::io;
 use std::net::SocketAddr;
@@ -351,7 +351,7 @@
         let settled = self.sides.front.clients() == 0 && self.chain.owed() == 0;
         if settled != self.settled {
             self.settled = settled;
-            self.drain(drain::Event::Settled(settled), now);
+            self.drain(drain::Event::IdleChanged(settled), now);
         }
     }
 
@@ -377,12 +377,12 @@
         );
         for action in actions {
             match action {
-                Action::Announce if self.drain.ending() => {
+                Action::AnnounceDrain if self.drain.is_terminating() => {
                     self.chain.monitor.event(now, availability::Event::Stop);
                 }
-                Action::Announce => self.chain.monitor.event(now, availability::Event::Drain),
-                Action::Retract => self.chain.monitor.event(now, availability::Event::Undrain),
-                Action::EndsAt(end) => {
+                Action::AnnounceDrain => self.chain.monitor.event(now, availability::Event::Drain),
+                Action::RetractDrain => self.chain.monitor.event(now, availability::Event::Undrain),
+                Action::LimitDeadlines(end) => {
                     self.chain.monitor.event(now, availability::Event::Stop);
                     self.chain.ends_at(self.start + end);
                 }
@@ -391,16 +391,16 @@
                     // Whoever waited at the listener is there now.
                     self.settled = false;
                 }
-                Action::Listen => self.listen(now),
-                Action::GiveUp => self.chain.fail_all(&mut self.sides, now),
-                Action::End => self.over = true,
+                Action::StartListening => self.listen(now),
+                Action::AbortOutstanding => self.chain.fail_all(&mut self.sides, now),
+                Action::Exit => self.over = true,
             }
         }
         if let Some(members) = &mut self.members {
             members.serves(self.drain.phase() == drain::Phase::Serving, now);
         }
         self.sides.health.publish(&self.chain.monitor.status());
-        if let Some(due) = self.drain.due() {
+        if let Some(due) = self.drain.next_deadline() {
             self.sides.timers.set(self.start + due, Timer::Drain);
         }
     }
@@ -549,7 +549,7 @@
     fn on_wishes(&mut self, now: Instant) {
         for wish in self.wishes.take() {
             match wish {
-                Wish::Stop if !self.drain.ending() => {
+                Wish::Stop if !self.drain.is_terminating() => {
                     log::info!("told to stop: answering what has come");
                     // Whether anything is owed is told first: it may have changed since the last round.
                     self.settle(now);
@@ -714,7 +714,7 @@
                 format!("announced, listening for {left} ms more")
             }
             drain::Phase::Drained => "drained".into(),
-            drain::Phase::Lingering { .. } | drain::Phase::Closing | drain::Phase::Over => {
+            drain::Phase::Lingering { .. } | drain::Phase::Closing | drain::Phase::Finished => {
                 "ending".into()
             }
         };
@@ -741,7 +741,7 @@
     /// What an operator's call does, and its answer.
     fn call(&mut self, call: Call, now: Instant) -> Called {
         let (name, out) = match call {
-            Call::Ready if self.drain.ending() => {
+            Call::Ready if self.drain.is_terminating() => {
                 return Called::Answer(Answer::line(Status::Unavailable, "ending: told to stop"));
             }
             Call::Ready if self.unheard && self.chain.counters.lists == 0 => {
@@ -763,7 +763,7 @@
                 log::info!("admin: {} is {word} by an operator's word", shown(&name));
                 Called::Done(word)
             }
-            Err(Unknown) => Called::Answer(Answer::line(
+            Err(UnknownServer) => Called::Answer(Answer::line(
                 Status::NotFound,
                 "no record server of that name",
             )),
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -2,7 +2,9 @@
 
 mod common;
 use common::{read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE};
-use discovery_schedule::{AGAIN, DIAL, OBJECT, RETRY, SILENCE};
+use discovery_schedule::{
+    DIAL_TIMEOUT, MAX_RETRY_DELAY, OBJECT_TIMEOUT, SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
+};
 use leverproxy::discovery::{Discovery, News};
 use leverproxy::event_loop::reactor::{Reactor, Token};
 use leverproxy::protocol::http::{Part, Reader};
@@ -211,7 +213,7 @@
 impl Alone {
     fn new(pushed: bool) -> Alone {
         let (reactor, listener, now) = (Reactor::new().unwrap(), Listener::new(), Instant::now());
-        let mut discovery = Discovery::new(listener.address, SILENCE, pushed, now);
+        let mut discovery = Discovery::new(listener.address, SILENCE_TIMEOUT, pushed, now);
         discovery.subscribe(1, now, &reactor);
         Alone {
             reactor,
@@ -280,7 +282,7 @@
         if begun.ends_with("{}") {
             assert!(matches!(alone.news(), News::Listing(_)));
         }
-        assert!(alone.due() <= SILENCE);
+        assert!(alone.due() <= SILENCE_TIMEOUT);
         assert!(matches!(alone.news(), News::Lost), "{begun:?}");
         assert!(peer.ended());
         alone.called();
@@ -291,7 +293,7 @@
 #[test]
 fn what_never_comes_whole_is_given_up() {
     let mut alone = Alone::new(false);
-    assert_eq!(alone.due(), DIAL);
+    assert_eq!(alone.due(), DIAL_TIMEOUT);
     assert!(matches!(alone.news(), News::Lost));
     let _given_up = alone.listener.accept();
     let mut peer = alone.called();
@@ -302,7 +304,7 @@
         alone.step();
         alone.now += Duration::from_millis(50);
     }
-    assert_eq!(alone.due() + (alone.now - begun), OBJECT);
+    assert_eq!(alone.due() + (alone.now - begun), OBJECT_TIMEOUT);
     assert!(matches!(alone.news(), News::Lost));
     alone.called();
 }
@@ -317,7 +319,7 @@
         "SSH-2.0\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{ \n",
     ] {
-        for (pushed, again) in [(false, RETRY), (true, AGAIN)] {
+        for (pushed, again) in [(false, MAX_RETRY_DELAY), (true, WATCH_RECONNECT_DELAY)] {
             let mut alone = Alone::new(pushed);
             let mut peer = alone.called();
             peer.write(end.as_bytes());
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,159 +1,199 @@
-//! Record servers that operators take out and call back, joined with what discovery says: a server is out while
-//! either says so, and neither undoes the other's word.
+//! Manual exclusions of record servers by operators, joined with the status that discovery gives.
 //!
-//! Pure state: words in, the joined word out. Instants are Unix times.
+//! A server is out of service while either of the two says so, and neither undoes the other's decision. The package
+//! holds state only: it does no I/O and reads no clock. Instants are Unix times.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Whether a server takes anything new.
+/// Whether a server takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ServerStatus {
+    /// It takes new requests.
     Ready,
-    /// Finishes what it has.
+    /// It finishes the requests that it has, and takes no new ones.
     Draining,
-    Gone,
+    /// It is not in discovery's list.
+    Removed,
 }
 
-/// What counts of a server.
+/// The state of a server that results from discovery's status and the operators' exclusion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Joined {
-    pub word: Word,
-    /// Its latest start that has to be reckoned with; zero: long ago.
+pub struct EffectiveState {
+    /// Whether the server takes new requests.
+    pub status: ServerStatus,
+    /// The latest start of the server that slow start has to consider; zero if it is long ago.
     pub started: Duration,
 }
 
-/// Nobody has a server of that name.
+/// Neither discovery nor an operator's exclusion knows a server of that name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unknown;
+pub struct UnknownServer;
 
-/// The operators' word on one server, as it is passed from a process to the one that follows it.
+/// An operator's exclusion of one server, as it is handed to the next process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hand {
+pub struct ManualExclusion {
+    /// The server's name in discovery's list.
     pub name: String,
-    /// Since when it is out.
-    pub out: Option<Duration>,
-    /// From when to when it was out before.
-    pub before: Option<(Duration, Duration)>,
+    /// When the current exclusion began, if there is one.
+    #[serde(rename = "out")]
+    pub excluded_since: Option<Duration>,
+    /// Begin and end of the previous exclusion.
+    #[serde(rename = "before")]
+    pub previous: Option<(Duration, Duration)>,
 }
 
 #[derive(Debug, Default)]
 struct Server {
-    /// Discovery's; none: it is not in the list.
-    word: Option<Word>,
+    /// Discovery's status; none if the server is not in the list.
+    listed: Option<ServerStatus>,
     started: Duration,
-    out: Option<Duration>,
-    before: Option<(Duration, Duration)>,
+    excluded_since: Option<Duration>,
+    previous: Option<(Duration, Duration)>,
 }
 
 impl Server {
-    fn joined(&self) -> Joined {
-        let word = match (self.word, self.out) {
-            (None | Some(Word::Gone), _) => Word::Gone,
-            (Some(Word::Ready), None) => Word::Ready,
-            (Some(Word::Ready | Word::Draining), _) => Word::Draining,
-        };
-        // Operators restart what they take out, and the list may be seconds late to tell: until it tells of a start
-        // since then, the server counts as started when it was called back. Harms one that was not restarted, which
-        // is warmed up once more.
-        let started = match self.before {
-            Some((from, to)) if self.started < from => to,
-            _ => self.started,
-        };
-        Joined { word, started }
+    fn effective_state(&self) -> EffectiveState {
+        EffectiveState {
+            status: effective_status(self.listed, self.excluded_since.is_some()),
+            started: effective_start(self.started, self.previous),
+        }
+    }
+
+    fn is_listed(&self) -> bool {
+        self.listed.is_some()
+    }
+
+    fn is_excluded(&self) -> bool {
+        self.excluded_since.is_some()
     }
 }
 
+fn effective_status(listed: Option<ServerStatus>, excluded: bool) -> ServerStatus {
+    match listed {
+        None | Some(ServerStatus::Removed) => ServerStatus::Removed,
+        Some(ServerStatus::Ready) if !excluded => ServerStatus::Ready,
+        Some(ServerStatus::Ready | ServerStatus::Draining) => ServerStatus::Draining,
+    }
+}
+
+/// Operators restart the servers that they exclude, and discovery may report the restart seconds late. Until it
+/// reports a start within or after the exclusion, the server counts as started when it was included again. A server
+/// that was not restarted only goes through slow start once more.
+fn effective_start(listed: Duration, previous: Option<(Duration, Duration)>) -> Duration {
+    match previous {
+        Some((from, to)) if listed < from => to,
+        _ => listed,
+    }
+}
+
+/// The servers that discovery lists or operators have excluded.
 #[derive(Debug, Default)]
 pub struct Maintenance {
-    /// Those in the list, and those that are out by the operators' word.
     servers: BTreeMap<String, Server>,
 }
 
 impl Maintenance {
-    /// Discovery's word on a server.
-    pub fn hears(&mut self, name: &str, word: Word, started: Duration) -> Joined {
+    /// Applies discovery's status of a server; returns the resulting state. `started` is Unix time.
+    pub fn apply_status(
+        &mut self,
+        name: &str,
+        status: ServerStatus,
+        started: Duration,
+    ) -> EffectiveState {
         let server = match self.servers.get_mut(name) {
             Some(server) => server,
             None => self.servers.entry(name.to_owned()).or_default(),
         };
-        server.word = Some(word).filter(|word| *word != Word::Gone);
+        server.listed = Some(status).filter(|status| *status != ServerStatus::Removed);
         server.started = server.started.max(started);
-        let joined = server.joined();
-        self.forget(|n| n == name);
-        joined
+        let state = server.effective_state();
+        self.remove_unreferenced(|candidate| candidate == name);
+        state
     }
 
-    /// The list is whole, and these are in it.
-    pub fn only(&mut self, listed: &BTreeSet<&str>) {
-        for (_, server) in self
-            .servers
-            .iter_mut()
-            .filter(|(name, _)| !listed.contains(name.as_str()))
-        {
-            server.word = None;
+    /// Applies a complete list: servers whose names are not in it are no longer listed.
+    pub fn retain_listed(&mut self, listed: &BTreeSet<&str>) {
+        for (name, server) in &mut self.servers {
+            if !listed.contains(name.as_str()) {
+                server.listed = None;
+            }
         }
-        self.forget(|_| true);
+        self.remove_unreferenced(|_| true);
     }
 
-    /// Nothing is kept of what nobody speaks of any more.
-    fn forget(&mut self, which: impl Fn(&str) -> bool) {
+    /// Removes those of the selected servers that are neither listed nor excluded.
+    fn remove_unreferenced(&mut self, selected: impl Fn(&str) -> bool) {
         self.servers
-            .retain(|name, s| s.word.is_some() || s.out.is_some() || !which(name));
+            .retain(|name, server| server.is_listed() || server.is_excluded() || !selected(name));
     }
 
-    /// Takes a server out; what counts of it from now on, if that is anything new.
-    pub fn exclude(&mut self, name: &str, now: Duration) -> Result<Option<Joined>, Unknown> {
-        let server = self.servers.get_mut(name).ok_or(Unknown)?;
-        if server.out.is_some() {
+    /// Excludes a server; returns the resulting state, or none if it was excluded already.
+    pub fn exclude(
+        &mut self,
+        name: &str,
+        now: Duration,
+    ) -> Result<Option<EffectiveState>, UnknownServer> {
+        let server = self.servers.get_mut(name).ok_or(UnknownServer)?;
+        if server.is_excluded() {
             return Ok(None);
         }
-        server.out = Some(now);
-        Ok(Some(server.joined()))
+        server.excluded_since = Some(now);
+        Ok(Some(server.effective_state()))
     }
 
-    /// Calls a server back, however often it was taken out.
-    pub fn include(&mut self, name: &str, now: Duration) -> Result<Option<Joined>, Unknown> {
-        let server = self.servers.get_mut(name).ok_or(Unknown)?;
-        let Some(since) = server.out.take() else {
+    /// Includes a server again, however often it was excluded; returns the resulting state, or none if it was not
+    /// excluded.
+    pub fn include(
+        &mut self,
+        name: &str,
+        now: Duration,
+    ) -> Result<Option<EffectiveState>, UnknownServer> {
+        let server = self.servers.get_mut(name).ok_or(UnknownServer)?;
+        let Some(since) = server.excluded_since.take() else {
             return Ok(None);
         };
-        server.before = Some((since, now.max(since)));
-        let joined = server.joined();
-        self.forget(|n| n == name);
-        Ok(Some(joined))
+        server.previous = Some((since, now.max(since)));
+        let state = server.effective_state();
+        self.remove_unreferenced(|candidate| candidate == name);
+        Ok(Some(state))
     }
 
-    /// Servers in the list.
-    pub fn listed(&self) -> usize {
-        self.servers.values().filter(|s| s.word.is_some()).count()
+    /// The number of servers in discovery's list.
+    pub fn listed_count(&self) -> usize {
+        self.servers
+            .values()
+            .filter(|server| server.is_listed())
+            .count()
     }
 
-    /// All that operators have said and that still counts.
-    pub fn hands(&self) -> Vec<Hand> {
-        let said = self
-            .servers
+    /// All exclusions that still have an effect, current and previous.
+    pub fn exclusions(&self) -> Vec<ManualExclusion> {
+        self.servers
             .iter()
-            .filter(|(_, s)| s.out.is_some() || s.before.is_some());
-        said.map(|(name, s)| Hand {
-            name: name.clone(),
-            out: s.out,
-            before: s.before,
-        })
-        .collect()
+            .filter(|(_, server)| server.is_excluded() || server.previous.is_some())
+            .map(|(name, server)| ManualExclusion {
+                name: name.clone(),
+                excluded_since: server.excluded_since,
+                previous: server.previous,
+            })
+            .collect()
     }
 
-    /// What was said to the process before this one, of the list that it had, which comes first.
-    pub fn take_over(&mut self, hands: Vec<Hand>) -> Vec<(String, Joined)> {
+    /// Restores the exclusions of the previous process; returns the resulting states. Its endpoint list has to be
+    /// applied first.
+    pub fn restore(&mut self, exclusions: Vec<ManualExclusion>) -> Vec<(String, EffectiveState)> {
         let mut changed = Vec::new();
-        for Hand { name, out, before } in hands {
-            let server = self.servers.entry(name.clone()).or_default();
-            (server.out, server.before) = (out, before);
-            changed.push((name, server.joined()));
+        for exclusion in exclusions {
+            let server = self.servers.entry(exclusion.name.clone()).or_default();
+            server.excluded_since = exclusion.excluded_since;
+            server.previous = exclusion.previous;
+            changed.push((exclusion.name, server.effective_state()));
         }
-        self.forget(|_| true);
+        self.remove_unreferenced(|_| true);
         changed
     }
 }
--- a/crates/persistent-state/src/lib.rs
+++ b/crates/persistent-state/src/lib.rs
@@ -1,13 +1,18 @@
-//! What a proxy remembers over the loss of its process or its power, and what of it is trusted. No clock, no I/O, no log:
-//! `Core::handle` takes an event and the time since some start, and gives actions; `recall` reads what was kept.
+//! What a proxy saves to survive the loss of its process or its power, and how far it trusts the file at the next start.
+//!
+//! [`SnapshotScheduler::handle`] takes events and the time since some origin, and returns actions; [`recover`] reads a
+//! saved file. The package does no I/O, reads no clock and logs nothing.
 //!
 //! The table of trust and all bounds: `docs/design/power-loss.md`.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-mod core;
-mod file;
-mod recall;
+mod file_format;
+mod recovery;
+mod scheduler;
 
-pub use core::{Action, Core, Event};
-pub use file::{Fault, Hand, List, Memory, FILE_MOST, HANDS_MOST, LIST_MOST};
-pub use recall::{recall, After, Recalled};
+pub use file_format::{
+    EndpointList, Fault, ManualExclusion, Snapshot, MAX_EXCLUSIONS, MAX_FILE_BYTES, MAX_LIST_BYTES,
+};
+pub use recovery::{recover, RecoveredState, StartMode};
+pub use scheduler::{Action, Event, SnapshotScheduler};
--- /dev/null
+++ b/crates/persistent-state/src/scheduler.rs
@@ -0,0 +1,206 @@
+//! When the state is saved: exclusions and the incarnation at once, endpoint lists at a limited rate, and one save at a
+//! time.
+
+use crate::file_format::{
+    self, EndpointList, ManualExclusion, Snapshot, MAX_EXCLUSIONS, MAX_LIST_BYTES,
+};
+use std::time::Duration;
+
+/// The pause after the first failed save; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
+/// The longest pause between two saves while they fail.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
+
+/// What has changed, and how saves end.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// The incarnation of this process, as the other proxies know it.
+    Incarnation(u64),
+    /// All exclusions that have an effect.
+    Exclusions(Vec<ManualExclusion>),
+    /// Discovery's endpoint list.
+    EndpointList(EndpointList),
+    /// The last [`Action::Save`] has ended; whether it succeeded.
+    SaveFinished(bool),
+    /// Time has passed.
+    Tick,
+}
+
+/// What the host of the state machine has to do.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Action {
+    /// Replace the file by these bytes, then report [`Event::SaveFinished`]. No other save is ordered before that.
+    Save(Vec<u8>),
+    /// The endpoint list of so many bytes is too long to be saved.
+    ListTooLong(usize),
+}
+
+/// Decides when a snapshot is saved.
+#[derive(Clone, Debug)]
+pub struct SnapshotScheduler {
+    proxy_name: String,
+    list_interval: Duration,
+    current: Snapshot,
+    /// What the disk has, as far as a save or the recovery has confirmed it.
+    saved: Option<Snapshot>,
+    /// A save has failed since the last one that succeeded: the disk may have its snapshot all the same.
+    uncertain: bool,
+    in_flight: Option<Snapshot>,
+    /// A changed list alone is not saved before this.
+    next_list_save: Duration,
+    /// After a failure nothing is saved before this.
+    retry_at: Option<Duration>,
+    backoff: Duration,
+    list_too_long: bool,
+}
+
+impl SnapshotScheduler {
+    /// `list_interval`: the shortest time between two saves for a changed list; `recovered`: the snapshot of the file.
+    pub fn new(
+        proxy_name: &str,
+        list_interval: Duration,
+        recovered: Option<Snapshot>,
+    ) -> SnapshotScheduler {
+        SnapshotScheduler {
+            proxy_name: proxy_name.to_owned(),
+            list_interval,
+            current: recovered.clone().unwrap_or_default(),
+            saved: recovered,
+            uncertain: false,
+            in_flight: None,
+            next_list_save: Duration::ZERO,
+            retry_at: None,
+            backoff: INITIAL_BACKOFF,
+            list_too_long: false,
+        }
+    }
+
+    /// Handles one event; `now` is the time since an origin that stays the same.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Incarnation(incarnation) => self.raise_incarnation(incarnation),
+            Event::Exclusions(exclusions) => self.replace_exclusions(exclusions),
+            Event::EndpointList(list) => self.replace_list(list, actions),
+            Event::SaveFinished(true) => self.confirm_save(),
+            Event::SaveFinished(false) => self.back_off(now),
+            Event::Tick => {}
+        }
+        self.save_if_due(now, actions);
+    }
+
+    /// Other proxies may have seen the greater incarnation, so it never goes down.
+    fn raise_incarnation(&mut self, incarnation: u64) {
+        self.current.incarnation = self.current.incarnation.max(incarnation);
+    }
+
+    fn replace_exclusions(&mut self, exclusions: Vec<ManualExclusion>) {
+        self.current.exclusions = newest_exclusions(exclusions);
+    }
+
+    fn replace_list(&mut self, list: EndpointList, actions: &mut Vec<Action>) {
+        let bytes = list.bytes.len();
+        if bytes <= MAX_LIST_BYTES {
+            self.list_too_long = false;
+            self.current.list = Some(list);
+            return;
+        }
+        if !std::mem::replace(&mut self.list_too_long, true) {
+            actions.push(Action::ListTooLong(bytes));
+        }
+        // An outdated list would be a worse hint than none.
+        self.current.list = None;
+    }
+
+    fn confirm_save(&mut self) {
+        self.saved = self.in_flight.take().or_else(|| self.saved.take());
+        self.uncertain = false;
+        self.backoff = INITIAL_BACKOFF;
+    }
+
+    fn back_off(&mut self, now: Duration) {
+        self.in_flight = None;
+        self.uncertain = true;
+        self.retry_at = Some(now + self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+    }
+
+    fn save_if_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let backing_off = self.retry_at.is_some_and(|at| now < at);
+        if self.in_flight.is_some() || backing_off || !self.needs_save(now) {
+            return;
+        }
+        self.retry_at = None;
+        self.next_list_save = now + self.list_interval;
+        self.in_flight = Some(self.current.clone());
+        actions.push(Action::Save(file_format::encode(
+            &self.proxy_name,
+            &self.current,
+        )));
+    }
+
+    fn needs_save(&self, now: Duration) -> bool {
+        if self.uncertain {
+            return true;
+        }
+        let Some(saved) = &self.saved else {
+            return self.current != Snapshot::default();
+        };
+        let list_changed = saved.list != self.current.list;
+        !self.has_current_exclusions(saved) || list_changed && now >= self.next_list_save
+    }
+
+    /// Whether a snapshot has the present exclusions and incarnation.
+    fn has_current_exclusions(&self, snapshot: &Snapshot) -> bool {
+        snapshot.incarnation == self.current.incarnation
+            && snapshot.exclusions == self.current.exclusions
+    }
+
+    /// The index of the saved list; 0 if none is saved.
+    pub fn saved_list_index(&self) -> u64 {
+        self.saved
+            .as_ref()
+            .and_then(|saved| saved.list.as_ref())
+            .map_or(0, |list| list.index)
+    }
+
+    /// Whether a list that is reported now would be saved at once.
+    pub fn accepts_list(&self, now: Duration) -> bool {
+        self.in_flight.is_none() && now >= self.next_list_save
+    }
+
+    /// Whether the disk has the exclusions and the incarnation, however the save in flight ends.
+    pub fn has_saved_exclusions(&self) -> bool {
+        let saved = match &self.saved {
+            Some(saved) => self.has_current_exclusions(saved),
+            None => self.has_current_exclusions(&Snapshot::default()),
+        };
+        let in_flight = self.in_flight.as_ref();
+        !self.uncertain
+            && saved
+            && in_flight.is_none_or(|snapshot| self.has_current_exclusions(snapshot))
+    }
+
+    /// Whether the disk has the whole state.
+    pub fn is_saved(&self) -> bool {
+        let saved = match &self.saved {
+            Some(saved) => *saved == self.current,
+            None => self.current == Snapshot::default(),
+        };
+        !self.uncertain && self.in_flight.is_none() && saved
+    }
+
+    /// Whether the last save failed, and none has succeeded since.
+    pub fn is_failing(&self) -> bool {
+        self.backoff > INITIAL_BACKOFF
+    }
+}
+
+/// At most [`MAX_EXCLUSIONS`] of them, the newest: the oldest are the likeliest to be over.
+fn newest_exclusions(mut exclusions: Vec<ManualExclusion>) -> Vec<ManualExclusion> {
+    exclusions.sort_by_key(|exclusion| {
+        let previous_end = exclusion.previous.map(|(_, to)| to);
+        exclusion.excluded_since.max(previous_end)
+    });
+    exclusions.drain(..exclusions.len().saturating_sub(MAX_EXCLUSIONS));
+    exclusions
+}
--- a/crates/routing/src/decide.rs
+++ b/crates/routing/src/decide.rs
@@ -404,8 +404,9 @@
 
     fn on_list(&mut self, news: EndpointUpdate, out: &mut Out) {
         if matches!(news, EndpointUpdate::Cached(_)) && self.set.endpoints_are_polled {
-            let latest =
-                self.list_spread(discovery_schedule::first_call(self.set.max_poll_interval));
+            let latest = self.list_spread(discovery_schedule::first_poll_delay(
+                self.set.max_poll_interval,
+            ));
             self.ask_list(Duration::ZERO, latest);
             self.cached_since = Some(self.now);
         } else {
@@ -417,7 +418,7 @@
             EndpointUpdate::Failed => {
                 self.list_failures += 1;
                 // Where the settings give less time for asking, that binds after a failure too.
-                let most = discovery_schedule::RETRY.min(self.set.max_poll_interval);
+                let most = discovery_schedule::MAX_RETRY_DELAY.min(self.set.max_poll_interval);
                 let wait = (LIST_WAIT * (1 << self.list_failures.min(16))).min(most);
                 let latest = wait.max(self.list_spread(most));
                 let placed = self.list_failures > 1;
@@ -987,7 +988,8 @@
     /// The list of the process before this one is too old to go by: members of it may have left that count as told. Without
     /// a word for as long as it takes to count as told, discovery can't be reached, and the list is all that there is.
     fn list_is_unconfirmed(&self) -> bool {
-        let doubtful = discovery_schedule::CACHED..discovery_schedule::TOLD;
+        let doubtful =
+            discovery_schedule::CACHED_LIST_LIFETIME..discovery_schedule::NOTIFICATION_DEADLINE;
         self.cached_since
             .is_some_and(|since| doubtful.contains(&self.now.since(since)))
     }
--- a/crates/routing/tests/fleet.rs
+++ b/crates/routing/tests/fleet.rs
@@ -263,8 +263,8 @@
     let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::Endpoints(EndpointUpdate::Failed));
     // After a failure less time is left, and all of it is used.
     let spans = [
-        (start, discovery_schedule::first_call(10_000 * MS)),
-        (lost, discovery_schedule::RETRY),
+        (start, discovery_schedule::first_poll_delay(10_000 * MS)),
+        (lost, discovery_schedule::MAX_RETRY_DELAY),
     ];
     for (after, span) in spans {
         let (many, longest) = calls_for_the_list(100, after);
@@ -310,7 +310,7 @@
         "at first it serves by it"
     );
     let mut old = bench();
-    old.wait(discovery_schedule::CACHED);
+    old.wait(discovery_schedule::CACHED_LIST_LIFETIME);
     let (id, actions) = old.ask(ANY);
     assert!(
         sends(&actions).is_empty() && !refused(&actions, id),
@@ -322,18 +322,18 @@
     )])));
     assert_eq!(sends(&actions), [2], "served as soon as the list is known");
     let mut same = bench();
-    same.wait(discovery_schedule::CACHED);
+    same.wait(discovery_schedule::CACHED_LIST_LIFETIME);
     same.event(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
     assert_eq!(sends(&same.ask(ANY).1).len(), 1, "nothing has changed");
     let mut silent = bench();
-    silent.wait(discovery_schedule::TOLD);
+    silent.wait(discovery_schedule::NOTIFICATION_DEADLINE);
     assert_eq!(
         sends(&silent.ask(ANY).1).len(),
         1,
         "discovery says nothing at all: the list is all there is"
     );
     let mut failed = bench();
-    failed.wait(discovery_schedule::CACHED);
+    failed.wait(discovery_schedule::CACHED_LIST_LIFETIME);
     failed.event(Event::Endpoints(EndpointUpdate::Failed));
     assert_eq!(
         sends(&failed.ask(ANY).1).len(),
@@ -363,7 +363,7 @@
                 }
                 let waited = bench.now.since(begin);
                 assert!(
-                    waited <= discovery_schedule::RETRY + 10 * MS,
+                    waited <= discovery_schedule::MAX_RETRY_DELAY + 10 * MS,
                     "{waited:?}, failure {failure} among {routers}"
                 );
             }
--- a/crates/testbed/tests/power.rs
+++ b/crates/testbed/tests/power.rs
@@ -138,19 +138,21 @@
     let (mut rig, _turn) = with_directories(1, |setup| setup.known = false);
     rig.kill(0);
     let bytes = std::fs::read(file(&rig, 0)).unwrap();
-    let (recalled, _) = persistent_state::recall(
+    let (recalled, _) = persistent_state::recover(
         "n0",
         Some(&bytes),
-        persistent_state::After::Nobody { platform: None },
+        persistent_state::StartMode::ColdStart {
+            platform_list_index: None,
+        },
     )
     .unwrap();
-    let ahead = persistent_state::List {
+    let ahead = persistent_state::EndpointList {
         index: 1_000_000,
         ..recalled.list.unwrap()
     };
     std::fs::write(
         file(&rig, 0),
-        kept("n0", persistent_state::Event::List(ahead)),
+        kept("n0", persistent_state::Event::EndpointList(ahead)),
     )
     .unwrap();
     restart(&mut rig, 0);
@@ -163,7 +165,7 @@
 /// What a proxy of that name would keep.
 fn kept(name: &str, event: persistent_state::Event) -> Vec<u8> {
     let mut actions = Vec::new();
-    persistent_state::Core::new(name, Duration::ZERO, None).handle(
+    persistent_state::SnapshotScheduler::new(name, Duration::ZERO, None).handle(
         Duration::ZERO,
         event,
         &mut actions,
@@ -238,7 +240,7 @@
     let far = 4_000_000_000_000;
     std::fs::write(
         file(&rig, 0),
-        kept("n0", persistent_state::Event::Start(far)),
+        kept("n0", persistent_state::Event::Incarnation(far)),
     )
     .unwrap();
     restart(&mut rig, 0);
--- a/fuzz/fuzz_targets/memory.rs
+++ b/fuzz/fuzz_targets/memory.rs
@@ -1,25 +1,31 @@
-//! Any bytes as the file that a proxy kept: no panic, and what is read is within the bounds and written as it was read.
+//! Arbitrary bytes as a saved file: no panic, and what is recovered is within the bounds and saved as it was read.
 #![no_main]
 
-use persistent_state::{recall, Action, After, Core, Event, HANDS_MOST, LIST_MOST};
+use persistent_state::{recover, Action, Event, SnapshotScheduler, StartMode, MAX_EXCLUSIONS, MAX_LIST_BYTES};
 use std::time::Duration;
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
-    let Ok((recalled, Some(found))) = recall("n0", Some(bytes), After::Nobody { platform: None })
-    else {
+    let cold_start = StartMode::ColdStart {
+        platform_list_index: None,
+    };
+    let Ok((recovered, Some(snapshot))) = recover("n0", Some(bytes), cold_start) else {
         return;
     };
-    assert_eq!(recalled.start, found.start);
-    let mut core = Core::new("n0", Duration::ZERO, Some(found));
+    assert_eq!(recovered.incarnation, snapshot.incarnation);
+    let mut scheduler = SnapshotScheduler::new("n0", Duration::ZERO, Some(snapshot));
     let mut actions = Vec::new();
-    core.handle(Duration::ZERO, Event::Hands(recalled.hands), &mut actions);
-    core.handle(Duration::ZERO, Event::Start(u64::MAX), &mut actions);
+    for event in [
+        Event::Exclusions(recovered.exclusions),
+        Event::Incarnation(u64::MAX),
+    ] {
+        scheduler.handle(Duration::ZERO, event, &mut actions);
+    }
     for action in actions {
         if let Action::Save(bytes) = action {
             let (again, _) =
-                recall("n0", Some(&bytes), After::Elder).expect("what is written is read");
-            assert_eq!(again.start, u64::MAX);
-            assert!(bytes.len() < LIST_MOST * 2 + HANDS_MOST * 400);
+                recover("n0", Some(&bytes), StartMode::HotRestart).expect("a saved file is read");
+            assert_eq!(again.incarnation, u64::MAX);
+            assert!(bytes.len() < MAX_LIST_BYTES * 2 + MAX_EXCLUSIONS * 400);
         }
     }
 });
