--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::cluster::sites::{self, Sites};
 use crate::request::{Answer, Done, Verdict};
-use crate::upstream::Sign;
+use crate::upstream::HealthSignal;
 use availability::{
     Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
 };
@@ -231,10 +231,10 @@
         );
     }
 
-    pub fn sign(&mut self, sign: Sign, now: Instant) {
+    pub fn sign(&mut self, sign: HealthSignal, now: Instant) {
         let event = match sign {
-            Sign::Dials(server) => Event::Dials { server: server.0 },
-            Sign::Word(server) => Event::Word { server: server.0 },
+            HealthSignal::DialStarted(server) => Event::Dials { server: server.0 },
+            HealthSignal::Responded(server) => Event::Word { server: server.0 },
         };
         self.event(now, event);
     }
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -24,7 +24,7 @@
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::persistence::hot_restart::Takeover;
 use crate::request::{Answer, Done, Piece, Purpose, Request, ResponseSlot, Verdict};
-use crate::upstream::{Due, Upstream};
+use crate::upstream::{TimerKind, Upstream};
 use maintenance::{ManualExclusion, UnknownServer};
 use platform_settings::{Decoded, Names, Succession};
 use routing::{
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     Module(u32),
-    Upstream(Due),
+    Upstream(TimerKind),
     Watch,
     /// Whoever of the clients has run out of time.
     LookOver,
@@ -164,13 +164,13 @@
     /// Works through all that the sides have to tell.
     pub fn turn(&mut self, sides: &mut IoEndpoints, now: Instant) {
         loop {
-            if let Some(sign) = sides.upstream.sign() {
+            if let Some(sign) = sides.upstream.pop_signal() {
                 self.monitor.sign(sign, now);
             } else if let Some(news) = sides.discovery.pop() {
                 self.on_news(news, sides, now);
-            } else if let Some(piece) = sides.upstream.piece() {
+            } else if let Some(piece) = sides.upstream.pop_chunk() {
                 self.on_piece(piece, sides, now);
-            } else if let Some(done) = sides.upstream.pop() {
+            } else if let Some(done) = sides.upstream.pop_completed() {
                 self.on_done(done, sides, now);
             } else if let Some(event) = sides.front.pop() {
                 match event {
@@ -185,7 +185,7 @@
                 break;
             }
         }
-        for (at, due) in sides.upstream.take_due() {
+        for (at, due) in sides.upstream.take_timers() {
             sides.timers.set(at, Timer::Upstream(due));
         }
         if let Some(at) = sides.discovery.alarm() {
@@ -378,10 +378,10 @@
         let id = self.open_requests.id(ticket)?;
         let open = self.close(id, now)?;
         if open.attempts() > 0 {
-            sides.upstream.call_off(id, now);
+            sides.upstream.cancel_unwritten(id, now);
         }
         if let Some((_, from)) = open.passing {
-            sides.upstream.stop(from, now);
+            sides.upstream.abandon_response(from, now);
         }
         self.quota.ended(&open, None, now);
         self.monitor.left(id, open.group, now);
@@ -406,11 +406,11 @@
             .filter(|o| o.passing.is_none_or(|p| p.0 == attempt))
         else {
             // Its client has left, or gets another attempt's answer.
-            return sides.upstream.stop(from, now);
+            return sides.upstream.abandon_response(from, now);
         };
         let (first, class) = (open.passing.replace((attempt, from)).is_none(), open.class);
         if !sides.front.pass(open.ticket, &bytes, now, &sides.reactor) {
-            sides.upstream.hold_back(from, now, &sides.reactor);
+            sides.upstream.pause_reading(from, now, &sides.reactor);
         }
         if first {
             let write = self.is_write(Some(class));
@@ -439,7 +439,7 @@
             .id(ticket)
             .and_then(|id| self.open_requests.get_mut(id));
         if let Some((_, from)) = open.and_then(|open| open.passing) {
-            sides.upstream.resume(from, now, &sides.reactor);
+            sides.upstream.resume_reading(from, now, &sides.reactor);
         }
     }
 
@@ -543,9 +543,11 @@
     pub fn knock(&mut self, sides: &mut IoEndpoints, now: Instant) {
         if let Some(server) = self
             .monitor
-            .knock(|server| sides.upstream.may_knock(server))
+            .knock(|server| sides.upstream.may_probe_reachability(server))
         {
-            sides.upstream.knock(server, now, &sides.reactor);
+            sides
+                .upstream
+                .probe_reachability(server, now, &sides.reactor);
         }
     }
 
@@ -603,8 +605,8 @@
         }
         for change in changes {
             match change {
-                Change::Serves(server, address) => sides.upstream.serves(server, address),
-                Change::Leaves(server) => sides.upstream.leaves(server, now),
+                Change::Serves(server, address) => sides.upstream.add_server(server, address),
+                Change::Leaves(server) => sides.upstream.remove_server(server, now),
             }
         }
         self.decide(Event::Endpoints(news), sides, now);
@@ -680,7 +682,7 @@
     fn answer(&mut self, id: RequestId, answer: Answer, sides: &mut IoEndpoints, now: Instant) {
         if let Some(open) = self.close(id, now) {
             if open.attempts() > 0 {
-                sides.upstream.call_off(id, now);
+                sides.upstream.cancel_unwritten(id, now);
             }
             self.relay(open, answer, sides, now);
         }
@@ -714,7 +716,7 @@
                 Some((_, from)),
                 Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_),
             ) => {
-                sides.upstream.stop(from, now);
+                sides.upstream.abandon_response(from, now);
                 sides.front.cut(open.ticket, now, &sides.reactor);
             }
             _ => sides.front.answer(open.ticket, answer, now, &sides.reactor),
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -21,9 +21,9 @@
         class: Some(open.class),
         group: Some(open.group),
         question: Question::Command(Arc::clone(&open.command)),
-        sent: now,
-        until: later(now, timeout),
-        begin_by: later(now, begin_within.min(timeout)),
+        started: now,
+        deadline: later(now, timeout),
+        write_deadline: later(now, begin_within.min(timeout)),
     }
 }
 
@@ -34,8 +34,8 @@
         class: None,
         group: None,
         question: Question::Load,
-        sent: now,
-        until: later(now, timeout),
-        begin_by: later(now, timeout),
+        started: now,
+        deadline: later(now, timeout),
+        write_deadline: later(now, timeout),
     }
 }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -456,7 +456,7 @@
             }
             Token::TakeoverListener => {
                 let (listing, hands) = self.chain.known();
-                let (clients, connections) = (front.clients(), upstream.connections());
+                let (clients, connections) = (front.clients(), upstream.connection_count());
                 let estate = || Estate::new(listing.clone(), hands.clone(), clients, connections);
                 if let Some(takeover) = takeover {
                     takeover.accept(estate, front.listener(), reactor);
@@ -500,7 +500,10 @@
     fn on_timer(&mut self, timer: Timer, now: Instant) {
         match timer {
             Timer::Module(token) => self.chain.on_module_timer(token, &mut self.sides, now),
-            Timer::Upstream(due) => self.sides.upstream.on_due(due, now, &self.sides.reactor),
+            Timer::Upstream(due) => self
+                .sides
+                .upstream
+                .handle_timer(due, now, &self.sides.reactor),
             Timer::Watch => self.chain.on_watch_timer(&mut self.sides, now),
             Timer::LookOver => {
                 let again = self.sides.front.look_over(now, &self.sides.reactor);
@@ -667,7 +670,7 @@
         Usage {
             clients: front.clients(),
             clients_limit: self.limits.clients,
-            upstream: upstream.connections(),
+            upstream: upstream.connection_count(),
             upstream_limit: self.limits.upstream,
             open: self.chain.owed(),
             memory_limit: self.limits.memory,
@@ -828,8 +831,8 @@
         } = &mut self.sides;
         front.set_limits(limits, self.patience);
         let has_heir = takeover.as_ref().is_some_and(Takeover::has_heir);
-        let held = upstream.connections().max(1);
-        upstream.set_limit(if has_heir {
+        let held = upstream.connection_count().max(1);
+        upstream.set_connection_limit(if has_heir {
             held.min(limits.upstream)
         } else {
             limits.upstream
@@ -951,7 +954,7 @@
         self.chain.configure(succession, config.dial_timeout, now);
         self.sides
             .upstream
-            .set_times(config.dial_timeout, config.idle_limit);
+            .set_timeouts(config.dial_timeout, config.idle_limit);
         self.sides
             .front
             .set_balancers(config.checks.clone(), config.proxy_from.clone());
@@ -1098,7 +1101,7 @@
         } = &self.sides;
         let (clients, turned_out, not_understood) =
             (front.clients(), front.turned_out, front.not_understood);
-        let (connections, dials) = (upstream.connections(), upstream.dials);
+        let (connections, dials) = (upstream.connection_count(), upstream.dials);
         let (steering, health) = (self.chain.steering(), self.sides.health.lines());
         let quota = &self.chain.quota;
         crate::observability::logging::say(&format!(
--- /dev/null
+++ b/crates/leverproxy/src/upstream/dial.rs
@@ -0,0 +1,188 @@
+//! Dials: how many are made at a time, what ends them, and the pause while this machine lacks a resource.
+
+use super::connection::{Connection, State};
+use super::health_signal::HealthSignal;
+use super::timers::TimerKind;
+use super::Upstream;
+use crate::event_loop::connection::{DialError, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Token};
+use crate::event_loop::system_calls::{lacks_descriptors, RETRY_PAUSE};
+use crate::protocol::postgres::client::{self, AnswerReader};
+use crate::request::{Purpose, Verdict};
+use routing::ServerId;
+use rustix::io::Errno;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+/// Dials under way to one server. Further exchanges wait for these, or for a connection that becomes free.
+const MAX_PARALLEL_DIALS: usize = 32;
+
+impl Upstream {
+    /// Dials until each queued exchange has a dial under way, within the limits.
+    pub(super) fn dial_for_queue(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
+        while let Some(pool) = self.pools.get_mut(&server) {
+            let enough = pool.queue.len() <= pool.dialling || pool.dialling >= MAX_PARALLEL_DIALS;
+            if enough || pool.dial_backoff_until.is_some_and(|until| now < until) {
+                return;
+            }
+            let address = pool.address;
+            if self.connections.len() >= self.connection_limit && !self.evict_idle() {
+                // Queued exchanges get the next connection that becomes free, or expire.
+                return;
+            }
+            match self.dial(server, address, now, reactor) {
+                Ok(()) => {}
+                Err(DialError::Failed(_)) => {
+                    self.fail_first_queued(server, Verdict::ConnectFailed, now)
+                }
+                Err(DialError::Short(errno)) => return self.back_off_dials(server, errno, now),
+            }
+        }
+    }
+
+    /// Pauses the dials while this machine lacks a resource for them. Exchanges stay queued, and the server is not
+    /// blamed.
+    fn back_off_dials(&mut self, server: ServerId, errno: Errno, now: Instant) {
+        let Some(pool) = self.pools.get_mut(&server) else {
+            return;
+        };
+        let until = now + RETRY_PAUSE;
+        pool.dial_backoff_until = Some(until);
+        // No client waits for a probe, and its time begins with the dial: reported as failed, it would put its server
+        // into backoff.
+        let is_probe = |exchange: &&mut super::Exchange| exchange.purpose == Purpose::Probe;
+        for probe in pool.queue.iter_mut().filter(is_probe) {
+            probe.restart(now);
+        }
+        self.timers.push((until, TimerKind::Queue(server)));
+        if lacks_descriptors(errno) {
+            self.evict_idle();
+        }
+    }
+
+    fn dial(
+        &mut self,
+        server: ServerId,
+        address: SocketAddr,
+        now: Instant,
+        reactor: &Reactor,
+    ) -> Result<(), DialError> {
+        let deadline = now + self.dial_timeout;
+        let stream = self.open_stream(address, now)?;
+        self.end_dial_backoff(server, deadline);
+        log::trace!("dial {server:?}, {} open", self.connections.len());
+        self.signals.push_back(HealthSignal::DialStarted(server));
+        let key = self.connections.insert(Connection {
+            stream,
+            server,
+            address,
+            state: State::Connecting,
+            deadline,
+        });
+        self.timers.push((deadline, TimerKind::Connection(key)));
+        if let Some(pool) = self.pools.get_mut(&server) {
+            pool.dialling += 1;
+        }
+        self.watch_dial(key, now, reactor);
+        Ok(())
+    }
+
+    fn open_stream(&mut self, address: SocketAddr, now: Instant) -> Result<Stream, DialError> {
+        self.dials += 1;
+        let dialled = Stream::dial(address);
+        match &dialled {
+            Ok(_) => {}
+            Err(error @ DialError::Failed(_)) => {
+                log::debug!("upstream: cannot dial {address}: {error}")
+            }
+            Err(error @ DialError::Short(_)) => {
+                self.shortage_log.warn(now, || {
+                    format!(
+                        "upstream: cannot dial {address}: {error}. It is tried again until its time is over."
+                    )
+                });
+            }
+        }
+        dialled
+    }
+
+    /// The machine has the resources again. Probes whose time was restarted need a timer of their own.
+    fn end_dial_backoff(&mut self, server: ServerId, deadline: Instant) {
+        let pool = self.pools.get_mut(&server);
+        if pool.is_some_and(|pool| pool.dial_backoff_until.take().is_some()) {
+            self.timers.push((deadline, TimerKind::Queue(server)));
+        }
+    }
+
+    fn watch_dial(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let token = Token::Upstream(key);
+        let watched = connection.stream.watch(reactor, token, Interest::WRITE);
+        if watched.is_err() {
+            self.close(key, Verdict::ConnectFailed, now);
+        }
+    }
+
+    /// Finishes the dial of a connection that is called ready, and begins the handshake; false if it is not established.
+    pub(super) fn finish_dial(&mut self, key: Key, now: Instant, reactor: &Reactor) -> bool {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return false;
+        };
+        let server = connection.server;
+        match connection.stream.connected() {
+            Ok(true) => {
+                self.signals.push_back(HealthSignal::Responded(server));
+                connection.stream.push(&client::startup());
+                connection.state = State::Handshake(AnswerReader::greeting());
+                return true;
+            }
+            Ok(false) => self.watch_dial(key, now, reactor),
+            Err(DialError::Short(errno)) => {
+                log::debug!("upstream: dial failed for want of something here: {errno}");
+                self.connections.remove(key);
+                self.end_dial(server);
+                self.back_off_dials(server, errno, now);
+            }
+            Err(error) => {
+                if machine_responded(&error) {
+                    self.signals.push_back(HealthSignal::Responded(server));
+                }
+                log::debug!("upstream: dial failed: {error}");
+                self.close(key, Verdict::ConnectFailed, now);
+            }
+        }
+        false
+    }
+
+    /// Counts a dial as over.
+    pub(super) fn end_dial(&mut self, server: ServerId) {
+        if let Some(pool) = self.pools.get_mut(&server) {
+            pool.dialling = pool.dialling.saturating_sub(1);
+        }
+    }
+
+    /// Whether a server may be dialled only to see whether its machine is reachable.
+    pub fn may_probe_reachability(&self, server: ServerId) -> bool {
+        let pool = self.pools.get(&server);
+        pool.is_some_and(|pool| pool.dialling == 0)
+            && self.connections.len() < self.connection_limit
+    }
+
+    /// Dials a server to see whether its machine is reachable. It is not dialled if this machine lacks a resource: the
+    /// next probe will do.
+    pub fn probe_reachability(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
+        if let Some(address) = self.pools.get(&server).map(|pool| pool.address) {
+            _ = self.dial(server, address, now, reactor);
+        }
+    }
+}
+
+/// Whether an error of a dial was the other machine's answer.
+fn machine_responded(error: &DialError) -> bool {
+    matches!(
+        error,
+        DialError::Failed(Errno::CONNREFUSED | Errno::CONNRESET)
+    )
+}
--- /dev/null
+++ b/crates/leverproxy/src/upstream/streaming.rs
@@ -0,0 +1,88 @@
+//! Responses that are too large to be buffered: they are passed on in chunks, and paused while the client is slow.
+
+use super::connection::{State, Streaming};
+use super::timers::TimerKind;
+use super::Upstream;
+use crate::event_loop::reactor::{later, Interest, Key, Reactor, Token};
+use crate::request::{Piece, Purpose, Verdict};
+use std::time::{Duration, Instant};
+
+/// A response that is passed on in chunks goes on within this. Its server may be slow, and no other one can continue it;
+/// but a machine that has fallen silent must not hold its client for good.
+const CHUNK_STALL: Duration = Duration::from_secs(5);
+/// Bytes that are read at a time of such a response, so that other connections get their turn.
+pub(super) const MAX_CHUNK_BYTES: usize = 16 << 10;
+
+impl Upstream {
+    /// Passes on what has arrived of a large response.
+    pub(super) fn pass_on_chunk(&mut self, key: Key, now: Instant) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let State::Busy(active) = &mut connection.state else {
+            return;
+        };
+        let Purpose::Attempt(id, attempt) = active.exchange.purpose else {
+            return;
+        };
+        let Some(bytes) = active.reader.piece().filter(|bytes| !bytes.is_empty()) else {
+            return;
+        };
+        connection.deadline = now + CHUNK_STALL;
+        if active.streaming == Streaming::No {
+            active.response_started = true;
+            active.streaming = Streaming::Active;
+            self.timers
+                .push((connection.deadline, TimerKind::Connection(key)));
+        }
+        self.chunks.push_back(Piece {
+            id,
+            attempt,
+            from: key,
+            server: connection.server,
+            elapsed: now.saturating_duration_since(active.exchange.started),
+            bytes,
+        });
+    }
+
+    /// Stops reading a response until [`Upstream::resume_reading`].
+    pub fn pause_reading(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        if let State::Busy(active) = &mut connection.state {
+            active.streaming = Streaming::Paused;
+            // The client's own timeout applies now.
+            connection.deadline = later(now, Duration::MAX);
+            connection.stream.unwatch(reactor);
+        }
+    }
+
+    /// Reads a response again after [`Upstream::pause_reading`].
+    pub fn resume_reading(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let State::Busy(active) = &mut connection.state else {
+            return;
+        };
+        if active.streaming != Streaming::Paused {
+            return;
+        }
+        active.streaming = Streaming::Active;
+        connection.deadline = now + CHUNK_STALL;
+        self.timers
+            .push((connection.deadline, TimerKind::Connection(key)));
+        // What has arrived meanwhile is read when epoll reports it.
+        let token = Token::Upstream(key);
+        let watched = connection.stream.watch(reactor, token, Interest::READ);
+        if watched.is_err() {
+            self.close_broken(key, now);
+        }
+    }
+
+    /// Closes the connection of a response whose rest nobody wants.
+    pub fn abandon_response(&mut self, key: Key, now: Instant) {
+        self.close(key, Verdict::Cancelled, now);
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/upstream/timers.rs
@@ -0,0 +1,57 @@
+//! The deadlines of connections and queues.
+
+use super::connection::{State, Streaming};
+use super::Upstream;
+use crate::event_loop::reactor::{Key, Reactor};
+use crate::request::Verdict;
+use routing::ServerId;
+use std::time::Instant;
+
+/// What to check when a timer is due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum TimerKind {
+    /// Whether the state of a connection has lasted too long.
+    Connection(Key),
+    /// Whether a server's queued exchanges have expired.
+    Queue(ServerId),
+}
+
+impl Upstream {
+    /// Handles a timer of [`Upstream::take_timers`] that is due.
+    pub fn handle_timer(&mut self, kind: TimerKind, now: Instant, reactor: &Reactor) {
+        match kind {
+            TimerKind::Connection(key) => self.check_connection(key, now, reactor),
+            TimerKind::Queue(server) => {
+                self.expire_queued(server, now);
+                self.dial_for_queue(server, now, reactor);
+            }
+        }
+    }
+
+    fn check_connection(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get(key) else {
+            return;
+        };
+        let (server, deadline) = (connection.server, connection.deadline);
+        if deadline > now {
+            // Chunks move the deadline without a timer of their own.
+            if connection.streaming() == Streaming::Active {
+                self.timers.push((deadline, TimerKind::Connection(key)));
+            }
+            return;
+        }
+        match &connection.state {
+            State::Busy(active) if active.written && active.response_started => {
+                self.close_malformed(key, now)
+            }
+            State::Busy(active) if active.written => self.close(key, Verdict::TimedOut, now),
+            State::Busy(_) | State::Idle => self.close(key, Verdict::ConnectFailed, now),
+            State::Connecting | State::Handshake(_) => {
+                // Queued exchanges have deadlines of their own: a slow dial ends none of them.
+                self.connections.remove(key);
+                self.end_dial(server);
+                self.dial_for_queue(server, now, reactor);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -0,0 +1,285 @@
+//! Requests written, responses read, and what becomes of an exchange when its connection ends.
+
+use super::connection::{rejection_outcome, ActiveExchange, State, Streaming};
+use super::exchange::Exchange;
+use super::streaming::MAX_CHUNK_BYTES;
+use super::timers::TimerKind;
+use super::Upstream;
+use crate::event_loop::connection::Filled;
+use crate::event_loop::reactor::{later, Interest, Key, Reactor, Token};
+use crate::protocol::postgres::client::{self, AnswerReader};
+use crate::protocol::postgres::Malformed;
+use crate::request::{Purpose, Verdict};
+use routing::ServerId;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+/// A response that has begun goes on within this, however long its client waits. It is well under the latency objectives,
+/// so that a retry can still meet them; record servers write a response in one go.
+const RESPONSE_STALL: Duration = Duration::from_millis(40);
+
+/// A request that the socket does not take at once is written within this. The time left that it tells its server is
+/// computed when the first byte is written.
+const WRITE_STALL: Duration = Duration::from_millis(100);
+
+impl Upstream {
+    /// Starts an exchange on a connection.
+    pub(super) fn assign(&mut self, key: Key, exchange: Exchange, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        // From now: the dial took its time, and the client has less left.
+        let time_left = exchange.deadline.saturating_duration_since(now);
+        connection
+            .stream
+            .push(&client::question(&exchange.question, time_left));
+        connection.deadline = exchange.write_deadline.min(later(now, WRITE_STALL));
+        self.timers
+            .push((connection.deadline, TimerKind::Connection(key)));
+        connection.state = State::Busy(ActiveExchange::new(exchange));
+        self.advance(key, now, reactor);
+    }
+
+    /// Handles a connection that epoll calls ready.
+    pub fn ready(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get(key) else {
+            return;
+        };
+        let connecting = matches!(connection.state, State::Connecting);
+        if !connecting || self.finish_dial(key, now, reactor) {
+            self.advance(key, now, reactor);
+        }
+    }
+
+    /// Writes and reads as much as the socket allows, and acts on a complete response or the end of the connection.
+    fn advance(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        if connection.is_unwritten() && connection.deadline <= now {
+            return self.close(key, Verdict::ConnectFailed, now);
+        }
+        let flushed = connection.stream.flush();
+        if matches!(flushed, Ok(true)) {
+            self.mark_written(key);
+        }
+        let Some(filled) = self.fill(key) else { return };
+        let consumed = match self.consume(key) {
+            Ok((consumed, complete)) => {
+                self.pass_on_chunk(key, now);
+                if complete {
+                    return self.complete(key, filled == Filled::Ended, now, reactor);
+                }
+                consumed
+            }
+            Err(error) => return self.reject_malformed(key, &error, now),
+        };
+        match flushed {
+            Ok(written) if filled == Filled::Open => {
+                self.note_progress(key, consumed, now);
+                self.watch(key, !written, now, reactor);
+            }
+            _ => self.close_broken(key, now),
+        }
+    }
+
+    /// The request is written in full.
+    fn mark_written(&mut self, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let State::Busy(active) = &mut connection.state else {
+            return;
+        };
+        if active.written {
+            return;
+        }
+        self.attempts += u64::from(active.exchange.purpose != Purpose::Probe);
+        active.written = true;
+        connection.deadline = active.exchange.deadline;
+        self.timers
+            .push((connection.deadline, TimerKind::Connection(key)));
+    }
+
+    /// Reads from the socket; none while the response is paused.
+    fn fill(&mut self, key: Key) -> Option<Filled> {
+        let connection = self.connections.get_mut(key)?;
+        let limit = match connection.streaming() {
+            Streaming::No => client::INPUT_LIMIT,
+            Streaming::Active => MAX_CHUNK_BYTES,
+            Streaming::Paused => return None,
+        };
+        Some(connection.stream.fill(limit))
+    }
+
+    /// Parses what was read; returns the number of bytes used, and whether the response is complete.
+    fn consume(&mut self, key: Key) -> Result<(usize, bool), Malformed> {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return Ok((0, false));
+        };
+        let (used, complete) = connection.parse()?;
+        connection.stream.input.consume(used);
+        Ok((used, complete))
+    }
+
+    /// A response that has begun, and is not passed on in chunks, has to go on within [`RESPONSE_STALL`].
+    fn note_progress(&mut self, key: Key, consumed: usize, now: Instant) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let progress = consumed > 0 || !connection.stream.input.is_empty();
+        let State::Busy(active) = &mut connection.state else {
+            return;
+        };
+        if !progress || active.streaming != Streaming::No {
+            return;
+        }
+        active.response_started = true;
+        connection.deadline = active.exchange.deadline.min(now + RESPONSE_STALL);
+        self.timers
+            .push((connection.deadline, TimerKind::Connection(key)));
+    }
+
+    /// Watches the connection for bytes, and for room to write if there is more to write.
+    fn watch(&mut self, key: Key, write: bool, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let interest = Interest { read: true, write };
+        let watched = connection
+            .stream
+            .watch(reactor, Token::Upstream(key), interest);
+        if watched.is_err() {
+            self.close_broken(key, now);
+        }
+    }
+
+    /// The server is ready for the next request: the connection is free again.
+    fn complete(&mut self, key: Key, ended: bool, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return;
+        };
+        let (server, address) = (connection.server, connection.address);
+        let half_written = connection.is_unwritten();
+        connection.deadline = now + self.idle_timeout;
+        match std::mem::replace(&mut connection.state, State::Idle) {
+            State::Busy(active) => self.finish_with_response(active, server, now),
+            State::Handshake(reader) => {
+                self.end_dial(server);
+                if reader.conclusive() {
+                    self.connections.remove(key);
+                    return self.fail_first_queued(server, rejection_outcome(&reader), now);
+                }
+            }
+            State::Connecting | State::Idle => {}
+        }
+        let watched = self.watch_idle(key, reactor);
+        if !ended && !half_written && watched {
+            self.return_to_pool(key, server, address, now);
+        } else {
+            self.connections.remove(key);
+        }
+        self.serve_queue(server, now, reactor);
+    }
+
+    /// Watches an idle connection; false if it cannot be used again.
+    fn watch_idle(&mut self, key: Key, reactor: &Reactor) -> bool {
+        let Some(connection) = self.connections.get_mut(key) else {
+            return false;
+        };
+        let token = Token::Upstream(key);
+        connection.stream.input.is_empty()
+            && connection
+                .stream
+                .watch(reactor, token, Interest::READ)
+                .is_ok()
+    }
+
+    /// Makes a connection available again, unless its server has been removed or has another address.
+    fn return_to_pool(&mut self, key: Key, server: ServerId, address: SocketAddr, now: Instant) {
+        let pool = self.pools.get_mut(&server);
+        let Some(pool) = pool.filter(|pool| pool.address == address) else {
+            self.connections.remove(key);
+            return;
+        };
+        pool.idle.push(key);
+        let deadline = now + self.idle_timeout;
+        self.timers.push((deadline, TimerKind::Connection(key)));
+    }
+
+    /// Closes a connection that has ended.
+    pub(super) fn close_broken(&mut self, key: Key, now: Instant) {
+        let connection = self.connections.get(key);
+        let verdict = if connection.is_some_and(|connection| connection.is_written()) {
+            Verdict::Reset
+        } else {
+            Verdict::ConnectFailed
+        };
+        self.close(key, verdict, now);
+    }
+
+    fn reject_malformed(&mut self, key: Key, error: &Malformed, now: Instant) {
+        if let Some(address) = self.connections.get(key).map(|c| c.address) {
+            let text = || format!("upstream: {address} is not understood: {error}");
+            self.malformed_log.warn(now, text);
+        }
+        self.close_malformed(key, now);
+    }
+
+    /// Closes a connection with an incomplete or malformed response. What arrived before on it is not trusted either.
+    pub(super) fn close_malformed(&mut self, key: Key, now: Instant) {
+        let connection = self.connections.get_mut(key);
+        match connection.and_then(|connection| connection.active_mut()) {
+            Some(active) if active.written => {
+                active.reader = AnswerReader::default();
+                self.close(key, Verdict::Spoilt, now);
+            }
+            _ => self.close_broken(key, now),
+        }
+    }
+
+    /// Closes a connection. Its exchange ends with `verdict`, unless an error message from the server says more.
+    pub(super) fn close(&mut self, key: Key, verdict: Verdict, now: Instant) {
+        let Some(connection) = self.connections.remove(key) else {
+            return;
+        };
+        let server = connection.server;
+        match connection.state {
+            State::Busy(active) if active.written && active.reader.conclusive() => {
+                self.finish_with_response(active, server, now)
+            }
+            State::Busy(active) => {
+                let verdict = unless_rejected(&active.reader, verdict);
+                self.finish(active.exchange, server, verdict, now);
+            }
+            State::Idle => self.remove_idle(server, key),
+            State::Connecting => {
+                self.end_dial(server);
+                self.fail_first_queued(server, verdict, now);
+            }
+            State::Handshake(reader) => {
+                self.end_dial(server);
+                self.fail_first_queued(server, unless_rejected(&reader, verdict), now);
+            }
+        }
+    }
+
+    /// Reports the end of an exchange with the outcome that its response gives.
+    fn finish_with_response(&mut self, active: ActiveExchange, server: ServerId, now: Instant) {
+        let ActiveExchange {
+            exchange, reader, ..
+        } = active;
+        let (verdict, metadata) = reader.verdict(&exchange.question);
+        let completed = exchange.completed(server, verdict, metadata, now);
+        self.completed.push_back(completed);
+    }
+}
+
+/// The outcome that an error message from the server gives; else `verdict`.
+fn unless_rejected(reader: &AnswerReader, verdict: Verdict) -> Verdict {
+    if reader.conclusive() {
+        rejection_outcome(reader)
+    } else {
+        verdict
+    }
+}
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -5,7 +5,7 @@
 use common::{Listener, Peer, PATIENCE};
 use leverproxy::event_loop::reactor::{Reactor, Token};
 use leverproxy::request::{Command, Done, Purpose, Question, Verdict};
-use leverproxy::upstream::{Due, Exchange, Upstream};
+use leverproxy::upstream::{Exchange, TimerKind, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     fn new() -> Upstreams {
         let server = Listener::new();
         let mut upstream = Upstream::new(10, DIAL_TIMEOUT, PATIENCE);
-        upstream.serves(SERVER, server.address);
+        upstream.add_server(SERVER, server.address);
         Upstreams {
             reactor: Reactor::new().unwrap(),
             upstream,
@@ -51,9 +51,9 @@
             class: None,
             group: None,
             question: Question::Command(Arc::new(command)),
-            sent: self.begun,
-            until: self.at(waits),
-            begin_by: self.at(begins),
+            started: self.begun,
+            deadline: self.at(waits),
+            write_deadline: self.at(begins),
         };
         self.upstream
             .start(SERVER, exchange, self.begun, &self.reactor);
@@ -86,7 +86,7 @@
     }
 
     fn done(&mut self) -> Option<Done> {
-        self.upstream.pop()
+        self.upstream.pop_completed()
     }
 }
 
@@ -128,7 +128,7 @@
     upstreams.start(1, 400 * MS, 400 * MS, 0);
     upstreams
         .upstream
-        .call_off(RequestId(1), upstreams.at(10 * MS));
+        .cancel_unwritten(RequestId(1), upstreams.at(10 * MS));
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
     let mut peer = upstreams.welcomed(20 * MS);
     upstreams.start(2, PATIENCE, PATIENCE, 0);
@@ -144,9 +144,9 @@
     assert!(upstreams.done().is_none());
     upstreams
         .upstream
-        .call_off(RequestId(1), upstreams.at(30 * MS));
+        .cancel_unwritten(RequestId(1), upstreams.at(30 * MS));
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
-    assert_eq!(upstreams.upstream.connections(), 0);
+    assert_eq!(upstreams.upstream.connection_count(), 0);
     assert!(peer.ended());
 }
 
@@ -158,16 +158,16 @@
     let mut peer = upstreams.welcomed(20 * MS);
     let (at, due) = upstreams
         .upstream
-        .take_due()
+        .take_timers()
         .into_iter()
         .rfind(|(_, d)| is_connection(d))
         .unwrap();
     assert_eq!(at, upstreams.at(120 * MS));
-    upstreams.upstream.on_due(due, at, &upstreams.reactor);
+    upstreams.upstream.handle_timer(due, at, &upstreams.reactor);
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::ConnectFailed);
     assert!(peer.ended());
 }
 
-fn is_connection(due: &Due) -> bool {
-    matches!(due, Due::Connection(_))
+fn is_connection(due: &TimerKind) -> bool {
+    matches!(due, TimerKind::Connection(_))
 }
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -558,7 +558,7 @@
     let reactor = Reactor::new().unwrap();
     let now = Instant::now();
     let mut upstream = Upstream::new(100, PATIENCE, PATIENCE);
-    upstream.serves(ServerId(1), server.address);
+    upstream.add_server(ServerId(1), server.address);
     let exchanges = 40;
     for no in 0..exchanges {
         let purpose = Purpose::Attempt(RequestId(no), AttemptNo(0));
@@ -569,9 +569,9 @@
             class,
             group,
             question,
-            sent: now,
-            until,
-            begin_by,
+            started: now,
+            deadline: until,
+            write_deadline: begin_by,
         };
         upstream.start(ServerId(1), exchange, now, &reactor);
     }
@@ -592,10 +592,14 @@
             };
             upstream.ready(key, now, &reactor);
         }
-        for (_, due) in upstream.take_due().into_iter().filter(|(at, _)| *at <= now) {
-            upstream.on_due(due, now, &reactor);
+        for (_, due) in upstream
+            .take_timers()
+            .into_iter()
+            .filter(|(at, _)| *at <= now)
+        {
+            upstream.handle_timer(due, now, &reactor);
         }
-        while let Some(one) = upstream.pop() {
+        while let Some(one) = upstream.pop_completed() {
             assert!(
                 matches!(one.verdict, Verdict::Full | Verdict::ConnectFailed),
                 "{one:?}"
