--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -9,7 +9,7 @@
 pub mod reload;
 
 use crate::clock::Source;
-use crate::discovery::wire::{Listing, ListingError};
+use crate::discovery::wire::EndpointList;
 use crate::health::Listen;
 use crate::pipeline::route_rules::Rules;
 use configuration::calendar::Window;
@@ -144,7 +144,7 @@
     pub proxy_from: Vec<IpNet>,
     pub logging: Logging,
     /// The list as this proxy last had it, maybe old.
-    pub known: Listing,
+    pub known: EndpointList,
     pub platform: Decoded,
     /// Where wall time is read.
     pub wall_clock: Source,
@@ -525,9 +525,9 @@
     let (discovery, discovery_from) =
         address("discovery", named, model.discovery.address, "LB_DISCOVERY")?;
     let known = match file.known {
-        Some(value) => Listing::parse(value.to_string().as_bytes())
-            .map_err(|ListingError(problem)| ConfigError::new("known", problem))?,
-        None => Listing::default(),
+        Some(value) => EndpointList::parse(value.to_string().as_bytes())
+            .map_err(|error| ConfigError::new("known", error))?,
+        None => EndpointList::default(),
     };
     let seed = match &file.seed {
         Some(text) => u64::from_str_radix(text, 16).map_err(|_| {
--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -1,6 +1,6 @@
-//! The record servers by name: which id the module knows them by, and where they listen.
+//! The record servers by name: their ids in the decision module, where they listen, and which are excluded by operators.
 
-use super::wire::{ListedEndpoint, Listing, Status};
+use super::wire::{EndpointList, EndpointStatus, ListedEndpoint};
 use maintenance::{EffectiveState, Maintenance, ManualExclusion, ServerStatus, UnknownServer};
 use platform_settings::Names;
 use routing::{Endpoint, EndpointState, EndpointUpdate, GroupId, KindId, ServerId, Time, ZoneId};
@@ -9,113 +9,137 @@
 use std::time::Duration;
 
 /// Names of former servers that are remembered at most.
-const NAMES_KEPT: usize = 1_000;
+const MAX_FORMER_NAMES: usize = 1_000;
 
+/// All record servers that discovery lists.
 #[derive(Default)]
 pub struct Directory {
     ids: BTreeMap<String, ServerId>,
-    /// As discovery last told of them, with address and group filled in.
-    members: BTreeMap<ServerId, ListedEndpoint>,
-    /// The operators' word beside discovery's.
-    hands: Maintenance,
+    /// The listed servers, with address and group filled in.
+    listed: BTreeMap<ServerId, ListedEndpoint>,
+    maintenance: Maintenance,
     index: u64,
 }
 
-/// What a listing means for connections: where a server is, and whether it takes anything new.
+/// What a change of the directory means for the decision module and for the connection pools.
+#[derive(Debug)]
+pub struct DirectoryUpdate {
+    /// For the decision module.
+    pub endpoints: EndpointUpdate,
+    /// For the pools.
+    pub servers: Vec<ServerChange>,
+}
+
+/// What a change means for the connections to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    Serves(ServerId, SocketAddr),
-    /// Told to drain, or gone from the list.
-    Leaves(ServerId),
+pub enum ServerChange {
+    /// It takes new requests at this address.
+    Available(ServerId, SocketAddr),
+    /// It is draining or gone.
+    Unavailable(ServerId),
 }
 
 impl Directory {
+    /// Discovery's change counter of the latest list.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Names that are known, of former servers too.
-    pub fn names(&self) -> usize {
+    /// The number of names that are known, those of former servers included.
+    pub fn known_names(&self) -> usize {
         self.ids.len()
     }
 
-    /// Takes a listing in; what it tells the module and the pools.
-    pub fn learn(&mut self, listing: Listing, names: &Names) -> (EndpointUpdate, Vec<Change>) {
-        self.index = listing.index;
-        let mut changes = Vec::new();
-        let mut entries = Vec::new();
-        if listing.snapshot {
-            self.hands
-                .retain_listed(&listing.endpoints.iter().map(|e| e.name.as_str()).collect());
-        }
-        for endpoint in listing.endpoints {
-            if let Some((entry, change)) = self.entry(endpoint, names) {
-                entries.push(entry);
-                changes.push(change);
-            }
+    /// Applies a list from discovery.
+    pub fn apply(&mut self, list: EndpointList, names: &Names) -> DirectoryUpdate {
+        self.index = list.index;
+        if list.snapshot {
+            let listed = list.endpoints.iter().map(|e| e.name.as_str()).collect();
+            self.maintenance.retain_listed(&listed);
         }
-        if listing.snapshot {
-            let listed: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
-            for (&server, _) in self
-                .members
-                .iter()
-                .filter(|(server, _)| !listed.contains(server))
-            {
-                changes.push(Change::Leaves(server));
-            }
-            self.members.retain(|server, _| listed.contains(server));
+        let (endpoints, mut servers): (Vec<Endpoint>, Vec<ServerChange>) = list
+            .endpoints
+            .into_iter()
+            .filter_map(|endpoint| self.apply_endpoint(endpoint, names))
+            .unzip();
+        if list.snapshot {
+            servers.extend(self.remove_unlisted(&endpoints));
         }
-        self.members.retain(|server, _| {
-            !entries
-                .iter()
-                .any(|e| e.server == *server && e.state == EndpointState::Removed)
-        });
-        // A server that comes back keeps its id; only so many names of former ones are remembered.
-        if self.ids.len() > NAMES_KEPT + self.members.len() {
-            self.ids.retain(|_, id| self.members.contains_key(id));
-        }
-        let news = if listing.snapshot {
-            EndpointUpdate::Snapshot(entries)
+        self.remove_gone(&endpoints);
+        self.forget_former_names();
+        let endpoints = if list.snapshot {
+            EndpointUpdate::Snapshot(endpoints)
         } else {
-            EndpointUpdate::Changes(entries)
+            EndpointUpdate::Changes(endpoints)
         };
-        (news, changes)
+        DirectoryUpdate { endpoints, servers }
+    }
+
+    /// Removes the servers that a complete list does not have.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) -> Vec<ServerChange> {
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|e| e.server).collect();
+        let removed = self
+            .listed
+            .keys()
+            .filter(|server| !listed.contains(server))
+            .map(|server| ServerChange::Unavailable(*server))
+            .collect();
+        self.listed.retain(|server, _| listed.contains(server));
+        removed
     }
 
-    fn entry(&mut self, mut endpoint: ListedEndpoint, names: &Names) -> Option<(Endpoint, Change)> {
-        let known = self.ids.get(&endpoint.name).copied();
-        let member = known.and_then(|id| self.members.get(&id));
-        endpoint.address = endpoint.address.or(member.and_then(|m| m.address));
-        endpoint.group = endpoint.group.or(member.and_then(|m| m.group));
-        let word = match endpoint.status {
-            Status::Ready => ServerStatus::Ready,
-            Status::Terminating | Status::Other => ServerStatus::Draining,
-            Status::Gone => ServerStatus::Removed,
+    /// Removes the servers that a list reports as gone.
+    fn remove_gone(&mut self, endpoints: &[Endpoint]) {
+        let is_gone = |server: &ServerId| {
+            endpoints
+                .iter()
+                .any(|e| e.server == *server && e.state == EndpointState::Removed)
         };
-        let whole = endpoint.address.is_some() && endpoint.group.is_some();
-        if !whole && word != ServerStatus::Removed {
+        self.listed.retain(|server, _| !is_gone(server));
+    }
+
+    /// A server that comes back keeps its id, as long as not too many former names are remembered.
+    fn forget_former_names(&mut self) {
+        if self.ids.len() > MAX_FORMER_NAMES + self.listed.len() {
+            self.ids.retain(|_, id| self.listed.contains_key(id));
+        }
+    }
+
+    /// Applies one entry of a list; none if the entry is incomplete.
+    fn apply_endpoint(
+        &mut self,
+        mut endpoint: ListedEndpoint,
+        names: &Names,
+    ) -> Option<(Endpoint, ServerChange)> {
+        let known_id = self.ids.get(&endpoint.name).copied();
+        let before = known_id.and_then(|id| self.listed.get(&id));
+        endpoint.address = endpoint.address.or(before.and_then(|b| b.address));
+        endpoint.group = endpoint.group.or(before.and_then(|b| b.group));
+        let status = server_status(endpoint.status);
+        let complete = endpoint.address.is_some() && endpoint.group.is_some();
+        if !complete && status != ServerStatus::Removed {
             log::warn!(
                 "discovery: {} has no address or no group: left out",
                 endpoint.name
             );
             return None;
         }
-        let joined = self.hands.apply_status(
-            &endpoint.name,
-            word,
-            Duration::from_millis(endpoint.since_ms),
-        );
-        if !whole {
+        let started = Duration::from_millis(endpoint.started_ms);
+        let state = self
+            .maintenance
+            .apply_status(&endpoint.name, status, started);
+        if !complete {
             return None;
         }
-        let server = known.unwrap_or_else(|| self.name(&endpoint.name));
-        let told = told(server, &endpoint, joined, names)?;
-        self.members.insert(server, endpoint);
-        Some(told)
+        let server = known_id.unwrap_or_else(|| self.assign_id(&endpoint.name));
+        let changed = describe(server, &endpoint, state, names)?;
+        self.listed.insert(server, endpoint);
+        Some(changed)
     }
 
-    /// An id that all proxies give it alike, whenever they heard of it; but for two names with one hash.
-    fn name(&mut self, name: &str) -> ServerId {
+    /// Assigns a hash of the name, so that all proxies give a server the same id. Only of two names with the same hash the
+    /// second one gets an id that depends on the order.
+    fn assign_id(&mut self, name: &str) -> ServerId {
         let mut id = subsetting::key(name);
         while self.ids.values().any(|known| known.0 == id) {
             id = id.wrapping_add(1);
@@ -124,92 +148,104 @@
         ServerId(id)
     }
 
-    /// What operators say of a server; what it means for the module and the pools, if that is anything new.
-    pub fn hand(
+    /// Excludes a server for an operator, or includes it again; none if that changes nothing. `now` is Unix time.
+    pub fn set_excluded(
         &mut self,
         name: &str,
-        out: bool,
+        excluded: bool,
         now: Time,
         names: &Names,
-    ) -> Result<Option<(EndpointUpdate, Vec<Change>)>, UnknownServer> {
-        let said = if out {
-            self.hands.exclude(name, now.0)
+    ) -> Result<Option<DirectoryUpdate>, UnknownServer> {
+        let changed = if excluded {
+            self.maintenance.exclude(name, now.0)?
         } else {
-            self.hands.include(name, now.0)
+            self.maintenance.include(name, now.0)?
         };
-        Ok(said?.and_then(|joined| self.joined(name, joined, names)))
+        Ok(changed.and_then(|state| self.update_of(name, state, names)))
     }
 
-    fn joined(
+    fn update_of(
         &self,
         name: &str,
-        joined: EffectiveState,
+        state: EffectiveState,
         names: &Names,
-    ) -> Option<(EndpointUpdate, Vec<Change>)> {
+    ) -> Option<DirectoryUpdate> {
         let server = *self.ids.get(name)?;
-        let (entry, change) = told(server, self.members.get(&server)?, joined, names)?;
-        Some((EndpointUpdate::Changes(vec![entry]), vec![change]))
+        let (endpoint, change) = describe(server, self.listed.get(&server)?, state, names)?;
+        Some(DirectoryUpdate {
+            endpoints: EndpointUpdate::Changes(vec![endpoint]),
+            servers: vec![change],
+        })
     }
 
-    /// The whole list, as discovery last told of it.
-    pub fn listing(&self) -> Listing {
-        let endpoints = self.members.values().cloned().collect();
-        Listing {
+    /// The complete list, as discovery last reported it.
+    pub fn endpoint_list(&self) -> EndpointList {
+        EndpointList {
             index: self.index,
             snapshot: true,
-            endpoints,
+            endpoints: self.listed.values().cloned().collect(),
         }
     }
 
-    /// The operators' word as the process before this one had it, beside the list that it had.
-    pub fn take_over(
+    /// Restores the exclusions of the previous process. Its list has to be applied first.
+    pub fn restore_exclusions(
         &mut self,
-        hands: Vec<ManualExclusion>,
+        exclusions: Vec<ManualExclusion>,
         names: &Names,
-    ) -> Vec<(EndpointUpdate, Vec<Change>)> {
-        let changed = self.hands.restore(hands);
+    ) -> Vec<DirectoryUpdate> {
+        let changed = self.maintenance.restore(exclusions);
         changed
             .iter()
-            .filter_map(|(name, joined)| self.joined(name, *joined, names))
+            .filter_map(|(name, state)| self.update_of(name, *state, names))
             .collect()
     }
 
-    pub fn hands(&self) -> &Maintenance {
-        &self.hands
+    /// The exclusions by operators.
+    pub fn maintenance(&self) -> &Maintenance {
+        &self.maintenance
+    }
+}
+
+fn server_status(status: EndpointStatus) -> ServerStatus {
+    match status {
+        EndpointStatus::Ready => ServerStatus::Ready,
+        EndpointStatus::Terminating | EndpointStatus::Other => ServerStatus::Draining,
+        EndpointStatus::Gone => ServerStatus::Removed,
     }
 }
 
-fn told(
+/// A server for the decision module and for the pools; none if its address or group is not known.
+fn describe(
     server: ServerId,
-    endpoint: &ListedEndpoint,
-    joined: EffectiveState,
+    listed: &ListedEndpoint,
+    effective: EffectiveState,
     names: &Names,
-) -> Option<(Endpoint, Change)> {
-    let (listed, change) = match joined.status {
+) -> Option<(Endpoint, ServerChange)> {
+    let (state, change) = match effective.status {
         ServerStatus::Ready => (
             EndpointState::Ready,
-            Change::Serves(server, endpoint.address?),
+            ServerChange::Available(server, listed.address?),
         ),
-        ServerStatus::Draining => (EndpointState::Draining, Change::Leaves(server)),
-        ServerStatus::Removed => (EndpointState::Removed, Change::Leaves(server)),
+        ServerStatus::Draining => (EndpointState::Draining, ServerChange::Unavailable(server)),
+        ServerStatus::Removed => (EndpointState::Removed, ServerChange::Unavailable(server)),
     };
-    let entry = Endpoint {
+    let endpoint = Endpoint {
         server,
-        group: GroupId(endpoint.group?),
-        zone: ZoneId(place(&names.zones, &endpoint.zone)),
-        kind: KindId(place(&names.kinds, &endpoint.kind)),
-        state: listed,
+        group: GroupId(listed.group?),
+        zone: ZoneId(index_of(&names.zones, &listed.zone)),
+        kind: KindId(index_of(&names.kinds, &listed.kind)),
+        state,
         primary: false,
-        started: Time(joined.started),
+        started: Time(effective.started),
     };
-    Some((entry, change))
+    Some((endpoint, change))
 }
 
-/// The id of a name; names that the settings do not hold share one that none of theirs has.
-fn place(names: &[String], name: &str) -> u16 {
+/// The id of a zone or kind. All names that the settings do not have share an id that none of theirs has.
+fn index_of(names: &[String], name: &str) -> u16 {
     names
         .iter()
-        .position(|n| n == name)
-        .and_then(|i| u16::try_from(i).ok())
+        .position(|known| known == name)
+        .and_then(|index| u16::try_from(index).ok())
         .unwrap_or(u16::MAX)
 }
--- a/crates/leverproxy/src/discovery/wire.rs
+++ b/crates/leverproxy/src/discovery/wire.rs
@@ -1,49 +1,74 @@
-//! Discovery's JSON.
+//! Discovery's JSON: the one place where its field names are mapped.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// The whole list of record servers or what changed in it.
+/// The complete list of record servers, or the changes in it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Listing {
+pub struct EndpointList {
+    /// Discovery's change counter.
     pub index: u64,
+    /// Whether the list is complete; if not, it holds the changed servers only.
     pub snapshot: bool,
+    /// The servers.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
+/// One record server in the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedEndpoint {
+    /// The server's name.
     pub name: String,
-    /// Absent where a change tells of an end alone.
+    /// Where it listens; absent where a change only reports that it is gone.
     pub address: Option<SocketAddr>,
+    /// The name of its zone.
     #[serde(default)]
     pub zone: String,
+    /// The name of its kind of machine.
     #[serde(default, rename = "type")]
     pub kind: String,
+    /// Its group; absent where a change only reports that it is gone.
     pub group: Option<u32>,
-    pub status: Status,
-    #[serde(default)]
-    pub since_ms: u64,
+    /// Whether it takes requests.
+    pub status: EndpointStatus,
+    /// When it started, in Unix milliseconds; 0 if that is not known.
+    #[serde(default, rename = "since_ms")]
+    pub started_ms: u64,
 }
 
+/// A server's status. The names of the variants are discovery's words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Status {
+pub enum EndpointStatus {
+    /// It takes requests.
     Ready,
+    /// It is draining.
     Terminating,
+    /// It is no longer in the list.
     Gone,
-    /// A word that is not known here: the safe reading is that the server wants nothing new.
+    /// A word that is not known here. It is handled like [`EndpointStatus::Terminating`]: no new requests.
     #[serde(other)]
     Other,
 }
 
-#[derive(Debug)]
-pub struct ListingError(pub String);
+/// Why a text is not an endpoint list.
+#[derive(Debug, Error)]
+#[error("{path}: {source}")]
+pub struct EndpointListError {
+    /// The field at fault.
+    pub path: String,
+    /// What is wrong with it.
+    pub source: serde_json::Error,
+}
 
-impl Listing {
-    pub fn parse(json: &[u8]) -> Result<Listing, ListingError> {
+impl EndpointList {
+    /// Reads discovery's JSON.
+    pub fn parse(json: &[u8]) -> Result<EndpointList, EndpointListError> {
         let mut json = serde_json::Deserializer::from_slice(json);
-        serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| ListingError(format!("{}: {}", e.path(), e.inner())))
+        serde_path_to_error::deserialize(&mut json).map_err(|error| EndpointListError {
+            path: error.path().to_string(),
+            source: error.into_inner(),
+        })
     }
 }
--- a/crates/leverproxy/src/persistence/hot_restart.rs
+++ b/crates/leverproxy/src/persistence/hot_restart.rs
@@ -1,7 +1,7 @@
 //! From one process to the next over a Unix socket in `$TMPDIR`: the clients' listener, the list, the operators' word; and,
 //! while both live, what operators say to either.
 
-use crate::discovery::wire::Listing;
+use crate::discovery::wire::EndpointList;
 use crate::event_loop::connection::{self, Filled, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
 use maintenance::ManualExclusion;
@@ -33,7 +33,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Estate {
     version: u32,
-    pub listing: Listing,
+    pub listing: EndpointList,
     pub hands: Vec<ManualExclusion>,
     /// Descriptors in use, which the next one has to do without.
     pub clients: usize,
@@ -42,7 +42,7 @@
 
 impl Estate {
     pub fn new(
-        listing: Listing,
+        listing: EndpointList,
         hands: Vec<ManualExclusion>,
         clients: usize,
         upstream: usize,
--- a/crates/leverproxy/src/persistence/hot_restart/recorded.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/recorded.rs
@@ -1,7 +1,7 @@
 //! What an elder of the first version handed over and said, as it was on the socket.
 
 use super::*;
-use crate::discovery::wire::Status;
+use crate::discovery::wire::EndpointStatus;
 use std::io::Write;
 
 const ESTATE: &str = r#"{"version":1,"listing":{"index":42,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:5432","zone":"z1","type":"record","group":2,"status":"Ready","since_ms":1800000000000},{"name":"s-2","address":null,"zone":"z1","type":"record","group":null,"status":"Gone","since_ms":1800000000000},{"name":"s-3","address":"127.0.0.1:5432","zone":"z1","type":"record","group":2,"status":"Terminating","since_ms":1800000000000}]},"hands":[{"name":"s-1","out":{"secs":1800000000,"nanos":500000000},"before":[{"secs":5,"nanos":0},{"secs":6,"nanos":0}]}],"clients":3,"upstream":4}"#;
@@ -28,9 +28,9 @@
         .map(|e| (e.name.as_str(), e.status, e.address.is_some()))
         .collect();
     let told = [
-        ("s-1", Status::Ready, true),
-        ("s-2", Status::Gone, false),
-        ("s-3", Status::Terminating, true),
+        ("s-1", EndpointStatus::Ready, true),
+        ("s-2", EndpointStatus::Gone, false),
+        ("s-3", EndpointStatus::Terminating, true),
     ];
     assert_eq!(servers, told);
     let first = &estate.listing.endpoints[0];
@@ -39,7 +39,7 @@
         ("z1", "record", Some(2))
     );
     assert_eq!(
-        (first.since_ms, first.address),
+        (first.started_ms, first.address),
         (1_800_000_000_000, Some(([127, 0, 0, 1], 5_432).into()))
     );
     let second = Duration::from_secs;
--- a/crates/leverproxy/src/persistence/saved_state.rs
+++ b/crates/leverproxy/src/persistence/saved_state.rs
@@ -1,13 +1,13 @@
 //! What the proxy remembers over a kill or a power loss: the file in its directory, read at the start and written by a thread
 //! beside the loop. What is trusted and when it is written is `persistent_state`'s; here is what carries it to the disk.
 
-use crate::discovery::wire::Listing;
+use crate::discovery::wire::EndpointList;
 use crate::event_loop::reactor::Key;
 use crate::persistence::state_file::{self, Lock, LockError, Writer};
 use configuration::model::Memory as Stated;
 use maintenance::ManualExclusion;
 use persistent_state::{
-    recover, Action, EndpointList, Event, SnapshotScheduler, StartMode, MAX_FILE_BYTES,
+    recover, Action, Event, SavedList, SnapshotScheduler, StartMode, MAX_FILE_BYTES,
 };
 use std::io;
 use std::os::unix::net::UnixStream;
@@ -66,7 +66,7 @@
 pub struct Recalled {
     /// A start no greater than this was another process's.
     pub start: u64,
-    pub listing: Option<Listing>,
+    pub listing: Option<EndpointList>,
     pub hands: Vec<ManualExclusion>,
 }
 
@@ -126,7 +126,7 @@
         stated: Stated,
         name: &str,
         heir: bool,
-        known: &Listing,
+        known: &EndpointList,
         waker: UnixStream,
         now: Instant,
     ) -> (Memory, Recalled) {
@@ -155,13 +155,12 @@
         });
         let mut listing = None;
         if let Some(list) = &recalled.list {
-            match Listing::parse(&list.bytes) {
+            match EndpointList::parse(&list.bytes) {
                 // Asked for anew in whole: discovery may count anew below it.
-                Ok(kept) => listing = Some(Listing { index: 0, ..kept }),
-                Err(error) => log::warn!(
-                    "memory: the list that was kept is not understood: {}",
-                    error.0
-                ),
+                Ok(kept) => listing = Some(EndpointList { index: 0, ..kept }),
+                Err(error) => {
+                    log::warn!("memory: the list that was kept is not understood: {error}")
+                }
             }
         }
         let hands: Vec<ManualExclusion> = recalled.exclusions.into_iter().map(of_kept).collect();
@@ -228,7 +227,7 @@
         &mut self,
         start: u64,
         hands: Vec<ManualExclusion>,
-        list: Option<(u64, &dyn Fn() -> Listing)>,
+        list: Option<(u64, &dyn Fn() -> EndpointList)>,
         now: Instant,
     ) {
         if !self.is_ours() {
@@ -248,7 +247,7 @@
             // Plain data: what can't be written would be no list.
             if let Ok(bytes) = serde_json::to_vec(&listing()) {
                 self.index = Some(index);
-                self.handle(Event::EndpointList(EndpointList { index, bytes }), now);
+                self.handle(Event::EndpointList(SavedList { index, bytes }), now);
             }
         }
         self.handle(Event::Incarnation(start), now);
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -13,9 +13,9 @@
 use crate::clock::{Clock, Source};
 use crate::control::admin::Admin;
 use crate::control::control_socket::Operate;
-use crate::discovery::directory::{Change, Directory};
-use crate::discovery::wire::Listing;
-use crate::discovery::{Discovery, News};
+use crate::discovery::directory::{Directory, DirectoryUpdate, ServerChange};
+use crate::discovery::wire::EndpointList;
+use crate::discovery::{DiscoveryClient, WatchEvent};
 use crate::downstream::{self, Downstream};
 use crate::event_loop::reactor::{later, Reactor, Timers};
 use crate::health::monitor::Monitor;
@@ -66,7 +66,7 @@
     pub timers: Timers<Timer>,
     pub front: Downstream,
     pub upstream: Upstream,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryClient,
     pub health: Health,
     pub operate: Option<Operate>,
     pub admin: Option<Admin>,
@@ -146,19 +146,19 @@
     }
 
     /// The list as the proxy last had it, before anything else.
-    pub fn start(&mut self, known: Listing, sides: &mut IoEndpoints, now: Instant) {
-        let (news, changes) = self.directory.learn(
-            Listing {
+    pub fn start(&mut self, known: EndpointList, sides: &mut IoEndpoints, now: Instant) {
+        let DirectoryUpdate { endpoints, servers } = self.directory.apply(
+            EndpointList {
                 snapshot: true,
                 ..known
             },
             &self.names,
         );
-        let news = match news {
+        let endpoints = match endpoints {
             EndpointUpdate::Snapshot(entries) => EndpointUpdate::Cached(entries),
             other => other,
         };
-        self.listed(news, changes, sides, now);
+        self.listed(endpoints, servers, sides, now);
     }
 
     /// Works through all that the sides have to tell.
@@ -166,7 +166,7 @@
         loop {
             if let Some(sign) = sides.upstream.pop_signal() {
                 self.monitor.sign(sign, now);
-            } else if let Some(news) = sides.discovery.pop() {
+            } else if let Some(news) = sides.discovery.pop_event() {
                 self.on_news(news, sides, now);
             } else if let Some(piece) = sides.upstream.pop_chunk() {
                 self.on_piece(piece, sides, now);
@@ -188,7 +188,7 @@
         for (at, due) in sides.upstream.take_timers() {
             sides.timers.set(at, Timer::Upstream(due));
         }
-        if let Some(at) = sides.discovery.alarm() {
+        if let Some(at) = sides.discovery.next_timer() {
             sides.timers.set(at, Timer::Watch);
         }
     }
@@ -196,14 +196,14 @@
     pub fn on_watch_timer(&mut self, sides: &mut IoEndpoints, now: Instant) {
         sides
             .discovery
-            .check(self.directory.index(), now, &sides.reactor);
+            .handle_timer(self.directory.index(), now, &sides.reactor);
     }
 
     /// Where lists are pushed, the watch stands whatever the module asks for.
     pub fn set_pushed(&mut self, pushed: bool, sides: &mut IoEndpoints, now: Instant) {
         sides
             .discovery
-            .set_pushed(pushed, self.directory.index(), now, &sides.reactor);
+            .set_push_mode(pushed, self.directory.index(), now, &sides.reactor);
     }
 
     pub fn on_module_timer(&mut self, token: u32, sides: &mut IoEndpoints, now: Instant) {
@@ -551,9 +551,9 @@
         }
     }
 
-    fn on_news(&mut self, news: News, sides: &mut IoEndpoints, now: Instant) {
+    fn on_news(&mut self, news: WatchEvent, sides: &mut IoEndpoints, now: Instant) {
         match news {
-            News::Heard => {
+            WatchEvent::Unchanged => {
                 self.monitor.event(now, availability::Event::ListHeard);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
                     // Nothing has changed since the list that this process began with.
@@ -564,23 +564,25 @@
                     );
                 }
             }
-            News::Listing(listing) => {
+            WatchEvent::List(listing) => {
                 self.monitor
                     .event(now, availability::Event::Discovery { heard: true });
                 self.monitor.event(now, availability::Event::ListHeard);
                 self.counters.lists += 1;
                 self.list_confirmed = true;
-                let (news, changes) = self.directory.learn(listing, &self.names);
-                self.listed(news, changes, sides, now);
+                let update = self.directory.apply(listing, &self.names);
+                self.listed(update.endpoints, update.servers, sides, now);
                 self.monitor.list(true, now);
             }
-            News::Lost => {
+            WatchEvent::Lost => {
                 self.monitor.list(false, now);
                 self.monitor
                     .event(now, availability::Event::Discovery { heard: false });
                 self.counters.watches_lost += 1;
             }
-            News::Failed => self.decide(Event::Endpoints(EndpointUpdate::Failed), sides, now),
+            WatchEvent::CallFailed => {
+                self.decide(Event::Endpoints(EndpointUpdate::Failed), sides, now)
+            }
         }
     }
 
@@ -588,7 +590,7 @@
     fn listed(
         &mut self,
         news: EndpointUpdate,
-        changes: Vec<Change>,
+        changes: Vec<ServerChange>,
         sides: &mut IoEndpoints,
         now: Instant,
     ) {
@@ -598,15 +600,17 @@
         {
             let named = |server: &ServerId| entries.iter().any(|e| e.server == *server);
             let left = changes.iter().filter_map(|change| match change {
-                Change::Leaves(server) => Some(*server).filter(|server| !named(server)),
-                Change::Serves(..) => None,
+                ServerChange::Unavailable(server) => Some(*server).filter(|server| !named(server)),
+                ServerChange::Available(..) => None,
             });
             self.monitor.listed(entries, left, now);
         }
         for change in changes {
             match change {
-                Change::Serves(server, address) => sides.upstream.add_server(server, address),
-                Change::Leaves(server) => sides.upstream.remove_server(server, now),
+                ServerChange::Available(server, address) => {
+                    sides.upstream.add_server(server, address)
+                }
+                ServerChange::Unavailable(server) => sides.upstream.remove_server(server, now),
             }
         }
         self.decide(Event::Endpoints(news), sides, now);
@@ -656,7 +660,7 @@
             Action::Subscribe => {
                 sides
                     .discovery
-                    .subscribe(self.directory.index(), now, &sides.reactor);
+                    .poll(self.directory.index(), now, &sides.reactor);
             }
         }
     }
@@ -665,7 +669,7 @@
     pub fn discovery_at(&mut self, address: SocketAddr, sides: &mut IoEndpoints, now: Instant) {
         sides
             .discovery
-            .move_to(address, self.directory.index(), now, &sides.reactor);
+            .set_address(address, self.directory.index(), now, &sides.reactor);
     }
 
     fn probe(&mut self, server: ServerId, sides: &mut IoEndpoints, now: Instant) {
@@ -753,12 +757,12 @@
         sides: &mut IoEndpoints,
         now: Instant,
     ) -> Result<(), UnknownServer> {
-        if let Some((news, changes)) =
+        if let Some(DirectoryUpdate { endpoints, servers }) =
             self.directory
-                .hand(name, out, self.clock.unix(now), &self.names)?
+                .set_excluded(name, out, self.clock.unix(now), &self.names)?
         {
-            self.monitor.hands(&news, now);
-            self.listed(news, changes, sides, now);
+            self.monitor.hands(&endpoints, now);
+            self.listed(endpoints, servers, sides, now);
         }
         Ok(())
     }
@@ -770,9 +774,11 @@
         sides: &mut IoEndpoints,
         now: Instant,
     ) {
-        for (news, changes) in self.directory.take_over(hands, &self.names) {
-            self.monitor.hands(&news, now);
-            self.listed(news, changes, sides, now);
+        for DirectoryUpdate { endpoints, servers } in
+            self.directory.restore_exclusions(hands, &self.names)
+        {
+            self.monitor.hands(&endpoints, now);
+            self.listed(endpoints, servers, sides, now);
         }
     }
 
@@ -782,19 +788,19 @@
     }
 
     /// What the next process gets to know: the list and the operators' word.
-    pub fn known(&self) -> (Listing, Vec<ManualExclusion>) {
-        (self.directory.listing(), self.hands())
+    pub fn known(&self) -> (EndpointList, Vec<ManualExclusion>) {
+        (self.directory.endpoint_list(), self.hands())
     }
 
     /// The operators' word.
     pub fn hands(&self) -> Vec<ManualExclusion> {
-        self.directory.hands().exclusions()
+        self.directory.maintenance().exclusions()
     }
 
     /// Record servers in the list, and those of them that are avoided at present.
     pub fn record_servers(&self, now: Instant) -> (usize, usize) {
         (
-            self.directory.hands().listed_count(),
+            self.directory.maintenance().listed_count(),
             self.route.avoided(self.clock.unix(now)),
         )
     }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -10,7 +10,7 @@
 use crate::control::admin::Admin;
 use crate::control::control_socket::{Operate, Word};
 use crate::control::{self, Control, Wish};
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryClient;
 use crate::downstream::Downstream;
 use crate::event_loop::reactor::{Interest, Key, Reactor, Ready, Timers, Token};
 use crate::health::monitor::{self, Monitor, Usage};
@@ -152,7 +152,7 @@
         front.set_balancers(config.checks.clone(), config.proxy_from.clone());
         let upstream = Upstream::new(limits.upstream, config.dial_timeout, config.idle_limit);
         let pushed = !config.platform.settings.endpoints_are_polled;
-        let discovery = Discovery::new(config.discovery, config.watch_silence, pushed, now);
+        let discovery = DiscoveryClient::new(config.discovery, config.watch_silence, pushed, now);
         let fixed = Fixed {
             name: config.name,
             listen: config.listen,
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -5,7 +5,7 @@
 use discovery_schedule::{
     DIAL_TIMEOUT, MAX_RETRY_DELAY, OBJECT_TIMEOUT, SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
 };
-use leverproxy::discovery::{Discovery, News};
+use leverproxy::discovery::{DiscoveryClient, WatchEvent};
 use leverproxy::event_loop::reactor::{Reactor, Token};
 use leverproxy::protocol::http::{Part, Reader};
 use rustix::net::sockopt;
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a body comes.
+/// How a body is transferred.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     Chunked,
@@ -81,9 +81,9 @@
     next
 }
 
-/// A whole list counts in whatever form it comes, and the next call goes on from it.
+/// A complete list is applied whatever its form is, and the next call continues from it.
 #[test]
-fn a_whole_list_is_taken_in_any_form() {
+fn a_complete_list_is_applied_in_any_form() {
     for framing in FRAMINGS {
         for form in [str::to_owned, indented] {
             let server = Listener::new();
@@ -99,9 +99,10 @@
     }
 }
 
-/// A reset is no end: half a list is no list. What came whole before it counts, a drain as the last thing too.
+/// The connection is reset in the middle of a list. The incomplete list must not be applied, but the complete objects
+/// before it are, even if the last one is a drain.
 #[test]
-fn of_a_list_cut_by_a_reset_only_whole_objects_count() {
+fn of_a_response_cut_by_a_reset_only_complete_objects_count() {
     for framing in FRAMINGS {
         let (first, second) = (Listener::new(), Listener::new());
         let mut stage = Stage::new(&[("s-1", &first), ("s-2", &second)]);
@@ -140,9 +141,9 @@
     }
 }
 
-/// A list counts as soon as it is whole, with the next one begun right behind it, and before anything that is none.
+/// A list is applied as soon as it is complete, also with the beginning of the next one or malformed bytes behind it.
 #[test]
-fn a_list_counts_whatever_comes_behind_it() {
+fn a_list_is_applied_whatever_follows_it() {
     let server = Listener::new();
     let listed: Vec<String> = (0..100)
         .map(|n| server.listed(&format!("s-{n}"), "Ready"))
@@ -182,9 +183,9 @@
     );
 }
 
-/// Discovery turns calls away: each is followed by another, and what was known stays known.
+/// Discovery rejects calls: each is followed by another one, and the known list stays in use.
 #[test]
-fn a_call_that_is_turned_away_is_made_again() {
+fn a_rejected_call_is_made_again() {
     let server = Listener::new();
     let mut stage = Stage::new(&[("s-1", &server)]);
     let mut peer = again(&mut stage, 41);
@@ -202,20 +203,20 @@
     served(&mut client, &server, 1, "known");
 }
 
-/// Discovery alone, on a clock that the test sets.
-struct Alone {
+/// The discovery client alone, on a clock that the test sets.
+struct ClientAlone {
     reactor: Reactor,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     now: Instant,
     listener: Listener,
 }
 
-impl Alone {
-    fn new(pushed: bool) -> Alone {
+impl ClientAlone {
+    fn new(pushed: bool) -> ClientAlone {
         let (reactor, listener, now) = (Reactor::new().unwrap(), Listener::new(), Instant::now());
-        let mut discovery = Discovery::new(listener.address, SILENCE_TIMEOUT, pushed, now);
-        discovery.subscribe(1, now, &reactor);
-        Alone {
+        let mut discovery = DiscoveryClient::new(listener.address, SILENCE_TIMEOUT, pushed, now);
+        discovery.poll(1, now, &reactor);
+        ClientAlone {
             reactor,
             discovery,
             now,
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Waits for what comes next and lets it take that in.
+    /// Waits for the next event and passes it to the client.
     fn step(&mut self) {
         let mut ready = Vec::new();
         self.reactor
@@ -238,17 +239,17 @@
         }
     }
 
-    /// What it has to tell next.
-    fn news(&mut self) -> News {
+    /// What the client reports next.
+    fn next_event(&mut self) -> WatchEvent {
         loop {
-            if let Some(news) = self.discovery.pop() {
-                return news;
+            if let Some(next_event) = self.discovery.pop_event() {
+                return next_event;
             }
             self.step();
         }
     }
 
-    /// Lets it come up and write its call.
+    /// Accepts the connection and reads the call.
     fn called(&mut self) -> Peer {
         let mut peer = self.listener.accept();
         self.step();
@@ -256,62 +257,63 @@
         peer
     }
 
-    /// When something is due next, from now; then it is that time.
+    /// Advances the clock to the next timer and fires it; returns the time until then.
     fn due(&mut self) -> Duration {
-        // A timer that is set stays set, so each time is told once.
-        let due = self.discovery.alarm().unwrap();
+        // A timer that is set stays set, so each one is returned once.
+        let due = self.discovery.next_timer().unwrap();
         let after = due.saturating_duration_since(self.now);
         self.now = due;
-        self.discovery.check(1, self.now, &self.reactor);
+        self.discovery.handle_timer(1, self.now, &self.reactor);
         after
     }
 }
 
-/// Silence breaks a watch and a call, wherever it begins, and the next call is made at once.
+/// A watch or a call falls silent, at any point of the response. It counts as lost, and the next call is made at once.
 #[test]
-fn silence_breaks_what_is_out() {
+fn silence_ends_a_call() {
     for begun in [
         "",
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n{\"index\":3",
         "HTTP/1.1 200 OK\r\n\r\n{}",
     ] {
-        let mut alone = Alone::new(false);
-        let mut peer = alone.called();
+        let mut client = ClientAlone::new(false);
+        let mut peer = client.called();
         peer.write(begun.as_bytes());
         if begun.ends_with("{}") {
-            assert!(matches!(alone.news(), News::Listing(_)));
+            assert!(matches!(client.next_event(), WatchEvent::List(_)));
         }
-        assert!(alone.due() <= SILENCE_TIMEOUT);
-        assert!(matches!(alone.news(), News::Lost), "{begun:?}");
+        assert!(client.due() <= SILENCE_TIMEOUT);
+        assert!(matches!(client.next_event(), WatchEvent::Lost), "{begun:?}");
         assert!(peer.ended());
-        alone.called();
+        client.called();
     }
 }
 
-/// A dial that hangs and a trickle without end are given up, and the next call is made at once.
+/// A dial hangs, or a response trickles without end. The call is abandoned, and the next one is made at once.
 #[test]
-fn what_never_comes_whole_is_given_up() {
-    let mut alone = Alone::new(false);
-    assert_eq!(alone.due(), DIAL_TIMEOUT);
-    assert!(matches!(alone.news(), News::Lost));
-    let _given_up = alone.listener.accept();
-    let mut peer = alone.called();
+fn a_call_without_a_complete_object_is_abandoned() {
+    let mut client = ClientAlone::new(false);
+    assert_eq!(client.due(), DIAL_TIMEOUT);
+    assert!(matches!(client.next_event(), WatchEvent::Lost));
+    let _abandoned = client.listener.accept();
+    let mut peer = client.called();
     peer.write(b"HTTP/1.1 200 OK\r\n\r\n{");
-    let begun = alone.now;
+    let begun = client.now;
     for _ in 0..100 {
         peer.write(b" ");
-        alone.step();
-        alone.now += Duration::from_millis(50);
+        client.step();
+        client.now += Duration::from_millis(50);
     }
-    assert_eq!(alone.due() + (alone.now - begun), OBJECT_TIMEOUT);
-    assert!(matches!(alone.news(), News::Lost));
-    alone.called();
+    assert_eq!(client.due() + (client.now - begun), OBJECT_TIMEOUT);
+    assert!(matches!(client.next_event(), WatchEvent::Lost));
+    client.called();
 }
 
-/// Where the list is asked for, whoever orders calls hears of a failure; nobody's order is waited for too long.
+/// Where the list is polled, a failure is reported to the module that orders calls; if it orders none, the next call is made
+/// in time all the same.
 #[test]
-fn after_an_end_the_next_call_is_made_in_time() {
+fn the_next_call_after_a_failure_is_made_in_time() {
     // The peer stays open behind what it says; one that says nothing is reset.
     for end in [
         "",
@@ -320,48 +322,52 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{ \n",
     ] {
         for (pushed, again) in [(false, MAX_RETRY_DELAY), (true, WATCH_RECONNECT_DELAY)] {
-            let mut alone = Alone::new(pushed);
-            let mut peer = alone.called();
+            let mut client = ClientAlone::new(pushed);
+            let mut peer = client.called();
             peer.write(end.as_bytes());
             let _open = if end.is_empty() {
                 reset(peer)
             } else {
                 Some(peer)
             };
-            assert!(matches!(alone.news(), News::Lost));
-            let told = alone.discovery.pop();
-            assert_eq!(matches!(told, Some(News::Failed)), !pushed, "{told:?}");
-            assert_eq!(alone.due(), again);
-            alone.called();
+            assert!(matches!(client.next_event(), WatchEvent::Lost));
+            let told = client.discovery.pop_event();
+            assert_eq!(
+                matches!(told, Some(WatchEvent::CallFailed)),
+                !pushed,
+                "{told:?}"
+            );
+            assert_eq!(client.due(), again);
+            client.called();
         }
     }
 }
 
-/// An order that was given before discovery moved does not cut off the watch that stands there since.
+/// A poll that was ordered before discovery moved must not cut off the watch that is open at the new address.
 #[test]
-fn an_order_while_a_call_is_out_changes_nothing() {
-    let mut alone = Alone::new(false);
-    reset(alone.called());
-    assert!(matches!(alone.news(), News::Lost));
-    assert!(matches!(alone.news(), News::Failed));
-    alone.listener = Listener::new();
-    alone
+fn a_poll_while_a_call_is_open_changes_nothing() {
+    let mut client = ClientAlone::new(false);
+    reset(client.called());
+    assert!(matches!(client.next_event(), WatchEvent::Lost));
+    assert!(matches!(client.next_event(), WatchEvent::CallFailed));
+    client.listener = Listener::new();
+    client
         .discovery
-        .move_to(alone.listener.address, 1, alone.now, &alone.reactor);
-    let mut peer = alone.called();
-    alone.discovery.subscribe(1, alone.now, &alone.reactor);
+        .set_address(client.listener.address, 1, client.now, &client.reactor);
+    let mut peer = client.called();
+    client.discovery.poll(1, client.now, &client.reactor);
     peer.write(Framing::Chunked.answer(&list(2, true, &[]), 0).as_bytes());
-    let News::Listing(listing) = alone.news() else {
+    let WatchEvent::List(listing) = client.next_event() else {
         panic!("the watch is cut off")
     };
     assert_eq!(listing.index, 2);
 }
 
-/// Under a real limit of descriptors, a crowd that says nothing and holds all that clients may have keeps neither
-/// discovery, not two watches of it, nor record servers nor operators from theirs: whether the configuration states
-/// the limit or more than it.
+/// Under a real limit of descriptors, silent clients hold all connections that clients may have. Discovery (with two
+/// watches), record servers and operators still get their descriptors, whether the configuration states the limit or more
+/// than it.
 #[test]
-fn a_crowd_takes_no_descriptor_that_others_need() {
+fn many_silent_clients_take_no_descriptor_that_others_need() {
     for stated in ["limits {\n sockets 128\n}", ""] {
         let (server, elsewhere) = (Listener::new(), Listener::new());
         let mut program = Program::under("export LB_ADMIN=127.0.0.1:0; ulimit -n 128;", stated);
@@ -388,7 +394,7 @@
     }
 }
 
-/// A program of its own, with discovery and record servers as they may be, but without a scripted peer for each.
+/// A proxy in a process of its own, with discovery and record servers that are not scripted.
 struct Started {
     child: Child,
     /// Lines of its log, which another thread reads: one that never serves is not waited for.
@@ -448,10 +454,10 @@
     }
 }
 
-/// Many proxies started at once are ready at once, with record servers that refuse and discovery that is down, silent, or
-/// slower than a call waits, pushed and asked for.
+/// Many proxies start at once and become ready at once, while record servers refuse connections and discovery is down,
+/// silent, or slower than a call waits, with lists pushed and polled.
 #[test]
-fn many_that_start_together_are_ready_whatever_discovery_does() {
+fn proxies_that_start_together_become_ready_whatever_discovery_does() {
     let nobody = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::PATIENCE;
 use leverproxy::config;
-use leverproxy::discovery::directory::{Change, Directory};
-use leverproxy::discovery::wire::Listing;
+use leverproxy::discovery::directory::{Directory, ServerChange};
+use leverproxy::discovery::wire::EndpointList;
 use leverproxy::event_loop::reactor::Slots;
 use leverproxy::observability::log_rate_limit::LogRateLimit;
 use leverproxy::observability::logging::{self, NeverWaits};
@@ -134,17 +134,19 @@
 fn an_unknown_status_counts_as_draining() {
     let json = br#"{"index":2,"snapshot":true,"endpoints":[
         {"name":"s-1","address":"127.0.0.1:1","group":3,"status":"Resting"}, {"name":"s-2","status":"Gone"}]}"#;
-    let (news, changes) =
-        Directory::default().learn(Listing::parse(json).unwrap(), &Names::default());
-    let EndpointUpdate::Snapshot(entries) = news else {
-        panic!("{news:?}")
+    let update = Directory::default().apply(EndpointList::parse(json).unwrap(), &Names::default());
+    let EndpointUpdate::Snapshot(entries) = update.endpoints else {
+        panic!("{update:?}")
     };
     assert_eq!(
         entries.iter().map(|e| e.state).collect::<Vec<_>>(),
         [EndpointState::Draining]
     );
-    assert_eq!(changes, [Change::Leaves(entries[0].server)]);
-    assert!(Listing::parse(br#"{"endpoints":[{"name":7}]}"#).is_err());
+    assert_eq!(
+        update.servers,
+        [ServerChange::Unavailable(entries[0].server)]
+    );
+    assert!(EndpointList::parse(br#"{"endpoints":[{"name":7}]}"#).is_err());
 }
 
 /// Whatever is not one row of one value, in order, is known for spoilt before its end is waited for.
@@ -327,12 +329,15 @@
                 {{"name":"s-{}","status":"Gone"}}]}}"#,
             no - 1
         );
-        directory.learn(Listing::parse(json.as_bytes()).unwrap(), &Names::default());
+        directory.apply(
+            EndpointList::parse(json.as_bytes()).unwrap(),
+            &Names::default(),
+        );
     }
     assert!(
-        directory.names() <= 1_002,
+        directory.known_names() <= 1_002,
         "{} names are kept",
-        directory.names()
+        directory.known_names()
     );
 }
 
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -5,7 +5,7 @@
 use common::{Peer, Stage, PATIENCE};
 use leverproxy::clock::evidence::{Evidence, Told};
 use leverproxy::clock::{Clock, Source};
-use leverproxy::discovery::wire::Listing;
+use leverproxy::discovery::wire::EndpointList;
 use leverproxy::pipeline::record;
 use leverproxy::request::{Done, Purpose, Verdict};
 use routing::{Event, ResponseMetadata, ServerId, Time};
@@ -420,7 +420,7 @@
         let entries = [primary.entry("s-1"), replica.entry("s-2")].join(",");
         let known = format!(r#"{{"index":41,"snapshot":true,"endpoints":[{entries}]}}"#);
         let stage = Stage::with(&[], |config| {
-            config.known = Listing::parse(known.as_bytes()).unwrap();
+            config.known = EndpointList::parse(known.as_bytes()).unwrap();
             config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
             config.wall_clock = wall(clock);
         });
--- a/crates/persistent-state/src/file_format.rs
+++ b/crates/persistent-state/src/file_format.rs
@@ -30,7 +30,7 @@
 
 /// Discovery's endpoint list, in the form that discovery gave it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndpointList {
+pub struct SavedList {
     /// Discovery's change counter.
     pub index: u64,
     /// The list as JSON.
@@ -43,7 +43,7 @@
     /// The incarnation of the process that saved it, as the other proxies know it.
     pub incarnation: u64,
     /// The latest endpoint list, unless it was too long.
-    pub list: Option<EndpointList>,
+    pub list: Option<SavedList>,
     /// The exclusions that had an effect.
     pub exclusions: Vec<ManualExclusion>,
 }
--- a/crates/persistent-state/src/lib.rs
+++ b/crates/persistent-state/src/lib.rs
@@ -12,7 +12,7 @@
 mod scheduler;
 
 pub use file_format::{
-    EndpointList, Fault, ManualExclusion, Snapshot, MAX_EXCLUSIONS, MAX_FILE_BYTES, MAX_LIST_BYTES,
+    Fault, ManualExclusion, SavedList, Snapshot, MAX_EXCLUSIONS, MAX_FILE_BYTES, MAX_LIST_BYTES,
 };
 pub use recovery::{recover, RecoveredState, StartMode};
 pub use scheduler::{Action, Event, SnapshotScheduler};
--- a/crates/persistent-state/src/recovery.rs
+++ b/crates/persistent-state/src/recovery.rs
@@ -1,7 +1,7 @@
 //! What a new process trusts of the state that an earlier one saved. Clocks are not consulted: after a power loss they may
 //! be wrong.
 
-use crate::file_format::{self, EndpointList, Fault, ManualExclusion, Snapshot};
+use crate::file_format::{self, Fault, ManualExclusion, SavedList, Snapshot};
 
 /// How a process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     pub incarnation: u64,
     /// A hint, which is newer than the platform's list. It has to be fetched again as a whole, not from its index on:
     /// discovery may have lost its latest changes and count from a lower index.
-    pub list: Option<EndpointList>,
+    pub list: Option<SavedList>,
     /// Trusted in full: only operators end an exclusion.
     pub exclusions: Vec<ManualExclusion>,
 }
--- a/crates/persistent-state/src/scheduler.rs
+++ b/crates/persistent-state/src/scheduler.rs
@@ -2,7 +2,7 @@
 //! time.
 
 use crate::file_format::{
-    self, EndpointList, ManualExclusion, Snapshot, MAX_EXCLUSIONS, MAX_LIST_BYTES,
+    self, ManualExclusion, SavedList, Snapshot, MAX_EXCLUSIONS, MAX_LIST_BYTES,
 };
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     /// All exclusions that have an effect.
     Exclusions(Vec<ManualExclusion>),
     /// Discovery's endpoint list.
-    EndpointList(EndpointList),
+    EndpointList(SavedList),
     /// The last [`Action::Save`] has ended; whether it succeeded.
     SaveFinished(bool),
     /// Time has passed.
@@ -97,7 +97,7 @@
         self.current.exclusions = newest_exclusions(exclusions);
     }
 
-    fn replace_list(&mut self, list: EndpointList, actions: &mut Vec<Action>) {
+    fn replace_list(&mut self, list: SavedList, actions: &mut Vec<Action>) {
         let bytes = list.bytes.len();
         if bytes <= MAX_LIST_BYTES {
             self.list_too_long = false;
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -2,7 +2,7 @@
 //! current and no older than what was confirmed as saved, or nothing.
 
 use persistent_state::{
-    recover, Action, EndpointList, Event, Fault, ManualExclusion, Snapshot, SnapshotScheduler,
+    recover, Action, Event, Fault, ManualExclusion, SavedList, Snapshot, SnapshotScheduler,
     StartMode,
 };
 use proptest::prelude::*;
@@ -26,8 +26,8 @@
     }
 }
 
-fn list(index: u64) -> EndpointList {
-    EndpointList {
+fn list(index: u64) -> SavedList {
+    SavedList {
         index,
         bytes: index.to_le_bytes().repeat(20),
     }
@@ -300,7 +300,7 @@
 fn too_long_lists_and_too_many_exclusions_are_left_out() {
     let mut scheduler = SnapshotScheduler::new("n0", ms(0), None);
     let mut actions = Vec::new();
-    let long = EndpointList {
+    let long = SavedList {
         index: 1,
         bytes: vec![7; persistent_state::MAX_LIST_BYTES + 1],
     };
@@ -403,7 +403,7 @@
                 previous: Some((3, 300)),
             },
         ]),
-        Event::EndpointList(EndpointList {
+        Event::EndpointList(SavedList {
             index: 300,
             bytes: b"{}".to_vec(),
         }),
--- a/crates/testbed/tests/power.rs
+++ b/crates/testbed/tests/power.rs
@@ -146,7 +146,7 @@
         },
     )
     .unwrap();
-    let ahead = persistent_state::EndpointList {
+    let ahead = persistent_state::SavedList {
         index: 1_000_000,
         ..recalled.list.unwrap()
     };
