--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -3,7 +3,8 @@
 
 use crate::clock;
 use crate::cluster::members::Members;
-use crate::persistence::state_file::{self, Lock, LockError};
+use crate::persistence::directory_lock::{DirectoryLock, LockError};
+use crate::persistence::state_file;
 use configuration::calendar::{Moment, Window};
 use configuration::model::{Credit, Lending as Stated};
 use membership::{Act, Fact, Status};
@@ -73,7 +74,7 @@
 
 /// Writes files in their order, beside the loop.
 struct Keeper {
-    _lock: Lock,
+    _lock: DirectoryLock,
     jobs: Sender<(u64, Vec<u8>)>,
     done: Receiver<(u64, Vec<u8>, Result<(), StoreError>)>,
 }
@@ -84,7 +85,7 @@
         folder: &std::path::Path,
         mut waker: UnixStream,
     ) -> Result<(Keeper, Option<Vec<u8>>), Fault> {
-        let lock = Lock::take(folder, LOCK)?;
+        let lock = DirectoryLock::acquire(folder, LOCK)?;
         let mut disk = Disk {
             path: folder.join(FILE),
         };
--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -8,7 +8,8 @@
 use crate::control::control_socket::Said;
 use crate::observability::counters::Counters;
 use crate::observability::goodput::Sum;
-use crate::persistence::state_file::{self, Writer};
+use crate::persistence::background_writer::BackgroundWriter;
+use crate::persistence::state_file;
 use configuration::load::{Loader, FILE_LIMIT};
 use configuration::model::Rollout as Stated;
 use membership::{Act, Status as Heard};
@@ -94,7 +95,7 @@
     /// There is a state file that could not be loaded.
     unloaded: bool,
     /// Of the state file, from the first that is kept on.
-    writer: Option<Writer>,
+    writer: Option<BackgroundWriter>,
     waker: UnixStream,
     /// Another process of this name serves, and the file is its.
     handed: bool,
@@ -238,7 +239,7 @@
     /// What came of what was to be kept.
     pub fn kept(&mut self, members: &mut Members, now: Instant) -> Vec<Ask> {
         let mut asks = Vec::new();
-        while let Some(saved) = self.writer.as_ref().and_then(Writer::ended) {
+        while let Some(saved) = self.writer.as_ref().and_then(BackgroundWriter::take_result) {
             let done = saved.map_err(|error| self.unkept(error)).is_ok();
             asks.extend(self.handle(Event::Kept(done), members, now));
         }
@@ -419,7 +420,7 @@
             return Some(false);
         }
         let path = folder.join(STATE_FILE);
-        let start = |waker| Writer::start(path, waker);
+        let start = |waker| BackgroundWriter::start(path, waker);
         let started = self
             .writer
             .take()
@@ -428,7 +429,7 @@
         let under_way = self
             .writer
             .as_ref()
-            .is_some_and(|writer| writer.save(bytes));
+            .is_some_and(|writer| writer.start_save(bytes));
         if !under_way {
             // A thread that has ended is begun again.
             self.writer = None;
--- /dev/null
+++ b/crates/leverproxy/src/persistence/hot_restart/links.rs
@@ -0,0 +1,242 @@
+//! The connections between the processes of one proxy while more than one runs.
+
+use super::handover::{send_start, HandoverState};
+use crate::event_loop::connection::{self, Filled, Stream};
+use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use serde::{Deserialize, Serialize};
+use std::io;
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+use std::path::{Path, PathBuf};
+
+const MAX_LINE_BYTES: usize = 4 << 10;
+/// Restarts that overlap.
+const MAX_LINKS: usize = 4;
+/// A process that leaves more than this unread hangs; its link is closed.
+const MAX_UNSENT_BYTES: usize = 256 << 10;
+
+/// A message on a link, one JSON line each. The names in it are read by earlier and later builds.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum PeerMessage {
+    /// An operator has excluded the record server of this name.
+    #[serde(rename = "Out")]
+    Excluded(String),
+    /// An operator has included it again.
+    #[serde(rename = "In")]
+    Included(String),
+    /// The new process accepts clients from the old one's queue.
+    Serving,
+    /// The new process accepts clients, but at another address: those at the former one are still the old process's. An
+    /// old process of a build without this message continues as if there were no new one.
+    ServingElsewhere,
+}
+
+/// What a link reports.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LinkEvent {
+    /// A message has arrived.
+    Message(PeerMessage),
+    /// The process at the other end is gone.
+    Closed,
+}
+
+/// The socket for the next process, and the links to other processes of this proxy.
+pub struct HotRestart {
+    path: PathBuf,
+    listener: OwnedFd,
+    links: Slots<Link>,
+}
+
+struct Link {
+    stream: Stream,
+    /// The other end is the old process.
+    to_old_process: bool,
+    /// The other end is the new process, and accepts clients.
+    serving: bool,
+    /// It accepts them from this process's queue.
+    shares_queue: bool,
+}
+
+impl Link {
+    fn new(stream: Stream, to_old_process: bool) -> Link {
+        Link {
+            stream,
+            to_old_process,
+            serving: false,
+            shares_queue: false,
+        }
+    }
+
+    fn note(&mut self, message: &PeerMessage) {
+        match message {
+            PeerMessage::Serving => {
+                self.serving = true;
+                self.shares_queue = true;
+            }
+            PeerMessage::ServingElsewhere => self.serving = true,
+            PeerMessage::Excluded(_) | PeerMessage::Included(_) => {}
+        }
+    }
+
+    /// Takes the complete lines off the input. Lines that are not understood are logged and skipped.
+    fn take_messages(&mut self) -> Vec<PeerMessage> {
+        let mut messages = Vec::new();
+        while let Some(end) = self.stream.input.unused().iter().position(|b| *b == b'\n') {
+            match serde_json::from_slice(&self.stream.input.unused()[..end]) {
+                Ok(message) => {
+                    self.note(&message);
+                    messages.push(message);
+                }
+                Err(error) => log::warn!("takeover: a message is not understood: {error}"),
+            }
+            self.stream.input.consume(end + 1);
+        }
+        messages
+    }
+}
+
+impl HotRestart {
+    /// Listens for the next process at `path`, in place of the process that listened there.
+    pub fn listen(path: &Path, reactor: &Reactor) -> io::Result<HotRestart> {
+        let listener = HotRestart::bind(path, reactor)?;
+        Ok(HotRestart {
+            path: path.to_owned(),
+            listener,
+            links: Slots::default(),
+        })
+    }
+
+    /// Listens again after the new process, which had taken the path, is gone.
+    pub fn listen_again(&mut self, reactor: &Reactor) {
+        match HotRestart::bind(&self.path, reactor) {
+            Ok(listener) => self.listener = listener,
+            Err(error) => log::warn!("takeover: the next process can't be listened for: {error}"),
+        }
+    }
+
+    fn bind(path: &Path, reactor: &Reactor) -> io::Result<OwnedFd> {
+        let listener = connection::take_unix(path)?;
+        reactor.add(&listener, Token::TakeoverListener, Interest::READ)?;
+        Ok(listener)
+    }
+
+    /// Keeps the link to the old process, and tells it that this one accepts clients; `shares_queue`: from its queue.
+    pub fn link_to_old_process(
+        &mut self,
+        stream: UnixStream,
+        shares_queue: bool,
+        reactor: &Reactor,
+    ) {
+        if stream.set_nonblocking(true).is_err() {
+            return;
+        }
+        self.links
+            .insert(Link::new(Stream::new(stream.into()), true));
+        let message = if shares_queue {
+            PeerMessage::Serving
+        } else {
+            PeerMessage::ServingElsewhere
+        };
+        self.send(&message, None, reactor);
+    }
+
+    /// Hands the state and the clients' listener to each process that has connected. Without a listener they get nothing.
+    pub fn accept(
+        &mut self,
+        state: impl Fn() -> HandoverState,
+        clients: Option<&OwnedFd>,
+        reactor: &Reactor,
+    ) {
+        let token = Token::TakeoverListener;
+        while let Ok((stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
+            let Some(clients) = clients.filter(|_| self.links.len() < MAX_LINKS) else {
+                continue;
+            };
+            let Ok(text) = serde_json::to_vec(&state()) else {
+                continue;
+            };
+            self.hand_over(stream, text, clients, reactor);
+        }
+    }
+
+    fn hand_over(
+        &mut self,
+        mut stream: Stream,
+        mut text: Vec<u8>,
+        clients: &OwnedFd,
+        reactor: &Reactor,
+    ) {
+        text.push(b'\n');
+        match send_start(stream.fd(), &text, clients) {
+            Ok(sent) => stream.push(&text[sent..]),
+            Err(error) => {
+                log::warn!("takeover: nothing can be handed over: {error}");
+                return;
+            }
+        }
+        log::info!("takeover: another process has asked for what this one has");
+        let key = self.links.insert(Link::new(stream, false));
+        self.flush(key, reactor);
+    }
+
+    /// Handles a link that epoll calls ready.
+    pub fn ready(&mut self, key: Key, reactor: &Reactor) -> Vec<LinkEvent> {
+        let Some(link) = self.links.get_mut(key) else {
+            return Vec::new();
+        };
+        let filled = link.stream.fill(MAX_LINE_BYTES);
+        let messages = link.take_messages().into_iter();
+        let mut events: Vec<LinkEvent> = messages.map(LinkEvent::Message).collect();
+        if filled == Filled::Ended || link.stream.input.len() >= MAX_LINE_BYTES {
+            self.links.remove(key);
+            events.push(LinkEvent::Closed);
+        } else {
+            self.flush(key, reactor);
+        }
+        events
+    }
+
+    /// Sends a message to all other processes but the one it came from.
+    pub fn send(&mut self, message: &PeerMessage, from: Option<Key>, reactor: &Reactor) {
+        let Ok(mut line) = serde_json::to_vec(message) else {
+            return;
+        };
+        line.push(b'\n');
+        for key in self.links.keys() {
+            if let Some(link) = self.links.get_mut(key).filter(|_| from != Some(key)) {
+                link.stream.push(&line);
+                self.flush(key, reactor);
+            }
+        }
+    }
+
+    fn flush(&mut self, key: Key, reactor: &Reactor) {
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
+        let flushed = link.stream.flush();
+        let interest = Interest {
+            read: true,
+            write: matches!(flushed, Ok(false)),
+        };
+        let watched = link.stream.watch(reactor, Token::Takeover(key), interest);
+        if flushed.is_err() || watched.is_err() || link.stream.unsent() > MAX_UNSENT_BYTES {
+            self.links.remove(key);
+        }
+    }
+
+    /// Whether a new process serves under this one's name.
+    pub fn has_new_process(&self) -> bool {
+        self.links.iter().any(|(_, link)| link.serving)
+    }
+
+    /// Whether the new process accepts clients in place of this one.
+    pub fn new_process_accepts(&self) -> bool {
+        self.links.iter().any(|(_, link)| link.shares_queue)
+    }
+
+    /// Whether the old process still serves the requests that it has.
+    pub fn has_old_process(&self) -> bool {
+        self.links.iter().any(|(_, link)| link.to_old_process)
+    }
+}
--- a/crates/leverproxy/src/persistence/hot_restart/recorded.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/recorded.rs
@@ -1,39 +1,53 @@
-//! What an elder of the first version handed over and said, as it was on the socket.
+//! The handover state and messages of the first version, as they were on the socket: later builds must read them.
 
-use super::*;
+use super::handover::{receive, HandoverState};
+use super::links::PeerMessage;
 use crate::discovery::wire::EndpointStatus;
+use maintenance::ManualExclusion;
 use std::io::Write;
+use std::os::unix::net::UnixStream;
+use std::time::Duration;
 
-const ESTATE: &str = r#"{"version":1,"listing":{"index":42,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:5432","zone":"z1","type":"record","group":2,"status":"Ready","since_ms":1800000000000},{"name":"s-2","address":null,"zone":"z1","type":"record","group":null,"status":"Gone","since_ms":1800000000000},{"name":"s-3","address":"127.0.0.1:5432","zone":"z1","type":"record","group":2,"status":"Terminating","since_ms":1800000000000}]},"hands":[{"name":"s-1","out":{"secs":1800000000,"nanos":500000000},"before":[{"secs":5,"nanos":0},{"secs":6,"nanos":0}]}],"clients":3,"upstream":4}"#;
-const SAID: &str = r#"{"Out":"s-1"}
+const STATE: &str = r#"{"version":1,"listing":{"index":42,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:5432","zone":"z1","type":"record","group":2,"status":"Ready","since_ms":1800000000000},{"name":"s-2","address":null,"zone":"z1","type":"record","group":null,"status":"Gone","since_ms":1800000000000},{"name":"s-3","address":"127.0.0.1:5432","zone":"z1","type":"record","group":2,"status":"Terminating","since_ms":1800000000000}]},"hands":[{"name":"s-1","out":{"secs":1800000000,"nanos":500000000},"before":[{"secs":5,"nanos":0},{"secs":6,"nanos":0}]}],"clients":3,"upstream":4}"#;
+const MESSAGES: &str = r#"{"Out":"s-1"}
 {"In":"s-1"}
 "Serving""#;
 
-/// What an heir makes of a message from its elder. No descriptor comes with it: that is what it looks for last.
-fn received(message: &str) -> String {
-    let (mut elder, heir) = UnixStream::pair().unwrap();
-    elder.write_all(format!("{message}\n").as_bytes()).unwrap();
-    receive(&heir).unwrap_err().to_string()
+/// The error that a new process gets for a message from the old one. No descriptor comes with it, which is checked last.
+fn receive_error(message: &str) -> String {
+    let (mut old, new) = UnixStream::pair().unwrap();
+    old.write_all(format!("{message}\n").as_bytes()).unwrap();
+    receive(&new).unwrap_err().to_string()
 }
 
 #[test]
-fn an_estate_of_the_first_version_is_read_for_good() {
-    let estate: Estate = serde_json::from_str(ESTATE).unwrap();
-    assert_eq!((estate.version, estate.clients, estate.upstream), (1, 3, 4));
-    assert_eq!((estate.listing.index, estate.listing.snapshot), (42, true));
-    let servers: Vec<_> = estate
-        .listing
+fn a_handover_state_of_the_first_version_stays_readable() {
+    let state: HandoverState = serde_json::from_str(STATE).unwrap();
+    assert_eq!(
+        (
+            state.version,
+            state.client_connections,
+            state.server_connections
+        ),
+        (1, 3, 4)
+    );
+    assert_eq!(
+        (state.endpoint_list.index, state.endpoint_list.snapshot),
+        (42, true)
+    );
+    let servers: Vec<_> = state
+        .endpoint_list
         .endpoints
         .iter()
         .map(|e| (e.name.as_str(), e.status, e.address.is_some()))
         .collect();
-    let told = [
+    let expected = [
         ("s-1", EndpointStatus::Ready, true),
         ("s-2", EndpointStatus::Gone, false),
         ("s-3", EndpointStatus::Terminating, true),
     ];
-    assert_eq!(servers, told);
-    let first = &estate.listing.endpoints[0];
+    assert_eq!(servers, expected);
+    let first = &state.endpoint_list.endpoints[0];
     assert_eq!(
         (first.zone.as_str(), first.kind.as_str(), first.group),
         ("z1", "record", Some(2))
@@ -43,55 +57,55 @@
         (1_800_000_000_000, Some(([127, 0, 0, 1], 5_432).into()))
     );
     let second = Duration::from_secs;
-    let (out, before) = (
+    let (excluded_since, previous) = (
         Some(Duration::from_millis(1_800_000_000_500)),
         Some((second(5), second(6))),
     );
     assert_eq!(
-        estate.hands,
+        state.exclusions,
         [ManualExclusion {
             name: "s-1".into(),
-            excluded_since: out,
-            previous: before
+            excluded_since,
+            previous
         }]
     );
-    assert_eq!(received(ESTATE), "no listener came with its message");
+    assert_eq!(receive_error(STATE), "no listener came with its message");
 }
 
 #[test]
-fn words_of_the_first_version_are_read_for_good() {
-    let said: Vec<Said> = SAID
+fn messages_of_the_first_version_stay_readable() {
+    let messages: Vec<PeerMessage> = MESSAGES
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
     assert_eq!(
-        said,
+        messages,
         [
-            Said::Out("s-1".into()),
-            Said::In("s-1".into()),
-            Said::Serving
+            PeerMessage::Excluded("s-1".into()),
+            PeerMessage::Included("s-1".into()),
+            PeerMessage::Serving
         ]
     );
 }
 
-/// Added within the first version: a build that does not know it goes on without it.
+/// Added within the first version: builds that do not know it skip it.
 #[test]
-fn a_word_that_came_later_is_read_for_good() {
-    let said: Said = serde_json::from_str("\"ServingElsewhere\"").unwrap();
-    assert_eq!(said, Said::ServingElsewhere);
+fn a_message_added_later_stays_readable() {
+    let message: PeerMessage = serde_json::from_str("\"ServingElsewhere\"").unwrap();
+    assert_eq!(message, PeerMessage::ServingElsewhere);
 }
 
-/// A later version is refused by its number, even where all the rest is as it was; so is one that leaves out what this build
-/// needs. More than it knows, in the same version, is no reason to refuse.
+/// A later version is rejected by its number, even if the rest is unchanged; so is a message without a field that this build
+/// needs. Unknown fields in the same version are ignored.
 #[test]
-fn an_estate_of_a_later_version_is_refused() {
+fn a_handover_state_of_a_later_version_is_rejected() {
     assert_eq!(
-        received(&ESTATE.replace("\"version\":1", "\"version\":2")),
+        receive_error(&STATE.replace("\"version\":1", "\"version\":2")),
         "its message has version 2, and this process takes 1"
     );
-    assert!(received("{\"version\":2}").contains("missing field"));
+    assert!(receive_error("{\"version\":2}").contains("missing field"));
     assert_eq!(
-        received(&ESTATE.replace("\"hands\"", "\"more\":[1],\"hands\"")),
+        receive_error(&STATE.replace("\"hands\"", "\"more\":[1],\"hands\"")),
         "no listener came with its message"
     );
 }
--- a/crates/leverproxy/src/persistence/state_file/tests.rs
+++ b/crates/leverproxy/src/persistence/state_file/tests.rs
@@ -1,18 +1,21 @@
-//! Files that are replaced whole, and what failing disks and kills leave.
+//! Files that are replaced as a whole, failing disks, and what a killed process leaves.
 
 use super::*;
 use crate::event_loop::system_calls::faults::{Fault, Faults, Rule};
+use crate::persistence::background_writer::BackgroundWriter;
+use crate::persistence::directory_lock::{DirectoryLock, LockError};
 use rustix::io::Errno;
+use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 
-/// A directory that goes with the test.
-struct Folder(PathBuf);
+/// A directory that is removed with the test.
+struct TestDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestDirectory {
+    fn new(name: &str) -> TestDirectory {
         let folder = std::env::temp_dir().join(format!("kept-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+        TestDirectory(folder)
     }
 
     fn names(&self) -> Vec<OsString> {
@@ -25,7 +28,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         _ = fs::remove_dir_all(&self.0);
     }
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn what_is_saved_is_found_whole_and_one_holds_the_lock() {
+fn a_saved_file_is_loaded_and_one_process_holds_the_lock() {
     let folder = std::env::temp_dir().join(format!("kept-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("state");
@@ -59,15 +62,15 @@
         load(&path, 4).unwrap_err().kind(),
         io::ErrorKind::InvalidData
     );
-    let lock = Lock::take(&folder, "lock").unwrap();
+    let lock = DirectoryLock::acquire(&folder, "lock").unwrap();
     assert!(matches!(
-        Lock::take(&folder, "lock"),
+        DirectoryLock::acquire(&folder, "lock"),
         Err(LockError::Held(_))
     ));
     drop(lock);
-    assert!(Lock::take(&folder, "lock").is_ok());
+    assert!(DirectoryLock::acquire(&folder, "lock").is_ok());
     assert!(matches!(
-        Lock::take(&folder.join("none"), "lock"),
+        DirectoryLock::acquire(&folder.join("none"), "lock"),
         Err(LockError::Io(..))
     ));
     std::fs::remove_dir_all(&folder).unwrap();
@@ -96,8 +99,8 @@
 }
 
 #[test]
-fn a_disk_that_fails_at_any_step_leaves_a_whole_file_and_no_other() {
-    let (folder, faults) = (Folder::new("fails"), faults());
+fn a_failure_at_any_step_leaves_a_complete_file_and_no_draft() {
+    let (folder, faults) = (TestDirectory::new("fails"), faults());
     let path = folder.0.join("state");
     save(&path, b"former").unwrap();
     for errno in [Errno::NOSPC, Errno::IO, Errno::ROFS, Errno::DQUOT] {
@@ -111,7 +114,7 @@
             faults.add(rule(call, Fault::Fail(errno)));
             let error = save(&path, b"later").unwrap_err();
             assert_eq!(Errno::from_io_error(&error), Some(errno), "{call:?}");
-            // Only its name's way to the disk was missing where the directory could not be synced.
+            // Where only the directory could not be synced, the new file is in place.
             let left = if call == Call::FolderSync {
                 &b"later"[..]
             } else {
@@ -130,15 +133,15 @@
 }
 
 #[test]
-fn a_file_that_is_written_half_does_not_take_the_formers_place() {
-    let (folder, faults) = (Folder::new("half"), faults());
+fn an_incomplete_file_does_not_replace_the_old_one() {
+    let (folder, faults) = (TestDirectory::new("half"), faults());
     let path = folder.0.join("state");
     save(&path, b"former").unwrap();
     faults.add(rule(Call::FileWrite, Fault::AtMost(2)));
     faults.add(rule(Call::FileWrite, Fault::Fail(Errno::NOSPC)));
     assert!(save(&path, b"later").is_err());
     assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"former"[..]));
-    // Short writes alone are gone on with.
+    // Short writes alone are continued.
     faults.add(Rule {
         times: 4,
         ..rule(Call::FileWrite, Fault::AtMost(1))
@@ -148,10 +151,11 @@
     assert_eq!((faults.met(Call::FileWrite), folder.names().len()), (6, 1));
 }
 
-/// After a failed sync the system may hold the pages for written: each attempt writes all of them anew.
+/// After a failed sync the system may count the pages as written, though they are not on the disk. Each save therefore writes
+/// a new file.
 #[test]
-fn a_file_whose_sync_failed_is_written_anew() {
-    let (folder, faults) = (Folder::new("sync"), faults());
+fn a_file_whose_sync_failed_is_written_again() {
+    let (folder, faults) = (TestDirectory::new("sync"), faults());
     let path = folder.0.join("state");
     faults.add(Rule {
         times: 2,
@@ -167,18 +171,18 @@
 }
 
 #[test]
-fn a_writer_removes_what_a_kill_has_left() {
-    let folder = Folder::new("killed");
+fn a_writer_removes_the_drafts_of_a_killed_process() {
+    let folder = TestDirectory::new("killed");
     let path = folder.0.join("state");
     save(&path, b"former").unwrap();
     fs::write(draft(&path).unwrap(), b"la").unwrap();
     fs::write(folder.0.join("state.old"), b"an operator's").unwrap();
     assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"former"[..]));
     let (mut woken, waker) = UnixStream::pair().unwrap();
-    let writer = Writer::start(path.clone(), waker).unwrap();
-    assert!(writer.save(b"later".to_vec()));
+    let writer = BackgroundWriter::start(path.clone(), waker).unwrap();
+    assert!(writer.start_save(b"later".to_vec()));
     woken.read_exact(&mut [0]).unwrap();
-    assert!(writer.ended().unwrap().is_ok());
+    assert!(writer.take_result().unwrap().is_ok());
     assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"later"[..]));
     assert_eq!(folder.names(), ["state", "state.old"]);
 }
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -22,7 +22,7 @@
 use crate::health::Health;
 use crate::observability::counters::Counters;
 use crate::observability::log_rate_limit::LogRateLimit;
-use crate::persistence::hot_restart::Takeover;
+use crate::persistence::hot_restart::links::HotRestart;
 use crate::request::{Answer, Done, Piece, Purpose, Request, ResponseSlot, Verdict};
 use crate::upstream::{TimerKind, Upstream};
 use maintenance::{ManualExclusion, UnknownServer};
@@ -70,7 +70,7 @@
     pub health: Health,
     pub operate: Option<Operate>,
     pub admin: Option<Admin>,
-    pub takeover: Option<Takeover>,
+    pub takeover: Option<HotRestart>,
 }
 
 pub struct Pipeline {
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -15,8 +15,9 @@
 use crate::event_loop::reactor::{Interest, Key, Reactor, Ready, Timers, Token};
 use crate::health::monitor::{self, Monitor, Usage};
 use crate::health::Health;
-use crate::persistence::hot_restart::{self, Elder, Estate, Said, Takeover};
-use crate::persistence::saved_state::{self, Memory};
+use crate::persistence::hot_restart::handover::{request_handover, HandoverState, OldProcess};
+use crate::persistence::hot_restart::links::{HotRestart, LinkEvent, PeerMessage};
+use crate::persistence::saved_state::{self, Persistence};
 use crate::pipeline::quota;
 use crate::pipeline::route_rules::Rules;
 use crate::pipeline::{IoEndpoints, Pipeline, Timer};
@@ -81,7 +82,7 @@
     /// How new versions of the operators' file reach it.
     rollout: Option<Rollout>,
     /// What outlives it.
-    memory: Option<Memory>,
+    memory: Option<Persistence>,
     /// As the others know it, if it is of a fleet.
     born: u64,
     seed: u64,
@@ -114,15 +115,15 @@
         let elder = config
             .takeover
             .as_deref()
-            .map_or(Elder::Nobody, hot_restart::ask);
+            .map_or(OldProcess::None, request_handover);
         let (inherited, estate, link, unheard): (Option<OwnedFd>, _, _, _) = match elder {
-            Elder::Nobody => (None, None, None, false),
-            Elder::Unheard(why) => {
+            OldProcess::None => (None, None, None, false),
+            OldProcess::Failed(why) => {
                 log::warn!("takeover: nothing sound comes from the process before this one: {why}");
                 (None, None, None, true)
             }
             // Of another address, it would be no use to the clients of this one.
-            Elder::Left(estate, listener, link) => {
+            OldProcess::HandedOver(estate, listener, link) => {
                 let there = crate::event_loop::connection::local_address(&listener);
                 let ours = config.listen.port() == 0 || there == Some(config.listen);
                 (
@@ -135,9 +136,9 @@
         };
         // One that can't be understood serves all the same, and holds the control socket.
         let heir = estate.is_some() || unheard;
-        let elder_holds = estate
-            .as_ref()
-            .map_or((0, 0), |estate| (estate.clients, estate.upstream));
+        let elder_holds = estate.as_ref().map_or((0, 0), |estate| {
+            (estate.client_connections, estate.server_connections)
+        });
         let limits = config.limits.beside(elder_holds);
         let shared = config.takeover.is_some();
         let in_place = inherited.is_some();
@@ -175,7 +176,7 @@
         let takeover = config
             .takeover
             .as_deref()
-            .map(|path| Takeover::listen(path, &reactor));
+            .map(|path| HotRestart::listen(path, &reactor));
         let takeover = takeover.and_then(|listening| {
             let note =
                 |e: &io::Error| log::warn!("takeover: the next process can't be listened for: {e}");
@@ -214,7 +215,7 @@
         let heir_of = estate.is_some();
         let begun = config.memory.map(|stated| {
             let (name, waker) = (&fixed.name, wishes.waker()?);
-            Ok::<_, io::Error>(Memory::begin(
+            Ok::<_, io::Error>(Persistence::recover(
                 stated,
                 name,
                 heir_of,
@@ -233,22 +234,26 @@
             Some(estate) => {
                 log::info!(
                     "takeover: {} record servers are known from before",
-                    estate.listing.endpoints.len()
+                    estate.endpoint_list.endpoints.len()
                 );
-                chain.start(estate.listing, &mut sides, now);
-                chain.take_over(estate.hands, &mut sides, now);
+                chain.start(estate.endpoint_list, &mut sides, now);
+                chain.take_over(estate.exclusions, &mut sides, now);
             }
             None => {
-                chain.start(recalled.listing.unwrap_or(config.known), &mut sides, now);
-                chain.take_over(recalled.hands, &mut sides, now);
+                chain.start(
+                    recalled.endpoint_list.unwrap_or(config.known),
+                    &mut sides,
+                    now,
+                );
+                chain.take_over(recalled.exclusions, &mut sides, now);
             }
         }
         chain.set_pushed(pushed, &mut sides, now);
         if let (Some(takeover), Some(link)) = (&mut sides.takeover, link) {
-            takeover.join(link, in_place, &sides.reactor);
+            takeover.link_to_old_process(link, in_place, &sides.reactor);
         }
         chain.monitor.event(now, availability::Event::Started);
-        let start = clock::unix_ms().max(recalled.start.saturating_add(1));
+        let start = clock::unix_ms().max(recalled.incarnation.saturating_add(1));
         let members = config.members.map(|stated| {
             Members::join(
                 stated,
@@ -443,7 +448,7 @@
                     match (self.call(call, now), &mut self.memory) {
                         // It waits for the disk.
                         (Called::Done(word), Some(memory)) => {
-                            memory.promise(key, word, now);
+                            memory.confirm_when_saved(key, word, now);
                             self.remember(now);
                         }
                         (called, _) => {
@@ -457,7 +462,8 @@
             Token::TakeoverListener => {
                 let (listing, hands) = self.chain.known();
                 let (clients, connections) = (front.clients(), upstream.connection_count());
-                let estate = || Estate::new(listing.clone(), hands.clone(), clients, connections);
+                let estate =
+                    || HandoverState::new(listing.clone(), hands.clone(), clients, connections);
                 if let Some(takeover) = takeover {
                     takeover.accept(estate, front.listener(), reactor);
                 }
@@ -531,7 +537,7 @@
                 self.remember(now);
                 self.sides
                     .timers
-                    .set(now + saved_state::LOOK, Timer::Memory);
+                    .set(now + saved_state::CHECK_INTERVAL, Timer::Memory);
             }
             Timer::Quota => {
                 if let Some(members) = &mut self.members {
@@ -561,7 +567,7 @@
                         .sides
                         .takeover
                         .as_ref()
-                        .is_some_and(Takeover::heir_accepts)
+                        .is_some_and(HotRestart::new_process_accepts)
                     {
                         self.sides.front.close(now, &self.sides.reactor);
                     }
@@ -643,9 +649,9 @@
         let list = chain
             .list_index()
             .map(|index| (index, &listing as &dyn Fn() -> _));
-        memory.settle(now);
-        memory.look(start, chain.hands(), list, now);
-        for (key, answer) in memory.answers(now) {
+        memory.handle_finished_saves(now);
+        memory.update(start, chain.hands(), list, now);
+        for (key, answer) in memory.take_confirmations(now) {
             if let Some(admin) = &mut self.sides.admin {
                 admin.answer(key, &answer, &self.sides.reactor);
             }
@@ -758,9 +764,13 @@
         };
         match self.chain.hand(&name, out, &mut self.sides, now) {
             Ok(()) => {
-                let said = if out { Said::Out } else { Said::In };
+                let said = if out {
+                    PeerMessage::Excluded
+                } else {
+                    PeerMessage::Included
+                };
                 if let Some(takeover) = &mut self.sides.takeover {
-                    takeover.say(&said(name.clone()), None, &self.sides.reactor);
+                    takeover.send(&said(name.clone()), None, &self.sides.reactor);
                 }
                 let word = if out { "out" } else { "in" };
                 log::info!("admin: {} is {word} by an operator's word", shown(&name));
@@ -774,7 +784,7 @@
     }
 
     /// What another process of this proxy has to tell.
-    fn linked(&mut self, from: Key, word: hot_restart::Word, now: Instant) {
+    fn linked(&mut self, from: Key, word: LinkEvent, now: Instant) {
         let IoEndpoints {
             reactor,
             front,
@@ -784,36 +794,37 @@
         } = &mut self.sides;
         let Some(takeover) = takeover else { return };
         let said = match word {
-            hot_restart::Word::Said(said @ (Said::Serving | Said::ServingElsewhere)) => {
+            LinkEvent::Message(said @ (PeerMessage::Serving | PeerMessage::ServingElsewhere)) => {
                 log::info!(said:? = said; "takeover: the next process serves");
-                front.leave_to_heir(takeover.heir_accepts(), reactor);
+                front.leave_to_heir(takeover.new_process_accepts(), reactor);
                 if let Some(rollout) = &mut self.rollout {
                     rollout.hand_over(true);
                 }
                 return self.share_limits();
             }
-            hot_restart::Word::Gone => {
+            LinkEvent::Closed => {
                 log::info!("takeover: the other process is gone");
-                front.leave_to_heir(takeover.heir_accepts(), reactor);
+                front.leave_to_heir(takeover.new_process_accepts(), reactor);
                 if let Some(rollout) = &mut self.rollout {
-                    rollout.hand_over(takeover.has_heir());
+                    rollout.hand_over(takeover.has_new_process());
                 }
                 if front.listener().is_some() {
                     takeover.listen_again(reactor);
-                    if let Some(operate) = operate.as_mut().filter(|_| !takeover.has_heir()) {
+                    if let Some(operate) = operate.as_mut().filter(|_| !takeover.has_new_process())
+                    {
                         operate.listen_again(reactor);
                     }
                 }
-                if !takeover.has_elder() {
+                if !takeover.has_old_process() {
                     self.elder_holds = (0, 0);
                 }
                 return self.share_limits();
             }
-            hot_restart::Word::Said(said) => said,
+            LinkEvent::Message(said) => said,
         };
-        takeover.say(&said, Some(from), reactor);
-        let out = matches!(said, Said::Out(_));
-        if let Said::Out(name) | Said::In(name) = said {
+        takeover.send(&said, Some(from), reactor);
+        let out = matches!(said, PeerMessage::Excluded(_));
+        if let PeerMessage::Excluded(name) | PeerMessage::Included(name) = said {
             // One that this process has not heard of yet: its list is as late as discovery.
             _ = self.chain.hand(&name, out, &mut self.sides, now);
             self.remember(now);
@@ -830,7 +841,7 @@
             ..
         } = &mut self.sides;
         front.set_limits(limits, self.patience);
-        let has_heir = takeover.as_ref().is_some_and(Takeover::has_heir);
+        let has_heir = takeover.as_ref().is_some_and(HotRestart::has_new_process);
         let held = upstream.connection_count().max(1);
         upstream.set_connection_limit(if has_heir {
             held.min(limits.upstream)
@@ -897,7 +908,7 @@
             rollout.figures(&mut figures);
         }
         if let Some(memory) = &self.memory {
-            memory.figures(&mut figures);
+            memory.write_metrics(&mut figures);
         }
         figures.answer()
     }
@@ -988,7 +999,7 @@
             ),
             (
                 "memory",
-                config.memory.as_ref() == self.memory.as_ref().map(Memory::stated),
+                config.memory.as_ref() == self.memory.as_ref().map(Persistence::settings),
             ),
             ("sites", config.sites == self.fixed.sites),
             (
@@ -1088,7 +1099,11 @@
 
     /// An heir goes on under this name, and nobody is to miss it.
     fn leave_fleet(&mut self) {
-        let has_heir = self.sides.takeover.as_ref().is_some_and(Takeover::has_heir);
+        let has_heir = self
+            .sides
+            .takeover
+            .as_ref()
+            .is_some_and(HotRestart::has_new_process);
         if let Some(members) = self.members.as_mut().filter(|_| !has_heir) {
             members.leave(Instant::now());
         }
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -198,27 +198,27 @@
     {
         use leverproxy::cluster::quota_lending::Fault as E;
         rows!(table, "leverproxy: `quota_lending::Fault`", leverproxy::cluster::quota_lending::Fault, [
-            Lock => E::Lock(leverproxy::persistence::state_file::LockError::Io("DIRECTORY".into(), cause())),
+            Lock => E::Lock(leverproxy::persistence::directory_lock::LockError::Io("DIRECTORY".into(), cause())),
             Thread => E::Thread(cause()),
         ]);
-        use leverproxy::persistence::state_file::LockError as L;
-        rows!(table, "leverproxy: `state_file::LockError`", leverproxy::persistence::state_file::LockError, [
+        use leverproxy::persistence::directory_lock::LockError as L;
+        rows!(table, "leverproxy: `directory_lock::LockError`", leverproxy::persistence::directory_lock::LockError, [
             Held => L::Held("DIRECTORY".into()),
             Io => L::Io("DIRECTORY".into(), cause()),
         ]);
     }
     {
-        use leverproxy::persistence::saved_state::Fault as E;
-        rows!(table, "leverproxy: `saved_state::Fault`", leverproxy::persistence::saved_state::Fault, [
-            Lock => E::Lock(leverproxy::persistence::state_file::LockError::Io("DIRECTORY".into(), cause())),
+        use leverproxy::persistence::saved_state::PersistenceError as E;
+        rows!(table, "leverproxy: `saved_state::PersistenceError`", leverproxy::persistence::saved_state::PersistenceError, [
+            Lock => E::Lock(leverproxy::persistence::directory_lock::LockError::Io("DIRECTORY".into(), cause())),
             Read => E::Read("PATH".into(), cause()),
-            Unread => E::Unread("PATH".into(), persistent_state::Fault::Torn),
+            Unread => E::Unread("PATH".into(), persistent_state::SnapshotError::Torn),
             Write => E::Write("PATH".into(), cause()),
             TooLong => E::TooLong(N as usize),
             WentBack => E::WentBack { kept: 2, given: 1 },
         ]);
-        use persistent_state::Fault as M;
-        rows!(table, "persistent-state: `Fault`", persistent_state::Fault, [
+        use persistent_state::SnapshotError as M;
+        rows!(table, "persistent-state: `SnapshotError`", persistent_state::SnapshotError, [
             NotOurs => M::NotOurs,
             Form => M::Form(2),
             Torn => M::Torn,
@@ -226,9 +226,9 @@
         ]);
     }
     {
-        use leverproxy::persistence::hot_restart::Fault as E;
+        use leverproxy::persistence::hot_restart::handover::HandoverError as E;
         let form = || serde_json::from_str::<u8>("").expect_err("nothing is no number");
-        rows!(table, "leverproxy: `hot_restart::Fault`", leverproxy::persistence::hot_restart::Fault, [
+        rows!(table, "leverproxy: `handover::HandoverError`", leverproxy::persistence::hot_restart::handover::HandoverError, [
             Read => E::Read(cause()),
             CutShort => E::CutShort,
             Long => E::Long,
--- a/crates/leverproxy/tests/state.rs
+++ b/crates/leverproxy/tests/state.rs
@@ -1,5 +1,5 @@
-//! The directory that outlives the process, on disks that fail: what an operator was told to be kept is there after a
-//! restart, and nobody who is served waits for the disk.
+//! Saved state on disks that fail: a command that was confirmed as saved is in effect after a restart, and no client waits
+//! for the disk.
 
 mod common;
 use common::{get, post, read, served, until, Listener, Peer, Stage};
@@ -41,8 +41,8 @@
     (stage, admin)
 }
 
-/// What an operator's word is answered with.
-fn say(admin: SocketAddr, word: &str, target: &str) -> String {
+/// Sends an operator's command; returns the response.
+fn command(admin: SocketAddr, word: &str, target: &str) -> String {
     let body = format!(r#"{{"target":"{target}"}}"#);
     let length = body.len();
     let head = format!("POST /api/{word} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n");
@@ -54,7 +54,7 @@
 const OUT: &str = "lb_record_servers_excluded 1";
 
 #[test]
-fn a_word_that_the_disk_refuses_is_told_so_and_kept_once_it_takes_it() {
+fn a_command_that_cannot_be_saved_is_reported_and_saved_later() {
     for (call, errno) in [
         (Call::FileCreate, Errno::ROFS),
         (Call::FileWrite, Errno::NOSPC),
@@ -73,7 +73,7 @@
             times: 1,
         });
         assert_eq!(
-            say(admin, "exclude", "s-2"),
+            command(admin, "exclude", "s-2"),
             "out, not kept",
             "{call:?} {errno}"
         );
@@ -81,7 +81,7 @@
         served(&mut Peer::client(stage.address), &server, 1, "v");
         until(admin, "lb_memory_failing 0");
         until(admin, "lb_memory_waiting 0");
-        assert_eq!(say(admin, "include", "s-1"), "in");
+        assert_eq!(command(admin, "include", "s-1"), "in");
         stage.control.stop();
         stage.end();
         drop(stage);
@@ -97,9 +97,10 @@
     }
 }
 
-/// The file was in place when its directory could not be synced: a restart finds it, whatever was said of it.
+/// An exclusion is written, but its directory cannot be synced, so it is reported as not saved; then it is undone. A restart
+/// may find the file, and must not find the exclusion.
 #[test]
-fn a_word_that_is_taken_back_after_a_failed_write_stays_taken_back() {
+fn an_exclusion_undone_after_a_failed_save_stays_undone() {
     let (folder, server) = (Folder::new("back"), Listener::new());
     let servers = [("s-1", &server), ("s-2", &server)];
     let (mut stage, admin) = stage(&folder.0, &servers);
@@ -110,7 +111,7 @@
         fault: Fault::Fail(Errno::IO),
         times: 1,
     });
-    assert_eq!(say(admin, "exclude", "s-2"), "out, not kept");
+    assert_eq!(command(admin, "exclude", "s-2"), "out, not kept");
     assert_eq!(post(admin, "include", "s-2"), 200);
     until(admin, "lb_memory_waiting 0");
     stage.control.stop();
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn a_disk_that_takes_nothing_holds_nobody_up() {
+fn a_full_disk_delays_no_client() {
     let (folder, server) = (Folder::new("full"), Listener::new());
     let servers = [("s-1", &server), ("s-2", &server)];
     let (stage, admin) = stage(&folder.0, &servers);
@@ -136,7 +137,7 @@
         times: u64::MAX,
     };
     stage.faults.add(full);
-    assert_eq!(say(admin, "exclude", "s-2"), "out, not kept");
+    assert_eq!(command(admin, "exclude", "s-2"), "out, not kept");
     let mut client = Peer::client(stage.address);
     let mut upstream = served(&mut client, &server, 1, "v");
     for id in 2..20 {
@@ -145,7 +146,7 @@
         upstream.answer("v", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("v"));
     }
-    // It is asked once a second at first, then more rarely.
+    // Saves are retried after a second at first, then more rarely.
     assert!(stage.faults.met(Call::FileWrite) <= 6);
     assert!(get(admin, "/api/telemetry")
         .1
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! One proxy in two processes: what an elder leaves to its heir, at every step of an upgrade.
+//! One proxy in two processes: what the old process hands to the new one, at every step of a hot restart.
 
 mod common;
 use common::{get, message, post, read, served, until, Listener, Peer, Scratch, Stage};
@@ -19,16 +19,16 @@
     (stage, admin)
 }
 
-/// Whether one of them takes operators' words.
-fn hears(place: &Path) -> bool {
+/// Whether a process answers on the control socket.
+fn control_socket_answers(place: &Path) -> bool {
     let Ok(mut socket) = UnixStream::connect(place.with_extension("control")) else {
         return false;
     };
     let mut text = String::new();
-    let told = socket
+    let answered = socket
         .write_all(b"status\n")
         .and_then(|()| socket.read_to_string(&mut text));
-    told.is_ok() && text.starts_with("phase serving\n")
+    answered.is_ok() && text.starts_with("phase serving\n")
 }
 
 fn place() -> Scratch {
@@ -38,59 +38,60 @@
 }
 
 #[test]
-fn the_heir_serves_from_the_same_queue_and_the_elder_ends_what_it_has() {
+fn the_new_process_serves_from_the_same_queue_and_the_old_one_drains() {
     let (place, server) = (place(), Listener::new());
-    let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server), ("s-2", &server)]);
-    assert_eq!(post(elder_admin, "exclude", "s-2"), 200);
-    let mut old = Peer::client(elder.address);
-    old.ask(&read(1, "any", 19000));
-    let mut at_elder = server.welcome();
-    at_elder.query();
-    // The heir knows nothing by itself but what the elder leaves it.
-    let (heir, heir_admin) = stage(&place.0, &[]);
-    assert_eq!(heir.address, elder.address);
-    assert_eq!(get(heir_admin, "/api/ready").0, 200);
-    until(heir_admin, "lb_record_servers_known 2");
-    until(heir_admin, "lb_record_servers_excluded 1");
-    // What operators say to either holds for both.
-    assert_eq!(post(heir_admin, "include", "s-2"), 200);
-    until(elder_admin, "lb_record_servers_excluded 0");
-    assert_eq!(post(elder_admin, "exclude", "s-2"), 200);
-    until(heir_admin, "lb_record_servers_excluded 1");
-    // Between the heir's yes and the elder's end, and after it.
-    let mut between = Peer::client(elder.address);
-    elder.control.stop();
-    at_elder.answer("late", &[]);
-    assert_eq!(old.reply().value.as_deref(), Some("late"));
-    assert!(old.ended(), "nothing is owed on it");
-    elder.end();
+    let (mut old, old_admin) = stage(&place.0, &[("s-1", &server), ("s-2", &server)]);
+    assert_eq!(post(old_admin, "exclude", "s-2"), 200);
+    let mut client = Peer::client(old.address);
+    client.ask(&read(1, "any", 19000));
+    let mut at_old = server.welcome();
+    at_old.query();
+    // The new process knows only what the old one hands to it.
+    let (new, new_admin) = stage(&place.0, &[]);
+    assert_eq!(new.address, old.address);
+    assert_eq!(get(new_admin, "/api/ready").0, 200);
+    until(new_admin, "lb_record_servers_known 2");
+    until(new_admin, "lb_record_servers_excluded 1");
+    // An operator's command to either holds for both.
+    assert_eq!(post(new_admin, "include", "s-2"), 200);
+    until(old_admin, "lb_record_servers_excluded 0");
+    assert_eq!(post(old_admin, "exclude", "s-2"), 200);
+    until(new_admin, "lb_record_servers_excluded 1");
+    // A client between the handover and the end of the old process, and one after it.
+    let mut between = Peer::client(old.address);
+    old.control.stop();
+    at_old.answer("late", &[]);
+    assert_eq!(client.reply().value.as_deref(), Some("late"));
+    assert!(client.ended(), "no request is outstanding on it");
+    old.end();
     assert!(
-        hears(&place.0),
-        "the elder leaves the control socket to its heir"
+        control_socket_answers(&place.0),
+        "the old process leaves the control socket to the new one"
     );
-    let mut after = Peer::client(heir.address);
-    let mut at_heir = served(&mut after, &server, 2, "new");
+    let mut after = Peer::client(new.address);
+    let mut at_new = served(&mut after, &server, 2, "new");
     between.ask(&read(3, "any", 19000));
-    at_heir.query();
-    at_heir.answer("value", &[]);
+    at_new.query();
+    at_new.answer("value", &[]);
     assert_eq!(between.reply().value.as_deref(), Some("value"));
 }
 
-/// Half of a request has come to the elder when the heir takes over: the other half finds it there.
+/// A client has sent half of a request to the old process when the new one takes over. The old process reads the other half
+/// and answers.
 #[test]
-fn a_request_half_read_at_the_elder_is_served_by_it() {
+fn a_request_half_read_by_the_old_process_is_served_by_it() {
     let (place, server) = (place(), Listener::new());
-    let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
-    let mut client = Peer::client(elder.address);
+    let (mut old, old_admin) = stage(&place.0, &[("s-1", &server)]);
+    let mut client = Peer::client(old.address);
     drop(served(&mut client, &server, 1, "one"));
     let request = message(&read(2, "any", 19000));
     client.write(&request[..40]);
-    let (_heir, heir_admin) = stage(&place.0, &[]);
-    assert_eq!(post(heir_admin, "exclude", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 1");
-    assert_eq!(post(heir_admin, "include", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 0");
-    elder.control.stop();
+    let (_new, new_admin) = stage(&place.0, &[]);
+    assert_eq!(post(new_admin, "exclude", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 1");
+    assert_eq!(post(new_admin, "include", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 0");
+    old.control.stop();
     client.write(&request[40..]);
     let mut upstream = server.welcome();
     upstream.query();
@@ -98,64 +99,65 @@
     assert_eq!(client.reply().value.as_deref(), Some("whole"));
     assert!(client.ended());
     drop(client);
-    elder.end();
+    old.end();
 }
 
-/// An heir that listens elsewhere takes nobody off the elder's queue: the elder goes on accepting, up to its end.
+/// A new process that listens at another address takes no client from the old one's queue: the old process accepts clients
+/// until its end.
 #[test]
-fn an_heir_at_another_address_leaves_the_elder_accepting() {
+fn a_new_process_at_another_address_leaves_the_old_one_accepting() {
     let (place, server) = (place(), Listener::new());
-    let (mut elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
+    let (mut old, old_admin) = stage(&place.0, &[("s-1", &server)]);
     let elsewhere = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let heir = Stage::with(&[], |config| {
+    let new = Stage::with(&[], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
         config.takeover = Some(place.0.clone());
         config.listen = elsewhere;
     });
-    assert_eq!(heir.address, elsewhere);
-    // What it says next shows that the elder has heard that it serves.
-    assert_eq!(post(heir.admin.unwrap(), "exclude", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 1");
-    assert_eq!(post(heir.admin.unwrap(), "include", "s-1"), 200);
-    until(elder_admin, "lb_record_servers_excluded 0");
-    let mut former = Peer::client(elder.address);
+    assert_eq!(new.address, elsewhere);
+    // That this arrives shows that the old process knows that the new one serves.
+    assert_eq!(post(new.admin.unwrap(), "exclude", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 1");
+    assert_eq!(post(new.admin.unwrap(), "include", "s-1"), 200);
+    until(old_admin, "lb_record_servers_excluded 0");
+    let mut former = Peer::client(old.address);
     drop(served(&mut former, &server, 1, "former"));
-    drop(served(&mut Peer::client(heir.address), &server, 2, "new"));
-    elder.control.stop();
-    let mut late = Peer::client(elder.address);
+    drop(served(&mut Peer::client(new.address), &server, 2, "new"));
+    old.control.stop();
+    let mut late = Peer::client(old.address);
     drop(served(&mut late, &server, 3, "late"));
     assert!(former.ended() && late.ended());
     drop((former, late));
-    elder.end();
+    old.end();
 }
 
 #[test]
-fn an_heir_that_dies_leaves_the_elder_serving() {
+fn a_new_process_that_ends_leaves_the_old_one_serving() {
     let (place, server) = (place(), Listener::new());
-    let (elder, elder_admin) = stage(&place.0, &[("s-1", &server)]);
-    let (mut heir, _) = stage(&place.0, &[]);
-    heir.control.stop();
-    heir.end();
-    let mut client = Peer::client(elder.address);
+    let (old, old_admin) = stage(&place.0, &[("s-1", &server)]);
+    let (mut new, _) = stage(&place.0, &[]);
+    new.control.stop();
+    new.end();
+    let mut client = Peer::client(old.address);
     drop(served(&mut client, &server, 1, "value"));
-    // Its place among operators is the elder's again, as soon as that has heard.
+    // The control socket is the old process's again as soon as it has noticed.
     let end = Instant::now() + Duration::from_secs(10);
-    while !hears(&place.0) {
-        assert!(Instant::now() < end, "nobody takes operators' words");
+    while !control_socket_answers(&place.0) {
+        assert!(Instant::now() < end, "nobody answers on the control socket");
         thread::yield_now();
     }
-    // The next one finds the elder as the first did.
-    assert_eq!(get(elder_admin, "/api/ready").0, 200);
+    // The next new process finds the old one as the first did.
+    assert_eq!(get(old_admin, "/api/ready").0, 200);
     let (second, admin) = stage(&place.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
-    assert_eq!(second.address, elder.address);
+    assert_eq!(second.address, old.address);
 }
 
 #[test]
-fn what_can_not_be_trusted_is_left_alone() {
+fn a_handover_that_is_not_understood_is_ignored() {
     for message in [
         &b"{\"version\":1,\"listing\":"[..],
         b"{\"version\":99}\n",
@@ -163,18 +165,18 @@
     ] {
         let place = place();
         let listener = UnixListener::bind(&place.0).unwrap();
-        let spoilt =
+        let malformed =
             thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
         let (mut stage, admin) = stage(&place.0, &[]);
-        spoilt.join().unwrap();
-        // Something was there before; what it knew has to come from discovery first.
+        malformed.join().unwrap();
+        // There was an old process; its state has to come from discovery first.
         assert_eq!(get(admin, "/api/ready").0, 503);
         stage.watch.tell(42, &[]);
         while get(admin, "/api/ready").0 != 200 {
             thread::yield_now();
         }
     }
-    // A file that is left over from nobody.
+    // A file that is no socket.
     let place = Scratch::new("not a socket");
     let (_stage, admin) = stage(&place.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
--- a/crates/persistent-state/src/file_format.rs
+++ b/crates/persistent-state/src/file_format.rs
@@ -50,7 +50,7 @@
 
 /// Why a saved file is not used. The proxy starts without it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum SnapshotError {
     /// The file is not of this format.
     #[error("it is not a memory of this program")]
     NotOurs,
@@ -65,17 +65,17 @@
     Foreign(String),
 }
 
-impl Fault {
+impl SnapshotError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            Fault::NotOurs | Fault::Torn => {
+            SnapshotError::NotOurs | SnapshotError::Torn => {
                 "The proxy has started without it and writes it anew. Take out again by hand what was out; look after the disk if it comes again."
             }
-            Fault::Form(_) => {
+            SnapshotError::Form(_) => {
                 "Another build wrote it, and this one writes its own in its place. Take out again by hand what was out."
             }
-            Fault::Foreign(_) => {
+            SnapshotError::Foreign(_) => {
                 "Give each proxy a directory of its own under `memory`. What was out by hand at this one has to be taken out again."
             }
         }
@@ -114,23 +114,24 @@
 }
 
 /// Reads the file of the proxy of that name.
-pub(crate) fn decode(name: &str, bytes: &[u8]) -> Result<Snapshot, Fault> {
-    let rest = bytes.strip_prefix(&MAGIC).ok_or(Fault::NotOurs)?;
-    let (version, rest) = rest.split_first().ok_or(Fault::Torn)?;
+pub(crate) fn decode(name: &str, bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
+    let rest = bytes.strip_prefix(&MAGIC).ok_or(SnapshotError::NotOurs)?;
+    let (version, rest) = rest.split_first().ok_or(SnapshotError::Torn)?;
     if *version != VERSION {
-        return Err(Fault::Form(*version));
+        return Err(SnapshotError::Form(*version));
     }
-    let (header, body) = postcard::take_from_bytes::<Header<'_>>(rest).map_err(|_| Fault::Torn)?;
+    let (header, body) =
+        postcard::take_from_bytes::<Header<'_>>(rest).map_err(|_| SnapshotError::Torn)?;
     if digest(header.name, body) != header.digest {
-        return Err(Fault::Torn);
+        return Err(SnapshotError::Torn);
     }
     if header.name != name {
-        return Err(Fault::Foreign(
+        return Err(SnapshotError::Foreign(
             header.name.chars().take(MAX_SHOWN_NAME).collect(),
         ));
     }
     match postcard::take_from_bytes(body) {
         Ok((snapshot, [])) => Ok(snapshot),
-        _ => Err(Fault::Torn),
+        _ => Err(SnapshotError::Torn),
     }
 }
--- a/crates/persistent-state/src/lib.rs
+++ b/crates/persistent-state/src/lib.rs
@@ -12,7 +12,8 @@
 mod scheduler;
 
 pub use file_format::{
-    Fault, ManualExclusion, SavedList, Snapshot, MAX_EXCLUSIONS, MAX_FILE_BYTES, MAX_LIST_BYTES,
+    ManualExclusion, SavedList, Snapshot, SnapshotError, MAX_EXCLUSIONS, MAX_FILE_BYTES,
+    MAX_LIST_BYTES,
 };
 pub use recovery::{recover, RecoveredState, StartMode};
 pub use scheduler::{Action, Event, SnapshotScheduler};
--- a/crates/persistent-state/src/recovery.rs
+++ b/crates/persistent-state/src/recovery.rs
@@ -1,7 +1,7 @@
 //! What a new process trusts of the state that an earlier one saved. Clocks are not consulted: after a power loss they may
 //! be wrong.
 
-use crate::file_format::{self, Fault, ManualExclusion, SavedList, Snapshot};
+use crate::file_format::{self, ManualExclusion, SavedList, Snapshot, SnapshotError};
 
 /// How a process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     proxy_name: &str,
     file: Option<&[u8]>,
     mode: StartMode,
-) -> Result<(RecoveredState, Option<Snapshot>), Fault> {
+) -> Result<(RecoveredState, Option<Snapshot>), SnapshotError> {
     let Some(file) = file else {
         return Ok(Default::default());
     };
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -2,7 +2,7 @@
 //! current and no older than what was confirmed as saved, or nothing.
 
 use persistent_state::{
-    recover, Action, Event, Fault, ManualExclusion, SavedList, Snapshot, SnapshotScheduler,
+    recover, Action, Event, ManualExclusion, SavedList, Snapshot, SnapshotError, SnapshotScheduler,
     StartMode,
 };
 use proptest::prelude::*;
@@ -73,7 +73,7 @@
             let (recalled, found) = match recover("n0", disk.as_deref(), COLD_START) {
                 Ok(found) => found,
                 Err(fault) => {
-                    assert_eq!(fault, Fault::Torn, "seed {seed}");
+                    assert_eq!(fault, SnapshotError::Torn, "seed {seed}");
                     torn_files += 1;
                     confirmed = 0;
                     Default::default()
@@ -371,15 +371,18 @@
     );
     assert_eq!(
         recover("n1", Some(&bytes), COLD_START),
-        Err(Fault::Foreign("n0".into()))
+        Err(SnapshotError::Foreign("n0".into()))
     );
     assert_eq!(
         recover("n0", Some(b"LVPX"), COLD_START),
-        Err(Fault::NotOurs)
+        Err(SnapshotError::NotOurs)
     );
     let mut later = bytes.clone();
     later[4] = 2;
-    assert_eq!(recover("n0", Some(&later), COLD_START), Err(Fault::Form(2)));
+    assert_eq!(
+        recover("n0", Some(&later), COLD_START),
+        Err(SnapshotError::Form(2))
+    );
     assert_eq!(
         recover("n0", None, COLD_START).unwrap().0,
         Default::default()
