--- a/crates/leverproxy/src/cluster/members.rs
+++ b/crates/leverproxy/src/cluster/members.rs
@@ -3,7 +3,8 @@
 //!
 //! Nothing of it waits: a datagram that can't be sent now is lost, as one on the wire may be.
 
-use crate::event_loop::reactor::{Interest, Reactor, Token};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::token::Token;
 use configuration::model::Members as Stated;
 use datagram_auth::{Keys, Opener, Sealer, DATAGRAM_LIMIT, MEMBERSHIP};
 use membership::{
@@ -155,7 +156,7 @@
     fn open(&mut self, reactor: &Reactor) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind(self.stated.listen)?;
         socket.set_nonblocking(true)?;
-        reactor.add(&socket, Token::Members, Interest::READ)?;
+        reactor.register(&socket, Token::Datagrams, Interest::READ)?;
         let address = socket.local_addr()?;
         self.socket = Some(socket);
         Ok(address)
--- a/crates/leverproxy/src/control/admin.rs
+++ b/crates/leverproxy/src/control/admin.rs
@@ -3,8 +3,11 @@
 //! Callers that dawdle cost nobody else an answer: the connections are few and counted apart from clients, the loop looks
 //! at them first, and at the limit the one that has gone longest without a whole call gives way to the next caller.
 
-use crate::event_loop::connection::{self, Filled, Refusal, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener::{self, AcceptError};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
 use std::io;
 use std::net::SocketAddr;
@@ -20,7 +23,7 @@
 pub struct Admin {
     listener: OwnedFd,
     address: SocketAddr,
-    callers: Slots<Caller>,
+    callers: Slab<Caller>,
     exhausted: LogRateLimit,
 }
 
@@ -34,13 +37,13 @@
 
 impl Admin {
     pub fn listen(address: SocketAddr, reactor: &Reactor) -> io::Result<Admin> {
-        let listener = connection::listen(address)?;
-        reactor.add(&listener, Token::AdminListener, Interest::READ)?;
-        let address = connection::local_address(&listener).unwrap_or(address);
+        let listener = listener::listen(address)?;
+        reactor.register(&listener, Token::AdminListener, Interest::READ)?;
+        let address = listener::local_address(&listener).unwrap_or(address);
         Ok(Admin {
             listener,
             address,
-            callers: Slots::default(),
+            callers: Slab::default(),
             exhausted: LogRateLimit::default(),
         })
     }
@@ -52,10 +55,10 @@
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         loop {
             let stream =
-                match connection::accept_or_rest(&self.listener, Token::AdminListener, reactor) {
+                match listener::accept_or_pause(&self.listener, Token::AdminListener, reactor) {
                     Ok((stream, _)) => stream,
-                    Err(Refusal::Empty | Refusal::Later) => return,
-                    Err(Refusal::Exhausted) => {
+                    Err(AcceptError::Empty | AcceptError::RetryLater) => return,
+                    Err(AcceptError::NoDescriptors) => {
                         self.exhausted
                             .warn(now, || "admin: no descriptor left for a caller".into());
                         if !self.put_out_oldest() {
@@ -98,7 +101,7 @@
     pub fn ready(&mut self, key: Key, reactor: &Reactor) -> Option<Call> {
         let caller = self.callers.get_mut(key)?;
         if caller.answered {
-            if caller.stream.drain().0 == Filled::Ended {
+            if caller.stream.discard_input().0 == ReadStatus::Ended {
                 self.callers.remove(key);
             } else {
                 self.write(key, reactor);
@@ -110,7 +113,7 @@
             Ok(Some(call)) => return Some(call),
             Err(no) => self.answer(key, &no, reactor),
             // Half a call, and no more will come: whoever left hears nothing.
-            Ok(None) if filled == Filled::Ended => _ = self.callers.remove(key),
+            Ok(None) if filled == ReadStatus::Ended => _ = self.callers.remove(key),
             Ok(None) => {}
         }
         None
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -1,7 +1,10 @@
 //! The operators' control socket: a line in, lines out, over a Unix socket that only its owner may use.
 
-use crate::event_loop::connection::{self, Filled, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener;
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use ::rollout::Hash;
 use std::io;
 use std::os::fd::OwnedFd;
@@ -41,7 +44,7 @@
     path: PathBuf,
     /// Which file of the place is this process's.
     file: u64,
-    peers: Slots<Peer>,
+    peers: Slab<Peer>,
 }
 
 struct Peer {
@@ -66,7 +69,7 @@
             listener,
             path: path.to_owned(),
             file,
-            peers: Slots::default(),
+            peers: Slab::default(),
         })
     }
 
@@ -87,14 +90,14 @@
     }
 
     fn bind(path: &Path, reactor: &Reactor) -> io::Result<(OwnedFd, u64)> {
-        let listener = connection::take_unix(path)?;
-        reactor.add(&listener, Token::OperateListener, Interest::READ)?;
+        let listener = listener::listen_unix_replacing(path)?;
+        reactor.register(&listener, Token::ControlSocketListener, Interest::READ)?;
         Ok((listener, std::fs::symlink_metadata(path)?.ino()))
     }
 
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
-        let token = Token::OperateListener;
-        while let Ok((mut stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
+        let token = Token::ControlSocketListener;
+        while let Ok((mut stream, _)) = listener::accept_or_pause(&self.listener, token, reactor) {
             if self.peers.len() >= CONNECTIONS {
                 stream.push(b"error: too many at once\n");
                 _ = stream.flush();
@@ -108,7 +111,7 @@
             if let Some(peer) = self.peers.get_mut(key) {
                 if peer
                     .stream
-                    .watch(reactor, Token::Operate(key), Interest::READ)
+                    .watch(reactor, Token::ControlSocket(key), Interest::READ)
                     .is_err()
                 {
                     self.peers.remove(key);
@@ -139,14 +142,14 @@
                 .strip_prefix("rollout ")
                 .and_then(crate::cluster::rollout::said)
                 .map(Word::Rollout),
-            None if filled == Filled::Ended || input.len() >= LINE_LIMIT => {
+            None if filled == ReadStatus::Ended || input.len() >= LINE_LIMIT => {
                 self.peers.remove(key);
                 return None;
             }
             None => {
                 _ = peer
                     .stream
-                    .watch(reactor, Token::Operate(key), Interest::READ);
+                    .watch(reactor, Token::ControlSocket(key), Interest::READ);
                 return None;
             }
         };
--- a/crates/leverproxy/src/discovery/watch.rs
+++ b/crates/leverproxy/src/discovery/watch.rs
@@ -2,8 +2,10 @@
 //! the watch at the previous one stays open until the new one responds.
 
 use super::wire::{EndpointList, EndpointListError};
-use crate::event_loop::connection::{DialError, Filled, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{DialError, ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::protocol::http::{self, Part, Reader};
 use discovery_schedule::{Action, Event, PollSchedule};
@@ -52,7 +54,7 @@
     origin: Instant,
     /// The host has a timer set for this.
     timer: Option<Instant>,
-    watches: Slots<Watch>,
+    watches: Slab<Watch>,
     current: Option<Key>,
     /// The watch at the previous address; its lists count until the current one responds.
     previous: Option<Key>,
@@ -82,7 +84,7 @@
             schedule: PollSchedule::new(watch_silence, push_mode),
             origin: now,
             timer: None,
-            watches: Slots::default(),
+            watches: Slab::default(),
             current: None,
             previous: None,
             events: VecDeque::new(),
@@ -318,7 +320,7 @@
         Ok(Transfer {
             written,
             received,
-            ended: filled == Filled::Ended || self.reader.done(),
+            ended: filled == ReadStatus::Ended || self.reader.done(),
             parsed: parsed.map(|_| ()),
         })
     }
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -1,8 +1,8 @@
 //! One client: what is known of its connection, and its next command read off it.
 
 use crate::config::Patience;
-use crate::event_loop::connection::Stream;
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
+use crate::event_loop::stream::Stream;
 use crate::protocol::postgres::server::{self, Asked, CancelKey, Startup};
 use crate::protocol::postgres::statement::{self, Query};
 use crate::protocol::postgres::Malformed;
--- a/crates/leverproxy/src/downstream/mod.rs
+++ b/crates/leverproxy/src/downstream/mod.rs
@@ -3,8 +3,11 @@
 mod client;
 
 use crate::config::{Limits, Patience};
-use crate::event_loop::connection::{self, Filled, Refusal, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener::{self, AcceptError};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::protocol::postgres::server::{self, CancelKey};
 use crate::protocol::postgres::Malformed;
@@ -57,7 +60,7 @@
     accepting: bool,
     limits: Limits,
     patience: Patience,
-    clients: Slots<Client>,
+    clients: Slab<Client>,
     events: VecDeque<Event>,
     misunderstood: LogRateLimit,
     exhausted: LogRateLimit,
@@ -110,16 +113,16 @@
     ) -> io::Result<Downstream> {
         let listener = match inherited {
             Some(listener) => listener,
-            None => connection::listen_shared(address, shared)?,
+            None => listener::listen_shared(address, shared)?,
         };
-        reactor.add(&listener, Token::Listener, Interest::READ)?;
-        let address = connection::local_address(&listener).unwrap_or(address);
+        reactor.register(&listener, Token::Listener, Interest::READ)?;
+        let address = listener::local_address(&listener).unwrap_or(address);
         Ok(Downstream {
             listener: Some(listener),
             accepting: true,
             limits,
             patience,
-            clients: Slots::default(),
+            clients: Slab::default(),
             events: VecDeque::new(),
             misunderstood: LogRateLimit::default(),
             exhausted: LogRateLimit::default(),
@@ -137,7 +140,7 @@
     }
 
     pub fn local_address(&self) -> Option<SocketAddr> {
-        connection::local_address(self.listener.as_ref()?)
+        listener::local_address(self.listener.as_ref()?)
     }
 
     pub fn pop(&mut self) -> Option<Event> {
@@ -160,9 +163,9 @@
         if self.listener.is_some() {
             return Ok(());
         }
-        let added = connection::listen_shared(self.address, self.shared).and_then(|fd| {
+        let added = listener::listen_shared(self.address, self.shared).and_then(|fd| {
             reactor
-                .add(&fd, Token::Listener, Interest::READ)
+                .register(&fd, Token::Listener, Interest::READ)
                 .map(|()| fd)
         });
         if let Err(error) = &added {
@@ -204,7 +207,7 @@
             let Some(listener) = &self.listener else {
                 return;
             };
-            match connection::accept(listener) {
+            match listener::accept(listener) {
                 Ok((stream, peer)) => {
                     gave_way = false;
                     if let Some(key) = quiet {
@@ -217,9 +220,9 @@
                         self.write(key, now, reactor);
                     }
                 }
-                Err(Refusal::Empty) => return,
-                Err(Refusal::Later) => return self.pause(true, reactor),
-                Err(Refusal::Exhausted) => {
+                Err(AcceptError::Empty) => return,
+                Err(AcceptError::RetryLater) => return self.pause(true, reactor),
+                Err(AcceptError::NoDescriptors) => {
                     let clients = self.clients.len();
                     self.exhausted.warn(now, || {
                         format!("front: no descriptor left, {clients} clients")
@@ -264,7 +267,7 @@
             read: !pause,
             write: false,
         };
-        if let Ok(watched) = reactor.set(listener, Token::Listener, interest, true) {
+        if let Ok(watched) = reactor.update(listener, Token::Listener, interest, true) {
             self.accepting = watched && !pause;
         }
     }
@@ -322,7 +325,7 @@
             return false;
         }
         let before = client.stream.input.len();
-        if client.stream.fill(server::INPUT_LIMIT) == Filled::Ended {
+        if client.stream.fill(server::INPUT_LIMIT) == ReadStatus::Ended {
             self.drop_client(key, reactor);
             return false;
         }
@@ -404,14 +407,14 @@
         let takes_more = client.takes_more(&self.patience);
         let gone = match (&mut client.leaving, takes_more) {
             (Some(leaving), _) if leaving.room > 0 => {
-                let (filled, thrown_away) = client.stream.drain();
+                let (filled, thrown_away) = client.stream.discard_input();
                 leaving.room = leaving.room.saturating_sub(thrown_away);
-                filled == Filled::Ended || ended && leaving.room == 0
+                filled == ReadStatus::Ended || ended && leaving.room == 0
             }
             (Some(_), _) => ended,
             // What it sent before it left needs no answer, read or not.
             (None, _) if ended => true,
-            (None, true) => client.stream.fill(server::INPUT_LIMIT) == Filled::Ended,
+            (None, true) => client.stream.fill(server::INPUT_LIMIT) == ReadStatus::Ended,
             (None, false) => false,
         };
         if gone {
@@ -747,7 +750,7 @@
 
     /// Whoever there was no place for is told so: closed with the listener, its connection would just be reset.
     fn refuse_waiting(&mut self, now: Instant, reactor: &Reactor) {
-        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(connection::accept) {
+        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(listener::accept) {
             let key = self.adopt(stream, peer, now, reactor);
             self.turn_out(key, server::too_many());
             self.write(key, now, reactor);
@@ -762,7 +765,7 @@
             self.refuse_waiting(now, reactor);
         }
         if let Some(listener) = self.listener.take() {
-            reactor.remove(&listener);
+            reactor.deregister(&listener);
         }
         self.closing = true;
         for key in self.clients.keys() {
--- a/crates/leverproxy/src/event_loop/system_calls/faults.rs
+++ b/crates/leverproxy/src/event_loop/system_calls/faults.rs
@@ -1,44 +1,47 @@
-//! Errors and short transfers in place of the system's answers, for tests. A thread without [`Faults`] pays one look
-//! at a thread-local variable for each call.
+//! Injected errors and short transfers, for tests. A thread without [`Faults`] reads one thread-local variable for each
+//! call.
 
-use super::Call;
+use super::errors::Call;
 use rustix::io::Errno;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What a call does instead of its work, or of all of it.
+/// What a call does instead of its work.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
+    /// It fails with this error.
     Fail(Errno),
-    /// The call does its work and gives this error all the same, as an interrupted connect does.
+    /// It does its work and fails with this error all the same, as an interrupted connect does.
     FailAfter(Errno),
-    /// Reads, sends and writes of files transfer no more bytes than this.
+    /// A read, a send or a write of a file transfers at most so many bytes.
     AtMost(usize),
 }
 
-/// Which calls a fault meets.
+/// Which calls a fault applies to.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
+    /// The kind of call.
     pub call: Call,
-    /// Only those on a connection to this peer; for accept, on the listener of this address.
+    /// Only calls on a connection to this peer; for accept, on the listener at this address.
     pub address: Option<SocketAddr>,
+    /// What happens to them.
     pub fault: Fault,
-    /// So many of them.
+    /// The number of calls that it applies to.
     pub times: u64,
 }
 
-const CALLS: usize = Call::FolderSync as usize + 1;
+const CALLS: usize = Call::DirectorySync as usize + 1;
 
-/// The faults of one thread; shared with the test that sets them.
+/// The faults of one thread, shared with the test that sets them.
 #[doc(hidden)]
 #[derive(Debug, Default)]
 pub struct Faults {
     armed: AtomicBool,
     rules: Mutex<Vec<Rule>>,
-    made: [AtomicU64; CALLS],
-    met: [AtomicU64; CALLS],
+    call_counts: [AtomicU64; CALLS],
+    fault_counts: [AtomicU64; CALLS],
 }
 
 thread_local! {
@@ -46,37 +49,37 @@
 }
 
 impl Faults {
-    /// All calls of this thread are subject to these faults from now on.
+    /// Subjects all calls of this thread to these faults from now on.
     pub fn install(self: Arc<Faults>) {
         FAULTS.with(|faults| *faults.borrow_mut() = Some(self));
     }
 
-    /// Adds a rule; the first that fits a call counts.
+    /// Adds a rule; of several that fit a call the first one applies.
     pub fn add(&self, rule: Rule) {
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         rules.push(rule);
         self.armed.store(true, Ordering::SeqCst);
     }
 
-    /// Drops all rules.
+    /// Removes all rules.
     pub fn clear(&self) {
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         rules.clear();
         self.armed.store(false, Ordering::SeqCst);
     }
 
-    /// Calls made by the thread, with a fault or without.
-    pub fn made(&self, call: Call) -> u64 {
-        self.made[call as usize].load(Ordering::SeqCst)
+    /// The number of calls of the thread, with a fault or without.
+    pub fn calls(&self, call: Call) -> u64 {
+        self.call_counts[call as usize].load(Ordering::SeqCst)
     }
 
-    /// Calls that met a fault.
-    pub fn met(&self, call: Call) -> u64 {
-        self.met[call as usize].load(Ordering::SeqCst)
+    /// The number of calls that a fault was applied to.
+    pub fn faults(&self, call: Call) -> u64 {
+        self.fault_counts[call as usize].load(Ordering::SeqCst)
     }
 
     fn fault(&self, call: Call, address: impl FnOnce() -> Option<SocketAddr>) -> Option<Fault> {
-        self.made[call as usize].fetch_add(1, Ordering::SeqCst);
+        self.call_counts[call as usize].fetch_add(1, Ordering::SeqCst);
         if !self.armed.load(Ordering::SeqCst) {
             return None;
         }
@@ -89,12 +92,12 @@
         };
         let rule = rules.iter_mut().find(fits)?;
         rule.times -= 1;
-        self.met[call as usize].fetch_add(1, Ordering::SeqCst);
+        self.fault_counts[call as usize].fetch_add(1, Ordering::SeqCst);
         Some(rule.fault)
     }
 }
 
-/// Those of this thread, for a thread that works for it.
+/// The faults of this thread, for another thread that works for it.
 pub(crate) fn installed() -> Option<Arc<Faults>> {
     FAULTS.with(|faults| faults.borrow().clone())
 }
@@ -103,7 +106,7 @@
     FAULTS.with(|faults| faults.borrow().as_ref()?.fault(call, address))
 }
 
-/// The error that this call is to give in place of its work.
+/// The error that this call has to return instead of its work.
 pub(crate) fn injected(
     call: Call,
     address: impl FnOnce() -> Option<SocketAddr>,
@@ -114,8 +117,8 @@
     }
 }
 
-/// Does the work, unless a fault takes its place.
-pub(super) fn worked(
+/// Does the work, unless a fault replaces it.
+pub(super) fn performed(
     call: Call,
     address: impl FnOnce() -> Option<SocketAddr>,
     work: impl FnOnce() -> Result<(), Errno>,
@@ -127,7 +130,7 @@
     }
 }
 
-/// How many of these bytes this call may transfer, or the error that it is to give.
+/// How many of these bytes this call may transfer, or the error that it has to return.
 pub(crate) fn limited(
     call: Call,
     bytes: usize,
--- a/crates/leverproxy/src/health/mod.rs
+++ b/crates/leverproxy/src/health/mod.rs
@@ -8,8 +8,11 @@
 
 mod grpc;
 
-use crate::event_loop::connection::{self, Filled, Refusal, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener::{self, AcceptError};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
 use std::collections::BTreeMap;
 use std::io;
@@ -82,7 +85,7 @@
 pub struct Health {
     grpc: grpc::Fronts,
     listeners: Vec<Listener>,
-    checks: Slots<Check>,
+    checks: Slab<Check>,
     reserve: Vec<OwnedFd>,
     exhausted: LogRateLimit,
     /// What balancers last said of this server, by their names: a bounded number of them.
@@ -98,7 +101,7 @@
         let mut health = Health {
             grpc: grpc::Fronts::default(),
             listeners: Vec::new(),
-            checks: Slots::default(),
+            checks: Slab::default(),
             reserve: Vec::new(),
             exhausted: LogRateLimit::default(),
             views: BTreeMap::new(),
@@ -111,9 +114,9 @@
             health.grpc.start(set)?;
         }
         for (at, set) in (0..).zip(here) {
-            let fd = connection::listen(set.address)?;
-            reactor.add(&fd, Token::HealthListener(at), Interest::READ)?;
-            let address = connection::local_address(&fd).unwrap_or(set.address);
+            let fd = listener::listen(set.address)?;
+            reactor.register(&fd, Token::HealthListener(at), Interest::READ)?;
+            let address = listener::local_address(&fd).unwrap_or(set.address);
             log::info!("health {}: answering checks on {address}", set.name);
             health.listeners.push(Listener {
                 fd,
@@ -171,11 +174,11 @@
             let Some(listener) = self.listeners.get(place) else {
                 return;
             };
-            let stream = match connection::accept(&listener.fd) {
+            let stream = match listener::accept(&listener.fd) {
                 Ok((stream, _)) => stream,
-                Err(Refusal::Empty) => return,
-                Err(Refusal::Later) => return self.pause(place, true, reactor),
-                Err(Refusal::Exhausted) => {
+                Err(AcceptError::Empty) => return,
+                Err(AcceptError::RetryLater) => return self.pause(place, true, reactor),
+                Err(AcceptError::NoDescriptors) => {
                     if self.reserve.pop().is_none() {
                         self.exhausted.warn(now, || {
                             "health: no descriptor left, nor one kept for checks".into()
@@ -215,7 +218,7 @@
             write: false,
         };
         let token = Token::HealthListener(place as u16);
-        if let Ok(watched) = reactor.set(&listener.fd, token, interest, true) {
+        if let Ok(watched) = reactor.update(&listener.fd, token, interest, true) {
             listener.accepting = watched && !pause;
         }
     }
@@ -249,7 +252,7 @@
             return;
         };
         if check.ending {
-            if check.stream.drain().0 == Filled::Ended {
+            if check.stream.discard_input().0 == ReadStatus::Ended {
                 return self.close(key, reactor);
             }
         } else {
@@ -283,7 +286,7 @@
                 // Never among the loop's own listeners.
                 Protocol::Grpc => {}
             }
-            if filled == Filled::Ended && check.stream.unsent() == 0 {
+            if filled == ReadStatus::Ended && check.stream.unsent() == 0 {
                 return self.close(key, reactor);
             }
         }
--- a/crates/leverproxy/src/persistence/hot_restart/links.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/links.rs
@@ -1,8 +1,11 @@
 //! The connections between the processes of one proxy while more than one runs.
 
 use super::handover::{send_start, HandoverState};
-use crate::event_loop::connection::{self, Filled, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener;
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::os::fd::OwnedFd;
@@ -44,7 +47,7 @@
 pub struct HotRestart {
     path: PathBuf,
     listener: OwnedFd,
-    links: Slots<Link>,
+    links: Slab<Link>,
 }
 
 struct Link {
@@ -102,7 +105,7 @@
         Ok(HotRestart {
             path: path.to_owned(),
             listener,
-            links: Slots::default(),
+            links: Slab::default(),
         })
     }
 
@@ -115,8 +118,8 @@
     }
 
     fn bind(path: &Path, reactor: &Reactor) -> io::Result<OwnedFd> {
-        let listener = connection::take_unix(path)?;
-        reactor.add(&listener, Token::TakeoverListener, Interest::READ)?;
+        let listener = listener::listen_unix_replacing(path)?;
+        reactor.register(&listener, Token::HotRestartListener, Interest::READ)?;
         Ok(listener)
     }
 
@@ -147,8 +150,8 @@
         clients: Option<&OwnedFd>,
         reactor: &Reactor,
     ) {
-        let token = Token::TakeoverListener;
-        while let Ok((stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
+        let token = Token::HotRestartListener;
+        while let Ok((stream, _)) = listener::accept_or_pause(&self.listener, token, reactor) {
             let Some(clients) = clients.filter(|_| self.links.len() < MAX_LINKS) else {
                 continue;
             };
@@ -187,7 +190,7 @@
         let filled = link.stream.fill(MAX_LINE_BYTES);
         let messages = link.take_messages().into_iter();
         let mut events: Vec<LinkEvent> = messages.map(LinkEvent::Message).collect();
-        if filled == Filled::Ended || link.stream.input.len() >= MAX_LINE_BYTES {
+        if filled == ReadStatus::Ended || link.stream.input.len() >= MAX_LINE_BYTES {
             self.links.remove(key);
             events.push(LinkEvent::Closed);
         } else {
@@ -219,7 +222,7 @@
             read: true,
             write: matches!(flushed, Ok(false)),
         };
-        let watched = link.stream.watch(reactor, Token::Takeover(key), interest);
+        let watched = link.stream.watch(reactor, Token::HotRestart(key), interest);
         if flushed.is_err() || watched.is_err() || link.stream.unsent() > MAX_UNSENT_BYTES {
             self.links.remove(key);
         }
--- a/crates/leverproxy/src/persistence/saved_state/confirmations.rs
+++ b/crates/leverproxy/src/persistence/saved_state/confirmations.rs
@@ -1,6 +1,6 @@
 //! Responses to operators' commands that wait until the command is on the disk.
 
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use std::time::{Duration, Instant};
 use wire_admin::{Answer, Status};
 
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -9,7 +9,7 @@
 pub use initial_state::InitialState;
 
 use crate::discovery::wire::EndpointList;
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use crate::persistence::background_writer::BackgroundWriter;
 use crate::persistence::directory_lock::DirectoryLock;
 use configuration::model::Memory as Settings;
--- a/crates/leverproxy/src/persistence/state_file.rs
+++ b/crates/leverproxy/src/persistence/state_file.rs
@@ -1,8 +1,8 @@
 //! Files that are replaced as a whole: a new file is written under another name, synced, and renamed. What is found later is
 //! the old file or the new one, never a part of either.
 
+use crate::event_loop::system_calls::errors::Call;
 use crate::event_loop::system_calls::faults::{injected, limited};
-use crate::event_loop::system_calls::Call;
 use std::collections::hash_map::RandomState;
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
@@ -73,7 +73,7 @@
 
 /// Makes the rename durable: without this a power loss may bring the old file back.
 fn sync_directory(path: &Path) -> io::Result<()> {
-    injected(Call::FolderSync, || None)?;
+    injected(Call::DirectorySync, || None)?;
     let directory = path
         .parent()
         .filter(|directory| !directory.as_os_str().is_empty());
--- a/crates/leverproxy/src/persistence/state_file/tests.rs
+++ b/crates/leverproxy/src/persistence/state_file/tests.rs
@@ -109,13 +109,13 @@
             Call::FileWrite,
             Call::FileSync,
             Call::FileRename,
-            Call::FolderSync,
+            Call::DirectorySync,
         ] {
             faults.add(rule(call, Fault::Fail(errno)));
             let error = save(&path, b"later").unwrap_err();
             assert_eq!(Errno::from_io_error(&error), Some(errno), "{call:?}");
             // Where only the directory could not be synced, the new file is in place.
-            let left = if call == Call::FolderSync {
+            let left = if call == Call::DirectorySync {
                 &b"later"[..]
             } else {
                 b"former"
@@ -148,7 +148,10 @@
     });
     save(&path, b"later").unwrap();
     assert_eq!(load(&path, 99).unwrap().as_deref(), Some(&b"later"[..]));
-    assert_eq!((faults.met(Call::FileWrite), folder.names().len()), (6, 1));
+    assert_eq!(
+        (faults.faults(Call::FileWrite), folder.names().len()),
+        (6, 1)
+    );
 }
 
 /// After a failed sync the system may count the pages as written, though they are not on the disk. Each save therefore writes
@@ -165,7 +168,10 @@
     assert_eq!(load(&path, 99).unwrap(), None);
     save(&path, b"state").unwrap();
     assert_eq!(
-        (faults.made(Call::FileCreate), faults.made(Call::FileWrite)),
+        (
+            faults.calls(Call::FileCreate),
+            faults.calls(Call::FileWrite)
+        ),
         (3, 3)
     );
 }
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -1,6 +1,6 @@
 //! Admit: what is owed an answer is entered, once, and struck off with its final answer.
 
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use crate::request::{shown, Answer, Command, Request, ResponseSlot};
 use bulkheads::PoolId;
 use routing::{Arrival, AttemptNo, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -17,7 +17,8 @@
 use crate::discovery::wire::EndpointList;
 use crate::discovery::{DiscoveryClient, WatchEvent};
 use crate::downstream::{self, Downstream};
-use crate::event_loop::reactor::{later, Reactor, Timers};
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::timers::{deadline_after, Timers};
 use crate::health::monitor::Monitor;
 use crate::health::Health;
 use crate::observability::counters::Counters;
@@ -655,7 +656,9 @@
                 self.answer(id, Answer::Failed, sides, now);
             }
             Action::Timer { after, token } => {
-                sides.timers.set(later(now, after), Timer::Module(token.0));
+                sides
+                    .timers
+                    .set(deadline_after(now, after), Timer::Module(token.0));
             }
             Action::Subscribe => {
                 sides
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -1,7 +1,7 @@
 //! Send: an attempt or a probe that the module wants becomes an exchange with a record server.
 
 use super::admit::OpenRequest;
-use crate::event_loop::reactor::later;
+use crate::event_loop::timers::deadline_after;
 use crate::request::{Purpose, Question};
 use crate::upstream::Exchange;
 use routing::RequestId;
@@ -22,8 +22,8 @@
         group: Some(open.group),
         question: Question::Command(Arc::clone(&open.command)),
         started: now,
-        deadline: later(now, timeout),
-        write_deadline: later(now, begin_within.min(timeout)),
+        deadline: deadline_after(now, timeout),
+        write_deadline: deadline_after(now, begin_within.min(timeout)),
     }
 }
 
@@ -35,7 +35,7 @@
         group: None,
         question: Question::Load,
         started: now,
-        deadline: later(now, timeout),
-        write_deadline: later(now, timeout),
+        deadline: deadline_after(now, timeout),
+        write_deadline: deadline_after(now, timeout),
     }
 }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -12,7 +12,10 @@
 use crate::control::{self, Control, Wish};
 use crate::discovery::DiscoveryClient;
 use crate::downstream::Downstream;
-use crate::event_loop::reactor::{Interest, Key, Reactor, Ready, Timers, Token};
+use crate::event_loop::reactor::{Interest, Reactor, Ready};
+use crate::event_loop::slab::Key;
+use crate::event_loop::timers::Timers;
+use crate::event_loop::token::Token;
 use crate::health::monitor::{self, Monitor, Usage};
 use crate::health::Health;
 use crate::persistence::hot_restart::handover::{request_handover, HandoverState, OldProcess};
@@ -109,7 +112,7 @@
     pub fn start_heeding(config: Config, wishes: control::Listener) -> io::Result<Proxy> {
         let now = Instant::now();
         let reactor = Reactor::new()?;
-        reactor.add(&wishes, Token::Control, Interest::READ)?;
+        reactor.register(&wishes, Token::Commands, Interest::READ)?;
         crate::observability::logging::set(&config.logging);
         let drain = Drain::new(config.drain_settings(), Duration::ZERO);
         let elder = config
@@ -124,7 +127,7 @@
             }
             // Of another address, it would be no use to the clients of this one.
             OldProcess::HandedOver(estate, listener, link) => {
-                let there = crate::event_loop::connection::local_address(&listener);
+                let there = crate::event_loop::listener::local_address(&listener);
                 let ours = config.listen.port() == 0 || there == Some(config.listen);
                 (
                     Some(listener).filter(|_| ours),
@@ -339,7 +342,7 @@
             self.chain
                 .monitor
                 .busy(until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at)));
-            ready.sort_by_key(|one| one.turn());
+            ready.sort_by_key(|one| one.priority());
             for &one in &ready {
                 self.on_ready(one);
             }
@@ -428,12 +431,12 @@
                 health.accept(at, &self.chain.monitor.status(), now, reactor)
             }
             Token::Health(key) => health.ready(key, &self.chain.monitor.status(), now, reactor),
-            Token::OperateListener => {
+            Token::ControlSocketListener => {
                 if let Some(operate) = operate {
                     operate.accept(now, reactor);
                 }
             }
-            Token::Operate(key) => {
+            Token::ControlSocket(key) => {
                 if let Some((key, word)) = operate.as_mut().and_then(|o| o.ready(key, reactor)) {
                     self.operate(key, word, now);
                 }
@@ -459,7 +462,7 @@
                     }
                 }
             }
-            Token::TakeoverListener => {
+            Token::HotRestartListener => {
                 let (listing, hands) = self.chain.known();
                 let (clients, connections) = (front.clients(), upstream.connection_count());
                 let estate =
@@ -468,7 +471,7 @@
                     takeover.accept(estate, front.listener(), reactor);
                 }
             }
-            Token::Takeover(key) => {
+            Token::HotRestart(key) => {
                 for word in takeover
                     .as_mut()
                     .map(|t| t.ready(key, reactor))
@@ -483,9 +486,9 @@
                     timers.set(now + ACCEPT_AGAIN, Timer::Accept);
                 }
             }
-            Token::Control => self.on_wishes(now),
+            Token::Commands => self.on_wishes(now),
             Token::Discovery(key) => discovery.ready(key, now, reactor),
-            Token::Members => {
+            Token::Datagrams => {
                 if let Some(members) = &mut self.members {
                     members.ready(now);
                     for fact in members.take_heard() {
@@ -683,7 +686,7 @@
         }
     }
 
-    fn operate(&mut self, key: crate::event_loop::reactor::Key, word: Word, now: Instant) {
+    fn operate(&mut self, key: crate::event_loop::slab::Key, word: Word, now: Instant) {
         if let Word::Rollout(said) = word {
             let text = match (&mut self.rollout, &mut self.members) {
                 (Some(rollout), Some(members)) => {
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,6 +1,6 @@
 //! What passes between a protocol's front, the stages and the upstream side, in no protocol's words.
 
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use std::net::IpAddr;
 use std::sync::Arc;
--- a/crates/leverproxy/src/upstream/connection.rs
+++ b/crates/leverproxy/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! The state of one connection to a record server.
 
 use super::exchange::Exchange;
-use crate::event_loop::connection::Stream;
+use crate::event_loop::stream::Stream;
 use crate::protocol::postgres::client::AnswerReader;
 use crate::protocol::postgres::Malformed;
 use crate::request::Verdict;
--- a/crates/leverproxy/src/upstream/dial.rs
+++ b/crates/leverproxy/src/upstream/dial.rs
@@ -1,12 +1,15 @@
 //! Dials: how many are made at a time, what ends them, and the pause while this machine lacks a resource.
 
 use super::connection::{Connection, State};
-use super::health_signal::HealthSignal;
-use super::timers::TimerKind;
+use super::events::{HealthSignal, TimerKind};
+use super::exchange::Exchange;
 use super::Upstream;
-use crate::event_loop::connection::{DialError, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Token};
-use crate::event_loop::system_calls::{lacks_descriptors, RETRY_PAUSE};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::Key;
+use crate::event_loop::stream::{DialError, Stream};
+use crate::event_loop::system_calls::errors::lacks_descriptors;
+use crate::event_loop::system_calls::RETRY_PAUSE;
+use crate::event_loop::token::Token;
 use crate::protocol::postgres::client::{self, AnswerReader};
 use crate::request::{Purpose, Verdict};
 use routing::ServerId;
@@ -35,7 +38,9 @@
                 Err(DialError::Failed(_)) => {
                     self.fail_first_queued(server, Verdict::ConnectFailed, now)
                 }
-                Err(DialError::Short(errno)) => return self.back_off_dials(server, errno, now),
+                Err(DialError::ResourceShortage(errno)) => {
+                    return self.back_off_dials(server, errno, now)
+                }
             }
         }
     }
@@ -50,7 +55,7 @@
         pool.dial_backoff_until = Some(until);
         // No client waits for a probe, and its time begins with the dial: reported as failed, it would put its server
         // into backoff.
-        let is_probe = |exchange: &&mut super::Exchange| exchange.purpose == Purpose::Probe;
+        let is_probe = |exchange: &&mut Exchange| exchange.purpose == Purpose::Probe;
         for probe in pool.queue.iter_mut().filter(is_probe) {
             probe.restart(now);
         }
@@ -95,7 +100,7 @@
             Err(error @ DialError::Failed(_)) => {
                 log::debug!("upstream: cannot dial {address}: {error}")
             }
-            Err(error @ DialError::Short(_)) => {
+            Err(error @ DialError::ResourceShortage(_)) => {
                 self.shortage_log.warn(now, || {
                     format!(
                         "upstream: cannot dial {address}: {error}. It is tried again until its time is over."
@@ -139,7 +144,7 @@
                 return true;
             }
             Ok(false) => self.watch_dial(key, now, reactor),
-            Err(DialError::Short(errno)) => {
+            Err(DialError::ResourceShortage(errno)) => {
                 log::debug!("upstream: dial failed for want of something here: {errno}");
                 self.connections.remove(key);
                 self.end_dial(server);
--- /dev/null
+++ b/crates/leverproxy/src/upstream/events.rs
@@ -0,0 +1,22 @@
+//! What the connections report to their host, besides ended exchanges: timers to set, and health signals.
+
+use crate::event_loop::slab::Key;
+use routing::ServerId;
+
+/// What to check when a timer is due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum TimerKind {
+    /// Whether the state of a connection has lasted too long.
+    Connection(Key),
+    /// Whether a server's queued exchanges have expired.
+    Queue(ServerId),
+}
+
+/// An observation of a server's machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthSignal {
+    /// A dial has begun.
+    DialStarted(ServerId),
+    /// The machine has responded: a connection is established, or was refused.
+    Responded(ServerId),
+}
--- a/crates/leverproxy/src/upstream/mod.rs
+++ b/crates/leverproxy/src/upstream/mod.rs
@@ -8,27 +8,28 @@
 //! | --- | --- |
 //! | `exchange` | one request and its response |
 //! | `connection` | the state of one connection |
-//! | `pool` | idle connections and queued exchanges of each server, cancellation |
+//! | `pool` | the connections and the queue of one server |
+//! | `queue` | which connection an exchange gets, expiry, cancellation |
 //! | `dial` | dials, their limits, and the pause after a failure of this machine |
 //! | `transfer` | writing requests, reading responses, the end of a connection |
 //! | `streaming` | large responses, which are passed on in chunks |
 //! | `timers` | deadlines of connections and queues |
-//! | `health_signal` | what dials tell about a server's machine |
+//! | `events` | timers to set, and what dials tell about a server's machine |
 
 mod connection;
 mod dial;
+mod events;
 mod exchange;
-mod health_signal;
 mod pool;
+mod queue;
 mod streaming;
 mod timers;
 mod transfer;
 
+pub use events::{HealthSignal, TimerKind};
 pub use exchange::Exchange;
-pub use health_signal::HealthSignal;
-pub use timers::TimerKind;
 
-use crate::event_loop::reactor::Slots;
+use crate::event_loop::slab::Slab;
 use crate::observability::log_rate_limit::LogRateLimit;
 use crate::request::{Done, Piece};
 use connection::Connection;
@@ -39,7 +40,7 @@
 
 /// All connections to record servers, and what they have to report.
 pub struct Upstream {
-    connections: Slots<Connection>,
+    connections: Slab<Connection>,
     pools: BTreeMap<ServerId, Pool>,
     completed: VecDeque<Done>,
     chunks: VecDeque<Piece>,
@@ -65,7 +66,7 @@
         idle_timeout: Duration,
     ) -> Upstream {
         Upstream {
-            connections: Slots::default(),
+            connections: Slab::default(),
             pools: BTreeMap::new(),
             completed: VecDeque::new(),
             chunks: VecDeque::new(),
--- a/crates/leverproxy/src/upstream/pool.rs
+++ b/crates/leverproxy/src/upstream/pool.rs
@@ -1,12 +1,7 @@
-//! The pool of each server: idle connections, queued exchanges, and their cancellation.
+//! The connections and the queue of one server.
 
 use super::exchange::Exchange;
-use super::timers::TimerKind;
-use super::Upstream;
-use crate::event_loop::connection::Filled;
-use crate::event_loop::reactor::{Key, Reactor};
-use crate::request::{Purpose, Verdict};
-use routing::{RequestId, ResponseMetadata, ServerId};
+use crate::event_loop::slab::Key;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -24,7 +19,7 @@
 }
 
 impl Pool {
-    fn new(address: SocketAddr) -> Pool {
+    pub(super) fn new(address: SocketAddr) -> Pool {
         Pool {
             address,
             idle: Vec::new(),
@@ -35,201 +30,14 @@
     }
 
     /// Takes the exchanges whose time in the queue is over.
-    fn take_expired(&mut self, dial_timeout: Duration, now: Instant) -> VecDeque<Exchange> {
+    pub(super) fn take_expired(
+        &mut self,
+        dial_timeout: Duration,
+        now: Instant,
+    ) -> VecDeque<Exchange> {
         let expired = |exchange: &Exchange| exchange.queue_deadline(dial_timeout) <= now;
         let (expired, left) = self.queue.drain(..).partition(expired);
         self.queue = left;
         expired
     }
 }
-
-impl Upstream {
-    /// Adds a server, or sets its address. Idle connections to another address are closed.
-    pub fn add_server(&mut self, server: ServerId, address: SocketAddr) {
-        let pool = self
-            .pools
-            .entry(server)
-            .or_insert_with(|| Pool::new(address));
-        if pool.address != address {
-            pool.address = address;
-            for key in std::mem::take(&mut pool.idle) {
-                self.connections.remove(key);
-            }
-        }
-    }
-
-    /// Removes a server that is draining or gone. Exchanges that are not written in full end as never sent; those that
-    /// are go on.
-    pub fn remove_server(&mut self, server: ServerId, now: Instant) {
-        let Some(mut pool) = self.pools.remove(&server) else {
-            return;
-        };
-        for exchange in pool.queue.drain(..) {
-            self.finish(exchange, server, Verdict::NeverSent, now);
-        }
-        for key in self.connections.keys() {
-            let of_server = |key| self.connections.get(key).filter(|c| c.server == server);
-            if of_server(key).is_some_and(|connection| !connection.is_written()) {
-                self.close(key, Verdict::NeverSent, now);
-            }
-        }
-    }
-
-    /// Starts an exchange on an idle connection, or queues it for the next one.
-    pub fn start(&mut self, server: ServerId, exchange: Exchange, now: Instant, reactor: &Reactor) {
-        let Some(pool) = self.pools.get_mut(&server) else {
-            return self.finish(exchange, server, Verdict::NeverSent, now);
-        };
-        let deadline = exchange.queue_deadline(self.dial_timeout);
-        pool.queue.push_back(exchange);
-        self.serve_queue(server, now, reactor);
-        let pool = self.pools.get(&server);
-        if pool.is_some_and(|pool| !pool.queue.is_empty()) {
-            self.timers.push((deadline, TimerKind::Queue(server)));
-        }
-    }
-
-    /// Gives queued exchanges the idle connections, and dials for the rest.
-    pub(super) fn serve_queue(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
-        self.expire_queued(server, now);
-        while let Some(pool) = self.pools.get_mut(&server) {
-            if pool.queue.is_empty() {
-                break;
-            }
-            let Some(key) = pool.idle.pop() else { break };
-            if !self.is_reusable(key) {
-                self.connections.remove(key);
-                continue;
-            }
-            let pool = self.pools.get_mut(&server);
-            let Some(exchange) = pool.and_then(|pool| pool.queue.pop_front()) else {
-                break;
-            };
-            self.assign(key, exchange, now, reactor);
-        }
-        self.dial_for_queue(server, now, reactor);
-    }
-
-    /// Whether an idle connection is still open. Its end may not have been noticed yet: a request that is written after
-    /// it would count as one that may have run.
-    fn is_reusable(&mut self, key: Key) -> bool {
-        let Some(connection) = self.connections.get_mut(key) else {
-            return false;
-        };
-        connection.stream.fill(1) != Filled::Ended && connection.stream.input.is_empty()
-    }
-
-    /// Ends the exchanges that were queued for too long. A dial that is established after that must not carry them.
-    pub(super) fn expire_queued(&mut self, server: ServerId, now: Instant) {
-        let dial_timeout = self.dial_timeout;
-        let Some(pool) = self.pools.get_mut(&server) else {
-            return;
-        };
-        let backing_off = pool.dial_backoff_until.is_some();
-        for exchange in pool.take_expired(dial_timeout, now) {
-            // A server that was not dialled, or not for the whole timeout, does not count as unreachable.
-            let dial_deadline = exchange.deadline.min(exchange.started + dial_timeout);
-            let verdict = if backing_off || now < dial_deadline {
-                Verdict::NeverSent
-            } else {
-                Verdict::ConnectFailed
-            };
-            self.finish(exchange, server, verdict, now);
-        }
-    }
-
-    /// Closes the idle connection that would time out first; false if there is none.
-    pub(super) fn evict_idle(&mut self) -> bool {
-        let oldest = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| connection.is_idle())
-            .min_by_key(|(_, connection)| connection.deadline)
-            .map(|(key, connection)| (key, connection.server));
-        let Some((key, server)) = oldest else {
-            return false;
-        };
-        self.remove_idle(server, key);
-        self.connections.remove(key).is_some()
-    }
-
-    /// Takes a connection out of its server's idle ones.
-    pub(super) fn remove_idle(&mut self, server: ServerId, key: Key) {
-        if let Some(pool) = self.pools.get_mut(&server) {
-            pool.idle.retain(|&idle| idle != key);
-        }
-    }
-
-    /// Ends the exchange that has been queued longest. A failed dial does so with one exchange.
-    pub(super) fn fail_first_queued(&mut self, server: ServerId, verdict: Verdict, now: Instant) {
-        let Some(pool) = self.pools.get_mut(&server) else {
-            return;
-        };
-        let exchange = pool.queue.pop_front();
-        // Exchanges beyond the limit of parallel dials have no dial of their own: without this timer nothing would serve
-        // them until their time is over.
-        if pool.queue.len() > pool.dialling {
-            self.timers.push((now, TimerKind::Queue(server)));
-        }
-        if let Some(exchange) = exchange {
-            self.finish(exchange, server, verdict, now);
-        }
-    }
-
-    /// Cancels an exchange; its connection is closed if it is on one.
-    pub fn cancel(&mut self, purpose: Purpose, now: Instant) {
-        if let Some(key) = self.find_active(|exchange, _| exchange.purpose == purpose) {
-            return self.close(key, Verdict::Cancelled, now);
-        }
-        for (server, exchange) in self.take_queued(|exchange| exchange.purpose == purpose) {
-            self.finish(exchange, server, Verdict::Cancelled, now);
-        }
-    }
-
-    /// Cancels the attempts of a request that are not written in full; those that are go on.
-    pub fn cancel_unwritten(&mut self, id: RequestId, now: Instant) {
-        let of_request =
-            |exchange: &Exchange| matches!(exchange.purpose, Purpose::Attempt(of, _) if of == id);
-        for (server, exchange) in self.take_queued(of_request) {
-            self.finish(exchange, server, Verdict::NeverSent, now);
-        }
-        if let Some(key) = self.find_active(|exchange, written| !written && of_request(exchange)) {
-            self.close(key, Verdict::NeverSent, now);
-        }
-    }
-
-    /// The first connection with an exchange that fits; the predicate is also given whether it is written in full.
-    fn find_active(&self, fits: impl Fn(&Exchange, bool) -> bool) -> Option<Key> {
-        self.connections
-            .iter()
-            .find(|(_, connection)| {
-                connection
-                    .active()
-                    .is_some_and(|active| fits(&active.exchange, active.written))
-            })
-            .map(|(key, _)| key)
-    }
-
-    /// Takes the first fitting exchange out of each queue.
-    fn take_queued(&mut self, fits: impl Fn(&Exchange) -> bool) -> Vec<(ServerId, Exchange)> {
-        let mut taken = Vec::new();
-        for (&server, pool) in &mut self.pools {
-            if let Some(at) = pool.queue.iter().position(&fits) {
-                taken.extend(pool.queue.remove(at).map(|exchange| (server, exchange)));
-            }
-        }
-        taken
-    }
-
-    /// Reports the end of an exchange that has no response.
-    pub(super) fn finish(
-        &mut self,
-        exchange: Exchange,
-        server: ServerId,
-        verdict: Verdict,
-        now: Instant,
-    ) {
-        let completed = exchange.completed(server, verdict, ResponseMetadata::default(), now);
-        self.completed.push_back(completed);
-    }
-}
--- a/crates/leverproxy/src/upstream/streaming.rs
+++ b/crates/leverproxy/src/upstream/streaming.rs
@@ -1,9 +1,12 @@
 //! Responses that are too large to be buffered: they are passed on in chunks, and paused while the client is slow.
 
 use super::connection::{State, Streaming};
-use super::timers::TimerKind;
+use super::events::TimerKind;
 use super::Upstream;
-use crate::event_loop::reactor::{later, Interest, Key, Reactor, Token};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::Key;
+use crate::event_loop::timers::deadline_after;
+use crate::event_loop::token::Token;
 use crate::request::{Piece, Purpose, Verdict};
 use std::time::{Duration, Instant};
 
@@ -53,7 +56,7 @@
         if let State::Busy(active) = &mut connection.state {
             active.streaming = Streaming::Paused;
             // The client's own timeout applies now.
-            connection.deadline = later(now, Duration::MAX);
+            connection.deadline = deadline_after(now, Duration::MAX);
             connection.stream.unwatch(reactor);
         }
     }
--- a/crates/leverproxy/src/upstream/timers.rs
+++ b/crates/leverproxy/src/upstream/timers.rs
@@ -1,21 +1,13 @@
 //! The deadlines of connections and queues.
 
 use super::connection::{State, Streaming};
+use super::events::TimerKind;
 use super::Upstream;
-use crate::event_loop::reactor::{Key, Reactor};
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::slab::Key;
 use crate::request::Verdict;
-use routing::ServerId;
 use std::time::Instant;
 
-/// What to check when a timer is due.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TimerKind {
-    /// Whether the state of a connection has lasted too long.
-    Connection(Key),
-    /// Whether a server's queued exchanges have expired.
-    Queue(ServerId),
-}
-
 impl Upstream {
     /// Handles a timer of [`Upstream::take_timers`] that is due.
     pub fn handle_timer(&mut self, kind: TimerKind, now: Instant, reactor: &Reactor) {
--- a/crates/leverproxy/src/upstream/transfer.rs
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -1,12 +1,15 @@
 //! Requests written, responses read, and what becomes of an exchange when its connection ends.
 
 use super::connection::{rejection_outcome, ActiveExchange, State, Streaming};
+use super::events::TimerKind;
 use super::exchange::Exchange;
 use super::streaming::MAX_CHUNK_BYTES;
-use super::timers::TimerKind;
 use super::Upstream;
-use crate::event_loop::connection::Filled;
-use crate::event_loop::reactor::{later, Interest, Key, Reactor, Token};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::Key;
+use crate::event_loop::stream::ReadStatus;
+use crate::event_loop::timers::deadline_after;
+use crate::event_loop::token::Token;
 use crate::protocol::postgres::client::{self, AnswerReader};
 use crate::protocol::postgres::Malformed;
 use crate::request::{Purpose, Verdict};
@@ -33,7 +36,9 @@
         connection
             .stream
             .push(&client::question(&exchange.question, time_left));
-        connection.deadline = exchange.write_deadline.min(later(now, WRITE_STALL));
+        connection.deadline = exchange
+            .write_deadline
+            .min(deadline_after(now, WRITE_STALL));
         self.timers
             .push((connection.deadline, TimerKind::Connection(key)));
         connection.state = State::Busy(ActiveExchange::new(exchange));
@@ -68,14 +73,14 @@
             Ok((consumed, complete)) => {
                 self.pass_on_chunk(key, now);
                 if complete {
-                    return self.complete(key, filled == Filled::Ended, now, reactor);
+                    return self.complete(key, filled == ReadStatus::Ended, now, reactor);
                 }
                 consumed
             }
             Err(error) => return self.reject_malformed(key, &error, now),
         };
         match flushed {
-            Ok(written) if filled == Filled::Open => {
+            Ok(written) if filled == ReadStatus::Open => {
                 self.note_progress(key, consumed, now);
                 self.watch(key, !written, now, reactor);
             }
@@ -102,7 +107,7 @@
     }
 
     /// Reads from the socket; none while the response is paused.
-    fn fill(&mut self, key: Key) -> Option<Filled> {
+    fn fill(&mut self, key: Key) -> Option<ReadStatus> {
         let connection = self.connections.get_mut(key)?;
         let limit = match connection.streaming() {
             Streaming::No => client::INPUT_LIMIT,
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -3,7 +3,8 @@
 
 mod common;
 use common::{Listener, Peer, PATIENCE};
-use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::Reactor;
+use leverproxy::event_loop::token::Token;
 use leverproxy::request::{Command, Done, Purpose, Question, Verdict};
 use leverproxy::upstream::{Exchange, TimerKind, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -6,7 +6,8 @@
     DIAL_TIMEOUT, MAX_RETRY_DELAY, OBJECT_TIMEOUT, SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
 };
 use leverproxy::discovery::{DiscoveryClient, WatchEvent};
-use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::Reactor;
+use leverproxy::event_loop::token::Token;
 use leverproxy::protocol::http::{Part, Reader};
 use rustix::net::sockopt;
 use std::io::{BufRead, BufReader};
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -3,7 +3,8 @@
 mod common;
 use common::{answer, read, Listener, Peer, Reply, Stage};
 use leverproxy::downstream::{Downstream, Event};
-use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::Reactor;
+use leverproxy::event_loop::token::Token;
 use leverproxy::request::{Answer, ResponseSlot};
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
--- a/crates/leverproxy/tests/state.rs
+++ b/crates/leverproxy/tests/state.rs
@@ -4,8 +4,8 @@
 mod common;
 use common::{get, post, read, served, until, Listener, Peer, Stage};
 use configuration::model::Memory;
+use leverproxy::event_loop::system_calls::errors::Call;
 use leverproxy::event_loop::system_calls::faults::{Fault, Rule};
-use leverproxy::event_loop::system_calls::Call;
 use rustix::io::Errno;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -60,7 +60,7 @@
         (Call::FileWrite, Errno::NOSPC),
         (Call::FileSync, Errno::IO),
         (Call::FileRename, Errno::IO),
-        (Call::FolderSync, Errno::IO),
+        (Call::DirectorySync, Errno::IO),
     ] {
         let (folder, server) = (Folder::new(&format!("{call:?}")), Listener::new());
         let servers = [("s-1", &server), ("s-2", &server)];
@@ -106,7 +106,7 @@
     let (mut stage, admin) = stage(&folder.0, &servers);
     until(admin, "lb_memory_waiting 0");
     stage.faults.add(Rule {
-        call: Call::FolderSync,
+        call: Call::DirectorySync,
         address: None,
         fault: Fault::Fail(Errno::IO),
         times: 1,
@@ -147,7 +147,7 @@
         assert_eq!(client.reply().value.as_deref(), Some("v"));
     }
     // Saves are retried after a second at first, then more rarely.
-    assert!(stage.faults.met(Call::FileWrite) <= 6);
+    assert!(stage.faults.faults(Call::FileWrite) <= 6);
     assert!(get(admin, "/api/telemetry")
         .1
         .contains("lb_memory_failing 1"));
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -3,7 +3,8 @@
 mod common;
 use common::{answer, read, Listener, Peer, Program, Reply, Stage, PATIENCE};
 use leverproxy::config::Config;
-use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::Reactor;
+use leverproxy::event_loop::token::Token;
 use leverproxy::request::{Purpose, Question, Verdict};
 use leverproxy::upstream::{Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -3,10 +3,13 @@
 
 mod common;
 use common::{read, Listener, Peer, Stage, PATIENCE};
-use leverproxy::event_loop::connection::{self, Stream};
-use leverproxy::event_loop::reactor::{Interest, Reactor, Token};
+use leverproxy::event_loop::listener;
+use leverproxy::event_loop::reactor::{Interest, Reactor};
+use leverproxy::event_loop::stream::Stream;
+use leverproxy::event_loop::system_calls::errors::{classify, Call, Failure};
 use leverproxy::event_loop::system_calls::faults::{Fault, Faults, Rule};
-use leverproxy::event_loop::system_calls::{classify, Call, Failure, RETRY_PAUSE};
+use leverproxy::event_loop::system_calls::RETRY_PAUSE;
+use leverproxy::event_loop::token::Token;
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketType};
 use std::io::{Read, Write};
@@ -60,11 +63,11 @@
     /// Waits until so many calls have met a fault.
     fn until_met(&self, call: Call, times: u64) {
         let begun = Instant::now();
-        while self.faults.met(call) < times {
+        while self.faults.faults(call) < times {
             assert!(
                 begun.elapsed() < PATIENCE,
                 "{call:?} met {} faults",
-                self.faults.met(call)
+                self.faults.faults(call)
             );
             thread::yield_now();
         }
@@ -185,10 +188,10 @@
             fault: Fault::Fail(errno),
             times: 1,
         });
-        let error = connection::listen(address).unwrap_err();
+        let error = listener::listen(address).unwrap_err();
         assert_eq!(Errno::from_io_error(&error), Some(errno));
     }
-    assert!(connection::listen(address).is_ok());
+    assert!(listener::listen(address).is_ok());
 }
 
 #[test]
@@ -205,7 +208,7 @@
         Errno::NOMEM,
         Errno::INVAL,
     ] {
-        let met = stage.faults.met(Call::Accept);
+        let met = stage.faults.faults(Call::Accept);
         stage.fail(Call::Accept, None, errno, 3);
         let clients: Vec<_> = (0..4)
             .map(|_| {
@@ -216,7 +219,7 @@
         clients
             .into_iter()
             .for_each(|client| client.join().unwrap());
-        assert_eq!(stage.faults.met(Call::Accept), met + 3, "{errno}");
+        assert_eq!(stage.faults.faults(Call::Accept), met + 3, "{errno}");
     }
 }
 
@@ -233,7 +236,7 @@
         let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
         clients.iter_mut().for_each(|client| asked(client, "v"));
         stage.fail(Call::Accept, None, errno, ALWAYS);
-        let waits = stage.faults.made(Call::EpollWait);
+        let waits = stage.faults.calls(Call::EpollWait);
         let late = stage.address;
         let late = thread::spawn(move || asked(&mut Peer::client(late), "v"));
         // Rounds with a pause between.
@@ -249,7 +252,7 @@
             "{errno}: {:?}",
             begun.elapsed()
         );
-        let waits = stage.faults.made(Call::EpollWait) - waits;
+        let waits = stage.faults.calls(Call::EpollWait) - waits;
         assert!(waits < 200, "{errno}: {waits} rounds");
         for client in &mut clients {
             asked(client, "v");
@@ -287,12 +290,12 @@
     });
     let admin = stage.admin.unwrap();
     stage.fail(Call::Accept, Some(admin), Errno::MFILE, 20);
-    let waits = stage.faults.made(Call::EpollWait);
+    let waits = stage.faults.calls(Call::EpollWait);
     let begun = Instant::now();
     assert_eq!(common::get(admin, "/api/telemetry").0, 200);
-    assert_eq!(stage.faults.met(Call::Accept), 20);
+    assert_eq!(stage.faults.faults(Call::Accept), 20);
     assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    let waits = stage.faults.made(Call::EpollWait) - waits;
+    let waits = stage.faults.calls(Call::EpollWait) - waits;
     assert!(waits < 200, "{waits} rounds");
     assert_eq!(common::get(admin, "/api/telemetry").0, 200);
 }
@@ -311,13 +314,13 @@
     ] {
         let (stage, _) = stage("v");
         let mut client = Peer::client(stage.address);
-        let waits = stage.faults.made(Call::EpollWait);
+        let waits = stage.faults.calls(Call::EpollWait);
         stage.fail(call, None, errno, 12);
         // A server that is taken for dead rests for longer than this.
         let begun = Instant::now();
         asked(&mut client, "v");
-        assert!(stage.faults.met(call) >= 12, "{call:?} {errno}");
-        let waits = stage.faults.made(Call::EpollWait) - waits;
+        assert!(stage.faults.faults(call) >= 12, "{call:?} {errno}");
+        let waits = stage.faults.calls(Call::EpollWait) - waits;
         assert!(
             waits < 400,
             "{errno}: {waits} rounds in {:?}",
@@ -370,10 +373,10 @@
         let stage = Stage::new(&[("s-1", &far), ("s-2", &near)]);
         serve(near, "near");
         stage.fail(Call::Connect, Some(lost), errno, ALWAYS);
-        let waits = stage.faults.made(Call::EpollWait);
+        let waits = stage.faults.calls(Call::EpollWait);
         let mut client = Peer::client(stage.address);
         asks_on(&mut client, "near");
-        let waits = stage.faults.made(Call::EpollWait) - waits;
+        let waits = stage.faults.calls(Call::EpollWait) - waits;
         assert!(waits < 1_000, "{errno}: {waits} rounds");
     }
 }
@@ -399,7 +402,7 @@
         (Call::Accept, 10),
         (Call::Connect, 1),
     ] {
-        assert_eq!(stage.faults.met(call), times, "{call:?}");
+        assert_eq!(stage.faults.faults(call), times, "{call:?}");
     }
 }
 
@@ -436,11 +439,11 @@
             let (stage, _) = stage("v");
             let mut client = Peer::client(stage.address);
             asked(&mut client, "v");
-            let waits = stage.faults.made(Call::EpollWait);
+            let waits = stage.faults.calls(Call::EpollWait);
             stage.fail(call, None, errno, 10);
             asks_on(&mut client, "v");
-            assert_eq!(stage.faults.met(call), 10, "{call:?} {errno}");
-            let waits = stage.faults.made(Call::EpollWait) - waits;
+            assert_eq!(stage.faults.faults(call), 10, "{call:?} {errno}");
+            let waits = stage.faults.calls(Call::EpollWait) - waits;
             assert!(waits < 400, "{call:?} {errno}: {waits} rounds");
         }
     }
@@ -453,13 +456,13 @@
     asked(&mut client, "v");
     let short = client.stream.local_addr().unwrap();
     stage.fail(Call::Read, Some(short), Errno::NOMEM, 20);
-    let (begun, waits) = (Instant::now(), stage.faults.made(Call::EpollWait));
+    let (begun, waits) = (Instant::now(), stage.faults.calls(Call::EpollWait));
     client.ask(&request());
     asked(&mut other, "v");
     assert_eq!(client.reply().value.as_deref(), Some("v"));
-    assert_eq!(stage.faults.met(Call::Read), 20);
+    assert_eq!(stage.faults.faults(Call::Read), 20);
     assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    let waits = stage.faults.made(Call::EpollWait) - waits;
+    let waits = stage.faults.calls(Call::EpollWait) - waits;
     assert!(waits < 200, "{waits} rounds");
 }
 
@@ -468,11 +471,11 @@
     for errno in [Errno::NOMEM, Errno::NOSPC] {
         let (stage, _) = stage("v");
         stage.fail(Call::EpollControl, None, errno, 10);
-        let waits = stage.faults.made(Call::EpollWait);
+        let waits = stage.faults.calls(Call::EpollWait);
         let mut client = Peer::client(stage.address);
         asked(&mut client, "v");
         stage.until_met(Call::EpollControl, 10);
-        let waits = stage.faults.made(Call::EpollWait) - waits;
+        let waits = stage.faults.calls(Call::EpollWait) - waits;
         assert!(waits < 400, "{errno}: {waits} rounds");
         asks_on(&mut client, "v");
         asked(&mut Peer::client(stage.address), "v");
@@ -488,11 +491,11 @@
         asks_on(client, "v");
     }
     // Each of the ten connections and listeners at most is looked at once a pause.
-    let (begun, met) = (Instant::now(), stage.faults.met(Call::EpollControl));
-    let waits = stage.faults.made(Call::EpollWait);
+    let (begun, met) = (Instant::now(), stage.faults.faults(Call::EpollControl));
+    let waits = stage.faults.calls(Call::EpollWait);
     stage.until_met(Call::EpollControl, met + 400);
     assert!(begun.elapsed() >= 20 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    let waits = stage.faults.made(Call::EpollWait) - waits;
+    let waits = stage.faults.calls(Call::EpollWait) - waits;
     // A round has a call at least, or a timer that is due: there are fewer than one a millisecond.
     assert!(
         u128::from(waits) <= 400 + begun.elapsed().as_millis(),
@@ -511,7 +514,10 @@
     let begun = Instant::now();
     // The listener's own pause is over several times.
     while begun.elapsed() < Duration::from_millis(350) {
-        stage.until_met(Call::EpollControl, stage.faults.met(Call::EpollControl) + 1);
+        stage.until_met(
+            Call::EpollControl,
+            stage.faults.faults(Call::EpollControl) + 1,
+        );
     }
     stage.faults.clear();
     for _ in 0..3 {
@@ -525,7 +531,7 @@
     let mut client = Peer::client(stage.address);
     stage.fail(Call::EpollWait, None, Errno::NOMEM, 10);
     asks_on(&mut client, "v");
-    assert_eq!(stage.faults.met(Call::EpollWait), 10);
+    assert_eq!(stage.faults.faults(Call::EpollWait), 10);
 }
 
 #[test]
@@ -604,7 +610,7 @@
         } = &stage;
         watch.stream.shutdown(std::net::Shutdown::Both).unwrap();
         discovery.accept().watch();
-        assert_eq!(faults.met(call), 2, "{errno}");
+        assert_eq!(faults.faults(call), 2, "{errno}");
         asks_on(&mut client, "v");
     }
 }
@@ -624,7 +630,7 @@
     let backlog = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     rustix::net::bind(&backlog, &"127.0.0.1:0".parse::<SocketAddr>().unwrap()).unwrap();
     rustix::net::listen(&backlog, 0).unwrap();
-    let silent = connection::local_address(&backlog).unwrap();
+    let silent = listener::local_address(&backlog).unwrap();
     // Its backlog is full once a connection does not come up any more.
     let mut held = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&silent, Duration::from_millis(200)) {
@@ -641,7 +647,7 @@
     let (reactor, mut ready) = (Reactor::new().unwrap(), Vec::new());
     let mut stream = Stream::dial(silent).unwrap();
     stream
-        .watch(&reactor, Token::Control, Interest::WRITE)
+        .watch(&reactor, Token::Commands, Interest::WRITE)
         .unwrap();
     while ready.is_empty() {
         reactor.wait(None, &mut ready).unwrap();
@@ -685,7 +691,7 @@
         }
         thread::yield_now();
     };
-    assert_eq!(stage.faults.met(Call::Bind), 2);
+    assert_eq!(stage.faults.faults(Call::Bind), 2);
     drop(client);
     asks_on(&mut Peer::client(stage.address), "v");
 }
@@ -698,7 +704,7 @@
     let begun = Instant::now();
     stage.fail(Call::Accept, None, Errno::MFILE, 20);
     assert!(say(socket, "status").starts_with("phase serving\n"));
-    assert_eq!(stage.faults.met(Call::Accept), 20);
+    assert_eq!(stage.faults.faults(Call::Accept), 20);
     assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
     for (call, errno) in [
         (Call::Read, Errno::NOMEM),
@@ -711,7 +717,7 @@
             "{call:?}"
         );
         // The retry of a watch may find the word before it is asked for again.
-        assert!(stage.faults.met(call) >= 1, "{call:?}");
+        assert!(stage.faults.faults(call) >= 1, "{call:?}");
         stage.faults.clear();
     }
 }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -5,7 +5,7 @@
 use leverproxy::config;
 use leverproxy::discovery::directory::{Directory, ServerChange};
 use leverproxy::discovery::wire::EndpointList;
-use leverproxy::event_loop::reactor::Slots;
+use leverproxy::event_loop::slab::Slab;
 use leverproxy::observability::log_rate_limit::LogRateLimit;
 use leverproxy::observability::logging::{self, NeverWaits};
 use leverproxy::pipeline::admit::OpenRequests;
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_key_does_not_reach_what_took_its_place() {
-    let mut slots = Slots::default();
+    let mut slots = Slab::default();
     let old = slots.insert("old");
     assert_eq!(slots.remove(old), Some("old"));
     let new = slots.insert("new");
@@ -305,7 +305,7 @@
             panic!("{text}")
         };
         let ticket = ResponseSlot {
-            client: Slots::default().insert(()),
+            client: Slab::default().insert(()),
             number: no,
         };
         assert!(ledger.bars(&request).is_none());
