--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -8,7 +8,7 @@
 pub mod operator_config;
 pub mod reload;
 
-use crate::clock::Source;
+use crate::clock::WallClock;
 use crate::discovery::wire::EndpointList;
 use crate::health::Listen;
 use crate::pipeline::route_rules::Rules;
@@ -147,7 +147,7 @@
     pub known: EndpointList,
     pub platform: Decoded,
     /// Where wall time is read.
-    pub wall_clock: Source,
+    pub wall_clock: WallClock,
     /// What a later file has to state as this one does.
     pub whole: Whole,
     pub dial_timeout: Duration,
@@ -609,7 +609,7 @@
         linger: model.linger.unwrap_or(LINGER),
         give_up,
         whole: Whole::of(text, &platform),
-        wall_clock: Source::default(),
+        wall_clock: WallClock::default(),
         platform,
     };
     Ok((config, told))
--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -73,7 +73,7 @@
             usage: Usage::default(),
             memory: 0.0,
             memory_at: None,
-            cpu_used: Clock::cpu(),
+            cpu_used: Clock::cpu_time(),
             cpu: 0.0,
             looked: now,
             answered: 0,
@@ -219,7 +219,10 @@
         clock: &Clock,
         now: Instant,
     ) {
-        let (unix, here) = (clock.unix(now), now.saturating_duration_since(self.start));
+        let (unix, here) = (
+            clock.unix_time(now),
+            now.saturating_duration_since(self.start),
+        );
         let position = position.map(|at| (here + at.since(unix)).saturating_sub(unix.since(at)));
         self.event(
             now,
@@ -331,7 +334,7 @@
             .saturating_duration_since(self.looked)
             .as_secs_f64()
             .max(1e-3);
-        let used = Clock::cpu();
+        let used = Clock::cpu_time();
         let smooth = (-span / RATE_SPAN).exp();
         let mix = |old: f64, new: f64| old * smooth + new * (1.0 - smooth);
         self.cpu = mix(
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -9,8 +9,8 @@
 pub mod route_rules;
 pub mod send;
 
-use crate::clock::evidence::Evidence;
-use crate::clock::{Clock, Source};
+use crate::clock::skew::SkewEstimate;
+use crate::clock::{Clock, WallClock};
 use crate::control::admin::Admin;
 use crate::control::control_socket::Operate;
 use crate::discovery::directory::{Directory, DirectoryUpdate, ServerChange};
@@ -77,7 +77,7 @@
 pub struct Pipeline {
     clock: Clock,
     /// What is known of the clock's error.
-    evidence: Evidence,
+    evidence: SkewEstimate,
     clock_looked: Option<Instant>,
     names: Names,
     /// Of the classes, by id.
@@ -106,7 +106,7 @@
         mut monitor: Monitor,
         seed: u64,
         probe_time: Duration,
-        wall_clock: Source,
+        wall_clock: WallClock,
         now: Instant,
     ) -> Pipeline {
         let clock = Clock::start(wall_clock);
@@ -139,9 +139,9 @@
             open_requests: admit::OpenRequests::new(max_open),
             steering: route_rules::Steering::new(rules),
             quota,
-            route: route::Route::new(settings, seed, clock.unix(now)),
+            route: route::Route::new(settings, seed, clock.unix_time(now)),
             clock,
-            evidence: Evidence::default(),
+            evidence: SkewEstimate::default(),
             clock_looked: None,
         }
     }
@@ -242,9 +242,9 @@
         if let Some(answer) = self.open_requests.bars(&request) {
             return self.turn_away(ticket, class, answer, sides, now);
         }
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         if let Some(after) = request.after {
-            self.evidence.written(Time(after), unix);
+            self.evidence.observe_client_write(Time(after), unix);
         }
         let pool = match self.steering.steer(&mut arrival, &request, unix, now) {
             Ok(pool) => pool,
@@ -475,11 +475,11 @@
 
     /// The latest position that is believed, after what this exchange tells of the time.
     fn believed(&mut self, done: &Done, now: Instant) -> Time {
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         if let Some(told) = record::told(done, unix) {
-            self.evidence.told(told, unix);
+            self.evidence.observe_position(told, unix);
         }
-        self.evidence.latest(unix)
+        self.evidence.latest_position(unix)
     }
 
     /// Whether it is a write that went through. Its commit is what later reads of its session have to see: it counts
@@ -502,7 +502,7 @@
 
     /// What a commit of just now counts as, if it does not tell; none: the module's own time will do.
     fn least_commit(&self, now: Instant) -> Option<Time> {
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         let lead = self.evidence.lead(unix);
         (!lead.is_zero()).then(|| unix.plus(lead))
     }
@@ -514,10 +514,10 @@
             .is_none_or(|at| now.saturating_duration_since(at) >= CLOCK_LOOK)
         {
             self.clock_looked = Some(now);
-            self.evidence.system(self.clock.system_lead());
+            self.evidence.observe_system_clock(self.clock.system_lead());
         }
         self.route
-            .set_lead(self.evidence.lead(self.clock.unix(now)));
+            .set_lead(self.evidence.lead(self.clock.unix_time(now)));
     }
 
     /// What a record server has told goes to both who ask for it.
@@ -621,7 +621,7 @@
     fn decide(&mut self, event: Event, sides: &mut IoEndpoints, now: Instant) {
         log::trace!("event {event:?}");
         self.look_at_clock(now);
-        for action in self.route.decide(self.clock.unix(now), event) {
+        for action in self.route.decide(self.clock.unix_time(now), event) {
             log::trace!("action {action:?}");
             self.act(action, sides, now);
         }
@@ -762,7 +762,7 @@
     ) -> Result<(), UnknownServer> {
         if let Some(DirectoryUpdate { endpoints, servers }) =
             self.directory
-                .set_excluded(name, out, self.clock.unix(now), &self.names)?
+                .set_excluded(name, out, self.clock.unix_time(now), &self.names)?
         {
             self.monitor.hands(&endpoints, now);
             self.listed(endpoints, servers, sides, now);
@@ -804,7 +804,7 @@
     pub fn record_servers(&self, now: Instant) -> (usize, usize) {
         (
             self.directory.maintenance().listed_count(),
-            self.route.avoided(self.clock.unix(now)),
+            self.route.avoided(self.clock.unix_time(now)),
         )
     }
 
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -1,6 +1,6 @@
 //! Book: how an exchange ended, as the module is told of it.
 
-use crate::clock::evidence::{Told, REPORT_AGE};
+use crate::clock::skew::{ReportedPosition, MAX_REPORT_AGE};
 use crate::request::{Done, Purpose, Verdict};
 use routing::{AttemptEnded, Event, LoadReport, Outcome, ResponseMetadata, Time};
 use std::time::Duration;
@@ -48,22 +48,22 @@
 }
 
 /// What an exchange tells of the time, by the clock of this process.
-pub fn told(done: &Done, now: Time) -> Option<Told> {
+pub fn told(done: &Done, now: Time) -> Option<ReportedPosition> {
     let since = now.minus(done.elapsed);
     let (position, primary, since) = match (done.purpose, &done.verdict) {
         (_, Verdict::Spoilt) => return None,
         (Purpose::Attempt(..), _) => (done.metadata.position, done.metadata.primary, since),
         (Purpose::Probe, Verdict::Reported(fields)) => {
             let report = report(fields);
-            (report.position, report.primary, since.minus(REPORT_AGE))
+            (report.position, report.primary, since.minus(MAX_REPORT_AGE))
         }
         (Purpose::Probe, _) => return None,
     };
     let present_since = (primary == Some(true)).then_some(since);
-    position.map(|position| Told {
+    position.map(|position| ReportedPosition {
         server: done.server,
         position,
-        present_since,
+        read_after: present_since,
     })
 }
 
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::{Peer, Stage, PATIENCE};
-use leverproxy::clock::evidence::{Evidence, Told};
-use leverproxy::clock::{Clock, Source};
+use leverproxy::clock::skew::{ReportedPosition, SkewEstimate};
+use leverproxy::clock::{Clock, WallClock};
 use leverproxy::discovery::wire::EndpointList;
 use leverproxy::pipeline::record;
 use leverproxy::request::{Done, Purpose, Verdict};
@@ -21,9 +21,9 @@
 // ---- The clock, and what is known of its error ----
 
 /// A clock that is off by a number of milliseconds, which the test may change.
-fn wall(off: &Arc<AtomicI64>) -> Source {
+fn wall(off: &Arc<AtomicI64>) -> WallClock {
     let off = off.clone();
-    Source::new(move || {
+    WallClock::new(move || {
         let ms = off.load(Ordering::SeqCst);
         let span = Duration::from_millis(ms.unsigned_abs());
         if ms < 0 {
@@ -45,10 +45,10 @@
         let system = off(0);
         let clock = Clock::start(wall(&system));
         let instants = [Instant::now(), Instant::now() + 90 * MS];
-        let before = instants.map(|at| clock.unix(at));
+        let before = instants.map(|at| clock.unix_time(at));
         system.store(step, Ordering::SeqCst);
         assert_eq!(
-            instants.map(|at| clock.unix(at)),
+            instants.map(|at| clock.unix_time(at)),
             before,
             "a step of {step} ms"
         );
@@ -71,47 +71,49 @@
 /// A clock before 1970, as that of a machine without a battery may be, is taken for 1970.
 #[test]
 fn a_clock_before_1970_is_no_fault() {
-    let clock = Clock::start(Source::new(|| UNIX_EPOCH - Duration::from_secs(5)));
-    assert!(clock.unix(Instant::now()) < Time(PATIENCE));
+    let clock = Clock::start(WallClock::new(|| UNIX_EPOCH - Duration::from_secs(5)));
+    assert!(clock.unix_time(Instant::now()) < Time(PATIENCE));
     assert!(clock.system_lead().is_zero());
 }
 
 /// The present of these tests, by the process's clock.
 const NOW: Time = Time(Duration::from_secs(1_800_000_000));
 
-fn replica(server: u32, ahead: Duration) -> Told {
-    Told {
+fn replica(server: u32, ahead: Duration) -> ReportedPosition {
+    ReportedPosition {
         server: ServerId(server),
         position: NOW.plus(ahead),
-        present_since: None,
+        read_after: None,
     }
 }
 
-/// A primary's word that took 5 ms, with true time this far ahead.
-fn primary(server: u32, ahead: Duration) -> Told {
-    Told {
-        present_since: Some(NOW.minus(5 * MS)),
+/// A primary's report that took 5 ms, with true time this far ahead.
+fn primary(server: u32, ahead: Duration) -> ReportedPosition {
+    ReportedPosition {
+        read_after: Some(NOW.minus(5 * MS)),
         ..replica(server, ahead)
     }
 }
 
-fn heard(words: &[Told]) -> Evidence {
-    let mut evidence = Evidence::default();
-    words.iter().for_each(|word| evidence.told(*word, NOW));
-    evidence
+fn heard(reports: &[ReportedPosition]) -> SkewEstimate {
+    let mut estimate = SkewEstimate::default();
+    words
+        .iter()
+        .for_each(|word| estimate.observe_position(*report, NOW));
+    estimate
 }
 
 #[test]
 fn without_evidence_the_clock_counts() {
-    let evidence = heard(&[primary(1, Duration::ZERO), replica(2, Duration::ZERO)]);
-    assert_eq!(evidence.lead(NOW), Duration::ZERO);
-    assert_eq!(evidence.latest(NOW), NOW.plus(1_000 * MS));
+    let estimate = heard(&[primary(1, Duration::ZERO), replica(2, Duration::ZERO)]);
+    assert_eq!(estimate.lead(NOW), Duration::ZERO);
+    assert_eq!(estimate.latest_position(NOW), NOW.plus(1_000 * MS));
 }
 
-/// Two servers that agree, or one that says it three times, prove that the clock is behind; from then on their
-/// positions are believed and bounds go by them.
+/// Two servers that agree, or three reports of one server, prove that the clock is behind; from then on their positions
+/// are believed and staleness bounds are computed with them.
 #[test]
-fn a_clock_that_is_behind_is_found_out() {
+fn a_clock_that_is_behind_is_detected() {
     for behind in [2_000 * MS, 5_000 * MS, 3_600_000 * MS] {
         let lag = 300 * MS;
         for words in [
@@ -119,123 +121,123 @@
             vec![replica(2, behind - lag), primary(1, behind)],
             vec![primary(1, behind); 3],
         ] {
-            let evidence = heard(&words);
+            let estimate = heard(&words);
             assert_eq!(
-                evidence.lead(NOW.plus(Duration::from_secs(600))),
+                estimate.lead(NOW.plus(Duration::from_secs(600))),
                 behind,
                 "{words:?}"
             );
-            assert!(evidence.latest(NOW) >= NOW.plus(behind));
+            assert!(estimate.latest_position(NOW) >= NOW.plus(behind));
         }
     }
 }
 
-/// One word is heeded at once, for needs alone and for a short time: a spoilt position poisons nothing.
+/// A single server reports a position that is wrong. It counts at once, but only for freshness needs and for a short time.
 #[test]
-fn one_spoilt_position_is_heeded_for_a_short_time_only() {
+fn one_wrong_position_counts_for_a_short_time_only() {
     for ahead in [400 * MS, 5_000 * MS, Duration::from_secs(1 << 40)] {
-        let mut evidence = heard(&[replica(1, ahead)]);
-        assert_eq!(evidence.lead(NOW), ahead);
+        let mut estimate = heard(&[replica(1, ahead)]);
+        assert_eq!(estimate.lead(NOW), ahead);
         assert_eq!(
-            evidence.latest(NOW),
+            estimate.latest_position(NOW),
             NOW.plus(1_000 * MS),
             "its position is not believed"
         );
         // A replica that says less takes back nothing of it.
-        evidence.told(replica(2, Duration::ZERO), NOW);
-        assert_eq!(evidence.lead(NOW.plus(1_900 * MS)), ahead);
-        assert_eq!(evidence.lead(NOW.plus(2_100 * MS)), Duration::ZERO);
+        estimate.observe_position(replica(2, Duration::ZERO), NOW);
+        assert_eq!(estimate.lead(NOW.plus(1_900 * MS)), ahead);
+        assert_eq!(estimate.lead(NOW.plus(2_100 * MS)), Duration::ZERO);
     }
-    let spoilt: Vec<Told> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
+    let spoilt: Vec<ReportedPosition> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
     assert_eq!(
         heard(&spoilt).lead(NOW.plus(2_100 * MS)),
         Duration::ZERO,
         "no two of them agree"
     );
-    let mut evidence = heard(&[replica(1, 5_000 * MS)]);
+    let mut estimate = heard(&[replica(1, 5_000 * MS)]);
     let later = NOW.plus(Duration::from_secs(60));
-    evidence.told(
-        Told {
+    estimate.observe_position(
+        ReportedPosition {
             position: later.plus(5_000 * MS),
             ..replica(2, Duration::ZERO)
         },
         later,
     );
     assert_eq!(
-        evidence.lead(later.plus(2_100 * MS)),
+        estimate.lead(later.plus(2_100 * MS)),
         Duration::ZERO,
         "the first is forgotten by then"
     );
 }
 
-/// What two liars have proven is taken back by primaries, three times in a row and not sooner.
+/// Two servers have reported wrong positions. Primaries revoke the lead by three contradictions in a row, not sooner.
 #[test]
-fn primaries_take_back_what_they_contradict() {
-    let mut evidence = heard(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
-    evidence.told(primary(3, Duration::ZERO), NOW);
-    evidence.told(primary(3, Duration::ZERO), NOW);
-    assert_eq!(evidence.lead(NOW), 5_000 * MS);
-    evidence.told(primary(4, 5_000 * MS), NOW);
-    evidence.told(primary(3, Duration::ZERO), NOW);
-    evidence.told(primary(3, Duration::ZERO), NOW);
-    assert_eq!(evidence.lead(NOW), 5_000 * MS, "one has agreed in between");
-    evidence.told(primary(3, 2 * MS), NOW);
+fn primaries_revoke_what_they_contradict() {
+    let mut estimate = heard(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
+    estimate.observe_position(primary(3, Duration::ZERO), NOW);
+    estimate.observe_position(primary(3, Duration::ZERO), NOW);
+    assert_eq!(estimate.lead(NOW), 5_000 * MS);
+    estimate.observe_position(primary(4, 5_000 * MS), NOW);
+    estimate.observe_position(primary(3, Duration::ZERO), NOW);
+    estimate.observe_position(primary(3, Duration::ZERO), NOW);
+    assert_eq!(estimate.lead(NOW), 5_000 * MS, "one has agreed in between");
+    estimate.observe_position(primary(3, 2 * MS), NOW);
     assert_eq!(
-        evidence.lead(NOW),
+        estimate.lead(NOW),
         10 * MS,
         "the most that they allow, in tens of milliseconds"
     );
     // A replica's old position contradicts nothing: it may lag.
-    let mut evidence = heard(&[primary(1, 5_000 * MS); 3]);
-    (0..9).for_each(|_| evidence.told(replica(2, Duration::ZERO), NOW));
-    assert_eq!(evidence.lead(NOW), 5_000 * MS);
+    let mut estimate = heard(&[primary(1, 5_000 * MS); 3]);
+    (0..9).for_each(|_| estimate.observe_position(replica(2, Duration::ZERO), NOW));
+    assert_eq!(estimate.lead(NOW), 5_000 * MS);
 }
 
-/// Of two readings the later counts, until primaries show that the system's clock is the one that is wrong.
+/// Of two readings of the clock the later time counts, until primaries show that the system's clock is wrong.
 #[test]
 fn a_step_forward_counts_until_primaries_contradict_it() {
     for step in [2_000 * MS, 3_600_000 * MS] {
-        let mut evidence = heard(&[primary(1, Duration::ZERO)]);
-        evidence.system(step);
-        assert_eq!(evidence.lead(NOW), step);
+        let mut estimate = heard(&[primary(1, Duration::ZERO)]);
+        estimate.observe_system_clock(step);
+        assert_eq!(estimate.lead(NOW), step);
         assert_eq!(
-            evidence.latest(NOW),
+            estimate.latest_position(NOW),
             NOW.plus(1_000 * MS),
             "no position is believed by it alone"
         );
         for _ in 0..3 {
-            assert_eq!(evidence.lead(NOW), step);
-            evidence.told(primary(1, Duration::ZERO), NOW);
+            assert_eq!(estimate.lead(NOW), step);
+            estimate.observe_position(primary(1, Duration::ZERO), NOW);
         }
-        assert_eq!(evidence.lead(NOW), Duration::ZERO);
-        evidence.system(step);
+        assert_eq!(estimate.lead(NOW), Duration::ZERO);
+        estimate.observe_system_clock(step);
         assert_eq!(
-            evidence.lead(NOW),
+            estimate.lead(NOW),
             Duration::ZERO,
             "the same reading stays refuted"
         );
-        evidence.system(step + 1_000 * MS);
+        estimate.observe_system_clock(step + 1_000 * MS);
         assert_eq!(
-            evidence.lead(NOW),
+            estimate.lead(NOW),
             step + 1_000 * MS,
             "another step is another reading"
         );
-        evidence.system(Duration::ZERO);
-        assert_eq!(evidence.lead(NOW), Duration::ZERO, "it was stepped back");
+        estimate.observe_system_clock(Duration::ZERO);
+        assert_eq!(estimate.lead(NOW), Duration::ZERO, "it was stepped back");
     }
 }
 
-/// A report may be old, and a slow answer leaves much open: neither takes back a small lead, nor supports one.
+/// A report may be old, and a slow response gives wide bounds: neither revokes a small lead nor supports one.
 #[test]
-fn words_that_leave_much_open_neither_support_nor_contradict() {
-    let slow = Told {
-        present_since: Some(NOW.minus(3_000 * MS)),
+fn reports_with_wide_bounds_neither_support_nor_contradict() {
+    let slow = ReportedPosition {
+        read_after: Some(NOW.minus(3_000 * MS)),
         ..primary(1, Duration::ZERO)
     };
-    let mut evidence = Evidence::default();
-    evidence.system(2_000 * MS);
-    (0..9).for_each(|_| evidence.told(slow, NOW));
-    assert_eq!(evidence.lead(NOW), 2_000 * MS);
+    let mut estimate = SkewEstimate::default();
+    estimate.observe_system_clock(2_000 * MS);
+    (0..9).for_each(|_| estimate.observe_position(slow, NOW));
+    assert_eq!(estimate.lead(NOW), 2_000 * MS);
     for word in [
         primary(1, Duration::ZERO),
         slow,
@@ -243,10 +245,10 @@
         slow,
         primary(1, Duration::ZERO),
     ] {
-        evidence.told(word, NOW);
+        estimate.observe_position(word, NOW);
     }
     assert_eq!(
-        evidence.lead(NOW),
+        estimate.lead(NOW),
         Duration::ZERO,
         "quick answers in a row, but for what says nothing"
     );
@@ -255,38 +257,39 @@
 /// Machines whose clocks differ by milliseconds: needs stay as they are from one answer to the next.
 #[test]
 fn a_lead_of_milliseconds_is_rounded_up() {
-    let mut evidence = heard(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
-    assert_eq!(evidence.lead(NOW.plus(Duration::from_secs(60))), 10 * MS);
-    (1..9).for_each(|ms| evidence.told(primary(ms, MS * ms), NOW));
-    assert_eq!(evidence.lead(NOW), 10 * MS);
+    let mut estimate = heard(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
+    assert_eq!(estimate.lead(NOW.plus(Duration::from_secs(60))), 10 * MS);
+    (1..9).for_each(|ms| estimate.observe_position(primary(ms, MS * ms), NOW));
+    assert_eq!(estimate.lead(NOW), 10 * MS);
 }
 
-/// The system's clock was set right after the start: one server's word is enough beside it.
+/// The system's clock was corrected after the start: with it, the report of one server is enough.
 #[test]
-fn the_system_clock_supports_a_servers_word() {
-    let mut evidence = Evidence::default();
-    evidence.system(5_000 * MS);
-    evidence.told(replica(1, 4_800 * MS), NOW);
-    assert!(evidence.latest(NOW) >= NOW.plus(4_800 * MS));
-    evidence.system(Duration::ZERO);
-    assert_eq!(evidence.lead(NOW), 4_800 * MS);
+fn the_system_clock_supports_a_servers_report() {
+    let mut estimate = SkewEstimate::default();
+    estimate.observe_system_clock(5_000 * MS);
+    estimate.observe_position(replica(1, 4_800 * MS), NOW);
+    assert!(estimate.latest_position(NOW) >= NOW.plus(4_800 * MS));
+    estimate.observe_system_clock(Duration::ZERO);
+    assert_eq!(estimate.lead(NOW), 4_800 * MS);
 }
 
 /// A client's position counts for its own read. For all others it needs a server or the system's clock beside it.
 #[test]
 fn a_client_alone_proves_nothing() {
     let after = NOW.plus(5_000 * MS);
-    let mut evidence = Evidence::default();
-    (0..9).for_each(|_| evidence.written(after, NOW));
-    assert_eq!(evidence.lead(NOW), Duration::ZERO);
-    evidence.told(primary(1, 5_000 * MS), NOW);
-    evidence.written(after, NOW);
-    assert_eq!(evidence.lead(NOW.plus(Duration::from_secs(60))), 5_000 * MS);
+    let mut estimate = SkewEstimate::default();
+    (0..9).for_each(|_| estimate.observe_client_write(after, NOW));
+    assert_eq!(estimate.lead(NOW), Duration::ZERO);
+    estimate.observe_position(primary(1, 5_000 * MS), NOW);
+    estimate.observe_client_write(after, NOW);
+    assert_eq!(estimate.lead(NOW.plus(Duration::from_secs(60))), 5_000 * MS);
 }
 
-/// Of a report whose position is not believed yet the rest counts: without its role no write would find its primary.
+/// A load report has a position that is not believed yet. The rest of it counts: without the role no write would find its
+/// primary.
 #[test]
-fn a_report_ahead_of_the_clock_still_tells_the_role() {
+fn a_report_ahead_of_the_clock_still_gives_the_role() {
     let probed = |ahead: Duration| {
         let fields = [("x0", NOW.plus(ahead).0.as_secs_f64()), ("x1", 1.0)];
         let fields = fields
