--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -97,9 +97,9 @@
 
 fn heard(reports: &[ReportedPosition]) -> SkewEstimate {
     let mut estimate = SkewEstimate::default();
-    words
+    reports
         .iter()
-        .for_each(|word| estimate.observe_position(*report, NOW));
+        .for_each(|report| estimate.observe_position(*report, NOW));
     estimate
 }
 
