--- a/crates/leverproxy/src/discovery/watch.rs
+++ b/crates/leverproxy/src/discovery/watch.rs
@@ -7,7 +7,7 @@
 use crate::event_loop::stream::{DialError, ReadStatus, Stream};
 use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
-use crate::protocol::http::{self, Part, Reader};
+use crate::protocol::http::{self, Part, ResponseParser};
 use discovery_schedule::{Action, Event, PollSchedule};
 use std::collections::VecDeque;
 use std::io;
@@ -39,7 +39,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
-    Http(#[from] http::Fault),
+    Http(#[from] http::HttpError),
     #[error(transparent)]
     List(#[from] EndpointListError),
     #[error("the watch ended")]
@@ -66,7 +66,7 @@
 struct Watch {
     stream: Stream,
     connected: bool,
-    reader: Reader,
+    reader: ResponseParser,
     /// A part of the response has arrived.
     responded: bool,
 }
@@ -198,7 +198,7 @@
         let key = self.watches.insert(Watch {
             stream,
             connected: false,
-            reader: Reader::default(),
+            reader: ResponseParser::default(),
             responded: false,
         });
         self.current = Some(key);
@@ -269,7 +269,7 @@
     fn push_parts(&mut self, parts: &[Part]) -> Result<(), EndpointListError> {
         for part in parts {
             self.events.push_back(match part {
-                Part::Alive => WatchEvent::Unchanged,
+                Part::Keepalive => WatchEvent::Unchanged,
                 Part::Object(text) => WatchEvent::List(EndpointList::parse(text.as_bytes())?),
             });
         }
@@ -301,7 +301,7 @@
     received: bool,
     /// The response or its connection has ended.
     ended: bool,
-    parsed: Result<(), http::Fault>,
+    parsed: Result<(), http::HttpError>,
 }
 
 impl Watch {
@@ -315,12 +315,12 @@
         let written = self.stream.flush()?;
         let filled = self.stream.fill(INPUT_LIMIT);
         let received = !self.stream.input.is_empty();
-        let parsed = self.reader.take(self.stream.input.unused(), parts);
+        let parsed = self.reader.parse(self.stream.input.unused(), parts);
         self.stream.input.consume(*parsed.as_ref().unwrap_or(&0));
         Ok(Transfer {
             written,
             received,
-            ended: filled == ReadStatus::Ended || self.reader.done(),
+            ended: filled == ReadStatus::Ended || self.reader.is_done(),
             parsed: parsed.map(|_| ()),
         })
     }
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -3,7 +3,7 @@
 use crate::config::Patience;
 use crate::event_loop::slab::Key;
 use crate::event_loop::stream::Stream;
-use crate::protocol::postgres::server::{self, Asked, CancelKey, Startup};
+use crate::protocol::postgres::server::{self, CancelKey, ClientMessage, Startup};
 use crate::protocol::postgres::statement::{self, Query};
 use crate::protocol::postgres::Malformed;
 use crate::request::{Request, ResponseSlot};
@@ -205,7 +205,8 @@
 }
 
 pub(super) fn greet(client: &mut Client) -> Result<Step, Malformed> {
-    let Some((startup, used)) = server::startup(client.stream.input.unused(), client.cancel_key)?
+    let Some((startup, used)) =
+        server::parse_startup(client.stream.input.unused(), client.cancel_key)?
     else {
         return Ok(Step::Wait);
     };
@@ -222,25 +223,25 @@
 }
 
 pub(super) fn command(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
-    let Some((asked, used)) = server::asked(client.stream.input.unused())? else {
+    let Some((asked, used)) = server::parse_client_message(client.stream.input.unused())? else {
         return Ok(Step::Wait);
     };
     let (mut request, mut rejected) = (None, None);
     let answer = match asked {
-        Asked::Terminate => return Ok(Step::Gone),
-        Asked::Sync => {
+        ClientMessage::Terminate => return Ok(Step::Gone),
+        ClientMessage::Sync => {
             client.skipping = false;
-            Some(server::ready())
+            Some(server::ready_for_query())
         }
-        Asked::Unsupported(tag) if !client.skipping => {
+        ClientMessage::Unsupported(tag) if !client.skipping => {
             client.skipping = true;
             Some(server::unsupported(tag))
         }
-        Asked::Unsupported(_) => None,
-        Asked::Query(_) if client.skipping => None,
-        Asked::Query(text) => match statement::parse(text, now) {
+        ClientMessage::Unsupported(_) => None,
+        ClientMessage::Query(_) if client.skipping => None,
+        ClientMessage::Query(text) => match statement::parse(text, now) {
             Ok(Query::Empty) => Some(server::empty_query()),
-            Ok(Query::Setting(tag)) => Some(server::done(tag)),
+            Ok(Query::Setting(tag)) => Some(server::command_complete(tag)),
             Ok(Query::Request(read)) => {
                 request = Some(Request {
                     client: client.peer,
@@ -249,7 +250,7 @@
                 None
             }
             Err(why) => {
-                rejected = Some(why);
+                rejected = Some(why.to_string());
                 None
             }
         },
--- a/crates/leverproxy/src/downstream/mod.rs
+++ b/crates/leverproxy/src/downstream/mod.rs
@@ -216,7 +216,7 @@
                     let key = self.adopt(stream, peer, now, reactor);
                     let check = self.clients.get(key).is_some_and(|c| c.check);
                     if full && quiet.is_none() && !check {
-                        self.turn_out(key, server::too_many());
+                        self.turn_out(key, server::too_many_connections());
                         self.write(key, now, reactor);
                     }
                 }
@@ -394,7 +394,7 @@
             .is_some_and(|client| client.overdue(&self.patience, now))
         {
             let why = Malformed("nothing whole was asked for in time".into());
-            self.turn_out(key, server::fatal(&why));
+            self.turn_out(key, server::protocol_violation(&why));
         }
         self.write(key, now, reactor);
     }
@@ -454,7 +454,7 @@
                         format!("front: a statement is not understood: {why}")
                     });
                     self.not_understood += 1;
-                    client.expect(Some(server::answer(Answer::Rejected(why))));
+                    client.expect(Some(server::response(Answer::Rejected(why))));
                     client.quiet_since = now;
                 }
                 Ok(Step::Next) if greeted => client.quiet_since = now,
@@ -471,7 +471,7 @@
                     self.misunderstood
                         .warn(now, || format!("front: a client is not understood: {why}"));
                     self.turned_out += 1;
-                    client.expect(Some(server::fatal(&why)));
+                    client.expect(Some(server::protocol_violation(&why)));
                     client.ending = Some(Ending::Told);
                 }
             }
@@ -485,7 +485,7 @@
         if partial && client.stream.input.len() > LARGE {
             let bytes: usize = self.clients.iter().map(|(_, c)| c.stream.input.len()).sum();
             if bytes > self.limits.unfinished {
-                return self.turn_out(key, server::no_memory());
+                return self.turn_out(key, server::out_of_memory());
             }
         }
         let Some(client) = self.clients.get_mut(key) else {
@@ -537,7 +537,7 @@
         else {
             return;
         };
-        let mut bytes = server::answer(answer);
+        let mut bytes = server::response(answer);
         if let Slot::Passing(begun) = place {
             begun.append(&mut bytes);
             bytes = std::mem::take(begun);
@@ -752,7 +752,7 @@
     fn refuse_waiting(&mut self, now: Instant, reactor: &Reactor) {
         while let Some(Ok((stream, peer))) = self.listener.as_ref().map(listener::accept) {
             let key = self.adopt(stream, peer, now, reactor);
-            self.turn_out(key, server::too_many());
+            self.turn_out(key, server::too_many_connections());
             self.write(key, now, reactor);
         }
     }
--- /dev/null
+++ b/crates/leverproxy/src/protocol/http/mod.rs
@@ -0,0 +1,202 @@
+//! The part of HTTP/1.1 that a watch on discovery needs: the head of a response, a body in chunks or plain, and the JSON
+//! objects in it, parsed as they arrive. An object may be cut anywhere and indented, and several may arrive at once; white
+//! space between them means that nothing has changed.
+
+mod error;
+mod objects;
+
+pub use error::{HttpError, NotJson};
+
+use error::{HEAD_LIMIT, MAX_HEADERS};
+use objects::ObjectSplitter;
+
+const SIZE_LINE_LIMIT: usize = 256;
+
+#[derive(Debug, Default)]
+enum State {
+    #[default]
+    Head,
+    ChunkSize,
+    Chunk {
+        left: u64,
+    },
+    ChunkEnd,
+    /// A body that lasts for so many bytes, or until the connection ends.
+    Plain {
+        left: Option<u64>,
+    },
+    Done,
+}
+
+/// What a step has used of the bytes.
+enum Step {
+    /// So many bytes; there may be more to parse.
+    Continue(usize),
+    /// So many bytes; more have to arrive.
+    Wait(usize),
+}
+
+/// A part of a body.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Part {
+    /// White space: the peer is there, and has nothing to report.
+    Keepalive,
+    /// The text of one object.
+    Object(String),
+}
+
+/// Parses one response as its bytes arrive.
+#[derive(Debug, Default)]
+pub struct ResponseParser {
+    state: State,
+    objects: ObjectSplitter,
+}
+
+impl ResponseParser {
+    /// Parses what it can of `bytes`, appends the parts of the body, and returns how many bytes are used. Parts that were
+    /// complete before an error are appended too.
+    pub fn parse(&mut self, bytes: &[u8], parts: &mut Vec<Part>) -> Result<usize, HttpError> {
+        let mut at = 0;
+        loop {
+            match self.step(&bytes[at..], parts)? {
+                Step::Continue(used) => at += used,
+                Step::Wait(used) => return Ok(at + used),
+            }
+        }
+    }
+
+    fn step(&mut self, rest: &[u8], parts: &mut Vec<Part>) -> Result<Step, HttpError> {
+        match self.state {
+            State::Head => self.parse_head(rest),
+            State::ChunkSize => self.parse_chunk_size(rest),
+            State::Chunk { left } => self.parse_chunk(rest, left, parts),
+            State::ChunkEnd => self.parse_chunk_end(rest),
+            State::Plain { left } => self.parse_plain(rest, left, parts),
+            State::Done if self.objects.has_incomplete() => Err(HttpError::Cut),
+            State::Done => Ok(Step::Wait(0)),
+        }
+    }
+
+    fn parse_head(&mut self, rest: &[u8]) -> Result<Step, HttpError> {
+        let Some((used, body)) = parse_head(rest)? else {
+            return Ok(Step::Wait(0));
+        };
+        self.state = body;
+        Ok(Step::Continue(used))
+    }
+
+    fn parse_chunk_size(&mut self, rest: &[u8]) -> Result<Step, HttpError> {
+        match httparse::parse_chunk_size(rest).map_err(|_| HttpError::Chunk)? {
+            httparse::Status::Complete((used, left)) => {
+                self.state = if left == 0 {
+                    State::Done
+                } else {
+                    State::Chunk { left }
+                };
+                Ok(Step::Continue(used))
+            }
+            httparse::Status::Partial if rest.len() > SIZE_LINE_LIMIT => Err(HttpError::Chunk),
+            httparse::Status::Partial => Ok(Step::Wait(0)),
+        }
+    }
+
+    fn parse_chunk(
+        &mut self,
+        rest: &[u8],
+        left: u64,
+        parts: &mut Vec<Part>,
+    ) -> Result<Step, HttpError> {
+        let used = available(rest, left);
+        let left = left - used as u64;
+        self.state = if left == 0 {
+            State::ChunkEnd
+        } else {
+            State::Chunk { left }
+        };
+        self.objects.split(&rest[..used], parts)?;
+        Ok(if left == 0 {
+            Step::Continue(used)
+        } else {
+            Step::Wait(used)
+        })
+    }
+
+    fn parse_chunk_end(&mut self, rest: &[u8]) -> Result<Step, HttpError> {
+        match rest {
+            [b'\r', b'\n', ..] => {
+                self.state = State::ChunkSize;
+                Ok(Step::Continue(2))
+            }
+            [] | [b'\r'] => Ok(Step::Wait(0)),
+            _ => Err(HttpError::Chunk),
+        }
+    }
+
+    fn parse_plain(
+        &mut self,
+        rest: &[u8],
+        left: Option<u64>,
+        parts: &mut Vec<Part>,
+    ) -> Result<Step, HttpError> {
+        let used = left.map_or(rest.len(), |left| available(rest, left));
+        let left = left.map(|left| left - used as u64);
+        self.state = State::Plain { left };
+        self.objects.split(&rest[..used], parts)?;
+        if left == Some(0) {
+            self.state = State::Done;
+        }
+        Ok(Step::Wait(used))
+    }
+
+    /// Whether the response is complete: nothing more will arrive.
+    pub fn is_done(&self) -> bool {
+        matches!(self.state, State::Done)
+    }
+}
+
+/// How many of these bytes belong to a part of which so many are left.
+fn available(bytes: &[u8], left: u64) -> usize {
+    bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX))
+}
+
+/// The head of a response, once it is complete: its length, and how the body is transferred.
+fn parse_head(bytes: &[u8]) -> Result<Option<(usize, State)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    let used = match response.parse(bytes) {
+        Ok(httparse::Status::Complete(used)) => used,
+        Ok(httparse::Status::Partial) if bytes.len() > HEAD_LIMIT => {
+            return Err(HttpError::HeadTooLong)
+        }
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLong),
+        Err(error) => return Err(HttpError::NotHttp(error)),
+    };
+    match response.code {
+        Some(200) => Ok(Some((used, body_state(response.headers)?))),
+        other => Err(HttpError::Status(other.unwrap_or_default())),
+    }
+}
+
+/// How the body is transferred.
+fn body_state(headers: &[httparse::Header<'_>]) -> Result<State, HttpError> {
+    let value = |name: &str| {
+        let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        header.map(|h| String::from_utf8_lossy(h.value).trim().to_owned())
+    };
+    match (value("transfer-encoding"), value("content-length")) {
+        (Some(encoding), _) if encoding.eq_ignore_ascii_case("chunked") => Ok(State::ChunkSize),
+        (Some(encoding), _) => Err(HttpError::Encoding(encoding)),
+        (None, Some(length)) => match length.parse() {
+            Ok(left) => Ok(State::Plain { left: Some(left) }),
+            Err(_) => Err(HttpError::Length(length)),
+        },
+        (None, None) => Ok(State::Plain { left: None }),
+    }
+}
+
+/// A request for a stream of objects.
+pub fn get(host: &str, target: &str) -> Vec<u8> {
+    format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
+        .into_bytes()
+}
--- a/crates/leverproxy/src/protocol/http/objects.rs
+++ b/crates/leverproxy/src/protocol/http/objects.rs
@@ -1,80 +1,75 @@
-//! Where the JSON objects of a body begin and end. Each byte is looked at once, in whatever pieces the body comes; what an
-//! object holds is read when it is whole.
+//! Where the JSON objects of a body begin and end. Each byte is looked at once, in whatever pieces the body arrives; the
+//! content of an object is parsed once it is complete.
 
-use super::{Fault, Part};
-
-/// Largest object of a body.
-pub(super) const OBJECT_LIMIT: usize = 4 << 20;
+use super::error::{HttpError, NotJson, OBJECT_LIMIT};
+use super::Part;
 
+/// The position in the JSON text; the numbers are the depth of nested objects and arrays.
 #[derive(Debug, Default)]
-enum Place {
+enum Position {
     #[default]
     Outside,
-    /// In that many objects and arrays.
     Inside(usize),
-    Text(usize),
-    /// Behind a backslash in a text.
+    InString(usize),
+    /// Behind a backslash in a string.
     Escaped(usize),
 }
 
+/// Splits a body into objects.
 #[derive(Debug, Default)]
-pub struct Objects {
-    place: Place,
-    /// What there is of the object that has begun.
+pub(super) struct ObjectSplitter {
+    position: Position,
+    /// What has arrived of the object that has begun.
     object: Vec<u8>,
 }
 
-impl Objects {
-    /// Takes the next bytes in. Objects that came whole before a fault are among the parts.
-    pub fn take(&mut self, bytes: &[u8], parts: &mut Vec<Part>) -> Result<(), Fault> {
-        let mut alive = !bytes.is_empty();
+impl ObjectSplitter {
+    /// Splits the next bytes. Objects that were complete before an error are appended too.
+    pub(super) fn split(&mut self, bytes: &[u8], parts: &mut Vec<Part>) -> Result<(), HttpError> {
+        let mut only_space = !bytes.is_empty();
         for &byte in bytes {
-            let Some(place) = next(&self.place, byte)? else {
+            let Some(position) = next(&self.position, byte)? else {
                 continue;
             };
-            alive = false;
+            only_space = false;
             self.object.push(byte);
-            self.place = place;
-            if matches!(self.place, Place::Outside) {
+            self.position = position;
+            if matches!(self.position, Position::Outside) {
                 let object = String::from_utf8(std::mem::take(&mut self.object));
-                parts.push(Part::Object(
-                    object.map_err(|e| Fault::NotJson(e.to_string()))?,
-                ));
+                parts.push(Part::Object(object.map_err(NotJson::from)?));
             }
             if self.object.len() > OBJECT_LIMIT {
-                return Err(Fault::TooLong);
+                return Err(HttpError::TooLong);
             }
         }
-        if alive {
-            parts.push(Part::Alive);
+        if only_space {
+            parts.push(Part::Keepalive);
         }
         Ok(())
     }
 
-    /// An object has begun that is not whole.
-    pub fn begun(&self) -> bool {
+    /// Whether an object has begun that is not complete.
+    pub(super) fn has_incomplete(&self) -> bool {
         !self.object.is_empty()
     }
 }
 
-/// Where the byte leads to; none: it is white space between objects.
-fn next(place: &Place, byte: u8) -> Result<Option<Place>, Fault> {
-    Ok(Some(match (place, byte) {
-        (Place::Outside, b' ' | b'\t' | b'\r' | b'\n') => return Ok(None),
-        (Place::Outside, b'{' | b'[') => Place::Inside(1),
-        (Place::Outside, _) => return Err(unexpected(byte, "between objects")),
-        (Place::Inside(depth), b'"') => Place::Text(*depth),
-        (Place::Inside(depth), b'{' | b'[') => Place::Inside(depth + 1),
-        (Place::Inside(1), b'}' | b']') => Place::Outside,
-        (Place::Inside(depth), b'}' | b']') => Place::Inside(depth - 1),
-        (Place::Inside(depth), _) => Place::Inside(*depth),
-        (Place::Text(_) | Place::Escaped(_), 0..b' ') => return Err(unexpected(byte, "in a text")),
-        (Place::Text(depth), b'"') => Place::Inside(*depth),
-        (Place::Text(depth), b'\\') => Place::Escaped(*depth),
-        (Place::Text(depth) | Place::Escaped(depth), _) => Place::Text(*depth),
+/// The position after a byte; none for white space between objects.
+fn next(position: &Position, byte: u8) -> Result<Option<Position>, NotJson> {
+    use Position::{Escaped, InString, Inside, Outside};
+    let unexpected = |place| Err(NotJson::Unexpected { byte, place });
+    Ok(Some(match (position, byte) {
+        (Outside, b' ' | b'\t' | b'\r' | b'\n') => return Ok(None),
+        (Outside, b'{' | b'[') => Inside(1),
+        (Outside, _) => return unexpected("between objects"),
+        (Inside(depth), b'"') => InString(*depth),
+        (Inside(depth), b'{' | b'[') => Inside(depth + 1),
+        (Inside(1), b'}' | b']') => Outside,
+        (Inside(depth), b'}' | b']') => Inside(depth - 1),
+        (Inside(depth), _) => Inside(*depth),
+        (InString(_) | Escaped(_), 0..b' ') => return unexpected("in a text"),
+        (InString(depth), b'"') => Inside(*depth),
+        (InString(depth), b'\\') => Escaped(*depth),
+        (InString(depth) | Escaped(depth), _) => InString(*depth),
     }))
 }
-
-fn unexpected(byte: u8, place: &str) -> Fault {
-    Fault::NotJson(format!("{:?} {place}", char::from(byte)))
-}
--- a/crates/leverproxy/src/protocol/mod.rs
+++ b/crates/leverproxy/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Codecs of the protocols spoken: PostgreSQL to clients and servers, HTTP to discovery.
+//! Codecs: PostgreSQL to clients and record servers, HTTP to discovery.
 
 pub mod http;
 pub mod postgres;
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -1,27 +1,39 @@
-//! The side that record servers see: queries written, their answers read and understood.
+//! The side that record servers see: queries are written, their responses parsed and checked.
 
 use super::{
-    error_field, message, put, sqlstate, text, Malformed, ANSWER_LIMIT, FRAME_SLACK, VALUE_LIMIT,
+    error_field, parse_message, parse_text, put, sqlstate, Malformed, Message, FRAME_SLACK,
+    RESPONSE_LIMIT, VALUE_LIMIT,
 };
 use crate::request::{Question, Verdict};
 use routing::{ResponseMetadata, Time};
 use std::time::Duration;
 
-/// Bytes of an answer that may wait unread: the largest that is relayed in one piece, and what follows it.
+/// Bytes of a response that may wait to be parsed: the largest that is relayed as a whole, and what follows it.
 pub const INPUT_LIMIT: usize = VALUE_LIMIT + FRAME_SLACK + (8 << 10);
 
+const USER: &str = "app";
+const DATABASE: &str = "shop";
+/// Bytes from the tag of a DataRow to its first value: tag, length, number of columns, length of the value.
+const ROW_HEADER: usize = 11;
+/// Bytes that a RowDescription has for a column beside its name.
+const COLUMN_FIELDS: usize = 18;
+/// Messages of the handshake and of the session's state are no longer than this.
+const SHORT_MESSAGE: usize = 1 << 10;
+
+/// The startup packet of a connection to a record server.
 pub fn startup() -> Vec<u8> {
-    super::server::startup_packet("app", "shop")
+    super::server::startup_packet(USER, DATABASE)
 }
 
-/// The query for a question whose answer is waited for so long. A command passes as it came, but for that time.
-pub fn question(question: &Question, wait: Duration) -> Vec<u8> {
+/// The query message for a question, with the time that its client still waits. A command is relayed as it came, but for
+/// that time.
+pub fn query(question: &Question, time_left: Duration) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'Q', |body| {
         match question {
             Question::Command(command) => {
                 body.extend_from_slice(&command.before_wait);
-                body.extend_from_slice(wait.as_millis().max(1).to_string().as_bytes());
+                body.extend_from_slice(time_left.as_millis().max(1).to_string().as_bytes());
                 body.extend_from_slice(&command.after_wait);
             }
             Question::Load => body.extend_from_slice(b"SHOW load"),
@@ -31,159 +43,193 @@
     out
 }
 
-/// How far an answer has come. Anything out of this order is spoilt.
+/// How far a response has come. Messages in any other order are malformed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// The welcome to a new connection, which ends as an answer does.
+    /// The greeting on a new connection, which ends as a response does.
     Greeting,
-    Greeted,
+    Authenticated,
+    /// The query is sent.
     #[default]
-    Asked,
+    Queried,
+    /// RowDescription has come.
     Described,
-    /// A row too large to be kept: so many bytes of it are still to come.
-    Passing(usize),
+    /// A row that is too large to be buffered: so many bytes of it are still to come.
+    StreamingRow(usize),
+    /// The row has come.
     Row,
-    /// CommandComplete, or an error.
-    Over,
+    /// CommandComplete or an error has come.
+    Finished,
+}
+
+/// What was used of the bytes.
+enum Step {
+    /// So many; there may be more to parse.
+    Continue(usize),
+    /// So many; more have to arrive.
+    Wait(usize),
+    /// So many; the response is complete.
+    Complete(usize),
 }
 
-/// Reads one answer, up to ReadyForQuery, as its bytes come, and takes nothing on trust: what is relayed is one
-/// column, one row, in order, with lengths that fit. Guards against servers that answer noise, lines without end
-/// or lengths that are not true, which a client must not get for its value.
+/// Parses one response, up to ReadyForQuery, as its bytes arrive. What is relayed is one column and one row, in order, with
+/// lengths that fit. This guards against servers that send noise, lines without end or wrong lengths, which a client would
+/// otherwise get as its value.
 #[derive(Debug, Default)]
-pub struct AnswerReader {
-    /// The messages that a client gets to see.
+pub struct ResponseReader {
+    /// The messages for the client.
     relayed: Vec<u8>,
     stage: Stage,
-    /// The answer is passed on as it comes.
-    passes: bool,
-    code: Option<String>,
-    note: ResponseMetadata,
+    /// The response is passed on in chunks.
+    streaming: bool,
+    error_code: Option<String>,
+    metadata: ResponseMetadata,
 }
 
-/// Longest message of a kind; none of other kinds is expected.
+/// The longest message of a kind; none if the kind is not expected.
 fn longest(tag: u8, stage: Stage) -> Option<usize> {
     Some(match tag {
-        b'D' => ANSWER_LIMIT,
-        b'T' | b'S' => 1 << 10,
+        b'D' => RESPONSE_LIMIT,
+        b'T' | b'S' => SHORT_MESSAGE,
         b'E' | b'N' | b'A' => FRAME_SLACK,
         b'C' => 64,
         b'Z' => 5,
-        b'R' | b'K' | b'v' if matches!(stage, Stage::Greeting | Stage::Greeted) => 1 << 10,
+        b'R' | b'K' | b'v' if matches!(stage, Stage::Greeting | Stage::Authenticated) => {
+            SHORT_MESSAGE
+        }
         _ => return None,
     })
 }
 
-impl AnswerReader {
-    /// Reads the welcome to a new connection.
-    pub fn greeting() -> AnswerReader {
-        AnswerReader {
+fn malformed(tag: u8, what: &str) -> Malformed {
+    Malformed(format!("message {:?} {what}", char::from(tag)))
+}
+
+impl ResponseReader {
+    /// A reader for the greeting on a new connection.
+    pub fn greeting() -> ResponseReader {
+        ResponseReader {
             stage: Stage::Greeting,
-            ..AnswerReader::default()
+            ..ResponseReader::default()
         }
     }
 
-    /// Takes whole messages off the front of `bytes`; how many bytes they took, and whether the answer ended.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<(usize, bool), Malformed> {
+    /// Parses the complete messages at the front of `bytes`; returns how many bytes are used, and whether the response is
+    /// complete.
+    pub fn parse(&mut self, bytes: &[u8]) -> Result<(usize, bool), Malformed> {
         let mut at = 0;
         loop {
             let rest = &bytes[at..];
-            if let Stage::Passing(left) = self.stage {
-                let n = rest.len().min(left);
-                self.relayed.extend_from_slice(&rest[..n]);
-                at += n;
-                self.stage = if n == left {
-                    Stage::Row
-                } else {
-                    Stage::Passing(left - n)
-                };
-                if n < left {
-                    return Ok((at, false));
-                }
-                continue;
-            }
-            let Some(&tag) = rest.first() else {
-                return Ok((at, false));
-            };
-            let spoilt = |what: &str| Malformed(format!("message {:?} {what}", char::from(tag)));
-            let longest = longest(tag, self.stage).ok_or_else(|| spoilt("is not expected"))?;
-            if tag == b'D' && rest.len() >= 11 {
-                // Told by its head: a row that does not add up need not be waited for.
-                let length = |at: usize| {
-                    rest[at..at + 4]
-                        .iter()
-                        .fold(0, |n: usize, &b| n << 8 | usize::from(b))
-                };
-                if rest[5..7] != [0, 1] || length(7) + 10 != length(1) {
-                    return Err(spoilt("is no row of one value"));
-                }
-                if length(1) > ANSWER_LIMIT {
-                    return Err(spoilt("has a length that is no value's"));
-                }
-                if length(7) > VALUE_LIMIT {
-                    if self.stage != Stage::Described {
-                        return Err(spoilt("is out of place"));
-                    }
-                    self.passes = true;
-                    self.stage = Stage::Passing(length(1) + 1);
-                    continue;
-                }
-            }
-            let Some(message) = message(rest, longest)? else {
-                return Ok((at, false));
+            let step = match self.stage {
+                Stage::StreamingRow(left) => self.stream_row(rest, left),
+                _ => self.parse_next(rest)?,
             };
-            at += message.raw.len();
-            self.stage = match (tag, self.stage) {
-                (b'T', Stage::Asked) if one_column(message.body) => Stage::Described,
-                (b'D', Stage::Described) if message.body.len() >= 6 => Stage::Row,
-                (b'C', Stage::Row) if matches!(text(message.body), Some((_, []))) => Stage::Over,
-                (b'E', stage) if stage != Stage::Over => {
-                    let code = error_field(message.body, b'C').filter(|code| code.len() == 5);
-                    self.code = Some(code.ok_or_else(|| spoilt("bears no code"))?.to_owned());
-                    Stage::Over
-                }
-                (b'R', Stage::Greeting) if message.body == [0; 4] => Stage::Greeted,
-                (b'Z', Stage::Over | Stage::Greeted)
-                    if matches!(message.body, [b'I' | b'T' | b'E']) =>
-                {
-                    return Ok((at, true));
-                }
-                (b'S', stage) => {
-                    self.parameter(message.body);
-                    stage
-                }
-                (b'N' | b'A' | b'K' | b'v', stage) => stage,
-                _ => return Err(spoilt("is out of place or makes no sense")),
-            };
-            if matches!(tag, b'T' | b'D' | b'C') {
-                self.relayed.extend_from_slice(message.raw);
+            match step {
+                Step::Continue(used) => at += used,
+                Step::Wait(used) => return Ok((at + used, false)),
+                Step::Complete(used) => return Ok((at + used, true)),
             }
         }
     }
 
-    fn parameter(&mut self, body: &[u8]) {
-        let pair = text(body).and_then(|(name, rest)| Some((name, text(rest)?.0)));
-        match pair {
-            Some(("role", "primary")) => self.note.primary = Some(true),
-            Some(("role", "replica")) => self.note.primary = Some(false),
-            Some(("applied_ms", value)) => {
-                let position = value
-                    .parse()
-                    .ok()
-                    .filter(|&ms: &u64| ms > 0)
-                    .map(Duration::from_millis);
-                self.note.position = position.map(Time);
+    fn stream_row(&mut self, rest: &[u8], left: usize) -> Step {
+        let used = rest.len().min(left);
+        self.relayed.extend_from_slice(&rest[..used]);
+        if used < left {
+            self.stage = Stage::StreamingRow(left - used);
+            return Step::Wait(used);
+        }
+        self.stage = Stage::Row;
+        Step::Continue(used)
+    }
+
+    fn parse_next(&mut self, rest: &[u8]) -> Result<Step, Malformed> {
+        let Some(&tag) = rest.first() else {
+            return Ok(Step::Wait(0));
+        };
+        let longest = longest(tag, self.stage).ok_or_else(|| malformed(tag, "is not expected"))?;
+        if tag == b'D' && rest.len() >= ROW_HEADER && self.begin_large_row(rest)? {
+            return Ok(Step::Continue(0));
+        }
+        let Some(message) = parse_message(rest, longest)? else {
+            return Ok(Step::Wait(0));
+        };
+        let used = message.raw.len();
+        let ready = tag == b'Z' && matches!(self.stage, Stage::Finished | Stage::Authenticated);
+        if ready && matches!(message.body, [b'I' | b'T' | b'E']) {
+            return Ok(Step::Complete(used));
+        }
+        self.stage = self.next_stage(&message)?;
+        if matches!(tag, b'T' | b'D' | b'C') {
+            self.relayed.extend_from_slice(message.raw);
+        }
+        Ok(Step::Continue(used))
+    }
+
+    /// Checks a row by its header, so that a malformed one is not waited for. Returns whether the row is passed on in
+    /// chunks.
+    fn begin_large_row(&mut self, rest: &[u8]) -> Result<bool, Malformed> {
+        let number = |at: usize| {
+            let bytes = &rest[at..at + 4];
+            bytes.iter().fold(0, |n: usize, &b| n << 8 | usize::from(b))
+        };
+        let (message_length, columns, value_length) = (number(1), &rest[5..7], number(7));
+        if columns != [0, 1] || value_length + 10 != message_length {
+            return Err(malformed(b'D', "is no row of one value"));
+        }
+        if message_length > RESPONSE_LIMIT {
+            return Err(malformed(b'D', "has a length that is no value's"));
+        }
+        if value_length <= VALUE_LIMIT {
+            return Ok(false);
+        }
+        if self.stage != Stage::Described {
+            return Err(malformed(b'D', "is out of place"));
+        }
+        self.streaming = true;
+        self.stage = Stage::StreamingRow(message_length + 1);
+        Ok(true)
+    }
+
+    /// The stage after a message; an error if the message is out of order.
+    fn next_stage(&mut self, message: &Message<'_>) -> Result<Stage, Malformed> {
+        let (tag, body) = (message.tag, message.body);
+        Ok(match (tag, self.stage) {
+            (b'T', Stage::Queried) if has_one_column(body) => Stage::Described,
+            (b'D', Stage::Described) if body.len() >= 6 => Stage::Row,
+            (b'C', Stage::Row) if matches!(parse_text(body), Some((_, []))) => Stage::Finished,
+            (b'E', stage) if stage != Stage::Finished => {
+                let code = error_field(body, b'C').filter(|code| code.len() == 5);
+                let code = code.ok_or_else(|| malformed(tag, "bears no code"))?;
+                self.error_code = Some(code.to_owned());
+                Stage::Finished
+            }
+            (b'R', Stage::Greeting) if body == [0; 4] => Stage::Authenticated,
+            (b'S', stage) => {
+                self.read_parameter(body);
+                stage
             }
+            (b'N' | b'A' | b'K' | b'v', stage) => stage,
+            _ => return Err(malformed(tag, "is out of place or makes no sense")),
+        })
+    }
+
+    fn read_parameter(&mut self, body: &[u8]) {
+        let pair = parse_text(body).and_then(|(name, rest)| Some((name, parse_text(rest)?.0)));
+        match pair {
+            Some(("role", "primary")) => self.metadata.primary = Some(true),
+            Some(("role", "replica")) => self.metadata.primary = Some(false),
+            Some(("applied_ms", value)) => self.metadata.position = parse_position(value),
             _ => {}
         }
     }
 
-    /// The answer passes on in pieces; the one that has come, which is empty at times.
-    pub fn piece(&mut self) -> Option<Vec<u8>> {
-        // What follows the row goes with its end.
-        let row = matches!(self.stage, Stage::Passing(_) | Stage::Row);
-        self.passes.then(|| {
-            if row {
+    /// What has arrived of a response that is passed on in chunks, which may be empty; none if it is not.
+    pub fn take_chunk(&mut self) -> Option<Vec<u8>> {
+        // What follows the row is passed on with the end of the response.
+        let in_row = matches!(self.stage, Stage::StreamingRow(_) | Stage::Row);
+        self.streaming.then(|| {
+            if in_row {
                 std::mem::take(&mut self.relayed)
             } else {
                 Vec::new()
@@ -191,23 +237,23 @@
         })
     }
 
-    /// What came says how it ended, with or without ReadyForQuery: a fatal error needs none.
-    pub fn conclusive(&self) -> bool {
-        self.code.is_some()
+    /// Whether an error message has come, which ends the response even without ReadyForQuery.
+    pub fn has_error(&self) -> bool {
+        self.error_code.is_some()
     }
 
-    /// Whatever was asked was turned away unseen.
-    pub fn turned_away(&self) -> bool {
-        self.code.as_deref() == Some(sqlstate::TOO_MANY_CONNECTIONS)
+    /// Whether the server has rejected the query or the connection unseen, because it is full.
+    pub fn is_rejected(&self) -> bool {
+        self.error_code.as_deref() == Some(sqlstate::TOO_MANY_CONNECTIONS)
     }
 
-    /// Of an answer that ended as it should.
-    pub fn verdict(self, question: &Question) -> (Verdict, ResponseMetadata) {
-        let verdict = match (self.code.as_deref(), question) {
+    /// The outcome of a response that is complete or has an error.
+    pub fn outcome(self, question: &Question) -> (Verdict, ResponseMetadata) {
+        let verdict = match (self.error_code.as_deref(), question) {
             (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
                 Verdict::Miss
             }
-            (Some(_), _) if self.turned_away() => Verdict::Full,
+            (Some(_), _) if self.is_rejected() => Verdict::Full,
             (Some(_), _) => Verdict::Failed,
             (None, Question::Command(_)) => Verdict::Served(self.relayed),
             (None, Question::Load) => Verdict::Reported(
@@ -216,20 +262,29 @@
                     .unwrap_or_default(),
             ),
         };
-        (verdict, self.note)
+        (verdict, self.metadata)
     }
 }
 
-/// The body of a RowDescription of one column: its name and 18 bytes on it.
-fn one_column(body: &[u8]) -> bool {
-    matches!(body, [0, 1, column @ ..] if text(column).is_some_and(|(_, rest)| rest.len() == 18))
+/// A position in Unix milliseconds; none if it is no number or 0.
+fn parse_position(value: &str) -> Option<Time> {
+    let ms = value.parse().ok().filter(|&ms: &u64| ms > 0)?;
+    Some(Time(Duration::from_millis(ms)))
+}
+
+/// Whether the body of a RowDescription has one column: its name and [`COLUMN_FIELDS`] bytes.
+fn has_one_column(body: &[u8]) -> bool {
+    let [0, 1, column @ ..] = body else {
+        return false;
+    };
+    parse_text(column).is_some_and(|(_, rest)| rest.len() == COLUMN_FIELDS)
 }
 
-/// The first column of the first row in the messages of an answer.
+/// The first column of the first row in the messages of a response.
 fn first_value(relayed: &[u8]) -> Option<&str> {
     let mut rest = relayed;
     loop {
-        let message = message(rest, ANSWER_LIMIT).ok()??;
+        let message = parse_message(rest, RESPONSE_LIMIT).ok()??;
         if message.tag == b'D' {
             let (length, value) = message.body.get(2..)?.split_first_chunk::<4>()?;
             let length = usize::try_from(i32::from_be_bytes(*length)).ok()?;
@@ -239,16 +294,13 @@
     }
 }
 
-/// The fields of a load report: `inflight=7,util=0.61`; none if any can't be read: it is no report then.
+/// The fields of a load report, such as `inflight=7,util=0.61`; none if one of them is malformed.
 fn load_fields(text: &str) -> Option<Vec<(String, f64)>> {
     let field = |pair: &str| {
         let (name, value) = pair.split_once('=')?;
-        let value = value
-            .trim()
-            .parse()
-            .ok()
-            .filter(|value: &f64| value.is_finite() && *value >= 0.0)?;
-        Some((name.trim().to_owned(), value))
+        let value: f64 = value.trim().parse().ok()?;
+        let valid = value.is_finite() && value >= 0.0;
+        valid.then(|| (name.trim().to_owned(), value))
     };
     text.split(',').map(field).collect()
 }
--- a/crates/leverproxy/src/protocol/postgres/mod.rs
+++ b/crates/leverproxy/src/protocol/postgres/mod.rs
@@ -1,22 +1,25 @@
-//! Version 3 of PostgreSQL's wire protocol: codec only. `server` is the side that clients see, `client` the
-//! side that record servers see, `statement` reads what a query says of itself.
+//! Version 3 of PostgreSQL's wire protocol, the codec only: `server` is the side that clients see, `client` the side that
+//! record servers see, and `statement` parses what a query says about itself.
 
 pub mod client;
 pub mod server;
 pub mod statement;
 
-use std::fmt;
+use thiserror::Error;
 
-/// Largest value that clients write, and that is relayed in one piece, and what may stand around it in a message.
+/// The largest value that clients write, and that is relayed as a whole.
 const VALUE_LIMIT: usize = 64 << 10;
+/// What a message may have around its value.
 const FRAME_SLACK: usize = 4 << 10;
-/// A value in hexadecimal digits inside a statement.
+/// The longest query: a value in hexadecimal digits inside a statement.
 pub const QUERY_LIMIT: usize = 2 * VALUE_LIMIT + FRAME_SLACK;
-/// Record servers give values of up to 4 MiB. Far beyond that a length is a lie.
-const ANSWER_LIMIT: usize = (4 << 20) + FRAME_SLACK;
+/// The longest message of a record server, whose values have up to 4 MiB. A greater length is malformed.
+const RESPONSE_LIMIT: usize = (4 << 20) + FRAME_SLACK;
+/// The longest startup packet.
 const STARTUP_LIMIT: usize = 10_000;
 
 /// SQLSTATE codes, by the names of PostgreSQL's own table.
+#[allow(missing_docs)]
 pub mod sqlstate {
     pub const PROTOCOL_VIOLATION: &str = "08P01";
     pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
@@ -29,28 +32,25 @@
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
 }
 
-/// Bytes that no sound peer sends.
-#[derive(Debug, PartialEq, Eq)]
+/// Bytes that violate the protocol; what is wrong with them.
+#[derive(Debug, PartialEq, Eq, Error)]
+#[error("{0}")]
 pub struct Malformed(pub String);
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
 /// A message with a tag, at the start of a buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message<'a> {
+    /// The kind of message.
     pub tag: u8,
+    /// What follows the length.
     pub body: &'a [u8],
-    /// The message as it stands, tag and length too.
+    /// The whole message, with tag and length.
     pub raw: &'a [u8],
 }
 
-/// The first message of `bytes`, once it is there in full. A length over `limit` is refused as soon as it is
-/// read, so that no peer makes a buffer grow beyond it.
-pub fn message(bytes: &[u8], limit: usize) -> Result<Option<Message<'_>>, Malformed> {
+/// The first message of `bytes`, once it is complete. A length over `limit` is an error as soon as it has arrived, so that
+/// no peer can make a buffer grow beyond it.
+pub fn parse_message(bytes: &[u8], limit: usize) -> Result<Option<Message<'_>>, Malformed> {
     let [tag, a, b, c, d, ..] = *bytes else {
         return Ok(None);
     };
@@ -74,6 +74,7 @@
     put_untagged(out, fill);
 }
 
+/// Appends a packet without a tag, whose body `fill` writes.
 fn put_untagged(out: &mut Vec<u8>, fill: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     out.extend([0; 4]);
@@ -82,13 +83,14 @@
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
+/// Appends a text and a zero byte.
 pub fn put_text(out: &mut Vec<u8>, text: &str) {
     out.extend(text.bytes().filter(|&b| b != 0));
     out.push(0);
 }
 
-/// A text ended by a zero, and what follows it.
-pub fn text(bytes: &[u8]) -> Option<(&str, &[u8])> {
+/// A text that a zero byte ends, and what follows it.
+pub fn parse_text(bytes: &[u8]) -> Option<(&str, &[u8])> {
     let end = bytes.iter().position(|&b| b == 0)?;
     Some((std::str::from_utf8(&bytes[..end]).ok()?, &bytes[end + 1..]))
 }
@@ -112,10 +114,10 @@
     });
 }
 
-/// A field of an ErrorResponse's body.
+/// A field in the body of an ErrorResponse.
 pub fn error_field(mut body: &[u8], wanted: u8) -> Option<&str> {
     while let Some((&field, rest)) = body.split_first().filter(|(&field, _)| field != 0) {
-        let (value, after) = text(rest)?;
+        let (value, after) = parse_text(rest)?;
         if field == wanted {
             return Some(value);
         }
@@ -124,6 +126,7 @@
     None
 }
 
-pub fn put_ready(out: &mut Vec<u8>) {
+/// Appends ReadyForQuery.
+pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put(out, b'Z', |body| body.push(b'I'));
 }
--- a/crates/leverproxy/src/protocol/postgres/server.rs
+++ b/crates/leverproxy/src/protocol/postgres/server.rs
@@ -1,8 +1,8 @@
-//! The side that clients see: their startup and queries read, the proxy's answers written.
+//! The side that clients see: their startup and queries are parsed, the proxy's responses written.
 
 use super::{
-    message, put, put_error, put_ready, put_text, put_untagged, sqlstate, text, Malformed,
-    QUERY_LIMIT, STARTUP_LIMIT,
+    parse_message, parse_text, put, put_error, put_ready_for_query, put_text, put_untagged,
+    sqlstate, Malformed, QUERY_LIMIT, STARTUP_LIMIT,
 };
 use crate::request::Answer;
 
@@ -11,29 +11,41 @@
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// Bytes of a client that may wait unread: a whole query and what follows it.
+/// The parameters that a session is told at its start.
+const PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "16.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+
+/// Bytes of a client that may wait to be parsed: a whole query and what follows it.
 pub const INPUT_LIMIT: usize = QUERY_LIMIT + (16 << 10);
 
-/// What a client's first bytes ask for.
+/// What a client's first packet asks for.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup {
-    /// A session; the answer that welcomes it.
+    /// A session; the response that starts it.
     Session(Vec<u8>),
-    /// Encryption, which is not offered here.
+    /// Encryption, which is not supported.
     Encryption,
-    /// The end of what another session has asked for.
+    /// The cancellation of another session's request.
     Cancel(CancelKey),
 }
 
-/// What a client has to name to cancel a request of a session: its process and its secret, as the welcome told them.
+/// What a client sends to cancel a request of a session: process and secret, as the session's start gave them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
+    /// The session's process number.
     pub process: u32,
+    /// Its secret.
     pub secret: u32,
 }
 
 impl CancelKey {
-    /// Of a server whose requests can't be cancelled.
+    /// The key of a server whose requests cannot be cancelled.
     pub const NONE: CancelKey = CancelKey {
         process: 0,
         secret: 0,
@@ -43,7 +55,7 @@
         (u64::from(self.process) << 32 | u64::from(self.secret)).to_be_bytes()
     }
 
-    fn read(bytes: &[u8]) -> Result<CancelKey, Malformed> {
+    fn parse(bytes: &[u8]) -> Result<CancelKey, Malformed> {
         let bytes: [u8; 8] = bytes
             .try_into()
             .map_err(|_| Malformed("a cancel request names no process and secret".into()))?;
@@ -55,8 +67,8 @@
     }
 }
 
-/// Reads the untagged first packet, which a session is welcomed for with this key; how many bytes it took.
-pub fn startup(bytes: &[u8], key: CancelKey) -> Result<Option<(Startup, usize)>, Malformed> {
+/// Parses the first packet; returns it with its length. `key`: the cancel key that a session gets.
+pub fn parse_startup(bytes: &[u8], key: CancelKey) -> Result<Option<(Startup, usize)>, Malformed> {
     let Some((head, _)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
     };
@@ -72,8 +84,8 @@
     };
     let startup = match u32::from_be_bytes(*code) {
         SSL_REQUEST | GSS_REQUEST => Startup::Encryption,
-        CANCEL_REQUEST => Startup::Cancel(CancelKey::read(options)?),
-        version if version >> 16 == 3 => Startup::Session(welcome(version, options, key)?),
+        CANCEL_REQUEST => Startup::Cancel(CancelKey::parse(options)?),
+        version if version >> 16 == 3 => Startup::Session(session_start(version, options, key)?),
         other => {
             return Err(Malformed(format!(
                 "protocol {}.{} is not spoken",
@@ -85,72 +97,74 @@
     Ok(Some((startup, length)))
 }
 
-fn welcome(version: u32, mut options: &[u8], key: CancelKey) -> Result<Vec<u8>, Malformed> {
+fn session_start(version: u32, options: &[u8], key: CancelKey) -> Result<Vec<u8>, Malformed> {
+    check_options(options)?;
     let mut out = Vec::new();
-    let mut user = false;
-    while !matches!(options, [] | [0]) {
-        let pair = text(options).and_then(|(name, rest)| Some((name, text(rest)?)));
-        let Some((name, (_, rest))) = pair else {
-            return Err(Malformed("startup options are cut off".into()));
-        };
-        user |= name == "user";
-        options = rest;
-    }
-    if !user {
-        return Err(Malformed("startup names no user".into()));
-    }
     if version != VERSION_3 {
-        // A newer minor version: this is the newest one spoken here.
+        // For a newer minor version: this is the newest one that is supported.
         put(&mut out, b'v', |body| body.extend([0; 8]));
     }
     put(&mut out, b'R', |body| body.extend([0; 4]));
-    for (name, value) in [
-        ("server_version", "16.0"),
-        ("server_encoding", "UTF8"),
-        ("client_encoding", "UTF8"),
-        ("DateStyle", "ISO, MDY"),
-        ("integer_datetimes", "on"),
-        ("standard_conforming_strings", "on"),
-    ] {
+    for (name, value) in PARAMETERS {
         put(&mut out, b'S', |body| {
             put_text(body, name);
             put_text(body, value);
         });
     }
     put(&mut out, b'K', |body| body.extend(key.to_bytes()));
-    put_ready(&mut out);
+    put_ready_for_query(&mut out);
     Ok(out)
 }
 
+/// Checks that the options are complete and name a user.
+fn check_options(mut options: &[u8]) -> Result<(), Malformed> {
+    let mut user = false;
+    while !matches!(options, [] | [0]) {
+        let pair = parse_text(options).and_then(|(name, rest)| Some((name, parse_text(rest)?)));
+        let Some((name, (_, rest))) = pair else {
+            return Err(Malformed("startup options are cut off".into()));
+        };
+        user |= name == "user";
+        options = rest;
+    }
+    if !user {
+        return Err(Malformed("startup names no user".into()));
+    }
+    Ok(())
+}
+
 /// A client's message after its startup.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Asked<'a> {
+pub enum ClientMessage<'a> {
+    /// A simple query.
     Query(&'a str),
+    /// The end of the session.
     Terminate,
     /// The end of a series of messages of the extended protocol.
     Sync,
-    /// A message that is not spoken here.
+    /// A message that is not supported; its tag.
     Unsupported(u8),
 }
 
-pub fn asked(bytes: &[u8]) -> Result<Option<(Asked<'_>, usize)>, Malformed> {
-    let Some(message) = message(bytes, QUERY_LIMIT)? else {
+/// Parses the first message of `bytes`, once it is complete; returns it with its length.
+pub fn parse_client_message(bytes: &[u8]) -> Result<Option<(ClientMessage<'_>, usize)>, Malformed> {
+    let Some(message) = parse_message(bytes, QUERY_LIMIT)? else {
         return Ok(None);
     };
-    let asked = match message.tag {
-        b'Q' => match text(message.body) {
-            Some((query, [])) => Asked::Query(query),
+    let parsed = match message.tag {
+        b'Q' => match parse_text(message.body) {
+            Some((query, [])) => ClientMessage::Query(query),
             _ => return Err(Malformed("a query is no text ended by a zero".into())),
         },
-        b'X' => Asked::Terminate,
-        b'S' => Asked::Sync,
-        other => Asked::Unsupported(other),
+        b'X' => ClientMessage::Terminate,
+        b'S' => ClientMessage::Sync,
+        other => ClientMessage::Unsupported(other),
     };
-    Ok(Some((asked, message.raw.len())))
+    Ok(Some((parsed, message.raw.len())))
 }
 
-/// The bytes of a final answer, ReadyForQuery with it.
-pub fn answer(answer: Answer) -> Vec<u8> {
+/// The bytes of a final response, with ReadyForQuery.
+pub fn response(answer: Answer) -> Vec<u8> {
     let mut out = Vec::new();
     match answer {
         Answer::Served(bytes) => out = bytes,
@@ -181,24 +195,27 @@
         }
         Answer::Rejected(why) => put_error(&mut out, "ERROR", sqlstate::SYNTAX_ERROR, &why, None),
     }
-    put_ready(&mut out);
+    put_ready_for_query(&mut out);
     out
 }
 
+/// The response to an empty query.
 pub fn empty_query() -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'I', |_| {});
-    put_ready(&mut out);
+    put_ready_for_query(&mut out);
     out
 }
 
-pub fn done(tag: &str) -> Vec<u8> {
+/// The response to a statement that is complete, with its tag.
+pub fn command_complete(tag: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'C', |body| put_text(body, tag));
-    put_ready(&mut out);
+    put_ready_for_query(&mut out);
     out
 }
 
+/// The response to a message that is not supported.
 pub fn unsupported(tag: u8) -> Vec<u8> {
     let mut out = Vec::new();
     let text = format!(
@@ -215,14 +232,15 @@
     out
 }
 
-pub fn ready() -> Vec<u8> {
+/// ReadyForQuery alone.
+pub fn ready_for_query() -> Vec<u8> {
     let mut out = Vec::new();
-    put_ready(&mut out);
+    put_ready_for_query(&mut out);
     out
 }
 
-/// The last word to a client whose bytes make no sense.
-pub fn fatal(why: &Malformed) -> Vec<u8> {
+/// The last message to a client that has sent something malformed.
+pub fn protocol_violation(why: &Malformed) -> Vec<u8> {
     let mut out = Vec::new();
     put_error(
         &mut out,
@@ -234,16 +252,16 @@
     out
 }
 
-/// The last word to a client whose unfinished command there is no memory for.
-pub fn no_memory() -> Vec<u8> {
+/// The last message to a client for whose unfinished command there is no memory.
+pub fn out_of_memory() -> Vec<u8> {
     let mut out = Vec::new();
     let text = "too many bytes of unfinished commands are waiting";
     put_error(&mut out, "FATAL", sqlstate::OUT_OF_MEMORY, text, None);
     out
 }
 
-/// The last word to a client for whom there is no place.
-pub fn too_many() -> Vec<u8> {
+/// The last message to a client above the limit of connections.
+pub fn too_many_connections() -> Vec<u8> {
     let mut out = Vec::new();
     put_error(
         &mut out,
@@ -255,7 +273,7 @@
     out
 }
 
-/// What a client sends on a connection of its own to cancel a request.
+/// The packet that a client sends on a new connection to cancel a request.
 pub fn cancel_packet(key: CancelKey) -> Vec<u8> {
     let mut out = Vec::new();
     put_untagged(&mut out, |body| {
@@ -265,7 +283,7 @@
     out
 }
 
-/// A client's startup packet, as record servers get it too.
+/// A client's startup packet.
 pub fn startup_packet(user: &str, database: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put_untagged(&mut out, |body| {
--- a/crates/leverproxy/src/protocol/postgres/statement.rs
+++ b/crates/leverproxy/src/protocol/postgres/statement.rs
@@ -1,100 +1,163 @@
-//! What a statement says of itself in its comment: `/* id=..,c=..,t=..,d=..,cluster=..,after=..,r=1 */`.
+//! What a statement says about itself in its comment: `/* id=..,c=..,t=..,d=..,cluster=..,after=..,r=1 */`.
 
 use crate::request::{shown, Command, Request};
 use std::net::{IpAddr, Ipv4Addr};
+use std::ops::Range;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// What a query asks of the proxy.
 #[derive(Debug)]
 pub enum Query {
     /// Nothing but blanks and semicolons.
     Empty,
-    /// A setting of the session, which does nothing here; the tag of its answer.
+    /// A setting of the session, which has no effect here; the tag of its response.
     Setting(&'static str),
+    /// A request for a record server.
     Request(Request),
 }
 
-pub fn parse(text: &str, read_at: Instant) -> Result<Query, String> {
+/// Why a statement is no request. Values of the client are cut to what a message should repeat.
+#[derive(Debug, PartialEq, Eq, Error)]
+pub enum StatementError {
+    /// There is no comment.
+    #[error("the statement bears no comment with its id and class")]
+    NoComment,
+    /// A part of the comment is no `name=value`.
+    #[error("{0:?} in the comment is no name=value")]
+    NotAPair(String),
+    /// A value is not a whole number.
+    #[error("{name}={value} is not a whole number")]
+    NotANumber {
+        /// The field.
+        name: String,
+        /// Its value.
+        value: String,
+    },
+    /// The group's number is too large.
+    #[error("cluster={0} is out of range")]
+    GroupOutOfRange(String),
+    /// A field that every request has is missing or empty.
+    #[error("the comment does not tell {0}")]
+    Missing(&'static str),
+}
+
+/// Parses a query; `read_at`: when it was read from the client.
+pub fn parse(text: &str, read_at: Instant) -> Result<Query, StatementError> {
     let bare = text.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
     if bare.is_empty() {
         return Ok(Query::Empty);
     }
-    let verb = bare
+    if let Some(tag) = session_setting(bare) {
+        return Ok(Query::Setting(tag));
+    }
+    let (start, comment) = last_comment(text).ok_or(StatementError::NoComment)?;
+    let fields = Fields::parse(comment, start)?;
+    fields
+        .into_request(text, start, read_at)
+        .map(Query::Request)
+}
+
+/// The tag of a statement that only sets something of the session.
+fn session_setting(statement: &str) -> Option<&'static str> {
+    let verb = statement
         .split(|c: char| !c.is_ascii_alphabetic())
         .next()
         .unwrap_or_default();
-    for tag in ["SET", "RESET", "DISCARD"] {
-        if verb.eq_ignore_ascii_case(tag) {
-            return Ok(Query::Setting(tag));
+    ["SET", "RESET", "DISCARD"]
+        .into_iter()
+        .find(|tag| verb.eq_ignore_ascii_case(tag))
+}
+
+/// The fields of the comment.
+#[derive(Default)]
+struct Fields<'a> {
+    id: Option<&'a str>,
+    class: Option<&'a str>,
+    tenant: Option<&'a str>,
+    group: Option<u32>,
+    /// The time that the client waits, and where its digits are in the statement.
+    wait: Option<(Duration, Range<usize>)>,
+    after: Option<Duration>,
+    repeated: bool,
+}
+
+impl<'a> Fields<'a> {
+    /// `start`: where the comment's text begins in the statement.
+    fn parse(comment: &'a str, start: usize) -> Result<Fields<'a>, StatementError> {
+        let mut fields = Fields::default();
+        let mut at = start;
+        for pair in comment.split(',') {
+            let lead = pair.len() - pair.trim_start().len();
+            let Some((name, value)) = pair.trim().split_once('=') else {
+                return Err(StatementError::NotAPair(shown(pair).to_owned()));
+            };
+            fields.set(name, value, at + lead + name.len() + 1)?;
+            at += pair.len() + 1;
         }
+        Ok(fields)
     }
-    let (start, comment) =
-        comment(text).ok_or("the statement bears no comment with its id and class")?;
-    let mut class = None;
-    let mut tenant = None;
-    let mut group = None;
-    let mut wait = None;
-    let mut after = None;
-    let mut repeated = false;
-    let mut id = None;
-    let mut at = start;
-    for pair in comment.split(',') {
-        let lead = pair.len() - pair.trim_start().len();
-        let Some((name, value)) = pair.trim().split_once('=') else {
-            return Err(format!("{:?} in the comment is no name=value", shown(pair)));
-        };
-        let number = || {
-            value
-                .parse::<u64>()
-                .map_err(|_| format!("{}={} is not a whole number", shown(name), shown(value)))
-        };
+
+    /// `value_at`: where the value begins in the statement.
+    fn set(&mut self, name: &str, value: &'a str, value_at: usize) -> Result<(), StatementError> {
         match name {
-            "id" => id = Some(value).filter(|value| !value.is_empty()),
-            "c" => class = Some(value.to_owned()),
-            "t" => tenant = Some(value.to_owned()),
-            "cluster" => {
-                let number = number()?;
-                group = Some(
-                    u32::try_from(number)
-                        .map_err(|_| format!("cluster={} is out of range", shown(value)))?,
-                );
-            }
+            "id" => self.id = Some(value).filter(|value| !value.is_empty()),
+            "c" => self.class = Some(value),
+            "t" => self.tenant = Some(value),
+            "cluster" => self.group = Some(group(number(name, value)?, value)?),
             "d" => {
-                let start = at + lead + name.len() + 1;
-                wait = Some((Duration::from_millis(number()?), start..start + value.len()));
+                let wait = Duration::from_millis(number(name, value)?);
+                self.wait = Some((wait, value_at..value_at + value.len()));
             }
             "after" => {
-                after = Some(number()?)
-                    .filter(|&ms| ms > 0)
-                    .map(Duration::from_millis)
+                let ms = Some(number(name, value)?).filter(|&ms| ms > 0);
+                self.after = ms.map(Duration::from_millis);
             }
-            "r" => repeated = value == "1",
+            "r" => self.repeated = value == "1",
             _ => {}
         }
-        at += pair.len() + 1;
+        Ok(())
     }
-    let missing = |name| format!("the comment does not tell {name}");
-    let (wait, place) = wait.ok_or_else(|| missing("d"))?;
-    Ok(Query::Request(Request {
-        id: id.ok_or_else(|| missing("id"))?.into(),
-        class: class.ok_or_else(|| missing("c"))?,
-        tenant,
-        group: group.ok_or_else(|| missing("cluster"))?,
-        session: quoted(&text[..start]).map(session),
-        wait,
-        after,
-        repeated,
-        command: Command {
-            before_wait: text.as_bytes()[..place.start].to_vec(),
-            after_wait: text.as_bytes()[place.end..].to_vec(),
-        },
-        client: IpAddr::V4(Ipv4Addr::UNSPECIFIED),
-        read_at,
-    }))
+
+    fn into_request(
+        self,
+        text: &str,
+        comment_start: usize,
+        read_at: Instant,
+    ) -> Result<Request, StatementError> {
+        let (wait, digits) = self.wait.ok_or(StatementError::Missing("d"))?;
+        Ok(Request {
+            id: self.id.ok_or(StatementError::Missing("id"))?.into(),
+            class: self.class.ok_or(StatementError::Missing("c"))?.to_owned(),
+            tenant: self.tenant.map(str::to_owned),
+            group: self.group.ok_or(StatementError::Missing("cluster"))?,
+            session: first_quoted(&text[..comment_start]).map(session_number),
+            wait,
+            after: self.after,
+            repeated: self.repeated,
+            command: Command {
+                before_wait: text.as_bytes()[..digits.start].to_vec(),
+                after_wait: text.as_bytes()[digits.end..].to_vec(),
+            },
+            client: IpAddr::V4(Ipv4Addr::UNSPECIFIED),
+            read_at,
+        })
+    }
+}
+
+fn number(name: &str, value: &str) -> Result<u64, StatementError> {
+    value.parse().map_err(|_| StatementError::NotANumber {
+        name: shown(name).to_owned(),
+        value: shown(value).to_owned(),
+    })
+}
+
+fn group(number: u64, value: &str) -> Result<u32, StatementError> {
+    u32::try_from(number).map_err(|_| StatementError::GroupOutOfRange(shown(value).to_owned()))
 }
 
-/// The last comment outside of quotes, and where its text starts. Data inside quotes is never taken for one.
-fn comment(text: &str) -> Option<(usize, &str)> {
+/// The last comment outside of quotes, and where its text begins. Data inside quotes is never taken for a comment.
+fn last_comment(text: &str) -> Option<(usize, &str)> {
     let bytes = text.as_bytes();
     let (mut at, mut found, mut quoted) = (0, None, false);
     while at < bytes.len() {
@@ -114,12 +177,12 @@
 }
 
 /// The first quoted text: the key in the statements that clients send.
-fn quoted(text: &str) -> Option<&str> {
+fn first_quoted(text: &str) -> Option<&str> {
     text.split('\'').nth(1)
 }
 
-/// A number for a session's key: the key itself where it is one in hexadecimal digits, else its FNV-1a hash.
-fn session(key: &str) -> u64 {
+/// A number for a session's key: the key itself if it is a hexadecimal number, else its FNV-1a hash.
+fn session_number(key: &str) -> u64 {
     u64::from_str_radix(key, 16).unwrap_or_else(|_| {
         let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         key.bytes().fold(0xcbf2_9ce4_8422_2325, step)
--- a/crates/leverproxy/src/upstream/connection.rs
+++ b/crates/leverproxy/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::Exchange;
 use crate::event_loop::stream::Stream;
-use crate::protocol::postgres::client::AnswerReader;
+use crate::protocol::postgres::client::ResponseReader;
 use crate::protocol::postgres::Malformed;
 use crate::request::Verdict;
 use routing::ServerId;
@@ -23,7 +23,7 @@
 pub(super) enum State {
     Connecting,
     /// Established; the server's greeting is not complete.
-    Handshake(AnswerReader),
+    Handshake(ResponseReader),
     Idle,
     Busy(ActiveExchange),
 }
@@ -31,7 +31,7 @@
 /// An exchange on a connection.
 pub(super) struct ActiveExchange {
     pub(super) exchange: Exchange,
-    pub(super) reader: AnswerReader,
+    pub(super) reader: ResponseReader,
     /// The socket has taken its last byte: from now on the request may have run.
     pub(super) written: bool,
     /// Some of the response has arrived.
@@ -52,7 +52,7 @@
     pub(super) fn new(exchange: Exchange) -> ActiveExchange {
         ActiveExchange {
             exchange,
-            reader: AnswerReader::default(),
+            reader: ResponseReader::default(),
             written: false,
             response_started: false,
             streaming: Streaming::No,
@@ -101,16 +101,16 @@
             State::Connecting => Ok((0, false)),
             State::Idle if input.is_empty() => Ok((0, false)),
             State::Idle => Err(Malformed("bytes that nobody asked for".into())),
-            State::Handshake(reader) => reader.take(input),
-            State::Busy(active) => active.reader.take(input),
+            State::Handshake(reader) => reader.parse(input),
+            State::Busy(active) => active.reader.parse(input),
         }
     }
 }
 
 /// The outcome of an error that the server sends before a request is written in full: no request has run on the
 /// connection, whatever the error is.
-pub(super) fn rejection_outcome(reader: &AnswerReader) -> Verdict {
-    if reader.turned_away() {
+pub(super) fn rejection_outcome(reader: &ResponseReader) -> Verdict {
+    if reader.is_rejected() {
         Verdict::Full
     } else {
         Verdict::ConnectFailed
--- a/crates/leverproxy/src/upstream/dial.rs
+++ b/crates/leverproxy/src/upstream/dial.rs
@@ -10,7 +10,7 @@
 use crate::event_loop::system_calls::errors::lacks_descriptors;
 use crate::event_loop::system_calls::RETRY_PAUSE;
 use crate::event_loop::token::Token;
-use crate::protocol::postgres::client::{self, AnswerReader};
+use crate::protocol::postgres::client::{self, ResponseReader};
 use crate::request::{Purpose, Verdict};
 use routing::ServerId;
 use rustix::io::Errno;
@@ -140,7 +140,7 @@
             Ok(true) => {
                 self.signals.push_back(HealthSignal::Responded(server));
                 connection.stream.push(&client::startup());
-                connection.state = State::Handshake(AnswerReader::greeting());
+                connection.state = State::Handshake(ResponseReader::greeting());
                 return true;
             }
             Ok(false) => self.watch_dial(key, now, reactor),
--- a/crates/leverproxy/src/upstream/streaming.rs
+++ b/crates/leverproxy/src/upstream/streaming.rs
@@ -28,7 +28,7 @@
         let Purpose::Attempt(id, attempt) = active.exchange.purpose else {
             return;
         };
-        let Some(bytes) = active.reader.piece().filter(|bytes| !bytes.is_empty()) else {
+        let Some(bytes) = active.reader.take_chunk().filter(|bytes| !bytes.is_empty()) else {
             return;
         };
         connection.deadline = now + CHUNK_STALL;
--- a/crates/leverproxy/src/upstream/transfer.rs
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -10,7 +10,7 @@
 use crate::event_loop::stream::ReadStatus;
 use crate::event_loop::timers::deadline_after;
 use crate::event_loop::token::Token;
-use crate::protocol::postgres::client::{self, AnswerReader};
+use crate::protocol::postgres::client::{self, ResponseReader};
 use crate::protocol::postgres::Malformed;
 use crate::request::{Purpose, Verdict};
 use routing::ServerId;
@@ -35,7 +35,7 @@
         let time_left = exchange.deadline.saturating_duration_since(now);
         connection
             .stream
-            .push(&client::question(&exchange.question, time_left));
+            .push(&client::query(&exchange.question, time_left));
         connection.deadline = exchange
             .write_deadline
             .min(deadline_after(now, WRITE_STALL));
@@ -171,7 +171,7 @@
             State::Busy(active) => self.finish_with_response(active, server, now),
             State::Handshake(reader) => {
                 self.end_dial(server);
-                if reader.conclusive() {
+                if reader.has_error() {
                     self.connections.remove(key);
                     return self.fail_first_queued(server, rejection_outcome(&reader), now);
                 }
@@ -236,7 +236,7 @@
         let connection = self.connections.get_mut(key);
         match connection.and_then(|connection| connection.active_mut()) {
             Some(active) if active.written => {
-                active.reader = AnswerReader::default();
+                active.reader = ResponseReader::default();
                 self.close(key, Verdict::Spoilt, now);
             }
             _ => self.close_broken(key, now),
@@ -250,7 +250,7 @@
         };
         let server = connection.server;
         match connection.state {
-            State::Busy(active) if active.written && active.reader.conclusive() => {
+            State::Busy(active) if active.written && active.reader.has_error() => {
                 self.finish_with_response(active, server, now)
             }
             State::Busy(active) => {
@@ -274,15 +274,15 @@
         let ActiveExchange {
             exchange, reader, ..
         } = active;
-        let (verdict, metadata) = reader.verdict(&exchange.question);
+        let (verdict, metadata) = reader.outcome(&exchange.question);
         let completed = exchange.completed(server, verdict, metadata, now);
         self.completed.push_back(completed);
     }
 }
 
 /// The outcome that an error message from the server gives; else `verdict`.
-fn unless_rejected(reader: &AnswerReader, verdict: Verdict) -> Verdict {
-    if reader.conclusive() {
+fn unless_rejected(reader: &ResponseReader, verdict: Verdict) -> Verdict {
+    if reader.has_error() {
         rejection_outcome(reader)
     } else {
         verdict
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -129,7 +129,7 @@
     /// The next message: its tag and body.
     pub fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
         loop {
-            if let Some(message) = postgres::message(&self.input, 8 << 20).unwrap() {
+            if let Some(message) = postgres::parse_message(&self.input, 8 << 20).unwrap() {
                 let (tag, body, used) = (message.tag, message.body.to_vec(), message.raw.len());
                 self.input.drain(..used);
                 return Ok((tag, body));
@@ -186,11 +186,11 @@
 
     pub fn startup(&mut self) {
         let key = server::CancelKey::NONE;
-        while server::startup(&self.input, key).unwrap().is_none() {
+        while server::parse_startup(&self.input, key).unwrap().is_none() {
             self.more().unwrap();
         }
         let Some((server::Startup::Session(welcome), used)) =
-            server::startup(&self.input, key).unwrap()
+            server::parse_startup(&self.input, key).unwrap()
         else {
             panic!("no session is asked for");
         };
@@ -216,7 +216,7 @@
     pub fn try_error(&mut self, code: &str) -> bool {
         let mut out = Vec::new();
         postgres::put_error(&mut out, "ERROR", code, "scripted", None);
-        postgres::put_ready(&mut out);
+        postgres::put_ready_for_query(&mut out);
         self.stream.write_all(&out).is_ok()
     }
 
@@ -329,7 +329,7 @@
             postgres::put_text(body, value);
         });
     }
-    postgres::put_ready(&mut out);
+    postgres::put_ready_for_query(&mut out);
     out
 }
 
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -8,7 +8,7 @@
 use leverproxy::discovery::{DiscoveryClient, WatchEvent};
 use leverproxy::event_loop::reactor::Reactor;
 use leverproxy::event_loop::token::Token;
-use leverproxy::protocol::http::{Part, Reader};
+use leverproxy::protocol::http::{Part, ResponseParser};
 use rustix::net::sockopt;
 use std::io::{BufRead, BufReader};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -151,10 +151,10 @@
         .collect();
     let whole = list(57, true, &listed);
     let (begin, end) = whole.split_at(whole.len() - 5);
-    let (mut reader, mut parts) = (Reader::default(), Vec::new());
+    let (mut reader, mut parts) = (ResponseParser::default(), Vec::new());
     for text in [Framing::NoLength.answer(begin, 0), format!("{end}\n{{\"in")] {
         assert_eq!(parts, []);
-        assert_eq!(reader.take(text.as_bytes(), &mut parts), Ok(text.len()));
+        assert_eq!(reader.parse(text.as_bytes(), &mut parts), Ok(text.len()));
     }
     assert_eq!(parts, [Part::Object(whole)], "before the next one is whole");
     let mut stage = Stage::new(&[]);
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -10,8 +10,8 @@
 use leverproxy::observability::logging::{self, NeverWaits};
 use leverproxy::pipeline::admit::OpenRequests;
 use leverproxy::pipeline::record;
-use leverproxy::protocol::http::{Fault, Part, Reader};
-use leverproxy::protocol::postgres::client::AnswerReader;
+use leverproxy::protocol::http::{HttpError, Part, ResponseParser};
+use leverproxy::protocol::postgres::client::ResponseReader;
 use leverproxy::protocol::postgres::statement::{self, Query};
 use leverproxy::request::{Command, Done, Purpose, Question, ResponseSlot, Verdict};
 use platform_settings::Names;
@@ -36,14 +36,14 @@
 }
 
 /// The parts of a body that comes in pieces of so many bytes.
-fn parts_of(stream: &[u8], piece: usize) -> Result<(Vec<Part>, bool), Fault> {
-    let (mut reader, mut parts, mut kept) = (Reader::default(), vec![], vec![]);
+fn parts_of(stream: &[u8], piece: usize) -> Result<(Vec<Part>, bool), HttpError> {
+    let (mut reader, mut parts, mut kept) = (ResponseParser::default(), vec![], vec![]);
     for bytes in stream.chunks(piece) {
         kept.extend_from_slice(bytes);
-        let used = reader.take(&kept, &mut parts)?;
+        let used = reader.parse(&kept, &mut parts)?;
         kept.drain(..used);
     }
-    Ok((parts, reader.done()))
+    Ok((parts, reader.is_done()))
 }
 
 /// An object may be cut anywhere, indented, and one of several; white space between objects is a sign of life.
@@ -66,7 +66,7 @@
         let (parts, done) = parts_of(stream.as_bytes(), piece).unwrap();
         let objects: Vec<_> = parts
             .iter()
-            .filter(|part| **part != Part::Alive)
+            .filter(|part| **part != Part::Keepalive)
             .cloned()
             .collect();
         assert_eq!(
@@ -76,7 +76,7 @@
         );
         // Of white space inside the object nothing is heard, of that after it something.
         assert_eq!(parts.first(), objects.first());
-        assert_eq!(parts.last(), Some(&Part::Alive));
+        assert_eq!(parts.last(), Some(&Part::Keepalive));
         assert!(done);
     }
     let plain = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
@@ -85,27 +85,30 @@
         (vec![Part::Object("{}".into())], true)
     );
     let fault = |text: &str| parts_of(format!("{head}{text}").as_bytes(), usize::MAX).unwrap_err();
-    assert!(matches!(fault(&chunk("{} <html>")), Fault::NotJson(_)));
-    assert_eq!(fault("2\r\n{}\n"), Fault::Chunk);
-    assert_eq!(fault("zz\r\n"), Fault::Chunk);
-    assert_eq!(fault("1\r\n{\r\n0\r\n"), Fault::Cut);
+    assert!(matches!(fault(&chunk("{} <html>")), HttpError::NotJson(_)));
+    assert_eq!(fault("2\r\n{}\n"), HttpError::Chunk);
+    assert_eq!(fault("zz\r\n"), HttpError::Chunk);
+    assert_eq!(fault("1\r\n{\r\n0\r\n"), HttpError::Cut);
     let broken = [
-        ("HTTP/1.1 503 Busy\r\n\r\n".to_owned(), Fault::Status(503)),
+        (
+            "HTTP/1.1 503 Busy\r\n\r\n".to_owned(),
+            HttpError::Status(503),
+        ),
         (
             "SSH-2.0\r\n\r\n".to_owned(),
-            Fault::NotHttp(httparse::Error::Version),
+            HttpError::NotHttp(httparse::Error::Version),
         ),
         (
             format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(17 << 10)),
-            Fault::HeadTooLong,
+            HttpError::HeadTooLong,
         ),
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n".into(),
-            Fault::Encoding("gzip".into()),
+            HttpError::Encoding("gzip".into()),
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".into(),
-            Fault::Length("-1".into()),
+            HttpError::Length("-1".into()),
         ),
     ];
     for (text, fault) in broken {
@@ -126,7 +129,10 @@
     let (parts, _) = parts_of(stream.as_bytes(), 1_400).unwrap();
     assert_eq!(parts, [Part::Object(list)]);
     let endless = format!("HTTP/1.1 200 OK\r\n\r\n[{}", entry.repeat(120_000));
-    assert_eq!(parts_of(endless.as_bytes(), 64 << 10), Err(Fault::TooLong));
+    assert_eq!(
+        parts_of(endless.as_bytes(), 64 << 10),
+        Err(HttpError::TooLong)
+    );
 }
 
 /// A word for the status that is not known must not break the watch, nor bring anything new to that server.
@@ -156,19 +162,19 @@
         "doc",
         &[("role", "replica"), ("load", "=?"), ("applied_ms", "soon")],
     );
-    let mut reader = AnswerReader::default();
+    let mut reader = ResponseReader::default();
     for cut in 0..good.len() {
         assert!(
-            !AnswerReader::default().take(&good[..cut]).unwrap().1,
+            !ResponseReader::default().parse(&good[..cut]).unwrap().1,
             "{cut}"
         );
     }
-    assert_eq!(reader.take(&good).unwrap(), (good.len(), true));
+    assert_eq!(reader.parse(&good).unwrap(), (good.len(), true));
     let question = Question::Command(Arc::new(Command {
         before_wait: vec![],
         after_wait: vec![],
     }));
-    let (verdict, metadata) = reader.verdict(&question);
+    let (verdict, metadata) = reader.outcome(&question);
     assert!(matches!(verdict, Verdict::Served(bytes) if good.starts_with(&bytes)));
     assert_eq!(
         metadata,
@@ -207,7 +213,10 @@
         vec![b'E', 0, 0, 0, 6, b'S', 0],
     ];
     for (no, bytes) in spoilt.iter().enumerate() {
-        assert!(AnswerReader::default().take(bytes).is_err(), "number {no}");
+        assert!(
+            ResponseReader::default().parse(bytes).is_err(),
+            "number {no}"
+        );
     }
 }
 
@@ -216,9 +225,9 @@
 fn an_absurd_report_is_none() {
     let now = Time(Duration::from_secs(1_800_000_000));
     let probed = |text: &str| {
-        let mut reader = AnswerReader::default();
-        reader.take(&common::answer(text, &[])).unwrap();
-        let (verdict, metadata) = reader.verdict(&Question::Load);
+        let mut reader = ResponseReader::default();
+        reader.parse(&common::answer(text, &[])).unwrap();
+        let (verdict, metadata) = reader.outcome(&Question::Load);
         let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
         match record::book(
             &Done {
--- a/crates/testbed/src/misrule.rs
+++ b/crates/testbed/src/misrule.rs
@@ -6,7 +6,7 @@
 use crate::truth::Truth;
 use crate::wire::{self, Connection, Reply};
 use invariant_checkers::Rule;
-use leverproxy::protocol::postgres::server::{self, Asked, CancelKey, Startup};
+use leverproxy::protocol::postgres::server::{self, CancelKey, ClientMessage, Startup};
 use leverproxy::protocol::postgres::statement::{self, Query};
 use server_model::site::ServerIndex;
 use std::io;
@@ -68,7 +68,7 @@
         loop {
             if !greeted {
                 if let Some((Startup::Session(welcome), used)) =
-                    server::startup(&input, CancelKey::NONE).map_err(|_| strange())?
+                    server::parse_startup(&input, CancelKey::NONE).map_err(|_| strange())?
                 {
                     input.drain(..used);
                     greeted = true;
@@ -76,8 +76,8 @@
                 }
             }
             if greeted {
-                while let Some((Asked::Query(text), used)) =
-                    server::asked(&input).map_err(|_| strange())?
+                while let Some((ClientMessage::Query(text), used)) =
+                    server::parse_client_message(&input).map_err(|_| strange())?
                 {
                     let out = self.answer(text).await?;
                     input.drain(..used);
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -4,7 +4,7 @@
 use crate::process::Fault;
 use crate::truth::Truth;
 use crate::wire;
-use leverproxy::protocol::postgres::server::{self, Asked, CancelKey, Startup};
+use leverproxy::protocol::postgres::server::{self, CancelKey, ClientMessage, Startup};
 use leverproxy::protocol::postgres::sqlstate;
 use leverproxy::protocol::postgres::statement::{self, Query};
 use server_model::site::{Answer, ServerIndex};
@@ -80,7 +80,7 @@
     loop {
         loop {
             let (out, used) = if !greeted {
-                match server::startup(&input, CancelKey::NONE).map_err(|_| Over)? {
+                match server::parse_startup(&input, CancelKey::NONE).map_err(|_| Over)? {
                     None => break,
                     Some((Startup::Session(bytes), used)) => {
                         greeted = true;
@@ -95,12 +95,16 @@
                     Some(_) => return Err(Over),
                 }
             } else {
-                match server::asked(&input).map_err(|_| Over)? {
+                match server::parse_client_message(&input).map_err(|_| Over)? {
                     None => break,
-                    Some((Asked::Query(text), used)) => (query(truth, server, text).await?, used),
-                    Some((Asked::Terminate, _)) => return Ok(()),
-                    Some((Asked::Sync, used)) => (server::ready(), used),
-                    Some((Asked::Unsupported(tag), used)) => (server::unsupported(tag), used),
+                    Some((ClientMessage::Query(text), used)) => {
+                        (query(truth, server, text).await?, used)
+                    }
+                    Some((ClientMessage::Terminate, _)) => return Ok(()),
+                    Some((ClientMessage::Sync, used)) => (server::ready_for_query(), used),
+                    Some((ClientMessage::Unsupported(tag), used)) => {
+                        (server::unsupported(tag), used)
+                    }
                 }
             };
             input.drain(..used);
@@ -128,7 +132,7 @@
     }
     let request = match statement::parse(text, Instant::now()) {
         Ok(Query::Empty) => return Ok(server::empty_query()),
-        Ok(Query::Setting(tag)) => return Ok(server::done(tag)),
+        Ok(Query::Setting(tag)) => return Ok(server::command_complete(tag)),
         Ok(Query::Request(request)) => request,
         Err(_) => return Ok(wire::error(sqlstate::PROTOCOL_VIOLATION, &[])),
     };
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -35,7 +35,7 @@
             postgres::put_text(body, value);
         });
     }
-    postgres::put_ready(&mut out);
+    postgres::put_ready_for_query(&mut out);
     out
 }
 
@@ -105,7 +105,7 @@
         loop {
             let fault = |e: postgres::Malformed| io::Error::new(io::ErrorKind::InvalidData, e.0);
             while let Some(message) =
-                postgres::message(&self.input, MESSAGE_LIMIT).map_err(fault)?
+                postgres::parse_message(&self.input, MESSAGE_LIMIT).map_err(fault)?
             {
                 match message.tag {
                     b'D' => {
