--- a/crates/leverproxy/src/discovery/watch.rs
+++ b/crates/leverproxy/src/discovery/watch.rs
@@ -172,9 +172,19 @@
     }
 
     /// Reports the progress of the open call to the schedule, which orders nothing by it.
-    fn report_progress(&mut self, event: Event, now: Instant) {
+    fn report_progress(&mut self, connected: bool, bytes: bool, objects: bool, now: Instant) {
         let time = now.saturating_duration_since(self.origin);
-        self.schedule.handle(time, event, &mut Vec::new());
+        let progress = [
+            (connected, Event::Connected),
+            (bytes, Event::BytesReceived),
+            (objects, Event::ObjectReceived),
+        ];
+        for (_, event) in progress.into_iter().filter(|(happened, _)| *happened) {
+            self.schedule.handle(time, event, &mut Vec::new());
+        }
+        if objects {
+            self.close_previous();
+        }
     }
 
     fn start_call(&mut self, index: u64, now: Instant, reactor: &Reactor) {
@@ -227,23 +237,14 @@
         let Some(watch) = self.watches.get_mut(key) else {
             return Ok(());
         };
-        let mut progress = Vec::new();
-        if !watch.connected {
-            if !watch.stream.connected()? {
-                return watch.watch_dial(key, reactor);
-            }
-            watch.connected = true;
-            progress.push(Event::Connected);
+        let newly_connected = !watch.connected;
+        if newly_connected && !watch.stream.connected()? {
+            return watch.watch_dial(key, reactor);
         }
+        watch.connected = true;
         let mut parts = Vec::new();
         let transfer = watch.transfer(&mut parts)?;
-        if transfer.received {
-            progress.push(Event::BytesReceived);
-        }
-        if !parts.is_empty() {
-            watch.responded = true;
-            progress.push(Event::ObjectReceived);
-        }
+        watch.responded |= !parts.is_empty();
         let interest = Interest {
             read: true,
             write: !transfer.written,
@@ -251,12 +252,7 @@
         let watched = watch.stream.watch(reactor, Token::Discovery(key), interest);
         self.push_parts(&parts)?;
         if self.current == Some(key) {
-            for event in progress {
-                self.report_progress(event, now);
-            }
-            if !parts.is_empty() {
-                self.close_previous();
-            }
+            self.report_progress(newly_connected, transfer.received, !parts.is_empty(), now);
         }
         // Complete objects count, whatever follows them.
         transfer.parsed?;
@@ -281,7 +277,7 @@
             return;
         }
         if self.previous == Some(key) {
-            log::info!("discovery: the former watch is over: {error}");
+            log::info!("discovery: the previous watch has ended: {error}");
             self.previous = None;
             return;
         }
--- a/crates/leverproxy/src/persistence/saved_state/error.rs
+++ b/crates/leverproxy/src/persistence/saved_state/error.rs
@@ -1,6 +1,7 @@
 //! Why state is not recovered or not saved.
 
 use crate::persistence::directory_lock::LockError;
+use persistent_state::SnapshotError;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
@@ -16,7 +17,7 @@
     Read(PathBuf, #[source] io::Error),
     /// The file has been read, and is not used.
     #[error("memory: {0}: {1}")]
-    Unread(PathBuf, #[source] persistent_state::SnapshotError),
+    Unread(PathBuf, #[source] SnapshotError),
     /// The file cannot be written.
     #[error("memory: {0} can't be written: {1}")]
     Write(PathBuf, #[source] io::Error),
@@ -34,6 +35,11 @@
 }
 
 impl PersistenceError {
+    /// Whether the directory is another proxy's.
+    pub(super) fn is_foreign(&self) -> bool {
+        matches!(self, PersistenceError::Unread(_, SnapshotError::Foreign(_)))
+    }
+
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -63,13 +63,7 @@
     ) -> (Persistence, InitialState) {
         let mode = initial_state::start_mode(hot_restart, platform_list);
         let read = initial_state::read(&settings.state.join(FILE), proxy_name, mode);
-        let foreign = matches!(
-            read,
-            Err(PersistenceError::Unread(
-                _,
-                persistent_state::SnapshotError::Foreign(_)
-            ))
-        );
+        let foreign = read.as_ref().is_err_and(PersistenceError::is_foreign);
         let unread = read.is_err();
         let (recovered, snapshot) = read.unwrap_or_else(|error| {
             log::error!("{error}. {}", error.advice());
--- a/crates/leverproxy/src/protocol/postgres/mod.rs
+++ b/crates/leverproxy/src/protocol/postgres/mod.rs
@@ -19,16 +19,24 @@
 const STARTUP_LIMIT: usize = 10_000;
 
 /// SQLSTATE codes, by the names of PostgreSQL's own table.
-#[allow(missing_docs)]
 pub mod sqlstate {
+    /// The peer has sent something malformed.
     pub const PROTOCOL_VIOLATION: &str = "08P01";
+    /// Whether the statement has run is not known.
     pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
+    /// The message or statement is not supported.
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
+    /// The statement is no request.
     pub const SYNTAX_ERROR: &str = "42601";
+    /// The client has cancelled the statement.
     pub const QUERY_CANCELED: &str = "57014";
+    /// The server is a replica and takes no writes.
     pub const READ_ONLY_SQL_TRANSACTION: &str = "25006";
+    /// The server's data is older than the statement allows.
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
+    /// There is no memory for the statement.
     pub const OUT_OF_MEMORY: &str = "53200";
+    /// The server takes no more connections or statements now.
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
 }
 
--- a/crates/leverproxy/src/upstream/dial.rs
+++ b/crates/leverproxy/src/upstream/dial.rs
@@ -145,7 +145,7 @@
             }
             Ok(false) => self.watch_dial(key, now, reactor),
             Err(DialError::ResourceShortage(errno)) => {
-                log::debug!("upstream: dial failed for want of something here: {errno}");
+                log::debug!("upstream: dial failed, this machine lacks a resource: {errno}");
                 self.connections.remove(key);
                 self.end_dial(server);
                 self.back_off_dials(server, errno, now);
