--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -267,3 +267,6 @@
         .max(now)
         .min(now + MAX_RETRY_DELAY)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -91,21 +91,21 @@
     }
 }
 
-fn told(peer: &mut Peer) -> String {
+fn time_left_told(peer: &mut Peer) -> String {
     let query = peer.query();
     query[query.find("d=").unwrap()..].to_owned()
 }
 
 #[test]
-fn the_time_told_is_what_is_left_when_the_attempt_is_written() {
+fn the_server_is_told_the_time_left_when_the_attempt_is_written() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, 400 * MS, 400 * MS, 0);
     let mut peer = upstreams.welcomed(250 * MS);
-    assert_eq!(told(&mut peer), "d=150 */");
+    assert_eq!(time_left_told(&mut peer), "d=150 */");
 }
 
 #[test]
-fn a_dial_that_is_up_too_late_carries_nothing() {
+fn a_dial_that_is_established_too_late_carries_no_attempt() {
     // Of one that had less time to begin than a dial may take, the server is not to blame.
     let (its_time, the_dial) = (Verdict::NeverSent, Verdict::ConnectFailed);
     for (waits, begins, verdict) in [
@@ -119,12 +119,12 @@
         assert_eq!(upstreams.upstream.attempts, 0);
         // The connection is there for the next.
         upstreams.start(2, PATIENCE, PATIENCE, 0);
-        assert_eq!(told(&mut peer), "d=10000 */");
+        assert_eq!(time_left_told(&mut peer), "d=10000 */");
     }
 }
 
 #[test]
-fn an_attempt_that_is_called_off_during_the_dial_is_never_written() {
+fn an_attempt_cancelled_during_the_dial_is_never_written() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, 400 * MS, 400 * MS, 0);
     upstreams
@@ -133,12 +133,12 @@
     assert_eq!(upstreams.done().unwrap().verdict, Verdict::NeverSent);
     let mut peer = upstreams.welcomed(20 * MS);
     upstreams.start(2, PATIENCE, PATIENCE, 0);
-    assert_eq!(told(&mut peer), "d=10000 */");
+    assert_eq!(time_left_told(&mut peer), "d=10000 */");
 }
 
-/// Half of it is with the server, which has not begun: the rest must not follow.
+/// Half of a request is written when it is cancelled. The server must not get the rest, or it would run.
 #[test]
-fn an_attempt_that_is_called_off_half_written_ends_its_connection() {
+fn an_attempt_cancelled_half_written_closes_its_connection() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, PATIENCE, PATIENCE, LONGER_THAN_A_SOCKET);
     let mut peer = upstreams.welcomed(20 * MS);
@@ -151,7 +151,7 @@
     assert!(peer.ended());
 }
 
-/// The time that it told is not true any more once its last bytes have waited for long.
+/// A request is half written for so long that the time left in it is no longer true: it is dropped.
 #[test]
 fn an_attempt_that_is_not_written_in_time_is_dropped() {
     let mut upstreams = Upstreams::new();
--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// A request like no other.
+/// A request with an id of its own.
 fn request() -> String {
     static ASKED: AtomicU32 = AtomicU32::new(0);
     read(ASKED.fetch_add(1, Ordering::Relaxed), "any", 19000)
@@ -86,7 +86,7 @@
     assert_eq!(reply.value.as_deref(), Some(value), "{reply:?}");
 }
 
-/// A client that asks many times in a row, each answered once.
+/// Sends many requests in a row; each gets one response.
 fn asks_on(client: &mut Peer, value: &str) {
     for _ in 0..20 {
         asked(client, value);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_can_not_be_listened_on_is_an_error_at_the_start() {
+fn an_address_that_cannot_be_listened_on_is_an_error_at_the_start() {
     let faults = Arc::<Faults>::default();
     faults.clone().install();
     let address = "127.0.0.1:0".parse().unwrap();
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_accept_that_fails_for_good_keeps_nobody_busy_and_ends_nobody() {
+fn an_accept_that_fails_permanently_neither_loops_nor_ends_the_process() {
     for errno in [
         Errno::NOMEM,
         Errno::NOBUFS,
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn few_give_way_when_closing_one_frees_no_descriptor() {
+fn few_clients_are_closed_when_that_frees_no_descriptor() {
     let (stage, _) = stage("v");
     let mut clients: Vec<Peer> = (0..8).map(|_| Peer::client(stage.address)).collect();
     clients.iter_mut().for_each(|client| asked(client, "v"));
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn operators_reach_the_proxy_after_errors_of_accept_and_do_not_keep_it_busy() {
+fn operators_reach_the_proxy_after_errors_of_accept_without_a_busy_loop() {
     let server = Listener::new();
     let stage = Stage::with(&[("s-1", &server)], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_dial_that_this_machine_lacks_something_for_is_made_again_and_no_server_is_blamed() {
+fn a_dial_without_resources_is_retried_and_no_server_is_blamed() {
     for (call, errno) in [
         (Call::Socket, Errno::NOBUFS),
         (Call::Socket, Errno::NOMEM),
@@ -330,9 +330,10 @@
     }
 }
 
-/// The time for a dial is over before there is a port; the other server has none either.
+/// The dial timeout passes before there is a free port, for the other server too. The request is rejected, and neither server
+/// may be put into backoff for it.
 #[test]
-fn a_shortage_that_outlasts_the_dial_is_answered_and_no_server_rests_after_it() {
+fn a_shortage_beyond_the_dial_timeout_is_answered_without_backoff() {
     let (first, second) = (Listener::new(), Listener::new());
     let stage = Stage::with(&[("s-1", &first), ("s-2", &second)], |config| {
         config.dial_timeout = Duration::from_millis(50);
@@ -361,7 +362,7 @@
 }
 
 #[test]
-fn a_server_without_a_route_is_passed_over() {
+fn a_server_without_a_route_is_skipped() {
     for errno in [
         Errno::NETUNREACH,
         Errno::HOSTUNREACH,
@@ -382,7 +383,7 @@
 }
 
 #[test]
-fn interrupted_calls_are_made_again() {
+fn interrupted_calls_are_repeated() {
     let (stage, server) = stage("v");
     stage.fault(
         Call::Connect,
@@ -433,7 +434,7 @@
 }
 
 #[test]
-fn transfers_without_memory_are_made_again_and_lose_nothing() {
+fn transfers_without_memory_are_retried_and_lose_nothing() {
     for errno in [Errno::NOBUFS, Errno::NOMEM] {
         for call in [Call::Read, Call::Send] {
             let (stage, _) = stage("v");
@@ -450,7 +451,7 @@
 }
 
 #[test]
-fn a_read_that_lacks_memory_for_long_keeps_nobody_busy() {
+fn a_read_without_memory_causes_no_busy_loop() {
     let (stage, _) = stage("v");
     let (mut client, mut other) = (Peer::client(stage.address), Peer::client(stage.address));
     asked(&mut client, "v");
@@ -467,7 +468,7 @@
 }
 
 #[test]
-fn watching_without_memory_is_made_up_for() {
+fn watching_without_memory_is_retried() {
     for errno in [Errno::NOMEM, Errno::NOSPC] {
         let (stage, _) = stage("v");
         stage.fail(Call::EpollControl, None, errno, 10);
@@ -483,7 +484,7 @@
 }
 
 #[test]
-fn nothing_can_be_watched_for_long_and_nobody_is_kept_busy() {
+fn a_long_shortage_of_watches_causes_no_busy_loop() {
     let (stage, _) = stage("v");
     let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
     stage.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
@@ -506,7 +507,7 @@
 }
 
 #[test]
-fn the_listener_is_watched_again_once_there_is_memory_for_that() {
+fn the_listener_is_watched_again_once_there_is_memory() {
     let (stage, _) = stage("v");
     stage.fail(Call::Accept, None, Errno::NOMEM, 1);
     stage.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
@@ -526,7 +527,7 @@
 }
 
 #[test]
-fn a_wait_without_memory_is_made_again() {
+fn a_wait_without_memory_is_retried() {
     let (stage, _) = stage("v");
     let mut client = Peer::client(stage.address);
     stage.fail(Call::EpollWait, None, Errno::NOMEM, 10);
@@ -535,7 +536,7 @@
 }
 
 #[test]
-fn a_client_whose_connection_breaks_takes_nobody_with_it() {
+fn a_client_whose_connection_breaks_affects_no_other() {
     for errno in [Errno::TIMEDOUT, Errno::CONNRESET] {
         for call in [Call::Read, Call::Send] {
             let (stage, _) = stage("v");
@@ -551,7 +552,7 @@
 }
 
 #[test]
-fn a_read_on_a_server_connection_that_breaks_is_answered_elsewhere() {
+fn a_read_on_a_broken_server_connection_is_retried_elsewhere() {
     for errno in [Errno::TIMEDOUT, Errno::CONNRESET, Errno::HOSTUNREACH] {
         for call in [Call::Read, Call::Send] {
             let (first, second) = (Listener::new(), Listener::new());
@@ -626,7 +627,7 @@
 }
 
 #[test]
-fn a_dial_that_is_called_ready_before_it_is_up_goes_on() {
+fn a_dial_called_ready_before_it_is_established_continues() {
     let backlog = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     rustix::net::bind(&backlog, &"127.0.0.1:0".parse::<SocketAddr>().unwrap()).unwrap();
     rustix::net::listen(&backlog, 0).unwrap();
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -197,3 +197,6 @@
         changed
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/persistent-state/src/scheduler.rs
+++ b/crates/persistent-state/src/scheduler.rs
@@ -204,3 +204,6 @@
     exclusions.drain(..exclusions.len().saturating_sub(MAX_EXCLUSIONS));
     exclusions
 }
+
+#[cfg(test)]
+mod tests;
