--- a/crates/leverproxy/src/cluster/members/mod.rs
+++ b/crates/leverproxy/src/cluster/members/mod.rs
@@ -13,7 +13,8 @@
 #[cfg(test)]
 mod unsealed;
 
-use crate::event_loop::reactor::{Interest, Reactor, Token};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::token::Token;
 use account::{decode_account, encode_account, Account, ACCOUNT_KIND, ACCOUNT_TTL};
 use configuration::model::Members as MembersSettings;
 use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
@@ -133,7 +134,7 @@
     fn open(&mut self, reactor: &Reactor) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind(self.settings.listen)?;
         socket.set_nonblocking(true)?;
-        reactor.add(&socket, Token::Members, Interest::READ)?;
+        reactor.register(&socket, Token::Datagrams, Interest::READ)?;
         let address = socket.local_addr()?;
         self.socket = Some(socket);
         Ok(address)
--- a/crates/leverproxy/src/cluster/rollout/mod.rs
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -14,7 +14,7 @@
 use crate::cluster::members::Members;
 use crate::config::reload::Ask;
 use crate::observability::counters::Counters;
-use crate::persistence::state_file::Writer;
+use crate::persistence::background_writer::BackgroundWriter;
 use ::rollout::{Action, Config, Core, Event, EvidenceLimits, VersionHash};
 pub use command::RolloutCommand;
 use configuration::model::Rollout as RolloutSettings;
@@ -48,7 +48,7 @@
     /// A state file exists and could not be read.
     state_unreadable: bool,
     /// Writes the state file; started with the first write.
-    writer: Option<Writer>,
+    writer: Option<BackgroundWriter>,
     waker: UnixStream,
     /// Another process of this name serves, and the state file belongs to it.
     handed_over: bool,
--- a/crates/leverproxy/src/cluster/rollout/persistence.rs
+++ b/crates/leverproxy/src/cluster/rollout/persistence.rs
@@ -5,7 +5,7 @@
 use super::Rollout;
 use crate::cluster::members::Members;
 use crate::config::reload::Ask;
-use crate::persistence::state_file::Writer;
+use crate::persistence::background_writer::BackgroundWriter;
 use ::rollout::Event;
 use std::io;
 use std::time::Instant;
@@ -20,7 +20,7 @@
             return Some(false);
         }
         let path = state_path(Some(folder));
-        let start = |waker| Writer::start(path, waker);
+        let start = |waker| BackgroundWriter::start(path, waker);
         let started = self
             .writer
             .take()
@@ -31,7 +31,7 @@
         let under_way = self
             .writer
             .as_ref()
-            .is_some_and(|writer| writer.save(bytes));
+            .is_some_and(|writer| writer.start_save(bytes));
         if !under_way {
             // Its thread has ended; the next write starts another.
             self.writer = None;
@@ -49,7 +49,7 @@
     /// Writes of the state may have ended.
     pub fn persist_finished(&mut self, members: &mut Members, now: Instant) -> Vec<Ask> {
         let mut asks = Vec::new();
-        while let Some(saved) = self.writer.as_ref().and_then(Writer::ended) {
+        while let Some(saved) = self.writer.as_ref().and_then(BackgroundWriter::take_result) {
             let done = saved
                 .map_err(|error| self.log_persist_failure(error))
                 .is_ok();
--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -4,8 +4,8 @@
 use super::limits;
 use super::platform_file::{self, PlatformFile, RequiredKeys};
 use super::{operator_config, operators_file, ClientTimeouts, Config, ConfigError};
-use crate::clock::Source;
-use crate::discovery::wire::{Listing, ListingError};
+use crate::clock::WallClock;
+use crate::discovery::wire::EndpointList;
 use configuration::model::{Model, Origin};
 use configuration::platform::Platform;
 use platform_settings::PlatformSettings;
@@ -140,7 +140,7 @@
         linger: model.linger.unwrap_or(LINGER),
         give_up: longest_deadline(&platform).min(MAX_KILL_DEADLINE) + FINAL_ANSWER_MARGIN,
         whole: RequiredKeys::of(text, &platform),
-        wall_clock: Source::default(),
+        wall_clock: WallClock::default(),
         platform,
         announce_end: model.announce_end,
         logging: model.logging,
@@ -269,11 +269,11 @@
     }
 }
 
-fn known_endpoints(file: &PlatformFile) -> Result<Listing, ConfigError> {
+fn known_endpoints(file: &PlatformFile) -> Result<EndpointList, ConfigError> {
     match &file.known {
-        Some(value) => Listing::parse(value.to_string().as_bytes())
-            .map_err(|ListingError(problem)| ConfigError::new("known", problem)),
-        None => Ok(Listing::default()),
+        Some(value) => EndpointList::parse(value.to_string().as_bytes())
+            .map_err(|error| ConfigError::new("known", error)),
+        None => Ok(EndpointList::default()),
     }
 }
 
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -21,8 +21,8 @@
 pub use load::{from_env, parse, platform, reread};
 pub use platform_file::RequiredKeys;
 
-use crate::clock::Source;
-use crate::discovery::wire::Listing;
+use crate::clock::WallClock;
+use crate::discovery::wire::EndpointList;
 use crate::health::Listen;
 use crate::pipeline::route_rules::Rules;
 use configuration::calendar::Window;
@@ -87,11 +87,11 @@
     /// Level and format of the log.
     pub logging: Logging,
     /// The list of record servers as this proxy last had it; it may be old.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The platform's settings, tightened by the operators' file.
     pub platform: PlatformSettings,
     /// Where wall time is read.
-    pub wall_clock: Source,
+    pub wall_clock: WallClock,
     /// What a later version of the platform's file has to state.
     pub whole: RequiredKeys,
     /// A connection to a record server that is not made by then has failed.
@@ -111,9 +111,9 @@
     pub fn drain_settings(&self) -> drain::Settings {
         drain::Settings {
             balancers: self.balancers.clone(),
-            announce_end: self.announce_end,
+            announce_termination: self.announce_end,
             linger: self.linger,
-            give_up: self.give_up,
+            drain_timeout: self.give_up,
         }
     }
 }
--- a/crates/leverproxy/src/control/admin.rs
+++ b/crates/leverproxy/src/control/admin.rs
@@ -3,8 +3,11 @@
 //! Slow callers cost nobody else an answer: their connections are few and counted apart from clients, the loop handles
 //! them first, and at the limit the oldest connection gives way to the next caller.
 
-use crate::event_loop::connection::{self, Filled, Refusal, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener::{self, AcceptError};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +24,7 @@
 pub struct Admin {
     listener: OwnedFd,
     address: SocketAddr,
-    connections: Slots<AdminConnection>,
+    connections: Slab<AdminConnection>,
     descriptors_log: LogRateLimit,
 }
 
@@ -40,13 +43,13 @@
     /// # Errors
     /// The address can't be listened on.
     pub fn listen(address: SocketAddr, reactor: &Reactor) -> io::Result<Admin> {
-        let listener = connection::listen(address)?;
-        reactor.add(&listener, Token::AdminListener, Interest::READ)?;
-        let address = connection::local_address(&listener).unwrap_or(address);
+        let listener = listener::listen(address)?;
+        reactor.register(&listener, Token::AdminListener, Interest::READ)?;
+        let address = listener::local_address(&listener).unwrap_or(address);
         Ok(Admin {
             listener,
             address,
-            connections: Slots::default(),
+            connections: Slab::default(),
             descriptors_log: LogRateLimit::default(),
         })
     }
@@ -60,10 +63,10 @@
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         let token = Token::AdminListener;
         loop {
-            match connection::accept_or_rest(&self.listener, token, reactor) {
+            match listener::accept_or_pause(&self.listener, token, reactor) {
                 Ok((stream, _)) => self.add_connection(stream, now, reactor),
-                Err(Refusal::Empty | Refusal::Later) => return,
-                Err(Refusal::Exhausted) => {
+                Err(AcceptError::Empty | AcceptError::RetryLater) => return,
+                Err(AcceptError::NoDescriptors) => {
                     self.descriptors_log
                         .warn(now, || "admin: no descriptor left for a caller".into());
                     if !self.disconnect_oldest() {
@@ -107,7 +110,7 @@
     pub fn read_call(&mut self, key: Key, reactor: &Reactor) -> Option<Call> {
         let connection = self.connections.get_mut(key)?;
         if connection.is_answered {
-            if connection.stream.drain().0 == Filled::Ended {
+            if connection.stream.discard_input().0 == ReadStatus::Ended {
                 self.connections.remove(key);
             } else {
                 self.write(key, reactor);
@@ -119,7 +122,7 @@
             Ok(Some(call)) => return Some(call),
             Err(rejection) => self.answer(key, &rejection, reactor),
             // The caller has left before the end of its call.
-            Ok(None) if filled == Filled::Ended => _ = self.connections.remove(key),
+            Ok(None) if filled == ReadStatus::Ended => _ = self.connections.remove(key),
             Ok(None) => {}
         }
         None
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -1,8 +1,11 @@
 //! The operators' control socket: one line in, lines out, over a Unix socket that only its owner may use.
 
 use crate::cluster::rollout::RolloutCommand;
-use crate::event_loop::connection::{self, Filled, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
+use crate::event_loop::listener;
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::{Key, Slab};
+use crate::event_loop::stream::{ReadStatus, Stream};
+use crate::event_loop::token::Token;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::os::unix::fs::MetadataExt;
@@ -39,7 +42,7 @@
     path: PathBuf,
     /// Inode of this process's socket: another process may have replaced the file.
     inode: u64,
-    connections: Slots<OperatorConnection>,
+    connections: Slab<OperatorConnection>,
 }
 
 struct OperatorConnection {
@@ -66,7 +69,7 @@
             listener,
             path: path.to_owned(),
             inode,
-            connections: Slots::default(),
+            connections: Slab::default(),
         })
     }
 
@@ -88,8 +91,8 @@
 
     /// Accepts the connections that wait.
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
-        let token = Token::OperateListener;
-        while let Ok((mut stream, _)) = connection::accept_or_rest(&self.listener, token, reactor) {
+        let token = Token::ControlSocketListener;
+        while let Ok((mut stream, _)) = listener::accept_or_pause(&self.listener, token, reactor) {
             if self.connections.len() >= MAX_CONNECTIONS {
                 stream.push(b"error: too many at once\n");
                 _ = stream.flush();
@@ -108,7 +111,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let token = Token::Operate(key);
+        let token = Token::ControlSocket(key);
         let watched = connection.stream.watch(reactor, token, Interest::READ);
         if watched.is_err() {
             self.connections.remove(key);
@@ -122,10 +125,10 @@
         let filled = connection.stream.fill(LINE_LIMIT);
         let input = connection.stream.input.unused();
         let Some(line) = first_line(input) else {
-            if filled == Filled::Ended || input.len() >= LINE_LIMIT {
+            if filled == ReadStatus::Ended || input.len() >= LINE_LIMIT {
                 self.connections.remove(key);
             } else {
-                let token = Token::Operate(key);
+                let token = Token::ControlSocket(key);
                 // Unwatched, it is closed after its time.
                 _ = connection.stream.watch(reactor, token, Interest::READ);
             }
@@ -181,8 +184,8 @@
 
 /// The listener, and the inode of its file.
 fn bind(path: &Path, reactor: &Reactor) -> io::Result<(OwnedFd, u64)> {
-    let listener = connection::take_unix(path)?;
-    reactor.add(&listener, Token::OperateListener, Interest::READ)?;
+    let listener = listener::listen_unix_replacing(path)?;
+    reactor.register(&listener, Token::ControlSocketListener, Interest::READ)?;
     Ok((listener, std::fs::symlink_metadata(path)?.ino()))
 }
 
--- a/crates/leverproxy/src/downstream/accept.rs
+++ b/crates/leverproxy/src/downstream/accept.rs
@@ -3,8 +3,12 @@
 use super::client::Client;
 use super::state::Downstream;
 use crate::config::MAX_BALANCER_CONNECTIONS;
-use crate::event_loop::connection::{self, Refusal, Stream};
-use crate::event_loop::reactor::{Interest, Key, Reactor, Token};
+use crate::event_loop::listener;
+use crate::event_loop::listener::AcceptError;
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::Key;
+use crate::event_loop::stream::Stream;
+use crate::event_loop::token::Token;
 use crate::protocol::postgres::server;
 use ipnet::IpNet;
 use std::net::IpAddr;
@@ -35,7 +39,7 @@
             let Some(listener) = &self.listener else {
                 return;
             };
-            match connection::accept(listener) {
+            match listener::accept(listener) {
                 Ok((stream, peer)) => {
                     freed_descriptor = false;
                     if let Some(key) = gives_way {
@@ -43,9 +47,9 @@
                     }
                     self.admit_client(stream, peer, is_over_limit, now, reactor);
                 }
-                Err(Refusal::Empty) => return,
-                Err(Refusal::Later) => return self.pause_accept(true, reactor),
-                Err(Refusal::Exhausted) => {
+                Err(AcceptError::Empty) => return,
+                Err(AcceptError::RetryLater) => return self.pause_accept(true, reactor),
+                Err(AcceptError::NoDescriptors) => {
                     self.log_descriptors_exhausted(now);
                     if freed_descriptor || !self.free_descriptor(now, reactor) {
                         return self.pause_accept(true, reactor);
@@ -73,7 +77,7 @@
         let key = self.add_client(stream, peer, now, reactor);
         let is_balancer = self.clients.get(key).is_some_and(|c| c.is_balancer);
         if is_over_limit && !is_balancer {
-            self.reject_client(key, server::too_many());
+            self.reject_client(key, server::too_many_connections());
             self.write(key, now, reactor);
         }
     }
@@ -186,7 +190,7 @@
             read: !pause,
             write: false,
         };
-        if let Ok(watched) = reactor.set(listener, Token::Listener, interest, true) {
+        if let Ok(watched) = reactor.update(listener, Token::Listener, interest, true) {
             self.is_accepting = watched && !pause;
         }
     }
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -2,7 +2,7 @@
 
 use super::connection_end::{CloseReason, ConnectionEnd};
 use crate::config::ClientTimeouts;
-use crate::event_loop::connection::Stream;
+use crate::event_loop::stream::Stream;
 use crate::protocol::postgres::server::CancelKey;
 use crate::request::ResponseSlot;
 use std::collections::VecDeque;
--- a/crates/leverproxy/src/downstream/close.rs
+++ b/crates/leverproxy/src/downstream/close.rs
@@ -4,8 +4,9 @@
 use super::connection_end::CloseReason;
 use super::event::Event;
 use super::state::Downstream;
-use crate::event_loop::connection;
-use crate::event_loop::reactor::{Key, Reactor};
+use crate::event_loop::listener;
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::slab::Key;
 use crate::protocol::postgres::server;
 use crate::request::ResponseSlot;
 use std::time::Instant;
@@ -19,7 +20,7 @@
             self.reject_waiting(now, reactor);
         }
         if let Some(listener) = self.listener.take() {
-            reactor.remove(&listener);
+            reactor.deregister(&listener);
         }
         self.is_draining = true;
         for key in self.clients.keys() {
@@ -31,9 +32,9 @@
     /// Rejects with an error the connections for which there is no capacity. Closed with the listener, they would be
     /// reset.
     fn reject_waiting(&mut self, now: Instant, reactor: &Reactor) {
-        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(connection::accept) {
+        while let Some(Ok((stream, peer))) = self.listener.as_ref().map(listener::accept) {
             let key = self.add_client(stream, peer, now, reactor);
-            self.reject_client(key, server::too_many());
+            self.reject_client(key, server::too_many_connections());
             self.write(key, now, reactor);
         }
     }
--- a/crates/leverproxy/src/downstream/decode.rs
+++ b/crates/leverproxy/src/downstream/decode.rs
@@ -1,8 +1,8 @@
 //! The next message of a client: PROXY protocol header, startup message, then commands.
 
 use super::client::Client;
-use crate::event_loop::reactor::Key;
-use crate::protocol::postgres::server::{self, Asked, CancelKey, Startup};
+use crate::event_loop::slab::Key;
+use crate::protocol::postgres::server::{self, CancelKey, ClientMessage, Startup};
 use crate::protocol::postgres::statement::{self, Query};
 use crate::protocol::postgres::Malformed;
 use crate::request::{Request, ResponseSlot};
@@ -59,7 +59,7 @@
 
 fn decode_startup(client: &mut Client) -> Result<Step, Malformed> {
     let input = client.stream.input.unused();
-    let Some((startup, used)) = server::startup(input, client.cancel_key)? else {
+    let Some((startup, used)) = server::parse_startup(input, client.cancel_key)? else {
         return Ok(Step::Incomplete);
     };
     client.stream.input.consume(used);
@@ -75,22 +75,24 @@
 }
 
 fn decode_command(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
-    let Some((command, used)) = server::asked(client.stream.input.unused())? else {
+    let Some((command, used)) = server::parse_client_message(client.stream.input.unused())? else {
         return Ok(Step::Incomplete);
     };
     let mut skips_until_sync = client.skips_until_sync;
     let decoded = match command {
-        Asked::Terminate => return Ok(Step::Terminate),
-        Asked::Sync => {
+        ClientMessage::Terminate => return Ok(Step::Terminate),
+        ClientMessage::Sync => {
             skips_until_sync = false;
-            Decoded::Answer(server::ready())
+            Decoded::Answer(server::ready_for_query())
         }
-        Asked::Unsupported(_) | Asked::Query(_) if skips_until_sync => Decoded::Ignored,
-        Asked::Unsupported(tag) => {
+        ClientMessage::Unsupported(_) | ClientMessage::Query(_) if skips_until_sync => {
+            Decoded::Ignored
+        }
+        ClientMessage::Unsupported(tag) => {
             skips_until_sync = true;
             Decoded::Answer(server::unsupported(tag))
         }
-        Asked::Query(text) => decode_query(text, now),
+        ClientMessage::Query(text) => decode_query(text, now),
     };
     client.skips_until_sync = skips_until_sync;
     client.stream.input.consume(used);
@@ -125,8 +127,8 @@
 fn decode_query(text: &str, now: Instant) -> Decoded {
     match statement::parse(text, now) {
         Ok(Query::Empty) => Decoded::Answer(server::empty_query()),
-        Ok(Query::Setting(tag)) => Decoded::Answer(server::done(tag)),
+        Ok(Query::Setting(tag)) => Decoded::Answer(server::command_complete(tag)),
         Ok(Query::Request(request)) => Decoded::Request(request),
-        Err(reason) => Decoded::Rejected(reason),
+        Err(error) => Decoded::Rejected(error.to_string()),
     }
 }
--- a/crates/leverproxy/src/downstream/idle.rs
+++ b/crates/leverproxy/src/downstream/idle.rs
@@ -1,7 +1,8 @@
 //! Closing clients that have run out of time, or that are idle while there are many.
 
 use super::state::Downstream;
-use crate::event_loop::reactor::{Key, Reactor};
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::slab::Key;
 use crate::protocol::postgres::server;
 use crate::protocol::postgres::Malformed;
 use std::time::{Duration, Instant};
@@ -46,7 +47,7 @@
         let client = self.clients.get(key);
         if client.is_some_and(|client| client.is_overdue(&self.timeouts, now)) {
             let reason = Malformed("nothing whole was asked for in time".into());
-            self.reject_client(key, server::fatal(&reason));
+            self.reject_client(key, server::protocol_violation(&reason));
         }
         self.write(key, now, reactor);
     }
--- a/crates/leverproxy/src/downstream/read.rs
+++ b/crates/leverproxy/src/downstream/read.rs
@@ -4,8 +4,9 @@
 use super::decode::{decode_next, Step};
 use super::event::Event;
 use super::state::Downstream;
-use crate::event_loop::connection::Filled;
-use crate::event_loop::reactor::{Key, Reactor};
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::slab::Key;
+use crate::event_loop::stream::ReadStatus;
 use crate::protocol::postgres::server::{self, CancelKey};
 use crate::protocol::postgres::Malformed;
 use crate::request::{Answer, Request, ResponseSlot};
@@ -41,17 +42,17 @@
             if budget == 0 {
                 return ended;
             }
-            let (filled, discarded) = client.stream.drain();
+            let (filled, discarded) = client.stream.discard_input();
             client.end.count_discarded(discarded);
             let is_exhausted = client.end.discard_budget() == Some(0);
-            return filled == Filled::Ended || ended && is_exhausted;
+            return filled == ReadStatus::Ended || ended && is_exhausted;
         }
         if ended {
             // What it sent before it left needs no answer, read or not.
             return true;
         }
         client.accepts_requests(&self.timeouts)
-            && client.stream.fill(server::INPUT_LIMIT) == Filled::Ended
+            && client.stream.fill(server::INPUT_LIMIT) == ReadStatus::Ended
     }
 
     /// Reads what a client has sent until now, before its connection is closed: a request among it is owed an answer.
@@ -64,7 +65,7 @@
             return false;
         }
         let before = client.stream.input.len();
-        if client.stream.fill(server::INPUT_LIMIT) == Filled::Ended {
+        if client.stream.fill(server::INPUT_LIMIT) == ReadStatus::Ended {
             self.drop_client(key, reactor);
             return false;
         }
@@ -138,7 +139,7 @@
         });
         self.malformed_statements += 1;
         if let Some(client) = self.clients.get_mut(key) {
-            client.push_response(Some(server::answer(Answer::Rejected(reason))));
+            client.push_response(Some(server::response(Answer::Rejected(reason))));
             client.quiet_since = now;
         }
     }
@@ -148,7 +149,7 @@
         self.malformed_log.warn(now, || {
             format!("front: a client is not understood: {reason}")
         });
-        self.reject_client(key, server::fatal(reason));
+        self.reject_client(key, server::protocol_violation(reason));
     }
 
     /// Notes since when a command is incomplete. Rejects the client if incomplete commands of all clients together take
@@ -162,7 +163,7 @@
         if is_partial && unread > LARGE_PARTIAL_BYTES {
             let inputs = self.clients.iter().map(|(_, c)| c.stream.input.len());
             if inputs.sum::<usize>() > self.limits.unfinished {
-                return self.reject_client(key, server::no_memory());
+                return self.reject_client(key, server::out_of_memory());
             }
         }
         if let Some(client) = self.clients.get_mut(key) {
--- a/crates/leverproxy/src/downstream/state.rs
+++ b/crates/leverproxy/src/downstream/state.rs
@@ -4,8 +4,10 @@
 use super::client::Client;
 use super::event::Event;
 use crate::config::{ClientTimeouts, Limits};
-use crate::event_loop::connection;
-use crate::event_loop::reactor::{Interest, Reactor, Slots, Token};
+use crate::event_loop::listener;
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::Slab;
+use crate::event_loop::token::Token;
 use crate::observability::log_rate_limit::LogRateLimit;
 use ipnet::IpNet;
 use std::collections::VecDeque;
@@ -21,7 +23,7 @@
     pub(super) is_accepting: bool,
     pub(super) limits: Limits,
     pub(super) timeouts: ClientTimeouts,
-    pub(super) clients: Slots<Client>,
+    pub(super) clients: Slab<Client>,
     pub(super) events: VecDeque<Event>,
     pub(super) malformed_log: LogRateLimit,
     pub(super) descriptors_log: LogRateLimit,
@@ -62,16 +64,16 @@
     ) -> io::Result<Downstream> {
         let listener = match inherited {
             Some(listener) => listener,
-            None => connection::listen_shared(address, shared)?,
+            None => listener::listen_shared(address, shared)?,
         };
-        reactor.add(&listener, Token::Listener, Interest::READ)?;
-        let address = connection::local_address(&listener).unwrap_or(address);
+        reactor.register(&listener, Token::Listener, Interest::READ)?;
+        let address = listener::local_address(&listener).unwrap_or(address);
         Ok(Downstream {
             listener: Some(listener),
             is_accepting: true,
             limits,
             timeouts,
-            clients: Slots::default(),
+            clients: Slab::default(),
             events: VecDeque::new(),
             malformed_log: LogRateLimit::default(),
             descriptors_log: LogRateLimit::default(),
@@ -98,9 +100,9 @@
             return Ok(());
         }
         let added =
-            connection::listen_shared(self.address, self.is_address_shared).and_then(|listener| {
+            listener::listen_shared(self.address, self.is_address_shared).and_then(|listener| {
                 reactor
-                    .add(&listener, Token::Listener, Interest::READ)
+                    .register(&listener, Token::Listener, Interest::READ)
                     .map(|()| listener)
             });
         if let Err(error) = &added {
@@ -120,7 +122,7 @@
 
     /// The address that clients connect to; none while nothing listens.
     pub fn local_address(&self) -> Option<SocketAddr> {
-        connection::local_address(self.listener.as_ref()?)
+        listener::local_address(self.listener.as_ref()?)
     }
 
     /// The listener; none while the process drains.
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -4,7 +4,9 @@
 use super::connection_end::CloseReason;
 use super::event::Event;
 use super::state::Downstream;
-use crate::event_loop::reactor::{Interest, Key, Reactor, Token};
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::slab::Key;
+use crate::event_loop::token::Token;
 use crate::protocol::postgres::server;
 use crate::request::{Answer, ResponseSlot};
 use std::time::Instant;
@@ -23,7 +25,7 @@
         let Some(response) = client.response(slot) else {
             return;
         };
-        let mut bytes = server::answer(answer);
+        let mut bytes = server::response(answer);
         if let PendingResponse::Streaming(chunks) = response {
             chunks.append(&mut bytes);
             bytes = std::mem::take(chunks);
--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::cluster::sites::{self, Sites};
 use crate::request::{Answer, CompletedExchange, ExchangeOutcome};
-use crate::upstream::Sign;
+use crate::upstream::HealthSignal;
 use availability::{
     Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
 };
@@ -73,7 +73,7 @@
             usage: Usage::default(),
             memory: 0.0,
             memory_at: None,
-            cpu_used: Clock::cpu(),
+            cpu_used: Clock::cpu_time(),
             cpu: 0.0,
             looked: now,
             answered: 0,
@@ -222,7 +222,10 @@
         clock: &Clock,
         now: Instant,
     ) {
-        let (unix, here) = (clock.unix(now), now.saturating_duration_since(self.start));
+        let (unix, here) = (
+            clock.unix_time(now),
+            now.saturating_duration_since(self.start),
+        );
         let position = position.map(|at| (here + at.since(unix)).saturating_sub(unix.since(at)));
         self.event(
             now,
@@ -234,10 +237,10 @@
         );
     }
 
-    pub fn sign(&mut self, sign: Sign, now: Instant) {
+    pub fn sign(&mut self, sign: HealthSignal, now: Instant) {
         let event = match sign {
-            Sign::Dials(server) => Event::Dials { server: server.0 },
-            Sign::Word(server) => Event::Word { server: server.0 },
+            HealthSignal::DialStarted(server) => Event::Dials { server: server.0 },
+            HealthSignal::Responded(server) => Event::Word { server: server.0 },
         };
         self.event(now, event);
     }
@@ -334,7 +337,7 @@
             .saturating_duration_since(self.looked)
             .as_secs_f64()
             .max(1e-3);
-        let used = Clock::cpu();
+        let used = Clock::cpu_time();
         let smooth = (-span / RATE_SPAN).exp();
         let mix = |old: f64, new: f64| old * smooth + new * (1.0 - smooth);
         self.cpu = mix(
--- a/crates/leverproxy/src/pipeline/actions.rs
+++ b/crates/leverproxy/src/pipeline/actions.rs
@@ -4,7 +4,7 @@
 use super::send;
 use super::state::Pipeline;
 use super::timer_kind::TimerKind;
-use crate::event_loop::reactor::later;
+use crate::event_loop::timers::deadline_after;
 use crate::request::{Answer, Purpose};
 use routing::{Action, Event, RequestId, ServerId};
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     pub(super) fn decide(&mut self, event: Event, io: &mut IoEndpoints, now: Instant) {
         log::trace!("event {event:?}");
         self.update_clock_lead(now);
-        for action in self.route.decide(self.clock.unix(now), event) {
+        for action in self.route.decide(self.clock.unix_time(now), event) {
             log::trace!("action {action:?}");
             self.perform(action, io, now);
         }
@@ -29,9 +29,10 @@
         let is_fresh = |at| now.saturating_duration_since(at) < CLOCK_CHECK_INTERVAL;
         if !self.clock_checked_at.is_some_and(is_fresh) {
             self.clock_checked_at = Some(now);
-            self.clock_evidence.system(self.clock.system_lead());
+            self.clock_evidence
+                .observe_system_clock(self.clock.system_lead());
         }
-        let lead = self.clock_evidence.lead(self.clock.unix(now));
+        let lead = self.clock_evidence.lead(self.clock.unix_time(now));
         self.route.set_lead(lead);
     }
 
@@ -56,11 +57,12 @@
                 self.answer(id, Answer::Failed, io, now);
             }
             Action::Timer { after, token } => {
-                io.timers.set(later(now, after), TimerKind::Router(token.0));
+                io.timers
+                    .set(deadline_after(now, after), TimerKind::Router(token.0));
             }
             Action::Subscribe => {
                 let index = self.directory.index();
-                io.discovery.subscribe(index, now, &io.reactor);
+                io.discovery.poll(index, now, &io.reactor);
             }
         }
     }
@@ -92,9 +94,11 @@
 
     /// Dials a server that is silent, to tell whether its link is at fault.
     pub fn probe_reachability(&mut self, io: &mut IoEndpoints, now: Instant) {
-        let server = self.monitor.knock(|server| io.upstream.may_knock(server));
+        let server = self
+            .monitor
+            .knock(|server| io.upstream.may_probe_reachability(server));
         if let Some(server) = server {
-            io.upstream.knock(server, now, &io.reactor);
+            io.upstream.probe_reachability(server, now, &io.reactor);
         }
     }
 }
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -1,6 +1,6 @@
 //! Admit: the open requests. Each is entered once, and removed with its one final answer.
 
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use crate::request::{truncate_for_display, Answer, Command, Request, ResponseSlot};
 use bulkheads::PoolId;
 use routing::{Arrival, AttemptNo, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
--- a/crates/leverproxy/src/pipeline/answers.rs
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -18,7 +18,7 @@
     ) {
         if let Some(open) = self.close_request(id, now) {
             if open.attempts() > 0 {
-                io.upstream.call_off(id, now);
+                io.upstream.cancel_unwritten(id, now);
             }
             self.relay(open, answer, io, now);
         }
@@ -47,7 +47,7 @@
                 Some((_, connection)),
                 Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_),
             ) => {
-                io.upstream.stop(connection, now);
+                io.upstream.abandon_response(connection, now);
                 io.downstream.abort_response(open.slot, now, &io.reactor);
             }
             _ => io.downstream.answer(open.slot, answer, now, &io.reactor),
--- a/crates/leverproxy/src/pipeline/endpoints.rs
+++ b/crates/leverproxy/src/pipeline/endpoints.rs
@@ -2,39 +2,39 @@
 
 use super::io_endpoints::IoEndpoints;
 use super::state::Pipeline;
-use crate::discovery::directory::Change;
-use crate::discovery::wire::Listing;
-use crate::discovery::News;
-use maintenance::{Hand, Unknown};
+use crate::discovery::directory::{DirectoryUpdate, ServerChange};
+use crate::discovery::wire::EndpointList;
+use crate::discovery::WatchEvent;
+use maintenance::{ManualExclusion, UnknownServer};
 use routing::{EndpointUpdate, Event, ServerId};
 use std::net::SocketAddr;
 use std::time::Instant;
 
 impl Pipeline {
     /// Loads the endpoint list as it was last known, before any event.
-    pub fn load_endpoints(&mut self, known: Listing, io: &mut IoEndpoints, now: Instant) {
-        let listing = Listing {
+    pub fn load_endpoints(&mut self, known: EndpointList, io: &mut IoEndpoints, now: Instant) {
+        let listing = EndpointList {
             snapshot: true,
             ..known
         };
-        let (update, changes) = self.directory.learn(listing, &self.names);
-        let update = match update {
+        let mut update = self.directory.apply(listing, &self.names);
+        update.endpoints = match update.endpoints {
             EndpointUpdate::Snapshot(entries) => EndpointUpdate::Cached(entries),
             other => other,
         };
-        self.apply_endpoint_update(update, changes, io, now);
+        self.apply_endpoint_update(update, io, now);
     }
 
     /// Checks the watch on discovery.
     pub fn check_discovery(&mut self, io: &mut IoEndpoints, now: Instant) {
         let index = self.directory.index();
-        io.discovery.check(index, now, &io.reactor);
+        io.discovery.handle_timer(index, now, &io.reactor);
     }
 
     /// Whether discovery pushes the list: then the watch stays open whatever the decision module asks for.
     pub fn set_endpoint_push(&mut self, pushed: bool, io: &mut IoEndpoints, now: Instant) {
         let index = self.directory.index();
-        io.discovery.set_pushed(pushed, index, now, &io.reactor);
+        io.discovery.set_push_mode(pushed, index, now, &io.reactor);
     }
 
     /// Moves to another discovery address. What is known of the endpoints stays.
@@ -45,13 +45,18 @@
         now: Instant,
     ) {
         let index = self.directory.index();
-        io.discovery.move_to(address, index, now, &io.reactor);
+        io.discovery.set_address(address, index, now, &io.reactor);
     }
 
-    pub(super) fn on_discovery_event(&mut self, event: News, io: &mut IoEndpoints, now: Instant) {
+    pub(super) fn on_discovery_event(
+        &mut self,
+        event: WatchEvent,
+        io: &mut IoEndpoints,
+        now: Instant,
+    ) {
         let monitor = &mut self.monitor;
         match event {
-            News::Heard => {
+            WatchEvent::Unchanged => {
                 monitor.event(now, availability::Event::ListHeard);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
                     // Nothing has changed since the list that this process started with.
@@ -59,24 +64,26 @@
                     self.decide(Event::Endpoints(unchanged), io, now);
                 }
             }
-            News::Listing(listing) => self.on_listing(listing, io, now),
-            News::Lost => {
+            WatchEvent::List(listing) => self.on_listing(listing, io, now),
+            WatchEvent::Lost => {
                 monitor.list(false, now);
                 monitor.event(now, availability::Event::Discovery { heard: false });
                 self.counters.watches_lost += 1;
             }
-            News::Failed => self.decide(Event::Endpoints(EndpointUpdate::Failed), io, now),
+            WatchEvent::CallFailed => {
+                self.decide(Event::Endpoints(EndpointUpdate::Failed), io, now)
+            }
         }
     }
 
-    fn on_listing(&mut self, listing: Listing, io: &mut IoEndpoints, now: Instant) {
+    fn on_listing(&mut self, listing: EndpointList, io: &mut IoEndpoints, now: Instant) {
         let discovery_heard = availability::Event::Discovery { heard: true };
         self.monitor.event(now, discovery_heard);
         self.monitor.event(now, availability::Event::ListHeard);
         self.counters.lists += 1;
         self.list_confirmed = true;
-        let (update, changes) = self.directory.learn(listing, &self.names);
-        self.apply_endpoint_update(update, changes, io, now);
+        let update = self.directory.apply(listing, &self.names);
+        self.apply_endpoint_update(update, io, now);
         self.monitor.list(true, now);
     }
 
@@ -84,22 +91,22 @@
     /// that the list ends are reported to it.
     fn apply_endpoint_update(
         &mut self,
-        update: EndpointUpdate,
-        changes: Vec<Change>,
+        update: DirectoryUpdate,
         io: &mut IoEndpoints,
         now: Instant,
     ) {
-        self.notify_monitor(&update, &changes, now);
-        for change in changes {
+        let DirectoryUpdate { endpoints, servers } = update;
+        self.notify_monitor(&endpoints, &servers, now);
+        for change in servers {
             match change {
-                Change::Serves(server, address) => io.upstream.serves(server, address),
-                Change::Leaves(server) => io.upstream.leaves(server, now),
+                ServerChange::Available(server, address) => io.upstream.add_server(server, address),
+                ServerChange::Unavailable(server) => io.upstream.remove_server(server, now),
             }
         }
-        self.decide(Event::Endpoints(update), io, now);
+        self.decide(Event::Endpoints(endpoints), io, now);
     }
 
-    fn notify_monitor(&mut self, update: &EndpointUpdate, changes: &[Change], now: Instant) {
+    fn notify_monitor(&mut self, update: &EndpointUpdate, changes: &[ServerChange], now: Instant) {
         let (EndpointUpdate::Changes(entries)
         | EndpointUpdate::Snapshot(entries)
         | EndpointUpdate::Cached(entries)) = update
@@ -108,8 +115,8 @@
         };
         let is_listed = |server: &ServerId| entries.iter().any(|entry| entry.server == *server);
         let removed = changes.iter().filter_map(|change| match change {
-            Change::Leaves(server) => Some(*server).filter(|server| !is_listed(server)),
-            Change::Serves(..) => None,
+            ServerChange::Unavailable(server) => Some(*server).filter(|server| !is_listed(server)),
+            ServerChange::Available(..) => None,
         });
         self.monitor.listed(entries, removed, now);
     }
@@ -124,12 +131,14 @@
         excluded: bool,
         io: &mut IoEndpoints,
         now: Instant,
-    ) -> Result<(), Unknown> {
-        let unix = self.clock.unix(now);
-        let changed = self.directory.hand(name, excluded, unix, &self.names)?;
-        if let Some((update, changes)) = changed {
-            self.monitor.hands(&update, now);
-            self.apply_endpoint_update(update, changes, io, now);
+    ) -> Result<(), UnknownServer> {
+        let unix = self.clock.unix_time(now);
+        let changed = self
+            .directory
+            .set_excluded(name, excluded, unix, &self.names)?;
+        if let Some(update) = changed {
+            self.monitor.hands(&update.endpoints, now);
+            self.apply_endpoint_update(update, io, now);
         }
         Ok(())
     }
@@ -137,13 +146,13 @@
     /// Restores the manual exclusions of an earlier process, after the list that it had.
     pub fn restore_manual_exclusions(
         &mut self,
-        exclusions: Vec<Hand>,
+        exclusions: Vec<ManualExclusion>,
         io: &mut IoEndpoints,
         now: Instant,
     ) {
-        for (update, changes) in self.directory.take_over(exclusions, &self.names) {
-            self.monitor.hands(&update, now);
-            self.apply_endpoint_update(update, changes, io, now);
+        for update in self.directory.restore_exclusions(exclusions, &self.names) {
+            self.monitor.hands(&update.endpoints, now);
+            self.apply_endpoint_update(update, io, now);
         }
     }
 }
--- a/crates/leverproxy/src/pipeline/events.rs
+++ b/crates/leverproxy/src/pipeline/events.rs
@@ -11,10 +11,10 @@
     /// Handles every event that the endpoints have queued, and sets the timers that they ask for.
     pub fn process_events(&mut self, io: &mut IoEndpoints, now: Instant) {
         while self.process_next_event(io, now) {}
-        for (at, timer) in io.upstream.take_due() {
+        for (at, timer) in io.upstream.take_timers() {
             io.timers.set(at, TimerKind::Upstream(timer));
         }
-        if let Some(at) = io.discovery.alarm() {
+        if let Some(at) = io.discovery.next_timer() {
             io.timers.set(at, TimerKind::CheckDiscovery);
         }
     }
@@ -22,13 +22,13 @@
     /// Whether there was an event. Health and the endpoint list come first, then servers' answers, then clients: a
     /// request is routed by what is known by then.
     fn process_next_event(&mut self, io: &mut IoEndpoints, now: Instant) -> bool {
-        if let Some(signal) = io.upstream.sign() {
+        if let Some(signal) = io.upstream.pop_signal() {
             self.monitor.sign(signal, now);
-        } else if let Some(event) = io.discovery.pop() {
+        } else if let Some(event) = io.discovery.pop_event() {
             self.on_discovery_event(event, io, now);
-        } else if let Some(chunk) = io.upstream.piece() {
+        } else if let Some(chunk) = io.upstream.pop_chunk() {
             self.on_response_chunk(chunk, io, now);
-        } else if let Some(completed) = io.upstream.pop() {
+        } else if let Some(completed) = io.upstream.pop_completed() {
             self.on_exchange_completed(completed, io, now);
         } else if let Some(event) = io.downstream.next_event() {
             self.on_downstream_event(event, io, now);
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -23,7 +23,7 @@
         let open = open.filter(|open| open.streaming.is_none_or(|current| current.0 == attempt));
         let Some(open) = open else {
             // Its client has left, or gets another attempt's answer.
-            return io.upstream.stop(connection, now);
+            return io.upstream.abandon_response(connection, now);
         };
         let is_first = open.streaming.replace((attempt, connection)).is_none();
         let (slot, class) = (open.slot, open.class);
@@ -31,7 +31,7 @@
             .downstream
             .send_chunk(slot, &chunk.bytes, now, &io.reactor)
         {
-            io.upstream.hold_back(connection, now, &io.reactor);
+            io.upstream.pause_reading(connection, now, &io.reactor);
         }
         if is_first {
             let is_write = self.is_write(Some(class));
@@ -50,7 +50,7 @@
         let id = self.open_requests.id(slot);
         let open = id.and_then(|id| self.open_requests.get_mut(id));
         if let Some((_, connection)) = open.and_then(|open| open.streaming) {
-            io.upstream.resume(connection, now, &io.reactor);
+            io.upstream.resume_reading(connection, now, &io.reactor);
         }
     }
 
@@ -93,11 +93,11 @@
 
     /// The latest position that is believed, after what this exchange shows of the clock's error.
     fn latest_position(&mut self, completed: &CompletedExchange, now: Instant) -> Time {
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         if let Some(evidence) = record::clock_evidence(completed, unix) {
-            self.clock_evidence.told(evidence, unix);
+            self.clock_evidence.observe_position(evidence, unix);
         }
-        self.clock_evidence.latest(unix)
+        self.clock_evidence.latest_position(unix)
     }
 
     /// Sets the position of a write that went through, if the server sent none. Returns whether it is such a write. Later reads
@@ -116,7 +116,7 @@
     /// What a commit of just now counts as, if the server sends no position. None: the decision module's own time will
     /// do.
     fn commit_position(&self, now: Instant) -> Option<Time> {
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         let lead = self.clock_evidence.lead(unix);
         (!lead.is_zero()).then(|| unix.plus(lead))
     }
--- a/crates/leverproxy/src/pipeline/io_endpoints.rs
+++ b/crates/leverproxy/src/pipeline/io_endpoints.rs
@@ -3,11 +3,12 @@
 use super::timer_kind::TimerKind;
 use crate::control::admin::Admin;
 use crate::control::control_socket::ControlSocket;
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryClient;
 use crate::downstream::Downstream;
-use crate::event_loop::reactor::{Reactor, Timers};
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::timers::Timers;
 use crate::health::Health;
-use crate::persistence::hot_restart::Takeover;
+use crate::persistence::hot_restart::links::HotRestart;
 use crate::upstream::Upstream;
 
 /// The process's I/O. The event loop dispatches to it; the pipeline acts on it.
@@ -21,7 +22,7 @@
     /// Record servers.
     pub upstream: Upstream,
     /// The discovery service.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryClient,
     /// Balancers' health checks.
     pub health: Health,
     /// The operators' control socket.
@@ -29,5 +30,5 @@
     /// The admin API.
     pub admin: Option<Admin>,
     /// Links to the old and the new process of a hot restart.
-    pub hot_restart: Option<Takeover>,
+    pub hot_restart: Option<HotRestart>,
 }
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -1,6 +1,6 @@
 //! Record: a completed exchange becomes an event for the decision module.
 
-use crate::clock::evidence::{Told, REPORT_AGE};
+use crate::clock::skew::{ReportedPosition, MAX_REPORT_AGE};
 use crate::request::{CompletedExchange, ExchangeOutcome, Purpose};
 use routing::{AttemptEnded, Event, LoadReport, Outcome, ResponseMetadata, Time};
 use std::time::Duration;
@@ -50,7 +50,7 @@
 }
 
 /// What an exchange shows of the error of this process's clock.
-pub fn clock_evidence(completed: &CompletedExchange, now: Time) -> Option<Told> {
+pub fn clock_evidence(completed: &CompletedExchange, now: Time) -> Option<ReportedPosition> {
     let since = now.minus(completed.elapsed);
     let (position, primary, since) = match (completed.purpose, &completed.outcome) {
         (_, ExchangeOutcome::InvalidResponse) => return None,
@@ -61,15 +61,15 @@
         ),
         (Purpose::Probe, ExchangeOutcome::Reported(fields)) => {
             let report = parse_load_report(fields);
-            (report.position, report.primary, since.minus(REPORT_AGE))
+            (report.position, report.primary, since.minus(MAX_REPORT_AGE))
         }
         (Purpose::Probe, _) => return None,
     };
     let present_since = (primary == Some(true)).then_some(since);
-    position.map(|position| Told {
+    position.map(|position| ReportedPosition {
         server: completed.server,
         position,
-        present_since,
+        read_after: present_since,
     })
 }
 
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -31,9 +31,10 @@
         if let Some(answer) = self.open_requests.check_admission(&request) {
             return self.reject(slot, class, answer, io, now);
         }
-        let unix = self.clock.unix(now);
+        let unix = self.clock.unix_time(now);
         if let Some(committed_at) = request.min_commit_time {
-            self.clock_evidence.written(Time(committed_at), unix);
+            self.clock_evidence
+                .observe_client_write(Time(committed_at), unix);
         }
         let routed = self
             .route_rules
@@ -131,10 +132,10 @@
         let id = self.open_requests.id(slot)?;
         let open = self.close_request(id, now)?;
         if open.attempts() > 0 {
-            io.upstream.call_off(id, now);
+            io.upstream.cancel_unwritten(id, now);
         }
         if let Some((_, connection)) = open.streaming {
-            io.upstream.stop(connection, now);
+            io.upstream.abandon_response(connection, now);
         }
         self.quota.ended(&open, None, now);
         self.monitor.left(id, open.group, now);
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -1,7 +1,7 @@
 //! Send: an attempt or a probe of the decision module becomes an exchange with a record server.
 
 use super::admit::OpenRequest;
-use crate::event_loop::reactor::later;
+use crate::event_loop::timers::deadline_after;
 use crate::request::{Purpose, Question};
 use crate::upstream::Exchange;
 use routing::RequestId;
@@ -22,9 +22,9 @@
         class: Some(open.class),
         group: Some(open.group),
         question: Question::Command(Arc::clone(&open.command)),
-        sent: now,
-        until: later(now, timeout),
-        begin_by: later(now, begin_within.min(timeout)),
+        started: now,
+        deadline: deadline_after(now, timeout),
+        write_deadline: deadline_after(now, begin_within.min(timeout)),
     }
 }
 
@@ -35,8 +35,8 @@
         class: None,
         group: None,
         question: Question::Load,
-        sent: now,
-        until: later(now, timeout),
-        begin_by: later(now, timeout),
+        started: now,
+        deadline: deadline_after(now, timeout),
+        write_deadline: deadline_after(now, timeout),
     }
 }
--- a/crates/leverproxy/src/pipeline/state.rs
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -1,14 +1,14 @@
 //! The `Pipeline` type: what it knows, and settings that change while it runs.
 
 use super::{admit, quota, route, route_rules};
-use crate::clock::evidence::Evidence;
-use crate::clock::{Clock, Source};
+use crate::clock::skew::SkewEstimate;
+use crate::clock::{Clock, WallClock};
 use crate::discovery::directory::Directory;
-use crate::discovery::wire::Listing;
+use crate::discovery::wire::EndpointList;
 use crate::health::monitor::Monitor;
 use crate::observability::counters::Counters;
 use crate::observability::log_rate_limit::LogRateLimit;
-use maintenance::Hand;
+use maintenance::ManualExclusion;
 use platform_settings::{ClassMapping, Names, PlatformSettings};
 use routing::{ClassId, Consistency, Settings};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 pub struct Pipeline {
     pub(super) clock: Clock,
     /// Bounds of the clock's error.
-    pub(super) clock_evidence: Evidence,
+    pub(super) clock_evidence: SkewEstimate,
     pub(super) clock_checked_at: Option<Instant>,
     pub(super) names: Names,
     /// Longest time of a request, by class.
@@ -50,7 +50,7 @@
         mut monitor: Monitor,
         seed: u64,
         probe_timeout: Duration,
-        wall_clock: Source,
+        wall_clock: WallClock,
         now: Instant,
     ) -> Pipeline {
         let clock = Clock::start(wall_clock);
@@ -79,9 +79,9 @@
             open_requests: admit::OpenRequests::new(max_open),
             route_rules: route_rules::RouteRules::new(rules),
             quota,
-            route: route::Route::new(settings, seed, clock.unix(now)),
+            route: route::Route::new(settings, seed, clock.unix_time(now)),
             clock,
-            clock_evidence: Evidence::default(),
+            clock_evidence: SkewEstimate::default(),
             clock_checked_at: None,
         }
     }
@@ -136,19 +136,19 @@
     }
 
     /// What the new process of a hot restart gets: the endpoint list and the manual exclusions.
-    pub fn handover_state(&self) -> (Listing, Vec<Hand>) {
-        (self.directory.listing(), self.manual_exclusions())
+    pub fn handover_state(&self) -> (EndpointList, Vec<ManualExclusion>) {
+        (self.directory.endpoint_list(), self.manual_exclusions())
     }
 
     /// The operators' manual exclusions.
-    pub fn manual_exclusions(&self) -> Vec<Hand> {
-        self.directory.hands().hands()
+    pub fn manual_exclusions(&self) -> Vec<ManualExclusion> {
+        self.directory.maintenance().exclusions()
     }
 
     /// Number of endpoints in the list, and of those that get no requests at present.
     pub fn endpoint_counts(&self, now: Instant) -> (usize, usize) {
-        let listed = self.directory.hands().listed();
-        (listed, self.route.avoided_count(self.clock.unix(now)))
+        let listed = self.directory.maintenance().listed_count();
+        (listed, self.route.avoided_count(self.clock.unix_time(now)))
     }
 
     /// The operators' table of all sites, or of one.
--- a/crates/leverproxy/src/pipeline/timer_kind.rs
+++ b/crates/leverproxy/src/pipeline/timer_kind.rs
@@ -1,6 +1,6 @@
 //! The kinds of timers.
 
-use crate::upstream::Due;
+use crate::upstream::UpstreamTimer;
 
 /// What a timer is for. Timers that are due at the same instant run in the order of the kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -8,7 +8,7 @@
     /// A timer of the decision module, by its token.
     Router(u32),
     /// A timer of an upstream connection or queue.
-    Upstream(Due),
+    Upstream(UpstreamTimer),
     /// The watch on discovery is checked.
     CheckDiscovery,
     /// Connections that have run out of time are closed.
--- a/crates/leverproxy/src/proxy/admin_calls.rs
+++ b/crates/leverproxy/src/proxy/admin_calls.rs
@@ -1,10 +1,10 @@
 //! Calls on the admin address: readiness, metrics, and manual exclusion of record servers.
 
 use super::state::Proxy;
-use crate::event_loop::reactor::Key;
-use crate::persistence::hot_restart::Said;
+use crate::event_loop::slab::Key;
+use crate::persistence::hot_restart::links::PeerMessage;
 use crate::request::truncate_for_display;
-use maintenance::Unknown;
+use maintenance::UnknownServer;
 use std::time::Instant;
 use wire_admin::{Answer, Call, Status};
 
@@ -28,7 +28,7 @@
     pub(super) fn on_admin_call(&mut self, key: Key, call: Call, now: Instant) {
         match (self.run_admin_call(call, now), &mut self.saved_state) {
             (CallResult::Changed(text), Some(saved_state)) => {
-                saved_state.promise(key, text, now);
+                saved_state.confirm_when_saved(key, text, now);
                 self.persist(now);
             }
             (result, _) => {
@@ -49,7 +49,7 @@
     }
 
     fn readiness(&self) -> Answer {
-        if self.drain.ending() {
+        if self.drain.is_terminating() {
             Answer::line(Status::Unavailable, "ending: told to stop")
         } else if self.awaits_discovery && self.pipeline.counters.lists == 0 {
             Answer::line(
@@ -65,17 +65,17 @@
         let result = self
             .pipeline
             .set_manual_exclusion(&name, excluded, &mut self.io, now);
-        if let Err(Unknown) = result {
+        if let Err(UnknownServer) = result {
             let text = "no record server of that name";
             return CallResult::Answer(Answer::line(Status::NotFound, text));
         }
         let (text, message) = if excluded {
-            ("out", Said::Out(name.clone()))
+            ("out", PeerMessage::Excluded(name.clone()))
         } else {
-            ("in", Said::In(name.clone()))
+            ("in", PeerMessage::Included(name.clone()))
         };
         if let Some(hot_restart) = &mut self.io.hot_restart {
-            hot_restart.say(&message, None, &self.io.reactor);
+            hot_restart.send(&message, None, &self.io.reactor);
         }
         let name = truncate_for_display(&name);
         log::info!("admin: {name} is {text} by an operator's word");
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -4,7 +4,7 @@
 use crate::config::reload::{Ask, Reloads};
 use crate::config::{Config, ConfigError};
 use crate::control::ControlCommand;
-use crate::persistence::hot_restart::Takeover;
+use crate::persistence::hot_restart::links::HotRestart;
 use std::time::Instant;
 
 impl Proxy {
@@ -29,7 +29,7 @@
     }
 
     fn stop(&mut self, now: Instant) {
-        if self.drain.ending() {
+        if self.drain.is_terminating() {
             return;
         }
         log::info!("told to stop: answering what has come");
@@ -37,7 +37,7 @@
         self.update_drained(now);
         // Clients from now on are the new process's. To wait for them here would take them from its queue.
         let hot_restart = self.io.hot_restart.as_ref();
-        if hot_restart.is_some_and(Takeover::heir_accepts) {
+        if hot_restart.is_some_and(HotRestart::new_process_accepts) {
             self.io.downstream.start_draining(now, &self.io.reactor);
         }
         if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
--- a/crates/leverproxy/src/proxy/control_socket.rs
+++ b/crates/leverproxy/src/proxy/control_socket.rs
@@ -3,7 +3,7 @@
 use super::state::Proxy;
 use crate::cluster::rollout::RolloutCommand;
 use crate::control::control_socket::OperatorCommand;
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use ::drain::{Event, Phase};
 use std::time::Instant;
 
@@ -66,7 +66,7 @@
                 format!("announced, listening for {left} ms more")
             }
             Phase::Drained => "drained".to_owned(),
-            Phase::Lingering { .. } | Phase::Closing | Phase::Over => "ending".to_owned(),
+            Phase::Lingering { .. } | Phase::Closing | Phase::Finished => "ending".to_owned(),
         }
     }
 }
--- a/crates/leverproxy/src/proxy/drain.rs
+++ b/crates/leverproxy/src/proxy/drain.rs
@@ -15,7 +15,7 @@
             self.io.downstream.client_count() == 0 && self.pipeline.open_request_count() == 0;
         if drained != self.drained {
             self.drained = drained;
-            self.handle_drain_event(Event::Settled(drained), now);
+            self.handle_drain_event(Event::IdleChanged(drained), now);
         }
     }
 
@@ -39,7 +39,7 @@
             members.set_serving(self.drain.phase() == Phase::Serving, now);
         }
         self.io.health.publish(&self.pipeline.monitor.status());
-        if let Some(due) = self.drain.due() {
+        if let Some(due) = self.drain.next_deadline() {
             self.io.timers.set(self.started_at + due, TimerKind::Drain);
         }
     }
@@ -47,12 +47,12 @@
     fn perform_drain_action(&mut self, action: Action, now: Instant) {
         let monitor = &mut self.pipeline.monitor;
         match action {
-            Action::Announce if self.drain.ending() => {
+            Action::AnnounceDrain if self.drain.is_terminating() => {
                 monitor.event(now, availability::Event::Stop);
             }
-            Action::Announce => monitor.event(now, availability::Event::Drain),
-            Action::Retract => monitor.event(now, availability::Event::Undrain),
-            Action::EndsAt(end) => {
+            Action::AnnounceDrain => monitor.event(now, availability::Event::Drain),
+            Action::RetractDrain => monitor.event(now, availability::Event::Undrain),
+            Action::LimitDeadlines(end) => {
                 monitor.event(now, availability::Event::Stop);
                 self.pipeline
                     .set_termination_deadline(self.started_at + end);
@@ -62,9 +62,9 @@
                 // Clients that waited at the listener are connected now.
                 self.drained = false;
             }
-            Action::Listen => self.listen_again(now),
-            Action::GiveUp => self.pipeline.fail_open_requests(&mut self.io, now),
-            Action::End => self.terminated = true,
+            Action::StartListening => self.listen_again(now),
+            Action::AbortOutstanding => self.pipeline.fail_open_requests(&mut self.io, now),
+            Action::Exit => self.terminated = true,
         }
     }
 }
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -2,8 +2,10 @@
 
 use super::state::Proxy;
 use crate::cluster::usage;
-use crate::event_loop::reactor::{Key, Ready, Token};
-use crate::persistence::hot_restart::Estate;
+use crate::event_loop::reactor::Ready;
+use crate::event_loop::slab::Key;
+use crate::event_loop::token::Token;
+use crate::persistence::hot_restart::handover::HandoverState;
 use crate::pipeline::{IoEndpoints, TimerKind};
 use std::io;
 use std::time::{Duration, Instant};
@@ -38,7 +40,7 @@
         let woken = Instant::now();
         let late = until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at));
         self.pipeline.monitor.busy(late);
-        ready.sort_by_key(|event| event.turn());
+        ready.sort_by_key(|event| event.priority());
         for &event in ready.iter() {
             self.on_ready(event);
         }
@@ -69,15 +71,15 @@
             Token::Upstream(key) => upstream.ready(key, now, reactor),
             Token::Discovery(key) => discovery.ready(key, now, reactor),
             Token::Listener => self.on_listener_ready(now),
-            Token::Members => self.on_members_ready(now),
-            Token::Control => self.on_commands(now),
+            Token::Datagrams => self.on_members_ready(now),
+            Token::Commands => self.on_commands(now),
             Token::HealthListener(_) | Token::Health(_) => self.on_health_ready(ready.token, now),
-            Token::OperateListener | Token::Operate(_) => {
+            Token::ControlSocketListener | Token::ControlSocket(_) => {
                 self.on_control_socket_ready(ready.token, now)
             }
             Token::AdminListener | Token::Admin(_) => self.on_admin_ready(ready.token, now),
-            Token::TakeoverListener => self.on_handover_request(),
-            Token::Takeover(key) => self.on_hot_restart_link_ready(key, now),
+            Token::HotRestartListener => self.on_handover_request(),
+            Token::HotRestart(key) => self.on_hot_restart_link_ready(key, now),
         }
         // Each event is worked through at once: the next may be about what this one changed.
         self.pipeline.process_events(&mut self.io, now);
@@ -123,7 +125,7 @@
         let Some(control_socket) = &mut self.io.control_socket else {
             return;
         };
-        let Token::Operate(key) = token else {
+        let Token::ControlSocket(key) = token else {
             return control_socket.accept(now, &self.io.reactor);
         };
         if let Some((key, command)) = control_socket.read_command(key, &self.io.reactor) {
@@ -153,8 +155,9 @@
             hot_restart,
             ..
         } = &mut self.io;
-        let (clients, connections) = (downstream.client_count(), upstream.connections());
-        let state = || Estate::new(listing.clone(), exclusions.clone(), clients, connections);
+        let (clients, connections) = (downstream.client_count(), upstream.connection_count());
+        let state =
+            || HandoverState::new(listing.clone(), exclusions.clone(), clients, connections);
         if let Some(hot_restart) = hot_restart {
             hot_restart.accept(state, downstream.listener(), reactor);
         }
--- a/crates/leverproxy/src/proxy/fleet.rs
+++ b/crates/leverproxy/src/proxy/fleet.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::cluster::members::Members;
 use crate::cluster::quota_lending::Lending;
-use crate::persistence::hot_restart::Takeover;
+use crate::persistence::hot_restart::links::HotRestart;
 use crate::pipeline::TimerKind;
 use configuration::calendar::Window;
 use configuration::model;
@@ -36,7 +36,7 @@
     /// Leaves the fleet at the end, unless a new process goes on under the same name.
     pub(super) fn leave_fleet(&mut self) {
         let hot_restart = self.io.hot_restart.as_ref();
-        let new_process_serves = hot_restart.is_some_and(Takeover::has_heir);
+        let new_process_serves = hot_restart.is_some_and(HotRestart::has_new_process);
         if let Some(members) = self.members.as_mut().filter(|_| !new_process_serves) {
             members.leave(Instant::now());
         }
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -1,28 +1,28 @@
 //! Messages between the old and the new process of a hot restart, and how the two share the limits.
 
 use super::state::Proxy;
-use crate::event_loop::reactor::Key;
-use crate::persistence::hot_restart::{Said, Takeover, Word};
+use crate::event_loop::slab::Key;
+use crate::persistence::hot_restart::links::{HotRestart, LinkEvent, PeerMessage};
 use std::time::Instant;
 
 impl Proxy {
     /// A message of another process of this proxy, or the end of its link.
-    pub(super) fn on_hot_restart_message(&mut self, from: Key, message: Word, now: Instant) {
+    pub(super) fn on_hot_restart_message(&mut self, from: Key, message: LinkEvent, now: Instant) {
         match message {
-            Word::Said(message @ (Said::Serving | Said::ServingElsewhere)) => {
-                self.on_new_process_serving(&message)
-            }
-            Word::Said(message) => self.on_exclusion_message(from, message, now),
-            Word::Gone => self.on_process_gone(),
+            LinkEvent::Message(
+                message @ (PeerMessage::Serving | PeerMessage::ServingElsewhere),
+            ) => self.on_new_process_serving(&message),
+            LinkEvent::Message(message) => self.on_exclusion_message(from, message, now),
+            LinkEvent::Closed => self.on_process_gone(),
         }
     }
 
-    fn on_new_process_serving(&mut self, message: &Said) {
+    fn on_new_process_serving(&mut self, message: &PeerMessage) {
         let Some(hot_restart) = &mut self.io.hot_restart else {
             return;
         };
         log::info!(said:? = message; "takeover: the next process serves");
-        let accepts = hot_restart.heir_accepts();
+        let accepts = hot_restart.new_process_accepts();
         self.io
             .downstream
             .set_new_process_accepts(accepts, &self.io.reactor);
@@ -38,31 +38,31 @@
         };
         let (downstream, reactor) = (&mut self.io.downstream, &self.io.reactor);
         log::info!("takeover: the other process is gone");
-        downstream.set_new_process_accepts(hot_restart.heir_accepts(), reactor);
+        downstream.set_new_process_accepts(hot_restart.new_process_accepts(), reactor);
         if let Some(rollout) = &mut self.rollout {
-            rollout.set_handed_over(hot_restart.has_heir());
+            rollout.set_handed_over(hot_restart.has_new_process());
         }
         if downstream.listener().is_some() {
             hot_restart.listen_again(reactor);
             let control_socket = self.io.control_socket.as_mut();
-            if let Some(socket) = control_socket.filter(|_| !hot_restart.has_heir()) {
+            if let Some(socket) = control_socket.filter(|_| !hot_restart.has_new_process()) {
                 socket.listen_again(reactor);
             }
         }
-        if !hot_restart.has_elder() {
+        if !hot_restart.has_old_process() {
             self.old_process_usage = (0, 0);
         }
         self.share_limits();
     }
 
     /// An operator has changed a manual exclusion at another process: applied here, and forwarded to the rest.
-    fn on_exclusion_message(&mut self, from: Key, message: Said, now: Instant) {
+    fn on_exclusion_message(&mut self, from: Key, message: PeerMessage, now: Instant) {
         let Some(hot_restart) = &mut self.io.hot_restart else {
             return;
         };
-        hot_restart.say(&message, Some(from), &self.io.reactor);
-        let excluded = matches!(message, Said::Out(_));
-        if let Said::Out(name) | Said::In(name) = message {
+        hot_restart.send(&message, Some(from), &self.io.reactor);
+        let excluded = matches!(message, PeerMessage::Excluded(_));
+        if let PeerMessage::Excluded(name) | PeerMessage::Included(name) = message {
             // An unknown name is not an error: this process's list may be older.
             _ = self
                 .pipeline
@@ -78,11 +78,11 @@
         let io = &mut self.io;
         io.downstream.set_limits(limits, self.client_timeouts);
         let hot_restart = io.hot_restart.as_ref();
-        let upstream = if hot_restart.is_some_and(Takeover::has_heir) {
-            io.upstream.connections().max(1).min(limits.upstream)
+        let upstream = if hot_restart.is_some_and(HotRestart::has_new_process) {
+            io.upstream.connection_count().max(1).min(limits.upstream)
         } else {
             limits.upstream
         };
-        io.upstream.set_limit(upstream);
+        io.upstream.set_connection_limit(upstream);
     }
 }
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -21,7 +21,7 @@
             rollout.write_metrics(&mut figures);
         }
         if let Some(saved_state) = &self.saved_state {
-            saved_state.figures(&mut figures);
+            saved_state.write_metrics(&mut figures);
         }
         figures.answer()
     }
--- a/crates/leverproxy/src/proxy/persistence.rs
+++ b/crates/leverproxy/src/proxy/persistence.rs
@@ -17,9 +17,9 @@
         let list = pipeline
             .confirmed_list_index()
             .map(|index| (index, &listing as &dyn Fn() -> _));
-        saved_state.settle(now);
-        saved_state.look(incarnation, pipeline.manual_exclusions(), list, now);
-        for (key, answer) in saved_state.answers(now) {
+        saved_state.handle_finished_saves(now);
+        saved_state.update(incarnation, pipeline.manual_exclusions(), list, now);
+        for (key, answer) in saved_state.take_confirmations(now) {
             if let Some(admin) = &mut self.io.admin {
                 admin.answer(key, &answer, &self.io.reactor);
             }
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -4,7 +4,7 @@
 use crate::cluster::rollout::Rollout;
 use crate::config::{Config, ConfigError};
 use crate::observability::logging;
-use crate::persistence::saved_state::Memory;
+use crate::persistence::saved_state::Persistence;
 use crate::pipeline::route_rules::Rules;
 use platform_settings::SettingsError;
 use std::time::Instant;
@@ -72,7 +72,7 @@
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
         pipeline.configure(succession, config.dial_timeout, now);
         io.upstream
-            .set_times(config.dial_timeout, config.idle_limit);
+            .set_timeouts(config.dial_timeout, config.idle_limit);
         io.downstream
             .set_balancers(config.checks, config.proxy_from);
         (self.limits, self.client_timeouts) = (config.limits, config.client_timeouts);
@@ -91,7 +91,7 @@
     fn list_deferred_settings(&self, config: &Config) -> Vec<&'static str> {
         let (new, running) = (RestartSettings::new(config), &self.restart_settings);
         let rollout = self.rollout.as_ref().map(Rollout::settings);
-        let saved_state = self.saved_state.as_ref().map(Memory::stated);
+        let saved_state = self.saved_state.as_ref().map(Persistence::settings);
         [
             ("listen", new.listen != running.listen),
             ("admin", new.admin != running.admin),
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -9,15 +9,18 @@
 use crate::control::admin::Admin;
 use crate::control::control_socket::ControlSocket;
 use crate::control::{self, CommandReceiver, Control};
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryClient;
 use crate::downstream::Downstream;
-use crate::event_loop::connection::local_address;
-use crate::event_loop::reactor::{Interest, Reactor, Timers, Token};
+use crate::event_loop::listener::local_address;
+use crate::event_loop::reactor::{Interest, Reactor};
+use crate::event_loop::timers::Timers;
+use crate::event_loop::token::Token;
 use crate::health::monitor::Monitor;
 use crate::health::Health;
 use crate::observability::logging;
-use crate::persistence::hot_restart::{self, Elder, Estate, Takeover};
-use crate::persistence::saved_state::{Memory, Recalled};
+use crate::persistence::hot_restart::handover::{request_handover, HandoverState, OldProcess};
+use crate::persistence::hot_restart::links::HotRestart;
+use crate::persistence::saved_state::{InitialState, Persistence};
 use crate::pipeline::{IoEndpoints, Pipeline, TimerKind};
 use crate::upstream::Upstream;
 use ::drain::Drain;
@@ -43,7 +46,7 @@
     pub fn start_with_commands(mut config: Config, commands: CommandReceiver) -> io::Result<Proxy> {
         let now = Instant::now();
         let reactor = Reactor::new()?;
-        reactor.add(&commands, Token::Control, Interest::READ)?;
+        reactor.register(&commands, Token::Commands, Interest::READ)?;
         logging::set(&config.logging);
         let mut handover = Handover::request(&config);
         let io = open_endpoints(&config, &mut handover, reactor, now)?;
@@ -53,7 +56,7 @@
         proxy.io.timers.set(now, TimerKind::MeasureLoad);
         let new_process = handover.state.is_some() || handover.old_process_unknown;
         let recovered = proxy.open_saved_state(&mut config, handover.state.is_some(), now)?;
-        let last_incarnation = recovered.start;
+        let last_incarnation = recovered.incarnation;
         proxy.load_endpoints(&config, handover.state, recovered, now);
         proxy.join_old_process(handover.link, handover.in_place);
         let event = availability::Event::Started;
@@ -120,14 +123,14 @@
         config: &mut Config,
         handed_over: bool,
         now: Instant,
-    ) -> io::Result<Recalled> {
+    ) -> io::Result<InitialState> {
         let Some(settings) = config.memory.take() else {
-            return Ok(Recalled::default());
+            return Ok(InitialState::default());
         };
         let waker = self.commands.waker()?;
         let (name, known) = (&config.name, &config.known);
         let (saved_state, recovered) =
-            Memory::begin(settings, name, handed_over, known, waker, now);
+            Persistence::recover(settings, name, handed_over, known, waker, now);
         self.saved_state = Some(saved_state);
         self.io.timers.set(now, TimerKind::Persist);
         Ok(recovered)
@@ -138,19 +141,21 @@
     fn load_endpoints(
         &mut self,
         config: &Config,
-        state: Option<Box<Estate>>,
-        recovered: Recalled,
+        state: Option<Box<HandoverState>>,
+        recovered: InitialState,
         now: Instant,
     ) {
         let (listing, exclusions) = match state {
             Some(state) => {
-                let known = state.listing.endpoints.len();
+                let known = state.endpoint_list.endpoints.len();
                 log::info!("takeover: {known} record servers are known from before");
-                (state.listing, state.hands)
+                (state.endpoint_list, state.exclusions)
             }
             None => {
-                let listing = recovered.listing.unwrap_or_else(|| config.known.clone());
-                (listing, recovered.hands)
+                let listing = recovered
+                    .endpoint_list
+                    .unwrap_or_else(|| config.known.clone());
+                (listing, recovered.exclusions)
             }
         };
         let pushed = !config.platform.settings.endpoints_are_polled;
@@ -163,7 +168,7 @@
     /// Tells the old process that this one accepts.
     fn join_old_process(&mut self, link: Option<UnixStream>, in_place: bool) {
         if let (Some(hot_restart), Some(link)) = (&mut self.io.hot_restart, link) {
-            hot_restart.join(link, in_place, &self.io.reactor);
+            hot_restart.link_to_old_process(link, in_place, &self.io.reactor);
         }
     }
 
@@ -205,7 +210,7 @@
 #[derive(Default)]
 struct Handover {
     listener: Option<OwnedFd>,
-    state: Option<Box<Estate>>,
+    state: Option<Box<HandoverState>>,
     link: Option<UnixStream>,
     /// This process accepts from the old one's queue.
     in_place: bool,
@@ -220,10 +225,10 @@
         let old_process = config
             .takeover
             .as_deref()
-            .map_or(Elder::Nobody, hot_restart::ask);
+            .map_or(OldProcess::None, request_handover);
         match old_process {
-            Elder::Nobody => Handover::default(),
-            Elder::Unheard(fault) => {
+            OldProcess::None => Handover::default(),
+            OldProcess::Failed(fault) => {
                 log::warn!(
                     "takeover: nothing sound comes from the process before this one: {fault}"
                 );
@@ -232,7 +237,7 @@
                     ..Handover::default()
                 }
             }
-            Elder::Left(state, listener, link) => {
+            OldProcess::HandedOver(state, listener, link) => {
                 // A listener on another address is of no use to this process's clients.
                 let in_place =
                     config.listen.port() == 0 || local_address(&listener) == Some(config.listen);
@@ -249,9 +254,9 @@
 
     /// Clients and upstream connections that the old process holds.
     fn usage(&self) -> (usize, usize) {
-        self.state
-            .as_ref()
-            .map_or((0, 0), |state| (state.clients, state.upstream))
+        self.state.as_ref().map_or((0, 0), |state| {
+            (state.client_connections, state.server_connections)
+        })
     }
 }
 
@@ -277,7 +282,7 @@
     Ok(IoEndpoints {
         downstream,
         upstream: Upstream::new(limits.upstream, config.dial_timeout, config.idle_limit),
-        discovery: Discovery::new(config.discovery, config.watch_silence, pushed, now),
+        discovery: DiscoveryClient::new(config.discovery, config.watch_silence, pushed, now),
         health: Health::new(&config.health, &reactor)?,
         control_socket: open_control_socket(config, new_process, &reactor)?,
         admin: open_admin(config, &reactor)?,
@@ -305,9 +310,9 @@
 }
 
 /// Where the next process asks for a handover. Without it this process serves, but can't be replaced in place.
-fn open_hot_restart(config: &Config, reactor: &Reactor) -> Option<Takeover> {
+fn open_hot_restart(config: &Config, reactor: &Reactor) -> Option<HotRestart> {
     let path = config.takeover.as_deref()?;
-    Takeover::listen(path, reactor)
+    HotRestart::listen(path, reactor)
         .inspect_err(|error| {
             log::warn!("takeover: the next process can't be listened for: {error}")
         })
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -7,7 +7,7 @@
 use crate::control::admin::Admin;
 use crate::control::CommandReceiver;
 use crate::health::monitor::Usage;
-use crate::persistence::saved_state::Memory;
+use crate::persistence::saved_state::Persistence;
 use crate::pipeline::{IoEndpoints, Pipeline};
 use ::drain::Drain;
 use platform_settings::PlatformSettings;
@@ -43,7 +43,7 @@
     /// The fleet; none where the operators' file has no section `members`.
     pub(super) members: Option<Members>,
     pub(super) rollout: Option<Rollout>,
-    pub(super) saved_state: Option<Memory>,
+    pub(super) saved_state: Option<Persistence>,
     /// Incarnation of this process, higher than that of any earlier one of its name.
     pub(super) incarnation: u64,
     pub(super) seed: u64,
@@ -112,7 +112,7 @@
             downstream.rejected_clients,
             downstream.malformed_statements,
         );
-        let (connections, dials) = (upstream.connections(), upstream.dials);
+        let (connections, dials) = (upstream.connection_count(), upstream.dials);
         let (route_rules, health) = (self.pipeline.route_rules(), self.io.health.lines());
         let quota = &self.pipeline.quota;
         crate::observability::logging::say(&format!(
@@ -131,7 +131,7 @@
         Usage {
             clients: downstream.client_count(),
             clients_limit: self.limits.clients,
-            upstream: upstream.connections(),
+            upstream: upstream.connection_count(),
             upstream_limit: self.limits.upstream,
             open: self.pipeline.open_request_count(),
             memory_limit: self.limits.memory,
--- a/crates/leverproxy/src/proxy/timers.rs
+++ b/crates/leverproxy/src/proxy/timers.rs
@@ -11,7 +11,7 @@
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
         match timer {
             TimerKind::Router(token) => pipeline.on_router_timer(token, io, now),
-            TimerKind::Upstream(timer) => io.upstream.on_due(timer, now, &io.reactor),
+            TimerKind::Upstream(timer) => io.upstream.handle_timer(timer, now, &io.reactor),
             TimerKind::CheckDiscovery => pipeline.check_discovery(io, now),
             TimerKind::CloseExpired => self.close_expired(now),
             TimerKind::RetryAccept if io.downstream.is_listener_missing() => self.listen_again(now),
@@ -68,6 +68,6 @@
         self.persist(now);
         self.io
             .timers
-            .set(now + saved_state::LOOK, TimerKind::Persist);
+            .set(now + saved_state::CHECK_INTERVAL, TimerKind::Persist);
     }
 }
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests, answers and exchanges: what passes between the clients' side, the pipeline and the upstream side. Nothing
 //! here depends on a wire protocol, except commands and answers as opaque bytes.
 
-use crate::event_loop::reactor::Key;
+use crate::event_loop::slab::Key;
 use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use std::net::IpAddr;
 use std::sync::Arc;
--- /dev/null
+++ b/crates/leverproxy/src/upstream/timers.rs
@@ -0,0 +1,51 @@
+//! The deadlines of connections and queues.
+
+use super::connection::{State, Streaming};
+use super::events::UpstreamTimer;
+use super::Upstream;
+use crate::event_loop::reactor::Reactor;
+use crate::event_loop::slab::Key;
+use crate::request::ExchangeOutcome;
+use std::time::Instant;
+
+impl Upstream {
+    /// Handles a timer of [`Upstream::take_timers`] that is due.
+    pub fn handle_timer(&mut self, kind: UpstreamTimer, now: Instant, reactor: &Reactor) {
+        match kind {
+            UpstreamTimer::Connection(key) => self.check_connection(key, now, reactor),
+            UpstreamTimer::Queue(server) => {
+                self.expire_queued(server, now);
+                self.dial_for_queue(server, now, reactor);
+            }
+        }
+    }
+
+    fn check_connection(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+        let Some(connection) = self.connections.get(key) else {
+            return;
+        };
+        let (server, deadline) = (connection.server, connection.deadline);
+        if deadline > now {
+            // Chunks move the deadline without a timer of their own.
+            if connection.streaming() == Streaming::Active {
+                self.timers.push((deadline, UpstreamTimer::Connection(key)));
+            }
+            return;
+        }
+        match &connection.state {
+            State::Busy(active) if active.written && active.response_started => {
+                self.close_malformed(key, now)
+            }
+            State::Busy(active) if active.written => {
+                self.close(key, ExchangeOutcome::TimedOut, now)
+            }
+            State::Busy(_) | State::Idle => self.close(key, ExchangeOutcome::ConnectFailed, now),
+            State::Connecting | State::Handshake(_) => {
+                // Queued exchanges have deadlines of their own: a slow dial ends none of them.
+                self.connections.remove(key);
+                self.end_dial(server);
+                self.dial_for_queue(server, now, reactor);
+            }
+        }
+    }
+}
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -3,9 +3,10 @@
 
 mod common;
 use common::{Listener, Peer, PATIENCE};
-use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::Reactor;
+use leverproxy::event_loop::token::Token;
 use leverproxy::request::{Command, CompletedExchange, ExchangeOutcome, Purpose, Question};
-use leverproxy::upstream::{Due, Exchange, Upstream};
+use leverproxy::upstream::{Exchange, Upstream, UpstreamTimer};
 use routing::{AttemptNo, RequestId, ServerId};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,7 +28,7 @@
     fn new() -> Upstreams {
         let server = Listener::new();
         let mut upstream = Upstream::new(10, DIAL_TIMEOUT, PATIENCE);
-        upstream.serves(SERVER, server.address);
+        upstream.add_server(SERVER, server.address);
         Upstreams {
             reactor: Reactor::new().unwrap(),
             upstream,
@@ -51,9 +52,9 @@
             class: None,
             group: None,
             question: Question::Command(Arc::new(command)),
-            sent: self.begun,
-            until: self.at(waits),
-            begin_by: self.at(begins),
+            started: self.begun,
+            deadline: self.at(waits),
+            write_deadline: self.at(begins),
         };
         self.upstream
             .start(SERVER, exchange, self.begun, &self.reactor);
@@ -86,25 +87,25 @@
     }
 
     fn done(&mut self) -> Option<CompletedExchange> {
-        self.upstream.pop()
+        self.upstream.pop_completed()
     }
 }
 
-fn told(peer: &mut Peer) -> String {
+fn time_left_told(peer: &mut Peer) -> String {
     let query = peer.query();
     query[query.find("d=").unwrap()..].to_owned()
 }
 
 #[test]
-fn the_time_told_is_what_is_left_when_the_attempt_is_written() {
+fn the_server_is_told_the_time_left_when_the_attempt_is_written() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, 400 * MS, 400 * MS, 0);
     let mut peer = upstreams.welcomed(250 * MS);
-    assert_eq!(told(&mut peer), "d=150 */");
+    assert_eq!(time_left_told(&mut peer), "d=150 */");
 }
 
 #[test]
-fn a_dial_that_is_up_too_late_carries_nothing() {
+fn a_dial_that_is_established_too_late_carries_no_attempt() {
     // Of one that had less time to begin than a dial may take, the server is not to blame.
     let (its_time, the_dial) = (ExchangeOutcome::NotSent, ExchangeOutcome::ConnectFailed);
     for (waits, begins, verdict) in [
@@ -118,39 +119,39 @@
         assert_eq!(upstreams.upstream.attempts, 0);
         // The connection is there for the next.
         upstreams.start(2, PATIENCE, PATIENCE, 0);
-        assert_eq!(told(&mut peer), "d=10000 */");
+        assert_eq!(time_left_told(&mut peer), "d=10000 */");
     }
 }
 
 #[test]
-fn an_attempt_that_is_called_off_during_the_dial_is_never_written() {
+fn an_attempt_cancelled_during_the_dial_is_never_written() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, 400 * MS, 400 * MS, 0);
     upstreams
         .upstream
-        .call_off(RequestId(1), upstreams.at(10 * MS));
+        .cancel_unwritten(RequestId(1), upstreams.at(10 * MS));
     assert_eq!(upstreams.done().unwrap().outcome, ExchangeOutcome::NotSent);
     let mut peer = upstreams.welcomed(20 * MS);
     upstreams.start(2, PATIENCE, PATIENCE, 0);
-    assert_eq!(told(&mut peer), "d=10000 */");
+    assert_eq!(time_left_told(&mut peer), "d=10000 */");
 }
 
-/// Half of it is with the server, which has not begun: the rest must not follow.
+/// Half of a request is written when it is cancelled. The server must not get the rest, or it would run.
 #[test]
-fn an_attempt_that_is_called_off_half_written_ends_its_connection() {
+fn an_attempt_cancelled_half_written_closes_its_connection() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, PATIENCE, PATIENCE, LONGER_THAN_A_SOCKET);
     let mut peer = upstreams.welcomed(20 * MS);
     assert!(upstreams.done().is_none());
     upstreams
         .upstream
-        .call_off(RequestId(1), upstreams.at(30 * MS));
+        .cancel_unwritten(RequestId(1), upstreams.at(30 * MS));
     assert_eq!(upstreams.done().unwrap().outcome, ExchangeOutcome::NotSent);
-    assert_eq!(upstreams.upstream.connections(), 0);
+    assert_eq!(upstreams.upstream.connection_count(), 0);
     assert!(peer.ended());
 }
 
-/// The time that it told is not true any more once its last bytes have waited for long.
+/// A request is half written for so long that the time left in it is no longer true: it is dropped.
 #[test]
 fn an_attempt_that_is_not_written_in_time_is_dropped() {
     let mut upstreams = Upstreams::new();
@@ -158,12 +159,12 @@
     let mut peer = upstreams.welcomed(20 * MS);
     let (at, due) = upstreams
         .upstream
-        .take_due()
+        .take_timers()
         .into_iter()
         .rfind(|(_, d)| is_connection(d))
         .unwrap();
     assert_eq!(at, upstreams.at(120 * MS));
-    upstreams.upstream.on_due(due, at, &upstreams.reactor);
+    upstreams.upstream.handle_timer(due, at, &upstreams.reactor);
     assert_eq!(
         upstreams.done().unwrap().outcome,
         ExchangeOutcome::ConnectFailed
@@ -171,6 +172,6 @@
     assert!(peer.ended());
 }
 
-fn is_connection(due: &Due) -> bool {
-    matches!(due, Due::Connection(_))
+fn is_connection(due: &UpstreamTimer) -> bool {
+    matches!(due, UpstreamTimer::Connection(_))
 }
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -3,7 +3,8 @@
 mod common;
 use common::{answer, read, Listener, Peer, Program, Reply, Stage, PATIENCE};
 use leverproxy::config::Config;
-use leverproxy::event_loop::reactor::{Reactor, Token};
+use leverproxy::event_loop::reactor::Reactor;
+use leverproxy::event_loop::token::Token;
 use leverproxy::request::{ExchangeOutcome, Purpose, Question};
 use leverproxy::upstream::{Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
@@ -570,7 +571,7 @@
     let reactor = Reactor::new().unwrap();
     let now = Instant::now();
     let mut upstream = Upstream::new(100, PATIENCE, PATIENCE);
-    upstream.serves(ServerId(1), server.address);
+    upstream.add_server(ServerId(1), server.address);
     let exchanges = 40;
     for no in 0..exchanges {
         let purpose = Purpose::Attempt(RequestId(no), AttemptNo(0));
@@ -581,9 +582,9 @@
             class,
             group,
             question,
-            sent: now,
-            until,
-            begin_by,
+            started: now,
+            deadline: until,
+            write_deadline: begin_by,
         };
         upstream.start(ServerId(1), exchange, now, &reactor);
     }
@@ -604,10 +605,14 @@
             };
             upstream.ready(key, now, &reactor);
         }
-        for (_, due) in upstream.take_due().into_iter().filter(|(at, _)| *at <= now) {
-            upstream.on_due(due, now, &reactor);
+        for (_, due) in upstream
+            .take_timers()
+            .into_iter()
+            .filter(|(at, _)| *at <= now)
+        {
+            upstream.handle_timer(due, now, &reactor);
         }
-        while let Some(one) = upstream.pop() {
+        while let Some(one) = upstream.pop_completed() {
             assert!(
                 matches!(
                     one.outcome,
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -25,10 +25,10 @@
         return false;
     };
     let mut text = String::new();
-    let told = socket
+    let answered = socket
         .write_all(b"status\n")
         .and_then(|()| socket.read_to_string(&mut text));
-    told.is_ok() && text.starts_with("phase serving\n")
+    answered.is_ok() && text.starts_with("phase serving\n")
 }
 
 fn place() -> Scratch {
@@ -176,10 +176,10 @@
     ] {
         let place = place();
         let listener = UnixListener::bind(&place.0).unwrap();
-        let spoilt =
+        let malformed =
             thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
         let (mut stage, admin) = stage(&place.0, &[]);
-        spoilt.join().unwrap();
+        malformed.join().unwrap();
         // There was an old process: what it knew has to come from discovery first.
         assert_eq!(get(admin, "/api/ready").0, 503);
         stage.watch.tell(42, &[]);
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -142,20 +142,21 @@
     /// The cached list of the process before this one is too old to go by: what has left it since counts as known to this
     /// router. Without an answer for as long as that takes, discovery can't be reached, and the list is all there is.
     pub(crate) fn endpoints_are_outdated(&self) -> bool {
-        let outdated = discovery_schedule::CACHED..discovery_schedule::TOLD;
+        let outdated =
+            discovery_schedule::CACHED_LIST_LIFETIME..discovery_schedule::NOTIFICATION_DEADLINE;
         self.cached_since
             .is_some_and(|since| outdated.contains(&self.now.since(since)))
     }
 
     fn schedule_first_poll(&mut self) {
-        let longest = discovery_schedule::first_call(self.settings.max_poll_interval);
+        let longest = discovery_schedule::first_poll_delay(self.settings.max_poll_interval);
         self.schedule_poll(Duration::ZERO, self.poll_spread(longest));
     }
 
     fn on_poll_failure(&mut self) {
         self.poll_failures += 1;
         // Where the settings give less time for polling, that binds after a failure too.
-        let longest = discovery_schedule::RETRY.min(self.settings.max_poll_interval);
+        let longest = discovery_schedule::MAX_RETRY_DELAY.min(self.settings.max_poll_interval);
         let backoff = (POLL_BACKOFF_UNIT * (1 << self.poll_failures.min(16))).min(longest);
         let latest = backoff.max(self.poll_spread(longest));
         let has_place = self.poll_failures > 1;
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -153,8 +153,8 @@
     let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::Endpoints(EndpointUpdate::Failed));
     // After a failure there is less time, and all of it is used.
     let spans = [
-        (start, discovery_schedule::first_call(10_000 * MS)),
-        (lost, discovery_schedule::RETRY),
+        (start, discovery_schedule::first_poll_delay(10_000 * MS)),
+        (lost, discovery_schedule::MAX_RETRY_DELAY),
     ];
     for (after, span) in spans {
         let (many, longest) = polls_of_a_fleet(100, after);
@@ -200,7 +200,7 @@
         "at first it is used"
     );
     let mut old = bench();
-    old.wait(discovery_schedule::CACHED);
+    old.wait(discovery_schedule::CACHED_LIST_LIFETIME);
     let (id, actions) = old.request(EVENTUAL);
     assert!(
         sends(&actions).is_empty() && !rejected(&actions, id),
@@ -212,7 +212,7 @@
     )])));
     assert_eq!(sends(&actions), [2], "served as soon as the list is known");
     let mut same = bench();
-    same.wait(discovery_schedule::CACHED);
+    same.wait(discovery_schedule::CACHED_LIST_LIFETIME);
     same.event(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
     assert_eq!(
         sends(&same.request(EVENTUAL).1).len(),
@@ -220,14 +220,14 @@
         "nothing has changed"
     );
     let mut silent = bench();
-    silent.wait(discovery_schedule::TOLD);
+    silent.wait(discovery_schedule::NOTIFICATION_DEADLINE);
     assert_eq!(
         sends(&silent.request(EVENTUAL).1).len(),
         1,
         "discovery says nothing at all: the list is all there is"
     );
     let mut failed = bench();
-    failed.wait(discovery_schedule::CACHED);
+    failed.wait(discovery_schedule::CACHED_LIST_LIFETIME);
     failed.event(Event::Endpoints(EndpointUpdate::Failed));
     assert_eq!(
         sends(&failed.request(EVENTUAL).1).len(),
@@ -257,7 +257,7 @@
                 }
                 let waited = bench.now.since(begin);
                 assert!(
-                    waited <= discovery_schedule::RETRY + 10 * MS,
+                    waited <= discovery_schedule::MAX_RETRY_DELAY + 10 * MS,
                     "{waited:?}, failure {failure} among {routers}"
                 );
             }
