--- a/crates/leverproxy/src/persistence/hot_restart/recorded.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/recorded.rs
@@ -109,3 +109,14 @@
         "no listener came with its message"
     );
 }
+
+/// A new process of an earlier build reads what this one hands over: names and order in the JSON must stay.
+#[test]
+fn the_first_version_is_written_as_it_was() {
+    let state: HandoverState = serde_json::from_str(STATE).unwrap();
+    assert_eq!(serde_json::to_string(&state).unwrap(), STATE);
+    for line in MESSAGES.lines().chain(["\"ServingElsewhere\""]) {
+        let message: PeerMessage = serde_json::from_str(line).unwrap();
+        assert_eq!(serde_json::to_string(&message).unwrap(), line);
+    }
+}
