--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -35,7 +35,7 @@
     assert_eq!((slots.len(), slots.keys()), (1, vec![new]));
 }
 
-/// The parts of a body that comes in pieces of so many bytes.
+/// The parts of a body that arrives in pieces of so many bytes.
 fn parts_of(stream: &[u8], piece: usize) -> Result<(Vec<Part>, bool), HttpError> {
     let (mut reader, mut parts, mut kept) = (ResponseParser::default(), vec![], vec![]);
     for bytes in stream.chunks(piece) {
@@ -46,7 +46,7 @@
     Ok((parts, reader.is_done()))
 }
 
-/// An object may be cut anywhere, indented, and one of several; white space between objects is a sign of life.
+/// An object may be cut anywhere, indented, and one of several; white space between objects is a keepalive.
 #[test]
 fn a_stream_of_objects_may_be_cut_anywhere() {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -74,7 +74,7 @@
             [indented, "{}", "{\"c\":1}"].map(|text| Part::Object(text.to_owned())),
             "{piece}"
         );
-        // Of white space inside the object nothing is heard, of that after it something.
+        // White space inside an object is no keepalive, white space after it is.
         assert_eq!(parts.first(), objects.first());
         assert_eq!(parts.last(), Some(&Part::Keepalive));
         assert!(done);
@@ -135,7 +135,8 @@
     );
 }
 
-/// A word for the status that is not known must not break the watch, nor bring anything new to that server.
+/// Discovery sends a status that this build does not know. The watch must not break, and the server must get no new
+/// requests.
 #[test]
 fn an_unknown_status_counts_as_draining() {
     let json = br#"{"index":2,"snapshot":true,"endpoints":[
@@ -155,9 +156,10 @@
     assert!(EndpointList::parse(br#"{"endpoints":[{"name":7}]}"#).is_err());
 }
 
-/// Whatever is not one row of one value, in order, is known for spoilt before its end is waited for.
+/// A response that is not one row of one value, in order, is rejected before its end is waited for: a client must not get
+/// noise as its value.
 #[test]
-fn only_a_sound_answer_is_taken() {
+fn only_a_well_formed_response_is_accepted() {
     let good = common::answer(
         "doc",
         &[("role", "replica"), ("load", "=?"), ("applied_ms", "soon")],
@@ -198,7 +200,7 @@
     .concat();
     let fits_not = [head, &rest[..10], &[9]].concat();
     let twice = [&good[..done], &rest[..done - row], &good[done..]].concat();
-    let spoilt = [
+    let malformed = [
         b"HTTP/1.1 400 Bad Request".to_vec(),
         good[row..].to_vec(),
         [head, &good[done..]].concat(),
@@ -212,7 +214,7 @@
         vec![b'Z', 0, 0, 0, 5, b'I'],
         vec![b'E', 0, 0, 0, 6, b'S', 0],
     ];
-    for (no, bytes) in spoilt.iter().enumerate() {
+    for (no, bytes) in malformed.iter().enumerate() {
         assert!(
             ResponseReader::default().parse(bytes).is_err(),
             "number {no}"
@@ -220,9 +222,9 @@
     }
 }
 
-/// A report that can't be read, or can't be true, is none, and its server is not taken for dead.
+/// A load report that is malformed or cannot be true counts as empty, and its server as alive.
 #[test]
-fn an_absurd_report_is_none() {
+fn an_impossible_load_report_counts_as_empty() {
     let now = Time(Duration::from_secs(1_800_000_000));
     let probed = |text: &str| {
         let mut reader = ResponseReader::default();
@@ -328,9 +330,9 @@
     );
 }
 
-/// On a long day servers are replaced under new names all the time: what is kept of them must not grow.
+/// Servers are replaced under new names all the time: the memory for former names must not grow without bound.
 #[test]
-fn names_of_servers_are_forgotten() {
+fn names_of_former_servers_are_forgotten() {
     let mut directory = Directory::default();
     for no in 0..5_000 {
         let json = format!(
