--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -5,7 +5,8 @@
 
 mod common;
 use common::{
-    message, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE, SETTINGS,
+    message, own_address, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE,
+    SETTINGS,
 };
 use leverproxy::config::Config;
 use leverproxy::protocol::postgres::server::startup_packet;
@@ -168,7 +169,10 @@
 fn listening_again_is_retried_until_the_address_is_free() {
     let place = Scratch::new("");
     std::fs::remove_file(&place.0).unwrap();
-    let stage = Stage::with(&[], |config| config.control = Some(place.0.clone()));
+    let stage = Stage::with(&[], |config| {
+        config.control = Some(place.0.clone());
+        config.listen = own_address();
+    });
     let say = |word: &str| {
         let mut socket = UnixStream::connect(&place.0).unwrap();
         socket.write_all(format!("{word}\n").as_bytes()).unwrap();
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
-use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::atomic::{AtomicU32, AtomicU8, Ordering};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
@@ -34,6 +34,15 @@
 /// The operators' word for a program whose loop may be late: tests share the machine.
 const LATE_LOOP: &str = "availability {\n lag 1s\n}\n";
 
+/// An address of loopback that no other test listens on. A port of 127.0.0.1 that a proxy has let go may be given at once to
+/// a listener of any other test, and a test that waits for its proxy to listen again would connect to that.
+pub fn own_address() -> SocketAddr {
+    static NUMBER: AtomicU8 = AtomicU8::new(1);
+    let [_, high, middle, low] = std::process::id().to_be_bytes();
+    let second = 64 + (high ^ NUMBER.fetch_add(1, Ordering::Relaxed)) % 128;
+    SocketAddr::from(([127, second, middle, low], 0))
+}
+
 /// A peer that listens; a thread of its own takes connections, so that a story can wait for one with a limit.
 pub struct Listener {
     pub address: SocketAddr,
@@ -417,6 +426,14 @@
         Stage::set(servers, Some(&file.0), |_| {})
     }
 
+    /// The same, listening on an address of its own ([`own_address`]).
+    pub fn under_at_own_address(servers: &[(&str, &Listener)], operators: &str) -> Stage {
+        let file = Scratch::new(operators);
+        Stage::set(servers, Some(&file.0), |config| {
+            config.listen = own_address();
+        })
+    }
+
     /// The same, with room for so many clients.
     pub fn set_limits(servers: &[(&str, &Listener)], operators: &str, clients: usize) -> Stage {
         let file = Scratch::new(operators);
--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -670,7 +670,7 @@
         std::env::temp_dir().join(format!("leverproxy-{}-listen-again", std::process::id()));
     let socket = socket.to_str().unwrap();
     let server = Listener::new();
-    let stage = Stage::under(
+    let stage = Stage::under_at_own_address(
         &[("s-1", &server)],
         &format!(
             "balancer b {{\n interval 100ms\n fall 2\n timeout 50ms\n}}\ncontrol {{\n socket {socket}\n}}\n"
