--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -1,7 +1,7 @@
 //! Quota: whether a request is beyond what its tenant may ask, or borrowed, as the module should know. Refuses nothing.
 
 use crate::cluster::members::Members;
-use crate::cluster::quota_lending::Lending;
+use crate::cluster::quota_lending::QuotaLending;
 use crate::cluster::usage;
 use crate::pipeline::admit::OpenRequest;
 use crate::request::Answer;
@@ -26,7 +26,7 @@
     started: Option<Instant>,
     told: Option<Instant>,
     /// Loans over the fleet, where the operators' file has them.
-    pub lending: Option<Lending>,
+    pub lending: Option<QuotaLending>,
 }
 
 impl Quota {
@@ -78,7 +78,7 @@
             ..
         } = self;
         if let Some(lending) = lending {
-            lending.rule(
+            lending.update_rules(
                 names.iter().map(String::as_str).zip(quotas.iter().copied()),
                 now,
             );
@@ -117,7 +117,7 @@
         let (Some(lending), Some(class), Some(stand)) = (&mut self.lending, class, stand) else {
             return false;
         };
-        lending.ask(stand, class, now)
+        lending.may_borrow(stand, class, now)
     }
 
     /// How a request ended; none: its client has left. A loan that nothing was tried for is given back.
@@ -128,7 +128,8 @@
         let tried = open.attempts() > 0;
         match open.standing {
             QuotaStatus::WithinQuota if answer.is_some() => {
-                lending.within(!tried && matches!(answer, Some(Answer::Refused(_))), now);
+                lending
+                    .record_within_quota(!tried && matches!(answer, Some(Answer::Refused(_))), now);
             }
             QuotaStatus::Borrowed if !tried => {
                 if let Some(stand) = self.names.get(usize::from(open.tenant.0)) {
@@ -142,7 +143,7 @@
     /// What another proxy has said.
     pub fn heard(&mut self, fact: &Fact, now: Instant) {
         if let Some(lending) = &mut self.lending {
-            lending.heard(fact, now);
+            lending.receive(fact, now);
         }
     }
 
@@ -174,7 +175,7 @@
         let begun = self
             .lending
             .as_mut()
-            .is_some_and(|lending| lending.look(members, now));
+            .is_some_and(|lending| lending.poll(members, now));
         if begun {
             self.rule(now);
         }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::cluster::members::Members;
-use crate::cluster::quota_lending::Lending;
+use crate::cluster::quota_lending::QuotaLending;
 use crate::cluster::rollout::Rollout;
 use crate::cluster::usage;
 use crate::config::reload::{Ask, Reloads};
@@ -283,7 +283,12 @@
             sides.timers.set(now, Timer::Quota);
         }
         if let Some(stated) = config.lending.filter(|_| members.is_some()) {
-            chain.quota.lending = Some(Lending::new(stated, config.windows, wishes.waker()?, now));
+            chain.quota.lending = Some(QuotaLending::new(
+                stated,
+                config.windows,
+                wishes.waker()?,
+                now,
+            ));
             chain.quota.rule(now);
         }
         Ok(Proxy {
@@ -1052,12 +1057,12 @@
         let waits = match (lending.as_mut(), stated) {
             (Some(lending), Some(stated)) => lending.reload(stated, windows),
             (Some(lending), None) => {
-                lending.end();
+                lending.stop_lending();
                 Vec::new()
             }
             (None, Some(stated)) if self.members.is_some() => {
                 match self.wishes.waker() {
-                    Ok(waker) => *lending = Some(Lending::new(stated, windows, waker, now)),
+                    Ok(waker) => *lending = Some(QuotaLending::new(stated, windows, waker, now)),
                     Err(error) => log::error!("loans: {error}; nothing is lent here"),
                 }
                 Vec::new()
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -139,11 +139,11 @@
     {
         use quota_lending::RulesError as E;
         rows!(table, "quota-lending: `RulesError`", quota_lending::RulesError, [
-            Long => E::Long(text("STAND"), Duration::from_secs(N.into())),
+            TooLong => E::TooLong(text("STAND"), Duration::from_secs(N.into())),
             NoTerm => E::NoTerm(text("STAND")),
-            Floor => E::Floor(text("STAND"), N),
-            Line => E::Line(text("STAND")),
-            Alike => E::Alike(text("STAND"), text("OTHER")),
+            FloorTooHigh => E::FloorTooHigh(text("STAND"), N),
+            CreditLimitTooHigh => E::CreditLimitTooHigh(text("STAND")),
+            NameCollision => E::NameCollision(text("STAND"), text("OTHER")),
         ]);
     }
     {
@@ -157,22 +157,22 @@
         use quota_lending::BadFile as E;
         rows!(table, "quota-lending: `BadFile`", quota_lending::BadFile, [
             Version => E::Version,
-            Sum => E::Sum,
-            Form => E::Form,
+            Checksum => E::Checksum,
+            Malformed => E::Malformed,
         ]);
     }
     {
         use quota_lending::Notice as E;
         rows!(table, "quota-lending: `Notice`", quota_lending::Notice, [
-            BadFile => E::BadFile(quota_lending::BadFile::Sum),
-            Founded => E::Founded(N as usize),
-            TooMany => E::TooMany(N as usize),
-            Alike => E::Alike,
-            Took => E::Took(N),
-            LaneLost => E::LaneLost,
-            WrittenOff => E::WrittenOff { stand: text("STAND"), amount: N.into() },
-            NotKept => E::NotKept(quota_lending::NotKept::Lives, N),
-            Unsaid => E::Unsaid(SMALL),
+            BadFile => E::BadFile(quota_lending::BadFile::Checksum),
+            Bootstrapped => E::Bootstrapped(N as usize),
+            RosterTooLong => E::RosterTooLong(N as usize),
+            NameCollision => E::NameCollision,
+            AccountTakenOver => E::AccountTakenOver(N),
+            AccountLost => E::AccountLost,
+            WrittenOff => E::WrittenOff { tenant: text("STAND"), amount: N.into() },
+            Ignored => E::Ignored(quota_lending::IgnoreReason::TooManyIncarnations, N),
+            MessageTooLong => E::MessageTooLong(SMALL),
         ]);
     }
     {
@@ -196,8 +196,8 @@
         ]);
     }
     {
-        use leverproxy::cluster::quota_lending::Fault as E;
-        rows!(table, "leverproxy: `quota_lending::Fault`", leverproxy::cluster::quota_lending::Fault, [
+        use leverproxy::cluster::quota_lending::StartError as E;
+        rows!(table, "leverproxy: `quota_lending::StartError`", leverproxy::cluster::quota_lending::StartError, [
             Lock => E::Lock(leverproxy::persistence::state_file::LockError::Io("DIRECTORY".into(), cause())),
             Thread => E::Thread(cause()),
         ]);
--- a/crates/proxy-experiments/src/member.rs
+++ b/crates/proxy-experiments/src/member.rs
@@ -1,7 +1,9 @@
 //! What one proxy of a fleet knows of its tenants' quotas: its own account, what others see, and its loans.
 
 use quota::{Mark, Others, Quota};
-use quota_lending::{Action as Asked, Config, Core, Notice, Rules, Shortage, Verdict, SHORT_LASTS};
+use quota_lending::{
+    Action as Asked, Config, Decision, Lender, Notice, Rules, Shortage, SHORTAGE_LASTS,
+};
 use routing::{Action, Arrival, QuotaStatus, RequestId, Settings, Time};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -105,7 +107,7 @@
 /// Its part in a fleet.
 struct Talking {
     place: Place,
-    core: Core,
+    core: Lender,
     others: BTreeMap<usize, Other>,
     /// Those that were up, and whether it may lend, as the core was told last.
     view: Option<(bool, Vec<(usize, u64)>)>,
@@ -162,7 +164,7 @@
     pub fn join(&mut self, now: Time, place: Place, file: Option<Vec<u8>>) {
         let mut config = Config::new(&place.names[place.number], place.start, true);
         (config.longest, config.lease) = (place.longest, place.lease);
-        let mut core = Core::new(&config, now.0, file.as_deref());
+        let mut core = Lender::new(&config, now.0, file.as_deref());
         let mut out = Vec::new();
         core.handle(
             now.0,
@@ -172,7 +174,7 @@
         let books = place
             .tenants
             .iter()
-            .map(|name| core.book(now.0, name).unwrap_or_default());
+            .map(|name| core.totals(now.0, name).unwrap_or_default());
         let began = books.map(|book| (book.lent, book.repaid)).collect();
         let shortage = Shortage::new(place.short_least as u32, place.short_part);
         let mut talking = Talking {
@@ -237,7 +239,7 @@
                 if let (Some(talking), Some(QuotaStatus::WithinQuota)) =
                     (&mut self.talking, standing)
                 {
-                    talking.shortage.ended(now.0, false);
+                    talking.shortage.record_end(now.0, false);
                 }
             }
             Action::Reject { id, .. } => self.ended(now, *id, true),
@@ -261,7 +263,7 @@
             QuotaStatus::OverQuota => stand.turned += u64::from(refused),
             QuotaStatus::WithinQuota if refused => {
                 stand.refused += 1;
-                talking.shortage.ended(now.0, true);
+                talking.shortage.record_end(now.0, true);
             }
             QuotaStatus::WithinQuota => {}
         }
@@ -298,7 +300,7 @@
         let book = self
             .talking
             .as_ref()
-            .and_then(|t| t.core.book(now.0, &t.place.tenants[tenant]));
+            .and_then(|t| t.core.totals(now.0, &t.place.tenants[tenant]));
         book.map_or(0, |book| book.owed)
     }
 
@@ -307,7 +309,7 @@
         let Some(talking) = &self.talking else {
             return true;
         };
-        let Some(book) = talking.core.book(now.0, &talking.place.tenants[tenant]) else {
+        let Some(book) = talking.core.totals(now.0, &talking.place.tenants[tenant]) else {
             return true;
         };
         let (stand, (lent, repaid)) = (&self.stands[tenant], talking.began[tenant]);
@@ -331,28 +333,28 @@
             &self.place.classes[usize::from(arrival.class.0)],
         );
         let mut asked = Vec::new();
-        let verdict = self.core.ask(now.0, stand, class, ONE, &mut asked);
+        let verdict = self.core.decide(now.0, stand, class, ONE, &mut asked);
         self.asked(now, asked, stands);
-        verdict == Verdict::Borrowed
+        verdict == Decision::Borrowed
     }
 
     /// What the core asks for.
     fn asked(&mut self, now: Time, asked: Vec<Asked>, stands: &mut [Stand]) {
         for action in asked {
             match action {
-                Asked::Tell {
+                Asked::Publish {
                     kind, key, body, ..
                 } => self.out.push(Said::Loans { kind, key, body }),
                 Asked::Save { sequence, bytes } => self.saving = Some((sequence, bytes)),
                 Asked::Timer { after, token } => self.timer = Some((now.plus(after), token)),
-                Asked::Notice(Notice::WrittenOff { stand, amount }) => {
-                    let tenant = self.place.tenants.iter().position(|name| *name == stand);
+                Asked::Notice(Notice::WrittenOff { tenant, amount }) => {
+                    let tenant = self.place.tenants.iter().position(|name| *name == tenant);
                     tenant
                         .and_then(|at| stands.get_mut(at))
                         .into_iter()
                         .for_each(|s| s.written_off += amount);
                 }
-                Asked::Notice(Notice::LaneLost) => {
+                Asked::Notice(Notice::AccountLost) => {
                     // The lane begins anew: as if it had lent that much less.
                     for (began, stand) in self.began.iter_mut().zip(stands.iter()) {
                         let lent = (stand.borrowed * ONE).wrapping_neg();
@@ -388,26 +390,26 @@
         match &word.said {
             Said::Rates(rates) if newer => other.rates.clone_from(rates),
             Said::Rates(_) => {}
-            Said::Short => self.short = self.short.max(word.at.plus(SHORT_LASTS)),
+            Said::Short => self.short = self.short.max(word.at.plus(SHORTAGE_LASTS)),
             Said::Loans { kind, key, body } => {
                 let source = self.place.names[word.from].clone();
                 let (start, kind, age) = (word.start, *kind, now.since(word.at));
-                let event = quota_lending::Event::Fact {
+                let event = quota_lending::Event::Message {
                     source: &source,
-                    start,
+                    incarnation: start,
                     kind,
                     key,
                     body,
                     age,
                 };
-                let repaid = |core: &Core, name: &String| {
-                    core.book(now.0, name).map_or(0, |book| book.repaid)
+                let repaid = |core: &Lender, name: &String| {
+                    core.totals(now.0, name).map_or(0, |book| book.repaid)
                 };
                 let names = self
                     .place
                     .tenants
                     .iter()
-                    .filter(|_| kind == quota_lending::said::PAID);
+                    .filter(|_| kind == quota_lending::messages::REPAYMENT_REPORT);
                 let before: Vec<u64> = names.map(|name| repaid(&self.core, name)).collect();
                 self.handle(now, event, stands);
                 // Others may have paid for it.
@@ -426,13 +428,13 @@
             self.handle(now, quota_lending::Event::Saved(sequence), stands);
         }
         self.who_is_there(now, quota, stands);
-        let own = self.shortage.is_short(now.0);
+        let own = self.shortage.is_in_shortage(now.0);
         if own {
             self.out.push(Said::Short);
         }
         self.handle(
             now,
-            quota_lending::Event::Short(own || now < self.short),
+            quota_lending::Event::Shortage(own || now < self.short),
             stands,
         );
         if let Some((_, token)) = self.timer.take_if(|(at, _)| *at <= now) {
@@ -489,13 +491,13 @@
             let names = self.place.names.clone();
             let member = |(at, start): &(usize, u64)| quota_lending::Member {
                 name: names[*at].clone(),
-                start: *start,
+                incarnation: *start,
                 up: true,
             };
             let members: Vec<_> = view.1.iter().map(member).collect();
             self.view = Some(view);
-            let event = quota_lending::Event::View {
-                lend: most,
+            let event = quota_lending::Event::Membership {
+                may_lend: most,
                 roster: &names,
                 members: &members,
             };
--- a/crates/proxy-experiments/src/play/fleet.rs
+++ b/crates/proxy-experiments/src/play/fleet.rs
@@ -54,7 +54,7 @@
 
 fn rule(credit: &Credit, quota: f64, classes: &[String]) -> Rule {
     Rule {
-        line_time: super::span(credit.line),
+        limit_time: super::span(credit.line),
         quota: (quota * 1000.0) as u64,
         term: super::span(credit.term),
         write_off: super::span(credit.write_off),
@@ -89,7 +89,7 @@
             rules
                 .iter()
                 .find(|(n, _)| n == name)
-                .map_or(0, |(_, rule)| rule.line())
+                .map_or(0, |(_, rule)| rule.credit_limit())
         };
         let loans = clients
             .tenants
--- a/crates/proxy-experiments/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -69,7 +69,7 @@
     let clients = &day.clients;
     let classes: Vec<String> = clients.kinds.iter().map(|kind| kind.name.clone()).collect();
     let rule = Rule {
-        line_time: LINE * times,
+        limit_time: LINE * times,
         quota: (clients.tenants[STAND].quota * 1000.0) as u64,
         term: TERM,
         write_off: WRITE_OFF,
--- a/crates/quota-lending/src/bounds.rs
+++ b/crates/quota-lending/src/bounds.rs
@@ -1,140 +1,170 @@
 //! One member of the fleet that says whatever fits: what is kept of it is bounded, and none of its gifts counts twice.
 
-use crate::core::{RECEIVERS, ROWS};
-use crate::said::{
-    self, digest, encode, number, Founded, Given, Head, Id, Pulse, Row, SaidRow, Witness,
+use crate::balances::{Balances, SentTotal};
+use crate::identity::{bootstrap_digest, name_number, AccountId};
+use crate::limits::{BALANCES, RECEIVERS};
+use crate::messages::{
+    self, encode, BootstrapMembers, Heartbeat, PublishedBalances, Sender, WitnessedTransfers,
 };
-use crate::{Action, Config, Core, Event, Notice};
+use crate::{Action, Config, Event, Lender, Notice};
 use std::time::Duration;
 
-const STAND: u32 = 7;
+const TENANT: u32 = 7;
 
-fn id(name: &str) -> Id {
-    Id {
-        name: number(name),
-        from: 1,
+fn id(name: &str) -> AccountId {
+    AccountId {
+        owner: name_number(name),
+        incarnation: 1,
     }
 }
 
-fn head() -> Head {
+fn head() -> Sender {
     let mut founders = ["a", "b", "c"].map(id);
     founders.sort_unstable();
-    Head {
-        founders: digest(&founders),
-        memory: 1,
-        lane: 1,
-        life: 1,
+    Sender {
+        bootstrap_digest: bootstrap_digest(&founders),
+        state_incarnation: 1,
+        account_incarnation: 1,
+        incarnation: 1,
     }
 }
 
-fn hear<T: serde::Serialize>(core: &mut Core, source: &str, kind: u8, body: &T) {
+fn hear<T: serde::Serialize>(lender: &mut Lender, source: &str, kind: u8, body: &T) {
     let (key, body, age) = (
-        STAND.to_le_bytes(),
+        TENANT.to_le_bytes(),
         encode(body).expect("it fits"),
         Duration::ZERO,
     );
-    let fact = Event::Fact {
+    let fact = Event::Message {
         source,
-        start: 1,
+        incarnation: 1,
         kind,
         key: &key,
         body: &body,
         age,
     };
-    core.handle(Duration::ZERO, fact, &mut Vec::new());
+    lender.handle(Duration::ZERO, fact, &mut Vec::new());
 }
 
-fn founded() -> Core {
-    let mut core = Core::new(&Config::new("a", 1, false), Duration::ZERO, None);
-    let mut members = ["a", "b", "c"].map(|name| (number(name), 0));
+fn founded() -> Lender {
+    let mut lender = Lender::new(&Config::new("a", 1, false), Duration::ZERO, None);
+    let mut members = ["a", "b", "c"].map(|name| (name_number(name), 0));
     members.sort_unstable();
     hear(
-        &mut core,
+        &mut lender,
         "b",
-        said::FOUNDED,
-        &Founded {
-            head: head(),
-            least: 1,
+        messages::BOOTSTRAP_MEMBERS,
+        &BootstrapMembers {
+            sender: head(),
+            least_incarnation: 1,
             members: members.into(),
         },
     );
-    assert!(core.is_founded());
-    core
+    assert!(lender.is_bootstrapped());
+    lender
 }
 
 /// A gift of 1 to each of these.
-fn gifts(to: std::ops::Range<u32>) -> SaidRow {
-    let gave = to.map(|name| (Id { name, from: 1 }, 1)).collect();
-    SaidRow {
-        head: head(),
-        row: Row {
-            gave,
-            ..Row::default()
+fn gifts(to: std::ops::Range<u32>) -> PublishedBalances {
+    let gave = to
+        .map(|name| {
+            (
+                AccountId {
+                    owner: name,
+                    incarnation: 1,
+                },
+                1,
+            )
+        })
+        .collect();
+    PublishedBalances {
+        sender: head(),
+        balances: Balances {
+            sent: gave,
+            ..Balances::default()
         },
     }
 }
 
-fn counted(core: &Core) -> usize {
-    core.kept
-        .firm
-        .get(&(id("b"), STAND))
+fn counted(lender: &Lender) -> usize {
+    lender
+        .state
+        .confirmed
+        .get(&(id("b"), TENANT))
         .map_or(0, |gave| gave.len())
 }
 
 #[test]
 fn a_row_and_what_is_seen_are_bounded() {
-    let mut core = founded();
+    let mut lender = founded();
     for at in (0..40_000).step_by(40) {
-        hear(&mut core, "b", said::ROW, &gifts(at..at + 20));
+        hear(&mut lender, "b", messages::BALANCES, &gifts(at..at + 20));
         let others = (at..at + 40)
-            .map(|name| (Id { name, from: 1 }, 1.into()))
+            .map(|name| {
+                (
+                    AccountId {
+                        owner: name,
+                        incarnation: 1,
+                    },
+                    1.into(),
+                )
+            })
             .collect();
         hear(
-            &mut core,
+            &mut lender,
             "b",
-            said::WITNESS,
-            &Witness {
-                head: head(),
-                founders: vec![],
+            messages::WITNESS,
+            &WitnessedTransfers {
+                sender: head(),
+                bootstrap_members: vec![],
                 others,
             },
         );
     }
-    assert_eq!(core.lanes[&id("b")].rows[&STAND].0.gave.len(), 20);
-    assert_eq!(core.peers[&number("b")].seen.len(), ROWS);
-    assert_eq!(core.malformed(), 999);
+    assert_eq!(
+        lender.accounts[&id("b")].balances[&TENANT]
+            .balances
+            .sent
+            .len(),
+        20
+    );
+    assert_eq!(lender.peers[&name_number("b")].witnessed.len(), BALANCES);
+    assert_eq!(lender.malformed(), 999);
 }
 
 /// It begins lane after lane: of it so many are kept, of others theirs, and of who is no member none.
 #[test]
 fn lanes_of_one_member_leave_room_for_the_others() {
-    let mut core = founded();
+    let mut lender = founded();
     let (roster, mut actions) = (["a", "b", "c"].map(String::from), Vec::new());
-    core.handle(
+    lender.handle(
         Duration::ZERO,
-        Event::View {
-            lend: true,
+        Event::Membership {
+            may_lend: true,
             roster: &roster,
             members: &[],
         },
         &mut actions,
     );
     let mut say = |source: &str, lane: u64| {
-        let head = Head { lane, ..head() };
-        let body = encode(&Pulse {
-            head,
-            ripe: true,
-            beat: 1,
-            founders: vec![],
-            others: vec![],
+        let head = Sender {
+            account_incarnation: lane,
+            ..head()
+        };
+        let body = encode(&Heartbeat {
+            sender: head,
+            quarantine_over: true,
+            number: 1,
+            bootstrap_echoes: vec![],
+            other_echoes: vec![],
         })
         .unwrap();
-        let (kind, key, age) = (said::PULSE, &[][..], Duration::ZERO);
-        core.handle(
+        let (kind, key, age) = (messages::HEARTBEAT, &[][..], Duration::ZERO);
+        lender.handle(
             age,
-            Event::Fact {
+            Event::Message {
                 source,
-                start: 1,
+                incarnation: 1,
                 kind,
                 key,
                 body: &body,
@@ -146,11 +176,14 @@
     (1..=2_000).for_each(|lane| say("b", lane));
     (1..=2_000).for_each(|lane| say("stranger", lane));
     say("c", 7);
-    assert!(core.lanes.contains_key(&Id { from: 7, ..id("c") }));
-    assert_eq!((core.lanes.len(), core.not_kept()), (17, 3_984));
+    assert!(lender.accounts.contains_key(&AccountId {
+        incarnation: 7,
+        ..id("c")
+    }));
+    assert_eq!((lender.accounts.len(), lender.ignored()), (17, 3_984));
     let told = actions
         .iter()
-        .filter(|action| matches!(action, Action::Notice(Notice::NotKept(..))));
+        .filter(|action| matches!(action, Action::Notice(Notice::Ignored(..))));
     assert_eq!(told.count(), 2, "once a kind: {actions:?}");
 }
 
@@ -158,22 +191,23 @@
 #[test]
 fn a_row_of_more_receivers_than_are_kept_is_witnessed_by_nobody() {
     let most = RECEIVERS as u32;
-    let told = |core: &mut Core, given: Given| {
-        let founders = (0..3).filter(|at| core.kept.founders[usize::from(*at)] == id("b"));
+    let told = |lender: &mut Lender, given: SentTotal| {
+        let founders =
+            (0..3).filter(|at| lender.state.bootstrap_members[usize::from(*at)] == id("b"));
         let founders = founders.map(|at| (at, given)).collect();
         hear(
-            core,
+            lender,
             "c",
-            said::WITNESS,
-            &Witness {
-                head: head(),
-                founders,
+            messages::WITNESS,
+            &WitnessedTransfers {
+                sender: head(),
+                bootstrap_members: founders,
                 others: vec![],
             },
         );
     };
     let mut honest = founded();
-    hear(&mut honest, "b", said::ROW, &gifts(0..most));
+    hear(&mut honest, "b", messages::BALANCES, &gifts(0..most));
     told(&mut honest, u64::from(most).into());
     assert_eq!(
         counted(&honest),
@@ -182,18 +216,23 @@
     );
     assert_eq!(honest.malformed(), 0);
 
-    let mut core = founded();
-    hear(&mut core, "b", said::ROW, &gifts(0..most + 1));
-    assert_eq!((counted(&core), core.malformed()), (0, 1));
+    let mut lender = founded();
+    hear(&mut lender, "b", messages::BALANCES, &gifts(0..most + 1));
+    assert_eq!((counted(&lender), lender.malformed()), (0, 1));
     assert_eq!(
-        core.kept.seen[&(id("b"), STAND)],
-        Given::UNTRUE,
+        lender.state.witnessed[&(id("b"), TENANT)],
+        SentTotal::INVALID,
         "nothing of it is left to who takes the lane over"
     );
-    hear(&mut core, "b", said::ROW, &gifts(100..100 + most));
-    told(&mut core, Given::UNTRUE);
+    hear(
+        &mut lender,
+        "b",
+        messages::BALANCES,
+        &gifts(100..100 + most),
+    );
+    told(&mut lender, SentTotal::INVALID);
     assert_eq!(
-        counted(&core),
+        counted(&lender),
         0,
         "its other gifts don't count by what was seen of these"
     );
--- /dev/null
+++ b/crates/quota-lending/src/config.rs
@@ -0,0 +1,72 @@
+//! Configuration of one [`crate::Lender`].
+
+use std::time::Duration;
+
+/// Safety guards that tests disable one by one to show that each is needed. Outside of tests: [`Guards::ALL`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Guards {
+    /// Lend only within the own shares of the credit limit.
+    pub local_limit: bool,
+    /// Lend only while a majority echoes the heartbeats.
+    pub lease: bool,
+    /// Use a transfer only after a majority has witnessed it.
+    pub witness: bool,
+    /// Vote only after the quarantine period, when all loans of the account are over.
+    pub quarantine: bool,
+    /// Vote once for each account.
+    pub single_vote: bool,
+    /// After a vote about an account, echo and witness nothing of it.
+    pub freeze: bool,
+    /// Lend only what the stored state has reserved.
+    pub reserve: bool,
+    /// A member that lost its stored state is no bootstrap member any more.
+    pub stored_membership: bool,
+}
+
+impl Guards {
+    /// All guards.
+    pub const ALL: Guards = Guards {
+        local_limit: true,
+        lease: true,
+        witness: true,
+        quarantine: true,
+        single_vote: true,
+        freeze: true,
+        reserve: true,
+        stored_membership: true,
+    };
+}
+
+/// Configuration of one proxy. Durations other than `step` must be the same on all proxies.
+#[derive(Clone, Debug)]
+pub struct Config {
+    /// Name of this proxy.
+    pub name: String,
+    /// Incarnation of this process: greater than that of any former process of the name.
+    pub incarnation: u64,
+    /// Whether the host keeps a file.
+    pub stored: bool,
+    /// The longest that the term and write-off time of any rule come to together.
+    pub longest: Duration,
+    /// How long an echoed heartbeat allows to lend.
+    pub lease: Duration,
+    /// Time from heartbeat to heartbeat.
+    pub step: Duration,
+    /// Guards that are enabled.
+    pub guards: Guards,
+}
+
+impl Config {
+    /// The defaults, with all guards.
+    pub fn new(name: &str, incarnation: u64, stored: bool) -> Self {
+        Self {
+            name: name.to_owned(),
+            incarnation,
+            stored,
+            longest: Duration::from_secs(120),
+            lease: Duration::from_secs(5),
+            step: Duration::from_secs(1),
+            guards: Guards::ALL,
+        }
+    }
+}
--- a/crates/quota-lending/src/lib.rs
+++ b/crates/quota-lending/src/lib.rs
@@ -1,38 +1,67 @@
-//! Burst borrowing: a stand exceeds its quota now and repays later, across all proxies of a fleet. No clock, no I/O. Why it is
-//! built so, and what each guard is for, stands in `docs/design/borrowing.md`.
+//! Lending of quota over a fleet of proxies: a tenant exceeds its quota now and repays later. A state machine without clock
+//! and I/O. The reasons for the design stand in `docs/design/borrowing.md`.
 //!
-//! **In**, through [`Core::handle`]: [`Event::View`] whenever who is there, or the right to lend, changes; [`Event::Fact`] for each fact of another of
-//! the kinds [`said::PULSE`] to [`said::VOTE`]; [`Event::Rules`] at the start and when they change; [`Event::Short`] while stands within their quota fill
-//! the room; [`Event::Open`] for windows in which a stand must not borrow; [`Event::Saved`] once a file is safe; [`Event::Timer`].
+//! The credit limit of a tenant is held in escrow: every proxy has an *account* with a number of shares of it
+//! ([`balances::TOTAL_SHARES`] in all), lends only from its own shares, and sends spare shares to accounts that need them.
+//! - A proxy lends only under a *lease*: a majority of the bootstrap members has echoed one of its recent heartbeats.
+//! - A transfer counts once a majority of the bootstrap members has *witnessed* it.
+//! - The account of a proxy that is not heard for the *quarantine period* (all its loans are then over) is taken over by another
+//!   proxy, after a majority has voted for its *ownership claim*. A member that voted freezes the account.
+//! - Everything that others may rely on is in the stored state before it is published.
 //!
-//! **Out**: [`Action::Tell`] (a fact of this proxy, which replaces the one of that kind and key), [`Action::Save`],
-//! [`Action::Timer`] (a later one replaces it), [`Action::Notice`] for the log.
+//! **Input**, through [`Lender::handle`]: [`Event::Membership`] whenever the members or the right to lend change;
+//! [`Event::Message`] for each message of another proxy that [`messages::is_lending_message`] accepts; [`Event::Rules`] at start
+//! and on change; [`Event::Shortage`] while tenants within their quota lack capacity; [`Event::LendingWindow`] for times in which a
+//! tenant must not borrow; [`Event::Saved`] once a file is durable; [`Event::Timer`].
 //!
-//! **Beside the loop**: [`Core::ask`] for a request beyond quota, [`Core::withhold`] for the part of a stand's quota that is withheld,
-//! [`Core::repay`] for what was withheld, [`Core::book`] for figures.
+//! **Output**: [`Action::Publish`] (replaces the former message of that kind and key), [`Action::Save`], [`Action::Timer`]
+//! (replaces the former one), [`Action::Notice`] for the log.
 //!
-//! The host has to: read the file before [`Core::new`] and hold a lock on it; write files in order; run one process of a name at a time,
-//! with a later start each; give time that never goes back and does not stand still while others' runs.
+//! **Beside the loop**: [`Lender::decide`] for a request beyond quota, [`Lender::withhold`] for the part of a tenant's quota that is
+//! withheld, [`Lender::repay`] for what was withheld, [`Lender::totals`] for figures.
+//!
+//! The host must: read the file before [`Lender::new`] and hold a lock on it; write files in order; run one process of a name
+//! at a time, each with a greater incarnation; give time that never goes back and does not stand still while that of others runs.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod advice;
-mod api;
-mod book;
+pub mod balances;
+mod bootstrap;
 #[cfg(test)]
 mod bounds;
-mod core;
-mod file;
-mod help;
-mod lanes;
+mod config;
+mod decision;
+mod event;
+mod handle;
+mod heartbeat;
+pub mod identity;
+mod lend;
+mod lender;
+mod limits;
+mod loans;
+pub mod messages;
+mod notice;
+mod ownership;
+mod publish;
+mod receive;
 #[cfg(test)]
 mod recorded;
+mod remote_repayment;
+mod report;
 mod rules;
-pub mod said;
 mod shortage;
+mod stored_state;
+mod takeover;
+mod transfer;
+mod witness;
 
-pub use crate::api::{Action, Config, Event, Guards, Member, NotKept, Notice, Reason, Verdict};
-pub use crate::book::Book;
-pub use crate::core::Core;
-pub use crate::file::{BadFile, Store, StoreError};
-pub use crate::rules::{Milli, Rule, Rules, RulesError};
-pub use crate::shortage::{Shortage, SHORT_LASTS};
+pub use crate::config::{Config, Guards};
+pub use crate::decision::{Decision, DenialReason};
+pub use crate::event::{Action, Event, Member};
+pub use crate::lender::Lender;
+pub use crate::loans::LoanTotals;
+pub use crate::notice::{IgnoreReason, Notice};
+pub use crate::rules::{MilliRequests, Rule, Rules, RulesError};
+pub use crate::shortage::{Shortage, SHORTAGE_LASTS};
+pub use crate::stored_state::{BadFile, Store, StoreError};
--- /dev/null
+++ b/crates/quota-lending/src/remote_repayment.rs
@@ -0,0 +1,128 @@
+//! Repayment on behalf of others. A proxy whose tenant has moved to other proxies can't withhold from it what it lent. It
+//! requests repayment, the others withhold a little more of that tenant's quota, and report how much they did for whom. Only
+//! the lender books it as repaid.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::messages::{RepaymentReport, RepaymentRequest};
+use crate::rules::{MilliRequests, Rule};
+
+/// Proxies whose requests are kept.
+const REQUESTERS: usize = 256;
+/// Totals that are kept, of the own process and of others.
+const TOTALS: usize = 1024;
+/// Entries of one message.
+const ENTRIES: usize = 20;
+/// Requested amounts are withheld in this part of a term. Not faster: the lender's next request comes a second or two late, and
+/// what is withheld meanwhile is paid twice.
+const PART_OF_TERM: u32 = 4;
+
+/// The last request of a proxy.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Request {
+    /// The amount for each tenant.
+    amounts: BTreeMap<u32, MilliRequests>,
+    valid_until: Duration,
+}
+
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct RemoteRepayment {
+    /// By requester.
+    requests: BTreeMap<u32, Request>,
+    /// What this process has withheld in all, by lender and tenant.
+    withheld: BTreeMap<(u32, u32), MilliRequests>,
+    /// Totals that others last reported, by name, incarnation and tenant.
+    reported: BTreeMap<(u32, u64, u32), MilliRequests>,
+}
+
+impl RemoteRepayment {
+    pub fn receive_request(&mut self, source: u32, request: RepaymentRequest, until: Duration) {
+        if self.requests.contains_key(&source) || self.requests.len() < REQUESTERS {
+            let request = Request {
+                amounts: request.tenants.into_iter().take(ENTRIES).collect(),
+                valid_until: until,
+            };
+            self.requests.insert(source, request);
+        }
+    }
+
+    /// Valid requests for a tenant: who, and how much.
+    fn requests_for(
+        &self,
+        now: Duration,
+        tenant: u32,
+    ) -> impl Iterator<Item = (u32, MilliRequests)> + '_ {
+        self.requests
+            .iter()
+            .filter(move |(_, request)| request.valid_until > now)
+            .filter_map(move |(source, request)| Some((*source, *request.amounts.get(&tenant)?)))
+    }
+
+    /// The thousandths of its quota that all proxies withhold from a tenant for these requests.
+    pub fn withhold(&self, now: Duration, tenant: u32, rule: &Rule) -> u32 {
+        let requested: u128 = self
+            .requests_for(now, tenant)
+            .map(|(_, amount)| u128::from(amount))
+            .sum();
+        let quota_in_time = u128::from(rule.quota) * (rule.term / PART_OF_TERM).as_millis();
+        // Units: milli-requests, thousandths and milliseconds.
+        let share = (requested * 1_000_000).div_ceil(quota_in_time.max(1));
+        share.min(u128::from(rule.most_withheld())) as u32
+    }
+
+    /// Divides an amount that was withheld, and is not owed here, among the requesters.
+    pub fn add_withheld(&mut self, now: Duration, tenant: u32, amount: MilliRequests) {
+        let requests: Vec<(u32, MilliRequests)> =
+            self.requests_for(now, tenant).take(ENTRIES).collect();
+        let all: u128 = requests
+            .iter()
+            .map(|(_, requested)| u128::from(*requested))
+            .sum();
+        for (source, requested) in requests.into_iter().filter(|(_, requested)| *requested > 0) {
+            if self.withheld.len() >= TOTALS && !self.withheld.contains_key(&(source, tenant)) {
+                continue;
+            }
+            let part = (u128::from(amount) * u128::from(requested) / all) as MilliRequests;
+            let total = self.withheld.entry((source, tenant)).or_default();
+            *total = total.saturating_add(part.min(requested));
+        }
+    }
+
+    /// Totals to report to those with valid requests.
+    pub fn totals_to_report(&mut self, now: Duration) -> Vec<(u32, u32, MilliRequests)> {
+        self.requests.retain(|_, request| request.valid_until > now);
+        self.withheld
+            .iter()
+            .filter(|((source, _), _)| self.requests.contains_key(source))
+            .take(ENTRIES)
+            .map(|((source, tenant), total)| (*source, *tenant, *total))
+            .collect()
+    }
+
+    /// What a report adds for this lender, by tenant. The first report of an incarnation only sets the base: its total may
+    /// include what a former account of this lender was owed.
+    pub fn receive_report(
+        &mut self,
+        me: u32,
+        source: u32,
+        incarnation: u64,
+        report: RepaymentReport,
+    ) -> Vec<(u32, MilliRequests)> {
+        let mut added = Vec::new();
+        let totals = report.totals.into_iter().take(ENTRIES);
+        for (_, tenant, total) in totals.filter(|(lender, ..)| *lender == me) {
+            let key = (source, incarnation, tenant);
+            if !self.reported.contains_key(&key) && self.reported.len() >= TOTALS {
+                continue;
+            }
+            // Totals only grow, so a late or repeated report adds nothing.
+            let known = self.reported.entry(key).or_insert(total);
+            if total > *known {
+                added.push((tenant, total - *known));
+                *known = total;
+            }
+        }
+        added
+    }
+}
--- a/crates/quota-lending/tests/bytes.rs
+++ b/crates/quota-lending/tests/bytes.rs
@@ -7,21 +7,24 @@
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
-use quota_lending::said::{
-    digest, encode, number, Claim, Founded, Given, Head, Id, Pulse, Row, SaidRow, SaidVote, Vote,
-    Witness, BODY_BYTES, CLAIM, FOUNDED, PULSE, ROW, VOTE, WITNESS,
+use quota_lending::balances::{Balances, SentTotal};
+use quota_lending::identity::{bootstrap_digest, name_number, AccountId};
+use quota_lending::messages::{
+    encode, BootstrapMembers, Heartbeat, OwnershipClaim, PublishedBalances, PublishedVote, Sender,
+    Vote, WitnessedTransfers, BALANCES, BODY_BYTES, BOOTSTRAP_MEMBERS, CLAIM, HEARTBEAT, VOTE,
+    WITNESS,
 };
-use quota_lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
+use quota_lending::{Action, Config, Decision, Event, Lender, Member, Rule, Rules};
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
-const STAND: &str = "stand";
+const TENANT: &str = "stand";
 
-fn founders() -> Vec<Id> {
-    let mut founders: Vec<Id> = NAMES
+fn founders() -> Vec<AccountId> {
+    let mut founders: Vec<AccountId> = NAMES
         .iter()
-        .map(|name| Id {
-            name: number(name),
-            from: 1,
+        .map(|name| AccountId {
+            owner: name_number(name),
+            incarnation: 1,
         })
         .collect();
     founders.sort_unstable();
@@ -41,49 +44,52 @@
     prop_oneof![small().prop_map(u64::from), big()]
 }
 
-fn given() -> impl Strategy<Value = Given> {
-    parts().prop_map(Given::from)
+fn given() -> impl Strategy<Value = SentTotal> {
+    parts().prop_map(SentTotal::from)
 }
 
-fn id() -> impl Strategy<Value = Id> {
+fn id() -> impl Strategy<Value = AccountId> {
     let names = prop_oneof![
-        proptest::sample::select(&NAMES[..]).prop_map(number),
+        proptest::sample::select(&NAMES[..]).prop_map(name_number),
         any::<u32>()
     ];
-    (names, big()).prop_map(|(name, from)| Id { name, from })
+    (names, big()).prop_map(|(name, from)| AccountId {
+        owner: name,
+        incarnation: from,
+    })
 }
 
-fn head() -> impl Strategy<Value = Head> {
-    let known = digest(&founders());
+fn head() -> impl Strategy<Value = Sender> {
+    let known = bootstrap_digest(&founders());
     (
         prop_oneof![Just(known), Just(0), any::<u64>()],
         big(),
         big(),
         big(),
     )
-        .prop_map(|(founders, memory, lane, life)| Head {
-            founders,
-            memory,
-            lane,
-            life,
+        .prop_map(|(founders, memory, lane, life)| Sender {
+            bootstrap_digest: founders,
+            state_incarnation: memory,
+            account_incarnation: lane,
+            incarnation: life,
         })
 }
 
-fn row() -> impl Strategy<Value = Row> {
+fn row() -> impl Strategy<Value = Balances> {
     (
         (big(), big(), big(), big(), big()),
         parts(),
         btree_map(id(), parts(), 0..30),
     )
         .prop_map(
-            |((line, lent, repaid, written_off, demand), took, gave)| Row {
-                line,
+            |((line, lent, repaid, written_off, demand), took, gave)| Balances {
+                credit_limit: line,
                 lent,
                 repaid,
                 written_off,
                 demand,
-                took,
-                gave,
+                taken_over: took,
+                sent: gave,
             },
         )
 }
@@ -95,13 +101,13 @@
     let pulse = (head(), any::<bool>(), small(), few(), lanes()).prop_map(
         |(head, ripe, beat, founders, others)| {
             (
-                head.life,
-                encode(&Pulse {
-                    head,
-                    ripe,
-                    beat,
-                    founders,
-                    others,
+                head.incarnation,
+                encode(&Heartbeat {
+                    sender: head,
+                    quarantine_over: ripe,
+                    number: beat,
+                    bootstrap_echoes: founders,
+                    other_echoes: others,
                 }),
             )
         },
@@ -110,43 +116,59 @@
         (head(), big(), vec((small(), big()), 0..60)).prop_map(|(head, least, members)| {
             (
                 0,
-                encode(&Founded {
-                    head,
-                    least,
+                encode(&BootstrapMembers {
+                    sender: head,
+                    least_incarnation: least,
                     members,
                 }),
             )
         });
     let seen = || vec((any::<u8>(), given()), 0..9);
-    let row = (head(), row()).prop_map(|(head, row)| (0, encode(&SaidRow { head, row })));
+    let row = (head(), row()).prop_map(|(head, row)| {
+        (
+            0,
+            encode(&PublishedBalances {
+                sender: head,
+                balances: row,
+            }),
+        )
+    });
     let witness =
         (head(), seen(), vec((id(), given()), 0..9)).prop_map(|(head, founders, others)| {
             (
                 0,
-                encode(&Witness {
-                    head,
-                    founders,
+                encode(&WitnessedTransfers {
+                    sender: head,
+                    bootstrap_members: founders,
                     others,
                 }),
             )
         });
-    let claim = (head(), id()).prop_map(|(head, lane)| (0, encode(&Claim { head, lane })));
+    let claim = (head(), id()).prop_map(|(head, lane)| {
+        (
+            0,
+            encode(&OwnershipClaim {
+                sender: head,
+                account: lane,
+            }),
+        )
+    });
     let vote = (head(), id(), id(), btree_map(small(), given(), 0..9)).prop_map(
         |(head, lane, to, given)| {
             (
                 0,
-                encode(&SaidVote {
-                    head,
-                    lane,
-                    vote: Vote { to, given },
+                encode(&PublishedVote {
+                    sender: head,
+                    account: lane,
+                    vote: Vote { to, sent: given },
                 }),
             )
         },
     );
     prop_oneof![
-        pulse.prop_map(|(start, body)| (PULSE, start, body)),
-        founded.prop_map(|(start, body)| (FOUNDED, start, body)),
-        row.prop_map(|(start, body)| (ROW, start, body)),
+        pulse.prop_map(|(start, body)| (HEARTBEAT, start, body)),
+        founded.prop_map(|(start, body)| (BOOTSTRAP_MEMBERS, start, body)),
+        row.prop_map(|(start, body)| (BALANCES, start, body)),
         witness.prop_map(|(start, body)| (WITNESS, start, body)),
         claim.prop_map(|(start, body)| (CLAIM, start, body)),
         vote.prop_map(|(start, body)| (VOTE, start, body)),
@@ -166,13 +188,13 @@
     prop_oneof![
         sound(),
         mutated,
-        (PULSE..=VOTE, big(), vec(any::<u8>(), 0..BODY_BYTES))
+        (HEARTBEAT..=VOTE, big(), vec(any::<u8>(), 0..BODY_BYTES))
     ]
 }
 
 fn rules() -> Rules {
     let rule = Rule {
-        line_time: Duration::from_secs(10),
+        limit_time: Duration::from_secs(10),
         quota: 10_000,
         term: Duration::from_secs(10),
         write_off: Duration::from_secs(10),
@@ -180,7 +202,7 @@
         classes: vec!["class".into()],
         rate_most: 10_000,
     };
-    Rules::new(vec![(STAND.into(), rule)], Duration::from_secs(120)).expect("the rule is sound")
+    Rules::new(vec![(TENANT.into(), rule)], Duration::from_secs(120)).expect("the rule is sound")
 }
 
 proptest! {
@@ -191,35 +213,35 @@
     fn one_member_and_the_file_lend_nothing(
         file in proptest::option::of(vec(any::<u8>(), 0..400)),
         founded in any::<bool>(),
-        steps in vec((fact(), prop_oneof![Just(number(STAND)), small()], 0..3_000_u64, 0..9_000_u64), 1..60),
+        steps in vec((fact(), prop_oneof![Just(name_number(TENANT)), small()], 0..3_000_u64, 0..9_000_u64), 1..60),
     ) {
-        let mut core = Core::new(&Config::new("a", 1, true), Duration::ZERO, file.as_deref());
+        let mut lender = Lender::new(&Config::new("a", 1, true), Duration::ZERO, file.as_deref());
         let (mut actions, mut now, mut token) = (Vec::new(), Duration::ZERO, 0);
         let roster = NAMES.map(String::from);
-        let members = NAMES.map(|name| Member { name: name.into(), start: 1, up: true });
-        core.handle(now, Event::View { lend: true, roster: &roster, members: &members }, &mut actions);
-        core.handle(now, Event::Rules(rules()), &mut actions);
-        let first = Founded {
-            head: Head { founders: digest(&founders()), memory: 1, lane: 1, life: 1 },
-            least: 1,
-            members: founders().iter().map(|id| (id.name, 0)).collect(),
+        let members = NAMES.map(|name| Member { name: name.into(), incarnation: 1, up: true });
+        lender.handle(now, Event::Membership { may_lend: true, roster: &roster, members: &members }, &mut actions);
+        lender.handle(now, Event::Rules(rules()), &mut actions);
+        let first = BootstrapMembers {
+            sender: Sender { bootstrap_digest: bootstrap_digest(&founders()), state_incarnation: 1, account_incarnation: 1, incarnation: 1 },
+            least_incarnation: 1,
+            members: founders().iter().map(|id| (id.owner, 0)).collect(),
         };
-        let first = founded.then(|| (FOUNDED, 1, encode(&first).expect("five fit")));
+        let first = founded.then(|| (BOOTSTRAP_MEMBERS, 1, encode(&first).expect("five fit")));
         let steps = first.map(|fact| (fact, 0, 0, 0)).into_iter().chain(steps);
         for ((kind, start, body), stand, pause, age) in steps {
             now += Duration::from_millis(pause);
             let (key, age) = (stand.to_le_bytes(), Duration::from_millis(age));
-            let key: &[u8] = if matches!(kind, ROW | WITNESS) { &key } else { &[] };
-            core.handle(now, Event::Fact { source: "b", start, kind, key, body: &body, age }, &mut actions);
-            core.handle(now, Event::Timer(token), &mut actions);
-            let asked = core.ask(now, STAND, "class", 1_000, &mut actions);
-            prop_assert!(matches!(asked, Verdict::No(_)), "lent by one member's word");
+            let key: &[u8] = if matches!(kind, BALANCES | WITNESS) { &key } else { &[] };
+            lender.handle(now, Event::Message { source: "b", incarnation: start, kind, key, body: &body, age }, &mut actions);
+            lender.handle(now, Event::Timer(token), &mut actions);
+            let asked = lender.decide(now, TENANT, "class", 1_000, &mut actions);
+            prop_assert!(matches!(asked, Decision::Denied(_)), "lent by one member's word");
             let mut next = 0;
             while let Some(action) = actions.get(next).cloned() {
                 next += 1;
                 match action {
-                    Action::Tell { body, .. } => prop_assert!(body.len() <= BODY_BYTES),
-                    Action::Save { sequence, .. } => core.handle(now, Event::Saved(sequence), &mut actions),
+                    Action::Publish { body, .. } => prop_assert!(body.len() <= BODY_BYTES),
+                    Action::Save { sequence, .. } => lender.handle(now, Event::Saved(sequence), &mut actions),
                     Action::Timer { token: new, .. } => token = new,
                     Action::Notice(_) => {}
                 }
--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -1,17 +1,18 @@
-//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no book of a core.
+//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no book of a lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use quota_lending::said::{decode, Id, SaidRow, ROW};
-use quota_lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
+use quota_lending::identity::AccountId;
+use quota_lending::messages::{decode, PublishedBalances, BALANCES};
+use quota_lending::{Action, Config, Decision, Event, Guards, Lender, Member, Rule, Rules};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-pub const STAND: &str = "depot";
+pub const TENANT: &str = "depot";
 const TERM: Duration = Duration::from_millis(1500);
 const WRITE_OFF: Duration = Duration::from_millis(1500);
-pub const LINE_SECONDS: u64 = 4;
+pub const LIMIT_SECONDS: u64 = 4;
 const STEP: Duration = Duration::from_millis(250);
 
 #[derive(Clone)]
@@ -26,7 +27,7 @@
 type Key = (usize, u8, Vec<u8>);
 
 struct Process {
-    core: Core,
+    lender: Lender,
     start: u64,
     token: u64,
     due: Duration,
@@ -86,7 +87,7 @@
     sequence: u64,
     quota: Vec<u64>,
     /// Lanes that were taken, by whom.
-    taken: BTreeMap<Id, usize>,
+    taken: BTreeMap<AccountId, usize>,
     pub lent: u64,
     pub takings: usize,
     wrong_views: bool,
@@ -144,7 +145,7 @@
 
     fn rules(&self, at: usize) -> Rules {
         let rule = Rule {
-            line_time: Duration::from_secs(LINE_SECONDS),
+            limit_time: Duration::from_secs(LIMIT_SECONDS),
             quota: self.quota[at],
             term: TERM,
             floor: 500,
@@ -152,14 +153,14 @@
             classes: vec!["normal".into()],
             rate_most: 1 << 40,
         };
-        Rules::new(vec![(STAND.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
+        Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
     }
 
     fn line(&self) -> u64 {
         self.quota
             .iter()
             .max()
-            .map_or(0, |quota| quota * LINE_SECONDS)
+            .map_or(0, |quota| quota * LIMIT_SECONDS)
     }
 
     pub fn start(&mut self, at: usize, keep_file: bool) {
@@ -175,14 +176,14 @@
             self.nodes[at].file = None;
         }
         let remembers = self.nodes[at].file.is_some();
-        let core = Core::new(&config, local, self.nodes[at].file.as_deref());
+        let lender = Lender::new(&config, local, self.nodes[at].file.as_deref());
         let node = &mut self.nodes[at];
         if !remembers {
             let loans = std::mem::take(&mut node.loans);
             node.former.extend(loans);
         }
         node.process = Some(Process {
-            core,
+            lender,
             start,
             token: 0,
             due: self.now,
@@ -200,11 +201,11 @@
         let Some(process) = node.process.as_mut() else {
             return;
         };
-        let repaid = |core: &Core| core.book(local, STAND).map_or(0, |book| book.repaid);
-        let before = repaid(&process.core);
-        process.core.handle(local, event, &mut actions);
+        let repaid = |lender: &Lender| lender.totals(local, TENANT).map_or(0, |book| book.repaid);
+        let before = repaid(&process.lender);
+        process.lender.handle(local, event, &mut actions);
         // Others may have paid for it.
-        let paid = repaid(&process.core).saturating_sub(before);
+        let paid = repaid(&process.lender).saturating_sub(before);
         node.paid(local, paid);
         self.act(at, actions);
     }
@@ -212,7 +213,7 @@
     fn act(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell {
+                Action::Publish {
                     kind,
                     key,
                     body,
@@ -263,7 +264,7 @@
         let members: Vec<Member> = (0..self.nodes.len())
             .map(|other| Member {
                 name: self.nodes[other].name.clone(),
-                start: 0,
+                incarnation: 0,
                 up: self.linked(at, other)
                     && self.nodes[other]
                         .process
@@ -276,8 +277,8 @@
         let lend = heard * 2 > members.len() || self.wrong_views && self.rng.random_bool(0.3);
         self.event(
             at,
-            Event::View {
-                lend,
+            Event::Membership {
+                may_lend: lend,
                 roster: &roster,
                 members: &members,
             },
@@ -331,9 +332,9 @@
             process.known.insert(key.clone(), known.max(version));
             let source = self.nodes[key.0].name.clone();
             let (key, kind, age) = (key.2, key.1, self.now - said.at);
-            let fact = Event::Fact {
+            let fact = Event::Message {
                 source: &source,
-                start: said.start,
+                incarnation: said.start,
                 kind,
                 key: &key,
                 body: &said.body,
@@ -352,9 +353,11 @@
         if process.paused {
             return;
         }
-        let verdict = process.core.ask(local, STAND, "normal", 1000, &mut actions);
+        let verdict = process
+            .lender
+            .decide(local, TENANT, "normal", 1000, &mut actions);
         self.act(at, actions);
-        if verdict == Verdict::Borrowed {
+        if verdict == Decision::Borrowed {
             let node = &mut self.nodes[at];
             node.loans.push_back((local, 1000));
             node.lent += 1000;
@@ -370,9 +373,9 @@
         let local = node.clock.at(self.now);
         if elsewhere {
             // Little of its quota is here, so that others are asked; these withhold more than is owed to them.
-            process.core.withhold(local, STAND, amount / 8, 1000);
+            process.lender.withhold(local, TENANT, amount / 8, 1000);
         }
-        let paid = process.core.repay(local, STAND, amount);
+        let paid = process.lender.repay(local, TENANT, amount);
         node.paid(local, paid);
     }
 
@@ -504,7 +507,7 @@
             let Some(process) = &node.process else {
                 continue;
             };
-            if let Some(book) = process.core.book(local, STAND) {
+            if let Some(book) = process.lender.totals(local, TENANT) {
                 if book.lent != book.repaid + book.owed + book.written_off {
                     return Err(format!(
                         "{} at {:?}: {book:?} does not add up",
@@ -512,10 +515,10 @@
                     ));
                 }
                 if local < book.lends_until {
-                    may += book.part.saturating_sub(book.owed);
+                    may += book.local_limit.saturating_sub(book.owed);
                 }
             }
-            for lane in process.core.taken() {
+            for lane in process.lender.accounts_taken_over() {
                 let first = *self.taken.entry(lane).or_insert_with(|| {
                     self.takings += 1;
                     at
@@ -544,9 +547,10 @@
             .nodes
             .iter()
             .flat_map(|node| &node.said)
-            .filter(|((_, kind, _), _)| *kind == ROW);
-        let rows = said.filter_map(|(_, versions)| decode::<SaidRow>(&versions.back()?.body));
-        rows.map(|said| said.row.gave.values().sum())
+            .filter(|((_, kind, _), _)| *kind == BALANCES);
+        let rows =
+            said.filter_map(|(_, versions)| decode::<PublishedBalances>(&versions.back()?.body));
+        rows.map(|said| said.balances.sent.values().sum())
             .max()
             .unwrap_or(0)
     }
@@ -555,7 +559,7 @@
         let founded = |node: &&Node| {
             node.process
                 .as_ref()
-                .is_some_and(|process| process.core.is_founded())
+                .is_some_and(|process| process.lender.is_bootstrapped())
         };
         self.nodes.iter().filter(founded).count()
     }
@@ -636,19 +640,20 @@
             fleet
                 .withheld(at, 0, Duration::ZERO)
                 .1
-                .map_or(0, |book| book.part)
+                .map_or(0, |book| book.local_limit)
         };
         Ok(((0..5).map(part).sum(), former / 4))
     }
 
     /// Asks until the answer is no.
-    pub fn exhaust(&mut self, at: usize) -> Verdict {
+    pub fn exhaust(&mut self, at: usize) -> Decision {
         let local = self.nodes[at].clock.at(self.now);
-        let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
-        let mut asked = (0..1000).map(|_| core.ask(local, STAND, "normal", 1000, &mut Vec::new()));
+        let lender = &mut self.nodes[at].process.as_mut().expect("it runs").lender;
+        let mut asked =
+            (0..1000).map(|_| lender.decide(local, TENANT, "normal", 1000, &mut Vec::new()));
         asked
-            .find(|verdict| *verdict != Verdict::Borrowed)
-            .unwrap_or(Verdict::Borrowed)
+            .find(|verdict| *verdict != Decision::Borrowed)
+            .unwrap_or(Decision::Borrowed)
     }
 
     /// Withheld at such a use of the quota of one request a second; and the book.
@@ -657,12 +662,12 @@
         at: usize,
         used: u32,
         later: Duration,
-    ) -> (u32, Option<quota_lending::Book>) {
+    ) -> (u32, Option<quota_lending::LoanTotals>) {
         let local = self.nodes[at].clock.at(self.now) + later;
-        let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
+        let lender = &mut self.nodes[at].process.as_mut().expect("it runs").lender;
         (
-            core.withhold(local, STAND, 1 << 40, used),
-            core.book(local, STAND),
+            lender.withhold(local, TENANT, 1 << 40, used),
+            lender.totals(local, TENANT),
         )
     }
 
--- a/crates/quota-lending/tests/help.rs
+++ b/crates/quota-lending/tests/help.rs
@@ -1,11 +1,12 @@
 //! A stand that borrowed at one proxy and then went to others: these withhold its quota, and who lent books it.
 
-use quota_lending::said::{PAID, WHOLE};
-use quota_lending::{Action, Book, Config, Core, Event, Member, Rule, Rules, Verdict};
+use quota_lending::balances::TOTAL_SHARES;
+use quota_lending::messages::REPAYMENT_REPORT;
+use quota_lending::{Action, Config, Decision, Event, Lender, LoanTotals, Member, Rule, Rules};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const STAND: &str = "depot";
+const TENANT: &str = "depot";
 /// In thousandths of a request a second, over the fleet.
 const QUOTA: u64 = 90_000;
 const LOOK: Duration = Duration::from_millis(250);
@@ -22,7 +23,7 @@
 
 struct Fleet {
     now: Duration,
-    cores: Vec<Core>,
+    lenders: Vec<Lender>,
     timers: Vec<(Duration, u64)>,
     facts: VecDeque<Fact>,
     /// Of each, what the stand asks of its quota, in thousandths of all.
@@ -35,18 +36,18 @@
 impl Fleet {
     fn new(helps: bool) -> Fleet {
         let longest = Duration::from_secs(40);
-        let core = |n: u64| {
+        let lender = |n: u64| {
             let config = Config {
                 longest,
                 ..Config::new(&format!("n{n}"), 1_000 + n, false)
             };
-            Core::new(&config, Duration::ZERO, None)
+            Lender::new(&config, Duration::ZERO, None)
         };
         let timers = vec![(Duration::ZERO, 0); 3];
-        let (cores, facts) = ((0..3).map(core).collect(), VecDeque::new());
+        let (lenders, facts) = ((0..3).map(lender).collect(), VecDeque::new());
         let mut fleet = Fleet {
             now: Duration::ZERO,
-            cores,
+            lenders,
             timers,
             facts,
             parts: [1000, 0, 0],
@@ -55,7 +56,7 @@
             helps,
         };
         let rule = Rule {
-            line_time: Duration::from_secs(10),
+            limit_time: Duration::from_secs(10),
             quota: QUOTA,
             term: Duration::from_secs(20),
             write_off: Duration::from_secs(10),
@@ -63,23 +64,23 @@
             classes: vec!["any".into()],
             rate_most: 1 << 40,
         };
-        let rules = Rules::new(vec![(STAND.into(), rule)], longest).unwrap();
+        let rules = Rules::new(vec![(TENANT.into(), rule)], longest).unwrap();
         (0..3).for_each(|at| fleet.event(at, Event::Rules(rules.clone())));
         fleet.until(80);
-        assert!(fleet.cores.iter().all(Core::is_founded));
+        assert!(fleet.lenders.iter().all(Lender::is_bootstrapped));
         fleet
     }
 
     fn event(&mut self, at: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.cores[at].handle(self.now, event, &mut actions);
+        self.lenders[at].handle(self.now, event, &mut actions);
         self.act(at, actions);
     }
 
     fn act(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell {
+                Action::Publish {
                     kind, key, body, ..
                 } => {
                     self.facts.push_back(Fact {
@@ -111,14 +112,14 @@
                 else {
                     break;
                 };
-                let told = self.helps || kind != PAID;
+                let told = self.helps || kind != REPAYMENT_REPORT;
                 for at in (0..3).filter(|at| *at != from && told) {
                     let (source, start) = (&roster[from], 1_000 + from as u64);
                     self.event(
                         at,
-                        Event::Fact {
+                        Event::Message {
                             source,
-                            start,
+                            incarnation: start,
                             kind,
                             key: &key,
                             body: &body,
@@ -131,14 +132,14 @@
                 let others = (0..3).filter(|n| *n != at);
                 let others = others.map(|n| Member {
                     name: roster[n].clone(),
-                    start: 1_000 + n as u64,
+                    incarnation: 1_000 + n as u64,
                     up: true,
                 });
                 let members: Vec<Member> = others.collect();
                 self.event(
                     at,
-                    Event::View {
-                        lend: true,
+                    Event::Membership {
+                        may_lend: true,
                         roster: &roster,
                         members: &members,
                     },
@@ -151,15 +152,17 @@
                 let quota = QUOTA * (self.parts[at] + 30) / 1090;
                 let withheld =
                     quota * u64::from(self.shares[at]) / 1000 * LOOK.as_millis() as u64 / 1000;
-                self.cores[at].repay(self.now, STAND, withheld);
+                self.lenders[at].repay(self.now, TENANT, withheld);
                 self.withheld += withheld;
-                self.shares[at] = self.cores[at].withhold(self.now, STAND, quota, 1000);
+                self.shares[at] = self.lenders[at].withhold(self.now, TENANT, quota, 1000);
             }
         }
     }
 
-    fn book(&self, at: usize) -> Book {
-        self.cores[at].book(self.now, STAND).unwrap_or_default()
+    fn book(&self, at: usize) -> LoanTotals {
+        self.lenders[at]
+            .totals(self.now, TENANT)
+            .unwrap_or_default()
     }
 
     /// The stand borrows all that one holds, and goes to the others.
@@ -167,13 +170,15 @@
         let mut fleet = Fleet::new(helps);
         let mut actions = Vec::new();
         let now = fleet.now;
-        while fleet.cores[0].ask(now, STAND, "any", 1000, &mut actions) == Verdict::Borrowed {}
+        while fleet.lenders[0].decide(now, TENANT, "any", 1000, &mut actions) == Decision::Borrowed
+        {
+        }
         fleet.act(0, actions);
         let owed = fleet.book(0).owed;
         assert!(
             owed > 10 * QUOTA / 4,
             "{owed} of {:?}",
-            fleet.cores[0].held(STAND).0 as f64 / WHOLE as f64
+            fleet.lenders[0].shares(TENANT).0 as f64 / TOTAL_SHARES as f64
         );
         fleet.parts = [0, 500, 500];
         (fleet, owed)
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -1,23 +1,24 @@
-//! Model check of the core itself: three proxies, a line of three requests, every cut, loss, kill, return with and without
+//! Model check of the lender itself: three proxies, a line of three requests, every cut, loss, kill, return with and without
 //! its file, in every order, up to a depth.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use quota_lending::said::{decode, Id, SaidRow, ROW};
-use quota_lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
+use quota_lending::identity::AccountId;
+use quota_lending::messages::{decode, PublishedBalances, BALANCES};
+use quota_lending::{Action, Config, Decision, Event, Guards, Lender, Member, Rule, Rules};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const TICK: Duration = Duration::from_secs(1);
 const NAMES: [&str; 3] = ["a", "b", "c"];
-const LINE: u64 = 3000;
+const CREDIT_LIMIT: u64 = 3000;
 
 /// Start, body, when said, how long it lasts.
 type Said = (u64, Vec<u8>, Duration, Duration);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proxy {
-    core: Option<(Core, u64)>,
+    lender: Option<(Lender, u64)>,
     token: u64,
     file: Option<Vec<u8>>,
     said: BTreeMap<(u8, Vec<u8>), Said>,
@@ -29,7 +30,7 @@
     now: Duration,
     ticks: u8,
     proxies: Vec<Proxy>,
-    taken: BTreeSet<(Id, usize)>,
+    taken: BTreeSet<(AccountId, usize)>,
     faults: u8,
 }
 
@@ -65,16 +66,16 @@
 }
 
 impl Three {
-    fn core(&self, at: usize, start: u64, now: Duration, file: Option<&[u8]>) -> Core {
+    fn lender(&self, at: usize, start: u64, now: Duration, file: Option<&[u8]>) -> Lender {
         let mut config = Config::new(NAMES[at], start, true);
         (config.longest, config.lease, config.step) =
             (Duration::from_millis(900), TICK + TICK / 2, TICK);
         config.lease += if self.gifts { TICK } else { Duration::ZERO };
         config.guards = self.guards;
-        let mut core = Core::new(&config, now, file);
+        let mut lender = Lender::new(&config, now, file);
         let rule = Rule {
-            line_time: Duration::from_secs(1),
-            quota: LINE,
+            limit_time: Duration::from_secs(1),
+            quota: CREDIT_LIMIT,
             term: Duration::from_millis(500),
             write_off: Duration::from_millis(400),
             floor: 500,
@@ -82,27 +83,27 @@
             rate_most: 1 << 40,
         };
         let rules = Rules::new(vec![("s".into(), rule)], config.longest).expect("sound");
-        core.handle(now, Event::Rules(rules), &mut Vec::new());
-        core
+        lender.handle(now, Event::Rules(rules), &mut Vec::new());
+        lender
     }
 
     fn act(proxy: &mut Proxy, now: Duration, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell {
+                Action::Publish {
                     kind,
                     key,
                     body,
                     lasts,
                 } => {
-                    let start = proxy.core.as_ref().map_or(0, |(_, start)| *start);
+                    let start = proxy.lender.as_ref().map_or(0, |(_, start)| *start);
                     proxy.said.insert((kind, key), (start, body, now, lasts));
                 }
                 Action::Save { sequence, bytes } => {
                     proxy.file = Some(bytes);
                     let mut more = Vec::new();
-                    if let Some((core, _)) = &mut proxy.core {
-                        core.handle(now, Event::Saved(sequence), &mut more);
+                    if let Some((lender, _)) = &mut proxy.lender {
+                        lender.handle(now, Event::Saved(sequence), &mut more);
                     }
                     Self::act(proxy, now, more);
                 }
@@ -114,8 +115,8 @@
 
     fn event(proxy: &mut Proxy, now: Duration, event: Event<'_>) {
         let mut actions = Vec::new();
-        if let Some((core, _)) = &mut proxy.core {
-            core.handle(now, event, &mut actions);
+        if let Some((lender, _)) = &mut proxy.lender {
+            lender.handle(now, event, &mut actions);
         }
         Self::act(proxy, now, actions);
     }
@@ -126,10 +127,10 @@
         let now = state.now;
         let roster: Vec<String> = NAMES.iter().map(|name| (*name).to_owned()).collect();
         for to in 0..3 {
-            let up = |from: usize| state.proxies[from].core.is_some() && cut & bit(to, from) == 0;
+            let up = |from: usize| state.proxies[from].lender.is_some() && cut & bit(to, from) == 0;
             let member = |at: usize| Member {
                 name: NAMES[at].into(),
-                start: 0,
+                incarnation: 0,
                 up: at == to || up(at),
             };
             let members: Vec<Member> = (0..3).map(member).collect();
@@ -137,8 +138,8 @@
             Self::event(
                 &mut state.proxies[to],
                 now,
-                Event::View {
-                    lend: true,
+                Event::Membership {
+                    may_lend: true,
                     roster: &roster,
                     members: &members,
                 },
@@ -148,16 +149,16 @@
         }
         // Twice, so that what was answered comes back within the tick.
         for (to, from) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-            if cut & bit(to, from) != 0 || state.proxies[from].core.is_none() {
+            if cut & bit(to, from) != 0 || state.proxies[from].lender.is_none() {
                 continue;
             }
             let said = state.proxies[from].said.clone();
             for ((kind, key), (start, body, at, lasts)) in said {
                 if now < at + lasts {
                     let (source, age) = (NAMES[from], now - at);
-                    let fact = Event::Fact {
+                    let fact = Event::Message {
                         source,
-                        start,
+                        incarnation: start,
                         kind,
                         key: &key,
                         body: &body,
@@ -175,10 +176,10 @@
             }
             for _ in 0..8 {
                 let mut actions = Vec::new();
-                let Some((core, _)) = &mut proxy.core else {
+                let Some((lender, _)) = &mut proxy.lender else {
                     break;
                 };
-                if core.ask(now, "s", "any", 500, &mut actions) != Verdict::Borrowed {
+                if lender.decide(now, "s", "any", 500, &mut actions) != Decision::Borrowed {
                     Self::act(proxy, now, actions);
                     break;
                 }
@@ -187,10 +188,12 @@
             }
         }
         for (at, proxy) in state.proxies.iter().enumerate() {
-            let Some((core, _)) = &proxy.core else {
+            let Some((lender, _)) = &proxy.lender else {
                 continue;
             };
-            state.taken.extend(core.taken().map(|lane| (lane, at)));
+            state
+                .taken
+                .extend(lender.accounts_taken_over().map(|lane| (lane, at)));
         }
     }
 }
@@ -201,8 +204,8 @@
 
     fn init_states(&self) -> Vec<State> {
         let proxy = |at: usize| Proxy {
-            core: Some((
-                self.core(at, 1 + at as u64, Duration::ZERO, None),
+            lender: Some((
+                self.lender(at, 1 + at as u64, Duration::ZERO, None),
                 1 + at as u64,
             )),
             token: 0,
@@ -221,9 +224,9 @@
         (0..16).for_each(|_| Self::tick(&mut state, 0, None));
         let founded = |proxy: &Proxy| {
             proxy
-                .core
+                .lender
                 .as_ref()
-                .is_some_and(|(core, _)| core.held("s").0 > 0)
+                .is_some_and(|(lender, _)| lender.shares("s").0 > 0)
         };
         assert!(state.proxies.iter().all(founded), "the fleet is founded");
         if self.gifts {
@@ -232,9 +235,11 @@
                 .proxies
                 .iter()
                 .flat_map(|p| &p.said)
-                .filter(|((kind, _), _)| *kind == ROW);
-            let rows = rows.filter_map(|(_, said)| decode::<SaidRow>(&said.1));
-            let most = rows.map(|said| said.row.gave.values().sum::<u64>()).max();
+                .filter(|((kind, _), _)| *kind == BALANCES);
+            let rows = rows.filter_map(|(_, said)| decode::<PublishedBalances>(&said.1));
+            let most = rows
+                .map(|said| said.balances.sent.values().sum::<u64>())
+                .max();
             assert!(
                 most.is_some_and(|most| most > u64::from(u32::MAX)),
                 "{most:?}"
@@ -243,7 +248,7 @@
         // From there; from one dead for a while; from one cut off for a while.
         let (mut dead, mut apart) = (state.clone(), state.clone());
         let silent = if self.gifts { 10 } else { 6 };
-        dead.proxies[2].core = None;
+        dead.proxies[2].lender = None;
         (0..silent).for_each(|_| Self::tick(&mut dead, 0, None));
         (0..silent).for_each(|_| Self::tick(&mut apart, cuts()[5], None));
         vec![state, dead, apart]
@@ -257,7 +262,7 @@
             return;
         }
         for (at, proxy) in state.proxies.iter().enumerate() {
-            match proxy.core {
+            match proxy.lender {
                 Some(_) => actions.push(Step::Kill(at)),
                 None => actions.extend([Step::Return(at, true), Step::Return(at, false)]),
             }
@@ -273,7 +278,7 @@
             }
             Step::Kill(at) => {
                 state.faults += 1;
-                state.proxies[at].core = None;
+                state.proxies[at].lender = None;
             }
             Step::Return(at, keep) => {
                 state.faults += 1;
@@ -281,8 +286,8 @@
                 let proxy = &mut state.proxies[at];
                 proxy.file = proxy.file.take().filter(|_| keep);
                 proxy.token = 0;
-                proxy.core = Some((
-                    self.core(at, start, state.now, proxy.file.as_deref()),
+                proxy.lender = Some((
+                    self.lender(at, start, state.now, proxy.file.as_deref()),
                     start,
                 ));
             }
@@ -298,21 +303,28 @@
                     .iter()
                     .map(|proxy| proxy.loans.len() as u64 * 500)
                     .sum();
-                let cores = state.proxies.iter().filter_map(|proxy| proxy.core.as_ref());
-                let books = cores.filter_map(|(core, _)| core.book(state.now, "s"));
+                let lenders = state
+                    .proxies
+                    .iter()
+                    .filter_map(|proxy| proxy.lender.as_ref());
+                let books = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
                 let lends = books.filter(|book| state.now < book.lends_until);
                 out + lends
-                    .map(|book| book.part.saturating_sub(book.owed))
+                    .map(|book| book.local_limit.saturating_sub(book.owed))
                     .sum::<u64>()
-                    <= LINE
+                    <= CREDIT_LIMIT
             }),
             Property::always("a lane is taken once", |_, state: &State| {
-                let lanes: BTreeSet<Id> = state.taken.iter().map(|(lane, _)| *lane).collect();
+                let lanes: BTreeSet<AccountId> =
+                    state.taken.iter().map(|(lane, _)| *lane).collect();
                 lanes.len() == state.taken.len()
             }),
             Property::always("books add up", |_, state: &State| {
-                let cores = state.proxies.iter().filter_map(|proxy| proxy.core.as_ref());
-                let mut books = cores.filter_map(|(core, _)| core.book(state.now, "s"));
+                let lenders = state
+                    .proxies
+                    .iter()
+                    .filter_map(|proxy| proxy.lender.as_ref());
+                let mut books = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
                 books.all(|book| book.lent == book.repaid + book.owed + book.written_off)
             }),
             Property::sometimes("a lane is taken", |_, state: &State| {
@@ -381,7 +393,13 @@
 fn the_model_notices_guards_taken_away() {
     let all = Guards::ALL;
     let without = [
-        ("part", Guards { part: false, ..all }),
+        (
+            "part",
+            Guards {
+                local_limit: false,
+                ..all
+            },
+        ),
         (
             "lease",
             Guards {
@@ -392,14 +410,14 @@
         (
             "frozen",
             Guards {
-                frozen: false,
+                freeze: false,
                 ..all
             },
         ),
         (
             "memory",
             Guards {
-                memory: false,
+                stored_membership: false,
                 ..all
             },
         ),
--- a/crates/quota-lending/tests/rows_and_files.rs
+++ b/crates/quota-lending/tests/rows_and_files.rs
@@ -3,11 +3,15 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use quota_lending::said::{Id, Row};
-use quota_lending::{Action, Config, Core, Event, Notice};
+use quota_lending::balances::Balances;
+use quota_lending::identity::AccountId;
+use quota_lending::{Action, Config, Event, Lender, Notice};
 
-fn row() -> impl Strategy<Value = Row> {
-    let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| Id { name, from });
+fn row() -> impl Strategy<Value = Balances> {
+    let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| AccountId {
+        owner: name,
+        incarnation: from,
+    });
     let gave = prop::collection::btree_map(id, 0..9_u64, 0..4);
     (
         (0..4_u64, 0..4_u64, 0..4_u64, 0..4_u64),
@@ -16,28 +20,28 @@
         gave,
     )
         .prop_map(
-            |((line, lent, repaid, written_off), demand, took, gave)| Row {
-                line,
+            |((line, lent, repaid, written_off), demand, took, gave)| Balances {
+                credit_limit: line,
                 lent,
                 repaid,
                 written_off,
                 demand,
-                took,
-                gave,
+                taken_over: took,
+                sent: gave,
             },
         )
 }
 
-fn merged(a: &Row, b: &Row) -> Row {
+fn merged(a: &Balances, b: &Balances) -> Balances {
     let mut both = a.clone();
     both.merge(b);
     both
 }
 
 /// What a row says of rights and debts: line and demand are only the last word on these.
-fn lasting(row: &Row) -> Row {
-    Row {
-        line: 0,
+fn lasting(row: &Balances) -> Balances {
+    Balances {
+        credit_limit: 0,
         demand: 0,
         ..row.clone()
     }
@@ -45,7 +49,7 @@
 
 fn file() -> Vec<u8> {
     let mut actions = Vec::new();
-    Core::new(&Config::new("a", 7, true), Duration::ZERO, None).handle(
+    Lender::new(&Config::new("a", 7, true), Duration::ZERO, None).handle(
         Duration::ZERO,
         Event::Timer(0),
         &mut actions,
@@ -59,10 +63,10 @@
 
 fn memory_is_refused(name: &str, bytes: &[u8]) -> bool {
     let mut actions = Vec::new();
-    let mut core = Core::new(&Config::new(name, 9, true), Duration::ZERO, Some(bytes));
-    core.handle(Duration::ZERO, Event::Timer(0), &mut actions);
+    let mut lender = Lender::new(&Config::new(name, 9, true), Duration::ZERO, Some(bytes));
+    lender.handle(Duration::ZERO, Event::Timer(0), &mut actions);
     let bad = |action: &Action| matches!(action, Action::Notice(Notice::BadFile(_)));
-    actions.iter().any(bad) && core.held("any") == (0, 9)
+    actions.iter().any(bad) && lender.shares("any") == (0, 9)
 }
 
 proptest! {
@@ -92,14 +96,17 @@
 /// A lane at rest says a stricter rule with the numbers that it had: it binds, in whichever order the two are heard.
 #[test]
 fn the_stricter_line_of_a_lane_at_rest_is_taken() {
-    let row = |line| Row {
-        line,
+    let row = |line| Balances {
+        credit_limit: line,
         lent: 5,
         repaid: 2,
-        ..Row::default()
+        ..Balances::default()
     };
-    assert_eq!(merged(&row(80), &row(20)).line, 20);
-    assert_eq!(merged(&row(20), &row(80)).line, 20);
+    assert_eq!(merged(&row(80), &row(20)).credit_limit, 20);
+    assert_eq!(merged(&row(20), &row(80)).credit_limit, 20);
     // A looser one is, too, as soon as anything has moved.
-    assert_eq!(merged(&row(20), &Row { lent: 6, ..row(80) }).line, 80);
+    assert_eq!(
+        merged(&row(20), &Balances { lent: 6, ..row(80) }).credit_limit,
+        80
+    );
 }
--- a/crates/quota-lending/tests/schedules.rs
+++ b/crates/quota-lending/tests/schedules.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::Fleet;
-use quota_lending::{Event, Guards, Reason, Rules, Verdict};
+use quota_lending::{Decision, DenialReason, Event, Guards, Rules};
 
 fn play(seeds: std::ops::Range<u64>, members: usize, steps: usize) {
     const THREADS: usize = 3;
@@ -68,7 +68,13 @@
 fn each_guard_taken_away_is_noticed() {
     let all = Guards::ALL;
     let without = [
-        ("part", Guards { part: false, ..all }),
+        (
+            "part",
+            Guards {
+                local_limit: false,
+                ..all
+            },
+        ),
         (
             "lease",
             Guards {
@@ -83,12 +89,24 @@
                 ..all
             },
         ),
-        ("hold", Guards { hold: false, ..all }),
-        ("once", Guards { once: false, ..all }),
+        (
+            "hold",
+            Guards {
+                quarantine: false,
+                ..all
+            },
+        ),
+        (
+            "once",
+            Guards {
+                single_vote: false,
+                ..all
+            },
+        ),
         (
             "frozen",
             Guards {
-                frozen: false,
+                freeze: false,
                 ..all
             },
         ),
@@ -102,7 +120,7 @@
         (
             "memory",
             Guards {
-                memory: false,
+                stored_membership: false,
                 ..all
             },
         ),
@@ -216,7 +234,7 @@
     let mut fleet = Fleet::founded_in_peace(1);
     assert!(matches!(
         fleet.exhaust(0),
-        Verdict::No(Reason::Line | Reason::Unsaved)
+        Decision::Denied(DenialReason::CreditLimit | DenialReason::NotReserved)
     ));
     // Quiet: all but the floor. In full use: what the term needs. Others need the room: all but the floor.
     assert_eq!(fleet.withheld(0, 0, Duration::ZERO).0, 500);
@@ -226,18 +244,18 @@
         .1
         .is_some_and(|book| book.in_default));
     for (event, reason) in [
-        (Event::Short(true), Reason::Short),
+        (Event::Shortage(true), DenialReason::Shortage),
         (
-            Event::Open {
-                stand: fleet::STAND,
+            Event::LendingWindow {
+                tenant: fleet::TENANT,
                 open: false,
             },
-            Reason::Closed,
+            DenialReason::WindowClosed,
         ),
-        (Event::Rules(Rules::default()), Reason::NoRule),
+        (Event::Rules(Rules::default()), DenialReason::NoRule),
     ] {
         fleet.tell(0, event);
-        assert_eq!(fleet.exhaust(0), Verdict::No(reason));
-        assert!(reason == Reason::NoRule || fleet.withheld(0, 1000, Duration::ZERO).0 == 500);
+        assert_eq!(fleet.exhaust(0), Decision::Denied(reason));
+        assert!(reason == DenialReason::NoRule || fleet.withheld(0, 1000, Duration::ZERO).0 == 500);
     }
 }
