--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -1,24 +1,31 @@
-//! How much of each tenant's traffic each proxy sees, told to the others: so all parts of a quota together are the quota.
+//! Rates of each tenant's traffic at each proxy, exchanged with the others: so all local parts of a quota together are the
+//! quota.
 
-use crate::cluster::members::Members;
-use membership::{number, Act, Fact, Status};
-use quota::Others;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
+use membership::{number, Act, Fact, Status};
+use quota::OtherProxies;
+
+use crate::cluster::members::Members;
+
+#[cfg(test)]
+mod tests;
+
+/// Kind of the message.
 const KIND: u8 = 30;
-/// Of what a body looks like.
+/// The first byte of its body.
 const VERSION: u8 = 1;
-/// One that is cut off keeps its part so long; then those who are left share it.
+/// A proxy that is cut off keeps its part of the quotas so long; then the others divide it.
 const LASTS: Duration = Duration::from_secs(60);
-/// In a small fleet it is said so often: what it tells is a mean over some seconds.
-const EVERY: Duration = Duration::from_secs(1);
-/// Tenants in one fact: a number of five bytes at most, and a rate of as many.
+/// Interval of messages in a small fleet: rates are averages over some seconds.
+const INTERVAL: Duration = Duration::from_secs(1);
+/// Tenants in one message: a number and a rate take five bytes each at most.
 const TENANTS: usize = 48;
-/// Facts of one proxy, so that loans and rollouts find room.
-const FACTS: usize = 2;
+/// Messages of one proxy, which leave room for those of loans and rollouts.
+const MESSAGES: usize = 2;
 
-/// In thousandths of a request a second.
+/// Numbers of tenants' names, and rates in thousandths of a request a second.
 type Rates = Vec<(u32, u32)>;
 
 fn encode(rates: &[(u32, u32)]) -> Option<Vec<u8>> {
@@ -32,102 +39,71 @@
     }
 }
 
-/// How often to say it, in a fleet of that size.
-pub fn pace(members: &Members) -> Duration {
-    membership::pace(members.size(), 1, EVERY, LASTS)
+/// Interval of [`publish`], which grows with the fleet.
+pub fn interval(members: &Members) -> Duration {
+    membership::pace(members.size(), 1, INTERVAL, LASTS)
 }
 
-/// Tenants beyond what fits are not told of: for them each proxy goes on by itself.
-pub fn say(
+/// Publishes the rates here. Tenants beyond what fits are left out: for them each proxy estimates its part by itself.
+pub fn publish(
     members: &mut Members,
     names: &[String],
     rates: impl Iterator<Item = f64>,
     now: Instant,
 ) {
-    let milli = |rate: f64| (rate * 1e3) as u32;
     let rates: Rates = names
         .iter()
         .zip(rates)
-        .map(|(name, rate)| (number(name), milli(rate)))
+        .map(|(name, rate)| (number(name), (rate * 1e3) as u32))
         .collect();
-    for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(FACTS)) {
+    for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(MESSAGES)) {
         if let Some(body) = encode(part) {
             members.say(KIND, vec![at], body, LASTS, now);
         }
     }
 }
 
-/// Of rates, and of another version or torn.
-pub fn is_unread(fact: &Fact) -> bool {
+/// Whether a message has rates that can't be decoded: of another version, or malformed.
+pub fn is_malformed(fact: &Fact) -> bool {
     fact.kind == KIND && decode(&fact.body).is_none()
 }
 
-/// What all others see; none while nobody tells.
-pub fn others(members: &Members, names: &[String], now: Instant) -> Option<Others> {
-    let view = members.view(now);
-    // Who is dead for the larger part sees nothing any more. The smaller part can't tell who is dead from who is cut off,
-    // and leaves to all the part that they had.
-    let larger = members.allowed(Act::Promote, None, now).is_ok()
-        || members.allowed(Act::Lend, None, now).is_ok();
-    let gone = |status| matches!(status, Status::Left) || larger && status == Status::Down;
-    let gone: BTreeSet<&str> = view
-        .members
-        .iter()
-        .filter(|m| gone(m.status))
-        .map(|m| m.name.as_str())
-        .collect();
-    let mut told: BTreeMap<u32, f64> = BTreeMap::new();
+/// What all other proxies together see; none while no other reports.
+pub fn other_proxies(members: &Members, names: &[String], now: Instant) -> Option<OtherProxies> {
+    let gone = gone_members(members, now);
+    let mut rates_by_tenant: BTreeMap<u32, f64> = BTreeMap::new();
     let mut proxies = BTreeSet::new();
     for fact in members.facts(KIND, now) {
-        // What this one said before its start is of no use to itself.
-        if fact.source == members.name() || gone.contains(fact.source.as_str()) {
+        // The own messages may be those of a former process.
+        if fact.source == members.name() || gone.contains(&fact.source) {
             continue;
         }
-        for (tenant, milli) in decode(&fact.body).unwrap_or_default() {
-            *told.entry(tenant).or_default() += f64::from(milli) / 1e3;
+        for (tenant, rate) in decode(&fact.body).unwrap_or_default() {
+            *rates_by_tenant.entry(tenant).or_default() += f64::from(rate) / 1e3;
         }
         proxies.insert(fact.source);
     }
     let rates = names
         .iter()
-        .map(|name| told.get(&number(name)).copied().unwrap_or(0.0))
+        .map(|name| rates_by_tenant.get(&number(name)).copied().unwrap_or(0.0))
         .collect();
-    (!proxies.is_empty()).then_some(Others {
+    (!proxies.is_empty()).then_some(OtherProxies {
         proxies: proxies.len() as u32,
         rates,
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// As version 1 wrote them.
-    #[test]
-    fn rates_of_version_1_are_read_for_good() {
-        let kept = [1, 2, 0xe8, 0x07, 0xc0, 0xc4, 0x07, 3, 0];
-        assert_eq!(decode(&kept), Some(vec![(1000, 123_456), (3, 0)]));
-        assert_eq!(
-            encode(&[(1000, 123_456), (3, 0)]).as_deref(),
-            Some(&kept[..])
-        );
-    }
-
-    #[test]
-    fn what_is_of_a_later_version_or_torn_says_nothing_and_counts() {
-        for body in [&[2, 0][..], &[1, 2, 0xe8], &[]] {
-            assert_eq!(decode(body), None);
-            let fact = |kind| Fact {
-                source: "n1".into(),
-                start: 1,
-                kind,
-                key: vec![0],
-                sequence: 1,
-                body: body.into(),
-                age: Duration::ZERO,
-                lasts: LASTS,
-            };
-            assert!(is_unread(&fact(KIND)) && !is_unread(&fact(KIND + 1)));
-        }
-    }
+/// Members that see no traffic any more. Those that are down count as gone for a majority only: a minority can't tell who is dead
+/// from who is cut off, and leaves to all the part that they had.
+fn gone_members(members: &Members, now: Instant) -> BTreeSet<String> {
+    let in_majority = members.allowed(Act::Promote, None, now).is_ok()
+        || members.allowed(Act::Lend, None, now).is_ok();
+    let is_gone = |status| matches!(status, Status::Left) || in_majority && status == Status::Down;
+    members
+        .view(now)
+        .members
+        .into_iter()
+        .filter(|member| is_gone(member.status))
+        .map(|member| member.name)
+        .collect()
 }
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -249,7 +249,8 @@
             Ok(pool) => pool,
             Err(answer) => return self.turn_away(ticket, class, answer, sides, now),
         };
-        self.quota.mark(&mut arrival, request.tenant.is_some(), now);
+        self.quota
+            .set_status(&mut arrival, request.tenant.is_some(), now);
         self.open_requests
             .admit(&arrival, ticket, class, pool, request);
         self.counters.taken(class);
@@ -383,7 +384,7 @@
         if let Some((_, from)) = open.passing {
             sides.upstream.stop(from, now);
         }
-        self.quota.ended(&open, None, now);
+        self.quota.record_end(&open, None, now);
         self.monitor.left(id, open.group, now);
         self.decide(Event::ClientLeft(id), sides, now);
         Some(open)
@@ -701,7 +702,7 @@
         let took = now.saturating_duration_since(open.read_at);
         self.counters
             .answered(open.class, open.standing, &answer, took);
-        self.quota.ended(&open, Some(&answer), now);
+        self.quota.record_end(&open, Some(&answer), now);
         let write = self
             .writes
             .get(usize::from(open.class.0))
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -1,213 +1,210 @@
-//! Quota: whether a request is beyond what its tenant may ask, or borrowed, as the module should know. Refuses nothing.
+//! Quota stage: whether a request is within its tenant's quota, over it, or borrowed. It rejects nothing; the decision module
+//! does.
+
+use std::fmt;
+use std::time::{Duration, Instant};
+
+use ::quota::{Counts, QuotaMeter, RequestStatus, Settings};
+use membership::Fact;
+use platform_settings::{Decoded, Names};
+use routing::{Arrival, QuotaStatus};
 
 use crate::cluster::members::Members;
 use crate::cluster::quota_lending::QuotaLending;
 use crate::cluster::usage;
 use crate::pipeline::admit::OpenRequest;
 use crate::request::Answer;
-use ::quota::{Counts, Mark};
-use membership::Fact;
-use platform_settings::{Decoded, Names};
-use routing::{Arrival, QuotaStatus};
-use std::fmt;
-use std::time::{Duration, Instant};
 
-/// How often what others say is looked at, while there are others: a lender's own traffic comes first within a second.
-pub const LOOK: Duration = Duration::from_millis(250);
+/// Interval of [`Quota::poll`], while there are other proxies: well below a second, in which a lender's own traffic gets its
+/// capacity back.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
+/// The quota stage.
 #[derive(Default)]
 pub struct Quota {
-    account: ::quota::Quota,
-    /// In the order of the tenant ids.
+    meter: QuotaMeter,
+    /// By tenant.
     names: Vec<String>,
-    /// In requests a second over all proxies, likewise.
+    /// By tenant, in requests a second over all proxies.
     quotas: Vec<f64>,
+    /// Names of classes.
     classes: Vec<String>,
-    started: Option<Instant>,
-    told: Option<Instant>,
-    /// Loans over the fleet, where the operators' file has them.
+    /// The meter's time zero: the first request, or the first poll.
+    origin: Option<Instant>,
+    rates_published: Option<Instant>,
+    /// Loans over the fleet, if the operators' file has them.
     pub lending: Option<QuotaLending>,
 }
 
 impl Quota {
-    /// From now on by these; a tenant keeps what is known of it by its name.
+    /// Takes the platform's settings over. A tenant keeps its state by its name.
     pub fn configure(&mut self, platform: &Decoded, now: Instant) {
         let Decoded {
             settings,
-            names:
-                Names {
-                    tenants: names,
-                    classes,
-                    ..
-                },
+            names: Names {
+                tenants, classes, ..
+            },
             ..
         } = platform;
-        let quotas: Vec<f64> = settings
+        self.quotas = settings
             .tenants
             .iter()
             .map(|tenant| tenant.quota_per_s)
             .collect();
-        self.quotas.clone_from(&quotas);
-        let worths = settings
-            .classes
-            .iter()
-            .map(|class| class.priority_weight)
-            .collect();
-        let settings = ::quota::Settings {
+        let meter_settings = Settings {
             proxies: settings.router_count,
-            quotas,
-            worths,
+            quotas: self.quotas.clone(),
+            priority_weights: settings
+                .classes
+                .iter()
+                .map(|class| class.priority_weight)
+                .collect(),
         };
         let former = |at: usize| {
             self.names
                 .iter()
-                .position(|name| names.get(at) == Some(name))
+                .position(|name| tenants.get(at) == Some(name))
         };
-        self.account.configure(&settings, former);
-        self.names.clone_from(names);
+        self.meter.configure(&meter_settings, former);
+        self.names.clone_from(tenants);
         self.classes.clone_from(classes);
-        self.rule(now);
+        self.update_lending_rules(now);
     }
 
-    /// Loans go by the quotas as they now are.
-    pub fn rule(&mut self, now: Instant) {
-        let Quota {
-            lending,
-            names,
-            quotas,
-            ..
-        } = self;
-        if let Some(lending) = lending {
-            lending.update_rules(
-                names.iter().map(String::as_str).zip(quotas.iter().copied()),
-                now,
-            );
+    /// Computes the rules of loans from the quotas as they are now.
+    pub fn update_lending_rules(&mut self, now: Instant) {
+        if let Some(lending) = &mut self.lending {
+            let names = self.names.iter().map(String::as_str);
+            lending.update_rules(names.zip(self.quotas.iter().copied()), now);
         }
     }
 
-    fn since(&mut self, now: Instant) -> Duration {
-        now.saturating_duration_since(*self.started.get_or_insert(now))
+    fn since_origin(&mut self, now: Instant) -> Duration {
+        now.saturating_duration_since(*self.origin.get_or_insert(now))
     }
 
-    /// `named`: the client has said whose request it is.
-    pub fn mark(&mut self, arrival: &mut Arrival, named: bool, now: Instant) {
+    /// Sets the quota status of a request. `named`: the client has said which tenant it is.
+    pub fn set_status(&mut self, arrival: &mut Arrival, named: bool, now: Instant) {
         if !named {
             return;
         }
-        let (since, tenant, class) = (
-            self.since(now),
+        let since_origin = self.since_origin(now);
+        let status = self.meter.record_request(
+            since_origin,
             arrival.tenant.0.into(),
             arrival.class.0.into(),
+            arrival.is_client_retry,
         );
-        arrival.quota_status =
-            match self
-                .account
-                .asked(since, tenant, class, arrival.is_client_retry)
-            {
-                Mark::Free | Mark::Within => QuotaStatus::WithinQuota,
-                Mark::Beyond if self.lent(arrival, now) => QuotaStatus::Borrowed,
-                // Who repays does not borrow for it.
-                Mark::Withheld | Mark::Beyond => QuotaStatus::OverQuota,
-            };
+        arrival.quota_status = match status {
+            RequestStatus::Unlimited | RequestStatus::Within => QuotaStatus::WithinQuota,
+            RequestStatus::Over if self.may_borrow(arrival, now) => QuotaStatus::Borrowed,
+            // A request that repays a loan must not be lent to.
+            RequestStatus::Withheld | RequestStatus::Over => QuotaStatus::OverQuota,
+        };
     }
 
-    fn lent(&mut self, arrival: &Arrival, now: Instant) -> bool {
+    fn may_borrow(&mut self, arrival: &Arrival, now: Instant) -> bool {
         let class = self.classes.get(usize::from(arrival.class.0));
-        let stand = self.names.get(usize::from(arrival.tenant.0));
-        let (Some(lending), Some(class), Some(stand)) = (&mut self.lending, class, stand) else {
+        let tenant = self.names.get(usize::from(arrival.tenant.0));
+        let (Some(lending), Some(class), Some(tenant)) = (&mut self.lending, class, tenant) else {
             return false;
         };
-        lending.may_borrow(stand, class, now)
+        lending.may_borrow(tenant, class, now)
     }
 
-    /// How a request ended; none: its client has left. A loan that nothing was tried for is given back.
-    pub fn ended(&mut self, open: &OpenRequest, answer: Option<&Answer>, now: Instant) {
+    /// A request has ended; no answer: its client has left. A loan without any attempt is given back.
+    pub fn record_end(&mut self, open: &OpenRequest, answer: Option<&Answer>, now: Instant) {
         let Some(lending) = &mut self.lending else {
             return;
         };
-        let tried = open.attempts() > 0;
+        let attempted = open.attempts() > 0;
         match open.standing {
             QuotaStatus::WithinQuota if answer.is_some() => {
-                lending
-                    .record_within_quota(!tried && matches!(answer, Some(Answer::Refused(_))), now);
+                let rejected = matches!(answer, Some(Answer::Refused(_)));
+                lending.record_within_quota(!attempted && rejected, now);
             }
-            QuotaStatus::Borrowed if !tried => {
-                if let Some(stand) = self.names.get(usize::from(open.tenant.0)) {
-                    lending.give_back(stand);
+            QuotaStatus::Borrowed if !attempted => {
+                if let Some(tenant) = self.names.get(usize::from(open.tenant.0)) {
+                    lending.give_back(tenant);
                 }
             }
             _ => {}
         }
     }
 
-    /// What another proxy has said.
-    pub fn heard(&mut self, fact: &Fact, now: Instant) {
+    /// A message of another proxy.
+    pub fn receive(&mut self, fact: &Fact, now: Instant) {
         if let Some(lending) = &mut self.lending {
             lending.receive(fact, now);
         }
     }
 
-    /// There are no others any more: this proxy judges by itself, and nothing is lent.
-    pub fn alone(&mut self) {
-        self.account.heard(None);
+    /// There are no other proxies any more: the share of the traffic is estimated, and nothing is lent.
+    pub fn leave_fleet(&mut self) {
+        self.meter.set_other_proxies(None);
         self.lending = None;
     }
 
-    /// What loans have to say goes out.
+    /// Publishes the lender's messages.
     pub fn flush(&mut self, members: &mut Members, now: Instant) {
         if let Some(lending) = &mut self.lending {
             lending.flush(members, now);
         }
     }
 
-    /// With others about: one account with them, and loans.
-    pub fn look(&mut self, members: &mut Members, now: Instant) {
-        let since = self.since(now);
-        if self
-            .told
-            .is_none_or(|told| now.saturating_duration_since(told) >= usage::pace(members))
-        {
-            self.told = Some(now);
-            usage::say(members, &self.names, self.account.rates(since), now);
-        }
-        self.account
-            .heard(usage::others(members, &self.names, now).as_ref());
-        let begun = self
+    /// Exchanges rates with the other proxies, and polls the lender.
+    pub fn poll(&mut self, members: &mut Members, now: Instant) {
+        let since_origin = self.since_origin(now);
+        self.publish_rates(members, since_origin, now);
+        let others = usage::other_proxies(members, &self.names, now);
+        self.meter.set_other_proxies(others.as_ref());
+        let lender_started = self
             .lending
             .as_mut()
             .is_some_and(|lending| lending.poll(members, now));
-        if begun {
-            self.rule(now);
+        if lender_started {
+            self.update_lending_rules(now);
         }
-        let Quota {
-            account,
-            names,
-            lending,
-            ..
-        } = self;
-        let Some(lending) = lending else { return };
-        for (at, stand) in names.iter().enumerate() {
-            let (quota, used) = (account.rate_of(at), account.used(at));
-            // What it has done without is known when the next share is set.
-            let former = lending.withheld(stand);
-            let withheld = account.withhold(since, at, former);
-            let share = lending.repay(stand, withheld, quota, used, now);
-            if share != former {
-                account.withhold(since, at, share);
+        self.withhold(since_origin, now);
+    }
+
+    fn publish_rates(&mut self, members: &mut Members, since_origin: Duration, now: Instant) {
+        let is_due = self
+            .rates_published
+            .is_none_or(|at| now.saturating_duration_since(at) >= usage::interval(members));
+        if is_due {
+            self.rates_published = Some(now);
+            let rates = self.meter.rates(since_origin);
+            usage::publish(members, &self.names, rates, now);
+        }
+    }
+
+    /// Withholds quota from tenants that owe something. What was withheld is known when the next part is set.
+    fn withhold(&mut self, since_origin: Duration, now: Instant) {
+        let Some(lending) = &mut self.lending else {
+            return;
+        };
+        for (at, tenant) in self.names.iter().enumerate() {
+            let (quota, used) = (self.meter.local_quota(at), self.meter.utilization(at));
+            let former = lending.withheld(tenant);
+            let withheld = self.meter.withhold(since_origin, at, former);
+            let part = lending.repay(tenant, withheld, quota, used, now);
+            if part != former {
+                self.meter.withhold(since_origin, at, part);
             }
         }
     }
 }
 
-/// A line for each tenant that has asked; nothing where no quotas hold.
+/// A line for each tenant with requests; nothing where there are no quotas.
 impl fmt::Display for Quota {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let asked = |counts: &Counts| counts.within + counts.beyond > 0;
+        let has_requests = |counts: &Counts| counts.within + counts.beyond > 0;
         for (name, counts) in self
             .names
             .iter()
-            .zip(self.account.counts())
-            .filter(|(_, c)| asked(c))
+            .zip(self.meter.counts())
+            .filter(|(_, counts)| has_requests(counts))
         {
             write!(
                 f,
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -289,7 +289,7 @@
                 wishes.waker()?,
                 now,
             ));
-            chain.quota.rule(now);
+            chain.quota.update_lending_rules(now);
         }
         Ok(Proxy {
             rollout,
@@ -488,10 +488,10 @@
                 if let Some(members) = &mut self.members {
                     members.ready(now);
                     for fact in members.take_heard() {
-                        if usage::is_unread(&fact) {
+                        if usage::is_malformed(&fact) {
                             members.rates_unread();
                         }
-                        self.chain.quota.heard(&fact, now);
+                        self.chain.quota.receive(&fact, now);
                     }
                 }
             }
@@ -537,8 +537,10 @@
             }
             Timer::Quota => {
                 if let Some(members) = &mut self.members {
-                    self.chain.quota.look(members, now);
-                    self.sides.timers.set(now + quota::LOOK, Timer::Quota);
+                    self.chain.quota.poll(members, now);
+                    self.sides
+                        .timers
+                        .set(now + quota::POLL_INTERVAL, Timer::Quota);
                 }
             }
             Timer::Drain => self.drain(drain::Event::Tick, now),
@@ -1039,7 +1041,7 @@
                 log::info!("members: the file names none any more; the fleet is left");
                 members.leave(now);
                 self.members = None;
-                self.chain.quota.alone();
+                self.chain.quota.leave_fleet();
             }
             (None, None, _) => {}
         }
@@ -1069,7 +1071,7 @@
             }
             (None, _) => Vec::new(),
         };
-        self.chain.quota.rule(now);
+        self.chain.quota.update_lending_rules(now);
         waits
     }
 
--- a/crates/proxy-experiments/src/member.rs
+++ b/crates/proxy-experiments/src/member.rs
@@ -1,6 +1,6 @@
 //! What one proxy of a fleet knows of its tenants' quotas: its own account, what others see, and its loans.
 
-use quota::{Mark, Others, Quota};
+use quota::{OtherProxies, QuotaMeter, RequestStatus};
 use quota_lending::{
     Action as Asked, Config, Decision, Lender, Notice, Rules, Shortage, SHORTAGE_LASTS,
 };
@@ -127,7 +127,7 @@
 }
 
 pub struct Member {
-    quota: Quota,
+    quota: QuotaMeter,
     stands: Vec<Stand>,
     /// Requests that no attempt was made for.
     waiting: FxHashMap<RequestId, (usize, QuotaStatus)>,
@@ -147,10 +147,10 @@
             .iter()
             .map(|class| class.priority_weight)
             .collect();
-        let quota = Quota::new(&quota::Settings {
+        let quota = QuotaMeter::new(&quota::Settings {
             proxies: settings.router_count,
             quotas,
-            worths,
+            priority_weights: worths,
         });
         Member {
             quota,
@@ -198,25 +198,25 @@
 
     pub fn arrived(&mut self, now: Time, arrival: &Arrival) -> QuotaStatus {
         let tenant = usize::from(arrival.tenant.0);
-        let mark = self.quota.asked(
+        let mark = self.quota.record_request(
             now.0,
             tenant,
             arrival.class.0.into(),
             arrival.is_client_retry,
         );
         let Some(talking) = self.talking.as_mut().filter(|_| tenant < self.stands.len()) else {
-            return if matches!(mark, Mark::Free | Mark::Within) {
+            return if matches!(mark, RequestStatus::Unlimited | RequestStatus::Within) {
                 QuotaStatus::WithinQuota
             } else {
                 QuotaStatus::OverQuota
             };
         };
         let standing = match mark {
-            Mark::Free | Mark::Within => QuotaStatus::WithinQuota,
-            Mark::Beyond if talking.lends(now, tenant, arrival, &mut self.stands) => {
+            RequestStatus::Unlimited | RequestStatus::Within => QuotaStatus::WithinQuota,
+            RequestStatus::Over if talking.lends(now, tenant, arrival, &mut self.stands) => {
                 QuotaStatus::Borrowed
             }
-            Mark::Withheld | Mark::Beyond => QuotaStatus::OverQuota,
+            RequestStatus::Withheld | RequestStatus::Over => QuotaStatus::OverQuota,
         };
         let stand = &mut self.stands[tenant];
         match standing {
@@ -422,7 +422,7 @@
         }
     }
 
-    fn look(&mut self, now: Time, quota: &mut Quota, stands: &mut [Stand]) {
+    fn look(&mut self, now: Time, quota: &mut QuotaMeter, stands: &mut [Stand]) {
         if let Some((sequence, bytes)) = self.saving.take() {
             self.file = Some(bytes);
             self.handle(now, quota_lending::Event::Saved(sequence), stands);
@@ -441,7 +441,10 @@
             self.handle(now, quota_lending::Event::Timer(token), stands);
         }
         for (tenant, name) in self.place.tenants.iter().enumerate() {
-            let (rate, used) = (quota.rate_of(tenant) * 1000.0, quota.used(tenant) * 1000.0);
+            let (rate, used) = (
+                quota.local_quota(tenant) * 1000.0,
+                quota.utilization(tenant) * 1000.0,
+            );
             let share = self
                 .core
                 .withhold(now.0, name, rate as u64, used.min(1e6) as u32);
@@ -461,7 +464,7 @@
     }
 
     /// Most of the fleet is heard: then it may lend, and who is not heard is dead.
-    fn who_is_there(&mut self, now: Time, quota: &mut Quota, stands: &mut [Stand]) {
+    fn who_is_there(&mut self, now: Time, quota: &mut QuotaMeter, stands: &mut [Stand]) {
         let dead = self.place.dead;
         let heard = |other: &Other| now.since(other.heard) < dead;
         let up: Vec<(usize, u64)> = self
@@ -473,7 +476,7 @@
         let most = (up.len() + 1) * 2 > self.place.names.len();
         self.others
             .retain(|_, other| heard(other) || (!most && now.since(other.heard) < LASTS));
-        let mut others = Others {
+        let mut others = OtherProxies {
             proxies: 0,
             rates: vec![0.0; self.place.tenants.len()],
         };
@@ -485,7 +488,7 @@
                 .zip(&other.rates)
                 .for_each(|(sum, rate)| *sum += rate);
         }
-        quota.heard(Some(&others).filter(|others| others.proxies > 0));
+        quota.set_other_proxies(Some(&others).filter(|others| others.proxies > 0));
         let view = (most, up);
         if self.view.as_ref() != Some(&view) {
             let names = self.place.names.clone();
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Fleets of proxies that share nothing, against a count that sees all requests.
 
-use quota::{Mark, Others, Quota, Settings};
+use quota::{OtherProxies, QuotaMeter, RequestStatus, Settings};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -33,7 +33,7 @@
 }
 
 impl Words {
-    fn tell(&mut self, proxies: &mut [Quota], now: Duration, apart: bool) {
+    fn tell(&mut self, proxies: &mut [QuotaMeter], now: Duration, apart: bool) {
         self.past.push_back(
             proxies
                 .iter_mut()
@@ -69,7 +69,7 @@
             let rates = (0..said[0].len())
                 .map(|at| told.iter().map(|rates| rates[at]).sum())
                 .collect();
-            proxy.heard(Some(&Others {
+            proxy.set_other_proxies(Some(&OtherProxies {
                 proxies: told.len() as u32,
                 rates,
             }));
@@ -87,7 +87,7 @@
         quotas: fleet.quotas.to_vec(),
         ..Settings::default()
     };
-    let mut proxies = vec![Quota::new(&settings); fleet.proxies];
+    let mut proxies = vec![QuotaMeter::new(&settings); fleet.proxies];
     let mut buckets = fleet.quotas.to_vec();
     let (mut now, mut counts) = (0.0, [[[0u32; 2]; 2]; 2]);
     let mut words = Words {
@@ -133,8 +133,8 @@
         }
         let beyond = buckets[tenant] < 1.0;
         buckets[tenant] -= if beyond { 0.0 } else { 1.0 };
-        let marked =
-            proxies[proxy].asked(Duration::from_secs_f64(now), tenant, 0, false) == Mark::Beyond;
+        let marked = proxies[proxy].record_request(Duration::from_secs_f64(now), tenant, 0, false)
+            == RequestStatus::Over;
         let exceeds = fleet.usual[tenant].max(fleet.surge[tenant]) > 1.0;
         counts[usize::from(exceeds)][usize::from(beyond)][usize::from(marked)] += 1;
         passed[now as usize % 72] += u32::from(exceeds && !marked);
@@ -333,7 +333,7 @@
         quotas: vec![100.0],
         ..Settings::default()
     };
-    let (mut plain, mut short) = (Quota::new(&settings), Quota::new(&settings));
+    let (mut plain, mut short) = (QuotaMeter::new(&settings), QuotaMeter::new(&settings));
     let (mut within, mut withheld, mut repaying) = ([0u32; 2], 0.0, 0u32);
     for tick in 0..60_000u64 {
         let now = Duration::from_millis(tick);
@@ -342,9 +342,9 @@
         }
         if tick % 5 == 0 {
             for (quota, within) in [&mut plain, &mut short].into_iter().zip(&mut within) {
-                let mark = quota.asked(now, 0, 0, false);
-                *within += u32::from(mark == Mark::Within);
-                repaying += u32::from(mark == Mark::Withheld);
+                let mark = quota.record_request(now, 0, 0, false);
+                *within += u32::from(mark == RequestStatus::Within);
+                repaying += u32::from(mark == RequestStatus::Withheld);
             }
         }
     }
@@ -365,21 +365,21 @@
 #[test]
 fn tokens_go_to_dearer_requests_first() {
     let shares = |worths: Vec<f64>, per_s: u64| {
-        let mut quota = Quota::new(&Settings {
+        let mut quota = QuotaMeter::new(&Settings {
             proxies: 1,
             quotas: vec![100.0],
-            worths,
+            priority_weights: worths,
         });
         let mut within = [0u64; 3];
         for n in 0..per_s * 60 {
             let class = (n % 3) as usize;
-            let mark = quota.asked(
+            let mark = quota.record_request(
                 Duration::from_micros(n * 1_000_000 / per_s),
                 0,
                 class,
                 false,
             );
-            within[class] += u64::from(mark == Mark::Within);
+            within[class] += u64::from(mark == RequestStatus::Within);
         }
         within.map(|within| within as f64 / (20 * per_s) as f64)
     };
@@ -401,7 +401,7 @@
         quotas: vec![1_200.0],
         ..Settings::default()
     };
-    let mut proxies = vec![Quota::new(&settings); 12];
+    let mut proxies = vec![QuotaMeter::new(&settings); 12];
     let mut words = Words {
         age: 1,
         ..Words::default()
@@ -421,7 +421,8 @@
             } else {
                 any
             };
-            within += u64::from(proxies[proxy].asked(now, 0, 0, false) == Mark::Within);
+            within +=
+                u64::from(proxies[proxy].record_request(now, 0, 0, false) == RequestStatus::Within);
         }
     }
     let part = within as f64 / (1_200.0 * 600.0);
@@ -433,18 +434,18 @@
     /// Alone, a proxy lets no more through as within than the quota and the depth of its bucket; repeats take nothing.
     #[test]
     fn one_proxy_keeps_to_the_quota(quota in 1.0f64..500.0, gaps in proptest::collection::vec(0u64..20_000, 1..400)) {
-        let mut account = Quota::new(&Settings { proxies: 1, quotas: vec![quota, 0.0], ..Settings::default() });
+        let mut account = QuotaMeter::new(&Settings { proxies: 1, quotas: vec![quota, 0.0], ..Settings::default() });
         let (mut now, mut within, mut first) = (Duration::ZERO, 0u32, true);
         let begun = now;
         for gap in gaps {
             now += Duration::from_micros(gap);
-            proptest::prop_assert_eq!(account.asked(now, 1, 0, false), Mark::Free);
-            proptest::prop_assert_eq!(account.asked(now, 2, 0, false), Mark::Free);
-            account.asked(now, 0, 0, true);
-            let mark = account.asked(now, 0, 0, false);
-            proptest::prop_assert!(!first || mark == Mark::Within);
+            proptest::prop_assert_eq!(account.record_request(now, 1, 0, false), RequestStatus::Unlimited);
+            proptest::prop_assert_eq!(account.record_request(now, 2, 0, false), RequestStatus::Unlimited);
+            account.record_request(now, 0, 0, true);
+            let mark = account.record_request(now, 0, 0, false);
+            proptest::prop_assert!(!first || mark == RequestStatus::Within);
             first = false;
-            within += u32::from(mark == Mark::Within);
+            within += u32::from(mark == RequestStatus::Within);
             let span = (now - begun).as_secs_f64();
             let most = quota * span + quota + 3.0 * quota.sqrt() + 3.0;
             proptest::prop_assert!(f64::from(within) <= most + 1e-6);
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{batch_header, ListKind, Malformed, Reader, Record, Reply, BATCH_HEADER};
 use platform_settings::{self as conf, Field};
-use quota::{Mark, Quota};
+use quota::{QuotaMeter, RequestStatus};
 use routing::{
     Action, AttemptEnded, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, QuotaStatus,
     ResponseMetadata, Router, Time,
@@ -13,7 +13,7 @@
 
 struct Instance {
     router: Router,
-    quota: Quota,
+    quota: QuotaMeter,
     fields: Vec<Field>,
     zero: Time,
 }
@@ -65,10 +65,10 @@
                         .map(|tenant| tenant.quota_per_s)
                         .collect();
                     let proxies = decoded.settings.router_count;
-                    let quota = Quota::new(&quota::Settings {
+                    let quota = QuotaMeter::new(&quota::Settings {
                         proxies,
                         quotas,
-                        worths: Vec::new(),
+                        priority_weights: Vec::new(),
                     });
                     let router = Router::new(decoded.settings, seed, now);
                     let (fields, zero) = (decoded.fields, decoded.zero);
@@ -109,13 +109,13 @@
                 Record::Incoming { inst, mut arrival } => {
                     if let Some(instance) = self.instances.get_mut(&inst) {
                         let (now, tenant) = (now.since(Time::ZERO), arrival.tenant.0.into());
-                        let mark = instance.quota.asked(
+                        let mark = instance.quota.record_request(
                             now,
                             tenant,
                             arrival.class.0.into(),
                             arrival.is_client_retry,
                         );
-                        if mark == Mark::Beyond {
+                        if mark == RequestStatus::Over {
                             arrival.quota_status = QuotaStatus::OverQuota;
                         }
                     }
