--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -91,7 +91,7 @@
     fn of_sites(&mut self, now: Instant, event: SiteEvent) {
         if let Some(sites) = &mut self.sites {
             let zones = &self.zones;
-            sites.event(now.saturating_duration_since(self.start), event, |place| {
+            sites.handle(now.saturating_duration_since(self.start), event, |place| {
                 zone(zones, place).to_owned()
             });
         }
@@ -99,7 +99,7 @@
 
     /// The watch on the list stands, or is lost. With it all that it says has been told.
     pub fn list(&mut self, heard: bool, now: Instant) {
-        self.of_sites(now, SiteEvent::List { heard });
+        self.of_sites(now, SiteEvent::ListUpdated { connected: heard });
     }
 
     /// An operator's word on servers, beside what becomes of the list by it.
@@ -111,9 +111,9 @@
             let out = entry.state != EndpointState::Ready;
             self.of_sites(
                 now,
-                SiteEvent::Hand {
+                SiteEvent::ManualExclusion {
                     server: entry.server.0,
-                    out,
+                    excluded: out,
                 },
             );
         }
@@ -132,13 +132,13 @@
         let since = now.saturating_duration_since(self.start);
         self.sites
             .as_mut()
-            .map_or(0.0, |sites| sites.asked(since, arrival))
+            .map_or(0.0, |sites| sites.record_request(since, arrival))
     }
 
     /// An attempt is made for a request, or it is over; `refused`: for want of room.
     pub fn settled(&mut self, id: RequestId, refused: bool) {
         if let Some(sites) = &mut self.sites {
-            sites.plan().settled(id.0, refused);
+            sites.plan().record_outcome(id.0, refused);
         }
     }
 
@@ -150,7 +150,7 @@
     /// Its client has left.
     pub fn left(&mut self, id: RequestId, group: GroupId, now: Instant) {
         if let Some(sites) = &mut self.sites {
-            sites.plan().left(id.0);
+            sites.plan().forget_request(id.0);
         }
         self.event(now, Event::Left { group: group.0 });
     }
@@ -186,9 +186,9 @@
         let server = done.server.0;
         let sign = match done.verdict {
             // One whose time was over before it was written got no connection.
-            Verdict::ConnectFailed => Some(SiteEvent::Unreached { server }),
+            Verdict::ConnectFailed => Some(SiteEvent::ConnectFailed { server }),
             Verdict::Reset => Some(SiteEvent::Reset { server }),
-            Verdict::TimedOut => Some(SiteEvent::Silent { server }),
+            Verdict::TimedOut => Some(SiteEvent::TimedOut { server }),
             Verdict::Cancelled | Verdict::NeverSent => None,
             _ => Some(SiteEvent::Answered { server }),
         };
@@ -196,7 +196,7 @@
             self.of_sites(now, sign);
         }
         if let Some(sites) = &mut self.sites {
-            sites.ended(now.saturating_duration_since(self.start), done);
+            sites.record_end(now.saturating_duration_since(self.start), done);
         }
         // Of an exchange that never got a connection its dial has told.
         let word =
@@ -258,7 +258,7 @@
                     there,
                 },
             );
-            self.of_sites(now, sites::listed(entry));
+            self.of_sites(now, sites::endpoint_event(entry));
         }
         for server in gone {
             self.event(
@@ -270,7 +270,7 @@
                     there: false,
                 },
             );
-            self.of_sites(now, sites::gone(server));
+            self.of_sites(now, sites::removal_event(server));
         }
     }
 
@@ -357,14 +357,14 @@
         };
         self.event(now, Event::Load(load));
         if self.sites.is_some() {
-            self.of_sites(now, SiteEvent::Late(load.lag));
+            self.of_sites(now, SiteEvent::LoopLag(load.lag));
             let links: Vec<(u16, Link)> = self.model.links().collect();
             for (site, link) in links {
                 self.of_sites(
                     now,
-                    SiteEvent::Cut {
+                    SiteEvent::LinkCut {
                         site,
-                        on: link == Link::Cut,
+                        cut: link == Link::Cut,
                     },
                 );
             }
--- a/crates/proxy-experiments/src/planned.rs
+++ b/crates/proxy-experiments/src/planned.rs
@@ -7,8 +7,7 @@
     RequestId, ServerId, Settings, Time,
 };
 use rustc_hash::FxHashMap;
-use site_failover::order::Standing;
-use site_failover::{Class, Event as Sign, Kind, Plan};
+use site_failover::{Class, Event as SiteEvent, FailoverPlan, QuotaStatus, RequestKind};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -17,7 +16,7 @@
 
 pub struct Planned {
     module: Box<dyn Decider>,
-    plan: Plan,
+    plan: FailoverPlan,
     named: BTreeSet<ServerId>,
     /// Group and class of each request that is open.
     open: FxHashMap<RequestId, (u32, u16)>,
@@ -26,11 +25,11 @@
 
 impl Planned {
     pub fn new(module: Box<dyn Decider>, settings: &Settings, now: Time) -> Planned {
-        let mut plan = Plan::new(site_failover::Settings::default(), true, now.0);
+        let mut plan = FailoverPlan::new(site_failover::Settings::default(), true, now.0);
         let class = |class: &routing::Class| Class {
             write: class.consistency == Consistency::Write,
-            worth: class.priority_weight,
-            aim: class.latency_objective,
+            priority_weight: class.priority_weight,
+            latency_objective: class.latency_objective,
         };
         let quotas = settings
             .tenants
@@ -54,16 +53,16 @@
     fn listed(&mut self, now: Time, entries: &[Endpoint], complete: bool) {
         for entry in entries {
             let listed = match entry.state {
-                EndpointState::Ready => site_failover::Listed::Ready,
-                EndpointState::Draining => site_failover::Listed::Draining,
-                EndpointState::Removed => site_failover::Listed::Gone,
+                EndpointState::Ready => site_failover::EndpointState::Ready,
+                EndpointState::Draining => site_failover::EndpointState::Draining,
+                EndpointState::Removed => site_failover::EndpointState::Removed,
             };
             self.plan.handle(
                 now.0,
-                Sign::Listed {
+                SiteEvent::Endpoint {
                     server: entry.server.0,
                     site: entry.zone.0,
-                    listed,
+                    state: listed,
                 },
             );
         }
@@ -71,13 +70,13 @@
         if complete {
             let gone: Vec<ServerId> = self.named.difference(&named).copied().collect();
             for store in gone {
-                let listed = site_failover::Listed::Gone;
+                let listed = site_failover::EndpointState::Removed;
                 self.plan.handle(
                     now.0,
-                    Sign::Listed {
+                    SiteEvent::Endpoint {
                         server: store.0,
                         site: 0,
-                        listed,
+                        state: listed,
                     },
                 );
             }
@@ -94,14 +93,15 @@
             self.open.get(&ended.id).copied()
         };
         if let (Some((group, class)), Outcome::Ok) = (asked, ended.outcome) {
-            self.plan.served(now.0, server, group, class, ended.elapsed);
+            self.plan
+                .record_served(now.0, server, group, class, ended.elapsed);
         }
         let sign = match ended.outcome {
-            Outcome::ConnectFailed => Sign::Unreached { server },
-            Outcome::Reset => Sign::Reset { server },
-            Outcome::TimedOut => Sign::Silent { server },
+            Outcome::ConnectFailed => SiteEvent::ConnectFailed { server },
+            Outcome::Reset => SiteEvent::Reset { server },
+            Outcome::TimedOut => SiteEvent::TimedOut { server },
             Outcome::Cancelled | Outcome::NotSent => return,
-            _ => Sign::Answered { server },
+            _ => SiteEvent::Answered { server },
         };
         self.plan.handle(now.0, sign);
     }
@@ -118,49 +118,51 @@
         let before = actions.len();
         if now.since(self.ticked) >= TICK {
             self.ticked = now;
-            self.plan.handle(now.0, Sign::Tick);
+            self.plan.handle(now.0, SiteEvent::Tick);
         }
         match &mut event {
-            Event::Endpoints(EndpointUpdate::Failed) => {
-                self.plan.handle(now.0, Sign::List { heard: false })
-            }
+            Event::Endpoints(EndpointUpdate::Failed) => self
+                .plan
+                .handle(now.0, SiteEvent::ListUpdated { connected: false }),
             Event::Endpoints(EndpointUpdate::Changes(entries)) => {
                 self.listed(now, entries, false);
-                self.plan.handle(now.0, Sign::List { heard: true });
+                self.plan
+                    .handle(now.0, SiteEvent::ListUpdated { connected: true });
             }
             Event::Endpoints(
                 EndpointUpdate::Snapshot(entries) | EndpointUpdate::Cached(entries),
             ) => {
                 self.listed(now, entries, true);
-                self.plan.handle(now.0, Sign::List { heard: true });
+                self.plan
+                    .handle(now.0, SiteEvent::ListUpdated { connected: true });
             }
             Event::RequestArrived(arrival) => {
-                let kind = Kind {
+                let kind = RequestKind {
                     group: arrival.group.0,
-                    write: self.plan.writes(arrival.class.0),
+                    write: self.plan.is_write(arrival.class.0),
                     class: arrival.class.0,
                     tenant: arrival.tenant.0,
-                    standing: Standing::Within,
-                    repeated: arrival.is_client_retry,
+                    quota_status: QuotaStatus::WithinQuota,
+                    is_retry: arrival.is_client_retry,
                 };
                 self.open.insert(arrival.id, (kind.group, kind.class));
-                arrival.shed_fraction = self.plan.asked(now.0, arrival.id.0, kind);
+                arrival.shed_fraction = self.plan.record_request(now.0, arrival.id.0, kind);
             }
             Event::AttemptEnded(ended) => self.ended(now, ended),
             Event::ClientLeft(id) => {
                 self.open.remove(id);
-                self.plan.left(id.0);
+                self.plan.forget_request(id.0);
             }
             _ => {}
         }
         self.module.handle(now, event, view, actions);
         for action in &actions[before..] {
             match action {
-                Action::Send { id, .. } => self.plan.settled(id.0, false),
+                Action::Send { id, .. } => self.plan.record_outcome(id.0, false),
                 Action::Fail { id } | Action::Reject { id, .. } => {
                     self.open.remove(id);
                     self.plan
-                        .settled(id.0, matches!(action, Action::Reject { .. }));
+                        .record_outcome(id.0, matches!(action, Action::Reject { .. }));
                 }
                 _ => {}
             }
--- a/crates/site-failover/src/demand.rs
+++ b/crates/site-failover/src/demand.rs
@@ -1,52 +1,80 @@
-//! What is asked of one proxy, by kind: how often of late.
+//! The recent rate of requests at one proxy, by kind.
 
-use crate::order::Standing;
-use crate::Time;
 use std::collections::BTreeMap;
 
-/// Requests of one kind.
+use crate::{QuotaStatus, Time};
+
+/// What requests are told apart by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Kind {
+pub struct RequestKind {
+    /// The group of servers.
     pub group: u32,
+    /// Whether it writes.
     pub write: bool,
+    /// The class.
     pub class: u16,
+    /// The tenant.
     pub tenant: u16,
-    pub standing: Standing,
-    pub repeated: bool,
+    /// What it is to the tenant's quota.
+    pub quota_status: QuotaStatus,
+    /// Whether it is a client's retry.
+    pub is_retry: bool,
 }
 
-/// Requests are forgotten with this time constant, in seconds.
-const FORGET: f64 = 10.0;
+/// Time constant of the rates, in seconds.
+const TIME_CONSTANT: f64 = 10.0;
 const KINDS_LIMIT: usize = 4_096;
-/// Fewer in a second than this are forgotten where there is no place.
+/// Kinds of a lower rate, in requests a second, are forgotten where there is no room.
 const RARE: f64 = 0.01;
 
-#[derive(Clone, Debug, Default)]
-pub struct Demand {
-    kinds: BTreeMap<Kind, (f64, Time)>,
+/// A count that decays.
+#[derive(Clone, Copy, Debug)]
+struct DecayingCount {
+    count: f64,
+    at: Time,
+}
+
+impl DecayingCount {
+    fn decayed(&self, now: Time) -> f64 {
+        let age = now.saturating_sub(self.at).as_secs_f64();
+        self.count * (-age / TIME_CONSTANT).exp()
+    }
+
+    fn rate(&self, now: Time) -> f64 {
+        self.decayed(now) / TIME_CONSTANT
+    }
 }
 
-fn faded((number, at): (f64, Time), now: Time) -> f64 {
-    number * (-now.saturating_sub(at).as_secs_f64() / FORGET).exp()
+/// Rates of all kinds.
+#[derive(Clone, Debug, Default)]
+pub struct Demand {
+    counts: BTreeMap<RequestKind, DecayingCount>,
 }
 
 impl Demand {
-    pub fn asked(&mut self, now: Time, kind: Kind) {
-        if self.kinds.len() >= KINDS_LIMIT && !self.kinds.contains_key(&kind) {
-            self.kinds
-                .retain(|_, seen| faded(*seen, now) / FORGET >= RARE);
-            if self.kinds.len() >= KINDS_LIMIT {
+    /// A request has arrived.
+    pub fn record(&mut self, now: Time, kind: RequestKind) {
+        if self.counts.len() >= KINDS_LIMIT && !self.counts.contains_key(&kind) {
+            self.counts.retain(|_, count| count.rate(now) >= RARE);
+            if self.counts.len() >= KINDS_LIMIT {
                 return;
             }
         }
-        let seen = self.kinds.entry(kind).or_insert((0.0, now));
-        *seen = (faded(*seen, now) + 1.0, now);
+        let none = DecayingCount {
+            count: 0.0,
+            at: now,
+        };
+        let count = self.counts.entry(kind).or_insert(none);
+        *count = DecayingCount {
+            count: count.decayed(now) + 1.0,
+            at: now,
+        };
     }
 
-    /// Each kind with how often it is asked for in a second.
-    pub fn rates(&self, now: Time) -> impl Iterator<Item = (Kind, f64)> + '_ {
-        self.kinds
+    /// Requests a second of each kind.
+    pub fn rates(&self, now: Time) -> impl Iterator<Item = (RequestKind, f64)> + '_ {
+        self.counts
             .iter()
-            .map(move |(kind, seen)| (*kind, faded(*seen, now) / FORGET))
+            .map(move |(kind, count)| (*kind, count.rate(now)))
     }
 }
--- /dev/null
+++ b/crates/site-failover/src/detector.rs
@@ -0,0 +1,430 @@
+//! One state machine for each site, fed with evidence about its servers.
+//!
+//! Only an answer proves that a server works; failed connections and resets speak against it. A site is lost when enough of its
+//! servers are down, none of its servers has answered since the first failure, and servers of other sites have. So neither what
+//! all servers do at once, nor what this proxy does to itself, is the loss of a site.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::server::{Failure, Server};
+use crate::site::{Evidence, Report, ServerCounts, Site, SiteState, Suspicion};
+use crate::{EndpointState, Event, Settings, Time, SERVERS_LIMIT, SITES_LIMIT};
+
+/// Servers that must be down for a loss, of sites that have as many.
+const WITNESSES: usize = 2;
+/// Hard failures of a server count when they are apart by this part of [`Settings::lost_after`].
+const SPREAD_PART: u32 = 4;
+/// Answers of a returning site before it is healthy.
+const RETURN_ANSWERS: u8 = 3;
+
+/// Judges the state of each site.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct SiteDetector {
+    settings: Settings,
+    now: Time,
+    servers: BTreeMap<u32, Server>,
+    sites: BTreeMap<u16, Site>,
+    list_connected: bool,
+    /// Until then failures may be the fault of a stall of this proxy.
+    ignore_failures_until: Time,
+}
+
+impl SiteDetector {
+    /// A detector without sites.
+    pub fn new(settings: Settings, now: Time) -> SiteDetector {
+        SiteDetector {
+            settings,
+            now,
+            servers: BTreeMap::new(),
+            sites: BTreeMap::new(),
+            list_connected: true,
+            ignore_failures_until: Time::ZERO,
+        }
+    }
+
+    /// Takes other settings over; the state stays.
+    pub fn configure(&mut self, settings: Settings) {
+        self.settings = settings;
+    }
+
+    /// The state of each site; nothing if there is but one.
+    pub fn reports(&self) -> impl Iterator<Item = Report> + '_ {
+        let has_several = self.sites.len() > 1;
+        self.sites
+            .iter()
+            .filter(move |_| has_several)
+            .map(|(id, site)| {
+                let counts = self.counts(*id);
+                Report {
+                    site: *id,
+                    state: site.state,
+                    evidence: site.evidence,
+                    since: site.since,
+                    members: counts.members,
+                    down: counts.down,
+                    losses: site.losses,
+                }
+            })
+    }
+
+    /// The state of a site.
+    pub fn state(&self, site: u16) -> Option<SiteState> {
+        self.sites.get(&site).map(|site| site.state)
+    }
+
+    /// The site of a server.
+    pub fn site_of(&self, server: u32) -> Option<u16> {
+        self.servers.get(&server).map(|server| server.site)
+    }
+
+    /// Handles an event. The list and operators are believed about single servers; what that makes of a site is judged.
+    pub fn handle(&mut self, now: Time, event: Event) {
+        let now = now.max(self.now);
+        if now - self.now > self.settings.stall {
+            self.on_stall(now);
+        }
+        self.now = now;
+        let is_expected =
+            matches!(event, Event::Answered { server } if self.is_answer_expected(server));
+        self.apply(now, event);
+        // With one site there is no other to take its load, and no contrast.
+        let has_several = self.sites.len() >= 2;
+        if !has_several || is_expected && !self.has_suspicion() {
+            return;
+        }
+        for id in self.sites_to_judge(event) {
+            self.judge(id);
+        }
+    }
+
+    fn apply(&mut self, now: Time, event: Event) {
+        match event {
+            Event::Endpoint {
+                server,
+                site,
+                state,
+            } => self.on_endpoint(server, site, state),
+            Event::ListUpdated { connected } => self.list_connected = connected,
+            Event::ManualExclusion { server, excluded } => {
+                if let Some(server) = self.servers.get_mut(&server) {
+                    server.excluded = excluded;
+                }
+            }
+            Event::Answered { server } => self.on_answer(server),
+            Event::ConnectFailed { server } | Event::Reset { server } => {
+                self.on_failure(server, Failure::Hard);
+            }
+            Event::TimedOut { server } => self.on_failure(server, Failure::Timeout),
+            Event::LinkCut { site, cut } => {
+                if let Some(site) = self.sites.get_mut(&site) {
+                    site.link_cut = cut;
+                }
+            }
+            Event::LoopLag(lag) if lag > self.settings.stall => self.on_stall(now),
+            Event::LoopLag(_) | Event::Tick => {}
+        }
+    }
+
+    fn sites_to_judge(&self, event: Event) -> Vec<u16> {
+        match event {
+            Event::Answered { server } => self.sites_concerned_by_answer(server),
+            Event::ConnectFailed { server }
+            | Event::Reset { server }
+            | Event::TimedOut { server }
+            | Event::ManualExclusion { server, .. } => self.site_of(server).into_iter().collect(),
+            // Judged at the end of the update.
+            Event::Endpoint { .. } => Vec::new(),
+            Event::LinkCut { site, .. } => vec![site],
+            Event::ListUpdated { .. } | Event::LoopLag(_) | Event::Tick => {
+                self.sites.keys().copied().collect()
+            }
+        }
+    }
+
+    /// An answer is evidence against each site that is suspected, too.
+    fn sites_concerned_by_answer(&self, server: u32) -> Vec<u16> {
+        let own = self.site_of(server);
+        self.sites
+            .iter()
+            .filter(|(id, site)| Some(**id) == own || site.suspicion.is_some())
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// The answer of a server without failures, of a healthy site, changes nothing: nearly all answers are such.
+    fn is_answer_expected(&self, server: u32) -> bool {
+        self.servers.get(&server).is_some_and(|server| {
+            !server.has_failures() && self.state(server.site) == Some(SiteState::Healthy)
+        })
+    }
+
+    fn has_suspicion(&self) -> bool {
+        self.sites.values().any(|site| site.suspicion.is_some())
+    }
+
+    /// During a stall no answer was read, and what was due then is overdue now: all of it would look like timeouts.
+    fn on_stall(&mut self, now: Time) {
+        if !self.settings.guards.stall {
+            return;
+        }
+        self.ignore_failures_until = now + self.settings.lost_after;
+        self.servers.values_mut().for_each(Server::clear_failures);
+        for site in self.sites.values_mut() {
+            site.suspicion = None;
+        }
+    }
+
+    fn on_endpoint(&mut self, id: u32, site: u16, state: EndpointState) {
+        if let Some(known) = self.servers.get_mut(&id) {
+            known.endpoint_state = state;
+            return;
+        }
+        let has_room = self.sites.contains_key(&site) || self.sites.len() < SITES_LIMIT;
+        if state == EndpointState::Removed || !has_room || !self.make_room_for_server() {
+            return;
+        }
+        let now = self.now;
+        self.sites.entry(site).or_insert_with(|| Site::new(now));
+        self.servers.insert(id, Server::new(site, state, now));
+    }
+
+    fn make_room_for_server(&mut self) -> bool {
+        if self.servers.len() < SERVERS_LIMIT {
+            return true;
+        }
+        let removed = self
+            .servers
+            .iter()
+            .find(|(_, server)| server.endpoint_state == EndpointState::Removed)
+            .map(|(id, _)| *id);
+        removed.is_some_and(|id| self.servers.remove(&id).is_some())
+    }
+
+    fn on_answer(&mut self, server: u32) {
+        let now = self.now;
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
+        server.clear_failures();
+        let (is_away, id) = (server.is_away(), server.site);
+        let Some(site) = self.sites.get_mut(&id) else {
+            return;
+        };
+        site.answered_at = Some(now);
+        let suspicion = site.suspicion.take();
+        if is_away {
+            return;
+        }
+        site.answers_since_loss = site.answers_since_loss.saturating_add(1);
+        let is_lost = site.is_lost();
+        // A suspicion that lasted as long as a loss takes, and ends with an answer, was shared: all sites failed at once. What is
+        // left of it about other sites proves nothing.
+        let lost_after = self.settings.lost_after;
+        let was_shared = !is_lost && suspicion.is_some_and(|was| now - was.first_at >= lost_after);
+        if suspicion.is_some() {
+            self.forget_contrast(id, was_shared);
+        }
+        if !is_lost {
+            self.contrast_others(id, was_shared);
+        }
+    }
+
+    /// Of one site, or of all.
+    fn forget_contrast(&mut self, site: u16, of_all: bool) {
+        for server in self.servers.values_mut() {
+            if of_all || server.site == site {
+                server.contrasted_failures = 0;
+            }
+        }
+    }
+
+    /// An answer of this site is contrast to the suspicion of others. `anew`: former contrast does not count.
+    fn contrast_others(&mut self, answering: u16, anew: bool) {
+        let now = self.now;
+        for (_, site) in self.sites.iter_mut().filter(|(id, _)| **id != answering) {
+            if let Some(suspicion) = &mut site.suspicion {
+                let former = suspicion.contrasted_since.filter(|_| !anew);
+                suspicion.contrasted_since = former.or(Some(now));
+            }
+        }
+    }
+
+    fn on_failure(&mut self, server: u32, failure: Failure) {
+        let guards = self.settings.guards;
+        if guards.stall && self.now < self.ignore_failures_until {
+            return;
+        }
+        let Some(server) = self.servers.get_mut(&server) else {
+            return;
+        };
+        let spread = if guards.span {
+            self.settings.lost_after / SPREAD_PART
+        } else {
+            Duration::ZERO
+        };
+        if !server.record_failure(self.now, failure, spread) {
+            return;
+        }
+        if server.is_away() || failure == Failure::Timeout && guards.timeouts {
+            return;
+        }
+        let Some(site) = self.sites.get_mut(&server.site) else {
+            return;
+        };
+        let suspicion = site.suspicion.get_or_insert(Suspicion {
+            contrasted_since: (!guards.contrast).then_some(self.now),
+            first_at: self.now,
+            last_at: self.now,
+        });
+        suspicion.last_at = self.now;
+        if suspicion.contrasted_since.is_some() {
+            server.record_contrast();
+        }
+    }
+
+    fn counts(&self, site: u16) -> ServerCounts {
+        let of_site = self.servers.values().filter(|server| server.site == site);
+        ServerCounts::of(of_site, self.now, &self.settings.guards)
+    }
+
+    /// Whether another site that is not lost has answered since then. So the last site is never lost.
+    fn answers_elsewhere(&self, id: u16, since: Time) -> bool {
+        !self.settings.guards.contrast
+            || self.sites.iter().any(|(other, site)| {
+                *other != id && !site.is_lost() && site.answered_at.is_some_and(|at| at >= since)
+            })
+    }
+
+    /// Why a site is lost, if it is.
+    fn loss_evidence(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
+        if counts.members == 0 {
+            self.loss_without_members(id, site, counts)
+        } else {
+            self.loss_by_failures(id, site, counts)
+        }
+    }
+
+    /// All servers are away, by the list or by operators. Operators are never late, nor is a list that says what failures say;
+    /// otherwise the list may be older than the site's last answer.
+    fn loss_without_members(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
+        let guards = self.settings.guards;
+        let all_excluded = counts.excluded == counts.away && counts.excluded > 0;
+        let confirmed = site
+            .suspicion
+            .filter(|_| counts.failing >= WITNESSES.min(site.last_members));
+        let delay = if guards.list_delay && !all_excluded && confirmed.is_none() {
+            self.settings.list_late
+        } else {
+            self.settings.lost_after
+        };
+        let last_sign_of_life = confirmed
+            .map(|suspicion| suspicion.first_at)
+            .or(site.answered_at)
+            .unwrap_or(site.listed_at);
+        let until = last_sign_of_life + delay;
+        let is_list_believed = !guards.list_delay || self.list_connected && self.now >= until;
+        let evidence = if all_excluded {
+            Evidence::ManualExclusion
+        } else {
+            Evidence::EndpointList
+        };
+        (is_list_believed && self.answers_elsewhere(id, until)).then_some(evidence)
+    }
+
+    /// Enough servers still fail [`Settings::lost_after`] after other sites were first known to answer, and these answer after
+    /// that too.
+    fn loss_by_failures(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
+        let guards = self.settings.guards;
+        let suspicion = site.suspicion?;
+        let span = if guards.span {
+            self.settings.lost_after
+        } else {
+            Duration::ZERO
+        };
+        let until = suspicion.contrasted_since? + span;
+        let needed = if guards.witnesses {
+            WITNESSES.min(counts.members)
+        } else {
+            1
+        };
+        let is_lost = counts.down_in_contrast >= needed
+            && suspicion.last_at >= until
+            && self.answers_elsewhere(id, suspicion.last_at);
+        let evidence = if site.link_cut {
+            Evidence::LinkCut
+        } else {
+            Evidence::Failures
+        };
+        is_lost.then_some(evidence)
+    }
+
+    fn judge(&mut self, id: u16) {
+        let now = self.now;
+        let counts = self.counts(id);
+        let Some(site) = self.sites.get(&id) else {
+            return;
+        };
+        let (state, evidence) = self.next_state(id, site, counts);
+        let Some(site) = self.sites.get_mut(&id) else {
+            return;
+        };
+        if counts.members > 0 {
+            site.last_members = counts.members;
+        }
+        if counts.degraded_by().is_some() {
+            site.degraded_at = now;
+        }
+        site.set_state(now, state, evidence);
+    }
+
+    fn next_state(&self, id: u16, site: &Site, counts: ServerCounts) -> (SiteState, Evidence) {
+        let may_cross = !self.settings.guards.dwell
+            || site
+                .crossed_at
+                .is_none_or(|at| self.now - at >= self.settings.dwell);
+        if site.is_lost() {
+            return self.next_state_of_lost(site, counts, may_cross);
+        }
+        let loss = self.loss_evidence(id, site, counts);
+        if let Some(evidence) = loss.filter(|_| may_cross) {
+            return (SiteState::Lost, evidence);
+        }
+        if site.state == SiteState::Returning && !self.has_returned(site) {
+            return (SiteState::Returning, site.evidence);
+        }
+        if let Some(evidence) = counts.degraded_by() {
+            return (SiteState::Degraded, evidence);
+        }
+        let was_degraded =
+            site.state == SiteState::Degraded && self.now - site.degraded_at < self.settings.dwell;
+        if was_degraded {
+            return (SiteState::Degraded, site.evidence);
+        }
+        (SiteState::Healthy, Evidence::Answers)
+    }
+
+    fn next_state_of_lost(
+        &self,
+        site: &Site,
+        counts: ServerCounts,
+        may_cross: bool,
+    ) -> (SiteState, Evidence) {
+        if counts.members > 0 && site.answers_since_loss > 0 && may_cross {
+            return (SiteState::Returning, Evidence::Answers);
+        }
+        // Other proxies may find out later that the servers behind a link work.
+        let evidence = if site.link_cut && site.evidence == Evidence::Failures {
+            Evidence::LinkCut
+        } else {
+            site.evidence
+        };
+        (SiteState::Lost, evidence)
+    }
+
+    fn has_returned(&self, site: &Site) -> bool {
+        let has_proof =
+            !self.settings.guards.return_proof || site.answers_since_loss >= RETURN_ANSWERS;
+        self.now - site.since >= self.settings.return_after && has_proof
+    }
+}
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -1,260 +1,336 @@
-//! All that one proxy knows and plans of its sites, as one core: states, capacity, demand, and what is refused first.
+//! The failover plan of one proxy: states, capacity and demand together, and what is shed.
 
-use crate::order::{self, Ask, Standing};
-use crate::steer::Steer;
-use crate::{Capacity, Demand, Event, Kind, Report, Room, Settings, Sites, State, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use crate::load_shedding::{headroom, served_fractions, Load};
+use crate::{
+    Capacity, CapacityKey, Demand, Event, QuotaStatus, Report, RequestKind, Settings,
+    ShedController, SiteDetector, SiteState, Time,
+};
+
 /// What requests of a class are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
+    /// Whether they write.
     pub write: bool,
-    pub worth: f64,
-    pub aim: Duration,
+    /// Their priority weight.
+    pub priority_weight: f64,
+    /// Their latency objective.
+    pub latency_objective: Duration,
 }
 
-/// What the loss of a site comes to, of the groups that it serves. Work is in seconds in a second, of reads and of writes.
+/// Requests of one class, tenant and quota status, and the fraction of them that would be shed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShedKind {
+    /// The class.
+    pub class: u16,
+    /// The tenant.
+    pub tenant: u16,
+    /// What they are to the tenant's quota.
+    pub quota_status: QuotaStatus,
+    /// The fraction, 0 to 1.
+    pub fraction: f64,
+}
+
+/// What the loss of a site would come to, for the groups that it serves. Arrays are for reads and for writes, in seconds of work in
+/// a second.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Loss {
-    /// The part of all worth asked for now, of all groups, that would be served.
+pub struct LossForecast {
+    /// The fraction of the priority weight of all groups that would be served.
     pub headroom: f64,
-    /// What the other sites have shown, and what is asked.
-    pub left: [f64; 2],
-    pub asked: [f64; 2],
-    /// Which part of what would be served goes to which site.
-    pub goes: Vec<(u16, f64)>,
-    /// Class, tenant and standing, with the part that would be refused; most of it first.
-    pub refused: Vec<(u16, u16, Standing, f64)>,
+    /// What the other sites have shown.
+    pub capacity_left: [f64; 2],
+    /// What is requested.
+    pub requested: [f64; 2],
+    /// The fraction of what would be served that each site would get.
+    pub destinations: Vec<(u16, f64)>,
+    /// What would be shed, the largest fraction first.
+    pub shed: Vec<ShedKind>,
+}
+
+/// Requests whose outcome is awaited; further ones tell nothing.
+const PENDING_LIMIT: usize = 65_536;
+
+/// Loads, and the capacities that they name by index.
+struct Loads {
+    loads: Vec<(RequestKind, Load)>,
+    capacities: Vec<f64>,
 }
 
-/// Requests whose end is awaited; what comes beyond tells nothing.
-const WAITING_LIMIT: usize = 65_536;
+impl Loads {
+    fn without_kinds(&self) -> Vec<Load> {
+        self.loads.iter().map(|(_, load)| *load).collect()
+    }
+}
 
-pub struct Plan {
-    sites: Sites,
+/// The failover plan.
+pub struct FailoverPlan {
+    detector: SiteDetector,
     capacity: Capacity,
     demand: Demand,
-    steer: Steer,
-    steers: bool,
-    /// Groups that the sites served which are lost, as of the last look; or were, while there is something to refuse still.
-    touched: BTreeSet<u32>,
-    /// Requests that no attempt was made for yet, of kinds that tell of room.
-    waiting: BTreeSet<u64>,
+    shed_controller: ShedController,
+    sheds: bool,
+    /// Groups that lost sites served, as of the last update; they stay while anything is shed.
+    affected_groups: BTreeSet<u32>,
+    /// Indicative requests without any attempt so far.
+    pending: BTreeSet<u64>,
     classes: Vec<Class>,
-    /// Of tenants, by id.
+    /// By tenant.
     quotas: Vec<f64>,
-    over_worth: f64,
+    over_quota_weight_fraction: f64,
 }
 
-impl Plan {
-    /// `steers`: what is refused first is told with each request; else it is only known.
-    pub fn new(settings: Settings, steers: bool, now: Time) -> Plan {
-        Plan {
-            sites: Sites::new(settings, now),
+impl FailoverPlan {
+    /// `sheds`: what is to be shed is told with each request; otherwise it is computed on demand only.
+    pub fn new(settings: Settings, sheds: bool, now: Time) -> FailoverPlan {
+        FailoverPlan {
+            detector: SiteDetector::new(settings, now),
             capacity: Capacity::default(),
             demand: Demand::default(),
-            steer: Steer::default(),
-            steers,
-            touched: BTreeSet::new(),
-            waiting: BTreeSet::new(),
+            shed_controller: ShedController::default(),
+            sheds,
+            affected_groups: BTreeSet::new(),
+            pending: BTreeSet::new(),
             classes: Vec::new(),
             quotas: Vec::new(),
-            over_worth: 1.0,
+            over_quota_weight_fraction: 1.0,
         }
     }
 
-    /// What requests are worth, and whose share of what is how large. `over_worth`: of one beyond its quota, as a part.
-    pub fn configure(&mut self, classes: Vec<Class>, quotas: Vec<f64>, over_worth: f64) {
-        (self.classes, self.quotas, self.over_worth) = (classes, quotas, over_worth);
+    /// Takes classes and tenants' quotas over. `over_quota_weight_fraction`: of a request's priority weight, when it is over quota.
+    pub fn configure(
+        &mut self,
+        classes: Vec<Class>,
+        quotas: Vec<f64>,
+        over_quota_weight_fraction: f64,
+    ) {
+        self.classes = classes;
+        self.quotas = quotas;
+        self.over_quota_weight_fraction = over_quota_weight_fraction;
     }
 
-    pub fn writes(&self, class: u16) -> bool {
-        self.classes
-            .get(usize::from(class))
-            .is_some_and(|class| class.write)
+    fn class(&self, class: u16) -> Option<&Class> {
+        self.classes.get(usize::from(class))
     }
 
+    /// Whether requests of a class write.
+    pub fn is_write(&self, class: u16) -> bool {
+        self.class(class).is_some_and(|class| class.write)
+    }
+
+    /// The state of each site.
     pub fn reports(&self) -> impl Iterator<Item = Report> + '_ {
-        self.sites.reports()
+        self.detector.reports()
     }
 
-    /// A request has come: the part of its kind that is to be refused.
-    pub fn asked(&mut self, now: Time, request: u64, kind: Kind) -> f64 {
-        self.demand.asked(now, kind);
-        if !self.touched.contains(&kind.group) {
+    /// A request has arrived. Returns the fraction of its kind to shed.
+    pub fn record_request(&mut self, now: Time, request: u64, kind: RequestKind) -> f64 {
+        self.demand.record(now, kind);
+        if !self.affected_groups.contains(&kind.group) {
             return 0.0;
         }
-        if self.steer.tells(&kind) && self.waiting.len() < WAITING_LIMIT {
-            self.waiting.insert(request);
+        if self.shed_controller.is_indicative(&kind) && self.pending.len() < PENDING_LIMIT {
+            self.pending.insert(request);
         }
-        self.steer.part(&kind)
+        self.shed_controller.shed_fraction(&kind)
     }
 
-    /// An attempt was made for it, or it is over with none: `refused` for want of room.
-    pub fn settled(&mut self, request: u64, refused: bool) {
-        if self.waiting.remove(&request) {
-            self.steer.ended(refused);
+    /// There is an attempt for a request, or it has ended without any; `rejected`: for lack of capacity.
+    pub fn record_outcome(&mut self, request: u64, rejected: bool) {
+        if self.pending.remove(&request) {
+            self.shed_controller.record_outcome(rejected);
         }
     }
 
-    /// Its client has left.
-    pub fn left(&mut self, request: u64) {
-        self.waiting.remove(&request);
+    /// The client of a request has left.
+    pub fn forget_request(&mut self, request: u64) {
+        self.pending.remove(&request);
     }
 
-    /// A server has served a request after so long.
-    pub fn served(&mut self, now: Time, server: u32, group: u32, class: u16, elapsed: Duration) {
-        let Some(known) = self
-            .classes
-            .get(usize::from(class))
-            .filter(|known| elapsed <= known.aim)
-        else {
+    /// A server has served a request, after `elapsed`.
+    pub fn record_served(
+        &mut self,
+        now: Time,
+        server: u32,
+        group: u32,
+        class: u16,
+        elapsed: Duration,
+    ) {
+        let Some(known) = self.class(class).copied() else {
             return;
         };
-        if let Some(site) = self.sites.site_of(server) {
-            self.capacity.answered(
-                now,
-                Room {
-                    group,
-                    site,
-                    write: known.write,
-                },
-                class,
-                elapsed,
-            );
+        if elapsed > known.latency_objective {
+            return;
+        }
+        if let Some(site) = self.detector.site_of(server) {
+            let key = CapacityKey {
+                group,
+                site,
+                write: known.write,
+            };
+            self.capacity.record_answer(now, key, class, elapsed);
         }
     }
 
+    /// Handles evidence about servers and sites.
     pub fn handle(&mut self, now: Time, event: Event) {
-        self.sites.handle(now, event);
-        if event == Event::Tick && self.steers && self.steer.due(now) {
-            self.look(now);
+        self.detector.handle(now, event);
+        if event == Event::Tick && self.sheds && self.shed_controller.is_due(now) {
+            self.update_shedding(now);
         }
     }
 
-    fn look(&mut self, now: Time) {
-        let lost = self.sites.reports().filter(|r| r.state == State::Lost);
-        let lost: Vec<u16> = lost.map(|r| r.site).collect();
+    fn update_shedding(&mut self, now: Time) {
+        let lost: Vec<u16> = self
+            .detector
+            .reports()
+            .filter(|report| report.state == SiteState::Lost)
+            .map(|report| report.site)
+            .collect();
         if !lost.is_empty() {
-            self.touched = lost
+            self.affected_groups = lost
                 .iter()
                 .flat_map(|site| self.capacity.groups(*site))
                 .collect();
-        } else if self.steer.level() <= 0.0 {
-            self.touched.clear();
+        } else if self.shed_controller.level() <= 0.0 {
+            self.affected_groups.clear();
             return;
         }
-        let (asks, _) = self.asks(now, None, |kind| self.touched.contains(&kind.group));
-        self.steer.look(now, !lost.is_empty(), &asks);
+        let loads = self.loads(now, None, |kind| self.affected_groups.contains(&kind.group));
+        self.shed_controller
+            .update(now, !lost.is_empty(), &loads.loads);
     }
 
-    /// What is asked, and the rooms that it names: what others than the site that is lost have shown.
-    fn asks(
+    /// Loads of kinds, with the capacities that other sites than the lost one have shown.
+    fn loads(
         &self,
         now: Time,
         lost: Option<u16>,
-        of: impl Fn(&Kind) -> bool,
-    ) -> (Vec<(Kind, Ask)>, Vec<f64>) {
-        let mut at: BTreeMap<(u32, bool), usize> = BTreeMap::new();
-        let mut rooms = Vec::new();
-        let ask = |(kind, rate): (Kind, f64)| {
-            let room = *at.entry((kind.group, kind.write)).or_insert_with(|| {
-                rooms.push(lost.map_or(0.0, |lost| {
-                    self.capacity.without(now, lost, kind.group, kind.write)
+        is_wanted: impl Fn(&RequestKind) -> bool,
+    ) -> Loads {
+        let mut indices: BTreeMap<(u32, bool), usize> = BTreeMap::new();
+        let mut capacities = Vec::new();
+        let mut loads = Vec::new();
+        for (kind, rate) in self.demand.rates(now).filter(|(kind, _)| is_wanted(kind)) {
+            let capacity = *indices.entry((kind.group, kind.write)).or_insert_with(|| {
+                capacities.push(lost.map_or(0.0, |lost| {
+                    self.capacity
+                        .total_of_others(now, lost, kind.group, kind.write)
                 }));
-                rooms.len() - 1
+                capacities.len() - 1
             });
-            let worth = self
-                .classes
-                .get(usize::from(kind.class))
-                .map_or(0.0, |class| class.worth);
-            let part = if kind.standing == Standing::Beyond {
-                self.over_worth
-            } else {
-                1.0
-            };
-            let quota = self
-                .quotas
-                .get(usize::from(kind.tenant))
-                .copied()
-                .unwrap_or(0.0);
-            let ask = Ask {
-                room,
-                tenant: kind.tenant,
-                // Without a quota there is nothing to tell tenants apart by.
-                share: if quota > 0.0 { quota } else { 1.0 },
-                standing: kind.standing,
-                repeated: kind.repeated,
-                worth: worth * part,
-                work: self.capacity.work(kind.class),
-                rate,
-            };
-            (kind, ask)
+            loads.push((kind, self.load(kind, capacity, rate)));
+        }
+        Loads { loads, capacities }
+    }
+
+    fn load(&self, kind: RequestKind, capacity: usize, rate: f64) -> Load {
+        let weight = self
+            .class(kind.class)
+            .map_or(0.0, |class| class.priority_weight);
+        let fraction = if kind.quota_status == QuotaStatus::OverQuota {
+            self.over_quota_weight_fraction
+        } else {
+            1.0
         };
-        let asks = self
-            .demand
-            .rates(now)
-            .filter(|(kind, _)| of(kind))
-            .map(ask)
-            .collect();
-        (asks, rooms)
+        let quota = self.quotas.get(usize::from(kind.tenant)).copied();
+        Load {
+            capacity,
+            tenant: kind.tenant,
+            // Tenants without quotas are alike.
+            tenant_weight: quota.filter(|quota| *quota > 0.0).unwrap_or(1.0),
+            quota_status: kind.quota_status,
+            is_retry: kind.is_retry,
+            priority_weight: weight * fraction,
+            work: self.capacity.work(kind.class),
+            rate,
+        }
     }
 
-    /// The part of the worth asked for now that would be served if a site went now, of what the others have shown.
+    /// The fraction of the requested priority weight that would be served if a site were lost now, by what the others have shown.
     pub fn headroom(&self, now: Time, site: u16) -> f64 {
-        let (asks, rooms) = self.asks(now, Some(site), |_| true);
-        let asks: Vec<Ask> = asks.into_iter().map(|(_, ask)| ask).collect();
-        order::headroom(&asks, &rooms)
+        let loads = self.loads(now, Some(site), |_| true);
+        headroom(&loads.without_kinds(), &loads.capacities)
     }
 
-    /// What it would come to if a site went now, or comes to since it went.
-    pub fn loss(&self, now: Time, site: u16) -> Loss {
+    /// What the loss of a site would come to now, or comes to since it was lost.
+    pub fn forecast_loss(&self, now: Time, site: u16) -> LossForecast {
         let groups: BTreeSet<u32> = self.capacity.groups(site).collect();
-        let (asks, rooms) = self.asks(now, Some(site), |kind| groups.contains(&kind.group));
-        let plain: Vec<Ask> = asks.iter().map(|(_, ask)| *ask).collect();
-        let (mut left, mut asked) = ([0.0; 2], [0.0; 2]);
-        let mut goes: BTreeMap<u16, f64> = BTreeMap::new();
-        let mut kinds: BTreeMap<(u16, u16, Standing), (f64, f64)> = BTreeMap::new();
-        let mut counted = vec![false; rooms.len()];
-        for ((kind, ask), part) in asks.iter().zip(order::served(&plain, &rooms)) {
-            asked[usize::from(kind.write)] += ask.work * ask.rate;
-            if !std::mem::replace(&mut counted[ask.room], true) {
-                left[usize::from(kind.write)] += rooms[ask.room];
-            }
-            let served = part * ask.work * ask.rate;
-            for (other, shown) in self.capacity.others(now, site, kind.group, kind.write) {
-                *goes.entry(other).or_default() +=
-                    served * shown / rooms[ask.room].max(f64::MIN_POSITIVE);
+        let loads = self.loads(now, Some(site), |kind| groups.contains(&kind.group));
+        let served = served_fractions(&loads.without_kinds(), &loads.capacities);
+        let (capacity_left, requested) = totals(&loads);
+        LossForecast {
+            headroom: self.headroom(now, site),
+            capacity_left,
+            requested,
+            destinations: self.destinations(now, site, &loads, &served),
+            shed: shed_kinds(&loads, &served),
+        }
+    }
+
+    /// The served work goes to the other sites in proportion to what they have shown.
+    fn destinations(&self, now: Time, lost: u16, loads: &Loads, served: &[f64]) -> Vec<(u16, f64)> {
+        let mut work_by_site: BTreeMap<u16, f64> = BTreeMap::new();
+        for ((kind, load), fraction) in loads.loads.iter().zip(served) {
+            let work = fraction * load.work * load.rate;
+            let capacity = loads.capacities[load.capacity].max(f64::MIN_POSITIVE);
+            for (site, shown) in self.capacity.of_others(now, lost, kind.group, kind.write) {
+                *work_by_site.entry(site).or_default() += work * shown / capacity;
             }
-            let (rate, refused) = kinds
-                .entry((kind.class, kind.tenant, kind.standing))
-                .or_default();
-            (*rate, *refused) = (*rate + ask.rate, *refused + (1.0 - part) * ask.rate);
         }
-        let all: f64 = goes.values().sum();
-        let part = |(kind, (rate, refused)): (_, (f64, f64))| {
-            (kind, refused / rate.max(f64::MIN_POSITIVE))
-        };
-        let mut refused: Vec<_> = kinds
+        let all: f64 = work_by_site.values().sum();
+        work_by_site
             .into_iter()
-            .map(part)
-            .map(|((class, tenant, standing), part)| (class, tenant, standing, part))
-            .collect();
-        refused.sort_by(|a, b| b.3.total_cmp(&a.3));
-        let goes = goes.into_iter().filter(|(_, work)| *work > 0.0);
-        let goes = goes.map(|(site, work)| (site, work / all)).collect();
-        Loss {
-            headroom: self.headroom(now, site),
-            left,
-            asked,
-            goes,
-            refused,
+            .filter(|(_, work)| *work > 0.0)
+            .map(|(site, work)| (site, work / all))
+            .collect()
+    }
+
+    /// The fraction of the reads' work that is shed now.
+    pub fn shed_level(&self) -> f64 {
+        self.shed_controller.level()
+    }
+}
+
+/// Capacity and requested work, of reads and of writes.
+fn totals(loads: &Loads) -> ([f64; 2], [f64; 2]) {
+    let (mut capacity, mut requested) = ([0.0; 2], [0.0; 2]);
+    let mut is_counted = vec![false; loads.capacities.len()];
+    for (kind, load) in &loads.loads {
+        let at = usize::from(kind.write);
+        requested[at] += load.work * load.rate;
+        if !std::mem::replace(&mut is_counted[load.capacity], true) {
+            capacity[at] += loads.capacities[load.capacity];
         }
     }
+    (capacity, requested)
+}
 
-    /// The part of the work of reads that is refused now.
-    pub fn level(&self) -> f64 {
-        self.steer.level()
+fn shed_kinds(loads: &Loads, served: &[f64]) -> Vec<ShedKind> {
+    /// Requests a second.
+    #[derive(Default)]
+    struct Rates {
+        all: f64,
+        shed: f64,
+    }
+    let mut by_kind: BTreeMap<(u16, u16, QuotaStatus), Rates> = BTreeMap::new();
+    for ((kind, load), fraction) in loads.loads.iter().zip(served) {
+        let rates = by_kind
+            .entry((kind.class, kind.tenant, kind.quota_status))
+            .or_default();
+        rates.all += load.rate;
+        rates.shed += (1.0 - fraction) * load.rate;
     }
+    let mut shed: Vec<ShedKind> = by_kind
+        .into_iter()
+        .map(|((class, tenant, quota_status), rates)| ShedKind {
+            class,
+            tenant,
+            quota_status,
+            fraction: rates.shed / rates.all.max(f64::MIN_POSITIVE),
+        })
+        .collect();
+    shed.sort_by(|a, b| b.fraction.total_cmp(&a.fraction));
+    shed
 }
--- /dev/null
+++ b/crates/site-failover/src/server.rs
@@ -0,0 +1,99 @@
+//! Evidence about one server.
+
+use std::time::Duration;
+
+use crate::settings::Guards;
+use crate::{EndpointState, Time};
+
+/// Failures in a row that make a server down, or timeouts in a row that make it silent.
+pub(crate) const FAILURES: u8 = 2;
+/// A server without any request for so long is not known to be down any more.
+const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+
+/// A sign against a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Failure {
+    /// It was not reached, or reset a connection.
+    Hard,
+    /// A request timed out.
+    Timeout,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Server {
+    pub site: u16,
+    pub endpoint_state: EndpointState,
+    pub excluded: bool,
+    /// In a row, with no answer between.
+    pub hard_failures: u8,
+    pub timeouts: u8,
+    /// When the last hard failure that counts was seen: connections reset at one instant are one failure.
+    pub hard_failure_at: Option<Time>,
+    /// When the last sign against it was seen, whether or not it counts.
+    pub last_failure_at: Time,
+    /// Failures while its site was suspected and other sites were known to answer.
+    pub contrasted_failures: u8,
+}
+
+impl Server {
+    pub fn new(site: u16, endpoint_state: EndpointState, now: Time) -> Server {
+        Server {
+            site,
+            endpoint_state,
+            excluded: false,
+            hard_failures: 0,
+            timeouts: 0,
+            hard_failure_at: None,
+            last_failure_at: now,
+            contrasted_failures: 0,
+        }
+    }
+
+    pub fn clear_failures(&mut self) {
+        self.hard_failures = 0;
+        self.timeouts = 0;
+        self.hard_failure_at = None;
+        self.contrasted_failures = 0;
+    }
+
+    pub fn has_failures(&self) -> bool {
+        (self.hard_failures, self.timeouts) != (0, 0)
+    }
+
+    /// It is to get no requests: excluded, draining or removed.
+    pub fn is_away(&self) -> bool {
+        self.excluded || self.endpoint_state != EndpointState::Ready
+    }
+
+    pub fn is_down(&self, guards: &Guards) -> bool {
+        self.hard_failures >= FAILURES || !guards.timeouts && self.timeouts >= FAILURES
+    }
+
+    pub fn is_evidence_recent(&self, now: Time) -> bool {
+        now.saturating_sub(self.last_failure_at) < FORGOTTEN_AFTER
+    }
+
+    /// Counts a failure. False: it is one with the last, within `spread` of it.
+    pub fn record_failure(&mut self, now: Time, failure: Failure, spread: Duration) -> bool {
+        self.last_failure_at = now;
+        match failure {
+            Failure::Hard => {
+                if self.hard_failure_at.is_some_and(|at| now - at < spread) {
+                    return false;
+                }
+                self.hard_failure_at = Some(now);
+                self.hard_failures = count(self.hard_failures);
+            }
+            Failure::Timeout => self.timeouts = count(self.timeouts),
+        }
+        true
+    }
+
+    pub fn record_contrast(&mut self) {
+        self.contrasted_failures = count(self.contrasted_failures);
+    }
+}
+
+fn count(failures: u8) -> u8 {
+    failures.saturating_add(1).min(FAILURES)
+}
--- a/crates/site-failover/tests/model.rs
+++ b/crates/site-failover/tests/model.rs
@@ -1,7 +1,7 @@
 //! Model check of the states of sites: three sites of two servers, each of which lives, is slow or dies, seen by an observer that
 //! misses much, and a few lies of the kinds that proxies meet, in every order up to a depth.
 
-use site_failover::{Event, Guards, Listed, Settings, Sites, State};
+use site_failover::{EndpointState, Event, Guards, Settings, SiteDetector, SiteState};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    core: Sites,
+    core: SiteDetector,
     now: Duration,
     ticks: u8,
     faults: u8,
@@ -57,7 +57,7 @@
     proof: Vec<u8>,
     /// When it last went into or out of `Lost`.
     crossed: Vec<Option<Duration>>,
-    state: Vec<State>,
+    state: Vec<SiteState>,
     broken: Vec<&'static str>,
 }
 
@@ -91,13 +91,13 @@
             if before == now {
                 continue;
             }
-            if (before == State::Lost) != (now == State::Lost) {
+            if (before == SiteState::Lost) != (now == SiteState::Lost) {
                 if self.crossed[at].is_some_and(|last| self.now - last < DWELL) {
                     self.broken.push(APART);
                 }
                 self.crossed[at] = Some(self.now);
             }
-            if now == State::Lost {
+            if now == SiteState::Lost {
                 self.proof[at] = 0;
                 // The list is believed about a site that says nothing.
                 let quiet = self.now - self.answered[at] >= LIST_LATE;
@@ -105,12 +105,13 @@
                     self.broken.push(FALSE_LOSS);
                 }
             }
-            if before == State::Returning && now == State::Whole && self.proof[at] < PROOF {
+            if before == SiteState::Returning && now == SiteState::Healthy && self.proof[at] < PROOF
+            {
                 self.broken.push(PROVEN);
             }
             self.state[at] = now;
         }
-        if self.state.iter().all(|state| *state == State::Lost) {
+        if self.state.iter().all(|state| *state == SiteState::Lost) {
             self.broken.push(ALL_LOST);
         }
     }
@@ -139,15 +140,15 @@
                 let id = server(site, n);
                 match self.truth[usize::from(site)] {
                     Truth::Slow if (u32::from(self.ticks) + n) % 4 != 0 => {
-                        self.tell(Event::Silent { server: id });
-                        self.tell(Event::Silent { server: id });
+                        self.tell(Event::TimedOut { server: id });
+                        self.tell(Event::TimedOut { server: id });
                     }
                     Truth::Half if n == 0 => {
-                        self.tell(Event::Unreached { server: id });
-                        self.tell(Event::Unreached { server: id });
+                        self.tell(Event::ConnectFailed { server: id });
+                        self.tell(Event::ConnectFailed { server: id });
                     }
                     Truth::Dead => {
-                        self.tell(Event::Unreached { server: id });
+                        self.tell(Event::ConnectFailed { server: id });
                         self.tell(Event::Reset { server: id });
                     }
                     Truth::Up | Truth::Slow | Truth::Half => self.answer(site, n),
@@ -161,9 +162,9 @@
     fn settles(&self) -> bool {
         let mut calm = self.clone();
         calm.heard = true;
-        calm.tell(Event::List { heard: true });
+        calm.tell(Event::ListUpdated { connected: true });
         for site in 0..calm.truth.len() as u16 {
-            calm.list(site, Listed::Ready);
+            calm.list(site, EndpointState::Ready);
         }
         for _ in 0..16 {
             calm.tick(u8::MAX);
@@ -173,24 +174,26 @@
             .iter()
             .zip(&calm.state)
             .all(|(truth, state)| match truth {
-                Truth::Up => *state == State::Whole,
-                Truth::Slow => matches!(state, State::Weakened | State::Whole),
-                Truth::Half => *state == State::Weakened,
+                Truth::Up => *state == SiteState::Healthy,
+                Truth::Slow => matches!(state, SiteState::Degraded | SiteState::Healthy),
+                Truth::Half => *state == SiteState::Degraded,
                 // With nothing alive there is nothing to tell it from.
-                Truth::Dead => *state == State::Lost || !alive,
+                Truth::Dead => *state == SiteState::Lost || !alive,
             })
     }
 
-    fn list(&mut self, site: u16, listed: Listed) {
-        self.dropped[usize::from(site)] = listed != Listed::Ready;
+    fn list(&mut self, site: u16, listed: EndpointState) {
+        self.dropped[usize::from(site)] = listed != EndpointState::Ready;
         for n in 0..SERVERS {
-            self.tell(Event::Listed {
+            self.tell(Event::Endpoint {
                 server: server(site, n),
                 site,
-                listed,
+                state: listed,
             });
         }
-        self.tell(Event::List { heard: self.heard });
+        self.tell(Event::ListUpdated {
+            connected: self.heard,
+        });
     }
 }
 
@@ -204,12 +207,12 @@
             list_late: LIST_LATE,
             return_after: 2 * TICK,
             dwell: DWELL,
-            late: 2 * TICK,
+            stall: 2 * TICK,
             guards: self.guards,
         };
         let sites = usize::from(self.sites);
         let mut world = World {
-            core: Sites::new(set, Duration::ZERO),
+            core: SiteDetector::new(set, Duration::ZERO),
             now: Duration::ZERO,
             ticks: 0,
             faults: 0,
@@ -221,18 +224,18 @@
             heard: true,
             proof: vec![0; sites],
             crossed: vec![None; sites],
-            state: vec![State::Whole; sites],
+            state: vec![SiteState::Healthy; sites],
             broken: Vec::new(),
         };
         for site in 0..self.sites {
             for n in 0..SERVERS {
-                let listed = Listed::Ready;
+                let listed = EndpointState::Ready;
                 world.core.handle(
                     Duration::ZERO,
-                    Event::Listed {
+                    Event::Endpoint {
                         server: server(site, n),
                         site,
-                        listed,
+                        state: listed,
                     },
                 );
             }
@@ -304,12 +307,12 @@
             Step::Late(of) => {
                 world.faults += 1;
                 world.now += 4 * TICK;
-                world.tell(Event::Late(4 * TICK));
+                world.tell(Event::LoopLag(4 * TICK));
                 // What was due meanwhile ends now, over more than one turn of the loop.
                 for _ in 0..2 {
                     for site in sites.clone().filter(|site| of.is_none_or(|of| of == *site)) {
                         for n in (0..SERVERS).chain(0..SERVERS) {
-                            world.tell(Event::Unreached {
+                            world.tell(Event::ConnectFailed {
                                 server: server(site, n),
                             });
                         }
@@ -329,20 +332,20 @@
                     for id in (0..u32::from(self.sites) * SERVERS)
                         .chain(0..u32::from(self.sites) * SERVERS)
                     {
-                        world.tell(Event::Unreached { server: id });
+                        world.tell(Event::ConnectFailed { server: id });
                     }
                 }
             }
             Step::Dropped(site) => {
                 world.faults += 1;
-                world.list(site, Listed::Draining);
+                world.list(site, EndpointState::Draining);
             }
-            Step::Relisted(site) => world.list(site, Listed::Ready),
+            Step::Relisted(site) => world.list(site, EndpointState::Ready),
             Step::Deaf(site) => {
                 world.faults += 1;
                 world.heard = false;
-                world.tell(Event::List { heard: false });
-                world.list(site, Listed::Draining);
+                world.tell(Event::ListUpdated { connected: false });
+                world.list(site, EndpointState::Draining);
                 world.now += LIST_LATE;
                 if world.truth[1] != Truth::Dead {
                     world.answer(1, 0);
@@ -361,10 +364,10 @@
             Property::always(PROVEN, |_, w: &World| !w.broken.contains(&PROVEN)),
             Property::always(SETTLES, |_, w: &World| w.settles()),
             Property::sometimes("a site is lost", |_, w: &World| {
-                w.state.contains(&State::Lost)
+                w.state.contains(&SiteState::Lost)
             }),
             Property::sometimes("a site returns", |_, w: &World| {
-                w.state.contains(&State::Returning)
+                w.state.contains(&SiteState::Returning)
             }),
         ];
         all.retain(|property| self.about.is_none_or(|about| property.name == about));
@@ -448,7 +451,14 @@
             FALSE_LOSS,
         ),
         ("span", Guards { span: false, ..all }, FALSE_LOSS),
-        ("late", Guards { late: false, ..all }, FALSE_LOSS),
+        (
+            "late",
+            Guards {
+                stall: false,
+                ..all
+            },
+            FALSE_LOSS,
+        ),
         (
             "dwell",
             Guards {
@@ -460,13 +470,27 @@
         (
             "proof",
             Guards {
-                proof: false,
+                return_proof: false,
                 ..all
             },
             PROVEN,
         ),
-        ("list", Guards { list: false, ..all }, FALSE_LOSS),
-        ("soft", Guards { soft: false, ..all }, FALSE_LOSS),
+        (
+            "list",
+            Guards {
+                list_delay: false,
+                ..all
+            },
+            FALSE_LOSS,
+        ),
+        (
+            "soft",
+            Guards {
+                timeouts: false,
+                ..all
+            },
+            FALSE_LOSS,
+        ),
     ];
     for (name, guards, broken) in without {
         print!("without {name}: ");
