--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -7,7 +7,7 @@
 use crate::config::ConfigError;
 use crate::control::control_socket::Said;
 use crate::observability::counters::Counters;
-use crate::observability::goodput::Sum;
+use crate::observability::goodput::Totals;
 use crate::persistence::state_file::{self, Writer};
 use configuration::load::{Loader, FILE_LIMIT};
 use configuration::model::Rollout as Stated;
@@ -284,17 +284,17 @@
                 })
         };
         // Places of one name are one class.
-        let mut sums: BTreeMap<u32, Sum> = BTreeMap::new();
+        let mut sums: BTreeMap<u32, Totals> = BTreeMap::new();
         for (class, more) in counters.worth.classes() {
             let sum = sums
                 .entry(membership::number(counters.name(class)))
                 .or_default();
-            (sum.asked, sum.lost) = (sum.asked + more.asked, sum.lost + more.lost);
+            (sum.requested, sum.lost) = (sum.requested + more.requested, sum.lost + more.lost);
         }
         // Whole ones: what is cut off here comes with the next.
-        let whole = |class: u32, sum: Sum| Class {
+        let whole = |class: u32, sum: Totals| Class {
             class,
-            asked: sum.asked as u64,
+            asked: sum.requested as u64,
             lost: sum.lost as u64,
         };
         let counts = sums
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -74,7 +74,7 @@
         answer: &Answer,
         took: Duration,
     ) {
-        self.worth.answered(class, standing, answer, took);
+        self.worth.record_answer(class, standing, answer, took);
         if let Some(class) = self.class(class) {
             *class.answers.entry(answer.kind()).or_default() += 1;
         }
--- a/crates/leverproxy/src/observability/goodput.rs
+++ b/crates/leverproxy/src/observability/goodput.rs
@@ -1,150 +1,114 @@
-//! What answers are worth to the platform: asked for and lost, by class and in all.
+//! Goodput: the priority weight of requests, and what of it is lost by answers that are late or missing; by class and in all.
 
-use crate::request::Answer;
-use routing::{ClassId, QuotaStatus, Settings};
 use std::time::Duration;
 
-/// Of a class.
+use routing::{ClassId, QuotaStatus, Settings};
+
+use crate::request::Answer;
+
+#[cfg(test)]
+mod tests;
+
+/// What requests of a class count for.
 #[derive(Clone, Copy, Debug)]
-struct Price {
-    /// As a part of the greatest worth of any class.
-    worth: f64,
-    aim: Duration,
-    late: f64,
+struct ClassWeight {
+    /// As a part of the greatest weight of any class.
+    weight: f64,
+    latency_objective: Duration,
+    /// The part of the weight that a late answer earns.
+    late_fraction: f64,
 }
 
+impl ClassWeight {
+    /// The part of its weight that an answer earns, `elapsed` after the request.
+    fn earned(&self, answer: &Answer, elapsed: Duration) -> f64 {
+        match answer {
+            Answer::Served(_) if elapsed <= self.latency_objective => 1.0,
+            Answer::Served(_) => self.late_fraction,
+            Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_) => 0.0,
+        }
+    }
+}
+
+/// Totals, in requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sum {
-    pub asked: f64,
+pub struct Totals {
+    /// Weight of all requests.
+    pub requested: f64,
+    /// What of it was not earned.
     pub lost: f64,
 }
 
-impl Sum {
-    fn add(&mut self, asked: f64, earned: f64) {
-        self.asked += asked;
-        self.lost += asked * (1.0 - earned);
+impl Totals {
+    fn add(&mut self, requested: f64, earned: f64) {
+        self.requested += requested;
+        self.lost += requested * (1.0 - earned);
     }
 }
 
+/// Goodput of this proxy.
 #[derive(Debug, Default)]
 pub struct Goodput {
-    prices: Vec<Price>,
-    /// What is left of it for a request that is wholly beyond its tenant's quota.
-    over: f64,
-    /// In requests of that class, by its place.
-    classes: Vec<Sum>,
-    /// In requests of the dearest class.
-    total: Sum,
+    weights: Vec<ClassWeight>,
+    /// The part of its weight that a request counts for which is over its tenant's quota.
+    over_quota_fraction: f64,
+    /// By class, in requests of that class.
+    classes: Vec<Totals>,
+    /// In requests of the class with the greatest weight.
+    total: Totals,
 }
 
 impl Goodput {
-    /// The prices from now on; what was counted stays.
+    /// Takes the weights of classes over; totals stay.
     pub fn configure(&mut self, settings: &Settings) {
         let greatest = settings
             .classes
             .iter()
             .map(|class| class.priority_weight)
             .fold(0.0, f64::max);
-        let price = |class: &routing::Class| Price {
-            // Where nothing is worth anything, all are alike.
-            worth: if greatest > 0.0 {
+        let weight = |class: &routing::Class| ClassWeight {
+            // Where no class has weight, all are alike.
+            weight: if greatest > 0.0 {
                 (class.priority_weight / greatest).clamp(0.0, 1.0)
             } else {
                 1.0
             },
-            aim: class.latency_objective,
-            late: class.late_weight_fraction.clamp(0.0, 1.0),
+            latency_objective: class.latency_objective,
+            late_fraction: class.late_weight_fraction.clamp(0.0, 1.0),
         };
-        self.prices = settings.classes.iter().map(price).collect();
-        self.over = settings.over_quota_weight_fraction.clamp(0.0, 1.0);
-        self.classes
-            .resize(self.prices.len().max(self.classes.len()), Sum::default());
+        self.weights = settings.classes.iter().map(weight).collect();
+        self.over_quota_fraction = settings.over_quota_weight_fraction.clamp(0.0, 1.0);
+        let classes = self.weights.len().max(self.classes.len());
+        self.classes.resize(classes, Totals::default());
     }
 
-    /// A request that took so long has its answer.
-    pub fn answered(
+    /// A request was answered, `elapsed` after it arrived.
+    pub fn record_answer(
         &mut self,
         class: ClassId,
-        standing: QuotaStatus,
+        quota_status: QuotaStatus,
         answer: &Answer,
-        took: Duration,
+        elapsed: Duration,
     ) {
         let at = usize::from(class.0);
-        let (Some(price), Some(sum)) = (self.prices.get(at), self.classes.get_mut(at)) else {
+        let (Some(weight), Some(totals)) = (self.weights.get(at), self.classes.get_mut(at)) else {
             return;
         };
-        let asked = self.over.powf(standing.over_quota_fraction());
-        let earned = match answer {
-            Answer::Served(_) if took <= price.aim => 1.0,
-            Answer::Served(_) => price.late,
-            Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_) => 0.0,
-        };
-        sum.add(asked, earned);
-        self.total.add(asked * price.worth, earned);
+        let requested = self
+            .over_quota_fraction
+            .powf(quota_status.over_quota_fraction());
+        let earned = weight.earned(answer, elapsed);
+        totals.add(requested, earned);
+        self.total.add(requested * weight.weight, earned);
     }
 
-    pub fn total(&self) -> Sum {
+    /// Totals of all classes together.
+    pub fn total(&self) -> Totals {
         self.total
     }
 
-    pub fn classes(&self) -> impl Iterator<Item = (ClassId, Sum)> + '_ {
+    /// Totals of each class.
+    pub fn classes(&self) -> impl Iterator<Item = (ClassId, Totals)> + '_ {
         (0..).map(ClassId).zip(self.classes.iter().copied())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use routing::{Class, Consistency, Idempotency};
-
-    #[test]
-    fn a_request_asks_and_earns_what_the_settings_say() {
-        let (aim, deadline) = (Duration::from_millis(100), Duration::from_secs(1));
-        let class = |worth, late_worth| Class {
-            consistency: Consistency::Write,
-            idempotency: Idempotency::NonIdempotent,
-            latency_objective: aim,
-            deadline,
-            priority_weight: worth,
-            late_weight_fraction: late_worth,
-        };
-        let settings = Settings {
-            classes: vec![class(4.0, 0.25), class(1.0, 0.0)],
-            over_quota_weight_fraction: 0.5,
-            ..Settings::default()
-        };
-        let mut worth = Goodput::default();
-        worth.configure(&settings);
-        let served = || Answer::Served(Vec::new());
-        worth.answered(ClassId(0), QuotaStatus::WithinQuota, &served(), aim);
-        worth.answered(ClassId(0), QuotaStatus::WithinQuota, &served(), aim * 2);
-        worth.answered(
-            ClassId(1),
-            QuotaStatus::OverQuota,
-            &Answer::Refused(None),
-            aim,
-        );
-        worth.answered(ClassId(9), QuotaStatus::WithinQuota, &Answer::Failed, aim);
-        let classes: Vec<Sum> = worth.classes().map(|(_, sum)| sum).collect();
-        assert_eq!(
-            classes,
-            [
-                Sum {
-                    asked: 2.0,
-                    lost: 0.75
-                },
-                Sum {
-                    asked: 0.5,
-                    lost: 0.5
-                }
-            ]
-        );
-        assert_eq!(
-            worth.total(),
-            Sum {
-                asked: 2.125,
-                lost: 0.875
-            }
-        );
-    }
-}
--- a/crates/leverproxy/src/observability/log_rate_limit.rs
+++ b/crates/leverproxy/src/observability/log_rate_limit.rs
@@ -1,33 +1,34 @@
-//! What may happen any number of times a second and is logged once a second at most. Guards against a log that
-//! grows as fast as bad peers can knock; the counters hold how often it was.
+//! A log line for what may happen any number of times a second, written once a second at most. Otherwise faulty peers could make
+//! the log grow as fast as they can connect. The counters hold how often it was.
 
 use std::time::{Duration, Instant};
 
-const APART: Duration = Duration::from_secs(1);
+/// Least time between two lines.
+const INTERVAL: Duration = Duration::from_secs(1);
 
+/// The limit of one kind of line.
 #[derive(Debug, Default)]
 pub struct LogRateLimit {
-    said: Option<Instant>,
-    left_out: u64,
+    logged_at: Option<Instant>,
+    suppressed: u64,
 }
 
 impl LogRateLimit {
-    /// A line, with how many were left out before it; nothing while the last one is fresh.
+    /// The line, with the number of lines suppressed before it; none within [`INTERVAL`] of the last one.
     pub fn line(&mut self, now: Instant, text: impl FnOnce() -> String) -> Option<String> {
-        if self
-            .said
-            .is_some_and(|said| now.saturating_duration_since(said) < APART)
-        {
-            self.left_out += 1;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < INTERVAL;
+        if self.logged_at.is_some_and(is_recent) {
+            self.suppressed += 1;
             return None;
         }
-        self.said = Some(now);
-        match std::mem::take(&mut self.left_out) {
+        self.logged_at = Some(now);
+        match std::mem::take(&mut self.suppressed) {
             0 => Some(text()),
             n => Some(format!("{} ({n} more like it since the last)", text())),
         }
     }
 
+    /// Logs the line as a warning.
     pub fn warn(&mut self, now: Instant, text: impl FnOnce() -> String) {
         if let Some(line) = self.line(now, text) {
             log::warn!("{line}");
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -2,7 +2,7 @@
 //! count it against a pool or refuse it; where it goes stays the module's to decide.
 
 use crate::request::{Answer, Request};
-use bulkheads::{Bulkheads, Cause, PoolId, Priority, Verdict};
+use bulkheads::{Admission, Bulkheads, PoolId, Priority, RejectionCause};
 use configuration::calendar::Moment;
 use configuration::index::{Facts, Index};
 use routing::{Arrival, ClassId, Time};
@@ -163,12 +163,12 @@
         let Some(pool) = ruling.pool.and_then(|at| self.pool_ids.get(at)).copied() else {
             return Ok(None);
         };
-        match self.pools.take(pool, ruling.priority, at.0) {
-            Verdict::Taken => Ok(Some(pool)),
-            Verdict::Refused { cause, retry_after } => {
+        match self.pools.admit(pool, ruling.priority, at.0) {
+            Admission::Admitted => Ok(Some(pool)),
+            Admission::Rejected { cause, retry_after } => {
                 match cause {
-                    Cause::Full => self.counts.pool_full += 1,
-                    Cause::Fast => self.counts.pool_fast += 1,
+                    RejectionCause::Concurrency => self.counts.pool_full += 1,
+                    RejectionCause::Rate => self.counts.pool_fast += 1,
                 }
                 Err(self.refusal(Some(retry_after)))
             }
@@ -177,7 +177,7 @@
 
     /// The request is over after so long.
     pub fn give_back(&mut self, pool: PoolId, held: Duration) {
-        self.pools.give_back(pool, held);
+        self.pools.release(pool, held);
     }
 
     fn refusal(&self, retry_after: Option<Duration>) -> Answer {
@@ -200,10 +200,10 @@
         }
         for (name, counts) in self.pools.counts() {
             let bulkheads::Counts {
-                open,
-                taken,
-                full,
-                fast,
+                in_flight: open,
+                admitted: taken,
+                rejected_concurrency: full,
+                rejected_rate: fast,
             } = counts;
             write!(
                 f,
