--- a/crates/availability/src/group.rs
+++ b/crates/availability/src/group.rs
@@ -1,23 +1,26 @@
-//! One group of record servers, as this proxy's own requests show it.
+//! A group of record servers, as this proxy's own requests show it.
 
 use crate::latency::Latency;
-use crate::{Ended, Settings, Time};
+use crate::{AttemptOutcome, Settings, Time};
 use std::time::Duration;
 
+/// The condition of a group, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
+    /// It serves.
     Serving,
     /// Its reads are served, and its writes are not.
     NoPrimary,
-    /// Much of what is asked of it is refused or fails, though it answers.
+    /// It answers, but much is rejected or fails.
     Failing,
-    /// It takes requests and answers none.
+    /// It accepts requests and answers none.
     Hung,
-    /// It can't be reached, or breaks whatever is sent.
+    /// It can't be reached, or breaks all connections.
     Dead,
 }
 
 impl Condition {
+    /// The word in health reports.
     pub fn name(self) -> &'static str {
         match self {
             Condition::Serving => "serving",
@@ -29,12 +32,16 @@
     }
 }
 
+/// The state of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupState {
+    /// Its condition.
     pub condition: Condition,
+    /// When the condition began.
     pub since: Time,
+    /// Its response time, as a multiple of the usual.
     pub slowness: f64,
-    /// Part of its requests that were refused or failed of late.
+    /// Part of its recent requests that were rejected or failed.
     pub unserved: f64,
 }
 
@@ -42,60 +49,59 @@
 pub(crate) struct Group {
     condition: Condition,
     since: Time,
-    /// When it last answered anything, or began to owe an answer while owing none.
-    heard: Time,
-    /// Attempts out.
+    /// When it last answered anything, or when the first of the attempts in flight was sent.
+    heard_at: Time,
+    /// Attempts in flight.
     owed: u32,
-    /// Requests that wait for their answers, whether or not an attempt of theirs is out.
+    /// Requests that wait for their answers, with or without an attempt in flight.
     waiting: u32,
-    /// Broken in a row, with no answer between; of those that were sent since it last answered.
-    broken: u32,
+    /// Hard failures in a row, with no answer between, of attempts that were sent since it last answered.
+    failures_in_row: u32,
     /// Answers in a row since it was last hung or dead.
-    good: u32,
+    answers_in_row: u32,
     /// Writes in a row that were not served, and when the last of any write was.
-    lost_writes: u32,
-    written: Time,
+    writes_lost_in_row: u32,
+    write_ended_at: Time,
     latency: Latency,
     /// Decayed numbers of requests that were served and were not.
     served: f64,
     unserved: f64,
-    decayed: Time,
-    asked: Time,
+    decayed_at: Time,
+    requested_at: Time,
 }
 
-/// Requests are forgotten with this time constant.
-const FORGET: f64 = 2.0;
+/// Time constant of the counts of requests, in seconds.
+const TIME_CONSTANT: f64 = 2.0;
 /// Weight that stands for requests not seen yet: a first failure is no half of the traffic.
 const PRIOR: f64 = 4.0;
 /// Parts of a group's requests that are not served: above the first it fails, below the second no longer.
 const FAILING: (f64, f64) = (0.5, 0.25);
-/// Writes in a row that nobody took: one may have met a limit of its own.
+/// Writes in a row that were not served: a single one may have met a limit of its own.
 const LOST_WRITES: u32 = 2;
-/// Answers in a row that end a silence.
-const PROOF: u32 = 3;
-/// Times what its answers usually take that a silence lasts.
-const LONG: u32 = 4;
-/// No silence needs more than this, the aim being to tell within 1 s, unless its answers take longer as a rule: a silence
-/// that is shorter than they take is none.
-const LONGEST: Duration = Duration::from_millis(700);
+/// Answers in a row after which a group is not dead or hung any more.
+const RECOVERY_ANSWERS: u32 = 3;
+/// A group is silent after so many times what its answers usually take.
+const SILENCE_FACTOR: u32 = 4;
+/// ... and after this time at most, since it is to be reported within a second; unless its answers usually take longer.
+const SILENCE_MOST: Duration = Duration::from_millis(700);
 
 impl Group {
     pub fn new(now: Time) -> Group {
         Group {
             condition: Condition::Serving,
             since: now,
-            heard: now,
+            heard_at: now,
             owed: 0,
             waiting: 0,
-            broken: 0,
-            good: 0,
-            lost_writes: 0,
-            written: now,
+            failures_in_row: 0,
+            answers_in_row: 0,
+            writes_lost_in_row: 0,
+            write_ended_at: now,
             latency: Latency::new(now),
             served: 0.0,
             unserved: 0.0,
-            decayed: now,
-            asked: now,
+            decayed_at: now,
+            requested_at: now,
         }
     }
 
@@ -110,62 +116,68 @@
     }
 
     pub fn idle(&self, now: Time) -> Duration {
-        now.saturating_sub(self.asked)
+        now.saturating_sub(self.requested_at)
     }
 
-    /// Nobody has looked for a while: what it owed before says nothing.
-    pub fn woke(&mut self, now: Time) {
-        self.heard = now;
-        self.broken = 0;
+    /// The process was suspended: what the group owed before means nothing.
+    pub fn on_suspension(&mut self, now: Time) {
+        self.heard_at = now;
+        self.failures_in_row = 0;
     }
 
-    pub fn asked(&mut self, now: Time) {
+    pub fn request_arrived(&mut self, now: Time) {
         self.waiting = self.waiting.saturating_add(1);
-        self.asked = now;
+        self.requested_at = now;
     }
 
-    pub fn left(&mut self) {
+    pub fn client_left(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    pub fn sent(&mut self, now: Time) {
+    pub fn attempt_sent(&mut self, now: Time) {
         if self.owed == 0 {
-            self.heard = now;
+            self.heard_at = now;
         }
         self.owed = self.owed.saturating_add(1);
-        self.asked = now;
+        self.requested_at = now;
     }
 
-    pub fn ended(&mut self, how: Ended, elapsed: Duration, now: Time, set: &Settings) {
+    pub fn attempt_ended(
+        &mut self,
+        outcome: AttemptOutcome,
+        elapsed: Duration,
+        now: Time,
+        settings: &Settings,
+    ) {
         self.owed = self.owed.saturating_sub(1);
-        match how {
-            Ended::Answered | Ended::TurnedAway => {
-                self.heard = now;
-                self.broken = 0;
-                self.good = self.good.saturating_add(1);
-                if how == Ended::Answered {
+        match outcome {
+            AttemptOutcome::Answered | AttemptOutcome::Rejected => {
+                self.heard_at = now;
+                self.failures_in_row = 0;
+                self.answers_in_row = self.answers_in_row.saturating_add(1);
+                if outcome == AttemptOutcome::Answered {
                     self.latency.add(elapsed, now);
                 }
             }
-            Ended::Broken => {
-                // One that was sent before the last answer and broke after it tells of its connection alone.
-                if now.saturating_sub(elapsed) >= self.heard
-                    || self.broken > 0
-                    || elapsed < set.silence
+            AttemptOutcome::Failed => {
+                // An attempt that was sent before the last answer and failed after it shows a fault of its connection alone.
+                if now.saturating_sub(elapsed) >= self.heard_at
+                    || self.failures_in_row > 0
+                    || elapsed < settings.silence
                 {
-                    self.broken = self.broken.saturating_add(1);
+                    self.failures_in_row = self.failures_in_row.saturating_add(1);
                 }
-                self.good = 0;
+                self.answers_in_row = 0;
             }
-            Ended::CalledOff => {}
+            AttemptOutcome::Cancelled => {}
         }
     }
 
-    /// A request had its final answer.
-    pub fn answered(&mut self, now: Time, served: bool) {
+    /// A request has ended.
+    pub fn request_ended(&mut self, now: Time, served: bool) {
         self.decay(now);
-        self.left();
-        self.asked = now;
+        self.client_left();
+        self.requested_at = now;
         if served {
             self.served += 1.0;
         } else {
@@ -173,26 +185,27 @@
         }
     }
 
-    pub fn wrote(&mut self, served: bool, now: Time) {
-        self.lost_writes = if served {
+    pub fn write_ended(&mut self, served: bool, now: Time) {
+        self.writes_lost_in_row = if served {
             0
         } else {
-            self.lost_writes.saturating_add(1)
+            self.writes_lost_in_row.saturating_add(1)
         };
-        self.written = now;
+        self.write_ended_at = now;
     }
 
     fn decay(&mut self, now: Time) {
-        let keep = (-now.saturating_sub(self.decayed).as_secs_f64() / FORGET).exp();
+        let keep = (-now.saturating_sub(self.decayed_at).as_secs_f64() / TIME_CONSTANT).exp();
         self.served *= keep;
         self.unserved *= keep;
-        self.decayed = now;
+        self.decayed_at = now;
     }
 
-    /// How much of the proxy's traffic is of this group, in requests of late.
+    /// The group's traffic, in recent requests.
     pub fn traffic(&self, now: Time) -> f64 {
-        // What waits for an answer is traffic too: a hung group would else seem to lose interest.
-        let keep = (-now.saturating_sub(self.decayed).as_secs_f64() / (5.0 * FORGET)).exp();
+        // Attempts in flight are traffic too: otherwise a hung group would seem to get none.
+        let keep =
+            (-now.saturating_sub(self.decayed_at).as_secs_f64() / (5.0 * TIME_CONSTANT)).exp();
         (self.served + self.unserved) * keep + f64::from(self.owed.min(64)) * 0.1
     }
 
@@ -214,49 +227,59 @@
         }
     }
 
-    pub fn look(&mut self, now: Time, set: &Settings, damping: u32) {
+    /// Judges the condition. A better one is kept back for the dwell time, `damping` times.
+    pub fn evaluate(&mut self, now: Time, settings: &Settings, damping: u32) {
         self.latency.turn(now);
         self.decay(now);
+        let found = self.judge(now, settings);
+        if found == self.condition {
+            return;
+        }
+        let better = found < self.condition;
+        if better && now.saturating_sub(self.since) < settings.dwell * damping {
+            return;
+        }
+        if found >= Condition::Hung {
+            self.answers_in_row = 0;
+        }
+        (self.condition, self.since) = (found, now);
+    }
+
+    fn judge(&self, now: Time, settings: &Settings) -> Condition {
         let usual = self.latency.usual();
-        let silence = (usual * LONG).clamp(set.silence, LONGEST.max(set.silence).max(usual));
-        let quiet = now.saturating_sub(self.heard);
+        let silence = (usual * SILENCE_FACTOR).clamp(
+            settings.silence,
+            SILENCE_MOST.max(settings.silence).max(usual),
+        );
+        let quiet = now.saturating_sub(self.heard_at);
         let failing = self.unserved / (self.served + self.unserved + PRIOR);
-        let found = if self.broken >= set.failures {
+        if self.failures_in_row >= settings.failures {
             Condition::Dead
-        } else if self.owed > 0 && self.owed.max(self.waiting) >= set.owed && quiet >= silence {
+        } else if self.owed > 0 && self.owed.max(self.waiting) >= settings.owed && quiet >= silence
+        {
             Condition::Hung
         } else {
             match self.condition {
-                // Nothing but answers ends these: a group that nobody asks stays as it was last seen, for a while.
+                // Only answers end these: a group without requests stays as it was last seen, for a while.
                 Condition::Dead | Condition::Hung
-                    if self.good < PROOF && self.idle(now) < FORGOTTEN =>
+                    if self.answers_in_row < RECOVERY_ANSWERS
+                        && self.idle(now) < FORGOTTEN_AFTER =>
                 {
                     self.condition
                 }
                 Condition::Failing if failing > FAILING.1 => Condition::Failing,
                 _ if failing > FAILING.0 => Condition::Failing,
-                // Of a group that nobody writes to it is not known for long.
-                _ if self.lost_writes >= LOST_WRITES
-                    && now.saturating_sub(self.written) < FORGOTTEN =>
+                // Without writes it is not known for long.
+                _ if self.writes_lost_in_row >= LOST_WRITES
+                    && now.saturating_sub(self.write_ended_at) < FORGOTTEN_AFTER =>
                 {
                     Condition::NoPrimary
                 }
                 _ => Condition::Serving,
             }
-        };
-        if found == self.condition {
-            return;
-        }
-        let better = found < self.condition;
-        if better && now.saturating_sub(self.since) < set.dwell * damping {
-            return;
         }
-        if found >= Condition::Hung {
-            self.good = 0;
-        }
-        (self.condition, self.since) = (found, now);
     }
 }
 
-/// Of a group that nobody has asked for this long nothing is known any more.
-const FORGOTTEN: Duration = Duration::from_secs(20);
+/// What is known of a group without requests holds for so long.
+const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
--- a/crates/availability/src/latency.rs
+++ b/crates/availability/src/latency.rs
@@ -1,4 +1,4 @@
-//! Present latency against what is usual: quantile sketches over windows of time.
+//! Recent latency as a multiple of the usual: quantile sketches over windows of time.
 
 use sketches_ddsketch::{Config, DDSketch};
 use std::time::Duration;
--- a/crates/availability/src/link.rs
+++ b/crates/availability/src/link.rs
@@ -1,26 +1,27 @@
-//! Links to places (buildings): one that is lost is told apart from the death of the servers behind it.
+//! Links to sites: a cut link is distinguished from the death of the servers behind it.
 //!
-//! From one proxy the two look alike, for a machine that is cut off says as little as one that is gone. What differs is
-//! what others know. A place is **silent** when several of its servers owe answers and no word of any kind has come from
-//! there; any word at all (an answer, a refusal, a reset, a connection that comes up) says that the link stands. A silent
-//! place is
-//! - **cut** once something proves that servers there work although nothing of them reaches this proxy: the log of a
-//!   group whose primary stands there goes on growing, as members elsewhere tell, before another can have taken over;
-//!   or the list, heard anew since for longer than it may be late, still holds them;
+//! From one proxy both look alike: nothing comes from the machines. What differs is what others know. A site is **silent** when
+//! several of its servers owe answers and there was no contact of any kind; any contact at all (an answer, a rejection, a reset,
+//! an established connection) shows that the link works. A silent site is
+//! - **cut** once something proves that servers there work although nothing of them reaches this proxy: the log of a group whose
+//!   primary is there goes on growing, as members elsewhere report, before another can have taken over; or the endpoint list,
+//!   received again after longer than its longest delay, still names them;
 //! - **gone** once the list has dropped most of them.
 //!
-//! Without proof it stays silent, and counts as shared trouble: the error that would cost all proxies their weight at
-//! once is the one that is ruled out. Slow or hung servers make no place silent, since their machines accept
-//! connections: a few are dialled for that ([`Links::knock`]), and none of these may have come up.
+//! Without proof it stays silent, and counts as a shared fault: the error that would cost all proxies their weight at once is ruled
+//! out. Slow or hung servers make no site silent, since their machines accept connections: a few are dialled to find that out
+//! ([`Links::server_to_dial`]), and none of these dials may have succeeded.
 
 use crate::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// State of the link to a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Link {
+pub enum LinkState {
+    /// There is contact.
     Up,
-    /// No word comes from there, and why is not known.
+    /// There is no contact, and the cause is not known.
     Silent,
     /// Its servers work, and nothing of them reaches this proxy.
     Cut,
@@ -28,204 +29,207 @@
     Gone,
 }
 
-impl Link {
+impl LinkState {
+    /// The word in health reports.
     pub fn name(self) -> &'static str {
         match self {
-            Link::Up => "up",
-            Link::Silent => "silent",
-            Link::Cut => "cut",
-            Link::Gone => "gone",
+            LinkState::Up => "up",
+            LinkState::Silent => "silent",
+            LinkState::Cut => "cut",
+            LinkState::Gone => "gone",
         }
     }
 }
 
-/// Places and servers that are told apart; what comes beyond counts for nothing here.
-pub const PLACES_LIMIT: usize = 64;
+/// Most sites; further ones are ignored.
+pub const SITES_LIMIT: usize = 64;
+/// Most servers; further ones are ignored.
 pub const SERVERS_LIMIT: usize = 4_096;
 
-/// Servers of a place that have to be silent: one may have lost a link of its own.
+/// Servers of a site that have to be silent: a single one may have lost a link of its own.
 const WITNESSES: usize = 2;
-/// Of a place that is cut so many have been dialled in vain, or all that it has.
-const KNOCKS: usize = 3;
-/// Attempts at a place are forgotten with this time constant, in seconds.
-const FORGET: f64 = 10.0;
+/// Servers of a cut site that have been dialled without success, or all that it has.
+const FAILED_DIALS: usize = 3;
+/// Time constant of the attempts at a site, in seconds.
+const TIME_CONSTANT: f64 = 10.0;
 
+/// Times of [`crate::Settings`] that concern links.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Settings {
-    /// Servers that owe answers say nothing for longer than this.
+pub(crate) struct LinkSettings {
+    /// A server that owes an answer is silent without contact for longer than this.
     pub silence: Duration,
-    /// Beyond this the list is not late.
+    /// The longest delay of the endpoint list.
     pub list_late: Duration,
-    /// No primary is replaced sooner than this after its last word.
+    /// A lost primary is replaced no sooner than this after the last contact.
     pub election: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Server {
-    place: u16,
+    site: u16,
     group: u32,
     /// In the list.
     listed: bool,
-    /// When its last word came.
-    heard: Time,
-    /// Exchanges that are out, and since when it owes a word.
-    out: u32,
+    /// The last contact.
+    contact_at: Time,
+    /// Exchanges in flight, and since when it owes an answer.
+    exchanges: u32,
     owes_since: Option<Time>,
-    /// Since when a dial to it has not come up.
+    /// The start of a dial that has not succeeded.
     dialled_since: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
-    state: Link,
-    /// When any word last came from there.
-    heard: Time,
-    /// Decayed number of attempts at it, and when that was worked out; it stands still while the place is silent.
+struct Site {
+    state: LinkState,
+    /// The last contact with any of its servers.
+    contact_at: Time,
+    /// Decayed number of attempts, and as of when; it does not change while the site is silent.
     attempts: f64,
-    decayed: Time,
-    /// A member elsewhere has told a position that only a working primary there can have made.
+    decayed_at: Time,
+    /// A member elsewhere has reported a position that only a working primary there can have written.
     proven: bool,
-    /// Servers that owed a word for long at the last look.
+    /// Servers that were silent at the last evaluation.
     owing: usize,
 }
 
-/// What the servers of a place come to.
+/// Counts of a site's servers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct ServerCounts {
     members: usize,
     listed: usize,
-    /// They have owed a word for long.
+    /// They are silent.
     owing: usize,
-    /// Listed, and not come up for long.
+    /// Listed, and dialled without success.
     undialled: usize,
 }
 
 #[derive(Debug)]
 pub(crate) struct Links {
     servers: BTreeMap<u32, Server>,
-    places: BTreeMap<u16, Place>,
-    /// By group, who last told that it is the primary.
+    sites: BTreeMap<u16, Site>,
+    /// By group, the server that last reported to be the primary.
     primaries: BTreeMap<u32, u32>,
-    /// When the list was last heard, whatever it said.
-    list_heard: Option<Time>,
+    /// When the endpoint list was last received.
+    list_received_at: Option<Time>,
 }
 
 impl Links {
     pub fn new() -> Links {
         Links {
             servers: BTreeMap::new(),
-            places: BTreeMap::new(),
+            sites: BTreeMap::new(),
             primaries: BTreeMap::new(),
-            list_heard: None,
+            list_received_at: None,
         }
     }
 
-    pub fn states(&self) -> impl Iterator<Item = (u16, Link)> + '_ {
-        self.places
-            .iter()
-            .map(|(place, state)| (*place, state.state))
+    pub fn states(&self) -> impl Iterator<Item = (u16, LinkState)> + '_ {
+        self.sites.iter().map(|(site, state)| (*site, state.state))
     }
 
-    pub fn state(&self, place: u16) -> Option<Link> {
-        self.places.get(&place).map(|p| p.state)
+    pub fn state(&self, site: u16) -> Option<LinkState> {
+        self.sites.get(&site).map(|p| p.state)
     }
 
-    /// The list's word on a server.
-    pub fn listed(&mut self, server: u32, place: u16, group: u32, there: bool, now: Time) {
+    /// The endpoint list names a server, or ceases to.
+    pub fn set_endpoint(&mut self, server: u32, site: u16, group: u32, listed: bool, now: Time) {
         if let Some(known) = self.servers.get_mut(&server) {
-            known.listed = there;
+            known.listed = listed;
             return;
         }
-        let room = self.places.contains_key(&place) || self.places.len() < PLACES_LIMIT;
-        if !there || !room || self.servers.len() >= SERVERS_LIMIT {
+        let room = self.sites.contains_key(&site) || self.sites.len() < SITES_LIMIT;
+        if !listed || !room || self.servers.len() >= SERVERS_LIMIT {
             return;
         }
-        self.places.entry(place).or_insert(Place {
-            state: Link::Up,
-            heard: now,
+        self.sites.entry(site).or_insert(Site {
+            state: LinkState::Up,
+            contact_at: now,
             attempts: 0.0,
-            decayed: now,
+            decayed_at: now,
             proven: false,
             owing: 0,
         });
-        let (owes_since, dialled_since) = (None, None);
         let new = Server {
-            place,
+            site,
             group,
             listed: true,
-            heard: now,
-            out: 0,
-            owes_since,
-            dialled_since,
+            contact_at: now,
+            exchanges: 0,
+            owes_since: None,
+            dialled_since: None,
         };
         self.servers.insert(server, new);
     }
 
-    pub fn list_heard(&mut self, now: Time) {
-        self.list_heard = Some(now);
+    pub fn list_received(&mut self, now: Time) {
+        self.list_received_at = Some(now);
     }
 
-    /// An exchange with it has begun.
-    pub fn asks(&mut self, server: u32, now: Time) {
+    /// An exchange has started.
+    pub fn exchange_started(&mut self, server: u32, now: Time) {
         let Some(server) = self.servers.get_mut(&server) else {
             return;
         };
-        server.out = server.out.saturating_add(1);
-        let Some(place) = self.places.get_mut(&server.place) else {
+        server.exchanges = server.exchanges.saturating_add(1);
+        let Some(site) = self.sites.get_mut(&server.site) else {
             return;
         };
-        // What was asked before the last word from there may be on a connection that is dead.
+        // An exchange from before the last contact may be on a dead connection.
         server.owes_since = server
             .owes_since
-            .filter(|at| *at > place.heard)
+            .filter(|at| *at > site.contact_at)
             .or(Some(now));
-        if place.state == Link::Up {
-            place.decay(now);
-            place.attempts += 1.0;
+        if site.state == LinkState::Up {
+            site.decay(now);
+            site.attempts += 1.0;
         }
     }
 
-    /// An exchange is over; `word`: something came of its machine, if only a refusal or the end of a connection.
-    pub fn over(&mut self, server: u32, word: bool, now: Time) {
+    /// An exchange has ended; `contact`: something came from the server's machine.
+    pub fn exchange_ended(&mut self, server: u32, contact: bool, now: Time) {
         if let Some(server) = self.servers.get_mut(&server) {
-            server.out = server.out.saturating_sub(1);
+            server.exchanges = server.exchanges.saturating_sub(1);
         }
-        if word {
-            self.word(server, now);
+        if contact {
+            self.record_contact(server, now);
         }
     }
 
-    pub fn dials(&mut self, server: u32, now: Time) {
+    pub fn dial_started(&mut self, server: u32, now: Time) {
         if let Some(server) = self.servers.get_mut(&server) {
-            let heard = self.places.get(&server.place).map_or(now, |p| p.heard);
-            server.dialled_since = server.dialled_since.filter(|at| *at > heard).or(Some(now));
+            let contact_at = self.sites.get(&server.site).map_or(now, |p| p.contact_at);
+            server.dialled_since = server
+                .dialled_since
+                .filter(|at| *at > contact_at)
+                .or(Some(now));
         }
     }
 
-    /// Its machine has said something.
-    pub fn word(&mut self, server: u32, now: Time) {
+    /// Something came from a server's machine.
+    pub fn record_contact(&mut self, server: u32, now: Time) {
         let Some(server) = self.servers.get_mut(&server) else {
             return;
         };
-        (server.owes_since, server.dialled_since, server.heard) = (None, None, now);
-        if let Some(place) = self.places.get_mut(&server.place) {
-            place.heard = now;
-            place.proven = false;
-            place.turn(Link::Up, now);
+        (server.owes_since, server.dialled_since, server.contact_at) = (None, None, now);
+        if let Some(site) = self.sites.get_mut(&server.site) {
+            site.contact_at = now;
+            site.proven = false;
+            site.set_state(LinkState::Up, now);
         }
     }
 
-    /// A server tells how far it has the log, and whether it is the primary.
-    pub fn told(
+    /// A server reports its position in the log, and whether it is the primary.
+    pub fn role_reported(
         &mut self,
         server: u32,
         position: Option<Time>,
         primary: Option<bool>,
         now: Time,
-        set: Settings,
+        settings: LinkSettings,
     ) {
         let Some(&Server {
-            group, place: here, ..
+            group, site: here, ..
         }) = self.servers.get(&server)
         else {
             return;
@@ -240,137 +244,135 @@
         let (Some(position), Some(at)) = (position, self.primaries.get(&group)) else {
             return;
         };
-        let Some(primary) = self.servers.get(at).filter(|p| p.place != here) else {
+        let Some(primary) = self.servers.get(at).filter(|p| p.site != here) else {
             return;
         };
-        let Some(place) = self.places.get_mut(&primary.place) else {
+        let Some(site) = self.sites.get_mut(&primary.site) else {
             return;
         };
-        // It has owed a word since before that position was made: it worked on, and nothing of it came here. Soon
-        // after its last word, that is: later another may have taken over. What is said to lie ahead is no position.
-        let owed = primary.owes_since.filter(|at| *at > place.heard);
-        place.proven |= owed.is_some_and(|at| position > at + set.silence)
-            && position <= primary.heard + set.election
-            && position <= now + set.silence;
+        // The primary owed an answer before that position was written: it went on working, and nothing of it came here. Only soon
+        // after its last contact, since later another may have taken over. A position in the future is invalid.
+        let owed = primary.owes_since.filter(|at| *at > site.contact_at);
+        site.proven |= owed.is_some_and(|at| position > at + settings.silence)
+            && position <= primary.contact_at + settings.election
+            && position <= now + settings.silence;
     }
 
-    /// Judges every place.
-    pub fn look(&mut self, now: Time, set: Settings) {
-        let mut tallies: BTreeMap<u16, Tally> = BTreeMap::new();
-        let Links {
-            servers, places, ..
-        } = self;
+    /// Judges every site.
+    pub fn evaluate(&mut self, now: Time, settings: LinkSettings) {
+        let mut counts_by_site: BTreeMap<u16, ServerCounts> = BTreeMap::new();
+        let Links { servers, sites, .. } = self;
         servers.retain(|_, server| {
-            let Some(place) = places.get(&server.place) else {
+            let Some(site) = sites.get(&server.site) else {
                 return false;
             };
-            if !server.listed && server.out == 0 && place.state == Link::Up {
+            if !server.listed && server.exchanges == 0 && site.state == LinkState::Up {
                 return false;
             }
             let long = |since: Option<Time>| {
-                since.is_some_and(|at| at > place.heard && now.saturating_sub(at) >= set.silence)
+                since.is_some_and(|at| {
+                    at > site.contact_at && now.saturating_sub(at) >= settings.silence
+                })
             };
-            let tally = tallies.entry(server.place).or_default();
-            tally.members += 1;
-            tally.listed += usize::from(server.listed);
-            tally.owing += usize::from(long(server.owes_since));
-            tally.undialled += usize::from(server.listed && long(server.dialled_since));
+            let counts = counts_by_site.entry(server.site).or_default();
+            counts.members += 1;
+            counts.listed += usize::from(server.listed);
+            counts.owing += usize::from(long(server.owes_since));
+            counts.undialled += usize::from(server.listed && long(server.dialled_since));
             true
         });
-        let heard = self.list_heard;
+        let list_received_at = self.list_received_at;
         self.primaries.retain(|_, at| servers.contains_key(at));
-        for (id, place) in places.iter_mut() {
-            let tally = tallies.remove(id).unwrap_or_default();
-            place.owing = tally.owing;
-            if place.state == Link::Up {
-                if tally.owing < WITNESSES || tally.undialled == 0 {
-                    place.decay(now);
+        for (id, site) in sites.iter_mut() {
+            let counts = counts_by_site.remove(id).unwrap_or_default();
+            site.owing = counts.owing;
+            if site.state == LinkState::Up {
+                if counts.owing < WITNESSES || counts.undialled == 0 {
+                    site.decay(now);
                     continue;
                 }
-                place.turn(Link::Silent, now);
+                site.set_state(LinkState::Silent, now);
             }
-            // Heard so long after the last word, the list can't be old news.
-            let fresh = heard.is_some_and(|at| at >= place.heard + set.silence + set.list_late);
-            let found = if tally.listed * 2 <= tally.members {
-                Link::Gone
-            } else if (place.proven || fresh) && tally.undialled >= tally.listed.min(KNOCKS) {
-                Link::Cut
+            // Received so long after the last contact, the list can't be from before it.
+            let fresh = list_received_at
+                .is_some_and(|at| at >= site.contact_at + settings.silence + settings.list_late);
+            let found = if counts.listed * 2 <= counts.members {
+                LinkState::Gone
+            } else if (site.proven || fresh) && counts.undialled >= counts.listed.min(FAILED_DIALS)
+            {
+                LinkState::Cut
             } else {
-                Link::Silent
+                LinkState::Silent
             };
-            // What is proven once needs no proof again: only a word, or the list, undoes it.
-            if (place.state, found) != (Link::Cut, Link::Silent) {
-                place.turn(found, now);
+            // What was proven needs no new proof: only contact, or the list, ends it.
+            if (site.state, found) != (LinkState::Cut, LinkState::Silent) {
+                site.set_state(found, now);
             }
         }
     }
 
-    /// A server that should be dialled, to tell machines out of reach from processes that are slow or hang.
-    pub fn knock(&self, may: impl Fn(u32) -> bool) -> Option<u32> {
-        let suspect = |place: u16| {
-            self.places
-                .get(&place)
-                .is_some_and(|p| p.owing >= WITNESSES)
-        };
+    /// A server that should be dialled, to distinguish unreachable machines from slow or hung processes.
+    pub fn server_to_dial(&self, may_dial: impl Fn(u32) -> bool) -> Option<u32> {
+        let suspect = |site: u16| self.sites.get(&site).is_some_and(|p| p.owing >= WITNESSES);
         let mut fitting = self
             .servers
             .iter()
-            .filter(|(_, s)| s.listed && !self.dialled(s));
+            .filter(|(_, s)| s.listed && !self.is_dialled(s));
         fitting
-            .find(|(server, s)| suspect(s.place) && may(**server))
+            .find(|(server, s)| suspect(s.site) && may_dial(**server))
             .map(|(server, _)| *server)
     }
 
-    /// Whether a dial since the last word from its place is under way or in vain.
-    fn dialled(&self, server: &Server) -> bool {
-        let heard = self.places.get(&server.place).map(|p| p.heard);
+    /// Whether a dial since the last contact with its site is pending or failed.
+    fn is_dialled(&self, server: &Server) -> bool {
+        let contact_at = self.sites.get(&server.site).map(|p| p.contact_at);
         server
             .dialled_since
-            .is_some_and(|at| heard.is_some_and(|heard| at > heard))
+            .is_some_and(|at| contact_at.is_some_and(|contact_at| at > contact_at))
     }
 
-    /// While the proxy itself did not run nobody was silent.
-    pub fn woke(&mut self, now: Time) {
-        for place in self.places.values_mut() {
-            place.heard = now;
-            place.proven = false;
+    /// The process was suspended: no site was silent meanwhile.
+    pub fn on_suspension(&mut self, now: Time) {
+        for site in self.sites.values_mut() {
+            site.contact_at = now;
+            site.proven = false;
         }
     }
 
-    /// The place whose cut link concerns most of the proxy's attempts, and which part of them that is.
+    /// The site with the cut link that concerns most attempts, and the part of all attempts that cut links concern.
     pub fn cut(&self, now: Time) -> Option<(u16, f64)> {
-        let weigh = |place: &Place| match place.state {
-            Link::Up => place.attempts * keep(now.saturating_sub(place.decayed)),
-            _ => place.attempts,
+        let weigh = |site: &Site| match site.state {
+            LinkState::Up => site.attempts * decay_factor(now.saturating_sub(site.decayed_at)),
+            _ => site.attempts,
         };
-        let all: f64 = self.places.values().map(weigh).sum();
+        let all: f64 = self.sites.values().map(weigh).sum();
         let cut: f64 = self
-            .places
+            .sites
             .values()
-            .filter(|p| p.state == Link::Cut)
+            .filter(|p| p.state == LinkState::Cut)
             .map(weigh)
             .sum();
-        let worst = self.places.iter().filter(|(_, p)| p.state == Link::Cut);
-        let (place, _) = worst.max_by(|a, b| weigh(a.1).total_cmp(&weigh(b.1)))?;
-        Some((*place, if all > 0.0 { cut / all } else { 0.0 }))
+        let worst = self.sites.iter().filter(|(_, p)| p.state == LinkState::Cut);
+        let (site, _) = worst.max_by(|a, b| weigh(a.1).total_cmp(&weigh(b.1)))?;
+        Some((*site, if all > 0.0 { cut / all } else { 0.0 }))
     }
 }
 
-impl Place {
-    fn turn(&mut self, state: Link, now: Time) {
+impl Site {
+    fn set_state(&mut self, state: LinkState, now: Time) {
         if state != self.state {
-            // Attempts stood still meanwhile.
-            self.decayed = now;
+            // Attempts did not decay meanwhile.
+            self.decayed_at = now;
             self.state = state;
         }
     }
 
     fn decay(&mut self, now: Time) {
-        self.attempts *= keep(now.saturating_sub(self.decayed));
-        self.decayed = now;
+        self.attempts *= decay_factor(now.saturating_sub(self.decayed_at));
+        self.decayed_at = now;
     }
 }
 
-fn keep(span: Duration) -> f64 {
-    (-span.as_secs_f64() / FORGET).exp()
+fn decay_factor(span: Duration) -> f64 {
+    (-span.as_secs_f64() / TIME_CONSTANT).exp()
 }
--- /dev/null
+++ b/crates/availability/src/model.rs
@@ -0,0 +1,346 @@
+//! The model: events in, the report out.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use health_state::State;
+
+use crate::group::Group;
+use crate::link::{LinkSettings, Links};
+use crate::report::severity;
+use crate::weight::{own_part, reported_weight, shared_faults, Part, SharedFaults};
+use crate::{
+    AttemptOutcome, Event, GroupState, LinkState, Load, Reason, RejectionCause, Report, Settings,
+    Time,
+};
+
+/// Most groups; requests of further ones are ignored.
+pub const GROUPS_LIMIT: usize = 256;
+/// Changes of state within this time count as flapping.
+const FLAPPING_WINDOW: Duration = Duration::from_secs(60);
+/// A group without requests for so long makes room for another.
+const GROUP_IDLE: Duration = Duration::from_secs(60);
+/// Interval of evaluations, however many events come.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
+/// Most doublings of the dwell time.
+const DOUBLINGS_MOST: u32 = 4;
+/// Changes in the window without a doubling; each further one doubles the dwell time.
+const USUAL_CHANGES: usize = 4;
+/// With a smaller part of the traffic not served the proxy is ready, not degraded.
+const DEGRADED_FROM: f64 = 0.01;
+
+fn link_settings(settings: &Settings) -> LinkSettings {
+    LinkSettings {
+        silence: settings.silence,
+        list_late: settings.list_late,
+        election: settings.election,
+    }
+}
+
+/// The availability model of one proxy.
+#[derive(Debug)]
+pub struct Availability {
+    settings: Settings,
+    now: Time,
+    started: bool,
+    draining: bool,
+    stopping: bool,
+    discovery: bool,
+    load: Load,
+    groups: BTreeMap<u32, Group>,
+    links: Links,
+    /// The weight, as far as it has risen, and when it was computed.
+    weight: f64,
+    weight_at: Time,
+    report: Report,
+    /// Recent changes of state, oldest first.
+    changes: Vec<Time>,
+    evaluated_at: Time,
+}
+
+impl Availability {
+    /// A model that has not started.
+    pub fn new(settings: Settings, now: Time) -> Availability {
+        Availability {
+            settings,
+            now,
+            started: false,
+            draining: false,
+            stopping: false,
+            discovery: true,
+            load: Load::default(),
+            groups: BTreeMap::new(),
+            links: Links::new(),
+            weight: 100.0,
+            weight_at: now,
+            report: Report {
+                state: State::Starting,
+                weight: 0,
+                reason: Reason::None,
+                since: now,
+                slowness: 1.0,
+                load: Load::default(),
+                discovery: true,
+            },
+            changes: Vec::new(),
+            evaluated_at: now,
+        }
+    }
+
+    /// What is to be reported now.
+    pub fn report(&self) -> &Report {
+        &self.report
+    }
+
+    /// The state of a group.
+    pub fn group(&self, group: u32) -> Option<GroupState> {
+        self.groups.get(&group).map(Group::state)
+    }
+
+    /// The states of all groups.
+    pub fn groups(&self) -> impl Iterator<Item = (u32, GroupState)> + '_ {
+        self.groups.iter().map(|(id, group)| (*id, group.state()))
+    }
+
+    /// The link to each site.
+    pub fn links(&self) -> impl Iterator<Item = (u16, LinkState)> + '_ {
+        self.links.states()
+    }
+
+    /// The link to a site.
+    pub fn link(&self, site: u16) -> Option<LinkState> {
+        self.links.state(site)
+    }
+
+    /// A server that should be dialled now, if any: the result distinguishes a lost link from slow servers. The caller reports the
+    /// dial by [`Event::DialStarted`].
+    pub fn server_to_dial(&self, may_dial: impl Fn(u32) -> bool) -> Option<u32> {
+        self.links.server_to_dial(may_dial)
+    }
+
+    /// Handles an event. The report follows at once where it matters, otherwise within [`EVALUATION_INTERVAL`].
+    pub fn handle(&mut self, now: Time, event: Event) {
+        let now = now.max(self.now);
+        if now - self.now > self.settings.gap {
+            self.on_suspension(now);
+        }
+        self.now = now;
+        self.apply(now, event);
+        if is_urgent(event) || now - self.evaluated_at >= EVALUATION_INTERVAL {
+            self.evaluate();
+        }
+    }
+
+    /// What was owed may have been answered while the process was suspended.
+    fn on_suspension(&mut self, now: Time) {
+        self.groups
+            .values_mut()
+            .for_each(|group| group.on_suspension(now));
+        self.links.on_suspension(now);
+    }
+
+    fn apply(&mut self, now: Time, event: Event) {
+        match event {
+            Event::Started => self.started = true,
+            Event::Drain => self.draining = true,
+            Event::Undrain => self.draining = false,
+            Event::Stop => self.stopping = true,
+            Event::Discovery { connected } => self.discovery = connected,
+            Event::Load(load) => self.load = load.sanitized(),
+            Event::Tick => {}
+            _ => {
+                self.apply_to_group(now, event);
+                self.apply_to_links(now, event);
+            }
+        }
+    }
+
+    fn apply_to_group(&mut self, now: Time, event: Event) {
+        match event {
+            Event::RequestArrived { group } => {
+                self.with_group(group, |group, _| group.request_arrived(now));
+            }
+            Event::ClientLeft { group } => {
+                self.with_group(group, |group, _| group.client_left());
+            }
+            Event::AttemptSent { group } => {
+                self.with_group(group, |group, _| group.attempt_sent(now));
+            }
+            Event::AttemptEnded {
+                group,
+                outcome,
+                elapsed,
+            } => self.with_group(group, |group, settings| {
+                group.attempt_ended(outcome, elapsed, now, settings);
+            }),
+            Event::RequestServed { group } => {
+                self.with_group(group, |group, _| group.request_ended(now, true));
+            }
+            Event::RequestFailed { group }
+            | Event::RequestRejected {
+                group,
+                cause: RejectionCause::Servers,
+            } => self.with_group(group, |group, _| group.request_ended(now, false)),
+            Event::WriteEnded { group, served } => {
+                self.with_group(group, |group, _| group.write_ended(served, now));
+            }
+            _ => {}
+        }
+    }
+
+    fn apply_to_links(&mut self, now: Time, event: Event) {
+        match event {
+            Event::Endpoint {
+                server,
+                site,
+                group,
+                listed,
+            } => self.links.set_endpoint(server, site, group, listed, now),
+            Event::ListReceived => self.links.list_received(now),
+            Event::ExchangeStarted { server } => self.links.exchange_started(server, now),
+            Event::ExchangeEnded { server, contact } => {
+                self.links.exchange_ended(server, contact, now);
+            }
+            Event::DialStarted { server } => self.links.dial_started(server, now),
+            Event::Contact { server } => self.links.record_contact(server, now),
+            Event::RoleReported {
+                server,
+                position,
+                primary,
+            } => {
+                let settings = link_settings(&self.settings);
+                self.links
+                    .role_reported(server, position, primary, now, settings);
+            }
+            _ => {}
+        }
+    }
+
+    fn with_group(&mut self, id: u32, act: impl FnOnce(&mut Group, &Settings)) {
+        if !self.groups.contains_key(&id) {
+            if self.groups.len() >= GROUPS_LIMIT && !self.remove_idle_group() {
+                return;
+            }
+            self.groups.insert(id, Group::new(self.now));
+        }
+        if let Some(group) = self.groups.get_mut(&id) {
+            act(group, &self.settings);
+        }
+    }
+
+    /// Removes the group that has been idle the longest, if that is long enough.
+    fn remove_idle_group(&mut self) -> bool {
+        let now = self.now;
+        let oldest = self
+            .groups
+            .iter()
+            .filter(|(_, group)| group.idle(now) > GROUP_IDLE)
+            .max_by_key(|(_, group)| group.idle(now))
+            .map(|(id, _)| *id);
+        oldest.is_some_and(|id| self.groups.remove(&id).is_some())
+    }
+
+    /// Computes the report.
+    fn evaluate(&mut self) {
+        let now = self.now;
+        self.evaluated_at = now;
+        let damping = self.damping();
+        for group in self.groups.values_mut() {
+            group.evaluate(now, &self.settings, damping);
+        }
+        self.links.evaluate(now, link_settings(&self.settings));
+        let shared = shared_faults(&self.groups, now, self.settings.floor);
+        let own = own_part(&self.load, &shared, self.links.cut(now), &self.settings);
+        self.move_weight(100.0 * own.left * shared.factor);
+        let (state, weight) = self.state_and_weight(own, &shared);
+        let reason = if own.left < shared.factor {
+            own.reason
+        } else {
+            shared.reason
+        };
+        self.set_report(state, weight, reason, shared.slowness);
+    }
+
+    /// Falls at once; rises as fast as a proxy may be trusted again.
+    fn move_weight(&mut self, target: f64) {
+        let elapsed = (self.now - self.weight_at).as_secs_f64();
+        let risen = self.weight + self.settings.rise * elapsed;
+        self.weight = if target < self.weight {
+            target
+        } else {
+            risen.min(target)
+        };
+        self.weight_at = self.now;
+    }
+
+    fn state_and_weight(&self, own: Part, shared: &SharedFaults) -> (State, u8) {
+        if self.stopping {
+            (State::Stopping, 0)
+        } else if self.draining {
+            (State::Draining, 0)
+        } else if !self.started {
+            (State::Starting, 0)
+        } else {
+            let weight = reported_weight(self.weight, own.reason, &self.settings);
+            (self.serving_state(own, shared), weight)
+        }
+    }
+
+    fn serving_state(&self, own: Part, shared: &SharedFaults) -> State {
+        let (enter, leave) = self.settings.overload;
+        let is_overloaded = self.report.state == State::Overloaded;
+        if own.left < if is_overloaded { leave } else { enter } {
+            State::Overloaded
+        } else if shared.unserved >= DEGRADED_FROM {
+            State::Degraded((shared.unserved * 100.0).round().clamp(1.0, 100.0) as u8)
+        } else {
+            State::Ready
+        }
+    }
+
+    /// A better state waits for the dwell time of the former one; what operators command, and the start, do not.
+    fn set_report(&mut self, state: State, weight: u8, reason: Reason, slowness: f64) {
+        let (now, former) = (self.now, self.report.state);
+        let is_better = state.serves() && former.serves() && severity(state) < severity(former);
+        let dwells = is_better && now - self.report.since < self.settings.dwell * self.damping();
+        let state = if dwells { former } else { state };
+        if std::mem::discriminant(&state) != std::mem::discriminant(&former) {
+            self.changes.push(now);
+            self.report.since = now;
+        }
+        self.report = Report {
+            state,
+            weight,
+            reason,
+            since: self.report.since,
+            slowness,
+            load: self.load,
+            discovery: self.discovery,
+        };
+    }
+
+    /// How many times the dwell time is kept.
+    fn damping(&mut self) -> u32 {
+        let now = self.now;
+        self.changes.retain(|at| now - *at < FLAPPING_WINDOW);
+        let further = self.changes.len().saturating_sub(USUAL_CHANGES) as u32;
+        1 << further.min(DOUBLINGS_MOST)
+    }
+}
+
+/// Whether the report must follow at once.
+fn is_urgent(event: Event) -> bool {
+    matches!(
+        event,
+        Event::Started
+            | Event::Drain
+            | Event::Undrain
+            | Event::Stop
+            | Event::Load(_)
+            | Event::Tick
+            | Event::AttemptEnded {
+                outcome: AttemptOutcome::Failed,
+                ..
+            }
+    )
+}
--- a/crates/availability/tests/links.rs
+++ b/crates/availability/tests/links.rs
@@ -1,6 +1,6 @@
 //! Links to buildings on virtual time: what is told of one that is cut, and never of one whose servers are dead.
 
-use availability::{Availability, Event, Link, Reason, Settings, State, Time};
+use availability::{Availability, Event, LinkState, Reason, Settings, State, Time};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
         let place = if server < 3 { HERE } else { THERE };
         model.handle(
             Time::ZERO,
-            Event::Listed {
+            Event::Endpoint {
                 server,
-                place,
+                site: place,
                 group: server % 3,
-                there: true,
+                listed: true,
             },
         );
     }
@@ -35,7 +35,7 @@
     ] {
         model.handle(
             MS,
-            Event::Told {
+            Event::RoleReported {
                 server,
                 position: Some(Time::ZERO),
                 primary: Some(primary),
@@ -46,8 +46,14 @@
 }
 
 fn exchange(model: &mut Availability, server: u32, at: Time) {
-    model.handle(at, Event::Asks { server });
-    model.handle(at, Event::Over { server, word: true });
+    model.handle(at, Event::ExchangeStarted { server });
+    model.handle(
+        at,
+        Event::ExchangeEnded {
+            server,
+            contact: true,
+        },
+    );
 }
 
 /// Exchanges with all servers, and the primary's word on its log, for a second.
@@ -64,14 +70,14 @@
 fn nothing_comes(model: &mut Availability, from: Time, span: Duration, log: Option<Time>) -> Time {
     let mut at = from;
     while at < from + span {
-        (3..6).for_each(|server| model.handle(at, Event::Asks { server }));
+        (3..6).for_each(|server| model.handle(at, Event::ExchangeStarted { server }));
         (0..3).for_each(|server| exchange(model, server, at));
-        if let Some(server) = model.knock(|_| true) {
-            model.handle(at, Event::Dials { server });
+        if let Some(server) = model.server_to_dial(|_| true) {
+            model.handle(at, Event::DialStarted { server });
         }
         model.handle(
             at,
-            Event::Told {
+            Event::RoleReported {
                 server: 1,
                 position: log.or(Some(at)),
                 primary: Some(false),
@@ -89,7 +95,7 @@
     let at = nothing_comes(&mut model, at, 1_200 * MS, None);
     assert_eq!(
         (model.link(HERE), model.link(THERE)),
-        (Some(Link::Up), Some(Link::Cut))
+        (Some(LinkState::Up), Some(LinkState::Cut))
     );
     let report = *model.report();
     assert_eq!(report.reason, Reason::Link(THERE));
@@ -99,9 +105,9 @@
         "{report:?}"
     );
     // A word from there, and it stands again; the weight comes back step by step.
-    model.handle(at, Event::Word { server: 4 });
+    model.handle(at, Event::Contact { server: 4 });
     model.handle(at, Event::Tick);
-    assert_eq!(model.link(THERE), Some(Link::Up));
+    assert_eq!(model.link(THERE), Some(LinkState::Up));
     assert!(model.report().weight < 100);
     let at = calm(&mut model, at);
     calm(&mut model, at + 2 * SECOND);
@@ -115,11 +121,11 @@
     let start = at;
     while at < start + 12 * SECOND {
         at = nothing_comes(&mut model, at, SECOND, Some(start));
-        model.handle(at, Event::ListHeard);
+        model.handle(at, Event::ListReceived);
         let expected = if at < start + Duration::from_millis(10_350) {
-            Link::Silent
+            LinkState::Silent
         } else {
-            Link::Cut
+            LinkState::Cut
         };
         model.handle(at, Event::Tick);
         assert_eq!(model.link(THERE), Some(expected), "after {:?}", at - start);
@@ -131,23 +137,23 @@
     let mut model = model();
     let at = calm(&mut model, MS);
     let mut at = nothing_comes(&mut model, at, 5 * SECOND, Some(at));
-    assert_eq!(model.link(THERE), Some(Link::Silent));
+    assert_eq!(model.link(THERE), Some(LinkState::Silent));
     for server in 3..6 {
         model.handle(
             at,
-            Event::Listed {
+            Event::Endpoint {
                 server,
-                place: THERE,
+                site: THERE,
                 group: server % 3,
-                there: false,
+                listed: false,
             },
         );
     }
     for _ in 0..10 {
         at = nothing_comes(&mut model, at, SECOND, None);
-        model.handle(at, Event::ListHeard);
+        model.handle(at, Event::ListReceived);
     }
-    assert_eq!(model.link(THERE), Some(Link::Gone));
+    assert_eq!(model.link(THERE), Some(LinkState::Gone));
     assert!(model.report().weight >= 50 && model.report().reason != Reason::Link(THERE));
 }
 
@@ -157,22 +163,22 @@
     let mut model = model();
     let mut at = calm(&mut model, MS);
     for _ in 0..200 {
-        (3..6).for_each(|server| model.handle(at, Event::Asks { server }));
+        (3..6).for_each(|server| model.handle(at, Event::ExchangeStarted { server }));
         (0..3).for_each(|server| exchange(&mut model, server, at));
-        if let Some(server) = model.knock(|_| true) {
-            model.handle(at, Event::Dials { server });
-            model.handle(at, Event::Word { server });
+        if let Some(server) = model.server_to_dial(|_| true) {
+            model.handle(at, Event::DialStarted { server });
+            model.handle(at, Event::Contact { server });
         }
         model.handle(
             at,
-            Event::Told {
+            Event::RoleReported {
                 server: 1,
                 position: Some(at),
                 primary: Some(false),
             },
         );
-        model.handle(at, Event::ListHeard);
-        assert_eq!(model.link(THERE), Some(Link::Up));
+        model.handle(at, Event::ListReceived);
+        assert_eq!(model.link(THERE), Some(LinkState::Up));
         at += 100 * MS;
     }
 }
@@ -184,30 +190,30 @@
     // The only one that is asked there: the others may well answer.
     for step in 0..60_u32 {
         let at = at + 50 * MS * step;
-        model.handle(at, Event::Asks { server: 4 });
-        model.handle(at, Event::Dials { server: 4 });
+        model.handle(at, Event::ExchangeStarted { server: 4 });
+        model.handle(at, Event::DialStarted { server: 4 });
         assert_eq!(
-            (model.link(THERE), model.knock(|_| true)),
-            (Some(Link::Up), None)
+            (model.link(THERE), model.server_to_dial(|_| true)),
+            (Some(LinkState::Up), None)
         );
     }
     let at = at + 4 * SECOND;
     for step in 0..60_u32 {
         let at = at + 50 * MS * step;
-        model.handle(at, Event::Asks { server: 4 });
-        model.handle(at, Event::Dials { server: 4 });
+        model.handle(at, Event::ExchangeStarted { server: 4 });
+        model.handle(at, Event::DialStarted { server: 4 });
         (0..3)
             .chain([3, 5])
             .for_each(|server| exchange(&mut model, server, at));
         model.handle(
             at,
-            Event::Told {
+            Event::RoleReported {
                 server: 1,
                 position: Some(at),
                 primary: Some(false),
             },
         );
-        assert_eq!(model.link(THERE), Some(Link::Up));
+        assert_eq!(model.link(THERE), Some(LinkState::Up));
     }
 }
 
@@ -220,24 +226,24 @@
         let place = (server % 500) as u16;
         model.handle(
             MS,
-            Event::Listed {
+            Event::Endpoint {
                 server,
-                place,
+                site: place,
                 group: server,
-                there: true,
+                listed: true,
             },
         );
     }
-    assert!(model.links().count() <= availability::PLACES_LIMIT);
+    assert!(model.links().count() <= availability::SITES_LIMIT);
     // Servers that come and go leave nothing behind.
     for server in 20_000..60_000_u32 {
         model.handle(
             MS,
-            Event::Listed {
+            Event::Endpoint {
                 server,
-                place: 0,
+                site: 0,
                 group: 0,
-                there: false,
+                listed: false,
             },
         );
     }
@@ -291,28 +297,28 @@
             if listed && now >= dropped {
                 listed = false;
                 for server in 3..6 {
-                    model.handle(now, Event::Listed { server, place: THERE, group: server % 3, there: false });
+                    model.handle(now, Event::Endpoint { server, site: THERE, group: server % 3, listed: false });
                 }
             }
             match step {
-                Seen::Asks(server) => model.handle(now, Event::Asks { server }),
-                Seen::Silence(server) => model.handle(now, Event::Over { server, word: false }),
+                Seen::Asks(server) => model.handle(now, Event::ExchangeStarted { server }),
+                Seen::Silence(server) => model.handle(now, Event::ExchangeEnded { server, contact: false }),
                 Seen::Here(server) => exchange(&mut model, server, now),
-                Seen::List => model.handle(now, Event::ListHeard),
+                Seen::List => model.handle(now, Event::ListReceived),
                 Seen::Knock => {
-                    if let Some(server) = model.knock(|_| true) {
+                    if let Some(server) = model.server_to_dial(|_| true) {
                         dials.push(server);
-                        model.handle(now, Event::Dials { server });
+                        model.handle(now, Event::DialStarted { server });
                     }
                 }
                 Seen::Log { server, behind } => {
                     // Of groups 1 and 2, whose primaries are dead; the new one has not told us.
                     let end = if now < takes_over { death } else { now };
                     let position = if server == 0 { now } else { end } - MS * behind as u32;
-                    model.handle(now, Event::Told { server, position: Some(position), primary: None });
+                    model.handle(now, Event::RoleReported { server, position: Some(position), primary: None });
                 }
             }
-            prop_assert_ne!(model.link(THERE), Some(Link::Cut), "{:?} after the death", now - death);
+            prop_assert_ne!(model.link(THERE), Some(LinkState::Cut), "{:?} after the death", now - death);
             prop_assert!(model.report().weight >= 50);
         }
     }
@@ -324,15 +330,15 @@
         let cut = calm(&mut model, MS) + MS * phase as u32;
         for (step, first) in (0_u32..).zip(order) {
             let now = cut + 33 * MS * step;
-            model.handle(now, Event::Asks { server: 3 + first });
-            model.handle(now, Event::Asks { server: 3 + (first + 1) % 3 });
-            if let Some(server) = model.knock(|_| true) {
-                model.handle(now, Event::Dials { server });
+            model.handle(now, Event::ExchangeStarted { server: 3 + first });
+            model.handle(now, Event::ExchangeStarted { server: 3 + (first + 1) % 3 });
+            if let Some(server) = model.server_to_dial(|_| true) {
+                model.handle(now, Event::DialStarted { server });
             }
             exchange(&mut model, 1, now);
-            model.handle(now, Event::Told { server: 1, position: Some(now - 8 * MS), primary: Some(false) });
-            model.handle(now, Event::Told { server: 2, position: Some(now - 8 * MS), primary: Some(false) });
+            model.handle(now, Event::RoleReported { server: 1, position: Some(now - 8 * MS), primary: Some(false) });
+            model.handle(now, Event::RoleReported { server: 2, position: Some(now - 8 * MS), primary: Some(false) });
         }
-        prop_assert_eq!(model.link(THERE), Some(Link::Cut));
+        prop_assert_eq!(model.link(THERE), Some(LinkState::Cut));
     }
 }
--- a/crates/availability/tests/model.rs
+++ b/crates/availability/tests/model.rs
@@ -1,7 +1,8 @@
 //! The model on virtual time: what it tells in each kind of trouble, how soon, and what it never tells.
 
 use availability::{
-    Availability, Cause, Condition, Ended, Event, Load, Reason, Settings, State, Time,
+    AttemptOutcome, Availability, Condition, Event, Load, Reason, RejectionCause, Settings, State,
+    Time,
 };
 use proptest::prelude::*;
 use std::time::Duration;
@@ -15,7 +16,7 @@
     groups: Vec<Behaviour>,
     per_s: u32,
     load: Load,
-    out: Vec<(Time, u32, Ended, Duration)>,
+    out: Vec<(Time, u32, AttemptOutcome, Duration)>,
     /// States and weights as they were told, each with its time.
     told: Vec<(Time, State, u8)>,
 }
@@ -53,26 +54,27 @@
                 let group = at as u32;
                 let due = (millis * self.per_s / 1_000) - ((millis - 5) * self.per_s / 1_000);
                 for n in 0..due {
-                    self.model.handle(self.now, Event::Asked { group });
+                    self.model.handle(self.now, Event::RequestArrived { group });
                     if behaviour == Behaviour::Refuses {
                         self.model.handle(
                             self.now,
-                            Event::Refused {
+                            Event::RequestRejected {
                                 group,
-                                cause: Cause::Servers,
+                                cause: RejectionCause::Servers,
                             },
                         );
                         continue;
                     }
-                    self.model.handle(self.now, Event::Sent { group });
+                    self.model.handle(self.now, Event::AttemptSent { group });
                     // Times scatter by a half.
                     let scatter = (millis / 5 * 7 + n * 13 + group * 3) % 10;
                     let (how, took) = match behaviour {
-                        Behaviour::Takes(ms) => {
-                            (Ended::Answered, MS * (ms * (75 + scatter * 5) / 100))
-                        }
-                        Behaviour::Silent => (Ended::Broken, 1_500 * MS),
-                        _ => (Ended::Broken, 2 * MS),
+                        Behaviour::Takes(ms) => (
+                            AttemptOutcome::Answered,
+                            MS * (ms * (75 + scatter * 5) / 100),
+                        ),
+                        Behaviour::Silent => (AttemptOutcome::Failed, 1_500 * MS),
+                        _ => (AttemptOutcome::Failed, 2 * MS),
                     };
                     self.out.push((self.now + took, group, how, took));
                 }
@@ -83,15 +85,15 @@
             for (at, group, how, elapsed) in over {
                 self.model.handle(
                     at,
-                    Event::Ended {
+                    Event::AttemptEnded {
                         group,
-                        how,
+                        outcome: how,
                         elapsed,
                     },
                 );
                 let answer = match how {
-                    Ended::Answered => Event::Served { group },
-                    _ => Event::Failed { group },
+                    AttemptOutcome::Answered => Event::RequestServed { group },
+                    _ => Event::RequestFailed { group },
                 };
                 self.model.handle(at, answer);
             }
@@ -163,19 +165,21 @@
     let mut world = World::new(2, 20);
     world.run(10 * SECOND);
     for _ in 0..2 {
-        world.model.handle(world.now, Event::Asked { group: 1 });
+        world
+            .model
+            .handle(world.now, Event::RequestArrived { group: 1 });
         world.model.handle(
             world.now,
-            Event::Wrote {
+            Event::WriteEnded {
                 group: 1,
                 served: false,
             },
         );
         world.model.handle(
             world.now,
-            Event::Refused {
+            Event::RequestRejected {
                 group: 1,
-                cause: Cause::Servers,
+                cause: RejectionCause::Servers,
             },
         );
     }
@@ -189,7 +193,7 @@
     assert_eq!(report.reason, Reason::Primary(1));
     world.model.handle(
         world.now,
-        Event::Wrote {
+        Event::WriteEnded {
             group: 1,
             served: true,
         },
@@ -276,10 +280,10 @@
     for n in 0..40_u32 {
         // Every fifth attempt goes to a member that says nothing.
         let at = world.now;
-        world.model.handle(at, Event::Sent { group: 0 });
+        world.model.handle(at, Event::AttemptSent { group: 0 });
         world
             .out
-            .push((at + 1_500 * MS, 0, Ended::Broken, 1_500 * MS));
+            .push((at + 1_500 * MS, 0, AttemptOutcome::Failed, 1_500 * MS));
         world.run(100 * MS);
         assert_eq!(world.condition(0), Condition::Serving, "after {n}");
     }
@@ -291,12 +295,19 @@
     let mut world = World::new(1, 0);
     let ask = |world: &mut World, answered: bool| {
         for _ in 0..8 {
-            world.model.handle(world.now, Event::Asked { group: 0 });
-            world.model.handle(world.now, Event::Sent { group: 0 });
+            world
+                .model
+                .handle(world.now, Event::RequestArrived { group: 0 });
+            world
+                .model
+                .handle(world.now, Event::AttemptSent { group: 0 });
             if answered {
-                world
-                    .out
-                    .push((world.now + 3 * SECOND, 0, Ended::Answered, 3 * SECOND));
+                world.out.push((
+                    world.now + 3 * SECOND,
+                    0,
+                    AttemptOutcome::Answered,
+                    3 * SECOND,
+                ));
             }
         }
     };
@@ -374,9 +385,9 @@
     for (_, group, how, _) in std::mem::take(&mut world.out) {
         world.model.handle(
             at,
-            Event::Ended {
+            Event::AttemptEnded {
                 group,
-                how,
+                outcome: how,
                 elapsed: 5 * SECOND,
             },
         );
@@ -403,7 +414,7 @@
     world.run(5 * SECOND);
     world
         .model
-        .handle(world.now, Event::Discovery { heard: false });
+        .handle(world.now, Event::Discovery { connected: false });
     world.run(10 * SECOND);
     let report = world.model.report();
     assert_eq!(
@@ -415,10 +426,10 @@
 fn event() -> impl Strategy<Value = (u64, Event)> {
     let group = 0..6_u32;
     let how = prop_oneof![
-        Just(Ended::Answered),
-        Just(Ended::TurnedAway),
-        Just(Ended::Broken),
-        Just(Ended::CalledOff)
+        Just(AttemptOutcome::Answered),
+        Just(AttemptOutcome::Rejected),
+        Just(AttemptOutcome::Failed),
+        Just(AttemptOutcome::Cancelled)
     ];
     let load =
         (0.0..2.0_f64, 0.0..2.0_f64, 0.0..2.0_f64).prop_map(|(open, descriptors, memory)| {
@@ -430,15 +441,15 @@
             })
         });
     let event = prop_oneof![
-        4 => group.clone().prop_map(|group| Event::Sent { group }),
-        4 => group.clone().prop_map(|group| Event::Asked { group }),
-        1 => group.clone().prop_map(|group| Event::Left { group }),
-        4 => (group.clone(), how, 0..3_000_u64).prop_map(|(group, how, ms)| Event::Ended { group, how, elapsed: MS * ms as u32 }),
-        2 => group.clone().prop_map(|group| Event::Served { group }),
-        2 => group.clone().prop_map(|group| Event::Failed { group }),
-        2 => group.prop_map(|group| Event::Refused { group, cause: Cause::Servers }),
+        4 => group.clone().prop_map(|group| Event::AttemptSent { group }),
+        4 => group.clone().prop_map(|group| Event::RequestArrived { group }),
+        1 => group.clone().prop_map(|group| Event::ClientLeft { group }),
+        4 => (group.clone(), how, 0..3_000_u64).prop_map(|(group, how, ms)| Event::AttemptEnded { group, outcome: how, elapsed: MS * ms as u32 }),
+        2 => group.clone().prop_map(|group| Event::RequestServed { group }),
+        2 => group.clone().prop_map(|group| Event::RequestFailed { group }),
+        2 => group.prop_map(|group| Event::RequestRejected { group, cause: RejectionCause::Servers }),
         1 => Just(Event::Tick),
-        1 => any::<bool>().prop_map(|heard| Event::Discovery { heard }),
+        1 => any::<bool>().prop_map(|heard| Event::Discovery { connected: heard }),
         1 => load,
     ];
     (0..400_u64, event)
--- a/crates/incidents/src/main.rs
+++ b/crates/incidents/src/main.rs
@@ -60,7 +60,7 @@
             .iter()
             .map(|t| (t.at, t.proxy, t.state.name().to_owned()))
             .collect();
-        let link = |place: u16, link: availability::Link| {
+        let link = |place: u16, link: availability::LinkState| {
             format!("link to building {place} {}", link.name())
         };
         rows.extend(
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -4,7 +4,9 @@
 use crate::script::{Change, Incident, Servers, PLACES};
 use crate::world::{Reach, World};
 use crate::Time;
-use availability::{Availability, Cause, Condition, Ended, Event, Link, Load, State};
+use availability::{
+    AttemptOutcome, Availability, Condition, Event, LinkState, Load, RejectionCause, State,
+};
 use drain::{Action, Drain};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -70,7 +72,7 @@
     /// Groups' conditions at the worst, by proxy, for the group that the script touches.
     pub worst_condition: Option<Condition>,
     /// Every change in how a proxy sees the link to a building.
-    pub links: Vec<(Time, usize, u16, Link)>,
+    pub links: Vec<(Time, usize, u16, LinkState)>,
 }
 
 struct Proxy {
@@ -84,7 +86,7 @@
     out: BinaryHeap<Reverse<Out>>,
     /// By server, until when it is left alone.
     rests: Vec<Time>,
-    links: Vec<Link>,
+    links: Vec<LinkState>,
 }
 
 /// An attempt that is out: when it is over, its number, its server, how it ends and what it takes.
@@ -108,11 +110,11 @@
             let (place, group) = (world.place(server), world.group(server));
             model.handle(
                 Time::ZERO,
-                Event::Listed {
+                Event::Endpoint {
                     server,
-                    place,
+                    site: place,
                     group,
-                    there: true,
+                    listed: true,
                 },
             );
         }
@@ -137,7 +139,7 @@
             stalled_until: Time::ZERO,
             out: BinaryHeap::new(),
             rests: vec![Time::ZERO; world.servers() as usize],
-            links: vec![Link::Up; usize::from(PLACES)],
+            links: vec![LinkState::Up; usize::from(PLACES)],
         }
     }
 
@@ -166,7 +168,7 @@
         rng: &mut StdRng,
     ) {
         self.open += 1;
-        self.model.handle(now, Event::Asked { group });
+        self.model.handle(now, Event::RequestArrived { group });
         let write = rng.random_bool(WRITES);
         let members = world.members(group);
         let rested: Vec<u32> = members
@@ -200,8 +202,8 @@
             }
             Reach::Servers(Servers::NoPrimary) => (End::Answered, USUAL.mul_f64(scatter)),
         };
-        self.model.handle(now, Event::Sent { group });
-        self.model.handle(now, Event::Asks { server });
+        self.model.handle(now, Event::AttemptSent { group });
+        self.model.handle(now, Event::ExchangeStarted { server });
         self.out
             .push(Reverse((now + took, number, server, end, took)));
     }
@@ -220,32 +222,36 @@
             if matches!(end, End::Wrote | End::Away) {
                 self.model.handle(
                     now,
-                    Event::Wrote {
+                    Event::WriteEnded {
                         group,
                         served: end == End::Wrote,
                     },
                 );
             }
             let (how, answer) = match end {
-                End::Answered | End::Wrote => (Ended::Answered, Event::Served { group }),
+                End::Answered | End::Wrote => {
+                    (AttemptOutcome::Answered, Event::RequestServed { group })
+                }
                 End::Away => (
-                    Ended::TurnedAway,
-                    Event::Refused {
+                    AttemptOutcome::Rejected,
+                    Event::RequestRejected {
                         group,
-                        cause: Cause::Servers,
+                        cause: RejectionCause::Servers,
                     },
                 ),
-                End::Refused | End::Silent => (Ended::Broken, Event::Failed { group }),
+                End::Refused | End::Silent => {
+                    (AttemptOutcome::Failed, Event::RequestFailed { group })
+                }
             };
-            served += u64::from(how == Ended::Answered);
-            if how == Ended::Broken {
+            served += u64::from(how == AttemptOutcome::Answered);
+            if how == AttemptOutcome::Failed {
                 self.rests[server as usize] = now + REST;
             } else {
                 let position = Some(world.position(server, now));
                 let primary = Some(world.primary(group) == Some(server));
                 self.model.handle(
                     now,
-                    Event::Told {
+                    Event::RoleReported {
                         server,
                         position,
                         primary,
@@ -254,29 +260,29 @@
             }
             self.model.handle(
                 now,
-                Event::Over {
+                Event::ExchangeEnded {
                     server,
-                    word: end != End::Silent,
+                    contact: end != End::Silent,
                 },
             );
             self.model.handle(
                 now,
-                Event::Ended {
+                Event::AttemptEnded {
                     group,
-                    how,
+                    outcome: how,
                     elapsed: elapsed + late,
                 },
             );
             self.model.handle(now, answer);
         }
         if now.as_nanos().is_multiple_of(LIST.as_nanos()) {
-            self.model.handle(now, Event::ListHeard);
+            self.model.handle(now, Event::ListReceived);
         }
         if now.as_millis().is_multiple_of(100) {
-            if let Some(server) = self.model.knock(|_| true) {
-                self.model.handle(now, Event::Dials { server });
+            if let Some(server) = self.model.server_to_dial(|_| true) {
+                self.model.handle(now, Event::DialStarted { server });
                 if world.reach(own, server) != Reach::Nothing {
-                    self.model.handle(now, Event::Word { server });
+                    self.model.handle(now, Event::Contact { server });
                 }
             }
         }
@@ -331,11 +337,11 @@
             for proxy in &mut proxies {
                 proxy.model.handle(
                     now,
-                    Event::Listed {
+                    Event::Endpoint {
                         server,
-                        place,
+                        site: place,
                         group,
-                        there,
+                        listed: there,
                     },
                 );
             }
@@ -384,7 +390,7 @@
                 .model
                 .groups()
                 .any(|(_, g)| g.condition != Condition::Serving)
-                || proxy.links.iter().any(|link| *link != Link::Up);
+                || proxy.links.iter().any(|link| *link != LinkState::Up);
             if now >= incident.trouble.0 && !told_by[at] && (state != State::Ready || sick) {
                 told_by[at] = true;
                 let delay = now - incident.trouble.0;
@@ -446,7 +452,9 @@
         Change::Demand(times) => *demand = times,
         Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
         Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
-        Change::Discovery(at, heard) => proxies[at].model.handle(now, Event::Discovery { heard }),
+        Change::Discovery(at, heard) => proxies[at]
+            .model
+            .handle(now, Event::Discovery { connected: heard }),
         Change::Stall(at, span) => proxies[at].stalled_until = now + span,
     }
 }
--- a/crates/incidents/tests/incidents.rs
+++ b/crates/incidents/tests/incidents.rs
@@ -1,6 +1,6 @@
 //! Every incident, over several seeds: what must be told in time, and what must never be told.
 
-use availability::Link;
+use availability::LinkState;
 use incidents::balancer::Server;
 use incidents::play::{play, Outcome};
 use incidents::script::{all, Incident};
@@ -164,9 +164,9 @@
                 .find(|(.., l)| *l == link)
                 .map(|(at, ..)| *at)
         };
-        let cut = when(Link::Cut).unwrap() - incident.trouble.0;
+        let cut = when(LinkState::Cut).unwrap() - incident.trouble.0;
         assert!(cut <= Duration::from_millis(1_500), "{cut:?}");
-        let up = when(Link::Up).unwrap();
+        let up = when(LinkState::Up).unwrap();
         assert!(
             (incident.trouble.1..incident.trouble.1 + Duration::from_secs(3)).contains(&up),
             "{up:?}"
@@ -201,7 +201,10 @@
     ] {
         for outcome in seeds(&incident(name)) {
             assert!(
-                !outcome.links.iter().any(|(.., link)| *link == Link::Cut),
+                !outcome
+                    .links
+                    .iter()
+                    .any(|(.., link)| *link == LinkState::Cut),
                 "{name}: {:?}",
                 outcome.links
             );
@@ -209,7 +212,7 @@
             let dead = outcome
                 .links
                 .iter()
-                .filter(|(.., link)| *link == Link::Gone)
+                .filter(|(.., link)| *link == LinkState::Gone)
                 .count();
             assert_eq!(
                 dead,
@@ -230,7 +233,7 @@
             let cut = outcome
                 .links
                 .iter()
-                .find(|(_, p, _, link)| (*p, *link) == (proxy, Link::Cut))
+                .find(|(_, p, _, link)| (*p, *link) == (proxy, LinkState::Cut))
                 .unwrap();
             let after = cut.0 - incident.trouble.0;
             assert!(
--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -6,7 +6,8 @@
 use crate::request::{Answer, Done, Verdict};
 use crate::upstream::Sign;
 use availability::{
-    Availability, Cause, Condition, Ended, Event, Link, Load, Reason, Report, Settings,
+    AttemptOutcome, Availability, Condition, Event, LinkState, Load, Reason, RejectionCause,
+    Report, Settings,
 };
 use routing::{
     Arrival, Endpoint, EndpointState, EndpointUpdate, GroupId, RequestId, ServerId, Time,
@@ -144,7 +145,7 @@
 
     /// A request has been taken in.
     fn asked(&mut self, group: GroupId, now: Instant) {
-        self.event(now, Event::Asked { group: group.0 });
+        self.event(now, Event::RequestArrived { group: group.0 });
     }
 
     /// Its client has left.
@@ -152,33 +153,33 @@
         if let Some(sites) = &mut self.sites {
             sites.plan().forget_request(id.0);
         }
-        self.event(now, Event::Left { group: group.0 });
+        self.event(now, Event::ClientLeft { group: group.0 });
     }
 
     /// An exchange with a record server has begun; a probe is of no group.
     pub fn sent(&mut self, group: Option<GroupId>, server: ServerId, now: Instant) {
         if let Some(group) = group {
-            self.event(now, Event::Sent { group: group.0 });
+            self.event(now, Event::AttemptSent { group: group.0 });
         }
-        self.event(now, Event::Asks { server: server.0 });
+        self.event(now, Event::ExchangeStarted { server: server.0 });
     }
 
     pub fn ended(&mut self, done: &Done, now: Instant) {
         let how = match done.verdict {
             // It has answered, whatever it said.
             Verdict::Served(_) | Verdict::Reported(_) | Verdict::Failed | Verdict::Spoilt => {
-                Ended::Answered
+                AttemptOutcome::Answered
             }
-            Verdict::Miss | Verdict::Full => Ended::TurnedAway,
-            Verdict::ConnectFailed | Verdict::Reset | Verdict::TimedOut => Ended::Broken,
-            Verdict::Cancelled | Verdict::NeverSent => Ended::CalledOff,
+            Verdict::Miss | Verdict::Full => AttemptOutcome::Rejected,
+            Verdict::ConnectFailed | Verdict::Reset | Verdict::TimedOut => AttemptOutcome::Failed,
+            Verdict::Cancelled | Verdict::NeverSent => AttemptOutcome::Cancelled,
         };
         if let Some(group) = done.group {
             self.event(
                 now,
-                Event::Ended {
+                Event::AttemptEnded {
                     group: group.0,
-                    how,
+                    outcome: how,
                     elapsed: done.elapsed,
                 },
             );
@@ -199,13 +200,13 @@
             sites.record_end(now.saturating_duration_since(self.start), done);
         }
         // Of an exchange that never got a connection its dial has told.
-        let word =
-            matches!(how, Ended::Answered | Ended::TurnedAway) || done.verdict == Verdict::Reset;
+        let word = matches!(how, AttemptOutcome::Answered | AttemptOutcome::Rejected)
+            || done.verdict == Verdict::Reset;
         self.event(
             now,
-            Event::Over {
+            Event::ExchangeEnded {
                 server: done.server.0,
-                word,
+                contact: word,
             },
         );
     }
@@ -223,7 +224,7 @@
         let position = position.map(|at| (here + at.since(unix)).saturating_sub(unix.since(at)));
         self.event(
             now,
-            Event::Told {
+            Event::RoleReported {
                 server: server.0,
                 position,
                 primary,
@@ -233,8 +234,8 @@
 
     pub fn sign(&mut self, sign: Sign, now: Instant) {
         let event = match sign {
-            Sign::Dials(server) => Event::Dials { server: server.0 },
-            Sign::Word(server) => Event::Word { server: server.0 },
+            Sign::Dials(server) => Event::DialStarted { server: server.0 },
+            Sign::Word(server) => Event::Contact { server: server.0 },
         };
         self.event(now, event);
     }
@@ -251,11 +252,11 @@
             let there = entry.state != EndpointState::Removed;
             self.event(
                 now,
-                Event::Listed {
+                Event::Endpoint {
                     server,
-                    place,
+                    site: place,
                     group,
-                    there,
+                    listed: there,
                 },
             );
             self.of_sites(now, sites::endpoint_event(entry));
@@ -263,11 +264,11 @@
         for server in gone {
             self.event(
                 now,
-                Event::Listed {
+                Event::Endpoint {
                     server: server.0,
-                    place: 0,
+                    site: 0,
                     group: 0,
-                    there: false,
+                    listed: false,
                 },
             );
             self.of_sites(now, sites::removal_event(server));
@@ -278,7 +279,7 @@
     /// tells.
     pub fn knock(&self, may: impl Fn(ServerId) -> bool) -> Option<ServerId> {
         self.model
-            .knock(|server| may(ServerId(server)))
+            .server_to_dial(|server| may(ServerId(server)))
             .map(ServerId)
     }
 
@@ -288,7 +289,7 @@
         if write && !matches!(answer, Answer::Rejected(_)) {
             self.event(
                 now,
-                Event::Wrote {
+                Event::WriteEnded {
                     group,
                     served: matches!(answer, Answer::Served(_)),
                 },
@@ -296,17 +297,17 @@
         }
         self.answered += 1;
         match answer {
-            Answer::Served(_) => self.event(now, Event::Served { group }),
+            Answer::Served(_) => self.event(now, Event::RequestServed { group }),
             Answer::Refused(_) => self.event(
                 now,
-                Event::Refused {
+                Event::RequestRejected {
                     group,
-                    cause: Cause::Servers,
+                    cause: RejectionCause::Servers,
                 },
             ),
             Answer::Failed => {
                 self.failed += 1;
-                self.event(now, Event::Failed { group });
+                self.event(now, Event::RequestFailed { group });
             }
             Answer::Cancelled | Answer::Rejected(_) => {}
         }
@@ -358,13 +359,13 @@
         self.event(now, Event::Load(load));
         if self.sites.is_some() {
             self.of_sites(now, SiteEvent::LoopLag(load.lag));
-            let links: Vec<(u16, Link)> = self.model.links().collect();
+            let links: Vec<(u16, LinkState)> = self.model.links().collect();
             for (site, link) in links {
                 self.of_sites(
                     now,
                     SiteEvent::LinkCut {
                         site,
-                        cut: link == Link::Cut,
+                        cut: link == LinkState::Cut,
                     },
                 );
             }
@@ -448,7 +449,7 @@
         }
     }
 
-    fn links(&self) -> impl Iterator<Item = (&str, Link)> {
+    fn links(&self) -> impl Iterator<Item = (&str, LinkState)> {
         self.model
             .links()
             .map(|(place, link)| (self.zone(place), link))
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -553,7 +553,7 @@
     fn on_news(&mut self, news: News, sides: &mut IoEndpoints, now: Instant) {
         match news {
             News::Heard => {
-                self.monitor.event(now, availability::Event::ListHeard);
+                self.monitor.event(now, availability::Event::ListReceived);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
                     // Nothing has changed since the list that this process began with.
                     self.decide(
@@ -565,8 +565,8 @@
             }
             News::Listing(listing) => {
                 self.monitor
-                    .event(now, availability::Event::Discovery { heard: true });
-                self.monitor.event(now, availability::Event::ListHeard);
+                    .event(now, availability::Event::Discovery { connected: true });
+                self.monitor.event(now, availability::Event::ListReceived);
                 self.counters.lists += 1;
                 self.list_confirmed = true;
                 let (news, changes) = self.directory.learn(listing, &self.names);
@@ -576,7 +576,7 @@
             News::Lost => {
                 self.monitor.list(false, now);
                 self.monitor
-                    .event(now, availability::Event::Discovery { heard: false });
+                    .event(now, availability::Event::Discovery { connected: false });
                 self.counters.watches_lost += 1;
             }
             News::Failed => self.decide(Event::Endpoints(EndpointUpdate::Failed), sides, now),
