--- a/crates/availability/src/model.rs
+++ b/crates/availability/src/model.rs
@@ -118,7 +118,7 @@
         self.links.server_to_dial(may_dial)
     }
 
-    /// Handles an event. The report follows at once where it matters, otherwise within [`EVALUATION_INTERVAL`].
+    /// Handles an event. The report follows at once where it matters, otherwise within 50 ms.
     pub fn handle(&mut self, now: Time, event: Event) {
         let now = now.max(self.now);
         if now - self.now > self.settings.gap {
--- a/crates/leverproxy/src/observability/log_rate_limit.rs
+++ b/crates/leverproxy/src/observability/log_rate_limit.rs
@@ -14,7 +14,7 @@
 }
 
 impl LogRateLimit {
-    /// The line, with the number of lines suppressed before it; none within [`INTERVAL`] of the last one.
+    /// The line, with the number of lines suppressed before it; none within a second of the last one.
     pub fn line(&mut self, now: Instant, text: impl FnOnce() -> String) -> Option<String> {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < INTERVAL;
         if self.logged_at.is_some_and(is_recent) {
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -165,7 +165,7 @@
     pub fn turn(&mut self, sides: &mut IoEndpoints, now: Instant) {
         loop {
             if let Some(sign) = sides.upstream.sign() {
-                self.monitor.sign(sign, now);
+                self.monitor.handle_signal(sign, now);
             } else if let Some(news) = sides.discovery.pop() {
                 self.on_news(news, sides, now);
             } else if let Some(piece) = sides.upstream.piece() {
@@ -254,7 +254,7 @@
         self.open_requests
             .admit(&arrival, ticket, class, pool, request);
         self.counters.taken(class);
-        arrival.shed_fraction = self.monitor.arrived(&arrival, now);
+        arrival.shed_fraction = self.monitor.request_arrived(&arrival, now);
         self.decide(Event::RequestArrived(arrival), sides, now);
     }
 
@@ -385,7 +385,7 @@
             sides.upstream.stop(from, now);
         }
         self.quota.record_end(&open, None, now);
-        self.monitor.left(id, open.group, now);
+        self.monitor.client_left(id, open.group, now);
         self.decide(Event::ClientLeft(id), sides, now);
         Some(open)
     }
@@ -446,7 +446,7 @@
 
     fn on_done(&mut self, mut done: Done, sides: &mut IoEndpoints, now: Instant) {
         self.counters.ended(done.class, &done.verdict);
-        self.monitor.ended(&done, now);
+        self.monitor.exchange_ended(&done, now);
         let latest = self.believed(&done, now);
         let Purpose::Attempt(id, attempt) = done.purpose else {
             return self.learn(record::book(&done, true, latest), sides, now);
@@ -535,7 +535,7 @@
         };
         if let Some((server, position, primary)) = told {
             self.monitor
-                .told(server, position, primary, &self.clock, now);
+                .role_reported(server, position, primary, &self.clock, now);
         }
         self.decide(event, sides, now);
     }
@@ -544,7 +544,7 @@
     pub fn knock(&mut self, sides: &mut IoEndpoints, now: Instant) {
         if let Some(server) = self
             .monitor
-            .knock(|server| sides.upstream.may_knock(server))
+            .server_to_dial(|server| sides.upstream.may_knock(server))
         {
             sides.upstream.knock(server, now, &sides.reactor);
         }
@@ -553,7 +553,7 @@
     fn on_news(&mut self, news: News, sides: &mut IoEndpoints, now: Instant) {
         match news {
             News::Heard => {
-                self.monitor.event(now, availability::Event::ListReceived);
+                self.monitor.handle(now, availability::Event::ListReceived);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
                     // Nothing has changed since the list that this process began with.
                     self.decide(
@@ -565,18 +565,18 @@
             }
             News::Listing(listing) => {
                 self.monitor
-                    .event(now, availability::Event::Discovery { connected: true });
-                self.monitor.event(now, availability::Event::ListReceived);
+                    .handle(now, availability::Event::Discovery { connected: true });
+                self.monitor.handle(now, availability::Event::ListReceived);
                 self.counters.lists += 1;
                 self.list_confirmed = true;
                 let (news, changes) = self.directory.learn(listing, &self.names);
                 self.listed(news, changes, sides, now);
-                self.monitor.list(true, now);
+                self.monitor.list_updated(true, now);
             }
             News::Lost => {
-                self.monitor.list(false, now);
+                self.monitor.list_updated(false, now);
                 self.monitor
-                    .event(now, availability::Event::Discovery { connected: false });
+                    .handle(now, availability::Event::Discovery { connected: false });
                 self.counters.watches_lost += 1;
             }
             News::Failed => self.decide(Event::Endpoints(EndpointUpdate::Failed), sides, now),
@@ -600,7 +600,7 @@
                 Change::Leaves(server) => Some(*server).filter(|server| !named(server)),
                 Change::Serves(..) => None,
             });
-            self.monitor.listed(entries, left, now);
+            self.monitor.endpoints_updated(entries, left, now);
         }
         for change in changes {
             match change {
@@ -629,12 +629,12 @@
                 timeout,
                 begin_within,
             } => {
-                self.monitor.settled(id, false);
+                self.monitor.record_outcome(id, false);
                 let Some(open) = self.open_requests.get_mut(id) else {
                     return;
                 };
                 let exchange = send::attempt(id, open, timeout, begin_within, now);
-                self.monitor.sent(Some(open.group), server, now);
+                self.monitor.exchange_started(Some(open.group), server, now);
                 sides.upstream.start(server, exchange, now, &sides.reactor);
             }
             Action::Probe { server } => self.probe(server, sides, now),
@@ -642,11 +642,11 @@
                 sides.upstream.cancel(Purpose::Attempt(id, attempt), now)
             }
             Action::Reject { id, retry_after } => {
-                self.monitor.settled(id, true);
+                self.monitor.record_outcome(id, true);
                 self.answer(id, Answer::Refused(retry_after), sides, now);
             }
             Action::Fail { id } => {
-                self.monitor.settled(id, false);
+                self.monitor.record_outcome(id, false);
                 self.answer(id, Answer::Failed, sides, now);
             }
             Action::Timer { after, token } => {
@@ -669,7 +669,7 @@
 
     fn probe(&mut self, server: ServerId, sides: &mut IoEndpoints, now: Instant) {
         self.counters.probe_sent();
-        self.monitor.sent(None, server, now);
+        self.monitor.exchange_started(None, server, now);
         sides.upstream.start(
             server,
             send::probe(self.probe_time, now),
@@ -708,7 +708,8 @@
             .get(usize::from(open.class.0))
             .copied()
             .unwrap_or(false);
-        self.monitor.answered(open.group, write, &answer, now);
+        self.monitor
+            .request_answered(open.group, write, &answer, now);
         match (open.passing, &answer) {
             // It has begun to reach the client, and won't be finished: the client sees that by its connection.
             (
@@ -756,7 +757,7 @@
             self.directory
                 .hand(name, out, self.clock.unix(now), &self.names)?
         {
-            self.monitor.hands(&news, now);
+            self.monitor.servers_excluded(&news, now);
             self.listed(news, changes, sides, now);
         }
         Ok(())
@@ -765,7 +766,7 @@
     /// What the process before this one was told by operators, beside the list that it had.
     pub fn take_over(&mut self, hands: Vec<Hand>, sides: &mut IoEndpoints, now: Instant) {
         for (news, changes) in self.directory.take_over(hands, &self.names) {
-            self.monitor.hands(&news, now);
+            self.monitor.servers_excluded(&news, now);
             self.listed(news, changes, sides, now);
         }
     }
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -247,7 +247,7 @@
         if let (Some(takeover), Some(link)) = (&mut sides.takeover, link) {
             takeover.join(link, in_place, &sides.reactor);
         }
-        chain.monitor.event(now, availability::Event::Started);
+        chain.monitor.handle(now, availability::Event::Started);
         let start = clock::unix_ms().max(recalled.start.saturating_add(1));
         let members = config.members.map(|stated| {
             Members::join(
@@ -338,7 +338,7 @@
             // How late it was for what it should have done before.
             self.chain
                 .monitor
-                .busy(until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at)));
+                .record_lag(until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at)));
             ready.sort_by_key(|one| one.turn());
             for &one in &ready {
                 self.on_ready(one);
@@ -347,7 +347,7 @@
             while let Some(timer) = self.sides.timers.pop_due(now) {
                 self.on_timer(timer, now);
             }
-            self.chain.monitor.busy(woken.elapsed());
+            self.chain.monitor.record_lag(woken.elapsed());
         }
     }
 
@@ -383,12 +383,12 @@
         for action in actions {
             match action {
                 Action::Announce if self.drain.ending() => {
-                    self.chain.monitor.event(now, availability::Event::Stop);
+                    self.chain.monitor.handle(now, availability::Event::Stop);
                 }
-                Action::Announce => self.chain.monitor.event(now, availability::Event::Drain),
-                Action::Retract => self.chain.monitor.event(now, availability::Event::Undrain),
+                Action::Announce => self.chain.monitor.handle(now, availability::Event::Drain),
+                Action::Retract => self.chain.monitor.handle(now, availability::Event::Undrain),
                 Action::EndsAt(end) => {
-                    self.chain.monitor.event(now, availability::Event::Stop);
+                    self.chain.monitor.handle(now, availability::Event::Stop);
                     self.chain.ends_at(self.start + end);
                 }
                 Action::StopListening => {
@@ -521,12 +521,14 @@
             Timer::Accept if self.sides.front.lacks_listener() => self.listen(now),
             Timer::Accept => self.sides.front.resume(&self.sides.reactor),
             Timer::Load => {
-                self.chain.monitor.look(self.usage(), now);
+                self.chain.monitor.sample_load(self.usage(), now);
                 self.sides.health.publish(&self.chain.monitor.status());
                 if self.knocks {
                     self.chain.knock(&mut self.sides, now);
                 }
-                self.sides.timers.set(now + monitor::LOOK, Timer::Load);
+                self.sides
+                    .timers
+                    .set(now + monitor::SAMPLE_INTERVAL, Timer::Load);
             }
             Timer::Rollout => self.look_at_rollout(now),
             Timer::Memory => {
