--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -285,7 +285,7 @@
         };
         // Places of one name are one class.
         let mut sums: BTreeMap<u32, Totals> = BTreeMap::new();
-        for (class, more) in counters.worth.classes() {
+        for (class, more) in counters.goodput.classes() {
             let sum = sums
                 .entry(membership::number(counters.name(class)))
                 .or_default();
@@ -301,7 +301,7 @@
             .into_iter()
             .map(|(class, sum)| whole(class, sum))
             .collect();
-        let total = whole(0, counters.worth.total());
+        let total = whole(0, counters.goodput.total());
         Look {
             peers,
             promote,
--- a/crates/leverproxy/src/health/grpc.rs
+++ b/crates/leverproxy/src/health/grpc.rs
@@ -1,9 +1,9 @@
-//! gRPC's health checking, if the program is built with it: its library's thread serves, and the loop publishes.
+//! gRPC's health checking, if the program is built with it: a thread of its library serves, and the event loop publishes.
 
 #[cfg(feature = "grpc")]
-pub use with::Fronts;
+pub use with::Servers;
 #[cfg(not(feature = "grpc"))]
-pub use without::Fronts;
+pub use without::Servers;
 
 #[cfg(feature = "grpc")]
 mod with {
@@ -13,31 +13,34 @@
     use std::net::{SocketAddr, TcpListener};
     use wire_health::Status;
 
+    /// The gRPC servers.
     #[derive(Debug, Default)]
-    pub struct Fronts(Vec<Server>);
+    pub struct Servers(Vec<Server>);
 
-    impl Fronts {
-        pub fn start(&mut self, set: &Listen) -> io::Result<()> {
-            let listener = TcpListener::bind(set.address)?;
-            let settings = Settings {
-                connections: set.connections,
-                patience: set.patience,
+    impl Servers {
+        /// Starts a server.
+        pub fn start(&mut self, settings: &Listen) -> io::Result<()> {
+            let listener = TcpListener::bind(settings.address)?;
+            let limits = Settings {
+                connections: settings.connections,
+                patience: settings.patience,
             };
-            let server = Server::start(listener, settings)?;
+            let server = Server::start(listener, limits)?;
             log::info!(
                 "health {}: answering gRPC checks on {}",
-                set.name,
+                settings.name,
                 server.address()
             );
             self.0.push(server);
             Ok(())
         }
 
+        /// Addresses of the servers.
         pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
             self.0.iter().map(Server::address)
         }
 
-        /// The whole proxy under the empty name, and a service for each group.
+        /// Publishes the whole proxy under the empty name, and a service for each group.
         pub fn publish(&mut self, status: &Status) {
             if self.0.is_empty() {
                 return;
@@ -64,22 +67,26 @@
     use std::net::SocketAddr;
     use wire_health::Status;
 
+    /// The gRPC servers.
     #[derive(Debug, Default)]
-    pub struct Fronts(());
+    pub struct Servers(());
 
-    impl Fronts {
-        pub fn start(&mut self, set: &Listen) -> io::Result<()> {
+    impl Servers {
+        /// Starts a server.
+        pub fn start(&mut self, settings: &Listen) -> io::Result<()> {
             let text = format!(
                 "health {}: this program is built without the feature grpc",
-                set.name
+                settings.name
             );
             Err(io::Error::new(io::ErrorKind::Unsupported, text))
         }
 
+        /// Addresses of the servers.
         pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
             std::iter::empty()
         }
 
+        /// There is nobody to publish to.
         pub fn publish(&mut self, _: &Status) {}
     }
 }
--- a/crates/leverproxy/src/health/mod.rs
+++ b/crates/leverproxy/src/health/mod.rs
@@ -1,17 +1,18 @@
-//! The balancers' side: listeners for their checks, apart from those of clients.
+//! Health checks by balancers: listeners of their own, apart from those of clients.
 //!
-//! A check has to be answered while the proxy is overloaded or out of descriptors, and must not cost clients anything:
-//! the loop looks at these connections first, a few descriptors are kept for them, each listener holds a bounded
-//! number, and whoever is slow is put out.
+//! A check must be answered while the proxy is overloaded or out of descriptors, and must cost clients nothing: the event loop
+//! handles these connections first, a few descriptors are reserved for them, each listener has a bounded number, and slow ones are
+//! closed.
 
 pub mod monitor;
 
+mod answer;
 mod grpc;
 
 use crate::event_loop::connection::{self, Filled, Refusal, Stream};
 use crate::event_loop::reactor::{Interest, Key, Reactor, Slots, Token};
 use crate::observability::log_rate_limit::LogRateLimit;
-use std::collections::BTreeMap;
+use answer::BalancerViews;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::{AsFd, OwnedFd};
@@ -19,42 +20,49 @@
 use wire_health::http::{self, Statuses};
 use wire_health::{agent, Status};
 
+/// The protocol of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// HAProxy's agent check; `expects_text`: the balancer sends a line first; `maxconn`: it is told how many clients
-    /// the proxy takes.
+    /// HAProxy's agent check.
     Agent {
+        /// Whether the balancer sends a line first.
         expects_text: bool,
+        /// Whether it is told how many clients the proxy accepts.
         maxconn: bool,
     },
+    /// HTTP, with these status codes.
     Http(Statuses),
     /// gRPC's health checking, on a thread of its own.
     Grpc,
 }
 
+/// Settings of a listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
+    /// Its name in the operators' file.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// What it speaks.
     pub protocol: Protocol,
-    /// Connections at once.
+    /// Most connections at a time.
     pub connections: usize,
-    /// A check has to come whole within this, and its answer to be taken.
+    /// A check must be complete, and its answer read, within this time.
     pub patience: Duration,
-    /// A connection that is kept between checks ends after this.
+    /// A connection without checks is closed after this time.
     pub idle: Duration,
 }
 
-/// Descriptors kept for checks when no other is left.
+/// Descriptors reserved for checks when no other is left.
 const RESERVE: usize = 4;
-/// Answers of one connection that its peer has not taken.
-const UNSENT: usize = 16 << 10;
+/// Most bytes of answers that the peer of a connection has not read.
+const UNSENT_BYTES: usize = 16 << 10;
 
 struct Listener {
     fd: OwnedFd,
     address: SocketAddr,
-    set: Listen,
-    open: usize,
+    settings: Listen,
+    connections: usize,
     accepting: bool,
 }
 
@@ -62,64 +70,68 @@
     stream: Stream,
     listener: u16,
     since: Instant,
-    /// Nothing more is taken in; the connection ends once the peer has read its answer.
-    ending: bool,
-    /// Its output is ended.
-    ended: bool,
+    /// Nothing more is read; the connection is closed once the peer has read its answer.
+    closing: bool,
+    /// The end of its output was sent.
+    output_ended: bool,
     answered: u64,
 }
 
+/// Counts of checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Checks that were answered.
     pub checks: u64,
+    /// Connections that had to wait, as a listener had too many.
     pub refused: u64,
+    /// Connections closed for being slow.
     pub slow: u64,
+    /// Checks that were malformed.
     pub faulty: u64,
-    /// Checks that took a descriptor of the reserve.
+    /// Connections that needed a reserved descriptor.
     pub reserve: u64,
 }
 
+/// Answers health checks.
 pub struct Health {
-    grpc: grpc::Fronts,
+    grpc: grpc::Servers,
     listeners: Vec<Listener>,
     checks: Slots<Check>,
     reserve: Vec<OwnedFd>,
     exhausted: LogRateLimit,
-    /// What balancers last said of this server, by their names: a bounded number of them.
-    views: BTreeMap<String, String>,
+    views: BalancerViews,
+    /// Counts so far.
     pub counts: Counts,
 }
 
-/// Balancers whose views are kept.
-const VIEWS: usize = 16;
-
 impl Health {
+    /// Opens the listeners. Fails if an address can't be bound.
     pub fn new(listeners: &[Listen], reactor: &Reactor) -> io::Result<Health> {
         let mut health = Health {
-            grpc: grpc::Fronts::default(),
+            grpc: grpc::Servers::default(),
             listeners: Vec::new(),
             checks: Slots::default(),
             reserve: Vec::new(),
             exhausted: LogRateLimit::default(),
-            views: BTreeMap::new(),
+            views: BalancerViews::default(),
             counts: Counts::default(),
         };
-        let (apart, here): (Vec<&Listen>, Vec<&Listen>) = listeners
+        let (grpc, others): (Vec<&Listen>, Vec<&Listen>) = listeners
             .iter()
-            .partition(|set| set.protocol == Protocol::Grpc);
-        for set in apart {
-            health.grpc.start(set)?;
+            .partition(|settings| settings.protocol == Protocol::Grpc);
+        for settings in grpc {
+            health.grpc.start(settings)?;
         }
-        for (at, set) in (0..).zip(here) {
-            let fd = connection::listen(set.address)?;
+        for (at, settings) in (0..).zip(others) {
+            let fd = connection::listen(settings.address)?;
             reactor.add(&fd, Token::HealthListener(at), Interest::READ)?;
-            let address = connection::local_address(&fd).unwrap_or(set.address);
-            log::info!("health {}: answering checks on {address}", set.name);
+            let address = connection::local_address(&fd).unwrap_or(settings.address);
+            log::info!("health {}: answering checks on {address}", settings.name);
             health.listeners.push(Listener {
                 fd,
                 address,
-                set: set.clone(),
-                open: 0,
+                settings: settings.clone(),
+                connections: 0,
                 accepting: true,
             });
         }
@@ -127,6 +139,7 @@
         Ok(health)
     }
 
+    /// Addresses of all listeners.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.listeners
             .iter()
@@ -135,16 +148,17 @@
             .collect()
     }
 
-    /// Tells those that watch, where anything has changed.
+    /// Publishes a status to clients that watch it.
     pub fn publish(&mut self, status: &Status) {
         self.grpc.publish(status);
     }
 
+    /// Connections that are open.
     pub fn connections(&self) -> usize {
         self.checks.len()
     }
 
-    /// Copies of a descriptor that is there anyway: what counts is that they can be closed.
+    /// Reserves copies of a descriptor that is open anyway: they only need to be closed.
     fn fill_reserve(&mut self) {
         let Some(first) = self.listeners.first() else {
             return;
@@ -157,44 +171,47 @@
         }
     }
 
+    /// Accepts connections of a listener.
     pub fn accept(&mut self, at: u16, status: &Status, now: Instant, reactor: &Reactor) {
-        let place = usize::from(at);
+        let index = usize::from(at);
         loop {
-            let Some(listener) = self.listeners.get(place) else {
+            let Some(listener) = self.listeners.get(index) else {
                 return;
             };
-            if listener.open >= listener.set.connections && !self.put_out_idlest(at, reactor) {
-                // All are at a check; the next to end makes place.
+            if listener.connections >= listener.settings.connections
+                && !self.close_idlest(at, reactor)
+            {
+                // All are in use; accepting goes on once one is closed.
                 self.counts.refused += 1;
-                return self.pause(place, true, reactor);
+                return self.pause(index, true, reactor);
             }
-            let Some(listener) = self.listeners.get(place) else {
+            let Some(listener) = self.listeners.get(index) else {
                 return;
             };
             let stream = match connection::accept(&listener.fd) {
                 Ok((stream, _)) => stream,
                 Err(Refusal::Empty) => return,
-                Err(Refusal::Later) => return self.pause(place, true, reactor),
+                Err(Refusal::Later) => return self.pause(index, true, reactor),
                 Err(Refusal::Exhausted) => {
                     if self.reserve.pop().is_none() {
                         self.exhausted.warn(now, || {
                             "health: no descriptor left, nor one kept for checks".into()
                         });
-                        return self.pause(place, true, reactor);
+                        return self.pause(index, true, reactor);
                     }
                     self.counts.reserve += 1;
                     continue;
                 }
             };
-            if let Some(listener) = self.listeners.get_mut(place) {
-                listener.open += 1;
+            if let Some(listener) = self.listeners.get_mut(index) {
+                listener.connections += 1;
             }
             let check = Check {
                 stream,
                 listener: at,
                 since: now,
-                ending: false,
-                ended: false,
+                closing: false,
+                output_ended: false,
                 answered: 0,
             };
             let key = self.checks.insert(check);
@@ -202,10 +219,11 @@
         }
     }
 
-    fn pause(&mut self, place: usize, pause: bool, reactor: &Reactor) {
+    /// Stops accepting connections of a listener, or goes on.
+    fn pause(&mut self, index: usize, pause: bool, reactor: &Reactor) {
         let Some(listener) = self
             .listeners
-            .get_mut(place)
+            .get_mut(index)
             .filter(|l| l.accepting == pause)
         else {
             return;
@@ -214,16 +232,16 @@
             read: !pause,
             write: false,
         };
-        let token = Token::HealthListener(place as u16);
+        let token = Token::HealthListener(index as u16);
         if let Ok(watched) = reactor.set(&listener.fd, token, interest, true) {
             listener.accepting = watched && !pause;
         }
     }
 
-    /// Of the connections that wait between checks, the one that does so the longest gives way.
-    fn put_out_idlest(&mut self, at: u16, reactor: &Reactor) -> bool {
+    /// Closes the connection that has been idle between checks the longest. False: none is idle.
+    fn close_idlest(&mut self, at: u16, reactor: &Reactor) -> bool {
         let idle = |c: &Check| {
-            c.listener == at && (c.answered > 0 || c.ending) && c.stream.input.is_empty()
+            c.listener == at && (c.answered > 0 || c.closing) && c.stream.input.is_empty()
         };
         let found = self
             .checks
@@ -237,28 +255,29 @@
         })
     }
 
+    /// A connection is readable or writable.
     pub fn ready(&mut self, key: Key, status: &Status, now: Instant, reactor: &Reactor) {
         let Some(check) = self.checks.get_mut(key) else {
             return;
         };
-        let Some(set) = self
+        let Some(settings) = self
             .listeners
             .get(usize::from(check.listener))
-            .map(|l| &l.set)
+            .map(|l| &l.settings)
         else {
             return;
         };
-        if check.ending {
+        if check.closing {
             if check.stream.drain().0 == Filled::Ended {
                 return self.close(key, reactor);
             }
         } else {
-            let limit = match set.protocol {
+            let limit = match settings.protocol {
                 Protocol::Agent { .. } => agent::TEXT_LIMIT,
                 Protocol::Http(_) | Protocol::Grpc => http::HEAD_LIMIT,
             };
             let filled = check.stream.fill(limit);
-            match set.protocol {
+            match settings.protocol {
                 Protocol::Agent {
                     expects_text,
                     maxconn,
@@ -268,10 +287,10 @@
                         room,
                         ..status.clone()
                     };
-                    answer_agent(check, expects_text, &status, &mut self.counts);
+                    answer::answer_agent(check, expects_text, &status, &mut self.counts);
                 }
                 Protocol::Http(statuses) => {
-                    answer_http(
+                    answer::answer_http(
                         check,
                         statuses,
                         status,
@@ -280,7 +299,7 @@
                         &mut self.views,
                     );
                 }
-                // Never among the loop's own listeners.
+                // These are served by a thread of their own.
                 Protocol::Grpc => {}
             }
             if filled == Filled::Ended && check.stream.unsent() == 0 {
@@ -297,14 +316,14 @@
         let Ok(written) = check.stream.flush() else {
             return self.close(key, reactor);
         };
-        if written && check.ending && !check.ended {
-            // The line is whole for the balancer once it sees the end; closed at once with bytes unread, it might
-            // see a reset in place of the line.
-            check.ended = true;
+        if written && check.closing && !check.output_ended {
+            // The line is complete for the balancer once it sees the end. Were the connection closed with bytes unread, it might
+            // see a reset instead of the line.
+            check.output_ended = true;
             check.stream.end_output();
         }
         let interest = Interest {
-            read: check.stream.unsent() < UNSENT,
+            read: check.stream.unsent() < UNSENT_BYTES,
             write: !written,
         };
         if check
@@ -320,47 +339,47 @@
         let Some(check) = self.checks.remove(key) else {
             return;
         };
-        let place = usize::from(check.listener);
+        let index = usize::from(check.listener);
         drop(check);
-        if let Some(listener) = self.listeners.get_mut(place) {
-            listener.open = listener.open.saturating_sub(1);
+        if let Some(listener) = self.listeners.get_mut(index) {
+            listener.connections = listener.connections.saturating_sub(1);
         }
         self.fill_reserve();
-        self.pause(place, false, reactor);
+        self.pause(index, false, reactor);
     }
 
-    /// Puts out whoever is slow; listeners that found no descriptor are looked at again.
-    pub fn look_over(&mut self, now: Instant, reactor: &Reactor) {
+    /// Closes slow connections; listeners that found no descriptor try again.
+    pub fn close_slow(&mut self, now: Instant, reactor: &Reactor) {
         for key in self.checks.keys() {
             let Some(check) = self.checks.get(key) else {
                 continue;
             };
-            let Some(set) = self
+            let Some(settings) = self
                 .listeners
                 .get(usize::from(check.listener))
-                .map(|l| &l.set)
+                .map(|l| &l.settings)
             else {
                 continue;
             };
-            let between =
+            let is_idle =
                 check.answered > 0 && check.stream.input.is_empty() && check.stream.unsent() == 0;
-            let allowed = if between && !check.ending {
-                set.idle
+            let allowed = if is_idle && !check.closing {
+                settings.idle
             } else {
-                set.patience
+                settings.patience
             };
             if now.saturating_duration_since(check.since) >= allowed {
-                self.counts.slow += u64::from(!between);
+                self.counts.slow += u64::from(!is_idle);
                 self.close(key, reactor);
             }
         }
         self.fill_reserve();
-        for place in 0..self.listeners.len() {
-            self.pause(place, false, reactor);
+        for index in 0..self.listeners.len() {
+            self.pause(index, false, reactor);
         }
     }
 
-    /// Lines of the report.
+    /// The counts as text.
     pub fn lines(&self) -> String {
         if self.listeners.is_empty() {
             return String::new();
@@ -376,80 +395,9 @@
             "\nhealth: checks {checks}, connections {}; refused {refused}, slow {slow}, faulty {faulty}; of the reserve {reserve}",
             self.checks.len(),
         );
-        for (node, view) in &self.views {
+        for (node, view) in self.views.iter() {
             out.push_str(&format!("\nhealth: {node} says {view}"));
         }
         out
     }
 }
-
-fn answer_agent(check: &mut Check, expects_text: bool, status: &Status, counts: &mut Counts) {
-    let asked = agent::asked(check.stream.input.unused());
-    // A balancer that never ends its line is answered all the same.
-    let enough = !expects_text || asked.is_some() || check.stream.input.len() >= agent::TEXT_LIMIT;
-    if check.ending || !enough {
-        return;
-    }
-    counts.checks += 1;
-    check.answered += 1;
-    let line = match asked {
-        Some(agent::Asked::Group(group)) => agent::line(&of_group(status, group)),
-        _ => agent::line(status),
-    };
-    check.stream.push(line.as_bytes());
-    check.ending = true;
-}
-
-/// The status of one group: of no weight where it does not answer, since the others' traffic goes elsewhere.
-fn of_group(status: &Status, group: u32) -> Status {
-    let dead = status
-        .groups
-        .iter()
-        .find(|g| g.group == group)
-        .is_some_and(|g| !g.serves);
-    if dead && status.state.serves() {
-        let weight = 1;
-        let state = wire_health::State::Degraded(100);
-        return Status {
-            state,
-            weight,
-            reason: format!("group {group} does not answer"),
-            ..status.clone()
-        };
-    }
-    status.clone()
-}
-
-fn answer_http(
-    check: &mut Check,
-    statuses: Statuses,
-    status: &Status,
-    now: Instant,
-    counts: &mut Counts,
-    views: &mut BTreeMap<String, String>,
-) {
-    while !check.ending && check.stream.unsent() < UNSENT {
-        match http::parse(check.stream.input.unused()) {
-            Ok(None) => return,
-            Ok(Some((asked, used))) => {
-                check.stream.input.consume(used);
-                counts.checks += 1;
-                check.answered += 1;
-                check.since = now;
-                check.stream.push(&http::answer(&asked, status, statuses));
-                check.ending = !asked.keep;
-                if let Some(view) = asked.server_state {
-                    let node = view.node.unwrap_or_else(|| "a balancer".into());
-                    if views.len() < VIEWS || views.contains_key(&node) {
-                        views.insert(node, view.state);
-                    }
-                }
-            }
-            Err(fault) => {
-                counts.faulty += 1;
-                check.stream.push(&http::fault(fault));
-                check.ending = true;
-            }
-        }
-    }
-}
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -1,4 +1,4 @@
-//! What the proxy has taken in, sent and answered.
+//! Counters of requests, answers, attempts and reloads.
 
 use crate::observability::goodput::Goodput;
 use crate::request::{Answer, Verdict};
@@ -7,6 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
+/// Counters of a class: answers and attempts by how they ended.
 #[derive(Debug, Default)]
 struct Class {
     taken: u64,
@@ -14,23 +15,29 @@
     attempts: BTreeMap<&'static str, u64>,
 }
 
+/// All counters.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// In the order of the class ids.
+    /// By class id.
     classes: Vec<(String, Class)>,
     probes: BTreeMap<&'static str, u64>,
     probes_sent: u64,
-    pub worth: Goodput,
-    /// Requests of no class that is known.
+    /// Goodput of all answers.
+    pub goodput: Goodput,
+    /// Requests of an unknown class.
     pub rejected: u64,
+    /// Endpoint lists received.
     pub lists: u64,
+    /// Watches on the list that were lost.
     pub watches_lost: u64,
-    /// Configurations taken over, and turned down.
+    /// Configurations taken over.
     pub reloads: u64,
+    /// Configurations rejected.
     pub reloads_failed: u64,
 }
 
 impl Counters {
+    /// Counters of classes with these names, by id.
     pub fn new(classes: &[String]) -> Counters {
         let classes = classes
             .iter()
@@ -42,13 +49,14 @@
         }
     }
 
-    /// Classes at places beyond those that there were; what is counted stays.
+    /// Adds the classes beyond those that exist; counts stay.
     pub fn extend(&mut self, classes: &[String]) {
         let new = classes.iter().skip(self.classes.len());
         self.classes
             .extend(new.map(|name| (name.clone(), Class::default())));
     }
 
+    /// The name of a class; empty if it is unknown.
     pub fn name(&self, class: ClassId) -> &str {
         self.classes
             .get(usize::from(class.0))
@@ -61,26 +69,29 @@
             .map(|(_, counts)| counts)
     }
 
+    /// A request has been read.
     pub fn taken(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             class.taken += 1;
         }
     }
 
+    /// A request was answered, `elapsed` after it arrived.
     pub fn answered(
         &mut self,
         class: ClassId,
-        standing: QuotaStatus,
+        quota_status: QuotaStatus,
         answer: &Answer,
-        took: Duration,
+        elapsed: Duration,
     ) {
-        self.worth.record_answer(class, standing, answer, took);
+        self.goodput
+            .record_answer(class, quota_status, answer, elapsed);
         if let Some(class) = self.class(class) {
             *class.answers.entry(answer.kind()).or_default() += 1;
         }
     }
 
-    /// The figures by class, one value for each name: served, refused and failed.
+    /// Requests served, refused and failed, by the name of their class.
     pub fn requests(&self) -> impl Iterator<Item = (&str, [(&'static str, u64); 3])> {
         let mut by_name: BTreeMap<&str, [(&'static str, u64); 3]> = BTreeMap::new();
         for (name, class) in &self.classes {
@@ -89,7 +100,7 @@
                     .entry(name)
                     .or_insert([("served", 0), ("refused", 0), ("failed", 0)]);
             for (kind, count) in &class.answers {
-                // Both are answered with an error, and have failed for whoever asked.
+                // Both are answered with an error, and have failed for the client.
                 let kind = if matches!(*kind, "rejected" | "cancelled") {
                     "failed"
                 } else {
@@ -103,23 +114,26 @@
         by_name.into_iter()
     }
 
+    /// The client of a request has left.
     pub fn left(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry("client left").or_default() += 1;
         }
     }
 
+    /// A request was cancelled by its client.
     pub fn cancelled(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry(Answer::Cancelled.kind()).or_default() += 1;
         }
     }
 
+    /// A probe was sent.
     pub fn probe_sent(&mut self) {
         self.probes_sent += 1;
     }
 
-    /// An attempt for a request of that class has ended, or a probe.
+    /// An attempt has ended; without a class: a probe.
     pub fn ended(&mut self, class: Option<ClassId>, verdict: &Verdict) {
         let ends = match class {
             None => Some(&mut self.probes),
--- a/crates/leverproxy/src/observability/logging.rs
+++ b/crates/leverproxy/src/observability/logging.rs
@@ -1,4 +1,4 @@
-//! Where log lines go: standard error, but never at the price of waiting for whoever reads it.
+//! Log lines on standard error, without ever waiting for whoever reads it.
 
 use configuration::model::Logging;
 use env_logger::fmt::Formatter;
@@ -10,17 +10,17 @@
 use std::os::fd::AsFd;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A pipe that is ready takes this much without waiting.
-const AT_ONCE: usize = 4_096;
+/// A pipe that is ready accepts so many bytes without blocking.
+const CHUNK_BYTES: usize = 4_096;
 
-/// Writes what its descriptor takes at once and drops the rest: the one thread serves clients, and a log that
-/// nobody reads must not stop it.
+/// Writes what its descriptor accepts at once and drops the rest: the thread serves clients, and a log that nobody reads must not
+/// block it.
 #[derive(Debug)]
-pub struct NeverWaits<W>(pub W);
+pub struct NonBlockingWriter<W>(pub W);
 
-impl<W: Write + AsFd> Write for NeverWaits<W> {
+impl<W: Write + AsFd> Write for NonBlockingWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        for part in bytes.chunks(AT_ONCE) {
+        for part in bytes.chunks(CHUNK_BYTES) {
             let mut watched = [PollFd::new(&self.0, PollFlags::OUT)];
             let ready = poll(&mut watched, Some(&Timespec::default()));
             if !matches!(ready, Ok(n) if n > 0) || self.0.write_all(part).is_err() {
@@ -35,32 +35,33 @@
     }
 }
 
-/// Lines are JSON objects.
+/// Whether lines are JSON objects.
 static JSON: AtomicBool = AtomicBool::new(false);
-/// The environment says what is logged, and the operators' file does not.
-static STATED: AtomicBool = AtomicBool::new(false);
+/// Whether the environment sets the level; then the operators' file does not.
+static LEVEL_FROM_ENVIRONMENT: AtomicBool = AtomicBool::new(false);
 
+/// Starts logging at the level of RUST_LOG, or at info.
 pub fn start() {
-    let target = env_logger::Target::Pipe(Box::new(NeverWaits(io::stderr())));
+    let target = env_logger::Target::Pipe(Box::new(NonBlockingWriter(io::stderr())));
     let mut builder = env_logger::Builder::new();
     match std::env::var("RUST_LOG") {
         Ok(filter) => {
-            STATED.store(true, Ordering::Relaxed);
+            LEVEL_FROM_ENVIRONMENT.store(true, Ordering::Relaxed);
             builder.parse_filters(&filter);
         }
-        // All that the file may ask for; the level itself is set by `set`.
+        // The most that the file may set; the level itself is set by `set`.
         Err(_) => _ = builder.filter_level(LevelFilter::Trace),
     }
     builder.target(target).format(write).init();
-    if !STATED.load(Ordering::Relaxed) {
+    if !LEVEL_FROM_ENVIRONMENT.load(Ordering::Relaxed) {
         log::set_max_level(LevelFilter::Info);
     }
 }
 
-/// As the operators' file says, from now on; RUST_LOG counts over its level.
+/// Takes the operators' settings over; RUST_LOG has precedence over their level.
 pub fn set(logging: &Logging) {
     JSON.store(logging.json, Ordering::Relaxed);
-    if !STATED.load(Ordering::Relaxed) {
+    if !LEVEL_FROM_ENVIRONMENT.load(Ordering::Relaxed) {
         log::set_max_level(logging.level.parse().unwrap_or(LevelFilter::Info));
     }
 }
@@ -74,10 +75,10 @@
     out.write_all(line.as_bytes())
 }
 
-/// Key-values behind the message, `name=value`, quoted where they hold blanks.
-struct Text<'a>(&'a mut String);
+/// Appends key-values as `name=value`, quoted where they contain blanks.
+struct TextPairs<'a>(&'a mut String);
 
-impl<'kvs> VisitSource<'kvs> for Text<'_> {
+impl<'kvs> VisitSource<'kvs> for TextPairs<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = value.to_string();
         let plain = !value.is_empty() && !value.contains([' ', '"', '=', '\n']);
@@ -87,6 +88,7 @@
     }
 }
 
+/// A line of text.
 pub fn text(time: &str, record: &Record<'_>) -> String {
     let mut line = format!(
         "[{time} {:<5} {}] {}",
@@ -94,16 +96,17 @@
         record.target(),
         record.args()
     );
-    _ = record.key_values().visit(&mut Text(&mut line));
-    // A message is a line, whatever text of a peer it repeats.
+    _ = record.key_values().visit(&mut TextPairs(&mut line));
+    // A message stays one line, whatever text of a peer it contains.
     let mut line = line.replace('\n', "\\n");
     line.push('\n');
     line
 }
 
-struct Object<'a>(&'a mut Map<String, Json>);
+/// Adds key-values to a JSON object.
+struct JsonPairs<'a>(&'a mut Map<String, Json>);
 
-impl<'kvs> VisitSource<'kvs> for Object<'_> {
+impl<'kvs> VisitSource<'kvs> for JsonPairs<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let number = value
             .to_u64()
@@ -120,10 +123,11 @@
     }
 }
 
+/// A line of JSON.
 pub fn json(time: &str, record: &Record<'_>) -> String {
     let mut object = Map::new();
-    _ = record.key_values().visit(&mut Object(&mut object));
-    // Its own names count over those of key-values.
+    _ = record.key_values().visit(&mut JsonPairs(&mut object));
+    // These names have precedence over those of key-values.
     for (name, value) in [
         ("time", time.to_owned()),
         ("level", record.level().to_string()),
@@ -137,7 +141,7 @@
     line
 }
 
-/// A text for whoever asked for it, at any log level.
+/// Writes a text that was requested, at any log level.
 pub fn say(text: &str) {
-    _ = NeverWaits(io::stderr()).write_all(format!("{text}\n").as_bytes());
+    _ = NonBlockingWriter(io::stderr()).write_all(format!("{text}\n").as_bytes());
 }
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -119,7 +119,7 @@
         } = platform;
         monitor.configure(&settings);
         let mut counters = Counters::new(&names.classes);
-        counters.worth.configure(&settings);
+        counters.goodput.configure(&settings);
         Pipeline {
             counters,
             monitor,
@@ -306,7 +306,7 @@
             ..
         } = next;
         self.counters.extend(&names.classes);
-        self.counters.worth.configure(&settings);
+        self.counters.goodput.configure(&settings);
         self.deadlines = settings.classes.iter().map(|c| c.deadline).collect();
         self.writes = settings
             .classes
--- a/crates/leverproxy/src/proxy.rs
+++ b/crates/leverproxy/src/proxy.rs
@@ -509,7 +509,7 @@
             Timer::Watch => self.chain.on_watch_timer(&mut self.sides, now),
             Timer::LookOver => {
                 let again = self.sides.front.look_over(now, &self.sides.reactor);
-                self.sides.health.look_over(now, &self.sides.reactor);
+                self.sides.health.close_slow(now, &self.sides.reactor);
                 if let Some(operate) = &mut self.sides.operate {
                     operate.look_over(now);
                 }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -7,7 +7,7 @@
 use leverproxy::discovery::wire::Listing;
 use leverproxy::event_loop::reactor::Slots;
 use leverproxy::observability::log_rate_limit::LogRateLimit;
-use leverproxy::observability::logging::{self, NeverWaits};
+use leverproxy::observability::logging::{self, NonBlockingWriter};
 use leverproxy::pipeline::admit::OpenRequests;
 use leverproxy::pipeline::record;
 use leverproxy::protocol::http::{Fault, Part, Reader};
@@ -340,7 +340,7 @@
 #[test]
 fn a_log_that_nobody_reads_is_dropped() {
     let (near, mut far) = UnixStream::pair().unwrap();
-    NeverWaits(near).write_all(&[b'x'; 4 << 20]).unwrap();
+    NonBlockingWriter(near).write_all(&[b'x'; 4 << 20]).unwrap();
     let mut kept = Vec::new();
     far.read_to_end(&mut kept).unwrap();
     assert!((1..4 << 20).contains(&kept.len()));
