--- a/crates/quota-lending/tests/bytes.rs
+++ b/crates/quota-lending/tests/bytes.rs
@@ -1,5 +1,5 @@
-//! Whatever one member says, and whatever the file holds: no panic, nothing said that does not fit, and nothing lent, since
-//! one of five is no majority of the founders.
+//! Whatever one member publishes, and whatever the file contains: no panic, no message that is too long, and nothing lent, since one
+//! of five is no majority of the bootstrap members.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const TENANT: &str = "stand";
 
-fn founders() -> Vec<AccountId> {
+fn bootstrap_members() -> Vec<AccountId> {
     let mut founders: Vec<AccountId> = NAMES
         .iter()
         .map(|name| AccountId {
@@ -39,12 +39,12 @@
     prop_oneof![0..3_u32, Just(1 << 30), Just(u32::MAX), any::<u32>()]
 }
 
-/// Parts of a line, at the bounds of 32 and of 64 bits too.
+/// Shares, also at the bounds of 32 and of 64 bits.
 fn parts() -> impl Strategy<Value = u64> {
     prop_oneof![small().prop_map(u64::from), big()]
 }
 
-fn given() -> impl Strategy<Value = SentTotal> {
+fn sent() -> impl Strategy<Value = SentTotal> {
     parts().prop_map(SentTotal::from)
 }
 
@@ -59,8 +59,8 @@
     })
 }
 
-fn head() -> impl Strategy<Value = Sender> {
-    let known = bootstrap_digest(&founders());
+fn sender() -> impl Strategy<Value = Sender> {
+    let known = bootstrap_digest(&bootstrap_members());
     (
         prop_oneof![Just(known), Just(0), any::<u64>()],
         big(),
@@ -75,7 +75,7 @@
         })
 }
 
-fn row() -> impl Strategy<Value = Balances> {
+fn balances() -> impl Strategy<Value = Balances> {
     (
         (big(), big(), big(), big(), big()),
         parts(),
@@ -94,11 +94,11 @@
         )
 }
 
-/// Kind, start and body of any values, which others could not have said.
-fn sound() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
+/// Kind, incarnation and body of any values, also of values that no proxy publishes.
+fn valid() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
     let few = || vec((any::<u8>(), small()), 0..9);
     let lanes = || vec((id(), small()), 0..9);
-    let pulse = (head(), any::<bool>(), small(), few(), lanes()).prop_map(
+    let pulse = (sender(), any::<bool>(), small(), few(), lanes()).prop_map(
         |(head, ripe, beat, founders, others)| {
             (
                 head.incarnation,
@@ -113,7 +113,7 @@
         },
     );
     let founded =
-        (head(), big(), vec((small(), big()), 0..60)).prop_map(|(head, least, members)| {
+        (sender(), big(), vec((small(), big()), 0..60)).prop_map(|(head, least, members)| {
             (
                 0,
                 encode(&BootstrapMembers {
@@ -123,8 +123,8 @@
                 }),
             )
         });
-    let seen = || vec((any::<u8>(), given()), 0..9);
-    let row = (head(), row()).prop_map(|(head, row)| {
+    let seen = || vec((any::<u8>(), sent()), 0..9);
+    let row = (sender(), balances()).prop_map(|(head, row)| {
         (
             0,
             encode(&PublishedBalances {
@@ -134,7 +134,7 @@
         )
     });
     let witness =
-        (head(), seen(), vec((id(), given()), 0..9)).prop_map(|(head, founders, others)| {
+        (sender(), seen(), vec((id(), sent()), 0..9)).prop_map(|(head, founders, others)| {
             (
                 0,
                 encode(&WitnessedTransfers {
@@ -144,7 +144,7 @@
                 }),
             )
         });
-    let claim = (head(), id()).prop_map(|(head, lane)| {
+    let claim = (sender(), id()).prop_map(|(head, lane)| {
         (
             0,
             encode(&OwnershipClaim {
@@ -153,7 +153,7 @@
             }),
         )
     });
-    let vote = (head(), id(), id(), btree_map(small(), given(), 0..9)).prop_map(
+    let vote = (sender(), id(), id(), btree_map(small(), sent(), 0..9)).prop_map(
         |(head, lane, to, given)| {
             (
                 0,
@@ -176,9 +176,9 @@
     .prop_map(|(kind, start, body)| (kind, start, body.unwrap_or_default()))
 }
 
-fn fact() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
+fn message() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
     let some = vec((any::<Index>(), any::<u8>()), 0..4);
-    let mutated = (sound(), some).prop_map(|((kind, start, mut body), changes)| {
+    let mutated = (valid(), some).prop_map(|((kind, start, mut body), changes)| {
         let length = body.len();
         for (at, to) in changes.iter().filter(|_| length > 0) {
             body[at.index(length)] = *to;
@@ -186,7 +186,7 @@
         (kind, start, body)
     });
     prop_oneof![
-        sound(),
+        valid(),
         mutated,
         (HEARTBEAT..=VOTE, big(), vec(any::<u8>(), 0..BODY_BYTES))
     ]
@@ -213,7 +213,7 @@
     fn one_member_and_the_file_lend_nothing(
         file in proptest::option::of(vec(any::<u8>(), 0..400)),
         founded in any::<bool>(),
-        steps in vec((fact(), prop_oneof![Just(name_number(TENANT)), small()], 0..3_000_u64, 0..9_000_u64), 1..60),
+        steps in vec((message(), prop_oneof![Just(name_number(TENANT)), small()], 0..3_000_u64, 0..9_000_u64), 1..60),
     ) {
         let mut lender = Lender::new(&Config::new("a", 1, true), Duration::ZERO, file.as_deref());
         let (mut actions, mut now, mut token) = (Vec::new(), Duration::ZERO, 0);
@@ -222,9 +222,9 @@
         lender.handle(now, Event::Membership { may_lend: true, roster: &roster, members: &members }, &mut actions);
         lender.handle(now, Event::Rules(rules()), &mut actions);
         let first = BootstrapMembers {
-            sender: Sender { bootstrap_digest: bootstrap_digest(&founders()), state_incarnation: 1, account_incarnation: 1, incarnation: 1 },
+            sender: Sender { bootstrap_digest: bootstrap_digest(&bootstrap_members()), state_incarnation: 1, account_incarnation: 1, incarnation: 1 },
             least_incarnation: 1,
-            members: founders().iter().map(|id| (id.owner, 0)).collect(),
+            members: bootstrap_members().iter().map(|id| (id.owner, 0)).collect(),
         };
         let first = founded.then(|| (BOOTSTRAP_MEMBERS, 1, encode(&first).expect("five fit")));
         let steps = first.map(|fact| (fact, 0, 0, 0)).into_iter().chain(steps);
@@ -235,7 +235,7 @@
             lender.handle(now, Event::Message { source: "b", incarnation: start, kind, key, body: &body, age }, &mut actions);
             lender.handle(now, Event::Timer(token), &mut actions);
             let asked = lender.decide(now, TENANT, "class", 1_000, &mut actions);
-            prop_assert!(matches!(asked, Decision::Denied(_)), "lent by one member's word");
+            prop_assert!(matches!(asked, Decision::Denied(_)), "lent by one member's messages");
             let mut next = 0;
             while let Some(action) = actions.get(next).cloned() {
                 next += 1;
--- a/crates/quota-lending/tests/help.rs
+++ b/crates/quota-lending/tests/help.rs
@@ -1,4 +1,4 @@
-//! A stand that borrowed at one proxy and then went to others: these withhold its quota, and who lent books it.
+//! A tenant that borrowed at one proxy and then moved to others: these withhold its quota, and the lender books it.
 
 use quota_lending::balances::TOTAL_SHARES;
 use quota_lending::messages::REPAYMENT_REPORT;
@@ -9,11 +9,11 @@
 const TENANT: &str = "depot";
 /// In thousandths of a request a second, over the fleet.
 const QUOTA: u64 = 90_000;
-const LOOK: Duration = Duration::from_millis(250);
-/// What is said is heard so much later.
-const LATE: Duration = Duration::from_millis(500);
+const STEP: Duration = Duration::from_millis(250);
+/// Messages arrive after this time.
+const DELAY: Duration = Duration::from_millis(500);
 
-struct Fact {
+struct Delivery {
     at: Duration,
     from: usize,
     kind: u8,
@@ -25,16 +25,16 @@
     now: Duration,
     lenders: Vec<Lender>,
     timers: Vec<(Duration, u64)>,
-    facts: VecDeque<Fact>,
-    /// Of each, what the stand asks of its quota, in thousandths of all.
+    deliveries: VecDeque<Delivery>,
+    /// The part of its quota that the tenant requests at each proxy, in thousandths.
     parts: [u64; 3],
     shares: [u32; 3],
     withheld: u64,
-    helps: bool,
+    reports_arrive: bool,
 }
 
 impl Fleet {
-    fn new(helps: bool) -> Fleet {
+    fn new(reports_arrive: bool) -> Fleet {
         let longest = Duration::from_secs(40);
         let lender = |n: u64| {
             let config = Config {
@@ -44,16 +44,16 @@
             Lender::new(&config, Duration::ZERO, None)
         };
         let timers = vec![(Duration::ZERO, 0); 3];
-        let (lenders, facts) = ((0..3).map(lender).collect(), VecDeque::new());
+        let (lenders, deliveries) = ((0..3).map(lender).collect(), VecDeque::new());
         let mut fleet = Fleet {
             now: Duration::ZERO,
             lenders,
             timers,
-            facts,
+            deliveries,
             parts: [1000, 0, 0],
             shares: [0; 3],
             withheld: 0,
-            helps,
+            reports_arrive,
         };
         let rule = Rule {
             limit_time: Duration::from_secs(10),
@@ -74,17 +74,17 @@
     fn event(&mut self, at: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.lenders[at].handle(self.now, event, &mut actions);
-        self.act(at, actions);
+        self.perform(at, actions);
     }
 
-    fn act(&mut self, from: usize, actions: Vec<Action>) {
+    fn perform(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Publish {
                     kind, key, body, ..
                 } => {
-                    self.facts.push_back(Fact {
-                        at: self.now + LATE,
+                    self.deliveries.push_back(Delivery {
+                        at: self.now + DELAY,
                         from,
                         kind,
                         key,
@@ -100,19 +100,23 @@
     fn until(&mut self, seconds: u64) {
         let roster: Vec<String> = (0..3).map(|n| format!("n{n}")).collect();
         while self.now < Duration::from_secs(seconds) {
-            self.now += LOOK;
-            while self.facts.front().is_some_and(|fact| fact.at <= self.now) {
-                let Some(Fact {
+            self.now += STEP;
+            while self
+                .deliveries
+                .front()
+                .is_some_and(|delivery| delivery.at <= self.now)
+            {
+                let Some(Delivery {
                     from,
                     kind,
                     key,
                     body,
                     ..
-                }) = self.facts.pop_front()
+                }) = self.deliveries.pop_front()
                 else {
                     break;
                 };
-                let told = self.helps || kind != REPAYMENT_REPORT;
+                let told = self.reports_arrive || kind != REPAYMENT_REPORT;
                 for at in (0..3).filter(|at| *at != from && told) {
                     let (source, start) = (&roster[from], 1_000 + from as u64);
                     self.event(
@@ -123,7 +127,7 @@
                             kind,
                             key: &key,
                             body: &body,
-                            age: LATE,
+                            age: DELAY,
                         },
                     );
                 }
@@ -148,10 +152,10 @@
                 if due <= self.now {
                     self.event(at, Event::Timer(token));
                 }
-                // A tenth is held everywhere, as the account of quotas does.
+                // Each has a part of a tenth beside its traffic, as the quota meter gives it.
                 let quota = QUOTA * (self.parts[at] + 30) / 1090;
                 let withheld =
-                    quota * u64::from(self.shares[at]) / 1000 * LOOK.as_millis() as u64 / 1000;
+                    quota * u64::from(self.shares[at]) / 1000 * STEP.as_millis() as u64 / 1000;
                 self.lenders[at].repay(self.now, TENANT, withheld);
                 self.withheld += withheld;
                 self.shares[at] = self.lenders[at].withhold(self.now, TENANT, quota, 1000);
@@ -159,22 +163,22 @@
         }
     }
 
-    fn book(&self, at: usize) -> LoanTotals {
+    fn totals(&self, at: usize) -> LoanTotals {
         self.lenders[at]
             .totals(self.now, TENANT)
             .unwrap_or_default()
     }
 
-    /// The stand borrows all that one holds, and goes to the others.
-    fn borrowed(helps: bool) -> (Fleet, u64) {
-        let mut fleet = Fleet::new(helps);
+    /// The tenant borrows all that one proxy may lend, and moves to the others.
+    fn borrowed(reports_arrive: bool) -> (Fleet, u64) {
+        let mut fleet = Fleet::new(reports_arrive);
         let mut actions = Vec::new();
         let now = fleet.now;
         while fleet.lenders[0].decide(now, TENANT, "any", 1000, &mut actions) == Decision::Borrowed
         {
         }
-        fleet.act(0, actions);
-        let owed = fleet.book(0).owed;
+        fleet.perform(0, actions);
+        let owed = fleet.totals(0).owed;
         assert!(
             owed > 10 * QUOTA / 4,
             "{owed} of {:?}",
@@ -186,27 +190,30 @@
 }
 
 #[test]
-fn what_was_lent_where_the_stand_is_gone_is_repaid_by_others() {
+fn loans_of_a_tenant_that_has_moved_are_repaid_by_others() {
     let (mut fleet, owed) = Fleet::borrowed(true);
     fleet.until(100);
-    let book = fleet.book(0);
-    println!("{owed} were owed, {} withheld: {book:?}", fleet.withheld);
-    assert_eq!((book.owed, book.written_off, book.repaid), (0, 0, owed));
+    let totals = fleet.totals(0);
+    println!("{owed} were owed, {} withheld: {totals:?}", fleet.withheld);
+    assert_eq!(
+        (totals.owed, totals.written_off, totals.repaid),
+        (0, 0, owed)
+    );
     assert!(
         fleet.withheld <= owed + owed / 4,
         "{} for {owed}",
         fleet.withheld
     );
-    // Nothing more is withheld than what it is for.
+    // No more is withheld than is owed.
     let before = fleet.withheld;
     fleet.until(130);
     assert_eq!(fleet.withheld, before);
 }
 
 #[test]
-fn without_their_word_it_is_written_off() {
+fn without_their_reports_it_is_written_off() {
     let (mut fleet, owed) = Fleet::borrowed(false);
     fleet.until(120);
-    let book = fleet.book(0);
-    assert!(book.written_off > owed / 2, "{book:?}");
+    let totals = fleet.totals(0);
+    assert!(totals.written_off > owed / 2, "{totals:?}");
 }
--- a/crates/quota-lending/tests/rows_and_files.rs
+++ b/crates/quota-lending/tests/rows_and_files.rs
@@ -1,4 +1,4 @@
-//! Rows merge in any order; a file that is not whole is no memory.
+//! Balances merge in any order; an incomplete file is rejected.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use quota_lending::identity::AccountId;
 use quota_lending::{Action, Config, Event, Lender, Notice};
 
-fn row() -> impl Strategy<Value = Balances> {
+fn balances() -> impl Strategy<Value = Balances> {
     let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| AccountId {
         owner: name,
         incarnation: from,
@@ -38,12 +38,12 @@
     both
 }
 
-/// What a row says of rights and debts: line and demand are only the last word on these.
-fn lasting(row: &Balances) -> Balances {
+/// The numbers that only grow, without credit limit and demand.
+fn growing_only(balances: &Balances) -> Balances {
     Balances {
         credit_limit: 0,
         demand: 0,
-        ..row.clone()
+        ..balances.clone()
     }
 }
 
@@ -58,10 +58,10 @@
         Action::Save { bytes, .. } => Some(bytes),
         _ => None,
     });
-    saved.expect("the first thing is to keep the memory")
+    saved.expect("the first step saves the state")
 }
 
-fn memory_is_refused(name: &str, bytes: &[u8]) -> bool {
+fn file_is_rejected(name: &str, bytes: &[u8]) -> bool {
     let mut actions = Vec::new();
     let mut lender = Lender::new(&Config::new(name, 9, true), Duration::ZERO, Some(bytes));
     lender.handle(Duration::ZERO, Event::Timer(0), &mut actions);
@@ -71,42 +71,49 @@
 
 proptest! {
     #[test]
-    fn rows_merge_in_any_order_and_any_number_of_times(a in row(), b in row(), c in row()) {
-        prop_assert_eq!(lasting(&merged(&a, &b)), lasting(&merged(&b, &a)));
+    fn balances_merge_in_any_order_and_any_number_of_times(a in balances(), b in balances(), c in balances()) {
+        prop_assert_eq!(growing_only(&merged(&a, &b)), growing_only(&merged(&b, &a)));
         prop_assert_eq!(merged(&a, &a), a.clone());
-        prop_assert_eq!(lasting(&merged(&merged(&a, &b), &c)), lasting(&merged(&a, &merged(&b, &c))));
+        prop_assert_eq!(growing_only(&merged(&merged(&a, &b), &c)), growing_only(&merged(&a, &merged(&b, &c))));
     }
 }
 
 #[test]
-fn no_cut_and_no_changed_bit_of_a_file_is_taken_for_a_memory() {
-    let whole = file();
-    assert!(!memory_is_refused("a", &whole));
-    assert!(memory_is_refused("b", &whole), "another's file");
-    for cut in 0..whole.len() {
-        assert!(memory_is_refused("a", &whole[..cut]), "cut at {cut}");
+fn a_truncated_file_or_one_with_a_changed_bit_is_rejected() {
+    let complete = file();
+    assert!(!file_is_rejected("a", &complete));
+    assert!(file_is_rejected("b", &complete), "another's file");
+    for cut in 0..complete.len() {
+        assert!(file_is_rejected("a", &complete[..cut]), "cut at {cut}");
     }
-    for bit in 0..whole.len() * 8 {
-        let mut changed = whole.clone();
+    for bit in 0..complete.len() * 8 {
+        let mut changed = complete.clone();
         changed[bit / 8] ^= 1 << (bit % 8);
-        assert!(memory_is_refused("a", &changed), "bit {bit}");
+        assert!(file_is_rejected("a", &changed), "bit {bit}");
     }
 }
 
-/// A lane at rest says a stricter rule with the numbers that it had: it binds, in whichever order the two are heard.
+/// An idle account publishes a stricter rule with the same numbers: the rule holds, in whichever order the two are received.
 #[test]
-fn the_stricter_line_of_a_lane_at_rest_is_taken() {
-    let row = |line| Balances {
+fn the_stricter_limit_of_an_idle_account_is_taken() {
+    let balances = |line| Balances {
         credit_limit: line,
         lent: 5,
         repaid: 2,
         ..Balances::default()
     };
-    assert_eq!(merged(&row(80), &row(20)).credit_limit, 20);
-    assert_eq!(merged(&row(20), &row(80)).credit_limit, 20);
-    // A looser one is, too, as soon as anything has moved.
+    assert_eq!(merged(&balances(80), &balances(20)).credit_limit, 20);
+    assert_eq!(merged(&balances(20), &balances(80)).credit_limit, 20);
+    // A looser one is taken too, as soon as another number has grown.
     assert_eq!(
-        merged(&row(20), &Balances { lent: 6, ..row(80) }).credit_limit,
+        merged(
+            &balances(20),
+            &Balances {
+                lent: 6,
+                ..balances(80)
+            }
+        )
+        .credit_limit,
         80
     );
 }
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of proxies that share nothing, against a count that sees all requests.
+//! Fleets of proxies, against a count that sees all requests.
 
 use quota::{OtherProxies, QuotaMeter, RequestStatus, Settings};
 use rand::{Rng, SeedableRng};
@@ -22,18 +22,18 @@
     cut: usize,
 }
 
-/// What proxies have said, the oldest first: each hears the oldest. From some time on the first `cut` and the others don't
-/// hear each other: the larger part takes the smaller for dead, who can't tell and go by what was said last.
+/// Rates that proxies have published, oldest first: each receives the oldest. From some time on the first `cut` and the others don't
+/// reach each other: the majority takes the minority for dead, and the minority goes on with the last rates that it received.
 #[derive(Default)]
-struct Words {
+struct Messages {
     age: usize,
     cut: usize,
     past: VecDeque<Vec<Vec<f64>>>,
     last: Vec<Vec<f64>>,
 }
 
-impl Words {
-    fn tell(&mut self, proxies: &mut [QuotaMeter], now: Duration, apart: bool) {
+impl Messages {
+    fn exchange(&mut self, proxies: &mut [QuotaMeter], now: Duration, apart: bool) {
         self.past.push_back(
             proxies
                 .iter_mut()
@@ -90,15 +90,15 @@
     let mut proxies = vec![QuotaMeter::new(&settings); fleet.proxies];
     let mut buckets = fleet.quotas.to_vec();
     let (mut now, mut counts) = (0.0, [[[0u32; 2]; 2]; 2]);
-    let mut words = Words {
+    let mut messages = Messages {
         age: fleet.late.unwrap_or(0),
         cut: fleet.cut,
-        ..Words::default()
+        ..Messages::default()
     };
     let (mut tells, mut passed) = (0.0, [0u32; 72]);
     while now < 72.0 {
         if fleet.late.is_some() && now >= tells {
-            words.tell(
+            messages.exchange(
                 &mut proxies,
                 Duration::from_secs_f64(now),
                 fleet.cut > 0 && now >= 30.0,
@@ -327,7 +327,7 @@
 
 /// What a tenant does without is told to the last request, whether it would have used it or not.
 #[test]
-fn what_is_withheld_is_counted_and_missing() {
+fn what_is_withheld_is_counted_and_not_available() {
     let settings = Settings {
         proxies: 1,
         quotas: vec![100.0],
@@ -342,9 +342,9 @@
         }
         if tick % 5 == 0 {
             for (quota, within) in [&mut plain, &mut short].into_iter().zip(&mut within) {
-                let mark = quota.record_request(now, 0, 0, false);
-                *within += u32::from(mark == RequestStatus::Within);
-                repaying += u32::from(mark == RequestStatus::Withheld);
+                let status = quota.record_request(now, 0, 0, false);
+                *within += u32::from(status == RequestStatus::Within);
+                repaying += u32::from(status == RequestStatus::Withheld);
             }
         }
     }
@@ -363,23 +363,23 @@
 
 /// At three times the quota dear requests get the tokens, and as many as without; who keeps to its quota loses none.
 #[test]
-fn tokens_go_to_dearer_requests_first() {
-    let shares = |worths: Vec<f64>, per_s: u64| {
+fn tokens_go_to_requests_of_more_weight_first() {
+    let shares = |weights: Vec<f64>, per_s: u64| {
         let mut quota = QuotaMeter::new(&Settings {
             proxies: 1,
             quotas: vec![100.0],
-            priority_weights: worths,
+            priority_weights: weights,
         });
         let mut within = [0u64; 3];
         for n in 0..per_s * 60 {
             let class = (n % 3) as usize;
-            let mark = quota.record_request(
+            let status = quota.record_request(
                 Duration::from_micros(n * 1_000_000 / per_s),
                 0,
                 class,
                 false,
             );
-            within[class] += u64::from(mark == RequestStatus::Within);
+            within[class] += u64::from(status == RequestStatus::Within);
         }
         within.map(|within| within as f64 / (20 * per_s) as f64)
     };
@@ -395,23 +395,23 @@
 
 /// A day of a fleet that tells keeps the quota within a hundredth; alone, each would have guessed.
 #[test]
-fn parts_that_are_told_add_up_to_the_quota() {
+fn local_quotas_of_proxies_that_exchange_rates_add_up_to_the_quota() {
     let settings = Settings {
         proxies: 12,
         quotas: vec![1_200.0],
         ..Settings::default()
     };
     let mut proxies = vec![QuotaMeter::new(&settings); 12];
-    let mut words = Words {
+    let mut messages = Messages {
         age: 1,
-        ..Words::default()
+        ..Messages::default()
     };
     let (mut within, mut seed) = (0u64, Xoshiro256PlusPlus::seed_from_u64(5));
     // Four times the quota asks, most of it of a few proxies that change every minute.
     for milli in 0..600_000u64 {
         let now = Duration::from_millis(milli);
         if milli % 1_000 == 0 {
-            words.tell(&mut proxies, now, false);
+            messages.exchange(&mut proxies, now, false);
         }
         for _ in 0..5 {
             let busy = (milli / 60_000 * 5) as usize;
@@ -442,10 +442,10 @@
             proptest::prop_assert_eq!(account.record_request(now, 1, 0, false), RequestStatus::Unlimited);
             proptest::prop_assert_eq!(account.record_request(now, 2, 0, false), RequestStatus::Unlimited);
             account.record_request(now, 0, 0, true);
-            let mark = account.record_request(now, 0, 0, false);
-            proptest::prop_assert!(!first || mark == RequestStatus::Within);
+            let status = account.record_request(now, 0, 0, false);
+            proptest::prop_assert!(!first || status == RequestStatus::Within);
             first = false;
-            within += u32::from(mark == RequestStatus::Within);
+            within += u32::from(status == RequestStatus::Within);
             let span = (now - begun).as_secs_f64();
             let most = quota * span + quota + 3.0 * quota.sqrt() + 3.0;
             proptest::prop_assert!(f64::from(within) <= most + 1e-6);
--- a/fuzz/fuzz_targets/lending.rs
+++ b/fuzz/fuzz_targets/lending.rs
@@ -1,17 +1,20 @@
-//! Any bytes as a file of loans and as what one member says of loans: no panic, nothing said that does not fit, and nothing
-//! lent: one of five is no majority of the founders.
+//! Any bytes as the file of loans and as the messages of one member: no panic, no message that is too long, and nothing lent, since one
+//! of five is no majority of the bootstrap members.
 #![no_main]
 
-use quota_lending::said::{digest, encode, number, Founded, Head, Id, BODY_BYTES, FOUNDED, PULSE};
-use quota_lending::{Action, Config, Core, Event, Member, Rule, Rules, Verdict};
+use quota_lending::identity::{bootstrap_digest, name_number, AccountId};
+use quota_lending::messages::{
+    encode, BootstrapMembers, Sender, BODY_BYTES, BOOTSTRAP_MEMBERS, HEARTBEAT,
+};
+use quota_lending::{Action, Config, Decision, Event, Lender, Member, Rule, Rules};
 use std::time::Duration;
 
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
-const STAND: &str = "stand";
-/// Of pulses, rows, claims and the others.
+const TENANT: &str = "stand";
+/// Kinds from heartbeats to votes.
 const KINDS: u8 = 6;
 
-/// A part of the bytes, led by its length.
+/// A part of the bytes, after its length.
 fn part<'a>(bytes: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (length, rest) = bytes.split_first_chunk::<2>()?;
     let length = usize::from(u16::from_le_bytes(*length)) % (BODY_BYTES + 1);
@@ -20,44 +23,44 @@
     Some(part)
 }
 
-fn founded(core: &mut Core) -> Vec<Action> {
-    let mut founders = NAMES.map(|name| Id {
-        name: number(name),
-        from: 1,
+fn bootstrap(lender: &mut Lender) -> Vec<Action> {
+    let mut bootstrap_members = NAMES.map(|name| AccountId {
+        owner: name_number(name),
+        incarnation: 1,
     });
-    founders.sort_unstable();
-    let head = Head {
-        founders: digest(&founders),
-        memory: 1,
-        lane: 1,
-        life: 1,
+    bootstrap_members.sort_unstable();
+    let sender = Sender {
+        bootstrap_digest: bootstrap_digest(&bootstrap_members),
+        state_incarnation: 1,
+        account_incarnation: 1,
+        incarnation: 1,
     };
-    let members = founders.iter().map(|id| (id.name, 0)).collect();
-    let body = encode(&Founded {
-        head,
-        least: 1,
+    let members = bootstrap_members.iter().map(|id| (id.owner, 0)).collect();
+    let body = encode(&BootstrapMembers {
+        sender,
+        least_incarnation: 1,
         members,
     })
     .expect("five fit");
     let mut actions = Vec::new();
-    let fact = Event::Fact {
+    let message = Event::Message {
         source: "b",
-        start: 1,
-        kind: FOUNDED,
+        incarnation: 1,
+        kind: BOOTSTRAP_MEMBERS,
         key: &[],
         body: &body,
         age: Duration::ZERO,
     };
-    core.handle(Duration::ZERO, fact, &mut actions);
+    lender.handle(Duration::ZERO, message, &mut actions);
     actions
 }
 
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
     let mut bytes = bytes;
     let file = part(&mut bytes);
-    let mut core = Core::new(&Config::new("a", 1, true), Duration::ZERO, file);
+    let mut lender = Lender::new(&Config::new("a", 1, true), Duration::ZERO, file);
     let rule = Rule {
-        line_time: Duration::from_secs(10),
+        limit_time: Duration::from_secs(10),
         quota: 10_000,
         term: Duration::from_secs(10),
         write_off: Duration::from_secs(10),
@@ -65,49 +68,52 @@
         classes: vec!["class".into()],
         rate_most: 10_000,
     };
-    let rules = Rules::new(vec![(STAND.into(), rule)], Duration::from_secs(120))
+    let rules = Rules::new(vec![(TENANT.into(), rule)], Duration::from_secs(120))
         .expect("the rule is sound");
     let (roster, mut actions, mut token) = (NAMES.map(String::from), Vec::new(), 0);
     let members = NAMES.map(|name| Member {
         name: name.into(),
-        start: 1,
+        incarnation: 1,
         up: true,
     });
-    let view = Event::View {
-        lend: true,
+    let membership = Event::Membership {
+        may_lend: true,
         roster: &roster,
         members: &members,
     };
-    core.handle(Duration::ZERO, view, &mut actions);
-    core.handle(Duration::ZERO, Event::Rules(rules), &mut actions);
-    actions.extend(founded(&mut core));
+    lender.handle(Duration::ZERO, membership, &mut actions);
+    lender.handle(Duration::ZERO, Event::Rules(rules), &mut actions);
+    actions.extend(bootstrap(&mut lender));
     let mut now = Duration::ZERO;
-    while let Some(said) = part(&mut bytes) {
-        now += Duration::from_millis(said.len() as u64 * 7);
-        let Some(([kind, start], body)) = said.split_first_chunk::<2>() else {
+    while let Some(published) = part(&mut bytes) {
+        now += Duration::from_millis(published.len() as u64 * 7);
+        let Some(([kind, incarnation], body)) = published.split_first_chunk::<2>() else {
             continue;
         };
-        let (kind, start) = (PULSE + kind % KINDS, u64::from(*start));
-        let key = number(STAND).to_le_bytes();
-        let fact = Event::Fact {
+        let (kind, incarnation) = (HEARTBEAT + kind % KINDS, u64::from(*incarnation));
+        let key = name_number(TENANT).to_le_bytes();
+        let message = Event::Message {
             source: "b",
-            start,
+            incarnation,
             kind,
             key: &key,
             body,
             age: Duration::ZERO,
         };
-        core.handle(now, fact, &mut actions);
-        core.handle(now, Event::Timer(token), &mut actions);
-        let asked = core.ask(now, STAND, "class", 1_000, &mut actions);
-        assert!(matches!(asked, Verdict::No(_)), "lent by one member's word");
+        lender.handle(now, message, &mut actions);
+        lender.handle(now, Event::Timer(token), &mut actions);
+        let decision = lender.decide(now, TENANT, "class", 1_000, &mut actions);
+        assert!(
+            matches!(decision, Decision::Denied(_)),
+            "lent by one member's messages"
+        );
         let mut next = 0;
         while let Some(action) = actions.get(next).cloned() {
             next += 1;
             match action {
-                Action::Tell { body, .. } => assert!(body.len() <= BODY_BYTES),
+                Action::Publish { body, .. } => assert!(body.len() <= BODY_BYTES),
                 Action::Save { sequence, .. } => {
-                    core.handle(now, Event::Saved(sequence), &mut actions)
+                    lender.handle(now, Event::Saved(sequence), &mut actions)
                 }
                 Action::Timer { token: new, .. } => token = new,
                 Action::Notice(_) => {}
