--- a/crates/quota-lending/src/bounds.rs
+++ b/crates/quota-lending/src/bounds.rs
@@ -1,4 +1,4 @@
-//! One member of the fleet that says whatever fits: what is kept of it is bounded, and none of its gifts counts twice.
+//! A member that publishes whatever it likes: what is kept of it is bounded, and none of its transfers counts twice.
 
 use crate::balances::{Balances, SentTotal};
 use crate::identity::{bootstrap_digest, name_number, AccountId};
@@ -18,7 +18,7 @@
     }
 }
 
-fn head() -> Sender {
+fn sender() -> Sender {
     let mut founders = ["a", "b", "c"].map(id);
     founders.sort_unstable();
     Sender {
@@ -29,7 +29,7 @@
     }
 }
 
-fn hear<T: serde::Serialize>(lender: &mut Lender, source: &str, kind: u8, body: &T) {
+fn receive<T: serde::Serialize>(lender: &mut Lender, source: &str, kind: u8, body: &T) {
     let (key, body, age) = (
         TENANT.to_le_bytes(),
         encode(body).expect("it fits"),
@@ -46,16 +46,16 @@
     lender.handle(Duration::ZERO, fact, &mut Vec::new());
 }
 
-fn founded() -> Lender {
+fn bootstrapped() -> Lender {
     let mut lender = Lender::new(&Config::new("a", 1, false), Duration::ZERO, None);
     let mut members = ["a", "b", "c"].map(|name| (name_number(name), 0));
     members.sort_unstable();
-    hear(
+    receive(
         &mut lender,
         "b",
         messages::BOOTSTRAP_MEMBERS,
         &BootstrapMembers {
-            sender: head(),
+            sender: sender(),
             least_incarnation: 1,
             members: members.into(),
         },
@@ -64,8 +64,8 @@
     lender
 }
 
-/// A gift of 1 to each of these.
-fn gifts(to: std::ops::Range<u32>) -> PublishedBalances {
+/// A transfer of one share to each of these.
+fn transfers(to: std::ops::Range<u32>) -> PublishedBalances {
     let gave = to
         .map(|name| {
             (
@@ -78,7 +78,7 @@
         })
         .collect();
     PublishedBalances {
-        sender: head(),
+        sender: sender(),
         balances: Balances {
             sent: gave,
             ..Balances::default()
@@ -86,7 +86,7 @@
     }
 }
 
-fn counted(lender: &Lender) -> usize {
+fn confirmed_receivers(lender: &Lender) -> usize {
     lender
         .state
         .confirmed
@@ -95,10 +95,15 @@
 }
 
 #[test]
-fn a_row_and_what_is_seen_are_bounded() {
-    let mut lender = founded();
+fn balances_and_witnessed_transfers_are_bounded() {
+    let mut lender = bootstrapped();
     for at in (0..40_000).step_by(40) {
-        hear(&mut lender, "b", messages::BALANCES, &gifts(at..at + 20));
+        receive(
+            &mut lender,
+            "b",
+            messages::BALANCES,
+            &transfers(at..at + 20),
+        );
         let others = (at..at + 40)
             .map(|name| {
                 (
@@ -110,12 +115,12 @@
                 )
             })
             .collect();
-        hear(
+        receive(
             &mut lender,
             "b",
             messages::WITNESS,
             &WitnessedTransfers {
-                sender: head(),
+                sender: sender(),
                 bootstrap_members: vec![],
                 others,
             },
@@ -132,10 +137,10 @@
     assert_eq!(lender.malformed(), 999);
 }
 
-/// It begins lane after lane: of it so many are kept, of others theirs, and of who is no member none.
+/// It opens account after account: so many of them are kept, those of others too, and none of a stranger.
 #[test]
-fn lanes_of_one_member_leave_room_for_the_others() {
-    let mut lender = founded();
+fn accounts_of_one_member_leave_room_for_the_others() {
+    let mut lender = bootstrapped();
     let (roster, mut actions) = (["a", "b", "c"].map(String::from), Vec::new());
     lender.handle(
         Duration::ZERO,
@@ -149,7 +154,7 @@
     let mut say = |source: &str, lane: u64| {
         let head = Sender {
             account_incarnation: lane,
-            ..head()
+            ..sender()
         };
         let body = encode(&Heartbeat {
             sender: head,
@@ -187,53 +192,58 @@
     assert_eq!(told.count(), 2, "once a kind: {actions:?}");
 }
 
-/// `c` heard other gifts of the same sum, and so says that it has seen as much as this row gave.
+/// `c` received other transfers of the same total, and so publishes that it has witnessed as much.
 #[test]
-fn a_row_of_more_receivers_than_are_kept_is_witnessed_by_nobody() {
+fn balances_with_too_many_receivers_are_witnessed_by_nobody() {
     let most = RECEIVERS as u32;
-    let told = |lender: &mut Lender, given: SentTotal| {
+    let witness = |lender: &mut Lender, given: SentTotal| {
         let founders =
             (0..3).filter(|at| lender.state.bootstrap_members[usize::from(*at)] == id("b"));
         let founders = founders.map(|at| (at, given)).collect();
-        hear(
+        receive(
             lender,
             "c",
             messages::WITNESS,
             &WitnessedTransfers {
-                sender: head(),
+                sender: sender(),
                 bootstrap_members: founders,
                 others: vec![],
             },
         );
     };
-    let mut honest = founded();
-    hear(&mut honest, "b", messages::BALANCES, &gifts(0..most));
-    told(&mut honest, u64::from(most).into());
+    let mut valid = bootstrapped();
+    receive(&mut valid, "b", messages::BALANCES, &transfers(0..most));
+    witness(&mut valid, u64::from(most).into());
     assert_eq!(
-        counted(&honest),
+        confirmed_receivers(&valid),
         RECEIVERS,
         "giver and one more are two of three"
     );
-    assert_eq!(honest.malformed(), 0);
+    assert_eq!(valid.malformed(), 0);
 
-    let mut lender = founded();
-    hear(&mut lender, "b", messages::BALANCES, &gifts(0..most + 1));
-    assert_eq!((counted(&lender), lender.malformed()), (0, 1));
+    let mut lender = bootstrapped();
+    receive(
+        &mut lender,
+        "b",
+        messages::BALANCES,
+        &transfers(0..most + 1),
+    );
+    assert_eq!((confirmed_receivers(&lender), lender.malformed()), (0, 1));
     assert_eq!(
         lender.state.witnessed[&(id("b"), TENANT)],
         SentTotal::INVALID,
-        "nothing of it is left to who takes the lane over"
+        "nothing of it is left to whoever takes the account over"
     );
-    hear(
+    receive(
         &mut lender,
         "b",
         messages::BALANCES,
-        &gifts(100..100 + most),
+        &transfers(100..100 + most),
     );
-    told(&mut lender, SentTotal::INVALID);
+    witness(&mut lender, SentTotal::INVALID);
     assert_eq!(
-        counted(&lender),
+        confirmed_receivers(&lender),
         0,
-        "its other gifts don't count by what was seen of these"
+        "its other transfers are not confirmed by what was witnessed of these"
     );
 }
--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no book of a lender.
+//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no totals of a lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const STEP: Duration = Duration::from_millis(250);
 
 #[derive(Clone)]
-struct Said {
+struct PublishedMessage {
     start: u64,
     sequence: u64,
     body: Vec<u8>,
@@ -69,7 +69,7 @@
     clock: Clock,
     process: Option<Process>,
     file: Option<Vec<u8>>,
-    said: BTreeMap<Key, VecDeque<Said>>,
+    said: BTreeMap<Key, VecDeque<PublishedMessage>>,
     /// Loans that are out, by the time of its clock, of this memory and of former ones.
     loans: VecDeque<(Duration, u64)>,
     former: VecDeque<(Duration, u64)>,
@@ -86,20 +86,20 @@
     guards: Guards,
     sequence: u64,
     quota: Vec<u64>,
-    /// Lanes that were taken, by whom.
+    /// Accounts that were taken over, by whom.
     taken: BTreeMap<AccountId, usize>,
     pub lent: u64,
-    pub takings: usize,
-    wrong_views: bool,
-    pub sound_disks: bool,
+    pub takeovers: usize,
+    wrong_memberships: bool,
+    pub reliable_disks: bool,
     /// Nothing is asked beyond quota.
     pub quiet: bool,
-    /// Bytes of all that was said.
-    pub told: usize,
+    /// Bytes of all messages.
+    pub published_bytes: usize,
     /// How readily links heal.
-    heals: f64,
+    heal_probability: f64,
     /// Is killed then.
-    doomed: Option<(usize, Duration)>,
+    kill_at: Option<(usize, Duration)>,
 }
 
 impl Fleet {
@@ -131,13 +131,13 @@
             quota: vec![members as u64 * 4000; members],
             taken: BTreeMap::new(),
             lent: 0,
-            takings: 0,
-            wrong_views: true,
-            sound_disks: false,
+            takeovers: 0,
+            wrong_memberships: true,
+            reliable_disks: false,
             quiet: false,
-            told: 0,
-            heals: if seed.is_multiple_of(2) { 1.0 } else { 0.2 },
-            doomed: None,
+            published_bytes: 0,
+            heal_probability: if seed.is_multiple_of(2) { 1.0 } else { 0.2 },
+            kill_at: None,
         };
         (0..members).for_each(|at| fleet.start(at, true));
         fleet
@@ -156,7 +156,7 @@
         Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
     }
 
-    fn line(&self) -> u64 {
+    fn credit_limit(&self) -> u64 {
         self.quota
             .iter()
             .max()
@@ -221,10 +221,10 @@
                 } => {
                     assert!(body.len() <= 512 && key.len() <= 32, "a fact is too long");
                     self.sequence += 1;
-                    self.told += body.len() + key.len();
+                    self.published_bytes += body.len() + key.len();
                     let node = &mut self.nodes[at];
                     let start = node.process.as_ref().map_or(0, |process| process.start);
-                    let said = Said {
+                    let said = PublishedMessage {
                         start,
                         sequence: self.sequence,
                         body,
@@ -239,7 +239,7 @@
                 }
                 Action::Save { sequence, bytes } => {
                     // A disk that is slow, or gives up: then nothing is confirmed until the next start.
-                    if self.rng.random_range(0..2000) > 0 || self.sound_disks {
+                    if self.rng.random_range(0..2000) > 0 || self.reliable_disks {
                         self.nodes[at].file = Some(bytes);
                         self.event(at, Event::Saved(sequence));
                     }
@@ -260,7 +260,7 @@
         self.side[a] == self.side[b]
     }
 
-    fn view(&mut self, at: usize) {
+    fn update_membership(&mut self, at: usize) {
         let members: Vec<Member> = (0..self.nodes.len())
             .map(|other| Member {
                 name: self.nodes[other].name.clone(),
@@ -274,7 +274,7 @@
             .collect();
         let roster: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
         let heard = members.iter().filter(|member| member.up).count();
-        let lend = heard * 2 > members.len() || self.wrong_views && self.rng.random_bool(0.3);
+        let lend = heard * 2 > members.len() || self.wrong_memberships && self.rng.random_bool(0.3);
         self.event(
             at,
             Event::Membership {
@@ -285,8 +285,8 @@
         );
     }
 
-    /// What one knows of all that another knows or says, some of it old or twice, some lost.
-    fn hear(&mut self, at: usize, from: usize) {
+    /// One receives what another knows or publishes: some of it old or twice, some lost.
+    fn receive(&mut self, at: usize, from: usize) {
         let keys: Vec<Key> = {
             let Some(there) = &self.nodes[from].process else {
                 return;
@@ -309,7 +309,7 @@
                 .and_then(|process| process.known.get(&key))
                 .copied();
             let versions = &self.nodes[key.0].said[&key];
-            let has = |said: &&Said| {
+            let has = |said: &&PublishedMessage| {
                 key.0 == from || there.is_some_and(|v| (said.start, said.sequence) <= v)
             };
             let mut versions = versions.iter().rev().filter(has);
@@ -379,12 +379,12 @@
         node.paid(local, paid);
     }
 
-    /// One quarter second: trouble, words, requests; then the checker.
-    pub fn step(&mut self, trouble: bool) -> Result<(), String> {
+    /// A quarter of a second: faults, messages, requests; then the checker.
+    pub fn step(&mut self, faults: bool) -> Result<(), String> {
         self.now += Duration::from_millis(250);
         let members = self.nodes.len();
-        if trouble {
-            self.trouble();
+        if faults {
+            self.faults();
         }
         for at in 0..members {
             if self.nodes[at]
@@ -395,7 +395,7 @@
                 continue;
             }
             if self.rng.random_range(0..4) == 0 || self.now < Duration::from_secs(1) {
-                self.view(at);
+                self.update_membership(at);
             }
             let process = self.nodes[at]
                 .process
@@ -411,7 +411,7 @@
                     let awake =
                         |node: &Node| node.process.as_ref().is_some_and(|there| !there.paused);
                     if awake(&self.nodes[from]) {
-                        self.hear(at, from);
+                        self.receive(at, from);
                     }
                 }
             }
@@ -423,7 +423,7 @@
             }
             if self.rng.random_bool(0.3) {
                 let amount = self.rng.random_range(0..4000);
-                self.repay(at, amount, trouble);
+                self.repay(at, amount, faults);
             }
         }
         self.check()
@@ -433,8 +433,8 @@
         (self.now.as_secs() / 5) as usize % self.nodes.len()
     }
 
-    fn trouble(&mut self) {
-        if let Some((at, _)) = self.doomed.take_if(|(_, when)| *when <= self.now) {
+    fn faults(&mut self) {
+        if let Some((at, _)) = self.kill_at.take_if(|(_, when)| *when <= self.now) {
             self.nodes[at].process = None;
         }
         let at = self.rng.random_range(0..self.nodes.len());
@@ -451,7 +451,7 @@
                     .map(|_| self.rng.random_range(0..sides))
                     .collect();
             }
-            3..6 if self.rng.random_bool(self.heals) => self.side.fill(0),
+            3..6 if self.rng.random_bool(self.heal_probability) => self.side.fill(0),
             6 => self.side[at] = 9,
             7 => self.drops = self.rng.random_range(0..60),
             8 => self.drops = 0,
@@ -465,7 +465,7 @@
                 let busy = self.busy();
                 let giver = (busy + self.nodes.len() - 1) % self.nodes.len();
                 (self.side[busy], self.side[giver]) = (8, 8);
-                self.doomed = Some((giver, self.now + Duration::from_millis(750)));
+                self.kill_at = Some((giver, self.now + Duration::from_millis(750)));
             }
             20 => {
                 // Killed while it wrote: torn.
@@ -520,7 +520,7 @@
             }
             for lane in process.lender.accounts_taken_over() {
                 let first = *self.taken.entry(lane).or_insert_with(|| {
-                    self.takings += 1;
+                    self.takeovers += 1;
                     at
                 });
                 if first != at {
@@ -531,8 +531,8 @@
                 }
             }
         }
-        if out + may > self.line() {
-            let line = self.line();
+        if out + may > self.credit_limit() {
+            let line = self.credit_limit();
             return Err(format!(
                 "{out} is owed at {:?}, {may} may be lent, of a line of {line}",
                 self.now
@@ -541,8 +541,8 @@
         Ok(())
     }
 
-    /// The most that a lane says that it gave in all.
-    pub fn given(&self) -> u64 {
+    /// The most that any account has sent in all.
+    pub fn sent_most(&self) -> u64 {
         let said = self
             .nodes
             .iter()
@@ -564,7 +564,7 @@
         self.nodes.iter().filter(founded).count()
     }
 
-    /// A schedule: founded in peace, then trouble.
+    /// A schedule: bootstrap without faults, then faults.
     pub fn play(seed: u64, members: usize, steps: usize, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Fleet::new(seed, members, !seed.is_multiple_of(4), guards);
         for _ in 0..80 {
@@ -589,8 +589,8 @@
         (0..steps).try_for_each(|_| self.step(false))
     }
 
-    /// One gives to another when nobody else hears them, and dies; its lane is taken over, and then the other returns.
-    pub fn gift_in_the_dark(seed: u64, guards: Guards) -> Result<Fleet, String> {
+    /// One sends shares to another when nobody else hears them, and dies; its account is taken over, and then the other returns.
+    pub fn unwitnessed_transfer(seed: u64, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Self::peace(seed, guards)?;
         fleet.steps(1 + (seed % 6) as usize)?;
         let (to, from) = (fleet.busy(), (fleet.busy() + 4) % 5);
@@ -604,7 +604,7 @@
         Ok(fleet)
     }
 
-    /// One is cut off until its lane is taken over, and then is heard again.
+    /// One is cut off until its account is taken over, and then is heard again.
     pub fn cut_off(seed: u64, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Self::peace(seed, guards)?;
         fleet.side[(seed % 5) as usize] = 9;
@@ -630,7 +630,7 @@
     pub fn stricter(seed: u64) -> Result<(u64, u64), String> {
         let mut fleet = Self::peace(seed, Guards::ALL)?;
         let at = (seed % 5) as usize;
-        let former = fleet.line();
+        let former = fleet.credit_limit();
         fleet.quota[at] /= 4;
         let rules = fleet.rules(at);
         fleet.event(at, Event::Rules(rules));
--- a/crates/quota-lending/tests/schedules.rs
+++ b/crates/quota-lending/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of trouble. `cargo test --release -p lending --test schedules -- --ignored --nocapture` plays 10,000.
+//! Seeded schedules of faults. `cargo test --release -p quota-lending --test schedules -- --ignored --nocapture` plays 10,000.
 
 mod fleet;
 
@@ -12,17 +12,17 @@
     let began = Instant::now();
     let count = seeds.end - seeds.start;
     let part = &|thread: usize| {
-        let (mut lent, mut takings, mut founded) = (0, 0, 0);
+        let (mut lent, mut takeovers, mut founded) = (0, 0, 0);
         for seed in seeds.clone().skip(thread).step_by(THREADS) {
             let fleet = Fleet::play(seed, members, steps, Guards::ALL)
                 .unwrap_or_else(|wrong| panic!("seed {seed}, {members} members: {wrong}"));
-            (lent, takings) = (lent + fleet.lent / 1000, takings + fleet.takings);
+            (lent, takeovers) = (lent + fleet.lent / 1000, takeovers + fleet.takeovers);
             founded += usize::from(fleet.founded() > 0);
         }
-        (lent, takings, founded)
+        (lent, takeovers, founded)
     };
     let add = |a: (u64, usize, usize), b: (u64, usize, usize)| (a.0 + b.0, a.1 + b.1, a.2 + b.2);
-    let (lent, takings, founded) = std::thread::scope(|scope| {
+    let (lent, takeovers, founded) = std::thread::scope(|scope| {
         let all: Vec<_> = (0..THREADS)
             .map(|thread| scope.spawn(move || part(thread)))
             .collect();
@@ -31,17 +31,17 @@
             .fold((0, 0, 0), add)
     });
     println!(
-        "{count} schedules of {members}: {lent} loans, {takings} lanes taken over, founded in {founded}, {:?}",
+        "{count} schedules of {members}: {lent} loans, {takeovers} lanes taken over, founded in {founded}, {:?}",
         began.elapsed()
     );
     assert!(
-        lent > count * 20 && takings > 0,
+        lent > count * 20 && takeovers > 0,
         "schedules in which nothing happens prove nothing"
     );
 }
 
 #[test]
-fn the_line_holds_in_schedules_of_trouble() {
+fn the_credit_limit_holds_in_schedules_of_faults() {
     play(0..200, 5, 400);
 }
 
@@ -128,7 +128,7 @@
     for (name, guards) in without {
         let noticed = (0..400).find_map(|seed| {
             let played = match name {
-                "witness" => Fleet::gift_in_the_dark(seed, guards),
+                "witness" => Fleet::unwitnessed_transfer(seed, guards),
                 "reserve" => Fleet::kill_and_return(seed, guards),
                 "lease" | "frozen" => Fleet::cut_off(seed, guards),
                 _ => Fleet::play(seed, 5, 400, guards),
@@ -141,74 +141,74 @@
 }
 
 #[test]
-fn lanes_of_the_dead_and_of_the_cut_off_are_taken_once() {
-    let mut takings = 0;
+fn accounts_of_the_dead_and_of_the_cut_off_are_taken_over_once() {
+    let mut takeovers = 0;
     for seed in 0..20 {
         for play in [
-            Fleet::gift_in_the_dark,
+            Fleet::unwitnessed_transfer,
             Fleet::cut_off,
             Fleet::kill_and_return,
         ] {
-            takings += play(seed, Guards::ALL)
+            takeovers += play(seed, Guards::ALL)
                 .unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"))
-                .takings;
+                .takeovers;
         }
     }
     assert!(
-        takings >= 30,
-        "{takings} lanes were taken over in 60 schedules"
+        takeovers >= 30,
+        "{takeovers} lanes were taken over in 60 schedules"
     );
 }
 
-/// Bytes a second that each says: with loans, and long after.
-fn said(members: usize) -> [usize; 2] {
+/// Bytes a second that each publishes: with loans, and long after.
+fn published(members: usize) -> [usize; 2] {
     let mut fleet = Fleet::new(1, members, true, Guards::ALL);
-    fleet.sound_disks = true;
+    fleet.reliable_disks = true;
     fleet
         .steps(140)
         .unwrap_or_else(|wrong| panic!("{members} members: {wrong}"));
     assert!(fleet.founded() == members || members > 55);
-    let mut said = |quiet, steps: usize| {
-        (fleet.quiet, fleet.told) = (quiet, 0);
+    let mut bytes = |quiet, steps: usize| {
+        (fleet.quiet, fleet.published_bytes) = (quiet, 0);
         fleet
             .steps(steps)
             .unwrap_or_else(|wrong| panic!("{members} members: {wrong}"));
-        fleet.told * 4 / steps / members
+        fleet.published_bytes * 4 / steps / members
     };
-    let busy = said(false, 80);
-    said(true, 160);
-    [busy, said(true, 40)]
+    let busy = bytes(false, 80);
+    bytes(true, 160);
+    [busy, bytes(true, 40)]
 }
 
 #[test]
-fn what_is_unchanged_is_said_rarely() {
-    let [busy, quiet] = said(5);
+fn unchanged_messages_are_repeated_rarely() {
+    let [busy, quiet] = published(5);
     println!("5 members: {busy} bytes a second of each, {quiet} when nothing is lent");
     assert!(busy < 2_000 && quiet < 600, "{busy} and {quiet}");
 }
 
 #[test]
 #[ignore = "a minute"]
-fn what_is_said_by_fifty_and_by_two_hundred() {
+fn bytes_published_by_fifty_and_by_two_hundred() {
     for members in [50, 200] {
-        println!("{members} members: {:?}", said(members));
+        println!("{members} members: {:?}", published(members));
     }
 }
 
-/// A busy stand's line goes round the fleet until each lane has given it away many times.
+/// A busy tenant's shares go round the fleet until each account has sent them away many times.
 #[test]
-fn gifts_go_on_beyond_what_thirty_two_bits_count() {
+fn transfers_go_on_beyond_totals_of_thirty_two_bits() {
     for seed in 0..2 {
         let mut fleet = Fleet::peace(seed, Guards::ALL).unwrap_or_else(|wrong| panic!("{wrong}"));
-        fleet.sound_disks = true;
+        fleet.reliable_disks = true;
         fleet
             .steps(8000)
             .unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
         let lent = fleet.lent;
         assert!(
-            fleet.given() > u64::from(u32::MAX),
+            fleet.sent_most() > u64::from(u32::MAX),
             "seed {seed}: {}",
-            fleet.given()
+            fleet.sent_most()
         );
         fleet
             .steps(400)
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn the_stricter_of_two_lines_holds_for_all() {
+fn the_stricter_of_two_limits_holds_for_all() {
     for seed in 0..10 {
         let (parts, line) =
             Fleet::stricter(seed).unwrap_or_else(|wrong| panic!("seed {seed}: {wrong}"));
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn each_reason_for_no_is_said_and_the_floor_stays() {
+fn each_reason_for_denial_is_given_and_the_floor_stays() {
     let mut fleet = Fleet::founded_in_peace(1);
     assert!(matches!(
         fleet.exhaust(0),
