--- a/crates/leverproxy/src/cluster/rollout/observation.rs
+++ b/crates/leverproxy/src/cluster/rollout/observation.rs
@@ -3,7 +3,7 @@
 use super::{Rollout, FIRST_FACT_KIND};
 use crate::cluster::members::Members;
 use crate::observability::counters::Counters;
-use crate::observability::goodput::Sum;
+use crate::observability::goodput::Totals;
 use ::rollout::{ClassCounts, Observation, Peer, PeerFact, KINDS};
 use membership::{GuardedOperation, Status};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
                 .flat_map(|kind| peer_facts(members, kind, now))
                 .collect(),
             class_counts: class_counts(counters),
-            total_counts: whole_counts(0, counters.worth.total()),
+            total_counts: whole_counts(0, counters.goodput.total()),
         }
     }
 
@@ -85,12 +85,12 @@
 
 fn class_counts(counters: &Counters) -> Vec<ClassCounts> {
     // Several places in the settings can have one class name.
-    let mut sums: BTreeMap<u32, Sum> = BTreeMap::new();
-    for (class, more) in counters.worth.classes() {
+    let mut sums: BTreeMap<u32, Totals> = BTreeMap::new();
+    for (class, more) in counters.goodput.classes() {
         let sum = sums
             .entry(membership::member_id(counters.name(class)))
             .or_default();
-        (sum.asked, sum.lost) = (sum.asked + more.asked, sum.lost + more.lost);
+        (sum.requested, sum.lost) = (sum.requested + more.requested, sum.lost + more.lost);
     }
     sums.into_iter()
         .map(|(class, sum)| whole_counts(class, sum))
@@ -98,10 +98,10 @@
 }
 
 /// Whole numbers: a fraction that is cut off here comes with the next report.
-fn whole_counts(class: u32, sum: Sum) -> ClassCounts {
+fn whole_counts(class: u32, sum: Totals) -> ClassCounts {
     ClassCounts {
         class,
-        offered: sum.asked as u64,
+        offered: sum.requested as u64,
         lost: sum.lost as u64,
     }
 }
--- a/crates/leverproxy/src/pipeline/actions.rs
+++ b/crates/leverproxy/src/pipeline/actions.rs
@@ -49,11 +49,11 @@
                 io.upstream.cancel(Purpose::Attempt(id, attempt), now)
             }
             Action::Reject { id, retry_after } => {
-                self.monitor.settled(id, true);
+                self.monitor.record_outcome(id, true);
                 self.answer(id, Answer::Refused(retry_after), io, now);
             }
             Action::Fail { id } => {
-                self.monitor.settled(id, false);
+                self.monitor.record_outcome(id, false);
                 self.answer(id, Answer::Failed, io, now);
             }
             Action::Timer { after, token } => {
@@ -76,18 +76,18 @@
         io: &mut IoEndpoints,
         now: Instant,
     ) {
-        self.monitor.settled(id, false);
+        self.monitor.record_outcome(id, false);
         let Some(open) = self.open_requests.get_mut(id) else {
             return;
         };
         let exchange = send::attempt(id, open, limits.0, limits.1, now);
-        self.monitor.sent(Some(open.group), server, now);
+        self.monitor.exchange_started(Some(open.group), server, now);
         io.upstream.start(server, exchange, now, &io.reactor);
     }
 
     fn send_probe(&mut self, server: ServerId, io: &mut IoEndpoints, now: Instant) {
         self.counters.probe_sent();
-        self.monitor.sent(None, server, now);
+        self.monitor.exchange_started(None, server, now);
         let exchange = send::probe(self.probe_timeout, now);
         io.upstream.start(server, exchange, now, &io.reactor);
     }
@@ -96,7 +96,7 @@
     pub fn probe_reachability(&mut self, io: &mut IoEndpoints, now: Instant) {
         let server = self
             .monitor
-            .knock(|server| io.upstream.may_probe_reachability(server));
+            .server_to_dial(|server| io.upstream.may_probe_reachability(server));
         if let Some(server) = server {
             io.upstream.probe_reachability(server, now, &io.reactor);
         }
--- a/crates/leverproxy/src/pipeline/answers.rs
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -37,9 +37,10 @@
         let took = now.saturating_duration_since(open.read_at);
         self.counters
             .answered(open.class, open.quota_status, &answer, took);
-        self.quota.ended(&open, Some(&answer), now);
+        self.quota.record_end(&open, Some(&answer), now);
         let is_write = self.is_write(Some(open.class));
-        self.monitor.answered(open.group, is_write, &answer, now);
+        self.monitor
+            .request_answered(open.group, is_write, &answer, now);
         match (open.streaming, &answer) {
             // The answer has begun to reach the client and won't be completed: the client sees that by the end of its
             // connection.
--- a/crates/leverproxy/src/pipeline/endpoints.rs
+++ b/crates/leverproxy/src/pipeline/endpoints.rs
@@ -57,7 +57,7 @@
         let monitor = &mut self.monitor;
         match event {
             WatchEvent::Unchanged => {
-                monitor.event(now, availability::Event::ListHeard);
+                monitor.handle(now, availability::Event::ListReceived);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
                     // Nothing has changed since the list that this process started with.
                     let unchanged = EndpointUpdate::Changes(Vec::new());
@@ -66,8 +66,8 @@
             }
             WatchEvent::List(listing) => self.on_listing(listing, io, now),
             WatchEvent::Lost => {
-                monitor.list(false, now);
-                monitor.event(now, availability::Event::Discovery { heard: false });
+                monitor.list_updated(false, now);
+                monitor.handle(now, availability::Event::Discovery { connected: false });
                 self.counters.watches_lost += 1;
             }
             WatchEvent::CallFailed => {
@@ -77,14 +77,14 @@
     }
 
     fn on_listing(&mut self, listing: EndpointList, io: &mut IoEndpoints, now: Instant) {
-        let discovery_heard = availability::Event::Discovery { heard: true };
-        self.monitor.event(now, discovery_heard);
-        self.monitor.event(now, availability::Event::ListHeard);
+        let discovery_heard = availability::Event::Discovery { connected: true };
+        self.monitor.handle(now, discovery_heard);
+        self.monitor.handle(now, availability::Event::ListReceived);
         self.counters.lists += 1;
         self.list_confirmed = true;
         let update = self.directory.apply(listing, &self.names);
         self.apply_endpoint_update(update, io, now);
-        self.monitor.list(true, now);
+        self.monitor.list_updated(true, now);
     }
 
     /// Notifies the monitor and the upstream side, then the decision module: it learns of a list before the attempts
@@ -118,7 +118,7 @@
             ServerChange::Unavailable(server) => Some(*server).filter(|server| !is_listed(server)),
             ServerChange::Available(..) => None,
         });
-        self.monitor.listed(entries, removed, now);
+        self.monitor.endpoints_updated(entries, removed, now);
     }
 
     /// Excludes a server by an operator's command, or includes it again.
@@ -137,7 +137,7 @@
             .directory
             .set_excluded(name, excluded, unix, &self.names)?;
         if let Some(update) = changed {
-            self.monitor.hands(&update.endpoints, now);
+            self.monitor.servers_excluded(&update.endpoints, now);
             self.apply_endpoint_update(update, io, now);
         }
         Ok(())
@@ -151,7 +151,7 @@
         now: Instant,
     ) {
         for update in self.directory.restore_exclusions(exclusions, &self.names) {
-            self.monitor.hands(&update.endpoints, now);
+            self.monitor.servers_excluded(&update.endpoints, now);
             self.apply_endpoint_update(update, io, now);
         }
     }
--- a/crates/leverproxy/src/pipeline/events.rs
+++ b/crates/leverproxy/src/pipeline/events.rs
@@ -23,7 +23,7 @@
     /// request is routed by what is known by then.
     fn process_next_event(&mut self, io: &mut IoEndpoints, now: Instant) -> bool {
         if let Some(signal) = io.upstream.pop_signal() {
-            self.monitor.sign(signal, now);
+            self.monitor.handle_signal(signal, now);
         } else if let Some(event) = io.discovery.pop_event() {
             self.on_discovery_event(event, io, now);
         } else if let Some(chunk) = io.upstream.pop_chunk() {
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -61,7 +61,7 @@
         now: Instant,
     ) {
         self.counters.ended(completed.class, &completed.outcome);
-        self.monitor.ended(&completed, now);
+        self.monitor.exchange_ended(&completed, now);
         let latest = self.latest_position(&completed, now);
         let Purpose::Attempt(id, attempt) = completed.purpose else {
             return self.record_event(record::record(&completed, true, latest), io, now);
@@ -136,7 +136,7 @@
         };
         if let Some((server, position, primary)) = position {
             self.monitor
-                .told(server, position, primary, &self.clock, now);
+                .role_reported(server, position, primary, &self.clock, now);
         }
         self.decide(event, io, now);
     }
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -43,11 +43,12 @@
             Ok(pool) => pool,
             Err(answer) => return self.reject(slot, class, answer, io, now),
         };
-        self.quota.mark(&mut arrival, request.tenant.is_some(), now);
+        self.quota
+            .set_status(&mut arrival, request.tenant.is_some(), now);
         self.open_requests
             .admit(&arrival, slot, class, pool, request);
         self.counters.taken(class);
-        arrival.shed_fraction = self.monitor.arrived(&arrival, now);
+        arrival.shed_fraction = self.monitor.request_arrived(&arrival, now);
         self.decide(Event::RequestArrived(arrival), io, now);
     }
 
@@ -137,8 +138,8 @@
         if let Some((_, connection)) = open.streaming {
             io.upstream.abandon_response(connection, now);
         }
-        self.quota.ended(&open, None, now);
-        self.monitor.left(id, open.group, now);
+        self.quota.record_end(&open, None, now);
+        self.monitor.client_left(id, open.group, now);
         self.decide(Event::ClientLeft(id), io, now);
         Some(open)
     }
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -2,7 +2,7 @@
 //! bound it, count it against a pool or reject it; which server gets it stays the decision module's choice.
 
 use crate::request::{Answer, Request};
-use bulkheads::{Bulkheads, Cause, PoolId, Priority, Verdict};
+use bulkheads::{Admission, Bulkheads, PoolId, Priority, RejectionCause};
 use configuration::calendar::Moment;
 use configuration::index::{Facts, Index};
 use routing::{Arrival, ClassId, Time};
@@ -180,12 +180,12 @@
         let Some(pool) = pool.copied() else {
             return Ok(None);
         };
-        match self.pools.take(pool, action.priority, at.0) {
-            Verdict::Taken => Ok(Some(pool)),
-            Verdict::Refused { cause, retry_after } => {
+        match self.pools.admit(pool, action.priority, at.0) {
+            Admission::Admitted => Ok(Some(pool)),
+            Admission::Rejected { cause, retry_after } => {
                 match cause {
-                    Cause::Full => self.counts.pool_full += 1,
-                    Cause::Fast => self.counts.pool_fast += 1,
+                    RejectionCause::Concurrency => self.counts.pool_full += 1,
+                    RejectionCause::Rate => self.counts.pool_fast += 1,
                 }
                 Err(self.rejection(Some(retry_after)))
             }
@@ -194,7 +194,7 @@
 
     /// Frees a request's place in its pool. `held`: how long the request was open.
     pub fn release_pool(&mut self, pool: PoolId, held: Duration) {
-        self.pools.give_back(pool, held);
+        self.pools.release(pool, held);
     }
 
     fn rejection(&self, retry_after: Option<Duration>) -> Answer {
@@ -217,10 +217,10 @@
         }
         for (name, counts) in self.pools.counts() {
             let bulkheads::Counts {
-                open,
-                taken,
-                full,
-                fast,
+                in_flight: open,
+                admitted: taken,
+                rejected_concurrency: full,
+                rejected_rate: fast,
             } = counts;
             write!(
                 f,
--- a/crates/leverproxy/src/pipeline/state.rs
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -64,7 +64,7 @@
         } = platform;
         monitor.configure(&settings);
         let mut counters = Counters::new(&names.classes);
-        counters.worth.configure(&settings);
+        counters.goodput.configure(&settings);
         Pipeline {
             counters,
             monitor,
@@ -101,7 +101,7 @@
             ..
         } = next;
         self.counters.extend(&names.classes);
-        self.counters.worth.configure(&settings);
+        self.counters.goodput.configure(&settings);
         self.deadlines = class_deadlines(&settings);
         self.write_classes = find_write_classes(&settings);
         (self.names, self.probe_timeout) = (names, probe_timeout);
--- a/crates/leverproxy/src/proxy/drain.rs
+++ b/crates/leverproxy/src/proxy/drain.rs
@@ -48,12 +48,12 @@
         let monitor = &mut self.pipeline.monitor;
         match action {
             Action::AnnounceDrain if self.drain.is_terminating() => {
-                monitor.event(now, availability::Event::Stop);
+                monitor.handle(now, availability::Event::Stop);
             }
-            Action::AnnounceDrain => monitor.event(now, availability::Event::Drain),
-            Action::RetractDrain => monitor.event(now, availability::Event::Undrain),
+            Action::AnnounceDrain => monitor.handle(now, availability::Event::Drain),
+            Action::RetractDrain => monitor.handle(now, availability::Event::Undrain),
             Action::LimitDeadlines(end) => {
-                monitor.event(now, availability::Event::Stop);
+                monitor.handle(now, availability::Event::Stop);
                 self.pipeline
                     .set_termination_deadline(self.started_at + end);
             }
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -39,7 +39,7 @@
     fn dispatch(&mut self, until: Option<Instant>, ready: &mut [Ready]) {
         let woken = Instant::now();
         let late = until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at));
-        self.pipeline.monitor.busy(late);
+        self.pipeline.monitor.record_lag(late);
         ready.sort_by_key(|event| event.priority());
         for &event in ready.iter() {
             self.on_ready(event);
@@ -48,7 +48,7 @@
         while let Some(timer) = self.io.timers.pop_due(now) {
             self.on_timer(timer, now);
         }
-        self.pipeline.monitor.busy(woken.elapsed());
+        self.pipeline.monitor.record_lag(woken.elapsed());
     }
 
     fn log_end(&self) {
@@ -104,10 +104,10 @@
         };
         members.receive_datagrams(now);
         for fact in members.take_facts() {
-            if usage::is_unread(&fact) {
+            if usage::is_malformed(&fact) {
                 members.count_malformed_rates();
             }
-            self.pipeline.quota.heard(&fact, now);
+            self.pipeline.quota.receive(&fact, now);
         }
     }
 
--- a/crates/leverproxy/src/proxy/fleet.rs
+++ b/crates/leverproxy/src/proxy/fleet.rs
@@ -3,7 +3,7 @@
 use super::state::Proxy;
 use crate::clock;
 use crate::cluster::members::Members;
-use crate::cluster::quota_lending::Lending;
+use crate::cluster::quota_lending::QuotaLending;
 use crate::persistence::hot_restart::links::HotRestart;
 use crate::pipeline::TimerKind;
 use configuration::calendar::Window;
@@ -59,7 +59,7 @@
                 log::info!("members: the file names none any more; the fleet is left");
                 members.leave(now);
                 self.members = None;
-                self.pipeline.quota.alone();
+                self.pipeline.quota.leave_fleet();
             }
             (None, None, _) => {}
         }
@@ -95,14 +95,14 @@
         let mut deferred = Vec::new();
         match (lending.as_mut(), settings) {
             (Some(lending), Some(settings)) => deferred = lending.reload(settings, windows),
-            (Some(lending), None) => lending.end(),
+            (Some(lending), None) => lending.stop_lending(),
             (None, Some(settings)) if self.members.is_some() => match self.commands.waker() {
-                Ok(waker) => *lending = Some(Lending::new(settings, windows, waker, now)),
+                Ok(waker) => *lending = Some(QuotaLending::new(settings, windows, waker, now)),
                 Err(error) => log::error!("loans: {error}; nothing is lent here"),
             },
             (None, _) => {}
         }
-        self.pipeline.quota.rule(now);
+        self.pipeline.quota.update_lending_rules(now);
         deferred
     }
 }
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -3,7 +3,7 @@
 use super::state::{Proxy, RestartSettings};
 use crate::clock;
 use crate::cluster::members::Members;
-use crate::cluster::quota_lending::Lending;
+use crate::cluster::quota_lending::QuotaLending;
 use crate::cluster::rollout::Rollout;
 use crate::config::Config;
 use crate::control::admin::Admin;
@@ -60,7 +60,7 @@
         proxy.load_endpoints(&config, handover.state, recovered, now);
         proxy.join_old_process(handover.link, handover.in_place);
         let event = availability::Event::Started;
-        proxy.pipeline.monitor.event(now, event);
+        proxy.pipeline.monitor.handle(now, event);
         proxy.incarnation = clock::unix_ms().max(last_incarnation.saturating_add(1));
         proxy.join_fleet(config, new_process, now)?;
         Ok(proxy)
@@ -198,9 +198,9 @@
         self.io.timers.set(now, TimerKind::Quota);
         if let Some(settings) = config.lending {
             let waker = self.commands.waker()?;
-            let lending = Lending::new(settings, config.windows, waker, now);
+            let lending = QuotaLending::new(settings, config.windows, waker, now);
             self.pipeline.quota.lending = Some(lending);
-            self.pipeline.quota.rule(now);
+            self.pipeline.quota.update_lending_rules(now);
         }
         Ok(())
     }
--- a/crates/leverproxy/src/proxy/timers.rs
+++ b/crates/leverproxy/src/proxy/timers.rs
@@ -30,7 +30,7 @@
     fn close_expired(&mut self, now: Instant) {
         let io = &mut self.io;
         let next_check = io.downstream.close_expired(now, &io.reactor);
-        io.health.look_over(now, &io.reactor);
+        io.health.close_slow(now, &io.reactor);
         if let Some(control_socket) = &mut io.control_socket {
             control_socket.close_expired(now);
         }
@@ -41,14 +41,14 @@
     }
 
     fn measure_load(&mut self, now: Instant) {
-        self.pipeline.monitor.look(self.usage(), now);
+        self.pipeline.monitor.sample_load(self.usage(), now);
         self.io.health.publish(&self.pipeline.monitor.status());
         if self.probes_reachability {
             self.pipeline.probe_reachability(&mut self.io, now);
         }
         self.io
             .timers
-            .set(now + monitor::LOOK, TimerKind::MeasureLoad);
+            .set(now + monitor::SAMPLE_INTERVAL, TimerKind::MeasureLoad);
     }
 
     fn on_members_timer(&mut self, token: u64, now: Instant) {
@@ -59,8 +59,10 @@
 
     fn check_quota(&mut self, now: Instant) {
         if let Some(members) = &mut self.members {
-            self.pipeline.quota.look(members, now);
-            self.io.timers.set(now + quota::LOOK, TimerKind::Quota);
+            self.pipeline.quota.poll(members, now);
+            self.io
+                .timers
+                .set(now + quota::POLL_INTERVAL, TimerKind::Quota);
         }
     }
 
--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -1,21 +1,22 @@
-//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no book of a core.
+//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no totals of a lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use quota_lending::said::{decode, Id, SaidRow, ROW};
-use quota_lending::{Action, Config, Core, Event, Guards, Member, Rule, Rules, Verdict};
+use quota_lending::identity::AccountId;
+use quota_lending::messages::{decode, PublishedBalances, BALANCES};
+use quota_lending::{Action, Config, Decision, Event, Guards, Lender, Member, Rule, Rules};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-pub const STAND: &str = "depot";
+pub const TENANT: &str = "depot";
 const TERM: Duration = Duration::from_millis(1500);
 const WRITE_OFF: Duration = Duration::from_millis(1500);
-pub const LINE_SECONDS: u64 = 4;
+pub const LIMIT_SECONDS: u64 = 4;
 const STEP: Duration = Duration::from_millis(250);
 
 #[derive(Clone)]
-struct Said {
+struct PublishedMessage {
     start: u64,
     sequence: u64,
     body: Vec<u8>,
@@ -26,7 +27,7 @@
 type Key = (usize, u8, Vec<u8>);
 
 struct Process {
-    core: Core,
+    lender: Lender,
     start: u64,
     token: u64,
     due: Duration,
@@ -68,7 +69,7 @@
     clock: Clock,
     process: Option<Process>,
     file: Option<Vec<u8>>,
-    said: BTreeMap<Key, VecDeque<Said>>,
+    said: BTreeMap<Key, VecDeque<PublishedMessage>>,
     /// Loans that are out, by the time of its clock, of this memory and of former ones.
     loans: VecDeque<(Duration, u64)>,
     former: VecDeque<(Duration, u64)>,
@@ -85,20 +86,20 @@
     guards: Guards,
     sequence: u64,
     quota: Vec<u64>,
-    /// Lanes that were taken, by whom.
-    taken: BTreeMap<Id, usize>,
+    /// Accounts that were taken over, by whom.
+    taken: BTreeMap<AccountId, usize>,
     pub lent: u64,
-    pub takings: usize,
-    wrong_views: bool,
-    pub sound_disks: bool,
+    pub takeovers: usize,
+    wrong_memberships: bool,
+    pub reliable_disks: bool,
     /// Nothing is asked beyond quota.
     pub quiet: bool,
-    /// Bytes of all that was said.
-    pub told: usize,
+    /// Bytes of all messages.
+    pub published_bytes: usize,
     /// How readily links heal.
-    heals: f64,
+    heal_probability: f64,
     /// Is killed then.
-    doomed: Option<(usize, Duration)>,
+    kill_at: Option<(usize, Duration)>,
 }
 
 impl Fleet {
@@ -130,13 +131,13 @@
             quota: vec![members as u64 * 4000; members],
             taken: BTreeMap::new(),
             lent: 0,
-            takings: 0,
-            wrong_views: true,
-            sound_disks: false,
+            takeovers: 0,
+            wrong_memberships: true,
+            reliable_disks: false,
             quiet: false,
-            told: 0,
-            heals: if seed.is_multiple_of(2) { 1.0 } else { 0.2 },
-            doomed: None,
+            published_bytes: 0,
+            heal_probability: if seed.is_multiple_of(2) { 1.0 } else { 0.2 },
+            kill_at: None,
         };
         (0..members).for_each(|at| fleet.start(at, true));
         fleet
@@ -144,7 +145,7 @@
 
     fn rules(&self, at: usize) -> Rules {
         let rule = Rule {
-            line_time: Duration::from_secs(LINE_SECONDS),
+            limit_time: Duration::from_secs(LIMIT_SECONDS),
             quota: self.quota[at],
             term: TERM,
             floor: 500,
@@ -152,14 +153,14 @@
             classes: vec!["normal".into()],
             rate_most: 1 << 40,
         };
-        Rules::new(vec![(STAND.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
+        Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
     }
 
-    fn line(&self) -> u64 {
+    fn credit_limit(&self) -> u64 {
         self.quota
             .iter()
             .max()
-            .map_or(0, |quota| quota * LINE_SECONDS)
+            .map_or(0, |quota| quota * LIMIT_SECONDS)
     }
 
     pub fn start(&mut self, at: usize, keep_file: bool) {
@@ -175,14 +176,14 @@
             self.nodes[at].file = None;
         }
         let remembers = self.nodes[at].file.is_some();
-        let core = Core::new(&config, local, self.nodes[at].file.as_deref());
+        let lender = Lender::new(&config, local, self.nodes[at].file.as_deref());
         let node = &mut self.nodes[at];
         if !remembers {
             let loans = std::mem::take(&mut node.loans);
             node.former.extend(loans);
         }
         node.process = Some(Process {
-            core,
+            lender,
             start,
             token: 0,
             due: self.now,
@@ -200,11 +201,11 @@
         let Some(process) = node.process.as_mut() else {
             return;
         };
-        let repaid = |core: &Core| core.book(local, STAND).map_or(0, |book| book.repaid);
-        let before = repaid(&process.core);
-        process.core.handle(local, event, &mut actions);
+        let repaid = |lender: &Lender| lender.totals(local, TENANT).map_or(0, |book| book.repaid);
+        let before = repaid(&process.lender);
+        process.lender.handle(local, event, &mut actions);
         // Others may have paid for it.
-        let paid = repaid(&process.core).saturating_sub(before);
+        let paid = repaid(&process.lender).saturating_sub(before);
         node.paid(local, paid);
         self.act(at, actions);
     }
@@ -212,7 +213,7 @@
     fn act(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell {
+                Action::Publish {
                     kind,
                     key,
                     body,
@@ -220,10 +221,10 @@
                 } => {
                     assert!(body.len() <= 512 && key.len() <= 32, "a fact is too long");
                     self.sequence += 1;
-                    self.told += body.len() + key.len();
+                    self.published_bytes += body.len() + key.len();
                     let node = &mut self.nodes[at];
                     let start = node.process.as_ref().map_or(0, |process| process.start);
-                    let said = Said {
+                    let said = PublishedMessage {
                         start,
                         sequence: self.sequence,
                         body,
@@ -238,7 +239,7 @@
                 }
                 Action::Save { sequence, bytes } => {
                     // A disk that is slow, or gives up: then nothing is confirmed until the next start.
-                    if self.rng.random_range(0..2000) > 0 || self.sound_disks {
+                    if self.rng.random_range(0..2000) > 0 || self.reliable_disks {
                         self.nodes[at].file = Some(bytes);
                         self.event(at, Event::Saved(sequence));
                     }
@@ -259,11 +260,11 @@
         self.side[a] == self.side[b]
     }
 
-    fn view(&mut self, at: usize) {
+    fn update_membership(&mut self, at: usize) {
         let members: Vec<Member> = (0..self.nodes.len())
             .map(|other| Member {
                 name: self.nodes[other].name.clone(),
-                start: 0,
+                incarnation: 0,
                 up: self.linked(at, other)
                     && self.nodes[other]
                         .process
@@ -273,19 +274,19 @@
             .collect();
         let roster: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
         let heard = members.iter().filter(|member| member.up).count();
-        let lend = heard * 2 > members.len() || self.wrong_views && self.rng.random_bool(0.3);
+        let lend = heard * 2 > members.len() || self.wrong_memberships && self.rng.random_bool(0.3);
         self.event(
             at,
-            Event::View {
-                lend,
+            Event::Membership {
+                may_lend: lend,
                 roster: &roster,
                 members: &members,
             },
         );
     }
 
-    /// What one knows of all that another knows or says, some of it old or twice, some lost.
-    fn hear(&mut self, at: usize, from: usize) {
+    /// One receives what another knows or publishes: some of it old or twice, some lost.
+    fn receive(&mut self, at: usize, from: usize) {
         let keys: Vec<Key> = {
             let Some(there) = &self.nodes[from].process else {
                 return;
@@ -308,7 +309,7 @@
                 .and_then(|process| process.known.get(&key))
                 .copied();
             let versions = &self.nodes[key.0].said[&key];
-            let has = |said: &&Said| {
+            let has = |said: &&PublishedMessage| {
                 key.0 == from || there.is_some_and(|v| (said.start, said.sequence) <= v)
             };
             let mut versions = versions.iter().rev().filter(has);
@@ -331,9 +332,9 @@
             process.known.insert(key.clone(), known.max(version));
             let source = self.nodes[key.0].name.clone();
             let (key, kind, age) = (key.2, key.1, self.now - said.at);
-            let fact = Event::Fact {
+            let fact = Event::Message {
                 source: &source,
-                start: said.start,
+                incarnation: said.start,
                 kind,
                 key: &key,
                 body: &said.body,
@@ -352,9 +353,11 @@
         if process.paused {
             return;
         }
-        let verdict = process.core.ask(local, STAND, "normal", 1000, &mut actions);
+        let verdict = process
+            .lender
+            .decide(local, TENANT, "normal", 1000, &mut actions);
         self.act(at, actions);
-        if verdict == Verdict::Borrowed {
+        if verdict == Decision::Borrowed {
             let node = &mut self.nodes[at];
             node.loans.push_back((local, 1000));
             node.lent += 1000;
@@ -370,18 +373,18 @@
         let local = node.clock.at(self.now);
         if elsewhere {
             // Little of its quota is here, so that others are asked; these withhold more than is owed to them.
-            process.core.withhold(local, STAND, amount / 8, 1000);
+            process.lender.withhold(local, TENANT, amount / 8, 1000);
         }
-        let paid = process.core.repay(local, STAND, amount);
+        let paid = process.lender.repay(local, TENANT, amount);
         node.paid(local, paid);
     }
 
-    /// One quarter second: trouble, words, requests; then the checker.
-    pub fn step(&mut self, trouble: bool) -> Result<(), String> {
+    /// A quarter of a second: faults, messages, requests; then the checker.
+    pub fn step(&mut self, faults: bool) -> Result<(), String> {
         self.now += Duration::from_millis(250);
         let members = self.nodes.len();
-        if trouble {
-            self.trouble();
+        if faults {
+            self.faults();
         }
         for at in 0..members {
             if self.nodes[at]
@@ -392,7 +395,7 @@
                 continue;
             }
             if self.rng.random_range(0..4) == 0 || self.now < Duration::from_secs(1) {
-                self.view(at);
+                self.update_membership(at);
             }
             let process = self.nodes[at]
                 .process
@@ -408,7 +411,7 @@
                     let awake =
                         |node: &Node| node.process.as_ref().is_some_and(|there| !there.paused);
                     if awake(&self.nodes[from]) {
-                        self.hear(at, from);
+                        self.receive(at, from);
                     }
                 }
             }
@@ -420,7 +423,7 @@
             }
             if self.rng.random_bool(0.3) {
                 let amount = self.rng.random_range(0..4000);
-                self.repay(at, amount, trouble);
+                self.repay(at, amount, faults);
             }
         }
         self.check()
@@ -430,8 +433,8 @@
         (self.now.as_secs() / 5) as usize % self.nodes.len()
     }
 
-    fn trouble(&mut self) {
-        if let Some((at, _)) = self.doomed.take_if(|(_, when)| *when <= self.now) {
+    fn faults(&mut self) {
+        if let Some((at, _)) = self.kill_at.take_if(|(_, when)| *when <= self.now) {
             self.nodes[at].process = None;
         }
         let at = self.rng.random_range(0..self.nodes.len());
@@ -448,7 +451,7 @@
                     .map(|_| self.rng.random_range(0..sides))
                     .collect();
             }
-            3..6 if self.rng.random_bool(self.heals) => self.side.fill(0),
+            3..6 if self.rng.random_bool(self.heal_probability) => self.side.fill(0),
             6 => self.side[at] = 9,
             7 => self.drops = self.rng.random_range(0..60),
             8 => self.drops = 0,
@@ -462,7 +465,7 @@
                 let busy = self.busy();
                 let giver = (busy + self.nodes.len() - 1) % self.nodes.len();
                 (self.side[busy], self.side[giver]) = (8, 8);
-                self.doomed = Some((giver, self.now + Duration::from_millis(750)));
+                self.kill_at = Some((giver, self.now + Duration::from_millis(750)));
             }
             20 => {
                 // Killed while it wrote: torn.
@@ -504,7 +507,7 @@
             let Some(process) = &node.process else {
                 continue;
             };
-            if let Some(book) = process.core.book(local, STAND) {
+            if let Some(book) = process.lender.totals(local, TENANT) {
                 if book.lent != book.repaid + book.owed + book.written_off {
                     return Err(format!(
                         "{} at {:?}: {book:?} does not add up",
@@ -512,12 +515,12 @@
                     ));
                 }
                 if local < book.lends_until {
-                    may += book.part.saturating_sub(book.owed);
+                    may += book.local_limit.saturating_sub(book.owed);
                 }
             }
-            for lane in process.core.taken() {
+            for lane in process.lender.accounts_taken_over() {
                 let first = *self.taken.entry(lane).or_insert_with(|| {
-                    self.takings += 1;
+                    self.takeovers += 1;
                     at
                 });
                 if first != at {
@@ -528,8 +531,8 @@
                 }
             }
         }
-        if out + may > self.line() {
-            let line = self.line();
+        if out + may > self.credit_limit() {
+            let line = self.credit_limit();
             return Err(format!(
                 "{out} is owed at {:?}, {may} may be lent, of a line of {line}",
                 self.now
@@ -538,15 +541,16 @@
         Ok(())
     }
 
-    /// The most that a lane says that it gave in all.
-    pub fn given(&self) -> u64 {
+    /// The most that any account has sent in all.
+    pub fn sent_most(&self) -> u64 {
         let said = self
             .nodes
             .iter()
             .flat_map(|node| &node.said)
-            .filter(|((_, kind, _), _)| *kind == ROW);
-        let rows = said.filter_map(|(_, versions)| decode::<SaidRow>(&versions.back()?.body));
-        rows.map(|said| said.row.gave.values().sum())
+            .filter(|((_, kind, _), _)| *kind == BALANCES);
+        let rows =
+            said.filter_map(|(_, versions)| decode::<PublishedBalances>(&versions.back()?.body));
+        rows.map(|said| said.balances.sent.values().sum())
             .max()
             .unwrap_or(0)
     }
@@ -555,12 +559,12 @@
         let founded = |node: &&Node| {
             node.process
                 .as_ref()
-                .is_some_and(|process| process.core.is_founded())
+                .is_some_and(|process| process.lender.is_bootstrapped())
         };
         self.nodes.iter().filter(founded).count()
     }
 
-    /// A schedule: founded in peace, then trouble.
+    /// A schedule: bootstrap without faults, then faults.
     pub fn play(seed: u64, members: usize, steps: usize, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Fleet::new(seed, members, !seed.is_multiple_of(4), guards);
         for _ in 0..80 {
@@ -585,8 +589,8 @@
         (0..steps).try_for_each(|_| self.step(false))
     }
 
-    /// One gives to another when nobody else hears them, and dies; its lane is taken over, and then the other returns.
-    pub fn gift_in_the_dark(seed: u64, guards: Guards) -> Result<Fleet, String> {
+    /// One sends shares to another when nobody else hears them, and dies; its account is taken over, and then the other returns.
+    pub fn unwitnessed_transfer(seed: u64, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Self::peace(seed, guards)?;
         fleet.steps(1 + (seed % 6) as usize)?;
         let (to, from) = (fleet.busy(), (fleet.busy() + 4) % 5);
@@ -600,7 +604,7 @@
         Ok(fleet)
     }
 
-    /// One is cut off until its lane is taken over, and then is heard again.
+    /// One is cut off until its account is taken over, and then is heard again.
     pub fn cut_off(seed: u64, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Self::peace(seed, guards)?;
         fleet.side[(seed % 5) as usize] = 9;
@@ -626,7 +630,7 @@
     pub fn stricter(seed: u64) -> Result<(u64, u64), String> {
         let mut fleet = Self::peace(seed, Guards::ALL)?;
         let at = (seed % 5) as usize;
-        let former = fleet.line();
+        let former = fleet.credit_limit();
         fleet.quota[at] /= 4;
         let rules = fleet.rules(at);
         fleet.event(at, Event::Rules(rules));
@@ -636,19 +640,20 @@
             fleet
                 .withheld(at, 0, Duration::ZERO)
                 .1
-                .map_or(0, |book| book.part)
+                .map_or(0, |book| book.local_limit)
         };
         Ok(((0..5).map(part).sum(), former / 4))
     }
 
     /// Asks until the answer is no.
-    pub fn exhaust(&mut self, at: usize) -> Verdict {
+    pub fn exhaust(&mut self, at: usize) -> Decision {
         let local = self.nodes[at].clock.at(self.now);
-        let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
-        let mut asked = (0..1000).map(|_| core.ask(local, STAND, "normal", 1000, &mut Vec::new()));
+        let lender = &mut self.nodes[at].process.as_mut().expect("it runs").lender;
+        let mut asked =
+            (0..1000).map(|_| lender.decide(local, TENANT, "normal", 1000, &mut Vec::new()));
         asked
-            .find(|verdict| *verdict != Verdict::Borrowed)
-            .unwrap_or(Verdict::Borrowed)
+            .find(|verdict| *verdict != Decision::Borrowed)
+            .unwrap_or(Decision::Borrowed)
     }
 
     /// Withheld at such a use of the quota of one request a second; and the book.
@@ -657,12 +662,12 @@
         at: usize,
         used: u32,
         later: Duration,
-    ) -> (u32, Option<quota_lending::Book>) {
+    ) -> (u32, Option<quota_lending::LoanTotals>) {
         let local = self.nodes[at].clock.at(self.now) + later;
-        let core = &mut self.nodes[at].process.as_mut().expect("it runs").core;
+        let lender = &mut self.nodes[at].process.as_mut().expect("it runs").lender;
         (
-            core.withhold(local, STAND, 1 << 40, used),
-            core.book(local, STAND),
+            lender.withhold(local, TENANT, 1 << 40, used),
+            lender.totals(local, TENANT),
         )
     }
 
--- a/crates/quota-lending/tests/help.rs
+++ b/crates/quota-lending/tests/help.rs
@@ -1,18 +1,19 @@
-//! A stand that borrowed at one proxy and then went to others: these withhold its quota, and who lent books it.
+//! A tenant that borrowed at one proxy and then moved to others: these withhold its quota, and the lender books it.
 
-use quota_lending::said::{PAID, WHOLE};
-use quota_lending::{Action, Book, Config, Core, Event, Member, Rule, Rules, Verdict};
+use quota_lending::balances::TOTAL_SHARES;
+use quota_lending::messages::REPAYMENT_REPORT;
+use quota_lending::{Action, Config, Decision, Event, Lender, LoanTotals, Member, Rule, Rules};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const STAND: &str = "depot";
+const TENANT: &str = "depot";
 /// In thousandths of a request a second, over the fleet.
 const QUOTA: u64 = 90_000;
-const LOOK: Duration = Duration::from_millis(250);
-/// What is said is heard so much later.
-const LATE: Duration = Duration::from_millis(500);
+const STEP: Duration = Duration::from_millis(250);
+/// Messages arrive after this time.
+const DELAY: Duration = Duration::from_millis(500);
 
-struct Fact {
+struct Delivery {
     at: Duration,
     from: usize,
     kind: u8,
@@ -22,40 +23,40 @@
 
 struct Fleet {
     now: Duration,
-    cores: Vec<Core>,
+    lenders: Vec<Lender>,
     timers: Vec<(Duration, u64)>,
-    facts: VecDeque<Fact>,
-    /// Of each, what the stand asks of its quota, in thousandths of all.
+    deliveries: VecDeque<Delivery>,
+    /// The part of its quota that the tenant requests at each proxy, in thousandths.
     parts: [u64; 3],
     shares: [u32; 3],
     withheld: u64,
-    helps: bool,
+    reports_arrive: bool,
 }
 
 impl Fleet {
-    fn new(helps: bool) -> Fleet {
+    fn new(reports_arrive: bool) -> Fleet {
         let longest = Duration::from_secs(40);
-        let core = |n: u64| {
+        let lender = |n: u64| {
             let config = Config {
                 longest,
                 ..Config::new(&format!("n{n}"), 1_000 + n, false)
             };
-            Core::new(&config, Duration::ZERO, None)
+            Lender::new(&config, Duration::ZERO, None)
         };
         let timers = vec![(Duration::ZERO, 0); 3];
-        let (cores, facts) = ((0..3).map(core).collect(), VecDeque::new());
+        let (lenders, deliveries) = ((0..3).map(lender).collect(), VecDeque::new());
         let mut fleet = Fleet {
             now: Duration::ZERO,
-            cores,
+            lenders,
             timers,
-            facts,
+            deliveries,
             parts: [1000, 0, 0],
             shares: [0; 3],
             withheld: 0,
-            helps,
+            reports_arrive,
         };
         let rule = Rule {
-            line_time: Duration::from_secs(10),
+            limit_time: Duration::from_secs(10),
             quota: QUOTA,
             term: Duration::from_secs(20),
             write_off: Duration::from_secs(10),
@@ -63,27 +64,27 @@
             classes: vec!["any".into()],
             rate_most: 1 << 40,
         };
-        let rules = Rules::new(vec![(STAND.into(), rule)], longest).unwrap();
+        let rules = Rules::new(vec![(TENANT.into(), rule)], longest).unwrap();
         (0..3).for_each(|at| fleet.event(at, Event::Rules(rules.clone())));
         fleet.until(80);
-        assert!(fleet.cores.iter().all(Core::is_founded));
+        assert!(fleet.lenders.iter().all(Lender::is_bootstrapped));
         fleet
     }
 
     fn event(&mut self, at: usize, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.cores[at].handle(self.now, event, &mut actions);
-        self.act(at, actions);
+        self.lenders[at].handle(self.now, event, &mut actions);
+        self.perform(at, actions);
     }
 
-    fn act(&mut self, from: usize, actions: Vec<Action>) {
+    fn perform(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Tell {
+                Action::Publish {
                     kind, key, body, ..
                 } => {
-                    self.facts.push_back(Fact {
-                        at: self.now + LATE,
+                    self.deliveries.push_back(Delivery {
+                        at: self.now + DELAY,
                         from,
                         kind,
                         key,
@@ -99,30 +100,34 @@
     fn until(&mut self, seconds: u64) {
         let roster: Vec<String> = (0..3).map(|n| format!("n{n}")).collect();
         while self.now < Duration::from_secs(seconds) {
-            self.now += LOOK;
-            while self.facts.front().is_some_and(|fact| fact.at <= self.now) {
-                let Some(Fact {
+            self.now += STEP;
+            while self
+                .deliveries
+                .front()
+                .is_some_and(|delivery| delivery.at <= self.now)
+            {
+                let Some(Delivery {
                     from,
                     kind,
                     key,
                     body,
                     ..
-                }) = self.facts.pop_front()
+                }) = self.deliveries.pop_front()
                 else {
                     break;
                 };
-                let told = self.helps || kind != PAID;
+                let told = self.reports_arrive || kind != REPAYMENT_REPORT;
                 for at in (0..3).filter(|at| *at != from && told) {
                     let (source, start) = (&roster[from], 1_000 + from as u64);
                     self.event(
                         at,
-                        Event::Fact {
+                        Event::Message {
                             source,
-                            start,
+                            incarnation: start,
                             kind,
                             key: &key,
                             body: &body,
-                            age: LATE,
+                            age: DELAY,
                         },
                     );
                 }
@@ -131,14 +136,14 @@
                 let others = (0..3).filter(|n| *n != at);
                 let others = others.map(|n| Member {
                     name: roster[n].clone(),
-                    start: 1_000 + n as u64,
+                    incarnation: 1_000 + n as u64,
                     up: true,
                 });
                 let members: Vec<Member> = others.collect();
                 self.event(
                     at,
-                    Event::View {
-                        lend: true,
+                    Event::Membership {
+                        may_lend: true,
                         roster: &roster,
                         members: &members,
                     },
@@ -147,33 +152,37 @@
                 if due <= self.now {
                     self.event(at, Event::Timer(token));
                 }
-                // A tenth is held everywhere, as the account of quotas does.
+                // Each has a part of a tenth beside its traffic, as the quota meter gives it.
                 let quota = QUOTA * (self.parts[at] + 30) / 1090;
                 let withheld =
-                    quota * u64::from(self.shares[at]) / 1000 * LOOK.as_millis() as u64 / 1000;
-                self.cores[at].repay(self.now, STAND, withheld);
+                    quota * u64::from(self.shares[at]) / 1000 * STEP.as_millis() as u64 / 1000;
+                self.lenders[at].repay(self.now, TENANT, withheld);
                 self.withheld += withheld;
-                self.shares[at] = self.cores[at].withhold(self.now, STAND, quota, 1000);
+                self.shares[at] = self.lenders[at].withhold(self.now, TENANT, quota, 1000);
             }
         }
     }
 
-    fn book(&self, at: usize) -> Book {
-        self.cores[at].book(self.now, STAND).unwrap_or_default()
+    fn totals(&self, at: usize) -> LoanTotals {
+        self.lenders[at]
+            .totals(self.now, TENANT)
+            .unwrap_or_default()
     }
 
-    /// The stand borrows all that one holds, and goes to the others.
-    fn borrowed(helps: bool) -> (Fleet, u64) {
-        let mut fleet = Fleet::new(helps);
+    /// The tenant borrows all that one proxy may lend, and moves to the others.
+    fn borrowed(reports_arrive: bool) -> (Fleet, u64) {
+        let mut fleet = Fleet::new(reports_arrive);
         let mut actions = Vec::new();
         let now = fleet.now;
-        while fleet.cores[0].ask(now, STAND, "any", 1000, &mut actions) == Verdict::Borrowed {}
-        fleet.act(0, actions);
-        let owed = fleet.book(0).owed;
+        while fleet.lenders[0].decide(now, TENANT, "any", 1000, &mut actions) == Decision::Borrowed
+        {
+        }
+        fleet.perform(0, actions);
+        let owed = fleet.totals(0).owed;
         assert!(
             owed > 10 * QUOTA / 4,
             "{owed} of {:?}",
-            fleet.cores[0].held(STAND).0 as f64 / WHOLE as f64
+            fleet.lenders[0].shares(TENANT).0 as f64 / TOTAL_SHARES as f64
         );
         fleet.parts = [0, 500, 500];
         (fleet, owed)
@@ -181,27 +190,30 @@
 }
 
 #[test]
-fn what_was_lent_where_the_stand_is_gone_is_repaid_by_others() {
+fn loans_of_a_tenant_that_has_moved_are_repaid_by_others() {
     let (mut fleet, owed) = Fleet::borrowed(true);
     fleet.until(100);
-    let book = fleet.book(0);
-    println!("{owed} were owed, {} withheld: {book:?}", fleet.withheld);
-    assert_eq!((book.owed, book.written_off, book.repaid), (0, 0, owed));
+    let totals = fleet.totals(0);
+    println!("{owed} were owed, {} withheld: {totals:?}", fleet.withheld);
+    assert_eq!(
+        (totals.owed, totals.written_off, totals.repaid),
+        (0, 0, owed)
+    );
     assert!(
         fleet.withheld <= owed + owed / 4,
         "{} for {owed}",
         fleet.withheld
     );
-    // Nothing more is withheld than what it is for.
+    // No more is withheld than is owed.
     let before = fleet.withheld;
     fleet.until(130);
     assert_eq!(fleet.withheld, before);
 }
 
 #[test]
-fn without_their_word_it_is_written_off() {
+fn without_their_reports_it_is_written_off() {
     let (mut fleet, owed) = Fleet::borrowed(false);
     fleet.until(120);
-    let book = fleet.book(0);
-    assert!(book.written_off > owed / 2, "{book:?}");
+    let totals = fleet.totals(0);
+    assert!(totals.written_off > owed / 2, "{totals:?}");
 }
--- a/crates/quota-lending/tests/rows_and_files.rs
+++ b/crates/quota-lending/tests/rows_and_files.rs
@@ -1,13 +1,17 @@
-//! Rows merge in any order; a file that is not whole is no memory.
+//! Balances merge in any order; an incomplete file is rejected.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
-use quota_lending::said::{Id, Row};
-use quota_lending::{Action, Config, Core, Event, Notice};
+use quota_lending::balances::Balances;
+use quota_lending::identity::AccountId;
+use quota_lending::{Action, Config, Event, Lender, Notice};
 
-fn row() -> impl Strategy<Value = Row> {
-    let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| Id { name, from });
+fn balances() -> impl Strategy<Value = Balances> {
+    let id = (0..4_u32, 0..2_u64).prop_map(|(name, from)| AccountId {
+        owner: name,
+        incarnation: from,
+    });
     let gave = prop::collection::btree_map(id, 0..9_u64, 0..4);
     (
         (0..4_u64, 0..4_u64, 0..4_u64, 0..4_u64),
@@ -16,36 +20,36 @@
         gave,
     )
         .prop_map(
-            |((line, lent, repaid, written_off), demand, took, gave)| Row {
-                line,
+            |((line, lent, repaid, written_off), demand, took, gave)| Balances {
+                credit_limit: line,
                 lent,
                 repaid,
                 written_off,
                 demand,
-                took,
-                gave,
+                taken_over: took,
+                sent: gave,
             },
         )
 }
 
-fn merged(a: &Row, b: &Row) -> Row {
+fn merged(a: &Balances, b: &Balances) -> Balances {
     let mut both = a.clone();
     both.merge(b);
     both
 }
 
-/// What a row says of rights and debts: line and demand are only the last word on these.
-fn lasting(row: &Row) -> Row {
-    Row {
-        line: 0,
+/// The numbers that only grow, without credit limit and demand.
+fn growing_only(balances: &Balances) -> Balances {
+    Balances {
+        credit_limit: 0,
         demand: 0,
-        ..row.clone()
+        ..balances.clone()
     }
 }
 
 fn file() -> Vec<u8> {
     let mut actions = Vec::new();
-    Core::new(&Config::new("a", 7, true), Duration::ZERO, None).handle(
+    Lender::new(&Config::new("a", 7, true), Duration::ZERO, None).handle(
         Duration::ZERO,
         Event::Timer(0),
         &mut actions,
@@ -54,52 +58,62 @@
         Action::Save { bytes, .. } => Some(bytes),
         _ => None,
     });
-    saved.expect("the first thing is to keep the memory")
+    saved.expect("the first step saves the state")
 }
 
-fn memory_is_refused(name: &str, bytes: &[u8]) -> bool {
+fn file_is_rejected(name: &str, bytes: &[u8]) -> bool {
     let mut actions = Vec::new();
-    let mut core = Core::new(&Config::new(name, 9, true), Duration::ZERO, Some(bytes));
-    core.handle(Duration::ZERO, Event::Timer(0), &mut actions);
+    let mut lender = Lender::new(&Config::new(name, 9, true), Duration::ZERO, Some(bytes));
+    lender.handle(Duration::ZERO, Event::Timer(0), &mut actions);
     let bad = |action: &Action| matches!(action, Action::Notice(Notice::BadFile(_)));
-    actions.iter().any(bad) && core.held("any") == (0, 9)
+    actions.iter().any(bad) && lender.shares("any") == (0, 9)
 }
 
 proptest! {
     #[test]
-    fn rows_merge_in_any_order_and_any_number_of_times(a in row(), b in row(), c in row()) {
-        prop_assert_eq!(lasting(&merged(&a, &b)), lasting(&merged(&b, &a)));
+    fn balances_merge_in_any_order_and_any_number_of_times(a in balances(), b in balances(), c in balances()) {
+        prop_assert_eq!(growing_only(&merged(&a, &b)), growing_only(&merged(&b, &a)));
         prop_assert_eq!(merged(&a, &a), a.clone());
-        prop_assert_eq!(lasting(&merged(&merged(&a, &b), &c)), lasting(&merged(&a, &merged(&b, &c))));
+        prop_assert_eq!(growing_only(&merged(&merged(&a, &b), &c)), growing_only(&merged(&a, &merged(&b, &c))));
     }
 }
 
 #[test]
-fn no_cut_and_no_changed_bit_of_a_file_is_taken_for_a_memory() {
-    let whole = file();
-    assert!(!memory_is_refused("a", &whole));
-    assert!(memory_is_refused("b", &whole), "another's file");
-    for cut in 0..whole.len() {
-        assert!(memory_is_refused("a", &whole[..cut]), "cut at {cut}");
+fn a_truncated_file_or_one_with_a_changed_bit_is_rejected() {
+    let complete = file();
+    assert!(!file_is_rejected("a", &complete));
+    assert!(file_is_rejected("b", &complete), "another's file");
+    for cut in 0..complete.len() {
+        assert!(file_is_rejected("a", &complete[..cut]), "cut at {cut}");
     }
-    for bit in 0..whole.len() * 8 {
-        let mut changed = whole.clone();
+    for bit in 0..complete.len() * 8 {
+        let mut changed = complete.clone();
         changed[bit / 8] ^= 1 << (bit % 8);
-        assert!(memory_is_refused("a", &changed), "bit {bit}");
+        assert!(file_is_rejected("a", &changed), "bit {bit}");
     }
 }
 
-/// A lane at rest says a stricter rule with the numbers that it had: it binds, in whichever order the two are heard.
+/// An idle account publishes a stricter rule with the same numbers: the rule holds, in whichever order the two are received.
 #[test]
-fn the_stricter_line_of_a_lane_at_rest_is_taken() {
-    let row = |line| Row {
-        line,
+fn the_stricter_limit_of_an_idle_account_is_taken() {
+    let balances = |line| Balances {
+        credit_limit: line,
         lent: 5,
         repaid: 2,
-        ..Row::default()
+        ..Balances::default()
     };
-    assert_eq!(merged(&row(80), &row(20)).line, 20);
-    assert_eq!(merged(&row(20), &row(80)).line, 20);
-    // A looser one is, too, as soon as anything has moved.
-    assert_eq!(merged(&row(20), &Row { lent: 6, ..row(80) }).line, 80);
+    assert_eq!(merged(&balances(80), &balances(20)).credit_limit, 20);
+    assert_eq!(merged(&balances(20), &balances(80)).credit_limit, 20);
+    // A looser one is taken too, as soon as another number has grown.
+    assert_eq!(
+        merged(
+            &balances(20),
+            &Balances {
+                lent: 6,
+                ..balances(80)
+            }
+        )
+        .credit_limit,
+        80
+    );
 }
--- a/crates/simulator-host/src/instance.rs
+++ b/crates/simulator-host/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::{AttemptEndedRecord, ProbeEndedRecord};
 use platform_settings::{load_report, PlatformSettings, ReportField};
-use quota::{Mark, Quota};
+use quota::{QuotaMeter, RequestStatus};
 use routing::{
     Arrival, AttemptEnded, Event, LoadReport, Outcome, QuotaStatus, ResponseMetadata, Router, Time,
 };
@@ -10,7 +10,7 @@
 
 pub(crate) struct Instance {
     pub(crate) router: Router,
-    quota: Quota,
+    quota: QuotaMeter,
     report_fields: Vec<ReportField>,
     position_origin: Time,
 }
@@ -18,14 +18,14 @@
 impl Instance {
     pub(crate) fn new(platform: PlatformSettings, seed: u64, now: Time) -> Instance {
         let settings = platform.settings;
-        let quota = Quota::new(&quota::Settings {
+        let quota = QuotaMeter::new(&quota::Settings {
             proxies: settings.router_count,
             quotas: settings
                 .tenants
                 .iter()
                 .map(|tenant| tenant.quota_per_s)
                 .collect(),
-            worths: Vec::new(),
+            priority_weights: Vec::new(),
         });
         Instance {
             router: Router::new(settings, seed, now),
@@ -37,13 +37,13 @@
 
     /// Counts the request against its tenant's quota, and marks it if it is over.
     pub(crate) fn request_arrived(&mut self, mut arrival: Arrival, now: Time) -> Event {
-        let mark = self.quota.asked(
+        let mark = self.quota.record_request(
             now.since(Time::ZERO),
             arrival.tenant.0.into(),
             arrival.class.0.into(),
             arrival.is_client_retry,
         );
-        if mark == Mark::Beyond {
+        if mark == RequestStatus::Over {
             arrival.quota_status = QuotaStatus::OverQuota;
         }
         Event::RequestArrived(arrival)
