--- a/crates/configuration/benches/language.rs
+++ b/crates/configuration/benches/language.rs
@@ -3,9 +3,9 @@
 use configuration::calendar::Moment;
 use configuration::diff::diff;
 use configuration::format::format;
-use configuration::index::{Facts, Index, Names};
-use configuration::load::Memory;
-use configuration::route::{scan, Request};
+use configuration::index::{Index, IndexedRequest, NameTable};
+use configuration::load::MemoryFiles;
+use configuration::route::{find_first, Request};
 use configuration::{read, shadow, Reading};
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use rand::rngs::StdRng;
@@ -47,8 +47,8 @@
 }
 
 fn reading(text: &str) -> Reading {
-    let reading = read(Path::new("x.conf"), &Memory::from([("x.conf", text)]));
-    assert!(reading.sound(), "{:?}", reading.diagnostics.first());
+    let reading = read(Path::new("x.conf"), &MemoryFiles::from([("x.conf", text)]));
+    assert!(reading.is_valid(), "{:?}", reading.diagnostics.first());
     reading
 }
 
@@ -79,7 +79,7 @@
     let mut group = c.benchmark_group("find a route among");
     for number in [10, 1_000, 100_000] {
         let model = reading(&text(number)).model;
-        let names = Names {
+        let names = NameTable {
             classes: CLASSES.map(str::to_owned).to_vec(),
             tenants: vec!["acme".into()],
         };
@@ -111,7 +111,7 @@
             b.iter(|| {
                 next = (next + 1) % clients.len();
                 let (class, client) = clients[next];
-                index.find(black_box(&Facts {
+                index.find(black_box(&IndexedRequest {
                     class,
                     tenant: 0,
                     group: 3,
@@ -134,7 +134,7 @@
                     client,
                     at,
                 };
-                scan(&model.routes, &model.windows, black_box(&request))
+                find_first(&model.routes, &model.windows, black_box(&request))
             })
         });
         if number == 100_000 {
--- a/crates/configuration/src/calendar.rs
+++ b/crates/configuration/src/calendar.rs
@@ -3,7 +3,7 @@
 //! Everything is kept in UTC; local times of the file are moved by its fixed offset when a window is made.
 
 use crate::ranges::Ranges;
-use crate::value::{Dates, Hours, DAY, YEARS};
+use crate::value::{Dates, Hours, SECONDS_PER_DAY, YEAR_RANGE};
 use jiff::civil::Date;
 use std::collections::HashMap;
 use std::sync::OnceLock;
@@ -22,19 +22,21 @@
     /// The second of a Unix time.
     pub fn from_unix(since_1970: Duration) -> Moment {
         let seconds = since_1970.as_secs();
-        let day = u32::try_from(seconds / u64::from(DAY)).unwrap_or(u32::MAX);
+        let day = u32::try_from(seconds / u64::from(SECONDS_PER_DAY)).unwrap_or(u32::MAX);
         Moment {
             day,
-            second: (seconds % u64::from(DAY)) as u32,
+            second: (seconds % u64::from(SECONDS_PER_DAY)) as u32,
         }
     }
 
     /// As local time at that offset from UTC, to the second.
     pub fn local(self, offset: i32) -> String {
-        let seconds =
-            i64::from(self.day) * i64::from(DAY) + i64::from(self.second) + i64::from(offset);
-        let days = i32::try_from(seconds.div_euclid(i64::from(DAY))).unwrap_or(i32::MAX);
-        let second = seconds.rem_euclid(i64::from(DAY));
+        let seconds = i64::from(self.day) * i64::from(SECONDS_PER_DAY)
+            + i64::from(self.second)
+            + i64::from(offset);
+        let days =
+            i32::try_from(seconds.div_euclid(i64::from(SECONDS_PER_DAY))).unwrap_or(i32::MAX);
+        let second = seconds.rem_euclid(i64::from(SECONDS_PER_DAY));
         let date = Date::constant(1970, 1, 1).checked_add(jiff::Span::new().days(days));
         let date = date.map_or_else(|_| format!("day {days}"), |d| d.to_string());
         let clock = format!(
@@ -67,8 +69,9 @@
             return None;
         }
         let days = Date::constant(1970, 1, 1).until(date).ok()?.get_days();
-        let seconds = i64::from(days) * i64::from(DAY) + hour * 3_600 + minute * 60 + second
-            - i64::from(offset);
+        let seconds =
+            i64::from(days) * i64::from(SECONDS_PER_DAY) + hour * 3_600 + minute * 60 + second
+                - i64::from(offset);
         Some(Moment::from_unix(Duration::from_secs(
             u64::try_from(seconds).ok()?,
         )))
@@ -136,7 +139,7 @@
 
 /// What a window section states; empty lists stand for what always holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stated {
+pub struct WindowConditions {
     /// Dates on which it holds.
     pub dates: Vec<Dates>,
     /// A bit for each day, Monday first; none: every day.
@@ -164,7 +167,7 @@
 
 impl Default for Almanac {
     fn default() -> Almanac {
-        let first = Date::constant(YEARS.0, 1, 1);
+        let first = Date::constant(YEAR_RANGE.0, 1, 1);
         let days = first.series(jiff::Span::new().days(1)).take(DAYS);
         Almanac(
             days.map(|d| {
@@ -187,7 +190,7 @@
     }
 
     /// The window of local times at that offset from UTC.
-    pub fn window(&self, stated: &Stated, offset: i32) -> Window {
+    pub fn window(&self, stated: &WindowConditions, offset: i32) -> Window {
         let mut days = Days::none();
         let once: Vec<(usize, usize)> = stated
             .dates
@@ -210,7 +213,10 @@
                 days.add(day);
             }
         }
-        let whole = [Hours { from: 0, to: DAY }];
+        let whole = [Hours {
+            from: 0,
+            to: SECONDS_PER_DAY,
+        }];
         let hours = if stated.hours.is_empty() {
             &whole
         } else {
@@ -218,15 +224,18 @@
         };
         let mut parts = Vec::new();
         for &Hours { from, to } in hours {
-            let end = if to <= from { to + DAY } else { to };
+            let end = if to <= from { to + SECONDS_PER_DAY } else { to };
             let (from, end) = (
                 i64::from(from) - i64::from(offset),
                 i64::from(end) - i64::from(offset),
             );
             // Cut where a day of UTC ends; at most three of them are touched.
             for shift in -2..=2 {
-                let start = shift * i64::from(DAY);
-                let (a, b) = ((from - start).max(0), (end - start).min(i64::from(DAY)));
+                let start = shift * i64::from(SECONDS_PER_DAY);
+                let (a, b) = (
+                    (from - start).max(0),
+                    (end - start).min(i64::from(SECONDS_PER_DAY)),
+                );
                 if a < b {
                     let moved = days.moved(shift);
                     if !moved.is_empty() {
@@ -252,20 +261,20 @@
 
 impl Window {
     /// Whether a moment lies in the window.
-    pub fn holds(&self, at: Moment) -> bool {
+    pub fn contains(&self, at: Moment) -> bool {
         self.parts
             .iter()
             .any(|p| p.from <= at.second && at.second < p.to && p.days.holds(at.day))
     }
 
     /// Whether no moment lies in the window.
-    pub fn never(&self) -> bool {
+    pub fn never_occurs(&self) -> bool {
         self.parts.is_empty()
     }
 }
 
 /// Time in pieces that no window cuts: days that all windows see alike, by the parts of the day.
-pub struct Pieces {
+pub struct TimePieces {
     /// Starts of the parts of the day.
     cuts: Vec<u32>,
     /// A day of each kind.
@@ -273,20 +282,20 @@
     kind_of_day: Vec<u32>,
 }
 
-impl Pieces {
+impl TimePieces {
     /// The pieces into which these windows cut time.
-    pub fn of<'a>(windows: impl Iterator<Item = &'a Window>) -> Pieces {
+    pub fn of<'a>(windows: impl Iterator<Item = &'a Window>) -> TimePieces {
         let parts: Vec<&Part> = windows.flat_map(|w| &w.parts).collect();
         let mut cuts: Vec<u32> = parts
             .iter()
             .flat_map(|p| [p.from, p.to])
-            .filter(|c| *c < DAY)
+            .filter(|c| *c < SECONDS_PER_DAY)
             .collect();
         cuts.push(0);
         cuts.sort_unstable();
         cuts.dedup();
         if parts.is_empty() {
-            return Pieces {
+            return TimePieces {
                 cuts,
                 days: vec![0],
                 kind_of_day: Vec::new(),
@@ -324,7 +333,7 @@
             }
             kind_of_day.push(kind);
         }
-        Pieces {
+        TimePieces {
             cuts,
             days,
             kind_of_day,
@@ -372,7 +381,7 @@
     pub fn example(&self, set: &Ranges) -> Option<Moment> {
         let noon = Moment {
             day: THESE_YEARS,
-            second: DAY / 2,
+            second: SECONDS_PER_DAY / 2,
         };
         if set.contains(self.of_moment(noon)) {
             return Some(noon);
@@ -423,7 +432,7 @@
     fn a_window_over_midnight_belongs_to_the_day_on_which_it_begins() {
         let almanac = Almanac::default();
         // 2026-10-17 is a Saturday.
-        let stated = Stated {
+        let stated = WindowConditions {
             dates: vec![Dates::Once(
                 Date::constant(2026, 10, 17),
                 Date::constant(2026, 10, 17),
@@ -435,21 +444,31 @@
             }],
         };
         let window = almanac.window(&stated, 0);
-        assert!(!window.holds(at("2026-10-17T01:00")) && !window.holds(at("2026-10-17T21:59:59")));
-        assert!(window.holds(at("2026-10-17T22:00")) && window.holds(at("2026-10-18T01:59:59")));
-        assert!(!window.holds(at("2026-10-18T02:00")) && !window.holds(at("2026-10-18T22:00")));
+        assert!(
+            !window.contains(at("2026-10-17T01:00")) && !window.contains(at("2026-10-17T21:59:59"))
+        );
+        assert!(
+            window.contains(at("2026-10-17T22:00")) && window.contains(at("2026-10-18T01:59:59"))
+        );
+        assert!(
+            !window.contains(at("2026-10-18T02:00")) && !window.contains(at("2026-10-18T22:00"))
+        );
         // The same in Kathmandu begins at 16:15 of UTC.
         let window = almanac.window(&stated, 20_700);
-        assert!(!window.holds(at("2026-10-17T16:14:59")) && window.holds(at("2026-10-17T16:15")));
-        assert!(window.holds(at("2026-10-17T20:14:59")) && !window.holds(at("2026-10-17T20:15")));
+        assert!(
+            !window.contains(at("2026-10-17T16:14:59")) && window.contains(at("2026-10-17T16:15"))
+        );
+        assert!(
+            window.contains(at("2026-10-17T20:14:59")) && !window.contains(at("2026-10-17T20:15"))
+        );
     }
 
     #[test]
     fn a_yearly_window_runs_over_the_change_of_year() {
         let almanac = Almanac::default();
-        let stated = Stated {
+        let stated = WindowConditions {
             dates: vec![Dates::Yearly((12, 30), (1, 2))],
-            ..Stated::default()
+            ..WindowConditions::default()
         };
         let window = almanac.window(&stated, 0);
         for (text, held) in [
@@ -459,7 +478,7 @@
             ("2027-01-03T00:00", false),
             ("2031-12-31T12:00", true),
         ] {
-            assert_eq!(window.holds(at(text)), held, "{text}");
+            assert_eq!(window.contains(at(text)), held, "{text}");
         }
     }
 
@@ -467,57 +486,59 @@
     fn a_date_on_a_weekday_that_it_has_not_never_occurs() {
         let almanac = Almanac::default();
         let date = Date::constant(2026, 10, 17);
-        let stated = Stated {
+        let stated = WindowConditions {
             dates: vec![Dates::Once(date, date)],
             weekdays: 1,
-            ..Stated::default()
+            ..WindowConditions::default()
         };
-        assert!(almanac.window(&stated, 0).never());
-        let leap = Stated {
+        assert!(almanac.window(&stated, 0).never_occurs());
+        let leap = WindowConditions {
             dates: vec![Dates::Yearly((2, 29), (2, 29))],
-            ..Stated::default()
+            ..WindowConditions::default()
         };
         let window = almanac.window(&leap, 0);
-        assert!(window.holds(at("2028-02-29T00:00")) && !window.holds(at("2027-03-01T00:00")));
+        assert!(
+            window.contains(at("2028-02-29T00:00")) && !window.contains(at("2027-03-01T00:00"))
+        );
     }
 
     #[test]
     fn pieces_tell_every_moment_from_those_that_windows_see_otherwise() {
         let almanac = Almanac::default();
         let windows: Vec<Window> = [
-            Stated {
+            WindowConditions {
                 weekdays: 0b110_0000,
                 hours: vec![Hours {
                     from: 79_200,
                     to: 7_200,
                 }],
-                ..Stated::default()
+                ..WindowConditions::default()
             },
-            Stated {
+            WindowConditions {
                 dates: vec![Dates::Yearly((10, 17), (11, 2))],
-                ..Stated::default()
+                ..WindowConditions::default()
             },
-            Stated {
+            WindowConditions {
                 hours: vec![Hours {
                     from: 21_600,
                     to: 36_000,
                 }],
-                ..Stated::default()
+                ..WindowConditions::default()
             },
         ]
         .iter()
         .map(|stated| almanac.window(stated, 20_700))
         .collect();
-        let pieces = Pieces::of(windows.iter());
+        let pieces = TimePieces::of(windows.iter());
         let sets: Vec<Ranges> = windows.iter().map(|w| pieces.of_window(w)).collect();
         for n in 0..20_000_u32 {
             let moment = Moment {
                 day: 20_000 + n % 700,
-                second: (n * 7_919) % DAY,
+                second: (n * 7_919) % SECONDS_PER_DAY,
             };
             let piece = pieces.of_moment(moment);
             for (window, set) in windows.iter().zip(&sets) {
-                assert_eq!(window.holds(moment), set.contains(piece));
+                assert_eq!(window.contains(moment), set.contains(piece));
             }
             assert_eq!(pieces.of_moment(pieces.moment(piece)), piece);
         }
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -176,14 +176,14 @@
             format!("the section {keyword} bears no name"),
         )
         .label("not wanted here"),
-        (Naming::Named | Naming::Called, []) => Diagnostic::error(
+        (Naming::Named | Naming::ExternalName, []) => Diagnostic::error(
             "section-name",
             stated.keyword.span,
             format!("the section {keyword} needs a name"),
         )
         .label(format!("write {keyword} NAME {{")),
-        (naming @ (Naming::Named | Naming::Called), [name]) => {
-            if naming == Naming::Called && !name.text.is_empty() || is_name(&name.text) {
+        (naming @ (Naming::Named | Naming::ExternalName), [name]) => {
+            if naming == Naming::ExternalName && !name.text.is_empty() || is_name(&name.text) {
                 return Some(name.text.clone());
             }
             Diagnostic::error(
@@ -194,7 +194,7 @@
             .label("not a name")
             .help("a name begins with a letter and holds letters, digits, - and _")
         }
-        (Naming::Named | Naming::Called, [_, second, ..]) => Diagnostic::error(
+        (Naming::Named | Naming::ExternalName, [_, second, ..]) => Diagnostic::error(
             "section-name",
             second.span,
             format!("the section {keyword} bears one name"),
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -119,7 +119,7 @@
 /// The windows that a credit goes by, and in which other times lie now.
 fn lent_by<'a>(old: &'a Model, new: &'a Model) -> HashSet<&'a str> {
     let of = |model: &'a Model| -> HashMap<&'a str, &'a Window> {
-        let credits = model.lending.iter().flat_map(|l| &l.credits);
+        let credits = model.quota_lending.iter().flat_map(|l| &l.credits);
         let places = credits.flat_map(|c| c.not_during.iter().copied());
         places
             .map(|at| (model.named_windows[at].name.as_str(), &model.windows[at]))
--- a/crates/configuration/src/explain.rs
+++ b/crates/configuration/src/explain.rs
@@ -17,7 +17,7 @@
 pub fn steps(model: &Model, request: &Request<'_>) -> Vec<Step> {
     let mut steps = Vec::new();
     for (at, route) in model.routes.iter().enumerate() {
-        let fails = route::fails(&route.conditions, &model.windows, request);
+        let fails = route::first_unmet_condition(&route.conditions, &model.windows, request);
         steps.push(Step { route: at, fails });
         if fails.is_none() {
             break;
--- a/crates/configuration/src/index.rs
+++ b/crates/configuration/src/index.rs
@@ -24,7 +24,7 @@
 
 /// What routes see of a request, its names as numbers.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts<'a> {
+pub struct IndexedRequest<'a> {
     /// Position in the names that the index was made with; any other number is a name that no route knows.
     pub class: u32,
     /// Position of the tenant's name.
@@ -78,7 +78,7 @@
 
 /// What of a route no key tells.
 #[derive(Debug, Default)]
-struct Asked {
+struct ResidualConditions {
     classes: Vec<u32>,
     tenants: Vec<u32>,
     groups: Vec<RangeInclusive<u32>>,
@@ -86,9 +86,9 @@
     during: Vec<u32>,
 }
 
-impl Asked {
+impl ResidualConditions {
     fn is_empty(&self) -> bool {
-        let Asked {
+        let ResidualConditions {
             classes,
             tenants,
             groups,
@@ -105,16 +105,16 @@
 
 /// Classes and tenants by number. Those of the platform come first, in its order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names {
+pub struct NameTable {
     /// Names of classes.
     pub classes: Vec<String>,
     /// Names of tenants.
     pub tenants: Vec<String>,
 }
 
-impl Names {
+impl NameTable {
     /// With all names that routes state and that it has not yet.
-    pub fn with_routes(mut self, routes: &[Route]) -> Names {
+    pub fn with_routes(mut self, routes: &[Route]) -> NameTable {
         let add = |list: fn(&Route) -> &[String], names: &mut Vec<String>| {
             let mut known: std::collections::HashSet<String> = names.iter().cloned().collect();
             for name in routes.iter().flat_map(list) {
@@ -140,13 +140,13 @@
     /// the only one, which always holds.
     cells: FxHashMap<Key, (u32, u32)>,
     lists: Vec<u32>,
-    asked: Vec<Option<Box<Asked>>>,
+    asked: Vec<Option<Box<ResidualConditions>>>,
     windows: Vec<Window>,
 }
 
 impl Index {
     /// Compiles the routes. Names that no request can have are left out.
-    pub fn new(routes: &[Route], windows: &[Window], names: &Names) -> Index {
+    pub fn new(routes: &[Route], windows: &[Window], names: &NameTable) -> Index {
         let numbers =
             |names: &[String]| -> HashMap<String, u32> { names.iter().cloned().zip(0..).collect() };
         let (classes, tenants) = (numbers(&names.classes), numbers(&names.tenants));
@@ -167,13 +167,13 @@
         let mut cells: FxHashMap<Key, Vec<u32>> = FxHashMap::default();
         for (at, route) in (0_u32..).zip(routes) {
             let conditions = &route.conditions;
-            let mut asked = Asked {
+            let mut asked = ResidualConditions {
                 during: conditions
                     .during
                     .iter()
                     .filter_map(|w| u32::try_from(*w).ok())
                     .collect(),
-                ..Asked::default()
+                ..ResidualConditions::default()
             };
             let mut class = number_all(&classes, &conditions.classes);
             let mut tenant = number_all(&tenants, &conditions.tenants);
@@ -220,7 +220,7 @@
                     .networks
                     .iter()
                     .map(|n| {
-                        let (first, length) = route::prefix(n);
+                        let (first, length) = route::network_prefix(n);
                         index.networks.insert(first, length)
                     })
                     .collect(),
@@ -287,13 +287,13 @@
     }
 
     /// The first route that holds, by its position.
-    pub fn find(&self, request: &Facts<'_>) -> Option<usize> {
+    pub fn find(&self, request: &IndexedRequest<'_>) -> Option<usize> {
         let mut best = ANY;
         let mut texts = [0; TEXT_DEPTH];
         let texts = self
             .statements
             .prefixes(request.statement.trim_ascii_start(), &mut texts);
-        let mut at = self.networks.find(route::number(request.client));
+        let mut at = self.networks.find(route::address_number(request.client));
         while let Some(node) = self.networks.nodes.get(at as usize) {
             // What no statement is asked for is looked at first: a prefix is the rarer case.
             if node.pair.least < best {
@@ -316,7 +316,7 @@
         network: u32,
         statement: u32,
         shapes: u8,
-        request: &Facts<'_>,
+        request: &IndexedRequest<'_>,
         best: u32,
     ) -> u32 {
         let (mut shapes, mut best) = (shapes, best);
@@ -349,11 +349,11 @@
     }
 
     /// What the keys don't tell of it.
-    fn holds(&self, at: u32, request: &Facts<'_>) -> bool {
+    fn holds(&self, at: u32, request: &IndexedRequest<'_>) -> bool {
         let Some(Some(asked)) = self.asked.get(at as usize) else {
             return true;
         };
-        let Asked {
+        let ResidualConditions {
             classes,
             tenants,
             groups,
@@ -365,7 +365,7 @@
         let held = |window: &u32| {
             self.windows
                 .get(*window as usize)
-                .is_some_and(|w| w.holds(request.at))
+                .is_some_and(|w| w.contains(request.at))
         };
         among(classes, request.class)
             && among(tenants, request.tenant)
@@ -373,7 +373,7 @@
             && (statements.is_empty()
                 || statements
                     .iter()
-                    .any(|p| route::begins(request.statement, p)))
+                    .any(|p| route::starts_with_folded(request.statement, p)))
             && (during.is_empty() || during.iter().any(held))
     }
 
@@ -387,7 +387,7 @@
         tables
             + tries
             + self.lists.capacity() * 4
-            + self.asked.capacity() * size_of::<Option<Box<Asked>>>()
+            + self.asked.capacity() * size_of::<Option<Box<ResidualConditions>>>()
     }
 }
 
@@ -472,7 +472,7 @@
                 let mut children = [ANY; 2];
                 children[bit(below.first, common)] = child;
                 self.nodes[at].children[side] = self.nodes.len() as u32;
-                at = self.push(first & route::mask(common), common, children);
+                at = self.push(first & route::prefix_mask(common), common, children);
             } else {
                 at = child as usize;
             }
@@ -496,7 +496,7 @@
             }
         }
         if self.nodes.len() >= JUMP_FROM {
-            let base = route::number(IpAddr::from([0, 0, 0, 0]));
+            let base = route::address_number(IpAddr::from([0, 0, 0, 0]));
             self.jump = (0..1_u128 << 16)
                 .map(|net| self.deepest(base | net << 16, 0, JUMP_LENGTH))
                 .collect();
@@ -519,7 +519,7 @@
             else {
                 return at;
             };
-            if (address ^ next.first) & route::mask(next.length) != 0 {
+            if (address ^ next.first) & route::prefix_mask(next.length) != 0 {
                 return at;
             }
             at = child;
--- a/crates/configuration/src/lending.rs
+++ b/crates/configuration/src/lending.rs
@@ -2,10 +2,10 @@
 
 use crate::check::{unknown_name, Section, Setting};
 use crate::diagnostic::Diagnostic;
-use crate::members::{needed, required};
-use crate::model::{name, NamedWindow};
+use crate::members::{require_directive, require_members};
+use crate::model::{name_of, NamedWindow};
 use crate::schema::CREDITS_LIMIT;
-use crate::value::{time, Value};
+use crate::value::{format_time, Value};
 use crate::values::Values;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lending {
     /// Without it a restarted proxy has no memory.
-    pub state: Option<PathBuf>,
+    pub state_file: Option<PathBuf>,
     /// How long a lease lasts.
     pub lease: Duration,
     /// How often proxies tell each other of loans.
-    pub step: Duration,
+    pub exchange_interval: Duration,
     /// No credit's term and write-off together are longer. The same at all proxies.
-    pub longest: Duration,
+    pub max_loan_time: Duration,
     /// The tenants that may borrow.
     pub credits: Vec<Credit>,
 }
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Credit {
     /// The platform's name of the tenant.
-    pub stand: String,
+    pub tenant: String,
     /// What it may owe, as time of its quota of the whole fleet.
-    pub line: Duration,
+    pub credit_limit: Duration,
     /// Within this a loan is repaid.
     pub term: Duration,
     /// How long after the term an unpaid loan is written off.
@@ -76,7 +76,7 @@
         return None;
     };
     if !partial {
-        needed(
+        require_members(
             sections,
             section,
             "lending",
@@ -100,8 +100,8 @@
     if let Some(at) = either(section, ["step", "lease"]).filter(|_| step * STEPS_OF_LEASE > lease) {
         let message = format!(
             "step ({}) is more than a third of lease ({})",
-            time(step),
-            time(lease)
+            format_time(step),
+            format_time(lease)
         );
         let fault =
             Diagnostic::error("cross-check", at.span, message).label("one late beat would end it");
@@ -109,8 +109,8 @@
         let least = step * STEPS_OF_LEASE;
         let help = format!(
             "state a step of at most {}, or a lease of {} or more",
-            time(most),
-            time(least)
+            format_time(most),
+            format_time(least)
         );
         faults.push(fault.help(help));
     }
@@ -119,10 +119,10 @@
         self::credit(credit, windows, partial, faults)
     });
     Some(Lending {
-        state: v.path("state"),
+        state_file: v.path("state"),
         lease,
-        step,
-        longest,
+        exchange_interval: step,
+        max_loan_time: longest,
         credits: credits.collect(),
     })
 }
@@ -149,11 +149,11 @@
         return;
     }
     let at = either(credit, ["term", "write-off"]).map_or(credit.span, |setting| setting.span);
-    let (all, most) = (time(term + write_off), time(longest));
+    let (all, most) = (format_time(term + write_off), format_time(longest));
     let message = format!(
         "term ({}) and write-off ({}) of the credit {} are {all} together, but the longest is {most}",
-        time(term),
-        time(write_off),
+        format_time(term),
+        format_time(write_off),
         credit.name
     );
     let fault = Diagnostic::error("cross-check", at, message).label("lent for too long");
@@ -173,7 +173,7 @@
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Credit> {
     for keyword in ["line", "class", "rate"] {
-        required(
+        require_directive(
             section,
             keyword,
             &format!("the credit {}", section.name),
@@ -208,13 +208,13 @@
     }
     let floor = v.share("floor");
     Some(Credit {
-        stand: section.name.clone(),
-        line: v.time("line")?,
+        tenant: section.name.clone(),
+        credit_limit: v.time("line")?,
         term: v.time("term").unwrap_or_default(),
         write_off: v.time("write-off").unwrap_or_default(),
         // Upwards: what is said to stay stays.
         floor: (u64::from(floor.part) * 1_000).div_ceil(u64::from(floor.whole.max(1))) as u32,
-        classes: Some(v.all("class", name)).filter(|classes| !classes.is_empty())?,
+        classes: Some(v.collect("class", name_of)).filter(|classes| !classes.is_empty())?,
         rate: rate?,
         not_during: not_during?,
     })
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -7,11 +7,11 @@
 //! here reads files, clocks or sockets; a [`load::Loader`] brings the texts.
 //!
 //! ```
-//! use configuration::{load::Memory, read};
+//! use configuration::{load::MemoryFiles, read};
 //!
-//! let files = Memory::from([("a.conf", "limits {\n    client-patience 500ms\n}\n")]);
+//! let files = MemoryFiles::from([("a.conf", "limits {\n    client-patience 500ms\n}\n")]);
 //! let reading = read("a.conf".as_ref(), &files);
-//! assert!(reading.sound());
+//! assert!(reading.is_valid());
 //! assert_eq!(reading.model.limits.client_patience.as_millis(), 500);
 //! ```
 
@@ -25,8 +25,8 @@
 pub mod lending;
 pub mod load;
 pub mod members;
-pub mod memory;
 pub mod model;
+pub mod persistence;
 pub mod platform;
 pub mod ranges;
 pub mod rollout;
@@ -60,7 +60,7 @@
 
 impl Reading {
     /// It may be served by.
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         !self.diagnostics.iter().any(Diagnostic::is_error)
     }
 
@@ -74,7 +74,7 @@
 /// A file of another table than the operators', as far as the table can tell: names that no section bears are
 /// reported, what else its values have to do with one another is the caller's to check.
 #[derive(Debug, Default)]
-pub struct Plain {
+pub struct TableReading {
     /// The texts that were read.
     pub sources: Sources,
     /// The sections.
@@ -83,15 +83,15 @@
     pub diagnostics: Vec<Diagnostic>,
 }
 
-impl Plain {
+impl TableReading {
     /// Whether nothing found is an error.
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         !self.diagnostics.iter().any(Diagnostic::is_error)
     }
 }
 
 /// Reads a file of that table, and all that it includes.
-pub fn read_plain(path: &Path, loader: &dyn load::Loader, table: schema::Table) -> Plain {
+pub fn read_table(path: &Path, loader: &dyn load::Loader, table: schema::Table) -> TableReading {
     let (mut sources, mut diagnostics) = (Sources::default(), Vec::new());
     let document = load::load(path, loader, table, &mut sources, &mut diagnostics);
     let partial = document.partial;
@@ -99,7 +99,7 @@
     let partial = partial || names_missing(&diagnostics);
     check::references(&sections, partial, &mut diagnostics);
     diagnostic::sort(&mut diagnostics);
-    Plain {
+    TableReading {
         sources,
         sections,
         diagnostics,
--- a/crates/configuration/src/load.rs
+++ b/crates/configuration/src/load.rs
@@ -668,29 +668,29 @@
 /// Files in memory, for tests and for texts that come from elsewhere. Links are files of which the text is the
 /// path behind `link:`.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct MemoryFiles {
     files: BTreeMap<PathBuf, Vec<u8>>,
 }
 
-impl Memory {
+impl MemoryFiles {
     /// Adds a file.
     pub fn add(&mut self, path: impl Into<PathBuf>, text: impl Into<Vec<u8>>) {
         self.files.insert(path.into(), text.into());
     }
 }
 
-impl<const N: usize> From<[(&str, &str); N]> for Memory {
-    fn from(files: [(&str, &str); N]) -> Memory {
+impl<const N: usize> From<[(&str, &str); N]> for MemoryFiles {
+    fn from(files: [(&str, &str); N]) -> MemoryFiles {
         let files = files
             .into_iter()
             .map(|(path, text)| (path.into(), text.as_bytes().to_vec()));
-        Memory {
+        MemoryFiles {
             files: files.collect(),
         }
     }
 }
 
-impl Loader for Memory {
+impl Loader for MemoryFiles {
     fn read(&self, path: &Path) -> Result<Vec<u8>, String> {
         let path = self.identity(path)?;
         self.files
--- a/crates/configuration/src/members.rs
+++ b/crates/configuration/src/members.rs
@@ -78,11 +78,11 @@
         faults.push(Diagnostic::error("many-members", first.span, message).label("one too many"));
         return None;
     }
-    let roster = roster(&stated, faults);
+    let roster = parse_members(&stated, faults);
     let v = Values::of(section);
     let (version, listen) = (v.count("version"), v.address("listen"));
     for keyword in ["version", "listen", "key-file"] {
-        required(section, keyword, "the section members", faults);
+        require_directive(section, keyword, "the section members", faults);
     }
     Some(Members {
         version: version?,
@@ -94,7 +94,7 @@
     })
 }
 
-fn roster(stated: &[&Section], faults: &mut Vec<Diagnostic>) -> Vec<Member> {
+fn parse_members(stated: &[&Section], faults: &mut Vec<Diagnostic>) -> Vec<Member> {
     let mut roster = Vec::with_capacity(stated.len());
     let mut places: HashMap<SocketAddr, &Section> = HashMap::new();
     for section in stated {
@@ -105,7 +105,7 @@
             );
             faults.push(Diagnostic::error("section-name", section.span, message).label("too long"));
         }
-        required(
+        require_directive(
             section,
             "address",
             &format!("the member {}", section.name),
@@ -142,7 +142,7 @@
 }
 
 /// A section that says nothing without the section members.
-pub(crate) fn needed(
+pub(crate) fn require_members(
     sections: &[Section],
     section: &Section,
     what: &str,
@@ -156,7 +156,7 @@
     }
 }
 
-pub(crate) fn required(
+pub(crate) fn require_directive(
     section: &Section,
     keyword: &'static str,
     whose: &str,
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -1,14 +1,14 @@
 //! The typed, resolved model, with the place of every value, and the checks between values.
 
-use crate::calendar::{Almanac, Stated, Window};
+use crate::calendar::{Almanac, Window, WindowConditions};
 use crate::check::{unknown_name, Section};
 use crate::diagnostic::Diagnostic;
 pub use crate::lending::{Credit, Lending};
 pub use crate::members::{Member, Members};
-pub use crate::memory::Memory;
+pub use crate::persistence::Persistence;
 pub use crate::rollout::Rollout;
-use crate::route::{fold, Conditions, Outcome, Priority, Route};
-use crate::schema::{self, Takes};
+use crate::route::{fold_case, Conditions, Outcome, Priority, Route};
+use crate::schema::{self, TakesEffect};
 pub use crate::sites::Sites;
 use crate::source::Span;
 use crate::value::{Dates, Hours, Rate, Share, Value};
@@ -45,7 +45,7 @@
     /// Where it comes from.
     pub origin: Origin,
     /// When a change of it counts.
-    pub takes: Takes,
+    pub takes_effect: TakesEffect,
 }
 
 /// The section `limits`. Shares are of the descriptors or of the memory.
@@ -85,7 +85,7 @@
     /// Where the endpoint list is served.
     pub address: Option<SocketAddr>,
     /// A watch that is silent for so long is broken.
-    pub watch_silence: Duration,
+    pub max_watch_silence: Duration,
 }
 
 /// A section `listener`: where clients connect.
@@ -96,7 +96,7 @@
     /// Its address.
     pub address: Option<SocketAddr>,
     /// Balancers that name their clients.
-    pub proxy_from: Vec<IpNet>,
+    pub proxy_protocol_networks: Vec<IpNet>,
 }
 
 /// A section `health`: where balancers' checks are answered.
@@ -117,9 +117,9 @@
     /// Connections at once.
     pub connections: usize,
     /// Time for a check to be complete.
-    pub patience: Duration,
+    pub check_timeout: Duration,
     /// Time that an idle connection is kept.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A section `balancer`: who checks this proxy, and how.
@@ -185,9 +185,9 @@
     /// A shorter deadline.
     pub deadline: Option<Duration>,
     /// A lower attempt limit.
-    pub tries: Option<u16>,
+    pub attempt_limit: Option<u16>,
     /// Never sent again once it may have run.
-    pub once: bool,
+    pub runs_once: bool,
 }
 
 /// A section `window`.
@@ -196,16 +196,16 @@
     /// Its name.
     pub name: String,
     /// When it holds.
-    pub stated: Stated,
+    pub stated: WindowConditions,
 }
 
 /// The section `policy`: tighter settings of the decision module.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// A lower attempt limit.
-    pub tries: Option<u16>,
+    pub attempt_limit: Option<u16>,
     /// Hedged requests are allowed.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// A shorter longest Retry-After.
@@ -255,17 +255,17 @@
     /// Balancers are told of the process's end first.
     pub announce_end: bool,
     /// Time in which a proxy that was told to stop still accepts connections.
-    pub linger: Option<Duration>,
+    pub accept_after_stop: Option<Duration>,
     /// The operators' socket.
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// The other proxies; none: nobody listens for them.
     pub members: Option<Members>,
     /// Staged rollouts of the operators' file.
     pub rollout: Option<Rollout>,
     /// State that outlives the process.
-    pub memory: Option<Memory>,
+    pub persistence: Option<Persistence>,
     /// Who may borrow; none: nothing is lent.
-    pub lending: Option<Lending>,
+    pub quota_lending: Option<Lending>,
     /// What is told of sites; none: nothing is.
     pub sites: Option<Sites>,
 }
@@ -277,14 +277,14 @@
     }
 }
 
-pub(crate) fn name(value: &Value) -> Option<String> {
+pub(crate) fn name_of(value: &Value) -> Option<String> {
     match value {
         Value::Name(name) => Some(name.clone()),
         _ => None,
     }
 }
 
-fn groups(value: &Value) -> Option<RangeInclusive<u32>> {
+fn groups_of(value: &Value) -> Option<RangeInclusive<u32>> {
     match value {
         Value::Groups(range) => Some(range.clone()),
         _ => None,
@@ -311,13 +311,13 @@
         answer_unread: time("answer-unread"),
         goodbye: time("goodbye"),
         answer_margin: time("answer-margin"),
-        pipeline: v.small("pipeline").unwrap_or(1),
-        unsent: v.small("unsent").unwrap_or(4_096),
+        pipeline: v.bounded_count("pipeline").unwrap_or(1),
+        unsent: v.bounded_count("unsent").unwrap_or(4_096),
         clients: v.share("clients"),
         crowded: v.share("crowded"),
         packed: v.share("packed"),
         unfinished: v.share("unfinished"),
-        sockets: v.small("sockets"),
+        sockets: v.bounded_count("sockets"),
         memory: v.count("memory"),
     };
     if let Some(section) = v.section.filter(|_| limits.crowded > limits.packed) {
@@ -340,7 +340,7 @@
     let v = once("discovery");
     let discovery = Discovery {
         address: v.address("address"),
-        watch_silence: v.time("watch-silence").unwrap_or_default(),
+        max_watch_silence: v.time("watch-silence").unwrap_or_default(),
     };
     let network = |value: &Value| match value {
         Value::Network(network) => Some(*network),
@@ -350,7 +350,7 @@
         .map(|s| Listener {
             name: s.name.clone(),
             address: of(s).address("address"),
-            proxy_from: of(s).all("proxy-from", network),
+            proxy_protocol_networks: of(s).collect("proxy-from", network),
         })
         .collect();
     for section in all("listener").skip(1) {
@@ -375,15 +375,15 @@
             let v = of(s);
             Pool {
                 name: s.name.clone(),
-                requests: v.small("requests"),
+                requests: v.bounded_count("requests"),
                 rate: match v.value("rate") {
                     Some(Value::Rate(rate)) => Some(rate),
                     _ => None,
                 },
-                burst: v.small("burst").unwrap_or(1),
+                burst: v.bounded_count("burst").unwrap_or(1),
                 reserve: v.share("reserve"),
                 retry_after: v.time("come-back"),
-                groups: v.all("groups", groups),
+                groups: v.collect("groups", groups_of),
             }
         })
         .collect();
@@ -397,16 +397,16 @@
                 name: s.name.clone(),
                 span: s.span,
                 deadline: v.time("deadline"),
-                tries: v.small("tries"),
-                once: v.choice("runs") == "once",
+                attempt_limit: v.bounded_count("tries"),
+                runs_once: v.choice("runs") == "once",
             }
         })
         .collect();
     let routes = routes(sections, &named_windows, &pools, &classes, partial, faults);
     let v = once("policy");
     let policy = Policy {
-        tries: v.small("tries"),
-        second_copies: v.choice("second-copies") == "yes",
+        attempt_limit: v.bounded_count("tries"),
+        hedging: v.choice("second-copies") == "yes",
         probes: v.choice("probes") == "yes",
         max_retry_after: v.time("come-back-most"),
     };
@@ -416,9 +416,9 @@
         Balancer {
             name: s.name.clone(),
             interval: v.time("interval").unwrap_or_default(),
-            fall: v.small("fall").unwrap_or(1),
+            fall: v.bounded_count("fall").unwrap_or(1),
             timeout: v.time("timeout").unwrap_or_default(),
-            networks: v.all("network", network),
+            networks: v.collect("network", network),
         }
     });
     let balancers: Vec<Balancer> = balancers.collect();
@@ -433,7 +433,7 @@
         lag: v.time("lag").unwrap_or_default(),
     };
     let v = once("drain");
-    let (announce_end, linger) = (v.choice("announce-end") == "yes", v.time("linger"));
+    let (announce_end, accept_after_stop) = (v.choice("announce-end") == "yes", v.time("linger"));
     if let Some(at) = v
         .section
         .and_then(|s| s.setting("announce-end"))
@@ -446,11 +446,11 @@
                 .help("state a balancer"),
         );
     }
-    let control = once("control").path("socket");
+    let control_socket = once("control").path("socket");
     let members = crate::members::members(sections, partial, faults);
     let rollout = crate::rollout::rollout(sections, partial, faults);
-    let memory = crate::memory::memory(sections, faults);
-    let lending = crate::lending::lending(sections, &named_windows, partial, faults);
+    let persistence = crate::persistence::persistence(sections, faults);
+    let quota_lending = crate::lending::lending(sections, &named_windows, partial, faults);
     let sites = crate::sites::sites(sections);
     let v = once("logging");
     let logging = Logging {
@@ -473,12 +473,12 @@
         balancers,
         availability,
         announce_end,
-        linger,
-        control,
+        accept_after_stop,
+        control_socket,
         members,
         rollout,
-        memory,
-        lending,
+        persistence,
+        quota_lending,
         sites,
     }
 }
@@ -503,13 +503,14 @@
                 None if directive.default.is_empty() => continue,
                 None => (directive.default.to_owned(), Origin::Default),
             };
-            let (section, directive, takes) = (title.clone(), directive.keyword, directive.takes);
+            let (section, directive, takes) =
+                (title.clone(), directive.keyword, directive.takes_effect);
             entries.push(Entry {
                 section,
                 directive,
                 value,
                 origin,
-                takes,
+                takes_effect: takes,
             });
         }
     };
@@ -519,7 +520,7 @@
                 spec,
                 sections.iter().find(|s| s.spec.keyword == spec.keyword),
             ),
-            schema::Naming::Named | schema::Naming::Called => {
+            schema::Naming::Named | schema::Naming::ExternalName => {
                 sections
                     .iter()
                     .filter(|s| s.spec.keyword == spec.keyword)
@@ -583,9 +584,9 @@
             statuses: v.choice("statuses"),
             expects_text: v.choice("expects-text") == "yes",
             maxconn: v.choice("maxconn") == "yes",
-            connections: v.small("connections").unwrap_or(1),
-            patience: v.time("patience").unwrap_or_default(),
-            idle: v.time("idle").unwrap_or_default(),
+            connections: v.bounded_count("connections").unwrap_or(1),
+            check_timeout: v.time("patience").unwrap_or_default(),
+            idle_timeout: v.time("idle").unwrap_or_default(),
         });
     }
     all
@@ -616,29 +617,29 @@
             section: Some(section),
             spec: section.spec,
         };
-        let dates = v.all("dates", |value| match value {
+        let dates = v.collect("dates", |value| match value {
             Value::Dates(dates) => Some(*dates),
             _ => None,
         });
-        let days = v.all("weekdays", |value| match value {
+        let days = v.collect("weekdays", |value| match value {
             Value::Weekdays(bits) => Some(*bits),
             _ => None,
         });
-        let hours: Vec<Hours> = v.all("hours", |value| match value {
+        let hours: Vec<Hours> = v.collect("hours", |value| match value {
             Value::Hours(hours) => Some(*hours),
             _ => None,
         });
-        let stated = Stated {
+        let stated = WindowConditions {
             dates,
             weekdays: days.iter().fold(0, |all, d| all | d),
             hours,
         };
         let window = almanac.window(&stated, offset);
         if !section.partial {
-            if stated == Stated::default() {
+            if stated == WindowConditions::default() {
                 let fault = Diagnostic::error("missing", section.span, "the window states nothing");
                 faults.push(fault.label("dates, weekdays or hours are missing here"));
-            } else if window.never() {
+            } else if window.never_occurs() {
                 let mut fault =
                     Diagnostic::warning("never-occurs", section.span, "the window never occurs")
                         .label("no day fits all that it states");
@@ -719,7 +720,7 @@
     let pool_at: HashMap<&str, &Pool> = pools.iter().map(|p| (p.name.as_str(), p)).collect();
     let once: Vec<&str> = classes
         .iter()
-        .filter(|c| c.once)
+        .filter(|c| c.runs_once)
         .map(|c| c.name.as_str())
         .collect();
     let mut unknown = |what: &str, name: &str, span: Span, known: Vec<&str>| {
@@ -755,14 +756,14 @@
             }
         }
         let conditions = Conditions {
-            classes: v.all("class", name),
-            tenants: v.all("tenant", name),
-            groups: v.all("group", groups),
-            statements: v.all("statement", |value| match value {
-                Value::Text(text) => Some(fold(text)),
+            classes: v.collect("class", name_of),
+            tenants: v.collect("tenant", name_of),
+            groups: v.collect("group", groups_of),
+            statements: v.collect("statement", |value| match value {
+                Value::Text(text) => Some(fold_case(text)),
                 _ => None,
             }),
-            networks: v.all("network", |value| match value {
+            networks: v.collect("network", |value| match value {
                 Value::Network(network) => Some(*network),
                 _ => None,
             }),
@@ -770,15 +771,15 @@
         };
         let outcome = Outcome {
             pool: pool.map(|p| p.name.clone()),
-            as_class: v.value("as-class").as_ref().and_then(name),
+            as_class: v.value("as-class").as_ref().and_then(name_of),
             deadline: v.time("deadline"),
             priority: match v.choice("priority") {
                 "low" => Priority::Low,
                 "high" => Priority::High,
                 _ => Priority::Normal,
             },
-            tries: v.small("tries"),
-            refuse: section.setting("refuse").map(|_| v.time("refuse")),
+            attempt_limit: v.bounded_count("tries"),
+            reject: section.setting("refuse").map(|_| v.time("refuse")),
         };
         let route = Route {
             name: section.name.clone(),
--- a/crates/configuration/src/memory.rs
+++ b/crates/configuration/src/persistence.rs
@@ -8,7 +8,7 @@
 
 /// The section `memory`: what outlives the process.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Memory {
+pub struct Persistence {
     /// A directory of this proxy alone.
     pub state: PathBuf,
     /// Lists that change without end are written this often.
@@ -16,11 +16,11 @@
 }
 
 /// The section's values; none without the section.
-pub fn memory(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Option<Memory> {
+pub fn persistence(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Option<Persistence> {
     let section = sections.iter().find(|s| s.spec.keyword == "memory")?;
     let v = Values::of(section);
-    crate::members::required(section, "state", "the section memory", faults);
-    Some(Memory {
+    crate::members::require_directive(section, "state", "the section memory", faults);
+    Some(Persistence {
         state: v.path("state")?,
         every: v.time("every").unwrap_or_default(),
     })
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -9,28 +9,28 @@
 
 /// What a class needs of the data that answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Consistency {
     /// Only the primary takes it.
     Write,
     /// Everything that was committed before it arrived.
-    Fresh,
+    Strong,
     /// Everything that its session has written.
-    Session,
+    ReadYourWrites,
     /// Data no older than this.
-    Bounded(Duration),
+    BoundedStaleness(Duration),
     /// Any data.
-    Any,
+    Eventual,
 }
 
 /// What a repeat of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Idempotent.
-    Safe,
+    Idempotent,
     /// Dropped by its key, within limits of its own.
     Keyed,
     /// Not idempotent.
-    Never,
+    NonIdempotent,
 }
 
 /// A class as the platform states it.
@@ -39,9 +39,9 @@
     /// Its name.
     pub name: String,
     /// The data that it needs.
-    pub need: Need,
+    pub consistency: Consistency,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// After this its client gives up.
     pub deadline: Duration,
 }
@@ -54,7 +54,7 @@
     /// The names of all tenants.
     pub tenants: Vec<String>,
     /// 0: no limit.
-    pub try_limit: u16,
+    pub attempt_limit: u16,
     /// Descriptors that the process may hold.
     pub sockets: Option<usize>,
     /// Bytes of memory that the process may use.
@@ -64,19 +64,21 @@
 }
 
 /// Whether data that is good enough for one class is for another too.
-fn meets(stricter: Need, need: Need) -> bool {
+fn meets(stricter: Consistency, need: Consistency) -> bool {
     match (stricter, need) {
-        (Need::Write, other) | (other, Need::Write) => other == Need::Write && stricter == need,
-        (_, Need::Any) | (Need::Fresh, _) => true,
-        (Need::Session, Need::Session) => true,
-        (Need::Bounded(own), Need::Bounded(bound)) => own <= bound,
+        (Consistency::Write, other) | (other, Consistency::Write) => {
+            other == Consistency::Write && stricter == need
+        }
+        (_, Consistency::Eventual) | (Consistency::Strong, _) => true,
+        (Consistency::ReadYourWrites, Consistency::ReadYourWrites) => true,
+        (Consistency::BoundedStaleness(own), Consistency::BoundedStaleness(bound)) => own <= bound,
         _ => false,
     }
 }
 
 /// What may be done with one may be done with the other.
-fn allows_no_more(own: Repeat, other: Repeat) -> bool {
-    own == other || other == Repeat::Safe || own == Repeat::Never
+fn allows_no_more(own: Idempotency, other: Idempotency) -> bool {
+    own == other || other == Idempotency::Idempotent || own == Idempotency::NonIdempotent
 }
 
 /// What of the operators' file is looser than the platform, or names what it does not have.
@@ -97,7 +99,7 @@
                 bounded(section, "memory", platform.memory, &mut faults);
             }
             "policy" => {
-                let tries = Some(u64::from(platform.try_limit)).filter(|n| *n > 0);
+                let tries = Some(u64::from(platform.attempt_limit)).filter(|n| *n > 0);
                 bounded(section, "tries", tries, &mut faults);
                 if let Some(most) = platform.max_retry_after {
                     longest(
@@ -126,7 +128,7 @@
     if let Some((value @ (Value::Count(n) | Value::Size(n)), _)) = setting.values.first() {
         if *n > most {
             let limit = match value {
-                Value::Size(_) => value::size(most),
+                Value::Size(_) => value::format_size(most),
                 _ => most.to_string(),
             };
             faults.push(loosens(
@@ -149,7 +151,7 @@
     };
     if let Some((Value::Time(span), _)) = setting.values.first() {
         if *span > most {
-            let (span, most) = (value::time(*span), value::time(most));
+            let (span, most) = (value::format_time(*span), value::format_time(most));
             faults.push(loosens(
                 setting,
                 format!("{keyword} is {span}, but {whose} {most} at most"),
@@ -184,7 +186,7 @@
         "its clients wait",
         faults,
     );
-    let tries = Some(u64::from(platform.try_limit)).filter(|n| *n > 0);
+    let tries = Some(u64::from(platform.attempt_limit)).filter(|n| *n > 0);
     bounded(section, "tries", tries, faults);
 }
 
@@ -221,7 +223,7 @@
     if !tenants.is_empty() {
         names(section, "tenant", "tenant", &tenants, faults);
     }
-    let tries = Some(u64::from(platform.try_limit)).filter(|n| *n > 0);
+    let tries = Some(u64::from(platform.attempt_limit)).filter(|n| *n > 0);
     bounded(section, "tries", tries, faults);
     let (Some(setting), Some(Value::Name(target))) =
         (section.setting("as-class"), section.value("as-class"))
@@ -239,13 +241,13 @@
             _ => None,
         })
         .collect();
-    let once = |name: &str| model.classes.iter().any(|c| c.name == name && c.once);
+    let once = |name: &str| model.classes.iter().any(|c| c.name == name && c.runs_once);
     // What the file says of a class counts here as the platform's word does.
     let repeat = |class: &Class| {
         if once(&class.name) {
-            Repeat::Never
+            Idempotency::NonIdempotent
         } else {
-            class.repeat
+            class.idempotency
         }
     };
     for class in platform
@@ -259,7 +261,7 @@
         }
         let why = if !allows_no_more(repeat(target), repeat(class)) {
             "allows repeats that must not be"
-        } else if !meets(target.need, class.need) {
+        } else if !meets(target.consistency, class.consistency) {
             "does not need the same of the data"
         } else {
             continue;
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -42,20 +42,26 @@
 ) -> Option<Rollout> {
     let section = sections.iter().find(|s| s.spec.keyword == "rollout")?;
     if !partial {
-        crate::members::needed(sections, section, "a rollout", "has nobody to tell", faults);
+        crate::members::require_members(
+            sections,
+            section,
+            "a rollout",
+            "has nobody to tell",
+            faults,
+        );
     }
     let v = Values::of(section);
-    crate::members::required(section, "candidates", "the section rollout", faults);
+    crate::members::require_directive(section, "candidates", "the section rollout", faults);
     let name = |value: &Value| match value {
         Value::Name(name) => Some(name.clone()),
         _ => None,
     };
     Some(Rollout {
         candidates: v.path("candidates")?,
-        order: v.all("order", name),
-        canary: v.small("canary").unwrap_or(1),
-        least_harm: v.part("least-harm"),
-        error: v.part("error"),
+        order: v.collect("order", name),
+        canary: v.bounded_count("canary").unwrap_or(1),
+        least_harm: v.fraction("least-harm"),
+        error: v.fraction("error"),
         soak: v.time("soak").unwrap_or_default(),
         dark: v.time("dark").unwrap_or_default(),
         period: v.time("period").unwrap_or_default(),
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -59,18 +59,21 @@
     /// Its priority.
     pub priority: Priority,
     /// A lower attempt limit.
-    pub tries: Option<u16>,
+    pub attempt_limit: Option<u16>,
     /// Refused, and when the client is told to come back.
-    pub refuse: Option<Option<Duration>>,
+    pub reject: Option<Option<Duration>>,
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut words = Vec::new();
-        if let Some(after) = &self.refuse {
+        if let Some(after) = &self.reject {
             words.push(match after {
                 Some(after) => {
-                    format!("refused, to come back after {}", crate::value::time(*after))
+                    format!(
+                        "refused, to come back after {}",
+                        crate::value::format_time(*after)
+                    )
                 }
                 None => "refused".to_owned(),
             });
@@ -83,12 +86,12 @@
         );
         words.extend(
             self.deadline
-                .map(|span| format!("deadline {}", crate::value::time(span))),
+                .map(|span| format!("deadline {}", crate::value::format_time(span))),
         );
         if self.priority != Priority::Normal {
             words.push(format!("priority {}", self.priority));
         }
-        words.extend(self.tries.map(|tries| format!("tries {tries}")));
+        words.extend(self.attempt_limit.map(|tries| format!("tries {tries}")));
         if words.is_empty() {
             words.push("as without routes".to_owned());
         }
@@ -127,13 +130,13 @@
 }
 
 /// A statement's begin as prefixes are compared: without blanks before it, in small letters.
-pub fn fold(text: &str) -> String {
+pub fn fold_case(text: &str) -> String {
     text.trim_start_matches(|c: char| c.is_ascii_whitespace())
         .to_ascii_lowercase()
 }
 
 /// Whether a statement begins with a folded prefix, blanks and case aside.
-pub fn begins(statement: &[u8], prefix: &str) -> bool {
+pub fn starts_with_folded(statement: &[u8], prefix: &str) -> bool {
     let text = statement.trim_ascii_start();
     let prefix = prefix.as_bytes();
     text.len() >= prefix.len()
@@ -144,7 +147,7 @@
 }
 
 /// An address as a number: IPv4 ones where IPv6 maps them.
-pub fn number(address: IpAddr) -> u128 {
+pub fn address_number(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(v4) => u128::from(v4.to_ipv6_mapped()),
         IpAddr::V6(v6) => u128::from(v6),
@@ -152,20 +155,20 @@
 }
 
 /// A network as the first of its numbers and the bits that they share.
-pub fn prefix(network: &IpNet) -> (u128, u8) {
+pub fn network_prefix(network: &IpNet) -> (u128, u8) {
     match network {
-        IpNet::V4(net) => (number(net.network().into()), net.prefix_len() + 96),
+        IpNet::V4(net) => (address_number(net.network().into()), net.prefix_len() + 96),
         IpNet::V6(net) => (u128::from(net.network()), net.prefix_len()),
     }
 }
 
 /// All the bits that a prefix of this length fixes.
-pub fn mask(length: u8) -> u128 {
+pub fn prefix_mask(length: u8) -> u128 {
     u128::MAX.checked_shl(128 - u32::from(length)).unwrap_or(0)
 }
 
 /// The condition that fails, by its directive; none if all hold.
-pub fn fails(
+pub fn first_unmet_condition(
     conditions: &Conditions,
     windows: &[Window],
     request: &Request<'_>,
@@ -179,12 +182,12 @@
         during,
     } = conditions;
     let among = |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
-    let client = number(request.client);
+    let client = address_number(request.client);
     let inside = |network: &IpNet| {
-        let (first, length) = prefix(network);
-        client & mask(length) == first
+        let (first, length) = network_prefix(network);
+        client & prefix_mask(length) == first
     };
-    let held = |window: &usize| windows.get(*window).is_some_and(|w| w.holds(request.at));
+    let held = |window: &usize| windows.get(*window).is_some_and(|w| w.contains(request.at));
     if !among(classes, request.class) {
         Some("class")
     } else if !among(tenants, request.tenant) {
@@ -193,7 +196,11 @@
         Some("group")
     } else if !networks.is_empty() && !networks.iter().any(inside) {
         Some("network")
-    } else if !statements.is_empty() && !statements.iter().any(|p| begins(request.statement, p)) {
+    } else if !statements.is_empty()
+        && !statements
+            .iter()
+            .any(|p| starts_with_folded(request.statement, p))
+    {
         Some("statement")
     } else if !during.is_empty() && !during.iter().any(held) {
         Some("during")
@@ -203,8 +210,8 @@
 }
 
 /// The first route whose conditions hold, found by asking one after the other.
-pub fn scan(routes: &[Route], windows: &[Window], request: &Request<'_>) -> Option<usize> {
+pub fn find_first(routes: &[Route], windows: &[Window], request: &Request<'_>) -> Option<usize> {
     routes
         .iter()
-        .position(|route| fails(&route.conditions, windows, request).is_none())
+        .position(|route| first_unmet_condition(&route.conditions, windows, request).is_none())
 }
--- a/crates/configuration/src/schema.rs
+++ b/crates/configuration/src/schema.rs
@@ -17,11 +17,11 @@
 
 /// When a changed value begins to count in a proxy that serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Takes {
+pub enum TakesEffect {
     /// With a reload (SIGHUP).
-    Reload,
+    OnReload,
     /// With the next start.
-    Start,
+    OnStart,
 }
 
 /// A directive of the language.
@@ -34,7 +34,7 @@
     /// Empty: none.
     pub default: &'static str,
     /// When a change counts.
-    pub takes: Takes,
+    pub takes_effect: TakesEffect,
     /// What it does, for the operators' page.
     pub help: &'static str,
     /// An example, for the operators' page.
@@ -49,7 +49,7 @@
     /// By a name of their own, which references use.
     Named,
     /// By a name that others have given: any text.
-    Called,
+    ExternalName,
 }
 
 /// A kind of section.
@@ -123,7 +123,7 @@
         keyword,
         args,
         default,
-        takes: Takes::Reload,
+        takes_effect: TakesEffect::OnReload,
         help,
         example,
     }
@@ -131,7 +131,7 @@
 
 const fn at_start(d: Directive) -> Directive {
     Directive {
-        takes: Takes::Start,
+        takes_effect: TakesEffect::OnStart,
         ..d
     }
 }
@@ -229,7 +229,7 @@
     },
     Section {
         keyword: "class",
-        naming: Naming::Called,
+        naming: Naming::ExternalName,
         help: "A class of requests, by the platform's name for it. Nothing here loosens what the platform says of the class.",
         directives: &[
             directive("deadline", One(time(1, HOUR)), "", "deadline 400ms", "the longest that a request of the class is worked on"),
@@ -330,7 +330,7 @@
     },
     Section {
         keyword: "member",
-        naming: Naming::Called,
+        naming: Naming::ExternalName,
         help: "A proxy of the fleet, by the name that the platform gives it (`LB_NAME`), of at most 64 bytes. All proxies have the same sections, their own among them; at most 1,000.",
         directives: &[
             directive("address", One(Type::Address), "", "address 10.0.0.4:7946", "required; where it hears the others"),
@@ -377,7 +377,7 @@
     },
     Section {
         keyword: "credit",
-        naming: Naming::Called,
+        naming: Naming::ExternalName,
         help: "What a stand may borrow, by the platform's name of the tenant; needs the section `lending`. At most 20; a stand without one borrows nothing.",
         directives: &[
             directive("line", One(time(100, HOUR)), "", "line 10s", "required; what the stand may owe, as time of its quota of the whole fleet"),
@@ -429,7 +429,7 @@
     for section in table {
         let head = match section.naming {
             Naming::Unnamed => format!("{} {{", section.keyword),
-            Naming::Named | Naming::Called => format!("{} NAME {{", section.keyword),
+            Naming::Named | Naming::ExternalName => format!("{} NAME {{", section.keyword),
         };
         out.push_str(&format!("### `{head}`\n\n{}\n\n", section.help));
         let column = |text: &str| {
@@ -453,9 +453,9 @@
                 Args::Optional(kind) => (kind, ", or nothing"),
                 Args::Many(kind) => (kind, ", one or more"),
             };
-            let when = match d.takes {
-                Takes::Reload => "reload",
-                Takes::Start => "start",
+            let when = match d.takes_effect {
+                TakesEffect::OnReload => "reload",
+                TakesEffect::OnStart => "start",
             };
             let default = if d.default.is_empty() {
                 "-".to_owned()
@@ -483,7 +483,7 @@
 
 /// A table that breaks its own rules: a default or an example that the directive itself would not take, a keyword
 /// twice. For the tests of those who bring a table.
-pub fn faults(table: Table) -> Vec<String> {
+pub fn example_errors(table: Table) -> Vec<String> {
     let mut found = Vec::new();
     for section in table {
         let mut seen = Vec::new();
@@ -528,6 +528,6 @@
     /// Defaults and examples are values that the directive itself takes.
     #[test]
     fn the_table_keeps_its_own_rules() {
-        assert_eq!(super::faults(super::SECTIONS), Vec::<String>::new());
+        assert_eq!(super::example_errors(super::SECTIONS), Vec::<String>::new());
     }
 }
--- a/crates/configuration/src/space.rs
+++ b/crates/configuration/src/space.rs
@@ -1,8 +1,8 @@
 //! All requests as the points of one space, in which conditions are boxes: the common ground of the search for
 //! unreachable routes and of the behavioural difference.
 
-use crate::calendar::{Moment, Pieces, Window};
-use crate::index::Names;
+use crate::calendar::{Moment, TimePieces, Window};
+use crate::index::NameTable;
 use crate::ranges::{Dimension, Point, Ranges, Region};
 use crate::route::{self, Conditions, Request, Route};
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 
 /// All requests that the routes of one or two configurations can tell apart.
 pub struct Space {
-    names: Names,
+    names: NameTable,
     class_number: HashMap<String, u128>,
     tenant_number: HashMap<String, u128>,
     /// No other class than the known ones exists.
@@ -32,7 +32,7 @@
     /// Where the statements' prefixes begin and end, in order; the statements between two are all alike.
     bounds: Vec<Vec<u8>>,
     prefixes: Vec<String>,
-    pieces: Pieces,
+    pieces: TimePieces,
     /// For each side, the set of each window.
     windows: Vec<Vec<Ranges>>,
     /// Names of windows, each with its set; of both sides where they differ.
@@ -58,7 +58,7 @@
 impl Space {
     /// `classes`: all that the platform has, if it is known.
     pub fn new(sides: &[Side<'_>], classes: Option<&[String]>) -> Space {
-        let mut names = Names {
+        let mut names = NameTable {
             classes: classes.unwrap_or_default().to_vec(),
             tenants: Vec::new(),
         };
@@ -76,7 +76,7 @@
         bounds.push(Vec::new());
         bounds.sort();
         bounds.dedup();
-        let pieces = Pieces::of(sides.iter().flat_map(|s| s.windows));
+        let pieces = TimePieces::of(sides.iter().flat_map(|s| s.windows));
         let windows: Vec<Vec<Ranges>> = sides
             .iter()
             .map(|s| s.windows.iter().map(|w| pieces.of_window(w)).collect())
@@ -156,8 +156,8 @@
         }
         if !conditions.networks.is_empty() {
             *network = Ranges::from_list(conditions.networks.iter().map(|net| {
-                let (first, length) = route::prefix(net);
-                (first, first | !route::mask(length))
+                let (first, length) = route::network_prefix(net);
+                (first, first | !route::prefix_mask(length))
             }));
         }
         if !conditions.during.is_empty() {
@@ -179,7 +179,7 @@
             other(&self.tenant_number, request.tenant),
             u128::from(request.group),
             self.bounds.partition_point(|b| *b <= text) as u128 - 1,
-            route::number(request.client),
+            route::address_number(request.client),
             self.pieces.of_moment(request.at),
         ]
     }
@@ -192,7 +192,7 @@
         // An everyday address where the region has one.
         let network = region.dimension(Dimension::Network);
         let v4 = network.and(&Ranges::one(V4.0, V4.1));
-        let local = route::number(IpAddr::V4(Ipv4Addr::LOCALHOST));
+        let local = route::address_number(IpAddr::V4(Ipv4Addr::LOCALHOST));
         let client = match (network.contains(local), v4.first()) {
             (true, _) => local,
             (false, Some(first)) => first,
--- a/crates/configuration/src/value.rs
+++ b/crates/configuration/src/value.rs
@@ -9,23 +9,23 @@
 
 /// Why a word is no value of its type.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ParseError {
     /// What is wrong.
     pub message: String,
     /// What would be right.
     pub help: Option<String>,
 }
 
-impl Fault {
-    fn new(message: impl Into<String>) -> Fault {
-        Fault {
+impl ParseError {
+    fn new(message: impl Into<String>) -> ParseError {
+        ParseError {
             message: message.into(),
             help: None,
         }
     }
 
-    fn help(self, help: impl Into<String>) -> Fault {
-        Fault {
+    fn help(self, help: impl Into<String>) -> ParseError {
+        ParseError {
             help: Some(help.into()),
             ..self
         }
@@ -138,7 +138,7 @@
 }
 
 /// Seconds of a day.
-pub const DAY: u32 = 86_400;
+pub const SECONDS_PER_DAY: u32 = 86_400;
 
 /// A value of a directive.
 #[derive(Clone, Debug, PartialEq)]
@@ -276,8 +276,12 @@
     /// The bounds, as the operators' page tells them.
     pub fn range(&self) -> String {
         match self {
-            Type::Time { least, most } => format!("{} to {}", time(*least), time(*most)),
-            Type::Size { least, most } => format!("{} to {}", size(*least), size(*most)),
+            Type::Time { least, most } => {
+                format!("{} to {}", format_time(*least), format_time(*most))
+            }
+            Type::Size { least, most } => {
+                format!("{} to {}", format_size(*least), format_size(*most))
+            }
             Type::Rate { least, most } => format!("{least} to {most} a unit"),
             Type::Share { least, most } => format!("{least} to {most}"),
             Type::Count { least, most } => format!("{least} to {most}"),
@@ -290,15 +294,15 @@
     }
 
     /// The value that a word states. Fails if it is none of this type or out of bounds.
-    pub fn parse(&self, word: &str) -> Result<Value, Fault> {
+    pub fn parse(&self, word: &str) -> Result<Value, ParseError> {
         match *self {
             Type::Time { least, most } => {
                 let value = parse_time(word)?;
-                bounded(value, least, most, time).map(Value::Time)
+                bounded(value, least, most, format_time).map(Value::Time)
             }
             Type::Size { least, most } => {
                 let value = parse_size(word)?;
-                bounded(value, least, most, size).map(Value::Size)
+                bounded(value, least, most, format_size).map(Value::Size)
             }
             Type::Rate { least, most } => {
                 let rate = parse_rate(word)?;
@@ -317,14 +321,15 @@
                 bounded(number, least, most, |n| n.to_string()).map(Value::Number)
             }
             Type::Address => word.parse().map(Value::Address).map_err(|_| {
-                Fault::new(format!("{word:?} is no address")).help(
+                ParseError::new(format!("{word:?} is no address")).help(
                     "an address is an IP address with a port, like 127.0.0.1:5433 or [::1]:5433",
                 )
             }),
             Type::Choice(words) => match words.iter().find(|w| **w == word) {
                 Some(found) => Ok(Value::Choice(found)),
                 None => {
-                    let fault = Fault::new(format!("{word:?} is not one of {}", words.join(", ")));
+                    let fault =
+                        ParseError::new(format!("{word:?} is not one of {}", words.join(", ")));
                     Err(
                         match crate::diagnostic::nearest(word, words.iter().copied()) {
                             Some(near) => fault.help(format!("did you mean {near}?")),
@@ -335,16 +340,16 @@
             },
             Type::Reference(_) => match crate::load::is_name(word) {
                 true => Ok(Value::Name(word.to_owned())),
-                false => Err(Fault::new(format!("{word:?} can't be a name"))
+                false => Err(ParseError::new(format!("{word:?} can't be a name"))
                     .help("a name begins with a letter and holds letters, digits, - and _")),
             },
-            Type::Name if word.is_empty() => Err(Fault::new("a name is empty")),
+            Type::Name if word.is_empty() => Err(ParseError::new("a name is empty")),
             Type::Name => Ok(Value::Name(word.to_owned())),
-            Type::Text { most } if word.len() > most => Err(Fault::new(format!(
+            Type::Text { most } if word.len() > most => Err(ParseError::new(format!(
                 "the text has {} bytes; at most {most} are allowed",
                 word.len()
             ))),
-            Type::Text { .. } if word.is_empty() => Err(Fault::new("the text is empty")),
+            Type::Text { .. } if word.is_empty() => Err(ParseError::new("the text is empty")),
             Type::Text { .. } => Ok(Value::Text(word.to_owned())),
             Type::Network => parse_network(word).map(Value::Network),
             Type::Groups => parse_groups(word).map(Value::Groups),
@@ -359,8 +364,8 @@
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Value::Time(value) => f.write_str(&time(*value)),
-            Value::Size(value) => f.write_str(&size(*value)),
+            Value::Time(value) => f.write_str(&format_time(*value)),
+            Value::Size(value) => f.write_str(&format_size(*value)),
             Value::Rate(value) => value.fmt(f),
             Value::Share(value) => value.fmt(f),
             Value::Count(value) => value.fmt(f),
@@ -407,12 +412,12 @@
     least: T,
     most: T,
     show: impl Fn(T) -> String,
-) -> Result<T, Fault> {
+) -> Result<T, ParseError> {
     let range = || format!("the range is {} to {}", show(least), show(most));
     if value < least {
-        Err(Fault::new(format!("{} is too small", show(value))).help(range()))
+        Err(ParseError::new(format!("{} is too small", show(value))).help(range()))
     } else if value > most {
-        Err(Fault::new(format!("{} is too large", show(value))).help(range()))
+        Err(ParseError::new(format!("{} is too large", show(value))).help(range()))
     } else {
         Ok(value)
     }
@@ -436,7 +441,7 @@
 pub const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 /// A span in the largest unit that tells it exactly.
-pub fn time(span: Duration) -> String {
+pub fn format_time(span: Duration) -> String {
     let micros = span.as_micros();
     let fits = |size: &u64| micros > 0 && micros.is_multiple_of(u128::from(*size));
     // Hours and days only where nothing smaller is needed to read them.
@@ -448,7 +453,7 @@
 }
 
 /// A size as it is written.
-pub fn size(bytes: u64) -> String {
+pub fn format_size(bytes: u64) -> String {
     let (unit, size) = SIZE_UNITS
         .iter()
         .find(|(_, size)| bytes > 0 && bytes.is_multiple_of(*size))
@@ -474,7 +479,7 @@
     Some((whole.parse().ok()?, rest_value, rest.len() as u32, unit))
 }
 
-fn scaled(word: &str, what: &str, units: &[(&str, u64)], example: &str) -> Result<u64, Fault> {
+fn scaled(word: &str, what: &str, units: &[(&str, u64)], example: &str) -> Result<u64, ParseError> {
     let names = || {
         units
             .iter()
@@ -485,16 +490,16 @@
     };
     let help = || format!("write {example}; the units are {}", names());
     let Some((whole, rest, digits, unit)) = split(word) else {
-        return Err(Fault::new(format!("{word:?} is no {what}")).help(help()));
+        return Err(ParseError::new(format!("{word:?} is no {what}")).help(help()));
     };
     if unit.is_empty() {
-        return Err(Fault::new(format!("the {what} {word} has no unit")).help(help()));
+        return Err(ParseError::new(format!("the {what} {word} has no unit")).help(help()));
     }
     let Some((_, size)) = units.iter().find(|(name, _)| *name == unit) else {
         let near = units.iter().map(|(name, _)| *name).find(|name| {
             name.eq_ignore_ascii_case(unit) || name.replace('i', "").eq_ignore_ascii_case(unit)
         });
-        let fault = Fault::new(format!("{unit:?} is no unit of a {what}"));
+        let fault = ParseError::new(format!("{unit:?} is no unit of a {what}"));
         return Err(match near {
             Some(name) => fault.help(format!("did you mean {name}? the units are {}", names())),
             None => fault.help(help()),
@@ -504,20 +509,20 @@
     whole
         .checked_mul(*size)
         .and_then(|n| n.checked_add(part?))
-        .ok_or_else(|| Fault::new(format!("{word} is beyond all bounds")))
+        .ok_or_else(|| ParseError::new(format!("{word} is beyond all bounds")))
 }
 
-fn parse_time(word: &str) -> Result<Duration, Fault> {
+fn parse_time(word: &str) -> Result<Duration, ParseError> {
     scaled(word, "time", &TIME_UNITS, "200ms, 2s or 5min").map(Duration::from_micros)
 }
 
-fn parse_size(word: &str) -> Result<u64, Fault> {
+fn parse_size(word: &str) -> Result<u64, ParseError> {
     scaled(word, "size", &SIZE_UNITS, "512B, 64KiB or 1MiB")
 }
 
-fn parse_count(word: &str) -> Result<u64, Fault> {
+fn parse_count(word: &str) -> Result<u64, ParseError> {
     word.parse().map_err(|_| {
-        let fault = Fault::new(format!("{word:?} is no whole number"));
+        let fault = ParseError::new(format!("{word:?} is no whole number"));
         match word.trim_end_matches(|c: char| c.is_ascii_alphabetic() || c == '%') {
             number if number != word && number.parse::<u64>().is_ok() => {
                 fault.help("a count is written without a unit")
@@ -527,19 +532,19 @@
     })
 }
 
-fn parse_number(word: &str) -> Result<f64, Fault> {
+fn parse_number(word: &str) -> Result<f64, ParseError> {
     let plain = word.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     word.parse().ok().filter(|_| plain).ok_or_else(|| {
-        Fault::new(format!("{word:?} is no number")).help("write 2 or 0.35; it has no unit")
+        ParseError::new(format!("{word:?} is no number")).help("write 2 or 0.35; it has no unit")
     })
 }
 
-fn parse_rate(word: &str) -> Result<Rate, Fault> {
+fn parse_rate(word: &str) -> Result<Rate, ParseError> {
     const HELP: &str = "write 100/s, 30/min or 5/h";
     let Some((number, unit)) = word.split_once('/') else {
         let fault = match word.parse::<u32>() {
-            Ok(_) => Fault::new(format!("the rate {word} has no unit")),
-            Err(_) => Fault::new(format!("{word:?} is no rate")),
+            Ok(_) => ParseError::new(format!("the rate {word} has no unit")),
+            Err(_) => ParseError::new(format!("{word:?} is no rate")),
         };
         return Err(fault.help(HELP));
     };
@@ -547,20 +552,20 @@
         "s" => 1,
         "min" => 60,
         "h" => 3_600,
-        _ => return Err(Fault::new(format!("{unit:?} is no unit of a rate")).help(HELP)),
+        _ => return Err(ParseError::new(format!("{unit:?} is no unit of a rate")).help(HELP)),
     };
     let number = number
         .parse()
-        .map_err(|_| Fault::new(format!("{word:?} is no rate")).help(HELP))?;
+        .map_err(|_| ParseError::new(format!("{word:?} is no rate")).help(HELP))?;
     Ok(Rate {
         number,
         per: Duration::from_secs(per),
     })
 }
 
-fn parse_share(word: &str) -> Result<Share, Fault> {
+fn parse_share(word: &str) -> Result<Share, ParseError> {
     const HELP: &str = "write 33%, 12.5% or 1/6";
-    let fault = || Fault::new(format!("{word:?} is no share")).help(HELP);
+    let fault = || ParseError::new(format!("{word:?} is no share")).help(HELP);
     if let Some((part, whole)) = word.split_once('/') {
         let (part, whole) = (
             part.parse().map_err(|_| fault())?,
@@ -574,7 +579,7 @@
     }
     let Some(number) = word.strip_suffix('%') else {
         return Err(match word.parse::<f64>() {
-            Ok(_) => Fault::new(format!("the share {word} has no unit")).help(HELP),
+            Ok(_) => ParseError::new(format!("the share {word} has no unit")).help(HELP),
             Err(_) => fault(),
         });
     };
@@ -596,27 +601,29 @@
     })
 }
 
-fn parse_network(word: &str) -> Result<IpNet, Fault> {
+fn parse_network(word: &str) -> Result<IpNet, ParseError> {
     let net: IpNet = match word.parse() {
         Ok(net) => net,
         Err(_) => match word.parse::<std::net::IpAddr>() {
             Ok(address) => address.into(),
             Err(_) => {
-                return Err(Fault::new(format!("{word:?} is no network"))
+                return Err(ParseError::new(format!("{word:?} is no network"))
                     .help("write 10.1.0.0/16, 2001:db8::/32 or a single address"))
             }
         },
     };
     if net.addr() != net.network() {
-        return Err(Fault::new(format!("{word} has bits set behind its prefix"))
-            .help(format!("did you mean {}?", net.trunc())));
+        return Err(
+            ParseError::new(format!("{word} has bits set behind its prefix"))
+                .help(format!("did you mean {}?", net.trunc())),
+        );
     }
     Ok(net)
 }
 
-fn parse_groups(word: &str) -> Result<RangeInclusive<u32>, Fault> {
+fn parse_groups(word: &str) -> Result<RangeInclusive<u32>, ParseError> {
     let fault = || {
-        Fault::new(format!("{word:?} is no group"))
+        ParseError::new(format!("{word:?} is no group"))
             .help("write a number like 3, or a range like 0-4")
     };
     let number = |text: &str| text.parse::<u32>().map_err(|_| fault());
@@ -625,15 +632,15 @@
         None => (number(word)?, number(word)?),
     };
     if from > to {
-        return Err(Fault::new(format!("the range {word} runs backwards"))
+        return Err(ParseError::new(format!("the range {word} runs backwards"))
             .help(format!("did you mean {to}-{from}?")));
     }
     Ok(from..=to)
 }
 
-fn parse_dates(word: &str) -> Result<Dates, Fault> {
+fn parse_dates(word: &str) -> Result<Dates, ParseError> {
     let fault = |text: &str| {
-        Fault::new(format!("{text:?} is no date"))
+        ParseError::new(format!("{text:?} is no date"))
             .help("write 2026-10-17..2026-10-31, or 10-17..10-31 for every year")
     };
     let (from, to) = word.split_once("..").unwrap_or((word, word));
@@ -646,11 +653,13 @@
     };
     let once = |text: &str| -> Option<Date> {
         let date: Date = text.parse().ok()?;
-        (text.len() == 10 && (YEARS.0..=YEARS.1).contains(&date.year())).then_some(date)
+        (text.len() == 10 && (YEAR_RANGE.0..=YEAR_RANGE.1).contains(&date.year())).then_some(date)
     };
     match (once(from), once(to)) {
-        (Some(a), Some(b)) if a > b => Err(Fault::new(format!("the dates {word} run backwards"))
-            .help(format!("did you mean {b}..{a}?"))),
+        (Some(a), Some(b)) if a > b => {
+            Err(ParseError::new(format!("the dates {word} run backwards"))
+                .help(format!("did you mean {b}..{a}?")))
+        }
         (Some(a), Some(b)) => Ok(Dates::Once(a, b)),
         _ => match (yearly(from), yearly(to)) {
             (Some(a), Some(b)) => Ok(Dates::Yearly(a, b)),
@@ -661,12 +670,12 @@
 }
 
 /// The first and the last year that a calendar may speak of.
-pub const YEARS: (i16, i16) = (1970, 2099);
+pub const YEAR_RANGE: (i16, i16) = (1970, 2099);
 
-fn parse_weekdays(word: &str) -> Result<u8, Fault> {
+fn parse_weekdays(word: &str) -> Result<u8, ParseError> {
     let day = |text: &str| {
         WEEKDAYS.iter().position(|d| *d == text).ok_or_else(|| {
-            Fault::new(format!("{text:?} is no weekday"))
+            ParseError::new(format!("{text:?} is no weekday"))
                 .help(format!("the days are {}", WEEKDAYS.join(", ")))
         })
     };
@@ -677,7 +686,7 @@
     Ok((0..=length).fold(0, |bits, n| bits | 1 << ((from + n) % 7)))
 }
 
-fn parse_hours(word: &str) -> Result<Hours, Fault> {
+fn parse_hours(word: &str) -> Result<Hours, ParseError> {
     const HELP: &str = "write 07:00-09:30, or 22:00-02:00 for a window over midnight";
     let moment = |text: &str| -> Option<u32> {
         let mut parts = text.split(':');
@@ -690,21 +699,21 @@
         let (hour, minute) = (number(24)?, number(59)?);
         let second = if text.len() > 5 { number(59)? } else { 0 };
         let whole = hour * 3_600 + minute * 60 + second;
-        (parts.next().is_none() && whole <= DAY).then_some(whole)
+        (parts.next().is_none() && whole <= SECONDS_PER_DAY).then_some(whole)
     };
-    let fault = || Fault::new(format!("{word:?} are no hours")).help(HELP);
+    let fault = || ParseError::new(format!("{word:?} are no hours")).help(HELP);
     let (from, to) = word.split_once('-').ok_or_else(fault)?;
     let (from, to) = (
         moment(from).ok_or_else(fault)?,
         moment(to).ok_or_else(fault)?,
     );
-    if from == to || from == DAY || to == 0 {
-        return Err(Fault::new(format!("the hours {word} hold no time")).help(HELP));
+    if from == to || from == SECONDS_PER_DAY || to == 0 {
+        return Err(ParseError::new(format!("the hours {word} hold no time")).help(HELP));
     }
     Ok(Hours { from, to })
 }
 
-fn parse_offset(word: &str) -> Result<i32, Fault> {
+fn parse_offset(word: &str) -> Result<i32, ParseError> {
     let parse = || {
         if word == "UTC" {
             return Some(0);
@@ -720,7 +729,7 @@
             .then_some(sign * (hours * 3_600 + minutes * 60))
     };
     parse().ok_or_else(|| {
-        Fault::new(format!("{word:?} is no offset from UTC"))
+        ParseError::new(format!("{word:?} is no offset from UTC"))
             .help("write +05:45, -03:00 or UTC; named zones are not known")
     })
 }
@@ -729,7 +738,7 @@
 mod tests {
     use super::*;
 
-    fn time_of(word: &str) -> Result<Duration, Fault> {
+    fn time_of(word: &str) -> Result<Duration, ParseError> {
         parse_time(word)
     }
 
@@ -745,8 +754,8 @@
         assert!(time_of("18446744073709551615d").is_err());
         for text in ["1us", "250ms", "90s", "36h", "7d"] {
             assert_eq!(
-                time(time_of(&time(time_of(text).unwrap())).unwrap()),
-                time(time_of(text).unwrap())
+                format_time(time_of(&format_time(time_of(text).unwrap())).unwrap()),
+                format_time(time_of(text).unwrap())
             );
         }
     }
@@ -772,7 +781,10 @@
         );
         assert_eq!(
             parse_hours("00:00-24:00").unwrap(),
-            Hours { from: 0, to: DAY }
+            Hours {
+                from: 0,
+                to: SECONDS_PER_DAY
+            }
         );
         assert!(parse_hours("08:00-08:00").is_err());
         assert_eq!(parse_weekdays("sat-mon").unwrap(), 0b110_0001);
--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -57,7 +57,7 @@
     }
 
     /// A count that the table keeps within bounds that fit.
-    pub fn small<N: TryFrom<u64>>(&self, keyword: &'static str) -> Option<N> {
+    pub fn bounded_count<N: TryFrom<u64>>(&self, keyword: &'static str) -> Option<N> {
         N::try_from(self.count(keyword)?).ok()
     }
 
@@ -70,13 +70,13 @@
     }
 
     /// A share as a number.
-    pub fn part(&self, keyword: &'static str) -> f64 {
+    pub fn fraction(&self, keyword: &'static str) -> f64 {
         let share = self.share(keyword);
         f64::from(share.part) / f64::from(share.whole.max(1))
     }
 
     /// Whether it is said to be so.
-    pub fn yes(&self, keyword: &'static str) -> bool {
+    pub fn is_yes(&self, keyword: &'static str) -> bool {
         self.choice(keyword) == "yes"
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// What `pick` makes of each value.
-    pub fn all<T>(&self, keyword: &str, pick: impl Fn(&Value) -> Option<T>) -> Vec<T> {
+    pub fn collect<T>(&self, keyword: &str, pick: impl Fn(&Value) -> Option<T>) -> Vec<T> {
         let values = self.section.map_or(&[][..], |s| s.values(keyword));
         values.iter().filter_map(|(value, _)| pick(value)).collect()
     }
--- a/crates/configuration/tests/broken.rs
+++ b/crates/configuration/tests/broken.rs
@@ -36,7 +36,7 @@
 
 fn checked(name: &str, loader: &dyn Loader) -> Reading {
     let mut reading = read(Path::new(name), loader);
-    if reading.sound() {
+    if reading.is_valid() {
         let warnings = shadow::check(&reading.model, None);
         reading.add(warnings);
     }
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use configuration::calendar::Moment;
-use configuration::index::{Facts, Index, Names};
-use configuration::load::Memory;
+use configuration::index::{Index, IndexedRequest, NameTable};
+use configuration::load::MemoryFiles;
 use configuration::model::Model;
 use configuration::space::Example;
 use configuration::{read, Reading};
@@ -185,7 +185,7 @@
 }
 
 pub fn parsed(text: &str) -> Reading {
-    read(Path::new("x.conf"), &Memory::from([("x.conf", text)]))
+    read(Path::new("x.conf"), &MemoryFiles::from([("x.conf", text)]))
 }
 
 /// All that a configuration means, without its places.
@@ -263,18 +263,18 @@
 }
 
 /// The model's routes compiled, and the names that the index goes by.
-pub fn compiled(model: &Model) -> (Index, Names) {
-    let names = Names::default().with_routes(&model.routes);
+pub fn compiled(model: &Model) -> (Index, NameTable) {
+    let names = NameTable::default().with_routes(&model.routes);
     (Index::new(&model.routes, &model.windows, &names), names)
 }
 
-pub fn find(index: &Index, names: &Names, example: &Example) -> Option<usize> {
+pub fn find(index: &Index, names: &NameTable, example: &Example) -> Option<usize> {
     let place = |list: &[String], name: &str| {
         list.iter()
             .position(|n| n == name)
             .map_or(u32::MAX - 1, |n| n as u32)
     };
-    index.find(&Facts {
+    index.find(&IndexedRequest {
         class: place(&names.classes, &example.class),
         tenant: place(&names.tenants, &example.tenant),
         group: example.group,
--- a/crates/configuration/tests/lending.rs
+++ b/crates/configuration/tests/lending.rs
@@ -1,9 +1,9 @@
 //! Credits of a fleet, as far as they are no matter of one broken line.
 
 use configuration::diff::diff;
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use configuration::model::{Credit, Lending};
-use configuration::platform::{check, Class, Need, Platform, Repeat};
+use configuration::platform::{check, Class, Consistency, Idempotency, Platform};
 use configuration::{read, Reading};
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 ";
 
 fn parsed(text: &str) -> Reading {
-    read("a.conf".as_ref(), &Memory::from([("a.conf", text)]))
+    read("a.conf".as_ref(), &MemoryFiles::from([("a.conf", text)]))
 }
 
 #[test]
@@ -57,8 +57,8 @@
     );
     let seconds = Duration::from_secs;
     let first = Credit {
-        stand: "ratna-park".into(),
-        line: Duration::from_millis(500),
+        tenant: "ratna-park".into(),
+        credit_limit: Duration::from_millis(500),
         term: seconds(30),
         write_off: seconds(0),
         floor: 334,
@@ -67,8 +67,8 @@
         not_during: vec![1],
     };
     let second = Credit {
-        stand: "Stand 9".into(),
-        line: seconds(10),
+        tenant: "Stand 9".into(),
+        credit_limit: seconds(10),
         term: seconds(60),
         write_off: seconds(60),
         floor: 500,
@@ -77,14 +77,14 @@
         not_during: vec![],
     };
     let wanted = Lending {
-        state: Some("/var/lib/lending".into()),
+        state_file: Some("/var/lib/lending".into()),
         lease: seconds(3),
-        step: seconds(1),
-        longest: seconds(300),
+        exchange_interval: seconds(1),
+        max_loan_time: seconds(300),
         credits: vec![first, second],
     };
-    assert_eq!(reading.model.lending, Some(wanted));
-    assert_eq!(parsed("").model.lending, None);
+    assert_eq!(reading.model.quota_lending, Some(wanted));
+    assert_eq!(parsed("").model.quota_lending, None);
 }
 
 /// What can't be read may have held what is missing: one fault, not two.
@@ -147,8 +147,8 @@
 fn the_platform_has_to_know_stands_and_classes() {
     let class = |name: &str| Class {
         name: name.into(),
-        need: Need::Any,
-        repeat: Repeat::Safe,
+        consistency: Consistency::Eventual,
+        idempotency: Idempotency::Idempotent,
         deadline: Duration::from_secs(1),
     };
     let platform = Platform {
--- a/crates/configuration/tests/members.rs
+++ b/crates/configuration/tests/members.rs
@@ -1,12 +1,12 @@
 //! The roster of a fleet, as far as it is no matter of one broken line.
 
 use configuration::diff::diff;
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use configuration::{read, Reading};
 use std::time::Duration;
 
 fn parsed(text: &str) -> Reading {
-    read("a.conf".as_ref(), &Memory::from([("a.conf", text)]))
+    read("a.conf".as_ref(), &MemoryFiles::from([("a.conf", text)]))
 }
 
 fn fleet(number: usize) -> String {
@@ -24,7 +24,7 @@
 #[test]
 fn a_roster_is_read_up_to_its_bound() {
     let full = parsed(&fleet(1_000));
-    assert!(full.sound());
+    assert!(full.is_valid());
     let members = full.model.members.unwrap();
     assert_eq!((members.version, members.roster.len()), (3, 1_000));
     assert_eq!(
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -4,7 +4,7 @@
 use common::{compiled, find, parsed, plain, request, rng, sections};
 use configuration::diff::diff;
 use configuration::ranges::Region;
-use configuration::route::{scan, Outcome};
+use configuration::route::{find_first, Outcome};
 use configuration::shadow;
 use configuration::space::{Side, Space};
 use rand::seq::SliceRandom;
@@ -18,12 +18,12 @@
         let mut rng = rng(seed);
         let number = [3, 10, 40][seed as usize % 3];
         let reading = parsed(&plain(&sections(&mut rng, number)));
-        assert!(reading.sound(), "seed {seed}: {:?}", reading.diagnostics);
+        assert!(reading.is_valid(), "seed {seed}: {:?}", reading.diagnostics);
         let model = &reading.model;
         let (index, names) = compiled(model);
         for _ in 0..10_000 {
             let example = request(&mut rng);
-            let expected = scan(&model.routes, &model.windows, &example.request());
+            let expected = find_first(&model.routes, &model.windows, &example.request());
             assert_eq!(
                 find(&index, &names, &example),
                 expected,
@@ -63,7 +63,7 @@
         many("t", 600)
     );
     let reading = parsed(&text);
-    assert!(reading.sound(), "{:?}", reading.diagnostics);
+    assert!(reading.is_valid(), "{:?}", reading.diagnostics);
     let (index, names) = compiled(&reading.model);
     let mut rng = rng(1);
     let mut met = 0;
@@ -72,7 +72,7 @@
         example.class = format!("c{}", rng.random_range(0..700));
         example.tenant = format!("t{}", rng.random_range(0..700));
         example.statement = format!("select {}", rng.random_range(0..400)).into_bytes();
-        let expected = scan(
+        let expected = find_first(
             &reading.model.routes,
             &reading.model.windows,
             &example.request(),
@@ -111,7 +111,7 @@
         let mut met = vec![false; regions.len()];
         for _ in 0..3_000 {
             let example = request(&mut rng);
-            if let Some(at) = scan(&model.routes, &model.windows, &example.request()) {
+            if let Some(at) = find_first(&model.routes, &model.windows, &example.request()) {
                 met[at] = true;
             }
         }
@@ -132,7 +132,7 @@
                     .expect("a part is left");
                 let request = example.request();
                 assert_eq!(
-                    scan(&model.routes, &model.windows, &request),
+                    find_first(&model.routes, &model.windows, &request),
                     Some(at),
                     "seed {seed}: {example}"
                 );
@@ -177,7 +177,7 @@
             let example = request(&mut rng);
             let request = example.request();
             let outcome = |model: &configuration::model::Model| {
-                scan(&model.routes, &model.windows, &request)
+                find_first(&model.routes, &model.windows, &request)
                     .map_or_else(Outcome::default, |at| model.routes[at].outcome.clone())
             };
             let (was, is) = (outcome(&old), outcome(&new));
@@ -202,7 +202,7 @@
         for change in &difference.routes {
             let example = change.example.as_ref().expect("an example");
             let outcome = |model: &configuration::model::Model| {
-                scan(&model.routes, &model.windows, &example.request())
+                find_first(&model.routes, &model.windows, &example.request())
                     .map_or_else(Outcome::default, |at| model.routes[at].outcome.clone())
             };
             assert_eq!(
--- a/crates/configuration/tests/text.rs
+++ b/crates/configuration/tests/text.rs
@@ -5,7 +5,7 @@
 use configuration::diagnostic::render;
 use configuration::diff::diff;
 use configuration::format::format;
-use configuration::load::{Loader, Memory, DEPTH_LIMIT};
+use configuration::load::{Loader, MemoryFiles, DEPTH_LIMIT};
 use configuration::read;
 use proptest::prelude::*;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
 
     #[test]
     fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let mut files = Memory::default();
+        let mut files = MemoryFiles::default();
         files.add("x.conf", bytes);
         let reading = read(Path::new("x.conf"), &files);
         _ = render(&reading.sources, &reading.diagnostics);
@@ -55,18 +55,18 @@
 
 #[test]
 fn include_loops_are_told_whichever_way_they_close() {
-    let three = Memory::from([
+    let three = MemoryFiles::from([
         ("a.conf", "include b.conf\n"),
         ("b.conf", "include sub/c.conf\n"),
         ("sub/c.conf", "include ../a.conf\n"),
     ]);
     assert_eq!(codes("a.conf", &three), ["include-loop"]);
-    let link = Memory::from([
+    let link = MemoryFiles::from([
         ("a.conf", "include other.conf\n"),
         ("other.conf", "link:a.conf"),
     ]);
     assert_eq!(codes("a.conf", &link), ["include-loop"]);
-    let pattern = Memory::from([("conf.d/a.conf", "include *.conf\n"), ("conf.d/b.conf", "")]);
+    let pattern = MemoryFiles::from([("conf.d/a.conf", "include *.conf\n"), ("conf.d/b.conf", "")]);
     assert_eq!(codes("conf.d/a.conf", &pattern), ["include-loop"]);
     let reading = read(Path::new("a.conf"), &three);
     let help = reading.diagnostics[0].help.as_ref().unwrap();
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_file_included_twice_is_told_once() {
-    let files = Memory::from([
+    let files = MemoryFiles::from([
         ("a.conf", "include b.conf\ninclude b.conf\n"),
         ("b.conf", "limits {\n    pipeline 8\n}\n"),
     ]);
@@ -116,7 +116,7 @@
 
 #[test]
 fn files_go_on_where_their_folder_is_and_names_are_shared() {
-    let files = Memory::from([
+    let files = MemoryFiles::from([
         (
             "etc/main.conf",
             "define most 20\ninclude pools.d/*.conf\nroute r {\n    pool feast\n}\n",
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_name_may_stand_once_in_all_files() {
-    let files = Memory::from([
+    let files = MemoryFiles::from([
         (
             "a.conf",
             "include b.conf\npool p {\n    requests 5\n}\nroute r {\n    pool p\n}\n",
@@ -169,7 +169,7 @@
 /// A 10 MB line is refused without being shown.
 #[test]
 fn a_very_long_line_is_one_short_message() {
-    let mut files = Memory::default();
+    let mut files = MemoryFiles::default();
     files.add(
         "x.conf",
         format!("limits {{\n    # {}\n}}\n", "x".repeat(10 << 20)),
--- a/crates/leverproxy/src/cli.rs
+++ b/crates/leverproxy/src/cli.rs
@@ -266,7 +266,7 @@
         Ok(Err(error)) => return misuse(&error),
         Err(_) => return ExitCode::FAILURE,
     };
-    let whole = config.whole.clone();
+    let whole = config.required_keys.clone();
     let mut proxy = match Proxy::start_with_commands(config, commands) {
         Ok(started) => started,
         Err(error) => {
--- a/crates/leverproxy/src/cli/config.rs
+++ b/crates/leverproxy/src/cli/config.rs
@@ -147,7 +147,7 @@
             _ => format!("{errors} error(s), {warnings} warning(s)\n"),
         });
     }
-    Ok(if reading.sound() {
+    Ok(if reading.is_valid() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(MISUSE)
@@ -203,7 +203,7 @@
 /// A file that is sound, or its faults.
 fn sound(path: &str, platform: Option<&Platform>) -> Result<Reading, String> {
     let reading = operators_file::read(Path::new(path), platform, false);
-    if reading.sound() {
+    if reading.is_valid() {
         Ok(reading)
     } else {
         Err(format!(
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -132,7 +132,7 @@
 /// Nothing more is lent by it, and what is owed is repaid as before.
 fn closed(credit: Credit) -> Credit {
     Credit {
-        line: Duration::ZERO,
+        credit_limit: Duration::ZERO,
         not_during: Vec::new(),
         ..credit
     }
@@ -202,15 +202,27 @@
     /// Other rules from now on; what waits for the next start.
     pub fn reload(&mut self, stated: Stated, windows: Vec<Window>) -> Vec<&'static str> {
         let mut former = std::mem::replace(&mut self.stated, stated);
-        let gone = |credit: &Credit| !self.stated.credits.iter().any(|c| c.stand == credit.stand);
+        let gone = |credit: &Credit| {
+            !self
+                .stated
+                .credits
+                .iter()
+                .any(|c| c.tenant == credit.tenant)
+        };
         let gone: Vec<Credit> = former.credits.drain(..).filter(gone).collect();
         self.stated.credits.extend(gone.into_iter().map(closed));
         self.windows = windows;
         let waits = [
-            ("lending state", former.state == self.stated.state),
+            ("lending state", former.state_file == self.stated.state_file),
             ("lending lease", former.lease == self.stated.lease),
-            ("lending step", former.step == self.stated.step),
-            ("lending longest", former.longest == self.stated.longest),
+            (
+                "lending step",
+                former.exchange_interval == self.stated.exchange_interval,
+            ),
+            (
+                "lending longest",
+                former.max_loan_time == self.stated.max_loan_time,
+            ),
         ];
         // Rules are made for the longest term that the core was started with.
         self.stated = Stated {
@@ -236,20 +248,20 @@
         let mut rules = Vec::new();
         for credit in &self.stated.credits {
             let Some(quota) = quotas
-                .get(credit.stand.as_str())
+                .get(credit.tenant.as_str())
                 .filter(|quota| **quota > 0.0)
             else {
                 log::warn!(
                     "loans: credit {}: the platform's settings have no tenant of that name with a quota; \
                             nothing is lent to it",
-                    credit.stand
+                    credit.tenant
                 );
                 continue;
             };
             rules.push((
-                credit.stand.clone(),
+                credit.tenant.clone(),
                 Rule {
-                    line_time: credit.line,
+                    line_time: credit.credit_limit,
                     quota: (quota * 1e3) as Milli,
                     term: credit.term,
                     write_off: credit.write_off,
@@ -259,7 +271,7 @@
                 },
             ));
         }
-        match Rules::new(rules, self.stated.longest) {
+        match Rules::new(rules, self.stated.max_loan_time) {
             Ok(rules) => self.handle(Event::Rules(rules), now),
             Err(error) => log::error!("loans: {error}; the former rules stay"),
         }
@@ -398,10 +410,10 @@
                 .not_during
                 .iter()
                 .filter_map(|w| self.windows.get(*w))
-                .any(|w| w.holds(at));
+                .any(|w| w.contains(at));
             self.handle(
                 Event::Open {
-                    stand: &credit.stand,
+                    stand: &credit.tenant,
                     open: !closed,
                 },
                 now,
@@ -470,7 +482,7 @@
         if let Some(former) = self.running.take() {
             self.malformed += former.core.malformed();
         }
-        let keeper = match self.stated.state.as_deref() {
+        let keeper = match self.stated.state_file.as_deref() {
             None => Ok((None, None)),
             Some(folder) => self
                 .waker
@@ -492,8 +504,8 @@
         };
         let Stated {
             lease,
-            step,
-            longest,
+            exchange_interval: step,
+            max_loan_time: longest,
             ..
         } = self.stated;
         let config = Config {
@@ -570,7 +582,7 @@
             .stated
             .credits
             .iter()
-            .map(|credit| credit.stand.as_str());
+            .map(|credit| credit.tenant.as_str());
         stands
             .filter_map(|stand| Some((stand, book(stand)?)))
             .collect()
--- a/crates/leverproxy/src/cluster/rollout.rs
+++ b/crates/leverproxy/src/cluster/rollout.rs
@@ -3,7 +3,7 @@
 
 use crate::cluster::members::Members;
 use crate::config::operators_file::Disk;
-use crate::config::reload::Ask;
+use crate::config::reload::ReloadRequest;
 use crate::config::ConfigError;
 use crate::control::control_socket::RolloutCommand;
 use crate::observability::counters::Counters;
@@ -219,7 +219,12 @@
         self.stated.period
     }
 
-    pub fn look(&mut self, members: &mut Members, counters: &Counters, now: Instant) -> Vec<Ask> {
+    pub fn look(
+        &mut self,
+        members: &mut Members,
+        counters: &Counters,
+        now: Instant,
+    ) -> Vec<ReloadRequest> {
         let event = Event::Look(self.sight(members, counters, now));
         self.handle(event, members, now)
     }
@@ -236,7 +241,7 @@
     }
 
     /// What came of what was to be kept.
-    pub fn kept(&mut self, members: &mut Members, now: Instant) -> Vec<Ask> {
+    pub fn kept(&mut self, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
         let mut asks = Vec::new();
         while let Some(saved) = self.writer.as_ref().and_then(Writer::ended) {
             let done = saved.map_err(|error| self.unkept(error)).is_ok();
@@ -319,7 +324,7 @@
         members: &mut Members,
         counters: &Counters,
         now: Instant,
-    ) -> Vec<Ask> {
+    ) -> Vec<ReloadRequest> {
         if let Err(why) = &result {
             self.runs_failed += 1;
             log::error!("rollout: {} can't run here: {why}", hex(&hash));
@@ -335,7 +340,7 @@
         members: &mut Members,
         counters: &Counters,
         now: Instant,
-    ) -> (String, Vec<Ask>) {
+    ) -> (String, Vec<ReloadRequest>) {
         let mut asks = self.look(members, counters, now);
         let propose = |hash, again, stated: &Stated, members: &Members| {
             let mut order = stated.order.clone();
@@ -368,7 +373,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event, members: &mut Members, now: Instant) -> Vec<Ask> {
+    fn handle(&mut self, event: Event, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
         let (mut actions, mut asks) = (Vec::new(), Vec::new());
         let since = now.saturating_duration_since(self.origin);
         self.core.handle(since, event, &mut actions);
@@ -381,10 +386,15 @@
                 Action::Say(kind, body, lasts) => {
                     members.say(KIND + kind, Vec::new(), body, lasts, now)
                 }
-                Action::Check(hash) => asks.push(Ask::Check(hash, self.stated.candidates.clone())),
+                Action::Check(hash) => {
+                    asks.push(ReloadRequest::Check(hash, self.stated.candidates.clone()))
+                }
                 Action::Run(hash) => {
                     log::warn!("rollout: {} is to run here", hex(&hash));
-                    asks.push(Ask::Run(hash, folder(&hash, &self.base, &self.stated)));
+                    asks.push(ReloadRequest::Run(
+                        hash,
+                        folder(&hash, &self.base, &self.stated),
+                    ));
                 }
                 Action::Save(bytes) => {
                     if let Some(done) = self.save(bytes) {
--- a/crates/leverproxy/src/config/effective.rs
+++ b/crates/leverproxy/src/config/effective.rs
@@ -4,7 +4,7 @@
 use super::platform_file::{self, PlatformFile, ProcessLimits};
 use super::{operators_file, ConfigError};
 use configuration::model::{Entry, Origin};
-use configuration::schema::Takes;
+use configuration::schema::TakesEffect;
 use configuration::source::Sources;
 use configuration::value;
 use std::path::Path;
@@ -57,7 +57,7 @@
     }
     if let Some(mb) = limits.memory_mb.filter(|_| !states_memory) {
         let origin = Origin::Platform("limits.memory_mb".into());
-        let size = value::size((mb as u64) << 20);
+        let size = value::format_size((mb as u64) << 20);
         replace(entries, "limits", "memory", size, origin);
     }
 }
@@ -77,6 +77,6 @@
         directive,
         value,
         origin,
-        takes: Takes::Reload,
+        takes_effect: TakesEffect::OnReload,
     });
 }
--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -114,7 +114,7 @@
         .map(|members| key_file::member_keys(members, &name))
         .transpose()?;
     let config = Config {
-        takeover: hot_restart_socket(&name, &variable, admin.is_some()),
+        hot_restart_socket: hot_restart_socket(&name, &variable, admin.is_some()),
         name,
         listen: addresses.listen,
         admin,
@@ -125,30 +125,30 @@
         rules: operator_config::rules(&model, &platform),
         health: operator_config::health(&model),
         availability: operator_config::availability(&model),
-        control: model.control.clone(),
+        control_socket: model.control_socket.clone(),
         balancers: operator_config::balancers(&model),
         member_keys,
         sites: operator_config::sites(&model),
-        operators: stated_path(&variable, "LB_OPERATORS"),
-        checks: check_networks(&model),
-        proxy_from: proxy_protocol_networks(&model),
+        operators_file: stated_path(&variable, "LB_OPERATORS"),
+        check_networks: check_networks(&model),
+        proxy_protocol_networks: proxy_protocol_networks(&model),
         known,
         dial_timeout: or_default(platform.dial_timeout, DEFAULT_DIAL_TIMEOUT),
-        idle_limit: or_default(platform.settings.idle_timeout, DEFAULT_IDLE_TIMEOUT)
+        upstream_idle_timeout: or_default(platform.settings.idle_timeout, DEFAULT_IDLE_TIMEOUT)
             .mul_f64(IDLE_TIMEOUT_SHARE),
-        watch_silence: model.discovery.watch_silence,
-        linger: model.linger.unwrap_or(LINGER),
-        give_up: longest_deadline(&platform).min(MAX_KILL_DEADLINE) + FINAL_ANSWER_MARGIN,
-        whole: RequiredKeys::of(text, &platform),
+        max_watch_silence: model.discovery.max_watch_silence,
+        accept_after_stop: model.accept_after_stop.unwrap_or(LINGER),
+        shutdown_timeout: longest_deadline(&platform).min(MAX_KILL_DEADLINE) + FINAL_ANSWER_MARGIN,
+        required_keys: RequiredKeys::of(text, &platform),
         wall_clock: Source::default(),
         platform,
         announce_end: model.announce_end,
         logging: model.logging,
         members: model.members,
         rollout: model.rollout,
-        memory: model.memory,
-        lending: model.lending,
-        windows: model.windows,
+        persistence: model.persistence,
+        quota_lending: model.quota_lending,
+        calendar_windows: model.windows,
     };
     Ok(Loaded {
         config,
@@ -163,7 +163,7 @@
         return Ok(Model::default());
     };
     let reading = operators_file::read(Path::new(&path), Some(platform), false);
-    if reading.sound() {
+    if reading.is_valid() {
         return Ok(reading.model);
     }
     let faults = operators_file::faults(&reading);
@@ -315,7 +315,7 @@
     model
         .listeners
         .iter()
-        .flat_map(|listener| listener.proxy_from.clone())
+        .flat_map(|listener| listener.proxy_protocol_networks.clone())
         .collect()
 }
 
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -26,7 +26,7 @@
 use crate::health::Listen;
 use crate::pipeline::route_rules::Rules;
 use configuration::calendar::Window;
-use configuration::model::{Lending, Logging, Members, Memory, Rollout};
+use configuration::model::{Lending, Logging, Members, Persistence, Rollout};
 use ipnet::IpNet;
 use platform_settings::Decoded;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     /// Where operators call; none: nothing listens.
     pub admin: Option<SocketAddr>,
     /// The socket on which the next process finds this one; none without an admin address or a folder for it.
-    pub takeover: Option<PathBuf>,
+    pub hot_restart_socket: Option<PathBuf>,
     /// Where the list of record servers is served.
     pub discovery: SocketAddr,
     /// Of all random numbers, new with each start.
@@ -59,7 +59,7 @@
     /// When the proxy calls itself degraded or down.
     pub availability: availability::Settings,
     /// The operators' control socket.
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// The balancers that have to notice a drain.
     pub balancers: Vec<drain::Balancer>,
     /// The fleet that this proxy is a member of; none without the section `members`.
@@ -69,21 +69,21 @@
     /// How new versions of the operators' file reach the fleet.
     pub rollout: Option<Rollout>,
     /// Where state is kept that outlives a kill or a power loss; none: nothing does.
-    pub memory: Option<Memory>,
+    pub persistence: Option<Persistence>,
     /// What tenants may borrow beyond their quota; none: nothing is lent.
-    pub lending: Option<Lending>,
+    pub quota_lending: Option<Lending>,
     /// When a site counts as lost and as back; none: sites are not watched.
     pub sites: Option<site_failover::Settings>,
     /// Time windows of the operators' file, in which a credit may be closed.
-    pub windows: Vec<Window>,
+    pub calendar_windows: Vec<Window>,
     /// The path of the operators' file that was read.
-    pub operators: Option<PathBuf>,
+    pub operators_file: Option<PathBuf>,
     /// The end of the process is announced to the balancers first.
     pub announce_end: bool,
     /// Networks of balancers that connect to the clients' listener only to check it.
-    pub checks: Vec<IpNet>,
+    pub check_networks: Vec<IpNet>,
     /// Networks of balancers that name their clients first, by the PROXY protocol.
-    pub proxy_from: Vec<IpNet>,
+    pub proxy_protocol_networks: Vec<IpNet>,
     /// Level and format of the log.
     pub logging: Logging,
     /// The list of record servers as this proxy last had it; it may be old.
@@ -93,17 +93,17 @@
     /// Where wall time is read.
     pub wall_clock: Source,
     /// What a later version of the platform's file has to state.
-    pub whole: RequiredKeys,
+    pub required_keys: RequiredKeys,
     /// A connection to a record server that is not made by then has failed.
     pub dial_timeout: Duration,
     /// Idle connections to record servers are closed after this, before the servers do it.
-    pub idle_limit: Duration,
+    pub upstream_idle_timeout: Duration,
     /// A watch on discovery that says nothing for this long is broken.
-    pub watch_silence: Duration,
+    pub max_watch_silence: Duration,
     /// After being told to stop, new connections are accepted for this long.
-    pub linger: Duration,
+    pub accept_after_stop: Duration,
     /// This long after being told to stop, requests that are still open fail.
-    pub give_up: Duration,
+    pub shutdown_timeout: Duration,
 }
 
 impl Config {
@@ -112,8 +112,8 @@
         drain::Settings {
             balancers: self.balancers.clone(),
             announce_end: self.announce_end,
-            linger: self.linger,
-            give_up: self.give_up,
+            linger: self.accept_after_stop,
+            give_up: self.shutdown_timeout,
         }
     }
 }
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -4,7 +4,7 @@
 use crate::health::{Listen, Protocol};
 use crate::pipeline::route_rules::{RouteAction, Rules};
 use bulkheads::{Priority, Rate, Settings as Pool};
-use configuration::index::{Index, Names};
+use configuration::index::{Index, NameTable};
 use configuration::model::Model;
 use configuration::platform::{self, Platform};
 use configuration::route::{self, Outcome};
@@ -27,24 +27,24 @@
         .zip(&names.classes)
         .map(|(class, name)| platform::Class {
             name: name.clone(),
-            need: match class.consistency {
-                Consistency::Write => platform::Need::Write,
-                Consistency::Strong => platform::Need::Fresh,
-                Consistency::ReadYourWrites => platform::Need::Session,
-                Consistency::BoundedStaleness(age) => platform::Need::Bounded(age),
-                Consistency::Eventual => platform::Need::Any,
+            consistency: match class.consistency {
+                Consistency::Write => platform::Consistency::Write,
+                Consistency::Strong => platform::Consistency::Strong,
+                Consistency::ReadYourWrites => platform::Consistency::ReadYourWrites,
+                Consistency::BoundedStaleness(age) => platform::Consistency::BoundedStaleness(age),
+                Consistency::Eventual => platform::Consistency::Eventual,
             },
-            repeat: match class.idempotency {
-                Idempotency::Idempotent => platform::Repeat::Safe,
-                Idempotency::Keyed { .. } => platform::Repeat::Keyed,
-                Idempotency::NonIdempotent => platform::Repeat::Never,
+            idempotency: match class.idempotency {
+                Idempotency::Idempotent => platform::Idempotency::Idempotent,
+                Idempotency::Keyed { .. } => platform::Idempotency::Keyed,
+                Idempotency::NonIdempotent => platform::Idempotency::NonIdempotent,
             },
             deadline: class.deadline,
         });
     Platform {
         classes: classes.collect(),
         tenants: names.tenants.clone(),
-        try_limit: settings.attempt_limit,
+        attempt_limit: settings.attempt_limit,
         sockets,
         memory: memory_mb.map(|mb| (mb as u64) << 20),
         max_retry_after: settings
@@ -56,19 +56,19 @@
 /// Applies what the operators' file states of the decision module's settings, each value only where it is tighter.
 pub fn tighten(platform: &mut Decoded, model: &Model) {
     let settings = &mut platform.settings;
-    if let Some(tries) = model.policy.tries {
+    if let Some(tries) = model.policy.attempt_limit {
         settings.attempt_limit = if settings.attempt_limit == 0 {
             tries
         } else {
             settings.attempt_limit.min(tries)
         };
     }
-    settings.may_hedge &= model.policy.second_copies;
+    settings.may_hedge &= model.policy.hedging;
     settings.may_probe &= model.policy.probes;
     if let Some(most) = model.policy.max_retry_after {
         settings.max_retry_after = settings.max_retry_after.min(most);
     }
-    for class in model.classes.iter().filter(|c| c.once) {
+    for class in model.classes.iter().filter(|c| c.runs_once) {
         if let Some(at) = platform
             .names
             .classes
@@ -82,7 +82,7 @@
 
 /// The routes, classes and pools, compiled. Names of the platform keep their numbers.
 pub fn rules(model: &Model, platform: &Decoded) -> Rules {
-    let names = Names {
+    let names = NameTable {
         classes: platform.names.classes.clone(),
         tenants: platform.names.tenants.clone(),
     };
@@ -101,14 +101,14 @@
             route::Priority::Normal => Priority::Normal,
             route::Priority::High => Priority::High,
         },
-        attempt_limit: outcome.tries,
-        reject: outcome.refuse,
+        attempt_limit: outcome.attempt_limit,
+        reject: outcome.reject,
     };
     let class_limits = platform.names.classes.iter().map(|name| {
         let stated = model.classes.iter().find(|c| c.name == *name);
         (
             stated.and_then(|c| c.deadline),
-            stated.and_then(|c| c.tries),
+            stated.and_then(|c| c.attempt_limit),
         )
     });
     Rules {
@@ -148,8 +148,8 @@
             }),
         },
         connections: h.connections,
-        patience: h.patience,
-        idle: h.idle,
+        patience: h.check_timeout,
+        idle: h.idle_timeout,
     };
     model.health.iter().map(listen).collect()
 }
--- a/crates/leverproxy/src/config/operators_file.rs
+++ b/crates/leverproxy/src/config/operators_file.rs
@@ -56,7 +56,7 @@
     if let Some(platform) = platform {
         found = platform::check(&reading.sections, &reading.model, platform);
     }
-    if search && reading.sound() {
+    if search && reading.is_valid() {
         let classes = platform.map(classes);
         found.extend(configuration::shadow::check(
             &reading.model,
--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -16,13 +16,13 @@
 type ReadResult = Result<Config, ConfigError>;
 
 /// Reads the configuration again, wherever it came from; with a path, with that as the operators' file.
-pub type Reread = Box<dyn FnMut(Option<&Path>) -> ReadResult + Send>;
+pub type ReadConfig = Box<dyn FnMut(Option<&Path>) -> ReadResult + Send>;
 
 /// What is to be read, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ReloadRequest {
     /// The files in force, which may have changed.
-    Again,
+    CurrentFiles,
     /// A candidate of a rollout, to see whether it could run; the folder of candidates.
     Check(Hash, PathBuf),
     /// A candidate that is to run, with its folder; without one, the operators' own file.
@@ -30,7 +30,7 @@
 }
 
 enum Job {
-    Read(Ask),
+    Read(ReloadRequest),
     /// Dropping large rules takes long.
     Drop(Box<Rules>),
 }
@@ -40,18 +40,18 @@
 const MAX_PENDING_RELOADS: usize = 2;
 
 /// The reload thread as the event loop sees it.
-pub struct Reloads {
+pub struct Reloader {
     /// Taken by the thread when it starts.
-    reread: Option<(Reread, UnixStream)>,
+    reread: Option<(ReadConfig, UnixStream)>,
     jobs: Option<Sender<Job>>,
-    results: Option<Receiver<(Ask, ReadResult)>>,
+    results: Option<Receiver<(ReloadRequest, ReadResult)>>,
     pending_reloads: usize,
 }
 
-impl Reloads {
+impl Reloader {
     /// `waker`: a byte written to it wakes the event loop.
-    pub fn new(reread: Reread, waker: UnixStream) -> Reloads {
-        Reloads {
+    pub fn new(reread: ReadConfig, waker: UnixStream) -> Reloader {
+        Reloader {
             reread: Some((reread, waker)),
             jobs: None,
             results: None,
@@ -60,22 +60,22 @@
     }
 
     /// Requests a reload of the files in force, unless a pending one will see the same.
-    pub fn begin(&mut self) {
-        if self.pending_reloads < MAX_PENDING_RELOADS && self.ask(Ask::Again) {
+    pub fn request_reload(&mut self) {
+        if self.pending_reloads < MAX_PENDING_RELOADS && self.request(ReloadRequest::CurrentFiles) {
             self.pending_reloads += 1;
         }
     }
 
     /// Requests any read; false if the thread can't be started. Versions of a rollout are few: a check and a run for each
     /// proposal.
-    pub fn ask(&mut self, ask: Ask) -> bool {
+    pub fn request(&mut self, request: ReloadRequest) -> bool {
         if let Err(error) = self.start() {
             log::error!("the configuration can't be reread: {error}");
             return false;
         }
         self.jobs
             .as_ref()
-            .is_some_and(|jobs| jobs.send(Job::Read(ask)).is_ok())
+            .is_some_and(|jobs| jobs.send(Job::Read(request)).is_ok())
     }
 
     fn start(&mut self) -> io::Result<()> {
@@ -98,9 +98,9 @@
     }
 
     /// The next finished read.
-    pub fn ended(&mut self) -> Option<(Ask, ReadResult)> {
+    pub fn next_result(&mut self) -> Option<(ReloadRequest, ReadResult)> {
         let finished = self.results.as_ref()?.try_recv().ok()?;
-        let is_reload = finished.0 == Ask::Again;
+        let is_reload = finished.0 == ReloadRequest::CurrentFiles;
         self.pending_reloads -= usize::from(is_reload && self.pending_reloads > 0);
         Some(finished)
     }
@@ -115,9 +115,9 @@
 
 /// The thread's side.
 struct Worker {
-    reread: Reread,
+    reread: ReadConfig,
     waker: UnixStream,
-    results: Sender<(Ask, ReadResult)>,
+    results: Sender<(ReloadRequest, ReadResult)>,
     /// The candidate that runs in place of the operators' own file.
     running: Option<PathBuf>,
 }
@@ -128,9 +128,9 @@
         for job in queue {
             match job {
                 Job::Drop(rules) => drop(rules),
-                Job::Read(ask) => {
-                    let result = self.read(&ask);
-                    if self.results.send((ask, result)).is_err() {
+                Job::Read(request) => {
+                    let result = self.read(&request);
+                    if self.results.send((request, result)).is_err() {
                         return;
                     }
                     // A full socket wakes the loop as well as one more byte would.
@@ -140,19 +140,19 @@
         }
     }
 
-    fn read(&mut self, ask: &Ask) -> ReadResult {
-        match ask {
-            Ask::Again => (self.reread)(self.running.as_deref()),
-            Ask::Check(hash, folder) => {
+    fn read(&mut self, request: &ReloadRequest) -> ReadResult {
+        match request {
+            ReloadRequest::CurrentFiles => (self.reread)(self.running.as_deref()),
+            ReloadRequest::Check(hash, folder) => {
                 let path = rollout::find(folder, hash)?;
                 (self.reread)(Some(&path))
             }
-            Ask::Run(_, None) => {
+            ReloadRequest::Run(_, None) => {
                 let config = (self.reread)(None)?;
                 self.running = None;
                 Ok(config)
             }
-            Ask::Run(hash, Some(folder)) => {
+            ReloadRequest::Run(hash, Some(folder)) => {
                 let path = rollout::find(folder, hash)?;
                 let config = (self.reread)(Some(&path))?;
                 self.running = Some(path);
--- a/crates/leverproxy/src/persistence/saved_state.rs
+++ b/crates/leverproxy/src/persistence/saved_state.rs
@@ -4,7 +4,7 @@
 use crate::discovery::wire::Listing;
 use crate::event_loop::reactor::Key;
 use crate::persistence::state_file::{self, Lock, LockError, Writer};
-use configuration::model::Memory as Stated;
+use configuration::model::Persistence as Stated;
 use maintenance::Hand;
 use persistent_state::{recall, Action, After, Core, Event, List, FILE_MOST};
 use std::io;
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -4,7 +4,7 @@
 use crate::request::{Answer, Request};
 use bulkheads::{Bulkheads, Cause, PoolId, Priority, Verdict};
 use configuration::calendar::Moment;
-use configuration::index::{Facts, Index};
+use configuration::index::{Index, IndexedRequest};
 use routing::{Arrival, ClassId, Time};
 use std::time::{Duration, Instant};
 
@@ -69,7 +69,7 @@
         if self.actions.is_empty() {
             return None;
         }
-        let route = self.index.find(&Facts {
+        let route = self.index.find(&IndexedRequest {
             class: class.0.into(),
             tenant: self.find_tenant(request.tenant.as_deref()),
             group: request.group,
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -1,7 +1,7 @@
 //! Commands of signals and of an embedding program, and what the reload thread has read.
 
 use super::state::Proxy;
-use crate::config::reload::{Ask, Reloads};
+use crate::config::reload::{ReloadRequest, Reloader};
 use crate::config::{Config, ConfigError};
 use crate::control::ControlCommand;
 use crate::persistence::hot_restart::Takeover;
@@ -23,7 +23,7 @@
             self.request_reads(requests);
         }
         self.persist(now);
-        while let Some((request, read)) = self.reloads.as_mut().and_then(Reloads::ended) {
+        while let Some((request, read)) = self.reloads.as_mut().and_then(Reloader::next_result) {
             self.on_configuration_read(request, read, now);
         }
     }
@@ -48,16 +48,16 @@
 
     fn request_reload(&mut self) {
         match &mut self.reloads {
-            Some(reloads) => reloads.begin(),
+            Some(reloads) => reloads.request_reload(),
             None => log::warn!("told to reread the configuration, which has no source here"),
         }
     }
 
     /// Asks the reload thread for files of a rollout.
-    pub(super) fn request_reads(&mut self, requests: Vec<Ask>) {
+    pub(super) fn request_reads(&mut self, requests: Vec<ReloadRequest>) {
         for request in requests {
             match &mut self.reloads {
-                Some(reloads) => _ = reloads.ask(request),
+                Some(reloads) => _ = reloads.request(request),
                 None => log::warn!("rollout: the configuration has no source here"),
             }
         }
@@ -65,24 +65,24 @@
 
     fn on_configuration_read(
         &mut self,
-        request: Ask,
+        request: ReloadRequest,
         read: Result<Config, ConfigError>,
         now: Instant,
     ) {
         let (hash, result) = match request {
-            Ask::Again => {
+            ReloadRequest::CurrentFiles => {
                 // A failure is logged; the configuration stays as it was.
                 _ = self.reload(read, now);
                 return;
             }
-            Ask::Check(hash, _) => {
+            ReloadRequest::Check(hash, _) => {
                 let config = read.map_err(|error| error.to_string());
                 (
                     hash,
                     config.and_then(|config| self.check_candidate(&config)),
                 )
             }
-            Ask::Run(hash, _) => (hash, self.reload(read, now)),
+            ReloadRequest::Run(hash, _) => (hash, self.reload(read, now)),
         };
         if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
             let requests = rollout.read(hash, result, members, &self.pipeline.counters, now);
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -21,10 +21,10 @@
     ) -> Result<(), String> {
         let mut config = read.map_err(|error| self.reject_configuration(&error))?;
         let started = Instant::now();
-        let (members, lending) = (config.members.take(), config.lending.take());
+        let (members, lending) = (config.members.take(), config.quota_lending.take());
         let (keys, windows) = (
             config.member_keys.take(),
-            std::mem::take(&mut config.windows),
+            std::mem::take(&mut config.calendar_windows),
         );
         let discovery = config.discovery;
         let mut deferred = self.list_deferred_settings(&config);
@@ -72,9 +72,9 @@
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
         pipeline.configure(succession, config.dial_timeout, now);
         io.upstream
-            .set_times(config.dial_timeout, config.idle_limit);
+            .set_times(config.dial_timeout, config.upstream_idle_timeout);
         io.downstream
-            .set_balancers(config.checks, config.proxy_from);
+            .set_balancers(config.check_networks, config.proxy_protocol_networks);
         (self.limits, self.client_timeouts) = (config.limits, config.client_timeouts);
         self.share_limits();
         self.drain.configure(drain_settings);
@@ -97,7 +97,7 @@
             ("admin", new.admin != running.admin),
             ("name", new.name != running.name),
             ("rollout", config.rollout.as_ref() != rollout),
-            ("memory", config.memory.as_ref() != saved_state),
+            ("memory", config.persistence.as_ref() != saved_state),
             ("sites", new.sites != running.sites),
             (
                 "discovery watch-silence",
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -121,7 +121,7 @@
         handed_over: bool,
         now: Instant,
     ) -> io::Result<Recalled> {
-        let Some(settings) = config.memory.take() else {
+        let Some(settings) = config.persistence.take() else {
             return Ok(Recalled::default());
         };
         let waker = self.commands.waker()?;
@@ -183,7 +183,7 @@
         }
         if let Some(settings) = config.rollout {
             let name = &self.restart_settings.name;
-            let operators = config.operators.as_deref();
+            let operators = config.operators_file.as_deref();
             let started = (self.incarnation, new_process);
             let waker = self.commands.waker()?;
             let rollout = Rollout::begin(settings, name, operators, started, waker, now);
@@ -191,9 +191,9 @@
             self.io.timers.set(now, TimerKind::Rollout);
         }
         self.io.timers.set(now, TimerKind::Quota);
-        if let Some(settings) = config.lending {
+        if let Some(settings) = config.quota_lending {
             let waker = self.commands.waker()?;
-            let lending = Lending::new(settings, config.windows, waker, now);
+            let lending = Lending::new(settings, config.calendar_windows, waker, now);
             self.pipeline.quota.lending = Some(lending);
             self.pipeline.quota.rule(now);
         }
@@ -218,7 +218,7 @@
     /// Asks the old process, if there is one.
     fn request(config: &Config) -> Handover {
         let old_process = config
-            .takeover
+            .hot_restart_socket
             .as_deref()
             .map_or(Elder::Nobody, hot_restart::ask);
         match old_process {
@@ -266,18 +266,25 @@
     let mut downstream = Downstream::listen(
         config.listen,
         handover.listener.take(),
-        config.takeover.is_some(),
+        config.hot_restart_socket.is_some(),
         limits,
         config.client_timeouts,
         &reactor,
     )?;
-    downstream.set_balancers(config.checks.clone(), config.proxy_from.clone());
+    downstream.set_balancers(
+        config.check_networks.clone(),
+        config.proxy_protocol_networks.clone(),
+    );
     let pushed = !config.platform.settings.endpoints_are_polled;
     let new_process = handover.state.is_some() || handover.old_process_unknown;
     Ok(IoEndpoints {
         downstream,
-        upstream: Upstream::new(limits.upstream, config.dial_timeout, config.idle_limit),
-        discovery: Discovery::new(config.discovery, config.watch_silence, pushed, now),
+        upstream: Upstream::new(
+            limits.upstream,
+            config.dial_timeout,
+            config.upstream_idle_timeout,
+        ),
+        discovery: Discovery::new(config.discovery, config.max_watch_silence, pushed, now),
         health: Health::new(&config.health, &reactor)?,
         control_socket: open_control_socket(config, new_process, &reactor)?,
         admin: open_admin(config, &reactor)?,
@@ -292,7 +299,7 @@
     new_process: bool,
     reactor: &Reactor,
 ) -> io::Result<Option<ControlSocket>> {
-    let path = config.control.as_deref();
+    let path = config.control_socket.as_deref();
     path.map(|path| ControlSocket::listen(path, new_process, reactor))
         .transpose()
 }
@@ -306,7 +313,7 @@
 
 /// Where the next process asks for a handover. Without it this process serves, but can't be replaced in place.
 fn open_hot_restart(config: &Config, reactor: &Reactor) -> Option<Takeover> {
-    let path = config.takeover.as_deref()?;
+    let path = config.hot_restart_socket.as_deref()?;
     Takeover::listen(path, reactor)
         .inspect_err(|error| {
             log::warn!("takeover: the next process can't be listened for: {error}")
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::members::Members;
 use crate::cluster::rollout::Rollout;
-use crate::config::reload::Reloads;
+use crate::config::reload::Reloader;
 use crate::config::{ClientTimeouts, Config, ConfigError, Limits};
 use crate::control::admin::Admin;
 use crate::control::CommandReceiver;
@@ -34,7 +34,7 @@
     pub(super) client_timeouts: ClientTimeouts,
     /// Clients and upstream connections that the old process holds during a hot restart.
     pub(super) old_process_usage: (usize, usize),
-    pub(super) reloads: Option<Reloads>,
+    pub(super) reloads: Option<Reloader>,
     /// An old process may run whose state is unknown: not ready before discovery has sent a list.
     pub(super) awaits_discovery: bool,
     /// The platform's settings in force, with classes in the order of the counters.
@@ -65,7 +65,7 @@
             name: config.name.clone(),
             listen: config.listen,
             admin: config.admin,
-            watch_silence: config.watch_silence,
+            watch_silence: config.max_watch_silence,
             sites: config.sites,
         }
     }
@@ -96,7 +96,7 @@
         &mut self,
         reread: impl FnMut(Option<&Path>) -> Result<Config, ConfigError> + Send + 'static,
     ) -> io::Result<()> {
-        self.reloads = Some(Reloads::new(Box::new(reread), self.commands.waker()?));
+        self.reloads = Some(Reloader::new(Box::new(reread), self.commands.waker()?));
         Ok(())
     }
 
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_client_that_sends_no_request_does_not_delay_the_end() {
     let mut stage = Stage::with(&[], |config| {
-        (config.linger, config.give_up) = (Duration::ZERO, 9 * PATIENCE)
+        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 9 * PATIENCE)
     });
     let mut client = Peer::client(stage.address);
     stage.control.stop();
@@ -127,7 +127,7 @@
 fn a_client_over_the_limit_as_the_listener_closes_gets_an_error() {
     let server = Listener::new();
     let mut stage = Stage::with(&[("s-1", &server)], |config| {
-        (config.linger, config.give_up) = (Duration::ZERO, 3 * PATIENCE);
+        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * PATIENCE);
         config.limits.clients = 1;
     });
     let mut busy = Peer::client(stage.address);
@@ -168,7 +168,7 @@
 fn listening_again_is_retried_until_the_address_is_free() {
     let place = Scratch::new("");
     std::fs::remove_file(&place.0).unwrap();
-    let stage = Stage::with(&[], |config| config.control = Some(place.0.clone()));
+    let stage = Stage::with(&[], |config| config.control_socket = Some(place.0.clone()));
     let say = |word: &str| {
         let mut socket = UnixStream::connect(&place.0).unwrap();
         socket.write_all(format!("{word}\n").as_bytes()).unwrap();
@@ -316,7 +316,7 @@
     Stage::with(
         &[("s-1", server), ("s-2", server), ("s-3", server)],
         |config| {
-            (config.linger, config.give_up) = (Duration::ZERO, 3 * PATIENCE);
+            (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * PATIENCE);
             adjust(config);
         },
     )
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -366,7 +366,7 @@
         (timeouts.max_pipelined, timeouts.max_unsent_bytes),
         (32, 64 << 10)
     );
-    assert_eq!(config.watch_silence, Duration::from_secs(3));
+    assert_eq!(config.max_watch_silence, Duration::from_secs(3));
     assert_eq!(config.rules.margin, Duration::from_millis(10));
 }
 
--- a/crates/leverproxy/tests/state.rs
+++ b/crates/leverproxy/tests/state.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{get, post, read, served, until, Listener, Peer, Stage};
-use configuration::model::Memory;
+use configuration::model::Persistence;
 use leverproxy::event_loop::system_calls::faults::{Fault, Rule};
 use leverproxy::event_loop::system_calls::Call;
 use rustix::io::Errno;
@@ -32,7 +32,7 @@
 fn stage(folder: &Path, servers: &[(&str, &Listener)]) -> (Stage, SocketAddr) {
     let stage = Stage::with(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        config.memory = Some(Memory {
+        config.persistence = Some(Persistence {
             state: folder.to_owned(),
             every: Duration::from_millis(100),
         });
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -194,7 +194,7 @@
 fn a_silent_watch_is_replaced() {
     let server = Listener::new();
     let mut stage = Stage::with(&[], |config| {
-        config.watch_silence = Duration::from_millis(1_500)
+        config.max_watch_silence = Duration::from_millis(1_500)
     });
     stage.watch.tell(57, &[server.listed("s-1", "Ready")]);
     let mut again = stage.discovery.accept();
@@ -215,7 +215,7 @@
 fn an_indented_list_is_applied_and_an_endless_one_is_replaced() {
     let server = Listener::new();
     let mut stage = Stage::with(&[], |config| {
-        config.watch_silence = Duration::from_millis(1_500)
+        config.max_watch_silence = Duration::from_millis(1_500)
     });
     let list = format!(
         "{{\n  \"index\": 58,\n\n  \"endpoints\": [\n    {}\n  ]\n}}\n",
@@ -492,7 +492,8 @@
 fn a_stop_answers_the_requests_that_have_come() {
     let server = Listener::new();
     let mut stage = Stage::with(&[("s-1", &server)], |config| {
-        (config.linger, config.give_up) = (Duration::from_secs(2), 3 * PATIENCE);
+        (config.accept_after_stop, config.shutdown_timeout) =
+            (Duration::from_secs(2), 3 * PATIENCE);
     });
     let mut idle = Peer::client(stage.address);
     let mut busy = Peer::client(stage.address);
@@ -522,7 +523,7 @@
 fn a_stop_answers_every_open_request_before_the_deadline() {
     let server = Listener::new();
     let mut stage = Stage::with(&[("s-1", &server)], |config| {
-        config.give_up = Duration::from_secs(1)
+        config.shutdown_timeout = Duration::from_secs(1)
     });
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -12,8 +12,8 @@
 fn stage(place: &Path, servers: &[(&str, &Listener)]) -> (Stage, SocketAddr) {
     let stage = Stage::with(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        config.takeover = Some(place.to_owned());
-        config.control = Some(place.with_extension("control"));
+        config.hot_restart_socket = Some(place.to_owned());
+        config.control_socket = Some(place.with_extension("control"));
     });
     let admin = stage.admin.unwrap();
     (stage, admin)
@@ -116,7 +116,7 @@
         .unwrap();
     let new_process = Stage::with(&[], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        config.takeover = Some(place.0.clone());
+        config.hot_restart_socket = Some(place.0.clone());
         config.listen = elsewhere;
     });
     assert_eq!(new_process.address, elsewhere);
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -714,7 +714,7 @@
     for step in STEPS {
         let clock = off(0);
         let stage = Stage::with(&[], |config| {
-            config.watch_silence = 400 * MS;
+            config.max_watch_silence = 400 * MS;
             config.wall_clock = wall(&clock);
         });
         let begun = Instant::now();
@@ -734,7 +734,7 @@
     for step in STEPS {
         let (clock, server) = (off(0), common::Listener::new());
         let stage = Stage::with(&[("s-1", &server)], |config| {
-            config.idle_limit = 400 * MS;
+            config.upstream_idle_timeout = 400 * MS;
             config.wall_clock = wall(&clock);
         });
         let mut client = Peer::client(stage.address);
--- a/crates/proxy-experiments/src/cli/trial.rs
+++ b/crates/proxy-experiments/src/cli/trial.rs
@@ -185,7 +185,7 @@
 }
 
 pub fn demo(with: &ArgMatches) -> Result<End> {
-    let files = configuration::load::Memory::from([("demo.conf", DEMO)]);
+    let files = configuration::load::MemoryFiles::from([("demo.conf", DEMO)]);
     let mut scenario = chosen(&file::read(Path::new("demo.conf"), &files)?, "")?;
     let length = word(with, "for");
     if !length.is_empty() {
--- a/crates/proxy-experiments/src/file.rs
+++ b/crates/proxy-experiments/src/file.rs
@@ -83,12 +83,12 @@
 
 /// Reads a file and all that it includes; what is wrong with it, as snippets.
 pub fn read(path: &Path, loader: &dyn Loader) -> Result<Book, String> {
-    let mut plain = configuration::read_plain(path, loader, TABLE);
+    let mut plain = configuration::read_table(path, loader, TABLE);
     let mut faults = Vec::new();
     let book = Book::new(std::mem::take(&mut plain.sections), &mut faults);
     plain.diagnostics.extend(faults);
     diagnostic::sort(&mut plain.diagnostics);
-    if plain.sound() {
+    if plain.is_valid() {
         Ok(book)
     } else {
         Err(diagnostic::render(&plain.sources, &plain.diagnostics))
@@ -102,7 +102,7 @@
 pub fn suite() -> Result<Book, String> {
     read(
         Path::new("suite.conf"),
-        &configuration::load::Memory::from([("suite.conf", SUITE)]),
+        &configuration::load::MemoryFiles::from([("suite.conf", SUITE)]),
     )
 }
 
@@ -224,7 +224,7 @@
 
     fn experiment(&self, section: &Section, faults: &mut Vec<Diagnostic>) -> Option<Experiment> {
         let v = Values::of(section);
-        let texts = |keyword: &str| v.all(keyword, name_of);
+        let texts = |keyword: &str| v.collect(keyword, name_of);
         let mut fault = |span: Span, message: String, label: &str| {
             if !section.partial {
                 faults.push(Diagnostic::error("cross-check", span, message).label(label));
@@ -278,7 +278,7 @@
                 );
                 continue;
             };
-            let values = g.all("values", text_of);
+            let values = g.collect("values", text_of);
             let key = (part.to_owned(), directive.to_owned());
             for value in &values {
                 let change = Change {
@@ -293,7 +293,7 @@
             grids.push(Grid { name, key, values });
         }
         let mut seeds = Vec::new();
-        for range in v.all("seeds", groups_of) {
+        for range in v.collect("seeds", groups_of) {
             seeds.extend(
                 range
                     .take(SEEDS_LIMIT + 1 - seeds.len().min(SEEDS_LIMIT))
@@ -310,7 +310,7 @@
                 "too many",
             );
         }
-        let against = v.all("against", name_of).pop();
+        let against = v.collect("against", name_of).pop();
         let against = against
             .or_else(|| players.first().map(|p| p.name.clone()))
             .unwrap_or_default();
@@ -513,7 +513,7 @@
         }
         let troubles: Vec<&Section> = s
             .values
-            .all("troubles", name_of)
+            .collect("troubles", name_of)
             .iter()
             .filter_map(|name| self.book.find("trouble", name))
             .collect();
@@ -573,7 +573,7 @@
         groups: u32,
         scenario: &Section,
     ) -> clients::Settings {
-        let named = |keyword| load.values.all(keyword, name_of);
+        let named = |keyword| load.values.collect(keyword, name_of);
         let (classes, tenants) = (named("classes"), named("tenants"));
         let kinds: Vec<Kind> = classes
             .iter()
@@ -791,7 +791,7 @@
 
 /// What a tenant may borrow; none: nothing.
 fn credit(t: &Seen<'_>, kinds: &[Kind]) -> Option<Credit> {
-    let named = t.values.all("borrows", name_of);
+    let named = t.values.collect("borrows", name_of);
     let lent = |(_, kind): &(usize, &Kind)| named.is_empty() || named.contains(&kind.name);
     let credit = Credit {
         line: t.micros("line"),
@@ -812,7 +812,7 @@
 fn site_of(f: &Seen<'_>) -> site::Settings {
     site::Settings {
         groups: f.count("groups"),
-        sizes: f.values.all("sizes", |v| match v {
+        sizes: f.values.collect("sizes", |v| match v {
             Value::Count(n) => usize::try_from(*n).ok(),
             _ => None,
         }),
--- a/crates/proxy-experiments/src/write.rs
+++ b/crates/proxy-experiments/src/write.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 fn time(micros: Micros) -> String {
-    value::time(Duration::from_micros(micros))
+    value::format_time(Duration::from_micros(micros))
 }
 
 /// With as many digits as the language takes.
--- a/crates/proxy-experiments/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -1,6 +1,6 @@
 //! A fleet that lends: the line is kept, books add up, and a fleet that lends more than it may is found out.
 
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use proxy_experiments::file::read;
 use proxy_experiments::member::{Member, Place};
 use proxy_experiments::play::fleet::Loans;
@@ -22,7 +22,7 @@
 /// A day of `lab/borrowing.conf` at an eighth of its size, with short loans and six proxies.
 fn small(name: &str) -> Scenario {
     let file = include_str!("../../../lab/borrowing.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+    let book = read(Path::new("a.conf"), &MemoryFiles::from([("a.conf", file)]))
         .unwrap_or_else(|f| panic!("{f}"));
     let mut day = book.scenarios.into_iter().find(|s| s.name == name).unwrap();
     day.site.groups = 3;
--- a/crates/proxy-experiments/tests/cold.rs
+++ b/crates/proxy-experiments/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Whether the lab sees how much cold servers get: of who heeds their starts, and of who does not.
 
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use invariant_checkers::Rule;
 use proxy_experiments::file::read;
 use proxy_experiments::play::play;
@@ -12,7 +12,7 @@
 #[test]
 fn a_planted_breach_shows_in_the_books_and_the_module_stays_below() {
     let file = include_str!("../../../lab/cold.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+    let book = read(Path::new("a.conf"), &MemoryFiles::from([("a.conf", file)]))
         .unwrap_or_else(|f| panic!("{f}"));
     let mut day = book
         .scenarios
--- a/crates/proxy-experiments/tests/files.rs
+++ b/crates/proxy-experiments/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files of experiments: what is wrong in them, and that a written day is the day that was written.
 
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use proxy_experiments::file::{read, suite, Change};
 use proxy_experiments::hunt::{hunt, Hunt};
 use proxy_experiments::play::play;
@@ -10,7 +10,7 @@
 use std::path::Path;
 
 fn faults(file: &str) -> String {
-    match read(Path::new("a.conf"), &Memory::from([("a.conf", file)])) {
+    match read(Path::new("a.conf"), &MemoryFiles::from([("a.conf", file)])) {
         Ok(_) => String::new(),
         Err(faults) => faults,
     }
@@ -62,7 +62,7 @@
         let written = text(&scenario);
         let book = read(
             Path::new("a.conf"),
-            &Memory::from([("a.conf", written.as_str())]),
+            &MemoryFiles::from([("a.conf", written.as_str())]),
         );
         let book = book.unwrap_or_else(|faults| panic!("{written}\n{faults}"));
         assert_eq!(book.scenarios, [scenario]);
@@ -119,7 +119,7 @@
     assert!(found.small.scenario.troubles.len() <= found.worst.scenario.troubles.len());
     let book = read(
         Path::new("a.conf"),
-        &Memory::from([("a.conf", found.text.as_str())]),
+        &MemoryFiles::from([("a.conf", found.text.as_str())]),
     );
     let book = book.unwrap_or_else(|faults| panic!("{faults}"));
     let again = &book.scenarios[0];
--- a/crates/proxy-experiments/tests/quota.rs
+++ b/crates/proxy-experiments/tests/quota.rs
@@ -1,6 +1,6 @@
 //! Whom the oracle serves when tenants ask for more than their quota.
 
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use proxy_experiments::file::read;
 use proxy_experiments::play::play_with;
 use proxy_experiments::policy::{Decider, Name, Policy, View};
@@ -15,7 +15,7 @@
 /// A day of `lab/quota.conf` at an eighth of its size, and its troubles early.
 fn small(name: &str) -> Scenario {
     let file = include_str!("../../../lab/quota.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+    let book = read(Path::new("a.conf"), &MemoryFiles::from([("a.conf", file)]))
         .unwrap_or_else(|f| panic!("{f}"));
     let mut day = book.scenarios.into_iter().find(|s| s.name == name).unwrap();
     day.site.groups = 3;
--- a/crates/proxy-experiments/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -5,7 +5,7 @@
 //! known by their numbers to all proxies: which of a cold server's requests pass, and whom each proxy tries first, is
 //! drawn by them. Other numbers there are another draw, so only the outcome has to be much the same.
 
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use proxy_experiments::file::read;
 use proxy_experiments::play::{play, play_with};
 use proxy_experiments::policy::{Decider, Name, Policy, View};
@@ -20,7 +20,7 @@
 /// A day of `lab/quota.conf` at an eighth of its size, with servers that start cold and a proxy that dies.
 fn day() -> Scenario {
     let file = include_str!("../../../lab/quota.conf");
-    let book = read(Path::new("a.conf"), &Memory::from([("a.conf", file)]))
+    let book = read(Path::new("a.conf"), &MemoryFiles::from([("a.conf", file)]))
         .unwrap_or_else(|f| panic!("{f}"));
     let mut day = book
         .scenarios
--- a/crates/testbed/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -289,9 +289,9 @@
         let text = std::fs::read_to_string(&file).unwrap();
         let read = configuration::read(
             file.as_ref(),
-            &configuration::load::Memory::from([(&*file, &*text)]),
+            &configuration::load::MemoryFiles::from([(&*file, &*text)]),
         );
-        assert!(read.sound(), "{:?}", read.diagnostics);
+        assert!(read.is_valid(), "{:?}", read.diagnostics);
         assert_eq!(
             read.model.members.map_or(0, |members| members.roster.len()),
             if proxy == 2 { 0 } else { 3 }
--- a/fuzz/fuzz_targets/text.rs
+++ b/fuzz/fuzz_targets/text.rs
@@ -4,12 +4,12 @@
 use configuration::diagnostic::render;
 use configuration::diff::diff;
 use configuration::format::format;
-use configuration::load::Memory;
+use configuration::load::MemoryFiles;
 use configuration::{read, shadow};
 use std::path::Path;
 
 fn reading(bytes: &[u8]) -> configuration::Reading {
-    let mut files = Memory::default();
+    let mut files = MemoryFiles::default();
     files.add("x.conf", bytes);
     read(Path::new("x.conf"), &files)
 }
@@ -17,7 +17,7 @@
 libfuzzer_sys::fuzz_target!(|bytes: &[u8]| {
     let first = reading(bytes);
     _ = render(&first.sources, &first.diagnostics);
-    if first.sound() {
+    if first.is_valid() {
         _ = shadow::check(&first.model, None);
     }
     let Ok(text) = std::str::from_utf8(bytes) else {
@@ -25,9 +25,9 @@
     };
     if let Some(tidy) = format(text) {
         assert_eq!(format(&tidy).as_ref(), Some(&tidy));
-        if first.sound() {
+        if first.is_valid() {
             let second = reading(tidy.as_bytes());
-            assert!(second.sound() && diff(&first, &second, None).is_empty());
+            assert!(second.is_valid() && diff(&first, &second, None).is_empty());
         }
     }
 });
