--- /dev/null
+++ b/crates/leverproxy/src/cli/mod.rs
@@ -0,0 +1,64 @@
+//! The command line: what was asked for, and who does it.
+
+mod commands;
+pub mod config;
+mod control_client;
+mod serve;
+
+pub use commands::command;
+
+use clap::ArgMatches;
+use clap_complete::Shell;
+use std::ffi::OsString;
+use std::process::ExitCode;
+
+/// Exit code for a wrong command line or configuration.
+const MISUSE: u8 = 2;
+
+/// Runs the program by its arguments.
+pub fn main() -> ExitCode {
+    crate::observability::logging::start();
+    let arguments: Vec<OsString> = std::env::args_os().collect();
+    // Without the help that clap prints where a subcommand is missing.
+    if arguments.len() == 2 && (arguments[1] == "-V" || arguments[1] == "--version") {
+        return version();
+    }
+    match command().try_get_matches_from(arguments) {
+        Ok(matches) => run(&matches),
+        Err(error) => {
+            _ = error.print();
+            if error.use_stderr() {
+                ExitCode::from(MISUSE)
+            } else {
+                ExitCode::SUCCESS
+            }
+        }
+    }
+}
+
+fn run(matches: &ArgMatches) -> ExitCode {
+    match matches.subcommand() {
+        Some(("serve", with)) => serve::serve(with),
+        Some(("check", with)) => serve::check(with),
+        Some(("config", with)) => config::run(with),
+        Some((command @ ("drain" | "undrain" | "status"), with)) => {
+            control_client::send(command, with)
+        }
+        Some(("sites", with)) => control_client::sites(with),
+        Some(("rollout", with)) => control_client::rollout(with),
+        Some(("completions", with)) => completions(with),
+        _ => version(),
+    }
+}
+
+fn completions(matches: &ArgMatches) -> ExitCode {
+    if let Some(shell) = matches.get_one::<Shell>("shell") {
+        clap_complete::generate(*shell, &mut command(), "leverproxy", &mut std::io::stdout());
+    }
+    ExitCode::SUCCESS
+}
+
+fn version() -> ExitCode {
+    println!("leverproxy {}", env!("CARGO_PKG_VERSION"));
+    ExitCode::SUCCESS
+}
--- /dev/null
+++ b/crates/leverproxy/src/cli/serve.rs
@@ -0,0 +1,111 @@
+//! `leverproxy serve` and `leverproxy check`: both read the whole configuration, one of them serves by it.
+
+use super::MISUSE;
+use crate::config::{Config, ConfigError};
+use crate::control::{self, CommandReceiver, Control};
+use crate::proxy::Proxy;
+use clap::ArgMatches;
+use std::io;
+use std::process::ExitCode;
+
+/// Reads the configuration as `serve` does and prints a summary of it.
+pub(super) fn check(matches: &ArgMatches) -> ExitCode {
+    match crate::config::from_env(environment(matches)) {
+        Ok(config) => {
+            print_summary(&config);
+            ExitCode::SUCCESS
+        }
+        Err(error) => report_invalid(&error),
+    }
+}
+
+fn print_summary(config: &Config) {
+    let routes = match config.rules.actions.len() {
+        0 => String::new(),
+        n => format!(", {n} routes"),
+    };
+    println!(
+        "{}: sound; {} record servers known{routes}",
+        config.name,
+        config.known.endpoints.len()
+    );
+}
+
+/// Serves until the process is told to stop.
+pub(super) fn serve(matches: &ArgMatches) -> ExitCode {
+    let variable = environment(matches);
+    // Before the configuration is read: a signal that comes meanwhile must not end the process.
+    let (_control, commands) = match handle_signals() {
+        Ok(channel) => channel,
+        Err(error) => {
+            eprintln!("leverproxy: signals can't be heeded: {error}");
+            return ExitCode::FAILURE;
+        }
+    };
+    let config = match read_on_own_thread(variable.clone()) {
+        Some(Ok(config)) => config,
+        Some(Err(error)) => return report_invalid(&error),
+        None => return ExitCode::FAILURE,
+    };
+    let required_keys = config.required_keys.clone();
+    let mut proxy = match Proxy::start_with_commands(config, commands) {
+        Ok(proxy) => proxy,
+        Err(error) => {
+            // Nothing was served: an address is taken or not of this machine, most of all.
+            eprintln!("leverproxy: {error}");
+            return ExitCode::from(MISUSE);
+        }
+    };
+    let served = proxy
+        .reread_with(move |operators_file| {
+            // A candidate of a rollout stands in for the operators' file.
+            let with_candidate = |name: &str| match operators_file {
+                Some(path) if name == "LB_OPERATORS" => Some(path.display().to_string()),
+                _ => variable(name),
+            };
+            crate::config::reread(with_candidate, &required_keys)
+        })
+        .and_then(|()| proxy.run());
+    proxy.report();
+    match served {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("leverproxy: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn handle_signals() -> io::Result<(Control, CommandReceiver)> {
+    let (control, commands) = control::channel()?;
+    control.install_signal_handlers()?;
+    Ok((control, commands))
+}
+
+/// Reads the configuration on a thread that ends, so that the allocator's memory that reading needed serves reloads and
+/// does not stay with the serving thread. None if the thread panicked.
+fn read_on_own_thread(
+    variable: impl Fn(&str) -> Option<String> + Send + 'static,
+) -> Option<Result<Config, ConfigError>> {
+    std::thread::spawn(move || crate::config::from_env(variable))
+        .join()
+        .ok()
+}
+
+/// The environment, with what the command line states in place of it.
+fn environment(matches: &ArgMatches) -> impl Fn(&str) -> Option<String> + Clone + Send + 'static {
+    let operators = matches.get_one::<String>("operators").cloned();
+    move |name| match name {
+        "LB_OPERATORS" if operators.is_some() => operators.clone(),
+        _ => std::env::var(name).ok(),
+    }
+}
+
+fn report_invalid(error: &ConfigError) -> ExitCode {
+    eprintln!(
+        "leverproxy: configuration: {}: {}",
+        error.key, error.problem
+    );
+    error.faults.iter().for_each(|fault| eprintln!("  {fault}"));
+    ExitCode::from(MISUSE)
+}
