--- a/crates/leverproxy/src/cli/mod.rs
+++ b/crates/leverproxy/src/cli/mod.rs
@@ -1,7 +1,7 @@
 //! The command line: what was asked for, and who does it.
 
 mod commands;
-pub mod config;
+mod config;
 mod control_client;
 mod serve;
 
