--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,9 +1,10 @@
 //! The document against the table of directives: every section and value known, typed and within its range.
 
 use crate::diagnostic::{nearest, Diagnostic};
-use crate::load::{is_name, Arg, Document};
+use crate::load::{Arg, Document};
 use crate::schema::{self, Args, Naming, Table};
 use crate::source::Span;
+use crate::syntax::is_name;
 use crate::value::{Type, Value};
 use std::collections::HashMap;
 
--- a/crates/configuration/src/load.rs
+++ b/crates/configuration/src/load.rs
@@ -3,7 +3,7 @@
 use crate::diagnostic::{nearest, Diagnostic};
 use crate::schema::Table;
 use crate::source::{FileId, Sources, Span};
-use crate::syntax::{self, Entry, Quote, Word};
+use crate::syntax::{self, is_name, is_name_char, Entry, Quote, Word};
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Component, Path, PathBuf};
 
@@ -581,7 +581,9 @@
             let (name, behind) = match after.strip_prefix('{').and_then(|n| n.split_once('}')) {
                 Some(parts) => parts,
                 None => {
-                    let end = after.find(|c: char| !name_char(c)).unwrap_or(after.len());
+                    let end = after
+                        .find(|c: char| !is_name_char(c))
+                        .unwrap_or(after.len());
                     after.split_at(end)
                 }
             };
@@ -656,15 +658,6 @@
     )
 }
 
-fn name_char(c: char) -> bool {
-    c.is_ascii_alphanumeric() || c == '-' || c == '_'
-}
-
-/// A letter, then letters, digits, `-` and `_`.
-pub fn is_name(text: &str) -> bool {
-    text.starts_with(|c: char| c.is_ascii_alphabetic()) && text.chars().all(name_char)
-}
-
 /// Files in memory, for tests and for texts that come from elsewhere. Links are files of which the text is the
 /// path behind `link:`.
 #[derive(Clone, Debug, Default)]
--- /dev/null
+++ b/crates/configuration/src/schema/page.rs
@@ -0,0 +1,62 @@
+//! A table in Markdown, as the operators' page has it.
+
+use super::types::{Args, Directive, Naming, Section, Table, TakesEffect};
+
+/// Any table in Markdown; `takes_effect`: with a column that says when a changed value counts.
+pub fn markdown_of(table: Table, takes_effect: bool) -> String {
+    let mut page = String::new();
+    for section in table {
+        write_section(&mut page, section, takes_effect);
+    }
+    page
+}
+
+fn write_section(page: &mut String, section: &Section, takes_effect: bool) {
+    let head = match section.naming {
+        Naming::Unnamed => format!("{} {{", section.keyword),
+        Naming::Named | Naming::ExternalName => format!("{} NAME {{", section.keyword),
+    };
+    page.push_str(&format!("### `{head}`\n\n{}\n\n", section.help));
+    let (title, rule) = match takes_effect {
+        true => (" takes effect |", " --- |"),
+        false => ("", ""),
+    };
+    page.push_str(&format!(
+        "| directive | value | range | default |{title} says |\n"
+    ));
+    page.push_str(&format!("| --- | --- | --- | --- |{rule} --- |\n"));
+    for directive in section.directives {
+        write_directive(page, directive, takes_effect);
+    }
+    page.push('\n');
+}
+
+fn write_directive(page: &mut String, directive: &Directive, takes_effect: bool) {
+    let (kind, many) = match directive.args {
+        Args::One(kind) => (kind, ""),
+        Args::Optional(kind) => (kind, ", or nothing"),
+        Args::Many(kind) => (kind, ", one or more"),
+    };
+    let when = match (takes_effect, directive.takes_effect) {
+        (false, _) => "",
+        (true, TakesEffect::OnReload) => " reload |",
+        (true, TakesEffect::OnStart) => " start |",
+    };
+    let default = if directive.default.is_empty() {
+        "-".to_owned()
+    } else {
+        format!("`{}`", directive.default)
+    };
+    let range = if kind.range().is_empty() {
+        "-".to_owned()
+    } else {
+        kind.range()
+    };
+    page.push_str(&format!(
+        "| `{}` | {}{many} | {range} | {default} |{when} {}; `{}` |\n",
+        directive.keyword,
+        kind.name(),
+        directive.help,
+        directive.example
+    ));
+}
--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -307,3 +307,13 @@
     }
     None
 }
+
+/// Whether a character may stand in a name.
+pub(crate) fn is_name_char(c: char) -> bool {
+    c.is_ascii_alphanumeric() || c == '-' || c == '_'
+}
+
+/// Whether this is a name: a letter, then letters, digits, `-` and `_`.
+pub fn is_name(text: &str) -> bool {
+    text.starts_with(|c: char| c.is_ascii_alphabetic()) && text.chars().all(is_name_char)
+}
--- a/crates/proxy-experiments/src/table.rs
+++ b/crates/proxy-experiments/src/table.rs
@@ -224,7 +224,7 @@
     #[test]
     fn the_table_keeps_its_own_rules() {
         assert_eq!(
-            configuration::schema::example_errors(super::TABLE),
+            configuration::schema::table_errors(super::TABLE),
             Vec::<String>::new()
         );
     }
