--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,7 +1,7 @@
 //! The document against the table of directives: every section and value known, typed and within its range.
 
 use crate::diagnostic::{nearest, Diagnostic};
-use crate::load::{Arg, Document};
+use crate::document::{Argument, Document, RawDirective, RawSection};
 use crate::schema::{self, Args, Naming, Table};
 use crate::source::Span;
 use crate::syntax::is_name;
@@ -147,7 +147,7 @@
     }
 }
 
-fn unknown_section(keyword: &Arg, table: Table) -> Diagnostic {
+fn unknown_section(keyword: &Argument, table: Table) -> Diagnostic {
     let fault = Diagnostic::error(
         "unknown-section",
         keyword.span,
@@ -165,7 +165,7 @@
 
 fn section_name(
     spec: &'static schema::Section,
-    stated: &crate::load::Section,
+    stated: &RawSection,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<String> {
     let keyword = spec.keyword;
@@ -208,7 +208,7 @@
 
 fn setting(
     section: &'static schema::Section,
-    directive: crate::load::Directive,
+    directive: RawDirective,
     table: Table,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Setting> {
@@ -276,7 +276,11 @@
     Some(Setting { spec, span, values })
 }
 
-fn unknown_directive(section: &'static schema::Section, keyword: &Arg, table: Table) -> Diagnostic {
+fn unknown_directive(
+    section: &'static schema::Section,
+    keyword: &Argument,
+    table: Table,
+) -> Diagnostic {
     let (name, here) = (&keyword.text, section.keyword);
     let fault = Diagnostic::error(
         "unknown-directive",
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod check;
 pub mod diagnostic;
 pub mod diff;
+pub mod document;
 pub mod explain;
 pub mod format;
 pub mod index;
--- /dev/null
+++ b/crates/configuration/src/load/file.rs
@@ -0,0 +1,130 @@
+//! One file: whether it may be read here, and its bytes as text.
+
+use super::files::file_name;
+use super::{Loading, DEPTH_LIMIT, FILES_LIMIT, FILE_LIMIT};
+use crate::diagnostic::Diagnostic;
+use crate::source::{FileId, Span};
+use crate::syntax;
+use std::path::{Path, PathBuf};
+
+/// Bytes of a line that is too long which are shown.
+const SHOWN_OF_LONG_LINE: usize = 80;
+
+impl Loading<'_> {
+    /// Reads a file and all that it includes. `from`: the place of the include; none for the file that was asked for.
+    pub(super) fn file(&mut self, path: &Path, from: Option<Span>) {
+        let name = path.display().to_string();
+        let identity = match self.loader.identity(path) {
+            Ok(identity) => identity,
+            Err(problem) => return self.fail_unreadable(&name, from, &problem),
+        };
+        if self.fail_repeated(&name, &identity, from) || self.fail_too_many(&name, from) {
+            return;
+        }
+        let bytes = match self.loader.read(path) {
+            Ok(bytes) => bytes,
+            Err(problem) => return self.fail_unreadable(&name, from, &problem),
+        };
+        self.seen.insert(identity.clone(), from);
+        let Some(file) = self.text(&name, bytes) else {
+            return;
+        };
+        self.stack.push(identity);
+        self.lines(file, path);
+        self.stack.pop();
+    }
+
+    /// Where a file that can't be had is reported: the place that names it, or an empty text under its name.
+    fn place_of(&mut self, name: &str, from: Option<Span>) -> Span {
+        from.unwrap_or_else(|| Span::new(self.sources.add(name.to_owned(), String::new()), 0..0))
+    }
+
+    fn fail_unreadable(&mut self, name: &str, from: Option<Span>, problem: &str) {
+        let at = self.place_of(name, from);
+        let message = format!("{name} can't be read: {problem}");
+        self.fail(Diagnostic::error("unreadable-file", at, message).label("named here"));
+    }
+
+    /// Reports a file that is open or was read already; whether it was.
+    fn fail_repeated(&mut self, name: &str, identity: &PathBuf, from: Option<Span>) -> bool {
+        if let Some(first) = self.stack.iter().position(|open| open == identity) {
+            let chain: Vec<String> = self.stack[first..]
+                .iter()
+                .chain([identity])
+                .map(|p| file_name(p))
+                .collect();
+            let at = self.place_of(name, from);
+            let fault = Diagnostic::error("include-loop", at, format!("{name} includes itself"))
+                .label("closes the loop")
+                .help(format!("the loop is {}", chain.join(" -> ")));
+            self.fail(fault);
+            return true;
+        }
+        let Some(first) = self.seen.get(identity).copied() else {
+            return false;
+        };
+        let at = self.place_of(name, from);
+        let message = format!("{name} is included a second time");
+        let mut fault = Diagnostic::error("include-twice", at, message).label("again here");
+        if let Some(first) = first {
+            fault = fault.related(first, "first included here");
+        }
+        self.fail(fault);
+        true
+    }
+
+    /// Reports an include beyond a limit; whether it was.
+    fn fail_too_many(&mut self, name: &str, from: Option<Span>) -> bool {
+        let message = if self.stack.len() >= DEPTH_LIMIT {
+            format!("includes stand more than {DEPTH_LIMIT} deep")
+        } else if self.seen.len() >= FILES_LIMIT {
+            format!("the configuration has more than {FILES_LIMIT} files")
+        } else {
+            return false;
+        };
+        let at = self.place_of(name, from);
+        self.fail(Diagnostic::error("include-depth", at, message).label("one too many"));
+        true
+    }
+
+    /// Adds the bytes to the sources as text, if they are text within the limits.
+    fn text(&mut self, name: &str, bytes: Vec<u8>) -> Option<FileId> {
+        if bytes.len() > FILE_LIMIT {
+            let file = self.sources.add(name.to_owned(), String::new());
+            let length = bytes.len();
+            let message = format!("{name} has {length} bytes; at most {FILE_LIMIT} are read");
+            let span = Span::new(file, 0..0);
+            self.fail(Diagnostic::error("large-file", span, message));
+            return None;
+        }
+        if let Some(range) = syntax::overlong(&bytes) {
+            // The snippet shows the start of that line, not all of it.
+            let shown = &bytes[..range.start + SHOWN_OF_LONG_LINE];
+            let shown = String::from_utf8_lossy(shown).into_owned();
+            let end = shown.len();
+            let file = self.sources.add(name.to_owned(), shown);
+            let (length, limit) = (range.len(), syntax::LINE_LIMIT);
+            let message = format!("a line has {length} bytes; at most {limit} are read");
+            let span = Span::new(file, range.start.min(end)..end);
+            self.fail(Diagnostic::error("long-line", span, message).label("begins here"));
+            return None;
+        }
+        match String::from_utf8(bytes) {
+            Ok(text) => Some(self.sources.add(name.to_owned(), text)),
+            Err(error) => {
+                self.fail_not_text(name, &error);
+                None
+            }
+        }
+    }
+
+    fn fail_not_text(&mut self, name: &str, error: &std::string::FromUtf8Error) {
+        let at = error.utf8_error().valid_up_to();
+        let byte = error.as_bytes()[at];
+        let shown = String::from_utf8_lossy(error.as_bytes()).into_owned();
+        let file = self.sources.add(name.to_owned(), shown);
+        let span = Span::new(file, at..at + char::REPLACEMENT_CHARACTER.len_utf8());
+        let message = format!("the byte 0x{byte:02x} is no UTF-8 text");
+        self.fail(Diagnostic::error("not-utf8", span, message).label("not readable"));
+    }
+}
--- a/crates/configuration/src/schema/page.rs
+++ b/crates/configuration/src/schema/page.rs
@@ -37,10 +37,13 @@
         Args::Optional(kind) => (kind, ", or nothing"),
         Args::Many(kind) => (kind, ", one or more"),
     };
-    let when = match (takes_effect, directive.takes_effect) {
-        (false, _) => "",
-        (true, TakesEffect::OnReload) => " reload |",
-        (true, TakesEffect::OnStart) => " start |",
+    let when = match directive.takes_effect {
+        TakesEffect::OnReload => "reload",
+        TakesEffect::OnStart => "start",
+    };
+    let when = match takes_effect {
+        true => format!(" {when} |"),
+        false => String::new(),
     };
     let default = if directive.default.is_empty() {
         "-".to_owned()
