--- /dev/null
+++ b/crates/configuration/src/model/health.rs
@@ -0,0 +1,99 @@
+//! Sections `health`.
+
+use crate::check::Section;
+use crate::diagnostic::Diagnostic;
+use crate::values::{sections_of, Values};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A section `health`: where balancers' checks are answered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Health {
+    /// Its name.
+    pub name: String,
+    /// `http`, `agent` or `grpc`.
+    pub protocol: &'static str,
+    /// Its address.
+    pub address: SocketAddr,
+    /// Which HTTP statuses are used.
+    pub statuses: &'static str,
+    /// An agent check's text is waited for.
+    pub expects_text: bool,
+    /// An agent check's answer states `maxconn`.
+    pub maxconn: bool,
+    /// Connections at once.
+    pub connections: usize,
+    /// Time for a check to be complete.
+    pub check_timeout: Duration,
+    /// Time that an idle connection is kept.
+    pub idle_timeout: Duration,
+}
+
+pub(super) fn health(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Vec<Health> {
+    let mut listeners: Vec<Health> = Vec::new();
+    for section in sections_of(sections, "health") {
+        let v = Values::of(section);
+        let Some(address) = v.address("address") else {
+            if !section.partial {
+                let message = "the health listener has no address";
+                let fault = Diagnostic::error("missing", section.span, message);
+                faults.push(fault.label("address is missing here"));
+            }
+            continue;
+        };
+        check_protocol(section, v.choice("protocol"), faults);
+        check_address(section, address, &listeners, faults);
+        listeners.push(Health {
+            name: section.name.clone(),
+            protocol: v.choice("protocol"),
+            address,
+            statuses: v.choice("statuses"),
+            expects_text: v.is_yes("expects-text"),
+            maxconn: v.is_yes("maxconn"),
+            connections: v.bounded_count("connections").unwrap_or(1),
+            check_timeout: v.time("patience").unwrap_or_default(),
+            idle_timeout: v.time("idle").unwrap_or_default(),
+        });
+    }
+    listeners
+}
+
+/// A directive that has no effect with this protocol.
+fn check_protocol(section: &Section, protocol: &str, faults: &mut Vec<Diagnostic>) {
+    let without_effect: &[&str] = match protocol {
+        "agent" => &["statuses", "idle"],
+        "grpc" => &["statuses", "idle", "expects-text", "maxconn"],
+        _ => &["expects-text", "maxconn"],
+    };
+    let stated = without_effect
+        .iter()
+        .find_map(|keyword| section.setting(keyword));
+    if let Some(setting) = stated {
+        let message = format!(
+            "{} says nothing to the protocol {protocol}",
+            setting.spec.keyword
+        );
+        let fault = Diagnostic::error("cross-check", setting.span, message);
+        faults.push(fault.label("has no effect"));
+    }
+}
+
+/// An address that another one listens on. A port of 0 is whichever is free.
+fn check_address(
+    section: &Section,
+    address: SocketAddr,
+    others: &[Health],
+    faults: &mut Vec<Diagnostic>,
+) {
+    let other = others
+        .iter()
+        .find(|h| h.address == address && address.port() != 0);
+    if let Some(other) = other {
+        let message = format!(
+            "the address {address} is that of the health listener {}",
+            other.name
+        );
+        let fault = Diagnostic::error("cross-check", section.span, message);
+        faults.push(fault.label("a second one there"));
+    }
+}
--- a/crates/configuration/src/lending.rs
+++ b/crates/configuration/src/model/lending.rs
@@ -1,12 +1,12 @@
 //! What stands may borrow beyond their quota, and how the fleet agrees on it.
 
+use super::required::{require_directive, require_members};
+use super::window::NamedWindow;
 use crate::check::{unknown_name, Section, Setting};
 use crate::diagnostic::Diagnostic;
-use crate::members::{require_directive, require_members};
-use crate::model::{name_of, NamedWindow};
 use crate::schema::CREDITS_LIMIT;
 use crate::value::{format_time, Value};
-use crate::values::Values;
+use crate::values::{name_of, Values};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 const STEPS_OF_LEASE: u32 = 3;
 
 /// `partial`: some of the files could not be read.
-pub fn lending(
+pub(super) fn lending(
     sections: &[Section],
     windows: &[NamedWindow],
     partial: bool,
--- /dev/null
+++ b/crates/configuration/src/model/limits.rs
@@ -0,0 +1,83 @@
+//! The section `limits`.
+
+use crate::check::Section;
+use crate::diagnostic::Diagnostic;
+use crate::value::Share;
+use crate::values::Values;
+use std::time::Duration;
+
+/// The section `limits`. Shares are of the descriptors or of the memory.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Limits {
+    /// `client-patience`: time until a connection's first valid request, and for each command.
+    pub client_patience: Duration,
+    /// `client-idle`: time that an idle connection is kept when clients are many.
+    pub client_idle: Duration,
+    /// `answer-unread`: time without a byte read after which a client is disconnected.
+    pub answer_unread: Duration,
+    /// `goodbye`: time to read why a connection ends.
+    pub goodbye: Duration,
+    /// `answer-margin`: part of the client's time that is kept for the answer's way.
+    pub answer_margin: Duration,
+    /// `pipeline`: unanswered commands of one connection.
+    pub pipeline: usize,
+    /// `unsent`: bytes of unsent answers of one connection.
+    pub unsent: usize,
+    /// `clients`: clients' share of the descriptors.
+    pub clients: Share,
+    /// `crowded`: share from which idle connections are closed after `client-idle`.
+    pub crowded: Share,
+    /// `packed`: share from which idle connections are closed at once.
+    pub packed: Share,
+    /// `unfinished`: share of the memory for commands that are not complete.
+    pub unfinished: Share,
+    /// `sockets`: descriptors in all.
+    pub sockets: Option<usize>,
+    /// `memory`: bytes in all.
+    pub memory: Option<u64>,
+}
+
+pub(super) fn limits(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Limits {
+    let v = Values::of_single(sections, "limits");
+    let time = |keyword| v.time(keyword).unwrap_or_default();
+    let limits = Limits {
+        client_patience: time("client-patience"),
+        client_idle: time("client-idle"),
+        answer_unread: time("answer-unread"),
+        goodbye: time("goodbye"),
+        answer_margin: time("answer-margin"),
+        pipeline: v.bounded_count("pipeline").unwrap_or(1),
+        unsent: v.bounded_count("unsent").unwrap_or(4_096),
+        clients: v.share("clients"),
+        crowded: v.share("crowded"),
+        packed: v.share("packed"),
+        unfinished: v.share("unfinished"),
+        sockets: v.bounded_count("sockets"),
+        memory: v.count("memory"),
+    };
+    if let Some(section) = v.section {
+        check_crowded(section, &limits, faults);
+    }
+    limits
+}
+
+/// `crowded` must not be above `packed`: idle connections would be closed at once before they are closed for being idle.
+fn check_crowded(section: &Section, limits: &Limits, faults: &mut Vec<Diagnostic>) {
+    if limits.crowded <= limits.packed {
+        return;
+    }
+    let (crowded, packed) = (section.setting("crowded"), section.setting("packed"));
+    let Some(at) = crowded.or(packed) else {
+        return;
+    };
+    let message = format!(
+        "crowded ({}) is above packed ({})",
+        limits.crowded, limits.packed
+    );
+    let fault =
+        Diagnostic::error("cross-check", at.span, message).label("this must not be above packed");
+    faults.push(match (crowded, packed) {
+        (Some(_), Some(packed)) => fault.related(packed.span, "packed"),
+        _ => fault.help("the other of the two has its default"),
+    });
+}
--- a/crates/configuration/src/members.rs
+++ b/crates/configuration/src/model/members.rs
@@ -1,5 +1,6 @@
 //! The roster of a fleet: how its proxies hear one another, and which they are.
 
+use super::required::require_directive;
 use crate::check::Section;
 use crate::diagnostic::Diagnostic;
 use crate::schema::{MEMBERS_LIMIT, MEMBER_NAME_LIMIT};
@@ -38,7 +39,7 @@
 }
 
 /// `partial`: some of the files could not be read, so that sections which are missing may stand there.
-pub fn members(
+pub(super) fn members(
     sections: &[Section],
     partial: bool,
     faults: &mut Vec<Diagnostic>,
@@ -140,37 +141,3 @@
     }
     roster
 }
-
-/// A section that says nothing without the section members.
-pub(crate) fn require_members(
-    sections: &[Section],
-    section: &Section,
-    what: &str,
-    label: &str,
-    faults: &mut Vec<Diagnostic>,
-) {
-    if !sections.iter().any(|s| s.spec.keyword == "members") {
-        let message = format!("{what} is stated, but no section members");
-        let fault = Diagnostic::error("missing", section.span, message).label(label);
-        faults.push(fault.help("write a section members { ... } and the roster"));
-    }
-}
-
-pub(crate) fn require_directive(
-    section: &Section,
-    keyword: &'static str,
-    whose: &str,
-    faults: &mut Vec<Diagnostic>,
-) {
-    // A line of a section that could not be read may have stated it.
-    if section.partial || section.setting(keyword).is_some() {
-        return;
-    }
-    let example = section.spec.directive(keyword).map_or("", |d| d.example);
-    let fault = Diagnostic::error("missing", section.span, format!("{whose} has no {keyword}"));
-    faults.push(
-        fault
-            .label(format!("{keyword} is missing here"))
-            .help(format!("for example: {example}")),
-    );
-}
--- a/crates/configuration/src/persistence.rs
+++ b/crates/configuration/src/model/persistence.rs
@@ -1,5 +1,6 @@
-//! What outlives the loss of power.
+//! The section `memory`: state that outlives the process and a loss of power.
 
+use super::required::require_directive;
 use crate::check::Section;
 use crate::diagnostic::Diagnostic;
 use crate::values::Values;
@@ -16,10 +17,13 @@
 }
 
 /// The section's values; none without the section.
-pub fn persistence(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Option<Persistence> {
+pub(super) fn persistence(
+    sections: &[Section],
+    faults: &mut Vec<Diagnostic>,
+) -> Option<Persistence> {
     let section = sections.iter().find(|s| s.spec.keyword == "memory")?;
     let v = Values::of(section);
-    crate::members::require_directive(section, "state", "the section memory", faults);
+    require_directive(section, "state", "the section memory", faults);
     Some(Persistence {
         state: v.path("state")?,
         every: v.time("every").unwrap_or_default(),
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/model/rollout.rs
@@ -1,9 +1,9 @@
 //! How a new operators' file reaches the fleet.
 
+use super::required::{require_directive, require_members};
 use crate::check::Section;
 use crate::diagnostic::Diagnostic;
-use crate::value::Value;
-use crate::values::Values;
+use crate::values::{name_of, Values};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -35,30 +35,20 @@
 }
 
 /// `partial`: some of the files could not be read.
-pub fn rollout(
+pub(super) fn rollout(
     sections: &[Section],
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Rollout> {
     let section = sections.iter().find(|s| s.spec.keyword == "rollout")?;
     if !partial {
-        crate::members::require_members(
-            sections,
-            section,
-            "a rollout",
-            "has nobody to tell",
-            faults,
-        );
+        require_members(sections, section, "a rollout", "has nobody to tell", faults);
     }
     let v = Values::of(section);
-    crate::members::require_directive(section, "candidates", "the section rollout", faults);
-    let name = |value: &Value| match value {
-        Value::Name(name) => Some(name.clone()),
-        _ => None,
-    };
+    require_directive(section, "candidates", "the section rollout", faults);
     Some(Rollout {
         candidates: v.path("candidates")?,
-        order: v.collect("order", name),
+        order: v.collect("order", name_of),
         canary: v.bounded_count("canary").unwrap_or(1),
         least_harm: v.fraction("least-harm"),
         error: v.fraction("error"),
--- a/crates/configuration/src/sites.rs
+++ b/crates/configuration/src/model/sites.rs
@@ -16,7 +16,7 @@
 }
 
 /// None without the section: nothing is told of sites.
-pub fn sites(sections: &[Section]) -> Option<Sites> {
+pub(super) fn sites(sections: &[Section]) -> Option<Sites> {
     let v = Values::of(sections.iter().find(|s| s.spec.keyword == "sites")?);
     Some(Sites {
         lost_after: v.time("lost-after")?,
--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -3,7 +3,9 @@
 use crate::check::Section;
 use crate::schema;
 use crate::value::{Share, Value};
+use ipnet::IpNet;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -25,6 +27,14 @@
         }
     }
 
+    /// The values of the one section of that keyword; the table's defaults if it is not stated.
+    pub fn of_single(sections: &'a [Section], keyword: &'static str) -> Values<'a> {
+        Values {
+            section: sections.iter().find(|s| s.spec.keyword == keyword),
+            spec: schema::section(keyword).unwrap_or(&schema::SECTIONS[0]),
+        }
+    }
+
     /// The stated value, or the default; none if there is neither.
     pub fn value(&self, keyword: &'static str) -> Option<Value> {
         if let Some(value) = self.section.and_then(|s| s.value(keyword)) {
@@ -126,3 +136,49 @@
         values.iter().filter_map(|(value, _)| pick(value)).collect()
     }
 }
+
+/// The sections of that keyword.
+pub(crate) fn sections_of<'a>(
+    sections: &'a [Section],
+    keyword: &'static str,
+) -> impl Iterator<Item = &'a Section> {
+    sections.iter().filter(move |s| s.spec.keyword == keyword)
+}
+
+/// The names that a directive of sections of one keyword refers to.
+pub(crate) fn referenced_names<'a>(
+    sections: &'a [Section],
+    keyword: &'static str,
+    directive: &'static str,
+) -> impl Iterator<Item = &'a str> {
+    sections_of(sections, keyword)
+        .flat_map(move |s| s.values(directive))
+        .filter_map(|(value, _)| match value {
+            Value::Name(name) => Some(name.as_str()),
+            _ => None,
+        })
+}
+
+/// A value that is a name.
+pub(crate) fn name_of(value: &Value) -> Option<String> {
+    match value {
+        Value::Name(name) => Some(name.clone()),
+        _ => None,
+    }
+}
+
+/// A value that is a range of groups.
+pub(crate) fn groups_of(value: &Value) -> Option<RangeInclusive<u32>> {
+    match value {
+        Value::Groups(range) => Some(range.clone()),
+        _ => None,
+    }
+}
+
+/// A value that is a network.
+pub(crate) fn network_of(value: &Value) -> Option<IpNet> {
+    match value {
+        Value::Network(network) => Some(*network),
+        _ => None,
+    }
+}
