--- /dev/null
+++ b/crates/configuration/src/index/mod.rs
@@ -0,0 +1,286 @@
+//! The routes compiled: the first whose conditions hold is found without checking all of them.
+//!
+//! A trie over networks and one over statements tell which prefixes a request lies under; for each pair of these a
+//! table tells which shapes of routes there are (class, tenant and group stated or not), and one look-up by a
+//! hashed key gives the routes of that shape. Routes that a key can't tell apart (by time, or by lists that would
+//! make too many keys) are checked in their order. Whatever can't come before the best route found so far is skipped.
+
+mod names;
+mod network_trie;
+mod residual;
+mod statement_trie;
+mod summary;
+
+pub use names::NameTable;
+
+use crate::calendar::{Moment, Window};
+use crate::route::{self, Conditions, Route};
+use network_trie::NetworkTrie;
+use residual::{divide, KeyedLists, Numbers, ResidualConditions};
+use rustc_hash::FxHashMap;
+use statement_trie::{StatementTrie, MAX_PREFIXES};
+use std::net::IpAddr;
+use summary::{Summary, CLASS, GROUP, TENANT};
+
+/// In keys, any class, tenant or group; as a position, no route.
+const ANY: u32 = u32::MAX;
+/// In place of a list's length: the position is that of the only route, which has no residual conditions.
+const SOLE: u32 = u32::MAX;
+/// The number of the empty prefix, which every statement has.
+const ANY_STATEMENT: u32 = 0;
+
+/// What routes see of a request, its names as numbers.
+#[derive(Clone, Copy, Debug)]
+pub struct IndexedRequest<'a> {
+    /// Position in the names that the index was made with; any other number is a name that no route knows.
+    pub class: u32,
+    /// Position of the tenant's name.
+    pub tenant: u32,
+    /// The group of record servers.
+    pub group: u32,
+    /// The statement as it was sent.
+    pub statement: &'a [u8],
+    /// The client's address.
+    pub client: IpAddr,
+    /// When the request came.
+    pub at: Moment,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Key {
+    network: u32,
+    statement: u32,
+    class: u32,
+    tenant: u32,
+    group: u32,
+}
+
+/// An index over the routes: finds the first that holds without checking all.
+#[derive(Debug, Default)]
+pub struct Index {
+    networks: NetworkTrie,
+    statements: StatementTrie,
+    /// By network and statement's prefix. Those without a statement are kept with their networks.
+    summaries: FxHashMap<(u32, u32), Summary>,
+    /// The routes of each key: where they stand in `lists` and how many they are; or, with the number [`SOLE`],
+    /// the only one.
+    cells: FxHashMap<Key, (u32, u32)>,
+    lists: Vec<u32>,
+    /// Of each route; none: its keys tell all.
+    residuals: Vec<Option<Box<ResidualConditions>>>,
+    windows: Vec<Window>,
+}
+
+/// The routes of each key, while the index is built.
+type Cells = FxHashMap<Key, Vec<u32>>;
+
+impl Index {
+    /// Compiles the routes. Names that no request can have are left out.
+    pub fn new(routes: &[Route], windows: &[Window], names: &NameTable) -> Index {
+        let numbers = Numbers::new(names);
+        let mut index = Index {
+            windows: windows.to_vec(),
+            ..Index::default()
+        };
+        // The first number, which is ANY_STATEMENT.
+        index.statements.insert(b"");
+        let mut cells = Cells::default();
+        for (at, route) in (0_u32..).zip(routes) {
+            let (keyed, residual) = divide(&route.conditions, &numbers);
+            let residual = (!residual.is_empty()).then(|| Box::new(residual));
+            index.residuals.push(residual);
+            index.add_route(at, &route.conditions, keyed, &mut cells);
+        }
+        index.pack(cells);
+        index.networks.seal();
+        index
+    }
+
+    fn add_route(
+        &mut self,
+        at: u32,
+        conditions: &Conditions,
+        keyed: KeyedLists<'_>,
+        cells: &mut Cells,
+    ) {
+        let networks = self.number_networks(conditions);
+        let statements = self.number_statements(&keyed.statements);
+        let shape = shape_of(&keyed);
+        let (classes, tenants) = (or_any(keyed.classes), or_any(keyed.tenants));
+        let groups = or_any(keyed.groups);
+        for &network in &networks {
+            for &statement in &statements {
+                self.summarise(network, statement, at, shape);
+                for &class in &classes {
+                    for &tenant in &tenants {
+                        for &group in &groups {
+                            let key = Key {
+                                network,
+                                statement,
+                                class,
+                                tenant,
+                                group,
+                            };
+                            self.append(cells.entry(key).or_default(), at);
+                        }
+                    }
+                }
+            }
+        }
+    }
+
+    fn number_networks(&mut self, conditions: &Conditions) -> Vec<u32> {
+        if conditions.networks.is_empty() {
+            return vec![self.networks.insert(0, 0)];
+        }
+        let prefixes = conditions.networks.iter().map(route::network_prefix);
+        prefixes
+            .map(|(first, length)| self.networks.insert(first, length))
+            .collect()
+    }
+
+    fn number_statements(&mut self, prefixes: &[&str]) -> Vec<u32> {
+        if prefixes.is_empty() {
+            return vec![ANY_STATEMENT];
+        }
+        prefixes
+            .iter()
+            .map(|p| self.statements.insert(p.as_bytes()))
+            .collect()
+    }
+
+    fn summarise(&mut self, network: u32, statement: u32, at: u32, shape: u8) {
+        let node = &mut self.networks.nodes[network as usize];
+        if statement == ANY_STATEMENT {
+            node.summary.add(at, shape);
+            return;
+        }
+        node.has_statements = true;
+        self.summaries
+            .entry((network, statement))
+            .or_insert(Summary::EMPTY)
+            .add(at, shape);
+    }
+
+    /// Behind a route without residual conditions nothing is ever found.
+    fn append(&self, list: &mut Vec<u32>, at: u32) {
+        let last = list.last().copied();
+        let ends = last.is_some_and(|last| self.is_decided_by_keys(last));
+        if last != Some(at) && !ends {
+            list.push(at);
+        }
+    }
+
+    fn is_decided_by_keys(&self, at: u32) -> bool {
+        matches!(self.residuals.get(at as usize), Some(None))
+    }
+
+    fn pack(&mut self, cells: Cells) {
+        self.cells.reserve(cells.len());
+        for (key, list) in cells {
+            if let [one] = list[..] {
+                if self.is_decided_by_keys(one) {
+                    self.cells.insert(key, (one, SOLE));
+                    continue;
+                }
+            }
+            let start = self.lists.len() as u32;
+            self.cells.insert(key, (start, list.len() as u32));
+            self.lists.extend(list);
+        }
+    }
+
+    /// The first route that holds, by its position.
+    pub fn find(&self, request: &IndexedRequest<'_>) -> Option<usize> {
+        let mut best = ANY;
+        let mut prefixes = [0; MAX_PREFIXES];
+        let prefixes = self
+            .statements
+            .prefixes(request.statement.trim_ascii_start(), &mut prefixes);
+        let mut network = self.networks.find(route::address_number(request.client));
+        while let Some(node) = self.networks.nodes.get(network as usize) {
+            // Routes without a statement come first here: a stated prefix is the rarer case.
+            if node.summary.first < best {
+                best = self.first_among(network, ANY_STATEMENT, node.summary.shapes, request, best);
+            }
+            let stated = prefixes.iter().filter(|p| **p != ANY_STATEMENT);
+            for &statement in stated.filter(|_| node.has_statements) {
+                let summary = self.summaries.get(&(network, statement));
+                if let Some(summary) = summary.filter(|summary| summary.first < best) {
+                    best = self.first_among(network, statement, summary.shapes, request, best);
+                }
+            }
+            network = node.parent;
+        }
+        (best != ANY).then_some(best as usize)
+    }
+
+    /// The first that holds of those under one network and one statement's prefix, if it comes before `best`; else
+    /// `best`.
+    fn first_among(
+        &self,
+        network: u32,
+        statement: u32,
+        shapes: u8,
+        request: &IndexedRequest<'_>,
+        best: u32,
+    ) -> u32 {
+        let (mut shapes, mut best) = (shapes, best);
+        while shapes != 0 {
+            let shape = shapes.trailing_zeros() as u8;
+            shapes &= shapes - 1;
+            let or_any = |bit: u8, number: u32| if shape & bit != 0 { number } else { ANY };
+            let key = Key {
+                network,
+                statement,
+                class: or_any(CLASS, request.class),
+                tenant: or_any(TENANT, request.tenant),
+                group: or_any(GROUP, request.group),
+            };
+            let Some(&(start, length)) = self.cells.get(&key) else {
+                continue;
+            };
+            if length == SOLE {
+                best = best.min(start);
+                continue;
+            }
+            let list = &self.lists[start as usize..(start + length) as usize];
+            let first = list
+                .iter()
+                .take_while(|at| **at < best)
+                .find(|at| self.residual_holds(**at, request));
+            best = first.copied().unwrap_or(best);
+        }
+        best
+    }
+
+    fn residual_holds(&self, at: u32, request: &IndexedRequest<'_>) -> bool {
+        match self.residuals.get(at as usize) {
+            Some(Some(residual)) => residual.hold(request, &self.windows),
+            _ => true,
+        }
+    }
+
+    /// Bytes that it holds, about.
+    pub fn size(&self) -> usize {
+        self.cells.capacity() * size_of::<(Key, (u32, u32))>()
+            + self.summaries.capacity() * size_of::<((u32, u32), Summary)>()
+            + self.networks.size()
+            + self.statements.size()
+            + self.lists.capacity() * size_of::<u32>()
+            + self.residuals.capacity() * size_of::<Option<Box<ResidualConditions>>>()
+    }
+}
+
+fn shape_of(keyed: &KeyedLists<'_>) -> u8 {
+    let stated = |list: &[u32], bit: u8| if list.is_empty() { 0 } else { bit };
+    stated(&keyed.classes, CLASS) | stated(&keyed.tenants, TENANT) | stated(&keyed.groups, GROUP)
+}
+
+fn or_any(list: Vec<u32>) -> Vec<u32> {
+    if list.is_empty() {
+        vec![ANY]
+    } else {
+        list
+    }
+}
