--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -252,3 +252,31 @@
     routes.shuffle(&mut rng(5));
     assert!(diff(&old, &parsed(&routes.concat()), None).is_empty());
 }
+
+/// A route states more groups than the index keeps as keys, and so many classes and tenants that its groups are not kept as
+/// keys either. The second rule replaces what the first has put aside by an empty list, so that requests of any
+/// group meet the route. It has to be found for its own groups only.
+#[test]
+fn a_route_of_many_groups_and_very_many_names_keeps_its_groups() {
+    let many = |what: &str| -> String { (0..200).map(|n| format!(" {what}{n}")).collect() };
+    let text = format!(
+        "route a {{\n class{}\n tenant{}\n group 0-99\n tries 2\n}}\n",
+        many("c"),
+        many("t")
+    );
+    let reading = parsed(&text);
+    assert!(reading.is_valid(), "{:?}", reading.diagnostics);
+    let (index, names) = compiled(&reading.model);
+    let mut example = request(&mut rng(1));
+    (example.class, example.tenant) = ("c7".into(), "t8".into());
+    for (group, expected) in [(0, Some(0)), (99, Some(0)), (100, None), (500, None)] {
+        example.group = group;
+        let scanned = find_first(
+            &reading.model.routes,
+            &reading.model.windows,
+            &example.request(),
+        );
+        assert_eq!(scanned, expected, "scan: {example}");
+        assert_eq!(find(&index, &names, &example), expected, "index: {example}");
+    }
+}
