--- /dev/null
+++ b/crates/configuration/src/calendar/window.rs
@@ -0,0 +1,157 @@
+//! Windows of time: what is stated of one, and when it holds.
+
+use super::days::{Days, DAYS};
+use super::Moment;
+use crate::value::{Dates, Hours, SECONDS_PER_DAY, YEAR_RANGE};
+use jiff::civil::Date;
+use std::sync::OnceLock;
+
+/// What a window section states; empty lists stand for what always holds.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct WindowConditions {
+    /// Dates on which it holds.
+    pub dates: Vec<Dates>,
+    /// A bit for each day, Monday first; none: every day.
+    pub weekdays: u8,
+    /// Hours of the day in which it holds.
+    pub hours: Vec<Hours>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct Part {
+    pub days: Days,
+    /// The first second of the UTC day.
+    pub from: u32,
+    /// The second after the last.
+    pub to: u32,
+}
+
+/// A window of time, compiled: days and the seconds of each.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Window {
+    pub(super) parts: Vec<Part>,
+}
+
+/// Month, day and weekday (Monday is 0) of every day that the calendar knows.
+pub struct Almanac(Vec<(i8, i8, u8)>);
+
+impl Default for Almanac {
+    fn default() -> Almanac {
+        let first = Date::constant(YEAR_RANGE.0, 1, 1);
+        let days = first.series(jiff::Span::new().days(1)).take(DAYS);
+        Almanac(
+            days.map(|d| {
+                (
+                    d.month(),
+                    d.day(),
+                    d.weekday().to_monday_zero_offset() as u8,
+                )
+            })
+            .collect(),
+        )
+    }
+}
+
+impl Almanac {
+    /// The one that all windows are made by; 140 KiB from the first window on.
+    pub fn shared() -> &'static Almanac {
+        static SHARED: OnceLock<Almanac> = OnceLock::new();
+        SHARED.get_or_init(Almanac::default)
+    }
+
+    /// The window of local times at that offset from UTC.
+    pub fn window(&self, stated: &WindowConditions, offset: i32) -> Window {
+        let days = self.days(stated);
+        let all_day = [Hours {
+            from: 0,
+            to: SECONDS_PER_DAY,
+        }];
+        let hours = match stated.hours.as_slice() {
+            [] => &all_day,
+            hours => hours,
+        };
+        let parts = hours.iter().flat_map(|h| parts_of(*h, &days, offset));
+        Window {
+            parts: parts.collect(),
+        }
+    }
+
+    /// The local days that dates and weekdays allow.
+    fn days(&self, stated: &WindowConditions) -> Days {
+        let mut days = Days::empty();
+        let once: Vec<(usize, usize)> = stated
+            .dates
+            .iter()
+            .filter_map(|dates| match dates {
+                Dates::Once(from, to) => Some((day_number(*from), day_number(*to))),
+                Dates::Yearly(..) => None,
+            })
+            .collect();
+        for (day, (month, date, weekday)) in self.0.iter().enumerate() {
+            let in_year = |dates: &Dates| is_in_year(dates, (*month, *date));
+            let on_date = stated.dates.is_empty()
+                || once.iter().any(|(from, to)| (*from..=*to).contains(&day))
+                || stated.dates.iter().any(in_year);
+            if on_date && (stated.weekdays == 0 || stated.weekdays >> weekday & 1 == 1) {
+                days.add(day);
+            }
+        }
+        days
+    }
+}
+
+/// Whether dates that come back each year have this month and day.
+fn is_in_year(dates: &Dates, day: (i8, i8)) -> bool {
+    match dates {
+        Dates::Once(..) => false,
+        Dates::Yearly(from, to) if from <= to => (*from..=*to).contains(&day),
+        Dates::Yearly(from, to) => day >= *from || day <= *to,
+    }
+}
+
+/// Local hours of local days, cut where a day of UTC ends; at most three of these are touched.
+fn parts_of(hours: Hours, days: &Days, offset: i32) -> Vec<Part> {
+    let Hours { from, to } = hours;
+    let end = if to <= from { to + SECONDS_PER_DAY } else { to };
+    let from = i64::from(from) - i64::from(offset);
+    let end = i64::from(end) - i64::from(offset);
+    let mut parts = Vec::new();
+    for shift in -2..=2 {
+        let start = shift * i64::from(SECONDS_PER_DAY);
+        let first = (from - start).max(0);
+        let last = (end - start).min(i64::from(SECONDS_PER_DAY));
+        if first >= last {
+            continue;
+        }
+        let days = days.shifted(shift);
+        if !days.is_empty() {
+            parts.push(Part {
+                days,
+                from: first as u32,
+                to: last as u32,
+            });
+        }
+    }
+    parts
+}
+
+fn day_number(date: Date) -> usize {
+    let days = Date::constant(1970, 1, 1)
+        .until(date)
+        .map_or(-1, |span| span.get_days());
+    usize::try_from(days).unwrap_or(0)
+}
+
+impl Window {
+    /// Whether a moment lies in the window.
+    pub fn contains(&self, at: Moment) -> bool {
+        self.parts
+            .iter()
+            .any(|p| p.from <= at.second && at.second < p.to && p.days.contains(at.day))
+    }
+
+    /// Whether no moment lies in the window.
+    pub fn never_occurs(&self) -> bool {
+        self.parts.is_empty()
+    }
+}
--- a/crates/configuration/src/diff.rs
+++ b/crates/configuration/src/diff.rs
@@ -3,11 +3,11 @@
 use crate::calendar::Window;
 use crate::model::{entries, Entry, Model};
 use crate::ranges::{merge, minus_all, Ranges, Region};
+use crate::reading::Reading;
 use crate::route::{Outcome, Route};
 use crate::schema;
 use crate::space::{Example, Side, Space};
 use crate::value::{Type, Value};
-use crate::Reading;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
