--- /dev/null
+++ b/crates/configuration/src/diff/mod.rs
@@ -0,0 +1,137 @@
+//! What behaves otherwise between two configurations, not which lines differ.
+
+mod routes;
+mod settings;
+
+use crate::model::Model;
+use crate::ranges::Region;
+use crate::reading::Reading;
+use crate::route::Outcome;
+use crate::space::{Example, Side, Space};
+use std::fmt;
+
+/// A value that differs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Change {
+    /// Section and directive.
+    pub what: String,
+    /// The former value; none: the default.
+    pub old: Option<String>,
+    /// The new value; none: the default.
+    pub new: Option<String>,
+    /// Tighter or looser, where that can be said.
+    pub sense: Option<&'static str>,
+}
+
+/// Requests that are treated differently.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RouteChange {
+    /// What became of these requests before.
+    pub old: Outcome,
+    /// What becomes of them now.
+    pub new: Outcome,
+    /// Exactly the requests, in parts that do not overlap.
+    pub regions: Vec<Region>,
+    /// The regions in words.
+    pub described: Vec<String>,
+    /// One such request.
+    pub example: Option<Example>,
+}
+
+/// What two configurations do differently.
+#[derive(Debug)]
+pub struct Difference {
+    /// Values that differ.
+    pub changes: Vec<Change>,
+    /// Requests that are routed differently.
+    pub routes: Vec<RouteChange>,
+    /// The routes differ in more ways than could be told; those told are right.
+    pub incomplete: bool,
+    /// The space of requests in which the regions lie.
+    pub space: Space,
+}
+
+impl Difference {
+    /// Whether the two do the same.
+    pub fn is_empty(&self) -> bool {
+        self.changes.is_empty() && self.routes.is_empty() && !self.incomplete
+    }
+}
+
+/// The behavioural difference. `classes`: all that the platform has, if that is known.
+pub fn diff(old: &Reading, new: &Reading, classes: Option<&[String]>) -> Difference {
+    let changes = settings::changes(old, new);
+    let (old, new) = (&old.model, &new.model);
+    let names = |model: &Model| -> Vec<String> {
+        model.named_windows.iter().map(|w| w.name.clone()).collect()
+    };
+    let (old_names, new_names) = (names(old), names(new));
+    let side = |model, window_names| {
+        let Model {
+            routes,
+            windows,
+            offset,
+            ..
+        }: &Model = model;
+        Side {
+            routes,
+            windows,
+            window_names,
+            offset: *offset,
+        }
+    };
+    let space = Space::new(&[side(old, &old_names), side(new, &new_names)], classes);
+    let (routes, incomplete) = routes::changes(&old.routes, &new.routes, &space);
+    Difference {
+        changes,
+        routes,
+        incomplete,
+        space,
+    }
+}
+
+/// Lines of a change's regions that are printed.
+const REGIONS_SHOWN: usize = 12;
+
+impl fmt::Display for Difference {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        if self.is_empty() {
+            return writeln!(f, "no difference in behaviour");
+        }
+        self.changes.iter().try_for_each(|c| writeln!(f, "{c}"))?;
+        self.routes.iter().try_for_each(|c| c.fmt(f))?;
+        if self.incomplete {
+            f.write_str("the routes differ in further ways, too many to tell\n")?;
+        }
+        Ok(())
+    }
+}
+
+impl fmt::Display for Change {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let value = |value: &Option<String>| value.clone().unwrap_or_else(|| "not stated".into());
+        let (old, new) = (value(&self.old), value(&self.new));
+        write!(f, "{}: {old} -> {new}", self.what)?;
+        match self.sense {
+            Some(sense) => write!(f, " ({sense})"),
+            None => Ok(()),
+        }
+    }
+}
+
+impl fmt::Display for RouteChange {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(f, "routes: now {} (were: {})", self.new, self.old)?;
+        for text in self.described.iter().take(REGIONS_SHOWN) {
+            writeln!(f, "    {text}")?;
+        }
+        if self.described.len() > REGIONS_SHOWN {
+            let more = self.described.len() - REGIONS_SHOWN;
+            writeln!(f, "    and {more} regions more")?;
+        }
+        match &self.example {
+            Some(example) => writeln!(f, "    for example: {example}"),
+            None => Ok(()),
+        }
+    }
+}
--- a/crates/configuration/src/load/file.rs
+++ b/crates/configuration/src/load/file.rs
@@ -97,7 +97,7 @@
             self.fail(Diagnostic::error("large-file", span, message));
             return None;
         }
-        if let Some(range) = syntax::overlong(&bytes) {
+        if let Some(range) = syntax::find_long_line(&bytes) {
             // The snippet shows the start of that line, not all of it.
             let shown = &bytes[..range.start + SHOWN_OF_LONG_LINE];
             let shown = String::from_utf8_lossy(shown).into_owned();
--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -1,11 +1,11 @@
-//! Text to lines: words, sections, comments. What the words mean is not asked here.
+//! Text to lines of words, braces and comments. What the words mean is for [`crate::check`].
 
 use crate::diagnostic::Diagnostic;
 use crate::source::{FileId, Span};
 use logos::Logos;
 use std::ops::Range;
 
-/// Longest line, in bytes; nobody writes a longer one by hand, and a snippet of it would help nobody.
+/// Longest line, in bytes: a diagnostic shows the line that it is about.
 pub const LINE_LIMIT: usize = 16 << 10;
 
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     pub continued: bool,
 }
 
-/// What a line says.
+/// What stands on a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A keyword and its values.
@@ -72,7 +72,7 @@
 /// A line, with its continuations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// What it says.
+    /// What stands on it.
     pub entry: Entry,
     /// The comment behind it.
     pub comment: Option<Span>,
@@ -85,17 +85,41 @@
 pub struct Syntax {
     /// In their order.
     pub lines: Vec<Line>,
-    /// Blank or not, what ends the file is no line of its own.
+    /// What was wrong, at most one fault a line.
     pub faults: Vec<Diagnostic>,
 }
 
-/// A comment without the carriage return and blanks at its end.
-fn comment_span(file: FileId, text: &str, range: Range<usize>) -> Span {
-    let kept = text[range.clone()].trim_end().len();
-    Span::new(file, range.start..range.start + kept)
+/// Reads one file. Linear in its length; every fault is reported, at most one a line.
+pub fn parse(file: FileId, text: &str) -> Syntax {
+    // Blanks in place of a byte order mark, so that no place behind it moves.
+    let text = match text.strip_prefix(BYTE_ORDER_MARK) {
+        Some(_) => &text.replacen(BYTE_ORDER_MARK, "   ", 1),
+        None => text,
+    };
+    let mut parser = Parser::default();
+    for (token, range) in Token::lexer(text).spanned() {
+        let span = Span::new(file, range.clone());
+        match token {
+            Ok(Token::Newline) => parser.end_line(),
+            Ok(Token::Blank) => parser.line.glued = false,
+            Ok(token) => {
+                parser.line_is_empty = false;
+                parser.take(token, span, &text[range]);
+            }
+            Err(()) => {
+                parser.line_is_empty = false;
+                parser.fail(stray(span, &text[range]));
+            }
+        }
+    }
+    parser.finish()
 }
 
-struct Pending {
+const BYTE_ORDER_MARK: char = '\u{feff}';
+
+/// The line that is being read.
+#[derive(Default)]
+struct PendingLine {
     words: Vec<Word>,
     open: Option<Span>,
     close: Option<Span>,
@@ -106,198 +130,152 @@
     continued: bool,
 }
 
-impl Pending {
-    fn new() -> Pending {
-        let (words, open, close, comment) = (Vec::new(), None, None, None);
-        Pending {
-            words,
-            open,
-            close,
-            comment,
-            faulty: false,
-            glued: false,
-            continued: false,
+struct Parser {
+    syntax: Syntax,
+    line: PendingLine,
+    /// Nothing but blanks stands on the line so far.
+    line_is_empty: bool,
+    /// Blank lines stand before the line.
+    apart: bool,
+}
+
+impl Default for Parser {
+    fn default() -> Parser {
+        Parser {
+            syntax: Syntax::default(),
+            line: PendingLine::default(),
+            line_is_empty: true,
+            apart: false,
         }
     }
 }
 
-/// Reads one file. Linear in its length; every fault is reported, at most one a line.
-pub fn parse(file: FileId, text: &str) -> Syntax {
-    let mut syntax = Syntax::default();
-    let text = match text.strip_prefix('\u{feff}') {
-        Some(_) => &text.replacen('\u{feff}', "   ", 1),
-        None => text,
-    };
-    let mut pending = Pending::new();
-    let mut apart = false;
-    let mut empty_line = true;
-    for (token, range) in Token::lexer(text).spanned() {
-        let span = Span::new(file, range.clone());
-        let Ok(token) = token else {
-            fault(&mut syntax, &mut pending, stray(span, &text[range]));
-            empty_line = false;
-            continue;
-        };
+impl Parser {
+    /// Reports a fault, if it is the first of its line.
+    fn fail(&mut self, fault: Diagnostic) {
+        if !std::mem::replace(&mut self.line.faulty, true) {
+            self.syntax.faults.push(fault);
+        }
+    }
+
+    fn take(&mut self, token: Token, span: Span, text: &str) {
         match token {
-            Token::Blank => pending.glued = false,
-            Token::Newline => {
-                if empty_line {
-                    apart = true;
-                } else {
-                    finish(
-                        &mut syntax,
-                        std::mem::replace(&mut pending, Pending::new()),
-                        &mut apart,
-                    );
-                }
-                empty_line = true;
-            }
+            Token::Blank | Token::Newline => {}
             Token::Continuation => {
-                pending.glued = false;
-                pending.continued = true;
-                empty_line = false;
+                self.line.glued = false;
+                self.line.continued = true;
             }
+            // Without the carriage return and blanks at its end.
             Token::Comment => {
-                pending.comment = Some(comment_span(file, text, range));
-                empty_line = false;
-            }
-            Token::Open | Token::Close | Token::Double | Token::Single | Token::Word => {
-                empty_line = false;
-                take(&mut syntax, &mut pending, token, span);
+                let start = span.range().start;
+                let end = start + text.trim_end().len();
+                self.line.comment = Some(Span::new(span.file, start..end));
             }
+            Token::Open | Token::Close => self.take_brace(token, span),
+            Token::Double => self.take_word(Quote::Double, span),
+            Token::Single => self.take_word(Quote::Single, span),
+            Token::Word => self.take_word(Quote::Bare, span),
             Token::OpenDouble | Token::OpenSingle => {
-                empty_line = false;
-                let unclosed = Diagnostic::error("open-quote", span, "a quoted text has no end")
-                    .label("the closing quote is missing on this line");
-                fault(&mut syntax, &mut pending, unclosed);
+                let fault = Diagnostic::error("open-quote", span, "a quoted text has no end");
+                self.fail(fault.label("the closing quote is missing on this line"));
             }
         }
     }
-    if !empty_line {
-        finish(&mut syntax, pending, &mut apart);
-    }
-    syntax
-}
 
-fn stray(span: Span, text: &str) -> Diagnostic {
-    match text {
-        _ if text.starts_with('\\') => Diagnostic::error(
-            "stray-backslash",
-            span,
-            "a backslash stands only at the end of a line",
-        )
-        .label("nothing to continue here")
-        .help("inside double quotes \\\\ stands for a backslash"),
-        _ => {
-            let shown: String = text
-                .chars()
-                .take(1)
-                .flat_map(char::escape_default)
-                .collect();
-            Diagnostic::error(
-                "control-character",
-                span,
-                format!("the character {shown} can't stand here"),
-            )
-            .label("control character")
+    fn take_brace(&mut self, token: Token, span: Span) {
+        let is_open = token == Token::Open;
+        if self.line.open.is_some()
+            || self.line.close.is_some()
+            || !is_open && !self.line.words.is_empty()
+        {
+            let fault = Diagnostic::error("brace-place", span, "a brace ends its line")
+                .label("not here")
+                .help("an opening brace is the last word of its line, a closing one stands alone");
+            return self.fail(fault);
         }
+        if is_open && self.line.words.is_empty() {
+            let message = "a section opens without a keyword";
+            let fault = Diagnostic::error("nameless-section", span, message);
+            self.fail(fault.label("no keyword stands before it"));
+        }
+        match is_open {
+            true => self.line.open = Some(span),
+            false => self.line.close = Some(span),
+        }
+        self.line.glued = false;
     }
-}
 
-fn fault(syntax: &mut Syntax, pending: &mut Pending, fault: Diagnostic) {
-    if !std::mem::replace(&mut pending.faulty, true) {
-        syntax.faults.push(fault);
+    fn take_word(&mut self, quote: Quote, span: Span) {
+        if self.line.open.is_some() || self.line.close.is_some() {
+            let message = "words stand behind a brace on its line";
+            let fault = Diagnostic::error("brace-place", span, message);
+            return self.fail(fault.label("begin a new line here"));
+        }
+        if self.line.glued {
+            let message = "a quoted text touches another word";
+            let fault = Diagnostic::error("glued-words", span, message);
+            return self.fail(fault.label("a blank is missing before this"));
+        }
+        self.line.words.push(Word {
+            span,
+            quote,
+            continued: self.line.continued,
+        });
+        self.line.continued = false;
+        self.line.glued = true;
     }
-}
 
-fn take(syntax: &mut Syntax, pending: &mut Pending, token: Token, span: Span) {
-    let quote = match token {
-        Token::Double => Quote::Double,
-        Token::Single => Quote::Single,
-        Token::Word => Quote::Bare,
-        _ => {
-            if pending.open.is_some()
-                || pending.close.is_some()
-                || token == Token::Close && !pending.words.is_empty()
-            {
-                let message = "a brace ends its line";
-                let what = Diagnostic::error("brace-place", span, message)
-                    .label("not here")
-                    .help(
-                        "an opening brace is the last word of its line, a closing one stands alone",
-                    );
-                return fault(syntax, pending, what);
-            }
-            match token {
-                Token::Open if pending.words.is_empty() => {
-                    let what = Diagnostic::error(
-                        "nameless-section",
-                        span,
-                        "a section opens without a keyword",
-                    )
-                    .label("no keyword stands before it");
-                    fault(syntax, pending, what);
-                    pending.open = Some(span);
-                }
-                Token::Open => pending.open = Some(span),
-                _ => pending.close = Some(span),
-            }
-            pending.glued = false;
+    fn end_line(&mut self) {
+        if std::mem::replace(&mut self.line_is_empty, true) {
+            self.apart = true;
             return;
         }
-    };
-    if pending.open.is_some() || pending.close.is_some() {
-        let what = Diagnostic::error(
-            "brace-place",
-            span,
-            "words stand behind a brace on its line",
-        )
-        .label("begin a new line here");
-        return fault(syntax, pending, what);
+        let line = std::mem::take(&mut self.line);
+        // Of a faulty line the brace still counts: its section must not seem to be missing or unclosed as well.
+        if line.faulty && line.open.is_none() && line.close.is_none() {
+            return;
+        }
+        let entry = match (line.open, line.close) {
+            (Some(brace), _) => Entry::Open(line.words, brace),
+            (None, Some(span)) => Entry::Close(span),
+            (None, None) if !line.words.is_empty() => Entry::Directive(line.words),
+            (None, None) if line.comment.is_some() => Entry::Comment,
+            _ => return,
+        };
+        self.syntax.lines.push(Line {
+            entry,
+            comment: line.comment,
+            apart: std::mem::take(&mut self.apart),
+        });
     }
-    if pending.glued {
-        let what = Diagnostic::error("glued-words", span, "a quoted text touches another word")
-            .label("a blank is missing before this");
-        return fault(syntax, pending, what);
+
+    /// The last line may have no end.
+    fn finish(mut self) -> Syntax {
+        if !self.line_is_empty {
+            self.end_line();
+        }
+        self.syntax
     }
-    pending.words.push(Word {
-        span,
-        quote,
-        continued: pending.continued,
-    });
-    pending.continued = false;
-    pending.glued = true;
 }
 
-fn finish(syntax: &mut Syntax, pending: Pending, apart: &mut bool) {
-    let Pending {
-        words,
-        open,
-        close,
-        comment,
-        faulty,
-        ..
-    } = pending;
-    // Of a faulty line the brace still counts: its section must not seem to be missing or unclosed as well.
-    if faulty && open.is_none() && close.is_none() {
-        return;
+fn stray(span: Span, text: &str) -> Diagnostic {
+    if text.starts_with('\\') {
+        let message = "a backslash stands only at the end of a line";
+        return Diagnostic::error("stray-backslash", span, message)
+            .label("nothing to continue here")
+            .help("inside double quotes \\\\ stands for a backslash");
     }
-    let entry = match (open, close) {
-        (Some(brace), _) => Entry::Open(words, brace),
-        (None, Some(span)) => Entry::Close(span),
-        (None, None) if !words.is_empty() => Entry::Directive(words),
-        (None, None) if comment.is_some() => Entry::Comment,
-        _ => return,
-    };
-    syntax.lines.push(Line {
-        entry,
-        comment,
-        apart: std::mem::take(apart),
-    });
+    let shown: String = text
+        .chars()
+        .take(1)
+        .flat_map(char::escape_default)
+        .collect();
+    let message = format!("the character {shown} can't stand here");
+    Diagnostic::error("control-character", span, message).label("control character")
 }
 
-/// The first line that is too long, by its range in bytes.
-pub fn overlong(text: &[u8]) -> Option<Range<usize>> {
+/// The first line that is longer than [`LINE_LIMIT`], by its range in bytes.
+pub fn find_long_line(text: &[u8]) -> Option<Range<usize>> {
     let mut start = 0;
     for line in text.split(|b| *b == b'\n') {
         if line.len() > LINE_LIMIT {
