--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,11 +1,11 @@
-//! The document against the table of directives: every section and value known, typed and within its range.
+//! The document against the table of directives: sections, directives and values that are known, typed and in range.
 
 use crate::diagnostic::{nearest, Diagnostic};
 use crate::document::{Argument, Document, RawDirective, RawSection};
-use crate::schema::{self, Args, Naming, Table};
+use crate::schema::{self, Args, Naming, Table, VALUES_LIMIT};
 use crate::source::Span;
 use crate::syntax::is_name;
-use crate::value::{Type, Value};
+use crate::value::{ParseError, Type, Value};
 use std::collections::HashMap;
 
 /// A section whose words are what the table asks for.
@@ -51,38 +51,28 @@
     }
 }
 
-/// Sorts out what is sound; the rest is reported, each fault once.
+/// Keeps the sections and directives that are valid; the rest is reported, each fault once.
 pub fn check(document: Document, table: Table, faults: &mut Vec<Diagnostic>) -> Vec<Section> {
     let mut sections = Vec::with_capacity(document.sections.len());
     let mut seen: HashMap<(&'static str, String), Span> = HashMap::new();
-    for stated in document.sections {
-        // A faulty line has taken its words.
-        if stated.keyword.text.is_empty() {
+    for raw in document.sections {
+        // Its keyword was faulty, which is reported.
+        if raw.keyword.text.is_empty() {
             continue;
         }
-        let Some(spec) = table.iter().find(|s| s.keyword == stated.keyword.text) else {
-            faults.push(unknown_section(&stated.keyword, table));
+        let Some(spec) = table.iter().find(|s| s.keyword == raw.keyword.text) else {
+            faults.push(unknown_section(&raw.keyword, table));
             continue;
         };
-        let Some(name) = section_name(spec, &stated, faults) else {
+        let Some(name) = section_name(spec, &raw, faults) else {
             continue;
         };
-        let span = stated
+        let span = raw
             .names
             .last()
-            .map_or(stated.keyword.span, |n| stated.keyword.span.to(n.span));
+            .map_or(raw.keyword.span, |n| raw.keyword.span.to(n.span));
         if let Some(first) = seen.get(&(spec.keyword, name.clone())) {
-            let what = if name.is_empty() {
-                spec.keyword.to_owned()
-            } else {
-                format!("{} {name}", spec.keyword)
-            };
-            let fault = Diagnostic::error(
-                "section-twice",
-                span,
-                format!("the section {what} stands a second time"),
-            );
-            faults.push(fault.label("again here").related(*first, "first here"));
+            faults.push(repeated_section(spec, &name, span, *first));
             continue;
         }
         seen.insert((spec.keyword, name.clone()), span);
@@ -91,11 +81,11 @@
             span,
             name,
             settings: Vec::new(),
-            partial: stated.partial,
+            partial: raw.partial,
         };
-        for directive in stated.directives {
+        for directive in raw.directives {
             match setting(spec, directive, table, faults) {
-                Some(setting) => add(&mut section, setting, faults),
+                Some(setting) => add_setting(&mut section, setting, faults),
                 None => section.partial = true,
             }
         }
@@ -104,7 +94,18 @@
     sections
 }
 
-/// Names of sections that no section bears. `partial`: some of the files could not be read, where they may stand.
+fn repeated_section(spec: &schema::Section, name: &str, span: Span, first: Span) -> Diagnostic {
+    let what = match name {
+        "" => spec.keyword.to_owned(),
+        _ => format!("{} {name}", spec.keyword),
+    };
+    let message = format!("the section {what} stands a second time");
+    Diagnostic::error("section-twice", span, message)
+        .label("again here")
+        .related(first, "first here")
+}
+
+/// Reports references to sections that there are not. `partial`: some of the files could not be read, where they may stand.
 pub fn references(sections: &[Section], partial: bool, faults: &mut Vec<Diagnostic>) {
     for setting in sections
         .iter()
@@ -136,7 +137,7 @@
     }
 }
 
-/// Of a section of that keyword, among those that there are.
+/// A reference to a section that there is not. `wanted`: its keyword; `known`: the names of those that there are.
 pub(crate) fn unknown_name(wanted: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
     let fault = Diagnostic::error("unknown-name", span, format!("there is no {wanted} {name}"))
         .label("not defined in any file that was read");
@@ -206,69 +207,29 @@
     None
 }
 
+/// A directive with its values; none if something in it is not valid, which is reported.
 fn setting(
     section: &'static schema::Section,
     directive: RawDirective,
     table: Table,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Setting> {
-    let span = directive.span();
-    let keyword = &directive.keyword;
-    let Some(spec) = section.directive(&keyword.text) else {
-        faults.push(unknown_directive(section, keyword, table));
+    let Some(spec) = section.directive(&directive.keyword.text) else {
+        faults.push(unknown_directive(section, &directive.keyword, table));
         return None;
     };
-    let given = directive.args.len();
-    let (kind, fits, wanted) = match spec.args {
-        Args::One(kind) => (kind, given == 1, "one value"),
-        Args::Optional(kind) => (kind, given <= 1, "one value or none"),
-        Args::Many(kind) => (kind, given >= 1, "one value or more"),
-    };
-    if !fits {
-        let what = match directive.args.get(1) {
-            Some(second) if given > 1 => {
-                let last = directive
-                    .args
-                    .last()
-                    .map_or(second.span, |l| second.span.to(l.span));
-                Diagnostic::error(
-                    "value-count",
-                    last,
-                    format!("{} takes {wanted}, not {given}", spec.keyword),
-                )
-                .label("too many")
-            }
-            _ => Diagnostic::error(
-                "value-count",
-                keyword.span,
-                format!("{} takes {wanted}", spec.keyword),
-            )
-            .label("no value is given"),
-        };
-        faults.push(what.help(format!("for example: {}", spec.example)));
+    if let Some(fault) = check_count(spec, &directive) {
+        faults.push(fault);
         return None;
     }
-    if given > schema::VALUES_LIMIT {
-        let limit = schema::VALUES_LIMIT;
-        let message = format!(
-            "{} has {given} values; at most {limit} are allowed",
-            spec.keyword
-        );
-        faults.push(Diagnostic::error("value-count", keyword.span, message).label("too many"));
-        return None;
-    }
-    let mut values = Vec::with_capacity(given);
+    let (Args::One(kind) | Args::Optional(kind) | Args::Many(kind)) = spec.args;
+    let span = directive.span();
+    let mut values = Vec::with_capacity(directive.args.len());
     for arg in directive.args {
         match kind.parse(&arg.text) {
             Ok(value) => values.push((value, arg.span)),
-            Err(fault) => {
-                let label = match kind {
-                    Type::Choice(_) => "not one of them".to_owned(),
-                    _ => format!("{} is wanted here", kind.name()),
-                };
-                let mut what = Diagnostic::error("bad-value", arg.span, fault.message).label(label);
-                what.help = fault.help;
-                faults.push(what);
+            Err(error) => {
+                faults.push(bad_value(kind, arg.span, error));
                 return None;
             }
         }
@@ -276,6 +237,48 @@
     Some(Setting { spec, span, values })
 }
 
+/// The fault if the directive has too many or too few values.
+fn check_count(spec: &schema::Directive, directive: &RawDirective) -> Option<Diagnostic> {
+    let given = directive.args.len();
+    let (fits, wanted) = match spec.args {
+        Args::One(_) => (given == 1, "one value"),
+        Args::Optional(_) => (given <= 1, "one value or none"),
+        Args::Many(_) => (given >= 1, "one value or more"),
+    };
+    let (keyword, place) = (spec.keyword, directive.keyword.span);
+    if !fits {
+        let fault = match directive.args.as_slice() {
+            [_, second, rest @ ..] => {
+                let last = rest.last().unwrap_or(second);
+                let message = format!("{keyword} takes {wanted}, not {given}");
+                Diagnostic::error("value-count", second.span.to(last.span), message)
+                    .label("too many")
+            }
+            _ => {
+                let message = format!("{keyword} takes {wanted}");
+                Diagnostic::error("value-count", place, message).label("no value is given")
+            }
+        };
+        return Some(fault.help(format!("for example: {}", spec.example)));
+    }
+    (given > VALUES_LIMIT).then(|| {
+        let message = format!("{keyword} has {given} values; at most {VALUES_LIMIT} are allowed");
+        Diagnostic::error("value-count", place, message).label("too many")
+    })
+}
+
+fn bad_value(kind: Type, span: Span, error: ParseError) -> Diagnostic {
+    let label = match kind {
+        Type::Choice(_) => "not one of them".to_owned(),
+        _ => format!("{} is wanted here", kind.name()),
+    };
+    let fault = Diagnostic::error("bad-value", span, error.message).label(label);
+    match error.help {
+        Some(help) => fault.help(help),
+        None => fault,
+    }
+}
+
 fn unknown_directive(
     section: &'static schema::Section,
     keyword: &Argument,
@@ -306,8 +309,8 @@
     fault.help(format!("known here are {}", known.join(", ")))
 }
 
-/// A list may go on in a further line; a single value may not be stated again.
-fn add(section: &mut Section, setting: Setting, faults: &mut Vec<Diagnostic>) {
+/// Adds a directive. A list may go on in a further line; a single value may not be stated again.
+fn add_setting(section: &mut Section, setting: Setting, faults: &mut Vec<Diagnostic>) {
     let Some(first) = section
         .settings
         .iter_mut()
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -1,10 +1,11 @@
-//! The model held against the platform's word: names that it must know, and rules that may only be tightened.
+//! The model against the platform's settings: names that these must have, and rules that may only be tightened.
 
 use crate::check::{Section, Setting};
 use crate::diagnostic::{nearest, Diagnostic};
 use crate::model::Model;
 use crate::source::Span;
 use crate::value::{self, Value};
+use crate::values::{name_of, Values};
 use std::time::Duration;
 
 /// What a class needs of the data that answers it.
@@ -63,11 +64,17 @@
     pub max_retry_after: Option<Duration>,
 }
 
-/// Whether data that is good enough for one class is for another too.
-fn meets(stricter: Consistency, need: Consistency) -> bool {
-    match (stricter, need) {
+impl Platform {
+    fn stated_attempt_limit(&self) -> Option<u64> {
+        Some(u64::from(self.attempt_limit)).filter(|n| *n > 0)
+    }
+}
+
+/// Whether data that is fresh enough for `own` is for `need` too.
+fn satisfies(own: Consistency, need: Consistency) -> bool {
+    match (own, need) {
         (Consistency::Write, other) | (other, Consistency::Write) => {
-            other == Consistency::Write && stricter == need
+            other == Consistency::Write && own == need
         }
         (_, Consistency::Eventual) | (Consistency::Strong, _) => true,
         (Consistency::ReadYourWrites, Consistency::ReadYourWrites) => true,
@@ -76,33 +83,33 @@
     }
 }
 
-/// What may be done with one may be done with the other.
-fn allows_no_more(own: Idempotency, other: Idempotency) -> bool {
+/// Whether a request that is `own` is sent again in no case in which one that is `other` is not.
+fn is_no_looser(own: Idempotency, other: Idempotency) -> bool {
     own == other || other == Idempotency::Idempotent || own == Idempotency::NonIdempotent
 }
 
-/// What of the operators' file is looser than the platform, or names what it does not have.
+/// Reports what is looser than the platform allows, and names that it does not have.
 pub fn check(sections: &[Section], model: &Model, platform: &Platform) -> Vec<Diagnostic> {
     let mut faults = Vec::new();
     for section in sections {
         match section.spec.keyword {
-            "class" => class(section, platform, &mut faults),
-            "route" => route(section, model, platform, &mut faults),
-            "credit" => credit(section, platform, &mut faults),
+            "class" => check_class(section, platform, &mut faults),
+            "route" => check_route(section, model, platform, &mut faults),
+            "credit" => check_credit(section, platform, &mut faults),
             "limits" => {
-                bounded(
+                check_count(
                     section,
                     "sockets",
                     platform.sockets.map(|n| n as u64),
                     &mut faults,
                 );
-                bounded(section, "memory", platform.memory, &mut faults);
+                check_count(section, "memory", platform.memory, &mut faults);
             }
             "policy" => {
-                let tries = Some(u64::from(platform.attempt_limit)).filter(|n| *n > 0);
-                bounded(section, "tries", tries, &mut faults);
+                let tries = platform.stated_attempt_limit();
+                check_count(section, "tries", tries, &mut faults);
                 if let Some(most) = platform.max_retry_after {
-                    longest(
+                    check_time(
                         section,
                         "come-back-most",
                         most,
@@ -121,7 +128,7 @@
     Diagnostic::error("loosens", setting.span, message).label("looser than the platform allows")
 }
 
-fn bounded(section: &Section, keyword: &str, most: Option<u64>, faults: &mut Vec<Diagnostic>) {
+fn check_count(section: &Section, keyword: &str, most: Option<u64>, faults: &mut Vec<Diagnostic>) {
     let (Some(setting), Some(most)) = (section.setting(keyword), most) else {
         return;
     };
@@ -139,7 +146,7 @@
     }
 }
 
-fn longest(
+fn check_time(
     section: &Section,
     keyword: &str,
     most: Duration,
@@ -160,7 +167,7 @@
     }
 }
 
-fn unknown(what: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
+fn unknown_platform_name(what: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
     let fault = Diagnostic::error(
         "unknown-name",
         span,
@@ -173,24 +180,29 @@
     }
 }
 
-fn class(section: &Section, platform: &Platform, faults: &mut Vec<Diagnostic>) {
+fn check_class(section: &Section, platform: &Platform, faults: &mut Vec<Diagnostic>) {
     let Some(stated) = platform.classes.iter().find(|c| c.name == section.name) else {
         let known: Vec<&str> = platform.classes.iter().map(|c| c.name.as_str()).collect();
-        faults.push(unknown("class", &section.name, section.span, &known));
+        faults.push(unknown_platform_name(
+            "class",
+            &section.name,
+            section.span,
+            &known,
+        ));
         return;
     };
-    longest(
+    check_time(
         section,
         "deadline",
         stated.deadline,
         "its clients wait",
         faults,
     );
-    let tries = Some(u64::from(platform.attempt_limit)).filter(|n| *n > 0);
-    bounded(section, "tries", tries, faults);
+    let tries = platform.stated_attempt_limit();
+    check_count(section, "tries", tries, faults);
 }
 
-fn names(
+fn check_names(
     section: &Section,
     keyword: &str,
     what: &str,
@@ -200,31 +212,50 @@
     for (value, span) in section.values(keyword) {
         if let Value::Name(name) = value {
             if !known.contains(&name.as_str()) {
-                faults.push(unknown(what, name, *span, known));
+                faults.push(unknown_platform_name(what, name, *span, known));
             }
         }
     }
 }
 
-fn credit(section: &Section, platform: &Platform, faults: &mut Vec<Diagnostic>) {
+fn check_credit(section: &Section, platform: &Platform, faults: &mut Vec<Diagnostic>) {
     let classes: Vec<&str> = platform.classes.iter().map(|c| c.name.as_str()).collect();
     let tenants: Vec<&str> = platform.tenants.iter().map(String::as_str).collect();
-    names(section, "class", "class", &classes, faults);
+    check_names(section, "class", "class", &classes, faults);
     if !tenants.is_empty() && !tenants.contains(&section.name.as_str()) {
-        faults.push(unknown("tenant", &section.name, section.span, &tenants));
+        faults.push(unknown_platform_name(
+            "tenant",
+            &section.name,
+            section.span,
+            &tenants,
+        ));
     }
 }
 
-fn route(section: &Section, model: &Model, platform: &Platform, faults: &mut Vec<Diagnostic>) {
+fn check_route(
+    section: &Section,
+    model: &Model,
+    platform: &Platform,
+    faults: &mut Vec<Diagnostic>,
+) {
     let classes: Vec<&str> = platform.classes.iter().map(|c| c.name.as_str()).collect();
     let tenants: Vec<&str> = platform.tenants.iter().map(String::as_str).collect();
-    names(section, "class", "class", &classes, faults);
-    names(section, "as-class", "class", &classes, faults);
+    check_names(section, "class", "class", &classes, faults);
+    check_names(section, "as-class", "class", &classes, faults);
     if !tenants.is_empty() {
-        names(section, "tenant", "tenant", &tenants, faults);
+        check_names(section, "tenant", "tenant", &tenants, faults);
     }
-    let tries = Some(u64::from(platform.attempt_limit)).filter(|n| *n > 0);
-    bounded(section, "tries", tries, faults);
+    check_count(section, "tries", platform.stated_attempt_limit(), faults);
+    check_as_class(section, model, platform, faults);
+}
+
+/// A class that requests are treated as must be as strict as their own.
+fn check_as_class(
+    section: &Section,
+    model: &Model,
+    platform: &Platform,
+    faults: &mut Vec<Diagnostic>,
+) {
     let (Some(setting), Some(Value::Name(target))) =
         (section.setting("as-class"), section.value("as-class"))
     else {
@@ -233,35 +264,28 @@
     let Some(target) = platform.classes.iter().find(|c| c.name == *target) else {
         return;
     };
-    let stated: Vec<&str> = section
-        .values("class")
-        .iter()
-        .filter_map(|(value, _)| match value {
-            Value::Name(name) => Some(name.as_str()),
-            _ => None,
-        })
-        .collect();
-    let once = |name: &str| model.classes.iter().any(|c| c.name == name && c.runs_once);
-    // What the file says of a class counts here as the platform's word does.
-    let repeat = |class: &Class| {
-        if once(&class.name) {
-            Idempotency::NonIdempotent
-        } else {
-            class.idempotency
-        }
+    let stated: Vec<String> = Values::of(section).collect("class", name_of);
+    let runs_once = |class: &Class| {
+        let mut classes = model.classes.iter();
+        classes.any(|c| c.name == class.name && c.runs_once)
+    };
+    // What the operators' file states of a class counts as the platform's settings do.
+    let idempotency = |class: &Class| match runs_once(class) {
+        true => Idempotency::NonIdempotent,
+        false => class.idempotency,
     };
-    for class in platform
+    let concerned = platform
         .classes
         .iter()
-        .filter(|c| stated.is_empty() || stated.contains(&c.name.as_str()))
-    {
-        // Told already, without the platform's word.
-        if once(&class.name) && !once(&target.name) && !stated.is_empty() {
+        .filter(|c| stated.is_empty() || stated.contains(&c.name));
+    for class in concerned {
+        // The model reports this one, without the platform.
+        if runs_once(class) && !runs_once(target) && !stated.is_empty() {
             continue;
         }
-        let why = if !allows_no_more(repeat(target), repeat(class)) {
+        let reason = if !is_no_looser(idempotency(target), idempotency(class)) {
             "allows repeats that must not be"
-        } else if !meets(target.consistency, class.consistency) {
+        } else if !satisfies(target.consistency, class.consistency) {
             "does not need the same of the data"
         } else {
             continue;
@@ -271,7 +295,7 @@
             class.name, target.name
         );
         let fault = Diagnostic::error("loosens", setting.span, message);
-        faults.push(fault.label(format!("class {} {why}", target.name)));
+        faults.push(fault.label(format!("class {} {reason}", target.name)));
         return;
     }
 }
