--- a/crates/configuration/src/model/lending.rs
+++ b/crates/configuration/src/model/lending.rs
@@ -1,4 +1,4 @@
-//! What stands may borrow beyond their quota, and how the fleet agrees on it.
+//! What tenants may borrow beyond their quota, and how the fleet agrees on it.
 
 use super::required::{require_directive, require_members};
 use super::window::NamedWindow;
@@ -6,20 +6,20 @@
 use crate::diagnostic::Diagnostic;
 use crate::schema::CREDITS_LIMIT;
 use crate::value::{format_time, Value};
-use crate::values::{name_of, Values};
+use crate::values::{name_of, sections_of, Values};
 use std::path::PathBuf;
 use std::time::Duration;
 
 /// The section `lending`: loans of quota among the proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lending {
-    /// Without it a restarted proxy has no memory.
+    /// A directory for the book of loans; without it a restarted proxy has lost it.
     pub state_file: Option<PathBuf>,
     /// How long a lease lasts.
     pub lease: Duration,
-    /// How often proxies tell each other of loans.
+    /// How often the proxies exchange their balances.
     pub exchange_interval: Duration,
-    /// No credit's term and write-off together are longer. The same at all proxies.
+    /// Longest term and write-off together of any credit. The same at all proxies.
     pub max_loan_time: Duration,
     /// The tenants that may borrow.
     pub credits: Vec<Credit>,
@@ -46,8 +46,8 @@
     pub not_during: Vec<usize>,
 }
 
-/// So many beats fit into a lease, so that a lost one does not end it.
-const STEPS_OF_LEASE: u32 = 3;
+/// So many exchanges fit into a lease, so that a lost one does not end it.
+const EXCHANGES_OF_LEASE: u32 = 3;
 
 /// `partial`: some of the files could not be read.
 pub(super) fn lending(
@@ -56,78 +56,81 @@
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Lending> {
-    let stated: Vec<&Section> = sections
-        .iter()
-        .filter(|s| s.spec.keyword == "credit")
-        .collect();
-    let Some(section) = sections.iter().find(|s| s.spec.keyword == "lending") else {
-        if let Some(first) = stated.first().filter(|_| !partial) {
-            let fault = Diagnostic::error(
-                "missing",
-                first.span,
-                "a credit is stated, but no section lending",
-            );
-            faults.push(
-                fault
-                    .label("nobody lends")
-                    .help("write a section lending { ... }, which may state nothing"),
-            );
+    let Some(section) = sections_of(sections, "lending").next() else {
+        if !partial {
+            check_no_credits(sections, faults);
         }
         return None;
     };
     if !partial {
-        require_members(
-            sections,
-            section,
-            "lending",
-            "has nobody to agree with",
-            faults,
-        );
+        let label = "has nobody to agree with";
+        require_members(sections, section, "lending", label, faults);
     }
-    if let Some(first) = stated.get(CREDITS_LIMIT) {
-        let message = format!(
-            "there are {} credits; at most {CREDITS_LIMIT} are allowed",
-            stated.len()
-        );
-        let fault = Diagnostic::error("many-credits", first.span, message).label("one too many");
-        faults.push(fault.help("keep a section credit only for stands that have to borrow"));
+    if let Some(fault) = too_many_credits(sections) {
+        faults.push(fault);
         return None;
     }
     let v = Values::of(section);
-    let [lease, step, longest] =
-        ["lease", "step", "longest"].map(|keyword| v.time(keyword).unwrap_or_default());
-    // Of a section with a faulty line nothing is held against its defaults.
-    if let Some(at) = either(section, ["step", "lease"]).filter(|_| step * STEPS_OF_LEASE > lease) {
-        let message = format!(
-            "step ({}) is more than a third of lease ({})",
-            format_time(step),
-            format_time(lease)
-        );
-        let fault =
-            Diagnostic::error("cross-check", at.span, message).label("one late beat would end it");
-        let most = Duration::from_millis((lease / STEPS_OF_LEASE).as_millis() as u64);
-        let least = step * STEPS_OF_LEASE;
-        let help = format!(
-            "state a step of at most {}, or a lease of {} or more",
-            format_time(most),
-            format_time(least)
-        );
-        faults.push(fault.help(help));
-    }
-    let credits = stated.iter().filter_map(|credit| {
-        check_span(credit, section, longest, faults);
-        self::credit(credit, windows, partial, faults)
-    });
-    Some(Lending {
+    let time = |keyword| v.time(keyword).unwrap_or_default();
+    let mut lending = Lending {
         state_file: v.path("state"),
-        lease,
-        exchange_interval: step,
-        max_loan_time: longest,
-        credits: credits.collect(),
-    })
+        lease: time("lease"),
+        exchange_interval: time("step"),
+        max_loan_time: time("longest"),
+        credits: Vec::new(),
+    };
+    check_lease(section, &lending, faults);
+    for stated in sections_of(sections, "credit") {
+        check_loan_time(stated, section, lending.max_loan_time, faults);
+        lending
+            .credits
+            .extend(credit(stated, windows, partial, faults));
+    }
+    Some(lending)
+}
+
+/// A credit has no effect without the section `lending`.
+fn check_no_credits(sections: &[Section], faults: &mut Vec<Diagnostic>) {
+    if let Some(first) = sections_of(sections, "credit").next() {
+        let message = "a credit is stated, but no section lending";
+        let fault = Diagnostic::error("missing", first.span, message).label("nobody lends");
+        faults.push(fault.help("write a section lending { ... }, which may state nothing"));
+    }
+}
+
+fn too_many_credits(sections: &[Section]) -> Option<Diagnostic> {
+    let first = sections_of(sections, "credit").nth(CREDITS_LIMIT)?;
+    let number = sections_of(sections, "credit").count();
+    let message = format!("there are {number} credits; at most {CREDITS_LIMIT} are allowed");
+    let fault = Diagnostic::error("many-credits", first.span, message).label("one too many");
+    Some(fault.help("keep a section credit only for stands that have to borrow"))
 }
 
-/// The first of two settings that is stated, in a section that could be read whole.
+fn check_lease(section: &Section, lending: &Lending, faults: &mut Vec<Diagnostic>) {
+    let (lease, step) = (lending.lease, lending.exchange_interval);
+    if step * EXCHANGES_OF_LEASE <= lease {
+        return;
+    }
+    let Some(at) = either(section, ["step", "lease"]) else {
+        return;
+    };
+    let message = format!(
+        "step ({}) is more than a third of lease ({})",
+        format_time(step),
+        format_time(lease)
+    );
+    let most = Duration::from_millis((lease / EXCHANGES_OF_LEASE).as_millis() as u64);
+    let least = step * EXCHANGES_OF_LEASE;
+    let help = format!(
+        "state a step of at most {}, or a lease of {} or more",
+        format_time(most),
+        format_time(least)
+    );
+    let fault = Diagnostic::error("cross-check", at.span, message);
+    faults.push(fault.label("one late beat would end it").help(help));
+}
+
+/// The first of two settings that is stated, in a section of which all lines could be read.
 fn either<'a>(section: &'a Section, keywords: [&str; 2]) -> Option<&'a Setting> {
     keywords
         .into_iter()
@@ -135,8 +138,8 @@
         .filter(|_| !section.partial)
 }
 
-/// Term and write-off together within the longest.
-fn check_span(
+/// Term and write-off together must not be longer than the longest.
+fn check_loan_time(
     credit: &Section,
     lending: &Section,
     longest: Duration,
@@ -172,50 +175,62 @@
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Credit> {
+    let whose = format!("the credit {}", section.name);
     for keyword in ["line", "class", "rate"] {
-        require_directive(
-            section,
-            keyword,
-            &format!("the credit {}", section.name),
-            faults,
-        );
+        require_directive(section, keyword, &whose, faults);
     }
     let v = Values::of(section);
-    let rate = match (v.value("rate"), section.setting("rate")) {
-        (Some(Value::Rate(rate)), Some(at)) if rate.per != Duration::from_secs(1) => {
-            let fault =
-                Diagnostic::error("bad-value", at.span, format!("{rate} is not of a second"));
-            let fault = fault.label("what is lent is counted by the second");
-            faults.push(fault.help("write it as requests a second, for example 100/s"));
-            None
-        }
-        (Some(Value::Rate(rate)), _) => Some(u64::from(rate.number)),
-        _ => None,
-    };
-    let mut not_during = Some(Vec::new());
-    for (value, span) in section.values("not-during") {
-        let Value::Name(wanted) = value else { continue };
-        let place = windows.iter().position(|w| w.name == *wanted);
-        if place.is_none() && !partial {
-            let known: Vec<&str> = windows.iter().map(|w| w.name.as_str()).collect();
-            faults.push(unknown_name("window", wanted, *span, &known));
-        }
-        // Without one of its windows it would lend when it must not.
-        not_during = not_during.zip(place).map(|(mut all, place)| {
-            all.push(place);
-            all
-        });
-    }
+    let rate = rate_per_second(section, faults);
+    let not_during = closed_windows(section, windows, partial, faults);
     let floor = v.share("floor");
     Some(Credit {
         tenant: section.name.clone(),
         credit_limit: v.time("line")?,
         term: v.time("term").unwrap_or_default(),
         write_off: v.time("write-off").unwrap_or_default(),
-        // Upwards: what is said to stay stays.
+        // Rounded up: at least the stated share stays.
         floor: (u64::from(floor.part) * 1_000).div_ceil(u64::from(floor.whole.max(1))) as u32,
         classes: Some(v.collect("class", name_of)).filter(|classes| !classes.is_empty())?,
         rate: rate?,
         not_during: not_during?,
     })
 }
+
+fn rate_per_second(section: &Section, faults: &mut Vec<Diagnostic>) -> Option<u64> {
+    let Some(Value::Rate(rate)) = Values::of(section).value("rate") else {
+        return None;
+    };
+    match section.setting("rate") {
+        Some(at) if rate.per != Duration::from_secs(1) => {
+            let message = format!("{rate} is not of a second");
+            let fault = Diagnostic::error("bad-value", at.span, message)
+                .label("what is lent is counted by the second");
+            faults.push(fault.help("write it as requests a second, for example 100/s"));
+            None
+        }
+        _ => Some(u64::from(rate.number)),
+    }
+}
+
+/// Positions of the windows in which nothing is lent. None if one is not defined: the credit would lend when it must not.
+fn closed_windows(
+    section: &Section,
+    windows: &[NamedWindow],
+    partial: bool,
+    faults: &mut Vec<Diagnostic>,
+) -> Option<Vec<usize>> {
+    let mut positions = Some(Vec::new());
+    for (value, span) in section.values("not-during") {
+        let Value::Name(wanted) = value else { continue };
+        let position = windows.iter().position(|w| w.name == *wanted);
+        if position.is_none() && !partial {
+            let known: Vec<&str> = windows.iter().map(|w| w.name.as_str()).collect();
+            faults.push(unknown_name("window", wanted, *span, &known));
+        }
+        positions = positions.zip(position).map(|(mut all, position)| {
+            all.push(position);
+            all
+        });
+    }
+    positions
+}
--- a/crates/configuration/src/model/members.rs
+++ b/crates/configuration/src/model/members.rs
@@ -1,10 +1,10 @@
-//! The roster of a fleet: how its proxies hear one another, and which they are.
+//! The members of a fleet: how its proxies reach one another, and which they are.
 
 use super::required::require_directive;
-use crate::check::Section;
+use crate::check::{Section, Setting};
 use crate::diagnostic::Diagnostic;
 use crate::schema::{MEMBERS_LIMIT, MEMBER_NAME_LIMIT};
-use crate::values::Values;
+use crate::values::{sections_of, Values};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -44,50 +44,35 @@
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Members> {
-    let stated: Vec<&Section> = sections
-        .iter()
-        .filter(|s| s.spec.keyword == "member")
-        .collect();
-    let Some(section) = sections.iter().find(|s| s.spec.keyword == "members") else {
+    let stated: Vec<&Section> = sections_of(sections, "member").collect();
+    let Some(section) = sections_of(sections, "members").next() else {
         if let Some(first) = stated.first().filter(|_| !partial) {
-            let fault = Diagnostic::error(
-                "missing",
-                first.span,
-                "a member is stated, but no section members",
-            );
-            faults.push(
-                fault
-                    .label("has no effect")
-                    .help("write a section members { ... } with version, listen and key-file"),
-            );
+            let message = "a member is stated, but no section members";
+            let fault = Diagnostic::error("missing", first.span, message).label("has no effect");
+            let help = "write a section members { ... } with version, listen and key-file";
+            faults.push(fault.help(help));
         }
         return None;
     };
     if stated.is_empty() && !partial {
         let fault = Diagnostic::error("missing", section.span, "the roster is empty");
-        faults.push(
-            fault
-                .label("has no members")
-                .help("write a section member NAME { ... } for each proxy, this one too"),
-        );
+        let help = "write a section member NAME { ... } for each proxy, this one too";
+        faults.push(fault.label("has no members").help(help));
     }
     if let Some(first) = stated.get(MEMBERS_LIMIT) {
-        let message = format!(
-            "there are {} members; at most {MEMBERS_LIMIT} are allowed",
-            stated.len()
-        );
+        let number = stated.len();
+        let message = format!("there are {number} members; at most {MEMBERS_LIMIT} are allowed");
         faults.push(Diagnostic::error("many-members", first.span, message).label("one too many"));
         return None;
     }
     let roster = parse_members(&stated, faults);
-    let v = Values::of(section);
-    let (version, listen) = (v.count("version"), v.address("listen"));
     for keyword in ["version", "listen", "key-file"] {
         require_directive(section, keyword, "the section members", faults);
     }
+    let v = Values::of(section);
     Some(Members {
-        version: version?,
-        listen: listen?,
+        version: v.count("version")?,
+        listen: v.address("listen")?,
         key_file: v.path("key-file")?,
         period: v.time("period").unwrap_or_default(),
         suspicion: v.time("suspicion").unwrap_or_default(),
@@ -97,21 +82,12 @@
 
 fn parse_members(stated: &[&Section], faults: &mut Vec<Diagnostic>) -> Vec<Member> {
     let mut roster = Vec::with_capacity(stated.len());
-    let mut places: HashMap<SocketAddr, &Section> = HashMap::new();
+    let mut addresses: HashMap<SocketAddr, &Section> = HashMap::new();
     for section in stated {
-        let (v, length) = (Values::of(section), section.name.len());
-        if length > MEMBER_NAME_LIMIT {
-            let message = format!(
-                "a member's name has {length} bytes; at most {MEMBER_NAME_LIMIT} are allowed"
-            );
-            faults.push(Diagnostic::error("section-name", section.span, message).label("too long"));
-        }
-        require_directive(
-            section,
-            "address",
-            &format!("the member {}", section.name),
-            faults,
-        );
+        check_name(section, faults);
+        let whose = format!("the member {}", section.name);
+        require_directive(section, "address", &whose, faults);
+        let v = Values::of(section);
         let (Some(address), Some(setting)) = (v.address("address"), section.setting("address"))
         else {
             continue;
@@ -121,23 +97,34 @@
             let fault =
                 Diagnostic::error("bad-value", setting.span, message).label("of no single place");
             faults.push(fault.help("state the address and port at which the others reach it"));
-        } else if let Some(other) = places.get(&address) {
-            let message = format!("the address {address} is that of the member {}", other.name);
-            let fault =
-                Diagnostic::error("cross-check", setting.span, message).label("a second one there");
-            faults.push(match other.setting("address") {
-                Some(first) => fault.related(first.span, "first stated here"),
-                None => fault,
-            });
+        } else if let Some(other) = addresses.get(&address) {
+            faults.push(repeated_address(address, setting, other));
         } else {
-            places.insert(address, section);
+            addresses.insert(address, section);
         }
-        let region = v.name("region").unwrap_or_default();
         roster.push(Member {
             name: section.name.clone(),
             address,
-            region,
+            region: v.name("region").unwrap_or_default(),
         });
     }
     roster
 }
+
+fn check_name(section: &Section, faults: &mut Vec<Diagnostic>) {
+    let length = section.name.len();
+    if length > MEMBER_NAME_LIMIT {
+        let message =
+            format!("a member's name has {length} bytes; at most {MEMBER_NAME_LIMIT} are allowed");
+        faults.push(Diagnostic::error("section-name", section.span, message).label("too long"));
+    }
+}
+
+fn repeated_address(address: SocketAddr, setting: &Setting, other: &Section) -> Diagnostic {
+    let message = format!("the address {address} is that of the member {}", other.name);
+    let fault = Diagnostic::error("cross-check", setting.span, message).label("a second one there");
+    match other.setting("address") {
+        Some(first) => fault.related(first.span, "first stated here"),
+        None => fault,
+    }
+}
