--- a/crates/configuration/src/calendar/window.rs
+++ b/crates/configuration/src/calendar/window.rs
@@ -6,7 +6,7 @@
 use jiff::civil::Date;
 use std::sync::OnceLock;
 
-/// What a window section states; empty lists stand for what always holds.
+/// The conditions of a window section; an empty list always holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WindowConditions {
     /// Dates on which it holds.
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -11,7 +11,7 @@
 /// A section whose words are what the table asks for.
 #[derive(Debug)]
 pub struct Section {
-    /// What the table says of sections of this keyword.
+    /// The table's entry of its keyword.
     pub spec: &'static schema::Section,
     /// Its keyword and name.
     pub span: Span,
@@ -26,7 +26,7 @@
 /// A valid directive with its values.
 #[derive(Debug)]
 pub struct Setting {
-    /// What the table says of it.
+    /// Its entry in the table.
     pub spec: &'static schema::Directive,
     /// Where it stands.
     pub span: Span,
--- a/crates/configuration/src/diagnostic.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -11,7 +11,7 @@
 pub enum Severity {
     /// The file can't be used.
     Error,
-    /// The file can be used, and probably does not say what was meant.
+    /// The file can be used, but probably states something else than was meant.
     Warning,
 }
 
--- a/crates/configuration/src/diff/mod.rs
+++ b/crates/configuration/src/diff/mod.rs
@@ -1,4 +1,4 @@
-//! What behaves otherwise between two configurations, not which lines differ.
+//! The difference in behaviour between two configurations, not in their lines.
 
 mod routes;
 mod settings;
@@ -45,7 +45,7 @@
     pub changes: Vec<Change>,
     /// Requests that are routed differently.
     pub routes: Vec<RouteChange>,
-    /// The routes differ in more ways than could be told; those told are right.
+    /// The routes differ in more ways than could be listed; those listed are right.
     pub incomplete: bool,
     /// The space of requests in which the regions lie.
     pub space: Space,
--- a/crates/configuration/src/diff/routes.rs
+++ b/crates/configuration/src/diff/routes.rs
@@ -1,4 +1,4 @@
-//! Requests that other routes take, or that fare otherwise, under the new file.
+//! Requests that are treated differently under the new file.
 
 use super::RouteChange;
 use crate::ranges::{merge, minus_all, Region};
@@ -6,7 +6,7 @@
 use crate::space::Space;
 use std::collections::{HashMap, HashSet};
 
-/// Regions of requests and what becomes of them, route by route.
+/// The region and the outcome of each route.
 type Routed<'a> = Vec<(Region, &'a Outcome)>;
 
 /// Parts of regions that are compared; beyond that the difference is incomplete.
@@ -73,7 +73,7 @@
     }
 }
 
-/// The regions of routes that are not common to both lists. All other requests fare as before.
+/// The regions of routes that are not common to both lists. All other requests are treated as before.
 fn suspects(old: &Routed<'_>, new: &Routed<'_>) -> Vec<Region> {
     let common = common(old, new);
     let common_old: HashSet<usize> = common.iter().map(|(a, _)| *a).collect();
--- a/crates/configuration/src/explain.rs
+++ b/crates/configuration/src/explain.rs
@@ -26,7 +26,7 @@
     steps
 }
 
-/// Routes that are told one by one; of more, the last.
+/// Routes that are listed one by one; of more, the last.
 const SHOWN: usize = 200;
 
 /// The steps in words, as `config explain` prints them.
--- a/crates/configuration/src/index/mod.rs
+++ b/crates/configuration/src/index/mod.rs
@@ -1,8 +1,8 @@
 //! The routes compiled: the first whose conditions hold is found without checking all of them.
 //!
-//! A trie over networks and one over statements tell which prefixes a request lies under; for each pair of these a
-//! table tells which shapes of routes there are (class, tenant and group stated or not), and one look-up by a
-//! hashed key gives the routes of that shape. Routes that a key can't tell apart (by time, or by lists that would
+//! A trie over networks and one over statements give the prefixes that a request lies under; for each pair of these a
+//! summary has the shapes of routes that there are (class, tenant and group stated or not), and one look-up by a
+//! hashed key gives the routes of that shape. Conditions that do not go into keys (time, or by lists that would
 //! make too many keys) are checked in their order. Whatever can't come before the best route found so far is skipped.
 
 mod names;
@@ -66,7 +66,7 @@
     /// the only one.
     cells: FxHashMap<Key, (u32, u32)>,
     lists: Vec<u32>,
-    /// Of each route; none: its keys tell all.
+    /// Of each route; none: its keys decide.
     residuals: Vec<Option<Box<ResidualConditions>>>,
     windows: Vec<Window>,
 }
--- a/crates/configuration/src/index/residual.rs
+++ b/crates/configuration/src/index/residual.rs
@@ -1,4 +1,4 @@
-//! What of a route no key of the index can tell, and which of its conditions go into keys.
+//! Which of a route's conditions go into keys of the index, and the rest, which is checked for each request.
 
 use super::names::NameTable;
 use super::IndexedRequest;
--- a/crates/configuration/src/model/mod.rs
+++ b/crates/configuration/src/model/mod.rs
@@ -69,9 +69,9 @@
     pub balancers: Vec<Balancer>,
     /// When the proxy counts as degraded.
     pub availability: Availability,
-    /// Balancers are told of the process's end first.
+    /// The end of the process is announced to the balancers first.
     pub announce_end: bool,
-    /// Time in which a proxy that was told to stop still accepts connections.
+    /// For this long after SIGTERM connections are still accepted.
     pub accept_after_stop: Option<Duration>,
     /// The operators' socket.
     pub control_socket: Option<PathBuf>,
@@ -83,7 +83,7 @@
     pub persistence: Option<Persistence>,
     /// Who may borrow; none: nothing is lent.
     pub quota_lending: Option<Lending>,
-    /// What is told of sites; none: nothing is.
+    /// When a site counts as lost and as back; none: sites are not watched.
     pub sites: Option<Sites>,
 }
 
--- a/crates/configuration/src/model/route.rs
+++ b/crates/configuration/src/model/route.rs
@@ -1,4 +1,4 @@
-//! Sections `route`, and what they must not say.
+//! Sections `route`, and the checks of their values against one another.
 
 use super::pool::{Class, Pool};
 use super::window::NamedWindow;
--- a/crates/configuration/src/model/sites.rs
+++ b/crates/configuration/src/model/sites.rs
@@ -1,4 +1,4 @@
-//! What is told of sites: how long signs last before a site's state changes.
+//! The section `sites`: how long evidence lasts before a site's state changes.
 
 use crate::check::Section;
 use crate::values::Values;
@@ -15,7 +15,7 @@
     pub dwell: Duration,
 }
 
-/// None without the section: nothing is told of sites.
+/// None without the section: sites are not watched.
 pub(super) fn sites(sections: &[Section]) -> Option<Sites> {
     let v = Values::of(sections.iter().find(|s| s.spec.keyword == "sites")?);
     Some(Sites {
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: what they ask of a request, what becomes of it, and the plain scan that says which route is first.
+//! Routes: their conditions, their outcome, and the plain scan for the first route whose conditions hold.
 
 use crate::calendar::{Moment, Window};
 use crate::source::Span;
@@ -39,7 +39,7 @@
     pub tenants: Vec<String>,
     /// Ranges of groups.
     pub groups: Vec<RangeInclusive<u32>>,
-    /// Folded by [`fold`].
+    /// Folded by [`fold_case`].
     pub statements: Vec<String>,
     /// Networks of clients.
     pub networks: Vec<IpNet>,
@@ -60,7 +60,7 @@
     pub priority: Priority,
     /// A lower attempt limit.
     pub attempt_limit: Option<u16>,
-    /// Refused, and when the client is told to come back.
+    /// The request is rejected; with a time, the client gets it as Retry-After.
     pub reject: Option<Option<Duration>>,
 }
 
--- a/crates/configuration/src/shadow.rs
+++ b/crates/configuration/src/shadow.rs
@@ -17,7 +17,7 @@
 pub struct Unreached {
     /// A route that no request reaches, and the earlier routes that cover it.
     pub routes: Vec<(usize, Vec<usize>)>,
-    /// Routes that were too much work to tell.
+    /// Routes for which the search would take too long.
     pub unexamined: usize,
 }
 
@@ -32,7 +32,7 @@
 
 impl Overlaps {
     fn new(regions: &[Region]) -> Overlaps {
-        // The dimension in which routes differ most tells most of them apart.
+        // The dimension in which routes differ most separates most of them.
         let distinct = |d: usize| {
             let mut hulls: Vec<_> = regions.iter().filter_map(|r| r.0[d].hull()).collect();
             hulls.sort_unstable();
--- a/crates/configuration/src/space/describe.rs
+++ b/crates/configuration/src/space/describe.rs
@@ -65,7 +65,7 @@
                 None => known.clone(),
             };
             if set.minus(&known).is_empty() && rest.as_ref() != Some(&narrowed) {
-                // A name that says more makes those before it needless only if it lies in them; keep it simple.
+                // A narrower set makes those before it superfluous only if it lies in them.
                 held.retain(|(_, other): &(String, Ranges)| !known.minus(other).is_empty());
                 held.push((name, known));
                 rest = Some(narrowed);
@@ -130,7 +130,7 @@
             .collect()
     };
     let rest = whole.minus(set);
-    // A set that holds the unnamed rest can only be told by what is not in it.
+    // A set that holds the names which no route states can be described only by what is not in it.
     if set.contains(names.len() as u128) {
         format!("{what} other than {}", shortened(named(&rest).into_iter()))
     } else {
--- a/crates/configuration/src/space/example.rs
+++ b/crates/configuration/src/space/example.rs
@@ -93,7 +93,7 @@
         })
     }
 
-    /// A name that no class bears.
+    /// A name that no class has.
     fn unused(&self, name: &str) -> String {
         let mut name = name.to_owned();
         while self.class_number.contains_key(&name) {
--- a/crates/configuration/src/space/mod.rs
+++ b/crates/configuration/src/space/mod.rs
@@ -25,7 +25,7 @@
     pub offset: i32,
 }
 
-/// All requests that the routes of one or two configurations can tell apart.
+/// All requests that the routes of one or two configurations distinguish.
 pub struct Space {
     names: NameTable,
     class_number: HashMap<String, u128>,
--- a/crates/configuration/src/value/types.rs
+++ b/crates/configuration/src/value/types.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The bounds, as the operators' page tells them.
+    /// The bounds, as the operators' page states them.
     pub fn range(&self) -> String {
         match self {
             Type::Time { least, most } => {
--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -14,7 +14,7 @@
 pub struct Values<'a> {
     /// The section; none: defaults alone.
     pub section: Option<&'a Section>,
-    /// What the table says of it.
+    /// Its entry in the table.
     pub spec: &'static schema::Section,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A word of a fixed choice; empty if there is none.
+    /// One of a fixed choice; empty if there is none.
     pub fn choice(&self, keyword: &'static str) -> &'static str {
         match self.value(keyword) {
             Some(Value::Choice(word)) => word,
--- a/crates/leverproxy/src/cli/config/explain.rs
+++ b/crates/leverproxy/src/cli/config/explain.rs
@@ -1,4 +1,4 @@
-//! `leverproxy config explain`: what becomes of one request.
+//! `leverproxy config explain`: which routes one request is checked against, and its outcome.
 
 use super::{print, read_valid, text_argument, ConfigCommandError};
 use clap::ArgMatches;
--- a/crates/leverproxy/src/cli/serve.rs
+++ b/crates/leverproxy/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `leverproxy serve` and `leverproxy check`: both read the whole configuration, one of them serves by it.
+//! `leverproxy serve` and `leverproxy check`: both read the complete configuration; `serve` then serves by it.
 
 use super::MISUSE;
 use crate::config::{Config, ConfigError};
@@ -31,7 +31,7 @@
     );
 }
 
-/// Serves until the process is told to stop.
+/// Serves until SIGTERM.
 pub(super) fn serve(matches: &ArgMatches) -> ExitCode {
     let variable = environment(matches);
     // Before the configuration is read: a signal that comes meanwhile must not end the process.
--- a/crates/leverproxy/src/config/json_position.rs
+++ b/crates/leverproxy/src/config/json_position.rs
@@ -7,7 +7,7 @@
 }
 
 /// The line of the key that a path like `settings.Classes[0].Deadline` names, or of the last part of it that the text has.
-/// None where not even the first part is there, or the text is no sound JSON up to there.
+/// None where not even the first part is there, or the text is not valid JSON up to there.
 pub fn line_of(text: &[u8], path: &str) -> Option<usize> {
     let mut scan = Scan { text, at: 0 };
     let mut found = None;
--- a/crates/leverproxy/src/config/key_file.rs
+++ b/crates/leverproxy/src/config/key_file.rs
@@ -34,7 +34,7 @@
             "{path} has more than {KEY_FILE_LIMIT} bytes: it can't be a key file"
         )));
     }
-    // What is no text is no hex digit either, and told so with its line.
+    // Bytes that are not text are not hex digits either, and are reported with their line.
     datagram_auth::Keys::parse(&String::from_utf8_lossy(&bytes))
         .map_err(|e| fault(format!("{path}: {e}")))
 }
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! Configuration: the only place where it is read, checked and given defaults.
 //!
 //! Two files make one [`Config`]: the platform's JSON (`LB_CONFIG`, `platform_file`) and the operators' file
-//! (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), if there is one. What the platform states holds; the operators' file sets what
-//! operators choose, tightens, and never loosens. Variables of the environment count over both.
+//! (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), if there is one. The operators' file sets what operators
+//! choose and may tighten what the platform states, never loosen it. Variables of the environment override both.
 
 mod effective;
 mod error;
@@ -98,11 +98,11 @@
     pub dial_timeout: Duration,
     /// Idle connections to record servers are closed after this, before the servers do it.
     pub upstream_idle_timeout: Duration,
-    /// A watch on discovery that says nothing for this long is broken.
+    /// A watch on discovery that sends nothing for this long is replaced.
     pub max_watch_silence: Duration,
-    /// After being told to stop, new connections are accepted for this long.
+    /// For this long after SIGTERM new connections are still accepted.
     pub accept_after_stop: Duration,
-    /// This long after being told to stop, requests that are still open fail.
+    /// Requests that are still open fail this long after SIGTERM.
     pub shutdown_timeout: Duration,
 }
 
@@ -129,7 +129,7 @@
     pub idle: Duration,
     /// A client that takes nothing of its answers for this long is disconnected.
     pub unread_response: Duration,
-    /// A client that was told why its connection ends has this long to read it.
+    /// A client whose connection ends has this long to read the reason.
     pub linger: Duration,
     /// Most commands of one connection without an answer; further ones wait in its socket.
     pub max_pipelined: usize,
