--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -3,7 +3,9 @@
 use crate::check::Section;
 use crate::schema;
 use crate::value::{Share, Value};
+use ipnet::IpNet;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -12,7 +14,7 @@
 pub struct Values<'a> {
     /// The section; none: defaults alone.
     pub section: Option<&'a Section>,
-    /// What the table says of it.
+    /// Its entry in the table.
     pub spec: &'static schema::Section,
 }
 
@@ -25,6 +27,14 @@
         }
     }
 
+    /// The values of the one section of that keyword; the table's defaults if it is not stated.
+    pub fn of_single(sections: &'a [Section], keyword: &'static str) -> Values<'a> {
+        Values {
+            section: sections.iter().find(|s| s.spec.keyword == keyword),
+            spec: schema::section(keyword).unwrap_or(&schema::SECTIONS[0]),
+        }
+    }
+
     /// The stated value, or the default; none if there is neither.
     pub fn value(&self, keyword: &'static str) -> Option<Value> {
         if let Some(value) = self.section.and_then(|s| s.value(keyword)) {
@@ -57,7 +67,7 @@
     }
 
     /// A count that the table keeps within bounds that fit.
-    pub fn small<N: TryFrom<u64>>(&self, keyword: &'static str) -> Option<N> {
+    pub fn bounded_count<N: TryFrom<u64>>(&self, keyword: &'static str) -> Option<N> {
         N::try_from(self.count(keyword)?).ok()
     }
 
@@ -70,13 +80,13 @@
     }
 
     /// A share as a number.
-    pub fn part(&self, keyword: &'static str) -> f64 {
+    pub fn fraction(&self, keyword: &'static str) -> f64 {
         let share = self.share(keyword);
         f64::from(share.part) / f64::from(share.whole.max(1))
     }
 
     /// Whether it is said to be so.
-    pub fn yes(&self, keyword: &'static str) -> bool {
+    pub fn is_yes(&self, keyword: &'static str) -> bool {
         self.choice(keyword) == "yes"
     }
 
@@ -112,7 +122,7 @@
         }
     }
 
-    /// A word of a fixed choice; empty if there is none.
+    /// One of a fixed choice; empty if there is none.
     pub fn choice(&self, keyword: &'static str) -> &'static str {
         match self.value(keyword) {
             Some(Value::Choice(word)) => word,
@@ -121,8 +131,54 @@
     }
 
     /// What `pick` makes of each value.
-    pub fn all<T>(&self, keyword: &str, pick: impl Fn(&Value) -> Option<T>) -> Vec<T> {
+    pub fn collect<T>(&self, keyword: &str, pick: impl Fn(&Value) -> Option<T>) -> Vec<T> {
         let values = self.section.map_or(&[][..], |s| s.values(keyword));
         values.iter().filter_map(|(value, _)| pick(value)).collect()
     }
 }
+
+/// The sections of that keyword.
+pub(crate) fn sections_of<'a>(
+    sections: &'a [Section],
+    keyword: &'static str,
+) -> impl Iterator<Item = &'a Section> {
+    sections.iter().filter(move |s| s.spec.keyword == keyword)
+}
+
+/// The names that a directive of sections of one keyword refers to.
+pub(crate) fn referenced_names<'a>(
+    sections: &'a [Section],
+    keyword: &'static str,
+    directive: &'static str,
+) -> impl Iterator<Item = &'a str> {
+    sections_of(sections, keyword)
+        .flat_map(move |s| s.values(directive))
+        .filter_map(|(value, _)| match value {
+            Value::Name(name) => Some(name.as_str()),
+            _ => None,
+        })
+}
+
+/// A value that is a name.
+pub(crate) fn name_of(value: &Value) -> Option<String> {
+    match value {
+        Value::Name(name) => Some(name.clone()),
+        _ => None,
+    }
+}
+
+/// A value that is a range of groups.
+pub(crate) fn groups_of(value: &Value) -> Option<RangeInclusive<u32>> {
+    match value {
+        Value::Groups(range) => Some(range.clone()),
+        _ => None,
+    }
+}
+
+/// A value that is a network.
+pub(crate) fn network_of(value: &Value) -> Option<IpNet> {
+    match value {
+        Value::Network(network) => Some(*network),
+        _ => None,
+    }
+}
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -4,7 +4,7 @@
 use common::{compiled, find, parsed, plain, request, rng, sections};
 use configuration::diff::diff;
 use configuration::ranges::Region;
-use configuration::route::{scan, Outcome};
+use configuration::route::{find_first, Outcome};
 use configuration::shadow;
 use configuration::space::{Side, Space};
 use rand::seq::SliceRandom;
@@ -18,12 +18,12 @@
         let mut rng = rng(seed);
         let number = [3, 10, 40][seed as usize % 3];
         let reading = parsed(&plain(&sections(&mut rng, number)));
-        assert!(reading.sound(), "seed {seed}: {:?}", reading.diagnostics);
+        assert!(reading.is_valid(), "seed {seed}: {:?}", reading.diagnostics);
         let model = &reading.model;
         let (index, names) = compiled(model);
         for _ in 0..10_000 {
             let example = request(&mut rng);
-            let expected = scan(&model.routes, &model.windows, &example.request());
+            let expected = find_first(&model.routes, &model.windows, &example.request());
             assert_eq!(
                 find(&index, &names, &example),
                 expected,
@@ -63,7 +63,7 @@
         many("t", 600)
     );
     let reading = parsed(&text);
-    assert!(reading.sound(), "{:?}", reading.diagnostics);
+    assert!(reading.is_valid(), "{:?}", reading.diagnostics);
     let (index, names) = compiled(&reading.model);
     let mut rng = rng(1);
     let mut met = 0;
@@ -72,7 +72,7 @@
         example.class = format!("c{}", rng.random_range(0..700));
         example.tenant = format!("t{}", rng.random_range(0..700));
         example.statement = format!("select {}", rng.random_range(0..400)).into_bytes();
-        let expected = scan(
+        let expected = find_first(
             &reading.model.routes,
             &reading.model.windows,
             &example.request(),
@@ -111,7 +111,7 @@
         let mut met = vec![false; regions.len()];
         for _ in 0..3_000 {
             let example = request(&mut rng);
-            if let Some(at) = scan(&model.routes, &model.windows, &example.request()) {
+            if let Some(at) = find_first(&model.routes, &model.windows, &example.request()) {
                 met[at] = true;
             }
         }
@@ -132,7 +132,7 @@
                     .expect("a part is left");
                 let request = example.request();
                 assert_eq!(
-                    scan(&model.routes, &model.windows, &request),
+                    find_first(&model.routes, &model.windows, &request),
                     Some(at),
                     "seed {seed}: {example}"
                 );
@@ -177,7 +177,7 @@
             let example = request(&mut rng);
             let request = example.request();
             let outcome = |model: &configuration::model::Model| {
-                scan(&model.routes, &model.windows, &request)
+                find_first(&model.routes, &model.windows, &request)
                     .map_or_else(Outcome::default, |at| model.routes[at].outcome.clone())
             };
             let (was, is) = (outcome(&old), outcome(&new));
@@ -202,7 +202,7 @@
         for change in &difference.routes {
             let example = change.example.as_ref().expect("an example");
             let outcome = |model: &configuration::model::Model| {
-                scan(&model.routes, &model.windows, &example.request())
+                find_first(&model.routes, &model.windows, &example.request())
                     .map_or_else(Outcome::default, |at| model.routes[at].outcome.clone())
             };
             assert_eq!(
@@ -252,3 +252,31 @@
     routes.shuffle(&mut rng(5));
     assert!(diff(&old, &parsed(&routes.concat()), None).is_empty());
 }
+
+/// A route states more groups than the index keeps as keys, and so many classes and tenants that its groups are not kept as
+/// keys either. The second rule replaces what the first has put aside by an empty list, so that requests of any
+/// group meet the route. It has to be found for its own groups only.
+#[test]
+fn a_route_of_many_groups_and_very_many_names_keeps_its_groups() {
+    let many = |what: &str| -> String { (0..200).map(|n| format!(" {what}{n}")).collect() };
+    let text = format!(
+        "route a {{\n class{}\n tenant{}\n group 0-99\n tries 2\n}}\n",
+        many("c"),
+        many("t")
+    );
+    let reading = parsed(&text);
+    assert!(reading.is_valid(), "{:?}", reading.diagnostics);
+    let (index, names) = compiled(&reading.model);
+    let mut example = request(&mut rng(1));
+    (example.class, example.tenant) = ("c7".into(), "t8".into());
+    for (group, expected) in [(0, Some(0)), (99, Some(0)), (100, None), (500, None)] {
+        example.group = group;
+        let scanned = find_first(
+            &reading.model.routes,
+            &reading.model.windows,
+            &example.request(),
+        );
+        assert_eq!(scanned, expected, "scan: {example}");
+        assert_eq!(find(&index, &names, &example), expected, "index: {example}");
+    }
+}
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -50,7 +50,7 @@
 /// The rule of a tenant that is not in the file any more: nothing is lent, and what is owed is repaid as before.
 fn without_loans(credit: Credit) -> Credit {
     Credit {
-        line: Duration::ZERO,
+        credit_limit: Duration::ZERO,
         not_during: Vec::new(),
         ..credit
     }
@@ -132,7 +132,7 @@
                 .settings
                 .credits
                 .iter()
-                .any(|c| c.stand == credit.stand)
+                .any(|c| c.tenant == credit.tenant)
         };
         let gone: Vec<Credit> = former.credits.drain(..).filter(is_gone).collect();
         self.settings
@@ -140,10 +140,19 @@
             .extend(gone.into_iter().map(without_loans));
         self.windows = windows;
         let is_same = [
-            ("lending state", former.state == self.settings.state),
+            (
+                "lending state",
+                former.state_file == self.settings.state_file,
+            ),
             ("lending lease", former.lease == self.settings.lease),
-            ("lending step", former.step == self.settings.step),
-            ("lending longest", former.longest == self.settings.longest),
+            (
+                "lending step",
+                former.exchange_interval == self.settings.exchange_interval,
+            ),
+            (
+                "lending longest",
+                former.max_loan_time == self.settings.max_loan_time,
+            ),
         ];
         // All other settings stay as the lender was started with them.
         self.settings = Settings {
@@ -168,18 +177,18 @@
         let quotas: BTreeMap<&str, f64> = quotas.collect();
         let mut rules = Vec::new();
         for credit in &self.settings.credits {
-            let quota = quotas.get(credit.stand.as_str());
+            let quota = quotas.get(credit.tenant.as_str());
             let Some(quota) = quota.filter(|quota| **quota > 0.0) else {
                 log::warn!(
                     "loans: credit {}: the platform's settings have no tenant of that name with a quota; \
                             nothing is lent to it",
-                    credit.stand
+                    credit.tenant
                 );
                 continue;
             };
-            rules.push((credit.stand.clone(), rule(credit, *quota)));
+            rules.push((credit.tenant.clone(), rule(credit, *quota)));
         }
-        match Rules::new(rules, self.settings.longest) {
+        match Rules::new(rules, self.settings.max_loan_time) {
             Ok(rules) => self.handle(Event::Rules(rules), now),
             Err(error) => log::error!("loans: {error}; the former rules stay"),
         }
@@ -341,9 +350,9 @@
                 .not_during
                 .iter()
                 .filter_map(|window| self.windows.get(*window))
-                .any(|window| window.holds(moment));
+                .any(|window| window.contains(moment));
             let event = Event::LendingWindow {
-                tenant: &credit.stand,
+                tenant: &credit.tenant,
                 open: !closed,
             };
             self.handle(event, now);
@@ -405,7 +414,7 @@
     }
 
     fn start_file_writer(&self) -> Result<(Option<FileWriter>, Option<Vec<u8>>), StartError> {
-        let Some(folder) = self.settings.state.as_deref() else {
+        let Some(folder) = self.settings.state_file.as_deref() else {
             return Ok((None, None));
         };
         let waker = self.waker.try_clone().map_err(StartError::Thread)?;
@@ -423,8 +432,8 @@
         let incarnation = members.incarnation();
         let config = Config {
             lease: self.settings.lease,
-            step: self.settings.step,
-            longest: self.settings.longest,
+            step: self.settings.exchange_interval,
+            longest: self.settings.max_loan_time,
             ..Config::new(members.name(), incarnation, file_writer.is_some())
         };
         let lender = Lender::new(&config, self.since_start(now), file);
@@ -497,7 +506,7 @@
 /// `quota`: requests a second of the whole fleet.
 fn rule(credit: &Credit, quota: f64) -> Rule {
     Rule {
-        limit_time: credit.line,
+        limit_time: credit.credit_limit,
         quota: (quota * 1e3) as MilliRequests,
         term: credit.term,
         write_off: credit.write_off,
--- a/crates/leverproxy/src/cluster/quota_lending/figures.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/figures.rs
@@ -49,7 +49,7 @@
         self.settings
             .credits
             .iter()
-            .map(|credit| credit.stand.as_str())
+            .map(|credit| credit.tenant.as_str())
             .filter_map(|tenant| Some((tenant, running.lender.totals(since_start, tenant)?)))
             .collect()
     }
--- a/crates/leverproxy/src/cluster/rollout/mod.rs
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -12,7 +12,7 @@
 mod version;
 
 use crate::cluster::members::Members;
-use crate::config::reload::Ask;
+use crate::config::reload::ReloadRequest;
 use crate::observability::counters::Counters;
 use crate::persistence::background_writer::BackgroundWriter;
 use ::rollout::{Action, Config, Core, Event, EvidenceLimits, VersionHash};
@@ -124,7 +124,7 @@
         members: &mut Members,
         counters: &Counters,
         now: Instant,
-    ) -> Vec<Ask> {
+    ) -> Vec<ReloadRequest> {
         let event = Event::Observe(self.observation(members, counters, now));
         self.handle(event, members, now)
     }
@@ -148,7 +148,7 @@
         members: &mut Members,
         counters: &Counters,
         now: Instant,
-    ) -> Vec<Ask> {
+    ) -> Vec<ReloadRequest> {
         if let Err(why) = &result {
             self.failed_versions += 1;
             log::error!("rollout: {} can't run here: {why}", hex(&hash));
@@ -165,7 +165,7 @@
         members: &mut Members,
         counters: &Counters,
         now: Instant,
-    ) -> (String, Vec<Ask>) {
+    ) -> (String, Vec<ReloadRequest>) {
         let mut asks = self.observe(members, counters, now);
         let event = match command {
             RolloutCommand::Propose(hash) => Some(self.proposal(hash, false, members)),
@@ -203,7 +203,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event, members: &mut Members, now: Instant) -> Vec<Ask> {
+    fn handle(&mut self, event: Event, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
         let (mut actions, mut asks) = (Vec::new(), Vec::new());
         let since_origin = now.saturating_duration_since(self.origin);
         self.core.handle(since_origin, event, &mut actions);
@@ -214,7 +214,7 @@
                     members.publish(FIRST_FACT_KIND + kind, Vec::new(), body, ttl, now)
                 }
                 Action::CheckVersion(hash) => {
-                    asks.push(Ask::Check(hash, self.settings.candidates.clone()))
+                    asks.push(ReloadRequest::Check(hash, self.settings.candidates.clone()))
                 }
                 Action::RunVersion(hash) => asks.push(self.run(hash)),
                 Action::Persist(bytes) => {
@@ -237,10 +237,10 @@
         asks
     }
 
-    fn run(&self, hash: VersionHash) -> Ask {
+    fn run(&self, hash: VersionHash) -> ReloadRequest {
         log::warn!("rollout: {} is to run here", hex(&hash));
         let is_candidate = hash != self.base_version;
         let folder = is_candidate.then(|| self.settings.candidates.clone());
-        Ask::Run(hash, folder)
+        ReloadRequest::Run(hash, folder)
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/persistence.rs
+++ b/crates/leverproxy/src/cluster/rollout/persistence.rs
@@ -4,7 +4,7 @@
 use super::stored_state::state_path;
 use super::Rollout;
 use crate::cluster::members::Members;
-use crate::config::reload::Ask;
+use crate::config::reload::ReloadRequest;
 use crate::persistence::background_writer::BackgroundWriter;
 use ::rollout::Event;
 use std::io;
@@ -47,7 +47,7 @@
     }
 
     /// Writes of the state may have ended.
-    pub fn persist_finished(&mut self, members: &mut Members, now: Instant) -> Vec<Ask> {
+    pub fn persist_finished(&mut self, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
         let mut asks = Vec::new();
         while let Some(saved) = self.writer.as_ref().and_then(BackgroundWriter::take_result) {
             let done = saved
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! Configuration: the only place where it is read, checked and given defaults.
 //!
 //! Two files make one [`Config`]: the platform's JSON (`LB_CONFIG`, `platform_file`) and the operators' file
-//! (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), if there is one. What the platform states holds; the operators' file sets what
-//! operators choose, tightens, and never loosens. Variables of the environment count over both.
+//! (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), if there is one. The operators' file sets what operators
+//! choose and may tighten what the platform states, never loosen it. Variables of the environment override both.
 
 mod effective;
 mod error;
@@ -26,7 +26,7 @@
 use crate::health::Listen;
 use crate::pipeline::route_rules::Rules;
 use configuration::calendar::Window;
-use configuration::model::{Lending, Logging, Members, Memory, Rollout};
+use configuration::model::{Lending, Logging, Members, Persistence, Rollout};
 use ipnet::IpNet;
 use platform_settings::PlatformSettings;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     /// Where operators call; none: nothing listens.
     pub admin: Option<SocketAddr>,
     /// The socket on which the next process finds this one; none without an admin address or a folder for it.
-    pub takeover: Option<PathBuf>,
+    pub hot_restart_socket: Option<PathBuf>,
     /// Where the list of record servers is served.
     pub discovery: SocketAddr,
     /// Of all random numbers, new with each start.
@@ -59,7 +59,7 @@
     /// When the proxy calls itself degraded or down.
     pub availability: availability::Settings,
     /// The operators' control socket.
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// The balancers that have to notice a drain.
     pub balancers: Vec<drain::Balancer>,
     /// The fleet that this proxy is a member of; none without the section `members`.
@@ -69,21 +69,21 @@
     /// How new versions of the operators' file reach the fleet.
     pub rollout: Option<Rollout>,
     /// Where state is kept that outlives a kill or a power loss; none: nothing does.
-    pub memory: Option<Memory>,
+    pub persistence: Option<Persistence>,
     /// What tenants may borrow beyond their quota; none: nothing is lent.
-    pub lending: Option<Lending>,
+    pub quota_lending: Option<Lending>,
     /// When a site counts as lost and as back; none: sites are not watched.
     pub sites: Option<site_failover::Settings>,
     /// Time windows of the operators' file, in which a credit may be closed.
-    pub windows: Vec<Window>,
+    pub calendar_windows: Vec<Window>,
     /// The path of the operators' file that was read.
-    pub operators: Option<PathBuf>,
+    pub operators_file: Option<PathBuf>,
     /// The end of the process is announced to the balancers first.
     pub announce_end: bool,
     /// Networks of balancers that connect to the clients' listener only to check it.
-    pub checks: Vec<IpNet>,
+    pub check_networks: Vec<IpNet>,
     /// Networks of balancers that name their clients first, by the PROXY protocol.
-    pub proxy_from: Vec<IpNet>,
+    pub proxy_protocol_networks: Vec<IpNet>,
     /// Level and format of the log.
     pub logging: Logging,
     /// The list of record servers as this proxy last had it; it may be old.
@@ -93,17 +93,17 @@
     /// Where wall time is read.
     pub wall_clock: WallClock,
     /// What a later version of the platform's file has to state.
-    pub whole: RequiredKeys,
+    pub required_keys: RequiredKeys,
     /// A connection to a record server that is not made by then has failed.
     pub dial_timeout: Duration,
     /// Idle connections to record servers are closed after this, before the servers do it.
-    pub idle_limit: Duration,
-    /// A watch on discovery that says nothing for this long is broken.
-    pub watch_silence: Duration,
-    /// After being told to stop, new connections are accepted for this long.
-    pub linger: Duration,
-    /// This long after being told to stop, requests that are still open fail.
-    pub give_up: Duration,
+    pub upstream_idle_timeout: Duration,
+    /// A watch on discovery that sends nothing for this long is replaced.
+    pub max_watch_silence: Duration,
+    /// For this long after SIGTERM new connections are still accepted.
+    pub accept_after_stop: Duration,
+    /// Requests that are still open fail this long after SIGTERM.
+    pub shutdown_timeout: Duration,
 }
 
 impl Config {
@@ -112,8 +112,8 @@
         drain::Settings {
             balancers: self.balancers.clone(),
             announce_termination: self.announce_end,
-            linger: self.linger,
-            drain_timeout: self.give_up,
+            linger: self.accept_after_stop,
+            drain_timeout: self.shutdown_timeout,
         }
     }
 }
@@ -129,7 +129,7 @@
     pub idle: Duration,
     /// A client that takes nothing of its answers for this long is disconnected.
     pub unread_response: Duration,
-    /// A client that was told why its connection ends has this long to read it.
+    /// A client whose connection ends has this long to read the reason.
     pub linger: Duration,
     /// Most commands of one connection without an answer; further ones wait in its socket.
     pub max_pipelined: usize,
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -12,7 +12,7 @@
 use crate::event_loop::slab::Key;
 use crate::persistence::background_writer::BackgroundWriter;
 use crate::persistence::directory_lock::DirectoryLock;
-use configuration::model::Memory as Settings;
+use configuration::model::Persistence as Settings;
 use confirmations::{PendingConfirmations, SaveStatus};
 use maintenance::ManualExclusion;
 use persistent_state::{Action, Event, SavedList, SnapshotScheduler};
