--- a/crates/proxy-experiments/src/cli/trial.rs
+++ b/crates/proxy-experiments/src/cli/trial.rs
@@ -10,8 +10,8 @@
 use server_model::site::Status;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
-use testbed::truth::Outcomes;
-use testbed::{Rig, Setup};
+use testbed::history::Outcomes;
+use testbed::{Setup, Testbed};
 
 /// What the demonstration plays.
 const DEMO: &str = include_str!("../../../../lab/demo.conf");
@@ -56,16 +56,16 @@
         }
     };
     let mut told = false;
-    let out = trial::trial(&scenario, seed, adjust, |rig, marks| {
+    let out = trial::trial(&scenario, seed, adjust, |testbed, marks| {
         if !std::mem::replace(&mut told, true) {
-            for (n, proxy) in rig.proxies.iter().enumerate() {
+            for (n, proxy) in testbed.proxies.iter().enumerate() {
                 let number = proxy.process.as_ref().map_or(0, |p| p.number());
                 eprintln!("proxy {n}: process {number}");
             }
         }
         marks
             .iter()
-            .for_each(|mark| eprintln!("{:>6.1} s: {mark}", rig.truth.now() as f64 / 1e6));
+            .for_each(|mark| eprintln!("{:>6.1} s: {mark}", testbed.history.now() as f64 / 1e6));
     });
     let out = out.map_err(|fault| fault.to_string())?;
     summary(&scenario, &out);
@@ -95,7 +95,7 @@
         .clients
         .kinds
         .iter()
-        .zip(&out.books)
+        .zip(&out.accounts)
         .zip(&out.latencies)
     {
         let counts = [
@@ -113,7 +113,7 @@
         rows.add_row(row);
     }
     say!("{rows}");
-    let asked = out.books.iter().map(|b| b.asked).sum::<u64>().max(1) as f64;
+    let asked = out.accounts.iter().map(|b| b.asked).sum::<u64>().max(1) as f64;
     let (attempts, probes) = (out.attempts as f64 / asked, out.probes as f64 / asked);
     let dials = out.dials as f64 / asked;
     say!("attempts {attempts:.2}, probes {probes:.3} and dials {dials:.3} a request; {} tries died with a proxy, {} sent once more", out.gone, out.crossed);
@@ -133,7 +133,7 @@
         "p99 ms, virtual",
     ]);
     for (at, kind) in scenario.clients.kinds.iter().enumerate() {
-        let book = &out.books[at];
+        let book = &out.accounts[at];
         let (here, there) = (
             part(book.earned, book.worth),
             lab.kinds[at].goodput().unwrap_or(1.0),
@@ -171,7 +171,7 @@
             out.late().as_secs_f64() * 1e3
         ),
         None => {
-            let (late, most) = (out.late(), testbed::truth::LATE);
+            let (late, most) = (out.late(), testbed::history::LATE);
             return Err(format!(
                 "the rig was itself {late:?} late (99th percentile, {most:?} at most): it claims no goodput"
             ));
@@ -204,8 +204,8 @@
         &scenario,
         1,
         |_| {},
-        |rig, marks| {
-            let at = rig.truth.now() as f64 / 1e6;
+        |testbed, marks| {
+            let at = testbed.history.now() as f64 / 1e6;
             for mark in marks {
                 if !live {
                     say!("{at:>6.1} s: {mark}");
@@ -216,7 +216,7 @@
                 // The screen anew, from its top.
                 say!(
                     "\x1b[2J\x1b[H{at:.1} s\n{}",
-                    screen(&scenario, rig, &mut last)
+                    screen(&scenario, testbed, &mut last)
                 );
                 news.iter()
                     .rev()
@@ -232,9 +232,9 @@
 }
 
 /// Proxies, classes and servers as they are now; rates since the last look.
-fn screen(scenario: &Scenario, rig: &Rig, last: &mut Vec<u64>) -> String {
-    let books = rig.truth.books();
-    let inner = rig.truth.look();
+fn screen(scenario: &Scenario, testbed: &Testbed, last: &mut Vec<u64>) -> String {
+    let books = testbed.history.accounts();
+    let inner = testbed.history.lock();
     let mut now = Vec::new();
     let mut proxies = table(&[
         "proxy",
@@ -242,7 +242,7 @@
         "sent on a second",
         "connections of clients",
     ]);
-    for (n, proxy) in rig.proxies.iter().enumerate() {
+    for (n, proxy) in testbed.proxies.iter().enumerate() {
         let sent: u64 = inner
             .reached
             .iter()
--- a/crates/proxy-experiments/src/trial.rs
+++ b/crates/proxy-experiments/src/trial.rs
@@ -1,4 +1,4 @@
-//! Scenarios on the rig: the same day on real sockets, with processes of the real program.
+//! Scenarios on the testbed: the same day on real sockets, with processes of the real program.
 //!
 //! What a scenario says of the network is left to loopback; losses on it are played as they are on virtual time, by
 //! what is lost coming later.
@@ -12,10 +12,10 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
+use testbed::history::Outcomes;
 use testbed::link::Flow;
 use testbed::process::Fault;
-use testbed::truth::Outcomes;
-use testbed::{Rig, Setup};
+use testbed::{Setup, Testbed};
 
 /// Processes, and links from them to servers, that one machine bears.
 const PROXIES_MOST: usize = 64;
@@ -60,18 +60,18 @@
 struct Director<'a> {
     scenario: &'a Scenario,
     streams: Streams,
-    rig: Rig,
+    testbed: Testbed,
     agenda: BinaryHeap<Reverse<(Micros, Step)>>,
     /// Whom each trouble has struck.
     struck: Vec<(Vec<ServerIndex>, Vec<usize>)>,
 }
 
-/// Plays a scenario on what `adjust` has made of the usual setup; `watch` is shown the rig now and then, and what has just begun or ended.
+/// Plays a scenario on what `adjust` has made of the usual setup; `watch` is shown the testbed now and then, and what has just begun or ended.
 pub fn trial(
     scenario: &Scenario,
     seed: u64,
     adjust: impl FnOnce(&mut Setup),
-    mut watch: impl FnMut(&Rig, &[String]),
+    mut watch: impl FnMut(&Testbed, &[String]),
 ) -> Result<Outcomes, Fault> {
     if let Some(problem) = fault(scenario) {
         return Err(Fault::new(problem));
@@ -79,7 +79,7 @@
     let mut setup = Setup::new(scenario.site.clone(), scenario.clients.clone())?;
     (setup.list, setup.platform, setup.seed) = (scenario.catalog, scenario.platform.clone(), seed);
     adjust(&mut setup);
-    let rig = Rig::start(setup)?;
+    let testbed = Testbed::start(setup)?;
     let troubles = scenario.troubles.iter().enumerate();
     let mut agenda: BinaryHeap<_> = troubles
         .map(|(at, t)| Reverse((t.at, Step::Begins(at))))
@@ -89,11 +89,11 @@
     let mut director = Director {
         scenario,
         streams: Streams::new(seed),
-        rig,
+        testbed,
         agenda,
         struck,
     };
-    director.rig.truth.begin();
+    director.testbed.history.begin();
     let mut marks = Vec::new();
     // What is to happen later than the last request has no one to see it.
     while let Some(Reverse((at, step))) = director
@@ -101,17 +101,17 @@
         .pop()
         .filter(|Reverse((at, _))| *at < scenario.length())
     {
-        let wait = Duration::from_micros(at.saturating_sub(director.rig.truth.now()));
+        let wait = Duration::from_micros(at.saturating_sub(director.testbed.history.now()));
         std::thread::sleep(wait);
         if step == Step::Glance {
-            watch(&director.rig, &marks);
+            watch(&director.testbed, &marks);
             marks.clear();
             director.agenda.push(Reverse((at + GLANCE, Step::Glance)));
         } else {
             marks.extend(director.step(at, step)?);
         }
     }
-    director.rig.finish()
+    director.testbed.finish()
 }
 
 impl Director<'_> {
@@ -120,8 +120,8 @@
             Step::Begins(at) => self.begins(now, at),
             Step::Over(at) => return self.over(at),
             Step::Drains(server) => {
-                if self.rig.truth.look().site.status(server) == Status::Ready {
-                    self.rig.truth.trouble(Trouble::Drain(server));
+                if self.testbed.history.lock().site.status(server) == Status::Ready {
+                    self.testbed.history.inject_fault(Trouble::Drain(server));
                     self.agenda
                         .push(Reverse((now + LINGER, Step::Replaced(server))));
                 }
@@ -129,11 +129,13 @@
             }
             Step::Replaced(server) => {
                 let (group, place) = {
-                    let inner = self.rig.truth.look();
+                    let inner = self.testbed.history.lock();
                     (inner.site.group(server), inner.site.place(server))
                 };
-                self.rig.truth.trouble(Trouble::Retire(server));
-                self.rig.truth.trouble(Trouble::Join { group, place });
+                self.testbed.history.inject_fault(Trouble::Retire(server));
+                self.testbed
+                    .history
+                    .inject_fault(Trouble::Join { group, place });
                 return Ok(None);
             }
             Step::Glance => return Ok(None),
@@ -147,38 +149,38 @@
     fn each(&self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
         servers
             .iter()
-            .for_each(|server| self.rig.truth.trouble(trouble(*server)));
+            .for_each(|server| self.testbed.history.inject_fault(trouble(*server)));
     }
 
     /// The servers that a trouble of slowness is of: all, if none is named.
     fn slowed(&self, at: usize) -> Vec<ServerIndex> {
         match self.scenario.troubles[at].targets.is_empty() {
-            true => self.rig.truth.look().site.servers().collect(),
+            true => self.testbed.history.lock().site.servers().collect(),
             false => self.struck[at].0.clone(),
         }
     }
 
     fn all(&self) -> Vec<usize> {
-        (0..self.rig.proxies.len()).collect()
+        (0..self.testbed.proxies.len()).collect()
     }
 
     fn begins(&mut self, now: Micros, at: usize) {
         let trouble = &self.scenario.troubles[at];
         let servers = struck(
-            &self.rig.truth.look().site,
+            &self.testbed.history.lock().site,
             &trouble.targets,
             &self.streams,
             at,
         );
         let proxies = struck_proxies(
-            self.rig.proxies.len(),
+            self.testbed.proxies.len(),
             self.scenario.site.places,
             &trouble.targets,
         );
         self.agenda
             .push(Reverse((now.saturating_add(trouble.span), Step::Over(at))));
         self.struck[at] = (servers.clone(), proxies.clone());
-        let truth = self.rig.truth.clone();
+        let history = self.testbed.history.clone();
         match trouble.what {
             What::Die => self.each(&servers, Trouble::Die),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: true }),
@@ -190,33 +192,33 @@
                 span: trouble.span,
             }),
             What::Deploy => {
-                let (servers, gap) = rolling(&truth.look().site, servers, trouble.span);
+                let (servers, gap) = rolling(&history.lock().site, servers, trouble.span);
                 for (n, server) in (0..).zip(servers) {
                     self.agenda
                         .push(Reverse((now + gap * n, Step::Drains(server))));
                 }
             }
-            What::ListBehind(more) => truth.list(catalog::Event::Behind(more)),
-            What::ListDown => truth.list(catalog::Event::Down(true)),
-            What::Surge(times, tenant) => truth.surge(tenant, times),
+            What::ListBehind(more) => history.list(catalog::Event::Behind(more)),
+            What::ListDown => history.list(catalog::Event::Down(true)),
+            What::Surge(times, tenant) => history.surge(tenant, times),
             What::Cut { place, back_only } => {
                 let there = if back_only { Flow::Passes } else { Flow::Cut };
-                self.rig
+                self.testbed
                     .links(&proxies, Some(place))
                     .iter()
                     .for_each(|link| link.set(there, Flow::Cut));
             }
-            What::Split(place) => truth.trouble(Trouble::Split(place)),
+            What::Split(place) => history.inject_fault(Trouble::Split(place)),
             What::Loss(part) => {
                 let resend = Duration::from_micros(self.scenario.network.resend);
                 let flow = Flow::Lossy { part, resend };
-                self.rig
+                self.testbed
                     .links(&self.all(), None)
                     .iter()
                     .for_each(|link| link.set(flow, flow));
             }
-            What::ProxyDies => proxies.iter().for_each(|proxy| self.rig.kill(*proxy)),
-            // What proxies say to each other does not pass the rig's links.
+            What::ProxyDies => proxies.iter().for_each(|proxy| self.testbed.kill(*proxy)),
+            // What proxies say to each other does not pass the testbed's links.
             What::Apart => {}
         }
     }
@@ -224,7 +226,7 @@
     fn over(&mut self, at: usize) -> Result<Option<String>, Fault> {
         let trouble = &self.scenario.troubles[at];
         let (servers, proxies) = self.struck[at].clone();
-        let truth = self.rig.truth.clone();
+        let history = self.testbed.history.clone();
         match trouble.what {
             What::Die => self.each(&servers, Trouble::Start),
             What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: false }),
@@ -233,23 +235,23 @@
                 times: 1.0,
             }),
             What::Hold | What::Deploy | What::Apart => {}
-            What::ListBehind(_) => truth.list(catalog::Event::Behind(0)),
-            What::ListDown => truth.list(catalog::Event::Down(false)),
-            What::Surge(_, tenant) => truth.surge(tenant, 1.0),
+            What::ListBehind(_) => history.list(catalog::Event::Behind(0)),
+            What::ListDown => history.list(catalog::Event::Down(false)),
+            What::Surge(_, tenant) => history.surge(tenant, 1.0),
             What::Cut { place, .. } => self
-                .rig
+                .testbed
                 .links(&proxies, Some(place))
                 .iter()
                 .for_each(|link| link.heal()),
-            What::Split(_) => truth.trouble(Trouble::Meet),
+            What::Split(_) => history.inject_fault(Trouble::Meet),
             What::Loss(_) => self
-                .rig
+                .testbed
                 .links(&self.all(), None)
                 .iter()
                 .for_each(|link| link.heal()),
             What::ProxyDies => proxies
                 .iter()
-                .try_for_each(|proxy| self.rig.restart(*proxy))?,
+                .try_for_each(|proxy| self.testbed.restart(*proxy))?,
         }
         Ok(Some(format!("{} is over", trouble.name)))
     }
--- a/crates/proxy-experiments/tests/trial.rs
+++ b/crates/proxy-experiments/tests/trial.rs
@@ -21,18 +21,18 @@
     path
 }
 
-/// Killed with no time to tidy up, the rig leaves no process behind.
+/// Killed with no time to tidy up, the testbed leaves no process behind.
 #[test]
 fn a_rig_that_is_killed_leaves_no_process() {
     let path = file(&format!("{DAY}scenario s {{\n length 60s\n load l\n}}\n"));
-    let mut rig = lab()
+    let mut testbed = lab()
         .arg("trial")
         .arg(&path)
         .stderr(Stdio::piped())
         .stdout(Stdio::null())
         .spawn()
         .unwrap();
-    let mut lines = BufReader::new(rig.stderr.take().unwrap())
+    let mut lines = BufReader::new(testbed.stderr.take().unwrap())
         .lines()
         .map(Result::unwrap);
     let mut numbers = Vec::new();
@@ -45,8 +45,8 @@
     for process in &processes {
         test_kill_process(*process).expect("it runs");
     }
-    kill_process(Pid::from_child(&rig), Signal::KILL).unwrap();
-    rig.wait().unwrap();
+    kill_process(Pid::from_child(&testbed), Signal::KILL).unwrap();
+    testbed.wait().unwrap();
     let until = Instant::now() + PATIENCE;
     for process in processes {
         // Whoever inherits what is left of it takes it away in its own time: a process that has ended is enough.
--- a/crates/testbed/src/books.rs
+++ b/crates/testbed/src/accounts.rs
@@ -1,7 +1,7 @@
 //! What proxies tell of loans and rollouts on their second addresses, for the checkers of what many do together.
 
 use crate::process::Fault;
-use crate::Rig;
+use crate::Testbed;
 use invariant_checkers::loans::{self, Book};
 use invariant_checkers::versions::{self, Look, Version};
 use rustc_hash::FxHashMap;
@@ -67,15 +67,15 @@
     })
 }
 
-impl Rig {
+impl Testbed {
     /// A round of looks at the loans of these proxies; each has to be alive.
-    pub fn look_at_loans(
+    pub fn check_loans(
         &self,
         proxies: impl IntoIterator<Item = usize>,
         checker: &mut loans::Checker,
     ) -> Result<(), Fault> {
         for proxy in proxies {
-            let figures = self.figures(proxy)?;
+            let figures = self.metrics(proxy)?;
             let fault = |problem| Fault::new(format!("figures of proxy {proxy}: {problem}"));
             let books = books(&figures).map_err(fault)?;
             let start = figures
@@ -94,14 +94,14 @@
     /// A round of looks at the versions that these proxies are to run; each has to be alive. `now`: since any instant
     /// before the first round. Versions are told apart by their epochs: the file that runs, and halts of other proposals
     /// than the one that a proxy goes by, are in no figure.
-    pub fn look_at_versions(
+    pub fn check_versions(
         &self,
         proxies: impl IntoIterator<Item = usize>,
         now: Duration,
         checker: &mut versions::Checker,
     ) -> Result<(), Fault> {
         for proxy in proxies {
-            let figures = self.figures(proxy)?;
+            let figures = self.metrics(proxy)?;
             let process = self.proxies[proxy]
                 .process
                 .as_ref()
@@ -124,24 +124,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn books_are_read_by_stand_and_whole() {
-        let parts = ["lent", "repaid", "written_off", "owed", "part", "line"];
-        let names = parts.map(|part| format!("lb_loan_{part}_milli{{stand=\"bus 7\"}}"));
-        let mut figures: Told = names.into_iter().zip(1..).collect();
-        let book = Book {
-            lent: 1,
-            repaid: 2,
-            written_off: 3,
-            owed: 4,
-            part: 5,
-            line: 6,
-        };
-        assert_eq!(books(&figures), Ok(vec![("bus 7", book)]));
-        figures.remove("lb_loan_owed_milli{stand=\"bus 7\"}");
-        assert!(books(&figures).is_err_and(|problem| problem.contains("lb_loan_owed_milli")));
-    }
-}
+mod tests;
--- a/crates/testbed/src/datagrams.rs
+++ b/crates/testbed/src/datagrams.rs
@@ -1,6 +1,6 @@
 //! A relay for the datagrams from one proxy to another, and what goes wrong on the way.
 
-use crate::process::{Fault, PATIENCE};
+use crate::process::{Fault, EVENT_TIMEOUT};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustix::net::{sendto, SendFlags};
@@ -23,6 +23,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Flow {
     #[default]
+    /// Forwarded at once.
     Passes,
     /// All are dropped, with what is on its way.
     Cut,
@@ -32,9 +33,12 @@
 
 /// What happens on the way from one proxy to another. Shares are of all that come, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct DatagramFaults {
+    /// What happens to every datagram.
     pub flow: Flow,
+    /// Dropped.
     pub lost: f64,
+    /// Sent twice.
     pub doubled: f64,
     /// Held behind the next one.
     pub reordered: f64,
@@ -42,11 +46,11 @@
     pub corrupted: f64,
 }
 
-impl From<Flow> for Way {
-    fn from(flow: Flow) -> Way {
-        Way {
+impl From<Flow> for DatagramFaults {
+    fn from(flow: Flow) -> DatagramFaults {
+        DatagramFaults {
             flow,
-            ..Way::default()
+            ..DatagramFaults::default()
         }
     }
 }
@@ -54,25 +58,34 @@
 /// What became of the datagrams of a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Received from the sender.
     pub came: u64,
     /// Sent on, twins too.
     pub passed: u64,
     /// Dropped: by a cut, by a share, for want of an address, too many that are late, and not taken by the system.
     pub cut: u64,
+    /// Dropped by the share of losses.
     pub lost: u64,
+    /// Dropped because the link has no target.
     pub unknown: u64,
+    /// Dropped because too many were delayed.
     pub over: u64,
+    /// Not accepted by the operating system.
     pub failed: u64,
     /// What was done to some of them.
     pub doubled: u64,
+    /// Delayed, duplicates included.
     pub late: u64,
+    /// Sent behind a later one.
     pub reordered: u64,
+    /// Sent with one bit flipped.
     pub corrupted: u64,
     /// Late or held back at present.
     pub waiting: u64,
 }
 
 impl Counts {
+    /// The sum of all that were not forwarded.
     pub fn dropped(&self) -> u64 {
         self.cut + self.lost + self.unknown + self.over + self.failed
     }
@@ -85,7 +98,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    way: Way,
+    way: DatagramFaults,
     /// Grows with each cut: one that is healed before the relay has seen it is still one.
     cuts: u64,
     target: Option<SocketAddr>,
@@ -93,16 +106,16 @@
 
 /// One direction between two proxies.
 #[derive(Clone, Debug)]
-pub struct Talk {
+pub struct DatagramLink {
     /// Where the sender finds the receiver.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     counts: Arc<watch::Sender<Counts>>,
 }
 
-impl Talk {
+impl DatagramLink {
     /// A relay on a port of its own that leads nowhere yet.
-    pub fn open(on: &Handle, seed: u64) -> Result<Talk, Fault> {
+    pub fn open(on: &Handle, seed: u64) -> Result<DatagramLink, Fault> {
         let bound = Bound::bind("127.0.0.1:0").and_then(|socket| {
             socket.set_nonblocking(true)?;
             let address = socket.local_addr()?;
@@ -111,14 +124,14 @@
         });
         let (socket, address) =
             bound.map_err(|e| Fault::new(format!("no port for datagrams: {e}")))?;
-        let talk = Talk {
+        let link = DatagramLink {
             address,
             state: Arc::default(),
             counts: Arc::default(),
         };
         let relay = Relay {
             socket,
-            talk: talk.clone(),
+            link: link.clone(),
             draws: Xoshiro256PlusPlus::seed_from_u64(seed),
             held: None,
             late: BTreeMap::new(),
@@ -126,15 +139,16 @@
             cuts: 0,
         };
         on.spawn(relay.serve());
-        Ok(talk)
+        Ok(link)
     }
 
-    pub fn lead_to(&self, target: Option<SocketAddr>) {
+    /// Datagrams go to this address from now on; none: they are dropped.
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
 
     /// Once a cut has returned, nothing leaves until it is healed. Shares are of what comes from now on.
-    pub fn set(&self, way: impl Into<Way>) {
+    pub fn set(&self, way: impl Into<DatagramFaults>) {
         let way = way.into();
         self.change(|state| state.way = way);
     }
@@ -153,13 +167,15 @@
 
     /// All passes again; what was held behind others comes now.
     pub fn heal(&self) {
-        self.set(Way::default());
+        self.set(DatagramFaults::default());
     }
 
-    pub fn way(&self) -> Way {
+    /// The faults set at present.
+    pub fn way(&self) -> DatagramFaults {
         self.state.borrow().way
     }
 
+    /// The counts so far.
     pub fn counts(&self) -> Counts {
         *self.counts.borrow()
     }
@@ -168,7 +184,7 @@
     pub async fn until(&self, is: impl FnMut(&Counts) -> bool) -> Result<Counts, Fault> {
         let mut watched = self.counts.subscribe();
         // The sender lives as long as this handle: it is patience that ends, if anything.
-        let found = tokio::time::timeout(PATIENCE, watched.wait_for(is)).await;
+        let found = tokio::time::timeout(EVENT_TIMEOUT, watched.wait_for(is)).await;
         let found = found.ok().and_then(|seen| seen.ok().map(|counts| *counts));
         found.ok_or_else(|| {
             Fault::new(format!(
@@ -180,7 +196,7 @@
 }
 
 /// What was drawn for one datagram.
-struct Fate {
+struct DrawnFaults {
     lost: bool,
     doubled: bool,
     reordered: bool,
@@ -190,13 +206,13 @@
     late: f64,
 }
 
-impl Fate {
+impl DrawnFaults {
     /// Always as many draws, in one order: what becomes of a datagram does not depend on what was set for those before.
-    fn draw(draws: &mut impl Rng, way: &Way) -> Fate {
+    fn draw(draws: &mut impl Rng, way: &DatagramFaults) -> DrawnFaults {
         let mut falls = |share: f64| draws.random::<f64>() < share;
         let (lost, doubled) = (falls(way.lost), falls(way.doubled));
         let (reordered, corrupted) = (falls(way.reordered), falls(way.corrupted));
-        Fate {
+        DrawnFaults {
             lost,
             doubled,
             reordered,
@@ -208,13 +224,13 @@
 }
 
 /// A datagram, once or twice, and how much later it goes.
-struct Piece {
+struct QueuedDatagram {
     bytes: Vec<u8>,
     twice: bool,
     later: Option<Duration>,
 }
 
-impl Piece {
+impl QueuedDatagram {
     fn copies(&self) -> u64 {
         1 + u64::from(self.twice)
     }
@@ -222,11 +238,11 @@
 
 struct Relay {
     socket: UdpSocket,
-    talk: Talk,
+    link: DatagramLink,
     draws: Xoshiro256PlusPlus,
-    held: Option<Piece>,
+    held: Option<QueuedDatagram>,
     /// By when they go, and how many had come before.
-    late: BTreeMap<(Instant, u64), Piece>,
+    late: BTreeMap<(Instant, u64), QueuedDatagram>,
     counts: Counts,
     /// The cuts that it has seen.
     cuts: u64,
@@ -241,7 +257,7 @@
 impl Relay {
     async fn serve(mut self) {
         let mut bytes = vec![0; LONGEST];
-        let mut state = self.talk.state.subscribe();
+        let mut state = self.link.state.subscribe();
         loop {
             let next = self.late.keys().next().map(|(at, _)| *at);
             let due = async {
@@ -267,15 +283,15 @@
                 .late
                 .values()
                 .chain(self.held.as_ref())
-                .map(Piece::copies)
+                .map(QueuedDatagram::copies)
                 .sum();
-            self.talk.counts.send_replace(self.counts);
+            self.link.counts.send_replace(self.counts);
         }
     }
 
     /// Does what was set since it last looked, before anything else.
     fn follow(&mut self) {
-        let State { way, cuts, .. } = *self.talk.state.borrow();
+        let State { way, cuts, .. } = *self.link.state.borrow();
         if cuts > self.cuts {
             self.cuts = cuts;
             let late = std::mem::take(&mut self.late).into_values();
@@ -303,8 +319,8 @@
 
     fn came(&mut self, bytes: &[u8]) {
         self.counts.came += 1;
-        let way = self.talk.way();
-        let fate = Fate::draw(&mut self.draws, &way);
+        let way = self.link.way();
+        let fate = DrawnFaults::draw(&mut self.draws, &way);
         if way.flow == Flow::Cut {
             self.counts.cut += 1;
             return;
@@ -324,7 +340,7 @@
             Flow::Late(least, most) => Some(least + most.saturating_sub(least).mul_f64(fate.late)),
             Flow::Passes | Flow::Cut => None,
         };
-        let piece = Piece {
+        let piece = QueuedDatagram {
             bytes,
             twice: fate.doubled,
             later,
@@ -342,7 +358,7 @@
         }
     }
 
-    fn sets_out(&mut self, piece: Piece) {
+    fn sets_out(&mut self, piece: QueuedDatagram) {
         let Some(later) = piece.later else {
             return self.go(&piece);
         };
@@ -355,9 +371,9 @@
             .insert((Instant::now() + later, self.counts.late), piece);
     }
 
-    fn go(&mut self, piece: &Piece) {
+    fn go(&mut self, piece: &QueuedDatagram) {
         // Held while it is sent: whoever cuts waits for it, and nothing goes afterwards.
-        let state = self.talk.state.borrow();
+        let state = self.link.state.borrow();
         for _ in 0..piece.copies() {
             let count = match state.target {
                 _ if state.way.flow == Flow::Cut => &mut self.counts.cut,
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The list's service on a socket: for each proxy one, as addresses differ from proxy to proxy.
 
+use crate::history::History;
 use crate::link;
 use crate::process::Fault;
-use crate::truth::Truth;
 use rustc_hash::FxHashMap;
 use serde_json::json;
 use server_model::catalog::{Action, Event, Record};
@@ -21,6 +21,7 @@
 /// Of a call's head.
 const HEAD_LIMIT: usize = 16 << 10;
 
+/// What the list calls a place.
 pub fn zone(place: u16) -> String {
     format!("p{place}")
 }
@@ -32,7 +33,7 @@
 
 /// The list as a proxy is told it.
 pub fn listing(
-    truth: &Truth,
+    history: &History,
     addresses: &Addresses,
     proxy: usize,
     index: u64,
@@ -51,15 +52,16 @@
         json!({
             "name": name(record.server), "address": address.unwrap_or_default(),
             "zone": zone(record.place), "type": "std", "group": record.group, "status": status,
-            "weight": 1.0, "since_ms": truth.unix(record.started).as_millis() as u64,
+            "weight": 1.0, "since_ms": history.unix(record.started).as_millis() as u64,
         })
     };
     let endpoints: Vec<_> = records.iter().map(entry).collect();
     json!({"index": index, "snapshot": whole, "endpoints": endpoints})
 }
 
+/// Opens a proxy's listener of the list's service.
 pub async fn open(
-    truth: Truth,
+    history: History,
     proxy: usize,
     addresses: Arc<watch::Sender<Addresses>>,
 ) -> Result<SocketAddr, Fault> {
@@ -70,9 +72,9 @@
         .map_err(|e| Fault::new(format!("discovery: {e}")))?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (truth, addresses) = (truth.clone(), Arc::clone(&addresses));
+            let (history, addresses) = (history.clone(), Arc::clone(&addresses));
             tokio::spawn(async move {
-                _ = call(&truth, proxy, &addresses, &stream).await;
+                _ = call(&history, proxy, &addresses, &stream).await;
             });
         }
     });
@@ -92,7 +94,7 @@
 }
 
 async fn call(
-    truth: &Truth,
+    history: &History,
     proxy: usize,
     addresses: &watch::Sender<Addresses>,
     stream: &TcpStream,
@@ -111,7 +113,7 @@
     }
     let stays = word("watch") == Some("1");
     let after = word("after").and_then(|n| n.parse().ok()).unwrap_or(0);
-    let mut news = truth.watch(proxy, after);
+    let mut news = history.watch(proxy, after);
     let mut begun = false;
     let mut gone = [0; 64];
     loop {
@@ -125,7 +127,7 @@
             _ = link::read(stream, &mut gone) => {
                 // A watch that has taken its place is not this one's to end.
                 if !news.is_closed() {
-                    truth.list(Event::Leave(proxy));
+                    history.list(Event::Leave(proxy));
                 }
                 return Ok(());
             }
@@ -147,8 +149,15 @@
         // A server that has only just come may still be without its links.
         let known = |a: &Addresses| records.iter().all(|r| a.contains_key(&(proxy, r.server)));
         _ = addresses.subscribe().wait_for(known).await;
-        let line =
-            listing(truth, &addresses.borrow(), proxy, index, complete, &records).to_string();
+        let line = listing(
+            history,
+            &addresses.borrow(),
+            proxy,
+            index,
+            complete,
+            &records,
+        )
+        .to_string();
         let length = line.len() + 1;
         let text = if stays {
             let head =
@@ -163,10 +172,10 @@
             )
         };
         link::write_all(stream, text.as_bytes()).await?;
-        truth.told(proxy, &records);
+        history.notified(proxy, &records);
         begun = true;
         if !stays {
-            truth.list(Event::Leave(proxy));
+            history.list(Event::Leave(proxy));
             return Ok(());
         }
     }
--- a/crates/testbed/src/ghost.rs
+++ b/crates/testbed/src/fake_member.rs
@@ -1,9 +1,9 @@
-//! A member of the fleet that the rig plays itself: it is heard under a proxy's name, by any start, and says what no proxy
+//! A member of the fleet that the testbed plays itself: it is heard under a proxy's name, by any start, and says what no proxy
 //! would. So what a clock that is wrong, or a proxy that lies well, comes to is seen at the others.
 
 use crate::members::KEY_FILE;
-use crate::process::{lock, Fault, PATIENCE};
-use crate::Rig;
+use crate::process::{lock, Fault, EVENT_TIMEOUT};
+use crate::Testbed;
 use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
 use membership::{Action, Config, Core, Event, Fact, Member, QuorumState, Roster};
 use std::net::UdpSocket;
@@ -19,9 +19,12 @@
 
 /// What it is to say, as a proxy's room would.
 #[derive(Clone, Debug)]
-pub struct Saying {
+pub struct PublishedFact {
+    /// The fact's kind, as `membership` numbers them.
     pub kind: u8,
+    /// The encoded fact.
     pub body: Vec<u8>,
+    /// How long receivers keep it.
     pub lasts: Duration,
 }
 
@@ -35,27 +38,30 @@
 type Shared = Arc<(Mutex<Known>, Condvar)>;
 
 /// It is heard for as long as this lives.
-pub struct Ghost {
-    wishes: Option<Sender<Saying>>,
+pub struct FakeMember {
+    commands: Option<Sender<PublishedFact>>,
     known: Shared,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Ghost {
+impl FakeMember {
+    /// Publishes a fact under the proxy's name.
     pub fn say(&self, kind: u8, body: Vec<u8>, lasts: Duration) {
-        if let Some(wishes) = &self.wishes {
-            // It hears wishes until it is let go.
-            _ = wishes.send(Saying { kind, body, lasts });
+        if let Some(commands) = &self.commands {
+            // It hears commands until it is let go.
+            _ = commands.send(PublishedFact { kind, body, lasts });
         }
     }
 
     /// Until all others are heard, and so have answered it.
-    pub fn until_whole(&self) -> Result<(), Fault> {
-        self.until("the ghost hears all", |known| known.whole.then_some(()))
+    pub fn wait_until_complete(&self) -> Result<(), Fault> {
+        self.until("the fake member hears all", |known| {
+            known.whole.then_some(())
+        })
     }
 
     /// Until another has said something of that kind that is wanted; what that is.
-    pub fn until_said<T>(
+    pub fn wait_for_fact<T>(
         &self,
         kind: u8,
         mut wanted: impl FnMut(&Fact) -> Option<T>,
@@ -80,7 +86,7 @@
     }
 
     fn until<T>(&self, what: &str, mut is: impl FnMut(&Known) -> Option<T>) -> Result<T, Fault> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + EVENT_TIMEOUT;
         let (known, changed) = &*self.known;
         let mut known = lock(known);
         loop {
@@ -99,33 +105,33 @@
     }
 }
 
-impl Drop for Ghost {
+impl Drop for FakeMember {
     fn drop(&mut self) {
-        self.wishes = None;
+        self.commands = None;
         if let Some(thread) = self.thread.take() {
             _ = thread.join();
         }
     }
 }
 
-impl Rig {
-    /// In the place of a proxy that has no process; what is for that goes to the ghost from now on, until the proxy is
+impl Testbed {
+    /// In the place of a proxy that has no process; what is for that goes to the fake member from now on, until the proxy is
     /// killed or started. `start`: in Unix milliseconds.
-    pub fn ghost(&self, proxy: usize, start: u64) -> Result<Ghost, Fault> {
+    pub fn fake_member(&self, proxy: usize, start: u64) -> Result<FakeMember, Fault> {
         let fault = |what: &str, why: &dyn std::fmt::Display| {
-            Fault::new(format!("a ghost of {proxy}: {what}: {why}"))
+            Fault::new(format!("a fake member of {proxy}: {what}: {why}"))
         };
         let stated = self
             .setup
             .members
             .as_ref()
-            .ok_or_else(|| Fault::new("the rig has no members"))?;
+            .ok_or_else(|| Fault::new("the testbed has no members"))?;
         let mut members = Vec::new();
         for member in (0..self.setup.clients.proxies).filter(|member| stated.lists(*member)) {
             // Nothing is sent to its own place.
             let address = match member == proxy {
                 true => ([127, 0, 0, 1], 9).into(),
-                false => self.talk(proxy, member)?.address,
+                false => self.datagram_link(proxy, member)?.address,
             };
             members.push(Member {
                 name: name(member),
@@ -150,8 +156,8 @@
         let core =
             Core::new(config, self.setup.seed ^ start).map_err(|e| fault("its roster", &e))?;
         let known = Shared::default();
-        let (wishes, wanted) = channel();
-        let life = Life {
+        let (commands, wanted) = channel();
+        let life = Runner {
             core,
             version: stated.version,
             sealer: Sealer::new(name(proxy), start, keys.clone()),
@@ -162,12 +168,12 @@
             known: Arc::clone(&known),
         };
         let thread = thread::Builder::new()
-            .name(format!("ghost-{proxy}"))
+            .name(format!("fake-member-{proxy}"))
             .spawn(move || life.live(&wanted));
         let thread = thread.map_err(|e| fault("its thread", &e))?;
-        self.lead_talk(proxy, Some(address));
-        Ok(Ghost {
-            wishes: Some(wishes),
+        self.set_datagram_target(proxy, Some(address));
+        Ok(FakeMember {
+            commands: Some(commands),
             known,
             thread: Some(thread),
         })
@@ -178,7 +184,7 @@
     format!("n{proxy}")
 }
 
-struct Life {
+struct Runner {
     core: Core,
     version: u64,
     sealer: Sealer,
@@ -189,15 +195,15 @@
     known: Shared,
 }
 
-impl Life {
-    fn live(mut self, wanted: &Receiver<Saying>) {
+impl Runner {
+    fn live(mut self, wanted: &Receiver<PublishedFact>) {
         self.handle(Event::Start);
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             loop {
                 use std::sync::mpsc::TryRecvError::{Disconnected, Empty};
                 match wanted.try_recv() {
-                    Ok(Saying { kind, body, lasts }) => {
+                    Ok(PublishedFact { kind, body, lasts }) => {
                         self.handle(Event::Publish {
                             kind,
                             key: Vec::new(),
--- /dev/null
+++ b/crates/testbed/src/history/mod.rs
@@ -0,0 +1,362 @@
+//! Everything that happens on the testbed, in one order: the model of record servers, the list and the clients, the ledger
+//! of what was asked, ran and was answered. Its faces on sockets bring events, one at a time, and get answers.
+
+mod messages;
+mod outcomes;
+mod requests;
+mod state;
+
+pub use messages::{ClientTask, ServerReply};
+pub use outcomes::{ClassAccount, Outcomes, LATE};
+pub use state::State;
+
+use crate::process::{self, Fault};
+use invariant_checkers::{Checker, Final, Rule};
+use server_model::catalog::{self, Record};
+use server_model::clients::{self, Need, Try, TryId};
+use server_model::site::{self, ServerIndex, Status, Trouble};
+use server_model::Micros;
+use state::{TimerKind, DEATH_NOTICE_US};
+use std::cmp::Reverse;
+use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use tokio::sync::{mpsc, oneshot, watch, Notify};
+
+/// The history and its clock.
+#[derive(Clone)]
+pub struct History {
+    state: Arc<Mutex<State>>,
+    /// When clients began to ask, also as Unix time; until then its clock stands at 0.
+    start: Arc<OnceLock<(Instant, Duration)>>,
+    sooner: Arc<Notify>,
+    changed: Arc<watch::Sender<u64>>,
+}
+
+/// What the history's faces wait on.
+pub struct Outputs {
+    /// Servers that are new.
+    pub new_servers: mpsc::UnboundedReceiver<ServerIndex>,
+    /// Attempts that clients are to make.
+    pub client_tasks: mpsc::UnboundedReceiver<ClientTask>,
+}
+
+impl History {
+    /// Models at time 0. `tries` and `drain_grace` are the platform's bounds that the checker enforces.
+    pub fn new(
+        site: site::Settings,
+        list: catalog::Settings,
+        clients: clients::Settings,
+        tries: u16,
+        drain_grace: Duration,
+        seed: u64,
+    ) -> (History, Outputs) {
+        let (new_servers, servers) = mpsc::unbounded_channel();
+        let (client_tasks, tasks) = mpsc::unbounded_channel();
+        let checker = Checker::new(tries, drain_grace.as_micros() as Micros);
+        let state = State::new(
+            (site, list, clients),
+            checker,
+            seed,
+            (new_servers, client_tasks),
+        );
+        let history = History {
+            state: Arc::new(Mutex::new(state)),
+            start: Arc::default(),
+            sooner: Arc::new(Notify::new()),
+            changed: Arc::new(watch::Sender::new(0)),
+        };
+        (
+            history,
+            Outputs {
+                new_servers: servers,
+                client_tasks: tasks,
+            },
+        )
+    }
+
+    /// Microseconds since [`History::begin`]; 0 before.
+    pub fn now(&self) -> Micros {
+        self.start
+            .get()
+            .map_or(0, |(start, _)| start.elapsed().as_micros() as Micros)
+    }
+
+    /// A time of the model as Unix time; 0, which stands for long ago, stays 0.
+    pub fn unix(&self, at: Micros) -> Duration {
+        let epoch = self.start.get().filter(|_| at > 0).map(|(_, epoch)| *epoch);
+        epoch.map_or(Duration::ZERO, |epoch| epoch + Duration::from_micros(at))
+    }
+
+    fn with<R>(&self, act: impl FnOnce(&mut State, Micros) -> R) -> R {
+        let mut state = process::lock(&self.state);
+        let before = state.timers.peek().map(|Reverse((at, _))| *at);
+        let did = act(&mut state, self.now());
+        if state.timers.peek().map(|Reverse((at, _))| *at) != before {
+            self.sooner.notify_one();
+        }
+        drop(state);
+        self.changed.send_modify(|n| *n += 1);
+        did
+    }
+
+    /// What became of each class's requests so far.
+    pub fn accounts(&self) -> Vec<ClassAccount> {
+        self.lock().accounts.clone()
+    }
+
+    /// A look at all of it.
+    pub fn lock(&self) -> MutexGuard<'_, State> {
+        process::lock(&self.state)
+    }
+
+    /// Waits for something to become true, however long that takes within the testbed's patience.
+    pub async fn until(&self, what: &str, mut is: impl FnMut(&State) -> bool) -> Result<(), Fault> {
+        let mut changed = self.changed.subscribe();
+        let waited = tokio::time::timeout(crate::process::EVENT_TIMEOUT, async {
+            while !is(&self.lock()) {
+                if changed.changed().await.is_err() {
+                    break;
+                }
+            }
+        });
+        waited
+            .await
+            .map_err(|_| Fault::new(format!("it does not come to this: {what}")))
+    }
+
+    /// Does what is due, until the testbed ends.
+    pub async fn run(self) {
+        loop {
+            let due = self.with(|state, now| {
+                state.due(now);
+                state.timers.peek().map(|Reverse((at, _))| *at)
+            });
+            let wait = due.map_or(Duration::from_secs(1), |at| {
+                Duration::from_micros(at.saturating_sub(self.now()))
+            });
+            tokio::select! {
+                () = tokio::time::sleep(wait) => {}
+                () = self.sooner.notified() => {}
+            }
+        }
+    }
+
+    /// Clients begin to ask, and time to pass.
+    pub fn begin(&self) {
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        _ = self.start.set((Instant::now(), unix));
+        self.with(|state, now| state.clients(clients::Event::Start, now));
+    }
+
+    /// A fault of a record server or of the network between places begins or ends.
+    pub fn inject_fault(&self, trouble: Trouble) {
+        self.with(|state, now| state.site(site::Event::Trouble(trouble), now));
+    }
+
+    /// Multiplies the request rate of a tenant, or of all.
+    pub fn surge(&self, tenant: Option<usize>, times: f64) {
+        self.with(|state, now| state.clients(clients::Event::Surge { tenant, times }, now));
+    }
+
+    // ---- Record servers ----
+
+    /// A connection has been asked for: whether it is taken.
+    pub fn dial(&self, server: ServerIndex) -> bool {
+        self.with(|state, now| {
+            let mut actions = Vec::new();
+            let up = state.site.dial(server, now, &mut actions);
+            state.rejected_connections += u64::from(!up && state.site.runs(server));
+            state.apply_site_actions(actions, now);
+            up
+        })
+    }
+
+    /// A connection that [`History::dial`] accepted has ended.
+    pub fn hang_up(&self, server: ServerIndex) {
+        self.with(|state, _| state.site.hang_up(server));
+    }
+
+    /// A request's last byte has come to a server. None: no client has asked that.
+    pub fn request(
+        &self,
+        server: ServerIndex,
+        id: TryId,
+    ) -> Option<oneshot::Receiver<ServerReply>> {
+        self.with(|state, now| state.request(server, id, now))
+    }
+
+    /// A health check has reached a server; the receiver gets its report, or None where it answers without one.
+    pub fn probe(&self, server: ServerIndex) -> oneshot::Receiver<Option<site::Report>> {
+        self.with(|state, now| {
+            let (send, reply) = oneshot::channel();
+            state.next += 1;
+            let exchange = state.next;
+            state.probes.insert(exchange, send);
+            state.probed += 1;
+            state.site(site::Event::Probe { exchange, server }, now);
+            reply
+        })
+    }
+
+    /// A watch on a server's deaths.
+    pub fn watch_deaths(&self, server: ServerIndex) -> watch::Receiver<u64> {
+        self.lock().deaths[server as usize].subscribe()
+    }
+
+    // ---- The list ----
+
+    /// An event for the model of the list.
+    pub fn list(&self, event: catalog::Event) {
+        self.with(|state, now| state.list(event, now));
+    }
+
+    /// A proxy's watch; a former one of the same proxy ends.
+    pub fn watch(&self, proxy: usize, after: u64) -> mpsc::UnboundedReceiver<catalog::Action> {
+        self.with(|state, now| {
+            let (send, updates) = mpsc::unbounded_channel();
+            state.watchers.insert(proxy, send);
+            state.list(
+                catalog::Event::Watch {
+                    caller: proxy,
+                    after,
+                },
+                now,
+            );
+            updates
+        })
+    }
+
+    /// The list has been written to a proxy.
+    pub fn notified(&self, proxy: usize, records: &[Record]) {
+        self.with(|state, now| {
+            for record in records {
+                state
+                    .checker
+                    .told(proxy, record.server, record.status != Status::Ready, now);
+            }
+        });
+    }
+
+    // ---- Clients ----
+
+    /// A client has its connection and writes now: from here on the proxy owes an answer. What is left of its time.
+    pub fn start_attempt(&self, asked: &Try, until: Micros) -> Duration {
+        self.with(|state, now| {
+            if state.open.contains_key(&asked.id) {
+                let kind = &state.kinds[asked.kind];
+                let write = kind.need == Need::Write;
+                state.checker.asks(
+                    asked.id,
+                    asked.request,
+                    kind.repeat,
+                    write,
+                    asked.proxy,
+                    until,
+                );
+            }
+            Duration::from_micros(until.saturating_sub(now))
+        })
+    }
+
+    /// Served, with the value that names an answer; nothing: the value is no server's.
+    pub fn served(&self, id: TryId, exchange: Option<u64>) {
+        self.with(|state, now| {
+            let made = exchange
+                .and_then(|e| state.made.get(&e))
+                .filter(|(of, ..)| *of == id)
+                .copied();
+            match made {
+                None => state.checker.breaks(Rule::Phantom),
+                Some((_, _, true)) => state.checker.breaks(Rule::Stale),
+                Some(_) => {}
+            }
+            let commit = made.map_or(0, |(_, commit, _)| commit);
+            state.answered(id, Final::Served, clients::Answer::Served { commit }, now);
+        });
+    }
+
+    /// The proxy rejected the attempt before it ran.
+    pub fn rejected(&self, id: TryId, retry_after: Option<Duration>) {
+        let retry_after = retry_after.map(|d| d.as_micros() as Micros);
+        self.with(|state, now| {
+            state.answered(
+                id,
+                Final::Refused,
+                clients::Answer::Refused { retry_after },
+                now,
+            );
+        });
+    }
+
+    /// The proxy answered with any other error.
+    pub fn failed(&self, id: TryId) {
+        self.with(|state, now| state.answered(id, Final::Failed, clients::Answer::Failed, now));
+    }
+
+    /// An answer that nobody had asked for, or one of another request.
+    pub fn report_violation(&self, rule: Rule) {
+        self.with(|state, _| state.checker.breaks(rule));
+    }
+
+    /// No connection to the proxy, or one that ended without an answer.
+    pub fn connection_lost(&self, id: TryId, reached: bool) {
+        self.with(|state, now| state.connection_lost(id, reached, now));
+    }
+
+    /// A request met the proxy's close of an idle connection and was sent once more.
+    pub fn retried_after_close(&self) {
+        self.with(|state, _| state.crossed += 1);
+    }
+
+    /// A proxy is being killed: nobody owes what it holds.
+    pub fn proxy_killed(&self, proxy: usize) {
+        self.with(|state, now| {
+            state.down.insert(proxy);
+            let mut held: Vec<TryId> = state
+                .open
+                .iter()
+                .filter(|(_, o)| o.asked.proxy == proxy)
+                .map(|(id, _)| *id)
+                .collect();
+            held.sort_unstable();
+            for id in held {
+                state.checker.dies(id);
+                state.open.remove(&id);
+                let answer = clients::Answer::Gone { reached: true };
+                state.clients(clients::Event::Answered(id, answer), now);
+            }
+            state.set_timer(now + DEATH_NOTICE_US, TimerKind::Unseen(proxy));
+        });
+    }
+
+    /// A proxy has ended by itself, and clients know.
+    pub fn proxy_down(&self, proxy: usize) {
+        self.with(|state, now| state.clients(clients::Event::Proxy { proxy, up: false }, now));
+    }
+
+    /// A proxy serves again, and clients know.
+    pub fn proxy_up(&self, proxy: usize) {
+        self.with(|state, now| {
+            state.down.remove(&proxy);
+            state.clients(clients::Event::Proxy { proxy, up: true }, now);
+        });
+    }
+
+    /// Waits until clients have had all their answers; requests come until the stated length is over.
+    pub async fn finished(&self, length: Duration) -> Result<(), Fault> {
+        let length = length.as_micros() as Micros;
+        let left = Duration::from_micros(length.saturating_sub(self.now()));
+        tokio::time::sleep(left).await;
+        self.until("every request is settled", |state| {
+            state.clients.open() == 0
+        })
+        .await
+    }
+
+    /// Ends the run and gives its results.
+    pub fn close(&self) -> Outcomes {
+        self.with(|state, _| state.close())
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/history/state.rs
@@ -0,0 +1,271 @@
+//! The models, checker and accounts under one lock, with the timers of all of them.
+
+use super::messages::{ClientTask, ServerReply};
+use super::outcomes::{ClassAccount, Outcomes};
+use hdrhistogram::Histogram;
+use invariant_checkers::{Checker, Rule};
+use rustc_hash::{FxHashMap, FxHashSet};
+use server_model::catalog::{self, Catalog, Record};
+use server_model::clients::{self, Clients, Due, Try, TryId};
+use server_model::site::{self, ServerIndex, Site, Wake};
+use server_model::Micros;
+use simulation_engine::streams::Streams;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use tokio::sync::{mpsc, oneshot, watch};
+
+/// What a timer of the history is for.
+pub(super) enum TimerKind {
+    Site(Wake),
+    List,
+    Client(Due),
+    /// Clients have noticed that a proxy is down.
+    Unseen(usize),
+}
+
+/// An attempt that its client has not heard of yet.
+pub(super) struct OpenAttempt {
+    pub(super) asked: Try,
+    /// Its client hears no more of it.
+    pub(super) cancel: Option<oneshot::Sender<()>>,
+}
+
+/// An attempt that has come whole to a server.
+pub(super) struct RunningRequest {
+    pub(super) id: TryId,
+    pub(super) need: Micros,
+    pub(super) write: bool,
+    pub(super) answer: oneshot::Sender<ServerReply>,
+}
+
+/// All that is known of a run; [`super::History`] keeps it under one lock.
+pub struct State {
+    /// The model of record servers.
+    pub site: Site,
+    /// The model of the list of endpoints.
+    pub list: Catalog,
+    pub(super) clients: Clients,
+    /// The rules, fed with every event.
+    pub checker: Checker,
+    pub(super) kinds: Vec<clients::Kind>,
+    pub(super) streams: Streams,
+    pub(super) timers: BinaryHeap<Reverse<(Micros, u64)>>,
+    pub(super) timer_kinds: FxHashMap<u64, TimerKind>,
+    pub(super) next: u64,
+    pub(super) open: FxHashMap<TryId, OpenAttempt>,
+    /// Known until the end, for what comes late: class and request of each try.
+    pub(super) tries: FxHashMap<TryId, Try>,
+    pub(super) attempts: FxHashMap<TryId, u8>,
+    /// Values that servers made: whose they are, the commit of a write, and whether a read is older than it may be.
+    pub(super) made: FxHashMap<u64, (TryId, Micros, bool)>,
+    pub(super) running: FxHashMap<u64, RunningRequest>,
+    pub(super) probes: FxHashMap<u64, oneshot::Sender<Option<site::Report>>>,
+    /// By server: how often it has died. What was connected to it before is broken by that.
+    pub(super) deaths: Vec<watch::Sender<u64>>,
+    pub(super) new_servers: mpsc::UnboundedSender<ServerIndex>,
+    pub(super) watchers: FxHashMap<usize, mpsc::UnboundedSender<catalog::Action>>,
+    pub(super) client_tasks: mpsc::UnboundedSender<ClientTask>,
+    pub(super) accounts: Vec<ClassAccount>,
+    pub(super) latencies: Vec<Histogram<u64>>,
+    pub(super) lateness: Histogram<u64>,
+    /// By proxy and server: attempts that came whole.
+    pub reached: FxHashMap<(usize, ServerIndex), u64>,
+    /// Health checks that reached a server.
+    pub probed: u64,
+    /// Connections for which a server had no place.
+    pub rejected_connections: u64,
+    pub(super) crossed: u64,
+    /// Proxies that were killed and are not back.
+    pub(super) down: FxHashSet<usize>,
+}
+
+/// Clients go on trying a proxy that has died for so long.
+pub(super) const DEATH_NOTICE_US: Micros = 2_000_000;
+const HIGHEST_LATENCY_US: u64 = 60_000_000;
+
+fn histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, HIGHEST_LATENCY_US, 3).expect("bounds that fit each other")
+}
+
+impl State {
+    /// Everything is at its start; new servers and what clients are to do go to the two senders.
+    pub(super) fn new(
+        (site, list, clients): (site::Settings, catalog::Settings, clients::Settings),
+        checker: Checker,
+        seed: u64,
+        (new_servers, client_tasks): (
+            mpsc::UnboundedSender<ServerIndex>,
+            mpsc::UnboundedSender<ClientTask>,
+        ),
+    ) -> State {
+        let streams = Streams::new(seed);
+        let site = Site::new(site);
+        let list = Catalog::new(list, site.servers().map(|s| Record::of(&site, s)));
+        let kinds = clients.kinds.clone();
+        State {
+            deaths: site.servers().map(|_| watch::Sender::new(0)).collect(),
+            clients: Clients::new(clients, &streams),
+            checker,
+            accounts: vec![ClassAccount::default(); kinds.len()],
+            latencies: kinds.iter().map(|_| histogram()).collect(),
+            kinds,
+            streams,
+            site,
+            list,
+            timers: BinaryHeap::new(),
+            timer_kinds: FxHashMap::default(),
+            next: 0,
+            open: FxHashMap::default(),
+            tries: FxHashMap::default(),
+            attempts: FxHashMap::default(),
+            made: FxHashMap::default(),
+            running: FxHashMap::default(),
+            probes: FxHashMap::default(),
+            new_servers,
+            watchers: FxHashMap::default(),
+            client_tasks,
+            lateness: histogram(),
+            reached: FxHashMap::default(),
+            probed: 0,
+            rejected_connections: 0,
+            crossed: 0,
+            down: FxHashSet::default(),
+        }
+    }
+
+    pub(super) fn set_timer(&mut self, at: Micros, step: TimerKind) {
+        self.next += 1;
+        self.timers.push(Reverse((at, self.next)));
+        self.timer_kinds.insert(self.next, step);
+    }
+
+    pub(super) fn due(&mut self, now: Micros) {
+        while let Some(Reverse((at, number))) = self
+            .timers
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now)
+        {
+            self.timers.pop();
+            let Some(step) = self.timer_kinds.remove(&number) else {
+                continue;
+            };
+            self.lateness.saturating_record((now - at).max(1));
+            match step {
+                TimerKind::Site(wake) => self.site(site::Event::Wake(wake), now),
+                TimerKind::List => self.list(catalog::Event::Due, now),
+                // Arrivals count from when they were meant to come.
+                TimerKind::Client(Due::Arrival) => {
+                    self.clients(clients::Event::Due(Due::Arrival), at)
+                }
+                TimerKind::Client(due) => self.clients(clients::Event::Due(due), now),
+                TimerKind::Unseen(proxy) => {
+                    if self.down.contains(&proxy) {
+                        self.clients(clients::Event::Proxy { proxy, up: false }, now);
+                    }
+                }
+            }
+        }
+    }
+
+    pub(super) fn site(&mut self, event: site::Event, now: Micros) {
+        let mut actions = Vec::new();
+        self.site.handle(now, event, &mut actions);
+        self.apply_site_actions(actions, now);
+    }
+
+    pub(super) fn apply_site_actions(&mut self, actions: Vec<site::Action>, now: Micros) {
+        for action in actions {
+            match action {
+                site::Action::WakeAt(at, wake) => self.set_timer(at, TimerKind::Site(wake)),
+                site::Action::Answer {
+                    exchange,
+                    answer,
+                    note,
+                } => self.complete_request(exchange, answer, note),
+                site::Action::Report { exchange, report } => {
+                    if let Some(reply) = self.probes.remove(&exchange) {
+                        _ = reply.send(report);
+                    }
+                }
+                site::Action::Changed(server) => {
+                    let record = Record::of(&self.site, server);
+                    if self.deaths.len() <= server as usize {
+                        self.deaths.push(watch::Sender::new(0));
+                        _ = self.new_servers.send(server);
+                    } else if !self.site.runs(server) {
+                        self.deaths[server as usize].send_modify(|count| *count += 1);
+                    }
+                    self.list(catalog::Event::Changed(record), now);
+                }
+                site::Action::Applied { key, .. } => self.checker.applied(key),
+                site::Action::Collapsed(_) => self.checker.breaks(Rule::Collapsed),
+                site::Action::Primary { .. }
+                | site::Action::Vacant { .. }
+                | site::Action::Undone { .. } => {}
+            }
+        }
+    }
+
+    /// Settles what is open and gives what came of the run.
+    pub(super) fn close(&mut self) -> Outcomes {
+        let mut actions = Vec::new();
+        self.clients.close(&mut actions);
+        for action in actions {
+            if let clients::Action::Settled(settled) = action {
+                self.settled(&settled);
+            }
+        }
+        self.checker.close();
+        Outcomes {
+            accounts: self.accounts.clone(),
+            latencies: self.latencies.clone(),
+            lateness: self.lateness.clone(),
+            broken: self.checker.broken.clone(),
+            found: self.found(),
+            attempts: self.reached.values().sum(),
+            probes: self.probed,
+            gone: self.checker.gone,
+            crossed: self.crossed,
+            dials: 0,
+            reached: self.reached.clone(),
+        }
+    }
+
+    pub(super) fn found(&self) -> Vec<(Rule, TryId, usize, Micros)> {
+        let proxy = |id: &TryId| self.tries.get(id).map_or(0, |asked| asked.proxy);
+        self.checker
+            .found
+            .iter()
+            .map(|(rule, id, at)| (*rule, *id, proxy(id), *at))
+            .collect()
+    }
+
+    /// Proxies that have a watch on the list, or a call for one.
+    pub fn watching(&self) -> usize {
+        self.watchers.len()
+    }
+
+    pub(super) fn list(&mut self, event: catalog::Event, now: Micros) {
+        if let catalog::Event::Leave(caller) = event {
+            self.watchers.remove(&caller);
+        }
+        let mut actions = Vec::new();
+        self.list.handle(now, event, &mut actions);
+        for action in actions {
+            match action {
+                catalog::Action::DueAt(at) => self.set_timer(at, TimerKind::List),
+                catalog::Action::Tell { caller, .. } => {
+                    if let Some(watcher) = self.watchers.get(&caller) {
+                        _ = watcher.send(action);
+                    }
+                }
+                catalog::Action::Fail(caller) => {
+                    if let Some(watcher) = self.watchers.remove(&caller) {
+                        _ = watcher.send(action);
+                    }
+                }
+            }
+        }
+    }
+}
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -16,21 +16,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Flow {
     #[default]
+    /// Forwarded at once.
     Passes,
     /// Nothing comes through. What was sent waits until the link is healed, as TCP sends it again.
     Cut,
     /// Each piece is later by a time between these.
     Late(Duration, Duration),
     /// Part of the pieces is lost once: later by this.
-    Lossy { part: f64, resend: Duration },
+    Lossy {
+        /// From 0 to 1.
+        part: f64,
+        /// The delay that stands for the retransmission.
+        resend: Duration,
+    },
     /// Pieces of so many bytes, with this between them.
-    Trickles { bytes: usize, gap: Duration },
+    Trickles {
+        /// The size of a piece.
+        bytes: usize,
+        /// The pause after each.
+        gap: Duration,
+    },
 }
 
 /// What becomes of a new connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Entry {
     #[default]
+    /// It is connected to the target.
     Open,
     /// It is reset at once.
     Refused,
@@ -48,7 +60,9 @@
 }
 
 #[derive(Clone, Debug)]
+/// A TCP relay between two parts of the testbed.
 pub struct Link {
+    /// Where the dialling side connects.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     /// Connections that were taken, and are open.
@@ -80,19 +94,23 @@
         Ok(link)
     }
 
-    pub fn lead_to(&self, target: Option<SocketAddr>) {
+    /// New connections go to this address; none: they are reset.
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
 
+    /// Sets the fault of each direction.
     pub fn set(&self, there: Flow, back: Flow) {
         self.state
             .send_modify(|state| (state.there, state.back) = (there, back));
     }
 
+    /// Nothing passes in either direction.
     pub fn cut(&self) {
         self.set(Flow::Cut, Flow::Cut);
     }
 
+    /// New connections are reset.
     pub fn refuse(&self) {
         self.state.send_modify(|state| state.entry = Entry::Refused);
     }
@@ -176,10 +194,12 @@
     }
 }
 
+/// Makes the close of this connection a reset.
 pub fn reset(stream: &TcpStream) {
     _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
 
+/// Reads what is there, waiting for the first byte; 0 at the end.
 pub async fn read(from: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         from.readable().await?;
@@ -190,6 +210,7 @@
     }
 }
 
+/// Writes all bytes.
 pub async fn write_all(to: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         to.writable().await?;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,8 +1,8 @@
-//! Clients on sockets: what the truth's clients are to ask, asked.
+//! Clients on sockets: what the history's clients are to ask, asked.
 
+use crate::history::{ClientTask, History};
 use crate::process::lock;
 use crate::servers::exchange;
-use crate::truth::{Errand, Truth};
 use crate::wire::{Connection, Idle};
 use invariant_checkers::Rule;
 use server_model::clients::{Need, Settings, Try};
@@ -15,13 +15,13 @@
 /// Connections that nothing is on, by proxy.
 type Pools = Arc<Vec<Mutex<Vec<Connection>>>>;
 
-pub struct Load {
+pub struct LoadGenerator {
     pools: Pools,
-    truth: Truth,
+    history: History,
 }
 
 /// A client's statement, as the protocol has it.
-pub fn statement(truth: &Truth, set: &Settings, asked: &Try, wait: Duration) -> String {
+pub fn statement(history: &History, set: &Settings, asked: &Try, wait: Duration) -> String {
     let kind = &set.kinds[asked.kind];
     let mut comment = format!("id={:016x},c={}", asked.id, kind.name);
     if let Some(tenant) = set.tenants.get(asked.tenant) {
@@ -31,7 +31,7 @@
     if asked.wrote > 0 {
         comment += &format!(
             ",after={}",
-            truth.unix(asked.wrote).as_micros().div_ceil(1_000)
+            history.unix(asked.wrote).as_micros().div_ceil(1_000)
         );
     }
     if asked.repeated {
@@ -48,35 +48,35 @@
     }
 }
 
-impl Load {
+impl LoadGenerator {
     /// `proxies`: where clients find each; `slack`: how much longer they wait than they say.
     pub fn new(
-        truth: Truth,
+        history: History,
         set: Settings,
         slack: Duration,
         proxies: Vec<SocketAddr>,
-        mut errands: mpsc::UnboundedReceiver<Errand>,
-    ) -> Load {
+        mut client_tasks: mpsc::UnboundedReceiver<ClientTask>,
+    ) -> LoadGenerator {
         let pools: Pools = Arc::new(proxies.iter().map(|_| Mutex::default()).collect());
-        let load = Load {
+        let load = LoadGenerator {
             pools: Arc::clone(&pools),
-            truth: truth.clone(),
+            history: history.clone(),
         };
         let set = Arc::new(set);
         tokio::spawn(async move {
-            while let Some(errand) = errands.recv().await {
-                let (truth, pools, set) = (truth.clone(), Arc::clone(&pools), Arc::clone(&set));
-                let address = proxies[errand.asked.proxy];
+            while let Some(task) = client_tasks.recv().await {
+                let (history, pools, set) = (history.clone(), Arc::clone(&pools), Arc::clone(&set));
+                let address = proxies[task.asked.proxy];
                 tokio::spawn(async move {
-                    let Errand {
+                    let ClientTask {
                         asked,
                         until,
                         cancelled,
-                    } = errand;
+                    } = task;
                     tokio::select! {
                         // Whoever gives up closes its connection.
                         _ = cancelled => {}
-                        () = ask(&truth, &set, &pools, address, &asked, (until, slack)) => {}
+                        () = ask(&history, &set, &pools, address, &asked, (until, slack)) => {}
                     }
                 });
             }
@@ -89,7 +89,7 @@
         for pool in self.pools.iter() {
             lock(pool).drain(..).for_each(|mut connection| {
                 if connection.idle() == Idle::Spoke {
-                    self.truth.breaks(Rule::AnsweredTwice);
+                    self.history.report_violation(Rule::AnsweredTwice);
                 }
             });
         }
@@ -97,19 +97,19 @@
 }
 
 /// A connection that was used before and is fit for use.
-fn pooled(truth: &Truth, pool: &Mutex<Vec<Connection>>) -> Option<Connection> {
+fn pooled(history: &History, pool: &Mutex<Vec<Connection>>) -> Option<Connection> {
     loop {
         let mut connection = lock(pool).pop()?;
         match connection.idle() {
             Idle::Fit => return Some(connection),
             Idle::Ended => {}
-            Idle::Spoke => truth.breaks(Rule::AnsweredTwice),
+            Idle::Spoke => history.report_violation(Rule::AnsweredTwice),
         }
     }
 }
 
 async fn ask(
-    truth: &Truth,
+    history: &History,
     set: &Settings,
     pools: &Pools,
     address: SocketAddr,
@@ -119,7 +119,7 @@
     let pool = &pools[asked.proxy];
     let mut text = None;
     for again in [false, true] {
-        let used = if again { None } else { pooled(truth, pool) };
+        let used = if again { None } else { pooled(history, pool) };
         let reused = used.is_some();
         let connection = match used {
             Some(connection) => Ok(connection),
@@ -127,15 +127,15 @@
         };
         // Also after a close that crossed it: a front would have gone to another proxy.
         let Ok(mut connection) = connection else {
-            return truth.gone(asked.id, false);
+            return history.connection_lost(asked.id, false);
         };
         // Its time counts from when it was meant to be asked: waiting for a connection is part of it.
         let text = text.get_or_insert_with(|| {
             statement(
-                truth,
+                history,
                 set,
                 asked,
-                truth.asks(asked, until).saturating_sub(slack),
+                history.start_attempt(asked, until).saturating_sub(slack),
             )
         });
         match connection.ask(text).await {
@@ -144,14 +144,14 @@
                     lock(pool).push(connection);
                 }
                 return match (&reply.value, reply.refused()) {
-                    (Some(value), _) => truth.served(asked.id, exchange(value, asked.id)),
-                    (None, true) => truth.refused(asked.id, reply.retry_after()),
-                    (None, false) => truth.failed(asked.id),
+                    (Some(value), _) => history.served(asked.id, exchange(value, asked.id)),
+                    (None, true) => history.rejected(asked.id, reply.retry_after()),
+                    (None, false) => history.failed(asked.id),
                 };
             }
             // The proxy's close of an idle connection has crossed the request: it goes once more, on a new one.
-            Err(_) if reused => truth.crossed(),
-            Err(_) => return truth.gone(asked.id, true),
+            Err(_) if reused => history.retried_after_close(),
+            Err(_) => return history.connection_lost(asked.id, true),
         }
     }
 }
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -1,9 +1,9 @@
 //! What each proxy is told of the others, and who may hear whom.
 
-use crate::datagrams::{Talk, Way};
+use crate::datagrams::{DatagramFaults, DatagramLink};
 use crate::discovery::zone;
-use crate::process::{Fault, PATIENCE};
-use crate::{Rig, Setup};
+use crate::process::{Fault, EVENT_TIMEOUT};
+use crate::{Setup, Testbed};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
@@ -14,11 +14,12 @@
 use tokio::runtime::Handle;
 
 /// By who sends and who hears.
-pub type Talks = FxHashMap<(usize, usize), Talk>;
+pub type DatagramLinks = FxHashMap<(usize, usize), DatagramLink>;
 
+/// The file of datagram keys in a proxy's folder.
 pub const KEY_FILE: &str = "members.key";
 /// What a proxy says once it hears others; its address follows.
-pub const HEARD: &str = "members: heard on ";
+pub const LISTENING_LINE: &str = "members: heard on ";
 /// A proxy's own address in its own file: nothing is sent there, and no relay has it.
 const OWN: &str = "127.0.0.1:9";
 /// Between two looks at a proxy's figures.
@@ -27,6 +28,7 @@
 /// The proxies as members of one roster.
 #[derive(Clone, Debug)]
 pub struct Members {
+    /// The version of the roster.
     pub version: u64,
     /// Further lines of the section.
     pub settings: String,
@@ -51,6 +53,7 @@
 }
 
 impl Members {
+    /// Whether a proxy is on the roster.
     pub fn lists(&self, proxy: usize) -> bool {
         self.roster.is_empty() || self.roster.contains(&proxy)
     }
@@ -69,17 +72,26 @@
 }
 
 /// A relay for each ordered pair.
-pub(crate) fn talks(on: &Handle, proxies: usize, seed: u64) -> Result<Talks, Fault> {
+pub(crate) fn datagram_links(
+    on: &Handle,
+    proxies: usize,
+    seed: u64,
+) -> Result<DatagramLinks, Fault> {
     let pairs = (0..proxies).flat_map(|from| (0..proxies).map(move |to| (from, to)));
     let open = |(from, to): (usize, usize)| {
         let seed = seed.wrapping_add((from as u64) << 40 | (to as u64) << 20 | 1);
-        Ok(((from, to), Talk::open(on, seed)?))
+        Ok(((from, to), DatagramLink::open(on, seed)?))
     };
     pairs.filter(|(from, to)| from != to).map(open).collect()
 }
 
 /// The part of a proxy's operators' file that tells of the others.
-pub(crate) fn section(setup: &Setup, talks: &Talks, proxy: usize, folder: &Path) -> String {
+pub(crate) fn section(
+    setup: &Setup,
+    datagram_links: &DatagramLinks,
+    proxy: usize,
+    folder: &Path,
+) -> String {
     let Some(members) = setup
         .members
         .as_ref()
@@ -97,7 +109,7 @@
     }
     text += "}\n";
     for member in (0..setup.clients.proxies).filter(|member| members.lists(*member)) {
-        let address = talks
+        let address = datagram_links
             .get(&(proxy, member))
             .map_or_else(|| OWN.to_owned(), |t| t.address.to_string());
         let region = region(setup, members, member);
@@ -115,7 +127,7 @@
     members.regions.get(member).cloned().unwrap_or_else(place)
 }
 
-impl Rig {
+impl Testbed {
     pub(crate) fn region(&self, member: usize) -> String {
         self.setup
             .members
@@ -123,10 +135,10 @@
             .map_or_else(String::new, |members| region(&self.setup, members, member))
     }
 
-    /// The datagrams from one proxy to another, if the rig has members.
-    pub fn talk(&self, from: usize, to: usize) -> Result<Talk, Fault> {
-        let talk = self.talks.get(&(from, to)).cloned();
-        talk.ok_or_else(|| {
+    /// The datagrams from one proxy to another, if the testbed has members.
+    pub fn datagram_link(&self, from: usize, to: usize) -> Result<DatagramLink, Fault> {
+        let link = self.datagram_links.get(&(from, to)).cloned();
+        link.ok_or_else(|| {
             Fault::new(format!(
                 "no datagrams go from proxy {from} to {to}: set members"
             ))
@@ -134,17 +146,17 @@
     }
 
     /// Every direction, with who sends and who hears.
-    pub fn talks(&self) -> impl Iterator<Item = ((usize, usize), &Talk)> {
-        self.talks.iter().map(|(pair, talk)| (*pair, talk))
+    pub fn datagram_links(&self) -> impl Iterator<Item = ((usize, usize), &DatagramLink)> {
+        self.datagram_links.iter().map(|(pair, link)| (*pair, link))
     }
 
     /// No datagram goes from one of these groups to another. Proxies in none of them hear all and are heard.
-    pub fn part(&self, groups: &[&[usize]]) {
+    pub fn partition(&self, groups: &[&[usize]]) {
         let of = |proxy: usize| groups.iter().position(|group| group.contains(&proxy));
-        for ((from, to), talk) in self.talks() {
+        for ((from, to), link) in self.datagram_links() {
             if let (Some(here), Some(there)) = (of(from), of(to)) {
                 if here != there {
-                    talk.cut();
+                    link.cut();
                 }
             }
         }
@@ -152,40 +164,40 @@
 
     /// Only from the one to the other: what the other sends is dropped.
     pub fn one_way(&self, from: usize, to: usize) -> Result<(), Fault> {
-        self.talk(to, from)?.cut();
+        self.datagram_link(to, from)?.cut();
         Ok(())
     }
 
     /// The same for all directions.
-    pub fn set_talk(&self, way: impl Into<Way>) {
+    pub fn set_datagram_faults(&self, way: impl Into<DatagramFaults>) {
         let way = way.into();
-        self.talks().for_each(|(_, talk)| talk.set(way));
+        self.datagram_links().for_each(|(_, link)| link.set(way));
     }
 
     /// All datagrams pass again.
-    pub fn heal_talk(&self) {
-        self.set_talk(Way::default());
+    pub fn heal_datagrams(&self) {
+        self.set_datagram_faults(DatagramFaults::default());
     }
 
     /// What others send to a proxy goes there from now on.
-    pub fn lead_talk(&self, to: usize, target: Option<SocketAddr>) {
-        for ((_, hears), talk) in self.talks() {
+    pub fn set_datagram_target(&self, to: usize, target: Option<SocketAddr>) {
+        for ((_, hears), link) in self.datagram_links() {
             if hears == to {
-                talk.lead_to(target);
+                link.set_target(target);
             }
         }
     }
 
     /// Looks at a proxy's figure until it is so, and gives it; with [`Setup::admin`].
-    pub fn figure_until(
+    pub fn metric_until(
         &self,
         proxy: usize,
         name: &str,
         mut is: impl FnMut(u64) -> bool,
     ) -> Result<u64, Fault> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + EVENT_TIMEOUT;
         loop {
-            let figures = self.figures(proxy);
+            let figures = self.metrics(proxy);
             let value = figures
                 .as_ref()
                 .ok()
--- a/crates/testbed/src/misrule.rs
+++ b/crates/testbed/src/planted_violation.rs
@@ -1,9 +1,9 @@
-//! A proxy that breaks one rule on purpose: what the checkers are proven by. It knows the truth, so that it can.
+//! A proxy that breaks one rule on purpose: what the checkers are proven by. It knows the history, so that it can.
 
 use crate::discovery::Addresses;
+use crate::history::History;
 use crate::link;
 use crate::process::Fault;
-use crate::truth::Truth;
 use crate::wire::{self, Connection, Reply};
 use invariant_checkers::Rule;
 use leverproxy::protocol::postgres::server::{self, Asked, CancelKey, Startup};
@@ -16,20 +16,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
+/// A proxy that breaks one rule.
 #[derive(Clone)]
-pub struct Misrule {
+pub struct PlantedViolation {
+    /// The rule that it breaks.
     pub rule: Rule,
+    /// The proxy in whose place it serves.
     pub proxy: usize,
-    pub truth: Truth,
+    /// Where it looks up which servers there are.
+    pub history: History,
+    /// Where it finds them.
     pub addresses: Arc<watch::Sender<Addresses>>,
     /// Its way to the list's service.
     pub list: SocketAddr,
 }
 
-/// Attempts that no platform of the rig allows.
+/// Attempts that no platform of the testbed allows.
 const TOO_MANY: usize = 50;
 
-impl Misrule {
+impl PlantedViolation {
+    /// Starts to serve and gives its address.
     pub async fn open(self) -> Result<SocketAddr, Fault> {
         let bound = TcpListener::bind("127.0.0.1:0").await;
         let listener =
@@ -97,7 +103,7 @@
             return Ok(server::empty_query());
         };
         let (primary, member) = {
-            let inner = self.truth.look();
+            let inner = self.history.lock();
             (
                 inner.site.primary(request.group),
                 inner.site.members(request.group).last().copied(),
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Programs as the rig starts, signals and ends them.
+//! Programs as the testbed starts, signals and ends them.
 
 use rustix::process::{getpid, kill_process, Pid, Signal};
 use std::collections::VecDeque;
@@ -12,21 +12,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing on the rig waits longer than this for an event; it is no bound on anything that is measured.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Nothing on the testbed waits longer than this for an event; it is no bound on anything that is measured.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Lines of a program that are kept.
 const LINES: usize = 4_000;
 
 /// A program that did not do as it should: what it said, and how it ended.
 #[derive(Debug)]
 pub struct Fault {
+    /// What did not happen.
     pub problem: String,
     /// The last lines of its standard error.
     pub words: Vec<String>,
+    /// Its exit code, if it ended with one.
     pub code: Option<i32>,
 }
 
 impl Fault {
+    /// A fault without output of a program.
     pub fn new(problem: impl Into<String>) -> Fault {
         Fault {
             problem: problem.into(),
@@ -50,6 +53,7 @@
 
 impl std::error::Error for Fault {}
 
+/// Locks; a panic of another holder is ignored.
 pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -77,6 +81,7 @@
 pub struct Folder(PathBuf);
 
 impl Folder {
+    /// A new folder below the system's folder for temporary files.
     pub fn new() -> std::io::Result<Folder> {
         static MADE: AtomicU32 = AtomicU32::new(0);
         let number = MADE.fetch_add(1, Ordering::Relaxed);
@@ -85,6 +90,7 @@
         Ok(Folder(path))
     }
 
+    /// Where it is.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -99,10 +105,13 @@
 /// What is to be started.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// The executable.
     pub program: PathBuf,
+    /// Its arguments.
     pub words: Vec<String>,
+    /// Environment variables that are added.
     pub variables: Vec<(String, String)>,
-    /// Descriptors that it may hold; 0: as many as the rig.
+    /// Descriptors that it may hold; 0: as many as the testbed.
     pub files: u64,
     /// Where all that it says is written behind what stands there, with a line for each answer; none: some of it is
     /// kept in memory.
@@ -110,23 +119,23 @@
 }
 
 #[derive(Debug, Default)]
-struct Said {
+struct Output {
     lines: VecDeque<String>,
     /// Lines that are no longer kept.
     dropped: usize,
     ended: bool,
 }
 
-/// A process; it is killed when its owner lets go of it, and by the kernel when the rig dies.
+/// A process; it is killed when its owner lets go of it, and by the kernel when the testbed dies.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    said: Arc<(Mutex<Said>, Condvar)>,
+    said: Arc<(Mutex<Output>, Condvar)>,
     stopped: bool,
 }
 
 impl Process {
-    /// The thread that calls this has to outlive the process: the kernel takes its end for the rig's.
+    /// The thread that calls this has to outlive the process: the kernel takes its end for the testbed's.
     pub fn start(plan: &Plan) -> Result<Process, Fault> {
         let mut command = Command::new(built("testbed-launch")?);
         command
@@ -152,7 +161,7 @@
         let mut child = command
             .spawn()
             .map_err(|e| Fault::new(format!("{} can't be started: {e}", plan.program.display())))?;
-        let said = Arc::new((Mutex::new(Said::default()), Condvar::new()));
+        let said = Arc::new((Mutex::new(Output::default()), Condvar::new()));
         let (words, kept) = (child.stderr.take(), Arc::clone(&said));
         thread::spawn(move || {
             for line in words
@@ -182,10 +191,12 @@
         })
     }
 
+    /// The process id.
     pub fn number(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal; without effect on a process that has ended.
     pub fn signal(&mut self, signal: Signal) {
         // It may have ended by itself.
         _ = kill_process(Pid::from_child(&self.child), signal);
@@ -196,6 +207,7 @@
         }
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         _ = self.child.wait();
@@ -207,8 +219,8 @@
     }
 
     /// The first line with these words among those from number `from` on, and its number.
-    pub fn line(&mut self, words: &str, from: usize) -> Result<(usize, String), Fault> {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_line(&mut self, words: &str, from: usize) -> Result<(usize, String), Fault> {
+        let until = Instant::now() + EVENT_TIMEOUT;
         let (said, came) = &*self.said;
         let mut said = lock(said);
         loop {
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -1,8 +1,8 @@
-//! Record servers on sockets: one listener each, all answered by the truth.
+//! Record servers on sockets: one listener each, all answered by the history.
 
+use crate::history::History;
 use crate::link::{self, reset};
 use crate::process::Fault;
-use crate::truth::Truth;
 use crate::wire;
 use leverproxy::protocol::postgres::server::{self, Asked, CancelKey, Startup};
 use leverproxy::protocol::postgres::sqlstate;
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Listens for a server, on a port that stays its own whatever becomes of it.
-pub async fn open(truth: Truth, server: ServerIndex) -> Result<SocketAddr, Fault> {
+pub async fn open(history: History, server: ServerIndex) -> Result<SocketAddr, Fault> {
     let bound = TcpListener::bind("127.0.0.1:0").await;
     let listener = bound.map_err(|e| Fault::new(format!("no port for server {server}: {e}")))?;
     let address = listener
@@ -21,7 +21,7 @@
         .map_err(|e| Fault::new(format!("server {server}: {e}")))?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(connection(truth.clone(), server, stream));
+            tokio::spawn(connection(history.clone(), server, stream));
         }
     });
     Ok(address)
@@ -29,7 +29,7 @@
 
 /// A place in the server's table of connections, until it is let go.
 struct Place<'a> {
-    truth: &'a Truth,
+    history: &'a History,
     server: ServerIndex,
     life: u64,
 }
@@ -37,28 +37,28 @@
 impl Drop for Place<'_> {
     fn drop(&mut self) {
         // A server that has died since has forgotten all of them.
-        if *self.truth.life(self.server).borrow() == self.life {
-            self.truth.hang_up(self.server);
+        if *self.history.watch_deaths(self.server).borrow() == self.life {
+            self.history.hang_up(self.server);
         }
     }
 }
 
-async fn connection(truth: Truth, server: ServerIndex, stream: TcpStream) {
+async fn connection(history: History, server: ServerIndex, stream: TcpStream) {
     _ = stream.set_nodelay(true);
-    let mut life = truth.life(server);
+    let mut life = history.watch_deaths(server);
     let born = *life.borrow_and_update();
-    let up = truth.dial(server);
-    if !up && !truth.look().site.runs(server) {
+    let up = history.dial(server);
+    if !up && !history.lock().site.runs(server) {
         return reset(&stream);
     }
     let place = up.then(|| Place {
-        truth: &truth,
+        history: &history,
         server,
         life: born,
     });
     tokio::select! {
         _ = life.wait_for(|now| *now > born) => reset(&stream),
-        sound = converse(&truth, server, &stream, up) => if sound.is_err() {
+        sound = converse(&history, server, &stream, up) => if sound.is_err() {
             reset(&stream);
         }
     }
@@ -69,7 +69,7 @@
 struct Over;
 
 async fn converse(
-    truth: &Truth,
+    history: &History,
     server: ServerIndex,
     stream: &TcpStream,
     welcome: bool,
@@ -97,7 +97,7 @@
             } else {
                 match server::asked(&input).map_err(|_| Over)? {
                     None => break,
-                    Some((Asked::Query(text), used)) => (query(truth, server, text).await?, used),
+                    Some((Asked::Query(text), used)) => (query(history, server, text).await?, used),
                     Some((Asked::Terminate, _)) => return Ok(()),
                     Some((Asked::Sync, used)) => (server::ready(), used),
                     Some((Asked::Unsupported(tag), used)) => (server::unsupported(tag), used),
@@ -116,12 +116,12 @@
     }
 }
 
-async fn query(truth: &Truth, server: ServerIndex, text: &str) -> Result<Vec<u8>, Over> {
+async fn query(history: &History, server: ServerIndex, text: &str) -> Result<Vec<u8>, Over> {
     if text == "SHOW load" || text == "SELECT 1" {
-        let Some(report) = truth.probe(server).await.ok().flatten() else {
+        let Some(report) = history.probe(server).await.ok().flatten() else {
             return Err(Over);
         };
-        let position = truth.unix(report.position).as_secs_f64();
+        let position = history.unix(report.position).as_secs_f64();
         let (primary, queued, held) = (u8::from(report.primary), report.queued, report.in_flight);
         let all = format!("x0={position:.6},x1={primary},backlog={queued},outstanding={held}");
         return Ok(wire::row(if text == "SELECT 1" { "1" } else { &all }, &[]));
@@ -133,7 +133,7 @@
         Err(_) => return Ok(wire::error(sqlstate::PROTOCOL_VIOLATION, &[])),
     };
     let id = u64::from_str_radix(&request.id, 16).ok();
-    let Some(reply) = id.and_then(|id| truth.request(server, id)) else {
+    let Some(reply) = id.and_then(|id| history.request(server, id)) else {
         return Ok(wire::error(sqlstate::PROTOCOL_VIOLATION, &[]));
     };
     // What hangs never answers; what dies resets.
@@ -141,7 +141,7 @@
     let mut parameters = Vec::new();
     if let Some(note) = said.note {
         // A write's commit is rounded up: what has it has all of it.
-        let micros = truth.unix(note.position).as_micros();
+        let micros = history.unix(note.position).as_micros();
         let write = said.answer == Answer::Ok && note.primary;
         let millis = if write {
             micros.div_ceil(1_000)
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a proxy on the rig is told of its platform.
+//! What a proxy on the testbed is told of its platform.
 
 use crate::discovery::zone;
 use serde_json::{json, Value};
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -22,6 +22,7 @@
     end(out, parameters)
 }
 
+/// An error response with this SQLSTATE.
 pub fn error(code: &str, parameters: &[(&str, String)]) -> Vec<u8> {
     let mut out = Vec::new();
     postgres::put_error(&mut out, "ERROR", code, "as the rig's model has it", None);
@@ -42,18 +43,23 @@
 /// What came for a query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
+    /// The row's value.
     pub value: Option<String>,
     /// Of an error: its code, and whether the connection ends with it.
     pub code: Option<String>,
+    /// The connection ends with this error.
     pub fatal: bool,
+    /// The detail field of an error: milliseconds after which to retry.
     pub detail: Option<String>,
 }
 
 impl Reply {
+    /// Whether the error means that the request was rejected and did not run.
     pub fn refused(&self) -> bool {
         matches!(self.code.as_deref(), Some("53300" | "57P03"))
     }
 
+    /// How long the proxy asks the client to wait.
     pub fn retry_after(&self) -> Option<Duration> {
         self.detail
             .as_ref()?
@@ -66,6 +72,7 @@
 /// A connection to a proxy as its client has it, or to a record server as a proxy has it.
 #[derive(Debug)]
 pub struct Connection {
+    /// The socket.
     pub stream: TcpStream,
     input: Vec<u8>,
 }
@@ -87,12 +94,14 @@
         Ok(connection)
     }
 
+    /// Sends a query.
     pub async fn send(&self, query: &str) -> io::Result<()> {
         let mut out = Vec::new();
         postgres::put(&mut out, b'Q', |body| postgres::put_text(body, query));
         crate::link::write_all(&self.stream, &out).await
     }
 
+    /// Sends a query and reads its reply.
     pub async fn ask(&mut self, query: &str) -> io::Result<Reply> {
         self.send(query).await?;
         self.reply().await
@@ -151,9 +160,13 @@
     }
 }
 
+/// The state of an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idle {
+    /// Fit for use.
     Fit,
+    /// Closed by the peer.
     Ended,
+    /// The peer sent an answer to no request.
     Spoke,
 }
--- a/crates/testbed/tests/common/loans.rs
+++ b/crates/testbed/tests/common/loans.rs
@@ -6,8 +6,8 @@
 use server_model::clients::Tenant;
 use std::time::{Duration, Instant};
 use testbed::members::Members;
-use testbed::process::PATIENCE;
-use testbed::{Rig, Setup};
+use testbed::process::EVENT_TIMEOUT;
+use testbed::{Setup, Testbed};
 
 /// Loans are over soon, so that what waits for their end does not wait long.
 const LENDING: &str = "lending {\n lease 1s\n step 200ms\n longest 3s\n";
@@ -25,11 +25,11 @@
 }
 
 pub struct Fleet {
-    pub rig: Rig,
+    pub testbed: Testbed,
     pub checker: Checker,
     /// Who is looked at: the living.
     pub looked: Vec<usize>,
-    /// After the rig.
+    /// After the testbed.
     _turn: Turn,
 }
 
@@ -51,10 +51,10 @@
         setup.clients.over_worth = 0.05;
         setup.slack = Duration::from_secs(10);
         adjust(&mut setup);
-        let rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-        rig.truth.begin();
+        let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
+        testbed.history.begin();
         let mut fleet = Fleet {
-            rig,
+            testbed,
             checker: Checker::new(Some(SETTLED)),
             looked: (0..proxies).collect(),
             _turn: turn,
@@ -65,16 +65,16 @@
 
     pub fn figure(&self, proxy: usize, name: &str) -> u64 {
         let figures = self
-            .rig
-            .figures(proxy)
+            .testbed
+            .metrics(proxy)
             .unwrap_or_else(|fault| panic!("{fault}"));
         figures.get(name).copied().unwrap_or_default()
     }
 
     pub fn look(&mut self) {
         let looked = self.looked.iter().copied();
-        self.rig
-            .look_at_loans(looked, &mut self.checker)
+        self.testbed
+            .check_loans(looked, &mut self.checker)
             .unwrap_or_else(|fault| panic!("{fault}"));
         assert_eq!(self.checker.broken.count, 0, "{:?}", self.checker.broken);
     }
@@ -86,7 +86,7 @@
         name: &str,
         is: impl Fn(u64) -> bool,
     ) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + EVENT_TIMEOUT;
         for proxy in proxies {
             loop {
                 self.look();
@@ -94,7 +94,7 @@
                 if is(value) {
                     break;
                 }
-                let figures = || self.rig.figures(proxy);
+                let figures = || self.testbed.metrics(proxy);
                 assert!(
                     Instant::now() < end,
                     "{name} of proxy {proxy} is {value}: {:#?}",
@@ -113,7 +113,9 @@
     }
 
     pub fn surge(&self, on: bool) {
-        self.rig.truth.surge(Some(0), if on { SURGE } else { 1.0 });
+        self.testbed
+            .history
+            .surge(Some(0), if on { SURGE } else { 1.0 });
     }
 
     /// Nothing is owed any more, and the books say what became of it.
@@ -122,8 +124,8 @@
         self.until(self.looked.clone(), &book("owed"), |n| n == 0);
         for proxy in self.looked.clone() {
             let figures = self
-                .rig
-                .figures(proxy)
+                .testbed
+                .metrics(proxy)
                 .unwrap_or_else(|fault| panic!("{fault}"));
             let [lent, owed, repaid, lost] =
                 ["lent", "owed", "repaid", "written_off"].map(|part| figures[&book(part)]);
@@ -135,14 +137,14 @@
     pub fn kill(&mut self, proxy: usize) {
         self.look();
         let looked = Instant::now();
-        self.rig.kill(proxy);
+        self.testbed.kill(proxy);
         let since = looked.elapsed().as_millis() as u64;
         self.checker.dead(&format!("n{proxy}"), QUOTA * since);
         self.looked.retain(|looked| *looked != proxy);
     }
 
     pub fn restart(&mut self, proxy: usize) {
-        self.rig
+        self.testbed
             .restart(proxy)
             .unwrap_or_else(|fault| panic!("{fault}"));
         self.looked.push(proxy);
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -8,8 +8,8 @@
 use server_model::law::{Law, Work};
 use server_model::site;
 use std::time::Duration;
-use testbed::truth::Outcomes;
-use testbed::{Rig, Setup};
+use testbed::history::Outcomes;
+use testbed::{Setup, Testbed};
 
 pub const SECOND: u64 = 1_000_000;
 
@@ -76,35 +76,36 @@
     setup
 }
 
-pub fn start(setup: Setup) -> Rig {
-    let rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    rig.truth.begin();
-    rig
+pub fn start(setup: Setup) -> Testbed {
+    let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
+    testbed.history.begin();
+    testbed
 }
 
 /// Until so many more have been answered; `of`: by which proxy.
-pub fn answered(rig: &Rig, more: u64) {
-    let before = rig.truth.look().checker.answered;
-    rig.until("further answers", |inner| {
-        inner.checker.answered >= before + more
-    })
-    .unwrap_or_else(|f| panic!("{f}"));
+pub fn answered(testbed: &Testbed, more: u64) {
+    let before = testbed.history.lock().checker.answered;
+    testbed
+        .until("further answers", |inner| {
+            inner.checker.answered >= before + more
+        })
+        .unwrap_or_else(|f| panic!("{f}"));
 }
 
 pub fn served(out: &Outcomes) -> u64 {
-    out.books.iter().map(|b| b.served).sum()
+    out.accounts.iter().map(|b| b.served).sum()
 }
 
 /// All rules held. What is shown else is which did not.
-pub fn sound(rig: Rig) -> Outcomes {
-    let out = rig.finish().unwrap_or_else(|fault| panic!("{fault}"));
+pub fn sound(testbed: Testbed) -> Outcomes {
+    let out = testbed.finish().unwrap_or_else(|fault| panic!("{fault}"));
     assert!(
         out.broken.is_empty(),
         "{:?} {:?} in {:?}",
         out.broken,
         out.found,
-        out.books
+        out.accounts
     );
-    assert!(served(&out) > 0, "{:?}", out.books);
+    assert!(served(&out) > 0, "{:?}", out.accounts);
     out
 }
--- a/crates/testbed/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! What relays do to datagrams, between plain sockets; and what the rig tells proxies of each other, with stand-ins for
+//! What relays do to datagrams, between plain sockets; and what the testbed tells proxies of each other, with stand-ins for
 //! them that say where they are heard.
 
 mod common;
@@ -7,10 +7,10 @@
 use std::future::Future;
 use std::os::unix::fs::PermissionsExt;
 use std::time::Duration;
-use testbed::datagrams::{Counts, Flow, Talk, Way};
+use testbed::datagrams::{Counts, DatagramFaults, DatagramLink, Flow};
 use testbed::members::Members;
-use testbed::process::{Folder, PATIENCE};
-use testbed::Rig;
+use testbed::process::{Folder, EVENT_TIMEOUT};
+use testbed::Testbed;
 use tokio::net::UdpSocket;
 use tokio::runtime::{Handle, Runtime};
 use tokio::time::{timeout, Instant};
@@ -18,18 +18,18 @@
 /// A sender, a relay and a receiver.
 struct Pair {
     sends: UdpSocket,
-    talk: Talk,
+    link: DatagramLink,
     hears: UdpSocket,
 }
 
 impl Pair {
     async fn new(seed: u64) -> Pair {
         let hears = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let talk = Talk::open(&Handle::current(), seed).unwrap();
-        talk.lead_to(hears.local_addr().ok());
+        let link = DatagramLink::open(&Handle::current(), seed).unwrap();
+        link.set_target(hears.local_addr().ok());
         Pair {
             sends: UdpSocket::bind("127.0.0.1:0").await.unwrap(),
-            talk,
+            link,
             hears,
         }
     }
@@ -37,23 +37,23 @@
     /// One after the other, each once the one before was taken: the order is that of sending.
     async fn send(&self, texts: impl IntoIterator<Item = u32>) {
         for text in texts {
-            let came = self.talk.counts().came;
+            let came = self.link.counts().came;
             self.sends
-                .send_to(&text.to_be_bytes(), self.talk.address)
+                .send_to(&text.to_be_bytes(), self.link.address)
                 .await
                 .unwrap();
-            self.talk.until(|counts| counts.came > came).await.unwrap();
+            self.link.until(|counts| counts.came > came).await.unwrap();
         }
     }
 
     /// All that has passed since the last call, once nothing waits.
     async fn heard(&self, before: &mut u64) -> Vec<u32> {
-        let counts = self.talk.until(|counts| counts.waiting == 0).await.unwrap();
+        let counts = self.link.until(|counts| counts.waiting == 0).await.unwrap();
         assert!(counts.add_up(), "{counts:?}");
         let mut heard = Vec::new();
         let mut bytes = [0; 64];
         while *before < counts.passed {
-            let n = timeout(PATIENCE, self.hears.recv(&mut bytes))
+            let n = timeout(EVENT_TIMEOUT, self.hears.recv(&mut bytes))
                 .await
                 .expect("it passed")
                 .unwrap();
@@ -75,7 +75,7 @@
 /// Each fault alone, of all datagrams: what comes, and what is counted.
 #[test]
 fn each_fault_is_seen_and_counted() {
-    let way = Way::default();
+    let way = DatagramFaults::default();
     let of = |came, passed| Counts {
         came,
         passed,
@@ -83,11 +83,11 @@
     };
     let millis = Duration::from_millis;
     let late = Flow::Late(millis(30), millis(30));
-    let cases: [(Way, &[u32], Counts); 7] = [
+    let cases: [(DatagramFaults, &[u32], Counts); 7] = [
         (way, &[1, 2, 3, 4], of(4, 4)),
         (Flow::Cut.into(), &[], Counts { cut: 4, ..of(4, 0) }),
         (
-            Way { lost: 1.0, ..way },
+            DatagramFaults { lost: 1.0, ..way },
             &[],
             Counts {
                 lost: 4,
@@ -95,7 +95,7 @@
             },
         ),
         (
-            Way {
+            DatagramFaults {
                 doubled: 1.0,
                 ..way
             },
@@ -106,7 +106,7 @@
             },
         ),
         (
-            Way {
+            DatagramFaults {
                 reordered: 1.0,
                 ..way
             },
@@ -125,7 +125,7 @@
             },
         ),
         (
-            Way {
+            DatagramFaults {
                 doubled: 1.0,
                 reordered: 1.0,
                 flow: late,
@@ -143,11 +143,11 @@
     block(async {
         for (way, texts, counts) in cases {
             let pair = Pair::new(1).await;
-            pair.talk.set(way);
+            pair.link.set(way);
             let begun = Instant::now();
             pair.send(1..5).await;
             assert_eq!(pair.heard(&mut 0).await, texts, "{way:?}");
-            assert_eq!(pair.talk.counts(), counts, "{way:?}");
+            assert_eq!(pair.link.counts(), counts, "{way:?}");
             assert!(
                 counts.late == 0 || begun.elapsed() >= millis(30),
                 "{way:?}: earlier than it is set"
@@ -161,10 +161,10 @@
 fn shares_are_as_set_and_one_bit_is_flipped() {
     block(async {
         let (pair, mut before) = (Pair::new(7).await, 0);
-        pair.talk.set(Way {
+        pair.link.set(DatagramFaults {
             lost: 0.2,
             corrupted: 1.0,
-            ..Way::default()
+            ..DatagramFaults::default()
         });
         let mut all = 0;
         for _ in 0..1_000 {
@@ -177,9 +177,9 @@
         assert_eq!(all, u32::MAX);
         // Five standard deviations.
         assert!(
-            pair.talk.counts().lost.abs_diff(200) < 64,
+            pair.link.counts().lost.abs_diff(200) < 64,
             "{:?}",
-            pair.talk.counts()
+            pair.link.counts()
         );
     });
 }
@@ -191,20 +191,20 @@
         let hour = Duration::from_secs(3_600);
         for way in [
             Flow::Late(hour, hour).into(),
-            Way {
+            DatagramFaults {
                 reordered: 1.0,
-                ..Way::default()
+                ..DatagramFaults::default()
             },
         ] {
             let pair = Pair::new(1).await;
-            pair.talk.set(way);
+            pair.link.set(way);
             pair.send([1]).await;
-            assert_eq!(pair.talk.counts().waiting, 1);
-            pair.talk.cut();
-            pair.talk.heal();
+            assert_eq!(pair.link.counts().waiting, 1);
+            pair.link.cut();
+            pair.link.heal();
             pair.send([2]).await;
             assert_eq!(pair.heard(&mut 0).await, [2]);
-            assert_eq!(pair.talk.counts().cut, 1);
+            assert_eq!(pair.link.counts().cut, 1);
         }
     });
 }
@@ -213,12 +213,12 @@
 fn what_nothing_follows_comes_once_it_is_healed() {
     block(async {
         let pair = Pair::new(1).await;
-        pair.talk.set(Way {
+        pair.link.set(DatagramFaults {
             reordered: 1.0,
-            ..Way::default()
+            ..DatagramFaults::default()
         });
         pair.send([1]).await;
-        pair.talk.heal();
+        pair.link.heal();
         assert_eq!(pair.heard(&mut 0).await, [1]);
     });
 }
@@ -235,15 +235,15 @@
             let mut result = (Vec::new(), Counts::default());
             block(async {
                 let (pair, mut before) = (Pair::new(seed).await, 0);
-                let way = Way { lost, doubled, reordered, corrupted, ..Way::default() };
-                pair.talk.set(way);
+                let way = DatagramFaults { lost, doubled, reordered, corrupted, ..DatagramFaults::default() };
+                pair.link.set(way);
                 pair.send(0..cut).await;
-                pair.talk.cut();
+                pair.link.cut();
                 pair.send(60..70).await;
-                pair.talk.set(way);
+                pair.link.set(way);
                 pair.send(100..140).await;
-                pair.talk.heal();
-                result = (pair.heard(&mut before).await, pair.talk.counts());
+                pair.link.heal();
+                result = (pair.heard(&mut before).await, pair.link.counts());
             });
             result
         };
@@ -260,7 +260,7 @@
 #[test]
 fn each_proxy_is_told_of_the_others() {
     let mut setup = common::setup(4, 1.0, common::SECOND);
-    setup.misrule = Some(Rule::Stale);
+    setup.planted_violation = Some(Rule::Stale);
     let (regions, settings) = (
         vec!["north".to_owned()],
         "period 50ms\nsuspicion 500ms".to_owned(),
@@ -273,9 +273,9 @@
         roster,
         regions,
     });
-    let rig = Rig::start(setup).unwrap();
+    let testbed = Testbed::start(setup).unwrap();
     let read = |proxy| {
-        let plan = rig.plan(proxy, "127.0.0.1:0").unwrap();
+        let plan = testbed.plan(proxy, "127.0.0.1:0").unwrap();
         let at = |name: &str| {
             plan.variables
                 .iter()
@@ -304,7 +304,7 @@
         )
     };
     let (text, key_file, keys) = read(1);
-    let to = |member| rig.talk(1, member).unwrap().address;
+    let to = |member| testbed.datagram_link(1, member).unwrap().address;
     let expected = format!(
         "\n version 7\n listen 127.0.0.1:0\n key-file {key_file}\n period 50ms\n suspicion 500ms\n}}\n\
          member n0 {{\n address {}\n region north\n}}\nmember n1 {{\n address 127.0.0.1:9\n region p1\n}}\n\
@@ -327,21 +327,21 @@
     );
     assert_eq!(read(3).2, keys, "all have the same");
     assert_eq!(read(2).0, None, "who is not on the roster has none");
-    assert!(rig.talk(1, 1).is_err());
+    assert!(testbed.datagram_link(1, 1).is_err());
 }
 
 /// Who hears whom of three stand-ins, by what each receives of the others.
-fn heard(rig: &Rig, ears: &[UdpSocket]) -> Vec<(usize, usize)> {
+fn heard(testbed: &Testbed, ears: &[UdpSocket]) -> Vec<(usize, usize)> {
     let pairs = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
     let comes = |&(from, to): &(usize, usize)| {
-        let talk = rig.talk(from, to).unwrap();
-        rig.wait(async {
-            let before = talk.counts();
+        let link = testbed.datagram_link(from, to).unwrap();
+        testbed.wait(async {
+            let before = link.counts();
             ears[from]
-                .send_to(&[from as u8, to as u8], talk.address)
+                .send_to(&[from as u8, to as u8], link.address)
                 .await
                 .unwrap();
-            let after = talk
+            let after = link
                 .until(|counts| counts.came > before.came)
                 .await
                 .unwrap();
@@ -353,7 +353,7 @@
                 return false;
             }
             let mut bytes = [0; 2];
-            timeout(PATIENCE, ears[to].recv(&mut bytes))
+            timeout(EVENT_TIMEOUT, ears[to].recv(&mut bytes))
                 .await
                 .expect("it passed")
                 .unwrap();
@@ -390,19 +390,22 @@
     };
     let on = Runtime::new().unwrap();
     let mut ears: Vec<UdpSocket> = (0..3).map(|proxy| ear(proxy, &on)).collect();
-    let mut rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(heard(&rig, &ears), ALL);
-    rig.part(&[&[0, 1], &[2]]);
-    assert_eq!(heard(&rig, &ears), [(0, 1), (1, 0)]);
-    rig.heal_talk();
-    rig.one_way(0, 2).unwrap();
-    assert_eq!(heard(&rig, &ears), [(0, 1), (0, 2), (1, 0), (1, 2), (2, 1)]);
-    rig.part(&[&[0], &[1]]);
-    assert_eq!(heard(&rig, &ears), [(0, 2), (1, 2), (2, 1)]);
-    rig.heal_talk();
-    rig.kill(1);
-    assert_eq!(heard(&rig, &ears), [(0, 2), (1, 0), (1, 2), (2, 0)]);
+    let mut testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
+    assert_eq!(heard(&testbed, &ears), ALL);
+    testbed.partition(&[&[0, 1], &[2]]);
+    assert_eq!(heard(&testbed, &ears), [(0, 1), (1, 0)]);
+    testbed.heal_datagrams();
+    testbed.one_way(0, 2).unwrap();
+    assert_eq!(
+        heard(&testbed, &ears),
+        [(0, 1), (0, 2), (1, 0), (1, 2), (2, 1)]
+    );
+    testbed.partition(&[&[0], &[1]]);
+    assert_eq!(heard(&testbed, &ears), [(0, 2), (1, 2), (2, 1)]);
+    testbed.heal_datagrams();
+    testbed.kill(1);
+    assert_eq!(heard(&testbed, &ears), [(0, 2), (1, 0), (1, 2), (2, 0)]);
     ears[1] = ear(1, &on);
-    rig.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(heard(&rig, &ears), ALL);
+    testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
+    assert_eq!(heard(&testbed, &ears), ALL);
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -8,12 +8,13 @@
 use std::time::Duration;
 use testbed::link::Flow;
 use testbed::process::{Plan, Process};
-use testbed::Rig;
+use testbed::Testbed;
 
 /// Answers to one proxy's clients so far: those that reached a server are the measure.
-fn through(rig: &Rig, proxy: usize) -> u64 {
-    rig.truth
-        .look()
+fn through(testbed: &Testbed, proxy: usize) -> u64 {
+    testbed
+        .history
+        .lock()
         .reached
         .iter()
         .filter(|((p, _), _)| *p == proxy)
@@ -22,9 +23,9 @@
 }
 
 /// Until a proxy has sent more on.
-fn sends(rig: &Rig, proxy: usize, more: u64) {
-    let before = through(rig, proxy);
-    let is = |inner: &testbed::truth::Inner| {
+fn sends(testbed: &Testbed, proxy: usize, more: u64) {
+    let before = through(testbed, proxy);
+    let is = |inner: &testbed::history::State| {
         let sent: u64 = inner
             .reached
             .iter()
@@ -33,23 +34,24 @@
             .sum();
         sent >= before + more
     };
-    rig.until("a proxy sends on", is)
+    testbed
+        .until("a proxy sends on", is)
         .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
 /// Nothing but what the dead one held is lost, and the others go on as they were.
 #[test]
 fn kill_9_of_one_in_three() {
-    let mut rig = start(setup(3, 150.0, 6 * SECOND));
+    let mut testbed = start(setup(3, 150.0, 6 * SECOND));
     for proxy in 0..3 {
-        sends(&rig, proxy, 5);
+        sends(&testbed, proxy, 5);
     }
-    rig.kill(1);
-    sends(&rig, 0, 20);
-    sends(&rig, 2, 20);
-    rig.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    sends(&rig, 1, 10);
-    sound(rig);
+    testbed.kill(1);
+    sends(&testbed, 0, 20);
+    sends(&testbed, 2, 20);
+    testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
+    sends(&testbed, 1, 10);
+    sound(testbed);
 }
 
 /// A process that stands still while a server begins to drain: what it does when it goes on is right by then, whatever
@@ -58,57 +60,58 @@
 fn a_stopped_proxy_goes_on() {
     let mut setup = setup(3, 150.0, 8 * SECOND);
     setup.list.late = 0;
-    let mut rig = start(setup);
-    sends(&rig, 1, 5);
-    rig.signal(1, Signal::STOP);
-    let last = *rig.truth.look().site.members(0).last().unwrap();
-    rig.truth.trouble(Trouble::Drain(last));
-    rig.until("the list has told it", |inner| {
-        inner.checker.leaves(1, last)
-    })
-    .unwrap();
+    let mut testbed = start(setup);
+    sends(&testbed, 1, 5);
+    testbed.signal(1, Signal::STOP);
+    let last = *testbed.history.lock().site.members(0).last().unwrap();
+    testbed.history.inject_fault(Trouble::Drain(last));
+    testbed
+        .until("the list has told it", |inner| {
+            inner.checker.leaves(1, last)
+        })
+        .unwrap();
     // By their schedule these take longer than the grace for drains, however fast the machine.
-    answered(&rig, 150);
-    rig.signal(1, Signal::CONT);
-    sends(&rig, 1, 10);
-    sound(rig);
+    answered(&testbed, 150);
+    testbed.signal(1, Signal::CONT);
+    sends(&testbed, 1, 10);
+    sound(testbed);
 }
 
 /// Requests pass and answers don't, to the servers of one building; then the link is whole again.
 #[test]
 fn a_link_cut_one_way() {
-    let rig = start(setup(2, 100.0, 6 * SECOND));
-    sends(&rig, 0, 5);
-    let links = rig.links(&[0], Some(1));
+    let testbed = start(setup(2, 100.0, 6 * SECOND));
+    sends(&testbed, 0, 5);
+    let links = testbed.links(&[0], Some(1));
     assert!(!links.is_empty());
     links
         .iter()
         .for_each(|link| link.set(Flow::Passes, Flow::Cut));
-    sends(&rig, 0, 30);
-    sends(&rig, 1, 30);
+    sends(&testbed, 0, 30);
+    sends(&testbed, 1, 30);
     links.iter().for_each(|link| link.heal());
-    answered(&rig, 30);
-    sound(rig);
+    answered(&testbed, 30);
+    sound(testbed);
 }
 
 #[test]
 fn a_building_cut_off_from_one_proxy_and_back() {
-    let rig = start(setup(2, 100.0, 6 * SECOND));
-    sends(&rig, 0, 5);
-    let links = rig.links(&[0], Some(1));
+    let testbed = start(setup(2, 100.0, 6 * SECOND));
+    sends(&testbed, 0, 5);
+    let links = testbed.links(&[0], Some(1));
     links.iter().for_each(|link| link.cut());
-    sends(&rig, 0, 30);
+    sends(&testbed, 0, 30);
     links.iter().for_each(|link| link.heal());
-    answered(&rig, 30);
-    sound(rig);
+    answered(&testbed, 30);
+    sound(testbed);
 }
 
 /// Connections reset under requests, answers late, in small pieces, and lost for a time.
 #[test]
 fn links_that_reset_delay_and_trickle() {
-    let rig = start(setup(2, 60.0, 6 * SECOND));
-    sends(&rig, 0, 5);
-    let (first, second) = (rig.links(&[0], None), rig.links(&[1], None));
+    let testbed = start(setup(2, 60.0, 6 * SECOND));
+    sends(&testbed, 0, 5);
+    let (first, second) = (testbed.links(&[0], None), testbed.links(&[1], None));
     let millis = Duration::from_millis;
     first
         .iter()
@@ -122,9 +125,9 @@
             Flow::Passes,
         )
     });
-    answered(&rig, 20);
+    answered(&testbed, 20);
     first.iter().for_each(|link| link.reset());
-    answered(&rig, 20);
+    answered(&testbed, 20);
     second.iter().for_each(|link| {
         link.set(
             Flow::Passes,
@@ -134,12 +137,12 @@
             },
         )
     });
-    answered(&rig, 20);
+    answered(&testbed, 20);
     first.iter().for_each(|link| link.refuse());
-    sends(&rig, 1, 20);
+    sends(&testbed, 1, 20);
     first.iter().chain(&second).for_each(|link| link.heal());
-    answered(&rig, 20);
-    sound(rig);
+    answered(&testbed, 20);
+    sound(testbed);
 }
 
 /// A primary dies and another takes over; a server hangs; one drains. All proxies find out for themselves.
@@ -147,33 +150,35 @@
 fn servers_die_hang_and_drain() {
     let mut setup = setup(3, 120.0, 8 * SECOND);
     (setup.site.group.give_up, setup.site.group.take_over) = (300_000, 300_000);
-    let rig = start(setup);
-    answered(&rig, 20);
+    let testbed = start(setup);
+    answered(&testbed, 20);
     let (primary, members) = {
-        let inner = rig.truth.look();
+        let inner = testbed.history.lock();
         (
             inner.site.primary(0).unwrap(),
             inner.site.members(1).to_vec(),
         )
     };
-    rig.truth.trouble(Trouble::Die(primary));
-    rig.truth.trouble(Trouble::Hang {
+    testbed.history.inject_fault(Trouble::Die(primary));
+    testbed.history.inject_fault(Trouble::Hang {
         server: members[1],
         on: true,
     });
-    rig.truth.trouble(Trouble::Drain(members[2]));
+    testbed.history.inject_fault(Trouble::Drain(members[2]));
     let another =
-        |inner: &testbed::truth::Inner| inner.site.primary(0).is_some_and(|now| now != primary);
-    rig.until("another primary", another).unwrap();
-    answered(&rig, 60);
-    rig.truth.trouble(Trouble::Start(primary));
-    rig.truth.trouble(Trouble::Hang {
+        |inner: &testbed::history::State| inner.site.primary(0).is_some_and(|now| now != primary);
+    testbed.until("another primary", another).unwrap();
+    answered(&testbed, 60);
+    testbed.history.inject_fault(Trouble::Start(primary));
+    testbed.history.inject_fault(Trouble::Hang {
         server: members[1],
         on: false,
     });
-    rig.truth.trouble(Trouble::Join { group: 1, place: 0 });
-    answered(&rig, 60);
-    sound(rig);
+    testbed
+        .history
+        .inject_fault(Trouble::Join { group: 1, place: 0 });
+    answered(&testbed, 60);
+    sound(testbed);
 }
 
 /// The list's service is down for the whole fleet, and all of it comes back at once.
@@ -181,24 +186,25 @@
 fn a_list_that_fails_a_whole_fleet_and_comes_back() {
     let mut setup = setup(6, 120.0, 10 * SECOND);
     (setup.list.call, setup.list.patience) = (20_000, 200_000);
-    let rig = start(setup);
+    let testbed = start(setup);
     for proxy in 0..6 {
-        sends(&rig, proxy, 1);
+        sends(&testbed, proxy, 1);
     }
-    let before: Vec<u64> = rig.proxies.iter().map(|p| p.list.taken()).collect();
-    rig.truth.list(catalog::Event::Down(true));
+    let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.taken()).collect();
+    testbed.history.list(catalog::Event::Down(true));
     // Everybody's watch has ended, and everybody asks again.
-    for (proxy, taken) in rig.proxies.iter().zip(&before) {
-        rig.wait(proxy.list.until_taken(taken + 1));
+    for (proxy, taken) in testbed.proxies.iter().zip(&before) {
+        testbed.wait(proxy.list.until_taken(taken + 1));
     }
-    let gone = *rig.truth.look().site.members(0).last().unwrap();
-    rig.truth.trouble(Trouble::Retire(gone));
-    answered(&rig, 40);
-    rig.truth.list(catalog::Event::Down(false));
-    rig.until("all watch again", |inner| inner.watching() == 6)
+    let gone = *testbed.history.lock().site.members(0).last().unwrap();
+    testbed.history.inject_fault(Trouble::Retire(gone));
+    answered(&testbed, 40);
+    testbed.history.list(catalog::Event::Down(false));
+    testbed
+        .until("all watch again", |inner| inner.watching() == 6)
         .unwrap();
-    answered(&rig, 20);
-    sound(rig);
+    answered(&testbed, 20);
+    sound(testbed);
 }
 
 /// A server's table of connections is full: it takes no more, and others bear its load.
@@ -212,28 +218,29 @@
         .kinds
         .iter_mut()
         .for_each(|kind| kind.work.mean = 20_000.0);
-    let rig = start(setup);
-    rig.until("a server turned a connection away", |inner| {
-        inner.turned_away > 0
-    })
-    .unwrap();
-    answered(&rig, 100);
-    sound(rig);
+    let testbed = start(setup);
+    testbed
+        .until("a server turned a connection away", |inner| {
+            inner.rejected_connections > 0
+        })
+        .unwrap();
+    answered(&testbed, 100);
+    sound(testbed);
 }
 
 /// Asked to end under load, it ends by itself, and nothing that it had taken is lost.
 #[test]
 fn sigterm_under_load() {
-    let mut rig = start(setup(2, 100.0, 5 * SECOND));
-    sends(&rig, 1, 10);
-    rig.signal(1, Signal::TERM);
-    let code = rig.proxies[1].process.as_mut().unwrap().wait();
+    let mut testbed = start(setup(2, 100.0, 5 * SECOND));
+    sends(&testbed, 1, 10);
+    testbed.signal(1, Signal::TERM);
+    let code = testbed.proxies[1].process.as_mut().unwrap().wait();
     assert_eq!(code, Some(0));
-    rig.truth.away(1);
-    sends(&rig, 0, 30);
-    rig.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    sends(&rig, 1, 5);
-    sound(rig);
+    testbed.history.proxy_down(1);
+    sends(&testbed, 0, 30);
+    testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
+    sends(&testbed, 1, 5);
+    sound(testbed);
 }
 
 /// What a process that can't start says and how it ends reaches the caller, and no other is left behind.
@@ -241,7 +248,7 @@
 fn a_process_that_does_not_start() {
     let mut setup = setup(2, 10.0, SECOND);
     setup.operators = "nonsense {".into();
-    let fault = Rig::start(setup).err().expect("it can't start");
+    let fault = Testbed::start(setup).err().expect("it can't start");
     assert_eq!(fault.code, Some(2), "{fault}");
     assert!(
         fault.words.iter().any(|line| line.contains("nonsense")),
@@ -256,7 +263,7 @@
     };
     let fault = Process::start(&missing)
         .unwrap()
-        .line("serving", 0)
+        .wait_for_line("serving", 0)
         .unwrap_err();
     assert_eq!(fault.code, Some(127), "{fault}");
 }
@@ -266,22 +273,22 @@
 fn a_proxy_within_its_descriptors() {
     let mut setup = setup(1, 100.0, 3 * SECOND);
     setup.sockets = 64;
-    let rig = start(setup);
-    answered(&rig, 50);
-    sound(rig);
+    let testbed = start(setup);
+    answered(&testbed, 50);
+    sound(testbed);
 }
 
-/// Its own timers late by a stall of its machine, the rig says how late it was, and claims nothing.
+/// Its own timers late by a stall of its machine, the testbed says how late it was, and claims nothing.
 #[test]
-fn a_rig_that_is_late_claims_nothing() {
-    let rig = start(setup(1, 400.0, 2 * SECOND));
-    answered(&rig, 5);
+fn a_testbed_that_is_late_claims_nothing() {
+    let testbed = start(setup(1, 400.0, 2 * SECOND));
+    answered(&testbed, 5);
     {
-        // Nothing of the rig goes on meanwhile; what was due in this time is late, however fast the machine.
-        let _held = rig.truth.look();
-        std::thread::sleep(20 * testbed::truth::LATE);
+        // Nothing of the testbed goes on meanwhile; what was due in this time is late, however fast the machine.
+        let _held = testbed.history.lock();
+        std::thread::sleep(20 * testbed::history::LATE);
     }
-    let out = rig.finish().unwrap();
-    assert!(out.late() > testbed::truth::LATE, "{:?}", out.late());
+    let out = testbed.finish().unwrap();
+    assert!(out.late() > testbed::history::LATE, "{:?}", out.late());
     assert_eq!(out.goodput(), None);
 }
--- a/crates/testbed/tests/lending.rs
+++ b/crates/testbed/tests/lending.rs
@@ -5,7 +5,7 @@
 use common::SECOND;
 use rustix::process::Signal;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use testbed::process::PATIENCE;
+use testbed::process::EVENT_TIMEOUT;
 use testbed::Setup;
 
 /// A bus arrives: its stand borrows at each proxy, nothing beyond the line, and repays it when the bus is gone.
@@ -26,7 +26,7 @@
     let mut fleet = Fleet::start(5, |_| {});
     fleet.surge(true);
     fleet.lends(0..5, 5);
-    fleet.rig.part(&[&[0, 1], &[2, 3, 4]]);
+    fleet.testbed.partition(&[&[0, 1], &[2, 3, 4]]);
     for proxy in 0..2 {
         let view = fleet.figure(proxy, &refused("view"));
         fleet.until([proxy], &refused("view"), |n| n > view);
@@ -38,7 +38,7 @@
             "the smaller side has ended"
         );
     }
-    fleet.rig.heal_talk();
+    fleet.testbed.heal_datagrams();
     fleet.lends(0..5, 5);
     fleet.settle();
 }
@@ -57,7 +57,7 @@
             .unwrap()
     };
     fleet.lends(0..1, 1);
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + EVENT_TIMEOUT;
     let holder = loop {
         fleet.look();
         let holder = greatest(&fleet);
@@ -87,7 +87,7 @@
             .map(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken"))
             .sum::<u64>()
     };
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + EVENT_TIMEOUT;
     while taken(&fleet) == 0 {
         fleet.look();
         assert!(
@@ -111,14 +111,14 @@
     fleet.surge(true);
     fleet.lends(0..3, 5);
     fleet.look();
-    fleet.rig.signal(1, Signal::STOP);
+    fleet.testbed.signal(1, Signal::STOP);
     fleet.looked.retain(|proxy| *proxy != 1);
     let down = "lb_member{member=\"n1\",status=\"down\"}";
     fleet
-        .rig
-        .figure_until(0, down, |n| n == 1)
+        .testbed
+        .metric_until(0, down, |n| n == 1)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    fleet.rig.signal(1, Signal::CONT);
+    fleet.testbed.signal(1, Signal::CONT);
     let stopped = fleet.figure(1, LOANS);
     fleet.looked.push(1);
     fleet.until([1], "lb_members_pauses_total", |n| n >= 1);
@@ -139,14 +139,14 @@
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    let ghost = fleet
-        .rig
-        .ghost(1, clock + 3_600_000)
+    let fake_member = fleet
+        .testbed
+        .fake_member(1, clock + 3_600_000)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    ghost
-        .until_whole()
+    fake_member
+        .wait_until_complete()
         .unwrap_or_else(|fault| panic!("{fault}"));
-    drop(ghost);
+    drop(fake_member);
     fleet.restart(1);
     fleet.until([1], "lb_members_renewals_total", |n| n == 1);
     fleet.lends(0..3, 5);
@@ -186,7 +186,7 @@
     fleet.lends(0..3, 5);
     let strict = |setup: &mut Setup| setup.operators = operators(STATE, "1s");
     fleet
-        .rig
+        .testbed
         .reload(1, strict)
         .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in 0..3 {
@@ -210,9 +210,9 @@
     });
     fleet.surge(true);
     fleet.lends(0..3, 2);
-    fleet.rig.truth.surge(Some(1), 60.0);
+    fleet.testbed.history.surge(Some(1), 60.0);
     fleet.until(0..3, &refused("short"), |n| n >= 5);
-    fleet.rig.truth.surge(Some(1), 1.0);
+    fleet.testbed.history.surge(Some(1), 1.0);
     fleet.until(0..3, "lb_loans_short", |n| n == 0);
     fleet.lends(0..3, 2);
     fleet.settle();
--- a/crates/testbed/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -5,9 +5,9 @@
 use server_model::site::{ServerIndex, Trouble};
 use std::collections::BTreeSet;
 use std::time::Duration;
+use testbed::history::State;
 use testbed::link::Flow;
-use testbed::truth::Inner;
-use testbed::{discovery, Rig, Setup};
+use testbed::{discovery, Setup, Testbed};
 
 const PROXIES: usize = 12;
 const GROUPS: u32 = 2;
@@ -21,8 +21,8 @@
 }
 
 /// The members that a proxy should meet before the others.
-fn part(rig: &Rig, proxy: usize, group: u32) -> BTreeSet<ServerIndex> {
-    let mut members = rig.truth.look().site.members(group).to_vec();
+fn subset(testbed: &Testbed, proxy: usize, group: u32) -> BTreeSet<ServerIndex> {
+    let mut members = testbed.history.lock().site.members(group).to_vec();
     subsetting::order(proxy as u32, group, &mut members, |server| {
         subsetting::key(&discovery::name(server))
     });
@@ -33,15 +33,15 @@
 }
 
 /// What each proxy sent to anybody but primaries and its own part, and what it sent in all.
-fn astray(rig: &Rig) -> (u64, u64) {
+fn astray(testbed: &Testbed) -> (u64, u64) {
     let parts: Vec<BTreeSet<ServerIndex>> = (0..PROXIES)
         .map(|proxy| {
             (0..GROUPS)
-                .flat_map(|group| part(rig, proxy, group))
+                .flat_map(|group| subset(testbed, proxy, group))
                 .collect()
         })
         .collect();
-    let look = rig.truth.look();
+    let look = testbed.history.lock();
     let primaries: BTreeSet<_> = (0..GROUPS)
         .filter_map(|group| look.site.primary(group))
         .collect();
@@ -62,16 +62,16 @@
 /// and next to nothing goes beyond.
 #[test]
 fn proxies_meet_their_parts() {
-    let rig = start(fleet(8 * SECOND));
-    answered(&rig, 900);
-    let (beyond, all) = astray(&rig);
+    let testbed = start(fleet(8 * SECOND));
+    answered(&testbed, 900);
+    let (beyond, all) = astray(&testbed);
     assert!(
         beyond * 20 < all,
         "{beyond} of {all} were sent beyond the parts"
     );
-    let met: BTreeSet<ServerIndex> = rig
-        .truth
-        .look()
+    let met: BTreeSet<ServerIndex> = testbed
+        .history
+        .lock()
         .reached
         .keys()
         .map(|&(_, server)| server)
@@ -81,20 +81,20 @@
         GROUPS as usize * MEMBERS,
         "nobody meets some: {met:?}"
     );
-    sound(rig);
+    sound(testbed);
 }
 
 /// All that a proxy meets of a group dies at once, and it goes on with the others.
 #[test]
 fn a_proxy_whose_whole_part_dies() {
-    let rig = start(fleet(12 * SECOND));
-    answered(&rig, 300);
-    let own = part(&rig, 0, 0);
-    let primary = rig.truth.look().site.primary(0);
+    let testbed = start(fleet(12 * SECOND));
+    answered(&testbed, 300);
+    let own = subset(&testbed, 0, 0);
+    let primary = testbed.history.lock().site.primary(0);
     for &server in own.iter().filter(|&&server| Some(server) != primary) {
-        rig.truth.trouble(Trouble::Die(server));
+        testbed.history.inject_fault(Trouble::Die(server));
     }
-    let others = |inner: &Inner| {
+    let others = |inner: &State| {
         let beyond = |(proxy, server): &(usize, ServerIndex)| {
             *proxy == 0 && inner.site.members(0).contains(server) && !own.contains(server)
         };
@@ -104,41 +104,43 @@
             .filter(|(pair, _)| beyond(pair) && Some(pair.1) != primary);
         sent.map(|(_, n)| n).sum::<u64>()
     };
-    let before = others(&rig.truth.look());
-    rig.until("it goes on with the others", |inner| {
-        others(inner) >= before + 20
-    })
-    .unwrap();
-    sound(rig);
+    let before = others(&testbed.history.lock());
+    testbed
+        .until("it goes on with the others", |inner| {
+            others(inner) >= before + 20
+        })
+        .unwrap();
+    sound(testbed);
 }
 
 /// The fleet is said to grow to forty, first at half of it: old and new size live side by side, and nobody moves.
 #[test]
 fn half_of_the_fleet_has_another_size() {
-    let mut rig = start(fleet(10 * SECOND));
-    answered(&rig, 300);
+    let mut testbed = start(fleet(10 * SECOND));
+    answered(&testbed, 300);
     for proxy in 0..PROXIES / 2 {
-        rig.reload(proxy, |setup| setup.clients.proxies = 40)
+        testbed
+            .reload(proxy, |setup| setup.clients.proxies = 40)
             .unwrap();
     }
-    answered(&rig, 700);
-    let (beyond, all) = astray(&rig);
+    answered(&testbed, 700);
+    let (beyond, all) = astray(&testbed);
     assert!(
         beyond * 20 < all,
         "{beyond} of {all} were sent beyond the parts"
     );
-    sound(rig);
+    sound(testbed);
 }
 
 /// One member of each proxy's part answers late, over that proxy's link alone: the others of the part get its load.
 #[test]
 fn slow_replies_from_one_member_of_each_part() {
-    let rig = start(fleet(10 * SECOND));
-    answered(&rig, 200);
-    let primary = rig.truth.look().site.primary(0);
+    let testbed = start(fleet(10 * SECOND));
+    answered(&testbed, 200);
+    let primary = testbed.history.lock().site.primary(0);
     let slow: Vec<ServerIndex> = (0..PROXIES)
         .map(|proxy| {
-            part(&rig, proxy, 0)
+            subset(&testbed, proxy, 0)
                 .into_iter()
                 .find(|&server| Some(server) != primary)
                 .unwrap()
@@ -146,10 +148,10 @@
         .collect();
     for (proxy, &server) in slow.iter().enumerate() {
         let late = Flow::Late(Duration::from_millis(300), Duration::from_millis(300));
-        rig.link(proxy, server).unwrap().set(Flow::Passes, late);
+        testbed.link(proxy, server).unwrap().set(Flow::Passes, late);
     }
     let sent = || {
-        let look = rig.truth.look();
+        let look = testbed.history.lock();
         let group = |server: &ServerIndex| {
             look.site.members(0).contains(server) && Some(*server) != primary
         };
@@ -162,29 +164,29 @@
         (late, sum)
     };
     // Until each has had the time to hear of it.
-    answered(&rig, 300);
+    answered(&testbed, 300);
     let before = sent();
-    answered(&rig, 500);
+    answered(&testbed, 500);
     let after = sent();
     let (late, sum) = (after.0 - before.0, after.1 - before.1);
     assert!(late * 8 < sum, "{late} of {sum} went over the slow links");
-    sound(rig);
+    sound(testbed);
 }
 
 /// All are killed and started at once: they know nothing, and no cold server or list suffers from what they do alike.
 #[test]
 fn a_whole_fleet_is_killed_and_started() {
-    let mut rig = start(fleet(10 * SECOND));
-    answered(&rig, 200);
-    (0..PROXIES).for_each(|proxy| rig.kill(proxy));
-    (0..PROXIES).for_each(|proxy| rig.restart(proxy).unwrap());
-    answered(&rig, 400);
-    let (beyond, all) = astray(&rig);
+    let mut testbed = start(fleet(10 * SECOND));
+    answered(&testbed, 200);
+    (0..PROXIES).for_each(|proxy| testbed.kill(proxy));
+    (0..PROXIES).for_each(|proxy| testbed.restart(proxy).unwrap());
+    answered(&testbed, 400);
+    let (beyond, all) = astray(&testbed);
     assert!(
         beyond * 20 < all,
         "{beyond} of {all} were sent beyond the parts: they are the same after a start"
     );
-    sound(rig);
+    sound(testbed);
 }
 
 /// Most members are replaced by cold ones while the list is late: the ledger watches the bound of each cold server over
@@ -197,11 +199,11 @@
         .kinds
         .iter_mut()
         .for_each(|kind| kind.work.mean = 10_000.0);
-    let rig = start(setup);
-    answered(&rig, 200);
+    let testbed = start(setup);
+    answered(&testbed, 200);
     let old: Vec<ServerIndex> = (0..GROUPS)
         .flat_map(|group| {
-            let look = rig.truth.look();
+            let look = testbed.history.lock();
             let stays = look.site.primary(group);
             let replicas = look
                 .site
@@ -212,21 +214,26 @@
             replicas.take(5).collect::<Vec<_>>()
         })
         .collect();
-    let known = rig.truth.look().site.servers().end;
+    let known = testbed.history.lock().site.servers().end;
     for group in 0..GROUPS {
-        (0..5).for_each(|_| rig.truth.trouble(Trouble::Join { group, place: 0 }));
+        (0..5).for_each(|_| {
+            testbed
+                .history
+                .inject_fault(Trouble::Join { group, place: 0 })
+        });
     }
     old.iter()
-        .for_each(|&server| rig.truth.trouble(Trouble::Drain(server)));
-    answered(&rig, 300);
+        .for_each(|&server| testbed.history.inject_fault(Trouble::Drain(server)));
+    answered(&testbed, 300);
     old.iter()
-        .for_each(|&server| rig.truth.trouble(Trouble::Retire(server)));
-    let new = |inner: &Inner| {
+        .for_each(|&server| testbed.history.inject_fault(Trouble::Retire(server)));
+    let new = |inner: &State| {
         let met: BTreeSet<ServerIndex> = inner.reached.keys().map(|&(_, server)| server).collect();
         met.range(known..).count()
     };
     // A cold one gets a few in a hundred of its part: some are met soon, all of them only in good time.
-    rig.until("new members are met", |inner| new(inner) >= GROUPS as usize)
+    testbed
+        .until("new members are met", |inner| new(inner) >= GROUPS as usize)
         .unwrap();
-    sound(rig);
+    sound(testbed);
 }
--- a/crates/testbed/tests/planted.rs
+++ b/crates/testbed/tests/planted.rs
@@ -8,7 +8,7 @@
 /// Whether a fleet of planted proxies is found out.
 fn caught(rule: Rule) {
     let mut setup = setup(2, 60.0, 30 * SECOND);
-    setup.misrule = Some(rule);
+    setup.planted_violation = Some(rule);
     // What hides a fault from those who have it.
     setup.platform.checks = rule != Rule::Stale;
     match rule {
@@ -28,17 +28,17 @@
         Rule::Stale => setup.site.group.ship = 5 * SECOND,
         _ => {}
     }
-    let rig = start(setup);
-    let last = *rig.truth.look().site.members(0).last().unwrap();
+    let testbed = start(setup);
+    let last = *testbed.history.lock().site.members(0).last().unwrap();
     match rule {
-        Rule::Drained => rig.truth.trouble(Trouble::Drain(last)),
+        Rule::Drained => testbed.history.inject_fault(Trouble::Drain(last)),
         Rule::Collapsed => {
-            rig.truth.trouble(Trouble::Die(last));
-            rig.truth.trouble(Trouble::Start(last));
+            testbed.history.inject_fault(Trouble::Die(last));
+            testbed.history.inject_fault(Trouble::Start(last));
         }
         _ => {}
     }
-    let found = rig.until("the planted fault is found", |inner| {
+    let found = testbed.until("the planted fault is found", |inner| {
         inner.checker.broken.contains_key(&rule)
     });
     found.unwrap_or_else(|fault| panic!("{rule:?}: {fault}"));
@@ -71,9 +71,9 @@
 
 #[test]
 fn a_sound_fleet_breaks_no_rule() {
-    let rig = start(setup(3, 100.0, 2 * SECOND));
-    answered(&rig, 50);
-    let out = sound(rig);
+    let testbed = start(setup(3, 100.0, 2 * SECOND));
+    answered(&testbed, 50);
+    let out = sound(testbed);
     assert_eq!(out.gone, 0);
 }
 
--- a/crates/testbed/tests/rollout.rs
+++ b/crates/testbed/tests/rollout.rs
@@ -10,9 +10,9 @@
 use std::ops::{Deref, DerefMut};
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use testbed::ghost::Ghost;
+use testbed::fake_member::FakeMember;
 use testbed::members::Members;
-use testbed::{process, Rig};
+use testbed::{process, Testbed};
 
 const OPERATORS: &str = "control {\n socket {folder}/control\n}\nrollout {\n candidates {folder}/candidates\n \
                          state {folder}/candidates/state\n soak 2s\n dark 1min\n period 200ms\n window-least 3\n \
@@ -25,39 +25,39 @@
 /// Longer than any vote of these fleets holds.
 const VOTES_LAST: Duration = Duration::from_secs(10);
 
-/// A rig, and what its proxies have told of versions.
+/// A testbed, and what its proxies have told of versions.
 struct Fleet {
-    rig: Rig,
+    testbed: Testbed,
     versions: RefCell<Checker>,
     from: Instant,
-    /// After the rig.
+    /// After the testbed.
     _turn: Turn,
 }
 
 impl Deref for Fleet {
-    type Target = Rig;
+    type Target = Testbed;
 
-    fn deref(&self) -> &Rig {
-        &self.rig
+    fn deref(&self) -> &Testbed {
+        &self.testbed
     }
 }
 
 impl DerefMut for Fleet {
-    fn deref_mut(&mut self) -> &mut Rig {
-        &mut self.rig
+    fn deref_mut(&mut self) -> &mut Testbed {
+        &mut self.testbed
     }
 }
 
 impl Fleet {
     /// No rule of rollouts is broken, as far as two looks at all that live show.
     fn is_sound(&self) {
-        let alive = |proxy: &usize| self.rig.proxies[*proxy].process.is_some();
+        let alive = |proxy: &usize| self.testbed.proxies[*proxy].process.is_some();
         let mut versions = self.versions.borrow_mut();
         for _ in 0..2 {
-            let proxies = (0..self.rig.proxies.len()).filter(alive);
+            let proxies = (0..self.testbed.proxies.len()).filter(alive);
             let looked = self
-                .rig
-                .look_at_versions(proxies, self.from.elapsed(), &mut versions);
+                .testbed
+                .check_versions(proxies, self.from.elapsed(), &mut versions);
             looked.unwrap_or_else(|fault| panic!("{fault}"));
         }
         assert_eq!(versions.broken.count, 0, "{:?}", versions.broken.first);
@@ -87,31 +87,31 @@
         )
     };
     let versions = RefCell::new(Checker::new(vec![named("east"), named("west")], VOTES_LAST));
-    let rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    let rig = Fleet {
-        rig,
+    let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
+    let testbed = Fleet {
+        testbed,
         versions,
         from: Instant::now(),
         _turn: turn,
     };
-    (0..proxies).for_each(|proxy| place(&rig, proxy, candidate));
-    each(&rig, 0..proxies, "lb_members_state{state=\"whole\"}", 1);
-    rig.truth.begin();
-    answered(&rig, 20);
-    rig
+    (0..proxies).for_each(|proxy| place(&testbed, proxy, candidate));
+    each(&testbed, 0..proxies, "lb_members_state{state=\"whole\"}", 1);
+    testbed.history.begin();
+    answered(&testbed, 20);
+    testbed
 }
 
-fn place(rig: &Rig, proxy: usize, candidate: &str) {
-    let folder = rig.folder(proxy).join("candidates");
+fn place(testbed: &Testbed, proxy: usize, candidate: &str) {
+    let folder = testbed.folder(proxy).join("candidates");
     std::fs::create_dir_all(folder.join("state")).unwrap();
     std::fs::write(folder.join("extra.part"), EXTRA).unwrap();
     std::fs::write(folder.join("new.conf"), candidate).unwrap();
 }
 
 /// What an operator says to a proxy.
-fn say(rig: &Rig, proxy: usize, words: &[&str]) -> String {
+fn say(testbed: &Testbed, proxy: usize, words: &[&str]) -> String {
     let program = process::built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
-    let socket = rig.folder(proxy).join("control");
+    let socket = testbed.folder(proxy).join("control");
     let out = Command::new(program)
         .arg("rollout")
         .args(words)
@@ -122,28 +122,30 @@
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
 }
 
-fn propose(rig: &Rig, proxy: usize) {
-    propose_file(rig, proxy, "new.conf");
+fn propose(testbed: &Testbed, proxy: usize) {
+    propose_file(testbed, proxy, "new.conf");
 }
 
-fn propose_file(rig: &Rig, proxy: usize, name: &str) {
-    let file = rig.folder(proxy).join("candidates").join(name);
-    let answer = say(rig, proxy, &["propose", &file.display().to_string()]);
+fn propose_file(testbed: &Testbed, proxy: usize, name: &str) {
+    let file = testbed.folder(proxy).join("candidates").join(name);
+    let answer = say(testbed, proxy, &["propose", &file.display().to_string()]);
     assert!(answer.starts_with("rollout proposed"), "{answer}");
 }
 
 /// Until it is so for each; then all are looked at.
-fn each(rig: &Fleet, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
+fn each(testbed: &Fleet, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
     for proxy in proxies {
-        let seen = rig.figure_until(proxy, name, |n| n == value);
-        let status = || say(rig, proxy, &["status"]);
+        let seen = testbed.metric_until(proxy, name, |n| n == value);
+        let status = || say(testbed, proxy, &["status"]);
         seen.unwrap_or_else(|fault| panic!("{fault}\n{}", status()));
     }
-    rig.is_sound();
+    testbed.is_sound();
 }
 
-fn figure(rig: &Rig, proxy: usize, name: &str) -> u64 {
-    let figures = rig.figures(proxy).unwrap_or_else(|fault| panic!("{fault}"));
+fn figure(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
+    let figures = testbed
+        .metrics(proxy)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     figures.get(name).copied().unwrap_or_default()
 }
 
@@ -157,138 +159,144 @@
 /// A good version goes through the canary and both regions to the whole, and back when an operator wants.
 #[test]
 fn a_good_version_reaches_all_and_goes_back_in_order() {
-    let rig = fleet(4, GOOD);
-    propose(&rig, 2);
-    each(&rig, 0..1, NEW, 1);
-    each(&rig, 0..4, &phase("whole"), 1);
-    each(&rig, 0..4, NEW, 1);
-    say(&rig, 1, &["return"]);
-    each(&rig, 0..4, &phase("returned"), 1);
-    each(&rig, 0..4, NEW, 0);
+    let testbed = fleet(4, GOOD);
+    propose(&testbed, 2);
+    each(&testbed, 0..1, NEW, 1);
+    each(&testbed, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, NEW, 1);
+    say(&testbed, 1, &["return"]);
+    each(&testbed, 0..4, &phase("returned"), 1);
+    each(&testbed, 0..4, NEW, 0);
 }
 
 /// One that refuses a class is halted while only the canary runs it; it is not proposed again unless an operator insists.
 #[test]
 fn a_version_that_refuses_a_class_stays_in_its_first_region() {
-    let rig = fleet(4, BAD);
-    propose(&rig, 0);
-    each(&rig, 0..4, &phase("halted"), 1);
-    each(&rig, 0..4, NEW, 0);
+    let testbed = fleet(4, BAD);
+    propose(&testbed, 0);
+    each(&testbed, 0..4, &phase("halted"), 1);
+    each(&testbed, 0..4, NEW, 0);
     let ran = (2..4)
-        .map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total"))
+        .map(|proxy| figure(&testbed, proxy, "lb_reloads_ok_total"))
         .sum::<u64>();
     assert_eq!(ran, 0, "the second region never ran it");
-    let file = rig
+    let file = testbed
         .folder(3)
         .join("candidates/new.conf")
         .display()
         .to_string();
-    assert!(say(&rig, 3, &["propose", &file]).contains("halted in epoch 1"));
+    assert!(say(&testbed, 3, &["propose", &file]).contains("halted in epoch 1"));
 }
 
 /// The smaller side of a cut goes no further, and on when it has healed.
 #[test]
 fn a_minority_does_not_promote() {
-    let rig = fleet(5, GOOD);
-    propose(&rig, 4);
-    each(&rig, 0..5, &phase("canary"), 1);
-    rig.part(&[&[0, 1, 2], &[3, 4]]);
-    each(&rig, 0..3, REGION, 1);
-    each(&rig, 3..5, "lb_members_state{state=\"minority\"}", 1);
-    assert_eq!((figure(&rig, 3, NEW), figure(&rig, 4, NEW)), (0, 0));
-    rig.heal_talk();
-    each(&rig, 0..5, &phase("whole"), 1);
+    let testbed = fleet(5, GOOD);
+    propose(&testbed, 4);
+    each(&testbed, 0..5, &phase("canary"), 1);
+    testbed.partition(&[&[0, 1, 2], &[3, 4]]);
+    each(&testbed, 0..3, REGION, 1);
+    each(&testbed, 3..5, "lb_members_state{state=\"minority\"}", 1);
+    assert_eq!((figure(&testbed, 3, NEW), figure(&testbed, 4, NEW)), (0, 0));
+    testbed.heal_datagrams();
+    each(&testbed, 0..5, &phase("whole"), 1);
 }
 
 /// A halt that a minority says while the majority promotes wins as soon as it is heard.
 #[test]
 fn a_halt_on_one_side_wins_over_votes_on_the_other() {
-    let rig = fleet(5, GOOD);
-    propose(&rig, 0);
-    each(&rig, 0..5, &phase("canary"), 1);
-    rig.part(&[&[0, 1, 2], &[3, 4]]);
-    say(&rig, 3, &["halt"]);
-    each(&rig, 0..3, REGION, 1);
-    each(&rig, 0..2, NEW, 1);
-    rig.heal_talk();
-    each(&rig, 0..5, &phase("halted"), 1);
-    each(&rig, 0..5, NEW, 0);
+    let testbed = fleet(5, GOOD);
+    propose(&testbed, 0);
+    each(&testbed, 0..5, &phase("canary"), 1);
+    testbed.partition(&[&[0, 1, 2], &[3, 4]]);
+    say(&testbed, 3, &["halt"]);
+    each(&testbed, 0..3, REGION, 1);
+    each(&testbed, 0..2, NEW, 1);
+    testbed.heal_datagrams();
+    each(&testbed, 0..5, &phase("halted"), 1);
+    each(&testbed, 0..5, NEW, 0);
 }
 
 /// A host on which the file is missing, and one on which it is faulty, stop the promotion to their region and say so; it
 /// goes on when both have it.
 #[test]
 fn a_file_that_a_host_cannot_run_stops_there() {
-    let rig = fleet(4, GOOD);
-    std::fs::remove_file(rig.folder(2).join("candidates/new.conf")).unwrap();
+    let testbed = fleet(4, GOOD);
+    std::fs::remove_file(testbed.folder(2).join("candidates/new.conf")).unwrap();
     std::fs::write(
-        rig.folder(3).join("candidates/extra.part"),
+        testbed.folder(3).join("candidates/extra.part"),
         "route broken {\n",
     )
     .unwrap();
-    propose(&rig, 0);
-    each(&rig, 0..4, "lb_rollout_cannot_run", 2);
-    each(&rig, 0..2, REGION, 1);
-    let status = say(&rig, 0, &["status"]);
+    propose(&testbed, 0);
+    each(&testbed, 0..4, "lb_rollout_cannot_run", 2);
+    each(&testbed, 0..2, REGION, 1);
+    let status = say(&testbed, 0, &["status"]);
     assert!(
         status.contains("has no file of the hash") && status.contains("fault(s)"),
         "{status}"
     );
-    place(&rig, 2, GOOD);
-    place(&rig, 3, GOOD);
-    each(&rig, 0..4, &phase("whole"), 1);
+    place(&testbed, 2, GOOD);
+    place(&testbed, 3, GOOD);
+    each(&testbed, 0..4, &phase("whole"), 1);
 }
 
 /// All die in mid-stage and start again: the rollout goes on from what was kept.
 #[test]
 fn a_restart_of_all_goes_on() {
-    let mut rig = fleet(4, GOOD);
-    propose(&rig, 1);
-    each(&rig, 0..4, REGION, 1);
-    (0..4).for_each(|proxy| rig.kill(proxy));
-    (0..4).for_each(|proxy| rig.restart(proxy).unwrap_or_else(|fault| panic!("{fault}")));
-    each(&rig, 0..4, &phase("whole"), 1);
-    each(&rig, 0..4, NEW, 1);
+    let mut testbed = fleet(4, GOOD);
+    propose(&testbed, 1);
+    each(&testbed, 0..4, REGION, 1);
+    (0..4).for_each(|proxy| testbed.kill(proxy));
+    (0..4).for_each(|proxy| {
+        testbed
+            .restart(proxy)
+            .unwrap_or_else(|fault| panic!("{fault}"))
+    });
+    each(&testbed, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, NEW, 1);
 }
 
 /// One that was dead while the version was halted does not run it when it comes back.
 #[test]
 fn a_late_one_does_not_run_what_was_halted() {
-    let mut rig = fleet(4, GOOD);
-    propose(&rig, 0);
-    each(&rig, 0..1, NEW, 1);
-    rig.kill(0);
-    say(&rig, 1, &["halt"]);
-    each(&rig, 1..4, &phase("halted"), 1);
-    rig.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&rig, 0..4, &phase("halted"), 1);
-    assert_eq!(figure(&rig, 0, "lb_reloads_ok_total"), 0);
+    let mut testbed = fleet(4, GOOD);
+    propose(&testbed, 0);
+    each(&testbed, 0..1, NEW, 1);
+    testbed.kill(0);
+    say(&testbed, 1, &["halt"]);
+    each(&testbed, 1..4, &phase("halted"), 1);
+    testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
+    each(&testbed, 0..4, &phase("halted"), 1);
+    assert_eq!(figure(&testbed, 0, "lb_reloads_ok_total"), 0);
 }
 
 /// Two are proposed on the sides of a cut; when it heals one gives way on all, and the other reaches all.
 #[test]
 fn of_two_proposals_at_once_one_gives_way() {
-    let rig = fleet(4, GOOD);
+    let testbed = fleet(4, GOOD);
     for proxy in 0..4 {
         let other = format!("# another one\n{GOOD}");
-        std::fs::write(rig.folder(proxy).join("candidates/other.conf"), other).unwrap();
+        std::fs::write(testbed.folder(proxy).join("candidates/other.conf"), other).unwrap();
     }
-    rig.part(&[&[0, 1], &[2, 3]]);
-    each(&rig, 0..4, "lb_members_state{state=\"minority\"}", 1);
-    propose(&rig, 0);
-    propose_file(&rig, 3, "other.conf");
-    each(&rig, [1], &phase("proposed"), 1);
-    each(&rig, [2], &phase("proposed"), 1);
+    testbed.partition(&[&[0, 1], &[2, 3]]);
+    each(&testbed, 0..4, "lb_members_state{state=\"minority\"}", 1);
+    propose(&testbed, 0);
+    propose_file(&testbed, 3, "other.conf");
+    each(&testbed, [1], &phase("proposed"), 1);
+    each(&testbed, [2], &phase("proposed"), 1);
     assert_eq!(
-        (0..4).map(|proxy| figure(&rig, proxy, NEW)).sum::<u64>(),
+        (0..4)
+            .map(|proxy| figure(&testbed, proxy, NEW))
+            .sum::<u64>(),
         0,
         "no side has a quorum"
     );
-    rig.heal_talk();
-    each(&rig, 0..4, &phase("whole"), 1);
-    each(&rig, 0..4, NEW, 1);
+    testbed.heal_datagrams();
+    each(&testbed, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, NEW, 1);
     let runs = |proxy| {
-        say(&rig, proxy, &["status"])
+        say(&testbed, proxy, &["status"])
             .lines()
             .nth(1)
             .map(str::to_owned)
@@ -298,7 +306,7 @@
         "all run the same one"
     );
     let gave_way = (0..4)
-        .map(|proxy| figure(&rig, proxy, "lb_rollout_superseded_total"))
+        .map(|proxy| figure(&testbed, proxy, "lb_rollout_superseded_total"))
         .sum::<u64>();
     assert!(gave_way >= 2, "{gave_way}");
 }
@@ -306,62 +314,63 @@
 /// A voter that stands still is no vote: its region waits for it, and goes on when it is back.
 #[test]
 fn a_stopped_voter_is_waited_for() {
-    let mut rig = fleet(4, GOOD);
-    propose(&rig, 3);
-    each(&rig, 0..1, NEW, 1);
-    rig.signal(1, rustix::process::Signal::STOP);
+    let mut testbed = fleet(4, GOOD);
+    propose(&testbed, 3);
+    each(&testbed, 0..1, NEW, 1);
+    testbed.signal(1, rustix::process::Signal::STOP);
     let down = "lb_member{member=\"n1\",status=\"down\"}";
     for proxy in [0, 2, 3] {
-        rig.figure_until(proxy, down, |n| n == 1)
+        testbed
+            .metric_until(proxy, down, |n| n == 1)
             .unwrap_or_else(|fault| panic!("{fault}"));
     }
-    assert_eq!((figure(&rig, 2, NEW), figure(&rig, 3, NEW)), (0, 0));
-    rig.signal(1, rustix::process::Signal::CONT);
-    each(&rig, 0..4, &phase("whole"), 1);
+    assert_eq!((figure(&testbed, 2, NEW), figure(&testbed, 3, NEW)), (0, 0));
+    testbed.signal(1, rustix::process::Signal::CONT);
+    each(&testbed, 0..4, &phase("whole"), 1);
 }
 
 /// A proxy that runs the new version and is not heard for `dark` ends the rollout on all, and does not run it again.
 #[test]
 fn one_that_goes_dark_on_the_new_version_ends_it() {
-    let mut rig = fleet_by(
+    let mut testbed = fleet_by(
         4,
         GOOD,
         &OPERATORS
             .replace("soak 2s", "soak 1min")
             .replace("dark 1min", "dark 2s"),
     );
-    propose(&rig, 2);
-    each(&rig, 0..1, NEW, 1);
-    rig.kill(0);
-    each(&rig, 1..4, &phase("halted"), 1);
-    rig.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&rig, 0..4, &phase("halted"), 1);
-    each(&rig, 0..4, NEW, 0);
+    propose(&testbed, 2);
+    each(&testbed, 0..1, NEW, 1);
+    testbed.kill(0);
+    each(&testbed, 1..4, &phase("halted"), 1);
+    testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
+    each(&testbed, 0..4, &phase("halted"), 1);
+    each(&testbed, 0..4, NEW, 0);
 }
 
 /// A version that kills its proxy as soon as it runs, whoever has heard of that: it is halted, and no other runs it.
 #[test]
 fn a_version_that_kills_its_proxy_at_once_is_halted() {
-    let mut rig = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 1min"));
-    propose(&rig, 2);
+    let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 1min"));
+    propose(&testbed, 2);
     // One that nobody had heard of yet when it died first dies once more.
     for deaths in 0.. {
-        assert!(deaths < 4, "{}", say(&rig, 1, &["status"]));
-        let end = Instant::now() + process::PATIENCE;
-        while figure(&rig, 0, NEW) == 0 && figure(&rig, 1, &phase("halted")) == 0 {
-            assert!(Instant::now() < end, "{}", say(&rig, 1, &["status"]));
+        assert!(deaths < 4, "{}", say(&testbed, 1, &["status"]));
+        let end = Instant::now() + process::EVENT_TIMEOUT;
+        while figure(&testbed, 0, NEW) == 0 && figure(&testbed, 1, &phase("halted")) == 0 {
+            assert!(Instant::now() < end, "{}", say(&testbed, 1, &["status"]));
         }
-        if figure(&rig, 1, &phase("halted")) == 1 {
+        if figure(&testbed, 1, &phase("halted")) == 1 {
             break;
         }
-        rig.kill(0);
-        rig.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
+        testbed.kill(0);
+        testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
     }
-    each(&rig, 0..4, &phase("halted"), 1);
-    each(&rig, 0..4, NEW, 0);
+    each(&testbed, 0..4, &phase("halted"), 1);
+    each(&testbed, 0..4, NEW, 0);
     assert_eq!(
         (1..4)
-            .map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total"))
+            .map(|proxy| figure(&testbed, proxy, "lb_reloads_ok_total"))
             .sum::<u64>(),
         0
     );
@@ -370,55 +379,61 @@
 /// Restarts that operators ask for, in the middle of a stage, are no crashes.
 #[test]
 fn restarts_in_order_do_not_halt() {
-    let mut rig = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
-    propose(&rig, 2);
+    let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
+    propose(&testbed, 2);
     for planned in 1..=2 {
-        each(&rig, 0..1, NEW, 1);
+        each(&testbed, 0..1, NEW, 1);
         if planned == 1 {
-            rig.signal(0, rustix::process::Signal::TERM);
-            assert_eq!(rig.proxies[0].process.as_mut().unwrap().wait(), Some(0));
-            rig.truth.away(0);
-            rig.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
+            testbed.signal(0, rustix::process::Signal::TERM);
+            assert_eq!(testbed.proxies[0].process.as_mut().unwrap().wait(), Some(0));
+            testbed.history.proxy_down(0);
+            testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
         } else {
-            // An upgrade: the heir has the control socket while its elder still serves.
-            let mut heir = rig.heir(0).unwrap_or_else(|fault| panic!("{fault}"));
-            heir.line(": serving on ", 0)
+            // An upgrade: the new process has the control socket while its old process still serves.
+            let mut new_process = testbed
+                .start_new_process(0)
+                .unwrap_or_else(|fault| panic!("{fault}"));
+            new_process
+                .wait_for_line(": serving on ", 0)
                 .unwrap_or_else(|fault| panic!("{fault}"));
             assert_eq!(
-                rig.succeed(0, heir)
+                testbed
+                    .replace_process(0, new_process)
                     .unwrap_or_else(|fault| panic!("{fault}")),
                 Some(0)
             );
         }
-        let end = Instant::now() + process::PATIENCE;
+        let end = Instant::now() + process::EVENT_TIMEOUT;
         let told = format!("member n0 started anew in order {planned} times");
-        while !say(&rig, 1, &["status"]).contains(&told) {
-            assert!(Instant::now() < end, "{}", say(&rig, 1, &["status"]));
+        while !say(&testbed, 1, &["status"]).contains(&told) {
+            assert!(Instant::now() < end, "{}", say(&testbed, 1, &["status"]));
         }
     }
-    each(&rig, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, &phase("whole"), 1);
 }
 
 /// While rosters differ nothing is promoted; when all have the new one the rollout goes on.
 #[test]
 fn a_roster_that_changes_during_a_rollout_holds_it() {
-    let mut rig = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
-    propose(&rig, 2);
-    each(&rig, 0..1, NEW, 1);
+    let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
+    propose(&testbed, 2);
+    each(&testbed, 0..1, NEW, 1);
     let version = |setup: &mut testbed::Setup| setup.members.as_mut().unwrap().version = 2;
-    rig.reload(1, version)
+    testbed
+        .reload(1, version)
         .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in [0, 2, 3] {
-        each(&rig, [proxy], "lb_members_roster_differs", 1);
-        each(&rig, [proxy], "lb_members_allowed{act=\"promote\"}", 0);
+        each(&testbed, [proxy], "lb_members_roster_differs", 1);
+        each(&testbed, [proxy], "lb_members_allowed{act=\"promote\"}", 0);
     }
-    assert_eq!((figure(&rig, 2, NEW), figure(&rig, 3, NEW)), (0, 0));
+    assert_eq!((figure(&testbed, 2, NEW), figure(&testbed, 3, NEW)), (0, 0));
     for proxy in [0, 2, 3] {
-        rig.reload(proxy, |_| {})
+        testbed
+            .reload(proxy, |_| {})
             .unwrap_or_else(|fault| panic!("{fault}"));
     }
-    each(&rig, 0..4, "lb_members_allowed{act=\"promote\"}", 1);
-    each(&rig, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, "lb_members_allowed{act=\"promote\"}", 1);
+    each(&testbed, 0..4, &phase("whole"), 1);
 }
 
 /// What a proxy says of rollouts, by the kinds of facts that it says it in.
@@ -428,20 +443,20 @@
 /// An hour in the future.
 const AHEAD_MS: u64 = 3_600_000;
 
-/// A proxy whose process has been killed, and that the rig speaks for; `ahead`: by a clock that is so many milliseconds fast.
-fn ghost(rig: &mut Fleet, proxy: usize, ahead: u64) -> Ghost {
-    rig.kill(proxy);
+/// A proxy whose process has been killed, and that the testbed speaks for; `ahead`: by a clock that is so many milliseconds fast.
+fn fake_member(testbed: &mut Fleet, proxy: usize, ahead: u64) -> FakeMember {
+    testbed.kill(proxy);
     let clock = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    let ghost = rig
-        .ghost(proxy, clock + ahead)
+    let fake_member = testbed
+        .fake_member(proxy, clock + ahead)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    ghost
-        .until_whole()
+    fake_member
+        .wait_until_complete()
         .unwrap_or_else(|fault| panic!("{fault}"));
-    ghost
+    fake_member
 }
 
 fn said<T: serde::Serialize>(what: &T) -> Vec<u8> {
@@ -453,8 +468,8 @@
 }
 
 /// Votes for all stages, goes along with the others, and says that the version loses nothing, while `until` does not hold.
-fn lie(rig: &Fleet, ghost: &Ghost, mut until: impl FnMut(&Fleet) -> bool) {
-    let proposal = ghost.until_said(PROPOSAL, |fact| read::<Proposal>(&fact.body));
+fn lie(testbed: &Fleet, fake_member: &FakeMember, mut until: impl FnMut(&Fleet) -> bool) {
+    let proposal = fake_member.wait_for_fact(PROPOSAL, |fact| read::<Proposal>(&fact.body));
     let Proposal {
         epoch,
         hash,
@@ -463,12 +478,12 @@
         ..
     } = proposal.unwrap_or_else(|fault| panic!("{fault}"));
     let votes = order.len() as u8 + 2;
-    let end = Instant::now() + process::PATIENCE;
+    let end = Instant::now() + process::EVENT_TIMEOUT;
     let mut asked = 0;
-    while !until(rig) {
-        assert!(Instant::now() < end, "{}", say(rig, 2, &["status"]));
+    while !until(testbed) {
+        assert!(Instant::now() < end, "{}", say(testbed, 2, &["status"]));
         asked += 20;
-        let words = ghost
+        let words = fake_member
             .facts(WORD)
             .into_iter()
             .filter_map(|fact| read::<Vote>(&fact.body));
@@ -500,33 +515,35 @@
             total,
             classes: Vec::new(),
         };
-        ghost.say(WORD, said(&word), VOTES_LAST);
-        ghost.say(COUNTS, said(&counts), VOTES_LAST);
-        answered(rig, 20);
+        fake_member.say(WORD, said(&word), VOTES_LAST);
+        fake_member.say(COUNTS, said(&counts), VOTES_LAST);
+        answered(testbed, 20);
     }
 }
 
 /// A bad version, while that proxy lies well until it is halted everywhere; none of the last three ever ran it.
 fn halted_in_spite_of(liar: usize) -> Fleet {
-    let mut rig = fleet(5, BAD);
-    let ghost = ghost(&mut rig, liar, 0);
-    propose(&rig, 2);
+    let mut testbed = fleet(5, BAD);
+    let fake_member = fake_member(&mut testbed, liar, 0);
+    propose(&testbed, 2);
     let halted = phase("halted");
-    lie(&rig, &ghost, |rig| figure(rig, 2, &halted) == 1);
-    each(&rig, (0..5).filter(|proxy| *proxy != liar), &halted, 1);
+    lie(&testbed, &fake_member, |testbed| {
+        figure(testbed, 2, &halted) == 1
+    });
+    each(&testbed, (0..5).filter(|proxy| *proxy != liar), &halted, 1);
     assert_eq!(
-        [2, 3, 4].map(|proxy| figure(&rig, proxy, "lb_reloads_ok_total")),
+        [2, 3, 4].map(|proxy| figure(&testbed, proxy, "lb_reloads_ok_total")),
         [0; 3]
     );
-    rig
+    testbed
 }
 
 /// A voter that votes for all at once and says that a bad version loses nothing moves nobody: the canary's own seconds halt it.
 #[test]
 fn a_voter_that_lies_well_promotes_nothing() {
-    let rig = halted_in_spite_of(1);
+    let testbed = halted_in_spite_of(1);
     assert!(
-        figure(&rig, 0, "lb_reloads_ok_total") > 0,
+        figure(&testbed, 0, "lb_reloads_ok_total") > 0,
         "the canary ran it"
     );
 }
@@ -534,9 +551,9 @@
 /// A canary that lies well hides the harm as long as it is all of the evidence: it ends in the first region.
 #[test]
 fn a_canary_that_lies_well_is_found_out_in_its_region() {
-    let rig = halted_in_spite_of(0);
+    let testbed = halted_in_spite_of(0);
     assert!(
-        figure(&rig, 1, "lb_reloads_ok_total") > 0,
+        figure(&testbed, 1, "lb_reloads_ok_total") > 0,
         "the next of the region ran it"
     );
 }
@@ -545,17 +562,17 @@
 /// under a later start, and its restart is one like any other.
 #[test]
 fn a_clock_that_was_set_back_does_not_halt() {
-    let mut rig = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
-    drop(ghost(&mut rig, 0, AHEAD_MS));
+    let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
+    drop(fake_member(&mut testbed, 0, AHEAD_MS));
     let renewed = "lb_members_renewals_total";
-    rig.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&rig, [0], renewed, 1);
-    each(&rig, 0..4, "lb_members_state{state=\"whole\"}", 1);
-    propose(&rig, 2);
-    each(&rig, 0..1, NEW, 1);
-    rig.kill(0);
-    rig.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&rig, [0], renewed, 1);
-    each(&rig, 0..4, &phase("whole"), 1);
-    each(&rig, 0..4, NEW, 1);
+    testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
+    each(&testbed, [0], renewed, 1);
+    each(&testbed, 0..4, "lb_members_state{state=\"whole\"}", 1);
+    propose(&testbed, 2);
+    each(&testbed, 0..1, NEW, 1);
+    testbed.kill(0);
+    testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
+    each(&testbed, [0], renewed, 1);
+    each(&testbed, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, NEW, 1);
 }
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -9,8 +9,8 @@
 use std::process::Command;
 use std::time::Instant;
 use testbed::link::Flow;
-use testbed::process::{built, PATIENCE};
-use testbed::{Rig, Setup};
+use testbed::process::{built, EVENT_TIMEOUT};
+use testbed::{Setup, Testbed};
 
 const SITES: &str =
     "control {\n socket {folder}/control\n}\nsites {\n lost-after 300ms\n return-after 1s\n dwell 500ms\n}\n";
@@ -34,12 +34,12 @@
     setup
 }
 
-fn at(rig: &Rig, place: u16) -> Vec<ServerIndex> {
-    at_of(rig, 2, place)
+fn at(testbed: &Testbed, place: u16) -> Vec<ServerIndex> {
+    at_of(testbed, 2, place)
 }
 
-fn at_of(rig: &Rig, groups: u32, place: u16) -> Vec<ServerIndex> {
-    let inner = rig.truth.look();
+fn at_of(testbed: &Testbed, groups: u32, place: u16) -> Vec<ServerIndex> {
+    let inner = testbed.history.lock();
     (0..groups)
         .flat_map(|g| inner.site.members(g).to_vec())
         .filter(|s| inner.site.place(*s) == place)
@@ -50,8 +50,10 @@
     format!("lb_site_state{{site=\"p{place}\",state=\"{state}\"}}")
 }
 
-fn figure(rig: &Rig, proxy: usize, name: &str) -> u64 {
-    let figures = rig.figures(proxy).unwrap_or_else(|fault| panic!("{fault}"));
+fn figure(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
+    let figures = testbed
+        .metrics(proxy)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     *figures.get(name).unwrap_or_else(|| panic!("no {name}"))
 }
 
@@ -59,11 +61,11 @@
     format!("lb_site_headroom{{site=\"p{place}\"}}")
 }
 
-fn until(rig: &Rig, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
-    let end = Instant::now() + PATIENCE;
-    while !is(figure(rig, proxy, name)) {
+fn until(testbed: &Testbed, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
+    let end = Instant::now() + EVENT_TIMEOUT;
+    while !is(figure(testbed, proxy, name)) {
         let sites = || -> Vec<_> {
-            let figures = rig.figures(proxy).unwrap_or_default();
+            let figures = testbed.metrics(proxy).unwrap_or_default();
             figures
                 .into_iter()
                 .filter(|(name, _)| name.starts_with("lb_site"))
@@ -78,16 +80,16 @@
 }
 
 /// Until each of these says so.
-fn say(rig: &Rig, proxies: impl IntoIterator<Item = usize>, place: u16, word: &str) {
+fn say(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, place: u16, word: &str) {
     let begun = Instant::now();
     let mut silent: Vec<usize> = proxies.into_iter().collect();
     while !silent.is_empty() {
         // In turns: none is to be missed that says so for a while only.
-        silent.retain(|proxy| figure(rig, *proxy, &state(place, word)) == 0);
+        silent.retain(|proxy| figure(testbed, *proxy, &state(place, word)) == 0);
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < EVENT_TIMEOUT,
             "{silent:?} never say {word}, {:?}",
-            rig.figures(silent[0])
+            testbed.metrics(silent[0])
         );
     }
     println!("{word} after {:?}", begun.elapsed());
@@ -97,67 +99,67 @@
     format!("lb_site_losses_total{{site=\"p{place}\"}}")
 }
 
-fn losses(rig: &Rig, proxy: usize, place: u16) -> u64 {
-    figure(rig, proxy, &losses_name(place))
+fn losses(testbed: &Testbed, proxy: usize, place: u16) -> u64 {
+    figure(testbed, proxy, &losses_name(place))
 }
 
 /// No proxy ever called these sites lost.
-fn never_lost(rig: &Rig, places: [u16; 2]) {
+fn never_lost(testbed: &Testbed, places: [u16; 2]) {
     for proxy in 0..PROXIES {
         assert_eq!(
-            places.map(|place| losses(rig, proxy, place)),
+            places.map(|place| losses(testbed, proxy, place)),
             [0, 0],
             "proxy {proxy}"
         );
     }
 }
 
-fn all(rig: &Rig, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
+fn all(testbed: &Testbed, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
     servers
         .iter()
-        .for_each(|server| rig.truth.trouble(trouble(*server)));
+        .for_each(|server| testbed.history.inject_fault(trouble(*server)));
 }
 
 /// The site of all primaries dies while the list still names it as ready, and comes back.
 #[test]
 fn a_site_dies_with_its_primaries_and_returns() {
     let _turn = turn();
-    let rig = start(two_sites(26 * SECOND));
-    let dead = at(&rig, 0);
-    assert!((0..2).all(|group| dead.contains(&rig.truth.look().site.primary(group).unwrap())));
-    answered(&rig, 200);
+    let testbed = start(two_sites(26 * SECOND));
+    let dead = at(&testbed, 0);
+    assert!((0..2).all(|group| dead.contains(&testbed.history.lock().site.primary(group).unwrap())));
+    answered(&testbed, 200);
     // Its writes have been seen nowhere else: a part of the worth would go with it.
     for proxy in 0..PROXIES {
-        until(&rig, proxy, &headroom(1), |n| n > 0);
-        let kept = figure(&rig, proxy, &headroom(0));
+        until(&testbed, proxy, &headroom(1), |n| n > 0);
+        let kept = figure(&testbed, proxy, &headroom(0));
         assert!(kept < 1_000, "proxy {proxy}: {kept}");
     }
-    rig.truth.list(catalog::Event::Behind(8 * SECOND));
-    let before = rig.truth.look().checker.answered;
-    all(&rig, &dead, Trouble::Die);
-    say(&rig, 0..PROXIES, 0, "lost");
-    let took = rig.truth.look().checker.answered - before;
+    testbed.history.list(catalog::Event::Behind(8 * SECOND));
+    let before = testbed.history.lock().checker.answered;
+    all(&testbed, &dead, Trouble::Die);
+    say(&testbed, 0..PROXIES, 0, "lost");
+    let took = testbed.history.lock().checker.answered - before;
     println!("lost at all proxies after {took} answers");
     assert!(took <= BOUND, "{took} answers until all knew");
     // The other site serves alone, and writes have moved there.
-    answered(&rig, 200);
-    all(&rig, &dead, Trouble::Start);
-    say(&rig, 0..PROXIES, 0, "returning");
-    say(&rig, 0..PROXIES, 0, "whole");
+    answered(&testbed, 200);
+    all(&testbed, &dead, Trouble::Start);
+    say(&testbed, 0..PROXIES, 0, "returning");
+    say(&testbed, 0..PROXIES, 0, "whole");
     for proxy in 0..PROXIES {
         assert_eq!(
-            (losses(&rig, proxy, 0), losses(&rig, proxy, 1)),
+            (losses(&testbed, proxy, 0), losses(&testbed, proxy, 1)),
             (1, 0),
             "proxy {proxy}"
         );
     }
-    sound(rig);
+    sound(testbed);
 }
 
 /// What `leverproxy sites` prints, and whether it is content.
-fn told(rig: &Rig, proxy: usize, name: &[&str]) -> (bool, String) {
+fn told(testbed: &Testbed, proxy: usize, name: &[&str]) -> (bool, String) {
     let program = built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
-    let socket = rig.folder(proxy).join("control");
+    let socket = testbed.folder(proxy).join("control");
     let out = Command::new(program)
         .arg("sites")
         .args(name)
@@ -177,25 +179,27 @@
     let _turn = turn();
     let mut setup = two_sites(20 * SECOND);
     (setup.site.places, setup.site.group.members) = (3, 6);
-    let rig = start(setup);
-    answered(&rig, 200);
-    rig.truth.trouble(Trouble::Drain(at(&rig, 1)[0]));
-    rig.truth.list(catalog::Event::Behind(8 * SECOND));
-    all(&rig, &at(&rig, 0), Trouble::Die);
-    say(&rig, 0..PROXIES, 0, "lost");
-    answered(&rig, 100);
-    let (sound_name, text) = told(&rig, 0, &["p0"]);
+    let testbed = start(setup);
+    answered(&testbed, 200);
+    testbed
+        .history
+        .inject_fault(Trouble::Drain(at(&testbed, 1)[0]));
+    testbed.history.list(catalog::Event::Behind(8 * SECOND));
+    all(&testbed, &at(&testbed, 0), Trouble::Die);
+    say(&testbed, 0..PROXIES, 0, "lost");
+    answered(&testbed, 100);
+    let (sound_name, text) = told(&testbed, 0, &["p0"]);
     assert!(
         sound_name && text.contains("p0    lost") && text.contains("p1 ") && text.contains("p2 "),
         "{text}"
     );
-    let (unknown, text) = told(&rig, 0, &["p7"]);
+    let (unknown, text) = told(&testbed, 0, &["p7"]);
     assert!(
         !unknown && text.contains("no site \"p7\"; of sites p0, p1, p2"),
         "{text}"
     );
-    never_lost(&rig, [1, 2]);
-    sound(rig);
+    never_lost(&testbed, [1, 2]);
+    sound(testbed);
 }
 
 /// What is left can do half of what is asked: all know, none calls it lost too, and it goes on to serve.
@@ -212,136 +216,141 @@
         .iter_mut()
         .for_each(|kind| kind.work.mean = 20_000.0);
     setup.site.server.cores = 2.0;
-    let rig = start(setup);
-    answered(&rig, 300);
-    rig.truth.list(catalog::Event::Behind(8 * SECOND));
-    all(&rig, &at(&rig, 0), Trouble::Die);
-    say(&rig, 0..PROXIES, 0, "lost");
-    answered(&rig, 300);
+    let testbed = start(setup);
+    answered(&testbed, 300);
+    testbed.history.list(catalog::Event::Behind(8 * SECOND));
+    all(&testbed, &at(&testbed, 0), Trouble::Die);
+    say(&testbed, 0..PROXIES, 0, "lost");
+    answered(&testbed, 300);
     for proxy in 0..PROXIES {
-        assert_eq!(losses(&rig, proxy, 1), 0, "proxy {proxy}");
+        assert_eq!(losses(&testbed, proxy, 1), 0, "proxy {proxy}");
     }
-    sound(rig);
+    sound(testbed);
 }
 
 /// Requests reach the site, and nothing of it comes back: it is lost from here, and its servers are not dead.
 #[test]
 fn one_direction_is_cut() {
     let _turn = turn();
-    let rig = start(two_sites(26 * SECOND));
-    answered(&rig, 200);
-    let links = rig.links(&[0], Some(0));
+    let testbed = start(two_sites(26 * SECOND));
+    answered(&testbed, 200);
+    let links = testbed.links(&[0], Some(0));
     links
         .iter()
         .for_each(|link| link.set(Flow::Passes, Flow::Cut));
-    say(&rig, 0..1, 0, "lost");
-    answered(&rig, 100);
-    assert!((1..PROXIES).all(|proxy| losses(&rig, proxy, 0) == 0));
+    say(&testbed, 0..1, 0, "lost");
+    answered(&testbed, 100);
+    assert!((1..PROXIES).all(|proxy| losses(&testbed, proxy, 0) == 0));
     links.iter().for_each(|link| link.heal());
-    until(&rig, 0, &state(0, "lost"), |n| n == 0);
-    sound(rig);
+    until(&testbed, 0, &state(0, "lost"), |n| n == 0);
+    sound(testbed);
 }
 
 /// Discovery's side alone is gone: nothing is lost. Then, while proxies restart in turn, the site is, to each of them.
 #[test]
 fn no_discovery_and_a_loss_while_proxies_restart() {
     let _turn = turn();
-    let mut rig = start(two_sites(26 * SECOND));
-    answered(&rig, 100);
-    rig.truth.list(catalog::Event::Down(true));
-    answered(&rig, 300);
-    assert!((0..PROXIES).all(|proxy| losses(&rig, proxy, 0) + losses(&rig, proxy, 1) == 0));
-    rig.truth.list(catalog::Event::Down(false));
-    rig.truth.list(catalog::Event::Behind(8 * SECOND));
-    let dead = at(&rig, 0);
+    let mut testbed = start(two_sites(26 * SECOND));
+    answered(&testbed, 100);
+    testbed.history.list(catalog::Event::Down(true));
+    answered(&testbed, 300);
+    assert!((0..PROXIES).all(|proxy| losses(&testbed, proxy, 0) + losses(&testbed, proxy, 1) == 0));
+    testbed.history.list(catalog::Event::Down(false));
+    testbed.history.list(catalog::Event::Behind(8 * SECOND));
+    let dead = at(&testbed, 0);
     for proxy in 0..PROXIES {
-        rig.kill(proxy);
-        rig.restart(proxy).unwrap_or_else(|fault| panic!("{fault}"));
+        testbed.kill(proxy);
+        testbed
+            .restart(proxy)
+            .unwrap_or_else(|fault| panic!("{fault}"));
         if proxy == 1 {
-            all(&rig, &dead, Trouble::Die);
+            all(&testbed, &dead, Trouble::Die);
         }
     }
-    say(&rig, 0..PROXIES, 0, "lost");
-    answered(&rig, 100);
-    assert!((0..PROXIES).all(|proxy| losses(&rig, proxy, 1) == 0));
-    sound(rig);
+    say(&testbed, 0..PROXIES, 0, "lost");
+    answered(&testbed, 100);
+    assert!((0..PROXIES).all(|proxy| losses(&testbed, proxy, 1) == 0));
+    sound(testbed);
 }
 
 #[test]
 fn a_slow_site_and_a_dead_server_are_no_loss() {
     let _turn = turn();
-    let rig = start(two_sites(8 * SECOND));
-    let slow = at(&rig, 0);
-    answered(&rig, 100);
-    all(&rig, &slow, |server| Trouble::Slow {
+    let testbed = start(two_sites(8 * SECOND));
+    let slow = at(&testbed, 0);
+    answered(&testbed, 100);
+    all(&testbed, &slow, |server| Trouble::Slow {
         server,
         times: 50.0,
     });
-    answered(&rig, 300);
-    all(&rig, &slow, |server| Trouble::Slow { server, times: 1.0 });
-    let dead = at(&rig, 1)[0];
-    rig.truth.trouble(Trouble::Die(dead));
-    answered(&rig, 300);
-    never_lost(&rig, [0, 1]);
-    sound(rig);
+    answered(&testbed, 300);
+    all(&testbed, &slow, |server| Trouble::Slow {
+        server,
+        times: 1.0,
+    });
+    let dead = at(&testbed, 1)[0];
+    testbed.history.inject_fault(Trouble::Die(dead));
+    answered(&testbed, 300);
+    never_lost(&testbed, [0, 1]);
+    sound(testbed);
 }
 
 /// The same site, and half of the proxies can't reach it: it is lost to these.
 #[test]
 fn a_link_cut_for_half_of_the_proxies() {
     let _turn = turn();
-    let rig = start(two_sites(26 * SECOND));
-    answered(&rig, 200);
-    let links = rig.links(&[0, 1], Some(0));
+    let testbed = start(two_sites(26 * SECOND));
+    answered(&testbed, 200);
+    let links = testbed.links(&[0, 1], Some(0));
     links.iter().for_each(|link| link.cut());
-    say(&rig, 0..2, 0, "lost");
-    answered(&rig, 100);
+    say(&testbed, 0..2, 0, "lost");
+    answered(&testbed, 100);
     for proxy in 2..PROXIES {
-        assert_eq!(losses(&rig, proxy, 0), 0, "proxy {proxy}");
+        assert_eq!(losses(&testbed, proxy, 0), 0, "proxy {proxy}");
     }
     links.iter().for_each(|link| link.heal());
     // Whole it is once each server there was asked again, which may be later than the clients' last request.
-    (0..2).for_each(|proxy| until(&rig, proxy, &state(0, "lost"), |n| n == 0));
-    sound(rig);
+    (0..2).for_each(|proxy| until(&testbed, proxy, &state(0, "lost"), |n| n == 0));
+    sound(testbed);
 }
 
 /// The site goes again as soon as it answers: each proxy loses it twice, and no more often.
 #[test]
 fn lost_back_and_lost_again() {
     let _turn = turn();
-    let rig = start(two_sites(26 * SECOND));
-    let dead = at(&rig, 0);
-    answered(&rig, 100);
-    rig.truth.list(catalog::Event::Behind(8 * SECOND));
-    all(&rig, &dead, Trouble::Die);
-    say(&rig, 0..PROXIES, 0, "lost");
-    all(&rig, &dead, Trouble::Start);
-    say(&rig, 0..PROXIES, 0, "returning");
-    all(&rig, &dead, Trouble::Die);
-    (0..PROXIES).for_each(|proxy| until(&rig, proxy, &losses_name(0), |n| n == 2));
-    answered(&rig, 100);
+    let testbed = start(two_sites(26 * SECOND));
+    let dead = at(&testbed, 0);
+    answered(&testbed, 100);
+    testbed.history.list(catalog::Event::Behind(8 * SECOND));
+    all(&testbed, &dead, Trouble::Die);
+    say(&testbed, 0..PROXIES, 0, "lost");
+    all(&testbed, &dead, Trouble::Start);
+    say(&testbed, 0..PROXIES, 0, "returning");
+    all(&testbed, &dead, Trouble::Die);
+    (0..PROXIES).for_each(|proxy| until(&testbed, proxy, &losses_name(0), |n| n == 2));
+    answered(&testbed, 100);
     for proxy in 0..PROXIES {
         assert_eq!(
-            (losses(&rig, proxy, 0), losses(&rig, proxy, 1)),
+            (losses(&testbed, proxy, 0), losses(&testbed, proxy, 1)),
             (2, 0),
             "proxy {proxy}"
         );
     }
-    sound(rig);
+    sound(testbed);
 }
 
 /// A proxy that stood still finds all of its requests overdue, and a connection for none: that is its own doing.
 #[test]
 fn a_proxy_that_stood_still_loses_nothing() {
     let _turn = turn();
-    let mut rig = start(two_sites(8 * SECOND));
-    answered(&rig, 100);
-    rig.signal(1, Signal::STOP);
-    answered(&rig, 300);
-    rig.signal(1, Signal::CONT);
-    answered(&rig, 200);
-    never_lost(&rig, [0, 1]);
-    sound(rig);
+    let mut testbed = start(two_sites(8 * SECOND));
+    answered(&testbed, 100);
+    testbed.signal(1, Signal::STOP);
+    answered(&testbed, 300);
+    testbed.signal(1, Signal::CONT);
+    answered(&testbed, 200);
+    never_lost(&testbed, [0, 1]);
+    sound(testbed);
 }
 
 #[test]
@@ -355,12 +364,14 @@
     ) = (1, 1, 2);
     // Most of two are two: without a quorum the one that is left takes over.
     setup.site.group.quorum = false;
-    let rig = start(setup);
-    answered(&rig, 100);
-    rig.truth.list(catalog::Event::Behind(8 * SECOND));
-    rig.truth.trouble(Trouble::Die(at_of(&rig, 1, 0)[0]));
-    say(&rig, 0..PROXIES, 0, "lost");
-    sound(rig);
+    let testbed = start(setup);
+    answered(&testbed, 100);
+    testbed.history.list(catalog::Event::Behind(8 * SECOND));
+    testbed
+        .history
+        .inject_fault(Trouble::Die(at_of(&testbed, 1, 0)[0]));
+    say(&testbed, 0..PROXIES, 0, "lost");
+    sound(testbed);
 }
 
 #[test]
@@ -368,12 +379,12 @@
     let _turn = turn();
     let mut setup = two_sites(3 * SECOND);
     setup.site.places = 1;
-    let rig = start(setup);
-    answered(&rig, 100);
-    let figures = rig.figures(0).unwrap_or_else(|fault| panic!("{fault}"));
+    let testbed = start(setup);
+    answered(&testbed, 100);
+    let figures = testbed.metrics(0).unwrap_or_else(|fault| panic!("{fault}"));
     assert!(
         figures.keys().all(|name| !name.starts_with("lb_site")),
         "{figures:?}"
     );
-    sound(rig);
+    sound(testbed);
 }
