--- a/crates/testbed/tests/versions.rs
+++ b/crates/testbed/tests/versions.rs
@@ -4,10 +4,10 @@
 mod common;
 use common::loans::{Fleet, LOANS};
 use common::{answered, setup, sound, SECOND};
-use testbed::datagrams::Way;
+use testbed::datagrams::DatagramFaults;
 use testbed::discovery::name;
 use testbed::members::Members;
-use testbed::{process, Rig, Setup};
+use testbed::{process, Setup, Testbed};
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -32,7 +32,7 @@
 }
 
 /// Of both builds in turn; `first`: which one the first proxy is of. All are heard by all when it returns.
-fn fleet(proxies: usize, first: PathBuf, adjust: impl FnOnce(&mut Setup)) -> Rig {
+fn fleet(proxies: usize, first: PathBuf, adjust: impl FnOnce(&mut Setup)) -> Testbed {
     let second = if first == this() { earlier() } else { this() };
     let mut setup = setup(proxies, 60.0, 4 * SECOND);
     setup.admin = true;
@@ -41,30 +41,33 @@
     // However long an upgrade takes on a machine that is busy.
     setup.slack = Duration::from_secs(10);
     adjust(&mut setup);
-    let rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&rig, 0..proxies, WHOLE, 1);
+    let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
+    each(&testbed, 0..proxies, WHOLE, 1);
     for proxy in 0..proxies {
-        assert_eq!(runs(&rig, proxy), [&first, &second][proxy % 2].clone());
+        assert_eq!(runs(&testbed, proxy), [&first, &second][proxy % 2].clone());
     }
-    rig.truth.begin();
-    rig
+    testbed.history.begin();
+    testbed
 }
 
 /// The program that the proxy's process is of.
-fn runs(rig: &Rig, proxy: usize) -> PathBuf {
-    let number = rig.proxies[proxy].process.as_ref().unwrap().number();
+fn runs(testbed: &Testbed, proxy: usize) -> PathBuf {
+    let number = testbed.proxies[proxy].process.as_ref().unwrap().number();
     std::fs::read_link(format!("/proc/{number}/exe")).unwrap()
 }
 
-fn each(rig: &Rig, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
+fn each(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
     for proxy in proxies {
-        rig.figure_until(proxy, name, |n| n == value)
+        testbed
+            .metric_until(proxy, name, |n| n == value)
             .unwrap_or_else(|fault| panic!("{fault}"));
     }
 }
 
-fn figure(rig: &Rig, proxy: usize, name: &str) -> u64 {
-    let figures = rig.figures(proxy).unwrap_or_else(|fault| panic!("{fault}"));
+fn figure(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
+    let figures = testbed
+        .metrics(proxy)
+        .unwrap_or_else(|fault| panic!("{fault}"));
     figures.get(name).copied().unwrap_or_default()
 }
 
@@ -80,9 +83,11 @@
 }
 
 /// What any of these proxies did not understand of another.
-fn not_understood(rig: &Rig, proxies: usize) -> u64 {
+fn not_understood(testbed: &Testbed, proxies: usize) -> u64 {
     let of = |proxy| {
-        let figures = rig.figures(proxy).unwrap_or_else(|fault| panic!("{fault}"));
+        let figures = testbed
+            .metrics(proxy)
+            .unwrap_or_else(|fault| panic!("{fault}"));
         let reasons = [
             "newer",
             "malformed",
@@ -102,78 +107,84 @@
 }
 
 /// The proxy dies, and comes back under the other build.
-fn return_as(rig: &mut Rig, proxy: usize, program: PathBuf) {
-    rig.set_program(proxy, program.clone());
-    rig.restart(proxy).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(runs(rig, proxy), program);
+fn return_as(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
+    testbed.set_program(proxy, program.clone());
+    testbed
+        .restart(proxy)
+        .unwrap_or_else(|fault| panic!("{fault}"));
+    assert_eq!(runs(testbed, proxy), program);
 }
 
-/// The proxy's heir, of the other build, takes over.
-fn succeed_by(rig: &mut Rig, proxy: usize, program: PathBuf) {
-    rig.set_program(proxy, program.clone());
-    let mut heir = rig.heir(proxy).unwrap_or_else(|fault| panic!("{fault}"));
-    heir.line(": serving on ", 0)
+/// The proxy's new process, of the other build, takes over.
+fn succeed_by(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
+    testbed.set_program(proxy, program.clone());
+    let mut new_process = testbed
+        .start_new_process(proxy)
+        .unwrap_or_else(|fault| panic!("{fault}"));
+    new_process
+        .wait_for_line(": serving on ", 0)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    let code = rig
-        .succeed(proxy, heir)
+    let code = testbed
+        .replace_process(proxy, new_process)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(code, Some(0), "the elder ended in order");
-    assert_eq!(runs(rig, proxy), program);
+    assert_eq!(code, Some(0), "the old process ended in order");
+    assert_eq!(runs(testbed, proxy), program);
 }
 
 /// Both builds hear each other, cut in two each side knows it, and who dies comes back under the other build.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn members_of_both_builds_know_each_other() {
-    let mut rig = fleet(5, earlier(), |_| {});
-    rig.part(&[&[0, 1], &[2, 3, 4]]);
-    each(&rig, 0..2, "lb_members_state{state=\"minority\"}", 1);
-    each(&rig, 2..5, "lb_members_state{state=\"degraded\"}", 1);
-    rig.heal_talk();
-    each(&rig, 0..5, WHOLE, 1);
+    let mut testbed = fleet(5, earlier(), |_| {});
+    testbed.partition(&[&[0, 1], &[2, 3, 4]]);
+    each(&testbed, 0..2, "lb_members_state{state=\"minority\"}", 1);
+    each(&testbed, 2..5, "lb_members_state{state=\"degraded\"}", 1);
+    testbed.heal_datagrams();
+    each(&testbed, 0..5, WHOLE, 1);
     for (proxy, program) in [(0, this()), (1, earlier()), (1, this())] {
-        rig.kill(proxy);
+        testbed.kill(proxy);
         each(
-            &rig,
+            &testbed,
             (0..5).filter(|other| *other != proxy),
             &status(proxy, "down"),
             1,
         );
-        return_as(&mut rig, proxy, program);
-        each(&rig, 0..5, WHOLE, 1);
+        return_as(&mut testbed, proxy, program);
+        each(&testbed, 0..5, WHOLE, 1);
         each(
-            &rig,
+            &testbed,
             (0..5).filter(|other| *other != proxy),
             &format!("lb_member_serving{{member=\"n{proxy}\"}}"),
             1,
         );
     }
-    assert_eq!(not_understood(&rig, 5), 0);
-    sound(rig);
+    assert_eq!(not_understood(&testbed, 5), 0);
+    sound(testbed);
 }
 
 /// Under a network that damages, doubles and loses, no build takes the other for dead.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_bad_network_between_builds_kills_nobody() {
-    let rig = fleet(4, earlier(), |_| {});
-    rig.set_talk(Way {
+    let testbed = fleet(4, earlier(), |_| {});
+    testbed.set_datagram_faults(DatagramFaults {
         lost: 0.1,
         doubled: 0.1,
         reordered: 0.1,
         corrupted: 0.1,
-        ..Way::default()
+        ..DatagramFaults::default()
     });
     for proxy in 0..4 {
         for reason in ["bad-mac", "replayed"] {
             let name = format!("lb_members_refused_total{{reason=\"{reason}\"}}");
-            rig.figure_until(proxy, &name, |n| n >= 5)
+            testbed
+                .metric_until(proxy, &name, |n| n >= 5)
                 .unwrap_or_else(|fault| panic!("{fault}"));
         }
     }
-    let deaths = |proxy| figure(&rig, proxy, "lb_members_changes_total{status=\"down\"}");
+    let deaths = |proxy| figure(&testbed, proxy, "lb_members_changes_total{status=\"down\"}");
     assert_eq!((0..4).map(deaths).sum::<u64>(), 0);
-    sound(rig);
+    sound(testbed);
 }
 
 /// One proxy is upgraded and goes back, while clients are served. Only the estate knows which record server is out.
@@ -181,29 +192,30 @@
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn an_upgrade_and_the_way_back_lose_nothing() {
     for (first, other) in [(earlier(), this()), (this(), earlier())] {
-        let mut rig = fleet(3, first.clone(), |setup| setup.clients.length = 8 * SECOND);
-        answered(&rig, 20);
-        rig.hand(0, &name(0), true)
+        let mut testbed = fleet(3, first.clone(), |setup| setup.clients.length = 8 * SECOND);
+        answered(&testbed, 20);
+        testbed
+            .set_excluded(0, &name(0), true)
             .unwrap_or_else(|fault| panic!("{fault}"));
         for program in [other, first] {
-            succeed_by(&mut rig, 0, program);
-            each(&rig, [0], "lb_record_servers_excluded", 1);
-            each(&rig, 0..3, WHOLE, 1);
-            answered(&rig, 20);
+            succeed_by(&mut testbed, 0, program);
+            each(&testbed, [0], "lb_record_servers_excluded", 1);
+            each(&testbed, 0..3, WHOLE, 1);
+            answered(&testbed, 20);
         }
         assert_eq!(
-            figure(&rig, 1, "lb_members_changes_total{status=\"left\"}"),
+            figure(&testbed, 1, "lb_members_changes_total{status=\"left\"}"),
             0,
             "never missed for good"
         );
-        assert_eq!(not_understood(&rig, 3), 0);
-        sound(rig);
+        assert_eq!(not_understood(&testbed, 3), 0);
+        sound(testbed);
     }
 }
 
 /// Two regions of two, each with a proxy of either build; all have the candidate.
-fn rollout_fleet(first: PathBuf) -> Rig {
-    let rig = fleet(4, first, |setup| {
+fn rollout_fleet(first: PathBuf) -> Testbed {
+    let testbed = fleet(4, first, |setup| {
         setup.clients.length = 90 * SECOND;
         setup.clients.per_s = 150.0;
         setup.operators = ROLLOUT.to_owned();
@@ -214,18 +226,18 @@
         });
     });
     for proxy in 0..4 {
-        let folder = rig.folder(proxy).join("candidates");
+        let folder = testbed.folder(proxy).join("candidates");
         std::fs::create_dir_all(folder.join("state")).unwrap();
         std::fs::write(folder.join("new.conf"), CANDIDATE).unwrap();
     }
-    answered(&rig, 20);
-    rig
+    answered(&testbed, 20);
+    testbed
 }
 
 /// An operator's words, by the program that the proxy runs.
-fn say(rig: &Rig, proxy: usize, words: &[&str]) -> String {
-    let socket = rig.folder(proxy).join("control");
-    let out = Command::new(runs(rig, proxy))
+fn say(testbed: &Testbed, proxy: usize, words: &[&str]) -> String {
+    let socket = testbed.folder(proxy).join("control");
+    let out = Command::new(runs(testbed, proxy))
         .arg("rollout")
         .args(words)
         .arg("--socket")
@@ -235,23 +247,23 @@
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
 }
 
-fn propose(rig: &Rig, proxy: usize) {
-    let file = rig.folder(proxy).join("candidates/new.conf");
-    let answer = say(rig, proxy, &["propose", &file.display().to_string()]);
+fn propose(testbed: &Testbed, proxy: usize) {
+    let file = testbed.folder(proxy).join("candidates/new.conf");
+    let answer = say(testbed, proxy, &["propose", &file.display().to_string()]);
     assert!(answer.starts_with("rollout proposed"), "{answer}");
 }
 
 /// Proposed by a proxy of one build, run first by it and then by all of both; returned by one of the other.
 fn goes_round(first: PathBuf) {
-    let rig = rollout_fleet(first);
-    propose(&rig, 0);
-    each(&rig, 0..1, NEW, 1);
-    each(&rig, 0..4, &phase("whole"), 1);
-    each(&rig, 0..4, NEW, 1);
-    say(&rig, 3, &["return"]);
-    each(&rig, 0..4, &phase("returned"), 1);
-    each(&rig, 0..4, NEW, 0);
-    assert_eq!(not_understood(&rig, 4), 0);
+    let testbed = rollout_fleet(first);
+    propose(&testbed, 0);
+    each(&testbed, 0..1, NEW, 1);
+    each(&testbed, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, NEW, 1);
+    say(&testbed, 3, &["return"]);
+    each(&testbed, 0..4, &phase("returned"), 1);
+    each(&testbed, 0..4, NEW, 0);
+    assert_eq!(not_understood(&testbed, 4), 0);
 }
 
 #[test]
@@ -268,17 +280,17 @@
 
 /// Led by one build, halted by the other: the canary goes back, and one that was dead then never runs it.
 fn is_halted(first: PathBuf) {
-    let mut rig = rollout_fleet(first);
-    propose(&rig, 2);
-    each(&rig, 0..1, NEW, 1);
-    rig.kill(2);
-    say(&rig, 3, &["halt"]);
-    each(&rig, [0, 1, 3], &phase("halted"), 1);
-    each(&rig, [0, 1, 3], NEW, 0);
-    rig.restart(2).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&rig, 0..4, &phase("halted"), 1);
-    assert_eq!(figure(&rig, 2, "lb_reloads_ok_total"), 0);
-    assert_eq!(not_understood(&rig, 4), 0);
+    let mut testbed = rollout_fleet(first);
+    propose(&testbed, 2);
+    each(&testbed, 0..1, NEW, 1);
+    testbed.kill(2);
+    say(&testbed, 3, &["halt"]);
+    each(&testbed, [0, 1, 3], &phase("halted"), 1);
+    each(&testbed, [0, 1, 3], NEW, 0);
+    testbed.restart(2).unwrap_or_else(|fault| panic!("{fault}"));
+    each(&testbed, 0..4, &phase("halted"), 1);
+    assert_eq!(figure(&testbed, 2, "lb_reloads_ok_total"), 0);
+    assert_eq!(not_understood(&testbed, 4), 0);
 }
 
 #[test]
@@ -297,17 +309,21 @@
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_rollout_goes_on_from_what_the_other_build_kept() {
-    let mut rig = rollout_fleet(earlier());
-    propose(&rig, 1);
-    each(&rig, 0..4, "lb_rollout_region", 1);
-    (0..4).for_each(|proxy| rig.kill(proxy));
+    let mut testbed = rollout_fleet(earlier());
+    propose(&testbed, 1);
+    each(&testbed, 0..4, "lb_rollout_region", 1);
+    (0..4).for_each(|proxy| testbed.kill(proxy));
     for proxy in 0..4 {
-        return_as(&mut rig, proxy, [this(), earlier()][proxy % 2].clone());
+        return_as(&mut testbed, proxy, [this(), earlier()][proxy % 2].clone());
     }
-    each(&rig, 0..4, &phase("whole"), 1);
-    each(&rig, 0..4, NEW, 1);
-    assert_eq!(figure(&rig, 0, "lb_rollout_epoch"), 1, "it is the same one");
-    assert_eq!(not_understood(&rig, 4), 0);
+    each(&testbed, 0..4, &phase("whole"), 1);
+    each(&testbed, 0..4, NEW, 1);
+    assert_eq!(
+        figure(&testbed, 0, "lb_rollout_epoch"),
+        1,
+        "it is the same one"
+    );
+    assert_eq!(not_understood(&testbed, 4), 0);
 }
 
 /// Loans across both builds: each lends, one that dies goes on from its file under the other build, and all of it is within one
@@ -320,12 +336,12 @@
     fleet.lends(0..4, 5);
     for (proxy, program) in [(0, this()), (1, earlier())] {
         fleet.kill(proxy);
-        fleet.rig.set_program(proxy, program.clone());
+        fleet.testbed.set_program(proxy, program.clone());
         fleet.restart(proxy);
-        assert_eq!(runs(&fleet.rig, proxy), program);
+        assert_eq!(runs(&fleet.testbed, proxy), program);
         fleet.until([proxy], "lb_loans_founded", |n| n == 1);
         fleet.until([proxy], LOANS, |n| n >= 5);
     }
     fleet.settle();
-    assert_eq!(not_understood(&fleet.rig, 4), 0);
+    assert_eq!(not_understood(&fleet.testbed, 4), 0);
 }
