--- a/crates/invariant-checkers/src/lib.rs
+++ b/crates/invariant-checkers/src/lib.rs
@@ -8,7 +8,7 @@
 use routing::Outcome;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
-use server_model::clients::{Repeat, TryId};
+use server_model::clients::{ClientAttemptId, Idempotency};
 use server_model::site::ServerIndex;
 use server_model::Micros;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     Doubled,
     /// A write was served and never took effect.
     Phantom,
-    /// Refused, which says that a repeat is harmless, though it took effect.
+    /// Rejected, which says that a retry is harmless, though it took effect.
     FalseRefusal,
     /// Requests that ended in no way, or in two.
     Lost,
@@ -55,41 +55,41 @@
     Rule::Lost,
 ];
 
-/// The final answer to a try.
+/// The final answer to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
     /// With the value that the record server gave.
     Served,
     /// Rejected: nothing ran that a retry could double.
-    Refused,
+    Rejected,
     /// Failed: it may have run.
     Failed,
 }
 
 #[derive(Debug)]
-struct Try {
+struct OpenAttempt {
     request: u64,
-    repeat: Repeat,
+    idempotency: Idempotency,
     proxy: usize,
     deadline: Micros,
     attempts: u16,
-    out: u16,
+    in_flight: u16,
     may_have_run: bool,
-    /// When the earliest attempt left that may have run or is out.
+    /// When the earliest attempt left that may have run or is in flight.
     since: Option<Micros>,
     answered: bool,
 }
 
-/// A try of a write: what was said of it, and whether it took effect.
+/// An attempt of a write: what was said of it, and whether it took effect.
 #[derive(Clone, Copy, Debug)]
 struct Write {
     request: u64,
     once: bool,
-    refused: bool,
+    rejected: bool,
     applied: bool,
 }
 
-/// A write, whichever of its tries it was.
+/// A write, whichever of its attempts it was.
 #[derive(Clone, Copy, Debug, Default)]
 struct Effect {
     applied: u32,
@@ -99,12 +99,12 @@
 /// Checks the safety rules over the recorded history of one run: feed it each event in the order in which it happened.
 #[derive(Debug, Default)]
 pub struct Checker {
-    try_limit: u16,
+    attempt_limit: u16,
     drain_grace: Micros,
-    open: FxHashMap<TryId, Try>,
+    open: FxHashMap<ClientAttemptId, OpenAttempt>,
     /// The highest that was asked.
-    last: TryId,
-    writes: FxHashMap<TryId, Write>,
+    last: ClientAttemptId,
+    writes: FxHashMap<ClientAttemptId, Write>,
     /// By request.
     effects: FxHashMap<u64, Effect>,
     /// By proxy and server, when it was told to send nothing more.
@@ -112,14 +112,14 @@
     /// How often each rule was broken.
     pub broken: BTreeMap<Rule, u64>,
     /// The first that each was found by, for whoever follows one.
-    pub found: Vec<(Rule, TryId, Micros)>,
+    pub found: Vec<(Rule, ClientAttemptId, Micros)>,
     /// Requests that clients sent.
     pub asked: u64,
     /// Requests that got a final answer.
     pub answered: u64,
     /// Requests whose client left before the answer.
     pub left: u64,
-    /// Tries that died with their proxy: nobody owes them an answer.
+    /// Attempts that died with their proxy: nobody owes them an answer.
     pub gone: u64,
 }
 
@@ -157,61 +157,61 @@
 const GRACE: Micros = 20_000;
 
 impl Checker {
-    /// `try_limit`: attempts allowed for a request, 0: any number; `drain_grace`: microseconds after a drain was notified in which a server may still get requests.
-    pub fn new(try_limit: u16, drain_grace: Micros) -> Checker {
+    /// `attempt_limit`: attempts allowed for a request, 0: any number; `drain_grace`: microseconds after a drain was notified in which a server may still get requests.
+    pub fn new(attempt_limit: u16, drain_grace: Micros) -> Checker {
         Checker {
-            try_limit,
+            attempt_limit,
             drain_grace,
             ..Checker::default()
         }
     }
 
     /// Counts a broken rule that was found elsewhere.
-    pub fn breaks(&mut self, rule: Rule) {
+    pub fn report_violation(&mut self, rule: Rule) {
         *self.broken.entry(rule).or_default() += 1;
     }
 
-    fn found(&mut self, rule: Rule, id: TryId, now: Micros) {
-        self.breaks(rule);
+    fn found(&mut self, rule: Rule, id: ClientAttemptId, now: Micros) {
+        self.report_violation(rule);
         if self.found.len() < FOUND {
             self.found.push((rule, id, now));
         }
     }
 
     /// A client has sent a request to a proxy; `deadline` is when the client gives up.
-    pub fn asks(
+    pub fn client_sends(
         &mut self,
-        id: TryId,
+        id: ClientAttemptId,
         request: u64,
-        repeat: Repeat,
+        idempotency: Idempotency,
         write: bool,
         proxy: usize,
         deadline: Micros,
     ) {
         self.asked += 1;
         self.last = self.last.max(id);
-        let (attempts, out) = (0, 0);
+        let (attempts, in_flight) = (0, 0);
         let (may_have_run, since, answered) = (false, None, false);
-        let new = Try {
+        let new = OpenAttempt {
             request,
-            repeat,
+            idempotency,
             proxy,
             deadline,
             attempts,
-            out,
+            in_flight,
             may_have_run,
             since,
             answered,
         };
         self.open.insert(id, new);
         if write {
-            let once = repeat == Repeat::Never;
+            let once = idempotency == Idempotency::NonIdempotent;
             self.writes.insert(
                 id,
                 Write {
                     request,
                     once,
-                    refused: false,
+                    rejected: false,
                     applied: false,
                 },
             );
@@ -219,7 +219,7 @@
     }
 
     /// A proxy has been told by the list that it may send to a server, or that it may not.
-    pub fn told(&mut self, proxy: usize, server: ServerIndex, leaving: bool, now: Micros) {
+    pub fn notified(&mut self, proxy: usize, server: ServerIndex, leaving: bool, now: Micros) {
         if leaving {
             self.leaving.entry((proxy, server)).or_insert(now);
         } else {
@@ -228,26 +228,26 @@
     }
 
     /// Whether a proxy has been told to send nothing more to a server.
-    pub fn leaves(&self, proxy: usize, server: ServerIndex) -> bool {
+    pub fn is_leaving(&self, proxy: usize, server: ServerIndex) -> bool {
         self.leaving.contains_key(&(proxy, server))
     }
 
     /// A proxy has sent an attempt to a server.
-    pub fn sends(&mut self, id: TryId, server: ServerIndex, now: Micros) {
+    pub fn proxy_sends(&mut self, id: ClientAttemptId, server: ServerIndex, now: Micros) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let again = open.may_have_run || open.out > 0;
+        let again = open.may_have_run || open.in_flight > 0;
         let repeats = again
-            && match open.repeat {
-                Repeat::Safe => false,
-                Repeat::Never => true,
-                Repeat::Keyed(window) => open.since.is_some_and(|at| now >= at + window),
+            && match open.idempotency {
+                Idempotency::Idempotent => false,
+                Idempotency::NonIdempotent => true,
+                Idempotency::Keyed(window) => open.since.is_some_and(|at| now >= at + window),
             };
         open.attempts += 1;
-        open.out += 1;
+        open.in_flight += 1;
         open.since.get_or_insert(now);
-        let beyond = self.try_limit > 0 && open.attempts > self.try_limit;
+        let beyond = self.attempt_limit > 0 && open.attempts > self.attempt_limit;
         let late = self
             .leaving
             .get(&(open.proxy, server))
@@ -264,22 +264,22 @@
     }
 
     /// An attempt has ended, as the proxy was told.
-    pub fn ends(&mut self, id: TryId, outcome: Outcome) {
+    pub fn attempt_ends(&mut self, id: ClientAttemptId, outcome: Outcome) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        open.out = open.out.saturating_sub(1);
+        open.in_flight = open.in_flight.saturating_sub(1);
         open.may_have_run |= matches!(
             outcome,
             Outcome::Ok | Outcome::Failed | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        if open.out == 0 && !open.may_have_run {
+        if open.in_flight == 0 && !open.may_have_run {
             open.since = None;
         }
     }
 
     /// A client has received a final answer.
-    pub fn answers(&mut self, id: TryId, answer: Final, now: Micros) {
+    pub fn proxy_answers(&mut self, id: ClientAttemptId, answer: Final, now: Micros) {
         let Some(open) = self.open.get_mut(&id) else {
             // Its numbers rise: what was asked and is no longer open has been answered, or its client has left.
             let known = (1..=self.last).contains(&id);
@@ -297,8 +297,8 @@
         let late = now > open.deadline + GRACE;
         let request = open.request;
         if let Some(write) = self.writes.get_mut(&id) {
-            write.refused = answer == Final::Refused;
-            let harmful = write.refused && write.applied && write.once;
+            write.rejected = answer == Final::Rejected;
+            let harmful = write.rejected && write.applied && write.once;
             if answer == Final::Served {
                 self.effects.entry(request).or_default().served = true;
             }
@@ -312,8 +312,8 @@
         }
     }
 
-    /// A try of a write took effect.
-    pub fn applied(&mut self, id: TryId) {
+    /// An attempt of a write took effect.
+    pub fn applied(&mut self, id: ClientAttemptId) {
         let Some(write) = self.writes.get_mut(&id) else {
             return;
         };
@@ -321,44 +321,44 @@
         let Write {
             request,
             once,
-            refused,
+            rejected,
             ..
         } = *write;
         let effect = self.effects.entry(request).or_default();
         effect.applied += 1;
         if once && effect.applied > 1 {
-            self.breaks(Rule::Doubled);
+            self.report_violation(Rule::Doubled);
         }
-        if once && refused {
-            self.breaks(Rule::FalseRefusal);
+        if once && rejected {
+            self.report_violation(Rule::FalseRefusal);
         }
     }
 
     /// The client has waited for as long as it would.
-    pub fn gives_up(&mut self, id: TryId, now: Micros) {
+    pub fn client_gives_up(&mut self, id: ClientAttemptId, now: Micros) {
         if self.open.remove(&id).is_some_and(|open| !open.answered) {
             self.left += 1;
             self.found(Rule::Unanswered, id, now);
         }
     }
 
-    /// The client is done with a try that was answered.
-    pub fn over(&mut self, id: TryId) {
+    /// The client is done with an attempt that was answered.
+    pub fn client_done(&mut self, id: ClientAttemptId) {
         self.open.remove(&id);
     }
 
     /// It died with its proxy.
-    pub fn dies(&mut self, id: TryId) {
+    pub fn proxy_dies(&mut self, id: ClientAttemptId) {
         if self.open.remove(&id).is_some_and(|open| !open.answered) {
             self.gone += 1;
         }
     }
 
-    /// Every try is accounted for once, and what was served took effect.
+    /// Every attempt is accounted for once, and what was served took effect.
     pub fn close(&mut self) {
         let open = self.open.values().filter(|t| !t.answered).count() as u64;
         if self.asked != self.answered + self.left + self.gone + open {
-            self.breaks(Rule::Lost);
+            self.report_violation(Rule::Lost);
         }
         let phantoms = self
             .effects
--- a/crates/proxy-experiments/src/cli/plan.rs
+++ b/crates/proxy-experiments/src/cli/plan.rs
@@ -30,7 +30,7 @@
         "{}: {} servers for {:.0} requests a second (by work alone {}), after {} plans played\n",
         scenario.name,
         found.servers(),
-        scenario.clients.per_s,
+        scenario.clients.requests_per_s,
         found.guess.iter().sum::<usize>(),
         found.played
     );
--- a/crates/proxy-experiments/src/cli/show.rs
+++ b/crates/proxy-experiments/src/cli/show.rs
@@ -123,7 +123,7 @@
     ]);
     let kinds = scenario
         .clients
-        .kinds
+        .classes
         .iter()
         .zip(&outcomes.kinds)
         .enumerate();
--- a/crates/proxy-experiments/src/cli/trial.rs
+++ b/crates/proxy-experiments/src/cli/trial.rs
@@ -93,27 +93,27 @@
     ]);
     for ((kind, book), took) in scenario
         .clients
-        .kinds
+        .classes
         .iter()
         .zip(&out.accounts)
         .zip(&out.latencies)
     {
         let counts = [
-            book.asked,
+            book.requests,
             book.served,
-            book.refused,
+            book.rejected,
             book.failed,
-            book.left,
+            book.abandoned,
         ]
         .map(|n| n.to_string());
         let mut row = vec![kind.name.clone()];
         row.extend(counts);
-        row.push(format!("{:.3}", part(book.earned, book.worth)));
+        row.push(format!("{:.3}", part(book.earned, book.priority_weight)));
         row.extend([0.5, 0.99].map(|q| millis(took.value_at_quantile(q))));
         rows.add_row(row);
     }
     say!("{rows}");
-    let asked = out.accounts.iter().map(|b| b.asked).sum::<u64>().max(1) as f64;
+    let asked = out.accounts.iter().map(|b| b.requests).sum::<u64>().max(1) as f64;
     let (attempts, probes) = (out.attempts as f64 / asked, out.probes as f64 / asked);
     let dials = out.dials as f64 / asked;
     say!("attempts {attempts:.2}, probes {probes:.3} and dials {dials:.3} a request; {} tries died with a proxy, {} sent once more", out.gone, out.crossed);
@@ -132,10 +132,10 @@
         "p99 ms, rig",
         "p99 ms, virtual",
     ]);
-    for (at, kind) in scenario.clients.kinds.iter().enumerate() {
+    for (at, kind) in scenario.clients.classes.iter().enumerate() {
         let book = &out.accounts[at];
         let (here, there) = (
-            part(book.earned, book.worth),
+            part(book.earned, book.priority_weight),
             lab.kinds[at].goodput().unwrap_or(1.0),
         );
         let far = lab.latencies[at]
@@ -266,9 +266,10 @@
     }
     *last = now;
     let mut classes = table(&["class", "asked", "served", "refused", "failed", "goodput"]);
-    for (kind, book) in scenario.clients.kinds.iter().zip(&books) {
-        let counts = [book.asked, book.served, book.refused, book.failed].map(|n| n.to_string());
-        let goodput = format!("{:.3}", part(book.earned, book.worth));
+    for (kind, book) in scenario.clients.classes.iter().zip(&books) {
+        let counts =
+            [book.requests, book.served, book.rejected, book.failed].map(|n| n.to_string());
+        let goodput = format!("{:.3}", part(book.earned, book.priority_weight));
         classes.add_row([vec![kind.name.clone()], counts.to_vec(), vec![goodput]].concat());
     }
     let mut servers = table(&["server", "group", "building", "state", "holds"]);
--- a/crates/proxy-experiments/src/file.rs
+++ b/crates/proxy-experiments/src/file.rs
@@ -12,7 +12,7 @@
 use configuration::values::Values;
 use routing::Tuning;
 use server_model::account::Credit;
-use server_model::clients::{self, Kind, Need, Repeat, Tenant, SURGE_MOST};
+use server_model::clients::{self, Consistency, Idempotency, RequestClass, Tenant, SURGE_MOST};
 use server_model::law::{Law, Work};
 use server_model::platform::Platform;
 use server_model::{catalog, group, network, server, site, Micros};
@@ -575,7 +575,7 @@
     ) -> clients::Settings {
         let named = |keyword| load.values.all(keyword, name_of);
         let (classes, tenants) = (named("classes"), named("tenants"));
-        let kinds: Vec<Kind> = classes
+        let kinds: Vec<RequestClass> = classes
             .iter()
             .filter_map(|name| self.book.find("class", name))
             .map(|c| self.kind(c))
@@ -633,30 +633,30 @@
         }
         let proxies: usize = load.count("proxies");
         clients::Settings {
-            kinds,
+            classes: kinds,
             tenants,
-            over_worth: load.part("over-worth"),
-            per_s: load.number("rate"),
+            over_quota_weight_fraction: load.part("over-worth"),
+            requests_per_s: load.number("rate"),
             profile,
             length,
             proxies,
             groups,
-            unequal: load.number("unequal"),
-            busy: (load.part("busy") * proxies as f64).ceil() as usize,
-            busy_carry: load.part("busy-carry"),
-            skew: load.number("skew"),
+            proxy_skew: load.number("unequal"),
+            busy_proxies: (load.part("busy") * proxies as f64).ceil() as usize,
+            busy_proxies_share: load.part("busy-carry"),
+            group_skew: load.number("skew"),
             sessions: load.count("sessions"),
-            after_write: load.part("after-write"),
-            soon: load.micros("soon"),
-            repeats: load.count("repeats"),
-            wait: load.micros("wait"),
-            heeds: load.yes("heeds"),
-            marks: load.yes("marks"),
+            read_after_write_share: load.part("after-write"),
+            read_after_write_span: load.micros("soon"),
+            max_retries: load.count("repeats"),
+            retry_wait: load.micros("wait"),
+            obeys_retry_after: load.yes("heeds"),
+            marks_retries: load.yes("marks"),
             patience: (from, to),
         }
     }
 
-    fn kind(&mut self, section: &'a Section) -> Kind {
+    fn kind(&mut self, section: &'a Section) -> RequestClass {
         let c = self.seen("class", Some(section));
         let spread = c.number("spread");
         let law = match c.choice("law") {
@@ -672,19 +672,19 @@
                 "spread is the shape",
             );
         }
-        Kind {
+        RequestClass {
             name: section.name.clone(),
-            need: match c.choice("need") {
-                "write" => Need::Write,
-                "fresh" => Need::Fresh,
-                "session" => Need::Session,
-                "bounded" => Need::Bounded(c.micros("age")),
-                _ => Need::Any,
+            consistency: match c.choice("need") {
+                "write" => Consistency::Write,
+                "fresh" => Consistency::Strong,
+                "session" => Consistency::ReadYourWrites,
+                "bounded" => Consistency::BoundedStaleness(c.micros("age")),
+                _ => Consistency::Eventual,
             },
-            repeat: match c.choice("repeat") {
-                "never" => Repeat::Never,
-                "keyed" => Repeat::Keyed(c.micros("window")),
-                _ => Repeat::Safe,
+            idempotency: match c.choice("repeat") {
+                "never" => Idempotency::NonIdempotent,
+                "keyed" => Idempotency::Keyed(c.micros("window")),
+                _ => Idempotency::Idempotent,
             },
             share: c.number("share"),
             work: Work {
@@ -692,10 +692,10 @@
                 mean: c.micros("work") as f64,
                 by_key: c.part("by-key"),
             },
-            aim: c.micros("aim"),
+            latency_objective: c.micros("aim"),
             deadline: c.micros("deadline"),
-            worth: c.number("worth"),
-            late_worth: c.part("late-worth"),
+            priority_weight: c.number("worth"),
+            late_weight_fraction: c.part("late-worth"),
         }
     }
 
@@ -790,9 +790,9 @@
 }
 
 /// What a tenant may borrow; none: nothing.
-fn credit(t: &Seen<'_>, kinds: &[Kind]) -> Option<Credit> {
+fn credit(t: &Seen<'_>, kinds: &[RequestClass]) -> Option<Credit> {
     let named = t.values.all("borrows", name_of);
-    let lent = |(_, kind): &(usize, &Kind)| named.is_empty() || named.contains(&kind.name);
+    let lent = |(_, kind): &(usize, &RequestClass)| named.is_empty() || named.contains(&kind.name);
     let credit = Credit {
         line: t.micros("line"),
         term: t.micros("term"),
--- a/crates/proxy-experiments/src/hunt.rs
+++ b/crates/proxy-experiments/src/hunt.rs
@@ -69,7 +69,7 @@
             self.other,
             self.seed,
             self.scenario.proxies(),
-            self.scenario.clients.per_s,
+            self.scenario.clients.requests_per_s,
             if troubles.is_empty() {
                 "no trouble".to_owned()
             } else {
@@ -190,10 +190,10 @@
     match draw.random_range(0..6) {
         0 => {
             let times = draw.random_range(60..=150) as f64 / 100.0;
-            day.clients.per_s = (day.clients.per_s * times).round();
+            day.clients.requests_per_s = (day.clients.requests_per_s * times).round();
         }
         1 => day.clients.proxies = draw.random_range(1..=40),
-        2 => day.clients.unequal = draw.random_range(0..=15) as f64 / 10.0,
+        2 => day.clients.proxy_skew = draw.random_range(0..=15) as f64 / 10.0,
         3 if !day.troubles.is_empty() => {
             let at = draw.random_range(0..day.troubles.len());
             if draw.random_bool(0.5) {
@@ -275,7 +275,8 @@
         // Of those that still show it the one that costs least to play.
         let cost = |day: &Day| {
             let s = &day.scenario;
-            (s.clients.per_s * seconds(s.length())) as u64 + 1_000 * s.troubles.len() as u64
+            (s.clients.requests_per_s * seconds(s.length())) as u64
+                + 1_000 * s.troubles.len() as u64
         };
         let Some(next) = fits.min_by_key(cost) else {
             return small;
@@ -314,7 +315,8 @@
     if day.site.groups > 1 {
         add(&|s| {
             let fewer = s.site.groups / 2;
-            s.clients.per_s = (s.clients.per_s * fewer as f64 / s.site.groups as f64).round();
+            s.clients.requests_per_s =
+                (s.clients.requests_per_s * fewer as f64 / s.site.groups as f64).round();
             s.site.groups = fewer;
             s.site.sizes.truncate(fewer);
             s.clients.groups = fewer as u32;
@@ -322,14 +324,14 @@
     }
     add(&|s| s.clients.proxies = (s.clients.proxies / 2).max(1));
     add(&|s| s.clients.tenants.clear());
-    add(&|s| s.clients.unequal = 0.0);
-    add(&|s| s.clients.repeats = 0);
+    add(&|s| s.clients.proxy_skew = 0.0);
+    add(&|s| s.clients.max_retries = 0);
     add(&|s| s.clients.patience = (1.0, 1.0));
     add(&|s| s.clients.profile.clear());
     add(&|s| s.network.loss = 0.0);
-    for at in 0..day.clients.kinds.len() {
-        if day.clients.kinds.len() > 1 {
-            add(&|s| _ = s.clients.kinds.remove(at));
+    for at in 0..day.clients.classes.len() {
+        if day.clients.classes.len() > 1 {
+            add(&|s| _ = s.clients.classes.remove(at));
         }
     }
     found
--- a/crates/proxy-experiments/src/plan.rs
+++ b/crates/proxy-experiments/src/plan.rs
@@ -105,20 +105,20 @@
 /// Work of each group, and its writes' part, in cores.
 fn demands(scenario: &Scenario) -> Vec<(f64, f64)> {
     let clients = &scenario.clients;
-    let weight = |n: usize| ((n + 1) as f64).powf(-clients.skew);
+    let weight = |n: usize| ((n + 1) as f64).powf(-clients.group_skew);
     let weights: f64 = (0..scenario.site.groups).map(weight).sum();
-    let shares: f64 = clients.kinds.iter().map(|k| k.share).sum();
+    let shares: f64 = clients.classes.iter().map(|k| k.share).sum();
     let highest = clients
         .profile
         .iter()
         .map(|(_, times)| *times)
         .fold(1.0, f64::max);
-    let per_s = clients.per_s * highest;
+    let per_s = clients.requests_per_s * highest;
     let work = |writes: bool| -> f64 {
         let counted = clients
-            .kinds
+            .classes
             .iter()
-            .filter(|k| !writes || k.need == server_model::clients::Need::Write);
+            .filter(|k| !writes || k.consistency == server_model::clients::Consistency::Write);
         counted
             .map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6)
             .sum::<f64>()
--- a/crates/proxy-experiments/src/play/fleet.rs
+++ b/crates/proxy-experiments/src/play/fleet.rs
@@ -75,7 +75,11 @@
     /// None: its proxies do not talk.
     pub fn new(scenario: &Scenario, streams: &Streams) -> Option<Fleet> {
         let (talk, clients) = (scenario.talk?, &scenario.clients);
-        let classes: Arc<[String]> = clients.kinds.iter().map(|kind| kind.name.clone()).collect();
+        let classes: Arc<[String]> = clients
+            .classes
+            .iter()
+            .map(|kind| kind.name.clone())
+            .collect();
         let lent = clients
             .tenants
             .iter()
--- a/crates/proxy-experiments/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -8,7 +8,7 @@
 };
 use rustc_hash::FxHashMap;
 use server_model::catalog::Record;
-use server_model::clients::TryId;
+use server_model::clients::ClientAttemptId;
 use server_model::network::{Network, Spot};
 use server_model::site::{ServerIndex, Site, Status};
 use std::time::Duration;
@@ -170,7 +170,7 @@
     /// Where the proxy stands.
     pub spot: Spot,
     pub ready: &'a [Vec<ServerId>],
-    pub open: &'a FxHashMap<TryId, Open>,
+    pub open: &'a FxHashMap<ClientAttemptId, Open>,
     pub now: Micros,
     pub cores: f64,
     /// Of a request, in microseconds of a core.
@@ -223,7 +223,9 @@
     }
 
     fn within(&self, id: RequestId) -> bool {
-        self.open.get(&id.0).is_none_or(|open| open.asked.within)
+        self.open
+            .get(&id.0)
+            .is_none_or(|open| open.asked.within_quota)
     }
 
     fn drawn(&self, id: RequestId) -> bool {
--- a/crates/proxy-experiments/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -22,9 +22,9 @@
 };
 use rustc_hash::FxHashMap;
 use server_model::catalog::{self, Catalog};
-use server_model::clients::{self, Clients, Try, TryId};
+use server_model::clients::{self, ClientAttempt, ClientAttemptId, Clients};
 use server_model::network::{Network, Spot};
-use server_model::site::{self, Answer, Ask, ServerIndex, Site, Status, Wake};
+use server_model::site::{self, Answer, Operation, ServerIndex, Site, Status, TimerOwner};
 use server_model::Micros;
 use simulation_engine::streams::{Stream, Streams};
 use simulation_engine::wheel::Wheel;
@@ -47,7 +47,7 @@
 
 enum Step {
     Clients(clients::Event),
-    Site(Wake),
+    Site(TimerOwner),
     List,
     /// A proxy's call has reached discovery.
     Call {
@@ -82,7 +82,7 @@
     ProbeReach(u64),
     ProbeBack {
         probe: u64,
-        report: Option<site::Report>,
+        report: Option<site::LoadReport>,
     },
     /// A proxy looks at its loans and says what it sees, or hears another; the lab looks at all loans.
     Look {
@@ -111,7 +111,7 @@
 
 /// A try that a proxy has taken.
 pub(crate) struct Open {
-    asked: Try,
+    asked: ClientAttempt,
     /// As `asked.within`, but another request's of its tenant.
     drawn: bool,
     came: Micros,
@@ -130,13 +130,13 @@
 }
 
 struct Attempt {
-    id: TryId,
+    id: ClientAttemptId,
     no: u16,
     server: ServerIndex,
     proxy: usize,
     epoch: u32,
     sent: Micros,
-    ask: Ask,
+    ask: Operation,
     state: State,
     /// It has a connection that the server knows of.
     connected: bool,
@@ -161,7 +161,7 @@
     clients: Clients,
     hosts: Vec<Host>,
     fleet: Option<Fleet>,
-    open: FxHashMap<TryId, Open>,
+    open: FxHashMap<ClientAttemptId, Open>,
     attempts: FxHashMap<u64, Attempt>,
     probes: FxHashMap<u64, Probe>,
     next: u64,
@@ -202,7 +202,7 @@
     let hosts = (0..scenario.proxies())
         .map(|proxy| Host::new((proxy % places) as u16))
         .collect();
-    let kinds = &scenario.clients.kinds;
+    let kinds = &scenario.clients.classes;
     let shares: f64 = kinds.iter().map(|k| k.share).sum();
     let mean_work = kinds.iter().map(|k| k.share * k.work.mean).sum::<f64>() / shares.max(1e-9);
     let mut play = Play {
@@ -266,7 +266,7 @@
         self.tally.counts().cold = self.cold.peaks();
         self.tally.counts().cold_told = self.cold.told_peaks();
         if !self.scenario.site.server.falls {
-            (0..self.cold.breaches).for_each(|_| self.checker.breaks(Rule::Collapsed));
+            (0..self.cold.breaches).for_each(|_| self.checker.report_violation(Rule::Collapsed));
         }
         self.tally.close(self.checker.broken)
     }
@@ -274,7 +274,7 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Clients(event) => self.clients(event),
-            Step::Site(wake) => self.site(site::Event::Wake(wake)),
+            Step::Site(wake) => self.site(site::Event::Timer(wake)),
             Step::List => self.list(catalog::Event::Due),
             Step::Call {
                 proxy,
@@ -383,11 +383,12 @@
         self.clients.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                clients::Action::DueAt(at, due) => {
-                    self.wheel.put(at, Step::Clients(clients::Event::Due(due)));
+                clients::Action::SetTimer(at, due) => {
+                    self.wheel
+                        .put(at, Step::Clients(clients::Event::Timer(due)));
                 }
-                clients::Action::Ask(asked) => self.ask(asked),
-                clients::Action::Leave { id, proxy } => self.left(id, proxy),
+                clients::Action::Send(asked) => self.ask(asked),
+                clients::Action::Abandon { id, proxy } => self.left(id, proxy),
                 clients::Action::Settled(settled) => {
                     self.lots.settled(settled.request);
                     self.tally.settled(&settled);
@@ -400,7 +401,7 @@
         }
     }
 
-    fn ask(&mut self, asked: Try) {
+    fn ask(&mut self, asked: ClientAttempt) {
         let now = self.now;
         let Some(host) = self.hosts.get(asked.proxy) else {
             return;
@@ -408,26 +409,28 @@
         if !host.up() {
             return self.clients(clients::Event::Answered(
                 asked.id,
-                clients::Answer::Gone { reached: false },
+                clients::Answer::ConnectionLost { reached: false },
             ));
         }
-        let kind = &self.scenario.clients.kinds[asked.kind];
-        let write = kind.need == clients::Need::Write;
-        let need = match kind.need {
-            clients::Need::Session => asked.wrote,
-            clients::Need::Fresh => now,
+        let kind = &self.scenario.clients.classes[asked.class];
+        let write = kind.consistency == clients::Consistency::Write;
+        let need = match kind.consistency {
+            clients::Consistency::ReadYourWrites => asked.last_write,
+            clients::Consistency::Strong => now,
             _ => 0,
         };
         self.tally.counts().tries += 1;
-        self.checker.asks(
+        self.checker.client_sends(
             asked.id,
             asked.request,
-            kind.repeat,
+            kind.idempotency,
             write,
             asked.proxy,
-            now + asked.wait,
+            now + asked.timeout,
         );
-        let drawn = self.lots.draw(asked.request, asked.tenant, asked.within);
+        let drawn = self
+            .lots
+            .draw(asked.request, asked.tenant, asked.within_quota);
         self.open.insert(
             asked.id,
             Open {
@@ -439,17 +442,20 @@
                 need,
             },
         );
-        let sessions = matches!(kind.need, clients::Need::Session | clients::Need::Write);
+        let sessions = matches!(
+            kind.consistency,
+            clients::Consistency::ReadYourWrites | clients::Consistency::Write
+        );
         let arrival = Arrival {
             id: RequestId(asked.id),
-            class: ClassId(asked.kind as u16),
+            class: ClassId(asked.class as u16),
             tenant: TenantId(asked.tenant as u16),
             group: GroupId(asked.group),
             session: sessions.then_some(SessionKey(asked.session)),
-            time_left: span(asked.wait.saturating_sub(MARGIN).max(1)),
-            session_position: (asked.wrote > 0)
-                .then(|| SessionPosition::Ago(span(now.saturating_sub(asked.wrote)))),
-            is_client_retry: asked.repeated,
+            time_left: span(asked.timeout.saturating_sub(MARGIN).max(1)),
+            session_position: (asked.last_write > 0)
+                .then(|| SessionPosition::Ago(span(now.saturating_sub(asked.last_write)))),
+            is_client_retry: asked.is_retry,
             quota_status: QuotaStatus::WithinQuota,
             attempt_limit: None,
             shed_fraction: 0.0,
@@ -458,15 +464,15 @@
     }
 
     /// Its client no longer waits.
-    fn left(&mut self, id: TryId, proxy: usize) {
-        self.checker.gives_up(id, self.now);
+    fn left(&mut self, id: ClientAttemptId, proxy: usize) {
+        self.checker.client_gives_up(id, self.now);
         if self.open.remove(&id).is_some_and(|open| !open.answered) {
             self.tell(proxy, Event::ClientLeft(RequestId(id)));
         }
     }
 
-    fn answer(&mut self, id: TryId, answer: Final, told: clients::Answer) {
-        self.checker.answers(id, answer, self.now);
+    fn answer(&mut self, id: ClientAttemptId, answer: Final, told: clients::Answer) {
+        self.checker.proxy_answers(id, answer, self.now);
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -474,7 +480,7 @@
             return;
         }
         self.open.remove(&id);
-        self.checker.over(id);
+        self.checker.client_done(id);
         self.clients(clients::Event::Answered(id, told));
     }
 
@@ -543,8 +549,8 @@
                 let retry_after = retry_after.map(|after| after.as_micros() as Micros);
                 self.answer(
                     id.0,
-                    Final::Refused,
-                    clients::Answer::Refused { retry_after },
+                    Final::Rejected,
+                    clients::Answer::Rejected { retry_after },
                 );
             }
             Action::Fail { id } => self.answer(id.0, Final::Failed, clients::Answer::Failed),
@@ -585,18 +591,18 @@
         }
     }
 
-    fn send(&mut self, proxy: usize, id: TryId, to: ServerId, time_out: Duration) {
+    fn send(&mut self, proxy: usize, id: ClientAttemptId, to: ServerId, time_out: Duration) {
         let now = self.now;
         let server = host::server(to);
-        self.checker.sends(id, server, now);
+        self.checker.proxy_sends(id, server, now);
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let kind = &self.scenario.clients.kinds[open.asked.kind];
-        let (no, came, wait) = (open.attempts, open.came, open.asked.wait);
+        let kind = &self.scenario.clients.classes[open.asked.class];
+        let (no, came, wait) = (open.attempts, open.came, open.asked.timeout);
         open.attempts += 1;
-        let need = match kind.need {
-            clients::Need::Bounded(age) => now.saturating_sub(age),
+        let need = match kind.consistency {
+            clients::Consistency::BoundedStaleness(age) => now.saturating_sub(age),
             _ => open.need,
         };
         // Of the request and the attempt alone, so that every policy sees the same work for them.
@@ -605,8 +611,12 @@
             .seed_of(open.asked.request << 8 | u64::from(no));
         let mut draws = Xoshiro256PlusPlus::seed_from_u64(seed);
         let work = kind.work.draw(open.asked.session, &mut draws);
-        let write = (kind.need == clients::Need::Write).then_some(id);
-        let ask = Ask { write, need, work };
+        let write = (kind.consistency == clients::Consistency::Write).then_some(id);
+        let ask = Operation {
+            write,
+            min_position: need,
+            work,
+        };
         self.tally.counts().attempts += 1;
         self.next += 1;
         let number = self.next;
@@ -733,7 +743,7 @@
             self.site(site::Event::Request {
                 exchange: number << 1,
                 server,
-                ask,
+                operation: ask,
             });
         }
     }
@@ -795,7 +805,7 @@
             ask,
             ..
         } = *attempt;
-        self.checker.ends(id, outcome);
+        self.checker.attempt_ends(id, outcome);
         if self.hosts[proxy].epoch != epoch {
             return;
         }
@@ -804,8 +814,8 @@
             let position = note
                 .position
                 .map_or(0, |at| (at.0.as_micros() as Micros).saturating_sub(ORIGIN));
-            if ask.write.is_none() && ask.need > 0 && position < ask.need {
-                self.checker.breaks(Rule::Stale);
+            if ask.write.is_none() && ask.min_position > 0 && position < ask.min_position {
+                self.checker.report_violation(Rule::Stale);
             }
             let commit = if ask.write.is_some() { position } else { 0 };
             self.answer(id, Final::Served, clients::Answer::Served { commit });
@@ -854,7 +864,7 @@
         );
     }
 
-    fn probed(&mut self, number: u64, report: Option<site::Report>) {
+    fn probed(&mut self, number: u64, report: Option<site::LoadReport>) {
         let Some(Probe {
             server,
             proxy,
@@ -898,15 +908,15 @@
         let now = self.now;
         for action in actions.drain(..) {
             match action {
-                site::Action::WakeAt(at, wake) => self.wheel.put(at, Step::Site(wake)),
+                site::Action::SetTimer(at, wake) => self.wheel.put(at, Step::Site(wake)),
                 site::Action::Answer {
                     exchange,
                     answer,
-                    note,
+                    metadata: note,
                 } => {
                     self.site_answers(exchange >> 1, answer, note);
                 }
-                site::Action::Report { exchange, report } => {
+                site::Action::LoadReport { exchange, report } => {
                     let probe = exchange >> 1;
                     let Some((server, proxy)) =
                         self.probes.get(&probe).map(|p| (p.server, p.proxy))
@@ -939,7 +949,7 @@
                         .mark(now, format!("what server {server} took in last is undone"));
                 }
                 site::Action::Collapsed(server) => {
-                    self.checker.breaks(Rule::Collapsed);
+                    self.checker.report_violation(Rule::Collapsed);
                     self.tally
                         .mark(now, format!("server {server} is pushed over"));
                 }
@@ -951,16 +961,16 @@
     }
 
     /// What a server says is on its way back.
-    fn site_answers(&mut self, attempt: u64, answer: Answer, note: Option<site::Note>) {
+    fn site_answers(&mut self, attempt: u64, answer: Answer, note: Option<site::ResponseMetadata>) {
         let Some((server, proxy)) = self.attempts.get(&attempt).map(|a| (a.server, a.proxy)) else {
             return;
         };
         let outcome = match answer {
             Answer::Ok => Outcome::Ok,
-            Answer::Miss => Outcome::Misdirected,
-            Answer::Full => Outcome::Rejected,
-            Answer::Error => Outcome::Failed,
-            Answer::Reset | Answer::Refused => Outcome::Reset,
+            Answer::Misdirected => Outcome::Misdirected,
+            Answer::Rejected => Outcome::Rejected,
+            Answer::Failed => Outcome::Failed,
+            Answer::Reset | Answer::Unreachable => Outcome::Reset,
         };
         let note = note.map_or(ResponseMetadata::default(), |n| ResponseMetadata {
             primary: Some(n.primary),
@@ -1031,7 +1041,7 @@
                 for entry in &entries {
                     let leaving = entry.state != EndpointState::Ready;
                     self.checker
-                        .told(proxy, host::server(entry.server), leaving, self.now);
+                        .notified(proxy, host::server(entry.server), leaving, self.now);
                 }
                 match complete {
                     true => EndpointUpdate::Snapshot(entries),
--- a/crates/proxy-experiments/src/play/troubles.rs
+++ b/crates/proxy-experiments/src/play/troubles.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use server_model::clients;
 use server_model::network::End;
-use server_model::site::{self, ServerIndex, Site, Status, Trouble};
+use server_model::site::{self, ServerFault, ServerIndex, Site, Status};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 
@@ -100,9 +100,9 @@
 }
 
 impl Play<'_> {
-    fn each(&mut self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
+    fn each(&mut self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> ServerFault) {
         for server in servers {
-            self.site(site::Event::Trouble(trouble(*server)));
+            self.site(site::Event::Fault(trouble(*server)));
         }
     }
 
@@ -119,8 +119,8 @@
         self.wheel
             .put(now.saturating_add(trouble.span), Step::Over(at));
         match trouble.what {
-            What::Die => self.each(&servers, Trouble::Die),
-            What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: true }),
+            What::Die => self.each(&servers, ServerFault::Crash),
+            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: true }),
             What::Slow(times) => {
                 let all: Vec<ServerIndex> = self.site.servers().collect();
                 let servers = if trouble.targets.is_empty() {
@@ -128,9 +128,9 @@
                 } else {
                     &servers
                 };
-                self.each(servers, |server| Trouble::Slow { server, times });
+                self.each(servers, |server| ServerFault::Slow { server, times });
             }
-            What::Hold => self.each(&servers, |server| Trouble::Hold {
+            What::Hold => self.each(&servers, |server| ServerFault::HoldReplication {
                 server,
                 span: trouble.span,
             }),
@@ -149,7 +149,7 @@
             What::ListDown => self.list(server_model::catalog::Event::Down(true)),
             What::Surge(times, tenant) => self.clients(clients::Event::Surge { tenant, times }),
             What::Cut { place, back_only } => self.cut(&proxies, place, back_only, true),
-            What::Split(place) => self.site(site::Event::Trouble(Trouble::Split(place))),
+            What::Split(place) => self.site(site::Event::Fault(ServerFault::Partition(place))),
             What::Loss(part) => self.network.set_extra_loss(part),
             What::ProxyDies => proxies.iter().for_each(|proxy| self.proxy_dies(*proxy)),
             What::Apart => self.apart(proxies.clone()),
@@ -164,8 +164,8 @@
         self.tally
             .mark(self.now, format!("{} is over", trouble.name));
         match trouble.what {
-            What::Die => self.each(&servers, Trouble::Start),
-            What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: false }),
+            What::Die => self.each(&servers, ServerFault::Start),
+            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: false }),
             What::Slow(_) => {
                 let all: Vec<ServerIndex> = self.site.servers().collect();
                 let servers = if trouble.targets.is_empty() {
@@ -173,14 +173,14 @@
                 } else {
                     &servers
                 };
-                self.each(servers, |server| Trouble::Slow { server, times: 1.0 });
+                self.each(servers, |server| ServerFault::Slow { server, times: 1.0 });
             }
             What::Hold | What::Deploy => {}
             What::ListBehind(_) => self.list(server_model::catalog::Event::Behind(0)),
             What::ListDown => self.list(server_model::catalog::Event::Down(false)),
             What::Surge(_, tenant) => self.clients(clients::Event::Surge { tenant, times: 1.0 }),
             What::Cut { place, back_only } => self.cut(&proxies, place, back_only, false),
-            What::Split(_) => self.site(site::Event::Trouble(Trouble::Meet)),
+            What::Split(_) => self.site(site::Event::Fault(ServerFault::HealPartition)),
             What::Loss(_) => self.network.set_extra_loss(0.0),
             What::Apart => self.apart(Vec::new()),
             What::ProxyDies => {
@@ -213,7 +213,7 @@
     pub(super) fn deploy(&mut self, trouble: usize, server: ServerIndex, phase: u8) {
         if phase == 0 {
             if self.site.status(server) == Status::Ready {
-                self.site(site::Event::Trouble(Trouble::Drain(server)));
+                self.site(site::Event::Fault(ServerFault::Drain(server)));
                 self.wheel.put(
                     self.now + LINGER,
                     Step::Deploy {
@@ -225,8 +225,8 @@
             }
         } else {
             let (group, place) = (self.site.group(server), self.site.place(server));
-            self.site(site::Event::Trouble(Trouble::Retire(server)));
-            self.site(site::Event::Trouble(Trouble::Join { group, place }));
+            self.site(site::Event::Fault(ServerFault::Retire(server)));
+            self.site(site::Event::Fault(ServerFault::Join { group, place }));
         }
     }
 
@@ -246,8 +246,8 @@
         held.sort_unstable();
         for id in held {
             self.open.remove(&id);
-            self.checker.dies(id);
-            let answer = clients::Answer::Gone { reached: true };
+            self.checker.proxy_dies(id);
+            let answer = clients::Answer::ConnectionLost { reached: true };
             self.clients(clients::Event::Answered(id, answer));
         }
         // Only after a while do clients go elsewhere at once.
--- a/crates/proxy-experiments/src/results.rs
+++ b/crates/proxy-experiments/src/results.rs
@@ -146,7 +146,7 @@
             about: scenario.about.clone(),
             classes: scenario
                 .clients
-                .kinds
+                .classes
                 .iter()
                 .map(|k| k.name.clone())
                 .collect(),
--- a/crates/proxy-experiments/src/scenario.rs
+++ b/crates/proxy-experiments/src/scenario.rs
@@ -4,7 +4,7 @@
 use routing::{
     Class, Consistency, DeduplicationScope, Idempotency, Settings, StalenessCheck, ZoneId,
 };
-use server_model::clients::{self, Repeat};
+use server_model::clients;
 use server_model::platform::Platform;
 use server_model::{catalog, network, site, Micros};
 use std::time::Duration;
@@ -173,17 +173,17 @@
 
     /// Work that comes, as a part of what all servers can do, at the usual rate; and writes' part of what primaries can.
     pub fn loads(&self) -> (f64, f64) {
-        let shares: f64 = self.clients.kinds.iter().map(|k| k.share).sum();
+        let shares: f64 = self.clients.classes.iter().map(|k| k.share).sum();
         let work = |writes: bool| -> f64 {
             let counted = self
                 .clients
-                .kinds
+                .classes
                 .iter()
-                .filter(|k| !writes || k.need == clients::Need::Write);
+                .filter(|k| !writes || k.consistency == clients::Consistency::Write);
             counted
                 .map(|k| k.share / shares.max(1e-9) * k.work.mean / 1e6)
                 .sum::<f64>()
-                * self.clients.per_s
+                * self.clients.requests_per_s
         };
         let cores = self.site.server.cores;
         let (all, primaries) = (
@@ -223,26 +223,28 @@
             checks,
             ..
         } = self.platform;
-        let class = |kind: &clients::Kind| Class {
-            consistency: match kind.need {
-                clients::Need::Write => Consistency::Write,
-                clients::Need::Fresh => Consistency::Strong,
-                clients::Need::Session => Consistency::ReadYourWrites,
-                clients::Need::Bounded(age) => Consistency::BoundedStaleness(span(age)),
-                clients::Need::Any => Consistency::Eventual,
+        let class = |kind: &clients::RequestClass| Class {
+            consistency: match kind.consistency {
+                clients::Consistency::Write => Consistency::Write,
+                clients::Consistency::Strong => Consistency::Strong,
+                clients::Consistency::ReadYourWrites => Consistency::ReadYourWrites,
+                clients::Consistency::BoundedStaleness(age) => {
+                    Consistency::BoundedStaleness(span(age))
+                }
+                clients::Consistency::Eventual => Consistency::Eventual,
             },
-            idempotency: match kind.repeat {
-                Repeat::Safe => Idempotency::Idempotent,
-                Repeat::Keyed(window) => Idempotency::Keyed {
+            idempotency: match kind.idempotency {
+                clients::Idempotency::Idempotent => Idempotency::Idempotent,
+                clients::Idempotency::Keyed(window) => Idempotency::Keyed {
                     scope: DeduplicationScope::Group,
                     window: span(window),
                 },
-                Repeat::Never => Idempotency::NonIdempotent,
+                clients::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
             },
-            latency_objective: span(kind.aim),
+            latency_objective: span(kind.latency_objective),
             deadline: span(kind.deadline),
-            priority_weight: kind.worth,
-            late_weight_fraction: kind.late_worth,
+            priority_weight: kind.priority_weight,
+            late_weight_fraction: kind.late_weight_fraction,
         };
         let tenant = |tenant: &clients::Tenant| routing::Tenant {
             quota_per_s: tenant.quota,
@@ -251,9 +253,9 @@
             router_count: self.proxies() as u32,
             router_index: proxy as u32,
             zone: ZoneId((proxy % self.site.places.max(1)) as u16),
-            classes: self.clients.kinds.iter().map(class).collect(),
+            classes: self.clients.classes.iter().map(class).collect(),
             tenants: self.clients.tenants.iter().map(tenant).collect(),
-            over_quota_weight_fraction: self.clients.over_worth,
+            over_quota_weight_fraction: self.clients.over_quota_weight_fraction,
             staleness_check: if checks {
                 StalenessCheck::Reject
             } else {
--- a/crates/proxy-experiments/src/tally.rs
+++ b/crates/proxy-experiments/src/tally.rs
@@ -7,7 +7,7 @@
 use invariant_checkers::cold::Peak;
 use invariant_checkers::Rule;
 use serde::{Deserialize, Serialize};
-use server_model::clients::{End, Settled};
+use server_model::clients::{RequestOutcome, Settled};
 use server_model::Micros;
 use std::collections::BTreeMap;
 
@@ -48,15 +48,15 @@
 
 impl Part {
     fn add(&mut self, settled: &Settled) {
-        self.worth += settled.worth;
+        self.worth += settled.priority_weight;
         self.earned += settled.earned;
         self.counted += settled.counted;
         self.asked += 1;
-        match settled.end {
-            End::Served => self.served += 1,
-            End::Refused => self.refused += 1,
-            End::Failed => self.failed += 1,
-            End::Left => self.left += 1,
+        match settled.outcome {
+            RequestOutcome::Served => self.served += 1,
+            RequestOutcome::Rejected => self.refused += 1,
+            RequestOutcome::Failed => self.failed += 1,
+            RequestOutcome::Abandoned => self.left += 1,
         }
     }
 
@@ -184,12 +184,12 @@
         let seconds = (clients.length / SECOND + 1) as usize;
         let out = Outcomes {
             seconds: vec![Part::default(); seconds],
-            kinds: vec![Part::default(); clients.kinds.len()],
+            kinds: vec![Part::default(); clients.classes.len()],
             tenants: vec![Part::default(); clients.tenants.len()],
             groups: vec![Part::default(); clients.groups as usize],
             ..Outcomes::default()
         };
-        let latencies = clients.kinds.iter().map(|_| histogram()).collect();
+        let latencies = clients.classes.iter().map(|_| histogram()).collect();
         Tally {
             out,
             latencies,
@@ -215,10 +215,10 @@
     /// Counts a request that is over.
     pub fn settled(&mut self, settled: &Settled) {
         self.out.whole.add(settled);
-        let second = (settled.came / SECOND) as usize;
+        let second = (settled.sent_at / SECOND) as usize;
         for (parts, at) in [
             (&mut self.out.seconds, second),
-            (&mut self.out.kinds, settled.kind),
+            (&mut self.out.kinds, settled.class),
             (&mut self.out.tenants, settled.tenant),
             (&mut self.out.groups, settled.group as usize),
         ] {
@@ -226,7 +226,8 @@
                 part.add(settled);
             }
         }
-        if let (Some(took), Some(latencies)) = (settled.took, self.latencies.get_mut(settled.kind))
+        if let (Some(took), Some(latencies)) =
+            (settled.latency, self.latencies.get_mut(settled.class))
         {
             latencies.saturating_record(took.max(1));
         }
--- a/crates/proxy-experiments/src/trial.rs
+++ b/crates/proxy-experiments/src/trial.rs
@@ -6,7 +6,7 @@
 use crate::play::troubles::{rolling, struck, struck_proxies, LINGER};
 use crate::scenario::{Scenario, What};
 use server_model::catalog;
-use server_model::site::{ServerIndex, Status, Trouble};
+use server_model::site::{ServerFault, ServerIndex, Status};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 use std::cmp::Reverse;
@@ -121,7 +121,9 @@
             Step::Over(at) => return self.over(at),
             Step::Drains(server) => {
                 if self.testbed.history.lock().site.status(server) == Status::Ready {
-                    self.testbed.history.inject_fault(Trouble::Drain(server));
+                    self.testbed
+                        .history
+                        .inject_fault(ServerFault::Drain(server));
                     self.agenda
                         .push(Reverse((now + LINGER, Step::Replaced(server))));
                 }
@@ -132,10 +134,12 @@
                     let inner = self.testbed.history.lock();
                     (inner.site.group(server), inner.site.place(server))
                 };
-                self.testbed.history.inject_fault(Trouble::Retire(server));
                 self.testbed
                     .history
-                    .inject_fault(Trouble::Join { group, place });
+                    .inject_fault(ServerFault::Retire(server));
+                self.testbed
+                    .history
+                    .inject_fault(ServerFault::Join { group, place });
                 return Ok(None);
             }
             Step::Glance => return Ok(None),
@@ -146,7 +150,7 @@
         Ok(Some(format!("{} begins", self.scenario.troubles[at].name)))
     }
 
-    fn each(&self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
+    fn each(&self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> ServerFault) {
         servers
             .iter()
             .for_each(|server| self.testbed.history.inject_fault(trouble(*server)));
@@ -182,12 +186,13 @@
         self.struck[at] = (servers.clone(), proxies.clone());
         let history = self.testbed.history.clone();
         match trouble.what {
-            What::Die => self.each(&servers, Trouble::Die),
-            What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: true }),
-            What::Slow(times) => {
-                self.each(&self.slowed(at), |server| Trouble::Slow { server, times })
-            }
-            What::Hold => self.each(&servers, |server| Trouble::Hold {
+            What::Die => self.each(&servers, ServerFault::Crash),
+            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: true }),
+            What::Slow(times) => self.each(&self.slowed(at), |server| ServerFault::Slow {
+                server,
+                times,
+            }),
+            What::Hold => self.each(&servers, |server| ServerFault::HoldReplication {
                 server,
                 span: trouble.span,
             }),
@@ -208,7 +213,7 @@
                     .iter()
                     .for_each(|link| link.set(there, Flow::Cut));
             }
-            What::Split(place) => history.inject_fault(Trouble::Split(place)),
+            What::Split(place) => history.inject_fault(ServerFault::Partition(place)),
             What::Loss(part) => {
                 let resend = Duration::from_micros(self.scenario.network.resend);
                 let flow = Flow::Lossy { part, resend };
@@ -228,9 +233,9 @@
         let (servers, proxies) = self.struck[at].clone();
         let history = self.testbed.history.clone();
         match trouble.what {
-            What::Die => self.each(&servers, Trouble::Start),
-            What::Hang => self.each(&servers, |server| Trouble::Hang { server, on: false }),
-            What::Slow(_) => self.each(&self.slowed(at), |server| Trouble::Slow {
+            What::Die => self.each(&servers, ServerFault::Start),
+            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: false }),
+            What::Slow(_) => self.each(&self.slowed(at), |server| ServerFault::Slow {
                 server,
                 times: 1.0,
             }),
@@ -243,7 +248,7 @@
                 .links(&proxies, Some(place))
                 .iter()
                 .for_each(|link| link.heal()),
-            What::Split(_) => history.inject_fault(Trouble::Meet),
+            What::Split(_) => history.inject_fault(ServerFault::HealPartition),
             What::Loss(_) => self
                 .testbed
                 .links(&self.all(), None)
--- a/crates/proxy-experiments/src/write.rs
+++ b/crates/proxy-experiments/src/write.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::{Scenario, Target, Trouble, What};
 use configuration::value;
-use server_model::clients::{Need, Repeat};
+use server_model::clients::{Consistency, Idempotency};
 use server_model::law::Law;
 use server_model::Micros;
 use std::fmt::Write;
@@ -164,23 +164,23 @@
         ],
     );
     let clients = &scenario.clients;
-    for kind in &clients.kinds {
+    for kind in &clients.classes {
         let mut lines = Vec::new();
-        let need = match kind.need {
-            Need::Write => "write",
-            Need::Fresh => "fresh",
-            Need::Session => "session",
-            Need::Bounded(age) => {
+        let need = match kind.consistency {
+            Consistency::Write => "write",
+            Consistency::Strong => "fresh",
+            Consistency::ReadYourWrites => "session",
+            Consistency::BoundedStaleness(age) => {
                 lines.push(("age", time(age)));
                 "bounded"
             }
-            Need::Any => "any",
+            Consistency::Eventual => "any",
         };
         lines.insert(0, ("need", need.to_owned()));
-        match kind.repeat {
-            Repeat::Safe => lines.push(("repeat", "safe".into())),
-            Repeat::Never => lines.push(("repeat", "never".into())),
-            Repeat::Keyed(window) => {
+        match kind.idempotency {
+            Idempotency::Idempotent => lines.push(("repeat", "safe".into())),
+            Idempotency::NonIdempotent => lines.push(("repeat", "never".into())),
+            Idempotency::Keyed(window) => {
                 lines.extend([("repeat", "keyed".into()), ("window", time(window))]);
             }
         }
@@ -196,10 +196,10 @@
             ("share", kind.share.to_string()),
             ("work", time(kind.work.mean as Micros)),
             ("by-key", share(kind.work.by_key)),
-            ("aim", time(kind.aim)),
+            ("aim", time(kind.latency_objective)),
             ("deadline", time(kind.deadline)),
-            ("worth", kind.worth.to_string()),
-            ("late-worth", share(kind.late_worth)),
+            ("worth", kind.priority_weight.to_string()),
+            ("late-worth", share(kind.late_weight_fraction)),
         ]);
         out.section(&format!("class {}", kind.name), &lines);
     }
@@ -209,7 +209,10 @@
             ("quota", tenant.quota.to_string()),
         ];
         if let Some(credit) = &tenant.credit {
-            let kinds = credit.kinds.iter().filter_map(|at| clients.kinds.get(*at));
+            let kinds = credit
+                .kinds
+                .iter()
+                .filter_map(|at| clients.classes.get(*at));
             lines.extend([
                 ("line", time(credit.line)),
                 ("term", time(credit.term)),
@@ -226,31 +229,32 @@
     }
     let names = |names: Vec<&str>| names.join(" ");
     let mut lines = vec![
-        ("rate", clients.per_s.to_string()),
+        ("rate", clients.requests_per_s.to_string()),
         ("proxies", clients.proxies.to_string()),
-        ("unequal", clients.unequal.to_string()),
-        ("skew", clients.skew.to_string()),
+        ("unequal", clients.proxy_skew.to_string()),
+        ("skew", clients.group_skew.to_string()),
         (
             "classes",
-            names(clients.kinds.iter().map(|k| k.name.as_str()).collect()),
+            names(clients.classes.iter().map(|k| k.name.as_str()).collect()),
         ),
-        ("over-worth", share(clients.over_worth)),
+        ("over-worth", share(clients.over_quota_weight_fraction)),
         ("sessions", clients.sessions.to_string()),
-        ("after-write", share(clients.after_write)),
-        ("soon", time(clients.soon)),
-        ("repeats", clients.repeats.to_string()),
-        ("wait", time(clients.wait)),
-        ("heeds", yes(clients.heeds).into()),
-        ("marks", yes(clients.marks).into()),
+        ("after-write", share(clients.read_after_write_share)),
+        ("soon", time(clients.read_after_write_span)),
+        ("repeats", clients.max_retries.to_string()),
+        ("wait", time(clients.retry_wait)),
+        ("heeds", yes(clients.obeys_retry_after).into()),
+        ("marks", yes(clients.marks_retries).into()),
         ("patience-from", share(clients.patience.0)),
         ("patience-to", share(clients.patience.1)),
     ];
-    if clients.busy > 0 {
+    if clients.busy_proxies > 0 {
         // Rounded down, since it is rounded up when it is read.
-        let part = (clients.busy.min(clients.proxies) as f64 - 0.5) / clients.proxies.max(1) as f64;
+        let part = (clients.busy_proxies.min(clients.proxies) as f64 - 0.5)
+            / clients.proxies.max(1) as f64;
         lines.extend([
             ("busy", share(part)),
-            ("busy-carry", share(clients.busy_carry)),
+            ("busy-carry", share(clients.busy_proxies_share)),
         ]);
     }
     if !clients.tenants.is_empty() {
--- a/crates/proxy-experiments/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -27,7 +27,8 @@
     let mut day = book.scenarios.into_iter().find(|s| s.name == name).unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
-    (clients.groups, clients.length, clients.per_s) = (3, 36 * SECOND, clients.per_s / 8.0);
+    (clients.groups, clients.length, clients.requests_per_s) =
+        (3, 36 * SECOND, clients.requests_per_s / 8.0);
     (clients.proxies, clients.profile) =
         (6, vec![(STARTS * SECOND, 0.0), (STARTS * SECOND + 1, 1.0)]);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
@@ -67,7 +68,11 @@
 /// The day's loans, with lines so many times as long as stated.
 fn lent(day: &Scenario, times: u32) -> Loans {
     let clients = &day.clients;
-    let classes: Vec<String> = clients.kinds.iter().map(|kind| kind.name.clone()).collect();
+    let classes: Vec<String> = clients
+        .classes
+        .iter()
+        .map(|kind| kind.name.clone())
+        .collect();
     let rule = Rule {
         line_time: LINE * times,
         quota: (clients.tenants[STAND].quota * 1000.0) as u64,
--- a/crates/proxy-experiments/tests/cold.rs
+++ b/crates/proxy-experiments/tests/cold.rs
@@ -22,7 +22,8 @@
     // Three groups for a quarter of the load: more than they bear.
     day.site.groups = 3;
     let clients = &mut day.clients;
-    (clients.groups, clients.length, clients.per_s) = (3, 10 * SECOND, clients.per_s / 4.0);
+    (clients.groups, clients.length, clients.requests_per_s) =
+        (3, 10 * SECOND, clients.requests_per_s / 4.0);
     (day.troubles[0].at, day.troubles[0].span) = (SECOND, 5 * SECOND);
     for (name, breaks) in [(Name::LeastOutstanding, true), (Name::Module, false)] {
         let outcomes = play(&day, &Policy::of(name), 1);
--- a/crates/proxy-experiments/tests/files.rs
+++ b/crates/proxy-experiments/tests/files.rs
@@ -55,7 +55,8 @@
         .unwrap_or_else(|faults| panic!("{faults}"))
         .scenarios;
     let busy = days.iter().cloned().map(|mut day| {
-        (day.clients.busy, day.clients.busy_carry) = (day.clients.proxies.min(3), 0.8);
+        (day.clients.busy_proxies, day.clients.busy_proxies_share) =
+            (day.clients.proxies.min(3), 0.8);
         day
     });
     for scenario in days.iter().cloned().chain(busy) {
@@ -87,8 +88,11 @@
             ],
         )
         .unwrap();
-    assert_eq!((other.clients.per_s, other.site.group.members), (700.0, 7));
-    assert_eq!(other.clients.kinds, plain.clients.kinds);
+    assert_eq!(
+        (other.clients.requests_per_s, other.site.group.members),
+        (700.0, 7)
+    );
+    assert_eq!(other.clients.classes, plain.clients.classes);
     assert!(book
         .varied("today", &[change("load", "rate", "many")])
         .is_err());
--- a/crates/proxy-experiments/tests/quota.rs
+++ b/crates/proxy-experiments/tests/quota.rs
@@ -20,7 +20,8 @@
     let mut day = book.scenarios.into_iter().find(|s| s.name == name).unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
-    (clients.groups, clients.length, clients.per_s) = (3, 13 * SECOND, clients.per_s / 8.0);
+    (clients.groups, clients.length, clients.requests_per_s) =
+        (3, 13 * SECOND, clients.requests_per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
     day.troubles
         .iter_mut()
--- a/crates/proxy-experiments/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -29,7 +29,8 @@
         .unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
-    (clients.groups, clients.length, clients.per_s) = (3, 7 * SECOND, clients.per_s / 8.0);
+    (clients.groups, clients.length, clients.requests_per_s) =
+        (3, 7 * SECOND, clients.requests_per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
     day.troubles[0].at = SECOND;
     let trouble = |name: &str, at, what, targets| Trouble {
@@ -179,7 +180,7 @@
         "\u{0}",
     ];
     let clients = &mut other.clients;
-    let kinds = clients.kinds.iter_mut().map(|k| &mut k.name);
+    let kinds = clients.classes.iter_mut().map(|k| &mut k.name);
     let tenants = clients.tenants.iter_mut().map(|t| &mut t.name);
     let troubles = other.troubles.iter_mut().map(|t| &mut t.name);
     let names = kinds
--- a/crates/proxy-experiments/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -270,8 +270,15 @@
     }
     // What no policy can do: an answer to a write that nobody applied.
     let mut checker = invariant_checkers::Checker::new(0, 0);
-    checker.asks(1, 1, server_model::clients::Repeat::Never, true, 0, 1_000);
-    checker.answers(1, invariant_checkers::Final::Served, 10);
+    checker.client_sends(
+        1,
+        1,
+        server_model::clients::Idempotency::NonIdempotent,
+        true,
+        0,
+        1_000,
+    );
+    checker.proxy_answers(1, invariant_checkers::Final::Served, 10);
     checker.close();
     assert!(checker.broken.contains_key(&Rule::Phantom));
 }
--- a/crates/server-model/src/group.rs
+++ b/crates/server-model/src/group.rs
@@ -134,30 +134,30 @@
 /// A primary and its replicas.
 #[derive(Clone, Debug)]
 pub struct Group {
-    set: Settings,
+    settings: Settings,
     members: Vec<Member>,
     sides: [Side; 2],
     split_at: Option<Micros>,
     last_commit: Micros,
     /// Commits of a silent primary, which nobody has heard of.
-    unheard: Vec<Micros>,
+    unshipped: Vec<Micros>,
 }
 
 impl Group {
     /// A group whose first member is the primary.
-    pub fn new(set: Settings) -> Group {
-        let members = vec![Member::default(); set.members];
+    pub fn new(settings: Settings) -> Group {
+        let members = vec![Member::default(); settings.members];
         let side = Side {
-            primary: (set.members > 0).then_some(0),
+            primary: (settings.members > 0).then_some(0),
             ..Side::default()
         };
         Group {
-            set,
+            settings,
             members,
             sides: [side, Side::default()],
             split_at: None,
             last_commit: 0,
-            unheard: Vec::new(),
+            unshipped: Vec::new(),
         }
     }
 
@@ -168,8 +168,8 @@
 
     /// The primary; of two the younger.
     pub fn primary(&self) -> Option<usize> {
-        let standing = self.sides.iter().filter(|s| s.primary.is_some());
-        standing.max_by_key(|s| s.since).and_then(|s| s.primary)
+        let candidates = self.sides.iter().filter(|s| s.primary.is_some());
+        candidates.max_by_key(|s| s.since).and_then(|s| s.primary)
     }
 
     /// Whether a member takes itself for the primary.
@@ -202,7 +202,7 @@
             state.pending.pop_front();
         }
         if !state.gone && state.busy <= now {
-            state.applied = state.applied.max(end.saturating_sub(self.set.ship));
+            state.applied = state.applied.max(end.saturating_sub(self.settings.ship));
         }
         state.applied
     }
@@ -223,7 +223,7 @@
             }
             Event::Lose(member) => self.lose(member, now, actions),
             Event::Silence(member) => self.silence(member, now, actions),
-            Event::Return(member) => self.retry_after(member, now, actions),
+            Event::Return(member) => self.member_returned(member, now, actions),
             Event::Join { copy_age } => self.join(copy_age, now, actions),
             Event::Leave(member) => self.leave(member, now, actions),
             Event::Split(away) => self.split(away, now, actions),
@@ -241,14 +241,14 @@
         let commit = side.last_commit;
         self.last_commit = self.last_commit.max(commit);
         if side.silent.is_some() {
-            return self.unheard.push(commit);
+            return self.unshipped.push(commit);
         }
         self.ship(at, primary, commit, commit);
     }
 
     /// A commit goes to the replicas of a side.
     fn ship(&mut self, at: usize, primary: usize, commit: Micros, now: Micros) {
-        let Settings { ship, apply, .. } = self.set;
+        let Settings { ship, apply, .. } = self.settings;
         for (member, state) in self.members.iter_mut().enumerate() {
             if member != primary && !state.gone && state.side == at {
                 state.busy = state.busy.max(now + ship) + apply;
@@ -271,7 +271,7 @@
             .for_each(|m| _ = self.position(m, now));
         if self.sides[side].silent.is_none() {
             self.sides[side].silent = Some(now);
-            actions.push(Action::DueAt(now + self.set.give_up));
+            actions.push(Action::DueAt(now + self.settings.give_up));
         }
     }
 
@@ -281,11 +281,11 @@
         else {
             return;
         };
-        self.vacate(side, now, now + self.set.take_over, actions);
+        self.vacate(side, now, now + self.settings.take_over, actions);
         self.sides[side].log_end = since;
         self.members[member].gone = true;
-        if !self.unheard.is_empty() {
-            self.unheard.clear();
+        if !self.unshipped.is_empty() {
+            self.unshipped.clear();
             actions.push(Action::Lost {
                 member,
                 after: since,
@@ -305,8 +305,11 @@
         state.pending.clear();
         let side = state.side;
         if self.sides[side].primary == Some(member) {
-            if let Some(since) = self.sides[side].silent.filter(|_| !self.unheard.is_empty()) {
-                self.unheard.clear();
+            if let Some(since) = self.sides[side]
+                .silent
+                .filter(|_| !self.unshipped.is_empty())
+            {
+                self.unshipped.clear();
                 actions.push(Action::Lost {
                     member,
                     after: since,
@@ -315,11 +318,11 @@
             self.vacate(
                 side,
                 now,
-                now + self.set.give_up + self.set.take_over,
+                now + self.settings.give_up + self.settings.take_over,
                 actions,
             );
         }
-        self.judge(side, now, actions);
+        self.check_quorum(side, now, actions);
     }
 
     /// The side's log ends here, and somebody takes over then.
@@ -338,14 +341,14 @@
         actions.extend([Action::Vacant, Action::DueAt(until)]);
     }
 
-    fn retry_after(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
+    fn member_returned(&mut self, member: usize, now: Micros, actions: &mut Vec<Action>) {
         let Some(state) = self.members.get_mut(member) else {
             return;
         };
         let at = state.side;
         if self.sides[at].primary == Some(member) && self.sides[at].silent.take().is_some() {
-            let unheard = std::mem::take(&mut self.unheard);
-            return unheard
+            let unshipped = std::mem::take(&mut self.unshipped);
+            return unshipped
                 .into_iter()
                 .for_each(|commit| self.ship(at, member, commit, now));
         }
@@ -356,12 +359,12 @@
         let side = state.side;
         self.catch_up(member, now);
         self.call_election(side, now, actions);
-        self.judge(side, now, actions);
+        self.check_quorum(side, now, actions);
     }
 
     /// It has to apply what was committed meanwhile; how much that is shows in its distance from the end.
     fn catch_up(&mut self, member: usize, now: Micros) {
-        let (ship, apply) = (self.set.ship, self.set.apply);
+        let (ship, apply) = (self.settings.ship, self.settings.apply);
         let Some(state) = self.members.get_mut(member) else {
             return;
         };
@@ -376,8 +379,8 @@
     fn call_election(&mut self, side: usize, now: Micros, actions: &mut Vec<Action>) {
         let side = &mut self.sides[side];
         if side.primary.is_none() && side.election.is_none() {
-            side.election = Some(now + self.set.take_over);
-            actions.push(Action::DueAt(now + self.set.take_over));
+            side.election = Some(now + self.settings.take_over);
+            actions.push(Action::DueAt(now + self.settings.take_over));
         }
     }
 
@@ -397,7 +400,7 @@
         state.leaving = true;
         let side = state.side;
         if self.sides[side].primary == Some(member) {
-            self.vacate(side, now, now + self.set.hand_over, actions);
+            self.vacate(side, now, now + self.settings.hand_over, actions);
         }
     }
 
@@ -415,7 +418,7 @@
             }
         }
         let with = whole.primary.map_or(0, |p| self.members[p].side);
-        let until = now + self.set.give_up + self.set.take_over;
+        let until = now + self.settings.give_up + self.settings.take_over;
         let without = Side {
             primary: None,
             election: Some(until),
@@ -433,12 +436,12 @@
             state.pending.clear();
         }
         actions.push(Action::DueAt(until));
-        self.judge(0, now, actions);
-        self.judge(1, now, actions);
+        self.check_quorum(0, now, actions);
+        self.check_quorum(1, now, actions);
     }
 
     /// Members of a side that stand.
-    fn standing(&self, side: usize) -> usize {
+    fn candidates(&self, side: usize) -> usize {
         self.members
             .iter()
             .filter(|m| m.side == side && !m.gone)
@@ -446,17 +449,17 @@
     }
 
     fn is_quorum(&self, side: usize) -> bool {
-        !self.set.quorum
-            || self.standing(side) * 2 > self.members.iter().filter(|m| !m.leaving).count()
+        !self.settings.quorum
+            || self.candidates(side) * 2 > self.members.iter().filter(|m| !m.leaving).count()
     }
 
     /// A primary that hears too few has so long to hear more.
-    fn judge(&mut self, side: usize, now: Micros, actions: &mut Vec<Action>) {
+    fn check_quorum(&mut self, side: usize, now: Micros, actions: &mut Vec<Action>) {
         if self.split_at.is_none() || self.sides[side].primary.is_none() || self.is_quorum(side) {
             self.sides[side].steps_down = None;
         } else if self.sides[side].steps_down.is_none() {
-            self.sides[side].steps_down = Some(now + self.set.give_up);
-            actions.push(Action::DueAt(now + self.set.give_up));
+            self.sides[side].steps_down = Some(now + self.settings.give_up);
+            actions.push(Action::DueAt(now + self.settings.give_up));
         }
     }
 
@@ -503,12 +506,12 @@
         for side in 0..self.sides.len() {
             if self.sides[side]
                 .silent
-                .is_some_and(|at| at + self.set.give_up <= now)
+                .is_some_and(|at| at + self.settings.give_up <= now)
             {
                 self.give_up(side, now, actions);
             }
             if self.sides[side].steps_down.is_some_and(|at| at <= now) {
-                let until = now + self.set.give_up + self.set.take_over;
+                let until = now + self.settings.give_up + self.settings.take_over;
                 self.vacate(side, now, until, actions);
             }
             if self.sides[side].election.is_some_and(|at| at <= now) {
@@ -524,11 +527,11 @@
             return;
         }
         let may = |m: &Member| m.side == side && !m.gone && !m.leaving;
-        let standing: Vec<usize> = (0..self.members.len())
+        let candidates: Vec<usize> = (0..self.members.len())
             .filter(|m| may(&self.members[*m]))
             .collect();
         // Of equals the first: every proxy and every run must see the same.
-        let best = standing
+        let best = candidates
             .into_iter()
             .max_by_key(|m| (self.position(*m, now), Reverse(*m)));
         let Some(best) = best else { return };
--- a/crates/server-model/src/platform.rs
+++ b/crates/server-model/src/platform.rs
@@ -11,7 +11,7 @@
     pub probes: bool,
     /// Hedged requests are allowed.
     pub second_copies: bool,
-    /// The refused may be told to wait; for so long at the most. 0: they may not.
+    /// The rejected may be told to wait; for so long at the most. 0: they may not.
     pub max_retry_after: Micros,
     /// Time after a drain was notified in which the server may still get requests.
     pub drain_grace: Micros,
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -1,7 +1,7 @@
 //! A record server's machine.
 //!
 //! Requests in work share the cores evenly, each at most one core; further ones wait in their order, and beyond the
-//! waiting room they are turned away unseen. The sharing is exact: time is kept as service attained by each request in
+//! waiting room they are rejected unseen. The sharing is exact: time is kept as service attained by each request in
 //! work, so that arrivals and departures cost the logarithm of their number and no step of time is needed.
 
 use crate::Micros;
--- a/crates/server-model/src/site.rs
+++ b/crates/server-model/src/site.rs
@@ -1,6 +1,6 @@
 //! Record servers as a whole: machines, the groups that they form, and what goes wrong with them.
 //!
-//! Whoever drives it brings requests and probes that have reached a server, time, and troubles; it says what each server
+//! Whoever drives it brings requests and probes that have reached a server, time, and faults; it says what each server
 //! answers and when it wants to be woken. It knows nothing of networks, proxies or lists, so the same site stands behind
 //! virtual time and behind sockets.
 
@@ -28,11 +28,11 @@
     pub probe_work: Micros,
     /// Work of a core that a new connection costs.
     pub dial_work: Micros,
-    /// Connections that a server holds; further ones are refused.
+    /// Connections that a server holds; further ones are rejected.
     pub connections: usize,
     /// A server that is new starts from a copy of this age.
     pub copy_age: Micros,
-    /// Reads that a server is too far behind for are turned away; else it answers from what it has.
+    /// Reads that a server is too far behind for are rejected; else it answers from what it has.
     pub checks: bool,
 }
 
@@ -71,18 +71,18 @@
 
 /// What a request asks of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Operation {
     /// A write, known by this key; none: a read.
     pub write: Option<u64>,
     /// Data that a read must see: all commits up to here. 0: any will do.
-    pub need: Micros,
+    pub min_position: Micros,
     /// In microseconds of a core.
     pub work: Micros,
 }
 
 /// Whom a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wake {
+pub enum TimerOwner {
     /// A server.
     Server {
         /// The server.
@@ -104,7 +104,7 @@
         /// The server that it has reached.
         server: ServerIndex,
         /// What it asks for.
-        ask: Ask,
+        operation: Operation,
     },
     /// A probe has reached a server.
     Probe {
@@ -113,17 +113,17 @@
         /// The server that it has reached.
         server: ServerIndex,
     },
-    /// A timer asked for with [`Action::WakeAt`].
-    Wake(Wake),
+    /// A timer asked for with [`Action::SetTimer`].
+    Timer(TimerOwner),
     /// A fault is injected.
-    Trouble(Trouble),
+    Fault(ServerFault),
 }
 
 /// A fault, or an operation on a server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum ServerFault {
     /// The process dies with all that it holds.
-    Die(ServerIndex),
+    Crash(ServerIndex),
     /// One that died starts again, cold, with the data that it had.
     Start(ServerIndex),
     /// It takes requests and answers none, until it no longer does so.
@@ -141,7 +141,7 @@
         times: f64,
     },
     /// A long query holds its replication.
-    Hold {
+    HoldReplication {
         /// The server.
         server: ServerIndex,
         /// For how long.
@@ -159,9 +159,9 @@
         place: u16,
     },
     /// Servers of a place can't hear those of the others.
-    Split(u16),
+    Partition(u16),
     /// All buildings hear each other again.
-    Meet,
+    HealPartition,
 }
 
 /// How a request ended at its server.
@@ -169,21 +169,21 @@
 pub enum Answer {
     /// Done.
     Ok,
-    /// Turned away untouched: no primary, or too far behind.
-    Miss,
-    /// Turned away unseen: full or draining.
-    Full,
+    /// Rejected before it ran: no primary, or too far behind.
+    Misdirected,
+    /// Rejected without a look at it: full or draining.
+    Rejected,
     /// It may have had an effect.
-    Error,
+    Failed,
     /// The server died with it.
     Reset,
     /// Nobody is there.
-    Refused,
+    Unreachable,
 }
 
 /// What an answer tells of its server: for a write that went through its commit, else how far it has the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct ResponseMetadata {
     /// Whether the server takes itself for the primary.
     pub primary: bool,
     /// A position in the log.
@@ -192,7 +192,7 @@
 
 /// What a probe tells of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// All commits up to here are applied.
     pub position: Micros,
     /// Whether it takes itself for the primary.
@@ -224,17 +224,17 @@
         /// How it ended.
         answer: Answer,
         /// None of a server that is gone.
-        note: Option<Note>,
+        metadata: Option<ResponseMetadata>,
     },
     /// None: nobody is there.
-    Report {
+    LoadReport {
         /// The driver's name for the probe.
         exchange: u64,
         /// What the server tells.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
-    /// Asks for [`Event::Wake`] at that time.
-    WakeAt(Micros, Wake),
+    /// Asks for [`Event::Timer`] at that time.
+    SetTimer(Micros, TimerOwner),
     /// What a list of servers would say of it if it knew at once.
     Changed(ServerIndex),
     /// A group has a new primary.
@@ -277,13 +277,13 @@
     /// 0: long ago.
     started: Micros,
     connections: usize,
-    report: Option<(Micros, Report)>,
+    report: Option<(Micros, LoadReport)>,
 }
 
 /// All record servers of a deployment.
 #[derive(Debug)]
 pub struct Site {
-    set: Settings,
+    settings: Settings,
     machines: Vec<Machine>,
     groups: Vec<Group>,
     /// By group: the servers by their place in it.
@@ -293,29 +293,29 @@
     split: Option<u16>,
     scratch: Vec<server::Action>,
     /// Numbers the work that is no request.
-    chores: u64,
+    background_jobs: u64,
 }
 
 /// Work that is no request goes by numbers from here on.
-const CHORES: u64 = 1 << 63;
+const BACKGROUND_JOBS: u64 = 1 << 63;
 
 impl Site {
     /// Servers that are all up and warm.
-    pub fn new(set: Settings) -> Site {
+    pub fn new(settings: Settings) -> Site {
         let (mut machines, mut members, mut groups) = (Vec::new(), Vec::new(), Vec::new());
-        for group in 0..set.groups {
-            let size = set.size(group);
+        for group in 0..settings.groups {
+            let size = settings.size(group);
             let first = machines.len() as ServerIndex;
             members.push((first..first + size as ServerIndex).collect());
             groups.push(Group::new(group::Settings {
                 members: size,
-                ..set.group
+                ..settings.group
             }));
             machines.extend((0..size).map(|member| Machine {
-                server: Server::new(set.server),
+                server: Server::new(settings.server),
                 group: group as u32,
                 member,
-                place: (member % set.places.max(1)) as u16,
+                place: (member % settings.places.max(1)) as u16,
                 status: Status::Ready,
                 started: 0,
                 connections: 0,
@@ -323,14 +323,14 @@
             }));
         }
         Site {
-            set,
+            settings,
             machines,
             groups,
             members,
             writes: FxHashMap::default(),
             split: None,
             scratch: Vec::new(),
-            chores: CHORES,
+            background_jobs: BACKGROUND_JOBS,
         }
     }
 
@@ -422,7 +422,7 @@
 
     /// A connection to a server: whether it takes it. What hangs does.
     pub fn dial(&mut self, server: ServerIndex, now: Micros, actions: &mut Vec<Action>) -> bool {
-        let limit = self.set.connections;
+        let limit = self.settings.connections;
         let Some(machine) = self.machines.get_mut(server as usize) else {
             return false;
         };
@@ -430,7 +430,7 @@
             return false;
         }
         machine.connections += 1;
-        self.chore(server, self.set.dial_work, now, actions);
+        self.background_work(server, self.settings.dial_work, now, actions);
         true
     }
 
@@ -447,16 +447,16 @@
             Event::Request {
                 exchange,
                 server,
-                ask,
-            } => self.request(exchange, server, ask, now, actions),
+                operation,
+            } => self.request(exchange, server, operation, now, actions),
             Event::Probe { exchange, server } => self.probe(exchange, server, now, actions),
-            Event::Wake(Wake::Server { server, number }) => {
+            Event::Timer(TimerOwner::Server { server, number }) => {
                 self.work(server, server::Event::Wake { number }, now, actions)
             }
-            Event::Wake(Wake::Group(group)) => {
+            Event::Timer(TimerOwner::Group(group)) => {
                 self.replicate(group, group::Event::Due, now, actions)
             }
-            Event::Trouble(trouble) => self.trouble(trouble, now, actions),
+            Event::Fault(fault) => self.inject_fault(fault, now, actions),
         }
     }
 
@@ -464,15 +464,15 @@
         &mut self,
         exchange: u64,
         server: ServerIndex,
-        ask: Ask,
+        operation: Operation,
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
         let Some(machine) = self.machines.get(server as usize).filter(|m| m.server.up()) else {
             return actions.push(Action::Answer {
                 exchange,
-                answer: Answer::Refused,
-                note: None,
+                answer: Answer::Unreachable,
+                metadata: None,
             });
         };
         let (group, member, hung) = (
@@ -481,46 +481,46 @@
             machine.server.hung(),
         );
         if machine.status != Status::Ready {
-            let note = Some(self.note(server, now));
+            let metadata = Some(self.metadata(server, now));
             return actions.push(Action::Answer {
                 exchange,
-                answer: Answer::Full,
-                note,
+                answer: Answer::Rejected,
+                metadata,
             });
         }
         let primary = self.groups[group].is_primary(member);
-        let misses = match ask.write {
+        let misdirected = match operation.write {
             Some(_) => !primary,
             None => {
-                self.set.checks
-                    && ask.need > 0
-                    && self.groups[group].position(member, now) < ask.need
+                self.settings.checks
+                    && operation.min_position > 0
+                    && self.groups[group].position(member, now) < operation.min_position
             }
         };
-        if misses && !hung {
-            let note = Some(self.note(server, now));
+        if misdirected && !hung {
+            let metadata = Some(self.metadata(server, now));
             return actions.push(Action::Answer {
                 exchange,
-                answer: Answer::Miss,
-                note,
+                answer: Answer::Misdirected,
+                metadata,
             });
         }
-        if let Some(key) = ask.write {
+        if let Some(key) = operation.write {
             self.writes.insert(exchange, key);
         }
         self.work(
             server,
             server::Event::Arrive {
                 id: exchange,
-                work: ask.work,
+                work: operation.work,
             },
             now,
             actions,
         );
     }
 
-    fn note(&mut self, server: ServerIndex, now: Micros) -> Note {
-        Note {
+    fn metadata(&mut self, server: ServerIndex, now: Micros) -> ResponseMetadata {
+        ResponseMetadata {
             primary: self.is_primary(server),
             position: self.position(server, now),
         }
@@ -534,26 +534,26 @@
         actions: &mut Vec<Action>,
     ) {
         if !self.runs(server) {
-            return actions.push(Action::Report {
+            return actions.push(Action::LoadReport {
                 exchange,
                 report: None,
             });
         }
-        self.chore(server, self.set.probe_work, now, actions);
+        self.background_work(server, self.settings.probe_work, now, actions);
         if self.machines[server as usize].server.hung() {
             return;
         }
-        let every = self.set.report_every;
+        let every = self.settings.report_every;
         let known = self.machines[server as usize]
             .report
             .filter(|(at, _)| now < at + every);
         let report = match known {
             Some((_, report)) => report,
             None => {
-                let Note { primary, position } = self.note(server, now);
+                let ResponseMetadata { primary, position } = self.metadata(server, now);
                 let machine = &mut self.machines[server as usize];
                 let (queued, in_flight) = (machine.server.waiting(), machine.server.held());
-                let report = Report {
+                let report = LoadReport {
                     position,
                     primary,
                     queued,
@@ -563,20 +563,26 @@
                 report
             }
         };
-        actions.push(Action::Report {
+        actions.push(Action::LoadReport {
             exchange,
             report: Some(report),
         });
     }
 
     /// Work that nobody waits for.
-    fn chore(&mut self, server: ServerIndex, work: Micros, now: Micros, actions: &mut Vec<Action>) {
+    fn background_work(
+        &mut self,
+        server: ServerIndex,
+        work: Micros,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
         if work > 0 {
-            self.chores += 1;
+            self.background_jobs += 1;
             self.work(
                 server,
                 server::Event::Arrive {
-                    id: self.chores,
+                    id: self.background_jobs,
                     work,
                 },
                 now,
@@ -592,36 +598,36 @@
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
-        let mut did = std::mem::take(&mut self.scratch);
+        let mut server_actions = std::mem::take(&mut self.scratch);
         if let Some(machine) = self.machines.get_mut(server as usize) {
-            machine.server.handle(now, event, &mut did);
+            machine.server.handle(now, event, &mut server_actions);
         }
-        for action in did.drain(..) {
+        for action in server_actions.drain(..) {
             match action {
                 server::Action::WakeAt(at, number) => {
-                    actions.push(Action::WakeAt(at, Wake::Server { server, number }));
+                    actions.push(Action::SetTimer(at, TimerOwner::Server { server, number }));
                 }
                 server::Action::Collapsed => {
                     actions.push(Action::Collapsed(server));
-                    self.gone(server, now, actions);
+                    self.mark_gone(server, now, actions);
                 }
                 // Nobody waits for these.
                 server::Action::Done(id)
                 | server::Action::Untold(id)
                 | server::Action::Full(id)
                 | server::Action::Lost(id)
-                    if id >= CHORES => {}
+                    if id >= BACKGROUND_JOBS => {}
                 server::Action::Done(exchange) => self.done(exchange, server, true, now, actions),
                 server::Action::Untold(exchange) => {
                     self.done(exchange, server, false, now, actions)
                 }
                 server::Action::Full(exchange) => {
                     self.writes.remove(&exchange);
-                    let note = Some(self.note(server, now));
+                    let metadata = Some(self.metadata(server, now));
                     actions.push(Action::Answer {
                         exchange,
-                        answer: Answer::Full,
-                        note,
+                        answer: Answer::Rejected,
+                        metadata,
                     });
                 }
                 server::Action::Lost(exchange) => {
@@ -629,12 +635,12 @@
                     actions.push(Action::Answer {
                         exchange,
                         answer: Answer::Reset,
-                        note: None,
+                        metadata: None,
                     });
                 }
             }
         }
-        self.scratch = did;
+        self.scratch = server_actions;
     }
 
     /// A request's work is done: a write takes effect, if its server is still the primary, and if nobody hears of it too.
@@ -642,32 +648,32 @@
         &mut self,
         exchange: u64,
         server: ServerIndex,
-        told: bool,
+        answered: bool,
         now: Micros,
         actions: &mut Vec<Action>,
     ) {
         let machine = &self.machines[server as usize];
         let (group, member) = (machine.group, machine.member);
-        let mut note = self.note(server, now);
+        let mut metadata = self.metadata(server, now);
         let mut answer = Answer::Ok;
         if let Some(key) = self.writes.remove(&exchange) {
-            if note.primary {
+            if metadata.primary {
                 self.replicate(group, group::Event::Commit(member), now, actions);
-                note.position = self.groups[group as usize].last_commit();
+                metadata.position = self.groups[group as usize].last_commit();
                 actions.push(Action::Applied {
                     key,
-                    at: note.position,
+                    at: metadata.position,
                 });
             } else {
                 // It was primary when the write came, and is no longer.
-                answer = Answer::Error;
+                answer = Answer::Failed;
             }
         }
-        if told {
+        if answered {
             actions.push(Action::Answer {
                 exchange,
                 answer,
-                note: Some(note),
+                metadata: Some(metadata),
             });
         }
     }
@@ -682,11 +688,11 @@
         let Some(state) = self.groups.get_mut(group as usize) else {
             return;
         };
-        let mut did = Vec::new();
-        state.handle(now, event, &mut did);
+        let mut server_actions = Vec::new();
+        state.handle(now, event, &mut server_actions);
         let members = &self.members[group as usize];
-        actions.extend(did.into_iter().map(|action| match action {
-            group::Action::DueAt(at) => Action::WakeAt(at, Wake::Group(group)),
+        actions.extend(server_actions.into_iter().map(|action| match action {
+            group::Action::DueAt(at) => Action::SetTimer(at, TimerOwner::Group(group)),
             group::Action::Primary(member) => Action::Primary {
                 group,
                 server: members[member],
@@ -700,7 +706,7 @@
     }
 
     /// A machine that is dead says nothing to its group either.
-    fn gone(&mut self, server: ServerIndex, now: Micros, actions: &mut Vec<Action>) {
+    fn mark_gone(&mut self, server: ServerIndex, now: Micros, actions: &mut Vec<Action>) {
         let Some(machine) = self.machines.get_mut(server as usize) else {
             return;
         };
@@ -710,15 +716,15 @@
         actions.push(Action::Changed(server));
     }
 
-    fn trouble(&mut self, trouble: Trouble, now: Micros, actions: &mut Vec<Action>) {
-        match trouble {
-            Trouble::Die(server) | Trouble::Retire(server) => {
+    fn inject_fault(&mut self, fault: ServerFault, now: Micros, actions: &mut Vec<Action>) {
+        match fault {
+            ServerFault::Crash(server) | ServerFault::Retire(server) => {
                 if self.runs(server) {
                     self.work(server, server::Event::Die, now, actions);
-                    self.gone(server, now, actions);
+                    self.mark_gone(server, now, actions);
                 }
             }
-            Trouble::Start(server) => {
+            ServerFault::Start(server) => {
                 let Some(machine) = self
                     .machines
                     .get_mut(server as usize)
@@ -732,7 +738,7 @@
                 self.replicate(group, group::Event::Return(member), now, actions);
                 actions.push(Action::Changed(server));
             }
-            Trouble::Hang { server, on } => {
+            ServerFault::Hang { server, on } => {
                 let Some(machine) = self.machines.get(server as usize).filter(|m| m.server.up())
                 else {
                     return;
@@ -746,17 +752,17 @@
                 };
                 self.replicate(group, event, now, actions);
             }
-            Trouble::Slow { server, times } => {
+            ServerFault::Slow { server, times } => {
                 self.work(server, server::Event::Slow(times), now, actions);
             }
-            Trouble::Hold { server, span } => {
+            ServerFault::HoldReplication { server, span } => {
                 let Some(machine) = self.machine(server) else {
                     return;
                 };
                 let (group, member) = (machine.group, machine.member);
                 self.replicate(group, group::Event::Hold { member, span }, now, actions);
             }
-            Trouble::Drain(server) => {
+            ServerFault::Drain(server) => {
                 let Some(machine) = self.machines.get_mut(server as usize) else {
                     return;
                 };
@@ -768,8 +774,8 @@
                 self.replicate(group, group::Event::Leave(member), now, actions);
                 actions.push(Action::Changed(server));
             }
-            Trouble::Join { group, place } => self.join(group, place, now, actions),
-            Trouble::Split(place) => {
+            ServerFault::Join { group, place } => self.join(group, place, now, actions),
+            ServerFault::Partition(place) => {
                 if self.split.replace(place).is_none() {
                     for group in 0..self.groups() {
                         let away = self.away(group, place);
@@ -777,7 +783,7 @@
                     }
                 }
             }
-            Trouble::Meet => {
+            ServerFault::HealPartition => {
                 if self.split.take().is_some() {
                     for group in 0..self.groups() {
                         self.replicate(group, group::Event::Meet, now, actions);
@@ -803,7 +809,7 @@
         let members = &mut self.members[group as usize];
         members.push(server);
         self.machines.push(Machine {
-            server: Server::new(self.set.server),
+            server: Server::new(self.settings.server),
             group,
             member: members.len() - 1,
             place,
@@ -813,7 +819,7 @@
             report: None,
         });
         self.work(server, server::Event::Start, now, actions);
-        let copy_age = self.set.copy_age;
+        let copy_age = self.settings.copy_age;
         self.replicate(group, group::Event::Join { copy_age }, now, actions);
         actions.push(Action::Changed(server));
     }
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -2,11 +2,14 @@
 
 use server_model::catalog::{self, Catalog, Record};
 use server_model::clients::{
-    self, Answer as Told, Clients, Due, End as Ended, Kind, Need, Repeat, Tenant,
+    self, Answer as Told, Clients, Consistency, Idempotency, RequestClass, RequestOutcome as Ended,
+    Tenant, TimerKind,
 };
 use server_model::law::{Law, Work};
 use server_model::network::{self, End, Network, Spot};
-use server_model::site::{self, Action, Answer, Ask, Event, Site, Status, Trouble, Wake};
+use server_model::site::{
+    self, Action, Answer, Event, Operation, ServerFault, Site, Status, TimerOwner,
+};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 
@@ -22,7 +25,7 @@
 /// Drives a site alone: all that it asks to be woken for, up to a time.
 struct Alone {
     site: Site,
-    wakes: Vec<(Micros, Wake)>,
+    wakes: Vec<(Micros, TimerOwner)>,
     said: Vec<(Micros, Action)>,
 }
 
@@ -40,7 +43,7 @@
         self.site.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::WakeAt(at, wake) => self.wakes.push((at, wake)),
+                Action::SetTimer(at, wake) => self.wakes.push((at, wake)),
                 other => self.said.push((now, other)),
             }
         }
@@ -52,7 +55,7 @@
                 return;
             }
             let (now, wake) = self.wakes.remove(at);
-            self.tell(now, Event::Wake(wake));
+            self.tell(now, Event::Timer(wake));
         }
     }
 
@@ -65,28 +68,28 @@
         })
     }
 
-    fn request(&mut self, now: Micros, exchange: u64, server: u32, ask: Ask) {
+    fn request(&mut self, now: Micros, exchange: u64, server: u32, ask: Operation) {
         self.tell(
             now,
             Event::Request {
                 exchange,
                 server,
-                ask,
+                operation: ask,
             },
         );
     }
 }
 
-const READ: Ask = Ask {
+const READ: Operation = Operation {
     write: None,
-    need: 0,
+    min_position: 0,
     work: 50_000,
 };
 
-fn write(key: u64) -> Ask {
-    Ask {
+fn write(key: u64) -> Operation {
+    Operation {
         write: Some(key),
-        need: 0,
+        min_position: 0,
         work: 100_000,
     }
 }
@@ -101,8 +104,8 @@
         SECOND,
         4,
         1,
-        Ask {
-            need: SECOND,
+        Operation {
+            min_position: SECOND,
             ..READ
         },
     );
@@ -111,12 +114,16 @@
     assert_eq!(alone.answer(1), Some(Answer::Ok));
     assert_eq!(
         alone.answer(2),
-        Some(Answer::Miss),
+        Some(Answer::Misdirected),
         "a replica takes no write"
     );
     assert_eq!(alone.answer(3), Some(Answer::Ok));
-    assert_eq!(alone.answer(4), Some(Answer::Miss), "it is 8 ms behind");
-    assert_eq!(alone.answer(5), Some(Answer::Refused));
+    assert_eq!(
+        alone.answer(4),
+        Some(Answer::Misdirected),
+        "it is 8 ms behind"
+    );
+    assert_eq!(alone.answer(5), Some(Answer::Unreachable));
     let applied: Vec<_> = alone
         .said
         .iter()
@@ -131,7 +138,7 @@
     alone.request(SECOND, 1, 0, write(7));
     alone.tell(
         SECOND + 10_000,
-        Event::Trouble(Trouble::Hang {
+        Event::Fault(ServerFault::Hang {
             server: 0,
             on: true,
         }),
@@ -154,20 +161,20 @@
 fn a_drain_hands_over_and_a_new_server_comes_cold_and_behind() {
     let mut alone = Alone::new(site());
     alone.request(SECOND, 1, 0, write(7));
-    alone.tell(SECOND + 10, Event::Trouble(Trouble::Drain(0)));
+    alone.tell(SECOND + 10, Event::Fault(ServerFault::Drain(0)));
     alone.request(SECOND + 20, 2, 0, READ);
-    assert_eq!(alone.answer(2), Some(Answer::Full), "nothing new");
+    assert_eq!(alone.answer(2), Some(Answer::Rejected), "nothing new");
     alone.until(2 * SECOND);
     assert_eq!(
         alone.answer(1),
-        Some(Answer::Error),
+        Some(Answer::Failed),
         "its role had gone when the work was done"
     );
     assert_eq!(alone.site.status(0), Status::Draining);
-    alone.tell(2 * SECOND, Event::Trouble(Trouble::Retire(0)));
+    alone.tell(2 * SECOND, Event::Fault(ServerFault::Retire(0)));
     alone.tell(
         2 * SECOND,
-        Event::Trouble(Trouble::Join { group: 0, place: 0 }),
+        Event::Fault(ServerFault::Join { group: 0, place: 0 }),
     );
     let new = alone.site.servers().end - 1;
     assert_eq!(
@@ -204,9 +211,9 @@
     assert_eq!(taken, 3);
     site.hang_up(0);
     assert!(site.dial(0, 20, &mut actions) && !site.dial(0, 20, &mut actions));
-    site.handle(30, Event::Trouble(Trouble::Die(0)), &mut actions);
+    site.handle(30, Event::Fault(ServerFault::Crash(0)), &mut actions);
     assert!(!site.dial(0, 40, &mut actions), "nobody is there");
-    site.handle(50, Event::Trouble(Trouble::Start(0)), &mut actions);
+    site.handle(50, Event::Fault(ServerFault::Start(0)), &mut actions);
     assert!(site.dial(0, 60, &mut actions));
 }
 
@@ -348,22 +355,27 @@
     assert!(took.contains(&(600 + 200_000 + 400_000)));
 }
 
-fn kinds() -> Vec<Kind> {
-    let kind = |name: &str, need, repeat, share| Kind {
+fn kinds() -> Vec<RequestClass> {
+    let kind = |name: &str, need, repeat, share| RequestClass {
         name: name.into(),
-        need,
-        repeat,
+        consistency: need,
+        idempotency: repeat,
         share,
         work: Work::new(Law::Fixed, 50_000.0),
-        aim: 200_000,
+        latency_objective: 200_000,
         deadline: 1_000_000,
-        worth: 2.0,
-        late_worth: 0.5,
+        priority_weight: 2.0,
+        late_weight_fraction: 0.5,
     };
     vec![
-        kind("read", Need::Any, Repeat::Safe, 0.7),
-        kind("own", Need::Session, Repeat::Safe, 0.2),
-        kind("book", Need::Write, Repeat::Never, 0.1),
+        kind("read", Consistency::Eventual, Idempotency::Idempotent, 0.7),
+        kind(
+            "own",
+            Consistency::ReadYourWrites,
+            Idempotency::Idempotent,
+            0.2,
+        ),
+        kind("book", Consistency::Write, Idempotency::NonIdempotent, 0.1),
     ]
 }
 
@@ -375,25 +387,25 @@
         credit: None,
     };
     clients::Settings {
-        kinds: kinds(),
+        classes: kinds(),
         tenants: vec![tenant("a", 0.75, 0.0), tenant("b", 0.25, 10.0)],
-        over_worth: 0.05,
-        per_s: 100.0,
+        over_quota_weight_fraction: 0.05,
+        requests_per_s: 100.0,
         profile: vec![(0, 1.0), (50 * SECOND, 1.0), (100 * SECOND, 3.0)],
         length: 100 * SECOND,
         proxies: 3,
         groups: 2,
-        unequal: 1.0,
-        busy: 0,
-        busy_carry: 0.0,
-        skew: 0.0,
+        proxy_skew: 1.0,
+        busy_proxies: 0,
+        busy_proxies_share: 0.0,
+        group_skew: 0.0,
         sessions: 100,
-        after_write: 0.7,
-        soon: 400_000,
-        repeats: 3,
-        wait: 100_000,
-        heeds: true,
-        marks: true,
+        read_after_write_share: 0.7,
+        read_after_write_span: 400_000,
+        max_retries: 3,
+        retry_wait: 100_000,
+        obeys_retry_after: true,
+        marks_retries: true,
         patience: (0.4, 1.0),
     }
 }
@@ -401,7 +413,7 @@
 /// Plays clients whose tries are all answered in the same way, after the same time.
 fn play(
     set: clients::Settings,
-    answer: impl Fn(&clients::Try) -> Option<Told>,
+    answer: impl Fn(&clients::ClientAttempt) -> Option<Told>,
     seed: u64,
 ) -> Vec<(Micros, clients::Action)> {
     let mut clients = Clients::new(set, &Streams::new(seed));
@@ -413,8 +425,8 @@
         clients.handle(now, event, &mut actions);
         for action in &actions {
             match action {
-                clients::Action::DueAt(at, due) => wheel.put(*at, clients::Event::Due(*due)),
-                clients::Action::Ask(asked) => {
+                clients::Action::SetTimer(at, due) => wheel.put(*at, clients::Event::Timer(*due)),
+                clients::Action::Send(asked) => {
                     if let Some(answer) = answer(asked) {
                         wheel.put(now + 60_000, clients::Event::Answered(asked.id, answer));
                     }
@@ -430,10 +442,10 @@
     all
 }
 
-fn asked(all: &[(Micros, clients::Action)]) -> Vec<(Micros, clients::Try)> {
+fn asked(all: &[(Micros, clients::Action)]) -> Vec<(Micros, clients::ClientAttempt)> {
     all.iter()
         .filter_map(|(at, a)| {
-            if let clients::Action::Ask(t) = a {
+            if let clients::Action::Send(t) = a {
                 Some((*at, *t))
             } else {
                 None
@@ -466,10 +478,10 @@
         "{}",
         asked.len()
     );
-    let part = |fits: &dyn Fn(&clients::Try) -> bool| {
+    let part = |fits: &dyn Fn(&clients::ClientAttempt) -> bool| {
         asked.iter().filter(|(_, t)| fits(t)).count() as f64 / asked.len() as f64
     };
-    assert!((part(&|t| t.kind == 2) - 0.1).abs() < 0.01);
+    assert!((part(&|t| t.class == 2) - 0.1).abs() < 0.01);
     assert!((part(&|t| t.tenant == 1) - 0.25).abs() < 0.01);
     // 1, 1/2 and 1/3 of 11/6.
     assert!((part(&|t| t.proxy == 0) - 6.0 / 11.0).abs() < 0.015);
@@ -477,11 +489,11 @@
     assert_eq!(settled.len(), asked.len());
     assert!(settled
         .iter()
-        .all(|s| s.end == Ended::Served && s.earned == s.worth));
+        .all(|s| s.outcome == Ended::Served && s.earned == s.priority_weight));
     // Of tenant b only ten a second count in full.
     let full = settled
         .iter()
-        .filter(|s| s.tenant == 1 && s.worth == 2.0)
+        .filter(|s| s.tenant == 1 && s.priority_weight == 2.0)
         .count();
     assert!((980..1_020).contains(&full), "{full}");
 }
@@ -489,17 +501,17 @@
 #[test]
 fn only_what_does_no_harm_is_asked_for_again() {
     let all = play(settings(), |_| Some(Told::Failed), 2);
-    assert!(asked(&all).iter().all(|(_, t)| t.kind != 2 || !t.repeated));
+    assert!(asked(&all).iter().all(|(_, t)| t.class != 2 || !t.is_retry));
     let tries = settled(&all)
         .iter()
-        .filter(|s| s.kind == 0)
-        .map(|s| s.tries)
+        .filter(|s| s.class == 0)
+        .map(|s| s.attempts)
         .max();
     assert_eq!(tries, Some(4), "three further ones");
     let refused = play(
         settings(),
         |_| {
-            Some(Told::Refused {
+            Some(Told::Rejected {
                 retry_after: Some(300_000),
             })
         },
@@ -507,10 +519,10 @@
     );
     let writes: Vec<_> = asked(&refused)
         .into_iter()
-        .filter(|(_, t)| t.kind == 2)
+        .filter(|(_, t)| t.class == 2)
         .collect();
     assert!(
-        writes.iter().any(|(_, t)| t.repeated),
+        writes.iter().any(|(_, t)| t.is_retry),
         "a refusal is harmless"
     );
     // They come back as told, spread by a half to both sides.
@@ -527,19 +539,19 @@
     let left = play(settings(), |_| None, 3);
     assert!(settled(&left)
         .iter()
-        .all(|s| s.end == Ended::Left && s.earned == 0.0));
+        .all(|s| s.outcome == Ended::Abandoned && s.earned == 0.0));
     // A try is given 40 to 100 percent of the deadline, and no request is tried beyond it.
     assert!(asked(&left)
         .iter()
-        .all(|(_, t)| t.wait <= SECOND && (t.repeated || t.wait >= 400_000)));
+        .all(|(_, t)| t.timeout <= SECOND && (t.is_retry || t.timeout >= 400_000)));
 }
 
 #[test]
 fn what_is_asked_does_not_depend_on_the_answers() {
     let first = |all: &[(Micros, clients::Action)]| -> Vec<(Micros, usize, usize, usize)> {
-        let tries = asked(all).into_iter().filter(|(_, t)| !t.repeated);
+        let tries = asked(all).into_iter().filter(|(_, t)| !t.is_retry);
         tries
-            .map(|(at, t)| (at, t.kind, t.proxy, t.tenant))
+            .map(|(at, t)| (at, t.class, t.proxy, t.tenant))
             .collect()
     };
     let served = play(settings(), |_| Some(Told::Served { commit: 0 }), 5);
@@ -553,16 +565,16 @@
         settings(),
         |t| {
             Some(Told::Served {
-                commit: if t.kind == 2 { 9 } else { 0 },
+                commit: if t.class == 2 { 9 } else { 0 },
             })
         },
         6,
     );
     let reads: Vec<_> = asked(&all)
         .into_iter()
-        .filter(|(_, t)| t.kind == 1)
+        .filter(|(_, t)| t.class == 1)
         .collect();
-    let told = reads.iter().filter(|(_, t)| t.wrote > 0).count();
+    let told = reads.iter().filter(|(_, t)| t.last_write > 0).count();
     assert!(told * 2 > reads.len(), "{told} of {}", reads.len());
 }
 
@@ -580,10 +592,14 @@
     );
     clients.handle(0, clients::Event::Start, &mut actions);
     for _ in 0..2_000 {
-        clients.handle(1_000, clients::Event::Due(Due::Arrival), &mut actions);
+        clients.handle(
+            1_000,
+            clients::Event::Timer(TimerKind::Arrival),
+            &mut actions,
+        );
     }
     let tries = actions.iter().filter_map(|a| {
-        if let clients::Action::Ask(t) = a {
+        if let clients::Action::Send(t) = a {
             Some(t.proxy)
         } else {
             None
@@ -596,9 +612,9 @@
 #[test]
 fn busy_proxies_carry_their_part() {
     let set = clients::Settings {
-        busy: 1,
-        busy_carry: 0.8,
-        unequal: 0.0,
+        busy_proxies: 1,
+        busy_proxies_share: 0.8,
+        proxy_skew: 0.0,
         ..settings()
     };
     let asked = asked(&play(set, |_| Some(Told::Served { commit: 0 }), 2));
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -13,8 +13,8 @@
 use crate::process::{self, Fault};
 use invariant_checkers::{Checker, Final, Rule};
 use server_model::catalog::{self, Record};
-use server_model::clients::{self, Need, Try, TryId};
-use server_model::site::{self, ServerIndex, Status, Trouble};
+use server_model::clients::{self, ClientAttempt, ClientAttemptId, Consistency};
+use server_model::site::{self, ServerFault, ServerIndex, Status};
 use server_model::Micros;
 use state::{TimerKind, DEATH_NOTICE_US};
 use std::cmp::Reverse;
@@ -41,18 +41,18 @@
 }
 
 impl History {
-    /// Models at time 0. `tries` and `drain_grace` are the platform's bounds that the checker enforces.
+    /// Models at time 0. `attempts` and `drain_grace` are the platform's bounds that the checker enforces.
     pub fn new(
         site: site::Settings,
         list: catalog::Settings,
         clients: clients::Settings,
-        tries: u16,
+        max_attempts: u16,
         drain_grace: Duration,
         seed: u64,
     ) -> (History, Outputs) {
         let (new_servers, servers) = mpsc::unbounded_channel();
         let (client_tasks, tasks) = mpsc::unbounded_channel();
-        let checker = Checker::new(tries, drain_grace.as_micros() as Micros);
+        let checker = Checker::new(max_attempts, drain_grace.as_micros() as Micros);
         let state = State::new(
             (site, list, clients),
             checker,
@@ -151,8 +151,8 @@
     }
 
     /// A fault of a record server or of the network between places begins or ends.
-    pub fn inject_fault(&self, trouble: Trouble) {
-        self.with(|state, now| state.site(site::Event::Trouble(trouble), now));
+    pub fn inject_fault(&self, trouble: ServerFault) {
+        self.with(|state, now| state.site(site::Event::Fault(trouble), now));
     }
 
     /// Multiplies the request rate of a tenant, or of all.
@@ -182,13 +182,13 @@
     pub fn request(
         &self,
         server: ServerIndex,
-        id: TryId,
+        id: ClientAttemptId,
     ) -> Option<oneshot::Receiver<ServerReply>> {
         self.with(|state, now| state.request(server, id, now))
     }
 
     /// A health check has reached a server; the receiver gets its report, or None where it answers without one.
-    pub fn probe(&self, server: ServerIndex) -> oneshot::Receiver<Option<site::Report>> {
+    pub fn probe(&self, server: ServerIndex) -> oneshot::Receiver<Option<site::LoadReport>> {
         self.with(|state, now| {
             let (send, reply) = oneshot::channel();
             state.next += 1;
@@ -234,7 +234,7 @@
             for record in records {
                 state
                     .checker
-                    .told(proxy, record.server, record.status != Status::Ready, now);
+                    .notified(proxy, record.server, record.status != Status::Ready, now);
             }
         });
     }
@@ -242,15 +242,15 @@
     // ---- Clients ----
 
     /// A client has its connection and writes now: from here on the proxy owes an answer. What is left of its time.
-    pub fn start_attempt(&self, asked: &Try, until: Micros) -> Duration {
+    pub fn start_attempt(&self, asked: &ClientAttempt, until: Micros) -> Duration {
         self.with(|state, now| {
             if state.open.contains_key(&asked.id) {
-                let kind = &state.kinds[asked.kind];
-                let write = kind.need == Need::Write;
-                state.checker.asks(
+                let class = &state.classes[asked.class];
+                let write = class.consistency == Consistency::Write;
+                state.checker.client_sends(
                     asked.id,
                     asked.request,
-                    kind.repeat,
+                    class.idempotency,
                     write,
                     asked.proxy,
                     until,
@@ -261,15 +261,15 @@
     }
 
     /// Served, with the value that names an answer; nothing: the value is no server's.
-    pub fn served(&self, id: TryId, exchange: Option<u64>) {
+    pub fn served(&self, id: ClientAttemptId, exchange: Option<u64>) {
         self.with(|state, now| {
             let made = exchange
                 .and_then(|e| state.made.get(&e))
                 .filter(|(of, ..)| *of == id)
                 .copied();
             match made {
-                None => state.checker.breaks(Rule::Phantom),
-                Some((_, _, true)) => state.checker.breaks(Rule::Stale),
+                None => state.checker.report_violation(Rule::Phantom),
+                Some((_, _, true)) => state.checker.report_violation(Rule::Stale),
                 Some(_) => {}
             }
             let commit = made.map_or(0, |(_, commit, _)| commit);
@@ -278,30 +278,30 @@
     }
 
     /// The proxy rejected the attempt before it ran.
-    pub fn rejected(&self, id: TryId, retry_after: Option<Duration>) {
+    pub fn rejected(&self, id: ClientAttemptId, retry_after: Option<Duration>) {
         let retry_after = retry_after.map(|d| d.as_micros() as Micros);
         self.with(|state, now| {
             state.answered(
                 id,
-                Final::Refused,
-                clients::Answer::Refused { retry_after },
+                Final::Rejected,
+                clients::Answer::Rejected { retry_after },
                 now,
             );
         });
     }
 
     /// The proxy answered with any other error.
-    pub fn failed(&self, id: TryId) {
+    pub fn failed(&self, id: ClientAttemptId) {
         self.with(|state, now| state.answered(id, Final::Failed, clients::Answer::Failed, now));
     }
 
     /// An answer that nobody had asked for, or one of another request.
     pub fn report_violation(&self, rule: Rule) {
-        self.with(|state, _| state.checker.breaks(rule));
+        self.with(|state, _| state.checker.report_violation(rule));
     }
 
     /// No connection to the proxy, or one that ended without an answer.
-    pub fn connection_lost(&self, id: TryId, reached: bool) {
+    pub fn connection_lost(&self, id: ClientAttemptId, reached: bool) {
         self.with(|state, now| state.connection_lost(id, reached, now));
     }
 
@@ -314,7 +314,7 @@
     pub fn proxy_killed(&self, proxy: usize) {
         self.with(|state, now| {
             state.down.insert(proxy);
-            let mut held: Vec<TryId> = state
+            let mut held: Vec<ClientAttemptId> = state
                 .open
                 .iter()
                 .filter(|(_, o)| o.asked.proxy == proxy)
@@ -322,9 +322,9 @@
                 .collect();
             held.sort_unstable();
             for id in held {
-                state.checker.dies(id);
+                state.checker.proxy_dies(id);
                 state.open.remove(&id);
-                let answer = clients::Answer::Gone { reached: true };
+                let answer = clients::Answer::ConnectionLost { reached: true };
                 state.clients(clients::Event::Answered(id, answer), now);
             }
             state.set_timer(now + DEATH_NOTICE_US, TimerKind::Unseen(proxy));
--- a/crates/testbed/src/history/outcomes.rs
+++ b/crates/testbed/src/history/outcomes.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use invariant_checkers::Rule;
 use rustc_hash::FxHashMap;
-use server_model::clients::TryId;
+use server_model::clients::ClientAttemptId;
 use server_model::site::ServerIndex;
 use server_model::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,17 +13,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClassAccount {
     /// Requests that were settled.
-    pub asked: u64,
+    pub requests: u64,
     /// Answered with a value.
     pub served: u64,
     /// Rejected at last.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed at last.
     pub failed: u64,
     /// Given up by the client.
-    pub left: u64,
+    pub abandoned: u64,
     /// The sum of their priority weights.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of it earned by answers in time.
     pub earned: f64,
 }
@@ -40,7 +40,7 @@
     /// How often each rule was broken.
     pub broken: BTreeMap<Rule, u64>,
     /// The first that they were found by: which try, its proxy, and when.
-    pub found: Vec<(Rule, TryId, usize, Micros)>,
+    pub found: Vec<(Rule, ClientAttemptId, usize, Micros)>,
     /// Attempts that reached a server.
     pub attempts: u64,
     /// Health checks that reached a server.
@@ -81,10 +81,9 @@
 
     /// None: the testbed was itself too slow for its figures to mean anything.
     pub fn goodput(&self) -> Option<f64> {
-        let (worth, earned) = self
-            .accounts
-            .iter()
-            .fold((0.0, 0.0), |(w, e), b| (w + b.worth, e + b.earned));
-        (self.late() <= LATE).then(|| if worth > 0.0 { earned / worth } else { 1.0 })
+        let (weight, earned) = self.accounts.iter().fold((0.0, 0.0), |(w, e), b| {
+            (w + b.priority_weight, e + b.earned)
+        });
+        (self.late() <= LATE).then(|| if weight > 0.0 { earned / weight } else { 1.0 })
     }
 }
--- a/crates/testbed/src/history/requests.rs
+++ b/crates/testbed/src/history/requests.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use routing::Outcome;
-use server_model::clients::{self, End, Need, Settled, TryId};
-use server_model::site::{self, Answer, Ask, ServerIndex};
+use server_model::clients::{self, ClientAttemptId, Consistency, RequestOutcome, Settled};
+use server_model::site::{self, Answer, Operation, ServerIndex};
 use server_model::Micros;
 use tokio::sync::oneshot;
 
@@ -15,24 +15,24 @@
     pub(super) fn request(
         &mut self,
         server: ServerIndex,
-        id: TryId,
+        id: ClientAttemptId,
         now: Micros,
     ) -> Option<oneshot::Receiver<ServerReply>> {
-        let asked = *self.tries.get(&id)?;
-        let kind = &self.kinds[asked.kind];
-        self.checker.sends(id, server, now);
-        let no = self.attempts.entry(id).or_default();
+        let asked = *self.attempts_by_id.get(&id)?;
+        let class = &self.classes[asked.class];
+        self.checker.proxy_sends(id, server, now);
+        let no = self.server_attempts.entry(id).or_default();
         let seed = self.streams.seed_of(asked.request << 8 | u64::from(*no));
         *no = no.saturating_add(1);
-        let work = kind
+        let work = class
             .work
             .draw(asked.session, &mut Xoshiro256PlusPlus::seed_from_u64(seed));
-        let write = kind.need == Need::Write;
-        let need = match kind.need {
-            Need::Bounded(age) => now.saturating_sub(age),
-            Need::Session => asked.wrote,
-            Need::Fresh => now,
-            Need::Write | Need::Any => 0,
+        let write = class.consistency == Consistency::Write;
+        let min_position = match class.consistency {
+            Consistency::BoundedStaleness(age) => now.saturating_sub(age),
+            Consistency::ReadYourWrites => asked.last_write,
+            Consistency::Strong => now,
+            Consistency::Write | Consistency::Eventual => 0,
         };
         *self.reached.entry((asked.proxy, server)).or_default() += 1;
         self.next += 1;
@@ -41,21 +41,21 @@
             exchange,
             RunningRequest {
                 id,
-                need,
+                min_position,
                 write,
                 answer,
             },
         );
-        let ask = Ask {
+        let operation = Operation {
             write: write.then_some(id),
-            need,
+            min_position,
             work,
         };
         self.site(
             site::Event::Request {
                 exchange,
                 server,
-                ask,
+                operation,
             },
             now,
         );
@@ -66,36 +66,36 @@
         &mut self,
         exchange: u64,
         answer: Answer,
-        note: Option<site::Note>,
+        metadata: Option<site::ResponseMetadata>,
     ) {
         let Some(RunningRequest {
             id,
-            need,
+            min_position,
             write,
             answer: reply,
         }) = self.running.remove(&exchange)
         else {
             return;
         };
-        self.checker.ends(
+        self.checker.attempt_ends(
             id,
             match answer {
                 Answer::Ok => Outcome::Ok,
-                Answer::Miss => Outcome::Misdirected,
-                Answer::Full => Outcome::Rejected,
-                Answer::Error => Outcome::Failed,
-                Answer::Reset | Answer::Refused => Outcome::Reset,
+                Answer::Misdirected => Outcome::Misdirected,
+                Answer::Rejected => Outcome::Rejected,
+                Answer::Failed => Outcome::Failed,
+                Answer::Reset | Answer::Unreachable => Outcome::Reset,
             },
         );
         if answer == Answer::Ok {
-            let position = note.map_or(0, |n| n.position);
-            let stale = !write && need > 0 && position < need;
+            let position = metadata.map_or(0, |n| n.position);
+            let stale = !write && min_position > 0 && position < min_position;
             self.made
                 .insert(exchange, (id, if write { position } else { 0 }, stale));
         }
         _ = reply.send(ServerReply {
             answer,
-            note,
+            metadata,
             exchange,
         });
     }
@@ -105,8 +105,8 @@
         self.clients.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                clients::Action::DueAt(at, due) => self.set_timer(at, TimerKind::Client(due)),
-                clients::Action::Ask(asked) => {
+                clients::Action::SetTimer(at, due) => self.set_timer(at, TimerKind::Client(due)),
+                clients::Action::Send(asked) => {
                     let (cancel, cancelled) = oneshot::channel();
                     self.open.insert(
                         asked.id,
@@ -115,15 +115,15 @@
                             cancel: Some(cancel),
                         },
                     );
-                    self.tries.insert(asked.id, asked);
+                    self.attempts_by_id.insert(asked.id, asked);
                     _ = self.client_tasks.send(ClientTask {
                         asked,
-                        until: now + asked.wait,
+                        until: now + asked.timeout,
                         cancelled,
                     });
                 }
-                clients::Action::Leave { id, .. } => {
-                    self.checker.gives_up(id, now);
+                clients::Action::Abandon { id, .. } => {
+                    self.checker.client_gives_up(id, now);
                     // Its connection is closed by that.
                     drop(self.open.remove(&id).and_then(|o| o.cancel));
                 }
@@ -133,42 +133,48 @@
     }
 
     pub(super) fn settled(&mut self, settled: &Settled) {
-        let book = &mut self.accounts[settled.kind];
-        book.asked += 1;
-        book.worth += settled.worth;
-        book.earned += settled.earned;
-        match settled.end {
-            End::Served => book.served += 1,
-            End::Refused => book.refused += 1,
-            End::Failed => book.failed += 1,
-            End::Left => book.left += 1,
+        let account = &mut self.accounts[settled.class];
+        account.requests += 1;
+        account.priority_weight += settled.priority_weight;
+        account.earned += settled.earned;
+        match settled.outcome {
+            RequestOutcome::Served => account.served += 1,
+            RequestOutcome::Rejected => account.rejected += 1,
+            RequestOutcome::Failed => account.failed += 1,
+            RequestOutcome::Abandoned => account.abandoned += 1,
         }
-        if let Some(took) = settled.took {
-            self.latencies[settled.kind].saturating_record(took.max(1));
+        if let Some(latency) = settled.latency {
+            self.latencies[settled.class].saturating_record(latency.max(1));
         }
     }
 
-    pub(super) fn answered(&mut self, id: TryId, end: Final, told: clients::Answer, now: Micros) {
+    pub(super) fn answered(
+        &mut self,
+        id: ClientAttemptId,
+        answer: Final,
+        told: clients::Answer,
+        now: Micros,
+    ) {
         // What was told to somebody who left, or died with its proxy, is nobody's.
         if self.open.remove(&id).is_none() {
             return;
         }
-        self.checker.answers(id, end, now);
-        self.checker.over(id);
+        self.checker.proxy_answers(id, answer, now);
+        self.checker.client_done(id);
         self.clients(clients::Event::Answered(id, told), now);
     }
 
-    pub(super) fn connection_lost(&mut self, id: TryId, reached: bool, now: Micros) {
+    pub(super) fn connection_lost(&mut self, id: ClientAttemptId, reached: bool, now: Micros) {
         let Some(open) = self.open.remove(&id) else {
             return;
         };
-        self.checker.dies(id);
+        self.checker.proxy_dies(id);
         if reached && !self.down.contains(&open.asked.proxy) {
-            // Its proxy deaths, took it, and ended the connection without an answer.
-            self.checker.breaks(Rule::Lost);
+            // Its proxy lives, took it, and ended the connection without an answer.
+            self.checker.report_violation(Rule::Lost);
         }
         self.clients(
-            clients::Event::Answered(id, clients::Answer::Gone { reached }),
+            clients::Event::Answered(id, clients::Answer::ConnectionLost { reached }),
             now,
         );
     }
--- a/crates/testbed/src/history/state.rs
+++ b/crates/testbed/src/history/state.rs
@@ -6,8 +6,8 @@
 use invariant_checkers::{Checker, Rule};
 use rustc_hash::{FxHashMap, FxHashSet};
 use server_model::catalog::{self, Catalog, Record};
-use server_model::clients::{self, Clients, Due, Try, TryId};
-use server_model::site::{self, ServerIndex, Site, Wake};
+use server_model::clients::{self, ClientAttempt, ClientAttemptId, Clients};
+use server_model::site::{self, ServerIndex, Site, TimerOwner};
 use server_model::Micros;
 use simulation_engine::streams::Streams;
 use std::cmp::Reverse;
@@ -16,24 +16,24 @@
 
 /// What a timer of the history is for.
 pub(super) enum TimerKind {
-    Site(Wake),
+    Site(TimerOwner),
     List,
-    Client(Due),
+    Client(clients::TimerKind),
     /// Clients have noticed that a proxy is down.
     Unseen(usize),
 }
 
 /// An attempt that its client has not heard of yet.
 pub(super) struct OpenAttempt {
-    pub(super) asked: Try,
+    pub(super) asked: ClientAttempt,
     /// Its client hears no more of it.
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
 /// An attempt that has come whole to a server.
 pub(super) struct RunningRequest {
-    pub(super) id: TryId,
-    pub(super) need: Micros,
+    pub(super) id: ClientAttemptId,
+    pub(super) min_position: Micros,
     pub(super) write: bool,
     pub(super) answer: oneshot::Sender<ServerReply>,
 }
@@ -47,19 +47,19 @@
     pub(super) clients: Clients,
     /// The rules, fed with every event.
     pub checker: Checker,
-    pub(super) kinds: Vec<clients::Kind>,
+    pub(super) classes: Vec<clients::RequestClass>,
     pub(super) streams: Streams,
     pub(super) timers: BinaryHeap<Reverse<(Micros, u64)>>,
     pub(super) timer_kinds: FxHashMap<u64, TimerKind>,
     pub(super) next: u64,
-    pub(super) open: FxHashMap<TryId, OpenAttempt>,
-    /// Known until the end, for what comes late: class and request of each try.
-    pub(super) tries: FxHashMap<TryId, Try>,
-    pub(super) attempts: FxHashMap<TryId, u8>,
+    pub(super) open: FxHashMap<ClientAttemptId, OpenAttempt>,
+    /// Known until the end, for what comes late: class and request of each attempt.
+    pub(super) attempts_by_id: FxHashMap<ClientAttemptId, ClientAttempt>,
+    pub(super) server_attempts: FxHashMap<ClientAttemptId, u8>,
     /// Values that servers made: whose they are, the commit of a write, and whether a read is older than it may be.
-    pub(super) made: FxHashMap<u64, (TryId, Micros, bool)>,
+    pub(super) made: FxHashMap<u64, (ClientAttemptId, Micros, bool)>,
     pub(super) running: FxHashMap<u64, RunningRequest>,
-    pub(super) probes: FxHashMap<u64, oneshot::Sender<Option<site::Report>>>,
+    pub(super) probes: FxHashMap<u64, oneshot::Sender<Option<site::LoadReport>>>,
     /// By server: how often it has died. What was connected to it before is broken by that.
     pub(super) deaths: Vec<watch::Sender<u64>>,
     pub(super) new_servers: mpsc::UnboundedSender<ServerIndex>,
@@ -101,14 +101,14 @@
         let streams = Streams::new(seed);
         let site = Site::new(site);
         let list = Catalog::new(list, site.servers().map(|s| Record::of(&site, s)));
-        let kinds = clients.kinds.clone();
+        let classes = clients.classes.clone();
         State {
             deaths: site.servers().map(|_| watch::Sender::new(0)).collect(),
             clients: Clients::new(clients, &streams),
             checker,
-            accounts: vec![ClassAccount::default(); kinds.len()],
-            latencies: kinds.iter().map(|_| histogram()).collect(),
-            kinds,
+            accounts: vec![ClassAccount::default(); classes.len()],
+            latencies: classes.iter().map(|_| histogram()).collect(),
+            classes,
             streams,
             site,
             list,
@@ -116,8 +116,8 @@
             timer_kinds: FxHashMap::default(),
             next: 0,
             open: FxHashMap::default(),
-            tries: FxHashMap::default(),
-            attempts: FxHashMap::default(),
+            attempts_by_id: FxHashMap::default(),
+            server_attempts: FxHashMap::default(),
             made: FxHashMap::default(),
             running: FxHashMap::default(),
             probes: FxHashMap::default(),
@@ -152,13 +152,13 @@
             };
             self.lateness.saturating_record((now - at).max(1));
             match step {
-                TimerKind::Site(wake) => self.site(site::Event::Wake(wake), now),
+                TimerKind::Site(wake) => self.site(site::Event::Timer(wake), now),
                 TimerKind::List => self.list(catalog::Event::Due, now),
                 // Arrivals count from when they were meant to come.
-                TimerKind::Client(Due::Arrival) => {
-                    self.clients(clients::Event::Due(Due::Arrival), at)
+                TimerKind::Client(clients::TimerKind::Arrival) => {
+                    self.clients(clients::Event::Timer(clients::TimerKind::Arrival), at)
                 }
-                TimerKind::Client(due) => self.clients(clients::Event::Due(due), now),
+                TimerKind::Client(due) => self.clients(clients::Event::Timer(due), now),
                 TimerKind::Unseen(proxy) => {
                     if self.down.contains(&proxy) {
                         self.clients(clients::Event::Proxy { proxy, up: false }, now);
@@ -177,13 +177,13 @@
     pub(super) fn apply_site_actions(&mut self, actions: Vec<site::Action>, now: Micros) {
         for action in actions {
             match action {
-                site::Action::WakeAt(at, wake) => self.set_timer(at, TimerKind::Site(wake)),
+                site::Action::SetTimer(at, wake) => self.set_timer(at, TimerKind::Site(wake)),
                 site::Action::Answer {
                     exchange,
                     answer,
-                    note,
-                } => self.complete_request(exchange, answer, note),
-                site::Action::Report { exchange, report } => {
+                    metadata,
+                } => self.complete_request(exchange, answer, metadata),
+                site::Action::LoadReport { exchange, report } => {
                     if let Some(reply) = self.probes.remove(&exchange) {
                         _ = reply.send(report);
                     }
@@ -199,7 +199,7 @@
                     self.list(catalog::Event::Changed(record), now);
                 }
                 site::Action::Applied { key, .. } => self.checker.applied(key),
-                site::Action::Collapsed(_) => self.checker.breaks(Rule::Collapsed),
+                site::Action::Collapsed(_) => self.checker.report_violation(Rule::Collapsed),
                 site::Action::Primary { .. }
                 | site::Action::Vacant { .. }
                 | site::Action::Undone { .. } => {}
@@ -232,8 +232,9 @@
         }
     }
 
-    pub(super) fn found(&self) -> Vec<(Rule, TryId, usize, Micros)> {
-        let proxy = |id: &TryId| self.tries.get(id).map_or(0, |asked| asked.proxy);
+    pub(super) fn found(&self) -> Vec<(Rule, ClientAttemptId, usize, Micros)> {
+        let proxy =
+            |id: &ClientAttemptId| self.attempts_by_id.get(id).map_or(0, |asked| asked.proxy);
         self.checker
             .found
             .iter()
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -5,7 +5,7 @@
 use crate::servers::exchange;
 use crate::wire::{Connection, Idle};
 use invariant_checkers::Rule;
-use server_model::clients::{Need, Settings, Try};
+use server_model::clients::{ClientAttempt, Consistency, Settings};
 use server_model::Micros;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -21,25 +21,30 @@
 }
 
 /// A client's statement, as the protocol has it.
-pub fn statement(history: &History, set: &Settings, asked: &Try, wait: Duration) -> String {
-    let kind = &set.kinds[asked.kind];
-    let mut comment = format!("id={:016x},c={}", asked.id, kind.name);
+pub fn statement(
+    history: &History,
+    set: &Settings,
+    asked: &ClientAttempt,
+    wait: Duration,
+) -> String {
+    let class = &set.classes[asked.class];
+    let mut comment = format!("id={:016x},c={}", asked.id, class.name);
     if let Some(tenant) = set.tenants.get(asked.tenant) {
         comment += &format!(",t={}", tenant.name);
     }
     comment += &format!(",d={},cluster={}", wait.as_millis(), asked.group);
-    if asked.wrote > 0 {
+    if asked.last_write > 0 {
         comment += &format!(
             ",after={}",
-            history.unix(asked.wrote).as_micros().div_ceil(1_000)
+            history.unix(asked.last_write).as_micros().div_ceil(1_000)
         );
     }
-    if asked.repeated {
+    if asked.is_retry {
         comment += ",r=1";
     }
     let key = asked.session;
-    match kind.need {
-        Need::Write => {
+    match class.consistency {
+        Consistency::Write => {
             format!(
                 "INSERT INTO items (id, doc) VALUES ('{key:016x}', '\\x9f03') RETURNING doc /* {comment} */"
             )
@@ -113,7 +118,7 @@
     set: &Settings,
     pools: &Pools,
     address: SocketAddr,
-    asked: &Try,
+    asked: &ClientAttempt,
     (until, slack): (Micros, Duration),
 ) {
     let pool = &pools[asked.proxy];
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -139,10 +139,10 @@
     // What hangs never answers; what dies resets.
     let said = reply.await.map_err(|_| Over)?;
     let mut parameters = Vec::new();
-    if let Some(note) = said.note {
+    if let Some(metadata) = said.metadata {
         // A write's commit is rounded up: what has it has all of it.
-        let micros = history.unix(note.position).as_micros();
-        let write = said.answer == Answer::Ok && note.primary;
+        let micros = history.unix(metadata.position).as_micros();
+        let write = said.answer == Answer::Ok && metadata.primary;
         let millis = if write {
             micros.div_ceil(1_000)
         } else {
@@ -150,13 +150,18 @@
         };
         parameters.push((
             "role",
-            if note.primary { "primary" } else { "replica" }.to_owned(),
+            if metadata.primary {
+                "primary"
+            } else {
+                "replica"
+            }
+            .to_owned(),
         ));
         parameters.push(("applied_ms", millis.to_string()));
     }
     Ok(match said.answer {
         Answer::Ok => wire::row(&value(id.unwrap_or(0), said.exchange), &parameters),
-        Answer::Miss => {
+        Answer::Misdirected => {
             let write = text.starts_with("INSERT");
             let code = if write {
                 sqlstate::READ_ONLY_SQL_TRANSACTION
@@ -165,9 +170,9 @@
             };
             wire::error(code, &parameters)
         }
-        Answer::Full => wire::error(sqlstate::TOO_MANY_CONNECTIONS, &parameters),
-        Answer::Error => wire::error("XX000", &parameters),
-        Answer::Reset | Answer::Refused => return Err(Over),
+        Answer::Rejected => wire::error(sqlstate::TOO_MANY_CONNECTIONS, &parameters),
+        Answer::Failed => wire::error("XX000", &parameters),
+        Answer::Reset | Answer::Unreachable => return Err(Over),
     })
 }
 
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::zone;
 use serde_json::{json, Value};
-use server_model::clients::{self, Need, Repeat};
+use server_model::clients::{self, Consistency, Idempotency};
 use server_model::platform::Platform;
 use server_model::site;
 
@@ -14,24 +14,24 @@
     number: usize,
     place: u16,
 ) -> Value {
-    let class = |kind: &clients::Kind| {
-        let (effect, window) = match kind.repeat {
-            Repeat::Safe => ("safe", 0),
-            Repeat::Keyed(window) => ("keyed", window),
-            Repeat::Never => ("unsafe", 0),
+    let class = |kind: &clients::RequestClass| {
+        let (effect, window) = match kind.idempotency {
+            Idempotency::Idempotent => ("safe", 0),
+            Idempotency::Keyed(window) => ("keyed", window),
+            Idempotency::NonIdempotent => ("unsafe", 0),
         };
         json!({"Name": kind.name, "Effect": effect, "Group": "cell", "Window": window, "Deadline": kind.deadline,
-               "GoalTime": kind.aim, "Importance": kind.worth, "LateValue": kind.late_worth})
+               "GoalTime": kind.latency_objective, "Importance": kind.priority_weight, "LateValue": kind.late_weight_fraction})
     };
-    let needs = clients.kinds.iter().map(|kind| match kind.need {
-        Need::Write => "update",
-        Need::Fresh => "latest",
-        Need::Session => "own_writes",
-        Need::Bounded(_) => "recent",
-        Need::Any => "loose",
+    let needs = clients.classes.iter().map(|kind| match kind.consistency {
+        Consistency::Write => "update",
+        Consistency::Strong => "latest",
+        Consistency::ReadYourWrites => "own_writes",
+        Consistency::BoundedStaleness(_) => "recent",
+        Consistency::Eventual => "loose",
     });
-    let ages = clients.kinds.iter().map(|kind| {
-        if let Need::Bounded(age) = kind.need {
+    let ages = clients.classes.iter().map(|kind| {
+        if let Consistency::BoundedStaleness(age) = kind.consistency {
             age
         } else {
             0
@@ -44,9 +44,9 @@
         "MyZone": place,
         "Zones": (0..site.places.max(1)).map(|place| zone(place as u16)).collect::<Vec<_>>(),
         "HostTypes": ["std"],
-        "Classes": clients.kinds.iter().map(class).collect::<Vec<_>>(),
+        "Classes": clients.classes.iter().map(class).collect::<Vec<_>>(),
         "Realms": clients.tenants.iter().map(realm).collect::<Vec<_>>(),
-        "OverShareWorth": clients.over_worth,
+        "OverShareWorth": clients.over_quota_weight_fraction,
         "RegistryMode": "on_request",
         "FamilyInfo": {
             "Behind": if platform.checks { "reject" } else { "off" },
--- a/crates/testbed/tests/common/loans.rs
+++ b/crates/testbed/tests/common/loans.rs
@@ -48,7 +48,7 @@
             credit: None,
         };
         setup.clients.tenants = vec![tenant("bus", 0.4, QUOTA as f64), tenant("desk", 0.6, 0.0)];
-        setup.clients.over_worth = 0.05;
+        setup.clients.over_quota_weight_fraction = 0.05;
         setup.slack = Duration::from_secs(10);
         adjust(&mut setup);
         let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod loans;
 pub mod turns;
 
-use server_model::clients::{self, Kind, Need, Repeat};
+use server_model::clients::{self, Consistency, Idempotency, RequestClass};
 use server_model::law::{Law, Work};
 use server_model::site;
 use std::time::Duration;
@@ -13,46 +13,51 @@
 
 pub const SECOND: u64 = 1_000_000;
 
-pub fn kind(name: &str, need: Need, repeat: Repeat, share: f64) -> Kind {
-    Kind {
+pub fn kind(name: &str, need: Consistency, repeat: Idempotency, share: f64) -> RequestClass {
+    RequestClass {
         name: name.into(),
-        need,
-        repeat,
+        consistency: need,
+        idempotency: repeat,
         share,
         work: Work::new(Law::Fixed, 2_000.0),
         // No machine is so busy with other tests that these are missed.
-        aim: 20 * SECOND,
+        latency_objective: 20 * SECOND,
         deadline: 20 * SECOND,
-        worth: 1.0,
-        late_worth: 0.5,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.5,
     }
 }
 
 pub fn clients(proxies: usize, groups: usize, per_s: f64, length: u64) -> clients::Settings {
     clients::Settings {
-        kinds: vec![
-            kind("any", Need::Any, Repeat::Safe, 5.0),
-            kind("mine", Need::Session, Repeat::Safe, 3.0),
-            kind("book", Need::Write, Repeat::Never, 2.0),
+        classes: vec![
+            kind("any", Consistency::Eventual, Idempotency::Idempotent, 5.0),
+            kind(
+                "mine",
+                Consistency::ReadYourWrites,
+                Idempotency::Idempotent,
+                3.0,
+            ),
+            kind("book", Consistency::Write, Idempotency::NonIdempotent, 2.0),
         ],
         tenants: Vec::new(),
-        over_worth: 1.0,
-        per_s,
+        over_quota_weight_fraction: 1.0,
+        requests_per_s: per_s,
         profile: Vec::new(),
         length,
         proxies,
         groups: groups as u32,
-        unequal: 0.0,
-        busy: 0,
-        busy_carry: 0.0,
-        skew: 0.0,
+        proxy_skew: 0.0,
+        busy_proxies: 0,
+        busy_proxies_share: 0.0,
+        group_skew: 0.0,
         sessions: 20,
-        after_write: 0.5,
-        soon: 400_000,
-        repeats: 0,
-        wait: 100_000,
-        heeds: true,
-        marks: true,
+        read_after_write_share: 0.5,
+        read_after_write_span: 400_000,
+        max_retries: 0,
+        retry_wait: 100_000,
+        obeys_retry_after: true,
+        marks_retries: true,
         patience: (1.0, 1.0),
     }
 }
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -49,7 +49,7 @@
     for (name, book) in ["any", "mine", "book"].iter().zip(&books) {
         for (outcome, count) in [
             ("served", book.served),
-            ("refused", book.refused),
+            ("refused", book.rejected),
             ("failed", book.failed),
         ] {
             let figure = format!(r#"lb_requests_total{{class="{name}",outcome="{outcome}"}}"#);
@@ -64,7 +64,7 @@
     );
     let out = sound(testbed);
     assert!(
-        books.iter().map(|b| b.asked).sum::<u64>() > 200,
+        books.iter().map(|b| b.requests).sum::<u64>() > 200,
         "{:?}",
         out.accounts
     );
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -4,7 +4,7 @@
 use common::{answered, setup, sound, start, SECOND};
 use rustix::process::Signal;
 use server_model::catalog;
-use server_model::site::Trouble;
+use server_model::site::ServerFault;
 use std::time::Duration;
 use testbed::link::Flow;
 use testbed::process::{Plan, Process};
@@ -64,10 +64,10 @@
     sends(&testbed, 1, 5);
     testbed.signal(1, Signal::STOP);
     let last = *testbed.history.lock().site.members(0).last().unwrap();
-    testbed.history.inject_fault(Trouble::Drain(last));
+    testbed.history.inject_fault(ServerFault::Drain(last));
     testbed
         .until("the list has told it", |inner| {
-            inner.checker.leaves(1, last)
+            inner.checker.is_leaving(1, last)
         })
         .unwrap();
     // By their schedule these take longer than the grace for drains, however fast the machine.
@@ -159,24 +159,24 @@
             inner.site.members(1).to_vec(),
         )
     };
-    testbed.history.inject_fault(Trouble::Die(primary));
-    testbed.history.inject_fault(Trouble::Hang {
+    testbed.history.inject_fault(ServerFault::Crash(primary));
+    testbed.history.inject_fault(ServerFault::Hang {
         server: members[1],
         on: true,
     });
-    testbed.history.inject_fault(Trouble::Drain(members[2]));
+    testbed.history.inject_fault(ServerFault::Drain(members[2]));
     let another =
         |inner: &testbed::history::State| inner.site.primary(0).is_some_and(|now| now != primary);
     testbed.until("another primary", another).unwrap();
     answered(&testbed, 60);
-    testbed.history.inject_fault(Trouble::Start(primary));
-    testbed.history.inject_fault(Trouble::Hang {
+    testbed.history.inject_fault(ServerFault::Start(primary));
+    testbed.history.inject_fault(ServerFault::Hang {
         server: members[1],
         on: false,
     });
     testbed
         .history
-        .inject_fault(Trouble::Join { group: 1, place: 0 });
+        .inject_fault(ServerFault::Join { group: 1, place: 0 });
     answered(&testbed, 60);
     sound(testbed);
 }
@@ -197,7 +197,7 @@
         testbed.wait(proxy.list.until_taken(taken + 1));
     }
     let gone = *testbed.history.lock().site.members(0).last().unwrap();
-    testbed.history.inject_fault(Trouble::Retire(gone));
+    testbed.history.inject_fault(ServerFault::Retire(gone));
     answered(&testbed, 40);
     testbed.history.list(catalog::Event::Down(false));
     testbed
@@ -215,7 +215,7 @@
     // So slow that connections are used side by side.
     setup
         .clients
-        .kinds
+        .classes
         .iter_mut()
         .for_each(|kind| kind.work.mean = 20_000.0);
     let testbed = start(setup);
--- a/crates/testbed/tests/lending.rs
+++ b/crates/testbed/tests/lending.rs
@@ -48,7 +48,7 @@
 #[test]
 fn one_that_dies_in_mid_transfer_goes_on_with_its_file() {
     // Most comes to few, so that parts are handed to them.
-    let mut fleet = Fleet::start(4, |setup| setup.clients.unequal = 2.0);
+    let mut fleet = Fleet::start(4, |setup| setup.clients.proxy_skew = 2.0);
     fleet.surge(true);
     let first = LINE / 4;
     let greatest = |fleet: &Fleet| {
@@ -203,8 +203,8 @@
     let mut fleet = Fleet::start(3, |setup| {
         // Clients tell of all the time that they have.
         setup.slack = Duration::ZERO;
-        for kind in &mut setup.clients.kinds {
-            (kind.aim, kind.deadline) = (SECOND, 2 * SECOND);
+        for kind in &mut setup.clients.classes {
+            (kind.latency_objective, kind.deadline) = (SECOND, 2 * SECOND);
             kind.work = server_model::law::Work::new(server_model::law::Law::Fixed, 40_000.0);
         }
     });
--- a/crates/testbed/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
-use server_model::site::{ServerIndex, Trouble};
+use server_model::site::{ServerFault, ServerIndex};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use testbed::history::State;
@@ -92,7 +92,7 @@
     let own = subset(&testbed, 0, 0);
     let primary = testbed.history.lock().site.primary(0);
     for &server in own.iter().filter(|&&server| Some(server) != primary) {
-        testbed.history.inject_fault(Trouble::Die(server));
+        testbed.history.inject_fault(ServerFault::Crash(server));
     }
     let others = |inner: &State| {
         let beyond = |(proxy, server): &(usize, ServerIndex)| {
@@ -196,7 +196,7 @@
     let mut setup = fleet(20 * SECOND);
     setup
         .clients
-        .kinds
+        .classes
         .iter_mut()
         .for_each(|kind| kind.work.mean = 10_000.0);
     let testbed = start(setup);
@@ -219,14 +219,14 @@
         (0..5).for_each(|_| {
             testbed
                 .history
-                .inject_fault(Trouble::Join { group, place: 0 })
+                .inject_fault(ServerFault::Join { group, place: 0 })
         });
     }
     old.iter()
-        .for_each(|&server| testbed.history.inject_fault(Trouble::Drain(server)));
+        .for_each(|&server| testbed.history.inject_fault(ServerFault::Drain(server)));
     answered(&testbed, 300);
     old.iter()
-        .for_each(|&server| testbed.history.inject_fault(Trouble::Retire(server)));
+        .for_each(|&server| testbed.history.inject_fault(ServerFault::Retire(server)));
     let new = |inner: &State| {
         let met: BTreeSet<ServerIndex> = inner.reached.keys().map(|&(_, server)| server).collect();
         met.range(known..).count()
--- a/crates/testbed/tests/planted.rs
+++ b/crates/testbed/tests/planted.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::{answered, setup, sound, start, SECOND};
 use invariant_checkers::Rule;
-use server_model::site::Trouble;
+use server_model::site::ServerFault;
 
 /// Whether a fleet of planted proxies is found out.
 fn caught(rule: Rule) {
@@ -15,13 +15,13 @@
         // Clients have to give up for it to be seen.
         Rule::Unanswered => setup
             .clients
-            .kinds
+            .classes
             .iter_mut()
             .for_each(|k| k.deadline = SECOND / 2),
         Rule::Collapsed => {
             setup
                 .clients
-                .kinds
+                .classes
                 .iter_mut()
                 .for_each(|k| k.work.mean = 100_000.0);
         }
@@ -31,10 +31,10 @@
     let testbed = start(setup);
     let last = *testbed.history.lock().site.members(0).last().unwrap();
     match rule {
-        Rule::Drained => testbed.history.inject_fault(Trouble::Drain(last)),
+        Rule::Drained => testbed.history.inject_fault(ServerFault::Drain(last)),
         Rule::Collapsed => {
-            testbed.history.inject_fault(Trouble::Die(last));
-            testbed.history.inject_fault(Trouble::Start(last));
+            testbed.history.inject_fault(ServerFault::Crash(last));
+            testbed.history.inject_fault(ServerFault::Start(last));
         }
         _ => {}
     }
--- a/crates/testbed/tests/power.rs
+++ b/crates/testbed/tests/power.rs
@@ -171,7 +171,7 @@
     each(&testbed, [0], "lb_memory_list_went_back_total", 1);
     testbed
         .history
-        .inject_fault(server_model::site::Trouble::Retire(5));
+        .inject_fault(server_model::site::ServerFault::Retire(5));
     each(&testbed, [0], "lb_record_servers_known", 5);
     until(&testbed, 0, LIST, |n| n < 1_000_000);
 }
@@ -312,7 +312,7 @@
     (0..3).for_each(|proxy| testbed.kill(proxy));
     testbed
         .history
-        .inject_fault(server_model::site::Trouble::Die(5));
+        .inject_fault(server_model::site::ServerFault::Crash(5));
     for proxy in [2, 0, 1] {
         restart(&mut testbed, proxy);
     }
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -5,7 +5,7 @@
 use common::{answered, setup, sound, start, SECOND};
 use rustix::process::Signal;
 use server_model::catalog;
-use server_model::site::{ServerIndex, Trouble};
+use server_model::site::{ServerFault, ServerIndex};
 use std::process::Command;
 use std::time::Instant;
 use testbed::link::Flow;
@@ -26,9 +26,9 @@
     // Less the slack they have two seconds.
     setup
         .clients
-        .kinds
+        .classes
         .iter_mut()
-        .for_each(|kind| (kind.aim, kind.deadline) = (SECOND, 7 * SECOND));
+        .for_each(|kind| (kind.latency_objective, kind.deadline) = (SECOND, 7 * SECOND));
     setup.operators = SITES.into();
     setup.admin = true;
     setup
@@ -114,7 +114,7 @@
     }
 }
 
-fn all(testbed: &Testbed, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> Trouble) {
+fn all(testbed: &Testbed, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> ServerFault) {
     servers
         .iter()
         .for_each(|server| testbed.history.inject_fault(trouble(*server)));
@@ -136,14 +136,14 @@
     }
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
     let before = testbed.history.lock().checker.answered;
-    all(&testbed, &dead, Trouble::Die);
+    all(&testbed, &dead, ServerFault::Crash);
     say(&testbed, 0..PROXIES, 0, "lost");
     let took = testbed.history.lock().checker.answered - before;
     println!("lost at all proxies after {took} answers");
     assert!(took <= BOUND, "{took} answers until all knew");
     // The other site serves alone, and writes have moved there.
     answered(&testbed, 200);
-    all(&testbed, &dead, Trouble::Start);
+    all(&testbed, &dead, ServerFault::Start);
     say(&testbed, 0..PROXIES, 0, "returning");
     say(&testbed, 0..PROXIES, 0, "whole");
     for proxy in 0..PROXIES {
@@ -183,9 +183,9 @@
     answered(&testbed, 200);
     testbed
         .history
-        .inject_fault(Trouble::Drain(at(&testbed, 1)[0]));
+        .inject_fault(ServerFault::Drain(at(&testbed, 1)[0]));
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    all(&testbed, &at(&testbed, 0), Trouble::Die);
+    all(&testbed, &at(&testbed, 0), ServerFault::Crash);
     say(&testbed, 0..PROXIES, 0, "lost");
     answered(&testbed, 100);
     let (sound_name, text) = told(&testbed, 0, &["p0"]);
@@ -209,17 +209,17 @@
     let mut setup = two_sites(16 * SECOND);
     (setup.site.group.members, setup.site.group.quorum) = (3, false);
     // One server of two cores in each of two groups, for 400 requests of 10 ms and more in a second.
-    setup.clients.per_s = 400.0;
+    setup.clients.requests_per_s = 400.0;
     setup
         .clients
-        .kinds
+        .classes
         .iter_mut()
         .for_each(|kind| kind.work.mean = 20_000.0);
     setup.site.server.cores = 2.0;
     let testbed = start(setup);
     answered(&testbed, 300);
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    all(&testbed, &at(&testbed, 0), Trouble::Die);
+    all(&testbed, &at(&testbed, 0), ServerFault::Crash);
     say(&testbed, 0..PROXIES, 0, "lost");
     answered(&testbed, 300);
     for proxy in 0..PROXIES {
@@ -264,7 +264,7 @@
             .restart(proxy)
             .unwrap_or_else(|fault| panic!("{fault}"));
         if proxy == 1 {
-            all(&testbed, &dead, Trouble::Die);
+            all(&testbed, &dead, ServerFault::Crash);
         }
     }
     say(&testbed, 0..PROXIES, 0, "lost");
@@ -279,17 +279,17 @@
     let testbed = start(two_sites(8 * SECOND));
     let slow = at(&testbed, 0);
     answered(&testbed, 100);
-    all(&testbed, &slow, |server| Trouble::Slow {
+    all(&testbed, &slow, |server| ServerFault::Slow {
         server,
         times: 50.0,
     });
     answered(&testbed, 300);
-    all(&testbed, &slow, |server| Trouble::Slow {
+    all(&testbed, &slow, |server| ServerFault::Slow {
         server,
         times: 1.0,
     });
     let dead = at(&testbed, 1)[0];
-    testbed.history.inject_fault(Trouble::Die(dead));
+    testbed.history.inject_fault(ServerFault::Crash(dead));
     answered(&testbed, 300);
     never_lost(&testbed, [0, 1]);
     sound(testbed);
@@ -322,11 +322,11 @@
     let dead = at(&testbed, 0);
     answered(&testbed, 100);
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    all(&testbed, &dead, Trouble::Die);
+    all(&testbed, &dead, ServerFault::Crash);
     say(&testbed, 0..PROXIES, 0, "lost");
-    all(&testbed, &dead, Trouble::Start);
+    all(&testbed, &dead, ServerFault::Start);
     say(&testbed, 0..PROXIES, 0, "returning");
-    all(&testbed, &dead, Trouble::Die);
+    all(&testbed, &dead, ServerFault::Crash);
     (0..PROXIES).for_each(|proxy| until(&testbed, proxy, &losses_name(0), |n| n == 2));
     answered(&testbed, 100);
     for proxy in 0..PROXIES {
@@ -369,7 +369,7 @@
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
     testbed
         .history
-        .inject_fault(Trouble::Die(at_of(&testbed, 1, 0)[0]));
+        .inject_fault(ServerFault::Crash(at_of(&testbed, 1, 0)[0]));
     say(&testbed, 0..PROXIES, 0, "lost");
     sound(testbed);
 }
--- a/crates/testbed/tests/versions.rs
+++ b/crates/testbed/tests/versions.rs
@@ -217,7 +217,7 @@
 fn rollout_fleet(first: PathBuf) -> Testbed {
     let testbed = fleet(4, first, |setup| {
         setup.clients.length = 90 * SECOND;
-        setup.clients.per_s = 150.0;
+        setup.clients.requests_per_s = 150.0;
         setup.operators = ROLLOUT.to_owned();
         let regions = ["east", "east", "west", "west"].map(str::to_owned).into();
         setup.members = Some(Members {
