--- a/crates/proxy-experiments/src/cli/mod.rs
+++ b/crates/proxy-experiments/src/cli/mod.rs
@@ -12,7 +12,7 @@
 mod show;
 mod trial;
 
-use crate::file::{self, Book};
+use crate::file::{self, ExperimentFile};
 use crate::policy::NAMES;
 use crate::run::{cells, run, Progress};
 use crate::store::{Cell, Store};
@@ -321,7 +321,7 @@
     }
 }
 
-fn book(with: &ArgMatches) -> Result<Book> {
+fn book(with: &ArgMatches) -> Result<ExperimentFile> {
     match with.get_one::<PathBuf>("file") {
         Some(path) => file::read(path, &Disk),
         None => file::suite(),
@@ -463,7 +463,7 @@
 
 /// Cells of an experiment that no file states.
 fn made_up(
-    book: &Book,
+    book: &ExperimentFile,
     scenarios: Vec<String>,
     policies: &[String],
     grids: Vec<file::Grid>,
--- a/crates/proxy-experiments/src/cli/show.rs
+++ b/crates/proxy-experiments/src/cli/show.rs
@@ -1,7 +1,7 @@
 //! Tables for the terminal, and files for those who go on with the figures.
 
 use super::say;
-use crate::member::Stand;
+use crate::member::TenantCounts;
 use crate::results::{Day, Line, Manifest};
 use crate::scenario::{Scenario, SECOND};
 use crate::store::{Cell, Store, SOURCES};
@@ -204,9 +204,9 @@
             tenant.name.clone(),
             requests(loans.line),
             requests(loans.owed_most),
-            all.within.to_string(),
+            all.within_quota.to_string(),
             all.borrowed.to_string(),
-            requests(all.back),
+            requests(all.returned),
             requests(all.repaid),
             requests(all.written_off),
             requests(loans.owed),
@@ -238,7 +238,7 @@
         .max()
         .unwrap_or(0);
     let sum = |second: usize| {
-        let mut sum = Stand::default();
+        let mut sum = TenantCounts::default();
         outcomes
             .loans
             .iter()
@@ -246,17 +246,21 @@
             .for_each(|stand| sum.add(stand));
         sum
     };
-    let mut former = Stand::default();
+    let mut former = TenantCounts::default();
     for second in 0..seconds {
         let now = sum(second);
         // A proxy that has died has lost what it counted since the last look.
-        let of = |count: fn(&Stand) -> u64| count(&now).saturating_sub(count(&former));
-        if of(|s| s.borrowed + s.beyond) > 0 {
-            let counts = [of(|s| s.within), of(|s| s.refused), of(|s| s.borrowed)];
+        let of = |count: fn(&TenantCounts) -> u64| count(&now).saturating_sub(count(&former));
+        if of(|s| s.borrowed + s.over_quota) > 0 {
+            let counts = [
+                of(|s| s.within_quota),
+                of(|s| s.rejected),
+                of(|s| s.borrowed),
+            ];
             let counts = counts.into_iter().chain([
-                of(|s| s.back / 1000),
-                of(|s| s.beyond),
-                of(|s| s.turned),
+                of(|s| s.returned / 1000),
+                of(|s| s.over_quota),
+                of(|s| s.over_quota_rejected),
             ]);
             out.add_row(
                 std::iter::once(second as u64)
--- a/crates/proxy-experiments/src/cli/trial.rs
+++ b/crates/proxy-experiments/src/cli/trial.rs
@@ -1,7 +1,7 @@
 //! Trials on real processes, and the demonstration.
 
 use super::{book, word, End, Result};
-use crate::file::{self, Book};
+use crate::file::{self, ExperimentFile};
 use crate::policy::{Name, Policy};
 use crate::scenario::Scenario;
 use crate::trial;
@@ -22,7 +22,7 @@
     table
 }
 
-fn chosen(book: &Book, name: &str) -> Result<Scenario> {
+fn chosen(book: &ExperimentFile, name: &str) -> Result<Scenario> {
     match (name, book.scenarios.as_slice()) {
         ("", [only]) => Ok(only.clone()),
         ("", all) => {
--- a/crates/proxy-experiments/src/hunt.rs
+++ b/crates/proxy-experiments/src/hunt.rs
@@ -3,7 +3,7 @@
 
 use crate::play::play;
 use crate::policy::Policy;
-use crate::scenario::{Scenario, Target, Trouble, What, SECOND};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault, Target, SECOND};
 use rand::Rng;
 use server_model::Micros;
 use simulation_engine::streams::{Stream, Streams};
@@ -218,7 +218,7 @@
     day
 }
 
-fn drawn_trouble(day: &Scenario, draw: &mut Stream) -> Trouble {
+fn drawn_trouble(day: &Scenario, draw: &mut Stream) -> ScheduledFault {
     let tenth = SECOND / 10;
     let length = day.length() / tenth;
     let at = draw.random_range(length / 10..=length / 2) * tenth;
@@ -231,27 +231,27 @@
     let some = some[draw.random_range(0..some.len())].clone();
     let times = draw.random_range(12..=35) as f64 / 10.0;
     let (what, targets) = match draw.random_range(0..12) {
-        0 | 1 => (What::Die, vec![some]),
-        2 | 3 => (What::Hang, vec![some]),
-        4 => (What::Slow(times), Vec::new()),
-        5 => (What::Hold, vec![some]),
-        6 => (What::Deploy, vec![Target::All]),
+        0 | 1 => (FaultKind::Die, vec![some]),
+        2 | 3 => (FaultKind::Hang, vec![some]),
+        4 => (FaultKind::Slow(times), Vec::new()),
+        5 => (FaultKind::Hold, vec![some]),
+        6 => (FaultKind::Deploy, vec![Target::All]),
         7 => (
-            What::ListBehind(draw.random_range(10..=100) * tenth),
+            FaultKind::ListBehind(draw.random_range(10..=100) * tenth),
             Vec::new(),
         ),
-        8 => (What::Surge(times, None), Vec::new()),
+        8 => (FaultKind::Surge(times, None), Vec::new()),
         9 => {
             let back_only = draw.random_bool(0.3);
-            (What::Cut { place, back_only }, vec![Target::All])
+            (FaultKind::Cut { place, back_only }, vec![Target::All])
         }
         10 => (
-            What::Loss(draw.random_range(1..=8) as f64 / 100.0),
+            FaultKind::Loss(draw.random_range(1..=8) as f64 / 100.0),
             Vec::new(),
         ),
-        _ => (What::ListDown, Vec::new()),
+        _ => (FaultKind::ListDown, Vec::new()),
     };
-    Trouble {
+    ScheduledFault {
         name: String::new(),
         at,
         span,
--- a/crates/proxy-experiments/src/plan.rs
+++ b/crates/proxy-experiments/src/plan.rs
@@ -8,7 +8,7 @@
 
 use crate::play::play;
 use crate::policy::Policy;
-use crate::scenario::{Scenario, Target, Trouble, What, SECOND};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault, Target, SECOND};
 use crate::tally::Part;
 use good_lp::{
     constraint, microlp, variable, variables, Expression, Solution, SolverModel, Variable,
@@ -230,12 +230,12 @@
         Loss::Place(place) => Some(Target::Place(*place)),
         Loss::Share(part) => Some(Target::Share(*part)),
     };
-    day.troubles.extend(target.map(|target| Trouble {
+    day.troubles.extend(target.map(|target| ScheduledFault {
         name: "loss".into(),
         at: AT,
         // For good.
         span: 10 * LOOKED_AT,
-        what: What::Die,
+        what: FaultKind::Die,
         targets: vec![target],
     }));
     day
--- a/crates/proxy-experiments/src/play/fleet.rs
+++ b/crates/proxy-experiments/src/play/fleet.rs
@@ -1,8 +1,8 @@
-//! A fleet whose proxies talk: who hears whom and when, and books of all loans that no proxy keeps.
+//! A fleet whose proxies talk: who hears whom and when, and accounts of all loans that no proxy keeps.
 
-use super::{time, Play, Step};
-use crate::member::{Place, Said, Stand, Word, LOOK};
-use crate::scenario::{Scenario, Talk, ORIGIN, SECOND};
+use super::{time, Simulation, Step};
+use crate::member::{Envelope, FleetSettings, Message, TenantCounts, TICK};
+use crate::scenario::{FleetMessaging, Scenario, ORIGIN, SECOND};
 use quota_lending::{Rule, Rules};
 use rand::Rng;
 use routing::Time;
@@ -12,9 +12,9 @@
 use simulation_engine::streams::{Stream, Streams};
 use std::sync::Arc;
 
-const LOOK_MICROS: Micros = LOOK.as_micros() as Micros;
-/// Of the most that a word is late, the least.
-const SOONEST: f64 = 0.3;
+const TICK_MICROS: Micros = TICK.as_micros() as Micros;
+/// Of the most that a message is late, the least.
+const LEAST_DELAY_FRACTION: f64 = 0.3;
 
 /// What all proxies together have lent one tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -23,35 +23,35 @@
     pub line: u64,
     /// The most that was owed.
     pub owed_most: u64,
-    /// Looks that found the line passed, and books of proxies that did not say what was lent.
+    /// Looks that found the line passed, and accounts of proxies that did not say what was lent.
     pub passed: u64,
     /// Accounts of proxies that did not say what was lent.
     pub unbalanced: u64,
     /// At the end: owed still, and all of it.
     pub owed: u64,
     /// The requests of the tenant, over all proxies.
-    pub all: Stand,
+    pub all: TenantCounts,
     /// As of each second.
-    pub seconds: Vec<Stand>,
+    pub seconds: Vec<TenantCounts>,
 }
 
 /// What a dead proxy left.
-struct Left {
+struct DeadProxy {
     at: Micros,
     owed: Vec<u64>,
 }
 
 pub(super) struct Fleet {
-    talk: Talk,
-    place: Place,
+    messaging: FleetMessaging,
+    settings: FleetSettings,
     draws: Stream,
     /// Proxies that the others do not hear.
-    apart: Vec<usize>,
+    partitioned: Vec<usize>,
     /// By proxy.
     files: Vec<Option<Vec<u8>>>,
-    left: Vec<Option<Left>>,
-    /// Of lives that are over, by tenant.
-    former: Vec<Stand>,
+    dead: Vec<Option<DeadProxy>>,
+    /// Of incarnations that are over, by tenant.
+    ended_incarnations: Vec<TenantCounts>,
     loans: Vec<Loans>,
 }
 
@@ -74,7 +74,7 @@
 impl Fleet {
     /// None: its proxies do not talk.
     pub fn new(scenario: &Scenario, streams: &Streams) -> Option<Fleet> {
-        let (talk, clients) = (scenario.talk?, &scenario.clients);
+        let (messaging, clients) = (scenario.talk?, &scenario.clients);
         let classes: Arc<[String]> = clients
             .classes
             .iter()
@@ -106,8 +106,8 @@
                 ..Loans::default()
             })
             .collect();
-        let place = Place {
-            number: 0,
+        let settings = FleetSettings {
+            proxy: 0,
             start: 0,
             names: (0..scenario.proxies())
                 .map(|n| format!("proxy-{n}"))
@@ -117,37 +117,37 @@
             // What the core does not take nobody borrows by.
             rules: Rules::new(rules, longest).unwrap_or_default(),
             longest,
-            lease: super::span(talk.lease),
-            every: super::span(talk.every),
-            dead: super::span(talk.dead),
-            short_least: talk.short_least,
-            short_part: talk.short_part,
+            lease: super::span(messaging.lease),
+            announce_every: super::span(messaging.every),
+            dead_after: super::span(messaging.dead),
+            short_least: messaging.short_least,
+            short_part: messaging.short_part,
         };
         Some(Fleet {
-            talk,
-            place,
+            messaging,
+            settings,
             draws: streams.stream("talk", 0),
-            apart: Vec::new(),
+            partitioned: Vec::new(),
             files: vec![None; scenario.proxies()],
-            left: (0..scenario.proxies()).map(|_| None).collect(),
-            former: vec![Stand::default(); clients.tenants.len()],
+            dead: (0..scenario.proxies()).map(|_| None).collect(),
+            ended_incarnations: vec![TenantCounts::default(); clients.tenants.len()],
             loans,
         })
     }
 
     fn hears(&self, a: usize, b: usize) -> bool {
-        self.apart.contains(&a) == self.apart.contains(&b)
+        self.partitioned.contains(&a) == self.partitioned.contains(&b)
     }
 
-    /// How late a word is; none: it never comes.
-    fn way(&mut self) -> Option<Micros> {
+    /// How late a message is; none: it never comes.
+    fn delay(&mut self) -> Option<Micros> {
         let (lost, late) = (self.draws.random::<f64>(), self.draws.random::<f64>());
-        let part = SOONEST + (1.0 - SOONEST) * late;
-        (lost >= self.talk.loss).then_some((self.talk.late as f64 * part) as Micros)
+        let part = LEAST_DELAY_FRACTION + (1.0 - LEAST_DELAY_FRACTION) * late;
+        (lost >= self.messaging.loss).then_some((self.messaging.late as f64 * part) as Micros)
     }
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// A proxy that has started is one of the fleet.
     pub(super) fn join(&mut self, proxy: usize) {
         let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else {
@@ -157,18 +157,18 @@
             return;
         };
         let start = ORIGIN + self.now + 1;
-        let place = Place {
-            number: proxy,
+        let settings = FleetSettings {
+            proxy,
             start,
-            ..fleet.place.clone()
+            ..fleet.settings.clone()
         };
-        member.join(time(self.now), place, fleet.files[proxy].clone());
-        fleet.left[proxy] = None;
+        member.join(time(self.now), settings, fleet.files[proxy].clone());
+        fleet.dead[proxy] = None;
         // Not all at the same instant.
-        let first = self.now + 1 + (fleet.draws.random::<f64>() * LOOK_MICROS as f64) as Micros;
+        let first = self.now + 1 + (fleet.draws.random::<f64>() * TICK_MICROS as f64) as Micros;
         self.wheel.put(
             first,
-            Step::Look {
+            Step::FleetTick {
                 proxy,
                 epoch: host.epoch,
             },
@@ -176,7 +176,7 @@
     }
 
     /// What it knew goes, but for its file.
-    pub(super) fn leaves(&mut self, proxy: usize) {
+    pub(super) fn save_and_leave(&mut self, proxy: usize) {
         let now = time(self.now);
         let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else {
             return;
@@ -185,19 +185,19 @@
             return;
         };
         fleet.files[proxy] = member.file();
-        let stands = member.stands();
+        let counts = member.counts();
         fleet
-            .former
+            .ended_incarnations
             .iter_mut()
-            .zip(stands)
-            .for_each(|(sum, stand)| sum.add(stand));
-        let owed = (0..stands.len())
+            .zip(counts)
+            .for_each(|(sum, count)| sum.add(count));
+        let owed = (0..counts.len())
             .map(|tenant| member.owes(now, tenant))
             .collect();
-        fleet.left[proxy] = Some(Left { at: self.now, owed });
+        fleet.dead[proxy] = Some(DeadProxy { at: self.now, owed });
     }
 
-    pub(super) fn look(&mut self, proxy: usize) {
+    pub(super) fn fleet_tick(&mut self, proxy: usize) {
         let at = time(self.now);
         let (Some(fleet), host) = (&mut self.fleet, &mut self.hosts[proxy]) else {
             return;
@@ -205,75 +205,75 @@
         let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else {
             return;
         };
-        let mut said: Vec<Said> = Vec::new();
-        member.look(at, &mut said);
+        let mut messages: Vec<Message> = Vec::new();
+        member.tick(at, &mut messages);
         let start = member.start();
         let proxies = fleet.files.len();
-        for said in said {
-            let word = Arc::new(Word {
-                from: proxy,
+        for message in messages {
+            let envelope = Arc::new(Envelope {
+                sender: proxy,
                 start,
-                at,
-                said,
+                sent_at: at,
+                message,
             });
             for to in (0..proxies).filter(|to| *to != proxy) {
-                if let Some(way) = fleet.hears(proxy, to).then(|| fleet.way()).flatten() {
+                if let Some(way) = fleet.hears(proxy, to).then(|| fleet.delay()).flatten() {
                     self.wheel.put(
                         self.now + way.max(1),
-                        Step::Hear {
+                        Step::FleetMessage {
                             proxy: to,
-                            word: word.clone(),
+                            envelope: envelope.clone(),
                         },
                     );
                 }
             }
         }
         self.wheel.put(
-            self.now + LOOK_MICROS,
-            Step::Look {
+            self.now + TICK_MICROS,
+            Step::FleetTick {
                 proxy,
                 epoch: self.hosts[proxy].epoch,
             },
         );
     }
 
-    pub(super) fn hear(&mut self, proxy: usize, word: &Word) {
+    pub(super) fn fleet_message(&mut self, proxy: usize, envelope: &Envelope) {
         let member = self.hosts[proxy]
             .policy
             .as_mut()
             .and_then(|policy| policy.member());
         member
             .into_iter()
-            .for_each(|member| member.hear(time(self.now), word));
+            .for_each(|member| member.receive(time(self.now), envelope));
     }
 
-    pub(super) fn apart(&mut self, proxies: Vec<usize>) {
+    pub(super) fn partitioned(&mut self, proxies: Vec<usize>) {
         self.fleet
             .iter_mut()
-            .for_each(|fleet| fleet.apart.clone_from(&proxies));
+            .for_each(|fleet| fleet.partitioned.clone_from(&proxies));
     }
 
     /// Is the line kept, at this instant, and at the end: does each book add up?
-    pub(super) fn books(&mut self, last: bool) {
+    pub(super) fn check_loans(&mut self, last: bool) {
         let (Some(fleet), now) = (&mut self.fleet, self.now) else {
             return;
         };
         let at: Time = time(now);
-        let longest = fleet.place.longest.as_micros() as Micros;
+        let longest = fleet.settings.longest.as_micros() as Micros;
         for (tenant, loans) in fleet.loans.iter_mut().enumerate() {
-            let left = fleet
-                .left
+            let dead = fleet
+                .dead
                 .iter()
                 .flatten()
-                .filter(|left| now < left.at + longest);
-            let mut owed: u64 = left.filter_map(|left| left.owed.get(tenant)).sum();
-            let mut all = fleet.former[tenant];
+                .filter(|dead| now < dead.at + longest);
+            let mut owed: u64 = dead.filter_map(|dead| dead.owed.get(tenant)).sum();
+            let mut all = fleet.ended_incarnations[tenant];
             for host in &mut self.hosts {
                 let Some(member) = host.policy.as_mut().and_then(|policy| policy.member()) else {
                     continue;
                 };
                 owed += member.owes(at, tenant);
-                all.add(&member.stands()[tenant]);
+                all.add(&member.counts()[tenant]);
                 loans.unbalanced += u64::from(last && !member.balances(at, tenant));
             }
             loans.owed_most = loans.owed_most.max(owed);
@@ -283,11 +283,11 @@
                 loans.seconds.push(all);
             }
         }
-        self.wheel.put(now + LOOK_MICROS, Step::Books);
+        self.wheel.put(now + TICK_MICROS, Step::LoanCheck);
     }
 
     pub(super) fn loans(&mut self) -> Vec<Loans> {
-        self.books(true);
+        self.check_loans(true);
         self.fleet.take().map_or_else(Vec::new, |fleet| fleet.loans)
     }
 }
--- a/crates/proxy-experiments/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -1,6 +1,6 @@
 //! One proxy: its policy, its list and its connections.
 
-use super::Open;
+use super::OpenAttempt;
 use crate::policy::{Decider, View};
 use crate::scenario::ORIGIN;
 use routing::{
@@ -95,7 +95,7 @@
     pub place: u16,
     /// None while it is down, and while it decides.
     pub policy: Option<Box<dyn Decider>>,
-    /// Its lives so far.
+    /// Its incarnations so far.
     pub epoch: u32,
     pub down: bool,
     /// Of the list as it knows it.
@@ -164,20 +164,20 @@
 }
 
 /// What is true, for those policies that may look, and what is listed, for all of them.
-pub struct Eyes<'a> {
+pub struct ClusterView<'a> {
     pub site: &'a mut Site,
     pub network: &'a Network,
     /// Where the proxy stands.
     pub spot: Spot,
     pub ready: &'a [Vec<ServerId>],
-    pub open: &'a FxHashMap<ClientAttemptId, Open>,
+    pub open: &'a FxHashMap<ClientAttemptId, OpenAttempt>,
     pub now: Micros,
     pub cores: f64,
     /// Of a request, in microseconds of a core.
     pub mean_work: f64,
 }
 
-impl View for Eyes<'_> {
+impl View for ClusterView<'_> {
     fn members(&self, group: GroupId) -> Vec<ServerId> {
         self.ready
             .get(group.0 as usize)
@@ -225,7 +225,7 @@
     fn within(&self, id: RequestId) -> bool {
         self.open
             .get(&id.0)
-            .is_none_or(|open| open.asked.within_quota)
+            .is_none_or(|open| open.client_attempt.within_quota)
     }
 
     fn drawn(&self, id: RequestId) -> bool {
--- a/crates/proxy-experiments/src/play/troubles.rs
+++ b/crates/proxy-experiments/src/play/troubles.rs
@@ -1,7 +1,7 @@
 //! What goes wrong in a run: whose it is when it comes, and what it does.
 
-use super::{Play, Step};
-use crate::scenario::{Target, What};
+use super::{Simulation, Step};
+use crate::scenario::{FaultKind, Target};
 use rand::Rng;
 use server_model::clients;
 use server_model::network::End;
@@ -14,7 +14,7 @@
 /// Clients go on trying a proxy that has died for so long.
 const NOTICE: Micros = 2_000_000;
 
-/// Whom each trouble has struck.
+/// Whom each fault has struck.
 pub struct Troubles {
     servers: Vec<Vec<ServerIndex>>,
     proxies: Vec<Vec<usize>>,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The servers that a trouble is of, now that it comes; each once. `at`: its number in the scenario.
+/// The servers that a fault is of, now that it comes; each once. `at`: its number in the scenario.
 pub(crate) fn struck(
     site: &Site,
     targets: &[Target],
@@ -72,7 +72,7 @@
     found
 }
 
-/// The proxies that a trouble is of, where proxies stand in places in turn.
+/// The proxies that a fault is of, where proxies stand in places in turn.
 pub(crate) fn struck_proxies(number: usize, places: usize, targets: &[Target]) -> Vec<usize> {
     let of = |target: &Target, proxy: usize| match target {
         Target::Proxies(from, to) => (from..=to).contains(&&proxy),
@@ -99,14 +99,14 @@
     (servers, gap)
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     fn each(&mut self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> ServerFault) {
         for server in servers {
             self.site(site::Event::Fault(trouble(*server)));
         }
     }
 
-    pub(super) fn trouble(&mut self, at: usize) {
+    pub(super) fn begin_fault(&mut self, at: usize) {
         let now = self.now;
         let trouble = self.scenario.troubles[at].clone();
         let servers = struck(&self.site, &trouble.targets, &self.streams, at);
@@ -117,11 +117,11 @@
         );
         self.tally.mark(now, format!("{} begins", trouble.name));
         self.wheel
-            .put(now.saturating_add(trouble.span), Step::Over(at));
+            .put(now.saturating_add(trouble.span), Step::FaultEnds(at));
         match trouble.what {
-            What::Die => self.each(&servers, ServerFault::Crash),
-            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: true }),
-            What::Slow(times) => {
+            FaultKind::Die => self.each(&servers, ServerFault::Crash),
+            FaultKind::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: true }),
+            FaultKind::Slow(times) => {
                 let all: Vec<ServerIndex> = self.site.servers().collect();
                 let servers = if trouble.targets.is_empty() {
                     &all
@@ -130,14 +130,14 @@
                 };
                 self.each(servers, |server| ServerFault::Slow { server, times });
             }
-            What::Hold => self.each(&servers, |server| ServerFault::HoldReplication {
+            FaultKind::Hold => self.each(&servers, |server| ServerFault::HoldReplication {
                 server,
                 span: trouble.span,
             }),
-            What::Deploy => {
+            FaultKind::Deploy => {
                 let (servers, gap) = rolling(&self.site, servers.clone(), trouble.span);
                 for (n, server) in (0..).zip(&servers) {
-                    let step = Step::Deploy {
+                    let step = Step::DeployServer {
                         trouble: at,
                         server: *server,
                         phase: 0,
@@ -145,28 +145,32 @@
                     self.wheel.put(now + gap * n, step);
                 }
             }
-            What::ListBehind(extra) => self.list(server_model::catalog::Event::Behind(extra)),
-            What::ListDown => self.list(server_model::catalog::Event::Down(true)),
-            What::Surge(times, tenant) => self.clients(clients::Event::Surge { tenant, times }),
-            What::Cut { place, back_only } => self.cut(&proxies, place, back_only, true),
-            What::Split(place) => self.site(site::Event::Fault(ServerFault::Partition(place))),
-            What::Loss(part) => self.network.set_extra_loss(part),
-            What::ProxyDies => proxies.iter().for_each(|proxy| self.proxy_dies(*proxy)),
-            What::Apart => self.apart(proxies.clone()),
+            FaultKind::ListBehind(extra) => self.list(server_model::catalog::Event::Behind(extra)),
+            FaultKind::ListDown => self.list(server_model::catalog::Event::Down(true)),
+            FaultKind::Surge(times, tenant) => {
+                self.clients(clients::Event::Surge { tenant, times })
+            }
+            FaultKind::Cut { place, back_only } => self.cut(&proxies, place, back_only, true),
+            FaultKind::Split(place) => self.site(site::Event::Fault(ServerFault::Partition(place))),
+            FaultKind::Loss(part) => self.network.set_extra_loss(part),
+            FaultKind::ProxyDies => proxies.iter().for_each(|proxy| self.proxy_dies(*proxy)),
+            FaultKind::Apart => self.partitioned(proxies.clone()),
         }
         (self.troubles.servers[at], self.troubles.proxies[at]) = (servers, proxies);
     }
 
-    pub(super) fn over(&mut self, at: usize) {
+    pub(super) fn end_fault(&mut self, at: usize) {
         let trouble = self.scenario.troubles[at].clone();
         let servers = self.troubles.servers[at].clone();
         let proxies = self.troubles.proxies[at].clone();
         self.tally
             .mark(self.now, format!("{} is over", trouble.name));
         match trouble.what {
-            What::Die => self.each(&servers, ServerFault::Start),
-            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: false }),
-            What::Slow(_) => {
+            FaultKind::Die => self.each(&servers, ServerFault::Start),
+            FaultKind::Hang => {
+                self.each(&servers, |server| ServerFault::Hang { server, on: false })
+            }
+            FaultKind::Slow(_) => {
                 let all: Vec<ServerIndex> = self.site.servers().collect();
                 let servers = if trouble.targets.is_empty() {
                     &all
@@ -175,15 +179,17 @@
                 };
                 self.each(servers, |server| ServerFault::Slow { server, times: 1.0 });
             }
-            What::Hold | What::Deploy => {}
-            What::ListBehind(_) => self.list(server_model::catalog::Event::Behind(0)),
-            What::ListDown => self.list(server_model::catalog::Event::Down(false)),
-            What::Surge(_, tenant) => self.clients(clients::Event::Surge { tenant, times: 1.0 }),
-            What::Cut { place, back_only } => self.cut(&proxies, place, back_only, false),
-            What::Split(_) => self.site(site::Event::Fault(ServerFault::HealPartition)),
-            What::Loss(_) => self.network.set_extra_loss(0.0),
-            What::Apart => self.apart(Vec::new()),
-            What::ProxyDies => {
+            FaultKind::Hold | FaultKind::Deploy => {}
+            FaultKind::ListBehind(_) => self.list(server_model::catalog::Event::Behind(0)),
+            FaultKind::ListDown => self.list(server_model::catalog::Event::Down(false)),
+            FaultKind::Surge(_, tenant) => {
+                self.clients(clients::Event::Surge { tenant, times: 1.0 })
+            }
+            FaultKind::Cut { place, back_only } => self.cut(&proxies, place, back_only, false),
+            FaultKind::Split(_) => self.site(site::Event::Fault(ServerFault::HealPartition)),
+            FaultKind::Loss(_) => self.network.set_extra_loss(0.0),
+            FaultKind::Apart => self.partitioned(Vec::new()),
+            FaultKind::ProxyDies => {
                 for proxy in proxies {
                     self.hosts[proxy].down = false;
                     self.start(proxy);
@@ -216,7 +222,7 @@
                 self.site(site::Event::Fault(ServerFault::Drain(server)));
                 self.wheel.put(
                     self.now + LINGER,
-                    Step::Deploy {
+                    Step::DeployServer {
                         trouble,
                         server,
                         phase: 1,
@@ -234,13 +240,13 @@
         if !self.hosts[proxy].up() {
             return;
         }
-        self.leaves(proxy);
+        self.save_and_leave(proxy);
         self.hosts[proxy].die(&mut self.site);
         self.list(server_model::catalog::Event::Leave(proxy));
         let mut held: Vec<u64> = self
             .open
             .iter()
-            .filter(|(_, o)| o.asked.proxy == proxy)
+            .filter(|(_, o)| o.client_attempt.proxy == proxy)
             .map(|(id, _)| *id)
             .collect();
         held.sort_unstable();
@@ -253,6 +259,6 @@
         // Only after a while do clients go elsewhere at once.
         let epoch = self.hosts[proxy].epoch;
         self.wheel
-            .put(self.now + NOTICE, Step::Unseen { proxy, epoch });
+            .put(self.now + NOTICE, Step::ProxyDownNoticed { proxy, epoch });
     }
 }
--- a/crates/proxy-experiments/src/policy.rs
+++ b/crates/proxy-experiments/src/policy.rs
@@ -144,7 +144,7 @@
         router.handle(now, event, actions);
         actions[before..]
             .iter()
-            .for_each(|action| member.did(now, action));
+            .for_each(|action| member.action_taken(now, action));
     }
 
     fn member(&mut self) -> Option<&mut Member> {
--- a/crates/proxy-experiments/src/results.rs
+++ b/crates/proxy-experiments/src/results.rs
@@ -134,7 +134,7 @@
     /// What a report shows of a scenario.
     pub fn new(scenario: &Scenario) -> Day {
         let seconds = |micros: u64| micros as f64 / 1e6;
-        let trouble = |t: &crate::scenario::Trouble| {
+        let trouble = |t: &crate::scenario::ScheduledFault| {
             (
                 t.name.clone(),
                 seconds(t.at),
--- a/crates/proxy-experiments/src/run.rs
+++ b/crates/proxy-experiments/src/run.rs
@@ -1,6 +1,6 @@
 //! Experiments as cells, run over all cores, kept in the store.
 
-use crate::file::{Book, Change, Experiment};
+use crate::file::{Change, Experiment, ExperimentFile};
 use crate::play::play;
 use crate::store::{Cell, Store};
 use crate::tally::Outcomes;
@@ -12,7 +12,7 @@
 pub const CELLS_LIMIT: usize = 1_000_000;
 
 /// Every combination, in an order that is always the same: seeds last, so that pairs stand together.
-pub fn cells(book: &Book, experiment: &Experiment) -> Result<Vec<Cell>, String> {
+pub fn cells(book: &ExperimentFile, experiment: &Experiment) -> Result<Vec<Cell>, String> {
     let variants: usize = experiment
         .grids
         .iter()
--- a/crates/proxy-experiments/src/scenario.rs
+++ b/crates/proxy-experiments/src/scenario.rs
@@ -12,7 +12,7 @@
 /// Microseconds of a second.
 pub const SECOND: Micros = 1_000_000;
 
-/// Which servers or proxies a trouble is of.
+/// Which servers or proxies a fault strikes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
     /// All servers or proxies.
@@ -31,7 +31,7 @@
 
 /// A kind of fault.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     /// Servers die and start again cold.
     Die,
     /// Servers take requests and answer none.
@@ -40,7 +40,7 @@
     Slow(f64),
     /// A long query holds their replication.
     Hold,
-    /// Each is drained, ends and is replaced, one after the other over the time that the trouble lasts.
+    /// Each is drained, ends and is replaced, one after the other over the time that the fault lasts.
     Deploy,
     /// The list falls behind by so much more, or its service is down.
     ListBehind(Micros),
@@ -67,7 +67,7 @@
 
 /// A fault with its time and targets.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// Its name.
     pub name: String,
     /// When it begins.
@@ -75,7 +75,7 @@
     /// Until it is over.
     pub span: Micros,
     /// What goes wrong.
-    pub what: What,
+    pub what: FaultKind,
     /// Whom it strikes.
     pub targets: Vec<Target>,
 }
@@ -106,10 +106,10 @@
 
 /// How proxies of the module hear each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Talk {
-    /// From word to word of one proxy.
+pub struct FleetMessaging {
+    /// Interval between messages of one proxy.
     pub every: Micros,
-    /// The most that a word is late, and the part of them that never comes.
+    /// The longest delay of a message.
     pub late: Micros,
     /// The part of the messages that never come.
     pub loss: f64,
@@ -141,11 +141,11 @@
     /// What the platform allows.
     pub platform: Platform,
     /// How proxies talk; none: they do not.
-    pub talk: Option<Talk>,
+    pub talk: Option<FleetMessaging>,
     /// How goodput is weighted.
     pub weights: Weights,
     /// The faults.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ScheduledFault>,
 }
 
 /// A time on the decision module's clock, where 0 stands for absent.
--- a/crates/proxy-experiments/src/trial.rs
+++ b/crates/proxy-experiments/src/trial.rs
@@ -4,7 +4,7 @@
 //! what is lost coming later.
 
 use crate::play::troubles::{rolling, struck, struck_proxies, LINGER};
-use crate::scenario::{Scenario, What};
+use crate::scenario::{FaultKind, Scenario};
 use server_model::catalog;
 use server_model::site::{ServerFault, ServerIndex, Status};
 use server_model::Micros;
@@ -186,35 +186,35 @@
         self.struck[at] = (servers.clone(), proxies.clone());
         let history = self.testbed.history.clone();
         match trouble.what {
-            What::Die => self.each(&servers, ServerFault::Crash),
-            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: true }),
-            What::Slow(times) => self.each(&self.slowed(at), |server| ServerFault::Slow {
+            FaultKind::Die => self.each(&servers, ServerFault::Crash),
+            FaultKind::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: true }),
+            FaultKind::Slow(times) => self.each(&self.slowed(at), |server| ServerFault::Slow {
                 server,
                 times,
             }),
-            What::Hold => self.each(&servers, |server| ServerFault::HoldReplication {
+            FaultKind::Hold => self.each(&servers, |server| ServerFault::HoldReplication {
                 server,
                 span: trouble.span,
             }),
-            What::Deploy => {
+            FaultKind::Deploy => {
                 let (servers, gap) = rolling(&history.lock().site, servers, trouble.span);
                 for (n, server) in (0..).zip(servers) {
                     self.agenda
                         .push(Reverse((now + gap * n, Step::Drains(server))));
                 }
             }
-            What::ListBehind(more) => history.list(catalog::Event::Behind(more)),
-            What::ListDown => history.list(catalog::Event::Down(true)),
-            What::Surge(times, tenant) => history.surge(tenant, times),
-            What::Cut { place, back_only } => {
+            FaultKind::ListBehind(more) => history.list(catalog::Event::Behind(more)),
+            FaultKind::ListDown => history.list(catalog::Event::Down(true)),
+            FaultKind::Surge(times, tenant) => history.surge(tenant, times),
+            FaultKind::Cut { place, back_only } => {
                 let there = if back_only { Flow::Passes } else { Flow::Cut };
                 self.testbed
                     .links(&proxies, Some(place))
                     .iter()
                     .for_each(|link| link.set(there, Flow::Cut));
             }
-            What::Split(place) => history.inject_fault(ServerFault::Partition(place)),
-            What::Loss(part) => {
+            FaultKind::Split(place) => history.inject_fault(ServerFault::Partition(place)),
+            FaultKind::Loss(part) => {
                 let resend = Duration::from_micros(self.scenario.network.resend);
                 let flow = Flow::Lossy { part, resend };
                 self.testbed
@@ -222,9 +222,9 @@
                     .iter()
                     .for_each(|link| link.set(flow, flow));
             }
-            What::ProxyDies => proxies.iter().for_each(|proxy| self.testbed.kill(*proxy)),
+            FaultKind::ProxyDies => proxies.iter().for_each(|proxy| self.testbed.kill(*proxy)),
             // What proxies say to each other does not pass the testbed's links.
-            What::Apart => {}
+            FaultKind::Apart => {}
         }
     }
 
@@ -233,28 +233,30 @@
         let (servers, proxies) = self.struck[at].clone();
         let history = self.testbed.history.clone();
         match trouble.what {
-            What::Die => self.each(&servers, ServerFault::Start),
-            What::Hang => self.each(&servers, |server| ServerFault::Hang { server, on: false }),
-            What::Slow(_) => self.each(&self.slowed(at), |server| ServerFault::Slow {
+            FaultKind::Die => self.each(&servers, ServerFault::Start),
+            FaultKind::Hang => {
+                self.each(&servers, |server| ServerFault::Hang { server, on: false })
+            }
+            FaultKind::Slow(_) => self.each(&self.slowed(at), |server| ServerFault::Slow {
                 server,
                 times: 1.0,
             }),
-            What::Hold | What::Deploy | What::Apart => {}
-            What::ListBehind(_) => history.list(catalog::Event::Behind(0)),
-            What::ListDown => history.list(catalog::Event::Down(false)),
-            What::Surge(_, tenant) => history.surge(tenant, 1.0),
-            What::Cut { place, .. } => self
+            FaultKind::Hold | FaultKind::Deploy | FaultKind::Apart => {}
+            FaultKind::ListBehind(_) => history.list(catalog::Event::Behind(0)),
+            FaultKind::ListDown => history.list(catalog::Event::Down(false)),
+            FaultKind::Surge(_, tenant) => history.surge(tenant, 1.0),
+            FaultKind::Cut { place, .. } => self
                 .testbed
                 .links(&proxies, Some(place))
                 .iter()
                 .for_each(|link| link.heal()),
-            What::Split(_) => history.inject_fault(ServerFault::HealPartition),
-            What::Loss(_) => self
+            FaultKind::Split(_) => history.inject_fault(ServerFault::HealPartition),
+            FaultKind::Loss(_) => self
                 .testbed
                 .links(&self.all(), None)
                 .iter()
                 .for_each(|link| link.heal()),
-            What::ProxyDies => proxies
+            FaultKind::ProxyDies => proxies
                 .iter()
                 .try_for_each(|proxy| self.testbed.restart(*proxy))?,
         }
--- a/crates/proxy-experiments/src/write.rs
+++ b/crates/proxy-experiments/src/write.rs
@@ -1,6 +1,6 @@
 //! A scenario as a file that says the same: for days that a search has found.
 
-use crate::scenario::{Scenario, Target, Trouble, What};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault, Target};
 use configuration::value;
 use server_model::clients::{Consistency, Idempotency};
 use server_model::law::Law;
@@ -49,44 +49,44 @@
     }
 }
 
-fn trouble(out: &mut Out, trouble: &Trouble, scenario: &Scenario) {
+fn trouble(out: &mut Out, trouble: &ScheduledFault, scenario: &Scenario) {
     let mut lines: Vec<(&str, String)> = Vec::new();
     let kind = match &trouble.what {
-        What::Die => "die",
-        What::Hang => "hang",
-        What::Slow(times) => {
+        FaultKind::Die => "die",
+        FaultKind::Hang => "hang",
+        FaultKind::Slow(times) => {
             lines.push(("times", times.to_string()));
             "slow"
         }
-        What::Hold => "hold",
-        What::Deploy => "deploy",
-        What::ListBehind(more) => {
+        FaultKind::Hold => "hold",
+        FaultKind::Deploy => "deploy",
+        FaultKind::ListBehind(more) => {
             lines.push(("more", time(*more)));
             "list-behind"
         }
-        What::ListDown => "list-down",
-        What::Surge(times, tenant) => {
+        FaultKind::ListDown => "list-down",
+        FaultKind::Surge(times, tenant) => {
             lines.push(("times", times.to_string()));
             if let Some(tenant) = tenant.and_then(|at| scenario.clients.tenants.get(at)) {
                 lines.push(("tenant", tenant.name.clone()));
             }
             "surge"
         }
-        What::Cut { place, back_only } => {
+        FaultKind::Cut { place, back_only } => {
             lines.push(("place", place.to_string()));
             lines.push(("ways", if *back_only { "back" } else { "both" }.into()));
             "cut"
         }
-        What::Split(place) => {
+        FaultKind::Split(place) => {
             lines.push(("place", place.to_string()));
             "split"
         }
-        What::Loss(part) => {
+        FaultKind::Loss(part) => {
             lines.push(("part", share(*part)));
             "loss"
         }
-        What::ProxyDies => "proxy-dies",
-        What::Apart => "apart",
+        FaultKind::ProxyDies => "proxy-dies",
+        FaultKind::Apart => "apart",
     };
     let mut all = vec![
         ("kind", kind.to_owned()),
--- a/crates/proxy-experiments/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -2,11 +2,11 @@
 
 use configuration::load::Memory;
 use proxy_experiments::file::read;
-use proxy_experiments::member::{Member, Place};
+use proxy_experiments::member::{FleetSettings, Member};
 use proxy_experiments::play::fleet::Loans;
 use proxy_experiments::play::play_with;
 use proxy_experiments::policy::{Decider, Name, Policy, View};
-use proxy_experiments::scenario::{Scenario, What, ORIGIN, SECOND};
+use proxy_experiments::scenario::{FaultKind, Scenario, ORIGIN, SECOND};
 use quota_lending::{Rule, Rules};
 use routing::{Action, Event, Time};
 use std::path::Path;
@@ -39,7 +39,7 @@
     // Few requests a proxy: that room is short is found by chance too often here.
     (talk.late, talk.lease, talk.short_least) = (300_000, 3 * SECOND, 1_000);
     for trouble in &mut day.troubles {
-        let surge = matches!(trouble.what, What::Surge(..));
+        let surge = matches!(trouble.what, FaultKind::Surge(..));
         (trouble.at, trouble.span) = if surge { (23, 5) } else { (25, 3) };
         (trouble.at, trouble.span) = (trouble.at * SECOND, trouble.span * SECOND);
     }
@@ -49,7 +49,7 @@
 /// The module, of a fleet whose rules say another line than the operators do.
 struct Generous {
     module: Box<dyn Decider>,
-    place: Option<Place>,
+    place: Option<FleetSettings>,
 }
 
 impl Decider for Generous {
@@ -84,8 +84,8 @@
     };
     let longest = TERM + WRITE_OFF;
     let rules = Rules::new(vec![(clients.tenants[STAND].name.clone(), rule)], longest).unwrap();
-    let place = Place {
-        number: 0,
+    let place = FleetSettings {
+        proxy: 0,
         start: ORIGIN + 1,
         names: (0..clients.proxies).map(|n| format!("proxy-{n}")).collect(),
         tenants: clients.tenants.iter().map(|t| t.name.clone()).collect(),
@@ -93,8 +93,8 @@
         rules,
         longest,
         lease: Duration::from_secs(3),
-        every: Duration::from_secs(1),
-        dead: Duration::from_secs(5),
+        announce_every: Duration::from_secs(1),
+        dead_after: Duration::from_secs(5),
         short_least: 1_000,
         short_part: 1.0,
     };
@@ -104,8 +104,8 @@
      -> Box<dyn Decider> {
         let seed = streams.seed("policy", number as u64);
         let module = Policy::of(Name::Module).make(&day.settings(number), seed, Time::ZERO);
-        let place = (times > 1).then(|| Place {
-            number,
+        let place = (times > 1).then(|| FleetSettings {
+            proxy: number,
             ..place.clone()
         });
         Box::new(Generous { module, place })
@@ -126,7 +126,7 @@
         assert!(loans.owed_most > loans.line / 4, "{name}: {loans:?}");
         // What is within and what was withheld for loans is the quota, and each proxy's bucket once.
         let quota = day.clients.tenants[STAND].quota;
-        let used = loans.all.within as f64 + loans.all.repaid as f64 / 1000.0;
+        let used = loans.all.within_quota as f64 + loans.all.repaid as f64 / 1000.0;
         assert!(
             used < 1.01 * quota * 16.0 + 2.0 * quota,
             "{name}: {used} of {quota}"
--- a/crates/proxy-experiments/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -9,7 +9,7 @@
 use proxy_experiments::file::read;
 use proxy_experiments::play::{play, play_with};
 use proxy_experiments::policy::{Decider, Name, Policy, View};
-use proxy_experiments::scenario::{Scenario, Target, Trouble, What, ORIGIN, SECOND};
+use proxy_experiments::scenario::{FaultKind, Scenario, ScheduledFault, Target, ORIGIN, SECOND};
 use proxy_experiments::tally::Outcomes;
 use routing::{Action, ClassId, EndpointUpdate, Event, GroupId, Settings, TenantId, Time, ZoneId};
 use std::path::Path;
@@ -33,7 +33,7 @@
         (3, 7 * SECOND, clients.requests_per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
     day.troubles[0].at = SECOND;
-    let trouble = |name: &str, at, what, targets| Trouble {
+    let trouble = |name: &str, at, what, targets| ScheduledFault {
         name: name.into(),
         at,
         span: 2 * SECOND,
@@ -41,11 +41,11 @@
         targets,
     };
     day.troubles.extend([
-        trouble("deaths", 2 * SECOND, What::Die, vec![Target::Place(1)]),
+        trouble("deaths", 2 * SECOND, FaultKind::Die, vec![Target::Place(1)]),
         trouble(
             "a proxy",
             3 * SECOND,
-            What::ProxyDies,
+            FaultKind::ProxyDies,
             vec![Target::Proxies(1, 1)],
         ),
     ]);
--- a/crates/proxy-experiments/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -1,11 +1,11 @@
 //! Runs as a whole: the same again, rules caught, bounds kept.
 
 use invariant_checkers::{Rule, RULES};
-use proxy_experiments::file::{suite, Book};
+use proxy_experiments::file::{suite, ExperimentFile};
 use proxy_experiments::play::{play, play_with};
 use proxy_experiments::policy::{Decider, Name, Policy, View, NAMES};
 use proxy_experiments::run::{cells, run};
-use proxy_experiments::scenario::{Scenario, Target, Trouble, What, SECOND};
+use proxy_experiments::scenario::{FaultKind, Scenario, ScheduledFault, Target, SECOND};
 use proxy_experiments::stats::{paired, rank_correlation, Verdict};
 use proxy_experiments::store::{Cell, Store};
 use proxy_experiments::tally::Outcomes;
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-fn book() -> Book {
+fn book() -> ExperimentFile {
     suite().unwrap_or_else(|faults| panic!("{faults}"))
 }
 
@@ -213,8 +213,8 @@
     }
 }
 
-fn trouble(at: u64, span: u64, what: What, targets: Vec<Target>) -> Trouble {
-    Trouble {
+fn trouble(at: u64, span: u64, what: FaultKind, targets: Vec<Target>) -> ScheduledFault {
+    ScheduledFault {
         name: "t".into(),
         at,
         span,
@@ -238,19 +238,19 @@
             Rule::Drained => vec![trouble(
                 SECOND,
                 5 * SECOND,
-                What::Deploy,
+                FaultKind::Deploy,
                 vec![Target::Member(0, 3)],
             )],
             Rule::Stale => vec![trouble(
                 SECOND,
                 8 * SECOND,
-                What::Hold,
+                FaultKind::Hold,
                 vec![Target::Member(0, 4)],
             )],
             _ => vec![trouble(
                 SECOND,
                 SECOND,
-                What::Die,
+                FaultKind::Die,
                 vec![Target::Member(0, 0)],
             )],
         };
@@ -293,7 +293,7 @@
         (0, outcome.whole.refused + outcome.whole.failed)
     );
     let mut dead = short("calm");
-    dead.troubles = vec![trouble(0, 100 * SECOND, What::Die, vec![Target::All])];
+    dead.troubles = vec![trouble(0, 100 * SECOND, FaultKind::Die, vec![Target::All])];
     let outcome = play(&dead, &Policy::of(Name::Module), 1);
     assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
     assert!(outcome.whole.served < outcome.whole.asked / 20);
@@ -304,18 +304,18 @@
     let mut far = short("calm");
     far.clients.length = SECOND;
     far.troubles = vec![
-        trouble(u64::MAX - 5, u64::MAX, What::Hang, vec![Target::All]),
+        trouble(u64::MAX - 5, u64::MAX, FaultKind::Hang, vec![Target::All]),
         trouble(
             0,
             u64::MAX,
-            What::Die,
+            FaultKind::Die,
             vec![
                 Target::Member(77, 3),
                 Target::Primaries(5, 9),
                 Target::Place(40),
             ],
         ),
-        trouble(0, 10, What::ProxyDies, vec![Target::Proxies(50, 60)]),
+        trouble(0, 10, FaultKind::ProxyDies, vec![Target::Proxies(50, 60)]),
     ];
     assert!(play(&far, &Policy::of(Name::Module), 1).whole.served > 0);
 }
