--- a/crates/proxy-experiments/src/file/builder.rs
+++ b/crates/proxy-experiments/src/file/builder.rs
@@ -183,7 +183,7 @@
                 short_part: s.part("short-part"),
             }),
             weights: Weights::default(),
-            troubles,
+            faults: troubles,
         })
     }
 
--- a/crates/proxy-experiments/src/hunt.rs
+++ b/crates/proxy-experiments/src/hunt.rs
@@ -50,7 +50,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let troubles: Vec<String> = self
             .scenario
-            .troubles
+            .faults
             .iter()
             .map(|t| {
                 format!(
@@ -194,25 +194,25 @@
         }
         1 => day.clients.proxies = draw.random_range(1..=40),
         2 => day.clients.proxy_skew = draw.random_range(0..=15) as f64 / 10.0,
-        3 if !day.troubles.is_empty() => {
-            let at = draw.random_range(0..day.troubles.len());
+        3 if !day.faults.is_empty() => {
+            let at = draw.random_range(0..day.faults.len());
             if draw.random_bool(0.5) {
-                day.troubles.remove(at);
+                day.faults.remove(at);
             } else {
                 let begins = draw.random_range(20..=200);
-                day.troubles[at].at = begins * SECOND / 10;
+                day.faults[at].at = begins * SECOND / 10;
             }
         }
         _ => {}
     }
-    while day.troubles.len() < TROUBLES {
+    while day.faults.len() < TROUBLES {
         let trouble = drawn_trouble(&day, draw);
-        day.troubles.push(trouble);
+        day.faults.push(trouble);
         if draw.random_bool(0.5) {
             break;
         }
     }
-    for (at, trouble) in day.troubles.iter_mut().enumerate() {
+    for (at, trouble) in day.faults.iter_mut().enumerate() {
         trouble.name = format!("t{at}");
     }
     day
@@ -275,8 +275,7 @@
         // Of those that still show it the one that costs least to play.
         let cost = |day: &Day| {
             let s = &day.scenario;
-            (s.clients.requests_per_s * seconds(s.length())) as u64
-                + 1_000 * s.troubles.len() as u64
+            (s.clients.requests_per_s * seconds(s.length())) as u64 + 1_000 * s.faults.len() as u64
         };
         let Some(next) = fits.min_by_key(cost) else {
             return small;
@@ -296,20 +295,14 @@
             found.push(next);
         }
     };
-    for at in 0..day.troubles.len() {
-        add(&|s| _ = s.troubles.remove(at));
+    for at in 0..day.faults.len() {
+        add(&|s| _ = s.faults.remove(at));
         add(&|s| {
-            let tenths = s.troubles[at].span / (SECOND / 10) / 2;
-            s.troubles[at].span = (tenths * (SECOND / 10)).max(SECOND);
+            let tenths = s.faults[at].span / (SECOND / 10) / 2;
+            s.faults[at].span = (tenths * (SECOND / 10)).max(SECOND);
         });
     }
-    let end = day
-        .troubles
-        .iter()
-        .map(|t| t.at + t.span)
-        .max()
-        .unwrap_or(0)
-        + 5 * SECOND;
+    let end = day.faults.iter().map(|t| t.at + t.span).max().unwrap_or(0) + 5 * SECOND;
     add(&|s| s.clients.length = s.clients.length.min(end.max(5 * SECOND)));
     // Servers and requests together, so that the load stays.
     if day.site.groups > 1 {
--- a/crates/proxy-experiments/src/plan.rs
+++ b/crates/proxy-experiments/src/plan.rs
@@ -230,7 +230,7 @@
         Loss::Place(place) => Some(Target::Place(*place)),
         Loss::Share(part) => Some(Target::Share(*part)),
     };
-    day.troubles.extend(target.map(|target| ScheduledFault {
+    day.faults.extend(target.map(|target| ScheduledFault {
         name: "loss".into(),
         at: AT,
         // For good.
--- a/crates/proxy-experiments/src/play/attempts.rs
+++ b/crates/proxy-experiments/src/play/attempts.rs
@@ -11,7 +11,7 @@
         timeout: Duration,
     ) {
         let now = self.now;
-        let server = host::server(to);
+        let server = host::server_index(to);
         self.checker.proxy_sends(id, server, now);
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -258,7 +258,7 @@
         }
         let last = !self.open.contains_key(&id);
         let elapsed = span(now - sent);
-        let (id, attempt, store) = (RequestId(id), AttemptNo(no), store(server));
+        let (id, attempt, store) = (RequestId(id), AttemptNo(no), server_id(server));
         self.deliver(
             proxy,
             Event::AttemptEnded(AttemptEnded {
--- a/crates/proxy-experiments/src/play/discovery.rs
+++ b/crates/proxy-experiments/src/play/discovery.rs
@@ -19,9 +19,9 @@
                 proxy: None,
             };
             let epoch = self.hosts[proxy].epoch;
-            if let Some(delay) = self
-                .network
-                .one_way(from, self.spot(proxy), &mut self.network_draws)
+            if let Some(delay) =
+                self.network
+                    .one_way(from, self.spot(proxy), &mut self.network_draws)
             {
                 self.wheel.put(
                     self.now + delay,
@@ -49,11 +49,15 @@
                 records
                     .iter()
                     .for_each(|r| self.cold.told(proxy, r.server, r.started));
-                let entries: Vec<_> = records.iter().map(|r| entry(r, time)).collect();
+                let entries: Vec<_> = records.iter().map(|r| endpoint(r, time)).collect();
                 for entry in &entries {
                     let leaving = entry.state != EndpointState::Ready;
-                    self.checker
-                        .notified(proxy, host::server(entry.server), leaving, self.now);
+                    self.checker.notified(
+                        proxy,
+                        host::server_index(entry.server),
+                        leaving,
+                        self.now,
+                    );
                 }
                 match complete {
                     true => EndpointUpdate::Snapshot(entries),
@@ -80,7 +84,7 @@
         let entries = records
             .iter()
             .filter(|r| r.status != Status::Gone)
-            .map(|r| entry(r, time))
+            .map(|r| endpoint(r, time))
             .collect();
         self.deliver(proxy, Event::Endpoints(EndpointUpdate::Cached(entries)));
     }
--- a/crates/proxy-experiments/src/play/troubles.rs
+++ b/crates/proxy-experiments/src/play/faults.rs
@@ -15,14 +15,14 @@
 const NOTICE: Micros = 2_000_000;
 
 /// Whom each fault has struck.
-pub struct Troubles {
+pub struct ActiveFaults {
     servers: Vec<Vec<ServerIndex>>,
     proxies: Vec<Vec<usize>>,
 }
 
-impl Troubles {
-    pub fn new(number: usize) -> Troubles {
-        Troubles {
+impl ActiveFaults {
+    pub fn new(number: usize) -> ActiveFaults {
+        ActiveFaults {
             servers: vec![Vec::new(); number],
             proxies: vec![Vec::new(); number],
         }
@@ -108,7 +108,7 @@
 
     pub(super) fn begin_fault(&mut self, at: usize) {
         let now = self.now;
-        let trouble = self.scenario.troubles[at].clone();
+        let trouble = self.scenario.faults[at].clone();
         let servers = struck(&self.site, &trouble.targets, &self.streams, at);
         let proxies = struck_proxies(
             self.hosts.len(),
@@ -156,13 +156,16 @@
             FaultKind::ProxyDies => proxies.iter().for_each(|proxy| self.proxy_dies(*proxy)),
             FaultKind::Apart => self.partitioned(proxies.clone()),
         }
-        (self.troubles.servers[at], self.troubles.proxies[at]) = (servers, proxies);
+        (
+            self.active_faults.servers[at],
+            self.active_faults.proxies[at],
+        ) = (servers, proxies);
     }
 
     pub(super) fn end_fault(&mut self, at: usize) {
-        let trouble = self.scenario.troubles[at].clone();
-        let servers = self.troubles.servers[at].clone();
-        let proxies = self.troubles.proxies[at].clone();
+        let trouble = self.scenario.faults[at].clone();
+        let servers = self.active_faults.servers[at].clone();
+        let proxies = self.active_faults.proxies[at].clone();
         self.tally
             .mark(self.now, format!("{} is over", trouble.name));
         match trouble.what {
--- a/crates/proxy-experiments/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -20,17 +20,17 @@
 use server_model::Micros;
 
 /// Of the module's numbers 0 is none of a server.
-pub fn store(server: ServerIndex) -> ServerId {
+pub fn server_id(server: ServerIndex) -> ServerId {
     ServerId(server + 1)
 }
 
-pub fn server(store: ServerId) -> ServerIndex {
-    store.0.wrapping_sub(1)
+pub fn server_index(server: ServerId) -> ServerIndex {
+    server.0.wrapping_sub(1)
 }
 
-pub fn entry(record: &Record, time: impl Fn(Micros) -> Time) -> Endpoint {
+pub fn endpoint(record: &Record, time: impl Fn(Micros) -> Time) -> Endpoint {
     Endpoint {
-        server: store(record.server),
+        server: server_id(record.server),
         group: GroupId(record.group),
         zone: ZoneId(record.place),
         kind: KindId(0),
@@ -151,7 +151,7 @@
             if self.ready.len() <= at {
                 self.ready.resize(at + 1, Vec::new());
             }
-            let store = store(record.server);
+            let store = server_id(record.server);
             if record.status == Status::Ready {
                 if self.listed.insert(record.server, record.group).is_none() {
                     self.ready[at].push(store);
@@ -186,7 +186,7 @@
     }
 
     fn primary(&mut self, group: GroupId) -> Option<ServerId> {
-        let primary = store(self.site.primary(group.0)?);
+        let primary = server_id(self.site.primary(group.0)?);
         // Nobody may send to what the list has not named.
         self.ready
             .get(group.0 as usize)?
@@ -195,7 +195,7 @@
     }
 
     fn answers(&self, store: ServerId) -> bool {
-        let at = server(store);
+        let at = server_index(store);
         let there = Spot {
             place: self.site.place(at),
             proxy: None,
@@ -206,16 +206,16 @@
     }
 
     fn load(&self, store: ServerId) -> f64 {
-        let at = server(store);
+        let at = server_index(store);
         (self.site.held(at) as f64 + 1.0) / self.site.capacity(at, self.now).max(1e-6)
     }
 
     fn crowded(&self, store: ServerId) -> bool {
-        self.site.held(server(store)) as f64 + 1.0 > self.cores
+        self.site.held(server_index(store)) as f64 + 1.0 > self.cores
     }
 
     fn expected(&self, store: ServerId) -> Duration {
-        let at = server(store);
+        let at = server_index(store);
         let shared = ((self.site.held(at) as f64 + 1.0) / self.cores.max(1e-6)).max(1.0);
         Duration::from_secs_f64(
             self.mean_work / 1e6 * shared / self.site.capacity(at, self.now).max(1e-6),
@@ -233,15 +233,19 @@
     }
 
     fn bears(&self, store: ServerId) -> bool {
-        self.site
-            .bears(server(store), self.now, HEAVY * self.mean_work, COLD_SPARE)
+        self.site.bears(
+            server_index(store),
+            self.now,
+            HEAVY * self.mean_work,
+            COLD_SPARE,
+        )
     }
 
     fn spare(&self, store: ServerId) -> f64 {
-        self.cores - self.site.held(server(store)) as f64 - 1.0
+        self.cores - self.site.held(server_index(store)) as f64 - 1.0
     }
 
     fn position(&mut self, store: ServerId) -> Time {
-        Time::from_micros(ORIGIN + self.site.position(server(store), self.now))
+        Time::from_micros(ORIGIN + self.site.position(server_index(store), self.now))
     }
 }
--- a/crates/proxy-experiments/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -2,6 +2,7 @@
 
 mod attempts;
 mod discovery;
+pub(crate) mod faults;
 pub mod fleet;
 mod host;
 mod lots;
@@ -9,14 +10,14 @@
 mod proxies;
 mod requests;
 mod servers;
-pub(crate) mod troubles;
 
 use crate::file::AFTER;
 use crate::policy::{Decider, Policy};
 use crate::scenario::{Scenario, ORIGIN};
 use crate::tally::{Outcomes, Tally};
+use faults::ActiveFaults;
 use fleet::Fleet;
-use host::{entry, store, ClusterView, Host};
+use host::{endpoint, server_id, ClusterView, Host};
 use invariant_checkers::{cold, Checker, Final, Rule};
 use lots::Lots;
 use rand::SeedableRng;
@@ -36,7 +37,6 @@
 use simulation_engine::wheel::Wheel;
 use std::sync::Arc;
 use std::time::Duration;
-use troubles::Troubles;
 
 /// Kept back from each client's time, as the proxy does.
 const MARGIN: Micros = 10_000;
@@ -171,7 +171,7 @@
     attempts: FxHashMap<u64, Attempt>,
     probes: FxHashMap<u64, Probe>,
     next: u64,
-    troubles: Troubles,
+    active_faults: ActiveFaults,
     checker: Checker,
     cold: cold::Checker,
     lots: Lots,
@@ -228,7 +228,7 @@
         attempts: FxHashMap::default(),
         probes: FxHashMap::default(),
         next: 0,
-        troubles: Troubles::new(scenario.troubles.len()),
+        active_faults: ActiveFaults::new(scenario.faults.len()),
         checker: Checker::new(scenario.platform.tries, scenario.platform.drain_grace),
         cold: cold::Checker::new(scenario.bounds(mean_work), mean_work),
         lots: Lots::new(scenario.clients.tenants.len(), &streams),
@@ -242,7 +242,7 @@
         play.start(proxy);
     }
     play.check_loans(false);
-    for (at, trouble) in scenario.troubles.iter().enumerate() {
+    for (at, trouble) in scenario.faults.iter().enumerate() {
         play.wheel.put(trouble.at, Step::FaultBegins(at));
     }
     play.clients(clients::Event::Start);
@@ -375,7 +375,8 @@
             place: self.site.place(server),
             proxy: None,
         };
-        self.network.one_way(self.spot(proxy), to, &mut self.network_draws)
+        self.network
+            .one_way(self.spot(proxy), to, &mut self.network_draws)
     }
 
     fn delay_to_proxy(&mut self, server: ServerIndex, proxy: usize) -> Option<Micros> {
--- a/crates/proxy-experiments/src/play/probes.rs
+++ b/crates/proxy-experiments/src/play/probes.rs
@@ -4,7 +4,7 @@
 
 impl Simulation<'_> {
     pub(super) fn probe(&mut self, proxy: usize, to: ServerId) {
-        let server = host::server(to);
+        let server = host::server_index(to);
         self.tally.counts().probes += 1;
         self.next += 1;
         let (probe, epoch) = (self.next, self.hosts[proxy].epoch);
@@ -54,7 +54,7 @@
         self.deliver(
             proxy,
             Event::ProbeEnded {
-                server: store(server),
+                server: server_id(server),
                 ok,
                 elapsed,
                 report,
--- a/crates/proxy-experiments/src/play/proxies.rs
+++ b/crates/proxy-experiments/src/play/proxies.rs
@@ -89,7 +89,10 @@
                     proxy: None,
                 };
                 let after = self.hosts[proxy].index;
-                match self.network.one_way(self.spot(proxy), to, &mut self.network_draws) {
+                match self
+                    .network
+                    .one_way(self.spot(proxy), to, &mut self.network_draws)
+                {
                     Some(delay) => self.wheel.put(
                         now + delay,
                         Step::WatchRequest {
--- a/crates/proxy-experiments/src/results.rs
+++ b/crates/proxy-experiments/src/results.rs
@@ -150,7 +150,7 @@
                 .iter()
                 .map(|k| k.name.clone())
                 .collect(),
-            troubles: scenario.troubles.iter().map(trouble).collect(),
+            troubles: scenario.faults.iter().map(trouble).collect(),
         }
     }
 }
--- a/crates/proxy-experiments/src/scenario.rs
+++ b/crates/proxy-experiments/src/scenario.rs
@@ -145,7 +145,7 @@
     /// How goodput is weighted.
     pub weights: Weights,
     /// The faults.
-    pub troubles: Vec<ScheduledFault>,
+    pub faults: Vec<ScheduledFault>,
 }
 
 /// A time on the decision module's clock, where 0 stands for absent.
--- a/crates/proxy-experiments/src/trial.rs
+++ b/crates/proxy-experiments/src/trial.rs
@@ -3,7 +3,7 @@
 //! What a scenario says of the network is left to loopback; losses on it are played as they are on virtual time, by
 //! what is lost coming later.
 
-use crate::play::troubles::{rolling, struck, struck_proxies, LINGER};
+use crate::play::faults::{rolling, struck, struck_proxies, LINGER};
 use crate::scenario::{FaultKind, Scenario};
 use server_model::catalog;
 use server_model::site::{ServerFault, ServerIndex, Status};
@@ -80,12 +80,12 @@
     (setup.list, setup.platform, setup.seed) = (scenario.catalog, scenario.platform.clone(), seed);
     adjust(&mut setup);
     let testbed = Testbed::start(setup)?;
-    let troubles = scenario.troubles.iter().enumerate();
+    let troubles = scenario.faults.iter().enumerate();
     let mut agenda: BinaryHeap<_> = troubles
         .map(|(at, t)| Reverse((t.at, Step::Begins(at))))
         .collect();
     agenda.push(Reverse((0, Step::Glance)));
-    let struck = vec![Default::default(); scenario.troubles.len()];
+    let struck = vec![Default::default(); scenario.faults.len()];
     let mut director = Director {
         scenario,
         streams: Streams::new(seed),
@@ -147,7 +147,7 @@
         let Step::Begins(at) = step else {
             return Ok(None);
         };
-        Ok(Some(format!("{} begins", self.scenario.troubles[at].name)))
+        Ok(Some(format!("{} begins", self.scenario.faults[at].name)))
     }
 
     fn each(&self, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> ServerFault) {
@@ -158,7 +158,7 @@
 
     /// The servers that a trouble of slowness is of: all, if none is named.
     fn slowed(&self, at: usize) -> Vec<ServerIndex> {
-        match self.scenario.troubles[at].targets.is_empty() {
+        match self.scenario.faults[at].targets.is_empty() {
             true => self.testbed.history.lock().site.servers().collect(),
             false => self.struck[at].0.clone(),
         }
@@ -169,7 +169,7 @@
     }
 
     fn begins(&mut self, now: Micros, at: usize) {
-        let trouble = &self.scenario.troubles[at];
+        let trouble = &self.scenario.faults[at];
         let servers = struck(
             &self.testbed.history.lock().site,
             &trouble.targets,
@@ -229,7 +229,7 @@
     }
 
     fn over(&mut self, at: usize) -> Result<Option<String>, Fault> {
-        let trouble = &self.scenario.troubles[at];
+        let trouble = &self.scenario.faults[at];
         let (servers, proxies) = self.struck[at].clone();
         let history = self.testbed.history.clone();
         match trouble.what {
--- a/crates/proxy-experiments/src/write.rs
+++ b/crates/proxy-experiments/src/write.rs
@@ -271,7 +271,7 @@
         lines.push(("profile", points.collect::<Vec<_>>().join(" ")));
     }
     out.section("load asked", &lines);
-    for one in &scenario.troubles {
+    for one in &scenario.faults {
         trouble(&mut out, one, scenario);
     }
     let platform = &scenario.platform;
@@ -305,8 +305,8 @@
     if scenario.about.is_empty() {
         lines.remove(0);
     }
-    if !scenario.troubles.is_empty() {
-        let named = scenario.troubles.iter().map(|t| t.name.as_str()).collect();
+    if !scenario.faults.is_empty() {
+        let named = scenario.faults.iter().map(|t| t.name.as_str()).collect();
         lines.push(("troubles", names(named)));
     }
     out.section(&format!("scenario {}", scenario.name), &lines);
--- a/crates/proxy-experiments/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -38,7 +38,7 @@
     let talk = day.talk.as_mut().unwrap();
     // Few requests a proxy: that room is short is found by chance too often here.
     (talk.late, talk.lease, talk.short_least) = (300_000, 3 * SECOND, 1_000);
-    for trouble in &mut day.troubles {
+    for trouble in &mut day.faults {
         let surge = matches!(trouble.what, FaultKind::Surge(..));
         (trouble.at, trouble.span) = if surge { (23, 5) } else { (25, 3) };
         (trouble.at, trouble.span) = (trouble.at * SECOND, trouble.span * SECOND);
--- a/crates/proxy-experiments/tests/cold.rs
+++ b/crates/proxy-experiments/tests/cold.rs
@@ -24,7 +24,7 @@
     let clients = &mut day.clients;
     (clients.groups, clients.length, clients.requests_per_s) =
         (3, 10 * SECOND, clients.requests_per_s / 4.0);
-    (day.troubles[0].at, day.troubles[0].span) = (SECOND, 5 * SECOND);
+    (day.faults[0].at, day.faults[0].span) = (SECOND, 5 * SECOND);
     for (name, breaks) in [(Name::LeastOutstanding, true), (Name::Module, false)] {
         let outcomes = play(&day, &Policy::of(name), 1);
         let cold = Cold::of(&outcomes.cold);
--- a/crates/proxy-experiments/tests/files.rs
+++ b/crates/proxy-experiments/tests/files.rs
@@ -120,7 +120,7 @@
         "{}",
         found.small
     );
-    assert!(found.small.scenario.troubles.len() <= found.worst.scenario.troubles.len());
+    assert!(found.small.scenario.faults.len() <= found.worst.scenario.faults.len());
     let book = read(
         Path::new("a.conf"),
         &Memory::from([("a.conf", found.text.as_str())]),
--- a/crates/proxy-experiments/tests/quota.rs
+++ b/crates/proxy-experiments/tests/quota.rs
@@ -23,7 +23,7 @@
     (clients.groups, clients.length, clients.requests_per_s) =
         (3, 13 * SECOND, clients.requests_per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
-    day.troubles
+    day.faults
         .iter_mut()
         .for_each(|t| (t.at, t.span) = (2 * SECOND, 11 * SECOND));
     day
--- a/crates/proxy-experiments/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -32,7 +32,7 @@
     (clients.groups, clients.length, clients.requests_per_s) =
         (3, 7 * SECOND, clients.requests_per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
-    day.troubles[0].at = SECOND;
+    day.faults[0].at = SECOND;
     let trouble = |name: &str, at, what, targets| ScheduledFault {
         name: name.into(),
         at,
@@ -40,7 +40,7 @@
         what,
         targets,
     };
-    day.troubles.extend([
+    day.faults.extend([
         trouble("deaths", 2 * SECOND, FaultKind::Die, vec![Target::Place(1)]),
         trouble(
             "a proxy",
@@ -182,7 +182,7 @@
     let clients = &mut other.clients;
     let kinds = clients.classes.iter_mut().map(|k| &mut k.name);
     let tenants = clients.tenants.iter_mut().map(|t| &mut t.name);
-    let troubles = other.troubles.iter_mut().map(|t| &mut t.name);
+    let troubles = other.faults.iter_mut().map(|t| &mut t.name);
     let names = kinds
         .chain(tenants)
         .chain(troubles)
--- a/crates/proxy-experiments/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -234,7 +234,7 @@
         scenario.clients.groups = 1;
         scenario.catalog.late = SECOND;
         scenario.site.checks = rule != Rule::Stale;
-        scenario.troubles = match rule {
+        scenario.faults = match rule {
             Rule::Drained => vec![trouble(
                 SECOND,
                 5 * SECOND,
@@ -293,7 +293,7 @@
         (0, outcome.whole.refused + outcome.whole.failed)
     );
     let mut dead = short("calm");
-    dead.troubles = vec![trouble(0, 100 * SECOND, FaultKind::Die, vec![Target::All])];
+    dead.faults = vec![trouble(0, 100 * SECOND, FaultKind::Die, vec![Target::All])];
     let outcome = play(&dead, &Policy::of(Name::Module), 1);
     assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
     assert!(outcome.whole.served < outcome.whole.asked / 20);
@@ -303,7 +303,7 @@
     // Troubles at the end of time, and of what is not there.
     let mut far = short("calm");
     far.clients.length = SECOND;
-    far.troubles = vec![
+    far.faults = vec![
         trouble(u64::MAX - 5, u64::MAX, FaultKind::Hang, vec![Target::All]),
         trouble(
             0,
