--- a/crates/invariant-checkers/src/loans.rs
+++ b/crates/invariant-checkers/src/loans.rs
@@ -1,15 +1,15 @@
-//! The books of stands that borrow, from looks at each proxy's own figures.
+//! The loan accounts of tenants, from observations at each proxy's own figures.
 //!
-//! Looks are not simultaneous, so the line is checked for instants between two rounds of looks: at the end of a round a
-//! proxy owes at least what it had lent by its last look before, less all that had come back by its first look after.
-//! What is found is a breach for sure; what hides between two looks is not found.
+//! Looks are not simultaneous, so the line is checked for instants between two rounds of observations: at the end of a round a
+//! proxy owes at least what it had lent by its last observation before, less all that had come back by its first observation after.
+//! What is found is a breach for sure; what hides between two observations is not found.
 
 use crate::Breaches;
 use std::collections::BTreeMap;
 
-/// What a proxy says of a stand, in thousandths of a request. All of it is from one instant of that proxy.
+/// What a proxy says of a tenant, in thousandths of a request. All of it is from one instant of that proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Book {
+pub struct LoanAccount {
     /// Lent to the tenant so far.
     pub lent: u64,
     /// Repaid by the tenant so far.
@@ -20,7 +20,7 @@
     pub owed: u64,
     /// Of the line, what the proxy may lend alone. It moves by gifts: no rule goes by it.
     pub part: u64,
-    /// What all proxies together may have lent, as this one knows it; 0: it lends nothing to the stand.
+    /// What all proxies together may have lent, as this one knows it; 0: it lends nothing to the tenant.
     pub line: u64,
 }
 
@@ -28,53 +28,55 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Breach {
     /// The accounts of one proxy do not add up.
-    #[error("{proxy} on {stand}: lent is not repaid, owed and written off together in {book:?}")]
+    #[error(
+        "{proxy} on {tenant}: lent is not repaid, owed and written off together in {account:?}"
+    )]
     Unbalanced {
         /// The proxy's name.
         proxy: String,
         /// The tenant's name.
-        stand: String,
+        tenant: String,
         /// Its accounts as it showed them.
-        book: Book,
+        account: LoanAccount,
     },
     #[error(
-        "{stand} owes at least {owed} thousandths of a request over all proxies, beyond the line of {line}"
+        "{tenant} owes at least {owed} thousandths of a request over all proxies, beyond the line of {line}"
     )]
     /// More is owed over the whole fleet than the credit limit allows, in thousandths of a request.
-    LinePassed {
+    CreditLimitExceeded {
         /// The tenant's name.
-        stand: String,
+        tenant: String,
         /// Owed at the least, over all proxies.
         owed: u64,
         /// The credit limit.
         line: u64,
     },
     /// A count that can only grow has shrunk.
-    #[error("{proxy} on {stand}: a count shrank from {was:?} to {is:?}")]
-    Backwards {
+    #[error("{proxy} on {tenant}: a count shrank from {was:?} to {is:?}")]
+    CountShrank {
         /// The proxy's name.
         proxy: String,
         /// The tenant's name.
-        stand: String,
+        tenant: String,
         /// Its accounts before.
-        was: Book,
+        was: LoanAccount,
         /// Its accounts now.
-        is: Book,
+        is: LoanAccount,
     },
 }
 
 #[derive(Clone, Debug)]
 struct Known {
     start: u64,
-    /// What does not count: of a later start that has its file, what stood in its book at its first look. A file may say
+    /// What does not count: of a later start that has its file, what stood in its account at its first observation. A file may say
     /// more lent and less repaid than was.
-    base: Book,
-    /// The last look before the end of the former round; none: this start was first seen in this one.
-    before: Option<Book>,
-    /// The first look of this round.
-    after: Option<Book>,
-    last: Book,
-    /// What it may have got back since its last look, if it is dead.
+    base: LoanAccount,
+    /// The last observation before the end of the former round; none: this start was first seen in this one.
+    before: Option<LoanAccount>,
+    /// The first observation of this round.
+    after: Option<LoanAccount>,
+    last: LoanAccount,
+    /// What it may have got back since its last observation, if it is dead.
     dead: Option<u64>,
     /// What it lent is over, and it has not been seen since.
     gone: bool,
@@ -107,15 +109,15 @@
         Some(self.left.saturating_add(after.lent.saturating_sub(back)))
     }
 
-    /// The line that it goes by at the most, over both looks.
+    /// The line that it goes by at the most, over both observations.
     fn line(&self) -> u64 {
-        let of = |book: &Option<Book>| book.map_or(0, |book| book.line);
+        let of = |account: &Option<LoanAccount>| account.map_or(0, |account| account.line);
         of(&self.before).max(of(&self.after)).max(self.last.line)
     }
 }
 
-fn least(base: &Book, before: &Book, after: &Book) -> u64 {
-    let back = |book: &Book| book.repaid.saturating_add(book.written_off);
+fn least(base: &LoanAccount, before: &LoanAccount, after: &LoanAccount) -> u64 {
+    let back = |account: &LoanAccount| account.repaid.saturating_add(account.written_off);
     before
         .lent
         .saturating_sub(base.lent)
@@ -133,8 +135,8 @@
     joined: bool,
 }
 
-/// A round is a look at each living proxy, then [`Checker::round`]. It is made before any proxy has started a second
-/// time, since what the first start of each says was lent counts as lent, and a line stands until a whole round has seen
+/// A round is an observation at each living proxy, then [`Checker::round`]. It is made before any proxy has started a second
+/// time, since what the first start of each says was lent counts as lent, and a line tenants until a whole round has seen
 /// it: loans under one that nobody saw would pass for a breach.
 #[derive(Clone, Debug)]
 pub struct Checker {
@@ -160,47 +162,51 @@
     }
 
     /// `start`: a number of the process that differs from that of any other start of the proxy.
-    pub fn look(&mut self, proxy: &str, start: u64, stand: &str, book: Book) {
-        let named = || (proxy.to_owned(), stand.to_owned());
-        let sum = [book.repaid, book.owed, book.written_off]
+    pub fn observe(&mut self, proxy: &str, start: u64, tenant: &str, account: LoanAccount) {
+        let named = || (proxy.to_owned(), tenant.to_owned());
+        let sum = [account.repaid, account.owed, account.written_off]
             .map(u128::from)
             .iter()
             .sum();
-        if u128::from(book.lent) != sum {
-            let (proxy, stand) = named();
-            self.broken.add(Breach::Unbalanced { proxy, stand, book });
+        if u128::from(account.lent) != sum {
+            let (proxy, tenant) = named();
+            self.broken.add(Breach::Unbalanced {
+                proxy,
+                tenant,
+                account,
+            });
         }
-        let books = self.books.entry(stand.to_owned()).or_default();
+        let books = self.books.entry(tenant.to_owned()).or_default();
         let former = books.get_mut(proxy);
         if let Some(known) = former.filter(|known| known.start == start) {
             let was = known.last;
-            let counts = |b: &Book| [b.lent, b.repaid, b.written_off];
-            if counts(&book)
+            let counts = |b: &LoanAccount| [b.lent, b.repaid, b.written_off];
+            if counts(&account)
                 .iter()
                 .zip(counts(&was))
                 .any(|(is, was)| *is < was)
             {
-                let (proxy, stand) = named();
-                self.broken.add(Breach::Backwards {
+                let (proxy, tenant) = named();
+                self.broken.add(Breach::CountShrank {
                     proxy,
-                    stand,
+                    tenant,
                     was,
-                    is: book,
+                    is: account,
                 });
             }
-            known.after.get_or_insert(book);
-            (known.last, known.dead, known.gone) = (book, None, false);
+            known.after.get_or_insert(account);
+            (known.last, known.dead, known.gone) = (account, None, false);
             return;
         }
         let former = books.get(proxy);
-        // A file says at least as much lent as any look did. One that says less began without it: all that it lent is
+        // A file says at least as much lent as any observation did. One that says less began without it: all that it lent is
         // its own, and what the former start left is owed beside it. What a former start owed is otherwise not counted
-        // on: it may have been repaid since its last look, and its room given away.
-        let forgot = former.is_some_and(|former| book.lent < former.last.lent);
+        // on: it may have been repaid since its last observation, and its room given away.
+        let forgot = former.is_some_and(|former| account.lent < former.last.lent);
         let base = if former.is_none() || forgot {
-            Book::default()
+            LoanAccount::default()
         } else {
-            book
+            account
         };
         let left = former.map_or(0, |former| former.left);
         let leaves = former.map_or(0, |former| {
@@ -212,21 +218,21 @@
             start,
             base,
             before: None,
-            after: Some(book),
-            last: book,
+            after: Some(account),
+            last: account,
             dead: None,
             gone: false,
             left,
             leaves,
         };
         books.insert(proxy.to_owned(), known);
-        self.lines.entry(stand.to_owned()).or_default().joined = true;
+        self.lines.entry(tenant.to_owned()).or_default().joined = true;
     }
 
     /// It has died, and what it owed stays owed. `repaid`: the most that it can have got back or written off of any one
-    /// stand since its last look, such as the quota over that time. It holds until its next start is looked at, which
+    /// stand since its last observation, such as the quota over that time. It holds until its next start is looked at, which
     /// has to be before the next round, or until [`Checker::forget`].
-    pub fn dead(&mut self, proxy: &str, repaid: u64) {
+    pub fn proxy_died(&mut self, proxy: &str, repaid: u64) {
         for known in self
             .books
             .values_mut()
@@ -245,7 +251,7 @@
         {
             (known.left, known.leaves) = (0, 0);
             if known.dead.take().is_some() {
-                // Should it come back, its book tells of them still.
+                // Should it come back, its account tells of them still.
                 (known.base, known.before, known.after, known.gone) =
                     (known.last, None, None, true);
             }
@@ -253,9 +259,9 @@
     }
 
     /// All have been looked at once more.
-    pub fn round(&mut self) {
-        for (stand, books) in &mut self.books {
-            let line = self.lines.entry(stand.clone()).or_default();
+    pub fn end_round(&mut self) {
+        for (tenant, books) in &mut self.books {
+            let line = self.lines.entry(tenant.clone()).or_default();
             let there = || books.values().filter(|known| !known.gone);
             let seen = there().filter(|known| known.after.is_some());
             let smallest = seen
@@ -282,8 +288,8 @@
             }
             let owed = there().fold(0, |sum: u64, known| sum.saturating_add(known.least()));
             if owed > line.binds {
-                self.broken.add(Breach::LinePassed {
-                    stand: stand.clone(),
+                self.broken.add(Breach::CreditLimitExceeded {
+                    tenant: tenant.clone(),
                     owed,
                     line: line.binds,
                 });
--- a/crates/invariant-checkers/src/versions.rs
+++ b/crates/invariant-checkers/src/versions.rs
@@ -1,6 +1,6 @@
-//! Rollouts of new versions over a fleet, from looks at what each proxy is to run.
+//! Rollouts of new versions over a fleet, from observations at what each proxy is to run.
 //!
-//! What is found is a breach for sure, as far as is said at each rule; what hides between two looks is not found.
+//! What is found is a breach for sure, as far as is said at each rule; what hides between two observations is not found.
 
 use crate::Breaches;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
 
 /// What a proxy says of itself at one instant.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct Observation {
     /// Differs from that of any other start of the proxy.
     pub start: u64,
     /// Of the proposal that it goes by; 0: none.
@@ -71,18 +71,18 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    last: Look,
+    last: Observation,
     at: Duration,
-    /// The last look before the end of the former round, and the first of this one.
-    before: Option<Look>,
-    after: Option<Look>,
+    /// The last observation before the end of the former round, and the first of this one.
+    before: Option<Observation>,
+    after: Option<Observation>,
     /// Since when it was seen to know of a halt.
     halted: BTreeMap<Version, Duration>,
     /// It has run nothing of an epoch beyond the first number, as long as its moves are the second.
     idle: Option<(u64, u64)>,
     /// A start that was not seen from its begin may have run anything before.
     restarted: bool,
-    /// The round of its last look.
+    /// The round of its last observation.
     round: u64,
 }
 
@@ -94,7 +94,7 @@
             .map(|(_, since)| *since)
     }
 
-    fn new(look: &Look, at: Duration, restarted: bool) -> Known {
+    fn new(look: &Observation, at: Duration, restarted: bool) -> Known {
         let (halted, idle) = (BTreeMap::new(), None);
         let (before, after) = (None, Some(look.clone()));
         Known {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn sees(&mut self, look: Look, at: Duration, round: u64) {
+    fn sees(&mut self, look: Observation, at: Duration, round: u64) {
         for version in &look.halted {
             self.halted.entry(version.clone()).or_insert(at);
         }
@@ -135,7 +135,7 @@
     }
 }
 
-/// A round is a look at each living proxy, then [`Checker::round`].
+/// A round is an observation at each living proxy, then [`Checker::round`].
 #[derive(Clone, Debug)]
 pub struct Checker {
     /// Regions in their order, with all of their proxies.
@@ -166,7 +166,7 @@
     }
 
     /// Takes in what a proxy says of itself at `now`.
-    pub fn look(&mut self, now: Duration, proxy: &str, look: Look) {
+    pub fn observe(&mut self, now: Duration, proxy: &str, look: Observation) {
         if look.whole {
             self.whole.insert(look.epoch);
             while self.whole.len() > REMEMBERED {
@@ -206,7 +206,7 @@
 
     /// It was seen to know of the halt itself, in this life; or all others did so long ago that no vote can have moved
     /// it, and it began since. One that ran it before and hears nobody goes on until it notes that, which is no breach.
-    fn halted(&self, proxy: &str, look: &Look, version: &Version) -> bool {
+    fn halted(&self, proxy: &str, look: &Observation, version: &Version) -> bool {
         let Some(known) = self
             .known
             .get(proxy)
@@ -229,7 +229,7 @@
     }
 
     /// All have been looked at once more.
-    pub fn round(&mut self) {
+    pub fn end_round(&mut self) {
         let mut running = BTreeMap::new();
         for (proxy, known) in &mut self.known {
             if let Some(version) = known
--- a/crates/invariant-checkers/tests/loans.rs
+++ b/crates/invariant-checkers/tests/loans.rs
@@ -1,10 +1,10 @@
 //! Each rule of loans is broken once and found; skewed looks at a history that keeps the line find nothing.
 
-use invariant_checkers::loans::{Book, Breach, Checker};
+use invariant_checkers::loans::{Breach, Checker, LoanAccount};
 use proptest::prelude::*;
 
-fn book(lent: u64, repaid: u64, written_off: u64, line: u64) -> Book {
-    Book {
+fn book(lent: u64, repaid: u64, written_off: u64, line: u64) -> LoanAccount {
+    LoanAccount {
         lent,
         repaid,
         written_off,
@@ -15,18 +15,18 @@
 }
 
 /// Rounds of looks at a, b and so on, in their first starts, each after the word that goes with it.
-fn rounds(checker: &mut Checker, rounds: &[&[Book]]) {
+fn rounds(checker: &mut Checker, rounds: &[&[LoanAccount]]) {
     for round in rounds {
         for (proxy, book) in ["a", "b"].iter().zip(*round) {
-            checker.look(proxy, 1, "bus", *book);
+            checker.observe(proxy, 1, "bus", *book);
         }
-        checker.round();
+        checker.end_round();
     }
 }
 
 fn passed(checker: &Checker) -> Option<(u64, u64)> {
     checker.broken.first.iter().find_map(|breach| match breach {
-        Breach::LinePassed { owed, line, .. } => Some((*owed, *line)),
+        Breach::CreditLimitExceeded { owed, line, .. } => Some((*owed, *line)),
         _ => None,
     })
 }
@@ -36,7 +36,7 @@
     let mut checker = Checker::new(None);
     rounds(
         &mut checker,
-        &[&[Book {
+        &[&[LoanAccount {
             owed: 4,
             ..book(10, 5, 0, 100)
         }]],
@@ -59,13 +59,13 @@
         let mut checker = Checker::new(None);
         rounds(&mut checker, &[&[was], &[is]]);
         assert!(
-            matches!(checker.broken.first[..], [Breach::Backwards { .. }]),
+            matches!(checker.broken.first[..], [Breach::CountShrank { .. }]),
             "{:?}",
             checker.broken
         );
         let mut checker = Checker::new(None);
         rounds(&mut checker, &[&[was]]);
-        checker.look("a", 2, "bus", is);
+        checker.observe("a", 2, "bus", is);
         assert_eq!(checker.broken.count, 0);
     }
 }
@@ -81,7 +81,10 @@
 #[test]
 fn a_smaller_line_binds_once_all_have_heard_of_it_and_old_loans_are_back() {
     let (a, b) = (book(60, 0, 0, 100), book(40, 0, 0, 100));
-    let (low, back) = (|b: Book| Book { line: 50, ..b }, book(60, 50, 0, 100));
+    let (low, back) = (
+        |b: LoanAccount| LoanAccount { line: 50, ..b },
+        book(60, 50, 0, 100),
+    );
     let mut checker = Checker::new(Some(1));
     rounds(
         &mut checker,
@@ -109,11 +112,11 @@
     let dead = |repaid: u64, then: fn(&mut Checker)| {
         let mut checker = Checker::new(None);
         rounds(&mut checker, &[&[a, book(20, 0, 0, 100)]]);
-        checker.dead("a", repaid);
+        checker.proxy_died("a", repaid);
         then(&mut checker);
         for _ in 0..2 {
-            checker.look("b", 1, "bus", b);
-            checker.round();
+            checker.observe("b", 1, "bus", b);
+            checker.end_round();
         }
         passed(&checker)
     };
@@ -121,7 +124,7 @@
     assert_eq!(dead(11, |_| ()), None);
     assert_eq!(dead(0, |checker| checker.forget("a")), None);
     assert_eq!(
-        dead(0, |checker| checker.look(
+        dead(0, |checker| checker.observe(
             "a",
             2,
             "bus",
@@ -130,7 +133,12 @@
         None
     );
     assert_eq!(
-        dead(0, |checker| checker.look("a", 2, "bus", book(0, 0, 0, 100))),
+        dead(0, |checker| checker.observe(
+            "a",
+            2,
+            "bus",
+            book(0, 0, 0, 100)
+        )),
         Some((111, 100))
     );
 }
@@ -163,7 +171,7 @@
 /// A proxy as it is, and what of its former starts is owed beside its book.
 #[derive(Clone, Copy, Debug)]
 struct Proxy {
-    book: Book,
+    book: LoanAccount,
     start: u64,
     dead: bool,
     left: u64,
@@ -176,11 +184,11 @@
 impl Proxy {
     fn looked(&mut self, checker: &mut Checker, at: usize, line: u64) {
         if !self.dead {
-            checker.look(
+            checker.observe(
                 &at.to_string(),
                 self.start,
                 "bus",
-                Book { line, ..self.book },
+                LoanAccount { line, ..self.book },
             );
             self.returned = 0;
         }
@@ -222,7 +230,7 @@
                 Step::Line(n) if whole > 1 => (line, whole) = (n, 0),
                 Step::Die(at) if !proxies[at].dead => {
                     proxies[at].dead = true;
-                    checker.dead(&at.to_string(), proxies[at].returned);
+                    checker.proxy_died(&at.to_string(), proxies[at].returned);
                 }
                 Step::Start(at, file, n) if proxies[at].dead => {
                     let proxy = &mut proxies[at];
@@ -247,7 +255,7 @@
                     proxies[next].looked(&mut checker, next, line);
                     next = (next + 1) % 3;
                     if next == 0 {
-                        checker.round();
+                        checker.end_round();
                         whole += 1;
                     }
                 }
--- a/crates/invariant-checkers/tests/versions.rs
+++ b/crates/invariant-checkers/tests/versions.rs
@@ -1,6 +1,6 @@
 //! Each rule of rollouts is broken once and found, and what only looks like it is not.
 
-use invariant_checkers::versions::{Breach, Checker, Look, Version};
+use invariant_checkers::versions::{Breach, Checker, Observation, Version};
 use std::time::Duration;
 
 fn version(epoch: u64) -> Version {
@@ -8,9 +8,9 @@
 }
 
 /// Of a proxy in its first start.
-fn look(epoch: u64, new: bool, moves: u64) -> Look {
+fn look(epoch: u64, new: bool, moves: u64) -> Observation {
     let runs = new.then(|| version(epoch));
-    Look {
+    Observation {
         start: 1,
         epoch,
         runs,
@@ -20,15 +20,15 @@
     }
 }
 
-fn halted(epoch: u64) -> Look {
-    Look {
+fn halted(epoch: u64) -> Observation {
+    Observation {
         halted: vec![version(epoch)],
         ..look(epoch, false, 0)
     }
 }
 
 /// Rounds a second apart over a, then b in the next region; votes last for two.
-fn after(rounds: &[[Look; 2]]) -> Vec<Breach> {
+fn after(rounds: &[[Observation; 2]]) -> Vec<Breach> {
     let region = |region: &str, proxy: &str| (region.to_owned(), vec![proxy.to_owned()]);
     let mut checker = Checker::new(
         vec![region("east", "a"), region("west", "b")],
@@ -36,9 +36,9 @@
     );
     for (second, round) in (0..).zip(rounds) {
         for (proxy, look) in ["a", "b"].into_iter().zip(round) {
-            checker.look(Duration::from_secs(second), proxy, look.clone());
+            checker.observe(Duration::from_secs(second), proxy, look.clone());
         }
-        checker.round();
+        checker.end_round();
     }
     checker.broken.first
 }
@@ -55,7 +55,7 @@
     );
     let whole = || {
         [
-            Look {
+            Observation {
                 whole: true,
                 ..look(1, true, 1)
             },
@@ -64,7 +64,7 @@
     };
     let apart = || [look(1, true, 2), look(2, true, 1)];
     let file = || {
-        round().map(|l| Look {
+        round().map(|l| Observation {
             runs: l.runs.map(|v| Version {
                 hash: Some("f".into()),
                 ..v
@@ -96,7 +96,7 @@
         [halted(1), idle()],
         [look(1, true, 1), idle()]
     ])));
-    let again = Look {
+    let again = Observation {
         start: 2,
         ..look(1, true, 1)
     };
@@ -141,7 +141,7 @@
     let between = || [look(1, false, 2), look(1, true, 1)];
     let anew = || {
         [
-            Look {
+            Observation {
                 start: 2,
                 ..look(1, false, 0)
             },
--- a/crates/testbed/tests/common/loans.rs
+++ b/crates/testbed/tests/common/loans.rs
@@ -139,7 +139,7 @@
         let looked = Instant::now();
         self.testbed.kill(proxy);
         let since = looked.elapsed().as_millis() as u64;
-        self.checker.dead(&format!("n{proxy}"), QUOTA * since);
+        self.checker.proxy_died(&format!("n{proxy}"), QUOTA * since);
         self.looked.retain(|looked| *looked != proxy);
     }
 
