--- a/crates/incidents/src/balancer.rs
+++ b/crates/incidents/src/balancer.rs
@@ -8,7 +8,7 @@
 
 /// The health protocol that a balancer uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speaks {
+pub enum HealthProtocol {
     /// HAProxy's agent check.
     Agent,
     /// `disable_on_404`: a 404 puts a server into drain and is no failure.
@@ -24,7 +24,7 @@
     /// Its name in reports.
     pub name: &'static str,
     /// The protocol of its checks.
-    pub speaks: Speaks,
+    pub protocol: HealthProtocol,
     /// Time between two checks of one server.
     pub interval: Duration,
     /// Good checks in a row after which a server is up.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Balancer {
     /// How it checks.
-    pub set: Settings,
+    pub settings: Settings,
     /// The proxies, as it sees them.
     pub servers: Vec<Server>,
 }
@@ -67,7 +67,7 @@
 
 impl Balancer {
     /// The first checks of its servers are spread over an interval.
-    pub fn new(set: Settings, servers: usize) -> Balancer {
+    pub fn new(settings: Settings, servers: usize) -> Balancer {
         let server = |at: usize| Server {
             up: true,
             drained: false,
@@ -75,10 +75,10 @@
             weight: 100,
             good: 0,
             bad: 0,
-            next: set.interval * at as u32 / servers as u32,
+            next: settings.interval * at as u32 / servers as u32,
         };
         Balancer {
-            set,
+            settings,
             servers: (0..servers).map(server).collect(),
         }
     }
@@ -90,28 +90,28 @@
 
     /// A check of a server, with what the server would answer; none: it says nothing.
     pub fn check(&mut self, at: usize, status: Option<&Status>, now: Time) {
-        let set = self.set;
+        let settings = self.settings;
         let server = &mut self.servers[at];
-        server.next = now + set.interval;
-        match set.speaks {
+        server.next = now + settings.interval;
+        match settings.protocol {
             // An agent that can't be reached changes nothing: that is what the checks beside it are for.
-            Speaks::Agent => {
+            HealthProtocol::Agent => {
                 if let Some(status) = status {
                     server.agent(&agent::line(status));
                 }
             }
-            Speaks::Http { disable_on_404 } => {
+            HealthProtocol::Http { disable_on_404 } => {
                 let code = status.map(|status| code(status, disable_on_404));
                 match code {
                     Some(200..=399) => {
                         server.drained = false;
-                        server.counted(true, set);
+                        server.counted(true, settings);
                     }
                     Some(404) if disable_on_404 && server.up => {
                         server.drained = true;
-                        server.counted(true, set);
+                        server.counted(true, settings);
                     }
-                    _ => server.counted(false, set),
+                    _ => server.counted(false, settings),
                 }
             }
         }
@@ -186,13 +186,13 @@
         }
     }
 
-    fn counted(&mut self, good: bool, set: Settings) {
+    fn counted(&mut self, good: bool, settings: Settings) {
         if good {
             (self.good, self.bad) = (self.good + 1, 0);
-            self.up |= self.good >= set.rise;
+            self.up |= self.good >= settings.rise;
         } else {
             (self.good, self.bad) = (0, self.bad + 1);
-            self.up &= self.bad < set.fall;
+            self.up &= self.bad < settings.fall;
         }
     }
 
--- a/crates/incidents/src/chart.rs
+++ b/crates/incidents/src/chart.rs
@@ -1,6 +1,6 @@
 //! A time-line as a chart: the weights that proxies told, and what a balancer believed, over the true trouble.
 
-use crate::play::Outcome;
+use crate::outcome::Outcome;
 use crate::script::Incident;
 use plotters::prelude::*;
 
@@ -35,8 +35,8 @@
             .y_desc("weight")
             .draw()?;
         let (from, to) = (
-            incident.trouble.0.as_secs_f64(),
-            incident.trouble.1.as_secs_f64(),
+            incident.fault_window.0.as_secs_f64(),
+            incident.fault_window.1.as_secs_f64(),
         );
         let band = Rectangle::new(
             [(from, 0.0), (to, 105.0)],
--- a/crates/incidents/src/lib.rs
+++ b/crates/incidents/src/lib.rs
@@ -4,7 +4,9 @@
 
 pub mod balancer;
 pub mod chart;
+pub mod outcome;
 pub mod play;
+mod proxy;
 pub mod script;
 pub mod world;
 
--- a/crates/incidents/src/main.rs
+++ b/crates/incidents/src/main.rs
@@ -40,23 +40,23 @@
             "| [{0}]({0}.svg) | {1} | {2} / {3} | {4} | {5} | {6} of {7} | {8} | {9:.1}% | {10} | {11} |\n",
             incident.name,
             incident.about,
-            ms(outcome.first_told),
-            ms(outcome.last_told),
+            ms(outcome.first_report_delay),
+            ms(outcome.last_report_delay),
             outcome.worst_condition.map_or("-", |c| c.name()),
             outcome.false_downs,
-            outcome.least_sum,
+            outcome.least_weight_sum,
             100 * (incident.proxies - incident.may_be_out.len()),
             outcome.flaps,
-            outcome.served as f64 * 100.0 / outcome.asked.max(1) as f64,
-            outcome.nowhere,
-            outcome.closed_door,
+            outcome.served as f64 * 100.0 / outcome.requests.max(1) as f64,
+            outcome.no_proxy_available,
+            outcome.not_listening,
         ));
         std::fs::write(
             folder.join(format!("{}.svg", incident.name)),
             chart::svg(&incident, &outcome)?,
         )?;
         let mut rows: Vec<(std::time::Duration, usize, String)> = outcome
-            .told
+            .state_changes
             .iter()
             .map(|t| (t.at, t.proxy, t.state.name().to_owned()))
             .collect();
--- a/crates/incidents/src/script.rs
+++ b/crates/incidents/src/script.rs
@@ -1,6 +1,6 @@
 //! Incidents: what goes wrong, when, and what of it is true of which proxy.
 
-use crate::balancer::{Settings, Speaks};
+use crate::balancer::{HealthProtocol, Settings};
 use crate::Time;
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
     /// Number of groups.
     pub groups: u32,
     /// Requests a second, to all proxies together.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// How long it is played.
     pub length: Duration,
     /// What changes, in the order of time.
@@ -72,7 +72,7 @@
     /// The balancers in front of the proxies.
     pub balancers: Vec<Settings>,
     /// When the trouble is there, and which proxies may truly be told to be out of service meanwhile.
-    pub trouble: (Time, Time),
+    pub fault_window: (Time, Time),
     /// Proxies that may be reported out of service during the fault.
     pub may_be_out: Vec<usize>,
 }
@@ -82,7 +82,7 @@
 fn agent(interval_ms: u64) -> Settings {
     Settings {
         name: "agent",
-        speaks: Speaks::Agent,
+        protocol: HealthProtocol::Agent,
         interval: Duration::from_millis(interval_ms),
         rise: 2,
         fall: 3,
@@ -92,7 +92,7 @@
 fn http(interval_ms: u64, disable_on_404: bool) -> Settings {
     Settings {
         name: "http",
-        speaks: Speaks::Http { disable_on_404 },
+        protocol: HealthProtocol::Http { disable_on_404 },
         interval: Duration::from_millis(interval_ms),
         rise: 2,
         fall: 3,
@@ -106,14 +106,14 @@
         about: "",
         proxies: 3,
         groups: 4,
-        per_s: 240.0,
+        requests_per_s: 240.0,
         length: 90 * S,
         changes: Vec::new(),
         balancers: vec![agent(1_000), http(2_000, true)],
-        trouble: (30 * S, 60 * S),
+        fault_window: (30 * S, 60 * S),
         may_be_out: Vec::new(),
     };
-    let (from, to) = base.trouble;
+    let (from, to) = base.fault_window;
     let usual = Servers::Answer(1.0);
     let flaps = (0..30).map(|n| {
         let what = if n % 2 == 0 { Servers::Dead } else { usual };
@@ -127,7 +127,7 @@
                 (from, Change::Group(1, Servers::NoPrimary)),
                 (from + 5 * S, Change::Group(1, usual)),
             ],
-            trouble: (from, from + 5 * S),
+            fault_window: (from, from + 5 * S),
             ..base.clone()
         },
         Incident {
@@ -197,7 +197,7 @@
             name: "stall",
             about: "one proxy stands still for 4 s, as after a jump of its machine's clock",
             changes: vec![(from, Change::Stall(0, 4 * S))],
-            trouble: (from, from + 4 * S),
+            fault_window: (from, from + 4 * S),
             may_be_out: vec![0],
             ..base.clone()
         },
--- a/crates/incidents/tests/incidents.rs
+++ b/crates/incidents/tests/incidents.rs
@@ -2,7 +2,8 @@
 
 use availability::Link;
 use incidents::balancer::Server;
-use incidents::play::{play, Outcome};
+use incidents::outcome::Outcome;
+use incidents::play::play;
 use incidents::script::{all, Incident};
 use std::time::Duration;
 
@@ -19,7 +20,7 @@
     for incident in all() {
         for outcome in seeds(&incident) {
             assert_eq!(outcome.false_downs, 0, "{}", incident.name);
-            assert_eq!(outcome.nowhere, 0, "{}", incident.name);
+            assert_eq!(outcome.no_proxy_available, 0, "{}", incident.name);
         }
     }
 }
@@ -32,9 +33,9 @@
         let counted = incident.proxies - incident.may_be_out.len();
         for outcome in seeds(&incident) {
             assert!(
-                outcome.least_sum >= 50 * counted as u32,
+                outcome.least_weight_sum >= 50 * counted as u32,
                 "{name}: {}",
-                outcome.least_sum
+                outcome.least_weight_sum
             );
         }
     }
@@ -45,19 +46,23 @@
     for name in ["group-hung", "group-dead", "all-dead"] {
         for outcome in seeds(&incident(name)) {
             assert!(
-                outcome.last_told <= Some(Duration::from_secs(1)),
+                outcome.last_report_delay <= Some(Duration::from_secs(1)),
                 "{name}: {:?}",
-                outcome.last_told
+                outcome.last_report_delay
             );
             // The other groups' traffic goes on: three of four, and the time before and after.
             if name != "all-dead" {
                 assert!(
-                    outcome.served * 100 > outcome.asked * 88,
+                    outcome.served * 100 > outcome.requests * 88,
                     "{name}: {} of {}",
                     outcome.served,
-                    outcome.asked
+                    outcome.requests
+                );
+                assert!(
+                    outcome.least_weight_sum >= 240,
+                    "{name}: {}",
+                    outcome.least_weight_sum
                 );
-                assert!(outcome.least_sum >= 240, "{name}: {}", outcome.least_sum);
             }
         }
     }
@@ -67,11 +72,11 @@
 fn a_drain_shows_at_once_and_no_client_finds_the_door_closed() {
     for name in ["two-intervals", "drain-in-overload"] {
         for outcome in seeds(&incident(name)) {
-            assert_eq!(outcome.closed_door, 0, "{name}");
+            assert_eq!(outcome.not_listening, 0, "{name}");
             assert!(
-                outcome.first_told <= Some(Duration::from_millis(5)),
+                outcome.first_report_delay <= Some(Duration::from_millis(5)),
                 "{name}: {:?}",
-                outcome.first_told
+                outcome.first_report_delay
             );
         }
     }
@@ -94,7 +99,10 @@
 #[test]
 fn a_proxy_that_serves_without_discovery_is_not_told_of() {
     for outcome in seeds(&incident("no-discovery")) {
-        assert_eq!((outcome.first_told, outcome.least_sum), (None, 300));
+        assert_eq!(
+            (outcome.first_report_delay, outcome.least_weight_sum),
+            (None, 300)
+        );
     }
 }
 
@@ -122,7 +130,10 @@
 #[test]
 fn incidents_are_played_the_same_again() {
     let incident = incident("flapping");
-    assert_eq!(play(&incident, 9).told, play(&incident, 9).told);
+    assert_eq!(
+        play(&incident, 9).state_changes,
+        play(&incident, 9).state_changes
+    );
 }
 
 /// The stand-in keeps the two states of the protocol apart: `up` after `drain` is still a drain.
@@ -164,11 +175,12 @@
                 .find(|(.., l)| *l == link)
                 .map(|(at, ..)| *at)
         };
-        let cut = when(Link::Cut).unwrap() - incident.trouble.0;
+        let cut = when(Link::Cut).unwrap() - incident.fault_window.0;
         assert!(cut <= Duration::from_millis(1_500), "{cut:?}");
         let up = when(Link::Up).unwrap();
         assert!(
-            (incident.trouble.1..incident.trouble.1 + Duration::from_secs(3)).contains(&up),
+            (incident.fault_window.1..incident.fault_window.1 + Duration::from_secs(3))
+                .contains(&up),
             "{up:?}"
         );
         let middle = outcome
@@ -205,7 +217,11 @@
                 "{name}: {:?}",
                 outcome.links
             );
-            assert!(outcome.least_sum >= 150, "{name}: {}", outcome.least_sum);
+            assert!(
+                outcome.least_weight_sum >= 150,
+                "{name}: {}",
+                outcome.least_weight_sum
+            );
             let dead = outcome
                 .links
                 .iter()
@@ -232,13 +248,17 @@
                 .iter()
                 .find(|(_, p, _, link)| (*p, *link) == (proxy, Link::Cut))
                 .unwrap();
-            let after = cut.0 - incident.trouble.0;
+            let after = cut.0 - incident.fault_window.0;
             assert!(
                 (Duration::from_secs(10)..Duration::from_secs(14)).contains(&after),
                 "{after:?}"
             );
         }
-        assert!(outcome.least_sum >= 75, "{}", outcome.least_sum);
+        assert!(
+            outcome.least_weight_sum >= 75,
+            "{}",
+            outcome.least_weight_sum
+        );
         assert_eq!(outcome.samples.last().unwrap().weights, vec![100; 3]);
     }
 }
