--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -15,163 +15,257 @@
 /// Steps of virtual time.
 const STEP: Duration = Duration::from_millis(5);
 
+/// Interval of the samples of states and beliefs, in milliseconds.
+const SAMPLE_INTERVAL_MS: u128 = 100;
+
 /// The same incident and seed, the same outcome.
 pub fn play(incident: &Incident, seed: u64) -> Outcome {
-    let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = World::new(incident.groups, incident.proxies);
-    let mut proxies: Vec<Proxy> = (0..incident.proxies)
-        .map(|_| Proxy::new(incident, &world))
-        .collect();
-    let mut balancers: Vec<Balancer> = incident
-        .balancers
-        .iter()
-        .map(|set| Balancer::new(*set, incident.proxies))
-        .collect();
-    let mut demand = 1.0;
-    let mut outcome = Outcome {
-        least_weight_sum: 100 * incident.proxies as u32,
-        ..Outcome::default()
-    };
-    let mut states: Vec<State> = proxies.iter().map(|p| p.model.report().state).collect();
-    let mut told_by = vec![false; incident.proxies];
-    let (mut now, mut next_change, mut owed, mut number) = (Time::ZERO, 0, 0.0, 0);
-    let mut changes = incident.changes.clone();
-    changes.sort_by_key(|(at, _)| *at);
-    while now < incident.length {
-        now += STEP;
-        while let Some((_, change)) = changes.get(next_change).filter(|(at, _)| *at <= now) {
-            apply(*change, &mut world, &mut demand, &mut proxies, now);
-            next_change += 1;
+    let mut simulation = Simulation::new(incident, seed);
+    while simulation.now < incident.length {
+        simulation.step();
+    }
+    let mut outcome = simulation.outcome;
+    outcome.flaps = flaps(&outcome.state_changes, incident.proxies);
+    outcome
+}
+
+struct Simulation<'a> {
+    incident: &'a Incident,
+    rng: StdRng,
+    world: World,
+    proxies: Vec<Proxy>,
+    balancers: Vec<Balancer>,
+    /// In the order of time; `next_change` is the first that has not happened.
+    changes: Vec<(Time, Change)>,
+    next_change: usize,
+    /// The multiple of the usual requests.
+    demand: f64,
+    /// Requests that are due and not yet sent, with the fraction of the next one.
+    due_requests: f64,
+    last_request: u64,
+    now: Time,
+    /// By proxy, as of its last step.
+    states: Vec<State>,
+    /// By proxy, whether it has reported the fault.
+    reported: Vec<bool>,
+    outcome: Outcome,
+}
+
+impl<'a> Simulation<'a> {
+    fn new(incident: &'a Incident, seed: u64) -> Simulation<'a> {
+        let world = World::new(incident.groups, incident.proxies);
+        let proxies: Vec<Proxy> = (0..incident.proxies)
+            .map(|_| Proxy::new(incident, &world))
+            .collect();
+        let balancers = incident.balancers.iter();
+        let mut changes = incident.changes.clone();
+        changes.sort_by_key(|(at, _)| *at);
+        Simulation {
+            rng: StdRng::seed_from_u64(seed),
+            world,
+            balancers: balancers
+                .map(|settings| Balancer::new(*settings, incident.proxies))
+                .collect(),
+            changes,
+            next_change: 0,
+            demand: 1.0,
+            due_requests: 0.0,
+            last_request: 0,
+            now: Time::ZERO,
+            states: proxies.iter().map(|p| p.model.report().state).collect(),
+            reported: vec![false; incident.proxies],
+            outcome: Outcome {
+                least_weight_sum: 100 * incident.proxies as u32,
+                ..Outcome::default()
+            },
+            proxies,
+            incident,
         }
-        for (server, there) in world.step(now) {
-            let (place, group) = (world.place(server), world.group(server));
-            for proxy in &mut proxies {
-                proxy.model.handle(
-                    now,
-                    Event::Listed {
-                        server,
-                        place,
-                        group,
-                        there,
-                    },
-                );
-            }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.apply_changes();
+        self.update_lists();
+        self.send_requests();
+        for proxy in 0..self.proxies.len() {
+            self.step_proxy(proxy);
         }
-        // Requests come by each balancer in turn, and by its shares.
-        owed += incident.requests_per_s * demand * STEP.as_secs_f64();
-        while owed >= 1.0 {
-            owed -= 1.0;
-            number += 1;
-            outcome.requests += 1;
-            let balancer = &balancers[number as usize % balancers.len()];
-            let mut left = rng.random::<f64>();
-            let group = rng.random_range(0..incident.groups);
-            let place = balancer.shares().iter().position(|share| {
-                left -= share;
-                left < 0.0
-            });
-            match place {
-                None => outcome.no_proxy_available += 1,
-                Some(at) if !proxies[at].listening => outcome.not_listening += 1,
-                Some(at) => proxies[at].send_request(at, group, number, &world, now, &mut rng),
-            }
+        self.check_health();
+        self.sample();
+    }
+
+    fn apply_changes(&mut self) {
+        while let Some((_, change)) = self
+            .changes
+            .get(self.next_change)
+            .copied()
+            .filter(|(at, _)| *at <= self.now)
+        {
+            self.apply(change);
+            self.next_change += 1;
         }
-        for (at, proxy) in proxies.iter_mut().enumerate() {
-            if now < proxy.stalled_until {
-                continue;
-            }
-            outcome.served += proxy.step(at, &world, now);
-            for (place, link) in proxy.model.links() {
-                let known = &mut proxy.links[usize::from(place)];
-                if std::mem::replace(known, link) != link {
-                    outcome.links.push((now, at, place, link));
-                }
+    }
+
+    fn apply(&mut self, change: Change) {
+        let (now, world, proxies) = (self.now, &mut self.world, &mut self.proxies);
+        match change {
+            Change::Group(group, servers) => world.set_group(group, servers, now),
+            Change::AllGroups(servers) => {
+                (0..world.groups()).for_each(|group| world.set_group(group, servers, now));
             }
-            let state = proxy.model.report().state;
-            if std::mem::discriminant(&state) != std::mem::discriminant(&states[at]) {
-                outcome.state_changes.push(StateChange {
-                    at: now,
-                    proxy: at,
-                    state,
-                });
+            Change::Link(proxy, place, up) => world.link(proxy, place, up),
+            Change::Apart(apart) => world.apart(apart, now),
+            Change::Power(place, on) => world.power(place, on, now),
+            Change::HungBuilding(place, hung) => world.hang(place, hung),
+            Change::Lag(at, lag) => proxies[at].lag = lag,
+            Change::Descriptors(at, part) => proxies[at].extra_descriptors = part,
+            Change::Demand(times) => self.demand = times,
+            Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
+            Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
+            Change::Discovery(at, heard) => {
+                proxies[at].model.handle(now, Event::Discovery { heard });
             }
-            states[at] = state;
-            // The trouble is told by another state, by a group's condition, or by how a link stands.
-            let sick = proxy
-                .model
-                .groups()
-                .any(|(_, g)| g.condition != Condition::Serving)
-                || proxy.links.iter().any(|link| *link != Link::Up);
-            if now >= incident.fault_window.0 && !told_by[at] && (state != State::Ready || sick) {
-                told_by[at] = true;
-                let delay = now - incident.fault_window.0;
-                outcome.first_report_delay.get_or_insert(delay);
-                outcome.last_report_delay = Some(delay);
+            Change::Stall(at, span) => proxies[at].stalled_until = now + span,
+        }
+    }
+
+    fn update_lists(&mut self) {
+        for (server, there) in self.world.step(self.now) {
+            let (place, group) = (self.world.place(server), self.world.group(server));
+            for proxy in &mut self.proxies {
+                let listed = Event::Listed {
+                    server,
+                    place,
+                    group,
+                    there,
+                };
+                proxy.model.handle(self.now, listed);
             }
-            let worst = proxy.model.groups().map(|(_, g)| g.condition).max();
-            if now < incident.fault_window.1 {
-                outcome.worst_condition = outcome.worst_condition.max(worst);
+        }
+    }
+
+    /// Each balancer sends in turn, to proxies by its shares.
+    fn send_requests(&mut self) {
+        self.due_requests += self.incident.requests_per_s * self.demand * STEP.as_secs_f64();
+        while self.due_requests >= 1.0 {
+            self.due_requests -= 1.0;
+            self.send_request();
+        }
+    }
+
+    fn send_request(&mut self) {
+        self.last_request += 1;
+        self.outcome.requests += 1;
+        let number = self.last_request;
+        let balancer = &self.balancers[number as usize % self.balancers.len()];
+        let mut left = self.rng.random::<f64>();
+        let group = self.rng.random_range(0..self.incident.groups);
+        let proxy = balancer.shares().iter().position(|share| {
+            left -= share;
+            left < 0.0
+        });
+        match proxy {
+            None => self.outcome.no_proxy_available += 1,
+            Some(at) if !self.proxies[at].listening => self.outcome.not_listening += 1,
+            Some(at) => {
+                let proxy = &mut self.proxies[at];
+                proxy.send_request(at, group, number, &self.world, self.now, &mut self.rng);
             }
         }
-        for balancer in &mut balancers {
-            for (at, proxy) in proxies.iter().enumerate() {
-                if balancer.due(at, now) {
-                    let status = (now >= proxy.stalled_until).then(|| status(&proxy.model));
-                    balancer.check(at, status.as_ref(), now);
-                    let belief = balancer.belief(at);
-                    let out = !belief.up || belief.drained || belief.weight == 0;
-                    outcome.false_downs += u64::from(out && !incident.may_be_out.contains(&at));
-                }
+    }
+
+    fn step_proxy(&mut self, at: usize) {
+        let now = self.now;
+        let proxy = &mut self.proxies[at];
+        if now < proxy.stalled_until {
+            return;
+        }
+        self.outcome.served += proxy.step(at, &self.world, now);
+        for (place, link) in proxy.model.links() {
+            let known = &mut proxy.links[usize::from(place)];
+            if std::mem::replace(known, link) != link {
+                self.outcome.links.push((now, at, place, link));
             }
         }
-        let weights: Vec<u8> = proxies.iter().map(|p| p.model.report().weight).collect();
-        let kept = weights
-            .iter()
-            .enumerate()
-            .filter(|(at, _)| !incident.may_be_out.contains(at));
-        let sum: u32 = kept.map(|(_, w)| u32::from(*w)).sum();
-        outcome.least_weight_sum = outcome.least_weight_sum.min(sum);
-        if now.as_millis().is_multiple_of(100) {
-            let beliefs = balancers
-                .iter()
-                .map(|b| (0..proxies.len()).map(|at| b.belief(at)).collect());
-            outcome.samples.push(Sample {
+        let state = proxy.model.report().state;
+        let before = std::mem::replace(&mut self.states[at], state);
+        if std::mem::discriminant(&state) != std::mem::discriminant(&before) {
+            self.outcome.state_changes.push(StateChange {
                 at: now,
-                states: states.clone(),
-                weights,
-                beliefs: beliefs.collect(),
-                no_proxy_available: outcome.no_proxy_available,
+                proxy: at,
+                state,
             });
         }
+        self.record_report(at, state);
+    }
+
+    /// A proxy reports the fault by another state, by a group's condition, or by the state of a link.
+    fn record_report(&mut self, at: usize, state: State) {
+        let proxy = &self.proxies[at];
+        let (begins, ends) = self.incident.fault_window;
+        let mut conditions = proxy.model.groups().map(|(_, g)| g.condition);
+        let sick = conditions.any(|condition| condition != Condition::Serving)
+            || proxy.links.iter().any(|link| *link != Link::Up);
+        if self.now >= begins && !self.reported[at] && (state != State::Ready || sick) {
+            self.reported[at] = true;
+            let delay = self.now - begins;
+            self.outcome.first_report_delay.get_or_insert(delay);
+            self.outcome.last_report_delay = Some(delay);
+        }
+        if self.now < ends {
+            let worst = proxy.model.groups().map(|(_, g)| g.condition).max();
+            self.outcome.worst_condition = self.outcome.worst_condition.max(worst);
+        }
     }
-    outcome.flaps = flaps(&outcome.state_changes, incident.proxies);
-    outcome
-}
 
-fn apply(change: Change, world: &mut World, demand: &mut f64, proxies: &mut [Proxy], now: Time) {
-    match change {
-        Change::Group(group, servers) => world.set_group(group, servers, now),
-        Change::AllGroups(servers) => {
-            (0..world.groups()).for_each(|group| world.set_group(group, servers, now));
+    fn check_health(&mut self) {
+        for balancer in &mut self.balancers {
+            for (at, proxy) in self.proxies.iter().enumerate() {
+                if !balancer.due(at, self.now) {
+                    continue;
+                }
+                let status = (self.now >= proxy.stalled_until).then(|| status(&proxy.model));
+                balancer.check(at, status.as_ref(), self.now);
+                let belief = balancer.belief(at);
+                let out = !belief.up || belief.drained || belief.weight == 0;
+                let wrong = out && !self.incident.may_be_out.contains(&at);
+                self.outcome.false_downs += u64::from(wrong);
+            }
         }
-        Change::Link(proxy, place, up) => world.link(proxy, place, up),
-        Change::Apart(apart) => world.apart(apart, now),
-        Change::Power(place, on) => world.power(place, on, now),
-        Change::HungBuilding(place, hung) => world.hang(place, hung),
-        Change::Lag(at, lag) => proxies[at].lag = lag,
-        Change::Descriptors(at, part) => proxies[at].extra_descriptors = part,
-        Change::Demand(times) => *demand = times,
-        Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
-        Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
-        Change::Discovery(at, heard) => proxies[at].model.handle(now, Event::Discovery { heard }),
-        Change::Stall(at, span) => proxies[at].stalled_until = now + span,
+    }
+
+    fn sample(&mut self) {
+        let proxies = self.proxies.iter();
+        let weights: Vec<u8> = proxies.map(|p| p.model.report().weight).collect();
+        let counted = weights
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| !self.incident.may_be_out.contains(at));
+        let sum: u32 = counted.map(|(_, w)| u32::from(*w)).sum();
+        self.outcome.least_weight_sum = self.outcome.least_weight_sum.min(sum);
+        if !self.now.as_millis().is_multiple_of(SAMPLE_INTERVAL_MS) {
+            return;
+        }
+        let beliefs = self
+            .balancers
+            .iter()
+            .map(|b| (0..self.proxies.len()).map(|at| b.belief(at)).collect());
+        self.outcome.samples.push(Sample {
+            at: self.now,
+            states: self.states.clone(),
+            weights,
+            beliefs: beliefs.collect(),
+            no_proxy_available: self.outcome.no_proxy_available,
+        });
     }
 }
 
-fn flaps(told: &[StateChange], proxies: usize) -> usize {
+fn flaps(changes: &[StateChange], proxies: usize) -> usize {
     let minute = Duration::from_secs(60);
     let of = |proxy: usize| -> Vec<Time> {
-        told.iter()
+        changes
+            .iter()
             .filter(|t| t.proxy == proxy)
             .map(|t| t.at)
             .collect()
@@ -192,7 +286,7 @@
         .unwrap_or(0)
 }
 
-/// As the proxy puts the model into the codecs' words.
+/// The model's state as the health codecs take it.
 fn status(model: &Availability) -> Status {
     let report = model.report();
     Status {
