--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,8 @@
 //! Several processes of the proxy on loopback, the systems that they serve, faults between any two of them, and a
-//! ledger that knows the history.
+//! recorded history of all that happened.
 //!
 //! A [`Testbed`] is made of a [`Setup`]: it opens record servers, the list's service and a relay for each link, and starts
-//! the proxies. Whoever holds it kills, stops and restarts them, cuts links, brings troubles to servers, lets clients
+//! the proxies. Whoever holds it kills, stops and restarts them, cuts links, injects faults of servers, lets clients
 //! ask, waits for events, and at last reads what came of it and which rules were broken. `docs/design/testbed.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -31,7 +31,7 @@
 pub use setup::Setup;
 
 use discovery::Addresses;
-use history::{History, Outcomes};
+use history::{History, Outcomes, Outputs};
 use link::Link;
 use load_generator::LoadGenerator;
 use members::DatagramLinks;
@@ -39,9 +39,11 @@
 use server_model::site::{self, ServerIndex};
 use server_opener::ServerOpener;
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::runtime::Runtime;
+use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 
 /// One proxy: its process, while it has one, and the links on both sides of it.
@@ -83,74 +85,28 @@
             .build();
         let runtime =
             runtime.map_err(|e| Fault::new(format!("no threads for the testbed: {e}")))?;
-        let Setup {
-            site,
-            list,
-            clients,
-            platform,
-            seed,
-            ..
-        } = &setup;
-        let grace = Duration::from_micros(platform.drain_grace);
-        let site = site::Settings {
-            checks: platform.checks,
-            ..site.clone()
-        };
-        let (history, outputs) =
-            History::new(site, *list, clients.clone(), platform.tries, grace, *seed);
+        let (history, outputs) = history_of(&setup);
         let links = Arc::new(watch::Sender::new(Links::default()));
         let addresses = Arc::new(watch::Sender::new(Addresses::default()));
         let number = setup.clients.proxies;
-        let (servers, clock) = (history.lock().site.servers(), history.clone());
-        runtime.spawn(clock.run());
+        let servers = history.lock().site.servers();
+        runtime.spawn(history.clone().run());
         let opener = ServerOpener {
             history: history.clone(),
             links: Arc::clone(&links),
             addresses: Arc::clone(&addresses),
             number,
         };
-        runtime.block_on(async {
-            for server in servers {
-                opener.open(server).await?;
-            }
-            Ok::<(), Fault>(())
-        })?;
-        let mut new_servers = outputs.new_servers;
-        runtime.spawn(async move {
-            while let Some(server) = new_servers.recv().await {
-                // Without a port it is one that nobody reaches.
-                _ = opener.open(server).await;
-            }
-        });
-        let mut proxies = Vec::new();
-        for proxy in 0..number {
-            let service = runtime.block_on(discovery::open(
-                history.clone(),
-                proxy,
-                Arc::clone(&addresses),
-            ))?;
-            let seed = seed.wrapping_add((proxy as u64) << 32);
-            let folder = Folder::new()
-                .map_err(|e| Fault::new(format!("no folder for proxy {proxy}: {e}")))?;
-            proxies.push(Proxy {
-                process: None,
-                clients: Link::open(runtime.handle(), None, seed)?,
-                list: Link::open(runtime.handle(), Some(service), seed ^ 1)?,
-                address: None,
-                admin: None,
-                folder,
-            });
-        }
+        runtime.block_on(open_servers(&opener, servers))?;
+        runtime.spawn(open_new_servers(opener, outputs.new_servers));
+        let proxies = (0..number)
+            .map(|proxy| Proxy::new(&runtime, &setup, &history, &addresses, proxy))
+            .collect::<Result<Vec<Proxy>, Fault>>()?;
         let doors = proxies.iter().map(|p| p.clients.address).collect();
         let load = {
             let _on = runtime.enter();
-            LoadGenerator::new(
-                history.clone(),
-                setup.clients.clone(),
-                setup.slack,
-                doors,
-                outputs.client_tasks,
-            )
+            let (history, clients) = (history.clone(), setup.clients.clone());
+            LoadGenerator::new(history, clients, setup.slack, doors, outputs.client_tasks)
         };
         let datagram_links = match setup.members {
             Some(_) => members::datagram_links(runtime.handle(), number, setup.seed)?,
@@ -166,21 +122,19 @@
             load,
             runtime,
         };
-        if let Some(rule) = testbed.setup.planted_violation {
-            for proxy in 0..number {
-                testbed.plant(proxy, rule)?;
-            }
-            return Ok(testbed);
-        }
-        for proxy in 0..number {
-            testbed.spawn(proxy)?;
-        }
-        for proxy in 0..number {
-            testbed.ready(proxy)?;
-        }
+        testbed.start_proxies()?;
         Ok(testbed)
     }
 
+    fn start_proxies(&mut self) -> Result<(), Fault> {
+        let number = self.proxies.len();
+        if let Some(rule) = self.setup.planted_violation {
+            return (0..number).try_for_each(|proxy| self.plant(proxy, rule));
+        }
+        (0..number).try_for_each(|proxy| self.spawn(proxy))?;
+        (0..number).try_for_each(|proxy| self.ready(proxy))
+    }
+
     /// Where a proxy's files are.
     pub fn folder(&self, proxy: usize) -> &std::path::Path {
         self.proxies[proxy].folder.path()
@@ -224,3 +178,53 @@
         })
     }
 }
+
+fn history_of(setup: &Setup) -> (History, Outputs) {
+    let platform = &setup.platform;
+    let grace = Duration::from_micros(platform.drain_grace);
+    let site = site::Settings {
+        checks: platform.checks,
+        ..setup.site.clone()
+    };
+    let clients = setup.clients.clone();
+    History::new(site, setup.list, clients, platform.tries, grace, setup.seed)
+}
+
+async fn open_servers(opener: &ServerOpener, servers: Range<ServerIndex>) -> Result<(), Fault> {
+    for server in servers {
+        opener.open(server).await?;
+    }
+    Ok(())
+}
+
+async fn open_new_servers(opener: ServerOpener, mut new: UnboundedReceiver<ServerIndex>) {
+    while let Some(server) = new.recv().await {
+        // Without a port it is one that nobody reaches.
+        _ = opener.open(server).await;
+    }
+}
+
+impl Proxy {
+    /// Its folder and its links; no process yet.
+    fn new(
+        runtime: &Runtime,
+        setup: &Setup,
+        history: &History,
+        addresses: &Arc<watch::Sender<Addresses>>,
+        proxy: usize,
+    ) -> Result<Proxy, Fault> {
+        let service = discovery::open(history.clone(), proxy, Arc::clone(addresses));
+        let service = runtime.block_on(service)?;
+        let seed = setup.seed.wrapping_add((proxy as u64) << 32);
+        let folder =
+            Folder::new().map_err(|e| Fault::new(format!("no folder for proxy {proxy}: {e}")))?;
+        Ok(Proxy {
+            process: None,
+            clients: Link::open(runtime.handle(), None, seed)?,
+            list: Link::open(runtime.handle(), Some(service), seed ^ 1)?,
+            address: None,
+            admin: None,
+            folder,
+        })
+    }
+}
