--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -1,479 +1,273 @@
 //! Plays an incident: requests by the balancers' shares, record servers by the script, the real model in each proxy.
 
-use crate::balancer::{Balancer, Belief};
-use crate::script::{Change, Incident, Servers, PLACES};
-use crate::world::{Reach, World};
+use crate::balancer::Balancer;
+use crate::outcome::{Outcome, Sample, StateChange};
+use crate::proxy::Proxy;
+use crate::script::{Change, Incident};
+use crate::world::World;
 use crate::Time;
-use availability::{
-    AttemptOutcome, Availability, Condition, Event, LinkState, Load, RejectionCause, State,
-};
-use drain::{Action, Drain};
+use availability::{Availability, Condition, Event, LinkState, State};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
 use std::time::Duration;
 use wire_health::Status;
 
 /// Steps of virtual time.
 const STEP: Duration = Duration::from_millis(5);
-/// What an answer takes as a rule, and how long an attempt is waited for.
-const USUAL: Duration = Duration::from_millis(55);
-const WAIT: Duration = Duration::from_millis(1_000);
-/// A member that broke is left alone for this long.
-const REST: Duration = Duration::from_secs(1);
-/// Discovery says this often that nothing has changed.
-const LIST: Duration = Duration::from_secs(2);
-/// Part of the requests that are writes.
-const WRITES: f64 = 0.06;
-/// Requests open at a proxy that use up all its descriptors, when nothing else does.
-const DESCRIPTORS: f64 = 120.0;
 
-/// What was told and believed, sampled.
-#[derive(Clone, Debug)]
-pub struct Sample {
-    /// When it was sampled.
-    pub at: Time,
-    /// By proxy.
-    pub states: Vec<State>,
-    /// By proxy, in percent.
-    pub weights: Vec<u8>,
-    /// By balancer, by proxy.
-    pub beliefs: Vec<Vec<Belief>>,
-    /// Requests that found no proxy at all.
-    pub nowhere: u64,
-}
-
-/// A proxy's change of state.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    /// When.
-    pub at: Time,
-    /// Which proxy.
-    pub proxy: usize,
-    /// Its state from then on.
-    pub state: State,
-}
-
-/// What came of an incident.
-#[derive(Debug, Default)]
-pub struct Outcome {
-    /// States and beliefs over time.
-    pub samples: Vec<Sample>,
-    /// Every change of a proxy's state.
-    pub told: Vec<Told>,
-    /// Requests that clients sent.
-    pub asked: u64,
-    /// Requests that were answered.
-    pub served: u64,
-    /// Requests that came while every proxy was out for their balancer.
-    pub nowhere: u64,
-    /// Requests that a balancer sent to a proxy whose door was closed.
-    pub closed_door: u64,
-    /// From the start of the trouble to the first proxy, and the last, that tells of it.
-    pub first_told: Option<Duration>,
-    /// From the start of the fault to the last proxy that reports it.
-    pub last_told: Option<Duration>,
-    /// Balancers that held a proxy for down or drained that may not be.
-    pub false_downs: u64,
-    /// The least sum of the weights that proxies told, out of 100 each.
-    pub least_sum: u32,
-    /// Changes of state in the worst minute of any proxy.
-    pub flaps: usize,
-    /// Groups' conditions at the worst, by proxy, for the group that the script touches.
-    pub worst_condition: Option<Condition>,
-    /// Every change in how a proxy sees the link to a building.
-    pub links: Vec<(Time, usize, u16, LinkState)>,
-}
+/// Interval of the samples of states and beliefs, in milliseconds.
+const SAMPLE_INTERVAL_MS: u128 = 100;
 
-struct Proxy {
-    model: Availability,
-    drain: Drain,
-    listening: bool,
-    lag: Duration,
-    crowd: f64,
-    open: u32,
-    stalled_until: Time,
-    out: BinaryHeap<Reverse<Out>>,
-    /// By server, until when it is left alone.
-    rests: Vec<Time>,
-    links: Vec<LinkState>,
+/// The same incident and seed, the same outcome.
+pub fn play(incident: &Incident, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(incident, seed);
+    while simulation.now < incident.length {
+        simulation.step();
+    }
+    let mut outcome = simulation.outcome;
+    outcome.flaps = flaps(&outcome.state_changes, incident.proxies);
+    outcome
 }
 
-/// An attempt that is out: when it is over, its number, its server, how it ends and what it takes.
-type Out = (Time, u64, u32, End, Duration);
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
-    Answered,
-    /// A write that was served, and one that found no primary.
-    Wrote,
-    Away,
-    /// With a word of the machine, and without any.
-    Refused,
-    Silent,
+struct Simulation<'a> {
+    incident: &'a Incident,
+    rng: StdRng,
+    world: World,
+    proxies: Vec<Proxy>,
+    balancers: Vec<Balancer>,
+    /// In the order of time; `next_change` is the first that has not happened.
+    changes: Vec<(Time, Change)>,
+    next_change: usize,
+    /// The multiple of the usual requests.
+    demand: f64,
+    /// Requests that are due and not yet sent, with the fraction of the next one.
+    due_requests: f64,
+    last_request: u64,
+    now: Time,
+    /// By proxy, as of its last step.
+    states: Vec<State>,
+    /// By proxy, whether it has reported the fault.
+    reported: Vec<bool>,
+    outcome: Outcome,
 }
 
-impl Proxy {
-    fn new(incident: &Incident, world: &World) -> Proxy {
-        let mut model = Availability::new(availability::Settings::default(), Time::ZERO);
-        for server in 0..world.servers() {
-            let (place, group) = (world.place(server), world.group(server));
-            model.handle(
-                Time::ZERO,
-                Event::Endpoint {
-                    server,
-                    site: place,
-                    group,
-                    listed: true,
-                },
-            );
+impl<'a> Simulation<'a> {
+    fn new(incident: &'a Incident, seed: u64) -> Simulation<'a> {
+        let world = World::new(incident.groups, incident.proxies);
+        let proxies: Vec<Proxy> = (0..incident.proxies)
+            .map(|_| Proxy::new(incident, &world))
+            .collect();
+        let balancers = incident.balancers.iter();
+        let mut changes = incident.changes.clone();
+        changes.sort_by_key(|(at, _)| *at);
+        Simulation {
+            rng: StdRng::seed_from_u64(seed),
+            world,
+            balancers: balancers
+                .map(|settings| Balancer::new(*settings, incident.proxies))
+                .collect(),
+            changes,
+            next_change: 0,
+            demand: 1.0,
+            due_requests: 0.0,
+            last_request: 0,
+            now: Time::ZERO,
+            states: proxies.iter().map(|p| p.model.report().state).collect(),
+            reported: vec![false; incident.proxies],
+            outcome: Outcome {
+                least_weight_sum: 100 * incident.proxies as u32,
+                ..Outcome::default()
+            },
+            proxies,
+            incident,
         }
-        model.handle(Time::ZERO, Event::Started);
-        let balancers = incident.balancers.iter().map(|b| drain::Balancer {
-            interval: b.interval,
-            fall: b.fall,
-            timeout: Duration::from_millis(200),
-        });
-        let settings = drain::Settings {
-            balancers: balancers.collect(),
-            announce_termination: true,
-            ..drain::Settings::default()
-        };
-        Proxy {
-            model,
-            drain: Drain::new(settings, Time::ZERO),
-            listening: true,
-            lag: Duration::ZERO,
-            crowd: 0.0,
-            open: 0,
-            stalled_until: Time::ZERO,
-            out: BinaryHeap::new(),
-            rests: vec![Time::ZERO; world.servers() as usize],
-            links: vec![LinkState::Up; usize::from(PLACES)],
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.apply_changes();
+        self.update_lists();
+        self.send_requests();
+        for proxy in 0..self.proxies.len() {
+            self.step_proxy(proxy);
         }
+        self.check_health();
+        self.sample();
     }
 
-    fn drain(&mut self, event: drain::Event, now: Time) {
-        let mut actions = Vec::new();
-        self.drain.handle(now, event, &mut actions);
-        for action in actions {
-            match action {
-                Action::AnnounceDrain => self.model.handle(now, Event::Drain),
-                Action::RetractDrain => self.model.handle(now, Event::Undrain),
-                Action::StopListening => self.listening = false,
-                Action::StartListening => self.listening = true,
-                Action::LimitDeadlines(_) | Action::AbortOutstanding | Action::Exit => {}
-            }
+    fn apply_changes(&mut self) {
+        while let Some((_, change)) = self
+            .changes
+            .get(self.next_change)
+            .copied()
+            .filter(|(at, _)| *at <= self.now)
+        {
+            self.apply(change);
+            self.next_change += 1;
         }
     }
 
-    /// A request, sent once: a write to the primary, a read to a member that does not rest.
-    fn ask(
-        &mut self,
-        own: usize,
-        group: u32,
-        number: u64,
-        world: &World,
-        now: Time,
-        rng: &mut StdRng,
-    ) {
-        self.open += 1;
-        self.model.handle(now, Event::RequestArrived { group });
-        let write = rng.random_bool(WRITES);
-        let members = world.members(group);
-        let rested: Vec<u32> = members
-            .clone()
-            .filter(|m| self.rests[*m as usize] <= now)
-            .collect();
-        let picked = rng.random_range(0..1_000_usize);
-        let any = if rested.is_empty() {
-            members.start + picked as u32 % (members.end - members.start)
-        } else {
-            rested[picked % rested.len()]
-        };
-        let server = if write {
-            world.primary(group).unwrap_or(any)
-        } else {
-            any
-        };
-        // Run times scatter: the sum of two uniform parts.
-        let scatter = 0.4 + 0.6 * (rng.random::<f64>() + rng.random::<f64>());
-        let (end, took) = match world.reach(own, server) {
-            Reach::Nothing => (End::Silent, WAIT),
-            Reach::Servers(Servers::Silent) => (End::Silent, WAIT),
-            Reach::Servers(Servers::Dead) => (End::Refused, Duration::from_millis(2)),
-            Reach::Servers(Servers::NoPrimary) if write => (End::Away, USUAL / 8),
-            Reach::Servers(_) if write && world.primary(group).is_none() => (End::Away, USUAL / 8),
-            Reach::Servers(Servers::Answer(slower)) if write => {
-                (End::Wrote, USUAL.mul_f64(slower * scatter * 2.0))
+    fn apply(&mut self, change: Change) {
+        let (now, world, proxies) = (self.now, &mut self.world, &mut self.proxies);
+        match change {
+            Change::Group(group, servers) => world.set_group(group, servers, now),
+            Change::AllGroups(servers) => {
+                (0..world.groups()).for_each(|group| world.set_group(group, servers, now));
             }
-            Reach::Servers(Servers::Answer(slower)) => {
-                (End::Answered, USUAL.mul_f64(slower * scatter))
+            Change::Link(proxy, place, up) => world.link(proxy, place, up),
+            Change::Apart(apart) => world.apart(apart, now),
+            Change::Power(place, on) => world.power(place, on, now),
+            Change::HungBuilding(place, hung) => world.hang(place, hung),
+            Change::Lag(at, lag) => proxies[at].lag = lag,
+            Change::Descriptors(at, part) => proxies[at].extra_descriptors = part,
+            Change::Demand(times) => self.demand = times,
+            Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
+            Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
+            Change::Discovery(at, heard) => {
+                proxies[at]
+                    .model
+                    .handle(now, Event::Discovery { connected: heard });
             }
-            Reach::Servers(Servers::NoPrimary) => (End::Answered, USUAL.mul_f64(scatter)),
-        };
-        self.model.handle(now, Event::AttemptSent { group });
-        self.model.handle(now, Event::ExchangeStarted { server });
-        self.out
-            .push(Reverse((now + took, number, server, end, took)));
+            Change::Stall(at, span) => proxies[at].stalled_until = now + span,
+        }
     }
 
-    /// Answers and time; how many were served.
-    fn step(&mut self, own: usize, world: &World, now: Time) -> u64 {
-        let mut served = 0;
-        while let Some(&Reverse((at, _, server, end, elapsed))) = self.out.peek() {
-            if at > now {
-                break;
-            }
-            self.out.pop();
-            self.open -= 1;
-            let group = world.group(server);
-            let late = now.saturating_sub(at);
-            if matches!(end, End::Wrote | End::Away) {
-                self.model.handle(
-                    now,
-                    Event::WriteEnded {
-                        group,
-                        served: end == End::Wrote,
-                    },
-                );
-            }
-            let (how, answer) = match end {
-                End::Answered | End::Wrote => {
-                    (AttemptOutcome::Answered, Event::RequestServed { group })
-                }
-                End::Away => (
-                    AttemptOutcome::Rejected,
-                    Event::RequestRejected {
-                        group,
-                        cause: RejectionCause::Servers,
-                    },
-                ),
-                End::Refused | End::Silent => {
-                    (AttemptOutcome::Failed, Event::RequestFailed { group })
-                }
-            };
-            served += u64::from(how == AttemptOutcome::Answered);
-            if how == AttemptOutcome::Failed {
-                self.rests[server as usize] = now + REST;
-            } else {
-                let position = Some(world.position(server, now));
-                let primary = Some(world.primary(group) == Some(server));
-                self.model.handle(
-                    now,
-                    Event::RoleReported {
-                        server,
-                        position,
-                        primary,
-                    },
-                );
-            }
-            self.model.handle(
-                now,
-                Event::ExchangeEnded {
+    fn update_lists(&mut self) {
+        for (server, there) in self.world.step(self.now) {
+            let (place, group) = (self.world.place(server), self.world.group(server));
+            for proxy in &mut self.proxies {
+                let listed = Event::Endpoint {
                     server,
-                    contact: end != End::Silent,
-                },
-            );
-            self.model.handle(
-                now,
-                Event::AttemptEnded {
+                    site: place,
                     group,
-                    outcome: how,
-                    elapsed: elapsed + late,
-                },
-            );
-            self.model.handle(now, answer);
+                    listed: there,
+                };
+                proxy.model.handle(self.now, listed);
+            }
         }
-        if now.as_nanos().is_multiple_of(LIST.as_nanos()) {
-            self.model.handle(now, Event::ListReceived);
+    }
+
+    /// Each balancer sends in turn, to proxies by its shares.
+    fn send_requests(&mut self) {
+        self.due_requests += self.incident.requests_per_s * self.demand * STEP.as_secs_f64();
+        while self.due_requests >= 1.0 {
+            self.due_requests -= 1.0;
+            self.send_request();
         }
-        if now.as_millis().is_multiple_of(100) {
-            if let Some(server) = self.model.server_to_dial(|_| true) {
-                self.model.handle(now, Event::DialStarted { server });
-                if world.reach(own, server) != Reach::Nothing {
-                    self.model.handle(now, Event::Contact { server });
-                }
+    }
+
+    fn send_request(&mut self) {
+        self.last_request += 1;
+        self.outcome.requests += 1;
+        let number = self.last_request;
+        let balancer = &self.balancers[number as usize % self.balancers.len()];
+        let mut left = self.rng.random::<f64>();
+        let group = self.rng.random_range(0..self.incident.groups);
+        let proxy = balancer.shares().iter().position(|share| {
+            left -= share;
+            left < 0.0
+        });
+        match proxy {
+            None => self.outcome.no_proxy_available += 1,
+            Some(at) if !self.proxies[at].listening => self.outcome.not_listening += 1,
+            Some(at) => {
+                let proxy = &mut self.proxies[at];
+                proxy.send_request(at, group, number, &self.world, self.now, &mut self.rng);
             }
         }
-        if now.as_millis().is_multiple_of(100) {
-            let descriptors = (f64::from(self.open) / DESCRIPTORS + self.crowd).min(1.0);
-            let open = f64::from(self.open) / DESCRIPTORS;
-            self.model.handle(
-                now,
-                Event::Load(Load {
-                    lag: self.lag,
-                    open,
-                    descriptors,
-                    memory: 0.2,
-                }),
-            );
-            self.drain(drain::Event::Tick, now);
-        }
-        served
     }
-}
 
-/// The same incident and seed, the same outcome.
-pub fn play(incident: &Incident, seed: u64) -> Outcome {
-    let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = World::new(incident.groups, incident.proxies);
-    let mut proxies: Vec<Proxy> = (0..incident.proxies)
-        .map(|_| Proxy::new(incident, &world))
-        .collect();
-    let mut balancers: Vec<Balancer> = incident
-        .balancers
-        .iter()
-        .map(|set| Balancer::new(*set, incident.proxies))
-        .collect();
-    let mut demand = 1.0;
-    let mut outcome = Outcome {
-        least_sum: 100 * incident.proxies as u32,
-        ..Outcome::default()
-    };
-    let mut states: Vec<State> = proxies.iter().map(|p| p.model.report().state).collect();
-    let mut told_by = vec![false; incident.proxies];
-    let (mut now, mut next_change, mut owed, mut number) = (Time::ZERO, 0, 0.0, 0);
-    let mut changes = incident.changes.clone();
-    changes.sort_by_key(|(at, _)| *at);
-    while now < incident.length {
-        now += STEP;
-        while let Some((_, change)) = changes.get(next_change).filter(|(at, _)| *at <= now) {
-            apply(*change, &mut world, &mut demand, &mut proxies, now);
-            next_change += 1;
+    fn step_proxy(&mut self, at: usize) {
+        let now = self.now;
+        let proxy = &mut self.proxies[at];
+        if now < proxy.stalled_until {
+            return;
         }
-        for (server, there) in world.step(now) {
-            let (place, group) = (world.place(server), world.group(server));
-            for proxy in &mut proxies {
-                proxy.model.handle(
-                    now,
-                    Event::Endpoint {
-                        server,
-                        site: place,
-                        group,
-                        listed: there,
-                    },
-                );
+        self.outcome.served += proxy.step(at, &self.world, now);
+        for (place, link) in proxy.model.links() {
+            let known = &mut proxy.links[usize::from(place)];
+            if std::mem::replace(known, link) != link {
+                self.outcome.links.push((now, at, place, link));
             }
         }
-        // Requests come by each balancer in turn, and by its shares.
-        owed += incident.per_s * demand * STEP.as_secs_f64();
-        while owed >= 1.0 {
-            owed -= 1.0;
-            number += 1;
-            outcome.asked += 1;
-            let balancer = &balancers[number as usize % balancers.len()];
-            let mut left = rng.random::<f64>();
-            let group = rng.random_range(0..incident.groups);
-            let place = balancer.shares().iter().position(|share| {
-                left -= share;
-                left < 0.0
+        let state = proxy.model.report().state;
+        let before = std::mem::replace(&mut self.states[at], state);
+        if std::mem::discriminant(&state) != std::mem::discriminant(&before) {
+            self.outcome.state_changes.push(StateChange {
+                at: now,
+                proxy: at,
+                state,
             });
-            match place {
-                None => outcome.nowhere += 1,
-                Some(at) if !proxies[at].listening => outcome.closed_door += 1,
-                Some(at) => proxies[at].ask(at, group, number, &world, now, &mut rng),
-            }
         }
-        for (at, proxy) in proxies.iter_mut().enumerate() {
-            if now < proxy.stalled_until {
-                continue;
-            }
-            outcome.served += proxy.step(at, &world, now);
-            for (place, link) in proxy.model.links() {
-                let known = &mut proxy.links[usize::from(place)];
-                if std::mem::replace(known, link) != link {
-                    outcome.links.push((now, at, place, link));
-                }
-            }
-            let state = proxy.model.report().state;
-            if std::mem::discriminant(&state) != std::mem::discriminant(&states[at]) {
-                outcome.told.push(Told {
-                    at: now,
-                    proxy: at,
-                    state,
-                });
-            }
-            states[at] = state;
-            // The trouble is told by another state, by a group's condition, or by how a link stands.
-            let sick = proxy
-                .model
-                .groups()
-                .any(|(_, g)| g.condition != Condition::Serving)
-                || proxy.links.iter().any(|link| *link != LinkState::Up);
-            if now >= incident.trouble.0 && !told_by[at] && (state != State::Ready || sick) {
-                told_by[at] = true;
-                let delay = now - incident.trouble.0;
-                outcome.first_told.get_or_insert(delay);
-                outcome.last_told = Some(delay);
-            }
+        self.record_report(at, state);
+    }
+
+    /// A proxy reports the fault by another state, by a group's condition, or by the state of a link.
+    fn record_report(&mut self, at: usize, state: State) {
+        let proxy = &self.proxies[at];
+        let (begins, ends) = self.incident.fault_window;
+        let mut conditions = proxy.model.groups().map(|(_, g)| g.condition);
+        let sick = conditions.any(|condition| condition != Condition::Serving)
+            || proxy.links.iter().any(|link| *link != LinkState::Up);
+        if self.now >= begins && !self.reported[at] && (state != State::Ready || sick) {
+            self.reported[at] = true;
+            let delay = self.now - begins;
+            self.outcome.first_report_delay.get_or_insert(delay);
+            self.outcome.last_report_delay = Some(delay);
+        }
+        if self.now < ends {
             let worst = proxy.model.groups().map(|(_, g)| g.condition).max();
-            if now < incident.trouble.1 {
-                outcome.worst_condition = outcome.worst_condition.max(worst);
-            }
+            self.outcome.worst_condition = self.outcome.worst_condition.max(worst);
         }
-        for balancer in &mut balancers {
-            for (at, proxy) in proxies.iter().enumerate() {
-                if balancer.due(at, now) {
-                    let status = (now >= proxy.stalled_until).then(|| status(&proxy.model));
-                    balancer.check(at, status.as_ref(), now);
-                    let belief = balancer.belief(at);
-                    let out = !belief.up || belief.drained || belief.weight == 0;
-                    outcome.false_downs += u64::from(out && !incident.may_be_out.contains(&at));
+    }
+
+    fn check_health(&mut self) {
+        for balancer in &mut self.balancers {
+            for (at, proxy) in self.proxies.iter().enumerate() {
+                if !balancer.due(at, self.now) {
+                    continue;
                 }
+                let status = (self.now >= proxy.stalled_until).then(|| status(&proxy.model));
+                balancer.check(at, status.as_ref(), self.now);
+                let belief = balancer.belief(at);
+                let out = !belief.up || belief.drained || belief.weight == 0;
+                let wrong = out && !self.incident.may_be_out.contains(&at);
+                self.outcome.false_downs += u64::from(wrong);
             }
         }
-        let weights: Vec<u8> = proxies.iter().map(|p| p.model.report().weight).collect();
-        let kept = weights
-            .iter()
-            .enumerate()
-            .filter(|(at, _)| !incident.may_be_out.contains(at));
-        let sum: u32 = kept.map(|(_, w)| u32::from(*w)).sum();
-        outcome.least_sum = outcome.least_sum.min(sum);
-        if now.as_millis().is_multiple_of(100) {
-            let beliefs = balancers
-                .iter()
-                .map(|b| (0..proxies.len()).map(|at| b.belief(at)).collect());
-            outcome.samples.push(Sample {
-                at: now,
-                states: states.clone(),
-                weights,
-                beliefs: beliefs.collect(),
-                nowhere: outcome.nowhere,
-            });
-        }
     }
-    outcome.flaps = flaps(&outcome.told, incident.proxies);
-    outcome
-}
 
-fn apply(change: Change, world: &mut World, demand: &mut f64, proxies: &mut [Proxy], now: Time) {
-    match change {
-        Change::Group(group, servers) => world.set_group(group, servers, now),
-        Change::AllGroups(servers) => {
-            (0..world.groups()).for_each(|group| world.set_group(group, servers, now));
+    fn sample(&mut self) {
+        let proxies = self.proxies.iter();
+        let weights: Vec<u8> = proxies.map(|p| p.model.report().weight).collect();
+        let counted = weights
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| !self.incident.may_be_out.contains(at));
+        let sum: u32 = counted.map(|(_, w)| u32::from(*w)).sum();
+        self.outcome.least_weight_sum = self.outcome.least_weight_sum.min(sum);
+        if !self.now.as_millis().is_multiple_of(SAMPLE_INTERVAL_MS) {
+            return;
         }
-        Change::Link(proxy, place, up) => world.link(proxy, place, up),
-        Change::Apart(apart) => world.apart(apart, now),
-        Change::Power(place, on) => world.power(place, on, now),
-        Change::HungBuilding(place, hung) => world.hang(place, hung),
-        Change::Lag(at, lag) => proxies[at].lag = lag,
-        Change::Descriptors(at, part) => proxies[at].crowd = part,
-        Change::Demand(times) => *demand = times,
-        Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
-        Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
-        Change::Discovery(at, heard) => proxies[at]
-            .model
-            .handle(now, Event::Discovery { connected: heard }),
-        Change::Stall(at, span) => proxies[at].stalled_until = now + span,
+        let beliefs = self
+            .balancers
+            .iter()
+            .map(|b| (0..self.proxies.len()).map(|at| b.belief(at)).collect());
+        self.outcome.samples.push(Sample {
+            at: self.now,
+            states: self.states.clone(),
+            weights,
+            beliefs: beliefs.collect(),
+            no_proxy_available: self.outcome.no_proxy_available,
+        });
     }
 }
 
-fn flaps(told: &[Told], proxies: usize) -> usize {
+fn flaps(changes: &[StateChange], proxies: usize) -> usize {
     let minute = Duration::from_secs(60);
     let of = |proxy: usize| -> Vec<Time> {
-        told.iter()
+        changes
+            .iter()
             .filter(|t| t.proxy == proxy)
             .map(|t| t.at)
             .collect()
@@ -494,7 +288,7 @@
         .unwrap_or(0)
 }
 
-/// As the proxy puts the model into the codecs' words.
+/// The model's state as the health codecs take it.
 fn status(model: &Availability) -> Status {
     let report = model.report();
     Status {
--- a/crates/proxy-experiments/src/hunt.rs
+++ b/crates/proxy-experiments/src/hunt.rs
@@ -3,7 +3,7 @@
 
 use crate::play::play;
 use crate::policy::Policy;
-use crate::scenario::{Scenario, Target, Trouble, What, SECOND};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault, Target, SECOND};
 use rand::Rng;
 use server_model::Micros;
 use simulation_engine::streams::{Stream, Streams};
@@ -50,7 +50,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let troubles: Vec<String> = self
             .scenario
-            .troubles
+            .faults
             .iter()
             .map(|t| {
                 format!(
@@ -69,7 +69,7 @@
             self.other,
             self.seed,
             self.scenario.proxies(),
-            self.scenario.clients.per_s,
+            self.scenario.clients.requests_per_s,
             if troubles.is_empty() {
                 "no trouble".to_owned()
             } else {
@@ -190,35 +190,35 @@
     match draw.random_range(0..6) {
         0 => {
             let times = draw.random_range(60..=150) as f64 / 100.0;
-            day.clients.per_s = (day.clients.per_s * times).round();
+            day.clients.requests_per_s = (day.clients.requests_per_s * times).round();
         }
         1 => day.clients.proxies = draw.random_range(1..=40),
-        2 => day.clients.unequal = draw.random_range(0..=15) as f64 / 10.0,
-        3 if !day.troubles.is_empty() => {
-            let at = draw.random_range(0..day.troubles.len());
+        2 => day.clients.proxy_skew = draw.random_range(0..=15) as f64 / 10.0,
+        3 if !day.faults.is_empty() => {
+            let at = draw.random_range(0..day.faults.len());
             if draw.random_bool(0.5) {
-                day.troubles.remove(at);
+                day.faults.remove(at);
             } else {
                 let begins = draw.random_range(20..=200);
-                day.troubles[at].at = begins * SECOND / 10;
+                day.faults[at].at = begins * SECOND / 10;
             }
         }
         _ => {}
     }
-    while day.troubles.len() < TROUBLES {
+    while day.faults.len() < TROUBLES {
         let trouble = drawn_trouble(&day, draw);
-        day.troubles.push(trouble);
+        day.faults.push(trouble);
         if draw.random_bool(0.5) {
             break;
         }
     }
-    for (at, trouble) in day.troubles.iter_mut().enumerate() {
+    for (at, trouble) in day.faults.iter_mut().enumerate() {
         trouble.name = format!("t{at}");
     }
     day
 }
 
-fn drawn_trouble(day: &Scenario, draw: &mut Stream) -> Trouble {
+fn drawn_trouble(day: &Scenario, draw: &mut Stream) -> ScheduledFault {
     let tenth = SECOND / 10;
     let length = day.length() / tenth;
     let at = draw.random_range(length / 10..=length / 2) * tenth;
@@ -231,27 +231,27 @@
     let some = some[draw.random_range(0..some.len())].clone();
     let times = draw.random_range(12..=35) as f64 / 10.0;
     let (what, targets) = match draw.random_range(0..12) {
-        0 | 1 => (What::Die, vec![some]),
-        2 | 3 => (What::Hang, vec![some]),
-        4 => (What::Slow(times), Vec::new()),
-        5 => (What::Hold, vec![some]),
-        6 => (What::Deploy, vec![Target::All]),
+        0 | 1 => (FaultKind::Die, vec![some]),
+        2 | 3 => (FaultKind::Hang, vec![some]),
+        4 => (FaultKind::Slow(times), Vec::new()),
+        5 => (FaultKind::Hold, vec![some]),
+        6 => (FaultKind::Deploy, vec![Target::All]),
         7 => (
-            What::ListBehind(draw.random_range(10..=100) * tenth),
+            FaultKind::ListBehind(draw.random_range(10..=100) * tenth),
             Vec::new(),
         ),
-        8 => (What::Surge(times, None), Vec::new()),
+        8 => (FaultKind::Surge(times, None), Vec::new()),
         9 => {
             let back_only = draw.random_bool(0.3);
-            (What::Cut { place, back_only }, vec![Target::All])
+            (FaultKind::Cut { place, back_only }, vec![Target::All])
         }
         10 => (
-            What::Loss(draw.random_range(1..=8) as f64 / 100.0),
+            FaultKind::Loss(draw.random_range(1..=8) as f64 / 100.0),
             Vec::new(),
         ),
-        _ => (What::ListDown, Vec::new()),
+        _ => (FaultKind::ListDown, Vec::new()),
     };
-    Trouble {
+    ScheduledFault {
         name: String::new(),
         at,
         span,
@@ -275,7 +275,7 @@
         // Of those that still show it the one that costs least to play.
         let cost = |day: &Day| {
             let s = &day.scenario;
-            (s.clients.per_s * seconds(s.length())) as u64 + 1_000 * s.troubles.len() as u64
+            (s.clients.requests_per_s * seconds(s.length())) as u64 + 1_000 * s.faults.len() as u64
         };
         let Some(next) = fits.min_by_key(cost) else {
             return small;
@@ -295,26 +295,21 @@
             found.push(next);
         }
     };
-    for at in 0..day.troubles.len() {
-        add(&|s| _ = s.troubles.remove(at));
+    for at in 0..day.faults.len() {
+        add(&|s| _ = s.faults.remove(at));
         add(&|s| {
-            let tenths = s.troubles[at].span / (SECOND / 10) / 2;
-            s.troubles[at].span = (tenths * (SECOND / 10)).max(SECOND);
+            let tenths = s.faults[at].span / (SECOND / 10) / 2;
+            s.faults[at].span = (tenths * (SECOND / 10)).max(SECOND);
         });
     }
-    let end = day
-        .troubles
-        .iter()
-        .map(|t| t.at + t.span)
-        .max()
-        .unwrap_or(0)
-        + 5 * SECOND;
+    let end = day.faults.iter().map(|t| t.at + t.span).max().unwrap_or(0) + 5 * SECOND;
     add(&|s| s.clients.length = s.clients.length.min(end.max(5 * SECOND)));
     // Servers and requests together, so that the load stays.
     if day.site.groups > 1 {
         add(&|s| {
             let fewer = s.site.groups / 2;
-            s.clients.per_s = (s.clients.per_s * fewer as f64 / s.site.groups as f64).round();
+            s.clients.requests_per_s =
+                (s.clients.requests_per_s * fewer as f64 / s.site.groups as f64).round();
             s.site.groups = fewer;
             s.site.sizes.truncate(fewer);
             s.clients.groups = fewer as u32;
@@ -322,14 +317,14 @@
     }
     add(&|s| s.clients.proxies = (s.clients.proxies / 2).max(1));
     add(&|s| s.clients.tenants.clear());
-    add(&|s| s.clients.unequal = 0.0);
-    add(&|s| s.clients.repeats = 0);
+    add(&|s| s.clients.proxy_skew = 0.0);
+    add(&|s| s.clients.max_retries = 0);
     add(&|s| s.clients.patience = (1.0, 1.0));
     add(&|s| s.clients.profile.clear());
     add(&|s| s.network.loss = 0.0);
-    for at in 0..day.clients.kinds.len() {
-        if day.clients.kinds.len() > 1 {
-            add(&|s| _ = s.clients.kinds.remove(at));
+    for at in 0..day.clients.classes.len() {
+        if day.clients.classes.len() > 1 {
+            add(&|s| _ = s.clients.classes.remove(at));
         }
     }
     found
--- a/crates/proxy-experiments/tests/relations.rs
+++ b/crates/proxy-experiments/tests/relations.rs
@@ -9,7 +9,7 @@
 use proxy_experiments::file::read;
 use proxy_experiments::play::{play, play_with};
 use proxy_experiments::policy::{Decider, Name, Policy, View};
-use proxy_experiments::scenario::{Scenario, Target, Trouble, What, ORIGIN, SECOND};
+use proxy_experiments::scenario::{FaultKind, Scenario, ScheduledFault, Target, ORIGIN, SECOND};
 use proxy_experiments::tally::Outcomes;
 use routing::{Action, ClassId, EndpointUpdate, Event, GroupId, Settings, TenantId, Time, ZoneId};
 use std::path::Path;
@@ -29,22 +29,23 @@
         .unwrap();
     day.site.groups = 3;
     let clients = &mut day.clients;
-    (clients.groups, clients.length, clients.per_s) = (3, 7 * SECOND, clients.per_s / 8.0);
+    (clients.groups, clients.length, clients.requests_per_s) =
+        (3, 7 * SECOND, clients.requests_per_s / 8.0);
     clients.tenants.iter_mut().for_each(|t| t.quota /= 8.0);
-    day.troubles[0].at = SECOND;
-    let trouble = |name: &str, at, what, targets| Trouble {
+    day.faults[0].at = SECOND;
+    let trouble = |name: &str, at, what, targets| ScheduledFault {
         name: name.into(),
         at,
         span: 2 * SECOND,
         what,
         targets,
     };
-    day.troubles.extend([
-        trouble("deaths", 2 * SECOND, What::Die, vec![Target::Place(1)]),
+    day.faults.extend([
+        trouble("deaths", 2 * SECOND, FaultKind::Die, vec![Target::Place(1)]),
         trouble(
             "a proxy",
             3 * SECOND,
-            What::ProxyDies,
+            FaultKind::ProxyDies,
             vec![Target::Proxies(1, 1)],
         ),
     ]);
@@ -179,9 +180,9 @@
         "\u{0}",
     ];
     let clients = &mut other.clients;
-    let kinds = clients.kinds.iter_mut().map(|k| &mut k.name);
+    let kinds = clients.classes.iter_mut().map(|k| &mut k.name);
     let tenants = clients.tenants.iter_mut().map(|t| &mut t.name);
-    let troubles = other.troubles.iter_mut().map(|t| &mut t.name);
+    let troubles = other.faults.iter_mut().map(|t| &mut t.name);
     let names = kinds
         .chain(tenants)
         .chain(troubles)
--- /dev/null
+++ b/crates/testbed/src/accounts.rs
@@ -0,0 +1,127 @@
+//! Loan accounts and rollout states from metrics of proxies, fed to the checkers of several proxies together.
+
+use crate::process::Fault;
+use crate::Testbed;
+use invariant_checkers::loans::{self, LoanAccount};
+use invariant_checkers::versions::{self, Observation, Version};
+use rustc_hash::FxHashMap;
+use std::time::Duration;
+
+type Metrics = FxHashMap<String, u64>;
+
+const LENT: &str = "lb_loan_lent_milli{stand=\"";
+const START: &str = "lb_start_ms";
+/// Accounts start anew with a lane, too: others may have taken the former one.
+const LANE: &str = "lb_loans_lane_ms";
+
+/// Loan accounts by tenant.
+fn accounts(metrics: &Metrics) -> Result<Vec<(&str, LoanAccount)>, String> {
+    let tenants = metrics
+        .keys()
+        .filter_map(|name| name.strip_prefix(LENT)?.strip_suffix("\"}"));
+    let account = |tenant| {
+        let metric = |name: &str| {
+            let name = format!("lb_loan_{name}_milli{{stand=\"{tenant}\"}}");
+            metrics
+                .get(&name)
+                .copied()
+                .ok_or_else(|| format!("it tells of loans, but not {name}"))
+        };
+        let (lent, repaid, written_off) =
+            (metric("lent")?, metric("repaid")?, metric("written_off")?);
+        let (owed, part, line) = (metric("owed")?, metric("part")?, metric("line")?);
+        Ok((
+            tenant,
+            LoanAccount {
+                lent,
+                repaid,
+                written_off,
+                owed,
+                part,
+                line,
+            },
+        ))
+    };
+    tenants.map(account).collect()
+}
+
+/// What of a rollout the figures tell: versions by their epochs, of halts that of the proposal that it goes by.
+fn version(metrics: &Metrics, start: u64) -> Option<Observation> {
+    let metric = |name: &str| metrics.get(name).copied();
+    let phase = |name| metric(&format!("lb_rollout_phase{{phase=\"{name}\"}}")) == Some(1);
+    let epoch = metric("lb_rollout_epoch")?;
+    let version = || Version { epoch, hash: None };
+    let halted = phase("halted") || phase("returned");
+    let moves = [
+        "lb_reloads_ok_total",
+        "lb_reloads_failed_total",
+        "lb_rollout_runs_failed_total",
+    ];
+    Some(Observation {
+        start,
+        epoch,
+        runs: (metric("lb_rollout_new")? == 1).then(version),
+        whole: phase("whole"),
+        halted: halted.then(version).into_iter().collect(),
+        moves: moves.into_iter().map(metric).sum(),
+    })
+}
+
+impl Testbed {
+    /// A round of observations at the loans of these proxies; each has to be alive.
+    pub fn check_loans(
+        &self,
+        proxies: impl IntoIterator<Item = usize>,
+        checker: &mut loans::Checker,
+    ) -> Result<(), Fault> {
+        for proxy in proxies {
+            let metrics = self.metrics(proxy)?;
+            let fault = |problem| Fault::new(format!("figures of proxy {proxy}: {problem}"));
+            let accounts = accounts(&metrics).map_err(fault)?;
+            let start = metrics
+                .get(START)
+                .copied()
+                .ok_or_else(|| fault(format!("{START} is not told")))?;
+            let lane = metrics.get(LANE).copied().unwrap_or_default();
+            for (tenant, account) in accounts {
+                checker.observe(&name(proxy), start ^ lane.rotate_left(20), tenant, account);
+            }
+        }
+        checker.end_round();
+        Ok(())
+    }
+
+    /// A round of observations at the versions that these proxies are to run; each has to be alive. `now`: since any instant
+    /// before the first round. Versions are told apart by their epochs: the file that runs, and halts of other proposals
+    /// than the one that a proxy goes by, are in no metric.
+    pub fn check_versions(
+        &self,
+        proxies: impl IntoIterator<Item = usize>,
+        now: Duration,
+        checker: &mut versions::Checker,
+    ) -> Result<(), Fault> {
+        for proxy in proxies {
+            let metrics = self.metrics(proxy)?;
+            let process = self.proxies[proxy]
+                .process
+                .as_ref()
+                .map_or(0, |process| process.number().into());
+            let look = version(&metrics, process).ok_or_else(|| {
+                Fault::new(format!(
+                    "figures of proxy {proxy}: no rollout is told, set the section rollout"
+                ))
+            })?;
+            checker.observe(now, &name(proxy), look);
+        }
+        checker.end_round();
+        Ok(())
+    }
+}
+
+/// As its configuration calls it.
+fn name(proxy: usize) -> String {
+    format!("n{proxy}")
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -4,55 +4,60 @@
 pub mod loans;
 pub mod turns;
 
-use server_model::clients::{self, Kind, Need, Repeat};
+use server_model::clients::{self, Consistency, Idempotency, RequestClass};
 use server_model::law::{Law, Work};
 use server_model::site;
 use std::time::Duration;
-use testbed::truth::Outcomes;
-use testbed::{Rig, Setup};
+use testbed::history::Outcomes;
+use testbed::{Setup, Testbed};
 
 pub const SECOND: u64 = 1_000_000;
 
-pub fn kind(name: &str, need: Need, repeat: Repeat, share: f64) -> Kind {
-    Kind {
+pub fn kind(name: &str, need: Consistency, repeat: Idempotency, share: f64) -> RequestClass {
+    RequestClass {
         name: name.into(),
-        need,
-        repeat,
+        consistency: need,
+        idempotency: repeat,
         share,
         work: Work::new(Law::Fixed, 2_000.0),
         // No machine is so busy with other tests that these are missed.
-        aim: 20 * SECOND,
+        latency_objective: 20 * SECOND,
         deadline: 20 * SECOND,
-        worth: 1.0,
-        late_worth: 0.5,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.5,
     }
 }
 
 pub fn clients(proxies: usize, groups: usize, per_s: f64, length: u64) -> clients::Settings {
     clients::Settings {
-        kinds: vec![
-            kind("any", Need::Any, Repeat::Safe, 5.0),
-            kind("mine", Need::Session, Repeat::Safe, 3.0),
-            kind("book", Need::Write, Repeat::Never, 2.0),
+        classes: vec![
+            kind("any", Consistency::Eventual, Idempotency::Idempotent, 5.0),
+            kind(
+                "mine",
+                Consistency::ReadYourWrites,
+                Idempotency::Idempotent,
+                3.0,
+            ),
+            kind("book", Consistency::Write, Idempotency::NonIdempotent, 2.0),
         ],
         tenants: Vec::new(),
-        over_worth: 1.0,
-        per_s,
+        over_quota_weight_fraction: 1.0,
+        requests_per_s: per_s,
         profile: Vec::new(),
         length,
         proxies,
         groups: groups as u32,
-        unequal: 0.0,
-        busy: 0,
-        busy_carry: 0.0,
-        skew: 0.0,
+        proxy_skew: 0.0,
+        busy_proxies: 0,
+        busy_proxies_share: 0.0,
+        group_skew: 0.0,
         sessions: 20,
-        after_write: 0.5,
-        soon: 400_000,
-        repeats: 0,
-        wait: 100_000,
-        heeds: true,
-        marks: true,
+        read_after_write_share: 0.5,
+        read_after_write_span: 400_000,
+        max_retries: 0,
+        retry_wait: 100_000,
+        obeys_retry_after: true,
+        marks_retries: true,
         patience: (1.0, 1.0),
     }
 }
@@ -76,35 +81,36 @@
     setup
 }
 
-pub fn start(setup: Setup) -> Rig {
-    let rig = Rig::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    rig.truth.begin();
-    rig
+pub fn start(setup: Setup) -> Testbed {
+    let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
+    testbed.history.begin();
+    testbed
 }
 
 /// Until so many more have been answered; `of`: by which proxy.
-pub fn answered(rig: &Rig, more: u64) {
-    let before = rig.truth.look().checker.answered;
-    rig.until("further answers", |inner| {
-        inner.checker.answered >= before + more
-    })
-    .unwrap_or_else(|f| panic!("{f}"));
+pub fn answered(testbed: &Testbed, more: u64) {
+    let before = testbed.history.lock().checker.answered;
+    testbed
+        .until("further answers", |inner| {
+            inner.checker.answered >= before + more
+        })
+        .unwrap_or_else(|f| panic!("{f}"));
 }
 
 pub fn served(out: &Outcomes) -> u64 {
-    out.books.iter().map(|b| b.served).sum()
+    out.accounts.iter().map(|b| b.served).sum()
 }
 
 /// All rules held. What is shown else is which did not.
-pub fn sound(rig: Rig) -> Outcomes {
-    let out = rig.finish().unwrap_or_else(|fault| panic!("{fault}"));
+pub fn sound(testbed: Testbed) -> Outcomes {
+    let out = testbed.finish().unwrap_or_else(|fault| panic!("{fault}"));
     assert!(
         out.broken.is_empty(),
         "{:?} {:?} in {:?}",
         out.broken,
         out.found,
-        out.books
+        out.accounts
     );
-    assert!(served(&out) > 0, "{:?}", out.books);
+    assert!(served(&out) > 0, "{:?}", out.accounts);
     out
 }
