--- a/crates/availability/src/lib.rs
+++ b/crates/availability/src/lib.rs
@@ -17,7 +17,6 @@
 //! to rise) reports at least 100 x `floor`, or 100 x `cut_floor` while it is proven that servers work which it can't reach. Only a
 //! proxy that is draining, stopping or not yet started reports 0. Tests hold the model to it over random events.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod event;
 mod group;
--- a/crates/bulkheads/src/lib.rs
+++ b/crates/bulkheads/src/lib.rs
@@ -6,7 +6,6 @@
 //!
 //! No clock and no I/O; time is an argument and never goes back.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod pool;
 #[cfg(test)]
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -21,8 +21,6 @@
 //! assert_eq!(reading.model.limits.client_patience.as_millis(), 500);
 //! ```
 
-#![warn(missing_docs)]
-
 pub mod calendar;
 pub mod check;
 pub mod diagnostic;
--- a/crates/datagram-auth/src/lib.rs
+++ b/crates/datagram-auth/src/lib.rs
@@ -3,8 +3,6 @@
 //! A datagram is bounded, versioned and authenticated (HMAC-SHA256) by a key that all members share, and is accepted once
 //! (anti-replay window). What its payload means is not known here. See `docs/design/datagram-auth.md`.
 
-#![warn(missing_docs)]
-
 mod advice;
 mod envelope;
 mod keys;
--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -24,7 +24,6 @@
 //! | connected, and silent | [`SILENCE_TIMEOUT`] after its beginning or last bytes | `SILENCE_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
 //! | bytes, and no end of an object | [`OBJECT_TIMEOUT`] after its beginning or last complete object | `OBJECT_TIMEOUT + APPLY_TIME` |
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::time::Duration;
 
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -7,7 +7,6 @@
 //! Events in, actions out, time as an argument; no I/O. A model checker runs it through every order of events
 //! (`tests/exhaustive.rs`).
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::time::Duration;
 
--- a/crates/incidents/src/lib.rs
+++ b/crates/incidents/src/lib.rs
@@ -1,6 +1,5 @@
 //! Scripted balancers before proxies that run the real availability model and the real drain choreography, on virtual
 //! time. An incident is played; what each balancer was told is recorded beside what was true.
-#![warn(missing_docs)]
 
 pub mod balancer;
 pub mod chart;
--- a/crates/invariant-checkers/src/lib.rs
+++ b/crates/invariant-checkers/src/lib.rs
@@ -1,6 +1,5 @@
 //! The rules, watched from outside: what policies ask for, what clients get and what takes effect is all that counts
 //! here.
-#![warn(missing_docs)]
 
 pub mod cold;
 pub mod loans;
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -3,7 +3,6 @@
 //! A server is out of service while either of the two says so, and neither undoes the other's decision. The package
 //! holds state only: it does no I/O and reads no clock. Instants are Unix times.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,8 +4,6 @@
 //!
 //! Reasons, the policy table and all bounds: `docs/design/members.md`.
 
-#![warn(missing_docs)]
-
 mod advice;
 mod anti_entropy;
 mod config;
--- a/crates/persistent-state/src/lib.rs
+++ b/crates/persistent-state/src/lib.rs
@@ -5,7 +5,6 @@
 //!
 //! The table of trust and all bounds: `docs/design/power-loss.md`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod file_format;
 mod recovery;
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -5,7 +5,6 @@
 //! `class_mapping` keeps ids over a reload, `report` reads load reports, and [`Shape`] tells whether a later object is
 //! complete.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod class_mapping;
 mod decode;
--- a/crates/proxy-experiments/src/lib.rs
+++ b/crates/proxy-experiments/src/lib.rs
@@ -3,7 +3,6 @@
 //! A [`scenario::Scenario`] says what there is, who asks and what goes wrong, as a file says it ([`mod@file`]);
 //! [`play::play`] plays it for one policy and one seed; [`invariant_checkers::Checker`] watches the rules from outside and
 //! [`tally::Tally`] keeps the books.
-#![warn(missing_docs)]
 
 pub mod cli;
 pub mod file;
--- a/crates/quota-lending/src/lib.rs
+++ b/crates/quota-lending/src/lib.rs
@@ -23,7 +23,6 @@
 //! The host must: read the file before [`Lender::new`] and hold a lock on it; write files in order; run one process of a name
 //! at a time, each with a greater incarnation; give time that never goes back and does not stand still while that of others runs.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod advice;
 pub mod balances;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -5,8 +5,6 @@
 //!
 //! Reasons and all bounds: `docs/design/rollout.md`.
 
-#![warn(missing_docs)]
-
 mod advice;
 mod command;
 mod core;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -83,7 +83,6 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { server: ServerId(1), .. })));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod admission;
 mod averages;
--- a/crates/server-model/src/lib.rs
+++ b/crates/server-model/src/lib.rs
@@ -5,7 +5,6 @@
 //! have a log that is shipped and applied by one thread, elections and splits. [`network`] is the way to them,
 //! [`catalog`] the list of them, [`clients`] those who ask, [`platform`] what proxies may do. Whoever drives them (virtual time, or real sockets) brings
 //! the time and carries actions from one to the other.
-#![warn(missing_docs)]
 
 pub mod account;
 pub mod catalog;
--- a/crates/simulation-engine/src/lib.rs
+++ b/crates/simulation-engine/src/lib.rs
@@ -3,7 +3,6 @@
 //! [`wheel::Wheel`] hands events out in the order of their times, and of one time in the order in which they were
 //! put in; [`streams::Streams`] gives random numbers by name, so that a change in one part of a run leaves what the
 //! others draw as it was. The same seed gives the same run, bit for bit.
-#![warn(missing_docs)]
 
 pub mod streams;
 pub mod wheel;
--- a/crates/simulator-host/src/lib.rs
+++ b/crates/simulator-host/src/lib.rs
@@ -1,6 +1,5 @@
 //! Hosts the decision module on the simulator's protocol: decodes batches, plays one router an instance, encodes replies.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod host;
 mod instance;
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -6,7 +6,6 @@
 //! come to. How fast a returning site gets its load back is the decision module's, by its slow start. Nothing here decides where
 //! a request goes.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod capacity;
 mod demand;
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -17,7 +17,6 @@
 //!   while the members behind the new one move by one.
 //! - All members stay in the order: the subset comes first, and every other member can still be reached.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use fnv::FnvHasher;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,7 +5,6 @@
 //! the proxies. Whoever holds it kills, stops and restarts them, cuts links, injects faults of servers, lets clients
 //! ask, waits for events, and at last reads what came of it and which rules were broken. `docs/design/testbed.md`.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod accounts;
 mod admin;
