--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -61,7 +61,7 @@
 /// [`MAX_RETRY_DELAY`] before the next, so that the calls of many proxies stay spread.
 pub const MAX_POLL_AGE: Duration = NOTIFICATION_DEADLINE.saturating_sub(APPLY_TIME);
 
-/// The latest first call of a new process, however seldom it may poll. The watch of the process before it ended with that
+/// The latest first call of a new process, however rarely it may poll. The watch of the process before it ended with that
 /// process, so later changes count as notified after [`NOTIFICATION_DEADLINE`]; half of that is left for the restart.
 pub const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(3);
 /// A new process uses the list of the one before it for this time, unless a call has failed. A drain just after the end of
--- a/crates/invariant-checkers/src/loans.rs
+++ b/crates/invariant-checkers/src/loans.rs
@@ -135,8 +135,8 @@
     joined: bool,
 }
 
-/// A round is an observation at each living proxy, then [`Checker::round`]. It is made before any proxy has started a second
-/// time, since what the first start of each says was lent counts as lent, and a line tenants until a whole round has seen
+/// A round is an observation at each living proxy, then `end_round`. It is made before any proxy has started a second
+/// time, since what the first start of each says was lent counts as lent, and a line holds until a complete round has seen
 /// it: loans under one that nobody saw would pass for a breach.
 #[derive(Clone, Debug)]
 pub struct Checker {
--- a/crates/invariant-checkers/src/versions.rs
+++ b/crates/invariant-checkers/src/versions.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// A round is an observation at each living proxy, then [`Checker::round`].
+/// A round is an observation at each living proxy, then `end_round`.
 #[derive(Clone, Debug)]
 pub struct Checker {
     /// Regions in their order, with all of their proxies.
--- a/crates/leverproxy/src/persistence/hot_restart/handover.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/handover.rs
@@ -86,13 +86,13 @@
     pub fn advice(&self) -> &'static str {
         match self {
             HandoverError::Read(_) | HandoverError::CutShort => {
-                "If the elder has ended, nothing. Else both accept clients now, and this one is ready once discovery has given its list: then send the elder SIGTERM. What operators took out has to be taken out here again."
+                "If the old process has ended, nothing. Else both accept clients now, and this one is ready once discovery has given its list: then send the old process SIGTERM. What operators took out has to be taken out here again."
             }
             HandoverError::Long | HandoverError::Form(_) | HandoverError::Version(_) => {
-                "The two builds do not understand each other. Both accept clients now, and this one is ready once discovery has given its list: then send the elder SIGTERM. What operators took out has to be taken out here again."
+                "The two builds do not understand each other. Both accept clients now, and this one is ready once discovery has given its list: then send the old process SIGTERM. What operators took out has to be taken out here again."
             }
             HandoverError::NoListener => {
-                "This process is short of descriptors, or something else listens at that place in `$TMPDIR`. Both accept clients now: wait until this one is ready, then send the elder SIGTERM."
+                "This process is short of descriptors, or something else listens at that place in `$TMPDIR`. Both accept clients now: wait until this one is ready, then send the old process SIGTERM."
             }
         }
     }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -400,10 +400,10 @@
 /// What bad peers can bring about at will is a line a second at most, which tells how many it stands for.
 #[test]
 fn the_log_does_not_grow_with_a_flood() {
-    let (mut seldom, start) = (LogRateLimit::default(), Instant::now());
+    let (mut limit, start) = (LogRateLimit::default(), Instant::now());
     let at = |millis: u64| start + Duration::from_millis(millis);
     let lines: Vec<String> = (0..1500)
-        .filter_map(|ms| seldom.line(at(ms), || "bad".into()))
+        .filter_map(|ms| limit.line(at(ms), || "bad".into()))
         .collect();
     assert_eq!(lines, ["bad", "bad (999 more like it since the last)"]);
 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -6,7 +6,7 @@
 //!
 //! **Inputs**: latency over objective of each answer, and the weight that a late one still earns.
 //! **Fractions**: one over all groups, one for each group (overload in one rejects no other's requests, but a router
-//! hears too seldom from each), and one for over-quota requests, which falls at the first late answers. A fraction rises
+//! hears too rarely from each), and one for over-quota requests, which falls at the first late answers. A fraction rises
 //! by a step for an answer in time and falls by several for a late one. Without answers it decays towards 1.
 //! **Priority**: weight of an answer per second of work. Requests of less than the usual priority are shed first.
 //! **Quota**: borrowed requests take no place for which one within its quota is rejected; retries of over-quota requests
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -3,7 +3,7 @@
 //! Only a queued request causes a probe: otherwise probes would cost members times routers, and what a router with
 //! little traffic learned is outdated before it is used. For a position the server with the least cost is probed, each
 //! at most once in `Tuning::probe_interval` of the tightest staleness bound; to find the primary, the member of the
-//! group that was not probed for longest. Roles change slowly and are probed for more seldom: probes at every look cost
+//! group that was not probed for longest. Roles change slowly and are probed for less often: probes at every look cost
 //! most where connects fail. Costs most where round trips are long.
 
 use crate::averages::exponential_average;
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -208,7 +208,7 @@
             1.0
         };
         if !self.has_capacity(request, id, server, fraction) {
-            // The draw of one of many routers is the same at each look, and its own answers seldom change it.
+            // The draw of one of many routers is the same at each look, and its own answers rarely change it.
             let is_lasting = server.in_flight.is_empty() && self.is_large_fleet();
             return Suitability::AtCapacity { is_lasting };
         }
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -120,7 +120,7 @@
     }
 
     /// Adapts ramp confidence to an answer, for the server and, if it warms up, for all that do: what they bear goes by
-    /// the load that all share, and one of many routers hears too seldom from each. Answers far apart prove little.
+    /// the load that all share, and one of many routers hears too rarely from each. Answers far apart prove little.
     pub(crate) fn learn_ramp_confidence(
         &mut self,
         id: ServerId,
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -209,7 +209,7 @@
     let sent = (0..routers)
         .filter(|&number| {
             let mut bench = Bench::of_fleet(routers as u32, 2, number);
-            // It seldom gets a request, and knows that they take less than their objective.
+            // It rarely gets a request, and knows that they take less than their objective.
             for _ in 0..20 {
                 bench.wait(5_000 * MS);
                 (1..=2).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
--- a/crates/server-model/src/clients/events.rs
+++ b/crates/server-model/src/clients/events.rs
@@ -12,9 +12,9 @@
     pub id: ClientAttemptId,
     /// The request that it belongs to: what its work and its effect go by.
     pub request: u64,
-    /// Its class, by position in [`Settings::classes`].
+    /// Its class, by position in `Settings::classes`.
     pub class: usize,
-    /// Its tenant, by position in [`Settings::tenants`].
+    /// Its tenant, by position in `Settings::tenants`.
     pub tenant: usize,
     /// The group that it is for.
     pub group: u32,
