--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -1,4 +1,4 @@
-//! Text to lines of words, braces and comments. What the words mean is for [`crate::check`].
+//! Text to lines of words, braces and comments. What the words mean is for `check`.
 
 use crate::diagnostic::Diagnostic;
 use crate::source::{FileId, Span};
--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -36,10 +36,10 @@
 pub struct Settings {
     /// The balancers in front of the proxy.
     pub balancers: Vec<Balancer>,
-    /// Whether a termination is announced to the balancers first. If not, new connections are accepted for `linger`.
+    /// Whether a termination is announced to the balancers first. If not, new connections are accepted for `accept_after_stop`.
     pub announce_termination: bool,
     /// How long new connections are accepted after a termination that is not announced.
-    pub linger: Duration,
+    pub accept_after_stop: Duration,
     /// From the end of the announcement, the time after which outstanding requests are aborted.
     pub drain_timeout: Duration,
 }
@@ -106,7 +106,7 @@
     /// Out of service until an operator puts the proxy back.
     Drained,
     /// Terminating without an announcement; new connections are still accepted.
-    Lingering {
+    StillAccepting {
         /// When the proxy stops listening.
         until: Time,
     },
@@ -162,7 +162,7 @@
     /// When [`Event::Tick`] is due.
     pub fn next_deadline(&self) -> Option<Time> {
         let step = match self.phase {
-            Phase::Announced { until, .. } | Phase::Lingering { until } => Some(until),
+            Phase::Announced { until, .. } | Phase::StillAccepting { until } => Some(until),
             Phase::Serving | Phase::Drained | Phase::Closing | Phase::Finished => None,
         };
         let exit = self.exit_deadline.filter(|_| self.phase != Phase::Finished);
@@ -238,8 +238,11 @@
             }
             _ => {
                 // A listener that closes only with the process resets the connections in its backlog.
-                let until = now + settings.linger.min(settings.drain_timeout);
-                (Phase::Lingering { until }, now + settings.drain_timeout)
+                let until = now + settings.accept_after_stop.min(settings.drain_timeout);
+                (
+                    Phase::StillAccepting { until },
+                    now + settings.drain_timeout,
+                )
             }
         }
     }
@@ -259,7 +262,7 @@
                     Phase::Drained
                 }
             }
-            Phase::Lingering { until } if self.now >= until => Phase::Closing,
+            Phase::StillAccepting { until } if self.now >= until => Phase::Closing,
             _ => return,
         };
         self.stop_listening(actions);
--- a/crates/drain/src/tests.rs
+++ b/crates/drain/src/tests.rs
@@ -20,7 +20,7 @@
     Settings {
         balancers: vec![balancer(2 * S, 3), balancer(5 * S, 1)],
         announce_termination: true,
-        linger: 500 * MS,
+        accept_after_stop: 500 * MS,
         drain_timeout: 3 * S,
     }
 }
@@ -48,7 +48,7 @@
 #[test]
 fn without_balancers_termination_lingers_and_closes() {
     let set = Settings {
-        linger: 500 * MS,
+        accept_after_stop: 500 * MS,
         drain_timeout: 3_600 * MS,
         ..Settings::default()
     };
@@ -115,10 +115,10 @@
 /// idle: it accepts the client, and ends once it is reported idle again.
 #[test]
 fn clients_in_the_backlog_are_answered_before_the_end() {
-    for linger in [Time::ZERO, 500 * MS] {
+    for accept_after_stop in [Time::ZERO, 500 * MS] {
         let mut drain = Drain::new(
             Settings {
-                linger,
+                accept_after_stop,
                 drain_timeout: 3 * S,
                 ..Settings::default()
             },
@@ -126,7 +126,7 @@
         );
         handle(&mut drain, Time::ZERO, Event::IdleChanged(true));
         let mut actions = handle(&mut drain, Time::ZERO, Event::Terminate);
-        actions.extend(handle(&mut drain, linger, Event::Tick));
+        actions.extend(handle(&mut drain, accept_after_stop, Event::Tick));
         assert_eq!(
             actions,
             [
@@ -135,7 +135,10 @@
                 Action::StopListening
             ]
         );
-        assert_eq!(handle(&mut drain, linger, Event::IdleChanged(false)), []);
+        assert_eq!(
+            handle(&mut drain, accept_after_stop, Event::IdleChanged(false)),
+            []
+        );
         assert_eq!(
             handle(&mut drain, S, Event::IdleChanged(true)),
             [Action::Exit]
@@ -166,7 +169,7 @@
 #[test]
 fn a_linger_time_beyond_the_drain_timeout_is_cut() {
     let set = Settings {
-        linger: 9 * S,
+        accept_after_stop: 9 * S,
         drain_timeout: S,
         ..Settings::default()
     };
--- a/crates/drain/tests/exhaustive.rs
+++ b/crates/drain/tests/exhaustive.rs
@@ -107,7 +107,7 @@
         let settings = Settings {
             balancers: balancers.collect(),
             announce_termination: self.announce_termination,
-            linger: TICK,
+            accept_after_stop: TICK,
             drain_timeout: time(DRAIN_TIMEOUT),
         };
         let world = World {
@@ -319,7 +319,7 @@
                         timeout: Duration::ZERO,
                     }],
                     announce_termination: true,
-                    linger: TICK,
+                    accept_after_stop: TICK,
                     drain_timeout: time(DRAIN_TIMEOUT),
                 };
                 world.drain = Drain::new(settings, Time::ZERO);
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -295,7 +295,7 @@
         state: report.state,
         weight: report.weight,
         reason: String::new(),
-        room: None,
+        max_clients: None,
         retry_after: Duration::from_secs(1),
         load: wire_health::Load::default(),
         groups: Vec::new(),
--- a/crates/leverproxy/src/cluster/members/metrics.rs
+++ b/crates/leverproxy/src/cluster/members/metrics.rs
@@ -37,7 +37,7 @@
             "Whether its last sign of life was its own datagram.",
             direct,
         );
-        let accounts = self.accounts(now);
+        let accounts = self.self_reports(now);
         let serving = accounts
             .iter()
             .map(|(name, a)| (vec![("member", name.as_str())], u64::from(a.serving)));
--- a/crates/leverproxy/src/cluster/members/mod.rs
+++ b/crates/leverproxy/src/cluster/members/mod.rs
@@ -3,19 +3,18 @@
 //!
 //! Nothing here waits: a datagram that can't be sent now is lost, as any datagram may be.
 
-mod account;
 mod error;
 mod metrics;
 mod names;
 #[cfg(test)]
 mod recorded;
+mod self_report;
 mod status_text;
 #[cfg(test)]
 mod unsealed;
 
 use crate::event_loop::reactor::{Interest, Reactor};
 use crate::event_loop::token::Token;
-use account::{decode_account, encode_account, Account, ACCOUNT_KIND, ACCOUNT_TTL};
 use configuration::model::Members as MembersSettings;
 use datagram_auth::{Keys, Opener, Sealer, MAX_DATAGRAM_BYTES, MEMBERSHIP_KIND};
 pub use error::MembersError;
@@ -24,6 +23,9 @@
     View,
 };
 use names::status_name;
+use self_report::{
+    decode_self_report, encode_self_report, SelfReport, SELF_REPORT_KIND, SELF_REPORT_TTL,
+};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -153,7 +155,7 @@
         self.handle(Event::Timer(token), now);
         if self
             .account_published
-            .is_some_and(|at| now.saturating_duration_since(at) > ACCOUNT_TTL / 2)
+            .is_some_and(|at| now.saturating_duration_since(at) > SELF_REPORT_TTL / 2)
         {
             self.publish_account(now);
         }
@@ -261,8 +263,8 @@
     }
 
     fn fact_received(&mut self, fact: Fact) {
-        if fact.kind == ACCOUNT_KIND {
-            self.malformed_accounts += u64::from(decode_account(&fact.body).is_none());
+        if fact.kind == SELF_REPORT_KIND {
+            self.malformed_accounts += u64::from(decode_self_report(&fact.body).is_none());
         } else {
             // Whoever needs it may be slow to fetch it.
             self.pending_facts.truncate(MAX_PENDING_FACTS - 1);
@@ -308,30 +310,30 @@
     }
 
     fn publish_account(&mut self, now: Instant) {
-        let account = Account {
+        let self_report = SelfReport {
             build: env!("CARGO_PKG_VERSION").into(),
             serving: self.serving,
         };
-        let Some(body) = encode_account(&account) else {
+        let Some(body) = encode_self_report(&self_report) else {
             return;
         };
         self.account_published = Some(now);
         self.handle(
             Event::Publish {
-                kind: ACCOUNT_KIND,
+                kind: SELF_REPORT_KIND,
                 key: Vec::new(),
                 body,
-                ttl: ACCOUNT_TTL,
+                ttl: SELF_REPORT_TTL,
             },
             now,
         );
     }
 
     /// The last account of each other member, by name.
-    fn accounts(&self, now: Instant) -> BTreeMap<String, Account> {
-        self.facts(ACCOUNT_KIND, now)
+    fn self_reports(&self, now: Instant) -> BTreeMap<String, SelfReport> {
+        self.facts(SELF_REPORT_KIND, now)
             .into_iter()
-            .filter_map(|fact| Some((fact.source, decode_account(&fact.body)?)))
+            .filter_map(|fact| Some((fact.source, decode_self_report(&fact.body)?)))
             .collect()
     }
 
--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -52,11 +52,14 @@
     let now = Instant::now();
     let mut members = joined(now);
     hear(&mut members, &hex::decode(DATAGRAM).unwrap(), now);
-    let account = Account {
+    let self_report = SelfReport {
         build: "0.1.0".into(),
         serving: true,
     };
-    assert_eq!(members.accounts(now), [("n1".to_owned(), account)].into());
+    assert_eq!(
+        members.self_reports(now),
+        [("n1".to_owned(), self_report)].into()
+    );
     assert_eq!(members.malformed_accounts, 0);
 }
 
@@ -71,8 +74,11 @@
         &hex::decode(DATAGRAM.replace(BODY, &later)).unwrap(),
         now,
     );
-    assert_eq!(members.core.facts(Duration::ZERO, ACCOUNT_KIND).len(), 1);
-    assert_eq!(members.accounts(now), BTreeMap::new());
+    assert_eq!(
+        members.core.facts(Duration::ZERO, SELF_REPORT_KIND).len(),
+        1
+    );
+    assert_eq!(members.self_reports(now), BTreeMap::new());
     assert_eq!(members.view(now).counters.malformed, 0);
     assert_eq!(
         (members.malformed_accounts, members.malformed_rates),
--- a/crates/leverproxy/src/cluster/members/status_text.rs
+++ b/crates/leverproxy/src/cluster/members/status_text.rs
@@ -29,7 +29,7 @@
                 _ = writeln!(text, "  may not {}: {why}", operation_name(operation));
             }
         }
-        let accounts = self.accounts(now);
+        let accounts = self.self_reports(now);
         for member in view.members {
             let age = since_origin.saturating_sub(member.since).as_secs();
             let how = if member.direct {
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -44,7 +44,7 @@
     kind: u8,
     key: Vec<u8>,
     body: Vec<u8>,
-    lasts: Duration,
+    ttl: Duration,
 }
 
 /// The rule of a tenant that is not in the file any more: nothing is lent, and what is owed is repaid as before.
@@ -475,7 +475,7 @@
                     kind,
                     key,
                     body,
-                    lasts,
+                    ttl: lasts,
                 }),
                 Action::Save { sequence, bytes } => self.write_file(WriteJob { sequence, bytes }),
                 Action::Timer { after, token } => self.timer = Some((now + after, token)),
@@ -498,7 +498,7 @@
     pub fn flush(&mut self, members: &mut Members, now: Instant) {
         self.receive_written_files(now);
         for message in self.queued_messages.drain(..) {
-            members.publish(message.kind, message.key, message.body, message.lasts, now);
+            members.publish(message.kind, message.key, message.body, message.ttl, now);
         }
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/mod.rs
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -12,7 +12,7 @@
 mod version;
 
 use crate::cluster::members::Members;
-use crate::config::reload::ReloadRequest;
+use crate::config::reload_request::ReloadRequest;
 use crate::observability::counters::Counters;
 use crate::persistence::background_writer::BackgroundWriter;
 use ::rollout::{Action, Config, Core, Event, EvidenceLimits, VersionHash};
--- a/crates/leverproxy/src/cluster/rollout/persistence.rs
+++ b/crates/leverproxy/src/cluster/rollout/persistence.rs
@@ -4,14 +4,15 @@
 use super::stored_state::state_path;
 use super::Rollout;
 use crate::cluster::members::Members;
-use crate::config::reload::ReloadRequest;
+use crate::config::reload_request::ReloadRequest;
 use crate::persistence::background_writer::BackgroundWriter;
 use ::rollout::Event;
 use std::io;
 use std::time::Instant;
 
 impl Rollout {
-    /// `None` if the write has begun; else whether there is nothing to write.
+    /// `None` if the write has begun, `Some(true)` if there is no directory to write to, `Some(false)` if it can't be written
+    /// now.
     pub(super) fn persist(&mut self, bytes: Vec<u8>) -> Option<bool> {
         let Some(folder) = &self.settings.state else {
             return Some(true);
--- a/crates/leverproxy/src/cluster/sites.rs
+++ b/crates/leverproxy/src/cluster/sites.rs
@@ -78,12 +78,12 @@
     }
 
     /// An exchange has ended. What is answered in time shows a site's capacity.
-    pub fn record_end(&mut self, now: Duration, done: &CompletedExchange) {
+    pub fn record_end(&mut self, now: Duration, completed: &CompletedExchange) {
         if let (Some(class), Some(group), ExchangeOutcome::Served(_)) =
-            (done.class, done.group, &done.outcome)
+            (completed.class, completed.group, &completed.outcome)
         {
             self.plan
-                .record_served(now, done.server.0, group.0, class.0, done.elapsed);
+                .record_served(now, completed.server.0, group.0, class.0, completed.elapsed);
         }
     }
 
--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -17,7 +17,7 @@
 /// The first byte of its body.
 const VERSION: u8 = 1;
 /// A proxy that is cut off keeps its part of the quotas so long; then the others divide it.
-const LASTS: Duration = Duration::from_secs(60);
+const TTL: Duration = Duration::from_secs(60);
 /// Interval of messages in a small fleet: rates are averages over some seconds.
 const INTERVAL: Duration = Duration::from_secs(1);
 /// Tenants in one message: a number and a rate take five bytes each at most.
@@ -41,7 +41,7 @@
 
 /// Interval of [`publish`], which grows with the fleet.
 pub fn interval(members: &Members) -> Duration {
-    membership::republish_interval(members.roster_size(), 1, INTERVAL, LASTS)
+    membership::republish_interval(members.roster_size(), 1, INTERVAL, TTL)
 }
 
 /// Publishes the rates here. Tenants beyond what fits are left out: for them each proxy estimates its part by itself.
@@ -58,7 +58,7 @@
         .collect();
     for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(MESSAGES)) {
         if let Some(body) = encode(part) {
-            members.publish(KIND, vec![at], body, LASTS, now);
+            members.publish(KIND, vec![at], body, TTL, now);
         }
     }
 }
--- a/crates/leverproxy/src/cluster/usage/tests.rs
+++ b/crates/leverproxy/src/cluster/usage/tests.rs
@@ -25,7 +25,7 @@
             sequence: 1,
             body: body.into(),
             age: Duration::ZERO,
-            ttl: LASTS,
+            ttl: TTL,
         };
         assert!(is_malformed(&fact(KIND)) && !is_malformed(&fact(KIND + 1)));
     }
--- a/crates/leverproxy/src/config/limits.rs
+++ b/crates/leverproxy/src/config/limits.rs
@@ -9,7 +9,7 @@
 pub struct Limits {
     /// Connections of clients.
     pub clients: usize,
-    /// From this many client connections on, an idle one is closed after [`super::ClientTimeouts::idle`].
+    /// From this many client connections on, an idle one is closed after [`super::ClientLimits::idle`].
     pub crowded: usize,
     /// From this many client connections on, an idle one is closed at once.
     pub packed: usize,
--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -3,7 +3,7 @@
 use super::key_file;
 use super::limits;
 use super::platform_file::{self, PlatformFile, RequiredKeys};
-use super::{operator_config, operators_file, ClientTimeouts, Config, ConfigError};
+use super::{operator_config, operators_file, ClientLimits, Config, ConfigError};
 use crate::clock::WallClock;
 use crate::discovery::wire::EndpointList;
 use configuration::model::{Model, Origin};
@@ -121,7 +121,7 @@
         discovery: addresses.discovery,
         seed,
         limits,
-        client_timeouts: client_timeouts(&model),
+        client_limits: client_limits(&model),
         rules: operator_config::rules(&model, &platform),
         health: operator_config::health(&model),
         availability: operator_config::availability(&model),
@@ -332,9 +332,9 @@
     }
 }
 
-fn client_timeouts(model: &Model) -> ClientTimeouts {
+fn client_limits(model: &Model) -> ClientLimits {
     let limits = &model.limits;
-    ClientTimeouts {
+    ClientLimits {
         first_request: limits.client_patience,
         idle: limits.client_idle,
         unread_response: limits.answer_unread,
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! Two files make one [`Config`]: the platform's JSON (`LB_CONFIG`, `platform_file`) and the operators' file
 //! (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), if there is one. The operators' file sets what operators
-//! choose and may tighten what the platform states, never loosen it. Variables of the environment override both.
+//! choose and may tighten what the platform states, never loosen it. Variables of the environment override
+//! both, but for `LB_DISCOVERY` on a reload: there the platform's file counts.
 
 mod effective;
 mod error;
@@ -14,6 +15,7 @@
 pub mod operators_file;
 mod platform_file;
 pub mod reload;
+pub mod reload_request;
 
 pub use effective::effective;
 pub use error::ConfigError;
@@ -23,7 +25,7 @@
 
 use crate::clock::WallClock;
 use crate::discovery::wire::EndpointList;
-use crate::health::Listen;
+use crate::health::ListenerSettings;
 use crate::pipeline::route_rules::Rules;
 use configuration::calendar::Window;
 use configuration::model::{Lending, Logging, Members, Persistence, Rollout};
@@ -51,11 +53,11 @@
     /// How descriptors and memory are divided.
     pub limits: Limits,
     /// What one client may use, in time and otherwise.
-    pub client_timeouts: ClientTimeouts,
+    pub client_limits: ClientLimits,
     /// The operators' routes, classes and pools.
     pub rules: Rules,
     /// Where balancers' health checks are answered.
-    pub health: Vec<Listen>,
+    pub health: Vec<ListenerSettings>,
     /// When the proxy calls itself degraded or down.
     pub availability: availability::Settings,
     /// The operators' control socket.
@@ -100,9 +102,9 @@
     pub upstream_idle_timeout: Duration,
     /// A watch on discovery that sends nothing for this long is replaced.
     pub max_watch_silence: Duration,
-    /// For this long after SIGTERM new connections are still accepted.
+    /// For this long after SIGTERM new connections are still accepted, unless the end is announced to balancers first.
     pub accept_after_stop: Duration,
-    /// Requests that are still open fail this long after SIGTERM.
+    /// Requests that are still open fail this long after SIGTERM, or after the end of its announcement.
     pub shutdown_timeout: Duration,
 }
 
@@ -112,7 +114,7 @@
         drain::Settings {
             balancers: self.balancers.clone(),
             announce_termination: self.announce_end,
-            linger: self.accept_after_stop,
+            accept_after_stop: self.accept_after_stop,
             drain_timeout: self.shutdown_timeout,
         }
     }
@@ -120,7 +122,7 @@
 
 /// Timeouts of a client's connection, and bounds on what one client may have open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientTimeouts {
+pub struct ClientLimits {
     /// A connection has to send its first valid request within this, and every command completely.
     pub first_request: Duration,
     /// While there are many clients, a connection is kept between requests for this long; while most of the places are
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -1,7 +1,7 @@
 //! From the model of the operators' file to the settings of the proxy's parts. Each value counts only where it is
 //! tighter than the platform's.
 
-use crate::health::{Listen, Protocol};
+use crate::health::{ListenerSettings, Protocol};
 use crate::pipeline::route_rules::{RouteAction, Rules};
 use bulkheads::{Priority, Rate, Settings as Pool};
 use configuration::index::{Index, NameTable};
@@ -135,8 +135,8 @@
 }
 
 /// The health listeners.
-pub fn health(model: &Model) -> Vec<Listen> {
-    let listen = |h: &configuration::model::Health| Listen {
+pub fn health(model: &Model) -> Vec<ListenerSettings> {
+    let listen = |h: &configuration::model::Health| ListenerSettings {
         name: h.name.clone(),
         address: h.address,
         protocol: match h.protocol {
--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -4,9 +4,9 @@
 //! One thread serves all reloads, from the first one on, so that memory that one reload needed serves the next.
 
 use crate::cluster::rollout;
+use crate::config::reload_request::ReloadRequest;
 use crate::config::{Config, ConfigError};
 use crate::pipeline::route_rules::Rules;
-use ::rollout::VersionHash;
 use std::io::{self, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -18,17 +18,6 @@
 /// Reads the configuration again, wherever it came from; with a path, with that as the operators' file.
 pub type ReadConfig = Box<dyn FnMut(Option<&Path>) -> ReadResult + Send>;
 
-/// What is to be read, and why.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReloadRequest {
-    /// The files in force, which may have changed.
-    CurrentFiles,
-    /// A candidate of a rollout, to see whether it could run; the folder of candidates.
-    Check(VersionHash, PathBuf),
-    /// A candidate that is to run, with its folder; without one, the operators' own file.
-    Run(VersionHash, Option<PathBuf>),
-}
-
 enum Job {
     Read(ReloadRequest),
     /// Dropping large rules takes long.
--- a/crates/leverproxy/src/discovery/watch.rs
+++ b/crates/leverproxy/src/discovery/watch.rs
@@ -59,7 +59,7 @@
     /// The watch at the previous address; its lists count until the current one responds.
     previous: Option<Key>,
     events: VecDeque<WatchEvent>,
-    /// An agent that is down is called ten times a second.
+    /// While discovery is down it is called ten times a second.
     loss_log: LogRateLimit,
 }
 
--- a/crates/leverproxy/src/downstream/accept.rs
+++ b/crates/leverproxy/src/downstream/accept.rs
@@ -34,7 +34,7 @@
             };
             let is_over_limit = self.is_full() && gives_way.is_none();
             if is_over_limit && !self.may_accept_balancer() {
-                return self.pause_accept(true, reactor);
+                return self.set_accept_paused(true, reactor);
             }
             let Some(listener) = &self.listener else {
                 return;
@@ -48,11 +48,11 @@
                     self.admit_client(stream, peer, is_over_limit, now, reactor);
                 }
                 Err(AcceptError::Empty) => return,
-                Err(AcceptError::RetryLater) => return self.pause_accept(true, reactor),
+                Err(AcceptError::RetryLater) => return self.set_accept_paused(true, reactor),
                 Err(AcceptError::NoDescriptors) => {
                     self.log_descriptors_exhausted(now);
                     if freed_descriptor || !self.free_descriptor(now, reactor) {
-                        return self.pause_accept(true, reactor);
+                        return self.set_accept_paused(true, reactor);
                     }
                     freed_descriptor = true;
                 }
@@ -78,7 +78,7 @@
         let is_balancer = self.clients.get(key).is_some_and(|c| c.is_balancer);
         if is_over_limit && !is_balancer {
             self.reject_client(key, server::too_many_connections());
-            self.write(key, now, reactor);
+            self.advance(key, now, reactor);
         }
     }
 
@@ -106,7 +106,7 @@
         );
         let key = self.clients.insert(client);
         // Read in a later round even if bytes have come: what others sent before is read first.
-        self.write(key, now, reactor);
+        self.advance(key, now, reactor);
         key
     }
 
@@ -137,7 +137,7 @@
                 // None: it had closed by itself, and its place is free.
                 return self.clients.get(key).map(|_| key);
             }
-            self.write(key, now, reactor);
+            self.advance(key, now, reactor);
         }
         None
     }
@@ -170,17 +170,17 @@
 
     /// Tries accepting again.
     pub fn resume_accept(&mut self, reactor: &Reactor) {
-        self.pause_accept(false, reactor);
+        self.set_accept_paused(false, reactor);
     }
 
     /// Whether a new process accepts from the same queue in place of this one.
     pub fn set_new_process_accepts(&mut self, accepts: bool, reactor: &Reactor) {
         self.new_process_accepts = accepts;
-        self.pause_accept(accepts, reactor);
+        self.set_accept_paused(accepts, reactor);
     }
 
     /// A listener that is not accepted from must not be watched: it would be ready all the time.
-    pub(super) fn pause_accept(&mut self, pause: bool, reactor: &Reactor) {
+    pub(super) fn set_accept_paused(&mut self, pause: bool, reactor: &Reactor) {
         let pause = pause || self.new_process_accepts;
         let changes = self.is_accepting == pause;
         let Some(listener) = self.listener.as_ref().filter(|_| changes) else {
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -1,7 +1,7 @@
 //! One client's connection: what is known of it, and the answers that it waits for.
 
 use super::connection_end::{CloseReason, ConnectionEnd};
-use crate::config::ClientTimeouts;
+use crate::config::ClientLimits;
 use crate::event_loop::stream::Stream;
 use crate::protocol::postgres::server::CancelKey;
 use crate::request::ResponseSlot;
@@ -156,7 +156,7 @@
     }
 
     /// It has run out of time for its first request, or for the rest of a command.
-    pub(super) fn is_overdue(&self, timeouts: &ClientTimeouts, now: Instant) -> bool {
+    pub(super) fn is_overdue(&self, timeouts: &ClientLimits, now: Instant) -> bool {
         let owed_nothing = self.responses.is_empty() && self.stream.unsent() == 0;
         let is_over = |since| now.saturating_duration_since(since) >= timeouts.first_request;
         let is_partial_over = self.partial_since.is_some_and(is_over);
@@ -186,14 +186,14 @@
     }
 
     /// Requests are read: it may have more of them, and it takes its answers.
-    pub(super) fn accepts_requests(&self, timeouts: &ClientTimeouts) -> bool {
+    pub(super) fn accepts_requests(&self, timeouts: &ClientLimits) -> bool {
         self.end.is_open()
             && self.responses.len() < timeouts.max_pipelined
             && self.stream.unsent() < timeouts.max_unsent_bytes
     }
 
     /// Whether its bytes are read, as requests or to be discarded.
-    pub(super) fn wants_input(&self, timeouts: &ClientTimeouts) -> bool {
+    pub(super) fn wants_input(&self, timeouts: &ClientLimits) -> bool {
         match self.end.discard_budget() {
             Some(budget) => budget > 0,
             None => self.accepts_requests(timeouts),
--- a/crates/leverproxy/src/downstream/close.rs
+++ b/crates/leverproxy/src/downstream/close.rs
@@ -35,7 +35,7 @@
         while let Some(Ok((stream, peer))) = self.listener.as_ref().map(listener::accept) {
             let key = self.add_client(stream, peer, now, reactor);
             self.reject_client(key, server::too_many_connections());
-            self.write(key, now, reactor);
+            self.advance(key, now, reactor);
         }
     }
 
@@ -61,7 +61,7 @@
                 number,
             }));
         }
-        self.pause_accept(false, reactor);
+        self.set_accept_paused(false, reactor);
     }
 
     pub(super) fn remove(&mut self, key: Key) -> Option<Client> {
--- a/crates/leverproxy/src/downstream/idle.rs
+++ b/crates/leverproxy/src/downstream/idle.rs
@@ -37,7 +37,7 @@
             self.disconnect_overdue(key, now, reactor);
         } else if self.is_draining {
             // Its time for a first request may be over.
-            self.write(key, now, reactor);
+            self.advance(key, now, reactor);
         }
     }
 
@@ -49,7 +49,7 @@
             let reason = Malformed("nothing whole was asked for in time".into());
             self.reject_client(key, server::protocol_violation(&reason));
         }
-        self.write(key, now, reactor);
+        self.advance(key, now, reactor);
     }
 
     /// While there are many clients, closes idle ones: first those that have sent one request and stay, then those that
@@ -75,7 +75,7 @@
                     client.close_between_requests();
                 }
             }
-            self.write(key, now, reactor);
+            self.advance(key, now, reactor);
         }
     }
 }
--- a/crates/leverproxy/src/downstream/read.rs
+++ b/crates/leverproxy/src/downstream/read.rs
@@ -30,7 +30,7 @@
             return self.drop_client(key, reactor);
         }
         self.read(key, now);
-        self.write(key, now, reactor);
+        self.advance(key, now, reactor);
     }
 
     /// Reads from the socket; whether the client has left.
@@ -139,7 +139,7 @@
         });
         self.malformed_statements += 1;
         if let Some(client) = self.clients.get_mut(key) {
-            client.push_response(Some(server::response(Answer::Rejected(reason))));
+            client.push_response(Some(server::response(Answer::Invalid(reason))));
             client.quiet_since = now;
         }
     }
--- a/crates/leverproxy/src/downstream/state.rs
+++ b/crates/leverproxy/src/downstream/state.rs
@@ -3,7 +3,7 @@
 use super::cancel_keys::CancelKeys;
 use super::client::Client;
 use super::event::Event;
-use crate::config::{ClientTimeouts, Limits};
+use crate::config::{ClientLimits, Limits};
 use crate::event_loop::listener;
 use crate::event_loop::reactor::{Interest, Reactor};
 use crate::event_loop::slab::Slab;
@@ -19,15 +19,15 @@
 /// All clients. Every call that can have events leaves them for [`Downstream::next_event`].
 pub struct Downstream {
     pub(super) listener: Option<OwnedFd>,
-    /// The listener is watched: not at the limit of clients.
+    /// The listener is watched. It is not at the limit of clients, without descriptors, or once a new process accepts.
     pub(super) is_accepting: bool,
     pub(super) limits: Limits,
-    pub(super) timeouts: ClientTimeouts,
+    pub(super) timeouts: ClientLimits,
     pub(super) clients: Slab<Client>,
     pub(super) events: VecDeque<Event>,
     pub(super) malformed_log: LogRateLimit,
     pub(super) descriptors_log: LogRateLimit,
-    /// Connections ended for what came on them, or because no request came in time.
+    /// Connections ended by the proxy: malformed input, no request in time, over the limit of clients, or no memory.
     pub rejected_clients: u64,
     /// Statements that were answered with an error because they are no request.
     pub malformed_statements: u64,
@@ -59,7 +59,7 @@
         inherited: Option<OwnedFd>,
         shared: bool,
         limits: Limits,
-        timeouts: ClientTimeouts,
+        timeouts: ClientLimits,
         reactor: &Reactor,
     ) -> io::Result<Downstream> {
         let listener = match inherited {
@@ -154,7 +154,7 @@
     }
 
     /// Sets limits and timeouts. Above a lower limit, clients stay until they leave or give way.
-    pub fn set_limits(&mut self, limits: Limits, timeouts: ClientTimeouts) {
+    pub fn set_limits(&mut self, limits: Limits, timeouts: ClientLimits) {
         (self.limits, self.timeouts) = (limits, timeouts);
     }
 }
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -31,7 +31,7 @@
             bytes = std::mem::take(chunks);
         }
         *response = PendingResponse::Ready(bytes);
-        self.write(slot.client, now, reactor);
+        self.advance(slot.client, now, reactor);
         if self.clients.len() > self.limits.packed {
             self.close_idle(now, reactor);
         }
@@ -53,7 +53,7 @@
             Some(PendingResponse::Streaming(chunks)) => chunks.extend_from_slice(bytes),
             Some(response) => *response = PendingResponse::Streaming(bytes.to_vec()),
         }
-        self.write(slot.client, now, reactor);
+        self.advance(slot.client, now, reactor);
         let window = self.stream_window();
         let Some(client) = self.clients.get_mut(slot.client) else {
             return true;
@@ -93,18 +93,18 @@
             }
             client.end.start_closing(CloseReason::Ended);
         }
-        self.write(slot.client, now, reactor);
+        self.advance(slot.client, now, reactor);
     }
 
     /// Writes what is due to a client, and goes on with its connection: reads more requests, or closes it.
-    pub(super) fn write(&mut self, key: Key, now: Instant, reactor: &Reactor) {
+    pub(super) fn advance(&mut self, key: Key, now: Instant, reactor: &Reactor) {
         // Once a call: a client that never stops sending must not hold the loop.
         let mut has_read = false;
-        while self.write_once(key, &mut has_read, now, reactor) {}
+        while self.advance_once(key, &mut has_read, now, reactor) {}
     }
 
     /// Whether to write again: more requests were read, and some of them may be answered already.
-    fn write_once(
+    fn advance_once(
         &mut self,
         key: Key,
         has_read: &mut bool,
--- a/crates/leverproxy/src/event_loop/reactor.rs
+++ b/crates/leverproxy/src/event_loop/reactor.rs
@@ -60,7 +60,7 @@
 /// The order in which the events of one batch are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Operators and balancers are answered first, whatever else is ready.
+    /// Admin calls and health checks are answered first, whatever else is ready.
     Operations,
     /// A client that has left: the other events must not send anything for it.
     Departure,
--- a/crates/leverproxy/src/event_loop/system_calls/errors.rs
+++ b/crates/leverproxy/src/event_loop/system_calls/errors.rs
@@ -27,7 +27,7 @@
     EpollControl,
     /// `epoll_wait`.
     EpollWait,
-    /// The first step of a file's replacement: see [`crate::persistence::state_file::save`].
+    /// The first step of a file's replacement: see `persistence::state_file`.
     FileCreate,
     /// Its second step.
     FileWrite,
--- a/crates/leverproxy/src/health/grpc.rs
+++ b/crates/leverproxy/src/health/grpc.rs
@@ -7,7 +7,7 @@
 
 #[cfg(feature = "grpc")]
 mod with {
-    use crate::health::Listen;
+    use crate::health::ListenerSettings;
     use grpc_health::{Server, Settings, Snapshot};
     use std::io;
     use std::net::{SocketAddr, TcpListener};
@@ -19,7 +19,7 @@
 
     impl Servers {
         /// Starts a server.
-        pub fn start(&mut self, settings: &Listen) -> io::Result<()> {
+        pub fn start(&mut self, settings: &ListenerSettings) -> io::Result<()> {
             let listener = TcpListener::bind(settings.address)?;
             let limits = Settings {
                 connections: settings.connections,
@@ -62,7 +62,7 @@
 
 #[cfg(not(feature = "grpc"))]
 mod without {
-    use crate::health::Listen;
+    use crate::health::ListenerSettings;
     use std::io;
     use std::net::SocketAddr;
     use wire_health::Status;
@@ -73,7 +73,7 @@
 
     impl Servers {
         /// Starts a server.
-        pub fn start(&mut self, settings: &Listen) -> io::Result<()> {
+        pub fn start(&mut self, settings: &ListenerSettings) -> io::Result<()> {
             let text = format!(
                 "health {}: this program is built without the feature grpc",
                 settings.name
--- a/crates/leverproxy/src/health/mod.rs
+++ b/crates/leverproxy/src/health/mod.rs
@@ -41,7 +41,7 @@
 
 /// Settings of a listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listen {
+pub struct ListenerSettings {
     /// Its name in the operators' file.
     pub name: String,
     /// Where it listens.
@@ -64,7 +64,7 @@
 struct Listener {
     fd: OwnedFd,
     address: SocketAddr,
-    settings: Listen,
+    settings: ListenerSettings,
     connections: usize,
     accepting: bool,
 }
@@ -109,7 +109,7 @@
 
 impl Health {
     /// Opens the listeners. Fails if an address can't be bound.
-    pub fn new(listeners: &[Listen], reactor: &Reactor) -> io::Result<Health> {
+    pub fn new(listeners: &[ListenerSettings], reactor: &Reactor) -> io::Result<Health> {
         let mut health = Health {
             grpc: grpc::Servers::default(),
             listeners: Vec::new(),
@@ -119,7 +119,7 @@
             views: BalancerViews::default(),
             counts: Counts::default(),
         };
-        let (grpc, others): (Vec<&Listen>, Vec<&Listen>) = listeners
+        let (grpc, others): (Vec<&ListenerSettings>, Vec<&ListenerSettings>) = listeners
             .iter()
             .partition(|settings| settings.protocol == Protocol::Grpc);
         for settings in grpc {
@@ -285,9 +285,9 @@
                     expects_text,
                     maxconn,
                 } => {
-                    let room = status.room.filter(|_| maxconn);
+                    let room = status.max_clients.filter(|_| maxconn);
                     let status = Status {
-                        room,
+                        max_clients: room,
                         ..status.clone()
                     };
                     answer::answer_agent(check, expects_text, &status, &mut self.counts);
--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -28,15 +28,15 @@
     /// Where the operators' file asks for it.
     sites: Option<Sites>,
     /// Names of the sites that the platform knows.
-    zones: Vec<String>,
+    site_names: Vec<String>,
     /// Time zero of the model and the plan.
     start: Instant,
     load: LoadSampler,
 }
 
 /// Any answer shows that the server is alive, whatever it says.
-fn attempt_outcome(verdict: &ExchangeOutcome) -> AttemptOutcome {
-    match verdict {
+fn attempt_outcome(outcome: &ExchangeOutcome) -> AttemptOutcome {
+    match outcome {
         ExchangeOutcome::Served(_)
         | ExchangeOutcome::Reported(_)
         | ExchangeOutcome::Failed
@@ -50,9 +50,9 @@
 }
 
 /// What the end of an exchange is evidence of; nothing if the proxy ended it.
-fn site_evidence(done: &CompletedExchange) -> Option<SiteEvent> {
-    let server = done.server.0;
-    match done.outcome {
+fn site_evidence(completed: &CompletedExchange) -> Option<SiteEvent> {
+    let server = completed.server.0;
+    match completed.outcome {
         // Also of an exchange that timed out before it was written: it got no connection.
         ExchangeOutcome::ConnectFailed => Some(SiteEvent::ConnectFailed { server }),
         ExchangeOutcome::Reset => Some(SiteEvent::Reset { server }),
@@ -62,24 +62,24 @@
     }
 }
 
-fn zone_name(zones: &[String], site: u16) -> &str {
-    zones
+fn site_name(site_names: &[String], site: u16) -> &str {
+    site_names
         .get(usize::from(site))
         .map_or("a place without a name", String::as_str)
 }
 
 impl Monitor {
-    /// `sites`: settings of the failover plan, if there is one. `zones`: names of sites, by their number.
+    /// `sites`: settings of the failover plan, if there is one. `site_names`: names of sites, by their number.
     pub fn new(
         settings: Settings,
         sites: Option<site_failover::Settings>,
-        zones: Vec<String>,
+        site_names: Vec<String>,
         now: Instant,
     ) -> Monitor {
         Monitor {
             model: Availability::new(settings, Duration::ZERO),
             sites: sites.map(Sites::new),
-            zones,
+            site_names,
             start: now,
             load: LoadSampler::new(now),
         }
@@ -97,8 +97,10 @@
     fn handle_site_event(&mut self, now: Instant, event: SiteEvent) {
         let since_start = self.since_start(now);
         if let Some(sites) = &mut self.sites {
-            let zones = &self.zones;
-            sites.handle(since_start, event, |site| zone_name(zones, site).to_owned());
+            let site_names = &self.site_names;
+            sites.handle(since_start, event, |site| {
+                site_name(site_names, site).to_owned()
+            });
         }
     }
 
@@ -138,8 +140,8 @@
             .map_or(0.0, |sites| sites.record_request(since_start, arrival))
     }
 
-    /// There is an attempt for a request, or it has ended without any; `rejected`: for lack of capacity.
-    pub fn record_outcome(&mut self, id: RequestId, rejected: bool) {
+    /// A request has got its first attempt, or has ended without one. `rejected`: it ended for lack of capacity.
+    pub fn record_attempted_or_rejected(&mut self, id: RequestId, rejected: bool) {
         if let Some(sites) = &mut self.sites {
             sites.plan().record_outcome(id.0, rejected);
         }
@@ -162,27 +164,27 @@
     }
 
     /// An exchange has ended.
-    pub fn exchange_ended(&mut self, done: &CompletedExchange, now: Instant) {
-        let outcome = attempt_outcome(&done.outcome);
-        if let Some(group) = done.group {
+    pub fn exchange_ended(&mut self, completed: &CompletedExchange, now: Instant) {
+        let outcome = attempt_outcome(&completed.outcome);
+        if let Some(group) = completed.group {
             let event = Event::AttemptEnded {
                 group: group.0,
                 outcome,
-                elapsed: done.elapsed,
+                elapsed: completed.elapsed,
             };
             self.handle(now, event);
         }
-        if let Some(evidence) = site_evidence(done) {
+        if let Some(evidence) = site_evidence(completed) {
             self.handle_site_event(now, evidence);
         }
         let since_start = self.since_start(now);
         if let Some(sites) = &mut self.sites {
-            sites.record_end(since_start, done);
+            sites.record_end(since_start, completed);
         }
         // If an exchange never got a connection, its dial was reported already.
         let contact = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Rejected)
-            || done.outcome == ExchangeOutcome::Reset;
-        let server = done.server.0;
+            || completed.outcome == ExchangeOutcome::Reset;
+        let server = completed.server.0;
         self.handle(now, Event::ExchangeEnded { server, contact });
     }
 
@@ -254,19 +256,19 @@
     /// A request was answered, by the decision module or a record server.
     pub fn request_answered(&mut self, group: GroupId, write: bool, answer: &Answer, now: Instant) {
         let group = group.0;
-        if write && !matches!(answer, Answer::Rejected(_)) {
+        if write && !matches!(answer, Answer::Invalid(_)) {
             let served = matches!(answer, Answer::Served(_));
             self.handle(now, Event::WriteEnded { group, served });
         }
         self.load.record_answer(matches!(answer, Answer::Failed));
         let event = match answer {
             Answer::Served(_) => Event::RequestServed { group },
-            Answer::Refused(_) => Event::RequestRejected {
+            Answer::Rejected(_) => Event::RequestRejected {
                 group,
                 cause: RejectionCause::Servers,
             },
             Answer::Failed => Event::RequestFailed { group },
-            Answer::Cancelled | Answer::Rejected(_) => return,
+            Answer::Cancelled | Answer::Invalid(_) => return,
         };
         self.handle(now, event);
     }
--- a/crates/leverproxy/src/health/monitor/status.rs
+++ b/crates/leverproxy/src/health/monitor/status.rs
@@ -6,7 +6,7 @@
 use wire_admin::Figures;
 use wire_health::Status;
 
-use super::{zone_name, Monitor};
+use super::{site_name, Monitor};
 
 /// Whoever checks a proxy that serves may check again after this.
 const SERVING_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -53,7 +53,7 @@
             state: report.state,
             weight: report.weight,
             reason: self.reason(report),
-            room: u32::try_from(self.load.usage.clients_limit)
+            max_clients: u32::try_from(self.load.usage.clients_limit)
                 .ok()
                 .filter(|limit| *limit > 0),
             retry_after: if report.state.serves() {
@@ -99,7 +99,7 @@
     }
 
     fn zone(&self, site: u16) -> &str {
-        zone_name(&self.zones, site)
+        site_name(&self.site_names, site)
     }
 
     fn reason(&self, report: &Report) -> String {
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -134,19 +134,19 @@
     }
 
     /// An attempt has ended; without a class: a probe.
-    pub fn ended(&mut self, class: Option<ClassId>, verdict: &ExchangeOutcome) {
+    pub fn ended(&mut self, class: Option<ClassId>, outcome: &ExchangeOutcome) {
         let ends = match class {
             None => Some(&mut self.probes),
             Some(class) => self.class(class).map(|c| &mut c.attempts),
         };
         if let Some(ends) = ends {
-            *ends.entry(name(verdict)).or_default() += 1;
+            *ends.entry(name(outcome)).or_default() += 1;
         }
     }
 }
 
-fn name(verdict: &ExchangeOutcome) -> &'static str {
-    match verdict {
+fn name(outcome: &ExchangeOutcome) -> &'static str {
+    match outcome {
         ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => "ok",
         ExchangeOutcome::Misdirected => "miss",
         ExchangeOutcome::Failed => "error",
--- a/crates/leverproxy/src/observability/goodput.rs
+++ b/crates/leverproxy/src/observability/goodput.rs
@@ -25,7 +25,7 @@
         match answer {
             Answer::Served(_) if elapsed <= self.latency_objective => 1.0,
             Answer::Served(_) => self.late_fraction,
-            Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_) => 0.0,
+            Answer::Rejected(_) | Answer::Failed | Answer::Cancelled | Answer::Invalid(_) => 0.0,
         }
     }
 }
--- a/crates/leverproxy/src/observability/goodput/tests.rs
+++ b/crates/leverproxy/src/observability/goodput/tests.rs
@@ -27,7 +27,7 @@
     goodput.record_answer(
         ClassId(1),
         QuotaStatus::OverQuota,
-        &Answer::Refused(None),
+        &Answer::Rejected(None),
         aim,
     );
     goodput.record_answer(ClassId(9), QuotaStatus::WithinQuota, &Answer::Failed, aim);
--- a/crates/leverproxy/src/persistence/saved_state/error.rs
+++ b/crates/leverproxy/src/persistence/saved_state/error.rs
@@ -17,7 +17,7 @@
     Read(PathBuf, #[source] io::Error),
     /// The file has been read, and is not used.
     #[error("memory: {0}: {1}")]
-    Unread(PathBuf, #[source] SnapshotError),
+    Unusable(PathBuf, #[source] SnapshotError),
     /// The file cannot be written.
     #[error("memory: {0} can't be written: {1}")]
     Write(PathBuf, #[source] io::Error),
@@ -37,7 +37,10 @@
 impl PersistenceError {
     /// Whether the directory is another proxy's.
     pub(super) fn is_foreign(&self) -> bool {
-        matches!(self, PersistenceError::Unread(_, SnapshotError::Foreign(_)))
+        matches!(
+            self,
+            PersistenceError::Unusable(_, SnapshotError::Foreign(_))
+        )
     }
 
     /// What an operator can do about it.
@@ -47,7 +50,7 @@
             PersistenceError::Read(..) => {
                 "Make the directory of `memory` readable for the proxy's user. The proxy has started without what was kept: take out again by hand what was out."
             }
-            PersistenceError::Unread(_, fault) => fault.advice(),
+            PersistenceError::Unusable(_, fault) => fault.advice(),
             PersistenceError::Write(..) => {
                 "Make room on the disk, and let the proxy's user write in the directory of `memory`. Until then calls are answered with `not kept`: what is out by hand serves again after a kill. It is tried again, at last once a minute."
             }
--- a/crates/leverproxy/src/persistence/saved_state/initial_state.rs
+++ b/crates/leverproxy/src/persistence/saved_state/initial_state.rs
@@ -60,7 +60,7 @@
     let file = state_file::load(path, MAX_FILE_BYTES)
         .map_err(|error| PersistenceError::Read(path.to_owned(), error))?;
     recover(proxy_name, file.as_deref(), mode)
-        .map_err(|fault| PersistenceError::Unread(path.to_owned(), fault))
+        .map_err(|fault| PersistenceError::Unusable(path.to_owned(), fault))
 }
 
 fn from_saved(exclusion: persistent_state::ManualExclusion) -> ManualExclusion {
--- a/crates/leverproxy/src/pipeline/actions.rs
+++ b/crates/leverproxy/src/pipeline/actions.rs
@@ -1,6 +1,6 @@
 //! Events to the decision module, and what its actions do.
 
-use super::io_endpoints::IoEndpoints;
+use super::io::Io;
 use super::send;
 use super::state::Pipeline;
 use super::timer_kind::TimerKind;
@@ -15,7 +15,7 @@
 impl Pipeline {
     /// Gives an event to the decision module and carries out its actions. Both are logged at trace level, in the form
     /// that tools which count over many proxies read.
-    pub(super) fn decide(&mut self, event: Event, io: &mut IoEndpoints, now: Instant) {
+    pub(super) fn decide(&mut self, event: Event, io: &mut Io, now: Instant) {
         log::trace!("event {event:?}");
         self.update_clock_lead(now);
         for action in self.route.decide(self.clock.unix_time(now), event) {
@@ -29,14 +29,14 @@
         let is_fresh = |at| now.saturating_duration_since(at) < CLOCK_CHECK_INTERVAL;
         if !self.clock_checked_at.is_some_and(is_fresh) {
             self.clock_checked_at = Some(now);
-            self.clock_evidence
+            self.clock_skew
                 .observe_system_clock(self.clock.system_lead());
         }
-        let lead = self.clock_evidence.lead(self.clock.unix_time(now));
+        let lead = self.clock_skew.lead(self.clock.unix_time(now));
         self.route.set_lead(lead);
     }
 
-    fn perform(&mut self, action: Action, io: &mut IoEndpoints, now: Instant) {
+    fn perform(&mut self, action: Action, io: &mut Io, now: Instant) {
         match action {
             Action::Send {
                 id,
@@ -49,11 +49,11 @@
                 io.upstream.cancel(Purpose::Attempt(id, attempt), now)
             }
             Action::Reject { id, retry_after } => {
-                self.monitor.record_outcome(id, true);
-                self.answer(id, Answer::Refused(retry_after), io, now);
+                self.monitor.record_attempted_or_rejected(id, true);
+                self.answer(id, Answer::Rejected(retry_after), io, now);
             }
             Action::Fail { id } => {
-                self.monitor.record_outcome(id, false);
+                self.monitor.record_attempted_or_rejected(id, false);
                 self.answer(id, Answer::Failed, io, now);
             }
             Action::Timer { after, token } => {
@@ -73,10 +73,10 @@
         id: RequestId,
         server: ServerId,
         limits: (Duration, Duration),
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
-        self.monitor.record_outcome(id, false);
+        self.monitor.record_attempted_or_rejected(id, false);
         let Some(open) = self.open_requests.get_mut(id) else {
             return;
         };
@@ -85,7 +85,7 @@
         io.upstream.start(server, exchange, now, &io.reactor);
     }
 
-    fn send_probe(&mut self, server: ServerId, io: &mut IoEndpoints, now: Instant) {
+    fn send_probe(&mut self, server: ServerId, io: &mut Io, now: Instant) {
         self.counters.probe_sent();
         self.monitor.exchange_started(None, server, now);
         let exchange = send::probe(self.probe_timeout, now);
@@ -93,7 +93,7 @@
     }
 
     /// Dials a server that is silent, to tell whether its link is at fault.
-    pub fn probe_reachability(&mut self, io: &mut IoEndpoints, now: Instant) {
+    pub fn probe_reachability(&mut self, io: &mut Io, now: Instant) {
         let server = self
             .monitor
             .server_to_dial(|server| io.upstream.may_probe_reachability(server));
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -93,12 +93,12 @@
     /// two clients with one name, one would get the answer that was made for the other.
     pub fn check_admission(&mut self, request: &Request) -> Option<Answer> {
         if self.limit > 0 && self.open.len() >= self.limit {
-            return Some(Answer::Refused(None));
+            return Some(Answer::Rejected(None));
         }
         self.expire_names(request.read_at);
         let taken = self.names.contains(&request.id);
         taken.then(|| {
-            Answer::Rejected(format!(
+            Answer::Invalid(format!(
                 "id={} is another request's",
                 truncate_for_display(&request.id)
             ))
--- a/crates/leverproxy/src/pipeline/answers.rs
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -1,6 +1,6 @@
 //! The one final answer to each request.
 
-use super::io_endpoints::IoEndpoints;
+use super::io::Io;
 use super::state::Pipeline;
 use super::{admit, relay};
 use crate::request::Answer;
@@ -9,27 +9,21 @@
 
 impl Pipeline {
     /// Ends a request with an answer of the proxy's own, and cancels its attempts.
-    pub(super) fn answer(
-        &mut self,
-        id: RequestId,
-        answer: Answer,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: Answer, io: &mut Io, now: Instant) {
         if let Some(open) = self.close_request(id, now) {
             if open.attempts() > 0 {
                 io.upstream.cancel_unwritten(id, now);
             }
-            self.relay(open, answer, io, now);
+            self.finish_request(open, answer, io, now);
         }
     }
 
     /// Records the final answer, and writes it to the client.
-    pub(super) fn relay(
+    pub(super) fn finish_request(
         &mut self,
         open: admit::OpenRequest,
         answer: Answer,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
         let class = self.counters.name(open.class);
@@ -46,7 +40,7 @@
             // connection.
             (
                 Some((_, connection)),
-                Answer::Refused(_) | Answer::Failed | Answer::Cancelled | Answer::Rejected(_),
+                Answer::Rejected(_) | Answer::Failed | Answer::Cancelled | Answer::Invalid(_),
             ) => {
                 io.upstream.abandon_response(connection, now);
                 io.downstream.abort_response(open.slot, now, &io.reactor);
@@ -57,11 +51,11 @@
 
     /// Answers every open request at the end of the process: better than a connection that just ends. A request
     /// without an attempt is refused, not failed: nothing of it ran, so another proxy may still serve it.
-    pub fn fail_open_requests(&mut self, io: &mut IoEndpoints, now: Instant) {
+    pub fn fail_open_requests(&mut self, io: &mut Io, now: Instant) {
         for id in self.open_requests.ids() {
             let open = self.open_requests.get_mut(id);
             let answer = if open.is_some_and(|open| open.attempts() == 0) {
-                Answer::Refused(None)
+                Answer::Rejected(None)
             } else {
                 Answer::Failed
             };
--- a/crates/leverproxy/src/pipeline/endpoints.rs
+++ b/crates/leverproxy/src/pipeline/endpoints.rs
@@ -1,6 +1,6 @@
 //! Endpoint updates of discovery, and the operators' manual exclusions.
 
-use super::io_endpoints::IoEndpoints;
+use super::io::Io;
 use super::state::Pipeline;
 use crate::discovery::directory::{DirectoryUpdate, ServerChange};
 use crate::discovery::wire::EndpointList;
@@ -12,7 +12,7 @@
 
 impl Pipeline {
     /// Loads the endpoint list as it was last known, before any event.
-    pub fn load_endpoints(&mut self, known: EndpointList, io: &mut IoEndpoints, now: Instant) {
+    pub fn load_endpoints(&mut self, known: EndpointList, io: &mut Io, now: Instant) {
         let listing = EndpointList {
             snapshot: true,
             ..known
@@ -26,34 +26,24 @@
     }
 
     /// Checks the watch on discovery.
-    pub fn check_discovery(&mut self, io: &mut IoEndpoints, now: Instant) {
+    pub fn check_discovery(&mut self, io: &mut Io, now: Instant) {
         let index = self.directory.index();
         io.discovery.handle_timer(index, now, &io.reactor);
     }
 
     /// Whether discovery pushes the list: then the watch stays open whatever the decision module asks for.
-    pub fn set_endpoint_push(&mut self, pushed: bool, io: &mut IoEndpoints, now: Instant) {
+    pub fn set_endpoint_push(&mut self, pushed: bool, io: &mut Io, now: Instant) {
         let index = self.directory.index();
         io.discovery.set_push_mode(pushed, index, now, &io.reactor);
     }
 
     /// Moves to another discovery address. What is known of the endpoints stays.
-    pub fn set_discovery_address(
-        &mut self,
-        address: SocketAddr,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    pub fn set_discovery_address(&mut self, address: SocketAddr, io: &mut Io, now: Instant) {
         let index = self.directory.index();
         io.discovery.set_address(address, index, now, &io.reactor);
     }
 
-    pub(super) fn on_discovery_event(
-        &mut self,
-        event: WatchEvent,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    pub(super) fn on_discovery_event(&mut self, event: WatchEvent, io: &mut Io, now: Instant) {
         let monitor = &mut self.monitor;
         match event {
             WatchEvent::Unchanged => {
@@ -76,7 +66,7 @@
         }
     }
 
-    fn on_listing(&mut self, listing: EndpointList, io: &mut IoEndpoints, now: Instant) {
+    fn on_listing(&mut self, listing: EndpointList, io: &mut Io, now: Instant) {
         let discovery_heard = availability::Event::Discovery { connected: true };
         self.monitor.handle(now, discovery_heard);
         self.monitor.handle(now, availability::Event::ListReceived);
@@ -89,12 +79,7 @@
 
     /// Notifies the monitor and the upstream side, then the decision module: it learns of a list before the attempts
     /// that the list ends are reported to it.
-    fn apply_endpoint_update(
-        &mut self,
-        update: DirectoryUpdate,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    fn apply_endpoint_update(&mut self, update: DirectoryUpdate, io: &mut Io, now: Instant) {
         let DirectoryUpdate { endpoints, servers } = update;
         self.notify_monitor(&endpoints, &servers, now);
         for change in servers {
@@ -129,7 +114,7 @@
         &mut self,
         name: &str,
         excluded: bool,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) -> Result<(), UnknownServer> {
         let unix = self.clock.unix_time(now);
@@ -147,7 +132,7 @@
     pub fn restore_manual_exclusions(
         &mut self,
         exclusions: Vec<ManualExclusion>,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
         for update in self.directory.restore_exclusions(exclusions, &self.names) {
--- a/crates/leverproxy/src/pipeline/events.rs
+++ b/crates/leverproxy/src/pipeline/events.rs
@@ -1,6 +1,6 @@
 //! The events of the endpoints, in the order in which they are handled.
 
-use super::io_endpoints::IoEndpoints;
+use super::io::Io;
 use super::state::Pipeline;
 use super::timer_kind::TimerKind;
 use crate::downstream;
@@ -9,7 +9,7 @@
 
 impl Pipeline {
     /// Handles every event that the endpoints have queued, and sets the timers that they ask for.
-    pub fn process_events(&mut self, io: &mut IoEndpoints, now: Instant) {
+    pub fn process_events(&mut self, io: &mut Io, now: Instant) {
         while self.process_next_event(io, now) {}
         for (at, timer) in io.upstream.take_timers() {
             io.timers.set(at, TimerKind::Upstream(timer));
@@ -21,7 +21,7 @@
 
     /// Whether there was an event. Health and the endpoint list come first, then servers' answers, then clients: a
     /// request is routed by what is known by then.
-    fn process_next_event(&mut self, io: &mut IoEndpoints, now: Instant) -> bool {
+    fn process_next_event(&mut self, io: &mut Io, now: Instant) -> bool {
         if let Some(signal) = io.upstream.pop_signal() {
             self.monitor.handle_signal(signal, now);
         } else if let Some(event) = io.discovery.pop_event() {
@@ -38,12 +38,7 @@
         true
     }
 
-    fn on_downstream_event(
-        &mut self,
-        event: downstream::Event,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    fn on_downstream_event(&mut self, event: downstream::Event, io: &mut Io, now: Instant) {
         match event {
             downstream::Event::Request(slot, request) => self.on_request(slot, request, io, now),
             downstream::Event::ClientLeft(slot) => self.on_client_left(slot, io, now),
@@ -53,7 +48,7 @@
     }
 
     /// A timer of the decision module is due.
-    pub fn on_router_timer(&mut self, token: u32, io: &mut IoEndpoints, now: Instant) {
+    pub fn on_router_timer(&mut self, token: u32, io: &mut Io, now: Instant) {
         self.decide(Event::Timer(TimerToken(token)), io, now);
     }
 }
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -1,6 +1,6 @@
 //! What comes back from servers: chunks of answers, exchanges that have ended, and the positions that they tell.
 
-use super::io_endpoints::IoEndpoints;
+use super::io::Io;
 use super::state::Pipeline;
 use super::{record, relay};
 use crate::request::{
@@ -12,12 +12,7 @@
 impl Pipeline {
     /// Forwards a chunk of an answer that is too large to be buffered. With the first chunk the decision module learns
     /// that the attempt was answered: that is the time it measures.
-    pub(super) fn on_response_chunk(
-        &mut self,
-        chunk: ResponseChunk,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    pub(super) fn on_response_chunk(&mut self, chunk: ResponseChunk, io: &mut Io, now: Instant) {
         let (attempt, connection) = (chunk.attempt, chunk.connection);
         let open = self.open_requests.get_mut(chunk.id);
         let open = open.filter(|open| open.streaming.is_none_or(|current| current.0 == attempt));
@@ -41,12 +36,7 @@
     }
 
     /// The client has taken what it had of a chunked answer: the server's connection is read on.
-    pub(super) fn on_client_writable(
-        &mut self,
-        slot: ResponseSlot,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    pub(super) fn on_client_writable(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         let id = self.open_requests.id(slot);
         let open = id.and_then(|id| self.open_requests.get_mut(id));
         if let Some((_, connection)) = open.and_then(|open| open.streaming) {
@@ -57,20 +47,20 @@
     pub(super) fn on_exchange_completed(
         &mut self,
         mut completed: CompletedExchange,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
         self.counters.ended(completed.class, &completed.outcome);
         self.monitor.exchange_ended(&completed, now);
-        let latest = self.latest_position(&completed, now);
+        let latest = self.observe_position(&completed, now);
         let Purpose::Attempt(id, attempt) = completed.purpose else {
             return self.record_event(record::record(&completed, true, latest), io, now);
         };
         let outcome = &mut completed.outcome;
         let served = relay::take_served(id, attempt, outcome, &mut self.open_requests, now);
         if let Some((open, answer)) = served {
-            self.release_pool(&open, now);
-            self.relay(open, answer, io, now);
+            self.release_bulkhead(&open, now);
+            self.finish_request(open, answer, io, now);
         } else if self.is_streaming(id, attempt) {
             // Its rest will never come. The decision module has learned of the attempt with its first chunk.
             return self.answer(id, Answer::Failed, io, now);
@@ -92,12 +82,12 @@
     }
 
     /// The latest position that is believed, after what this exchange shows of the clock's error.
-    fn latest_position(&mut self, completed: &CompletedExchange, now: Instant) -> Time {
+    fn observe_position(&mut self, completed: &CompletedExchange, now: Instant) -> Time {
         let unix = self.clock.unix_time(now);
         if let Some(evidence) = record::clock_evidence(completed, unix) {
-            self.clock_evidence.observe_position(evidence, unix);
+            self.clock_skew.observe_position(evidence, unix);
         }
-        self.clock_evidence.latest_position(unix)
+        self.clock_skew.latest_position(unix)
     }
 
     /// Sets the position of a write that went through, if the server sent none. Returns whether it is such a write. Later reads
@@ -117,12 +107,12 @@
     /// do.
     fn commit_position(&self, now: Instant) -> Option<Time> {
         let unix = self.clock.unix_time(now);
-        let lead = self.clock_evidence.lead(unix);
+        let lead = self.clock_skew.lead(unix);
         (!lead.is_zero()).then(|| unix.plus(lead))
     }
 
     /// Passes what a server has reported to both the monitor and the decision module.
-    fn record_event(&mut self, event: Event, io: &mut IoEndpoints, now: Instant) {
+    fn record_event(&mut self, event: Event, io: &mut Io, now: Instant) {
         let position = match &event {
             Event::AttemptEnded(ended) => Some((
                 ended.server,
--- a/crates/leverproxy/src/pipeline/io_endpoints.rs
+++ b/crates/leverproxy/src/pipeline/io.rs
@@ -12,7 +12,7 @@
 use crate::upstream::Upstream;
 
 /// The process's I/O. The event loop dispatches to it; the pipeline acts on it.
-pub struct IoEndpoints {
+pub struct Io {
     /// The epoll instance.
     pub reactor: Reactor,
     /// Timers of all kinds.
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -1,6 +1,6 @@
 //! The path of a request: decode, route rules, quota, admit, route, send, relay, record.
 //!
-//! Each stage stands in a file of its own and knows nothing of the others. [`Pipeline`] carries requests, answers
+//! Each stage stands in a file of its own; they share only the open request. [`Pipeline`] carries requests, answers
 //! and events from stage to stage:
 //!
 //! | file | concern |
@@ -13,7 +13,7 @@
 //! | `answers` | the one final answer to each request |
 //! | `actions` | events to the decision module, and its actions |
 //! | `endpoints` | endpoint updates of discovery, and manual exclusions |
-//! | `io_endpoints`, `timer_kind` | types that the pipeline shares with the event loop |
+//! | `io`, `timer_kind` | types that the pipeline shares with the event loop |
 
 pub mod admit;
 pub mod decode;
@@ -29,11 +29,11 @@
 mod endpoints;
 mod events;
 mod exchanges;
-mod io_endpoints;
+mod io;
 mod requests;
 mod state;
 mod timer_kind;
 
-pub use io_endpoints::IoEndpoints;
+pub use io::Io;
 pub use state::Pipeline;
 pub use timer_kind::TimerKind;
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -120,7 +120,7 @@
         let attempted = open.attempts() > 0;
         match open.quota_status {
             QuotaStatus::WithinQuota if answer.is_some() => {
-                let rejected = matches!(answer, Some(Answer::Refused(_)));
+                let rejected = matches!(answer, Some(Answer::Rejected(_)));
                 lending.record_within_quota(!attempted && rejected, now);
             }
             QuotaStatus::Borrowed if !attempted => {
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -65,11 +65,11 @@
         }
         (Purpose::Probe, _) => return None,
     };
-    let present_since = (primary == Some(true)).then_some(since);
+    let read_after = (primary == Some(true)).then_some(since);
     position.map(|position| ReportedPosition {
         server: completed.server,
         position,
-        read_after: present_since,
+        read_after,
     })
 }
 
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -1,5 +1,5 @@
-//! Relay: the first complete answer of a record server goes to the client as it came; all other answers are the decision
-//! module's. An answer is forwarded once it is complete, so that none is half sent, except those too large to be
+//! Relay: the first complete answer of a record server goes to the client as it came; other answers are the
+//! proxy's own (`answers`). An answer is forwarded once it is complete, so that none is half sent, except those too large to be
 //! buffered.
 
 use super::admit::{OpenRequest, OpenRequests};
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -1,6 +1,6 @@
 //! Requests until they are admitted, and those that end without an answer of a server.
 
-use super::io_endpoints::IoEndpoints;
+use super::io::Io;
 use super::state::Pipeline;
 use super::{admit, decode};
 use crate::request::{Answer, Request, ResponseSlot};
@@ -13,7 +13,7 @@
         &mut self,
         slot: ResponseSlot,
         request: Request,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
         let id = self.open_requests.next_id();
@@ -33,7 +33,7 @@
         }
         let unix = self.clock.unix_time(now);
         if let Some(committed_at) = request.min_commit_time {
-            self.clock_evidence
+            self.clock_skew
                 .observe_client_write(Time(committed_at), unix);
         }
         let routed = self
@@ -63,10 +63,10 @@
         slot: ResponseSlot,
         class: ClassId,
         answer: Answer,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
-        if let Answer::Rejected(reason) = answer {
+        if let Answer::Invalid(reason) = answer {
             return self.reject_malformed(slot, Some(class), reason, io, now);
         }
         self.counters.taken(class);
@@ -81,12 +81,12 @@
         slot: ResponseSlot,
         class: Option<ClassId>,
         reason: String,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) {
         self.rejection_log
             .warn(now, || format!("front: a request is rejected: {reason}"));
-        let answer = Answer::Rejected(reason);
+        let answer = Answer::Invalid(reason);
         let quota_status = QuotaStatus::WithinQuota;
         match class {
             Some(class) => self
@@ -97,12 +97,7 @@
         io.downstream.answer(slot, answer, now, &io.reactor);
     }
 
-    pub(super) fn on_client_left(
-        &mut self,
-        slot: ResponseSlot,
-        io: &mut IoEndpoints,
-        now: Instant,
-    ) {
+    pub(super) fn on_client_left(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         if let Some(open) = self.abandon(slot, io, now) {
             self.counters.left(open.class);
         }
@@ -110,7 +105,7 @@
 
     /// The client has cancelled its request, and gets an answer that says so. An answer that has begun to reach the
     /// client goes on.
-    pub(super) fn on_cancelled(&mut self, slot: ResponseSlot, io: &mut IoEndpoints, now: Instant) {
+    pub(super) fn on_cancelled(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         let id = self.open_requests.id(slot);
         let open = id.and_then(|id| self.open_requests.get_mut(id));
         if open.is_none_or(|open| open.streaming.is_some()) {
@@ -127,7 +122,7 @@
     fn abandon(
         &mut self,
         slot: ResponseSlot,
-        io: &mut IoEndpoints,
+        io: &mut Io,
         now: Instant,
     ) -> Option<admit::OpenRequest> {
         let id = self.open_requests.id(slot)?;
@@ -151,14 +146,14 @@
         now: Instant,
     ) -> Option<admit::OpenRequest> {
         let open = self.open_requests.close(id, now)?;
-        self.release_pool(&open, now);
+        self.release_bulkhead(&open, now);
         Some(open)
     }
 
-    pub(super) fn release_pool(&mut self, open: &admit::OpenRequest, now: Instant) {
+    pub(super) fn release_bulkhead(&mut self, open: &admit::OpenRequest, now: Instant) {
         if let Some(pool) = open.pool {
             let held = now.saturating_duration_since(open.read_at);
-            self.route_rules.release_pool(pool, held);
+            self.route_rules.release_bulkhead(pool, held);
         }
     }
 }
--- a/crates/leverproxy/src/pipeline/route.rs
+++ b/crates/leverproxy/src/pipeline/route.rs
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Applies new settings. `class_map`: the new id of each former class.
-    pub fn configure(&mut self, settings: Settings, class_map: &[Option<ClassId>]) {
+    /// Applies new settings. `predecessors`: for each class id, the former class whose estimates a new class there starts with.
+    pub fn configure(&mut self, settings: Settings, predecessors: &[Option<ClassId>]) {
         self.settings = settings;
         self.router.configure(
             reduce_staleness_bounds(&self.settings, self.lead),
-            class_map,
+            predecessors,
         );
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Number of listed servers that get no requests at present.
-    pub fn avoided_count(&self, now: Time) -> usize {
+    pub fn unavailable_count(&self, now: Time) -> usize {
         self.router.unavailable_servers(now)
     }
 
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -73,7 +73,7 @@
             class: class.0.into(),
             tenant: self.find_tenant(request.tenant.as_deref()),
             group: request.group,
-            statement: &request.command.before_wait,
+            statement: &request.command.before_time_left,
             client: request.client,
             at: Moment::from_unix(at.0),
         })?;
@@ -104,9 +104,9 @@
 #[derive(Debug)]
 pub struct RouteRules {
     rules: Rules,
-    pools: Bulkheads,
+    bulkheads: Bulkheads,
     /// In the order of the rules' pools.
-    pool_ids: Vec<PoolId>,
+    bulkhead_ids: Vec<PoolId>,
     /// Requests by what was done with them.
     pub counts: Counts,
 }
@@ -114,19 +114,19 @@
 impl RouteRules {
     /// A stage with empty pools.
     pub fn new(rules: Rules) -> RouteRules {
-        let mut pools = Bulkheads::default();
-        let pool_ids = pools.configure(&rules.pools);
+        let mut bulkheads = Bulkheads::default();
+        let bulkhead_ids = bulkheads.configure(&rules.pools);
         RouteRules {
             rules,
-            pools,
-            pool_ids,
+            bulkheads,
+            bulkhead_ids,
             counts: Counts::default(),
         }
     }
 
     /// Applies new rules; open requests stay counted in their pools. Returns the former rules, which may take long to drop.
     pub fn replace(&mut self, rules: Rules) -> Rules {
-        self.pool_ids = self.pools.configure(&rules.pools);
+        self.bulkhead_ids = self.bulkheads.configure(&rules.pools);
         std::mem::replace(&mut self.rules, rules)
     }
 
@@ -137,7 +137,7 @@
 
     /// The bulkhead pools.
     pub fn pools(&self) -> &Bulkheads {
-        &self.pools
+        &self.bulkheads
     }
 
     /// Bounds the arrival as the rules state. Returns the pool that it counts against.
@@ -172,15 +172,15 @@
             limit_time(arrival, deadline, spent);
             arrival.class = self.rules.platform_class(other);
         }
-        self.take_pool(&action, at)
+        self.enter_bulkhead(&action, at)
     }
 
-    fn take_pool(&mut self, action: &RouteAction, at: Time) -> Result<Option<PoolId>, Answer> {
-        let pool = action.pool.and_then(|index| self.pool_ids.get(index));
+    fn enter_bulkhead(&mut self, action: &RouteAction, at: Time) -> Result<Option<PoolId>, Answer> {
+        let pool = action.pool.and_then(|index| self.bulkhead_ids.get(index));
         let Some(pool) = pool.copied() else {
             return Ok(None);
         };
-        match self.pools.admit(pool, action.priority, at.0) {
+        match self.bulkheads.admit(pool, action.priority, at.0) {
             Admission::Admitted => Ok(Some(pool)),
             Admission::Rejected { cause, retry_after } => {
                 match cause {
@@ -193,13 +193,13 @@
     }
 
     /// Frees a request's place in its pool. `held`: how long the request was open.
-    pub fn release_pool(&mut self, pool: PoolId, held: Duration) {
-        self.pools.release(pool, held);
+    pub fn release_bulkhead(&mut self, pool: PoolId, held: Duration) {
+        self.bulkheads.release(pool, held);
     }
 
     fn rejection(&self, retry_after: Option<Duration>) -> Answer {
         let most = self.rules.max_retry_after;
-        Answer::Refused(retry_after.and_then(|after| most.map(|most| after.min(most))))
+        Answer::Rejected(retry_after.and_then(|after| most.map(|most| after.min(most))))
     }
 }
 
@@ -215,7 +215,7 @@
         if routed > 0 || !self.rules.actions.is_empty() {
             write!(f, "\nroutes: {routed} requests, refused {rejected}; by pools: full {pool_full}, fast {pool_fast}")?;
         }
-        for (name, counts) in self.pools.counts() {
+        for (name, counts) in self.bulkheads.counts() {
             let bulkheads::Counts {
                 in_flight: open,
                 admitted: taken,
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The exchange of a request's next attempt. It waits for its answer until `timeout`, and is dropped unsent if it does not
-/// get a connection within `begin_within`.
+/// The exchange of a request's next attempt. It waits for its answer until `timeout`, and is dropped unsent unless it is
+/// written in full within `begin_within`.
 pub fn attempt(
     id: RequestId,
     open: &mut OpenRequest,
--- a/crates/leverproxy/src/pipeline/state.rs
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -17,7 +17,7 @@
 pub struct Pipeline {
     pub(super) clock: Clock,
     /// Bounds of the clock's error.
-    pub(super) clock_evidence: SkewEstimate,
+    pub(super) clock_skew: SkewEstimate,
     pub(super) clock_checked_at: Option<Instant>,
     pub(super) names: Names,
     /// Longest time of a request, by class.
@@ -81,18 +81,16 @@
             quota,
             route: route::Route::new(settings, seed, clock.unix_time(now)),
             clock,
-            clock_evidence: SkewEstimate::default(),
+            clock_skew: SkewEstimate::default(),
             clock_checked_at: None,
         }
     }
 
     /// Applies new platform settings. Requests in flight and what was learned stay.
-    pub fn configure(&mut self, succession: ClassMapping, probe_timeout: Duration, now: Instant) {
+    pub fn configure(&mut self, mapping: ClassMapping, probe_timeout: Duration, now: Instant) {
         let ClassMapping {
-            next,
-            predecessors: heirs,
-            ..
-        } = succession;
+            next, predecessors, ..
+        } = mapping;
         self.quota.configure(&next, now);
         let PlatformSettings {
             settings,
@@ -107,7 +105,7 @@
         (self.names, self.probe_timeout) = (names, probe_timeout);
         self.open_requests.set_limit(max_open);
         self.monitor.configure(&settings);
-        self.route.configure(settings, &heirs);
+        self.route.configure(settings, &predecessors);
     }
 
     /// Applies new route rules. Returns the former ones, which may take long to drop.
@@ -130,8 +128,8 @@
         self.open_requests.len()
     }
 
-    /// Discovery's index of the endpoint list, once discovery has sent a list to this process.
-    pub fn confirmed_list_index(&self) -> Option<u64> {
+    /// Discovery's index of the endpoint list, once discovery has sent a list to this process; a confirmation that nothing changed is none.
+    pub fn received_list_index(&self) -> Option<u64> {
         (self.counters.lists > 0).then(|| self.directory.index())
     }
 
@@ -148,7 +146,10 @@
     /// Number of endpoints in the list, and of those that get no requests at present.
     pub fn endpoint_counts(&self, now: Instant) -> (usize, usize) {
         let listed = self.directory.maintenance().listed_count();
-        (listed, self.route.avoided_count(self.clock.unix_time(now)))
+        (
+            listed,
+            self.route.unavailable_count(self.clock.unix_time(now)),
+        )
     }
 
     /// The operators' table of all sites, or of one.
--- a/crates/leverproxy/src/pipeline/timer_kind.rs
+++ b/crates/leverproxy/src/pipeline/timer_kind.rs
@@ -2,7 +2,7 @@
 
 use crate::upstream::UpstreamTimer;
 
-/// What a timer is for. Timers that are due at the same instant run in the order of the kinds.
+/// What a timer is for. Timers that are due at the same instant run in the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
     /// A timer of the decision module, by its token.
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -32,9 +32,9 @@
     put(&mut out, b'Q', |body| {
         match question {
             Question::Command(command) => {
-                body.extend_from_slice(&command.before_wait);
+                body.extend_from_slice(&command.before_time_left);
                 body.extend_from_slice(time_left.as_millis().max(1).to_string().as_bytes());
-                body.extend_from_slice(&command.after_wait);
+                body.extend_from_slice(&command.after_time_left);
             }
             Question::Load => body.extend_from_slice(b"SHOW load"),
         }
@@ -249,7 +249,7 @@
 
     /// The outcome of a response that is complete or has an error.
     pub fn outcome(self, question: &Question) -> (ExchangeOutcome, ResponseMetadata) {
-        let verdict = match (self.error_code.as_deref(), question) {
+        let outcome = match (self.error_code.as_deref(), question) {
             (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
                 ExchangeOutcome::Misdirected
             }
@@ -262,7 +262,7 @@
                     .unwrap_or_default(),
             ),
         };
-        (verdict, self.metadata)
+        (outcome, self.metadata)
     }
 }
 
--- a/crates/leverproxy/src/protocol/postgres/server.rs
+++ b/crates/leverproxy/src/protocol/postgres/server.rs
@@ -168,7 +168,7 @@
     let mut out = Vec::new();
     match answer {
         Answer::Served(bytes) => out = bytes,
-        Answer::Refused(retry_after) => {
+        Answer::Rejected(retry_after) => {
             let millis = retry_after.map(|d| d.as_millis().to_string());
             let text = "no record server can take this now";
             put_error(
@@ -193,7 +193,7 @@
             let text = "cancelled by the client; whether the statement ran is not known";
             put_error(&mut out, "ERROR", sqlstate::QUERY_CANCELED, text, None);
         }
-        Answer::Rejected(why) => put_error(&mut out, "ERROR", sqlstate::SYNTAX_ERROR, &why, None),
+        Answer::Invalid(why) => put_error(&mut out, "ERROR", sqlstate::SYNTAX_ERROR, &why, None),
     }
     put_ready_for_query(&mut out);
     out
--- a/crates/leverproxy/src/protocol/postgres/statement.rs
+++ b/crates/leverproxy/src/protocol/postgres/statement.rs
@@ -138,8 +138,8 @@
             min_commit_time: self.after,
             is_client_retry: self.repeated,
             command: Command {
-                before_wait: text.as_bytes()[..digits.start].to_vec(),
-                after_wait: text.as_bytes()[digits.end..].to_vec(),
+                before_time_left: text.as_bytes()[..digits.start].to_vec(),
+                after_time_left: text.as_bytes()[digits.end..].to_vec(),
             },
             client: IpAddr::V4(Ipv4Addr::UNSPECIFIED),
             read_at,
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -1,7 +1,8 @@
 //! Commands of signals and of an embedding program, and what the reload thread has read.
 
 use super::state::Proxy;
-use crate::config::reload::{ReloadRequest, Reloader};
+use crate::config::reload::Reloader;
+use crate::config::reload_request::ReloadRequest;
 use crate::config::{Config, ConfigError};
 use crate::control::ControlCommand;
 use crate::persistence::hot_restart::links::HotRestart;
@@ -34,7 +35,7 @@
         }
         log::info!("told to stop: answering what has come");
         // The drain needs the state of now: it may have changed since the last round.
-        self.update_drained(now);
+        self.update_idle(now);
         // Clients from now on are the new process's. To wait for them here would take them from its queue.
         let hot_restart = self.io.hot_restart.as_ref();
         if hot_restart.is_some_and(HotRestart::new_process_accepts) {
--- a/crates/leverproxy/src/proxy/control_socket.rs
+++ b/crates/leverproxy/src/proxy/control_socket.rs
@@ -66,7 +66,7 @@
                 format!("announced, listening for {left} ms more")
             }
             Phase::Drained => "drained".to_owned(),
-            Phase::Lingering { .. } | Phase::Closing | Phase::Finished => "ending".to_owned(),
+            Phase::StillAccepting { .. } | Phase::Closing | Phase::Finished => "ending".to_owned(),
         }
     }
 }
--- a/crates/leverproxy/src/proxy/drain.rs
+++ b/crates/leverproxy/src/proxy/drain.rs
@@ -10,12 +10,12 @@
 
 impl Proxy {
     /// Notifies the drain state machine when the proxy gets, or stops being, without clients and open requests.
-    pub(super) fn update_drained(&mut self, now: Instant) {
-        let drained =
+    pub(super) fn update_idle(&mut self, now: Instant) {
+        let is_idle =
             self.io.downstream.client_count() == 0 && self.pipeline.open_request_count() == 0;
-        if drained != self.drained {
-            self.drained = drained;
-            self.handle_drain_event(Event::IdleChanged(drained), now);
+        if is_idle != self.is_idle {
+            self.is_idle = is_idle;
+            self.handle_drain_event(Event::IdleChanged(is_idle), now);
         }
     }
 
@@ -60,7 +60,7 @@
             Action::StopListening => {
                 self.io.downstream.start_draining(now, &self.io.reactor);
                 // Clients that waited at the listener are connected now.
-                self.drained = false;
+                self.is_idle = false;
             }
             Action::StartListening => self.listen_again(now),
             Action::AbortOutstanding => self.pipeline.fail_open_requests(&mut self.io, now),
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -6,7 +6,7 @@
 use crate::event_loop::slab::Key;
 use crate::event_loop::token::Token;
 use crate::persistence::hot_restart::handover::HandoverState;
-use crate::pipeline::{IoEndpoints, TimerKind};
+use crate::pipeline::{Io, TimerKind};
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
         let mut ready = Vec::new();
         loop {
             self.pipeline.process_events(&mut self.io, Instant::now());
-            self.update_drained(Instant::now());
+            self.update_idle(Instant::now());
             self.flush_members();
             if self.terminated {
                 self.leave_fleet();
@@ -59,7 +59,7 @@
 
     fn on_ready(&mut self, ready: Ready) {
         let now = Instant::now();
-        let IoEndpoints {
+        let Io {
             reactor,
             downstream,
             upstream,
@@ -86,7 +86,7 @@
     }
 
     fn on_listener_ready(&mut self, now: Instant) {
-        let IoEndpoints {
+        let Io {
             reactor,
             timers,
             downstream,
@@ -148,7 +148,7 @@
     /// A new process asks for the handover.
     fn on_handover_request(&mut self) {
         let (listing, exclusions) = self.pipeline.handover_state();
-        let IoEndpoints {
+        let Io {
             reactor,
             downstream,
             upstream,
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -76,7 +76,7 @@
     pub(super) fn share_limits(&mut self) {
         let limits = self.limits.beside(self.old_process_usage);
         let io = &mut self.io;
-        io.downstream.set_limits(limits, self.client_timeouts);
+        io.downstream.set_limits(limits, self.client_limits);
         let hot_restart = io.hot_restart.as_ref();
         let upstream = if hot_restart.is_some_and(HotRestart::has_new_process) {
             io.upstream.connection_count().max(1).min(limits.upstream)
--- a/crates/leverproxy/src/proxy/persistence.rs
+++ b/crates/leverproxy/src/proxy/persistence.rs
@@ -15,7 +15,7 @@
         let pipeline = &self.pipeline;
         let listing = || pipeline.handover_state().0;
         let list = pipeline
-            .confirmed_list_index()
+            .received_list_index()
             .map(|index| (index, &listing as &dyn Fn() -> _));
         saved_state.handle_finished_saves(now);
         saved_state.update(incarnation, pipeline.manual_exclusions(), list, now);
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -61,21 +61,21 @@
     /// Applies all that concerns requests and connections. Returns the former route rules, which take long to drop.
     fn apply_to_requests(&mut self, config: Config, now: Instant) -> Result<Rules, String> {
         let drain_settings = config.drain_settings();
-        let succession = platform_settings::map_classes(&self.platform, config.platform)
+        let mapping = platform_settings::map_classes(&self.platform, config.platform)
             .map_err(|error| self.reject_platform_settings(&error))?;
         self.pipeline.counters.reloads += 1;
-        self.platform = succession.next.clone();
+        self.platform = mapping.next.clone();
         let rules = Rules {
-            class_ids: succession.class_ids.clone(),
+            class_ids: mapping.class_ids.clone(),
             ..config.rules
         };
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
-        pipeline.configure(succession, config.dial_timeout, now);
+        pipeline.configure(mapping, config.dial_timeout, now);
         io.upstream
             .set_timeouts(config.dial_timeout, config.upstream_idle_timeout);
         io.downstream
             .set_balancers(config.check_networks, config.proxy_protocol_networks);
-        (self.limits, self.client_timeouts) = (config.limits, config.client_timeouts);
+        (self.limits, self.client_limits) = (config.limits, config.client_limits);
         self.share_limits();
         self.drain.configure(drain_settings);
         logging::set(&config.logging);
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -21,7 +21,7 @@
 use crate::persistence::hot_restart::handover::{request_handover, HandoverState, OldProcess};
 use crate::persistence::hot_restart::links::HotRestart;
 use crate::persistence::saved_state::{InitialState, Persistence};
-use crate::pipeline::{IoEndpoints, Pipeline, TimerKind};
+use crate::pipeline::{Io, Pipeline, TimerKind};
 use crate::upstream::Upstream;
 use ::drain::Drain;
 use std::io;
@@ -49,20 +49,20 @@
         reactor.register(&commands, Token::Commands, Interest::READ)?;
         logging::set(&config.logging);
         let mut handover = Handover::request(&config);
-        let io = open_endpoints(&config, &mut handover, reactor, now)?;
+        let io = open_io(&config, &mut handover, reactor, now)?;
         let mut proxy = Proxy::assemble(&mut config, &handover, commands, io, now);
         proxy.log_addresses(&config);
         proxy.io.timers.set(now, TimerKind::CloseExpired);
         proxy.io.timers.set(now, TimerKind::MeasureLoad);
-        let new_process = handover.state.is_some() || handover.old_process_unknown;
+        let replaces_old_process = handover.state.is_some() || handover.old_process_unknown;
         let recovered = proxy.open_saved_state(&mut config, handover.state.is_some(), now)?;
         let last_incarnation = recovered.incarnation;
         proxy.load_endpoints(&config, handover.state, recovered, now);
-        proxy.join_old_process(handover.link, handover.in_place);
+        proxy.announce_to_old_process(handover.link, handover.in_place);
         let event = availability::Event::Started;
         proxy.pipeline.monitor.handle(now, event);
         proxy.incarnation = clock::unix_ms().max(last_incarnation.saturating_add(1));
-        proxy.join_fleet(config, new_process, now)?;
+        proxy.join_fleet(config, replaces_old_process, now)?;
         Ok(proxy)
     }
 
@@ -71,7 +71,7 @@
         config: &mut Config,
         handover: &Handover,
         commands: CommandReceiver,
-        io: IoEndpoints,
+        io: Io,
         now: Instant,
     ) -> Proxy {
         let zones = config.platform.names.zones.clone();
@@ -91,11 +91,11 @@
             commands,
             started_at: now,
             drain: Drain::new(config.drain_settings(), Duration::ZERO),
-            drained: true,
+            is_idle: true,
             terminated: false,
             probes_reachability: !config.health.is_empty(),
             limits: config.limits,
-            client_timeouts: config.client_timeouts,
+            client_limits: config.client_limits,
             old_process_usage: handover.usage(),
             reloads: None,
             awaits_discovery: handover.old_process_unknown,
@@ -166,14 +166,19 @@
     }
 
     /// Tells the old process that this one accepts.
-    fn join_old_process(&mut self, link: Option<UnixStream>, in_place: bool) {
+    fn announce_to_old_process(&mut self, link: Option<UnixStream>, in_place: bool) {
         if let (Some(hot_restart), Some(link)) = (&mut self.io.hot_restart, link) {
             hot_restart.link_to_old_process(link, in_place, &self.io.reactor);
         }
     }
 
     /// Joins the fleet, and starts what only members of one do: rollouts and quota lending.
-    fn join_fleet(&mut self, config: Config, new_process: bool, now: Instant) -> io::Result<()> {
+    fn join_fleet(
+        &mut self,
+        config: Config,
+        replaces_old_process: bool,
+        now: Instant,
+    ) -> io::Result<()> {
         if let Some(settings) = config.members {
             let name = &self.restart_settings.name;
             let keys = config.member_keys;
@@ -189,7 +194,7 @@
         if let Some(settings) = config.rollout {
             let name = &self.restart_settings.name;
             let operators = config.operators_file.as_deref();
-            let started = (self.incarnation, new_process);
+            let started = (self.incarnation, replaces_old_process);
             let waker = self.commands.waker()?;
             let rollout = Rollout::new(settings, name, operators, started, waker, now);
             self.rollout = Some(rollout);
@@ -261,19 +266,19 @@
 }
 
 /// Listens on every address that the configuration names.
-fn open_endpoints(
+fn open_io(
     config: &Config,
     handover: &mut Handover,
     reactor: Reactor,
     now: Instant,
-) -> io::Result<IoEndpoints> {
+) -> io::Result<Io> {
     let limits = config.limits.beside(handover.usage());
     let mut downstream = Downstream::listen(
         config.listen,
         handover.listener.take(),
         config.hot_restart_socket.is_some(),
         limits,
-        config.client_timeouts,
+        config.client_limits,
         &reactor,
     )?;
     downstream.set_balancers(
@@ -281,8 +286,8 @@
         config.proxy_protocol_networks.clone(),
     );
     let pushed = !config.platform.settings.endpoints_are_polled;
-    let new_process = handover.state.is_some() || handover.old_process_unknown;
-    Ok(IoEndpoints {
+    let replaces_old_process = handover.state.is_some() || handover.old_process_unknown;
+    Ok(Io {
         downstream,
         upstream: Upstream::new(
             limits.upstream,
@@ -291,7 +296,7 @@
         ),
         discovery: DiscoveryClient::new(config.discovery, config.max_watch_silence, pushed, now),
         health: Health::new(&config.health, &reactor)?,
-        control_socket: open_control_socket(config, new_process, &reactor)?,
+        control_socket: open_control_socket(config, replaces_old_process, &reactor)?,
         admin: open_admin(config, &reactor)?,
         hot_restart: open_hot_restart(config, &reactor),
         timers: Timers::default(),
@@ -301,11 +306,11 @@
 
 fn open_control_socket(
     config: &Config,
-    new_process: bool,
+    replaces_old_process: bool,
     reactor: &Reactor,
 ) -> io::Result<Option<ControlSocket>> {
     let path = config.control_socket.as_deref();
-    path.map(|path| ControlSocket::listen(path, new_process, reactor))
+    path.map(|path| ControlSocket::listen(path, replaces_old_process, reactor))
         .transpose()
 }
 
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -3,12 +3,12 @@
 use crate::cluster::members::Members;
 use crate::cluster::rollout::Rollout;
 use crate::config::reload::Reloader;
-use crate::config::{ClientTimeouts, Config, ConfigError, Limits};
+use crate::config::{ClientLimits, Config, ConfigError, Limits};
 use crate::control::admin::Admin;
 use crate::control::CommandReceiver;
 use crate::health::monitor::Usage;
 use crate::persistence::saved_state::Persistence;
-use crate::pipeline::{IoEndpoints, Pipeline};
+use crate::pipeline::{Io, Pipeline};
 use ::drain::Drain;
 use platform_settings::PlatformSettings;
 use std::io;
@@ -18,20 +18,20 @@
 
 /// One proxy. [`Proxy::start`] listens, [`Proxy::run`] serves until the proxy is told to stop.
 pub struct Proxy {
-    pub(super) io: IoEndpoints,
+    pub(super) io: Io,
     pub(super) pipeline: Pipeline,
     pub(super) commands: CommandReceiver,
     /// The drain state machine counts time from here.
     pub(super) started_at: Instant,
     pub(super) drain: Drain,
     /// No client is connected and no request is open, as the drain state machine was last notified.
-    pub(super) drained: bool,
+    pub(super) is_idle: bool,
     /// The drain state machine has ended: the loop returns.
     pub(super) terminated: bool,
     /// Balancers ask for health, so servers that are silent are dialled to test their links.
     pub(super) probes_reachability: bool,
     pub(super) limits: Limits,
-    pub(super) client_timeouts: ClientTimeouts,
+    pub(super) client_limits: ClientLimits,
     /// Clients and upstream connections that the old process holds during a hot restart.
     pub(super) old_process_usage: (usize, usize),
     pub(super) reloads: Option<Reloader>,
@@ -102,7 +102,7 @@
 
     /// Prints the counters on standard error, at any log level.
     pub fn report(&self) {
-        let IoEndpoints {
+        let Io {
             downstream,
             upstream,
             ..
@@ -123,7 +123,7 @@
 
     /// What the process uses of its limits.
     pub(super) fn usage(&self) -> Usage {
-        let IoEndpoints {
+        let Io {
             downstream,
             upstream,
             ..
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -50,9 +50,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
     /// Everything before the time that is left.
-    pub before_wait: Vec<u8>,
+    pub before_time_left: Vec<u8>,
     /// Everything after it.
-    pub after_wait: Vec<u8>,
+    pub after_time_left: Vec<u8>,
 }
 
 /// The final answer to a request.
@@ -60,14 +60,15 @@
 pub enum Answer {
     /// The record server's answer, in the bytes of its protocol.
     Served(Vec<u8>),
-    /// Load was shed: nothing ran that a repeat could double. The client may retry after this time, if there is one.
-    Refused(Option<Duration>),
+    /// Rejected by a rule or to shed load: nothing ran that a repetition could double. The client may retry after this time,
+    /// if there is one.
+    Rejected(Option<Duration>),
     /// No server gave an answer in time, or part of the request may have run.
     Failed,
     /// The client has cancelled the request.
     Cancelled,
-    /// The request makes no sense; why.
-    Rejected(String),
+    /// The request is malformed; why.
+    Invalid(String),
 }
 
 impl Answer {
@@ -75,10 +76,10 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
-            Answer::Refused(_) => "refused",
+            Answer::Rejected(_) => "refused",
             Answer::Failed => "failed",
             Answer::Cancelled => "cancelled",
-            Answer::Rejected(_) => "rejected",
+            Answer::Invalid(_) => "rejected",
         }
     }
 }
--- a/crates/leverproxy/src/upstream/exchange.rs
+++ b/crates/leverproxy/src/upstream/exchange.rs
@@ -31,7 +31,7 @@
             .min(self.started + dial_timeout)
     }
 
-    /// Lets its time begin now, with the same length.
+    /// Starts the time of a probe anew, with the same length. Not for attempts: their write deadline is the request's.
     pub(super) fn restart(&mut self, now: Instant) {
         let allowed = self.deadline.saturating_duration_since(self.started);
         self.started = now;
@@ -43,7 +43,7 @@
     pub(super) fn completed(
         self,
         server: ServerId,
-        verdict: ExchangeOutcome,
+        outcome: ExchangeOutcome,
         metadata: ResponseMetadata,
         now: Instant,
     ) -> CompletedExchange {
@@ -52,7 +52,7 @@
             class: self.class,
             group: self.group,
             server,
-            outcome: verdict,
+            outcome,
             elapsed: now.saturating_duration_since(self.started),
             metadata,
         }
--- a/crates/leverproxy/src/upstream/queue.rs
+++ b/crates/leverproxy/src/upstream/queue.rs
@@ -98,12 +98,12 @@
         for exchange in pool.take_expired(dial_timeout, now) {
             // A server that was not dialled, or not for the whole timeout, does not count as unreachable.
             let dial_deadline = exchange.deadline.min(exchange.started + dial_timeout);
-            let verdict = if backing_off || now < dial_deadline {
+            let outcome = if backing_off || now < dial_deadline {
                 ExchangeOutcome::NotSent
             } else {
                 ExchangeOutcome::ConnectFailed
             };
-            self.finish(exchange, server, verdict, now);
+            self.finish(exchange, server, outcome, now);
         }
     }
 
@@ -133,7 +133,7 @@
     pub(super) fn fail_first_queued(
         &mut self,
         server: ServerId,
-        verdict: ExchangeOutcome,
+        outcome: ExchangeOutcome,
         now: Instant,
     ) {
         let Some(pool) = self.pools.get_mut(&server) else {
@@ -146,7 +146,7 @@
             self.timers.push((now, UpstreamTimer::Queue(server)));
         }
         if let Some(exchange) = exchange {
-            self.finish(exchange, server, verdict, now);
+            self.finish(exchange, server, outcome, now);
         }
     }
 
@@ -200,10 +200,10 @@
         &mut self,
         exchange: Exchange,
         server: ServerId,
-        verdict: ExchangeOutcome,
+        outcome: ExchangeOutcome,
         now: Instant,
     ) {
-        let completed = exchange.completed(server, verdict, ResponseMetadata::default(), now);
+        let completed = exchange.completed(server, outcome, ResponseMetadata::default(), now);
         self.completed.push_back(completed);
     }
 }
--- a/crates/leverproxy/src/upstream/transfer.rs
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -215,12 +215,12 @@
     /// Closes a connection that has ended.
     pub(super) fn close_broken(&mut self, key: Key, now: Instant) {
         let connection = self.connections.get(key);
-        let verdict = if connection.is_some_and(|connection| connection.is_written()) {
+        let outcome = if connection.is_some_and(|connection| connection.is_written()) {
             ExchangeOutcome::Reset
         } else {
             ExchangeOutcome::ConnectFailed
         };
-        self.close(key, verdict, now);
+        self.close(key, outcome, now);
     }
 
     fn reject_malformed(&mut self, key: Key, error: &Malformed, now: Instant) {
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Closes a connection. Its exchange ends with `verdict`, unless an error message from the server says more.
-    pub(super) fn close(&mut self, key: Key, verdict: ExchangeOutcome, now: Instant) {
+    /// Closes a connection. Its exchange ends with `outcome`, unless an error message from the server says more.
+    pub(super) fn close(&mut self, key: Key, outcome: ExchangeOutcome, now: Instant) {
         let Some(connection) = self.connections.remove(key) else {
             return;
         };
@@ -254,17 +254,17 @@
                 self.finish_with_response(active, server, now)
             }
             State::Busy(active) => {
-                let verdict = unless_rejected(&active.reader, verdict);
-                self.finish(active.exchange, server, verdict, now);
+                let outcome = unless_rejected(&active.reader, outcome);
+                self.finish(active.exchange, server, outcome, now);
             }
             State::Idle => self.remove_idle(server, key),
             State::Connecting => {
                 self.end_dial(server);
-                self.fail_first_queued(server, verdict, now);
+                self.fail_first_queued(server, outcome, now);
             }
             State::Handshake(reader) => {
                 self.end_dial(server);
-                self.fail_first_queued(server, unless_rejected(&reader, verdict), now);
+                self.fail_first_queued(server, unless_rejected(&reader, outcome), now);
             }
         }
     }
@@ -274,17 +274,17 @@
         let ActiveExchange {
             exchange, reader, ..
         } = active;
-        let (verdict, metadata) = reader.outcome(&exchange.question);
-        let completed = exchange.completed(server, verdict, metadata, now);
+        let (outcome, metadata) = reader.outcome(&exchange.question);
+        let completed = exchange.completed(server, outcome, metadata, now);
         self.completed.push_back(completed);
     }
 }
 
-/// The outcome that an error message from the server gives; else `verdict`.
-fn unless_rejected(reader: &ResponseReader, verdict: ExchangeOutcome) -> ExchangeOutcome {
+/// The outcome that an error message from the server gives; else `outcome`.
+fn unless_rejected(reader: &ResponseReader, outcome: ExchangeOutcome) -> ExchangeOutcome {
     if reader.has_error() {
         rejection_outcome(reader)
     } else {
-        verdict
+        outcome
     }
 }
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -44,8 +44,8 @@
     /// Starts an attempt at the beginning that is waited for and may begin for so long.
     fn start(&mut self, id: u64, waits: Duration, begins: Duration, padding: usize) {
         let command = Command {
-            before_wait: format!("SELECT '{}' /* d=", "x".repeat(padding)).into_bytes(),
-            after_wait: b" */".to_vec(),
+            before_time_left: format!("SELECT '{}' /* d=", "x".repeat(padding)).into_bytes(),
+            after_time_left: b" */".to_vec(),
         };
         let exchange = Exchange {
             purpose: Purpose::Attempt(RequestId(id), AttemptNo(0)),
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -199,7 +199,7 @@
     const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
     let server = Listener::new();
     let mut stage = stage(&server, |config| {
-        config.client_timeouts.linger = LINGER_TIMEOUT
+        config.client_limits.linger = LINGER_TIMEOUT
     });
     let idle = idle_client(&stage, &server);
     thread::sleep(LINGER_TIMEOUT);
@@ -377,7 +377,7 @@
 #[test]
 fn commands_over_the_pipelining_limit_are_answered_before_the_end() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_timeouts.max_pipelined = 1);
+    let mut stage = stage(&server, |config| config.client_limits.max_pipelined = 1);
     let mut idle = idle_client(&stage, &server);
     let mut client = Peer::client(stage.address);
     for id in 1..4 {
@@ -402,7 +402,7 @@
 fn a_request_that_is_half_read_at_the_stop_is_served() {
     let server = Listener::new();
     let mut stage = stage(&server, |config| {
-        config.client_timeouts.first_request = PATIENCE
+        config.client_limits.first_request = PATIENCE
     });
     // Looked at before the other when the listener closes.
     let mut client = Peer::client(stage.address);
@@ -430,8 +430,8 @@
     let server = Listener::new();
     let mut stage = stage(&server, |config| {
         (
-            config.client_timeouts.max_pipelined,
-            config.client_timeouts.max_unsent_bytes,
+            config.client_limits.max_pipelined,
+            config.client_limits.max_unsent_bytes,
         ) = (1, 64 << 20)
     });
     let mut idle = Peer::client(stage.address);
@@ -466,7 +466,7 @@
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_timeouts.linger = PATIENCE);
+    let mut stage = stage(&server, |config| config.client_limits.linger = PATIENCE);
     let mut idle = idle_client(&stage, &server);
     stop(&stage, &mut idle);
     idle.ask(&read(1, "any", 19000));
--- a/crates/leverproxy/tests/departures.rs
+++ b/crates/leverproxy/tests/departures.rs
@@ -101,7 +101,7 @@
 fn a_client_that_leaves_is_noticed_while_nothing_is_read_from_it() {
     let server = Listener::new();
     let stage = Stage::with(&[("s-1", &server)], |config| {
-        config.client_timeouts.max_pipelined = 1
+        config.client_limits.max_pipelined = 1
     });
     let mut client = Peer::client(stage.address);
     client.ask(&read(1, "any", 19000));
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -212,7 +212,7 @@
         rows!(table, "leverproxy: `saved_state::PersistenceError`", leverproxy::persistence::saved_state::PersistenceError, [
             Lock => E::Lock(leverproxy::persistence::directory_lock::LockError::Io("DIRECTORY".into(), cause())),
             Read => E::Read("PATH".into(), cause()),
-            Unread => E::Unread("PATH".into(), persistent_state::SnapshotError::Torn),
+            Unusable => E::Unusable("PATH".into(), persistent_state::SnapshotError::Torn),
             Write => E::Write("PATH".into(), cause()),
             TooLong => E::TooLong(N as usize),
             WentBack => E::WentBack { kept: 2, given: 1 },
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -220,7 +220,7 @@
         None,
         false,
         limits,
-        config.client_timeouts,
+        config.client_limits,
         &reactor,
     )
     .unwrap();
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -353,7 +353,7 @@
         (limits.crowded, limits.packed, limits.unfinished),
         (100, 150, 6 << 20)
     );
-    let timeouts = config.client_timeouts;
+    let timeouts = config.client_limits;
     assert_eq!(
         (timeouts.first_request, timeouts.idle),
         (Duration::from_millis(2_500), Duration::from_secs(2))
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -175,8 +175,8 @@
     }
     assert_eq!(reader.parse(&good).unwrap(), (good.len(), true));
     let question = Question::Command(Arc::new(Command {
-        before_wait: vec![],
-        after_wait: vec![],
+        before_time_left: vec![],
+        after_time_left: vec![],
     }));
     let (verdict, metadata) = reader.outcome(&question);
     assert!(matches!(verdict, ExchangeOutcome::Served(bytes) if good.starts_with(&bytes)));
@@ -287,9 +287,9 @@
         )
     );
     let rest = [
-        &request.command.before_wait[..],
+        &request.command.before_time_left[..],
         b"480",
-        &request.command.after_wait,
+        &request.command.after_time_left,
     ]
     .concat();
     assert_eq!(rest, text.as_bytes());
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -10,7 +10,7 @@
 //! by a step for an answer in time and falls by several for a late one. Without answers it decays towards 1.
 //! **Priority**: weight of an answer per second of work. Requests of less than the usual priority are shed first.
 //! **Quota**: borrowed requests take no place for which one within its quota is rejected; retries of over-quota requests
-//! wait until that fraction is 1. `Arrival::shed_fraction` draws with the fraction: the narrower of the two counts.
+//! are rejected until that fraction is 1. `Arrival::shed_fraction` draws with the fraction: the narrower of the two counts.
 //! **Cost**: when a fault that costs weight is over, requests are still shed while the estimate lasts.
 
 #[cfg(test)]
@@ -30,10 +30,10 @@
 }
 
 impl Router {
-    /// Whether a new request is admitted.
+    /// Whether a new request is admitted. Its priority enters the usual priority.
     pub(crate) fn admit(&mut self, id: RequestId) -> bool {
         let priority = self.priority(id);
-        self.usual_priority += self.tuning.run_time_weight * (priority - self.usual_priority);
+        self.usual_priority += self.tuning.sample_weight * (priority - self.usual_priority);
         let Some(Request { arrival, .. }) = self.requests.get(&id) else {
             return true;
         };
@@ -59,6 +59,7 @@
             .decay_since(self.admission.updated)
             .powf(self.tuning.admission_decay);
         let all_groups = 1.0 + decay * self.admission.offset;
+        // A group's own fraction decays towards that of all groups, by the root: a router hears of one group less often.
         let beyond_all = |admission: &Admission| {
             self.decay_since(admission.updated).sqrt() * (1.0 + admission.offset - all_groups)
         };
@@ -149,6 +150,6 @@
 
 /// The fraction after a step in proportion to itself, inside its limits.
 fn adjusted_fraction(fraction: f64, weight: f64, step: f64, tuning: &Tuning) -> f64 {
-    (fraction + fraction * weight.min(tuning.run_time_weight) * step)
+    (fraction + fraction * weight.min(tuning.sample_weight) * step)
         .clamp(tuning.admission_min, tuning.admission_max)
 }
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -53,6 +53,7 @@
     fn idle_server_probability(&self, request: &Request, server: &Server, fraction: f64) -> f64 {
         let class = self.class(request.arrival.class);
         let is_write = class.consistency == Consistency::Write;
+        // In a large fleet a late answer keeps a router off for longer: all would else come back at once.
         let decay = self
             .decay_since(server.latency_updated)
             .powf(self.fleet_share().sqrt());
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -4,7 +4,7 @@
 //! inside the grace (`Settings::drain_grace`). A removed one neither, unless the settings say that removal without a
 //! drain does not bind (`Settings::soft_removal`): then own attempts tell whether it still serves.
 //!
-//! **Polling.** After a failed poll the next one comes after a backoff that doubles up to [`discovery_schedule::RETRY`].
+//! **Polling.** After a failed poll the next one comes after a backoff that doubles up to [`discovery_schedule::MAX_RETRY_DELAY`].
 //! The list is one service for all routers, which takes calls in turn and wastes those that waited too long. Routers
 //! that start together, or lose it together, would keep each other from it for good. So the calls of a large fleet are
 //! spread over `POLL_SPACING` for each router, as far as the time allows within which a call has to be made. After the
@@ -12,7 +12,7 @@
 //! comes late in the span, which keeps the places and makes the fewest calls.
 
 use crate::interface::*;
-use crate::slow_start_budget::SliceBudget;
+use crate::slow_start_budget::SliceSpending;
 use crate::state::{Router, Server, TimerKind};
 use crate::tuning::{POLL_BACKOFF_UNIT, POLL_PLACED_FRACTION, POLL_SPACING};
 use std::collections::BTreeSet;
@@ -31,13 +31,14 @@
         }
     }
 
-    /// A new incarnation: what the former one did says nothing of it.
+    /// A new incarnation. Role, ramp confidence, slow start and backoff start anew; position, run times and concurrency limit
+    /// stay as first estimates.
     fn restart(&mut self, started: Time) {
         self.started = started;
         self.role = self.role.filter(|role| role.as_of > started);
         self.ramp_confidence = 1.0;
         self.latency_updated = Time::ZERO;
-        self.slow_start_spent = SliceBudget::default();
+        self.slow_start_spent = SliceSpending::default();
         self.end_backoff();
     }
 }
--- a/crates/routing/src/estimates.rs
+++ b/crates/routing/src/estimates.rs
@@ -49,7 +49,7 @@
             }
             _ => return,
         };
-        let weight = self.tuning.run_time_weight;
+        let weight = self.tuning.sample_weight;
         if let Some(server) = self.servers.get_mut(&id) {
             let average = &mut server.run_time[usize::from(class.0)];
             *average = Some(average.map_or(run_time, |average| {
@@ -62,9 +62,9 @@
     pub(crate) fn learn_class_work(&mut self, class: ClassId, elapsed: Duration) {
         let work = &mut self.class_work[usize::from(class.0)];
         let weight = if elapsed < *work {
-            self.tuning.run_time_weight
+            self.tuning.sample_weight
         } else {
-            self.tuning.run_time_weight * self.tuning.longer_work_weight
+            self.tuning.sample_weight * self.tuning.longer_work_weight
         };
         *work = exponential_average(*work, elapsed, weight);
     }
--- a/crates/routing/src/expiry.rs
+++ b/crates/routing/src/expiry.rs
@@ -8,7 +8,7 @@
 //! first. Of equal priority the newest goes first: it has the most time left, while the oldest would all be served just
 //! too late whenever more wait than can be served.
 //! **Rejecting.** A rejection promises that nothing ran which a repetition could double; anything else ends as a
-//! failure. It may say when to come back (Retry-After): after the longest backoff, within the settings' limit.
+//! failure. It may say when to come back (Retry-After): after `Tuning::backoff_max` objectives, within the settings' limit.
 
 use crate::interface::*;
 use crate::state::{Request, Router, TimerKind};
@@ -82,7 +82,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        // One timer ahead, however often events bring a look: each look would set the next timer.
+        // At most one recheck timer for a request: every event that dispatches it would set another.
         if request.recheck_at.is_none_or(|at| at <= self.now) {
             request.recheck_at = Some(recheck_at);
             self.timers.insert((recheck_at, TimerKind::Recheck(id)));
--- a/crates/routing/src/interface/events.rs
+++ b/crates/routing/src/interface/events.rs
@@ -11,9 +11,9 @@
     pub position: Option<Time>,
     /// It believes itself to be the primary.
     pub primary: Option<bool>,
-    /// Requests that it executes.
+    /// Requests that it executes. For the host and experiments; no rule reads it.
     pub in_flight: Option<f64>,
-    /// Requests that wait in it.
+    /// Requests that wait in it. For the host and experiments; no rule reads it.
     pub queued: Option<f64>,
 }
 
@@ -70,7 +70,7 @@
     pub group: GroupId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// Its kind of machine. No rule reads it.
     pub kind: KindId,
     /// Whether it takes requests.
     pub state: EndpointState,
--- a/crates/routing/src/interface/settings.rs
+++ b/crates/routing/src/interface/settings.rs
@@ -116,7 +116,7 @@
     pub max_retry_after: Duration,
     /// Attempts allowed for one request; 0: no limit.
     pub attempt_limit: u16,
-    /// Sends to a draining or removed server must stop within this time.
+    /// Sends to a draining or removed server must stop within this time. No rule reads it: a router stops at once.
     pub drain_grace: Duration,
     /// A server that is removed without a drain may still be used.
     pub soft_removal: bool,
@@ -128,6 +128,6 @@
     pub overload_factor: f64,
     /// ... for this long, from all routers together, makes a server that warms up collapse.
     pub overload_duration: Duration,
-    /// An idle connection is closed after this time.
+    /// An idle connection is closed after this time. For the host: no rule reads it.
     pub idle_timeout: Duration,
 }
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -75,7 +75,7 @@
         server.take_report(report, self.now);
         if let (Some(true), Some(position)) = (report.primary, report.position) {
             let age = self.now.since(position);
-            let weight = self.tuning.run_time_weight;
+            let weight = self.tuning.sample_weight;
             self.report_age = exponential_average(self.report_age, age, weight);
         }
         self.dispatch_queued(id, actions);
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -26,7 +26,7 @@
 }
 
 /// What is the same for all members in one selection.
-struct Search<'a> {
+struct SelectionContext<'a> {
     request: &'a Request,
     class: &'a Class,
     primary: Option<ServerId>,
@@ -56,7 +56,7 @@
     Forbidden,
     /// It might later.
     Unsuitable,
-    /// It has no capacity. `is_lasting`: and that will not change soon.
+    /// It has no capacity. `is_lasting`: nor will it have any soon.
     AtCapacity {
         is_lasting: bool,
     },
@@ -69,8 +69,8 @@
     best: Option<Candidate>,
     /// Some member might take the request, now or later.
     some_permitted: bool,
-    some_busy: bool,
-    some_shut: bool,
+    some_at_capacity: bool,
+    some_lastingly_full: bool,
 }
 
 impl Survey {
@@ -78,8 +78,8 @@
         match suitability {
             Suitability::Forbidden => return,
             Suitability::Unsuitable => {}
-            Suitability::AtCapacity { is_lasting: true } => self.some_shut = true,
-            Suitability::AtCapacity { is_lasting: false } => self.some_busy = true,
+            Suitability::AtCapacity { is_lasting: true } => self.some_lastingly_full = true,
+            Suitability::AtCapacity { is_lasting: false } => self.some_at_capacity = true,
             Suitability::Candidate(candidate) => self.offer(candidate),
         }
         self.some_permitted = true;
@@ -134,32 +134,36 @@
             };
         }
         let time_left = useful_until.since(self.now);
-        let survey = self.survey(&self.search(request, class, time_left));
+        let survey = self.survey(&self.context(request, class, time_left));
         let may_wait_for_capacity =
             may_wait || request.attempts > 0 || class.late_weight_fraction > 0.0;
         let fits = self.class_work[usize::from(request.arrival.class.0)] < time_left;
         match survey.best {
             Some(best) if best.is_allowed => Selection::Send(best.server),
             Some(best) => Selection::Probe(Some(best.server)),
-            None if survey.some_busy && may_wait_for_capacity && fits => Selection::Queue,
-            None if !survey.some_busy && !survey.some_shut && survey.some_permitted && may_wait => {
+            None if survey.some_at_capacity && may_wait_for_capacity && fits => Selection::Queue,
+            None if !survey.some_at_capacity
+                && !survey.some_lastingly_full
+                && survey.some_permitted
+                && may_wait =>
+            {
                 Selection::Probe(None)
             }
             None => Selection::Reject,
         }
     }
 
-    fn search<'a>(
+    fn context<'a>(
         &self,
         request: &'a Request,
         class: &'a Class,
         time_left: Duration,
-    ) -> Search<'a> {
+    ) -> SelectionContext<'a> {
         let group = request.arrival.group;
         let primary = self.primary(group);
         let is_write = class.consistency == Consistency::Write;
         let members = self.members(group).len();
-        Search {
+        SelectionContext {
             request,
             class,
             primary,
@@ -174,32 +178,32 @@
         }
     }
 
-    fn survey(&self, search: &Search) -> Survey {
+    fn survey(&self, context: &SelectionContext) -> Survey {
         let mut survey = Survey::default();
-        let members = self.members(search.request.arrival.group);
+        let members = self.members(context.request.arrival.group);
         for (place, &id) in members.iter().enumerate() {
-            survey.add(self.suitability(search, place, id));
+            survey.add(self.suitability(context, place, id));
         }
         survey
     }
 
-    fn suitability(&self, search: &Search, place: usize, id: ServerId) -> Suitability {
-        let request = search.request;
+    fn suitability(&self, context: &SelectionContext, place: usize, id: ServerId) -> Suitability {
+        let request = context.request;
         let rejection = self.check_attempt(request, id).err();
         if rejection == Some(AttemptRejection::Forbidden) {
             return Suitability::Forbidden;
         }
         let server = &self.servers[&id];
-        let is_primary = search.primary == Some(id);
+        let is_primary = context.primary == Some(id);
         let has_role = is_primary
-            || !search.needs_primary
-            || search.seeks_primary && self.may_be_primary(server);
+            || !context.needs_primary
+            || context.seeks_primary && self.may_be_primary(server);
         let is_avoided = request.avoided_servers.contains(&id);
         if !has_role || server.is_backed_off(self.now) || is_avoided {
             return Suitability::Unsuitable;
         }
         let is_allowed = rejection.is_none();
-        let Some(cost) = self.cost(search, place, server, is_primary, is_allowed) else {
+        let Some(cost) = self.cost(context, place, server, is_primary, is_allowed) else {
             return Suitability::Unsuitable;
         };
         let fraction = if is_primary {
@@ -213,7 +217,7 @@
             return Suitability::AtCapacity { is_lasting };
         }
         Suitability::Candidate(Candidate {
-            is_fallback: is_primary && is_answered_by_replicas(search.class),
+            is_fallback: is_primary && is_answered_by_replicas(context.class),
             cost,
             server: id,
             is_allowed,
@@ -223,7 +227,7 @@
     /// None if the member would catch up too late.
     fn cost(
         &self,
-        search: &Search,
+        context: &SelectionContext,
         place: usize,
         server: &Server,
         is_primary: bool,
@@ -232,10 +236,10 @@
         let catch_up = if is_primary {
             Duration::ZERO
         } else {
-            self.catch_up_wait(search.request, server)
+            self.catch_up_wait(context.request, server)
         };
-        let run_time = self.expected_run_time(server, search.request.arrival.class);
-        if !catch_up.is_zero() && catch_up + run_time > search.time_left {
+        let run_time = self.expected_run_time(server, context.request.arrival.class);
+        if !catch_up.is_zero() && catch_up + run_time > context.time_left {
             return None;
         }
         let probing = if is_allowed {
@@ -243,7 +247,7 @@
         } else {
             self.recheck_interval()
         };
-        let unfamiliarity = if place < search.preferred {
+        let unfamiliarity = if place < context.preferred {
             Duration::ZERO
         } else {
             self.tightest_objective / 2
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -58,19 +58,19 @@
             self.settings.warm_up_duration.max(MIN_SPAN),
             self.settings.overload_duration.max(MIN_SPAN),
         );
-        let budget = self.slow_start_budget(server, is_primary);
+        let fraction = self.slow_start_fraction(server, is_primary);
         let turn = self.slow_start_turn(id, server, self.now);
         // A request that waits would get a turn in every slice, each with the budget of what comes in all of them.
         let has_waited = self.slow_start_turn(id, server, request.arrived).slice != turn.slice;
         if has_waited && usual.is_less(slice, work) {
             return false;
         }
-        let quota = budget * usual.quota(slice, work, self.tuning.slow_start_heavy_exponent);
-        server.slow_start_spent.allows(turn, quota, work)
+        let budget = fraction * usual.budget(slice, work, self.tuning.slow_start_heavy_exponent);
+        server.slow_start_spent.allows(turn, budget, work)
     }
 
     /// The fraction of the usual work for its role that a server may get while it warms up.
-    fn slow_start_budget(&self, server: &Server, is_primary: bool) -> f64 {
+    fn slow_start_fraction(&self, server: &Server, is_primary: bool) -> f64 {
         let confidence = self.ramp_confidence
             + self.decay_since(server.latency_updated)
                 * (server.ramp_confidence - self.ramp_confidence);
--- a/crates/routing/src/slow_start_budget.rs
+++ b/crates/routing/src/slow_start_budget.rs
@@ -73,7 +73,7 @@
     /// Seconds of work that a request of this work may count on in a slice, if the server bore all of them: those that
     /// usually come in such a time, or its own. Less for a heavy one, by this power of how much heavier than the mean it
     /// is: a few of those at once go far beyond the mean.
-    pub(crate) fn quota(&self, slice: Duration, work: Duration, heavy_exponent: f64) -> f64 {
+    pub(crate) fn budget(&self, slice: Duration, work: Duration, heavy_exponent: f64) -> f64 {
         let work = work.as_secs_f64();
         let lightness = (self.mean / work).min(1.0).powf(heavy_exponent);
         (self.per_second * slice.as_secs_f64()).max(work) * lightness
@@ -103,12 +103,12 @@
 
 /// What one router has sent one server in the present slice, in seconds of work.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SliceBudget {
+pub(crate) struct SliceSpending {
     slice: u64,
     work: f64,
 }
 
-impl SliceBudget {
+impl SliceSpending {
     fn in_slice(&self, slice: u64) -> f64 {
         if self.slice == slice {
             self.work
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Whether a request of this work may go in this turn, in which `quota` seconds of work may.
-    pub(crate) fn allows(&self, turn: Turn, quota: f64, work: Duration) -> bool {
-        self.in_slice(turn.slice) + turn.threshold * work.as_secs_f64() < quota
+    /// Whether a request of this work may go in this turn, in which `budget` seconds of work may.
+    pub(crate) fn allows(&self, turn: Turn, budget: f64, work: Duration) -> bool {
+        self.in_slice(turn.slice) + turn.threshold * work.as_secs_f64() < budget
     }
 
     pub(crate) fn add(&mut self, turn: Turn, work: Duration) {
         let before = self.in_slice(turn.slice);
-        *self = SliceBudget {
+        *self = SliceSpending {
             slice: turn.slice,
             work: before + work.as_secs_f64(),
         };
--- a/crates/routing/src/slow_start_budget/tests.rs
+++ b/crates/routing/src/slow_start_budget/tests.rs
@@ -8,7 +8,7 @@
     for slice in 0..20 {
         let sent = (0..1_000).filter(|&router| {
             let turn = Turn::at(100 * MS * slice, 100 * MS, router, 0.0);
-            SliceBudget::default().allows(turn, 0.1 * work.as_secs_f64(), work)
+            SliceSpending::default().allows(turn, 0.1 * work.as_secs_f64(), work)
         });
         let sent = sent.count();
         assert!((95..=105).contains(&sent), "{sent} in slice {slice}");
@@ -18,7 +18,7 @@
 #[test]
 fn a_slice_has_its_own_budget() {
     let work = 10 * MS;
-    let mut budget = SliceBudget::default();
+    let mut budget = SliceSpending::default();
     let turn = |slice| Turn {
         slice,
         threshold: 1.0,
@@ -35,7 +35,7 @@
         mean: 0.01,
     };
     let slice = 100 * MS;
-    assert_eq!(rate.quota(slice, 5 * MS, 1.5), 0.1);
-    assert!(rate.quota(slice, 40 * MS, 1.5) < 0.1 / 4.0);
+    assert_eq!(rate.budget(slice, 5 * MS, 1.5), 0.1);
+    assert!(rate.budget(slice, 40 * MS, 1.5) < 0.1 / 4.0);
     assert!(rate.is_less(slice, 200 * MS) && !rate.is_less(slice, 50 * MS));
 }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -4,7 +4,7 @@
 
 use crate::averages::decay;
 use crate::interface::*;
-use crate::slow_start_budget::{SliceBudget, UsualWork};
+use crate::slow_start_budget::{SliceSpending, UsualWork};
 use crate::tuning::{Tuning, MIN_SPAN};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -74,7 +74,7 @@
     /// Factor on its budget while it warms up (slow_start).
     pub(crate) ramp_confidence: f64,
     /// What this router sent it in the present slice of its slow start.
-    pub(crate) slow_start_spent: SliceBudget,
+    pub(crate) slow_start_spent: SliceSpending,
 }
 
 impl Server {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A fraction of requests to admit, as the offset from all of them, so that it decays towards admitting all.
+/// A fraction of requests to admit, as its offset from 1 (all of them). A group's counts beside that of all groups.
 #[derive(Default)]
 pub(crate) struct Admission {
     pub(crate) offset: f64,
@@ -143,7 +143,7 @@
     pub(crate) in_flight: Vec<(AttemptNo, ServerId)>,
     /// The earliest ended attempt that may have taken effect.
     pub(crate) possible_effect: Option<PossibleEffect>,
-    /// Members that rejected or failed it.
+    /// Members that rejected or failed it; forgotten at a recheck.
     pub(crate) avoided_servers: Vec<ServerId>,
     /// All members that it was ever sent to.
     pub(crate) attempted_servers: Vec<ServerId>,
@@ -190,10 +190,12 @@
     /// When the timer that the host was asked for fires.
     pub(crate) host_timer: Option<Time>,
     pub(crate) tightest_objective: Duration,
+    /// The tightest latency objective where no class bounds staleness.
     pub(crate) tightest_staleness_bound: Duration,
     /// Failed polls in a row (endpoints).
     pub(crate) poll_failures: u32,
-    /// Since when it goes by the cached list of the process before it, without an answer of discovery (endpoints).
+    /// Since when it goes by the cached list of the process before it (endpoints). Any answer of discovery ends that, a
+    /// failed poll too: from then on the backoff of polls counts.
     pub(crate) cached_since: Option<Time>,
     /// `Server::ramp_confidence` over all servers that warm up (slow_start).
     pub(crate) ramp_confidence: f64,
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -49,9 +49,9 @@
 }
 
 tuning! {
-    /// Weight of a new run time in its moving average. Run times scatter about as widely as their mean, hence a
-    /// memory of about ten answers.
-    run_time_weight as "run_weight": 0.1,
+    /// Weight of a new sample in a moving average (run times, usual priority, age of reports) and most weight of one
+    /// answer in an admission fraction. Run times scatter about as widely as their mean, hence about ten answers.
+    sample_weight as "run_weight": 0.1,
     /// Factor on that weight for a time above a class's average work. Longer times contain waiting; with their full
     /// weight, writes that wait for slow replicas would seem to earn too little and lose the primary to reads.
     longer_work_weight as "work_rise": 0.2,
--- a/crates/routing/src/tuning/tests.rs
+++ b/crates/routing/src/tuning/tests.rs
@@ -19,10 +19,10 @@
     }
     let mut tuning = Tuning::default();
     assert!(
-        !tuning.set("run_time_weight", 1.0),
+        !tuning.set("sample_weight", 1.0),
         "the name in the code is no word"
     );
-    assert_eq!(tuning.get("run_time_weight"), None);
+    assert_eq!(tuning.get("sample_weight"), None);
     tuning.set("room_late", 0.25);
     assert_eq!(tuning.limit_high_latency, 0.25);
 }
--- a/crates/testbed/src/accounts.rs
+++ b/crates/testbed/src/accounts.rs
@@ -11,8 +11,8 @@
 
 const LENT: &str = "lb_loan_lent_milli{stand=\"";
 const START: &str = "lb_start_ms";
-/// Accounts start anew with a lane, too: others may have taken the former one.
-const LANE: &str = "lb_loans_lane_ms";
+/// A lending account starts anew with its incarnation: others may have taken over the former one.
+const ACCOUNT_INCARNATION: &str = "lb_loans_lane_ms";
 
 /// Loan accounts by tenant.
 fn accounts(metrics: &Metrics) -> Result<Vec<(&str, LoanAccount)>, String> {
@@ -82,9 +82,17 @@
                 .get(START)
                 .copied()
                 .ok_or_else(|| fault(format!("{START} is not told")))?;
-            let lane = metrics.get(LANE).copied().unwrap_or_default();
+            let incarnation = metrics
+                .get(ACCOUNT_INCARNATION)
+                .copied()
+                .unwrap_or_default();
             for (tenant, account) in accounts {
-                checker.observe(&name(proxy), start ^ lane.rotate_left(20), tenant, account);
+                checker.observe(
+                    &name(proxy),
+                    start ^ incarnation.rotate_left(20),
+                    tenant,
+                    account,
+                );
             }
         }
         checker.end_round();
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -49,11 +49,11 @@
 pub struct Proxy {
     /// None after a kill, until the restart.
     pub process: Option<Process>,
-    /// From its clients to it, and from it to the list's service.
+    /// From its clients to it.
     pub clients: Link,
     /// From the proxy to the service that lists endpoints.
     pub list: Link,
-    /// Where it serves, and where its second address is.
+    /// Where it serves.
     pub address: Option<SocketAddr>,
     /// The admin address, with [`Setup::admin`].
     pub admin: Option<SocketAddr>,
@@ -165,7 +165,7 @@
         self.wait(self.history.until(what, is))
     }
 
-    /// Waits for all answers, and gives the books.
+    /// Waits for all answers, and returns the outcomes.
     pub fn finish(self) -> Result<Outcomes, Fault> {
         let length = Duration::from_micros(self.setup.clients.length);
         self.wait(self.history.finished(length))?;
--- a/crates/wire-health/src/agent.rs
+++ b/crates/wire-health/src/agent.rs
@@ -42,7 +42,7 @@
         .take(120)
         .collect();
     let room = status
-        .room
+        .max_clients
         .map(|room| format!(" maxconn:{room}"))
         .unwrap_or_default();
     let words = match status.state {
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -274,7 +274,7 @@
             "weight": status.weight,
             "unserved_percent": degraded,
             "reason": status.reason,
-            "room": status.room,
+            "room": status.max_clients,
             "load": {
                 "cpu": status.load.cpu,
                 "memory": status.load.memory,
--- a/crates/wire-health/src/lib.rs
+++ b/crates/wire-health/src/lib.rs
@@ -19,8 +19,8 @@
     pub weight: u8,
     /// What counts most against the weight; one line.
     pub reason: String,
-    /// Clients that the proxy has room for; none: that is not told.
-    pub room: Option<u32>,
+    /// Most clients that the proxy takes at once; none: that is not reported.
+    pub max_clients: Option<u32>,
     /// When whoever is turned away may come again.
     pub retry_after: Duration,
     /// The proxy's own load.
--- a/crates/wire-health/tests/codecs.rs
+++ b/crates/wire-health/tests/codecs.rs
@@ -36,7 +36,7 @@
         state,
         weight,
         reason: "group 3 is hung".into(),
-        room: Some(40),
+        max_clients: Some(40),
         retry_after,
         load,
         groups,
