--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -3,7 +3,9 @@
 use super::wire::{EndpointList, EndpointStatus, ListedEndpoint, UnreadableEndpoint};
 use maintenance::{EffectiveState, Maintenance, ManualExclusion, ServerStatus, UnknownServer};
 use platform_settings::Names;
-use routing::{Endpoint, EndpointState, EndpointUpdate, GroupId, KindId, ServerId, Time, ZoneId};
+use routing::{
+    Endpoint, EndpointState, EndpointUpdate, GroupId, MachineTypeId, ServerId, Time, ZoneId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -246,7 +248,7 @@
         server,
         group: GroupId(listed.group?),
         zone: ZoneId(index_of(&names.zones, &listed.zone)),
-        kind: KindId(index_of(&names.kinds, &listed.kind)),
+        machine_type: MachineTypeId(index_of(&names.machine_types, &listed.kind)),
         state,
         primary: false,
         started: Time(effective.started),
--- a/crates/leverproxy/src/pipeline/actions.rs
+++ b/crates/leverproxy/src/pipeline/actions.rs
@@ -60,7 +60,7 @@
                 io.timers
                     .set(deadline_after(now, after), TimerKind::Router(token.0));
             }
-            Action::Subscribe => {
+            Action::PollEndpoints => {
                 let index = self.directory.index();
                 io.discovery.poll(index, now, &io.reactor);
             }
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -4,7 +4,7 @@
 use crate::event_loop::timers::deadline_after;
 use crate::request::{truncate_for_display, Answer, Command, Request, ResponseSlot};
 use bulkheads::PoolId;
-use routing::{Arrival, AttemptNo, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
+use routing::{Arrival, AttemptNumber, ClassId, GroupId, QuotaStatus, RequestId, TenantId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
     /// How long the client waits, from its send.
     pub timeout: Duration,
     /// The attempt whose answer is being forwarded in chunks, and the upstream connection that it comes on.
-    pub streaming: Option<(AttemptNo, Key)>,
+    pub streaming: Option<(AttemptNumber, Key)>,
     attempts: u16,
 }
 
@@ -49,9 +49,9 @@
     }
 
     /// Counts an attempt, and returns its number: from 0, in the order sent.
-    pub fn next_attempt(&mut self) -> AttemptNo {
+    pub fn next_attempt(&mut self) -> AttemptNumber {
         self.attempts += 1;
-        AttemptNo(self.attempts - 1)
+        AttemptNumber(self.attempts - 1)
     }
 }
 
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -6,7 +6,7 @@
 use crate::request::{
     Answer, CompletedExchange, ExchangeOutcome, Purpose, ResponseChunk, ResponseSlot,
 };
-use routing::{AttemptEnded, AttemptNo, Event, Outcome, RequestId, ResponseMetadata, Time};
+use routing::{AttemptEnded, AttemptNumber, Event, Outcome, RequestId, ResponseMetadata, Time};
 use std::time::Instant;
 
 impl Pipeline {
@@ -75,7 +75,7 @@
         self.record_event(event, io, now);
     }
 
-    fn is_streaming(&mut self, id: RequestId, attempt: AttemptNo) -> bool {
+    fn is_streaming(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
         self.open_requests
             .get_mut(id)
             .is_some_and(|open| open.streaming.is_some_and(|current| current.0 == attempt))
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -4,14 +4,14 @@
 
 use super::admit::{OpenRequest, OpenRequests};
 use crate::request::{Answer, ExchangeOutcome};
-use routing::{AttemptNo, RequestId};
+use routing::{AttemptNumber, RequestId};
 use std::time::Instant;
 
 /// Takes a served answer out of `outcome`, and closes its request: if that is still open, and no other attempt's answer
 /// has begun to reach the client.
 pub fn take_served(
     id: RequestId,
-    attempt: AttemptNo,
+    attempt: AttemptNumber,
     outcome: &mut ExchangeOutcome,
     open_requests: &mut OpenRequests,
     now: Instant,
--- a/crates/leverproxy/src/pipeline/state.rs
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -91,15 +91,17 @@
     /// Applies new platform settings. Requests in flight and what was learned stay.
     pub fn configure(&mut self, mapping: ClassMapping, probe_timeout: Duration, now: Instant) {
         let ClassMapping {
-            next, predecessors, ..
+            platform,
+            predecessors,
+            ..
         } = mapping;
-        self.quota.configure(&next, now);
+        self.quota.configure(&platform, now);
         let PlatformSettings {
             settings,
             names,
             max_open,
             ..
-        } = next;
+        } = platform;
         self.counters.extend(&names.classes);
         self.counters.goodput.configure(&settings);
         self.deadlines = class_deadlines(&settings);
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -64,7 +64,7 @@
         let mapping = platform_settings::map_classes(&self.platform, config.platform)
             .map_err(|error| self.reject_platform_settings(&error))?;
         self.pipeline.counters.reloads += 1;
-        self.platform = mapping.next.clone();
+        self.platform = mapping.platform.clone();
         let rules = Rules {
             class_ids: mapping.class_ids.clone(),
             ..config.rules
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -2,7 +2,7 @@
 //! here depends on a wire protocol, except commands and answers as opaque bytes.
 
 use crate::event_loop::slab::Key;
-use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
+use routing::{AttemptNumber, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// An attempt of a request.
-    Attempt(RequestId, AttemptNo),
+    Attempt(RequestId, AttemptNumber),
     /// A probe of the server's load and position.
     Probe,
 }
@@ -135,7 +135,7 @@
     /// The request.
     pub id: RequestId,
     /// The attempt that it answers.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// The upstream connection that it came on.
     pub connection: Key,
     /// The server.
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -7,7 +7,7 @@
 use leverproxy::event_loop::token::Token;
 use leverproxy::request::{Command, CompletedExchange, ExchangeOutcome, Purpose, Question};
 use leverproxy::upstream::{Exchange, Upstream, UpstreamTimer};
-use routing::{AttemptNo, RequestId, ServerId};
+use routing::{AttemptNumber, RequestId, ServerId};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
             after_time_left: b" */".to_vec(),
         };
         let exchange = Exchange {
-            purpose: Purpose::Attempt(RequestId(id), AttemptNo(0)),
+            purpose: Purpose::Attempt(RequestId(id), AttemptNumber(0)),
             class: None,
             group: None,
             question: Question::Command(Arc::new(command)),
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -7,7 +7,7 @@
 use leverproxy::event_loop::token::Token;
 use leverproxy::request::{ExchangeOutcome, Purpose, Question};
 use leverproxy::upstream::{Exchange, Upstream};
-use routing::{AttemptNo, RequestId, ServerId};
+use routing::{AttemptNumber, RequestId, ServerId};
 use rustix::process::Signal;
 use std::io::Write;
 use std::net::Shutdown;
@@ -575,7 +575,7 @@
     upstream.add_server(ServerId(1), server.address);
     let exchanges = 40;
     for no in 0..exchanges {
-        let purpose = Purpose::Attempt(RequestId(no), AttemptNo(0));
+        let purpose = Purpose::Attempt(RequestId(no), AttemptNumber(0));
         let (question, until) = (Question::Load, now + PATIENCE);
         let (class, group, begin_by) = (None, None, until);
         let exchange = Exchange {
--- a/crates/platform-settings/src/class_mapping.rs
+++ b/crates/platform-settings/src/class_mapping.rs
@@ -2,7 +2,7 @@
 //!
 //! Whoever holds the id of a class or a zone finds the same at that id afterwards, for as long as the process lives. A
 //! class that a new file leaves unchanged keeps its id; one that it changes gets a new id, and open requests keep the
-//! rights of the old one. Zones, and kinds of machines, keep theirs, and new ones are added behind them.
+//! rights of the old one. Zones, and machine types, keep theirs, and new ones are added behind them.
 
 use crate::{Names, PlatformSettings, SettingsError};
 use routing::{Class, ClassId, ZoneId};
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct ClassMapping {
     /// The settings, classes at their ids; one that is out of use has no name.
-    pub next: PlatformSettings,
+    pub platform: PlatformSettings,
     /// For each class id, the one whose estimates a new class there takes over.
     pub predecessors: Vec<Option<ClassId>>,
     /// The ids of the file's classes, in its order.
@@ -41,7 +41,7 @@
         return Err(SettingsError::TooManyClasses { limit: MAX_CLASSES });
     }
     let zones = extended(&former.names.zones, &file.names.zones);
-    let kinds = extended(&former.names.kinds, &file.names.kinds);
+    let machine_types = extended(&former.names.machine_types, &file.names.machine_types);
     let mut settings = file.settings;
     let zone = file.names.zones.get(usize::from(settings.zone.0));
     if let Some(place) = zone.and_then(|name| zones.iter().position(|zone| zone == name)) {
@@ -51,11 +51,11 @@
     let names = Names {
         classes: table.names,
         zones,
-        kinds,
+        machine_types,
         ..file.names
     };
     Ok(ClassMapping {
-        next: PlatformSettings {
+        platform: PlatformSettings {
             settings,
             names,
             ..file
--- a/crates/platform-settings/src/decode.rs
+++ b/crates/platform-settings/src/decode.rs
@@ -21,8 +21,8 @@
     pub tenants: Vec<String>,
     /// Names of zones.
     pub zones: Vec<String>,
-    /// Names of kinds of machines.
-    pub kinds: Vec<String>,
+    /// Names of machine types.
+    pub machine_types: Vec<String>,
 }
 
 /// The platform's settings, in the module's terms.
@@ -73,7 +73,7 @@
         classes: raw.classes.into_iter().map(|class| class.name).collect(),
         tenants: raw.realms.into_iter().map(|realm| realm.name).collect(),
         zones: raw.zones,
-        kinds: raw.host_types,
+        machine_types: raw.host_types,
     }
 }
 
--- a/crates/platform-settings/tests/class_mapping.rs
+++ b/crates/platform-settings/tests/class_mapping.rs
@@ -21,11 +21,11 @@
     let file = settings(&[("c", "safe", 5), ("b", "unsafe", 5)], &["y", "z"]);
     let next = map_classes(&first, file.clone()).unwrap();
     assert_eq!(next.class_ids, [ClassId(2), ClassId(3)]);
-    assert_eq!(next.next.names.classes, ["", "", "c", "b"]);
+    assert_eq!(next.platform.names.classes, ["", "", "c", "b"]);
     assert_eq!(next.predecessors, [None, None, None, Some(ClassId(1))]);
     // Open requests keep their rights under the former ids.
     let effects: Vec<Idempotency> = next
-        .next
+        .platform
         .settings
         .classes
         .iter()
@@ -40,12 +40,12 @@
             Idempotency::NonIdempotent
         ]
     );
-    assert_eq!(next.next.names.zones, ["x", "y", "z"]);
-    assert_eq!(next.next.settings.zone, ZoneId(2));
+    assert_eq!(next.platform.names.zones, ["x", "y", "z"]);
+    assert_eq!(next.platform.settings.zone, ZoneId(2));
     // The same file again changes nothing; a class that comes back is a new one.
-    let again = map_classes(&next.next, file).unwrap();
-    assert_eq!(again.next, next.next);
-    let back = map_classes(&again.next, settings(&[("a", "safe", 5)], &["x", "y"])).unwrap();
+    let again = map_classes(&next.platform, file).unwrap();
+    assert_eq!(again.platform, next.platform);
+    let back = map_classes(&again.platform, settings(&[("a", "safe", 5)], &["x", "y"])).unwrap();
     assert_eq!(back.class_ids, [ClassId(4)]);
 }
 
@@ -54,7 +54,7 @@
     let mut now = settings(&[("a", "safe", 1)], &["x"]);
     let rejected = (2..5_000).find_map(|deadline| {
         let next = map_classes(&now, settings(&[("a", "safe", deadline)], &["x"]));
-        next.map(|s| now = s.next).err()
+        next.map(|s| now = s.platform).err()
     });
     assert_eq!(rejected.unwrap().key(), "Classes");
     assert_eq!(now.settings.classes.len(), 1_024);
--- a/crates/platform-settings/tests/names.rs
+++ b/crates/platform-settings/tests/names.rs
@@ -8,7 +8,7 @@
     classes: &[String],
     tenants: &[String],
     zones: &[String],
-    kinds: &[String],
+    machine_types: &[String],
 ) -> PlatformSettings {
     let needs = ["update", "own_writes", "recent", "loose"];
     let effects = ["unsafe", "safe", "keyed", "safe"];
@@ -25,7 +25,7 @@
         .enumerate()
         .map(|(at, name)| json!({"Name": name, "QuotaPerS": at}))
         .collect();
-    let text = json!({"Classes": classes, "Realms": realms, "Zones": zones, "HostTypes": kinds, "MyZone": 1,
+    let text = json!({"Classes": classes, "Realms": realms, "Zones": zones, "HostTypes": machine_types, "MyZone": 1,
         "Balancers": 3, "FamilyInfo": {"NeedsByClass": needs, "StalenessBound": [1, 2, 3, 4]}});
     decode(text.to_string().as_bytes()).unwrap()
 }
@@ -56,14 +56,14 @@
 proptest! {
     #[test]
     fn any_names_decode_to_the_same_settings(
-        classes in any_names(4), tenants in any_names(3), zones in any_names(2), kinds in any_names(2),
+        classes in any_names(4), tenants in any_names(3), zones in any_names(2), machine_types in any_names(2),
     ) {
         let plain =
             settings(&own(&["a", "b", "c", "d"]), &own(&["t", "u", "v"]), &own(&["x", "y"]), &own(&["k", "l"]));
-        let other = settings(&classes, &tenants, &zones, &kinds);
+        let other = settings(&classes, &tenants, &zones, &machine_types);
         prop_assert_eq!(&other.settings, &plain.settings);
         let names = other.names;
-        prop_assert_eq!((names.classes, names.tenants, names.zones, names.kinds), (classes, tenants, zones, kinds));
+        prop_assert_eq!((names.classes, names.tenants, names.zones, names.machine_types), (classes, tenants, zones, machine_types));
     }
 }
 
--- a/crates/proxy-experiments/src/play/attempts.rs
+++ b/crates/proxy-experiments/src/play/attempts.rs
@@ -258,7 +258,7 @@
         }
         let last = !self.open.contains_key(&id);
         let elapsed = span(now - sent);
-        let (id, attempt, store) = (RequestId(id), AttemptNo(no), server_id(server));
+        let (id, attempt, store) = (RequestId(id), AttemptNumber(no), server_id(server));
         self.deliver(
             proxy,
             Event::AttemptEnded(AttemptEnded {
--- a/crates/proxy-experiments/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -4,7 +4,7 @@
 use crate::policy::{Decider, View};
 use crate::scenario::ORIGIN;
 use routing::{
-    Action, Endpoint, EndpointState, GroupId, KindId, RequestId, ServerId, Time, ZoneId,
+    Action, Endpoint, EndpointState, GroupId, MachineTypeId, RequestId, ServerId, Time, ZoneId,
 };
 use rustc_hash::FxHashMap;
 use server_model::catalog::Record;
@@ -33,7 +33,7 @@
         server: server_id(record.server),
         group: GroupId(record.group),
         zone: ZoneId(record.place),
-        kind: KindId(0),
+        machine_type: MachineTypeId(0),
         state: match record.status {
             Status::Ready => EndpointState::Ready,
             Status::Draining => EndpointState::Draining,
--- a/crates/proxy-experiments/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -23,7 +23,7 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use routing::{
-    Action, Arrival, AttemptEnded, AttemptNo, ClassId, EndpointState, EndpointUpdate, Event,
+    Action, Arrival, AttemptEnded, AttemptNumber, ClassId, EndpointState, EndpointUpdate, Event,
     GroupId, LoadReport, Outcome, QuotaStatus, RequestId, ResponseMetadata, ServerId, SessionKey,
     SessionPosition, TenantId, Time, TimerToken,
 };
--- a/crates/proxy-experiments/src/play/proxies.rs
+++ b/crates/proxy-experiments/src/play/proxies.rs
@@ -83,7 +83,7 @@
                     },
                 );
             }
-            Action::Subscribe => {
+            Action::PollEndpoints => {
                 let to = Spot {
                     place: LIST_PLACE,
                     proxy: None,
--- a/crates/proxy-experiments/src/policy.rs
+++ b/crates/proxy-experiments/src/policy.rs
@@ -454,14 +454,14 @@
                 self.attempt(ended.id, now, view, actions);
             }
             Event::ClientLeft(id) => _ = self.open.remove(&id),
-            Event::Endpoints(EndpointUpdate::Cached(_)) => actions.push(Action::Subscribe),
+            Event::Endpoints(EndpointUpdate::Cached(_)) => actions.push(Action::PollEndpoints),
             Event::Endpoints(EndpointUpdate::Failed) => {
                 actions.push(Action::Timer {
                     after: ASK_AGAIN,
                     token: LIST_TIMER,
                 });
             }
-            Event::Timer(token) if token == LIST_TIMER => actions.push(Action::Subscribe),
+            Event::Timer(token) if token == LIST_TIMER => actions.push(Action::PollEndpoints),
             Event::Timer(_) => {
                 let mut held = std::mem::take(&mut self.held);
                 // Those within their quota first.
--- a/crates/proxy-experiments/tests/runs.rs
+++ b/crates/proxy-experiments/tests/runs.rs
@@ -152,7 +152,7 @@
                 );
             }
             if matches!(news, EndpointUpdate::Cached(_)) {
-                actions.push(Action::Subscribe);
+                actions.push(Action::PollEndpoints);
             }
             return;
         }
--- a/crates/routing/src/concurrency/tests.rs
+++ b/crates/routing/src/concurrency/tests.rs
@@ -28,7 +28,7 @@
         ..Server::default()
     };
     for attempt in 0..9 {
-        let key = (RequestId(attempt), AttemptNo(0));
+        let key = (RequestId(attempt), AttemptNumber(0));
         let in_flight = crate::state::InFlight {
             class: ClassId(0),
             sent: at(1),
--- a/crates/routing/src/interface/actions.rs
+++ b/crates/routing/src/interface/actions.rs
@@ -1,6 +1,6 @@
 //! What a router orders its host to do.
 
-use super::ids::{AttemptNo, RequestId, ServerId, TimerToken};
+use super::ids::{AttemptNumber, RequestId, ServerId, TimerToken};
 use std::time::Duration;
 
 /// An order to the host.
@@ -22,7 +22,7 @@
         /// The request.
         id: RequestId,
         /// Which of its attempts.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Final answer: nothing ran that a repetition could double.
     Reject {
@@ -49,5 +49,5 @@
         token: TimerToken,
     },
     /// Poll the endpoint list.
-    Subscribe,
+    PollEndpoints,
 }
--- a/crates/routing/src/interface/events.rs
+++ b/crates/routing/src/interface/events.rs
@@ -70,8 +70,8 @@
     pub group: GroupId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its kind of machine. No rule reads it.
-    pub kind: KindId,
+    /// Its machine type. No rule reads it.
+    pub machine_type: MachineTypeId,
     /// Whether it takes requests.
     pub state: EndpointState,
     /// Discovery believes it to be the primary.
@@ -158,7 +158,7 @@
     /// The request.
     pub id: RequestId,
     /// Which of its attempts.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
--- a/crates/routing/src/interface/ids.rs
+++ b/crates/routing/src/interface/ids.rs
@@ -23,10 +23,10 @@
     TenantId(u16);
     /// A zone. Traffic from one zone to another may cost more.
     ZoneId(u16);
-    /// A kind of machine.
-    KindId(u16);
+    /// Index of a machine type in the platform's settings.
+    MachineTypeId(u16);
     /// The attempts of one request, counted from 0 in the order sent.
-    AttemptNo(u16);
+    AttemptNumber(u16);
     /// Returned with a timer.
     TimerToken(u32);
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -60,7 +60,7 @@
 //!     server: ServerId(1),
 //!     group: GroupId(0),
 //!     zone: ZoneId(0),
-//!     kind: KindId(0),
+//!     machine_type: MachineTypeId(0),
 //!     state: EndpointState::Ready,
 //!     primary: false,
 //!     started: Time::ZERO,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -138,7 +138,7 @@
         else {
             return;
         };
-        let attempt = AttemptNo(request.attempts);
+        let attempt = AttemptNumber(request.attempts);
         request.attempts += 1;
         request.in_flight.push((attempt, to));
         request.attempted_servers.push(to);
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -91,7 +91,7 @@
             match kind {
                 TimerKind::Deadline(id) => self.reject(id, actions),
                 TimerKind::Recheck(id) => self.dispatch(id, actions),
-                TimerKind::PollEndpoints => actions.push(Action::Subscribe),
+                TimerKind::PollEndpoints => actions.push(Action::PollEndpoints),
             }
         }
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -56,7 +56,7 @@
     pub(crate) last_heard: Option<Time>,
     pub(crate) probe_in_flight: bool,
     pub(crate) last_probed: Time,
-    pub(crate) in_flight: BTreeMap<(RequestId, AttemptNo), InFlight>,
+    pub(crate) in_flight: BTreeMap<(RequestId, AttemptNumber), InFlight>,
     /// Moving average of run time, by class (estimates).
     pub(crate) run_time: Vec<Option<Duration>>,
     /// Own attempts that it is trusted to bear at once (concurrency).
@@ -140,7 +140,7 @@
     pub(crate) session_position: Time,
     /// Attempts sent so far.
     pub(crate) attempts: u16,
-    pub(crate) in_flight: Vec<(AttemptNo, ServerId)>,
+    pub(crate) in_flight: Vec<(AttemptNumber, ServerId)>,
     /// The earliest ended attempt that may have taken effect.
     pub(crate) possible_effect: Option<PossibleEffect>,
     /// Members that rejected or failed it; forgotten at a recheck.
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -74,7 +74,7 @@
         server: ServerId(server),
         group: GroupId(0),
         zone: ZoneId(0),
-        kind: KindId(0),
+        machine_type: MachineTypeId(0),
         state: listed,
         primary: false,
         started: Time::ZERO,
@@ -204,7 +204,7 @@
     ) -> Vec<Action> {
         self.event(Event::AttemptEnded(AttemptEnded {
             id,
-            attempt: AttemptNo(attempt),
+            attempt: AttemptNumber(attempt),
             server: ServerId(server),
             outcome,
             elapsed: 10 * MS,
@@ -240,7 +240,7 @@
     ) {
         self.event(Event::AttemptEnded(AttemptEnded {
             id,
-            attempt: AttemptNo(0),
+            attempt: AttemptNumber(0),
             server: ServerId(server),
             outcome,
             elapsed,
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -49,7 +49,7 @@
     let asked = |actions: &[Action]| {
         actions
             .iter()
-            .filter(|a| matches!(a, Action::Subscribe))
+            .filter(|a| matches!(a, Action::PollEndpoints))
             .count()
     };
     let cached = bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
@@ -79,7 +79,7 @@
             after.extend(bench.pass(within.into()));
             let calls = after
                 .iter()
-                .filter(|a| matches!(a, Action::Subscribe))
+                .filter(|a| matches!(a, Action::PollEndpoints))
                 .count();
             assert_eq!(
                 calls, 1,
@@ -119,7 +119,7 @@
 /// How many routers poll the list within each second after an event, and the longest wait in milliseconds.
 fn polls_of_a_fleet(routers: u32, after: fn(&mut Bench) -> Vec<Action>) -> (Vec<usize>, u64) {
     let (mut by_second, mut longest) = (vec![0; 12], 0);
-    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
+    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for seed in 0..u64::from(routers) {
         let set = Settings {
             endpoints_are_polled: true,
@@ -240,7 +240,7 @@
 fn however_often_a_poll_has_failed_and_in_any_fleet_the_next_one_is_in_time() {
     // In a fleet of a hundred the next poll came up to 7.5 s after a failure, and up to 4.5 s in one of four. A change counts
     // as known 6 s after discovery can be reached again, and the poll has to wait for its turn there.
-    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
+    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
             let set = Settings {
@@ -268,7 +268,7 @@
 #[test]
 fn routers_that_wait_for_discovery_stay_spread_over_the_time_that_there_is() {
     // Polls are refused at once, as while discovery is down.
-    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Subscribe));
+    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     let (mut next, mut calls) = (vec![0; 8], 0);
     let back = 20_000 * MS;
     for seed in 0..300 {
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -134,7 +134,7 @@
                 }
                 Action::Cancel { .. } => assert!(self.set.may_cancel),
                 Action::Probe { server } => assert!(server.0 <= 6 && self.set.may_probe),
-                Action::Timer { .. } | Action::Subscribe => {}
+                Action::Timer { .. } | Action::PollEndpoints => {}
             }
         }
     }
@@ -226,7 +226,7 @@
                     }
                 }
                 let (server, attempt, elapsed) =
-                    (ServerId(server), AttemptNo(attempt), now.since(sent));
+                    (ServerId(server), AttemptNumber(attempt), now.since(sent));
                 bench.event(Event::AttemptEnded(AttemptEnded {
                     id: *id,
                     attempt,
--- a/crates/simulator-host/src/wire/reader.rs
+++ b/crates/simulator-host/src/wire/reader.rs
@@ -5,8 +5,8 @@
     endpoint_state, list_kind, outcome, AttemptEndedRecord, ProbeEndedRecord, Record,
 };
 use routing::{
-    Arrival, AttemptNo, ClassId, Endpoint, GroupId, KindId, QuotaStatus, RequestId, ServerId,
-    SessionKey, SessionPosition, TenantId, Time, TimerToken, ZoneId,
+    Arrival, AttemptNumber, ClassId, Endpoint, GroupId, MachineTypeId, QuotaStatus, RequestId,
+    ServerId, SessionKey, SessionPosition, TenantId, Time, TimerToken, ZoneId,
 };
 use std::time::Duration;
 
@@ -145,7 +145,7 @@
     fn endpoint(&mut self) -> Result<Endpoint, Malformed> {
         let server = ServerId(self.u32()?);
         let zone = ZoneId(self.u16()?);
-        let kind = KindId(self.u16()?);
+        let machine_type = MachineTypeId(self.u16()?);
         let group = GroupId(self.u16()?.into());
         let primary = self.f32()? == 1.0;
         let code = self.u8()?;
@@ -157,7 +157,7 @@
             server,
             group,
             zone,
-            kind,
+            machine_type,
             state,
             primary,
             started,
@@ -194,7 +194,7 @@
     fn attempt_ended(&mut self) -> Result<Record<'a>, Malformed> {
         let instance = self.u16()?;
         let id = RequestId(self.u64()?);
-        let attempt = AttemptNo(self.u16()?);
+        let attempt = AttemptNumber(self.u16()?);
         let server = ServerId(self.u32()?);
         let code = self.u16()?;
         let outcome =
--- a/crates/simulator-host/src/wire/record.rs
+++ b/crates/simulator-host/src/wire/record.rs
@@ -1,7 +1,7 @@
 //! The records of a batch, as they stand on the wire.
 
 use routing::{
-    Arrival, AttemptNo, Endpoint, EndpointState, Outcome, RequestId, ServerId, TimerToken,
+    Arrival, AttemptNumber, Endpoint, EndpointState, Outcome, RequestId, ServerId, TimerToken,
 };
 use std::time::Duration;
 
@@ -111,7 +111,7 @@
     /// The request.
     pub id: RequestId,
     /// Which of its attempts.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
--- a/crates/simulator-host/src/wire/reply.rs
+++ b/crates/simulator-host/src/wire/reply.rs
@@ -43,7 +43,7 @@
                 self.start(70, instance);
                 self.u32(server.0);
             }
-            Action::Subscribe => {
+            Action::PollEndpoints => {
                 self.start(75, instance);
                 self.body.push(1);
             }
