--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -33,7 +33,7 @@
     /// Whether a new request is admitted. Its priority enters the usual priority.
     pub(crate) fn admit(&mut self, id: RequestId) -> bool {
         let priority = self.priority(id);
-        self.usual_priority += self.tuning.sample_weight * (priority - self.usual_priority);
+        self.average_priority += self.tuning.sample_weight * (priority - self.average_priority);
         let Some(Request { arrival, .. }) = self.requests.get(&id) else {
             return true;
         };
@@ -49,7 +49,7 @@
             (QuotaStatus::Borrowed, _) => self.admission_fractions(arrival.group).group.floor(),
             (QuotaStatus::WithinQuota, _) => {
                 let fraction = self.admission_fractions(arrival.group).group;
-                fraction_for_priority(fraction, self.usual_priority, priority)
+                fraction_for_priority(fraction, self.average_priority, priority)
             }
         }
     }
@@ -60,18 +60,18 @@
             .powf(self.tuning.admission_decay);
         let all_groups = 1.0 + decay * self.admission.offset;
         // A group's own fraction decays towards that of all groups, by the root: a router hears of one group less often.
-        let beyond_all = |admission: &Admission| {
+        let group_offset = |admission: &Admission| {
             self.decay_since(admission.updated).sqrt() * (1.0 + admission.offset - all_groups)
         };
         let group = self.groups.get(&group);
         AdmissionFractions {
             all_groups,
-            group: all_groups + group.map_or(0.0, |group| beyond_all(&group.admission)),
+            group: all_groups + group.map_or(0.0, |group| group_offset(&group.admission)),
         }
     }
 
     /// Adapts the fractions to an answer of a server of this group. `latency_ratio`: latency over objective.
-    pub(crate) fn learn_admission(
+    pub(crate) fn update_admission(
         &mut self,
         group: GroupId,
         outcome: Outcome,
@@ -79,7 +79,7 @@
         late_weight_fraction: f64,
     ) {
         let tuning = self.tuning;
-        let earned = if latency_ratio < 1.0 {
+        let earned_fraction = if latency_ratio < 1.0 {
             1.0
         } else {
             late_weight_fraction
@@ -88,14 +88,14 @@
         let step = if outcome == Outcome::TimedOut {
             -1.0
         } else {
-            admission_step(earned, self.admission_fall())
+            admission_step(earned_fraction, self.admission_fall())
         };
         let fractions = self.admission_fractions(group);
         let weight = 1.0 - self.decay_since(self.admission.updated);
         self.over_quota_admission = adjusted_fraction(
             self.over_quota_admission,
             weight.min(0.5 / tuning.over_quota_admission_fall),
-            admission_step(earned, tuning.over_quota_admission_fall),
+            admission_step(earned_fraction, tuning.over_quota_admission_fall),
             &tuning,
         );
         self.admission = Admission {
@@ -139,13 +139,13 @@
 }
 
 /// A fraction as it applies to a request of this priority: requests below the usual are shed first.
-fn fraction_for_priority(fraction: f64, usual_priority: f64, priority: f64) -> f64 {
-    fraction.powf((usual_priority / priority).powi(2))
+fn fraction_for_priority(fraction: f64, average_priority: f64, priority: f64) -> f64 {
+    fraction.powf((average_priority / priority).powi(2))
 }
 
 /// 1 for an answer that earned all its weight, down to `-fall` for one that earned nothing.
-fn admission_step(earned: f64, fall: f64) -> f64 {
-    earned - fall * (1.0 - earned)
+fn admission_step(earned_fraction: f64, fall: f64) -> f64 {
+    earned_fraction - fall * (1.0 - earned_fraction)
 }
 
 /// The fraction after a step in proportion to itself, inside its limits.
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -73,7 +73,7 @@
     }
 
     /// Takes an answer's latency into the server's averages. `weight`: of the new sample, at least the tuned one.
-    pub(crate) fn learn_latency(
+    pub(crate) fn update_latency_averages(
         &mut self,
         id: ServerId,
         latency: Duration,
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -14,7 +14,7 @@
 use crate::interface::*;
 use crate::slow_start_budget::SliceSpending;
 use crate::state::{Router, Server, TimerKind};
-use crate::tuning::{POLL_BACKOFF_UNIT, POLL_PLACED_FRACTION, POLL_SPACING};
+use crate::tuning::{POLL_BACKOFF_UNIT, POLL_SLOT_FRACTION, POLL_SPACING};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -160,9 +160,9 @@
         let longest = discovery_schedule::MAX_RETRY_DELAY.min(self.settings.max_poll_interval);
         let backoff = (POLL_BACKOFF_UNIT * (1 << self.poll_failures.min(16))).min(longest);
         let latest = backoff.max(self.poll_spread(longest));
-        let has_place = self.poll_failures > 1;
-        let earliest = if has_place {
-            latest.mul_f64(POLL_PLACED_FRACTION)
+        let keeps_slot = self.poll_failures > 1;
+        let earliest = if keeps_slot {
+            latest.mul_f64(POLL_SLOT_FRACTION)
         } else {
             backoff / 2
         };
--- a/crates/routing/src/estimates.rs
+++ b/crates/routing/src/estimates.rs
@@ -16,8 +16,8 @@
     /// The server's own average; before its first answer the class's work elsewhere. With the objective as the start,
     /// far above what most take, a router would stay with the first members that it tried.
     pub(crate) fn expected_run_time(&self, server: &Server, class: ClassId) -> Duration {
-        let place = usize::from(class.0);
-        server.run_time[place].unwrap_or(self.class_work[place])
+        let index = usize::from(class.0);
+        server.run_time[index].unwrap_or(self.class_work[index])
     }
 
     /// Time that this router's attempts in flight there will still take: for each the average less the time spent. One
@@ -33,7 +33,7 @@
     }
 
     /// Takes an ended attempt into the server's average run time.
-    pub(crate) fn learn_run_time(
+    pub(crate) fn update_run_time(
         &mut self,
         id: ServerId,
         class: ClassId,
@@ -59,7 +59,7 @@
     }
 
     /// Takes a successful attempt into the class's average work.
-    pub(crate) fn learn_class_work(&mut self, class: ClassId, elapsed: Duration) {
+    pub(crate) fn update_class_work(&mut self, class: ClassId, elapsed: Duration) {
         let work = &mut self.class_work[usize::from(class.0)];
         let weight = if elapsed < *work {
             self.tuning.sample_weight
--- a/crates/routing/src/expiry.rs
+++ b/crates/routing/src/expiry.rs
@@ -36,26 +36,26 @@
         if !is_known || !self.admit(id) {
             return self.reject(id, actions);
         }
-        self.record_usual_work(id);
+        self.record_offered_work(id);
         self.timers.insert((deadline, TimerKind::Deadline(id)));
         self.dispatch(id, actions);
     }
 
     /// Until when an answer earns its full weight.
     fn objective_deadline(&mut self, arrival: &Arrival) -> Time {
-        let place = usize::from(arrival.class.0);
-        let Some(class) = self.settings.classes.get(place) else {
+        let index = usize::from(arrival.class.0);
+        let Some(class) = self.settings.classes.get(index) else {
             return self.now;
         };
-        let longest_wait = &mut self.longest_first_wait[place];
-        let late_below = longest_wait.mul_f64(self.tuning.late_retry_fraction);
-        let spent = if arrival.is_client_retry && arrival.time_left < late_below {
+        let longest_timeout = &mut self.longest_client_timeout[index];
+        let late_threshold = longest_timeout.mul_f64(self.tuning.late_retry_fraction);
+        let spent = if arrival.is_client_retry && arrival.time_left < late_threshold {
             class.deadline.saturating_sub(arrival.time_left)
         } else {
             Duration::ZERO
         };
         if !arrival.is_client_retry {
-            *longest_wait = arrival.time_left.max(*longest_wait);
+            *longest_timeout = arrival.time_left.max(*longest_timeout);
         }
         self.now.plus(class.latency_objective.saturating_sub(spent))
     }
--- a/crates/routing/src/freshness.rs
+++ b/crates/routing/src/freshness.rs
@@ -127,13 +127,13 @@
             .requests
             .get(&id)
             .and_then(|request| request.arrival.session);
-        let remembers = !self.settings.clients_carry_session_position;
-        if let Some(session) = session.filter(|_| remembers) {
-            self.remember_session_write(session, commit.unwrap_or(self.now));
+        let stores_here = !self.settings.clients_carry_session_position;
+        if let Some(session) = session.filter(|_| stores_here) {
+            self.store_session_write(session, commit.unwrap_or(self.now));
         }
     }
 
-    fn remember_session_write(&mut self, session: SessionKey, commit: Time) {
+    fn store_session_write(&mut self, session: SessionKey, commit: Time) {
         if self.session_writes.len() >= MAX_SESSION_WRITES {
             self.dropped_writes = self.now.minus(self.settings.warm_up_duration);
             self.session_writes
--- a/crates/routing/src/outcomes.rs
+++ b/crates/routing/src/outcomes.rs
@@ -21,7 +21,7 @@
         if ended.outcome == Outcome::Misdirected {
             self.record_stale_rejection(ended.id, ended.server);
         }
-        self.learn(&ended, attempt, sent);
+        self.record_outcome(&ended, attempt, sent);
         if ended.request_finished {
             self.remove_request(ended.id);
         } else {
@@ -30,7 +30,7 @@
         self.dispatch_queued(ended.server, actions);
     }
 
-    fn learn(&mut self, ended: &AttemptEnded, attempt: Option<InFlight>, sent: Time) {
+    fn record_outcome(&mut self, ended: &AttemptEnded, attempt: Option<InFlight>, sent: Time) {
         let open = self.requests.get(&ended.id);
         let class = open
             .map(|request| request.arrival.class)
@@ -41,7 +41,7 @@
         // Guards against taking a connection that has fallen silent for a server that is overloaded.
         let overtaken = attempt.map_or(0, |attempt| attempt.overtaken_by) >= OVERTAKEN_LIMIT;
         if ended.outcome != Outcome::TimedOut || !overtaken {
-            self.learn_from_attempt(class, sent, ended);
+            self.update_estimates(class, sent, ended);
         }
         let is_write = self.class(class).consistency == Consistency::Write;
         if ended.outcome == Outcome::Ok && is_write {
@@ -49,7 +49,7 @@
         }
     }
 
-    fn learn_from_attempt(&mut self, class: ClassId, sent: Time, ended: &AttemptEnded) {
+    fn update_estimates(&mut self, class: ClassId, sent: Time, ended: &AttemptEnded) {
         if !self.servers.contains_key(&ended.server) {
             return;
         }
@@ -58,23 +58,23 @@
             ended.outcome,
             Outcome::Ok | Outcome::TimedOut | Outcome::Rejected
         )
-        .then(|| self.latency_shown(class, ended));
+        .then(|| self.observed_latency(class, ended));
         if let Some(latency) = latency {
             let late_weight_fraction = self.class(class).late_weight_fraction;
             let group = self.servers[&ended.server].group;
             let ratio = latency.div_duration_f64(objective);
-            self.learn_admission(group, ended.outcome, ratio, late_weight_fraction);
+            self.update_admission(group, ended.outcome, ratio, late_weight_fraction);
         }
-        self.learn_metadata(class, ended);
-        self.learn_run_time(ended.server, class, objective, ended.outcome, ended.elapsed);
+        self.apply_metadata(class, ended);
+        self.update_run_time(ended.server, class, objective, ended.outcome, ended.elapsed);
         if let Some(latency) = latency {
-            self.learn_server_latency(class, objective, latency, ended);
+            self.update_server_latency(class, objective, latency, ended);
         }
-        self.learn_availability(class, objective, sent, ended);
+        self.update_availability(class, objective, sent, ended);
     }
 
     /// What an attempt shows of the server's latency. A rejection counts as the whole deadline: a full server is late.
-    fn latency_shown(&self, class: ClassId, ended: &AttemptEnded) -> Duration {
+    fn observed_latency(&self, class: ClassId, ended: &AttemptEnded) -> Duration {
         let is_hidden = self.is_large_fleet() && ended.outcome == Outcome::TimedOut;
         if is_hidden || ended.outcome == Outcome::Rejected {
             self.class(class).deadline
@@ -83,7 +83,7 @@
         }
     }
 
-    fn learn_metadata(&mut self, class: ClassId, ended: &AttemptEnded) {
+    fn apply_metadata(&mut self, class: ClassId, ended: &AttemptEnded) {
         let is_write = self.class(class).consistency == Consistency::Write;
         let is_commit = is_write && ended.outcome == Outcome::Ok;
         let now = self.now;
@@ -101,7 +101,7 @@
         }
     }
 
-    fn learn_server_latency(
+    fn update_server_latency(
         &mut self,
         class: ClassId,
         objective: Duration,
@@ -111,15 +111,15 @@
         let id = ended.server;
         let ratio = latency.div_duration_f64(objective);
         let weight = 1.0 - self.decay_since(self.servers[&id].latency_updated);
-        self.learn_latency(id, latency, ratio, weight);
-        self.learn_ramp_confidence(id, class, objective, ended.outcome);
+        self.update_latency_averages(id, latency, ratio, weight);
+        self.update_ramp_confidence(id, class, objective, ended.outcome);
         if let Some(server) = self.servers.get_mut(&id) {
             server.latency_updated = self.now;
         }
     }
 
     /// Whether the server is up, and how much it bears.
-    fn learn_availability(
+    fn update_availability(
         &mut self,
         class: ClassId,
         objective: Duration,
@@ -130,7 +130,7 @@
         match ended.outcome {
             Outcome::Ok => {
                 self.count_overtaken(id, sent);
-                self.learn_class_work(class, ended.elapsed);
+                self.update_class_work(class, ended.elapsed);
                 self.adapt_limit(id, sent, ended.elapsed, objective);
             }
             Outcome::Rejected => self.reduce_limit(id, sent),
@@ -142,15 +142,15 @@
             Outcome::Failed | Outcome::Misdirected => {}
         }
         if let Some(server) = self.servers.get_mut(&id) {
-            server.last_heard = Some(self.now);
+            server.last_response = Some(self.now);
             server.end_backoff();
         }
     }
 
     fn is_silent_since(&self, id: ServerId, sent: Time) -> bool {
         self.servers[&id]
-            .last_heard
-            .is_none_or(|last_heard| last_heard < sent)
+            .last_response
+            .is_none_or(|last_response| last_response < sent)
     }
 
     fn count_overtaken(&mut self, id: ServerId, sent: Time) {
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -50,7 +50,7 @@
         if self.needs_primary(class) {
             return 1.0;
         }
-        let best_write = self
+        let best_write_priority = self
             .settings
             .classes
             .iter()
@@ -59,7 +59,7 @@
             .map(|(class, work)| class.priority_weight / work.as_secs_f64())
             .fold(0.0, f64::max);
         let work = self.class_work[usize::from(class.0)];
-        let own = self.class(class).priority_weight / work.as_secs_f64();
-        (own / best_write).clamp(self.tuning.primary_read_fraction_min, 1.0)
+        let read_priority = self.class(class).priority_weight / work.as_secs_f64();
+        (read_priority / best_write_priority).clamp(self.tuning.primary_read_fraction_min, 1.0)
     }
 }
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -72,7 +72,7 @@
         if !ok {
             return self.back_off(id);
         }
-        server.take_report(report, self.now);
+        server.apply_report(report, self.now);
         if let (Some(true), Some(position)) = (report.primary, report.position) {
             let age = self.now.since(position);
             let weight = self.tuning.sample_weight;
@@ -83,8 +83,8 @@
 }
 
 impl Server {
-    fn take_report(&mut self, report: LoadReport, now: Time) {
-        self.last_heard = Some(now);
+    fn apply_report(&mut self, report: LoadReport, now: Time) {
+        self.last_response = Some(now);
         self.end_backoff();
         if let Some(position) = report.position {
             self.report_position(position, now);
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -37,8 +37,8 @@
         else {
             return Err(AttemptRejection::Forbidden);
         };
-        let is_over = server.is_draining() || self.now >= request.deadline;
-        if is_over || !self.may_attempt_again(request) || !self.may_repeat_at(request, server) {
+        let is_excluded = server.is_draining() || self.now >= request.deadline;
+        if is_excluded || !self.may_attempt_again(request) || !self.may_repeat_at(request, server) {
             return Err(AttemptRejection::Forbidden);
         }
         let is_primary = self.primary(server.group) == Some(id);
@@ -163,7 +163,9 @@
         let Some(request) = self.requests.get_mut(&ended.id) else {
             return;
         };
-        request.in_flight.retain(|&(no, _)| no != ended.attempt);
+        request
+            .in_flight
+            .retain(|&(number, _)| number != ended.attempt);
         if may_have_run(ended.outcome) {
             let earlier = request.possible_effect.filter(|effect| effect.sent <= sent);
             request.possible_effect = earlier.or(Some(PossibleEffect {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -29,19 +29,19 @@
 
     /// Goes by these settings from now on.
     ///
-    /// Classes must keep their places, so that open requests keep their class's rights. A class at a new place starts
-    /// with the estimates of the class that `predecessors` names for that place, if it names one.
+    /// Classes must keep their places, so that open requests keep their class's rights. A class at a new index starts
+    /// with the estimates of the class that `predecessors` names for that index, if it names one.
     pub fn configure(&mut self, settings: Settings, predecessors: &[Option<ClassId>]) {
         self.tightest_objective = tightest_objective(&settings.classes);
         self.tightest_staleness_bound =
             tightest_staleness_bound(&settings.classes).unwrap_or(self.tightest_objective);
-        for (place, class) in settings
+        for (index, class) in settings
             .classes
             .iter()
             .enumerate()
             .skip(self.class_work.len())
         {
-            let predecessor = predecessors.get(place).copied().flatten();
+            let predecessor = predecessors.get(index).copied().flatten();
             self.add_class(class, predecessor.map(|class| usize::from(class.0)));
         }
         self.settings = settings;
@@ -49,13 +49,13 @@
 
     fn add_class(&mut self, class: &Class, predecessor: Option<usize>) {
         self.class_work
-            .push(predecessor.map_or(class.latency_objective, |place| self.class_work[place]));
-        self.longest_first_wait
-            .push(predecessor.map_or(Duration::ZERO, |place| self.longest_first_wait[place]));
+            .push(predecessor.map_or(class.latency_objective, |index| self.class_work[index]));
+        self.longest_client_timeout
+            .push(predecessor.map_or(Duration::ZERO, |index| self.longest_client_timeout[index]));
         for server in self.servers.values_mut() {
             server
                 .run_time
-                .push(predecessor.and_then(|place| server.run_time[place]));
+                .push(predecessor.and_then(|index| server.run_time[index]));
         }
     }
 
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -36,7 +36,7 @@
     /// Until when an answer earns anything, from now.
     time_left: Duration,
     /// How many members, the first in this router's order, it prefers.
-    preferred: usize,
+    preferred_members: usize,
 }
 
 /// A member that the request could go to.
@@ -56,37 +56,41 @@
     Forbidden,
     /// It might later.
     Unsuitable,
-    /// It has no capacity. `is_lasting`: nor will it have any soon.
+    /// It has no capacity. `is_persistent`: nor will it have any soon.
     AtCapacity {
-        is_lasting: bool,
+        is_persistent: bool,
     },
     Candidate(Candidate),
 }
 
 /// The members of the group taken together.
 #[derive(Default)]
-struct Survey {
+struct Evaluation {
     best: Option<Candidate>,
     /// Some member might take the request, now or later.
-    some_permitted: bool,
-    some_at_capacity: bool,
-    some_lastingly_full: bool,
+    any_permitted: bool,
+    any_at_capacity: bool,
+    any_persistently_full: bool,
 }
 
-impl Survey {
+impl Evaluation {
     fn add(&mut self, suitability: Suitability) {
         match suitability {
             Suitability::Forbidden => return,
             Suitability::Unsuitable => {}
-            Suitability::AtCapacity { is_lasting: true } => self.some_lastingly_full = true,
-            Suitability::AtCapacity { is_lasting: false } => self.some_at_capacity = true,
-            Suitability::Candidate(candidate) => self.offer(candidate),
+            Suitability::AtCapacity {
+                is_persistent: true,
+            } => self.any_persistently_full = true,
+            Suitability::AtCapacity {
+                is_persistent: false,
+            } => self.any_at_capacity = true,
+            Suitability::Candidate(candidate) => self.consider(candidate),
         }
-        self.some_permitted = true;
+        self.any_permitted = true;
     }
 
     /// Of equal candidates the first in the router's order wins.
-    fn offer(&mut self, candidate: Candidate) {
+    fn consider(&mut self, candidate: Candidate) {
         let rank = |candidate: &Candidate| (candidate.is_fallback, candidate.cost);
         if self.best.is_none_or(|best| rank(&candidate) < rank(&best)) {
             self.best = Some(candidate);
@@ -134,17 +138,17 @@
             };
         }
         let time_left = useful_until.since(self.now);
-        let survey = self.survey(&self.context(request, class, time_left));
+        let evaluation = self.evaluate_members(&self.context(request, class, time_left));
         let may_wait_for_capacity =
             may_wait || request.attempts > 0 || class.late_weight_fraction > 0.0;
         let fits = self.class_work[usize::from(request.arrival.class.0)] < time_left;
-        match survey.best {
+        match evaluation.best {
             Some(best) if best.is_allowed => Selection::Send(best.server),
             Some(best) => Selection::Probe(Some(best.server)),
-            None if survey.some_at_capacity && may_wait_for_capacity && fits => Selection::Queue,
-            None if !survey.some_at_capacity
-                && !survey.some_lastingly_full
-                && survey.some_permitted
+            None if evaluation.any_at_capacity && may_wait_for_capacity && fits => Selection::Queue,
+            None if !evaluation.any_at_capacity
+                && !evaluation.any_persistently_full
+                && evaluation.any_permitted
                 && may_wait =>
             {
                 Selection::Probe(None)
@@ -170,7 +174,7 @@
             needs_primary: self.needs_primary(request.arrival.class),
             seeks_primary: is_write && primary.is_none() && !self.settings.may_probe,
             time_left,
-            preferred: if self.is_large_fleet() {
+            preferred_members: if self.is_large_fleet() {
                 subsetting::reach(members)
             } else {
                 members
@@ -178,16 +182,16 @@
         }
     }
 
-    fn survey(&self, context: &SelectionContext) -> Survey {
-        let mut survey = Survey::default();
+    fn evaluate_members(&self, context: &SelectionContext) -> Evaluation {
+        let mut evaluation = Evaluation::default();
         let members = self.members(context.request.arrival.group);
-        for (place, &id) in members.iter().enumerate() {
-            survey.add(self.suitability(context, place, id));
+        for (index, &id) in members.iter().enumerate() {
+            evaluation.add(self.suitability(context, index, id));
         }
-        survey
+        evaluation
     }
 
-    fn suitability(&self, context: &SelectionContext, place: usize, id: ServerId) -> Suitability {
+    fn suitability(&self, context: &SelectionContext, index: usize, id: ServerId) -> Suitability {
         let request = context.request;
         let rejection = self.check_attempt(request, id).err();
         if rejection == Some(AttemptRejection::Forbidden) {
@@ -203,7 +207,7 @@
             return Suitability::Unsuitable;
         }
         let is_allowed = rejection.is_none();
-        let Some(cost) = self.cost(context, place, server, is_primary, is_allowed) else {
+        let Some(cost) = self.cost(context, index, server, is_primary, is_allowed) else {
             return Suitability::Unsuitable;
         };
         let fraction = if is_primary {
@@ -213,8 +217,8 @@
         };
         if !self.has_capacity(request, id, server, fraction) {
             // The draw of one of many routers is the same at each look, and its own answers rarely change it.
-            let is_lasting = server.in_flight.is_empty() && self.is_large_fleet();
-            return Suitability::AtCapacity { is_lasting };
+            let is_persistent = server.in_flight.is_empty() && self.is_large_fleet();
+            return Suitability::AtCapacity { is_persistent };
         }
         Suitability::Candidate(Candidate {
             is_fallback: is_primary && is_answered_by_replicas(context.class),
@@ -228,7 +232,7 @@
     fn cost(
         &self,
         context: &SelectionContext,
-        place: usize,
+        index: usize,
         server: &Server,
         is_primary: bool,
         is_allowed: bool,
@@ -242,17 +246,23 @@
         if !catch_up.is_zero() && catch_up + run_time > context.time_left {
             return None;
         }
-        let probing = if is_allowed {
+        let probe_delay = if is_allowed {
             Duration::ZERO
         } else {
             self.recheck_interval()
         };
-        let unfamiliarity = if place < context.preferred {
+        let outside_subset_penalty = if index < context.preferred_members {
             Duration::ZERO
         } else {
             self.tightest_objective / 2
         };
-        Some(self.remaining_work(server) + catch_up + run_time + probing + unfamiliarity)
+        Some(
+            self.remaining_work(server)
+                + catch_up
+                + run_time
+                + probe_delay
+                + outside_subset_penalty,
+        )
     }
 }
 
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -17,23 +17,23 @@
 mod tests;
 
 use crate::interface::*;
-use crate::slow_start_budget::Turn;
+use crate::slow_start_budget::SlowStartPhase;
 use crate::state::{Request, Router, Server};
 use crate::tuning::{Tuning, MIN_SPAN};
 use std::time::Duration;
 
 impl Router {
     /// Counts a new request as work that usually comes. Clients' retries do not count for replicas, which get none.
-    pub(crate) fn record_usual_work(&mut self, id: RequestId) {
+    pub(crate) fn record_offered_work(&mut self, id: RequestId) {
         let Some(Request { arrival, .. }) = self.requests.get(&id) else {
             return;
         };
         let work = self.class_work[usize::from(arrival.class.0)];
-        let memory = self.settings.warm_up_duration.max(MIN_SPAN);
+        let time_constant = self.settings.warm_up_duration.max(MIN_SPAN);
         let needs_primary = self.needs_primary(arrival.class);
         if needs_primary || !arrival.is_client_retry {
             let group = self.groups.entry(arrival.group).or_default();
-            group.usual_work[usize::from(needs_primary)].add(work, self.now, memory);
+            group.offered_work[usize::from(needs_primary)].add(work, self.now, time_constant);
         }
     }
 
@@ -53,33 +53,33 @@
         }
         let work = self.class_work[usize::from(request.arrival.class.0)];
         let slice = self.slow_start_slice();
-        let usual = self.groups[&server.group].usual_work[usize::from(is_primary)].over(
+        let load = self.groups[&server.group].offered_work[usize::from(is_primary)].load(
             self.now,
             self.settings.warm_up_duration.max(MIN_SPAN),
             self.settings.overload_duration.max(MIN_SPAN),
         );
         let fraction = self.slow_start_fraction(server, is_primary);
-        let turn = self.slow_start_turn(id, server, self.now);
-        // A request that waits would get a turn in every slice, each with the budget of what comes in all of them.
-        let has_waited = self.slow_start_turn(id, server, request.arrived).slice != turn.slice;
-        if has_waited && usual.is_less(slice, work) {
+        let phase = self.slow_start_phase(id, server, self.now);
+        // A request that waits would get a phase in every slice, each with the budget of what comes in all of them.
+        let has_waited = self.slow_start_phase(id, server, request.arrived).slice != phase.slice;
+        if has_waited && load.is_below(slice, work) {
             return false;
         }
-        let budget = fraction * usual.budget(slice, work, self.tuning.slow_start_heavy_exponent);
-        server.slow_start_spent.allows(turn, budget, work)
+        let budget = fraction * load.budget(slice, work, self.tuning.slow_start_heavy_exponent);
+        server.slow_start_spent.allows(phase, budget, work)
     }
 
-    /// The fraction of the usual work for its role that a server may get while it warms up.
+    /// The fraction of the load work for its role that a server may get while it warms up.
     fn slow_start_fraction(&self, server: &Server, is_primary: bool) -> f64 {
         let confidence = self.ramp_confidence
             + self.decay_since(server.latency_updated)
                 * (server.ramp_confidence - self.ramp_confidence);
         let bound = server.capacity(&self.settings, self.now) * self.settings.overload_factor;
-        let borne = self.tuning.slow_start_margin * confidence * bound;
+        let sustainable = self.tuning.slow_start_margin * confidence * bound;
         if is_primary {
-            borne
+            sustainable
         } else {
-            borne / self.groups[&server.group].largest_size as f64
+            sustainable / self.groups[&server.group].largest_size as f64
         }
     }
 
@@ -90,17 +90,17 @@
             .max(MIN_SPAN)
     }
 
-    fn slow_start_turn(&self, id: ServerId, server: &Server, at: Time) -> Turn {
+    fn slow_start_phase(&self, id: ServerId, server: &Server, at: Time) -> SlowStartPhase {
         let lower = self
             .members(server.group)
             .iter()
             .filter(|&&member| member < id);
-        let place = lower.count() as f64 / self.groups[&server.group].largest_size as f64;
-        Turn::at(
+        let offset = lower.count() as f64 / self.groups[&server.group].largest_size as f64;
+        SlowStartPhase::at(
             at.since(server.started),
             self.slow_start_slice(),
             self.settings.router_index,
-            place,
+            offset,
         )
     }
 
@@ -112,16 +112,16 @@
         if !server.is_warming_up(&self.settings, self.now) {
             return;
         }
-        let turn = self.slow_start_turn(to, server, self.now);
+        let phase = self.slow_start_phase(to, server, self.now);
         let work = self.class_work[usize::from(request.arrival.class.0)];
         if let Some(server) = self.servers.get_mut(&to) {
-            server.slow_start_spent.add(turn, work);
+            server.slow_start_spent.add(phase, work);
         }
     }
 
     /// Adapts ramp confidence to an answer, for the server and, if it warms up, for all that do: what they bear goes by
     /// the load that all share, and one of many routers hears too rarely from each. Answers far apart prove little.
-    pub(crate) fn learn_ramp_confidence(
+    pub(crate) fn update_ramp_confidence(
         &mut self,
         id: ServerId,
         class: ClassId,
@@ -135,8 +135,8 @@
         };
         let capacity = server.capacity(&self.settings, now);
         let work = self.class_work[usize::from(class.0)];
-        let fastest = work.div_duration_f64(objective) / capacity;
-        let is_fast = outcome == Outcome::Ok && is_fast_for_ramp(server, fastest, &tuning);
+        let lowest_ratio = work.div_duration_f64(objective) / capacity;
+        let is_fast = outcome == Outcome::Ok && is_fast_for_ramp(server, lowest_ratio, &tuning);
         let adapted = |confidence: f64, updated: Time| {
             let span = now.since(updated);
             adapted_confidence(confidence, is_fast, span, overload_duration, &tuning)
@@ -149,11 +149,11 @@
     }
 }
 
-/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `fastest`: latency
+/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `lowest_ratio`: latency
 /// over objective that its present capacity allows.
-fn is_fast_for_ramp(server: &Server, fastest: f64, tuning: &Tuning) -> bool {
+fn is_fast_for_ramp(server: &Server, lowest_ratio: f64, tuning: &Tuning) -> bool {
     server.latency_ratio
-        < (tuning.ramp_latency_factor * fastest).min(tuning.ramp_objective_fraction)
+        < (tuning.ramp_latency_factor * lowest_ratio).min(tuning.ramp_objective_fraction)
 }
 
 /// Ramp confidence `span` after its last change. It rises with the time that has been proved, a quarter of the overload
@@ -165,8 +165,8 @@
     overload_duration: Duration,
     tuning: &Tuning,
 ) -> f64 {
-    let proved = span.min(overload_duration / 4);
-    let rise = tuning.ramp_rise * proved.div_duration_f64(overload_duration);
+    let confirmed = span.min(overload_duration / 4);
+    let rise = tuning.ramp_rise * confirmed.div_duration_f64(overload_duration);
     let adapted = if is_fast {
         confidence + rise
     } else {
--- a/crates/routing/src/slow_start_budget.rs
+++ b/crates/routing/src/slow_start_budget.rs
@@ -20,38 +20,44 @@
 use std::time::Duration;
 
 /// Multiples of these lie evenly between 0 and 1, however many there are. Routers use another sequence than
-/// `subsetting::order`, which orders the members by the router's number too: otherwise those whose turn it is would be
+/// `subsetting::order`, which orders the members by the router's number too: otherwise those whose phase it is would be
 /// the ones that meet the same members first.
-const GOLDEN: f64 = 0.618_033_988_749_895;
-const ROOT_OF_TWO: f64 = std::f64::consts::SQRT_2 - 1.0;
+const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_895;
+const SQRT_2_FRACTION: f64 = std::f64::consts::SQRT_2 - 1.0;
 
 /// Work (seconds) and requests that usually come to a router, as decaying sums since the first.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct UsualWork {
+pub(crate) struct OfferedWork {
     work: f64,
     requests: f64,
     first: Option<Time>,
     last: Time,
 }
 
-impl UsualWork {
-    pub(crate) fn add(&mut self, work: Duration, now: Time, memory: Duration) {
-        let left = decay(now.since(self.last), memory);
-        self.work = self.work * left + work.as_secs_f64();
-        self.requests = self.requests * left + 1.0;
+impl OfferedWork {
+    pub(crate) fn add(&mut self, work: Duration, now: Time, time_constant: Duration) {
+        let remaining = decay(now.since(self.last), time_constant);
+        self.work = self.work * remaining + work.as_secs_f64();
+        self.requests = self.requests * remaining + 1.0;
         self.first.get_or_insert(now);
         self.last = now;
     }
 
     /// What comes per second, by the memory's time constant. What began less than `least` ago counts as spread over that.
-    pub(crate) fn over(&self, now: Time, memory: Duration, least: Duration) -> UsualRate {
+    pub(crate) fn load(
+        &self,
+        now: Time,
+        time_constant: Duration,
+        min_span: Duration,
+    ) -> OfferedLoad {
         let Some(first) = self.first else {
-            return UsualRate::default();
+            return OfferedLoad::default();
         };
-        let observed = memory.as_secs_f64() * (1.0 - decay(now.since(first).max(least), memory));
-        let left = decay(now.since(self.last), memory);
-        UsualRate {
-            per_second: self.work * left / observed,
+        let observed = time_constant.as_secs_f64()
+            * (1.0 - decay(now.since(first).max(min_span), time_constant));
+        let remaining = decay(now.since(self.last), time_constant);
+        OfferedLoad {
+            per_second: self.work * remaining / observed,
             mean: self.work / self.requests,
         }
     }
@@ -59,14 +65,14 @@
 
 /// Seconds of work that usually come to a router in a second, and with one request.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct UsualRate {
+pub(crate) struct OfferedLoad {
     per_second: f64,
     mean: f64,
 }
 
-impl UsualRate {
+impl OfferedLoad {
     /// Whether less than so much work usually comes in a slice.
-    pub(crate) fn is_less(&self, slice: Duration, work: Duration) -> bool {
+    pub(crate) fn is_below(&self, slice: Duration, work: Duration) -> bool {
         self.per_second * slice.as_secs_f64() < work.as_secs_f64()
     }
 
@@ -75,28 +81,33 @@
     /// is: a few of those at once go far beyond the mean.
     pub(crate) fn budget(&self, slice: Duration, work: Duration, heavy_exponent: f64) -> f64 {
         let work = work.as_secs_f64();
-        let lightness = (self.mean / work).min(1.0).powf(heavy_exponent);
-        (self.per_second * slice.as_secs_f64()).max(work) * lightness
+        let heavy_factor = (self.mean / work).min(1.0).powf(heavy_exponent);
+        (self.per_second * slice.as_secs_f64()).max(work) * heavy_factor
     }
 }
 
 /// Where in a server's slow start a router stands; the same for all routers but for the router's number.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Turn {
+pub(crate) struct SlowStartPhase {
     pub(crate) slice: u64,
     /// Rounding threshold of this router in this slice, from 0 to 1.
     pub(crate) threshold: f64,
 }
 
-impl Turn {
-    /// `age`: time since the server started; `place`: the server's in its group, as a fraction of all members, so that a
+impl SlowStartPhase {
+    /// `age`: time since the server started; `offset`: the server's in its group, as a fraction of all members, so that a
     /// router has its turns with the members of a group at different times.
-    pub(crate) fn at(age: Duration, slice: Duration, router_index: u32, place: f64) -> Turn {
+    pub(crate) fn at(
+        age: Duration,
+        slice: Duration,
+        router_index: u32,
+        offset: f64,
+    ) -> SlowStartPhase {
         let slice = age.div_duration_f64(slice) as u64;
-        let router = f64::from(router_index) * ROOT_OF_TWO;
-        Turn {
+        let router = f64::from(router_index) * SQRT_2_FRACTION;
+        SlowStartPhase {
             slice,
-            threshold: (router + place + (slice as f64 * GOLDEN).fract()).fract(),
+            threshold: (router + offset + (slice as f64 * GOLDEN_RATIO_CONJUGATE).fract()).fract(),
         }
     }
 }
@@ -117,15 +128,15 @@
         }
     }
 
-    /// Whether a request of this work may go in this turn, in which `budget` seconds of work may.
-    pub(crate) fn allows(&self, turn: Turn, budget: f64, work: Duration) -> bool {
-        self.in_slice(turn.slice) + turn.threshold * work.as_secs_f64() < budget
+    /// Whether a request of this work may go in this phase, in which `budget` seconds of work may.
+    pub(crate) fn allows(&self, phase: SlowStartPhase, budget: f64, work: Duration) -> bool {
+        self.in_slice(phase.slice) + phase.threshold * work.as_secs_f64() < budget
     }
 
-    pub(crate) fn add(&mut self, turn: Turn, work: Duration) {
-        let before = self.in_slice(turn.slice);
+    pub(crate) fn add(&mut self, phase: SlowStartPhase, work: Duration) {
+        let before = self.in_slice(phase.slice);
         *self = SliceSpending {
-            slice: turn.slice,
+            slice: phase.slice,
             work: before + work.as_secs_f64(),
         };
     }
--- a/crates/routing/src/state.rs
+++ b/crates/routing/src/state.rs
@@ -4,7 +4,7 @@
 
 use crate::averages::decay;
 use crate::interface::*;
-use crate::slow_start_budget::{SliceSpending, UsualWork};
+use crate::slow_start_budget::{OfferedWork, SliceSpending};
 use crate::tuning::{Tuning, MIN_SPAN};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -53,7 +53,7 @@
     pub(crate) position_reported: Time,
     pub(crate) stale_rejection: Option<StaleRejection>,
     /// Its last sign of life.
-    pub(crate) last_heard: Option<Time>,
+    pub(crate) last_response: Option<Time>,
     pub(crate) probe_in_flight: bool,
     pub(crate) last_probed: Time,
     pub(crate) in_flight: BTreeMap<(RequestId, AttemptNumber), InFlight>,
@@ -118,7 +118,7 @@
     pub(crate) largest_size: usize,
     pub(crate) admission: Admission,
     /// Work that usually comes: for any member, and for the primary alone (index 1).
-    pub(crate) usual_work: [UsualWork; 2],
+    pub(crate) offered_work: [OfferedWork; 2],
 }
 
 /// An attempt that may have taken effect. Ordered by the time sent.
@@ -185,7 +185,7 @@
     /// Moving average of each class's time on an idle server (estimates).
     pub(crate) class_work: Vec<Duration>,
     /// The longest time that a first request of each class has had (expiry).
-    pub(crate) longest_first_wait: Vec<Duration>,
+    pub(crate) longest_client_timeout: Vec<Duration>,
     pub(crate) timers: BTreeSet<(Time, TimerKind)>,
     /// When the timer that the host was asked for fires.
     pub(crate) host_timer: Option<Time>,
@@ -205,7 +205,7 @@
     /// Fraction of over-quota requests to admit (admission).
     pub(crate) over_quota_admission: f64,
     /// Moving average of its requests' priority (admission).
-    pub(crate) usual_priority: f64,
+    pub(crate) average_priority: f64,
     /// Mean age of a load report on arrival, as the primaries' positions show it (probing).
     pub(crate) report_age: Duration,
 }
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -11,7 +11,7 @@
 
 /// Declares [`Tuning`]: `field as "word": default`.
 macro_rules! tuning {
-    ($($(#[$doc:meta])* $name:ident as $word:literal: $value:expr,)*) => {
+    ($($(#[$doc:meta])* $name:ident as $key:literal: $value:expr,)*) => {
         /// The rules' constants as one value, so that experiments can vary them.
         #[derive(Clone, Copy, Debug, PartialEq)]
         pub struct Tuning {
@@ -26,20 +26,20 @@
 
         impl Tuning {
             /// The constants' words in the experiments' language, in the order of the fields.
-            pub const NAMES: &'static [&'static str] = &[$($word,)*];
+            pub const NAMES: &'static [&'static str] = &[$($key,)*];
 
             /// The constant with this word; none if there is no such word.
-            pub fn get(&self, word: &str) -> Option<f64> {
-                match word {
-                    $($word => Some(self.$name),)*
+            pub fn get(&self, key: &str) -> Option<f64> {
+                match key {
+                    $($key => Some(self.$name),)*
                     _ => None,
                 }
             }
 
             /// Sets the constant with this word; false if there is no such word.
-            pub fn set(&mut self, word: &str, value: f64) -> bool {
-                match word {
-                    $($word => self.$name = value,)*
+            pub fn set(&mut self, key: &str, value: f64) -> bool {
+                match key {
+                    $($key => self.$name = value,)*
                     _ => return false,
                 }
                 true
@@ -120,7 +120,7 @@
 /// Time that discovery needs for one call. Calls of a large fleet are spread over so much for each router.
 pub(crate) const POLL_SPACING: Duration = Duration::from_millis(80);
 /// From the second failure on, calls come after this fraction of the spread: each router keeps its place in it.
-pub(crate) const POLL_PLACED_FRACTION: f64 = 0.75;
+pub(crate) const POLL_SLOT_FRACTION: f64 = 0.75;
 /// No repetition of a keyed request is sent so shortly before its window ends: it has to arrive inside the window.
 pub(crate) const DEDUPLICATION_MARGIN: Duration = Duration::from_millis(20);
 /// Sessions whose last write is remembered; beyond it old ones are folded into one position that binds all sessions.
--- a/crates/routing/src/tuning/tests.rs
+++ b/crates/routing/src/tuning/tests.rs
@@ -3,19 +3,19 @@
 /// The words stand in files of experiments and in stored results, so they outlast the names in the code.
 #[test]
 fn every_word_of_the_experiments_reaches_its_constant() {
-    let words = "run_weight work_rise ask_again hold_share rest_first rest_max recheck cold_caution cold_slice cold_light \
+    let keys = "run_weight work_rise ask_again hold_share rest_first rest_max recheck cold_caution cold_slice cold_light \
         trust_rise trust_late trust_aim trust_most trust_cut room_start forget few room_late room_easy door door_fall \
         spare_fall door_fade door_least room_weight room_cut reads_at_primary less_time";
-    assert_eq!(Tuning::NAMES, words.split_whitespace().collect::<Vec<_>>());
-    for (place, word) in Tuning::NAMES.iter().enumerate() {
+    assert_eq!(Tuning::NAMES, keys.split_whitespace().collect::<Vec<_>>());
+    for (index, key) in Tuning::NAMES.iter().enumerate() {
         let mut tuning = Tuning::default();
-        let value = 100.0 + place as f64;
-        assert!(tuning.set(word, value));
-        assert_eq!(tuning.get(word), Some(value), "{word}");
+        let value = 100.0 + index as f64;
+        assert!(tuning.set(key, value));
+        assert_eq!(tuning.get(key), Some(value), "{key}");
         let changed = Tuning::NAMES
             .iter()
             .filter(|other| tuning.get(other) != Tuning::default().get(other));
-        assert_eq!(changed.collect::<Vec<_>>(), [word], "it alone");
+        assert_eq!(changed.collect::<Vec<_>>(), [key], "it alone");
     }
     let mut tuning = Tuning::default();
     assert!(
