--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -7,25 +7,25 @@
 
 /// Of 100 requests, how many are rejected on arrival after this many attempts ended with `outcome`.
 fn rejected_on_arrival(class: u16, outcome: Outcome, ends: usize) -> usize {
-    let mut bench = Bench::new(settings(), 3);
+    let mut harness = Harness::new(settings(), 3);
     for _ in 0..ends {
-        let (id, actions) = bench.request(EVENTUAL);
-        bench.wait(100 * MS);
-        if let Some(&server) = sends(&actions).first() {
-            bench.end(id, 0, server, outcome);
+        let (id, actions) = harness.request(EVENTUAL);
+        harness.advance(100 * MS);
+        if let Some(&server) = sent_servers(&actions).first() {
+            harness.end_attempt(id, 0, server, outcome);
         }
     }
-    bench.wait(10_000 * MS);
-    let turned = |bench: &mut Bench| {
-        let (id, actions) = bench.request(class);
+    harness.advance(10_000 * MS);
+    let rejected = |harness: &mut Harness| {
+        let (id, actions) = harness.request(class);
         // Nothing stays in flight, and nothing is learned from it.
-        bench.event(Event::ClientLeft(id));
-        sends(&actions)
+        harness.event(Event::ClientLeft(id));
+        sent_servers(&actions)
             .iter()
-            .for_each(|&server| _ = bench.end(id, 0, server, Outcome::Cancelled));
-        usize::from(rejected(&actions, id))
+            .for_each(|&server| _ = harness.end_attempt(id, 0, server, Outcome::Cancelled));
+        usize::from(is_rejected(&actions, id))
     };
-    (0..100).map(|_| turned(&mut bench)).sum()
+    (0..100).map(|_| rejected(&mut harness)).sum()
 }
 
 #[test]
@@ -42,42 +42,45 @@
 fn overload_in_one_group_rejects_no_requests_of_another() {
     // Seen on join+vast: one admission fraction for all groups rejected half of the requests of groups that were not
     // overloaded.
-    let mut bench = Bench::new(settings(), 3);
-    let other = |server: u32| Endpoint {
+    let mut harness = Harness::new(settings(), 3);
+    let member_of_other_group = |server: u32| Endpoint {
         group: GroupId(1),
         ..endpoint(server, EndpointState::Ready)
     };
-    bench.list((11..=13).map(other).collect());
-    let mut turned = [0; 2];
+    harness.update_endpoints((11..=13).map(member_of_other_group).collect());
+    let mut rejected = [0; 2];
     for round in 0..200 {
         for group in 0..2 {
             let arrival = Arrival {
                 group: GroupId(group),
-                ..bench.arrival(EVENTUAL)
+                ..harness.arrival(EVENTUAL)
             };
             let id = arrival.id;
-            let actions = bench.event(Event::RequestArrived(arrival));
-            turned[group as usize] += usize::from(rejected(&actions, id) && round >= 100);
-            bench.wait(20 * MS);
+            let actions = harness.event(Event::RequestArrived(arrival));
+            rejected[group as usize] += usize::from(is_rejected(&actions, id) && round >= 100);
+            harness.advance(20 * MS);
             let outcome = if group == 0 {
                 Outcome::Rejected
             } else {
                 Outcome::Ok
             };
-            sends(&actions)
+            sent_servers(&actions)
                 .iter()
-                .for_each(|&server| _ = bench.end(id, 0, server, outcome));
-            bench.event(Event::ClientLeft(id));
+                .for_each(|&server| _ = harness.end_attempt(id, 0, server, outcome));
+            harness.event(Event::ClientLeft(id));
         }
     }
-    assert!(turned[0] > 30, "the overloaded group is spared: {turned:?}");
-    assert_eq!(turned[1], 0, "the other serves all");
+    assert!(
+        rejected[0] > 30,
+        "the overloaded group is spared: {rejected:?}"
+    );
+    assert_eq!(rejected[1], 0, "the other serves all");
 }
 
 #[test]
 fn one_of_many_routers_learns_of_a_burst_and_of_its_end_from_all_groups() {
     // Seen on calm+mass: half a minute after a burst, routers still rejected requests of groups that answered in time.
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             router_count: 300,
             ..settings()
@@ -88,77 +91,81 @@
         group: GroupId(g),
         ..endpoint(10 + g, EndpointState::Ready)
     });
-    bench.list(entries.collect());
-    let mut refusals = Vec::new();
+    harness.update_endpoints(entries.collect());
+    let mut rejections = Vec::new();
     for late in [true, false] {
         for round in 0..120 {
             let arrival = Arrival {
                 group: GroupId(1 + round % 19),
-                ..bench.arrival(EVENTUAL)
+                ..harness.arrival(EVENTUAL)
             };
             let id = arrival.id;
-            let actions = bench.event(Event::RequestArrived(arrival));
+            let actions = harness.event(Event::RequestArrived(arrival));
             let elapsed = if late { 900 * MS } else { 20 * MS };
-            bench.wait(elapsed);
-            for server in sends(&actions) {
-                bench.finish(id, server, Outcome::Ok, elapsed);
+            harness.advance(elapsed);
+            for server in sent_servers(&actions) {
+                harness.finish_request(id, server, Outcome::Ok, elapsed);
             }
-            bench.event(Event::ClientLeft(id));
-            bench.wait(100 * MS);
+            harness.event(Event::ClientLeft(id));
+            harness.advance(100 * MS);
         }
         // Of a group without any answer so far.
-        let ask = |bench: &mut Bench| {
+        let is_next_rejected = |harness: &mut Harness| {
             let arrival = Arrival {
                 group: GroupId(0),
-                ..bench.arrival(EVENTUAL)
+                ..harness.arrival(EVENTUAL)
             };
             let id = arrival.id;
-            let actions = bench.event(Event::RequestArrived(arrival));
-            bench.event(Event::ClientLeft(id));
-            usize::from(rejected(&actions, id))
+            let actions = harness.event(Event::RequestArrived(arrival));
+            harness.event(Event::ClientLeft(id));
+            usize::from(is_rejected(&actions, id))
         };
-        refusals.push((0..100).map(|_| ask(&mut bench)).sum::<usize>());
+        rejections.push(
+            (0..100)
+                .map(|_| is_next_rejected(&mut harness))
+                .sum::<usize>(),
+        );
     }
-    assert!(refusals[0] > 30 && refusals[1] == 0, "{refusals:?}");
+    assert!(rejections[0] > 30 && rejections[1] == 0, "{rejections:?}");
 }
 
 /// Of 200 requests in as many fleets, how many are sent after six answers, the last `full` of which are rejections.
 fn sent_after_answers(
-    full: usize,
-    standing: QuotaStatus,
-    over_share_worth: f64,
-    shed: f64,
+    rejections: usize,
+    quota_status: QuotaStatus,
+    over_quota_weight_fraction: f64,
+    shed_fraction: f64,
 ) -> usize {
     let mut sent = 0;
     for seed in 0..200 {
-        let mut bench = Bench::seeded(
+        let mut harness = Harness::with_seed(
             Settings {
-                over_quota_weight_fraction: over_share_worth,
+                over_quota_weight_fraction,
                 ..settings()
             },
             3,
             seed,
         );
-        bench.report(1, true, Duration::ZERO);
+        harness.report(1, true, Duration::ZERO);
         for answer in 0..6 {
-            bench.pass(100);
-            let (id, actions) = bench.request(EVENTUAL);
-            let outcome = if answer + full >= 6 {
+            harness.run_for(100);
+            let (id, actions) = harness.request(EVENTUAL);
+            let outcome = if answer + rejections >= 6 {
                 Outcome::Rejected
             } else {
                 Outcome::Ok
             };
-            if let Some(&to) = sends(&actions).first() {
-                bench.end(id, 0, to, outcome);
+            if let Some(&server) = sent_servers(&actions).first() {
+                harness.end_attempt(id, 0, server, outcome);
             }
-            bench.event(Event::ClientLeft(id));
+            harness.event(Event::ClientLeft(id));
         }
         let arrival = Arrival {
-            quota_status: standing,
-            shed_fraction: shed,
-            ..bench.arrival(EVENTUAL)
+            quota_status,
+            shed_fraction,
+            ..harness.arrival(EVENTUAL)
         };
-        sent += sends(&bench.event(Event::RequestArrived(arrival))).len();
+        sent += sent_servers(&harness.event(Event::RequestArrived(arrival))).len();
     }
     sent
 }
@@ -170,8 +177,11 @@
         200
     );
     // A single rejection by a server may be chance.
-    let one = sent_after_answers(1, QuotaStatus::OverQuota, 0.05, 0.0);
-    assert!((70..140).contains(&one), "{one}");
+    let after_one_rejection = sent_after_answers(1, QuotaStatus::OverQuota, 0.05, 0.0);
+    assert!(
+        (70..140).contains(&after_one_rejection),
+        "{after_one_rejection}"
+    );
     assert!(sent_after_answers(3, QuotaStatus::OverQuota, 0.05, 0.0) < 50);
     assert!(sent_after_answers(1, QuotaStatus::WithinQuota, 0.05, 0.0) > 120);
     // With the full weight it is served as any.
@@ -182,12 +192,12 @@
         sent_after_answers(0, QuotaStatus::WithinQuota, 0.05, 1.0),
         0
     );
-    let beyond = |shed| sent_after_answers(3, QuotaStatus::OverQuota, 0.05, shed);
+    let sent_over_quota = |shed| sent_after_answers(3, QuotaStatus::OverQuota, 0.05, shed);
     assert!(
-        beyond(0.0) > 0 && beyond(0.5) == beyond(0.0),
+        sent_over_quota(0.0) > 0 && sent_over_quota(0.5) == sent_over_quota(0.0),
         "{} {}",
-        beyond(0.0),
-        beyond(0.5)
+        sent_over_quota(0.0),
+        sent_over_quota(0.5)
     );
     // A borrowed request takes no other's place.
     assert_eq!(sent_after_answers(0, QuotaStatus::Borrowed, 0.05, 0.0), 200);
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -9,23 +9,23 @@
 fn routers_whose_connects_failed_together_do_not_come_back_in_step() {
     let mut by_slot = [0_usize; 40];
     for seed in 0..100 {
-        let mut bench = Bench::of_fleet(100, 1, seed);
-        bench.report(1, true, Duration::ZERO);
-        let (id, _) = bench.request(WRITE);
-        bench.end(id, 0, 1, Outcome::ConnectFailed);
-        bench.event(Event::ClientLeft(id));
+        let mut harness = Harness::in_fleet(100, 1, seed);
+        harness.report(1, true, Duration::ZERO);
+        let (id, _) = harness.request(WRITE);
+        harness.end_attempt(id, 0, 1, Outcome::ConnectFailed);
+        harness.event(Event::ClientLeft(id));
         for slot in &mut by_slot {
-            bench.wait(10 * MS);
-            let (id, actions) = bench.request(WRITE);
-            if sends(&actions) == [1] {
+            harness.advance(10 * MS);
+            let (id, actions) = harness.request(WRITE);
+            if sent_servers(&actions) == [1] {
                 *slot += 1;
                 break;
             }
             assert!(
-                !failed(&actions, id),
+                !is_failed(&actions, id),
                 "what never ran is queued or rejected"
             );
-            bench.event(Event::ClientLeft(id));
+            harness.event(Event::ClientLeft(id));
         }
     }
     assert_eq!(
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -13,12 +13,12 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 /// Positions and starts lie before the first event too.
-pub const BEGIN: Time = Time(Duration::from_secs(1_000));
+pub const START: Time = Time(Duration::from_secs(1_000));
 
-fn class(need: Consistency, effect: Idempotency, late_weight_fraction: f64) -> Class {
+fn class(consistency: Consistency, idempotency: Idempotency, late_weight_fraction: f64) -> Class {
     Class {
-        consistency: need,
-        idempotency: effect,
+        consistency,
+        idempotency,
         latency_objective: 300 * MS,
         deadline: 1_000 * MS,
         priority_weight: 1.0,
@@ -69,71 +69,71 @@
     }
 }
 
-pub fn endpoint(server: u32, listed: EndpointState) -> Endpoint {
+pub fn endpoint(server: u32, state: EndpointState) -> Endpoint {
     Endpoint {
         server: ServerId(server),
         group: GroupId(0),
         zone: ZoneId(0),
         machine_type: MachineTypeId(0),
-        state: listed,
+        state,
         primary: false,
         started: Time::ZERO,
     }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub router: Router,
     pub now: Time,
-    next: u64,
+    next_id: u64,
 }
 
-impl Bench {
+impl Harness {
     /// A router that knows `members` servers of one group, server 1 being reported as primary.
-    pub fn new(settings: Settings, members: u32) -> Bench {
-        let mut bench = Bench::without_reports(settings, members);
+    pub fn new(settings: Settings, members: u32) -> Harness {
+        let mut harness = Harness::without_reports(settings, members);
         for server in 1..=members {
-            bench.report(server, server == 1, Duration::ZERO);
+            harness.report(server, server == 1, Duration::ZERO);
         }
-        bench
+        harness
     }
 
     /// The same before any server has reported.
-    pub fn without_reports(settings: Settings, members: u32) -> Bench {
-        Bench::seeded(settings, members, 1)
+    pub fn without_reports(settings: Settings, members: u32) -> Harness {
+        Harness::with_seed(settings, members, 1)
     }
 
-    pub fn seeded(settings: Settings, members: u32, seed: u64) -> Bench {
+    pub fn with_seed(settings: Settings, members: u32, seed: u64) -> Harness {
         let router = Router::new(
             Settings {
                 router_index: seed as u32,
                 ..settings
             },
             seed,
-            BEGIN,
+            START,
         );
-        let mut bench = Bench {
+        let mut harness = Harness {
             router,
-            now: BEGIN,
-            next: 1,
+            now: START,
+            next_id: 1,
         };
-        bench.list(
+        harness.update_endpoints(
             (1..=members)
                 .map(|s| endpoint(s, EndpointState::Ready))
                 .collect(),
         );
-        bench
+        harness
     }
 
     /// One of so many routers, before any server has reported.
-    pub fn of_fleet(router_count: u32, members: u32, seed: u64) -> Bench {
+    pub fn in_fleet(router_count: u32, members: u32, seed: u64) -> Harness {
         let settings = Settings {
             router_count,
             ..settings()
         };
-        Bench::seeded(settings, members, seed)
+        Harness::with_seed(settings, members, seed)
     }
 
-    pub fn wait(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         self.now = self.now.plus(span);
     }
 
@@ -143,7 +143,7 @@
         actions
     }
 
-    pub fn list(&mut self, entries: Vec<Endpoint>) -> Vec<Action> {
+    pub fn update_endpoints(&mut self, entries: Vec<Endpoint>) -> Vec<Action> {
         self.event(Event::Endpoints(EndpointUpdate::Changes(entries)))
     }
 
@@ -163,9 +163,9 @@
     }
 
     pub fn arrival(&mut self, class: u16) -> Arrival {
-        self.next += 1;
+        self.next_id += 1;
         Arrival {
-            id: RequestId(self.next),
+            id: RequestId(self.next_id),
             class: ClassId(class),
             tenant: TenantId(0),
             group: GroupId(0),
@@ -184,17 +184,17 @@
         (arrival.id, self.event(Event::RequestArrived(arrival)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u16,
         server: u32,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_with(id, attempt, server, outcome, ResponseMetadata::default())
+        self.end_attempt_with(id, attempt, server, outcome, ResponseMetadata::default())
     }
 
-    pub fn end_with(
+    pub fn end_attempt_with(
         &mut self,
         id: RequestId,
         attempt: u16,
@@ -214,12 +214,18 @@
     }
 
     /// The first and only attempt of a request ends, and with it the request.
-    pub fn finish(&mut self, id: RequestId, server: u32, outcome: Outcome, elapsed: Duration) {
-        self.finish_with(id, server, outcome, elapsed, None);
+    pub fn finish_request(
+        &mut self,
+        id: RequestId,
+        server: u32,
+        outcome: Outcome,
+        elapsed: Duration,
+    ) {
+        self.finish_request_with(id, server, outcome, elapsed, None);
     }
 
     /// The same where the answer tells the server's role.
-    pub fn finish_with_role(
+    pub fn finish_request_with_role(
         &mut self,
         id: RequestId,
         server: u32,
@@ -227,10 +233,10 @@
         elapsed: Duration,
         is_primary: bool,
     ) {
-        self.finish_with(id, server, outcome, elapsed, Some(is_primary));
+        self.finish_request_with(id, server, outcome, elapsed, Some(is_primary));
     }
 
-    fn finish_with(
+    fn finish_request_with(
         &mut self,
         id: RequestId,
         server: u32,
@@ -253,29 +259,29 @@
     }
 
     /// Time passes, with a timer event every 5 ms; all actions of that time.
-    pub fn pass(&mut self, ms: u64) -> Vec<Action> {
+    pub fn run_for(&mut self, ms: u64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms.div_ceil(5) {
-            self.wait(5 * MS);
+            self.advance(5 * MS);
             all.extend(self.event(Event::Timer(TimerToken(0))));
         }
         all
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<u32> {
-    let to = |a: &Action| {
+pub fn sent_servers(actions: &[Action]) -> Vec<u32> {
+    let target = |a: &Action| {
         if let Action::Send { server, .. } = a {
             Some(server.0)
         } else {
             None
         }
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(target).collect()
 }
 
 /// How long the first attempt among these may take to begin.
-pub fn begins_within(actions: &[Action]) -> Duration {
+pub fn first_begin_within(actions: &[Action]) -> Duration {
     let within = |a: &Action| {
         if let Action::Send { begin_within, .. } = a {
             Some(*begin_within)
@@ -286,14 +292,14 @@
     actions.iter().find_map(within).expect("an attempt")
 }
 
-pub fn rejected(actions: &[Action], wanted: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], request: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject { id, .. } if *id == wanted))
+        .any(|a| matches!(a, Action::Reject { id, .. } if *id == request))
 }
 
-pub fn failed(actions: &[Action], wanted: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], request: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Fail { id } if *id == wanted))
+        .any(|a| matches!(a, Action::Fail { id } if *id == request))
 }
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -8,17 +8,17 @@
 #[test]
 fn rejections_are_not_answered_with_a_storm_of_attempts() {
     // Seen with the first version: 8 attempts for each request, nine in ten rejected by full servers.
-    let mut bench = Bench::new(settings(), 3);
+    let mut harness = Harness::new(settings(), 3);
     let mut attempts = 0;
     for _ in 0..40 {
-        let (id, mut actions) = bench.request(BOUNDED);
+        let (id, mut actions) = harness.request(BOUNDED);
         let mut no = 0;
-        while let Some(&server) = sends(&actions).first() {
+        while let Some(&server) = sent_servers(&actions).first() {
             attempts += 1;
-            actions = bench.end(id, no, server, Outcome::Rejected);
+            actions = harness.end_attempt(id, no, server, Outcome::Rejected);
             no += 1;
         }
-        bench.pass(5);
+        harness.run_for(5);
     }
     assert!(
         attempts < 40,
@@ -32,12 +32,12 @@
     // a slow server full.
     let mut sent = 0;
     for seed in 0..100 {
-        let mut bench = Bench::seeded(settings(), 2, seed);
-        bench.report(1, true, Duration::ZERO);
-        let (id, _) = bench.request(WRITE);
-        bench.wait(900 * MS);
-        bench.finish(id, 1, Outcome::Ok, 900 * MS);
-        sent += sends(&bench.request(WRITE).1).len();
+        let mut harness = Harness::with_seed(settings(), 2, seed);
+        harness.report(1, true, Duration::ZERO);
+        let (id, _) = harness.request(WRITE);
+        harness.advance(900 * MS);
+        harness.finish_request(id, 1, Outcome::Ok, 900 * MS);
+        sent += sent_servers(&harness.request(WRITE).1).len();
     }
     assert!(
         (5..60).contains(&sent),
@@ -49,29 +49,29 @@
 /// later attempts have overtaken must not count.
 #[test]
 fn a_time_out_that_others_have_overtaken_reduces_no_limit() {
-    for (overtaken, sent) in [(4, 3), (0, 1)] {
-        let mut bench = Bench::new(settings(), 1);
-        let mut silent = None;
+    for (overtaken, min_accepted) in [(4, 3), (0, 1)] {
+        let mut harness = Harness::new(settings(), 1);
+        let mut timed_out = None;
         for round in 0..8 + overtaken {
-            let out = (0..2)
-                .map(|_| bench.request(EVENTUAL))
-                .find(|(_, actions)| !sends(actions).is_empty());
-            let (id, _) = out.unwrap_or_else(|| panic!("round {round} has no capacity"));
-            bench.wait(5 * MS);
+            let sent = (0..2)
+                .map(|_| harness.request(EVENTUAL))
+                .find(|(_, actions)| !sent_servers(actions).is_empty());
+            let (id, _) = sent.unwrap_or_else(|| panic!("round {round} has no capacity"));
+            harness.advance(5 * MS);
             if round == 7 {
-                silent = Some(id);
+                timed_out = Some(id);
             } else {
-                bench.end(id, 0, 1, Outcome::Ok);
+                harness.end_attempt(id, 0, 1, Outcome::Ok);
             }
         }
-        bench.wait(600 * MS);
-        bench.end(silent.unwrap(), 0, 1, Outcome::TimedOut);
-        let taken: usize = (0..3)
-            .map(|_| sends(&bench.request(EVENTUAL).1).len())
+        harness.advance(600 * MS);
+        harness.end_attempt(timed_out.unwrap(), 0, 1, Outcome::TimedOut);
+        let accepted: usize = (0..3)
+            .map(|_| sent_servers(&harness.request(EVENTUAL).1).len())
             .sum();
         assert!(
-            taken >= sent && (overtaken > 0 || taken < 3),
-            "{taken} with {overtaken}"
+            accepted >= min_accepted && (overtaken > 0 || accepted < 3),
+            "{accepted} accepted with {overtaken}"
         );
     }
 }
@@ -81,23 +81,23 @@
 fn sent_after_a_late_answer(routers: u32, outcome: Outcome, pause: Duration) -> usize {
     let mut sent = 0;
     for seed in 0..100 {
-        let mut bench = Bench::of_fleet(routers, 1, seed);
-        bench.report(1, true, Duration::ZERO);
-        let (id, _) = bench.request(WRITE);
+        let mut harness = Harness::in_fleet(routers, 1, seed);
+        harness.report(1, true, Duration::ZERO);
+        let (id, _) = harness.request(WRITE);
         // It answers another one meanwhile, so that it is slow and not silent.
-        let (other, _) = bench.request(WRITE);
-        bench.event(Event::ClientLeft(other));
-        bench.wait(200 * MS);
-        bench.end(other, 0, 1, Outcome::Failed);
+        let (other, _) = harness.request(WRITE);
+        harness.event(Event::ClientLeft(other));
+        harness.advance(200 * MS);
+        harness.end_attempt(other, 0, 1, Outcome::Failed);
         let elapsed = if outcome == Outcome::Ok {
             900 * MS
         } else {
             350 * MS
         };
-        bench.wait(elapsed - 200 * MS);
-        bench.finish(id, 1, outcome, elapsed);
-        bench.wait(pause);
-        sent += sends(&bench.request(WRITE).1).len();
+        harness.advance(elapsed - 200 * MS);
+        harness.finish_request(id, 1, outcome, elapsed);
+        harness.advance(pause);
+        sent += sent_servers(&harness.request(WRITE).1).len();
     }
     sent
 }
@@ -133,16 +133,16 @@
 {
     // Seen on join+mass: the last members of their groups answered no attempt in time for many seconds, since all proxies
     // together went on to send each of them half of what it could bear with an empty queue.
-    let (mut sent, mut held) = ([0; 2], 0);
+    let (mut sent, mut queued) = ([0; 2], 0);
     for seed in 0..100 {
-        let mut bench = Bench::of_fleet(300, 1, seed);
+        let mut harness = Harness::in_fleet(300, 1, seed);
         for round in 0..40 {
-            bench.wait(1_500 * MS);
-            bench.report(1, true, Duration::ZERO);
+            harness.advance(1_500 * MS);
+            harness.report(1, true, Duration::ZERO);
             let overloaded = round < 20;
-            let (id, actions) = bench.request(EVENTUAL);
-            if sends(&actions).is_empty() {
-                held += usize::from(!rejected(&actions, id));
+            let (id, actions) = harness.request(EVENTUAL);
+            if sent_servers(&actions).is_empty() {
+                queued += usize::from(!is_rejected(&actions, id));
                 continue;
             }
             sent[usize::from(!overloaded)] += usize::from(round % 20 >= 5);
@@ -151,22 +151,22 @@
             } else {
                 (Outcome::Ok, 60 * MS)
             };
-            bench.finish(id, 1, outcome, elapsed);
+            harness.finish_request(id, 1, outcome, elapsed);
         }
     }
-    let asked = 100 * 15;
+    let total = 100 * 15;
     assert!(
-        sent[0] * 10 < asked && sent[1] * 2 > asked,
-        "{sent:?} of {asked} while overloaded, and after"
+        sent[0] * 10 < total && sent[1] * 2 > total,
+        "{sent:?} of {total} while overloaded, and after"
     );
-    assert_eq!(held, 0, "what a draw rejects is answered at once");
+    assert_eq!(queued, 0, "what a draw rejects is answered at once");
 }
 
 #[test]
 fn a_write_goes_by_its_own_objective_after_a_read_that_missed_its() {
     // Seen on zone+mass: a read that took two and a half of its objectives kept four in five writes, with an objective five
     // times as long, from a primary at which other routers' writes were in time.
-    let after_a_read = |class, took| {
+    let sent_after_read = |class, latency| {
         let sent = (0..200).filter(|&seed| {
             let mut settings = Settings {
                 router_count: 300,
@@ -176,25 +176,25 @@
                 5 * settings.classes[usize::from(EVENTUAL)].latency_objective;
             settings.classes[usize::from(WRITE)].deadline =
                 2 * settings.classes[usize::from(WRITE)].latency_objective;
-            let mut bench = Bench::seeded(settings, 1, seed);
-            bench.report(1, true, Duration::ZERO);
-            let (id, _) = bench.request(EVENTUAL);
-            bench.wait(took);
-            bench.finish(id, 1, Outcome::Ok, took);
+            let mut harness = Harness::with_seed(settings, 1, seed);
+            harness.report(1, true, Duration::ZERO);
+            let (id, _) = harness.request(EVENTUAL);
+            harness.advance(latency);
+            harness.finish_request(id, 1, Outcome::Ok, latency);
             // Admission has recovered by then, so that the concurrency limit alone decides.
-            bench.wait(1_000 * MS);
+            harness.advance(1_000 * MS);
             let arrival = Arrival {
                 time_left: 2_000 * MS,
-                ..bench.arrival(class)
+                ..harness.arrival(class)
             };
-            !sends(&bench.event(Event::RequestArrived(arrival))).is_empty()
+            !sent_servers(&harness.event(Event::RequestArrived(arrival))).is_empty()
         });
         sent.count()
     };
-    assert!(after_a_read(EVENTUAL, 750 * MS) < 60);
-    assert!(after_a_read(WRITE, 750 * MS) > 150);
+    assert!(sent_after_read(EVENTUAL, 750 * MS) < 60);
+    assert!(sent_after_read(WRITE, 750 * MS) > 150);
     assert!(
-        after_a_read(WRITE, 9_000 * MS) < 120,
-        "by its own objective it is held back as well"
+        sent_after_read(WRITE, 9_000 * MS) < 120,
+        "by its own objective it is queued back as well"
     );
 }
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -6,61 +6,61 @@
 
 #[test]
 fn nothing_new_is_sent_to_a_draining_or_removed_server() {
-    for listed in [EndpointState::Draining, EndpointState::Removed] {
-        let mut bench = Bench::new(settings(), 2);
-        bench.list(vec![endpoint(2, listed)]);
-        let (_, actions) = bench.request(BOUNDED);
-        assert!(!sends(&actions).contains(&2));
+    for state in [EndpointState::Draining, EndpointState::Removed] {
+        let mut harness = Harness::new(settings(), 2);
+        harness.update_endpoints(vec![endpoint(2, state)]);
+        let (_, actions) = harness.request(BOUNDED);
+        assert!(!sent_servers(&actions).contains(&2));
     }
 }
 
 #[test]
 fn removal_without_a_drain_does_not_bind_where_the_settings_say_so() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             soft_removal: true,
             ..settings()
         },
         2,
     );
-    bench.list(vec![endpoint(2, EndpointState::Removed)]);
-    assert_eq!(sends(&bench.request(BOUNDED).1), [2]);
-    let mut bench = Bench::new(
+    harness.update_endpoints(vec![endpoint(2, EndpointState::Removed)]);
+    assert_eq!(sent_servers(&harness.request(BOUNDED).1), [2]);
+    let mut harness = Harness::new(
         Settings {
             soft_removal: true,
             ..settings()
         },
         2,
     );
-    bench.list(vec![endpoint(2, EndpointState::Draining)]);
-    bench.list(vec![endpoint(2, EndpointState::Removed)]);
-    assert!(!sends(&bench.request(BOUNDED).1).contains(&2));
+    harness.update_endpoints(vec![endpoint(2, EndpointState::Draining)]);
+    harness.update_endpoints(vec![endpoint(2, EndpointState::Removed)]);
+    assert!(!sent_servers(&harness.request(BOUNDED).1).contains(&2));
 }
 
 #[test]
 fn the_list_is_polled_again_after_a_failure_with_one_poll_in_flight_at_a_time() {
-    let mut bench = Bench::without_reports(
+    let mut harness = Harness::without_reports(
         Settings {
             endpoints_are_polled: true,
             ..settings()
         },
         0,
     );
-    let asked = |actions: &[Action]| {
+    let poll_count = |actions: &[Action]| {
         actions
             .iter()
             .filter(|a| matches!(a, Action::PollEndpoints))
             .count()
     };
-    let cached = bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
+    let cached = harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
         1,
         EndpointState::Ready,
     )])));
-    assert_eq!(asked(&cached), 1);
-    assert_eq!(asked(&bench.pass(5_000)), 0, "one is in flight");
-    let mut after = bench.event(Event::Endpoints(EndpointUpdate::Failed));
-    after.extend(bench.pass(1_000));
-    assert_eq!(asked(&after), 1);
+    assert_eq!(poll_count(&cached), 1);
+    assert_eq!(poll_count(&harness.run_for(5_000)), 0, "one is in flight");
+    let mut after = harness.event(Event::Endpoints(EndpointUpdate::Failed));
+    after.extend(harness.run_for(1_000));
+    assert_eq!(poll_count(&after), 1);
 }
 
 /// However many polls have failed, the next one comes within the poll interval of the settings.
@@ -73,10 +73,10 @@
             router_count: routers,
             ..settings()
         };
-        let mut bench = Bench::without_reports(settings, 0);
+        let mut harness = Harness::without_reports(settings, 0);
         for failures in 1..20 {
-            let mut after = bench.event(Event::Endpoints(EndpointUpdate::Failed));
-            after.extend(bench.pass(within.into()));
+            let mut after = harness.event(Event::Endpoints(EndpointUpdate::Failed));
+            after.extend(harness.run_for(within.into()));
             let calls = after
                 .iter()
                 .filter(|a| matches!(a, Action::PollEndpoints))
@@ -91,48 +91,48 @@
 
 #[test]
 fn a_removed_server_that_answers_late_does_no_harm() {
-    let mut bench = Bench::new(settings(), 2);
-    let (id, actions) = bench.request(EVENTUAL);
-    let server = sends(&actions)[0];
-    bench.list(vec![endpoint(server, EndpointState::Removed)]);
-    let actions = bench.end(id, 0, server, Outcome::Reset);
-    assert_ne!(sends(&actions), [server]);
-    bench.list(vec![endpoint(server, EndpointState::Removed)]);
-    assert!(!sends(&bench.request(EVENTUAL).1).contains(&server));
+    let mut harness = Harness::new(settings(), 2);
+    let (id, actions) = harness.request(EVENTUAL);
+    let server = sent_servers(&actions)[0];
+    harness.update_endpoints(vec![endpoint(server, EndpointState::Removed)]);
+    let actions = harness.end_attempt(id, 0, server, Outcome::Reset);
+    assert_ne!(sent_servers(&actions), [server]);
+    harness.update_endpoints(vec![endpoint(server, EndpointState::Removed)]);
+    assert!(!sent_servers(&harness.request(EVENTUAL).1).contains(&server));
 }
 
 #[test]
 fn draining_and_backed_off_servers_count_as_unavailable() {
-    let mut bench = Bench::new(settings(), 3);
-    assert_eq!(bench.router.unavailable_servers(bench.now), 0);
-    bench.list(vec![endpoint(2, EndpointState::Draining)]);
-    assert_eq!(bench.router.unavailable_servers(bench.now), 1);
-    let (id, _) = bench.request(WRITE);
-    bench.end(id, 0, 1, Outcome::ConnectFailed);
-    assert_eq!(bench.router.unavailable_servers(bench.now), 2);
-    bench.wait(10_000 * MS);
-    assert_eq!(bench.router.unavailable_servers(bench.now), 1);
-    bench.list(vec![endpoint(2, EndpointState::Removed)]);
-    assert_eq!(bench.router.unavailable_servers(bench.now), 0);
+    let mut harness = Harness::new(settings(), 3);
+    assert_eq!(harness.router.unavailable_servers(harness.now), 0);
+    harness.update_endpoints(vec![endpoint(2, EndpointState::Draining)]);
+    assert_eq!(harness.router.unavailable_servers(harness.now), 1);
+    let (id, _) = harness.request(WRITE);
+    harness.end_attempt(id, 0, 1, Outcome::ConnectFailed);
+    assert_eq!(harness.router.unavailable_servers(harness.now), 2);
+    harness.advance(10_000 * MS);
+    assert_eq!(harness.router.unavailable_servers(harness.now), 1);
+    harness.update_endpoints(vec![endpoint(2, EndpointState::Removed)]);
+    assert_eq!(harness.router.unavailable_servers(harness.now), 0);
 }
 
 /// How many routers poll the list within each second after an event, and the longest wait in milliseconds.
-fn polls_of_a_fleet(routers: u32, after: fn(&mut Bench) -> Vec<Action>) -> (Vec<usize>, u64) {
+fn polls_of_a_fleet(routers: u32, after: fn(&mut Harness) -> Vec<Action>) -> (Vec<usize>, u64) {
     let (mut by_second, mut longest) = (vec![0; 12], 0);
-    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
+    let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for seed in 0..u64::from(routers) {
-        let set = Settings {
+        let settings_of_fleet = Settings {
             endpoints_are_polled: true,
             router_count: routers,
             ..settings()
         };
-        let mut bench = Bench::seeded(set, 0, seed * 7_919);
-        let begin = bench.now;
-        let mut actions = after(&mut bench);
-        while !asks(&actions) {
-            actions = bench.pass(50);
+        let mut harness = Harness::with_seed(settings_of_fleet, 0, seed * 7_919);
+        let begin = harness.now;
+        let mut actions = after(&mut harness);
+        while !polls(&actions) {
+            actions = harness.run_for(50);
         }
-        let waited = bench.now.since(begin).as_millis() as u64;
+        let waited = harness.now.since(begin).as_millis() as u64;
         by_second[(waited / 1_000) as usize] += 1;
         longest = longest.max(waited);
     }
@@ -143,25 +143,28 @@
 fn a_hundred_routers_that_start_or_lose_the_list_together_do_not_poll_in_step() {
     // Seen on herd+vast: of seventy proxies that restarted in the same instant five got the list, and none of their further
     // polls was answered in twelve seconds. Discovery takes 50 to 60 ms for each call, one after the other, and works
-    // through calls whose callers have given up after two seconds all the same.
-    let start: fn(&mut Bench) -> _ = |bench| {
-        bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
+    // through calls whose callers have given up after two seconds all the unchanged.
+    let starts: fn(&mut Harness) -> _ = |harness| {
+        harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
             1,
             EndpointState::Ready,
         )])))
     };
-    let lost: fn(&mut Bench) -> _ = |bench| bench.event(Event::Endpoints(EndpointUpdate::Failed));
+    let loses_list: fn(&mut Harness) -> _ =
+        |harness| harness.event(Event::Endpoints(EndpointUpdate::Failed));
     // After a failure there is less time, and all of it is used.
     let spans = [
-        (start, discovery_schedule::first_poll_delay(10_000 * MS)),
-        (lost, discovery_schedule::MAX_RETRY_DELAY),
+        (starts, discovery_schedule::first_poll_delay(10_000 * MS)),
+        (loses_list, discovery_schedule::MAX_RETRY_DELAY),
     ];
     for (after, span) in spans {
-        let (many, longest) = polls_of_a_fleet(100, after);
+        let (many_routers_polls, longest) = polls_of_a_fleet(100, after);
         let even = 100_000 / span.as_millis() as usize;
         assert!(
-            many.iter().all(|&calls| calls <= even * 3 / 2),
-            "{many:?} calls by second, {even} if even"
+            many_routers_polls
+                .iter()
+                .all(|&calls| calls <= even * 3 / 2),
+            "{many_routers_polls:?} calls by second, {even} if even"
         );
         let span = span.as_millis() as u64;
         assert!(
@@ -180,57 +183,61 @@
 /// polled more than 4 s after that still sent to members whose removal counted as known, six seconds after it.
 #[test]
 fn a_cached_list_is_used_for_a_short_time_only() {
-    let set = Settings {
+    let settings_of_fleet = Settings {
         endpoints_are_polled: true,
         router_count: 300,
         ..settings()
     };
-    let bench = || {
-        let mut bench = Bench::new(set.clone(), 0);
-        bench.event(Event::Endpoints(EndpointUpdate::Cached(vec![
+    let restarted = || {
+        let mut harness = Harness::new(settings_of_fleet.clone(), 0);
+        harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![
             endpoint(1, EndpointState::Ready),
             endpoint(2, EndpointState::Ready),
         ])));
-        bench
+        harness
     };
-    let mut begun = bench();
+    let mut fresh = restarted();
     assert_eq!(
-        sends(&begun.request(EVENTUAL).1).len(),
+        sent_servers(&fresh.request(EVENTUAL).1).len(),
         1,
         "at first it is used"
     );
-    let mut old = bench();
-    old.wait(discovery_schedule::CACHED_LIST_LIFETIME);
-    let (id, actions) = old.request(EVENTUAL);
+    let mut outdated = restarted();
+    outdated.advance(discovery_schedule::CACHED_LIST_LIFETIME);
+    let (id, actions) = outdated.request(EVENTUAL);
     assert!(
-        sends(&actions).is_empty() && !rejected(&actions, id),
+        sent_servers(&actions).is_empty() && !is_rejected(&actions, id),
         "queued: {actions:?}"
     );
-    let actions = old.event(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint(
+    let actions = outdated.event(Event::Endpoints(EndpointUpdate::Changes(vec![endpoint(
         1,
         EndpointState::Removed,
     )])));
-    assert_eq!(sends(&actions), [2], "served as soon as the list is known");
-    let mut same = bench();
-    same.wait(discovery_schedule::CACHED_LIST_LIFETIME);
-    same.event(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
     assert_eq!(
-        sends(&same.request(EVENTUAL).1).len(),
+        sent_servers(&actions),
+        [2],
+        "served as soon as the list is known"
+    );
+    let mut unchanged = restarted();
+    unchanged.advance(discovery_schedule::CACHED_LIST_LIFETIME);
+    unchanged.event(Event::Endpoints(EndpointUpdate::Changes(Vec::new())));
+    assert_eq!(
+        sent_servers(&unchanged.request(EVENTUAL).1).len(),
         1,
         "nothing has changed"
     );
-    let mut silent = bench();
-    silent.wait(discovery_schedule::NOTIFICATION_DEADLINE);
+    let mut unanswered = restarted();
+    unanswered.advance(discovery_schedule::NOTIFICATION_DEADLINE);
     assert_eq!(
-        sends(&silent.request(EVENTUAL).1).len(),
+        sent_servers(&unanswered.request(EVENTUAL).1).len(),
         1,
         "discovery says nothing at all: the list is all there is"
     );
-    let mut failed = bench();
-    failed.wait(discovery_schedule::CACHED_LIST_LIFETIME);
-    failed.event(Event::Endpoints(EndpointUpdate::Failed));
+    let mut unreachable = restarted();
+    unreachable.advance(discovery_schedule::CACHED_LIST_LIFETIME);
+    unreachable.event(Event::Endpoints(EndpointUpdate::Failed));
     assert_eq!(
-        sends(&failed.request(EVENTUAL).1).len(),
+        sent_servers(&unreachable.request(EVENTUAL).1).len(),
         1,
         "discovery can't be reached: nothing newer counts as known"
     );
@@ -240,22 +247,22 @@
 fn however_often_a_poll_has_failed_and_in_any_fleet_the_next_one_is_in_time() {
     // In a fleet of a hundred the next poll came up to 7.5 s after a failure, and up to 4.5 s in one of four. A change counts
     // as known 6 s after discovery can be reached again, and the poll has to wait for its turn there.
-    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
+    let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
-            let set = Settings {
+            let settings_of_fleet = Settings {
                 endpoints_are_polled: true,
                 router_count: routers,
                 ..settings()
             };
-            let mut bench = Bench::seeded(set, 0, seed * 7_919);
+            let mut harness = Harness::with_seed(settings_of_fleet, 0, seed * 7_919);
             for failure in 1..12 {
-                let begin = bench.now;
-                let mut actions = bench.event(Event::Endpoints(EndpointUpdate::Failed));
-                while !asks(&actions) {
-                    actions = bench.pass(10);
+                let begin = harness.now;
+                let mut actions = harness.event(Event::Endpoints(EndpointUpdate::Failed));
+                while !polls(&actions) {
+                    actions = harness.run_for(10);
                 }
-                let waited = bench.now.since(begin);
+                let waited = harness.now.since(begin);
                 assert!(
                     waited <= discovery_schedule::MAX_RETRY_DELAY + 10 * MS,
                     "{waited:?}, failure {failure} among {routers}"
@@ -268,29 +275,29 @@
 #[test]
 fn routers_that_wait_for_discovery_stay_spread_over_the_time_that_there_is() {
     // Polls are refused at once, as while discovery is down.
-    let asks = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
+    let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     let (mut next, mut calls) = (vec![0; 8], 0);
-    let back = 20_000 * MS;
+    let recovery = 20_000 * MS;
     for seed in 0..300 {
-        let set = Settings {
+        let settings_of_fleet = Settings {
             endpoints_are_polled: true,
             router_count: 300,
             ..settings()
         };
-        let mut bench = Bench::seeded(set, 0, seed * 7_919);
-        let begin = bench.now;
-        let mut actions = bench.event(Event::Endpoints(EndpointUpdate::Failed));
+        let mut harness = Harness::with_seed(settings_of_fleet, 0, seed * 7_919);
+        let begin = harness.now;
+        let mut actions = harness.event(Event::Endpoints(EndpointUpdate::Failed));
         loop {
-            while !asks(&actions) {
-                actions = bench.pass(10);
+            while !polls(&actions) {
+                actions = harness.run_for(10);
             }
-            let since = bench.now.since(begin);
-            if since >= back {
-                next[((since - back).as_millis() / 500) as usize] += 1;
+            let since = harness.now.since(begin);
+            if since >= recovery {
+                next[((since - recovery).as_millis() / 500) as usize] += 1;
                 break;
             }
             calls += 1;
-            actions = bench.event(Event::Endpoints(EndpointUpdate::Failed));
+            actions = harness.event(Event::Endpoints(EndpointUpdate::Failed));
         }
     }
     // Even would be 40 in each half second.
--- a/crates/routing/tests/expiry.rs
+++ b/crates/routing/tests/expiry.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn every_request_is_answered_once_by_its_deadline_when_nothing_answers() {
-    let mut bench = Bench::new(settings(), 2);
+    let mut harness = Harness::new(settings(), 2);
     for class in [
         WRITE,
         BOUNDED,
@@ -16,8 +16,8 @@
         NON_IDEMPOTENT_WRITE,
         STRONG,
     ] {
-        let (id, mut actions) = bench.request(class);
-        actions.extend(bench.pass(1_005));
+        let (id, mut actions) = harness.request(class);
+        actions.extend(harness.run_for(1_005));
         let answers = actions.iter().filter(|a| match a {
             Action::Reject { id: i, .. } | Action::Fail { id: i } => *i == id,
             _ => false,
@@ -28,29 +28,30 @@
 
 #[test]
 fn without_a_primary_a_write_is_queued_briefly_then_rejected_with_a_retry_after() {
-    let mut bench = Bench::without_reports(settings(), 2);
-    let (id, actions) = bench.request(WRITE);
-    assert!(sends(&actions).is_empty() && !rejected(&actions, id));
-    let actions = bench.pass(600);
-    let hint = |a: &Action| matches!(a, Action::Reject { id: i, retry_after: Some(_) } if *i == id);
-    assert!(actions.iter().any(hint), "{actions:?}");
+    let mut harness = Harness::without_reports(settings(), 2);
+    let (id, actions) = harness.request(WRITE);
+    assert!(sent_servers(&actions).is_empty() && !is_rejected(&actions, id));
+    let actions = harness.run_for(600);
+    let has_retry_after =
+        |a: &Action| matches!(a, Action::Reject { id: i, retry_after: Some(_) } if *i == id);
+    assert!(actions.iter().any(has_retry_after), "{actions:?}");
 }
 
 #[test]
 fn a_queued_write_is_sent_when_a_report_names_the_primary() {
-    let mut bench = Bench::without_reports(settings(), 2);
-    bench.request(WRITE);
-    assert_eq!(sends(&bench.report(2, true, Duration::ZERO)), [2]);
+    let mut harness = Harness::without_reports(settings(), 2);
+    harness.request(WRITE);
+    assert_eq!(sent_servers(&harness.report(2, true, Duration::ZERO)), [2]);
 }
 
 #[test]
 fn a_request_whose_client_left_gets_no_answer() {
-    let mut bench = Bench::new(settings(), 2);
-    let (id, _) = bench.request(EVENTUAL);
-    bench.event(Event::ClientLeft(id));
-    let actions = bench.pass(1_100);
+    let mut harness = Harness::new(settings(), 2);
+    let (id, _) = harness.request(EVENTUAL);
+    harness.event(Event::ClientLeft(id));
+    let actions = harness.run_for(1_100);
     assert!(
-        !rejected(&actions, id) && !failed(&actions, id),
+        !is_rejected(&actions, id) && !is_failed(&actions, id),
         "no answer after the client left"
     );
 }
@@ -58,36 +59,36 @@
 #[test]
 fn what_was_never_sent_is_rejected_before_half_of_its_time() {
     // Seen on a real day with a cut-off primary: rejections came just after half of the client's time, one recheck too late.
-    let mut set = Settings {
+    let mut checked_settings = Settings {
         staleness_check: StalenessCheck::Reject,
         ..settings()
     };
-    set.classes[usize::from(EVENTUAL)].latency_objective = 900 * MS;
+    checked_settings.classes[usize::from(EVENTUAL)].latency_objective = 900 * MS;
     for (class, members) in [(NON_IDEMPOTENT_WRITE, 3), (EVENTUAL, 1)] {
-        let mut bench = Bench::without_reports(set.clone(), members);
+        let mut harness = Harness::without_reports(checked_settings.clone(), members);
         for _ in 0..10 {
-            let (id, _) = bench.request(EVENTUAL);
-            bench.end(id, 0, 1, Outcome::Ok);
+            let (id, _) = harness.request(EVENTUAL);
+            harness.end_attempt(id, 0, 1, Outcome::Ok);
         }
         // The first that finds no capacity, or no primary.
         let (id, mut actions) = loop {
-            let (id, actions) = bench.request(class);
-            if sends(&actions).is_empty() {
+            let (id, actions) = harness.request(class);
+            if sent_servers(&actions).is_empty() {
                 break (id, actions);
             }
         };
-        let came = bench.now;
-        while !rejected(&actions, id) {
-            actions = bench.pass(5);
+        let arrived = harness.now;
+        while !is_rejected(&actions, id) {
+            actions = harness.run_for(5);
             assert!(
-                sends(&actions).is_empty(),
+                sent_servers(&actions).is_empty(),
                 "nothing can take it: {actions:?}"
             );
         }
-        let held = bench.now.since(came);
+        let queued_for = harness.now.since(arrived);
         assert!(
-            held > 200 * MS && held < 500 * MS,
-            "class {class}: queued for {held:?} of a second"
+            queued_for > 200 * MS && queued_for < 500 * MS,
+            "class {class}: queued for {queued_for:?} of a second"
         );
     }
 }
@@ -95,28 +96,28 @@
 /// Storms of retries, each with the rest of its client's time, took the capacity for first requests and earned nothing.
 #[test]
 fn a_retry_that_comes_too_late_to_earn_anything_is_rejected_at_once() {
-    let mut bench = Bench::new(settings(), 3);
-    let mut ask = |time_left: Duration, repeated| {
+    let mut harness = Harness::new(settings(), 3);
+    let mut send_request = |time_left: Duration, is_client_retry| {
         let arrival = Arrival {
             time_left,
-            is_client_retry: repeated,
-            ..bench.arrival(EVENTUAL)
+            is_client_retry,
+            ..harness.arrival(EVENTUAL)
         };
-        let (id, actions) = (arrival.id, bench.event(Event::RequestArrived(arrival)));
-        (sends(&actions).len(), rejected(&actions, id))
+        let (id, actions) = (arrival.id, harness.event(Event::RequestArrived(arrival)));
+        (sent_servers(&actions).len(), is_rejected(&actions, id))
     };
     assert_eq!(
-        ask(500 * MS, false),
+        send_request(500 * MS, false),
         (1, false),
         "a first request has half of the deadline here"
     );
     assert_eq!(
-        ask(500 * MS, true),
+        send_request(500 * MS, true),
         (1, false),
         "how long ago the first request was is not known"
     );
     assert_eq!(
-        ask(400 * MS, true),
+        send_request(400 * MS, true),
         (0, true),
         "600 ms after the first request the objective of 300 ms is over"
     );
@@ -124,17 +125,17 @@
 
 #[test]
 fn a_queued_request_has_one_timer_however_often_it_is_dispatched() {
-    let mut bench = Bench::without_reports(settings(), 3);
-    let held: Vec<RequestId> = (0..8).map(|_| bench.request(WRITE).0).collect();
+    let mut harness = Harness::without_reports(settings(), 3);
+    let queued: Vec<RequestId> = (0..8).map(|_| harness.request(WRITE).0).collect();
     // Reports of a server that does not help dispatch them again and again.
     for _ in 0..200 {
-        bench.wait(MS / 2);
-        bench.report(2, false, Duration::ZERO);
+        harness.advance(MS / 2);
+        harness.report(2, false, Duration::ZERO);
     }
     // From now on timers alone, each when it is due: all are rechecked within a tenth of the tightest objective (30 ms).
-    let (end, mut timers) = (bench.now.plus(200 * MS), 0);
-    let mut actions = bench.report(2, false, Duration::ZERO);
-    actions.extend(bench.event(Event::Timer(TimerToken(0))));
+    let (end, mut timers) = (harness.now.plus(200 * MS), 0);
+    let mut actions = harness.report(2, false, Duration::ZERO);
+    actions.extend(harness.event(Event::Timer(TimerToken(0))));
     loop {
         let after = actions.iter().filter_map(|a| {
             if let Action::Timer { after, .. } = a {
@@ -143,16 +144,16 @@
                 None
             }
         });
-        let Some(after) = after.min().filter(|after| bench.now.plus(*after) < end) else {
+        let Some(after) = after.min().filter(|after| harness.now.plus(*after) < end) else {
             break;
         };
-        bench.wait(after);
-        actions = bench.event(Event::Timer(TimerToken(0)));
+        harness.advance(after);
+        actions = harness.event(Event::Timer(TimerToken(0)));
         timers += 1;
     }
     assert!(
         (1..=20).contains(&timers),
         "{timers} timers for {} queued requests",
-        held.len()
+        queued.len()
     );
 }
--- a/crates/routing/tests/freshness.rs
+++ b/crates/routing/tests/freshness.rs
@@ -7,16 +7,16 @@
 
 #[test]
 fn no_stale_read_where_servers_do_not_check() {
-    let mut bench = Bench::new(settings(), 2);
-    bench.pass(50);
-    bench.report(1, false, Duration::ZERO);
-    bench.pass(600);
+    let mut harness = Harness::new(settings(), 2);
+    harness.run_for(50);
+    harness.report(1, false, Duration::ZERO);
+    harness.run_for(600);
     // Both positions are over the bound now and no member is known to be primary.
-    let (id, actions) = bench.request(BOUNDED);
-    assert!(sends(&actions).is_empty());
-    let actions = bench.report(2, false, 300 * MS);
+    let (id, actions) = harness.request(BOUNDED);
+    assert!(sent_servers(&actions).is_empty());
+    let actions = harness.report(2, false, 300 * MS);
     assert_eq!(
-        sends(&actions),
+        sent_servers(&actions),
         [2],
         "a position that shows catch-up releases {id:?}"
     );
@@ -24,22 +24,22 @@
 
 #[test]
 fn a_session_reads_what_it_wrote_through_this_router() {
-    let mut bench = Bench::new(settings(), 2);
-    let (write, _) = bench.request(WRITE);
-    bench.wait(20 * MS);
+    let mut harness = Harness::new(settings(), 2);
+    let (write, _) = harness.request(WRITE);
+    harness.advance(20 * MS);
     let commit = ResponseMetadata {
         primary: Some(true),
-        position: Some(bench.now.minus(MS)),
+        position: Some(harness.now.minus(MS)),
     };
-    bench.end_with(write, 0, 1, Outcome::Ok, commit);
-    let (_, actions) = bench.request(SESSION);
+    harness.end_attempt_with(write, 0, 1, Outcome::Ok, commit);
+    let (_, actions) = harness.request(SESSION);
     assert!(
-        !sends(&actions).contains(&2),
+        !sent_servers(&actions).contains(&2),
         "the replica is not known to have the write"
     );
-    let mut later = Bench::new(settings(), 2);
+    let mut later = Harness::new(settings(), 2);
     assert_eq!(
-        sends(&later.request(SESSION).1).len(),
+        sent_servers(&later.request(SESSION).1).len(),
         1,
         "a session without a write may go anywhere"
     );
@@ -47,20 +47,20 @@
 
 #[test]
 fn rejections_take_back_the_guess_that_a_replica_has_caught_up() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
             ..settings()
         },
         2,
     );
-    bench.pass(600);
-    bench.report(1, true, Duration::ZERO);
-    bench.report(2, false, 450 * MS);
-    bench.pass(100);
-    let (id, actions) = bench.request(BOUNDED);
+    harness.run_for(600);
+    harness.report(1, true, Duration::ZERO);
+    harness.report(2, false, 450 * MS);
+    harness.run_for(100);
+    let (id, actions) = harness.request(BOUNDED);
     assert_eq!(
-        sends(&actions),
+        sent_servers(&actions),
         [2],
         "550 ms since the position, so 450 ms behind by the guess"
     );
@@ -68,15 +68,15 @@
         primary: Some(false),
         position: None,
     };
-    let actions = bench.end_with(id, 0, 2, Outcome::Misdirected, metadata);
+    let actions = harness.end_attempt_with(id, 0, 2, Outcome::Misdirected, metadata);
     assert_eq!(
-        sends(&actions),
+        sent_servers(&actions),
         [1],
         "no replica meets the need: the primary"
     );
-    let (_, actions) = bench.request(BOUNDED);
+    let (_, actions) = harness.request(BOUNDED);
     assert!(
-        !sends(&actions).contains(&2),
+        !sent_servers(&actions).contains(&2),
         "not guessed again before it reports: {actions:?}"
     );
 }
@@ -85,7 +85,7 @@
 fn reports_older_than_the_bound_do_not_push_bounded_reads_onto_the_primary() {
     // Seen on recorded day i10d23f: reports were always older than the bound, no replica ever seemed fresh enough, and all
     // bounded reads went to the primaries.
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
             ..settings()
@@ -93,67 +93,71 @@
         3,
     );
     for _ in 0..60 {
-        bench.pass(50);
+        harness.run_for(50);
         for server in 1..=3 {
-            bench.report(server, server == 1, 600 * MS);
+            harness.report(server, server == 1, 600 * MS);
         }
     }
-    let (_, actions) = bench.request(BOUNDED);
-    assert!(matches!(sends(&actions)[..], [2 | 3]), "{actions:?}");
+    let (_, actions) = harness.request(BOUNDED);
+    assert!(matches!(sent_servers(&actions)[..], [2 | 3]), "{actions:?}");
 }
 
 /// A replica that does not check staleness answers from what it has. A dial may delay the read, so the host is told until
 /// when it may begin.
 #[test]
 fn a_bounded_read_has_to_begin_while_its_replica_is_fresh() {
-    let mut bench = Bench::new(settings(), 2);
-    bench.pass(50);
-    bench.report(2, false, Duration::ZERO);
-    bench.pass(200);
-    let (_, actions) = bench.request(BOUNDED);
-    assert_eq!(sends(&actions), [2]);
-    assert_eq!(begins_within(&actions), 300 * MS, "of a bound of 500 ms");
-    let mut checked = Bench::new(
+    let mut harness = Harness::new(settings(), 2);
+    harness.run_for(50);
+    harness.report(2, false, Duration::ZERO);
+    harness.run_for(200);
+    let (_, actions) = harness.request(BOUNDED);
+    assert_eq!(sent_servers(&actions), [2]);
+    assert_eq!(
+        first_begin_within(&actions),
+        300 * MS,
+        "of a bound of 500 ms"
+    );
+    let mut checked = Harness::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
             ..settings()
         },
         2,
     );
-    checked.pass(50);
+    checked.run_for(50);
     checked.report(2, false, Duration::ZERO);
-    checked.pass(200);
+    checked.run_for(200);
     let (_, actions) = checked.request(BOUNDED);
     assert!(
-        begins_within(&actions) > 500 * MS,
+        first_begin_within(&actions) > 500 * MS,
         "the replica rejects it by itself: {actions:?}"
     );
 }
 
 #[test]
 fn a_carried_age_is_what_a_session_read_must_see() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             clients_carry_session_position: true,
             ..settings()
         },
         2,
     );
-    bench.pass(100);
-    let mut ask = |wrote_ago| {
+    harness.run_for(100);
+    let mut send_read = |last_write_age| {
         let arrival = Arrival {
-            session_position: Some(SessionPosition::Ago(wrote_ago)),
-            ..bench.arrival(SESSION)
+            session_position: Some(SessionPosition::Ago(last_write_age)),
+            ..harness.arrival(SESSION)
         };
-        sends(&bench.event(Event::RequestArrived(arrival)))
+        sent_servers(&harness.event(Event::RequestArrived(arrival)))
     };
     assert_ne!(
-        ask(50 * MS),
+        send_read(50 * MS),
         [2],
         "the replica was last known at 100 ms ago"
     );
     assert_eq!(
-        ask(150 * MS),
+        send_read(150 * MS),
         [2],
         "a write before that is there; the primary is busy"
     );
@@ -162,32 +166,32 @@
 #[test]
 fn a_carried_position_counts_however_the_routers_clock_is_set() {
     // Positions come from another clock, which is five seconds ahead of the router's.
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             clients_carry_session_position: true,
             ..settings()
         },
         2,
     );
-    bench.pass(100);
-    let there = bench.now.plus(5_000 * MS);
+    harness.run_for(100);
+    let replica_position = harness.now.plus(5_000 * MS);
     let report = LoadReport {
-        position: Some(there),
+        position: Some(replica_position),
         ..LoadReport::default()
     };
-    bench.event(Event::ProbeEnded {
+    harness.event(Event::ProbeEnded {
         server: ServerId(2),
         ok: true,
         elapsed: MS,
         report,
     });
-    let mut ask = |position| {
+    let mut send_read = |position| {
         let arrival = Arrival {
             session_position: Some(SessionPosition::At(position)),
-            ..bench.arrival(SESSION)
+            ..harness.arrival(SESSION)
         };
-        sends(&bench.event(Event::RequestArrived(arrival)))
+        sent_servers(&harness.event(Event::RequestArrived(arrival)))
     };
-    assert_eq!(ask(there.plus(MS)), [1], "not there yet");
-    assert_eq!(ask(there), [2], "the primary is busy");
+    assert_eq!(send_read(replica_position.plus(MS)), [1], "not there yet");
+    assert_eq!(send_read(replica_position), [2], "the primary is busy");
 }
--- a/crates/routing/tests/probing.rs
+++ b/crates/routing/tests/probing.rs
@@ -7,36 +7,36 @@
 
 #[test]
 fn no_probe_where_probing_is_not_allowed() {
-    let mut bench = Bench::without_reports(
+    let mut harness = Harness::without_reports(
         Settings {
             may_probe: false,
             ..settings()
         },
         3,
     );
-    let actions = bench.pass(2_000);
+    let actions = harness.run_for(2_000);
     assert!(!actions.iter().any(|a| matches!(a, Action::Probe { .. })));
 }
 
 #[test]
 fn servers_that_always_lag_do_not_take_all_probes() {
     // Seen on recorded day i2d132c: probes went out in a fixed order, and whole groups were not probed for half a minute.
-    let mut bench = Bench::new(settings(), 3);
-    bench.list(vec![Endpoint {
+    let mut harness = Harness::new(settings(), 3);
+    harness.update_endpoints(vec![Endpoint {
         group: GroupId(1),
         ..endpoint(9, EndpointState::Ready)
     }]);
     let mut probes = [0; 10];
     for _ in 0..200 {
-        bench.request(EVENTUAL);
-        for action in bench.pass(100) {
+        harness.request(EVENTUAL);
+        for action in harness.run_for(100) {
             if let Action::Probe {
                 server: ServerId(server),
             } = action
             {
                 probes[server as usize] += 1;
                 // All lag by more than the bound, so that each always deserves a probe.
-                bench.report(server, server == 1 || server == 9, 2_000 * MS);
+                harness.report(server, server == 1 || server == 9, 2_000 * MS);
             }
         }
     }
@@ -47,96 +47,102 @@
     );
 }
 
-fn probed(actions: &[Action]) -> Vec<u32> {
-    let of = |a: &Action| {
+fn probe_targets(actions: &[Action]) -> Vec<u32> {
+    let target = |a: &Action| {
         if let Action::Probe { server } = a {
             Some(server.0)
         } else {
             None
         }
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(target).collect()
 }
 
 #[test]
 fn a_read_probes_one_replica_for_its_position_and_does_not_crowd_the_primary() {
     // Seen on grown tracking days: with old positions all reads of hundreds of routers went to the primaries.
-    let mut bench = Bench::new(settings(), 3);
-    bench.pass(2_000);
-    bench.report(1, true, Duration::ZERO);
-    let (_, actions) = bench.request(BOUNDED);
-    assert!(sends(&actions).is_empty(), "{actions:?}");
-    let asked = probed(&actions);
-    assert_eq!(asked.len(), 1, "one is probed, not the fleet: {actions:?}");
-    assert!(asked[0] != 1);
-    bench.wait(5 * MS);
-    assert_eq!(sends(&bench.report(asked[0], false, 100 * MS)), asked);
+    let mut harness = Harness::new(settings(), 3);
+    harness.run_for(2_000);
+    harness.report(1, true, Duration::ZERO);
+    let (_, actions) = harness.request(BOUNDED);
+    assert!(sent_servers(&actions).is_empty(), "{actions:?}");
+    let probed = probe_targets(&actions);
+    assert_eq!(probed.len(), 1, "one is probed, not the fleet: {actions:?}");
+    assert!(probed[0] != 1);
+    harness.advance(5 * MS);
+    assert_eq!(
+        sent_servers(&harness.report(probed[0], false, 100 * MS)),
+        probed
+    );
     assert!(
-        probed(&bench.pass(5_000)).is_empty(),
+        probe_targets(&harness.run_for(5_000)).is_empty(),
         "without requests nothing is probed"
     );
 }
 
 #[test]
 fn a_replica_that_reports_a_lag_is_left_for_the_next_and_then_for_the_primary() {
-    let mut bench = Bench::new(settings(), 3);
-    bench.pass(2_000);
-    bench.report(1, true, Duration::ZERO);
-    let (_, mut actions) = bench.request(BOUNDED);
+    let mut harness = Harness::new(settings(), 3);
+    harness.run_for(2_000);
+    harness.report(1, true, Duration::ZERO);
+    let (_, mut actions) = harness.request(BOUNDED);
     for _ in 0..2 {
-        let asked = probed(&actions);
-        assert_eq!(asked.len(), 1, "{actions:?}");
-        bench.wait(5 * MS);
-        actions = bench.report(asked[0], false, 1_900 * MS);
+        let probed = probe_targets(&actions);
+        assert_eq!(probed.len(), 1, "{actions:?}");
+        harness.advance(5 * MS);
+        actions = harness.report(probed[0], false, 1_900 * MS);
     }
-    assert_eq!(sends(&actions), [1]);
+    assert_eq!(sent_servers(&actions), [1]);
 }
 
 #[test]
 fn removed_members_are_probed_where_only_draining_binds() {
     // Seen on days with a wrong list: the members' positions went stale, and all reads crowded the primaries.
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             soft_removal: true,
             ..settings()
         },
         3,
     );
-    bench.list(
+    harness.update_endpoints(
         (1..=3)
             .map(|s| endpoint(s, EndpointState::Removed))
             .collect(),
     );
-    bench.pass(2_000);
-    bench.report(1, true, Duration::ZERO);
-    let asked = probed(&bench.request(BOUNDED).1);
-    assert!(matches!(asked[..], [2 | 3]));
-    assert_eq!(sends(&bench.report(asked[0], false, Duration::ZERO)), asked);
+    harness.run_for(2_000);
+    harness.report(1, true, Duration::ZERO);
+    let probed = probe_targets(&harness.request(BOUNDED).1);
+    assert!(matches!(probed[..], [2 | 3]));
+    assert_eq!(
+        sent_servers(&harness.report(probed[0], false, Duration::ZERO)),
+        probed
+    );
 }
 
 #[test]
 fn a_primary_that_cannot_be_reached_does_not_set_off_a_flood_of_probes() {
     // Seen on grown slots days with scarce connections: 4.7 probes for each request.
-    let mut bench = Bench::new(settings(), 4);
-    bench.pass(1_000);
-    let (id, actions) = bench.request(WRITE);
-    assert_eq!(sends(&actions), [1]);
-    let (mut asked, mut attempts) = (0, 0);
-    let mut actions = bench.end(id, 0, 1, Outcome::ConnectFailed);
+    let mut harness = Harness::new(settings(), 4);
+    harness.run_for(1_000);
+    let (id, actions) = harness.request(WRITE);
+    assert_eq!(sent_servers(&actions), [1]);
+    let (mut probed, mut attempts) = (0, 0);
+    let mut actions = harness.end_attempt(id, 0, 1, Outcome::ConnectFailed);
     for _ in 0..80 {
-        for server in probed(&actions) {
-            asked += 1;
-            bench.report(server, server == 1, Duration::ZERO);
+        for server in probe_targets(&actions) {
+            probed += 1;
+            harness.report(server, server == 1, Duration::ZERO);
         }
-        if !sends(&actions).is_empty() {
+        if !sent_servers(&actions).is_empty() {
             attempts += 1;
-            actions = bench.end(id, attempts, 1, Outcome::ConnectFailed);
+            actions = harness.end_attempt(id, attempts, 1, Outcome::ConnectFailed);
         } else {
-            actions = bench.pass(5);
+            actions = harness.run_for(5);
         }
     }
     assert!(
-        asked < 4,
-        "{asked} probes in 0.4 s, {attempts} more attempts"
+        probed < 4,
+        "{probed} probes in 0.4 s, {attempts} more attempts"
     );
 }
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-struct Dice(u64);
+struct XorShift(u64);
 
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+impl XorShift {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % sides
+        self.0 % limit
     }
 }
 
@@ -29,8 +29,8 @@
     answered: bool,
 }
 
-struct World {
-    set: Settings,
+struct RuleChecker {
+    settings: Settings,
     requests: BTreeMap<RequestId, Tracked>,
     draining: BTreeMap<u32, Time>,
     position: BTreeMap<u32, Time>,
@@ -40,7 +40,7 @@
     log: Vec<Action>,
 }
 
-impl World {
+impl RuleChecker {
     fn check(&mut self, now: Time, actions: &[Action]) {
         self.log.extend_from_slice(actions);
         for action in actions {
@@ -52,43 +52,43 @@
                     begin_within,
                 } => {
                     self.sends += 1;
-                    let r = self
+                    let request = self
                         .requests
                         .get_mut(&id)
                         .expect("a send for a request that is open");
-                    let class = &self.set.classes[usize::from(r.class)];
-                    assert!(!r.answered, "a send after the final answer");
+                    let class = &self.settings.classes[usize::from(request.class)];
+                    assert!(!request.answered, "a send after the final answer");
                     assert!(
-                        now.plus(timeout) <= r.deadline,
+                        now.plus(timeout) <= request.deadline,
                         "a time-out beyond the deadline"
                     );
                     assert!(
-                        now.plus(begin_within) <= r.deadline,
+                        now.plus(begin_within) <= request.deadline,
                         "a begin beyond the deadline"
                     );
                     assert!(
                         !self.draining.contains_key(&server.0),
                         "a send to a draining server"
                     );
-                    assert!(r.sent.len() < usize::from(self.set.attempt_limit));
+                    assert!(request.sent.len() < usize::from(self.settings.attempt_limit));
                     assert!(
-                        self.set.may_hedge || r.in_flight.is_empty(),
+                        self.settings.may_hedge || request.in_flight.is_empty(),
                         "two attempts at once"
                     );
                     match class.idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => {
                             assert!(
-                                r.earliest_effect.is_none() && r.in_flight.is_empty(),
+                                request.earliest_effect.is_none() && request.in_flight.is_empty(),
                                 "non-idempotent twice"
                             );
                         }
                         Idempotency::Keyed { window, .. } => {
-                            let since = r
+                            let since = request
                                 .in_flight
                                 .iter()
-                                .map(|&n| r.sent[usize::from(n)].0)
-                                .chain(r.earliest_effect)
+                                .map(|&n| request.sent[usize::from(n)].0)
+                                .chain(request.earliest_effect)
                                 .min();
                             let arrives = now.plus(begin_within);
                             assert!(
@@ -99,52 +99,59 @@
                     }
                     let need = match class.consistency {
                         Consistency::BoundedStaleness(bound) => now.minus(bound),
-                        Consistency::ReadYourWrites => r.session_position,
-                        Consistency::Strong => r.arrived,
+                        Consistency::ReadYourWrites => request.session_position,
+                        Consistency::Strong => request.arrived,
                         Consistency::Write | Consistency::Eventual => Time::ZERO,
                     };
-                    let told = self.position.get(&server.0).copied().unwrap_or_default();
-                    let excused = self.ever_primary.get(&server.0) == Some(&true);
+                    let reported = self.position.get(&server.0).copied().unwrap_or_default();
+                    let was_primary = self.ever_primary.get(&server.0) == Some(&true);
                     assert!(
-                        told >= need || excused || self.set.staleness_check != StalenessCheck::None,
+                        reported >= need
+                            || was_primary
+                            || self.settings.staleness_check != StalenessCheck::None,
                         "a stale read"
                     );
-                    r.in_flight.push(r.sent.len() as u16);
-                    r.sent.push((now, server.0));
+                    request.in_flight.push(request.sent.len() as u16);
+                    request.sent.push((now, server.0));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.answers += 1;
-                    let r = self
+                    let request = self
                         .requests
                         .get_mut(&id)
                         .expect("an answer for a request that is open");
                     assert!(
-                        !std::mem::replace(&mut r.answered, true),
+                        !std::mem::replace(&mut request.answered, true),
                         "two final answers"
                     );
                     assert!(
-                        now <= r.deadline.plus(5 * MS),
+                        now <= request.deadline.plus(5 * MS),
                         "an answer after the deadline"
                     );
-                    let refused = matches!(action, Action::Reject { .. });
-                    let safe = self.set.classes[usize::from(r.class)].idempotency
+                    let is_rejection = matches!(action, Action::Reject { .. });
+                    let is_idempotent = self.settings.classes[usize::from(request.class)]
+                        .idempotency
                         == Idempotency::Idempotent;
-                    let clean = r.in_flight.is_empty() && r.earliest_effect.is_none();
-                    assert!(!refused || safe || clean, "a refusal of what may have run");
+                    let has_not_run =
+                        request.in_flight.is_empty() && request.earliest_effect.is_none();
+                    assert!(
+                        !is_rejection || is_idempotent || has_not_run,
+                        "a refusal of what may have run"
+                    );
                 }
-                Action::Cancel { .. } => assert!(self.set.may_cancel),
-                Action::Probe { server } => assert!(server.0 <= 6 && self.set.may_probe),
+                Action::Cancel { .. } => assert!(self.settings.may_cancel),
+                Action::Probe { server } => assert!(server.0 <= 6 && self.settings.may_probe),
                 Action::Timer { .. } | Action::PollEndpoints => {}
             }
         }
     }
 }
 
-fn play(seed: u64, set: Settings) -> World {
-    let mut dice = Dice(seed);
-    let mut bench = Bench::without_reports(set.clone(), 6);
-    let mut world = World {
-        set,
+fn run_random_events(seed: u64, settings: Settings) -> RuleChecker {
+    let mut random = XorShift(seed);
+    let mut harness = Harness::without_reports(settings.clone(), 6);
+    let mut checker = RuleChecker {
+        settings,
         requests: BTreeMap::new(),
         draining: BTreeMap::new(),
         position: BTreeMap::new(),
@@ -155,12 +162,12 @@
     };
     let mut commits = Time::ZERO;
     for _ in 0..2_000 {
-        bench.wait(5 * MS);
-        let now = bench.now;
-        let actions = match dice.roll(10) {
+        harness.advance(5 * MS);
+        let now = harness.now;
+        let actions = match random.below(10) {
             0..=3 => {
-                let class = dice.roll(6) as u16;
-                let arrival = bench.arrival(class);
+                let class = random.below(6) as u16;
+                let arrival = harness.arrival(class);
                 let tracked = Tracked {
                     class,
                     deadline: now.plus(arrival.time_left),
@@ -171,11 +178,11 @@
                     earliest_effect: None,
                     answered: false,
                 };
-                world.requests.insert(arrival.id, tracked);
-                bench.event(Event::RequestArrived(arrival))
+                checker.requests.insert(arrival.id, tracked);
+                harness.event(Event::RequestArrived(arrival))
             }
             4..=6 => {
-                let open = world
+                let open = checker
                     .requests
                     .iter()
                     .filter(|(_, r)| !r.in_flight.is_empty());
@@ -183,9 +190,10 @@
                 if open.is_empty() {
                     continue;
                 }
-                let id = &open[dice.roll(open.len() as u64) as usize];
-                let tracked = &world.requests[id];
-                let attempt = tracked.in_flight[dice.roll(tracked.in_flight.len() as u64) as usize];
+                let id = &open[random.below(open.len() as u64) as usize];
+                let tracked = &checker.requests[id];
+                let attempt =
+                    tracked.in_flight[random.below(tracked.in_flight.len() as u64) as usize];
                 let (sent, server) = tracked.sent[usize::from(attempt)];
                 let outcomes = [
                     Outcome::Ok,
@@ -198,28 +206,30 @@
                     Outcome::Reset,
                     Outcome::Misdirected,
                 ];
-                let outcome = outcomes[dice.roll(outcomes.len() as u64) as usize];
+                let outcome = outcomes[random.below(outcomes.len() as u64) as usize];
                 let never_ran = matches!(
                     outcome,
                     Outcome::Rejected | Outcome::ConnectFailed | Outcome::Misdirected
                 );
-                let r = world.requests.get_mut(id).expect("it is open");
-                r.in_flight.retain(|&n| n != attempt);
+                let request = checker.requests.get_mut(id).expect("it is open");
+                request.in_flight.retain(|&n| n != attempt);
                 if !never_ran {
-                    r.earliest_effect = Some(r.earliest_effect.map_or(sent, |m| m.min(sent)));
+                    request.earliest_effect =
+                        Some(request.earliest_effect.map_or(sent, |m| m.min(sent)));
                 }
-                let last = r.answered || outcome == Outcome::Ok;
-                r.answered = last;
+                let last = request.answered || outcome == Outcome::Ok;
+                request.answered = last;
                 let mut metadata = ResponseMetadata::default();
                 if matches!(
                     outcome,
                     Outcome::Ok | Outcome::Rejected | Outcome::Misdirected | Outcome::Failed
                 ) {
-                    let primary = outcome != Outcome::Misdirected && dice.roll(3) == 0;
+                    let primary = outcome != Outcome::Misdirected && random.below(3) == 0;
                     metadata.primary = Some(primary);
-                    world.ever_primary.insert(server, primary);
+                    checker.ever_primary.insert(server, primary);
                     if outcome == Outcome::Ok
-                        && world.set.classes[usize::from(r.class)].consistency == Consistency::Write
+                        && checker.settings.classes[usize::from(request.class)].consistency
+                            == Consistency::Write
                     {
                         metadata.position = Some(now.minus(MS));
                         commits = commits.max(now.minus(MS));
@@ -227,7 +237,7 @@
                 }
                 let (server, attempt, elapsed) =
                     (ServerId(server), AttemptNumber(attempt), now.since(sent));
-                bench.event(Event::AttemptEnded(AttemptEnded {
+                harness.event(Event::AttemptEnded(AttemptEnded {
                     id: *id,
                     attempt,
                     server,
@@ -238,65 +248,69 @@
                 }))
             }
             7 | 8 => {
-                let server = 1 + dice.roll(6) as u32;
-                let primary = dice.roll(4) == 0;
-                let position = now.minus(dice.roll(900) as u32 * MS);
-                let told = world.position.entry(server).or_default();
-                *told = (*told).max(position);
+                let server = 1 + random.below(6) as u32;
+                let primary = random.below(4) == 0;
+                let position = now.minus(random.below(900) as u32 * MS);
+                let reported = checker.position.entry(server).or_default();
+                *reported = (*reported).max(position);
                 if primary {
-                    world.ever_primary.insert(server, true);
+                    checker.ever_primary.insert(server, true);
                 }
-                bench.report(server, primary, now.since(position))
+                harness.report(server, primary, now.since(position))
             }
             _ => {
-                let server = 1 + dice.roll(6) as u32;
-                let listed = [
+                let server = 1 + random.below(6) as u32;
+                let state = [
                     EndpointState::Ready,
                     EndpointState::Ready,
                     EndpointState::Draining,
                     EndpointState::Removed,
-                ][dice.roll(4) as usize];
-                match listed {
-                    EndpointState::Ready => _ = world.draining.remove(&server),
-                    _ => _ = world.draining.entry(server).or_insert(now),
+                ][random.below(4) as usize];
+                match state {
+                    EndpointState::Ready => _ = checker.draining.remove(&server),
+                    _ => _ = checker.draining.entry(server).or_insert(now),
                 }
-                let started = if dice.roll(3) == 0 { now } else { Time::ZERO };
-                bench.list(vec![Endpoint {
+                let started = if random.below(3) == 0 {
+                    now
+                } else {
+                    Time::ZERO
+                };
+                harness.update_endpoints(vec![Endpoint {
                     started,
-                    ..endpoint(server, listed)
+                    ..endpoint(server, state)
                 }])
             }
         };
-        world.check(now, &actions);
-        let timers = bench.event(Event::Timer(TimerToken(0)));
-        world.check(now, &timers);
+        checker.check(now, &actions);
+        let timers = harness.event(Event::Timer(TimerToken(0)));
+        checker.check(now, &timers);
     }
     for _ in 0..250 {
-        bench.wait(5 * MS);
-        let actions = bench.event(Event::Timer(TimerToken(0)));
-        world.check(bench.now, &actions);
+        harness.advance(5 * MS);
+        let actions = harness.event(Event::Timer(TimerToken(0)));
+        checker.check(harness.now, &actions);
     }
     assert!(
-        world.requests.values().all(|r| r.answered),
+        checker.requests.values().all(|r| r.answered),
         "every request has its final answer"
     );
-    world
+    checker
 }
 
 #[test]
 fn the_rules_hold_whatever_comes() {
     for seed in 1..=12 {
-        let checks = [
+        let staleness_check = [
             StalenessCheck::None,
             StalenessCheck::Reject,
             StalenessCheck::Wait(100 * MS),
         ][seed as usize % 3];
         let set = Settings {
-            staleness_check: checks,
+            staleness_check,
             may_hedge: seed % 2 == 0,
             ..settings()
         };
-        let World { sends, answers, .. } = play(seed * 7919, set);
+        let RuleChecker { sends, answers, .. } = run_random_events(seed * 7919, set);
         assert!(
             sends > 50 && answers > 100,
             "the play reaches both: {sends} sends, {answers} answers"
@@ -306,7 +320,10 @@
 
 #[test]
 fn the_same_events_make_the_same_actions() {
-    assert_eq!(play(5, settings()).log, play(5, settings()).log);
+    assert_eq!(
+        run_random_events(5, settings()).log,
+        run_random_events(5, settings()).log
+    );
 }
 
 /// A hundred routers with little traffic and a few with much share six members of a group, one of them
@@ -321,43 +338,46 @@
             router_count: ROUTERS as u32,
             ..settings()
         };
-        let mut dice = Dice(seed * 104_729);
-        let mut routers: Vec<Bench> = (0..ROUTERS)
-            .map(|r| Bench::seeded(set.clone(), 6, seed << 32 | r))
+        let mut random = XorShift(seed * 104_729);
+        let mut routers: Vec<Harness> = (0..ROUTERS)
+            .map(|r| Harness::with_seed(set.clone(), 6, seed << 32 | r))
             .collect();
-        for bench in &mut routers {
-            bench.list(vec![Endpoint {
-                started: BEGIN,
+        for harness in &mut routers {
+            harness.update_endpoints(vec![Endpoint {
+                started: START,
                 ..endpoint(6, EndpointState::Ready)
             }]);
-            (1..=6).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
+            (1..=6).for_each(|s| _ = harness.report(s, s == 1, Duration::ZERO));
         }
         let mut pending: BTreeMap<Time, Vec<(usize, RequestId, u16, u32)>> = BTreeMap::new();
         let mut attempts: BTreeMap<(usize, RequestId), u16> = BTreeMap::new();
         let mut to_starting: Vec<u32> = vec![];
         let mut served = 0;
         for step in 0..6_000u32 {
-            let now = BEGIN.plus(step * MS);
+            let now = START.plus(step * MS);
             let mut actions: Vec<(usize, Vec<Action>)> = vec![];
             if step == 2_000 {
-                for (r, bench) in routers.iter_mut().enumerate() {
-                    bench.now = now;
-                    actions.push((r, bench.list(vec![endpoint(2, EndpointState::Draining)])));
+                for (r, harness) in routers.iter_mut().enumerate() {
+                    harness.now = now;
+                    actions.push((
+                        r,
+                        harness.update_endpoints(vec![endpoint(2, EndpointState::Draining)]),
+                    ));
                 }
             }
             for (r, id, attempt, server) in pending.remove(&now).unwrap_or_default() {
                 routers[r].now = now;
                 served += 1;
-                actions.push((r, routers[r].end(id, attempt, server, Outcome::Ok)));
+                actions.push((r, routers[r].end_attempt(id, attempt, server, Outcome::Ok)));
             }
-            if dice.roll(1_000) < 6 * EACH {
-                let r = if dice.roll(2) == 0 {
-                    dice.roll(3)
+            if random.below(1_000) < 6 * EACH {
+                let r = if random.below(2) == 0 {
+                    random.below(3)
                 } else {
-                    dice.roll(ROUTERS)
+                    random.below(ROUTERS)
                 } as usize;
                 routers[r].now = now;
-                let class = [EVENTUAL, BOUNDED, EVENTUAL, SESSION][dice.roll(4) as usize];
+                let class = [EVENTUAL, BOUNDED, EVENTUAL, SESSION][random.below(4) as usize];
                 actions.push((r, routers[r].request(class).1));
             }
             while let Some((r, list)) = actions.pop() {
@@ -372,7 +392,7 @@
                                 to_starting.push(step);
                             }
                             let no = attempts.entry((r, id)).or_default();
-                            let due = now.plus((10 + dice.roll(30) as u32) * MS);
+                            let due = now.plus((10 + random.below(30) as u32) * MS);
                             pending.entry(due).or_default().push((r, id, *no, server.0));
                             *no += 1;
                         }
--- a/crates/routing/tests/selection.rs
+++ b/crates/routing/tests/selection.rs
@@ -6,16 +6,16 @@
 
 #[test]
 fn a_bounded_read_goes_to_a_fresh_replica_not_to_the_primary() {
-    let mut bench = Bench::new(settings(), 3);
-    let (_, actions) = bench.request(BOUNDED);
-    assert!(matches!(sends(&actions)[..], [2 | 3]), "{actions:?}");
+    let mut harness = Harness::new(settings(), 3);
+    let (_, actions) = harness.request(BOUNDED);
+    assert!(matches!(sent_servers(&actions)[..], [2 | 3]), "{actions:?}");
 }
 
 #[test]
 fn replicas_without_reports_are_tried_in_turn_by_eventual_reads() {
-    let mut bench = Bench::without_reports(settings(), 3);
+    let mut harness = Harness::without_reports(settings(), 3);
     let mut tried: Vec<u32> = (0..3)
-        .flat_map(|_| sends(&bench.request(EVENTUAL).1))
+        .flat_map(|_| sent_servers(&harness.request(EVENTUAL).1))
         .collect();
     tried.sort();
     assert_eq!(tried, [1, 2, 3]);
@@ -26,11 +26,11 @@
     // Failure of big days: all routers took the first id among equals.
     let mut sent = [0; 5];
     for seed in 0..100 {
-        let mut bench = Bench::seeded(settings(), 4, seed);
+        let mut harness = Harness::with_seed(settings(), 4, seed);
         for server in 1..=4 {
-            bench.report(server, server == 1, Duration::ZERO);
+            harness.report(server, server == 1, Duration::ZERO);
         }
-        sends(&bench.request(BOUNDED).1)
+        sent_servers(&harness.request(BOUNDED).1)
             .iter()
             .for_each(|&s| sent[s as usize] += 1);
     }
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -7,25 +7,25 @@
 
 #[test]
 fn a_server_that_warms_up_gets_a_part_of_what_warm_members_answer() {
-    let mut bench = Bench::new(settings(), 3);
+    let mut harness = Harness::new(settings(), 3);
     let cold = Endpoint {
-        started: bench.now,
+        started: harness.now,
         ..endpoint(4, EndpointState::Ready)
     };
-    bench.list(vec![cold]);
+    harness.update_endpoints(vec![cold]);
     let mut sent = [0; 5];
     for _ in 0..400 {
-        bench.wait(2 * MS);
-        if bench.now.0.as_millis().is_multiple_of(50) {
+        harness.advance(2 * MS);
+        if harness.now.0.as_millis().is_multiple_of(50) {
             for server in 1..=4 {
-                bench.report(server, server == 1, Duration::ZERO);
+                harness.report(server, server == 1, Duration::ZERO);
             }
         }
-        let asked: Vec<_> = (0..3).map(|_| bench.request(EVENTUAL)).collect();
-        for (id, actions) in asked {
-            for server in sends(&actions) {
+        let requests: Vec<_> = (0..3).map(|_| harness.request(EVENTUAL)).collect();
+        for (id, actions) in requests {
+            for server in sent_servers(&actions) {
                 sent[server as usize] += 1;
-                bench.end(id, 0, server, Outcome::Ok);
+                harness.end_attempt(id, 0, server, Outcome::Ok);
             }
         }
     }
@@ -34,25 +34,25 @@
 }
 
 /// What a hundred routers send a starting member when each of them gets one request, and looks again.
-fn sent_by_many_to_a_starting_member(class: u16, primary: bool) -> usize {
+fn total_sent_to_starting_member(class: u16, primary: bool) -> usize {
     let mut total = 0;
     for seed in 0..100 {
-        let mut bench = Bench::of_fleet(100, 4, seed);
+        let mut harness = Harness::in_fleet(100, 4, seed);
         for server in 1..=4 {
-            bench.report(server, server == 1, Duration::ZERO);
+            harness.report(server, server == 1, Duration::ZERO);
         }
         let id = if primary { 1 } else { 4 };
-        bench.list(vec![Endpoint {
-            started: bench.now,
+        harness.update_endpoints(vec![Endpoint {
+            started: harness.now,
             ..endpoint(id, EndpointState::Ready)
         }]);
-        bench.wait(MS);
+        harness.advance(MS);
         for server in 1..=4 {
-            bench.report(server, server == 1, Duration::ZERO);
+            harness.report(server, server == 1, Duration::ZERO);
         }
-        let (_, mut actions) = bench.request(class);
-        actions.extend(bench.pass(200));
-        total += sends(&actions).iter().filter(|&&s| s == id).count();
+        let (_, mut actions) = harness.request(class);
+        actions.extend(harness.run_for(200));
+        total += sent_servers(&actions).iter().filter(|&&s| s == id).count();
     }
     total
 }
@@ -60,19 +60,19 @@
 #[test]
 fn many_routers_with_little_traffic_do_not_overload_a_starting_server() {
     // Seen on a day drawn to test rules: each router let one attempt through, together 6.3 times what the server could do.
-    let bears = 3.0 * 0.25 * 100.0;
-    let writes = sent_by_many_to_a_starting_member(WRITE, true) as f64;
+    let bound = 3.0 * 0.25 * 100.0;
+    let writes = total_sent_to_starting_member(WRITE, true) as f64;
     assert!(
-        writes > 0.2 * bears && writes < bears,
+        writes > 0.2 * bound && writes < bound,
         "{writes} writes of 100 at a starting primary"
     );
-    let reads = sent_by_many_to_a_starting_member(EVENTUAL, false) as f64;
+    let reads = total_sent_to_starting_member(EVENTUAL, false) as f64;
     assert!(
-        reads > 0.0 && reads < bears / 4.0,
+        reads > 0.0 && reads < bound / 4.0,
         "{reads} reads of 100 at one of four members"
     );
     assert_eq!(
-        sent_by_many_to_a_starting_member(EVENTUAL, true),
+        total_sent_to_starting_member(EVENTUAL, true),
         0,
         "reads have others to go to"
     );
@@ -82,30 +82,30 @@
 fn what_one_starting_server_may_not_have_another_may() {
     // Seen in the experiment of a power loss: where all members of a group start, one draw for each of them excluded more
     // than they could not bear in sum. Three of four bear a part of 0.15 each, as the list and the settings have it.
-    let bears = 0.8 * 3.0 * 0.25;
+    let bound = 0.8 * 3.0 * 0.25;
     let mut sent = 0;
     for seed in 0..1_000 {
-        let mut bench = Bench::of_fleet(100, 4, seed);
-        bench.list(
+        let mut harness = Harness::in_fleet(100, 4, seed);
+        harness.update_endpoints(
             (1..=4)
                 .map(|s| Endpoint {
-                    started: bench.now,
+                    started: harness.now,
                     ..endpoint(s, EndpointState::Ready)
                 })
                 .collect(),
         );
-        bench.wait(MS);
+        harness.advance(MS);
         for server in 1..=4 {
-            bench.report(server, server == 1, Duration::ZERO);
+            harness.report(server, server == 1, Duration::ZERO);
         }
-        let (_, mut actions) = bench.request(EVENTUAL);
-        actions.extend(bench.pass(200));
-        sent += usize::from(!sends(&actions).is_empty());
+        let (_, mut actions) = harness.request(EVENTUAL);
+        actions.extend(harness.run_for(200));
+        sent += usize::from(!sent_servers(&actions).is_empty());
     }
-    let (apart, together) = (1.0 - (1.0 - bears / 4.0_f64).powi(3), bears * 3.0 / 4.0);
+    let (independent, combined) = (1.0 - (1.0 - bound / 4.0_f64).powi(3), bound * 3.0 / 4.0);
     let served = sent as f64 / 1_000.0;
     assert!(
-        served > (apart + together) / 2.0 && served < together + 0.04,
+        served > (independent + combined) / 2.0 && served < combined + 0.04,
         "{served}"
     );
 }
@@ -115,30 +115,30 @@
     // Seen on day h99f668: the requests were meant for six members, and the budget went by the two that were left.
     let mut sent = 0;
     for seed in 0..200 {
-        let mut bench = Bench::of_fleet(200, 6, seed);
-        bench.list(
+        let mut harness = Harness::in_fleet(200, 6, seed);
+        harness.update_endpoints(
             (2..=5)
                 .map(|s| endpoint(s, EndpointState::Draining))
                 .collect(),
         );
-        bench.list(
+        harness.update_endpoints(
             (2..=5)
                 .map(|s| endpoint(s, EndpointState::Removed))
                 .collect(),
         );
-        bench.list(vec![Endpoint {
-            started: bench.now,
+        harness.update_endpoints(vec![Endpoint {
+            started: harness.now,
             ..endpoint(6, EndpointState::Ready)
         }]);
-        bench.wait(MS);
-        bench.report(6, false, Duration::ZERO);
-        let (_, mut actions) = bench.request(EVENTUAL);
-        actions.extend(bench.pass(200));
-        sent += sends(&actions).iter().filter(|&&s| s == 6).count();
+        harness.advance(MS);
+        harness.report(6, false, Duration::ZERO);
+        let (_, mut actions) = harness.request(EVENTUAL);
+        actions.extend(harness.run_for(200));
+        sent += sent_servers(&actions).iter().filter(|&&s| s == 6).count();
     }
-    let bears = 3.0 * 0.25 * 200.0 / 6.0;
+    let bound = 3.0 * 0.25 * 200.0 / 6.0;
     assert!(
-        sent > 0 && (sent as f64) < bears,
+        sent > 0 && (sent as f64) < bound,
         "{sent} of 200 reads for six members"
     );
 }
@@ -147,61 +147,61 @@
 fn a_request_goes_to_a_starting_server_once_at_most() {
     // Seen on recorded day i60ceae: with errors everywhere the same requests came back up to eight times.
     for seed in 0..40 {
-        let mut bench = Bench::seeded(settings(), 2, seed);
-        bench.list(vec![Endpoint {
-            started: bench.now,
+        let mut harness = Harness::with_seed(settings(), 2, seed);
+        harness.update_endpoints(vec![Endpoint {
+            started: harness.now,
             ..endpoint(2, EndpointState::Ready)
         }]);
-        let (id, mut actions) = bench.request(EVENTUAL);
-        let mut there = 0;
+        let (id, mut actions) = harness.request(EVENTUAL);
+        let mut attempts = 0;
         for no in 0..6 {
-            let Some(&server) = sends(&actions).first() else {
+            let Some(&server) = sent_servers(&actions).first() else {
                 break;
             };
-            there += usize::from(server == 2);
-            bench.wait(MS);
-            actions = bench.end(id, no, server, Outcome::Failed);
-            actions.extend(bench.pass(60));
+            attempts += usize::from(server == 2);
+            harness.advance(MS);
+            actions = harness.end_attempt(id, no, server, Outcome::Failed);
+            actions.extend(harness.run_for(60));
         }
         assert!(
-            there <= 1,
-            "seed {seed}: {there} attempts at the starting server"
+            attempts <= 1,
+            "seed {seed}: {attempts} attempts at the starting server"
         );
     }
 }
 
 /// Reads that a starting replica is sent within a second, after four seconds in which its answers took so long each. It
 /// is the only one, and what it may not have goes to the primary.
-fn sent_to_a_starting_server(took_ms: u32, trust_most: f64) -> usize {
-    let mut bench = Bench::new(settings(), 0);
-    bench.router = Router::with_tuning(
+fn sent_to_a_starting_server(latency_ms: u32, confidence_max: f64) -> usize {
+    let mut harness = Harness::new(settings(), 0);
+    harness.router = Router::with_tuning(
         settings(),
         Tuning {
-            ramp_confidence_max: trust_most,
+            ramp_confidence_max: confidence_max,
             ..Tuning::default()
         },
         1,
-        BEGIN,
+        START,
     );
-    bench.list(vec![endpoint(1, EndpointState::Ready)]);
-    bench.report(1, true, Duration::ZERO);
+    harness.update_endpoints(vec![endpoint(1, EndpointState::Ready)]);
+    harness.report(1, true, Duration::ZERO);
     let cold = Endpoint {
-        started: bench.now,
+        started: harness.now,
         ..endpoint(5, EndpointState::Ready)
     };
-    bench.list(vec![cold]);
-    bench.report(5, false, Duration::ZERO);
+    harness.update_endpoints(vec![cold]);
+    harness.report(5, false, Duration::ZERO);
     let mut sent = 0;
     for step in 0..500_u64 {
         // One read after the other, so that no limit matters; a hundred a second.
-        bench.wait(10 * MS);
-        let (id, actions) = bench.request(EVENTUAL);
-        let Some(&server) = sends(&actions).first() else {
+        harness.advance(10 * MS);
+        let (id, actions) = harness.request(EVENTUAL);
+        let Some(&server) = sent_servers(&actions).first() else {
             continue;
         };
         sent += usize::from(server == 5 && step >= 400);
-        let elapsed = MS * if server == 5 { took_ms } else { 60 };
-        bench.finish_with_role(id, server, Outcome::Ok, elapsed, server == 1);
+        let elapsed = MS * if server == 5 { latency_ms } else { 60 };
+        harness.finish_request_with_role(id, server, Outcome::Ok, elapsed, server == 1);
     }
     sent
 }
@@ -213,7 +213,7 @@
         sent_to_a_starting_server(100, 3.0),
         sent_to_a_starting_server(290, 3.0),
     );
-    let (unproven, crowded) = (
+    let (unproven, overloaded) = (
         sent_to_a_starting_server(100, 1.0),
         sent_to_a_starting_server(290, 1.0),
     );
@@ -221,14 +221,14 @@
         unproven > 0 && fast as f64 >= 1.2 * unproven as f64,
         "{fast} proven, {unproven} without that"
     );
-    assert_eq!(slow, crowded, "where it is overloaded nothing is proven");
+    assert_eq!(slow, overloaded, "where it is overloaded nothing is proven");
 }
 
 /// Reads that a router has of a starting replica in each of 48 groups, in the fifth second after
 /// four in which each group had two reads.
-fn sent_to_starting_servers(trust_most: f64) -> usize {
+fn sent_to_starting_servers(confidence_max: f64) -> usize {
     let tuning = Tuning {
-        ramp_confidence_max: trust_most,
+        ramp_confidence_max: confidence_max,
         ..Tuning::default()
     };
     let many = Settings {
@@ -237,41 +237,41 @@
     };
     let mut sent = 0;
     for seed in 0..8 {
-        let mut bench = Bench::new(many.clone(), 0);
-        bench.router = Router::with_tuning(many.clone(), tuning, seed, BEGIN);
-        let of = |group: u32, server: u32| Endpoint {
+        let mut harness = Harness::new(many.clone(), 0);
+        harness.router = Router::with_tuning(many.clone(), tuning, seed, START);
+        let member = |group: u32, server: u32| Endpoint {
             group: GroupId(group),
             ..endpoint(2 * group + server, EndpointState::Ready)
         };
-        let started = bench.now;
-        bench.list(
+        let started = harness.now;
+        harness.update_endpoints(
             (0..48)
                 .flat_map(|g| {
                     [
-                        of(g, 1),
+                        member(g, 1),
                         Endpoint {
                             started,
-                            ..of(g, 2)
+                            ..member(g, 2)
                         },
                     ]
                 })
                 .collect(),
         );
         for group in 0..48 {
-            bench.report(2 * group + 1, true, Duration::ZERO);
-            bench.report(2 * group + 2, false, Duration::ZERO);
+            harness.report(2 * group + 1, true, Duration::ZERO);
+            harness.report(2 * group + 2, false, Duration::ZERO);
         }
         for second in 0..5 {
             let reads = if second == 4 { 480 } else { 24 };
             for read in 0..reads {
-                bench.wait(1_000 * MS / reads);
+                harness.advance(1_000 * MS / reads);
                 let arrival = Arrival {
                     group: GroupId((second * 24 + read) % 48),
-                    ..bench.arrival(EVENTUAL)
+                    ..harness.arrival(EVENTUAL)
                 };
                 let id = arrival.id;
-                let actions = bench.event(Event::RequestArrived(arrival));
-                let Some(&server) = sends(&actions).first() else {
+                let actions = harness.event(Event::RequestArrived(arrival));
+                let Some(&server) = sent_servers(&actions).first() else {
                     continue;
                 };
                 sent += usize::from(server % 2 == 0 && second == 4);
@@ -280,7 +280,7 @@
                 } else {
                     Outcome::Ok
                 };
-                bench.finish_with_role(id, server, outcome, 60 * MS, server % 2 == 1);
+                harness.finish_request_with_role(id, server, outcome, 60 * MS, server % 2 == 1);
             }
         }
     }
@@ -303,19 +303,19 @@
     // Clients that are rejected come back up to three times: a budget for retries too would exceed what first requests bring.
     let mut sent = [0; 2];
     for seed in 0..200 {
-        for (at, repeated) in [false, true].into_iter().enumerate() {
-            let mut bench = Bench::of_fleet(200, 3, seed);
-            bench.list(vec![Endpoint {
-                started: bench.now,
+        for (index, is_client_retry) in [false, true].into_iter().enumerate() {
+            let mut harness = Harness::in_fleet(200, 3, seed);
+            harness.update_endpoints(vec![Endpoint {
+                started: harness.now,
                 ..endpoint(3, EndpointState::Ready)
             }]);
-            bench.report(3, false, Duration::ZERO);
+            harness.report(3, false, Duration::ZERO);
             let arrival = Arrival {
-                is_client_retry: repeated,
-                ..bench.arrival(EVENTUAL)
+                is_client_retry,
+                ..harness.arrival(EVENTUAL)
             };
-            let actions = bench.event(Event::RequestArrived(arrival));
-            sent[at] += sends(&actions).iter().filter(|&&s| s == 3).count();
+            let actions = harness.event(Event::RequestArrived(arrival));
+            sent[index] += sent_servers(&actions).iter().filter(|&&s| s == 3).count();
         }
     }
     assert!(sent[0] > 0 && sent[1] == 0, "{sent:?}");
@@ -327,25 +327,25 @@
     // fast as warm ones. Half of the bound was kept for retries, which no longer go there.
     let sent = (0..1_000)
         .filter(|&seed| {
-            let mut bench = Bench::of_fleet(1_000, 6, seed);
-            bench.list(
+            let mut harness = Harness::in_fleet(1_000, 6, seed);
+            harness.update_endpoints(
                 (2..=5)
                     .map(|s| endpoint(s, EndpointState::Removed))
                     .collect(),
             );
-            bench.list(vec![Endpoint {
-                started: bench.now,
+            harness.update_endpoints(vec![Endpoint {
+                started: harness.now,
                 ..endpoint(6, EndpointState::Ready)
             }]);
-            bench.report(1, true, Duration::ZERO);
-            bench.report(6, false, Duration::ZERO);
-            sends(&bench.request(EVENTUAL).1) == [6]
+            harness.report(1, true, Duration::ZERO);
+            harness.report(6, false, Duration::ZERO);
+            sent_servers(&harness.request(EVENTUAL).1) == [6]
         })
         .count();
-    let tips = 3.0 * 0.25 * 1_000.0 / 6.0;
+    let overload_bound = 3.0 * 0.25 * 1_000.0 / 6.0;
     assert!(
-        (0.7 * tips..0.95 * tips).contains(&(sent as f64)),
-        "{sent} of 1000, where {tips} overload it"
+        (0.7 * overload_bound..0.95 * overload_bound).contains(&(sent as f64)),
+        "{sent} of 1000, where {overload_bound} overload it"
     );
 }
 
@@ -353,9 +353,9 @@
 fn half_a_group_of_starting_servers_is_not_overloaded_by_routers_that_each_send_one_request() {
     let mut sent = [0_usize; 7];
     for seed in 0..1_000 {
-        let mut bench = Bench::of_fleet(1_000, 6, seed);
-        let started = bench.now;
-        bench.list(
+        let mut harness = Harness::in_fleet(1_000, 6, seed);
+        let started = harness.now;
+        harness.update_endpoints(
             (4..=6)
                 .map(|s| Endpoint {
                     started,
@@ -363,14 +363,18 @@
                 })
                 .collect(),
         );
-        (1..=6).for_each(|s| _ = bench.report(s, s == 1, Duration::ZERO));
-        let (_, mut actions) = bench.request(EVENTUAL);
-        actions.extend(bench.pass(200));
-        sends(&actions).iter().for_each(|&s| sent[s as usize] += 1);
+        (1..=6).for_each(|s| _ = harness.report(s, s == 1, Duration::ZERO));
+        let (_, mut actions) = harness.request(EVENTUAL);
+        actions.extend(harness.run_for(200));
+        sent_servers(&actions)
+            .iter()
+            .for_each(|&s| sent[s as usize] += 1);
     }
-    let tips = 3.0 * 0.25 * 1_000.0 / 6.0;
+    let overload_bound = 3.0 * 0.25 * 1_000.0 / 6.0;
     assert!(
-        sent[4..].iter().all(|&n| n > 0 && (n as f64) < 0.95 * tips),
-        "{sent:?}, where {tips} overload one"
+        sent[4..]
+            .iter()
+            .all(|&n| n > 0 && (n as f64) < 0.95 * overload_bound),
+        "{sent:?}, where {overload_bound} overload one"
     );
 }
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -7,12 +7,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const STARTING: u32 = 5;
+const STARTING_SERVER: u32 = 5;
 const STEP: Duration = Duration::from_millis(5);
 const WARM_STEPS: u32 = 4_000;
 const COLD_STEPS: u32 = 1_600;
 
-/// A number from 0 to 1 that looks random: SplitMix64.
+/// A router_index from 0 to 1 that looks random: SplitMix64.
 struct Random(u64);
 
 impl Random {
@@ -25,29 +25,29 @@
 }
 
 /// What the operators let a starting server bear where the settings allow it `allowed` requests.
-fn line(allowed: f64) -> f64 {
-    let chance = if allowed < 30.0 { 3.0 } else { 2.0 };
-    allowed + chance * allowed.sqrt() + chance
+fn allowed_with_tolerance(allowed: f64) -> f64 {
+    let deviations = if allowed < 30.0 { 3.0 } else { 2.0 };
+    allowed + deviations * allowed.sqrt() + deviations
 }
 
-struct Day {
+struct Workload {
     routers: usize,
-    /// Requests that a warm server does in the time that a collapse takes.
-    warm: f64,
+    /// Requests that a warm_capacity server does in the time that a collapse takes.
+    warm_capacity: f64,
     /// Of all requests, those that come to the first router; the others share the rest evenly.
-    first_router: f64,
+    first_router_fraction: f64,
     /// Of what fully used servers would get, what comes, and from three seconds after the start.
     load: [f64; 2],
 }
 
-fn answer(bench: &mut Bench, id: RequestId, server: u32, elapsed: Duration) {
-    bench.finish(id, server, Outcome::Ok, elapsed);
+fn finish_ok(harness: &mut Harness, id: RequestId, server: u32, elapsed: Duration) {
+    harness.finish_request(id, server, Outcome::Ok, elapsed);
 }
 
 /// Which router the next request comes to.
-fn drawn_router(day: &Day, random: &mut Random) -> usize {
-    let others = 1 + (random.next() * (day.routers - 1) as f64) as usize;
-    if random.next() < day.first_router {
+fn random_router(workload: &Workload, random: &mut Random) -> usize {
+    let others = 1 + (random.next() * (workload.routers - 1) as f64) as usize;
+    if random.next() < workload.first_router_fraction {
         0
     } else {
         others
@@ -55,122 +55,139 @@
 }
 
 /// The greatest ratio to the line over eight seconds after the start of the only server that is left of five, which all
-/// five were warm for twenty seconds before.
-fn nearest(day: &Day, seed: u64) -> f64 {
-    let set = Settings {
-        router_count: day.routers as u32,
+/// five were warm_capacity for twenty seconds before.
+fn max_load_ratio(workload: &Workload, seed: u64) -> f64 {
+    let settings_of_fleet = Settings {
+        router_count: workload.routers as u32,
         ..settings()
     };
-    let mut routers: Vec<Bench> = (0..day.routers)
-        .map(|number| Bench::seeded(set.clone(), STARTING, number as u64))
+    let mut routers: Vec<Harness> = (0..workload.routers)
+        .map(|router_index| {
+            Harness::with_seed(
+                settings_of_fleet.clone(),
+                STARTING_SERVER,
+                router_index as u64,
+            )
+        })
         .collect();
-    for bench in &mut routers {
-        (1..=STARTING).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
+    for harness in &mut routers {
+        (1..=STARTING_SERVER)
+            .for_each(|server| _ = harness.report(server, server == 1, Duration::ZERO));
     }
     let started = routers[0].now.plus(STEP * WARM_STEPS);
     let mut random = Random(seed << 32);
-    let mut came: VecDeque<Time> = VecDeque::new();
-    let mut most: f64 = 0.0;
+    let mut recent: VecDeque<Time> = VecDeque::new();
+    let mut max_ratio: f64 = 0.0;
     for step in 1..=WARM_STEPS + COLD_STEPS {
-        let now = BEGIN.plus(STEP * step);
+        let now = START.plus(STEP * step);
         if now == started {
             routers
                 .iter_mut()
-                .for_each(|bench| one_starts(bench, started));
+                .for_each(|harness| start_last_server(harness, started));
         }
         let age = now.since(started).as_secs_f64();
-        let load = if age < 3.0 { day.load[0] } else { day.load[1] };
-        let mut wanted = load * day.warm * f64::from(STARTING) * STEP.as_secs_f64();
-        while random.next() < wanted {
-            wanted -= 1.0;
-            let bench = &mut routers[drawn_router(day, &mut random)];
-            bench.now = now;
-            let (id, actions) = bench.request(EVENTUAL);
-            let Some(&server) = sends(&actions).first() else {
-                bench.event(Event::ClientLeft(id));
+        let load = if age < 3.0 {
+            workload.load[0]
+        } else {
+            workload.load[1]
+        };
+        let mut expected_arrivals =
+            load * workload.warm_capacity * f64::from(STARTING_SERVER) * STEP.as_secs_f64();
+        while random.next() < expected_arrivals {
+            expected_arrivals -= 1.0;
+            let harness = &mut routers[random_router(workload, &mut random)];
+            harness.now = now;
+            let (id, actions) = harness.request(EVENTUAL);
+            let Some(&server) = sent_servers(&actions).first() else {
+                harness.event(Event::ClientLeft(id));
                 continue;
             };
             if now < started {
-                answer(bench, id, server, 50 * MS);
+                finish_ok(harness, id, server, 50 * MS);
                 continue;
             }
-            came.push_back(now);
-            while came
+            recent.push_back(now);
+            while recent
                 .front()
-                .is_some_and(|&at| now.since(at) >= set.overload_duration)
+                .is_some_and(|&at| now.since(at) >= settings_of_fleet.overload_duration)
             {
-                came.pop_front();
+                recent.pop_front();
             }
-            let capacity = set.initial_capacity_fraction
-                + (1.0 - set.initial_capacity_fraction) * age / set.warm_up_duration.as_secs_f64();
-            let allowed = set.overload_factor * capacity * day.warm;
-            most = most.max(came.len() as f64 / line(allowed));
+            let capacity = settings_of_fleet.initial_capacity_fraction
+                + (1.0 - settings_of_fleet.initial_capacity_fraction) * age
+                    / settings_of_fleet.warm_up_duration.as_secs_f64();
+            let allowed = settings_of_fleet.overload_factor * capacity * workload.warm_capacity;
+            max_ratio = max_ratio.max(recent.len() as f64 / allowed_with_tolerance(allowed));
             // Answers take as much longer as the server is colder, and as more than it can do has come.
-            let crowded = (came.len() as f64 / (capacity * day.warm)).max(1.0);
-            answer(bench, id, server, (50 * MS).mul_f64(crowded / capacity));
+            let overload = (recent.len() as f64 / (capacity * workload.warm_capacity)).max(1.0);
+            finish_ok(harness, id, server, (50 * MS).mul_f64(overload / capacity));
         }
     }
-    most
+    max_ratio
 }
 
-fn one_starts(bench: &mut Bench, started: Time) {
-    bench.now = started;
-    bench.list(
-        (1..STARTING)
+fn start_last_server(harness: &mut Harness, started: Time) {
+    harness.now = started;
+    harness.update_endpoints(
+        (1..STARTING_SERVER)
             .map(|server| endpoint(server, EndpointState::Removed))
             .collect(),
     );
-    bench.list(vec![Endpoint {
+    harness.update_endpoints(vec![Endpoint {
         started,
-        ..endpoint(STARTING, EndpointState::Ready)
+        ..endpoint(STARTING_SERVER, EndpointState::Ready)
     }]);
-    bench.report(STARTING, false, Duration::ZERO);
+    harness.report(STARTING_SERVER, false, Duration::ZERO);
 }
 
-/// By number of routers, the greatest ratio over some seeds.
-fn nearest_of_fleets(warm: f64, first_router: Option<f64>, load: [f64; 2]) -> Vec<(usize, f64)> {
+/// By router_index of routers, the greatest ratio over some seeds.
+fn max_load_ratios(
+    warm_capacity: f64,
+    first_router_fraction: Option<f64>,
+    load: [f64; 2],
+) -> Vec<(usize, f64)> {
     let fleet = |routers: usize| {
-        let day = Day {
+        let workload = Workload {
             routers,
-            warm,
-            first_router: first_router.unwrap_or(1.0 / routers as f64),
+            warm_capacity,
+            first_router_fraction: first_router_fraction.unwrap_or(1.0 / routers as f64),
             load,
         };
         (
             routers,
-            (1..=5).map(|seed| nearest(&day, seed)).fold(0.0, f64::max),
+            (1..=5)
+                .map(|seed| max_load_ratio(&workload, seed))
+                .fold(0.0, f64::max),
         )
     };
     [3, 8, 30, 300].into_iter().map(fleet).collect()
 }
 
-fn assert_within_the_line(nearest: &[(usize, f64)]) {
+fn assert_within_bound(ratios: &[(usize, f64)]) {
     assert!(
-        nearest
-            .iter()
-            .all(|&(_, ratio)| ratio > 0.1 && ratio <= 1.0),
-        "by routers: {nearest:?}"
+        ratios.iter().all(|&(_, ratio)| ratio > 0.1 && ratio <= 1.0),
+        "by routers: {ratios:?}"
     );
 }
 
 #[test]
 fn a_burst_after_calm_keeps_a_starting_store_within_what_it_bears() {
-    assert_within_the_line(&nearest_of_fleets(100.0, None, [0.3, 0.69]));
+    assert_within_bound(&max_load_ratios(100.0, None, [0.3, 0.69]));
 }
 
 #[test]
 fn more_than_full_use_keeps_a_starting_store_within_what_it_bears() {
-    assert_within_the_line(&nearest_of_fleets(100.0, None, [1.0, 1.2]));
+    assert_within_bound(&max_load_ratios(100.0, None, [1.0, 1.2]));
 }
 
 #[test]
 fn a_starting_store_that_bears_a_few_requests_gets_no_more_from_many_routers() {
-    assert_within_the_line(&nearest_of_fleets(6.0, None, [0.6, 1.0]));
+    assert_within_bound(&max_load_ratios(6.0, None, [0.6, 1.0]));
 }
 
 #[test]
 fn one_router_with_nine_tenths_of_the_requests_keeps_a_starting_store_within_what_it_bears() {
-    assert_within_the_line(&nearest_of_fleets(100.0, Some(0.9), [0.3, 0.69]));
+    assert_within_bound(&max_load_ratios(100.0, Some(0.9), [0.3, 0.69]));
 }
 
 #[test]
@@ -179,19 +196,19 @@
     for seed in 0..6 {
         let routers = 150 * seed..150 * seed + 900;
         let sent: usize = routers
-            .map(|number| {
-                let mut bench = Bench::of_fleet(900, STARTING + 1, number);
-                bench.list(
-                    (1..=STARTING)
+            .map(|router_index| {
+                let mut harness = Harness::in_fleet(900, STARTING_SERVER + 1, router_index);
+                harness.update_endpoints(
+                    (1..=STARTING_SERVER)
                         .map(|server| endpoint(server, EndpointState::Removed))
                         .collect(),
                 );
-                bench.list(vec![Endpoint {
-                    started: bench.now,
-                    ..endpoint(STARTING + 1, EndpointState::Ready)
+                harness.update_endpoints(vec![Endpoint {
+                    started: harness.now,
+                    ..endpoint(STARTING_SERVER + 1, EndpointState::Ready)
                 }]);
-                bench.report(STARTING + 1, false, Duration::ZERO);
-                sends(&bench.request(EVENTUAL).1).len()
+                harness.report(STARTING_SERVER + 1, false, Duration::ZERO);
+                sent_servers(&harness.request(EVENTUAL).1).len()
             })
             .sum();
         assert!(
@@ -207,36 +224,36 @@
     // One turn each gives 30 in 100, one in each slice of the wait nearly twice as many.
     let routers = 900;
     let sent = (0..routers)
-        .filter(|&number| {
-            let mut bench = Bench::of_fleet(routers as u32, 2, number);
+        .filter(|&router_index| {
+            let mut harness = Harness::in_fleet(routers as u32, 2, router_index);
             // It rarely gets a request, and knows that they take less than their objective.
             for _ in 0..20 {
-                bench.wait(5_000 * MS);
-                (1..=2).for_each(|server| _ = bench.report(server, server == 1, Duration::ZERO));
-                let (id, actions) = bench.request(EVENTUAL);
-                sends(&actions)
+                harness.advance(5_000 * MS);
+                (1..=2).for_each(|server| _ = harness.report(server, server == 1, Duration::ZERO));
+                let (id, actions) = harness.request(EVENTUAL);
+                sent_servers(&actions)
                     .iter()
-                    .for_each(|&server| answer(&mut bench, id, server, 10 * MS));
+                    .for_each(|&server| finish_ok(&mut harness, id, server, 10 * MS));
             }
-            bench.wait(5_000 * MS);
-            bench.list(vec![Endpoint {
-                started: bench.now,
+            harness.advance(5_000 * MS);
+            harness.update_endpoints(vec![Endpoint {
+                started: harness.now,
                 ..endpoint(2, EndpointState::Ready)
             }]);
-            bench.report(1, true, Duration::ZERO);
-            bench.report(2, false, Duration::ZERO);
-            bench.wait(400 * MS);
+            harness.report(1, true, Duration::ZERO);
+            harness.report(2, false, Duration::ZERO);
+            harness.advance(400 * MS);
             // The other server has no capacity for a second one.
-            assert_eq!(sends(&bench.request(WRITE).1), [1]);
-            let (_, mut actions) = bench.request(EVENTUAL);
-            actions.extend(bench.pass(200));
-            sends(&actions).contains(&2)
+            assert_eq!(sent_servers(&harness.request(WRITE).1), [1]);
+            let (_, mut actions) = harness.request(EVENTUAL);
+            actions.extend(harness.run_for(200));
+            sent_servers(&actions).contains(&2)
         })
         .count();
-    let part = 0.8 * 3.0 * (0.25 + 0.75 * 0.04) / 2.0;
-    let turns = part * routers as f64;
+    let fraction = 0.8 * 3.0 * (0.25 + 0.75 * 0.04) / 2.0;
+    let expected = fraction * routers as f64;
     assert!(
-        (0.8 * turns..1.2 * turns).contains(&(sent as f64)),
-        "{sent}, where {turns} have a turn"
+        (0.8 * expected..1.2 * expected).contains(&(sent as f64)),
+        "{sent}, where {expected} have a turn"
     );
 }
