--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -4,16 +4,16 @@
 //! stands in `docs/design/discovery-schedule.md`.
 //!
 //! **Polling**: the decision module orders the first call, and each one after a response that reports a failure
-//! ([`Event::PollRequested`]). Silence is no response, and the changes that it hides soon count as notified, so the next
-//! call is made at once. A call that nobody orders in time is made all the same ([`MAX_RETRY_DELAY`],
+//! ([`Event::PollRequested`]). Silence is no response, and the changes that it hides soon count as notified, so the
+//! next call is made at once. A call that nobody orders in time is made all the same ([`MAX_RETRY_DELAY`],
 //! [`MAX_POLL_AGE`]).
 //!
 //! **Push**: a watch on the local agent is open from the first moment, and is opened again whatever ends it.
 //!
 //! # The latest next call
 //!
-//! After a failed call a change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and could be reached.
-//! Within that time a call has to be made, answered and applied, whatever happened to the call before it:
+//! After a failed call a change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and could be
+//! reached. Within that time a call has to be made, answered and applied, whatever happened to the call before it:
 //!
 //! | the call before | next call, at the latest | answer |
 //! | --- | --- | --- |
@@ -35,11 +35,11 @@
 /// The longest silence on a watch, and the longest wait for the first byte of a response. Discovery holds a call for
 /// [`MAX_QUEUE_TIME`] and then says so.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest time from one complete object to the next while bytes arrive: a missed change counts as notified a second
-/// later.
+/// The longest time from one complete object to the next while bytes arrive: a missed change counts as notified a
+/// second later.
 pub const OBJECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Where lists are pushed, the pause between the end of a watch and the next one: a fifth of the time in which a drain has
-/// to take effect.
+/// Where lists are pushed, the pause between the end of a watch and the next one: a fifth of the time in which a drain
+/// has to take effect.
 pub const WATCH_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// After a failed, rejected or abandoned call, a change counts as notified so long after discovery had it and could be
@@ -50,28 +50,29 @@
 /// From discovery's response to the list applied: the network round trip and a busy event loop.
 pub const APPLY_TIME: Duration = Duration::from_millis(250);
 /// Where the list is polled, the longest time from the end of a failed call to the next one: what is left of
-/// [`NOTIFICATION_DEADLINE`] if the next one is held for [`MAX_QUEUE_TIME`]. If its dial hangs instead, the call after it
-/// is answered within 5 s.
+/// [`NOTIFICATION_DEADLINE`] if the next one is held for [`MAX_QUEUE_TIME`]. If its dial hangs instead, the call after
+/// it is answered within 5 s.
 pub const MAX_RETRY_DELAY: Duration = NOTIFICATION_DEADLINE
     .saturating_sub(MAX_QUEUE_TIME)
     .saturating_sub(APPLY_TIME);
 /// The longest time from the beginning of a call, or from its last complete object, to the next call: while a call that
-/// fails late was open, other proxies may have reached discovery. It is what is left of [`NOTIFICATION_DEADLINE`] if the
-/// next call is answered at once. One that discovery rejects after [`MAX_QUEUE_TIME`] still has all of
+/// fails late was open, other proxies may have reached discovery. It is what is left of [`NOTIFICATION_DEADLINE`] if
+/// the next call is answered at once. One that discovery rejects after [`MAX_QUEUE_TIME`] still has all of
 /// [`MAX_RETRY_DELAY`] before the next, so that the calls of many proxies stay spread.
 pub const MAX_POLL_AGE: Duration = NOTIFICATION_DEADLINE.saturating_sub(APPLY_TIME);
 
-/// The latest first call of a new process, however rarely it may poll. The watch of the process before it ended with that
-/// process, so later changes count as notified after [`NOTIFICATION_DEADLINE`]; half of that is left for the restart.
+/// The latest first call of a new process, however rarely it may poll. The watch of the process before it ended with
+/// that process, so later changes count as notified after [`NOTIFICATION_DEADLINE`]; half of that is left for the
+/// restart.
 pub const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(3);
-/// A new process uses the list of the one before it for this time, unless a call has failed. A drain just after the end of
-/// the old process takes effect in time if the new one started within `NOTIFICATION_DEADLINE - CACHED_LIST_LIFETIME`, and
-/// the grace period for drains beyond that.
+/// A new process uses the list of the one before it for this time, unless a call has failed. A drain just after the end
+/// of the old process takes effect in time if the new one started within `NOTIFICATION_DEADLINE -
+/// CACHED_LIST_LIFETIME`, and the grace period for drains beyond that.
 pub const CACHED_LIST_LIFETIME: Duration = MAX_FIRST_POLL_DELAY;
 
-/// The latest first call of a new process that has to poll within `poll_within`: its dial may hang once, and the next call
-/// may be held for [`MAX_QUEUE_TIME`]. Where little is left, it is a quarter of `poll_within`, so that processes that start
-/// together do not call together.
+/// The latest first call of a new process that has to poll within `poll_within`: its dial may hang once, and the next
+/// call may be held for [`MAX_QUEUE_TIME`]. Where little is left, it is a quarter of `poll_within`, so that processes
+/// that start together do not call together.
 pub fn first_poll_delay(poll_within: Duration) -> Duration {
     poll_within
         .saturating_sub(DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME)
@@ -163,7 +164,8 @@
 }
 
 impl PollSchedule {
-    /// `watch_silence`: the longest silence on a watch, at most [`SILENCE_TIMEOUT`]; `push_mode`: whether lists are pushed.
+    /// `watch_silence`: the longest silence on a watch, at most [`SILENCE_TIMEOUT`]; `push_mode`: whether lists are
+    /// pushed.
     pub fn new(watch_silence: Duration, push_mode: bool) -> PollSchedule {
         PollSchedule {
             watch_silence: watch_silence.min(SILENCE_TIMEOUT),
--- a/crates/discovery-schedule/src/tests.rs
+++ b/crates/discovery-schedule/src/tests.rs
@@ -4,8 +4,8 @@
 
 const S: Duration = Duration::from_secs(1);
 
-/// A call that ends at once leaves the whole retry delay, one that ends late only what is left of the poll age, and one that
-/// ends even later nothing.
+/// A call that ends at once leaves the whole retry delay, one that ends late only what is left of the poll age, and one
+/// that ends even later nothing.
 #[test]
 fn the_latest_retry_depends_on_the_last_progress() {
     assert_eq!(latest_retry(100 * S, 100 * S), 100 * S + MAX_RETRY_DELAY);
--- a/crates/discovery-schedule/tests/bound.rs
+++ b/crates/discovery-schedule/tests/bound.rs
@@ -1,5 +1,5 @@
-//! Whenever discovery can be reached for [`NOTIFICATION_DEADLINE`] without a break, a call is answered within that time,
-//! however the calls before it ended.
+//! Whenever discovery can be reached for [`NOTIFICATION_DEADLINE`] without a break, a call is answered within that
+//! time, however the calls before it ended.
 
 use discovery_schedule::{
     first_poll_delay, Action, Event, PollSchedule, Time, APPLY_TIME, DIAL_TIMEOUT,
--- a/crates/platform-settings/src/raw.rs
+++ b/crates/platform-settings/src/raw.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object as its JSON has it. Durations are in microseconds. Unknown keys are ignored, absent ones
-//! have their default.
+//! The platform's settings object as its JSON has it. Durations are in microseconds. Unknown keys are ignored, absent
+//! ones have their default.
 
 use serde::Deserialize;
 
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -6,11 +6,12 @@
 //!
 //! **Inputs**: latency over objective of each answer, and the weight that a late one still earns.
 //! **Fractions**: one over all groups, one for each group (overload in one rejects no other's requests, but a router
-//! hears too rarely from each), and one for over-quota requests, which falls at the first late answers. A fraction rises
-//! by a step for an answer in time and falls by several for a late one. Without answers it decays towards 1.
+//! hears too rarely from each), and one for over-quota requests, which falls at the first late answers. A fraction
+//! rises by a step for an answer in time and falls by several for a late one. Without answers it decays towards 1.
 //! **Priority**: weight of an answer per second of work. Requests of less than the usual priority are shed first.
-//! **Quota**: borrowed requests take no place for which one within its quota is rejected; retries of over-quota requests
-//! are rejected until that fraction is 1. `Arrival::shed_fraction` draws with the fraction: the narrower of the two counts.
+//! **Quota**: borrowed requests take no place for which one within its quota is rejected; retries of over-quota
+//! requests are rejected until that fraction is 1. `Arrival::shed_fraction` draws with the fraction: the narrower of
+//! the two counts.
 //! **Cost**: when a fault that costs weight is over, requests are still shed while the estimate lasts.
 
 #[cfg(test)]
@@ -59,7 +60,8 @@
             .decay_since(self.admission.updated)
             .powf(self.tuning.admission_decay);
         let all_groups = 1.0 + decay * self.admission.offset;
-        // A group's own fraction decays towards that of all groups, by the root: a router hears of one group less often.
+        // A group's own fraction decays towards that of all groups, by the root: a router hears of one group less
+        // often.
         let group_offset = |admission: &Admission| {
             self.decay_since(admission.updated).sqrt() * (1.0 + admission.offset - all_groups)
         };
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -2,8 +2,8 @@
 //!
 //! Inputs: attempts that failed without an answer (no connection, a reset, a silent time-out) and failed probes. The
 //! backoff starts at `Tuning::backoff_initial` objectives, doubles with each failure in a row up to
-//! `Tuning::backoff_max` objectives, and is then spread by half to either side, so that routers don't come back together.
-//! Any answer ends it.
+//! `Tuning::backoff_max` objectives, and is then spread by half to either side, so that routers don't come back
+//! together. Any answer ends it.
 
 #[cfg(test)]
 mod tests;
--- a/crates/routing/src/concurrency/tests.rs
+++ b/crates/routing/src/concurrency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// All answers that were sent before a reduction were late for the same reason. Each of them reducing the limit again would
-/// close the server for one bad moment.
+/// All answers that were sent before a reduction were late for the same reason. Each of them reducing the limit again
+/// would close the server for one bad moment.
 #[test]
 fn a_limit_is_reduced_once_for_all_that_was_sent_before() {
     let at = Time::from_micros;
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -4,12 +4,13 @@
 //! inside the grace (`Settings::drain_grace`). A removed one neither, unless the settings say that removal without a
 //! drain does not bind (`Settings::soft_removal`): then own attempts tell whether it still serves.
 //!
-//! **Polling.** After a failed poll the next one comes after a backoff that doubles up to [`discovery_schedule::MAX_RETRY_DELAY`].
-//! The list is one service for all routers, which takes calls in turn and wastes those that waited too long. Routers
-//! that start together, or lose it together, would keep each other from it for good. So the calls of a large fleet are
-//! spread over `POLL_SPACING` for each router, as far as the time allows within which a call has to be made. After the
-//! first failure a call comes anywhere in that span, so that each router gets its place in it; from the second on it
-//! comes late in the span, which keeps the places and makes the fewest calls.
+//! **Polling.** After a failed poll the next one comes after a backoff that doubles up to
+//! [`discovery_schedule::MAX_RETRY_DELAY`]. The list is one service for all routers, which takes calls in turn and
+//! wastes those that waited too long. Routers that start together, or lose it together, would keep each other from it
+//! for good. So the calls of a large fleet are spread over `POLL_SPACING` for each router, as far as the time allows
+//! within which a call has to be made. After the first failure a call comes anywhere in that span, so that each router
+//! gets its place in it; from the second on it comes late in the span, which keeps the places and makes the fewest
+//! calls.
 
 use crate::interface::*;
 use crate::slow_start_budget::SliceSpending;
@@ -31,8 +32,8 @@
         }
     }
 
-    /// A new incarnation. Role, ramp confidence, slow start and backoff start anew; position, run times and concurrency limit
-    /// stay as first estimates.
+    /// A new incarnation. Role, ramp confidence, slow start and backoff start anew; position, run times and concurrency
+    /// limit stay as first estimates.
     fn restart(&mut self, started: Time) {
         self.started = started;
         self.role = self.role.filter(|role| role.as_of > started);
@@ -140,8 +141,9 @@
         }
     }
 
-    /// The cached list of the process before this one is too old to go by: what has left it since counts as known to this
-    /// router. Without an answer for as long as that takes, discovery can't be reached, and the list is all there is.
+    /// The cached list of the process before this one is too old to go by: what has left it since counts as known to
+    /// this router. Without an answer for as long as that takes, discovery can't be reached, and the list is all there
+    /// is.
     pub(crate) fn endpoints_are_outdated(&self) -> bool {
         let outdated =
             discovery_schedule::CACHED_LIST_LIFETIME..discovery_schedule::NOTIFICATION_DEADLINE;
--- a/crates/routing/src/expiry.rs
+++ b/crates/routing/src/expiry.rs
@@ -1,14 +1,15 @@
 //! Queueing and rejecting: how long a request waits here, and its final answer.
 //!
-//! **Objective.** The latency objective counts from the client's first request. A marked retry with less time than first
-//! requests have had has what is left of the deadline. Guards against storms of retries that come too late to earn
-//! anything and take the place of requests that would. Where retries bear no mark nothing is known of them.
-//! **Queueing.** What no server can take now is queued until `Router::queue_deadline`, and longer for capacity if a late
-//! answer still earns something. News of a server dispatches the queued requests of its group, those of highest priority
-//! first. Of equal priority the newest goes first: it has the most time left, while the oldest would all be served just
-//! too late whenever more wait than can be served.
+//! **Objective.** The latency objective counts from the client's first request. A marked retry with less time than
+//! first requests have had has what is left of the deadline. Guards against storms of retries that come too late to
+//! earn anything and take the place of requests that would. Where retries bear no mark nothing is known of them.
+//! **Queueing.** What no server can take now is queued until `Router::queue_deadline`, and longer for capacity if a
+//! late answer still earns something. News of a server dispatches the queued requests of its group, those of highest
+//! priority first. Of equal priority the newest goes first: it has the most time left, while the oldest would all be
+//! served just too late whenever more wait than can be served.
 //! **Rejecting.** A rejection promises that nothing ran which a repetition could double; anything else ends as a
-//! failure. It may say when to come back (Retry-After): after `Tuning::backoff_max` objectives, within the settings' limit.
+//! failure. It may say when to come back (Retry-After): after `Tuning::backoff_max` objectives, within the settings'
+//! limit.
 
 use crate::interface::*;
 use crate::state::{Request, Router, TimerKind};
--- a/crates/routing/src/freshness.rs
+++ b/crates/routing/src/freshness.rs
@@ -64,7 +64,8 @@
         by_report.max(by_rejection)
     }
 
-    /// Whether a replica may be sent the request: it reported the position, or it checks by itself and the guess is good.
+    /// Whether a replica may be sent the request: it reported the position, or it checks by itself and the guess is
+    /// good.
     pub(crate) fn is_fresh_enough(&self, request: &Request, server: &Server) -> bool {
         let Some(needed) = self.needed_position(request) else {
             return true;
--- a/crates/routing/src/interface/actions.rs
+++ b/crates/routing/src/interface/actions.rs
@@ -1,9 +1,9 @@
-//! What a router orders its host to do.
+//! Actions that a router requests from its host.
 
 use super::ids::{AttemptNumber, RequestId, ServerId, TimerToken};
 use std::time::Duration;
 
-/// An order to the host.
+/// An action for the host to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt. Attempts of one request are numbered from 0 in the order sent.
@@ -12,23 +12,24 @@
         id: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// Wait no longer than this for the answer.
+        /// Longest wait for the answer, from now.
         timeout: Duration,
-        /// The attempt must not begin later than this: a host that has to dial first drops it then, unsent.
+        /// Longest delay before the attempt is sent, from now. If dialing takes longer, the host drops the attempt
+        /// unsent.
         begin_within: Duration,
     },
     /// Cancel an attempt in flight.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Which of its attempts.
+        /// The attempt of that request.
         attempt: AttemptNumber,
     },
-    /// Final answer: nothing ran that a repetition could double.
+    /// Final answer: the client may repeat the request, since a repetition cannot take effect twice.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client may come back; none if that is not to be said.
+        /// Delay after which the client may retry; none if the answer carries no such hint.
         retry_after: Option<Duration>,
     },
     /// Final answer: the request may have taken effect.
@@ -36,16 +37,16 @@
         /// The request.
         id: RequestId,
     },
-    /// Ask a server for a load report.
+    /// Request a load report from a server.
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Return `token` in an [`Event::Timer`](super::Event::Timer).
+    /// Start a timer that ends in an [`Event::Timer`](super::Event::Timer).
     Timer {
-        /// When, from now.
+        /// Delay from now.
         after: Duration,
-        /// What to return.
+        /// Token to return in the event.
         token: TimerToken,
     },
     /// Poll the endpoint list.
--- a/crates/routing/src/interface/events.rs
+++ b/crates/routing/src/interface/events.rs
@@ -4,20 +4,20 @@
 use super::time::Time;
 use std::time::Duration;
 
-/// What a server reports of itself. Fields that the deployment does not report are absent.
+/// A server's report on its own state. Fields that the deployment does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// All commits up to this instant are applied (rounded towards the past).
+    /// Log position: all commits up to this instant are applied (rounded down).
     pub position: Option<Time>,
-    /// It believes itself to be the primary.
+    /// Whether the server considers itself the primary.
     pub primary: Option<bool>,
-    /// Requests that it executes. For the host and experiments; no rule reads it.
+    /// Requests that the server is executing. For the host and experiments; no rule reads it.
     pub in_flight: Option<f64>,
-    /// Requests that wait in it. For the host and experiments; no rule reads it.
+    /// Requests queued in the server. For the host and experiments; no rule reads it.
     pub queued: Option<f64>,
 }
 
-/// What came with an answer.
+/// Metadata of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
     /// Whether the server is the primary.
@@ -26,12 +26,12 @@
     pub position: Option<Time>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// Answered successfully.
     Ok,
-    /// Answered with an error; may have taken effect.
+    /// Answered with an error; the request may have taken effect.
     Failed,
     /// Rejected before execution: the server is full or draining.
     Rejected,
@@ -39,25 +39,25 @@
     TimedOut,
     /// No connection could be made.
     ConnectFailed,
-    /// The connection broke with the attempt in flight.
+    /// The connection was closed with the attempt in flight.
     Reset,
-    /// Cancelled by the router's order.
+    /// Cancelled by the router.
     Cancelled,
-    /// Never sent: too late, request finished, or over the connection limit.
+    /// Not sent: too late, the request has finished, or the connection limit was reached.
     NotSent,
-    /// Rejected before execution: not the primary, or too far behind.
+    /// Rejected before execution: the server is not the primary, or its data is too old.
     Misdirected,
 }
 
-/// What discovery says of a server.
+/// State of a server according to discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has; no new requests.
+    /// Finishes the requests that it has; accepts no new ones.
     Draining,
-    /// Not in the list any more.
+    /// No longer in the list.
     Removed,
 }
 
@@ -66,83 +66,83 @@
 pub struct Endpoint {
     /// The server.
     pub server: ServerId,
-    /// Its group.
+    /// The server's group.
     pub group: GroupId,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its machine type. No rule reads it.
+    /// The server's machine type. No rule reads it.
     pub machine_type: MachineTypeId,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub state: EndpointState,
-    /// Discovery believes it to be the primary.
+    /// Discovery lists the server as the primary.
     pub primary: bool,
-    /// Its latest start; zero: long ago.
+    /// The server's latest start; zero: started long ago.
     pub started: Time,
 }
 
-/// News of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// Entries that are new or differ; the others stay.
+    /// New and changed entries; all others are unchanged.
     Changes(Vec<Endpoint>),
-    /// The complete list; servers that it lacks are removed.
+    /// The complete list; servers that are not in it are removed.
     Snapshot(Vec<Endpoint>),
-    /// The complete list as the process before this one cached it, perhaps long ago.
+    /// The complete list as cached by the previous process; it may be old.
     Cached(Vec<Endpoint>),
     /// A poll failed or the subscription broke.
     Failed,
 }
 
-/// How a session's last write is named: what a read in the session must see.
+/// Position of a session's last write, which reads of the session must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionPosition {
-    /// This long before the request's arrival.
+    /// Age of the write when the request arrived.
     Ago(Duration),
-    /// By its log position. Its clock is that of the servers' positions, whatever the router's own shows.
+    /// Log position of the write, on the clock of the servers' positions, which may differ from the router's clock.
     At(Time),
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Arrival {
-    /// Its id; not in use by another open request.
+    /// Request id; no other open request uses it.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant of the client.
     pub tenant: TenantId,
-    /// The group that holds its data.
+    /// Group that holds the requested data.
     pub group: GroupId,
-    /// Its session, if it has one.
+    /// Session of the request, if any.
     pub session: Option<SessionKey>,
-    /// Until the client stops waiting.
+    /// Time until the client stops waiting.
     pub time_left: Duration,
-    /// The session's last write, if the request carries it.
+    /// Position of the session's last write, if the request carries it.
     pub session_position: Option<SessionPosition>,
-    /// The client marks it as a retry of an earlier request.
+    /// The client marks the request as a retry of an earlier one.
     pub is_client_retry: bool,
-    /// Where it stands in its tenant's quota.
+    /// Status of the request with regard to its tenant's quota.
     pub quota_status: QuotaStatus,
-    /// Attempts allowed for it, where that is fewer than the settings allow.
+    /// Most attempts allowed for this request, if lower than in the settings.
     pub attempt_limit: Option<u16>,
-    /// Fraction of such requests to be rejected whatever capacity there seems to be, from 0 (none) to 1 (all).
+    /// Fraction of requests like this one to reject regardless of capacity, from 0 (none) to 1 (all).
     pub shed_fraction: f64,
 }
 
-/// Where a request stands in its tenant's quota, the best first.
+/// Status of a request with regard to its tenant's quota, most favoured first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QuotaStatus {
-    /// Counts in full.
+    /// Within the quota: counts with its full weight.
     #[default]
     WithinQuota,
-    /// Over it, on quota borrowed from another tenant or time, to be repaid.
+    /// Over the quota, on quota borrowed from another tenant or period, which has to be repaid.
     Borrowed,
-    /// Over it.
+    /// Over the quota.
     OverQuota,
 }
 
 impl QuotaStatus {
-    /// How far over the quota, from 0 to 1. A loan lies halfway between the other two.
+    /// Degree to which the request is over the quota, from 0 to 1. Borrowed requests count half.
     pub fn over_quota_fraction(self) -> f64 {
         match self {
             QuotaStatus::WithinQuota => 0.0,
@@ -157,26 +157,26 @@
 pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts.
+    /// The attempt of that request.
     pub attempt: AttemptNumber,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
     /// The request needs no further answer.
     pub request_finished: bool,
-    /// What came with the answer.
+    /// Metadata of the answer; empty without an answer.
     pub metadata: ResponseMetadata,
 }
 
-/// Something that a router learns.
+/// An input to a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery's endpoint list, or a failure to get it.
+    /// An update of the endpoint list, or a failure to get one.
     Endpoints(EndpointUpdate),
-    /// A client's request.
+    /// A client sent a request.
     RequestArrived(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
@@ -184,15 +184,15 @@
     ProbeEnded {
         /// The server that was probed.
         server: ServerId,
-        /// It answered.
+        /// Whether the server answered.
         ok: bool,
-        /// How long that took.
+        /// Duration of the probe.
         elapsed: Duration,
-        /// What it reported.
+        /// The server's report; empty without an answer.
         report: LoadReport,
     },
-    /// The client left; its request needs no answer.
+    /// The client disconnected or gave up; its request needs no answer.
     ClientLeft(RequestId),
-    /// A timer that the router had asked for.
+    /// A timer that the router had started fired.
     Timer(TimerToken),
 }
--- a/crates/routing/src/interface/ids.rs
+++ b/crates/routing/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. All of them are given by the host and mean nothing to the router but identity and order.
+//! Identifiers, assigned by the host. The router uses only their identity and order.
 
 macro_rules! id {
     ($(#[$doc:meta] $name:ident($inner:ty);)*) => {$(
@@ -13,9 +13,9 @@
     ServerId(u32);
     /// The servers that hold the same data.
     GroupId(u32);
-    /// A client's request, as named by the host.
+    /// A client's request.
     RequestId(u64);
-    /// The session to which a write, or a read of its own writes, belongs.
+    /// The session of a write or of a read-your-writes read.
     SessionKey(u64);
     /// Index into `Settings::classes`.
     ClassId(u16);
@@ -23,10 +23,10 @@
     TenantId(u16);
     /// A zone. Traffic from one zone to another may cost more.
     ZoneId(u16);
-    /// Index of a machine type in the platform's settings.
+    /// A machine type.
     MachineTypeId(u16);
-    /// The attempts of one request, counted from 0 in the order sent.
+    /// Number of an attempt within its request, from 0 in the order sent.
     AttemptNumber(u16);
-    /// Returned with a timer.
+    /// Token that identifies a timer to the router.
     TimerToken(u32);
 }
--- a/crates/routing/src/interface/mod.rs
+++ b/crates/routing/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: settings and events in, actions out. Plain data, no decisions.
+//! Interface of the decision module: settings and events as input, actions as output. Plain data without logic.
 
 mod actions;
 mod events;
--- a/crates/routing/src/interface/settings.rs
+++ b/crates/routing/src/interface/settings.rs
@@ -1,133 +1,133 @@
-//! Settings of a router: what classes of requests need, what servers do and what the platform allows.
+//! Settings of a router: requirements of request classes, behaviour of servers, and limits of the platform.
 
 use super::ids::ZoneId;
 use std::time::Duration;
 
-/// What a class of request needs of the data that answers it.
+/// Consistency that a class of requests requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write; only the primary accepts it.
     Write,
-    /// Must see everything committed before it arrived.
+    /// A read that must see all commits before its arrival.
     Strong,
-    /// Must see what its session has written.
+    /// A read that must see the writes of its session.
     ReadYourWrites,
-    /// Data no older than this when the read is sent.
+    /// A read whose data must not be older than this when the read is sent.
     BoundedStaleness(Duration),
-    /// Any member may answer.
+    /// A read that any member may answer.
     Eventual,
 }
 
-/// Where duplicates of a keyed request are dropped.
+/// Servers that recognise duplicates of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// By all servers.
+    /// All servers.
     All,
-    /// By the servers of the zone that received the first attempt.
+    /// The servers in the zone that received the first attempt.
     Zone,
-    /// By the servers of the group.
+    /// The servers of the group.
     Group,
 }
 
-/// What a repetition of a request would do.
+/// Effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be sent any number of times.
+    /// None: the request may be sent any number of times.
     Idempotent,
-    /// Servers recognise a repetition by the request's key.
+    /// Servers recognise a repetition by the request's key and drop it.
     Keyed {
-        /// Which servers recognise it.
+        /// Servers that recognise a repetition.
         scope: DeduplicationScope,
-        /// For how long after the first attempt.
+        /// Deduplication window, counted from the first attempt.
         window: Duration,
     },
-    /// It would take effect twice.
+    /// A repetition would take effect again.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// What it needs of the data.
+    /// Required consistency.
     pub consistency: Consistency,
-    /// What a repetition would do.
+    /// Effect of a repetition.
     pub idempotency: Idempotency,
-    /// Answers within this time earn the full weight.
+    /// Answers within this time count with the full weight.
     pub latency_objective: Duration,
-    /// How long a client waits for an answer.
+    /// Time that a client waits for an answer.
     pub deadline: Duration,
-    /// What an answer in time earns.
+    /// Weight of an answer within the objective.
     pub priority_weight: f64,
-    /// Fraction of the weight that a late answer earns.
+    /// Fraction of the weight that a late answer has, from 0 to 1.
     pub late_weight_fraction: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second over all routers that count in full.
+    /// Requests per second, over all routers, that count with their full weight.
     pub quota_per_s: f64,
 }
 
-/// What a replica does with a read for which its data is too old.
+/// Behaviour of a replica on a read for which its data is too old.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StalenessCheck {
-    /// Answers from what it has: the router alone keeps reads fresh.
+    /// Answers with the data that it has: only the router ensures freshness.
     #[default]
     None,
-    /// Rejects the read unexecuted.
+    /// Rejects the read without executing it.
     Reject,
-    /// Waits this long to catch up, then rejects the read unexecuted.
+    /// Waits at most this long to catch up, then rejects the read without executing it.
     Wait(Duration),
 }
 
-/// What a router needs to know of its deployment.
+/// Settings of a router and its deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of routers in the fleet.
     pub router_count: u32,
-    /// This router's number among them, from 0.
+    /// Index of this router in the fleet, from 0.
     pub router_index: u32,
     /// This router's zone.
     pub zone: ZoneId,
-    /// Classes of requests, in the order of [`ClassId`](super::ClassId).
+    /// Request classes, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
-    /// Tenants, in the order of [`TenantId`](super::TenantId).
+    /// Tenants, indexed by [`TenantId`](super::TenantId).
     pub tenants: Vec<Tenant>,
-    /// Weight of a request over its tenant's quota, as a fraction of the usual.
+    /// Weight of a request over its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight_fraction: f64,
-    /// What replicas do with reads that they are too far behind for.
+    /// Behaviour of replicas on reads for which their data is too old.
     pub staleness_check: StalenessCheck,
-    /// The session's last write comes with the request; otherwise the router remembers it.
+    /// Requests carry the position of their session's last write; otherwise the router stores it.
     pub clients_carry_session_position: bool,
     /// The endpoint list has to be polled; otherwise it is pushed.
     pub endpoints_are_polled: bool,
-    /// Longest time between polls; a change counts as known after it.
+    /// Longest time between polls; after it, a router is expected to have seen a change.
     pub max_poll_interval: Duration,
     /// Servers may be probed.
     pub may_probe: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// A further attempt may be sent while one is in flight.
+    /// A further attempt may be sent while another is in flight (hedging).
     pub may_hedge: bool,
-    /// Rejections may say when to come back.
+    /// Rejections may carry a delay after which the client may retry.
     pub may_send_retry_after: bool,
-    /// The longest such time.
+    /// Longest delay that a rejection may carry.
     pub max_retry_after: Duration,
-    /// Attempts allowed for one request; 0: no limit.
+    /// Most attempts for one request; 0: no limit.
     pub attempt_limit: u16,
-    /// Sends to a draining or removed server must stop within this time. No rule reads it: a router stops at once.
+    /// Time within which sends to a draining or removed server must stop. No rule reads it: a router stops at once.
     pub drain_grace: Duration,
     /// A server that is removed without a drain may still be used.
     pub soft_removal: bool,
-    /// Fraction of its capacity that a server has when it starts ...
+    /// Fraction of its full capacity that a server has when it starts, from 0 to 1.
     pub initial_capacity_fraction: f64,
-    /// ... growing to all of it within this time.
+    /// Time in which the capacity of a started server grows to its full value.
     pub warm_up_duration: Duration,
-    /// More than this multiple of its present capacity ...
+    /// Load, as a multiple of its present capacity, above which a server that warms up is overloaded.
     pub overload_factor: f64,
-    /// ... for this long, from all routers together, makes a server that warms up collapse.
+    /// Overload by all routers together for this long makes a server that warms up collapse.
     pub overload_duration: Duration,
-    /// An idle connection is closed after this time. For the host: no rule reads it.
+    /// An idle connection is closed after this time. For the host; no rule reads it.
     pub idle_timeout: Duration,
 }
--- a/crates/routing/src/interface/time.rs
+++ b/crates/routing/src/interface/time.rs
@@ -7,27 +7,27 @@
 pub struct Time(pub Duration);
 
 impl Time {
-    /// The origin. Where an instant may be absent, this value stands for that.
+    /// The origin. Also stands for an absent instant.
     pub const ZERO: Time = Time(Duration::ZERO);
     /// The latest instant; stands for "never".
     pub const MAX: Time = Time(Duration::MAX);
 
-    /// The instant that many microseconds after the origin.
+    /// The instant `since_origin` microseconds after the origin.
     pub const fn from_micros(since_origin: u64) -> Time {
         Time(Duration::from_micros(since_origin))
     }
 
-    /// The instant `span` later, or [`Time::MAX`].
+    /// The instant `span` later; [`Time::MAX`] on overflow.
     pub fn plus(self, span: Duration) -> Time {
         Time(self.0.saturating_add(span))
     }
 
-    /// The instant `span` earlier, or [`Time::ZERO`].
+    /// The instant `span` earlier; [`Time::ZERO`] if that is before the origin.
     pub fn minus(self, span: Duration) -> Time {
         Time(self.0.saturating_sub(span))
     }
 
-    /// How long ago `earlier` was; zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Time) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,22 +1,23 @@
-//! Decisions of a gateway that spreads reads over replicas: cost-to-fresh routing after DTR2.
+//! Routing decisions of a gateway that distributes reads over replicas: cost-to-fresh routing after DTR2.
 //!
-//! A [`Router`] is a pure state machine: it takes an [`Event`] and a clock reading and appends [`Action`]s. It opens no
-//! socket, reads no clock, logs nothing and shares nothing with other routers.
+//! A [`Router`] is a pure state machine: it takes an [`Event`] and a clock reading and appends [`Action`]s. It does no
+//! I/O, reads no clock, writes no log and shares no state with other routers.
 //!
-//! # What happens to a request
+//! # Request processing
 //!
-//! 1. `expiry` takes it in: its deadlines, and the log position that its session needs (`freshness`).
-//! 2. `admission` sheds it if the servers have lately shown to bear less than all requests.
-//! 3. `selection` picks the member of its group with the least cost: this router's remaining work there, the wait until
-//!    the member has caught up, and the expected run time. Servers are passed over that `retry` (idempotency, windows,
-//!    attempts, drains), `slow_start`, `backoff` or `concurrency` exclude. Writes and strong reads need `primary`.
-//! 4. It is sent (`retry`), or queued (`expiry`) while positions or roles are probed (`probing`) or capacity is missing,
-//!    or rejected (`expiry`).
-//! 5. The end of an attempt updates the estimates (`outcomes` calls each rule's module) and gives queued requests of the
-//!    group another look.
+//! 1. `expiry` records the request with its deadlines and the log position that its session requires (`freshness`).
+//! 2. `admission` rejects the request if recent answers show that the servers cannot handle the whole load.
+//! 3. `selection` picks the member of the request's group with the lowest cost: this router's remaining work there, the
+//!    wait until the member has caught up, and the expected run time. It skips servers that are excluded by `retry`
+//!    (idempotency, deduplication windows, attempt limits, drains), `slow_start`, `backoff` or `concurrency`. Writes
+//!    and strong reads require the primary (`primary`).
+//! 4. The request is sent (`retry`), queued (`expiry`) while positions or roles are being probed (`probing`) or
+//!    capacity is missing, or rejected (`expiry`).
+//! 5. When an attempt ends, `outcomes` updates the estimates through the module of each rule, and queued requests of
+//!    the group are dispatched again.
 //!
-//! `endpoints` follows discovery's list and polls it; `router` holds the event loop; `state` the data; `tuning` every
-//! constant. `averages`, `random` and `slow_start_budget` hold arithmetic.
+//! `endpoints` maintains the endpoint list and schedules polls; `router` contains the event loop, `state` the data and
+//! `tuning` all constants. `averages`, `random` and `slow_start_budget` are pure arithmetic.
 //!
 //! ```
 //! use routing::*;
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -2,8 +2,8 @@
 //!
 //! **Inputs**: roles reported by probes and answers, each with the time at which it was true, and discovery's belief.
 //! The member with the newest evidence of being primary is; discovery's belief counts only for a member that has
-//! reported nothing. Where nobody may be probed, a write finds the primary itself: a server that is none rejects it unexecuted and
-//! reports its role.
+//! reported nothing. Where nobody may be probed, a write finds the primary itself: a server that is none rejects it
+//! unexecuted and reports its role.
 //! **Reads.** Writes can't go elsewhere, so a read that replicas could answer gets a fraction of the primary's
 //! concurrency limit: its weight per second of work over that of the best write, within limits.
 
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,7 +1,7 @@
 //! Which attempts are allowed: every send passes [`Router::check_attempt`].
 //!
-//! **Inputs**: the class's idempotency, attempts that may have taken effect (ended in an error, a reset, a time-out or a
-//! cancellation, or still in flight), and limits on the number of attempts.
+//! **Inputs**: the class's idempotency, attempts that may have taken effect (ended in an error, a reset, a time-out or
+//! a cancellation, or still in flight), and limits on the number of attempts.
 //! **Rules**: a non-idempotent request that may have run is never repeated. A keyed one is repeated only inside its
 //! deduplication window, counted from the earliest such attempt, and only where the servers recognise it. A window ends
 //! early by `DEDUPLICATION_MARGIN`: a repetition that arrives after it would take effect twice.
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -149,8 +149,8 @@
     }
 }
 
-/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `lowest_ratio`: latency
-/// over objective that its present capacity allows.
+/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `lowest_ratio`:
+/// latency over objective that its present capacity allows.
 fn is_fast_for_ramp(server: &Server, lowest_ratio: f64, tuning: &Tuning) -> bool {
     server.latency_ratio
         < (tuning.ramp_latency_factor * lowest_ratio).min(tuning.ramp_objective_fraction)
--- a/crates/routing/src/slow_start_budget.rs
+++ b/crates/routing/src/slow_start_budget.rs
@@ -1,11 +1,11 @@
 //! How the budget of a server that warms up is spread over time and over routers. Arithmetic only.
 //!
-//! What all routers together send to such a server in a short time has to stay below a bound, without talk between them.
-//! An independent draw for each request keeps the mean only: what was queued until the server was listed comes at once,
-//! heavy requests count no more than light ones, and the draws of many routers add up by chance.
+//! What all routers together send to such a server in a short time has to stay below a bound, without talk between
+//! them. An independent draw for each request keeps the mean only: what was queued until the server was listed comes at
+//! once, heavy requests count no more than light ones, and the draws of many routers add up by chance.
 //!
-//! So the time since the server's start, which all routers know from the endpoint list, is cut into slices. In each slice
-//! a router may send the server its quota of the work that usually comes to that router in such a time, or of one
+//! So the time since the server's start, which all routers know from the endpoint list, is cut into slices. In each
+//! slice a router may send the server its quota of the work that usually comes to that router in such a time, or of one
 //! request, if that is more. Fractions of requests are rounded by a threshold between 0 and 1: a request may go while
 //! what was sent in the slice, and that much of the request's own work, stay within the quota. The thresholds of all
 //! routers in one slice lie evenly (multiples of an irrational number, by the router's number), so that of many routers
@@ -43,7 +43,8 @@
         self.last = now;
     }
 
-    /// What comes per second, by the memory's time constant. What began less than `least` ago counts as spread over that.
+    /// What comes per second, by the memory's time constant. What began less than `least` ago counts as spread over
+    /// that.
     pub(crate) fn load(
         &self,
         now: Time,
@@ -77,8 +78,8 @@
     }
 
     /// Seconds of work that a request of this work may count on in a slice, if the server bore all of them: those that
-    /// usually come in such a time, or its own. Less for a heavy one, by this power of how much heavier than the mean it
-    /// is: a few of those at once go far beyond the mean.
+    /// usually come in such a time, or its own. Less for a heavy one, by this power of how much heavier than the mean
+    /// it is: a few of those at once go far beyond the mean.
     pub(crate) fn budget(&self, slice: Duration, work: Duration, heavy_exponent: f64) -> f64 {
         let work = work.as_secs_f64();
         let heavy_factor = (self.mean / work).min(1.0).powf(heavy_exponent);
@@ -95,8 +96,8 @@
 }
 
 impl SlowStartPhase {
-    /// `age`: time since the server started; `offset`: the server's in its group, as a fraction of all members, so that a
-    /// router has its turns with the members of a group at different times.
+    /// `age`: time since the server started; `offset`: the server's in its group, as a fraction of all members, so that
+    /// a router has its turns with the members of a group at different times.
     pub(crate) fn at(
         age: Duration,
         slice: Duration,
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -30,8 +30,8 @@
 
 #[test]
 fn overload_that_retries_keep_up_is_answered_by_admitting_less() {
-    // Seen on recorded days i30461c and ic9dd48: retries kept every server full, and attempts were rejected or executed in
-    // vain for the whole day. A router has to admit less while that lasts.
+    // Seen on recorded days i30461c and ic9dd48: retries kept every server full, and attempts were rejected or executed
+    // in vain for the whole day. A router has to admit less while that lasts.
     assert_eq!(rejected_on_arrival(WRITE, Outcome::Ok, 40), 0);
     assert!(rejected_on_arrival(EVENTUAL, Outcome::Rejected, 40) > 30);
     // Failed connects are no overload: nothing is gained by rejecting.
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -28,8 +28,8 @@
 
 #[test]
 fn routers_with_little_traffic_relieve_a_server_that_answers_late() {
-    // Seen on grown slots days: one attempt of each of a hundred routers was within each one's limit, and together they kept
-    // a slow server full.
+    // Seen on grown slots days: one attempt of each of a hundred routers was within each one's limit, and together they
+    // kept a slow server full.
     let mut sent = 0;
     for seed in 0..100 {
         let mut harness = Harness::with_seed(settings(), 2, seed);
@@ -45,8 +45,8 @@
     );
 }
 
-/// Connections that fell silent were taken for overloaded servers, whose limits were reduced for nothing. A time-out that
-/// later attempts have overtaken must not count.
+/// Connections that fell silent were taken for overloaded servers, whose limits were reduced for nothing. A time-out
+/// that later attempts have overtaken must not count.
 #[test]
 fn a_time_out_that_others_have_overtaken_reduces_no_limit() {
     for (overtaken, min_accepted) in [(4, 3), (0, 1)] {
@@ -104,8 +104,8 @@
 
 #[test]
 fn many_routers_together_do_not_try_an_overloaded_server_again_as_soon_as_few_do() {
-    // Seen on join+vast: each of a hundred routers came back to a full server every two or three seconds, and everything
-    // sent there was answered late or never until the day's end.
+    // Seen on join+vast: each of a hundred routers came back to a full server every two or three seconds, and
+    // everything sent there was answered late or never until the day's end.
     let few = sent_after_a_late_answer(4, Outcome::Ok, 10_000 * MS);
     let many = sent_after_a_late_answer(100, Outcome::Ok, 10_000 * MS);
     assert!(
@@ -131,8 +131,8 @@
 #[test]
 fn a_server_where_all_attempts_time_out_gets_few_requests_of_many_routers_and_soon_its_part_again()
 {
-    // Seen on join+mass: the last members of their groups answered no attempt in time for many seconds, since all proxies
-    // together went on to send each of them half of what it could bear with an empty queue.
+    // Seen on join+mass: the last members of their groups answered no attempt in time for many seconds, since all
+    // proxies together went on to send each of them half of what it could bear with an empty queue.
     let (mut sent, mut queued) = ([0; 2], 0);
     for seed in 0..100 {
         let mut harness = Harness::in_fleet(300, 1, seed);
@@ -164,8 +164,8 @@
 
 #[test]
 fn a_write_goes_by_its_own_objective_after_a_read_that_missed_its() {
-    // Seen on zone+mass: a read that took two and a half of its objectives kept four in five writes, with an objective five
-    // times as long, from a primary at which other routers' writes were in time.
+    // Seen on zone+mass: a read that took two and a half of its objectives kept four in five writes, with an objective
+    // five times as long, from a primary at which other routers' writes were in time.
     let sent_after_read = |class, latency| {
         let sent = (0..200).filter(|&seed| {
             let mut settings = Settings {
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -141,9 +141,9 @@
 
 #[test]
 fn a_hundred_routers_that_start_or_lose_the_list_together_do_not_poll_in_step() {
-    // Seen on herd+vast: of seventy proxies that restarted in the same instant five got the list, and none of their further
-    // polls was answered in twelve seconds. Discovery takes 50 to 60 ms for each call, one after the other, and works
-    // through calls whose callers have given up after two seconds all the unchanged.
+    // Seen on herd+vast: of seventy proxies that restarted in the same instant five got the list, and none of their
+    // further polls was answered in twelve seconds. Discovery takes 50 to 60 ms for each call, one after the other, and
+    // works through calls whose callers have given up after two seconds all the unchanged.
     let starts: fn(&mut Harness) -> _ = |harness| {
         harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
             1,
@@ -179,8 +179,8 @@
     }
 }
 
-/// Seen on zone+mass: of a hundred proxies 53 were killed and started again 2.6 s later with their cached list. Those that
-/// polled more than 4 s after that still sent to members whose removal counted as known, six seconds after it.
+/// Seen on zone+mass: of a hundred proxies 53 were killed and started again 2.6 s later with their cached list. Those
+/// that polled more than 4 s after that still sent to members whose removal counted as known, six seconds after it.
 #[test]
 fn a_cached_list_is_used_for_a_short_time_only() {
     let settings_of_fleet = Settings {
@@ -245,8 +245,8 @@
 
 #[test]
 fn however_often_a_poll_has_failed_and_in_any_fleet_the_next_one_is_in_time() {
-    // In a fleet of a hundred the next poll came up to 7.5 s after a failure, and up to 4.5 s in one of four. A change counts
-    // as known 6 s after discovery can be reached again, and the poll has to wait for its turn there.
+    // In a fleet of a hundred the next poll came up to 7.5 s after a failure, and up to 4.5 s in one of four. A change
+    // counts as known 6 s after discovery can be reached again, and the poll has to wait for its turn there.
     let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
--- a/crates/routing/tests/expiry.rs
+++ b/crates/routing/tests/expiry.rs
@@ -58,7 +58,8 @@
 
 #[test]
 fn what_was_never_sent_is_rejected_before_half_of_its_time() {
-    // Seen on a real day with a cut-off primary: rejections came just after half of the client's time, one recheck too late.
+    // Seen on a real day with a cut-off primary: rejections came just after half of the client's time, one recheck too
+    // late.
     let mut checked_settings = Settings {
         staleness_check: StalenessCheck::Reject,
         ..settings()
@@ -132,7 +133,8 @@
         harness.advance(MS / 2);
         harness.report(2, false, Duration::ZERO);
     }
-    // From now on timers alone, each when it is due: all are rechecked within a tenth of the tightest objective (30 ms).
+    // From now on timers alone, each when it is due: all are rechecked within a tenth of the tightest objective (30
+    // ms).
     let (end, mut timers) = (harness.now.plus(200 * MS), 0);
     let mut actions = harness.report(2, false, Duration::ZERO);
     actions.extend(harness.event(Event::Timer(TimerToken(0))));
--- a/crates/routing/tests/freshness.rs
+++ b/crates/routing/tests/freshness.rs
@@ -83,8 +83,8 @@
 
 #[test]
 fn reports_older_than_the_bound_do_not_push_bounded_reads_onto_the_primary() {
-    // Seen on recorded day i10d23f: reports were always older than the bound, no replica ever seemed fresh enough, and all
-    // bounded reads went to the primaries.
+    // Seen on recorded day i10d23f: reports were always older than the bound, no replica ever seemed fresh enough, and
+    // all bounded reads went to the primaries.
     let mut harness = Harness::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
@@ -102,8 +102,8 @@
     assert!(matches!(sent_servers(&actions)[..], [2 | 3]), "{actions:?}");
 }
 
-/// A replica that does not check staleness answers from what it has. A dial may delay the read, so the host is told until
-/// when it may begin.
+/// A replica that does not check staleness answers from what it has. A dial may delay the read, so the host is told
+/// until when it may begin.
 #[test]
 fn a_bounded_read_has_to_begin_while_its_replica_is_fresh() {
     let mut harness = Harness::new(settings(), 2);
--- a/crates/routing/tests/probing.rs
+++ b/crates/routing/tests/probing.rs
@@ -20,7 +20,8 @@
 
 #[test]
 fn servers_that_always_lag_do_not_take_all_probes() {
-    // Seen on recorded day i2d132c: probes went out in a fixed order, and whole groups were not probed for half a minute.
+    // Seen on recorded day i2d132c: probes went out in a fixed order, and whole groups were not probed for half a
+    // minute.
     let mut harness = Harness::new(settings(), 3);
     harness.update_endpoints(vec![Endpoint {
         group: GroupId(1),
--- a/crates/routing/tests/reload.rs
+++ b/crates/routing/tests/reload.rs
@@ -37,8 +37,8 @@
     assert!(is_rejected(&actions, id), "an empty list: {actions:?}");
 }
 
-/// A write under way keeps its class's rights where a stricter class takes the name; new ones have the new rights. Fewer
-/// attempts count at once, and what the class takes is known from before.
+/// A write under way keeps its class's rights where a stricter class takes the name; new ones have the new rights.
+/// Fewer attempts count at once, and what the class takes is known from before.
 #[test]
 fn new_settings_leave_open_requests_their_rights() {
     let mut harness = Harness::new(settings(), 2);
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -59,7 +59,8 @@
 
 #[test]
 fn many_routers_with_little_traffic_do_not_overload_a_starting_server() {
-    // Seen on a day drawn to test rules: each router let one attempt through, together 6.3 times what the server could do.
+    // Seen on a day drawn to test rules: each router let one attempt through, together 6.3 times what the server could
+    // do.
     let bound = 3.0 * 0.25 * 100.0;
     let writes = total_sent_to_starting_member(WRITE, true) as f64;
     assert!(
@@ -80,8 +81,9 @@
 
 #[test]
 fn what_one_starting_server_may_not_have_another_may() {
-    // Seen in the experiment of a power loss: where all members of a group start, one draw for each of them excluded more
-    // than they could not bear in sum. Three of four bear a part of 0.15 each, as the list and the settings have it.
+    // Seen in the experiment of a power loss: where all members of a group start, one draw for each of them excluded
+    // more than they could not bear in sum. Three of four bear a part of 0.15 each, as the list and the settings have
+    // it.
     let bound = 0.8 * 3.0 * 0.25;
     let mut sent = 0;
     for seed in 0..1_000 {
@@ -289,8 +291,9 @@
 
 #[test]
 fn a_router_that_seldom_hears_from_each_starting_server_learns_over_all_of_them() {
-    // Seen on join+vast: new members had 2 to 5 requests a second from a hundred routers together while they answered as fast
-    // as warm ones, and the rest of each group was overloaded. Each router had an answer of each only once in many seconds.
+    // Seen on join+vast: new members had 2 to 5 requests a second from a hundred routers together while they answered
+    // as fast as warm ones, and the rest of each group was overloaded. Each router had an answer of each only once in
+    // many seconds.
     let (learned, unproven) = (sent_to_starting_servers(3.0), sent_to_starting_servers(1.0));
     assert!(
         learned as f64 >= 1.4 * unproven as f64,
@@ -300,7 +303,8 @@
 
 #[test]
 fn retries_do_not_add_to_what_a_starting_server_gets() {
-    // Clients that are rejected come back up to three times: a budget for retries too would exceed what first requests bring.
+    // Clients that are rejected come back up to three times: a budget for retries too would exceed what first requests
+    // bring.
     let mut sent = [0; 2];
     for seed in 0..200 {
         for (index, is_client_retry) in [false, true].into_iter().enumerate() {
@@ -323,8 +327,8 @@
 
 #[test]
 fn first_requests_of_a_fully_used_group_use_most_of_what_a_starting_server_bears() {
-    // Seen on join+vast: groups of starting members alone rejected half of their requests while they answered the rest as
-    // fast as warm ones. Half of the bound was kept for retries, which no longer go there.
+    // Seen on join+vast: groups of starting members alone rejected half of their requests while they answered the rest
+    // as fast as warm ones. Half of the bound was kept for retries, which no longer go there.
     let sent = (0..1_000)
         .filter(|&seed| {
             let mut harness = Harness::in_fleet(1_000, 6, seed);
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -62,13 +62,7 @@
         ..settings()
     };
     let mut routers: Vec<Harness> = (0..workload.routers)
-        .map(|router_index| {
-            Harness::with_seed(
-                settings_of_fleet.clone(),
-                STARTING_SERVER,
-                router_index as u64,
-            )
-        })
+        .map(|index| Harness::with_seed(settings_of_fleet.clone(), STARTING_SERVER, index as u64))
         .collect();
     for harness in &mut routers {
         (1..=STARTING_SERVER)
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,4 +1,5 @@
-//! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing but the pages of endpoints.
+//! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing but the pages of
+//! endpoints.
 
 use crate::instance::Instance;
 use crate::wire::{batch_header, FrameFault, ListKind, Malformed, Reader, Record, Reply};
--- a/crates/simulator-host/src/instance.rs
+++ b/crates/simulator-host/src/instance.rs
@@ -1,4 +1,5 @@
-//! One router that the host plays, with what the simulator leaves to its surroundings: quotas, and the meaning of figures.
+//! One router that the host plays, with what the simulator leaves to its surroundings: quotas, and the meaning of
+//! figures.
 
 use crate::wire::{AttemptEndedRecord, ProbeEndedRecord};
 use platform_settings::{load_report, PlatformSettings, ReportField};
