--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,18 +1,19 @@
-//! Which new requests are admitted at all.
+//! Admission control: which new requests are rejected on arrival.
 //!
-//! A router admits the fraction of its requests that answers of late have shown the servers to bear. Guards against
-//! overload of which no single server and no concurrency limit is the cause: attempts of many routers, retried by their
+//! A router admits the fraction of its requests that the servers can handle, judged by recent answers. This guards
+//! against overload that no single server and no concurrency limit causes: attempts of many routers, retried by their
 //! clients and executed in vain, keep every server full (flash crowds, mass restarts, too few primaries).
 //!
-//! **Inputs**: latency over objective of each answer, and the weight that a late one still earns.
-//! **Fractions**: one over all groups, one for each group (overload in one rejects no other's requests, but a router
-//! hears too rarely from each), and one for over-quota requests, which falls at the first late answers. A fraction
-//! rises by a step for an answer in time and falls by several for a late one. Without answers it decays towards 1.
-//! **Priority**: weight of an answer per second of work. Requests of less than the usual priority are shed first.
-//! **Quota**: borrowed requests take no place for which one within its quota is rejected; retries of over-quota
-//! requests are rejected until that fraction is 1. `Arrival::shed_fraction` draws with the fraction: the narrower of
-//! the two counts.
-//! **Cost**: when a fault that costs weight is over, requests are still shed while the estimate lasts.
+//! - **Inputs**: latency divided by objective of each answer, and the weight that a late answer still has.
+//! - **Fractions**: one over all groups; one for each group, so that overload in one group does not reject requests of
+//!   another; and one for over-quota requests, which falls at the first late answers. The fraction over all groups is
+//!   needed because a router gets too few answers from each group. A fraction rises by one step for an answer in time
+//!   and falls by several for a late one. Without answers it decays towards 1.
+//! - **Priority**: weight of an answer per second of work. Requests below the average priority are shed first.
+//! - **Quota**: a borrowed request is admitted only while no request within its quota is rejected; retries of
+//!   over-quota requests are rejected until the over-quota fraction is 1. `Arrival::shed_fraction` uses the same random
+//!   number as the fraction, so that the lower of the two applies, not their product.
+//! - **Cost**: after a fault that reduces weight has ended, requests are shed until the estimate has decayed.
 
 #[cfg(test)]
 mod tests;
@@ -24,14 +25,14 @@
 
 /// Fractions of a group's requests to admit.
 struct AdmissionFractions {
-    /// By what all groups' answers show.
+    /// Fraction according to the answers of all groups.
     all_groups: f64,
-    /// By what this group's show.
+    /// Fraction according to the answers of this group, decayed towards that of all groups.
     group: f64,
 }
 
 impl Router {
-    /// Whether a new request is admitted. Its priority enters the usual priority.
+    /// Whether a new request is admitted. Also updates the average priority.
     pub(crate) fn admit(&mut self, id: RequestId) -> bool {
         let priority = self.priority(id);
         self.average_priority += self.tuning.sample_weight * (priority - self.average_priority);
@@ -60,8 +61,8 @@
             .decay_since(self.admission.updated)
             .powf(self.tuning.admission_decay);
         let all_groups = 1.0 + decay * self.admission.offset;
-        // A group's own fraction decays towards that of all groups, by the root: a router hears of one group less
-        // often.
+        // A group's own fraction decays towards that of all groups. The square root slows the decay, since a router
+        // gets fewer answers from one group than from all.
         let group_offset = |admission: &Admission| {
             self.decay_since(admission.updated).sqrt() * (1.0 + admission.offset - all_groups)
         };
@@ -72,7 +73,8 @@
         }
     }
 
-    /// Adapts the fractions to an answer of a server of this group. `latency_ratio`: latency over objective.
+    /// Updates the fractions after an answer from a server of this group. `latency_ratio`: latency divided by
+    /// objective.
     pub(crate) fn update_admission(
         &mut self,
         group: GroupId,
@@ -86,7 +88,7 @@
         } else {
             late_weight_fraction
         };
-        // A time-out may be its connection's fault: it weighs no more than an answer in time.
+        // A time-out may be caused by the connection: it counts no more than an answer in time.
         let step = if outcome == Outcome::TimedOut {
             -1.0
         } else {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// What an answer would earn now, per second of the class's work.
+    /// Weight that an answer would have now, per second of the class's work.
     pub(crate) fn priority(&self, id: RequestId) -> f64 {
         let Some(request) = self.requests.get(&id) else {
             return 0.0;
@@ -140,17 +142,17 @@
     }
 }
 
-/// A fraction as it applies to a request of this priority: requests below the usual are shed first.
+/// The fraction that applies to a request of this priority: requests below the average priority are shed first.
 fn fraction_for_priority(fraction: f64, average_priority: f64, priority: f64) -> f64 {
     fraction.powf((average_priority / priority).powi(2))
 }
 
-/// 1 for an answer that earned all its weight, down to `-fall` for one that earned nothing.
+/// Step of a fraction: 1 for an answer with its full weight, down to `-fall` for one without any.
 fn admission_step(earned_fraction: f64, fall: f64) -> f64 {
     earned_fraction - fall * (1.0 - earned_fraction)
 }
 
-/// The fraction after a step in proportion to itself, inside its limits.
+/// The fraction after a step in proportion to itself, clamped to its limits.
 fn adjusted_fraction(fraction: f64, weight: f64, step: f64, tuning: &Tuning) -> f64 {
     (fraction + fraction * weight.min(tuning.sample_weight) * step)
         .clamp(tuning.admission_min, tuning.admission_max)
--- a/crates/routing/src/averages.rs
+++ b/crates/routing/src/averages.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-/// The fraction that is left of an estimate after `age`: exponential decay with this time constant.
+/// Remaining fraction of an estimate after `age`: exponential decay with this time constant.
 pub(crate) fn decay(age: Duration, time_constant: Duration) -> f64 {
     (-age.div_duration_f64(time_constant)).exp()
 }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -1,9 +1,9 @@
-//! Servers left alone after hard failures.
+//! Backoff: servers that get no requests for a while after hard failures.
 //!
-//! Inputs: attempts that failed without an answer (no connection, a reset, a silent time-out) and failed probes. The
-//! backoff starts at `Tuning::backoff_initial` objectives, doubles with each failure in a row up to
-//! `Tuning::backoff_max` objectives, and is then spread by half to either side, so that routers don't come back
-//! together. Any answer ends it.
+//! Inputs: attempts that failed without an answer (no connection, a reset, a time-out of a silent server) and failed
+//! probes. The backoff starts at `Tuning::backoff_initial` objectives and doubles with each consecutive failure up to
+//! `Tuning::backoff_max` objectives. Jitter of plus or minus half keeps routers from returning at the same time. Any
+//! answer ends the backoff.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// It has answered.
+    /// Ends the backoff after an answer of the server.
     pub(crate) fn end_backoff(&mut self) {
         self.consecutive_failures = 0;
         self.backoff_until = Time::ZERO;
@@ -21,7 +21,7 @@
 }
 
 impl Router {
-    /// The server is down or cut off.
+    /// Starts or extends the backoff of a server that is down or unreachable.
     pub(crate) fn back_off(&mut self, id: ServerId) {
         let jitter = 0.5 + self.random_unit();
         let objective = self.tightest_objective;
@@ -36,7 +36,7 @@
     }
 }
 
-/// The backoff after so many earlier failures in a row.
+/// Backoff after `earlier_failures` consecutive failures, before jitter.
 fn backoff_span(initial: Duration, longest: Duration, earlier_failures: u32) -> Duration {
     let doublings = earlier_failures.min(16);
     initial.saturating_mul(1 << doublings).min(longest)
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -1,16 +1,18 @@
-//! Adaptive concurrency limit: how many of this router's attempts a server may have at once.
+//! Adaptive concurrency limit: how many attempts of this router a server may have at once.
 //!
-//! Guards against queues that grow out of the routers' sight (overload, slow servers, others' load).
+//! Guards against queues that grow unseen by the routers (overload, slow servers, load from other clients).
 //!
-//! **Inputs**: moving averages of each server's latency (seconds) and of latency over objective.
-//! **Rule**: an answer that is late, while the average is above `Tuning::limit_high_latency`, multiplies the limit by
-//! `Tuning::limit_cut`, once for all that was sent before; so do rejections and time-outs. While the average is low, an
-//! answer that used the limit adds one attempt for each limit's worth of answers.
-//! **A server with nothing in flight** gets one attempt, or none, by a draw with the probability that its answers were
-//! in time of late. In a large fleet the probability for reads is the square of the part that came easily: routers are
-//! too many with one attempt each, and a full queue, fed by retries of all, would never end. A write goes by its own
-//! objective: what is late for reads may do for it. The draw is made once for each request and server.
-//! **Cost**: a server that is slow for another reason than its load gets less than it could bear.
+//! - **Inputs**: moving averages of each server's latency (seconds) and of latency divided by objective.
+//! - **Rule**: a late answer, while the average is above `Tuning::limit_high_latency`, multiplies the limit by
+//!   `Tuning::limit_cut`, once for all attempts sent before the reduction; so do rejections and time-outs. While the
+//!   average is low, an answer that used the limit raises it by the reciprocal of the limit, so that the limit grows by
+//!   one attempt for as many answers as the limit.
+//! - **Server without attempts in flight**: it gets one attempt, or none, by a random draw with the probability that
+//!   its recent answers were in time. In a large fleet the probability for reads is the square of the fraction that was
+//!   clearly in time: with one attempt from each of many routers, a full queue that is fed by retries would never
+//!   empty. A write is judged by its own objective, since a latency that is late for reads may be in time for the
+//!   write. There is one draw for each request and server.
+//! - **Cost**: a server that is slow for a reason other than its load gets less than it could handle.
 
 #[cfg(test)]
 mod tests;
@@ -23,7 +25,8 @@
 use std::time::Duration;
 
 impl Server {
-    /// At most one reduction for what was sent before it: that says nothing of the limit since.
+    /// Reduces the limit at most once for all attempts sent before the last reduction: their results say nothing about
+    /// the limit since then.
     fn reduce_limit(&mut self, factor: f64, now: Time, sent: Time) {
         if sent >= self.limit_reduced {
             let used = self.in_flight.len() as f64 + 1.0;
@@ -34,7 +37,8 @@
 }
 
 impl Router {
-    /// Whether the server may bear one more of this router's attempts. `fraction`: of its limit, open to this request.
+    /// Whether the server may get one more attempt of this router. `fraction`: part of the limit that is open to this
+    /// request, from 0 to 1.
     pub(crate) fn has_capacity(
         &self,
         request: &Request,
@@ -53,7 +57,7 @@
     fn idle_server_probability(&self, request: &Request, server: &Server, fraction: f64) -> f64 {
         let class = self.class(request.arrival.class);
         let is_write = class.consistency == Consistency::Write;
-        // In a large fleet a late answer keeps a router off for longer: all would else come back at once.
+        // In a large fleet a late answer excludes the server for longer; otherwise all routers would return at once.
         let decay = self
             .decay_since(server.latency_updated)
             .powf(self.fleet_share().sqrt());
@@ -72,7 +76,8 @@
         }
     }
 
-    /// Takes an answer's latency into the server's averages. `weight`: of the new sample, at least the tuned one.
+    /// Adds an answer's latency to the server's averages. `weight`: weight of the new sample; `Tuning::latency_weight`
+    /// is the minimum.
     pub(crate) fn update_latency_averages(
         &mut self,
         id: ServerId,
@@ -88,7 +93,7 @@
         server.latency = exponential_average(server.latency, latency, weight);
     }
 
-    /// A late answer reduces the limit; an early one that used it raises it.
+    /// Reduces the limit after a late answer; raises it after an early one that used the limit.
     pub(crate) fn adapt_limit(
         &mut self,
         id: ServerId,
@@ -110,7 +115,7 @@
         }
     }
 
-    /// The server rejected an attempt or let it time out.
+    /// Reduces the limit after the server rejected an attempt or let it time out.
     pub(crate) fn reduce_limit(&mut self, id: ServerId, sent: Time) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.reduce_limit(self.tuning.limit_cut, self.now, sent);
--- a/crates/routing/src/concurrency/tests.rs
+++ b/crates/routing/src/concurrency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// All answers that were sent before a reduction were late for the same reason. Each of them reducing the limit again
-/// would close the server for one bad moment.
+/// Answers to attempts that were sent before a reduction are late for the same reason. If each of them reduced the
+/// limit again, one short slowdown would close the server.
 #[test]
 fn a_limit_is_reduced_once_for_all_that_was_sent_before() {
     let at = Time::from_micros;
@@ -10,7 +10,7 @@
         ..Server::default()
     };
     server.reduce_limit(0.8, at(10), at(5));
-    assert_eq!(server.concurrency_limit, 1.0, "never under one attempt");
+    assert_eq!(server.concurrency_limit, 1.0, "not below one attempt");
     server.concurrency_limit = 4.0;
     server.reduce_limit(0.8, at(20), at(9));
     assert_eq!(
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_reduction_goes_by_what_is_used_of_the_limit() {
+fn a_reduction_is_relative_to_the_used_part_of_the_limit() {
     let at = Time::from_micros;
     let mut server = Server {
         concurrency_limit: 50.0,
@@ -39,6 +39,6 @@
     server.reduce_limit(0.8, at(20), at(9));
     assert_eq!(
         server.concurrency_limit, 8.0,
-        "0.8 of nine and the one that ended"
+        "0.8 times the nine attempts in flight and the one that ended"
     );
 }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,16 +1,17 @@
-//! What discovery says of the servers: list updates, drains, restarts, and when the list is polled.
+//! Endpoint list: updates from discovery, drains, restarts, and the schedule of polls.
 //!
-//! Inputs: [`EndpointUpdate`]s. A server that drains gets nothing from the moment that this router learns of it, well
-//! inside the grace (`Settings::drain_grace`). A removed one neither, unless the settings say that removal without a
-//! drain does not bind (`Settings::soft_removal`): then own attempts tell whether it still serves.
+//! Inputs: [`EndpointUpdate`]s. A draining server gets no requests from the moment that this router receives the
+//! update, well within the grace period (`Settings::drain_grace`). The same holds for a removed server, unless the
+//! settings allow its use after a removal without a drain (`Settings::soft_removal`): then the router's own attempts
+//! show whether it still serves.
 //!
-//! **Polling.** After a failed poll the next one comes after a backoff that doubles up to
-//! [`discovery_schedule::MAX_RETRY_DELAY`]. The list is one service for all routers, which takes calls in turn and
-//! wastes those that waited too long. Routers that start together, or lose it together, would keep each other from it
-//! for good. So the calls of a large fleet are spread over `POLL_SPACING` for each router, as far as the time allows
-//! within which a call has to be made. After the first failure a call comes anywhere in that span, so that each router
-//! gets its place in it; from the second on it comes late in the span, which keeps the places and makes the fewest
-//! calls.
+//! **Polling.** After a failed poll the next one follows after a backoff that doubles up to
+//! [`discovery_schedule::MAX_RETRY_DELAY`]. One discovery service serves all routers. It handles calls in sequence and
+//! spends time even on calls whose callers have given up. Routers that start together, or lose the list together, would
+//! block each other indefinitely. Therefore the calls of a large fleet are spread over `POLL_SPACING` per router, as
+//! far as the time allows within which a call has to be made. After the first failure a call comes at a random time in
+//! that span, which gives each router its own slot. From the second failure on it comes late in the span, which keeps
+//! the slots and makes the fewest calls.
 
 use crate::interface::*;
 use crate::slow_start_budget::SliceSpending;
@@ -20,7 +21,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// Draining binds. Removal does too, unless it is soft.
+    /// A draining server gets no more requests. The same holds for a removed one, unless removal is soft.
     fn set_state(&mut self, state: EndpointState, soft_removal: bool, now: Time) {
         self.state = state;
         match state {
@@ -32,8 +33,8 @@
         }
     }
 
-    /// A new incarnation. Role, ramp confidence, slow start and backoff start anew; position, run times and concurrency
-    /// limit stay as first estimates.
+    /// Handles a new incarnation. Role, ramp confidence, slow start and backoff are reset; position, run times and
+    /// concurrency limit stay as initial estimates.
     fn restart(&mut self, started: Time) {
         self.started = started;
         self.role = self.role.filter(|role| role.as_of > started);
@@ -105,7 +106,8 @@
         server.group = endpoint.group;
     }
 
-    /// Forgets removed servers without attempts in flight. Where removal is soft, those that left without a drain stay.
+    /// Drops removed servers without attempts in flight. With soft removal, servers that were removed without a drain
+    /// stay.
     fn drop_departed_servers(&mut self) {
         let soft_removal = self.settings.soft_removal;
         self.servers.retain(|_, server| {
@@ -131,7 +133,7 @@
                 .iter()
                 .filter(|id| !self.servers[id].is_draining());
             group.largest_size = group.largest_size.max(serving.count());
-            // In one order for all, routers that know little of the members would crowd the first.
+            // If all routers had the same order, those that know little of the members would crowd the first member.
             subsetting::order(
                 self.settings.router_index,
                 id.0,
@@ -141,9 +143,9 @@
         }
     }
 
-    /// The cached list of the process before this one is too old to go by: what has left it since counts as known to
-    /// this router. Without an answer for as long as that takes, discovery can't be reached, and the list is all there
-    /// is.
+    /// Whether the cached list of the previous process is too old to use: by now this router is expected to know of
+    /// changes since then. If there is still no response after the notification deadline, discovery is unreachable and
+    /// the cached list is used again, since no newer one exists.
     pub(crate) fn endpoints_are_outdated(&self) -> bool {
         let outdated =
             discovery_schedule::CACHED_LIST_LIFETIME..discovery_schedule::NOTIFICATION_DEADLINE;
@@ -158,7 +160,7 @@
 
     fn on_poll_failure(&mut self) {
         self.poll_failures += 1;
-        // Where the settings give less time for polling, that binds after a failure too.
+        // A shorter poll interval in the settings also limits the delay after a failure.
         let longest = discovery_schedule::MAX_RETRY_DELAY.min(self.settings.max_poll_interval);
         let backoff = (POLL_BACKOFF_UNIT * (1 << self.poll_failures.min(16))).min(longest);
         let latest = backoff.max(self.poll_spread(longest));
@@ -171,7 +173,7 @@
         self.schedule_poll(earliest, latest);
     }
 
-    /// Over how long the fleet's polls are spread.
+    /// Span over which the polls of the fleet are spread.
     fn poll_spread(&self, longest: Duration) -> Duration {
         let small_fleet = self.tuning.small_fleet_size as u32;
         let others = self.settings.router_count.saturating_sub(small_fleet);
--- a/crates/routing/src/estimates.rs
+++ b/crates/routing/src/estimates.rs
@@ -1,10 +1,11 @@
 //! Moving averages of time: each server's run time for each class, and each class's work.
 //!
-//! **Run time** (by server and class): what an attempt there is expected to take. An attempt without an answer took its
-//! time too; an error or a failed connect counts as more than the objective. Otherwise a server that loses requests or
-//! fails them quickly would look no worse than others.
-//! **Work** (by class): what a request takes on an idle server. Longer times contain waiting and move it less.
-//! **Decay**: estimates that no answer refreshes decay with `Tuning::estimate_time_constant` (`Router::decay_since`).
+//! - **Run time** (by server and class): expected duration of an attempt there. An attempt without an answer counts
+//!   with the time that it took; an error or a failed connect counts as more than the objective. Otherwise a server
+//!   that loses requests or fails them quickly would look as good as others.
+//! - **Work** (by class): duration of a request on an idle server. Longer times include waiting and have a lower
+//!   weight.
+//! - **Decay**: estimates without new answers decay with `Tuning::estimate_time_constant` (`Router::decay_since`).
 
 use crate::averages::exponential_average;
 use crate::interface::*;
@@ -13,16 +14,16 @@
 use std::time::Duration;
 
 impl Router {
-    /// The server's own average; before its first answer the class's work elsewhere. With the objective as the start,
-    /// far above what most take, a router would stay with the first members that it tried.
+    /// The server's own average, or before its first answer the class's work on other servers. If the objective, which
+    /// is far above most run times, were the initial value, a router would stay with the first members that it tried.
     pub(crate) fn expected_run_time(&self, server: &Server, class: ClassId) -> Duration {
         let index = usize::from(class.0);
         server.run_time[index].unwrap_or(self.class_work[index])
     }
 
-    /// Time that this router's attempts in flight there will still take: for each the average less the time spent. One
-    /// that has outlived its average counts for as long as it has done so: floored at zero, a hung server would look
-    /// idle. Misleads where run times fall into two kinds.
+    /// Remaining time of this router's attempts in flight at the server: for each, the average run time minus the time
+    /// spent. An attempt that has exceeded its average counts with the excess: if it counted as zero, a hung server
+    /// would look idle. Misleading for classes with two distinct run times.
     pub(crate) fn remaining_work(&self, server: &Server) -> Duration {
         let remaining = server.in_flight.values().map(|attempt| {
             let spent = self.now.since(attempt.sent);
@@ -32,7 +33,7 @@
         remaining.sum()
     }
 
-    /// Takes an ended attempt into the server's average run time.
+    /// Adds an ended attempt to the server's average run time.
     pub(crate) fn update_run_time(
         &mut self,
         id: ServerId,
@@ -43,7 +44,7 @@
     ) {
         let run_time = match outcome {
             Outcome::Ok | Outcome::TimedOut => elapsed,
-            // A trace more than a server not yet tried, which so gets its turn.
+            // Slightly more than the cost of a server that has not been tried, so that one is tried next.
             Outcome::Failed | Outcome::ConnectFailed => {
                 objective + self.tightest_objective / 2 + MIN_SPAN
             }
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes a successful attempt into the class's average work.
+    /// Adds a successful attempt to the class's average work.
     pub(crate) fn update_class_work(&mut self, class: ClassId, elapsed: Duration) {
         let work = &mut self.class_work[usize::from(class.0)];
         let weight = if elapsed < *work {
--- a/crates/routing/src/expiry.rs
+++ b/crates/routing/src/expiry.rs
@@ -1,15 +1,16 @@
-//! Queueing and rejecting: how long a request waits here, and its final answer.
+//! Queueing and rejection: how long a request waits in the router, and its final answer.
 //!
-//! **Objective.** The latency objective counts from the client's first request. A marked retry with less time than
-//! first requests have had has what is left of the deadline. Guards against storms of retries that come too late to
-//! earn anything and take the place of requests that would. Where retries bear no mark nothing is known of them.
-//! **Queueing.** What no server can take now is queued until `Router::queue_deadline`, and longer for capacity if a
-//! late answer still earns something. News of a server dispatches the queued requests of its group, those of highest
-//! priority first. Of equal priority the newest goes first: it has the most time left, while the oldest would all be
-//! served just too late whenever more wait than can be served.
-//! **Rejecting.** A rejection promises that nothing ran which a repetition could double; anything else ends as a
-//! failure. It may say when to come back (Retry-After): after `Tuning::backoff_max` objectives, within the settings'
-//! limit.
+//! - **Objective.** The latency objective counts from the client's first request. A marked retry that has less time
+//!   left than first requests have had gets only the rest of its objective. This guards against storms of retries that
+//!   come too late to count and displace requests in time. For a retry without a mark, the time of the first request is
+//!   unknown.
+//! - **Queueing.** A request that no server can take now is queued until `Router::queue_deadline`, or longer for
+//!   capacity if a late answer still has some weight. An event of a server dispatches the queued requests of its group
+//!   by descending priority, and of equal priority the newest first: it has the most time left, while in the order of
+//!   arrival all would be served just too late whenever more requests wait than can be served.
+//! - **Rejection.** A rejection promises that the client can repeat the request without it taking effect twice;
+//!   otherwise the final answer is a failure. It may carry a delay (Retry-After) of `Tuning::backoff_max` objectives,
+//!   within the settings' limit.
 
 use crate::interface::*;
 use crate::state::{Request, Router, TimerKind};
@@ -42,7 +43,7 @@
         self.dispatch(id, actions);
     }
 
-    /// Until when an answer earns its full weight.
+    /// Until when an answer counts with its full weight.
     fn objective_deadline(&mut self, arrival: &Arrival) -> Time {
         let index = usize::from(arrival.class.0);
         let Some(class) = self.settings.classes.get(index) else {
@@ -61,7 +62,7 @@
         self.now.plus(class.latency_objective.saturating_sub(spent))
     }
 
-    /// Until when a request is queued that nothing can be sent for.
+    /// Until when a request that cannot be sent is queued.
     pub(crate) fn queue_deadline(&self, request: &Request) -> Time {
         let queue_time = request
             .arrival
@@ -83,7 +84,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        // At most one recheck timer for a request: every event that dispatches it would set another.
+        // At most one recheck timer per request: otherwise every event that dispatches the request would add one.
         if request.recheck_at.is_none_or(|at| at <= self.now) {
             request.recheck_at = Some(recheck_at);
             self.timers.insert((recheck_at, TimerKind::Recheck(id)));
@@ -93,12 +94,12 @@
             let key = (request.arrival.group, request.arrived, id);
             self.queue.insert(key);
         } else {
-            // What rejected it a while ago may take it now.
+            // A server that rejected the request earlier may accept it now.
             request.avoided_servers.clear();
         }
     }
 
-    /// A request that may wait no longer is looked at in time to be rejected.
+    /// Time of the next recheck, no later than the queue deadline, so that the request is rejected in time.
     fn recheck_time(&self, request: &Request) -> Time {
         let recheck_at = self.now.plus(self.recheck_interval());
         let queue_deadline = self.queue_deadline(request);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// News of a server: queued requests of its group get another look.
+    /// Dispatches queued requests of the server's group after an event of that server.
     pub(crate) fn dispatch_queued(&mut self, server: ServerId, actions: &mut Vec<Action>) {
         let Some(group) = self.servers.get(&server).map(|server| server.group) else {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Gives the final answer: a rejection where that keeps its promise, otherwise a failure.
+    /// Gives the final answer: a rejection if the request can be repeated safely, otherwise a failure.
     pub(crate) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -143,7 +144,7 @@
         self.remove_request(id);
     }
 
-    /// Whether a repetition by the client, through any router, can't take effect twice.
+    /// Whether a repetition by the client, through any router, cannot take effect twice.
     fn can_be_repeated(&self, request: &Request) -> bool {
         let has_not_run = request.in_flight.is_empty() && request.possible_effect.is_none();
         let class = usize::from(request.arrival.class.0);
@@ -167,7 +168,7 @@
             .min(self.settings.max_retry_after)
     }
 
-    /// Forgets a request that needs no further answer.
+    /// Removes a request that needs no further answer.
     pub(crate) fn remove_request(&mut self, id: RequestId) {
         if let Some(request) = self.requests.remove(&id) {
             self.queue
--- a/crates/routing/src/freshness.rs
+++ b/crates/routing/src/freshness.rs
@@ -1,16 +1,16 @@
-//! Log positions: what a read must see, and when a replica has it.
+//! Log positions: the position that a read must see, and when a replica has reached it.
 //!
 //! A position is an instant on the servers' clock: all commits up to it are applied. **Inputs**: positions reported by
 //! probes and answers, rejected reads, and commits of sessions' writes.
 //!
-//! **Catch-up.** The wait until a replica has the position that a read needs is predicted at one second of log per
-//! second. The time since its position was reported counts as caught up, and a replica that never reported counts as
-//! caught up in full: so one is tried or probed. Where replicas check staleness, a wrong guess ends in a
-//! rejection, runs nothing and takes the guess back; elsewhere the replica is probed first, since only a reported
-//! position permits a send. Guards against reports older than the bound, and against all reads crowding the primaries
-//! where a router knows few positions (at start, with little traffic). Costs most where rejections or probes are dear.
+//! **Catch-up.** A replica is predicted to apply one second of log per second. The time since its last report counts as
+//! caught up, and a replica that never reported counts as fully caught up, so that it is tried or probed. Where
+//! replicas check staleness, a wrong prediction ends in a rejection, which executes nothing and corrects the
+//! prediction. Elsewhere the replica is probed first, since only a reported position permits a send. This guards
+//! against reports that are older than the bound, and against all reads crowding the primaries where a router knows few
+//! positions (at start, with little traffic). It costs most where rejections or probes are expensive.
 //!
-//! **Sessions.** The commit of a session's last write comes with its requests or is remembered here.
+//! **Sessions.** The commit position of a session's last write is carried by its requests or stored here.
 
 #[cfg(test)]
 mod tests;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 impl Server {
-    /// Takes a position that it reported; positions never go back.
+    /// Records a position that the server reported; positions never decrease.
     pub(crate) fn report_position(&mut self, position: Time, now: Time) {
         self.position = self.position.max(Some(position));
         self.position_reported = now;
@@ -30,7 +30,7 @@
 }
 
 impl Router {
-    /// The log position that the request must see if sent now; none: any will do.
+    /// The log position that the request must see if it is sent now; none if any position will do.
     pub(crate) fn needed_position(&self, request: &Request) -> Option<Time> {
         match self.class(request.arrival.class).consistency {
             Consistency::Write | Consistency::Eventual => None,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The predicted wait until the server has the position that the request needs.
+    /// Predicted wait until the server has reached the position that the request requires.
     pub(crate) fn catch_up_wait(&self, request: &Request, server: &Server) -> Duration {
         let Some(needed) = self.needed_position(request) else {
             return Duration::ZERO;
@@ -64,8 +64,8 @@
         by_report.max(by_rejection)
     }
 
-    /// Whether a replica may be sent the request: it reported the position, or it checks by itself and the guess is
-    /// good.
+    /// Whether a replica may get the request: it has reported the position, or it checks staleness itself and is
+    /// predicted to have caught up.
     pub(crate) fn is_fresh_enough(&self, request: &Request, server: &Server) -> bool {
         let Some(needed) = self.needed_position(request) else {
             return true;
@@ -79,7 +79,7 @@
             }
     }
 
-    /// Until when a replica that does not check staleness may be sent this read, by the position that it reported.
+    /// Until when a replica that does not check staleness may get this read, according to its reported position.
     pub(crate) fn fresh_until(&self, request: &Request, id: ServerId) -> Time {
         let server = &self.servers[&id];
         let is_primary = self.primary(server.group) == Some(id);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The server rejected the request as too far behind: the guess that it had caught up is taken back.
+    /// Records that the server rejected the request because its data was too old, which corrects the prediction.
     pub(crate) fn record_stale_rejection(&mut self, id: RequestId, server: ServerId) {
         let needed = self
             .requests
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Position that a read of the request's session must see; zero if its session has written nothing.
+    /// Position that a read of the request's session must see; zero if its session has not written anything.
     pub(crate) fn session_position(&self, arrival: &Arrival) -> Time {
         match (arrival.session_position, arrival.session) {
             (Some(SessionPosition::Ago(ago)), _) => self.now.minus(ago),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A write of the request's session succeeded. Its commit is remembered unless clients carry it.
+    /// Records a successful write of the request's session. Its commit position is stored unless clients carry it.
     pub(crate) fn record_session_write(&mut self, id: RequestId, commit: Option<Time>) {
         let session = self
             .requests
@@ -147,7 +147,7 @@
     }
 }
 
-/// Log that a server still has to apply, at one second of log per second, if it had `position` this long ago.
+/// Span of log that a server still has to apply, at one second of log per second, if it had `position` this long ago.
 fn remaining_gap(needed: Time, position: Time, elapsed: Duration) -> Duration {
     needed.since(position).saturating_sub(elapsed)
 }
--- a/crates/routing/src/freshness/tests.rs
+++ b/crates/routing/src/freshness/tests.rs
@@ -12,7 +12,7 @@
     assert_eq!(
         remaining_gap(position, needed, Duration::ZERO),
         Duration::ZERO,
-        "it is ahead"
+        "the position is ahead of the needed one"
     );
 }
 
--- a/crates/routing/src/outcomes.rs
+++ b/crates/routing/src/outcomes.rs
@@ -1,8 +1,8 @@
-//! What the end of an attempt teaches: each estimate is updated by the module that owns it, in a fixed order.
+//! Results of attempts: passes each result to the modules that own the estimates, in a fixed order.
 //!
-//! An answer says how long the server took, and perhaps its role and position. No answer says less: in a large fleet a
-//! time-out counts as the whole deadline, since it hides how long the answer would have taken. In a small one the
-//! concurrency limits alone keep the servers from overload.
+//! An answer shows the server's latency, and possibly its role and position. A missing answer shows less. In a large
+//! fleet a time-out counts as the whole deadline, since the true latency is unknown. In a small fleet the concurrency
+//! limits alone keep the servers from overload.
 
 use crate::interface::*;
 use crate::state::{InFlight, RoleEvidence, Router};
@@ -38,7 +38,7 @@
         let Some(class) = class else {
             return;
         };
-        // Guards against taking a connection that has fallen silent for a server that is overloaded.
+        // Guards against mistaking a connection that has fallen silent for an overloaded server.
         let overtaken = attempt.map_or(0, |attempt| attempt.overtaken_by) >= OVERTAKEN_LIMIT;
         if ended.outcome != Outcome::TimedOut || !overtaken {
             self.update_estimates(class, sent, ended);
@@ -73,7 +73,8 @@
         self.update_availability(class, objective, sent, ended);
     }
 
-    /// What an attempt shows of the server's latency. A rejection counts as the whole deadline: a full server is late.
+    /// Latency that an attempt shows for the server. A rejection counts as the whole deadline, since a full server is
+    /// late.
     fn observed_latency(&self, class: ClassId, ended: &AttemptEnded) -> Duration {
         let is_hidden = self.is_large_fleet() && ended.outcome == Outcome::TimedOut;
         if is_hidden || ended.outcome == Outcome::Rejected {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Whether the server is up, and how much it bears.
+    /// Updates backoff and concurrency limit: whether the server is up, and how much it can handle.
     fn update_availability(
         &mut self,
         class: ClassId,
@@ -135,7 +136,8 @@
             }
             Outcome::Rejected => self.reduce_limit(id, sent),
             Outcome::ConnectFailed | Outcome::Reset => return self.back_off(id),
-            // Silent since before it was sent: the server hangs. One that answered others is only slow.
+            // No answer since before the attempt was sent: the server hangs. A server that answered others is only
+            // slow.
             Outcome::TimedOut if self.is_silent_since(id, sent) => return self.back_off(id),
             Outcome::TimedOut => return self.reduce_limit(id, sent),
             Outcome::Cancelled | Outcome::NotSent => return,
--- a/crates/routing/src/primary.rs
+++ b/crates/routing/src/primary.rs
@@ -1,17 +1,17 @@
-//! Who is primary, and how much of it reads may use.
+//! The group's primary, and the part of its capacity that is open to reads.
 //!
-//! **Inputs**: roles reported by probes and answers, each with the time at which it was true, and discovery's belief.
-//! The member with the newest evidence of being primary is; discovery's belief counts only for a member that has
-//! reported nothing. Where nobody may be probed, a write finds the primary itself: a server that is none rejects it
-//! unexecuted and reports its role.
-//! **Reads.** Writes can't go elsewhere, so a read that replicas could answer gets a fraction of the primary's
-//! concurrency limit: its weight per second of work over that of the best write, within limits.
+//! - **Inputs**: roles reported by probes and answers, each with the time at which it was true, and the role in the
+//!   endpoint list. The member with the newest evidence of being primary is the primary; the endpoint list counts only
+//!   for a member that has reported nothing. Where probes are not allowed, a write finds the primary by itself: any
+//!   other member rejects it without executing it and reports its role.
+//! - **Reads.** Writes cannot go elsewhere, so a read that replicas could answer gets only a fraction of the primary's
+//!   concurrency limit: its weight per second of work divided by that of the best write, within limits.
 
 use crate::interface::*;
 use crate::state::{RoleEvidence, Router, Server};
 
 impl Server {
-    /// Takes a report on its role unless there is newer evidence.
+    /// Records a reported role unless there is newer evidence.
     pub(crate) fn report_role(&mut self, is_primary: bool, as_of: Time) {
         if self.role.is_none_or(|known| known.as_of <= as_of) {
             self.role = Some(RoleEvidence { is_primary, as_of });
@@ -20,7 +20,7 @@
 }
 
 impl Router {
-    /// The group's primary, if one is known.
+    /// The group's primary, if known.
     pub(crate) fn primary(&self, group: GroupId) -> Option<ServerId> {
         let evidence = |id: &&ServerId| {
             let server = &self.servers[*id];
@@ -37,7 +37,7 @@
             .copied()
     }
 
-    /// Whether it has not lately reported that it is none.
+    /// Whether the server has not recently reported that it is not the primary.
     pub(crate) fn may_be_primary(&self, server: &Server) -> bool {
         let lifetime = self.tightest_staleness_bound.max(self.tightest_objective);
         server
@@ -45,7 +45,7 @@
             .is_none_or(|role| self.now.since(role.as_of) >= lifetime)
     }
 
-    /// The fraction of the primary's concurrency limit that is open to this class.
+    /// Fraction of the primary's concurrency limit that is open to this class.
     pub(crate) fn primary_fraction(&self, class: ClassId) -> f64 {
         if self.needs_primary(class) {
             return 1.0;
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,10 +1,10 @@
-//! When a server is probed for its position or role.
+//! Probing: when a server is probed for its position or role.
 //!
-//! Only a queued request causes a probe: otherwise probes would cost members times routers, and what a router with
-//! little traffic learned is outdated before it is used. For a position the server with the least cost is probed, each
-//! at most once in `Tuning::probe_interval` of the tightest staleness bound; to find the primary, the member of the
-//! group that was not probed for longest. Roles change slowly and are probed for less often: probes at every look cost
-//! most where connects fail. Costs most where round trips are long.
+//! Only a queued request causes a probe. Otherwise the number of probes would be members times routers, and the results
+//! would be outdated before a router with little traffic used them. For a position, the server with the lowest cost is
+//! probed, each at most once in `Tuning::probe_interval` of the tightest staleness bound. To find the primary, the
+//! member of the group with the oldest probe is probed. Roles change slowly and are probed less often: a probe at every
+//! dispatch would cost most where connects fail. Probing costs most where round trips are long.
 
 use crate::averages::exponential_average;
 use crate::interface::*;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Router {
-    /// Probes this member for its position, or, without one, a member that may tell who is primary.
+    /// Probes this member for its position. Without a member, probes the one with the oldest probe to find the primary.
     pub(crate) fn probe(
         &mut self,
         group: GroupId,
@@ -90,7 +90,7 @@
             self.report_position(position, now);
         }
         if let Some(is_primary) = report.primary {
-            // A report is as old as its position at most; a primary's position is its very time.
+            // A report is at most as old as its position. The position of a primary is the time of the report.
             let as_of = report.position.unwrap_or(self.last_probed);
             self.report_role(is_primary, as_of);
         }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,10 +1,11 @@
-//! Which attempts are allowed: every send passes [`Router::check_attempt`].
+//! Which attempts are allowed. Every send passes [`Router::check_attempt`].
 //!
-//! **Inputs**: the class's idempotency, attempts that may have taken effect (ended in an error, a reset, a time-out or
-//! a cancellation, or still in flight), and limits on the number of attempts.
-//! **Rules**: a non-idempotent request that may have run is never repeated. A keyed one is repeated only inside its
-//! deduplication window, counted from the earliest such attempt, and only where the servers recognise it. A window ends
-//! early by `DEDUPLICATION_MARGIN`: a repetition that arrives after it would take effect twice.
+//! - **Inputs**: the class's idempotency, attempts that may have taken effect (ended in an error, a reset, a time-out
+//!   or a cancellation, or still in flight), and limits on the number of attempts.
+//! - **Rules**: a non-idempotent request that may have run is never repeated. A keyed request is repeated only inside
+//!   its deduplication window, counted from the earliest attempt that may have run, and only on servers that recognise
+//!   the repetition. The window is shortened by `DEDUPLICATION_MARGIN`: a repetition that arrives after its end would
+//!   take effect twice.
 
 #[cfg(test)]
 mod tests;
@@ -14,17 +15,17 @@
 use crate::tuning::DEDUPLICATION_MARGIN;
 use std::time::Duration;
 
-/// Why an attempt is not allowed.
+/// Reason why an attempt is not allowed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptRejection {
     /// This server must not get this request.
     Forbidden,
-    /// The server's data is too old for now.
+    /// The server's data is too old at present.
     Stale,
 }
 
 impl Router {
-    /// Whether the server may be sent this request now.
+    /// Whether the server may get this request now.
     pub(crate) fn check_attempt(
         &self,
         request: &Request,
@@ -52,7 +53,7 @@
         Ok(())
     }
 
-    /// Whether the number of attempts, and one in flight, allow a further one.
+    /// Whether the attempt limits, and the hedging rule if an attempt is in flight, allow a further attempt.
     fn may_attempt_again(&self, request: &Request) -> bool {
         let limits = [
             self.settings.attempt_limit,
@@ -64,7 +65,7 @@
         !is_exhausted && (request.in_flight.is_empty() || self.settings.may_hedge)
     }
 
-    /// Whether the request can't take effect twice if it is sent to this server.
+    /// Whether the request cannot take effect twice if it is sent to this server.
     fn may_repeat_at(&self, request: &Request, server: &Server) -> bool {
         let Some(earliest) = self.earliest_effect(request) else {
             return true;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The earliest attempt that may have taken effect, or may yet.
+    /// The earliest attempt that may have taken effect or, while in flight, may still do so.
     fn earliest_effect(&self, request: &Request) -> Option<PossibleEffect> {
         let in_flight = request.in_flight.first().and_then(|&(attempt, server)| {
             let in_flight = &self.servers.get(&server)?.in_flight;
@@ -96,9 +97,9 @@
         request.possible_effect.into_iter().chain(in_flight).min()
     }
 
-    /// The instant by which an attempt sent now has to be on its way; its connection may have to be dialled first. A
-    /// keyed repetition that arrives after its window is not recognised as one, and a read is not to find data that has
-    /// become too old meanwhile.
+    /// The latest instant at which an attempt chosen now may be sent, since its connection may have to be dialed first.
+    /// A keyed repetition that arrives after its window is not recognised as one, and a read must not find data that
+    /// has become too old meanwhile.
     fn latest_begin(&self, request: &Request, to: ServerId) -> Time {
         let idempotency = self.class(request.arrival.class).idempotency;
         let repeatable_until = match (idempotency, self.earliest_effect(request)) {
@@ -153,7 +154,7 @@
         server.in_flight.insert((id, attempt), in_flight);
     }
 
-    /// An attempt of a request that still needs an answer ended: the request is dispatched again.
+    /// Handles the end of an attempt of a request that still needs an answer: the request is dispatched again.
     pub(crate) fn end_attempt(
         &mut self,
         ended: &AttemptEnded,
@@ -180,7 +181,7 @@
     }
 }
 
-/// Whether an attempt that ended so may have taken effect.
+/// Whether an attempt with this outcome may have taken effect.
 fn may_have_run(outcome: Outcome) -> bool {
     !matches!(
         outcome,
@@ -188,7 +189,7 @@
     )
 }
 
-/// Until when a keyed request may be repeated, of which an attempt that may have run was sent at `sent`.
+/// Until when a keyed request may be repeated if an attempt that may have run was sent at `sent`.
 fn window_end(sent: Time, window: Duration) -> Time {
     sent.plus(window.saturating_sub(DEDUPLICATION_MARGIN))
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,5 @@
-//! The state machine's surface: settings, events and timers. Each event is handled by the module of its rule.
+//! Entry points of the state machine: construction, settings, events and timers. Each event is handled by the module
+//! that owns its rule.
 
 use crate::interface::*;
 use crate::state::{Router, TimerKind};
@@ -6,12 +7,12 @@
 use std::time::Duration;
 
 impl Router {
-    /// A router with these settings at `now`. The seed decides its random draws.
+    /// Creates a router with these settings at `now`. The seed determines its random numbers.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Router {
         Router::with_tuning(settings, Tuning::default(), seed, now)
     }
 
-    /// The same with other constants, for experiments.
+    /// Same as [`Router::new`] with other constants, for experiments.
     pub fn with_tuning(settings: Settings, tuning: Tuning, seed: u64, now: Time) -> Router {
         let mut router = Router {
             tuning,
@@ -27,10 +28,10 @@
         router
     }
 
-    /// Goes by these settings from now on.
+    /// Applies new settings.
     ///
-    /// Classes must keep their places, so that open requests keep their class's rights. A class at a new index starts
-    /// with the estimates of the class that `predecessors` names for that index, if it names one.
+    /// Classes must keep their indexes, so that open requests keep the rules of their class. A class at a new index
+    /// starts with the estimates of the class that `predecessors` contains at that index, if any.
     pub fn configure(&mut self, settings: Settings, predecessors: &[Option<ClassId>]) {
         self.tightest_objective = tightest_objective(&settings.classes);
         self.tightest_staleness_bound =
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Number of listed servers that get no requests at `now`: they drain or are backed off.
+    /// Number of listed servers that get no requests at `now` because they are draining or backed off.
     pub fn unavailable_servers(&self, now: Time) -> usize {
         self.servers
             .values()
@@ -68,7 +69,7 @@
             .count()
     }
 
-    /// Handles one event and appends what is to be done. `now` must not run backwards.
+    /// Handles one event and appends the resulting actions. `now` must not decrease from call to call.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The host keeps one timer for the earliest of ours; one that is already set early enough stays.
+    /// The host keeps one timer, for the earliest entry of `timers`. It is only replaced if a new entry is due earlier.
     fn arm_host_timer(&mut self, actions: &mut Vec<Action>) {
         let next = self.timers.first().map(|&(due, _)| due);
         if let Some(due) = next.filter(|&due| self.host_timer.is_none_or(|set| due < set)) {
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -1,73 +1,74 @@
-//! Cost-to-fresh routing (after DTR2): which server gets a request.
+//! Replica selection by cost-to-fresh routing (after DTR2).
 //!
-//! **Cost** of a member, in seconds: this router's own remaining work there (`estimates`), the predicted wait until the
-//! member has the log position that the read needs (`freshness`), and the expected run time there (`estimates`); plus a
-//! recheck interval for a member that has to be probed first, and half an objective for a member that one of many
-//! routers uses only when the first few fail: it learns more of few members than of all. The least cost wins.
-//! **Roles.** Writes and strong reads go to the primary; bounded and eventual reads go there only when no replica will
-//! do.
-//! **Passed over**: members that the request must not go to (`retry`), that are backed off, that rejected or failed it,
-//! that would catch up too late, or that have no capacity (`concurrency`). What no member takes is queued, and probed
-//! for, or rejected (`expiry`).
+//! - **Cost** of a member, in seconds: this router's remaining work there (`estimates`), the predicted wait until the
+//!   member has the log position that the read requires (`freshness`), and the expected run time there (`estimates`);
+//!   plus a recheck interval for a member that has to be probed first; plus half an objective for a member outside the
+//!   router's preferred subset in a large fleet, since a router learns more about few members than about all. The
+//!   member with the lowest cost is selected.
+//! - **Roles.** Writes and strong reads go to the primary. Bounded and eventual reads go there only if no replica is
+//!   suitable.
+//! - **Skipped members**: those that the request must not go to (`retry`), that are backed off, that rejected or failed
+//!   the request, that would catch up too late, or that have no capacity (`concurrency`). If no member is left, the
+//!   request is queued, possibly with a probe, or rejected (`expiry`).
 
 use crate::interface::*;
 use crate::retry::AttemptRejection;
 use crate::state::{Request, Router, Server};
 use std::time::Duration;
 
-/// What to do with a request now.
+/// Decision for a request.
 enum Selection {
     Send(ServerId),
-    /// Wait for capacity.
+    /// Queue the request until there is capacity.
     Queue,
-    /// Wait for a position or a role: of this member, or of any.
+    /// Queue the request and probe this member for its position, or any member for the primary.
     Probe(Option<ServerId>),
     Reject,
 }
 
-/// What is the same for all members in one selection.
+/// Inputs that are the same for all members in one selection.
 struct SelectionContext<'a> {
     request: &'a Request,
     class: &'a Class,
     primary: Option<ServerId>,
     needs_primary: bool,
-    /// No primary is known and nobody may be probed: the write finds it.
+    /// No primary is known and probes are not allowed, so the write is sent to a member that may be the primary.
     seeks_primary: bool,
-    /// Until when an answer earns anything, from now.
+    /// Time during which an answer still has some weight.
     time_left: Duration,
-    /// How many members, the first in this router's order, it prefers.
+    /// Number of members, first in this router's order, that have no extra cost.
     preferred_members: usize,
 }
 
-/// A member that the request could go to.
+/// A member that the request could be sent to.
 #[derive(Clone, Copy)]
 struct Candidate {
-    /// The primary, for a read that replicas could answer.
+    /// The member is the primary and replicas could answer the read.
     is_fallback: bool,
     cost: Duration,
     server: ServerId,
-    /// It may be sent now; otherwise its position has to be probed first.
+    /// The request may be sent now; otherwise the member's position has to be probed first.
     is_allowed: bool,
 }
 
-/// What a member is to a request.
+/// Suitability of a member for a request.
 enum Suitability {
-    /// It must not get the request.
+    /// The member must not get the request.
     Forbidden,
-    /// It might later.
+    /// The member may become suitable later.
     Unsuitable,
-    /// It has no capacity. `is_persistent`: nor will it have any soon.
+    /// The member has no capacity. `is_persistent`: it will not have any soon either.
     AtCapacity {
         is_persistent: bool,
     },
     Candidate(Candidate),
 }
 
-/// The members of the group taken together.
+/// Result of evaluating all members of the group.
 #[derive(Default)]
 struct Evaluation {
     best: Option<Candidate>,
-    /// Some member might take the request, now or later.
+    /// Some member may take the request, now or later.
     any_permitted: bool,
     any_at_capacity: bool,
     any_persistently_full: bool,
@@ -89,7 +90,7 @@
         self.any_permitted = true;
     }
 
-    /// Of equal candidates the first in the router's order wins.
+    /// Of candidates with equal rank, the first in the router's order is kept.
     fn consider(&mut self, candidate: Candidate) {
         let rank = |candidate: &Candidate| (candidate.is_fallback, candidate.cost);
         if self.best.is_none_or(|best| rank(&candidate) < rank(&best)) {
@@ -99,7 +100,7 @@
 }
 
 impl Router {
-    /// Sends a request without an attempt in flight, or queues or rejects it.
+    /// Sends a request that has no attempt in flight, or queues or rejects it.
     pub(crate) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self
             .requests
@@ -216,7 +217,8 @@
             1.0
         };
         if !self.has_capacity(request, id, server, fraction) {
-            // The draw of one of many routers is the same at each look, and its own answers rarely change it.
+            // In a large fleet the draw stays the same at each dispatch, and the router's own answers rarely change the
+            // result.
             let is_persistent = server.in_flight.is_empty() && self.is_large_fleet();
             return Suitability::AtCapacity { is_persistent };
         }
@@ -228,7 +230,7 @@
         })
     }
 
-    /// None if the member would catch up too late.
+    /// Cost of a member; none if it would catch up too late.
     fn cost(
         &self,
         context: &SelectionContext,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,17 +1,19 @@
-//! Budget of servers that warm up.
+//! Slow start: budget of servers that warm up.
 //!
-//! A server that has just started has a fraction of its capacity (`Settings::initial_capacity_fraction`, growing to all
-//! within `warm_up_duration`) and collapses if all routers together send it more than `overload_factor` times that for
-//! `overload_duration`. Routers do not talk to each other, so each keeps to its part of that bound in slices of time,
-//! by the arithmetic of `slow_start_budget`. Guards against many routers that each send just one request, and against
-//! all that was queued for a server at once.
+//! A server that has just started has a fraction of its capacity (`Settings::initial_capacity_fraction`, growing to the
+//! full capacity within `warm_up_duration`). It collapses if all routers together send it more than `overload_factor`
+//! times its present capacity for `overload_duration`. Routers do not communicate, so each keeps to its share of that
+//! bound in time slices, computed by `slow_start_budget`. This guards against many routers that each send just one
+//! request, and against all requests queued for a server being sent at once.
 //!
-//! **Inputs**: the work (seconds) that usually comes to this router for the group, the server's age and capacity, and
-//! ramp confidence: a factor of at least 1 that grows while the server answers about as fast as one so cold can.
-//! **Rule**: the budget is what the server bears even if its group is fully used. Reads are meant for as many members
-//! as the group ever had; one member bears all that needs the primary. A failed attempt there was the request's last
-//! one there, clients' retries never go to a replica that warms up, and a primary that does takes no reads that
-//! replicas could answer. What one member may not have another may: each has slices of its own.
+//! - **Inputs**: the work (seconds) offered to this router for the group, the server's age and capacity, and ramp
+//!   confidence: a factor of at least 1 that grows while the server answers about as fast as its present capacity
+//!   allows.
+//! - **Rule**: the budget is the load that the server can handle even if its group is fully used. Reads are divided by
+//!   the largest number of members that the group ever had; requests that require the primary all go to one member. A
+//!   request is not sent again to a warming server that it was sent to before, clients' retries never go to a replica
+//!   that warms up, and a primary that warms up gets no reads that replicas could answer. Each member has slices of its
+//!   own, so that one member may get a request that another may not.
 
 #[cfg(test)]
 mod tests;
@@ -23,7 +25,8 @@
 use std::time::Duration;
 
 impl Router {
-    /// Counts a new request as work that usually comes. Clients' retries do not count for replicas, which get none.
+    /// Counts a new request as offered work. Clients' retries do not count for replicas, since a warming replica gets
+    /// none.
     pub(crate) fn record_offered_work(&mut self, id: RequestId) {
         let Some(Request { arrival, .. }) = self.requests.get(&id) else {
             return;
@@ -60,7 +63,7 @@
         );
         let fraction = self.slow_start_fraction(server, is_primary);
         let phase = self.slow_start_phase(id, server, self.now);
-        // A request that waits would get a phase in every slice, each with the budget of what comes in all of them.
+        // Otherwise a queued request would get a chance in every slice, each with the whole budget for all requests.
         let has_waited = self.slow_start_phase(id, server, request.arrived).slice != phase.slice;
         if has_waited && load.is_below(slice, work) {
             return false;
@@ -69,7 +72,7 @@
         server.slow_start_spent.allows(phase, budget, work)
     }
 
-    /// The fraction of the load work for its role that a server may get while it warms up.
+    /// Fraction of the load offered for its role that a server may get while it warms up.
     fn slow_start_fraction(&self, server: &Server, is_primary: bool) -> f64 {
         let confidence = self.ramp_confidence
             + self.decay_since(server.latency_updated)
@@ -119,8 +122,9 @@
         }
     }
 
-    /// Adapts ramp confidence to an answer, for the server and, if it warms up, for all that do: what they bear goes by
-    /// the load that all share, and one of many routers hears too rarely from each. Answers far apart prove little.
+    /// Updates ramp confidence after an answer, for the server and, if it is warming up, for all such servers: the load
+    /// on them is shared, and in a large fleet a router gets too few answers from each. An answer long after the last
+    /// one confirms little.
     pub(crate) fn update_ramp_confidence(
         &mut self,
         id: ServerId,
@@ -149,15 +153,15 @@
     }
 }
 
-/// Whether the server answers about as fast as one so cold can: it is not overloaded, and bears more. `lowest_ratio`:
-/// latency over objective that its present capacity allows.
+/// Whether the server answers about as fast as its present capacity allows, so that it is not overloaded and can handle
+/// more. `lowest_ratio`: latency divided by objective that the present capacity allows.
 fn is_fast_for_ramp(server: &Server, lowest_ratio: f64, tuning: &Tuning) -> bool {
     server.latency_ratio
         < (tuning.ramp_latency_factor * lowest_ratio).min(tuning.ramp_objective_fraction)
 }
 
-/// Ramp confidence `span` after its last change. It rises with the time that has been proved, a quarter of the overload
-/// duration at most.
+/// Ramp confidence `span` after its last change. It rises with the confirmed time, which is at most a quarter of the
+/// overload duration.
 fn adapted_confidence(
     confidence: f64,
     is_fast: bool,
--- a/crates/routing/src/slow_start_budget.rs
+++ b/crates/routing/src/slow_start_budget.rs
@@ -1,16 +1,17 @@
-//! How the budget of a server that warms up is spread over time and over routers. Arithmetic only.
+//! Distribution of a warming server's budget over time and over routers. Arithmetic only.
 //!
-//! What all routers together send to such a server in a short time has to stay below a bound, without talk between
-//! them. An independent draw for each request keeps the mean only: what was queued until the server was listed comes at
-//! once, heavy requests count no more than light ones, and the draws of many routers add up by chance.
+//! The load that all routers together send to such a server within a short time has to stay below a bound, without
+//! communication between routers. An independent random draw for each request bounds only the mean: requests queued
+//! until the server was listed are sent at once, heavy requests count no more than light ones, and the draws of many
+//! routers add up by chance.
 //!
-//! So the time since the server's start, which all routers know from the endpoint list, is cut into slices. In each
-//! slice a router may send the server its quota of the work that usually comes to that router in such a time, or of one
-//! request, if that is more. Fractions of requests are rounded by a threshold between 0 and 1: a request may go while
-//! what was sent in the slice, and that much of the request's own work, stay within the quota. The thresholds of all
-//! routers in one slice lie evenly (multiples of an irrational number, by the router's number), so that of many routers
-//! with a tenth of a request each, a tenth send one. From slice to slice all thresholds move by the same step, so that
-//! each router gets its turns.
+//! Therefore the time since the server's start, which all routers know from the endpoint list, is divided into slices.
+//! In each slice a router may send the server its quota of the work that is usually offered to that router in a slice,
+//! or of one request if that is more. Fractions of requests are rounded by a threshold between 0 and 1: a request may
+//! be sent while the work sent in the slice, plus the request's own work times the threshold, stays within the quota.
+//! The thresholds of all routers in one slice are evenly distributed (multiples of an irrational number, by the
+//! router's index): of many routers with a quota of a tenth of a request, a tenth send one. From slice to slice all
+//! thresholds move by the same step, so that each router gets its turn.
 
 #[cfg(test)]
 mod tests;
@@ -19,13 +20,13 @@
 use crate::interface::Time;
 use std::time::Duration;
 
-/// Multiples of these lie evenly between 0 and 1, however many there are. Routers use another sequence than
-/// `subsetting::order`, which orders the members by the router's number too: otherwise those whose phase it is would be
-/// the ones that meet the same members first.
+/// Multiples of these constants, modulo 1, are evenly distributed between 0 and 1 for any count. The sequence of
+/// routers differs from that of `subsetting::order`, which also orders the members by the router's index: otherwise the
+/// routers that may send in a slice would be those with the same members first in their order.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_895;
 const SQRT_2_FRACTION: f64 = std::f64::consts::SQRT_2 - 1.0;
 
-/// Work (seconds) and requests that usually come to a router, as decaying sums since the first.
+/// Offered work (seconds) and number of requests of a router, as decaying sums since the first request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OfferedWork {
     work: f64,
@@ -43,8 +44,8 @@
         self.last = now;
     }
 
-    /// What comes per second, by the memory's time constant. What began less than `least` ago counts as spread over
-    /// that.
+    /// Offered load according to the decaying sums. If the first request came less than `min_span` ago, the work counts
+    /// as spread over `min_span`.
     pub(crate) fn load(
         &self,
         now: Time,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Seconds of work that usually come to a router in a second, and with one request.
+/// Seconds of work offered to a router per second (`per_second`), and per request (`mean`).
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OfferedLoad {
     per_second: f64,
@@ -72,14 +73,14 @@
 }
 
 impl OfferedLoad {
-    /// Whether less than so much work usually comes in a slice.
+    /// Whether the work usually offered in a slice is less than `work`.
     pub(crate) fn is_below(&self, slice: Duration, work: Duration) -> bool {
         self.per_second * slice.as_secs_f64() < work.as_secs_f64()
     }
 
-    /// Seconds of work that a request of this work may count on in a slice, if the server bore all of them: those that
-    /// usually come in such a time, or its own. Less for a heavy one, by this power of how much heavier than the mean
-    /// it is: a few of those at once go far beyond the mean.
+    /// Work (seconds) in a slice that a request of this work may count on, if the server could handle all of it: the
+    /// work usually offered in a slice, or the request's own if larger. It is reduced for a request heavier than the
+    /// mean, by `heavy_exponent` of the ratio, since a few heavy requests at once go far beyond the mean.
     pub(crate) fn budget(&self, slice: Duration, work: Duration, heavy_exponent: f64) -> f64 {
         let work = work.as_secs_f64();
         let heavy_factor = (self.mean / work).min(1.0).powf(heavy_exponent);
@@ -87,7 +88,7 @@
     }
 }
 
-/// Where in a server's slow start a router stands; the same for all routers but for the router's number.
+/// Position of a router in a server's slow start. Only the router's index makes it differ between routers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlowStartPhase {
     pub(crate) slice: u64,
@@ -96,8 +97,8 @@
 }
 
 impl SlowStartPhase {
-    /// `age`: time since the server started; `offset`: the server's in its group, as a fraction of all members, so that
-    /// a router has its turns with the members of a group at different times.
+    /// `age`: time since the server started; `offset`: the server's index in its group divided by the number of
+    /// members, so that a router's turns at the members of a group are at different times.
     pub(crate) fn at(
         age: Duration,
         slice: Duration,
@@ -113,7 +114,7 @@
     }
 }
 
-/// What one router has sent one server in the present slice, in seconds of work.
+/// Work (seconds) that one router has sent to one server in the current slice.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SliceSpending {
     slice: u64,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Whether a request of this work may go in this phase, in which `budget` seconds of work may.
+    /// Whether a request of this work may be sent in this phase, with a budget of `budget` seconds of work.
     pub(crate) fn allows(&self, phase: SlowStartPhase, budget: f64, work: Duration) -> bool {
         self.in_slice(phase.slice) + phase.threshold * work.as_secs_f64() < budget
     }
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -143,7 +143,7 @@
 fn a_hundred_routers_that_start_or_lose_the_list_together_do_not_poll_in_step() {
     // Seen on herd+vast: of seventy proxies that restarted in the same instant five got the list, and none of their
     // further polls was answered in twelve seconds. Discovery takes 50 to 60 ms for each call, one after the other, and
-    // works through calls whose callers have given up after two seconds all the unchanged.
+    // works through calls whose callers have given up after two seconds all the same.
     let starts: fn(&mut Harness) -> _ = |harness| {
         harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
             1,
