--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,11 +1,11 @@
-//! Which requests are admitted: overload, priorities and quotas.
+//! Admission: overload, priorities and quotas.
 
 mod common;
 use common::*;
 use routing::*;
 use std::time::Duration;
 
-/// Of 100 requests, how many are rejected on arrival after this many attempts ended with `outcome`.
+/// Number of 100 requests that are rejected on arrival after `ends` attempts ended with `outcome`.
 fn rejected_on_arrival(class: u16, outcome: Outcome, ends: usize) -> usize {
     let mut harness = Harness::new(settings(), 3);
     for _ in 0..ends {
@@ -18,7 +18,7 @@
     harness.advance(10_000 * MS);
     let rejected = |harness: &mut Harness| {
         let (id, actions) = harness.request(class);
-        // Nothing stays in flight, and nothing is learned from it.
+        // Nothing stays in flight, and the request changes no estimate.
         harness.event(Event::ClientLeft(id));
         sent_servers(&actions)
             .iter()
@@ -29,18 +29,18 @@
 }
 
 #[test]
-fn overload_that_retries_keep_up_is_answered_by_admitting_less() {
-    // Seen on recorded days i30461c and ic9dd48: retries kept every server full, and attempts were rejected or executed
-    // in vain for the whole day. A router has to admit less while that lasts.
+fn overload_sustained_by_retries_reduces_admission() {
+    // Clients' retries can keep every server full, so that attempts are rejected or executed in vain for a whole day. A
+    // router has to admit less while that lasts.
     assert_eq!(rejected_on_arrival(WRITE, Outcome::Ok, 40), 0);
     assert!(rejected_on_arrival(EVENTUAL, Outcome::Rejected, 40) > 30);
-    // Failed connects are no overload: nothing is gained by rejecting.
+    // Failed connects are not overload: rejecting requests would not help.
     assert_eq!(rejected_on_arrival(WRITE, Outcome::ConnectFailed, 40), 0);
 }
 
 #[test]
 fn overload_in_one_group_rejects_no_requests_of_another() {
-    // Seen on join+vast: one admission fraction for all groups rejected half of the requests of groups that were not
+    // With a single admission fraction for all groups, half of the requests were rejected in groups that were not
     // overloaded.
     let mut harness = Harness::new(settings(), 3);
     let member_of_other_group = |server: u32| Endpoint {
@@ -72,14 +72,14 @@
     }
     assert!(
         rejected[0] > 30,
-        "the overloaded group is spared: {rejected:?}"
+        "the overloaded group gets fewer requests: {rejected:?}"
     );
-    assert_eq!(rejected[1], 0, "the other serves all");
+    assert_eq!(rejected[1], 0, "the other group rejects no request");
 }
 
 #[test]
-fn one_of_many_routers_learns_of_a_burst_and_of_its_end_from_all_groups() {
-    // Seen on calm+mass: half a minute after a burst, routers still rejected requests of groups that answered in time.
+fn one_of_many_routers_detects_a_burst_and_its_end_from_all_groups() {
+    // Half a minute after a burst, routers still rejected requests of groups that answered in time.
     let mut harness = Harness::new(
         Settings {
             router_count: 300,
@@ -109,7 +109,7 @@
             harness.event(Event::ClientLeft(id));
             harness.advance(100 * MS);
         }
-        // Of a group without any answer so far.
+        // The request is for a group without any answer so far.
         let is_next_rejected = |harness: &mut Harness| {
             let arrival = Arrival {
                 group: GroupId(0),
@@ -129,7 +129,8 @@
     assert!(rejections[0] > 30 && rejections[1] == 0, "{rejections:?}");
 }
 
-/// Of 200 requests in as many fleets, how many are sent after six answers, the last `full` of which are rejections.
+/// Number of 200 requests, each in a fleet of its own, that are sent after six answers, the last `rejections` of which
+/// are rejections.
 fn sent_after_answers(
     rejections: usize,
     quota_status: QuotaStatus,
@@ -176,7 +177,7 @@
         sent_after_answers(0, QuotaStatus::OverQuota, 0.05, 0.0),
         200
     );
-    // A single rejection by a server may be chance.
+    // A single rejection by a server may be coincidence.
     let after_one_rejection = sent_after_answers(1, QuotaStatus::OverQuota, 0.05, 0.0);
     assert!(
         (70..140).contains(&after_one_rejection),
@@ -184,9 +185,9 @@
     );
     assert!(sent_after_answers(3, QuotaStatus::OverQuota, 0.05, 0.0) < 50);
     assert!(sent_after_answers(1, QuotaStatus::WithinQuota, 0.05, 0.0) > 120);
-    // With the full weight it is served as any.
+    // With the full weight, an over-quota request is served like any other.
     assert!(sent_after_answers(1, QuotaStatus::OverQuota, 1.0, 0.0) > 120);
-    // What is to be shed is, and no more: the narrower of the two fractions counts, not their product.
+    // The lower of the two fractions applies, not their product.
     assert!((80..120).contains(&sent_after_answers(0, QuotaStatus::WithinQuota, 0.05, 0.5)));
     assert_eq!(
         sent_after_answers(0, QuotaStatus::WithinQuota, 0.05, 1.0),
@@ -199,7 +200,7 @@
         sent_over_quota(0.0),
         sent_over_quota(0.5)
     );
-    // A borrowed request takes no other's place.
+    // A borrowed request does not displace another one.
     assert_eq!(sent_after_answers(0, QuotaStatus::Borrowed, 0.05, 0.0), 200);
     assert_eq!(sent_after_answers(3, QuotaStatus::Borrowed, 0.05, 0.0), 0);
 }
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Servers left alone after hard failures.
+//! Backoff of servers after hard failures.
 
 mod common;
 use common::*;
@@ -23,7 +23,7 @@
             }
             assert!(
                 !is_failed(&actions, id),
-                "what never ran is queued or rejected"
+                "a request that never ran is queued or rejected"
             );
             harness.event(Event::ClientLeft(id));
         }
@@ -31,7 +31,7 @@
     assert_eq!(
         by_slot.iter().sum::<usize>(),
         100,
-        "all come back: {by_slot:?}"
+        "all routers retry: {by_slot:?}"
     );
     assert!(by_slot.iter().all(|&dials| dials <= 25), "{by_slot:?}");
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router with its clock, for scripted event sequences.
+//! Test harness: a router with a virtual clock for scripted event sequences.
 #![allow(dead_code)]
 
 use routing::*;
@@ -12,7 +12,7 @@
 pub const STRONG: u16 = 5;
 
 pub const MS: Duration = Duration::from_millis(1);
-/// Positions and starts lie before the first event too.
+/// Time of the first event. Not zero, so that positions and starts can lie before it.
 pub const START: Time = Time(Duration::from_secs(1_000));
 
 fn class(consistency: Consistency, idempotency: Idempotency, late_weight_fraction: f64) -> Class {
@@ -88,7 +88,7 @@
 }
 
 impl Harness {
-    /// A router that knows `members` servers of one group, server 1 being reported as primary.
+    /// A router with `members` servers in one group, all of which have reported; server 1 reports to be the primary.
     pub fn new(settings: Settings, members: u32) -> Harness {
         let mut harness = Harness::without_reports(settings, members);
         for server in 1..=members {
@@ -97,7 +97,7 @@
         harness
     }
 
-    /// The same before any server has reported.
+    /// Same as [`Harness::new`] without any report.
     pub fn without_reports(settings: Settings, members: u32) -> Harness {
         Harness::with_seed(settings, members, 1)
     }
@@ -124,7 +124,7 @@
         harness
     }
 
-    /// One of so many routers, before any server has reported.
+    /// One of `router_count` routers, without any report.
     pub fn in_fleet(router_count: u32, members: u32, seed: u64) -> Harness {
         let settings = Settings {
             router_count,
@@ -213,7 +213,7 @@
         }))
     }
 
-    /// The first and only attempt of a request ends, and with it the request.
+    /// Ends the first and only attempt of a request, and with it the request.
     pub fn finish_request(
         &mut self,
         id: RequestId,
@@ -224,7 +224,7 @@
         self.finish_request_with(id, server, outcome, elapsed, None);
     }
 
-    /// The same where the answer tells the server's role.
+    /// Same as [`Harness::finish_request`] where the answer reports the server's role.
     pub fn finish_request_with_role(
         &mut self,
         id: RequestId,
@@ -258,7 +258,7 @@
         }));
     }
 
-    /// Time passes, with a timer event every 5 ms; all actions of that time.
+    /// Advances the clock by `ms` with a timer event every 5 ms; returns all actions.
     pub fn run_for(&mut self, ms: u64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms.div_ceil(5) {
@@ -280,7 +280,7 @@
     actions.iter().filter_map(target).collect()
 }
 
-/// How long the first attempt among these may take to begin.
+/// The `begin_within` of the first attempt among these actions.
 pub fn first_begin_within(actions: &[Action]) -> Duration {
     let within = |a: &Action| {
         if let Action::Send { begin_within, .. } = a {
@@ -289,7 +289,10 @@
             None
         }
     };
-    actions.iter().find_map(within).expect("an attempt")
+    actions
+        .iter()
+        .find_map(within)
+        .expect("the actions contain no attempt")
 }
 
 pub fn is_rejected(actions: &[Action], request: RequestId) -> bool {
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! The concurrency limit: one router alone, and many that each have few attempts.
+//! The concurrency limit: of a single router, and of many routers with few attempts each.
 
 mod common;
 use common::*;
@@ -7,7 +7,7 @@
 
 #[test]
 fn rejections_are_not_answered_with_a_storm_of_attempts() {
-    // Seen with the first version: 8 attempts for each request, nine in ten rejected by full servers.
+    // Without a limit there were 8 attempts for each request, nine in ten of them rejected by full servers.
     let mut harness = Harness::new(settings(), 3);
     let mut attempts = 0;
     for _ in 0..40 {
@@ -28,8 +28,8 @@
 
 #[test]
 fn routers_with_little_traffic_relieve_a_server_that_answers_late() {
-    // Seen on grown slots days: one attempt of each of a hundred routers was within each one's limit, and together they
-    // kept a slow server full.
+    // One attempt from each of a hundred routers is within each router's limit, but together they keep a slow server
+    // full.
     let mut sent = 0;
     for seed in 0..100 {
         let mut harness = Harness::with_seed(settings(), 2, seed);
@@ -45,8 +45,8 @@
     );
 }
 
-/// Connections that fell silent were taken for overloaded servers, whose limits were reduced for nothing. A time-out
-/// that later attempts have overtaken must not count.
+/// A silent connection must not be taken for an overloaded server, whose limit would be reduced without reason. A
+/// time-out that later attempts have overtaken does not count.
 #[test]
 fn a_time_out_that_others_have_overtaken_reduces_no_limit() {
     for (overtaken, min_accepted) in [(4, 3), (0, 1)] {
@@ -76,15 +76,15 @@
     }
 }
 
-/// Of a hundred requests in as many fleets, how many go to the only server `pause` after it took three times the
-/// objective for one, or let it time out.
+/// Number of 100 requests, each in a fleet of its own, that are sent to the only server `pause` after it answered one
+/// at three times the objective or let it time out.
 fn sent_after_a_late_answer(routers: u32, outcome: Outcome, pause: Duration) -> usize {
     let mut sent = 0;
     for seed in 0..100 {
         let mut harness = Harness::in_fleet(routers, 1, seed);
         harness.report(1, true, Duration::ZERO);
         let (id, _) = harness.request(WRITE);
-        // It answers another one meanwhile, so that it is slow and not silent.
+        // The server answers another request meanwhile, so that it is slow but not silent.
         let (other, _) = harness.request(WRITE);
         harness.event(Event::ClientLeft(other));
         harness.advance(200 * MS);
@@ -104,8 +104,8 @@
 
 #[test]
 fn many_routers_together_do_not_try_an_overloaded_server_again_as_soon_as_few_do() {
-    // Seen on join+vast: each of a hundred routers came back to a full server every two or three seconds, and
-    // everything sent there was answered late or never until the day's end.
+    // When each of a hundred routers came back to a full server every two or three seconds, everything sent there was
+    // answered late or never until the load ended.
     let few = sent_after_a_late_answer(4, Outcome::Ok, 10_000 * MS);
     let many = sent_after_a_late_answer(100, Outcome::Ok, 10_000 * MS);
     assert!(
@@ -114,25 +114,25 @@
     );
     assert!(
         sent_after_a_late_answer(100, Outcome::Ok, 120_000 * MS) >= 95,
-        "the estimate decays all the same"
+        "the estimate decays in a large fleet too"
     );
 }
 
 #[test]
 fn in_a_large_fleet_a_time_out_counts_as_the_whole_deadline() {
-    // An attempt with 350 ms for an objective of 300 that got no answer looked like one answered nearly in time.
+    // An unanswered attempt with 350 ms for an objective of 300 ms must not look like one answered nearly in time.
     let sent = sent_after_a_late_answer(100, Outcome::TimedOut, Duration::ZERO);
     assert!((5..25).contains(&sent), "{sent} of 100");
-    // In a small fleet, whose limits are reduced anyway, that would cost answers on days with bad connections.
+    // In a small fleet the limits are reduced anyway. Counting the whole deadline would lose answers where connections
+    // fail.
     let sent = sent_after_a_late_answer(4, Outcome::TimedOut, Duration::ZERO);
-    assert!((30..60).contains(&sent), "{sent} of 100 among few");
+    assert!((30..60).contains(&sent), "{sent} of 100 in a small fleet");
 }
 
 #[test]
-fn a_server_where_all_attempts_time_out_gets_few_requests_of_many_routers_and_soon_its_part_again()
-{
-    // Seen on join+mass: the last members of their groups answered no attempt in time for many seconds, since all
-    // proxies together went on to send each of them half of what it could bear with an empty queue.
+fn a_server_where_all_attempts_time_out_gets_few_requests_of_many_routers_until_it_recovers() {
+    // The last members of their groups answered no attempt in time for many seconds, since each router kept sending
+    // half of what the server could handle with an empty queue.
     let (mut sent, mut queued) = ([0; 2], 0);
     for seed in 0..100 {
         let mut harness = Harness::in_fleet(300, 1, seed);
@@ -157,15 +157,18 @@
     let total = 100 * 15;
     assert!(
         sent[0] * 10 < total && sent[1] * 2 > total,
-        "{sent:?} of {total} while overloaded, and after"
+        "{sent:?} of {total} during and after the overload"
+    );
+    assert_eq!(
+        queued, 0,
+        "a request rejected by the draw is answered at once"
     );
-    assert_eq!(queued, 0, "what a draw rejects is answered at once");
 }
 
 #[test]
-fn a_write_goes_by_its_own_objective_after_a_read_that_missed_its() {
-    // Seen on zone+mass: a read that took two and a half of its objectives kept four in five writes, with an objective
-    // five times as long, from a primary at which other routers' writes were in time.
+fn a_late_read_does_not_limit_writes_with_a_longer_objective() {
+    // A read that took two and a half times its objective kept four in five writes, with an objective five times as
+    // long, from a primary that served other routers' writes in time.
     let sent_after_read = |class, latency| {
         let sent = (0..200).filter(|&seed| {
             let mut settings = Settings {
@@ -195,6 +198,6 @@
     assert!(sent_after_read(WRITE, 750 * MS) > 150);
     assert!(
         sent_after_read(WRITE, 9_000 * MS) < 120,
-        "by its own objective it is queued back as well"
+        "a write that missed its own objective limits writes too"
     );
 }
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Discovery's list: drains, removal, polls, and the list of the process before.
+//! Endpoint list: drains, removals, polls, and the cached list of the previous process.
 
 mod common;
 use common::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn removal_without_a_drain_does_not_bind_where_the_settings_say_so() {
+fn a_server_removed_without_a_drain_is_used_with_soft_removal() {
     let mut harness = Harness::new(
         Settings {
             soft_removal: true,
@@ -57,13 +57,17 @@
         EndpointState::Ready,
     )])));
     assert_eq!(poll_count(&cached), 1);
-    assert_eq!(poll_count(&harness.run_for(5_000)), 0, "one is in flight");
+    assert_eq!(
+        poll_count(&harness.run_for(5_000)),
+        0,
+        "one poll is in flight"
+    );
     let mut after = harness.event(Event::Endpoints(EndpointUpdate::Failed));
     after.extend(harness.run_for(1_000));
     assert_eq!(poll_count(&after), 1);
 }
 
-/// However many polls have failed, the next one comes within the poll interval of the settings.
+/// Regardless of the number of failed polls, the next one comes within the poll interval of the settings.
 #[test]
 fn the_list_is_polled_within_a_short_poll_interval() {
     for (within, routers) in [(1_000_u32, 2), (1_000, 300), (3_000, 2), (3_000, 300)] {
@@ -90,7 +94,7 @@
 }
 
 #[test]
-fn a_removed_server_that_answers_late_does_no_harm() {
+fn a_removed_server_gets_no_requests_after_a_late_result() {
     let mut harness = Harness::new(settings(), 2);
     let (id, actions) = harness.request(EVENTUAL);
     let server = sent_servers(&actions)[0];
@@ -116,7 +120,7 @@
     assert_eq!(harness.router.unavailable_servers(harness.now), 0);
 }
 
-/// How many routers poll the list within each second after an event, and the longest wait in milliseconds.
+/// Number of routers that poll the list within each second after an event, and the longest wait in milliseconds.
 fn polls_of_a_fleet(routers: u32, after: fn(&mut Harness) -> Vec<Action>) -> (Vec<usize>, u64) {
     let (mut by_second, mut longest) = (vec![0; 12], 0);
     let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
@@ -141,9 +145,9 @@
 
 #[test]
 fn a_hundred_routers_that_start_or_lose_the_list_together_do_not_poll_in_step() {
-    // Seen on herd+vast: of seventy proxies that restarted in the same instant five got the list, and none of their
-    // further polls was answered in twelve seconds. Discovery takes 50 to 60 ms for each call, one after the other, and
-    // works through calls whose callers have given up after two seconds all the same.
+    // Discovery takes 50 to 60 ms for each call, one after the other, and also handles calls whose callers gave up
+    // after two seconds. When seventy proxies restarted at the same instant, five got the list, and no further poll of
+    // theirs was answered in twelve seconds.
     let starts: fn(&mut Harness) -> _ = |harness| {
         harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![endpoint(
             1,
@@ -164,7 +168,7 @@
             many_routers_polls
                 .iter()
                 .all(|&calls| calls <= even * 3 / 2),
-            "{many_routers_polls:?} calls by second, {even} if even"
+            "{many_routers_polls:?} calls by second, {even} in an even distribution"
         );
         let span = span.as_millis() as u64;
         assert!(
@@ -174,13 +178,13 @@
         let (few, longest) = polls_of_a_fleet(4, after);
         assert!(
             few[0] == 4 && longest < 500,
-            "few need not wait: {few:?}, {longest} ms"
+            "a small fleet polls at once: {few:?}, {longest} ms"
         );
     }
 }
 
-/// Seen on zone+mass: of a hundred proxies 53 were killed and started again 2.6 s later with their cached list. Those
-/// that polled more than 4 s after that still sent to members whose removal counted as known, six seconds after it.
+/// Of a hundred proxies, 53 were killed and restarted 2.6 s later with their cached list. Those that polled more than 4
+/// s after the restart still sent to removed members six seconds after the removal, when it counts as notified.
 #[test]
 fn a_cached_list_is_used_for_a_short_time_only() {
     let settings_of_fleet = Settings {
@@ -200,7 +204,7 @@
     assert_eq!(
         sent_servers(&fresh.request(EVENTUAL).1).len(),
         1,
-        "at first it is used"
+        "the cached list is used at first"
     );
     let mut outdated = restarted();
     outdated.advance(discovery_schedule::CACHED_LIST_LIFETIME);
@@ -216,7 +220,7 @@
     assert_eq!(
         sent_servers(&actions),
         [2],
-        "served as soon as the list is known"
+        "sent as soon as the list is known"
     );
     let mut unchanged = restarted();
     unchanged.advance(discovery_schedule::CACHED_LIST_LIFETIME);
@@ -224,14 +228,14 @@
     assert_eq!(
         sent_servers(&unchanged.request(EVENTUAL).1).len(),
         1,
-        "nothing has changed"
+        "the list is confirmed without changes"
     );
     let mut unanswered = restarted();
     unanswered.advance(discovery_schedule::NOTIFICATION_DEADLINE);
     assert_eq!(
         sent_servers(&unanswered.request(EVENTUAL).1).len(),
         1,
-        "discovery says nothing at all: the list is all there is"
+        "without any response the cached list is used again"
     );
     let mut unreachable = restarted();
     unreachable.advance(discovery_schedule::CACHED_LIST_LIFETIME);
@@ -239,14 +243,14 @@
     assert_eq!(
         sent_servers(&unreachable.request(EVENTUAL).1).len(),
         1,
-        "discovery can't be reached: nothing newer counts as known"
+        "after a failed poll the cached list is the newest one"
     );
 }
 
 #[test]
-fn however_often_a_poll_has_failed_and_in_any_fleet_the_next_one_is_in_time() {
-    // In a fleet of a hundred the next poll came up to 7.5 s after a failure, and up to 4.5 s in one of four. A change
-    // counts as known 6 s after discovery can be reached again, and the poll has to wait for its turn there.
+fn the_next_poll_is_in_time_for_any_number_of_failures_and_routers() {
+    // The next poll came up to 7.5 s after a failure in a fleet of a hundred, and up to 4.5 s in a fleet of four. A
+    // change counts as notified 6 s after discovery is reachable again, and the poll has to wait in discovery's queue.
     let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
@@ -273,8 +277,8 @@
 }
 
 #[test]
-fn routers_that_wait_for_discovery_stay_spread_over_the_time_that_there_is() {
-    // Polls are refused at once, as while discovery is down.
+fn polls_of_routers_stay_spread_while_discovery_is_down() {
+    // Polls are refused immediately, as while discovery is down.
     let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     let (mut next, mut calls) = (vec![0; 8], 0);
     let recovery = 20_000 * MS;
@@ -300,10 +304,10 @@
             actions = harness.event(Event::Endpoints(EndpointUpdate::Failed));
         }
     }
-    // Even would be 40 in each half second.
+    // An even distribution would be 40 in each half second.
     assert!(
         next.iter().all(|&calls| calls <= 65),
         "{next:?} calls by half second"
     );
-    assert!(calls <= 300 * 20_000 / 3_200, "{calls} calls in vain");
+    assert!(calls <= 300 * 20_000 / 3_200, "{calls} failed calls");
 }
--- a/crates/routing/tests/estimates.rs
+++ b/crates/routing/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! What servers and classes are expected to take.
+//! Estimates of run time and work.
 
 mod common;
 use common::*;
@@ -25,7 +25,10 @@
         let [server] = sent_servers(&actions)[..] else {
             panic!("{actions:?}")
         };
-        assert_ne!(server, hung, "it has not answered for many run times");
+        assert_ne!(
+            server, hung,
+            "the server has not answered for many run times"
+        );
         harness.advance(10 * MS);
         harness.end_attempt(id, 0, server, Outcome::Ok);
     }
@@ -33,8 +36,7 @@
 
 #[test]
 fn a_server_that_loses_requests_or_fails_them_quickly_is_left_for_others() {
-    // Seen on grown tracking days: run times were learned from answers alone, so that a server that lost requests but
-    // answered probes looked like any other.
+    // If only answers counted, a server that loses requests but answers probes would look like any other.
     for outcome in [Outcome::TimedOut, Outcome::Failed, Outcome::ConnectFailed] {
         let mut sent = [0; 4];
         for seed in 0..20 {
@@ -75,7 +77,7 @@
     assert_ne!(
         sent_servers(&busy),
         sent_servers(&other),
-        "the second goes to the member not tried yet"
+        "the second read goes to the untried member"
     );
 }
 
--- a/crates/routing/tests/expiry.rs
+++ b/crates/routing/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! Queueing, rejecting, and the final answer.
+//! Queueing, rejection, and the final answer.
 
 mod common;
 use common::*;
@@ -57,9 +57,8 @@
 }
 
 #[test]
-fn what_was_never_sent_is_rejected_before_half_of_its_time() {
-    // Seen on a real day with a cut-off primary: rejections came just after half of the client's time, one recheck too
-    // late.
+fn a_request_never_sent_is_rejected_before_half_of_its_time() {
+    // With an unreachable primary, rejections came just after half of the client's time, one recheck too late.
     let mut checked_settings = Settings {
         staleness_check: StalenessCheck::Reject,
         ..settings()
@@ -71,7 +70,7 @@
             let (id, _) = harness.request(EVENTUAL);
             harness.end_attempt(id, 0, 1, Outcome::Ok);
         }
-        // The first that finds no capacity, or no primary.
+        // The first request that finds no capacity or no primary.
         let (id, mut actions) = loop {
             let (id, actions) = harness.request(class);
             if sent_servers(&actions).is_empty() {
@@ -83,18 +82,19 @@
             actions = harness.run_for(5);
             assert!(
                 sent_servers(&actions).is_empty(),
-                "nothing can take it: {actions:?}"
+                "no server can take the request: {actions:?}"
             );
         }
         let queued_for = harness.now.since(arrived);
         assert!(
             queued_for > 200 * MS && queued_for < 500 * MS,
-            "class {class}: queued for {queued_for:?} of a second"
+            "class {class}: queued for {queued_for:?} of 1 s"
         );
     }
 }
 
-/// Storms of retries, each with the rest of its client's time, took the capacity for first requests and earned nothing.
+/// Storms of late retries, each with the rest of its client's time, take the capacity of first requests, and their
+/// answers count for nothing.
 #[test]
 fn a_retry_that_comes_too_late_to_earn_anything_is_rejected_at_once() {
     let mut harness = Harness::new(settings(), 3);
@@ -110,12 +110,12 @@
     assert_eq!(
         send_request(500 * MS, false),
         (1, false),
-        "a first request has half of the deadline here"
+        "a first request with half of the deadline left is sent"
     );
     assert_eq!(
         send_request(500 * MS, true),
         (1, false),
-        "how long ago the first request was is not known"
+        "a retry with as much time as first requests is not late"
     );
     assert_eq!(
         send_request(400 * MS, true),
@@ -128,12 +128,12 @@
 fn a_queued_request_has_one_timer_however_often_it_is_dispatched() {
     let mut harness = Harness::without_reports(settings(), 3);
     let queued: Vec<RequestId> = (0..8).map(|_| harness.request(WRITE).0).collect();
-    // Reports of a server that does not help dispatch them again and again.
+    // Reports of a replica dispatch the queued writes each time without effect.
     for _ in 0..200 {
         harness.advance(MS / 2);
         harness.report(2, false, Duration::ZERO);
     }
-    // From now on timers alone, each when it is due: all are rechecked within a tenth of the tightest objective (30
+    // From now on only timers, each when it is due: all requests are rechecked at a tenth of the tightest objective (30
     // ms).
     let (end, mut timers) = (harness.now.plus(200 * MS), 0);
     let mut actions = harness.report(2, false, Duration::ZERO);
--- a/crates/routing/tests/freshness.rs
+++ b/crates/routing/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Log positions: bounds on staleness, sessions, catch-up.
+//! Log positions: staleness bounds, sessions and catch-up.
 
 mod common;
 use common::*;
@@ -11,14 +11,14 @@
     harness.run_for(50);
     harness.report(1, false, Duration::ZERO);
     harness.run_for(600);
-    // Both positions are over the bound now and no member is known to be primary.
+    // Both positions now exceed the bound, and no member is known to be the primary.
     let (id, actions) = harness.request(BOUNDED);
     assert!(sent_servers(&actions).is_empty());
     let actions = harness.report(2, false, 300 * MS);
     assert_eq!(
         sent_servers(&actions),
         [2],
-        "a position that shows catch-up releases {id:?}"
+        "a report of a fresh position releases {id:?}"
     );
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn rejections_take_back_the_guess_that_a_replica_has_caught_up() {
+fn a_rejection_corrects_the_prediction_that_a_replica_has_caught_up() {
     let mut harness = Harness::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
@@ -62,7 +62,7 @@
     assert_eq!(
         sent_servers(&actions),
         [2],
-        "550 ms since the position, so 450 ms behind by the guess"
+        "the position is 550 ms old, so the replica is predicted to be 450 ms behind"
     );
     let metadata = ResponseMetadata {
         primary: Some(false),
@@ -72,19 +72,19 @@
     assert_eq!(
         sent_servers(&actions),
         [1],
-        "no replica meets the need: the primary"
+        "no replica is fresh enough, so the read goes to the primary"
     );
     let (_, actions) = harness.request(BOUNDED);
     assert!(
         !sent_servers(&actions).contains(&2),
-        "not guessed again before it reports: {actions:?}"
+        "the prediction stays corrected until the next report: {actions:?}"
     );
 }
 
 #[test]
 fn reports_older_than_the_bound_do_not_push_bounded_reads_onto_the_primary() {
-    // Seen on recorded day i10d23f: reports were always older than the bound, no replica ever seemed fresh enough, and
-    // all bounded reads went to the primaries.
+    // When reports were always older than the bound, no replica ever seemed fresh enough, and all bounded reads went to
+    // the primaries.
     let mut harness = Harness::new(
         Settings {
             staleness_check: StalenessCheck::Reject,
@@ -102,8 +102,8 @@
     assert!(matches!(sent_servers(&actions)[..], [2 | 3]), "{actions:?}");
 }
 
-/// A replica that does not check staleness answers from what it has. A dial may delay the read, so the host is told
-/// until when it may begin.
+/// A replica that does not check staleness answers with the data that it has. Dialing may delay the read, so the action
+/// limits when it may be sent.
 #[test]
 fn a_bounded_read_has_to_begin_while_its_replica_is_fresh() {
     let mut harness = Harness::new(settings(), 2);
@@ -115,7 +115,7 @@
     assert_eq!(
         first_begin_within(&actions),
         300 * MS,
-        "of a bound of 500 ms"
+        "rest of the bound of 500 ms"
     );
     let mut checked = Harness::new(
         Settings {
@@ -130,12 +130,12 @@
     let (_, actions) = checked.request(BOUNDED);
     assert!(
         first_begin_within(&actions) > 500 * MS,
-        "the replica rejects it by itself: {actions:?}"
+        "the replica checks staleness itself: {actions:?}"
     );
 }
 
 #[test]
-fn a_carried_age_is_what_a_session_read_must_see() {
+fn a_session_read_must_see_the_carried_age_of_its_write() {
     let mut harness = Harness::new(
         Settings {
             clients_carry_session_position: true,
@@ -154,17 +154,17 @@
     assert_ne!(
         send_read(50 * MS),
         [2],
-        "the replica was last known at 100 ms ago"
+        "the replica's last reported position is 100 ms old"
     );
     assert_eq!(
         send_read(150 * MS),
         [2],
-        "a write before that is there; the primary is busy"
+        "the replica has an older write; the primary is busy"
     );
 }
 
 #[test]
-fn a_carried_position_counts_however_the_routers_clock_is_set() {
+fn a_carried_position_does_not_depend_on_the_routers_clock() {
     // Positions come from another clock, which is five seconds ahead of the router's.
     let mut harness = Harness::new(
         Settings {
@@ -192,6 +192,14 @@
         };
         sent_servers(&harness.event(Event::RequestArrived(arrival)))
     };
-    assert_eq!(send_read(replica_position.plus(MS)), [1], "not there yet");
-    assert_eq!(send_read(replica_position), [2], "the primary is busy");
+    assert_eq!(
+        send_read(replica_position.plus(MS)),
+        [1],
+        "the replica has not reached the position"
+    );
+    assert_eq!(
+        send_read(replica_position),
+        [2],
+        "the replica has reached the position; the primary is busy"
+    );
 }
--- a/crates/routing/tests/primary.rs
+++ b/crates/routing/tests/primary.rs
@@ -1,4 +1,4 @@
-//! Who is primary, and what reads get of it.
+//! The group's primary and the part of its capacity that is open to reads.
 
 mod common;
 use common::*;
@@ -13,10 +13,10 @@
     }
 }
 
-/// Seen on a variant of the deployments that allows no probes: on a calm day half of the writes were rejected, since no
-/// primary was known and nobody was asked.
+/// Where probes are not allowed, half of the writes were rejected even without faults, since no primary was known and
+/// none was searched for.
 #[test]
-fn where_nobody_may_be_probed_a_write_looks_for_the_primary_itself() {
+fn without_probes_a_write_finds_the_primary_itself() {
     let mut harness = Harness::without_reports(
         Settings {
             may_probe: false,
@@ -36,9 +36,9 @@
     let other = sent_servers(&actions);
     assert!(
         other.len() == 1 && other != tried,
-        "the member that has not said no: {actions:?}"
+        "the member that has not rejected the write: {actions:?}"
     );
-    // Where members may be probed, that comes first.
+    // Where probes are allowed, a probe comes first.
     let mut harness = Harness::without_reports(settings(), 2);
     assert!(sent_servers(&harness.request(NON_IDEMPOTENT_WRITE).1).is_empty());
 }
@@ -71,7 +71,7 @@
 
 #[test]
 fn strong_reads_may_use_the_whole_primary() {
-    // Seen on recorded day i497776: strong reads were limited like reads that replicas may answer, and a class starved.
+    // When strong reads were limited like reads that replicas may answer, their class got too little capacity.
     let mut harness = Harness::new(settings(), 2);
     let (id, actions) = harness.request(STRONG);
     assert_eq!(sent_servers(&actions), [1]);
@@ -82,7 +82,7 @@
 
 #[test]
 fn reads_do_not_crowd_the_primary_before_positions_are_known() {
-    // Seen on grown icd days: at start all routers sent all reads to the listed primaries.
+    // At start, all routers sent all reads to the listed primaries.
     let mut harness = Harness::without_reports(
         Settings {
             staleness_check: StalenessCheck::Reject,
--- a/crates/routing/tests/probing.rs
+++ b/crates/routing/tests/probing.rs
@@ -1,4 +1,4 @@
-//! When a server is probed.
+//! Probing of servers.
 
 mod common;
 use common::*;
@@ -20,8 +20,7 @@
 
 #[test]
 fn servers_that_always_lag_do_not_take_all_probes() {
-    // Seen on recorded day i2d132c: probes went out in a fixed order, and whole groups were not probed for half a
-    // minute.
+    // When probes were sent in a fixed order, whole groups were not probed for half a minute.
     let mut harness = Harness::new(settings(), 3);
     harness.update_endpoints(vec![Endpoint {
         group: GroupId(1),
@@ -36,7 +35,7 @@
             } = action
             {
                 probes[server as usize] += 1;
-                // All lag by more than the bound, so that each always deserves a probe.
+                // All positions are older than the bound, so that each server is always worth a probe.
                 harness.report(server, server == 1 || server == 9, 2_000 * MS);
             }
         }
@@ -44,7 +43,7 @@
     assert!(probes[9] * 2 >= probes[2], "{probes:?}");
     assert!(
         probes.iter().sum::<u32>() < 200,
-        "paid for by requests: {probes:?}"
+        "requests limit the number of probes: {probes:?}"
     );
 }
 
@@ -61,14 +60,18 @@
 
 #[test]
 fn a_read_probes_one_replica_for_its_position_and_does_not_crowd_the_primary() {
-    // Seen on grown tracking days: with old positions all reads of hundreds of routers went to the primaries.
+    // With old positions, all reads of hundreds of routers went to the primaries.
     let mut harness = Harness::new(settings(), 3);
     harness.run_for(2_000);
     harness.report(1, true, Duration::ZERO);
     let (_, actions) = harness.request(BOUNDED);
     assert!(sent_servers(&actions).is_empty(), "{actions:?}");
     let probed = probe_targets(&actions);
-    assert_eq!(probed.len(), 1, "one is probed, not the fleet: {actions:?}");
+    assert_eq!(
+        probed.len(),
+        1,
+        "one replica is probed, not all: {actions:?}"
+    );
     assert!(probed[0] != 1);
     harness.advance(5 * MS);
     assert_eq!(
@@ -97,8 +100,8 @@
 }
 
 #[test]
-fn removed_members_are_probed_where_only_draining_binds() {
-    // Seen on days with a wrong list: the members' positions went stale, and all reads crowded the primaries.
+fn removed_members_are_probed_with_soft_removal() {
+    // With a wrong endpoint list, the members' positions became stale, and all reads crowded the primaries.
     let mut harness = Harness::new(
         Settings {
             soft_removal: true,
@@ -123,7 +126,7 @@
 
 #[test]
 fn a_primary_that_cannot_be_reached_does_not_set_off_a_flood_of_probes() {
-    // Seen on grown slots days with scarce connections: 4.7 probes for each request.
+    // Where connections were scarce, there were 4.7 probes for each request.
     let mut harness = Harness::new(settings(), 4);
     harness.run_for(1_000);
     let (id, actions) = harness.request(WRITE);
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random events with a fixed seed; the rules must hold in the actions whatever comes.
+//! Random events from a fixed seed; the rules must hold for all resulting actions.
 
 mod common;
 use common::*;
@@ -55,16 +55,16 @@
                     let request = self
                         .requests
                         .get_mut(&id)
-                        .expect("a send for a request that is open");
+                        .expect("a send must belong to an open request");
                     let class = &self.settings.classes[usize::from(request.class)];
                     assert!(!request.answered, "a send after the final answer");
                     assert!(
                         now.plus(timeout) <= request.deadline,
-                        "a time-out beyond the deadline"
+                        "the time-out exceeds the deadline"
                     );
                     assert!(
                         now.plus(begin_within) <= request.deadline,
-                        "a begin beyond the deadline"
+                        "begin_within exceeds the deadline"
                     );
                     assert!(
                         !self.draining.contains_key(&server.0),
@@ -73,14 +73,14 @@
                     assert!(request.sent.len() < usize::from(self.settings.attempt_limit));
                     assert!(
                         self.settings.may_hedge || request.in_flight.is_empty(),
-                        "two attempts at once"
+                        "two attempts in flight without hedging"
                     );
                     match class.idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => {
                             assert!(
                                 request.earliest_effect.is_none() && request.in_flight.is_empty(),
-                                "non-idempotent twice"
+                                "a non-idempotent request sent again after it may have run"
                             );
                         }
                         Idempotency::Keyed { window, .. } => {
@@ -93,7 +93,7 @@
                             let arrives = now.plus(begin_within);
                             assert!(
                                 since.is_none_or(|s| arrives < s.plus(window)),
-                                "outside the window"
+                                "a repetition outside the deduplication window"
                             );
                         }
                     }
@@ -119,7 +119,7 @@
                     let request = self
                         .requests
                         .get_mut(&id)
-                        .expect("an answer for a request that is open");
+                        .expect("an answer must belong to an open request");
                     assert!(
                         !std::mem::replace(&mut request.answered, true),
                         "two final answers"
@@ -136,7 +136,7 @@
                         request.in_flight.is_empty() && request.earliest_effect.is_none();
                     assert!(
                         !is_rejection || is_idempotent || has_not_run,
-                        "a refusal of what may have run"
+                        "a rejection of a request that may have run"
                     );
                 }
                 Action::Cancel { .. } => assert!(self.settings.may_cancel),
@@ -211,7 +211,7 @@
                     outcome,
                     Outcome::Rejected | Outcome::ConnectFailed | Outcome::Misdirected
                 );
-                let request = checker.requests.get_mut(id).expect("it is open");
+                let request = checker.requests.get_mut(id).expect("the request is open");
                 request.in_flight.retain(|&n| n != attempt);
                 if !never_ran {
                     request.earliest_effect =
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_comes() {
+fn the_rules_hold_for_random_events() {
     for seed in 1..=12 {
         let staleness_check = [
             StalenessCheck::None,
@@ -313,7 +313,7 @@
         let RuleChecker { sends, answers, .. } = run_random_events(seed * 7919, set);
         assert!(
             sends > 50 && answers > 100,
-            "the play reaches both: {sends} sends, {answers} answers"
+            "too few events: {sends} sends, {answers} answers"
         );
     }
 }
@@ -326,12 +326,12 @@
     );
 }
 
-/// A hundred routers with little traffic and a few with much share six members of a group, one of them
-/// starting and one of them told to drain after a while; what they send is judged together.
+/// A hundred routers with little traffic and a few with much share six members of a group, of which one is starting and
+/// one drains after a while. The checks cover the attempts of all routers together.
 #[test]
 fn many_routers_keep_the_rules_together() {
     const ROUTERS: u64 = 100;
-    /// Requests a second that a warm member can serve; the group is offered as much as all six can.
+    /// Requests per second that a warm member can serve; the offered load is what all six members can serve.
     const EACH: u64 = 40;
     for seed in 1..=3 {
         let set = Settings {
@@ -407,7 +407,7 @@
                 }
             }
         }
-        assert!(served > 500, "the play serves: {served}");
+        assert!(served > 500, "too few requests served: {served}");
         assert!(!to_starting.is_empty());
         for (i, &from) in to_starting.iter().enumerate() {
             let sent = to_starting[i..]
@@ -418,7 +418,7 @@
             let limit = 3.0 * capacity * EACH as f64;
             assert!(
                 sent <= limit,
-                "{sent} of at most {limit} in the second from {from} ms"
+                "{sent} attempts, at most {limit} allowed, in the second from {from} ms"
             );
         }
     }
--- a/crates/routing/tests/reload.rs
+++ b/crates/routing/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings: odd ones, and new ones while requests are open.
+//! Settings: unusual values, and changes while requests are open.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[test]
-fn odd_settings_answer_every_request_soundly() {
+fn every_request_is_answered_with_unusual_settings() {
     let without_classes = Settings {
         classes: vec![],
         may_probe: false,
@@ -22,7 +22,7 @@
     let (id, actions) = harness.request(EVENTUAL);
     assert!(
         is_rejected(&actions, id),
-        "a class that the settings do not name: {actions:?}"
+        "a class that is not in the settings is rejected: {actions:?}"
     );
     let mut zero_bounds = settings();
     zero_bounds.classes[1].consistency = Consistency::BoundedStaleness(Duration::ZERO);
@@ -34,13 +34,16 @@
     let mut harness = Harness::without_reports(settings(), 0);
     let (id, mut actions) = harness.request(EVENTUAL);
     actions.extend(harness.run_for(1_100));
-    assert!(is_rejected(&actions, id), "an empty list: {actions:?}");
+    assert!(
+        is_rejected(&actions, id),
+        "without endpoints the request is rejected: {actions:?}"
+    );
 }
 
-/// A write under way keeps its class's rights where a stricter class takes the name; new ones have the new rights.
-/// Fewer attempts count at once, and what the class takes is known from before.
+/// An open write keeps the rules of its class when a stricter class replaces it; new writes follow the new rules. A
+/// lower attempt limit applies at once, and the new class starts with the estimates of its predecessor.
 #[test]
-fn new_settings_leave_open_requests_their_rights() {
+fn open_requests_keep_the_rules_of_their_class_over_new_settings() {
     let mut harness = Harness::new(settings(), 2);
     let (kept, _) = harness.request(WRITE);
     let mut new_settings = settings();
@@ -69,7 +72,7 @@
         is_failed(&ended, strict) || is_rejected(&ended, strict),
         "{ended:?}"
     );
-    // One attempt in all from now on, under what one under way has used already.
+    // From now on the limit is one attempt in total, fewer than an open request has used already.
     let (used, _) = harness.request(EVENTUAL);
     let first = harness.end_attempt(used, 0, 2, Outcome::Rejected);
     harness.router.configure(
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -53,7 +53,8 @@
     assert!(is_failed(&actions, id) && !is_rejected(&actions, id));
 }
 
-/// A repetition may have to dial first. The host is told what is left of the window, less the margin for the way.
+/// A repetition may have to dial first. The action limits when it may be sent to the rest of the window, minus the
+/// margin for the network delay.
 #[test]
 fn a_keyed_repetition_has_to_begin_inside_its_window() {
     let mut harness = Harness::new(settings(), 2);
@@ -61,7 +62,7 @@
     let (deadline, window) = (first_begin_within(&first), 600 * MS);
     assert!(
         deadline > window,
-        "the first attempt is bound by its deadline alone: {deadline:?}"
+        "the first attempt is limited by its deadline alone: {deadline:?}"
     );
     harness.advance(100 * MS);
     let mut repeat = harness.end_attempt(id, 0, 1, Outcome::Failed);
@@ -74,12 +75,12 @@
     let (id, _) = last.request(WRITE);
     last.advance(window - 30 * MS);
     let mut actions = last.end_attempt(id, 0, 1, Outcome::Failed);
-    // It is looked at again within the window, but in its last moments.
+    // The request is dispatched again within the window, but in the margin before its end.
     last.advance(20 * MS);
     actions.extend(last.run_for(5));
     assert!(
         sent_servers(&actions).is_empty(),
-        "it would arrive after the window's end: {actions:?}"
+        "the repetition would arrive after the end of the window: {actions:?}"
     );
 }
 
@@ -102,8 +103,5 @@
         actions = harness.end_attempt(id, no, server, Outcome::ConnectFailed);
     }
     assert_eq!(attempts, 2);
-    assert!(
-        is_rejected(&actions, id),
-        "nothing may be sent any more: {actions:?}"
-    );
+    assert!(is_rejected(&actions, id), "no attempt is left: {actions:?}");
 }
--- a/crates/routing/tests/selection.rs
+++ b/crates/routing/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which member gets a request.
+//! Replica selection.
 
 mod common;
 use common::*;
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn routers_to_which_all_members_look_alike_spread_over_them() {
-    // Failure of big days: all routers took the first id among equals.
+fn routers_spread_over_members_of_equal_cost() {
+    // In large fleets, all routers chose the member with the lowest id among equals.
     let mut sent = [0; 5];
     for seed in 0..100 {
         let mut harness = Harness::with_seed(settings(), 4, seed);
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a server that warms up gets: one router, and many with few requests each.
+//! Slow start: attempts sent to a server that warms up, by one router and by many with few requests each.
 
 mod common;
 use common::*;
@@ -33,7 +33,8 @@
     assert!(sent[4] > 0 && sent[4] < warm, "{sent:?}");
 }
 
-/// What a hundred routers send a starting member when each of them gets one request, and looks again.
+/// Attempts that a hundred routers send to a starting member when each of them gets one request and dispatches it
+/// repeatedly.
 fn total_sent_to_starting_member(class: u16, primary: bool) -> usize {
     let mut total = 0;
     for seed in 0..100 {
@@ -59,31 +60,29 @@
 
 #[test]
 fn many_routers_with_little_traffic_do_not_overload_a_starting_server() {
-    // Seen on a day drawn to test rules: each router let one attempt through, together 6.3 times what the server could
-    // do.
+    // When each router let one attempt through, the attempts together were 6.3 times what the server could handle.
     let bound = 3.0 * 0.25 * 100.0;
     let writes = total_sent_to_starting_member(WRITE, true) as f64;
     assert!(
         writes > 0.2 * bound && writes < bound,
-        "{writes} writes of 100 at a starting primary"
+        "{writes} of 100 writes sent to a starting primary"
     );
     let reads = total_sent_to_starting_member(EVENTUAL, false) as f64;
     assert!(
         reads > 0.0 && reads < bound / 4.0,
-        "{reads} reads of 100 at one of four members"
+        "{reads} of 100 reads sent to one of four members"
     );
     assert_eq!(
         total_sent_to_starting_member(EVENTUAL, true),
         0,
-        "reads have others to go to"
+        "reads go to other members"
     );
 }
 
 #[test]
-fn what_one_starting_server_may_not_have_another_may() {
-    // Seen in the experiment of a power loss: where all members of a group start, one draw for each of them excluded
-    // more than they could not bear in sum. Three of four bear a part of 0.15 each, as the list and the settings have
-    // it.
+fn a_request_beyond_the_budget_of_one_starting_server_may_go_to_another() {
+    // Where all members of a group start, a separate draw for each of them excluded more requests than necessary. Each
+    // of the three replicas can handle a fraction of 0.15, by the endpoint list and the settings.
     let bound = 0.8 * 3.0 * 0.25;
     let mut sent = 0;
     for seed in 0..1_000 {
@@ -114,7 +113,7 @@
 
 #[test]
 fn a_starting_server_gets_no_more_when_most_of_its_group_has_left() {
-    // Seen on day h99f668: the requests were meant for six members, and the budget went by the two that were left.
+    // The load was meant for six members, but the budget was computed for the two that were left.
     let mut sent = 0;
     for seed in 0..200 {
         let mut harness = Harness::in_fleet(200, 6, seed);
@@ -141,13 +140,13 @@
     let bound = 3.0 * 0.25 * 200.0 / 6.0;
     assert!(
         sent > 0 && (sent as f64) < bound,
-        "{sent} of 200 reads for six members"
+        "{sent} of 200 reads sent to the starting member of six"
     );
 }
 
 #[test]
 fn a_request_goes_to_a_starting_server_once_at_most() {
-    // Seen on recorded day i60ceae: with errors everywhere the same requests came back up to eight times.
+    // When all members returned errors, the same requests came back up to eight times.
     for seed in 0..40 {
         let mut harness = Harness::with_seed(settings(), 2, seed);
         harness.update_endpoints(vec![Endpoint {
@@ -172,8 +171,8 @@
     }
 }
 
-/// Reads that a starting replica is sent within a second, after four seconds in which its answers took so long each. It
-/// is the only one, and what it may not have goes to the primary.
+/// Number of reads sent to a starting replica within a second, after four seconds in which each of its answers took
+/// `latency_ms`. It is the only replica; reads beyond its budget go to the primary.
 fn sent_to_a_starting_server(latency_ms: u32, confidence_max: f64) -> usize {
     let mut harness = Harness::new(settings(), 0);
     harness.router = Router::with_tuning(
@@ -195,7 +194,7 @@
     harness.report(5, false, Duration::ZERO);
     let mut sent = 0;
     for step in 0..500_u64 {
-        // One read after the other, so that no limit matters; a hundred a second.
+        // One read after the other, so that no concurrency limit applies; a hundred per second.
         harness.advance(10 * MS);
         let (id, actions) = harness.request(EVENTUAL);
         let Some(&server) = sent_servers(&actions).first() else {
@@ -209,8 +208,8 @@
 }
 
 #[test]
-fn a_starting_server_gets_more_while_it_answers_as_fast_as_one_so_cold_can() {
-    // It has half of its capacity by then: 60 ms of work take 120.
+fn a_starting_server_gets_more_while_its_answers_are_fast() {
+    // The server has half of its capacity by then: 60 ms of work take 120 ms.
     let (fast, slow) = (
         sent_to_a_starting_server(100, 3.0),
         sent_to_a_starting_server(290, 3.0),
@@ -221,13 +220,16 @@
     );
     assert!(
         unproven > 0 && fast as f64 >= 1.2 * unproven as f64,
-        "{fast} proven, {unproven} without that"
+        "{fast} with ramp confidence, {unproven} without"
+    );
+    assert_eq!(
+        slow, overloaded,
+        "an overloaded server gains no ramp confidence"
     );
-    assert_eq!(slow, overloaded, "where it is overloaded nothing is proven");
 }
 
-/// Reads that a router has of a starting replica in each of 48 groups, in the fifth second after
-/// four in which each group had two reads.
+/// Reads sent to the starting replicas of 48 groups in the fifth second, after four seconds in which each group had two
+/// reads.
 fn sent_to_starting_servers(confidence_max: f64) -> usize {
     let tuning = Tuning {
         ramp_confidence_max: confidence_max,
@@ -290,21 +292,20 @@
 }
 
 #[test]
-fn a_router_that_seldom_hears_from_each_starting_server_learns_over_all_of_them() {
-    // Seen on join+vast: new members had 2 to 5 requests a second from a hundred routers together while they answered
-    // as fast as warm ones, and the rest of each group was overloaded. Each router had an answer of each only once in
-    // many seconds.
+fn a_router_with_few_answers_from_each_starting_server_uses_the_answers_of_all() {
+    // With one answer from each server in many seconds, a router could not build up confidence. A hundred routers
+    // together sent new members 2 to 5 requests per second, though these answered as fast as warm ones, and the rest of
+    // each group was overloaded.
     let (learned, unproven) = (sent_to_starting_servers(3.0), sent_to_starting_servers(1.0));
     assert!(
         learned as f64 >= 1.4 * unproven as f64,
-        "{learned} learned, {unproven} without"
+        "{learned} with ramp confidence, {unproven} without"
     );
 }
 
 #[test]
 fn retries_do_not_add_to_what_a_starting_server_gets() {
-    // Clients that are rejected come back up to three times: a budget for retries too would exceed what first requests
-    // bring.
+    // Rejected clients retry up to three times: a budget that includes retries would exceed the load of first requests.
     let mut sent = [0; 2];
     for seed in 0..200 {
         for (index, is_client_retry) in [false, true].into_iter().enumerate() {
@@ -326,9 +327,9 @@
 }
 
 #[test]
-fn first_requests_of_a_fully_used_group_use_most_of_what_a_starting_server_bears() {
-    // Seen on join+vast: groups of starting members alone rejected half of their requests while they answered the rest
-    // as fast as warm ones. Half of the bound was kept for retries, which no longer go there.
+fn first_requests_of_a_fully_used_group_use_most_of_a_starting_servers_bound() {
+    // Groups with only starting members rejected half of their requests, though they answered the rest as fast as warm
+    // ones: half of the bound was reserved for retries, which do not go there.
     let sent = (0..1_000)
         .filter(|&seed| {
             let mut harness = Harness::in_fleet(1_000, 6, seed);
@@ -349,7 +350,7 @@
     let overload_bound = 3.0 * 0.25 * 1_000.0 / 6.0;
     assert!(
         (0.7 * overload_bound..0.95 * overload_bound).contains(&(sent as f64)),
-        "{sent} of 1000, where {overload_bound} overload it"
+        "{sent} of 1000; {overload_bound} are an overload"
     );
 }
 
@@ -379,6 +380,6 @@
         sent[4..]
             .iter()
             .all(|&n| n > 0 && (n as f64) < 0.95 * overload_bound),
-        "{sent:?}, where {overload_bound} overload one"
+        "{sent:?} by server; {overload_bound} are an overload"
     );
 }
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -1,4 +1,4 @@
-//! What many routers that do not talk send one starting server together, on virtual time.
+//! Load that many routers without communication send to one starting server together, in virtual time.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const WARM_STEPS: u32 = 4_000;
 const COLD_STEPS: u32 = 1_600;
 
-/// A router_index from 0 to 1 that looks random: SplitMix64.
+/// Pseudo-random numbers from 0 to 1 (SplitMix64).
 struct Random(u64);
 
 impl Random {
@@ -24,7 +24,8 @@
     }
 }
 
-/// What the operators let a starting server bear where the settings allow it `allowed` requests.
+/// Largest permitted number of requests where the settings allow `allowed`, with a tolerance of 2 or 3 standard
+/// deviations.
 fn allowed_with_tolerance(allowed: f64) -> f64 {
     let deviations = if allowed < 30.0 { 3.0 } else { 2.0 };
     allowed + deviations * allowed.sqrt() + deviations
@@ -32,11 +33,12 @@
 
 struct Workload {
     routers: usize,
-    /// Requests that a warm_capacity server does in the time that a collapse takes.
+    /// Requests that a warm server can serve within the overload duration.
     warm_capacity: f64,
-    /// Of all requests, those that come to the first router; the others share the rest evenly.
+    /// Fraction of all requests that go to the first router; the others share the rest evenly.
     first_router_fraction: f64,
-    /// Of what fully used servers would get, what comes, and from three seconds after the start.
+    /// Offered load as a fraction of what fully used servers could serve: until three seconds after the start, and from
+    /// then on.
     load: [f64; 2],
 }
 
@@ -44,7 +46,7 @@
     harness.finish_request(id, server, Outcome::Ok, elapsed);
 }
 
-/// Which router the next request comes to.
+/// Index of the router that gets the next request.
 fn random_router(workload: &Workload, random: &mut Random) -> usize {
     let others = 1 + (random.next() * (workload.routers - 1) as f64) as usize;
     if random.next() < workload.first_router_fraction {
@@ -54,8 +56,8 @@
     }
 }
 
-/// The greatest ratio to the line over eight seconds after the start of the only server that is left of five, which all
-/// five were warm_capacity for twenty seconds before.
+/// Largest ratio of load to the permitted load over eight seconds after the start of the only server that is left of
+/// five. Before that, all five were warm for twenty seconds.
 fn max_load_ratio(workload: &Workload, seed: u64) -> f64 {
     let settings_of_fleet = Settings {
         router_count: workload.routers as u32,
@@ -112,7 +114,7 @@
                     / settings_of_fleet.warm_up_duration.as_secs_f64();
             let allowed = settings_of_fleet.overload_factor * capacity * workload.warm_capacity;
             max_ratio = max_ratio.max(recent.len() as f64 / allowed_with_tolerance(allowed));
-            // Answers take as much longer as the server is colder, and as more than it can do has come.
+            // Latency grows with the inverse of the server's capacity, and with the load beyond it.
             let overload = (recent.len() as f64 / (capacity * workload.warm_capacity)).max(1.0);
             finish_ok(harness, id, server, (50 * MS).mul_f64(overload / capacity));
         }
@@ -134,7 +136,7 @@
     harness.report(STARTING_SERVER, false, Duration::ZERO);
 }
 
-/// By router_index of routers, the greatest ratio over some seeds.
+/// For each number of routers, the largest load ratio over some seeds.
 fn max_load_ratios(
     warm_capacity: f64,
     first_router_fraction: Option<f64>,
@@ -160,33 +162,33 @@
 fn assert_within_bound(ratios: &[(usize, f64)]) {
     assert!(
         ratios.iter().all(|&(_, ratio)| ratio > 0.1 && ratio <= 1.0),
-        "by routers: {ratios:?}"
+        "load ratios by number of routers: {ratios:?}"
     );
 }
 
 #[test]
-fn a_burst_after_calm_keeps_a_starting_store_within_what_it_bears() {
+fn a_burst_after_low_load_does_not_overload_a_starting_server() {
     assert_within_bound(&max_load_ratios(100.0, None, [0.3, 0.69]));
 }
 
 #[test]
-fn more_than_full_use_keeps_a_starting_store_within_what_it_bears() {
+fn load_above_capacity_does_not_overload_a_starting_server() {
     assert_within_bound(&max_load_ratios(100.0, None, [1.0, 1.2]));
 }
 
 #[test]
-fn a_starting_store_that_bears_a_few_requests_gets_no_more_from_many_routers() {
+fn a_starting_server_with_low_capacity_is_not_overloaded_by_many_routers() {
     assert_within_bound(&max_load_ratios(6.0, None, [0.6, 1.0]));
 }
 
 #[test]
-fn one_router_with_nine_tenths_of_the_requests_keeps_a_starting_store_within_what_it_bears() {
+fn one_router_with_nine_tenths_of_the_requests_does_not_overload_a_starting_server() {
     assert_within_bound(&max_load_ratios(100.0, Some(0.9), [0.3, 0.69]));
 }
 
 #[test]
-fn of_many_routers_with_one_request_each_an_even_part_goes_to_a_starting_store() {
-    // A draw by each router for itself gives 90 of 900 give or take ten.
+fn of_many_routers_with_one_request_each_an_even_fraction_goes_to_a_starting_server() {
+    // Independent draws of the routers would give 90 of 900, plus or minus ten.
     for seed in 0..6 {
         let routers = 150 * seed..150 * seed + 900;
         let sent: usize = routers
@@ -207,20 +209,20 @@
             .sum();
         assert!(
             (87..=93).contains(&sent),
-            "from router {}: {sent} of 900, where a tenth is even",
+            "from router {}: {sent} of 900, a tenth is expected",
             150 * seed
         );
     }
 }
 
 #[test]
-fn a_request_that_waits_has_no_second_turn_at_a_starting_store() {
-    // One turn each gives 30 in 100, one in each slice of the wait nearly twice as many.
+fn a_queued_request_has_no_second_turn_at_a_starting_server() {
+    // One turn for each request gives 30 in 100; one in each slice of the wait gives nearly twice as many.
     let routers = 900;
     let sent = (0..routers)
         .filter(|&router_index| {
             let mut harness = Harness::in_fleet(routers as u32, 2, router_index);
-            // It rarely gets a request, and knows that they take less than their objective.
+            // The router rarely gets a request, and its estimate of the work is below the objective.
             for _ in 0..20 {
                 harness.advance(5_000 * MS);
                 (1..=2).for_each(|server| _ = harness.report(server, server == 1, Duration::ZERO));
@@ -237,7 +239,7 @@
             harness.report(1, true, Duration::ZERO);
             harness.report(2, false, Duration::ZERO);
             harness.advance(400 * MS);
-            // The other server has no capacity for a second one.
+            // The other server has no capacity for a second request.
             assert_eq!(sent_servers(&harness.request(WRITE).1), [1]);
             let (_, mut actions) = harness.request(EVENTUAL);
             actions.extend(harness.run_for(200));
@@ -248,6 +250,6 @@
     let expected = fraction * routers as f64;
     assert!(
         (0.8 * expected..1.2 * expected).contains(&(sent as f64)),
-        "{sent}, where {expected} have a turn"
+        "{sent} sent, {expected} expected"
     );
 }
