--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -187,8 +187,8 @@
             Event::PollRequested => self.request_poll(now, actions),
             Event::AddressChanged => self.change_address(now, actions),
             Event::Connected => self.mark_connected(),
-            Event::BytesReceived => self.note_bytes(now),
-            Event::ObjectReceived => self.note_object(now),
+            Event::BytesReceived => self.record_bytes(now),
+            Event::ObjectReceived => self.record_object(now),
             Event::CallEnded => self.end_call(now, actions),
             Event::Tick => self.check_deadline(now, actions),
         }
@@ -212,13 +212,13 @@
         }
     }
 
-    fn note_bytes(&mut self, now: Time) {
+    fn record_bytes(&mut self, now: Time) {
         if let Some(call) = &mut self.open {
             call.last_bytes = Some(now);
         }
     }
 
-    fn note_object(&mut self, now: Time) {
+    fn record_object(&mut self, now: Time) {
         if let Some(call) = &mut self.open {
             call.last_object = Some(now);
             call.last_bytes = None;
--- a/crates/discovery-schedule/tests/bound.rs
+++ b/crates/discovery-schedule/tests/bound.rs
@@ -99,51 +99,52 @@
     pending: Vec<(Time, Event)>,
     orders: BTreeSet<Time>,
     /// The times from a failure to the order of the next call, used in turn; none: no order.
-    gaps: Vec<Option<u64>>,
+    order_delays: Vec<Option<u64>>,
     behaviours: Vec<CallBehaviour>,
     calls: usize,
     /// A call is open.
     open: bool,
     reachable_from: Time,
     /// A call was open when discovery came back.
-    outlived: bool,
+    open_at_recovery: bool,
     /// The time to a response: of a call that discovery queues, and of one that was open over the outage.
-    takes: (Duration, Duration),
+    response_times: (Duration, Duration),
     answered: Option<Time>,
 }
 
 impl Proxy {
-    fn act(&mut self, now: Time, event: Event) {
+    fn handle(&mut self, now: Time, event: Event) {
         let mut actions = Vec::new();
         self.schedule.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::StartCall => self.call(now),
+                Action::StartCall => self.start_call(now),
                 Action::CallLost { .. } => {
                     self.pending.clear();
                     self.open = false;
                 }
                 Action::ReportFailure => {
-                    let gap = self.gaps[self.calls % self.gaps.len()];
+                    let delay = self.order_delays[self.calls % self.order_delays.len()];
                     self.orders
-                        .extend(gap.map(|gap| now + ms(gap).min(MAX_RETRY_DELAY)));
+                        .extend(delay.map(|delay| now + ms(delay).min(MAX_RETRY_DELAY)));
                 }
             }
         }
     }
 
-    fn call(&mut self, now: Time) {
+    fn start_call(&mut self, now: Time) {
         self.pending.clear();
         self.calls += 1;
         self.open = true;
         if now >= self.reachable_from {
-            let takes = if self.outlived {
-                self.takes.1
+            let response_time = if self.open_at_recovery {
+                self.response_times.1
             } else {
-                self.takes.0
+                self.response_times.0
             };
             self.pending.push((now, Event::Connected));
-            self.pending.push((now + takes, Event::ObjectReceived));
+            self.pending
+                .push((now + response_time, Event::ObjectReceived));
             return;
         }
         match self.behaviours[self.calls % self.behaviours.len()].clone() {
@@ -191,12 +192,12 @@
                     self.answered = Some(now);
                     return;
                 }
-                self.act(now, event);
+                self.handle(now, event);
             } else if order == Some(now) {
                 self.orders.pop_first();
-                self.act(now, Event::PollRequested);
+                self.handle(now, Event::PollRequested);
             } else {
-                self.act(now, Event::Tick);
+                self.handle(now, Event::Tick);
             }
         }
     }
@@ -207,42 +208,42 @@
 
     #[test]
     fn a_reachable_discovery_answers_within_the_notification_deadline(
-        (pushed, silence) in (any::<bool>(), 500_u64..6_000),
-        back in 0_u64..40_000,
-        moved in prop::option::of(0_u64..44_000),
+        (push_mode, silence) in (any::<bool>(), 500_u64..6_000),
+        recovery in 0_u64..40_000,
+        address_change in prop::option::of(0_u64..44_000),
         behaviours in prop::collection::vec(call_behaviour(), 1..8),
-        gaps in prop::collection::vec(prop::option::weighted(0.9, 0_u64..3_750), 1..5),
-        (turn, quick) in (0_u64..=2_250, 0_u64..=250),
+        order_delays in prop::collection::vec(prop::option::weighted(0.9, 0_u64..3_750), 1..5),
+        (queued_response, open_response) in (0_u64..=2_250, 0_u64..=250),
     ) {
-        let back = ms(back);
+        let recovery = ms(recovery);
         let mut proxy = Proxy {
-            schedule: PollSchedule::new(ms(silence), pushed),
+            schedule: PollSchedule::new(ms(silence), push_mode),
             pending: Vec::new(),
             orders: BTreeSet::new(),
-            gaps,
+            order_delays,
             behaviours,
             calls: 0,
-            reachable_from: back,
+            reachable_from: recovery,
             open: false,
-            outlived: false,
-            takes: (ms(turn), ms(quick)),
+            open_at_recovery: false,
+            response_times: (ms(queued_response), ms(open_response)),
             answered: None,
         };
-        proxy.act(Time::ZERO, Event::PollRequested);
+        proxy.handle(Time::ZERO, Event::PollRequested);
         // After the move only the new address counts.
-        let moved = moved.map(ms).filter(|moved| *moved < back + NOTIFICATION_DEADLINE);
-        if let Some(moved) = moved {
-            proxy.run(moved);
+        let address_change = address_change.map(ms).filter(|address_change| *address_change < recovery + NOTIFICATION_DEADLINE);
+        if let Some(address_change) = address_change {
+            proxy.run(address_change);
             if proxy.answered.is_none() {
-                proxy.reachable_from = proxy.reachable_from.max(moved);
-                proxy.act(moved, Event::AddressChanged);
+                proxy.reachable_from = proxy.reachable_from.max(address_change);
+                proxy.handle(address_change, Event::AddressChanged);
             }
         }
         proxy.run(proxy.reachable_from.saturating_sub(ms(1)));
-        proxy.outlived = proxy.open;
+        proxy.open_at_recovery = proxy.open;
         let until = proxy.reachable_from + NOTIFICATION_DEADLINE;
         proxy.run(until);
         let answered = proxy.answered;
-        prop_assert!(answered.is_some_and(|at| at <= until), "back at {:?}, {answered:?}", proxy.reachable_from);
+        prop_assert!(answered.is_some_and(|at| at <= until), "recovered at {:?}, {answered:?}", proxy.reachable_from);
     }
 }
--- a/crates/discovery-schedule/tests/table.rs
+++ b/crates/discovery-schedule/tests/table.rs
@@ -35,31 +35,31 @@
     started: Time,
     connected: bool,
     last_byte: Option<Time>,
-    last_whole: Option<Time>,
+    last_object: Option<Time>,
 }
 
 impl ObservedCall {
     fn last_progress(&self) -> Time {
-        self.last_whole.unwrap_or(self.started)
+        self.last_object.unwrap_or(self.started)
     }
 
-    fn latest(&self, silence: Duration) -> Time {
+    fn latest_next_call(&self, silence: Duration) -> Time {
         if !self.connected {
             return self.started + DIAL_TIMEOUT;
         }
-        match (self.last_whole, self.last_byte) {
+        match (self.last_object, self.last_byte) {
             (None, None) => self.started + SILENCE_TIMEOUT,
             (None, Some(byte)) => (byte + silence).min(self.started + OBJECT_TIMEOUT),
-            (Some(whole), byte) if byte.is_none_or(|byte| byte <= whole) => whole + silence,
-            (Some(whole), byte) => (byte.unwrap_or_default() + silence).min(whole + OBJECT_TIMEOUT),
+            (Some(last), byte) if byte.is_none_or(|byte| byte <= last) => last + silence,
+            (Some(last), byte) => (byte.unwrap_or_default() + silence).min(last + OBJECT_TIMEOUT),
         }
     }
 }
 
 proptest! {
     #[test]
-    fn the_next_call_is_never_later_than_the_table((pushed, silence, steps) in call_behaviour()) {
-        let mut schedule = PollSchedule::new(ms(silence), pushed);
+    fn the_next_call_is_never_later_than_the_table((push_mode, silence, steps) in call_behaviour()) {
+        let mut schedule = PollSchedule::new(ms(silence), push_mode);
         let silence = ms(silence).min(SILENCE_TIMEOUT);
         let (mut now, mut actions) = (Time::ZERO, Vec::new());
         schedule.handle(now, Event::PollRequested, &mut actions);
@@ -71,7 +71,7 @@
             // Every deadline before the next event is served at its time, as a host does with timers.
             while let Some(due) = schedule.next_deadline().filter(|due| *due <= until) {
                 match &observed {
-                    Some(observed) => prop_assert!(due <= observed.latest(silence), "{due:?}"),
+                    Some(observed) => prop_assert!(due <= observed.latest_next_call(silence), "{due:?}"),
                     None => prop_assert!(due <= after_end, "{due:?} after {after_end:?}"),
                 }
                 actions.clear();
@@ -89,12 +89,12 @@
             match event {
                 Event::Connected => observed.iter_mut().for_each(|observed| observed.connected = true),
                 Event::BytesReceived => observed.iter_mut().for_each(|observed| observed.last_byte = Some(now)),
-                Event::ObjectReceived => observed.iter_mut().for_each(|observed| observed.last_whole = Some(now)),
+                Event::ObjectReceived => observed.iter_mut().for_each(|observed| observed.last_object = Some(now)),
                 Event::CallEnded => {
-                    prop_assert_eq!(actions.contains(&Action::ReportFailure), observed.is_some() && !pushed);
+                    prop_assert_eq!(actions.contains(&Action::ReportFailure), observed.is_some() && !push_mode);
                     if let Some(call) = observed.take() {
-                        let polled = (now + MAX_RETRY_DELAY).min(now.max(call.last_progress() + MAX_POLL_AGE));
-                        after_end = if pushed { now + WATCH_RECONNECT_DELAY } else { polled };
+                        let latest_poll = (now + MAX_RETRY_DELAY).min(now.max(call.last_progress() + MAX_POLL_AGE));
+                        after_end = if push_mode { now + WATCH_RECONNECT_DELAY } else { latest_poll };
                     }
                 }
                 // An open call is not cut short.
--- a/crates/platform-settings/src/class_mapping.rs
+++ b/crates/platform-settings/src/class_mapping.rs
@@ -26,26 +26,26 @@
 /// # Errors
 /// If the process has known too many classes.
 pub fn map_classes(
-    former: &PlatformSettings,
+    current: &PlatformSettings,
     file: PlatformSettings,
 ) -> Result<ClassMapping, SettingsError> {
-    let mut table = ClassTable::new(former);
+    let mut table = ClassTable::new(current);
     let class_ids = file
         .names
         .classes
         .iter()
         .zip(&file.settings.classes)
-        .map(|(name, class)| table.place(former, name, class))
+        .map(|(name, class)| table.assign_id(current, name, class))
         .collect();
     if table.classes.len() > MAX_CLASSES {
         return Err(SettingsError::TooManyClasses { limit: MAX_CLASSES });
     }
-    let zones = extended(&former.names.zones, &file.names.zones);
-    let machine_types = extended(&former.names.machine_types, &file.names.machine_types);
+    let zones = merge_names(&current.names.zones, &file.names.zones);
+    let machine_types = merge_names(&current.names.machine_types, &file.names.machine_types);
     let mut settings = file.settings;
     let zone = file.names.zones.get(usize::from(settings.zone.0));
-    if let Some(place) = zone.and_then(|name| zones.iter().position(|zone| zone == name)) {
-        settings.zone = ZoneId(place as u16);
+    if let Some(index) = zone.and_then(|name| zones.iter().position(|zone| zone == name)) {
+        settings.zone = ZoneId(index as u16);
     }
     settings.classes = table.classes;
     let names = Names {
@@ -73,8 +73,8 @@
 }
 
 impl ClassTable {
-    fn new(former: &PlatformSettings) -> ClassTable {
-        let classes = former.settings.classes.clone();
+    fn new(current: &PlatformSettings) -> ClassTable {
+        let classes = current.settings.classes.clone();
         ClassTable {
             names: vec![String::new(); classes.len()],
             predecessors: vec![None; classes.len()],
@@ -83,12 +83,12 @@
     }
 
     /// The id of a class of the file: its former one if it is the same, else a new one.
-    fn place(&mut self, former: &PlatformSettings, name: &str, class: &Class) -> ClassId {
-        let before = former.names.classes.iter().position(|n| n == name);
-        let unchanged = before.filter(|&place| former.settings.classes[place] == *class);
-        let place = unchanged.unwrap_or_else(|| self.add(class, before.map(id)));
-        name.clone_into(&mut self.names[place]);
-        id(place)
+    fn assign_id(&mut self, current: &PlatformSettings, name: &str, class: &Class) -> ClassId {
+        let current_index = current.names.classes.iter().position(|n| n == name);
+        let unchanged = current_index.filter(|&index| current.settings.classes[index] == *class);
+        let index = unchanged.unwrap_or_else(|| self.add(class, current_index.map(class_id)));
+        name.clone_into(&mut self.names[index]);
+        class_id(index)
     }
 
     fn add(&mut self, class: &Class, predecessor: Option<ClassId>) -> usize {
@@ -99,12 +99,12 @@
     }
 }
 
-fn id(place: usize) -> ClassId {
-    ClassId(place as u16)
+fn class_id(index: usize) -> ClassId {
+    ClassId(index as u16)
 }
 
 /// Names at their former places, and new ones behind them.
-fn extended(former: &[String], new: &[String]) -> Vec<String> {
-    let added = new.iter().filter(|name| !former.contains(name));
-    former.iter().chain(added).cloned().collect()
+fn merge_names(current: &[String], new: &[String]) -> Vec<String> {
+    let added = new.iter().filter(|name| !current.contains(name));
+    current.iter().chain(added).cloned().collect()
 }
--- a/crates/platform-settings/src/decode.rs
+++ b/crates/platform-settings/src/decode.rs
@@ -121,8 +121,8 @@
 }
 
 fn classes(raw: &RawSettings) -> Vec<Class> {
-    let classes = raw.classes.iter().enumerate().map(|(place, class)| Class {
-        consistency: consistency(&raw.family_info, place),
+    let classes = raw.classes.iter().enumerate().map(|(index, class)| Class {
+        consistency: consistency(&raw.family_info, index),
         idempotency: idempotency(class),
         latency_objective: Duration::from_micros(class.goal_time),
         deadline: Duration::from_micros(class.deadline),
@@ -132,13 +132,13 @@
     classes.collect()
 }
 
-fn consistency(freshness: &RawFreshness, place: usize) -> Consistency {
-    let need = freshness.needs_by_class.get(place);
+fn consistency(freshness: &RawFreshness, index: usize) -> Consistency {
+    let need = freshness.needs_by_class.get(index);
     match need.map_or("", String::as_str) {
         "update" => Consistency::Write,
         "own_writes" => Consistency::ReadYourWrites,
         "recent" => {
-            let bound = freshness.staleness_bound.get(place).copied();
+            let bound = freshness.staleness_bound.get(index).copied();
             Consistency::BoundedStaleness(Duration::from_micros(bound.unwrap_or(0)))
         }
         "loose" => Consistency::Eventual,
--- a/crates/platform-settings/src/shape.rs
+++ b/crates/platform-settings/src/shape.rs
@@ -8,7 +8,7 @@
 pub enum Shape {
     /// A number, text, boolean or null.
     #[default]
-    Plain,
+    Scalar,
     /// The shapes of an object's fields.
     Object(BTreeMap<String, Shape>),
     /// What all elements of an array have in common.
@@ -27,32 +27,34 @@
             ),
             Value::Array(elements) => {
                 let shapes = elements.iter().map(Shape::of);
-                Shape::Array(Box::new(shapes.reduce(Shape::common).unwrap_or_default()))
+                Shape::Array(Box::new(
+                    shapes.reduce(Shape::intersection).unwrap_or_default(),
+                ))
             }
-            _ => Shape::Plain,
+            _ => Shape::Scalar,
         }
     }
 
-    fn common(self, other: Shape) -> Shape {
+    fn intersection(self, other: Shape) -> Shape {
         match (self, other) {
             (Shape::Object(a), Shape::Object(mut b)) => Shape::Object(
                 a.into_iter()
-                    .filter_map(|(key, a)| b.remove(&key).map(|b| (key, a.common(b))))
+                    .filter_map(|(key, a)| b.remove(&key).map(|b| (key, a.intersection(b))))
                     .collect(),
             ),
-            (Shape::Array(a), Shape::Array(b)) => Shape::Array(Box::new(a.common(*b))),
-            _ => Shape::Plain,
+            (Shape::Array(a), Shape::Array(b)) => Shape::Array(Box::new(a.intersection(*b))),
+            _ => Shape::Scalar,
         }
     }
 
     /// The path of the first key of this shape that `value` lacks; none if it has them all.
     pub fn missing(&self, value: &Value) -> Option<String> {
         match (self, value) {
-            (Shape::Plain, Value::Null) => Some(String::new()),
-            (Shape::Plain, _) => None,
-            (Shape::Object(fields), Value::Object(there)) => {
+            (Shape::Scalar, Value::Null) => Some(String::new()),
+            (Shape::Scalar, _) => None,
+            (Shape::Object(fields), Value::Object(present)) => {
                 fields.iter().find_map(|(key, shape)| {
-                    let inner = there
+                    let inner = present
                         .get(key)
                         .map_or(Some(String::new()), |value| shape.missing(value));
                     inner.map(|inner| {
@@ -68,10 +70,10 @@
                 })
             }
             (Shape::Array(shape), Value::Array(elements)) => {
-                elements.iter().enumerate().find_map(|(at, value)| {
+                elements.iter().enumerate().find_map(|(index, value)| {
                     let inner = shape.missing(value)?;
                     Some(format!(
-                        "[{at}]{}{inner}",
+                        "[{index}]{}{inner}",
                         if inner.is_empty() { "" } else { "." }
                     ))
                 })
--- a/crates/platform-settings/tests/class_mapping.rs
+++ b/crates/platform-settings/tests/class_mapping.rs
@@ -45,19 +45,20 @@
     // The same file again changes nothing; a class that comes back is a new one.
     let again = map_classes(&next.platform, file).unwrap();
     assert_eq!(again.platform, next.platform);
-    let back = map_classes(&again.platform, settings(&[("a", "safe", 5)], &["x", "y"])).unwrap();
-    assert_eq!(back.class_ids, [ClassId(4)]);
+    let returned =
+        map_classes(&again.platform, settings(&[("a", "safe", 5)], &["x", "y"])).unwrap();
+    assert_eq!(returned.class_ids, [ClassId(4)]);
 }
 
 #[test]
 fn class_ids_are_bounded() {
-    let mut now = settings(&[("a", "safe", 1)], &["x"]);
+    let mut current = settings(&[("a", "safe", 1)], &["x"]);
     let rejected = (2..5_000).find_map(|deadline| {
-        let next = map_classes(&now, settings(&[("a", "safe", deadline)], &["x"]));
-        next.map(|s| now = s.platform).err()
+        let next = map_classes(&current, settings(&[("a", "safe", deadline)], &["x"]));
+        next.map(|s| current = s.platform).err()
     });
     assert_eq!(rejected.unwrap().key(), "Classes");
-    assert_eq!(now.settings.classes.len(), 1_024);
+    assert_eq!(current.settings.classes.len(), 1_024);
 }
 
 #[test]
--- a/crates/platform-settings/tests/names.rs
+++ b/crates/platform-settings/tests/names.rs
@@ -15,22 +15,22 @@
     let classes: Vec<_> = classes
         .iter()
         .enumerate()
-        .map(|(at, name)| {
-            json!({"Name": name, "Effect": effects[at % 4], "Deadline": 1000 + at, "GoalTime": 10 + at,
-                "Importance": at, "LateValue": 0.5, "Group": "zone", "Window": 7})
+        .map(|(index, name)| {
+            json!({"Name": name, "Effect": effects[index % 4], "Deadline": 1000 + index, "GoalTime": 10 + index,
+                "Importance": index, "LateValue": 0.5, "Group": "zone", "Window": 7})
         })
         .collect();
     let realms: Vec<_> = tenants
         .iter()
         .enumerate()
-        .map(|(at, name)| json!({"Name": name, "QuotaPerS": at}))
+        .map(|(index, name)| json!({"Name": name, "QuotaPerS": index}))
         .collect();
     let text = json!({"Classes": classes, "Realms": realms, "Zones": zones, "HostTypes": machine_types, "MyZone": 1,
         "Balancers": 3, "FamilyInfo": {"NeedsByClass": needs, "StalenessBound": [1, 2, 3, 4]}});
     decode(text.to_string().as_bytes()).unwrap()
 }
 
-fn own(names: &[&str]) -> Vec<String> {
+fn owned(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
@@ -58,10 +58,10 @@
     fn any_names_decode_to_the_same_settings(
         classes in any_names(4), tenants in any_names(3), zones in any_names(2), machine_types in any_names(2),
     ) {
-        let plain =
-            settings(&own(&["a", "b", "c", "d"]), &own(&["t", "u", "v"]), &own(&["x", "y"]), &own(&["k", "l"]));
+        let expected =
+            settings(&owned(&["a", "b", "c", "d"]), &owned(&["t", "u", "v"]), &owned(&["x", "y"]), &owned(&["k", "l"]));
         let other = settings(&classes, &tenants, &zones, &machine_types);
-        prop_assert_eq!(&other.settings, &plain.settings);
+        prop_assert_eq!(&other.settings, &expected.settings);
         let names = other.names;
         prop_assert_eq!((names.classes, names.tenants, names.zones, names.machine_types), (classes, tenants, zones, machine_types));
     }
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -2,8 +2,8 @@
 //! endpoints.
 
 use crate::instance::Instance;
-use crate::wire::{batch_header, FrameFault, ListKind, Malformed, Reader, Record, Reply};
-use crate::wire::{BatchHeader, BATCH_HEADER};
+use crate::wire::{batch_header, FrameFault, ListKind, MalformedFrame, Reader, Record, Reply};
+use crate::wire::{BatchHeader, BATCH_HEADER_LEN};
 use routing::{Action, Endpoint, EndpointUpdate, Event, Time};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -17,7 +17,7 @@
     Io(#[from] io::Error),
     /// A batch breaks the wire's rules.
     #[error(transparent)]
-    Malformed(#[from] Malformed),
+    MalformedFrame(#[from] MalformedFrame),
     /// The input ends inside a batch header.
     #[error("input ends {got} bytes into a batch header")]
     TruncatedHeader {
@@ -48,20 +48,25 @@
     ///
     /// # Errors
     /// If the batch breaks the wire's rules. Records before the fault have been played.
-    pub fn batch(&mut self, now: Time, records: u32, body: &[u8]) -> Result<Vec<u8>, Malformed> {
+    pub fn handle_batch(
+        &mut self,
+        now: Time,
+        records: u32,
+        body: &[u8],
+    ) -> Result<Vec<u8>, MalformedFrame> {
         let mut reader = Reader::new(body);
         for _ in 0..records {
             let record = reader.record()?;
-            self.play(now, record)
+            self.handle_record(now, record)
                 .map_err(|fault| reader.malformed(fault))?;
         }
-        if !reader.at_end() {
+        if !reader.is_at_end() {
             return Err(reader.malformed(FrameFault::TrailingBytes));
         }
         Ok(self.reply.frame())
     }
 
-    fn play(&mut self, now: Time, record: Record) -> Result<(), FrameFault> {
+    fn handle_record(&mut self, now: Time, record: Record) -> Result<(), FrameFault> {
         match record {
             Record::Spawn {
                 instance,
@@ -167,7 +172,7 @@
     let mut body = Vec::new();
     while let Some(header) = read_header(&mut input)? {
         read_body(&mut input, header.bytes, &mut body)?;
-        output.write_all(&host.batch(header.clock, header.records, &body)?)?;
+        output.write_all(&host.handle_batch(header.clock, header.records, &body)?)?;
         output.flush()?;
     }
     Ok(())
@@ -175,10 +180,10 @@
 
 /// None at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, HostError> {
-    let mut header = [0; BATCH_HEADER];
+    let mut header = [0; BATCH_HEADER_LEN];
     match read_up_to(input, &mut header)? {
         0 => Ok(None),
-        BATCH_HEADER => Ok(Some(batch_header(header))),
+        BATCH_HEADER_LEN => Ok(Some(batch_header(header))),
         got => Err(HostError::TruncatedHeader { got }),
     }
 }
--- a/crates/simulator-host/src/instance.rs
+++ b/crates/simulator-host/src/instance.rs
@@ -38,13 +38,13 @@
 
     /// Counts the request against its tenant's quota, and marks it if it is over.
     pub(crate) fn request_arrived(&mut self, mut arrival: Arrival, now: Time) -> Event {
-        let mark = self.quota.record_request(
+        let status = self.quota.record_request(
             now.since(Time::ZERO),
             arrival.tenant.0.into(),
             arrival.class.0.into(),
             arrival.is_client_retry,
         );
-        if mark == RequestStatus::Over {
+        if status == RequestStatus::Over {
             arrival.quota_status = QuotaStatus::OverQuota;
         }
         Event::RequestArrived(arrival)
@@ -61,13 +61,13 @@
 
     /// Figures come as 32-bit floats: for a position a step down undoes any rounding up.
     fn report(&self, figures: &[f32]) -> LoadReport {
-        let exact = |(&field, &value): (&ReportField, &f32)| match field {
+        let round_down = |(&field, &value): (&ReportField, &f32)| match field {
             ReportField::Position if value > 0.0 => {
                 (field, f32::from_bits(value.to_bits() - 1).into())
             }
             _ => (field, value.into()),
         };
-        let values = self.report_fields.iter().zip(figures).map(exact);
+        let values = self.report_fields.iter().zip(figures).map(round_down);
         load_report(self.position_origin, values)
     }
 
--- a/crates/simulator-host/src/wire/fault.rs
+++ b/crates/simulator-host/src/wire/fault.rs
@@ -6,7 +6,7 @@
 /// What is wrong with a frame, and where.
 #[derive(Debug, Error)]
 #[error("malformed frame at byte {offset} (record code {code}): {fault}")]
-pub struct Malformed {
+pub struct MalformedFrame {
     /// Byte after the batch header.
     pub offset: usize,
     /// Code of the record being read; 0 outside of records.
--- a/crates/simulator-host/src/wire/mod.rs
+++ b/crates/simulator-host/src/wire/mod.rs
@@ -8,7 +8,7 @@
 mod record;
 mod reply;
 
-pub use fault::{FrameFault, Malformed};
+pub use fault::{FrameFault, MalformedFrame};
 pub use reader::Reader;
 pub use record::{AttemptEndedRecord, ListKind, ProbeEndedRecord, Record};
 pub use reply::Reply;
@@ -16,7 +16,7 @@
 use routing::Time;
 
 /// Length of a batch header in bytes.
-pub const BATCH_HEADER: usize = 16;
+pub const BATCH_HEADER_LEN: usize = 16;
 
 /// What precedes the records of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 }
 
 /// Decodes a batch header. Every header is valid.
-pub fn batch_header(raw: [u8; BATCH_HEADER]) -> BatchHeader {
+pub fn batch_header(raw: [u8; BATCH_HEADER_LEN]) -> BatchHeader {
     let [a, b, c, d, e, f, g, h, i, j, k, l, m, n, o, p] = raw;
     BatchHeader {
         clock: Time::from_micros(u64::from_be_bytes([a, b, c, d, e, f, g, h])),
--- a/crates/simulator-host/src/wire/reader.rs
+++ b/crates/simulator-host/src/wire/reader.rs
@@ -1,6 +1,6 @@
 //! Decodes the records of a batch.
 
-use super::fault::{FrameFault, Malformed};
+use super::fault::{FrameFault, MalformedFrame};
 use super::record::{
     endpoint_state, list_kind, outcome, AttemptEndedRecord, ProbeEndedRecord, Record,
 };
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Length of an endpoint on the wire in bytes.
-const ENDPOINT: usize = 27;
+const ENDPOINT_LEN: usize = 27;
 /// Bit of a request's attributes: the client marks it as a retry.
 const IS_CLIENT_RETRY: u8 = 2;
 /// Status of a probe that was answered.
@@ -20,7 +20,7 @@
 /// Reads records one after the other.
 pub struct Reader<'a> {
     body: &'a [u8],
-    at: usize,
+    offset: usize,
     /// Code of the record being read; 0 outside of records.
     code: u8,
 }
@@ -30,30 +30,30 @@
     pub fn new(body: &'a [u8]) -> Self {
         Reader {
             body,
-            at: 0,
+            offset: 0,
             code: 0,
         }
     }
 
     /// The error for a fault at the present place.
-    pub fn malformed(&self, fault: FrameFault) -> Malformed {
-        Malformed {
-            offset: self.at,
+    pub fn malformed(&self, fault: FrameFault) -> MalformedFrame {
+        MalformedFrame {
+            offset: self.offset,
             code: self.code,
             fault,
         }
     }
 
     /// Whether all bytes have been read.
-    pub fn at_end(&self) -> bool {
-        self.at == self.body.len()
+    pub fn is_at_end(&self) -> bool {
+        self.offset == self.body.len()
     }
 
     /// The next record.
     ///
     /// # Errors
     /// If the frame ends inside it, or it has a code or a value that the wire does not define.
-    pub fn record(&mut self) -> Result<Record<'a>, Malformed> {
+    pub fn record(&mut self) -> Result<Record<'a>, MalformedFrame> {
         self.code = 0;
         let code = self.u8()?;
         self.code = code;
@@ -81,7 +81,7 @@
         }
     }
 
-    fn spawn(&mut self) -> Result<Record<'a>, Malformed> {
+    fn spawn(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let instance = self.u16()?;
         let seed = self.u64()?;
         let length = self.u32()? as usize;
@@ -92,7 +92,7 @@
         })
     }
 
-    fn endpoint_update(&mut self) -> Result<Record<'a>, Malformed> {
+    fn endpoint_update(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let instance = self.u16()?;
         let code = self.u8()?;
         let kind =
@@ -105,7 +105,7 @@
         })
     }
 
-    fn peer_message(&mut self) -> Result<Record<'a>, Malformed> {
+    fn peer_message(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let instance = self.u16()?;
         let _sender = self.u16()?;
         let length = self.u16()?.into();
@@ -113,13 +113,13 @@
         Ok(Record::PeerMessage { instance })
     }
 
-    fn stream_opened(&mut self) -> Result<Record<'a>, Malformed> {
+    fn stream_opened(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let instance = self.u16()?;
         self.bytes(8 + 2 + 4 + 4)?;
         Ok(Record::StreamOpened { instance })
     }
 
-    fn probe_ended(&mut self) -> Result<Record<'a>, Malformed> {
+    fn probe_ended(&mut self) -> Result<Record<'a>, MalformedFrame> {
         Ok(Record::ProbeEnded(ProbeEndedRecord {
             instance: self.u16()?,
             server: ServerId(self.u32()?),
@@ -129,11 +129,11 @@
         }))
     }
 
-    fn page(&mut self) -> Result<Record<'a>, Malformed> {
+    fn page(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let number = self.u32()?;
         let count = self.u32()? as usize;
         // Guards against allocating for a count that no frame of this length can hold.
-        if count > (self.body.len() - self.at) / ENDPOINT {
+        if count > (self.body.len() - self.offset) / ENDPOINT_LEN {
             return Err(self.malformed(FrameFault::PageOverrun(count)));
         }
         let entries = (0..count)
@@ -142,7 +142,7 @@
         Ok(Record::Page { number, entries })
     }
 
-    fn endpoint(&mut self) -> Result<Endpoint, Malformed> {
+    fn endpoint(&mut self) -> Result<Endpoint, MalformedFrame> {
         let server = ServerId(self.u32()?);
         let zone = ZoneId(self.u16()?);
         let machine_type = MachineTypeId(self.u16()?);
@@ -164,7 +164,7 @@
         })
     }
 
-    fn request_arrived(&mut self) -> Result<Record<'a>, Malformed> {
+    fn request_arrived(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let instance = self.u16()?;
         let id = RequestId(self.u64()?);
         let tenant = TenantId(self.u16()?);
@@ -191,7 +191,7 @@
         Ok(Record::RequestArrived { instance, arrival })
     }
 
-    fn attempt_ended(&mut self) -> Result<Record<'a>, Malformed> {
+    fn attempt_ended(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let instance = self.u16()?;
         let id = RequestId(self.u64()?);
         let attempt = AttemptNumber(self.u16()?);
@@ -215,48 +215,48 @@
         }))
     }
 
-    fn figures(&mut self) -> Result<Vec<f32>, Malformed> {
+    fn figures(&mut self) -> Result<Vec<f32>, MalformedFrame> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32()).collect()
     }
 
-    fn span(&mut self) -> Result<Duration, Malformed> {
+    fn span(&mut self) -> Result<Duration, MalformedFrame> {
         Ok(Duration::from_micros(self.u32()?.into()))
     }
 
-    fn u8(&mut self) -> Result<u8, Malformed> {
+    fn u8(&mut self) -> Result<u8, MalformedFrame> {
         Ok(u8::from_be_bytes(self.array()?))
     }
 
-    fn u16(&mut self) -> Result<u16, Malformed> {
+    fn u16(&mut self) -> Result<u16, MalformedFrame> {
         Ok(u16::from_be_bytes(self.array()?))
     }
 
-    fn u32(&mut self) -> Result<u32, Malformed> {
+    fn u32(&mut self) -> Result<u32, MalformedFrame> {
         Ok(u32::from_be_bytes(self.array()?))
     }
 
-    fn u64(&mut self) -> Result<u64, Malformed> {
+    fn u64(&mut self) -> Result<u64, MalformedFrame> {
         Ok(u64::from_be_bytes(self.array()?))
     }
 
-    fn f32(&mut self) -> Result<f32, Malformed> {
+    fn f32(&mut self) -> Result<f32, MalformedFrame> {
         Ok(f32::from_be_bytes(self.array()?))
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], MalformedFrame> {
         let mut raw = [0; N];
         raw.copy_from_slice(self.bytes(N)?);
         Ok(raw)
     }
 
-    fn bytes(&mut self, wanted: usize) -> Result<&'a [u8], Malformed> {
-        let left = self.body.len() - self.at;
+    fn bytes(&mut self, wanted: usize) -> Result<&'a [u8], MalformedFrame> {
+        let left = self.body.len() - self.offset;
         if wanted > left {
             return Err(self.malformed(FrameFault::Truncated { wanted, left }));
         }
-        let taken = &self.body[self.at..self.at + wanted];
-        self.at += wanted;
+        let taken = &self.body[self.offset..self.offset + wanted];
+        self.offset += wanted;
         Ok(taken)
     }
 }
--- a/crates/simulator-host/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -25,9 +25,9 @@
  "Rules": {"OverloadFactor": 2.5, "StartCapacity": 0.25, "StopSendingWithin": 250000, "TipAfter": 2000000,
            "WarmAfter": 16000000}}"#;
 
-fn spawn(inst: u16) -> Vec<u8> {
+fn spawn(instance: u16) -> Vec<u8> {
     let mut raw = vec![1];
-    raw.extend(inst.to_be_bytes());
+    raw.extend(instance.to_be_bytes());
     raw.extend(9u64.to_be_bytes());
     raw.extend((SETTINGS.len() as u32).to_be_bytes());
     raw.extend(SETTINGS.as_bytes());
@@ -86,7 +86,7 @@
         id: RequestId(0x0001_b0ec_0e6f_2b19),
     };
     assert_eq!(reader.record().unwrap(), left);
-    assert!(reader.at_end());
+    assert!(reader.is_at_end());
 }
 
 #[test]
@@ -211,7 +211,9 @@
     ));
     let mut host = Host::default();
     body.extend(hex(WRITE));
-    let reply = host.batch(Time::from_micros(6_000_000), 5, &body).unwrap();
+    let reply = host
+        .handle_batch(Time::from_micros(6_000_000), 5, &body)
+        .unwrap();
     assert_eq!(sent_to(&reply), [0x0312_4a07]);
 }
 
@@ -221,22 +223,22 @@
 
 /// Servers that attempts go to in a reply that holds sends, probes and timers only.
 fn sent_to(reply: &[u8]) -> Vec<u32> {
-    let mut at = 8;
-    let mut found = Vec::new();
-    while at < reply.len() {
-        match reply[at] {
+    let mut offset = 8;
+    let mut servers = Vec::new();
+    while offset < reply.len() {
+        match reply[offset] {
             65 => {
-                found.push(u32::from_be_bytes(
-                    reply[at + 11..at + 15].try_into().unwrap(),
+                servers.push(u32::from_be_bytes(
+                    reply[offset + 11..offset + 15].try_into().unwrap(),
                 ));
-                at += 19;
+                offset += 19;
             }
-            70 => at += 7,
-            69 => at += 11,
+            70 => offset += 7,
+            69 => offset += 11,
             other => panic!("action {other}"),
         }
     }
-    found
+    servers
 }
 
 #[test]
@@ -246,12 +248,15 @@
     body.extend(hex(PAGE));
     body.extend(hex("02 0003 02 00000001 00000000"));
     body.extend(hex(WRITE));
-    host.batch(Time::from_micros(6_000_000), 4, &body).unwrap();
+    host.handle_batch(Time::from_micros(6_000_000), 4, &body)
+        .unwrap();
     let mut body = hex("03 0003");
     body.extend(spawn(3));
     body.extend(hex("02 0003 02 00000002 00000000"));
     body.extend(hex(WRITE));
-    let reply = host.batch(Time::from_micros(6_001_000), 4, &body).unwrap();
+    let reply = host
+        .handle_batch(Time::from_micros(6_001_000), 4, &body)
+        .unwrap();
     assert_eq!(
         sent_to(&reply),
         [0x0312_4a07],
@@ -262,7 +267,7 @@
 #[test]
 fn an_event_for_an_unknown_instance_is_skipped() {
     let reply = Host::default()
-        .batch(Time::from_micros(1), 1, &hex("05 0007 0000004d"))
+        .handle_batch(Time::from_micros(1), 1, &hex("05 0007 0000004d"))
         .unwrap();
     assert_eq!(reply, [0; 8]);
 }
@@ -281,16 +286,16 @@
             "outcome 201",
         ),
     ];
-    for (frame, code, what) in cases {
+    for (frame, code, message) in cases {
         let mut host = Host::default();
         let fault = host
-            .batch(Time::from_micros(1), 1, &hex(frame))
+            .handle_batch(Time::from_micros(1), 1, &hex(frame))
             .unwrap_err();
         assert_eq!(fault.code, code, "{frame}");
-        assert!(fault.to_string().contains(what), "{fault}");
+        assert!(fault.to_string().contains(message), "{fault}");
     }
     let trailing = Host::default()
-        .batch(Time::from_micros(1), 0, &[5])
+        .handle_batch(Time::from_micros(1), 0, &[5])
         .unwrap_err();
     assert!(trailing.fault.to_string().contains("after the last record"));
 }
