--- a/crates/discovery-schedule/src/lib.rs
+++ b/crates/discovery-schedule/src/lib.rs
@@ -1,78 +1,78 @@
-//! When a call to discovery for the endpoint list counts as lost, and when the next one is made.
+//! Schedule of the calls to discovery for the endpoint list: when a call counts as lost, and when the next one is made.
 //!
-//! A state machine without clock and I/O: events of the one connection in, actions out. The table that it implements
-//! stands in `docs/design/discovery-schedule.md`.
+//! A state machine without clock and I/O: its input is the events of the single connection to discovery, its output
+//! actions. It implements the table in `docs/design/discovery-schedule.md`.
 //!
-//! **Polling**: the decision module orders the first call, and each one after a response that reports a failure
-//! ([`Event::PollRequested`]). Silence is no response, and the changes that it hides soon count as notified, so the
-//! next call is made at once. A call that nobody orders in time is made all the same ([`MAX_RETRY_DELAY`],
-//! [`MAX_POLL_AGE`]).
+//! **Polling**: the decision module requests the first call, and a further one after each response that reports a
+//! failure ([`Event::PollRequested`]). Silence is not a response, and changes missed during it soon count as notified,
+//! so the next call is made at once. If no call is requested in time, the schedule makes one itself
+//! ([`MAX_RETRY_DELAY`], [`MAX_POLL_AGE`]).
 //!
-//! **Push**: a watch on the local agent is open from the first moment, and is opened again whatever ends it.
+//! **Push**: a watch on the local agent is opened at the start and reopened whenever it ends.
 //!
-//! # The latest next call
+//! # Latest time of the next call
 //!
-//! After a failed call a change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and could be
-//! reached. Within that time a call has to be made, answered and applied, whatever happened to the call before it:
+//! After a failed call, a change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and was reachable.
+//! Within that time a call has to be made, answered and applied, regardless of how the previous call ended:
 //!
-//! | the call before | next call, at the latest | answer |
+//! | previous call | latest next call | answer after |
 //! | --- | --- | --- |
 //! | ended (refused, reset, 503) while discovery was down | [`MAX_RETRY_DELAY`] after its end | `MAX_RETRY_DELAY + MAX_QUEUE_TIME + APPLY_TIME` = `NOTIFICATION_DEADLINE` |
-//! | the same, and the dial of the next one hangs | [`DIAL_TIMEOUT`] after that one began | `MAX_RETRY_DELAY + DIAL_TIMEOUT + APPLY_TIME` = 5 s |
-//! | began while discovery was down, and ended later | [`MAX_POLL_AGE`] after its beginning or last complete object | `MAX_POLL_AGE + APPLY_TIME` = `NOTIFICATION_DEADLINE` |
-//! | never connected | [`DIAL_TIMEOUT`] after its beginning | `DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
-//! | connected, and silent | [`SILENCE_TIMEOUT`] after its beginning or last bytes | `SILENCE_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
-//! | bytes, and no end of an object | [`OBJECT_TIMEOUT`] after its beginning or last complete object | `OBJECT_TIMEOUT + APPLY_TIME` |
+//! | the same, and the dial of the next one hangs | [`DIAL_TIMEOUT`] after the start of that one | `MAX_RETRY_DELAY + DIAL_TIMEOUT + APPLY_TIME` = 5 s |
+//! | started while discovery was down, and ended later | [`MAX_POLL_AGE`] after its start or last complete object | `MAX_POLL_AGE + APPLY_TIME` = `NOTIFICATION_DEADLINE` |
+//! | never connected | [`DIAL_TIMEOUT`] after its start | `DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
+//! | connected but silent | [`SILENCE_TIMEOUT`] after its start or last bytes | `SILENCE_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME` |
+//! | receives bytes but no complete object | [`OBJECT_TIMEOUT`] after its start or last complete object | `OBJECT_TIMEOUT + APPLY_TIME` |
 #![forbid(unsafe_code)]
 
 use std::time::Duration;
 
-/// Time since an origin that the caller chooses.
+/// Time since an origin chosen by the caller.
 pub type Time = Duration;
 
-/// A call that is not connected within this is replaced by another one.
+/// A call that is not connected within this time is replaced by a new one.
 pub const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest silence on a watch, and the longest wait for the first byte of a response. Discovery holds a call for
-/// [`MAX_QUEUE_TIME`] and then says so.
+/// Longest silence on a watch, and longest wait for the first byte of a response. Discovery queues a call for at most
+/// [`MAX_QUEUE_TIME`] and then rejects it.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest time from one complete object to the next while bytes arrive: a missed change counts as notified a
-/// second later.
+/// Longest time between complete objects while bytes arrive. It leaves one second until a missed change counts as
+/// notified.
 pub const OBJECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Where lists are pushed, the pause between the end of a watch and the next one: a fifth of the time in which a drain
-/// has to take effect.
+/// In push mode, the delay between the end of a watch and the next one: a fifth of the time within which a drain has to
+/// take effect.
 pub const WATCH_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// After a failed, rejected or abandoned call, a change counts as notified so long after discovery had it and could be
-/// reached.
+/// After a failed, rejected or abandoned call, a change counts as notified this long after discovery had it and was
+/// reachable.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Discovery serves calls in turn, and holds one for at most this.
+/// Longest time that discovery queues a call. It handles calls one after the other.
 pub const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
-/// From discovery's response to the list applied: the network round trip and a busy event loop.
+/// Time from discovery's response until the list is applied: network round trip and a busy event loop.
 pub const APPLY_TIME: Duration = Duration::from_millis(250);
-/// Where the list is polled, the longest time from the end of a failed call to the next one: what is left of
-/// [`NOTIFICATION_DEADLINE`] if the next one is held for [`MAX_QUEUE_TIME`]. If its dial hangs instead, the call after
-/// it is answered within 5 s.
+/// In polling mode, the longest time from the end of a failed call to the next one: the rest of
+/// [`NOTIFICATION_DEADLINE`] if the next call is queued for [`MAX_QUEUE_TIME`]. If the dial of the next call hangs
+/// instead, the call after it is answered within 5 s.
 pub const MAX_RETRY_DELAY: Duration = NOTIFICATION_DEADLINE
     .saturating_sub(MAX_QUEUE_TIME)
     .saturating_sub(APPLY_TIME);
-/// The longest time from the beginning of a call, or from its last complete object, to the next call: while a call that
-/// fails late was open, other proxies may have reached discovery. It is what is left of [`NOTIFICATION_DEADLINE`] if
-/// the next call is answered at once. One that discovery rejects after [`MAX_QUEUE_TIME`] still has all of
-/// [`MAX_RETRY_DELAY`] before the next, so that the calls of many proxies stay spread.
+/// Longest time from the start of a call, or from its last complete object, to the next call. While a call that fails
+/// late was open, other proxies may have reached discovery. It is the rest of [`NOTIFICATION_DEADLINE`] if the next
+/// call is answered at once. A call that discovery rejects after [`MAX_QUEUE_TIME`] still leaves the whole
+/// [`MAX_RETRY_DELAY`] before the next one, so that the calls of many proxies stay spread.
 pub const MAX_POLL_AGE: Duration = NOTIFICATION_DEADLINE.saturating_sub(APPLY_TIME);
 
-/// The latest first call of a new process, however rarely it may poll. The watch of the process before it ended with
+/// Latest first call of a new process, even with a longer poll interval. The watch of the previous process ended with
 /// that process, so later changes count as notified after [`NOTIFICATION_DEADLINE`]; half of that is left for the
 /// restart.
 pub const MAX_FIRST_POLL_DELAY: Duration = Duration::from_secs(3);
-/// A new process uses the list of the one before it for this time, unless a call has failed. A drain just after the end
-/// of the old process takes effect in time if the new one started within `NOTIFICATION_DEADLINE -
-/// CACHED_LIST_LIFETIME`, and the grace period for drains beyond that.
+/// Time for which a new process uses the list of the previous one, unless a call has failed. A drain just after the end
+/// of the previous process takes effect in time if the new one started within `NOTIFICATION_DEADLINE -
+/// CACHED_LIST_LIFETIME`, plus the grace period for drains.
 pub const CACHED_LIST_LIFETIME: Duration = MAX_FIRST_POLL_DELAY;
 
-/// The latest first call of a new process that has to poll within `poll_within`: its dial may hang once, and the next
-/// call may be held for [`MAX_QUEUE_TIME`]. Where little is left, it is a quarter of `poll_within`, so that processes
-/// that start together do not call together.
+/// Latest first call of a new process that has to poll within `poll_within`: its dial may hang once, and the next call
+/// may be queued for [`MAX_QUEUE_TIME`]. If too little time is left, it is a quarter of `poll_within`, so that
+/// processes that start together do not call together.
 pub fn first_poll_delay(poll_within: Duration) -> Duration {
     poll_within
         .saturating_sub(DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME)
@@ -80,36 +80,36 @@
         .min(MAX_FIRST_POLL_DELAY)
 }
 
-/// What happens to the connection to discovery.
+/// An event of the connection to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The list is wanted: a call is made unless one is open.
+    /// A poll is requested: a call is made unless one is open.
     PollRequested,
     /// The connection of the call is established.
     Connected,
     /// Bytes of a response have arrived.
     BytesReceived,
-    /// A complete object has arrived, or the notice that nothing has changed.
+    /// A complete object has arrived, or a response without changes.
     ObjectReceived,
-    /// The call was rejected, has ended or sent something malformed.
+    /// The call was rejected, has ended or has sent malformed data.
     CallEnded,
-    /// Discovery has another address.
+    /// The address of discovery has changed.
     AddressChanged,
-    /// The time of [`PollSchedule::next_deadline`] has come.
+    /// The time of [`PollSchedule::next_deadline`] has been reached.
     Tick,
 }
 
-/// What the host of the state machine has to do.
+/// An action for the host of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Make a call in place of the open one, if there is one.
+    /// Start a call; it replaces the open one, if any.
     StartCall,
-    /// The open call is lost.
+    /// The open call counts as lost.
     CallLost {
-        /// It was silent for too long.
+        /// Whether the call was lost because it was silent for too long.
         silent: bool,
     },
-    /// Report to the module that orders calls that this one has failed.
+    /// Report the failed call to the module that requests calls.
     ReportFailure,
 }
 
@@ -117,7 +117,7 @@
 struct Call {
     started: Time,
     connected: bool,
-    /// The last bytes since the last complete object.
+    /// Arrival of the last bytes since the last complete object.
     last_bytes: Option<Time>,
     last_object: Option<Time>,
 }
@@ -132,12 +132,12 @@
         }
     }
 
-    /// The last complete object, or the beginning of the call.
+    /// Arrival of the last complete object, or the start of the call.
     fn last_progress(&self) -> Time {
         self.last_object.unwrap_or(self.started)
     }
 
-    /// When the call counts as lost unless more of it arrives.
+    /// When the call counts as lost unless more data arrives.
     fn deadline(&self, watch_silence: Duration) -> Time {
         if !self.connected {
             return self.started + DIAL_TIMEOUT;
@@ -151,21 +151,20 @@
     }
 }
 
-/// The schedule of the calls of one proxy.
+/// Schedule of the calls of one proxy.
 #[derive(Debug)]
 pub struct PollSchedule {
     watch_silence: Duration,
     push_mode: bool,
-    /// A call has been ordered at some time.
+    /// Whether any call has been made.
     started: bool,
     open: Option<Call>,
-    /// With no call open, when the next one is made if nobody orders it before.
+    /// If no call is open, when the next one is made unless it is requested earlier.
     next_call: Option<Time>,
 }
 
 impl PollSchedule {
-    /// `watch_silence`: the longest silence on a watch, at most [`SILENCE_TIMEOUT`]; `push_mode`: whether lists are
-    /// pushed.
+    /// `watch_silence`: longest silence on a watch, at most [`SILENCE_TIMEOUT`]; `push_mode`: whether lists are pushed.
     pub fn new(watch_silence: Duration, push_mode: bool) -> PollSchedule {
         PollSchedule {
             watch_silence: watch_silence.min(SILENCE_TIMEOUT),
@@ -181,7 +180,7 @@
         self.push_mode = push_mode;
     }
 
-    /// Handles one event; `now` is the time since an origin that stays the same.
+    /// Handles one event; `now` is the time since a fixed origin.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::PollRequested => self.request_poll(now, actions),
@@ -262,7 +261,7 @@
     }
 }
 
-/// The latest time of a call after one that has failed at `now` and had its last progress at `last_progress`.
+/// Latest time of the call after one that failed at `now` and made its last progress at `last_progress`.
 fn latest_retry(now: Time, last_progress: Time) -> Time {
     (last_progress + MAX_POLL_AGE)
         .max(now)
--- a/crates/discovery-schedule/tests/bound.rs
+++ b/crates/discovery-schedule/tests/bound.rs
@@ -1,5 +1,5 @@
-//! Whenever discovery can be reached for [`NOTIFICATION_DEADLINE`] without a break, a call is answered within that
-//! time, however the calls before it ended.
+//! Whenever discovery is reachable for [`NOTIFICATION_DEADLINE`] without interruption, a call is answered within that
+//! time, regardless of how earlier calls ended.
 
 use discovery_schedule::{
     first_poll_delay, Action, Event, PollSchedule, Time, APPLY_TIME, DIAL_TIMEOUT,
@@ -30,7 +30,7 @@
     }
     assert!(
         MAX_RETRY_DELAY + DIAL_TIMEOUT + APPLY_TIME <= ms(5_000),
-        "a dial that hangs leaves a second for the next"
+        "a hung dial leaves one second for the next call"
     );
     assert!(
         MAX_QUEUE_TIME + MAX_RETRY_DELAY <= MAX_POLL_AGE,
@@ -44,11 +44,11 @@
         let first = first_poll_delay(poll_within);
         assert!(
             first >= (poll_within / 4).min(MAX_FIRST_POLL_DELAY),
-            "many must not call together"
+            "processes that start together must not call together"
         );
         assert!(
             first <= MAX_FIRST_POLL_DELAY,
-            "changes before the start count as notified soon"
+            "the first call must come before earlier changes count as notified"
         );
         let tight = poll_within < (DIAL_TIMEOUT + MAX_QUEUE_TIME + APPLY_TIME) * 4 / 3;
         assert!(
@@ -58,14 +58,15 @@
     }
 }
 
-/// How a call ends that begins while discovery cannot be reached.
+/// Behaviour of a call that starts while discovery is unreachable.
 #[derive(Clone, Debug)]
 enum CallBehaviour {
     /// The dial is not answered.
     Hangs,
-    /// Refused, or reset before it is established.
+    /// Refused, or reset before the connection is established, after this many milliseconds.
     Refused(u64),
-    /// Established; then these events, each after a pause; then silence, or the end.
+    /// The connection is established, followed by these events, each after a pause in milliseconds, and then by silence
+    /// or the end of the call.
     Connected {
         after: u64,
         events: Vec<(u64, Event)>,
@@ -73,7 +74,8 @@
     },
 }
 
-/// A head alone, half a body and a trickle are bytes at times; a standing watch is whole objects.
+/// Generated behaviours include a response that stops after its head or half of its body, a slow trickle of bytes, and
+/// a watch that receives complete objects.
 fn call_behaviour() -> impl Strategy<Value = CallBehaviour> {
     let event = prop_oneof![3 => Just(Event::BytesReceived), 1 => Just(Event::ObjectReceived)];
     let trickle =
@@ -92,22 +94,22 @@
     ]
 }
 
-/// One proxy: its schedule, the module that orders calls, and the coming events of the open call.
+/// One proxy: its schedule, the module that requests calls, and the pending events of the open call.
 struct Proxy {
     schedule: PollSchedule,
-    /// The coming events of the open call.
+    /// Pending events of the open call.
     pending: Vec<(Time, Event)>,
     orders: BTreeSet<Time>,
-    /// The times from a failure to the order of the next call, used in turn; none: no order.
+    /// Delays in milliseconds from a failure to the request of the next call, used in rotation; none: no request.
     order_delays: Vec<Option<u64>>,
     behaviours: Vec<CallBehaviour>,
     calls: usize,
-    /// A call is open.
+    /// Whether a call is open.
     open: bool,
     reachable_from: Time,
-    /// A call was open when discovery came back.
+    /// Whether a call was open when discovery became reachable again.
     open_at_recovery: bool,
-    /// The time to a response: of a call that discovery queues, and of one that was open over the outage.
+    /// Response times of a call that discovery queues, and of one made after a call stayed open over the outage.
     response_times: (Duration, Duration),
     answered: Option<Time>,
 }
@@ -165,14 +167,14 @@
                     .extend(ends.map(|ends| (at.min(now + ms(after + ends)), Event::CallEnded)));
             }
         }
-        // Bytes sent before the outage may arrive after it, but no complete object from a service that is down.
+        // Bytes sent before the outage may arrive after it, but a service that is down sends no complete object.
         let reachable = self.reachable_from;
         self.pending
             .retain(|(at, event)| *event != Event::ObjectReceived || *at < reachable);
         self.pending.sort_by_key(|(at, _)| *at);
     }
 
-    /// Runs to `until`, each event at its time.
+    /// Runs until `until`, handling each event at its time.
     fn run(&mut self, until: Time) {
         loop {
             let due = self.schedule.next_deadline();
@@ -230,7 +232,7 @@
             answered: None,
         };
         proxy.handle(Time::ZERO, Event::PollRequested);
-        // After the move only the new address counts.
+        // After the change, only the new address counts.
         let address_change = address_change.map(ms).filter(|address_change| *address_change < recovery + NOTIFICATION_DEADLINE);
         if let Some(address_change) = address_change {
             proxy.run(address_change);
--- a/crates/discovery-schedule/tests/table.rs
+++ b/crates/discovery-schedule/tests/table.rs
@@ -1,5 +1,5 @@
-//! The table of `docs/design/discovery-schedule.md`: however a connection behaves, the next call is never later than it
-//! says.
+//! The table of `docs/design/discovery-schedule.md`: for any behaviour of a connection, the next call is not later than
+//! the table allows.
 
 use discovery_schedule::{
     Action, Event, PollSchedule, Time, DIAL_TIMEOUT, MAX_POLL_AGE, MAX_RETRY_DELAY, OBJECT_TIMEOUT,
@@ -12,7 +12,7 @@
     Duration::from_millis(n)
 }
 
-/// A random behaviour of a call: each step is a pause and the event after it.
+/// A random behaviour of a call: each step is a pause in milliseconds and the event after it.
 fn call_behaviour() -> impl Strategy<Value = (bool, u64, Vec<(u64, Event)>)> {
     let event = prop_oneof![
         3 => Just(Event::BytesReceived),
@@ -29,7 +29,8 @@
     )
 }
 
-/// A second implementation of the table: the latest time of the next call, computed from the events of this one.
+/// Independent implementation of the table: the latest time of the next call, computed from the events of the open
+/// call.
 #[derive(Default)]
 struct ObservedCall {
     started: Time,
@@ -68,7 +69,7 @@
         let mut after_end = Time::ZERO;
         for (pause, event) in steps {
             let until = now + ms(pause);
-            // Every deadline before the next event is served at its time, as a host does with timers.
+            // Every deadline before the next event is handled at its time, as by a host with timers.
             while let Some(due) = schedule.next_deadline().filter(|due| *due <= until) {
                 match &observed {
                     Some(observed) => prop_assert!(due <= observed.latest_next_call(silence), "{due:?}"),
@@ -76,7 +77,7 @@
                 }
                 actions.clear();
                 schedule.handle(due, Event::Tick, &mut actions);
-                prop_assert_eq!(actions.last(), Some(&Action::StartCall), "a deadline that starts no call");
+                prop_assert_eq!(actions.last(), Some(&Action::StartCall), "every deadline must start a call");
                 observed = Some(ObservedCall { started: due, ..ObservedCall::default() });
             }
             now = until;
@@ -97,7 +98,7 @@
                         after_end = if push_mode { now + WATCH_RECONNECT_DELAY } else { latest_poll };
                     }
                 }
-                // An open call is not cut short.
+                // An open call is not replaced.
                 Event::PollRequested if observed.is_some() => prop_assert!(actions.is_empty()),
                 _ => {
                     prop_assert_eq!(&actions, &[Action::StartCall]);
@@ -110,8 +111,7 @@
     }
 }
 
-/// A watch falls silent, and then every dial hangs. There are three dials before the changes that it missed count as
-/// notified.
+/// A watch falls silent, and then every dial hangs. Three dials fit in before the missed changes count as notified.
 #[test]
 fn hung_dials_leave_time_for_two_more() {
     let (mut schedule, mut actions) = (PollSchedule::new(SILENCE_TIMEOUT, false), Vec::new());
@@ -130,10 +130,10 @@
         .iter()
         .filter(|action| **action == Action::StartCall)
         .count();
-    assert_eq!(calls, 3, "at 3, 4 and 5 s");
+    assert_eq!(calls, 3, "calls are expected at 3, 4 and 5 s");
     assert!(
         !actions.contains(&Action::ReportFailure),
-        "silence is no failed response"
+        "silence is not a failed response"
     );
 }
 
--- a/crates/platform-settings/src/class_mapping.rs
+++ b/crates/platform-settings/src/class_mapping.rs
@@ -1,30 +1,30 @@
-//! Classes over a reload: from the settings in force and those of a new file to the settings that count next.
+//! Class ids over a reload: merges the settings in force with those of a new file.
 //!
-//! Whoever holds the id of a class or a zone finds the same at that id afterwards, for as long as the process lives. A
-//! class that a new file leaves unchanged keeps its id; one that it changes gets a new id, and open requests keep the
-//! rights of the old one. Zones, and machine types, keep theirs, and new ones are added behind them.
+//! The class or zone of an id stays the same for the lifetime of the process. A class that a new file leaves unchanged
+//! keeps its id. A changed class gets a new id, and open requests keep the rules of the old one. Zones and machine
+//! types keep their ids, and new ones are appended.
 
 use crate::{Names, PlatformSettings, SettingsError};
 use routing::{Class, ClassId, ZoneId};
 
-/// Ids that classes may take in the life of a process: each costs an average in the state of every server.
+/// Limit on class ids in the lifetime of a process: each id costs an average in the state of every server.
 const MAX_CLASSES: usize = 1_024;
 
-/// What counts after a reload.
+/// Result of a reload.
 #[derive(Debug)]
 pub struct ClassMapping {
-    /// The settings, classes at their ids; one that is out of use has no name.
+    /// The merged settings, with classes at their ids; a class that is out of use has no name.
     pub platform: PlatformSettings,
-    /// For each class id, the one whose estimates a new class there takes over.
+    /// For each class id, the class whose estimates a new class at this id takes over, if any.
     pub predecessors: Vec<Option<ClassId>>,
-    /// The ids of the file's classes, in its order.
+    /// Ids of the file's classes, in the order of the file.
     pub class_ids: Vec<ClassId>,
 }
 
 /// Maps the classes of a new file to ids.
 ///
 /// # Errors
-/// If the process has known too many classes.
+/// If the process has reached its limit of classes.
 pub fn map_classes(
     current: &PlatformSettings,
     file: PlatformSettings,
@@ -65,7 +65,7 @@
     })
 }
 
-/// All classes by id, with their present names.
+/// All classes by id, with their current names.
 struct ClassTable {
     classes: Vec<Class>,
     names: Vec<String>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The id of a class of the file: its former one if it is the same, else a new one.
+    /// Id of a class of the file: the current id if the class is unchanged, otherwise a new one.
     fn assign_id(&mut self, current: &PlatformSettings, name: &str, class: &Class) -> ClassId {
         let current_index = current.names.classes.iter().position(|n| n == name);
         let unchanged = current_index.filter(|&index| current.settings.classes[index] == *class);
@@ -103,7 +103,7 @@
     ClassId(index as u16)
 }
 
-/// Names at their former places, and new ones behind them.
+/// Current names at their indexes, followed by the new ones.
 fn merge_names(current: &[String], new: &[String]) -> Vec<String> {
     let added = new.iter().filter(|name| !current.contains(name));
     current.iter().chain(added).cloned().collect()
--- a/crates/platform-settings/src/decode.rs
+++ b/crates/platform-settings/src/decode.rs
@@ -1,4 +1,5 @@
-//! From the platform's object to the module's settings: the one place where the platform's names are mapped to ours.
+//! Decodes the platform's settings object into the decision module's settings. The only place where names of the
+//! platform are mapped to those of the module.
 
 use crate::raw::{RawClass, RawFreshness, RawRules, RawSettings};
 use crate::report::{report_field, ReportField};
@@ -9,13 +10,13 @@
 };
 use std::time::Duration;
 
-/// The longest time between polls of the endpoint list where none is stated.
+/// Longest time between polls of the endpoint list if the settings do not contain one.
 const DEFAULT_POLL_INTERVAL: Duration = Duration::from_secs(6);
 
-/// Names as clients and servers write them, each list in the order of the module's ids.
+/// Names as written by clients and servers; each list is indexed by the module's ids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Names of classes; empty for one that is out of use.
+    /// Names of classes; empty for a class that is out of use.
     pub classes: Vec<String>,
     /// Names of tenants.
     pub tenants: Vec<String>,
@@ -25,27 +26,27 @@
     pub machine_types: Vec<String>,
 }
 
-/// The platform's settings, in the module's terms.
+/// The platform's settings in the terms of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// What the decision module needs.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Names by id.
     pub names: Names,
     /// Meaning of the figures in a load report, in the order sent.
     pub report_fields: Vec<ReportField>,
-    /// Log positions count from here.
+    /// Origin of log positions.
     pub position_origin: Time,
-    /// A connection not made within this time has failed; zero: none is stated.
+    /// A connection that is not established within this time has failed; zero: not set.
     pub dial_timeout: Duration,
-    /// Requests open at once; 0: no limit.
+    /// Most requests open at once; 0: no limit.
     pub max_open: usize,
 }
 
-/// Reads the platform's settings object.
+/// Decodes the platform's settings object.
 ///
 /// # Errors
-/// If it is no JSON, or a value has the wrong type.
+/// If the input is not valid JSON, or a value has the wrong type.
 pub fn decode(json: &[u8]) -> Result<PlatformSettings, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(json);
     let raw: RawSettings =
@@ -142,7 +143,7 @@
             Consistency::BoundedStaleness(Duration::from_micros(bound.unwrap_or(0)))
         }
         "loose" => Consistency::Eventual,
-        // "latest", and the safe reading of an unknown word.
+        // "latest", and the safe interpretation of an unknown value.
         _ => Consistency::Strong,
     }
 }
--- a/crates/platform-settings/src/error.rs
+++ b/crates/platform-settings/src/error.rs
@@ -1,22 +1,22 @@
-//! Settings that can't be used.
+//! Errors of settings that cannot be used.
 
 use thiserror::Error;
 
-/// Why settings can't be used. Nothing has changed then; the file has to be corrected, or the process restarted.
+/// Reason why settings cannot be used. The settings in force are unchanged; correct the file or restart the process.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The JSON is broken, or a value has the wrong type.
+    /// The JSON is invalid, or a value has the wrong type.
     #[error("{key}: {source}")]
     Unreadable {
         /// Path of the value.
         key: String,
-        /// What is wrong with it.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// Reloads have brought too many classes; a restart forgets those that are out of use.
+    /// Reloads have added too many classes; a restart drops those that are out of use.
     #[error("Classes: {}", too_many_classes(*.limit))]
     TooManyClasses {
-        /// Classes that one process may know.
+        /// Most classes that one process may have, including those out of use.
         limit: usize,
     },
 }
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What is wrong with that setting, without its path.
+    /// Description of the problem, without the path of the setting.
     pub fn problem(&self) -> String {
         match self {
             SettingsError::Unreadable { source, .. } => source.to_string(),
@@ -40,5 +40,5 @@
 }
 
 fn too_many_classes(limit: usize) -> String {
-    format!("this process has known {limit} classes, which is all it may: restart it")
+    format!("this process has reached the limit of {limit} classes: restart it")
 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform's settings: from its JSON to the decision module's [`Settings`](routing::Settings), and what else every
-//! host of routers reads from it: names, limits of connections and the meaning of load reports.
+//! The platform's settings: decodes its JSON into the decision module's [`Settings`](routing::Settings) and the other
+//! values that hosts of routers need: names, connection limits and the meaning of load reports.
 //!
-//! Only this package knows the platform's field names. `raw` has the object as it is written, `decode` maps it,
-//! `class_mapping` keeps ids over a reload, `report` reads load reports, and [`Shape`] tells whether a later object is
-//! complete.
+//! Only this package uses the platform's field names. `raw` contains the object as written, `decode` maps it,
+//! `class_mapping` keeps ids stable over a reload, `report` decodes load reports, and [`Shape`] checks whether a later
+//! object is complete.
 #![forbid(unsafe_code)]
 
 mod class_mapping;
--- a/crates/platform-settings/src/raw.rs
+++ b/crates/platform-settings/src/raw.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object as its JSON has it. Durations are in microseconds. Unknown keys are ignored, absent
-//! ones have their default.
+//! The platform's settings object as in its JSON. Durations are in microseconds. Unknown keys are ignored; absent keys
+//! have their default.
 
 use serde::Deserialize;
 
@@ -36,7 +36,7 @@
     pub(crate) window: u64,
 }
 
-/// A tenant ("realm").
+/// A tenant ("realm" on the platform).
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RawTenant {
@@ -44,7 +44,7 @@
     pub(crate) quota_per_s: f64,
 }
 
-/// What classes need of the data, and what replicas do about staleness.
+/// Consistency required by classes, and behaviour of replicas with stale data.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RawFreshness {
@@ -63,7 +63,7 @@
     pub(crate) fields: Vec<String>,
 }
 
-/// What routers may do.
+/// Limits and permissions of routers.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RawLimits {
--- a/crates/platform-settings/src/report.rs
+++ b/crates/platform-settings/src/report.rs
@@ -1,24 +1,24 @@
-//! Load reports: which figure means what.
+//! Decodes load reports.
 
 use routing::{LoadReport, Time};
 use std::time::Duration;
 
-/// A figure of a load report.
+/// Meaning of a figure in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Log position, in seconds after the settings' origin.
     Position,
-    /// 1: the server believes itself to be the primary.
+    /// 1: the server considers itself the primary.
     Primary,
-    /// Requests that the server executes.
+    /// Requests that the server is executing.
     InFlight,
-    /// Requests that wait in the server.
+    /// Requests queued in the server.
     Queued,
-    /// Nothing that routers use.
+    /// Not used by routers.
     Unused,
 }
 
-/// The meaning of a field by its name on the platform or in the simulator.
+/// Meaning of a field, by its name on the platform or in the simulator.
 pub fn report_field(name: &str) -> ReportField {
     match name {
         "x0" => ReportField::Position,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A load report from the figures that came. Positions count in seconds after `origin`.
+/// Builds a load report from the received figures. Positions are in seconds after `origin`.
 pub fn load_report(
     origin: Time,
     values: impl IntoIterator<Item = (ReportField, f64)>,
--- a/crates/platform-settings/src/shape.rs
+++ b/crates/platform-settings/src/shape.rs
@@ -1,17 +1,17 @@
-//! Which keys a JSON object has, at every depth: what a later one needs to be complete.
+//! Keys of a JSON object at every depth, to check whether a later object is complete.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The keys of a JSON value.
+/// Keys of a JSON value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Shape {
-    /// A number, text, boolean or null.
+    /// A number, string, boolean or null.
     #[default]
     Scalar,
-    /// The shapes of an object's fields.
+    /// Shapes of an object's fields.
     Object(BTreeMap<String, Shape>),
-    /// What all elements of an array have in common.
+    /// Keys common to all elements of an array.
     Array(Box<Shape>),
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The path of the first key of this shape that `value` lacks; none if it has them all.
+    /// Path of the first key of this shape that `value` lacks; none if it has all of them.
     pub fn missing(&self, value: &Value) -> Option<String> {
         match (self, value) {
             (Shape::Scalar, Value::Null) => Some(String::new()),
--- a/crates/platform-settings/tests/class_mapping.rs
+++ b/crates/platform-settings/tests/class_mapping.rs
@@ -1,4 +1,4 @@
-//! Reloads: class ids that last, and files that are incomplete.
+//! Reloads: stable class ids, and incomplete files.
 
 use platform_settings::{decode, map_classes, PlatformSettings, Shape};
 use routing::{ClassId, Idempotency, ZoneId};
@@ -17,13 +17,13 @@
 #[test]
 fn a_class_keeps_its_id_for_as_long_as_it_is_the_same() {
     let first = settings(&[("a", "safe", 5), ("b", "safe", 5)], &["x", "y"]);
-    // Another order, one that changes, one that is new, one that is gone.
+    // The order changes; one class changes, one is new and one is removed.
     let file = settings(&[("c", "safe", 5), ("b", "unsafe", 5)], &["y", "z"]);
     let next = map_classes(&first, file.clone()).unwrap();
     assert_eq!(next.class_ids, [ClassId(2), ClassId(3)]);
     assert_eq!(next.platform.names.classes, ["", "", "c", "b"]);
     assert_eq!(next.predecessors, [None, None, None, Some(ClassId(1))]);
-    // Open requests keep their rights under the former ids.
+    // Open requests keep the rules of their class under the old ids.
     let effects: Vec<Idempotency> = next
         .platform
         .settings
@@ -42,7 +42,7 @@
     );
     assert_eq!(next.platform.names.zones, ["x", "y", "z"]);
     assert_eq!(next.platform.settings.zone, ZoneId(2));
-    // The same file again changes nothing; a class that comes back is a new one.
+    // The same file again changes nothing; a class that is added again gets a new id.
     let again = map_classes(&next.platform, file).unwrap();
     assert_eq!(again.platform, next.platform);
     let returned =
--- a/crates/platform-settings/tests/names.rs
+++ b/crates/platform-settings/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names are labels: whatever they are, the module's settings come out the same, and the names as they were written.
+//! Names are labels: any names decode to the same settings and are kept as written.
 
 use platform_settings::{decode, PlatformSettings};
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
 }
 
 fn any_names(count: usize) -> impl Strategy<Value = Vec<String>> {
-    // Words that the settings give a meaning elsewhere, prefixes of each other, blanks, quotes, any text.
+    // Values with a meaning elsewhere in the settings, prefixes of each other, blanks, quotes, and arbitrary text.
     let words: &'static [&'static str] = &[
         "update",
         "safe",
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -1,5 +1,5 @@
-//! The loop: a batch in, every instance's router in turn, a reply out. Instances share nothing but the pages of
-//! endpoints.
+//! Main loop: reads a batch, passes each record to the router of its instance, and writes a reply. Instances share only
+//! the pages of endpoints.
 
 use crate::instance::Instance;
 use crate::wire::{batch_header, FrameFault, ListKind, MalformedFrame, Reader, Record, Reply};
@@ -9,27 +9,27 @@
 use std::io::{self, Read, Write};
 use thiserror::Error;
 
-/// Why the host stops. The simulator has to be started again.
+/// Reason why the host stops. The simulator has to be restarted.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// Input can't be read or output can't be written.
+    /// Input cannot be read or output cannot be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A batch breaks the wire's rules.
+    /// A batch violates the wire format.
     #[error(transparent)]
     MalformedFrame(#[from] MalformedFrame),
     /// The input ends inside a batch header.
     #[error("input ends {got} bytes into a batch header")]
     TruncatedHeader {
-        /// Bytes of the header that came.
+        /// Bytes of the header that were received.
         got: usize,
     },
     /// The input ends inside a batch.
     #[error("input ends {got} bytes into a batch of {expected}")]
     TruncatedBatch {
-        /// Bytes of the records that came.
+        /// Bytes of the records that were received.
         got: usize,
-        /// Their length by the header.
+        /// Length of the records in bytes, from the header.
         expected: u32,
     },
 }
@@ -44,10 +44,10 @@
 }
 
 impl Host {
-    /// Plays one batch of `records` records at `now` and returns the reply frame.
+    /// Handles one batch of `records` records at `now` and returns the reply frame.
     ///
     /// # Errors
-    /// If the batch breaks the wire's rules. Records before the fault have been played.
+    /// If the batch violates the wire format. Records before the malformed one have been handled.
     pub fn handle_batch(
         &mut self,
         now: Time,
@@ -122,11 +122,11 @@
 
     fn stop(&mut self, instance: u16) {
         if self.instances.remove(&instance).is_none() {
-            eprintln!("simulator-host: stop for unknown instance {instance}");
+            eprintln!("simulator-host: stop requested for unknown instance {instance}");
         }
     }
 
-    /// Streams and messages between routers are not used.
+    /// Ignores streams and messages between routers, which are not used.
     fn ignore(&self, instance: u16) {
         if !self.instances.contains_key(&instance) {
             report_unknown(instance);
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Has an instance's router handle an event and appends its actions to the reply.
+    /// Passes an event to an instance's router and appends its actions to the reply.
     fn handle(&mut self, now: Time, id: u16, event: impl FnOnce(&mut Instance) -> Event) {
         let Some(instance) = self.instances.get_mut(&id) else {
             return report_unknown(id);
@@ -160,13 +160,13 @@
 }
 
 fn report_unknown(instance: u16) {
-    eprintln!("simulator-host: event for unknown instance {instance}");
+    eprintln!("simulator-host: ignoring event for unknown instance {instance}");
 }
 
 /// Reads batches and writes replies until the input ends at a frame boundary.
 ///
 /// # Errors
-/// If the input ends elsewhere, breaks the wire's rules, or input or output fail.
+/// If the input ends inside a frame, violates the wire format, or input or output fail.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
     let mut host = Host::default();
     let mut body = Vec::new();
@@ -178,7 +178,7 @@
     Ok(())
 }
 
-/// None at the end of the input.
+/// Reads a batch header; none at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, HostError> {
     let mut header = [0; BATCH_HEADER_LEN];
     match read_up_to(input, &mut header)? {
@@ -197,7 +197,7 @@
     Ok(())
 }
 
-/// Reads until `buffer` is full or the input ends; how many bytes came.
+/// Reads until `buffer` is full or the input ends; returns the number of bytes read.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut got = 0;
     while got < buffer.len() {
--- a/crates/simulator-host/src/instance.rs
+++ b/crates/simulator-host/src/instance.rs
@@ -1,5 +1,4 @@
-//! One router that the host plays, with what the simulator leaves to its surroundings: quotas, and the meaning of
-//! figures.
+//! One router with the parts that the simulator leaves to its host: quotas, and the meaning of the figures in reports.
 
 use crate::wire::{AttemptEndedRecord, ProbeEndedRecord};
 use platform_settings::{load_report, PlatformSettings, ReportField};
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Counts the request against its tenant's quota, and marks it if it is over.
+    /// Counts the request against its tenant's quota, and marks it if it is over the quota.
     pub(crate) fn request_arrived(&mut self, mut arrival: Arrival, now: Time) -> Event {
         let status = self.quota.record_request(
             now.since(Time::ZERO),
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Figures come as 32-bit floats: for a position a step down undoes any rounding up.
+    /// Figures are 32-bit floats. A position is decreased by one step to undo any rounding up.
     fn report(&self, figures: &[f32]) -> LoadReport {
         let round_down = |(&field, &value): (&ReportField, &f32)| match field {
             ReportField::Position if value > 0.0 => {
--- a/crates/simulator-host/src/lib.rs
+++ b/crates/simulator-host/src/lib.rs
@@ -1,5 +1,4 @@
-//! Hosts the decision module on the simulator's protocol: decodes batches, plays one router an instance, encodes
-//! replies.
+//! Hosts the decision module for the simulator: decodes batches, runs one router per instance, encodes replies.
 #![forbid(unsafe_code)]
 
 pub mod host;
--- a/crates/simulator-host/src/main.rs
+++ b/crates/simulator-host/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays routers for the simulator on standard input and output.
+//! Runs routers for the simulator on standard input and output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/simulator-host/src/wire/mod.rs
+++ b/crates/simulator-host/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Frames of the simulator's wire: big-endian, no padding.
+//! Wire format of the simulator's frames: big-endian, without padding.
 //!
-//! A batch is a header ([`batch_header`]) and records ([`Reader`], [`Record`]); a reply is a header and records too
-//! ([`Reply`]). Only this module knows the layouts and the codes.
+//! A batch is a header ([`batch_header`]) followed by records ([`Reader`], [`Record`]); so is a reply ([`Reply`]). Only
+//! this module knows the layouts and the codes.
 
 mod fault;
 mod reader;
@@ -18,7 +18,7 @@
 /// Length of a batch header in bytes.
 pub const BATCH_HEADER_LEN: usize = 16;
 
-/// What precedes the records of a batch.
+/// Header of a batch, which precedes its records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchHeader {
     /// Time of all events of the batch.
--- a/crates/simulator-host/src/wire/reader.rs
+++ b/crates/simulator-host/src/wire/reader.rs
@@ -12,12 +12,12 @@
 
 /// Length of an endpoint on the wire in bytes.
 const ENDPOINT_LEN: usize = 27;
-/// Bit of a request's attributes: the client marks it as a retry.
+/// Bit of a request's attributes: the client marks the request as a retry.
 const IS_CLIENT_RETRY: u8 = 2;
 /// Status of a probe that was answered.
 const PROBE_OK: u16 = 200;
 
-/// Reads records one after the other.
+/// Reads records in sequence.
 pub struct Reader<'a> {
     body: &'a [u8],
     offset: usize,
@@ -26,7 +26,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of the records of a batch, without its header.
+    /// Creates a reader of the records of a batch, without its header.
     pub fn new(body: &'a [u8]) -> Self {
         Reader {
             body,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The error for a fault at the present place.
+    /// The error for a fault at the current offset.
     pub fn malformed(&self, fault: FrameFault) -> MalformedFrame {
         MalformedFrame {
             offset: self.offset,
@@ -49,10 +49,10 @@
         self.offset == self.body.len()
     }
 
-    /// The next record.
+    /// Reads the next record.
     ///
     /// # Errors
-    /// If the frame ends inside it, or it has a code or a value that the wire does not define.
+    /// If the frame ends inside the record, or the record has a code or a value that the wire format does not define.
     pub fn record(&mut self) -> Result<Record<'a>, MalformedFrame> {
         self.code = 0;
         let code = self.u8()?;
@@ -132,7 +132,7 @@
     fn page(&mut self) -> Result<Record<'a>, MalformedFrame> {
         let number = self.u32()?;
         let count = self.u32()? as usize;
-        // Guards against allocating for a count that no frame of this length can hold.
+        // Guards against allocating memory for a count that no frame of this length can hold.
         if count > (self.body.len() - self.offset) / ENDPOINT_LEN {
             return Err(self.malformed(FrameFault::PageOverrun(count)));
         }
@@ -261,14 +261,14 @@
     }
 }
 
-/// The age of the session's last write, in milliseconds; zero: none. Rounded down: a larger age would point at a commit
-/// before the true one, and the read would not see the write.
+/// Decodes the age of the session's last write, in milliseconds; zero: none. Rounded down: a larger age would refer to
+/// a commit before the true one, and the read would not see the write.
 fn session_position(age_ms: f32) -> Option<SessionPosition> {
     let micros = (f64::from(age_ms) * 1e3) as u64;
     (age_ms > 0.0).then_some(SessionPosition::Ago(Duration::from_micros(micros)))
 }
 
-/// A negative number stands for no group; none that is listed has the id that it gets.
+/// Decodes a group; a negative number means no group and becomes an id that no listed group has.
 fn group(number: f32) -> GroupId {
     GroupId(if number >= 0.0 {
         number as u32
--- a/crates/simulator-host/src/wire/record.rs
+++ b/crates/simulator-host/src/wire/record.rs
@@ -1,38 +1,38 @@
-//! The records of a batch, as they stand on the wire.
+//! Records of a batch as defined by the wire format.
 
 use routing::{
     Arrival, AttemptNumber, Endpoint, EndpointState, Outcome, RequestId, ServerId, TimerToken,
 };
 use std::time::Duration;
 
-/// What an endpoint update holds.
+/// Content of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Entries that are new or differ.
+    /// New and changed entries.
     Changes,
     /// The complete list.
     Snapshot,
     /// The complete list as it was cached.
     Cached,
-    /// Nothing: the list could not be had.
+    /// No list: it could not be fetched.
     Failed,
 }
 
-/// One record. `instance` numbers the routers that one host plays.
+/// One record. `instance` is the number of a router within the host.
 #[derive(Debug, PartialEq)]
 pub enum Record<'a> {
     /// Start a router.
     Spawn {
-        /// Its number; one that is in use is replaced.
+        /// Number of the router; a router with the same number is replaced.
         instance: u16,
-        /// Seed of its random draws.
+        /// Seed of the router's random numbers.
         seed: u64,
         /// The platform's settings as JSON.
         settings: &'a [u8],
     },
     /// Endpoints that later updates refer to.
     Page {
-        /// Number of the page; a later page of that number replaces it.
+        /// Number of the page; a later page with the same number replaces it.
         number: u32,
         /// The endpoints.
         entries: Vec<Endpoint>,
@@ -41,7 +41,7 @@
     EndpointUpdate {
         /// The router.
         instance: u16,
-        /// What the page means.
+        /// Content of the page.
         kind: ListKind,
         /// Number of the page.
         page: u32,
@@ -72,18 +72,18 @@
         /// The router.
         instance: u16,
     },
-    /// A client left.
+    /// A client disconnected or gave up.
     ClientLeft {
         /// The router.
         instance: u16,
-        /// Its request.
+        /// The client's request.
         id: RequestId,
     },
     /// A timer fired.
     Timer {
         /// The router.
         instance: u16,
-        /// What the router gave with the timer.
+        /// Token from the action that started the timer.
         token: TimerToken,
     },
 }
@@ -95,11 +95,11 @@
     pub instance: u16,
     /// The server that was probed.
     pub server: ServerId,
-    /// It answered.
+    /// Whether the server answered.
     pub ok: bool,
-    /// How long that took.
+    /// Duration of the probe.
     pub elapsed: Duration,
-    /// Figures of the load report, in the order of the settings.
+    /// Figures of the load report, in the order defined by the settings.
     pub figures: Vec<f32>,
 }
 
@@ -110,13 +110,13 @@
     pub instance: u16,
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts.
+    /// The attempt of that request.
     pub attempt: AttemptNumber,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
     /// The request needs no further answer.
     pub request_finished: bool,
--- a/crates/simulator-host/src/wire/reply.rs
+++ b/crates/simulator-host/src/wire/reply.rs
@@ -22,7 +22,7 @@
             } => {
                 self.start_for(65, instance, id);
                 self.u32(server.0);
-                // Longer than any client waits means the same on the wire, whose field is signed.
+                // The field on the wire is signed. A longer time has the same effect, since no client waits that long.
                 self.u32(wire_span(timeout).min(i32::MAX as u32));
             }
             Action::Reject { id, retry_after } => {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The finished frame; the reply is empty afterwards.
+    /// Returns the finished frame and empties the reply.
     pub fn frame(&mut self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.body.len());
         frame.extend(self.records.to_be_bytes());
@@ -76,12 +76,12 @@
     }
 }
 
-/// Whole microseconds; the router's spans may be finer.
+/// Converts to whole microseconds; the router's spans may be finer.
 fn wire_span(span: Duration) -> u32 {
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
 }
 
-/// A timer rounds up: one that came before its time would find nothing due.
+/// Converts a timer's delay, rounded up: a timer that fires early would find nothing due.
 fn wire_delay(span: Duration) -> u32 {
     u32::try_from(span.as_nanos().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/simulator-host/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Sample frames of the wire, decoded and answered.
+//! Sample frames of the wire format, decoded and answered.
 
 use platform_settings as conf;
 use routing::*;
@@ -205,7 +205,7 @@
     let mut body = spawn(3);
     body.extend(hex(PAGE));
     body.extend(hex("02 0003 02 00000001 00000000"));
-    // The same number again, now with one other server: it must not change what instance 3 knows.
+    // The same page number again, with another server: the update of instance 3 must not change.
     body.extend(hex(
         "0a 00000000 00000001 00000005 0000 0000 000b 00000000 01 3f800000 0000000000000000",
     ));
@@ -221,7 +221,7 @@
 const WRITE: &str =
     "06 0003 000a1bbb5d3a91c4 0000 0001 04 91f03b7c55d20a64 0003a980 00000000 41300000 00000000";
 
-/// Servers that attempts go to in a reply that holds sends, probes and timers only.
+/// Servers that attempts are sent to, in a reply with only sends, probes and timers.
 fn sent_to(reply: &[u8]) -> Vec<u32> {
     let mut offset = 8;
     let mut servers = Vec::new();
