--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -88,7 +88,7 @@
         } else {
             late_weight_fraction
         };
-        // A time-out may be caused by the connection: it counts no more than an answer in time.
+        // A time-out may be caused by the connection, so it lowers the fraction by no more than an answer in time raises it.
         let step = if outcome == Outcome::TimedOut {
             -1.0
         } else {
@@ -128,17 +128,17 @@
             return 0.0;
         };
         let class = request.arrival.class;
-        let lateness = if self.now >= request.objective_deadline {
+        let lateness_factor = if self.now >= request.objective_deadline {
             self.class(class).late_weight_fraction
         } else {
             1.0
         };
-        let quota = self
+        let quota_factor = self
             .settings
             .over_quota_weight_fraction
             .powf(request.arrival.quota_status.over_quota_fraction());
         let work = self.class_work[usize::from(class.0)].as_secs_f64();
-        self.class(class).priority_weight * lateness * quota / work
+        self.class(class).priority_weight * lateness_factor * quota_factor / work
     }
 }
 
--- a/crates/routing/tests/concurrency.rs
+++ b/crates/routing/tests/concurrency.rs
@@ -198,6 +198,6 @@
     assert!(sent_after_read(WRITE, 750 * MS) > 150);
     assert!(
         sent_after_read(WRITE, 9_000 * MS) < 120,
-        "a write that missed its own objective limits writes too"
+        "a read slower than the objective of writes limits writes too"
     );
 }
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -125,12 +125,12 @@
     let (mut by_second, mut longest) = (vec![0; 12], 0);
     let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for seed in 0..u64::from(routers) {
-        let settings_of_fleet = Settings {
+        let fleet_settings = Settings {
             endpoints_are_polled: true,
             router_count: routers,
             ..settings()
         };
-        let mut harness = Harness::with_seed(settings_of_fleet, 0, seed * 7_919);
+        let mut harness = Harness::with_seed(fleet_settings, 0, seed * 7_919);
         let begin = harness.now;
         let mut actions = after(&mut harness);
         while !polls(&actions) {
@@ -162,13 +162,11 @@
         (loses_list, discovery_schedule::MAX_RETRY_DELAY),
     ];
     for (after, span) in spans {
-        let (many_routers_polls, longest) = polls_of_a_fleet(100, after);
+        let (polls_by_second, longest) = polls_of_a_fleet(100, after);
         let even = 100_000 / span.as_millis() as usize;
         assert!(
-            many_routers_polls
-                .iter()
-                .all(|&calls| calls <= even * 3 / 2),
-            "{many_routers_polls:?} calls by second, {even} in an even distribution"
+            polls_by_second.iter().all(|&calls| calls <= even * 3 / 2),
+            "{polls_by_second:?} calls by second, {even} in an even distribution"
         );
         let span = span.as_millis() as u64;
         assert!(
@@ -178,7 +176,7 @@
         let (few, longest) = polls_of_a_fleet(4, after);
         assert!(
             few[0] == 4 && longest < 500,
-            "a small fleet polls at once: {few:?}, {longest} ms"
+            "a small fleet polls within half a second: {few:?}, {longest} ms"
         );
     }
 }
@@ -187,13 +185,13 @@
 /// s after the restart still sent to removed members six seconds after the removal, when it counts as notified.
 #[test]
 fn a_cached_list_is_used_for_a_short_time_only() {
-    let settings_of_fleet = Settings {
+    let fleet_settings = Settings {
         endpoints_are_polled: true,
         router_count: 300,
         ..settings()
     };
     let restarted = || {
-        let mut harness = Harness::new(settings_of_fleet.clone(), 0);
+        let mut harness = Harness::new(fleet_settings.clone(), 0);
         harness.event(Event::Endpoints(EndpointUpdate::Cached(vec![
             endpoint(1, EndpointState::Ready),
             endpoint(2, EndpointState::Ready),
@@ -254,12 +252,12 @@
     let polls = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::PollEndpoints));
     for routers in [1, 2, 8, 9, 20, 54, 55, 100, 300, 1_000] {
         for seed in 0..20 {
-            let settings_of_fleet = Settings {
+            let fleet_settings = Settings {
                 endpoints_are_polled: true,
                 router_count: routers,
                 ..settings()
             };
-            let mut harness = Harness::with_seed(settings_of_fleet, 0, seed * 7_919);
+            let mut harness = Harness::with_seed(fleet_settings, 0, seed * 7_919);
             for failure in 1..12 {
                 let begin = harness.now;
                 let mut actions = harness.event(Event::Endpoints(EndpointUpdate::Failed));
@@ -283,12 +281,12 @@
     let (mut next, mut calls) = (vec![0; 8], 0);
     let recovery = 20_000 * MS;
     for seed in 0..300 {
-        let settings_of_fleet = Settings {
+        let fleet_settings = Settings {
             endpoints_are_polled: true,
             router_count: 300,
             ..settings()
         };
-        let mut harness = Harness::with_seed(settings_of_fleet, 0, seed * 7_919);
+        let mut harness = Harness::with_seed(fleet_settings, 0, seed * 7_919);
         let begin = harness.now;
         let mut actions = harness.event(Event::Endpoints(EndpointUpdate::Failed));
         loop {
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -214,13 +214,13 @@
         sent_to_a_starting_server(100, 3.0),
         sent_to_a_starting_server(290, 3.0),
     );
-    let (unproven, overloaded) = (
+    let (without_confidence, overloaded) = (
         sent_to_a_starting_server(100, 1.0),
         sent_to_a_starting_server(290, 1.0),
     );
     assert!(
-        unproven > 0 && fast as f64 >= 1.2 * unproven as f64,
-        "{fast} with ramp confidence, {unproven} without"
+        without_confidence > 0 && fast as f64 >= 1.2 * without_confidence as f64,
+        "{fast} with ramp confidence, {without_confidence} without"
     );
     assert_eq!(
         slow, overloaded,
@@ -296,10 +296,11 @@
     // With one answer from each server in many seconds, a router could not build up confidence. A hundred routers
     // together sent new members 2 to 5 requests per second, though these answered as fast as warm ones, and the rest of
     // each group was overloaded.
-    let (learned, unproven) = (sent_to_starting_servers(3.0), sent_to_starting_servers(1.0));
+    let (with_confidence, without_confidence) =
+        (sent_to_starting_servers(3.0), sent_to_starting_servers(1.0));
     assert!(
-        learned as f64 >= 1.4 * unproven as f64,
-        "{learned} with ramp confidence, {unproven} without"
+        with_confidence as f64 >= 1.4 * without_confidence as f64,
+        "{with_confidence} with ramp confidence, {without_confidence} without"
     );
 }
 
--- a/crates/routing/tests/slow_start_budget.rs
+++ b/crates/routing/tests/slow_start_budget.rs
@@ -9,8 +9,8 @@
 
 const STARTING_SERVER: u32 = 5;
 const STEP: Duration = Duration::from_millis(5);
-const WARM_STEPS: u32 = 4_000;
-const COLD_STEPS: u32 = 1_600;
+const STEPS_BEFORE_START: u32 = 4_000;
+const STEPS_AFTER_START: u32 = 1_600;
 
 /// Pseudo-random numbers from 0 to 1 (SplitMix64).
 struct Random(u64);
@@ -59,22 +59,22 @@
 /// Largest ratio of load to the permitted load over eight seconds after the start of the only server that is left of
 /// five. Before that, all five were warm for twenty seconds.
 fn max_load_ratio(workload: &Workload, seed: u64) -> f64 {
-    let settings_of_fleet = Settings {
+    let fleet_settings = Settings {
         router_count: workload.routers as u32,
         ..settings()
     };
     let mut routers: Vec<Harness> = (0..workload.routers)
-        .map(|index| Harness::with_seed(settings_of_fleet.clone(), STARTING_SERVER, index as u64))
+        .map(|index| Harness::with_seed(fleet_settings.clone(), STARTING_SERVER, index as u64))
         .collect();
     for harness in &mut routers {
         (1..=STARTING_SERVER)
             .for_each(|server| _ = harness.report(server, server == 1, Duration::ZERO));
     }
-    let started = routers[0].now.plus(STEP * WARM_STEPS);
+    let started = routers[0].now.plus(STEP * STEPS_BEFORE_START);
     let mut random = Random(seed << 32);
     let mut recent: VecDeque<Time> = VecDeque::new();
     let mut max_ratio: f64 = 0.0;
-    for step in 1..=WARM_STEPS + COLD_STEPS {
+    for step in 1..=STEPS_BEFORE_START + STEPS_AFTER_START {
         let now = START.plus(STEP * step);
         if now == started {
             routers
@@ -105,14 +105,14 @@
             recent.push_back(now);
             while recent
                 .front()
-                .is_some_and(|&at| now.since(at) >= settings_of_fleet.overload_duration)
+                .is_some_and(|&at| now.since(at) >= fleet_settings.overload_duration)
             {
                 recent.pop_front();
             }
-            let capacity = settings_of_fleet.initial_capacity_fraction
-                + (1.0 - settings_of_fleet.initial_capacity_fraction) * age
-                    / settings_of_fleet.warm_up_duration.as_secs_f64();
-            let allowed = settings_of_fleet.overload_factor * capacity * workload.warm_capacity;
+            let capacity = fleet_settings.initial_capacity_fraction
+                + (1.0 - fleet_settings.initial_capacity_fraction) * age
+                    / fleet_settings.warm_up_duration.as_secs_f64();
+            let allowed = fleet_settings.overload_factor * capacity * workload.warm_capacity;
             max_ratio = max_ratio.max(recent.len() as f64 / allowed_with_tolerance(allowed));
             // Latency grows with the inverse of the server's capacity, and with the load beyond it.
             let overload = (recent.len() as f64 / (capacity * workload.warm_capacity)).max(1.0);
--- a/crates/simulator-host/src/host.rs
+++ b/crates/simulator-host/src/host.rs
@@ -2,7 +2,7 @@
 //! the pages of endpoints.
 
 use crate::instance::Instance;
-use crate::wire::{batch_header, FrameFault, ListKind, MalformedFrame, Reader, Record, Reply};
+use crate::wire::{batch_header, FrameFault, MalformedFrame, Reader, Record, Reply, UpdateKind};
 use crate::wire::{BatchHeader, BATCH_HEADER_LEN};
 use routing::{Action, Endpoint, EndpointUpdate, Event, Time};
 use std::collections::BTreeMap;
@@ -133,16 +133,16 @@
         }
     }
 
-    fn endpoint_update(&self, kind: ListKind, page: u32) -> Result<EndpointUpdate, FrameFault> {
+    fn endpoint_update(&self, kind: UpdateKind, page: u32) -> Result<EndpointUpdate, FrameFault> {
         let entries = || {
             let entries = self.pages.get(&page).cloned();
             entries.ok_or(FrameFault::UnknownPage)
         };
         Ok(match kind {
-            ListKind::Changes => EndpointUpdate::Changes(entries()?),
-            ListKind::Snapshot => EndpointUpdate::Snapshot(entries()?),
-            ListKind::Cached => EndpointUpdate::Cached(entries()?),
-            ListKind::Failed => EndpointUpdate::Failed,
+            UpdateKind::Changes => EndpointUpdate::Changes(entries()?),
+            UpdateKind::Snapshot => EndpointUpdate::Snapshot(entries()?),
+            UpdateKind::Cached => EndpointUpdate::Cached(entries()?),
+            UpdateKind::Failed => EndpointUpdate::Failed,
         })
     }
 
--- a/crates/simulator-host/src/wire/fault.rs
+++ b/crates/simulator-host/src/wire/fault.rs
@@ -31,7 +31,7 @@
     UnknownServerState(u8),
     /// A kind of endpoint update that the wire format does not define.
     #[error("unknown kind of endpoint update {0}: expected 0 to 3")]
-    UnknownListKind(u8),
+    UnknownUpdateKind(u8),
     /// An outcome of an attempt that the wire format does not define.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
--- a/crates/simulator-host/src/wire/mod.rs
+++ b/crates/simulator-host/src/wire/mod.rs
@@ -10,7 +10,7 @@
 
 pub use fault::{FrameFault, MalformedFrame};
 pub use reader::Reader;
-pub use record::{AttemptEndedRecord, ListKind, ProbeEndedRecord, Record};
+pub use record::{AttemptEndedRecord, ProbeEndedRecord, Record, UpdateKind};
 pub use reply::Reply;
 
 use routing::Time;
--- a/crates/simulator-host/src/wire/reader.rs
+++ b/crates/simulator-host/src/wire/reader.rs
@@ -2,7 +2,7 @@
 
 use super::fault::{FrameFault, MalformedFrame};
 use super::record::{
-    endpoint_state, list_kind, outcome, AttemptEndedRecord, ProbeEndedRecord, Record,
+    endpoint_state, outcome, update_kind, AttemptEndedRecord, ProbeEndedRecord, Record,
 };
 use routing::{
     Arrival, AttemptNumber, ClassId, Endpoint, GroupId, MachineTypeId, QuotaStatus, RequestId,
@@ -96,7 +96,7 @@
         let instance = self.u16()?;
         let code = self.u8()?;
         let kind =
-            list_kind(code).ok_or_else(|| self.malformed(FrameFault::UnknownListKind(code)))?;
+            update_kind(code).ok_or_else(|| self.malformed(FrameFault::UnknownUpdateKind(code)))?;
         let _version = self.u32()?;
         Ok(Record::EndpointUpdate {
             instance,
--- a/crates/simulator-host/src/wire/record.rs
+++ b/crates/simulator-host/src/wire/record.rs
@@ -7,7 +7,7 @@
 
 /// Content of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum UpdateKind {
     /// New and changed entries.
     Changes,
     /// The complete list.
@@ -42,7 +42,7 @@
         /// The router.
         instance: u16,
         /// Content of the page.
-        kind: ListKind,
+        kind: UpdateKind,
         /// Number of the page.
         page: u32,
     },
@@ -124,12 +124,12 @@
     pub metadata: u32,
 }
 
-pub(super) fn list_kind(code: u8) -> Option<ListKind> {
+pub(super) fn update_kind(code: u8) -> Option<UpdateKind> {
     Some(match code {
-        0 => ListKind::Changes,
-        1 => ListKind::Snapshot,
-        2 => ListKind::Cached,
-        3 => ListKind::Failed,
+        0 => UpdateKind::Changes,
+        1 => UpdateKind::Snapshot,
+        2 => UpdateKind::Cached,
+        3 => UpdateKind::Failed,
         _ => return None,
     })
 }
--- a/crates/simulator-host/tests/codec.rs
+++ b/crates/simulator-host/tests/codec.rs
@@ -3,7 +3,7 @@
 use platform_settings as conf;
 use routing::*;
 use simulator_host::host::{run, Host};
-use simulator_host::wire::{batch_header, ListKind, Reader, Record, Reply};
+use simulator_host::wire::{batch_header, Reader, Record, Reply, UpdateKind};
 use std::time::Duration;
 
 fn hex(text: &str) -> Vec<u8> {
@@ -110,7 +110,7 @@
         reader.record().unwrap(),
         Record::EndpointUpdate {
             instance: 3,
-            kind: ListKind::Cached,
+            kind: UpdateKind::Cached,
             page: 0
         }
     );
