--- a/crates/leverproxy/src/cluster/rollout/observation.rs
+++ b/crates/leverproxy/src/cluster/rollout/observation.rs
@@ -4,7 +4,7 @@
 use crate::cluster::members::Members;
 use crate::observability::counters::Counters;
 use crate::observability::goodput::Totals;
-use ::rollout::{ClassCounts, Observation, Peer, PeerFact, KINDS};
+use ::rollout::{ClassCounts, Observation, Peer, PeerFact, FACT_KINDS};
 use membership::{GuardedOperation, Status};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -19,7 +19,7 @@
         Observation {
             peers: self.peers(members, now),
             promotable_regions: promotable_regions(members, now),
-            facts: (0..KINDS)
+            facts: (0..FACT_KINDS)
                 .flat_map(|kind| peer_facts(members, kind, now))
                 .collect(),
             class_counts: class_counts(counters),
--- a/crates/rollout/src/core/mod.rs
+++ b/crates/rollout/src/core/mod.rs
@@ -23,7 +23,7 @@
 const COUNTS: u8 = 3;
 const PLANNED_RESTART: u8 = 4;
 /// Number of kinds of facts; the host maps them into its own numbering.
-pub const KINDS: u8 = 5;
+pub const FACT_KINDS: u8 = 5;
 
 /// A proxy's part in a rollout.
 #[derive(Clone, Debug)]
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -36,7 +36,7 @@
     pub source: String,
     /// Its incarnation at that time.
     pub incarnation: u64,
-    /// From 0, below `KINDS`.
+    /// From 0, below `FACT_KINDS`.
     pub kind: u8,
     /// The encoded message.
     pub body: Vec<u8>,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -26,7 +26,7 @@
 mod status;
 
 pub use command::CommandRejected;
-pub use core::{Core, KINDS};
+pub use core::{Core, FACT_KINDS};
 pub use event::{Action, Config, Event, Observation, PeerFact};
 pub use evidence::{Evidence, EvidenceLimits, EvidenceSummary, ReportedCounts, Verdict};
 pub use machine::{CurrentRollout, Phase, StageMachine, StepInput};
--- a/crates/rollout/src/recorded.rs
+++ b/crates/rollout/src/recorded.rs
@@ -5,7 +5,7 @@
     TrafficCounts, VersionHash, Vote,
 };
 use crate::{
-    Action, Config, Core, Event, EvidenceLimits, Observation, Peer, PeerFact, Phase, KINDS,
+    Action, Config, Core, Event, EvidenceLimits, Observation, Peer, PeerFact, Phase, FACT_KINDS,
 };
 use std::time::Duration;
 
@@ -283,7 +283,7 @@
 fn messages_of_a_later_format_are_counted_and_dropped() {
     let mut core = core(None);
     let bodies = ["proposal", "word", "halts", "counts", "orderly"];
-    assert_eq!(bodies.len(), usize::from(KINDS));
+    assert_eq!(bodies.len(), usize::from(FACT_KINDS));
     let facts = bodies.into_iter().zip(0..).map(|(name, kind)| PeerFact {
         source: "n1".into(),
         incarnation: 6,
@@ -310,7 +310,7 @@
         &mut actions,
     );
     let status = core.status();
-    assert_eq!(status.malformed_facts, u64::from(KINDS));
+    assert_eq!(status.malformed_facts, u64::from(FACT_KINDS));
     assert_eq!((status.phase, status.proposal), (Phase::Idle, None));
     assert!(
         !actions
--- a/crates/rollout/tests/bytes.rs
+++ b/crates/rollout/tests/bytes.rs
@@ -9,7 +9,7 @@
 use rollout::{
     Action, ClassCounts, Config, Core, Event, EvidenceLimits, HaltReason, HaltRecord, Observation,
     Peer, PeerFact, PlannedRestart, Proposal, Readiness, TrafficCounts, VersionHash, Vote,
-    BODY_BYTES, KINDS,
+    BODY_BYTES, FACT_KINDS,
 };
 use serde::Serialize;
 use std::time::Duration;
@@ -155,7 +155,7 @@
     prop_oneof![
         sound(),
         mutated,
-        (0..=KINDS, vec(any::<u8>(), 0..BODY_BYTES))
+        (0..=FACT_KINDS, vec(any::<u8>(), 0..BODY_BYTES))
     ]
 }
 
--- a/fuzz/fuzz_targets/rollout.rs
+++ b/fuzz/fuzz_targets/rollout.rs
@@ -4,7 +4,7 @@
 
 use rollout::{
     Action, ClassCounts, Config, Core, Event, EvidenceLimits, Observation, Peer, PeerFact,
-    BODY_BYTES, KINDS,
+    BODY_BYTES, FACT_KINDS,
 };
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     let mut now = Duration::ZERO;
     while let Some(body) = part(&mut bytes) {
         now += Duration::from_secs(body.len() as u64 % 40);
-        let kind = body.first().map_or(0, |byte| byte % (KINDS + 1));
+        let kind = body.first().map_or(0, |byte| byte % (FACT_KINDS + 1));
         let body = body.get(1..).unwrap_or_default().to_vec();
         let observation = Observation {
             peers: FLEET.iter().map(peer).collect(),
