--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -152,7 +152,7 @@
     /// Assigns a hash of the name, so that all proxies give a server the same id. Only of two names with the same hash the
     /// second one gets an id that depends on the order.
     fn assign_id(&mut self, name: &str) -> ServerId {
-        let mut id = subsetting::key(name);
+        let mut id = subsetting::hash_name(name);
         while self.ids.values().any(|known| known.0 == id) {
             id = id.wrapping_add(1);
         }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -131,7 +131,7 @@
                 .filter(|id| !self.servers[id].is_draining());
             group.largest_size = group.largest_size.max(serving.count());
             // In one order for all, routers that know little of the members would crowd the first.
-            subsetting::order(
+            subsetting::order_by_preference(
                 self.settings.router_index,
                 id.0,
                 &mut group.members,
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -171,7 +171,7 @@
             seeks_primary: is_write && primary.is_none() && !self.settings.may_probe,
             time_left,
             preferred: if self.is_large_fleet() {
-                subsetting::reach(members)
+                subsetting::subset_size(members)
             } else {
                 members
             },
--- a/crates/routing/src/slow_start_budget.rs
+++ b/crates/routing/src/slow_start_budget.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Multiples of these lie evenly between 0 and 1, however many there are. Routers use another sequence than
-/// `subsetting::order`, which orders the members by the router's number too: otherwise those whose turn it is would be
+/// `subsetting::order_by_preference`, which orders the members by the router's number too: otherwise those whose turn it is would be
 /// the ones that meet the same members first.
 const GOLDEN: f64 = 0.618_033_988_749_895;
 const ROOT_OF_TWO: f64 = std::f64::consts::SQRT_2 - 1.0;
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -25,10 +25,15 @@
 
 /// Sorts the members of a group by the preference of proxy `number` (from 0). `key` gives the number that all proxies know a
 /// member by.
-pub fn order<T: Copy>(number: u32, group: u32, members: &mut [T], key: impl Fn(T) -> u32) {
+pub fn order_by_preference<T: Copy>(
+    number: u32,
+    group: u32,
+    members: &mut [T],
+    key: impl Fn(T) -> u32,
+) {
     let position = |member: &T| {
         let key = key(*member);
-        (mixed(u64::from(group) << 32 | u64::from(key)), key)
+        (mix(u64::from(group) << 32 | u64::from(key)), key)
     };
     members.sort_by_key(position);
     let first = (u64::from(number.reverse_bits()) * members.len() as u64) >> 32;
@@ -37,18 +42,18 @@
 
 /// The size of a proxy's subset: half of the members. A proxy hears of each twice as often as with all of them, and when one fails
 /// there is still another.
-pub fn reach(members: usize) -> usize {
+pub fn subset_size(members: usize) -> usize {
     members.div_ceil(2)
 }
 
 /// The number that all proxies know a server by, from its name (FNV-1a of 64 bits, mixed).
-pub fn key(name: &str) -> u32 {
+pub fn hash_name(name: &str) -> u32 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
-    mixed(hasher.finish()) as u32
+    mix(hasher.finish()) as u32
 }
 
 /// A pseudorandom number: the first of SplitMix64 from that seed.
-fn mixed(seed: u64) -> u64 {
+fn mix(seed: u64) -> u64 {
     SplitMix64::seed_from_u64(seed).next_u64()
 }
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use std::collections::BTreeSet;
-use subsetting::{key, order, reach};
+use subsetting::{hash_name, order_by_preference, subset_size};
 
 fn met(number: u32, group: u32, members: &[u32], first: usize) -> BTreeSet<u32> {
     let mut members = members.to_vec();
-    order(number, group, &mut members, |id| id);
+    order_by_preference(number, group, &mut members, |id| id);
     members.into_iter().take(first).collect()
 }
 
@@ -63,8 +63,8 @@
     ) {
         let (mut one, mut other) = (members.clone(), members.clone());
         other.rotate_left(turn.index(members.len()));
-        order(number, group, &mut one, |id| id);
-        order(number, group, &mut other, |id| id);
+        order_by_preference(number, group, &mut one, |id| id);
+        order_by_preference(number, group, &mut other, |id| id);
         prop_assert_eq!(&one, &other);
         prop_assert_eq!(one.into_iter().collect::<BTreeSet<_>>(), members.into_iter().collect::<BTreeSet<_>>());
     }
@@ -119,10 +119,10 @@
 #[test]
 fn half_are_met_and_keys_of_names_differ() {
     for members in 1..=200 {
-        assert!(2 * reach(members) >= members && reach(members) <= members.max(1));
+        assert!(2 * subset_size(members) >= members && subset_size(members) <= members.max(1));
     }
     let keys: BTreeSet<u32> = (0..10_000)
-        .map(|n| key(&format!("booking-db-{n}")))
+        .map(|n| hash_name(&format!("booking-db-{n}")))
         .collect();
     assert!(keys.len() >= 9_998, "{} keys of 10,000 names", keys.len());
 }
@@ -131,7 +131,7 @@
 #[test]
 fn numbers_and_orders_are_the_same_for_good() {
     assert_eq!(
-        ["", "replica-0", "shop/a-1"].map(key),
+        ["", "replica-0", "shop/a-1"].map(hash_name),
         [0x6ba4_ff30, 0xca81_287e, 0x430f_f1be]
     );
     for (number, group, expected) in [
@@ -139,7 +139,7 @@
         (6, 3, [0, 6, 1, 5, 7, 4, 2, 8, 3]),
     ] {
         let mut members: Vec<u32> = (0..9).collect();
-        order(number, group, &mut members, |id| id);
+        order_by_preference(number, group, &mut members, |id| id);
         assert_eq!(members, expected, "proxy {number}, group {group}");
     }
 }
--- a/crates/testbed/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -23,12 +23,12 @@
 /// The members that a proxy should meet before the others.
 fn subset(testbed: &Testbed, proxy: usize, group: u32) -> BTreeSet<ServerIndex> {
     let mut members = testbed.history.lock().site.members(group).to_vec();
-    subsetting::order(proxy as u32, group, &mut members, |server| {
-        subsetting::key(&discovery::name(server))
+    subsetting::order_by_preference(proxy as u32, group, &mut members, |server| {
+        subsetting::hash_name(&discovery::name(server))
     });
     members
         .into_iter()
-        .take(subsetting::reach(MEMBERS))
+        .take(subsetting::subset_size(MEMBERS))
         .collect()
 }
 
