--- a/crates/leverproxy/src/persistence/saved_state/error.rs
+++ b/crates/leverproxy/src/persistence/saved_state/error.rs
@@ -39,7 +39,7 @@
     pub(super) fn is_foreign(&self) -> bool {
         matches!(
             self,
-            PersistenceError::Unusable(_, SnapshotError::Foreign(_))
+            PersistenceError::Unusable(_, SnapshotError::WrongProxy(_))
         )
     }
 
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -212,17 +212,17 @@
         rows!(table, "leverproxy: `saved_state::PersistenceError`", leverproxy::persistence::saved_state::PersistenceError, [
             Lock => E::Lock(leverproxy::persistence::directory_lock::LockError::Io("DIRECTORY".into(), cause())),
             Read => E::Read("PATH".into(), cause()),
-            Unusable => E::Unusable("PATH".into(), persistent_state::SnapshotError::Torn),
+            Unusable => E::Unusable("PATH".into(), persistent_state::SnapshotError::Corrupt),
             Write => E::Write("PATH".into(), cause()),
             TooLong => E::TooLong(N as usize),
             WentBack => E::WentBack { kept: 2, given: 1 },
         ]);
         use persistent_state::SnapshotError as M;
         rows!(table, "persistent-state: `SnapshotError`", persistent_state::SnapshotError, [
-            NotOurs => M::NotOurs,
-            Form => M::Form(2),
-            Torn => M::Torn,
-            Foreign => M::Foreign(text("NAME")),
+            WrongMagic => M::WrongMagic,
+            UnsupportedVersion => M::UnsupportedVersion(2),
+            Corrupt => M::Corrupt,
+            WrongProxy => M::WrongProxy(text("NAME")),
         ]);
     }
     {
--- a/crates/persistent-state/src/file_format.rs
+++ b/crates/persistent-state/src/file_format.rs
@@ -53,29 +53,29 @@
 pub enum SnapshotError {
     /// The file is not of this format.
     #[error("it is not a memory of this program")]
-    NotOurs,
+    WrongMagic,
     /// The file has this version, and is not read by this build.
     #[error("it is of form {0}, and this build reads {VERSION}")]
-    Form(u8),
+    UnsupportedVersion(u8),
     /// The digest does not match: the file is incomplete or was changed.
     #[error("it is torn or was changed: its digest is not that of its contents")]
-    Torn,
+    Corrupt,
     /// The file is that of the proxy of this name.
     #[error("it is the memory of {0:?}")]
-    Foreign(String),
+    WrongProxy(String),
 }
 
 impl SnapshotError {
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            SnapshotError::NotOurs | SnapshotError::Torn => {
+            SnapshotError::WrongMagic | SnapshotError::Corrupt => {
                 "The proxy has started without it and writes it anew. Take out again by hand what was out; look after the disk if it comes again."
             }
-            SnapshotError::Form(_) => {
+            SnapshotError::UnsupportedVersion(_) => {
                 "Another build wrote it, and this one writes its own in its place. Take out again by hand what was out."
             }
-            SnapshotError::Foreign(_) => {
+            SnapshotError::WrongProxy(_) => {
                 "Give each proxy a directory of its own under `memory`. What was out by hand at this one has to be taken out again."
             }
         }
@@ -115,23 +115,25 @@
 
 /// Reads the file of the proxy of that name.
 pub(crate) fn decode(name: &str, bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
-    let rest = bytes.strip_prefix(&MAGIC).ok_or(SnapshotError::NotOurs)?;
-    let (version, rest) = rest.split_first().ok_or(SnapshotError::Torn)?;
+    let rest = bytes
+        .strip_prefix(&MAGIC)
+        .ok_or(SnapshotError::WrongMagic)?;
+    let (version, rest) = rest.split_first().ok_or(SnapshotError::Corrupt)?;
     if *version != VERSION {
-        return Err(SnapshotError::Form(*version));
+        return Err(SnapshotError::UnsupportedVersion(*version));
     }
     let (header, body) =
-        postcard::take_from_bytes::<Header<'_>>(rest).map_err(|_| SnapshotError::Torn)?;
+        postcard::take_from_bytes::<Header<'_>>(rest).map_err(|_| SnapshotError::Corrupt)?;
     if digest(header.name, body) != header.digest {
-        return Err(SnapshotError::Torn);
+        return Err(SnapshotError::Corrupt);
     }
     if header.name != name {
-        return Err(SnapshotError::Foreign(
+        return Err(SnapshotError::WrongProxy(
             header.name.chars().take(MAX_SHOWN_NAME).collect(),
         ));
     }
     match postcard::take_from_bytes(body) {
         Ok((snapshot, [])) => Ok(snapshot),
-        _ => Err(SnapshotError::Torn),
+        _ => Err(SnapshotError::Corrupt),
     }
 }
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -73,7 +73,7 @@
             let (recalled, found) = match recover("n0", disk.as_deref(), COLD_START) {
                 Ok(found) => found,
                 Err(fault) => {
-                    assert_eq!(fault, SnapshotError::Torn, "seed {seed}");
+                    assert_eq!(fault, SnapshotError::Corrupt, "seed {seed}");
                     torn_files += 1;
                     confirmed = 0;
                     Default::default()
@@ -371,17 +371,17 @@
     );
     assert_eq!(
         recover("n1", Some(&bytes), COLD_START),
-        Err(SnapshotError::Foreign("n0".into()))
+        Err(SnapshotError::WrongProxy("n0".into()))
     );
     assert_eq!(
         recover("n0", Some(b"LVPX"), COLD_START),
-        Err(SnapshotError::NotOurs)
+        Err(SnapshotError::WrongMagic)
     );
     let mut later = bytes.clone();
     later[4] = 2;
     assert_eq!(
         recover("n0", Some(&later), COLD_START),
-        Err(SnapshotError::Form(2))
+        Err(SnapshotError::UnsupportedVersion(2))
     );
     assert_eq!(
         recover("n0", None, COLD_START).unwrap().0,
