--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -432,8 +432,8 @@
         let incarnation = members.incarnation();
         let config = Config {
             lease: self.settings.lease,
-            step: self.settings.exchange_interval,
-            longest: self.settings.max_loan_time,
+            exchange_interval: self.settings.exchange_interval,
+            max_loan_time: self.settings.max_loan_time,
             ..Config::new(members.name(), incarnation, file_writer.is_some())
         };
         let lender = Lender::new(&config, self.since_start(now), file);
--- a/crates/proxy-experiments/src/member/mod.rs
+++ b/crates/proxy-experiments/src/member/mod.rs
@@ -57,7 +57,7 @@
     /// From now on it is one of a fleet. `file`: what a former life left.
     pub fn join(&mut self, now: Time, settings: FleetSettings, file: Option<Vec<u8>>) {
         let mut config = Config::new(&settings.names[settings.proxy], settings.start, true);
-        (config.longest, config.lease) = (settings.longest, settings.lease);
+        (config.max_loan_time, config.lease) = (settings.longest, settings.lease);
         let mut core = Lender::new(&config, now.0, file.as_deref());
         let mut out = Vec::new();
         core.handle(
--- a/crates/quota-lending/src/config.rs
+++ b/crates/quota-lending/src/config.rs
@@ -37,7 +37,7 @@
     };
 }
 
-/// Configuration of one proxy. Durations other than `step` must be the same on all proxies.
+/// Configuration of one proxy. Durations other than `exchange_interval` must be the same on all proxies.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of this proxy.
@@ -47,11 +47,11 @@
     /// Whether the host keeps a file.
     pub stored: bool,
     /// The longest that the term and write-off time of any rule come to together.
-    pub longest: Duration,
+    pub max_loan_time: Duration,
     /// How long an echoed heartbeat allows to lend.
     pub lease: Duration,
     /// Time from heartbeat to heartbeat.
-    pub step: Duration,
+    pub exchange_interval: Duration,
     /// Guards that are enabled.
     pub guards: Guards,
 }
@@ -63,9 +63,9 @@
             name: name.to_owned(),
             incarnation,
             stored,
-            longest: Duration::from_secs(120),
+            max_loan_time: Duration::from_secs(120),
             lease: Duration::from_secs(5),
-            step: Duration::from_secs(1),
+            exchange_interval: Duration::from_secs(1),
             guards: Guards::ALL,
         }
     }
--- a/crates/quota-lending/src/handle.rs
+++ b/crates/quota-lending/src/handle.rs
@@ -111,7 +111,7 @@
         }
         self.timer_token += 1;
         actions.push(Action::Timer {
-            after: self.step,
+            after: self.exchange_interval,
             token: self.timer_token,
         });
         self.step(now, actions);
--- a/crates/quota-lending/src/lender.rs
+++ b/crates/quota-lending/src/lender.rs
@@ -89,7 +89,7 @@
     pub(crate) number: u32,
     pub(crate) incarnation: u64,
     pub(crate) stored: bool,
-    pub(crate) step: Duration,
+    pub(crate) exchange_interval: Duration,
     pub(crate) lease: Duration,
     /// Without a new heartbeat for so long, all loans of an account are over.
     pub(crate) quarantine: Duration,
@@ -132,7 +132,7 @@
 
 /// The quarantine period: the longest loan, a tenth for clocks that run apart, and three leases for messages on their way.
 fn quarantine(config: &Config) -> Duration {
-    let longest_loan = config.longest + config.lease;
+    let longest_loan = config.max_loan_time + config.lease;
     longest_loan + longest_loan / 10 + config.lease * 3
 }
 
@@ -163,7 +163,7 @@
             number: name_number(&config.name),
             incarnation: config.incarnation,
             stored: config.stored,
-            step: config.step,
+            exchange_interval: config.exchange_interval,
             lease: config.lease,
             quarantine: quarantine(config),
             guards: config.guards,
--- a/crates/quota-lending/src/publish.rs
+++ b/crates/quota-lending/src/publish.rs
@@ -229,7 +229,7 @@
         published
             .last_at
             .saturating_sub(published.first_at)
-            .clamp(self.step.min(self.lease), self.lease)
+            .clamp(self.exchange_interval.min(self.lease), self.lease)
     }
 
     pub(crate) fn publish(
--- a/crates/quota-lending/src/rules.rs
+++ b/crates/quota-lending/src/rules.rs
@@ -75,11 +75,11 @@
 }
 
 impl Rules {
-    /// Checks the rules of tenants, by name; no loan may last longer than `longest`.
-    pub fn new(rules: Vec<(String, Rule)>, longest: Duration) -> Result<Self, RulesError> {
+    /// Checks the rules of tenants, by name; no loan may last longer than `max_loan_time`.
+    pub fn new(rules: Vec<(String, Rule)>, max_loan_time: Duration) -> Result<Self, RulesError> {
         let mut by_tenant: BTreeMap<u32, (String, Rule)> = BTreeMap::new();
         for (name, rule) in rules {
-            check(&name, &rule, longest)?;
+            check(&name, &rule, max_loan_time)?;
             if let Some((other, _)) = by_tenant.insert(name_number(&name), (name.clone(), rule)) {
                 return Err(RulesError::NameCollision(other, name));
             }
@@ -88,13 +88,13 @@
     }
 }
 
-fn check(name: &str, rule: &Rule, longest: Duration) -> Result<(), RulesError> {
+fn check(name: &str, rule: &Rule, max_loan_time: Duration) -> Result<(), RulesError> {
     if rule.term.is_zero() {
         return Err(RulesError::NoTerm(name.to_owned()));
     }
     let lasts = rule.term.checked_add(rule.write_off);
-    if lasts.is_none_or(|lasts| lasts > longest) {
-        return Err(RulesError::TooLong(name.to_owned(), longest));
+    if lasts.is_none_or(|lasts| lasts > max_loan_time) {
+        return Err(RulesError::TooLong(name.to_owned(), max_loan_time));
     }
     if rule.floor > FLOOR_MOST {
         return Err(RulesError::FloorTooHigh(name.to_owned(), rule.floor));
--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -168,9 +168,9 @@
         let start = 1_700_000_000_000 + self.sequence * 7;
         let local = self.nodes[at].clock.at(self.now);
         let mut config = Config::new(&self.nodes[at].name, start, self.stored);
-        config.longest = TERM + WRITE_OFF;
+        config.max_loan_time = TERM + WRITE_OFF;
         config.lease = Duration::from_secs(1);
-        config.step = STEP;
+        config.exchange_interval = STEP;
         config.guards = self.guards;
         if !keep_file {
             self.nodes[at].file = None;
@@ -495,13 +495,13 @@
     }
 
     fn check(&mut self) -> Result<(), String> {
-        let longest = TERM + WRITE_OFF;
+        let max_loan_time = TERM + WRITE_OFF;
         // What is owed, and what may be lent this moment besides.
         let (mut out, mut may) = (0, 0);
         for (at, node) in self.nodes.iter_mut().enumerate() {
             let local = node.clock.at(self.now);
             for loans in [&mut node.loans, &mut node.former] {
-                loans.retain(|(since, _)| local < *since + longest);
+                loans.retain(|(since, _)| local < *since + max_loan_time);
                 out += loans.iter().map(|(_, left)| left).sum::<u64>();
             }
             let Some(process) = &node.process else {
--- a/crates/quota-lending/tests/help.rs
+++ b/crates/quota-lending/tests/help.rs
@@ -35,10 +35,10 @@
 
 impl Fleet {
     fn new(reports_arrive: bool) -> Fleet {
-        let longest = Duration::from_secs(40);
+        let max_loan_time = Duration::from_secs(40);
         let lender = |n: u64| {
             let config = Config {
-                longest,
+                max_loan_time,
                 ..Config::new(&format!("n{n}"), 1_000 + n, false)
             };
             Lender::new(&config, Duration::ZERO, None)
@@ -64,7 +64,7 @@
             classes: vec!["any".into()],
             rate_most: 1 << 40,
         };
-        let rules = Rules::new(vec![(TENANT.into(), rule)], longest).unwrap();
+        let rules = Rules::new(vec![(TENANT.into(), rule)], max_loan_time).unwrap();
         (0..3).for_each(|at| fleet.event(at, Event::Rules(rules.clone())));
         fleet.until(80);
         assert!(fleet.lenders.iter().all(Lender::is_bootstrapped));
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -68,7 +68,7 @@
 impl Three {
     fn lender(&self, at: usize, start: u64, now: Duration, file: Option<&[u8]>) -> Lender {
         let mut config = Config::new(NAMES[at], start, true);
-        (config.longest, config.lease, config.step) =
+        (config.max_loan_time, config.lease, config.exchange_interval) =
             (Duration::from_millis(900), TICK + TICK / 2, TICK);
         config.lease += if self.gifts { TICK } else { Duration::ZERO };
         config.guards = self.guards;
@@ -82,7 +82,7 @@
             classes: vec!["any".into()],
             rate_most: 1 << 40,
         };
-        let rules = Rules::new(vec![("s".into(), rule)], config.longest).expect("sound");
+        let rules = Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("sound");
         lender.handle(now, Event::Rules(rules), &mut Vec::new());
         lender
     }
@@ -169,8 +169,8 @@
             }
         }
         for (at, proxy) in state.proxies.iter_mut().enumerate() {
-            let longest = Duration::from_millis(900);
-            proxy.loans.retain(|since| now < *since + longest);
+            let max_loan_time = Duration::from_millis(900);
+            proxy.loans.retain(|since| now < *since + max_loan_time);
             if busy.is_some_and(|busy| busy != at) {
                 continue;
             }
