--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -10,7 +10,7 @@
 use membership::{Fact, GuardedOperation, Status};
 use quota_lending::{
     Action, Config, Decision, Event, Lender, Member, MilliRequests, Rule, Rules, Shortage,
-    SHORTAGE_LASTS,
+    SHORTAGE_DURATION,
 };
 
 use crate::clock;
@@ -331,11 +331,11 @@
         let own = self.shortage.is_in_shortage(self.since_start(now));
         let is_due = self
             .shortage_published
-            .is_none_or(|at| now.saturating_duration_since(at) >= SHORTAGE_LASTS / 2);
+            .is_none_or(|at| now.saturating_duration_since(at) >= SHORTAGE_DURATION / 2);
         if own && is_due {
             self.shortage_published = Some(now);
             let body = vec![SHORTAGE_VERSION];
-            members.publish(SHORTAGE_KIND, Vec::new(), body, SHORTAGE_LASTS, now);
+            members.publish(SHORTAGE_KIND, Vec::new(), body, SHORTAGE_DURATION, now);
         }
         let is_of_other =
             |fact: &Fact| fact.source != members.name() && fact.body == [SHORTAGE_VERSION];
@@ -512,6 +512,6 @@
         write_off: credit.write_off,
         floor: credit.floor,
         classes: credit.classes.clone(),
-        rate_most: credit.rate.saturating_mul(REQUEST_COST),
+        max_rate: credit.rate.saturating_mul(REQUEST_COST),
     }
 }
--- a/crates/leverproxy/src/cluster/quota_lending/figures.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/figures.rs
@@ -77,7 +77,7 @@
     }
 
     fn write_line(&self, text: &mut String, tenant: &str, totals: &LoanTotals, now: Instant) {
-        let lease = totals.lends_until.saturating_sub(self.since_start(now));
+        let lease = totals.lease_until.saturating_sub(self.since_start(now));
         let in_default = if totals.in_default {
             ", in default"
         } else {
--- a/crates/proxy-experiments/src/member/fleet.rs
+++ b/crates/proxy-experiments/src/member/fleet.rs
@@ -3,7 +3,9 @@
 use super::counts::TenantCounts;
 use super::messages::{Envelope, FleetSettings, Message};
 use quota::{OtherProxies, QuotaMeter};
-use quota_lending::{Action as LendingAction, Decision, Lender, Notice, Shortage, SHORTAGE_LASTS};
+use quota_lending::{
+    Action as LendingAction, Decision, Lender, Notice, Shortage, SHORTAGE_DURATION,
+};
 use routing::{Arrival, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -131,7 +133,7 @@
             Message::Rates(rates) if is_newer => peer.rates.clone_from(rates),
             Message::Rates(_) => {}
             Message::CapacityShortage => {
-                self.short = self.short.max(envelope.sent_at.plus(SHORTAGE_LASTS))
+                self.short = self.short.max(envelope.sent_at.plus(SHORTAGE_DURATION))
             }
             Message::LoanFact { kind, key, body } => {
                 let source = self.settings.names[envelope.sender].clone();
--- a/crates/proxy-experiments/src/play/fleet.rs
+++ b/crates/proxy-experiments/src/play/fleet.rs
@@ -67,7 +67,7 @@
             .iter()
             .filter_map(|at| classes.get(*at).cloned())
             .collect(),
-        rate_most: credit.rate * 1000,
+        max_rate: credit.rate * 1000,
     }
 }
 
--- a/crates/proxy-experiments/tests/borrowing.rs
+++ b/crates/proxy-experiments/tests/borrowing.rs
@@ -80,7 +80,7 @@
         write_off: WRITE_OFF,
         floor: 500,
         classes: classes.clone(),
-        rate_most: 1 << 40,
+        max_rate: 1 << 40,
     };
     let longest = TERM + WRITE_OFF;
     let rules = Rules::new(vec![(clients.tenants[STAND].name.clone(), rule)], longest).unwrap();
--- a/crates/quota-lending/src/lend.rs
+++ b/crates/quota-lending/src/lend.rs
@@ -21,7 +21,7 @@
 /// The own part of a rule's rate, at least one request's cost.
 fn local_rate(rule: &Rule, shares: u64, cost: MilliRequests) -> MilliRequests {
     let part = (shares << RATE_SHARE_BITS) / TOTAL_SHARES;
-    (rule.rate_most.saturating_mul(part) >> RATE_SHARE_BITS).max(cost)
+    (rule.max_rate.saturating_mul(part) >> RATE_SHARE_BITS).max(cost)
 }
 
 impl Lender {
--- a/crates/quota-lending/src/lib.rs
+++ b/crates/quota-lending/src/lib.rs
@@ -62,5 +62,5 @@
 pub use crate::loans::LoanTotals;
 pub use crate::notice::{IgnoreReason, Notice};
 pub use crate::rules::{MilliRequests, Rule, Rules, RulesError};
-pub use crate::shortage::{Shortage, SHORTAGE_LASTS};
+pub use crate::shortage::{Shortage, SHORTAGE_DURATION};
 pub use crate::stored_state::{BadFile, Store, StoreError};
--- a/crates/quota-lending/src/loans.rs
+++ b/crates/quota-lending/src/loans.rs
@@ -28,7 +28,7 @@
     /// Whether something is owed after its term.
     pub in_default: bool,
     /// End of the lease: without a new echo nothing is lent from then on.
-    pub lends_until: Duration,
+    pub lease_until: Duration,
 }
 
 /// Loans made about the same time. Due by the first of them and written off by the last, so that no loan is repaid late or
--- a/crates/quota-lending/src/report.rs
+++ b/crates/quota-lending/src/report.rs
@@ -23,7 +23,7 @@
             local_limit: known.local_limit,
             taken_over: balances.map_or(0, |balances| balances.taken_over),
             in_default: known.loans.in_default(now, term),
-            lends_until: self.lease_until,
+            lease_until: self.lease_until,
         })
     }
 
--- a/crates/quota-lending/src/rules.rs
+++ b/crates/quota-lending/src/rules.rs
@@ -29,7 +29,7 @@
     /// Classes of requests that are lent to.
     pub classes: Vec<String>,
     /// The most that all proxies together lend in a second.
-    pub rate_most: MilliRequests,
+    pub max_rate: MilliRequests,
 }
 
 impl Rule {
--- a/crates/quota-lending/src/shortage.rs
+++ b/crates/quota-lending/src/shortage.rs
@@ -9,7 +9,7 @@
 const WINDOW: Duration = Duration::from_millis(500);
 /// A shortage lasts so long after the last window that showed it. Traffic of tenants within quota comes in waves: without this
 /// each wave would meet loans made since the last one.
-pub const SHORTAGE_LASTS: Duration = Duration::from_secs(2);
+pub const SHORTAGE_DURATION: Duration = Duration::from_secs(2);
 /// A shortage that returns within so many times its duration lasts twice as long, up to [`LASTS_MOST`]. Where loans themselves
 /// take the capacity, lending would otherwise start and stop all the time.
 const RETURNS_WITHIN: u32 = 4;
@@ -45,7 +45,7 @@
             ended: 0,
             rejected: 0,
             until: Duration::ZERO,
-            lasts: SHORTAGE_LASTS,
+            lasts: SHORTAGE_DURATION,
         }
     }
 
@@ -71,7 +71,7 @@
             self.lasts = if returned {
                 (self.lasts * 2).min(LASTS_MOST)
             } else {
-                SHORTAGE_LASTS
+                SHORTAGE_DURATION
             };
         }
         self.until = now + self.lasts;
--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -151,7 +151,7 @@
             floor: 500,
             write_off: WRITE_OFF,
             classes: vec!["normal".into()],
-            rate_most: 1 << 40,
+            max_rate: 1 << 40,
         };
         Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
     }
@@ -514,7 +514,7 @@
                         node.name, self.now
                     ));
                 }
-                if local < book.lends_until {
+                if local < book.lease_until {
                     may += book.local_limit.saturating_sub(book.owed);
                 }
             }
--- a/crates/quota-lending/tests/help.rs
+++ b/crates/quota-lending/tests/help.rs
@@ -62,7 +62,7 @@
             write_off: Duration::from_secs(10),
             floor: 500,
             classes: vec!["any".into()],
-            rate_most: 1 << 40,
+            max_rate: 1 << 40,
         };
         let rules = Rules::new(vec![(TENANT.into(), rule)], max_loan_time).unwrap();
         (0..3).for_each(|at| fleet.event(at, Event::Rules(rules.clone())));
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -80,7 +80,7 @@
             write_off: Duration::from_millis(400),
             floor: 500,
             classes: vec!["any".into()],
-            rate_most: 1 << 40,
+            max_rate: 1 << 40,
         };
         let rules = Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("sound");
         lender.handle(now, Event::Rules(rules), &mut Vec::new());
@@ -308,7 +308,7 @@
                     .iter()
                     .filter_map(|proxy| proxy.lender.as_ref());
                 let books = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
-                let lends = books.filter(|book| state.now < book.lends_until);
+                let lends = books.filter(|book| state.now < book.lease_until);
                 out + lends
                     .map(|book| book.local_limit.saturating_sub(book.owed))
                     .sum::<u64>()
--- a/fuzz/fuzz_targets/lending.rs
+++ b/fuzz/fuzz_targets/lending.rs
@@ -66,7 +66,7 @@
         write_off: Duration::from_secs(10),
         floor: 100,
         classes: vec!["class".into()],
-        rate_most: 10_000,
+        max_rate: 10_000,
     };
     let rules = Rules::new(vec![(TENANT.into(), rule)], Duration::from_secs(120))
         .expect("the rule is sound");
