--- a/crates/quota-lending/src/config.rs
+++ b/crates/quota-lending/src/config.rs
@@ -45,7 +45,7 @@
     /// Incarnation of this process: greater than that of any former process of the name.
     pub incarnation: u64,
     /// Whether the host keeps a file.
-    pub stored: bool,
+    pub has_state_file: bool,
     /// The longest that the term and write-off time of any rule come to together.
     pub max_loan_time: Duration,
     /// How long an echoed heartbeat allows to lend.
@@ -58,11 +58,11 @@
 
 impl Config {
     /// The defaults, with all guards.
-    pub fn new(name: &str, incarnation: u64, stored: bool) -> Self {
+    pub fn new(name: &str, incarnation: u64, has_state_file: bool) -> Self {
         Self {
             name: name.to_owned(),
             incarnation,
-            stored,
+            has_state_file,
             max_loan_time: Duration::from_secs(120),
             lease: Duration::from_secs(5),
             exchange_interval: Duration::from_secs(1),
--- a/crates/quota-lending/src/event.rs
+++ b/crates/quota-lending/src/event.rs
@@ -72,7 +72,7 @@
         /// The encoded message.
         body: Vec<u8>,
         /// How long it is valid.
-        lasts: Duration,
+        ttl: Duration,
     },
     /// Write the file; report [`Event::Saved`] with the sequence number once the bytes are durable.
     Save {
--- a/crates/quota-lending/src/handle.rs
+++ b/crates/quota-lending/src/handle.rs
@@ -144,8 +144,8 @@
 
     fn forget_expired(&mut self, now: Duration) {
         self.claims.retain(|_, until| *until > now);
-        let lasts = self.messages_last();
+        let ttl = self.message_ttl();
         self.published
-            .retain(|_, published| now < published.last_at + lasts);
+            .retain(|_, published| now < published.last_at + ttl);
     }
 }
--- a/crates/quota-lending/src/lend.rs
+++ b/crates/quota-lending/src/lend.rs
@@ -123,7 +123,7 @@
 
     /// What the durable state has as lent.
     fn reserved(&self, tenant: u32) -> MilliRequests {
-        if !self.stored {
+        if !self.has_state_file {
             return MilliRequests::MAX;
         }
         self.durable
@@ -211,7 +211,7 @@
         if !totals.is_empty() {
             let report = encode(&RepaymentReport { sender, totals });
             let kind = messages::REPAYMENT_REPORT;
-            self.publish(kind, vec![], report, self.messages_last(), actions);
+            self.publish(kind, vec![], report, self.message_ttl(), actions);
         }
     }
 
--- a/crates/quota-lending/src/lender.rs
+++ b/crates/quota-lending/src/lender.rs
@@ -88,7 +88,7 @@
     pub(crate) name: String,
     pub(crate) number: u32,
     pub(crate) incarnation: u64,
-    pub(crate) stored: bool,
+    pub(crate) has_state_file: bool,
     pub(crate) exchange_interval: Duration,
     pub(crate) lease: Duration,
     /// Without a new heartbeat for so long, all loans of an account are over.
@@ -162,7 +162,7 @@
             name: config.name.clone(),
             number: name_number(&config.name),
             incarnation: config.incarnation,
-            stored: config.stored,
+            has_state_file: config.has_state_file,
             exchange_interval: config.exchange_interval,
             lease: config.lease,
             quarantine: quarantine(config),
@@ -226,7 +226,7 @@
     }
 
     /// How long messages of the own account are valid.
-    pub(crate) fn messages_last(&self) -> Duration {
+    pub(crate) fn message_ttl(&self) -> Duration {
         self.lease * MESSAGE_LEASES
     }
 
--- a/crates/quota-lending/src/publish.rs
+++ b/crates/quota-lending/src/publish.rs
@@ -38,7 +38,7 @@
         }
         self.unsaved_changes = false;
         self.copy_loans_to_state();
-        if !self.stored {
+        if !self.has_state_file {
             self.durable = self.state.clone();
             self.publish_state(now, actions);
             return;
@@ -93,9 +93,9 @@
         messages.extend(self.witness_messages(sender));
         messages.extend(self.vote_messages(now, sender));
         messages.push(self.bootstrap_message(sender));
-        let lasts = self.messages_last();
+        let ttl = self.message_ttl();
         for message in messages {
-            self.publish_if_due(now, message, lasts, actions);
+            self.publish_if_due(now, message, ttl, actions);
         }
     }
 
@@ -200,7 +200,7 @@
         &mut self,
         now: Duration,
         message: Outgoing,
-        lasts: Duration,
+        ttl: Duration,
         actions: &mut Vec<Action>,
     ) {
         let Outgoing { kind, key, body } = message;
@@ -222,7 +222,7 @@
             };
             self.published.insert(id, published);
         }
-        self.publish(kind, key, body, lasts, actions);
+        self.publish(kind, key, body, ttl, actions);
     }
 
     fn repetition_interval(&self, published: &Published) -> Duration {
@@ -237,7 +237,7 @@
         kind: u8,
         key: Vec<u8>,
         body: Option<Vec<u8>>,
-        lasts: Duration,
+        ttl: Duration,
         actions: &mut Vec<Action>,
     ) {
         actions.push(match body {
@@ -245,7 +245,7 @@
                 kind,
                 key,
                 body,
-                lasts,
+                ttl,
             },
             None => Action::Notice(Notice::MessageTooLong(kind)),
         });
--- a/crates/quota-lending/src/takeover.rs
+++ b/crates/quota-lending/src/takeover.rs
@@ -53,7 +53,7 @@
             messages::CLAIM,
             account_key(account),
             encode(&claim),
-            self.messages_last(),
+            self.message_ttl(),
             actions,
         );
         if self.take_over(account) {
--- a/crates/quota-lending/src/witness.rs
+++ b/crates/quota-lending/src/witness.rs
@@ -30,7 +30,7 @@
         if !self.make_room_for(now, account) {
             return Ok(());
         }
-        let limit_valid_until = now + self.messages_last().saturating_sub(age);
+        let limit_valid_until = now + self.message_ttl().saturating_sub(age);
         let known = self.accounts.entry(account).or_default();
         if !known.balances.contains_key(&tenant) && known.balances.len() >= TENANTS {
             return Ok(());
--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -21,7 +21,7 @@
     sequence: u64,
     body: Vec<u8>,
     at: Duration,
-    lasts: Duration,
+    ttl: Duration,
 }
 
 type Key = (usize, u8, Vec<u8>);
@@ -82,7 +82,7 @@
     nodes: Vec<Node>,
     side: Vec<u8>,
     drops: u32,
-    stored: bool,
+    has_state_file: bool,
     guards: Guards,
     sequence: u64,
     quota: Vec<u64>,
@@ -103,7 +103,7 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, members: usize, stored: bool, guards: Guards) -> Self {
+    pub fn new(seed: u64, members: usize, has_state_file: bool, guards: Guards) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let node = |at: usize| Node {
             name: format!("proxy-{at}"),
@@ -125,7 +125,7 @@
             nodes,
             side: vec![0; members],
             drops: 0,
-            stored,
+            has_state_file,
             guards,
             sequence: 1,
             quota: vec![members as u64 * 4000; members],
@@ -167,7 +167,7 @@
         self.sequence += 1;
         let start = 1_700_000_000_000 + self.sequence * 7;
         let local = self.nodes[at].clock.at(self.now);
-        let mut config = Config::new(&self.nodes[at].name, start, self.stored);
+        let mut config = Config::new(&self.nodes[at].name, start, self.has_state_file);
         config.max_loan_time = TERM + WRITE_OFF;
         config.lease = Duration::from_secs(1);
         config.exchange_interval = STEP;
@@ -217,7 +217,7 @@
                     kind,
                     key,
                     body,
-                    lasts,
+                    ttl,
                 } => {
                     assert!(body.len() <= 512 && key.len() <= 32, "a fact is too long");
                     self.sequence += 1;
@@ -229,7 +229,7 @@
                         sequence: self.sequence,
                         body,
                         at: self.now,
-                        lasts,
+                        ttl,
                     };
                     let versions = node.said.entry((at, kind, key)).or_default();
                     versions.push_back(said);
@@ -318,7 +318,7 @@
             } else {
                 versions.next()
             };
-            let Some(said) = said.filter(|said| self.now < said.at + said.lasts).cloned() else {
+            let Some(said) = said.filter(|said| self.now < said.at + said.ttl).cloned() else {
                 continue;
             };
             let version = (said.start, said.sequence);
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -94,10 +94,10 @@
                     kind,
                     key,
                     body,
-                    lasts,
+                    ttl,
                 } => {
                     let start = proxy.lender.as_ref().map_or(0, |(_, start)| *start);
-                    proxy.said.insert((kind, key), (start, body, now, lasts));
+                    proxy.said.insert((kind, key), (start, body, now, ttl));
                 }
                 Action::Save { sequence, bytes } => {
                     proxy.file = Some(bytes);
@@ -153,8 +153,8 @@
                 continue;
             }
             let said = state.proxies[from].said.clone();
-            for ((kind, key), (start, body, at, lasts)) in said {
-                if now < at + lasts {
+            for ((kind, key), (start, body, at, ttl)) in said {
+                if now < at + ttl {
                     let (source, age) = (NAMES[from], now - at);
                     let fact = Event::Message {
                         source,
