--- a/crates/bulkheads/src/pool.rs
+++ b/crates/bulkheads/src/pool.rs
@@ -31,7 +31,7 @@
     /// Its name.
     pub name: String,
     /// Most requests in flight.
-    pub requests: Option<u32>,
+    pub max_in_flight: Option<u32>,
     /// Bound on the rate.
     pub rate: Option<Rate>,
     /// The part of both bounds that a priority leaves to the next higher one.
@@ -131,8 +131,9 @@
             self.counts.in_flight += 1;
             return Admission::Admitted;
         };
-        let (requests, rate, reserve) = (settings.requests, settings.rate, settings.reserve);
-        if let Some(bound) = requests {
+        let (max_in_flight, rate, reserve) =
+            (settings.max_in_flight, settings.rate, settings.reserve);
+        if let Some(bound) = max_in_flight {
             let open = open_to(bound, reserve, priority);
             if self.counts.in_flight >= open {
                 return self.reject_for_concurrency(open);
--- a/crates/bulkheads/src/tests.rs
+++ b/crates/bulkheads/src/tests.rs
@@ -5,11 +5,11 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn pool(requests: Option<u32>, rate: Option<Rate>) -> (Bulkheads, PoolId) {
+fn pool(max_in_flight: Option<u32>, rate: Option<Rate>) -> (Bulkheads, PoolId) {
     let mut bulkheads = Bulkheads::default();
     let settings = Settings {
         name: "p".into(),
-        requests,
+        max_in_flight,
         rate,
         reserve: 0.1,
         retry_after: None,
@@ -109,7 +109,7 @@
     assert!(is_admitted(all.admit(id, Priority::High, Time::ZERO)));
     let settings = |name: &str, n| Settings {
         name: name.into(),
-        requests: Some(n),
+        max_in_flight: Some(n),
         rate: None,
         reserve: 0.0,
         retry_after: None,
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -222,7 +222,7 @@
     pub fn give_back(&mut self, tenant: &str) {
         if let Some(running) = &mut self.running {
             self.given_back += 1;
-            running.lender.give_back(tenant, REQUEST_COST);
+            running.lender.cancel_loan(tenant, REQUEST_COST);
         }
     }
 
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -200,7 +200,7 @@
 fn pool(pool: &configuration::model::Pool) -> Pool {
     Pool {
         name: pool.name.clone(),
-        requests: pool.requests,
+        max_in_flight: pool.requests,
         rate: pool.rate.map(|rate| Rate {
             // A rate of more than one a nanosecond is no limit.
             interval: rate.interval().max(Duration::from_nanos(1)),
--- a/crates/proxy-experiments/src/member/mod.rs
+++ b/crates/proxy-experiments/src/member/mod.rs
@@ -153,7 +153,7 @@
             QuotaStatus::Borrowed => {
                 stand.returned += fleet
                     .core
-                    .give_back(&fleet.settings.tenants[tenant], ONE_REQUEST)
+                    .cancel_loan(&fleet.settings.tenants[tenant], ONE_REQUEST)
             }
             QuotaStatus::OverQuota => stand.over_quota_rejected += u64::from(rejected),
             QuotaStatus::WithinQuota if rejected => {
--- a/crates/quota-lending/src/lend.rs
+++ b/crates/quota-lending/src/lend.rs
@@ -185,7 +185,7 @@
     }
 
     /// Takes back a loan that was not used. Returns how much of it was still owed.
-    pub fn give_back(&mut self, tenant: &str, amount: MilliRequests) -> MilliRequests {
+    pub fn cancel_loan(&mut self, tenant: &str, amount: MilliRequests) -> MilliRequests {
         self.book_repayment(name_number(tenant), amount)
     }
 
