--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -21,7 +21,7 @@
     sequence: u64,
     body: Vec<u8>,
     at: Duration,
-    lasts: Duration,
+    ttl: Duration,
 }
 
 type Key = (usize, u8, Vec<u8>);
@@ -82,7 +82,7 @@
     nodes: Vec<Node>,
     side: Vec<u8>,
     drops: u32,
-    stored: bool,
+    has_state_file: bool,
     guards: Guards,
     sequence: u64,
     quota: Vec<u64>,
@@ -103,7 +103,7 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, members: usize, stored: bool, guards: Guards) -> Self {
+    pub fn new(seed: u64, members: usize, has_state_file: bool, guards: Guards) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let node = |at: usize| Node {
             name: format!("proxy-{at}"),
@@ -125,7 +125,7 @@
             nodes,
             side: vec![0; members],
             drops: 0,
-            stored,
+            has_state_file,
             guards,
             sequence: 1,
             quota: vec![members as u64 * 4000; members],
@@ -151,7 +151,7 @@
             floor: 500,
             write_off: WRITE_OFF,
             classes: vec!["normal".into()],
-            rate_most: 1 << 40,
+            max_rate: 1 << 40,
         };
         Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
     }
@@ -167,10 +167,10 @@
         self.sequence += 1;
         let start = 1_700_000_000_000 + self.sequence * 7;
         let local = self.nodes[at].clock.at(self.now);
-        let mut config = Config::new(&self.nodes[at].name, start, self.stored);
-        config.longest = TERM + WRITE_OFF;
+        let mut config = Config::new(&self.nodes[at].name, start, self.has_state_file);
+        config.max_loan_time = TERM + WRITE_OFF;
         config.lease = Duration::from_secs(1);
-        config.step = STEP;
+        config.exchange_interval = STEP;
         config.guards = self.guards;
         if !keep_file {
             self.nodes[at].file = None;
@@ -217,7 +217,7 @@
                     kind,
                     key,
                     body,
-                    lasts,
+                    ttl,
                 } => {
                     assert!(body.len() <= 512 && key.len() <= 32, "a fact is too long");
                     self.sequence += 1;
@@ -229,7 +229,7 @@
                         sequence: self.sequence,
                         body,
                         at: self.now,
-                        lasts,
+                        ttl,
                     };
                     let versions = node.said.entry((at, kind, key)).or_default();
                     versions.push_back(said);
@@ -318,7 +318,7 @@
             } else {
                 versions.next()
             };
-            let Some(said) = said.filter(|said| self.now < said.at + said.lasts).cloned() else {
+            let Some(said) = said.filter(|said| self.now < said.at + said.ttl).cloned() else {
                 continue;
             };
             let version = (said.start, said.sequence);
@@ -495,13 +495,13 @@
     }
 
     fn check(&mut self) -> Result<(), String> {
-        let longest = TERM + WRITE_OFF;
+        let max_loan_time = TERM + WRITE_OFF;
         // What is owed, and what may be lent this moment besides.
         let (mut out, mut may) = (0, 0);
         for (at, node) in self.nodes.iter_mut().enumerate() {
             let local = node.clock.at(self.now);
             for loans in [&mut node.loans, &mut node.former] {
-                loans.retain(|(since, _)| local < *since + longest);
+                loans.retain(|(since, _)| local < *since + max_loan_time);
                 out += loans.iter().map(|(_, left)| left).sum::<u64>();
             }
             let Some(process) = &node.process else {
@@ -514,7 +514,7 @@
                         node.name, self.now
                     ));
                 }
-                if local < book.lends_until {
+                if local < book.lease_until {
                     may += book.local_limit.saturating_sub(book.owed);
                 }
             }
