--- a/crates/leverproxy/src/cli/serve.rs
+++ b/crates/leverproxy/src/cli/serve.rs
@@ -61,7 +61,7 @@
     };
     start.finish();
     let served = proxy
-        .reread_with(move |operators_file| {
+        .set_configuration_source(move |operators_file| {
             // A candidate of a rollout stands in for the operators' file.
             let with_candidate = |name: &str| match operators_file {
                 Some(path) if name == "LB_OPERATORS" => Some(path.display().to_string()),
--- a/crates/leverproxy/src/control/commands.rs
+++ b/crates/leverproxy/src/control/commands.rs
@@ -45,7 +45,7 @@
         self.send(&self.pending.report);
     }
 
-    /// Makes the proxy read its configuration again (see `Proxy::reread_with`).
+    /// Makes the proxy read its configuration again (see `Proxy::set_configuration_source`).
     pub fn reload(&self) {
         self.send(&self.pending.reload);
     }
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -153,7 +153,7 @@
     }
 
     /// Number of names that no other request may have.
-    pub fn reserved_names(&self) -> usize {
+    pub fn reserved_client_request_ids(&self) -> usize {
         self.names.len()
     }
 
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -2,7 +2,7 @@
 
 use super::admit::OpenRequest;
 use crate::event_loop::timers::deadline_after;
-use crate::request::{Purpose, Question};
+use crate::request::{Purpose, UpstreamQuery};
 use crate::upstream::Exchange;
 use routing::RequestId;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
         purpose: Purpose::Attempt(id, open.next_attempt()),
         class: Some(open.class),
         group: Some(open.group),
-        question: Question::Command(Arc::clone(&open.command)),
+        query: UpstreamQuery::Command(Arc::clone(&open.command)),
         started: now,
         deadline: deadline_after(now, timeout),
         write_deadline: deadline_after(now, begin_within.min(timeout)),
@@ -34,7 +34,7 @@
         purpose: Purpose::Probe,
         class: None,
         group: None,
-        question: Question::Load,
+        query: UpstreamQuery::Load,
         started: now,
         deadline: deadline_after(now, timeout),
         write_deadline: deadline_after(now, timeout),
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -4,7 +4,7 @@
     error_field, parse_message, parse_text, put, sqlstate, Malformed, Message, FRAME_SLACK,
     RESPONSE_LIMIT, VALUE_LIMIT,
 };
-use crate::request::{ExchangeOutcome, Question};
+use crate::request::{ExchangeOutcome, UpstreamQuery};
 use routing::{ResponseMetadata, Time};
 use std::time::Duration;
 
@@ -25,18 +25,18 @@
     super::server::startup_packet(USER, DATABASE)
 }
 
-/// The query message for a question, with the time that its client still waits. A command is relayed as it came, but for
+/// The query message for `query`, with the time that its client still waits. A command is relayed as it came, but for
 /// that time.
-pub fn query(question: &Question, time_left: Duration) -> Vec<u8> {
+pub fn query(query: &UpstreamQuery, time_left: Duration) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'Q', |body| {
-        match question {
-            Question::Command(command) => {
+        match query {
+            UpstreamQuery::Command(command) => {
                 body.extend_from_slice(&command.before_time_left);
                 body.extend_from_slice(time_left.as_millis().max(1).to_string().as_bytes());
                 body.extend_from_slice(&command.after_time_left);
             }
-            Question::Load => body.extend_from_slice(b"SHOW load"),
+            UpstreamQuery::Load => body.extend_from_slice(b"SHOW load"),
         }
         body.push(0);
     });
@@ -248,15 +248,15 @@
     }
 
     /// The outcome of a response that is complete or has an error.
-    pub fn outcome(self, question: &Question) -> (ExchangeOutcome, ResponseMetadata) {
-        let outcome = match (self.error_code.as_deref(), question) {
+    pub fn outcome(self, query: &UpstreamQuery) -> (ExchangeOutcome, ResponseMetadata) {
+        let outcome = match (self.error_code.as_deref(), query) {
             (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
                 ExchangeOutcome::Misdirected
             }
             (Some(_), _) if self.is_rejected() => ExchangeOutcome::Rejected,
             (Some(_), _) => ExchangeOutcome::Failed,
-            (None, Question::Command(_)) => ExchangeOutcome::Served(self.relayed),
-            (None, Question::Load) => ExchangeOutcome::Reported(
+            (None, UpstreamQuery::Command(_)) => ExchangeOutcome::Served(self.relayed),
+            (None, UpstreamQuery::Load) => ExchangeOutcome::Reported(
                 first_value(&self.relayed)
                     .and_then(load_fields)
                     .unwrap_or_default(),
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// The descriptor that wakes the event loop can't be duplicated.
-    pub fn reread_with(
+    pub fn set_configuration_source(
         &mut self,
         reread: impl FnMut(Option<&Path>) -> Result<Config, ConfigError> + Send + 'static,
     ) -> io::Result<()> {
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -95,7 +95,7 @@
 
 /// What a record server is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Question {
+pub enum UpstreamQuery {
     /// A client's command.
     Command(Arc<Command>),
     /// Its load report.
--- a/crates/leverproxy/src/upstream/exchange.rs
+++ b/crates/leverproxy/src/upstream/exchange.rs
@@ -1,6 +1,6 @@
 //! One request to a record server and its response.
 
-use crate::request::{CompletedExchange, ExchangeOutcome, Purpose, Question};
+use crate::request::{CompletedExchange, ExchangeOutcome, Purpose, UpstreamQuery};
 use routing::{ClassId, GroupId, ResponseMetadata, ServerId};
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
     /// The request's group; a probe has none.
     pub group: Option<GroupId>,
     /// What the server is asked.
-    pub question: Question,
+    pub query: UpstreamQuery,
     /// When the exchange was started.
     pub started: Instant,
     /// Nobody waits for the response after this.
--- a/crates/leverproxy/src/upstream/transfer.rs
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -35,7 +35,7 @@
         let time_left = exchange.deadline.saturating_duration_since(now);
         connection
             .stream
-            .push(&client::query(&exchange.question, time_left));
+            .push(&client::query(&exchange.query, time_left));
         connection.deadline = exchange
             .write_deadline
             .min(deadline_after(now, WRITE_STALL));
@@ -274,7 +274,7 @@
         let ActiveExchange {
             exchange, reader, ..
         } = active;
-        let (outcome, metadata) = reader.outcome(&exchange.question);
+        let (outcome, metadata) = reader.outcome(&exchange.query);
         let completed = exchange.completed(server, outcome, metadata, now);
         self.completed.push_back(completed);
     }
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -5,7 +5,7 @@
 use common::{Listener, Peer, PATIENCE};
 use leverproxy::event_loop::reactor::Reactor;
 use leverproxy::event_loop::token::Token;
-use leverproxy::request::{Command, CompletedExchange, ExchangeOutcome, Purpose, Question};
+use leverproxy::request::{Command, CompletedExchange, ExchangeOutcome, Purpose, UpstreamQuery};
 use leverproxy::upstream::{Exchange, Upstream, UpstreamTimer};
 use routing::{AttemptNo, RequestId, ServerId};
 use std::sync::Arc;
@@ -51,7 +51,7 @@
             purpose: Purpose::Attempt(RequestId(id), AttemptNo(0)),
             class: None,
             group: None,
-            question: Question::Command(Arc::new(command)),
+            query: UpstreamQuery::Command(Arc::new(command)),
             started: self.begun,
             deadline: self.at(waits),
             write_deadline: self.at(begins),
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/stories.rs
@@ -5,7 +5,7 @@
 use leverproxy::config::Config;
 use leverproxy::event_loop::reactor::Reactor;
 use leverproxy::event_loop::token::Token;
-use leverproxy::request::{ExchangeOutcome, Purpose, Question};
+use leverproxy::request::{ExchangeOutcome, Purpose, UpstreamQuery};
 use leverproxy::upstream::{Exchange, Upstream};
 use routing::{AttemptNo, RequestId, ServerId};
 use rustix::process::Signal;
@@ -576,13 +576,13 @@
     let exchanges = 40;
     for no in 0..exchanges {
         let purpose = Purpose::Attempt(RequestId(no), AttemptNo(0));
-        let (question, until) = (Question::Load, now + PATIENCE);
+        let (query, until) = (UpstreamQuery::Load, now + PATIENCE);
         let (class, group, begin_by) = (None, None, until);
         let exchange = Exchange {
             purpose,
             class,
             group,
-            question,
+            query,
             started: now,
             deadline: until,
             write_deadline: begin_by,
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -14,7 +14,7 @@
 use leverproxy::protocol::postgres::client::ResponseReader;
 use leverproxy::protocol::postgres::statement::{self, Query};
 use leverproxy::request::{
-    Command, CompletedExchange, ExchangeOutcome, Purpose, Question, ResponseSlot,
+    Command, CompletedExchange, ExchangeOutcome, Purpose, ResponseSlot, UpstreamQuery,
 };
 use platform_settings::Names;
 use routing::{
@@ -174,11 +174,11 @@
         );
     }
     assert_eq!(reader.parse(&good).unwrap(), (good.len(), true));
-    let question = Question::Command(Arc::new(Command {
+    let query = UpstreamQuery::Command(Arc::new(Command {
         before_time_left: vec![],
         after_time_left: vec![],
     }));
-    let (verdict, metadata) = reader.outcome(&question);
+    let (verdict, metadata) = reader.outcome(&query);
     assert!(matches!(verdict, ExchangeOutcome::Served(bytes) if good.starts_with(&bytes)));
     assert_eq!(
         metadata,
@@ -231,7 +231,7 @@
     let probed = |text: &str| {
         let mut reader = ResponseReader::default();
         reader.parse(&common::answer(text, &[])).unwrap();
-        let (verdict, metadata) = reader.outcome(&Question::Load);
+        let (verdict, metadata) = reader.outcome(&UpstreamQuery::Load);
         let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
         match record::record(
             &CompletedExchange {
@@ -330,9 +330,9 @@
         assert!(open_requests.close(RequestId(no), now).is_some());
     }
     assert!(
-        open_requests.is_empty() && open_requests.reserved_names() <= 500,
+        open_requests.is_empty() && open_requests.reserved_client_request_ids() <= 500,
         "{} names are kept",
-        open_requests.reserved_names()
+        open_requests.reserved_client_request_ids()
     );
 }
 
