--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -16,8 +16,8 @@
 use crate::clock;
 use crate::cluster::members::Members;
 
-mod figures;
 mod file_writer;
+mod metrics;
 
 pub use file_writer::StartError;
 use file_writer::{FileWriter, WriteJob};
--- a/crates/leverproxy/src/cluster/quota_lending/figures.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -55,7 +55,7 @@
     }
 
     /// The status for an operator: a line for each tenant.
-    pub fn lines(&self, now: Instant) -> String {
+    pub fn status_text(&self, now: Instant) -> String {
         let Some(running) = &self.running else {
             return "loans have not begun here\n".to_owned();
         };
@@ -99,7 +99,7 @@
     }
 
     /// Adds the metrics.
-    pub fn figures(&self, now: Instant, figures: &mut Figures) {
+    pub fn write_metrics(&self, now: Instant, figures: &mut Figures) {
         self.tenant_figures(now, figures);
         self.decision_figures(figures);
         self.state_figures(figures);
--- a/crates/leverproxy/src/cluster/sites.rs
+++ b/crates/leverproxy/src/cluster/sites.rs
@@ -10,7 +10,7 @@
 
 use crate::request::{CompletedExchange, ExchangeOutcome};
 
-mod figures;
+mod metrics;
 mod table;
 
 /// Sites and their failover plan.
--- a/crates/leverproxy/src/cluster/sites/figures.rs
+++ b/crates/leverproxy/src/cluster/sites/metrics.rs
@@ -9,7 +9,7 @@
 
 impl Sites {
     /// The status: a line for each site.
-    pub fn lines(&self, now: Duration, name: impl Fn(u16) -> String) -> String {
+    pub fn status_text(&self, now: Duration, name: impl Fn(u16) -> String) -> String {
         let line = |report: Report| {
             format!(
                 "site {} {} by {} for {} s, {} of {} up, headroom {:.0}%\n",
@@ -26,7 +26,12 @@
     }
 
     /// Adds the metrics.
-    pub fn figures(&self, now: Duration, figures: &mut Figures, name: impl Fn(u16) -> String) {
+    pub fn write_metrics(
+        &self,
+        now: Duration,
+        figures: &mut Figures,
+        name: impl Fn(u16) -> String,
+    ) {
         let reports: Vec<(String, Report)> = self
             .plan
             .reports()
--- a/crates/leverproxy/src/health/monitor/status.rs
+++ b/crates/leverproxy/src/health/monitor/status.rs
@@ -18,7 +18,7 @@
     pub fn site_lines(&self, now: Instant) -> String {
         let since_start = self.since_start(now);
         self.sites.as_ref().map_or(String::new(), |sites| {
-            sites.lines(since_start, |site| self.zone(site).to_owned())
+            sites.status_text(since_start, |site| self.zone(site).to_owned())
         })
     }
 
@@ -37,7 +37,7 @@
     pub fn site_figures(&self, now: Instant, figures: &mut Figures) {
         if let Some(sites) = &self.sites {
             let since_start = self.since_start(now);
-            sites.figures(since_start, figures, |site| self.zone(site).to_owned());
+            sites.write_metrics(since_start, figures, |site| self.zone(site).to_owned());
         }
     }
 
--- a/crates/leverproxy/src/proxy/control_socket.rs
+++ b/crates/leverproxy/src/proxy/control_socket.rs
@@ -52,7 +52,7 @@
         let members = members.unwrap_or_default();
         let lending = self.pipeline.quota.lending.as_ref();
         let lending = lending
-            .map(|lending| lending.lines(now))
+            .map(|lending| lending.status_text(now))
             .unwrap_or_default();
         format!("phase {phase}\n{monitor}{sites}{members}{lending}")
     }
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -14,7 +14,7 @@
             members.write_metrics(now, &mut figures);
         }
         if let Some(lending) = &self.pipeline.quota.lending {
-            lending.figures(now, &mut figures);
+            lending.write_metrics(now, &mut figures);
         }
         self.pipeline.monitor.site_figures(now, &mut figures);
         if let Some(rollout) = &self.rollout {
