--- a/crates/proxy-experiments/src/member/mod.rs
+++ b/crates/proxy-experiments/src/member/mod.rs
@@ -57,7 +57,7 @@
     /// From now on it is one of a fleet. `file`: what a former life left.
     pub fn join(&mut self, now: Time, settings: FleetSettings, file: Option<Vec<u8>>) {
         let mut config = Config::new(&settings.names[settings.proxy], settings.start, true);
-        (config.longest, config.lease) = (settings.longest, settings.lease);
+        (config.max_loan_time, config.lease) = (settings.longest, settings.lease);
         let mut core = Lender::new(&config, now.0, file.as_deref());
         let mut out = Vec::new();
         core.handle(
@@ -153,7 +153,7 @@
             QuotaStatus::Borrowed => {
                 stand.returned += fleet
                     .core
-                    .give_back(&fleet.settings.tenants[tenant], ONE_REQUEST)
+                    .cancel_loan(&fleet.settings.tenants[tenant], ONE_REQUEST)
             }
             QuotaStatus::OverQuota => stand.over_quota_rejected += u64::from(rejected),
             QuotaStatus::WithinQuota if rejected => {
--- a/crates/quota-lending/src/config.rs
+++ b/crates/quota-lending/src/config.rs
@@ -37,7 +37,7 @@
     };
 }
 
-/// Configuration of one proxy. Durations other than `step` must be the same on all proxies.
+/// Configuration of one proxy. Durations other than `exchange_interval` must be the same on all proxies.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of this proxy.
@@ -45,27 +45,27 @@
     /// Incarnation of this process: greater than that of any former process of the name.
     pub incarnation: u64,
     /// Whether the host keeps a file.
-    pub stored: bool,
+    pub has_state_file: bool,
     /// The longest that the term and write-off time of any rule come to together.
-    pub longest: Duration,
+    pub max_loan_time: Duration,
     /// How long an echoed heartbeat allows to lend.
     pub lease: Duration,
     /// Time from heartbeat to heartbeat.
-    pub step: Duration,
+    pub exchange_interval: Duration,
     /// Guards that are enabled.
     pub guards: Guards,
 }
 
 impl Config {
     /// The defaults, with all guards.
-    pub fn new(name: &str, incarnation: u64, stored: bool) -> Self {
+    pub fn new(name: &str, incarnation: u64, has_state_file: bool) -> Self {
         Self {
             name: name.to_owned(),
             incarnation,
-            stored,
-            longest: Duration::from_secs(120),
+            has_state_file,
+            max_loan_time: Duration::from_secs(120),
             lease: Duration::from_secs(5),
-            step: Duration::from_secs(1),
+            exchange_interval: Duration::from_secs(1),
             guards: Guards::ALL,
         }
     }
--- a/crates/quota-lending/src/handle.rs
+++ b/crates/quota-lending/src/handle.rs
@@ -111,7 +111,7 @@
         }
         self.timer_token += 1;
         actions.push(Action::Timer {
-            after: self.step,
+            after: self.exchange_interval,
             token: self.timer_token,
         });
         self.step(now, actions);
@@ -144,8 +144,8 @@
 
     fn forget_expired(&mut self, now: Duration) {
         self.claims.retain(|_, until| *until > now);
-        let lasts = self.messages_last();
+        let ttl = self.message_ttl();
         self.published
-            .retain(|_, published| now < published.last_at + lasts);
+            .retain(|_, published| now < published.last_at + ttl);
     }
 }
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -68,7 +68,7 @@
 impl Three {
     fn lender(&self, at: usize, start: u64, now: Duration, file: Option<&[u8]>) -> Lender {
         let mut config = Config::new(NAMES[at], start, true);
-        (config.longest, config.lease, config.step) =
+        (config.max_loan_time, config.lease, config.exchange_interval) =
             (Duration::from_millis(900), TICK + TICK / 2, TICK);
         config.lease += if self.gifts { TICK } else { Duration::ZERO };
         config.guards = self.guards;
@@ -80,9 +80,9 @@
             write_off: Duration::from_millis(400),
             floor: 500,
             classes: vec!["any".into()],
-            rate_most: 1 << 40,
+            max_rate: 1 << 40,
         };
-        let rules = Rules::new(vec![("s".into(), rule)], config.longest).expect("sound");
+        let rules = Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("sound");
         lender.handle(now, Event::Rules(rules), &mut Vec::new());
         lender
     }
@@ -94,10 +94,10 @@
                     kind,
                     key,
                     body,
-                    lasts,
+                    ttl,
                 } => {
                     let start = proxy.lender.as_ref().map_or(0, |(_, start)| *start);
-                    proxy.said.insert((kind, key), (start, body, now, lasts));
+                    proxy.said.insert((kind, key), (start, body, now, ttl));
                 }
                 Action::Save { sequence, bytes } => {
                     proxy.file = Some(bytes);
@@ -153,8 +153,8 @@
                 continue;
             }
             let said = state.proxies[from].said.clone();
-            for ((kind, key), (start, body, at, lasts)) in said {
-                if now < at + lasts {
+            for ((kind, key), (start, body, at, ttl)) in said {
+                if now < at + ttl {
                     let (source, age) = (NAMES[from], now - at);
                     let fact = Event::Message {
                         source,
@@ -169,8 +169,8 @@
             }
         }
         for (at, proxy) in state.proxies.iter_mut().enumerate() {
-            let longest = Duration::from_millis(900);
-            proxy.loans.retain(|since| now < *since + longest);
+            let max_loan_time = Duration::from_millis(900);
+            proxy.loans.retain(|since| now < *since + max_loan_time);
             if busy.is_some_and(|busy| busy != at) {
                 continue;
             }
@@ -308,7 +308,7 @@
                     .iter()
                     .filter_map(|proxy| proxy.lender.as_ref());
                 let books = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
-                let lends = books.filter(|book| state.now < book.lends_until);
+                let lends = books.filter(|book| state.now < book.lease_until);
                 out + lends
                     .map(|book| book.local_limit.saturating_sub(book.owed))
                     .sum::<u64>()
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -88,7 +88,8 @@
         } else {
             late_weight_fraction
         };
-        // A time-out may be caused by the connection, so it lowers the fraction by no more than an answer in time raises it.
+        // A time-out may be caused by the connection, so it lowers the fraction by no more than an answer in time
+        // raises it.
         let step = if outcome == Outcome::TimedOut {
             -1.0
         } else {
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -134,7 +134,7 @@
                 .filter(|id| !self.servers[id].is_draining());
             group.largest_size = group.largest_size.max(serving.count());
             // If all routers had the same order, those that know little of the members would crowd the first member.
-            subsetting::order(
+            subsetting::order_by_preference(
                 self.settings.router_index,
                 id.0,
                 &mut group.members,
--- a/crates/routing/src/slow_start_budget.rs
+++ b/crates/routing/src/slow_start_budget.rs
@@ -21,8 +21,8 @@
 use std::time::Duration;
 
 /// Multiples of these constants, modulo 1, are evenly distributed between 0 and 1 for any count. The sequence of
-/// routers differs from that of `subsetting::order`, which also orders the members by the router's index: otherwise the
-/// routers that may send in a slice would be those with the same members first in their order.
+/// routers differs from that of `subsetting::order_by_preference`, which also orders the members by the router's index:
+/// otherwise the routers that may send in a slice would be those with the same members first in their order.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_895;
 const SQRT_2_FRACTION: f64 = std::f64::consts::SQRT_2 - 1.0;
 
