--- a/crates/rollout/src/core/advancing.rs
+++ b/crates/rollout/src/core/advancing.rs
@@ -29,11 +29,11 @@
         self.weigh_evidence(now, &facts);
         let was_in_progress = self.machine.is_in_progress();
         self.step_machine(now, &facts);
-        let rollout =
+        let rollout_of =
             |subject: Option<(u64, VersionHash, u8)>| subject.map(|(epoch, hash, _)| (epoch, hash));
-        let before = rollout(self.evidence_subject);
+        let before = rollout_of(self.evidence_subject);
         self.begin_evidence(now);
-        let after = rollout(self.evidence_subject);
+        let after = rollout_of(self.evidence_subject);
         self.monitor_new_members();
         let superseded = was_in_progress && before.is_some() && before != after;
         self.superseded_proposals += u64::from(superseded);
@@ -56,20 +56,20 @@
 
     fn weigh_evidence(&mut self, now: Duration, facts: &DecodedFacts) {
         let own_name = self.config.name.as_str();
-        let own = self.own_counts();
+        let own_counts = self.own_counts();
         let others = facts
             .counts
             .iter()
-            .filter(|(name, _, counts)| name != own_name && counts.epoch == own.epoch)
+            .filter(|(name, _, counts)| name != own_name && counts.epoch == own_counts.epoch)
             .map(|(name, incarnation, counts)| (name.as_str(), *incarnation, counts.clone()));
-        let all = others.chain([(own_name, self.config.incarnation, own.clone())]);
+        let all_counts = others.chain([(own_name, self.config.incarnation, own_counts.clone())]);
         let regions: BTreeMap<&str, &str> = self
             .observation
             .peers
             .iter()
             .map(|peer| (peer.name.as_str(), peer.region.as_str()))
             .collect();
-        let reports = all.filter_map(|(name, incarnation, counts)| {
+        let reports = all_counts.filter_map(|(name, incarnation, counts)| {
             Some(ReportedCounts {
                 name,
                 region: regions.get(name).copied()?,
@@ -146,9 +146,9 @@
         if self.evidence_subject == subject {
             return;
         }
-        let rollout =
+        let rollout_of =
             |subject: Option<(u64, VersionHash, u8)>| subject.map(|(epoch, hash, _)| (epoch, hash));
-        if rollout(self.evidence_subject) == rollout(subject) {
+        if rollout_of(self.evidence_subject) == rollout_of(subject) {
             self.evidence.start_stage(now);
         } else {
             self.evidence = Evidence::new(self.config.evidence_limits, now);
@@ -200,12 +200,12 @@
         };
         let (epoch, hash) = (current.proposal.epoch, current.proposal.hash);
         let unable = matches!(current.readiness, Readiness::Unable(_));
-        let checked = self.last_check.is_some_and(|(last_epoch, last_hash, at)| {
+        let already_checked = self.last_check.is_some_and(|(last_epoch, last_hash, at)| {
             // A file that was missing may have been placed since.
-            let repeat = unable && now.saturating_sub(at) >= self.config.message_ttl;
-            (last_epoch, last_hash) == (epoch, hash) && !repeat
+            let must_repeat = unable && now.saturating_sub(at) >= self.config.message_ttl;
+            (last_epoch, last_hash) == (epoch, hash) && !must_repeat
         });
-        if !checked {
+        if !already_checked {
             self.last_check = Some((epoch, hash, now));
             actions.push(Action::CheckVersion(hash));
         }
--- a/crates/rollout/src/core/proposing.rs
+++ b/crates/rollout/src/core/proposing.rs
@@ -79,8 +79,8 @@
 
     /// Greater than all epochs that this process knows, halted ones and those of votes included.
     fn next_epoch(&self) -> u64 {
-        let voted = self.votes.values().map(|received| received.vote.epoch);
-        let greatest = self.machine.epoch().max(voted.max().unwrap_or(0));
+        let voted_epochs = self.votes.values().map(|received| received.vote.epoch);
+        let greatest = self.machine.epoch().max(voted_epochs.max().unwrap_or(0));
         greatest.saturating_add(1)
     }
 }
--- a/crates/rollout/src/core/publishing.rs
+++ b/crates/rollout/src/core/publishing.rs
@@ -35,18 +35,18 @@
     }
 
     pub(super) fn own_counts(&self) -> TrafficCounts {
-        let (from, from_total) = &self.counts_at_start;
+        let (classes_at_start, total_at_start) = &self.counts_at_start;
         let since = |class: &ClassCounts| {
-            let was = from
+            let at_start = classes_at_start
                 .iter()
                 .find(|c| c.class == class.class)
                 .copied()
                 .unwrap_or_default();
-            class.since(was)
+            class.since(at_start)
         };
         let mut classes: Vec<ClassCounts> =
             self.observation.class_counts.iter().map(since).collect();
-        let total = self.observation.total_counts.since(*from_total);
+        let total = self.observation.total_counts.since(*total_at_start);
         classes.sort_by_key(|c| std::cmp::Reverse(c.offered));
         classes.truncate(MAX_CLASSES);
         let hash = self.machine.current().map(|c| c.proposal.hash);
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -128,8 +128,8 @@
     ) {
         let mut versions: BTreeMap<String, BTreeSet<bool>> = BTreeMap::new();
         for report in reports {
-            let region = versions.entry(report.region.to_owned()).or_default();
-            region.insert(report.counts.runs_new);
+            let region_versions = versions.entry(report.region.to_owned()).or_default();
+            region_versions.insert(report.counts.runs_new);
             self.add_report(report);
         }
         // By the last reports, however old: a late one does not make a region run one version alone.
@@ -138,8 +138,8 @@
         let mixed_regions: BTreeSet<String> = versions.into_iter().filter_map(runs_both).collect();
         let min_demand = self.limits.min_window_demand;
         if let Some(difference) = self.total.close_window(min_demand, &mixed_regions) {
-            let harm = self.limits.min_harm;
-            self.safety.bet((harm - difference) / (1.0 + harm));
+            let min_harm = self.limits.min_harm;
+            self.safety.bet((min_harm - difference) / (1.0 + min_harm));
             self.windows += 1;
             self.last_window = Some(now);
         }
@@ -276,8 +276,8 @@
 
 /// Whether the version seems to do harm at one of these members, whatever others report.
 fn is_suspicious(entrants: &[&MemberEvidence]) -> bool {
-    let of_all = SUSPICIOUS_WEALTH_PER_MEMBER * entrants.len() as f64;
-    let threshold = of_all.max(SUSPICIOUS_MEMBER_WEALTH);
+    let scaled = SUSPICIOUS_WEALTH_PER_MEMBER * entrants.len() as f64;
+    let threshold = scaled.max(SUSPICIOUS_MEMBER_WEALTH);
     entrants
         .iter()
         .any(|member| member.harm_wealth() >= threshold)
--- a/crates/rollout/src/guard.rs
+++ b/crates/rollout/src/guard.rs
@@ -9,19 +9,19 @@
     /// Majorities are counted over the roster, not over reachable members.
     Roster,
     /// A stage needs a region to which changes may be promoted.
-    Permission,
+    PromotableRegion,
     /// A halted version does not run.
-    HaltWins,
+    HaltPrecedence,
     /// Halts outlive a restart.
-    Remembers,
+    PersistedHalts,
     /// Two new versions never run at a time.
-    OneAtATime,
+    SingleNewVersion,
     /// Nobody votes for the next stage without clean evidence.
-    Consent,
+    CleanEvidence,
     /// A member that crashes again and again is noticed.
     Crash,
     /// Nobody votes while a member of the stage has not reported.
-    Settled,
+    MembersReported,
 }
 
 /// Whether a guard is on for `$self`.
--- a/crates/rollout/src/machine/halting.rs
+++ b/crates/rollout/src/machine/halting.rs
@@ -39,8 +39,8 @@
         true
     }
 
-    pub(super) fn merge_halts(&mut self, heard: &[HaltRecord]) {
-        for halted in heard {
+    pub(super) fn merge_halts(&mut self, received: &[HaltRecord]) {
+        for halted in received {
             if !self
                 .halts
                 .iter()
@@ -58,9 +58,13 @@
     }
 
     pub(super) fn track_unreachable(&mut self, now: Duration, input: &StepInput<'_>) {
-        self.unreachable_since
-            .retain(|name, _| input.peers.iter().any(|p| p.name == *name && !p.reachable));
-        for peer in input.peers.iter().filter(|p| !p.reachable) {
+        self.unreachable_since.retain(|name, _| {
+            input
+                .peers
+                .iter()
+                .any(|peer| peer.name == *name && !peer.reachable)
+        });
+        for peer in input.peers.iter().filter(|peer| !peer.reachable) {
             self.unreachable_since
                 .entry(peer.name.clone())
                 .or_insert(now);
@@ -74,8 +78,8 @@
             && input
                 .peers
                 .iter()
-                .find(|p| p.name == self.name)
-                .is_some_and(|p| !input.promotable_regions.contains(&p.region));
+                .find(|peer| peer.name == self.name)
+                .is_some_and(|peer| !input.promotable_regions.contains(&peer.region));
         self.partitioned_since = if partitioned {
             self.partitioned_since.or(Some(now))
         } else {
@@ -84,7 +88,7 @@
         let timed_out = self
             .partitioned_since
             .is_some_and(|since| now.saturating_sub(since) >= self.unreachable_timeout);
-        if timed_out && guard!(self, OneAtATime) {
+        if timed_out && guard!(self, SingleNewVersion) {
             self.halt(HaltReason::Partitioned);
         }
     }
--- a/crates/rollout/src/machine/mod.rs
+++ b/crates/rollout/src/machine/mod.rs
@@ -99,17 +99,17 @@
 
     /// Takes over what an earlier process persisted. Its stages count as votes only: this process runs nothing new before it
     /// has seen a quorum again, since the rollout may have been halted meanwhile.
-    pub(crate) fn restore(&mut self, stored: messages::PersistedState) {
-        if guard!(self, Remembers) {
-            self.merge_halts(&stored.halts);
+    pub(crate) fn restore(&mut self, persisted: messages::PersistedState) {
+        if guard!(self, PersistedHalts) {
+            self.merge_halts(&persisted.halts);
         }
-        self.current = stored
+        self.current = persisted
             .proposal
-            .filter(|p| p.order.len() <= MAX_REGIONS)
+            .filter(|proposal| proposal.order.len() <= MAX_REGIONS)
             .map(|proposal| {
                 // A file with more stages than there are was modified.
-                let quorums_seen =
-                    u8::try_from(stages(&proposal)).map_or(0, |all| stored.quorums_seen.min(all));
+                let quorums_seen = u8::try_from(stages(&proposal))
+                    .map_or(0, |stages| persisted.quorums_seen.min(stages));
                 CurrentRollout {
                     proposal,
                     quorums_seen,
@@ -188,12 +188,12 @@
         let Some(current) = &self.current else {
             return false;
         };
-        let not_halted = self.halt_record().is_none() || !guard!(self, HaltWins);
+        let not_halted = self.halt_record().is_none() || !guard!(self, HaltPrecedence);
         not_halted
             && self.confirmed
             && current.readiness == Readiness::Ready
             && entry_stage(&current.proposal, peers, &self.name)
-                .is_some_and(|at| current.quorums_seen >= at)
+                .is_some_and(|stage| current.quorums_seen >= stage)
     }
 
     /// The version that is to run here.
@@ -213,14 +213,14 @@
 
     /// Follows a proposal if it is greater than the current one.
     pub fn adopt(&mut self, proposal: &Proposal) {
-        let former = self.current.as_ref();
-        if former.is_some_and(|c| c.proposal.rank() >= proposal.rank())
+        let previous = self.current.as_ref();
+        if previous.is_some_and(|c| c.proposal.rank() >= proposal.rank())
             || proposal.order.len() > MAX_REGIONS
         {
             return;
         }
         if self.phase() == Phase::Complete && self.confirmed {
-            self.base_version = former.map_or(self.base_version, |c| c.proposal.hash);
+            self.base_version = previous.map_or(self.base_version, |c| c.proposal.hash);
         }
         self.current = Some(CurrentRollout {
             proposal: proposal.clone(),
@@ -243,11 +243,11 @@
             }
         }
         self.track_unreachable(now, input);
-        let before = self.current.as_ref().map(|c| c.quorums_seen);
+        let quorums_before = self.current.as_ref().map(|c| c.quorums_seen);
         self.advance_stages(input);
         self.halt_if_partitioned(now, input);
         // The verdict is about the stage before; the next one has no evidence yet.
-        let same_stage = before == self.current.as_ref().map(|c| c.quorums_seen);
+        let same_stage = quorums_before == self.current.as_ref().map(|c| c.quorums_seen);
         let votes = self.votes_cast(
             input,
             if same_stage {
--- a/crates/rollout/src/machine/votes.rs
+++ b/crates/rollout/src/machine/votes.rs
@@ -18,12 +18,14 @@
             return 0;
         }
         let next = usize::from(current.quorums_seen) + 1;
-        let may = match current.quorums_seen {
+        let may_advance = match current.quorums_seen {
             0 => self.no_other_version_runs(now, current, input),
             _ if next > stages(&current.proposal) => false,
-            _ => verdict == Verdict::Clean || !guard!(self, Consent),
+            _ => verdict == Verdict::Clean || !guard!(self, CleanEvidence),
         };
-        if may && self.is_confirmed_or_first(current) && self.members_can_run(current, next, input)
+        if may_advance
+            && self.is_confirmed_or_first(current)
+            && self.members_can_run(current, next, input)
         {
             current.quorums_seen + 1
         } else {
@@ -43,24 +45,24 @@
         current: &CurrentRollout,
         input: &StepInput<'_>,
     ) -> bool {
-        let p = &current.proposal;
+        let proposal = &current.proposal;
         let follows_this = |peer: &Peer| {
             peer.name == self.name
                 || input
                     .votes
                     .get(&peer.name)
-                    .is_some_and(|vote| vote.is_for(p))
+                    .is_some_and(|vote| vote.is_for(proposal))
         };
         let rolled_back = |peer: &Peer| {
             self.unreachable_since
                 .get(&peer.name)
                 .is_some_and(|since| now.saturating_sub(*since) >= self.unreachable_timeout * 2)
         };
-        !guard!(self, OneAtATime)
+        !guard!(self, SingleNewVersion)
             || input
                 .peers
                 .iter()
-                .all(|p| follows_this(p) || rolled_back(p))
+                .all(|peer| follows_this(peer) || rolled_back(peer))
     }
 
     /// Whether all reachable members that run the version in this stage have said that they can, and none that it can't.
@@ -70,12 +72,12 @@
         stage: usize,
         input: &StepInput<'_>,
     ) -> bool {
-        let p = &current.proposal;
-        let entries = entry_stages(p, input.peers);
+        let proposal = &current.proposal;
+        let entries = entry_stages(proposal, input.peers);
         input.peers.iter().all(|peer| {
             if entries
                 .get(peer.name.as_str())
-                .is_none_or(|at| usize::from(*at) > stage)
+                .is_none_or(|entry| usize::from(*entry) > stage)
             {
                 return true;
             }
@@ -85,7 +87,7 @@
             match input
                 .votes
                 .get(&peer.name)
-                .filter(|vote| vote.is_for(p))
+                .filter(|vote| vote.is_for(proposal))
                 .map(|vote| &vote.readiness)
             {
                 Some(Readiness::Ready) => true,
@@ -98,11 +100,11 @@
     /// This process's vote on the current proposal.
     pub fn vote(&self, peers: &[Peer]) -> Option<Vote> {
         let current = self.current.as_ref()?;
-        let p = &current.proposal;
+        let proposal = &current.proposal;
         Some(Vote {
-            epoch: p.epoch,
-            hash: p.hash,
-            proposer: p.proposer.clone(),
+            epoch: proposal.epoch,
+            hash: proposal.hash,
+            proposer: proposal.proposer.clone(),
             votes: if self.halt_record().is_some() {
                 0
             } else {
@@ -125,16 +127,16 @@
         let promotable = regions
             .last()
             .is_some_and(|region| input.promotable_regions.contains(*region));
-        if guard!(self, Permission) && !promotable {
+        if guard!(self, PromotableRegion) && !promotable {
             return false;
         }
-        let counts_all = guard!(self, Roster);
+        let counts_unreachable = guard!(self, Roster);
         let has_majority = |is_counted: &dyn Fn(&Peer) -> bool| {
             let counted = || {
                 input
                     .peers
                     .iter()
-                    .filter(|peer| is_counted(peer) && (counts_all || peer.reachable))
+                    .filter(|peer| is_counted(peer) && (counts_unreachable || peer.reachable))
             };
             let votes = counted()
                 .filter(|peer| self.votes_of(peer, current, input) >= stage)
@@ -163,7 +165,7 @@
 
     /// Advances as far as there are quorums.
     pub(super) fn advance_stages(&mut self, input: &StepInput<'_>) {
-        if guard!(self, HaltWins) && self.halt_record().is_some() {
+        if guard!(self, HaltPrecedence) && self.halt_record().is_some() {
             return;
         }
         let Some(mut current) = self.current.take() else {
--- a/crates/rollout/src/member_evidence.rs
+++ b/crates/rollout/src/member_evidence.rs
@@ -45,26 +45,30 @@
     }
 
     /// Adds its own counts of the new version.
-    pub(crate) fn add_new(&mut self, name: &str, more: ClassCounts) {
-        self.figures.offered = self.figures.offered.saturating_add(more.offered);
-        self.figures.lost = self.figures.lost.saturating_add(more.lost);
-        self.series.add((name, &self.region), true, more);
+    pub(crate) fn add_new(&mut self, name: &str, counts: ClassCounts) {
+        self.figures.offered = self.figures.offered.saturating_add(counts.offered);
+        self.figures.lost = self.figures.lost.saturating_add(counts.lost);
+        self.series.add((name, &self.region), true, counts);
     }
 
     /// Adds counts of the former version, if they are of its region.
-    pub(crate) fn add_old(&mut self, name: &str, region: &str, more: ClassCounts) {
+    pub(crate) fn add_old(&mut self, name: &str, region: &str, counts: ClassCounts) {
         if self.region == region {
-            self.series.add((name, region), false, more);
+            self.series.add((name, region), false, counts);
         }
     }
 
     pub(crate) fn close_window(
         &mut self,
         now: Duration,
-        least: u64,
+        min_demand: u64,
         mixed_regions: &BTreeSet<String>,
     ) {
-        if self.series.close_window(least, mixed_regions).is_some() {
+        if self
+            .series
+            .close_window(min_demand, mixed_regions)
+            .is_some()
+        {
             self.figures.windows += 1;
             self.first_window.get_or_insert(now);
         }
--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -126,8 +126,10 @@
 
 impl Vote {
     /// Whether it is a vote on this proposal.
-    pub fn is_for(&self, p: &Proposal) -> bool {
-        self.epoch == p.epoch && self.hash == p.hash && self.proposer == p.proposer
+    pub fn is_for(&self, proposal: &Proposal) -> bool {
+        self.epoch == proposal.epoch
+            && self.hash == proposal.hash
+            && self.proposer == proposal.proposer
     }
 }
 
@@ -153,14 +155,14 @@
 
 impl ClassCounts {
     /// The difference to an earlier count. Counts only grow; one that falls is of another process, or forged, and gives 0.
-    pub(crate) fn since(self, was: ClassCounts) -> ClassCounts {
-        let (asked, lost) = (
-            self.offered.saturating_sub(was.offered),
-            self.lost.saturating_sub(was.lost),
+    pub(crate) fn since(self, earlier: ClassCounts) -> ClassCounts {
+        let (offered, lost) = (
+            self.offered.saturating_sub(earlier.offered),
+            self.lost.saturating_sub(earlier.lost),
         );
         ClassCounts {
             class: self.class,
-            offered: asked,
+            offered,
             lost,
         }
     }
@@ -190,8 +192,8 @@
     pub halts: Vec<HaltRecord>,
 }
 
-pub(crate) fn truncate(text: &str, most: usize) -> String {
-    let end = (0..=most.min(text.len()))
+pub(crate) fn truncate(text: &str, max_bytes: usize) -> String {
+    let end = (0..=max_bytes.min(text.len()))
         .rev()
         .find(|&at| text.is_char_boundary(at))
         .unwrap_or(0);
@@ -206,16 +208,16 @@
     truncate(text, REASON_BYTES)
 }
 
-pub(crate) fn encode<T: Serialize>(what: &T) -> Vec<u8> {
+pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Plain data into growing memory: it can't fail. If it did, an empty body is published, which nobody decodes.
-    postcard::to_extend(what, vec![FORMAT_VERSION]).unwrap_or_default()
+    postcard::to_extend(value, vec![FORMAT_VERSION]).unwrap_or_default()
 }
 
 /// `None` if it is of another format, torn, or longer than its content.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     match body.split_first() {
         Some((&FORMAT_VERSION, rest)) => match postcard::take_from_bytes(rest) {
-            Ok((read, [])) => Some(read),
+            Ok((value, [])) => Some(value),
             _ => None,
         },
         _ => None,
--- a/crates/rollout/src/model.rs
+++ b/crates/rollout/src/model.rs
@@ -511,13 +511,13 @@
     for (guard, scenario) in [
         (Guard::Quorum, 0),
         (Guard::Roster, 1),
-        (Guard::Permission, 1),
-        (Guard::HaltWins, 0),
-        (Guard::Remembers, 0),
-        (Guard::OneAtATime, 2),
-        (Guard::Consent, 0),
+        (Guard::PromotableRegion, 1),
+        (Guard::HaltPrecedence, 0),
+        (Guard::PersistedHalts, 0),
+        (Guard::SingleNewVersion, 2),
+        (Guard::CleanEvidence, 0),
         (Guard::Crash, 4),
-        (Guard::Settled, 4),
+        (Guard::MembersReported, 4),
     ] {
         let (proposals, budget, _) = SCENARIOS[scenario];
         let (broken, _) = broken(fleet(Some(guard), proposals, budget), DEEP);
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -80,21 +80,21 @@
 
     fn observe(&mut self, peer: &Peer, restart: Option<&PlannedRestart>) {
         match restart {
-            Some(PlannedRestart::Leaving(start)) => self.left_incarnation = Some(*start),
-            Some(PlannedRestart::TookOver(start)) => self.takeover_incarnation = Some(*start),
+            Some(PlannedRestart::Leaving(left)) => self.left_incarnation = Some(*left),
+            Some(PlannedRestart::TookOver(new)) => self.takeover_incarnation = Some(*new),
             None => {}
         }
-        if let Some(start) = peer.incarnation {
-            if let Some(was) = self.incarnation.filter(|was| *was < start) {
-                self.unplanned_restarts.push((was, start));
+        if let Some(incarnation) = peer.incarnation {
+            if let Some(previous) = self.incarnation.filter(|previous| *previous < incarnation) {
+                self.unplanned_restarts.push((previous, incarnation));
             }
-            self.incarnation = self.incarnation.max(Some(start));
+            self.incarnation = self.incarnation.max(Some(incarnation));
             if peer.left {
-                self.left_incarnation = Some(start);
+                self.left_incarnation = Some(incarnation);
             }
         }
         // The notice of a planned restart may come after the restart.
-        let before = self.unplanned_restarts.len();
+        let unplanned_before = self.unplanned_restarts.len();
         let unplanned = std::mem::take(&mut self.unplanned_restarts);
         self.unplanned_restarts = unplanned
             .into_iter()
@@ -102,15 +102,15 @@
             .collect();
         self.planned_restarts = self
             .planned_restarts
-            .saturating_add((before - self.unplanned_restarts.len()) as u32);
+            .saturating_add((unplanned_before - self.unplanned_restarts.len()) as u32);
     }
 }
 
 /// Whether another member of its region is reachable, so that not the whole region is cut off.
-fn region_is_reachable(of: &Peer, peers: &[Peer]) -> bool {
+fn region_is_reachable(member: &Peer, peers: &[Peer]) -> bool {
     peers
         .iter()
-        .any(|p| p.region == of.region && p.name != of.name && p.reachable)
+        .any(|peer| peer.region == member.region && peer.name != member.name && peer.reachable)
 }
 
 /// Members that run the new version by now, or are to.
@@ -143,21 +143,21 @@
     /// Adds members that are to run the version by now, by the quorums that this process or any other has seen.
     pub fn add_members(
         &mut self,
-        p: &Proposal,
+        proposal: &Proposal,
         quorums_seen: u8,
         peers: &[Peer],
         votes: &BTreeMap<String, ReceivedVote>,
     ) {
-        let others = votes
+        let other_quorums = votes
             .values()
             .map(|received| &received.vote)
-            .filter(|vote| vote.is_for(p))
+            .filter(|vote| vote.is_for(proposal))
             .map(|vote| vote.quorums_seen);
-        let reached = others.fold(quorums_seen, u8::max);
+        let reached = other_quorums.fold(quorums_seen, u8::max);
         if reached == 0 {
             return;
         }
-        let entries = entry_stages(p, peers);
+        let entries = entry_stages(proposal, peers);
         let enters = |peer: &&Peer| {
             entries
                 .get(peer.name.as_str())
@@ -168,11 +168,11 @@
             .filter(enters)
             .filter(|peer| peer.reachable && peer.name != self.own_name)
         {
-            let start = peer.incarnation;
+            let incarnation = peer.incarnation;
             self.members
                 .entry(peer.name.clone())
                 .or_insert_with(|| Member {
-                    incarnation: start,
+                    incarnation,
                     ..Member::default()
                 });
         }
@@ -182,13 +182,13 @@
     pub fn observe(
         &mut self,
         now: Duration,
-        p: &Proposal,
+        proposal: &Proposal,
         peers: &[Peer],
         votes: &BTreeMap<String, ReceivedVote>,
         planned_restarts: &BTreeMap<String, PlannedRestart>,
     ) -> MonitorVerdict {
         // A process that reaches no more than half of the fleet may be the one that is cut off.
-        let reaches_majority = peers.iter().filter(|p| p.reachable).count() * 2 > peers.len();
+        let reaches_majority = peers.iter().filter(|peer| peer.reachable).count() * 2 > peers.len();
         let mut verdict = MonitorVerdict::Healthy;
         for (name, member) in &mut self.members {
             // It is not in this roster any more.
@@ -200,7 +200,7 @@
                 .get(name)
                 .filter(|received| Some(received.incarnation) >= member.incarnation)
                 .map(|received| &received.vote);
-            let runs_new = vote.is_some_and(|vote| vote.runs_new && vote.is_for(p));
+            let runs_new = vote.is_some_and(|vote| vote.runs_new && vote.is_for(proposal));
             member.ran_new |= runs_new;
             member.update_missing(now, peer, vote.is_some(), reaches_majority);
             if member.unplanned_restarts.len() > MAX_UNPLANNED_RESTARTS && guard!(self, Crash) {
@@ -211,7 +211,7 @@
                 return MonitorVerdict::Harm(HaltReason::Unreachable);
             }
             let settled = if peer.reachable { runs_new } else { peer.left };
-            if !settled && guard!(self, Settled) {
+            if !settled && guard!(self, MembersReported) {
                 verdict = MonitorVerdict::Waiting;
             }
         }
@@ -223,6 +223,6 @@
         self.members
             .iter()
             .map(|(name, member)| (name.as_str(), member.planned_restarts))
-            .filter(|(_, n)| *n > 0)
+            .filter(|(_, count)| *count > 0)
     }
 }
--- a/crates/rollout/src/series.rs
+++ b/crates/rollout/src/series.rs
@@ -27,12 +27,12 @@
         self.harm.wealth()
     }
 
-    pub(crate) fn add(&mut self, (name, region): (&str, &str), new: bool, more: ClassCounts) {
+    pub(crate) fn add(&mut self, (name, region): (&str, &str), new: bool, counts: ClassCounts) {
         let side = &mut self.regions.entry(region.to_owned()).or_default()[usize::from(new)];
         let sum = side.entry(name.to_owned()).or_default();
         // Others may report any number.
-        sum.offered = sum.offered.saturating_add(more.offered);
-        sum.lost = sum.lost.saturating_add(more.lost);
+        sum.offered = sum.offered.saturating_add(counts.offered);
+        sum.lost = sum.lost.saturating_add(counts.lost);
     }
 
     /// The difference of the loss rates, once both sides were offered enough. When a window closes must depend on what was offered,
@@ -41,20 +41,24 @@
     /// with one proxy each, all regions are compared together.
     pub(crate) fn close_window(
         &mut self,
-        least: u64,
+        min_demand: u64,
         mixed_regions: &BTreeSet<String>,
     ) -> Option<f64> {
-        let both = |sides: &Sides| sides.iter().all(|side| offered(side) > 0);
+        let has_both_versions = |sides: &Sides| sides.iter().all(|side| offered(side) > 0);
         let strata: Vec<Sides> = if mixed_regions.is_empty() {
             vec![self.all_regions()]
         } else {
             let regions = self.regions.iter();
-            let compared =
-                regions.filter(|(name, sides)| mixed_regions.contains(*name) && both(sides));
+            let compared = regions
+                .filter(|(name, sides)| mixed_regions.contains(*name) && has_both_versions(sides));
             compared.map(|(_, sides)| sides.clone()).collect()
         };
-        let all = |side: usize| saturating_sum(strata.iter().map(|sides| offered(&sides[side])));
-        if [0, 1].into_iter().any(|side| all(side) < least.max(1)) {
+        let total_offered =
+            |side: usize| saturating_sum(strata.iter().map(|sides| offered(&sides[side])));
+        if [0, 1]
+            .into_iter()
+            .any(|side| total_offered(side) < min_demand.max(1))
+        {
             return None;
         }
         let (mut weights, mut sum) = (0.0, 0.0);
@@ -72,8 +76,8 @@
     fn all_regions(&self) -> Sides {
         let mut all = Sides::default();
         for sides in self.regions.values() {
-            for (all, side) in all.iter_mut().zip(sides) {
-                all.extend(side.iter().map(|(name, counts)| (name.clone(), *counts)));
+            for (merged, side) in all.iter_mut().zip(sides) {
+                merged.extend(side.iter().map(|(name, counts)| (name.clone(), *counts)));
             }
         }
         all
@@ -81,33 +85,33 @@
 }
 
 fn offered(side: &Side) -> u64 {
-    saturating_sum(side.values().map(|c| c.offered))
+    saturating_sum(side.values().map(|counts| counts.offered))
 }
 
-fn saturating_sum(parts: impl Iterator<Item = u64>) -> u64 {
-    parts.fold(0, u64::saturating_add)
+fn saturating_sum(values: impl Iterator<Item = u64>) -> u64 {
+    values.fold(0, u64::saturating_add)
 }
 
 fn loss_rate(side: &Side) -> f64 {
     let mut offered: Vec<u64> = side
         .values()
-        .map(|c| c.offered)
+        .map(|counts| counts.offered)
         .filter(|&n| n > 0)
         .collect();
     offered.sort_unstable();
     // Of two, the smaller: one proxy must not set the bound that holds for itself.
     let median = offered.len().saturating_sub(1) / 2;
-    let most = offered
+    let max_weight = offered
         .get(median)
         .copied()
         .unwrap_or(1)
         .saturating_mul(MAX_WEIGHT_TO_MEDIAN);
     let (mut weights, mut sum) = (0.0, 0.0);
-    for class in side.values().filter(|c| c.offered > 0) {
-        let weight = class.offered.min(most) as f64;
+    for counts in side.values().filter(|counts| counts.offered > 0) {
+        let weight = counts.offered.min(max_weight) as f64;
         weights += weight;
         // A loss may be reported a little after its offer; the rate stays within [0, 1].
-        sum += weight * (class.lost.min(class.offered) as f64 / class.offered as f64);
+        sum += weight * (counts.lost.min(counts.offered) as f64 / counts.offered as f64);
     }
     if weights > 0.0 {
         sum / weights
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -12,35 +12,35 @@
 const FIRST_REGION_STAGE: usize = 2;
 
 /// Number of stages: the canary, each region, and the members held back for comparison.
-pub(crate) fn stages(p: &Proposal) -> usize {
-    p.order.len() + 2
+pub(crate) fn stages(proposal: &Proposal) -> usize {
+    proposal.order.len() + 2
 }
 
 /// Regions whose majorities a stage needs: the one that took the version last, and the one that takes it now (the last here).
-pub(crate) fn quorum_regions(p: &Proposal, stage: usize) -> Vec<&String> {
-    let last = p.order.len().saturating_sub(1);
+pub(crate) fn quorum_regions(proposal: &Proposal, stage: usize) -> Vec<&String> {
+    let last = proposal.order.len().saturating_sub(1);
     let enters = stage.saturating_sub(2).min(last);
-    let ran = stage.saturating_sub(3).min(last);
-    let mut regions: Vec<&String> = [ran, enters]
+    let entered_before = stage.saturating_sub(3).min(last);
+    let mut regions: Vec<&String> = [entered_before, enters]
         .iter()
-        .filter_map(|&at| p.order.get(at))
+        .filter_map(|&at| proposal.order.get(at))
         .collect();
     regions.dedup();
     regions
 }
 
 /// The stage with which each member begins to run the new version, by name.
-pub(crate) fn entry_stages<'a>(p: &Proposal, peers: &'a [Peer]) -> BTreeMap<&'a str, u8> {
+pub(crate) fn entry_stages<'a>(proposal: &Proposal, peers: &'a [Peer]) -> BTreeMap<&'a str, u8> {
     let mut regions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for peer in peers {
         regions.entry(&peer.region).or_default().push(&peer.name);
     }
     let mut entries = BTreeMap::new();
-    for (at, region) in p.order.iter().enumerate() {
+    for (at, region) in proposal.order.iter().enumerate() {
         let mut names = regions.remove(region.as_str()).unwrap_or_default();
         names.sort_unstable();
         let canaries = if at == 0 {
-            usize::from(p.canary.max(1))
+            usize::from(proposal.canary.max(1))
         } else {
             0
         };
@@ -51,7 +51,7 @@
             let stage = if place < canaries {
                 CANARY_STAGE
             } else if held_back {
-                stages(p)
+                stages(proposal)
             } else {
                 at + FIRST_REGION_STAGE
             };
@@ -62,14 +62,18 @@
 }
 
 /// The stage with which a member begins to run the new version; `None` if it is not in the roster.
-pub(crate) fn entry_stage(p: &Proposal, peers: &[Peer], name: &str) -> Option<u8> {
-    entry_stages(p, peers).get(name).copied()
+pub(crate) fn entry_stage(proposal: &Proposal, peers: &[Peer], name: &str) -> Option<u8> {
+    entry_stages(proposal, peers).get(name).copied()
 }
 
 /// The members that enter with this stage and can be compared in their region: they are reachable, and so is one of their region
 /// that takes the version later.
-pub(crate) fn comparable_entrants<'a>(p: &Proposal, peers: &'a [Peer], stage: u8) -> Vec<&'a str> {
-    let entries = entry_stages(p, peers);
+pub(crate) fn comparable_entrants<'a>(
+    proposal: &Proposal,
+    peers: &'a [Peer],
+    stage: u8,
+) -> Vec<&'a str> {
+    let entries = entry_stages(proposal, peers);
     let entry = |peer: &Peer| entries.get(peer.name.as_str()).copied();
     let has_former_version = |region: &str| {
         peers.iter().any(|peer| {
