--- a/crates/rollout/src/advice.rs
+++ b/crates/rollout/src/advice.rs
@@ -1,27 +1,27 @@
-//! What an operator can do about each rejected command. The match has no wildcard, so a variant without advice does not compile.
+//! Advice to operators for each rejected command. The match has no wildcard, so a variant without advice does not compile.
 
 use crate::CommandRejected;
 
 impl CommandRejected {
-    /// What an operator can do about it.
+    /// What the operator can do about the rejection.
     pub fn advice(&self) -> &'static str {
         match self {
             CommandRejected::InProgress(_) => {
-                "See how far it is with `leverproxy rollout status`, and wait for `whole`; or `leverproxy rollout halt` on any proxy, then propose again."
+                "Check the progress with `leverproxy rollout status` and wait for the phase `whole`, or run `leverproxy rollout halt` on any proxy and propose again."
             }
             CommandRejected::HaltedBefore(_) => {
-                "See why with `leverproxy rollout status`. Mend the file and propose it as the new version that it then is; `leverproxy rollout resume` only if the halt was not the file's fault."
+                "`leverproxy rollout status` shows the reason for the halt. Fix the file and propose it; its new content makes it a new version. Use `leverproxy rollout resume` only if the file did not cause the halt."
             }
             CommandRejected::AlreadyRunning => {
-                "Nothing to do: `leverproxy rollout status` says who runs what. A version is the hash of the file alone: what it includes may change without a new version."
+                "No action is needed: `leverproxy rollout status` shows which version each proxy runs. A version is the hash of the file alone: the files that it includes can change without a new version."
             }
             CommandRejected::NoRollout => {
-                "`leverproxy rollout status` says what runs. If another proxy knows of a rollout that this one has not heard of, halt it there, and look at `lb_members_state` here."
+                "`leverproxy rollout status` shows the version that runs. If another proxy reports a rollout that this proxy has not received, halt it on that proxy, and check `lb_members_state` on this one."
             }
             CommandRejected::InvalidOrder(_) => {
-                "Let `order` in the section `rollout` name each region of the roster once, or leave it out: then all go in order of their names. It counts from the next start. If `order` is left out, the roster has more regions than a rollout takes."
+                "Name each region of the roster exactly once in `order` of the section `rollout`, or omit `order` to use all regions in the order of their names. A change takes effect at the next start. If `order` is already omitted, the roster has more regions than a rollout supports."
             }
-            CommandRejected::OrderTooLong(_) => "Give the regions shorter names in the sections `member`, on all hosts.",
+            CommandRejected::OrderTooLong(_) => "Use shorter names for the regions in the sections `member`, on all hosts.",
         }
     }
 }
--- a/crates/rollout/src/command.rs
+++ b/crates/rollout/src/command.rs
@@ -1,27 +1,29 @@
-//! Why an operator's command is rejected.
+//! Reasons for rejecting an operator's command.
 
 use crate::messages::BODY_BYTES;
 use thiserror::Error;
 
-/// Why a command is rejected. A retry helps with `InProgress` alone, once that rollout has ended.
+/// The reason for rejecting an operator's command. A retry can succeed only after `InProgress`, once that rollout has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandRejected {
-    /// Another rollout, of this epoch, is neither complete nor halted.
-    #[error("another rollout (epoch {0}) is under way: halt it or wait for its end")]
+    /// Another rollout is neither complete nor halted. The value is its epoch.
+    #[error("a rollout (epoch {0}) is in progress: halt it or wait until it has finished")]
     InProgress(u64),
-    /// The version was halted in this epoch.
-    #[error("this version was halted in epoch {0}: `resume` proposes it again all the same")]
+    /// The version was halted before. The value is the epoch of that rollout.
+    #[error(
+        "this version was halted in epoch {0}: use `resume` to propose it again despite the halt"
+    )]
     HaltedBefore(u64),
-    /// The version runs here already.
-    #[error("this version runs already")]
+    /// This process already runs the version.
+    #[error("this version is already running")]
     AlreadyRunning,
-    /// There is nothing to halt.
-    #[error("no rollout is under way")]
+    /// There is no rollout to halt.
+    #[error("no rollout is in progress")]
     NoRollout,
-    /// The order does not name each region of the roster once.
-    #[error("the order has to name each region of the roster once: {0:?}")]
+    /// The order does not name each region of the roster exactly once.
+    #[error("invalid order of regions {0:?}: it must name each region of the roster exactly once")]
     InvalidOrder(Vec<String>),
-    /// The proposal would have so many bytes.
-    #[error("the order of regions takes {0} bytes, at most {BODY_BYTES} fit: shorten their names")]
+    /// The encoded proposal is too long. The value is its length in bytes.
+    #[error("the proposal with its order of regions takes {0} bytes, at most {BODY_BYTES} are allowed: use shorter names for the regions")]
     OrderTooLong(usize),
 }
--- a/crates/rollout/src/core/advancing.rs
+++ b/crates/rollout/src/core/advancing.rs
@@ -1,5 +1,5 @@
-//! From what was observed to what runs: facts are decoded, the evidence is weighed, the stage machine takes a step, and its
-//! results are carried out.
+//! Processing of an observation: decodes the facts, evaluates the evidence, steps the stage machine, and carries out its
+//! decisions.
 
 use super::{Core, COUNTS, HALTS, PLANNED_RESTART, PROPOSAL, VOTE};
 use crate::event::{Action, PeerFact};
@@ -13,12 +13,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Facts of other members, decoded. Votes are kept by the core.
+/// Decoded facts of other members, except votes, which the core keeps.
 #[derive(Default)]
 struct DecodedFacts {
     proposals: Vec<Proposal>,
     halts: Vec<HaltRecord>,
-    /// Source, its incarnation, and its counts.
+    /// Name, incarnation and counts of each source.
     counts: Vec<(String, u64, TrafficCounts)>,
     planned_restarts: BTreeMap<String, PlannedRestart>,
 }
@@ -49,7 +49,7 @@
                 self.malformed_facts += 1;
             }
         }
-        // A vote of an earlier incarnation of this process comes back to it; its present one is in the machine.
+        // Other members may send back a vote of an earlier incarnation of this member. The current vote is in the machine.
         self.votes.remove(&self.config.name);
         decoded
     }
@@ -129,7 +129,7 @@
         }
     }
 
-    /// What the evidence is about: epoch and version of the proposal, and its stage.
+    /// Subject of the evidence: epoch and version of the current proposal, and its stage.
     fn current_subject(&self) -> Option<(u64, VersionHash, u8)> {
         self.machine
             .current()
@@ -140,7 +140,8 @@
         self.evidence_subject == self.current_subject()
     }
 
-    /// Another rollout has evidence of its own, another stage a soak of its own.
+    /// Resets the evidence for a new rollout. A new stage of the same rollout only restarts the soak time and the evidence of
+    /// the stage.
     fn begin_evidence(&mut self, now: Duration) {
         let subject = self.current_subject();
         if self.evidence_subject == subject {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Carries out what the machine decided. Returns whether all that is to be persisted is on the disk.
+    /// Carries out the decisions of the machine. Returns whether the current state is on the disk.
     fn apply(&mut self, now: Duration, actions: &mut Vec<Action>) -> bool {
         let phase = self.machine.phase();
         if phase != self.phase {
@@ -201,7 +202,7 @@
         let (epoch, hash) = (current.proposal.epoch, current.proposal.hash);
         let unable = matches!(current.readiness, Readiness::Unable(_));
         let already_checked = self.last_check.is_some_and(|(last_epoch, last_hash, at)| {
-            // A file that was missing may have been placed since.
+            // A file that was missing or invalid may have been replaced since then.
             let must_repeat = unable && now.saturating_sub(at) >= self.config.message_ttl;
             (last_epoch, last_hash) == (epoch, hash) && !must_repeat
         });
@@ -223,8 +224,9 @@
         persisted
     }
 
-    /// Rolls back at once. Runs the new version only when that is on the disk and others have had the time of an observation
-    /// to hear of it: a process that the new version kills must be known to have run it.
+    /// Requests the version that the machine has selected. A rollback is immediate. The new version runs only after the state
+    /// is on the disk and this process's vote has been published for at least one observation: if the new version crashes the
+    /// process, the other members must know that it ran that version.
     fn run_version(&mut self, now: Duration, persisted: bool, actions: &mut Vec<Action>) {
         let version = self.machine.running_version(&self.observation.peers);
         let announced = persisted && self.runs_new_since.is_some_and(|at| at < now);
@@ -236,7 +238,7 @@
     }
 }
 
-/// `None` if the fact is of an unknown kind, or can't be decoded.
+/// `None` if the fact has an unknown kind or cannot be decoded.
 fn decode_fact(
     fact: &PeerFact,
     decoded: &mut DecodedFacts,
--- a/crates/rollout/src/core/mod.rs
+++ b/crates/rollout/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy's part in a rollout: `Core::handle` matches an event and delegates; each concern has a file here.
+//! The rollout core of one proxy: `Core::handle` dispatches an event to the submodules, one for each concern.
 
 mod advancing;
 mod proposing;
@@ -16,51 +16,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-// Kinds of facts: numbers on the wire.
+// Kinds of facts. The numbers are part of the wire format.
 const PROPOSAL: u8 = 0;
 const VOTE: u8 = 1;
 const HALTS: u8 = 2;
 const COUNTS: u8 = 3;
 const PLANNED_RESTART: u8 = 4;
-/// Number of kinds of facts; the host maps them into its own numbering.
+/// Number of kinds of facts. The host maps them to its own numbering.
 pub const FACT_KINDS: u8 = 5;
 
-/// A proxy's part in a rollout.
+/// The state of one proxy that takes part in rollouts.
 #[derive(Clone, Debug)]
 pub struct Core {
     config: Config,
     machine: StageMachine,
     evidence: Evidence,
     observation: Observation,
-    /// The last vote of each other member.
+    /// The last vote of each other member. The key is the name of the member.
     votes: BTreeMap<String, ReceivedVote>,
     monitor: CanaryMonitor,
     planned_restart: Option<PlannedRestart>,
     verdict: Verdict,
-    /// Raised with each change of the running version: counting begins anew.
+    /// Incremented with each change of the running version, when the counters restart.
     generation: u32,
-    /// Class and total counts when the running version began.
+    /// Counts by class and in total when the current version began to run.
     counts_at_start: (Vec<ClassCounts>, ClassCounts),
-    /// The version that the host was last asked to run.
+    /// The version that the host was last requested to run.
     running_version: VersionHash,
-    /// The version by which the host serves: counts are of this one.
+    /// The version that serves requests on the host. The traffic counts are about this version.
     applied_version: VersionHash,
     phase: Phase,
-    /// Epoch and version that were last checked, and when.
+    /// Epoch, version and time of the last check.
     last_check: Option<(u64, VersionHash, Duration)>,
-    /// Epoch, version and stage that the evidence is about.
+    /// Epoch, version and stage of the evidence.
     evidence_subject: Option<(u64, VersionHash, u8)>,
-    /// What the disk has.
+    /// The encoded state that is on the disk.
     persisted: Vec<u8>,
-    /// What is being written.
+    /// The encoded state that is being written.
     persisting: Option<Vec<u8>>,
-    /// After a failure nothing is written before this time.
+    /// After a failed write, the time of the next attempt.
     persist_retry_at: Option<Duration>,
-    /// The last vote that rests on what is on the disk.
+    /// The last vote that was published with its state on the disk.
     last_durable_vote: Option<Vote>,
-    /// Since when the published vote says that this process runs the new version.
+    /// The time since which the published vote reports that this process runs the new version.
     runs_new_since: Option<Duration>,
-    /// When each kind of fact was last published, and its body.
+    /// Time and body of the last publication of each kind of fact. The key is the kind.
     published: BTreeMap<u8, (Duration, Vec<u8>)>,
     superseded_proposals: u64,
     malformed_facts: u64,
@@ -69,7 +69,7 @@
 }
 
 impl Core {
-    /// A core with what an earlier process persisted.
+    /// A core that restores the state of an earlier process, if `config` has one.
     pub fn new(config: Config, now: Duration) -> Self {
         let mut machine = StageMachine::new(
             &config.name,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Handles an event at `now`, the time since an origin that never changes.
+    /// Handles an event at `now`, the time since an origin that never changes, and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         if self.state_unreadable && !std::mem::replace(&mut self.unreadable_reported, true) {
             actions.push(Action::StateUnreadable);
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Counting begins anew: what was served before was served by another version.
+    /// Restarts the counters, since the earlier requests were served by another version.
     fn version_applied(&mut self, hash: VersionHash) {
         self.applied_version = hash;
         self.generation += 1;
--- a/crates/rollout/src/core/proposing.rs
+++ b/crates/rollout/src/core/proposing.rs
@@ -1,4 +1,4 @@
-//! Proposals of this process, and its incarnation.
+//! Proposals of this process, and updates of its incarnation.
 
 use super::Core;
 use crate::command::CommandRejected;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Core {
-    /// The membership may give this process a later incarnation; a planned restart that it announced goes with that.
+    /// Takes over a later incarnation that the membership has assigned to this process, also for an announced planned restart.
     pub(super) fn update_incarnation(&mut self) {
         let me = self
             .observation
@@ -27,7 +27,7 @@
         });
     }
 
-    /// Follows a proposal of this process with an epoch greater than all that it knows.
+    /// Proposes a version with an epoch greater than all epochs that this process has received, and follows the proposal.
     pub(super) fn propose(
         &mut self,
         hash: VersionHash,
@@ -77,7 +77,7 @@
             && order.iter().all(|region| regions.contains(region))
     }
 
-    /// Greater than all epochs that this process knows, halted ones and those of votes included.
+    /// An epoch greater than all that this process has received, including those of halts and votes.
     fn next_epoch(&self) -> u64 {
         let voted_epochs = self.votes.values().map(|received| received.vote.epoch);
         let greatest = self.machine.epoch().max(voted_epochs.max().unwrap_or(0));
--- a/crates/rollout/src/core/publishing.rs
+++ b/crates/rollout/src/core/publishing.rs
@@ -1,20 +1,20 @@
-//! What this process publishes: proposal, vote, halts, traffic counts and planned restarts.
+//! Publication of this process's proposal, vote, halts, traffic counts and planned restart.
 
 use super::{Core, COUNTS, HALTS, PLANNED_RESTART, PROPOSAL, VOTE};
 use crate::event::Action;
 use crate::messages::{self, ClassCounts, TrafficCounts, Vote, BODY_BYTES, MAX_CLASSES};
 use std::time::Duration;
 
-/// TTL of halts and planned restarts: they have to reach members that were cut off.
+/// TTL of halts and planned restarts, which must reach members that were partitioned from the fleet.
 const LONG_TTL: Duration = Duration::from_secs(600);
-/// The TTL of a proposal, in TTLs of a vote.
+/// TTL of a proposal, as a multiple of the TTL of a vote.
 const PROPOSAL_TTLS: u32 = 6;
-/// A fact is published again so often within its TTL.
+/// Number of times that an unchanged fact is published within its TTL.
 const PUBLICATIONS_PER_TTL: u32 = 3;
 
 impl Core {
-    /// The vote to publish. Until the state is on the disk it promises no more than the last durable vote: a process that is
-    /// killed now would forget a vote beyond that, and could vote for another version.
+    /// The vote to publish. Until the state is on the disk, the vote does not exceed the last durable one: after a crash, a
+    /// process would not remember a later vote and could vote for another version.
     pub(super) fn durable_vote(&mut self, persisted: bool) -> Option<Vote> {
         let vote = self.machine.vote(&self.observation.peers)?;
         if persisted || self.machine.halt_record().is_some() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Publishes what changed, and what is to be refreshed before it expires.
+    /// Publishes the facts that have changed, and those that must be refreshed before they expire.
     pub(super) fn publish(&mut self, now: Duration, persisted: bool, actions: &mut Vec<Action>) {
         let ttl = self.config.message_ttl;
         let vote = self.durable_vote(persisted);
--- a/crates/rollout/src/core/status.rs
+++ b/crates/rollout/src/core/status.rs
@@ -1,4 +1,4 @@
-//! What operators see.
+//! The state of the rollout for operators.
 
 use super::Core;
 use crate::evidence::Verdict;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How far the rollout has come and what the evidence says; `None` without a proposal.
+    /// The phase of the rollout and the verdict on its stage; `None` without a proposal.
     pub fn progress(&self) -> Option<(Phase, Verdict)> {
         self.machine
             .current()
--- a/crates/rollout/src/event.rs
+++ b/crates/rollout/src/event.rs
@@ -1,4 +1,4 @@
-//! What the core is told, and what it asks its host to do.
+//! Settings, inputs and outputs of the core: events from the host and actions for the host.
 
 use crate::command::CommandRejected;
 use crate::evidence::EvidenceLimits;
@@ -11,99 +11,103 @@
 /// Settings of the core.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The name of this process in the roster.
+    /// The name of this member in the roster.
     pub name: String,
-    /// The incarnation of this process, as the membership gives it.
+    /// The incarnation of this process, as assigned by the membership.
     pub incarnation: u64,
-    /// It took over from a process of its name that was still running (hot restart).
+    /// Whether this process took over from a running process of the same name (hot restart).
     pub took_over: bool,
-    /// The version that runs at the start.
+    /// The version that runs when the process starts.
     pub base_version: VersionHash,
     /// Bounds of the canary analysis.
     pub evidence_limits: EvidenceLimits,
-    /// How long a member that is to run the new version may be unreachable, or this process cut off, before a halt.
+    /// How long a member that has to run the new version may be unreachable, or this process may be partitioned from the
+    /// fleet, before the rollout is halted.
     pub unreachable_timeout: Duration,
-    /// How long a published fact is valid.
+    /// The TTL of published votes and traffic counts, and the delay before a failed write or version check is repeated.
     pub message_ttl: Duration,
-    /// What an earlier process persisted.
+    /// The state that an earlier process persisted, if any.
     pub persisted: Option<Vec<u8>>,
 }
 
-/// A fact of another member that has not expired.
+/// An unexpired fact that a member published.
 #[derive(Clone, Debug)]
 pub struct PeerFact {
     /// Name of the member that published it.
     pub source: String,
-    /// Its incarnation at that time.
+    /// The incarnation of that member when it published the fact.
     pub incarnation: u64,
-    /// From 0, below `FACT_KINDS`.
+    /// The kind of the fact, from 0 to `FACT_KINDS` - 1.
     pub kind: u8,
     /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// All that the host knows at one moment. Given once a window, and whenever a new fact came.
+/// The host's view of the fleet at one moment. Sent once per window and whenever a new fact has arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
-    /// The roster.
+    /// All members of the roster.
     pub peers: Vec<Peer>,
-    /// Regions to which a change may be promoted now.
+    /// Regions to which this process may promote a change now.
     pub promotable_regions: BTreeSet<String>,
-    /// Facts of all members.
+    /// Unexpired facts of all members.
     pub facts: Vec<PeerFact>,
-    /// Weight of requests offered and lost since the start of the process, by class, in requests of that class.
+    /// Requests offered and lost per class since the start of the process, weighted in requests of that class.
     pub class_counts: Vec<ClassCounts>,
-    /// The same of all classes together, in requests of the class with the greatest weight.
+    /// Requests offered and lost in all classes since the start of the process, weighted in requests of the class with the
+    /// greatest weight.
     pub total_counts: ClassCounts,
 }
 
-/// What the host tells the core.
+/// An event that the host sends to the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The state of the fleet now.
+    /// The current state of the fleet.
     Observe(Observation),
     /// An operator proposes a version.
     Propose {
         /// The version.
         hash: VersionHash,
-        /// All regions, in the order in which they take it.
+        /// All regions, in the order in which they receive the version.
         order: Vec<String>,
-        /// Proxies of the first region that take it before all others.
+        /// Number of proxies of the first region that run the version before all others.
         canary_size: u16,
-        /// Proposes it even if it was halted before.
+        /// Whether to propose the version even if it was halted before.
         resume: bool,
     },
     /// An operator halts the rollout.
     Halt,
-    /// An operator wants the former version back.
+    /// An operator rolls back to the previous version.
     Rollback,
-    /// This process was told to end.
+    /// This process has to terminate.
     Leave,
-    /// The last `Action::Persist` is done: whether the data are on the disk.
+    /// The last `Action::Persist` has finished. The value is whether the data are on the disk.
     Persisted(bool),
-    /// The result of `Action::CheckVersion`, or of `Action::RunVersion` if that failed.
+    /// The result of `Action::CheckVersion`, or the error of an `Action::RunVersion` that failed.
     VersionChecked(VersionHash, Result<(), String>),
-    /// `Action::RunVersion` is carried out: from now on requests are served by this version. Sent behind an `Observe` with the
-    /// counts of that moment.
+    /// `Action::RunVersion` has been carried out: requests are served by this version from now on. Sent after an `Observe`
+    /// that has the counts of that moment.
     VersionApplied(VersionHash),
 }
 
-/// What the core asks its host to do, or reports.
+/// A request of the core to its host, or a notification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Publish a fact: kind, body, TTL.
+    /// Publish a fact with this kind, body and TTL.
     Publish(u8, Vec<u8>, Duration),
-    /// Find out whether the version is there and valid.
+    /// Check whether the file of this version exists and is valid.
     CheckVersion(VersionHash),
-    /// Run the version, then send `Event::VersionApplied`; if it can't be read, keep running the former one.
+    /// Run the version, then send `Event::VersionApplied`. If its file cannot be read, keep running the previous version.
     RunVersion(VersionHash),
-    /// Persist these data for the next process, then send `Event::Persisted`. There is no second one before that.
+    /// Persist these data for the next process, then send `Event::Persisted`. The core does not send another `Persist`
+    /// before it has received that event.
     Persist(Vec<u8>),
-    /// The rollout has come to this phase.
+    /// The rollout has entered this phase.
     PhaseChanged(Phase),
     /// An operator's command was rejected.
     Rejected(CommandRejected),
-    /// What an earlier process persisted can't be read. This process starts with the base version and no rollout, and hears of
-    /// one from the others. What it persists from now on replaces it.
+    /// The state that an earlier process persisted cannot be decoded. This process starts with the base version and without
+    /// a rollout, and receives a current rollout from the other members. The next state that it persists replaces the
+    /// unreadable one.
     StateUnreadable,
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,5 +1,6 @@
-//! Canary analysis: the loss rates of the new and the former version, compared in the same windows by a sequential test that is
-//! valid at any time (testing by betting). A stage is clean only if each member that entered with it has shown that itself.
+//! Canary analysis: compares the loss rates of the new and the previous version in the same windows with an anytime-valid
+//! sequential test (testing by betting). A stage is clean only if the evidence from each member that entered with it is
+//! sufficient and not suspicious.
 
 use crate::bettor::Bettor;
 use crate::member_evidence::{MemberEvidence, MemberFigures};
@@ -8,85 +9,86 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Wealth of harm in total with which the end of the soak time is not enough to advance.
+/// Wealth of the bet on harm in total from which the end of the soak time alone is not enough to advance.
 const SUSPICIOUS_WEALTH: f64 = 2.0;
-/// The same for one class.
+/// Like `SUSPICIOUS_WEALTH`, for one class.
 const SUSPICIOUS_CLASS_WEALTH: f64 = 8.0;
-/// The same for one member, and at least so many times the number of members that entered with the stage.
+/// Like `SUSPICIOUS_WEALTH`, for one member. The threshold is at least `SUSPICIOUS_WEALTH_PER_MEMBER` times the number of
+/// members that entered with the stage.
 const SUSPICIOUS_MEMBER_WEALTH: f64 = 8.0;
 const SUSPICIOUS_WEALTH_PER_MEMBER: f64 = 2.0;
 /// Bounds of the canary analysis.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvidenceLimits {
-    /// The least harm that has to be found, as a part of the offered weight.
+    /// The smallest increase of the loss rate that must be detected, as a fraction of the offered weight.
     pub min_harm: f64,
-    /// The probability that this test ever halts a version that does no harm.
+    /// Upper bound on the probability that the test ever halts a version that does no harm.
     pub error_probability: f64,
-    /// How long a stage runs before it counts as clean without proof.
+    /// How long a stage runs before it can count as clean although harm is not excluded by the test.
     pub soak_time: Duration,
-    /// Weight that both versions have to be offered in a window.
+    /// Minimum weight that each version must be offered in a window.
     pub min_window_demand: u64,
-    /// Weight that the new version has to be offered in a stage.
+    /// Minimum weight that the new version must be offered in a stage.
     pub min_stage_demand: u64,
-    /// Without a window for so long there is no evidence.
+    /// Maximum age of the last window; older evidence is not used.
     pub max_age: Duration,
 }
 
-/// What the evidence says of the current stage.
+/// The verdict on the current stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
     /// The new version does harm.
     Harm(HaltReason),
-    /// Harm of the least size is excluded, or the soak time is over without a sign of harm.
+    /// Harm of `min_harm` or more is excluded, or the soak time has ended without a sign of harm.
     Clean,
-    /// Nothing is shown yet, and the soak time is not over.
+    /// Harm is neither shown nor excluded, and the soak time has not ended.
     Soaking,
-    /// Too little traffic to compare, or not on both versions.
+    /// There is too little traffic for a comparison, or not on both versions.
     InsufficientTraffic,
-    /// A member that entered with this stage was not compared often enough.
+    /// A member that entered with this stage was not compared in enough windows.
     MemberEvidenceMissing,
-    /// The soak time is over, harm is not shown, and there is a sign of it.
+    /// The soak time has ended or harm is excluded in total, but there is a sign of harm.
     Inconclusive,
-    /// No harm is shown, but a proxy of the stage is missing or has not reported that it runs the version.
+    /// The evidence is clean, but a proxy of the stage is missing or has not reported that it runs the version.
     MembersMissing,
 }
 
 /// The traffic counts of one proxy.
 #[derive(Clone, Debug)]
 pub struct ReportedCounts<'a> {
-    /// Name of the proxy.
+    /// Name of the proxy that reported the counts.
     pub name: &'a str,
-    /// Its region.
+    /// Region of the proxy.
     pub region: &'a str,
-    /// The incarnation that counted.
+    /// Incarnation of the proxy that counted.
     pub incarnation: u64,
-    /// The counts.
+    /// The reported counts.
     pub counts: TrafficCounts,
 }
 
-/// Figures of the evidence, for operators.
+/// Figures of the canary analysis, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvidenceSummary {
-    /// Windows that were compared.
+    /// Number of windows that were compared.
     pub windows: u64,
-    /// Wealth of the bet on harm; with 2/error the version is halted.
+    /// Wealth of the bet on harm. At 2/`error_probability` the version is halted.
     pub harm_wealth: f64,
-    /// Wealth of the bet against harm; with 1/error the stage is clean.
+    /// Wealth of the bet against harm. At 1/`error_probability` harm is excluded.
     pub safety_wealth: f64,
 }
 
-/// The evidence of one rollout as one proxy sees it.
+/// The evidence about one rollout, as collected by one proxy.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     limits: EvidenceLimits,
     total: Series,
     classes: BTreeMap<u32, Series>,
-    /// The last counts of each proxy, with its incarnation.
+    /// Incarnation and last counts of each proxy. The key is the name of the proxy.
     last_counts: BTreeMap<String, (u64, TrafficCounts)>,
-    /// Bets against harm of the least size or more, in this stage.
+    /// Bets against harm of `min_harm` or more in this stage.
     safety: Bettor,
     stage_demand: u64,
-    /// Of each member that reported counts of the new version in this stage, by name.
+    /// Evidence from each member that reported counts of the new version in this stage. The key is the name of the member.
     stage_members: BTreeMap<String, MemberEvidence>,
     windows: u64,
     last_window: Option<Duration>,
@@ -94,7 +96,7 @@
 }
 
 impl Evidence {
-    /// No evidence yet.
+    /// Evidence without any counts, for a stage that begins at `now`.
     pub fn new(limits: EvidenceLimits, now: Duration) -> Self {
         Self {
             limits,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Begins a stage with a soak time and traffic of its own. The wealth of harm stays, so that all stages together have the one
-    /// error probability.
+    /// Begins a stage with its own soak time and demand. The wealth of the bet on harm is kept, so that the error probability
+    /// holds for all stages together.
     pub fn start_stage(&mut self, now: Duration) {
         self.safety = Bettor::default();
         self.stage_demand = 0;
@@ -120,7 +122,8 @@
         self.last_window = None;
     }
 
-    /// Takes what all proxies report now. Reports without new counts change nothing.
+    /// Adds the current reports of all proxies and closes the windows that have enough demand. A report without new counts
+    /// has no effect.
     pub fn observe<'a>(
         &mut self,
         now: Duration,
@@ -132,7 +135,8 @@
             region_versions.insert(report.counts.runs_new);
             self.add_report(report);
         }
-        // By the last reports, however old: a late one does not make a region run one version alone.
+        // Determined from the last report of each proxy, whatever its age, so that a late report does not make a region appear
+        // to run a single version.
         let runs_both =
             |(region, runs_new): (String, BTreeSet<bool>)| (runs_new.len() > 1).then_some(region);
         let mixed_regions: BTreeSet<String> = versions.into_iter().filter_map(runs_both).collect();
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Adds what has come since the last report of the same process under the same version.
+    /// Adds the increase since the last report of the same process under the same version.
     fn add_report(&mut self, report: ReportedCounts<'_>) {
         let ReportedCounts {
             name,
@@ -193,7 +197,7 @@
         }
     }
 
-    /// What the evidence says at `now`. `entrants`: the members that enter with this stage and can be compared in their region.
+    /// The verdict at `now`. `entrants` are the members that enter with this stage and can be compared in their region.
     pub fn verdict(&self, now: Duration, entrants: &[&str]) -> Verdict {
         let limits = &self.limits;
         if let Some(reason) = self.harm() {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Whether the soak time is over since the stage began and since each of these members was first compared.
+    /// Whether the soak time has passed since the stage began and since each of the entrants was first compared.
     fn has_soaked(&self, now: Duration, entrants: &[&MemberEvidence]) -> bool {
         let began = entrants
             .iter()
@@ -240,7 +244,8 @@
             || self.any_class_reaches(SUSPICIOUS_CLASS_WEALTH)
     }
 
-    /// Half of the error probability goes to the total, half to all classes together.
+    /// The reason for a halt, if harm is shown. Half of the error probability is assigned to the total and half to all classes
+    /// together.
     fn harm(&self) -> Option<HaltReason> {
         let error = self.limits.error_probability;
         if self.total.harm_wealth() >= 2.0 / error {
@@ -257,14 +262,14 @@
             .any(|series| series.harm_wealth() >= wealth)
     }
 
-    /// What each member has shown of the new version in this stage, by name.
+    /// Name and figures of each member that ran the new version in this stage.
     pub fn stage_members(&self) -> impl Iterator<Item = (&str, MemberFigures)> {
         self.stage_members
             .iter()
             .map(|(name, member)| (name.as_str(), member.figures()))
     }
 
-    /// Figures for operators.
+    /// Summary for operators.
     pub fn summary(&self) -> EvidenceSummary {
         EvidenceSummary {
             windows: self.windows,
@@ -274,7 +279,7 @@
     }
 }
 
-/// Whether the version seems to do harm at one of these members, whatever others report.
+/// Whether there is a sign of harm at any of the entrants, regardless of the reports of the others.
 fn is_suspicious(entrants: &[&MemberEvidence]) -> bool {
     let scaled = SUSPICIOUS_WEALTH_PER_MEMBER * entrants.len() as f64;
     let threshold = scaled.max(SUSPICIOUS_MEMBER_WEALTH);
--- a/crates/rollout/src/guard.rs
+++ b/crates/rollout/src/guard.rs
@@ -1,30 +1,31 @@
-//! Guards that a test can switch off, to see that the model checker misses each of them. Outside of tests they are always on.
+//! Guards that a test can switch off to verify that the model checker detects the absence of each. In other builds all guards
+//! are always on.
 
 /// A guard that a test can switch off.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Guard {
-    /// A stage needs a majority of votes.
+    /// Entering a stage requires a majority of votes.
     Quorum,
-    /// Majorities are counted over the roster, not over reachable members.
+    /// Majorities are counted over the whole roster, not over the reachable members.
     Roster,
-    /// A stage needs a region to which changes may be promoted.
+    /// Entering a stage requires that changes may be promoted to its region.
     PromotableRegion,
     /// A halted version does not run.
     HaltPrecedence,
-    /// Halts outlive a restart.
+    /// Halts are persisted and survive a restart.
     PersistedHalts,
-    /// Two new versions never run at a time.
+    /// At most one new version runs in the fleet at any time.
     SingleNewVersion,
-    /// Nobody votes for the next stage without clean evidence.
+    /// A member votes for the next stage only if the evidence is clean.
     CleanEvidence,
-    /// A member that crashes again and again is noticed.
+    /// Repeated crashes of a member halt the rollout.
     Crash,
-    /// Nobody votes while a member of the stage has not reported.
+    /// A member does not vote for the next stage while a member of the stage has not reported that it runs the version.
     MembersReported,
 }
 
-/// Whether a guard is on for `$self`.
+/// Whether the guard is switched on for `$self`.
 macro_rules! guard {
     ($self:ident, $guard:ident) => {{
         #[cfg(test)]
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,9 +1,13 @@
-//! A version of the operators' file that reaches a fleet of proxies in stages, is compared with the former one while both serve,
-//! and is halted automatically when it does harm. No clock, no I/O, no log: `Core::handle` takes an event and the time since
-//! some start, and gives actions. The host tells it which facts came and who is reachable; what a version says, and where its
-//! file is, is not known here.
+//! Staged rollout of a new version of the operators' configuration file to a fleet of proxies.
 //!
-//! Reasons and all bounds: `docs/design/rollout.md`.
+//! The new version reaches the proxies in stages. While both versions serve traffic, their loss rates are compared, and
+//! the rollout is halted automatically if the new version does harm.
+//!
+//! `Core::handle` takes an event and the time since a fixed origin, and returns actions. It uses no clock, I/O or log.
+//! The host passes in the received facts and the reachability of the members, and it stores and interprets the
+//! configuration files; this crate identifies a version by its hash only.
+//!
+//! `docs/design/rollout.md` gives the reasons for the design and all bounds.
 
 mod advice;
 mod bettor;
--- a/crates/rollout/src/machine/halting.rs
+++ b/crates/rollout/src/machine/halting.rs
@@ -1,4 +1,4 @@
-//! Halts: who halted which version and why, and the halt of a process that is cut off.
+//! Halts: merging of halt records, and the automatic halt by a process that is partitioned from the fleet.
 
 use super::{StageMachine, StepInput};
 use crate::guard::guard;
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 impl StageMachine {
-    /// The halt of a proposal. An operator may propose the same file again under a later epoch: halts before that do not count.
+    /// The halt that applies to a proposal. An operator may propose the same version again under a later epoch; halts of
+    /// earlier epochs do not apply to it.
     pub fn halt_of(&self, p: &Proposal) -> Option<&HaltRecord> {
         self.halts
             .iter()
@@ -20,7 +21,8 @@
             .and_then(|c| self.halt_of(&c.proposal))
     }
 
-    /// Halts the current rollout; any member may, at any time. `false` if there is none, or it is halted already.
+    /// Halts the current rollout. Any member may do this at any time. Returns `false` if there is no rollout or it is
+    /// already halted.
     pub fn halt(&mut self, reason: HaltReason) -> bool {
         let Some(current) = &self.current else {
             return false;
@@ -46,7 +48,7 @@
                 .iter()
                 .any(|h| h.epoch == halted.epoch && h.hash == halted.hash)
             {
-                // All records have to fit into one fact, however long a name another member sent.
+                // All records must fit into one fact, whatever the length of the name in a received record.
                 self.halts.push(HaltRecord {
                     halted_by: messages::bounded_name(&halted.halted_by),
                     ..halted.clone()
@@ -58,12 +60,8 @@
     }
 
     pub(super) fn track_unreachable(&mut self, now: Duration, input: &StepInput<'_>) {
-        self.unreachable_since.retain(|name, _| {
-            input
-                .peers
-                .iter()
-                .any(|peer| peer.name == *name && !peer.reachable)
-        });
+        self.unreachable_since
+            .retain(|name, _| input.peers.iter().any(|p| p.name == *name && !p.reachable));
         for peer in input.peers.iter().filter(|peer| !peer.reachable) {
             self.unreachable_since
                 .entry(peer.name.clone())
@@ -71,7 +69,8 @@
         }
     }
 
-    /// A process that runs the new version and is cut off from the fleet would not hear of a halt: it rolls back by itself.
+    /// Halts the rollout if this process runs the new version and could not promote for `unreachable_timeout`: a process
+    /// that is partitioned from the fleet would not receive a halt, so it rolls back on its own.
     pub(super) fn halt_if_partitioned(&mut self, now: Duration, input: &StepInput<'_>) {
         let partitioned = self.is_in_progress()
             && self.runs_new_here(input.peers)
--- a/crates/rollout/src/machine/mod.rs
+++ b/crates/rollout/src/machine/mod.rs
@@ -1,5 +1,5 @@
-//! The stage machine: which proposal a proxy follows, how far it has advanced, and what it runs. There is no leader; each proxy
-//! advances itself by the votes of all.
+//! The stage machine decides which proposal a proxy follows, which stage it has reached, and which version it runs. There is
+//! no leader: each proxy advances on its own, based on the votes of all members.
 
 mod halting;
 mod votes;
@@ -14,55 +14,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What is known at one moment.
+/// Input of one step: the fleet's state as known to this process.
 pub struct StepInput<'a> {
-    /// The roster.
+    /// All members of the roster.
     pub peers: &'a [Peer],
-    /// Regions to which a change may be promoted now.
+    /// Regions to which this process may promote a change now.
     pub promotable_regions: &'a BTreeSet<String>,
-    /// The last vote of each other member that has not expired.
+    /// The last unexpired vote of each other member. The key is the name of the member.
     pub votes: &'a BTreeMap<String, Vote>,
-    /// Proposals of other members.
+    /// Proposals received from other members.
     pub proposals: &'a [Proposal],
-    /// Halts of other members.
+    /// Halts received from other members.
     pub halts: &'a [HaltRecord],
-    /// What the evidence says of the current stage.
+    /// The verdict on the current stage.
     pub verdict: Verdict,
 }
 
-/// How far a rollout has come.
+/// The phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// There is none.
+    /// There is no rollout.
     Idle,
-    /// It waits for the votes for its canary.
+    /// The proposal waits for the votes for its canary.
     Proposed,
-    /// The canary runs it.
+    /// The canary runs the new version.
     Canary,
-    /// It has come to the region at this place of the order.
+    /// The rollout has reached the region at this index of the order, from 0.
     Region(usize),
-    /// The whole fleet runs it.
+    /// The whole fleet runs the new version.
     Complete,
-    /// It was halted.
+    /// The rollout was halted for this reason.
     Halted(HaltReason),
-    /// An operator asked for the former version.
+    /// An operator rolled back to the previous version.
     RolledBack,
 }
 
 /// The proposal that this process follows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CurrentRollout {
-    /// The proposal.
+    /// The proposal that is rolled out.
     pub proposal: Proposal,
-    /// Stages for which a quorum was seen; 1 is the canary.
+    /// Number of stages for which this process has seen a quorum; stage 1 is the canary.
     pub quorums_seen: u8,
-    /// Stages that this process votes for.
+    /// Number of stages that this process votes for.
     pub votes: u8,
-    /// Whether this process can run it.
+    /// Whether this process can run the new version.
     pub readiness: Readiness,
 }
 
-/// The rollout as one process sees it.
+/// The state machine of a rollout in one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StageMachine {
     name: String,
@@ -70,18 +70,18 @@
     base_version: VersionHash,
     current: Option<CurrentRollout>,
     halts: Vec<HaltRecord>,
-    /// Since when this process runs the new version and may not promote.
+    /// The time since which this process runs the new version but may not promote a change in its region.
     partitioned_since: Option<Duration>,
-    /// Members that are unreachable, and since when.
+    /// The time since which each unreachable member is unreachable. The key is the name of the member.
     unreachable_since: BTreeMap<String, Duration>,
-    /// This process has seen a quorum for what it runs since its start.
+    /// Whether this process has seen a quorum for its stage since it started or adopted the proposal.
     confirmed: bool,
     #[cfg(test)]
     pub(crate) without: Option<Guard>,
 }
 
 impl StageMachine {
-    /// A machine that runs `base_version`. A process that can't promote for `unreachable_timeout` rolls back.
+    /// A machine that runs `base_version`. A process that cannot promote for `unreachable_timeout` rolls back.
     pub fn new(name: &str, base_version: VersionHash, unreachable_timeout: Duration) -> Self {
         Self {
             name: name.to_owned(),
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Takes over what an earlier process persisted. Its stages count as votes only: this process runs nothing new before it
-    /// has seen a quorum again, since the rollout may have been halted meanwhile.
+    /// Restores the state that an earlier process persisted. The restored stages count as votes only: this process does not
+    /// run the new version until it has seen a quorum again, since the rollout may have been halted in the meantime.
     pub(crate) fn restore(&mut self, persisted: messages::PersistedState) {
         if guard!(self, PersistedHalts) {
             self.merge_halts(&persisted.halts);
@@ -107,7 +107,7 @@
             .proposal
             .filter(|proposal| proposal.order.len() <= MAX_REGIONS)
             .map(|proposal| {
-                // A file with more stages than there are was modified.
+                // A state file with more stages than the proposal has was modified.
                 let quorums_seen = u8::try_from(stages(&proposal))
                     .map_or(0, |stages| persisted.quorums_seen.min(stages));
                 CurrentRollout {
@@ -129,22 +129,22 @@
         }
     }
 
-    /// The rollout that this process follows.
+    /// The rollout that this process follows, if any.
     pub fn current(&self) -> Option<&CurrentRollout> {
         self.current.as_ref()
     }
 
-    /// All halts that are remembered, the latest first.
+    /// All halts that are kept, the latest first.
     pub fn halts(&self) -> &[HaltRecord] {
         &self.halts
     }
 
-    /// What runs while no rollout does.
+    /// The version that runs where the new version does not.
     pub fn base_version(&self) -> VersionHash {
         self.base_version
     }
 
-    /// The greatest epoch that is known.
+    /// The greatest epoch of the current proposal and all kept halts; 0 if there are none.
     pub fn epoch(&self) -> u64 {
         let halted = self.halts.iter().map(|h| h.epoch).max();
         self.current
@@ -154,7 +154,7 @@
             .unwrap_or_default()
     }
 
-    /// How far the current rollout has come.
+    /// The phase of the current rollout.
     pub fn phase(&self) -> Phase {
         let Some(current) = &self.current else {
             return Phase::Idle;
@@ -183,7 +183,7 @@
         )
     }
 
-    /// Whether the new version may run here.
+    /// Whether this process may run the new version.
     pub fn runs_new_here(&self, peers: &[Peer]) -> bool {
         let Some(current) = &self.current else {
             return false;
@@ -196,7 +196,7 @@
                 .is_some_and(|stage| current.quorums_seen >= stage)
     }
 
-    /// The version that is to run here.
+    /// The version that this process has to run.
     pub fn running_version(&self, peers: &[Peer]) -> VersionHash {
         match &self.current {
             Some(current) if self.runs_new_here(peers) => current.proposal.hash,
@@ -204,14 +204,14 @@
         }
     }
 
-    /// Takes the result of checking a version.
+    /// Sets the result of checking a version. Results for other versions than the proposed one are ignored.
     pub fn set_readiness(&mut self, hash: VersionHash, readiness: Readiness) {
         if let Some(current) = self.current.as_mut().filter(|c| c.proposal.hash == hash) {
             current.readiness = readiness;
         }
     }
 
-    /// Follows a proposal if it is greater than the current one.
+    /// Follows a proposal if its rank is higher than that of the current one.
     pub fn adopt(&mut self, proposal: &Proposal) {
         let previous = self.current.as_ref();
         if previous.is_some_and(|c| c.proposal.rank() >= proposal.rank())
@@ -231,7 +231,7 @@
         (self.partitioned_since, self.confirmed) = (None, false);
     }
 
-    /// Takes what is known now: halts, advances, and votes.
+    /// Processes the input: merges halts and proposals, halts on harm, advances through the stages and votes.
     pub fn step(&mut self, now: Duration, input: &StepInput<'_>) {
         self.merge_halts(input.halts);
         for proposal in input.proposals {
@@ -246,7 +246,7 @@
         let quorums_before = self.current.as_ref().map(|c| c.quorums_seen);
         self.advance_stages(input);
         self.halt_if_partitioned(now, input);
-        // The verdict is about the stage before; the next one has no evidence yet.
+        // The verdict is about the stage before this step. A stage that has just begun has no evidence yet.
         let same_stage = quorums_before == self.current.as_ref().map(|c| c.quorums_seen);
         let votes = self.votes_cast(
             input,
--- a/crates/rollout/src/machine/votes.rs
+++ b/crates/rollout/src/machine/votes.rs
@@ -1,4 +1,4 @@
-//! Votes and quorums: which stages this process votes for, and which a majority has voted for.
+//! Votes and quorums: the stages that this process votes for, and the stages that a majority has voted for.
 
 use super::{CurrentRollout, StageMachine, StepInput};
 use crate::evidence::Verdict;
@@ -37,8 +37,8 @@
         self.confirmed || current.quorums_seen == 0
     }
 
-    /// Whether no other new version can still run: each member follows this proposal, or was unreachable for so long that it
-    /// rolled back by itself.
+    /// Whether no other new version can still be running: each member follows this proposal, or was unreachable for so long
+    /// that it has rolled back on its own.
     pub(super) fn no_other_version_runs(
         &self,
         now: Duration,
@@ -65,7 +65,8 @@
                 .all(|peer| follows_this(peer) || rolled_back(peer))
     }
 
-    /// Whether all reachable members that run the version in this stage have said that they can, and none that it can't.
+    /// Whether all reachable members that run the version in this stage have reported that they can run it, and no member has
+    /// reported that it cannot.
     pub(super) fn members_can_run(
         &self,
         current: &CurrentRollout,
@@ -116,7 +117,8 @@
         })
     }
 
-    /// Whether a majority of each region that the stage needs has voted for it; for the canary also of the whole roster.
+    /// Whether a majority of each region that the stage requires has voted for it. The canary also requires a majority of the
+    /// whole roster.
     pub(super) fn has_quorum(
         &self,
         current: &CurrentRollout,
@@ -149,7 +151,7 @@
             && (stage > 1 || has_majority(&|_| true))
     }
 
-    /// The number of stages that a member votes for.
+    /// The number of stages of the current proposal that a member votes for.
     fn votes_of(&self, peer: &Peer, current: &CurrentRollout, input: &StepInput<'_>) -> usize {
         let votes = if peer.name == self.name {
             current.votes
@@ -163,7 +165,7 @@
         usize::from(votes)
     }
 
-    /// Advances as far as there are quorums.
+    /// Advances through all stages that have a quorum.
     pub(super) fn advance_stages(&mut self, input: &StepInput<'_>) {
         if guard!(self, HaltPrecedence) && self.halt_record().is_some() {
             return;
--- a/crates/rollout/src/member_evidence.rs
+++ b/crates/rollout/src/member_evidence.rs
@@ -1,27 +1,27 @@
-//! What one member has shown of the new version in one stage.
+//! Evidence about the new version from one member in one stage.
 
 use crate::messages::ClassCounts;
 use crate::series::Series;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Comparisons that each member which enters with a stage has to be a part of. Within so many a version that loses half of all
-/// requests at it shows a sign of harm.
+/// Minimum number of windows in which a member that enters with a stage must be compared. This is enough to show a sign of
+/// harm from a version that loses half of the requests at that member.
 const MIN_WINDOWS: u64 = 10;
 
-/// Figures of what one member has shown of the new version in one stage.
+/// Figures of one member that runs the new version, in one stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberFigures {
-    /// Weight that it was offered.
+    /// Weight of the requests offered to the member.
     pub offered: u64,
-    /// Weight of what it lost.
+    /// Weight of the requests lost by the member.
     pub lost: u64,
-    /// Comparisons of it with the former version in its region.
+    /// Number of windows in which the member was compared with the previous version in its region.
     pub windows: u64,
 }
 
-/// What one member has shown of the new version in one stage, compared with the former version in its region. No other
-/// member's counts of the new version have a part in it.
+/// Evidence from one member in one stage: its counts of the new version, compared with the previous version in its region.
+/// Counts of the new version from other members are not included.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberEvidence {
     region: String,
@@ -44,14 +44,14 @@
         self.figures
     }
 
-    /// Adds its own counts of the new version.
+    /// Adds the member's own counts of the new version.
     pub(crate) fn add_new(&mut self, name: &str, counts: ClassCounts) {
         self.figures.offered = self.figures.offered.saturating_add(counts.offered);
         self.figures.lost = self.figures.lost.saturating_add(counts.lost);
         self.series.add((name, &self.region), true, counts);
     }
 
-    /// Adds counts of the former version, if they are of its region.
+    /// Adds another member's counts of the previous version, if that member is in the same region.
     pub(crate) fn add_old(&mut self, name: &str, region: &str, counts: ClassCounts) {
         if self.region == region {
             self.series.add((name, region), false, counts);
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Since when it is compared.
+    /// The end of the first window in which the member was compared.
     pub(crate) fn first_window(&self) -> Option<Duration> {
         self.first_window
     }
 
-    /// Whether it was compared often enough to show harm.
+    /// Whether the member was compared in enough windows to show harm.
     pub(crate) fn is_sufficient(&self) -> bool {
         self.figures.windows >= MIN_WINDOWS
     }
--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -1,81 +1,85 @@
-//! Messages between proxies about a rollout, and the persisted state. Serialised by position (postcard): the order of fields and
-//! variants is the format. Each body begins with the version of the format; another version is of a later build and is not
-//! decoded.
+//! Messages between proxies about a rollout, and the persisted state.
+//!
+//! They are serialised by position (postcard), so the order of fields and variants defines the format. Each body begins with
+//! the version of the format. A body with another version comes from a later build and is not decoded.
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// A version of the operators' file: its SHA-256.
+/// Identifies a version of the operators' file: the SHA-256 of its content.
 pub type VersionHash = [u8; 32];
 
-/// Bytes of a body, at most.
+/// Maximum length of a body in bytes.
 pub const BODY_BYTES: usize = 512;
-/// Halts that are remembered. Epochs only grow, so a halt older than all of these concerns no proposal that can come.
+/// Maximum number of halts to keep. Epochs only grow, so a halt that is older than all of these cannot apply to a future
+/// proposal.
 pub const MAX_HALTS: usize = 6;
-/// Bytes of the name of a member that halted.
+/// Maximum length in bytes of the member name in a halt record.
 const NAME_BYTES: usize = 24;
-/// Bytes of the reason why a version can't run.
+/// Maximum length in bytes of the reason why a proxy cannot run a version.
 const REASON_BYTES: usize = 160;
-/// Classes in one message of traffic counts.
+/// Maximum number of classes in one message of traffic counts.
 pub const MAX_CLASSES: usize = 8;
-/// The first byte of each body.
+/// Version of the format: the first byte of each body.
 const FORMAT_VERSION: u8 = 1;
 
-/// A version that is to reach the fleet, and in which order.
+/// A proposal to roll out a version to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Greater than that of all proposals and halts that the proposer knew.
+    /// Greater than the epochs of all proposals, votes and halts that the proposer had received.
     pub epoch: u64,
-    /// The version.
+    /// The proposed version.
     pub hash: VersionHash,
-    /// Name of the member that proposed it.
+    /// Name of the member that proposed the version.
     pub proposer: String,
-    /// All regions of the roster, in the order in which they take the version.
+    /// All regions of the roster, in the order in which they receive the version.
     pub order: Vec<String>,
-    /// Proxies of the first region that go before all others.
+    /// Number of proxies of the first region that run the version before all others; 0 counts as 1.
     pub canary: u16,
 }
 
 impl Proposal {
-    /// Total order of proposals: all members follow the greatest, whichever they hear first.
+    /// Total order of proposals: all members follow the greatest one, independent of the order in which they receive them.
     pub fn rank(&self) -> (u64, Reverse<&VersionHash>, Reverse<&str>) {
         (self.epoch, Reverse(&self.hash), Reverse(&self.proposer))
     }
 }
 
-/// Why a version was halted.
+/// The reason for a halt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum HaltReason {
     /// An operator halted it.
     Operator,
-    /// The operator asked for the former version.
+    /// An operator rolled back to the previous version.
     Rollback,
-    /// It loses more in total than the former version beside it.
+    /// The loss rate of the new version in total was higher than that of the previous version in the same windows.
     Loss,
-    /// It loses more of one class than the former version beside it.
+    /// The loss rate of the new version in one class was higher than that of the previous version in the same windows.
     ClassLoss,
-    /// A proxy that was to run it restarted unplanned more than once.
+    /// A proxy that had to run the new version restarted more than once without a planned restart.
     Crash,
-    /// A proxy that was to run it was unreachable for too long.
+    /// A proxy that had to run the new version was unreachable, or sent no vote, for too long.
     Unreachable,
-    /// The proxy that halted it ran it and was cut off from the fleet.
+    /// The proxy that halted the rollout ran the new version and was partitioned from the fleet for too long.
     Partitioned,
 }
 
 impl HaltReason {
-    /// The reason in words, for operators.
+    /// The text of the reason for operators.
     pub fn text(self) -> &'static str {
         match self {
-            HaltReason::Operator => "an operator said so",
-            HaltReason::Rollback => "an operator asked for the former version",
-            HaltReason::Loss => "it loses more than the former version beside it",
-            HaltReason::ClassLoss => "it loses more of one class than the former version beside it",
-            HaltReason::Crash => {
-                "a proxy that was to run it started anew more than once, and not in order"
+            HaltReason::Operator => "requested by an operator",
+            HaltReason::Rollback => "an operator requested the previous version",
+            HaltReason::Loss => "its loss rate is higher than that of the previous version",
+            HaltReason::ClassLoss => {
+                "its loss rate in one class is higher than that of the previous version"
+            }
+            HaltReason::Crash => "a proxy that had to run it restarted unplanned more than once",
+            HaltReason::Unreachable => {
+                "a proxy that had to run it was unreachable or sent no vote for too long"
             }
-            HaltReason::Unreachable => "a proxy that was to run it has not been heard for too long",
             HaltReason::Partitioned => {
-                "the proxy that ran it was cut off from the fleet for too long"
+                "the proxy that halted it ran it and was partitioned from the fleet for too long"
             }
         }
     }
@@ -88,44 +92,44 @@
     pub epoch: u64,
     /// The version that was halted.
     pub hash: VersionHash,
-    /// Name of the member that halted it.
+    /// Name of the member that halted the rollout.
     pub halted_by: String,
-    /// Why.
+    /// The reason for the halt.
     pub reason: HaltReason,
 }
 
 /// Whether a proxy has the version's file and can run it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Readiness {
-    /// It has not looked yet.
+    /// The proxy has not checked the file yet.
     Unchecked,
-    /// It can run it.
+    /// The proxy can run the version.
     Ready,
-    /// It can't, for this reason.
+    /// The proxy cannot run the version, for this reason.
     Unable(String),
 }
 
-/// A proxy's vote on the proposal that it follows, and what it runs.
+/// A proxy's vote on the proposal that it follows, and the version that it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vote {
     /// Epoch of the proposal.
     pub epoch: u64,
-    /// Version of the proposal.
+    /// The proposed version.
     pub hash: VersionHash,
-    /// Who proposed it.
+    /// Name of the member that proposed the version.
     pub proposer: String,
-    /// Stages that it votes for; 1 is the canary.
+    /// Number of stages that the proxy votes for; stage 1 is the canary.
     pub votes: u8,
-    /// Stages for which it has seen a quorum.
+    /// Number of stages for which the proxy has seen a quorum.
     pub quorums_seen: u8,
-    /// Whether it runs the new version, or is about to.
+    /// Whether the proxy runs the new version, or is about to run it.
     pub runs_new: bool,
-    /// Whether it can run the new version.
+    /// Whether the proxy can run the new version.
     pub readiness: Readiness,
 }
 
 impl Vote {
-    /// Whether it is a vote on this proposal.
+    /// Whether this is a vote on the given proposal.
     pub fn is_for(&self, proposal: &Proposal) -> bool {
         self.epoch == proposal.epoch
             && self.hash == proposal.hash
@@ -133,28 +137,29 @@
     }
 }
 
-/// A process that ends or starts in order, by its incarnation: its change is no crash.
+/// A planned end or start of a process, so that the change of incarnation does not count as a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PlannedRestart {
-    /// It was told to end.
+    /// The process with this incarnation was asked to terminate.
     Leaving(u64),
-    /// It took over from the former process (hot restart).
+    /// The process with this incarnation took over from the previous process (hot restart).
     TookOver(u64),
 }
 
-/// Weight of requests offered and lost since the running version began.
+/// Weight of the requests of one class that were offered and lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClassCounts {
-    /// A hash of the class's name.
+    /// Hash of the name of the class.
     pub class: u32,
-    /// Weight of the requests that came.
+    /// Weight of the requests that arrived.
     pub offered: u64,
-    /// Weight of those that were lost.
+    /// Weight of the requests that were lost.
     pub lost: u64,
 }
 
 impl ClassCounts {
-    /// The difference to an earlier count. Counts only grow; one that falls is of another process, or forged, and gives 0.
+    /// The increase since an earlier count. Counts only grow; a count that has decreased belongs to another process or is
+    /// forged, and its increase is 0.
     pub(crate) fn since(self, earlier: ClassCounts) -> ClassCounts {
         let (offered, lost) = (
             self.offered.saturating_sub(earlier.offered),
@@ -168,22 +173,22 @@
     }
 }
 
-/// What a proxy counted since its running version began.
+/// Requests that a proxy has counted since its current version began to run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TrafficCounts {
     /// Epoch of the rollout.
     pub epoch: u64,
     /// Whether the new version runs.
     pub runs_new: bool,
-    /// Raised when counting begins anew.
+    /// Incremented when the counters restart.
     pub generation: u32,
-    /// All classes together.
+    /// Counts of all classes together.
     pub total: ClassCounts,
-    /// The classes with the most offered weight.
+    /// Counts of the classes with the greatest offered weight, at most `MAX_CLASSES`.
     pub classes: Vec<ClassCounts>,
 }
 
-/// What a process persists for the next one.
+/// State that a process persists for the next process of the same name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PersistedState {
     pub base: VersionHash,
@@ -209,11 +214,12 @@
 }
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Plain data into growing memory: it can't fail. If it did, an empty body is published, which nobody decodes.
+    // Serialising plain data into a growing buffer does not fail. If it did, the body would be empty, and receivers would not
+    // decode it.
     postcard::to_extend(value, vec![FORMAT_VERSION]).unwrap_or_default()
 }
 
-/// `None` if it is of another format, torn, or longer than its content.
+/// `None` if the body has another format version, is truncated, or has trailing bytes.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     match body.split_first() {
         Some((&FORMAT_VERSION, rest)) => match postcard::take_from_bytes(rest) {
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -1,5 +1,5 @@
-//! The canary monitor: whether members that are to run the new version are still there, and are the processes that they were.
-//! The table of `docs/design/rollout.md`, line by line.
+//! The canary monitor detects members that crash or become unreachable while they have to run the new version. It implements
+//! the table in `docs/design/rollout.md`.
 
 use crate::guard::guard;
 #[cfg(test)]
@@ -10,42 +10,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Unplanned restarts of one member that are taken for its host's fault.
+/// Maximum number of unplanned restarts of one member that are attributed to its host and not to the version.
 const MAX_UNPLANNED_RESTARTS: usize = 1;
 
-/// What the monitored members say of the version.
+/// The state of the monitored members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MonitorVerdict {
-    /// The version has to be halted.
+    /// The version must be halted.
     Harm(HaltReason),
-    /// A member is missing, or has not reported that it runs the version: nobody votes for the next stage.
+    /// A member is missing or has not reported that it runs the version. No member votes for the next stage.
     Waiting,
-    /// All run the version, or left.
+    /// All monitored members run the version or have left.
     Healthy,
 }
 
-/// The last vote of another member.
+/// The last vote received from another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReceivedVote {
-    /// The incarnation that voted.
+    /// The incarnation of the member that voted.
     pub incarnation: u64,
-    /// The vote.
+    /// The received vote.
     pub vote: Vote,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Member {
     incarnation: Option<u64>,
-    /// Restarts that nothing explains: from which incarnation to which.
+    /// Restarts without a planned restart: the incarnations before and after each.
     unplanned_restarts: Vec<(u64, u64)>,
     planned_restarts: u32,
-    /// The last incarnation that is known to have ended in order.
+    /// The last incarnation that announced its end.
     left_incarnation: Option<u64>,
-    /// The last incarnation that is known to have taken over (hot restart).
+    /// The last incarnation that announced a takeover (hot restart).
     takeover_incarnation: Option<u64>,
-    /// It reported that it runs the new version.
+    /// Whether the member has reported that it runs the new version.
     ran_new: bool,
-    /// Since when it is unreachable, or sends no vote.
+    /// The time since which the member is unreachable or sends no vote.
     missing_since: Option<Duration>,
 }
 
@@ -93,7 +93,7 @@
                 self.left_incarnation = Some(incarnation);
             }
         }
-        // The notice of a planned restart may come after the restart.
+        // The announcement of a planned restart may arrive after the restart.
         let unplanned_before = self.unplanned_restarts.len();
         let unplanned = std::mem::take(&mut self.unplanned_restarts);
         self.unplanned_restarts = unplanned
@@ -106,14 +106,14 @@
     }
 }
 
-/// Whether another member of its region is reachable, so that not the whole region is cut off.
+/// Whether another member of the same region is reachable, so that the region as a whole is not partitioned.
 fn region_is_reachable(member: &Peer, peers: &[Peer]) -> bool {
     peers
         .iter()
         .any(|peer| peer.region == member.region && peer.name != member.name && peer.reachable)
 }
 
-/// Members that run the new version by now, or are to.
+/// Monitors the other members that run the new version, or have to run it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CanaryMonitor {
     own_name: String,
@@ -124,7 +124,7 @@
 }
 
 impl CanaryMonitor {
-    /// Monitors nobody yet. A member may be missing for `unreachable_timeout`.
+    /// A monitor without members. A member may be missing for up to `unreachable_timeout`.
     pub fn new(own_name: &str, unreachable_timeout: Duration) -> Self {
         Self {
             own_name: own_name.to_owned(),
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Forgets all members.
+    /// Stops monitoring all members.
     pub fn clear(&mut self) {
         self.members.clear();
     }
 
-    /// Adds members that are to run the version by now, by the quorums that this process or any other has seen.
+    /// Adds the members that have to run the version now, according to the quorums that this process or any other has seen.
     pub fn add_members(
         &mut self,
         proposal: &Proposal,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Takes what is known of the members now, and judges them.
+    /// Updates the monitored members from the current peers, votes and announcements, and returns the verdict.
     pub fn observe(
         &mut self,
         now: Duration,
@@ -187,11 +187,11 @@
         votes: &BTreeMap<String, ReceivedVote>,
         planned_restarts: &BTreeMap<String, PlannedRestart>,
     ) -> MonitorVerdict {
-        // A process that reaches no more than half of the fleet may be the one that is cut off.
+        // A process that reaches at most half of the fleet may itself be partitioned from it.
         let reaches_majority = peers.iter().filter(|peer| peer.reachable).count() * 2 > peers.len();
         let mut verdict = MonitorVerdict::Healthy;
         for (name, member) in &mut self.members {
-            // It is not in this roster any more.
+            // The member is no longer in the roster.
             let Some(peer) = peers.iter().find(|peer| peer.name == *name) else {
                 continue;
             };
@@ -218,7 +218,7 @@
         verdict
     }
 
-    /// Members that restarted in order, and how often.
+    /// Name and number of planned restarts of each member that had any.
     pub fn planned_restarts(&self) -> impl Iterator<Item = (&str, u32)> {
         self.members
             .iter()
--- a/crates/rollout/src/peer.rs
+++ b/crates/rollout/src/peer.rs
@@ -1,16 +1,16 @@
-//! Members of the fleet, as the membership of the host sees them.
+//! Members of the fleet, as reported by the host's membership.
 
-/// A member of the roster; this process is one of them.
+/// A member of the roster. The roster includes this process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its region.
+    /// Region of the member.
     pub region: String,
-    /// The incarnation of its process, if it is known.
+    /// The incarnation of the member's process, if known.
     pub incarnation: Option<u64>,
-    /// Whether it is alive or only suspected.
+    /// Whether the member is alive or suspected, but not declared failed.
     pub reachable: bool,
-    /// Whether it left on its own.
+    /// Whether the member announced that it leaves.
     pub left: bool,
 }
--- a/crates/rollout/src/series.rs
+++ b/crates/rollout/src/series.rs
@@ -1,28 +1,30 @@
-//! A series of windows in which the loss rates of the new and the former version are compared.
+//! A series of windows in which the loss rates of the new and the previous version are compared.
 
 use crate::bettor::Bettor;
 use crate::messages::ClassCounts;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A proxy weighs at most so many times the median of its side: one proxy's counts alone decide nothing.
+/// Maximum weight of a proxy, as a multiple of the median weight of its side, so that the counts of a single proxy cannot
+/// decide a comparison.
 const MAX_WEIGHT_TO_MEDIAN: u64 = 2;
 
-/// Counts of one side since the last window, by proxy.
+/// Counts of the proxies that run one version, since the last window. The key is the name of the proxy.
 type Side = BTreeMap<String, ClassCounts>;
 
-/// The former and the new version.
+/// The previous (index 0) and the new version (index 1).
 type Sides = [Side; 2];
 
-/// The comparison of one class, of all together, or of one member.
+/// The comparison for one class, for all classes together, or for one member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Series {
     harm: Bettor,
-    /// By region: only proxies of one region are compared, since differences between regions are no harm of a version.
+    /// Counts by region. Proxies are compared within a region only, since a difference between regions is not caused by the
+    /// version.
     regions: BTreeMap<String, Sides>,
 }
 
 impl Series {
-    /// The wealth of the bet on harm.
+    /// The wealth of the bet that the new version does harm.
     pub(crate) fn harm_wealth(&self) -> f64 {
         self.harm.wealth()
     }
@@ -30,15 +32,17 @@
     pub(crate) fn add(&mut self, (name, region): (&str, &str), new: bool, counts: ClassCounts) {
         let side = &mut self.regions.entry(region.to_owned()).or_default()[usize::from(new)];
         let sum = side.entry(name.to_owned()).or_default();
-        // Others may report any number.
+        // Other members may report any number.
         sum.offered = sum.offered.saturating_add(counts.offered);
         sum.lost = sum.lost.saturating_add(counts.lost);
     }
 
-    /// The difference of the loss rates, once both sides were offered enough. When a window closes must depend on what was offered,
-    /// never on what was lost, or the test is not valid.
-    /// `mixed_regions`: those that run both versions now. Each is waited for if its reports are late; only where there is none, as
-    /// with one proxy each, all regions are compared together.
+    /// Closes the window once both versions were offered at least `min_demand`, and returns the loss rate of the new version
+    /// minus that of the previous one. The end of a window must depend on the offered weight and never on the lost weight,
+    /// or the test is not valid.
+    ///
+    /// `mixed_regions` are the regions that run both versions now. The window waits for them if their reports are late. All
+    /// regions are compared together only if this set is empty, for example if each region has a single proxy.
     pub(crate) fn close_window(
         &mut self,
         min_demand: u64,
@@ -99,7 +103,7 @@
         .filter(|&n| n > 0)
         .collect();
     offered.sort_unstable();
-    // Of two, the smaller: one proxy must not set the bound that holds for itself.
+    // Of two proxies, the smaller count is the median: a proxy must not set the bound on its own weight.
     let median = offered.len().saturating_sub(1) / 2;
     let max_weight = offered
         .get(median)
@@ -110,7 +114,7 @@
     for counts in side.values().filter(|counts| counts.offered > 0) {
         let weight = counts.offered.min(max_weight) as f64;
         weights += weight;
-        // A loss may be reported a little after its offer; the rate stays within [0, 1].
+        // A loss may be reported in a later window than its request; the rate stays within [0, 1].
         sum += weight * (counts.lost.min(counts.offered) as f64 / counts.offered as f64);
     }
     if weights > 0.0 {
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,22 +1,23 @@
-//! The stages of a rollout: who runs the new version from which stage on, and whose majorities a stage needs.
+//! The stages of a rollout: the stage in which each member begins to run the new version, and the regions whose majorities a
+//! stage requires.
 
 use crate::messages::Proposal;
 use crate::peer::Peer;
 use std::collections::BTreeMap;
 
-/// Regions of one rollout, at most: stages are counted in a byte.
+/// Maximum number of regions in a rollout, since a stage number is stored in a byte.
 pub const MAX_REGIONS: usize = 200;
-/// The stage of the canary; before it nobody runs the new version.
+/// The first stage, in which only the canary runs the new version.
 const CANARY_STAGE: usize = 1;
-/// The stage of the rest of the first region.
+/// The stage in which the rest of the first region begins to run the new version.
 const FIRST_REGION_STAGE: usize = 2;
 
-/// Number of stages: the canary, each region, and the members held back for comparison.
+/// Number of stages: one for the canary, one for each region, and one for the members held back for comparison.
 pub(crate) fn stages(proposal: &Proposal) -> usize {
     proposal.order.len() + 2
 }
 
-/// Regions whose majorities a stage needs: the one that took the version last, and the one that takes it now (the last here).
+/// Regions whose majorities a stage requires: the region that entered before, then the region that enters with this stage.
 pub(crate) fn quorum_regions(proposal: &Proposal, stage: usize) -> Vec<&String> {
     let last = proposal.order.len().saturating_sub(1);
     let enters = stage.saturating_sub(2).min(last);
@@ -29,7 +30,7 @@
     regions
 }
 
-/// The stage with which each member begins to run the new version, by name.
+/// The stage in which each member begins to run the new version. The key is the name of the member.
 pub(crate) fn entry_stages<'a>(proposal: &Proposal, peers: &'a [Peer]) -> BTreeMap<&'a str, u8> {
     let mut regions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for peer in peers {
@@ -46,7 +47,7 @@
         };
         let last = names.len().saturating_sub(1);
         for (place, name) in names.into_iter().enumerate() {
-            // The last of each region is held back to compare with, unless it would be the only one to come.
+            // The last member of each region is held back for comparison, unless no other member would enter with the region.
             let held_back = place == last && last > canaries;
             let stage = if place < canaries {
                 CANARY_STAGE
@@ -61,13 +62,13 @@
     entries
 }
 
-/// The stage with which a member begins to run the new version; `None` if it is not in the roster.
+/// The stage in which a member begins to run the new version; `None` if it is not in the roster.
 pub(crate) fn entry_stage(proposal: &Proposal, peers: &[Peer], name: &str) -> Option<u8> {
     entry_stages(proposal, peers).get(name).copied()
 }
 
-/// The members that enter with this stage and can be compared in their region: they are reachable, and so is one of their region
-/// that takes the version later.
+/// The members that enter with this stage and can be compared within their region: they are reachable, and so is another
+/// member of their region that enters in a later stage.
 pub(crate) fn comparable_entrants<'a>(
     proposal: &Proposal,
     peers: &'a [Peer],
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,4 +1,4 @@
-//! The state of a rollout as operators see it.
+//! The state of a rollout that is shown to operators.
 
 use crate::evidence::{EvidenceSummary, Verdict};
 use crate::machine::Phase;
@@ -8,7 +8,7 @@
 /// The state of a rollout as one process sees it.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// How far it has come.
+    /// The phase of the rollout.
     pub phase: Phase,
     /// The proposal that this process follows.
     pub proposal: Option<Proposal>,
@@ -16,22 +16,22 @@
     pub halt: Option<HaltRecord>,
     /// The version that runs here.
     pub running_version: VersionHash,
-    /// What the evidence and the monitored members say.
+    /// The verdict from the evidence and the monitored members.
     pub verdict: Verdict,
-    /// Figures of the evidence.
+    /// Figures of the canary analysis.
     pub evidence: EvidenceSummary,
-    /// What each member has shown of the new version in this stage, by name.
+    /// Name and figures of each member that ran the new version in this stage.
     pub stage_evidence: Vec<(String, MemberFigures)>,
-    /// The vote of each member, by name.
+    /// Name and last vote of each member.
     pub members: Vec<(String, Vote)>,
-    /// Proposals that were replaced by a greater one before their end.
+    /// Number of proposals that were replaced by one of higher rank before their rollout had ended.
     pub superseded_proposals: u64,
-    /// Facts that could not be decoded.
+    /// Number of facts that could not be decoded.
     pub malformed_facts: u64,
-    /// What an earlier process persisted could not be read.
+    /// Whether the state that an earlier process persisted could not be decoded.
     pub state_unreadable: bool,
-    /// Members that restarted in order during this rollout, and how often.
+    /// Name and number of planned restarts of each member that had any during this rollout.
     pub planned_restarts: Vec<(String, u32)>,
-    /// The last attempt to persist failed; this process's vote stays as it was until one succeeds.
+    /// Whether the last attempt to persist failed. The vote of this process stays unchanged until an attempt succeeds.
     pub persisting_fails: bool,
 }
