--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -70,14 +70,12 @@
         match self {
             HaltReason::Operator => "requested by an operator",
             HaltReason::Rollback => "an operator requested the previous version",
-            HaltReason::Loss => "its loss rate is higher than that of the previous version",
-            HaltReason::ClassLoss => {
-                "its loss rate in one class is higher than that of the previous version"
-            }
-            HaltReason::Crash => "a proxy that had to run it restarted unplanned more than once",
-            HaltReason::Unreachable => {
-                "a proxy that had to run it was unreachable or sent no vote for too long"
+            HaltReason::Loss => "its loss rate exceeds the previous version's",
+            HaltReason::ClassLoss => "its loss rate in one class exceeds the previous version's",
+            HaltReason::Crash => {
+                "a proxy that had to run it restarted more than once without a planned restart"
             }
+            HaltReason::Unreachable => "a proxy that had to run it was unreachable for too long",
             HaltReason::Partitioned => {
                 "the proxy that halted it ran it and was partitioned from the fleet for too long"
             }
