--- a/crates/rollout/src/guard.rs
+++ b/crates/rollout/src/guard.rs
@@ -29,7 +29,7 @@
 macro_rules! guard {
     ($self:ident, $guard:ident) => {{
         #[cfg(test)]
-        let on = $self.without != Some($crate::guard::Guard::$guard);
+        let on = $self.disabled_guard != Some($crate::guard::Guard::$guard);
         #[cfg(not(test))]
         let on = true;
         on
--- a/crates/rollout/src/machine/mod.rs
+++ b/crates/rollout/src/machine/mod.rs
@@ -77,7 +77,7 @@
     /// Whether this process has seen a quorum for its stage since it started or adopted the proposal.
     confirmed: bool,
     #[cfg(test)]
-    pub(crate) without: Option<Guard>,
+    pub(crate) disabled_guard: Option<Guard>,
 }
 
 impl StageMachine {
@@ -93,7 +93,7 @@
             unreachable_since: BTreeMap::new(),
             confirmed: false,
             #[cfg(test)]
-            without: None,
+            disabled_guard: None,
         }
     }
 
--- a/crates/rollout/src/model.rs
+++ b/crates/rollout/src/model.rs
@@ -1,5 +1,5 @@
-//! Model check (stateright) of a small fleet: every order of messages, losses, restarts, partitions and votes. Each guard is
-//! switched off in turn, and the checker has to find the fault that it stops.
+//! Model check (stateright) of a fleet of three members in every order of messages, losses, restarts, partitions and votes.
+//! Each guard is switched off in turn, and the checker must find the violation that the guard prevents.
 
 use crate::evidence::Verdict;
 use crate::guard::Guard;
@@ -15,74 +15,82 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const REGIONS: [&str; 3] = ["one", "one", "two"];
 const ONE_REGION: [&str; 3] = ["one"; 3];
-const ALL: usize = NAMES.len();
+const MEMBERS: usize = NAMES.len();
 const BASE: VersionHash = [0; 32];
-const DARK: u8 = 1;
+/// Ticks after which a member counts as unreachable or partitioned.
+const UNREACHABLE_TICKS: u8 = 1;
 /// Ticks for which a vote is valid.
-const LASTS: u8 = 2;
+const VOTE_TTL_TICKS: u8 = 2;
 
-/// What one member received of another, and how old that is.
+/// The last messages that one member has received from another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Received {
     vote: Option<ReceivedVote>,
     proposal: Option<Proposal>,
     halts: Vec<HaltRecord>,
+    /// Ticks since the messages were received.
     age: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    regions: [&'static str; ALL],
-    machines: [StageMachine; ALL],
-    monitors: [CanaryMonitor; ALL],
-    starts: [u8; ALL],
-    /// How often the first member to run the version may crash of it before anyone hears that it ran it.
-    kills: u8,
-    received: [[Option<Received>; ALL]; ALL],
-    clean: [bool; ALL],
+    regions: [&'static str; MEMBERS],
+    machines: [StageMachine; MEMBERS],
+    monitors: [CanaryMonitor; MEMBERS],
+    incarnations: [u8; MEMBERS],
+    /// Remaining number of times that the new version crashes the canary before another member learns that it ran there.
+    crashes_left: u8,
+    received: [[Option<Received>; MEMBERS]; MEMBERS],
+    evidence_clean: [bool; MEMBERS],
     clock: u8,
-    /// The member that is cut off, and whether it was so at the last tick.
-    cut: Option<usize>,
-    permits: Option<usize>,
-    /// What has been used of the scenario.
+    /// The member that is partitioned from the others.
+    isolated: Option<usize>,
+    /// The member that was isolated at the last tick; the membership withholds permissions on this basis.
+    unseen: Option<usize>,
+    /// Used parts of the scenario's budget.
     proposed: [bool; 2],
     restarts: u8,
     halts: u8,
-    cuts: u8,
-    /// History for the checks: the most votes for each version, who has ever known a halt of it, and when a majority did.
-    voted: [[u8; ALL]; 2],
-    knew: [[bool; ALL]; 2],
-    known: [Option<u8>; 2],
-    /// Who has run the version and survived; which incarnations of the canary each member saw since its own canary stage.
-    lived: [bool; ALL],
-    saw: [BTreeSet<u8>; ALL],
-    wrong: Option<&'static str>,
+    partitions: u8,
+    /// By version, the highest number of stages that each member has voted for. This and the following fields are history
+    /// for the checks.
+    max_votes: [[u8; MEMBERS]; 2],
+    /// By version, the members that have ever had a halt of it.
+    has_halt: [[bool; MEMBERS]; 2],
+    /// By version, the tick at which a majority first had a halt of it.
+    majority_has_halt: [Option<u8>; 2],
+    /// Members that have run the new version without a crash.
+    survived: [bool; MEMBERS],
+    /// Incarnations of the canary that each member has observed since it reached the canary stage.
+    canaries_seen: [BTreeSet<u8>; MEMBERS],
+    /// The first violated rule, if any.
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Propose(usize),
-    Hear(usize, usize),
-    Clean(usize),
+    Receive(usize, usize),
+    ShowClean(usize),
     Halt(usize),
     Restart(usize),
-    Cut(usize),
+    Isolate(usize),
     Heal,
     Tick,
 }
 
 #[derive(Clone, Copy)]
 struct Fleet {
-    without: Option<Guard>,
+    disabled_guard: Option<Guard>,
     proposals: usize,
     restarts: u8,
     halts: u8,
-    cuts: u8,
+    partitions: u8,
     clock: u8,
-    kills: u8,
+    crashes: u8,
 }
 
-/// The first is a's, the second c's, with the regions in another order.
+/// The first proposal is by member a, the second by member c, with the regions in reverse order.
 fn proposal(at: usize) -> Proposal {
     Proposal {
         epoch: 1 + at as u64,
@@ -96,38 +104,39 @@
 }
 
 impl World {
-    fn apart(&self, a: usize, b: usize) -> bool {
-        a != b && (self.cut == Some(a) || self.cut == Some(b))
+    fn are_partitioned(&self, a: usize, b: usize) -> bool {
+        a != b && (self.isolated == Some(a) || self.isolated == Some(b))
     }
 
-    fn peers(&self, of: usize) -> Vec<Peer> {
+    fn peers(&self, me: usize) -> Vec<Peer> {
         let peer = |at: usize| Peer {
             name: NAMES[at].into(),
             region: self.regions[at].into(),
-            incarnation: Some(self.starts[at].into()),
-            reachable: !self.apart(of, at),
+            incarnation: Some(self.incarnations[at].into()),
+            reachable: !self.are_partitioned(me, at),
             left: false,
         };
-        (0..ALL).map(peer).collect()
+        (0..MEMBERS).map(peer).collect()
     }
 
-    /// By the rules of membership: more than half of the fleet, and of the region.
-    fn promote(&self, of: usize) -> BTreeSet<String> {
-        let with = |at: usize| at == of || (self.permits != Some(at) && self.permits != Some(of));
-        let most = |of: &dyn Fn(usize) -> bool| {
-            let all: Vec<usize> = (0..ALL).filter(|&at| of(at)).collect();
-            all.iter().filter(|&&at| with(at)).count() * 2 > all.len()
+    /// The regions to which member `me` may promote. As in the membership, it must reach more than half of the fleet and of
+    /// the region.
+    fn promotable_regions(&self, me: usize) -> BTreeSet<String> {
+        let reaches = |at: usize| at == me || (self.unseen != Some(at) && self.unseen != Some(me));
+        let has_majority = |of: &dyn Fn(usize) -> bool| {
+            let all: Vec<usize> = (0..MEMBERS).filter(|&at| of(at)).collect();
+            all.iter().filter(|&&at| reaches(at)).count() * 2 > all.len()
         };
-        let fleet = most(&|_| true);
+        let reaches_fleet = has_majority(&|_| true);
         ["one", "two"]
             .into_iter()
-            .filter(|r| fleet && most(&|at| self.regions[at] == *r))
+            .filter(|r| reaches_fleet && has_majority(&|at| self.regions[at] == *r))
             .map(String::from)
             .collect()
     }
 
-    fn go(&mut self, at: usize) {
-        let (peers, promote) = (self.peers(at), self.promote(at));
+    fn step_member(&mut self, at: usize) {
+        let (peers, promotable_regions) = (self.peers(at), self.promotable_regions(at));
         let received = || {
             self.received[at]
                 .iter()
@@ -145,13 +154,13 @@
         let monitored =
             current.map(|c| monitor.observe(now, &c.proposal, &peers, &votes, &BTreeMap::new()));
         let verdict = match monitored {
-            Some(MonitorVerdict::Harm(why)) => Verdict::Harm(why),
+            Some(MonitorVerdict::Harm(reason)) => Verdict::Harm(reason),
             Some(MonitorVerdict::Waiting) => Verdict::MembersMissing,
-            _ if self.clean[at] => Verdict::Clean,
+            _ if self.evidence_clean[at] => Verdict::Clean,
             _ => Verdict::Soaking,
         };
         if self.regions == ONE_REGION && current.is_some_and(|c| c.quorums_seen > 0) {
-            self.saw[at].insert(self.starts[0]);
+            self.canaries_seen[at].insert(self.incarnations[0]);
         }
         let plain_votes = votes
             .iter()
@@ -162,7 +171,7 @@
             .map(|c| (c.proposal.epoch, c.quorums_seen));
         let input = StepInput {
             peers: &peers,
-            promotable_regions: &promote,
+            promotable_regions: &promotable_regions,
             votes: &plain_votes,
             proposals: &proposals,
             halts: &halts,
@@ -182,82 +191,93 @@
             return;
         };
         let version = epoch as usize - 1;
-        self.voted[version][at] =
-            self.voted[version][at].max(machine.current().map_or(0, |c| c.votes));
+        self.max_votes[version][at] =
+            self.max_votes[version][at].max(machine.current().map_or(0, |c| c.votes));
         for version in 0..2 {
-            self.knew[version][at] |= machine
+            self.has_halt[version][at] |= machine
                 .halts()
                 .iter()
                 .any(|h| h.epoch == version as u64 + 1);
-            let most = self.knew[version].iter().filter(|k| **k).count() * 2 > ALL;
-            self.known[version] = self.known[version].or(most.then_some(self.clock));
+            let majority_knows =
+                self.has_halt[version].iter().filter(|k| **k).count() * 2 > MEMBERS;
+            self.majority_has_halt[version] =
+                self.majority_has_halt[version].or(majority_knows.then_some(self.clock));
         }
-        let rose = before.map_or(0, |(e, r)| if e == epoch { r } else { 0 }) < reached;
-        if rose {
-            if promote.is_empty() {
-                self.wrong = Some("promoted in a minority");
+        let advanced = before.map_or(0, |(e, r)| if e == epoch { r } else { 0 }) < reached;
+        if advanced {
+            if promotable_regions.is_empty() {
+                self.violation = Some("promoted while partitioned from the majority");
             }
-            if self.known[version].is_some_and(|since| self.clock > since + LASTS) {
-                self.wrong =
-                    Some("promoted beside a halt that a majority knew before the votes lapsed");
+            if self.majority_has_halt[version]
+                .is_some_and(|since| self.clock > since + VOTE_TTL_TICKS)
+            {
+                self.violation =
+                    Some("promoted after a majority had received the halt and all earlier votes had expired");
             }
-            let votes = self.voted[version]
+            let votes = self.max_votes[version]
                 .iter()
                 .filter(|v| **v >= reached)
                 .count();
-            let first: Vec<usize> = (0..ALL)
+            let first_region: Vec<usize> = (0..MEMBERS)
                 .filter(|&at| self.regions[at] == ["one", "two"][version])
                 .collect();
-            let of_first = first
+            let first_region_votes = first_region
+                .iter()
+                .filter(|at| self.max_votes[version][**at] >= reached)
+                .count();
+            let clean = first_region
                 .iter()
-                .filter(|at| self.voted[version][**at] >= reached)
+                .filter(|at| self.evidence_clean[**at])
                 .count();
-            let clean = first.iter().filter(|at| self.clean[**at]).count();
-            if reached == 1 && votes * 2 <= ALL || reached <= 3 && of_first * 2 <= first.len() {
-                self.wrong = Some("promoted without more than half of the roster");
+            if reached == 1 && votes * 2 <= MEMBERS
+                || reached <= 3 && first_region_votes * 2 <= first_region.len()
+            {
+                self.violation = Some("promoted without a majority of the roster");
             }
-            if reached >= 2 && clean * 2 <= first.len() {
-                self.wrong = Some("promoted without evidence");
+            if reached >= 2 && clean * 2 <= first_region.len() {
+                self.violation = Some("promoted without clean evidence from a majority");
             }
-            if self.kills > 0 && reached >= 2 && !self.lived[0] {
-                self.wrong = Some("promoted past a canary that never lived with it");
+            if self.crashes_left > 0 && reached >= 2 && !self.survived[0] {
+                self.violation =
+                    Some("promoted although the canary crashed each time it ran the version");
             }
         }
-        if at != 0 && self.saw[at].len() > 2 && self.machines[at].is_in_progress() {
-            self.wrong = Some("goes on with a version that was seen to kill twice");
+        if at != 0 && self.canaries_seen[at].len() > 2 && self.machines[at].is_in_progress() {
+            self.violation = Some("continued a version that was seen to crash the canary twice");
         }
-        if self.machines[at].runs_new_here(&peers) && at == 0 && self.kills > 0 {
-            self.kills -= 1;
-            self.starts[at] += 1;
-            self.start_again(at);
+        if self.machines[at].runs_new_here(&peers) && at == 0 && self.crashes_left > 0 {
+            self.crashes_left -= 1;
+            self.incarnations[at] += 1;
+            self.restart_member(at);
         } else {
-            self.lived[at] |= self.regions == ONE_REGION && self.machines[at].runs_new_here(&peers);
+            self.survived[at] |=
+                self.regions == ONE_REGION && self.machines[at].runs_new_here(&peers);
         }
     }
 
-    /// Restarts from what was persisted.
-    fn start_again(&mut self, at: usize) {
-        let without = self.machines[at].without;
-        let stored = self.machines[at].persisted_state();
-        (self.machines[at], self.monitors[at]) = begin(at, without);
-        self.machines[at].restore(stored);
+    /// Restarts a member from its persisted state.
+    fn restart_member(&mut self, at: usize) {
+        let disabled_guard = self.machines[at].disabled_guard;
+        let persisted = self.machines[at].persisted_state();
+        (self.machines[at], self.monitors[at]) = new_member(at, disabled_guard);
+        self.machines[at].restore(persisted);
         self.received[at] = Default::default();
-        self.saw[at].clear();
+        self.canaries_seen[at].clear();
     }
 
     fn running(&self) -> BTreeSet<VersionHash> {
-        (0..ALL)
+        (0..MEMBERS)
             .map(|at| self.machines[at].running_version(&self.peers(at)))
             .filter(|h| *h != BASE)
             .collect()
     }
 }
 
-fn begin(at: usize, without: Option<Guard>) -> (StageMachine, CanaryMonitor) {
-    let dark = Duration::from_secs(u64::from(DARK));
-    let mut machine = StageMachine::new(NAMES[at], BASE, dark);
-    let mut monitor = CanaryMonitor::new(NAMES[at], dark);
-    (machine.without, monitor.without) = (without, without);
+fn new_member(at: usize, disabled_guard: Option<Guard>) -> (StageMachine, CanaryMonitor) {
+    let unreachable_timeout = Duration::from_secs(u64::from(UNREACHABLE_TICKS));
+    let mut machine = StageMachine::new(NAMES[at], BASE, unreachable_timeout);
+    let mut monitor = CanaryMonitor::new(NAMES[at], unreachable_timeout);
+    (machine.disabled_guard, monitor.disabled_guard) = (disabled_guard, disabled_guard);
     (machine, monitor)
 }
 
@@ -267,32 +287,36 @@
 
     fn init_states(&self) -> Vec<World> {
         let world = World {
-            regions: if self.kills > 0 { ONE_REGION } else { REGIONS },
-            machines: [0, 1, 2].map(|at| begin(at, self.without).0),
-            monitors: [0, 1, 2].map(|at| begin(at, self.without).1),
-            starts: [1; ALL],
-            kills: self.kills,
+            regions: if self.crashes > 0 {
+                ONE_REGION
+            } else {
+                REGIONS
+            },
+            machines: [0, 1, 2].map(|at| new_member(at, self.disabled_guard).0),
+            monitors: [0, 1, 2].map(|at| new_member(at, self.disabled_guard).1),
+            incarnations: [1; MEMBERS],
+            crashes_left: self.crashes,
             received: Default::default(),
-            clean: [false; ALL],
+            evidence_clean: [false; MEMBERS],
             clock: 0,
-            cut: None,
-            permits: None,
+            isolated: None,
+            unseen: None,
             proposed: [false; 2],
             restarts: 0,
             halts: 0,
-            cuts: 0,
-            voted: Default::default(),
-            knew: Default::default(),
-            known: [None; 2],
-            lived: [false; ALL],
-            saw: Default::default(),
-            wrong: None,
+            partitions: 0,
+            max_votes: Default::default(),
+            has_halt: Default::default(),
+            majority_has_halt: [None; 2],
+            survived: [false; MEMBERS],
+            canaries_seen: Default::default(),
+            violation: None,
         };
         vec![world]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.wrong.is_some() {
+        if world.violation.is_some() {
             return;
         }
         steps.extend(
@@ -300,23 +324,23 @@
                 .filter(|&at| !world.proposed[at])
                 .map(Step::Propose),
         );
-        for to in 0..ALL {
+        for to in 0..MEMBERS {
             steps.extend(
-                (0..ALL)
+                (0..MEMBERS)
                     .filter(|&from| {
                         world.machines[from].current().is_some()
                             && from != to
-                            && !world.apart(from, to)
+                            && !world.are_partitioned(from, to)
                     })
-                    .map(|f| Step::Hear(f, to)),
+                    .map(|f| Step::Receive(f, to)),
             );
             if self.proposals == 1
-                && !world.clean[to]
+                && !world.evidence_clean[to]
                 && world.machines[to]
                     .current()
                     .is_some_and(|c| c.quorums_seen > 0)
             {
-                steps.push(Step::Clean(to));
+                steps.push(Step::ShowClean(to));
             }
             if world.halts < self.halts && world.machines[to].is_in_progress() {
                 steps.push(Step::Halt(to));
@@ -325,11 +349,11 @@
                 steps.push(Step::Restart(to));
             }
         }
-        if world.cuts < self.cuts && world.cut.is_none() {
-            // One of the first region, and the other region.
-            steps.extend([0, 2].map(Step::Cut));
+        if world.partitions < self.partitions && world.isolated.is_none() {
+            // One member of the first region, or the only member of the second region.
+            steps.extend([0, 2].map(Step::Isolate));
         }
-        if world.cut.is_some() {
+        if world.isolated.is_some() {
             steps.push(Step::Heal);
         }
         if world.clock < self.clock {
@@ -342,62 +366,62 @@
         match step {
             Step::Propose(at) => {
                 world.proposed[at] = true;
-                let by = [0, 2][at];
-                world.machines[by].adopt(&proposal(at));
-                world.go(by);
-                // Only now is it known that the file is there.
-                world.go(by);
+                let proposer = [0, 2][at];
+                world.machines[proposer].adopt(&proposal(at));
+                world.step_member(proposer);
+                // The version's file is known to exist only after the first step.
+                world.step_member(proposer);
             }
-            Step::Hear(from, to) => {
+            Step::Receive(from, to) => {
                 let peers = world.peers(from);
                 let machine = &world.machines[from];
                 world.received[to][from] = Some(Received {
                     vote: machine.vote(&peers).map(|vote| ReceivedVote {
-                        incarnation: world.starts[from].into(),
+                        incarnation: world.incarnations[from].into(),
                         vote,
                     }),
                     proposal: machine.current().map(|c| c.proposal.clone()),
                     halts: machine.halts().to_vec(),
                     age: 0,
                 });
-                world.go(to);
-                world.go(to);
+                world.step_member(to);
+                world.step_member(to);
             }
-            Step::Clean(at) => {
-                world.clean[at] = true;
-                world.go(at);
+            Step::ShowClean(at) => {
+                world.evidence_clean[at] = true;
+                world.step_member(at);
             }
             Step::Halt(at) => {
                 world.halts += 1;
                 world.machines[at].halt(HaltReason::Operator);
-                world.go(at);
+                world.step_member(at);
             }
             Step::Restart(at) => {
                 world.restarts += 1;
-                world.starts[at] += 1;
-                world.start_again(at);
-                world.go(at);
+                world.incarnations[at] += 1;
+                world.restart_member(at);
+                world.step_member(at);
             }
-            Step::Cut(at) => {
-                world.cuts += 1;
-                world.cut = Some(at);
+            Step::Isolate(at) => {
+                world.partitions += 1;
+                world.isolated = Some(at);
             }
             Step::Heal => {
-                world.cut = None;
-                world.permits = None;
+                world.isolated = None;
+                world.unseen = None;
             }
             Step::Tick => {
                 world.clock += 1;
-                world.permits = world.cut;
+                world.unseen = world.isolated;
                 for received in world.received.iter_mut().flatten() {
                     if let Some(h) = received {
                         h.age += 1;
-                        if h.age > LASTS {
+                        if h.age > VOTE_TTL_TICKS {
                             *received = None;
                         }
                     }
                 }
-                (0..ALL).for_each(|at| world.go(at));
+                (0..MEMBERS).for_each(|at| world.step_member(at));
             }
         }
         (world != *before).then_some(world)
@@ -405,26 +429,33 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing of that is done", |_, w: &World| w.wrong.is_none()),
-            Property::always("a halt that is known stops it", |_, w: &World| {
-                (0..ALL).all(|at| {
-                    let runs = w.machines[at].running_version(&w.peers(at));
-                    (0..2).all(|v| !w.knew[v][at] || runs != proposal(v).hash)
-                })
-            }),
-            Property::always("one new version beside the old", |_, w: &World| {
+            Property::always("no rule is violated", |_, w: &World| w.violation.is_none()),
+            Property::always(
+                "no member runs a version whose halt it has received",
+                |_, w: &World| {
+                    (0..MEMBERS).all(|at| {
+                        let runs = w.machines[at].running_version(&w.peers(at));
+                        (0..2).all(|v| !w.has_halt[v][at] || runs != proposal(v).hash)
+                    })
+                },
+            ),
+            Property::always("at most one new version runs", |_, w: &World| {
                 w.running().len() <= 1
             }),
-            Property::always("none runs it before its turn", |_, w: &World| {
-                (0..ALL).all(|at| {
-                    let peers = w.peers(at);
-                    w.machines[at].current().is_none_or(|c| {
-                        !w.machines[at].runs_new_here(&peers)
-                            || entry_stage(&c.proposal, &peers, NAMES[at]) <= Some(c.quorums_seen)
+            Property::always(
+                "no member runs the version before its stage",
+                |_, w: &World| {
+                    (0..MEMBERS).all(|at| {
+                        let peers = w.peers(at);
+                        w.machines[at].current().is_none_or(|c| {
+                            !w.machines[at].runs_new_here(&peers)
+                                || entry_stage(&c.proposal, &peers, NAMES[at])
+                                    <= Some(c.quorums_seen)
+                        })
                     })
-                })
-            }),
-            Property::sometimes("the whole", |_, w: &World| {
+                },
+            ),
+            Property::sometimes("a rollout completes", |_, w: &World| {
                 w.machines.iter().all(|m| m.phase() == Phase::Complete)
             }),
         ]
@@ -432,40 +463,40 @@
 }
 
 fn fleet(
-    without: Option<Guard>,
+    disabled_guard: Option<Guard>,
     proposals: usize,
-    [restarts, halts, cuts, clock, kills]: [u8; 5],
+    [restarts, halts, partitions, clock, crashes]: [u8; 5],
 ) -> Fleet {
     Fleet {
-        without,
+        disabled_guard,
         proposals,
         restarts,
         halts,
-        cuts,
+        partitions,
         clock,
-        kills,
+        crashes,
     }
 }
 
-/// Broken rules that a search finds.
-fn broken(fleet: Fleet, depth: usize) -> (Vec<&'static str>, usize) {
-    let failed = HasDiscoveries::AnyFailures;
+/// Names of the properties that a search finds violated, and the number of unique states.
+fn violated_properties(fleet: Fleet, depth: usize) -> (Vec<&'static str>, usize) {
+    let any_failure = HasDiscoveries::AnyFailures;
     let checker = fleet
         .checker()
         .threads(3)
         .target_max_depth(depth)
-        .finish_when(failed)
+        .finish_when(any_failure)
         .spawn_bfs()
         .join();
-    let broken = checker
+    let violated = checker
         .discoveries()
         .into_keys()
-        .filter(|name| *name != "the whole")
+        .filter(|name| *name != "a rollout completes")
         .collect();
-    (broken, checker.unique_state_count())
+    (violated, checker.unique_state_count())
 }
 
-/// Proposals; restarts, halts, cuts, ticks and deaths by the version; and steps to which every order is tried.
+/// Number of proposals; maximum number of restarts, halts, partitions, ticks and crashes by the version; search depth in steps.
 const SCENARIOS: [(usize, [u8; 5], usize); 5] = [
     (1, [1, 1, 0, 0, 0], 12),
     (1, [0, 0, 1, 1, 0], 12),
@@ -473,17 +504,21 @@
     (2, [0, 1, 0, 0, 0], 12),
     (1, [0, 0, 0, 0, 3], 13),
 ];
-/// At which each guard that is gone is missed.
-const DEEP: usize = 14;
+/// Search depth in steps at which the absence of each guard is detected.
+const GUARD_SEARCH_DEPTH: usize = 14;
 
 fn search(deeper: bool) {
     for (proposals, budget, depth) in SCENARIOS {
-        // Of two proposals there are far more orders, and what guards them is missed sooner.
-        let depth = if deeper { DEEP + 1 - proposals } else { depth };
-        let (broken, states) = broken(fleet(None, proposals, budget), depth);
+        // With two proposals there are far more orders, and a missing guard is detected at a smaller depth.
+        let depth = if deeper {
+            GUARD_SEARCH_DEPTH + 1 - proposals
+        } else {
+            depth
+        };
+        let (violated, states) = violated_properties(fleet(None, proposals, budget), depth);
         println!("{proposals} proposals, {budget:?}: {states} states to depth {depth}");
         assert_eq!(
-            broken,
+            violated,
             Vec::<&str>::new(),
             "{proposals} proposals, {budget:?}"
         );
@@ -495,13 +530,13 @@
     search(false);
     let checker = fleet(None, 1, [0; 5]).checker().spawn_dfs().join();
     assert!(
-        checker.discovery("the whole").is_some(),
-        "a good version comes to its end"
+        checker.discovery("a rollout completes").is_some(),
+        "the rollout of a good version must complete"
     );
 }
 
 #[test]
-#[ignore = "minutes long; as deep as the orders in which guards are missed"]
+#[ignore = "takes minutes; searches to the depth at which missing guards are found"]
 fn no_order_breaks_an_invariant_as_deep_as_missing_guards_are_found() {
     search(true);
 }
@@ -520,11 +555,12 @@
         (Guard::MembersReported, 4),
     ] {
         let (proposals, budget, _) = SCENARIOS[scenario];
-        let (broken, _) = broken(fleet(Some(guard), proposals, budget), DEEP);
+        let (violated, _) =
+            violated_properties(fleet(Some(guard), proposals, budget), GUARD_SEARCH_DEPTH);
         assert!(
-            !broken.is_empty(),
-            "without {guard:?} nothing is found wrong"
+            !violated.is_empty(),
+            "no violation found with {guard:?} switched off"
         );
-        println!("without {guard:?}: {broken:?}");
+        println!("{guard:?} switched off: {violated:?}");
     }
 }
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -120,7 +120,7 @@
     unreachable_timeout: Duration,
     members: BTreeMap<String, Member>,
     #[cfg(test)]
-    pub(crate) without: Option<Guard>,
+    pub(crate) disabled_guard: Option<Guard>,
 }
 
 impl CanaryMonitor {
@@ -131,7 +131,7 @@
             unreachable_timeout,
             members: BTreeMap::new(),
             #[cfg(test)]
-            without: None,
+            disabled_guard: None,
         }
     }
 
--- a/crates/rollout/src/recorded.rs
+++ b/crates/rollout/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Messages and a state file as a build of the first format wrote them, and how those of a later format are handled.
+//! Decoding of recorded messages and a state file of format version 1, and handling of later format versions.
 
 use crate::messages::{
     self, ClassCounts, HaltReason, HaltRecord, PersistedState, PlannedRestart, Proposal, Readiness,
@@ -9,14 +9,14 @@
 };
 use std::time::Duration;
 
-/// The bytes of that name.
-fn recorded(name: &str) -> Vec<u8> {
+/// The recorded bytes with this name.
+fn recorded_body(name: &str) -> Vec<u8> {
     let lines = include_str!("../tests/version-1.hex").lines();
-    let hex = lines
+    let line = lines
         .filter_map(|line| line.split_once(' '))
-        .find(|(of, _)| *of == name);
+        .find(|(key, _)| *key == name);
     hex::decode(
-        hex.unwrap_or_else(|| panic!("nothing is recorded as {name}"))
+        line.unwrap_or_else(|| panic!("no recorded bytes with the name {name}"))
             .1,
     )
     .unwrap()
@@ -56,14 +56,17 @@
 
 #[test]
 fn messages_of_the_first_format_are_read() {
-    assert_eq!(messages::decode(&recorded("proposal")), Some(proposal()));
-    let longer = [recorded("proposal"), vec![0]].concat();
     assert_eq!(
-        messages::decode::<Proposal>(&longer),
+        messages::decode(&recorded_body("proposal")),
+        Some(proposal())
+    );
+    let with_trailing_byte = [recorded_body("proposal"), vec![0]].concat();
+    assert_eq!(
+        messages::decode::<Proposal>(&with_trailing_byte),
         None,
-        "with more behind it"
+        "trailing byte"
     );
-    for (name, ready) in [
+    for (name, readiness) in [
         ("word-not-yet", Readiness::Unchecked),
         ("word", Readiness::Ready),
         ("word-cannot", Readiness::Unable("no file".into())),
@@ -75,11 +78,11 @@
             votes: 2,
             quorums_seen: 1,
             runs_new: true,
-            readiness: ready,
+            readiness,
         };
-        assert_eq!(messages::decode(&recorded(name)), Some(vote), "{name}");
+        assert_eq!(messages::decode(&recorded_body(name)), Some(vote), "{name}");
     }
-    assert_eq!(messages::decode(&recorded("halts")), Some(halts()));
+    assert_eq!(messages::decode(&recorded_body("halts")), Some(halts()));
     let counts = TrafficCounts {
         epoch: 300,
         runs_new: true,
@@ -95,9 +98,9 @@
             lost: 3,
         }],
     };
-    assert_eq!(messages::decode(&recorded("counts")), Some(counts));
+    assert_eq!(messages::decode(&recorded_body("counts")), Some(counts));
     assert_eq!(
-        messages::decode(&recorded("orderly")),
+        messages::decode(&recorded_body("orderly")),
         Some(PlannedRestart::Leaving(300))
     );
     assert_eq!(
@@ -123,37 +126,43 @@
     assert_eq!(
         messages::decode::<HaltReason>(&[1, reasons.len() as u8]),
         None,
-        "of a later build"
+        "unknown reason of a later build"
     );
 }
 
 #[test]
 fn state_files_of_the_first_format_are_read() {
-    let stored = PersistedState {
+    let state = PersistedState {
         base: [9; 32],
         proposal: Some(proposal()),
         quorums_seen: 1,
         halts: halts(),
     };
-    assert_eq!(messages::decode(&recorded("state")), Some(stored));
+    assert_eq!(messages::decode(&recorded_body("state")), Some(state));
     let epoch = |core: &Core| core.status().proposal.map(|p| p.epoch);
-    assert_eq!(epoch(&core(Some(recorded("state")))), Some(300));
+    assert_eq!(epoch(&core(Some(recorded_body("state")))), Some(300));
     assert_eq!(
-        epoch(&core(Some(later(recorded("state"))))),
+        epoch(&core(Some(with_later_format(recorded_body("state"))))),
         None,
-        "of a later format: not restored"
+        "a later format is not restored"
     );
 }
 
-/// A state file that is torn, of a later format or too long: the fault is reported once, and the operators' own file runs.
+/// A state file that is empty, truncated, too long or of a later format is reported once, and the base version runs.
 #[test]
 fn an_unreadable_state_file_is_reported() {
-    let torn = recorded("state")[..40].to_vec();
-    let longer = [recorded("state"), vec![0]].concat();
-    let all = [(None, 0), (Some(recorded("state")), 0)];
-    let unread = [vec![], torn, longer, later(recorded("state"))].map(|bytes| (Some(bytes), 1));
-    for (stored, times) in all.into_iter().chain(unread) {
-        let mut core = core(stored);
+    let truncated = recorded_body("state")[..40].to_vec();
+    let with_trailing_byte = [recorded_body("state"), vec![0]].concat();
+    let readable = [(None, 0), (Some(recorded_body("state")), 0)];
+    let unreadable = [
+        vec![],
+        truncated,
+        with_trailing_byte,
+        with_later_format(recorded_body("state")),
+    ]
+    .map(|bytes| (Some(bytes), 1));
+    for (persisted, reports) in readable.into_iter().chain(unreadable) {
+        let mut core = core(persisted);
         let mut actions = Vec::new();
         for _ in 0..2 {
             core.handle(
@@ -167,18 +176,18 @@
                 .iter()
                 .filter(|action| **action == Action::StateUnreadable)
                 .count(),
-            times
+            reports
         );
         let status = core.status();
         assert_eq!(
             (status.state_unreadable, status.running_version),
-            (times == 1, [9; 32])
+            (reports == 1, [9; 32])
         );
-        assert!(times == 0 || status.proposal.is_none());
+        assert!(reports == 0 || status.proposal.is_none());
     }
 }
 
-fn core(stored: Option<Vec<u8>>) -> Core {
+fn core(persisted: Option<Vec<u8>>) -> Core {
     let limits = EvidenceLimits {
         min_harm: 0.01,
         error_probability: 0.05,
@@ -196,13 +205,13 @@
         evidence_limits: limits,
         unreachable_timeout: second,
         message_ttl: second,
-        persisted: stored,
+        persisted,
     };
     Core::new(config, Duration::ZERO)
 }
 
-/// The disk is slow and fails at first. A process killed meanwhile would forget what it published or ran; so nothing is published
-/// or run that a restart from the disk would not know.
+/// Guards against publishing a vote, or running a version, before the state is on the disk: a process that is killed then
+/// would not remember it after a restart. The disk is slow in this test, and the first writes fail.
 #[test]
 fn nothing_is_published_before_it_is_persisted() {
     let mut core = core(None);
@@ -213,13 +222,13 @@
         reachable: true,
         left: false,
     };
-    let promote = ["east".to_owned()].into();
+    let promotable_regions = ["east".to_owned()].into();
     let observation = Observation {
         peers: vec![peer],
-        promotable_regions: promote,
+        promotable_regions,
         ..Observation::default()
     };
-    let (mut persisted, mut persisting, mut published_new, mut ran) =
+    let (mut persisted, mut persisting, mut published_new, mut requested_new) =
         (Vec::new(), None, None, None);
     for second in 0..20 {
         let now = Duration::from_secs(second);
@@ -243,18 +252,21 @@
                 &mut actions,
             );
         }
-        let has = messages::decode::<PersistedState>(&persisted);
+        let on_disk = messages::decode::<PersistedState>(&persisted);
         for action in actions {
             match action {
                 Action::Persist(bytes) => {
-                    assert!(persisting.replace(bytes).is_none(), "one at a time")
+                    assert!(
+                        persisting.replace(bytes).is_none(),
+                        "a second write was requested before the first had finished"
+                    )
                 }
                 Action::Publish(0, ..) => {
-                    assert!(has.as_ref().is_some_and(|s| s.proposal.is_some()))
+                    assert!(on_disk.as_ref().is_some_and(|s| s.proposal.is_some()))
                 }
                 Action::Publish(1, body, _) => {
                     let vote: Vote = messages::decode(&body).unwrap();
-                    assert!(has.as_ref().is_some_and(
+                    assert!(on_disk.as_ref().is_some_and(
                         |s| s.proposal.is_some() && s.quorums_seen >= vote.quorums_seen
                     ));
                     published_new = published_new.or(vote.runs_new.then_some(second));
@@ -262,23 +274,23 @@
                 Action::CheckVersion(hash) => {
                     core.handle(now, Event::VersionChecked(hash, Ok(())), &mut Vec::new())
                 }
-                Action::RunVersion(_) => ran = Some(second),
+                Action::RunVersion(_) => requested_new = Some(second),
                 _ => {}
             }
         }
     }
     assert!(
-        published_new.is_some() && published_new < ran,
-        "{published_new:?} {ran:?}"
+        published_new.is_some() && published_new < requested_new,
+        "{published_new:?} {requested_new:?}"
     );
 }
 
-fn later(mut body: Vec<u8>) -> Vec<u8> {
+fn with_later_format(mut body: Vec<u8>) -> Vec<u8> {
     body[0] += 1;
     body
 }
 
-/// Messages of a later format are counted and change nothing: no proposal, no halt, no other version runs.
+/// Messages of a later format are counted and have no other effect: no proposal, no halt, and no version to run.
 #[test]
 fn messages_of_a_later_format_are_counted_and_dropped() {
     let mut core = core(None);
@@ -288,7 +300,7 @@
         source: "n1".into(),
         incarnation: 6,
         kind,
-        body: later(recorded(name)),
+        body: with_later_format(recorded_body(name)),
     });
     let peer = |name: &str| Peer {
         name: name.into(),
