--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -22,58 +22,58 @@
 ];
 
 #[derive(Clone, Copy)]
-struct Site {
+struct Scenario {
     /// Requests a second of each proxy, in two classes of three and one parts.
-    asked: u64,
+    requests: u64,
     loss: f64,
     /// Weight of a request of the larger class; one of the smaller class has weight 1.
-    worth: f64,
+    weight: f64,
     /// What the new version loses beyond that, of all and of the smaller class.
     harm: f64,
     class_harm: f64,
     /// What the second region loses beyond that, whatever it runs.
-    west: f64,
+    west_loss: f64,
     /// What happens to the canary from the 30th second on.
     canary: Canary,
     facts_lost: f64,
     /// Seconds from the order to run a version until requests are served by it.
-    reload: u64,
+    apply_delay: u64,
     seconds: u64,
 }
 
-const SITE: Site = Site {
-    asked: 40,
+const DEFAULT: Scenario = Scenario {
+    requests: 40,
     loss: 0.02,
-    worth: 1.0,
+    weight: 1.0,
     harm: 0.0,
     class_harm: 0.0,
-    west: 0.0,
-    canary: Canary::Well,
+    west_loss: 0.0,
+    canary: Canary::Healthy,
     facts_lost: 0.05,
-    reload: 0,
+    apply_delay: 0,
     seconds: 3_000,
 };
 
 #[derive(Clone, Copy, PartialEq)]
 enum Canary {
-    Well,
+    Healthy,
     /// It crashes of the new version before anyone hears that it runs it, and restarts.
-    Dies,
+    Crashes,
     /// It is restarted in order again and again, or a hot restart replaces it.
-    Leaves,
+    Restarts,
     /// The regions are partitioned for two minutes; their facts stay as they were.
-    Apart,
-    Silent,
+    Partitioned,
+    Unreachable,
 }
 
 #[derive(Debug, PartialEq)]
-struct End {
+struct Outcome {
     phase: Phase,
     seconds: u64,
     /// Proxies that ever ran the new version.
     exposed: usize,
     /// The second region did.
-    beyond: bool,
+    reached_west: bool,
 }
 
 fn limits() -> EvidenceLimits {
@@ -87,9 +87,9 @@
     }
 }
 
-fn play(site: Site, seed: u64) -> End {
+fn simulate(scenario: Scenario, seed: u64) -> Outcome {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let core = |at: usize, start: u64, stored: Option<Vec<u8>>| {
+    let core = |at: usize, start: u64, persisted: Option<Vec<u8>>| {
         let config = Config {
             name: FLEET[at].0.into(),
             incarnation: start,
@@ -98,7 +98,7 @@
             evidence_limits: limits(),
             unreachable_timeout: Duration::from_secs(60),
             message_ttl: Duration::from_secs(10),
-            persisted: stored,
+            persisted,
         };
         Core::new(config, Duration::from_secs(start - 1))
     };
@@ -114,86 +114,94 @@
         })
         .collect();
     type Facts = BTreeMap<(usize, u8), (u64, Vec<u8>)>;
-    let mut said = Facts::new();
-    let mut heard = vec![Facts::new(); FLEET.len()];
+    let mut published = Facts::new();
+    let mut received = vec![Facts::new(); FLEET.len()];
     // Each disk has what it was given a second ago.
-    let mut saving: Vec<Option<Vec<u8>>> = vec![None; FLEET.len()];
-    let mut kept = saving.clone();
-    let (mut counts, mut runs) = (
+    let mut pending_writes: Vec<Option<Vec<u8>>> = vec![None; FLEET.len()];
+    let mut persisted = pending_writes.clone();
+    let (mut counts, mut running) = (
         vec![[ClassCounts::default(); 2]; FLEET.len()],
         [OLD; FLEET.len()],
     );
     // When the new version, which is to run, is applied.
-    let mut applies: [Option<u64>; FLEET.len()] = [None; FLEET.len()];
+    let mut apply_at: [Option<u64>; FLEET.len()] = [None; FLEET.len()];
     let mut exposed = [false; FLEET.len()];
-    for second in 1..=site.seconds {
+    for second in 1..=scenario.seconds {
         let now = Duration::from_secs(second);
         for at in 0..FLEET.len() {
-            for (class, asked) in [(0, site.asked * 3 / 4), (1, site.asked / 4)] {
-                let worse = if class == 1 {
-                    site.harm + site.class_harm
+            for (class, requests) in [(0, scenario.requests * 3 / 4), (1, scenario.requests / 4)] {
+                let version_loss = if class == 1 {
+                    scenario.harm + scenario.class_harm
                 } else {
-                    site.harm
+                    scenario.harm
                 };
-                let west = if FLEET[at].1 == "west" {
-                    site.west
+                let region_loss = if FLEET[at].1 == "west" {
+                    scenario.west_loss
                 } else {
                     0.0
                 };
-                let loss = site.loss + west + if runs[at] == NEW { worse } else { 0.0 };
+                let loss = scenario.loss
+                    + region_loss
+                    + if running[at] == NEW {
+                        version_loss
+                    } else {
+                        0.0
+                    };
                 counts[at][class].class = class as u32 + 1;
-                counts[at][class].offered += asked;
-                counts[at][class].lost += (0..asked)
+                counts[at][class].offered += requests;
+                counts[at][class].lost += (0..requests)
                     .filter(|_| rng.random_bool(loss.min(1.0)))
                     .count() as u64;
             }
         }
         for at in 0..FLEET.len() {
-            for (key, body) in &said {
-                if key.0 != at && !rng.random_bool(site.facts_lost) {
-                    heard[at].insert(*key, body.clone());
+            for (key, body) in &published {
+                if key.0 != at && !rng.random_bool(scenario.facts_lost) {
+                    received[at].insert(*key, body.clone());
                 }
             }
-            let told = |((from, kind), (start, body)): (&(usize, u8), &(u64, Vec<u8>))| PeerFact {
-                source: FLEET[*from].0.into(),
-                incarnation: *start,
-                kind: *kind,
-                body: body.clone(),
-            };
-            let worth = |of: fn(&ClassCounts) -> u64| {
-                (of(&counts[at][0]) as f64 * site.worth + of(&counts[at][1]) as f64) as u64
+            let to_fact =
+                |((from, kind), (start, body)): (&(usize, u8), &(u64, Vec<u8>))| PeerFact {
+                    source: FLEET[*from].0.into(),
+                    incarnation: *start,
+                    kind: *kind,
+                    body: body.clone(),
+                };
+            let weighted = |of: fn(&ClassCounts) -> u64| {
+                (of(&counts[at][0]) as f64 * scenario.weight + of(&counts[at][1]) as f64) as u64
             };
             let total = ClassCounts {
                 class: 0,
-                offered: worth(|c| c.offered),
-                lost: worth(|c| c.lost),
+                offered: weighted(|c| c.offered),
+                lost: weighted(|c| c.lost),
             };
-            let look = Observation {
+            let observation = Observation {
                 peers: peers.clone(),
                 promotable_regions: ["east", "west"].map(String::from).into(),
-                facts: heard[at].iter().map(told).collect(),
+                facts: received[at].iter().map(to_fact).collect(),
                 class_counts: counts[at].to_vec(),
                 total_counts: total,
             };
-            let mut look = look;
-            let seen = &mut look.peers[0];
-            match site.canary {
-                Canary::Silent if second >= 30 => seen.reachable = at == 0,
-                Canary::Apart if (30..150).contains(&second) => {
-                    look.peers
+            let mut observation = observation;
+            let canary = &mut observation.peers[0];
+            match scenario.canary {
+                Canary::Unreachable if second >= 30 => canary.reachable = at == 0,
+                Canary::Partitioned if (30..150).contains(&second) => {
+                    observation
+                        .peers
                         .iter_mut()
                         .for_each(|peer| peer.reachable = peer.region == FLEET[at].1);
                 }
                 _ => {}
             }
             let mut actions = Vec::new();
-            if let Some(bytes) = saving[at].take() {
-                kept[at] = Some(bytes);
+            if let Some(bytes) = pending_writes[at].take() {
+                persisted[at] = Some(bytes);
                 cores[at].handle(now, Event::Persisted(true), &mut actions);
             }
-            cores[at].handle(now, Event::Observe(look), &mut actions);
-            if applies[at].take_if(|due| *due <= second).is_some() {
-                runs[at] = NEW;
+            cores[at].handle(now, Event::Observe(observation), &mut actions);
+            if apply_at[at].take_if(|due| *due <= second).is_some() {
+                running[at] = NEW;
                 exposed[at] = true;
                 cores[at].handle(now, Event::VersionApplied(NEW), &mut actions);
             }
@@ -207,12 +215,12 @@
                 };
                 cores[at].handle(now, event, &mut actions);
             }
-            if at == 0 && site.canary == Canary::Leaves && second >= 30 && second % 20 == 19 {
+            if at == 0 && scenario.canary == Canary::Restarts && second >= 30 && second % 20 == 19 {
                 cores[0].handle(now, Event::Leave, &mut actions);
             }
-            let dies = match site.canary {
-                Canary::Dies => at == 0 && actions.contains(&Action::RunVersion(NEW)),
-                Canary::Leaves => at == 0 && second >= 30 && second % 10 == 0,
+            let process_ends = match scenario.canary {
+                Canary::Crashes => at == 0 && actions.contains(&Action::RunVersion(NEW)),
+                Canary::Restarts => at == 0 && second >= 30 && second % 10 == 0,
                 _ => false,
             };
             let mut next = 0;
@@ -221,55 +229,57 @@
                 match action {
                     // Its vote, which says that it runs the new version, is lost.
                     Action::Publish(1, ..)
-                        if site.canary == Canary::Dies
+                        if scenario.canary == Canary::Crashes
                             && cores[at].machine().runs_new_here(&peers) => {}
-                    Action::Publish(..) if dies => {}
+                    Action::Publish(..) if process_ends => {}
                     Action::Publish(kind, body, _) => {
-                        _ = said.insert((at, kind), (peers[at].incarnation.unwrap_or(1), body));
+                        _ = published
+                            .insert((at, kind), (peers[at].incarnation.unwrap_or(1), body));
                     }
-                    Action::Persist(bytes) => saving[at] = Some(bytes),
+                    Action::Persist(bytes) => pending_writes[at] = Some(bytes),
                     Action::CheckVersion(hash) => {
                         cores[at].handle(now, Event::VersionChecked(hash, Ok(())), &mut actions)
                     }
-                    Action::RunVersion(NEW) if site.reload > 0 => {
-                        applies[at] = Some(second + site.reload);
+                    Action::RunVersion(NEW) if scenario.apply_delay > 0 => {
+                        apply_at[at] = Some(second + scenario.apply_delay);
                     }
                     Action::RunVersion(hash) => {
-                        runs[at] = hash;
+                        running[at] = hash;
                         exposed[at] |= hash == NEW;
-                        applies[at] = None;
+                        apply_at[at] = None;
                         cores[at].handle(now, Event::VersionApplied(hash), &mut actions);
                     }
                     _ => {}
                 }
             }
-            if dies {
-                saving[0] = None;
-                (cores[0], runs[0], peers[0].incarnation) =
-                    (core(0, second, kept[0].clone()), OLD, Some(second));
+            if process_ends {
+                pending_writes[0] = None;
+                (cores[0], running[0], peers[0].incarnation) =
+                    (core(0, second, persisted[0].clone()), OLD, Some(second));
             }
         }
         let phases: Vec<Phase> = cores.iter().map(|c| c.status().phase).collect();
-        let all_run = runs == [NEW; FLEET.len()];
-        let over = |p: &Phase| matches!(p, Phase::Halted(_)) || *p == Phase::Complete && all_run;
-        if phases.iter().all(|p| over(p) && *p == phases[0]) || second == site.seconds {
+        let all_run_new = running == [NEW; FLEET.len()];
+        let is_final =
+            |p: &Phase| matches!(p, Phase::Halted(_)) || *p == Phase::Complete && all_run_new;
+        if phases.iter().all(|p| is_final(p) && *p == phases[0]) || second == scenario.seconds {
             assert!(
-                !matches!(phases[0], Phase::Halted(_)) || runs == [OLD; FLEET.len()],
+                !matches!(phases[0], Phase::Halted(_)) || running == [OLD; FLEET.len()],
                 "all are back"
             );
             let exposed_of = |region| {
                 FLEET
                     .iter()
                     .zip(exposed)
-                    .filter(|(f, e)| f.1 == region && *e)
+                    .filter(|(member, ran_new)| member.1 == region && *ran_new)
                     .count()
             };
             let (east, west) = (exposed_of("east"), exposed_of("west"));
-            return End {
+            return Outcome {
                 phase: phases[0],
                 seconds: second,
                 exposed: east + west,
-                beyond: west > 0,
+                reached_west: west > 0,
             };
         }
     }
@@ -277,81 +287,99 @@
 }
 
 /// Runs so many seeds; (halted, whole, halted in the first region, median seconds).
-fn table(title: &str, site: Site, seeds: u64) -> (usize, usize, usize, u64) {
-    let ends: Vec<End> = (0..seeds).map(|seed| play(site, seed)).collect();
-    let halted = ends
+fn simulate_and_print(title: &str, scenario: Scenario, seeds: u64) -> (usize, usize, usize, u64) {
+    let outcomes: Vec<Outcome> = (0..seeds).map(|seed| simulate(scenario, seed)).collect();
+    let halted = outcomes
+        .iter()
+        .filter(|outcome| matches!(outcome.phase, Phase::Halted(_)))
+        .count();
+    let completed = outcomes
         .iter()
-        .filter(|e| matches!(e.phase, Phase::Halted(_)))
+        .filter(|outcome| outcome.phase == Phase::Complete)
         .count();
-    let whole = ends.iter().filter(|e| e.phase == Phase::Complete).count();
-    let first = ends
+    let halted_in_first = outcomes
         .iter()
-        .filter(|e| matches!(e.phase, Phase::Halted(_)) && !e.beyond)
+        .filter(|outcome| matches!(outcome.phase, Phase::Halted(_)) && !outcome.reached_west)
         .count();
-    let mut seconds: Vec<u64> = ends.iter().map(|e| e.seconds).collect();
+    let mut seconds: Vec<u64> = outcomes.iter().map(|outcome| outcome.seconds).collect();
     seconds.sort_unstable();
     let median = seconds[seconds.len() / 2];
-    let exposed = ends.iter().map(|e| e.exposed).sum::<usize>() as f64 / ends.len() as f64;
+    let exposed = outcomes
+        .iter()
+        .map(|outcome| outcome.exposed)
+        .sum::<usize>() as f64
+        / outcomes.len() as f64;
     println!(
-        "| {title} | {seeds} | {halted} | {first} | {whole} | {median} | {} | {exposed:.1} |",
+        "| {title} | {seeds} | {halted} | {halted_in_first} | {completed} | {median} | {} | {exposed:.1} |",
         seconds[seconds.len() * 9 / 10]
     );
-    (halted, whole, first, median)
+    (halted, completed, halted_in_first, median)
 }
 
 /// A rollout of a good version has to complete, one of a bad version to be halted in its first region. Random loss, regions that
 /// differ, planned restarts and a partition must not halt a good one; a canary that crashes or vanishes must halt it.
 #[test]
 fn a_good_version_completes_and_a_bad_one_is_halted() {
-    let (halted, whole, ..) = table("A against A", SITE, 40);
-    assert!(halted <= 1 && whole >= 39);
-    let (halted, ..) = table(
+    let (halted, completed, ..) = simulate_and_print("A against A", DEFAULT, 40);
+    assert!(halted <= 1 && completed >= 39);
+    let (halted, ..) = simulate_and_print(
         "A against A, one region worse",
-        Site {
+        Scenario {
             loss: 0.2,
-            west: -0.15,
-            ..SITE
+            west_loss: -0.15,
+            ..DEFAULT
         },
         20,
     );
     assert_eq!(halted, 0, "what regions differ in is no harm of a version");
-    let (_, _, first, _) = table("harm 0.05", Site { harm: 0.05, ..SITE }, 20);
-    assert!(first >= 18);
-    let (_, _, first, seconds) = table(
+    let (_, _, halted_in_first, _) = simulate_and_print(
+        "harm 0.05",
+        Scenario {
+            harm: 0.05,
+            ..DEFAULT
+        },
+        20,
+    );
+    assert!(halted_in_first >= 18);
+    let (_, _, halted_in_first, seconds) = simulate_and_print(
         "refuses a class",
-        Site {
+        Scenario {
             class_harm: 1.0,
-            ..SITE
+            ..DEFAULT
         },
         5,
     );
-    assert!(first == 5 && seconds < 60);
+    assert!(halted_in_first == 5 && seconds < 60);
     for (canary, phase, exposed) in [
-        (Canary::Dies, Phase::Halted(HaltReason::Crash), 1),
-        (Canary::Silent, Phase::Halted(HaltReason::Unreachable), 1),
-        (Canary::Leaves, Phase::Complete, FLEET.len()),
-        (Canary::Apart, Phase::Complete, FLEET.len()),
+        (Canary::Crashes, Phase::Halted(HaltReason::Crash), 1),
+        (
+            Canary::Unreachable,
+            Phase::Halted(HaltReason::Unreachable),
+            1,
+        ),
+        (Canary::Restarts, Phase::Complete, FLEET.len()),
+        (Canary::Partitioned, Phase::Complete, FLEET.len()),
     ] {
-        let end = play(
-            Site {
-                asked: 5,
+        let outcome = simulate(
+            Scenario {
+                requests: 5,
                 canary,
-                ..SITE
+                ..DEFAULT
             },
             1,
         );
-        assert_eq!((end.phase, end.exposed), (phase, exposed));
+        assert_eq!((outcome.phase, outcome.exposed), (phase, exposed));
     }
-    let end = play(
-        Site {
-            asked: 0,
+    let outcome = simulate(
+        Scenario {
+            requests: 0,
             seconds: 300,
-            ..SITE
+            ..DEFAULT
         },
         1,
     );
     assert_eq!(
-        (end.phase, end.exposed),
+        (outcome.phase, outcome.exposed),
         (Phase::Canary, 1),
         "without traffic it waits"
     );
@@ -362,15 +390,15 @@
 #[test]
 fn a_version_that_is_applied_late_is_halted_in_its_first_region() {
     for seed in 0..20 {
-        let site = Site {
+        let scenario = Scenario {
             class_harm: 1.0,
-            reload: 20 + 5 * seed,
-            ..SITE
+            apply_delay: 20 + 5 * seed,
+            ..DEFAULT
         };
-        let end = play(site, seed);
+        let outcome = simulate(scenario, seed);
         assert!(
-            matches!(end.phase, Phase::Halted(_)) && !end.beyond,
-            "seed {seed}: {end:?}"
+            matches!(outcome.phase, Phase::Halted(_)) && !outcome.reached_west,
+            "seed {seed}: {outcome:?}"
         );
     }
 }
@@ -396,8 +424,8 @@
         let mut body: Vec<u8> = (0..length)
             .map(|_| rng.random::<u8>() >> rng.random_range(0..8))
             .collect();
-        body.iter_mut().take(1).for_each(|form| *form %= 3);
-        let told = PeerFact {
+        body.iter_mut().take(1).for_each(|format| *format %= 3);
+        let fact = PeerFact {
             source: "b".into(),
             incarnation: 1,
             kind: rng.random_range(0..6),
@@ -411,15 +439,15 @@
             left: false,
         };
         let peers = FLEET.iter().map(peer).collect();
-        let look = Observation {
+        let observation = Observation {
             peers,
             promotable_regions: ["east".to_owned()].into(),
-            facts: vec![told],
+            facts: vec![fact],
             ..Observation::default()
         };
         core.handle(
             Duration::from_secs(second),
-            Event::Observe(look),
+            Event::Observe(observation),
             &mut actions,
         );
     }
@@ -433,61 +461,99 @@
 #[ignore = "the figures of the results, minutes long"]
 fn figures() {
     println!("| case | seeds | halted | in the first region | whole | median s | 90% s | proxies exposed |");
-    table("A against A", SITE, 400);
-    table("A against A, loss 0.2", Site { loss: 0.2, ..SITE }, 400);
-    table("A against A, 8 a second", Site { asked: 8, ..SITE }, 200);
-    table(
+    simulate_and_print("A against A", DEFAULT, 400);
+    simulate_and_print(
+        "A against A, loss 0.2",
+        Scenario {
+            loss: 0.2,
+            ..DEFAULT
+        },
+        400,
+    );
+    simulate_and_print(
+        "A against A, 8 a second",
+        Scenario {
+            requests: 8,
+            ..DEFAULT
+        },
+        200,
+    );
+    simulate_and_print(
         "A against A, the first region loses 0.15 more",
-        Site {
+        Scenario {
             loss: 0.2,
-            west: -0.15,
-            ..SITE
+            west_loss: -0.15,
+            ..DEFAULT
         },
         200,
     );
-    table("harm 0.02", Site { harm: 0.02, ..SITE }, 100);
-    table("harm 0.05", Site { harm: 0.05, ..SITE }, 200);
-    table(
+    simulate_and_print(
+        "harm 0.02",
+        Scenario {
+            harm: 0.02,
+            ..DEFAULT
+        },
+        100,
+    );
+    simulate_and_print(
+        "harm 0.05",
+        Scenario {
+            harm: 0.05,
+            ..DEFAULT
+        },
+        200,
+    );
+    simulate_and_print(
         "harm 0.05, loss 0.2",
-        Site {
+        Scenario {
             harm: 0.05,
             loss: 0.2,
-            ..SITE
+            ..DEFAULT
+        },
+        100,
+    );
+    simulate_and_print(
+        "harm 0.2",
+        Scenario {
+            harm: 0.2,
+            ..DEFAULT
         },
         100,
     );
-    table("harm 0.2", Site { harm: 0.2, ..SITE }, 100);
-    table(
+    simulate_and_print(
         "refuses a class of a quarter",
-        Site {
+        Scenario {
             class_harm: 1.0,
-            ..SITE
+            ..DEFAULT
         },
         100,
     );
-    let cheap = Site { worth: 0.1, ..SITE };
-    table("A against A, larger class worth 0.1", cheap, 400);
-    table(
+    let low_weight = Scenario {
+        weight: 0.1,
+        ..DEFAULT
+    };
+    simulate_and_print("A against A, larger class worth 0.1", low_weight, 400);
+    simulate_and_print(
         "harm 0.05, larger class worth 0.1",
-        Site {
+        Scenario {
             harm: 0.05,
-            ..cheap
+            ..low_weight
         },
         200,
     );
-    table(
+    simulate_and_print(
         "0.3 of the smaller class, worth 1 to 1",
-        Site {
+        Scenario {
             class_harm: 0.3,
-            ..SITE
+            ..DEFAULT
         },
         100,
     );
-    table(
+    simulate_and_print(
         "0.3 of the smaller class, worth 1 to 0.1",
-        Site {
+        Scenario {
             class_harm: 0.3,
-            ..cheap
+            ..low_weight
         },
         100,
     );
