--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -273,13 +273,13 @@
         if self.phase == Phase::Finished {
             return;
         }
-        let late = self
+        let deadline_reached = self
             .exit_deadline
             .is_some_and(|deadline| self.now >= deadline);
-        if late && !self.idle {
+        if deadline_reached && !self.idle {
             actions.push(Action::AbortOutstanding);
         }
-        if late || self.phase == Phase::Closing && self.idle {
+        if deadline_reached || self.phase == Phase::Closing && self.idle {
             actions.push(Action::Exit);
             self.phase = Phase::Finished;
         }
--- a/crates/drain/src/tests.rs
+++ b/crates/drain/src/tests.rs
@@ -46,13 +46,13 @@
 /// Without balancers, as the platform specifies it: the proxy keeps listening for a while, and ends when every request has
 /// its response.
 #[test]
-fn without_balancers_termination_lingers_and_closes() {
-    let set = Settings {
+fn termination_without_balancers_accepts_for_a_while_and_then_closes() {
+    let settings = Settings {
         accept_after_stop: 500 * MS,
         drain_timeout: 3_600 * MS,
         ..Settings::default()
     };
-    let mut drain = Drain::new(set, Time::ZERO);
+    let mut drain = Drain::new(settings, Time::ZERO);
     let actions = handle(&mut drain, S, Event::Terminate);
     assert_eq!(
         actions,
@@ -167,13 +167,13 @@
 /// A linger time beyond the drain timeout is cut to it, so that the proxy stops listening before it ends and the backlog
 /// is not reset unanswered.
 #[test]
-fn a_linger_time_beyond_the_drain_timeout_is_cut() {
-    let set = Settings {
+fn accept_after_stop_is_limited_to_the_drain_timeout() {
+    let settings = Settings {
         accept_after_stop: 9 * S,
         drain_timeout: S,
         ..Settings::default()
     };
-    let mut drain = Drain::new(set, Time::ZERO);
+    let mut drain = Drain::new(settings, Time::ZERO);
     handle(&mut drain, Time::ZERO, Event::Terminate);
     assert_eq!(
         handle(&mut drain, S, Event::Tick),
--- a/crates/drain/tests/exhaustive.rs
+++ b/crates/drain/tests/exhaustive.rs
@@ -7,13 +7,13 @@
 
 const TICK: Duration = Duration::from_millis(100);
 /// Ticks of a run.
-const CLOCK: u8 = 14;
+const MAX_TICKS: u8 = 14;
 /// For each balancer, the ticks between two checks and its `fall`.
 const BALANCERS: [(u8, u8); 2] = [(2, 2), (3, 1)];
 const DRAIN_TIMEOUT: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Watcher {
+struct HealthCheck {
     /// Ticks until its next check.
     next: u8,
     /// Failed checks in a row.
@@ -30,7 +30,7 @@
     /// Clients in the listener's backlog.
     in_backlog: u8,
     outstanding: u8,
-    watchers: Vec<Watcher>,
+    checks: Vec<HealthCheck>,
     /// Operator commands that are left.
     commands_left: u8,
     terminated: bool,
@@ -39,8 +39,8 @@
     /// A client that a balancer sent found the port closed.
     refused_client: bool,
     /// The proxy listened again after a termination.
-    undrained_after_termination: bool,
-    late: bool,
+    listened_after_termination: bool,
+    overdue: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -51,7 +51,7 @@
     /// A client comes by a balancer.
     Client(usize),
     Accept,
-    Answer,
+    Respond,
     Tick,
 }
 
@@ -73,7 +73,7 @@
                 Action::AnnounceDrain => self.announced = true,
                 Action::RetractDrain => self.announced = false,
                 Action::StartListening => {
-                    self.undrained_after_termination |= self.terminated;
+                    self.listened_after_termination |= self.terminated;
                     self.listening = true;
                 }
                 Action::StopListening => {
@@ -117,35 +117,35 @@
             announced: false,
             in_backlog: 0,
             outstanding: 0,
-            watchers: Vec::new(),
+            checks: Vec::new(),
             commands_left: 3,
             terminated: false,
             finished: false,
             aborted: false,
             refused_client: false,
-            undrained_after_termination: false,
-            late: false,
+            listened_after_termination: false,
+            overdue: false,
         };
         // Any phase of either balancer's clock.
-        let mut all = Vec::new();
+        let mut worlds = Vec::new();
         for a in 1..=BALANCERS[0].0 {
             for b in 1..=BALANCERS[1].0 {
-                let watcher = |next| Watcher {
+                let check = |next| HealthCheck {
                     next,
                     failed: 0,
                     in_rotation: true,
                 };
-                all.push(World {
-                    watchers: vec![watcher(a), watcher(b)],
+                worlds.push(World {
+                    checks: vec![check(a), check(b)],
                     ..world.clone()
                 });
             }
         }
-        all
+        worlds
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        if world.finished || world.clock >= CLOCK {
+        if world.finished || world.clock >= MAX_TICKS {
             return;
         }
         actions.push(Step::Tick);
@@ -155,8 +155,8 @@
         if !world.terminated {
             actions.push(Step::Terminate);
         }
-        for (at, watcher) in world.watchers.iter().enumerate() {
-            if watcher.in_rotation && world.outstanding + world.in_backlog < 2 {
+        for (at, check) in world.checks.iter().enumerate() {
+            if check.in_rotation && world.outstanding + world.in_backlog < 2 {
                 actions.push(Step::Client(at));
             }
         }
@@ -164,7 +164,7 @@
             actions.push(Step::Accept);
         }
         if world.outstanding > 0 {
-            actions.push(Step::Answer);
+            actions.push(Step::Respond);
         }
     }
 
@@ -190,7 +190,7 @@
                 world.outstanding += 1;
                 world.handle(Event::IdleChanged(false));
             }
-            Step::Answer => {
+            Step::Respond => {
                 world.outstanding -= 1;
                 let idle = world.outstanding == 0;
                 world.handle(Event::IdleChanged(idle));
@@ -199,21 +199,21 @@
                 world.clock += 1;
                 for (at, (interval, fall)) in BALANCERS.iter().enumerate() {
                     let announced = world.announced;
-                    let watcher = &mut world.watchers[at];
-                    watcher.next -= 1;
-                    if watcher.next == 0 {
-                        watcher.next = *interval;
-                        watcher.failed = if announced {
-                            (watcher.failed + 1).min(*fall)
+                    let check = &mut world.checks[at];
+                    check.next -= 1;
+                    if check.next == 0 {
+                        check.next = *interval;
+                        check.failed = if announced {
+                            (check.failed + 1).min(*fall)
                         } else {
                             0
                         };
-                        watcher.in_rotation = watcher.failed < *fall;
+                        check.in_rotation = check.failed < *fall;
                     }
                 }
                 world.handle(Event::Tick);
-                let end = time(world.clock);
-                world.late |= world.drain.next_deadline().is_some_and(|due| due <= end);
+                let now = time(world.clock);
+                world.overdue |= world.drain.next_deadline().is_some_and(|due| due <= now);
             }
         }
         Some(world)
@@ -240,7 +240,7 @@
                     )
             }),
             Property::always("a termination is not undone", |_, world: &World| {
-                !(world.undrained_after_termination
+                !(world.listened_after_termination
                     || world.terminated && world.drain.phase() == Phase::Serving)
             }),
             Property::always(
@@ -251,13 +251,13 @@
                 "requests are aborted only at the end",
                 |_, world: &World| !world.aborted || world.finished,
             ),
-            Property::always("no step is late", |_, world: &World| !world.late),
+            Property::always("no step is late", |_, world: &World| !world.overdue),
             Property::always("it ends by its deadline", |_, world: &World| {
                 // The longest way: announced again at the termination, then aborted.
-                world.clock < CLOCK
+                world.clock < MAX_TICKS
                     || !world.terminated
                     || world.finished
-                    || world.drain.next_deadline() > Some(time(CLOCK))
+                    || world.drain.next_deadline() > Some(time(MAX_TICKS))
             }),
             // States that must be reachable, or the checks above would prove nothing.
             Property::sometimes("it comes back from a drain", |_, world: &World| {
--- a/crates/maintenance/tests/exclusions.rs
+++ b/crates/maintenance/tests/exclusions.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_server_drains_while_either_side_says_so() {
+fn a_server_drains_while_discovery_or_an_operator_drains_it() {
     let mut maintenance = one_ready_server();
     assert_eq!(
         maintenance.exclude("a", at(10)).unwrap().unwrap().status,
@@ -199,7 +199,7 @@
         for (time, (step, server)) in (1..).zip(steps) {
             let (name, flag) = (names[server], &mut flags[server]);
             let known = flag.0.is_some() || flag.1;
-            let answer = match step {
+            let result_agrees = match step {
                 0 | 1 => {
                     let status = if step == 0 { ServerStatus::Ready } else { ServerStatus::Draining };
                     flag.0 = Some(status);
@@ -220,10 +220,10 @@
                     maintenance.include(name, at(time)).is_ok() == known
                 }
             };
-            prop_assert!(answer);
+            prop_assert!(result_agrees);
             prop_assert_eq!(maintenance.listed_count(), flags.iter().filter(|f| f.0.is_some()).count());
-            let out = maintenance.exclusions().iter().filter(|exclusion| exclusion.excluded_since.is_some()).count();
-            prop_assert_eq!(out, flags.iter().filter(|f| f.1).count());
+            let excluded = maintenance.exclusions().iter().filter(|exclusion| exclusion.excluded_since.is_some()).count();
+            prop_assert_eq!(excluded, flags.iter().filter(|f| f.1).count());
         }
     }
 }
--- a/crates/rollout/tests/bytes.rs
+++ b/crates/rollout/tests/bytes.rs
@@ -26,8 +26,8 @@
 /// The host reads no longer state file.
 const STATE_BYTES: usize = 16 << 10;
 
-fn body<T: Serialize>(what: &T) -> Vec<u8> {
-    to_extend(what, vec![1]).expect("into memory")
+fn body<T: Serialize>(value: &T) -> Vec<u8> {
+    to_extend(value, vec![1]).expect("into memory")
 }
 
 fn hash() -> impl Strategy<Value = VersionHash> {
@@ -62,34 +62,34 @@
     )
 }
 
-fn halted() -> impl Strategy<Value = HaltRecord> {
-    let why = prop_oneof![
+fn halt_record() -> impl Strategy<Value = HaltRecord> {
+    let reason = prop_oneof![
         Just(HaltReason::Operator),
         Just(HaltReason::Rollback),
         Just(HaltReason::Loss),
         Just(HaltReason::Partitioned)
     ];
-    (epoch(), hash(), ".{0,90}", why).prop_map(|(epoch, hash, by, why)| HaltRecord {
+    (epoch(), hash(), ".{0,90}", reason).prop_map(|(epoch, hash, halted_by, reason)| HaltRecord {
         epoch,
         hash,
-        halted_by: by,
-        reason: why,
+        halted_by,
+        reason,
     })
 }
 
 fn class() -> impl Strategy<Value = ClassCounts> {
-    (0..9_u32, any::<u64>(), any::<u64>()).prop_map(|(class, asked, lost)| ClassCounts {
+    (0..9_u32, any::<u64>(), any::<u64>()).prop_map(|(class, offered, lost)| ClassCounts {
         class,
-        offered: asked,
+        offered,
         lost,
     })
 }
 
 /// A body of that kind with any values, which others could not have said.
-fn sound() -> impl Strategy<Value = (u8, Vec<u8>)> {
-    let word = (epoch(), hash(), "[a-f]", any::<[u8; 2]>(), any::<bool>()).prop_map(
-        |(epoch, hash, proposer, [votes, reached], new)| {
-            let ready = if new {
+fn valid_body() -> impl Strategy<Value = (u8, Vec<u8>)> {
+    let vote = (epoch(), hash(), "[a-f]", any::<[u8; 2]>(), any::<bool>()).prop_map(
+        |(epoch, hash, proposer, [votes, quorums_seen], runs_new)| {
+            let readiness = if runs_new {
                 Readiness::Ready
             } else {
                 Readiness::Unable("x".repeat(300))
@@ -99,9 +99,9 @@
                 hash,
                 proposer,
                 votes,
-                quorums_seen: reached,
-                runs_new: new,
-                readiness: ready,
+                quorums_seen,
+                runs_new,
+                readiness,
             }
         },
     );
@@ -112,32 +112,34 @@
         class(),
         vec(class(), 0..20),
     )
-        .prop_map(|(epoch, new, turn, total, classes)| TrafficCounts {
-            epoch,
-            runs_new: new,
-            generation: turn,
-            total,
-            classes,
-        });
+        .prop_map(
+            |(epoch, runs_new, generation, total, classes)| TrafficCounts {
+                epoch,
+                runs_new,
+                generation,
+                total,
+                classes,
+            },
+        );
     prop_oneof![
         proposal().prop_map(|p| (0, body(&p))),
-        word.prop_map(|w| (1, body(&w))),
-        vec(halted(), 0..12).prop_map(|h| (2, body(&h))),
+        vote.prop_map(|v| (1, body(&v))),
+        vec(halt_record(), 0..12).prop_map(|h| (2, body(&h))),
         counts.prop_map(|c| (3, body(&c))),
-        any::<(bool, u64)>().prop_map(|(left, start)| {
+        any::<(bool, u64)>().prop_map(|(leaving, incarnation)| {
             (
                 4,
-                body(&if left {
-                    PlannedRestart::Leaving(start)
+                body(&if leaving {
+                    PlannedRestart::Leaving(incarnation)
                 } else {
-                    PlannedRestart::TookOver(start)
+                    PlannedRestart::TookOver(incarnation)
                 }),
             )
         }),
     ]
 }
 
-fn changed(mut bytes: Vec<u8>, changes: &[(Index, u8)], cut: Option<Index>) -> Vec<u8> {
+fn mutate(mut bytes: Vec<u8>, changes: &[(Index, u8)], cut: Option<Index>) -> Vec<u8> {
     if !bytes.is_empty() {
         for (at, to) in changes {
             let at = at.index(bytes.len());
@@ -149,11 +151,11 @@
 }
 
 fn fact() -> impl Strategy<Value = (u8, Vec<u8>)> {
-    let some = vec((any::<Index>(), any::<u8>()), 0..4);
-    let mutated = (sound(), some, any::<Option<Index>>())
-        .prop_map(|((kind, body), changes, cut)| (kind, changed(body, &changes, cut)));
+    let changes = vec((any::<Index>(), any::<u8>()), 0..4);
+    let mutated = (valid_body(), changes, any::<Option<Index>>())
+        .prop_map(|((kind, body), changes, cut)| (kind, mutate(body, &changes, cut)));
     prop_oneof![
-        sound(),
+        valid_body(),
         mutated,
         (0..=FACT_KINDS, vec(any::<u8>(), 0..BODY_BYTES))
     ]
@@ -161,21 +163,21 @@
 
 /// As the file has it: base, proposal, how far it was, halts.
 fn state() -> impl Strategy<Value = Vec<u8>> {
-    let sound = (
+    let valid = (
         hash(),
         proptest::option::of(proposal()),
         any::<u8>(),
-        vec(halted(), 0..12),
+        vec(halt_record(), 0..12),
     )
-        .prop_map(|stored| body(&stored))
+        .prop_map(|state| body(&state))
         .boxed();
-    let some = vec((any::<Index>(), any::<u8>()), 1..4);
-    let mutated = (sound.clone(), some, any::<Option<Index>>())
-        .prop_map(|(file, changes, cut)| changed(file, &changes, cut));
-    prop_oneof![sound, mutated, vec(any::<u8>(), 0..600)]
+    let changes = vec((any::<Index>(), any::<u8>()), 1..4);
+    let mutated = (valid.clone(), changes, any::<Option<Index>>())
+        .prop_map(|(file, changes, cut)| mutate(file, &changes, cut));
+    prop_oneof![valid, mutated, vec(any::<u8>(), 0..600)]
 }
 
-fn core(stored: Option<Vec<u8>>) -> Core {
+fn core(persisted: Option<Vec<u8>>) -> Core {
     let limits = EvidenceLimits {
         min_harm: 0.05,
         error_probability: 0.01,
@@ -184,7 +186,7 @@
         min_stage_demand: 500,
         max_age: Duration::from_secs(10),
     };
-    let (dark, lasts) = (Duration::from_secs(60), Duration::from_secs(10));
+    let (unreachable_timeout, message_ttl) = (Duration::from_secs(60), Duration::from_secs(10));
     Core::new(
         Config {
             name: "a".into(),
@@ -192,15 +194,15 @@
             took_over: false,
             base_version: OLD,
             evidence_limits: limits,
-            unreachable_timeout: dark,
-            message_ttl: lasts,
-            persisted: stored,
+            unreachable_timeout,
+            message_ttl,
+            persisted,
         },
         Duration::ZERO,
     )
 }
 
-fn look(facts: Vec<PeerFact>) -> Observation {
+fn observation(facts: Vec<PeerFact>) -> Observation {
     let peer = |(name, region): &(&str, &str)| Peer {
         name: (*name).into(),
         region: (*region).into(),
@@ -226,7 +228,7 @@
 }
 
 /// All that the core does then, with every version there and sound.
-fn play(core: &mut Core, now: Duration, event: Event) -> Result<(), TestCaseError> {
+fn handle_all(core: &mut Core, now: Duration, event: Event) -> Result<(), TestCaseError> {
     let (mut actions, mut next) = (Vec::new(), 0);
     core.handle(now, event, &mut actions);
     while let Some(action) = actions.get(next).cloned() {
@@ -258,20 +260,20 @@
 
     #[test]
     fn one_member_and_the_state_file_start_no_version(
-        stored in proptest::option::of(state()),
+        persisted in proptest::option::of(state()),
         steps in vec((vec(fact(), 0..5), 0..40_u64, any::<u64>()), 1..12),
         operator in any::<Index>(),
     ) {
-        let mut core = core(stored);
-        let (mut now, asked) = (Duration::ZERO, operator.index(steps.len()));
-        for (at, (facts, seconds, start)) in steps.into_iter().enumerate() {
+        let mut core = core(persisted);
+        let (mut now, command_at) = (Duration::ZERO, operator.index(steps.len()));
+        for (at, (facts, seconds, incarnation)) in steps.into_iter().enumerate() {
             now += Duration::from_secs(seconds);
-            let told = |(kind, body)| PeerFact { source: "b".into(), incarnation: start, kind, body };
-            play(&mut core, now, Event::Observe(look(facts.into_iter().map(told).collect())))?;
-            if at == asked {
-                play(&mut core, now, Event::Halt)?;
+            let to_fact = |(kind, body)| PeerFact { source: "b".into(), incarnation, kind, body };
+            handle_all(&mut core, now, Event::Observe(observation(facts.into_iter().map(to_fact).collect())))?;
+            if at == command_at {
+                handle_all(&mut core, now, Event::Halt)?;
                 let order = vec!["east".into(), "west".into()];
-                play(&mut core, now, Event::Propose { hash: [1; 32], order, canary_size: 1, resume: true })?;
+                handle_all(&mut core, now, Event::Propose { hash: [1; 32], order, canary_size: 1, resume: true })?;
             }
         }
     }
--- a/crates/rollout/tests/evidence.rs
+++ b/crates/rollout/tests/evidence.rs
@@ -25,24 +25,24 @@
 struct Proxy {
     name: String,
     runs_new: bool,
-    lies: bool,
+    is_byzantine: bool,
     /// When it begins to run its version.
-    begins: u64,
+    starts_at: u64,
     /// The chance that a report of it is heard in a second.
-    heard: f64,
+    report_probability: f64,
     counted: ClassCounts,
     reported: ClassCounts,
 }
 
 impl Proxy {
     fn serve(&mut self, second: u64, loss: f64, rng: &mut Xoshiro256PlusPlus) {
-        if self.lies {
+        if self.is_byzantine {
             self.counted.offered += rng.random_range(1..100 * DEMAND);
-        } else if second >= self.begins {
+        } else if second >= self.starts_at {
             self.counted.offered += DEMAND;
             self.counted.lost += (0..DEMAND).filter(|_| rng.random_bool(loss)).count() as u64;
         }
-        if rng.random_bool(self.heard) {
+        if rng.random_bool(self.report_probability) {
             self.reported = self.counted;
         }
     }
@@ -64,13 +64,13 @@
 }
 
 /// A stage of the region: `entrants` that enter with it, of whom the first `liars` lie, beside a canary and one that is held back.
-fn stage(rng: &mut Xoshiro256PlusPlus, liars: usize, entrants: usize) -> Vec<Proxy> {
-    let mut proxy = |name: String, runs_new, lies| Proxy {
+fn stage(rng: &mut Xoshiro256PlusPlus, byzantine: usize, entrants: usize) -> Vec<Proxy> {
+    let mut proxy = |name: String, runs_new, is_byzantine| Proxy {
         name,
         runs_new,
-        lies,
-        begins: if runs_new { rng.random_range(0..60) } else { 0 },
-        heard: if lies {
+        is_byzantine,
+        starts_at: if runs_new { rng.random_range(0..60) } else { 0 },
+        report_probability: if is_byzantine {
             1.0
         } else {
             rng.random_range(0.2..1.0)
@@ -79,17 +79,17 @@
         reported: ClassCounts::default(),
     };
     let mut proxies = vec![
-        proxy("canary".into(), true, liars > 0),
+        proxy("canary".into(), true, byzantine > 0),
         proxy("held".into(), false, false),
     ];
-    proxies.extend((0..entrants).map(|at| proxy(format!("entrant {at}"), true, at < liars)));
+    proxies.extend((0..entrants).map(|at| proxy(format!("entrant {at}"), true, at < byzantine)));
     proxies
 }
 
 /// The second in which the stage is first clean, and the seconds for which it was.
-fn first_clean(seed: u64, liars: usize, entrants: usize, loss: f64) -> Option<u64> {
+fn first_clean_second(seed: u64, byzantine: usize, entrants: usize, loss: f64) -> Option<u64> {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut proxies = stage(&mut rng, liars, entrants);
+    let mut proxies = stage(&mut rng, byzantine, entrants);
     let names: Vec<String> = proxies[2..]
         .iter()
         .map(|proxy| proxy.name.clone())
@@ -109,15 +109,15 @@
 
 /// Guards against a stage that is clean by the counts of liars while those of honest members come late, in lumps or not at all.
 #[test]
-fn no_minority_of_liars_makes_a_stage_clean() {
+fn no_minority_of_byzantine_members_makes_a_stage_clean() {
     for seed in 0..2_000 {
         let entrants = 1 + seed as usize % 6;
-        for liars in 0..=(entrants - 1) / 2 {
+        for byzantine in 0..=(entrants - 1) / 2 {
             let loss = [0.5, 1.0][seed as usize / 6 % 2];
-            let clean = first_clean(seed, liars, entrants, loss);
+            let clean = first_clean_second(seed, byzantine, entrants, loss);
             assert_eq!(
                 clean, None,
-                "seed {seed}: {liars} of {entrants} lie, loss {loss}"
+                "seed {seed}: {byzantine} of {entrants} lie, loss {loss}"
             );
         }
     }
@@ -128,7 +128,7 @@
 fn a_sound_version_is_clean_in_the_end() {
     for seed in 0..500 {
         let entrants = 1 + seed as usize % 6;
-        let clean = first_clean(seed, 0, entrants, 0.01);
+        let clean = first_clean_second(seed, 0, entrants, 0.01);
         assert!(clean.is_some(), "seed {seed}: {entrants} entrants");
     }
 }
@@ -145,21 +145,21 @@
     let member = |name: &str, runs_new, counted| Proxy {
         name: name.into(),
         runs_new,
-        lies: false,
-        begins: 0,
-        heard: 1.0,
+        is_byzantine: false,
+        starts_at: 0,
+        report_probability: 1.0,
         counted,
         reported: counted,
     };
     let mut evidence = Evidence::new(limits(), Duration::ZERO);
     for second in 0..=20 {
         let honest = counts(second * DEMAND, second * DEMAND);
-        let liar = counts(second * DEMAND * 100, 0);
-        let held = counts(second * DEMAND, 0);
+        let byzantine = counts(second * DEMAND * 100, 0);
+        let held_back = counts(second * DEMAND, 0);
         let members = [
             member("honest", true, honest),
-            member("liar", true, liar),
-            member("held", false, held),
+            member("liar", true, byzantine),
+            member("held", false, held_back),
         ];
         evidence.observe(
             Duration::from_secs(second),
@@ -178,30 +178,30 @@
 fn a_late_report_does_not_mix_regions() {
     for seed in 0..200 {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let member = |name: &str, runs_new, heard| Proxy {
+        let member = |name: &str, runs_new, report_probability| Proxy {
             name: name.into(),
             runs_new,
-            lies: false,
-            begins: 0,
-            heard,
+            is_byzantine: false,
+            starts_at: 0,
+            report_probability,
             counted: ClassCounts::default(),
             reported: ClassCounts::default(),
         };
-        let mut worse = [member("canary", true, 1.0), member("held", false, 0.6)];
-        let mut better = [member("other", false, 1.0)];
+        let mut lossy_region = [member("canary", true, 1.0), member("held", false, 0.6)];
+        let mut lossless_region = [member("other", false, 1.0)];
         let mut evidence = Evidence::new(limits(), Duration::ZERO);
         for second in 0..SECONDS {
-            worse
+            lossy_region
                 .iter_mut()
                 .for_each(|proxy| proxy.serve(second, 0.3, &mut rng));
-            better
+            lossless_region
                 .iter_mut()
                 .for_each(|proxy| proxy.serve(second, 0.0, &mut rng));
-            let elsewhere = better.iter().map(|proxy| ReportedCounts {
+            let other_reports = lossless_region.iter().map(|proxy| ReportedCounts {
                 region: "west",
                 ..proxy.report()
             });
-            let reports = worse.iter().map(Proxy::report).chain(elsewhere);
+            let reports = lossy_region.iter().map(Proxy::report).chain(other_reports);
             evidence.observe(Duration::from_secs(second), reports);
         }
         let wealth = evidence.summary().harm_wealth;
@@ -237,29 +237,29 @@
         evidence.observe(Duration::from_secs(second), reports);
         evidence.summary().windows
     };
-    let old = ("c", "west", false);
-    let former = |offered| {
+    let west_member = ("c", "west", false);
+    let before_change = |offered| {
         [
             ("a", "east", true, 0),
             ("b", "east", false, offered),
-            (old.0, old.1, old.2, 0),
+            (west_member.0, west_member.1, west_member.2, 0),
         ]
     };
-    observe(0, &former(0));
+    observe(0, &before_change(0));
     // Less than a window needs.
-    assert_eq!(observe(1, &former(5)), 0);
-    let changed = |second: u64| {
+    assert_eq!(observe(1, &before_change(5)), 0);
+    let after_change = |second: u64| {
         let offered = second * DEMAND;
         [
             ("a", "east", true, offered),
             ("b", "east", true, offered),
-            (old.0, old.1, old.2, offered),
+            (west_member.0, west_member.1, west_member.2, offered),
         ]
     };
-    observe(2, &changed(2));
+    observe(2, &after_change(2));
     assert!(
         (3..10)
-            .map(|second| observe(second, &changed(second)))
+            .map(|second| observe(second, &after_change(second)))
             .last()
             > Some(3)
     );
