--- a/crates/drain/src/lib.rs
+++ b/crates/drain/src/lib.rs
@@ -1,11 +1,11 @@
 //! The order of steps in which a proxy leaves service and comes back.
 //!
-//! A balancer notices a drain at its next health check, and acts on it after several checks. So a proxy first announces
-//! the drain, waits until every balancer must have acted, and only then stops listening: no client that a balancer sends
-//! finds the port closed. A drain that an operator ordered can be undone; a termination cannot.
+//! A balancer detects a drain by its health checks and reacts after several failed checks. A proxy therefore first
+//! announces the drain, waits until every balancer must have reacted, and only then stops listening, so that no connection
+//! from a balancer is refused. An operator can undo a drain that an operator started, but not a termination.
 //!
-//! Events in, actions out, time as an argument; no I/O. A model checker runs it through every order of events
-//! (`tests/exhaustive.rs`).
+//! The state machine takes events and the current time, and returns actions. It does no I/O. A model checker verifies it
+//! for every order of events (`tests/exhaustive.rs`).
 #![forbid(unsafe_code)]
 
 use std::time::Duration;
@@ -16,31 +16,32 @@
 /// The health checks of a balancer in front of the proxy, as the balancer is configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Balancer {
-    /// The time between two checks.
+    /// The time between two health checks.
     pub interval: Duration,
-    /// The number of failed checks in a row after which the balancer takes the proxy out.
+    /// The number of consecutive failed checks after which the balancer stops sending connections to the proxy.
     pub fall: u32,
-    /// The longest that one check takes.
+    /// The maximum duration of one check.
     pub timeout: Duration,
 }
 
 impl Balancer {
-    /// The longest time from a change to the balancer's reaction; the check before may have ended just before the change.
+    /// The maximum time from a change to the balancer's reaction. A check may have ended just before the change.
     pub fn detection_time(&self) -> Duration {
         self.interval * self.fall.max(1) + self.timeout
     }
 }
 
-/// How long each step of a drain takes.
+/// Settings for the duration of each step of a drain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// The balancers in front of the proxy.
     pub balancers: Vec<Balancer>,
-    /// Whether a termination is announced to the balancers first. If not, new connections are accepted for `accept_after_stop`.
+    /// Whether a termination is announced to the balancers first. If not, new connections are accepted for
+    /// `accept_after_stop`.
     pub announce_termination: bool,
     /// How long new connections are accepted after a termination that is not announced.
     pub accept_after_stop: Duration,
-    /// From the end of the announcement, the time after which outstanding requests are aborted.
+    /// The time from the end of the announcement until outstanding requests are aborted.
     pub drain_timeout: Duration,
 }
 
@@ -55,39 +56,39 @@
     }
 }
 
-/// What happens to the proxy.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// An operator takes the proxy out of service.
     Drain,
     /// An operator puts the proxy back into service.
     Undrain,
-    /// The process has to end.
+    /// The process has to terminate.
     Terminate,
-    /// Whether no request is outstanding and no client connected. It is also reported after each
+    /// Whether the proxy is idle: no request is outstanding and no client is connected. Also reported after each
     /// [`Action::StopListening`].
     IdleChanged(bool),
     /// Time has passed.
     Tick,
 }
 
-/// What the host of the state machine has to do.
+/// An action that the host of the state machine has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Answer health checks with "draining".
+    /// Respond to health checks with "draining".
     AnnounceDrain,
-    /// Answer health checks as before the announcement.
+    /// Respond to health checks as before the announcement.
     RetractDrain,
     /// Accept new connections again.
     StartListening,
-    /// Accept the connections that wait in the backlog and no others, and close each connection once no request is
-    /// outstanding on it. The proxy may not be idle any more: [`Event::IdleChanged`] has to be reported again.
+    /// Accept only the connections that are already in the backlog, and close each connection once no request is
+    /// outstanding on it. The proxy may no longer be idle, so [`Event::IdleChanged`] must be reported again.
     StopListening,
-    /// Give no request that arrives from now on a deadline after this.
+    /// Limit the deadline of each request that arrives from now on to this time.
     LimitDeadlines(Time),
-    /// Tell the clients of all outstanding requests that no response will come.
+    /// Send the clients of all outstanding requests an error instead of a response.
     AbortOutstanding,
-    /// End the process.
+    /// Exit the process.
     Exit,
 }
 
@@ -98,12 +99,12 @@
     Serving,
     /// The drain is announced; new connections are still accepted.
     Announced {
-        /// When the balancers have reacted.
+        /// When all balancers must have reacted.
         until: Time,
-        /// Whether the process ends after the drain.
+        /// Whether the process exits after the drain.
         terminating: bool,
     },
-    /// Out of service until an operator puts the proxy back.
+    /// Out of service until an operator puts the proxy back into service.
     Drained,
     /// Terminating without an announcement; new connections are still accepted.
     StillAccepting {
@@ -112,7 +113,7 @@
     },
     /// Terminating; outstanding requests are completed.
     Closing,
-    /// The process has been told to exit.
+    /// [`Action::Exit`] has been returned.
     Finished,
 }
 
@@ -123,7 +124,7 @@
     phase: Phase,
     now: Time,
     idle: bool,
-    /// When the process ends at the latest; set by a termination.
+    /// The deadline for the exit of the process; set by a termination.
     exit_deadline: Option<Time>,
 }
 
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Sets other settings. The times of a drain under way stay as they are.
+    /// Replaces the settings. Times that a drain in progress has already set do not change.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
@@ -149,17 +150,17 @@
         self.phase
     }
 
-    /// Whether health checks are answered with "draining".
+    /// Whether the response to health checks is "draining".
     pub fn is_announced(&self) -> bool {
         self.phase != Phase::Serving
     }
 
-    /// Whether the process is to end.
+    /// Whether a termination has begun.
     pub fn is_terminating(&self) -> bool {
         self.exit_deadline.is_some()
     }
 
-    /// When [`Event::Tick`] is due.
+    /// When the next [`Event::Tick`] is due, if any.
     pub fn next_deadline(&self) -> Option<Time> {
         let step = match self.phase {
             Phase::Announced { until, .. } | Phase::StillAccepting { until } => Some(until),
@@ -169,7 +170,8 @@
         step.into_iter().chain(exit).min()
     }
 
-    /// Handles one event. Time does not run backwards: an earlier `now` counts as the latest one seen.
+    /// Handles one event and appends the resulting actions. Time does not run backwards: a `now` before the latest one seen
+    /// is replaced by it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -219,7 +221,7 @@
         self.exit_deadline = Some(exit_deadline);
     }
 
-    /// The first phase of a termination that begins now, and when the process ends at the latest.
+    /// The first phase of a termination that begins now, and the deadline for the exit of the process.
     fn termination(&self) -> (Phase, Time) {
         let (now, settings) = (self.now, &self.settings);
         let announced = |until| Phase::Announced {
@@ -227,7 +229,7 @@
             terminating: true,
         };
         match self.phase {
-            // The time since an earlier announcement counts.
+            // The announcement of the drain is reused, including the time that has passed since.
             Phase::Announced { until, .. } if settings.announce_termination => {
                 (announced(until), until.max(now) + settings.drain_timeout)
             }
@@ -237,7 +239,7 @@
                 (announced(until), until + settings.drain_timeout)
             }
             _ => {
-                // A listener that closes only with the process resets the connections in its backlog.
+                // The listener must close before the process exits: otherwise the connections in its backlog are reset.
                 let until = now + settings.accept_after_stop.min(settings.drain_timeout);
                 (
                     Phase::StillAccepting { until },
@@ -247,7 +249,8 @@
         }
     }
 
-    /// Connections in the backlog are still accepted, so the proxy counts as busy until it is reported idle again.
+    /// Stops listening. Connections in the backlog are still accepted, so the proxy counts as busy until it is reported idle
+    /// again.
     fn stop_listening(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::StopListening);
         self.idle = false;
--- a/crates/drain/src/tests.rs
+++ b/crates/drain/src/tests.rs
@@ -1,4 +1,4 @@
-//! The steps of a drain, one by one.
+//! Tests of the individual steps of a drain.
 
 use super::*;
 
@@ -43,8 +43,8 @@
     assert_eq!(drain.phase(), Phase::Serving);
 }
 
-/// Without balancers, as the platform specifies it: the proxy keeps listening for a while, and ends when every request has
-/// its response.
+/// The termination that the platform specifies for a proxy without balancers: the proxy keeps listening for a while, and
+/// exits when every request has its response.
 #[test]
 fn termination_without_balancers_accepts_for_a_while_and_then_closes() {
     let settings = Settings {
@@ -111,8 +111,8 @@
     );
 }
 
-/// A client waits in the backlog when the proxy stops listening. The proxy must not end on an earlier report that it is
-/// idle: it accepts the client, and ends once it is reported idle again.
+/// Guards against an exit while a client waits in the backlog: when the proxy stops listening, an earlier report that it is
+/// idle must not count. It accepts the client, and exits once it is reported idle again.
 #[test]
 fn clients_in_the_backlog_are_answered_before_the_end() {
     for accept_after_stop in [Time::ZERO, 500 * MS] {
@@ -146,7 +146,7 @@
     }
 }
 
-/// The proxy is never reported idle: it ends at the deadline all the same.
+/// A proxy that is never reported idle still exits at its deadline.
 #[test]
 fn a_proxy_that_is_never_idle_ends_at_the_deadline() {
     let mut drain = Drain::new(
@@ -164,8 +164,8 @@
     );
 }
 
-/// A linger time beyond the drain timeout is cut to it, so that the proxy stops listening before it ends and the backlog
-/// is not reset unanswered.
+/// An `accept_after_stop` above the drain timeout is reduced to it, so that the proxy stops listening before it exits and
+/// the connections in its backlog are not reset without a response.
 #[test]
 fn accept_after_stop_is_limited_to_the_drain_timeout() {
     let settings = Settings {
--- a/crates/drain/tests/exhaustive.rs
+++ b/crates/drain/tests/exhaustive.rs
@@ -1,22 +1,24 @@
-//! Every order of events, by a model checker: operators, termination, clients, two balancers with different intervals
-//! and every phase between their clocks and the proxy's.
+//! Model check (stateright) of a drain in every order of operator commands, termination and client requests, with two
+//! balancers that have different intervals and every offset between their clocks and the proxy's.
 
 use drain::{Action, Balancer, Drain, Event, Phase, Settings, Time};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks of a run.
+/// Length of a run in ticks.
 const MAX_TICKS: u8 = 14;
-/// For each balancer, the ticks between two checks and its `fall`.
+/// For each balancer, the interval between two checks in ticks, and its `fall`.
 const BALANCERS: [(u8, u8); 2] = [(2, 2), (3, 1)];
+/// Drain timeout in ticks.
 const DRAIN_TIMEOUT: u8 = 3;
 
+/// The health check of one balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HealthCheck {
-    /// Ticks until its next check.
+    /// Ticks until the next check.
     next: u8,
-    /// Failed checks in a row.
+    /// Number of consecutive failed checks.
     failed: u8,
     in_rotation: bool,
 }
@@ -27,18 +29,18 @@
     clock: u8,
     listening: bool,
     announced: bool,
-    /// Clients in the listener's backlog.
+    /// Number of clients in the listener's backlog.
     in_backlog: u8,
     outstanding: u8,
     checks: Vec<HealthCheck>,
-    /// Operator commands that are left.
+    /// Number of operator commands that may still occur.
     commands_left: u8,
     terminated: bool,
     finished: bool,
     aborted: bool,
-    /// A client that a balancer sent found the port closed.
+    /// Whether a connection from a balancer was refused.
     refused_client: bool,
-    /// The proxy listened again after a termination.
+    /// Whether the proxy started listening again after a termination.
     listened_after_termination: bool,
     overdue: bool,
 }
@@ -48,7 +50,7 @@
     Drain,
     Undrain,
     Terminate,
-    /// A client comes by a balancer.
+    /// A client connects through the balancer with this index.
     Client(usize),
     Accept,
     Respond,
@@ -126,7 +128,7 @@
             listened_after_termination: false,
             overdue: false,
         };
-        // Any phase of either balancer's clock.
+        // Every offset of either balancer's clock.
         let mut worlds = Vec::new();
         for a in 1..=BALANCERS[0].0 {
             for b in 1..=BALANCERS[1].0 {
@@ -222,7 +224,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no client that a balancer sends finds the port closed",
+                "no connection from a balancer is refused",
                 |model: &Self, world: &World| !model.announce_termination || !world.refused_client,
             ),
             Property::always(
@@ -244,29 +246,29 @@
                     || world.terminated && world.drain.phase() == Phase::Serving)
             }),
             Property::always(
-                "nothing is outstanding when it has finished",
+                "nothing is outstanding after the exit",
                 |_, world: &World| !world.finished || world.outstanding + world.in_backlog == 0,
             ),
             Property::always(
                 "requests are aborted only at the end",
                 |_, world: &World| !world.aborted || world.finished,
             ),
-            Property::always("no step is late", |_, world: &World| !world.overdue),
-            Property::always("it ends by its deadline", |_, world: &World| {
-                // The longest way: announced again at the termination, then aborted.
+            Property::always("no step is overdue", |_, world: &World| !world.overdue),
+            Property::always("the proxy exits by its deadline", |_, world: &World| {
+                // The longest case: the termination is announced in full, and then requests are aborted.
                 world.clock < MAX_TICKS
                     || !world.terminated
                     || world.finished
                     || world.drain.next_deadline() > Some(time(MAX_TICKS))
             }),
-            // States that must be reachable, or the checks above would prove nothing.
-            Property::sometimes("it comes back from a drain", |_, world: &World| {
+            // These states must be reachable; otherwise the properties above could hold vacuously.
+            Property::sometimes("the proxy returns to service", |_, world: &World| {
                 world.commands_left == 0 && world.listening && !world.announced && world.clock > 6
             }),
-            Property::sometimes("it ends with nothing aborted", |_, world: &World| {
+            Property::sometimes("it exits with nothing aborted", |_, world: &World| {
                 world.finished && !world.aborted
             }),
-            Property::sometimes("it ends with something aborted", |_, world: &World| {
+            Property::sometimes("it exits with something aborted", |_, world: &World| {
                 world.finished && world.aborted
             }),
         ]
@@ -302,7 +304,7 @@
     .assert_properties();
 }
 
-/// The check can fail: a proxy that expects one health check too few refuses clients.
+/// Verifies that the model can detect refused clients: a proxy that waits for one health check too few must refuse some.
 #[test]
 fn a_detection_time_too_short_is_found() {
     struct TooShort(DrainModel);
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,7 @@
-//! Manual exclusions of record servers by operators, joined with the status that discovery gives.
+//! Manual exclusions of record servers by operators, combined with the status that discovery reports.
 //!
-//! A server is out of service while either of the two says so, and neither undoes the other's decision. The package
-//! holds state only: it does no I/O and reads no clock. Instants are Unix times.
+//! A server is out of service while discovery or an operator's exclusion takes it out, and neither overrides the other. The
+//! crate only holds state: it does no I/O and reads no clock. All times are Unix times.
 #![forbid(unsafe_code)]
 
 use serde::{Deserialize, Serialize};
@@ -11,11 +11,11 @@
 /// Whether a server takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// It takes new requests.
+    /// The server takes new requests.
     Ready,
-    /// It finishes the requests that it has, and takes no new ones.
+    /// The server completes its outstanding requests and takes no new ones.
     Draining,
-    /// It is not in discovery's list.
+    /// The server is not in discovery's list.
     Removed,
 }
 
@@ -24,15 +24,15 @@
 pub struct EffectiveState {
     /// Whether the server takes new requests.
     pub status: ServerStatus,
-    /// The latest start of the server that slow start has to consider; zero if it is long ago.
+    /// The latest start of the server for slow start; zero if it is long ago.
     pub started: Duration,
 }
 
-/// Neither discovery nor an operator's exclusion knows a server of that name.
+/// Error for a server that is neither in discovery's list nor excluded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownServer;
 
-/// An operator's exclusion of one server, as it is handed to the next process.
+/// An operator's exclusion of one server, in the form that is passed to the next process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ManualExclusion {
     /// The server's name in discovery's list.
@@ -47,7 +47,7 @@
 
 #[derive(Debug, Default)]
 struct Server {
-    /// Discovery's status; none if the server is not in the list.
+    /// The status in discovery's list; `None` if the server is not in it.
     listed: Option<ServerStatus>,
     started: Duration,
     excluded_since: Option<Duration>,
@@ -79,9 +79,9 @@
     }
 }
 
-/// Operators restart the servers that they exclude, and discovery may report the restart seconds late. Until it
-/// reports a start within or after the exclusion, the server counts as started when it was included again. A server
-/// that was not restarted only goes through slow start once more.
+/// The start time for slow start. Operators restart the servers that they exclude, and discovery may report the restart
+/// seconds late. Until it reports a start during or after the exclusion, the server counts as started when it was included
+/// again. If the server was not restarted, the only effect is one more slow start.
 fn effective_start(listed: Duration, previous: Option<(Duration, Duration)>) -> Duration {
     match previous {
         Some((from, to)) if listed < from => to,
@@ -89,14 +89,14 @@
     }
 }
 
-/// The servers that discovery lists or operators have excluded.
+/// The servers that are in discovery's list or excluded by operators.
 #[derive(Debug, Default)]
 pub struct Maintenance {
     servers: BTreeMap<String, Server>,
 }
 
 impl Maintenance {
-    /// Applies discovery's status of a server; returns the resulting state. `started` is Unix time.
+    /// Applies discovery's status of a server and returns the resulting state. `started` is a Unix time.
     pub fn apply_status(
         &mut self,
         name: &str,
@@ -114,7 +114,7 @@
         state
     }
 
-    /// Applies a complete list: servers whose names are not in it are no longer listed.
+    /// Applies a complete list from discovery: servers that are not in it are no longer listed.
     pub fn retain_listed(&mut self, listed: &BTreeSet<&str>) {
         for (name, server) in &mut self.servers {
             if !listed.contains(name.as_str()) {
@@ -124,13 +124,13 @@
         self.remove_unreferenced(|_| true);
     }
 
-    /// Removes those of the selected servers that are neither listed nor excluded.
+    /// Removes the selected servers that are neither listed nor excluded.
     fn remove_unreferenced(&mut self, selected: impl Fn(&str) -> bool) {
         self.servers
             .retain(|name, server| server.is_listed() || server.is_excluded() || !selected(name));
     }
 
-    /// Excludes a server; returns the resulting state, or none if it was excluded already.
+    /// Excludes a server. Returns the resulting state, or `None` if the server was already excluded.
     pub fn exclude(
         &mut self,
         name: &str,
@@ -144,8 +144,8 @@
         Ok(Some(server.effective_state()))
     }
 
-    /// Includes a server again, however often it was excluded; returns the resulting state, or none if it was not
-    /// excluded.
+    /// Includes a server again, regardless of how often it was excluded. Returns the resulting state, or `None` if the
+    /// server was not excluded.
     pub fn include(
         &mut self,
         name: &str,
@@ -169,7 +169,7 @@
             .count()
     }
 
-    /// All exclusions that still have an effect, current and previous.
+    /// All current exclusions, and the previous ones that may still affect slow start.
     pub fn exclusions(&self) -> Vec<ManualExclusion> {
         self.servers
             .iter()
@@ -182,8 +182,8 @@
             .collect()
     }
 
-    /// Restores the exclusions of the previous process; returns the resulting states. Its endpoint list has to be
-    /// applied first.
+    /// Restores the exclusions of the previous process and returns the resulting states. The endpoint list of that process
+    /// must be applied first.
     pub fn restore(&mut self, exclusions: Vec<ManualExclusion>) -> Vec<(String, EffectiveState)> {
         let mut changed = Vec::new();
         for exclusion in exclusions {
--- a/crates/maintenance/src/tests.rs
+++ b/crates/maintenance/src/tests.rs
@@ -1,4 +1,4 @@
-//! The status and start that result from discovery and the operators.
+//! Tests of the status and start time that result from discovery and exclusions.
 
 use super::*;
 
--- a/crates/maintenance/tests/exclusions.rs
+++ b/crates/maintenance/tests/exclusions.rs
@@ -1,4 +1,4 @@
-//! Discovery's status and an operator's exclusion of the same server, in every order.
+//! Tests of discovery's status and an operator's exclusion of the same server, applied in different orders.
 
 use maintenance::{EffectiveState, Maintenance, ManualExclusion, ServerStatus, UnknownServer};
 use proptest::prelude::*;
@@ -76,7 +76,7 @@
     assert_eq!(
         maintenance.include("a", at(4)),
         Ok(None),
-        "it is included already"
+        "already included"
     );
     assert_eq!(maintenance.exclude("b", at(5)), Err(UnknownServer));
     assert_eq!(maintenance.include("b", at(5)), Err(UnknownServer));
@@ -190,7 +190,7 @@
 }
 
 proptest! {
-    /// Compared with a model of two flags for each server: nothing is kept of a server that is neither listed nor excluded.
+    /// Compares with a model that has two flags per server. A server that is neither listed nor excluded must be unknown.
     #[test]
     fn any_order_agrees_with_two_flags(steps in prop::collection::vec((0u8..5, 0usize..3), 1..60)) {
         let names = ["a", "b", "c"];
--- a/crates/rollout/tests/bytes.rs
+++ b/crates/rollout/tests/bytes.rs
@@ -1,5 +1,5 @@
-//! Whatever one member publishes, and whatever the state file holds: no panic, nothing beyond the bounds, and no other version
-//! runs. One of three in a region is no quorum.
+//! Arbitrary facts of one member and arbitrary state files must not cause a panic, an output beyond its bounds, or another
+//! version to run, since one member of a region of three is not a quorum.
 
 use postcard::to_extend;
 use proptest::collection::vec;
@@ -23,11 +23,11 @@
     ("e", "west"),
     ("f", "west"),
 ];
-/// The host reads no longer state file.
+/// Maximum length in bytes of a state file that the host reads.
 const STATE_BYTES: usize = 16 << 10;
 
 fn body<T: Serialize>(value: &T) -> Vec<u8> {
-    to_extend(value, vec![1]).expect("into memory")
+    to_extend(value, vec![1]).expect("serialisation into memory")
 }
 
 fn hash() -> impl Strategy<Value = VersionHash> {
@@ -85,7 +85,7 @@
     })
 }
 
-/// A body of that kind with any values, which others could not have said.
+/// A kind and a body that decodes as that kind, with any values, including those that a correct member does not publish.
 fn valid_body() -> impl Strategy<Value = (u8, Vec<u8>)> {
     let vote = (epoch(), hash(), "[a-f]", any::<[u8; 2]>(), any::<bool>()).prop_map(
         |(epoch, hash, proposer, [votes, quorums_seen], runs_new)| {
@@ -161,7 +161,7 @@
     ]
 }
 
-/// As the file has it: base, proposal, how far it was, halts.
+/// A state file: base version, proposal, number of quorums seen, and halts; valid, mutated or random.
 fn state() -> impl Strategy<Value = Vec<u8>> {
     let valid = (
         hash(),
@@ -227,7 +227,7 @@
     }
 }
 
-/// All that the core does then, with every version there and sound.
+/// Handles an event and carries out all resulting actions. The files of all versions exist and are valid.
 fn handle_all(core: &mut Core, now: Duration, event: Event) -> Result<(), TestCaseError> {
     let (mut actions, mut next) = (Vec::new(), 0);
     core.handle(now, event, &mut actions);
@@ -236,10 +236,14 @@
         match action {
             Action::Publish(_, body, _) => prop_assert!(body.len() <= BODY_BYTES),
             Action::Persist(bytes) => {
-                prop_assert!(bytes.len() <= STATE_BYTES, "{} bytes to keep", bytes.len());
+                prop_assert!(
+                    bytes.len() <= STATE_BYTES,
+                    "the state to persist has {} bytes",
+                    bytes.len()
+                );
                 core.handle(now, Event::Persisted(true), &mut actions);
             }
-            Action::RunVersion(hash) => prop_assert!(false, "{hash:?} runs by one member's word"),
+            Action::RunVersion(hash) => prop_assert!(false, "one member made {hash:?} run"),
             Action::CheckVersion(hash) => {
                 core.handle(now, Event::VersionChecked(hash, Ok(())), &mut actions)
             }
@@ -248,14 +252,14 @@
     }
     prop_assert!(
         body(&core.machine().halts()).len() <= BODY_BYTES,
-        "halts can't be told any more"
+        "the halts do not fit into one fact"
     );
     prop_assert_eq!(core.status().running_version, OLD);
     Ok(())
 }
 
 proptest! {
-    // The same cases each time; PROPTEST_CASES for more of them.
+    // Each run uses the same cases; set PROPTEST_CASES for more.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
--- a/crates/rollout/tests/evidence.rs
+++ b/crates/rollout/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! What a stage is clean by, where evidence comes late, in lumps or from liars.
+//! Tests of the conditions for a clean stage, with evidence that is late, arrives in bursts or comes from Byzantine members.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -6,8 +6,9 @@
 use std::time::Duration;
 
 const REGION: &str = "east";
+/// Duration of a simulation.
 const SECONDS: u64 = 300;
-/// Weight of requests that an honest proxy is offered in a second.
+/// Weight of the requests offered to a correct proxy per second.
 const DEMAND: u64 = 30;
 
 fn limits() -> EvidenceLimits {
@@ -21,14 +22,15 @@
     }
 }
 
-/// A proxy of the region: what it counted, and what of it others have heard.
+/// A proxy of the region, with its own counts and the last counts that the others received from it.
 struct Proxy {
     name: String,
     runs_new: bool,
+    /// Whether the proxy reports forged counts.
     is_byzantine: bool,
-    /// When it begins to run its version.
+    /// The second at which the proxy begins to serve requests.
     starts_at: u64,
-    /// The chance that a report of it is heard in a second.
+    /// The probability that a report of the proxy is received in a second.
     report_probability: f64,
     counted: ClassCounts,
     reported: ClassCounts,
@@ -63,7 +65,8 @@
     }
 }
 
-/// A stage of the region: `entrants` that enter with it, of whom the first `liars` lie, beside a canary and one that is held back.
+/// The proxies of a stage: a canary, a proxy that is held back, and `entrants` that enter with the stage, of which the first
+/// `byzantine` report forged counts. If there are any, the canary does so too.
 fn stage(rng: &mut Xoshiro256PlusPlus, byzantine: usize, entrants: usize) -> Vec<Proxy> {
     let mut proxy = |name: String, runs_new, is_byzantine| Proxy {
         name,
@@ -86,7 +89,7 @@
     proxies
 }
 
-/// The second in which the stage is first clean, and the seconds for which it was.
+/// The first second in which the stage is clean, if any.
 fn first_clean_second(seed: u64, byzantine: usize, entrants: usize, loss: f64) -> Option<u64> {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut proxies = stage(&mut rng, byzantine, entrants);
@@ -107,7 +110,8 @@
     })
 }
 
-/// Guards against a stage that is clean by the counts of liars while those of honest members come late, in lumps or not at all.
+/// Guards against a stage that becomes clean by the counts of Byzantine members while those of correct members are late,
+/// arrive in bursts, or are missing.
 #[test]
 fn no_minority_of_byzantine_members_makes_a_stage_clean() {
     for seed in 0..2_000 {
@@ -117,13 +121,13 @@
             let clean = first_clean_second(seed, byzantine, entrants, loss);
             assert_eq!(
                 clean, None,
-                "seed {seed}: {byzantine} of {entrants} lie, loss {loss}"
+                "seed {seed}: {byzantine} of {entrants} are Byzantine, loss {loss}"
             );
         }
     }
 }
 
-/// The same evidence of a sound version is enough in the end, however late it comes.
+/// For a good version, evidence with the same delays must eventually make the stage clean.
 #[test]
 fn a_sound_version_is_clean_in_the_end() {
     for seed in 0..500 {
@@ -133,8 +137,8 @@
     }
 }
 
-/// Guards against a member that sets by its own counts the bound on its own weight: of two, one that claims a hundred times the
-/// requests hid what the other lost.
+/// Guards against a member that sets the bound on its own weight. With two members, one that claimed a hundred times the
+/// requests hid the losses of the other.
 #[test]
 fn one_member_of_two_does_not_outweigh_the_other() {
     let counts = |offered, lost| ClassCounts {
@@ -173,7 +177,8 @@
     );
 }
 
-/// Guards against regions that are compared with each other for want of a report: what they differ in passed for harm of the version.
+/// Guards against comparing regions with each other while a report is late: the difference between the regions then counted
+/// as harm of the version.
 #[test]
 fn a_late_report_does_not_mix_regions() {
     for seed in 0..200 {
@@ -209,8 +214,8 @@
     }
 }
 
-/// Guards against a region that is waited for though it runs one version alone: what the last proxy counted under the former version
-/// was left over, too little for a window, and no window ever closed again.
+/// Guards against waiting for a region that runs only the new version. The last counts of the previous version in that region
+/// were left over and too small for a window, so no window ever closed again.
 #[test]
 fn a_region_that_has_changed_wholly_is_not_waited_for() {
     let counts = |offered| ClassCounts {
@@ -246,7 +251,7 @@
         ]
     };
     observe(0, &before_change(0));
-    // Less than a window needs.
+    // Less demand than a window requires.
     assert_eq!(observe(1, &before_change(5)), 0);
     let after_change = |second: u64| {
         let offered = second * DEMAND;
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet in virtual time: requests that fail at random, facts that are lost, and how rollouts of good and bad
-//! versions end. Figures: `cargo test -p rollout --release --test simulation -- --ignored --nocapture`.
+//! Simulation of a fleet in virtual time: requests fail and facts are lost at random, and rollouts of good and bad versions
+//! must end as expected. To print the figures of the results page: `cargo test -p rollout --release --test simulation -- --ignored --nocapture`.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -23,21 +23,25 @@
 
 #[derive(Clone, Copy)]
 struct Scenario {
-    /// Requests a second of each proxy, in two classes of three and one parts.
+    /// Requests per second of each proxy: 3/4 in the larger class and 1/4 in the smaller class.
     requests: u64,
+    /// Base loss rate, from 0 to 1.
     loss: f64,
-    /// Weight of a request of the larger class; one of the smaller class has weight 1.
+    /// Weight of a request of the larger class. A request of the smaller class has weight 1.
     weight: f64,
-    /// What the new version loses beyond that, of all and of the smaller class.
+    /// Additional loss rate of the new version in both classes.
     harm: f64,
+    /// Additional loss rate of the new version in the smaller class.
     class_harm: f64,
-    /// What the second region loses beyond that, whatever it runs.
+    /// Additional loss rate of the second region under both versions.
     west_loss: f64,
-    /// What happens to the canary from the 30th second on.
+    /// Behaviour of the canary; the fault begins at second 30, or when the canary runs the new version.
     canary: Canary,
+    /// Probability that a proxy misses a fact in one second.
     facts_lost: f64,
-    /// Seconds from the order to run a version until requests are served by it.
+    /// Seconds from the request to run the new version until it serves requests.
     apply_delay: u64,
+    /// Duration of the simulation.
     seconds: u64,
 }
 
@@ -57,12 +61,13 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Canary {
     Healthy,
-    /// It crashes of the new version before anyone hears that it runs it, and restarts.
+    /// The new version crashes the canary before another proxy receives the vote that reports it; the canary restarts.
     Crashes,
-    /// It is restarted in order again and again, or a hot restart replaces it.
+    /// Planned restarts of the canary every 10 seconds, alternating with hot restarts.
     Restarts,
-    /// The regions are partitioned for two minutes; their facts stay as they were.
+    /// The regions cannot reach each other for two minutes, but their facts are still delivered.
     Partitioned,
+    /// The other proxies cannot reach the canary.
     Unreachable,
 }
 
@@ -70,9 +75,9 @@
 struct Outcome {
     phase: Phase,
     seconds: u64,
-    /// Proxies that ever ran the new version.
+    /// Number of proxies that ran the new version at any time.
     exposed: usize,
-    /// The second region did.
+    /// Whether a proxy of the second region ran the new version at any time.
     reached_west: bool,
 }
 
@@ -116,14 +121,14 @@
     type Facts = BTreeMap<(usize, u8), (u64, Vec<u8>)>;
     let mut published = Facts::new();
     let mut received = vec![Facts::new(); FLEET.len()];
-    // Each disk has what it was given a second ago.
+    // A write reaches the disk after one second.
     let mut pending_writes: Vec<Option<Vec<u8>>> = vec![None; FLEET.len()];
     let mut persisted = pending_writes.clone();
     let (mut counts, mut running) = (
         vec![[ClassCounts::default(); 2]; FLEET.len()],
         [OLD; FLEET.len()],
     );
-    // When the new version, which is to run, is applied.
+    // The second at which the requested new version is applied.
     let mut apply_at: [Option<u64>; FLEET.len()] = [None; FLEET.len()];
     let mut exposed = [false; FLEET.len()];
     for second in 1..=scenario.seconds {
@@ -227,7 +232,7 @@
             while let Some(action) = actions.get(next).cloned() {
                 next += 1;
                 match action {
-                    // Its vote, which says that it runs the new version, is lost.
+                    // The vote that reports that the canary runs the new version is lost.
                     Action::Publish(1, ..)
                         if scenario.canary == Canary::Crashes
                             && cores[at].machine().runs_new_here(&peers) => {}
@@ -265,7 +270,7 @@
         if phases.iter().all(|p| is_final(p) && *p == phases[0]) || second == scenario.seconds {
             assert!(
                 !matches!(phases[0], Phase::Halted(_)) || running == [OLD; FLEET.len()],
-                "all are back"
+                "all proxies must run the previous version after a halt"
             );
             let exposed_of = |region| {
                 FLEET
@@ -283,10 +288,11 @@
             };
         }
     }
-    unreachable!("the last second returns")
+    unreachable!("the loop returns in the last second")
 }
 
-/// Runs so many seeds; (halted, whole, halted in the first region, median seconds).
+/// Simulates this number of seeds and prints a row of figures. Returns the number of rollouts that were halted, completed, and
+/// halted in the first region, and the median duration in seconds.
 fn simulate_and_print(title: &str, scenario: Scenario, seeds: u64) -> (usize, usize, usize, u64) {
     let outcomes: Vec<Outcome> = (0..seeds).map(|seed| simulate(scenario, seed)).collect();
     let halted = outcomes
@@ -316,8 +322,9 @@
     (halted, completed, halted_in_first, median)
 }
 
-/// A rollout of a good version has to complete, one of a bad version to be halted in its first region. Random loss, regions that
-/// differ, planned restarts and a partition must not halt a good one; a canary that crashes or vanishes must halt it.
+/// A rollout of a good version must complete, and a rollout of a bad version must be halted in its first region. Random loss,
+/// different loss rates of the regions, planned restarts and a partition must not halt a good version. A canary that crashes
+/// or becomes unreachable must halt the rollout.
 #[test]
 fn a_good_version_completes_and_a_bad_one_is_halted() {
     let (halted, completed, ..) = simulate_and_print("A against A", DEFAULT, 40);
@@ -331,7 +338,10 @@
         },
         20,
     );
-    assert_eq!(halted, 0, "what regions differ in is no harm of a version");
+    assert_eq!(
+        halted, 0,
+        "a difference between regions must not count as harm of the version"
+    );
     let (_, _, halted_in_first, _) = simulate_and_print(
         "harm 0.05",
         Scenario {
@@ -381,12 +391,12 @@
     assert_eq!(
         (outcome.phase, outcome.exposed),
         (Phase::Canary, 1),
-        "without traffic it waits"
+        "without traffic the rollout must wait in its canary stage"
     );
 }
 
-/// Guards against counting what the former version served as served by the new one while the new one is still being read: a
-/// stage of such counts was clean when the new version had served nothing.
+/// Guards against attributing requests to the new version before it has been applied: a stage could then be clean although the
+/// new version had not served any request.
 #[test]
 fn a_version_that_is_applied_late_is_halted_in_its_first_region() {
     for seed in 0..20 {
@@ -403,7 +413,8 @@
     }
 }
 
-/// Random bytes as facts of one member, in this format and others: each is decoded or counted, and no version runs by it.
+/// Random bytes as facts of one member, with known and unknown format versions: each fact is decoded or counted as malformed,
+/// and none causes a version to run.
 #[test]
 fn random_facts_start_no_version() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(7);
@@ -458,7 +469,7 @@
 }
 
 #[test]
-#[ignore = "the figures of the results, minutes long"]
+#[ignore = "takes minutes; prints the figures of the results page"]
 fn figures() {
     println!("| case | seeds | halted | in the first region | whole | median s | 90% s | proxies exposed |");
     simulate_and_print("A against A", DEFAULT, 400);
