--- a/crates/rollout/src/core/advancing.rs
+++ b/crates/rollout/src/core/advancing.rs
@@ -26,13 +26,13 @@
 impl Core {
     pub(super) fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let facts = self.decode_facts();
-        self.weigh_evidence(now, &facts);
+        self.evaluate_evidence(now, &facts);
         let was_in_progress = self.machine.is_in_progress();
         self.step_machine(now, &facts);
         let rollout_of =
             |subject: Option<(u64, VersionHash, u8)>| subject.map(|(epoch, hash, _)| (epoch, hash));
         let before = rollout_of(self.evidence_subject);
-        self.begin_evidence(now);
+        self.reset_evidence_on_change(now);
         let after = rollout_of(self.evidence_subject);
         self.monitor_new_members();
         let superseded = was_in_progress && before.is_some() && before != after;
@@ -54,7 +54,7 @@
         decoded
     }
 
-    fn weigh_evidence(&mut self, now: Duration, facts: &DecodedFacts) {
+    fn evaluate_evidence(&mut self, now: Duration, facts: &DecodedFacts) {
         let own_name = self.config.name.as_str();
         let own_counts = self.own_counts();
         let others = facts
@@ -142,7 +142,7 @@
 
     /// Resets the evidence for a new rollout. A new stage of the same rollout only restarts the soak time and the evidence of
     /// the stage.
-    fn begin_evidence(&mut self, now: Duration) {
+    fn reset_evidence_on_change(&mut self, now: Duration) {
         let subject = self.current_subject();
         if self.evidence_subject == subject {
             return;
--- a/crates/rollout/src/machine/mod.rs
+++ b/crates/rollout/src/machine/mod.rs
@@ -10,7 +10,7 @@
 use crate::guard::Guard;
 use crate::messages::{self, HaltReason, HaltRecord, Proposal, Readiness, VersionHash, Vote};
 use crate::peer::Peer;
-use crate::stages::{entry_stage, stages, MAX_REGIONS};
+use crate::stages::{entry_stage, stage_count, MAX_REGIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -108,7 +108,7 @@
             .filter(|proposal| proposal.order.len() <= MAX_REGIONS)
             .map(|proposal| {
                 // A state file with more stages than the proposal has was modified.
-                let quorums_seen = u8::try_from(stages(&proposal))
+                let quorums_seen = u8::try_from(stage_count(&proposal))
                     .map_or(0, |stages| persisted.quorums_seen.min(stages));
                 CurrentRollout {
                     proposal,
@@ -170,7 +170,7 @@
             (Some(halted), _) => Phase::Halted(halted.reason),
             (None, 0) => Phase::Proposed,
             (None, 1) => Phase::Canary,
-            (None, n) if usize::from(n) == stages(&current.proposal) => Phase::Complete,
+            (None, n) if usize::from(n) == stage_count(&current.proposal) => Phase::Complete,
             (None, n) => Phase::Region(usize::from(n) - 2),
         }
     }
--- a/crates/rollout/src/machine/votes.rs
+++ b/crates/rollout/src/machine/votes.rs
@@ -5,7 +5,7 @@
 use crate::guard::guard;
 use crate::messages::{Readiness, Vote};
 use crate::peer::Peer;
-use crate::stages::{entry_stages, quorum_regions, stages};
+use crate::stages::{entry_stages, quorum_regions, stage_count};
 use std::time::Duration;
 
 impl StageMachine {
@@ -20,7 +20,7 @@
         let next = usize::from(current.quorums_seen) + 1;
         let may_advance = match current.quorums_seen {
             0 => self.no_other_version_runs(now, current, input),
-            _ if next > stages(&current.proposal) => false,
+            _ if next > stage_count(&current.proposal) => false,
             _ => verdict == Verdict::Clean || !guard!(self, CleanEvidence),
         };
         if may_advance
@@ -173,7 +173,7 @@
         let Some(mut current) = self.current.take() else {
             return;
         };
-        let stages = stages(&current.proposal);
+        let stages = stage_count(&current.proposal);
         if !self.confirmed
             && current.quorums_seen > 0
             && self.has_quorum(&current, usize::from(current.quorums_seen), input)
--- a/crates/rollout/src/model.rs
+++ b/crates/rollout/src/model.rs
@@ -80,7 +80,7 @@
 }
 
 #[derive(Clone, Copy)]
-struct Fleet {
+struct FleetModel {
     disabled_guard: Option<Guard>,
     proposals: usize,
     restarts: u8,
@@ -281,7 +281,7 @@
     (machine, monitor)
 }
 
-impl Model for Fleet {
+impl Model for FleetModel {
     type State = World;
     type Action = Step;
 
@@ -462,12 +462,12 @@
     }
 }
 
-fn fleet(
+fn fleet_model(
     disabled_guard: Option<Guard>,
     proposals: usize,
     [restarts, halts, partitions, clock, crashes]: [u8; 5],
-) -> Fleet {
-    Fleet {
+) -> FleetModel {
+    FleetModel {
         disabled_guard,
         proposals,
         restarts,
@@ -479,9 +479,9 @@
 }
 
 /// Names of the properties that a search finds violated, and the number of unique states.
-fn violated_properties(fleet: Fleet, depth: usize) -> (Vec<&'static str>, usize) {
+fn violated_properties(model: FleetModel, depth: usize) -> (Vec<&'static str>, usize) {
     let any_failure = HasDiscoveries::AnyFailures;
-    let checker = fleet
+    let checker = model
         .checker()
         .threads(3)
         .target_max_depth(depth)
@@ -515,7 +515,7 @@
         } else {
             depth
         };
-        let (violated, states) = violated_properties(fleet(None, proposals, budget), depth);
+        let (violated, states) = violated_properties(fleet_model(None, proposals, budget), depth);
         println!("{proposals} proposals, {budget:?}: {states} states to depth {depth}");
         assert_eq!(
             violated,
@@ -528,7 +528,7 @@
 #[test]
 fn no_order_of_events_breaks_an_invariant() {
     search(false);
-    let checker = fleet(None, 1, [0; 5]).checker().spawn_dfs().join();
+    let checker = fleet_model(None, 1, [0; 5]).checker().spawn_dfs().join();
     assert!(
         checker.discovery("a rollout completes").is_some(),
         "the rollout of a good version must complete"
@@ -555,8 +555,10 @@
         (Guard::MembersReported, 4),
     ] {
         let (proposals, budget, _) = SCENARIOS[scenario];
-        let (violated, _) =
-            violated_properties(fleet(Some(guard), proposals, budget), GUARD_SEARCH_DEPTH);
+        let (violated, _) = violated_properties(
+            fleet_model(Some(guard), proposals, budget),
+            GUARD_SEARCH_DEPTH,
+        );
         assert!(
             !violated.is_empty(),
             "no violation found with {guard:?} switched off"
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -50,7 +50,7 @@
 }
 
 impl Member {
-    fn explains(&self, (from, to): (u64, u64)) -> bool {
+    fn is_planned(&self, (from, to): (u64, u64)) -> bool {
         self.left_incarnation == Some(from) || self.takeover_incarnation == Some(to)
     }
 
@@ -98,7 +98,7 @@
         let unplanned = std::mem::take(&mut self.unplanned_restarts);
         self.unplanned_restarts = unplanned
             .into_iter()
-            .filter(|change| !self.explains(*change))
+            .filter(|change| !self.is_planned(*change))
             .collect();
         self.planned_restarts = self
             .planned_restarts
@@ -206,12 +206,12 @@
             if member.unplanned_restarts.len() > MAX_UNPLANNED_RESTARTS && guard!(self, Crash) {
                 return MonitorVerdict::Harm(HaltReason::Crash);
             }
-            let suspicious = peer.reachable || member.ran_new || region_is_reachable(peer, peers);
-            if member.is_missing_for(now, self.unreachable_timeout) && suspicious {
+            let attributable = peer.reachable || member.ran_new || region_is_reachable(peer, peers);
+            if member.is_missing_for(now, self.unreachable_timeout) && attributable {
                 return MonitorVerdict::Harm(HaltReason::Unreachable);
             }
-            let settled = if peer.reachable { runs_new } else { peer.left };
-            if !settled && guard!(self, MembersReported) {
+            let reported_or_left = if peer.reachable { runs_new } else { peer.left };
+            if !reported_or_left && guard!(self, MembersReported) {
                 verdict = MonitorVerdict::Waiting;
             }
         }
--- a/crates/rollout/src/series.rs
+++ b/crates/rollout/src/series.rs
@@ -29,8 +29,13 @@
         self.harm.wealth()
     }
 
-    pub(crate) fn add(&mut self, (name, region): (&str, &str), new: bool, counts: ClassCounts) {
-        let side = &mut self.regions.entry(region.to_owned()).or_default()[usize::from(new)];
+    pub(crate) fn add(
+        &mut self,
+        (name, region): (&str, &str),
+        runs_new: bool,
+        counts: ClassCounts,
+    ) {
+        let side = &mut self.regions.entry(region.to_owned()).or_default()[usize::from(runs_new)];
         let sum = side.entry(name.to_owned()).or_default();
         // Other members may report any number.
         sum.offered = sum.offered.saturating_add(counts.offered);
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -13,7 +13,7 @@
 const FIRST_REGION_STAGE: usize = 2;
 
 /// Number of stages: one for the canary, one for each region, and one for the members held back for comparison.
-pub(crate) fn stages(proposal: &Proposal) -> usize {
+pub(crate) fn stage_count(proposal: &Proposal) -> usize {
     proposal.order.len() + 2
 }
 
@@ -52,7 +52,7 @@
             let stage = if place < canaries {
                 CANARY_STAGE
             } else if held_back {
-                stages(proposal)
+                stage_count(proposal)
             } else {
                 at + FIRST_REGION_STAGE
             };
