--- a/crates/rollout/src/messages.rs
+++ b/crates/rollout/src/messages.rs
@@ -48,7 +48,7 @@
 /// The reason for a halt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum HaltReason {
-    /// An operator halted it.
+    /// An operator halted the rollout.
     Operator,
     /// An operator rolled back to the previous version.
     Rollback,
@@ -176,7 +176,7 @@
 pub struct TrafficCounts {
     /// Epoch of the rollout.
     pub epoch: u64,
-    /// Whether the new version runs.
+    /// Whether the proxy runs the new version.
     pub runs_new: bool,
     /// Incremented when the counters restart.
     pub generation: u32,
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -18,7 +18,7 @@
 pub enum MonitorVerdict {
     /// The version must be halted.
     Harm(HaltReason),
-    /// A member is missing or has not reported that it runs the version. No member votes for the next stage.
+    /// A member is missing or has not reported that it runs the version. This process does not vote for the next stage.
     Waiting,
     /// All monitored members run the version or have left.
     Healthy,
--- a/crates/rollout/tests/simulation.rs
+++ b/crates/rollout/tests/simulation.rs
@@ -1,5 +1,7 @@
 //! Simulation of a fleet in virtual time: requests fail and facts are lost at random, and rollouts of good and bad versions
-//! must end as expected. To print the figures of the results page: `cargo test -p rollout --release --test simulation -- --ignored --nocapture`.
+//! must end as expected.
+//!
+//! To print the figures: `cargo test -p rollout --release --test simulation -- --ignored --nocapture`.
 
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -63,7 +65,7 @@
     Healthy,
     /// The new version crashes the canary before another proxy receives the vote that reports it; the canary restarts.
     Crashes,
-    /// Planned restarts of the canary every 10 seconds, alternating with hot restarts.
+    /// The canary restarts every 10 seconds, alternately by an announced termination and by a hot restart.
     Restarts,
     /// The regions cannot reach each other for two minutes, but their facts are still delivered.
     Partitioned,
@@ -469,7 +471,7 @@
 }
 
 #[test]
-#[ignore = "takes minutes; prints the figures of the results page"]
+#[ignore = "takes minutes; prints the figures for the results"]
 fn figures() {
     println!("| case | seeds | halted | in the first region | whole | median s | 90% s | proxies exposed |");
     simulate_and_print("A against A", DEFAULT, 400);
