--- a/crates/quota-lending/src/lend.rs
+++ b/crates/quota-lending/src/lend.rs
@@ -21,7 +21,7 @@
 /// The own part of a rule's rate, at least one request's cost.
 fn local_rate(rule: &Rule, shares: u64, cost: MilliRequests) -> MilliRequests {
     let part = (shares << RATE_SHARE_BITS) / TOTAL_SHARES;
-    (rule.rate_most.saturating_mul(part) >> RATE_SHARE_BITS).max(cost)
+    (rule.max_rate.saturating_mul(part) >> RATE_SHARE_BITS).max(cost)
 }
 
 impl Lender {
@@ -123,7 +123,7 @@
 
     /// What the durable state has as lent.
     fn reserved(&self, tenant: u32) -> MilliRequests {
-        if !self.stored {
+        if !self.has_state_file {
             return MilliRequests::MAX;
         }
         self.durable
@@ -185,7 +185,7 @@
     }
 
     /// Takes back a loan that was not used. Returns how much of it was still owed.
-    pub fn give_back(&mut self, tenant: &str, amount: MilliRequests) -> MilliRequests {
+    pub fn cancel_loan(&mut self, tenant: &str, amount: MilliRequests) -> MilliRequests {
         self.book_repayment(name_number(tenant), amount)
     }
 
@@ -211,7 +211,7 @@
         if !totals.is_empty() {
             let report = encode(&RepaymentReport { sender, totals });
             let kind = messages::REPAYMENT_REPORT;
-            self.publish(kind, vec![], report, self.messages_last(), actions);
+            self.publish(kind, vec![], report, self.message_ttl(), actions);
         }
     }
 
--- a/crates/quota-lending/src/lender.rs
+++ b/crates/quota-lending/src/lender.rs
@@ -88,8 +88,8 @@
     pub(crate) name: String,
     pub(crate) number: u32,
     pub(crate) incarnation: u64,
-    pub(crate) stored: bool,
-    pub(crate) step: Duration,
+    pub(crate) has_state_file: bool,
+    pub(crate) exchange_interval: Duration,
     pub(crate) lease: Duration,
     /// Without a new heartbeat for so long, all loans of an account are over.
     pub(crate) quarantine: Duration,
@@ -132,7 +132,7 @@
 
 /// The quarantine period: the longest loan, a tenth for clocks that run apart, and three leases for messages on their way.
 fn quarantine(config: &Config) -> Duration {
-    let longest_loan = config.longest + config.lease;
+    let longest_loan = config.max_loan_time + config.lease;
     longest_loan + longest_loan / 10 + config.lease * 3
 }
 
@@ -162,8 +162,8 @@
             name: config.name.clone(),
             number: name_number(&config.name),
             incarnation: config.incarnation,
-            stored: config.stored,
-            step: config.step,
+            has_state_file: config.has_state_file,
+            exchange_interval: config.exchange_interval,
             lease: config.lease,
             quarantine: quarantine(config),
             guards: config.guards,
@@ -226,7 +226,7 @@
     }
 
     /// How long messages of the own account are valid.
-    pub(crate) fn messages_last(&self) -> Duration {
+    pub(crate) fn message_ttl(&self) -> Duration {
         self.lease * MESSAGE_LEASES
     }
 
