--- a/crates/drain/tests/exhaustive.rs
+++ b/crates/drain/tests/exhaustive.rs
@@ -1,22 +1,24 @@
-//! Every order of events, by a model checker: operators, termination, clients, two balancers with different intervals
-//! and every phase between their clocks and the proxy's.
+//! Model check (stateright) of a drain in every order of operator commands, termination and client requests, with two
+//! balancers that have different intervals and every offset between their clocks and the proxy's.
 
 use drain::{Action, Balancer, Drain, Event, Phase, Settings, Time};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks of a run.
-const CLOCK: u8 = 14;
-/// For each balancer, the ticks between two checks and its `fall`.
+/// Length of a run in ticks.
+const MAX_TICKS: u8 = 14;
+/// For each balancer, the interval between two checks in ticks, and its `fall`.
 const BALANCERS: [(u8, u8); 2] = [(2, 2), (3, 1)];
+/// Drain timeout in ticks.
 const DRAIN_TIMEOUT: u8 = 3;
 
+/// The health check of one balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Watcher {
-    /// Ticks until its next check.
+struct HealthCheck {
+    /// Ticks until the next check.
     next: u8,
-    /// Failed checks in a row.
+    /// Number of consecutive failed checks.
     failed: u8,
     in_rotation: bool,
 }
@@ -27,20 +29,20 @@
     clock: u8,
     listening: bool,
     announced: bool,
-    /// Clients in the listener's backlog.
+    /// Number of clients in the listener's backlog.
     in_backlog: u8,
     outstanding: u8,
-    watchers: Vec<Watcher>,
-    /// Operator commands that are left.
+    checks: Vec<HealthCheck>,
+    /// Number of operator commands that may still occur.
     commands_left: u8,
     terminated: bool,
     finished: bool,
     aborted: bool,
-    /// A client that a balancer sent found the port closed.
+    /// Whether a connection from a balancer was refused.
     refused_client: bool,
-    /// The proxy listened again after a termination.
-    undrained_after_termination: bool,
-    late: bool,
+    /// Whether the proxy started listening again after a termination.
+    listened_after_termination: bool,
+    overdue: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -48,10 +50,10 @@
     Drain,
     Undrain,
     Terminate,
-    /// A client comes by a balancer.
+    /// A client connects through the balancer with this index.
     Client(usize),
     Accept,
-    Answer,
+    Respond,
     Tick,
 }
 
@@ -73,7 +75,7 @@
                 Action::AnnounceDrain => self.announced = true,
                 Action::RetractDrain => self.announced = false,
                 Action::StartListening => {
-                    self.undrained_after_termination |= self.terminated;
+                    self.listened_after_termination |= self.terminated;
                     self.listening = true;
                 }
                 Action::StopListening => {
@@ -117,35 +119,35 @@
             announced: false,
             in_backlog: 0,
             outstanding: 0,
-            watchers: Vec::new(),
+            checks: Vec::new(),
             commands_left: 3,
             terminated: false,
             finished: false,
             aborted: false,
             refused_client: false,
-            undrained_after_termination: false,
-            late: false,
+            listened_after_termination: false,
+            overdue: false,
         };
-        // Any phase of either balancer's clock.
-        let mut all = Vec::new();
+        // Every offset of either balancer's clock.
+        let mut worlds = Vec::new();
         for a in 1..=BALANCERS[0].0 {
             for b in 1..=BALANCERS[1].0 {
-                let watcher = |next| Watcher {
+                let check = |next| HealthCheck {
                     next,
                     failed: 0,
                     in_rotation: true,
                 };
-                all.push(World {
-                    watchers: vec![watcher(a), watcher(b)],
+                worlds.push(World {
+                    checks: vec![check(a), check(b)],
                     ..world.clone()
                 });
             }
         }
-        all
+        worlds
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        if world.finished || world.clock >= CLOCK {
+        if world.finished || world.clock >= MAX_TICKS {
             return;
         }
         actions.push(Step::Tick);
@@ -155,8 +157,8 @@
         if !world.terminated {
             actions.push(Step::Terminate);
         }
-        for (at, watcher) in world.watchers.iter().enumerate() {
-            if watcher.in_rotation && world.outstanding + world.in_backlog < 2 {
+        for (at, check) in world.checks.iter().enumerate() {
+            if check.in_rotation && world.outstanding + world.in_backlog < 2 {
                 actions.push(Step::Client(at));
             }
         }
@@ -164,7 +166,7 @@
             actions.push(Step::Accept);
         }
         if world.outstanding > 0 {
-            actions.push(Step::Answer);
+            actions.push(Step::Respond);
         }
     }
 
@@ -190,7 +192,7 @@
                 world.outstanding += 1;
                 world.handle(Event::IdleChanged(false));
             }
-            Step::Answer => {
+            Step::Respond => {
                 world.outstanding -= 1;
                 let idle = world.outstanding == 0;
                 world.handle(Event::IdleChanged(idle));
@@ -199,21 +201,21 @@
                 world.clock += 1;
                 for (at, (interval, fall)) in BALANCERS.iter().enumerate() {
                     let announced = world.announced;
-                    let watcher = &mut world.watchers[at];
-                    watcher.next -= 1;
-                    if watcher.next == 0 {
-                        watcher.next = *interval;
-                        watcher.failed = if announced {
-                            (watcher.failed + 1).min(*fall)
+                    let check = &mut world.checks[at];
+                    check.next -= 1;
+                    if check.next == 0 {
+                        check.next = *interval;
+                        check.failed = if announced {
+                            (check.failed + 1).min(*fall)
                         } else {
                             0
                         };
-                        watcher.in_rotation = watcher.failed < *fall;
+                        check.in_rotation = check.failed < *fall;
                     }
                 }
                 world.handle(Event::Tick);
-                let end = time(world.clock);
-                world.late |= world.drain.next_deadline().is_some_and(|due| due <= end);
+                let now = time(world.clock);
+                world.overdue |= world.drain.next_deadline().is_some_and(|due| due <= now);
             }
         }
         Some(world)
@@ -222,7 +224,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no client that a balancer sends finds the port closed",
+                "no connection from a balancer is refused",
                 |model: &Self, world: &World| !model.announce_termination || !world.refused_client,
             ),
             Property::always(
@@ -240,33 +242,33 @@
                     )
             }),
             Property::always("a termination is not undone", |_, world: &World| {
-                !(world.undrained_after_termination
+                !(world.listened_after_termination
                     || world.terminated && world.drain.phase() == Phase::Serving)
             }),
             Property::always(
-                "nothing is outstanding when it has finished",
+                "nothing is outstanding after the exit",
                 |_, world: &World| !world.finished || world.outstanding + world.in_backlog == 0,
             ),
             Property::always(
                 "requests are aborted only at the end",
                 |_, world: &World| !world.aborted || world.finished,
             ),
-            Property::always("no step is late", |_, world: &World| !world.late),
-            Property::always("it ends by its deadline", |_, world: &World| {
-                // The longest way: announced again at the termination, then aborted.
-                world.clock < CLOCK
+            Property::always("no step is overdue", |_, world: &World| !world.overdue),
+            Property::always("the proxy exits by its deadline", |_, world: &World| {
+                // The longest case: the termination is announced in full, and then requests are aborted.
+                world.clock < MAX_TICKS
                     || !world.terminated
                     || world.finished
-                    || world.drain.next_deadline() > Some(time(CLOCK))
+                    || world.drain.next_deadline() > Some(time(MAX_TICKS))
             }),
-            // States that must be reachable, or the checks above would prove nothing.
-            Property::sometimes("it comes back from a drain", |_, world: &World| {
+            // These states must be reachable; otherwise the properties above could hold vacuously.
+            Property::sometimes("the proxy returns to service", |_, world: &World| {
                 world.commands_left == 0 && world.listening && !world.announced && world.clock > 6
             }),
-            Property::sometimes("it ends with nothing aborted", |_, world: &World| {
+            Property::sometimes("it exits with nothing aborted", |_, world: &World| {
                 world.finished && !world.aborted
             }),
-            Property::sometimes("it ends with something aborted", |_, world: &World| {
+            Property::sometimes("it exits with something aborted", |_, world: &World| {
                 world.finished && world.aborted
             }),
         ]
@@ -302,7 +304,7 @@
     .assert_properties();
 }
 
-/// The check can fail: a proxy that expects one health check too few refuses clients.
+/// Verifies that the model can detect refused clients: a proxy that waits for one health check too few must refuse some.
 #[test]
 fn a_detection_time_too_short_is_found() {
     struct TooShort(DrainModel);
--- a/crates/maintenance/tests/exclusions.rs
+++ b/crates/maintenance/tests/exclusions.rs
@@ -1,4 +1,4 @@
-//! Discovery's status and an operator's exclusion of the same server, in every order.
+//! Tests of discovery's status and an operator's exclusion of the same server, applied in different orders.
 
 use maintenance::{EffectiveState, Maintenance, ManualExclusion, ServerStatus, UnknownServer};
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_server_drains_while_either_side_says_so() {
+fn a_server_drains_while_discovery_or_an_operator_drains_it() {
     let mut maintenance = one_ready_server();
     assert_eq!(
         maintenance.exclude("a", at(10)).unwrap().unwrap().status,
@@ -76,7 +76,7 @@
     assert_eq!(
         maintenance.include("a", at(4)),
         Ok(None),
-        "it is included already"
+        "already included"
     );
     assert_eq!(maintenance.exclude("b", at(5)), Err(UnknownServer));
     assert_eq!(maintenance.include("b", at(5)), Err(UnknownServer));
@@ -190,7 +190,7 @@
 }
 
 proptest! {
-    /// Compared with a model of two flags for each server: nothing is kept of a server that is neither listed nor excluded.
+    /// Compares with a model that has two flags per server. A server that is neither listed nor excluded must be unknown.
     #[test]
     fn any_order_agrees_with_two_flags(steps in prop::collection::vec((0u8..5, 0usize..3), 1..60)) {
         let names = ["a", "b", "c"];
@@ -199,7 +199,7 @@
         for (time, (step, server)) in (1..).zip(steps) {
             let (name, flag) = (names[server], &mut flags[server]);
             let known = flag.0.is_some() || flag.1;
-            let answer = match step {
+            let result_agrees = match step {
                 0 | 1 => {
                     let status = if step == 0 { ServerStatus::Ready } else { ServerStatus::Draining };
                     flag.0 = Some(status);
@@ -220,10 +220,10 @@
                     maintenance.include(name, at(time)).is_ok() == known
                 }
             };
-            prop_assert!(answer);
+            prop_assert!(result_agrees);
             prop_assert_eq!(maintenance.listed_count(), flags.iter().filter(|f| f.0.is_some()).count());
-            let out = maintenance.exclusions().iter().filter(|exclusion| exclusion.excluded_since.is_some()).count();
-            prop_assert_eq!(out, flags.iter().filter(|f| f.1).count());
+            let excluded = maintenance.exclusions().iter().filter(|exclusion| exclusion.excluded_since.is_some()).count();
+            prop_assert_eq!(excluded, flags.iter().filter(|f| f.1).count());
         }
     }
 }
--- a/crates/rollout/src/core/advancing.rs
+++ b/crates/rollout/src/core/advancing.rs
@@ -1,5 +1,5 @@
-//! From what was observed to what runs: facts are decoded, the evidence is weighed, the stage machine takes a step, and its
-//! results are carried out.
+//! Processing of an observation: decodes the facts, evaluates the evidence, steps the stage machine, and carries out its
+//! decisions.
 
 use super::{Core, COUNTS, HALTS, PLANNED_RESTART, PROPOSAL, VOTE};
 use crate::event::{Action, PeerFact};
@@ -13,12 +13,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Facts of other members, decoded. Votes are kept by the core.
+/// Decoded facts of other members, except votes, which the core keeps.
 #[derive(Default)]
 struct DecodedFacts {
     proposals: Vec<Proposal>,
     halts: Vec<HaltRecord>,
-    /// Source, its incarnation, and its counts.
+    /// Name, incarnation and counts of each source.
     counts: Vec<(String, u64, TrafficCounts)>,
     planned_restarts: BTreeMap<String, PlannedRestart>,
 }
@@ -26,14 +26,14 @@
 impl Core {
     pub(super) fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let facts = self.decode_facts();
-        self.weigh_evidence(now, &facts);
+        self.evaluate_evidence(now, &facts);
         let was_in_progress = self.machine.is_in_progress();
         self.step_machine(now, &facts);
-        let rollout =
+        let rollout_of =
             |subject: Option<(u64, VersionHash, u8)>| subject.map(|(epoch, hash, _)| (epoch, hash));
-        let before = rollout(self.evidence_subject);
-        self.begin_evidence(now);
-        let after = rollout(self.evidence_subject);
+        let before = rollout_of(self.evidence_subject);
+        self.reset_evidence_on_change(now);
+        let after = rollout_of(self.evidence_subject);
         self.monitor_new_members();
         let superseded = was_in_progress && before.is_some() && before != after;
         self.superseded_proposals += u64::from(superseded);
@@ -49,27 +49,27 @@
                 self.malformed_facts += 1;
             }
         }
-        // A vote of an earlier incarnation of this process comes back to it; its present one is in the machine.
+        // Other members may send back a vote of an earlier incarnation of this member. The current vote is in the machine.
         self.votes.remove(&self.config.name);
         decoded
     }
 
-    fn weigh_evidence(&mut self, now: Duration, facts: &DecodedFacts) {
+    fn evaluate_evidence(&mut self, now: Duration, facts: &DecodedFacts) {
         let own_name = self.config.name.as_str();
-        let own = self.own_counts();
+        let own_counts = self.own_counts();
         let others = facts
             .counts
             .iter()
-            .filter(|(name, _, counts)| name != own_name && counts.epoch == own.epoch)
+            .filter(|(name, _, counts)| name != own_name && counts.epoch == own_counts.epoch)
             .map(|(name, incarnation, counts)| (name.as_str(), *incarnation, counts.clone()));
-        let all = others.chain([(own_name, self.config.incarnation, own.clone())]);
+        let all_counts = others.chain([(own_name, self.config.incarnation, own_counts.clone())]);
         let regions: BTreeMap<&str, &str> = self
             .observation
             .peers
             .iter()
             .map(|peer| (peer.name.as_str(), peer.region.as_str()))
             .collect();
-        let reports = all.filter_map(|(name, incarnation, counts)| {
+        let reports = all_counts.filter_map(|(name, incarnation, counts)| {
             Some(ReportedCounts {
                 name,
                 region: regions.get(name).copied()?,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// What the evidence is about: epoch and version of the proposal, and its stage.
+    /// Subject of the evidence: epoch and version of the current proposal, and its stage.
     fn current_subject(&self) -> Option<(u64, VersionHash, u8)> {
         self.machine
             .current()
@@ -140,15 +140,16 @@
         self.evidence_subject == self.current_subject()
     }
 
-    /// Another rollout has evidence of its own, another stage a soak of its own.
-    fn begin_evidence(&mut self, now: Duration) {
+    /// Resets the evidence for a new rollout. A new stage of the same rollout only restarts the soak time and the evidence of
+    /// the stage.
+    fn reset_evidence_on_change(&mut self, now: Duration) {
         let subject = self.current_subject();
         if self.evidence_subject == subject {
             return;
         }
-        let rollout =
+        let rollout_of =
             |subject: Option<(u64, VersionHash, u8)>| subject.map(|(epoch, hash, _)| (epoch, hash));
-        if rollout(self.evidence_subject) == rollout(subject) {
+        if rollout_of(self.evidence_subject) == rollout_of(subject) {
             self.evidence.start_stage(now);
         } else {
             self.evidence = Evidence::new(self.config.evidence_limits, now);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Carries out what the machine decided. Returns whether all that is to be persisted is on the disk.
+    /// Carries out the decisions of the machine. Returns whether the current state is on the disk.
     fn apply(&mut self, now: Duration, actions: &mut Vec<Action>) -> bool {
         let phase = self.machine.phase();
         if phase != self.phase {
@@ -200,12 +201,12 @@
         };
         let (epoch, hash) = (current.proposal.epoch, current.proposal.hash);
         let unable = matches!(current.readiness, Readiness::Unable(_));
-        let checked = self.last_check.is_some_and(|(last_epoch, last_hash, at)| {
-            // A file that was missing may have been placed since.
-            let repeat = unable && now.saturating_sub(at) >= self.config.message_ttl;
-            (last_epoch, last_hash) == (epoch, hash) && !repeat
+        let already_checked = self.last_check.is_some_and(|(last_epoch, last_hash, at)| {
+            // A file that was missing or invalid may have been replaced since then.
+            let must_repeat = unable && now.saturating_sub(at) >= self.config.message_ttl;
+            (last_epoch, last_hash) == (epoch, hash) && !must_repeat
         });
-        if !checked {
+        if !already_checked {
             self.last_check = Some((epoch, hash, now));
             actions.push(Action::CheckVersion(hash));
         }
@@ -223,8 +224,9 @@
         persisted
     }
 
-    /// Rolls back at once. Runs the new version only when that is on the disk and others have had the time of an observation
-    /// to hear of it: a process that the new version kills must be known to have run it.
+    /// Requests the version that the machine has selected. A rollback is immediate. The new version runs only after the state
+    /// is on the disk and this process's vote has been published for at least one observation: if the new version crashes the
+    /// process, the other members must know that it ran that version.
     fn run_version(&mut self, now: Duration, persisted: bool, actions: &mut Vec<Action>) {
         let version = self.machine.running_version(&self.observation.peers);
         let announced = persisted && self.runs_new_since.is_some_and(|at| at < now);
@@ -236,7 +238,7 @@
     }
 }
 
-/// `None` if the fact is of an unknown kind, or can't be decoded.
+/// `None` if the fact has an unknown kind or cannot be decoded.
 fn decode_fact(
     fact: &PeerFact,
     decoded: &mut DecodedFacts,
--- a/crates/rollout/src/monitor.rs
+++ b/crates/rollout/src/monitor.rs
@@ -1,5 +1,5 @@
-//! The canary monitor: whether members that are to run the new version are still there, and are the processes that they were.
-//! The table of `docs/design/rollout.md`, line by line.
+//! The canary monitor detects members that crash or become unreachable while they have to run the new version. It implements
+//! the table in `docs/design/rollout.md`.
 
 use crate::guard::guard;
 #[cfg(test)]
@@ -10,47 +10,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Unplanned restarts of one member that are taken for its host's fault.
+/// Maximum number of unplanned restarts of one member that are attributed to its host and not to the version.
 const MAX_UNPLANNED_RESTARTS: usize = 1;
 
-/// What the monitored members say of the version.
+/// The state of the monitored members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MonitorVerdict {
-    /// The version has to be halted.
+    /// The version must be halted.
     Harm(HaltReason),
-    /// A member is missing, or has not reported that it runs the version: nobody votes for the next stage.
+    /// A member is missing or has not reported that it runs the version. This process does not vote for the next stage.
     Waiting,
-    /// All run the version, or left.
+    /// All monitored members run the version or have left.
     Healthy,
 }
 
-/// The last vote of another member.
+/// The last vote received from another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReceivedVote {
-    /// The incarnation that voted.
+    /// The incarnation of the member that voted.
     pub incarnation: u64,
-    /// The vote.
+    /// The received vote.
     pub vote: Vote,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Member {
     incarnation: Option<u64>,
-    /// Restarts that nothing explains: from which incarnation to which.
+    /// Restarts without a planned restart: the incarnations before and after each.
     unplanned_restarts: Vec<(u64, u64)>,
     planned_restarts: u32,
-    /// The last incarnation that is known to have ended in order.
+    /// The last incarnation that announced its end.
     left_incarnation: Option<u64>,
-    /// The last incarnation that is known to have taken over (hot restart).
+    /// The last incarnation that announced a takeover (hot restart).
     takeover_incarnation: Option<u64>,
-    /// It reported that it runs the new version.
+    /// Whether the member has reported that it runs the new version.
     ran_new: bool,
-    /// Since when it is unreachable, or sends no vote.
+    /// The time since which the member is unreachable or sends no vote.
     missing_since: Option<Duration>,
 }
 
 impl Member {
-    fn explains(&self, (from, to): (u64, u64)) -> bool {
+    fn is_planned(&self, (from, to): (u64, u64)) -> bool {
         self.left_incarnation == Some(from) || self.takeover_incarnation == Some(to)
     }
 
@@ -80,84 +80,84 @@
 
     fn observe(&mut self, peer: &Peer, restart: Option<&PlannedRestart>) {
         match restart {
-            Some(PlannedRestart::Leaving(start)) => self.left_incarnation = Some(*start),
-            Some(PlannedRestart::TookOver(start)) => self.takeover_incarnation = Some(*start),
+            Some(PlannedRestart::Leaving(left)) => self.left_incarnation = Some(*left),
+            Some(PlannedRestart::TookOver(new)) => self.takeover_incarnation = Some(*new),
             None => {}
         }
-        if let Some(start) = peer.incarnation {
-            if let Some(was) = self.incarnation.filter(|was| *was < start) {
-                self.unplanned_restarts.push((was, start));
+        if let Some(incarnation) = peer.incarnation {
+            if let Some(previous) = self.incarnation.filter(|previous| *previous < incarnation) {
+                self.unplanned_restarts.push((previous, incarnation));
             }
-            self.incarnation = self.incarnation.max(Some(start));
+            self.incarnation = self.incarnation.max(Some(incarnation));
             if peer.left {
-                self.left_incarnation = Some(start);
+                self.left_incarnation = Some(incarnation);
             }
         }
-        // The notice of a planned restart may come after the restart.
-        let before = self.unplanned_restarts.len();
+        // The announcement of a planned restart may arrive after the restart.
+        let unplanned_before = self.unplanned_restarts.len();
         let unplanned = std::mem::take(&mut self.unplanned_restarts);
         self.unplanned_restarts = unplanned
             .into_iter()
-            .filter(|change| !self.explains(*change))
+            .filter(|change| !self.is_planned(*change))
             .collect();
         self.planned_restarts = self
             .planned_restarts
-            .saturating_add((before - self.unplanned_restarts.len()) as u32);
+            .saturating_add((unplanned_before - self.unplanned_restarts.len()) as u32);
     }
 }
 
-/// Whether another member of its region is reachable, so that not the whole region is cut off.
-fn region_is_reachable(of: &Peer, peers: &[Peer]) -> bool {
+/// Whether another member of the same region is reachable, so that the region as a whole is not partitioned.
+fn region_is_reachable(member: &Peer, peers: &[Peer]) -> bool {
     peers
         .iter()
-        .any(|p| p.region == of.region && p.name != of.name && p.reachable)
+        .any(|peer| peer.region == member.region && peer.name != member.name && peer.reachable)
 }
 
-/// Members that run the new version by now, or are to.
+/// Monitors the other members that run the new version, or have to run it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CanaryMonitor {
     own_name: String,
     unreachable_timeout: Duration,
     members: BTreeMap<String, Member>,
     #[cfg(test)]
-    pub(crate) without: Option<Guard>,
+    pub(crate) disabled_guard: Option<Guard>,
 }
 
 impl CanaryMonitor {
-    /// Monitors nobody yet. A member may be missing for `unreachable_timeout`.
+    /// A monitor without members. A member may be missing for up to `unreachable_timeout`.
     pub fn new(own_name: &str, unreachable_timeout: Duration) -> Self {
         Self {
             own_name: own_name.to_owned(),
             unreachable_timeout,
             members: BTreeMap::new(),
             #[cfg(test)]
-            without: None,
+            disabled_guard: None,
         }
     }
 
-    /// Forgets all members.
+    /// Stops monitoring all members.
     pub fn clear(&mut self) {
         self.members.clear();
     }
 
-    /// Adds members that are to run the version by now, by the quorums that this process or any other has seen.
+    /// Adds the members that have to run the version now, according to the quorums that this process or any other has seen.
     pub fn add_members(
         &mut self,
-        p: &Proposal,
+        proposal: &Proposal,
         quorums_seen: u8,
         peers: &[Peer],
         votes: &BTreeMap<String, ReceivedVote>,
     ) {
-        let others = votes
+        let other_quorums = votes
             .values()
             .map(|received| &received.vote)
-            .filter(|vote| vote.is_for(p))
+            .filter(|vote| vote.is_for(proposal))
             .map(|vote| vote.quorums_seen);
-        let reached = others.fold(quorums_seen, u8::max);
+        let reached = other_quorums.fold(quorums_seen, u8::max);
         if reached == 0 {
             return;
         }
-        let entries = entry_stages(p, peers);
+        let entries = entry_stages(proposal, peers);
         let enters = |peer: &&Peer| {
             entries
                 .get(peer.name.as_str())
@@ -168,30 +168,30 @@
             .filter(enters)
             .filter(|peer| peer.reachable && peer.name != self.own_name)
         {
-            let start = peer.incarnation;
+            let incarnation = peer.incarnation;
             self.members
                 .entry(peer.name.clone())
                 .or_insert_with(|| Member {
-                    incarnation: start,
+                    incarnation,
                     ..Member::default()
                 });
         }
     }
 
-    /// Takes what is known of the members now, and judges them.
+    /// Updates the monitored members from the current peers, votes and announcements, and returns the verdict.
     pub fn observe(
         &mut self,
         now: Duration,
-        p: &Proposal,
+        proposal: &Proposal,
         peers: &[Peer],
         votes: &BTreeMap<String, ReceivedVote>,
         planned_restarts: &BTreeMap<String, PlannedRestart>,
     ) -> MonitorVerdict {
-        // A process that reaches no more than half of the fleet may be the one that is cut off.
-        let reaches_majority = peers.iter().filter(|p| p.reachable).count() * 2 > peers.len();
+        // A process that reaches at most half of the fleet may itself be partitioned from it.
+        let reaches_majority = peers.iter().filter(|peer| peer.reachable).count() * 2 > peers.len();
         let mut verdict = MonitorVerdict::Healthy;
         for (name, member) in &mut self.members {
-            // It is not in this roster any more.
+            // The member is no longer in the roster.
             let Some(peer) = peers.iter().find(|peer| peer.name == *name) else {
                 continue;
             };
@@ -200,29 +200,29 @@
                 .get(name)
                 .filter(|received| Some(received.incarnation) >= member.incarnation)
                 .map(|received| &received.vote);
-            let runs_new = vote.is_some_and(|vote| vote.runs_new && vote.is_for(p));
+            let runs_new = vote.is_some_and(|vote| vote.runs_new && vote.is_for(proposal));
             member.ran_new |= runs_new;
             member.update_missing(now, peer, vote.is_some(), reaches_majority);
             if member.unplanned_restarts.len() > MAX_UNPLANNED_RESTARTS && guard!(self, Crash) {
                 return MonitorVerdict::Harm(HaltReason::Crash);
             }
-            let suspicious = peer.reachable || member.ran_new || region_is_reachable(peer, peers);
-            if member.is_missing_for(now, self.unreachable_timeout) && suspicious {
+            let attributable = peer.reachable || member.ran_new || region_is_reachable(peer, peers);
+            if member.is_missing_for(now, self.unreachable_timeout) && attributable {
                 return MonitorVerdict::Harm(HaltReason::Unreachable);
             }
-            let settled = if peer.reachable { runs_new } else { peer.left };
-            if !settled && guard!(self, Settled) {
+            let reported_or_left = if peer.reachable { runs_new } else { peer.left };
+            if !reported_or_left && guard!(self, MembersReported) {
                 verdict = MonitorVerdict::Waiting;
             }
         }
         verdict
     }
 
-    /// Members that restarted in order, and how often.
+    /// Name and number of planned restarts of each member that had any.
     pub fn planned_restarts(&self) -> impl Iterator<Item = (&str, u32)> {
         self.members
             .iter()
             .map(|(name, member)| (name.as_str(), member.planned_restarts))
-            .filter(|(_, n)| *n > 0)
+            .filter(|(_, count)| *count > 0)
     }
 }
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -1,57 +1,58 @@
-//! The stages of a rollout: who runs the new version from which stage on, and whose majorities a stage needs.
+//! The stages of a rollout: the stage in which each member begins to run the new version, and the regions whose majorities a
+//! stage requires.
 
 use crate::messages::Proposal;
 use crate::peer::Peer;
 use std::collections::BTreeMap;
 
-/// Regions of one rollout, at most: stages are counted in a byte.
+/// Maximum number of regions in a rollout, since a stage number is stored in a byte.
 pub const MAX_REGIONS: usize = 200;
-/// The stage of the canary; before it nobody runs the new version.
+/// The first stage, in which only the canary runs the new version.
 const CANARY_STAGE: usize = 1;
-/// The stage of the rest of the first region.
+/// The stage in which the rest of the first region begins to run the new version.
 const FIRST_REGION_STAGE: usize = 2;
 
-/// Number of stages: the canary, each region, and the members held back for comparison.
-pub(crate) fn stages(p: &Proposal) -> usize {
-    p.order.len() + 2
+/// Number of stages: one for the canary, one for each region, and one for the members held back for comparison.
+pub(crate) fn stage_count(proposal: &Proposal) -> usize {
+    proposal.order.len() + 2
 }
 
-/// Regions whose majorities a stage needs: the one that took the version last, and the one that takes it now (the last here).
-pub(crate) fn quorum_regions(p: &Proposal, stage: usize) -> Vec<&String> {
-    let last = p.order.len().saturating_sub(1);
+/// Regions whose majorities a stage requires: the region that entered before, then the region that enters with this stage.
+pub(crate) fn quorum_regions(proposal: &Proposal, stage: usize) -> Vec<&String> {
+    let last = proposal.order.len().saturating_sub(1);
     let enters = stage.saturating_sub(2).min(last);
-    let ran = stage.saturating_sub(3).min(last);
-    let mut regions: Vec<&String> = [ran, enters]
+    let entered_before = stage.saturating_sub(3).min(last);
+    let mut regions: Vec<&String> = [entered_before, enters]
         .iter()
-        .filter_map(|&at| p.order.get(at))
+        .filter_map(|&at| proposal.order.get(at))
         .collect();
     regions.dedup();
     regions
 }
 
-/// The stage with which each member begins to run the new version, by name.
-pub(crate) fn entry_stages<'a>(p: &Proposal, peers: &'a [Peer]) -> BTreeMap<&'a str, u8> {
+/// The stage in which each member begins to run the new version. The key is the name of the member.
+pub(crate) fn entry_stages<'a>(proposal: &Proposal, peers: &'a [Peer]) -> BTreeMap<&'a str, u8> {
     let mut regions: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for peer in peers {
         regions.entry(&peer.region).or_default().push(&peer.name);
     }
     let mut entries = BTreeMap::new();
-    for (at, region) in p.order.iter().enumerate() {
+    for (at, region) in proposal.order.iter().enumerate() {
         let mut names = regions.remove(region.as_str()).unwrap_or_default();
         names.sort_unstable();
         let canaries = if at == 0 {
-            usize::from(p.canary.max(1))
+            usize::from(proposal.canary.max(1))
         } else {
             0
         };
         let last = names.len().saturating_sub(1);
         for (place, name) in names.into_iter().enumerate() {
-            // The last of each region is held back to compare with, unless it would be the only one to come.
+            // The last member of each region is held back for comparison, unless no other member would enter with the region.
             let held_back = place == last && last > canaries;
             let stage = if place < canaries {
                 CANARY_STAGE
             } else if held_back {
-                stages(p)
+                stage_count(proposal)
             } else {
                 at + FIRST_REGION_STAGE
             };
@@ -61,15 +62,19 @@
     entries
 }
 
-/// The stage with which a member begins to run the new version; `None` if it is not in the roster.
-pub(crate) fn entry_stage(p: &Proposal, peers: &[Peer], name: &str) -> Option<u8> {
-    entry_stages(p, peers).get(name).copied()
+/// The stage in which a member begins to run the new version; `None` if it is not in the roster.
+pub(crate) fn entry_stage(proposal: &Proposal, peers: &[Peer], name: &str) -> Option<u8> {
+    entry_stages(proposal, peers).get(name).copied()
 }
 
-/// The members that enter with this stage and can be compared in their region: they are reachable, and so is one of their region
-/// that takes the version later.
-pub(crate) fn comparable_entrants<'a>(p: &Proposal, peers: &'a [Peer], stage: u8) -> Vec<&'a str> {
-    let entries = entry_stages(p, peers);
+/// The members that enter with this stage and can be compared within their region: they are reachable, and so is another
+/// member of their region that enters in a later stage.
+pub(crate) fn comparable_entrants<'a>(
+    proposal: &Proposal,
+    peers: &'a [Peer],
+    stage: u8,
+) -> Vec<&'a str> {
+    let entries = entry_stages(proposal, peers);
     let entry = |peer: &Peer| entries.get(peer.name.as_str()).copied();
     let has_former_version = |region: &str| {
         peers.iter().any(|peer| {
