--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: which sources to pull from whom, at a bounded rate. A digest that differs makes its sources pending; each is
-//! pulled from one member at a time.
+//! Anti-entropy: decides which sources to pull from which member, at a bounded rate. Sources whose hashes differ in a
+//! received digest become pending; each is pulled from one member at a time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,38 +8,40 @@
 use rand_10::seq::{IteratorRandom, SliceRandom};
 use rand_10::Rng;
 
-/// Sources pulled because of one digest. Facts are on their way all the time, so some sources always differ.
+/// Maximum number of sources pulled because of one digest. Facts are in transit at any time, so some sources always
+/// differ.
 const BASE_PULLS_PER_DIGEST: usize = 4;
-/// Further sources for each member that rejoined, since it or this process may lack all.
+/// Additional sources for each member that rejoined, because it or this process may lack all facts.
 const EXTRA_PULLS_PER_REJOIN: usize = 4;
-/// Requests with one heartbeat.
+/// Maximum number of requests sent with one heartbeat.
 const PULLS_PER_HEARTBEAT: usize = 16;
-/// Requests without a reply at a time.
+/// Maximum number of requests in flight.
 const MAX_PULLS_IN_FLIGHT: usize = 32;
-/// Requests in vain for one source of which nothing is held: its sender may have claimed what does not exist.
+/// Maximum number of requests without a reply for a source of which nothing is held: the digest may have named a source
+/// that does not exist.
 const MAX_EMPTY_ATTEMPTS: u8 = 3;
-/// A reply of so many bytes has filled its datagrams, so there may be more.
+/// A reply of at least this many bytes has filled its datagrams, so more facts may follow.
 const FULL_REPLY_BYTES: usize = 3_000;
 
-/// A source to pull.
+/// A source that is to be pulled.
 #[derive(Debug)]
 struct PendingPull {
     /// The member whose digest differed.
     from: u32,
-    /// The hash in that digest.
+    /// Hash of the source in that digest.
     hash: u32,
     requested_at: Option<Duration>,
     attempts: u8,
-    /// Bytes of this source that `from` sent since the request.
+    /// Bytes of facts of this source that `from` has sent since the request.
     received_bytes: usize,
 }
 
 /// A request to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PullRequest {
-    /// The member to ask.
+    /// The member that receives the request.
     pub to: u32,
-    /// The source that is missing here.
+    /// The source whose facts differ here.
     pub source: u32,
 }
 
@@ -47,7 +49,7 @@
 #[derive(Debug)]
 pub(crate) struct AntiEntropy {
     pending: BTreeMap<u32, PendingPull>,
-    /// Sources that may be pulled beyond `BASE_PULLS_PER_DIGEST`.
+    /// Number of sources that may be pulled beyond `BASE_PULLS_PER_DIGEST`.
     extra_pulls: usize,
     reply_timeout: Duration,
 }
@@ -61,13 +63,13 @@
         }
     }
 
-    /// A member became reachable again, in a roster of so many.
+    /// A member became reachable again; `members` is the size of the roster.
     pub fn member_rejoined(&mut self, members: usize) {
         self.extra_pulls =
             (self.extra_pulls + EXTRA_PULLS_PER_REJOIN).min(EXTRA_PULLS_PER_REJOIN * members);
     }
 
-    /// A digest had other versions of these sources.
+    /// Handles the sources of a digest from `from` whose hashes differ from those held here.
     pub fn receive_digest(&mut self, from: u32, differing: Vec<SourceHash>, rng: &mut impl Rng) {
         let mut new = Vec::new();
         for theirs in differing {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// A fact of a source came from a member.
+    /// Records that `from` sent a fact of a source.
     pub fn record_received(&mut self, from: u32, source: u32, bytes: usize) {
         if let Some(pull) = self
             .pending
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Requests to send now. `held_hash` gives the hash of what is held of a source.
+    /// Requests to send now. `held_hash` returns the hash of the versions held of a source.
     pub fn next_requests(
         &mut self,
         now: Duration,
@@ -140,7 +142,7 @@
 }
 
 impl PendingPull {
-    /// Whether to go on with it. After the timeout it waits to be requested again.
+    /// Whether the pull is still needed. After the timeout it waits to be requested again.
     fn is_needed(
         &mut self,
         now: Duration,
@@ -150,8 +152,8 @@
         let timed_out = self
             .requested_at
             .is_some_and(|requested| now >= requested + reply_timeout);
-        // Where a part of the source is held, the next digest tells what is missing: mostly it is the requester that
-        // holds the later version.
+        // Where part of the source is held, the next digest shows whether facts are still missing: usually the requester
+        // already holds the later version.
         let received_some = self.received_bytes > 0 || held_hash.is_some();
         let done = timed_out && received_some && self.received_bytes < FULL_REPLY_BYTES;
         if done || held_hash == Some(self.hash) {
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -8,7 +8,8 @@
     Duration::from_millis(ms)
 }
 
-/// Requests of forty heartbeats (four seconds) after a digest of `claims` sources and `back` rejoins; `answers` simulates replies.
+/// Number of requests in each of forty heartbeats (four seconds) after a digest of `claims` sources and `back` rejoins;
+/// `answers` simulates the replies.
 fn play(
     claims: u32,
     back: usize,
@@ -43,7 +44,8 @@
 
 #[test]
 fn requests_are_rate_limited_and_end_without_a_reply() {
-    // Without rejoins four of a hundred are pulled; a source whose sender does not reply is requested three times.
+    // Without rejoins four of a hundred sources are pulled; a source whose sender does not reply is requested three
+    // times.
     let without_rejoins = play(100, 0, |_, _, _| {});
     assert_eq!(
         (without_rejoins[0], without_rejoins.iter().sum::<usize>()),
@@ -65,7 +67,7 @@
         anti_entropy.record_received(to, source, if left > 0 { 4000 } else { 100 });
     });
     assert_eq!(long.iter().sum::<usize>(), 3);
-    // Facts that another member sends are no reply.
+    // Facts that another member sends do not count as a reply.
     assert_eq!(
         play(1, 0, |anti_entropy, _, source| anti_entropy
             .record_received(9, source, 500))
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -7,30 +7,30 @@
 
 const DEFAULT_PROBE_PERIOD: Duration = Duration::from_millis(200);
 
-/// Settings of a core. `Config::with_period` derives all times from the probe period.
+/// Settings of a core. `Config::with_period` derives all durations from the probe period.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The name of this process in the roster.
     pub name: String,
-    /// The start of this process in Unix milliseconds. A later incarnation of a name replaces an earlier one.
+    /// Start time of this process in Unix milliseconds. A later incarnation of a name replaces an earlier one.
     pub incarnation: u64,
-    /// Who should be in the fleet.
+    /// The members of the fleet according to the operators.
     pub roster: Roster,
-    /// One member is probed in each period.
+    /// Time between two probes; each probe goes to one member.
     pub probe_period: Duration,
-    /// How long a suspected member has to refute the suspicion.
+    /// Time that a suspected member has to refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// Members that are asked to probe one that did not answer.
+    /// Number of members that are requested to probe a member that did not acknowledge a direct probe.
     pub indirect_probes: usize,
-    /// Members that membership updates are sent to, each half period.
+    /// Number of members that receive membership updates in each half period.
     pub gossip_fanout: usize,
-    /// How long a better quorum state has to hold until it counts.
+    /// A better quorum state takes effect only after it has held for this time.
     pub quorum_hold: Duration,
-    /// Own timers that are late by more mean that this process was paused.
+    /// A timer of this process that is later than this means that the process was paused.
     pub pause_threshold: Duration,
-    /// How long a process does not trust its view after a pause, at least.
+    /// Minimum time after a pause during which a process does not trust its view.
     pub settle_time: Duration,
-    /// Bounds of the replicated facts.
+    /// Limits of the replicated facts.
     pub fact_limits: FactLimits,
 }
 
@@ -40,7 +40,7 @@
         Self::with_period(name, incarnation, roster, DEFAULT_PROBE_PERIOD)
     }
 
-    /// Settings with all times in proportion to the probe period.
+    /// Settings with all durations in proportion to the probe period.
     pub fn with_period(name: &str, incarnation: u64, roster: Roster, period: Duration) -> Self {
         Self {
             name: name.to_owned(),
--- a/crates/membership/src/core/failure_detection.rs
+++ b/crates/membership/src/core/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Failure detection around SWIM: suspicions, disputed deaths, pauses of this process, and finding members that are not heard.
+//! Failure detection around SWIM: suspicions, disputed members, pauses of this process, and discovery of members that are
+//! not reachable.
 
 use std::time::Duration;
 
@@ -14,13 +15,13 @@
 use crate::swim::PacketError;
 use crate::view::Status;
 
-/// Members in dispute that are pinged with one heartbeat.
+/// Maximum number of disputed members that are pinged with one heartbeat.
 const DISPUTE_PROBES_PER_HEARTBEAT: usize = 2;
-/// Reachable members that are asked with one heartbeat whom they hear.
+/// Number of reachable members that are asked with one heartbeat for the members they know.
 const DISCOVERY_FANOUT: usize = 2;
-/// Heartbeats after a member was lost in which views are compared each time, else every fourth.
+/// Number of heartbeats after a member was lost in which views are compared each time, instead of every fourth.
 const VIEW_COMPARISON_HEARTBEATS: u64 = 20;
-/// How many of those that see a member rejoin send it their digests, on average.
+/// Average number of members that send their digests to a member that rejoined.
 const REJOIN_DIGEST_SENDERS: u32 = 5;
 
 impl Core {
@@ -29,8 +30,9 @@
             .is_some_and(|due| now.saturating_sub(due) > self.config.pause_threshold)
     }
 
-    /// A paused process finds all its probes overdue and would declare the whole fleet down. So its timers move on by the
-    /// pause, and it trusts its view only after others have answered again.
+    /// Handles a pause of this process. All its probes are overdue then, and it would declare the whole fleet down. So
+    /// its timers are postponed by the pause, and it trusts its view only after other members have acknowledged probes
+    /// again.
     pub(super) fn detect_pause(&mut self, now: Duration) {
         if !self.is_late(now) {
             return;
@@ -71,15 +73,16 @@
         Ok(())
     }
 
-    /// Others know this name by a later incarnation: this host's clock was set back. The process takes the next one, or all
-    /// members would drop what it sends as stale.
+    /// Adopts a later incarnation, because other members know this name by one: this host's clock was set back. Otherwise
+    /// all members would drop this process's datagrams as stale.
     pub(super) fn renew_incarnation(
         &mut self,
         now: Duration,
         later: u64,
         actions: &mut Vec<Action>,
     ) {
-        // It is that of the process that takes over. To outbid it would make others drop what that one sends.
+        // The later incarnation belongs to the process that takes over. Outbidding it would make other members drop that
+        // process's datagrams.
         if self.handed_over {
             return;
         }
@@ -103,10 +106,11 @@
         self.next_heartbeat = None;
     }
 
-    /// Announces this process to some members that are not reachable, which also heals partitions.
+    /// Announces this process to some members that are not reachable. This also heals partitions.
     pub(super) fn announce_to_silent(&mut self, now: Duration, count: usize) {
-        // Under a new identity (another roster, a rejoin) `foca` is silent until somebody speaks to it. If all processes
-        // change theirs at once, nobody would speak: so without acks it announces itself to reachable members as well.
+        // Under a new identity (after a change of the roster or a rejoin) `foca` sends nothing until it receives a
+        // packet. If all processes change their identities at once, none would send: so without acks this process
+        // announces itself to reachable members as well.
         let silent = now > self.last_ack + self.config.probe_period * 2;
         if !silent && self.observations.reachable().len() == self.observations.len() {
             return;
@@ -127,8 +131,9 @@
         }
     }
 
-    /// Asks some reachable members whom they hear; a reply names up to fifty. Without it a process that just started, or whose
-    /// partition healed, finds the last of many members only by announcing itself to one after the other, most of them dead.
+    /// Requests the members that some reachable members know; a reply contains up to fifty. Without it a process that has
+    /// just started, or whose partition healed, would find the last of many members only by announcing itself to one
+    /// after the other, most of which may be down.
     pub(super) fn discover_members(&mut self, now: Duration) {
         let reachable = self.observations.reachable();
         if self.heartbeats >= self.discover_until || reachable.len() == self.observations.len() {
@@ -146,8 +151,9 @@
         }
     }
 
-    /// Ends suspicions: the member is told of it and refutes it, or is declared down. `foca` alone can leave a member
-    /// suspected for good, since it drops its timers when it comes back under a new identity.
+    /// Ends suspicions: notifies the suspected member so that it can refute the suspicion, and later declares it down.
+    /// `foca` alone can leave a member suspected forever, because it drops its timers when it returns under a new
+    /// identity.
     pub(super) fn resolve_suspicions(&mut self, now: Duration) {
         let suspected: Vec<_> = self.observations.suspected().collect();
         for (member, since) in suspected {
@@ -160,9 +166,9 @@
         }
     }
 
-    /// Pings members that are alive here and down elsewhere under an earlier identity, and suspects those that do not answer.
-    /// Where a member was cut off just after it rejoined, this process may be the only one that heard of its new identity; it
-    /// would probe it once in a round of all members, and keep a majority that is lost for as long.
+    /// Pings members that are alive here and down elsewhere under an earlier identity, and suspects those that do not
+    /// respond. Where a member was cut off just after it rejoined, this process may be the only one that received its new
+    /// identity. It would probe the member once in a round over all members, and would keep a lost majority until then.
     pub(super) fn resolve_disputes(&mut self, now: Duration) {
         for member in self.take_silent_disputed(now) {
             self.swim.suspect(now, member);
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Forgets disputes that are settled; returns members that did not answer their ping in time.
+    /// Removes settled disputes; returns members that did not respond to their ping in time.
     fn take_silent_disputed(&mut self, now: Duration) -> Vec<u32> {
         let reply_timeout = self.config.probe_period * 2;
         let observations = &self.observations;
@@ -199,7 +205,7 @@
         silent
     }
 
-    /// Takes over from `foca` which members are there; returns whether any of them changed.
+    /// Updates the observations from the members that `foca` holds; returns whether any member changed.
     pub(super) fn observe_members(&mut self, now: Duration, actions: &mut Vec<Action>) -> bool {
         if !std::mem::take(&mut self.swim.changed) {
             return false;
@@ -245,7 +251,8 @@
         }
     }
 
-    /// Some of those that see a member rejoin send it their digests: if all did, a large fleet would flood it.
+    /// Handles a member that became reachable again. Only some of the members that observe this send it their digests: if
+    /// all did, a large fleet would flood it.
     fn member_rejoined(&mut self, process: ProcessId) {
         self.discover_until = self.heartbeats + DISCOVERY_HEARTBEATS;
         self.anti_entropy.member_rejoined(self.roster.members.len());
@@ -256,7 +263,7 @@
         }
     }
 
-    /// Whether the observations are what `foca` holds, and their counts add up. For debug builds.
+    /// Whether the observations equal the members that `foca` holds, and their counts add up. For debug assertions.
     pub(super) fn observations_are_current(&self) -> bool {
         let same = |(id, status): (ProcessId, Status)| {
             self.observations
--- a/crates/membership/src/core/gossip.rs
+++ b/crates/membership/src/core/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of facts, and answers to the anti-entropy of others.
+//! Gossip of facts, and replies to anti-entropy messages of other members.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 };
 use crate::swim::PacketError;
 
-/// Members that a new fact is sent to with one heartbeat.
+/// Number of members that receive a new fact with one heartbeat.
 const FACT_FANOUT: usize = 2;
-/// Heartbeats in which a new fact is sent.
+/// Number of heartbeats in which a new fact is sent.
 const FACT_TRANSMISSIONS: u8 = 2;
-/// Reply datagrams between two heartbeats, to all members together.
+/// Maximum number of reply datagrams between two heartbeats, to all members together.
 const MAX_REPLIES_PER_HEARTBEAT: usize = 64;
-/// Bytes of a datagram of facts that are left for its kind and the length of the list.
+/// Bytes of a datagram of facts reserved for its kind and the length of the list.
 const FACTS_HEADER_BYTES: usize = 8;
 const FACTS_PAYLOAD_BYTES: usize = DATAGRAM_BYTES - FACTS_HEADER_BYTES;
 
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Sent with the next heartbeat, so that facts of one moment share a datagram.
+    /// Queues a fact for the next heartbeat, so that facts published at the same time share a datagram.
     pub(super) fn queue_for_gossip(&mut self, id: FactId) {
         self.facts_to_gossip.insert(id, FACT_TRANSMISSIONS);
     }
 
-    /// Sends new facts to some members. Facts that were sent least go first, in random order among themselves: where not all
-    /// fit, no source waits more often than the others.
+    /// Sends new facts to some members. Facts that were sent least often go first, in random order among themselves, so
+    /// that no source waits longer than the others when not all facts fit.
     pub(super) fn gossip_facts(&mut self, now: Duration) {
         if self.facts_to_gossip.is_empty() {
             return;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Facts to send that are still held, those with the most transmissions left first.
+    /// The queued facts that are still held, those with the most remaining transmissions first.
     fn facts_by_transmissions(&mut self) -> Vec<(FactId, u8)> {
         let facts = &self.facts;
         self.facts_to_gossip.retain(|id, _| facts.contains(id));
@@ -150,8 +150,8 @@
         ids
     }
 
-    /// Sends messages in `MAX_REPLY_DATAGRAMS` datagrams at most, facts together as far as they fit. What is left over comes
-    /// with a later exchange. Returns how many facts were sent.
+    /// Sends messages in at most `MAX_REPLY_DATAGRAMS` datagrams, with as many facts per datagram as fit. The rest is
+    /// sent in a later exchange. Returns the number of facts sent.
     fn send_messages(&mut self, to: u32, messages: Vec<AntiEntropyMessage>) -> usize {
         let (mut datagrams, mut facts_sent) = (0, 0);
         let mut batch: Vec<WireFact> = Vec::new();
--- a/crates/membership/src/core/heartbeat.rs
+++ b/crates/membership/src/core/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What is done twice in each probe period, beside the timers of SWIM.
+//! The heartbeat: periodic work, twice in each probe period, in addition to the timers of SWIM.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 use super::{Core, SelfSuspicion, JOIN_ANNOUNCEMENTS};
 use crate::anti_entropy::PullRequest;
 
-/// Heartbeats from one digest to the next, and between comparisons of views while no member is lost.
+/// Number of heartbeats between two digests, and between two comparisons of views while no member was lost recently.
 const EXCHANGE_HEARTBEATS: u64 = 4;
-/// Members that have to answer before a process trusts its view again, if the roster has as many.
+/// Number of members that have to acknowledge a probe before a process trusts its view again; at most half of the roster
+/// is required.
 const ENOUGH_ACKS: usize = 3;
 
 impl Core {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// One digest to one member, and all digests to one that rejoined.
+    /// Sends one digest to one member, and all digests to a member that rejoined.
     fn send_digests(&mut self) {
         if self.heartbeats.is_multiple_of(EXCHANGE_HEARTBEATS) {
             let to = self.observations.reachable().choose(&mut self.rng).copied();
@@ -72,8 +73,9 @@
     }
 
     fn update_self_suspicion(&mut self, now: Duration, alone: bool) {
-        // `foca` sends no probes after it came back under a new identity that nobody has taken up yet, and would hold all
-        // members for alive meanwhile: so a process whose probes nobody answers does not trust its view.
+        // After `foca` returned under a new identity, it sends no probes until another member has adopted that identity,
+        // and would hold all members for alive meanwhile. So a process whose probes no member acknowledges does not trust
+        // its view.
         if !alone && now > self.last_ack + self.config.settle_time {
             self.self_suspicion
                 .get_or_insert_with(|| SelfSuspicion::since(now));
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The core: `Core::handle` matches an event and delegates; each concern of the core has a file here.
+//! The core: `Core::handle` dispatches events; each concern of the core has its own file here.
 
 mod failure_detection;
 mod gossip;
@@ -25,22 +25,24 @@
 use crate::swim::{PacketError, Swim, SwimConfig, SWIM_KIND};
 use crate::view::{Counters, Status};
 
-/// No datagram is longer.
+/// Maximum size of a datagram in bytes.
 pub const DATAGRAM_BYTES: usize = 1200;
-/// Datagrams in reply to one, at most.
+/// Maximum number of datagrams in reply to one datagram.
 const MAX_REPLY_DATAGRAMS: usize = 4;
 /// The first byte of a datagram about facts.
 const FACTS_KIND: u8 = 2;
-/// The first byte of a datagram about who is down.
+/// The first byte of a datagram about the members that are down.
 const VIEWS_KIND: u8 = 3;
-/// Members that a process announces itself to at its start, and with each round while nobody is reachable.
+/// Number of members that a process announces itself to at its start, and in each probe period while no member is
+/// reachable.
 const JOIN_ANNOUNCEMENTS: usize = 3;
-/// Heartbeats after the start, and after a member became reachable, in which others are asked whom they hear.
+/// Number of heartbeats, after the start and after a member became reachable, in which other members are asked for the
+/// members they know.
 const DISCOVERY_HEARTBEATS: u64 = 10;
-/// Keeps the random draws of the core apart from those of SWIM, which has the same seed.
+/// Makes the random numbers of the core independent of those of SWIM, which has the same seed.
 const SEED_OF_CORE: u64 = 0x6d65_6d62;
 
-/// One process of the fleet: what it knows of the other members and of their facts.
+/// A process of the fleet, with its view of the other members and their facts.
 pub struct Core {
     own_id: u32,
     incarnation: IncarnationClock,
@@ -50,42 +52,42 @@
     facts: FactStore,
     rng: StdRng,
     observations: Observations,
-    /// What `foca` held after the last event, in its order, which rarely changes.
+    /// The members that `foca` held after the last event, in its order, which rarely changes.
     last_members: Vec<(ProcessId, Status)>,
     fleet_quorum: QuorumTracker,
     region_quorums: BTreeMap<String, QuorumTracker>,
     reported_state: QuorumState,
     self_suspicion: Option<SelfSuspicion>,
-    /// When a probe of ours was last answered.
+    /// Time of the last ack to a probe of this process.
     last_ack: Duration,
-    /// Facts to send to others, and in how many more heartbeats.
+    /// Facts to send to other members, with the number of heartbeats in which they are still to be sent.
     facts_to_gossip: BTreeMap<FactId, u8>,
-    /// Members that became reachable and are to be sent all digests.
+    /// Members that became reachable again and are to receive all digests.
     rejoined: BTreeSet<u32>,
     anti_entropy: AntiEntropy,
-    /// Reply datagrams since the last heartbeat.
+    /// Number of reply datagrams since the last heartbeat.
     replies_sent: usize,
     next_heartbeat: Option<Duration>,
     heartbeats: u64,
-    /// Members alive here and down elsewhere under an earlier identity, and when each was pinged.
+    /// Members that are alive here and down elsewhere under an earlier identity, with the time of the ping to each.
     disputed: BTreeMap<u32, Option<Duration>>,
-    /// Heartbeat until which views are compared with each heartbeat.
+    /// Number of the heartbeat until which views are compared with each heartbeat.
     compare_views_until: u64,
-    /// Heartbeat until which others are asked whom they hear.
+    /// Number of the heartbeat until which other members are asked for the members they know.
     discover_until: u64,
     timer_due: Option<Duration>,
     timer_token: u64,
     has_left: bool,
-    /// Another process of this name takes over (hot restart).
+    /// Whether another process of this name takes over (hot restart).
     handed_over: bool,
     counters: Counters,
 }
 
-/// Why a process does not trust its view: it was paused, or nobody answers its probes.
+/// State of a process that does not trust its view, because it was paused or no member acknowledges its probes.
 #[derive(Clone, Debug)]
 struct SelfSuspicion {
     since: Duration,
-    /// Members that answered a probe since.
+    /// Members that have acknowledged a probe since.
     acked: BTreeSet<u32>,
 }
 
@@ -99,7 +101,7 @@
 }
 
 impl Core {
-    /// A core that waits for `Event::Start`. Fails if the roster is inconsistent or lacks this process.
+    /// Creates a core that waits for `Event::Start`. Fails if the roster is inconsistent or lacks this process.
     pub fn new(config: Config, seed: u64) -> Result<Self, RosterError> {
         let roster = IndexedRoster::new(&config.name, config.roster.clone())?;
         let own_id = member_id(&config.name);
@@ -144,7 +146,7 @@
         Ok(core)
     }
 
-    /// Fits the observations and the quorums to the roster.
+    /// Adjusts the observations and the quorums to the roster.
     fn apply_roster(&mut self, now: Duration) {
         for id in self
             .observations
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Handles an event at `now`, the time since an origin that never changes. Nothing is done after `Event::Leave`.
+    /// Handles an event at `now`, the time since a fixed origin. Events after `Event::Leave` are ignored.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         if self.has_left {
             return;
@@ -195,7 +197,7 @@
         self.run_due(now, roster_event, actions);
     }
 
-    /// Runs what is due, and reports what the event and the timers changed.
+    /// Runs the timers that are due, and reports the changes caused by the event and the timers.
     fn run_due(&mut self, now: Duration, roster_event: bool, actions: &mut Vec<Action>) {
         self.swim.run_timers(now);
         let heartbeat = self.next_heartbeat.is_some_and(|due| due <= now);
@@ -204,7 +206,7 @@
         }
         let member_changed = self.observe_members(now, actions);
         debug_assert!(!heartbeat || self.observations_are_current());
-        // Most datagrams change no member, so quorums are not counted for each of them.
+        // Most datagrams change no member, so quorums are not updated after each of them.
         if heartbeat || member_changed || roster_event {
             self.update_quorum(now, actions);
         }
@@ -307,7 +309,8 @@
         self.swim.outbox.push((to, bytes));
     }
 
-    /// Turns queued datagrams into actions. Addresses are those of the own roster: relays make them differ between members.
+    /// Turns queued datagrams into actions. Addresses are taken from this process's roster: behind relays they differ
+    /// between members.
     fn flush(&mut self, actions: &mut Vec<Action>) {
         for (to, bytes) in self.swim.outbox.drain(..) {
             if let Some(member) = self.roster.members.get(&to) {
--- a/crates/membership/src/core/operations.rs
+++ b/crates/membership/src/core/operations.rs
@@ -1,4 +1,4 @@
-//! The quorum state, and whether a guarded operation may be done.
+//! The quorum state, and whether a guarded operation is allowed.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::quorum::{QuorumState, QuorumTracker};
 
 impl Core {
-    /// Counts quorums anew, and reports the state if it changed.
+    /// Updates the quorums, and reports the state of the fleet if it changed.
     pub(super) fn update_quorum(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let hold = self.config.quorum_hold;
         self.fleet_quorum
@@ -25,7 +25,8 @@
         }
     }
 
-    /// A pause shows here before the next event: the first thing a paused process does may be to ask.
+    /// Whether this process suspects itself. A pause counts even before the next event is handled, because a paused
+    /// process may first check an operation.
     pub(super) fn is_self_suspected(&self, now: Duration) -> bool {
         self.self_suspicion.is_some() || self.is_late(now)
     }
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Whether an operation may be done at `now`: in the whole fleet, or in one region if it concerns only that.
+    /// Checks whether an operation is allowed at `now`: in the whole fleet, or in one region if it concerns only that
+    /// region.
     pub fn check_operation(
         &self,
         now: Duration,
@@ -56,7 +58,7 @@
         Ok(())
     }
 
-    /// The quorums that an operation needs. A promotion in a region needs that of the fleet too.
+    /// The quorums that an operation depends on. A promotion in a region also depends on the quorum of the fleet.
     fn quorums_for<'a>(
         &'a self,
         operation: GuardedOperation,
--- a/crates/membership/src/core/status.rs
+++ b/crates/membership/src/core/status.rs
@@ -1,4 +1,4 @@
-//! What operators and the other parts of the proxy read from the core.
+//! The state of the core for operators and the other components of the proxy.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::view::{MemberObservation, View};
 
 impl Core {
-    /// Facts of one kind that others published and that have not expired; of this name those of an earlier incarnation.
+    /// Unexpired facts of one kind that other members published, and those of an earlier incarnation of this process.
     pub fn facts(&self, now: Duration, kind: u8) -> Vec<Fact> {
         self.facts
             .ids()
@@ -21,9 +21,9 @@
             .collect()
     }
 
-    /// All that is known of the members at `now`.
+    /// The view of the fleet at `now`.
     pub fn view(&self, now: Duration) -> View {
-        // In a round each process probes each member once, in an order that changes.
+        // In a round each process probes each member once, in an order that changes from round to round.
         let two_rounds = self.config.probe_period * (2 * self.observations.len() as u32 + 2);
         let observation = |(member, observed): (u32, &Observation)| {
             let member = self.roster.members.get(&member)?;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The incarnation that this process has now, in Unix milliseconds.
+    /// Current incarnation of this process, in Unix milliseconds.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.current()
     }
--- a/crates/membership/src/core/view_exchange.rs
+++ b/crates/membership/src/core/view_exchange.rs
@@ -1,5 +1,6 @@
-//! Comparing who is down with other members. Death notices travel by chance; where many members die at once, as in a cut into
-//! halves, some notices are lost, and one dead member held for alive can keep a majority that is lost.
+//! Comparison of the members that are down with other members. Reports of failures spread by gossip, which is random.
+//! Where many members fail at once, as in a partition into halves, some reports are lost, and a single failed member that
+//! is held for alive can keep up a majority that is lost.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +13,7 @@
 use crate::view::Status;
 use crate::view_message::ViewMessage;
 
-/// Members in one message of who is down, so that it fits into a datagram.
+/// Maximum number of processes in one message of down members, so that it fits into a datagram.
 const DOWN_IDS_PER_DATAGRAM: usize = 40;
 
 impl Core {
@@ -36,7 +37,7 @@
         Ok(())
     }
 
-    /// Takes over who is down for another member, and replies with those that it lacks.
+    /// Adopts the processes that are down in another member's view, and replies with those that the other member lacks.
     fn receive_down_members(
         &mut self,
         now: Duration,
@@ -78,7 +79,7 @@
         let most = DOWN_IDS_PER_DATAGRAM * MAX_REPLY_DATAGRAMS;
         let down: Vec<ProcessId> = down.into_iter().sample(&mut self.rng, most);
         if down.is_empty() && !is_reply {
-            // The other's hash differs, so it has members to name: an empty list asks for them.
+            // The other member's hash differs, so it knows of down members: an empty list requests them.
             let ids = Vec::new();
             self.send_view(to, &ViewMessage::Down { is_reply, ids });
         }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What the core is told, and what it asks its host to do.
+//! Events that the core handles, and actions that it requests from its host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::roster::{Roster, RosterError};
 use crate::view::Status;
 
-/// What the host tells the core.
+/// An input of the core.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The host can send and receive datagrams now.
     Start,
-    /// A datagram came. Its envelope is authentic and names the sender and the sender's incarnation.
+    /// A datagram was received. Its envelope was authenticated and gives the sender and its incarnation.
     Datagram {
         /// Name of the sender.
         from: &'a str,
@@ -26,27 +26,28 @@
     Timer(u64),
     /// The operators' roster changed.
     Roster(Roster),
-    /// This process ends in order; the others are told that it left.
+    /// This process shuts down; the other members are notified that it leaves.
     Leave,
-    /// Another process of this name takes over, or no longer does. While it does, a later incarnation of the name is its.
+    /// Whether another process of this name takes over (hot restart). While it does, a later incarnation of the name is
+    /// that process's, and is not adopted.
     HandedOver(bool),
-    /// Publishes a fact of this process, in place of the one of that kind and key.
+    /// Publishes a fact of this process. It replaces the fact of the same kind and key.
     Publish {
-        /// What the body means, by the host's own numbering.
+        /// Meaning of the body, defined by the host.
         kind: u8,
-        /// Tells facts of one kind apart.
+        /// Distinguishes facts of the same kind.
         key: Vec<u8>,
         /// The content.
         body: Vec<u8>,
-        /// How long the fact is valid.
+        /// Validity of the fact, from its publication.
         ttl: Duration,
     },
 }
 
-/// What the core asks its host to do, or reports.
+/// A request or a report to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a datagram. It may be lost.
+    /// Send a datagram. Delivery is not required.
     Send {
         /// Name of the receiver.
         to: String,
@@ -55,7 +56,7 @@
         /// The payload, at most `DATAGRAM_BYTES`.
         bytes: Vec<u8>,
     },
-    /// Send `Event::Timer` with this token when it is due. A later timer replaces it.
+    /// Send `Event::Timer` with this token when the time has passed. A later timer replaces this one.
     Timer {
         /// Time from now.
         after: Duration,
@@ -66,13 +67,13 @@
     MemberChanged(String, Status),
     /// The quorum state of the fleet changed.
     QuorumStateChanged(QuorumState),
-    /// Another member published a fact that is new here.
+    /// A new fact of another member was received.
     FactReceived(Fact),
     /// A fact of this process was not published.
     PublishRejected(PublishError),
-    /// A roster was rejected; the former one stays.
+    /// A roster was rejected; the previous one remains in effect.
     RosterRejected(RosterError),
-    /// Others know this name by a later incarnation than this process had: from now on it uses this one, in the envelope of
-    /// its datagrams too.
+    /// Other members know a later incarnation of this name. The process has adopted this one, and the envelopes of its
+    /// datagrams have to carry it from now on.
     IncarnationRenewed(u64),
 }
--- a/crates/membership/src/facts/digest.rs
+++ b/crates/membership/src/facts/digest.rs
@@ -1,4 +1,4 @@
-//! Digests and version lists of the fact store: how two members find out what each lacks.
+//! Digests and version lists of the fact store, by which two members find out which facts each lacks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use super::message::{AntiEntropyMessage, FactVersion, HashRange, SourceHash};
 use super::store::{key_hash, FactId, FactStore, StoredFact};
 
-/// Sources in one digest, so that it fits into a datagram.
+/// Maximum number of sources in one digest, so that it fits into a datagram.
 const DIGEST_SOURCES: usize = 100;
-/// Versions in one message, so that it fits into a datagram.
+/// Maximum number of versions in one message, so that it fits into a datagram.
 const VERSIONS_PER_MESSAGE: usize = 36;
 const FULL_RANGE: HashRange = HashRange {
     first: 0,
@@ -16,7 +16,7 @@
 };
 
 impl FactStore {
-    /// The next digest, of the sources after those of the last one.
+    /// The next digest; it continues with the sources after those of the previous digest.
     pub fn next_digest(&mut self) -> AntiEntropyMessage {
         let (digest, next) = self.digest_from(self.next_digest_source);
         self.next_digest_source = next.unwrap_or(0);
@@ -34,7 +34,7 @@
         messages
     }
 
-    /// A digest from that source on, and where the next one begins.
+    /// A digest of the sources from `from` on, and the first source of the next digest, if sources remain.
     fn digest_from(&self, from: u64) -> (AntiEntropyMessage, Option<u64>) {
         let first = u32::try_from(from).unwrap_or(0);
         let mut rest = self
@@ -61,12 +61,13 @@
         )
     }
 
-    /// The hash of the versions held of a source.
+    /// Hash of the versions that are held of a source.
     pub fn source_hash(&self, source: u32) -> Option<u32> {
         self.sources.get(&source).map(|summary| summary.hash)
     }
 
-    /// Sources of a digest that are held in another version here. What the sender lacks altogether it finds in a digest from here.
+    /// Sources of a digest whose versions differ from those held here. Sources that the sender lacks entirely are not
+    /// included: the sender finds them in a digest from this process.
     pub fn differing_sources(&self, sources: Vec<SourceHash>) -> Vec<SourceHash> {
         sources
             .into_iter()
@@ -80,7 +81,7 @@
             .collect()
     }
 
-    /// The versions held of a source; the receiver replies with what is newer there.
+    /// The versions that are held of a source. The receiver replies with facts of which it holds newer versions.
     pub fn version_messages(&self, source: u32, is_reply: bool) -> Vec<AntiEntropyMessage> {
         let versions: Vec<FactVersion> = self
             .facts_by_key_hash(source)
@@ -123,7 +124,8 @@
         messages
     }
 
-    /// Facts that the sender of versions lacks; and if it has newer ones, the versions held here.
+    /// Facts that the sender of `theirs` lacks. If the sender holds newer versions of some, and its message is not a
+    /// reply, the result also contains the versions held here.
     pub fn reply_to_versions(
         &self,
         now: Duration,
--- a/crates/membership/src/facts/fact.rs
+++ b/crates/membership/src/facts/fact.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Bytes of a key, at most.
+/// Maximum size of a key in bytes.
 pub const KEY_BYTES: usize = 32;
-/// Bytes of a body, at most.
+/// Maximum size of a body in bytes.
 pub const BODY_BYTES: usize = 512;
 
 /// A fact that a member published.
@@ -12,30 +12,31 @@
 pub struct Fact {
     /// Name of the member that published it.
     pub source: String,
-    /// The source's incarnation at that time.
+    /// Incarnation of the source at the publication.
     pub incarnation: u64,
-    /// What the body means, by the host's own numbering.
+    /// Meaning of the body, defined by the host.
     pub kind: u8,
-    /// Tells facts of one kind apart.
+    /// Distinguishes facts of the same kind.
     pub key: Vec<u8>,
-    /// Publications of the source so far: a greater one replaces a smaller one.
+    /// Number of publications of the source so far. A version with a greater sequence replaces one with a smaller
+    /// sequence.
     pub sequence: u64,
     /// The content.
     pub body: Vec<u8>,
-    /// Time since the publication, without the time on the wire.
+    /// Time since the publication, not counting time in transit.
     pub age: Duration,
-    /// How long it is valid.
+    /// Validity of the fact, from its publication.
     pub ttl: Duration,
 }
 
-/// Bounds of the fact store.
+/// Limits of the fact store.
 #[derive(Clone, Copy, Debug)]
 pub struct FactLimits {
-    /// Facts of one member, expired ones that are still remembered included.
+    /// Maximum number of facts of one member, including expired ones that are still remembered.
     pub facts_per_source: usize,
-    /// Bytes of all facts together, keys and a fixed cost of each included.
+    /// Maximum size of all facts together in bytes, including keys and a fixed overhead per fact.
     pub bytes: usize,
-    /// The longest TTL. An expired fact is remembered that long, so that an older version does not come back.
+    /// Maximum TTL. An expired fact is remembered for this long, so that an older version does not come back.
     pub max_ttl: Duration,
 }
 
@@ -49,21 +50,21 @@
     }
 }
 
-/// Why a fact of this process was not published. Only `CapacityExceeded` can pass by itself.
+/// Why a fact of this process was not published. Only `CapacityExceeded` can pass without intervention.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// The key has so many bytes.
-    #[error("a fact's key has {0} bytes, at most {KEY_BYTES} fit")]
+    /// The key is too long; the value is its size in bytes.
+    #[error("the key of a fact has {0} bytes; at most {KEY_BYTES} are allowed")]
     KeyTooLong(usize),
-    /// The body has so many bytes.
-    #[error("a fact's body has {0} bytes, at most {BODY_BYTES} fit")]
+    /// The body is too long; the value is its size in bytes.
+    #[error("the body of a fact has {0} bytes; at most {BODY_BYTES} are allowed")]
     BodyTooLong(usize),
-    /// The TTL, and the longest that is allowed.
+    /// The TTL is too long; the values are the TTL and the maximum.
     #[error(
-        "a fact would last {0:?}, at most {1:?} are allowed: say it again before it lapses instead"
+        "a fact has a TTL of {0:?}; at most {1:?} is allowed: publish it again before it expires instead"
     )]
     TtlTooLong(Duration, Duration),
     /// The store has no room for another fact.
-    #[error("no room for another fact: let some lapse, or raise the bound of facts a source or of bytes")]
+    #[error("the fact store has no room for another fact: let some expire, or raise the limit of facts per source or of bytes")]
     CapacityExceeded,
 }
--- a/crates/membership/src/facts/message.rs
+++ b/crates/membership/src/facts/message.rs
@@ -15,7 +15,7 @@
     pub body: Vec<u8>,
 }
 
-/// A range of member ids or key hashes, both ends included.
+/// A range of member ids or key hashes, including both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HashRange {
     pub first: u64,
@@ -37,22 +37,22 @@
     pub sequence: u64,
 }
 
-/// Messages by which two members come to hold the same facts.
+/// Messages by which two members synchronise their facts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AntiEntropyMessage {
-    /// Each source within the range, with the hash of its versions.
+    /// Each source within the range, with the hash of the versions of its facts.
     Digest {
         range: HashRange,
         sources: Vec<SourceHash>,
     },
-    /// Versions of the facts of a source within the range. The receiver sends what is newer
-    /// there, and if this is no reply, its own versions where those here are newer.
+    /// Versions of the facts of a source whose key hashes are within the range. The receiver sends the facts of which it
+    /// holds newer versions, and, unless this message is a reply, its own versions where the sender's are newer.
     Versions {
         is_reply: bool,
         source: u32,
         range: HashRange,
         versions: Vec<FactVersion>,
     },
-    /// Facts, new or in reply.
+    /// Facts, newly published or in reply to `Versions`.
     Facts(Vec<WireFact>),
 }
--- a/crates/membership/src/facts/mod.rs
+++ b/crates/membership/src/facts/mod.rs
@@ -1,5 +1,5 @@
-//! Facts that each member publishes and all hold: the last writer wins by the source's own incarnation and sequence. Ages
-//! travel with a fact, so clocks of different hosts are never compared.
+//! Facts that each member publishes and all members hold. The version with the greatest incarnation and sequence of its
+//! source wins (last writer wins). Facts carry their ages, so clocks of different hosts are never compared.
 
 mod digest;
 mod fact;
--- a/crates/membership/src/facts/store.rs
+++ b/crates/membership/src/facts/store.rs
@@ -1,4 +1,4 @@
-//! The store: facts by source, kind and key, with bounds and expiry.
+//! The fact store: facts by source, kind and key, with limits and expiry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use super::message::WireFact;
 use crate::roster::{hash_bytes, mix};
 
-/// A sequence beyond this is forged: it would leave the source no greater one to answer with.
+/// A greater sequence is forged: it would leave the source no greater sequence to replace the fact with.
 const MAX_SEQUENCE: u64 = 1 << 60;
-/// What an entry costs beside its key and body, in the bound of bytes.
+/// Overhead of an entry in the limit of bytes, in addition to its key and body.
 const ENTRY_BYTES: usize = 96;
 
-/// The name of a fact: a later version of it replaces an earlier one.
+/// Identity of a fact: a later version replaces an earlier one with the same identity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FactId {
     pub source: u32,
@@ -26,31 +26,31 @@
     pub(super) sequence: u64,
     pub(super) body: Vec<u8>,
     pub(super) ttl: Duration,
-    /// Publication time plus `max_ttl`. Kept in this form because the publication may be older than this process's clock.
+    /// Publication time plus `max_ttl`. The publication time itself may lie before the origin of this process's clock.
     pub(super) forget_at: Duration,
 }
 
-/// What follows from a fact that was received.
+/// Result of receiving a fact.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ReceiveOutcome {
-    /// It is new here, and valid.
+    /// The fact is new here and valid.
     New(FactId),
-    /// It changes nothing that others should hear of.
+    /// The fact changes nothing that has to be sent to other members.
     Known,
-    /// It has this process as its source, which never published it.
+    /// The fact names this process as its source, but this process never published it.
     Forged,
-    /// Its source is a later incarnation of this process's name.
+    /// The source of the fact is a later incarnation of this process's name.
     LaterIncarnation(u64),
-    /// It exceeds a limit.
+    /// The fact exceeds a limit of the store.
     CapacityExceeded,
 }
 
-/// What is held of one source.
+/// Summary of the facts that are held of one source.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct SourceSummary {
-    /// Number of its facts.
+    /// Number of facts.
     facts: usize,
-    /// Hash of their versions; it does not depend on their order.
+    /// Hash of the versions of the facts; independent of their order.
     pub(super) hash: u32,
 }
 
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Replaces the fact of that id, if there is room; an expired fact of the source gives way first.
+    /// Replaces the fact with this id, if there is room. If the source has reached its limit, its oldest expired fact is
+    /// evicted first.
     fn insert(&mut self, now: Duration, id: &FactId, stored: StoredFact) -> bool {
         let size = ENTRY_BYTES + id.key.len() + stored.body.len();
         self.remove(id);
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Takes a fact that another member sent, whoever its source is.
+    /// Receives a fact from another member, which need not be the fact's source.
     pub fn receive(&mut self, now: Duration, fact: WireFact) -> ReceiveOutcome {
         let age = Duration::from_millis(fact.age_ms.into());
         let ttl = Duration::from_millis(fact.ttl_ms.into());
@@ -242,8 +243,8 @@
         }
     }
 
-    /// Another member sends a fact of this process. One that this process never published is replaced everywhere by what is
-    /// true, under a greater sequence.
+    /// Receives a fact that names this process as its source. If this process never published it, it is replaced at all
+    /// members by the current content, under a greater sequence.
     fn receive_own(&mut self, now: Duration, id: FactId, version: (u64, u64)) -> ReceiveOutcome {
         let forged = version > (self.incarnation, self.sequence);
         if version.0 > self.incarnation {
@@ -276,7 +277,7 @@
         }
     }
 
-    /// Publishes all facts of this process again under a later incarnation; returns their ids.
+    /// Publishes all facts of this process again under a later incarnation, and returns their ids.
     pub fn renew_incarnation(&mut self, now: Duration, incarnation: u64) -> Vec<FactId> {
         let own: Vec<(FactId, StoredFact)> = self
             .facts_of(self.own_id)
@@ -291,13 +292,13 @@
                 sequence: self.sequence,
                 ..stored.clone()
             };
-            // Never rejected: it replaces a fact of the same size.
+            // Never rejected: the replacement has the same size.
             self.insert(now, id, renewed);
         }
         own.into_iter().map(|(id, _)| id).collect()
     }
 
-    /// Drops the bodies of expired facts, and forgets facts that no member can still hold.
+    /// Drops the bodies of expired facts, and removes facts that no member can hold any longer.
     pub fn expire(&mut self, now: Duration) {
         let max = self.limits.max_ttl;
         let mut freed = 0;
@@ -341,7 +342,7 @@
         }
     }
 
-    /// A fact as the host sees it, unless it has expired.
+    /// The fact in the form for the host, unless it has expired.
     pub fn live_fact(&self, now: Duration, id: &FactId, source: &str) -> Option<Fact> {
         let stored = self.facts.get(id)?;
         let age = self.age(now, stored);
@@ -357,7 +358,7 @@
         })
     }
 
-    /// Whether an earlier incarnation of this process published it.
+    /// Whether the fact was published by an earlier incarnation of this process.
     pub fn is_of_earlier_incarnation(&self, id: &FactId) -> bool {
         self.facts
             .get(id)
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -53,7 +53,8 @@
         store.live_fact(at(120), &name, "b").is_some()
             && store.live_fact(at(121), &name, "b").is_none()
     );
-    // An expired fact is remembered without its body, so that an older version does not come back; at last it is forgotten.
+    // An expired fact is remembered without its body, so that an older version does not come back. It is removed after
+    // the maximum TTL.
     store.expire(at(121));
     assert!(
         store.bytes() < 100
--- a/crates/membership/src/incarnation.rs
+++ b/crates/membership/src/incarnation.rs
@@ -1,26 +1,28 @@
-//! The incarnation of this process: its start by the host's clock. If others know its name by a later one, that clock was set
-//! back; all members would drop what it sends as stale. So it takes the next number after that.
+//! The incarnation of this process: its start time by the host's clock. If other members know a later incarnation of its
+//! name, that clock was set back, and all members would drop its datagrams as stale. The process then continues under the
+//! next incarnation after the one they know.
 
 use std::time::Duration;
 
-/// Unix milliseconds, in the year 2248. No clock gives a later one, and a forged one near the maximum would leave no successor.
+/// Upper bound of incarnations in Unix milliseconds, in the year 2248. No clock gives a later one, and after a forged one
+/// near the maximum of the type there would be no next one.
 pub(crate) const MAX_INCARNATION: u64 = 1 << 43;
-/// Each renewal waits this many times as long as the one before.
+/// Factor by which the minimum time between two renewals grows with each renewal.
 const BACKOFF_FACTOR: u32 = 4;
 const MAX_BACKOFF: Duration = Duration::from_secs(86_400);
 
-/// What follows from a later incarnation of this name.
+/// Result of a report that other members know a later incarnation of this name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RenewalOutcome {
-    /// The process takes this incarnation.
+    /// The process adopts this incarnation.
     Renewed(u64),
-    /// Too soon after the last renewal: two processes may have this name, and would outbid each other forever.
+    /// Too soon after the last renewal. Two processes may have this name, and would outbid each other forever.
     RateLimited,
-    /// No clock can have given it.
+    /// The reported incarnation lies beyond what a clock can give.
     OutOfRange,
 }
 
-/// The current incarnation, and when it may be renewed.
+/// The current incarnation, and the earliest time of its next renewal.
 #[derive(Clone, Debug)]
 pub(crate) struct IncarnationClock {
     current: u64,
@@ -41,7 +43,7 @@
         self.current
     }
 
-    /// Takes the incarnation after a later one that others know.
+    /// Adopts the next incarnation after `later`, which other members know.
     pub fn renew_after(&mut self, now: Duration, later: u64) -> RenewalOutcome {
         if later >= MAX_INCARNATION {
             return RenewalOutcome::OutOfRange;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,9 @@
-//! Proxies of one fleet that know each other: failure detection (SWIM), the quorum state that follows, the operations that
-//! each state allows, and facts that every member replicates. No clock, no I/O, no log: `Core::handle` takes an event and the
-//! time since some start, and gives actions. What facts say, and how datagrams are authenticated, is not known here.
+//! Fleet membership without I/O. From datagrams, timers and the operators' roster it derives which members are alive
+//! (failure detection by SWIM), the quorum state of the fleet and of each region, and which guarded operations that state
+//! allows. It also replicates facts that members publish to all other members.
+//!
+//! `Core::handle` takes an event and the time since an origin, and returns actions. The crate reads no clock and logs
+//! nothing. Authentication of datagrams and the meaning of facts are left to the host.
 //!
 //! Reasons, the policy table and all bounds: `docs/design/members.md`.
 
--- a/crates/membership/src/observations.rs
+++ b/crates/membership/src/observations.rs
@@ -1,5 +1,5 @@
-//! What is known of each member, and the counts derived from it. A change of one member moves the counts, so an event costs as
-//! much as it changes, however large the roster is.
+//! The observed state of each member, and counts derived from it. A change of one member updates the counts
+//! incrementally, so the cost of an event does not depend on the size of the roster.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,45 +10,45 @@
 use crate::view::Status;
 use crate::view_message::ViewMessage;
 
-/// What is known of a member.
+/// The observed state of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Observation {
     pub status: Status,
     pub since: Duration,
     pub process: Option<ProcessId>,
-    /// When its last datagram came.
+    /// Time at which its last datagram was received.
     pub last_datagram: Option<Duration>,
 }
 
-/// How an observation changed.
+/// Differences between two observations of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ObservationChange {
     /// Its status or its process changed.
     pub changed: bool,
     /// It became reachable.
     pub rejoined: bool,
-    /// It now has another version of the roster than this process.
+    /// It now has a roster version that differs from this process's.
     pub roster_mismatch: bool,
 }
 
-/// The members of the roster without this process.
+/// The members of the roster except this process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Observations {
     members: BTreeMap<u32, Observation>,
     counts: DerivedCounts,
 }
 
-/// Follows from the members and the roster alone.
+/// Counts that follow from the members and the roster alone.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct DerivedCounts {
     fleet: MemberCounts,
     regions: BTreeMap<String, MemberCounts>,
-    /// Members that are alive or suspected, in the order of their ids.
+    /// Members that are alive or suspected, sorted by id.
     reachable: Vec<u32>,
     suspected: BTreeSet<u32>,
     down: BTreeSet<ProcessId>,
     roster_mismatches: usize,
-    /// The hash of `down`, until it changes.
+    /// Cached hash of `down`; cleared when `down` changes.
     down_hash: Option<ViewMessage>,
 }
 
@@ -143,7 +143,7 @@
 }
 
 impl Observations {
-    /// Fits the members to the roster; returns the processes of those that are no longer in it.
+    /// Adjusts the members to a new roster; returns the processes of members that are no longer in it.
     pub fn apply_roster(
         &mut self,
         now: Duration,
@@ -171,7 +171,7 @@
         gone
     }
 
-    /// Takes the status of a process. `None` if it is of no member.
+    /// Records the status of a process. Returns `None` if its member is not in the roster.
     pub fn update(
         &mut self,
         now: Duration,
@@ -221,14 +221,14 @@
         self.members.len()
     }
 
-    /// A datagram of the member came.
+    /// Records that a datagram of the member was received.
     pub fn record_datagram(&mut self, id: u32, now: Duration) {
         if let Some(observation) = self.members.get_mut(&id) {
             observation.last_datagram = Some(now);
         }
     }
 
-    /// Suspicions start anew after a pause of this process, which heard no refutation meanwhile.
+    /// Restarts all suspicions after a pause of this process, during which it could not receive refutations.
     pub fn restart_suspicions(&mut self, now: Duration) {
         for id in &self.counts.suspected {
             if let Some(observation) = self.members.get_mut(id) {
@@ -245,7 +245,7 @@
         &self.counts.regions
     }
 
-    /// Members that are alive or suspected, in the order of their ids.
+    /// Members that are alive or suspected, sorted by id.
     pub fn reachable(&self) -> &[u32] {
         &self.counts.reachable
     }
@@ -259,7 +259,7 @@
         self.counts.suspected.iter().filter_map(since)
     }
 
-    /// Reachable members that have another version of the roster.
+    /// Number of reachable members that have another version of the roster.
     pub fn roster_mismatches(&self) -> usize {
         self.counts.roster_mismatches
     }
@@ -276,7 +276,7 @@
             .get_or_insert_with(|| ViewMessage::hash(&counts.down))
     }
 
-    /// Whether the counts are what counting all members anew gives.
+    /// Whether the counts equal a recount of all members.
     pub fn counts_match(&self, roster: &IndexedRoster, own_id: u32) -> bool {
         let hash = self.counts.down_hash.clone();
         let recount = DerivedCounts {
--- a/crates/membership/src/policy.rs
+++ b/crates/membership/src/policy.rs
@@ -1,19 +1,19 @@
-//! The policy table: which operations are allowed in which quorum state.
+//! The policy table: which operations each quorum state allows.
 
 use std::fmt;
 
 use crate::quorum::QuorumState;
 
-/// An operation of another part of the proxy that the state of the fleet may forbid.
+/// An operation of another component of the proxy that depends on the state of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GuardedOperation {
     /// Lend quota to another proxy.
     Lend,
     /// Use quota that this proxy holds.
     SpendOwn,
-    /// Give borrowed quota back.
+    /// Return borrowed quota.
     Repay,
-    /// Take a rollout to more of the fleet.
+    /// Extend a rollout to more of the fleet.
     Promote,
     /// Stop a rollout, or roll it back.
     Halt,
@@ -21,21 +21,21 @@
     TrustRemoteFact,
 }
 
-/// What the policy table says of an operation in a quorum state.
+/// Permission for an operation in a quorum state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Always.
+    /// The operation is always allowed.
     Allowed,
-    /// Never.
+    /// The operation is never allowed.
     Denied,
-    /// Only while every reachable member has the same version of the roster.
+    /// Allowed only while every reachable member has the same version of the roster.
     IfRosterAgreed,
-    /// While the fact has not expired; `Core::facts` returns no others.
+    /// Allowed until the fact expires; `Core::facts` returns no expired facts.
     UntilExpiry,
 }
 
-/// Permissions of each operation in the states complete, degraded, minority, alone, and while the process suspects itself.
-/// `docs/design/members.md` shows the same table; a test compares the two.
+/// Permissions of each operation in the quorum states complete, degraded, minority and alone, and while the process
+/// suspects itself. `docs/design/members.md` has the same table; a test compares the two.
 pub const POLICY_TABLE: [(GuardedOperation, [Permission; 5]); 6] = {
     const ALLOWED: Permission = Permission::Allowed;
     const DENIED: Permission = Permission::Denied;
@@ -57,7 +57,7 @@
     ]
 };
 
-/// Looks an operation up. A process that suspects itself has a column of its own, whatever its last quorum state was.
+/// Looks up the permission for an operation. The column of a process that suspects itself applies in every quorum state.
 pub fn permission(
     operation: GuardedOperation,
     state: QuorumState,
@@ -76,38 +76,38 @@
         .map_or(Permission::Denied, |(_, permissions)| permissions[column])
 }
 
-/// Why an operation may not be done now. All but `Left` can pass by themselves.
+/// Why an operation is not allowed now. All causes but `Left` can pass without intervention.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperationDenied {
-    #[error("{alive} of {total} members{} are heard, or not for long enough ({state}): look at the network between \
-             proxies, or wait", InRegion(.region))]
+    #[error("no quorum ({state}): {alive} of {total} members{} are alive, or a better state has not held for \
+             long enough: check the network between the proxies, or wait", InRegion(.region))]
     /// Too few members of the fleet or the region are alive.
     NoQuorum {
         /// The quorum state.
         state: QuorumState,
-        /// Members that are alive, this one included.
+        /// Number of members that are alive, including this process.
         alive: usize,
-        /// Members of the roster.
+        /// Number of members of the roster.
         total: usize,
-        /// The region, if its members alone were counted.
+        /// The region, if only its members were counted.
         region: Option<String>,
     },
-    /// This process was paused, or nobody answers its probes.
+    /// This process was paused, or no member acknowledges its probes.
     #[error(
-        "this process was paused or late, and has not heard enough others again: wait a few periods; if it \
+        "this proxy was paused or late, or too few members acknowledge its probes: wait a few probe periods; if it \
              lasts, the host is overloaded"
     )]
     SelfSuspected,
-    /// So many members have another version of the roster.
+    /// The given number of reachable members has another version of the roster.
     #[error(
-        "{0} members say another version of the roster: bring all proxies to one roster first"
+        "{0} reachable members have another version of the roster: give all proxies the same roster first"
     )]
     RosterDiffers(usize),
-    /// No member of the roster is in that region.
-    #[error("no member of the roster is in region {0:?}: ask for one that the roster has")]
+    /// The roster has no member in the given region.
+    #[error("the roster has no member in region {0:?}: name a region that occurs in the roster")]
     UnknownRegion(String),
     /// This process has left the fleet.
-    #[error("this proxy has left the fleet: start it again to come back")]
+    #[error("this proxy has left the fleet: restart it to rejoin")]
     Left,
 }
 
--- a/crates/membership/src/process_id.rs
+++ b/crates/membership/src/process_id.rs
@@ -1,18 +1,18 @@
-//! The identity of a process of a member, as SWIM knows it.
+//! The identity of a member's process in SWIM.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// `rejoins` of a process that has left: there is no other way to tell a leave from a death.
+/// Value of `rejoins` that marks a process that has left: SWIM itself cannot distinguish leaving from failing.
 pub(crate) const LEFT_REJOINS: u16 = u16::MAX;
 
 /// A process of a member. Serialised by position: the order of the fields is the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct ProcessId {
-    /// The id of its name.
+    /// Id of the member (a hash of its name).
     pub member: u32,
     pub incarnation: u64,
-    /// How often it rejoined after it was declared down, or changed its roster.
+    /// Number of times that the process rejoined after it was declared down, or changed its roster.
     pub rejoins: u16,
     pub roster_version: u64,
 }
@@ -27,7 +27,7 @@
     type Addr = u32;
 
     fn renew(&self) -> Option<Self> {
-        // The last number is kept for a process that left.
+        // The last value is reserved for a process that has left.
         (self.rejoins < LEFT_REJOINS - 1).then(|| Self {
             rejoins: self.rejoins + 1,
             ..*self
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -1,18 +1,19 @@
-//! How much of the fleet this process hears: member counts, and the quorum state that follows from them.
+//! Member counts and the quorum state: how much of the fleet is reachable from this process.
 
 use std::fmt;
 use std::time::Duration;
 
-/// How much of a roster is reachable, this process included. Ordered: each state allows at least what the one before does.
+/// How much of a roster is reachable, including this process. In ascending order: each state allows at least what the
+/// previous one allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QuorumState {
     /// No other member is reachable.
     Alone,
-    /// Half of the roster or fewer.
+    /// At most half of the roster is alive.
     Minority,
-    /// More than half of the roster.
+    /// More than half of the roster is alive.
     Degraded,
-    /// All members that have not left.
+    /// All members that have not left are reachable, and more than half of the roster is alive.
     Complete,
 }
 
@@ -27,24 +28,25 @@
     }
 }
 
-/// Members of the roster, or of its part in one region, by status.
+/// Number of members by status, of the whole roster or of one region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct MemberCounts {
     /// Members of the roster.
     pub total: usize,
-    /// Members that are alive, this process included.
+    /// Members that are alive, including this process.
     pub alive: usize,
-    /// Members under suspicion.
+    /// Members that are suspected.
     pub suspect: usize,
-    /// Members that left on their own.
+    /// Members that announced that they leave.
     pub left: usize,
-    /// Whether this process is among `total`.
+    /// Whether `total` includes this process.
     pub includes_self: bool,
 }
 
 impl MemberCounts {
-    /// The state by these counts alone. A suspected member does not count for the majority, so that a majority is lost at
-    /// once; but it is not missing either, so that one lost probe does not degrade the fleet.
+    /// The quorum state for these counts, without regard to time. A suspected member does not count towards the majority,
+    /// so that a majority is lost at once; but it does not count as missing either, so that one lost probe does not
+    /// degrade the fleet.
     pub fn state(self) -> QuorumState {
         let mine = usize::from(self.includes_self);
         if self.total > mine && self.alive + self.suspect == mine {
@@ -59,7 +61,7 @@
     }
 }
 
-/// The quorum state over time: it falls at once, and rises only after the better state has held.
+/// The quorum state over time: it falls at once, and rises only after the better state has held for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct QuorumTracker {
     /// The state after the last update.
@@ -82,7 +84,7 @@
 }
 
 impl QuorumTracker {
-    /// Takes the counts of now. A better state counts once it has held for `hold`.
+    /// Applies the current counts. A better state takes effect once it has held for `hold`.
     pub fn update(&mut self, now: Duration, counts: MemberCounts, hold: Duration) -> QuorumState {
         let raw = counts.state();
         self.counts = counts;
@@ -101,7 +103,7 @@
         self.state
     }
 
-    /// After a pause no state has held.
+    /// Restarts the hold times: after a pause of this process no state counts as held.
     pub fn reset_hold(&mut self) {
         self.majority_since = None;
         self.complete_since = None;
--- a/crates/membership/src/recorded.rs
+++ b/crates/membership/src/recorded.rs
@@ -1,4 +1,5 @@
-//! Datagrams of the first version, as they were sent. Every build has to read them; datagrams of a later version are counted.
+//! Recorded datagrams of format version 1, which every build has to read. Datagrams of a later version are counted and
+//! dropped.
 
 use crate::facts::{AntiEntropyMessage, FactVersion, HashRange, SourceHash, WireFact};
 use crate::process_id::ProcessId;
@@ -11,20 +12,20 @@
 
 const START: u64 = 1_800_000_000_000;
 
-/// The bytes of that name.
+/// The recorded datagram with the given name.
 fn recorded(name: &str) -> Vec<u8> {
     let lines = include_str!("../tests/version-1.hex").lines();
     let hex = lines
         .filter_map(|line| line.split_once(' '))
         .find(|(of, _)| *of == name);
     hex::decode(
-        hex.unwrap_or_else(|| panic!("nothing is recorded as {name}"))
+        hex.unwrap_or_else(|| panic!("no datagram is recorded under the name {name}"))
             .1,
     )
     .unwrap()
 }
 
-/// The process of `n0` to `n3` as it was recorded.
+/// The recorded process of member `n0` to `n3`.
 fn id(member: u32) -> ProcessId {
     let names = ["n0", "n1", "n2", "n3"];
     let start = START + u64::from(member);
@@ -47,7 +48,7 @@
 ) {
     let bytes = recorded(name);
     let Some((&SWIM_KIND, mut rest)) = bytes.split_first() else {
-        panic!("{name} is no packet of foca")
+        panic!("{name} is not a packet of foca")
     };
     let header: Header<ProcessId> = PostcardCodec.decode_header(&mut rest).unwrap();
     let mut members = Vec::new();
@@ -73,7 +74,7 @@
     };
     let all = vec![(n2, Alive), (n3, Alive), (n1, Alive)];
     let others = vec![(n0, Alive), (n2, Alive), (n3, Alive)];
-    // It was declared down, and rejoined.
+    // n3 was declared down and rejoined.
     let back = vec![(ProcessId { rejoins: 1, ..n3 }, Alive)];
     let recorded = [
         ("swim-Ping", (n0, n3, Message::Ping(1), all.clone())),
@@ -141,13 +142,13 @@
 
 fn anti_entropy_message(name: &str) -> AntiEntropyMessage {
     let bytes = recorded(name);
-    assert_eq!(bytes[0], 2, "{name} is about facts");
+    assert_eq!(bytes[0], 2, "{name} is not a message about facts");
     postcard::from_bytes(&bytes[1..]).unwrap()
 }
 
 fn view_message(name: &str) -> ViewMessage {
     let bytes = recorded(name);
-    assert_eq!(bytes[0], 3, "{name} is about views");
+    assert_eq!(bytes[0], 3, "{name} is not a message about views");
     postcard::from_bytes(&bytes[1..]).unwrap()
 }
 
@@ -169,7 +170,7 @@
             sources
         }
     );
-    // How keys are hashed is part of the format.
+    // The hash function of keys is part of the format.
     let versions = vec![FactVersion {
         key_hash: hash_bytes(1, &[9, 0]),
         incarnation: start,
@@ -224,7 +225,7 @@
     Core::new(Config::new("n3", START + 3, roster), 1).unwrap()
 }
 
-/// Whole datagrams: their sender becomes alive, and its fact is stored.
+/// Complete datagrams: their sender becomes alive, and its fact is stored.
 #[test]
 fn a_core_accepts_datagrams_of_the_first_version() {
     let (mut core, mut actions) = (core(), Vec::new());
@@ -269,8 +270,8 @@
     );
 }
 
-/// Kinds of datagrams and messages that this build does not know, and known ones without content: each is counted, none is
-/// answered, and no member becomes alive by it.
+/// Unknown kinds of datagrams and messages, and known kinds without content: each is counted, none is answered, and no
+/// member becomes alive because of it.
 #[test]
 fn datagrams_of_a_later_version_are_counted_and_dropped() {
     let (mut core, mut actions) = (core(), Vec::new());
--- a/crates/membership/src/republish_interval.rs
+++ b/crates/membership/src/republish_interval.rs
@@ -1,14 +1,16 @@
-//! How often a fact may be published, so that what each member receives does not grow with the fleet.
+//! The interval at which facts are published, so that the rate that each member receives does not grow with the fleet.
 
 use std::time::Duration;
 
-/// Facts of one sort that each member receives per second, at most. At 350 bytes for each reception, 50 are 18 kB/s.
+/// Maximum rate of facts of one sort that each member receives. At 350 bytes for each reception, 50 per second are 18
+/// kB/s.
 const MAX_FACTS_PER_SECOND: u32 = 50;
-/// A fact is published so often within its TTL, so that one lost publication does not expire it.
+/// A fact is published at least this often within its TTL, so that it does not expire when one publication is lost.
 const MIN_PUBLICATIONS_PER_TTL: u32 = 3;
 
-/// The time between two publications of a sort of fact. Each of `members` publishes `facts` of it, with a TTL of `ttl`, and
-/// would like to do so every `wanted`. In a large fleet the interval grows, to a third of the TTL at most.
+/// The time between two publications of a sort of fact. Each of `members` members publishes `facts` facts of this sort
+/// with a TTL of `ttl`; `wanted` is the interval in a small fleet. In a large fleet the interval grows, to a third of the
+/// TTL at most.
 pub fn republish_interval(
     members: usize,
     facts: usize,
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! Who should be in the fleet, by the operators' file. Who is reachable is another matter.
+//! The roster: the members of the fleet according to the operators' file, whether they are reachable or not.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher as _;
@@ -8,64 +8,64 @@
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
-/// One proxy of the fleet. Its address is the one that this proxy sends to; other proxies may have another one for it.
+/// One proxy of the fleet. `address` is the one that this proxy sends to; the rosters of other proxies may have a
+/// different one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Unique in the fleet.
     pub name: String,
-    /// Where its datagrams are sent to.
+    /// Destination of datagrams to this member.
     pub address: SocketAddr,
     /// Its region, for regional quorums.
     pub region: String,
 }
 
-/// Who should be in the fleet.
+/// The members of the fleet according to the operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
-    /// Set by the operators. Members with different versions do not promote changes.
+    /// Set by the operators. Promotions stop while reachable members have different versions.
     pub version: u64,
-    /// All proxies, this one included.
+    /// All proxies, including this one.
     pub members: Vec<Member>,
 }
 
-/// Why a roster is rejected. A retry needs another roster.
+/// Why a roster is rejected. Only another roster helps; a retry does not.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RosterError {
-    /// This process is not in it.
+    /// The roster does not contain this process.
     #[error(
-        "the roster has no member {0:?}, which is this proxy: add it, or start the proxy under a name in it"
+        "the roster does not contain this proxy, {0:?}: add it, or start the proxy under a name from the roster"
     )]
     MissingSelf(String),
-    /// A name stands in it twice.
-    #[error("the roster names {0:?} twice: a name is one proxy, remove one of them")]
+    /// The roster contains a name twice.
+    #[error("the roster contains the name {0:?} twice: names identify proxies, so remove or rename one of the two entries")]
     DuplicateName(String),
     /// Two names have the same id.
-    #[error(
-        "the names {0:?} and {1:?} have the same number (a hash of the name): rename one of them"
-    )]
+    #[error("the names {0:?} and {1:?} have the same id (a hash of the name): rename one of them")]
     IdCollision(String, String),
 }
 
-/// The id of a member on the wire: a hash of its name (FNV-1a, 32 bits). Shorter than the name, and the same at every member.
+/// The id of a member on the wire: a hash of its name (FNV-1a, 32 bits). It is shorter than the name, and the same at
+/// every member.
 pub fn member_id(name: &str) -> u32 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish32()
 }
 
-/// The first number of SplitMix64 from this seed: a hash that is the same on every host.
+/// The first output of SplitMix64 for a seed: a hash that is the same on every host.
 pub(crate) fn mix(seed: u64) -> u64 {
     SplitMix64::seed_from_u64(seed).next_u64()
 }
 
-/// Continues a hash over bytes.
+/// Extends a hash by bytes.
 pub(crate) fn hash_bytes(hash: u64, bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(mix(hash), |hash, byte| mix(hash ^ u64::from(*byte)))
 }
 
-/// A roster with its members by id.
+/// A roster with its members indexed by id.
 #[derive(Clone, Debug)]
 pub(crate) struct IndexedRoster {
     pub version: u64,
--- a/crates/membership/src/swim/config.rs
+++ b/crates/membership/src/swim/config.rs
@@ -1,14 +1,14 @@
-//! How `foca` is set.
+//! Settings of `foca`.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
 use foca::{Config, PeriodicParams};
 
-/// What `foca` may fill of a datagram of 1,200 bytes, beside the byte of its kind.
+/// Size of a SWIM packet: a datagram of 1,200 bytes without the byte of its kind.
 const PACKET_BYTES: usize = 1199;
 
-/// How `foca` is set.
+/// Inputs of the settings of `foca`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SwimConfig {
     pub probe_period: Duration,
@@ -24,8 +24,8 @@
 
 impl SwimConfig {
     pub fn foca(self) -> Config {
-        // Each update is sent often enough that all hear of it: as often as a number of that size has bits, and
-        // half again against loss.
+        // Each update is sent often enough that it reaches all members: the number of bits of the roster's size, plus a
+        // half against loss.
         let bits = usize::BITS - self.roster_size.leading_zeros();
         Config {
             probe_period: self.probe_period,
@@ -33,7 +33,8 @@
             num_indirect_probes: some(self.indirect_probes),
             max_transmissions: NonZeroU8::new(4 + 3 * bits as u8 / 2).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: self.suspicion_timeout,
-            // As many as the roster has are remembered: strangers never reach it.
+            // Down members are never removed: members outside the roster are filtered out before, so their number is
+            // bounded.
             remove_down_after: None,
             max_packet_size: some(PACKET_BYTES),
             notify_down_members: true,
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,4 +1,5 @@
-//! Failure detection by SWIM (`foca`): its timers, its packets without members outside the roster, and the messages it lacks.
+//! Failure detection by SWIM (`foca`): runs its timers, removes members outside the roster from its packets, and adds
+//! messages that it lacks.
 
 mod config;
 mod packet;
@@ -23,17 +24,18 @@
 /// The first byte of a datagram with a SWIM packet.
 pub(crate) const SWIM_KIND: u8 = 1;
 
-/// `foca` with its timers and its outbox.
+/// An instance of `foca` with its timers and its outbox.
 pub(crate) struct Swim {
     foca: Foca<ProcessId, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<ProcessId>,
     timers: BTreeMap<(Duration, u64), Timer<ProcessId>>,
     timer_count: u64,
-    /// Datagrams to send, taken by the core.
+    /// Datagrams to send, with the member ids of their receivers; drained by the core.
     pub outbox: Vec<(u32, Vec<u8>)>,
-    /// A member may have changed since the core last observed them. `foca` reports who comes and goes, not who is suspected.
+    /// Whether a member may have changed since the core last read the members. `foca` reports members that come and go,
+    /// but not suspicions.
     pub changed: bool,
-    /// Calls that `foca` rejected, which should not happen.
+    /// Number of calls that `foca` rejected, which should not happen.
     pub errors: u64,
 }
 
@@ -66,12 +68,12 @@
             .map(|member| (*member.id(), status(member)))
     }
 
-    /// When the next timer is due.
+    /// Time at which the next timer is due.
     pub fn next_due(&self) -> Option<Duration> {
         self.timers.keys().next().map(|(due, _)| *due)
     }
 
-    /// Moves all timers on, in their order: after a pause no reply is overdue.
+    /// Postpones all timers and keeps their order, so that no reply is overdue after a pause.
     pub fn postpone(&mut self, by: Duration) {
         let timers = std::mem::take(&mut self.timers);
         self.timers = timers
@@ -86,22 +88,22 @@
             let Some((_, timer)) = self.timers.pop_first() else {
                 break;
             };
-            // The end of a probe suspects a member that did not answer.
+            // The end of a probe period suspects a member that did not acknowledge the probe.
             self.changed |= matches!(timer, Timer::ProbeRandomMember(_));
             let done = self.foca.handle_timer(timer, &mut self.runtime);
             self.collect_effects(now, done);
         }
     }
 
-    /// Announces this process to another.
+    /// Announces this process to another process.
     pub fn announce(&mut self, now: Duration, to: ProcessId) {
         let done = self.foca.announce(to, &mut self.runtime);
         self.collect_effects(now, done);
     }
 
-    /// Announces another version of the roster from now on.
+    /// Announces a new version of the roster from now on.
     pub fn change_roster(&mut self, now: Duration, version: u64, config: SwimConfig) {
-        // Only settings that depend on the roster's size change; `foca` accepts those while it runs.
+        // Only settings that depend on the roster's size change; `foca` accepts changes of those while it runs.
         let done = self.foca.set_config(config.foca());
         self.collect_effects(now, done);
         if let Some(id) = self
@@ -122,7 +124,7 @@
 
     /// Continues under a later incarnation.
     pub fn change_incarnation(&mut self, now: Duration, incarnation: u64) {
-        // Queued datagrams name the former incarnation.
+        // Queued datagrams carry the former incarnation.
         self.outbox.clear();
         self.changed = true;
         let id = ProcessId {
@@ -134,7 +136,7 @@
         self.collect_effects(now, done);
     }
 
-    /// A member is no longer in the roster: it is not probed any more, and others are not told that it is down.
+    /// Stops probing a member that is no longer in the roster, without reporting to others that it is down.
     pub fn remove_member(&mut self, now: Duration, id: ProcessId) {
         let done =
             self.foca
@@ -142,8 +144,8 @@
         self.collect_effects(now, done);
     }
 
-    /// Tells a suspected member of the suspicion, so that it refutes it. `foca` does so only by chance, and not at all for a
-    /// suspicion whose timer it dropped under a new identity: such a member would stay suspected for good.
+    /// Notifies a suspected member of the suspicion, so that it refutes it. `foca` does so only by chance, and never for
+    /// a suspicion whose timer it dropped under a new identity: without this message the member would stay suspected.
     pub fn notify_suspect(&mut self, now: Duration, member: u32) {
         let Some(member) = self.suspected(member) else {
             return;
@@ -151,7 +153,7 @@
         self.send(now, *member.id(), Message::Gossip, Some(&member));
     }
 
-    /// Pings a member outside the probe rounds. Its ack belongs to no probe, but counts as a datagram of its own.
+    /// Pings a member outside the probe rounds. The ack belongs to no probe, but counts as a datagram of the member.
     pub fn ping(&mut self, now: Duration, id: ProcessId) {
         self.send(now, id, Message::Ping(0), None);
     }
@@ -163,7 +165,8 @@
         message: Message<ProcessId>,
         update: Option<&Member<ProcessId>>,
     ) {
-        // SWIM's own incarnation counter: 0 is old news to the receiver, so this header changes nothing there.
+        // The incarnation counter of SWIM itself: the receiver ignores 0 as outdated, so this header has no further
+        // effect.
         let header = Header {
             src: self.own_id(),
             src_incarnation: 0,
@@ -212,7 +215,7 @@
         self.collect_effects(now, done);
     }
 
-    /// Takes over who is down for another member.
+    /// Adopts the processes that are down in another member's view.
     pub fn apply_down(&mut self, now: Duration, downs: Vec<ProcessId>) {
         if !downs.is_empty() {
             self.changed = true;
@@ -231,7 +234,7 @@
         members.find(|other| other.id().member == member).cloned()
     }
 
-    /// Tells others that this process leaves; nothing is done after it.
+    /// Notifies other members that this process leaves, and stops all timers.
     pub fn leave(&mut self, now: Duration) {
         let id = ProcessId {
             rejoins: LEFT_REJOINS,
@@ -244,7 +247,7 @@
         self.timers.clear();
     }
 
-    /// Takes a packet whose authenticated sender is `from`: member id and incarnation.
+    /// Handles a packet; `from` is the authenticated sender's member id and incarnation.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -274,13 +277,13 @@
         self.changed |= changed;
         let is_known = |member: u32| member == own_id || observations.get(member).is_some();
         if subject_of(&header.message).is_some_and(|subject| !is_known(subject)) {
-            // It asks for a probe of a member without an address here.
+            // The packet concerns a probe of a member that has no address here.
             return Ok(PacketSummary {
                 unknown_members: unknown_members + 1,
                 ..PacketSummary::default()
             });
         }
-        // `foca` may change its identity by this packet, so both are read before.
+        // Handling the packet may change this process's identity, so both are computed before.
         let summary = self.summarize(&header, unknown_members);
         let answer_ping = self.is_ping_to_earlier_identity(&header);
         let done = match filtered {
@@ -312,8 +315,8 @@
         }
     }
 
-    /// `foca` ignores a ping to an earlier identity of this process. Its sender missed the new identity and would go on to
-    /// declare a living process down, so it is told the present one.
+    /// Whether a packet is a ping to an earlier identity of this process, which `foca` ignores. The sender missed the new
+    /// identity and would declare this running process down, so it has to be sent the current one.
     fn is_ping_to_earlier_identity(&self, header: &Header<ProcessId>) -> bool {
         header.dst.member == self.own_id().member
             && self.own_id().win_addr_conflict(&header.dst)
@@ -322,7 +325,7 @@
 
     fn collect_effects(&mut self, now: Duration, done: Result<(), foca::Error>) {
         match done {
-            // Nobody to gossip to, or a packet for an earlier identity: both are normal.
+            // No member to gossip to, or a packet for an earlier identity: both are normal.
             Ok(()) | Err(foca::Error::NotConnected) => {}
             Err(_) => self.errors += 1,
         }
--- a/crates/membership/src/swim/packet.rs
+++ b/crates/membership/src/swim/packet.rs
@@ -1,30 +1,30 @@
-//! What the headers of SWIM packets say, and their updates without members outside the roster.
+//! Inspection of SWIM packets: their headers, and their updates without members outside the roster.
 
 use foca::{Codec, Member, Message, PostcardCodec};
 
 use crate::process_id::ProcessId;
 
-/// What the core needs to know of a packet, beside what `foca` makes of it.
+/// Information from a packet for the core, in addition to the effects of the packet on `foca`.
 #[derive(Debug, Default)]
 pub(crate) struct PacketSummary {
-    /// A member that answered a probe of this process, directly or through another.
+    /// The member that acknowledged a probe of this process, directly or through another member.
     pub acked: Option<u32>,
-    /// Updates about members that are not in the roster.
+    /// Number of updates about members that are not in the roster.
     pub unknown_members: usize,
-    /// The packet is for a later incarnation of this process's name.
+    /// The incarnation that the packet is addressed to, if it is later than this process's.
     pub later_incarnation: Option<u64>,
 }
 
 /// Why a packet is dropped.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PacketError {
-    /// It can't be decoded.
+    /// The packet cannot be decoded.
     Malformed,
-    /// It names another sender than its envelope.
+    /// The packet names a different sender than its envelope.
     SenderMismatch,
 }
 
-/// The member that a message asks about.
+/// The third member that an indirect probe concerns, if the message belongs to one.
 pub(super) fn subject_of(message: &Message<ProcessId>) -> Option<u32> {
     match message {
         Message::PingReq { target, .. } | Message::IndirectAck { target, .. } => {
@@ -37,9 +37,9 @@
     }
 }
 
-/// The updates behind a packet's header, without unknown members (`None` if there are none to take out), and how many of these
-/// there are. `foca` would probe a member without an address, and then tell others that it is down. `foca` documents the
-/// layout: a count of two bytes, then the members.
+/// The updates after a packet's header without unknown members (`None` if there are no unknown members), and the number
+/// of updates removed. `foca` would probe unknown members, which have no address here, and then report them down to
+/// others. `foca` documents the layout: a count of two bytes, then the members.
 pub(super) fn known_members(
     rest: &[u8],
     mut known: impl FnMut(&Member<ProcessId>) -> bool,
--- a/crates/membership/src/view_message.rs
+++ b/crates/membership/src/view_message.rs
@@ -1,4 +1,4 @@
-//! Messages by which two members compare who is down.
+//! Messages by which two members compare which processes are down.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 /// Serialised by position: the order of variants and fields is the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ViewMessage {
-    /// The hash of all processes that are down for the sender.
+    /// Hash of all processes that are down in the sender's view.
     Hash(u64),
-    /// Processes that are down for the sender; in a reply those that the receiver lacks.
+    /// Processes that are down in the sender's view; in a reply only those that the receiver lacks.
     Down { is_reply: bool, ids: Vec<ProcessId> },
 }
 
