--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -8,18 +8,18 @@
     Duration::from_millis(ms)
 }
 
-/// Number of requests in each of forty heartbeats (four seconds) after a digest of `claims` sources and `back` rejoins;
-/// `answers` simulates the replies.
-fn play(
-    claims: u32,
-    back: usize,
-    mut answers: impl FnMut(&mut AntiEntropy, u32, u32),
+/// Number of requests in each of forty heartbeats (four seconds) after a digest of `sources` sources and `rejoins` rejoins;
+/// `reply` simulates the replies.
+fn requests_per_heartbeat(
+    sources: u32,
+    rejoins: usize,
+    mut reply: impl FnMut(&mut AntiEntropy, u32, u32),
 ) -> Vec<usize> {
     let (mut anti_entropy, mut rng) = (AntiEntropy::new(ms(400)), StdRng::seed_from_u64(1));
-    (0..back).for_each(|_| anti_entropy.member_rejoined(1000));
+    (0..rejoins).for_each(|_| anti_entropy.member_rejoined(1000));
     anti_entropy.receive_digest(
         1,
-        (0..claims)
+        (0..sources)
             .map(|source| SourceHash { source, hash: 7 })
             .collect(),
         &mut rng,
@@ -36,7 +36,7 @@
         );
         requests
             .iter()
-            .for_each(|request| answers(&mut anti_entropy, request.to, request.source));
+            .for_each(|request| reply(&mut anti_entropy, request.to, request.source));
         requests.len()
     };
     (0..40).map(heartbeat).collect()
@@ -46,30 +46,30 @@
 fn requests_are_rate_limited_and_end_without_a_reply() {
     // Without rejoins four of a hundred sources are pulled; a source whose sender does not reply is requested three
     // times.
-    let without_rejoins = play(100, 0, |_, _, _| {});
+    let without_rejoins = requests_per_heartbeat(100, 0, |_, _, _| {});
     assert_eq!(
         (without_rejoins[0], without_rejoins.iter().sum::<usize>()),
         (4, 12)
     );
-    let after_rejoins = play(100, 24, |_, _, _| {});
+    let after_rejoins = requests_per_heartbeat(100, 24, |_, _, _| {});
     assert!(
         after_rejoins[0] == PULLS_PER_HEARTBEAT && after_rejoins.iter().sum::<usize>() == 300,
         "{after_rejoins:?}"
     );
     // A reply ends the pull, unless it filled its datagrams.
-    let answered = play(100, 24, |anti_entropy, to, source| {
+    let answered = requests_per_heartbeat(100, 24, |anti_entropy, to, source| {
         anti_entropy.record_received(to, source, 500)
     });
     assert_eq!(answered.iter().sum::<usize>(), 100);
-    let mut left = 3;
-    let long = play(1, 0, |anti_entropy, to, source| {
-        left -= 1;
-        anti_entropy.record_received(to, source, if left > 0 { 4000 } else { 100 });
+    let mut remaining = 3;
+    let long_reply = requests_per_heartbeat(1, 0, |anti_entropy, to, source| {
+        remaining -= 1;
+        anti_entropy.record_received(to, source, if remaining > 0 { 4000 } else { 100 });
     });
-    assert_eq!(long.iter().sum::<usize>(), 3);
+    assert_eq!(long_reply.iter().sum::<usize>(), 3);
     // Facts that another member sends do not count as a reply.
     assert_eq!(
-        play(1, 0, |anti_entropy, _, source| anti_entropy
+        requests_per_heartbeat(1, 0, |anti_entropy, _, source| anti_entropy
             .record_received(9, source, 500))
         .iter()
         .sum::<usize>(),
--- a/crates/membership/src/core/failure_detection.rs
+++ b/crates/membership/src/core/failure_detection.rs
@@ -107,18 +107,18 @@
     }
 
     /// Announces this process to some members that are not reachable. This also heals partitions.
-    pub(super) fn announce_to_silent(&mut self, now: Duration, count: usize) {
+    pub(super) fn announce_to_unreachable(&mut self, now: Duration, count: usize) {
         // Under a new identity (after a change of the roster or a rejoin) `foca` sends nothing until it receives a
         // packet. If all processes change their identities at once, none would send: so without acks this process
         // announces itself to reachable members as well.
-        let silent = now > self.last_ack + self.config.probe_period * 2;
-        if !silent && self.observations.reachable().len() == self.observations.len() {
+        let without_acks = now > self.last_ack + self.config.probe_period * 2;
+        if !without_acks && self.observations.reachable().len() == self.observations.len() {
             return;
         }
         let candidates = self
             .observations
             .iter()
-            .filter(|(_, observed)| silent || !is_reachable(observed.status))
+            .filter(|(_, observed)| without_acks || !is_reachable(observed.status))
             .map(|(member, observed)| (member, *observed));
         for (member, observed) in candidates.sample(&mut self.rng, count) {
             let unknown = ProcessId {
@@ -178,7 +178,11 @@
             .iter_mut()
             .filter(|(_, pinged)| pinged.is_none());
         for (member, pinged) in waiting.sample(&mut self.rng, DISPUTE_PROBES_PER_HEARTBEAT) {
-            if let Some(process) = self.observations.get(*member).and_then(|of| of.process) {
+            if let Some(process) = self
+                .observations
+                .get(*member)
+                .and_then(|observed| observed.process)
+            {
                 *pinged = Some(now);
                 self.swim.ping(now, process);
             }
@@ -192,7 +196,7 @@
         let mut silent = Vec::new();
         self.disputed.retain(|member, pinged| {
             let observed = observations.get(*member);
-            let Some(alive) = observed.filter(|of| of.status == Status::Alive) else {
+            let Some(alive) = observed.filter(|observed| observed.status == Status::Alive) else {
                 return false;
             };
             let Some(pinged) = *pinged else { return true };
--- a/crates/membership/src/core/heartbeat.rs
+++ b/crates/membership/src/core/heartbeat.rs
@@ -20,7 +20,7 @@
         self.next_heartbeat = Some(now + self.config.probe_period / 2);
         let alone = self.observations.reachable().is_empty();
         if self.heartbeats.is_multiple_of(2) {
-            self.announce_to_silent(now, if alone { JOIN_ANNOUNCEMENTS } else { 1 });
+            self.announce_to_unreachable(now, if alone { JOIN_ANNOUNCEMENTS } else { 1 });
             self.facts.expire(now);
         }
         self.discover_members(now);
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -40,7 +40,7 @@
 /// members they know.
 const DISCOVERY_HEARTBEATS: u64 = 10;
 /// Makes the random numbers of the core independent of those of SWIM, which has the same seed.
-const SEED_OF_CORE: u64 = 0x6d65_6d62;
+const CORE_SEED_SALT: u64 = 0x6d65_6d62;
 
 /// A process of the fleet, with its view of the other members and their facts.
 pub struct Core {
@@ -117,7 +117,7 @@
             incarnation: IncarnationClock::new(config.incarnation, config.settle_time),
             swim,
             facts: FactStore::new(own_id, config.incarnation, config.fact_limits),
-            rng: StdRng::seed_from_u64(seed ^ SEED_OF_CORE),
+            rng: StdRng::seed_from_u64(seed ^ CORE_SEED_SALT),
             observations: Observations::default(),
             last_members: Vec::new(),
             fleet_quorum: QuorumTracker::default(),
@@ -220,7 +220,7 @@
     fn start(&mut self, now: Duration) {
         if self.next_heartbeat.is_none() {
             self.next_heartbeat = Some(now + self.config.probe_period / 2);
-            self.announce_to_silent(now, JOIN_ANNOUNCEMENTS);
+            self.announce_to_unreachable(now, JOIN_ANNOUNCEMENTS);
         }
     }
 
--- a/crates/membership/src/core/view_exchange.rs
+++ b/crates/membership/src/core/view_exchange.rs
@@ -76,8 +76,8 @@
     }
 
     fn send_down_members(&mut self, to: u32, is_reply: bool, down: BTreeSet<ProcessId>) {
-        let most = DOWN_IDS_PER_DATAGRAM * MAX_REPLY_DATAGRAMS;
-        let down: Vec<ProcessId> = down.into_iter().sample(&mut self.rng, most);
+        let max_ids = DOWN_IDS_PER_DATAGRAM * MAX_REPLY_DATAGRAMS;
+        let down: Vec<ProcessId> = down.into_iter().sample(&mut self.rng, max_ids);
         if down.is_empty() && !is_reply {
             // The other member's hash differs, so it knows of down members: an empty list requests them.
             let ids = Vec::new();
--- a/crates/membership/src/facts/digest.rs
+++ b/crates/membership/src/facts/digest.rs
@@ -103,8 +103,8 @@
         let chunk_count = versions.chunks(VERSIONS_PER_MESSAGE).count();
         let mut from = 0;
         let mut messages = Vec::new();
-        for (at, chunk) in versions.chunks(VERSIONS_PER_MESSAGE).enumerate() {
-            let to = if at + 1 == chunk_count {
+        for (index, chunk) in versions.chunks(VERSIONS_PER_MESSAGE).enumerate() {
+            let to = if index + 1 == chunk_count {
                 u64::MAX
             } else {
                 chunk[chunk.len() - 1].key_hash
--- a/crates/membership/src/facts/tests.rs
+++ b/crates/membership/src/facts/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use std::time::Duration;
 
-const fn at(secs: u64) -> Duration {
-    Duration::from_secs(secs)
+const fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
 fn wire_fact(source: u32, start: u64, key: u8, sequence: u64, age_ms: u32) -> WireFact {
@@ -24,7 +24,7 @@
 fn later_incarnations_and_sequences_win_and_ages_only_grow() {
     let mut store = FactStore::new(1, 10, FactLimits::default());
     assert!(matches!(
-        store.receive(at(100), wire_fact(2, 5, 1, 4, 0)),
+        store.receive(secs(100), wire_fact(2, 5, 1, 4, 0)),
         ReceiveOutcome::New(_)
     ));
     for (start, sequence, new) in [
@@ -34,33 +34,33 @@
         (4, 9, false),
         (6, 1, true),
     ] {
-        let taken = store.receive(at(100), wire_fact(2, start, 1, sequence, 0));
+        let outcome = store.receive(secs(100), wire_fact(2, start, 1, sequence, 0));
         assert_eq!(
-            matches!(taken, ReceiveOutcome::New(_)),
+            matches!(outcome, ReceiveOutcome::New(_)),
             new,
             "{start} {sequence}"
         );
     }
-    store.receive(at(100), wire_fact(2, 6, 1, 1, 9000));
-    store.receive(at(100), wire_fact(2, 6, 1, 1, 2000));
-    let name = FactId {
+    store.receive(secs(100), wire_fact(2, 6, 1, 1, 9000));
+    store.receive(secs(100), wire_fact(2, 6, 1, 1, 2000));
+    let id = FactId {
         source: 2,
         kind: 1,
         key: vec![1],
     };
-    assert_eq!(store.live_fact(at(101), &name, "b").unwrap().age, at(10));
+    assert_eq!(store.live_fact(secs(101), &id, "b").unwrap().age, secs(10));
     assert!(
-        store.live_fact(at(120), &name, "b").is_some()
-            && store.live_fact(at(121), &name, "b").is_none()
+        store.live_fact(secs(120), &id, "b").is_some()
+            && store.live_fact(secs(121), &id, "b").is_none()
     );
     // An expired fact is remembered without its body, so that an older version does not come back. It is removed after
     // the maximum TTL.
-    store.expire(at(121));
+    store.expire(secs(121));
     assert!(
         store.bytes() < 100
-            && store.receive(at(122), wire_fact(2, 6, 1, 0, 0)) == ReceiveOutcome::Known
+            && store.receive(secs(122), wire_fact(2, 6, 1, 0, 0)) == ReceiveOutcome::Known
     );
-    store.expire(at(692));
+    store.expire(secs(692));
     assert_eq!((store.len(), store.bytes()), (0, 0));
 }
 
@@ -69,19 +69,19 @@
     let limits = FactLimits {
         facts_per_source: 3,
         bytes: 900,
-        max_ttl: at(600),
+        max_ttl: secs(600),
     };
     let mut store = FactStore::new(1, 10, limits);
     let keys = |store: &mut FactStore, now, keys: std::ops::Range<u8>| {
-        let taken = keys.map(|key| store.receive(now, wire_fact(2, 5, key, u64::from(key), 0)));
-        taken
-            .filter(|taken| matches!(taken, ReceiveOutcome::New(_)))
+        let outcomes = keys.map(|key| store.receive(now, wire_fact(2, 5, key, u64::from(key), 0)));
+        outcomes
+            .filter(|outcome| matches!(outcome, ReceiveOutcome::New(_)))
             .count()
     };
-    assert_eq!(keys(&mut store, at(100), 0..5), 3);
-    assert_eq!(keys(&mut store, at(131), 5..7), 2);
+    assert_eq!(keys(&mut store, secs(100), 0..5), 3);
+    assert_eq!(keys(&mut store, secs(131), 5..7), 2);
     assert!((0..5).any(
-        |source| store.receive(at(131), wire_fact(10 + source, 5, 0, 1, 0))
+        |source| store.receive(secs(131), wire_fact(10 + source, 5, 0, 1, 0))
             == ReceiveOutcome::CapacityExceeded
     ));
     assert!(store.bytes() <= 900);
@@ -90,20 +90,22 @@
 #[test]
 fn a_source_replaces_facts_forged_in_its_name() {
     let mut store = FactStore::new(1, 10, FactLimits::default());
-    let mine = store.publish(at(100), 1, vec![1], vec![8], at(60)).unwrap();
+    let own_id = store
+        .publish(secs(100), 1, vec![1], vec![8], secs(60))
+        .unwrap();
     assert_eq!(
-        store.receive(at(101), wire_fact(1, 10, 1, 50, 0)),
+        store.receive(secs(101), wire_fact(1, 10, 1, 50, 0)),
         ReceiveOutcome::Forged
     );
-    let anew = store.wire_fact(at(101), &mine).unwrap();
-    assert_eq!((anew.sequence, anew.body), (51, vec![8]));
+    let republished = store.wire_fact(secs(101), &own_id).unwrap();
+    assert_eq!((republished.sequence, republished.body), (51, vec![8]));
     assert_eq!(
-        store.receive(at(101), wire_fact(1, 10, 2, 60, 0)),
+        store.receive(secs(101), wire_fact(1, 10, 2, 60, 0)),
         ReceiveOutcome::Forged
     );
-    let back = store
+    let withdrawn = store
         .wire_fact(
-            at(101),
+            secs(101),
             &FactId {
                 source: 1,
                 kind: 1,
@@ -111,13 +113,13 @@
             },
         )
         .unwrap();
-    assert!(back.sequence > 60 && back.ttl_ms == 0);
+    assert!(withdrawn.sequence > 60 && withdrawn.ttl_ms == 0);
     assert_eq!(
-        store.receive(at(101), wire_fact(1, 11, 1, 1, 0)),
+        store.receive(secs(101), wire_fact(1, 11, 1, 1, 0)),
         ReceiveOutcome::LaterIncarnation(11)
     );
     assert!(matches!(
-        store.receive(at(101), wire_fact(1, 9, 3, 70, 0)),
+        store.receive(secs(101), wire_fact(1, 9, 3, 70, 0)),
         ReceiveOutcome::New(_)
     ));
 }
@@ -136,19 +138,19 @@
             ..wire_fact(9, 5, 0, 1, 0)
         };
         let source = 10 + number % 150 * u32::from(number < 400);
-        stores[number as usize % 2].receive(at(1), WireFact { source, ..fact });
+        stores[number as usize % 2].receive(secs(1), WireFact { source, ..fact });
     }
     let mut messages = 0;
     for turn in 0..8 {
-        let mut waiting = vec![(1 - turn % 2, stores[turn % 2].next_digest())];
-        while let Some((to, message)) = waiting.pop() {
+        let mut queue = vec![(1 - turn % 2, stores[turn % 2].next_digest())];
+        while let Some((to, message)) = queue.pop() {
             messages += 1;
             assert!(postcard::to_stdvec(&message).unwrap().len() < 1200);
-            let answers = match message {
+            let replies = match message {
                 AntiEntropyMessage::Facts(facts) => {
                     facts
                         .into_iter()
-                        .for_each(|fact| drop(stores[to].receive(at(1), fact)));
+                        .for_each(|fact| drop(stores[to].receive(secs(1), fact)));
                     continue;
                 }
                 AntiEntropyMessage::Digest { sources, .. } => {
@@ -159,13 +161,13 @@
                         .collect()
                 }
                 AntiEntropyMessage::Versions {
-                    is_reply: answer,
+                    is_reply: reply,
                     source,
-                    range: part,
+                    range: their_range,
                     versions,
-                } => stores[to].reply_to_versions(at(1), answer, source, part, &versions),
+                } => stores[to].reply_to_versions(secs(1), reply, source, their_range, &versions),
             };
-            waiting.extend(answers.into_iter().map(|message| (1 - to, message)));
+            queue.extend(replies.into_iter().map(|message| (1 - to, message)));
         }
     }
     assert!(
--- a/crates/membership/src/observations.rs
+++ b/crates/membership/src/observations.rs
@@ -96,7 +96,7 @@
             self.add_reachable(id, add);
             let version = observation.process.map(|process| process.roster_version);
             if version.is_some_and(|version| version != roster.version) {
-                add_one(&mut self.roster_mismatches, add);
+                add_or_subtract_one(&mut self.roster_mismatches, add);
             }
         }
         if observation.status == Status::Suspect {
@@ -121,9 +121,9 @@
     fn add_status(&mut self, region: &str, status: Status, add: bool) {
         for counts in self.member_counts(region) {
             match status {
-                Status::Alive => add_one(&mut counts.alive, add),
-                Status::Suspect => add_one(&mut counts.suspect, add),
-                Status::Left => add_one(&mut counts.left, add),
+                Status::Alive => add_or_subtract_one(&mut counts.alive, add),
+                Status::Suspect => add_or_subtract_one(&mut counts.suspect, add),
+                Status::Left => add_or_subtract_one(&mut counts.left, add),
                 Status::Down | Status::NeverHeard => {}
             }
         }
@@ -138,7 +138,7 @@
     }
 }
 
-fn add_one(count: &mut usize, add: bool) {
+fn add_or_subtract_one(count: &mut usize, add: bool) {
     *count = if add { *count + 1 } else { *count - 1 };
 }
 
@@ -150,11 +150,11 @@
         roster: &IndexedRoster,
         own_id: u32,
     ) -> Vec<ProcessId> {
-        let gone = self
+        let removed = self
             .members
             .iter()
             .filter(|(id, _)| !roster.members.contains_key(id));
-        let gone = gone
+        let removed = removed
             .filter_map(|(_, observation)| observation.process)
             .collect();
         self.members.retain(|id, _| roster.members.contains_key(id));
@@ -168,7 +168,7 @@
             self.members.entry(*id).or_insert(new);
         }
         self.counts = DerivedCounts::count(roster, own_id, &self.members);
-        gone
+        removed
     }
 
     /// Records the status of a process. Returns `None` if its member is not in the roster.
@@ -180,25 +180,25 @@
         status: Status,
     ) -> Option<ObservationChange> {
         let observation = self.members.get_mut(&id.member)?;
-        let was = *observation;
-        if was.process == Some(id) && was.status == status {
+        let before = *observation;
+        if before.process == Some(id) && before.status == status {
             return Some(ObservationChange::default());
         }
         observation.process = Some(id);
-        let changed = status != was.status
-            || was
+        let changed = status != before.status
+            || before
                 .process
-                .is_some_and(|was| was.incarnation != id.incarnation);
+                .is_some_and(|before| before.incarnation != id.incarnation);
         if changed {
             (observation.status, observation.since) = (status, now);
         }
-        let is = *observation;
-        self.counts.add_or_remove(roster, id.member, &was, false);
-        self.counts.add_or_remove(roster, id.member, &is, true);
-        let rejoined = changed && is_reachable(status) && !is_reachable(was.status);
-        let roster_mismatch = was
+        let after = *observation;
+        self.counts.add_or_remove(roster, id.member, &before, false);
+        self.counts.add_or_remove(roster, id.member, &after, true);
+        let rejoined = changed && is_reachable(status) && !is_reachable(before.status);
+        let roster_mismatch = before
             .process
-            .is_none_or(|was| was.roster_version != id.roster_version)
+            .is_none_or(|before| before.roster_version != id.roster_version)
             && id.roster_version != roster.version;
         Some(ObservationChange {
             changed,
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -48,8 +48,8 @@
     /// so that a majority is lost at once; but it does not count as missing either, so that one lost probe does not
     /// degrade the fleet.
     pub fn state(self) -> QuorumState {
-        let mine = usize::from(self.includes_self);
-        if self.total > mine && self.alive + self.suspect == mine {
+        let own_count = usize::from(self.includes_self);
+        if self.total > own_count && self.alive + self.suspect == own_count {
             QuorumState::Alone
         } else if self.alive * 2 <= self.total {
             QuorumState::Minority
--- a/crates/membership/src/recorded.rs
+++ b/crates/membership/src/recorded.rs
@@ -75,7 +75,7 @@
     let all = vec![(n2, Alive), (n3, Alive), (n1, Alive)];
     let others = vec![(n0, Alive), (n2, Alive), (n3, Alive)];
     // n3 was declared down and rejoined.
-    let back = vec![(ProcessId { rejoins: 1, ..n3 }, Alive)];
+    let rejoined = vec![(ProcessId { rejoins: 1, ..n3 }, Alive)];
     let recorded = [
         ("swim-Ping", (n0, n3, Message::Ping(1), all.clone())),
         ("swim-Ack", (n0, n3, Message::Ack(1), all.clone())),
@@ -124,7 +124,7 @@
                     origin: n2,
                     probe_number: 130,
                 },
-                back,
+                rejoined,
             ),
         ),
         ("swim-Announce", (n0, unknown, Message::Announce, vec![])),
@@ -155,7 +155,7 @@
 #[test]
 fn messages_of_the_first_version_are_read() {
     let (source, start) = (member_id("n0"), START);
-    let part = HashRange {
+    let full_range = HashRange {
         first: 0,
         last: u64::MAX,
     };
@@ -166,7 +166,7 @@
     assert_eq!(
         anti_entropy_message("facts-summary"),
         AntiEntropyMessage::Digest {
-            range: part,
+            range: full_range,
             sources
         }
     );
@@ -181,7 +181,7 @@
         AntiEntropyMessage::Versions {
             is_reply: false,
             source,
-            range: part,
+            range: full_range,
             versions
         }
     );
@@ -275,8 +275,8 @@
 #[test]
 fn datagrams_of_a_later_version_are_counted_and_dropped() {
     let (mut core, mut actions) = (core(), Vec::new());
-    let later: [&[u8]; 7] = [&[4, 0], &[255], &[2, 3, 0], &[3, 2, 0], &[1], &[2], &[]];
-    for bytes in later {
+    let later_datagrams: [&[u8]; 7] = [&[4, 0], &[255], &[2, 3, 0], &[3, 2, 0], &[1], &[2], &[]];
+    for bytes in later_datagrams {
         core.handle(
             Duration::ZERO,
             Event::Datagram {
@@ -288,7 +288,7 @@
         );
     }
     let view = core.view(Duration::ZERO);
-    assert_eq!(view.counters.malformed, later.len() as u64);
+    assert_eq!(view.counters.malformed, later_datagrams.len() as u64);
     assert!(view.members.iter().all(|m| m.status == Status::NeverHeard));
     assert!(
         !actions
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -86,7 +86,7 @@
             members.insert(member_id(&member.name), member);
         }
         match members.get(&member_id(own_name)) {
-            Some(mine) if mine.name == own_name => Ok(Self {
+            Some(own) if own.name == own_name => Ok(Self {
                 version: roster.version,
                 members,
             }),
--- a/crates/membership/src/swim/config.rs
+++ b/crates/membership/src/swim/config.rs
@@ -18,7 +18,7 @@
     pub roster_size: usize,
 }
 
-fn some(count: usize) -> NonZeroUsize {
+fn at_least_one(count: usize) -> NonZeroUsize {
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
@@ -30,19 +30,19 @@
         Config {
             probe_period: self.probe_period,
             probe_rtt: self.probe_period * 2 / 5,
-            num_indirect_probes: some(self.indirect_probes),
+            num_indirect_probes: at_least_one(self.indirect_probes),
             max_transmissions: NonZeroU8::new(4 + 3 * bits as u8 / 2).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: self.suspicion_timeout,
             // Down members are never removed: members outside the roster are filtered out before, so their number is
             // bounded.
             remove_down_after: None,
-            max_packet_size: some(PACKET_BYTES),
+            max_packet_size: at_least_one(PACKET_BYTES),
             notify_down_members: true,
             periodic_announce: None,
             periodic_announce_to_down_members: None,
             periodic_gossip: Some(PeriodicParams {
                 frequency: self.probe_period / 2,
-                num_members: some(self.gossip_fanout),
+                num_members: at_least_one(self.gossip_fanout),
             }),
         }
     }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -90,35 +90,35 @@
             };
             // The end of a probe period suspects a member that did not acknowledge the probe.
             self.changed |= matches!(timer, Timer::ProbeRandomMember(_));
-            let done = self.foca.handle_timer(timer, &mut self.runtime);
-            self.collect_effects(now, done);
+            let result = self.foca.handle_timer(timer, &mut self.runtime);
+            self.collect_effects(now, result);
         }
     }
 
     /// Announces this process to another process.
     pub fn announce(&mut self, now: Duration, to: ProcessId) {
-        let done = self.foca.announce(to, &mut self.runtime);
-        self.collect_effects(now, done);
+        let result = self.foca.announce(to, &mut self.runtime);
+        self.collect_effects(now, result);
     }
 
     /// Announces a new version of the roster from now on.
     pub fn change_roster(&mut self, now: Duration, version: u64, config: SwimConfig) {
         // Only settings that depend on the roster's size change; `foca` accepts changes of those while it runs.
-        let done = self.foca.set_config(config.foca());
-        self.collect_effects(now, done);
+        let result = self.foca.set_config(config.foca());
+        self.collect_effects(now, result);
         if let Some(id) = self
             .own_id()
             .renew()
             .filter(|id| id.roster_version != version)
         {
-            let done = self.foca.change_identity(
+            let result = self.foca.change_identity(
                 ProcessId {
                     roster_version: version,
                     ..id
                 },
                 &mut self.runtime,
             );
-            self.collect_effects(now, done);
+            self.collect_effects(now, result);
         }
     }
 
@@ -132,16 +132,16 @@
             rejoins: 0,
             ..self.own_id()
         };
-        let done = self.foca.change_identity(id, &mut self.runtime);
-        self.collect_effects(now, done);
+        let result = self.foca.change_identity(id, &mut self.runtime);
+        self.collect_effects(now, result);
     }
 
     /// Stops probing a member that is no longer in the roster, without reporting to others that it is down.
     pub fn remove_member(&mut self, now: Duration, id: ProcessId) {
-        let done =
+        let result =
             self.foca
                 .apply_many(std::iter::once(Member::down(id)), false, &mut self.runtime);
-        self.collect_effects(now, done);
+        self.collect_effects(now, result);
     }
 
     /// Notifies a suspected member of the suspicion, so that it refutes it. `foca` does so only by chance, and never for
@@ -175,11 +175,11 @@
         };
         let mut datagram = vec![SWIM_KIND];
         let mut codec = PostcardCodec;
-        let done = codec.encode_header(&header, &mut datagram).and_then(|()| {
+        let result = codec.encode_header(&header, &mut datagram).and_then(|()| {
             datagram.extend_from_slice(&u16::from(update.is_some()).to_be_bytes());
             update.map_or(Ok(()), |member| codec.encode_member(member, &mut datagram))
         });
-        match done {
+        match result {
             Ok(()) => self.outbox.push((dst.member, datagram)),
             Err(_) => self.errors += 1,
         }
@@ -197,10 +197,10 @@
         };
         let suspect = Member::new(*member.id(), member.incarnation(), foca::State::Suspect);
         self.changed = true;
-        let done = self
+        let result = self
             .foca
             .apply_many(std::iter::once(suspect), true, &mut self.runtime);
-        self.collect_effects(now, done);
+        self.collect_effects(now, result);
     }
 
     /// Declares a suspected member down.
@@ -209,20 +209,20 @@
             return;
         };
         let down = Member::new(*member.id(), member.incarnation(), foca::State::Down);
-        let done = self
+        let result = self
             .foca
             .apply_many(std::iter::once(down), true, &mut self.runtime);
-        self.collect_effects(now, done);
+        self.collect_effects(now, result);
     }
 
     /// Adopts the processes that are down in another member's view.
     pub fn apply_down(&mut self, now: Duration, downs: Vec<ProcessId>) {
         if !downs.is_empty() {
             self.changed = true;
-            let done =
+            let result =
                 self.foca
                     .apply_many(downs.into_iter().map(Member::down), true, &mut self.runtime);
-            self.collect_effects(now, done);
+            self.collect_effects(now, result);
         }
     }
 
@@ -240,10 +240,10 @@
             rejoins: LEFT_REJOINS,
             ..self.own_id()
         };
-        let done = self.foca.change_identity(id, &mut self.runtime);
-        self.collect_effects(now, done);
-        let done = self.foca.leave_cluster(&mut self.runtime);
-        self.collect_effects(now, done);
+        let result = self.foca.change_identity(id, &mut self.runtime);
+        self.collect_effects(now, result);
+        let result = self.foca.leave_cluster(&mut self.runtime);
+        self.collect_effects(now, result);
         self.timers.clear();
     }
 
@@ -286,7 +286,7 @@
         // Handling the packet may change this process's identity, so both are computed before.
         let summary = self.summarize(&header, unknown_members);
         let answer_ping = self.is_ping_to_earlier_identity(&header);
-        let done = match filtered {
+        let result = match filtered {
             None => self.foca.handle_data(bytes, &mut self.runtime),
             Some(updates) => {
                 let header_bytes = &bytes[..bytes.len() - rest.len()];
@@ -294,7 +294,7 @@
                 self.foca.handle_data(&packet, &mut self.runtime)
             }
         };
-        self.collect_effects(now, done);
+        self.collect_effects(now, result);
         if answer_ping {
             self.send(now, header.src, Message::Gossip, None);
         }
@@ -323,8 +323,8 @@
             && matches!(header.message, Message::Ping(_))
     }
 
-    fn collect_effects(&mut self, now: Duration, done: Result<(), foca::Error>) {
-        match done {
+    fn collect_effects(&mut self, now: Duration, result: Result<(), foca::Error>) {
+        match result {
             // No member to gossip to, or a packet for an earlier identity: both are normal.
             Ok(()) | Err(foca::Error::NotConnected) => {}
             Err(_) => self.errors += 1,
