--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -9,18 +9,22 @@
     OperationDenied, Permission, QuorumState, Status, POLICY_TABLE,
 };
 
-fn state(fleet: &Fleet, who: usize) -> QuorumState {
-    let (core, now) = fleet.core(who);
+fn state(fleet: &Fleet, proxy: usize) -> QuorumState {
+    let (core, now) = fleet.core(proxy);
     core.view(now).state
 }
 
-fn allowed(fleet: &Fleet, who: usize, act: GuardedOperation) -> Result<(), OperationDenied> {
-    let (core, now) = fleet.core(who);
-    core.check_operation(now, act, None)
+fn allowed(
+    fleet: &Fleet,
+    proxy: usize,
+    operation: GuardedOperation,
+) -> Result<(), OperationDenied> {
+    let (core, now) = fleet.core(proxy);
+    core.check_operation(now, operation, None)
 }
 
-fn direct(fleet: &Fleet, who: usize, of: usize) -> bool {
-    let (core, now) = fleet.core(who);
+fn is_direct(fleet: &Fleet, proxy: usize, of: usize) -> bool {
+    let (core, now) = fleet.core(proxy);
     core.view(now)
         .members
         .iter()
@@ -31,27 +35,27 @@
 
 #[test]
 fn policy_table_matches_the_design_page() {
-    let note = include_str!("../../../docs/design/members.md");
-    let row = |act: &GuardedOperation| {
-        let begin = format!("| {act:?} |");
-        let line = note.lines().find(|line| line.starts_with(&begin)).unwrap();
+    let page = include_str!("../../../docs/design/members.md");
+    let row = |operation: &GuardedOperation| {
+        let begin = format!("| {operation:?} |");
+        let line = page.lines().find(|line| line.starts_with(&begin)).unwrap();
         line[begin.len()..]
             .trim_end_matches('|')
             .split('|')
             .map(|cell| cell.trim().to_owned())
             .collect::<Vec<_>>()
     };
-    for (act, rules) in POLICY_TABLE {
-        let words = rules.map(|rule| match rule {
+    for (operation, permissions) in POLICY_TABLE {
+        let expected = permissions.map(|entry| match entry {
             Permission::Allowed => "yes",
             Permission::Denied => "no",
             Permission::IfRosterAgreed => "yes*",
             Permission::UntilExpiry => "lapse",
         });
-        assert_eq!(row(&act), words, "{act:?}");
+        assert_eq!(row(&operation), expected, "{operation:?}");
     }
     assert_eq!(
-        note.lines()
+        page.lines()
             .filter(|line| line.starts_with("| Halt |"))
             .count(),
         1
@@ -78,15 +82,15 @@
         ((4, 3, 0, 0), QuorumState::Degraded),
         ((5, 2, 0, 3), QuorumState::Minority),
     ];
-    for ((of, heard, suspect, left), state) in cases {
-        let heads = MemberCounts {
-            total: of,
-            alive: heard,
+    for ((total, alive, suspect, left), state) in cases {
+        let counts = MemberCounts {
+            total,
+            alive,
             suspect,
             left,
             includes_self: true,
         };
-        assert_eq!(heads.state(), state, "{heads:?}");
+        assert_eq!(counts.state(), state, "{counts:?}");
     }
 }
 
@@ -96,31 +100,30 @@
 fn members_join_leave_and_rejoin_under_the_same_name() {
     let mut fleet = Fleet::new(5, 1);
     fleet.run(ms(5000));
-    assert!((0..5).all(|who| state(&fleet, who) == QuorumState::Complete));
-    fleet.tell(4, Event::Leave);
+    assert!((0..5).all(|proxy| state(&fleet, proxy) == QuorumState::Complete));
+    fleet.handle_event(4, Event::Leave);
     assert_eq!(
         allowed(&fleet, 4, GuardedOperation::Promote),
         Err(OperationDenied::Left)
     );
     fleet.kill(4);
     fleet.run(ms(7000));
-    assert!((0..4)
-        .all(|who| fleet.status(who, 4) == Status::Left
-            && state(&fleet, who) == QuorumState::Complete));
-    fleet.changes.clear();
+    assert!((0..4).all(|proxy| fleet.status(proxy, 4) == Status::Left
+        && state(&fleet, proxy) == QuorumState::Complete));
+    fleet.status_changes.clear();
     fleet.start(4);
     fleet.run(ms(8000));
-    assert!((0..4).all(|who| fleet.status(who, 4) == Status::Alive));
+    assert!((0..4).all(|proxy| fleet.status(proxy, 4) == Status::Alive));
     // A later incarnation replaces the former one at once: nobody declares it down in between.
-    fleet.changes.clear();
+    fleet.status_changes.clear();
     fleet.start(3);
     fleet.run(ms(10_000));
     assert!(fleet
-        .changes
+        .status_changes
         .iter()
         .all(|(.., of, status)| *of != 3 || *status == Status::Alive));
     let (core, now) = fleet.core(0);
-    let start = fleet.processes[3].as_ref().unwrap().start;
+    let incarnation = fleet.processes[3].as_ref().unwrap().incarnation;
     assert_eq!(
         core.view(now)
             .members
@@ -128,14 +131,14 @@
             .find(|member| member.name == "p3")
             .unwrap()
             .incarnation,
-        Some(start)
+        Some(incarnation)
     );
     // A datagram of the earlier incarnation is dropped.
-    fleet.tell(
+    fleet.handle_event(
         0,
         Event::Datagram {
             from: "p3",
-            incarnation: start - 1,
+            incarnation: incarnation - 1,
             bytes: &[1, 2, 3],
         },
     );
@@ -156,30 +159,30 @@
     // One way: A (0) hears nothing of B (1).
     let mut fleet = Fleet::new(5, 2);
     fleet.run(ms(4000));
-    fleet.cut.insert((1, 0));
+    fleet.blocked.insert((1, 0));
     fleet.run(ms(14_000));
     assert!(fleet.status(0, 1) != Status::Down && fleet.status(1, 0) != Status::Down);
-    assert!(!direct(&fleet, 0, 1) && direct(&fleet, 1, 0));
+    assert!(!is_direct(&fleet, 0, 1) && is_direct(&fleet, 1, 0));
 
     // A chain: 0 and 2 hear nothing of each other, 1 hears both.
     let mut fleet = Fleet::new(3, 3);
     fleet.run(ms(4000));
-    fleet.cut.extend([(0, 2), (2, 0)]);
+    fleet.blocked.extend([(0, 2), (2, 0)]);
     fleet.run(ms(14_000));
     assert!(fleet.status(0, 2) != Status::Down && fleet.status(2, 0) != Status::Down);
     assert!(
-        !direct(&fleet, 0, 2)
-            && !direct(&fleet, 2, 0)
-            && direct(&fleet, 1, 0)
-            && direct(&fleet, 0, 1)
+        !is_direct(&fleet, 0, 2)
+            && !is_direct(&fleet, 2, 0)
+            && is_direct(&fleet, 1, 0)
+            && is_direct(&fleet, 0, 1)
     );
 
     type Split = (usize, fn(usize) -> usize, &'static [QuorumState]);
     let splits: [Split; 4] = [
-        (6, |who| who % 2, &[QuorumState::Minority; 6]),
+        (6, |proxy| proxy % 2, &[QuorumState::Minority; 6]),
         (
             5,
-            |who| usize::from(who < 2),
+            |proxy| usize::from(proxy < 2),
             &[
                 QuorumState::Minority,
                 QuorumState::Minority,
@@ -187,10 +190,10 @@
                 QuorumState::Degraded,
             ],
         ),
-        (6, |who| who % 3, &[QuorumState::Minority; 6]),
+        (6, |proxy| proxy % 3, &[QuorumState::Minority; 6]),
         (
             4,
-            |who| usize::from(who == 0),
+            |proxy| usize::from(proxy == 0),
             &[
                 QuorumState::Alone,
                 QuorumState::Degraded,
@@ -202,13 +205,13 @@
     for (size, group, states) in splits {
         let mut fleet = Fleet::new(size, 4);
         fleet.run(ms(4000));
-        fleet.split(group);
+        fleet.partition(group);
         fleet.run(ms(10_000));
-        for (who, wanted) in states.iter().enumerate() {
-            assert_eq!(state(&fleet, who), *wanted, "{size} members, p{who}");
-            let may = allowed(&fleet, who, GuardedOperation::Promote).is_ok();
-            assert_eq!(may, *wanted >= QuorumState::Degraded);
-            assert_eq!(allowed(&fleet, who, GuardedOperation::Halt), Ok(()));
+        for (proxy, expected) in states.iter().enumerate() {
+            assert_eq!(state(&fleet, proxy), *expected, "{size} members, p{proxy}");
+            let is_allowed = allowed(&fleet, proxy, GuardedOperation::Promote).is_ok();
+            assert_eq!(is_allowed, *expected >= QuorumState::Degraded);
+            assert_eq!(allowed(&fleet, proxy, GuardedOperation::Halt), Ok(()));
         }
     }
 }
@@ -221,7 +224,7 @@
         let mut fleet = Fleet::new(5, 5);
         fleet.run(ms(5000));
         assert_eq!(allowed(&fleet, 0, GuardedOperation::Promote), Ok(()));
-        fleet.paused[0] = ms(5000 + pause);
+        fleet.paused_until[0] = ms(5000 + pause);
         fleet.run(ms(5000 + pause - 1));
         // The first thing after the pause may be a question, before any event.
         assert_eq!(
@@ -229,7 +232,7 @@
             Err(OperationDenied::SelfSuspected)
         );
         assert_eq!(allowed(&fleet, 0, GuardedOperation::Repay), Ok(()));
-        fleet.changes.clear();
+        fleet.status_changes.clear();
         fleet.run(ms(5000 + pause + 1900));
         assert_eq!(
             allowed(&fleet, 0, GuardedOperation::Lend),
@@ -238,7 +241,7 @@
         assert_eq!(state(&fleet, 0), QuorumState::Degraded);
         fleet.run(ms(5000 + pause + 4000));
         assert!(fleet
-            .changes
+            .status_changes
             .iter()
             .all(|(_, at, _, status)| *at != 0 || *status != Status::Down));
         assert_eq!(
@@ -246,7 +249,7 @@
             Ok(()),
             "after {pause} ms"
         );
-        assert!((1..5).all(|who| state(&fleet, who) == QuorumState::Complete));
+        assert!((1..5).all(|proxy| state(&fleet, proxy) == QuorumState::Complete));
     }
 }
 
@@ -255,9 +258,9 @@
 fn a_process_without_acks_goes_on_suspecting_itself() {
     let mut fleet = Fleet::new(5, 6);
     fleet.run(ms(5000));
-    fleet.paused[0] = ms(8000);
+    fleet.paused_until[0] = ms(8000);
     fleet.run(ms(7000));
-    fleet.split(|who| usize::from(who == 0));
+    fleet.partition(|proxy| usize::from(proxy == 0));
     fleet.run(ms(20_000));
     assert_eq!(
         allowed(&fleet, 0, GuardedOperation::Lend),
@@ -273,12 +276,12 @@
     for seed in 0..2 {
         let mut fleet = Fleet::new(60, seed);
         fleet.run(ms(6000));
-        fleet.split(|who| usize::from(who >= 29));
+        fleet.partition(|proxy| usize::from(proxy >= 29));
         fleet.run(ms(12_000));
         fleet.start(59);
         fleet.run(ms(24_000));
         assert_eq!(state(&fleet, 29), QuorumState::Degraded);
-        fleet.split(|who| usize::from(who >= 30));
+        fleet.partition(|proxy| usize::from(proxy >= 30));
         fleet.run(ms(27_000));
         assert_eq!(
             (state(&fleet, 29), fleet.status(29, 59)),
@@ -294,66 +297,67 @@
 fn another_roster_is_noticed_and_unknown_members_do_not_count() {
     let mut fleet = Fleet::new(4, 7);
     fleet.run(ms(5000));
-    let mut other = roster(5);
-    other.version = 2;
+    let mut larger_roster = roster(5);
+    larger_roster.version = 2;
     fleet.processes.push(None);
-    fleet.paused.push(Duration::ZERO);
-    fleet.changes.clear();
-    for who in 0..2 {
-        fleet.tell(who, Event::Roster(other.clone()));
+    fleet.paused_until.push(Duration::ZERO);
+    fleet.status_changes.clear();
+    for proxy in 0..2 {
+        fleet.handle_event(proxy, Event::Roster(larger_roster.clone()));
     }
     fleet.run(ms(9000));
-    for who in 0..4 {
-        let (core, now) = fleet.core(who);
+    for proxy in 0..4 {
+        let (core, now) = fleet.core(proxy);
         let view = core.view(now);
-        assert_eq!(view.roster_mismatches, 2, "p{who}");
+        assert_eq!(view.roster_mismatches, 2, "p{proxy}");
         assert_eq!(
-            allowed(&fleet, who, GuardedOperation::Promote),
+            allowed(&fleet, proxy, GuardedOperation::Promote),
             Err(OperationDenied::RosterDiffers(2))
         );
-        assert_eq!(allowed(&fleet, who, GuardedOperation::Lend), Ok(()));
-        assert_eq!(view.member_counts.total, if who < 2 { 5 } else { 4 });
-        assert!(who < 2 || view.counters.roster_mismatches == 2);
+        assert_eq!(allowed(&fleet, proxy, GuardedOperation::Lend), Ok(()));
+        assert_eq!(view.member_counts.total, if proxy < 2 { 5 } else { 4 });
+        assert!(proxy < 2 || view.counters.roster_mismatches == 2);
     }
     // A new version is no death.
     assert!(fleet
-        .changes
+        .status_changes
         .iter()
         .all(|(.., status)| *status != Status::Down));
     // p4 runs, but only half of the proxies have it in their rosters: the others neither count nor kill it.
-    fleet.roster = other.clone();
+    fleet.roster = larger_roster.clone();
     fleet.start(4);
     fleet.run(ms(14_000));
     assert!(fleet.status(0, 4) == Status::Alive && fleet.status(1, 4) == Status::Alive);
     let (core, now) = fleet.core(2);
     assert!(core.view(now).counters.unknown_members > 0 && core.view(now).member_counts.total == 4);
-    for who in 2..4 {
-        fleet.tell(who, Event::Roster(other.clone()));
+    for proxy in 2..4 {
+        fleet.handle_event(proxy, Event::Roster(larger_roster.clone()));
     }
     fleet.run(ms(20_000));
-    assert!((0..5).all(|who| state(&fleet, who) == QuorumState::Complete));
-    assert!((0..5).all(|who| allowed(&fleet, who, GuardedOperation::Promote).is_ok()));
+    assert!((0..5).all(|proxy| state(&fleet, proxy) == QuorumState::Complete));
+    assert!((0..5).all(|proxy| allowed(&fleet, proxy, GuardedOperation::Promote).is_ok()));
     // One fewer: it is no longer sent to, and nobody is told that it died.
-    let mut fewer = roster(4);
-    fewer.version = 3;
-    (0..4).for_each(|who| fleet.tell(who, Event::Roster(fewer.clone())));
+    let mut smaller_roster = roster(4);
+    smaller_roster.version = 3;
+    (0..4).for_each(|proxy| fleet.handle_event(proxy, Event::Roster(smaller_roster.clone())));
     fleet.kill(4);
-    fleet.changes.clear();
+    fleet.status_changes.clear();
     fleet.run(ms(24_000));
     assert!(
-        (0..4).all(|who| state(&fleet, who) == QuorumState::Complete) && fleet.changes.is_empty()
+        (0..4).all(|proxy| state(&fleet, proxy) == QuorumState::Complete)
+            && fleet.status_changes.is_empty()
     );
 }
 
 #[test]
 fn datagrams_go_to_the_address_in_the_own_roster() {
-    let mut mine = roster(2);
-    mine.members[1].address = ([127, 0, 0, 1], 9).into();
-    let mut core = Core::new(Config::new("p0", 1, mine.clone()), 1).unwrap();
+    let mut own_roster = roster(2);
+    own_roster.members[1].address = ([127, 0, 0, 1], 9).into();
+    let mut core = Core::new(Config::new("p0", 1, own_roster.clone()), 1).unwrap();
     let mut actions = Vec::new();
     core.handle(Duration::ZERO, Event::Start, &mut actions);
-    mine.members[1].address = ([127, 0, 0, 1], 10).into();
-    core.handle(ms(1), Event::Roster(mine.clone()), &mut actions);
+    own_roster.members[1].address = ([127, 0, 0, 1], 10).into();
+    core.handle(ms(1), Event::Roster(own_roster.clone()), &mut actions);
     core.handle(ms(150), Event::Timer(u64::MAX), &mut actions);
     core.handle(ms(300), Event::Timer(u64::MAX), &mut actions);
     let sent = |action: &Action| match action {
@@ -367,8 +371,8 @@
     );
     // A roster without this proxy is not taken.
     actions.clear();
-    mine.members.remove(0);
-    core.handle(ms(301), Event::Roster(mine), &mut actions);
+    own_roster.members.remove(0);
+    core.handle(ms(301), Event::Roster(own_roster), &mut actions);
     assert!(actions
         .iter()
         .any(|action| matches!(action, Action::RosterRejected(_))));
@@ -382,23 +386,26 @@
     // Regions by number modulo 3; 9 members. The group of 4 has all of region 0 and one of region 1.
     let mut fleet = Fleet::new(9, 8);
     fleet.run(ms(5000));
-    fleet.split(|who| usize::from(who % 3 == 0 || who == 1));
+    fleet.partition(|proxy| usize::from(proxy % 3 == 0 || proxy == 1));
     fleet.run(ms(12_000));
-    let may = |who: usize, act, region: &str| {
-        let (core, now) = fleet.core(who);
-        core.check_operation(now, act, Some(region)).is_ok()
+    let is_allowed = |proxy: usize, operation, region: &str| {
+        let (core, now) = fleet.core(proxy);
+        core.check_operation(now, operation, Some(region)).is_ok()
     };
     assert!(
-        may(0, GuardedOperation::Lend, "r0")
-            && !may(0, GuardedOperation::Lend, "r1")
-            && !may(0, GuardedOperation::Lend, "r2")
+        is_allowed(0, GuardedOperation::Lend, "r0")
+            && !is_allowed(0, GuardedOperation::Lend, "r1")
+            && !is_allowed(0, GuardedOperation::Lend, "r2")
     );
     assert!(
-        !may(2, GuardedOperation::Lend, "r0")
-            && may(2, GuardedOperation::Lend, "r1")
-            && may(2, GuardedOperation::Lend, "r2")
+        !is_allowed(2, GuardedOperation::Lend, "r0")
+            && is_allowed(2, GuardedOperation::Lend, "r1")
+            && is_allowed(2, GuardedOperation::Lend, "r2")
+    );
+    assert!(
+        !is_allowed(0, GuardedOperation::Promote, "r0")
+            && is_allowed(2, GuardedOperation::Promote, "r2")
     );
-    assert!(!may(0, GuardedOperation::Promote, "r0") && may(2, GuardedOperation::Promote, "r2"));
     let (core, now) = fleet.core(0);
     assert_eq!(
         core.check_operation(now, GuardedOperation::Lend, Some("nowhere")),
@@ -413,22 +420,22 @@
     let mut fleet = Fleet::new(10, 9);
     fleet.loss = 0.05;
     fleet.run(ms(5000));
-    let tell = |fleet: &mut Fleet, who: usize, body: &[u8], lasts| {
-        fleet.tell(
-            who,
+    let publish = |fleet: &mut Fleet, proxy: usize, body: &[u8], ttl| {
+        fleet.handle_event(
+            proxy,
             Event::Publish {
                 kind: 1,
                 key: b"k".to_vec(),
                 body: body.to_vec(),
-                ttl: lasts,
+                ttl,
             },
         );
     };
-    tell(&mut fleet, 0, b"long", ms(60_000));
-    tell(&mut fleet, 1, b"other", ms(30_000));
+    publish(&mut fleet, 0, b"long", ms(60_000));
+    publish(&mut fleet, 1, b"other", ms(30_000));
     fleet.run(ms(8000));
-    let bodies = |fleet: &Fleet, who: usize| {
-        let (core, now) = fleet.core(who);
+    let bodies = |fleet: &Fleet, proxy: usize| {
+        let (core, now) = fleet.core(proxy);
         let mut bodies: Vec<_> = core
             .facts(now, 1)
             .into_iter()
@@ -437,28 +444,28 @@
         bodies.sort();
         bodies
     };
-    for who in 2..10 {
-        assert_eq!(bodies(&fleet, who), [b"long".to_vec(), b"other".to_vec()]);
-        let (core, now) = fleet.core(who);
+    for proxy in 2..10 {
+        assert_eq!(bodies(&fleet, proxy), [b"long".to_vec(), b"other".to_vec()]);
+        let (core, now) = fleet.core(proxy);
         let age = core.facts(now, 1)[0].age;
         assert!(age <= ms(3000) && age >= ms(2800), "{age:?}");
     }
     // A short fact replaces the long one while p9 is cut off; the long one does not come back.
-    fleet.split(|who| usize::from(who == 9));
-    tell(&mut fleet, 0, b"short", ms(1000));
+    fleet.partition(|proxy| usize::from(proxy == 9));
+    publish(&mut fleet, 0, b"short", ms(1000));
     fleet.run(ms(14_000));
-    fleet.cut.clear();
+    fleet.blocked.clear();
     fleet.run(ms(20_000));
-    assert!((1..10).all(|who| !bodies(&fleet, who).contains(&b"long".to_vec())));
+    assert!((1..10).all(|proxy| !bodies(&fleet, proxy).contains(&b"long".to_vec())));
     fleet.run(ms(36_000));
-    assert!((1..10).all(|who| bodies(&fleet, who).is_empty()));
+    assert!((1..10).all(|proxy| bodies(&fleet, proxy).is_empty()));
     // A restarted process receives what its earlier incarnation published, as a fact of another.
-    tell(&mut fleet, 3, b"before", ms(60_000));
+    publish(&mut fleet, 3, b"before", ms(60_000));
     fleet.run(ms(39_000));
     fleet.start(3);
     fleet.run(ms(43_000));
     assert_eq!(bodies(&fleet, 3), [b"before".to_vec()]);
-    tell(&mut fleet, 3, b"after", ms(60_000));
+    publish(&mut fleet, 3, b"after", ms(60_000));
     fleet.run(ms(46_000));
     assert!(bodies(&fleet, 3).is_empty() && bodies(&fleet, 4) == [b"after".to_vec()]);
 }
@@ -470,10 +477,10 @@
     let mut fleet = Fleet::new(30, 2);
     fleet.run(ms(5000));
     for second in 0..6 {
-        for (who, key) in (0..30).flat_map(|who| [(who, 0), (who, 1)]) {
+        for (proxy, key) in (0..30).flat_map(|proxy| [(proxy, 0), (proxy, 1)]) {
             let body = vec![second; 500];
-            fleet.tell(
-                who,
+            fleet.handle_event(
+                proxy,
                 Event::Publish {
                     kind: 1,
                     key: vec![key],
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -9,41 +9,45 @@
 use membership::{republish_interval, Event, GuardedOperation, Status};
 
 /// Runs the fleet while each member publishes all that the program does with quota loans, at its intervals; without `facts` none.
-struct Talk {
-    said: Vec<Saying>,
+struct Publisher {
+    publications: Vec<Publication>,
     due: BTreeSet<(Duration, usize, usize)>,
 }
 
-impl Talk {
+impl Publisher {
     fn new(fleet: &Fleet, facts: bool) -> Self {
         let size = fleet.processes.len();
         let rates = republish_interval(size, 1, ms(1000), ms(60_000));
-        let said = if facts {
-            sayings(size, true, Some(rates))
+        let publications = if facts {
+            publications(size, true, Some(rates))
         } else {
             Vec::new()
         };
-        let at = |which: usize, who: usize| fleet.now + said[which].2 * who as u32 / size as u32;
-        let all = (0..said.len()).flat_map(|which| (0..size).map(move |who| (which, who)));
+        let at = |index: usize, proxy: usize| {
+            fleet.now + publications[index].2 * proxy as u32 / size as u32
+        };
+        let all =
+            (0..publications.len()).flat_map(|index| (0..size).map(move |proxy| (index, proxy)));
         let due = all
-            .map(|(which, who)| (at(which, who), who, which))
+            .map(|(index, proxy)| (at(index, proxy), proxy, index))
             .collect();
-        Self { said, due }
+        Self { publications, due }
     }
 
     fn run(&mut self, fleet: &mut Fleet, until: Duration) {
-        while let Some((at, who, which)) = self.due.first().copied().filter(|(at, ..)| *at < until)
+        while let Some((at, proxy, index)) =
+            self.due.first().copied().filter(|(at, ..)| *at < until)
         {
             self.due.pop_first();
             fleet.run(at);
-            let (kind, length, each, lasts) = self.said[which];
-            fleet.tell(
-                who,
+            let (kind, length, interval, ttl) = self.publications[index];
+            fleet.handle_event(
+                proxy,
                 Event::Publish {
                     kind,
                     key: vec![0],
                     body: vec![7; length],
-                    ttl: lasts,
+                    ttl,
                 },
             );
             fleet
@@ -51,43 +55,44 @@
                 .iter_mut()
                 .flatten()
                 .for_each(|process| process.facts.clear());
-            self.due.insert((at + each, who, which));
+            self.due.insert((at + interval, proxy, index));
         }
         fleet.run(until);
     }
 }
 
 /// Crashes one member after another; returns the times until all others knew, sorted.
-fn deaths(size: usize, loss: f64, times: usize, seed: u64, facts: bool) -> Vec<Duration> {
+fn detection_times(size: usize, loss: f64, times: usize, seed: u64, facts: bool) -> Vec<Duration> {
     let mut fleet = Fleet::new(size, seed);
     fleet.loss = loss;
-    let mut talk = Talk::new(&fleet, facts);
-    talk.run(&mut fleet, ms(8000));
+    let mut publisher = Publisher::new(&fleet, facts);
+    publisher.run(&mut fleet, ms(8000));
     let mut known = Vec::new();
     for time in 0..times {
-        let who = time * 7 % size;
+        let proxy = time * 7 % size;
         let killed = fleet.now;
-        fleet.changes.clear();
-        fleet.kill(who);
-        talk.run(&mut fleet, killed + ms(6000));
-        let others = (0..size).filter(|other| *other != who);
-        let when = |other: usize| {
-            let mut told = fleet
-                .changes
+        fleet.status_changes.clear();
+        fleet.kill(proxy);
+        publisher.run(&mut fleet, killed + ms(6000));
+        let others = (0..size).filter(|other| *other != proxy);
+        let detected_after = |other: usize| {
+            let mut changes = fleet
+                .status_changes
                 .iter()
-                .filter(|(_, at, of, _)| *at == other && *of == who);
-            told.find(|(.., status)| *status == Status::Down)
+                .filter(|(_, at, of, _)| *at == other && *of == proxy);
+            changes
+                .find(|(.., status)| *status == Status::Down)
                 .map_or(ms(6000), |(at, ..)| *at - killed)
         };
-        known.extend(others.map(when).max());
-        fleet.start(who);
-        talk.run(&mut fleet, killed + ms(10_000));
+        known.extend(others.map(detected_after).max());
+        fleet.start(proxy);
+        publisher.run(&mut fleet, killed + ms(10_000));
     }
     known.sort();
     known
 }
 
-fn false_deaths(
+fn false_detections(
     size: usize,
     loss: f64,
     minutes: u64,
@@ -95,24 +100,24 @@
     facts: bool,
 ) -> (usize, usize, u64) {
     let mut fleet = Fleet::new(size, seed);
-    let mut talk = Talk::new(&fleet, facts);
-    talk.run(&mut fleet, ms(8000));
+    let mut publisher = Publisher::new(&fleet, facts);
+    publisher.run(&mut fleet, ms(8000));
     fleet.loss = loss;
-    fleet.changes.clear();
+    fleet.status_changes.clear();
     let (mut down, mut suspect, bytes) = (0, 0, fleet.sent_bytes);
     for minute in 1..=minutes {
-        talk.run(&mut fleet, ms(8000 + 60_000 * minute));
+        publisher.run(&mut fleet, ms(8000 + 60_000 * minute));
         down += fleet
-            .changes
+            .status_changes
             .iter()
             .filter(|(.., status)| *status == Status::Down)
             .count();
         suspect += fleet
-            .changes
+            .status_changes
             .iter()
             .filter(|(.., status)| *status == Status::Suspect)
             .count();
-        fleet.changes.clear();
+        fleet.status_changes.clear();
     }
     (
         down,
@@ -133,7 +138,7 @@
         .into_iter()
         .filter(|(size, _)| *size >= number("MEMBERS", 0) as usize)
     {
-        let known = deaths(size, 0.05, times, seed, facts);
+        let known = detection_times(size, 0.05, times, seed, facts);
         let at = |part: f64| known[((known.len() - 1) as f64 * part).round() as usize];
         println!(
             "{times} deaths among {size}, seed {seed}, facts {facts}: p50 {:?} p90 {:?} p99 {:?} max {:?}",
@@ -155,7 +160,7 @@
         number("SEED", 3),
         number("FACTS", 0) > 0,
     );
-    let (down, suspect, bytes) = false_deaths(100, 0.05, minutes, seed, facts);
+    let (down, suspect, bytes) = false_detections(100, 0.05, minutes, seed, facts);
     println!(
         "{minutes} min, 100 members, 5 % loss, seed {seed}, facts {facts}: {down} false deaths, {suspect} suspicions told, {bytes} B/s"
     );
@@ -172,21 +177,21 @@
             let mut fleet = Fleet::new(size, seed);
             fleet.loss = 0.05;
             fleet.run(ms(12_000));
-            let may = |fleet: &Fleet| {
-                let all = (0..size).filter(|who| {
-                    let (core, now) = fleet.core(*who);
+            let promoting = |fleet: &Fleet| {
+                let all = (0..size).filter(|proxy| {
+                    let (core, now) = fleet.core(*proxy);
                     core.check_operation(now, GuardedOperation::Promote, None)
                         .is_ok()
                 });
                 all.count()
             };
-            for (cut, wanted) in [(true, 0), (false, size)] {
-                let begun = fleet.now;
-                fleet.split(|who| if cut { who % 2 } else { 0 });
-                while may(&fleet) != wanted && fleet.now < begun + ms(60_000) {
+            for (cut, expected) in [(true, 0), (false, size)] {
+                let started = fleet.now;
+                fleet.partition(|proxy| if cut { proxy % 2 } else { 0 });
+                while promoting(&fleet) != expected && fleet.now < started + ms(60_000) {
                     fleet.run(fleet.now + ms(20));
                 }
-                if cut { &mut lost } else { &mut regained }.push(fleet.now - begun);
+                if cut { &mut lost } else { &mut regained }.push(fleet.now - started);
                 fleet.run(fleet.now + ms(5000));
             }
         }
@@ -205,31 +210,36 @@
     for size in [3, 10, 100, 500] {
         let mut fleet = Fleet::new(size, 1);
         fleet.run(ms(60_000));
-        let (bytes, sent) = (fleet.sent_bytes, fleet.sent);
+        let (bytes, sent) = (fleet.sent_bytes, fleet.sent_datagrams);
         fleet.run(ms(80_000));
         let per = |total: u64| total as f64 / size as f64 / 20.0;
         println!(
             "size {size}: {:.0} B/s {:.1} datagrams/s, alive {}",
             per(fleet.sent_bytes - bytes),
-            per(fleet.sent - sent),
+            per(fleet.sent_datagrams - sent),
             fleet.count(0, Status::Alive)
         );
     }
 }
 
 /// What a proxy says again and again: kind, bytes of the body, how often, how long it lasts.
-type Saying = (u8, usize, Duration, Duration);
-const RATES: u8 = 30;
-const BEAT: u8 = 64;
+type Publication = (u8, usize, Duration, Duration);
+const RATES_KIND: u8 = 30;
+const HEARTBEAT_KIND: u8 = 64;
 
 /// What the program says, `rates` between two of the rates of eight tenants; with loans, the beat and one stand whose row and
 /// witness change each second, as large as they become among so many.
-fn sayings(size: usize, with_loans: bool, rates: Option<Duration>) -> Vec<Saying> {
+fn publications(size: usize, with_loans: bool, rates: Option<Duration>) -> Vec<Publication> {
     // Loans are founded among 55 at most; a beat among more has room for eight others.
     let (founders, others) = if size <= 55 { (size, 0) } else { (0, 8) };
     let second = ms(1000);
     let loans = [
-        (BEAT, 38 + 6 * founders + 17 * others, second, ms(5000)),
+        (
+            HEARTBEAT_KIND,
+            38 + 6 * founders + 17 * others,
+            second,
+            ms(5000),
+        ),
         (66, 80, second, ms(20_000)),
         (
             67,
@@ -240,8 +250,8 @@
     ];
     let loans = loans
         .into_iter()
-        .filter(|(kind, ..)| with_loans && (size <= 55 || *kind == BEAT));
-    let rates = rates.map(|each| (RATES, 60, each, ms(60_000)));
+        .filter(|(kind, ..)| with_loans && (size <= 55 || *kind == HEARTBEAT_KIND));
+    let rates = rates.map(|interval| (RATES_KIND, 60, interval, ms(60_000)));
     [(1, 12, ms(30_000), ms(60_000))]
         .into_iter()
         .chain(rates)
@@ -265,30 +275,38 @@
     let mut fleet = Fleet::new(size, 1);
     fleet.loss = number("LOSS", 0) as f64 / 100.0;
     // At the start each tells each other what it holds, one in each half period.
-    let begun = ms(10_000 + 100 * size as u64);
-    fleet.run(begun);
-    let said = sayings(size, loans, (rates > 0).then_some(ms(rates)));
-    let first = |who: usize, each: Duration| begun + each * (who * phase) as u32 / size as u32;
-    let mut due: BTreeSet<(Duration, usize, usize)> = (0..size * said.len())
-        .map(|at| (first(at % size, said[at / size].2), at % size, at / size))
+    let started = ms(10_000 + 100 * size as u64);
+    fleet.run(started);
+    let publications = publications(size, loans, (rates > 0).then_some(ms(rates)));
+    let first = |proxy: usize, interval: Duration| {
+        started + interval * (proxy * phase) as u32 / size as u32
+    };
+    let mut due: BTreeSet<(Duration, usize, usize)> = (0..size * publications.len())
+        .map(|at| {
+            (
+                first(at % size, publications[at / size].2),
+                at % size,
+                at / size,
+            )
+        })
         .collect();
     // All has been said once, and what was said first has been replaced.
-    let begin = begun + ms(rates.max(4000) * 2);
+    let begin = started + ms(rates.max(4000) * 2);
     let end = begin + ms(seconds * 1000);
     let (mut bytes, mut sent) = (0, 0);
-    while let Some((at, who, which)) = due.pop_first().filter(|(at, ..)| *at < end) {
+    while let Some((at, proxy, index)) = due.pop_first().filter(|(at, ..)| *at < end) {
         if at >= begin && bytes == 0 {
-            (bytes, sent) = (fleet.sent_bytes, fleet.sent);
+            (bytes, sent) = (fleet.sent_bytes, fleet.sent_datagrams);
         }
         fleet.run(at);
-        let (kind, length, each, lasts) = said[which];
-        fleet.tell(
-            who,
+        let (kind, length, interval, ttl) = publications[index];
+        fleet.handle_event(
+            proxy,
             Event::Publish {
                 kind,
                 key: vec![0],
                 body: vec![7; length],
-                ttl: lasts,
+                ttl,
             },
         );
         fleet
@@ -296,12 +314,12 @@
             .iter_mut()
             .flatten()
             .for_each(|process| process.facts.clear());
-        due.insert((at + each, who, which));
+        due.insert((at + interval, proxy, index));
     }
     fleet.run(end);
     // The part of a kind that is held, and how old it is there.
     let held = |kind: u8| {
-        let cores = (0..size).map(|who| fleet.core(who));
+        let cores = (0..size).map(|proxy| fleet.core(proxy));
         let mut ages: Vec<Duration> = cores
             .flat_map(|(core, now)| core.facts(now, kind))
             .map(|fact| fact.age)
@@ -318,7 +336,7 @@
     };
     let per = |total: u64| total as f64 / size as f64 / seconds as f64;
     let down = fleet
-        .changes
+        .status_changes
         .iter()
         .filter(|(.., status)| *status == Status::Down)
         .count();
@@ -326,14 +344,14 @@
         "{size} members, loans {loans}, rates each {rates} ms, phase {phase}: {:.0} B/s {:.1} datagrams/s; rates {}; beats {}; \
          {down} down",
         per(fleet.sent_bytes - bytes),
-        per(fleet.sent - sent),
-        held(RATES),
-        held(BEAT),
+        per(fleet.sent_datagrams - sent),
+        held(RATES_KIND),
+        held(HEARTBEAT_KIND),
     );
 }
 
 /// Time on a processor of this thread, in nanoseconds.
-fn processor_ns() -> u64 {
+fn thread_cpu_ns() -> u64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap();
     stat.split(' ').next().unwrap().parse().unwrap()
 }
@@ -348,13 +366,13 @@
         let mut lines = Vec::new();
         for (what, secs) in [("start", 5), ("quiet", 10), ("cut", 5), ("heal", 5)] {
             match what {
-                "cut" => fleet.split(|who| who % 2),
-                _ => fleet.cut.clear(),
+                "cut" => fleet.partition(|proxy| proxy % 2),
+                _ => fleet.blocked.clear(),
             }
-            let (events, begun) = (fleet.events, processor_ns());
+            let (events, started) = (fleet.events, thread_cpu_ns());
             // The clock of a thread moves by ticks: a small fleet is watched for longer.
             fleet.run(fleet.now + ms(secs * 1000 * (500 / size as u64)));
-            let (events, spent) = (fleet.events - events, processor_ns() - begun);
+            let (events, spent) = (fleet.events - events, thread_cpu_ns() - started);
             lines.push(format!(
                 "{what} {:.1} us of {events}",
                 spent as f64 / 1000.0 / events as f64
@@ -365,11 +383,11 @@
 }
 
 /// Until all members that run hold what all have said of all kinds, in its last version; and what each sent meanwhile, a second.
-fn all_held(fleet: &mut Fleet, who: &[usize], kinds: u8, version: u8) -> String {
+fn run_until_all_held(fleet: &mut Fleet, proxies: &[usize], kinds: u8, version: u8) -> String {
     let size = fleet.processes.len();
-    let (begun, bytes) = (fleet.now, fleet.sent_bytes);
-    let holds = |fleet: &Fleet, who: usize| {
-        let (core, now) = fleet.core(who);
+    let (started, bytes) = (fleet.now, fleet.sent_bytes);
+    let holds = |fleet: &Fleet, proxy: usize| {
+        let (core, now) = fleet.core(proxy);
         let held = |kind| {
             core.facts(now, kind)
                 .iter()
@@ -378,7 +396,7 @@
         };
         (1..=kinds).map(held).sum::<usize>() + usize::from(kinds) >= usize::from(kinds) * size
     };
-    while !who.iter().all(|who| holds(fleet, *who)) && fleet.now < begun + ms(300_000) {
+    while !proxies.iter().all(|proxy| holds(fleet, *proxy)) && fleet.now < started + ms(300_000) {
         fleet.run(fleet.now + ms(100));
         fleet
             .processes
@@ -386,9 +404,9 @@
             .flatten()
             .for_each(|process| process.facts.clear());
     }
-    let took = fleet.now - begun;
-    let each = (fleet.sent_bytes - bytes) as f64 / size as f64 / took.as_secs_f64();
-    format!("{took:?} at {each:.0} B/s a member")
+    let elapsed = fleet.now - started;
+    let bytes_per_second = (fleet.sent_bytes - bytes) as f64 / size as f64 / elapsed.as_secs_f64();
+    format!("{elapsed:?} at {bytes_per_second:.0} B/s a member")
 }
 
 /// `MEMBERS=100 SEED=1`: how long until all hold all once all have started, until one that comes back holds all, and until all
@@ -401,11 +419,12 @@
     let (size, seed, kinds) = (number("MEMBERS", 100), number("SEED", 1) as u64, 4);
     let mut fleet = Fleet::new(size, seed);
     fleet.loss = 0.05;
-    let say = |fleet: &mut Fleet, version: u8| {
-        for (who, kind) in (0..size).flat_map(|who| (1..=kinds).map(move |kind| (who, kind))) {
+    let publish_all = |fleet: &mut Fleet, version: u8| {
+        for (proxy, kind) in (0..size).flat_map(|proxy| (1..=kinds).map(move |kind| (proxy, kind)))
+        {
             let body = vec![version; 60];
-            fleet.tell(
-                who,
+            fleet.handle_event(
+                proxy,
                 Event::Publish {
                     kind,
                     key: vec![0],
@@ -415,23 +434,23 @@
             );
         }
     };
-    say(&mut fleet, 0);
+    publish_all(&mut fleet, 0);
     let all: Vec<usize> = (0..size).collect();
-    let started = all_held(&mut fleet, &all, kinds, 0);
+    let started = run_until_all_held(&mut fleet, &all, kinds, 0);
     fleet.run(fleet.now + ms(10_000));
     fleet.kill(0);
     fleet.run(fleet.now + ms(10_000));
     fleet.start(0);
     // What it said before is another's to it.
-    let back = all_held(&mut fleet, &[0], kinds, 0);
+    let rejoined = run_until_all_held(&mut fleet, &[0], kinds, 0);
     fleet.run(fleet.now + ms(10_000));
-    fleet.split(|who| who % 2);
+    fleet.partition(|proxy| proxy % 2);
     fleet.run(fleet.now + ms(10_000));
-    say(&mut fleet, 1);
+    publish_all(&mut fleet, 1);
     fleet.run(fleet.now + ms(20_000));
-    fleet.cut.clear();
-    let healed = all_held(&mut fleet, &all, kinds, 1);
+    fleet.blocked.clear();
+    let healed = run_until_all_held(&mut fleet, &all, kinds, 1);
     println!(
-        "{size} members, {kinds} kinds, seed {seed}: all started {started}; one back {back}; halves {healed}"
+        "{size} members, {kinds} kinds, seed {seed}: all started {started}; one back {rejoined}; halves {healed}"
     );
 }
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -16,7 +16,7 @@
 enum Delivery {
     Datagram {
         from: usize,
-        start: u64,
+        incarnation: u64,
         bytes: Vec<u8>,
     },
     Timer {
@@ -27,11 +27,11 @@
 
 pub struct Process {
     pub core: Core,
-    pub start: u64,
+    pub incarnation: u64,
     /// Counts processes: timers of an earlier process of the name are dropped.
     process_number: u64,
     /// Origin of its own clock in the fleet's time.
-    pub since: Duration,
+    pub started_at: Duration,
     pub facts: Vec<Fact>,
 }
 
@@ -39,25 +39,25 @@
     pub now: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64, usize, usize)>>,
     slots: Vec<Option<Delivery>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     count: u64,
     rng: StdRng,
     pub loss: f64,
-    pub delay: (u64, u64),
+    pub delay_ms: (u64, u64),
     /// Pairs of sender and receiver whose datagrams are lost.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub paused: Vec<Duration>,
+    pub blocked: BTreeSet<(usize, usize)>,
+    pub paused_until: Vec<Duration>,
     pub processes: Vec<Option<Process>>,
     pub roster: Roster,
     pub sent_bytes: u64,
-    pub sent: u64,
+    pub sent_datagrams: u64,
     /// Events handled by all cores.
     pub events: u64,
     /// When, at which member, about which member.
-    pub changes: Vec<(Duration, usize, usize, Status)>,
-    pub set: fn(&mut Config),
+    pub status_changes: Vec<(Duration, usize, usize, Status)>,
+    pub configure: fn(&mut Config),
     /// The clock that gives incarnations.
-    pub starts: u64,
+    pub incarnation_clock: u64,
     process_count: u64,
 }
 
@@ -73,120 +73,125 @@
     }
 }
 
-fn at(name: &str) -> usize {
+fn index_of(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
 impl Fleet {
     pub fn new(size: usize, seed: u64) -> Self {
-        Self::with(size, seed, |_| {})
+        Self::with_config(size, seed, |_| {})
     }
 
-    pub fn with(size: usize, seed: u64, set: fn(&mut Config)) -> Self {
+    pub fn with_config(size: usize, seed: u64, configure: fn(&mut Config)) -> Self {
         let mut fleet = Self {
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
             slots: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             count: 0,
             rng: StdRng::seed_from_u64(seed),
             loss: 0.0,
-            delay: (1, 10),
-            cut: BTreeSet::new(),
-            paused: vec![Duration::ZERO; size],
+            delay_ms: (1, 10),
+            blocked: BTreeSet::new(),
+            paused_until: vec![Duration::ZERO; size],
             processes: (0..size).map(|_| None).collect(),
             roster: roster(size),
             sent_bytes: 0,
-            sent: 0,
+            sent_datagrams: 0,
             events: 0,
-            changes: Vec::new(),
-            set,
-            starts: 1000,
+            status_changes: Vec::new(),
+            configure,
+            incarnation_clock: 1000,
             process_count: 0,
         };
-        (0..size).for_each(|who| fleet.start(who));
+        (0..size).for_each(|proxy| fleet.start(proxy));
         fleet
     }
 
-    pub fn start(&mut self, who: usize) {
-        self.starts += 1;
+    pub fn start(&mut self, proxy: usize) {
+        self.incarnation_clock += 1;
         self.process_count += 1;
-        let mut config = Config::new(&format!("p{who}"), self.starts, self.roster.clone());
-        (self.set)(&mut config);
+        let mut config = Config::new(
+            &format!("p{proxy}"),
+            self.incarnation_clock,
+            self.roster.clone(),
+        );
+        (self.configure)(&mut config);
         let core = Core::new(config, self.rng.random()).unwrap();
-        let (start, process_number, since) = (self.starts, self.process_count, self.now);
-        self.processes[who] = Some(Process {
+        let (incarnation, process_number, started_at) =
+            (self.incarnation_clock, self.process_count, self.now);
+        self.processes[proxy] = Some(Process {
             core,
-            start,
+            incarnation,
             process_number,
-            since,
+            started_at,
             facts: Vec::new(),
         });
-        self.tell(who, Event::Start);
+        self.handle_event(proxy, Event::Start);
     }
 
     /// Starts with a clock that was set back, further each time.
-    pub fn start_behind(&mut self, who: usize) {
-        let starts = self.starts;
-        self.starts = 900 - self.process_count;
-        self.start(who);
-        self.starts = starts;
+    pub fn start_with_clock_set_back(&mut self, proxy: usize) {
+        let incarnation_clock = self.incarnation_clock;
+        self.incarnation_clock = 900 - self.process_count;
+        self.start(proxy);
+        self.incarnation_clock = incarnation_clock;
     }
 
-    pub fn kill(&mut self, who: usize) {
-        self.processes[who] = None;
+    pub fn kill(&mut self, proxy: usize) {
+        self.processes[proxy] = None;
     }
 
-    pub fn core(&self, who: usize) -> (&Core, Duration) {
-        let process = self.processes[who].as_ref().unwrap();
-        (&process.core, self.now - process.since)
+    pub fn core(&self, proxy: usize) -> (&Core, Duration) {
+        let process = self.processes[proxy].as_ref().unwrap();
+        (&process.core, self.now - process.started_at)
     }
 
     /// Partitions the fleet into groups.
-    pub fn split(&mut self, group: impl Fn(usize) -> usize) {
+    pub fn partition(&mut self, group: impl Fn(usize) -> usize) {
         let size = self.processes.len();
         let pairs = (0..size).flat_map(|a| (0..size).map(move |b| (a, b)));
-        self.cut = pairs.filter(|(a, b)| group(*a) != group(*b)).collect();
+        self.blocked = pairs.filter(|(a, b)| group(*a) != group(*b)).collect();
     }
 
-    fn push(&mut self, at: Duration, who: usize, delivery: Delivery) {
+    fn push(&mut self, at: Duration, proxy: usize, delivery: Delivery) {
         self.count += 1;
-        let slot = self.free.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.slots.len() - 1
         });
         self.slots[slot] = Some(delivery);
-        self.queue.push(Reverse((at, self.count, who, slot)));
+        self.queue.push(Reverse((at, self.count, proxy, slot)));
     }
 
-    pub fn tell(&mut self, who: usize, event: Event<'_>) {
-        let Some(process) = &mut self.processes[who] else {
+    pub fn handle_event(&mut self, proxy: usize, event: Event<'_>) {
+        let Some(process) = &mut self.processes[proxy] else {
             return;
         };
         let mut actions = Vec::new();
         self.events += 1;
         process
             .core
-            .handle(self.now - process.since, event, &mut actions);
+            .handle(self.now - process.started_at, event, &mut actions);
         let process_number = process.process_number;
-        let mut start = process.start;
+        let mut incarnation = process.incarnation;
         for action in actions {
             match action {
                 Action::Send { to, bytes, .. } => {
                     assert!(bytes.len() <= DATAGRAM_BYTES);
-                    let to = at(&to);
+                    let to = index_of(&to);
                     self.sent_bytes += bytes.len() as u64;
-                    self.sent += 1;
-                    if self.rng.random_bool(self.loss) || self.cut.contains(&(who, to)) {
+                    self.sent_datagrams += 1;
+                    if self.rng.random_bool(self.loss) || self.blocked.contains(&(proxy, to)) {
                         continue;
                     }
-                    let after = ms(self.rng.random_range(self.delay.0..=self.delay.1));
+                    let after = ms(self.rng.random_range(self.delay_ms.0..=self.delay_ms.1));
                     self.push(
                         self.now + after,
                         to,
                         Delivery::Datagram {
-                            from: who,
-                            start,
+                            from: proxy,
+                            incarnation,
                             bytes,
                         },
                     );
@@ -194,7 +199,7 @@
                 Action::Timer { after, token } => {
                     self.push(
                         self.now + after,
-                        who,
+                        proxy,
                         Delivery::Timer {
                             process_number,
                             token,
@@ -202,16 +207,17 @@
                     );
                 }
                 Action::MemberChanged(name, status) => {
-                    self.changes.push((self.now, who, at(&name), status))
+                    self.status_changes
+                        .push((self.now, proxy, index_of(&name), status))
                 }
                 Action::FactReceived(fact) => {
-                    self.processes[who].as_mut().unwrap().facts.push(fact)
+                    self.processes[proxy].as_mut().unwrap().facts.push(fact)
                 }
                 Action::QuorumStateChanged(_) => {}
                 Action::IncarnationRenewed(later) => {
-                    assert!(later > start);
-                    start = later;
-                    self.processes[who].as_mut().unwrap().start = later;
+                    assert!(later > incarnation);
+                    incarnation = later;
+                    self.processes[proxy].as_mut().unwrap().incarnation = later;
                 }
                 Action::PublishRejected(error) => panic!("{error}"),
                 Action::RosterRejected(error) => panic!("{error}"),
@@ -224,36 +230,40 @@
     }
 
     /// Runs, and calls `look` after each moment at which something happened.
-    pub fn run_with(&mut self, until: Duration, mut look: impl FnMut(&Self)) {
-        while let Some(Reverse((at, count, who, slot))) = self.queue.peek().copied() {
+    pub fn run_with(&mut self, until: Duration, mut observe: impl FnMut(&Self)) {
+        while let Some(Reverse((at, count, proxy, slot))) = self.queue.peek().copied() {
             if at > until {
                 break;
             }
             self.queue.pop();
             if at > self.now {
-                look(self);
+                observe(self);
                 self.now = at;
             }
-            if self.paused[who] > at && self.processes[who].is_some() {
+            if self.paused_until[proxy] > at && self.processes[proxy].is_some() {
                 self.queue
-                    .push(Reverse((self.paused[who], count, who, slot)));
+                    .push(Reverse((self.paused_until[proxy], count, proxy, slot)));
                 continue;
             }
-            self.free.push(slot);
+            self.free_slots.push(slot);
             let delivery = self.slots[slot].take().unwrap();
-            let Some(process_number) = self.processes[who]
+            let Some(process_number) = self.processes[proxy]
                 .as_ref()
                 .map(|process| process.process_number)
             else {
                 continue;
             };
             match delivery {
-                Delivery::Datagram { from, start, bytes } => {
-                    self.tell(
-                        who,
+                Delivery::Datagram {
+                    from,
+                    incarnation,
+                    bytes,
+                } => {
+                    self.handle_event(
+                        proxy,
                         Event::Datagram {
                             from: &format!("p{from}"),
-                            incarnation: start,
+                            incarnation,
                             bytes: &bytes,
                         },
                     );
@@ -261,15 +271,15 @@
                 Delivery::Timer {
                     process_number: of,
                     token,
-                } if of == process_number => self.tell(who, Event::Timer(token)),
+                } if of == process_number => self.handle_event(proxy, Event::Timer(token)),
                 Delivery::Timer { .. } => {}
             }
         }
         self.now = until;
     }
 
-    pub fn status(&self, who: usize, of: usize) -> Status {
-        let (core, now) = self.core(who);
+    pub fn status(&self, proxy: usize, of: usize) -> Status {
+        let (core, now) = self.core(proxy);
         let name = format!("p{of}");
         core.view(now)
             .members
@@ -279,8 +289,8 @@
             .status
     }
 
-    pub fn count(&self, who: usize, status: Status) -> usize {
-        let (core, now) = self.core(who);
+    pub fn count(&self, proxy: usize, status: Status) -> usize {
+        let (core, now) = self.core(proxy);
         core.view(now)
             .members
             .iter()
--- a/crates/membership/tests/incarnations.rs
+++ b/crates/membership/tests/incarnations.rs
@@ -4,8 +4,8 @@
 use fleet::{ms, Fleet};
 use membership::{Event, GuardedOperation, QuorumState, Status};
 
-fn state(fleet: &Fleet, who: usize) -> QuorumState {
-    let (core, now) = fleet.core(who);
+fn state(fleet: &Fleet, proxy: usize) -> QuorumState {
+    let (core, now) = fleet.core(proxy);
     core.view(now).state
 }
 
@@ -15,40 +15,40 @@
 fn a_process_whose_clock_was_set_back_takes_a_later_incarnation() {
     for at_once in [false, true] {
         let mut fleet = Fleet::new(5, 3);
-        let say = |fleet: &mut Fleet, body: &[u8]| {
-            let (key, body, lasts) = (b"k".to_vec(), body.to_vec(), ms(600_000));
-            fleet.tell(
+        let publish = |fleet: &mut Fleet, body: &[u8]| {
+            let (key, body, ttl) = (b"k".to_vec(), body.to_vec(), ms(600_000));
+            fleet.handle_event(
                 0,
                 Event::Publish {
                     kind: 1,
                     key,
                     body,
-                    ttl: lasts,
+                    ttl,
                 },
             );
         };
-        say(&mut fleet, b"of the former");
+        publish(&mut fleet, b"of the former");
         fleet.run(ms(5000));
-        let former = fleet.processes[0].as_ref().unwrap().start;
+        let former = fleet.processes[0].as_ref().unwrap().incarnation;
         fleet.kill(0);
         if !at_once {
             fleet.run(ms(12_000));
-            assert!((1..5).all(|who| fleet.status(who, 0) == Status::Down));
+            assert!((1..5).all(|proxy| fleet.status(proxy, 0) == Status::Down));
         }
-        fleet.start_behind(0);
-        say(&mut fleet, b"of this one");
+        fleet.start_with_clock_set_back(0);
+        publish(&mut fleet, b"of this one");
         fleet.run(ms(22_000));
-        let start = fleet.processes[0].as_ref().unwrap().start;
-        assert_eq!(start, former + 1);
-        assert!((0..5).all(|who| state(&fleet, who) == QuorumState::Complete));
-        for who in 1..5 {
-            let (core, now) = fleet.core(who);
-            let said: Vec<_> = core
+        let incarnation = fleet.processes[0].as_ref().unwrap().incarnation;
+        assert_eq!(incarnation, former + 1);
+        assert!((0..5).all(|proxy| state(&fleet, proxy) == QuorumState::Complete));
+        for proxy in 1..5 {
+            let (core, now) = fleet.core(proxy);
+            let facts: Vec<_> = core
                 .facts(now, 1)
                 .into_iter()
                 .map(|fact| (fact.incarnation, fact.body))
                 .collect();
-            assert_eq!(said, [(start, b"of this one".to_vec())]);
+            assert_eq!(facts, [(incarnation, b"of this one".to_vec())]);
             assert_eq!(core.view(now).counters.errors, 0);
         }
         let (core, now) = fleet.core(0);
@@ -68,24 +68,25 @@
     let mut fleet = Fleet::new(4, 8);
     fleet.run(ms(4000));
     // What another process of p0 says from elsewhere; all that is for p0 comes to the first.
-    let twin = fleet.processes[0].as_ref().unwrap().start + 1_000;
+    let other_incarnation = fleet.processes[0].as_ref().unwrap().incarnation + 1_000;
     let roster = fleet.roster.clone();
-    let mut other = membership::Core::new(membership::Config::new("p0", twin, roster), 5).unwrap();
+    let mut other_core =
+        membership::Core::new(membership::Config::new("p0", other_incarnation, roster), 5).unwrap();
     let mut timer = None;
-    for beat in 0..600 {
-        let now = ms(100 * beat);
+    for tick in 0..600 {
+        let now = ms(100 * tick);
         let mut actions = Vec::new();
         let event = timer.take().map_or(Event::Start, Event::Timer);
-        other.handle(now, event, &mut actions);
+        other_core.handle(now, event, &mut actions);
         for action in actions {
             match action {
                 membership::Action::Send { to, bytes, .. } => {
                     let to: usize = to[1..].parse().unwrap();
-                    fleet.tell(
+                    fleet.handle_event(
                         to,
                         Event::Datagram {
                             from: "p0",
-                            incarnation: twin,
+                            incarnation: other_incarnation,
                             bytes: &bytes,
                         },
                     );
@@ -97,12 +98,16 @@
         fleet.run(ms(4000) + now);
     }
     let (core, now) = fleet.core(0);
-    assert!(core.incarnation() > twin, "{}", core.incarnation());
+    assert!(
+        core.incarnation() > other_incarnation,
+        "{}",
+        core.incarnation()
+    );
     assert_eq!(
-        (core.view(now).counters.renewals, other.incarnation()),
-        (1, twin)
+        (core.view(now).counters.renewals, other_core.incarnation()),
+        (1, other_incarnation)
     );
-    assert!((1..4).all(|who| fleet.status(who, 0) == Status::Alive));
+    assert!((1..4).all(|proxy| fleet.status(proxy, 0) == Status::Alive));
 }
 
 /// A member claims an incarnation of this process in the far future. Taking the next one would use up all numbers; it is rejected.
@@ -111,42 +116,44 @@
     let mut fleet = Fleet::new(3, 4);
     fleet.run(ms(3000));
     let roster = fleet.roster.clone();
-    let before = fleet.processes[0].as_ref().unwrap().start;
+    let before = fleet.processes[0].as_ref().unwrap().incarnation;
     for later in [u64::MAX, 1 << 43] {
         // A process that ran as p0 told p2 of itself, and p2 announces itself to that.
-        let mut heard =
+        let mut receiver =
             membership::Core::new(membership::Config::new("p2", 2_000, roster.clone()), 1).unwrap();
         let mut former =
             membership::Core::new(membership::Config::new("p0", later, roster.clone()), 2).unwrap();
-        let mut passes =
+        let mut forward =
             |from: &mut membership::Core, to: &mut membership::Core, name: &str, at: u64| {
                 let mut actions = Vec::new();
                 from.handle(ms(at), Event::Start, &mut actions);
                 for token in 0..20 {
                     from.handle(ms(at + 100 * token), Event::Timer(token), &mut actions);
                 }
-                let start = from.incarnation();
+                let incarnation = from.incarnation();
                 for action in actions {
                     if let membership::Action::Send {
-                        to: whom, bytes, ..
+                        to: recipient,
+                        bytes,
+                        ..
                     } = action
                     {
-                        if whom == "p0" || whom == "p2" {
+                        if recipient == "p0" || recipient == "p2" {
                             to.handle(
                                 ms(at),
                                 Event::Datagram {
                                     from: name,
-                                    incarnation: start,
+                                    incarnation,
                                     bytes: &bytes,
                                 },
                                 &mut Vec::new(),
                             );
                             if name == "p2" {
-                                fleet.tell(
+                                fleet.handle_event(
                                     0,
                                     Event::Datagram {
                                         from: name,
-                                        incarnation: start,
+                                        incarnation,
                                         bytes: &bytes,
                                     },
                                 );
@@ -155,8 +162,8 @@
                     }
                 }
             };
-        passes(&mut former, &mut heard, "p0", 0);
-        passes(&mut heard, &mut former, "p2", 100);
+        forward(&mut former, &mut receiver, "p0", 0);
+        forward(&mut receiver, &mut former, "p2", 100);
     }
     let (core, now) = fleet.core(0);
     assert!(core.view(now).counters.renewals_out_of_range > 0);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -9,8 +9,8 @@
 const MEMBERS: usize = 4;
 /// Moments that a majority has to hold, and after which a partition is detected.
 const HOLD: u8 = 1;
-const KNOWN: u8 = 1;
-const LAST_MOMENT: u8 = 3;
+const DETECTION_DELAY: u8 = 1;
+const LAST_TIME: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
@@ -20,26 +20,27 @@
     since: u8,
     /// The groups that each member last learned of.
     learned: [[u8; MEMBERS]; MEMBERS],
-    standing: [QuorumTracker; MEMBERS],
+    trackers: [QuorumTracker; MEMBERS],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Cut([u8; MEMBERS]),
+    Partition([u8; MEMBERS]),
     Learn(usize),
     Tick,
 }
 
 /// `half`: a planted fault: half of the fleet counts as a majority.
 struct Fleet {
-    half: bool,
+    half_is_majority: bool,
 }
 
 impl Fleet {
-    fn may(&self, standing: &QuorumTracker) -> bool {
-        let half = self.half && standing.counts.alive * 2 >= MEMBERS;
-        half || permission(GuardedOperation::Promote, standing.state, false)
-            == Permission::IfRosterAgreed
+    fn may_promote(&self, tracker: &QuorumTracker) -> bool {
+        let half_is_majority = self.half_is_majority && tracker.counts.alive * 2 >= MEMBERS;
+        half_is_majority
+            || permission(GuardedOperation::Promote, tracker.state, false)
+                == Permission::IfRosterAgreed
     }
 }
 
@@ -49,28 +50,30 @@
 
     fn init_states(&self) -> Vec<World> {
         let groups = [0; MEMBERS];
-        let standing = [QuorumTracker::default(); MEMBERS];
+        let trackers = [QuorumTracker::default(); MEMBERS];
         vec![World {
             now: 0,
             groups,
             since: 0,
             learned: [groups; MEMBERS],
-            standing,
+            trackers,
         }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let cuts = [[0, 0, 0, 0], [0, 0, 0, 1], [0, 0, 1, 1]];
+        let partitions = [[0, 0, 0, 0], [0, 0, 0, 1], [0, 0, 1, 1]];
         steps.extend(
-            cuts.into_iter()
-                .filter(|cut| *cut != world.groups)
-                .map(Step::Cut),
+            partitions
+                .into_iter()
+                .filter(|partition| *partition != world.groups)
+                .map(Step::Partition),
         );
-        let behind = |who: &usize| world.learned[*who] != world.groups;
-        steps.extend((0..MEMBERS).filter(behind).map(Step::Learn));
+        let has_outdated_groups = |member: &usize| world.learned[*member] != world.groups;
+        steps.extend((0..MEMBERS).filter(has_outdated_groups).map(Step::Learn));
         // Time goes on only while nobody is behind for longer than the bound.
-        if world.now < LAST_MOMENT
-            && (world.now < world.since + KNOWN || !(0..MEMBERS).any(|who| behind(&who)))
+        if world.now < LAST_TIME
+            && (world.now < world.since + DETECTION_DELAY
+                || !(0..MEMBERS).any(|member| has_outdated_groups(&member)))
         {
             steps.push(Step::Tick);
         }
@@ -79,19 +82,19 @@
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut next = world.clone();
         match step {
-            Step::Cut(groups) => (next.groups, next.since) = (groups, world.now),
-            Step::Learn(who) => next.learned[who] = world.groups,
+            Step::Partition(groups) => (next.groups, next.since) = (groups, world.now),
+            Step::Learn(member) => next.learned[member] = world.groups,
             Step::Tick => next.now += 1,
         }
-        for who in 0..MEMBERS {
-            let mine = next.learned[who][who];
-            let heard = next.learned[who]
+        for member in 0..MEMBERS {
+            let own_group = next.learned[member][member];
+            let alive = next.learned[member]
                 .iter()
-                .filter(|group| **group == mine)
+                .filter(|group| **group == own_group)
                 .count();
-            let heads = MemberCounts {
+            let counts = MemberCounts {
                 total: MEMBERS,
-                alive: heard,
+                alive,
                 suspect: 0,
                 left: 0,
                 includes_self: true,
@@ -100,7 +103,7 @@
                 Duration::from_secs(next.now.into()),
                 Duration::from_secs(HOLD.into()),
             );
-            next.standing[who].update(now, heads, hold);
+            next.trackers[member].update(now, counts, hold);
         }
         Some(next)
     }
@@ -108,25 +111,27 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one group promotes", |model: &Self, world: &World| {
-                let known = (0..MEMBERS).all(|who| world.learned[who] == world.groups);
-                let may = |who: &usize| model.may(&world.standing[*who]);
+                let all_detected = (0..MEMBERS).all(|member| world.learned[member] == world.groups);
+                let may_promote = |member: &usize| model.may_promote(&world.trackers[*member]);
                 let mut groups: Vec<u8> = (0..MEMBERS)
-                    .filter(may)
-                    .map(|who| world.groups[who])
+                    .filter(may_promote)
+                    .map(|member| world.groups[member])
                     .collect();
                 groups.dedup();
                 groups.sort_unstable();
                 groups.dedup();
-                !known || groups.len() < 2
+                !all_detected || groups.len() < 2
             }),
             Property::sometimes("three of four promote", |model: &Self, world: &World| {
                 world.groups == [0, 0, 0, 1]
                     && world.learned[3] == world.groups
-                    && model.may(&world.standing[0])
-                    && !model.may(&world.standing[3])
+                    && model.may_promote(&world.trackers[0])
+                    && !model.may_promote(&world.trackers[3])
             }),
             Property::sometimes("a majority comes back", |model: &Self, world: &World| {
-                world.since > 1 && world.groups == [0; MEMBERS] && model.may(&world.standing[1])
+                world.since > 1
+                    && world.groups == [0; MEMBERS]
+                    && model.may_promote(&world.trackers[1])
             }),
         ]
     }
@@ -134,13 +139,23 @@
 
 #[test]
 fn no_order_of_events_lets_two_groups_promote() {
-    let checker = Fleet { half: false }.checker().spawn_bfs().join();
+    let checker = Fleet {
+        half_is_majority: false,
+    }
+    .checker()
+    .spawn_bfs()
+    .join();
     checker.assert_properties();
     assert!(
         checker.unique_state_count() > 1000,
         "{}",
         checker.unique_state_count()
     );
-    let planted = Fleet { half: true }.checker().spawn_bfs().join();
-    assert!(planted.discovery("one group promotes").is_some());
+    let faulty = Fleet {
+        half_is_majority: true,
+    }
+    .checker()
+    .spawn_bfs()
+    .join();
+    assert!(faulty.discovery("one group promotes").is_some());
 }
