--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -1,4 +1,4 @@
-//! What a fleet does in each case that the design page names.
+//! Behaviour of a fleet in each case of the design page.
 mod fleet;
 
 use std::time::Duration;
@@ -69,7 +69,7 @@
 #[test]
 fn quorum_state_by_member_counts() {
     let cases = [
-        // of, heard, suspect, left
+        // total, alive, suspect, left
         ((1, 1, 0, 0), QuorumState::Complete),
         ((2, 1, 0, 0), QuorumState::Alone),
         ((2, 1, 1, 0), QuorumState::Minority),
@@ -94,8 +94,8 @@
     }
 }
 
-/// A member leaves, comes back, and another one restarts. A leave must not look like a crash, a later incarnation must replace
-/// the former one at once, and datagrams of the former one must be dropped.
+/// A member leaves and rejoins, and another one restarts. A leave must not be reported as a failure, a later incarnation
+/// must replace the earlier one at once, and datagrams of the earlier one must be dropped.
 #[test]
 fn members_join_leave_and_rejoin_under_the_same_name() {
     let mut fleet = Fleet::new(5, 1);
@@ -114,7 +114,7 @@
     fleet.start(4);
     fleet.run(ms(8000));
     assert!((0..4).all(|proxy| fleet.status(proxy, 4) == Status::Alive));
-    // A later incarnation replaces the former one at once: nobody declares it down in between.
+    // A later incarnation replaces the earlier one at once: no member declares it down in between.
     fleet.status_changes.clear();
     fleet.start(3);
     fleet.run(ms(10_000));
@@ -152,11 +152,11 @@
     );
 }
 
-/// Partitions of several shapes: chains, halves, three groups, one member alone. Each member has to hold its own group for alive,
-/// and at most one group may promote.
+/// Partitions of several shapes: chains, halves, three groups, a single member. Each member has to hold its own group for
+/// alive, and at most one group may promote.
 #[test]
 fn views_in_partitions_match_the_design_page() {
-    // One way: A (0) hears nothing of B (1).
+    // One way: datagrams from member 1 to member 0 are lost.
     let mut fleet = Fleet::new(5, 2);
     fleet.run(ms(4000));
     fleet.blocked.insert((1, 0));
@@ -164,7 +164,7 @@
     assert!(fleet.status(0, 1) != Status::Down && fleet.status(1, 0) != Status::Down);
     assert!(!is_direct(&fleet, 0, 1) && is_direct(&fleet, 1, 0));
 
-    // A chain: 0 and 2 hear nothing of each other, 1 hears both.
+    // A chain: members 0 and 2 cannot reach each other, member 1 reaches both.
     let mut fleet = Fleet::new(3, 3);
     fleet.run(ms(4000));
     fleet.blocked.extend([(0, 2), (2, 0)]);
@@ -216,8 +216,9 @@
     }
 }
 
-/// A process is paused. When it goes on, all its probes are overdue: it would declare the fleet down and act on a view that is
-/// old. It has to suspect itself before it does anything, and to act again only after others have answered.
+/// When a paused process resumes, all its probes are overdue: it would declare the fleet down and act on an outdated
+/// view. It has to suspect itself before it does anything else, and to act again only after other members have
+/// acknowledged probes.
 #[test]
 fn a_paused_process_suspects_itself_and_declares_nobody_down() {
     for pause in [600, 3000, 60_000] {
@@ -226,7 +227,7 @@
         assert_eq!(allowed(&fleet, 0, GuardedOperation::Promote), Ok(()));
         fleet.paused_until[0] = ms(5000 + pause);
         fleet.run(ms(5000 + pause - 1));
-        // The first thing after the pause may be a question, before any event.
+        // The first call after the pause may be a check of an operation, before any event.
         assert_eq!(
             allowed(&fleet, 0, GuardedOperation::Promote),
             Err(OperationDenied::SelfSuspected)
@@ -253,7 +254,8 @@
     }
 }
 
-/// A process is paused and cut off meanwhile. No other member answers its probes, so it must never trust its old majority again.
+/// A process is paused and partitioned from the others meanwhile. No other member acknowledges its probes, so it must
+/// never trust its former majority again.
 #[test]
 fn a_process_without_acks_goes_on_suspecting_itself() {
     let mut fleet = Fleet::new(5, 6);
@@ -269,8 +271,9 @@
     assert_eq!(state(&fleet, 0), QuorumState::Alone);
 }
 
-/// Half of a fleet holds p59 for down under its earlier incarnation. p29 alone in that half has heard of the later one when it is
-/// cut off with them. It would count a majority until its own probes reach p59; it has to ping p59 at once.
+/// Half of the fleet holds p59 for down under its earlier incarnation. In that half only p29 has received the later
+/// incarnation when a partition separates the half from p59. p29 would count a majority until its own probes reach p59,
+/// so it has to ping p59 at once.
 #[test]
 fn a_member_down_elsewhere_under_an_earlier_incarnation_is_pinged() {
     for seed in 0..2 {
@@ -291,8 +294,8 @@
     }
 }
 
-/// Half of the fleet gets another roster with a further member. Promotions have to stop on both sides, and the member that the
-/// others do not know must not count there.
+/// Half of the fleet gets a roster with an additional member. Promotions have to stop on both sides, and members with the
+/// old roster must not count the new member.
 #[test]
 fn another_roster_is_noticed_and_unknown_members_do_not_count() {
     let mut fleet = Fleet::new(4, 7);
@@ -318,12 +321,12 @@
         assert_eq!(view.member_counts.total, if proxy < 2 { 5 } else { 4 });
         assert!(proxy < 2 || view.counters.roster_mismatches == 2);
     }
-    // A new version is no death.
+    // A new roster version must not be reported as a failure.
     assert!(fleet
         .status_changes
         .iter()
         .all(|(.., status)| *status != Status::Down));
-    // p4 runs, but only half of the proxies have it in their rosters: the others neither count nor kill it.
+    // p4 runs, but only half of the proxies have it in their rosters: the others neither count it nor declare it down.
     fleet.roster = larger_roster.clone();
     fleet.start(4);
     fleet.run(ms(14_000));
@@ -336,7 +339,7 @@
     fleet.run(ms(20_000));
     assert!((0..5).all(|proxy| state(&fleet, proxy) == QuorumState::Complete));
     assert!((0..5).all(|proxy| allowed(&fleet, proxy, GuardedOperation::Promote).is_ok()));
-    // One fewer: it is no longer sent to, and nobody is told that it died.
+    // A roster without p4: p4 receives no more datagrams, and no member is notified that it is down.
     let mut smaller_roster = roster(4);
     smaller_roster.version = 3;
     (0..4).for_each(|proxy| fleet.handle_event(proxy, Event::Roster(smaller_roster.clone())));
@@ -369,7 +372,7 @@
         ports.first() == Some(&9) && ports.last() == Some(&10),
         "{ports:?}"
     );
-    // A roster without this proxy is not taken.
+    // A roster without this proxy is rejected.
     actions.clear();
     own_roster.members.remove(0);
     core.handle(ms(301), Event::Roster(own_roster), &mut actions);
@@ -379,11 +382,12 @@
     assert_eq!(core.view(ms(301)).member_counts.total, 2);
 }
 
-/// A partition leaves each group the majority of other regions. Lending in a region goes by that region alone; promoting there
-/// needs the majority of the fleet as well.
+/// In a partition each group holds the majority of different regions. Lending in a region depends on that region alone;
+/// promoting there depends on the majority of the fleet as well.
 #[test]
 fn each_region_has_its_own_quorum_state() {
-    // Regions by number modulo 3; 9 members. The group of 4 has all of region 0 and one of region 1.
+    // The region of a member is its number modulo 3; there are 9 members. The group of 4 contains all of region 0 and one
+    // member of region 1.
     let mut fleet = Fleet::new(9, 8);
     fleet.run(ms(5000));
     fleet.partition(|proxy| usize::from(proxy % 3 == 0 || proxy == 1));
@@ -413,8 +417,8 @@
     );
 }
 
-/// Facts reach all members at 5 % loss and expire. A member that was cut off while a fact was replaced must not bring the former
-/// version back, and a restarted process sees what its earlier incarnation published.
+/// Facts reach all members at 5 % loss and expire. A member that was partitioned while a fact was replaced must not bring
+/// the earlier version back, and a restarted process receives the facts of its earlier incarnation.
 #[test]
 fn facts_spread_expire_and_are_replaced_by_later_versions() {
     let mut fleet = Fleet::new(10, 9);
@@ -450,7 +454,7 @@
         let age = core.facts(now, 1)[0].age;
         assert!(age <= ms(3000) && age >= ms(2800), "{age:?}");
     }
-    // A short fact replaces the long one while p9 is cut off; the long one does not come back.
+    // A fact with a short TTL replaces one with a long TTL while p9 is partitioned; the earlier one must not come back.
     fleet.partition(|proxy| usize::from(proxy == 9));
     publish(&mut fleet, 0, b"short", ms(1000));
     fleet.run(ms(14_000));
@@ -459,7 +463,7 @@
     assert!((1..10).all(|proxy| !bodies(&fleet, proxy).contains(&b"long".to_vec())));
     fleet.run(ms(36_000));
     assert!((1..10).all(|proxy| bodies(&fleet, proxy).is_empty()));
-    // A restarted process receives what its earlier incarnation published, as a fact of another.
+    // A restarted process receives the facts of its earlier incarnation as those of another process.
     publish(&mut fleet, 3, b"before", ms(60_000));
     fleet.run(ms(39_000));
     fleet.start(3);
@@ -470,8 +474,8 @@
     assert!(bodies(&fleet, 3).is_empty() && bodies(&fleet, 4) == [b"after".to_vec()]);
 }
 
-/// More new facts than fit into the datagrams of a heartbeat. They were once sent in the order of their ids, so that the same
-/// sources were always late; now every fact has to arrive within three seconds.
+/// More new facts are published than fit into the datagrams of a heartbeat. When they were sent in the order of their
+/// ids, the same sources were always late; now every fact has to arrive within three seconds.
 #[test]
 fn facts_that_do_not_fit_wait_and_no_source_is_starved() {
     let mut fleet = Fleet::new(30, 2);
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -1,5 +1,5 @@
-//! Figures for `docs/results/one-fleet/members.md`. The long ones are ignored:
-//! `cargo test -p membership --test figures -- --ignored --nocapture`.
+//! Measurements for `docs/results/one-fleet/members.md`. The long ones are ignored: `cargo test -p membership --test
+//! figures -- --ignored --nocapture`.
 mod fleet;
 
 use std::collections::BTreeSet;
@@ -8,7 +8,8 @@
 use fleet::{ms, Fleet};
 use membership::{republish_interval, Event, GuardedOperation, Status};
 
-/// Runs the fleet while each member publishes all that the program does with quota loans, at its intervals; without `facts` none.
+/// Runs the fleet while each member publishes the facts that the program publishes with quota loans, at the program's
+/// intervals; without `facts` none are published.
 struct Publisher {
     publications: Vec<Publication>,
     due: BTreeSet<(Duration, usize, usize)>,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Crashes one member after another; returns the times until all others knew, sorted.
+/// Crashes one member after another. Returns, sorted, the times until all other members had declared it down.
 fn detection_times(size: usize, loss: f64, times: usize, seed: u64, facts: bool) -> Vec<Duration> {
     let mut fleet = Fleet::new(size, seed);
     fleet.loss = loss;
@@ -141,7 +142,7 @@
         let known = detection_times(size, 0.05, times, seed, facts);
         let at = |part: f64| known[((known.len() - 1) as f64 * part).round() as usize];
         println!(
-            "{times} deaths among {size}, seed {seed}, facts {facts}: p50 {:?} p90 {:?} p99 {:?} max {:?}",
+            "{times} failures among {size} members, seed {seed}, facts {facts}: p50 {:?} p90 {:?} p99 {:?} max {:?}",
             at(0.5),
             at(0.9),
             at(0.99),
@@ -162,12 +163,12 @@
     );
     let (down, suspect, bytes) = false_detections(100, 0.05, minutes, seed, facts);
     println!(
-        "{minutes} min, 100 members, 5 % loss, seed {seed}, facts {facts}: {down} false deaths, {suspect} suspicions told, {bytes} B/s"
+        "{minutes} min, 100 members, 5 % loss, seed {seed}, facts {facts}: {down} false detections, {suspect} suspicions, {bytes} B/s"
     );
 }
 
-/// After a partition into halves: when the last process knew that it may not promote; after the heal: when the last one knew
-/// that it may.
+/// Measures the time from a partition into halves until no process may promote, and from its heal until every process
+/// may.
 #[test]
 #[ignore]
 fn figures_majority() {
@@ -198,7 +199,7 @@
         lost.sort();
         regained.sort();
         println!(
-            "halves of {size}: lost p50 {:?} max {:?}; regained p50 {:?} max {:?}",
+            "{size} members in two halves: lost p50 {:?} max {:?}; regained p50 {:?} max {:?}",
             lost[10], lost[19], regained[10], regained[19]
         );
     }
@@ -214,7 +215,7 @@
         fleet.run(ms(80_000));
         let per = |total: u64| total as f64 / size as f64 / 20.0;
         println!(
-            "size {size}: {:.0} B/s {:.1} datagrams/s, alive {}",
+            "{size} members: {:.0} B/s {:.1} datagrams/s, alive {}",
             per(fleet.sent_bytes - bytes),
             per(fleet.sent_datagrams - sent),
             fleet.count(0, Status::Alive)
@@ -222,15 +223,15 @@
     }
 }
 
-/// What a proxy says again and again: kind, bytes of the body, how often, how long it lasts.
+/// A fact that a proxy publishes periodically: kind, size of the body in bytes, interval, TTL.
 type Publication = (u8, usize, Duration, Duration);
 const RATES_KIND: u8 = 30;
 const HEARTBEAT_KIND: u8 = 64;
 
-/// What the program says, `rates` between two of the rates of eight tenants; with loans, the beat and one stand whose row and
-/// witness change each second, as large as they become among so many.
+/// The facts that the program publishes. `rates` is the interval of the rates of eight tenants. With loans, the heartbeat
+/// and one stand are included whose row and witness change each second, at their maximum size in a fleet of this size.
 fn publications(size: usize, with_loans: bool, rates: Option<Duration>) -> Vec<Publication> {
-    // Loans are founded among 55 at most; a beat among more has room for eight others.
+    // Loans are founded among at most 55 members; a heartbeat in a larger fleet has room for eight others.
     let (founders, others) = if size <= 55 { (size, 0) } else { (0, 8) };
     let second = ms(1000);
     let loans = [
@@ -259,8 +260,8 @@
         .collect()
 }
 
-/// `MEMBERS=500 LOANS=0 RATES=1000 SECONDS=20`: what it costs, and how old rates are where they are held. `PHASE=0`: all
-/// say theirs at one moment.
+/// Measures traffic and the age of held rates, for example with `MEMBERS=500 LOANS=0 RATES=1000 SECONDS=20`. With
+/// `PHASE=0` all members publish at the same time.
 #[test]
 #[ignore]
 fn figures_facts() {
@@ -274,7 +275,7 @@
     let (loans, rates) = (number("LOANS", 0) > 0, number("RATES", 1000) as u64);
     let mut fleet = Fleet::new(size, 1);
     fleet.loss = number("LOSS", 0) as f64 / 100.0;
-    // At the start each tells each other what it holds, one in each half period.
+    // After the start each member sends its facts to every other, to one in each half period.
     let started = ms(10_000 + 100 * size as u64);
     fleet.run(started);
     let publications = publications(size, loans, (rates > 0).then_some(ms(rates)));
@@ -290,7 +291,7 @@
             )
         })
         .collect();
-    // All has been said once, and what was said first has been replaced.
+    // All facts have been published once, and the first publications have been replaced.
     let begin = started + ms(rates.max(4000) * 2);
     let end = begin + ms(seconds * 1000);
     let (mut bytes, mut sent) = (0, 0);
@@ -317,7 +318,7 @@
         due.insert((at + interval, proxy, index));
     }
     fleet.run(end);
-    // The part of a kind that is held, and how old it is there.
+    // The share of the facts of a kind that are held, and their ages.
     let held = |kind: u8| {
         let cores = (0..size).map(|proxy| fleet.core(proxy));
         let mut ages: Vec<Duration> = cores
@@ -341,7 +342,7 @@
         .filter(|(.., status)| *status == Status::Down)
         .count();
     println!(
-        "{size} members, loans {loans}, rates each {rates} ms, phase {phase}: {:.0} B/s {:.1} datagrams/s; rates {}; beats {}; \
+        "{size} members, loans {loans}, rates every {rates} ms, phase {phase}: {:.0} B/s {:.1} datagrams/s; rates {}; heartbeats {}; \
          {down} down",
         per(fleet.sent_bytes - bytes),
         per(fleet.sent_datagrams - sent),
@@ -350,13 +351,13 @@
     );
 }
 
-/// Time on a processor of this thread, in nanoseconds.
+/// CPU time of this thread in nanoseconds.
 fn thread_cpu_ns() -> u64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap();
     stat.split(' ').next().unwrap().parse().unwrap()
 }
 
-/// What an event costs: among all from the start, and through a cut and its heal.
+/// Measures the CPU time of an event: after the start, in steady state, and through a partition and its heal.
 #[test]
 #[ignore]
 fn figures_events() {
@@ -370,7 +371,7 @@
                 _ => fleet.blocked.clear(),
             }
             let (events, started) = (fleet.events, thread_cpu_ns());
-            // The clock of a thread moves by ticks: a small fleet is watched for longer.
+            // The CPU clock of a thread advances in ticks, so a small fleet is measured for longer.
             fleet.run(fleet.now + ms(secs * 1000 * (500 / size as u64)));
             let (events, spent) = (fleet.events - events, thread_cpu_ns() - started);
             lines.push(format!(
@@ -378,11 +379,12 @@
                 spent as f64 / 1000.0 / events as f64
             ));
         }
-        println!("{size} members, an event: {}", lines.join(", "));
+        println!("{size} members, CPU time per event: {}", lines.join(", "));
     }
 }
 
-/// Until all members that run hold what all have said of all kinds, in its last version; and what each sent meanwhile, a second.
+/// Runs until the given proxies hold the last version of all facts of all kinds. Returns the elapsed time and the bytes
+/// sent per second and member meanwhile.
 fn run_until_all_held(fleet: &mut Fleet, proxies: &[usize], kinds: u8, version: u8) -> String {
     let size = fleet.processes.len();
     let (started, bytes) = (fleet.now, fleet.sent_bytes);
@@ -406,11 +408,12 @@
     }
     let elapsed = fleet.now - started;
     let bytes_per_second = (fleet.sent_bytes - bytes) as f64 / size as f64 / elapsed.as_secs_f64();
-    format!("{elapsed:?} at {bytes_per_second:.0} B/s a member")
+    format!("{elapsed:?} at {bytes_per_second:.0} B/s per member")
 }
 
-/// `MEMBERS=100 SEED=1`: how long until all hold all once all have started, until one that comes back holds all, and until all
-/// do after two halves that each said all anew are one again.
+/// Measures, for example with `MEMBERS=100 SEED=1`, the time until all members hold all facts: after all have started, at
+/// one member after its restart, and after the heal of a partition into halves in which each member published all its
+/// facts anew.
 #[test]
 #[ignore]
 fn figures_sync() {
@@ -441,7 +444,7 @@
     fleet.kill(0);
     fleet.run(fleet.now + ms(10_000));
     fleet.start(0);
-    // What it said before is another's to it.
+    // The restarted process receives the facts of its earlier incarnation like those of another member.
     let rejoined = run_until_all_held(&mut fleet, &[0], kinds, 0);
     fleet.run(fleet.now + ms(10_000));
     fleet.partition(|proxy| proxy % 2);
@@ -451,6 +454,6 @@
     fleet.blocked.clear();
     let healed = run_until_all_held(&mut fleet, &all, kinds, 1);
     println!(
-        "{size} members, {kinds} kinds, seed {seed}: all started {started}; one back {rejoined}; halves {healed}"
+        "{size} members, {kinds} kinds, seed {seed}: after the start {started}; after a restart {rejoined}; after a partition {healed}"
     );
 }
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet in virtual time: loss, delay, one-way partitions, pauses and crashes, all from a seed.
+//! A simulated fleet in virtual time: loss, delay, one-way partitions, pauses and crashes, all derived from a seed.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -28,9 +28,9 @@
 pub struct Process {
     pub core: Core,
     pub incarnation: u64,
-    /// Counts processes: timers of an earlier process of the name are dropped.
+    /// Unique number of the process: timers of an earlier process of the same name are dropped.
     process_number: u64,
-    /// Origin of its own clock in the fleet's time.
+    /// Origin of the process's own clock, in the fleet's time.
     pub started_at: Duration,
     pub facts: Vec<Fact>,
 }
@@ -44,19 +44,19 @@
     rng: StdRng,
     pub loss: f64,
     pub delay_ms: (u64, u64),
-    /// Pairs of sender and receiver whose datagrams are lost.
+    /// Pairs of sender and receiver between which all datagrams are lost.
     pub blocked: BTreeSet<(usize, usize)>,
     pub paused_until: Vec<Duration>,
     pub processes: Vec<Option<Process>>,
     pub roster: Roster,
     pub sent_bytes: u64,
     pub sent_datagrams: u64,
-    /// Events handled by all cores.
+    /// Number of events handled by all cores.
     pub events: u64,
-    /// When, at which member, about which member.
+    /// Time of the change, member that observed it, member that it concerns, new status.
     pub status_changes: Vec<(Duration, usize, usize, Status)>,
     pub configure: fn(&mut Config),
-    /// The clock that gives incarnations.
+    /// Incarnation of the process that started last with a correct clock.
     pub incarnation_clock: u64,
     process_count: u64,
 }
@@ -130,7 +130,7 @@
         self.handle_event(proxy, Event::Start);
     }
 
-    /// Starts with a clock that was set back, further each time.
+    /// Starts a process whose clock was set back, further with each start.
     pub fn start_with_clock_set_back(&mut self, proxy: usize) {
         let incarnation_clock = self.incarnation_clock;
         self.incarnation_clock = 900 - self.process_count;
@@ -147,7 +147,7 @@
         (&process.core, self.now - process.started_at)
     }
 
-    /// Partitions the fleet into groups.
+    /// Partitions the fleet into groups that cannot reach each other.
     pub fn partition(&mut self, group: impl Fn(usize) -> usize) {
         let size = self.processes.len();
         let pairs = (0..size).flat_map(|a| (0..size).map(move |b| (a, b)));
@@ -229,7 +229,7 @@
         self.run_with(until, |_| {});
     }
 
-    /// Runs, and calls `look` after each moment at which something happened.
+    /// Runs until a time, and calls `observe` after each moment at which events occurred.
     pub fn run_with(&mut self, until: Duration, mut observe: impl FnMut(&Self)) {
         while let Some(Reverse((at, count, proxy, slot))) = self.queue.peek().copied() {
             if at > until {
--- a/crates/membership/tests/incarnations.rs
+++ b/crates/membership/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations: clocks that were set back, two processes of one name, and forged incarnations.
+//! Incarnations: clocks that were set back, two processes with one name, and forged incarnations.
 mod fleet;
 
 use fleet::{ms, Fleet};
@@ -9,8 +9,9 @@
     core.view(now).state
 }
 
-/// A host's clock is set back, and its proxy restarts with an incarnation that all others hold for stale. They would drop all that
-/// it sends. It has to take a later incarnation; then it is reachable again and its facts are accepted.
+/// A host's clock is set back, and its proxy restarts with an incarnation that all other members consider stale: they
+/// would drop all its datagrams. The process has to adopt a later incarnation; then it is reachable again and its facts
+/// are accepted.
 #[test]
 fn a_process_whose_clock_was_set_back_takes_a_later_incarnation() {
     for at_once in [false, true] {
@@ -61,13 +62,13 @@
     }
 }
 
-/// Two processes have one name. Each hears of the other's incarnation and would take a later one without end; the renewals have to
-/// wait longer each time, and the one at the roster's address stays.
+/// Two processes have one name. Each learns of the other's incarnation and could adopt a later one without end. The time
+/// between renewals has to grow, and the process at the roster's address keeps the name.
 #[test]
 fn two_processes_of_one_name_do_not_outbid_each_other() {
     let mut fleet = Fleet::new(4, 8);
     fleet.run(ms(4000));
-    // What another process of p0 says from elsewhere; all that is for p0 comes to the first.
+    // Another process named p0 sends from elsewhere; all datagrams to p0 reach the first process.
     let other_incarnation = fleet.processes[0].as_ref().unwrap().incarnation + 1_000;
     let roster = fleet.roster.clone();
     let mut other_core =
@@ -110,7 +111,8 @@
     assert!((1..4).all(|proxy| fleet.status(proxy, 0) == Status::Alive));
 }
 
-/// A member claims an incarnation of this process in the far future. Taking the next one would use up all numbers; it is rejected.
+/// A member reports an incarnation of this process in the far future. Adopting the next one would use up all numbers, so
+/// it is rejected.
 #[test]
 fn an_incarnation_beyond_all_clocks_is_rejected() {
     let mut fleet = Fleet::new(3, 4);
@@ -118,7 +120,7 @@
     let roster = fleet.roster.clone();
     let before = fleet.processes[0].as_ref().unwrap().incarnation;
     for later in [u64::MAX, 1 << 43] {
-        // A process that ran as p0 told p2 of itself, and p2 announces itself to that.
+        // p2 receives the identity of another process named p0, and announces itself to that identity.
         let mut receiver =
             membership::Core::new(membership::Config::new("p2", 2_000, roster.clone()), 1).unwrap();
         let mut former =
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model check (stateright) of the quorum states of four members: partitions come and go, and each member learns of them at its
-//! own time, at most one moment late. A larger model (six partitions, six moments) held as well, in 407 s.
+//! Model check (stateright) of the quorum states of four members: partitions come and go, and each member detects them at
+//! its own time, at most one time step late. A larger model (six partitions, six time steps) held as well, in 407 s.
 
 use std::time::Duration;
 
@@ -7,18 +7,20 @@
 use stateright::{Checker, Model, Property};
 
 const MEMBERS: usize = 4;
-/// Moments that a majority has to hold, and after which a partition is detected.
+/// Time steps for which a majority has to hold before it takes effect.
 const HOLD: u8 = 1;
+/// Time steps within which each member detects a partition.
 const DETECTION_DELAY: u8 = 1;
 const LAST_TIME: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u8,
-    /// The group of each member, and since when.
+    /// The group of each member.
     groups: [u8; MEMBERS],
+    /// Time of the last change of the groups.
     since: u8,
-    /// The groups that each member last learned of.
+    /// The groups that each member has detected last.
     learned: [[u8; MEMBERS]; MEMBERS],
     trackers: [QuorumTracker; MEMBERS],
 }
@@ -30,7 +32,7 @@
     Tick,
 }
 
-/// `half`: a planted fault: half of the fleet counts as a majority.
+/// Model of the fleet. `half_is_majority` injects a fault: half of the fleet counts as a majority.
 struct Fleet {
     half_is_majority: bool,
 }
@@ -70,7 +72,7 @@
         );
         let has_outdated_groups = |member: &usize| world.learned[*member] != world.groups;
         steps.extend((0..MEMBERS).filter(has_outdated_groups).map(Step::Learn));
-        // Time goes on only while nobody is behind for longer than the bound.
+        // Time advances only while no member has been unaware of the current groups for longer than the bound.
         if world.now < LAST_TIME
             && (world.now < world.since + DETECTION_DELAY
                 || !(0..MEMBERS).any(|member| has_outdated_groups(&member)))
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -1,5 +1,6 @@
-//! Random schedules of partitions, loss, pauses, crashes and restarts: no two groups may both promote, and afterwards
-//! all members agree. More and larger: `cargo test --release -p membership --test schedules -- --ignored --nocapture`.
+//! Random schedules of partitions, loss, pauses, crashes and restarts: two groups must never promote at the same time,
+//! and afterwards all members have to agree. Longer runs with larger fleets: `cargo test --release -p membership --test
+//! schedules -- --ignored --nocapture`.
 mod fleet;
 
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
@@ -10,16 +11,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, TestRunner};
 
-/// Within this time of a partition a group that lost its majority may still act: the stated bound, at these sizes.
+/// Time after a partition during which a group that lost its majority may still act: the documented bound for fleets of
+/// these sizes.
 const DETECTION_BOUND: Duration = ms(5000);
-/// Within this time after the last change all members agree.
+/// Time after the last change within which all members have to agree.
 const CONVERGENCE_BOUND: Duration = ms(20_000);
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Partitions into so many groups, by the number of the member and a shift.
+    /// Partitions into a number of groups (first field), by the member's number plus a shift (second field).
     Split(usize, usize),
-    /// Partitions into two blocks; the first has this many of ten members.
+    /// Partitions into two blocks; the first has this many tenths of the members.
     Block(usize),
     OneWay(usize, usize),
     Heal,
@@ -45,15 +47,15 @@
         (0..20u8).prop_map(Step::Loss),
         (proxy, 0..4u8).prop_map(|(proxy, key)| Step::Publish(proxy, key)),
     ];
-    // Some steps are so long that what has to be known after the bound is checked.
+    // Some steps last longer than the bounds, so that the views are checked after them.
     proptest::collection::vec((step, 100..9000u64), 1..8)
 }
 
-/// The groups of the present partition; none while the cuts leave the fleet connected.
+/// The groups of the current partition; `None` while all members can reach each other, directly or through others.
 struct Groups {
     of: Option<Box<dyn Fn(usize) -> usize>>,
     since: Duration,
-    /// Some members reach others one way only.
+    /// Whether some pairs of members are connected in one direction only.
     one_way: bool,
 }
 
@@ -71,8 +73,9 @@
     }
 }
 
-/// If nothing has changed since `still` for longer than the bound: each member has the quorum state that follows from its group,
-/// holds exactly the running members of its group for alive, and has declared none of them down since the bound.
+/// If nothing has changed since `unchanged_since` for longer than the bound, checks that each member has the quorum state
+/// that follows from its group, holds exactly the running members of its group for alive, and has declared none of them
+/// down since the bound. Returns whether the views were checked.
 fn check_views(
     fleet: &Fleet,
     groups: &Groups,
@@ -91,7 +94,7 @@
             && in_same_group(*proxy, *of);
         prop_assert!(
             !is_false_detection,
-            "p{} called p{} dead at {:?}",
+            "p{} declared p{} of its own group down at {:?}",
             proxy,
             of,
             at
@@ -109,7 +112,7 @@
         };
         let (core, now) = fleet.core(proxy);
         let view = core.view(now);
-        // With loss some members are suspected now and then, and a suspected member does not count for a majority.
+        // With loss, members are suspected from time to time, and a suspected member does not count towards a majority.
         let is_correct = if fleet.loss > 0.0 {
             view.state <= expected
         } else {
@@ -117,12 +120,12 @@
         };
         prop_assert!(
             is_correct,
-            "p{} is {:?} among {} that hear each other",
+            "p{} has quorum state {:?} in a group of {} running members",
             proxy,
             view.state,
             group_size
         );
-        // A small group finds the many that it lost by its own probe rounds, one member each period.
+        // A small group detects the many members that it lost only by its own probe rounds, one member in each period.
         let round = ms(200) * size as u32;
         let lost_members_are_detected =
             group_size * 2 >= size || fleet.now >= unchanged_since + DETECTION_BOUND + round;
@@ -131,7 +134,7 @@
             let other = member.name[1..].parse().unwrap();
             let is_correct = is_reachable == in_same_group(proxy, other)
                 || is_reachable && !lost_members_are_detected;
-            prop_assert!(is_correct, "p{} sees {:?}", proxy, member);
+            prop_assert!(is_correct, "p{} has the wrong view {:?}", proxy, member);
         }
     }
     Ok(true)
@@ -165,7 +168,7 @@
     Ok(())
 }
 
-/// How often the views were checked.
+/// Number of times that the views were checked.
 static VIEW_CHECKS: AtomicU32 = AtomicU32::new(0);
 
 type Steps = Vec<(Step, u64)>;
@@ -231,7 +234,7 @@
             fleet.now
         }
         .max(resumed_at);
-        // In slices, so that what is allowed is looked at as it changes.
+        // In short slices, so that permissions are checked as they change.
         let until = fleet.now + ms(dwell);
         while fleet.now < until {
             fleet.run((fleet.now + ms(100)).min(until));
@@ -260,7 +263,7 @@
     check_all_agree(&fleet)
 }
 
-/// A fact without its age, which differs from member to member.
+/// A fact without its age, which differs between members.
 type HeldFact = (String, u64, Vec<u8>, u64, Vec<u8>);
 
 fn held_facts(fleet: &Fleet, proxy: usize) -> Vec<HeldFact> {
@@ -293,7 +296,13 @@
             .iter()
             .filter(|member| member.status == Status::Alive)
             .count();
-        prop_assert_eq!(alive, size - 1, "p{} sees {:?}", proxy, view.members);
+        prop_assert_eq!(
+            alive,
+            size - 1,
+            "p{} has the wrong view {:?}",
+            proxy,
+            view.members
+        );
         prop_assert_eq!(view.state, QuorumState::Complete);
         prop_assert_eq!(view.counters.errors, 0);
         held.sort();
@@ -304,7 +313,7 @@
             .filter(|(source, of, ..)| *source != own_name || *of < start)
             .cloned()
             .collect();
-        prop_assert_eq!(&*held, &expected[..], "p{} holds other facts", proxy);
+        prop_assert_eq!(&*held, &expected[..], "p{} holds different facts", proxy);
     }
     Ok(())
 }
@@ -331,7 +340,7 @@
     let view_checks = VIEW_CHECKS.swap(0, Relaxed);
     assert!(view_checks > 0 || cases < 3);
     println!(
-        "{cases} schedules at {size} members in {:?}, {view_checks} times all was to be known",
+        "{cases} schedules with {size} members in {:?}, views checked {view_checks} times",
         started.elapsed()
     );
 }
@@ -344,7 +353,7 @@
 
 #[test]
 fn the_checker_finds_a_fleet_that_detects_no_failures() {
-    // Probes each minute: after the start all keep holding all for alive, whatever is cut.
+    // With one probe per minute all members keep holding all others for alive after the start, despite the partition.
     fn detect_slowly(config: &mut Config) {
         config.probe_period = Duration::from_secs(60);
         config.pause_threshold = Duration::from_secs(600);
@@ -365,8 +374,8 @@
     run_schedule(5, 5_524_463_678_602_353_450, steps, |_| {}).unwrap();
 }
 
-/// A member knows another one under a former identity, and nobody tells it of the later one. Its pings to the former identity
-/// were ignored, and it declared a living member of its own group down for six seconds.
+/// A member missed the new identity of another one, and no third member sent it. Its pings to the earlier identity were
+/// ignored, and it declared a running member of its own group down for six seconds.
 #[test]
 fn a_member_that_missed_the_new_identity_of_another() {
     let mut steps = vec![
@@ -399,7 +408,8 @@
     run_random_schedules(500, cases(10_000));
 }
 
-/// Two partitions in a row join groups that held each other for down; p41 held p29 for down for over 5 s.
+/// Two successive partitions put members into one group that had declared each other down; p41 held p29 for down for over
+/// 5 s.
 #[test]
 fn a_member_that_missed_a_rejoin_asks_whom_others_hear() {
     let mut steps = vec![(Step::Start(754), 2269), (Step::Split(3, 1), 1224)];
@@ -407,7 +417,8 @@
     run_schedule(50, 8_746_647_398_290_880_070, steps, |_| {}).unwrap();
 }
 
-/// A member starts in the larger part of a partitioned fleet of 500. It found the last members only by chance, not within 10 s.
+/// A member starts in the larger part of a partitioned fleet of 500. Without asking other members it found the last ones
+/// only by chance, and not within 10 s.
 #[test]
 #[ignore = "20 s in a release build"]
 fn a_member_that_starts_in_a_partition_of_500() {
