--- a/crates/datagram-auth/src/envelope.rs
+++ b/crates/datagram-auth/src/envelope.rs
@@ -35,7 +35,7 @@
 /// Everything under the MAC.
 #[derive(Debug, Serialize)]
 pub struct SignedPart<'a> {
-    pub front: VersionHeader,
+    pub header: VersionHeader,
     pub key: KeyId,
     pub body: Body<'a>,
 }
--- a/crates/datagram-auth/src/keys.rs
+++ b/crates/datagram-auth/src/keys.rs
@@ -70,25 +70,25 @@
 impl Keys {
     /// Reads a key file: one key per line, `#` begins a comment.
     pub fn parse(text: &str) -> Result<Keys, KeyError> {
-        let words = text
+        let entries = text
             .lines()
             .map(|line| line.split('#').next().unwrap_or_default().trim());
-        let mut stated = words.enumerate().filter(|(_, word)| !word.is_empty());
-        let (at, word) = stated.next().ok_or(KeyError::NoKey)?;
-        let signing = Key::parse(at + 1, word)?;
-        let other = stated
+        let mut keys = entries.enumerate().filter(|(_, digits)| !digits.is_empty());
+        let (index, digits) = keys.next().ok_or(KeyError::NoKey)?;
+        let signing = Key::parse(index + 1, digits)?;
+        let second = keys
             .next()
-            .map(|(at, word)| Ok((at + 1, Key::parse(at + 1, word)?)))
+            .map(|(index, digits)| Ok((index + 1, Key::parse(index + 1, digits)?)))
             .transpose()?;
-        if let Some((line, _)) = other.as_ref().filter(|(_, key)| key.id == signing.id) {
+        if let Some((line, _)) = second.as_ref().filter(|(_, key)| key.id == signing.id) {
             return Err(KeyError::DuplicateKey { line: *line });
         }
-        if let Some((at, _)) = stated.next() {
-            return Err(KeyError::TooManyKeys { line: at + 1 });
+        if let Some((index, _)) = keys.next() {
+            return Err(KeyError::TooManyKeys { line: index + 1 });
         }
         Ok(Keys {
             signing,
-            accepted: other.map(|(_, key)| key),
+            accepted: second.map(|(_, key)| key),
         })
     }
 
@@ -97,7 +97,7 @@
         [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
             .flatten()
-            .map(|k| hex::encode(k.id))
+            .map(|key| hex::encode(key.id))
             .collect()
     }
 
@@ -124,7 +124,7 @@
         let key = [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
             .flatten()
-            .find(|k| k.id == id)?;
+            .find(|key| key.id == id)?;
         Some(
             key.mac
                 .clone()
@@ -143,13 +143,13 @@
 }
 
 impl Key {
-    fn parse(line: usize, word: &str) -> Result<Key, KeyError> {
-        let found = word.chars().count();
+    fn parse(line: usize, digits: &str) -> Result<Key, KeyError> {
+        let found = digits.chars().count();
         if found != 2 * KEY_BYTES {
             return Err(KeyError::WrongLength { line, found });
         }
         let mut bytes = [0; KEY_BYTES];
-        hex::decode_to_slice(word, &mut bytes).map_err(|_| KeyError::NotHex { line })?;
+        hex::decode_to_slice(digits, &mut bytes).map_err(|_| KeyError::NotHex { line })?;
         let digest = Sha256::digest(bytes);
         let mac = Hmac::new_from_slice(&bytes).map_err(|_| KeyError::NotHex { line })?;
         Ok(Key {
--- a/crates/datagram-auth/src/opener.rs
+++ b/crates/datagram-auth/src/opener.rs
@@ -138,10 +138,10 @@
 
     /// Replaces the roster. Windows of names that stay are kept; a name that left and comes back begins anew.
     pub fn set_members<I: IntoIterator<Item = String>>(&mut self, names: I) {
-        let mut former = std::mem::take(&mut self.members);
+        let mut previous = std::mem::take(&mut self.members);
         for name in names {
             // A name that is given twice keeps its window.
-            let window = former.remove(&name).flatten();
+            let window = previous.remove(&name).flatten();
             self.members.entry(name).or_insert(window);
         }
         self.members.remove(&self.own_name);
@@ -219,11 +219,11 @@
 }
 
 fn read_body(header: VersionHeader, bytes: &[u8]) -> Result<Body<'_>, OpenError> {
-    let (body, more) = take::<Body>(bytes)?;
+    let (body, remaining) = take::<Body>(bytes)?;
     // Fields of a later version are skipped. This version has none to skip.
     let well_formed = header.min_reader_version >= 1
         && header.version >= header.min_reader_version
-        && (more.is_empty() || header.version > VERSION)
+        && (remaining.is_empty() || header.version > VERSION)
         && body.name.len() <= MAX_NAME_BYTES
         && body.payload.len() <= MAX_PAYLOAD_BYTES;
     if well_formed {
--- a/crates/datagram-auth/src/replay_window.rs
+++ b/crates/datagram-auth/src/replay_window.rs
@@ -31,14 +31,14 @@
             if sequence - self.greatest >= WINDOW_BITS {
                 self.bits = [0; WINDOW_WORDS];
             } else {
-                (self.greatest + 1..=sequence).for_each(|passed| {
-                    let (word, bit) = place(passed);
+                (self.greatest + 1..=sequence).for_each(|skipped| {
+                    let (word, bit) = word_and_bit(skipped);
                     self.bits[word] &= !bit;
                 });
             }
             self.greatest = sequence;
         } else {
-            let (word, bit) = place(sequence);
+            let (word, bit) = word_and_bit(sequence);
             if self.greatest - sequence >= WINDOW_BITS || self.bits[word] & bit != 0 {
                 return false;
             }
@@ -48,12 +48,12 @@
     }
 
     fn mark(&mut self, sequence: u64) {
-        let (word, bit) = place(sequence);
+        let (word, bit) = word_and_bit(sequence);
         self.bits[word] |= bit;
     }
 }
 
-fn place(sequence: u64) -> (usize, u64) {
-    let at = sequence % WINDOW_BITS;
-    ((at / 64) as usize, 1 << (at % 64))
+fn word_and_bit(sequence: u64) -> (usize, u64) {
+    let position = sequence % WINDOW_BITS;
+    ((position / 64) as usize, 1 << (position % 64))
 }
--- a/crates/datagram-auth/src/sealer.rs
+++ b/crates/datagram-auth/src/sealer.rs
@@ -80,7 +80,7 @@
             .sequence
             .checked_add(1)
             .ok_or(SealError::SequenceExhausted)?;
-        let front = VersionHeader {
+        let header = VersionHeader {
             magic: MAGIC,
             version: VERSION,
             min_reader_version: MIN_READER_VERSION,
@@ -93,12 +93,12 @@
             roster_version,
             payload,
         };
-        let head = SignedPart {
-            front,
+        let signed_part = SignedPart {
+            header,
             key: self.keys.signing_id(),
             body,
         };
-        *out = postcard::to_extend(&head, std::mem::take(out))?;
+        *out = postcard::to_extend(&signed_part, std::mem::take(out))?;
         out.extend(self.keys.sign(out));
         self.sequence = sequence;
         Ok(())
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -18,10 +18,10 @@
     Duration::from_millis(ms)
 }
 
-fn exclusion(name: &str, out: u64) -> ManualExclusion {
+fn exclusion(name: &str, since: u64) -> ManualExclusion {
     ManualExclusion {
         name: name.into(),
-        excluded_since: Some(out),
+        excluded_since: Some(since),
         previous: None,
     }
 }
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_thousand_power_losses() {
-    let mut torn_files = 0;
+    let mut corrupt_files = 0;
     for seed in 0..1_000 {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let mut disk: Option<Vec<u8>> = None;
@@ -70,11 +70,11 @@
         // The index in `history` of the last state that was confirmed as saved.
         let mut confirmed = 0;
         for _incarnation in 0..4 {
-            let (recalled, found) = match recover("n0", disk.as_deref(), COLD_START) {
+            let (recovered, found) = match recover("n0", disk.as_deref(), COLD_START) {
                 Ok(found) => found,
-                Err(fault) => {
-                    assert_eq!(fault, SnapshotError::Corrupt, "seed {seed}");
-                    torn_files += 1;
+                Err(error) => {
+                    assert_eq!(error, SnapshotError::Corrupt, "seed {seed}");
+                    corrupt_files += 1;
                     confirmed = 0;
                     Default::default()
                 }
@@ -82,14 +82,18 @@
             let now = found.clone().unwrap_or_default();
             let index = history
                 .iter()
-                .rposition(|w| *w == now)
+                .rposition(|state| *state == now)
                 .unwrap_or_else(|| panic!("seed {seed}: {now:?} never was"));
             assert!(
                 index >= confirmed,
                 "seed {seed}: older than what was confirmed"
             );
             assert_eq!(
-                (recalled.incarnation, &recalled.list, &recalled.exclusions),
+                (
+                    recovered.incarnation,
+                    &recovered.list,
+                    &recovered.exclusions
+                ),
                 (now.incarnation, &now.list, &now.exclusions)
             );
             let mut scheduler = SnapshotScheduler::new("n0", ms(500), found);
@@ -162,18 +166,18 @@
                 assert_eq!(found.unwrap_or_default(), current, "seed {seed}");
                 confirmed = history.len() - 1;
             }
-            let promised = scheduler
+            let confirmed_exclusions = scheduler
                 .has_saved_exclusions()
                 .then_some((current.incarnation, current.exclusions));
             let mut intact = true;
             if let Some((bytes, _)) = in_flight {
-                let torn = match rng.random_range(0..10) {
+                let after_loss = match rng.random_range(0..10) {
                     0 => AfterLoss::Truncated(rng.random_range(0..1_000)),
                     1 => AfterLoss::Zeroed,
                     2..5 => AfterLoss::New,
                     _ => AfterLoss::Old,
                 };
-                disk = match torn {
+                disk = match after_loss {
                     AfterLoss::Old => disk,
                     AfterLoss::New => Some(bytes),
                     AfterLoss::Truncated(part) => {
@@ -187,22 +191,22 @@
                     }
                 };
             }
-            if let Some(promised) = promised.filter(|_| intact) {
+            if let Some(confirmed_exclusions) = confirmed_exclusions.filter(|_| intact) {
                 // A file that was torn earlier and not saved since holds nothing.
                 let found = recover("n0", disk.as_deref(), COLD_START)
                     .unwrap_or_default()
                     .0;
                 assert_eq!(
                     (found.incarnation, found.exclusions),
-                    promised,
+                    confirmed_exclusions,
                     "seed {seed}: a confirmed command is lost"
                 );
             }
         }
     }
     assert!(
-        (50..2_000).contains(&torn_files),
-        "{torn_files} files were torn"
+        (50..2_000).contains(&corrupt_files),
+        "{corrupt_files} files were torn"
     );
 }
 
@@ -310,38 +314,38 @@
         actions,
         [Action::ListTooLong(persistent_state::MAX_LIST_BYTES + 1)]
     );
-    let hands: Vec<ManualExclusion> = (0..persistent_state::MAX_EXCLUSIONS as u64 + 5)
+    let exclusions: Vec<ManualExclusion> = (0..persistent_state::MAX_EXCLUSIONS as u64 + 5)
         .map(|n| exclusion(&format!("s{n}"), n))
         .collect();
-    scheduler.handle(ms(0), Event::Exclusions(hands), &mut actions);
+    scheduler.handle(ms(0), Event::Exclusions(exclusions), &mut actions);
     let Some(Action::Save(bytes)) = actions.pop() else {
         panic!("nothing is saved")
     };
     assert!((bytes.len() as u64) < persistent_state::MAX_FILE_BYTES);
-    let (recalled, _) = recover("n0", Some(&bytes), COLD_START).unwrap();
+    let (recovered, _) = recover("n0", Some(&bytes), COLD_START).unwrap();
     assert_eq!(
-        (recalled.exclusions.len(), recalled.list),
+        (recovered.exclusions.len(), recovered.list),
         (persistent_state::MAX_EXCLUSIONS, None)
     );
     assert!(
-        recalled
+        recovered
             .exclusions
             .iter()
-            .all(|hand| hand.excluded_since >= Some(5)),
+            .all(|exclusion| exclusion.excluded_since >= Some(5)),
         "the oldest exclusions are dropped"
     );
 }
 
 #[test]
-fn the_table_of_trust() {
+fn each_start_mode_uses_its_part_of_the_saved_state() {
     let events = vec![
         Event::Incarnation(9),
         Event::Exclusions(vec![exclusion("a", 1)]),
         Event::EndpointList(list(40)),
     ];
     let bytes = last_file("n0", events);
-    let with = |after| recover("n0", Some(&bytes), after).unwrap().0;
-    let all = with(COLD_START);
+    let recover_with = |after| recover("n0", Some(&bytes), after).unwrap().0;
+    let all = recover_with(COLD_START);
     assert_eq!(
         (
             all.incarnation,
@@ -350,17 +354,17 @@
         ),
         (9, 1, Some(40))
     );
-    for (platform, used) in [(39, true), (40, false), (41, false)] {
-        let recalled = with(StartMode::ColdStart {
+    for (platform, is_used) in [(39, true), (40, false), (41, false)] {
+        let recovered = recover_with(StartMode::ColdStart {
             platform_list_index: Some(platform),
         });
         assert_eq!(
-            (recalled.list.is_some(), recalled.exclusions.len()),
-            (used, 1),
+            (recovered.list.is_some(), recovered.exclusions.len()),
+            (is_used, 1),
             "known {platform}"
         );
     }
-    let hot_restart = with(StartMode::HotRestart);
+    let hot_restart = recover_with(StartMode::HotRestart);
     assert_eq!(
         (
             hot_restart.incarnation,
@@ -393,7 +397,7 @@
 #[test]
 fn files_of_version_1_stay_readable() {
     let hex = include_str!("version-1.hex").trim();
-    let kept: Vec<u8> = (0..hex.len() / 2)
+    let recorded: Vec<u8> = (0..hex.len() / 2)
         .map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).unwrap())
         .collect();
     let events = vec![
@@ -414,12 +418,12 @@
     let bytes = last_file("n0", events);
     assert_eq!(
         bytes,
-        kept,
+        recorded,
         "{}",
         bytes.iter().map(|b| format!("{b:02x}")).collect::<String>()
     );
     assert_eq!(
-        recover("n0", Some(&kept), COLD_START)
+        recover("n0", Some(&recorded), COLD_START)
             .unwrap()
             .0
             .incarnation,
@@ -442,8 +446,8 @@
 
     #[test]
     fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let ours = [b"LVMM\x01", &bytes[..]].concat();
+        let with_header = [b"LVMM\x01", &bytes[..]].concat();
         prop_assert!(recover("n0", Some(&bytes), COLD_START).is_err());
-        prop_assert!(recover("n0", Some(&ours), COLD_START).is_err());
+        prop_assert!(recover("n0", Some(&with_header), COLD_START).is_err());
     }
 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -26,17 +26,17 @@
 /// Sorts the members of a group by the preference of proxy `number` (from 0). `key` gives the number that all proxies know a
 /// member by.
 pub fn order_by_preference<T: Copy>(
-    number: u32,
+    proxy_number: u32,
     group: u32,
     members: &mut [T],
-    key: impl Fn(T) -> u32,
+    id_of: impl Fn(T) -> u32,
 ) {
     let position = |member: &T| {
-        let key = key(*member);
-        (mix(u64::from(group) << 32 | u64::from(key)), key)
+        let id = id_of(*member);
+        (mix(u64::from(group) << 32 | u64::from(id)), id)
     };
     members.sort_by_key(position);
-    let first = (u64::from(number.reverse_bits()) * members.len() as u64) >> 32;
+    let first = (u64::from(proxy_number.reverse_bits()) * members.len() as u64) >> 32;
     members.rotate_left(first as usize);
 }
 
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -4,24 +4,24 @@
 use std::collections::BTreeSet;
 use subsetting::{hash_name, order_by_preference, subset_size};
 
-fn met(number: u32, group: u32, members: &[u32], first: usize) -> BTreeSet<u32> {
+fn subset(number: u32, group: u32, members: &[u32], size: usize) -> BTreeSet<u32> {
     let mut members = members.to_vec();
     order_by_preference(number, group, &mut members, |id| id);
-    members.into_iter().take(first).collect()
+    members.into_iter().take(size).collect()
 }
 
 /// Ids as lists have them: any numbers, none twice, in any order.
-fn members(most: usize) -> impl Strategy<Value = Vec<u32>> {
-    prop::collection::btree_set(any::<u32>(), 1..=most)
+fn members(max: usize) -> impl Strategy<Value = Vec<u32>> {
+    prop::collection::btree_set(any::<u32>(), 1..=max)
         .prop_map(|set| set.into_iter().collect::<Vec<u32>>())
         .prop_shuffle()
 }
 
 /// How far the proxies that meet a member are from their mean: the most and the least.
-fn spread(proxies: u32, group: u32, members: &[u32], first: usize) -> (f64, f64) {
-    let mean = f64::from(proxies) * first as f64 / members.len() as f64;
+fn deviation(proxies: u32, group: u32, members: &[u32], size: usize) -> (f64, f64) {
+    let mean = f64::from(proxies) * size as f64 / members.len() as f64;
     let sets: Vec<BTreeSet<u32>> = (0..proxies)
-        .map(|n| met(n, group, members, first))
+        .map(|n| subset(n, group, members, size))
         .collect();
     let counts = members
         .iter()
@@ -36,22 +36,22 @@
 
     #[test]
     fn members_are_met_about_equally(
-        proxies in 1_u32..=1_000, group: u32, members in members(200), part in 0.0_f64..1.0
+        proxies in 1_u32..=1_000, group: u32, members in members(200), fraction in 0.0_f64..1.0
     ) {
-        let first = ((members.len() as f64 * part) as usize).max(1);
-        let (most, least) = spread(proxies, group, &members, first);
+        let size = ((members.len() as f64 * fraction) as usize).max(1);
+        let (most, least) = deviation(proxies, group, &members, size);
         let bound = 2.0 + f64::from(proxies).log2();
         prop_assert!(most <= bound && least >= -bound, "{most} and {least}, where {bound} is the bound");
     }
 
     #[test]
     fn one_member_more_changes_one_other_at_most(
-        number: u32, group: u32, members in members(200), new: u32, part in 0.0_f64..1.0
+        number: u32, group: u32, members in members(200), new: u32, fraction in 0.0_f64..1.0
     ) {
         prop_assume!(!members.contains(&new));
-        let first = ((members.len() as f64 * part) as usize).max(1);
-        let before = met(number, group, &members, first);
-        let after = met(number, group, &[members, vec![new]].concat(), first);
+        let size = ((members.len() as f64 * fraction) as usize).max(1);
+        let before = subset(number, group, &members, size);
+        let after = subset(number, group, &[members, vec![new]].concat(), size);
         let gained = after.difference(&before).filter(|&&id| id != new).count();
         prop_assert!(gained <= 1, "{before:?} became {after:?}");
         prop_assert!(before.difference(&after).count() <= 1 + usize::from(after.contains(&new)));
@@ -59,10 +59,10 @@
 
     #[test]
     fn the_order_is_of_all_members_whatever_order_the_list_has(
-        number: u32, group: u32, members in members(50), turn: prop::sample::Index
+        number: u32, group: u32, members in members(50), rotation: prop::sample::Index
     ) {
         let (mut one, mut other) = (members.clone(), members.clone());
-        other.rotate_left(turn.index(members.len()));
+        other.rotate_left(rotation.index(members.len()));
         order_by_preference(number, group, &mut one, |id| id);
         order_by_preference(number, group, &mut other, |id| id);
         prop_assert_eq!(&one, &other);
@@ -75,7 +75,7 @@
 #[test]
 fn drawn_at_random_the_bound_would_not_hold() {
     let members: Vec<u32> = (0..5).collect();
-    let drawn = |proxy: u32| {
+    let random_choice = |proxy: u32| {
         let hash = |id: u32| {
             (proxy * 5 + id + 1)
                 .wrapping_mul(0x9e37_79b9)
@@ -86,33 +86,37 @@
         order.sort_by_key(|&id| hash(id));
         order[0]
     };
-    let broken = (1..=1_000).filter(|&proxies| {
+    let violations = (1..=1_000).filter(|&proxies| {
         let mean = f64::from(proxies) / 5.0;
-        let count = |id| (0..proxies).filter(|&proxy| drawn(proxy) == id).count() as f64;
+        let count = |id| {
+            (0..proxies)
+                .filter(|&proxy| random_choice(proxy) == id)
+                .count() as f64
+        };
         members
             .iter()
             .any(|&id| (count(id) - mean).abs() > 2.0 + f64::from(proxies).log2())
     });
-    assert!(broken.count() > 100);
+    assert!(violations.count() > 100);
 }
 
 #[test]
 fn a_joining_member_moves_few_more_than_it_has_to() {
     // Three hundred proxies, thirty groups of four that grow to five; two are met of each.
-    let (mut moved, mut least) = (0, 0.0);
+    let (mut moved, mut minimum) = (0, 0.0);
     for group in 0..30 {
         let old: Vec<u32> = (0..4).map(|id| group * 10 + id).collect();
         let new = [old.clone(), vec![group * 10 + 4]].concat();
         for number in 0..300 {
-            moved += met(number, group, &new, 2)
-                .difference(&met(number, group, &old, 2))
+            moved += subset(number, group, &new, 2)
+                .difference(&subset(number, group, &old, 2))
                 .count();
-            least += 2.0 / 5.0;
+            minimum += 2.0 / 5.0;
         }
     }
     assert!(
-        f64::from(moved as u32) < 2.0 * least,
-        "{moved} moved, where {least} have to"
+        f64::from(moved as u32) < 2.0 * minimum,
+        "{moved} moved, where {minimum} have to"
     );
 }
 
