--- a/crates/datagram-auth/src/envelope.rs
+++ b/crates/datagram-auth/src/envelope.rs
@@ -5,12 +5,12 @@
 
 /// The first bytes of each datagram.
 pub const MAGIC: [u8; 4] = *b"LVPR";
-/// The version of the format that this build writes.
+/// Version of the format that this build writes.
 pub const VERSION: u8 = 1;
-/// The least version of a reader that understands what this build writes.
+/// Minimum version of a reader that understands the datagrams of this build.
 pub const MIN_READER_VERSION: u8 = 1;
 
-/// Who can read the rest. No version may change this part.
+/// Tells which readers can decode the rest. No version may change this part.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct VersionHeader {
     pub magic: [u8; 4],
@@ -18,13 +18,13 @@
     pub min_reader_version: u8,
 }
 
-/// The fields of version 1. Later versions add fields behind them.
+/// The fields of version 1. Later versions add fields after them.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Body<'a> {
     pub name: &'a str,
-    /// Greater with each process of the sender.
+    /// Incarnation of the sender; each new process of a sender has a greater one.
     pub incarnation: u64,
-    /// Counts the datagrams of that incarnation.
+    /// Sequence number of the datagram within the incarnation, from 1.
     pub sequence: u64,
     pub kind: u8,
     pub roster_version: u64,
@@ -32,7 +32,7 @@
     pub payload: &'a [u8],
 }
 
-/// Everything under the MAC.
+/// The part of a datagram that the MAC covers.
 #[derive(Debug, Serialize)]
 pub struct SignedPart<'a> {
     pub header: VersionHeader,
@@ -40,7 +40,7 @@
     pub body: Body<'a>,
 }
 
-/// Serialises bytes as one piece.
+/// Serialises bytes as one byte string.
 fn bytes<S: Serializer>(bytes: &&[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
--- a/crates/datagram-auth/src/keys.rs
+++ b/crates/datagram-auth/src/keys.rs
@@ -1,66 +1,64 @@
-//! The keys of a fleet: one that signs, and one more that is accepted during a key rotation.
+//! The keys of a fleet: one that signs, and optionally a second one that is accepted during a key rotation.
 
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use thiserror::Error;
 
-/// Bytes of a key: as many as the digest has.
+/// Size of a key in bytes, equal to the size of the digest.
 const KEY_BYTES: usize = 32;
-/// Bytes of the truncated HMAC-SHA256 in a datagram.
+/// Size in bytes of the truncated HMAC-SHA256 in a datagram.
 pub(crate) const MAC_BYTES: usize = 16;
 
-/// The first bytes of the key's SHA-256: tells which key signed, and tells nothing of the key.
+/// The first bytes of the key's SHA-256: identifies the key that signed, without disclosing the key.
 pub(crate) type KeyId = [u8; 4];
 
-/// Why a key file is rejected. No message holds any part of a key.
+/// Why a key file is rejected. No message contains any part of a key.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// The file has no key.
-    #[error(
-        "the key file holds no key: write one of 64 hex digits into a line (openssl rand -hex 32)"
-    )]
+    /// The file contains no key.
+    #[error("the key file contains no key: add a line of 64 hex digits (openssl rand -hex 32)")]
     NoKey,
-    /// The file has more than two keys.
+    /// The file contains more than two keys.
     #[error(
-        "line {line} holds a third key: keep the one that signs and one more that is accepted"
+        "line {line} contains a third key: keep the one that signs and at most one more that is accepted"
     )]
     TooManyKeys {
-        /// Line in the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
     },
-    /// A key has the wrong number of digits.
+    /// A key has the wrong number of characters.
     #[error("line {line} has {found} characters: a key has 64 hex digits (openssl rand -hex 32)")]
     WrongLength {
-        /// Line in the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
-        /// Characters that it has.
+        /// Number of characters of the key.
         found: usize,
     },
-    /// A key has other characters than hex digits.
+    /// A key contains characters other than hex digits.
     #[error(
-        "line {line} is not of hex digits only (0-9, a-f): make a new key (openssl rand -hex 32)"
+        "line {line} contains characters other than hex digits (0-9, a-f): generate a new key (openssl rand -hex 32)"
     )]
     NotHex {
-        /// Line in the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
     },
     /// Two keys have the same id.
-    #[error("line {line} has the key of the line before, or one that can't be told from it: make a new key, or remove the line")]
+    #[error("line {line} repeats the key before it, or has a key with the same id: generate a new key, or remove the line")]
     DuplicateKey {
-        /// Line of the second key, from 1.
+        /// Line number of the second key, from 1.
         line: usize,
     },
 }
 
 #[derive(Clone)]
 struct Key {
-    /// In the clear in each datagram.
+    /// Sent unencrypted in each datagram.
     id: KeyId,
     mac: Hmac<Sha256>,
 }
 
-/// The keys of a fleet: the first signs, all are accepted.
+/// The keys of a fleet: the first key of the file signs, all keys are accepted.
 #[derive(Clone)]
 pub struct Keys {
     signing: Key,
@@ -92,7 +90,7 @@
         })
     }
 
-    /// The ids of the keys in hex, the one that signs first. Safe to log.
+    /// The ids of the keys in hex, the signing key first. Safe to log.
     pub fn ids(&self) -> Vec<String> {
         [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
@@ -118,8 +116,8 @@
         mac
     }
 
-    /// Whether the key of that id signed the bytes; `None` if there is no such key. The time does not depend on which byte of
-    /// the MAC is wrong.
+    /// Whether the key with this id signed the bytes; `None` if there is no such key. The duration does not depend on
+    /// which byte of the MAC is wrong.
     pub(crate) fn verify(&self, id: KeyId, bytes: &[u8], mac: &[u8; MAC_BYTES]) -> Option<bool> {
         let key = [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
--- a/crates/datagram-auth/src/lib.rs
+++ b/crates/datagram-auth/src/lib.rs
@@ -1,7 +1,9 @@
-//! Authenticated datagrams between the proxies of a fleet: bytes in, messages out; no socket, no clock.
+//! Authenticated datagrams between the proxies of a fleet: seals payloads into datagrams and opens received datagrams,
+//! without sockets or a clock.
 //!
-//! A datagram is bounded, versioned and authenticated (HMAC-SHA256) by a key that all members share, and is accepted once
-//! (anti-replay window). What its payload means is not known here. See `docs/design/datagram-auth.md`.
+//! Datagrams are bounded in size, versioned, and authenticated (HMAC-SHA256) with a key that all members share; each is
+//! accepted once (anti-replay window). The meaning of the payload is left to the caller. See
+//! `docs/design/datagram-auth.md`.
 
 mod advice;
 mod envelope;
--- a/crates/datagram-auth/src/limits.rs
+++ b/crates/datagram-auth/src/limits.rs
@@ -1,11 +1,11 @@
 //! Limits of datagrams, and the kinds of payload.
 
-/// Bytes of a datagram: no usual path fragments it.
+/// Maximum size of a datagram in bytes; common network paths do not fragment it.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Bytes of a payload.
+/// Maximum size of a payload in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 1_200;
-/// Bytes of a sender's name.
+/// Maximum size of a sender's name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The kind of payload that the membership sends.
+/// The kind of payload of membership messages.
 pub const MEMBERSHIP_KIND: u8 = 1;
--- a/crates/datagram-auth/src/opener.rs
+++ b/crates/datagram-auth/src/opener.rs
@@ -1,4 +1,4 @@
-//! Opening datagrams: authentication, then replay protection, and why a datagram is rejected.
+//! Opening of datagrams: authentication, replay protection, and the reasons to reject a datagram.
 
 use crate::envelope::{Body, VersionHeader, MAGIC, VERSION};
 use crate::keys::{KeyId, Keys, MAC_BYTES};
@@ -8,12 +8,12 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// An authentic datagram of a member that came for the first time.
+/// An authentic datagram of a member, received for the first time.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
     /// Name of the sender.
     pub from: &'a str,
-    /// Greater with each process of the sender.
+    /// Incarnation of the sender; each new process of a sender has a greater one.
     pub incarnation: u64,
     /// The kind of payload.
     pub kind: u8,
@@ -23,53 +23,53 @@
     pub payload: &'a [u8],
 }
 
-/// Why a datagram is rejected. Nothing of it was used, and opening it again gives the same result.
+/// Why a datagram is rejected. None of its content was used, and opening it again gives the same result.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum OpenError {
-    /// It has so many bytes.
-    #[error("a datagram has {0} bytes, more than {MAX_DATAGRAM_BYTES}: no member sends such; look for who else uses the port")]
+    /// The datagram is too long; the value is its size in bytes.
+    #[error("a datagram has {0} bytes, more than {MAX_DATAGRAM_BYTES}: no member sends datagrams of this size; find the other program that sends to this port")]
     TooLong(usize),
-    /// Its first bytes are of no proxy.
-    #[error("a datagram begins with {}: it is not from a proxy; look for who else uses the port", hex::encode(.0))]
+    /// The datagram does not begin with the magic bytes.
+    #[error("a datagram begins with {}: it was not sent by a proxy; find the other program that sends to this port", hex::encode(.0))]
     WrongMagic([u8; 4]),
-    /// Its reader needs a later version.
+    /// The datagram requires a reader of a later version.
     #[error(
-        "a datagram can be read from version {min_version} on, and this proxy has {VERSION}: upgrade this proxy"
+        "a datagram requires at least version {min_version}, and this proxy has version {VERSION}: upgrade this proxy"
     )]
     UnsupportedVersion {
-        /// The least version of a reader.
+        /// Minimum version of a reader.
         min_version: u8,
     },
-    /// Its key is not in the key file.
-    #[error("a datagram is signed by the key {}, which is not in the key file: state the fleet's keys there, and reload", hex::encode(.0))]
+    /// The datagram is signed by a key that is not in the key file; the value is the key's id.
+    #[error("a datagram is signed by the key {}, which is not in the key file: write the fleet's keys into the key file, and reload", hex::encode(.0))]
     UnknownKey([u8; 4]),
-    /// Its signature is wrong.
+    /// The signature does not match.
     #[error(
-        "a datagram's signature is wrong: it was damaged, or somebody without the key sends to this port"
+        "the signature of a datagram is invalid: the datagram was damaged, or a sender without the key sends to this port"
     )]
     InvalidMac,
-    /// It is not formed as its version asks.
-    #[error("a datagram is cut short or not formed as its version asks: a sender of another make, or somebody who tries; look who sends")]
+    /// The datagram is truncated or does not have the format of its version.
+    #[error("a datagram is truncated or does not have the format of its version: it comes from an incompatible program or an attacker; find its sender")]
     Malformed,
-    /// It has this proxy's own name.
+    /// The sender's name is that of this proxy.
     #[error(
-        "a datagram bears this proxy's own name: two proxies have the same LB_NAME, or it was sent back"
+        "a datagram has this proxy's own name as its sender: two proxies have the same LB_NAME, or the datagram was sent back"
     )]
     OwnName,
-    /// Its sender is not in the roster.
-    #[error("a datagram is from {0:?}, which has no section member: state it in the roster, or take the key from it")]
+    /// The sender is not in the roster; the value is its name.
+    #[error("a datagram is from {0:?}, which has no section member: add it to the roster, or remove the key from its host")]
     UnknownSender(String),
-    /// Its sender has a later incarnation.
-    #[error("a datagram is of a start {incarnation} of its sender, and a later one is known ({known}): it was sent again, or the sender was started with its clock set back (it goes on under a later start by itself as soon as it hears others; a build before that has to be started anew with its clock right)")]
+    /// A later incarnation of the sender is known.
+    #[error("a datagram is from incarnation {incarnation} of its sender, and a later incarnation is known ({known}): it was sent again, or the sender was started with its clock set back (it adopts a later incarnation by itself as soon as it receives datagrams of other members; an older build that does not has to be restarted with its clock corrected)")]
     StaleIncarnation {
         /// Incarnation in the datagram.
         incarnation: u64,
-        /// The latest one of that sender.
+        /// The latest known incarnation of the sender.
         known: u64,
     },
-    /// It came before, or is older than the replay window.
+    /// The datagram was received before, or is older than the replay window.
     #[error(
-        "a datagram came twice or very late: the network doubles or delays it, or somebody sends it again"
+        "a datagram was received twice or very late: the network duplicates or delays datagrams, or an attacker replays them"
     )]
     Replayed,
 }
@@ -89,7 +89,7 @@
         "replayed",
     ];
 
-    /// A short name for counters.
+    /// The label of the error in counters.
     pub fn label(&self) -> &'static str {
         match self {
             OpenError::TooLong(_) => "too-long",
@@ -106,17 +106,17 @@
     }
 }
 
-/// Opens datagrams of members, each once.
+/// Opens datagrams of members, each at most once.
 #[derive(Debug)]
 pub struct Opener {
     own_name: String,
     keys: Keys,
-    /// Members of the roster, with what has come from each.
+    /// Replay windows by name of the member; `None` before its first datagram.
     members: BTreeMap<String, Option<ReplayWindow>>,
 }
 
 impl Opener {
-    /// An opener for a roster. `own_name` may be among `names`; a datagram under it is rejected.
+    /// Creates an opener for a roster. `own_name` may be among `names`; datagrams from it are rejected.
     pub fn new<I: IntoIterator<Item = String>>(
         own_name: impl Into<String>,
         keys: Keys,
@@ -136,18 +136,20 @@
         self.keys = keys;
     }
 
-    /// Replaces the roster. Windows of names that stay are kept; a name that left and comes back begins anew.
+    /// Replaces the roster. Names that stay keep their windows; a name that is removed and added again starts without
+    /// one.
     pub fn set_members<I: IntoIterator<Item = String>>(&mut self, names: I) {
         let mut previous = std::mem::take(&mut self.members);
         for name in names {
-            // A name that is given twice keeps its window.
+            // A name that occurs twice keeps its window.
             let window = previous.remove(&name).flatten();
             self.members.entry(name).or_insert(window);
         }
         self.members.remove(&self.own_name);
     }
 
-    /// Checks a datagram. A replay window changes only after all other checks have passed.
+    /// Authenticates a datagram and checks it against the replay window, which changes only after all other checks have
+    /// passed.
     pub fn open<'a>(&mut self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, OpenError> {
         if datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(OpenError::TooLong(datagram.len()));
@@ -220,7 +222,7 @@
 
 fn read_body(header: VersionHeader, bytes: &[u8]) -> Result<Body<'_>, OpenError> {
     let (body, remaining) = take::<Body>(bytes)?;
-    // Fields of a later version are skipped. This version has none to skip.
+    // Fields that a later version adds are skipped. A datagram of this version has none.
     let well_formed = header.min_reader_version >= 1
         && header.version >= header.min_reader_version
         && (remaining.is_empty() || header.version > VERSION)
--- a/crates/datagram-auth/src/replay_window.rs
+++ b/crates/datagram-auth/src/replay_window.rs
@@ -1,20 +1,20 @@
-//! The anti-replay window: which datagrams of one incarnation of a sender have come.
+//! The anti-replay window: which sequence numbers of one incarnation of a sender were received.
 
-/// Sequence numbers in the window.
+/// Size of the window in sequence numbers.
 const WINDOW_BITS: u64 = 1_024;
 const WINDOW_WORDS: usize = (WINDOW_BITS / 64) as usize;
 
-/// A bit for each of the last `WINDOW_BITS` sequence numbers, at its remainder.
+/// A bit for each of the last `WINDOW_BITS` sequence numbers, at the number's remainder modulo `WINDOW_BITS`.
 #[derive(Debug)]
 pub struct ReplayWindow {
     pub incarnation: u64,
-    /// The greatest number that came.
+    /// The greatest sequence number that was received.
     greatest: u64,
     bits: [u64; WINDOW_WORDS],
 }
 
 impl ReplayWindow {
-    /// A window that begins with the first datagram of an incarnation.
+    /// Creates a window that begins with the first received datagram of an incarnation.
     pub fn new(incarnation: u64, sequence: u64) -> ReplayWindow {
         let mut window = ReplayWindow {
             incarnation,
@@ -25,7 +25,8 @@
         window
     }
 
-    /// Whether the number comes for the first time. A number from before the window counts as seen.
+    /// Records a sequence number; returns whether it is received for the first time. A number before the window counts as
+    /// received.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.greatest {
             if sequence - self.greatest >= WINDOW_BITS {
--- a/crates/datagram-auth/src/sealer.rs
+++ b/crates/datagram-auth/src/sealer.rs
@@ -1,11 +1,12 @@
-//! Sealing payloads into signed datagrams.
+//! Sealing of payloads into signed datagrams.
 
 use crate::envelope::{Body, SignedPart, VersionHeader, MAGIC, MIN_READER_VERSION, VERSION};
 use crate::keys::{Keys, MAC_BYTES};
 use crate::limits::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_PAYLOAD_BYTES};
 use thiserror::Error;
 
-// Version header, name and the greatest numbers, with the lengths before name and payload.
+// The greatest possible size: version header, key id, name and payload with their lengths, the greatest numbers, and the
+// MAC.
 const _: () = assert!(
     6 + 4 + 1 + MAX_NAME_BYTES + 10 + 10 + 1 + 10 + 2 + MAX_PAYLOAD_BYTES + MAC_BYTES
         <= MAX_DATAGRAM_BYTES
@@ -14,17 +15,17 @@
 /// Why a payload is not sealed. A retry gives the same result.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SealError {
-    /// The name has so many bytes.
-    #[error("the proxy's name has {0} bytes: the others take 1 to {MAX_NAME_BYTES}; give it a shorter LB_NAME")]
+    /// The name is empty or too long; the value is its size in bytes.
+    #[error("the name of this proxy has {0} bytes: 1 to {MAX_NAME_BYTES} are allowed; set another LB_NAME")]
     InvalidName(usize),
-    /// The payload has so many bytes.
+    /// The payload is too long; the value is its size in bytes.
     #[error("a payload has {0} bytes: at most {MAX_PAYLOAD_BYTES} fit into a datagram")]
     PayloadTooLong(usize),
-    /// All sequence numbers of this incarnation are used up.
-    #[error("all numbers for datagrams of this start are used up: start the proxy again")]
+    /// All sequence numbers of this incarnation are used.
+    #[error("all sequence numbers of this incarnation are used: restart the proxy")]
     SequenceExhausted,
     /// The content could not be serialised.
-    #[error("the datagram could not be written: {0}")]
+    #[error("the datagram could not be serialised: {0}")]
     Encoding(#[from] postcard::Error),
 }
 
@@ -33,13 +34,14 @@
 pub struct Sealer {
     name: String,
     incarnation: u64,
-    /// Number of the last datagram.
+    /// Sequence number of the last datagram.
     sequence: u64,
     keys: Keys,
 }
 
 impl Sealer {
-    /// `incarnation` has to be greater than any earlier one of this name, or the others reject its datagrams as stale.
+    /// `incarnation` has to be greater than any earlier one of this name, or the other proxies reject its datagrams as
+    /// stale.
     pub fn new(name: impl Into<String>, incarnation: u64, keys: Keys) -> Sealer {
         Sealer {
             name: name.into(),
@@ -54,7 +56,7 @@
         self.keys = keys;
     }
 
-    /// Continues under a later incarnation, whose datagrams are numbered from the beginning.
+    /// Continues under a later incarnation, in which sequence numbers start again from 1.
     pub fn set_incarnation(&mut self, incarnation: u64) {
         if incarnation > self.incarnation {
             (self.incarnation, self.sequence) = (incarnation, 0);
--- a/crates/datagram-auth/tests/envelope.rs
+++ b/crates/datagram-auth/tests/envelope.rs
@@ -1,5 +1,5 @@
-//! Sealing and opening from outside: what is rejected and why, damaged and forged datagrams, and bytes of version 1 that every
-//! later build has to read.
+//! Sealing and opening through the public interface: rejections and their reasons, damaged and forged datagrams, and
+//! bytes of version 1 that every later build has to read.
 
 use datagram_auth::{KeyError, Keys, OpenError, Opener, SealError, Sealer, MEMBERSHIP_KIND};
 use hmac::{Hmac, Mac};
@@ -31,7 +31,7 @@
     )
 }
 
-/// A datagram with other bytes under a good signature.
+/// A datagram with changed bytes under a valid signature.
 fn forged(datagram: &[u8], change: impl FnOnce(&mut Vec<u8>)) -> Vec<u8> {
     let mut bytes = datagram[..datagram.len() - 16].to_vec();
     change(&mut bytes);
@@ -41,7 +41,7 @@
     bytes
 }
 
-/// As the first build of version 1 sent it.
+/// A datagram recorded from the first build of version 1.
 #[test]
 fn datagrams_of_version_1_are_read() {
     let golden = hex::decode(include_str!("version-1.hex").trim()).unwrap();
@@ -89,10 +89,10 @@
         assert_eq!(error.label(), *label, "{error}");
         assert!(
             error.to_string().contains(": "),
-            "says what can be done: {error}"
+            "the message has no advice after a colon: {error}"
         );
     }
-    // Nothing of that has taken the place of a good one.
+    // None of the rejected datagrams has used up the sequence number of the valid one.
     opener.open(&good).unwrap();
     let seen: HashSet<&str> = cases.iter().map(|(_, label)| *label).collect();
     assert_eq!(seen, HashSet::from(OpenError::LABELS));
@@ -114,7 +114,7 @@
 
 #[test]
 fn keys_rotate_without_losing_datagrams() {
-    // New first, then old; as each side has it. No member is behind by more than one step.
+    // Key files during a rotation, as steps 0 to 3. Two members are never more than one step apart.
     let (old, both, rotated, new) = (
         OLD_KEY,
         format!("{OLD_KEY}\n{NEW_KEY}"),
@@ -141,7 +141,11 @@
         let result = opener(steps[receiver])
             .open(&datagram_from("n1", 5, steps[sender]))
             .map(|_| ());
-        assert_eq!(result.is_ok(), accepted, "{receiver} hears {sender}");
+        assert_eq!(
+            result.is_ok(),
+            accepted,
+            "a receiver in step {receiver} opens a datagram of a sender in step {sender}"
+        );
         assert!(accepted || matches!(result, Err(OpenError::UnknownKey(_))));
     }
     let (mut sealer, mut opener) = (Sealer::new("n1", 5, keys(OLD_KEY)), opener(OLD_KEY));
@@ -153,7 +157,7 @@
     assert_eq!(
         opener.open(&first),
         Err(OpenError::Replayed),
-        "windows outlive the key"
+        "replay windows are kept when the keys change"
     );
 }
 
@@ -248,7 +252,7 @@
     }
 }
 
-/// The oldest that the window holds, and the one before it.
+/// The oldest sequence number within the window is accepted, and the one before it is not.
 #[test]
 fn the_replay_window_holds_1024() {
     let mut opener = opener(OLD_KEY);
@@ -272,7 +276,7 @@
     );
 }
 
-/// One start's first datagrams.
+/// The first datagrams of one incarnation.
 static DATAGRAMS: LazyLock<Vec<Vec<u8>>> = LazyLock::new(|| {
     let mut sealer = Sealer::new("n1", 5, keys(OLD_KEY));
     (0..3_000).map(|_| seal(&mut sealer, b"")).collect()
@@ -296,7 +300,7 @@
         prop_assert_eq!(opener.open(&out), Err(OpenError::Replayed));
     }
 
-    /// Of each datagram every bit; the window is as it was.
+    /// Flips every bit of each datagram in turn. The replay window must not change.
     #[test]
     fn a_flipped_bit_is_refused(payload in proptest::collection::vec(any::<u8>(), 0..20)) {
         let good = seal(&mut Sealer::new("n1", 5, keys(OLD_KEY)), &payload);
@@ -309,14 +313,14 @@
         prop_assert!(opener.open(&good).is_ok());
     }
 
-    /// Against a set of all numbers that came: in any order, with repeats and gaps, each that is less than 1,024 behind
-    /// the greatest is taken in once, and nothing else.
+    /// Compares the window with a set of all received numbers: in any order, with repetitions and gaps, a number is
+    /// accepted once if it is less than 1,024 behind the greatest, and otherwise rejected.
     #[test]
     fn the_window_takes_each_number_once(picks in proptest::collection::vec(0_usize..3_000, 1..400), near in 0_usize..2_000) {
         let all = &*DATAGRAMS;
         let mut opener = opener(OLD_KEY);
         let (mut seen, mut greatest) = (HashSet::new(), 0);
-        // The second half stays near one place, where most are within the window.
+        // The second half stays in a narrow range, so that most numbers are within the window.
         let half = picks.len() / 2;
         for (turn, pick) in picks.into_iter().enumerate() {
             let at = if turn < half { pick } else { near + pick % 1_000 };
