--- a/crates/persistent-state/src/file_format.rs
+++ b/crates/persistent-state/src/file_format.rs
@@ -1,34 +1,35 @@
-//! The format of the file: a header with the proxy's name, a digest over everything, and the snapshot.
+//! The format of the state file: a header with the proxy's name, a digest over the name and the snapshot, and the
+//! snapshot.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
 const MAGIC: [u8; 4] = *b"LVMM";
-/// The version of what follows the digest; files of other versions are not read.
+/// Version of the file's content; files of other versions are not read.
 const VERSION: u8 = 1;
 const DIGEST_BYTES: usize = 32;
-/// Characters of another proxy's name that an error repeats.
+/// Maximum number of characters of another proxy's name in an error message.
 const MAX_SHOWN_NAME: usize = 64;
-/// A longer endpoint list is not saved; the rest of the snapshot is.
+/// Maximum size of a saved endpoint list in bytes. If the list is longer, only the rest of the snapshot is saved.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
-/// Exclusions that are saved at most, current and previous; if there are more, the newest are saved.
+/// Maximum number of saved exclusions, current and previous. If there are more, the newest are saved.
 pub const MAX_EXCLUSIONS: usize = 10_000;
-/// No file of this program is longer: the names in exclusions are bounded by what one of discovery's responses may have.
+/// Maximum size of a state file in bytes. Names in exclusions are bounded by the maximum size of a response of discovery.
 pub const MAX_FILE_BYTES: u64 = MAX_LIST_BYTES as u64 + (32 << 20);
 
 /// An operator's exclusion of one record server, in Unix milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ManualExclusion {
-    /// The server's name in discovery's list.
+    /// Name of the server in discovery's endpoint list.
     pub name: String,
-    /// When the current exclusion began, if there is one.
+    /// Begin of the current exclusion, if there is one.
     pub excluded_since: Option<u64>,
     /// Begin and end of the previous exclusion.
     pub previous: Option<(u64, u64)>,
 }
 
-/// Discovery's endpoint list, in the form that discovery gave it.
+/// Discovery's endpoint list, in the form in which it was received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedList {
     /// Discovery's change counter.
@@ -37,46 +38,46 @@
     pub bytes: Vec<u8>,
 }
 
-/// The whole state that is saved.
+/// The complete saved state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The incarnation of the process that saved it, as the other proxies know it.
+    /// Incarnation of the process that saved the state, as known to the other proxies.
     pub incarnation: u64,
-    /// The latest endpoint list, unless it was too long.
+    /// The latest endpoint list, unless it was longer than [`MAX_LIST_BYTES`].
     pub list: Option<SavedList>,
-    /// The exclusions that had an effect.
+    /// The exclusions that were in effect.
     pub exclusions: Vec<ManualExclusion>,
 }
 
 /// Why a saved file is not used. The proxy starts without it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// The file is not of this format.
-    #[error("it is not a memory of this program")]
+    /// The file does not begin with the magic bytes of this format.
+    #[error("the file is not a state file of this program")]
     WrongMagic,
-    /// The file has this version, and is not read by this build.
-    #[error("it is of form {0}, and this build reads {VERSION}")]
+    /// The file has the given version, which this build does not read.
+    #[error("the file has format version {0}, and this build reads version {VERSION}")]
     UnsupportedVersion(u8),
     /// The digest does not match: the file is incomplete or was changed.
-    #[error("it is torn or was changed: its digest is not that of its contents")]
+    #[error("the file is incomplete or was changed: its digest does not match its content")]
     Corrupt,
-    /// The file is that of the proxy of this name.
-    #[error("it is the memory of {0:?}")]
+    /// The file belongs to the proxy with the given name.
+    #[error("the file is the state file of another proxy, {0:?}")]
     WrongProxy(String),
 }
 
 impl SnapshotError {
-    /// What an operator can do about it.
+    /// Advice for operators on this error.
     pub fn advice(&self) -> &'static str {
         match self {
             SnapshotError::WrongMagic | SnapshotError::Corrupt => {
-                "The proxy has started without it and writes it anew. Take out again by hand what was out; look after the disk if it comes again."
+                "The proxy has started without the file and writes a new one. Exclude again the servers that operators had excluded; check the disk if the error recurs."
             }
             SnapshotError::UnsupportedVersion(_) => {
-                "Another build wrote it, and this one writes its own in its place. Take out again by hand what was out."
+                "Another build wrote the file, and this build replaces it. Exclude again the servers that operators had excluded."
             }
             SnapshotError::WrongProxy(_) => {
-                "Give each proxy a directory of its own under `memory`. What was out by hand at this one has to be taken out again."
+                "Give each proxy its own directory with `memory`. Servers that operators had excluded at this proxy have to be excluded again."
             }
         }
     }
@@ -85,7 +86,7 @@
 fn digest(name: &str, body: &[u8]) -> [u8; DIGEST_BYTES] {
     let mut hash = Sha256::new();
     hash.update([VERSION]);
-    // With the length no name can be read as the beginning of the body.
+    // The length prevents that a part of the name is read as the beginning of the body, or the reverse.
     hash.update((name.len() as u64).to_le_bytes());
     hash.update(name.as_bytes());
     hash.update(body);
@@ -98,9 +99,9 @@
     digest: [u8; DIGEST_BYTES],
 }
 
-/// The file of the proxy of that name.
+/// Encodes the state file of a proxy.
 pub(crate) fn encode(name: &str, snapshot: &Snapshot) -> Vec<u8> {
-    // Plain data into a growing vector: this does not fail. If it did, decoding would reject the empty body.
+    // Serialising plain data into a growing vector does not fail. If it did, decoding would reject the empty body.
     let body = postcard::to_stdvec(snapshot).unwrap_or_default();
     let header = Header {
         name,
@@ -113,7 +114,7 @@
     file
 }
 
-/// Reads the file of the proxy of that name.
+/// Decodes the state file of a proxy.
 pub(crate) fn decode(name: &str, bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     let rest = bytes
         .strip_prefix(&MAGIC)
--- a/crates/persistent-state/src/lib.rs
+++ b/crates/persistent-state/src/lib.rs
@@ -1,9 +1,10 @@
-//! What a proxy saves to survive the loss of its process or its power, and how far it trusts the file at the next start.
+//! The state that a proxy saves to survive the loss of its process or of power, and the part of it that the next process
+//! uses.
 //!
-//! [`SnapshotScheduler::handle`] takes events and the time since some origin, and returns actions; [`recover`] reads a
-//! saved file. The package does no I/O, reads no clock and logs nothing.
+//! [`SnapshotScheduler::handle`] takes events and the time since an origin, and returns actions; [`recover`] reads a
+//! saved file. The crate does no I/O, reads no clock and logs nothing.
 //!
-//! The table of trust and all bounds: `docs/design/power-loss.md`.
+//! The table of what is trusted at the start, and all bounds: `docs/design/power-loss.md`.
 #![forbid(unsafe_code)]
 
 mod file_format;
--- a/crates/persistent-state/src/recovery.rs
+++ b/crates/persistent-state/src/recovery.rs
@@ -1,34 +1,34 @@
-//! What a new process trusts of the state that an earlier one saved. Clocks are not consulted: after a power loss they may
-//! be wrong.
+//! Decides which part of the saved state a new process uses. Clocks are not consulted: after a power loss they may be
+//! wrong.
 
 use crate::file_format::{self, ManualExclusion, SavedList, Snapshot, SnapshotError};
 
 /// How a process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// No old process is running.
+    /// No earlier process of this proxy is running.
     ColdStart {
-        /// The index of the endpoint list that the platform gave, if it gave one.
+        /// Index of the endpoint list from the platform, if the platform gave one.
         platform_list_index: Option<u64>,
     },
-    /// A running old process has handed over its state, which is newer than the saved one.
+    /// A running earlier process has handed over its state, which is newer than the saved one.
     HotRestart,
 }
 
 /// The part of the saved state that the process uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// A lower bound: the other proxies would reject an incarnation that is not greater than this.
+    /// A lower bound of the new incarnation: the other proxies would reject an incarnation that is not greater.
     pub incarnation: u64,
-    /// A hint, which is newer than the platform's list. It has to be fetched again as a whole, not from its index on:
+    /// A provisional list, newer than the platform's. The list has to be fetched again in full, not from its index on:
     /// discovery may have lost its latest changes and count from a lower index.
     pub list: Option<SavedList>,
-    /// Trusted in full: only operators end an exclusion.
+    /// Trusted without restriction: only operators end an exclusion.
     pub exclusions: Vec<ManualExclusion>,
 }
 
-/// Recovers the state of the proxy of that name from the bytes of its file; none if there is no file. Returns what the
-/// process uses, and the whole snapshot, with which its [`SnapshotScheduler`](crate::SnapshotScheduler) starts.
+/// Recovers the state of a proxy from the bytes of its file; the state is empty if there is no file. Returns the part
+/// that the process uses, and the whole snapshot, from which its [`SnapshotScheduler`](crate::SnapshotScheduler) starts.
 pub fn recover(
     proxy_name: &str,
     file: Option<&[u8]>,
--- a/crates/persistent-state/src/scheduler.rs
+++ b/crates/persistent-state/src/scheduler.rs
@@ -1,37 +1,37 @@
-//! When the state is saved: exclusions and the incarnation at once, endpoint lists at a limited rate, and one save at a
-//! time.
+//! Decides when the state is saved: exclusions and the incarnation at once, endpoint lists at a limited rate, and only
+//! one save at a time.
 
 use crate::file_format::{
     self, ManualExclusion, SavedList, Snapshot, MAX_EXCLUSIONS, MAX_LIST_BYTES,
 };
 use std::time::Duration;
 
-/// The pause after the first failed save; it doubles with each further one.
+/// Delay after the first failed save; it doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
-/// The longest pause between two saves while they fail.
+/// Maximum delay between two saves while they fail.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// What has changed, and how saves end.
+/// A change of the state, the result of a save, or the passing of time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The incarnation of this process, as the other proxies know it.
+    /// The incarnation of this process, as known to the other proxies.
     Incarnation(u64),
-    /// All exclusions that have an effect.
+    /// All exclusions that are in effect.
     Exclusions(Vec<ManualExclusion>),
     /// Discovery's endpoint list.
     EndpointList(SavedList),
-    /// The last [`Action::Save`] has ended; whether it succeeded.
+    /// The last [`Action::Save`] has ended; the value is whether it succeeded.
     SaveFinished(bool),
     /// Time has passed.
     Tick,
 }
 
-/// What the host of the state machine has to do.
+/// A request or a report to the host of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Replace the file by these bytes, then report [`Event::SaveFinished`]. No other save is ordered before that.
+    /// Replace the file by these bytes, then report [`Event::SaveFinished`]. No other save is requested before that.
     Save(Vec<u8>),
-    /// The endpoint list of so many bytes is too long to be saved.
+    /// The endpoint list is too long to be saved; the value is its size in bytes.
     ListTooLong(usize),
 }
 
@@ -41,21 +41,22 @@
     proxy_name: String,
     list_interval: Duration,
     current: Snapshot,
-    /// What the disk has, as far as a save or the recovery has confirmed it.
+    /// The snapshot on disk, as confirmed by a save or by the recovery.
     saved: Option<Snapshot>,
-    /// A save has failed since the last one that succeeded: the disk may have its snapshot all the same.
+    /// Whether a save has failed since the last successful one: the disk may contain the snapshot of the failed save.
     uncertain: bool,
     in_flight: Option<Snapshot>,
-    /// A changed list alone is not saved before this.
+    /// Earliest time of a save for a changed list alone.
     next_list_save: Duration,
-    /// After a failure nothing is saved before this.
+    /// Earliest time of the next save after a failure.
     retry_at: Option<Duration>,
     backoff: Duration,
     list_too_long: bool,
 }
 
 impl SnapshotScheduler {
-    /// `list_interval`: the shortest time between two saves for a changed list; `recovered`: the snapshot of the file.
+    /// `list_interval` is the minimum time between two saves for a changed list; `recovered` is the snapshot from the
+    /// file.
     pub fn new(
         proxy_name: &str,
         list_interval: Duration,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Handles one event; `now` is the time since an origin that stays the same.
+    /// Handles one event; `now` is the time since a fixed origin.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Incarnation(incarnation) => self.raise_incarnation(incarnation),
@@ -88,7 +89,7 @@
         self.save_if_due(now, actions);
     }
 
-    /// Other proxies may have seen the greater incarnation, so it never goes down.
+    /// Other proxies may know the greater incarnation, so it never decreases.
     fn raise_incarnation(&mut self, incarnation: u64) {
         self.current.incarnation = self.current.incarnation.max(incarnation);
     }
@@ -107,7 +108,7 @@
         if !std::mem::replace(&mut self.list_too_long, true) {
             actions.push(Action::ListTooLong(bytes));
         }
-        // An outdated list would be a worse hint than none.
+        // An outdated list would be worse than none.
         self.current.list = None;
     }
 
@@ -149,13 +150,13 @@
         !self.has_current_exclusions(saved) || list_changed && now >= self.next_list_save
     }
 
-    /// Whether a snapshot has the present exclusions and incarnation.
+    /// Whether a snapshot has the current exclusions and incarnation.
     fn has_current_exclusions(&self, snapshot: &Snapshot) -> bool {
         snapshot.incarnation == self.current.incarnation
             && snapshot.exclusions == self.current.exclusions
     }
 
-    /// The index of the saved list; 0 if none is saved.
+    /// Index of the saved list; 0 if none is saved.
     pub fn saved_list_index(&self) -> u64 {
         self.saved
             .as_ref()
@@ -168,7 +169,7 @@
         self.in_flight.is_none() && now >= self.next_list_save
     }
 
-    /// Whether the disk has the exclusions and the incarnation, however the save in flight ends.
+    /// Whether the disk contains the current exclusions and incarnation, regardless of how the save in flight ends.
     pub fn has_saved_exclusions(&self) -> bool {
         let saved = match &self.saved {
             Some(saved) => self.has_current_exclusions(saved),
@@ -180,7 +181,7 @@
             && in_flight.is_none_or(|snapshot| self.has_current_exclusions(snapshot))
     }
 
-    /// Whether the disk has the whole state.
+    /// Whether the disk contains the complete current state.
     pub fn is_saved(&self) -> bool {
         let saved = match &self.saved {
             Some(saved) => *saved == self.current,
@@ -189,13 +190,13 @@
         !self.uncertain && self.in_flight.is_none() && saved
     }
 
-    /// Whether the last save failed, and none has succeeded since.
+    /// Whether the last save failed and none has succeeded since.
     pub fn is_failing(&self) -> bool {
         self.backoff > INITIAL_BACKOFF
     }
 }
 
-/// At most [`MAX_EXCLUSIONS`] of them, the newest: the oldest are the likeliest to be over.
+/// The newest exclusions, at most [`MAX_EXCLUSIONS`]: the oldest are the most likely to have ended.
 fn newest_exclusions(mut exclusions: Vec<ManualExclusion>) -> Vec<ManualExclusion> {
     exclusions.sort_by_key(|exclusion| {
         let previous_end = exclusion.previous.map(|(_, to)| to);
--- a/crates/persistent-state/src/scheduler/tests.rs
+++ b/crates/persistent-state/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Which exclusions are saved if there are too many.
+//! Tests which exclusions are saved if there are too many.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     }
 }
 
-/// The age of an exclusion is that of its begin, or of the end of the previous one if there is no current one.
+/// Exclusions are ordered by their begin, or by the end of the previous exclusion if there is no current one.
 #[test]
 fn the_newest_exclusions_are_kept() {
     let oldest = exclusion(None, Some((1, 2)));
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Power losses, torn writes, flipped bits, foreign files and failing disks: what is recovered is a state that once was
-//! current and no older than what was confirmed as saved, or nothing.
+//! Power losses, torn writes, flipped bits, files of other proxies and failing disks. The recovered state must be one
+//! that was current at some time and is not older than the last confirmed save, or must be empty.
 
 use persistent_state::{
     recover, Action, Event, ManualExclusion, SavedList, Snapshot, SnapshotError, SnapshotScheduler,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The last file that the proxy of that name saves.
+/// The last file that the proxy with the given name saves.
 fn last_file(name: &str, events: Vec<Event>) -> Vec<u8> {
     let mut scheduler = SnapshotScheduler::new(name, ms(0), None);
     let mut last = Vec::new();
@@ -50,12 +50,12 @@
     last
 }
 
-/// The file after a power loss during its save.
+/// Content of the file after a power loss during a save.
 #[derive(Clone, Copy, Debug)]
 enum AfterLoss {
     Old,
     New,
-    /// The beginning of the new one, in thousandths of its length.
+    /// The first part of the new file, in thousandths of its length.
     Truncated(usize),
     Zeroed,
 }
@@ -67,7 +67,7 @@
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let mut disk: Option<Vec<u8>> = None;
         let mut history = vec![Snapshot::default()];
-        // The index in `history` of the last state that was confirmed as saved.
+        // Index in `history` of the last state that was confirmed as saved.
         let mut confirmed = 0;
         for _incarnation in 0..4 {
             let (recovered, found) = match recover("n0", disk.as_deref(), COLD_START) {
@@ -83,10 +83,10 @@
             let index = history
                 .iter()
                 .rposition(|state| *state == now)
-                .unwrap_or_else(|| panic!("seed {seed}: {now:?} never was"));
+                .unwrap_or_else(|| panic!("seed {seed}: {now:?} was never a current state"));
             assert!(
                 index >= confirmed,
-                "seed {seed}: older than what was confirmed"
+                "seed {seed}: the recovered state is older than the last confirmed save"
             );
             assert_eq!(
                 (
@@ -124,7 +124,7 @@
                         if !fails {
                             (disk, confirmed) = (Some(bytes), index);
                         } else if rng.random_bool(0.5) {
-                            // The file was renamed; only its directory could not be synced.
+                            // The file was renamed; only the sync of its directory failed.
                             disk = Some(bytes);
                         }
                         Event::SaveFinished(!fails)
@@ -143,7 +143,7 @@
                 }
             }
             if rng.random_bool(0.3) {
-                // On a working disk without further events everything is saved in the end.
+                // On a working disk and without further events the complete state is saved after some time.
                 for _ in 0..4 {
                     at += ms(60_000);
                     let mut actions = Vec::new();
@@ -182,7 +182,7 @@
                     AfterLoss::New => Some(bytes),
                     AfterLoss::Truncated(part) => {
                         (confirmed, intact) = (0, false);
-                        // A file system without ordering may do even this, though the file was synced before the rename.
+                        // A file system without ordering may truncate the file although it was synced before the rename.
                         Some(bytes[..bytes.len() * part / 1_000].to_vec()).filter(|b| b.len() > 4)
                     }
                     AfterLoss::Zeroed => {
@@ -192,21 +192,21 @@
                 };
             }
             if let Some(confirmed_exclusions) = confirmed_exclusions.filter(|_| intact) {
-                // A file that was torn earlier and not saved since holds nothing.
+                // After an earlier corruption and no save since, the file contains no state.
                 let found = recover("n0", disk.as_deref(), COLD_START)
                     .unwrap_or_default()
                     .0;
                 assert_eq!(
                     (found.incarnation, found.exclusions),
                     confirmed_exclusions,
-                    "seed {seed}: a confirmed command is lost"
+                    "seed {seed}: a confirmed exclusion or incarnation is lost"
                 );
             }
         }
     }
     assert!(
         (50..2_000).contains(&corrupt_files),
-        "{corrupt_files} files were torn"
+        "{corrupt_files} files were corrupt"
     );
 }
 
@@ -224,7 +224,7 @@
     assert_eq!(
         at(20, Event::Exclusions(vec![exclusion("a", 1)])),
         (1, false),
-        "with the delayed list"
+        "saved together with the delayed list"
     );
     assert_eq!(
         at(
@@ -232,7 +232,7 @@
             Event::Exclusions(vec![exclusion("a", 1), exclusion("b", 2)])
         ),
         (0, false),
-        "one at a time"
+        "one save at a time"
     );
     assert_eq!(at(22, Event::SaveFinished(true)), (1, false));
     assert_eq!(at(23, Event::SaveFinished(true)), (0, true));
@@ -240,7 +240,7 @@
     assert_eq!(at(5_021, Event::Tick), (0, false));
     assert_eq!(at(5_022, Event::Tick), (1, false));
     assert_eq!(at(5_023, Event::SaveFinished(true)), (0, true));
-    // Nothing is saved again that is saved already, nor a lower incarnation.
+    // State that is already saved is not saved again, nor is a lower incarnation.
     assert_eq!(
         at(
             20_000,
@@ -319,7 +319,7 @@
         .collect();
     scheduler.handle(ms(0), Event::Exclusions(exclusions), &mut actions);
     let Some(Action::Save(bytes)) = actions.pop() else {
-        panic!("nothing is saved")
+        panic!("no save was requested")
     };
     assert!((bytes.len() as u64) < persistent_state::MAX_FILE_BYTES);
     let (recovered, _) = recover("n0", Some(&bytes), COLD_START).unwrap();
@@ -361,7 +361,7 @@
         assert_eq!(
             (recovered.list.is_some(), recovered.exclusions.len()),
             (is_used, 1),
-            "known {platform}"
+            "index {platform} of the platform's list"
         );
     }
     let hot_restart = recover_with(StartMode::HotRestart);
@@ -393,7 +393,7 @@
     );
 }
 
-/// Files of version 1 stay readable, and are written byte for byte as recorded.
+/// Recorded files of version 1 stay readable, and are written byte for byte as recorded.
 #[test]
 fn files_of_version_1_stay_readable() {
     let hex = include_str!("version-1.hex").trim();
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! The bounds that the package states, over fleets of 1 to 1,000 proxies and groups of 1 to 200 members.
+//! The documented bounds of the package, over fleets of 1 to 1,000 proxies and groups of 1 to 200 members.
 
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -10,14 +10,15 @@
     members.into_iter().take(size).collect()
 }
 
-/// Ids as lists have them: any numbers, none twice, in any order.
+/// Ids as in endpoint lists: arbitrary distinct numbers in any order.
 fn members(max: usize) -> impl Strategy<Value = Vec<u32>> {
     prop::collection::btree_set(any::<u32>(), 1..=max)
         .prop_map(|set| set.into_iter().collect::<Vec<u32>>())
         .prop_shuffle()
 }
 
-/// How far the proxies that meet a member are from their mean: the most and the least.
+/// Greatest and least deviation, over all members, of the number of proxies that have the member in their subset from its
+/// mean.
 fn deviation(proxies: u32, group: u32, members: &[u32], size: usize) -> (f64, f64) {
     let mean = f64::from(proxies) * size as f64 / members.len() as f64;
     let sets: Vec<BTreeSet<u32>> = (0..proxies)
@@ -41,7 +42,7 @@
         let size = ((members.len() as f64 * fraction) as usize).max(1);
         let (most, least) = deviation(proxies, group, &members, size);
         let bound = 2.0 + f64::from(proxies).log2();
-        prop_assert!(most <= bound && least >= -bound, "{most} and {least}, where {bound} is the bound");
+        prop_assert!(most <= bound && least >= -bound, "deviations from {least} to {most} exceed the bound {bound}");
     }
 
     #[test]
@@ -70,8 +71,7 @@
     }
 }
 
-/// A checker that finds no fault in a bad assignment proves nothing: drawn at random, each proxy for itself, the
-/// same fleets break the bound.
+/// Checks that the bound is not trivial: if each proxy drew a member at random, the same fleets would break the bound.
 #[test]
 fn drawn_at_random_the_bound_would_not_hold() {
     let members: Vec<u32> = (0..5).collect();
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_joining_member_moves_few_more_than_it_has_to() {
-    // Three hundred proxies, thirty groups of four that grow to five; two are met of each.
+    // Three hundred proxies, thirty groups of four members that grow to five; each subset has two members.
     let (mut moved, mut minimum) = (0, 0.0);
     for group in 0..30 {
         let old: Vec<u32> = (0..4).map(|id| group * 10 + id).collect();
@@ -116,7 +116,7 @@
     }
     assert!(
         f64::from(moved as u32) < 2.0 * minimum,
-        "{moved} moved, where {minimum} have to"
+        "{moved} members of subsets changed; at least {minimum} have to"
     );
 }
 
@@ -131,7 +131,8 @@
     assert!(keys.len() >= 9_998, "{} keys of 10,000 names", keys.len());
 }
 
-/// As all proxies of earlier builds know servers and meet members: another hash would part a fleet of two builds.
+/// Ids and orders of earlier builds: another hash would give the proxies of two builds in one fleet different ids and
+/// subsets.
 #[test]
 fn numbers_and_orders_are_the_same_for_good() {
     assert_eq!(
