--- a/crates/datagram-auth/src/keys.rs
+++ b/crates/datagram-auth/src/keys.rs
@@ -71,17 +71,17 @@
         let entries = text
             .lines()
             .map(|line| line.split('#').next().unwrap_or_default().trim());
-        let mut keys = entries.enumerate().filter(|(_, digits)| !digits.is_empty());
-        let (index, digits) = keys.next().ok_or(KeyError::NoKey)?;
+        let mut key_lines = entries.enumerate().filter(|(_, digits)| !digits.is_empty());
+        let (index, digits) = key_lines.next().ok_or(KeyError::NoKey)?;
         let signing = Key::parse(index + 1, digits)?;
-        let second = keys
+        let second = key_lines
             .next()
             .map(|(index, digits)| Ok((index + 1, Key::parse(index + 1, digits)?)))
             .transpose()?;
         if let Some((line, _)) = second.as_ref().filter(|(_, key)| key.id == signing.id) {
             return Err(KeyError::DuplicateKey { line: *line });
         }
-        if let Some((index, _)) = keys.next() {
+        if let Some((index, _)) = key_lines.next() {
             return Err(KeyError::TooManyKeys { line: index + 1 });
         }
         Ok(Keys {
--- a/crates/datagram-auth/src/replay_window.rs
+++ b/crates/datagram-auth/src/replay_window.rs
@@ -55,6 +55,6 @@
 }
 
 fn word_and_bit(sequence: u64) -> (usize, u64) {
-    let position = sequence % WINDOW_BITS;
-    ((position / 64) as usize, 1 << (position % 64))
+    let index = sequence % WINDOW_BITS;
+    ((index / 64) as usize, 1 << (index % 64))
 }
--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -46,7 +46,7 @@
             .collect::<Vec<_>>()
     };
     for (operation, permissions) in POLICY_TABLE {
-        let expected = permissions.map(|entry| match entry {
+        let expected = permissions.map(|cell| match cell {
             Permission::Allowed => "yes",
             Permission::Denied => "no",
             Permission::IfRosterAgreed => "yes*",
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -24,9 +24,8 @@
         } else {
             Vec::new()
         };
-        let at = |index: usize, proxy: usize| {
-            fleet.now + publications[index].2 * proxy as u32 / size as u32
-        };
+        let at =
+            |i: usize, proxy: usize| fleet.now + publications[i].2 * proxy as u32 / size as u32;
         let all =
             (0..publications.len()).flat_map(|index| (0..size).map(move |proxy| (index, proxy)));
         let due = all
@@ -276,12 +275,11 @@
     let mut fleet = Fleet::new(size, 1);
     fleet.loss = number("LOSS", 0) as f64 / 100.0;
     // After the start each member sends its facts to every other, to one in each half period.
-    let started = ms(10_000 + 100 * size as u64);
-    fleet.run(started);
+    let start = ms(10_000 + 100 * size as u64);
+    fleet.run(start);
     let publications = publications(size, loans, (rates > 0).then_some(ms(rates)));
-    let first = |proxy: usize, interval: Duration| {
-        started + interval * (proxy * phase) as u32 / size as u32
-    };
+    let first =
+        |proxy: usize, period: Duration| start + period * (proxy * phase) as u32 / size as u32;
     let mut due: BTreeSet<(Duration, usize, usize)> = (0..size * publications.len())
         .map(|at| {
             (
@@ -292,7 +290,7 @@
         })
         .collect();
     // All facts have been published once, and the first publications have been replaced.
-    let begin = started + ms(rates.max(4000) * 2);
+    let begin = start + ms(rates.max(4000) * 2);
     let end = begin + ms(seconds * 1000);
     let (mut bytes, mut sent) = (0, 0);
     while let Some((at, proxy, index)) = due.pop_first().filter(|(at, ..)| *at < end) {
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -208,9 +208,7 @@
             Step::Kill(proxy) => fleet.kill(proxy % size),
             Step::Start(proxy) => fleet.start(proxy % size),
             Step::StartWithClockSetBack(proxy) => fleet.start_with_clock_set_back(proxy % size),
-            Step::Pause(proxy, pause_ms) => {
-                fleet.paused_until[proxy % size] = fleet.now + ms(pause_ms)
-            }
+            Step::Pause(proxy, pause) => fleet.paused_until[proxy % size] = fleet.now + ms(pause),
             Step::Loss(percent) => fleet.loss = f64::from(percent) / 100.0,
             Step::Publish(proxy, key) => {
                 published += 1;
--- a/crates/subsetting/tests/subsets.rs
+++ b/crates/subsetting/tests/subsets.rs
@@ -11,8 +11,8 @@
 }
 
 /// Ids as in endpoint lists: arbitrary distinct numbers in any order.
-fn members(max: usize) -> impl Strategy<Value = Vec<u32>> {
-    prop::collection::btree_set(any::<u32>(), 1..=max)
+fn members(max_members: usize) -> impl Strategy<Value = Vec<u32>> {
+    prop::collection::btree_set(any::<u32>(), 1..=max_members)
         .prop_map(|set| set.into_iter().collect::<Vec<u32>>())
         .prop_shuffle()
 }
@@ -36,7 +36,7 @@
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn members_are_met_about_equally(
+    fn members_are_in_about_equally_many_subsets(
         proxies in 1_u32..=1_000, group: u32, members in members(200), fraction in 0.0_f64..1.0
     ) {
         let size = ((members.len() as f64 * fraction) as usize).max(1);
@@ -75,7 +75,7 @@
 #[test]
 fn drawn_at_random_the_bound_would_not_hold() {
     let members: Vec<u32> = (0..5).collect();
-    let random_choice = |proxy: u32| {
+    let choice = |proxy: u32| {
         let hash = |id: u32| {
             (proxy * 5 + id + 1)
                 .wrapping_mul(0x9e37_79b9)
@@ -88,11 +88,7 @@
     };
     let violations = (1..=1_000).filter(|&proxies| {
         let mean = f64::from(proxies) / 5.0;
-        let count = |id| {
-            (0..proxies)
-                .filter(|&proxy| random_choice(proxy) == id)
-                .count() as f64
-        };
+        let count = |id| (0..proxies).filter(|&proxy| choice(proxy) == id).count() as f64;
         members
             .iter()
             .any(|&id| (count(id) - mean).abs() > 2.0 + f64::from(proxies).log2())
@@ -121,7 +117,7 @@
 }
 
 #[test]
-fn half_are_met_and_keys_of_names_differ() {
+fn subsets_are_half_of_the_members_and_hashes_of_names_differ() {
     for members in 1..=200 {
         assert!(2 * subset_size(members) >= members && subset_size(members) <= members.max(1));
     }
@@ -134,7 +130,7 @@
 /// Ids and orders of earlier builds: another hash would give the proxies of two builds in one fleet different ids and
 /// subsets.
 #[test]
-fn numbers_and_orders_are_the_same_for_good() {
+fn ids_and_orders_are_the_same_in_all_builds() {
     assert_eq!(
         ["", "replica-0", "shop/a-1"].map(hash_name),
         [0x6ba4_ff30, 0xca81_287e, 0x430f_f1be]
