--- a/crates/membership/src/core/failure_detection.rs
+++ b/crates/membership/src/core/failure_detection.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of disputed members that are pinged with one heartbeat.
 const DISPUTE_PROBES_PER_HEARTBEAT: usize = 2;
-/// Number of reachable members that are asked with one heartbeat for the members they know.
+/// Number of reachable members to which a request for the members they know is sent with one heartbeat.
 const DISCOVERY_FANOUT: usize = 2;
 /// Number of heartbeats after a member was lost in which views are compared each time, instead of every fourth.
 const VIEW_COMPARISON_HEARTBEATS: u64 = 20;
@@ -131,19 +131,19 @@
         }
     }
 
-    /// Requests the members that some reachable members know; a reply contains up to fifty. Without it a process that has
-    /// just started, or whose partition healed, would find the last of many members only by announcing itself to one
-    /// after the other, most of which may be down.
+    /// Requests the members that some reachable members know; a reply contains up to fifty. Without these requests a
+    /// process that has just started, or whose partition healed, would find the last of many members only by announcing
+    /// itself to one after the other, most of which may be down.
     pub(super) fn discover_members(&mut self, now: Duration) {
         let reachable = self.observations.reachable();
         if self.heartbeats >= self.discover_until || reachable.len() == self.observations.len() {
             return;
         }
-        let asked: Vec<u32> = reachable
+        let receivers: Vec<u32> = reachable
             .sample(&mut self.rng, DISCOVERY_FANOUT)
             .copied()
             .collect();
-        for id in asked
+        for id in receivers
             .into_iter()
             .filter_map(|member| self.observations.get(member)?.process)
         {
@@ -204,7 +204,10 @@
             if timed_out {
                 silent.push(*member);
             }
-            !timed_out && alive.last_datagram.is_none_or(|heard| heard <= pinged)
+            !timed_out
+                && alive
+                    .last_datagram
+                    .is_none_or(|received_at| received_at <= pinged)
         });
         silent
     }
--- a/crates/membership/src/core/heartbeat.rs
+++ b/crates/membership/src/core/heartbeat.rs
@@ -14,7 +14,7 @@
 const ENOUGH_ACKS: usize = 3;
 
 impl Core {
-    /// The order matters: each step draws from the same random numbers.
+    /// The order of the steps matters: all of them draw from the same random number generator.
     pub(super) fn on_heartbeat(&mut self, now: Duration) {
         self.heartbeats += 1;
         self.next_heartbeat = Some(now + self.config.probe_period / 2);
--- a/crates/membership/src/core/mod.rs
+++ b/crates/membership/src/core/mod.rs
@@ -36,8 +36,8 @@
 /// Number of members that a process announces itself to at its start, and in each probe period while no member is
 /// reachable.
 const JOIN_ANNOUNCEMENTS: usize = 3;
-/// Number of heartbeats, after the start and after a member became reachable, in which other members are asked for the
-/// members they know.
+/// Number of heartbeats, after the start and after a member became reachable, in which other members receive requests for
+/// the members they know.
 const DISCOVERY_HEARTBEATS: u64 = 10;
 /// Makes the random numbers of the core independent of those of SWIM, which has the same seed.
 const CORE_SEED_SALT: u64 = 0x6d65_6d62;
@@ -73,7 +73,7 @@
     disputed: BTreeMap<u32, Option<Duration>>,
     /// Number of the heartbeat until which views are compared with each heartbeat.
     compare_views_until: u64,
-    /// Number of the heartbeat until which other members are asked for the members they know.
+    /// Number of the heartbeat until which requests for the known members are sent.
     discover_until: u64,
     timer_due: Option<Duration>,
     timer_token: u64,
--- a/crates/membership/src/core/status.rs
+++ b/crates/membership/src/core/status.rs
@@ -38,7 +38,7 @@
                 direct: is_reachable(observed.status)
                     && observed
                         .last_datagram
-                        .is_some_and(|heard| now <= heard + two_rounds),
+                        .is_some_and(|received_at| now <= received_at + two_rounds),
             })
         };
         View {
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -51,7 +51,7 @@
     Send {
         /// Name of the receiver.
         to: String,
-        /// Its address in this process's roster.
+        /// Address of the receiver in this process's roster.
         address: SocketAddr,
         /// The payload, at most `DATAGRAM_BYTES`.
         bytes: Vec<u8>,
@@ -63,7 +63,7 @@
         /// Identifies the timer; only the last token counts.
         token: u64,
     },
-    /// The status of a member, or its process, changed.
+    /// The status or the incarnation of a member changed.
     MemberChanged(String, Status),
     /// The quorum state of the fleet changed.
     QuorumStateChanged(QuorumState),
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -16,7 +16,7 @@
     pub name: String,
     /// Destination of datagrams to this member.
     pub address: SocketAddr,
-    /// Its region, for regional quorums.
+    /// Region of the member; each region has its own quorum state.
     pub region: String,
 }
 
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -186,7 +186,7 @@
         self.collect_effects(now, Ok(()));
     }
 
-    /// Suspects a member that did not answer.
+    /// Marks a member as suspected after it did not acknowledge a ping.
     pub fn suspect(&mut self, now: Duration, member: u32) {
         let of = self
             .foca
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -14,7 +14,7 @@
     Alive,
     /// It did not acknowledge a probe, and has not yet refuted the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// It did not refute a suspicion in time.
     Down,
     /// It announced that it leaves.
     Left,
@@ -23,13 +23,13 @@
 /// A member of the roster as observed by this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberObservation {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its address in this process's roster.
+    /// Address of the member in this process's roster.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region of the member.
     pub region: String,
-    /// Its status.
+    /// Status of the member.
     pub status: Status,
     /// When its status or its incarnation last changed, by this process's clock.
     pub since: Duration,
@@ -57,7 +57,7 @@
     pub roster_mismatches: usize,
     /// Quorum state of each region.
     pub regions: Vec<(String, QuorumState)>,
-    /// The other members, in the order of their ids.
+    /// The other members, sorted by id.
     pub members: Vec<MemberObservation>,
     /// Number of facts held, including expired ones that are still remembered.
     pub facts: usize,
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -277,17 +277,11 @@
     // After the start each member sends its facts to every other, to one in each half period.
     let start = ms(10_000 + 100 * size as u64);
     fleet.run(start);
-    let publications = publications(size, loans, (rates > 0).then_some(ms(rates)));
+    let facts = publications(size, loans, (rates > 0).then_some(ms(rates)));
     let first =
         |proxy: usize, period: Duration| start + period * (proxy * phase) as u32 / size as u32;
-    let mut due: BTreeSet<(Duration, usize, usize)> = (0..size * publications.len())
-        .map(|at| {
-            (
-                first(at % size, publications[at / size].2),
-                at % size,
-                at / size,
-            )
-        })
+    let mut due: BTreeSet<(Duration, usize, usize)> = (0..size * facts.len())
+        .map(|at| (first(at % size, facts[at / size].2), at % size, at / size))
         .collect();
     // All facts have been published once, and the first publications have been replaced.
     let begin = start + ms(rates.max(4000) * 2);
@@ -298,7 +292,7 @@
             (bytes, sent) = (fleet.sent_bytes, fleet.sent_datagrams);
         }
         fleet.run(at);
-        let (kind, length, interval, ttl) = publications[index];
+        let (kind, length, interval, ttl) = facts[index];
         fleet.handle_event(
             proxy,
             Event::Publish {
--- a/crates/persistent-state/src/file_format.rs
+++ b/crates/persistent-state/src/file_format.rs
@@ -18,7 +18,7 @@
 /// Maximum size of a state file in bytes. Names in exclusions are bounded by the maximum size of a response of discovery.
 pub const MAX_FILE_BYTES: u64 = MAX_LIST_BYTES as u64 + (32 << 20);
 
-/// An operator's exclusion of one record server, in Unix milliseconds.
+/// An operator's exclusion of one record server. Times are in Unix milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ManualExclusion {
     /// Name of the server in discovery's endpoint list.
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -267,7 +267,7 @@
         at(2, Event::Exclusions(vec![exclusion("a", 1)])),
         (1, false)
     );
-    // The disk has the state before, and may have the one in flight at any moment.
+    // The disk contains the previous state, and may contain the state in flight at any time.
     assert_eq!(at(3, Event::Exclusions(Vec::new())), (0, false));
     // A save that is reported as failed may have reached the disk.
     assert_eq!(at(4, Event::SaveFinished(false)), (0, false));
