--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -10,14 +10,14 @@
 use membership::{Fact, GuardedOperation, Status};
 use quota_lending::{
     Action, Config, Decision, Event, Lender, Member, MilliRequests, Rule, Rules, Shortage,
-    SHORTAGE_LASTS,
+    SHORTAGE_DURATION,
 };
 
 use crate::clock;
 use crate::cluster::members::Members;
 
-mod figures;
 mod file_writer;
+mod metrics;
 
 pub use file_writer::StartError;
 use file_writer::{FileWriter, WriteJob};
@@ -222,7 +222,7 @@
     pub fn give_back(&mut self, tenant: &str) {
         if let Some(running) = &mut self.running {
             self.given_back += 1;
-            running.lender.give_back(tenant, REQUEST_COST);
+            running.lender.cancel_loan(tenant, REQUEST_COST);
         }
     }
 
@@ -331,11 +331,11 @@
         let own = self.shortage.is_in_shortage(self.since_start(now));
         let is_due = self
             .shortage_published
-            .is_none_or(|at| now.saturating_duration_since(at) >= SHORTAGE_LASTS / 2);
+            .is_none_or(|at| now.saturating_duration_since(at) >= SHORTAGE_DURATION / 2);
         if own && is_due {
             self.shortage_published = Some(now);
             let body = vec![SHORTAGE_VERSION];
-            members.publish(SHORTAGE_KIND, Vec::new(), body, SHORTAGE_LASTS, now);
+            members.publish(SHORTAGE_KIND, Vec::new(), body, SHORTAGE_DURATION, now);
         }
         let is_of_other =
             |fact: &Fact| fact.source != members.name() && fact.body == [SHORTAGE_VERSION];
@@ -432,8 +432,8 @@
         let incarnation = members.incarnation();
         let config = Config {
             lease: self.settings.lease,
-            step: self.settings.exchange_interval,
-            longest: self.settings.max_loan_time,
+            exchange_interval: self.settings.exchange_interval,
+            max_loan_time: self.settings.max_loan_time,
             ..Config::new(members.name(), incarnation, file_writer.is_some())
         };
         let lender = Lender::new(&config, self.since_start(now), file);
@@ -470,12 +470,12 @@
                     kind,
                     key,
                     body,
-                    lasts,
+                    ttl,
                 } => self.queued_messages.push(QueuedMessage {
                     kind,
                     key,
                     body,
-                    ttl: lasts,
+                    ttl,
                 }),
                 Action::Save { sequence, bytes } => self.write_file(WriteJob { sequence, bytes }),
                 Action::Timer { after, token } => self.timer = Some((now + after, token)),
@@ -512,6 +512,6 @@
         write_off: credit.write_off,
         floor: credit.floor,
         classes: credit.classes.clone(),
-        rate_most: credit.rate.saturating_mul(REQUEST_COST),
+        max_rate: credit.rate.saturating_mul(REQUEST_COST),
     }
 }
