--- a/crates/datagram-auth/src/advice.rs
+++ b/crates/datagram-auth/src/advice.rs
@@ -61,7 +61,7 @@
                 "No datagram of this proxy reaches the others (`lb_members_unsent_total` grows): start it with a shorter LB_NAME, and give its section `member` the same name."
             }
             SealError::PayloadTooLong(_) | SealError::Encoding(_) => {
-                "This is a fault of the program: the datagram is not sent and counts in `lb_members_unsent_total`. Report it with the build."
+                "A fault of the program: the datagram is not sent and counts in `lb_members_unsent_total`. Report it with the build."
             }
             SealError::SequenceExhausted => "Restart the proxy: a new process numbers its datagrams from the beginning.",
         }
