--- a/crates/membership/tests/behaviour.rs
+++ b/crates/membership/tests/behaviour.rs
@@ -23,12 +23,12 @@
     core.check_operation(now, operation, None)
 }
 
-fn is_direct(fleet: &Fleet, proxy: usize, of: usize) -> bool {
+fn is_direct(fleet: &Fleet, proxy: usize, observed: usize) -> bool {
     let (core, now) = fleet.core(proxy);
     core.view(now)
         .members
         .iter()
-        .find(|member| member.name == format!("p{of}"))
+        .find(|member| member.name == format!("p{observed}"))
         .unwrap()
         .direct
 }
--- a/crates/membership/tests/figures.rs
+++ b/crates/membership/tests/figures.rs
@@ -67,7 +67,7 @@
     fleet.loss = loss;
     let mut publisher = Publisher::new(&fleet, facts);
     publisher.run(&mut fleet, ms(8000));
-    let mut known = Vec::new();
+    let mut delays = Vec::new();
     for time in 0..times {
         let proxy = time * 7 % size;
         let killed = fleet.now;
@@ -84,12 +84,12 @@
                 .find(|(.., status)| *status == Status::Down)
                 .map_or(ms(6000), |(at, ..)| *at - killed)
         };
-        known.extend(others.map(detected_after).max());
+        delays.extend(others.map(detected_after).max());
         fleet.start(proxy);
         publisher.run(&mut fleet, killed + ms(10_000));
     }
-    known.sort();
-    known
+    delays.sort();
+    delays
 }
 
 fn false_detections(
@@ -138,14 +138,15 @@
         .into_iter()
         .filter(|(size, _)| *size >= number("MEMBERS", 0) as usize)
     {
-        let known = detection_times(size, 0.05, times, seed, facts);
-        let at = |part: f64| known[((known.len() - 1) as f64 * part).round() as usize];
+        let delays = detection_times(size, 0.05, times, seed, facts);
+        let quantile =
+            |fraction: f64| delays[((delays.len() - 1) as f64 * fraction).round() as usize];
         println!(
             "{times} failures among {size} members, seed {seed}, facts {facts}: p50 {:?} p90 {:?} p99 {:?} max {:?}",
-            at(0.5),
-            at(0.9),
-            at(0.99),
-            at(1.0)
+            quantile(0.5),
+            quantile(0.9),
+            quantile(0.99),
+            quantile(1.0)
         );
     }
 }
@@ -318,13 +319,14 @@
             .map(|fact| fact.age)
             .collect();
         ages.sort();
-        let at = |part: f64| ages.get(((ages.len().max(1) - 1) as f64 * part) as usize);
+        let quantile =
+            |fraction: f64| ages.get(((ages.len().max(1) - 1) as f64 * fraction) as usize);
         let part = ages.len() as f64 / (size * (size - 1)) as f64;
         format!(
             "{part:.4} held, age p50 {:?} p99 {:?} max {:?}",
-            at(0.5),
-            at(0.99),
-            at(1.0)
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0)
         )
     };
     let per = |total: u64| total as f64 / size as f64 / seconds as f64;
--- a/crates/membership/tests/fleet/mod.rs
+++ b/crates/membership/tests/fleet/mod.rs
@@ -278,9 +278,9 @@
         self.now = until;
     }
 
-    pub fn status(&self, proxy: usize, of: usize) -> Status {
+    pub fn status(&self, proxy: usize, observed: usize) -> Status {
         let (core, now) = self.core(proxy);
-        let name = format!("p{of}");
+        let name = format!("p{observed}");
         core.view(now)
             .members
             .iter()
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -213,66 +213,70 @@
 #[test]
 fn exclusions_are_saved_at_once_and_lists_at_a_limited_rate() {
     let mut scheduler = SnapshotScheduler::new("n0", ms(5_000), None);
-    let mut at = |now: u64, event: Event| {
+    let mut handle_at = |now: u64, event: Event| {
         let mut actions = Vec::new();
         scheduler.handle(ms(now), event, &mut actions);
         (actions.len(), scheduler.is_saved())
     };
-    assert_eq!(at(0, Event::EndpointList(list(1))), (1, false));
-    assert_eq!(at(1, Event::SaveFinished(true)), (0, true));
-    assert_eq!(at(10, Event::EndpointList(list(2))), (0, false), "not yet");
+    assert_eq!(handle_at(0, Event::EndpointList(list(1))), (1, false));
+    assert_eq!(handle_at(1, Event::SaveFinished(true)), (0, true));
     assert_eq!(
-        at(20, Event::Exclusions(vec![exclusion("a", 1)])),
+        handle_at(10, Event::EndpointList(list(2))),
+        (0, false),
+        "not yet"
+    );
+    assert_eq!(
+        handle_at(20, Event::Exclusions(vec![exclusion("a", 1)])),
         (1, false),
         "saved together with the delayed list"
     );
     assert_eq!(
-        at(
+        handle_at(
             21,
             Event::Exclusions(vec![exclusion("a", 1), exclusion("b", 2)])
         ),
         (0, false),
         "one save at a time"
     );
-    assert_eq!(at(22, Event::SaveFinished(true)), (1, false));
-    assert_eq!(at(23, Event::SaveFinished(true)), (0, true));
-    assert_eq!(at(30, Event::EndpointList(list(3))), (0, false));
-    assert_eq!(at(5_021, Event::Tick), (0, false));
-    assert_eq!(at(5_022, Event::Tick), (1, false));
-    assert_eq!(at(5_023, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(22, Event::SaveFinished(true)), (1, false));
+    assert_eq!(handle_at(23, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(30, Event::EndpointList(list(3))), (0, false));
+    assert_eq!(handle_at(5_021, Event::Tick), (0, false));
+    assert_eq!(handle_at(5_022, Event::Tick), (1, false));
+    assert_eq!(handle_at(5_023, Event::SaveFinished(true)), (0, true));
     // State that is already saved is not saved again, nor is a lower incarnation.
     assert_eq!(
-        at(
+        handle_at(
             20_000,
             Event::Exclusions(vec![exclusion("a", 1), exclusion("b", 2)])
         ),
         (0, true)
     );
-    assert_eq!(at(20_000, Event::Incarnation(7)), (1, false));
-    assert_eq!(at(20_001, Event::SaveFinished(true)), (0, true));
-    assert_eq!(at(20_002, Event::Incarnation(3)), (0, true));
+    assert_eq!(handle_at(20_000, Event::Incarnation(7)), (1, false));
+    assert_eq!(handle_at(20_001, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(20_002, Event::Incarnation(3)), (0, true));
 }
 
 #[test]
 fn an_exclusion_undone_during_its_save_is_confirmed_only_after_that_save() {
     let mut scheduler = SnapshotScheduler::new("n0", ms(0), None);
-    let mut at = |now: u64, event: Event| {
+    let mut handle_at = |now: u64, event: Event| {
         let mut actions = Vec::new();
         scheduler.handle(ms(now), event, &mut actions);
         (actions.len(), scheduler.has_saved_exclusions())
     };
-    assert_eq!(at(0, Event::Incarnation(1)), (1, false));
-    assert_eq!(at(1, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(0, Event::Incarnation(1)), (1, false));
+    assert_eq!(handle_at(1, Event::SaveFinished(true)), (0, true));
     assert_eq!(
-        at(2, Event::Exclusions(vec![exclusion("a", 1)])),
+        handle_at(2, Event::Exclusions(vec![exclusion("a", 1)])),
         (1, false)
     );
     // The disk contains the previous state, and may contain the state in flight at any time.
-    assert_eq!(at(3, Event::Exclusions(Vec::new())), (0, false));
+    assert_eq!(handle_at(3, Event::Exclusions(Vec::new())), (0, false));
     // A save that is reported as failed may have reached the disk.
-    assert_eq!(at(4, Event::SaveFinished(false)), (0, false));
-    assert_eq!(at(1_004, Event::Tick), (1, false));
-    assert_eq!(at(1_005, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(4, Event::SaveFinished(false)), (0, false));
+    assert_eq!(handle_at(1_004, Event::Tick), (1, false));
+    assert_eq!(handle_at(1_005, Event::SaveFinished(true)), (0, true));
 }
 
 #[test]
