--- a/crates/datagram-auth/src/keys.rs
+++ b/crates/datagram-auth/src/keys.rs
@@ -1,66 +1,64 @@
-//! The keys of a fleet: one that signs, and one more that is accepted during a key rotation.
+//! The keys of a fleet: one that signs, and optionally a second one that is accepted during a key rotation.
 
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use thiserror::Error;
 
-/// Bytes of a key: as many as the digest has.
+/// Size of a key in bytes, equal to the size of the digest.
 const KEY_BYTES: usize = 32;
-/// Bytes of the truncated HMAC-SHA256 in a datagram.
+/// Size in bytes of the truncated HMAC-SHA256 in a datagram.
 pub(crate) const MAC_BYTES: usize = 16;
 
-/// The first bytes of the key's SHA-256: tells which key signed, and tells nothing of the key.
+/// The first bytes of the key's SHA-256: identifies the key that signed, without disclosing the key.
 pub(crate) type KeyId = [u8; 4];
 
-/// Why a key file is rejected. No message holds any part of a key.
+/// Why a key file is rejected. No message contains any part of a key.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// The file has no key.
-    #[error(
-        "the key file holds no key: write one of 64 hex digits into a line (openssl rand -hex 32)"
-    )]
+    /// The file contains no key.
+    #[error("the key file contains no key: add a line of 64 hex digits (openssl rand -hex 32)")]
     NoKey,
-    /// The file has more than two keys.
+    /// The file contains more than two keys.
     #[error(
-        "line {line} holds a third key: keep the one that signs and one more that is accepted"
+        "line {line} contains a third key: keep the one that signs and at most one more that is accepted"
     )]
     TooManyKeys {
-        /// Line in the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
     },
-    /// A key has the wrong number of digits.
+    /// A key has the wrong number of characters.
     #[error("line {line} has {found} characters: a key has 64 hex digits (openssl rand -hex 32)")]
     WrongLength {
-        /// Line in the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
-        /// Characters that it has.
+        /// Number of characters of the key.
         found: usize,
     },
-    /// A key has other characters than hex digits.
+    /// A key contains characters other than hex digits.
     #[error(
-        "line {line} is not of hex digits only (0-9, a-f): make a new key (openssl rand -hex 32)"
+        "line {line} contains characters other than hex digits (0-9, a-f): generate a new key (openssl rand -hex 32)"
     )]
     NotHex {
-        /// Line in the file, from 1.
+        /// Line number in the file, from 1.
         line: usize,
     },
     /// Two keys have the same id.
-    #[error("line {line} has the key of the line before, or one that can't be told from it: make a new key, or remove the line")]
+    #[error("line {line} repeats the key before it, or has a key with the same id: generate a new key, or remove the line")]
     DuplicateKey {
-        /// Line of the second key, from 1.
+        /// Line number of the second key, from 1.
         line: usize,
     },
 }
 
 #[derive(Clone)]
 struct Key {
-    /// In the clear in each datagram.
+    /// Sent unencrypted in each datagram.
     id: KeyId,
     mac: Hmac<Sha256>,
 }
 
-/// The keys of a fleet: the first signs, all are accepted.
+/// The keys of a fleet: the first key of the file signs, all keys are accepted.
 #[derive(Clone)]
 pub struct Keys {
     signing: Key,
@@ -70,34 +68,34 @@
 impl Keys {
     /// Reads a key file: one key per line, `#` begins a comment.
     pub fn parse(text: &str) -> Result<Keys, KeyError> {
-        let words = text
+        let entries = text
             .lines()
             .map(|line| line.split('#').next().unwrap_or_default().trim());
-        let mut stated = words.enumerate().filter(|(_, word)| !word.is_empty());
-        let (at, word) = stated.next().ok_or(KeyError::NoKey)?;
-        let signing = Key::parse(at + 1, word)?;
-        let other = stated
+        let mut key_lines = entries.enumerate().filter(|(_, digits)| !digits.is_empty());
+        let (index, digits) = key_lines.next().ok_or(KeyError::NoKey)?;
+        let signing = Key::parse(index + 1, digits)?;
+        let second = key_lines
             .next()
-            .map(|(at, word)| Ok((at + 1, Key::parse(at + 1, word)?)))
+            .map(|(index, digits)| Ok((index + 1, Key::parse(index + 1, digits)?)))
             .transpose()?;
-        if let Some((line, _)) = other.as_ref().filter(|(_, key)| key.id == signing.id) {
+        if let Some((line, _)) = second.as_ref().filter(|(_, key)| key.id == signing.id) {
             return Err(KeyError::DuplicateKey { line: *line });
         }
-        if let Some((at, _)) = stated.next() {
-            return Err(KeyError::TooManyKeys { line: at + 1 });
+        if let Some((index, _)) = key_lines.next() {
+            return Err(KeyError::TooManyKeys { line: index + 1 });
         }
         Ok(Keys {
             signing,
-            accepted: other.map(|(_, key)| key),
+            accepted: second.map(|(_, key)| key),
         })
     }
 
-    /// The ids of the keys in hex, the one that signs first. Safe to log.
+    /// The ids of the keys in hex, the signing key first. Safe to log.
     pub fn ids(&self) -> Vec<String> {
         [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
             .flatten()
-            .map(|k| hex::encode(k.id))
+            .map(|key| hex::encode(key.id))
             .collect()
     }
 
@@ -118,13 +116,13 @@
         mac
     }
 
-    /// Whether the key of that id signed the bytes; `None` if there is no such key. The time does not depend on which byte of
-    /// the MAC is wrong.
+    /// Whether the key with this id signed the bytes; `None` if there is no such key. The duration does not depend on
+    /// which byte of the MAC is wrong.
     pub(crate) fn verify(&self, id: KeyId, bytes: &[u8], mac: &[u8; MAC_BYTES]) -> Option<bool> {
         let key = [Some(&self.signing), self.accepted.as_ref()]
             .into_iter()
             .flatten()
-            .find(|k| k.id == id)?;
+            .find(|key| key.id == id)?;
         Some(
             key.mac
                 .clone()
@@ -143,13 +141,13 @@
 }
 
 impl Key {
-    fn parse(line: usize, word: &str) -> Result<Key, KeyError> {
-        let found = word.chars().count();
+    fn parse(line: usize, digits: &str) -> Result<Key, KeyError> {
+        let found = digits.chars().count();
         if found != 2 * KEY_BYTES {
             return Err(KeyError::WrongLength { line, found });
         }
         let mut bytes = [0; KEY_BYTES];
-        hex::decode_to_slice(word, &mut bytes).map_err(|_| KeyError::NotHex { line })?;
+        hex::decode_to_slice(digits, &mut bytes).map_err(|_| KeyError::NotHex { line })?;
         let digest = Sha256::digest(bytes);
         let mac = Hmac::new_from_slice(&bytes).map_err(|_| KeyError::NotHex { line })?;
         Ok(Key {
--- a/crates/membership/src/observations.rs
+++ b/crates/membership/src/observations.rs
@@ -1,5 +1,5 @@
-//! What is known of each member, and the counts derived from it. A change of one member moves the counts, so an event costs as
-//! much as it changes, however large the roster is.
+//! The observed state of each member, and counts derived from it. A change of one member updates the counts
+//! incrementally, so the cost of an event does not depend on the size of the roster.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,45 +10,45 @@
 use crate::view::Status;
 use crate::view_message::ViewMessage;
 
-/// What is known of a member.
+/// The observed state of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Observation {
     pub status: Status,
     pub since: Duration,
     pub process: Option<ProcessId>,
-    /// When its last datagram came.
+    /// Time at which its last datagram was received.
     pub last_datagram: Option<Duration>,
 }
 
-/// How an observation changed.
+/// Differences between two observations of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ObservationChange {
     /// Its status or its process changed.
     pub changed: bool,
     /// It became reachable.
     pub rejoined: bool,
-    /// It now has another version of the roster than this process.
+    /// It now has a roster version that differs from this process's.
     pub roster_mismatch: bool,
 }
 
-/// The members of the roster without this process.
+/// The members of the roster except this process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Observations {
     members: BTreeMap<u32, Observation>,
     counts: DerivedCounts,
 }
 
-/// Follows from the members and the roster alone.
+/// Counts that follow from the members and the roster alone.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct DerivedCounts {
     fleet: MemberCounts,
     regions: BTreeMap<String, MemberCounts>,
-    /// Members that are alive or suspected, in the order of their ids.
+    /// Members that are alive or suspected, sorted by id.
     reachable: Vec<u32>,
     suspected: BTreeSet<u32>,
     down: BTreeSet<ProcessId>,
     roster_mismatches: usize,
-    /// The hash of `down`, until it changes.
+    /// Cached hash of `down`; cleared when `down` changes.
     down_hash: Option<ViewMessage>,
 }
 
@@ -96,7 +96,7 @@
             self.add_reachable(id, add);
             let version = observation.process.map(|process| process.roster_version);
             if version.is_some_and(|version| version != roster.version) {
-                add_one(&mut self.roster_mismatches, add);
+                add_or_subtract_one(&mut self.roster_mismatches, add);
             }
         }
         if observation.status == Status::Suspect {
@@ -121,9 +121,9 @@
     fn add_status(&mut self, region: &str, status: Status, add: bool) {
         for counts in self.member_counts(region) {
             match status {
-                Status::Alive => add_one(&mut counts.alive, add),
-                Status::Suspect => add_one(&mut counts.suspect, add),
-                Status::Left => add_one(&mut counts.left, add),
+                Status::Alive => add_or_subtract_one(&mut counts.alive, add),
+                Status::Suspect => add_or_subtract_one(&mut counts.suspect, add),
+                Status::Left => add_or_subtract_one(&mut counts.left, add),
                 Status::Down | Status::NeverHeard => {}
             }
         }
@@ -138,23 +138,23 @@
     }
 }
 
-fn add_one(count: &mut usize, add: bool) {
+fn add_or_subtract_one(count: &mut usize, add: bool) {
     *count = if add { *count + 1 } else { *count - 1 };
 }
 
 impl Observations {
-    /// Fits the members to the roster; returns the processes of those that are no longer in it.
+    /// Adjusts the members to a new roster; returns the processes of members that are no longer in it.
     pub fn apply_roster(
         &mut self,
         now: Duration,
         roster: &IndexedRoster,
         own_id: u32,
     ) -> Vec<ProcessId> {
-        let gone = self
+        let removed = self
             .members
             .iter()
             .filter(|(id, _)| !roster.members.contains_key(id));
-        let gone = gone
+        let removed = removed
             .filter_map(|(_, observation)| observation.process)
             .collect();
         self.members.retain(|id, _| roster.members.contains_key(id));
@@ -168,10 +168,10 @@
             self.members.entry(*id).or_insert(new);
         }
         self.counts = DerivedCounts::count(roster, own_id, &self.members);
-        gone
+        removed
     }
 
-    /// Takes the status of a process. `None` if it is of no member.
+    /// Records the status of a process. Returns `None` if its member is not in the roster.
     pub fn update(
         &mut self,
         now: Duration,
@@ -180,25 +180,25 @@
         status: Status,
     ) -> Option<ObservationChange> {
         let observation = self.members.get_mut(&id.member)?;
-        let was = *observation;
-        if was.process == Some(id) && was.status == status {
+        let before = *observation;
+        if before.process == Some(id) && before.status == status {
             return Some(ObservationChange::default());
         }
         observation.process = Some(id);
-        let changed = status != was.status
-            || was
+        let changed = status != before.status
+            || before
                 .process
-                .is_some_and(|was| was.incarnation != id.incarnation);
+                .is_some_and(|before| before.incarnation != id.incarnation);
         if changed {
             (observation.status, observation.since) = (status, now);
         }
-        let is = *observation;
-        self.counts.add_or_remove(roster, id.member, &was, false);
-        self.counts.add_or_remove(roster, id.member, &is, true);
-        let rejoined = changed && is_reachable(status) && !is_reachable(was.status);
-        let roster_mismatch = was
+        let after = *observation;
+        self.counts.add_or_remove(roster, id.member, &before, false);
+        self.counts.add_or_remove(roster, id.member, &after, true);
+        let rejoined = changed && is_reachable(status) && !is_reachable(before.status);
+        let roster_mismatch = before
             .process
-            .is_none_or(|was| was.roster_version != id.roster_version)
+            .is_none_or(|before| before.roster_version != id.roster_version)
             && id.roster_version != roster.version;
         Some(ObservationChange {
             changed,
@@ -221,14 +221,14 @@
         self.members.len()
     }
 
-    /// A datagram of the member came.
+    /// Records that a datagram of the member was received.
     pub fn record_datagram(&mut self, id: u32, now: Duration) {
         if let Some(observation) = self.members.get_mut(&id) {
             observation.last_datagram = Some(now);
         }
     }
 
-    /// Suspicions start anew after a pause of this process, which heard no refutation meanwhile.
+    /// Restarts all suspicions after a pause of this process, during which it could not receive refutations.
     pub fn restart_suspicions(&mut self, now: Duration) {
         for id in &self.counts.suspected {
             if let Some(observation) = self.members.get_mut(id) {
@@ -245,7 +245,7 @@
         &self.counts.regions
     }
 
-    /// Members that are alive or suspected, in the order of their ids.
+    /// Members that are alive or suspected, sorted by id.
     pub fn reachable(&self) -> &[u32] {
         &self.counts.reachable
     }
@@ -259,7 +259,7 @@
         self.counts.suspected.iter().filter_map(since)
     }
 
-    /// Reachable members that have another version of the roster.
+    /// Number of reachable members that have another version of the roster.
     pub fn roster_mismatches(&self) -> usize {
         self.counts.roster_mismatches
     }
@@ -276,7 +276,7 @@
             .get_or_insert_with(|| ViewMessage::hash(&counts.down))
     }
 
-    /// Whether the counts are what counting all members anew gives.
+    /// Whether the counts equal a recount of all members.
     pub fn counts_match(&self, roster: &IndexedRoster, own_id: u32) -> bool {
         let hash = self.counts.down_hash.clone();
         let recount = DerivedCounts {
--- a/crates/persistent-state/tests/crashes.rs
+++ b/crates/persistent-state/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Power losses, torn writes, flipped bits, foreign files and failing disks: what is recovered is a state that once was
-//! current and no older than what was confirmed as saved, or nothing.
+//! Power losses, torn writes, flipped bits, files of other proxies and failing disks. The recovered state must be one
+//! that was current at some time and is not older than the last confirmed save, or must be empty.
 
 use persistent_state::{
     recover, Action, Event, ManualExclusion, SavedList, Snapshot, SnapshotError, SnapshotScheduler,
@@ -18,10 +18,10 @@
     Duration::from_millis(ms)
 }
 
-fn exclusion(name: &str, out: u64) -> ManualExclusion {
+fn exclusion(name: &str, since: u64) -> ManualExclusion {
     ManualExclusion {
         name: name.into(),
-        excluded_since: Some(out),
+        excluded_since: Some(since),
         previous: None,
     }
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// The last file that the proxy of that name saves.
+/// The last file that the proxy with the given name saves.
 fn last_file(name: &str, events: Vec<Event>) -> Vec<u8> {
     let mut scheduler = SnapshotScheduler::new(name, ms(0), None);
     let mut last = Vec::new();
@@ -50,31 +50,31 @@
     last
 }
 
-/// The file after a power loss during its save.
+/// Content of the file after a power loss during a save.
 #[derive(Clone, Copy, Debug)]
 enum AfterLoss {
     Old,
     New,
-    /// The beginning of the new one, in thousandths of its length.
+    /// The first part of the new file, in thousandths of its length.
     Truncated(usize),
     Zeroed,
 }
 
 #[test]
 fn a_thousand_power_losses() {
-    let mut torn_files = 0;
+    let mut corrupt_files = 0;
     for seed in 0..1_000 {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let mut disk: Option<Vec<u8>> = None;
         let mut history = vec![Snapshot::default()];
-        // The index in `history` of the last state that was confirmed as saved.
+        // Index in `history` of the last state that was confirmed as saved.
         let mut confirmed = 0;
         for _incarnation in 0..4 {
-            let (recalled, found) = match recover("n0", disk.as_deref(), COLD_START) {
+            let (recovered, found) = match recover("n0", disk.as_deref(), COLD_START) {
                 Ok(found) => found,
-                Err(fault) => {
-                    assert_eq!(fault, SnapshotError::Corrupt, "seed {seed}");
-                    torn_files += 1;
+                Err(error) => {
+                    assert_eq!(error, SnapshotError::Corrupt, "seed {seed}");
+                    corrupt_files += 1;
                     confirmed = 0;
                     Default::default()
                 }
@@ -82,14 +82,18 @@
             let now = found.clone().unwrap_or_default();
             let index = history
                 .iter()
-                .rposition(|w| *w == now)
-                .unwrap_or_else(|| panic!("seed {seed}: {now:?} never was"));
+                .rposition(|state| *state == now)
+                .unwrap_or_else(|| panic!("seed {seed}: {now:?} was never a current state"));
             assert!(
                 index >= confirmed,
-                "seed {seed}: older than what was confirmed"
+                "seed {seed}: the recovered state is older than the last confirmed save"
             );
             assert_eq!(
-                (recalled.incarnation, &recalled.list, &recalled.exclusions),
+                (
+                    recovered.incarnation,
+                    &recovered.list,
+                    &recovered.exclusions
+                ),
                 (now.incarnation, &now.list, &now.exclusions)
             );
             let mut scheduler = SnapshotScheduler::new("n0", ms(500), found);
@@ -120,7 +124,7 @@
                         if !fails {
                             (disk, confirmed) = (Some(bytes), index);
                         } else if rng.random_bool(0.5) {
-                            // The file was renamed; only its directory could not be synced.
+                            // The file was renamed; only the sync of its directory failed.
                             disk = Some(bytes);
                         }
                         Event::SaveFinished(!fails)
@@ -139,7 +143,7 @@
                 }
             }
             if rng.random_bool(0.3) {
-                // On a working disk without further events everything is saved in the end.
+                // On a working disk and without further events the complete state is saved after some time.
                 for _ in 0..4 {
                     at += ms(60_000);
                     let mut actions = Vec::new();
@@ -162,23 +166,23 @@
                 assert_eq!(found.unwrap_or_default(), current, "seed {seed}");
                 confirmed = history.len() - 1;
             }
-            let promised = scheduler
+            let confirmed_exclusions = scheduler
                 .has_saved_exclusions()
                 .then_some((current.incarnation, current.exclusions));
             let mut intact = true;
             if let Some((bytes, _)) = in_flight {
-                let torn = match rng.random_range(0..10) {
+                let after_loss = match rng.random_range(0..10) {
                     0 => AfterLoss::Truncated(rng.random_range(0..1_000)),
                     1 => AfterLoss::Zeroed,
                     2..5 => AfterLoss::New,
                     _ => AfterLoss::Old,
                 };
-                disk = match torn {
+                disk = match after_loss {
                     AfterLoss::Old => disk,
                     AfterLoss::New => Some(bytes),
                     AfterLoss::Truncated(part) => {
                         (confirmed, intact) = (0, false);
-                        // A file system without ordering may do even this, though the file was synced before the rename.
+                        // A file system without ordering may truncate the file although it was synced before the rename.
                         Some(bytes[..bytes.len() * part / 1_000].to_vec()).filter(|b| b.len() > 4)
                     }
                     AfterLoss::Zeroed => {
@@ -187,88 +191,92 @@
                     }
                 };
             }
-            if let Some(promised) = promised.filter(|_| intact) {
-                // A file that was torn earlier and not saved since holds nothing.
+            if let Some(confirmed_exclusions) = confirmed_exclusions.filter(|_| intact) {
+                // After an earlier corruption and no save since, the file contains no state.
                 let found = recover("n0", disk.as_deref(), COLD_START)
                     .unwrap_or_default()
                     .0;
                 assert_eq!(
                     (found.incarnation, found.exclusions),
-                    promised,
-                    "seed {seed}: a confirmed command is lost"
+                    confirmed_exclusions,
+                    "seed {seed}: a confirmed exclusion or incarnation is lost"
                 );
             }
         }
     }
     assert!(
-        (50..2_000).contains(&torn_files),
-        "{torn_files} files were torn"
+        (50..2_000).contains(&corrupt_files),
+        "{corrupt_files} files were corrupt"
     );
 }
 
 #[test]
 fn exclusions_are_saved_at_once_and_lists_at_a_limited_rate() {
     let mut scheduler = SnapshotScheduler::new("n0", ms(5_000), None);
-    let mut at = |now: u64, event: Event| {
+    let mut handle_at = |now: u64, event: Event| {
         let mut actions = Vec::new();
         scheduler.handle(ms(now), event, &mut actions);
         (actions.len(), scheduler.is_saved())
     };
-    assert_eq!(at(0, Event::EndpointList(list(1))), (1, false));
-    assert_eq!(at(1, Event::SaveFinished(true)), (0, true));
-    assert_eq!(at(10, Event::EndpointList(list(2))), (0, false), "not yet");
+    assert_eq!(handle_at(0, Event::EndpointList(list(1))), (1, false));
+    assert_eq!(handle_at(1, Event::SaveFinished(true)), (0, true));
     assert_eq!(
-        at(20, Event::Exclusions(vec![exclusion("a", 1)])),
+        handle_at(10, Event::EndpointList(list(2))),
+        (0, false),
+        "not yet"
+    );
+    assert_eq!(
+        handle_at(20, Event::Exclusions(vec![exclusion("a", 1)])),
         (1, false),
-        "with the delayed list"
+        "saved together with the delayed list"
     );
     assert_eq!(
-        at(
+        handle_at(
             21,
             Event::Exclusions(vec![exclusion("a", 1), exclusion("b", 2)])
         ),
         (0, false),
-        "one at a time"
+        "one save at a time"
     );
-    assert_eq!(at(22, Event::SaveFinished(true)), (1, false));
-    assert_eq!(at(23, Event::SaveFinished(true)), (0, true));
-    assert_eq!(at(30, Event::EndpointList(list(3))), (0, false));
-    assert_eq!(at(5_021, Event::Tick), (0, false));
-    assert_eq!(at(5_022, Event::Tick), (1, false));
-    assert_eq!(at(5_023, Event::SaveFinished(true)), (0, true));
-    // Nothing is saved again that is saved already, nor a lower incarnation.
+    assert_eq!(handle_at(22, Event::SaveFinished(true)), (1, false));
+    assert_eq!(handle_at(23, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(30, Event::EndpointList(list(3))), (0, false));
+    assert_eq!(handle_at(5_021, Event::Tick), (0, false));
+    assert_eq!(handle_at(5_022, Event::Tick), (1, false));
+    assert_eq!(handle_at(5_023, Event::SaveFinished(true)), (0, true));
+    // State that is already saved is not saved again, nor is a lower incarnation.
     assert_eq!(
-        at(
+        handle_at(
             20_000,
             Event::Exclusions(vec![exclusion("a", 1), exclusion("b", 2)])
         ),
         (0, true)
     );
-    assert_eq!(at(20_000, Event::Incarnation(7)), (1, false));
-    assert_eq!(at(20_001, Event::SaveFinished(true)), (0, true));
-    assert_eq!(at(20_002, Event::Incarnation(3)), (0, true));
+    assert_eq!(handle_at(20_000, Event::Incarnation(7)), (1, false));
+    assert_eq!(handle_at(20_001, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(20_002, Event::Incarnation(3)), (0, true));
 }
 
 #[test]
 fn an_exclusion_undone_during_its_save_is_confirmed_only_after_that_save() {
     let mut scheduler = SnapshotScheduler::new("n0", ms(0), None);
-    let mut at = |now: u64, event: Event| {
+    let mut handle_at = |now: u64, event: Event| {
         let mut actions = Vec::new();
         scheduler.handle(ms(now), event, &mut actions);
         (actions.len(), scheduler.has_saved_exclusions())
     };
-    assert_eq!(at(0, Event::Incarnation(1)), (1, false));
-    assert_eq!(at(1, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(0, Event::Incarnation(1)), (1, false));
+    assert_eq!(handle_at(1, Event::SaveFinished(true)), (0, true));
     assert_eq!(
-        at(2, Event::Exclusions(vec![exclusion("a", 1)])),
+        handle_at(2, Event::Exclusions(vec![exclusion("a", 1)])),
         (1, false)
     );
-    // The disk has the state before, and may have the one in flight at any moment.
-    assert_eq!(at(3, Event::Exclusions(Vec::new())), (0, false));
+    // The disk contains the previous state, and may contain the state in flight at any time.
+    assert_eq!(handle_at(3, Event::Exclusions(Vec::new())), (0, false));
     // A save that is reported as failed may have reached the disk.
-    assert_eq!(at(4, Event::SaveFinished(false)), (0, false));
-    assert_eq!(at(1_004, Event::Tick), (1, false));
-    assert_eq!(at(1_005, Event::SaveFinished(true)), (0, true));
+    assert_eq!(handle_at(4, Event::SaveFinished(false)), (0, false));
+    assert_eq!(handle_at(1_004, Event::Tick), (1, false));
+    assert_eq!(handle_at(1_005, Event::SaveFinished(true)), (0, true));
 }
 
 #[test]
@@ -310,38 +318,38 @@
         actions,
         [Action::ListTooLong(persistent_state::MAX_LIST_BYTES + 1)]
     );
-    let hands: Vec<ManualExclusion> = (0..persistent_state::MAX_EXCLUSIONS as u64 + 5)
+    let exclusions: Vec<ManualExclusion> = (0..persistent_state::MAX_EXCLUSIONS as u64 + 5)
         .map(|n| exclusion(&format!("s{n}"), n))
         .collect();
-    scheduler.handle(ms(0), Event::Exclusions(hands), &mut actions);
+    scheduler.handle(ms(0), Event::Exclusions(exclusions), &mut actions);
     let Some(Action::Save(bytes)) = actions.pop() else {
-        panic!("nothing is saved")
+        panic!("no save was requested")
     };
     assert!((bytes.len() as u64) < persistent_state::MAX_FILE_BYTES);
-    let (recalled, _) = recover("n0", Some(&bytes), COLD_START).unwrap();
+    let (recovered, _) = recover("n0", Some(&bytes), COLD_START).unwrap();
     assert_eq!(
-        (recalled.exclusions.len(), recalled.list),
+        (recovered.exclusions.len(), recovered.list),
         (persistent_state::MAX_EXCLUSIONS, None)
     );
     assert!(
-        recalled
+        recovered
             .exclusions
             .iter()
-            .all(|hand| hand.excluded_since >= Some(5)),
+            .all(|exclusion| exclusion.excluded_since >= Some(5)),
         "the oldest exclusions are dropped"
     );
 }
 
 #[test]
-fn the_table_of_trust() {
+fn each_start_mode_uses_its_part_of_the_saved_state() {
     let events = vec![
         Event::Incarnation(9),
         Event::Exclusions(vec![exclusion("a", 1)]),
         Event::EndpointList(list(40)),
     ];
     let bytes = last_file("n0", events);
-    let with = |after| recover("n0", Some(&bytes), after).unwrap().0;
-    let all = with(COLD_START);
+    let recover_with = |after| recover("n0", Some(&bytes), after).unwrap().0;
+    let all = recover_with(COLD_START);
     assert_eq!(
         (
             all.incarnation,
@@ -350,17 +358,17 @@
         ),
         (9, 1, Some(40))
     );
-    for (platform, used) in [(39, true), (40, false), (41, false)] {
-        let recalled = with(StartMode::ColdStart {
+    for (platform, is_used) in [(39, true), (40, false), (41, false)] {
+        let recovered = recover_with(StartMode::ColdStart {
             platform_list_index: Some(platform),
         });
         assert_eq!(
-            (recalled.list.is_some(), recalled.exclusions.len()),
-            (used, 1),
-            "known {platform}"
+            (recovered.list.is_some(), recovered.exclusions.len()),
+            (is_used, 1),
+            "index {platform} of the platform's list"
         );
     }
-    let hot_restart = with(StartMode::HotRestart);
+    let hot_restart = recover_with(StartMode::HotRestart);
     assert_eq!(
         (
             hot_restart.incarnation,
@@ -389,11 +397,11 @@
     );
 }
 
-/// Files of version 1 stay readable, and are written byte for byte as recorded.
+/// Recorded files of version 1 stay readable, and are written byte for byte as recorded.
 #[test]
 fn files_of_version_1_stay_readable() {
     let hex = include_str!("version-1.hex").trim();
-    let kept: Vec<u8> = (0..hex.len() / 2)
+    let recorded: Vec<u8> = (0..hex.len() / 2)
         .map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).unwrap())
         .collect();
     let events = vec![
@@ -414,12 +422,12 @@
     let bytes = last_file("n0", events);
     assert_eq!(
         bytes,
-        kept,
+        recorded,
         "{}",
         bytes.iter().map(|b| format!("{b:02x}")).collect::<String>()
     );
     assert_eq!(
-        recover("n0", Some(&kept), COLD_START)
+        recover("n0", Some(&recorded), COLD_START)
             .unwrap()
             .0
             .incarnation,
@@ -442,8 +450,8 @@
 
     #[test]
     fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let ours = [b"LVMM\x01", &bytes[..]].concat();
+        let with_header = [b"LVMM\x01", &bytes[..]].concat();
         prop_assert!(recover("n0", Some(&bytes), COLD_START).is_err());
-        prop_assert!(recover("n0", Some(&ours), COLD_START).is_err());
+        prop_assert!(recover("n0", Some(&with_header), COLD_START).is_err());
     }
 }
