--- a/crates/quota-lending/src/bootstrap.rs
+++ b/crates/quota-lending/src/bootstrap.rs
@@ -14,7 +14,7 @@
     pub(crate) fn bootstrap(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state.is_bootstrapped()
             || !self.own_quarantine_over(now)
-            || self.roster.len() > limits::BOOTSTRAP_MEMBERS
+            || self.roster.len() > limits::MAX_BOOTSTRAP_MEMBERS
         {
             return;
         }
@@ -47,7 +47,7 @@
     /// Adopts the bootstrap members that another publishes, if none are known here.
     pub(crate) fn receive_bootstrap_members(&mut self, message: &BootstrapMembers) {
         let count = message.members.len();
-        if self.state.is_bootstrapped() || count == 0 || count > limits::BOOTSTRAP_MEMBERS {
+        if self.state.is_bootstrapped() || count == 0 || count > limits::MAX_BOOTSTRAP_MEMBERS {
             return;
         }
         let id = |(owner, above_least): &(u32, u64)| AccountId {
--- a/crates/quota-lending/src/bounds.rs
+++ b/crates/quota-lending/src/bounds.rs
@@ -2,7 +2,7 @@
 
 use crate::balances::{Balances, SentTotal};
 use crate::identity::{bootstrap_digest, name_number, AccountId};
-use crate::limits::{BALANCES, RECEIVERS};
+use crate::limits::{MAX_BALANCES, MAX_RECEIVERS};
 use crate::messages::{
     self, encode, BootstrapMembers, Heartbeat, PublishedBalances, Sender, WitnessedTransfers,
 };
@@ -133,7 +133,10 @@
             .len(),
         20
     );
-    assert_eq!(lender.peers[&name_number("b")].witnessed.len(), BALANCES);
+    assert_eq!(
+        lender.peers[&name_number("b")].witnessed.len(),
+        MAX_BALANCES
+    );
     assert_eq!(lender.malformed(), 999);
 }
 
@@ -195,7 +198,7 @@
 /// `c` received other transfers of the same total, and so publishes that it has witnessed as much.
 #[test]
 fn balances_with_too_many_receivers_are_witnessed_by_nobody() {
-    let most = RECEIVERS as u32;
+    let most = MAX_RECEIVERS as u32;
     let witness = |lender: &mut Lender, given: SentTotal| {
         let founders =
             (0..3).filter(|at| lender.state.bootstrap_members[usize::from(*at)] == id("b"));
@@ -216,7 +219,7 @@
     witness(&mut valid, u64::from(most).into());
     assert_eq!(
         confirmed_receivers(&valid),
-        RECEIVERS,
+        MAX_RECEIVERS,
         "giver and one more are two of three"
     );
     assert_eq!(valid.malformed(), 0);
--- a/crates/quota-lending/src/handle.rs
+++ b/crates/quota-lending/src/handle.rs
@@ -6,7 +6,7 @@
 use crate::event::{Action, Event, Member};
 use crate::identity::name_number;
 use crate::lender::Lender;
-use crate::limits::BOOTSTRAP_MEMBERS;
+use crate::limits::MAX_BOOTSTRAP_MEMBERS;
 use crate::notice::Notice;
 use crate::receive::Incoming;
 use crate::rules::Rules;
@@ -61,7 +61,7 @@
             self.may_lend = false;
             return;
         }
-        let too_long = numbers.len() > BOOTSTRAP_MEMBERS && !self.state.is_bootstrapped();
+        let too_long = numbers.len() > MAX_BOOTSTRAP_MEMBERS && !self.state.is_bootstrapped();
         if numbers != self.roster && too_long {
             actions.push(Action::Notice(Notice::RosterTooLong(numbers.len())));
         }
@@ -78,9 +78,9 @@
         if incoming.source != self.number && self.receive(now, incoming).is_err() {
             self.malformed = self.malformed.saturating_add(1);
         }
-        if let Some(reason) = self.ignoring.take() {
+        if let Some(reason) = self.ignore_reason.take() {
             self.ignored = self.ignored.saturating_add(1);
-            if self.ignored_notified.insert(reason) {
+            if self.notified_reasons.insert(reason) {
                 let notice = Notice::Ignored(reason, incoming.source);
                 actions.push(Action::Notice(notice));
             }
--- a/crates/quota-lending/src/heartbeat.rs
+++ b/crates/quota-lending/src/heartbeat.rs
@@ -5,7 +5,7 @@
 use crate::event::Action;
 use crate::identity::AccountId;
 use crate::lender::Lender;
-use crate::limits::OTHER_ECHOES;
+use crate::limits::MAX_OTHER_ECHOES;
 use crate::messages::{self, encode, heartbeat_mark, Heartbeat};
 
 /// Marks of the last heartbeats of others: bootstrap members by their index, and other accounts.
@@ -46,8 +46,8 @@
         let mut echoes = Echoes::default();
         for (id, account) in &self.accounts {
             let (incarnation, number) = account.last_heartbeat;
-            let silent = now.saturating_sub(account.heard_at) > self.lease;
-            if self.is_frozen(*id) || number == 0 || silent {
+            let expired = now.saturating_sub(account.last_heartbeat_at) > self.lease;
+            if self.is_frozen(*id) || number == 0 || expired {
                 continue;
             }
             let echo = heartbeat_mark(incarnation, number);
@@ -56,7 +56,7 @@
                 Err(_) => echoes.others.push((*id, echo)),
             }
         }
-        echoes.others.truncate(OTHER_ECHOES);
+        echoes.others.truncate(MAX_OTHER_ECHOES);
         echoes
     }
 
@@ -125,7 +125,7 @@
             let account = self.accounts.entry(id).or_default();
             if heartbeat > account.last_heartbeat {
                 account.last_heartbeat = heartbeat;
-                account.heard_at = now;
+                account.last_heartbeat_at = now;
             }
         }
     }
--- a/crates/quota-lending/src/lend.rs
+++ b/crates/quota-lending/src/lend.rs
@@ -12,9 +12,9 @@
 use crate::rules::{MilliRequests, Rule};
 
 /// A file reserves this part of the local limit ahead.
-const RESERVE_PART: u64 = 8;
+const RESERVE_DIVISOR: u64 = 8;
 /// The least that is reserved ahead: two requests.
-const RESERVE_LEAST: MilliRequests = 2000;
+const MIN_RESERVE: MilliRequests = 2000;
 /// Shares are rounded to 1/1024 for the rate.
 const RATE_SHARE_BITS: u32 = 10;
 
@@ -140,7 +140,7 @@
         if !self.guards.reserve {
             return;
         }
-        let ahead = (known.local_limit / RESERVE_PART).max(RESERVE_LEAST);
+        let ahead = (known.local_limit / RESERVE_DIVISOR).max(MIN_RESERVE);
         let Some(balances) = self.state.balances.get_mut(&tenant) else {
             return;
         };
--- a/crates/quota-lending/src/lender.rs
+++ b/crates/quota-lending/src/lender.rs
@@ -14,7 +14,7 @@
 use crate::stored_state::{BadFile, StoredState};
 
 /// Messages of an account are valid for so many leases.
-const MESSAGE_LEASES: u32 = 4;
+const MESSAGE_TTL_LEASES: u32 = 4;
 
 /// Another proxy, as of its last message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Account {
     /// When its last new heartbeat was received.
-    pub heard_at: Duration,
+    pub last_heartbeat_at: Duration,
     /// Incarnation and number of that heartbeat.
     pub last_heartbeat: (u64, u32),
     /// By tenant.
@@ -126,8 +126,8 @@
     pub(crate) malformed: u64,
     pub(crate) ignored: u64,
     /// Why the current message is ignored.
-    pub(crate) ignoring: Option<IgnoreReason>,
-    pub(crate) ignored_notified: BTreeSet<IgnoreReason>,
+    pub(crate) ignore_reason: Option<IgnoreReason>,
+    pub(crate) notified_reasons: BTreeSet<IgnoreReason>,
 }
 
 /// The quarantine period: the longest loan, a tenth for clocks that run apart, and three leases for messages on their way.
@@ -191,8 +191,8 @@
             published: BTreeMap::new(),
             malformed: 0,
             ignored: 0,
-            ignoring: None,
-            ignored_notified: BTreeSet::new(),
+            ignore_reason: None,
+            notified_reasons: BTreeSet::new(),
         }
     }
 
@@ -227,7 +227,7 @@
 
     /// How long messages of the own account are valid.
     pub(crate) fn message_ttl(&self) -> Duration {
-        self.lease * MESSAGE_LEASES
+        self.lease * MESSAGE_TTL_LEASES
     }
 
     /// Whether the quarantine period has passed since the start of this process.
--- a/crates/quota-lending/src/loans.rs
+++ b/crates/quota-lending/src/loans.rs
@@ -6,9 +6,9 @@
 use crate::rules::{MilliRequests, Rule};
 
 /// Open loans that are told apart; more are merged into the last.
-const OPEN_LOANS: usize = 32;
+const MAX_OPEN_LOANS: usize = 32;
 /// Loans within this part of the term are merged into one.
-const MERGE_PART_OF_TERM: u32 = 16;
+const MERGE_TERM_DIVISOR: u32 = 16;
 
 /// Figures of one tenant in one proxy: `lent = repaid + owed + written_off`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -92,9 +92,9 @@
 
     pub fn lend(&mut self, now: Duration, amount: MilliRequests, term: Duration) {
         self.lent += amount;
-        let full = self.open.len() >= OPEN_LOANS;
+        let full = self.open.len() >= MAX_OPEN_LOANS;
         match self.open.back_mut() {
-            Some(loan) if now.saturating_sub(loan.first_at) < term / MERGE_PART_OF_TERM || full => {
+            Some(loan) if now.saturating_sub(loan.first_at) < term / MERGE_TERM_DIVISOR || full => {
                 loan.last_at = now;
                 loan.owed += amount;
             }
@@ -177,7 +177,7 @@
             .term
             .saturating_sub(now.saturating_sub(oldest.first_at))
             .as_millis();
-        let repayable = u128::from(quota) * u128::from(rule.most_withheld()) * left / 1_000_000;
+        let repayable = u128::from(quota) * u128::from(rule.max_withheld()) * left / 1_000_000;
         self.owed()
             .saturating_sub(MilliRequests::try_from(repayable).unwrap_or(MilliRequests::MAX))
     }
@@ -192,7 +192,7 @@
         shortage: bool,
     ) -> u32 {
         let owed = self.owed();
-        let most = rule.most_withheld();
+        let most = rule.max_withheld();
         let Some(oldest) = self.open.front() else {
             return 0;
         };
--- a/crates/quota-lending/src/notice.rs
+++ b/crates/quota-lending/src/notice.rs
@@ -1,6 +1,6 @@
 //! What an operator is notified of.
 
-use crate::limits::BOOTSTRAP_MEMBERS;
+use crate::limits::MAX_BOOTSTRAP_MEMBERS;
 use crate::rules::MilliRequests;
 use crate::stored_state::BadFile;
 
@@ -28,7 +28,7 @@
     #[error("founded by {0} proxies: loans can be made")]
     Bootstrapped(usize),
     /// The roster is too long for a bootstrap.
-    #[error("a roster of {0} is more than {BOOTSTRAP_MEMBERS}: no loans can be founded")]
+    #[error("a roster of {0} is more than {MAX_BOOTSTRAP_MEMBERS}: no loans can be founded")]
     RosterTooLong(usize),
     /// Two names of the roster have the same hash.
     #[error("two proxies of the roster have the same number: no loans; rename one")]
--- a/crates/quota-lending/src/ownership.rs
+++ b/crates/quota-lending/src/ownership.rs
@@ -5,7 +5,7 @@
 use crate::balances::{saturating_total, SentTotal, TOTAL_SHARES};
 use crate::identity::AccountId;
 use crate::lender::Lender;
-use crate::limits::TENANTS;
+use crate::limits::MAX_TENANTS;
 use crate::rules::MilliRequests;
 
 /// The part of a credit limit that so many shares are.
@@ -106,7 +106,7 @@
 
     /// Begins balances for a tenant. False: there are too many, or no bootstrap yet.
     pub(crate) fn open_balances(&mut self, now: Duration, tenant: u32) -> bool {
-        if !self.state.is_bootstrapped() || self.state.balances.len() >= TENANTS {
+        if !self.state.is_bootstrapped() || self.state.balances.len() >= MAX_TENANTS {
             return self.state.balances.contains_key(&tenant);
         }
         self.state.balances.entry(tenant).or_default();
--- a/crates/quota-lending/src/publish.rs
+++ b/crates/quota-lending/src/publish.rs
@@ -6,7 +6,7 @@
 use crate::event::Action;
 use crate::identity::bootstrap_digest;
 use crate::lender::{Lender, PendingSave, Published};
-use crate::limits::{OTHER_WITNESSED, TENANTS, VOTES_PUBLISHED};
+use crate::limits::{MAX_OTHER_WITNESSED, MAX_PUBLISHED_VOTES, MAX_TENANTS};
 use crate::messages::{
     self, account_key, encode, BootstrapMembers, PublishedBalances, PublishedVote, Sender,
     WitnessedTransfers,
@@ -141,7 +141,7 @@
         let witnessed = &self.durable.witnessed;
         let tenants: BTreeSet<u32> = witnessed.keys().map(|(_, tenant)| *tenant).collect();
         let mut outgoing = Vec::new();
-        for tenant in tenants.into_iter().take(TENANTS) {
+        for tenant in tenants.into_iter().take(MAX_TENANTS) {
             outgoing.push(Outgoing {
                 kind: messages::WITNESS,
                 key: tenant.to_le_bytes().to_vec(),
@@ -164,7 +164,7 @@
                 Err(_) => others.push((*account, *sent)),
             }
         }
-        others.truncate(OTHER_WITNESSED);
+        others.truncate(MAX_OTHER_WITNESSED);
         WitnessedTransfers {
             sender,
             bootstrap_members,
@@ -190,7 +190,7 @@
                 let vote = self.durable.votes.get(account)?;
                 Some(message(*account, vote.clone()))
             })
-            .take(VOTES_PUBLISHED)
+            .take(MAX_PUBLISHED_VOTES)
             .collect()
     }
 
--- a/crates/quota-lending/src/receive.rs
+++ b/crates/quota-lending/src/receive.rs
@@ -4,7 +4,7 @@
 
 use crate::identity::{bootstrap_digest, AccountId};
 use crate::lender::{Lender, Peer};
-use crate::limits::ACCOUNTS;
+use crate::limits::MAX_ACCOUNTS;
 use crate::messages::{
     self, decode, BootstrapMembers, Heartbeat, OwnershipClaim, PublishedBalances, PublishedVote,
     RepaymentReport, RepaymentRequest, Sender, WitnessedTransfers, KEY_BYTES,
@@ -47,7 +47,7 @@
             return Err(Malformed);
         }
         if !self.is_known(incoming.source) {
-            self.ignoring = Some(IgnoreReason::UnknownSender);
+            self.ignore_reason = Some(IgnoreReason::UnknownSender);
             return Ok(());
         }
         match incoming.kind {
@@ -165,7 +165,7 @@
     /// The peer that a message is of. None: of an earlier process than the last one known, or there are too many peers. A peer
     /// that lost its stored state starts anew: its echoes, votes and witnessed transfers count no more.
     pub(crate) fn peer_of(&mut self, source: u32, sender: &Sender) -> Option<&mut Peer> {
-        if !self.peers.contains_key(&source) && self.peers.len() >= ACCOUNTS {
+        if !self.peers.contains_key(&source) && self.peers.len() >= MAX_ACCOUNTS {
             return None;
         }
         let peer = self.peers.entry(source).or_default();
--- a/crates/quota-lending/src/remote_repayment.rs
+++ b/crates/quota-lending/src/remote_repayment.rs
@@ -9,14 +9,14 @@
 use crate::rules::{MilliRequests, Rule};
 
 /// Proxies whose requests are kept.
-const REQUESTERS: usize = 256;
+const MAX_REQUESTERS: usize = 256;
 /// Totals that are kept, of the own process and of others.
-const TOTALS: usize = 1024;
+const MAX_TOTALS: usize = 1024;
 /// Entries of one message.
-const ENTRIES: usize = 20;
+const MAX_MESSAGE_ENTRIES: usize = 20;
 /// Requested amounts are withheld in this part of a term. Not faster: the lender's next request comes a second or two late, and
 /// what is withheld meanwhile is paid twice.
-const PART_OF_TERM: u32 = 4;
+const REPAYMENT_TERM_DIVISOR: u32 = 4;
 
 /// The last request of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -38,9 +38,13 @@
 
 impl RemoteRepayment {
     pub fn receive_request(&mut self, source: u32, request: RepaymentRequest, until: Duration) {
-        if self.requests.contains_key(&source) || self.requests.len() < REQUESTERS {
+        if self.requests.contains_key(&source) || self.requests.len() < MAX_REQUESTERS {
             let request = Request {
-                amounts: request.tenants.into_iter().take(ENTRIES).collect(),
+                amounts: request
+                    .tenants
+                    .into_iter()
+                    .take(MAX_MESSAGE_ENTRIES)
+                    .collect(),
                 valid_until: until,
             };
             self.requests.insert(source, request);
@@ -65,22 +69,25 @@
             .requests_for(now, tenant)
             .map(|(_, amount)| u128::from(amount))
             .sum();
-        let quota_in_time = u128::from(rule.quota) * (rule.term / PART_OF_TERM).as_millis();
+        let quota_in_time =
+            u128::from(rule.quota) * (rule.term / REPAYMENT_TERM_DIVISOR).as_millis();
         // Units: milli-requests, thousandths and milliseconds.
         let share = (requested * 1_000_000).div_ceil(quota_in_time.max(1));
-        share.min(u128::from(rule.most_withheld())) as u32
+        share.min(u128::from(rule.max_withheld())) as u32
     }
 
     /// Divides an amount that was withheld, and is not owed here, among the requesters.
     pub fn add_withheld(&mut self, now: Duration, tenant: u32, amount: MilliRequests) {
-        let requests: Vec<(u32, MilliRequests)> =
-            self.requests_for(now, tenant).take(ENTRIES).collect();
+        let requests: Vec<(u32, MilliRequests)> = self
+            .requests_for(now, tenant)
+            .take(MAX_MESSAGE_ENTRIES)
+            .collect();
         let all: u128 = requests
             .iter()
             .map(|(_, requested)| u128::from(*requested))
             .sum();
         for (source, requested) in requests.into_iter().filter(|(_, requested)| *requested > 0) {
-            if self.withheld.len() >= TOTALS && !self.withheld.contains_key(&(source, tenant)) {
+            if self.withheld.len() >= MAX_TOTALS && !self.withheld.contains_key(&(source, tenant)) {
                 continue;
             }
             let part = (u128::from(amount) * u128::from(requested) / all) as MilliRequests;
@@ -95,7 +102,7 @@
         self.withheld
             .iter()
             .filter(|((source, _), _)| self.requests.contains_key(source))
-            .take(ENTRIES)
+            .take(MAX_MESSAGE_ENTRIES)
             .map(|((source, tenant), total)| (*source, *tenant, *total))
             .collect()
     }
@@ -110,10 +117,10 @@
         report: RepaymentReport,
     ) -> Vec<(u32, MilliRequests)> {
         let mut added = Vec::new();
-        let totals = report.totals.into_iter().take(ENTRIES);
+        let totals = report.totals.into_iter().take(MAX_MESSAGE_ENTRIES);
         for (_, tenant, total) in totals.filter(|(lender, ..)| *lender == me) {
             let key = (source, incarnation, tenant);
-            if !self.reported.contains_key(&key) && self.reported.len() >= TOTALS {
+            if !self.reported.contains_key(&key) && self.reported.len() >= MAX_TOTALS {
                 continue;
             }
             // Totals only grow, so a late or repeated report adds nothing.
--- a/crates/quota-lending/src/rules.rs
+++ b/crates/quota-lending/src/rules.rs
@@ -9,7 +9,7 @@
 pub type MilliRequests = u64;
 
 /// The largest floor, in thousandths: some quota must be left to repay with.
-const FLOOR_MOST: u32 = 990;
+const MAX_FLOOR: u32 = 990;
 /// Credit limits are below this, so that sums of them don't overflow.
 const CREDIT_LIMIT_END: MilliRequests = 1 << 60;
 
@@ -40,7 +40,7 @@
     }
 
     /// The most thousandths of the quota that are withheld.
-    pub(crate) fn most_withheld(&self) -> u32 {
+    pub(crate) fn max_withheld(&self) -> u32 {
         1000_u32.saturating_sub(self.floor)
     }
 }
@@ -92,11 +92,11 @@
     if rule.term.is_zero() {
         return Err(RulesError::NoTerm(name.to_owned()));
     }
-    let lasts = rule.term.checked_add(rule.write_off);
-    if lasts.is_none_or(|lasts| lasts > max_loan_time) {
+    let loan_time = rule.term.checked_add(rule.write_off);
+    if loan_time.is_none_or(|loan_time| loan_time > max_loan_time) {
         return Err(RulesError::TooLong(name.to_owned(), max_loan_time));
     }
-    if rule.floor > FLOOR_MOST {
+    if rule.floor > MAX_FLOOR {
         return Err(RulesError::FloorTooHigh(name.to_owned(), rule.floor));
     }
     if rule.credit_limit() >= CREDIT_LIMIT_END {
--- a/crates/quota-lending/src/shortage.rs
+++ b/crates/quota-lending/src/shortage.rs
@@ -6,27 +6,27 @@
 mod tests;
 
 /// Rejections are counted over this time.
-const WINDOW: Duration = Duration::from_millis(500);
+const COUNT_WINDOW: Duration = Duration::from_millis(500);
 /// A shortage lasts so long after the last window that showed it. Traffic of tenants within quota comes in waves: without this
 /// each wave would meet loans made since the last one.
 pub const SHORTAGE_DURATION: Duration = Duration::from_secs(2);
-/// A shortage that returns within so many times its duration lasts twice as long, up to [`LASTS_MOST`]. Where loans themselves
+/// A shortage that returns within so many times its duration lasts twice as long, up to [`MAX_SHORTAGE_DURATION`]. Where loans themselves
 /// take the capacity, lending would otherwise start and stop all the time.
-const RETURNS_WITHIN: u32 = 4;
-const LASTS_MOST: Duration = Duration::from_secs(16);
+const RECURRENCE_FACTOR: u32 = 4;
+const MAX_SHORTAGE_DURATION: Duration = Duration::from_secs(16);
 
 /// Counts requests within quota, and those of them that were rejected before any attempt.
 #[derive(Clone, Debug)]
 pub struct Shortage {
     /// Rejections in a window that make a shortage, if they are also more than `part` of the requests that ended. Fewer may be
     /// one client's or one server's fault.
-    least: u32,
-    part: f64,
+    min_rejections: u32,
+    min_fraction: f64,
     window_start: Duration,
     ended: u32,
     rejected: u32,
     until: Duration,
-    lasts: Duration,
+    duration: Duration,
 }
 
 impl Default for Shortage {
@@ -37,21 +37,21 @@
 
 impl Shortage {
     /// `least` rejections in a window that are more than `part` of all requests make a shortage.
-    pub fn new(least: u32, part: f64) -> Shortage {
+    pub fn new(min_rejections: u32, min_fraction: f64) -> Shortage {
         Shortage {
-            least,
-            part,
+            min_rejections,
+            min_fraction,
             window_start: Duration::ZERO,
             ended: 0,
             rejected: 0,
             until: Duration::ZERO,
-            lasts: SHORTAGE_DURATION,
+            duration: SHORTAGE_DURATION,
         }
     }
 
     /// A request within quota has ended; `rejected`: before any attempt.
     pub fn record_end(&mut self, now: Duration, rejected: bool) {
-        if now.saturating_sub(self.window_start) >= WINDOW {
+        if now.saturating_sub(self.window_start) >= COUNT_WINDOW {
             (self.window_start, self.ended, self.rejected) = (now, 0, 0);
         }
         self.ended += 1;
@@ -62,19 +62,21 @@
     }
 
     fn shows_shortage(&self) -> bool {
-        self.rejected >= self.least && f64::from(self.rejected) > self.part * f64::from(self.ended)
+        self.rejected >= self.min_rejections
+            && f64::from(self.rejected) > self.min_fraction * f64::from(self.ended)
     }
 
     fn extend(&mut self, now: Duration) {
         if !self.is_in_shortage(now) {
-            let returned = !self.until.is_zero() && now < self.until + self.lasts * RETURNS_WITHIN;
-            self.lasts = if returned {
-                (self.lasts * 2).min(LASTS_MOST)
+            let recurred =
+                !self.until.is_zero() && now < self.until + self.duration * RECURRENCE_FACTOR;
+            self.duration = if recurred {
+                (self.duration * 2).min(MAX_SHORTAGE_DURATION)
             } else {
                 SHORTAGE_DURATION
             };
         }
-        self.until = now + self.lasts;
+        self.until = now + self.duration;
     }
 
     /// Whether there is a shortage now.
--- a/crates/quota-lending/src/takeover.rs
+++ b/crates/quota-lending/src/takeover.rs
@@ -7,7 +7,7 @@
 use crate::event::Action;
 use crate::identity::AccountId;
 use crate::lender::{Lender, Peer};
-use crate::limits::{ACCOUNTS, ACCOUNTS_OF_OWNER, CLAIMS_PER_STEP, VOTES};
+use crate::limits::{MAX_ACCOUNTS, MAX_ACCOUNTS_PER_OWNER, MAX_CLAIMS_PER_STEP, MAX_VOTES};
 use crate::messages::{self, account_key, encode, OwnershipClaim, PublishedVote, Vote};
 use crate::notice::{IgnoreReason, Notice};
 
@@ -28,7 +28,7 @@
             for account in self
                 .claimable_accounts(now)
                 .into_iter()
-                .take(CLAIMS_PER_STEP)
+                .take(MAX_CLAIMS_PER_STEP)
             {
                 self.claim_account(now, account, actions);
             }
@@ -84,12 +84,12 @@
         account != own_account
             && !self.state.taken_over.contains_key(&account)
             && !voted_for_other
-            && self.is_silent(now, account)
-            && self.is_next_after(account.owner)
+            && self.is_quarantine_over(now, account)
+            && self.is_successor_of(account.owner)
             && self.may_hold_shares(account)
     }
 
-    fn is_next_after(&self, owner: u32) -> bool {
+    fn is_successor_of(&self, owner: u32) -> bool {
         let next = self
             .up
             .range(owner..)
@@ -113,13 +113,13 @@
     }
 
     /// No new heartbeat for the quarantine period: all loans of the account are over.
-    pub(crate) fn is_silent(&self, now: Duration, account: AccountId) -> bool {
-        let heard_at = self
+    pub(crate) fn is_quarantine_over(&self, now: Duration, account: AccountId) -> bool {
+        let last_heartbeat_at = self
             .accounts
             .get(&account)
-            .map_or(Duration::ZERO, |account| account.heard_at)
+            .map_or(Duration::ZERO, |account| account.last_heartbeat_at)
             .max(self.started_at);
-        now.saturating_sub(heard_at) >= self.quarantine || !self.guards.quarantine
+        now.saturating_sub(last_heartbeat_at) >= self.quarantine || !self.guards.quarantine
     }
 
     /// This proxy voted about the account: it echoes and witnesses nothing of it any more, since what its vote says about the
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn receive_claim(&mut self, now: Duration, source: u32, claim: &OwnershipClaim) {
-        if self.claims.len() < ACCOUNTS {
+        if self.claims.len() < MAX_ACCOUNTS {
             self.claims.insert(claim.account, now + self.quarantine);
         }
         let to = AccountId {
@@ -144,9 +144,9 @@
         let voted = self.state.votes.contains_key(&account) && self.guards.single_vote;
         if !self.is_bootstrap_member()
             || account.owner == self.number
-            || !self.is_silent(now, account)
+            || !self.is_quarantine_over(now, account)
             || voted
-            || self.state.votes.len() >= VOTES
+            || self.state.votes.len() >= MAX_VOTES
         {
             return;
         }
@@ -164,7 +164,7 @@
         let Some(peer) = self.peer_of(source, &message.sender) else {
             return;
         };
-        if peer.votes.len() >= VOTES {
+        if peer.votes.len() >= MAX_VOTES {
             return;
         }
         if single_vote {
@@ -251,19 +251,20 @@
         let of_owner: Vec<(Duration, AccountId)> = self
             .accounts
             .range(first..=last)
-            .map(|(id, known)| (known.heard_at, *id))
+            .map(|(id, known)| (known.last_heartbeat_at, *id))
             .collect();
-        if of_owner.len() >= ACCOUNTS_OF_OWNER {
-            let removable = |id: AccountId| self.is_silent(now, id) && !self.may_hold_shares(id);
+        if of_owner.len() >= MAX_ACCOUNTS_PER_OWNER {
+            let removable =
+                |id: AccountId| self.is_quarantine_over(now, id) && !self.may_hold_shares(id);
             let Some((_, oldest)) = of_owner.into_iter().filter(|(_, id)| removable(*id)).min()
             else {
-                self.ignoring = Some(IgnoreReason::TooManyIncarnations);
+                self.ignore_reason = Some(IgnoreReason::TooManyIncarnations);
                 return false;
             };
             self.accounts.remove(&oldest);
         }
-        if self.accounts.len() >= ACCOUNTS {
-            self.ignoring = Some(IgnoreReason::TooManyAccounts);
+        if self.accounts.len() >= MAX_ACCOUNTS {
+            self.ignore_reason = Some(IgnoreReason::TooManyAccounts);
             return false;
         }
         true
--- a/crates/quota-lending/src/transfer.rs
+++ b/crates/quota-lending/src/transfer.rs
@@ -5,16 +5,16 @@
 use crate::balances::{Balances, SentTotal, TOTAL_SHARES};
 use crate::identity::AccountId;
 use crate::lender::{Lender, Tenant};
-use crate::limits::{BALANCES_RESERVE_BYTES, RECEIVERS};
+use crate::limits::{BALANCES_RESERVE_BYTES, MAX_RECEIVERS};
 use crate::messages::{encode, PublishedBalances, BODY_BYTES};
 use crate::rules::MilliRequests;
 
 /// Demand decays by this part in each step.
-const DEMAND_DECAY: u64 = 8;
+const DEMAND_DECAY_DIVISOR: u64 = 8;
 /// Demand is published again when it has changed by more than this part.
-const DEMAND_CHANGE: u64 = 4;
+const DEMAND_CHANGE_DIVISOR: u64 = 4;
 /// Smaller transfers than this part of an even share are not worth a message.
-const LEAST_PART: u64 = 100;
+const MIN_TRANSFER_DIVISOR: u64 = 100;
 
 /// A transfer for one tenant.
 struct Transfer {
@@ -86,11 +86,11 @@
             let Some(balances) = self.state.balances.get_mut(tenant) else {
                 continue;
             };
-            let demand = balances.demand - balances.demand / DEMAND_DECAY;
+            let demand = balances.demand - balances.demand / DEMAND_DECAY_DIVISOR;
             balances.demand = demand.saturating_add(known.requested);
             known.requested = 0;
             let change = balances.demand.abs_diff(known.published_demand);
-            if change > known.published_demand / DEMAND_CHANGE {
+            if change > known.published_demand / DEMAND_CHANGE_DIVISOR {
                 known.published_demand = balances.demand;
             }
         }
@@ -115,14 +115,14 @@
             fair.shares_for(self.demand_of(*account, tenant))
                 .saturating_sub(self.estimated_shares(*account, tenant))
         };
-        let full = balances.sent.len() >= RECEIVERS;
+        let full = balances.sent.len() >= MAX_RECEIVERS;
         let (most_lacking, to) = receivers
             .iter()
             .filter(|account| !full || balances.sent.contains_key(account))
             .map(|account| (lack(account), *account))
             .max()?;
         let shares = spare.min(most_lacking) / 2;
-        let least = TOTAL_SHARES / LEAST_PART / (receivers.len() as u64 + 1);
+        let least = TOTAL_SHARES / MIN_TRANSFER_DIVISOR / (receivers.len() as u64 + 1);
         (shares > least && self.is_publishable(balances, to, shares)).then_some(Transfer {
             tenant,
             to,
--- a/crates/quota-lending/src/witness.rs
+++ b/crates/quota-lending/src/witness.rs
@@ -6,7 +6,7 @@
 use crate::balances::{saturating_total, Balances, SentTotal};
 use crate::identity::AccountId;
 use crate::lender::Lender;
-use crate::limits::{BALANCES, RECEIVERS, TENANTS};
+use crate::limits::{MAX_BALANCES, MAX_RECEIVERS, MAX_TENANTS};
 use crate::messages::WitnessedTransfers;
 
 /// Balances with more receivers than any account has.
@@ -32,11 +32,11 @@
         }
         let limit_valid_until = now + self.message_ttl().saturating_sub(age);
         let known = self.accounts.entry(account).or_default();
-        if !known.balances.contains_key(&tenant) && known.balances.len() >= TENANTS {
+        if !known.balances.contains_key(&tenant) && known.balances.len() >= MAX_TENANTS {
             return Ok(());
         }
         let known = known.balances.entry(tenant).or_default();
-        let accepted = known.balances.receivers_with(balances) <= RECEIVERS;
+        let accepted = known.balances.receivers_with(balances) <= MAX_RECEIVERS;
         let mut sent = SentTotal::INVALID;
         if accepted {
             known.balances.merge(balances);
@@ -59,7 +59,8 @@
 
     fn witness_transfers(&mut self, account: AccountId, tenant: u32, sent: SentTotal) {
         let key = (account, tenant);
-        let room = self.state.witnessed.len() < BALANCES || self.state.witnessed.contains_key(&key);
+        let room =
+            self.state.witnessed.len() < MAX_BALANCES || self.state.witnessed.contains_key(&key);
         let newer = sent > self.state.witnessed_total(account, tenant);
         if newer && !self.is_frozen(account) && room {
             self.state.witnessed.insert(key, sent);
@@ -87,7 +88,7 @@
         for (account, sent) in all {
             let key = (account, tenant);
             // What is not kept is one witness less: a transfer may count later, never twice.
-            if peer.witnessed.len() < BALANCES || peer.witnessed.contains_key(&key) {
+            if peer.witnessed.len() < MAX_BALANCES || peer.witnessed.contains_key(&key) {
                 let known = peer.witnessed.entry(key).or_default();
                 *known = (*known).max(sent);
             }
@@ -109,8 +110,8 @@
             }
         }
         for (key, sent) in confirmed {
-            let room =
-                self.state.confirmed.len() < BALANCES || self.state.confirmed.contains_key(&key);
+            let room = self.state.confirmed.len() < MAX_BALANCES
+                || self.state.confirmed.contains_key(&key);
             if room {
                 self.state.confirmed.insert(key, sent);
                 self.unsaved_changes = true;
