--- a/crates/quota-lending/src/advice.rs
+++ b/crates/quota-lending/src/advice.rs
@@ -1,4 +1,5 @@
-//! What an operator can do about each error and notice. No match has a wildcard: an error without advice does not compile.
+//! Advice for operators about each error and notice. No match has a wildcard arm, so that an error without advice does not
+//! compile.
 
 use crate::{BadFile, IgnoreReason, Notice, RulesError, StoreError};
 
@@ -7,10 +8,10 @@
     pub fn advice(&self) -> &'static str {
         match self {
             StoreError::Write(_) => {
-                "Requests within quota are served as before. Look at room and rights of the folder that the section `lending` names."
+                "Requests within quota are served as before. Check free space and permissions of the directory that the section `lending` names."
             }
             StoreError::Read(_) => {
-                "Look at the rights of the folder that the section `lending` names before other proxies start anew: each that starts without memory counts as a founder no more."
+                "Check the permissions of the directory that the section `lending` names before other proxies restart: a proxy that starts without stored state no longer counts as a bootstrap member."
             }
         }
     }
@@ -21,12 +22,12 @@
     pub fn advice(&self) -> &'static str {
         match self {
             BadFile::Version => {
-                "The others give it shares, by themselves. Change builds one proxy at a time, since gifts end when half of the founders have forgotten."
+                "The other proxies transfer shares to it automatically. Change versions one proxy at a time, since transfers stop when half of the bootstrap members have lost their stored state."
             }
             BadFile::Checksum => {
-                "The others give it shares, by themselves. Do not put an older copy back: it would lend again what was lent since. Give each proxy a folder of its own, and look at the disk."
+                "The other proxies transfer shares to it automatically. Do not restore an older copy: the proxy would lend again what it has lent since. Give each proxy its own directory, and check the disk."
             }
-            BadFile::Malformed => "The others give it shares, by themselves. Report it with the build: this is a fault of the program.",
+            BadFile::Malformed => "The other proxies transfer shares to it automatically. This is a fault of the program: report it with the version.",
         }
     }
 }
@@ -36,15 +37,15 @@
     pub fn advice(&self) -> &'static str {
         match self {
             RulesError::TooLong(..) => {
-                "Shorten term or write-off in its section `credit`. The longest of the section `lending` may be raised instead, the same on all proxies."
+                "Shorten `term` or `write-off` in the tenant's section `credit`, or raise `longest` in the section `lending` to the same value on all proxies."
             }
-            RulesError::NoTerm(_) => "State a term in its section `credit`.",
+            RulesError::NoTerm(_) => "Set a `term` in the tenant's section `credit`.",
             RulesError::FloorTooHigh(..) => {
-                "Lower the floor in its section `credit`: what is above it is what the stand repays with."
+                "Lower `floor` in the tenant's section `credit`: loans are repaid from the part of the quota above the floor."
             }
-            RulesError::CreditLimitTooHigh(_) => "Lower the seconds of the line in its section `credit`.",
+            RulesError::CreditLimitTooHigh(_) => "Lower the time of `line` in the tenant's section `credit`.",
             RulesError::NameCollision(..) => {
-                "Leave the section `credit` of one of the two out: names are the platform's, and both can't borrow."
+                "Remove the section `credit` of one of the two tenants: their names are defined by the platform, and only one of the two can borrow."
             }
         }
     }
@@ -55,31 +56,31 @@
     pub fn advice(&self) -> &'static str {
         match self {
             Notice::BadFile(bad) => bad.advice(),
-            Notice::Bootstrapped(_) => "Nothing: all is well.",
+            Notice::Bootstrapped(_) => "No action is needed.",
             Notice::RosterTooLong(_) => {
-                "Let the sections `member` name fewer proxies, or do without loans. Quotas are kept as before."
+                "Name fewer proxies in the sections `member`, or run without loans. Quotas are enforced as before."
             }
-            Notice::NameCollision => "Rename one of the two: its section `member` on all hosts, and LB_NAME on its own.",
+            Notice::NameCollision => "Rename one of the two: in its section `member` on all hosts, and in LB_NAME on its own host.",
             Notice::AccountTakenOver(_) => {
-                "Nothing: its owner had not been heard for long enough that all it lent is over. If the owner is up, look why the others do not hear it."
+                "No action is needed: no heartbeats of its owner arrived for so long that all its loans are over. If the owner is running, check why its messages do not reach the others."
             }
             Notice::AccountLost => {
-                "Look why the others did not hear it (`lb_member`, `lb_members_state`). It lends again when they give it shares, which they do by themselves."
+                "Check why its messages did not reach the others (`lb_member`, `lb_members_state`). It lends again once the others have transferred shares to it, which they do automatically."
             }
             Notice::WrittenOff { .. } => {
-                "The stand borrowed more than it could repay in its term. If it comes often, lower its line or its floor, or lengthen its term."
+                "The tenant borrowed more than it could repay within its term. If this happens often, lower its `line` or its `floor`, or lengthen its `term`."
             }
             Notice::Ignored(IgnoreReason::UnknownSender, _) => {
-                "Loans go on. Look which proxy has that name, and whether the sections `member` here name all of the fleet."
+                "Lending continues. Check which proxy has that name, and whether the sections `member` on this host name all proxies of the fleet."
             }
             Notice::Ignored(IgnoreReason::TooManyIncarnations, _) => {
-                "Loans go on without its newest lane. It starts again and again without its file: look at the folder that its section `lending` names."
+                "Lending continues without its newest account. The sender restarts repeatedly without its state file: check the directory that its section `lending` names."
             }
             Notice::Ignored(IgnoreReason::TooManyAccounts, _) => {
-                "Loans go on without the newest lanes. If no proxy starts again and again without its file, report it with the build."
+                "Lending continues without the newest accounts. If no proxy restarts repeatedly without its state file, report this with the version."
             }
             Notice::MessageTooLong(_) => {
-                "Others do not hear it and may lend less, never more. Give fewer stands a section `credit`; if it stays, report it with the build."
+                "The other proxies do not receive the message and may lend less, never more. Give fewer tenants a section `credit`; if the notice persists, report it with the version."
             }
         }
     }
--- a/crates/quota-lending/src/balances.rs
+++ b/crates/quota-lending/src/balances.rs
@@ -1,4 +1,4 @@
-//! Balances of an account for one tenant, how copies of them merge, and the total of its transfers.
+//! Balances of an account for one tenant, the merging of copies, and the total of its transfers.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,19 +8,19 @@
 use crate::identity::AccountId;
 use crate::rules::MilliRequests;
 
-/// Shares of all accounts together, for one tenant.
+/// Number of shares of all accounts together, for one tenant.
 pub const TOTAL_SHARES: u64 = 1 << 30;
 
-/// A sum that a malicious member's numbers can't overflow.
+/// Sum of shares, saturating so that a malicious member's numbers can't overflow it.
 pub(crate) fn saturating_total<'a>(shares: impl IntoIterator<Item = &'a u64>) -> u64 {
     shares
         .into_iter()
         .fold(0, |sum, shares| sum.saturating_add(*shares))
 }
 
-/// Shares that an account sent in all for a tenant; it only grows. 64 bits last for a thousand years of sending half of
-/// [`TOTAL_SHARES`] each second. The encoding is of variable length: numbers of 32 bits have the bytes that earlier builds write,
-/// and a greater one is unreadable to these, which treat the message as lost.
+/// Total of all shares of a tenant that an account ever sent; it only grows. 64 bits suffice for a thousand years of sending
+/// half of [`TOTAL_SHARES`] each second. The encoding is of variable length: numbers up to 32 bits are encoded as by earlier
+/// builds, and those can't decode a greater one and treat its message as lost.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,17 +28,17 @@
 pub struct SentTotal(u64);
 
 impl SentTotal {
-    /// Of balances that are invalid: more than any account can send. It witnesses nothing, and leaves nothing to take over.
+    /// Total of invalid balances: more than any account can send. It witnesses no transfer, and leaves no shares to take over.
     pub const INVALID: SentTotal = SentTotal(u64::MAX);
-    /// Encoding of [`SentTotal::INVALID`], from builds with 32 bits. No account sends exactly so much.
+    /// Encoding of [`SentTotal::INVALID`], from builds with 32-bit totals. No account sends exactly this total.
     const INVALID_ENCODED: u64 = u32::MAX as u64;
 
-    /// Whether a proxy that has seen this total knows all transfers of that one.
+    /// Whether a proxy that has received balances with this total knows all transfers of `total`.
     pub fn witnesses(self, total: SentTotal) -> bool {
         self >= total && self < SentTotal::INVALID
     }
 
-    /// What is left of the shares that an account received.
+    /// Shares that remain of those that an account received.
     pub fn remaining_of(self, received: u64) -> u64 {
         received.saturating_sub(self.0)
     }
@@ -69,32 +69,33 @@
     }
 }
 
-/// Balances of an account for one tenant. Only the owner writes them; all numbers but the limit and the demand only grow.
+/// Balances of an account for one tenant. Only the owner changes them. All numbers except the credit limit and the demand only
+/// grow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Balances {
-    /// Credit limit by the owner's rules; the smallest of all proxies is in force.
+    /// Credit limit by the owner's rules; the smallest one of all proxies is in force.
     pub credit_limit: MilliRequests,
-    /// Lent since the account was opened.
+    /// Total lent since the account was opened.
     pub lent: MilliRequests,
-    /// Repaid of it.
+    /// Part of `lent` that was repaid.
     pub repaid: MilliRequests,
-    /// Written off of it.
+    /// Part of `lent` that was written off.
     pub written_off: MilliRequests,
     /// Recent demand beyond quota.
     pub demand: MilliRequests,
-    /// Shares of accounts that this one took over.
+    /// Shares of accounts that this account took over.
     pub taken_over: u64,
-    /// Shares sent in all, by receiver.
+    /// Total of shares sent, by receiver.
     pub sent: BTreeMap<AccountId, u64>,
 }
 
 impl Balances {
-    /// Total of all transfers.
+    /// Total of the transfers to all receivers.
     pub fn sent_total(&self) -> SentTotal {
         saturating_total(self.sent.values()).into()
     }
 
-    /// The number of receivers that both together name.
+    /// Number of distinct receivers in both balances.
     pub fn receivers_with(&self, other: &Balances) -> usize {
         self.sent.len()
             + other
@@ -104,8 +105,9 @@
                 .count()
     }
 
-    /// The greater of each number. Limit and demand are those of the newer copy, which has lent, repaid and sent no less;
-    /// where these are equal, the stricter limit: an idle account publishes a new rule with the old numbers.
+    /// Takes the maximum of each number. Credit limit and demand are those of the newer copy, which has lent, repaid and sent
+    /// no less. Where these are equal, the stricter limit counts: an idle account publishes a new rule with unchanged
+    /// numbers.
     pub fn merge(&mut self, other: &Balances) {
         let version = |balances: &Balances| {
             (
--- a/crates/quota-lending/src/bootstrap.rs
+++ b/crates/quota-lending/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Bootstrap: the first proxies divide all shares among themselves, once for the life of the fleet.
+//! Bootstrap: the first proxies divide all shares evenly among themselves, once in the lifetime of the fleet.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use crate::notice::Notice;
 
 impl Lender {
-    /// Bootstraps once everyone in the roster is ready: all without stored state, and nothing that former processes lent is owed.
+    /// Bootstraps once all proxies in the roster are ready: none has bootstrap members, and the loans of all earlier processes are
+    /// over.
     pub(crate) fn bootstrap(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state.is_bootstrapped()
             || !self.own_quarantine_over(now)
@@ -44,7 +45,7 @@
         })
     }
 
-    /// Adopts the bootstrap members that another publishes, if none are known here.
+    /// Adopts the bootstrap members that another proxy publishes, if none are known here.
     pub(crate) fn receive_bootstrap_members(&mut self, message: &BootstrapMembers) {
         let count = message.members.len();
         if self.state.is_bootstrapped() || count == 0 || count > limits::MAX_BOOTSTRAP_MEMBERS {
@@ -67,8 +68,8 @@
         self.unsaved_changes = true;
     }
 
-    /// What [`crate::Guards::stored_membership`] prevents: without its stored state a proxy has forgotten its votes and what it
-    /// witnessed and lent.
+    /// Assumes the bootstrap membership of an earlier process, which [`crate::Guards::stored_membership`] prevents: without its
+    /// stored state a proxy has lost its votes, witnessed transfers and loans.
     fn assume_former_membership(&mut self) {
         let own = |id: &&AccountId| id.owner == self.number;
         let former = self.state.bootstrap_members.iter().find(own);
--- a/crates/quota-lending/src/config.rs
+++ b/crates/quota-lending/src/config.rs
@@ -2,29 +2,29 @@
 
 use std::time::Duration;
 
-/// Safety guards that tests disable one by one to show that each is needed. Outside of tests: [`Guards::ALL`].
+/// Safety guards. Tests disable them one by one to show that each is needed; production code uses [`Guards::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// Lend only within the own shares of the credit limit.
+    /// Lend only within this proxy's shares of the credit limit.
     pub local_limit: bool,
-    /// Lend only while a majority echoes the heartbeats.
+    /// Lend only while a majority echoes this proxy's heartbeats.
     pub lease: bool,
     /// Use a transfer only after a majority has witnessed it.
     pub witness: bool,
-    /// Vote only after the quarantine period, when all loans of the account are over.
+    /// Vote on an account only after its quarantine period, when all its loans are over.
     pub quarantine: bool,
-    /// Vote once for each account.
+    /// Vote at most once on each account.
     pub single_vote: bool,
-    /// After a vote about an account, echo and witness nothing of it.
+    /// After a vote on an account, echo none of its heartbeats and witness none of its transfers.
     pub freeze: bool,
-    /// Lend only what the stored state has reserved.
+    /// Lend only amounts that the durable state has reserved.
     pub reserve: bool,
-    /// A member that lost its stored state is no bootstrap member any more.
+    /// A member that lost its stored state no longer counts as a bootstrap member.
     pub stored_membership: bool,
 }
 
 impl Guards {
-    /// All guards.
+    /// All guards enabled.
     pub const ALL: Guards = Guards {
         local_limit: true,
         lease: true,
@@ -37,27 +37,27 @@
     };
 }
 
-/// Configuration of one proxy. Durations other than `exchange_interval` must be the same on all proxies.
+/// Configuration of one proxy. All durations except `exchange_interval` must be the same on all proxies.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of this proxy.
     pub name: String,
-    /// Incarnation of this process: greater than that of any former process of the name.
+    /// Incarnation of this process; greater than that of any earlier process of the same name.
     pub incarnation: u64,
-    /// Whether the host keeps a file.
+    /// Whether the host keeps a state file.
     pub has_state_file: bool,
-    /// The longest that the term and write-off time of any rule come to together.
+    /// Maximum of term plus write-off time over all rules.
     pub max_loan_time: Duration,
-    /// How long an echoed heartbeat allows to lend.
+    /// Duration of a lease, counted from the sending of the echoed heartbeat.
     pub lease: Duration,
-    /// Time from heartbeat to heartbeat.
+    /// Interval between heartbeats.
     pub exchange_interval: Duration,
-    /// Guards that are enabled.
+    /// Enabled guards.
     pub guards: Guards,
 }
 
 impl Config {
-    /// The defaults, with all guards.
+    /// The default durations, with all guards enabled.
     pub fn new(name: &str, incarnation: u64, has_state_file: bool) -> Self {
         Self {
             name: name.to_owned(),
--- a/crates/quota-lending/src/decision.rs
+++ b/crates/quota-lending/src/decision.rs
@@ -1,6 +1,6 @@
-//! The answer to a request that is beyond its tenant's quota.
+//! Decision about a request that is beyond its tenant's quota.
 
-/// Why nothing was lent.
+/// Why a loan was denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DenialReason {
     /// The tenant has no rule.
@@ -11,24 +11,24 @@
     WindowClosed,
     /// Tenants within their quota lack capacity.
     Shortage,
-    /// The membership's state does not permit lending.
+    /// The state of the membership does not permit lending.
     Membership,
-    /// Not bootstrapped, or no lease from a majority.
+    /// The fleet is not bootstrapped, or this proxy has no lease from a majority.
     NoLease,
-    /// The tenant owes something whose term is over.
+    /// The tenant has an open loan whose term is over.
     InDefault,
-    /// The rule's rate of loans is reached.
+    /// This proxy's part of the rule's rate of loans is used up.
     Rate,
     /// This proxy's part of the credit limit is used up.
     CreditLimit,
-    /// The stored state has to reserve more first.
+    /// The durable state has to reserve more before more is lent.
     NotReserved,
-    /// Too many tenants have balances.
+    /// The maximum number of tenants with balances is reached.
     TooManyTenants,
 }
 
 impl DenialReason {
-    /// The label of the metric.
+    /// Label value of the metric.
     pub fn name(self) -> &'static str {
         match self {
             DenialReason::NoRule => "no-rule",
@@ -46,11 +46,11 @@
     }
 }
 
-/// Whether a request beyond quota is lent to.
+/// Whether a request beyond quota may borrow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is: its cost is owed from now on.
+    /// The request borrows: its cost is owed from now on.
     Borrowed,
-    /// It is not.
+    /// The request does not borrow.
     Denied(DenialReason),
 }
--- a/crates/quota-lending/src/event.rs
+++ b/crates/quota-lending/src/event.rs
@@ -1,4 +1,4 @@
-//! Events in and actions out.
+//! Events that the host reports, and actions that it has to perform.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 /// A member of the fleet, as membership reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Incarnation of its process.
+    /// Incarnation of the member's process.
     pub incarnation: u64,
-    /// Whether it is considered alive.
+    /// Whether membership considers the member alive.
     pub up: bool,
 }
 
-/// What the host reports.
+/// An event that the host reports.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// Membership changed.
+    /// The members or the permission to lend changed.
     Membership {
-        /// Whether the membership's state permits lending.
+        /// Whether the state of the membership permits lending.
         may_lend: bool,
-        /// Names of all that belong to the fleet, this proxy included.
+        /// Names of all proxies of the fleet, including this one.
         roster: &'a [String],
-        /// Members that have been heard.
+        /// Members from which messages have been received.
         members: &'a [Member],
     },
-    /// A message of another proxy.
+    /// A message of another proxy was received.
     Message {
         /// Name of the sender.
         source: &'a str,
@@ -36,18 +36,18 @@
         incarnation: u64,
         /// One of the kinds in [`crate::messages`].
         kind: u8,
-        /// What the message is about; a later message of the same kind and key replaces it.
+        /// Subject of the message; a later message of the same kind and key replaces it.
         key: &'a [u8],
         /// The encoded message.
         body: &'a [u8],
-        /// Time since it was published.
+        /// Time since the message was published.
         age: Duration,
     },
-    /// Rules from now on.
+    /// Rules that replace the current ones.
     Rules(Rules),
-    /// Whether tenants within their quota lack capacity.
+    /// Whether there is a shortage: tenants within their quota lack capacity.
     Shortage(bool),
-    /// A time in which a tenant may borrow begins or ends. Without this event it may.
+    /// A time in which a tenant may borrow begins or ends. Without this event the tenant may borrow.
     LendingWindow {
         /// Name of the tenant.
         tenant: &'a str,
@@ -56,36 +56,36 @@
     },
     /// The bytes of [`Action::Save`] with this sequence number are durable.
     Saved(u64),
-    /// The timer with this token is due. The first event of all is `Timer(0)`.
+    /// The timer with this token has expired. The host's first event is `Timer(0)`.
     Timer(u64),
 }
 
-/// What the host has to do.
+/// An action that the host has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Publish a message to all other proxies.
     Publish {
         /// Kind of the message.
         kind: u8,
-        /// What it is about.
+        /// Subject of the message.
         key: Vec<u8>,
         /// The encoded message.
         body: Vec<u8>,
-        /// How long it is valid.
+        /// Time for which the message is valid.
         ttl: Duration,
     },
-    /// Write the file; report [`Event::Saved`] with the sequence number once the bytes are durable.
+    /// Write the state file; report [`Event::Saved`] with the sequence number once the bytes are durable.
     Save {
-        /// Grows with each file.
+        /// Sequence number; it grows with each save.
         sequence: u64,
-        /// All bytes of the file.
+        /// Complete content of the file.
         bytes: Vec<u8>,
     },
-    /// Report [`Event::Timer`] with the token after this time.
+    /// Start a timer; report [`Event::Timer`] with the token when it expires.
     Timer {
-        /// Time from now.
+        /// Time until the timer expires.
         after: Duration,
-        /// Token to report.
+        /// Token of the timer.
         token: u64,
     },
     /// A line for the log.
--- a/crates/quota-lending/src/handle.rs
+++ b/crates/quota-lending/src/handle.rs
@@ -1,4 +1,4 @@
-//! Events: each is delegated to the rule that it concerns.
+//! Event handling: passes each event to the module that it concerns, and runs the periodic step.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::rules::Rules;
 
 impl Lender {
-    /// Handles an event, and appends what the host has to do. `now` never goes back.
+    /// Handles an event, and appends the actions that the host has to perform. `now` must never go back.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Membership {
--- a/crates/quota-lending/src/heartbeat.rs
+++ b/crates/quota-lending/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and the lease that their echoes grant.
+//! Heartbeats, and the lease granted by their echoes.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::limits::MAX_OTHER_ECHOES;
 use crate::messages::{self, encode, heartbeat_mark, Heartbeat};
 
-/// Marks of the last heartbeats of others: bootstrap members by their index, and other accounts.
+/// Marks of the last heartbeats received: of bootstrap members by index, and of other accounts.
 #[derive(Default)]
 struct Echoes {
     bootstrap_members: Vec<(u8, u32)>,
@@ -16,7 +16,7 @@
 }
 
 impl Lender {
-    /// Sends the next heartbeat, with the echoes of what was received within the last lease.
+    /// Publishes the next heartbeat, with echoes of the heartbeats received within the last lease duration.
     pub(crate) fn send_heartbeat(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let number = self.heartbeats.back().map_or(1, |(number, _)| number + 1);
         self.heartbeats.push_back((number, now));
@@ -40,8 +40,8 @@
         );
     }
 
-    /// An account that this proxy voted about is not echoed: its owner must not
-    /// get a lease while the account goes to another.
+    /// Echoes of the accounts whose heartbeats arrived recently. A frozen account is not echoed: its owner must not get a lease
+    /// while another proxy takes the account over.
     fn echoes(&self, now: Duration) -> Echoes {
         let mut echoes = Echoes::default();
         for (id, account) in &self.accounts {
@@ -89,12 +89,13 @@
             (heartbeat.sender.incarnation, heartbeat.number),
         );
         if self.state.votes.contains_key(&account) {
-            // Its owner is alive, and does not know yet that it lost the account.
+            // The owner is alive and has not received the votes against its account yet: they are published again.
             self.claims.insert(account, now + self.quarantine);
         }
     }
 
-    /// When the own heartbeat that this one echoes was sent. An echo by index counts only from the same bootstrap members.
+    /// Time at which this proxy sent the heartbeat that `heartbeat` echoes. An echo by index counts only if the sender has the
+    /// same bootstrap members.
     fn echoed_at(&self, heartbeat: &Heartbeat) -> Option<Duration> {
         let own_account = self.own_account();
         let own_index = self
@@ -130,8 +131,9 @@
         }
     }
 
-    /// End of the own lease: one lease after the sending of the last heartbeat that a majority echoed. Who takes the account over
-    /// waits for the quarantine period after the last heartbeat, so both never lend at a time.
+    /// End of this proxy's lease: one lease duration after it sent the last heartbeat that a majority has echoed. A takeover of
+    /// its account waits for the quarantine period after the last heartbeat, so that the two proxies never lend from the same
+    /// shares at the same time.
     pub(crate) fn compute_lease(&self) -> Duration {
         if !self.guards.lease {
             return Duration::MAX;
--- a/crates/quota-lending/src/identity.rs
+++ b/crates/quota-lending/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of proxies and tenants as numbers, and identities of accounts. All of it is part of the message format.
+//! Numbers of proxies' and tenants' names, and identities of accounts. All of them are part of the message format.
 
 use std::hash::Hasher as _;
 
@@ -6,20 +6,20 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// FNV-1a of 32 bits.
+/// 32-bit FNV-1a hash.
 pub(crate) fn hash(bytes: &[u8]) -> u32 {
     let mut hasher = FnvHasher::default();
     hasher.write(bytes);
     hasher.finish32()
 }
 
-/// The number of a name. The caller checks that no two names of one roster or one set of rules collide.
+/// Number of a name: its 32-bit hash. The caller checks that no two names of one roster or one set of rules collide.
 pub fn name_number(name: &str) -> u32 {
     hash(name.as_bytes())
 }
 
-/// An account: its owner, and the incarnation of the owner that opened it. A bootstrap member is named in the same way: the
-/// incarnation is then the one in which its stored state began, which also opened its first account.
+/// Identity of an account: its owner, and the incarnation of the owner that opened it. It also identifies a bootstrap member:
+/// the incarnation is then the one in which the member's stored state began, which also opened its first account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AccountId {
     /// [`name_number`] of the owner.
@@ -28,7 +28,7 @@
     pub incarnation: u64,
 }
 
-/// Identifies a set of bootstrap members; 0: none.
+/// Digest of the list of bootstrap members; 0 if it is empty.
 pub fn bootstrap_digest(members: &[AccountId]) -> u64 {
     if members.is_empty() {
         return 0;
--- a/crates/quota-lending/src/lend.rs
+++ b/crates/quota-lending/src/lend.rs
@@ -1,4 +1,4 @@
-//! Loans: the decision about a request beyond its tenant's quota, what is withheld, and repayment.
+//! Loans: the decision about a request beyond its tenant's quota, the part of the quota to withhold, and repayment.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 use crate::notice::Notice;
 use crate::rules::{MilliRequests, Rule};
 
-/// A file reserves this part of the local limit ahead.
+/// Each save reserves the local limit divided by this for later loans.
 const RESERVE_DIVISOR: u64 = 8;
-/// The least that is reserved ahead: two requests.
+/// Smallest reserve: two requests.
 const MIN_RESERVE: MilliRequests = 2000;
-/// Shares are rounded to 1/1024 for the rate.
+/// Shares are rounded down to multiples of 1/1024 of all shares when the rate is divided by shares.
 const RATE_SHARE_BITS: u32 = 10;
 
-/// The own part of a rule's rate, at least one request's cost.
+/// This proxy's part of a rule's rate, at least the cost of one request.
 fn local_rate(rule: &Rule, shares: u64, cost: MilliRequests) -> MilliRequests {
     let part = (shares << RATE_SHARE_BITS) / TOTAL_SHARES;
     (rule.max_rate.saturating_mul(part) >> RATE_SHARE_BITS).max(cost)
 }
 
 impl Lender {
-    /// Decides whether a request of that cost, beyond the quota of a tenant, is lent to.
+    /// Decides whether a request of a cost, beyond its tenant's quota, may borrow.
     pub fn decide(
         &mut self,
         now: Duration,
@@ -89,7 +89,7 @@
         Ok(rule)
     }
 
-    /// All that can deny a loan but its rate.
+    /// Checks all conditions of a loan except the rate.
     fn check_loan(
         &self,
         now: Duration,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What the durable state has as lent.
+    /// Total of loans that the durable state accounts for, including its reserve.
     fn reserved(&self, tenant: u32) -> MilliRequests {
         if !self.has_state_file {
             return MilliRequests::MAX;
@@ -132,7 +132,7 @@
             .map_or(0, |balances| balances.lent)
     }
 
-    /// Reserves loans ahead in the state. After a crash all that was reserved counts as lent, so no loan is forgotten.
+    /// Reserves an amount for later loans in the state. After a crash the whole reserve counts as lent, so that no loan is lost.
     pub(crate) fn reserve(&mut self, tenant: u32) {
         let Some(known) = self.tenants.get(&tenant) else {
             return;
@@ -150,8 +150,8 @@
         }
     }
 
-    /// The thousandths of a tenant's quota here to withhold now: for what it owes here, or for others that request repayment,
-    /// whichever is more. `quota` is this proxy's part of the quota, a second; `used` thousandths of it are in use.
+    /// Part of a tenant's local quota to withhold now, in thousandths: for loans of this proxy, or for other lenders that request
+    /// repayment, whichever is more. `quota`: this proxy's part of the quota, per second; `used`: the thousandths of it in use.
     pub fn withhold(
         &mut self,
         now: Duration,
@@ -174,8 +174,8 @@
             .max(for_others)
     }
 
-    /// Books an amount that was withheld from a tenant. Returns how much of it was owed here; the rest is for others that
-    /// request repayment.
+    /// Books an amount that was withheld from a tenant. Returns the part that was owed to this proxy; the rest is divided among
+    /// the lenders that request repayment.
     pub fn repay(&mut self, now: Duration, tenant: &str, amount: MilliRequests) -> MilliRequests {
         let tenant = name_number(tenant);
         let repaid = self.book_repayment(tenant, amount);
@@ -184,7 +184,7 @@
         repaid
     }
 
-    /// Takes back a loan that was not used. Returns how much of it was still owed.
+    /// Cancels a loan that was not used. Returns the part that was still owed.
     pub fn cancel_loan(&mut self, tenant: &str, amount: MilliRequests) -> MilliRequests {
         self.book_repayment(name_number(tenant), amount)
     }
@@ -198,7 +198,7 @@
         repaid
     }
 
-    /// Requests repayment of what can't be repaid here, and reports what was withheld for others.
+    /// Requests repayment of debts that can't be repaid here, and reports amounts withheld for other lenders.
     pub(crate) fn publish_repayments(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let sender = self.sender();
         let tenants = self.debts_beyond_quota(now);
--- a/crates/quota-lending/src/lender.rs
+++ b/crates/quota-lending/src/lender.rs
@@ -1,4 +1,4 @@
-//! The state of the machine. Its rules stand in modules of their own, which this one does not know.
+//! State of the lending state machine. The other modules implement its rules.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,35 +13,35 @@
 use crate::rules::{MilliRequests, Rules};
 use crate::stored_state::{BadFile, StoredState};
 
-/// Messages of an account are valid for so many leases.
+/// Messages of an account are valid for this many lease durations.
 const MESSAGE_TTL_LEASES: u32 = 4;
 
-/// Another proxy, as of its last message.
+/// State of another proxy, as of its last message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     pub incarnation: u64,
     pub state_incarnation: u64,
     pub account_incarnation: u64,
-    /// Its last heartbeat is valid until then.
+    /// Time until which its last heartbeat is valid.
     pub alive_until: Duration,
-    /// It is ready for a bootstrap: without bootstrap members, and its quarantine is over.
+    /// Whether it is ready for a bootstrap: it knows no bootstrap members, and its quarantine period is over.
     pub ready_for_bootstrap: bool,
-    /// When the last own heartbeat that it echoed was sent.
+    /// Time at which this proxy sent the last heartbeat that the peer has echoed.
     pub echoed_at: Option<Duration>,
-    /// By account and tenant: the transfers that it has witnessed.
+    /// Transfers that the peer has witnessed: the total, by sending account and tenant.
     pub witnessed: BTreeMap<(AccountId, u32), SentTotal>,
-    /// Its votes, by claimed account.
+    /// Votes of the peer, by claimed account.
     pub votes: BTreeMap<AccountId, Vote>,
 }
 
-/// The account of another proxy, or one that a former process opened.
+/// An account of another proxy, or one that an earlier process of this proxy opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Account {
-    /// When its last new heartbeat was received.
+    /// Time at which the last new heartbeat was received.
     pub last_heartbeat_at: Duration,
     /// Incarnation and number of that heartbeat.
     pub last_heartbeat: (u64, u32),
-    /// By tenant.
+    /// Balances by tenant.
     pub balances: BTreeMap<u32, KnownBalances>,
 }
 
@@ -49,25 +49,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct KnownBalances {
     pub balances: Balances,
-    /// The credit limit that they state counts until then.
+    /// Time until which the credit limit of the balances counts.
     pub limit_valid_until: Duration,
 }
 
-/// A tenant with balances here.
+/// A tenant that has balances at this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Tenant {
     pub loans: Loans,
-    /// Requested beyond quota since the last step.
+    /// Amount requested beyond quota since the last step.
     pub requested: MilliRequests,
     /// This proxy's part of the credit limit.
     pub local_limit: MilliRequests,
     /// This proxy's part of the quota, as last reported.
     pub quota: Option<MilliRequests>,
-    /// The demand that is published.
+    /// Demand as published.
     pub published_demand: MilliRequests,
 }
 
-/// The last message of a kind and key.
+/// Last published message of a kind and key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Published {
     pub body: Vec<u8>,
@@ -82,7 +82,7 @@
     pub state: StoredState,
 }
 
-/// The machine that lends quota in one proxy.
+/// State machine that lends quota at one proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lender {
     pub(crate) name: String,
@@ -91,13 +91,13 @@
     pub(crate) has_state_file: bool,
     pub(crate) exchange_interval: Duration,
     pub(crate) lease: Duration,
-    /// Without a new heartbeat for so long, all loans of an account are over.
+    /// Quarantine period: if no new heartbeat arrives for this time, all loans of an account are over.
     pub(crate) quarantine: Duration,
     pub(crate) guards: Guards,
     pub(crate) started_at: Duration,
     pub(crate) rules: Rules,
 
-    /// Own state, and what of it is durable: only the latter is published.
+    /// Current state, and its last durable version. Only the durable one is published.
     pub(crate) state: StoredState,
     pub(crate) durable: StoredState,
     pub(crate) unsaved_changes: bool,
@@ -112,25 +112,26 @@
     pub(crate) up: BTreeSet<u32>,
     pub(crate) peers: BTreeMap<u32, Peer>,
     pub(crate) accounts: BTreeMap<AccountId, Account>,
-    /// Own heartbeats of the last lease: number, and when sent.
+    /// Heartbeats sent within the last lease duration: number and time of sending.
     pub(crate) heartbeats: VecDeque<(u32, Duration)>,
     pub(crate) lease_until: Duration,
     pub(crate) tenants: BTreeMap<u32, Tenant>,
     /// Tenants that may not borrow at this time.
     pub(crate) closed_tenants: BTreeSet<u32>,
-    /// Recent claims: the account, and until when votes on it are published.
+    /// Recent claims: the account, and the time until which votes on it are published.
     pub(crate) claims: BTreeMap<AccountId, Duration>,
     pub(crate) remote_repayment: RemoteRepayment,
     pub(crate) published: BTreeMap<(u8, Vec<u8>), Published>,
 
     pub(crate) malformed: u64,
     pub(crate) ignored: u64,
-    /// Why the current message is ignored.
+    /// Why the message being handled is ignored.
     pub(crate) ignore_reason: Option<IgnoreReason>,
     pub(crate) notified_reasons: BTreeSet<IgnoreReason>,
 }
 
-/// The quarantine period: the longest loan, a tenth for clocks that run apart, and three leases for messages on their way.
+/// Quarantine period: the longest loan, a tenth more for clocks that run at different rates, and three lease durations for
+/// messages in transit.
 fn quarantine(config: &Config) -> Duration {
     let longest_loan = config.max_loan_time + config.lease;
     longest_loan + longest_loan / 10 + config.lease * 3
@@ -144,7 +145,7 @@
 }
 
 impl Lender {
-    /// `file`: what the host read, none if there is none. The first event is `Timer(0)`.
+    /// `file`: content of the state file; `None` if there is no file. The first event must be `Timer(0)`.
     pub fn new(config: &Config, now: Duration, file: Option<&[u8]>) -> Self {
         let read = file.map(|bytes| StoredState::decode(&config.name, bytes));
         let bad_file = read.as_ref().and_then(|read| read.as_ref().err().copied());
@@ -203,13 +204,13 @@
         }
     }
 
-    /// Own bootstrap membership: lost with the stored state.
+    /// Whether this proxy is a bootstrap member. The membership is lost with the stored state.
     pub(crate) fn is_bootstrap_member(&self) -> bool {
         self.state
             .is_bootstrap_member(self.number, self.state.state_incarnation)
     }
 
-    /// The peers that are bootstrap members and still have their stored state.
+    /// Peers that are bootstrap members and still have their stored state.
     pub(crate) fn bootstrap_peers(&self) -> impl Iterator<Item = (u32, &Peer)> + '_ {
         self.peers
             .iter()
@@ -225,7 +226,7 @@
         Some(&known.balances)
     }
 
-    /// How long messages of the own account are valid.
+    /// Time for which messages of this proxy's account are valid.
     pub(crate) fn message_ttl(&self) -> Duration {
         self.lease * MESSAGE_TTL_LEASES
     }
--- a/crates/quota-lending/src/lib.rs
+++ b/crates/quota-lending/src/lib.rs
@@ -1,27 +1,38 @@
-//! Lending of quota over a fleet of proxies: a tenant exceeds its quota now and repays later. A state machine without clock
-//! and I/O. The reasons for the design stand in `docs/design/borrowing.md`.
+//! Quota lending in a fleet of proxies: a tenant exceeds its quota now and repays later. A state machine without clock and
+//! I/O. `docs/design/borrowing.md` gives the reasons for the design.
 //!
-//! The credit limit of a tenant is held in escrow: every proxy has an *account* with a number of shares of it
-//! ([`balances::TOTAL_SHARES`] in all), lends only from its own shares, and sends spare shares to accounts that need them.
+//! The credit limit of a tenant is held in escrow: every proxy has an *account* with shares of the limit
+//! ([`balances::TOTAL_SHARES`] over all accounts), lends only from its own shares, and transfers spare shares to accounts that
+//! need them.
 //! - A proxy lends only under a *lease*: a majority of the bootstrap members has echoed one of its recent heartbeats.
 //! - A transfer counts once a majority of the bootstrap members has *witnessed* it.
-//! - The account of a proxy that is not heard for the *quarantine period* (all its loans are then over) is taken over by another
-//!   proxy, after a majority has voted for its *ownership claim*. A member that voted freezes the account.
-//! - Everything that others may rely on is in the stored state before it is published.
+//! - If no heartbeat of a proxy arrives for the *quarantine period*, all its loans are over. Another proxy then takes its account
+//!   over, after a majority has voted for the *ownership claim*. A member that voted freezes the account.
+//! - Everything that other proxies may rely on is in the stored state before it is published.
 //!
-//! **Input**, through [`Lender::handle`]: [`Event::Membership`] whenever the members or the right to lend change;
-//! [`Event::Message`] for each message of another proxy that [`messages::is_lending_message`] accepts; [`Event::Rules`] at start
-//! and on change; [`Event::Shortage`] while tenants within their quota lack capacity; [`Event::LendingWindow`] for times in which a
-//! tenant must not borrow; [`Event::Saved`] once a file is durable; [`Event::Timer`].
+//! **Events**, passed to [`Lender::handle`]:
+//! - [`Event::Membership`] whenever the members or the permission to lend change;
+//! - [`Event::Message`] for each message of another proxy that [`messages::is_lending_message`] accepts;
+//! - [`Event::Rules`] at start and on change;
+//! - [`Event::Shortage`] when a shortage of capacity for tenants within their quota begins or ends;
+//! - [`Event::LendingWindow`] when a time in which a tenant must not borrow begins or ends;
+//! - [`Event::Saved`] once a file is durable;
+//! - [`Event::Timer`] when the timer expires.
 //!
-//! **Output**: [`Action::Publish`] (replaces the former message of that kind and key), [`Action::Save`], [`Action::Timer`]
-//! (replaces the former one), [`Action::Notice`] for the log.
+//! **Actions** for the host:
+//! - [`Action::Publish`], which replaces the previous message of the same kind and key;
+//! - [`Action::Save`];
+//! - [`Action::Timer`], which replaces the previous timer;
+//! - [`Action::Notice`] for the log.
 //!
-//! **Beside the loop**: [`Lender::decide`] for a request beyond quota, [`Lender::withhold`] for the part of a tenant's quota that is
-//! withheld, [`Lender::repay`] for what was withheld, [`Lender::totals`] for figures.
+//! **Calls outside the event loop**: [`Lender::decide`] for a request beyond quota, [`Lender::withhold`] for the part of a
+//! tenant's quota to withhold, [`Lender::repay`] to book withheld amounts, [`Lender::totals`] for figures.
 //!
-//! The host must: read the file before [`Lender::new`] and hold a lock on it; write files in order; run one process of a name
-//! at a time, each with a greater incarnation; give time that never goes back and does not stand still while that of others runs.
+//! The host must:
+//! - read the file before [`Lender::new`] and hold a lock on it;
+//! - write files in the order of their actions;
+//! - run at most one process of a name at a time, each with a greater incarnation than the one before;
+//! - pass a time that never goes back and never stands still while the clocks of other proxies run.
 #![forbid(unsafe_code)]
 
 mod advice;
--- a/crates/quota-lending/src/limits.rs
+++ b/crates/quota-lending/src/limits.rs
@@ -1,26 +1,27 @@
-//! Bounds on what is kept and published, so that no member can exhaust the memory of the others.
+//! Bounds on stored and published data, so that no member can exhaust the memory of the others.
 
-/// Most bootstrap members; so many fit into one message.
+/// Maximum number of bootstrap members: as many as fit into one message.
 pub(crate) const MAX_BOOTSTRAP_MEMBERS: usize = 55;
-/// Tenants with balances: each takes two of the 64 messages of a source.
+/// Maximum number of tenants with balances: each takes two of the 64 messages that are kept of one source.
 pub(crate) const MAX_TENANTS: usize = 20;
-/// Accounts that one account sends to, for one tenant.
+/// Maximum number of accounts that one account sends shares of one tenant to.
 pub(crate) const MAX_RECEIVERS: usize = 24;
-/// Votes that are kept, own ones and those of each peer.
+/// Maximum number of votes kept: of this proxy, and of each peer.
 pub(crate) const MAX_VOTES: usize = 1024;
-/// Accounts that are known, peers, and claims.
+/// Maximum number of known accounts, of peers and of claims, each.
 pub(crate) const MAX_ACCOUNTS: usize = 1024;
-/// Accounts of one owner: each start without stored state opens another. So one member can't fill [`MAX_ACCOUNTS`].
+/// Maximum number of known accounts of one owner, so that one member can't fill [`MAX_ACCOUNTS`]: each start without stored
+/// state opens another account.
 pub(crate) const MAX_ACCOUNTS_PER_OWNER: usize = 16;
-/// Balances of known accounts.
+/// Maximum number of balances of known accounts: one per account and tenant.
 pub(crate) const MAX_BALANCES: usize = MAX_ACCOUNTS * MAX_TENANTS;
-/// Bytes of a balances message that transfers leave free, as its other numbers grow too.
+/// Bytes of a balances message that transfers leave free, since the encodings of its other numbers grow too.
 pub(crate) const BALANCES_RESERVE_BYTES: usize = 32;
-/// Votes published at a time.
+/// Maximum number of votes published at a time.
 pub(crate) const MAX_PUBLISHED_VOTES: usize = 16;
-/// Ownership claims made in one step.
+/// Maximum number of ownership claims made in one step.
 pub(crate) const MAX_CLAIMS_PER_STEP: usize = 4;
-/// Accounts outside the bootstrap members that one heartbeat echoes.
+/// Maximum number of accounts outside the bootstrap members that one heartbeat echoes.
 pub(crate) const MAX_OTHER_ECHOES: usize = 8;
-/// Accounts outside the bootstrap members that one witness message names.
+/// Maximum number of accounts outside the bootstrap members that one witness message names.
 pub(crate) const MAX_OTHER_WITNESSED: usize = 4;
--- a/crates/quota-lending/src/loans.rs
+++ b/crates/quota-lending/src/loans.rs
@@ -1,38 +1,38 @@
-//! Loans to one tenant by one proxy.
+//! Loans of one proxy to one tenant, and the part of the tenant's quota to withhold for their repayment.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::rules::{MilliRequests, Rule};
 
-/// Open loans that are told apart; more are merged into the last.
+/// Maximum number of open loans kept separately; further ones are merged into the last.
 const MAX_OPEN_LOANS: usize = 32;
-/// Loans within this part of the term are merged into one.
+/// Loans made within the term divided by this are merged into one.
 const MERGE_TERM_DIVISOR: u32 = 16;
 
-/// Figures of one tenant in one proxy: `lent = repaid + owed + written_off`.
+/// Figures of one tenant at one proxy: `lent = repaid + owed + written_off`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LoanTotals {
-    /// Lent in all.
+    /// Total lent.
     pub lent: MilliRequests,
-    /// Repaid of it.
+    /// Part of `lent` that was repaid.
     pub repaid: MilliRequests,
-    /// Written off of it.
+    /// Part of `lent` that was written off.
     pub written_off: MilliRequests,
-    /// Owed of it.
+    /// Part of `lent` that is still owed.
     pub owed: MilliRequests,
     /// This proxy's part of the credit limit.
     pub local_limit: MilliRequests,
-    /// Shares of accounts that were taken over.
+    /// Shares of accounts that this proxy took over.
     pub taken_over: u64,
-    /// Whether something is owed after its term.
+    /// Whether a loan is still open after its term.
     pub in_default: bool,
-    /// End of the lease: without a new echo nothing is lent from then on.
+    /// End of the lease: from then on nothing is lent, unless a new echo extends the lease.
     pub lease_until: Duration,
 }
 
-/// Loans made about the same time. Due by the first of them and written off by the last, so that no loan is repaid late or
-/// written off early.
+/// Loans made at about the same time. They are due by the time of the first and written off by that of the last, so that no
+/// loan is repaid late or written off early.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OpenLoan {
     first_at: Duration,
@@ -52,13 +52,13 @@
     pub lent: MilliRequests,
     pub repaid: MilliRequests,
     pub written_off: MilliRequests,
-    /// Oldest first.
+    /// Open loans, oldest first.
     open: VecDeque<OpenLoan>,
     rate: RateLimit,
 }
 
 impl Loans {
-    /// What the stored state has as lent counts as lent now.
+    /// Restores loans from the stored state. What is still owed counts as lent now.
     pub fn restore(
         now: Duration,
         lent: MilliRequests,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Repays the oldest loans first. Returns how much of the amount was owed.
+    /// Repays the oldest loans first. Returns the part of the amount that was owed.
     pub fn repay(&mut self, mut amount: MilliRequests) -> MilliRequests {
         let mut repaid = 0;
         while let Some(loan) = self.open.front_mut() {
@@ -119,7 +119,7 @@
         repaid
     }
 
-    /// Writes off loans of that age. Returns the amount.
+    /// Writes off loans of at least the age `after`. Returns the amount.
     pub fn write_off(&mut self, now: Duration, after: Duration) -> MilliRequests {
         let mut lost = 0;
         while let Some(loan) = self.open.front() {
@@ -139,7 +139,8 @@
             .is_some_and(|loan| now.saturating_sub(loan.first_at) >= term)
     }
 
-    /// Takes an amount from the rate limit of `per_second`, with bursts of one second. False: not enough is left.
+    /// Takes an amount from a token bucket that refills at `per_second` and holds one second's refill. `false` if it has too few
+    /// tokens.
     pub fn take_from_rate(
         &mut self,
         now: Duration,
@@ -151,7 +152,7 @@
             .min(Duration::from_secs(1))
             .as_millis() as u64;
         let refill = per_second.saturating_mul(passed) / 1000;
-        // Time that makes less than one milli-request is not lost.
+        // If the elapsed time refills less than one milli-request, it is counted at a later call.
         if refill > 0 {
             self.rate.tokens = self.rate.tokens.saturating_add(refill).min(per_second);
             self.rate.refilled_at = now;
@@ -163,7 +164,8 @@
         enough
     }
 
-    /// What is owed that this proxy's part of the quota can't repay in the term: the tenant's traffic is elsewhere.
+    /// Part of the debt that this proxy's part of the quota can't repay within the term, because the tenant's traffic has moved
+    /// to other proxies.
     pub fn beyond_local_quota(
         &self,
         now: Duration,
@@ -182,7 +184,7 @@
             .saturating_sub(MilliRequests::try_from(repayable).unwrap_or(MilliRequests::MAX))
     }
 
-    /// The thousandths of this proxy's part of the quota to withhold now; `used` thousandths of it are in use.
+    /// Part of this proxy's quota to withhold now, in thousandths. `used`: the thousandths of that quota in use.
     pub fn withhold(
         &self,
         now: Duration,
@@ -203,7 +205,7 @@
         if owed == 0 || quota == 0 || left == 0 || shortage {
             return most;
         }
-        // Repayment in half the term is planned: requests that the tenant does not send can't be withheld.
+        // Plans repayment in half of the remaining term: requests that the tenant does not send can't be withheld.
         let needed = u128::from(owed) * 2_000_000 / (u128::from(quota) * u128::from(left));
         let unused = 1000_u32.saturating_sub(used);
         (needed.min(1000) as u32 + 1).max(unused).min(most)
--- a/crates/quota-lending/src/messages.rs
+++ b/crates/quota-lending/src/messages.rs
@@ -8,11 +8,11 @@
 use crate::identity::{hash, AccountId};
 use crate::rules::MilliRequests;
 
-/// The longest key.
+/// Maximum length of a key.
 pub const KEY_BYTES: usize = 32;
-/// The longest encoded body.
+/// Maximum length of an encoded body.
 pub const BODY_BYTES: usize = 512;
-/// The first byte of each body.
+/// Format version: the first byte of each body.
 const VERSION: u8 = 1;
 
 /// Kind of [`Heartbeat`], with an empty key.
@@ -27,46 +27,47 @@
 pub const CLAIM: u8 = 68;
 /// Kind of [`PublishedVote`], with [`account_key`] as key.
 pub const VOTE: u8 = 69;
-// 70 is the host's: tenants within quota lack capacity.
+// Kind 70 belongs to the host: it reports a shortage of capacity for tenants within quota.
 /// Kind of [`RepaymentRequest`], with an empty key.
 pub const REPAYMENT_REQUEST: u8 = 71;
 /// Kind of [`RepaymentReport`], with an empty key.
 pub const REPAYMENT_REPORT: u8 = 72;
 
-/// Whether messages of a kind are for [`crate::Lender`].
+/// Whether messages of a kind have to be passed to [`crate::Lender`].
 pub fn is_lending_message(kind: u8) -> bool {
     matches!(kind, HEARTBEAT..=VOTE | REPAYMENT_REQUEST..=REPAYMENT_REPORT)
 }
 
-/// The sender of a message, as of its stored state.
+/// Identity of a message's sender, as of its stored state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sender {
-    /// [`crate::identity::bootstrap_digest`] of the bootstrap members that it knows; 0: none.
+    /// [`crate::identity::bootstrap_digest`] of the bootstrap members known to the sender; 0 if it knows none.
     pub bootstrap_digest: u64,
-    /// Incarnation in which its stored state began.
+    /// Incarnation in which the sender's stored state began.
     pub state_incarnation: u64,
-    /// Incarnation that opened its account.
+    /// Incarnation that opened the sender's account.
     pub account_incarnation: u64,
-    /// Incarnation of its process.
+    /// Incarnation of the sender's process.
     pub incarnation: u64,
 }
 
-/// Renews leases: names the last heartbeat that was heard of each other account.
+/// Heartbeat of a proxy. It renews the leases of others by echoing the last heartbeat received of each other account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// Sender of the message.
     pub sender: Sender,
-    /// Whether the quarantine period has passed since its start: nothing that a former process lent is owed.
+    /// Whether the quarantine period has passed since the start of the sender's process: all loans of its earlier processes are
+    /// over.
     pub quarantine_over: bool,
-    /// Number of this heartbeat.
+    /// Sequence number of this heartbeat.
     pub number: u32,
-    /// Index of a bootstrap member, and [`heartbeat_mark`] of its last heartbeat.
+    /// Echoes: index of a bootstrap member, and [`heartbeat_mark`] of its last heartbeat.
     pub bootstrap_echoes: Vec<(u8, u32)>,
-    /// The same for other accounts.
+    /// Echoes for accounts outside the bootstrap members: the account, and [`heartbeat_mark`] of its last heartbeat.
     pub other_echoes: Vec<(AccountId, u32)>,
 }
 
-/// A heartbeat as it is echoed: of the incarnation of a process and the number of the heartbeat.
+/// Mark by which a heartbeat is echoed: hash of the incarnation of its process and its sequence number.
 pub fn heartbeat_mark(incarnation: u64, number: u32) -> u32 {
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&incarnation.to_le_bytes());
@@ -74,59 +75,60 @@
     hash(&bytes)
 }
 
-/// The bootstrap members, which never change once they are agreed.
+/// The bootstrap members. They never change after the bootstrap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapMembers {
-    /// Who sends it.
+    /// Sender of the message.
     pub sender: Sender,
-    /// The least incarnation of any of them.
+    /// Smallest incarnation of all bootstrap members.
     pub least_incarnation: u64,
-    /// Number of the name, and what its incarnation is above the least.
+    /// For each member: number of its name, and the difference of its incarnation from the smallest one.
     pub members: Vec<(u32, u64)>,
 }
 
 /// Balances of the sender's account for a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedBalances {
-    /// Who sends it.
+    /// Sender of the message.
     pub sender: Sender,
     /// The balances.
     pub balances: Balances,
 }
 
-/// Totals of transfers that the sender has seen of each account, for a tenant.
+/// Totals of the transfers that the sender has witnessed, by sending account, for one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessedTransfers {
-    /// Who sends it.
+    /// Sender of the message.
     pub sender: Sender,
-    /// Index of a bootstrap member, and what it sent.
+    /// Index of a bootstrap member, and the total that its first account sent.
     pub bootstrap_members: Vec<(u8, SentTotal)>,
-    /// The same for other accounts.
+    /// Other accounts, and the total that each sent.
     pub others: Vec<(AccountId, SentTotal)>,
 }
 
-/// The sender claims an account whose owner is not heard.
+/// Claim of the sender to take over an account from whose owner no heartbeats arrive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipClaim {
-    /// Who claims it.
+    /// Sender of the claim.
     pub sender: Sender,
-    /// The account.
+    /// The claimed account.
     pub account: AccountId,
 }
 
 /// A vote on an ownership claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vote {
-    /// The account that shall take over.
+    /// Account that takes the claimed one over if a majority votes the same.
     pub to: AccountId,
-    /// What the claimed account sent for each tenant, as far as the voter has seen; afterwards it witnesses no more of it.
+    /// By tenant: total of the claimed account's transfers that the voter has witnessed. After its vote the voter witnesses no
+    /// more of them.
     pub sent: BTreeMap<u32, SentTotal>,
 }
 
-/// The sender's vote about an account.
+/// The sender's vote on a claim to an account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedVote {
-    /// Who votes.
+    /// The voter.
     pub sender: Sender,
     /// The claimed account.
     pub account: AccountId,
@@ -134,38 +136,39 @@
     pub vote: Vote,
 }
 
-/// What tenants owe the sender and can't repay there, by the tenant's number.
+/// Debts to the sender that its part of the tenants' quota can't repay in time: other proxies are requested to withhold quota
+/// for them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RepaymentRequest {
-    /// Who is owed.
+    /// The lender.
     pub sender: Sender,
-    /// Number of the tenant, and the amount.
+    /// Number of a tenant, and the amount to repay.
     pub tenants: Vec<(u32, MilliRequests)>,
 }
 
-/// What the sender's process has withheld on behalf of others.
+/// Amounts that the sender's process has withheld on behalf of other lenders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RepaymentReport {
-    /// Who withheld it.
+    /// The proxy that withheld the amounts.
     pub sender: Sender,
-    /// Number of the lender's name, number of the tenant, and the total so far.
+    /// Number of the lender's name, number of the tenant, and the total since the process started.
     pub totals: Vec<(u32, u32, MilliRequests)>,
 }
 
-/// The key of messages about an account.
+/// Message key of an account.
 pub fn account_key(account: AccountId) -> Vec<u8> {
     let mut key = account.owner.to_le_bytes().to_vec();
     key.extend(account.incarnation.to_le_bytes());
     key
 }
 
-/// Encodes a body. None: longer than [`BODY_BYTES`].
+/// Encodes a body. `None` if the encoding is longer than [`BODY_BYTES`].
 pub fn encode<T: Serialize>(body: &T) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(body, vec![VERSION]).ok()?;
     (bytes.len() <= BODY_BYTES).then_some(bytes)
 }
 
-/// Decodes a body. None: not of this version, or malformed.
+/// Decodes a body. `None` if it is of another version or malformed.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => match postcard::take_from_bytes(rest) {
--- a/crates/quota-lending/src/notice.rs
+++ b/crates/quota-lending/src/notice.rs
@@ -1,4 +1,4 @@
-//! What an operator is notified of.
+//! Notices to the operator.
 
 use crate::limits::MAX_BOOTSTRAP_MEMBERS;
 use crate::rules::MilliRequests;
@@ -7,52 +7,52 @@
 /// Why a message of another proxy is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum IgnoreReason {
-    /// The sender is not in the roster and no bootstrap member.
-    #[error("it is neither of the roster nor a founder")]
+    /// The sender is neither in the roster nor a bootstrap member.
+    #[error("the sender is neither in the roster nor a bootstrap member")]
     UnknownSender,
-    /// The sender has too many accounts that may hold shares.
-    #[error("it has as many lanes as are kept of one proxy, and all may hold something")]
+    /// The sender has too many accounts, and all of them may hold shares.
+    #[error("the sender has opened the maximum number of accounts per proxy, and all of them may hold shares")]
     TooManyIncarnations,
     /// All proxies together have too many accounts.
-    #[error("as many lanes are known as are kept")]
+    #[error("the maximum number of known accounts is reached")]
     TooManyAccounts,
 }
 
-/// A line for the log.
+/// A message for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Notice {
-    /// The file was not usable at start.
-    #[error("the file of loans is not used: {0}; this proxy starts without memory and holds no lane until others give")]
+    /// The state file could not be used at start.
+    #[error("the state file of quota lending is not used: {0}; this proxy starts without stored state and holds no shares until others transfer some")]
     BadFile(BadFile),
-    /// Bootstrap is complete, with so many members.
-    #[error("founded by {0} proxies: loans can be made")]
+    /// The bootstrap is complete, with this number of members.
+    #[error("quota lending is bootstrapped with {0} proxies: loans are possible")]
     Bootstrapped(usize),
-    /// The roster is too long for a bootstrap.
-    #[error("a roster of {0} is more than {MAX_BOOTSTRAP_MEMBERS}: no loans can be founded")]
+    /// The roster, of this length, is too long for a bootstrap.
+    #[error("the roster has {0} members, but at most {MAX_BOOTSTRAP_MEMBERS} can bootstrap quota lending: no loans are possible")]
     RosterTooLong(usize),
     /// Two names of the roster have the same hash.
-    #[error("two proxies of the roster have the same number: no loans; rename one")]
+    #[error("the names of two proxies in the roster have the same hash: no loans are made; rename one of them")]
     NameCollision,
     /// The account of the proxy with this number was taken over.
-    #[error("took over the lane of proxy number {0}")]
+    #[error("took over the account of the proxy with number {0}")]
     AccountTakenOver(u32),
-    /// The own account was taken over by another.
-    #[error("others took over this proxy's lane while it was not heard; it goes on with a lane of nothing")]
+    /// This proxy's account was taken over by another proxy.
+    #[error("another proxy took over this proxy's account while no heartbeats of it arrived; this proxy continues with a new account without shares")]
     AccountLost,
-    /// A loan was not repaid in time.
-    #[error("{amount} thousandths of a request of stand {tenant} are written off")]
+    /// Loans were not repaid in time and are written off.
+    #[error("tenant {tenant}: {amount} thousandths of a request were not repaid in time and are written off")]
     WrittenOff {
         /// Name of the tenant.
         tenant: String,
-        /// What was written off.
+        /// Amount that was written off.
         amount: MilliRequests,
     },
-    /// Messages of the proxy with this number are ignored.
+    /// Messages of the proxy with this number are ignored. Reported once for each reason.
     #[error(
-        "what proxy number {1} says of loans is not kept: {0}; said once, counted from now on"
+        "lending messages of the proxy with number {1} are ignored: {0}; reported once, further ones are only counted"
     )]
     Ignored(IgnoreReason, u32),
-    /// A message of this kind exceeds the permitted length.
-    #[error("a fact of kind {0} is longer than fits and was not said")]
+    /// A message of this kind exceeds the maximum length.
+    #[error("a lending message of kind {0} exceeds the maximum length and was not published")]
     MessageTooLong(u8),
 }
--- a/crates/quota-lending/src/ownership.rs
+++ b/crates/quota-lending/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns how many shares of a credit limit, as far as this proxy knows, and what of the limit that is.
+//! Ownership of shares as known to this proxy, and its local part of each credit limit.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::limits::MAX_TENANTS;
 use crate::rules::MilliRequests;
 
-/// The part of a credit limit that so many shares are.
+/// Part of a credit limit that corresponds to a number of shares.
 fn part_of_limit(limit: MilliRequests, shares: u64) -> MilliRequests {
     (u128::from(limit) * u128::from(shares) / u128::from(TOTAL_SHARES)) as MilliRequests
 }
 
 impl Lender {
-    /// Shares of the own account: what may be sent away or lent from.
+    /// Shares of this proxy's account, which it may lend from or transfer.
     pub(crate) fn own_shares(&self, tenant: u32) -> u64 {
         let balances = self.state.balances.get(&tenant);
         let account = self.own_account();
@@ -23,14 +23,14 @@
             .received_shares(account, tenant)
             .saturating_add(balances.map_or(0, |balances| balances.taken_over));
         let received = self.state.initial_shares(account).saturating_add(received);
-        // Whatever others claim to have sent, no account holds more than there is.
+        // Caps the shares at their total, whatever transfers other proxies claim.
         balances
             .map_or(SentTotal::default(), |balances| balances.sent_total())
             .remaining_of(received)
             .min(TOTAL_SHARES)
     }
 
-    /// Shares that an account received in all; what it sent is not subtracted.
+    /// Total of shares that an account received. Shares that it sent are not subtracted.
     pub(crate) fn shares_received_by(&self, account: AccountId, tenant: u32) -> u64 {
         let taken_over = self
             .known_balances(account, tenant)
@@ -42,7 +42,8 @@
         ])
     }
 
-    /// Shares that another account probably has, with transfers that do not count yet. Only to judge who needs more.
+    /// Estimated shares of another account, including transfers that do not count yet. Only for choosing the receiver of a
+    /// transfer.
     pub(crate) fn estimated_shares(&self, account: AccountId, tenant: u32) -> u64 {
         let of_others = self
             .accounts
@@ -67,7 +68,8 @@
         .min(TOTAL_SHARES)
     }
 
-    /// The smallest credit limit that any proxy has published lately: while rules differ, the strictest holds.
+    /// Smallest of this proxy's credit limit and the valid limits that other proxies have published: while rules differ, the
+    /// strictest one is in force.
     fn limit_in_force(&self, now: Duration, own: MilliRequests, tenant: u32) -> MilliRequests {
         self.accounts
             .values()
@@ -78,7 +80,7 @@
             .map_or(own, |published| published.min(own))
     }
 
-    /// Computes this proxy's part of a tenant's credit limit.
+    /// Updates this proxy's part of a tenant's credit limit.
     pub(crate) fn update_local_limit(&mut self, now: Duration, tenant: u32) {
         let own = self
             .rules
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Computes the lease and all local limits anew.
+    /// Updates the lease and all local limits.
     pub(crate) fn refresh(&mut self, now: Duration) {
         self.lease_until = self.compute_lease();
         let tenants: Vec<u32> = self.tenants.keys().copied().collect();
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Begins balances for a tenant. False: there are too many, or no bootstrap yet.
+    /// Opens balances for a tenant. `false` if the maximum is reached or there was no bootstrap yet.
     pub(crate) fn open_balances(&mut self, now: Duration, tenant: u32) -> bool {
         if !self.state.is_bootstrapped() || self.state.balances.len() >= MAX_TENANTS {
             return self.state.balances.contains_key(&tenant);
--- a/crates/quota-lending/src/publish.rs
+++ b/crates/quota-lending/src/publish.rs
@@ -1,4 +1,4 @@
-//! Saves the state, and publishes what is durable of it. Nothing is published that could be forgotten.
+//! Saves the state, and publishes its durable version only: no published state can be lost in a crash.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 };
 use crate::notice::Notice;
 
-/// A message to publish; no body: it is longer than permitted.
+/// A message to publish. `body` is `None` if it exceeds the maximum length.
 struct Outgoing {
     kind: u8,
     key: Vec<u8>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Saves changes, one file at a time. Without a file they are published at once.
+    /// Saves changes, one file at a time. Without a state file, publishes them at once.
     pub(crate) fn save(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if !self.unsaved_changes || self.pending_save.is_some() {
             return;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Publishes the durable state, unless it is that of an account or a state that has been replaced since.
+    /// Publishes the durable state, unless its account or the stored state itself has been replaced since.
     pub(crate) fn publish_state(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let replaced = self.durable.account_incarnation != self.state.account_incarnation
             || self.durable.state_incarnation != self.state.state_incarnation;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Limit and demand are published as they are now: they need not be durable.
+    /// Messages with the durable balances. Credit limit and demand are the current ones: they need not be durable.
     fn balances_messages(&self, sender: Sender) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for (tenant, balances) in &self.durable.balances {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Votes on recent claims.
+    /// Messages with this proxy's votes on recent claims.
     fn vote_messages(&self, now: Duration, sender: Sender) -> Vec<Outgoing> {
         let message = |account, vote| Outgoing {
             kind: messages::VOTE,
@@ -194,8 +194,8 @@
             .collect()
     }
 
-    /// Publishes what has changed at once. What has not is repeated after a step, and then at growing intervals up to a lease: a
-    /// lost message is soon replaced, and what everybody knows does not fill the gossip.
+    /// Publishes a changed message at once. An unchanged one is repeated after a step, and then at growing intervals up to a
+    /// lease: a lost message is soon replaced, and messages that all proxies have received do not fill the gossip.
     fn publish_if_due(
         &mut self,
         now: Duration,
--- a/crates/quota-lending/src/receive.rs
+++ b/crates/quota-lending/src/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other proxies: decodes them, checks who sends them, and delegates.
+//! Decodes messages of other proxies, checks their senders, and passes them to the modules that handle them.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 };
 use crate::notice::IgnoreReason;
 
-/// A message as it was received.
+/// A received message, not decoded yet.
 pub(crate) struct Incoming<'a> {
     /// Number of the sender's name.
     pub source: u32,
@@ -22,7 +22,7 @@
     pub age: Duration,
 }
 
-/// Not of this version, not decodable, or nothing that a proxy sends.
+/// The message is of another version, can't be decoded, or has content that no proxy sends.
 pub(crate) struct Malformed;
 
 impl Incoming<'_> {
@@ -30,7 +30,7 @@
         decode(self.body).ok_or(Malformed)
     }
 
-    /// The tenant's number, where the key is one.
+    /// Number of the tenant, for kinds whose key is that number.
     fn tenant(&self) -> Result<u32, Malformed> {
         let key = self.key.try_into().map_err(|_| Malformed)?;
         Ok(u32::from_le_bytes(key))
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Members of the roster and bootstrap members. Before the first membership event everybody is.
+    /// Whether a sender is in the roster or a bootstrap member. Before the first membership event all senders are accepted.
     fn is_known(&self, source: u32) -> bool {
         self.roster.is_empty()
             || self.roster.contains(&source)
@@ -162,8 +162,9 @@
             && sender.bootstrap_digest == bootstrap_digest(&self.state.bootstrap_members)
     }
 
-    /// The peer that a message is of. None: of an earlier process than the last one known, or there are too many peers. A peer
-    /// that lost its stored state starts anew: its echoes, votes and witnessed transfers count no more.
+    /// Peer that sent a message. `None` if the message is of an earlier process than the last known one, or the maximum number
+    /// of peers is reached. A peer that lost its stored state is reset: its earlier echoes, votes and witnessed transfers no
+    /// longer count.
     pub(crate) fn peer_of(&mut self, source: u32, sender: &Sender) -> Option<&mut Peer> {
         if !self.peers.contains_key(&source) && self.peers.len() >= MAX_ACCOUNTS {
             return None;
--- a/crates/quota-lending/src/remote_repayment.rs
+++ b/crates/quota-lending/src/remote_repayment.rs
@@ -1,6 +1,6 @@
-//! Repayment on behalf of others. A proxy whose tenant has moved to other proxies can't withhold from it what it lent. It
-//! requests repayment, the others withhold a little more of that tenant's quota, and report how much they did for whom. Only
-//! the lender books it as repaid.
+//! Repayment on behalf of other lenders. A proxy whose tenant has moved to other proxies can't withhold quota from it. It requests
+//! repayment, the other proxies withhold a little more of that tenant's quota, and report the amounts withheld for each lender.
+//! Only the lender books them as repaid.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,31 +8,31 @@
 use crate::messages::{RepaymentReport, RepaymentRequest};
 use crate::rules::{MilliRequests, Rule};
 
-/// Proxies whose requests are kept.
+/// Maximum number of proxies whose requests are kept.
 const MAX_REQUESTERS: usize = 256;
-/// Totals that are kept, of the own process and of others.
+/// Maximum number of totals kept: of amounts withheld here, and of those that others report.
 const MAX_TOTALS: usize = 1024;
-/// Entries of one message.
+/// Maximum number of entries of one message.
 const MAX_MESSAGE_ENTRIES: usize = 20;
-/// Requested amounts are withheld in this part of a term. Not faster: the lender's next request comes a second or two late, and
-/// what is withheld meanwhile is paid twice.
+/// Requested amounts are withheld over the term divided by this. Not faster: the lender's next request arrives a second or two
+/// late, and amounts withheld in the meantime are paid twice.
 const REPAYMENT_TERM_DIVISOR: u32 = 4;
 
-/// The last request of a proxy.
+/// Last repayment request of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Request {
-    /// The amount for each tenant.
+    /// Requested amount by tenant.
     amounts: BTreeMap<u32, MilliRequests>,
     valid_until: Duration,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RemoteRepayment {
-    /// By requester.
+    /// Last request, by lender.
     requests: BTreeMap<u32, Request>,
-    /// What this process has withheld in all, by lender and tenant.
+    /// Total that this process has withheld, by lender and tenant.
     withheld: BTreeMap<(u32, u32), MilliRequests>,
-    /// Totals that others last reported, by name, incarnation and tenant.
+    /// Totals last reported by others, by the reporter's name and incarnation, and tenant.
     reported: BTreeMap<(u32, u64, u32), MilliRequests>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Valid requests for a tenant: who, and how much.
+    /// Valid requests for a tenant: lender and amount.
     fn requests_for(
         &self,
         now: Duration,
@@ -63,7 +63,7 @@
             .filter_map(move |(source, request)| Some((*source, *request.amounts.get(&tenant)?)))
     }
 
-    /// The thousandths of its quota that all proxies withhold from a tenant for these requests.
+    /// Part of a tenant's quota that all proxies withhold for the valid requests, in thousandths.
     pub fn withhold(&self, now: Duration, tenant: u32, rule: &Rule) -> u32 {
         let requested: u128 = self
             .requests_for(now, tenant)
@@ -76,7 +76,7 @@
         share.min(u128::from(rule.max_withheld())) as u32
     }
 
-    /// Divides an amount that was withheld, and is not owed here, among the requesters.
+    /// Divides an amount that was withheld, and is not owed here, among the requesting lenders.
     pub fn add_withheld(&mut self, now: Duration, tenant: u32, amount: MilliRequests) {
         let requests: Vec<(u32, MilliRequests)> = self
             .requests_for(now, tenant)
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Totals to report to those with valid requests.
+    /// Totals to report, for lenders with valid requests: lender, tenant and amount.
     pub fn totals_to_report(&mut self, now: Duration) -> Vec<(u32, u32, MilliRequests)> {
         self.requests.retain(|_, request| request.valid_until > now);
         self.withheld
@@ -107,8 +107,8 @@
             .collect()
     }
 
-    /// What a report adds for this lender, by tenant. The first report of an incarnation only sets the base: its total may
-    /// include what a former account of this lender was owed.
+    /// Amounts that a report adds for this lender, by tenant. The first report of an incarnation only sets the base: its total
+    /// may include repayments to a former account of this lender.
     pub fn receive_report(
         &mut self,
         me: u32,
@@ -123,7 +123,7 @@
             if !self.reported.contains_key(&key) && self.reported.len() >= MAX_TOTALS {
                 continue;
             }
-            // Totals only grow, so a late or repeated report adds nothing.
+            // Totals only grow, so a delayed or repeated report adds nothing.
             let known = self.reported.entry(key).or_insert(total);
             if total > *known {
                 added.push((tenant, total - *known));
--- a/crates/quota-lending/src/report.rs
+++ b/crates/quota-lending/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures about the state, for operators and tests.
+//! Figures of the state, for operators and tests.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::rules::MilliRequests;
 
 impl Lender {
-    /// Figures of a tenant; none if it has no balances here.
+    /// Figures of a tenant; `None` if it has no balances at this proxy.
     pub fn totals(&self, now: Duration, tenant: &str) -> Option<LoanTotals> {
         let tenant = name_number(tenant);
         let known = self.tenants.get(&tenant)?;
@@ -35,7 +35,8 @@
             .map(|(tenant, rule)| (tenant.as_str(), rule.credit_limit()))
     }
 
-    /// Shares of the own account for a tenant, of [`crate::balances::TOTAL_SHARES`], and the incarnation that opened the account.
+    /// Shares of a tenant in this proxy's account, out of [`crate::balances::TOTAL_SHARES`], and the incarnation that opened the
+    /// account.
     pub fn shares(&self, tenant: &str) -> (u64, u64) {
         (
             self.own_shares(name_number(tenant)),
@@ -43,32 +44,32 @@
         )
     }
 
-    /// The incarnation that opened the own account: it changes when others have taken the former one over.
+    /// Incarnation that opened this proxy's account. It changes when another proxy has taken the previous account over.
     pub fn account_incarnation(&self) -> u64 {
         self.state.account_incarnation
     }
 
-    /// Accounts of others that were taken over.
+    /// Accounts that this proxy took over.
     pub fn accounts_taken_over(&self) -> impl Iterator<Item = AccountId> + '_ {
         self.state.taken_over.keys().copied()
     }
 
-    /// Time after the last new heartbeat of an account until it may be taken over.
+    /// Quarantine period: time from the last new heartbeat of an account until it may be taken over.
     pub fn quarantine(&self) -> Duration {
         self.quarantine
     }
 
-    /// Messages that could not be decoded, or that no proxy of this version sends.
+    /// Number of messages that could not be decoded or that no proxy of this version sends.
     pub fn malformed(&self) -> u64 {
         self.malformed
     }
 
-    /// Messages of proxies and accounts that there is no room for.
+    /// Number of messages ignored for an [`crate::IgnoreReason`].
     pub fn ignored(&self) -> u64 {
         self.ignored
     }
 
-    /// Whether bootstrap is complete: loans are possible.
+    /// Whether the bootstrap is complete, so that loans are possible.
     pub fn is_bootstrapped(&self) -> bool {
         self.state.is_bootstrapped()
     }
--- a/crates/quota-lending/src/rules.rs
+++ b/crates/quota-lending/src/rules.rs
@@ -1,81 +1,82 @@
-//! What a tenant may borrow.
+//! Lending rules: how much a tenant may borrow, in which classes, and in which time it repays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::identity::name_number;
 
-/// Amounts in thousandths of a request.
+/// An amount in thousandths of a request.
 pub type MilliRequests = u64;
 
-/// The largest floor, in thousandths: some quota must be left to repay with.
+/// Largest floor, in thousandths of the quota: some quota must remain to be withheld for repayment.
 const MAX_FLOOR: u32 = 990;
-/// Credit limits are below this, so that sums of them don't overflow.
+/// Exclusive upper bound of credit limits, so that sums of them don't overflow.
 const CREDIT_LIMIT_END: MilliRequests = 1 << 60;
 
-/// The rule of one tenant.
+/// Lending rule of one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rule {
-    /// The credit limit, as a time of the quota of the whole fleet.
+    /// Credit limit of the whole fleet, as the time in which the quota amounts to it.
     pub limit_time: Duration,
-    /// The quota of the whole fleet, a second.
+    /// Quota of the whole fleet, per second.
     pub quota: MilliRequests,
-    /// Time in which a loan is repaid.
+    /// Time in which a loan has to be repaid.
     pub term: Duration,
-    /// Time after the term until the rest is written off.
+    /// Time from the end of the term until the unpaid rest is written off.
     pub write_off: Duration,
-    /// The part of its quota that the tenant always keeps, in thousandths.
+    /// Part of its quota that the tenant always keeps, in thousandths.
     pub floor: u32,
-    /// Classes of requests that are lent to.
+    /// Classes of requests that may borrow.
     pub classes: Vec<String>,
-    /// The most that all proxies together lend in a second.
+    /// Maximum that all proxies together lend per second.
     pub max_rate: MilliRequests,
 }
 
 impl Rule {
-    /// The credit limit of the whole fleet.
+    /// Credit limit of the whole fleet.
     pub fn credit_limit(&self) -> MilliRequests {
         let amount = self.limit_time.as_millis() * u128::from(self.quota) / 1000;
         MilliRequests::try_from(amount).unwrap_or(MilliRequests::MAX)
     }
 
-    /// The most thousandths of the quota that are withheld.
+    /// Maximum part of the quota that is withheld, in thousandths.
     pub(crate) fn max_withheld(&self) -> u32 {
         1000_u32.saturating_sub(self.floor)
     }
 }
 
-/// Why rules are rejected; the former stay.
+/// Why rules are rejected; the previous rules stay in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RulesError {
-    /// The tenant's loans last longer than permitted.
+    /// Term and write-off time of the tenant together exceed the configured maximum.
     #[error(
-        "stand {0}: term and write-off together are longer than {1:?}, the longest that this fleet lends for"
+        "tenant {0}: term and write-off together exceed {1:?}, the maximum loan time of this fleet"
     )]
     TooLong(String, Duration),
     /// The tenant's term is zero.
-    #[error("stand {0}: the term is zero: say in which time a loan is repaid")]
+    #[error("tenant {0}: the term is zero; set the time in which a loan is repaid")]
     NoTerm(String),
     /// The tenant's floor, in thousandths, is too high.
-    #[error("stand {0}: a floor of {1} thousandths of the quota leaves nothing to repay with, at most 990")]
+    #[error("tenant {0}: a floor of {1} thousandths of the quota leaves too little to repay with; at most 990 are allowed")]
     FloorTooHigh(String, u32),
     /// The tenant's credit limit is too high.
-    #[error("stand {0}: the line is more than can be counted: lower its seconds or the quota")]
+    #[error("tenant {0}: the credit limit (`line`) is too large to be represented; lower its time or the quota")]
     CreditLimitTooHigh(String),
-    /// Two names have the same [`name_number`].
-    #[error("stands {0} and {1} have the same number: rename one")]
+    /// Two tenants' names have the same [`name_number`].
+    #[error("tenants {0} and {1}: their names have the same hash; rename one of them")]
     NameCollision(String, String),
 }
 
-/// The rules of all tenants that may borrow.
+/// Rules of all tenants that may borrow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// Name and rule, by the name's number.
+    /// Key: number of the tenant's name. Value: the name and its rule.
     pub(crate) by_tenant: BTreeMap<u32, (String, Rule)>,
 }
 
 impl Rules {
-    /// Checks the rules of tenants, by name; no loan may last longer than `max_loan_time`.
+    /// Checks the rules, given as pairs of a tenant's name and its rule. Term and write-off time together must not exceed
+    /// `max_loan_time`.
     pub fn new(rules: Vec<(String, Rule)>, max_loan_time: Duration) -> Result<Self, RulesError> {
         let mut by_tenant: BTreeMap<u32, (String, Rule)> = BTreeMap::new();
         for (name, rule) in rules {
--- a/crates/quota-lending/src/shortage.rs
+++ b/crates/quota-lending/src/shortage.rs
@@ -1,25 +1,25 @@
-//! Whether tenants within their quota lack capacity, as one proxy sees it: then nothing is lent.
+//! Detects, at one proxy, a shortage of capacity for tenants within their quota. During a shortage nothing is lent.
 
 use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
 
-/// Rejections are counted over this time.
+/// Length of the windows in which rejections are counted.
 const COUNT_WINDOW: Duration = Duration::from_millis(500);
-/// A shortage lasts so long after the last window that showed it. Traffic of tenants within quota comes in waves: without this
-/// each wave would meet loans made since the last one.
+/// Duration of a shortage after the last rejection that showed it. Traffic of tenants within quota comes in waves: without this
+/// duration each wave would compete with loans made since the last one.
 pub const SHORTAGE_DURATION: Duration = Duration::from_secs(2);
-/// A shortage that returns within so many times its duration lasts twice as long, up to [`MAX_SHORTAGE_DURATION`]. Where loans themselves
-/// take the capacity, lending would otherwise start and stop all the time.
+/// A shortage that recurs within this many times its duration lasts twice as long, up to [`MAX_SHORTAGE_DURATION`]. Otherwise,
+/// where the loans themselves take up the capacity, lending would start and stop all the time.
 const RECURRENCE_FACTOR: u32 = 4;
 const MAX_SHORTAGE_DURATION: Duration = Duration::from_secs(16);
 
 /// Counts requests within quota, and those of them that were rejected before any attempt.
 #[derive(Clone, Debug)]
 pub struct Shortage {
-    /// Rejections in a window that make a shortage, if they are also more than `part` of the requests that ended. Fewer may be
-    /// one client's or one server's fault.
+    /// Minimum number of rejections in a window that show a shortage, if they are also more than `min_fraction` of the requests
+    /// that ended in it. Fewer may be caused by one client or one server.
     min_rejections: u32,
     min_fraction: f64,
     window_start: Duration,
@@ -36,7 +36,7 @@
 }
 
 impl Shortage {
-    /// `least` rejections in a window that are more than `part` of all requests make a shortage.
+    /// At least `min_rejections` rejections in a window, and more than `min_fraction` of its requests, show a shortage.
     pub fn new(min_rejections: u32, min_fraction: f64) -> Shortage {
         Shortage {
             min_rejections,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A request within quota has ended; `rejected`: before any attempt.
+    /// Records the end of a request within quota. `rejected`: whether it was rejected before any attempt.
     pub fn record_end(&mut self, now: Duration, rejected: bool) {
         if now.saturating_sub(self.window_start) >= COUNT_WINDOW {
             (self.window_start, self.ended, self.rejected) = (now, 0, 0);
--- a/crates/quota-lending/src/stored_state.rs
+++ b/crates/quota-lending/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! What must survive the process, and the file that holds it.
+//! State that must survive a restart of the process, and the encoding of its file.
 
 use std::collections::BTreeMap;
 
@@ -12,36 +12,38 @@
 const VERSION: u8 = 1;
 const CHECKSUM_BYTES: usize = 32;
 
-/// Why the host could not write or read the file.
+/// Why the host could not write or read the state file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// Writing failed.
-    #[error("the file of loans can't be written: {0}; nothing more is lent until it can")]
+    #[error("the state file of quota lending can't be written: {0}; no further loans are made until it can")]
     Write(String),
     /// Reading failed.
-    #[error("the file of loans can't be read: {0}; this proxy starts without memory")]
+    #[error("the state file of quota lending can't be read: {0}; this proxy starts without stored state")]
     Read(String),
 }
 
-/// Where the host keeps the bytes of [`crate::Action::Save`].
+/// Storage of the host for the bytes of [`crate::Action::Save`].
 pub trait Store {
-    /// Returns when the bytes would survive a loss of power.
+    /// Saves the bytes. Returns once they would survive a power failure.
     fn save(&mut self, bytes: &[u8]) -> Result<(), StoreError>;
-    /// The bytes of the last complete save, none if there is no file.
+    /// Returns the bytes of the last complete save; `None` if there is no file.
     fn load(&mut self) -> Result<Option<Vec<u8>>, StoreError>;
 }
 
-/// Why a file is not usable.
+/// Why a state file is not usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum BadFile {
-    /// Another format version.
-    #[error("it is of another version of the program")]
+    /// The file has another format version.
+    #[error("the file was written by another version of the program")]
     Version,
     /// The checksum does not match.
-    #[error("it is torn or changed, or another proxy's: its sum does not fit")]
+    #[error(
+        "the checksum does not match: the file is truncated, changed, or belongs to another proxy"
+    )]
     Checksum,
-    /// The checksum matches, the content is malformed.
-    #[error("its sum fits, but it can't be understood")]
+    /// The checksum matches, but the content is malformed.
+    #[error("the checksum matches, but the content can't be decoded")]
     Malformed,
 }
 
@@ -52,21 +54,21 @@
     pub state_incarnation: u64,
     /// Incarnation that opened the account.
     pub account_incarnation: u64,
-    /// In order of names; empty: not bootstrapped.
+    /// Bootstrap members in order of their names' numbers; empty before the bootstrap.
     pub bootstrap_members: Vec<AccountId>,
-    /// Own votes, by claimed account.
+    /// This proxy's votes, by claimed account.
     pub votes: BTreeMap<AccountId, Vote>,
-    /// What an account sent in all for a tenant, as far as seen.
+    /// Witnessed transfers: the total, by sending account and tenant.
     pub witnessed: BTreeMap<(AccountId, u32), SentTotal>,
-    /// Transfers that a majority has witnessed: by sender and tenant, the shares for each receiver.
+    /// Transfers that a majority has witnessed: the shares for each receiver, by sending account and tenant.
     pub confirmed: BTreeMap<(AccountId, u32), BTreeMap<AccountId, u64>>,
-    /// Accounts taken over, with what they had sent.
+    /// Accounts taken over: the total that each had sent, by account and tenant.
     pub taken_over: BTreeMap<AccountId, BTreeMap<u32, SentTotal>>,
-    /// Of the own account, by tenant; `lent` is what may have been lent until the next file.
+    /// Balances of this proxy's account, by tenant. `lent` includes the reserve: all that may be lent before the next save.
     pub balances: BTreeMap<u32, Balances>,
 }
 
-/// Covers the name too, so that the file of another proxy is not accepted.
+/// Checksum over the proxy's name and the bytes, so that the file of another proxy is not accepted.
 fn checksum(name: &str, bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let mut sha = Sha256::new();
     sha.update((name.len() as u64).to_le_bytes());
@@ -116,7 +118,7 @@
         self.bootstrap_members.binary_search(&id).is_ok()
     }
 
-    /// Shares that an account has from the bootstrap.
+    /// Shares that an account received at the bootstrap.
     pub fn initial_shares(&self, account: AccountId) -> u64 {
         match self.bootstrap_members.binary_search(&account) {
             Ok(_) => TOTAL_SHARES / self.bootstrap_members.len() as u64,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Shares that others sent to an account in confirmed transfers.
+    /// Shares that an account received in confirmed transfers.
     pub fn received_shares(&self, account: AccountId, tenant: u32) -> u64 {
         let of_tenant = self.confirmed.iter().filter(|((_, of), _)| *of == tenant);
         saturating_total(of_tenant.filter_map(|(_, sent)| sent.get(&account)))
--- a/crates/quota-lending/src/takeover.rs
+++ b/crates/quota-lending/src/takeover.rs
@@ -1,4 +1,5 @@
-//! Takeover of the account of a proxy that is not heard: claim, vote, count, and the loss of the own account.
+//! Takeover of the account of a proxy from which no heartbeats arrive: claims, votes, their count, and the loss of this proxy's
+//! own account.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use crate::messages::{self, account_key, encode, OwnershipClaim, PublishedVote, Vote};
 use crate::notice::{IgnoreReason, Notice};
 
-/// For each tenant, the most that any voter has seen as sent.
+/// For each tenant, the greatest total of sent shares in any vote.
 fn most_sent<'a>(votes: impl IntoIterator<Item = &'a Vote>) -> BTreeMap<u32, SentTotal> {
     let mut sent: BTreeMap<u32, SentTotal> = BTreeMap::new();
     for (tenant, total) in votes.into_iter().flat_map(|vote| &vote.sent) {
@@ -22,7 +23,7 @@
 }
 
 impl Lender {
-    /// Claims accounts, counts the votes, and books what was taken over.
+    /// Claims accounts, counts the votes, and books the shares that were taken over.
     pub(crate) fn claim_accounts(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.may_lend && self.state.is_bootstrapped() {
             for account in self
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Accounts of dead owners that this proxy is the one to claim: it is the next living one by number, so that claims don't
-    /// split the votes.
+    /// Accounts of failed owners that this proxy has to claim. For each account this is the next live proxy by number, so that
+    /// competing claims don't split the votes.
     fn claimable_accounts(&self, now: Duration) -> Vec<AccountId> {
         let members = &self.state.bootstrap_members;
         let others = self.accounts.keys().filter(|id| !members.contains(id));
@@ -112,7 +113,7 @@
                 .any(|tenant| remaining(tenant) > 0)
     }
 
-    /// No new heartbeat for the quarantine period: all loans of the account are over.
+    /// Whether no new heartbeat of the account has arrived for the quarantine period, so that all its loans are over.
     pub(crate) fn is_quarantine_over(&self, now: Duration, account: AccountId) -> bool {
         let last_heartbeat_at = self
             .accounts
@@ -122,8 +123,8 @@
         now.saturating_sub(last_heartbeat_at) >= self.quarantine || !self.guards.quarantine
     }
 
-    /// This proxy voted about the account: it echoes and witnesses nothing of it any more, since what its vote says about the
-    /// account's transfers must stay complete.
+    /// Whether this proxy voted on the account. From then on it echoes none of the account's heartbeats and witnesses none of its
+    /// transfers, since the totals in its vote must stay complete.
     pub(crate) fn is_frozen(&self, account: AccountId) -> bool {
         self.state.votes.contains_key(&account) && self.guards.freeze
     }
@@ -139,7 +140,7 @@
         self.vote(now, claim.account, to);
     }
 
-    /// Votes for a claim, once for each account: two majorities have a member in common, so no account is taken over twice.
+    /// Votes for a claim, once for each account: any two majorities have a member in common, so no account is taken over twice.
     fn vote(&mut self, now: Duration, account: AccountId, to: AccountId) {
         let voted = self.state.votes.contains_key(&account) && self.guards.single_vote;
         if !self.is_bootstrap_member()
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Takes an account over if a majority has voted for the own claim.
+    /// Takes an account over if a majority has voted for this proxy's claim.
     fn take_over(&mut self, account: AccountId) -> bool {
         if self.state.taken_over.contains_key(&account) || !self.state.is_bootstrapped() {
             return false;
@@ -200,7 +201,7 @@
         true
     }
 
-    /// Shares of all accounts that were taken over. It only grows, as more transfers to them become known.
+    /// Shares of all accounts that this proxy took over. The number only grows, as more transfers to these accounts become known.
     fn shares_taken_over(&self, tenant: u32) -> u64 {
         let remaining = |(account, sent): (&AccountId, &BTreeMap<u32, SentTotal>)| {
             sent.get(&tenant)
@@ -213,7 +214,7 @@
         })
     }
 
-    /// Whether a majority has voted that another gets the own account.
+    /// Whether a majority has voted on this proxy's account, so that another proxy takes it over.
     pub(crate) fn has_lost_account(&self) -> bool {
         let own_account = self.own_account();
         let has_voted = |peer: &Peer| peer.votes.contains_key(&own_account);
@@ -224,7 +225,7 @@
         self.state.is_bootstrapped() && votes >= self.state.majority()
     }
 
-    /// Opens another account, with no shares and no debts.
+    /// Replaces the lost account by a new one without shares and without loans.
     pub(crate) fn replace_lost_account(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::Notice(Notice::AccountLost));
         self.state.account_incarnation = self.incarnation.max(self.state.account_incarnation + 1);
@@ -234,8 +235,9 @@
         self.unsaved_changes = true;
     }
 
-    /// Makes room for an account. Of one owner the account that was heard the longest ago goes, if its quarantine is over and it
-    /// holds no shares: as if its messages had been lost. False: there is no room, and the message is to be ignored.
+    /// Makes room for an account. If its owner has the maximum number of accounts, removes the one whose last heartbeat is the
+    /// oldest, among those without shares whose quarantine period is over: as if its messages had been lost. `false` if there
+    /// is no room and the message has to be ignored.
     pub(crate) fn make_room_for(&mut self, now: Duration, account: AccountId) -> bool {
         if self.accounts.contains_key(&account) {
             return true;
--- a/crates/quota-lending/src/transfer.rs
+++ b/crates/quota-lending/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers of spare shares to the account that lacks most.
+//! Transfers of spare shares to the account that lacks most for its demand.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::messages::{encode, PublishedBalances, BODY_BYTES};
 use crate::rules::MilliRequests;
 
-/// Demand decays by this part in each step.
+/// In each step demand decays by itself divided by this.
 const DEMAND_DECAY_DIVISOR: u64 = 8;
-/// Demand is published again when it has changed by more than this part.
+/// Demand is published again when it has changed by more than its published value divided by this.
 const DEMAND_CHANGE_DIVISOR: u64 = 4;
-/// Smaller transfers than this part of an even share are not worth a message.
+/// Transfers of less than an even division of the shares divided by this are not worth a message.
 const MIN_TRANSFER_DIVISOR: u64 = 100;
 
 /// A transfer for one tenant.
@@ -25,11 +25,11 @@
 
 /// How the known shares of a tenant would be divided by demand.
 struct FairDivision {
-    /// Known shares of all.
+    /// Shares of this proxy and of all receivers together.
     shares: u128,
-    /// Demand of all, with the floor for each.
+    /// Demand of this proxy and of all receivers together, with the floor for each.
     demand: u128,
-    /// Added to each demand, so that nobody is left with nothing.
+    /// Added to each demand, so that every account keeps some shares.
     floor: u128,
 }
 
@@ -39,14 +39,15 @@
     }
 }
 
-/// Shares that are in use by open loans.
+/// Shares that open loans take up.
 fn shares_in_use(owed: MilliRequests, local_limit: MilliRequests, shares: u64) -> u64 {
     let in_use = u128::from(owed) * u128::from(shares) / u128::from(local_limit.max(1)) + 1;
     in_use.min(1 << 62) as u64
 }
 
 impl Lender {
-    /// Sends half of the shares beyond the own fair part, and not in use, to who lacks most.
+    /// Transfers half of the spare shares, those beyond the fair part of this proxy and not in use, to the account that lacks
+    /// most, but at most half of its lack.
     pub(crate) fn send_spare_shares(&mut self, now: Duration) {
         self.update_demand();
         if !self.may_lend || now >= self.lease_until {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Whether the balances still fit into a message after a transfer, and their total is still valid.
+    /// Whether, after a transfer, the balances still fit into a message and their total is still valid.
     fn is_publishable(&self, balances: &Balances, to: AccountId, shares: u64) -> bool {
         let mut balances = balances.clone();
         let sent = balances.sent.entry(to).or_default();
--- a/crates/quota-lending/src/witness.rs
+++ b/crates/quota-lending/src/witness.rs
@@ -1,5 +1,6 @@
-//! Witnesses of transfers: a transfer counts once a majority of the bootstrap members has seen it. Otherwise a sender that dies
-//! could leave shares with the receiver that its successor, who never heard of the transfer, takes over as well.
+//! Witnesses of transfers: a transfer counts once a majority of the bootstrap members has received it. Otherwise, if
+//! the sender fails, shares could count twice: for the receiver, and for the proxy that takes the sender's account over without
+//! having received the transfer.
 
 use std::time::Duration;
 
@@ -9,16 +10,16 @@
 use crate::limits::{MAX_BALANCES, MAX_RECEIVERS, MAX_TENANTS};
 use crate::messages::WitnessedTransfers;
 
-/// Balances with more receivers than any account has.
+/// The balances name more receivers than an account may have.
 pub(crate) struct TooManyReceivers;
 
 impl Lender {
     /// Merges balances of another account, and witnesses their transfers.
     ///
-    /// Balances that name too many receivers, together with those known, are not merged, as if the message had been lost: with a
-    /// part of the transfers the account would seem to have sent less, and who takes it over would own shares that others have
-    /// received. But this proxy may have witnessed the same total of other transfers of that account, which would confirm these
-    /// where only they are known. So from now on it witnesses [`SentTotal::INVALID`].
+    /// Balances that name too many receivers, together with the known ones, are not merged, as if the message had been lost: with
+    /// a part of the transfers the account would seem to have sent less, and the proxy that takes it over would own shares that
+    /// others have received. But this proxy may have witnessed the same total of other transfers of that account, which would
+    /// confirm the rejected ones at proxies that know only those. Therefore it witnesses [`SentTotal::INVALID`] from then on.
     pub(crate) fn receive_balances(
         &mut self,
         now: Duration,
@@ -46,7 +47,7 @@
         self.witness_transfers(account, tenant, sent);
         if !self.state.balances.contains_key(&tenant) && self.rules.by_tenant.contains_key(&tenant)
         {
-            // So that all learn this proxy's credit limit.
+            // Publishes this proxy's credit limit to all others.
             self.open_balances(now, tenant);
         }
         self.confirm_transfers();
@@ -87,7 +88,7 @@
         };
         for (account, sent) in all {
             let key = (account, tenant);
-            // What is not kept is one witness less: a transfer may count later, never twice.
+            // A witness that is not stored is missing in the count: a transfer may count later, but never twice.
             if peer.witnessed.len() < MAX_BALANCES || peer.witnessed.contains_key(&key) {
                 let known = peer.witnessed.entry(key).or_default();
                 *known = (*known).max(sent);
@@ -96,7 +97,7 @@
         self.confirm_transfers();
     }
 
-    /// Confirms the transfers of all accounts that a majority has witnessed, in the version known here.
+    /// Confirms the transfers of all accounts, in the version known here, that a majority has witnessed.
     pub(crate) fn confirm_transfers(&mut self) {
         if !self.state.is_bootstrapped() {
             return;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Whether transfers go beyond those confirmed already, and a majority has witnessed them.
+    /// Whether the total of transfers exceeds the confirmed one, and a majority has witnessed it.
     fn is_confirmable(&self, account: AccountId, tenant: u32, sent: SentTotal) -> bool {
         let confirmed = self
             .state
@@ -135,7 +136,7 @@
     fn count_witnesses(&self, account: AccountId, tenant: u32, sent: SentTotal) -> usize {
         let key = (account, tenant);
         let witnessed = |seen: &SentTotal| seen.witnesses(sent);
-        // The sender has seen its transfers, whatever became of its stored state since.
+        // The sender counts as a witness of its own transfers, even if it lost its stored state since.
         let sender_is_member = self
             .state
             .is_bootstrap_member(account.owner, account.incarnation);
