--- a/crates/quota-lending/src/bounds.rs
+++ b/crates/quota-lending/src/bounds.rs
@@ -1,4 +1,4 @@
-//! A member that publishes whatever it likes: what is kept of it is bounded, and none of its transfers counts twice.
+//! A member that publishes arbitrary valid messages: the state kept of them is bounded, and none of its transfers counts twice.
 
 use crate::balances::{Balances, SentTotal};
 use crate::identity::{bootstrap_digest, name_number, AccountId};
@@ -19,10 +19,10 @@
 }
 
 fn sender() -> Sender {
-    let mut founders = ["a", "b", "c"].map(id);
-    founders.sort_unstable();
+    let mut bootstrap_members = ["a", "b", "c"].map(id);
+    bootstrap_members.sort_unstable();
     Sender {
-        bootstrap_digest: bootstrap_digest(&founders),
+        bootstrap_digest: bootstrap_digest(&bootstrap_members),
         state_incarnation: 1,
         account_incarnation: 1,
         incarnation: 1,
@@ -32,10 +32,10 @@
 fn receive<T: serde::Serialize>(lender: &mut Lender, source: &str, kind: u8, body: &T) {
     let (key, body, age) = (
         TENANT.to_le_bytes(),
-        encode(body).expect("it fits"),
+        encode(body).expect("the body does not exceed the maximum length"),
         Duration::ZERO,
     );
-    let fact = Event::Message {
+    let message = Event::Message {
         source,
         incarnation: 1,
         kind,
@@ -43,7 +43,7 @@
         body: &body,
         age,
     };
-    lender.handle(Duration::ZERO, fact, &mut Vec::new());
+    lender.handle(Duration::ZERO, message, &mut Vec::new());
 }
 
 fn bootstrapped() -> Lender {
@@ -64,9 +64,9 @@
     lender
 }
 
-/// A transfer of one share to each of these.
+/// Balances with a transfer of one share to each receiver in the range.
 fn transfers(to: std::ops::Range<u32>) -> PublishedBalances {
-    let gave = to
+    let sent_shares = to
         .map(|name| {
             (
                 AccountId {
@@ -80,7 +80,7 @@
     PublishedBalances {
         sender: sender(),
         balances: Balances {
-            sent: gave,
+            sent: sent_shares,
             ..Balances::default()
         },
     }
@@ -91,7 +91,7 @@
         .state
         .confirmed
         .get(&(id("b"), TENANT))
-        .map_or(0, |gave| gave.len())
+        .map_or(0, |sent| sent.len())
 }
 
 #[test]
@@ -140,7 +140,8 @@
     assert_eq!(lender.malformed(), 999);
 }
 
-/// It opens account after account: so many of them are kept, those of others too, and none of a stranger.
+/// A member that opens a new account with each start must not fill the memory: a bounded number of its accounts is kept, the
+/// accounts of other members are kept too, and none of a proxy outside the roster.
 #[test]
 fn accounts_of_one_member_leave_room_for_the_others() {
     let mut lender = bootstrapped();
@@ -154,13 +155,13 @@
         },
         &mut actions,
     );
-    let mut say = |source: &str, lane: u64| {
-        let head = Sender {
-            account_incarnation: lane,
+    let mut send_heartbeat = |source: &str, incarnation: u64| {
+        let message_sender = Sender {
+            account_incarnation: incarnation,
             ..sender()
         };
         let body = encode(&Heartbeat {
-            sender: head,
+            sender: message_sender,
             quarantine_over: true,
             number: 1,
             bootstrap_echoes: vec![],
@@ -181,35 +182,40 @@
             &mut actions,
         );
     };
-    (1..=2_000).for_each(|lane| say("b", lane));
-    (1..=2_000).for_each(|lane| say("stranger", lane));
-    say("c", 7);
+    (1..=2_000).for_each(|incarnation| send_heartbeat("b", incarnation));
+    (1..=2_000).for_each(|incarnation| send_heartbeat("stranger", incarnation));
+    send_heartbeat("c", 7);
     assert!(lender.accounts.contains_key(&AccountId {
         incarnation: 7,
         ..id("c")
     }));
     assert_eq!((lender.accounts.len(), lender.ignored()), (17, 3_984));
-    let told = actions
+    let notices = actions
         .iter()
         .filter(|action| matches!(action, Action::Notice(Notice::Ignored(..))));
-    assert_eq!(told.count(), 2, "once a kind: {actions:?}");
+    assert_eq!(
+        notices.count(),
+        2,
+        "expected one notice for each reason: {actions:?}"
+    );
 }
 
-/// `c` received other transfers of the same total, and so publishes that it has witnessed as much.
+/// `c` received other transfers of the same total from `b`, and publishes this total as witnessed. It must not confirm the
+/// transfers of balances that were rejected here.
 #[test]
-fn balances_with_too_many_receivers_are_witnessed_by_nobody() {
+fn balances_with_too_many_receivers_are_not_witnessed() {
     let most = MAX_RECEIVERS as u32;
-    let witness = |lender: &mut Lender, given: SentTotal| {
-        let founders =
+    let witness = |lender: &mut Lender, sent: SentTotal| {
+        let bootstrap_members =
             (0..3).filter(|at| lender.state.bootstrap_members[usize::from(*at)] == id("b"));
-        let founders = founders.map(|at| (at, given)).collect();
+        let witnessed = bootstrap_members.map(|at| (at, sent)).collect();
         receive(
             lender,
             "c",
             messages::WITNESS,
             &WitnessedTransfers {
                 sender: sender(),
-                bootstrap_members: founders,
+                bootstrap_members: witnessed,
                 others: vec![],
             },
         );
@@ -220,7 +226,7 @@
     assert_eq!(
         confirmed_receivers(&valid),
         MAX_RECEIVERS,
-        "giver and one more are two of three"
+        "the sender and one witness are a majority of three"
     );
     assert_eq!(valid.malformed(), 0);
 
@@ -235,7 +241,7 @@
     assert_eq!(
         lender.state.witnessed[&(id("b"), TENANT)],
         SentTotal::INVALID,
-        "nothing of it is left to whoever takes the account over"
+        "no shares are left to the proxy that takes the account over"
     );
     receive(
         &mut lender,
@@ -247,6 +253,6 @@
     assert_eq!(
         confirmed_receivers(&lender),
         0,
-        "its other transfers are not confirmed by what was witnessed of these"
+        "other transfers of the account are not confirmed by the witness of these"
     );
 }
--- a/crates/quota-lending/src/event.rs
+++ b/crates/quota-lending/src/event.rs
@@ -88,6 +88,6 @@
         /// Token of the timer.
         token: u64,
     },
-    /// A line for the log.
+    /// Write the notice to the log.
     Notice(Notice),
 }
--- a/crates/quota-lending/src/recorded.rs
+++ b/crates/quota-lending/src/recorded.rs
@@ -1,4 +1,5 @@
-//! Bodies and a file as a build of the first version wrote them, and what comes of those of a later one.
+//! Message bodies and a state file recorded from a build with format version 1 must stay readable; those of a later version are
+//! rejected.
 
 use crate::balances::{self, Balances};
 use crate::identity::{self, AccountId};
@@ -11,19 +12,19 @@
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 
-/// What these names are as numbers.
+/// Numbers of the names `depot`, `n0` and `n1`.
 const DEPOT: u32 = 0x14ae_1a1d;
 const N0: u32 = 0x0535_dd93;
 const N1: u32 = 0x0435_dc00;
 
-/// The bytes of that name.
+/// Recorded bytes of a message or file, by name.
 fn recorded(name: &str) -> Vec<u8> {
     let lines = include_str!("../tests/version-1.hex").lines();
     let hex = lines
         .filter_map(|line| line.split_once(' '))
         .find(|(of, _)| *of == name);
     hex::decode(
-        hex.unwrap_or_else(|| panic!("nothing is recorded as {name}"))
+        hex.unwrap_or_else(|| panic!("version-1.hex has no entry {name}"))
             .1,
     )
     .unwrap()
@@ -36,7 +37,7 @@
     }
 }
 
-fn head() -> Sender {
+fn sender() -> Sender {
     Sender {
         bootstrap_digest: 0x0123_4567_89ab_cdef,
         state_incarnation: 1_800_000_000_001,
@@ -45,7 +46,7 @@
     }
 }
 
-fn row() -> Balances {
+fn balances() -> Balances {
     Balances {
         credit_limit: 4_000,
         lent: 900,
@@ -65,31 +66,34 @@
 }
 
 #[test]
-fn facts_of_the_first_version_are_read_for_good() {
-    let head = head();
-    let pulse = Heartbeat {
-        sender: head,
+fn messages_of_the_first_version_are_decoded() {
+    let message_sender = sender();
+    let heartbeat = Heartbeat {
+        sender: message_sender,
         quarantine_over: true,
         number: 700,
         bootstrap_echoes: vec![(2, 0xffff_fff0)],
         other_echoes: vec![(id(7, 8), 9)],
     };
-    assert_eq!(messages::decode(&recorded("pulse")), Some(pulse));
-    let founded = BootstrapMembers {
-        sender: head,
+    assert_eq!(messages::decode(&recorded("pulse")), Some(heartbeat));
+    let bootstrap_members = BootstrapMembers {
+        sender: message_sender,
         least_incarnation: 1_800_000_000_000,
         members: vec![(N0, 1_800_000_000_001), (N1, 1_800_000_000_002)],
     };
-    assert_eq!(messages::decode(&recorded("founded")), Some(founded));
+    assert_eq!(
+        messages::decode(&recorded("founded")),
+        Some(bootstrap_members)
+    );
     assert_eq!(
         messages::decode(&recorded("row")),
         Some(PublishedBalances {
-            sender: head,
-            balances: row()
+            sender: message_sender,
+            balances: balances()
         })
     );
     let witness = WitnessedTransfers {
-        sender: head,
+        sender: message_sender,
         bootstrap_members: vec![(1, 129.into())],
         others: vec![(id(7, 8), 65_536.into())],
     };
@@ -97,23 +101,24 @@
     assert_eq!(
         messages::decode(&recorded("claim")),
         Some(OwnershipClaim {
-            sender: head,
+            sender: message_sender,
             account: id(7, 8)
         })
     );
     assert_eq!(
         messages::decode(&recorded("vote")),
         Some(PublishedVote {
-            sender: head,
+            sender: message_sender,
             account: id(7, 8),
             vote: vote()
         })
     );
 }
 
-/// Numbers of names and of beats, hashes of founders, and kinds are all said to others: they are of the form too.
+/// Numbers of names, heartbeat marks, digests of bootstrap members and message kinds are published to other proxies and thus
+/// part of the message format.
 #[test]
-fn numbers_of_the_first_version_are_the_same_for_good() {
+fn hashes_and_kinds_of_the_first_version_are_unchanged() {
     assert_eq!(
         (
             identity::name_number("depot"),
@@ -144,8 +149,8 @@
 }
 
 #[test]
-fn a_file_of_the_first_version_is_read_for_good() {
-    let kept = StoredState {
+fn a_file_of_the_first_version_is_decoded() {
+    let state = StoredState {
         state_incarnation: 1_800_000_000_001,
         account_incarnation: 1_800_000_000_002,
         bootstrap_members: vec![id(1, 2), id(7, 8)],
@@ -153,14 +158,14 @@
         witnessed: [((id(1, 2), DEPOT), 300.into())].into(),
         confirmed: [((id(1, 2), DEPOT), [(id(7, 8), 200)].into())].into(),
         taken_over: [(id(7, 8), [(DEPOT, 301.into())].into())].into(),
-        balances: [(DEPOT, row())].into(),
+        balances: [(DEPOT, balances())].into(),
     };
-    assert_eq!(StoredState::decode("n0", &recorded("file")), Ok(kept));
+    assert_eq!(StoredState::decode("n0", &recorded("file")), Ok(state));
 }
 
-/// As a later build would write it, with a sum that fits: no memory, and it is said why.
+/// A file with a later format version and a correct checksum is rejected, and a notice reports the reason.
 #[test]
-fn a_file_of_a_later_version_is_no_memory() {
+fn a_file_of_a_later_version_is_rejected() {
     let mut file = recorded("file");
     file.truncate(file.len() - 32);
     file[0] += 1;
@@ -182,11 +187,11 @@
     );
 }
 
-/// What is said in a later version, or with more behind it, is counted and not heard: what a lender does is what it does without.
+/// Messages of a later format version, or with trailing bytes, are counted as malformed and have no other effect.
 #[test]
-fn facts_of_a_later_version_change_nothing() {
+fn messages_of_a_later_version_change_nothing() {
     let bodies = ["pulse", "founded", "row", "witness", "claim", "vote"];
-    let play = |change: Option<fn(&mut Vec<u8>)>| {
+    let run = |change: Option<fn(&mut Vec<u8>)>| {
         let mut lender = Lender::new(&Config::new("n0", 9, true), Duration::ZERO, None);
         let mut actions = Vec::new();
         for (name, kind) in bodies
@@ -197,8 +202,8 @@
             let mut body = recorded(name);
             change.into_iter().for_each(|change| change(&mut body));
             let key = DEPOT.to_le_bytes();
-            let (start, age) = (head().incarnation, Duration::ZERO);
-            let fact = Event::Message {
+            let (start, age) = (sender().incarnation, Duration::ZERO);
+            let message = Event::Message {
                 source: "n1",
                 incarnation: start,
                 kind,
@@ -206,16 +211,19 @@
                 body: &body,
                 age,
             };
-            lender.handle(Duration::ZERO, fact, &mut actions);
+            lender.handle(Duration::ZERO, message, &mut actions);
         }
         lender.handle(Duration::from_secs(1), Event::Timer(0), &mut actions);
         (actions, lender.malformed())
     };
-    let (without, none) = play(None);
+    let (without, none) = run(None);
     assert_eq!(none, 0);
-    assert_eq!(play(Some(|body| body[0] += 1)), (without.clone(), 6));
-    assert_eq!(play(Some(|body| body.push(0))), (without.clone(), 6));
-    let (heard, none) = play(Some(|_| {}));
-    assert_ne!(heard, without, "the same of the first version is heard");
+    assert_eq!(run(Some(|body| body[0] += 1)), (without.clone(), 6));
+    assert_eq!(run(Some(|body| body.push(0))), (without.clone(), 6));
+    let (decoded, none) = run(Some(|_| {}));
+    assert_ne!(
+        decoded, without,
+        "the same messages of format version 1 have an effect"
+    );
     assert_eq!(none, 0);
 }
--- a/crates/quota-lending/src/shortage/tests.rs
+++ b/crates/quota-lending/src/shortage/tests.rs
@@ -1,4 +1,4 @@
-//! When a shortage begins, and how long it lasts.
+//! Begin and duration of a shortage.
 
 use super::*;
 
@@ -15,7 +15,10 @@
     let mut shortage = Shortage::default();
     for at in 0..20 {
         shortage.record_end(ms(at * 510), true);
-        assert!(!shortage.is_in_shortage(ms(at * 510)), "one in each window");
+        assert!(
+            !shortage.is_in_shortage(ms(at * 510)),
+            "one rejection in each window"
+        );
     }
     reject_three(&mut shortage, 20_000);
     assert!(shortage.is_in_shortage(ms(21_999)) && !shortage.is_in_shortage(ms(22_000)));
@@ -39,13 +42,16 @@
     reject_three(&mut shortage, 4_000);
     assert!(
         shortage.is_in_shortage(ms(7_999)) && !shortage.is_in_shortage(ms(8_000)),
-        "four seconds"
+        "the second shortage lasts four seconds"
     );
     reject_three(&mut shortage, 10_000);
-    assert!(shortage.is_in_shortage(ms(17_999)), "eight");
+    assert!(
+        shortage.is_in_shortage(ms(17_999)),
+        "the third lasts eight seconds"
+    );
     reject_three(&mut shortage, 60_000);
     assert!(
         shortage.is_in_shortage(ms(61_999)) && !shortage.is_in_shortage(ms(62_000)),
-        "two again"
+        "a late shortage lasts two seconds again"
     );
 }
