--- a/crates/quota-lending/tests/bytes.rs
+++ b/crates/quota-lending/tests/bytes.rs
@@ -1,5 +1,5 @@
-//! Whatever one member publishes, and whatever the file contains: no panic, no message that is too long, and nothing lent, since one
-//! of five is no majority of the bootstrap members.
+//! Arbitrary messages of one member and arbitrary content of the state file must cause no panic, no message beyond the maximum
+//! length and no loan, since one of five bootstrap members is not a majority.
 
 use std::time::Duration;
 
@@ -20,42 +20,42 @@
 const TENANT: &str = "stand";
 
 fn bootstrap_members() -> Vec<AccountId> {
-    let mut founders: Vec<AccountId> = NAMES
+    let mut bootstrap_members: Vec<AccountId> = NAMES
         .iter()
         .map(|name| AccountId {
             owner: name_number(name),
             incarnation: 1,
         })
         .collect();
-    founders.sort_unstable();
-    founders
+    bootstrap_members.sort_unstable();
+    bootstrap_members
 }
 
-fn big() -> impl Strategy<Value = u64> {
+fn any_u64() -> impl Strategy<Value = u64> {
     prop_oneof![0..3_u64, Just(u64::MAX), any::<u64>()]
 }
 
-fn small() -> impl Strategy<Value = u32> {
+fn any_u32() -> impl Strategy<Value = u32> {
     prop_oneof![0..3_u32, Just(1 << 30), Just(u32::MAX), any::<u32>()]
 }
 
-/// Shares, also at the bounds of 32 and of 64 bits.
-fn parts() -> impl Strategy<Value = u64> {
-    prop_oneof![small().prop_map(u64::from), big()]
+/// Numbers of shares, including the bounds of 32 and 64 bits.
+fn share_count() -> impl Strategy<Value = u64> {
+    prop_oneof![any_u32().prop_map(u64::from), any_u64()]
 }
 
 fn sent() -> impl Strategy<Value = SentTotal> {
-    parts().prop_map(SentTotal::from)
+    share_count().prop_map(SentTotal::from)
 }
 
-fn id() -> impl Strategy<Value = AccountId> {
+fn account_id() -> impl Strategy<Value = AccountId> {
     let names = prop_oneof![
         proptest::sample::select(&NAMES[..]).prop_map(name_number),
         any::<u32>()
     ];
-    (names, big()).prop_map(|(name, from)| AccountId {
+    (names, any_u64()).prop_map(|(name, incarnation)| AccountId {
         owner: name,
-        incarnation: from,
+        incarnation,
     })
 }
 
@@ -63,132 +63,147 @@
     let known = bootstrap_digest(&bootstrap_members());
     (
         prop_oneof![Just(known), Just(0), any::<u64>()],
-        big(),
-        big(),
-        big(),
+        any_u64(),
+        any_u64(),
+        any_u64(),
     )
-        .prop_map(|(founders, memory, lane, life)| Sender {
-            bootstrap_digest: founders,
-            state_incarnation: memory,
-            account_incarnation: lane,
-            incarnation: life,
-        })
+        .prop_map(
+            |(digest, state_incarnation, account_incarnation, incarnation)| Sender {
+                bootstrap_digest: digest,
+                state_incarnation,
+                account_incarnation,
+                incarnation,
+            },
+        )
 }
 
 fn balances() -> impl Strategy<Value = Balances> {
     (
-        (big(), big(), big(), big(), big()),
-        parts(),
-        btree_map(id(), parts(), 0..30),
+        (any_u64(), any_u64(), any_u64(), any_u64(), any_u64()),
+        share_count(),
+        btree_map(account_id(), share_count(), 0..30),
     )
         .prop_map(
-            |((line, lent, repaid, written_off, demand), took, gave)| Balances {
-                credit_limit: line,
+            |((credit_limit, lent, repaid, written_off, demand), taken_over, sent)| Balances {
+                credit_limit,
                 lent,
                 repaid,
                 written_off,
                 demand,
-                taken_over: took,
-                sent: gave,
+                taken_over,
+                sent,
             },
         )
 }
 
-/// Kind, incarnation and body of any values, also of values that no proxy publishes.
+/// Kind, incarnation and body of well-formed messages, including values that no proxy publishes.
 fn valid() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
-    let few = || vec((any::<u8>(), small()), 0..9);
-    let lanes = || vec((id(), small()), 0..9);
-    let pulse = (sender(), any::<bool>(), small(), few(), lanes()).prop_map(
-        |(head, ripe, beat, founders, others)| {
-            (
-                head.incarnation,
-                encode(&Heartbeat {
-                    sender: head,
-                    quarantine_over: ripe,
-                    number: beat,
-                    bootstrap_echoes: founders,
-                    other_echoes: others,
-                }),
-            )
-        },
-    );
-    let founded =
-        (sender(), big(), vec((small(), big()), 0..60)).prop_map(|(head, least, members)| {
+    let bootstrap_echoes = || vec((any::<u8>(), any_u32()), 0..9);
+    let other_echoes = || vec((account_id(), any_u32()), 0..9);
+    let heartbeat = (
+        sender(),
+        any::<bool>(),
+        any_u32(),
+        bootstrap_echoes(),
+        other_echoes(),
+    )
+        .prop_map(
+            |(message_sender, quarantine_over, number, bootstrap_echoes, other_echoes)| {
+                (
+                    message_sender.incarnation,
+                    encode(&Heartbeat {
+                        sender: message_sender,
+                        quarantine_over,
+                        number,
+                        bootstrap_echoes,
+                        other_echoes,
+                    }),
+                )
+            },
+        );
+    let bootstrap = (sender(), any_u64(), vec((any_u32(), any_u64()), 0..60)).prop_map(
+        |(message_sender, least, members)| {
             (
                 0,
                 encode(&BootstrapMembers {
-                    sender: head,
+                    sender: message_sender,
                     least_incarnation: least,
                     members,
                 }),
             )
-        });
-    let seen = || vec((any::<u8>(), sent()), 0..9);
-    let row = (sender(), balances()).prop_map(|(head, row)| {
+        },
+    );
+    let witnessed = || vec((any::<u8>(), sent()), 0..9);
+    let balances = (sender(), balances()).prop_map(|(message_sender, balances)| {
         (
             0,
             encode(&PublishedBalances {
-                sender: head,
-                balances: row,
+                sender: message_sender,
+                balances,
             }),
         )
     });
-    let witness =
-        (sender(), seen(), vec((id(), sent()), 0..9)).prop_map(|(head, founders, others)| {
+    let witness = (sender(), witnessed(), vec((account_id(), sent()), 0..9)).prop_map(
+        |(message_sender, bootstrap_members, others)| {
             (
                 0,
                 encode(&WitnessedTransfers {
-                    sender: head,
-                    bootstrap_members: founders,
+                    sender: message_sender,
+                    bootstrap_members,
                     others,
                 }),
             )
-        });
-    let claim = (sender(), id()).prop_map(|(head, lane)| {
+        },
+    );
+    let claim = (sender(), account_id()).prop_map(|(message_sender, account)| {
         (
             0,
             encode(&OwnershipClaim {
-                sender: head,
-                account: lane,
+                sender: message_sender,
+                account,
             }),
         )
     });
-    let vote = (sender(), id(), id(), btree_map(small(), sent(), 0..9)).prop_map(
-        |(head, lane, to, given)| {
+    let vote = (
+        sender(),
+        account_id(),
+        account_id(),
+        btree_map(any_u32(), sent(), 0..9),
+    )
+        .prop_map(|(message_sender, account, to, sent)| {
             (
                 0,
                 encode(&PublishedVote {
-                    sender: head,
-                    account: lane,
-                    vote: Vote { to, sent: given },
+                    sender: message_sender,
+                    account,
+                    vote: Vote { to, sent },
                 }),
             )
-        },
-    );
+        });
     prop_oneof![
-        pulse.prop_map(|(start, body)| (HEARTBEAT, start, body)),
-        founded.prop_map(|(start, body)| (BOOTSTRAP_MEMBERS, start, body)),
-        row.prop_map(|(start, body)| (BALANCES, start, body)),
-        witness.prop_map(|(start, body)| (WITNESS, start, body)),
-        claim.prop_map(|(start, body)| (CLAIM, start, body)),
-        vote.prop_map(|(start, body)| (VOTE, start, body)),
+        heartbeat.prop_map(|(incarnation, body)| (HEARTBEAT, incarnation, body)),
+        bootstrap.prop_map(|(incarnation, body)| (BOOTSTRAP_MEMBERS, incarnation, body)),
+        balances.prop_map(|(incarnation, body)| (BALANCES, incarnation, body)),
+        witness.prop_map(|(incarnation, body)| (WITNESS, incarnation, body)),
+        claim.prop_map(|(incarnation, body)| (CLAIM, incarnation, body)),
+        vote.prop_map(|(incarnation, body)| (VOTE, incarnation, body)),
     ]
-    .prop_map(|(kind, start, body)| (kind, start, body.unwrap_or_default()))
+    .prop_map(|(kind, incarnation, body)| (kind, incarnation, body.unwrap_or_default()))
 }
 
 fn message() -> impl Strategy<Value = (u8, u64, Vec<u8>)> {
-    let some = vec((any::<Index>(), any::<u8>()), 0..4);
-    let mutated = (valid(), some).prop_map(|((kind, start, mut body), changes)| {
+    let changes = vec((any::<Index>(), any::<u8>()), 0..4);
+    let mutated = (valid(), changes).prop_map(|((kind, incarnation, mut body), changes)| {
         let length = body.len();
         for (at, to) in changes.iter().filter(|_| length > 0) {
             body[at.index(length)] = *to;
         }
-        (kind, start, body)
+        (kind, incarnation, body)
     });
     prop_oneof![
         valid(),
         mutated,
-        (HEARTBEAT..=VOTE, big(), vec(any::<u8>(), 0..BODY_BYTES))
+        (HEARTBEAT..=VOTE, any_u64(), vec(any::<u8>(), 0..BODY_BYTES))
     ]
 }
 
@@ -202,18 +217,18 @@
         classes: vec!["class".into()],
         max_rate: 10_000,
     };
-    Rules::new(vec![(TENANT.into(), rule)], Duration::from_secs(120)).expect("the rule is sound")
+    Rules::new(vec![(TENANT.into(), rule)], Duration::from_secs(120)).expect("the rule is valid")
 }
 
 proptest! {
-    // The same cases each time; PROPTEST_CASES for more of them.
+    // The seed is fixed, so each run has the same cases. PROPTEST_CASES sets their number.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
     fn one_member_and_the_file_lend_nothing(
         file in proptest::option::of(vec(any::<u8>(), 0..400)),
-        founded in any::<bool>(),
-        steps in vec((message(), prop_oneof![Just(name_number(TENANT)), small()], 0..3_000_u64, 0..9_000_u64), 1..60),
+        bootstrapped in any::<bool>(),
+        steps in vec((message(), prop_oneof![Just(name_number(TENANT)), any_u32()], 0..3_000_u64, 0..9_000_u64), 1..60),
     ) {
         let mut lender = Lender::new(&Config::new("a", 1, true), Duration::ZERO, file.as_deref());
         let (mut actions, mut now, mut token) = (Vec::new(), Duration::ZERO, 0);
@@ -226,16 +241,16 @@
             least_incarnation: 1,
             members: bootstrap_members().iter().map(|id| (id.owner, 0)).collect(),
         };
-        let first = founded.then(|| (BOOTSTRAP_MEMBERS, 1, encode(&first).expect("five fit")));
-        let steps = first.map(|fact| (fact, 0, 0, 0)).into_iter().chain(steps);
-        for ((kind, start, body), stand, pause, age) in steps {
+        let first = bootstrapped.then(|| (BOOTSTRAP_MEMBERS, 1, encode(&first).expect("five members fit into a message")));
+        let steps = first.map(|message| (message, 0, 0, 0)).into_iter().chain(steps);
+        for ((kind, incarnation, body), tenant, pause, age) in steps {
             now += Duration::from_millis(pause);
-            let (key, age) = (stand.to_le_bytes(), Duration::from_millis(age));
+            let (key, age) = (tenant.to_le_bytes(), Duration::from_millis(age));
             let key: &[u8] = if matches!(kind, BALANCES | WITNESS) { &key } else { &[] };
-            lender.handle(now, Event::Message { source: "b", incarnation: start, kind, key, body: &body, age }, &mut actions);
+            lender.handle(now, Event::Message { source: "b", incarnation, kind, key, body: &body, age }, &mut actions);
             lender.handle(now, Event::Timer(token), &mut actions);
-            let asked = lender.decide(now, TENANT, "class", 1_000, &mut actions);
-            prop_assert!(matches!(asked, Decision::Denied(_)), "lent by one member's messages");
+            let decision = lender.decide(now, TENANT, "class", 1_000, &mut actions);
+            prop_assert!(matches!(decision, Decision::Denied(_)), "one member's messages led to a loan");
             let mut next = 0;
             while let Some(action) = actions.get(next).cloned() {
                 next += 1;
