--- a/crates/quota-lending/tests/help.rs
+++ b/crates/quota-lending/tests/remote_repayment.rs
@@ -1,4 +1,5 @@
-//! A tenant that borrowed at one proxy and then moved to others: these withhold its quota, and the lender books it.
+//! Repayment by other proxies: a tenant borrows at one proxy and then moves to the others. These withhold part of its quota, and
+//! the lender books the withheld amounts.
 
 use quota_lending::balances::TOTAL_SHARES;
 use quota_lending::messages::REPAYMENT_REPORT;
@@ -7,10 +8,10 @@
 use std::time::Duration;
 
 const TENANT: &str = "depot";
-/// In thousandths of a request a second, over the fleet.
+/// Quota of the whole fleet, in thousandths of a request per second.
 const QUOTA: u64 = 90_000;
 const STEP: Duration = Duration::from_millis(250);
-/// Messages arrive after this time.
+/// Delay of each message.
 const DELAY: Duration = Duration::from_millis(500);
 
 struct Delivery {
@@ -26,9 +27,9 @@
     lenders: Vec<Lender>,
     timers: Vec<(Duration, u64)>,
     deliveries: VecDeque<Delivery>,
-    /// The part of its quota that the tenant requests at each proxy, in thousandths.
-    parts: [u64; 3],
-    shares: [u32; 3],
+    /// Rate of the tenant's requests at each proxy, in thousandths of its quota.
+    demand_parts: [u64; 3],
+    withheld_parts: [u32; 3],
     withheld: u64,
     reports_arrive: bool,
 }
@@ -50,8 +51,8 @@
             lenders,
             timers,
             deliveries,
-            parts: [1000, 0, 0],
-            shares: [0; 3],
+            demand_parts: [1000, 0, 0],
+            withheld_parts: [0; 3],
             withheld: 0,
             reports_arrive,
         };
@@ -66,7 +67,7 @@
         };
         let rules = Rules::new(vec![(TENANT.into(), rule)], max_loan_time).unwrap();
         (0..3).for_each(|at| fleet.event(at, Event::Rules(rules.clone())));
-        fleet.until(80);
+        fleet.run_until(80);
         assert!(fleet.lenders.iter().all(Lender::is_bootstrapped));
         fleet
     }
@@ -97,7 +98,7 @@
         }
     }
 
-    fn until(&mut self, seconds: u64) {
+    fn run_until(&mut self, seconds: u64) {
         let roster: Vec<String> = (0..3).map(|n| format!("n{n}")).collect();
         while self.now < Duration::from_secs(seconds) {
             self.now += STEP;
@@ -116,14 +117,14 @@
                 else {
                     break;
                 };
-                let told = self.reports_arrive || kind != REPAYMENT_REPORT;
-                for at in (0..3).filter(|at| *at != from && told) {
-                    let (source, start) = (&roster[from], 1_000 + from as u64);
+                let delivered = self.reports_arrive || kind != REPAYMENT_REPORT;
+                for at in (0..3).filter(|at| *at != from && delivered) {
+                    let (source, incarnation) = (&roster[from], 1_000 + from as u64);
                     self.event(
                         at,
                         Event::Message {
                             source,
-                            incarnation: start,
+                            incarnation,
                             kind,
                             key: &key,
                             body: &body,
@@ -152,13 +153,14 @@
                 if due <= self.now {
                     self.event(at, Event::Timer(token));
                 }
-                // Each has a part of a tenth beside its traffic, as the quota meter gives it.
-                let quota = QUOTA * (self.parts[at] + 30) / 1090;
-                let withheld =
-                    quota * u64::from(self.shares[at]) / 1000 * STEP.as_millis() as u64 / 1000;
+                // Local quota by traffic, with a tenth of the quota divided evenly, as the quota meter computes it.
+                let quota = QUOTA * (self.demand_parts[at] + 30) / 1090;
+                let withheld = quota * u64::from(self.withheld_parts[at]) / 1000
+                    * STEP.as_millis() as u64
+                    / 1000;
                 self.lenders[at].repay(self.now, TENANT, withheld);
                 self.withheld += withheld;
-                self.shares[at] = self.lenders[at].withhold(self.now, TENANT, quota, 1000);
+                self.withheld_parts[at] = self.lenders[at].withhold(self.now, TENANT, quota, 1000);
             }
         }
     }
@@ -169,8 +171,9 @@
             .unwrap_or_default()
     }
 
-    /// The tenant borrows all that one proxy may lend, and moves to the others.
-    fn borrowed(reports_arrive: bool) -> (Fleet, u64) {
+    /// A fleet in which the tenant has borrowed all that the first proxy may lend, and has moved to the others. Returns the amount
+    /// owed as well.
+    fn with_borrowed_limit(reports_arrive: bool) -> (Fleet, u64) {
         let mut fleet = Fleet::new(reports_arrive);
         let mut actions = Vec::new();
         let now = fleet.now;
@@ -181,39 +184,39 @@
         let owed = fleet.totals(0).owed;
         assert!(
             owed > 10 * QUOTA / 4,
-            "{owed} of {:?}",
+            "{owed} owed, with {:?} of all shares",
             fleet.lenders[0].shares(TENANT).0 as f64 / TOTAL_SHARES as f64
         );
-        fleet.parts = [0, 500, 500];
+        fleet.demand_parts = [0, 500, 500];
         (fleet, owed)
     }
 }
 
 #[test]
 fn loans_of_a_tenant_that_has_moved_are_repaid_by_others() {
-    let (mut fleet, owed) = Fleet::borrowed(true);
-    fleet.until(100);
+    let (mut fleet, owed) = Fleet::with_borrowed_limit(true);
+    fleet.run_until(100);
     let totals = fleet.totals(0);
-    println!("{owed} were owed, {} withheld: {totals:?}", fleet.withheld);
+    println!("{owed} owed, {} withheld: {totals:?}", fleet.withheld);
     assert_eq!(
         (totals.owed, totals.written_off, totals.repaid),
         (0, 0, owed)
     );
     assert!(
         fleet.withheld <= owed + owed / 4,
-        "{} for {owed}",
+        "{} withheld for {owed} owed",
         fleet.withheld
     );
-    // No more is withheld than is owed.
+    // Once all is repaid nothing more is withheld.
     let before = fleet.withheld;
-    fleet.until(130);
+    fleet.run_until(130);
     assert_eq!(fleet.withheld, before);
 }
 
 #[test]
-fn without_their_reports_it_is_written_off() {
-    let (mut fleet, owed) = Fleet::borrowed(false);
-    fleet.until(120);
+fn loans_are_written_off_if_repayment_reports_are_lost() {
+    let (mut fleet, owed) = Fleet::with_borrowed_limit(false);
+    fleet.run_until(120);
     let totals = fleet.totals(0);
     assert!(totals.written_off > owed / 2, "{totals:?}");
 }
