--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet on virtual time with faults, and a checker that sees all loans. It trusts no totals of a lender.
+//! A fleet of lenders on virtual time with faults, and a checker that records all loans itself instead of relying on a lender's
+//! totals.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,34 +16,37 @@
 pub const LIMIT_SECONDS: u64 = 4;
 const STEP: Duration = Duration::from_millis(250);
 
+/// A published message. `at`: time of publication; it is valid for `ttl`.
 #[derive(Clone)]
 struct PublishedMessage {
-    start: u64,
+    incarnation: u64,
     sequence: u64,
     body: Vec<u8>,
     at: Duration,
     ttl: Duration,
 }
 
+/// Index of the publishing node, and kind and key of the message.
 type Key = (usize, u8, Vec<u8>);
 
 struct Process {
     lender: Lender,
-    start: u64,
+    incarnation: u64,
     token: u64,
     due: Duration,
     paused: bool,
+    /// Last received version of each message: incarnation and sequence number.
     known: BTreeMap<Key, (u64, u64)>,
 }
 
 impl Node {
-    /// What is written off by now is not what is paid.
-    fn paid(&mut self, local: Duration, mut paid: u64) {
+    /// Books a repayment of the oldest loans that are not written off yet.
+    fn record_repayment(&mut self, local: Duration, mut repaid: u64) {
         self.loans
             .retain(|(since, _)| local < *since + TERM + WRITE_OFF);
         while let Some((_, left)) = self.loans.front_mut() {
-            let part = paid.min(*left);
-            (*left, paid) = (*left - part, paid - part);
+            let part = repaid.min(*left);
+            (*left, repaid) = (*left - part, repaid - part);
             if *left > 0 {
                 break;
             }
@@ -51,7 +55,7 @@
     }
 }
 
-/// A clock of its own: where it began, and thousandths that it runs at.
+/// Clock of a node: its time at the start of the run, and its rate in thousandths of virtual time.
 #[derive(Clone, Copy)]
 struct Clock {
     origin: Duration,
@@ -69,10 +73,10 @@
     clock: Clock,
     process: Option<Process>,
     file: Option<Vec<u8>>,
-    said: BTreeMap<Key, VecDeque<PublishedMessage>>,
-    /// Loans that are out, by the time of its clock, of this memory and of former ones.
+    published: BTreeMap<Key, VecDeque<PublishedMessage>>,
+    /// Open loans: time by the node's clock, and the amount left. Those whose state file was lost are in `loans_before_loss`.
     loans: VecDeque<(Duration, u64)>,
-    former: VecDeque<(Duration, u64)>,
+    loans_before_loss: VecDeque<(Duration, u64)>,
     lent: u64,
 }
 
@@ -80,25 +84,30 @@
     rng: ChaCha8Rng,
     pub now: Duration,
     nodes: Vec<Node>,
-    side: Vec<u8>,
-    drops: u32,
+    /// Partition of each node; only nodes of the same partition reach each other.
+    partition: Vec<u8>,
+    /// Loss of messages between nodes, in percent.
+    loss_percent: u32,
     has_state_file: bool,
     guards: Guards,
     sequence: u64,
+    /// Quota of the whole fleet by each node's rules, in thousandths of a request per second.
     quota: Vec<u64>,
-    /// Accounts that were taken over, by whom.
-    taken: BTreeMap<AccountId, usize>,
+    /// Accounts that were taken over, and the index of the node that did.
+    taken_over_by: BTreeMap<AccountId, usize>,
     pub lent: u64,
     pub takeovers: usize,
-    wrong_memberships: bool,
+    /// Now and then membership permits lending to a node that reaches no majority.
+    false_memberships: bool,
+    /// Every save succeeds.
     pub reliable_disks: bool,
-    /// Nothing is asked beyond quota.
-    pub quiet: bool,
-    /// Bytes of all messages.
+    /// No requests beyond quota arrive.
+    pub idle: bool,
+    /// Bytes of the bodies and keys of all published messages.
     pub published_bytes: usize,
-    /// How readily links heal.
+    /// Probability with which a drawn fault ends a partition.
     heal_probability: f64,
-    /// Is killed then.
+    /// Index of a node that crashes, and the time of the crash.
     kill_at: Option<(usize, Duration)>,
 }
 
@@ -113,9 +122,9 @@
             },
             process: None,
             file: None,
-            said: BTreeMap::new(),
+            published: BTreeMap::new(),
             loans: VecDeque::new(),
-            former: VecDeque::new(),
+            loans_before_loss: VecDeque::new(),
             lent: 0,
         };
         let nodes = (0..members).map(node).collect();
@@ -123,18 +132,18 @@
             rng,
             now: Duration::ZERO,
             nodes,
-            side: vec![0; members],
-            drops: 0,
+            partition: vec![0; members],
+            loss_percent: 0,
             has_state_file,
             guards,
             sequence: 1,
             quota: vec![members as u64 * 4000; members],
-            taken: BTreeMap::new(),
+            taken_over_by: BTreeMap::new(),
             lent: 0,
             takeovers: 0,
-            wrong_memberships: true,
+            false_memberships: true,
             reliable_disks: false,
-            quiet: false,
+            idle: false,
             published_bytes: 0,
             heal_probability: if seed.is_multiple_of(2) { 1.0 } else { 0.2 },
             kill_at: None,
@@ -153,7 +162,7 @@
             classes: vec!["normal".into()],
             max_rate: 1 << 40,
         };
-        Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is sound")
+        Rules::new(vec![(TENANT.into(), rule)], TERM + WRITE_OFF).expect("the rule is valid")
     }
 
     fn credit_limit(&self) -> u64 {
@@ -163,54 +172,58 @@
             .map_or(0, |quota| quota * LIMIT_SECONDS)
     }
 
-    pub fn start(&mut self, at: usize, keep_file: bool) {
+    pub fn start(&mut self, at: usize, keeps_file: bool) {
         self.sequence += 1;
-        let start = 1_700_000_000_000 + self.sequence * 7;
+        let incarnation = 1_700_000_000_000 + self.sequence * 7;
         let local = self.nodes[at].clock.at(self.now);
-        let mut config = Config::new(&self.nodes[at].name, start, self.has_state_file);
+        let mut config = Config::new(&self.nodes[at].name, incarnation, self.has_state_file);
         config.max_loan_time = TERM + WRITE_OFF;
         config.lease = Duration::from_secs(1);
         config.exchange_interval = STEP;
         config.guards = self.guards;
-        if !keep_file {
+        if !keeps_file {
             self.nodes[at].file = None;
         }
-        let remembers = self.nodes[at].file.is_some();
+        let has_file = self.nodes[at].file.is_some();
         let lender = Lender::new(&config, local, self.nodes[at].file.as_deref());
         let node = &mut self.nodes[at];
-        if !remembers {
+        if !has_file {
             let loans = std::mem::take(&mut node.loans);
-            node.former.extend(loans);
+            node.loans_before_loss.extend(loans);
         }
         node.process = Some(Process {
             lender,
-            start,
+            incarnation,
             token: 0,
             due: self.now,
             paused: false,
             known: BTreeMap::new(),
         });
         let rules = self.rules(at);
-        self.event(at, Event::Rules(rules));
+        self.handle_event(at, Event::Rules(rules));
     }
 
-    fn event(&mut self, at: usize, event: Event<'_>) {
+    fn handle_event(&mut self, at: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         let (now, node) = (self.now, &mut self.nodes[at]);
         let local = node.clock.at(now);
         let Some(process) = node.process.as_mut() else {
             return;
         };
-        let repaid = |lender: &Lender| lender.totals(local, TENANT).map_or(0, |book| book.repaid);
-        let before = repaid(&process.lender);
+        let total_repaid = |lender: &Lender| {
+            lender
+                .totals(local, TENANT)
+                .map_or(0, |totals| totals.repaid)
+        };
+        let before = total_repaid(&process.lender);
         process.lender.handle(local, event, &mut actions);
-        // Others may have paid for it.
-        let paid = repaid(&process.lender).saturating_sub(before);
-        node.paid(local, paid);
-        self.act(at, actions);
+        // Other nodes may have reported repayments.
+        let repaid = total_repaid(&process.lender).saturating_sub(before);
+        node.record_repayment(local, repaid);
+        self.perform(at, actions);
     }
 
-    fn act(&mut self, at: usize, actions: Vec<Action>) {
+    fn perform(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Publish {
@@ -219,29 +232,35 @@
                     body,
                     ttl,
                 } => {
-                    assert!(body.len() <= 512 && key.len() <= 32, "a fact is too long");
+                    assert!(
+                        body.len() <= 512 && key.len() <= 32,
+                        "body or key exceeds the maximum length"
+                    );
                     self.sequence += 1;
                     self.published_bytes += body.len() + key.len();
                     let node = &mut self.nodes[at];
-                    let start = node.process.as_ref().map_or(0, |process| process.start);
-                    let said = PublishedMessage {
-                        start,
+                    let incarnation = node
+                        .process
+                        .as_ref()
+                        .map_or(0, |process| process.incarnation);
+                    let published = PublishedMessage {
+                        incarnation,
                         sequence: self.sequence,
                         body,
                         at: self.now,
                         ttl,
                     };
-                    let versions = node.said.entry((at, kind, key)).or_default();
-                    versions.push_back(said);
+                    let versions = node.published.entry((at, kind, key)).or_default();
+                    versions.push_back(published);
                     if versions.len() > 3 {
                         versions.pop_front();
                     }
                 }
                 Action::Save { sequence, bytes } => {
-                    // A disk that is slow, or gives up: then nothing is confirmed until the next start.
+                    // A save that never completes: no further save is confirmed until the next start.
                     if self.rng.random_range(0..2000) > 0 || self.reliable_disks {
                         self.nodes[at].file = Some(bytes);
-                        self.event(at, Event::Saved(sequence));
+                        self.handle_event(at, Event::Saved(sequence));
                     }
                 }
                 Action::Timer { after, token } => {
@@ -256,8 +275,8 @@
         }
     }
 
-    fn linked(&self, a: usize, b: usize) -> bool {
-        self.side[a] == self.side[b]
+    fn is_linked(&self, a: usize, b: usize) -> bool {
+        self.partition[a] == self.partition[b]
     }
 
     fn update_membership(&mut self, at: usize) {
@@ -265,7 +284,7 @@
             .map(|other| Member {
                 name: self.nodes[other].name.clone(),
                 incarnation: 0,
-                up: self.linked(at, other)
+                up: self.is_linked(at, other)
                     && self.nodes[other]
                         .process
                         .as_ref()
@@ -273,55 +292,61 @@
             })
             .collect();
         let roster: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
-        let heard = members.iter().filter(|member| member.up).count();
-        let lend = heard * 2 > members.len() || self.wrong_memberships && self.rng.random_bool(0.3);
-        self.event(
+        let reachable = members.iter().filter(|member| member.up).count();
+        let may_lend =
+            reachable * 2 > members.len() || self.false_memberships && self.rng.random_bool(0.3);
+        self.handle_event(
             at,
             Event::Membership {
-                may_lend: lend,
+                may_lend,
                 roster: &roster,
                 members: &members,
             },
         );
     }
 
-    /// One receives what another knows or publishes: some of it old or twice, some lost.
+    /// Node `at` receives the messages that node `from` publishes or has received: some are outdated or repeated, some are lost.
     fn receive(&mut self, at: usize, from: usize) {
         let keys: Vec<Key> = {
-            let Some(there) = &self.nodes[from].process else {
+            let Some(process) = &self.nodes[from].process else {
                 return;
             };
-            there
+            process
                 .known
                 .keys()
-                .chain(self.nodes[from].said.keys())
+                .chain(self.nodes[from].published.keys())
                 .cloned()
                 .collect()
         };
         for key in keys.into_iter().filter(|key| key.0 != at) {
-            if self.drops > 0 && self.rng.random_range(0..100) < self.drops {
+            if self.loss_percent > 0 && self.rng.random_range(0..100) < self.loss_percent {
                 continue;
             }
             let old = self.rng.random_range(0..40) == 0;
-            let there = self.nodes[from]
+            let known_version = self.nodes[from]
                 .process
                 .as_ref()
                 .and_then(|process| process.known.get(&key))
                 .copied();
-            let versions = &self.nodes[key.0].said[&key];
-            let has = |said: &&PublishedMessage| {
-                key.0 == from || there.is_some_and(|v| (said.start, said.sequence) <= v)
+            let versions = &self.nodes[key.0].published[&key];
+            let has = |published: &&PublishedMessage| {
+                key.0 == from
+                    || known_version
+                        .is_some_and(|v| (published.incarnation, published.sequence) <= v)
             };
             let mut versions = versions.iter().rev().filter(has);
-            let said = if old {
+            let published = if old {
                 versions.next_back()
             } else {
                 versions.next()
             };
-            let Some(said) = said.filter(|said| self.now < said.at + said.ttl).cloned() else {
+            let Some(published) = published
+                .filter(|published| self.now < published.at + published.ttl)
+                .cloned()
+            else {
                 continue;
             };
-            let version = (said.start, said.sequence);
+            let version = (published.incarnation, published.sequence);
             let Some(process) = self.nodes[at].process.as_mut() else {
                 return;
             };
@@ -331,20 +356,20 @@
             }
             process.known.insert(key.clone(), known.max(version));
             let source = self.nodes[key.0].name.clone();
-            let (key, kind, age) = (key.2, key.1, self.now - said.at);
-            let fact = Event::Message {
+            let (key, kind, age) = (key.2, key.1, self.now - published.at);
+            let message = Event::Message {
                 source: &source,
-                incarnation: said.start,
+                incarnation: published.incarnation,
                 kind,
                 key: &key,
-                body: &said.body,
+                body: &published.body,
                 age,
             };
-            self.event(at, fact);
+            self.handle_event(at, message);
         }
     }
 
-    pub fn ask(&mut self, at: usize) {
+    pub fn request_loan(&mut self, at: usize) {
         let local = self.nodes[at].clock.at(self.now);
         let mut actions = Vec::new();
         let Some(process) = self.nodes[at].process.as_mut() else {
@@ -353,11 +378,11 @@
         if process.paused {
             return;
         }
-        let verdict = process
+        let decision = process
             .lender
             .decide(local, TENANT, "normal", 1000, &mut actions);
-        self.act(at, actions);
-        if verdict == Decision::Borrowed {
+        self.perform(at, actions);
+        if decision == Decision::Borrowed {
             let node = &mut self.nodes[at];
             node.loans.push_back((local, 1000));
             node.lent += 1000;
@@ -372,14 +397,14 @@
         };
         let local = node.clock.at(self.now);
         if elsewhere {
-            // Little of its quota is here, so that others are asked; these withhold more than is owed to them.
+            // With little local quota the lender requests repayment from others; these withhold more than is owed to them.
             process.lender.withhold(local, TENANT, amount / 8, 1000);
         }
-        let paid = process.lender.repay(local, TENANT, amount);
-        node.paid(local, paid);
+        let repaid = process.lender.repay(local, TENANT, amount);
+        node.record_repayment(local, repaid);
     }
 
-    /// A quarter of a second: faults, messages, requests; then the checker.
+    /// Runs a quarter of a second: faults, messages and requests, followed by the checks.
     pub fn step(&mut self, faults: bool) -> Result<(), String> {
         self.now += Duration::from_millis(250);
         let members = self.nodes.len();
@@ -403,22 +428,22 @@
                 .map(|process| (process.due, process.token));
             if let Some((due, token)) = process.filter(|(due, _)| *due <= self.now) {
                 let _ = due;
-                self.event(at, Event::Timer(token));
+                self.handle_event(at, Event::Timer(token));
             }
             for _ in 0..3 {
                 let from = self.rng.random_range(0..members);
-                if from != at && self.linked(at, from) {
-                    let awake =
-                        |node: &Node| node.process.as_ref().is_some_and(|there| !there.paused);
-                    if awake(&self.nodes[from]) {
+                if from != at && self.is_linked(at, from) {
+                    let is_running =
+                        |node: &Node| node.process.as_ref().is_some_and(|process| !process.paused);
+                    if is_running(&self.nodes[from]) {
                         self.receive(at, from);
                     }
                 }
             }
-            // One proxy has most of the traffic for a while.
-            let asks = if self.busy() == at { 12 } else { 2 };
-            for _ in 0..if self.quiet { 0 } else { asks } {
-                self.ask(at);
+            // One node at a time has most of the traffic.
+            let requests = if self.busy() == at { 12 } else { 2 };
+            for _ in 0..if self.idle { 0 } else { requests } {
+                self.request_loan(at);
                 self.check()?;
             }
             if self.rng.random_bool(0.3) {
@@ -447,35 +472,36 @@
             }
             2 => {
                 let sides = self.rng.random_range(2..4);
-                self.side = (0..self.nodes.len())
+                self.partition = (0..self.nodes.len())
                     .map(|_| self.rng.random_range(0..sides))
                     .collect();
             }
-            3..6 if self.rng.random_bool(self.heal_probability) => self.side.fill(0),
-            6 => self.side[at] = 9,
-            7 => self.drops = self.rng.random_range(0..60),
-            8 => self.drops = 0,
+            3..6 if self.rng.random_bool(self.heal_probability) => self.partition.fill(0),
+            6 => self.partition[at] = 9,
+            7 => self.loss_percent = self.rng.random_range(0..60),
+            8 => self.loss_percent = 0,
             9..14 | 23..28 if self.nodes[at].process.is_none() => {
-                let keep = self.rng.random_bool(0.85);
-                self.start(at, keep);
+                let keeps_file = self.rng.random_bool(0.85);
+                self.start(at, keeps_file);
             }
             14..20 => self.resume(at),
             21..23 => {
-                // Who had most of the traffic is cut off with who has it now, may give, and dies.
+                // The previously busy node is partitioned together with the one that is busy now, may transfer shares to it, and
+                // crashes.
                 let busy = self.busy();
-                let giver = (busy + self.nodes.len() - 1) % self.nodes.len();
-                (self.side[busy], self.side[giver]) = (8, 8);
-                self.kill_at = Some((giver, self.now + Duration::from_millis(750)));
+                let sender = (busy + self.nodes.len() - 1) % self.nodes.len();
+                (self.partition[busy], self.partition[sender]) = (8, 8);
+                self.kill_at = Some((sender, self.now + Duration::from_millis(750)));
             }
             20 => {
-                // Killed while it wrote: torn.
+                // A crash, sometimes during a write that leaves a truncated file.
                 let cut = self.rng.random_range(0..64);
                 let node = &mut self.nodes[at];
                 node.process = None;
                 if let Some(file) = node.file.as_mut().filter(|_| cut < 8) {
                     file.truncate(file.len().saturating_sub(1 + cut));
                     let loans = std::mem::take(&mut node.loans);
-                    node.former.extend(loans);
+                    node.loans_before_loss.extend(loans);
                 }
             }
             _ => {}
@@ -489,83 +515,89 @@
             .filter(|process| process.paused)
         {
             process.paused = false;
-            // The first thing that it does is to lend, if it may.
-            (0..8).for_each(|_| self.ask(at));
+            // A resumed process lends before it handles any other event, if its state permits.
+            (0..8).for_each(|_| self.request_loan(at));
         }
     }
 
     fn check(&mut self) -> Result<(), String> {
         let max_loan_time = TERM + WRITE_OFF;
-        // What is owed, and what may be lent this moment besides.
-        let (mut out, mut may) = (0, 0);
+        // The amount owed, and the amount that could be lent at this moment in addition.
+        let (mut owed, mut lendable) = (0, 0);
         for (at, node) in self.nodes.iter_mut().enumerate() {
             let local = node.clock.at(self.now);
-            for loans in [&mut node.loans, &mut node.former] {
+            for loans in [&mut node.loans, &mut node.loans_before_loss] {
                 loans.retain(|(since, _)| local < *since + max_loan_time);
-                out += loans.iter().map(|(_, left)| left).sum::<u64>();
+                owed += loans.iter().map(|(_, left)| left).sum::<u64>();
             }
             let Some(process) = &node.process else {
                 continue;
             };
-            if let Some(book) = process.lender.totals(local, TENANT) {
-                if book.lent != book.repaid + book.owed + book.written_off {
+            if let Some(totals) = process.lender.totals(local, TENANT) {
+                if totals.lent != totals.repaid + totals.owed + totals.written_off {
                     return Err(format!(
-                        "{} at {:?}: {book:?} does not add up",
+                        "{} at {:?}: {totals:?} does not add up",
                         node.name, self.now
                     ));
                 }
-                if local < book.lease_until {
-                    may += book.local_limit.saturating_sub(book.owed);
+                if local < totals.lease_until {
+                    lendable += totals.local_limit.saturating_sub(totals.owed);
                 }
             }
-            for lane in process.lender.accounts_taken_over() {
-                let first = *self.taken.entry(lane).or_insert_with(|| {
+            for account in process.lender.accounts_taken_over() {
+                let first = *self.taken_over_by.entry(account).or_insert_with(|| {
                     self.takeovers += 1;
                     at
                 });
                 if first != at {
                     return Err(format!(
-                        "{lane:?} was taken by {first} and {at} at {:?}",
+                        "{account:?} was taken over by nodes {first} and {at}, at {:?}",
                         self.now
                     ));
                 }
             }
         }
-        if out + may > self.credit_limit() {
-            let line = self.credit_limit();
+        if owed + lendable > self.credit_limit() {
+            let limit = self.credit_limit();
             return Err(format!(
-                "{out} is owed at {:?}, {may} may be lent, of a line of {line}",
+                "{owed} owed and {lendable} lendable at {:?}, with a credit limit of {limit}",
                 self.now
             ));
         }
         Ok(())
     }
 
-    /// The most that any account has sent in all.
-    pub fn sent_most(&self) -> u64 {
-        let said = self
+    /// Greatest total of shares that any account has sent.
+    pub fn max_sent(&self) -> u64 {
+        let published = self
             .nodes
             .iter()
-            .flat_map(|node| &node.said)
+            .flat_map(|node| &node.published)
             .filter(|((_, kind, _), _)| *kind == BALANCES);
-        let rows =
-            said.filter_map(|(_, versions)| decode::<PublishedBalances>(&versions.back()?.body));
-        rows.map(|said| said.balances.sent.values().sum())
+        let balances = published
+            .filter_map(|(_, versions)| decode::<PublishedBalances>(&versions.back()?.body));
+        balances
+            .map(|published| published.balances.sent.values().sum())
             .max()
             .unwrap_or(0)
     }
 
-    pub fn founded(&self) -> usize {
-        let founded = |node: &&Node| {
+    pub fn count_bootstrapped(&self) -> usize {
+        let is_bootstrapped = |node: &&Node| {
             node.process
                 .as_ref()
                 .is_some_and(|process| process.lender.is_bootstrapped())
         };
-        self.nodes.iter().filter(founded).count()
+        self.nodes.iter().filter(is_bootstrapped).count()
     }
 
-    /// A schedule: bootstrap without faults, then faults.
-    pub fn play(seed: u64, members: usize, steps: usize, guards: Guards) -> Result<Fleet, String> {
+    /// Runs a schedule: a bootstrap without faults, then steps with faults.
+    pub fn run_with_faults(
+        seed: u64,
+        members: usize,
+        steps: usize,
+        guards: Guards,
+    ) -> Result<Fleet, String> {
         let mut fleet = Fleet::new(seed, members, !seed.is_multiple_of(4), guards);
         for _ in 0..80 {
             fleet.step(false)?;
@@ -576,87 +608,93 @@
         Ok(fleet)
     }
 
-    pub fn peace(seed: u64, guards: Guards) -> Result<Fleet, String> {
+    pub fn run_without_faults(seed: u64, guards: Guards) -> Result<Fleet, String> {
         let mut fleet = Fleet::new(seed, 5, true, guards);
-        // Up to the moment at which another becomes busy.
+        // 25 s: the time at which the next node becomes the busy one.
         while fleet.now < Duration::from_secs(25) {
             fleet.step(false)?;
         }
         Ok(fleet)
     }
 
-    pub fn steps(&mut self, steps: usize) -> Result<(), String> {
+    pub fn run_steps(&mut self, steps: usize) -> Result<(), String> {
         (0..steps).try_for_each(|_| self.step(false))
     }
 
-    /// One sends shares to another when nobody else hears them, and dies; its account is taken over, and then the other returns.
+    /// A node transfers shares to another while no third node receives its messages, and crashes. Its account is taken over, and
+    /// then the receiver is reachable again.
     pub fn unwitnessed_transfer(seed: u64, guards: Guards) -> Result<Fleet, String> {
-        let mut fleet = Self::peace(seed, guards)?;
-        fleet.steps(1 + (seed % 6) as usize)?;
+        let mut fleet = Self::run_without_faults(seed, guards)?;
+        fleet.run_steps(1 + (seed % 6) as usize)?;
         let (to, from) = (fleet.busy(), (fleet.busy() + 4) % 5);
-        (fleet.side[to], fleet.side[from]) = (8, 8);
-        fleet.steps(4)?;
+        (fleet.partition[to], fleet.partition[from]) = (8, 8);
+        fleet.run_steps(4)?;
         fleet.nodes[from].process = None;
-        // Until what it said has lapsed.
-        fleet.steps(17)?;
-        fleet.side.fill(0);
-        fleet.steps(40)?;
+        // Until its messages have expired.
+        fleet.run_steps(17)?;
+        fleet.partition.fill(0);
+        fleet.run_steps(40)?;
         Ok(fleet)
     }
 
-    /// One is cut off until its account is taken over, and then is heard again.
+    /// A node is partitioned from all others until its account is taken over, and then is reachable again.
     pub fn cut_off(seed: u64, guards: Guards) -> Result<Fleet, String> {
-        let mut fleet = Self::peace(seed, guards)?;
-        fleet.side[(seed % 5) as usize] = 9;
-        fleet.steps(60)?;
-        fleet.side.fill(0);
-        fleet.steps(40)?;
+        let mut fleet = Self::run_without_faults(seed, guards)?;
+        fleet.partition[(seed % 5) as usize] = 9;
+        fleet.run_steps(60)?;
+        fleet.partition.fill(0);
+        fleet.run_steps(40)?;
         Ok(fleet)
     }
 
-    /// The busy one is killed while its loans are out, and returns at once with its file.
+    /// The busy node crashes while its loans are open, and restarts at once with its state file.
     pub fn kill_and_return(seed: u64, guards: Guards) -> Result<Fleet, String> {
-        let mut fleet = Self::peace(seed, guards)?;
-        fleet.steps(1 + (seed % 12) as usize)?;
+        let mut fleet = Self::run_without_faults(seed, guards)?;
+        fleet.run_steps(1 + (seed % 12) as usize)?;
         let busy = fleet.busy();
-        (0..80).for_each(|_| fleet.ask(busy));
+        (0..80).for_each(|_| fleet.request_loan(busy));
         fleet.nodes[busy].process = None;
         fleet.start(busy, true);
-        fleet.steps(20)?;
+        fleet.run_steps(20)?;
         Ok(fleet)
     }
 
-    /// The rules of one become stricter: what all parts come to once all have heard it, and its stricter line.
-    pub fn stricter(seed: u64) -> Result<(u64, u64), String> {
-        let mut fleet = Self::peace(seed, Guards::ALL)?;
+    /// One node's rules become stricter. Returns the sum of all local limits, once all nodes have received its credit limit, and
+    /// this limit.
+    pub fn stricter_rule(seed: u64) -> Result<(u64, u64), String> {
+        let mut fleet = Self::run_without_faults(seed, Guards::ALL)?;
         let at = (seed % 5) as usize;
         let former = fleet.credit_limit();
         fleet.quota[at] /= 4;
         let rules = fleet.rules(at);
-        fleet.event(at, Event::Rules(rules));
-        // What was lent before has to be over.
-        fleet.steps(24)?;
+        fleet.handle_event(at, Event::Rules(rules));
+        // Loans from before have to be over.
+        fleet.run_steps(24)?;
         let part = |at: usize| {
             fleet
                 .withheld(at, 0, Duration::ZERO)
                 .1
-                .map_or(0, |book| book.local_limit)
+                .map_or(0, |totals| totals.local_limit)
         };
         Ok(((0..5).map(part).sum(), former / 4))
     }
 
-    /// Asks until the answer is no.
+    /// Requests loans until one is denied. Returns that decision.
     pub fn exhaust(&mut self, at: usize) -> Decision {
         let local = self.nodes[at].clock.at(self.now);
-        let lender = &mut self.nodes[at].process.as_mut().expect("it runs").lender;
-        let mut asked =
+        let lender = &mut self.nodes[at]
+            .process
+            .as_mut()
+            .expect("the node is up")
+            .lender;
+        let mut decisions =
             (0..1000).map(|_| lender.decide(local, TENANT, "normal", 1000, &mut Vec::new()));
-        asked
-            .find(|verdict| *verdict != Decision::Borrowed)
+        decisions
+            .find(|decision| *decision != Decision::Borrowed)
             .unwrap_or(Decision::Borrowed)
     }
 
-    /// Withheld at such a use of the quota of one request a second; and the book.
+    /// Thousandths of the quota to withhold if `used` thousandths are in use, and the totals, at the time `later` from now.
     pub fn withheld(
         &mut self,
         at: usize,
@@ -664,18 +702,22 @@
         later: Duration,
     ) -> (u32, Option<quota_lending::LoanTotals>) {
         let local = self.nodes[at].clock.at(self.now) + later;
-        let lender = &mut self.nodes[at].process.as_mut().expect("it runs").lender;
+        let lender = &mut self.nodes[at]
+            .process
+            .as_mut()
+            .expect("the node is up")
+            .lender;
         (
             lender.withhold(local, TENANT, 1 << 40, used),
             lender.totals(local, TENANT),
         )
     }
 
-    pub fn founded_in_peace(seed: u64) -> Fleet {
-        Self::peace(seed, Guards::ALL).unwrap_or_else(|wrong| panic!("{wrong}"))
+    pub fn bootstrapped_fleet(seed: u64) -> Fleet {
+        Self::run_without_faults(seed, Guards::ALL).unwrap_or_else(|error| panic!("{error}"))
     }
 
-    pub fn tell(&mut self, at: usize, event: Event<'_>) {
-        self.event(at, event);
+    pub fn send_event(&mut self, at: usize, event: Event<'_>) {
+        self.handle_event(at, event);
     }
 }
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model check of the lender itself: three proxies, a line of three requests, every cut, loss, kill, return with and without
-//! its file, in every order, up to a depth.
+//! Model check of the lender: three proxies and a credit limit of three requests, with link failures, crashes, and restarts with
+//! and without the state file, in every order up to a depth.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,15 +13,18 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const CREDIT_LIMIT: u64 = 3000;
 
-/// Start, body, when said, how long it lasts.
-type Said = (u64, Vec<u8>, Duration, Duration);
+/// Incarnation of the publishing process, body, time of publication, and time for which the message is valid.
+type PublishedMessage = (u64, Vec<u8>, Duration, Duration);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Proxy {
+    /// The lender and the incarnation of its process; `None` while the proxy is down.
     lender: Option<(Lender, u64)>,
     token: u64,
     file: Option<Vec<u8>>,
-    said: BTreeMap<(u8, Vec<u8>), Said>,
+    /// Last published message by kind and key.
+    published: BTreeMap<(u8, Vec<u8>), PublishedMessage>,
+    /// Times of the loans of 500 thousandths that are not over.
     loans: Vec<Duration>,
 }
 
@@ -30,47 +33,57 @@
     now: Duration,
     ticks: u8,
     proxies: Vec<Proxy>,
-    taken: BTreeSet<(AccountId, usize)>,
+    /// Accounts that were taken over, and the index of the proxy that did.
+    taken_over: BTreeSet<(AccountId, usize)>,
     faults: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A tick in which these ordered pairs don't hear: a bit for each.
+    /// One tick. The bits are the links, ordered pairs of proxies, that deliver nothing in it.
     Tick(u16),
-    Kill(usize),
-    Return(usize, bool),
+    /// The proxy with this index crashes.
+    Crash(usize),
+    /// The proxy with this index restarts, with its state file if the flag is set.
+    Restart(usize, bool),
 }
 
-struct Three {
+struct LendingModel {
     guards: Guards,
     ticks: u8,
     faults: u8,
-    /// With a lease in which gifts are made, and from where each has given away more than 32 bits count.
-    gifts: bool,
+    /// Use a lease long enough for transfers, and start after proxies have sent more shares than 32 bits can count.
+    with_transfers: bool,
 }
 
-fn bit(to: usize, from: usize) -> u16 {
+fn link_bit(to: usize, from: usize) -> u16 {
     1 << (to * 3 + from)
 }
 
-/// All hear all; each one apart; each one deaf; each one mute; nobody hears.
-fn cuts() -> Vec<u16> {
-    let deaf = |at: usize| (0..3).map(|from| bit(at, from)).sum::<u16>();
-    let mute = |at: usize| (0..3).map(|to| bit(to, at)).sum::<u16>();
-    let mut cuts = vec![0];
+/// Sets of failed links, one per tick: none; for each proxy, those of an isolated proxy, and those of one that receives nothing.
+fn link_failures() -> Vec<u16> {
+    let receives_nothing = |at: usize| (0..3).map(|from| link_bit(at, from)).sum::<u16>();
+    let sends_nothing = |at: usize| (0..3).map(|to| link_bit(to, at)).sum::<u16>();
+    let mut failures = vec![0];
     for at in 0..3 {
-        cuts.extend([deaf(at) | mute(at), deaf(at)]);
+        failures.extend([
+            receives_nothing(at) | sends_nothing(at),
+            receives_nothing(at),
+        ]);
     }
-    cuts
+    failures
 }
 
-impl Three {
-    fn lender(&self, at: usize, start: u64, now: Duration, file: Option<&[u8]>) -> Lender {
-        let mut config = Config::new(NAMES[at], start, true);
+impl LendingModel {
+    fn lender(&self, at: usize, incarnation: u64, now: Duration, file: Option<&[u8]>) -> Lender {
+        let mut config = Config::new(NAMES[at], incarnation, true);
         (config.max_loan_time, config.lease, config.exchange_interval) =
             (Duration::from_millis(900), TICK + TICK / 2, TICK);
-        config.lease += if self.gifts { TICK } else { Duration::ZERO };
+        config.lease += if self.with_transfers {
+            TICK
+        } else {
+            Duration::ZERO
+        };
         config.guards = self.guards;
         let mut lender = Lender::new(&config, now, file);
         let rule = Rule {
@@ -82,12 +95,13 @@
             classes: vec!["any".into()],
             max_rate: 1 << 40,
         };
-        let rules = Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("sound");
+        let rules =
+            Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("the rule is valid");
         lender.handle(now, Event::Rules(rules), &mut Vec::new());
         lender
     }
 
-    fn act(proxy: &mut Proxy, now: Duration, actions: Vec<Action>) {
+    fn perform(proxy: &mut Proxy, now: Duration, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Publish {
@@ -96,8 +110,13 @@
                     body,
                     ttl,
                 } => {
-                    let start = proxy.lender.as_ref().map_or(0, |(_, start)| *start);
-                    proxy.said.insert((kind, key), (start, body, now, ttl));
+                    let incarnation = proxy
+                        .lender
+                        .as_ref()
+                        .map_or(0, |(_, incarnation)| *incarnation);
+                    proxy
+                        .published
+                        .insert((kind, key), (incarnation, body, now, ttl));
                 }
                 Action::Save { sequence, bytes } => {
                     proxy.file = Some(bytes);
@@ -105,7 +124,7 @@
                     if let Some((lender, _)) = &mut proxy.lender {
                         lender.handle(now, Event::Saved(sequence), &mut more);
                     }
-                    Self::act(proxy, now, more);
+                    Self::perform(proxy, now, more);
                 }
                 Action::Timer { token, .. } => proxy.token = token,
                 Action::Notice(_) => {}
@@ -113,29 +132,31 @@
         }
     }
 
-    fn event(proxy: &mut Proxy, now: Duration, event: Event<'_>) {
+    fn handle_event(proxy: &mut Proxy, now: Duration, event: Event<'_>) {
         let mut actions = Vec::new();
         if let Some((lender, _)) = &mut proxy.lender {
             lender.handle(now, event, &mut actions);
         }
-        Self::act(proxy, now, actions);
+        Self::perform(proxy, now, actions);
     }
 
-    /// `busy`: the one that is asked, or all.
-    fn tick(state: &mut State, cut: u16, busy: Option<usize>) {
+    /// `busy`: index of the only proxy with requests; `None` if all have requests.
+    fn tick(state: &mut State, failed_links: u16, busy: Option<usize>) {
         state.now += TICK;
         let now = state.now;
         let roster: Vec<String> = NAMES.iter().map(|name| (*name).to_owned()).collect();
         for to in 0..3 {
-            let up = |from: usize| state.proxies[from].lender.is_some() && cut & bit(to, from) == 0;
+            let up = |from: usize| {
+                state.proxies[from].lender.is_some() && failed_links & link_bit(to, from) == 0
+            };
             let member = |at: usize| Member {
                 name: NAMES[at].into(),
                 incarnation: 0,
                 up: at == to || up(at),
             };
             let members: Vec<Member> = (0..3).map(member).collect();
-            // The view is as wrong as it can be: the line must not hang on it.
-            Self::event(
+            // The reported membership is as wrong as possible: the credit limit must not depend on it.
+            Self::handle_event(
                 &mut state.proxies[to],
                 now,
                 Event::Membership {
@@ -145,26 +166,26 @@
                 },
             );
             let token = state.proxies[to].token;
-            Self::event(&mut state.proxies[to], now, Event::Timer(token));
+            Self::handle_event(&mut state.proxies[to], now, Event::Timer(token));
         }
-        // Twice, so that what was answered comes back within the tick.
+        // Each pair exchanges in both directions, so that replies arrive within the same tick.
         for (to, from) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-            if cut & bit(to, from) != 0 || state.proxies[from].lender.is_none() {
+            if failed_links & link_bit(to, from) != 0 || state.proxies[from].lender.is_none() {
                 continue;
             }
-            let said = state.proxies[from].said.clone();
-            for ((kind, key), (start, body, at, ttl)) in said {
+            let published = state.proxies[from].published.clone();
+            for ((kind, key), (incarnation, body, at, ttl)) in published {
                 if now < at + ttl {
                     let (source, age) = (NAMES[from], now - at);
-                    let fact = Event::Message {
+                    let message = Event::Message {
                         source,
-                        incarnation: start,
+                        incarnation,
                         kind,
                         key: &key,
                         body: &body,
                         age,
                     };
-                    Self::event(&mut state.proxies[to], now, fact);
+                    Self::handle_event(&mut state.proxies[to], now, message);
                 }
             }
         }
@@ -180,11 +201,11 @@
                     break;
                 };
                 if lender.decide(now, "s", "any", 500, &mut actions) != Decision::Borrowed {
-                    Self::act(proxy, now, actions);
+                    Self::perform(proxy, now, actions);
                     break;
                 }
                 proxy.loans.push(now);
-                Self::act(proxy, now, actions);
+                Self::perform(proxy, now, actions);
             }
         }
         for (at, proxy) in state.proxies.iter().enumerate() {
@@ -192,13 +213,13 @@
                 continue;
             };
             state
-                .taken
-                .extend(lender.accounts_taken_over().map(|lane| (lane, at)));
+                .taken_over
+                .extend(lender.accounts_taken_over().map(|account| (account, at)));
         }
     }
 }
 
-impl Model for Three {
+impl Model for LendingModel {
     type State = State;
     type Action = Step;
 
@@ -210,7 +231,7 @@
             )),
             token: 0,
             file: None,
-            said: BTreeMap::new(),
+            published: BTreeMap::new(),
             loans: vec![],
         };
         let proxies = (0..3).map(proxy).collect();
@@ -218,53 +239,57 @@
             now: Duration::ZERO,
             ticks: 0,
             proxies,
-            taken: BTreeSet::new(),
+            taken_over: BTreeSet::new(),
             faults: 0,
         };
         (0..16).for_each(|_| Self::tick(&mut state, 0, None));
-        let founded = |proxy: &Proxy| {
+        let bootstrapped = |proxy: &Proxy| {
             proxy
                 .lender
                 .as_ref()
                 .is_some_and(|(lender, _)| lender.shares("s").0 > 0)
         };
-        assert!(state.proxies.iter().all(founded), "the fleet is founded");
-        if self.gifts {
+        assert!(
+            state.proxies.iter().all(bootstrapped),
+            "all proxies must have shares after the bootstrap"
+        );
+        if self.with_transfers {
             (0..600).for_each(|tick| Self::tick(&mut state, 0, Some(tick / 8 % 3)));
-            let rows = state
+            let balances = state
                 .proxies
                 .iter()
-                .flat_map(|p| &p.said)
+                .flat_map(|p| &p.published)
                 .filter(|((kind, _), _)| *kind == BALANCES);
-            let rows = rows.filter_map(|(_, said)| decode::<PublishedBalances>(&said.1));
-            let most = rows
-                .map(|said| said.balances.sent.values().sum::<u64>())
+            let balances =
+                balances.filter_map(|(_, published)| decode::<PublishedBalances>(&published.1));
+            let max_sent = balances
+                .map(|published| published.balances.sent.values().sum::<u64>())
                 .max();
             assert!(
-                most.is_some_and(|most| most > u64::from(u32::MAX)),
-                "{most:?}"
+                max_sent.is_some_and(|max_sent| max_sent > u64::from(u32::MAX)),
+                "{max_sent:?}"
             );
         }
-        // From there; from one dead for a while; from one cut off for a while.
-        let (mut dead, mut apart) = (state.clone(), state.clone());
-        let silent = if self.gifts { 10 } else { 6 };
-        dead.proxies[2].lender = None;
-        (0..silent).for_each(|_| Self::tick(&mut dead, 0, None));
-        (0..silent).for_each(|_| Self::tick(&mut apart, cuts()[5], None));
-        vec![state, dead, apart]
+        // Start states: the bootstrapped fleet; one with a proxy crashed for a while; one with a proxy isolated for a while.
+        let (mut crashed, mut isolated) = (state.clone(), state.clone());
+        let outage_ticks = if self.with_transfers { 10 } else { 6 };
+        crashed.proxies[2].lender = None;
+        (0..outage_ticks).for_each(|_| Self::tick(&mut crashed, 0, None));
+        (0..outage_ticks).for_each(|_| Self::tick(&mut isolated, link_failures()[5], None));
+        vec![state, crashed, isolated]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
         if state.ticks < self.ticks {
-            actions.extend(cuts().into_iter().map(Step::Tick));
+            actions.extend(link_failures().into_iter().map(Step::Tick));
         }
         if state.faults >= self.faults {
             return;
         }
         for (at, proxy) in state.proxies.iter().enumerate() {
             match proxy.lender {
-                Some(_) => actions.push(Step::Kill(at)),
-                None => actions.extend([Step::Return(at, true), Step::Return(at, false)]),
+                Some(_) => actions.push(Step::Crash(at)),
+                None => actions.extend([Step::Restart(at, true), Step::Restart(at, false)]),
             }
         }
     }
@@ -272,23 +297,23 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Tick(cut) => {
+            Step::Tick(failed_links) => {
                 state.ticks += 1;
-                Self::tick(&mut state, cut, None);
+                Self::tick(&mut state, failed_links, None);
             }
-            Step::Kill(at) => {
+            Step::Crash(at) => {
                 state.faults += 1;
                 state.proxies[at].lender = None;
             }
-            Step::Return(at, keep) => {
+            Step::Restart(at, keeps_file) => {
                 state.faults += 1;
-                let start = 100 + u64::from(state.faults);
+                let incarnation = 100 + u64::from(state.faults);
                 let proxy = &mut state.proxies[at];
-                proxy.file = proxy.file.take().filter(|_| keep);
+                proxy.file = proxy.file.take().filter(|_| keeps_file);
                 proxy.token = 0;
                 proxy.lender = Some((
-                    self.lender(at, start, state.now, proxy.file.as_deref()),
-                    start,
+                    self.lender(at, incarnation, state.now, proxy.file.as_deref()),
+                    incarnation,
                 ));
             }
         }
@@ -297,8 +322,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the line holds", |_, state: &State| {
-                let out: u64 = state
+            Property::always("the credit limit holds", |_, state: &State| {
+                let owed: u64 = state
                     .proxies
                     .iter()
                     .map(|proxy| proxy.loans.len() as u64 * 500)
@@ -307,30 +332,33 @@
                     .proxies
                     .iter()
                     .filter_map(|proxy| proxy.lender.as_ref());
-                let books = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
-                let lends = books.filter(|book| state.now < book.lease_until);
-                out + lends
-                    .map(|book| book.local_limit.saturating_sub(book.owed))
+                let totals = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
+                let lending = totals.filter(|totals| state.now < totals.lease_until);
+                owed + lending
+                    .map(|totals| totals.local_limit.saturating_sub(totals.owed))
                     .sum::<u64>()
                     <= CREDIT_LIMIT
             }),
-            Property::always("a lane is taken once", |_, state: &State| {
-                let lanes: BTreeSet<AccountId> =
-                    state.taken.iter().map(|(lane, _)| *lane).collect();
-                lanes.len() == state.taken.len()
+            Property::always("an account is taken over once", |_, state: &State| {
+                let accounts: BTreeSet<AccountId> = state
+                    .taken_over
+                    .iter()
+                    .map(|(account, _)| *account)
+                    .collect();
+                accounts.len() == state.taken_over.len()
             }),
-            Property::always("books add up", |_, state: &State| {
+            Property::always("totals add up", |_, state: &State| {
                 let lenders = state
                     .proxies
                     .iter()
                     .filter_map(|proxy| proxy.lender.as_ref());
-                let mut books = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
-                books.all(|book| book.lent == book.repaid + book.owed + book.written_off)
+                let mut totals = lenders.filter_map(|(lender, _)| lender.totals(state.now, "s"));
+                totals.all(|totals| totals.lent == totals.repaid + totals.owed + totals.written_off)
             }),
-            Property::sometimes("a lane is taken", |_, state: &State| {
-                !state.taken.is_empty()
+            Property::sometimes("an account is taken over", |_, state: &State| {
+                !state.taken_over.is_empty()
             }),
-            Property::sometimes("a loan is out", |_, state: &State| {
+            Property::sometimes("a loan is open", |_, state: &State| {
                 state.proxies.iter().any(|proxy| !proxy.loans.is_empty())
             }),
         ]
@@ -341,42 +369,49 @@
     guards: Guards,
     ticks: u8,
     faults: u8,
-    gifts: bool,
-    most: usize,
+    with_transfers: bool,
+    max_states: usize,
 ) -> (usize, Vec<&'static str>) {
-    let began = std::time::Instant::now();
-    let model = Three {
+    let started = std::time::Instant::now();
+    let model = LendingModel {
         guards,
         ticks,
         faults,
-        gifts,
+        with_transfers,
     };
     let checker = model
         .checker()
         .threads(3)
-        .target_state_count(most)
+        .target_state_count(max_states)
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_dfs()
         .join();
     let mut found: Vec<&str> = checker.discoveries().into_keys().collect();
     found.sort_unstable();
     println!(
-        "{} states ({} different), depth {}, {:?}: {found:?}",
+        "{} states ({} unique), depth {}, {:?}: {found:?}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
-        began.elapsed()
+        started.elapsed()
     );
     (checker.unique_state_count(), found)
 }
 
 #[test]
 fn three_proxies_in_every_order() {
-    for (gifts, ticks) in [(false, 4), (true, 3)] {
-        let (states, found) = check(Guards::ALL, ticks, 2, gifts, 2_000_000);
+    for (with_transfers, ticks) in [(false, 4), (true, 3)] {
+        let (states, found) = check(Guards::ALL, ticks, 2, with_transfers, 2_000_000);
         assert!(states > 10_000, "{states} states");
-        let wrong = ["the line holds", "a lane is taken once", "books add up"];
-        assert!(!found.iter().any(|name| wrong.contains(name)), "{found:?}");
+        let violations = [
+            "the credit limit holds",
+            "an account is taken over once",
+            "totals add up",
+        ];
+        assert!(
+            !found.iter().any(|name| violations.contains(name)),
+            "{found:?}"
+        );
     }
 }
 
@@ -385,12 +420,12 @@
 fn three_proxies_in_every_order_deeper() {
     let (states, found) = check(Guards::ALL, 5, 2, false, 4_000_000);
     assert!(states > 1_000_000, "{states} states");
-    assert_eq!(found, ["a lane is taken", "a loan is out"]);
+    assert_eq!(found, ["a loan is open", "an account is taken over"]);
 }
 
-/// Guards whose loss shows within so few steps; the schedules notice the others.
+/// Disabled guards that lead to a violation within this depth. `tests/schedules.rs` covers the others.
 #[test]
-fn the_model_notices_guards_taken_away() {
+fn the_model_detects_disabled_guards() {
     let all = Guards::ALL;
     let without = [
         (
@@ -426,8 +461,8 @@
         print!("without {name}: ");
         let (_, found) = check(guards, 4, 2, false, 400_000);
         assert!(
-            found.contains(&"the line holds"),
-            "nobody notices that {name} is gone"
+            found.contains(&"the credit limit holds"),
+            "no violation found without the guard {name}"
         );
     }
 }
