--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,40 +1,40 @@
-//! Token bucket of one tenant. It is kept twice: as it is, and as it would be if nothing were withheld.
+//! Token bucket of one tenant. It keeps two levels: the actual one, and the one without withholding.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// A bucket holds what arrives at the quota's rate in this time: quotas are stated per second.
-const DEPTH: Duration = Duration::from_secs(1);
-/// ... and so many standard deviations of a Poisson stream over that time, which is within its quota too ...
-const DEVIATIONS: f64 = 3.0;
-/// ... and so many requests, for the smallest quotas.
-const SPARE: f64 = 3.0;
+/// The depth of a bucket is the quota of this time, since quotas are stated per second ...
+const DEPTH_TIME: Duration = Duration::from_secs(1);
+/// ... plus this many standard deviations of a Poisson stream over that time, which is within its quota too ...
+const DEPTH_DEVIATIONS: f64 = 3.0;
+/// ... plus this many requests, for the smallest quotas.
+const DEPTH_MARGIN: f64 = 3.0;
 
-/// Tokens at a moment.
+/// Level of a bucket at one time, in tokens.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Level {
-    /// What is left.
+    /// Tokens left.
     pub tokens: f64,
-    /// What would be left if nothing were withheld.
+    /// Tokens that would be left if nothing were withheld.
     pub tokens_unwithheld: f64,
-    /// What the bucket holds.
+    /// Maximum number of tokens.
     pub depth: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bucket {
-    /// What was left, and when; none: it was never used, and is full.
+    /// Tokens left, and the time of that level. `None` if the bucket was never used, and is full.
     tokens: Option<(f64, Time)>,
-    /// At the same time.
+    /// Tokens that would be left if nothing were withheld, at the same time.
     tokens_unwithheld: f64,
 }
 
 impl Bucket {
-    /// The level at this rate of refill, in tokens a second, of which a part is withheld.
+    /// Level at a refill rate, in tokens per second, of which the part `withheld` (0 to 1) is withheld.
     pub fn level(&self, now: Time, rate: f64, withheld: f64) -> Level {
-        let usual = rate * DEPTH.as_secs_f64();
-        let depth = usual + DEVIATIONS * usual.sqrt() + SPARE;
+        let mean = rate * DEPTH_TIME.as_secs_f64();
+        let depth = mean + DEPTH_DEVIATIONS * mean.sqrt() + DEPTH_MARGIN;
         let Some((tokens, since)) = self.tokens else {
             return Level {
                 tokens: depth,
@@ -55,7 +55,7 @@
         self.tokens_unwithheld = tokens_unwithheld;
     }
 
-    /// Keeps a level as of now, before its rate changes.
+    /// Stores a level as of now, before the refill rate changes.
     pub fn settle(&mut self, now: Time, level: Level) {
         self.tokens = self.tokens.map(|_| (level.tokens, now));
         self.tokens_unwithheld = level.tokens_unwithheld;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which requests are over their tenant's quota, as far as one of many proxies can tell.
+//! Determines which requests are over their tenant's quota, at one proxy of many.
 //!
-//! A quota is in requests a second over all proxies. A proxy does not know which share of the traffic it sees, so it estimates
-//! that share from the tenants ([`QuotaMeter::traffic_share`]): the rate of a tenant that keeps to its quota, over that quota, is
-//! never above the share. One tenant can't move the median of these ratios, and a tenant far above it is over its quota. Where
-//! the ratios tell nothing the share is taken as larger rather than smaller: a request within quota that is taken for one over
-//! it loses all its weight when capacity is short, while the opposite error costs little.
+//! A quota is in requests per second over all proxies. A proxy does not know which share of the traffic it receives, so it
+//! estimates that share from the tenants ([`QuotaMeter::traffic_share`]): for a tenant within its quota, the ratio of its local
+//! rate to the quota is never above the share. One tenant can't move the median of these ratios, and a tenant far above the
+//! median is over its quota. Where the ratios are not conclusive, the share is overestimated rather than underestimated: a request
+//! within quota that is classified as over quota loses all its weight when capacity is short, while the opposite error costs
+//! little.
 //!
-//! Proxies that reach each other exchange the traffic that each sees ([`QuotaMeter::rates`], [`QuotaMeter::set_other_proxies`]).
-//! Then the share is known for each tenant, and all shares together are the quota, as of the last messages.
+//! Proxies that reach each other exchange their local rates ([`QuotaMeter::rates`], [`QuotaMeter::set_other_proxies`]). Then the
+//! share is known for each tenant, and the local quotas of all proxies add up to the quota, as of the last messages.
 //!
 //! A loan is repaid by withholding a part of the tenant's quota: [`QuotaMeter::withhold`].
 //!
@@ -24,5 +25,5 @@
 
 use std::time::Duration;
 
-/// Time since an origin of the caller's.
+/// Time since an origin that the caller chooses.
 pub type Time = Duration;
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/meter.rs
@@ -1,46 +1,47 @@
-//! The meter: requests in, their quota status out.
+//! The meter: assigns each request its quota status.
 
 use crate::bucket::Level;
 use crate::tenant::{Counts, Tenant};
 use crate::traffic_share::TrafficShare;
 use crate::Time;
 
-/// The most of a bucket that classes of less weight than the median leave to others. One without weight leaves all of it.
-const RESERVED_MOST: f64 = 0.5;
-/// With the traffic of other proxies known, each proxy has this part of an even share beside what it sees: a tenant that was
-/// never seen here is not wholly over its quota with its first requests.
-const PRIOR: f64 = 0.1;
+/// Maximum part of a bucket that a class reserves for classes of more weight. A class without weight reserves this part, and
+/// classes of at least the median weight reserve nothing.
+const MAX_RESERVED: f64 = 0.5;
+/// Weight of an even division of the quota that is added to the rates, once the traffic of other proxies is known: the first
+/// requests of a tenant that is new to this proxy are then not all over its quota.
+const PRIOR_WEIGHT: f64 = 0.1;
 
-/// The quotas, and what they depend on.
+/// Settings of a meter.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Proxies that share the quotas; 0 counts as 1.
+    /// Number of proxies that share the quotas; 0 counts as 1.
     pub proxies: u32,
-    /// By tenant, in requests a second over all proxies; 0: unlimited.
+    /// Quota by tenant, in requests per second over all proxies; 0 means unlimited.
     pub quotas: Vec<f64>,
-    /// Priority weight by class, in any unit. A class that is missing reserves nothing for others.
+    /// Priority weight by class, in any unit. A class that is not in the list reserves nothing for others.
     pub priority_weights: Vec<f64>,
 }
 
-/// What a request is to its tenant's quota.
+/// Status of a request relative to its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
     /// The tenant has no quota.
     Unlimited,
     /// Within the quota.
     Within,
-    /// Within the quota, but in the part that is withheld: it repays a loan, and is no reason for another.
+    /// Within the quota, but in the withheld part: the request repays a loan, and may not cause another one.
     Withheld,
     /// Over the quota.
     Over,
 }
 
-/// The traffic at all other proxies that report it.
+/// Traffic at all other proxies that report it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OtherProxies {
-    /// Their number.
+    /// Number of reporting proxies.
     pub proxies: u32,
-    /// By tenant, in requests a second, of all of them together.
+    /// Sum of their rates by tenant, in requests per second.
     pub rates: Vec<f64>,
 }
 
@@ -49,15 +50,16 @@
 pub struct QuotaMeter {
     proxies: u32,
     tenants: Vec<Tenant>,
-    /// By class: the part of a bucket that it leaves to classes of more weight.
+    /// Part of a bucket, 0 to 1, that each class leaves to classes of more weight.
     reserved: Vec<f64>,
     traffic_share: TrafficShare,
-    /// Other proxies that report their traffic; none: the share is estimated.
+    /// Number of other proxies that report their traffic. `None` if the share is estimated.
     other_proxies: Option<u32>,
 }
 
-/// Classes below the median weight reserve a part. Not below the greatest: the meter knows no costs, and of two classes of great
-/// weight the greater often takes most of the work.
+/// Part of a bucket that each class reserves: only classes below the median weight reserve one. The reference is not the
+/// greatest weight: the meter does not know costs, and of two classes of great weight the greater one often takes most of the
+/// work.
 fn reserved_parts(weights: &[f64]) -> Vec<f64> {
     let mut sorted = weights.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -66,7 +68,7 @@
         .map_or(0.0, |weight| weight.max(f64::MIN_POSITIVE));
     weights
         .iter()
-        .map(|weight| RESERVED_MOST * (1.0 - weight / median).clamp(0.0, 1.0))
+        .map(|weight| MAX_RESERVED * (1.0 - weight / median).clamp(0.0, 1.0))
         .collect()
 }
 
@@ -79,18 +81,22 @@
 }
 
 impl QuotaMeter {
-    /// A meter by these settings.
+    /// Creates a meter.
     pub fn new(settings: &Settings) -> QuotaMeter {
         let mut meter = QuotaMeter::default();
         meter.configure(settings, Some);
         meter
     }
 
-    /// Takes other settings over. `former` gives the former index of a tenant, whose state is then kept.
-    pub fn configure(&mut self, settings: &Settings, former: impl Fn(usize) -> Option<usize>) {
+    /// Replaces the settings. `former_index` returns the previous index of a tenant, whose state is then kept.
+    pub fn configure(
+        &mut self,
+        settings: &Settings,
+        former_index: impl Fn(usize) -> Option<usize>,
+    ) {
         let known = std::mem::take(&mut self.tenants);
         let tenant = |(at, quota): (usize, &f64)| {
-            let known = former(at).and_then(|at| known.get(at));
+            let known = former_index(at).and_then(|at| known.get(at));
             Tenant {
                 quota: finite_or_zero(*quota).max(0.0),
                 ..known.copied().unwrap_or_default()
@@ -100,12 +106,12 @@
         self.reserved = reserved_parts(&settings.priority_weights);
         let proxies = settings.proxies.max(1);
         if std::mem::replace(&mut self.proxies, proxies) != proxies {
-            self.traffic_share.forget();
+            self.traffic_share.reset();
         }
     }
 
-    /// A request of this tenant and class has arrived. A client's retry takes nothing, since the quota is of requests and not of
-    /// attempts: its status is what a first attempt would have now.
+    /// Records the arrival of a request of a tenant and class, and returns its status. A client's retry takes no token, since the
+    /// quota counts requests and not attempts: its status is the one that a first attempt would have now.
     pub fn record_request(
         &mut self,
         now: Time,
@@ -128,18 +134,18 @@
         status
     }
 
-    /// The estimated share of the fleet's traffic that this proxy sees.
+    /// Estimated share of the fleet's traffic that this proxy receives, 0 to 1.
     pub fn traffic_share(&self) -> f64 {
         self.traffic_share.get(self.proxies)
     }
 
-    /// Rates seen here, in requests a second by tenant: to be published to other proxies.
+    /// Local rates by tenant, in requests per second, for publication to other proxies.
     pub fn rates(&mut self, now: Time) -> impl Iterator<Item = f64> + '_ {
         self.update(now);
         self.tenants.iter().map(|tenant| tenant.rate)
     }
 
-    /// What other proxies see. None: no other reports, and the share is estimated again.
+    /// Sets the traffic at other proxies. `None` if no other proxy reports; the share is then estimated again.
     pub fn set_other_proxies(&mut self, others: Option<&OtherProxies>) {
         self.other_proxies = others.map(|others| others.proxies);
         let rates = others.map_or(&[][..], |others| &others.rates);
@@ -149,33 +155,33 @@
         }
     }
 
-    /// This proxy's part of a tenant's quota, in requests a second.
+    /// This proxy's part of a tenant's quota, in requests per second.
     pub fn local_quota(&self, tenant: usize) -> f64 {
         let Some(tenant) = self.tenants.get(tenant) else {
             return 0.0;
         };
         let share = self.other_proxies.map_or(self.traffic_share(), |others| {
             let proxies = f64::from(others) + 1.0;
-            let prior = PRIOR * tenant.quota / proxies;
+            let prior = PRIOR_WEIGHT * tenant.quota / proxies;
             (tenant.rate + prior) / (tenant.rate + tenant.rate_elsewhere + prior * proxies)
         });
         tenant.quota * share.clamp(0.0, 1.0)
     }
 
-    /// The part of [`QuotaMeter::local_quota`] that a tenant uses.
+    /// Ratio of a tenant's local rate to [`QuotaMeter::local_quota`].
     pub fn utilization(&self, tenant: usize) -> f64 {
         let rate = self.tenants.get(tenant).map_or(0.0, |t| t.rate);
         rate / self.local_quota(tenant).max(f64::MIN_POSITIVE)
     }
 
-    /// Withholds this part of a tenant's quota here from now on, 0 to 1. Returns the requests that were withheld since the last
+    /// Withholds a part, 0 to 1, of a tenant's local quota from now on. Returns the number of requests withheld since the last
     /// call.
     pub fn withhold(&mut self, now: Time, tenant: usize, part: f64) -> f64 {
         let quota = self.local_quota(tenant);
         let Some(tenant) = self.tenants.get_mut(tenant) else {
             return 0.0;
         };
-        // Until now the bucket was filled with the former part withheld.
+        // Until now the bucket was refilled with the previous part withheld.
         let level = tenant.bucket.level(now, quota, tenant.withheld);
         tenant.bucket.settle(now, level);
         let elapsed = now.saturating_sub(tenant.withheld_counted_at);
@@ -185,7 +191,7 @@
         withheld
     }
 
-    /// Requests so far, by tenant.
+    /// Counts of requests so far, by tenant.
     pub fn counts(&self) -> impl Iterator<Item = Counts> + '_ {
         self.tenants.iter().map(|tenant| tenant.counts)
     }
@@ -216,7 +222,8 @@
         let within = status == RequestStatus::Within;
         let withheld = status == RequestStatus::Withheld;
         let taken = if within { cost } else { 0.0 };
-        // A request within quota takes from both, or they would drift apart and requests over quota would find the difference.
+        // A request within quota takes a token from both levels. Otherwise they would drift apart, and requests over quota could
+        // use the difference.
         let taken_unwithheld = if within || withheld { cost } else { 0.0 };
         self.bucket.set(
             now,
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of proxies, against a count that sees all requests.
+//! Fleets of proxies, compared with buckets that count all requests of the fleet.
 
 use quota::{OtherProxies, QuotaMeter, RequestStatus, Settings};
 use rand::{Rng, SeedableRng};
@@ -9,78 +9,83 @@
 
 struct Fleet {
     proxies: usize,
-    /// A tenth of the proxies get nine tenths.
+    /// A tenth of the proxies receives nine tenths of the requests.
     unequal: bool,
     quotas: &'static [f64],
-    /// Use of the quota by tenant, and in the surge.
-    usual: &'static [f64],
-    surge: &'static [f64],
-    /// Two of three proxies are gone in the surge, and the rest get their requests.
+    /// Rate by tenant, relative to its quota: outside the surge, and in it (40 s to 52 s).
+    usual_load: &'static [f64],
+    surge_load: &'static [f64],
+    /// In the surge two thirds of the proxies are down, and the rest receives their requests.
     shrinks: bool,
-    /// They tell each other what they see, and hear it so many quarters of a second late; so many are cut off from 30 s on.
-    late: Option<usize>,
-    cut: usize,
+    /// Delay of exchanged rates, in quarters of a second; `None` if the proxies exchange none.
+    exchange_delay: Option<usize>,
+    /// Number of proxies that are partitioned from the others from 30 s on.
+    isolated: usize,
 }
 
-/// Rates that proxies have published, oldest first: each receives the oldest. From some time on the first `cut` and the others don't
-/// reach each other: the majority takes the minority for dead, and the minority goes on with the last rates that it received.
+/// Rates that proxies have published, oldest first; the oldest are delivered. During a partition the first `isolated` proxies and
+/// the others don't reach each other: the majority considers the minority failed, and the minority continues with the last rates
+/// that it received.
 #[derive(Default)]
 struct Messages {
-    age: usize,
-    cut: usize,
-    past: VecDeque<Vec<Vec<f64>>>,
-    last: Vec<Vec<f64>>,
+    delay: usize,
+    isolated: usize,
+    queue: VecDeque<Vec<Vec<f64>>>,
+    last_delivered: Vec<Vec<f64>>,
 }
 
 impl Messages {
-    fn exchange(&mut self, proxies: &mut [QuotaMeter], now: Duration, apart: bool) {
-        self.past.push_back(
+    fn exchange(&mut self, proxies: &mut [QuotaMeter], now: Duration, partitioned: bool) {
+        self.queue.push_back(
             proxies
                 .iter_mut()
                 .map(|proxy| proxy.rates(now).collect())
                 .collect(),
         );
-        if self.past.len() > self.age + 1 {
-            self.past.pop_front();
+        if self.queue.len() > self.delay + 1 {
+            self.queue.pop_front();
         }
-        let (said, cut) = (&self.past[0], if apart { self.cut } else { 0 });
-        if !apart {
-            self.last.clone_from(said);
+        let (delivered, isolated) = (&self.queue[0], if partitioned { self.isolated } else { 0 });
+        if !partitioned {
+            self.last_delivered.clone_from(delivered);
         }
         for (number, proxy) in proxies.iter_mut().enumerate() {
-            let heard = |n: usize| {
-                if (n < cut) == (number < cut) {
-                    Some(&said[n])
+            let current = |n: usize| {
+                if (n < isolated) == (number < isolated) {
+                    Some(&delivered[n])
                 } else {
                     None
                 }
             };
             let last = |n: usize| {
-                if number < cut {
-                    Some(&self.last[n])
+                if number < isolated {
+                    Some(&self.last_delivered[n])
                 } else {
                     None
                 }
             };
-            let told: Vec<_> = (0..said.len())
+            let received: Vec<_> = (0..delivered.len())
                 .filter(|n| *n != number)
-                .filter_map(|n| heard(n).or(last(n)))
+                .filter_map(|n| current(n).or(last(n)))
                 .collect();
-            let rates = (0..said[0].len())
-                .map(|at| told.iter().map(|rates| rates[at]).sum())
+            let rates = (0..delivered[0].len())
+                .map(|at| received.iter().map(|rates| rates[at]).sum())
                 .collect();
             proxy.set_other_proxies(Some(&OtherProxies {
-                proxies: told.len() as u32,
+                proxies: received.len() as u32,
                 rates,
             }));
         }
     }
 }
 
-/// Of tenants that keep to their quotas: the share marked beyond. Of the others: the share of what is beyond that
-/// is missing from the marks, and of what is within that is marked, since it can't be told which of them came first;
-/// and in the surge what passes as within, of the quota: in all, and in its worst second.
-fn mislabelled(fleet: &Fleet, seed: u64) -> [f64; 5] {
+/// Errors of the classification:
+/// - of tenants within their quotas: the share of requests classified as over quota;
+/// - of the other tenants: the share of requests over quota that is missing among those classified so, and the share of
+///   requests within quota that is classified as over, since which of them arrived first is not determined;
+/// - of the other tenants in the surge: requests not classified as over quota, relative to the quota, on average and in the
+///   worst second.
+fn classification_errors(fleet: &Fleet, seed: u64) -> [f64; 5] {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let settings = Settings {
         proxies: fleet.proxies as u32,
@@ -91,30 +96,34 @@
     let mut buckets = fleet.quotas.to_vec();
     let (mut now, mut counts) = (0.0, [[[0u32; 2]; 2]; 2]);
     let mut messages = Messages {
-        age: fleet.late.unwrap_or(0),
-        cut: fleet.cut,
+        delay: fleet.exchange_delay.unwrap_or(0),
+        isolated: fleet.isolated,
         ..Messages::default()
     };
-    let (mut tells, mut passed) = (0.0, [0u32; 72]);
+    let (mut next_exchange, mut passed) = (0.0, [0u32; 72]);
     while now < 72.0 {
-        if fleet.late.is_some() && now >= tells {
+        if fleet.exchange_delay.is_some() && now >= next_exchange {
             messages.exchange(
                 &mut proxies,
                 Duration::from_secs_f64(now),
-                fleet.cut > 0 && now >= 30.0,
+                fleet.isolated > 0 && now >= 30.0,
             );
-            tells += 0.25;
+            next_exchange += 0.25;
         }
         let surge = (40.0..52.0).contains(&now);
-        let uses = if surge { fleet.surge } else { fleet.usual };
-        let rates: Vec<f64> = fleet.quotas.iter().zip(uses).map(|(q, u)| q * u).collect();
+        let load = if surge {
+            fleet.surge_load
+        } else {
+            fleet.usual_load
+        };
+        let rates: Vec<f64> = fleet.quotas.iter().zip(load).map(|(q, u)| q * u).collect();
         let all: f64 = rates.iter().sum();
         let gap: f64 = Exp::new(all).unwrap().sample(&mut rng);
         now += gap;
-        let mut drawn = rng.random::<f64>() * all;
+        let mut position = rng.random::<f64>() * all;
         let tenant = rates.iter().position(|r| {
-            drawn -= r;
-            drawn < 0.0
+            position -= r;
+            position < 0.0
         });
         let tenant = tenant.unwrap_or(0);
         let serving = if fleet.shrinks && surge {
@@ -131,26 +140,26 @@
         for (bucket, quota) in buckets.iter_mut().zip(fleet.quotas) {
             *bucket = (*bucket + quota * gap).min(*quota);
         }
-        let beyond = buckets[tenant] < 1.0;
-        buckets[tenant] -= if beyond { 0.0 } else { 1.0 };
+        let is_over = buckets[tenant] < 1.0;
+        buckets[tenant] -= if is_over { 0.0 } else { 1.0 };
         let marked = proxies[proxy].record_request(Duration::from_secs_f64(now), tenant, 0, false)
             == RequestStatus::Over;
-        let exceeds = fleet.usual[tenant].max(fleet.surge[tenant]) > 1.0;
-        counts[usize::from(exceeds)][usize::from(beyond)][usize::from(marked)] += 1;
+        let exceeds = fleet.usual_load[tenant].max(fleet.surge_load[tenant]) > 1.0;
+        counts[usize::from(exceeds)][usize::from(is_over)][usize::from(marked)] += 1;
         passed[now as usize % 72] += u32::from(exceeds && !marked);
     }
     let share = |part: u32, all: u32| f64::from(part) / f64::from(all).max(1.0);
-    let [[keep, _], [within, beyond]] = counts;
-    let over: u32 = beyond.iter().sum();
-    let surging = |at: &usize| fleet.usual[*at].max(fleet.surge[*at]) > 1.0;
+    let [[keeping, _], [within, over]] = counts;
+    let over_count: u32 = over.iter().sum();
+    let surging = |at: &usize| fleet.usual_load[*at].max(fleet.surge_load[*at]) > 1.0;
     let quota: f64 = (0..fleet.quotas.len())
         .filter(surging)
         .map(|at| fleet.quotas[at])
         .sum::<f64>()
         .max(1.0);
     [
-        share(keep[1], keep.iter().sum()),
-        share(over.saturating_sub(beyond[1] + within[1]), over),
+        share(keeping[1], keeping.iter().sum()),
+        share(over_count.saturating_sub(over[1] + within[1]), over_count),
         share(within[1], within.iter().sum()),
         f64::from(passed[40..52].iter().sum::<u32>()) / quota / 12.0,
         f64::from(passed[40..52].iter().copied().max().unwrap_or(0)) / quota,
@@ -158,21 +167,22 @@
 }
 
 const QUOTAS: &[f64] = &[5000.0, 2500.0, 1500.0, 800.0];
-const USUAL: &[f64] = &[0.8, 0.7, 0.9, 0.8];
-const SMALLEST: &[f64] = &[0.8, 0.7, 0.9, 4.0];
+const USUAL_LOAD: &[f64] = &[0.8, 0.7, 0.9, 0.8];
+const SMALLEST_TENANT_SURGES: &[f64] = &[0.8, 0.7, 0.9, 4.0];
 
-/// The errors stay on the lenient side: (fleet, most of what is within marked, most of what is beyond missed).
+/// Errors must be lenient. Each case: name, fleet, maximum share of requests within quota classified as over, and maximum share
+/// of requests over quota that is missed.
 #[test]
 fn errors_stay_on_the_lenient_side() {
     let base = Fleet {
         proxies: 60,
         unequal: false,
         quotas: QUOTAS,
-        usual: USUAL,
-        surge: SMALLEST,
+        usual_load: USUAL_LOAD,
+        surge_load: SMALLEST_TENANT_SURGES,
         shrinks: false,
-        late: None,
-        cut: 0,
+        exchange_delay: None,
+        isolated: 0,
     };
     let fleets = [
         ("6 proxies", Fleet { proxies: 6, ..base }, 0.005, 0.3),
@@ -189,7 +199,7 @@
         (
             "60, largest surges",
             Fleet {
-                surge: &[4.0, 0.7, 0.9, 0.8],
+                surge_load: &[4.0, 0.7, 0.9, 0.8],
                 ..base
             },
             0.005,
@@ -198,16 +208,16 @@
         (
             "60, all surge",
             Fleet {
-                surge: &[3.0, 3.0, 3.0, 3.0],
+                surge_load: &[3.0, 3.0, 3.0, 3.0],
                 ..base
             },
             0.005,
             1.0,
         ),
         (
-            "60, within, 40 end",
+            "60, within, 40 stop",
             Fleet {
-                surge: USUAL,
+                surge_load: USUAL_LOAD,
                 shrinks: true,
                 ..base
             },
@@ -215,10 +225,10 @@
             1.0,
         ),
         (
-            "60, within, uses unequal",
+            "60, within, unequal rates",
             Fleet {
-                usual: &[0.5, 0.4, 0.95, 0.6],
-                surge: &[0.5, 0.4, 0.95, 0.6],
+                usual_load: &[0.5, 0.4, 0.95, 0.6],
+                surge_load: &[0.5, 0.4, 0.95, 0.6],
                 ..base
             },
             0.005,
@@ -228,8 +238,8 @@
             "60, two tenants",
             Fleet {
                 quotas: &[5000.0, 1500.0],
-                usual: &[0.8, 0.8],
-                surge: &[0.8, 4.0],
+                usual_load: &[0.8, 0.8],
+                surge_load: &[0.8, 4.0],
                 ..base
             },
             0.005,
@@ -245,56 +255,56 @@
             0.8,
         ),
         (
-            "60 that tell, 0.25 s late",
+            "60 exchanging, 0.25 s late",
             Fleet {
-                late: Some(1),
+                exchange_delay: Some(1),
                 ..base
             },
             0.005,
             0.15,
         ),
         (
-            "60 that tell, 1 s late",
+            "60 exchanging, 1 s late",
             Fleet {
-                late: Some(4),
+                exchange_delay: Some(4),
                 ..base
             },
             0.005,
             0.15,
         ),
         (
-            "60 that tell, 3 s late",
+            "60 exchanging, 3 s late",
             Fleet {
-                late: Some(12),
+                exchange_delay: Some(12),
                 ..base
             },
             0.005,
             0.25,
         ),
         (
-            "60 that tell, a third cut off",
+            "60 exchanging, a third partitioned",
             Fleet {
-                late: Some(4),
-                cut: 20,
+                exchange_delay: Some(4),
+                isolated: 20,
                 ..base
             },
             0.005,
             0.4,
         ),
         (
-            "60 that tell, halves",
+            "60 exchanging, partitioned into halves",
             Fleet {
-                late: Some(4),
-                cut: 30,
+                exchange_delay: Some(4),
+                isolated: 30,
                 ..base
             },
             0.005,
             0.4,
         ),
         (
-            "60 that tell, unequal",
+            "60 exchanging, unequal",
             Fleet {
-                late: Some(4),
+                exchange_delay: Some(4),
                 unequal: true,
                 ..base
             },
@@ -302,47 +312,47 @@
             0.15,
         ),
         (
-            "60 that tell, all surge",
+            "60 exchanging, all surge",
             Fleet {
-                late: Some(4),
-                surge: &[3.0, 3.0, 3.0, 3.0],
+                exchange_delay: Some(4),
+                surge_load: &[3.0, 3.0, 3.0, 3.0],
                 ..base
             },
             0.005,
             0.15,
         ),
     ];
-    for (name, fleet, dear, cheap) in fleets {
-        let [within, missed, swapped, passed, worst] = mislabelled(&fleet, 11);
+    for (name, fleet, max_within, max_missed) in fleets {
+        let [within, missed, swapped, passed, worst] = classification_errors(&fleet, 11);
         println!(
-            "{name}: of those within marked {within:.4}, beyond missed {missed:.3}, swapped {swapped:.3}, \
-             passed {passed:.2} of the quota, {worst:.2} in the worst second"
+            "{name}: {within:.4} within quota classified as over, {missed:.3} over quota missed, {swapped:.3} swapped, \
+             {passed:.2} of the quota passed, {worst:.2} in the worst second"
         );
         assert!(
-            within <= dear && missed <= cheap,
-            "{name}: {within:.4} of within, {missed:.3} of beyond"
+            within <= max_within && missed <= max_missed,
+            "{name}: {within:.4} within quota classified as over, {missed:.3} over quota missed"
         );
     }
 }
 
-/// What a tenant does without is told to the last request, whether it would have used it or not.
+/// The number of withheld requests is exact, whether or not the tenant would have used them.
 #[test]
-fn what_is_withheld_is_counted_and_not_available() {
+fn withheld_quota_is_counted_and_not_available() {
     let settings = Settings {
         proxies: 1,
         quotas: vec![100.0],
         ..Settings::default()
     };
-    let (mut plain, mut short) = (QuotaMeter::new(&settings), QuotaMeter::new(&settings));
+    let (mut full, mut reduced) = (QuotaMeter::new(&settings), QuotaMeter::new(&settings));
     let (mut within, mut withheld, mut repaying) = ([0u32; 2], 0.0, 0u32);
     for tick in 0..60_000u64 {
         let now = Duration::from_millis(tick);
         if tick % 250 == 0 {
-            withheld += short.withhold(now, 0, if tick < 30_000 { 0.4 } else { 0.0 });
+            withheld += reduced.withhold(now, 0, if tick < 30_000 { 0.4 } else { 0.0 });
         }
         if tick % 5 == 0 {
-            for (quota, within) in [&mut plain, &mut short].into_iter().zip(&mut within) {
-                let status = quota.record_request(now, 0, 0, false);
+            for (meter, within) in [&mut full, &mut reduced].into_iter().zip(&mut within) {
+                let status = meter.record_request(now, 0, 0, false);
                 *within += u32::from(status == RequestStatus::Within);
                 repaying += u32::from(status == RequestStatus::Withheld);
             }
@@ -352,20 +362,21 @@
     let missing = f64::from(within[0] - within[1]);
     assert!(
         (missing - withheld).abs() <= 2.0,
-        "{missing} are missing of {withheld}"
+        "{missing} fewer requests within quota, with {withheld} withheld"
     );
-    // Of twice the quota, those that repay are told from those beyond.
+    // At twice the quota, requests that repay are distinguished from those over quota.
     assert!(
         (f64::from(repaying) - withheld).abs() <= 2.0,
-        "{repaying} repay of {withheld}"
+        "{repaying} requests repay, with {withheld} withheld"
     );
 }
 
-/// At three times the quota dear requests get the tokens, and as many as without; who keeps to its quota loses none.
+/// At three times the quota, requests of more weight get the tokens, and as many as without weights. A tenant within its quota
+/// loses none.
 #[test]
 fn tokens_go_to_requests_of_more_weight_first() {
     let shares = |weights: Vec<f64>, per_s: u64| {
-        let mut quota = QuotaMeter::new(&Settings {
+        let mut meter = QuotaMeter::new(&Settings {
             proxies: 1,
             quotas: vec![100.0],
             priority_weights: weights,
@@ -373,7 +384,7 @@
         let mut within = [0u64; 3];
         for n in 0..per_s * 60 {
             let class = (n % 3) as usize;
-            let status = quota.record_request(
+            let status = meter.record_request(
                 Duration::from_micros(n * 1_000_000 / per_s),
                 0,
                 class,
@@ -383,17 +394,17 @@
         }
         within.map(|within| within as f64 / (20 * per_s) as f64)
     };
-    let [cheap, dear, dearest] = shares(vec![1.0, 2.0, 3.0], 300);
+    let [low, middle, high] = shares(vec![1.0, 2.0, 3.0], 300);
+    assert!(low < 0.02 && middle + high > 0.98, "{low} {middle} {high}");
+    let unweighted: f64 = shares(Vec::new(), 300).iter().sum();
     assert!(
-        cheap < 0.02 && dear + dearest > 0.98,
-        "{cheap} {dear} {dearest}"
+        (low + middle + high - unweighted).abs() < 0.02,
+        "{unweighted}"
     );
-    let alike: f64 = shares(Vec::new(), 300).iter().sum();
-    assert!((cheap + dear + dearest - alike).abs() < 0.02, "{alike}");
     assert_eq!(shares(vec![1.0, 2.0, 3.0], 100), [1.0; 3]);
 }
 
-/// A day of a fleet that tells keeps the quota within a hundredth; alone, each would have guessed.
+/// Over 600 s, proxies that exchange rates keep the quota to within a hundredth.
 #[test]
 fn local_quotas_of_proxies_that_exchange_rates_add_up_to_the_quota() {
     let settings = Settings {
@@ -403,11 +414,11 @@
     };
     let mut proxies = vec![QuotaMeter::new(&settings); 12];
     let mut messages = Messages {
-        age: 1,
+        delay: 1,
         ..Messages::default()
     };
     let (mut within, mut seed) = (0u64, Xoshiro256PlusPlus::seed_from_u64(5));
-    // Four times the quota asks, most of it of a few proxies that change every minute.
+    // Requests at about four times the quota, most of them at three proxies that change every minute.
     for milli in 0..600_000u64 {
         let now = Duration::from_millis(milli);
         if milli % 1_000 == 0 {
@@ -426,29 +437,30 @@
         }
     }
     let part = within as f64 / (1_200.0 * 600.0);
-    println!("within over a day of 600 s: {part:.4} of the quota");
+    println!("within quota over 600 s: {part:.4} of the quota");
     assert!((0.99..=1.01).contains(&part), "{part}");
 }
 
 proptest::proptest! {
-    /// Alone, a proxy lets no more through as within than the quota and the depth of its bucket; repeats take nothing.
+    /// A single proxy classifies no more requests as within quota than the quota and the depth of its bucket allow; retries take
+    /// no tokens.
     #[test]
     fn one_proxy_keeps_to_the_quota(quota in 1.0f64..500.0, gaps in proptest::collection::vec(0u64..20_000, 1..400)) {
-        let mut account = QuotaMeter::new(&Settings { proxies: 1, quotas: vec![quota, 0.0], ..Settings::default() });
+        let mut meter = QuotaMeter::new(&Settings { proxies: 1, quotas: vec![quota, 0.0], ..Settings::default() });
         let (mut now, mut within, mut first) = (Duration::ZERO, 0u32, true);
-        let begun = now;
+        let started = now;
         for gap in gaps {
             now += Duration::from_micros(gap);
-            proptest::prop_assert_eq!(account.record_request(now, 1, 0, false), RequestStatus::Unlimited);
-            proptest::prop_assert_eq!(account.record_request(now, 2, 0, false), RequestStatus::Unlimited);
-            account.record_request(now, 0, 0, true);
-            let status = account.record_request(now, 0, 0, false);
+            proptest::prop_assert_eq!(meter.record_request(now, 1, 0, false), RequestStatus::Unlimited);
+            proptest::prop_assert_eq!(meter.record_request(now, 2, 0, false), RequestStatus::Unlimited);
+            meter.record_request(now, 0, 0, true);
+            let status = meter.record_request(now, 0, 0, false);
             proptest::prop_assert!(!first || status == RequestStatus::Within);
             first = false;
             within += u32::from(status == RequestStatus::Within);
-            let span = (now - begun).as_secs_f64();
-            let most = quota * span + quota + 3.0 * quota.sqrt() + 3.0;
-            proptest::prop_assert!(f64::from(within) <= most + 1e-6);
+            let span = (now - started).as_secs_f64();
+            let bound = quota * span + quota + 3.0 * quota.sqrt() + 3.0;
+            proptest::prop_assert!(f64::from(within) <= bound + 1e-6);
         }
     }
 }
