--- a/crates/bulkheads/src/lib.rs
+++ b/crates/bulkheads/src/lib.rs
@@ -1,8 +1,8 @@
-//! Bulkheads: pools that bound parts of the work by themselves, so that one kind of request can't take the capacity of others.
+//! Bulkheads: pools that bound separate parts of the work, so that one kind of request can't take the capacity of others.
 //!
 //! A pool bounds the requests in flight and their rate (the generic cell rate algorithm of ITU-T I.371, with the burst as its
-//! tolerance). Of both a reserve is kept for higher priorities. A rejected request is told when capacity is likely to be free, later
-//! for each that is rejected in a row, so that the rejected ones do not retry together.
+//! tolerance). Part of each bound is reserved for higher priorities. The rejection of a request states when capacity is likely to
+//! be free. This time grows with each consecutive rejection, so that rejected requests do not retry at the same time.
 //!
 //! No clock and no I/O; time is an argument and never goes back.
 #![forbid(unsafe_code)]
@@ -16,23 +16,24 @@
 use pool::Pool;
 use std::time::Duration;
 
-/// Time since an origin of the caller's.
+/// Time since an origin that the caller chooses.
 pub type Time = Duration;
 
-/// A pool, for as long as it is in use: a name keeps its id until nothing of it is in flight any more.
+/// Id of a pool while it is in use. The pool of a name keeps its id until it is no longer configured and has no requests in
+/// flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(usize);
 
-/// All pools.
+/// All pools of a proxy.
 #[derive(Debug, Default)]
 pub struct Bulkheads {
-    /// Slots are reused once nothing refers to them.
+    /// Pools by id. A slot is reused once its pool is unused.
     pools: Vec<Option<Pool>>,
 }
 
 impl Bulkheads {
-    /// Replaces the pools; requests in flight stay counted. Returns their ids in the order given; of settings with one name the
-    /// last count.
+    /// Replaces the configured pools; requests in flight stay counted. Returns the ids of the pools in the order of `all`. If
+    /// several settings have the same name, the last ones are used.
     pub fn configure(&mut self, all: &[Settings]) -> Vec<PoolId> {
         for pool in self.pools.iter_mut().flatten() {
             pool.settings = None;
@@ -64,7 +65,7 @@
         self.pools.len() - 1
     }
 
-    /// Admits a request, or says when to retry. A pool that does not exist bounds nothing.
+    /// Admits a request, or rejects it with a time to retry. An id without a pool has no bounds.
     pub fn admit(&mut self, id: PoolId, priority: Priority, now: Time) -> Admission {
         match self.pools.get_mut(id.0).and_then(Option::as_mut) {
             Some(pool) => pool.admit(priority, now),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// An admitted request has ended, `in_flight` after its admission.
+    /// Records the end of an admitted request. `in_flight`: time since its admission.
     pub fn release(&mut self, id: PoolId, in_flight: Duration) {
         let Some(slot) = self.pools.get_mut(id.0) else {
             return;
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Names and counts of all pools.
+    /// Name and counts of each pool.
     pub fn counts(&self) -> impl Iterator<Item = (&str, Counts)> {
         self.pools
             .iter()
--- a/crates/bulkheads/src/tests.rs
+++ b/crates/bulkheads/src/tests.rs
@@ -1,7 +1,7 @@
-//! Bounds, reserves and times to retry.
+//! Tests of bounds, reserves and times to retry.
 
 use super::*;
-use crate::pool::{RETRY_AFTER_LEAST, RETRY_AFTER_MOST};
+use crate::pool::{MAX_RETRY_AFTER, MIN_RETRY_AFTER};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -41,7 +41,7 @@
     all.release(id, MS);
     assert!(
         !is_admitted(all.admit(id, Priority::Normal, Time::ZERO)),
-        "the place is high priority's"
+        "the last place is reserved for high priority"
     );
     assert!(is_admitted(all.admit(id, Priority::High, Time::ZERO)));
 }
@@ -59,20 +59,24 @@
             times.push(ms);
         }
     }
-    assert_eq!(times.len(), 5 + 199, "a burst, then one each 10 ms");
+    assert_eq!(
+        times.len(),
+        5 + 199,
+        "a burst, then one request every 10 ms"
+    );
     for (at, start) in times.iter().enumerate() {
         let inside = times[at..].iter().take_while(|t| *t - start < 100).count();
-        assert!(inside <= 15, "{inside} within 100 ms");
+        assert!(inside <= 15, "{inside} requests within 100 ms");
     }
 }
 
 #[test]
-fn rejected_requests_are_told_to_retry_one_after_the_other() {
+fn rejected_requests_get_increasing_retry_times() {
     let (mut all, id) = pool(Some(2), None);
     for _ in 0..2 {
         assert!(is_admitted(all.admit(id, Priority::High, Time::ZERO)));
     }
-    let told: Vec<Duration> = (0..20)
+    let retry_times: Vec<Duration> = (0..20)
         .map(|_| match all.admit(id, Priority::High, Time::ZERO) {
             Admission::Rejected {
                 cause: RejectionCause::Concurrency,
@@ -82,13 +86,13 @@
         })
         .collect();
     assert!(
-        told.windows(2).all(|w| w[0] <= w[1]) && told[0] < told[19],
-        "{told:?}"
+        retry_times.windows(2).all(|w| w[0] <= w[1]) && retry_times[0] < retry_times[19],
+        "{retry_times:?}"
     );
-    assert!(told
+    assert!(retry_times
         .iter()
-        .all(|t| (RETRY_AFTER_LEAST..=RETRY_AFTER_MOST).contains(t)));
-    // By when it comes back, whoever was told by the rate finds a place.
+        .all(|t| (MIN_RETRY_AFTER..=MAX_RETRY_AFTER).contains(t)));
+    // A request rejected because of the rate is admitted if it retries after the stated time.
     let (mut all, id) = pool(
         None,
         Some(Rate {
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn requests_in_flight_stay_counted_over_a_change_of_the_configuration() {
+fn requests_in_flight_stay_counted_when_the_configuration_changes() {
     let (mut all, id) = pool(Some(2), None);
     assert!(is_admitted(all.admit(id, Priority::High, Time::ZERO)));
     let settings = |name: &str, n| Settings {
@@ -118,9 +122,9 @@
     assert_eq!(ids[1], id);
     assert!(
         !is_admitted(all.admit(id, Priority::High, Time::ZERO)),
-        "one is open, and one may be"
+        "one request is in flight, the new maximum"
     );
-    // Gone from the configuration, it lives until its last request is over, and its number is not another's.
+    // A pool that is no longer configured exists until its last request has ended, and its id is not reused before.
     let ids = all.configure(&[settings("r", 1)]);
     assert_ne!(ids[0], id);
     assert!(is_admitted(all.admit(ids[0], Priority::High, Time::ZERO)));
@@ -133,7 +137,8 @@
     );
 }
 
-/// Whatever comes in whatever order: never more open than the bound, and lower priorities never in the reserve.
+/// In a random sequence of requests and releases, the requests in flight never exceed the bound, and lower priorities never use
+/// the reserve.
 #[test]
 fn bounds_hold_over_random_runs() {
     let mut seed = 1_u64;
@@ -148,20 +153,23 @@
             burst: 30,
         }),
     );
-    let (mut open, mut now) = (0_u32, Time::ZERO);
+    let (mut in_flight, mut now) = (0_u32, Time::ZERO);
     for _ in 0..50_000 {
         now += Duration::from_micros(random(900));
-        if random(2) == 0 && open > 0 {
+        if random(2) == 0 && in_flight > 0 {
             all.release(id, MS * random(50) as u32);
-            open -= 1;
+            in_flight -= 1;
             continue;
         }
         let priority = [Priority::Low, Priority::Normal, Priority::High][random(3) as usize];
         if is_admitted(all.admit(id, priority, now)) {
-            open += 1;
-            let most = [16, 18, 20][priority as usize];
-            assert!(open <= most, "{open} open at {priority:?}");
+            in_flight += 1;
+            let max = [16, 18, 20][priority as usize];
+            assert!(in_flight <= max, "{in_flight} in flight at {priority:?}");
         }
-        assert_eq!(all.counts().next().map(|(_, c)| c.in_flight), Some(open));
+        assert_eq!(
+            all.counts().next().map(|(_, c)| c.in_flight),
+            Some(in_flight)
+        );
     }
 }
