--- a/crates/quota-lending/tests/fleet/mod.rs
+++ b/crates/quota-lending/tests/fleet/mod.rs
@@ -108,7 +108,7 @@
     /// Probability with which a drawn fault ends a partition.
     heal_probability: f64,
     /// Index of a node that crashes, and the time of the crash.
-    kill_at: Option<(usize, Duration)>,
+    crash_at: Option<(usize, Duration)>,
 }
 
 impl Fleet {
@@ -146,7 +146,7 @@
             idle: false,
             published_bytes: 0,
             heal_probability: if seed.is_multiple_of(2) { 1.0 } else { 0.2 },
-            kill_at: None,
+            crash_at: None,
         };
         (0..members).for_each(|at| fleet.start(at, true));
         fleet
@@ -210,11 +210,7 @@
         let Some(process) = node.process.as_mut() else {
             return;
         };
-        let total_repaid = |lender: &Lender| {
-            lender
-                .totals(local, TENANT)
-                .map_or(0, |totals| totals.repaid)
-        };
+        let total_repaid = |lender: &Lender| lender.totals(local, TENANT).map_or(0, |t| t.repaid);
         let before = total_repaid(&process.lender);
         process.lender.handle(local, event, &mut actions);
         // Other nodes may have reported repayments.
@@ -459,7 +455,7 @@
     }
 
     fn faults(&mut self) {
-        if let Some((at, _)) = self.kill_at.take_if(|(_, when)| *when <= self.now) {
+        if let Some((at, _)) = self.crash_at.take_if(|(_, when)| *when <= self.now) {
             self.nodes[at].process = None;
         }
         let at = self.rng.random_range(0..self.nodes.len());
@@ -491,7 +487,7 @@
                 let busy = self.busy();
                 let sender = (busy + self.nodes.len() - 1) % self.nodes.len();
                 (self.partition[busy], self.partition[sender]) = (8, 8);
-                self.kill_at = Some((sender, self.now + Duration::from_millis(750)));
+                self.crash_at = Some((sender, self.now + Duration::from_millis(750)));
             }
             20 => {
                 // A crash, sometimes during a write that leaves a truncated file.
--- a/crates/quota-lending/tests/model.rs
+++ b/crates/quota-lending/tests/model.rs
@@ -95,8 +95,7 @@
             classes: vec!["any".into()],
             max_rate: 1 << 40,
         };
-        let rules =
-            Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("the rule is valid");
+        let rules = Rules::new(vec![("s".into(), rule)], config.max_loan_time).expect("sound");
         lender.handle(now, Event::Rules(rules), &mut Vec::new());
         lender
     }
