--- a/crates/quota-lending/src/heartbeat.rs
+++ b/crates/quota-lending/src/heartbeat.rs
@@ -69,11 +69,11 @@
     ) {
         let echoed_at = self.echoed_at(heartbeat);
         let alive_until = now + self.lease.saturating_sub(age);
-        let in_time = age < self.lease;
+        let is_valid = age < self.lease;
         let Some(peer) = self.peer_of(source, &heartbeat.sender) else {
             return;
         };
-        if in_time {
+        if is_valid {
             peer.alive_until = alive_until;
             peer.ready_for_bootstrap =
                 heartbeat.sender.bootstrap_digest == 0 && heartbeat.quarantine_over;
--- a/crates/quota-lending/src/lender.rs
+++ b/crates/quota-lending/src/lender.rs
@@ -71,6 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Published {
     pub body: Vec<u8>,
+    /// Times of the first and the last publication of this body.
     pub first_at: Duration,
     pub last_at: Duration,
 }
--- a/crates/quota-lending/src/loans.rs
+++ b/crates/quota-lending/src/loans.rs
@@ -121,16 +121,16 @@
 
     /// Writes off loans of at least the age `after`. Returns the amount.
     pub fn write_off(&mut self, now: Duration, after: Duration) -> MilliRequests {
-        let mut lost = 0;
+        let mut amount = 0;
         while let Some(loan) = self.open.front() {
             if now.saturating_sub(loan.last_at) < after {
                 break;
             }
-            lost += loan.owed;
+            amount += loan.owed;
             self.open.pop_front();
         }
-        self.written_off += lost;
-        lost
+        self.written_off += amount;
+        amount
     }
 
     pub fn in_default(&self, now: Duration, term: Duration) -> bool {
--- a/crates/quota-lending/src/shortage.rs
+++ b/crates/quota-lending/src/shortage.rs
@@ -23,9 +23,12 @@
     min_rejections: u32,
     min_fraction: f64,
     window_start: Duration,
+    /// Number of requests that ended in the window, and of those rejected.
     ended: u32,
     rejected: u32,
+    /// End of the current or last shortage; zero before the first.
     until: Duration,
+    /// Duration of the current or last shortage.
     duration: Duration,
 }
 
--- a/crates/quota-lending/src/witness.rs
+++ b/crates/quota-lending/src/witness.rs
@@ -60,10 +60,10 @@
 
     fn witness_transfers(&mut self, account: AccountId, tenant: u32, sent: SentTotal) {
         let key = (account, tenant);
-        let room =
+        let has_room =
             self.state.witnessed.len() < MAX_BALANCES || self.state.witnessed.contains_key(&key);
         let newer = sent > self.state.witnessed_total(account, tenant);
-        if newer && !self.is_frozen(account) && room {
+        if newer && !self.is_frozen(account) && has_room {
             self.state.witnessed.insert(key, sent);
             self.unsaved_changes = true;
         }
@@ -111,9 +111,9 @@
             }
         }
         for (key, sent) in confirmed {
-            let room = self.state.confirmed.len() < MAX_BALANCES
+            let has_room = self.state.confirmed.len() < MAX_BALANCES
                 || self.state.confirmed.contains_key(&key);
-            if room {
+            if has_room {
                 self.state.confirmed.insert(key, sent);
                 self.unsaved_changes = true;
             }
