--- a/crates/leverproxy/src/cluster/members/metrics.rs
+++ b/crates/leverproxy/src/cluster/members/metrics.rs
@@ -37,10 +37,10 @@
             "Whether its last sign of life was its own datagram.",
             direct,
         );
-        let accounts = self.self_reports(now);
-        let serving = accounts
+        let self_reports = self.self_reports(now);
+        let serving = self_reports
             .iter()
-            .map(|(name, a)| (vec![("member", name.as_str())], u64::from(a.serving)));
+            .map(|(name, report)| (vec![("member", name.as_str())], u64::from(report.serving)));
         figures.many(
             "lb_member_serving",
             "What it says of itself, while that has not lapsed.",
@@ -72,31 +72,31 @@
             "How often a member became that.",
             changes,
         );
-        let refused = self
+        let rejected = self
             .rejected
             .iter()
             .map(|(reason, n)| (vec![("reason", *reason)], *n));
-        let beyond = [
+        let rejected_by_core = [
             ("stranger", counters.unknown_members),
             ("earlier", counters.earlier_incarnations),
             ("imposter", counters.sender_mismatches),
             ("malformed-inside", counters.malformed),
         ];
-        let beyond = beyond.map(|(reason, n)| (vec![("reason", reason)], n));
+        let rejected_by_core = rejected_by_core.map(|(reason, n)| (vec![("reason", reason)], n));
         figures.many(
             "lb_members_refused_total",
             "Datagrams not taken in, by reason.",
-            refused.chain(beyond),
+            rejected.chain(rejected_by_core),
         );
-        let unread = [
-            ("account", self.malformed_accounts),
+        let malformed = [
+            ("account", self.malformed_self_reports),
             ("rates", self.malformed_rates),
         ];
-        let unread = unread.map(|(of, n)| (vec![("of", of)], n));
+        let malformed = malformed.map(|(content, n)| (vec![("of", content)], n));
         figures.many(
             "lb_members_facts_unread_total",
             "Facts of another version, or torn.",
-            unread,
+            malformed,
         );
     }
 
@@ -141,11 +141,11 @@
             (
                 "lb_members_unsealed_total",
                 "Datagrams that could not be made; the first has a line in the log.",
-                self.unsealed,
+                self.seal_failures,
             ),
             ("lb_members_sent_total", "Datagrams sent.", self.sent),
             ("lb_members_sent_bytes_total", "Bytes of these.", self.sent_bytes),
-            ("lb_members_unsent_total", "Datagrams that could not be sent.", self.unsent),
+            ("lb_members_unsent_total", "Datagrams that could not be sent.", self.send_failures),
             ("lb_members_received_total", "Datagrams that came.", self.received),
         ] {
             figures.one(name, help, value);
--- a/crates/leverproxy/src/cluster/members/mod.rs
+++ b/crates/leverproxy/src/cluster/members/mod.rs
@@ -34,9 +34,9 @@
 /// Datagrams received before clients get their turn again.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// When a port that another process has is tried again: in a hot restart the old process has it until it ends.
-const BIND_RETRY: Duration = Duration::from_millis(500);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Token of the timer for that; tokens of the core count up from 1.
-const BIND_TIMER: u64 = u64::MAX;
+const BIND_TIMER_TOKEN: u64 = u64::MAX;
 /// Facts of others that wait to be fetched.
 const MAX_PENDING_FACTS: usize = 1_024;
 
@@ -52,17 +52,17 @@
     opener: Opener,
     origin: Instant,
     serving: bool,
-    account_published: Option<Instant>,
+    self_report_published_at: Option<Instant>,
     timers: Vec<(Instant, u64)>,
     pending_facts: Vec<Fact>,
     bind_failure_logged: bool,
     sent: u64,
     sent_bytes: u64,
-    unsent: u64,
-    /// Those of `unsent` that could not be sealed.
-    unsealed: u64,
+    send_failures: u64,
+    /// Those of `send_failures` that could not be sealed.
+    seal_failures: u64,
     received: u64,
-    malformed_accounts: u64,
+    malformed_self_reports: u64,
     malformed_rates: u64,
     /// Datagrams by the reason of their rejection; the first of each is logged.
     rejected: BTreeMap<&'static str, u64>,
@@ -95,16 +95,16 @@
             socket: None,
             origin: now,
             serving: true,
-            account_published: None,
+            self_report_published_at: None,
             timers: Vec::new(),
             pending_facts: Vec::new(),
             bind_failure_logged: false,
             sent: 0,
             sent_bytes: 0,
-            unsent: 0,
-            unsealed: 0,
+            send_failures: 0,
+            seal_failures: 0,
             received: 0,
-            malformed_accounts: 0,
+            malformed_self_reports: 0,
             malformed_rates: 0,
             rejected: BTreeMap::new(),
             status_changes: BTreeMap::new(),
@@ -119,7 +119,7 @@
             Ok(address) => {
                 log::info!("members: heard on {address}");
                 self.handle(Event::Start, now);
-                self.publish_account(now);
+                self.publish_self_report(now);
             }
             Err(error) => {
                 if !self.bind_failure_logged {
@@ -128,7 +128,8 @@
                     log::warn!("members: {listen} can't be listened on ({error}): asked for again every half second; \
                                 in an upgrade the former process has it, else see who does");
                 }
-                self.timers.push((now + BIND_RETRY, BIND_TIMER));
+                self.timers
+                    .push((now + BIND_RETRY_INTERVAL, BIND_TIMER_TOKEN));
             }
         }
     }
@@ -154,15 +155,15 @@
 
     /// A timer of `take_timers` is due.
     pub fn on_timer(&mut self, token: u64, now: Instant, reactor: &Reactor) {
-        if token == BIND_TIMER {
+        if token == BIND_TIMER_TOKEN {
             return self.bind(now, reactor);
         }
         self.handle(Event::Timer(token), now);
         if self
-            .account_published
+            .self_report_published_at
             .is_some_and(|at| now.saturating_duration_since(at) > SELF_REPORT_TTL / 2)
         {
-            self.publish_account(now);
+            self.publish_self_report(now);
         }
     }
 
@@ -238,7 +239,7 @@
             match action {
                 Action::Send { address, bytes, .. } => self.send(address, &bytes),
                 Action::Timer { after, token } => self.timers.push((now + after, token)),
-                Action::MemberChanged(name, status) => self.member_changed(&name, status),
+                Action::MemberChanged(name, status) => self.member_status_changed(&name, status),
                 Action::QuorumStateChanged(state) => {
                     let counts = self.view(now).member_counts;
                     log::info!(
@@ -259,7 +260,7 @@
         }
     }
 
-    fn member_changed(&mut self, name: &str, status: Status) {
+    fn member_status_changed(&mut self, name: &str, status: Status) {
         *self.status_changes.entry(status_name(status)).or_default() += 1;
         match status {
             Status::Alive => log::info!("members: {name} is alive"),
@@ -269,7 +270,7 @@
 
     fn fact_received(&mut self, fact: Fact) {
         if fact.kind == SELF_REPORT_KIND {
-            self.malformed_accounts += u64::from(decode_self_report(&fact.body).is_none());
+            self.malformed_self_reports += u64::from(decode_self_report(&fact.body).is_none());
         } else {
             // Whoever needs it may be slow to fetch it.
             self.pending_facts.truncate(MAX_PENDING_FACTS - 1);
@@ -294,9 +295,9 @@
             self.sealer
                 .seal(MEMBERSHIP_KIND, self.settings.version, payload, &mut out)
         {
-            self.unsent += 1;
-            self.unsealed += 1;
-            if self.unsealed == 1 {
+            self.send_failures += 1;
+            self.seal_failures += 1;
+            if self.seal_failures == 1 {
                 log::error!(
                     "members: {error}. {} Further ones are only counted",
                     error.advice()
@@ -310,11 +311,11 @@
                 self.sent += 1;
                 self.sent_bytes += out.len() as u64;
             }
-            Err(_) => self.unsent += 1,
+            Err(_) => self.send_failures += 1,
         }
     }
 
-    fn publish_account(&mut self, now: Instant) {
+    fn publish_self_report(&mut self, now: Instant) {
         let self_report = SelfReport {
             build: env!("CARGO_PKG_VERSION").into(),
             serving: self.serving,
@@ -322,7 +323,7 @@
         let Some(body) = encode_self_report(&self_report) else {
             return;
         };
-        self.account_published = Some(now);
+        self.self_report_published_at = Some(now);
         self.handle(
             Event::Publish {
                 kind: SELF_REPORT_KIND,
@@ -399,7 +400,7 @@
     pub fn set_serving(&mut self, serving: bool, now: Instant) {
         if self.serving != serving {
             self.serving = serving;
-            self.publish_account(now);
+            self.publish_self_report(now);
         }
     }
 
@@ -422,8 +423,8 @@
         if (settings.version, &settings.roster) != (self.settings.version, &self.settings.roster) {
             self.handle(Event::Roster(roster_of(settings)), now);
         }
-        let (version, list) = (settings.version, settings.roster.clone());
-        let waits = [
+        let (version, roster) = (settings.version, settings.roster.clone());
+        let unchanged = [
             ("members listen", settings.listen == self.settings.listen),
             ("members period", settings.period == self.settings.period),
             (
@@ -433,12 +434,12 @@
         ];
         self.settings = MembersSettings {
             version,
-            roster: list,
+            roster,
             ..self.settings.clone()
         };
-        waits
+        unchanged
             .into_iter()
-            .filter(|(_, same)| !same)
+            .filter(|(_, is_unchanged)| !is_unchanged)
             .map(|(key, _)| key)
             .collect()
     }
--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-const START: u64 = 1_800_000_000_001;
+const INCARNATION: u64 = 1_800_000_000_001;
 /// Of `membership`: one fact of `n1`, which says its build and that it serves.
 const DATAGRAM: &str = "02020180b8d72181a0f1c2b13401000100e0d403080105302e312e3001";
 /// The body in it.
 const BODY: &str = "0105302e312e3001";
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
-pub(super) fn joined(now: Instant) -> Members {
+pub(super) fn join_test_fleet(now: Instant) -> Members {
     let member = |at: u16| configuration::model::Member {
         name: format!("n{at}"),
         address: ([127, 0, 0, 1], 7_000 + at).into(),
@@ -28,7 +28,7 @@
         settings,
         Keys::parse(KEY).ok(),
         "n0",
-        START,
+        INCARNATION,
         1,
         now,
         &reactor,
@@ -36,11 +36,11 @@
     .unwrap()
 }
 
-fn hear(members: &mut Members, bytes: &[u8], now: Instant) {
+fn receive_datagram(members: &mut Members, bytes: &[u8], now: Instant) {
     members.handle(
         Event::Datagram {
             from: "n1",
-            incarnation: START,
+            incarnation: INCARNATION,
             bytes,
         },
         now,
@@ -50,8 +50,8 @@
 #[test]
 fn accounts_of_the_first_version_are_read() {
     let now = Instant::now();
-    let mut members = joined(now);
-    hear(&mut members, &hex::decode(DATAGRAM).unwrap(), now);
+    let mut members = join_test_fleet(now);
+    receive_datagram(&mut members, &hex::decode(DATAGRAM).unwrap(), now);
     let self_report = SelfReport {
         build: "0.1.0".into(),
         serving: true,
@@ -60,16 +60,16 @@
         members.self_reports(now),
         [("n1".to_owned(), self_report)].into()
     );
-    assert_eq!(members.malformed_accounts, 0);
+    assert_eq!(members.malformed_self_reports, 0);
 }
 
 /// The fact is counted as malformed: its source is known, its content is not.
 #[test]
 fn accounts_of_a_later_version_are_counted_and_dropped() {
     let now = Instant::now();
-    let mut members = joined(now);
+    let mut members = join_test_fleet(now);
     let later = BODY.replacen("01", "02", 1);
-    hear(
+    receive_datagram(
         &mut members,
         &hex::decode(DATAGRAM.replace(BODY, &later)).unwrap(),
         now,
@@ -81,7 +81,7 @@
     assert_eq!(members.self_reports(now), BTreeMap::new());
     assert_eq!(members.view(now).counters.malformed, 0);
     assert_eq!(
-        (members.malformed_accounts, members.malformed_rates),
+        (members.malformed_self_reports, members.malformed_rates),
         (1, 0)
     );
 }
--- a/crates/leverproxy/src/cluster/members/self_report.rs
+++ b/crates/leverproxy/src/cluster/members/self_report.rs
@@ -19,8 +19,8 @@
 }
 
 /// `None` if it can't be serialised.
-pub(super) fn encode_self_report(account: &SelfReport) -> Option<Vec<u8>> {
-    postcard::to_extend(account, vec![SELF_REPORT_VERSION]).ok()
+pub(super) fn encode_self_report(report: &SelfReport) -> Option<Vec<u8>> {
+    postcard::to_extend(report, vec![SELF_REPORT_VERSION]).ok()
 }
 
 /// `None` if it is of another version, or torn.
--- a/crates/leverproxy/src/cluster/members/status_text.rs
+++ b/crates/leverproxy/src/cluster/members/status_text.rs
@@ -25,26 +25,28 @@
         );
         for operation in REPORTED_OPERATIONS {
             // Writing to a string does not fail.
-            if let Err(why) = self.core.check_operation(since_origin, operation, None) {
-                _ = writeln!(text, "  may not {}: {why}", operation_name(operation));
+            if let Err(reason) = self.core.check_operation(since_origin, operation, None) {
+                _ = writeln!(text, "  may not {}: {reason}", operation_name(operation));
             }
         }
-        let accounts = self.self_reports(now);
+        let self_reports = self.self_reports(now);
         for member in view.members {
             let age = since_origin.saturating_sub(member.since).as_secs();
-            let how = if member.direct {
+            let contact = if member.direct {
                 "heard directly"
             } else {
                 "not heard directly"
             };
-            let account = accounts.get(&member.name).map_or(String::new(), |account| {
-                let phase = if account.serving { "serving" } else { "ending" };
-                format!(", {phase}, build {}", account.build)
-            });
+            let self_report = self_reports
+                .get(&member.name)
+                .map_or(String::new(), |report| {
+                    let phase = if report.serving { "serving" } else { "ending" };
+                    format!(", {phase}, build {}", report.build)
+                });
             let status = status_name(member.status);
             _ = writeln!(
                 text,
-                "  member {} {status} for {age} s, {how}{account}",
+                "  member {} {status} for {age} s, {contact}{self_report}",
                 member.name
             );
         }
--- a/crates/leverproxy/src/cluster/members/unsealed.rs
+++ b/crates/leverproxy/src/cluster/members/unsealed.rs
@@ -1,11 +1,11 @@
 //! A datagram that can't be sealed is logged once, with the reason.
 
-use super::recorded::joined;
+use super::recorded::join_test_fleet;
 use super::*;
 use std::cell::RefCell;
 
 thread_local! {
-    static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
+    static LOG_LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Collects lines by thread, so that each test has its own.
@@ -17,7 +17,7 @@
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
+        LOG_LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
     }
 
     fn flush(&self) {}
@@ -27,14 +27,14 @@
 fn the_first_datagram_that_cannot_be_sealed_is_logged() {
     log::set_logger(&Log).expect("no other test of this program sets a logger");
     log::set_max_level(log::LevelFilter::Error);
-    let mut members = joined(Instant::now());
-    LINES.with_borrow_mut(Vec::clear);
+    let mut members = join_test_fleet(Instant::now());
+    LOG_LINES.with_borrow_mut(Vec::clear);
     let long = vec![0; MAX_DATAGRAM_BYTES];
     for _ in 0..2 {
         members.send(([127, 0, 0, 1], 9).into(), &long);
     }
-    assert_eq!((members.unsealed, members.unsent), (2, 2));
-    let lines = LINES.take();
+    assert_eq!((members.seal_failures, members.send_failures), (2, 2));
+    let lines = LOG_LINES.take();
     assert!(
         matches!(&lines[..], [line] if line.contains("at most") && line.contains("only counted") && line.contains("A fault of the program")),
         "{lines:?}"
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -29,10 +29,10 @@
 /// The first byte of its body, and the only one.
 const SHORTAGE_VERSION: u8 = 1;
 /// After it a file that could not be written, and a lock that another holds, are tried again.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The lender, while there is one.
-struct Running {
+struct RunningLender {
     lender: Lender,
     /// Incarnation of this process among the members.
     incarnation: u64,
@@ -48,7 +48,7 @@
 }
 
 /// The rule of a tenant that is not in the file any more: nothing is lent, and what is owed is repaid as before.
-fn without_loans(credit: Credit) -> Credit {
+fn without_lending(credit: Credit) -> Credit {
     Credit {
         credit_limit: Duration::ZERO,
         not_during: Vec::new(),
@@ -63,7 +63,7 @@
     waker: UnixStream,
     /// The lender's time zero.
     origin: Instant,
-    running: Option<Running>,
+    running: Option<RunningLender>,
     /// The reason why it does not start was logged.
     start_error_logged: bool,
     start_at: Instant,
@@ -74,7 +74,7 @@
     shortage: Shortage,
     /// Here or at another proxy.
     in_shortage: bool,
-    shortage_published: Option<Instant>,
+    shortage_published_at: Option<Instant>,
     /// Requests lent to, by tenant.
     borrowed: BTreeMap<String, u64>,
     given_back: u64,
@@ -84,7 +84,7 @@
     withheld: BTreeMap<String, u32>,
     saves: u64,
     saves_failed: u64,
-    /// Malformed messages, including those that former lenders counted.
+    /// Malformed messages, including those that previous lenders counted.
     malformed: u64,
 }
 
@@ -109,7 +109,7 @@
             retry_write: None,
             shortage: Shortage::default(),
             in_shortage: false,
-            shortage_published: None,
+            shortage_published_at: None,
             borrowed: BTreeMap::new(),
             given_back: 0,
             denied: BTreeMap::new(),
@@ -126,42 +126,42 @@
 
     /// Takes other settings over. Returns the keys that need a restart.
     pub fn reload(&mut self, settings: Settings, windows: Vec<Window>) -> Vec<&'static str> {
-        let mut former = std::mem::replace(&mut self.settings, settings);
-        let is_gone = |credit: &Credit| {
+        let mut previous = std::mem::replace(&mut self.settings, settings);
+        let is_removed = |credit: &Credit| {
             !self
                 .settings
                 .credits
                 .iter()
                 .any(|c| c.tenant == credit.tenant)
         };
-        let gone: Vec<Credit> = former.credits.drain(..).filter(is_gone).collect();
+        let removed: Vec<Credit> = previous.credits.drain(..).filter(is_removed).collect();
         self.settings
             .credits
-            .extend(gone.into_iter().map(without_loans));
+            .extend(removed.into_iter().map(without_lending));
         self.windows = windows;
-        let is_same = [
+        let unchanged = [
             (
                 "lending state",
-                former.state_file == self.settings.state_file,
+                previous.state_file == self.settings.state_file,
             ),
-            ("lending lease", former.lease == self.settings.lease),
+            ("lending lease", previous.lease == self.settings.lease),
             (
                 "lending step",
-                former.exchange_interval == self.settings.exchange_interval,
+                previous.exchange_interval == self.settings.exchange_interval,
             ),
             (
                 "lending longest",
-                former.max_loan_time == self.settings.max_loan_time,
+                previous.max_loan_time == self.settings.max_loan_time,
             ),
         ];
         // All other settings stay as the lender was started with them.
         self.settings = Settings {
             credits: std::mem::take(&mut self.settings.credits),
-            ..former
+            ..previous
         };
-        is_same
+        unchanged
             .into_iter()
-            .filter(|(_, same)| !same)
+            .filter(|(_, is_unchanged)| !is_unchanged)
             .map(|(key, _)| key)
             .collect()
     }
@@ -169,7 +169,12 @@
     /// The file has no loans any more: nothing is lent until the process ends.
     pub fn stop_lending(&mut self) {
         self.windows.clear();
-        self.settings.credits = self.settings.credits.drain(..).map(without_loans).collect();
+        self.settings.credits = self
+            .settings
+            .credits
+            .drain(..)
+            .map(without_lending)
+            .collect();
     }
 
     /// Computes the rules from the platform's quotas: names of tenants, in requests a second.
@@ -186,11 +191,11 @@
                 );
                 continue;
             };
-            rules.push((credit.tenant.clone(), rule(credit, *quota)));
+            rules.push((credit.tenant.clone(), lending_rule(credit, *quota)));
         }
         match Rules::new(rules, self.settings.max_loan_time) {
             Ok(rules) => self.handle(Event::Rules(rules), now),
-            Err(error) => log::error!("loans: {error}; the former rules stay"),
+            Err(error) => log::error!("loans: {error}; the previous rules stay"),
         }
     }
 
@@ -231,8 +236,8 @@
         self.shortage.record_end(self.since_start(now), rejected);
     }
 
-    /// Books what was withheld from a tenant, in requests, and returns the part of its quota to withhold from now on, 0 to 1.
-    /// `quota`: this proxy's part of the quota in requests a second, of which the tenant uses the part `used`.
+    /// Books what was withheld from a tenant, in requests, and returns the fraction of its quota to withhold from now on, 0 to 1.
+    /// `quota`: this proxy's fraction of the quota in requests a second, of which the tenant uses the fraction `used`.
     pub fn repay(
         &mut self,
         tenant: &str,
@@ -248,20 +253,21 @@
         let lender = &mut running.lender;
         lender.repay(since_start, tenant, (withheld * 1e3) as MilliRequests);
         let used = (used * 1e3).min(1e3) as u32;
-        let part = lender.withhold(since_start, tenant, (quota * 1e3) as MilliRequests, used);
+        let thousandths =
+            lender.withhold(since_start, tenant, (quota * 1e3) as MilliRequests, used);
         match self.withheld.get_mut(tenant) {
-            Some(known) => *known = part,
-            None if part > 0 => _ = self.withheld.insert(tenant.to_owned(), part),
+            Some(current) => *current = thousandths,
+            None if thousandths > 0 => _ = self.withheld.insert(tenant.to_owned(), thousandths),
             None => {}
         }
-        f64::from(part) / 1e3
+        f64::from(thousandths) / 1e3
     }
 
-    /// The part of its quota that is withheld from a tenant, 0 to 1.
+    /// The fraction of its quota that is withheld from a tenant, 0 to 1.
     pub fn withheld(&self, tenant: &str) -> f64 {
         self.withheld
             .get(tenant)
-            .map_or(0.0, |part| f64::from(*part) / 1e3)
+            .map_or(0.0, |thousandths| f64::from(*thousandths) / 1e3)
     }
 
     /// A message of another proxy, of any kind.
@@ -299,7 +305,7 @@
 
     fn update_membership(&mut self, members: &mut Members, now: Instant) {
         let is_up = |status| matches!(status, Status::Alive | Status::Suspect);
-        let known: Vec<Member> = members
+        let member_list: Vec<Member> = members
             .view(now)
             .members
             .into_iter()
@@ -321,25 +327,29 @@
                 .check_operation(GuardedOperation::Lend, None, now)
                 .is_ok(),
             roster: &roster,
-            members: &known,
+            members: &member_list,
         };
         self.handle(event, now);
     }
 
     /// Publishes the own shortage; that of another counts like an own one.
     fn update_shortage(&mut self, members: &mut Members, now: Instant) {
-        let own = self.shortage.is_in_shortage(self.since_start(now));
+        let own_shortage = self.shortage.is_in_shortage(self.since_start(now));
         let is_due = self
-            .shortage_published
+            .shortage_published_at
             .is_none_or(|at| now.saturating_duration_since(at) >= SHORTAGE_LASTS / 2);
-        if own && is_due {
-            self.shortage_published = Some(now);
+        if own_shortage && is_due {
+            self.shortage_published_at = Some(now);
             let body = vec![SHORTAGE_VERSION];
             members.publish(SHORTAGE_KIND, Vec::new(), body, SHORTAGE_LASTS, now);
         }
-        let is_of_other =
+        let is_from_other_proxy =
             |fact: &Fact| fact.source != members.name() && fact.body == [SHORTAGE_VERSION];
-        self.in_shortage = own || members.facts(SHORTAGE_KIND, now).iter().any(is_of_other);
+        self.in_shortage = own_shortage
+            || members
+                .facts(SHORTAGE_KIND, now)
+                .iter()
+                .any(is_from_other_proxy);
         self.handle(Event::Shortage(self.in_shortage), now);
     }
 
@@ -360,22 +370,22 @@
     }
 
     fn receive_written_files(&mut self, now: Instant) {
-        let mut ended = Vec::new();
+        let mut finished_writes = Vec::new();
         if let Some(writer) = self.file_writer() {
-            ended.extend(writer.ended());
+            finished_writes.extend(writer.finished_writes());
         }
-        for done in ended {
-            match done.result {
+        for finished in finished_writes {
+            match finished.result {
                 Ok(()) => {
                     self.saves += 1;
-                    self.handle(Event::Saved(done.job.sequence), now);
+                    self.handle(Event::Saved(finished.job.sequence), now);
                 }
                 Err(error) => {
                     self.saves_failed += 1;
                     if self.saves_failed == 1 {
                         log::error!("loans: {error}; it is tried again twice a second");
                     }
-                    self.retry_write = Some((now + RETRY_AFTER, done.job));
+                    self.retry_write = Some((now + RETRY_INTERVAL, finished.job));
                 }
             }
         }
@@ -395,8 +405,8 @@
         if is_running || !members.is_listening() || now < self.start_at {
             return false;
         }
-        if let Some(former) = self.running.take() {
-            self.malformed += former.lender.malformed();
+        if let Some(previous) = self.running.take() {
+            self.malformed += previous.lender.malformed();
         }
         match self.start_file_writer() {
             Ok((file_writer, file)) => {
@@ -404,7 +414,7 @@
                 true
             }
             Err(error) => {
-                self.start_at = now + RETRY_AFTER;
+                self.start_at = now + RETRY_INTERVAL;
                 if !std::mem::replace(&mut self.start_error_logged, true) {
                     log::warn!("{error}");
                 }
@@ -445,7 +455,7 @@
                 "nothing is kept"
             }
         );
-        self.running = Some(Running {
+        self.running = Some(RunningLender {
             lender,
             incarnation,
             file_writer,
@@ -504,7 +514,7 @@
 }
 
 /// `quota`: requests a second of the whole fleet.
-fn rule(credit: &Credit, quota: f64) -> Rule {
+fn lending_rule(credit: &Credit, quota: f64) -> Rule {
     Rule {
         limit_time: credit.credit_limit,
         quota: (quota * 1e3) as MilliRequests,
--- a/crates/leverproxy/src/cluster/quota_lending/file_writer.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/file_writer.rs
@@ -15,7 +15,7 @@
 const FILE_NAME: &str = "loans.state";
 const LOCK_NAME: &str = "loans.lock";
 /// Far more than the lender's bounds permit.
-const FILE_BYTES_MOST: u64 = 16 << 20;
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// Why there are no loans.
 #[derive(Debug, Error)]
@@ -48,12 +48,12 @@
 impl Store for StateFile {
     fn save(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         state_file::save(&self.path, bytes)
-            .map_err(|e| StoreError::Write(format!("{}: {e}", self.path.display())))
+            .map_err(|error| StoreError::Write(format!("{}: {error}", self.path.display())))
     }
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
-        state_file::load(&self.path, FILE_BYTES_MOST)
-            .map_err(|e| StoreError::Read(format!("{}: {e}", self.path.display())))
+        state_file::load(&self.path, MAX_FILE_BYTES)
+            .map_err(|error| StoreError::Read(format!("{}: {error}", self.path.display())))
     }
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// A job that has ended.
-pub(super) struct WriteDone {
+pub(super) struct FinishedWrite {
     pub job: WriteJob,
     pub result: Result<(), StoreError>,
 }
@@ -73,7 +73,7 @@
 pub(super) struct FileWriter {
     _lock: DirectoryLock,
     jobs: Sender<WriteJob>,
-    done: Receiver<WriteDone>,
+    finished: Receiver<FinishedWrite>,
 }
 
 impl FileWriter {
@@ -93,15 +93,15 @@
             Some(Vec::new())
         });
         let (jobs, queued_jobs) = channel();
-        let (ended_jobs, done) = channel();
+        let (finished_sender, finished_receiver) = channel();
         thread::Builder::new()
             .name("loans".into())
-            .spawn(move || run(file, queued_jobs, &ended_jobs, waker))
+            .spawn(move || run(file, queued_jobs, &finished_sender, waker))
             .map_err(StartError::Thread)?;
         let writer = FileWriter {
             _lock: lock,
             jobs,
-            done,
+            finished: finished_receiver,
         };
         Ok((writer, content))
     }
@@ -111,21 +111,21 @@
         _ = self.jobs.send(job);
     }
 
-    pub fn ended(&self) -> impl Iterator<Item = WriteDone> + '_ {
-        self.done.try_iter()
+    pub fn finished_writes(&self) -> impl Iterator<Item = FinishedWrite> + '_ {
+        self.finished.try_iter()
     }
 }
 
 fn run(
     mut file: StateFile,
     jobs: Receiver<WriteJob>,
-    ended_jobs: &Sender<WriteDone>,
+    finished_sender: &Sender<FinishedWrite>,
     mut waker: UnixStream,
 ) {
     state_file::remove_drafts(&file.path);
     for job in jobs {
         let result = file.save(&job.bytes);
-        if ended_jobs.send(WriteDone { job, result }).is_err() {
+        if finished_sender.send(FinishedWrite { job, result }).is_err() {
             return;
         }
         // A full socket wakes the loop as well as one more byte would.
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -9,9 +9,9 @@
 use super::QuotaLending;
 
 /// Metric name, help text, and what it shows of a tenant's totals.
-type TenantFigure = (&'static str, &'static str, fn(&LoanTotals) -> u64);
+type TenantMetric = (&'static str, &'static str, fn(&LoanTotals) -> u64);
 
-const TENANT_FIGURES: [TenantFigure; 6] = [
+const TENANT_METRICS: [TenantMetric; 6] = [
     (
         "lb_loan_lent_milli",
         "Thousandths of a request lent by this lane.",
@@ -71,12 +71,18 @@
         };
         let mut text = format!("loans {bootstrapped}{shortage}\n");
         for (tenant, totals) in self.totals(now) {
-            self.write_line(&mut text, tenant, &totals, now);
+            self.write_tenant_status(&mut text, tenant, &totals, now);
         }
         text
     }
 
-    fn write_line(&self, text: &mut String, tenant: &str, totals: &LoanTotals, now: Instant) {
+    fn write_tenant_status(
+        &self,
+        text: &mut String,
+        tenant: &str,
+        totals: &LoanTotals,
+        now: Instant,
+    ) {
         let lease = totals.lends_until.saturating_sub(self.since_start(now));
         let in_default = if totals.in_default {
             ", in default"
@@ -100,29 +106,31 @@
 
     /// Adds the metrics.
     pub fn write_metrics(&self, now: Instant, figures: &mut Figures) {
-        self.tenant_figures(now, figures);
-        self.decision_figures(figures);
-        self.state_figures(figures);
+        self.write_tenant_metrics(now, figures);
+        self.write_decision_metrics(figures);
+        self.write_state_metrics(figures);
     }
 
-    fn tenant_figures(&self, now: Instant, figures: &mut Figures) {
+    fn write_tenant_metrics(&self, now: Instant, figures: &mut Figures) {
         let totals = self.totals(now);
-        for (name, help, value) in TENANT_FIGURES {
+        for (name, help, value) in TENANT_METRICS {
             let rows = totals
                 .iter()
                 .map(|(tenant, totals)| (vec![("stand", *tenant)], value(totals)));
             figures.many(name, help, rows);
         }
-        let limits = self.running.iter().flat_map(|r| r.lender.credit_limits());
+        let limits = self
+            .running
+            .iter()
+            .flat_map(|running| running.lender.credit_limits());
         let rows = limits.map(|(tenant, limit)| (vec![("stand", tenant)], limit));
         figures.many("lb_loan_line_milli", "The line, by the rules here.", rows);
     }
 
-    fn decision_figures(&self, figures: &mut Figures) {
-        let rows = self
-            .withheld
-            .iter()
-            .map(|(tenant, part)| (vec![("stand", tenant.as_str())], u64::from(*part)));
+    fn write_decision_metrics(&self, figures: &mut Figures) {
+        let rows = self.withheld.iter().map(|(tenant, thousandths)| {
+            (vec![("stand", tenant.as_str())], u64::from(*thousandths))
+        });
         figures.many(
             "lb_loan_withheld",
             "Thousandths of its quota that a stand does without.",
@@ -144,7 +152,7 @@
         );
     }
 
-    fn state_figures(&self, figures: &mut Figures) {
+    fn write_state_metrics(&self, figures: &mut Figures) {
         let lender = self.running.as_ref().map(|running| &running.lender);
         let rows = [
             (
--- a/crates/leverproxy/src/cluster/rollout/metrics.rs
+++ b/crates/leverproxy/src/cluster/rollout/metrics.rs
@@ -12,8 +12,8 @@
         let phases = [
             "idle", "proposed", "canary", "region", "whole", "halted", "returned",
         ];
-        let is = phase_name(status.phase);
-        let phase = phases.map(|name| (vec![("phase", name)], u64::from(name == is)));
+        let current_phase = phase_name(status.phase);
+        let phase = phases.map(|name| (vec![("phase", name)], u64::from(name == current_phase)));
         figures.many("lb_rollout_phase", "How far the rollout has come.", phase);
         self.write_totals(&status, figures);
     }
--- a/crates/leverproxy/src/cluster/rollout/mod.rs
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -170,13 +170,13 @@
         counters: &Counters,
         now: Instant,
     ) -> Vec<ReloadRequest> {
-        if let Err(why) = &result {
+        if let Err(reason) = &result {
             self.failed_versions += 1;
-            log::error!("rollout: {} can't run here: {why}", hex(&hash));
+            log::error!("rollout: {} can't run here: {reason}", hex(&hash));
         }
-        let mut asks = self.handle(Event::VersionChecked(hash, result), members, now);
-        asks.extend(self.observe(members, counters, now));
-        asks
+        let mut requests = self.handle(Event::VersionChecked(hash, result), members, now);
+        requests.extend(self.observe(members, counters, now));
+        requests
     }
 
     /// Carries out an operator's command; returns its reply.
@@ -187,7 +187,7 @@
         counters: &Counters,
         now: Instant,
     ) -> (String, Vec<ReloadRequest>) {
-        let mut asks = self.observe(members, counters, now);
+        let mut requests = self.observe(members, counters, now);
         let event = match command {
             RolloutCommand::Propose(hash) => Some(self.proposal(hash, false, members)),
             RolloutCommand::Resume(hash) => Some(self.proposal(hash, true, members)),
@@ -196,12 +196,12 @@
             RolloutCommand::Status => None,
         };
         if let Some(event) = event {
-            log::info!(said:? = command; "rollout: told by an operator");
-            asks.extend(self.handle(event, members, now));
+            log::info!(command:? = command; "rollout: told by an operator");
+            requests.extend(self.handle(event, members, now));
         }
         match self.rejected_command.take() {
-            Some(why) => (format!("error: {why}\n"), asks),
-            None => (self.status_text(), asks),
+            Some(reason) => (format!("error: {reason}\n"), requests),
+            None => (self.status_text(), requests),
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     fn handle(&mut self, event: Event, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
-        let (mut actions, mut asks) = (Vec::new(), Vec::new());
+        let (mut actions, mut requests) = (Vec::new(), Vec::new());
         let since_origin = now.saturating_duration_since(self.origin);
         self.core.handle(since_origin, event, &mut actions);
         let mut actions = VecDeque::from(actions);
@@ -235,9 +235,9 @@
                     members.publish(FIRST_FACT_KIND + kind, Vec::new(), body, ttl, now)
                 }
                 Action::CheckVersion(hash) => {
-                    asks.push(ReloadRequest::Check(hash, self.settings.candidates.clone()))
+                    requests.push(ReloadRequest::Check(hash, self.settings.candidates.clone()))
                 }
-                Action::RunVersion(hash) => asks.push(self.run(hash)),
+                Action::RunVersion(hash) => requests.push(self.run(hash)),
                 Action::Persist(bytes) => {
                     if let Some(done) = self.persist(bytes) {
                         let mut more = Vec::new();
@@ -256,7 +256,7 @@
             }
         }
         self.log_verdict();
-        asks
+        requests
     }
 
     /// Logs what the evidence says whenever that or the phase has changed.
--- a/crates/leverproxy/src/cluster/rollout/observation.rs
+++ b/crates/leverproxy/src/cluster/rollout/observation.rs
@@ -23,7 +23,7 @@
                 .flat_map(|kind| peer_facts(members, kind, now))
                 .collect(),
             class_counts: class_counts(counters),
-            total_counts: whole_counts(0, counters.goodput.total()),
+            total_counts: integer_counts(0, counters.goodput.total()),
         }
     }
 
@@ -93,12 +93,12 @@
         (sum.requested, sum.lost) = (sum.requested + more.requested, sum.lost + more.lost);
     }
     sums.into_iter()
-        .map(|(class, sum)| whole_counts(class, sum))
+        .map(|(class, sum)| integer_counts(class, sum))
         .collect()
 }
 
 /// Whole numbers: a fraction that is cut off here comes with the next report.
-fn whole_counts(class: u32, sum: Totals) -> ClassCounts {
+fn integer_counts(class: u32, sum: Totals) -> ClassCounts {
     ClassCounts {
         class,
         offered: sum.requested as u64,
--- a/crates/leverproxy/src/cluster/rollout/persistence.rs
+++ b/crates/leverproxy/src/cluster/rollout/persistence.rs
@@ -29,15 +29,15 @@
         self.writer = started
             .map_err(|error| self.log_persist_failure(error))
             .ok();
-        let under_way = self
+        let is_queued = self
             .writer
             .as_ref()
             .is_some_and(|writer| writer.start_save(bytes));
-        if !under_way {
+        if !is_queued {
             // Its thread has ended; the next write starts another.
             self.writer = None;
         }
-        (!under_way).then_some(false)
+        (!is_queued).then_some(false)
     }
 
     fn log_persist_failure(&self, error: io::Error) {
@@ -49,13 +49,13 @@
 
     /// Writes of the state may have ended.
     pub fn persist_finished(&mut self, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         while let Some(saved) = self.writer.as_ref().and_then(BackgroundWriter::take_result) {
             let done = saved
                 .map_err(|error| self.log_persist_failure(error))
                 .is_ok();
-            asks.extend(self.handle(Event::Persisted(done), members, now));
+            requests.extend(self.handle(Event::Persisted(done), members, now));
         }
-        asks
+        requests
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/phase_names.rs
+++ b/crates/leverproxy/src/cluster/rollout/phase_names.rs
@@ -19,7 +19,7 @@
 pub(super) fn phase_text(phase: Phase) -> String {
     match phase {
         Phase::Region(at) => format!("in region {}", at + 1),
-        Phase::Halted(why) => format!("halted: {}", why.text()),
+        Phase::Halted(reason) => format!("halted: {}", reason.text()),
         phase => phase_name(phase).to_owned(),
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/status_text.rs
+++ b/crates/leverproxy/src/cluster/rollout/status_text.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 
 /// Planned restarts of one member in one rollout that are nothing unusual.
-const USUAL_PLANNED_RESTARTS: u32 = 3;
+const MAX_USUAL_PLANNED_RESTARTS: u32 = 3;
 
 impl Rollout {
     /// The state of the rollout for operators.
@@ -59,7 +59,7 @@
 
 fn verdict_text(verdict: Verdict) -> &'static str {
     match verdict {
-        Verdict::Harm(why) => why.text(),
+        Verdict::Harm(reason) => reason.text(),
         Verdict::Clean => "no harm",
         Verdict::Soaking => "soaking, nothing shown yet",
         Verdict::InsufficientTraffic => "too little traffic, or not on both versions: waiting",
@@ -95,7 +95,7 @@
         let ready = match &vote.readiness {
             Readiness::Unchecked => "has not looked at it yet".to_owned(),
             Readiness::Ready => "can run it".to_owned(),
-            Readiness::Unable(why) => format!("cannot run it: {why}"),
+            Readiness::Unable(reason) => format!("cannot run it: {reason}"),
         };
         _ = writeln!(
             text,
@@ -106,15 +106,15 @@
 }
 
 fn write_planned_restarts(status: &Status, text: &mut String) {
-    for (name, times) in &status.planned_restarts {
-        let often = if *times > USUAL_PLANNED_RESTARTS {
+    for (name, count) in &status.planned_restarts {
+        let note = if *count > MAX_USUAL_PLANNED_RESTARTS {
             ": more often than a change of builds needs"
         } else {
             ""
         };
         _ = writeln!(
             text,
-            "  member {name} started anew in order {times} times{often}"
+            "  member {name} started anew in order {count} times{note}"
         );
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/version.rs
+++ b/crates/leverproxy/src/cluster/rollout/version.rs
@@ -36,7 +36,7 @@
 pub(super) fn hash_of_file(path: &Path) -> Result<VersionHash, RolloutError> {
     let bytes = Disk
         .read(path)
-        .map_err(|why| RolloutError::Unreadable(path.to_owned(), why))?;
+        .map_err(|reason| RolloutError::Unreadable(path.to_owned(), reason))?;
     if bytes.len() > FILE_LIMIT {
         return Err(RolloutError::TooLarge(path.to_owned()));
     }
@@ -48,7 +48,7 @@
     let fault = |fault: RolloutError| ConfigError::new("rollout.candidates", fault);
     let mut names = Disk
         .names(folder)
-        .map_err(|why| fault(RolloutError::Unreadable(folder.to_owned(), why)))?;
+        .map_err(|reason| fault(RolloutError::Unreadable(folder.to_owned(), reason)))?;
     names.sort();
     let paths = names
         .iter()
--- a/crates/leverproxy/src/cluster/sites.rs
+++ b/crates/leverproxy/src/cluster/sites.rs
@@ -17,10 +17,10 @@
 pub struct Sites {
     plan: FailoverPlan,
     /// As last logged.
-    logged: Vec<Report>,
+    last_logged: Vec<Report>,
 }
 
-fn class(class: &routing::Class) -> Class {
+fn failover_class(class: &routing::Class) -> Class {
     Class {
         write: class.consistency == Consistency::Write,
         priority_weight: class.priority_weight,
@@ -28,7 +28,7 @@
     }
 }
 
-fn quota_status(status: routing::QuotaStatus) -> QuotaStatus {
+fn failover_quota_status(status: routing::QuotaStatus) -> QuotaStatus {
     match status {
         routing::QuotaStatus::WithinQuota => QuotaStatus::WithinQuota,
         routing::QuotaStatus::Borrowed => QuotaStatus::Borrowed,
@@ -41,7 +41,7 @@
     pub fn new(settings: Settings) -> Sites {
         Sites {
             plan: FailoverPlan::new(settings, true, Duration::ZERO),
-            logged: Vec::new(),
+            last_logged: Vec::new(),
         }
     }
 
@@ -53,7 +53,7 @@
             .map(|tenant| tenant.quota_per_s)
             .collect();
         self.plan.configure(
-            settings.classes.iter().map(class).collect(),
+            settings.classes.iter().map(failover_class).collect(),
             quotas,
             settings.over_quota_weight_fraction,
         );
@@ -66,7 +66,7 @@
             write: self.plan.is_write(arrival.class.0),
             class: arrival.class.0,
             tenant: arrival.tenant.0,
-            quota_status: quota_status(arrival.quota_status),
+            quota_status: failover_quota_status(arrival.quota_status),
             is_retry: arrival.is_client_retry,
         };
         self.plan.record_request(now, arrival.id.0, kind)
@@ -98,12 +98,12 @@
     fn log_changes(&mut self, name: impl Fn(u16) -> String) {
         let reports: Vec<Report> = self.plan.reports().collect();
         for report in &reports {
-            let former = self
-                .logged
+            let previous = self
+                .last_logged
                 .iter()
                 .find(|logged| logged.site == report.site)
                 .map(|logged| logged.state);
-            if former.is_some_and(|former| former != report.state) {
+            if previous.is_some_and(|previous| previous != report.state) {
                 let (site, state, source) = (
                     name(report.site),
                     report.state.name(),
@@ -112,7 +112,7 @@
                 log::warn!(source; "sites: {site} is {state}");
             }
         }
-        self.logged = reports;
+        self.last_logged = reports;
     }
 }
 
--- a/crates/leverproxy/src/cluster/sites/table.rs
+++ b/crates/leverproxy/src/cluster/sites/table.rs
@@ -7,11 +7,11 @@
 use super::Sites;
 
 /// Most kinds of requests named for each site.
-const KINDS_SHOWN: usize = 20;
+const MAX_KINDS_SHOWN: usize = 20;
 /// Smaller fractions that would be shed are not shown.
-const LEAST_SHOWN: f64 = 0.005;
+const MIN_FRACTION_SHOWN: f64 = 0.005;
 
-const SITES_HEAD: [&str; 9] = [
+const SITES_HEADER: [&str; 9] = [
     "site",
     "state",
     "by",
@@ -22,11 +22,11 @@
     "writes left/asked",
     "load goes to",
 ];
-const SHED_HEAD: [&str; 5] = ["without", "class", "tenant", "quota", "refused"];
+const SHED_HEADER: [&str; 5] = ["without", "class", "tenant", "quota", "refused"];
 
 type Row = Vec<String>;
 
-fn head<const N: usize>(cells: [&str; N]) -> Row {
+fn header_row<const N: usize>(cells: [&str; N]) -> Row {
     cells.map(str::to_owned).to_vec()
 }
 
@@ -35,7 +35,7 @@
     pub fn table(
         &self,
         now: Duration,
-        named: Option<&str>,
+        requested_site: Option<&str>,
         zone: impl Fn(u16) -> String,
         [classes, tenants]: [&[String]; 2],
     ) -> String {
@@ -44,29 +44,29 @@
             .reports()
             .map(|report| (zone(report.site), report))
             .collect();
-        if let Some(named) = named {
-            if !all.iter().any(|(name, _)| name == named) {
-                return unknown_site(named, &all);
+        if let Some(requested_site) = requested_site {
+            if !all.iter().any(|(name, _)| name == requested_site) {
+                return unknown_site(requested_site, &all);
             }
-            all.retain(|(name, _)| name == named);
+            all.retain(|(name, _)| name == requested_site);
         }
         if all.is_empty() {
             return "one site, or none: nothing is to be told of it\n".into();
         }
-        let mut sites = vec![head(SITES_HEAD)];
-        let mut shed = vec![head(SHED_HEAD)];
+        let mut sites = vec![header_row(SITES_HEADER)];
+        let mut shed = vec![header_row(SHED_HEADER)];
         for (name, report) in &all {
             let forecast = self.plan.forecast_loss(now, report.site);
             sites.push(site_row(now, name, report, &forecast, &zone));
             let shown = forecast
                 .shed
                 .iter()
-                .filter(|kind| kind.fraction >= LEAST_SHOWN)
-                .take(KINDS_SHOWN);
+                .filter(|kind| kind.fraction >= MIN_FRACTION_SHOWN)
+                .take(MAX_KINDS_SHOWN);
             shed.extend(shown.map(|kind| shed_row(name, kind, classes, tenants)));
         }
         let shed = if shed.len() > 1 {
-            columns(&shed)
+            align_columns(&shed)
         } else {
             String::new()
         };
@@ -74,18 +74,18 @@
             "refused now for a lost site: {} of the work of reads\n",
             percent(self.plan.shed_level())
         );
-        [columns(&sites), shed, level].concat()
+        [align_columns(&sites), shed, level].concat()
     }
 }
 
-fn unknown_site(named: &str, sites: &[(String, Report)]) -> String {
+fn unknown_site(requested_site: &str, sites: &[(String, Report)]) -> String {
     let known: Vec<&str> = sites.iter().map(|(name, _)| name.as_str()).collect();
     let known = if known.is_empty() {
         "none are told apart".into()
     } else {
         known.join(", ")
     };
-    format!("error: there is no site {named:?}; of sites {known}\n")
+    format!("error: there is no site {requested_site:?}; of sites {known}\n")
 }
 
 /// Work is in cores: seconds of it in a second.
@@ -99,7 +99,7 @@
     let destinations: Vec<String> = forecast
         .destinations
         .iter()
-        .map(|(site, part)| format!("{} {}", zone(*site), percent(*part)))
+        .map(|(site, fraction)| format!("{} {}", zone(*site), percent(*fraction)))
         .collect();
     let [reads, writes] = [0, 1].map(|at| {
         format!(
@@ -125,8 +125,8 @@
 }
 
 fn shed_row(site: &str, kind: &ShedKind, classes: &[String], tenants: &[String]) -> Row {
-    let name = |names: &[String], at: u16| {
-        let name = names.get(usize::from(at));
+    let name = |names: &[String], index: u16| {
+        let name = names.get(usize::from(index));
         name.map_or("-", |name| name).to_owned()
     };
     let quota_status = match kind.quota_status {
@@ -143,13 +143,13 @@
     ]
 }
 
-fn percent(part: f64) -> String {
-    format!("{:.0}%", 100.0 * part)
+fn percent(fraction: f64) -> String {
+    format!("{:.0}%", 100.0 * fraction)
 }
 
-fn columns(rows: &[Row]) -> String {
+fn align_columns(rows: &[Row]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let width = |row: &Row, at: usize| row.get(at).map_or(0, |text| text.chars().count());
+    let width = |row: &Row, index: usize| row.get(index).map_or(0, |text| text.chars().count());
     let widths: Vec<usize> = (0..count)
         .map(|at| rows.iter().map(|row| width(row, at)).max().unwrap_or(0))
         .collect();
--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -13,35 +13,35 @@
 mod tests;
 
 /// Kind of the message.
-const KIND: u8 = 30;
+const MESSAGE_KIND: u8 = 30;
 /// The first byte of its body.
-const VERSION: u8 = 1;
+const MESSAGE_VERSION: u8 = 1;
 /// A proxy that is cut off keeps its part of the quotas so long; then the others divide it.
 const TTL: Duration = Duration::from_secs(60);
 /// Interval of messages in a small fleet: rates are averages over some seconds.
-const INTERVAL: Duration = Duration::from_secs(1);
+const BASE_INTERVAL: Duration = Duration::from_secs(1);
 /// Tenants in one message: a number and a rate take five bytes each at most.
-const TENANTS: usize = 48;
+const MAX_TENANTS_PER_MESSAGE: usize = 48;
 /// Messages of one proxy, which leave room for those of loans and rollouts.
-const MESSAGES: usize = 2;
+const MAX_MESSAGES: usize = 2;
 
 /// Numbers of tenants' names, and rates in thousandths of a request a second.
 type Rates = Vec<(u32, u32)>;
 
 fn encode(rates: &[(u32, u32)]) -> Option<Vec<u8>> {
-    postcard::to_extend(rates, vec![VERSION]).ok()
+    postcard::to_extend(rates, vec![MESSAGE_VERSION]).ok()
 }
 
 fn decode(body: &[u8]) -> Option<Rates> {
     match body.split_first() {
-        Some((&VERSION, rest)) => postcard::from_bytes(rest).ok(),
+        Some((&MESSAGE_VERSION, rest)) => postcard::from_bytes(rest).ok(),
         _ => None,
     }
 }
 
 /// Interval of [`publish`], which grows with the fleet.
-pub fn interval(members: &Members) -> Duration {
-    membership::republish_interval(members.roster_size(), 1, INTERVAL, TTL)
+pub fn publish_interval(members: &Members) -> Duration {
+    membership::republish_interval(members.roster_size(), 1, BASE_INTERVAL, TTL)
 }
 
 /// Publishes the rates here. Tenants beyond what fits are left out: for them each proxy estimates its part by itself.
@@ -56,16 +56,16 @@
         .zip(rates)
         .map(|(name, rate)| (member_id(name), (rate * 1e3) as u32))
         .collect();
-    for (at, part) in (0_u8..).zip(rates.chunks(TENANTS).take(MESSAGES)) {
+    for (at, part) in (0_u8..).zip(rates.chunks(MAX_TENANTS_PER_MESSAGE).take(MAX_MESSAGES)) {
         if let Some(body) = encode(part) {
-            members.publish(KIND, vec![at], body, TTL, now);
+            members.publish(MESSAGE_KIND, vec![at], body, TTL, now);
         }
     }
 }
 
 /// Whether a message has rates that can't be decoded: of another version, or malformed.
 pub fn is_malformed(fact: &Fact) -> bool {
-    fact.kind == KIND && decode(&fact.body).is_none()
+    fact.kind == MESSAGE_KIND && decode(&fact.body).is_none()
 }
 
 /// What all other proxies together see; none while no other reports.
@@ -73,7 +73,7 @@
     let gone = gone_members(members, now);
     let mut rates_by_tenant: BTreeMap<u32, f64> = BTreeMap::new();
     let mut proxies = BTreeSet::new();
-    for fact in members.facts(KIND, now) {
+    for fact in members.facts(MESSAGE_KIND, now) {
         // The own messages may be those of a former process.
         if fact.source == members.name() || gone.contains(&fact.source) {
             continue;
--- a/crates/leverproxy/src/cluster/usage/tests.rs
+++ b/crates/leverproxy/src/cluster/usage/tests.rs
@@ -27,6 +27,6 @@
             age: Duration::ZERO,
             ttl: TTL,
         };
-        assert!(is_malformed(&fact(KIND)) && !is_malformed(&fact(KIND + 1)));
+        assert!(is_malformed(&fact(MESSAGE_KIND)) && !is_malformed(&fact(MESSAGE_KIND + 1)));
     }
 }
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -11,14 +11,14 @@
 
 /// A request's name stays reserved for this long after its end: a client that copies another's request does so for a
 /// while after that is answered.
-const NAME_RETENTION: Duration = Duration::from_secs(5);
+const CLIENT_REQUEST_ID_RETENTION: Duration = Duration::from_secs(5);
 /// Most names of ended requests that are reserved.
-const MAX_ENDED_NAMES: usize = 20_000;
+const MAX_ENDED_CLIENT_REQUEST_IDS: usize = 20_000;
 
 /// A request that has no final answer yet.
 #[derive(Debug)]
 pub struct OpenRequest {
-    name: Box<str>,
+    client_request_id: Box<str>,
     /// Where its answer goes.
     pub slot: ResponseSlot,
     /// Its class as the client named it.
@@ -61,9 +61,9 @@
     open: BTreeMap<RequestId, OpenRequest>,
     ids_by_slot: BTreeMap<ResponseSlot, RequestId>,
     /// Names of requests that are open or ended lately.
-    names: BTreeSet<Box<str>>,
+    client_request_ids: BTreeSet<Box<str>>,
     /// Names of ended requests, by the time of their end.
-    ended: VecDeque<(Instant, Box<str>)>,
+    ended_client_request_ids: VecDeque<(Instant, Box<str>)>,
     last_id: u64,
     /// Most open requests; 0: no limit.
     limit: usize,
@@ -96,9 +96,9 @@
         if self.limit > 0 && self.open.len() >= self.limit {
             return Some(Answer::Rejected(None));
         }
-        self.expire_names(request.read_at);
-        let taken = self.names.contains(&request.id);
-        taken.then(|| {
+        self.expire_client_request_ids(request.read_at);
+        let in_use = self.client_request_ids.contains(&request.id);
+        in_use.then(|| {
             Answer::Invalid(format!(
                 "id={} is another request's",
                 truncate_for_display(&request.id)
@@ -117,9 +117,9 @@
     ) {
         let id = arrival.id;
         self.ids_by_slot.insert(slot, id);
-        self.names.insert(request.id.clone());
+        self.client_request_ids.insert(request.id.clone());
         let open = OpenRequest {
-            name: request.id,
+            client_request_id: request.id,
             slot,
             class,
             group: GroupId(request.group),
@@ -140,28 +140,33 @@
         self.open.get_mut(&id)
     }
 
-    fn expire_names(&mut self, now: Instant) {
-        let expired = |at: Instant| now.saturating_duration_since(at) >= NAME_RETENTION;
-        while self.ended.len() > MAX_ENDED_NAMES
-            || self.ended.front().is_some_and(|(at, _)| expired(*at))
+    fn expire_client_request_ids(&mut self, now: Instant) {
+        let expired =
+            |at: Instant| now.saturating_duration_since(at) >= CLIENT_REQUEST_ID_RETENTION;
+        while self.ended_client_request_ids.len() > MAX_ENDED_CLIENT_REQUEST_IDS
+            || self
+                .ended_client_request_ids
+                .front()
+                .is_some_and(|(at, _)| expired(*at))
         {
-            let Some((_, name)) = self.ended.pop_front() else {
+            let Some((_, id)) = self.ended_client_request_ids.pop_front() else {
                 return;
             };
-            self.names.remove(&name);
+            self.client_request_ids.remove(&id);
         }
     }
 
     /// Number of names that no other request may have.
     pub fn reserved_client_request_ids(&self) -> usize {
-        self.names.len()
+        self.client_request_ids.len()
     }
 
     /// Removes a request. The caller owes its answer: nobody else can get the request.
     pub fn close(&mut self, id: RequestId, now: Instant) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
         self.ids_by_slot.remove(&open.slot);
-        self.ended.push_back((now, open.name.clone()));
+        self.ended_client_request_ids
+            .push_back((now, open.client_request_id.clone()));
         Some(open)
     }
 
--- a/crates/leverproxy/src/pipeline/answers.rs
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -28,9 +28,9 @@
     ) {
         let class = self.counters.name(open.class);
         log::debug!("{class}: {}", relay::describe(&open, &answer, now));
-        let took = now.saturating_duration_since(open.read_at);
+        let elapsed = now.saturating_duration_since(open.read_at);
         self.counters
-            .answered(open.class, open.quota_status, &answer, took);
+            .answered(open.class, open.quota_status, &answer, elapsed);
         self.quota.record_end(&open, Some(&answer), now);
         let is_write = self.is_write(Some(open.class));
         self.monitor
--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -42,19 +42,19 @@
         _ => 0,
     };
     // A client that states more than its class allows must not hold a place among the open requests for days.
-    let longest = deadlines
+    let class_limit = deadlines
         .get(usize::from(class.0))
         .copied()
         .unwrap_or(request.timeout);
-    let timeout = request.timeout.min(longest);
-    let spent = now.saturating_duration_since(request.read_at) + margin;
+    let timeout = request.timeout.min(class_limit);
+    let elapsed = now.saturating_duration_since(request.read_at) + margin;
     Ok(Arrival {
         id,
         class,
         tenant: TenantId(tenant),
         group: GroupId(request.group),
         session: request.session.map(SessionKey),
-        time_left: timeout.saturating_sub(spent),
+        time_left: timeout.saturating_sub(elapsed),
         session_position: request
             .min_commit_time
             .map(|at| SessionPosition::At(Time(at))),
@@ -78,11 +78,15 @@
 /// Limits the time of a request by the end of the process, less `margin` for the way of the answer.
 pub fn limit_time(
     arrival: Arrival,
-    end: Option<Instant>,
+    termination_deadline: Option<Instant>,
     margin: Duration,
     now: Instant,
 ) -> Arrival {
-    let left = end.map(|end| end.saturating_duration_since(now).saturating_sub(margin));
+    let left = termination_deadline.map(|deadline| {
+        deadline
+            .saturating_duration_since(now)
+            .saturating_sub(margin)
+    });
     Arrival {
         time_left: left.map_or(arrival.time_left, |left| left.min(arrival.time_left)),
         ..arrival
--- a/crates/leverproxy/src/pipeline/endpoints.rs
+++ b/crates/leverproxy/src/pipeline/endpoints.rs
@@ -13,11 +13,11 @@
 impl Pipeline {
     /// Loads the endpoint list as it was last known, before any event.
     pub fn load_endpoints(&mut self, known: EndpointList, io: &mut Io, now: Instant) {
-        let listing = EndpointList {
+        let list = EndpointList {
             snapshot: true,
             ..known
         };
-        let mut update = self.directory.apply(listing, &self.names);
+        let mut update = self.directory.apply(list, &self.names);
         update.endpoints = match update.endpoints {
             EndpointUpdate::Snapshot(entries) => EndpointUpdate::Cached(entries),
             other => other,
@@ -54,7 +54,7 @@
                     self.decide(Event::Endpoints(unchanged), io, now);
                 }
             }
-            WatchEvent::List(listing) => self.on_listing(listing, io, now),
+            WatchEvent::List(list) => self.on_endpoint_list(list, io, now),
             WatchEvent::Lost => {
                 monitor.list_updated(false, now);
                 monitor.handle(now, availability::Event::Discovery { connected: false });
@@ -66,21 +66,21 @@
         }
     }
 
-    fn on_listing(&mut self, listing: EndpointList, io: &mut Io, now: Instant) {
-        let discovery_heard = availability::Event::Discovery { connected: true };
-        self.monitor.handle(now, discovery_heard);
+    fn on_endpoint_list(&mut self, list: EndpointList, io: &mut Io, now: Instant) {
+        let discovery_connected = availability::Event::Discovery { connected: true };
+        self.monitor.handle(now, discovery_connected);
         self.monitor.handle(now, availability::Event::ListReceived);
         self.counters.lists += 1;
         self.list_confirmed = true;
-        self.report_unreadable_endpoints(&listing, now);
-        let update = self.directory.apply(listing, &self.names);
+        self.report_unreadable_endpoints(&list, now);
+        let update = self.directory.apply(list, &self.names);
         self.apply_endpoint_update(update, io, now);
         self.monitor.list_updated(true, now);
     }
 
-    fn report_unreadable_endpoints(&mut self, listing: &EndpointList, now: Instant) {
-        self.counters.unreadable_endpoints = listing.unreadable.len() as u64;
-        for entry in &listing.unreadable {
+    fn report_unreadable_endpoints(&mut self, list: &EndpointList, now: Instant) {
+        self.counters.unreadable_endpoints = list.unreadable.len() as u64;
+        for entry in &list.unreadable {
             let (name, problem) = (entry.name.as_deref(), &entry.problem);
             self.unreadable_log.warn(now, || match name {
                 Some(name) => format!(
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -66,7 +66,7 @@
             return self.answer(id, Answer::Failed, io, now);
         }
         let request_finished = self.open_requests.get_mut(id).is_none();
-        let latest = if self.set_commit_position(&mut completed, now) {
+        let latest = if self.fill_in_commit_position(&mut completed, now) {
             latest.plus(record::MAX_CLOCK_LAG)
         } else {
             latest
@@ -93,7 +93,7 @@
     /// Sets the position of a write that went through, if the server sent none. Returns whether it is such a write. Later reads
     /// of its session have to see its commit: its position counts although it lies ahead of this process's clock, and
     /// where none was sent, it may be as late as true time may be.
-    fn set_commit_position(&self, completed: &mut CompletedExchange, now: Instant) -> bool {
+    fn fill_in_commit_position(&self, completed: &mut CompletedExchange, now: Instant) -> bool {
         let is_commit = self.is_write(completed.class)
             && matches!(completed.outcome, ExchangeOutcome::Served(_));
         if is_commit {
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -31,7 +31,7 @@
     classes: Vec<String>,
     /// The meter's time zero: the first request, or the first poll.
     origin: Option<Instant>,
-    rates_published: Option<Instant>,
+    rates_published_at: Option<Instant>,
     /// Loans over the fleet, if the operators' file has them.
     pub lending: Option<QuotaLending>,
 }
@@ -60,12 +60,12 @@
                 .map(|class| class.priority_weight)
                 .collect(),
         };
-        let former = |at: usize| {
+        let previous = |at: usize| {
             self.names
                 .iter()
                 .position(|name| tenants.get(at) == Some(name))
         };
-        self.meter.configure(&meter_settings, former);
+        self.meter.configure(&meter_settings, previous);
         self.names.clone_from(tenants);
         self.classes.clone_from(classes);
         self.update_lending_rules(now);
@@ -84,8 +84,8 @@
     }
 
     /// Sets the quota status of a request. `named`: the client has said which tenant it is.
-    pub fn set_status(&mut self, arrival: &mut Arrival, named: bool, now: Instant) {
-        if !named {
+    pub fn set_status(&mut self, arrival: &mut Arrival, tenant_given: bool, now: Instant) {
+        if !tenant_given {
             return;
         }
         let since_origin = self.since_origin(now);
@@ -170,10 +170,10 @@
 
     fn publish_rates(&mut self, members: &mut Members, since_origin: Duration, now: Instant) {
         let is_due = self
-            .rates_published
-            .is_none_or(|at| now.saturating_duration_since(at) >= usage::interval(members));
+            .rates_published_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= usage::publish_interval(members));
         if is_due {
-            self.rates_published = Some(now);
+            self.rates_published_at = Some(now);
             let rates = self.meter.rates(since_origin);
             usage::publish(members, &self.names, rates, now);
         }
@@ -184,13 +184,13 @@
         let Some(lending) = &mut self.lending else {
             return;
         };
-        for (at, tenant) in self.names.iter().enumerate() {
-            let (quota, used) = (self.meter.local_quota(at), self.meter.utilization(at));
-            let former = lending.withheld(tenant);
-            let withheld = self.meter.withhold(since_origin, at, former);
-            let part = lending.repay(tenant, withheld, quota, used, now);
-            if part != former {
-                self.meter.withhold(since_origin, at, part);
+        for (index, tenant) in self.names.iter().enumerate() {
+            let (quota, used) = (self.meter.local_quota(index), self.meter.utilization(index));
+            let previous = lending.withheld(tenant);
+            let withheld = self.meter.withhold(since_origin, index, previous);
+            let withheld_fraction = lending.repay(tenant, withheld, quota, used, now);
+            if withheld_fraction != previous {
+                self.meter.withhold(since_origin, index, withheld_fraction);
             }
         }
     }
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -8,7 +8,7 @@
 /// The event of a completed exchange. `request_finished`: the request has its final answer. A position ahead of `latest`
 /// is dropped: believed, it would make a replica seem to hold what is not written yet.
 pub fn record(completed: &CompletedExchange, request_finished: bool, latest: Time) -> Event {
-    let is_believed = |position: &Time| *position <= latest;
+    let is_plausible = |position: &Time| *position <= latest;
     match completed.purpose {
         Purpose::Attempt(id, attempt) => Event::AttemptEnded(AttemptEnded {
             id,
@@ -18,7 +18,7 @@
             elapsed: completed.elapsed,
             request_finished,
             metadata: ResponseMetadata {
-                position: completed.metadata.position.filter(is_believed),
+                position: completed.metadata.position.filter(is_plausible),
                 ..completed.metadata
             },
         }),
@@ -26,14 +26,14 @@
             server: completed.server,
             ok: matches!(completed.outcome, ExchangeOutcome::Reported(_)),
             elapsed: completed.elapsed,
-            report: believed_load_report(&completed.outcome, latest),
+            report: plausible_load_report(&completed.outcome, latest),
         },
     }
 }
 
 /// The part of a probe's load report that is believed. A report that can't be read or can't be true counts as empty; the
 /// server has answered all the same. Of a report whose position may be true but is not believed yet, the rest counts.
-fn believed_load_report(outcome: &ExchangeOutcome, latest: Time) -> LoadReport {
+fn plausible_load_report(outcome: &ExchangeOutcome, latest: Time) -> LoadReport {
     let ExchangeOutcome::Reported(fields) = outcome else {
         return LoadReport::default();
     };
@@ -92,7 +92,7 @@
 pub const MAX_CLOCK_LAG: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Error of a position in seconds as a 64-bit float: positions are reported rounded towards the past.
-const ROUNDING: Duration = Duration::from_micros(1);
+const POSITION_ROUNDING_ERROR: Duration = Duration::from_micros(1);
 
 /// A load report. Over sockets all positions are Unix times.
 fn parse_load_report(fields: &[(String, f64)]) -> LoadReport {
@@ -101,7 +101,7 @@
         .map(|(name, value)| (platform_settings::report_field(name), *value));
     let report = platform_settings::load_report(Time::ZERO, fields);
     LoadReport {
-        position: report.position.map(|at| at.minus(ROUNDING)),
+        position: report.position.map(|at| at.minus(POSITION_ROUNDING_ERROR)),
         ..report
     }
 }
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -28,10 +28,10 @@
 
 /// A line for the log on how a request ended.
 pub fn describe(open: &OpenRequest, answer: &Answer, now: Instant) -> String {
-    let took = now.saturating_duration_since(open.read_at).as_millis();
+    let elapsed_ms = now.saturating_duration_since(open.read_at).as_millis();
     let (timeout, attempts) = (open.timeout.as_millis(), open.attempts());
     format!(
-        "{} after {took} of {timeout} ms, {attempts} attempts",
+        "{} after {elapsed_ms} of {timeout} ms, {attempts} attempts",
         answer.kind()
     )
 }
--- a/crates/leverproxy/src/pipeline/response_order.rs
+++ b/crates/leverproxy/src/pipeline/response_order.rs
@@ -27,11 +27,11 @@
     /// The time of a request is over. Those before it on its connection are ended, so that its answer can go out.
     pub fn end_requests_before(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         for id in self.open_requests.ids_before(slot) {
-            self.end_out_of_turn(id, io, now);
+            self.end_request_early(id, io, now);
         }
     }
 
-    fn end_out_of_turn(&mut self, id: RequestId, io: &mut Io, now: Instant) {
+    fn end_request_early(&mut self, id: RequestId, io: &mut Io, now: Instant) {
         let Some(open) = self.open_requests.get_mut(id) else {
             return;
         };
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -95,9 +95,9 @@
     /// The route rejects its requests.
     pub rejected: u64,
     /// The pool was full.
-    pub pool_full: u64,
+    pub rejected_concurrency: u64,
     /// The pool's rate was used up.
-    pub pool_fast: u64,
+    pub rejected_rate: u64,
 }
 
 /// The route rules stage: the rules in force, and the pools that they fill.
@@ -154,8 +154,8 @@
         let class = self.rules.file_class(arrival.class);
         let spent = now.saturating_duration_since(request.read_at) + self.rules.margin;
         let limits = self.rules.class_limits.get(usize::from(class.0));
-        let (longest, attempt_limit) = limits.copied().unwrap_or_default();
-        limit_time(arrival, longest, spent);
+        let (time_limit, attempt_limit) = limits.copied().unwrap_or_default();
+        limit_time(arrival, time_limit, spent);
         arrival.attempt_limit = min_limit(arrival.attempt_limit, attempt_limit);
         let Some(action) = self.rules.find_action(class, request, at) else {
             return Ok(None);
@@ -184,8 +184,8 @@
             Admission::Admitted => Ok(Some(pool)),
             Admission::Rejected { cause, retry_after } => {
                 match cause {
-                    RejectionCause::Concurrency => self.counts.pool_full += 1,
-                    RejectionCause::Rate => self.counts.pool_fast += 1,
+                    RejectionCause::Concurrency => self.counts.rejected_concurrency += 1,
+                    RejectionCause::Rate => self.counts.rejected_rate += 1,
                 }
                 Err(self.rejection(Some(retry_after)))
             }
@@ -198,8 +198,8 @@
     }
 
     fn rejection(&self, retry_after: Option<Duration>) -> Answer {
-        let most = self.rules.max_retry_after;
-        Answer::Rejected(retry_after.and_then(|after| most.map(|most| after.min(most))))
+        let limit = self.rules.max_retry_after;
+        Answer::Rejected(retry_after.and_then(|after| limit.map(|limit| after.min(limit))))
     }
 }
 
@@ -209,22 +209,22 @@
         let Counts {
             routed,
             rejected,
-            pool_full,
-            pool_fast,
+            rejected_concurrency,
+            rejected_rate,
         } = self.counts;
         if routed > 0 || !self.rules.actions.is_empty() {
-            write!(f, "\nroutes: {routed} requests, refused {rejected}; by pools: full {pool_full}, fast {pool_fast}")?;
+            write!(f, "\nroutes: {routed} requests, refused {rejected}; by pools: full {rejected_concurrency}, fast {rejected_rate}")?;
         }
         for (name, counts) in self.bulkheads.counts() {
             let bulkheads::Counts {
-                in_flight: open,
-                admitted: taken,
-                rejected_concurrency: full,
-                rejected_rate: fast,
+                in_flight,
+                admitted,
+                rejected_concurrency,
+                rejected_rate,
             } = counts;
             write!(
                 f,
-                "\npool {name}: open {open}, taken {taken}; refused [full {full}] [fast {fast}]"
+                "\npool {name}: open {in_flight}, taken {admitted}; refused [full {rejected_concurrency}] [fast {rejected_rate}]"
             )?;
         }
         Ok(())
@@ -234,9 +234,9 @@
 /// The index's number of a tenant that no route names.
 const UNNAMED_TENANT: u32 = u32::MAX - 1;
 
-fn limit_time(arrival: &mut Arrival, longest: Option<Duration>, spent: Duration) {
-    if let Some(longest) = longest {
-        arrival.time_left = arrival.time_left.min(longest.saturating_sub(spent));
+fn limit_time(arrival: &mut Arrival, time_limit: Option<Duration>, spent: Duration) {
+    if let Some(time_limit) = time_limit {
+        arrival.time_left = arrival.time_left.min(time_limit.saturating_sub(spent));
     }
 }
 
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -27,8 +27,8 @@
             self.request_reads(requests);
         }
         self.persist(now);
-        while let Some((request, read)) = self.reloads.as_mut().and_then(Reloader::next_result) {
-            self.on_configuration_read(request, read, now);
+        while let Some((request, loaded)) = self.reloads.as_mut().and_then(Reloader::next_result) {
+            self.on_configuration_read(request, loaded, now);
         }
     }
 
@@ -70,23 +70,23 @@
     fn on_configuration_read(
         &mut self,
         request: ReloadRequest,
-        read: Result<Config, ConfigError>,
+        loaded: Result<Config, ConfigError>,
         now: Instant,
     ) {
         match request {
             // A failure is logged; the configuration stays as it was.
-            ReloadRequest::CurrentFiles => _ = self.reload(read, now),
+            ReloadRequest::CurrentFiles => _ = self.reload(loaded, now),
             ReloadRequest::Check(hash, _) => {
-                let checked = read
+                let checked = loaded
                     .map_err(|error| error.to_string())
                     .and_then(|config| self.check_candidate(&config));
-                self.tell_rollout(|rollout, members, counters| {
+                self.notify_rollout(|rollout, members, counters| {
                     rollout.version_checked(hash, checked, members, counters, now)
                 });
             }
             ReloadRequest::Run(hash, _) => {
-                let run = self.reload(read, now);
-                self.tell_rollout(|rollout, members, counters| {
+                let run = self.reload(loaded, now);
+                self.notify_rollout(|rollout, members, counters| {
                     rollout.version_run(hash, run, members, counters, now)
                 });
             }
@@ -94,12 +94,12 @@
     }
 
     /// Tells the rollout something, if this proxy takes part in rollouts, and reads what it asks for.
-    fn tell_rollout(
+    fn notify_rollout(
         &mut self,
-        tell: impl FnOnce(&mut Rollout, &mut Members, &Counters) -> Vec<ReloadRequest>,
+        notify: impl FnOnce(&mut Rollout, &mut Members, &Counters) -> Vec<ReloadRequest>,
     ) {
         if let (Some(rollout), Some(members)) = (&mut self.rollout, &mut self.members) {
-            let requests = tell(rollout, members, &self.pipeline.counters);
+            let requests = notify(rollout, members, &self.pipeline.counters);
             self.request_reads(requests);
         }
     }
--- a/crates/leverproxy/src/proxy/control_socket.rs
+++ b/crates/leverproxy/src/proxy/control_socket.rs
@@ -36,7 +36,7 @@
         event: Event,
         now: Instant,
     ) -> String {
-        log::info!(word:? = command; "told by an operator");
+        log::info!(command:? = command; "told by an operator");
         self.handle_drain_event(event, now);
         self.status_report(now)
     }
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -26,7 +26,7 @@
             self.flush_members();
             if self.terminated {
                 self.leave_fleet();
-                self.log_end();
+                self.log_exit();
                 return Ok(());
             }
             let until = self.io.timers.next();
@@ -37,9 +37,9 @@
 
     /// One round of events and due timers. Its load is the time that it takes, and how late it began.
     fn dispatch(&mut self, until: Option<Instant>, ready: &mut [Ready]) {
-        let woken = Instant::now();
-        let late = until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at));
-        self.pipeline.monitor.record_lag(late);
+        let woken_at = Instant::now();
+        let delay = until.map_or(Duration::ZERO, |at| woken_at.saturating_duration_since(at));
+        self.pipeline.monitor.record_lag(delay);
         ready.sort_by_key(|event| event.priority());
         for &event in ready.iter() {
             self.on_ready(event);
@@ -48,10 +48,10 @@
         while let Some(timer) = self.io.timers.pop_due(now) {
             self.on_timer(timer, now);
         }
-        self.pipeline.monitor.record_lag(woken.elapsed());
+        self.pipeline.monitor.record_lag(woken_at.elapsed());
     }
 
-    fn log_end(&self) {
+    fn log_exit(&self) {
         let clients = self.io.downstream.client_count();
         let open = self.pipeline.open_request_count();
         log::info!("ended, with {clients} clients left and {open} requests owed an answer");
@@ -147,7 +147,7 @@
 
     /// A new process asks for the handover.
     fn on_handover_request(&mut self, now: Instant) {
-        let (listing, exclusions) = self.pipeline.handover_state();
+        let (list, exclusions) = self.pipeline.handover_state();
         let Io {
             reactor,
             downstream,
@@ -156,8 +156,7 @@
             ..
         } = &mut self.io;
         let (clients, connections) = (downstream.client_count(), upstream.connection_count());
-        let state =
-            || HandoverState::new(listing.clone(), exclusions.clone(), clients, connections);
+        let state = || HandoverState::new(list.clone(), exclusions.clone(), clients, connections);
         if let Some(hot_restart) = hot_restart {
             hot_restart.accept(state, downstream.listener(), reactor);
         }
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -15,7 +15,7 @@
             LinkEvent::Message(message) => self.on_exclusion_message(from, message, now),
             LinkEvent::Closed => {
                 self.update_handed_over(now);
-                self.on_process_gone();
+                self.on_peer_process_exit();
             }
         }
     }
@@ -33,7 +33,7 @@
         let Some(hot_restart) = &mut self.io.hot_restart else {
             return;
         };
-        log::info!(said:? = message; "takeover: the next process serves");
+        log::info!(peer_message:? = message; "takeover: the next process serves");
         let accepts = hot_restart.new_process_accepts();
         self.io
             .downstream
@@ -44,7 +44,7 @@
         self.share_limits();
     }
 
-    fn on_process_gone(&mut self) {
+    fn on_peer_process_exit(&mut self) {
         let Some(hot_restart) = &mut self.io.hot_restart else {
             return;
         };
--- a/crates/leverproxy/src/proxy/persistence.rs
+++ b/crates/leverproxy/src/proxy/persistence.rs
@@ -13,10 +13,10 @@
         let members = self.members.as_ref();
         let incarnation = members.map_or(self.incarnation, Members::incarnation);
         let pipeline = &self.pipeline;
-        let listing = || pipeline.handover_state().0;
+        let endpoint_list = || pipeline.handover_state().0;
         let list = pipeline
             .received_list_index()
-            .map(|index| (index, &listing as &dyn Fn() -> _));
+            .map(|index| (index, &endpoint_list as &dyn Fn() -> _));
         saved_state.handle_finished_saves(now);
         saved_state.update(incarnation, pipeline.manual_exclusions(), list, now);
         for (key, answer) in saved_state.take_confirmations(now) {
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -16,10 +16,10 @@
     /// What is wrong with it, as it is published of a rollout's candidate. It is logged and counted here.
     pub(super) fn reload(
         &mut self,
-        read: Result<Config, ConfigError>,
+        loaded: Result<Config, ConfigError>,
         now: Instant,
     ) -> Result<(), String> {
-        let mut config = read.map_err(|error| self.reject_configuration(&error))?;
+        let mut config = loaded.map_err(|error| self.reject_configuration(&error))?;
         let started = Instant::now();
         let (members, lending) = (config.members.take(), config.quota_lending.take());
         let (keys, windows) = (
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -145,22 +145,22 @@
         recovered: InitialState,
         now: Instant,
     ) {
-        let (listing, exclusions) = match state {
+        let (list, exclusions) = match state {
             Some(state) => {
-                let known = state.endpoint_list.endpoints.len();
-                log::info!("takeover: {known} record servers are known from before");
+                let server_count = state.endpoint_list.endpoints.len();
+                log::info!("takeover: {server_count} record servers are known from before");
                 (state.endpoint_list, state.exclusions)
             }
             None => {
-                let listing = recovered
+                let list = recovered
                     .endpoint_list
                     .unwrap_or_else(|| config.known.clone());
-                (listing, recovered.exclusions)
+                (list, recovered.exclusions)
             }
         };
         let pushed = !config.platform.settings.endpoints_are_polled;
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
-        pipeline.load_endpoints(listing, io, now);
+        pipeline.load_endpoints(list, io, now);
         pipeline.restore_manual_exclusions(exclusions, io, now);
         pipeline.set_endpoint_push(pushed, io, now);
     }
@@ -185,8 +185,8 @@
             let (incarnation, seed) = (self.incarnation, self.seed);
             let reactor = &self.io.reactor;
             let joined = Members::join(settings, keys, name, incarnation, seed, now, reactor);
-            let invalid = |error| io::Error::new(io::ErrorKind::InvalidInput, error);
-            self.members = Some(joined.map_err(invalid)?);
+            let invalid_input = |error| io::Error::new(io::ErrorKind::InvalidInput, error);
+            self.members = Some(joined.map_err(invalid_input)?);
         }
         if self.members.is_none() {
             return Ok(());
