--- a/crates/leverproxy/src/pipeline/actions.rs
+++ b/crates/leverproxy/src/pipeline/actions.rs
@@ -1,4 +1,4 @@
-//! Events to the decision module, and what its actions do.
+//! Passes events to the decision module, and performs its actions.
 
 use super::io::Io;
 use super::send;
@@ -9,12 +9,12 @@
 use routing::{Action, Event, RequestId, ServerId};
 use std::time::{Duration, Instant};
 
-/// The system's estimate of its clock error is read no more often than this.
+/// Minimum interval between reads of the operating system's estimate of its clock error.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Pipeline {
-    /// Gives an event to the decision module and carries out its actions. Both are logged at trace level, in the form
-    /// that tools which count over many proxies read.
+    /// Passes an event to the decision module and performs its actions. Both are logged at trace level, in the format
+    /// that tools for analysing many proxies read.
     pub(super) fn decide(&mut self, event: Event, io: &mut Io, now: Instant) {
         log::trace!("event {event:?}");
         self.update_clock_lead(now);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Bounds on staleness are kept although the clock may be wrong: they follow the bound of its error.
+    /// Updates the bound of the clock error, so that staleness bounds hold although the clock may be wrong.
     fn update_clock_lead(&mut self, now: Instant) {
         let is_fresh = |at| now.saturating_duration_since(at) < CLOCK_CHECK_INTERVAL;
         if !self.clock_checked_at.is_some_and(is_fresh) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// `limits`: how long the answer is waited for, and how long the attempt may wait for its connection.
+    /// `limits`: the time to wait for the answer, and the time that the attempt may wait for its connection.
     fn send_attempt(
         &mut self,
         id: RequestId,
@@ -92,7 +92,7 @@
         io.upstream.start(server, exchange, now, &io.reactor);
     }
 
-    /// Dials a server that is silent, to tell whether its link is at fault.
+    /// Dials a server that does not answer, to find out whether its network link has failed.
     pub fn probe_reachability(&mut self, io: &mut Io, now: Instant) {
         let server = self
             .monitor
--- a/crates/leverproxy/src/pipeline/admit.rs
+++ b/crates/leverproxy/src/pipeline/admit.rs
@@ -1,4 +1,4 @@
-//! Admit: the open requests. Each is entered once, and removed with its one final answer.
+//! Admit: the table of open requests. A request is added once, and removed when it gets its final answer.
 
 use crate::event_loop::slab::Key;
 use crate::event_loop::timers::deadline_after;
@@ -9,35 +9,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A request's name stays reserved for this long after its end: a client that copies another's request does so for a
-/// while after that is answered.
+/// A client request id stays reserved for this long after its request has ended: a client that copies another client's
+/// requests may still send them shortly after the originals are answered.
 const CLIENT_REQUEST_ID_RETENTION: Duration = Duration::from_secs(5);
-/// Most names of ended requests that are reserved.
+/// Maximum number of reserved ids of ended requests.
 const MAX_ENDED_CLIENT_REQUEST_IDS: usize = 20_000;
 
 /// A request that has no final answer yet.
 #[derive(Debug)]
 pub struct OpenRequest {
     client_request_id: Box<str>,
-    /// Where its answer goes.
+    /// Slot of the answer on the client's connection.
     pub slot: ResponseSlot,
-    /// Its class as the client named it.
+    /// Class that the client gave.
     pub class: ClassId,
-    /// The group of servers that holds its data.
+    /// Group of servers that holds the data of the request.
     pub group: GroupId,
-    /// The tenant whose quota it counts against.
+    /// Tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// Its status in that quota.
+    /// Status of the request in that quota.
     pub quota_status: QuotaStatus,
-    /// The bulkhead pool that it counts against.
+    /// Bulkhead pool that the request counts against.
     pub pool: Option<PoolId>,
-    /// What is sent to servers.
+    /// Command that is sent to servers.
     pub command: Arc<Command>,
-    /// When it was read from the client.
+    /// Time at which the request was read from the client.
     pub read_at: Instant,
-    /// How long the client waits, from its send.
+    /// Timeout of the client, counted from when it sent the request.
     pub timeout: Duration,
-    /// The attempt whose answer is being forwarded in chunks, and the upstream connection that it comes on.
+    /// The attempt whose answer is being forwarded in chunks, and its upstream connection.
     pub streaming: Option<(AttemptNo, Key)>,
     attempts: u16,
 }
@@ -48,29 +48,29 @@
         self.attempts
     }
 
-    /// Counts an attempt, and returns its number: from 0, in the order sent.
+    /// Counts an attempt and returns its number; the first attempt has number 0.
     pub fn next_attempt(&mut self) -> AttemptNo {
         self.attempts += 1;
         AttemptNo(self.attempts - 1)
     }
 }
 
-/// All open requests, and the names that no other request may have.
+/// All open requests, and the client request ids that no new request may have.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     open: BTreeMap<RequestId, OpenRequest>,
     ids_by_slot: BTreeMap<ResponseSlot, RequestId>,
-    /// Names of requests that are open or ended lately.
+    /// Client request ids of open and recently ended requests.
     client_request_ids: BTreeSet<Box<str>>,
-    /// Names of ended requests, by the time of their end.
+    /// Client request ids of ended requests with the time of their end, the oldest first.
     ended_client_request_ids: VecDeque<(Instant, Box<str>)>,
     last_id: u64,
-    /// Most open requests; 0: no limit.
+    /// Maximum number of open requests; 0: no limit.
     limit: usize,
 }
 
 impl OpenRequests {
-    /// `limit`: most open requests; 0: no limit.
+    /// `limit`: maximum number of open requests; 0: no limit.
     pub fn new(limit: usize) -> OpenRequests {
         OpenRequests {
             limit,
@@ -78,20 +78,20 @@
         }
     }
 
-    /// Sets the limit. Requests that are open stay, above a lower limit too.
+    /// Sets the limit. Open requests are kept even if there are more than a lower limit allows.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// An id that no request had before.
+    /// Returns a new request id; ids are not reused.
     pub fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
-    /// The answer that rejects a request, if it can't be admitted: the limit is reached, or its name is that of another
-    /// request. A name must be new with every request: record servers recognise repeats of a request by its name, so of
-    /// two clients with one name, one would get the answer that was made for the other.
+    /// Returns the answer that rejects a request if it can't be admitted: the limit is reached, or its client request id
+    /// is in use. The id must be new for every request: record servers detect repeats of a request by it, so if two
+    /// clients used the same id, one would get the answer meant for the other.
     pub fn check_admission(&mut self, request: &Request) -> Option<Answer> {
         if self.limit > 0 && self.open.len() >= self.limit {
             return Some(Answer::Rejected(None));
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Enters a request that [`OpenRequests::check_admission`] lets pass. `class`: the client's.
+    /// Adds a request that [`OpenRequests::check_admission`] allows. `class`: the class that the client gave.
     pub fn admit(
         &mut self,
         arrival: &Arrival,
@@ -135,7 +135,7 @@
         self.open.insert(id, open);
     }
 
-    /// An open request; none if it has ended.
+    /// The open request with this id; none if it has ended.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
@@ -156,12 +156,12 @@
         }
     }
 
-    /// Number of names that no other request may have.
+    /// Number of client request ids that no new request may have.
     pub fn reserved_client_request_ids(&self) -> usize {
         self.client_request_ids.len()
     }
 
-    /// Removes a request. The caller owes its answer: nobody else can get the request.
+    /// Removes a request. The caller must send the answer, as the request can't be found any more.
     pub fn close(&mut self, id: RequestId, now: Instant) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
         self.ids_by_slot.remove(&open.slot);
@@ -175,7 +175,7 @@
         self.ids_by_slot.get(&slot).copied()
     }
 
-    /// The open requests before this one on its connection, the earliest first.
+    /// Open requests that precede this one on its connection, the earliest first.
     pub fn ids_before(&self, slot: ResponseSlot) -> Vec<RequestId> {
         let first = ResponseSlot { number: 0, ..slot };
         self.ids_by_slot
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// Whether an open request before this one on its connection has more time.
+    /// Whether an open request that precedes this one on its connection has a later deadline.
     pub fn is_behind_longer_request(&self, slot: ResponseSlot) -> bool {
         let end = |id: &RequestId| {
             let open = self.open.get(id)?;
@@ -196,7 +196,7 @@
         before.any(|(_, id)| end(id) > own)
     }
 
-    /// All open requests.
+    /// Ids of all open requests.
     pub fn ids(&self) -> Vec<RequestId> {
         self.open.keys().copied().collect()
     }
--- a/crates/leverproxy/src/pipeline/answers.rs
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -1,4 +1,4 @@
-//! The one final answer to each request.
+//! Sends the final answer to each request.
 
 use super::io::Io;
 use super::state::Pipeline;
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 impl Pipeline {
-    /// Ends a request with an answer of the proxy's own, and cancels its attempts.
+    /// Ends a request with an answer that the proxy makes itself, and cancels the request's attempts.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer, io: &mut Io, now: Instant) {
         if let Some(open) = self.close_request(id, now) {
             if open.attempts() > 0 {
@@ -36,8 +36,8 @@
         self.monitor
             .request_answered(open.group, is_write, &answer, now);
         match (open.streaming, &answer) {
-            // The answer has begun to reach the client and won't be completed: the client sees that by the end of its
-            // connection.
+            // A part of the answer was sent to the client and the rest will not come: the connection is closed, so that
+            // the client detects the incomplete answer.
             (
                 Some((_, connection)),
                 Answer::Rejected(_) | Answer::Failed | Answer::Cancelled | Answer::Invalid(_),
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Answers every open request at the end of the process: better than a connection that just ends. A request
-    /// without an attempt is refused, not failed: nothing of it ran, so another proxy may still serve it.
+    /// Answers every open request at the end of the process, so that clients get an answer and not only a closed
+    /// connection. A request without an attempt is rejected, not failed: no part of it ran, so another proxy may still
+    /// serve it.
     pub fn fail_open_requests(&mut self, io: &mut Io, now: Instant) {
         for id in self.open_requests.ids() {
             let open = self.open_requests.get_mut(id);
--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -1,4 +1,4 @@
-//! Decode: a request as the client named things becomes an arrival in the ids of the decision module.
+//! Decode: converts a client's request, which names its class and tenant, into an arrival with the decision module's ids.
 
 use crate::request::{truncate_for_display, Request};
 use platform_settings::Names;
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Why a request makes no sense. The text goes to the client, so of a long name only the start is kept.
+/// Why a request is invalid. The text goes to the client, so long names are truncated.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The platform has no class of this name.
+    /// The platform has no class with this name.
     #[error("class {0:?} is not known")]
     UnknownClass(String),
-    /// The platform has tenants, and none of this name.
+    /// The platform has tenants, but none with this name.
     #[error("tenant {0:?} is not known")]
     UnknownTenant(String),
 }
 
-/// Decodes a request. The client's time counts from its send, and an answer has to reach it inside that time: `margin`
-/// is subtracted for both ways and for the proxy's own delays. The position of the client's last write stays as the
-/// client named it, whatever the clock here says.
+/// Decodes a request. The client's timeout starts when it sends the request, and the answer has to reach it within
+/// that time: `margin` is subtracted for the network delay in both directions and the proxy's own delay. The position
+/// of the client's last write is used as the client gave it, independent of this host's clock.
 ///
 /// # Errors
-/// The class or the tenant is not known.
+/// The class or the tenant is unknown.
 pub fn decode(
     id: RequestId,
     request: &Request,
@@ -41,7 +41,7 @@
             .ok_or_else(|| DecodeError::UnknownTenant(truncate(name)))?,
         _ => 0,
     };
-    // A client that states more than its class allows must not hold a place among the open requests for days.
+    // Without this limit a client could give a timeout of days, and its request would stay open for so long.
     let class_limit = deadlines
         .get(usize::from(class.0))
         .copied()
@@ -65,7 +65,7 @@
     })
 }
 
-/// Position of a name in a list. Empty names are those of classes and tenants that are gone.
+/// Index of a name in a list. Classes and tenants that were removed have an empty name, which never matches.
 fn find_index(names: &[String], name: &str) -> Option<u16> {
     let index = names.iter().position(|n| n == name && !n.is_empty())?;
     u16::try_from(index).ok()
@@ -75,7 +75,7 @@
     truncate_for_display(name).to_owned()
 }
 
-/// Limits the time of a request by the end of the process, less `margin` for the way of the answer.
+/// Limits the time left for a request to the end of the process, minus `margin` for the delay of the answer.
 pub fn limit_time(
     arrival: Arrival,
     termination_deadline: Option<Instant>,
--- a/crates/leverproxy/src/pipeline/endpoints.rs
+++ b/crates/leverproxy/src/pipeline/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates of discovery, and the operators' manual exclusions.
+//! Endpoint updates from discovery, and manual exclusions by operators.
 
 use super::io::Io;
 use super::state::Pipeline;
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 impl Pipeline {
-    /// Loads the endpoint list as it was last known, before any event.
+    /// Loads the last known endpoint list, before any event is handled.
     pub fn load_endpoints(&mut self, known: EndpointList, io: &mut Io, now: Instant) {
         let list = EndpointList {
             snapshot: true,
@@ -31,13 +31,13 @@
         io.discovery.handle_timer(index, now, &io.reactor);
     }
 
-    /// Whether discovery pushes the list: then the watch stays open whatever the decision module asks for.
+    /// Sets whether discovery pushes the list: then the watch stays open even if the decision module does not subscribe.
     pub fn set_endpoint_push(&mut self, pushed: bool, io: &mut Io, now: Instant) {
         let index = self.directory.index();
         io.discovery.set_push_mode(pushed, index, now, &io.reactor);
     }
 
-    /// Moves to another discovery address. What is known of the endpoints stays.
+    /// Switches to another discovery address. The known endpoints are kept.
     pub fn set_discovery_address(&mut self, address: SocketAddr, io: &mut Io, now: Instant) {
         let index = self.directory.index();
         io.discovery.set_address(address, index, now, &io.reactor);
@@ -49,7 +49,7 @@
             WatchEvent::Unchanged => {
                 monitor.handle(now, availability::Event::ListReceived);
                 if !std::mem::replace(&mut self.list_confirmed, true) {
-                    // Nothing has changed since the list that this process started with.
+                    // The list that this process started with is still current.
                     let unchanged = EndpointUpdate::Changes(Vec::new());
                     self.decide(Event::Endpoints(unchanged), io, now);
                 }
@@ -84,18 +84,18 @@
             let (name, problem) = (entry.name.as_deref(), &entry.problem);
             self.unreadable_log.warn(now, || match name {
                 Some(name) => format!(
-                    "discovery: the entry of {name} can't be read ({problem}): what was known of it stays, the others count"
+                    "discovery: the entry of {name} can't be read ({problem}): its last known state is kept, and the other entries are applied"
                 ),
                 None => format!(
-                    "discovery: an entry without a readable name is left out ({problem}): the others count, and whichever \
-                     server it was is taken for removed if the list is complete"
+                    "discovery: an entry without a readable name is ignored ({problem}): the other entries are applied, and its \
+                     server counts as removed if the list is complete"
                 ),
             });
         }
     }
 
-    /// Notifies the monitor and the upstream side, then the decision module: it learns of a list before the attempts
-    /// that the list ends are reported to it.
+    /// Notifies the monitor and the upstream side, then the decision module, so that the decision module gets the list
+    /// before the ends of attempts that the list causes.
     fn apply_endpoint_update(&mut self, update: DirectoryUpdate, io: &mut Io, now: Instant) {
         let DirectoryUpdate { endpoints, servers } = update;
         self.notify_monitor(&endpoints, &servers, now);
@@ -123,10 +123,10 @@
         self.monitor.endpoints_updated(entries, removed, now);
     }
 
-    /// Excludes a server by an operator's command, or includes it again.
+    /// Excludes a server on an operator's command, or includes it again.
     ///
     /// # Errors
-    /// No endpoint has that name.
+    /// No endpoint has this name.
     pub fn set_manual_exclusion(
         &mut self,
         name: &str,
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    /// Restores the manual exclusions of an earlier process, after the list that it had.
+    /// Restores the manual exclusions of an earlier process. The endpoint list of that process must be loaded before.
     pub fn restore_manual_exclusions(
         &mut self,
         exclusions: Vec<ManualExclusion>,
--- a/crates/leverproxy/src/pipeline/events.rs
+++ b/crates/leverproxy/src/pipeline/events.rs
@@ -1,4 +1,4 @@
-//! The events of the endpoints, in the order in which they are handled.
+//! Handles the queued events of clients, servers and discovery in a fixed order.
 
 use super::io::Io;
 use super::state::Pipeline;
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 impl Pipeline {
-    /// Handles every event that the endpoints have queued, and sets the timers that they ask for.
+    /// Handles all queued events, and sets the timers that the upstream side and discovery request.
     pub fn process_events(&mut self, io: &mut Io, now: Instant) {
         while self.process_next_event(io, now) {}
         for (at, timer) in io.upstream.take_timers() {
@@ -19,8 +19,8 @@
         }
     }
 
-    /// Whether there was an event. Health and the endpoint list come first, then servers' answers, then clients: a
-    /// request is routed by what is known by then.
+    /// Handles the next event; false if there was none. Health signals and endpoint lists are handled first, then
+    /// servers' answers, then clients: a request is routed with the latest state.
     fn process_next_event(&mut self, io: &mut Io, now: Instant) -> bool {
         if let Some(signal) = io.upstream.pop_signal() {
             self.monitor.handle_signal(signal, now);
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -1,4 +1,4 @@
-//! What comes back from servers: chunks of answers, exchanges that have ended, and the positions that they tell.
+//! Answers and reports of servers: chunks of answers, completed exchanges, and the positions in them.
 
 use super::io::Io;
 use super::state::Pipeline;
@@ -10,14 +10,14 @@
 use std::time::Instant;
 
 impl Pipeline {
-    /// Forwards a chunk of an answer that is too large to be buffered. With the first chunk the decision module learns
-    /// that the attempt was answered: that is the time it measures.
+    /// Forwards a chunk of an answer that is too large to be buffered. The first chunk is reported to the decision module
+    /// as the answer of the attempt: latency is measured up to it.
     pub(super) fn on_response_chunk(&mut self, chunk: ResponseChunk, io: &mut Io, now: Instant) {
         let (attempt, connection) = (chunk.attempt, chunk.connection);
         let open = self.open_requests.get_mut(chunk.id);
         let open = open.filter(|open| open.streaming.is_none_or(|current| current.0 == attempt));
         let Some(open) = open else {
-            // Its client has left, or gets another attempt's answer.
+            // The client has left, or another attempt's answer is being forwarded.
             return io.upstream.abandon_response(connection, now);
         };
         let is_first = open.streaming.replace((attempt, connection)).is_none();
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The client has taken what it had of a chunked answer: the server's connection is read on.
+    /// The client has read the chunks sent so far: reading from the server's connection resumes.
     pub(super) fn on_client_writable(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         let id = self.open_requests.id(slot);
         let open = id.and_then(|id| self.open_requests.get_mut(id));
@@ -62,7 +62,7 @@
             self.release_bulkhead(&open, now);
             self.finish_request(open, answer, io, now);
         } else if self.is_streaming(id, attempt) {
-            // Its rest will never come. The decision module has learned of the attempt with its first chunk.
+            // The rest of the answer will not come. The attempt was reported to the decision module with the first chunk.
             return self.answer(id, Answer::Failed, io, now);
         }
         let request_finished = self.open_requests.get_mut(id).is_none();
@@ -81,7 +81,7 @@
             .is_some_and(|open| open.streaming.is_some_and(|current| current.0 == attempt))
     }
 
-    /// The latest position that is believed, after what this exchange shows of the clock's error.
+    /// Updates the estimate of the clock error from this exchange. Returns the latest plausible position.
     fn observe_position(&mut self, completed: &CompletedExchange, now: Instant) -> Time {
         let unix = self.clock.unix_time(now);
         if let Some(evidence) = record::clock_evidence(completed, unix) {
@@ -90,9 +90,9 @@
         self.clock_skew.latest_position(unix)
     }
 
-    /// Sets the position of a write that went through, if the server sent none. Returns whether it is such a write. Later reads
-    /// of its session have to see its commit: its position counts although it lies ahead of this process's clock, and
-    /// where none was sent, it may be as late as true time may be.
+    /// Sets the position of a committed write if the server sent none. Returns whether the exchange is a committed write.
+    /// Later reads of the session have to see the commit: its position counts even if it is ahead of this host's clock,
+    /// and a missing position is replaced by the latest possible true time.
     fn fill_in_commit_position(&self, completed: &mut CompletedExchange, now: Instant) -> bool {
         let is_commit = self.is_write(completed.class)
             && matches!(completed.outcome, ExchangeOutcome::Served(_));
@@ -103,15 +103,15 @@
         is_commit
     }
 
-    /// What a commit of just now counts as, if the server sends no position. None: the decision module's own time will
-    /// do.
+    /// Position of a commit made now, for servers that send no position. None: the time of the decision module is used,
+    /// as the clock has no known lag.
     fn commit_position(&self, now: Instant) -> Option<Time> {
         let unix = self.clock.unix_time(now);
         let lead = self.clock_skew.lead(unix);
         (!lead.is_zero()).then(|| unix.plus(lead))
     }
 
-    /// Passes what a server has reported to both the monitor and the decision module.
+    /// Passes a server's position and role to the monitor, and the event to the decision module.
     fn record_event(&mut self, event: Event, io: &mut Io, now: Instant) {
         let position = match &event {
             Event::AttemptEnded(ended) => Some((
--- a/crates/leverproxy/src/pipeline/io.rs
+++ b/crates/leverproxy/src/pipeline/io.rs
@@ -1,4 +1,4 @@
-//! Everything that holds descriptors: the reactor, and each side that the process talks to.
+//! Everything that holds file descriptors: the reactor, and the endpoints of all peers of the process.
 
 use super::timer_kind::TimerKind;
 use crate::control::admin::Admin;
@@ -11,21 +11,21 @@
 use crate::persistence::hot_restart::links::HotRestart;
 use crate::upstream::Upstream;
 
-/// The process's I/O. The event loop dispatches to it; the pipeline acts on it.
+/// I/O of the process. The event loop dispatches events to it; the pipeline sends through it.
 pub struct Io {
     /// The epoll instance.
     pub reactor: Reactor,
     /// Timers of all kinds.
     pub timers: Timers<TimerKind>,
-    /// Clients.
+    /// Connections of clients.
     pub downstream: Downstream,
-    /// Record servers.
+    /// Connections to record servers.
     pub upstream: Upstream,
-    /// The discovery service.
+    /// Client of the discovery service.
     pub discovery: DiscoveryClient,
-    /// Balancers' health checks.
+    /// Server for balancers' health checks.
     pub health: Health,
-    /// The operators' control socket.
+    /// Control socket for operators.
     pub control_socket: Option<ControlSocket>,
     /// The admin API.
     pub admin: Option<Admin>,
--- a/crates/leverproxy/src/pipeline/mod.rs
+++ b/crates/leverproxy/src/pipeline/mod.rs
@@ -1,19 +1,19 @@
-//! The path of a request: decode, route rules, quota, admit, route, send, relay, record.
+//! Request pipeline: decode, route rules, quota, admit, route, send, relay, record.
 //!
-//! Each stage stands in a file of its own; they share only the open request. [`Pipeline`] carries requests, answers
-//! and events from stage to stage:
+//! Each stage has its own file; the stages share only the open request. [`Pipeline`] passes requests, answers and
+//! events between the stages:
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | `decode`, `route_rules`, `quota`, `admit`, `route`, `send`, `relay`, `record` | the stages |
-//! | `state` | the `Pipeline` type: what it knows, and settings that change |
-//! | `events` | the events of the endpoints, in the order in which they are handled |
-//! | `requests` | requests until they are admitted, or end without an answer of a server |
-//! | `exchanges` | what comes back from servers |
-//! | `answers` | the one final answer to each request |
-//! | `response_order` | answers of one connection in time, though they go out in order |
-//! | `actions` | events to the decision module, and its actions |
-//! | `endpoints` | endpoint updates of discovery, and manual exclusions |
+//! | `state` | the `Pipeline` type: its state, and settings that change at run time |
+//! | `events` | events of clients, servers and discovery, in the order in which they are handled |
+//! | `requests` | requests until they are admitted, and requests that end without a server's answer |
+//! | `exchanges` | answers and reports of servers |
+//! | `answers` | the final answer to each request |
+//! | `response_order` | keeps answers on time although each connection sends them in request order |
+//! | `actions` | passes events to the decision module, and performs its actions |
+//! | `endpoints` | endpoint updates from discovery, and manual exclusions |
 //! | `io`, `timer_kind` | types that the pipeline shares with the event loop |
 
 pub mod admit;
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -1,5 +1,5 @@
-//! Quota stage: whether a request is within its tenant's quota, over it, or borrowed. It rejects nothing; the decision module
-//! does.
+//! Quota stage: determines whether a request is within its tenant's quota, over it, or borrowed. It does not reject
+//! requests; the decision module does.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::pipeline::admit::OpenRequest;
 use crate::request::Answer;
 
-/// Interval of [`Quota::poll`], while there are other proxies: well below a second, in which a lender's own traffic gets its
+/// Interval of [`Quota::poll`] in a fleet: well below the second within which a lender's own traffic has to get its
 /// capacity back.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -23,21 +23,21 @@
 #[derive(Default)]
 pub struct Quota {
     meter: QuotaMeter,
-    /// By tenant.
+    /// Names of tenants, by tenant id.
     names: Vec<String>,
-    /// By tenant, in requests a second over all proxies.
+    /// Quotas by tenant id, in requests per second over all proxies.
     quotas: Vec<f64>,
-    /// Names of classes.
+    /// Names of classes, by class id.
     classes: Vec<String>,
-    /// The meter's time zero: the first request, or the first poll.
+    /// Time zero of the meter: the first request or the first poll.
     origin: Option<Instant>,
     rates_published_at: Option<Instant>,
-    /// Loans over the fleet, if the operators' file has them.
+    /// Quota lending within the fleet, if the operators' file configures it.
     pub lending: Option<QuotaLending>,
 }
 
 impl Quota {
-    /// Takes the platform's settings over. A tenant keeps its state by its name.
+    /// Applies the platform's settings. Tenants are matched by name and keep their state.
     pub fn configure(&mut self, platform: &PlatformSettings, now: Instant) {
         let PlatformSettings {
             settings,
@@ -71,7 +71,7 @@
         self.update_lending_rules(now);
     }
 
-    /// Computes the rules of loans from the quotas as they are now.
+    /// Computes the lending rules from the current quotas.
     pub fn update_lending_rules(&mut self, now: Instant) {
         if let Some(lending) = &mut self.lending {
             let names = self.names.iter().map(String::as_str);
@@ -83,7 +83,7 @@
         now.saturating_duration_since(*self.origin.get_or_insert(now))
     }
 
-    /// Sets the quota status of a request. `named`: the client has said which tenant it is.
+    /// Sets the quota status of a request. `tenant_given`: the request names its tenant.
     pub fn set_status(&mut self, arrival: &mut Arrival, tenant_given: bool, now: Instant) {
         if !tenant_given {
             return;
@@ -98,7 +98,7 @@
         arrival.quota_status = match status {
             RequestStatus::Unlimited | RequestStatus::Within => QuotaStatus::WithinQuota,
             RequestStatus::Over if self.may_borrow(arrival, now) => QuotaStatus::Borrowed,
-            // A request that repays a loan must not be lent to.
+            // Withheld quota repays a loan, so such a request must not borrow.
             RequestStatus::Withheld | RequestStatus::Over => QuotaStatus::OverQuota,
         };
     }
@@ -112,7 +112,7 @@
         lending.may_borrow(tenant, class, now)
     }
 
-    /// A request has ended; no answer: its client has left. A loan without any attempt is given back.
+    /// A request has ended. `answer`: none if the client has left. A borrowed request without an attempt returns its loan.
     pub fn record_end(&mut self, open: &OpenRequest, answer: Option<&Answer>, now: Instant) {
         let Some(lending) = &mut self.lending else {
             return;
@@ -132,27 +132,27 @@
         }
     }
 
-    /// A message of another proxy.
+    /// Handles a message from another proxy.
     pub fn receive(&mut self, fact: &Fact, now: Instant) {
         if let Some(lending) = &mut self.lending {
             lending.receive(fact, now);
         }
     }
 
-    /// There are no other proxies any more: the share of the traffic is estimated, and nothing is lent.
+    /// This proxy has left the fleet: its share of each tenant's traffic is estimated, and quota is not lent any more.
     pub fn leave_fleet(&mut self) {
         self.meter.set_other_proxies(None);
         self.lending = None;
     }
 
-    /// Publishes the lender's messages.
+    /// Publishes the lender's queued messages.
     pub fn flush(&mut self, members: &mut Members, now: Instant) {
         if let Some(lending) = &mut self.lending {
             lending.flush(members, now);
         }
     }
 
-    /// Exchanges rates with the other proxies, and polls the lender.
+    /// Exchanges usage rates with the other proxies, and polls the lender.
     pub fn poll(&mut self, members: &mut Members, now: Instant) {
         let since_origin = self.since_origin(now);
         self.publish_rates(members, since_origin, now);
@@ -179,7 +179,8 @@
         }
     }
 
-    /// Withholds quota from tenants that owe something. What was withheld is known when the next part is set.
+    /// Withholds quota from tenants that have to repay loans. The meter returns the amount withheld so far when the next
+    /// fraction is set.
     fn withhold(&mut self, since_origin: Duration, now: Instant) {
         let Some(lending) = &mut self.lending else {
             return;
@@ -196,7 +197,7 @@
     }
 }
 
-/// A line for each tenant with requests; nothing where there are no quotas.
+/// Formats a line for each tenant that had requests; empty if there are no quotas.
 impl fmt::Display for Quota {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let has_requests = |counts: &Counts| counts.within + counts.beyond > 0;
--- a/crates/leverproxy/src/pipeline/record.rs
+++ b/crates/leverproxy/src/pipeline/record.rs
@@ -1,12 +1,12 @@
-//! Record: a completed exchange becomes an event for the decision module.
+//! Record: converts a completed exchange into an event for the decision module.
 
 use crate::clock::skew::{ReportedPosition, MAX_REPORT_AGE};
 use crate::request::{CompletedExchange, ExchangeOutcome, Purpose};
 use routing::{AttemptEnded, Event, LoadReport, Outcome, ResponseMetadata, Time};
 use std::time::Duration;
 
-/// The event of a completed exchange. `request_finished`: the request has its final answer. A position ahead of `latest`
-/// is dropped: believed, it would make a replica seem to hold what is not written yet.
+/// The event of a completed exchange. `request_finished`: the request has its final answer. A position later than
+/// `latest` is dropped: it would make a replica appear to hold writes that do not exist yet.
 pub fn record(completed: &CompletedExchange, request_finished: bool, latest: Time) -> Event {
     let is_plausible = |position: &Time| *position <= latest;
     match completed.purpose {
@@ -31,8 +31,9 @@
     }
 }
 
-/// The part of a probe's load report that is believed. A report that can't be read or can't be true counts as empty; the
-/// server has answered all the same. Of a report whose position may be true but is not believed yet, the rest counts.
+/// The plausible part of a probe's load report. A report that can't be read, or whose position is impossible, counts as
+/// empty, although the server has answered. If the position is possible but later than `latest`, only the position is
+/// dropped.
 fn plausible_load_report(outcome: &ExchangeOutcome, latest: Time) -> LoadReport {
     let ExchangeOutcome::Reported(fields) = outcome else {
         return LoadReport::default();
@@ -49,7 +50,7 @@
     }
 }
 
-/// What an exchange shows of the error of this process's clock.
+/// Evidence from an exchange about the error of this host's clock: the position that the server reported.
 pub fn clock_evidence(completed: &CompletedExchange, now: Time) -> Option<ReportedPosition> {
     let since = now.minus(completed.elapsed);
     let (position, primary, since) = match (completed.purpose, &completed.outcome) {
@@ -77,7 +78,7 @@
     match outcome {
         ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => Outcome::Ok,
         ExchangeOutcome::Misdirected => Outcome::Misdirected,
-        // It has answered, so it is not taken to be down.
+        // The server has answered, so it does not count as down.
         ExchangeOutcome::Failed | ExchangeOutcome::InvalidResponse => Outcome::Failed,
         ExchangeOutcome::Rejected => Outcome::Rejected,
         ExchangeOutcome::ConnectFailed => Outcome::ConnectFailed,
@@ -88,13 +89,13 @@
     }
 }
 
-/// A working clock is never further behind true time than this.
+/// Maximum lag of a working clock behind true time.
 pub const MAX_CLOCK_LAG: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Error of a position in seconds as a 64-bit float: positions are reported rounded towards the past.
+/// Rounding error of a position in seconds as a 64-bit float. It is subtracted, so that positions are rounded down.
 const POSITION_ROUNDING_ERROR: Duration = Duration::from_micros(1);
 
-/// A load report. Over sockets all positions are Unix times.
+/// Parses the fields of a load report. All positions on the wire are Unix times.
 fn parse_load_report(fields: &[(String, f64)]) -> LoadReport {
     let fields = fields
         .iter()
--- a/crates/leverproxy/src/pipeline/relay.rs
+++ b/crates/leverproxy/src/pipeline/relay.rs
@@ -1,14 +1,14 @@
-//! Relay: the first complete answer of a record server goes to the client as it came; other answers are the
-//! proxy's own (`answers`). An answer is forwarded once it is complete, so that none is half sent, except those too large to be
-//! buffered.
+//! Relay: the first complete answer of a record server goes to the client unchanged; the proxy makes all other answers
+//! itself (`answers`). An answer is forwarded only when it is complete, so that clients get no partial answers. Answers
+//! that are too large to be buffered are forwarded in chunks.
 
 use super::admit::{OpenRequest, OpenRequests};
 use crate::request::{Answer, ExchangeOutcome};
 use routing::{AttemptNo, RequestId};
 use std::time::Instant;
 
-/// Takes a served answer out of `outcome`, and closes its request: if that is still open, and no other attempt's answer
-/// has begun to reach the client.
+/// Takes a served answer out of `outcome` and closes its request, if the request is still open and the answer of another
+/// attempt is not being forwarded.
 pub fn take_served(
     id: RequestId,
     attempt: AttemptNo,
@@ -26,7 +26,7 @@
     Some((open, Answer::Served(std::mem::take(bytes))))
 }
 
-/// A line for the log on how a request ended.
+/// Log text about the end of a request.
 pub fn describe(open: &OpenRequest, answer: &Answer, now: Instant) -> String {
     let elapsed_ms = now.saturating_duration_since(open.read_at).as_millis();
     let (timeout, attempts) = (open.timeout.as_millis(), open.attempts());
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -1,4 +1,4 @@
-//! Requests until they are admitted, and those that end without an answer of a server.
+//! Admits requests, and ends those that get no answer from a server: rejected, cancelled, or abandoned by the client.
 
 use super::io::Io;
 use super::state::Pipeline;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 impl Pipeline {
-    /// Takes a request through decode, route rules, quota and admit to the decision module.
+    /// Runs a request through decode, route rules, quota and admit, and passes it to the decision module.
     pub(super) fn on_request(
         &mut self,
         slot: ResponseSlot,
@@ -26,7 +26,7 @@
                 return self.reject_malformed(slot, class, error.to_string(), io, now);
             }
         };
-        // Counters and open requests go by the client's class; a route rule may give the decision module another.
+        // Counters and open requests use the client's class; a route rule may set another class for the decision module.
         let class = arrival.class;
         if let Some(answer) = self.open_requests.check_admission(&request) {
             return self.reject(slot, class, answer, io, now);
@@ -76,7 +76,7 @@
         io.downstream.answer(slot, answer, now, &io.reactor);
     }
 
-    /// Answers a request that makes no sense. The decision module never sees it.
+    /// Answers an invalid request, which is not passed to the decision module.
     fn reject_malformed(
         &mut self,
         slot: ResponseSlot,
@@ -85,8 +85,9 @@
         io: &mut Io,
         now: Instant,
     ) {
-        self.rejection_log
-            .warn(now, || format!("front: a request is rejected: {reason}"));
+        self.rejection_log.warn(now, || {
+            format!("front: request rejected as invalid: {reason}")
+        });
         let answer = Answer::Invalid(reason);
         let quota_status = QuotaStatus::WithinQuota;
         match class {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// The client has cancelled its request, and gets an answer that says so. An answer that has begun to reach the
-    /// client goes on.
+    /// The client has cancelled its request: the answer confirms the cancellation. If a part of the answer was already
+    /// sent to the client, the request is not cancelled.
     pub(super) fn on_cancelled(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         let id = self.open_requests.id(slot);
         let open = id.and_then(|id| self.open_requests.get_mut(id));
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Ends a request that nobody waits for. Nothing more is sent for it.
+    /// Ends a request whose client no longer waits for the answer. No further attempts are sent.
     fn abandon(
         &mut self,
         slot: ResponseSlot,
@@ -140,7 +141,7 @@
         Some(open)
     }
 
-    /// Ends a request, and frees its place in its pool. The caller owes the answer.
+    /// Closes a request and releases its place in its bulkhead pool. The caller must send the answer.
     pub(super) fn close_request(
         &mut self,
         id: RequestId,
--- a/crates/leverproxy/src/pipeline/response_order.rs
+++ b/crates/leverproxy/src/pipeline/response_order.rs
@@ -1,5 +1,6 @@
-//! Answers of one connection go out in the order of its requests. A request behind one that may take longer would be answered
-//! late, however early its answer is there; so at the end of its time the requests before it are ended.
+//! Keeps answers on time although each connection sends them in the order of its requests. A request that follows one
+//! with a later deadline could be answered late even if its own answer is ready early (head-of-line blocking); so when
+//! the time of a request is over, the requests that precede it on the connection are ended.
 
 use super::io::Io;
 use super::state::Pipeline;
@@ -10,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 impl Pipeline {
-    /// Sets a timer for the end of a request's time, if one before it on its connection may take longer.
+    /// Sets a timer for the end of a request's time if a request that precedes it on its connection may take longer.
     pub(super) fn watch_response_order(
         &mut self,
         slot: ResponseSlot,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// The time of a request is over. Those before it on its connection are ended, so that its answer can go out.
+    /// The time of a request is over: ends the requests that precede it on its connection, so that its answer can be sent.
     pub fn end_requests_before(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         for id in self.open_requests.ids_before(slot) {
             self.end_request_early(id, io, now);
@@ -36,7 +37,7 @@
             return;
         };
         if open.streaming.is_some() {
-            // Its answer is on the way; to break it off would end the connection, and lose those behind it too.
+            // The answer is being sent; aborting it would close the connection and also lose the answers that follow it.
             return;
         }
         let answer = if open.attempts() == 0 {
--- a/crates/leverproxy/src/pipeline/route.rs
+++ b/crates/leverproxy/src/pipeline/route.rs
@@ -1,19 +1,19 @@
-//! Route: the only place that calls the decision module. It alone decides where requests go.
+//! Route: the only stage that calls the decision module, which alone decides where requests go.
 
 use routing::{Action, ClassId, Consistency, Event, Router, Settings, Time};
 use std::time::Duration;
 
-/// The decision module, under settings that allow for the error of the clock.
+/// The decision module, with settings adjusted for the clock error.
 pub struct Route {
     router: Router,
-    /// As the platform states them.
+    /// Settings of the platform, without the adjustment.
     settings: Settings,
-    /// How far true time may be ahead of the clock that the decision module goes by.
+    /// Maximum lag of the decision module's clock behind true time.
     lead: Duration,
 }
 
 impl Route {
-    /// A decision module that knows no servers yet.
+    /// A decision module without servers.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Route {
         Route {
             router: Router::new(settings.clone(), seed, now),
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Applies new settings. `predecessors`: for each class id, the former class whose estimates a new class there starts with.
+    /// Applies new settings. `predecessors`: for each class id, the previous class whose estimates the new class starts
+    /// with.
     pub fn configure(&mut self, settings: Settings, predecessors: &[Option<ClassId>]) {
         self.settings = settings;
         self.router.configure(
@@ -31,7 +32,7 @@
         );
     }
 
-    /// Sets how far the clock may be behind: bounds on staleness are kept all the same.
+    /// Sets the maximum lag of the clock behind true time. Staleness bounds are reduced by it, so that they hold anyway.
     pub fn set_lead(&mut self, lead: Duration) {
         if lead != self.lead {
             self.lead = lead;
@@ -40,12 +41,12 @@
         }
     }
 
-    /// Number of listed servers that get no requests at present.
+    /// Number of listed servers that currently get no requests.
     pub fn unavailable_count(&self, now: Time) -> usize {
         self.router.unavailable_servers(now)
     }
 
-    /// Handles an event, and returns the actions that follow.
+    /// Handles an event, and returns the resulting actions.
     pub fn decide(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(now, event, &mut actions);
@@ -53,7 +54,7 @@
     }
 }
 
-/// Subtracts `lead` from the bounds on staleness. A bound that is used up leaves only the primary.
+/// Subtracts `lead` from the staleness bounds. If nothing is left of a bound, only the primary may be read.
 fn reduce_staleness_bounds(settings: &Settings, lead: Duration) -> Settings {
     let mut settings = settings.clone();
     for class in &mut settings.classes {
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -1,5 +1,5 @@
-//! Route rules: what the operators' routes and classes state of a request, before the decision module sees it. They
-//! bound it, count it against a pool or reject it; which server gets it stays the decision module's choice.
+//! Route rules: applies the operators' routes and class limits to a request before it reaches the decision module. A
+//! rule limits a request, counts it against a bulkhead pool or rejects it; the decision module still chooses the server.
 
 use crate::request::{Answer, Request};
 use bulkheads::{Admission, Bulkheads, PoolId, Priority, RejectionCause};
@@ -8,49 +8,49 @@
 use routing::{Arrival, ClassId, Time};
 use std::time::{Duration, Instant};
 
-/// What a route does with its requests.
+/// Action of a route on its requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouteAction {
-    /// Position in [`Rules::pools`].
+    /// Index of the bulkhead pool in [`Rules::pools`].
     pub pool: Option<usize>,
-    /// The class that the decision module sees in place of the client's.
+    /// Class for the decision module, in place of the client's class.
     pub as_class: Option<ClassId>,
-    /// Longest time of a request.
+    /// Maximum time of a request.
     pub deadline: Option<Duration>,
-    /// Priority in the pool.
+    /// Priority of the requests in the pool.
     pub priority: Priority,
-    /// Most attempts of a request.
+    /// Maximum number of attempts per request.
     pub attempt_limit: Option<u16>,
-    /// Requests are rejected, with this time to retry after.
+    /// Rejects the requests; the inner value is the retry-after time sent to clients, if any.
     pub reject: Option<Option<Duration>>,
 }
 
-/// The route rules of the operators' file, compiled: built on any thread, applied in one step.
+/// Compiled route rules of the operators' file. They can be built on any thread, and are applied in one step.
 #[derive(Debug, Default)]
 pub struct Rules {
     /// Finds the route of a request.
     pub index: Index,
-    /// What each route does, by the index's route numbers.
+    /// Actions by route number of the index.
     pub actions: Vec<RouteAction>,
-    /// Longest time and most attempts of a request, by class.
+    /// Maximum time and maximum number of attempts of a request, by class number of the file.
     pub class_limits: Vec<(Option<Duration>, Option<u16>)>,
     /// The bulkhead pools.
     pub pools: Vec<bulkheads::Settings>,
-    /// The platform's deadlines, by class.
+    /// Deadlines of the platform, by class number of the file.
     pub deadlines: Vec<Duration>,
-    /// Subtracted from each client's time, for the ways of the request and of its answer.
+    /// Subtracted from each client's timeout, for the network delay of the request and of its answer.
     pub margin: Duration,
-    /// Longest time to retry after that a rejected client is given; none: it gets no time.
+    /// Maximum retry-after time sent to rejected clients; none: no retry-after time is sent.
     pub max_retry_after: Option<Duration>,
-    /// Ids of the platform's classes, in the file's order, which all else here goes by; empty: the file's order is that
-    /// of the ids.
+    /// Class ids of the platform by class number of the file; all other fields use the file's class numbers. Empty: both
+    /// are the same.
     pub class_ids: Vec<ClassId>,
-    /// Names of tenants, by the index's numbers.
+    /// Names of tenants, by tenant number of the index.
     pub tenants: Vec<String>,
 }
 
 impl Rules {
-    /// The class's number in the file's order.
+    /// Converts a class id of the platform into the class number of the file.
     fn file_class(&self, class: ClassId) -> ClassId {
         let index = self.class_ids.iter().position(|id| *id == class);
         index
@@ -58,13 +58,13 @@
             .map_or(class, ClassId)
     }
 
-    /// The class's id, of its number in the file's order.
+    /// Converts a class number of the file into the class id of the platform.
     fn platform_class(&self, class: ClassId) -> ClassId {
         let id = self.class_ids.get(usize::from(class.0));
         id.copied().unwrap_or(class)
     }
 
-    /// What the route of a request does; none: no route is for it.
+    /// Action of the route that matches a request; none if no route matches.
     fn find_action(&self, class: ClassId, request: &Request, at: Time) -> Option<RouteAction> {
         if self.actions.is_empty() {
             return None;
@@ -87,32 +87,32 @@
     }
 }
 
-/// Requests by what the routes did with them.
+/// Number of requests by the result of the routes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// A route applied.
+    /// Requests that matched a route.
     pub routed: u64,
-    /// The route rejects its requests.
+    /// Requests rejected by their route.
     pub rejected: u64,
-    /// The pool was full.
+    /// Requests rejected because the pool was at its concurrency limit.
     pub rejected_concurrency: u64,
-    /// The pool's rate was used up.
+    /// Requests rejected because the pool was at its rate limit.
     pub rejected_rate: u64,
 }
 
-/// The route rules stage: the rules in force, and the pools that they fill.
+/// Route rules stage: the current rules and their bulkhead pools.
 #[derive(Debug)]
 pub struct RouteRules {
     rules: Rules,
     bulkheads: Bulkheads,
-    /// In the order of the rules' pools.
+    /// Ids of the pools, in the order of [`Rules::pools`].
     bulkhead_ids: Vec<PoolId>,
-    /// Requests by what was done with them.
+    /// Number of requests by the result of the routes.
     pub counts: Counts,
 }
 
 impl RouteRules {
-    /// A stage with empty pools.
+    /// Creates the stage with empty pools.
     pub fn new(rules: Rules) -> RouteRules {
         let mut bulkheads = Bulkheads::default();
         let bulkhead_ids = bulkheads.configure(&rules.pools);
@@ -124,13 +124,14 @@
         }
     }
 
-    /// Applies new rules; open requests stay counted in their pools. Returns the former rules, which may take long to drop.
+    /// Applies new rules. Open requests stay counted in their pools. Returns the previous rules, which may take long to
+    /// drop.
     pub fn replace(&mut self, rules: Rules) -> Rules {
         self.bulkhead_ids = self.bulkheads.configure(&rules.pools);
         std::mem::replace(&mut self.rules, rules)
     }
 
-    /// The rules in force.
+    /// The current rules.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
@@ -140,7 +141,7 @@
         &self.bulkheads
     }
 
-    /// Bounds the arrival as the rules state. Returns the pool that it counts against.
+    /// Applies the limits of the rules to the arrival. Returns the pool that it counts against.
     ///
     /// # Errors
     /// The answer that rejects the request.
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Frees a request's place in its pool. `held`: how long the request was open.
+    /// Releases a request's place in its pool. `held`: the time for which the request was open.
     pub fn release_bulkhead(&mut self, pool: PoolId, held: Duration) {
         self.bulkheads.release(pool, held);
     }
@@ -203,7 +204,7 @@
     }
 }
 
-/// Lines of the report; empty where there are no routes and never were.
+/// Lines of the report on standard error; empty if routes were never configured.
 impl std::fmt::Display for RouteRules {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Counts {
@@ -231,7 +232,7 @@
     }
 }
 
-/// The index's number of a tenant that no route names.
+/// Tenant number for the index if no route names the tenant.
 const UNNAMED_TENANT: u32 = u32::MAX - 1;
 
 fn limit_time(arrival: &mut Arrival, time_limit: Option<Duration>, spent: Duration) {
--- a/crates/leverproxy/src/pipeline/send.rs
+++ b/crates/leverproxy/src/pipeline/send.rs
@@ -1,4 +1,4 @@
-//! Send: an attempt or a probe of the decision module becomes an exchange with a record server.
+//! Send: converts an attempt or a probe of the decision module into an exchange with a record server.
 
 use super::admit::OpenRequest;
 use crate::event_loop::timers::deadline_after;
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The exchange of a request's next attempt. It waits for its answer until `timeout`, and is dropped unsent unless it is
-/// written in full within `begin_within`.
+/// The exchange of a request's next attempt. It times out after `timeout`, and is dropped unsent if it is not completely
+/// written within `begin_within`.
 pub fn attempt(
     id: RequestId,
     open: &mut OpenRequest,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The exchange of a probe. A server that does not answer within `timeout` counts as silent.
+/// The exchange of a probe. A server that does not answer within `timeout` counts as unresponsive.
 pub fn probe(timeout: Duration, now: Instant) -> Exchange {
     Exchange {
         purpose: Purpose::Probe,
--- a/crates/leverproxy/src/pipeline/state.rs
+++ b/crates/leverproxy/src/pipeline/state.rs
@@ -1,4 +1,4 @@
-//! The `Pipeline` type: what it knows, and settings that change while it runs.
+//! The `Pipeline` type: its state, and settings that change while it runs.
 
 use super::{admit, quota, route, route_rules};
 use crate::clock::skew::SkewEstimate;
@@ -13,20 +13,20 @@
 use routing::{ClassId, Consistency, Settings};
 use std::time::{Duration, Instant};
 
-/// The stages and what they share. All I/O is handed in with each call.
+/// The stages and their shared state. All I/O is passed in with each call.
 pub struct Pipeline {
     pub(super) clock: Clock,
-    /// Bounds of the clock's error.
+    /// Bounds of the error of this host's clock.
     pub(super) clock_skew: SkewEstimate,
     pub(super) clock_checked_at: Option<Instant>,
     pub(super) names: Names,
-    /// Longest time of a request, by class.
+    /// Maximum time of a request, by class.
     pub(super) deadlines: Vec<Duration>,
-    /// Whether only a primary takes the requests, by class.
+    /// Whether requests are writes, which only a primary accepts, by class.
     pub(super) write_classes: Vec<bool>,
     pub(super) probe_timeout: Duration,
     pub(super) directory: Directory,
-    /// Discovery has sent or confirmed the list to this process.
+    /// Discovery has sent the endpoint list to this process, or confirmed that it has not changed.
     pub(super) list_confirmed: bool,
     pub(super) open_requests: admit::OpenRequests,
     pub(super) route: route::Route,
@@ -35,7 +35,7 @@
     pub quota: quota::Quota,
     pub(super) rejection_log: LogRateLimit,
     pub(super) unreadable_log: LogRateLimit,
-    /// When the process ends, once it is told to stop: no request has time beyond that.
+    /// Time at which the process ends, set when it is stopping; it limits the time of every request.
     pub(super) termination_deadline: Option<Instant>,
     /// Counters of requests and exchanges.
     pub counters: Counters,
@@ -44,7 +44,7 @@
 }
 
 impl Pipeline {
-    /// An empty pipeline: no endpoints are known before [`Pipeline::load_endpoints`].
+    /// A pipeline without endpoints; [`Pipeline::load_endpoints`] adds them.
     pub fn new(
         platform: PlatformSettings,
         rules: route_rules::Rules,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Applies new platform settings. Requests in flight and what was learned stay.
+    /// Applies new platform settings. Requests in flight and all estimates are kept.
     pub fn configure(&mut self, mapping: ClassMapping, probe_timeout: Duration, now: Instant) {
         let ClassMapping {
             next, predecessors, ..
@@ -110,7 +110,7 @@
         self.route.configure(settings, &predecessors);
     }
 
-    /// Applies new route rules. Returns the former ones, which may take long to drop.
+    /// Applies new route rules. Returns the previous rules, which may take long to drop.
     pub fn replace_route_rules(&mut self, rules: route_rules::Rules) -> route_rules::Rules {
         self.route_rules.replace(rules)
     }
@@ -120,22 +120,23 @@
         &self.route_rules
     }
 
-    /// Bounds the time of every request that comes from now on by the end of the process.
+    /// Limits the time of every request that arrives from now on to the end of the process.
     pub fn set_termination_deadline(&mut self, deadline: Instant) {
         self.termination_deadline = Some(deadline);
     }
 
-    /// Requests that have no final answer yet.
+    /// Number of requests that have no final answer yet.
     pub fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// Discovery's index of the endpoint list, once discovery has sent a list to this process; a confirmation that nothing changed is none.
+    /// Discovery's index of the endpoint list; none until discovery has sent a list to this process. A confirmation that
+    /// the list has not changed does not count as a list.
     pub fn received_list_index(&self) -> Option<u64> {
         (self.counters.lists > 0).then(|| self.directory.index())
     }
 
-    /// What the new process of a hot restart gets: the endpoint list and the manual exclusions.
+    /// State for the new process of a hot restart: the endpoint list and the manual exclusions.
     pub fn handover_state(&self) -> (EndpointList, Vec<ManualExclusion>) {
         (self.directory.endpoint_list(), self.manual_exclusions())
     }
@@ -145,7 +146,7 @@
         self.directory.maintenance().exclusions()
     }
 
-    /// Number of endpoints in the list, and of those that get no requests at present.
+    /// Number of endpoints in the list, and number of these that currently get no requests.
     pub fn endpoint_counts(&self, now: Instant) -> (usize, usize) {
         let listed = self.directory.maintenance().listed_count();
         (
@@ -154,7 +155,7 @@
         )
     }
 
-    /// The operators' table of all sites, or of one.
+    /// Table of all sites for operators, or of the given site.
     pub fn site_report(&self, site: Option<&str>, now: Instant) -> String {
         let Names {
             classes, tenants, ..
--- a/crates/leverproxy/src/pipeline/timer_kind.rs
+++ b/crates/leverproxy/src/pipeline/timer_kind.rs
@@ -1,33 +1,33 @@
-//! The kinds of timers.
+//! Kinds of timers.
 
 use crate::request::ResponseSlot;
 use crate::upstream::UpstreamTimer;
 
-/// What a timer is for. Timers that are due at the same instant run in the order in which they were set.
+/// Purpose of a timer. Timers that are due at the same instant run in the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
     /// A timer of the decision module, by its token.
     Router(u32),
     /// A timer of an upstream connection or queue.
     Upstream(UpstreamTimer),
-    /// The time of a request is over that stands behind another one of its connection.
+    /// The time of a request is over that follows a request with a later deadline on the same connection.
     ResponseOrder(ResponseSlot),
-    /// The watch on discovery is checked.
+    /// Checks the watch on discovery.
     CheckDiscovery,
-    /// Connections that have run out of time are closed.
+    /// Closes connections that have exceeded their time limit.
     CloseExpired,
-    /// Accepting, paused for want of capacity or of a listener, is tried again.
+    /// Accepts clients again after a pause for lack of capacity or of a listener.
     RetryAccept,
-    /// The load of this process is measured.
+    /// Measures the load of this process.
     MeasureLoad,
     /// The drain state machine is due.
     Drain,
     /// A timer of the fleet membership, by its token.
     Members(u64),
-    /// The rollout is checked.
+    /// Checks the rollout.
     Rollout,
-    /// Quotas and lending are checked.
+    /// Polls quotas and quota lending.
     Quota,
-    /// State that has changed is saved.
+    /// Saves changed state.
     Persist,
 }
--- a/crates/leverproxy/src/proxy/admin_calls.rs
+++ b/crates/leverproxy/src/proxy/admin_calls.rs
@@ -8,10 +8,10 @@
 use std::time::Instant;
 use wire_admin::{Answer, Call, Status};
 
-/// What a call came to.
+/// Result of a call.
 enum CallResult {
     Answer(Answer),
-    /// State has changed. The answer goes out once the change is on disk.
+    /// State has changed. The answer is sent once the change is on disk.
     Changed(&'static str),
 }
 
@@ -78,7 +78,7 @@
             hot_restart.send(&message, None, &self.io.reactor);
         }
         let name = truncate_for_display(&name);
-        log::info!("admin: {name} is {text} by an operator's word");
+        log::info!("admin: an operator has set {name} to {text}");
         CallResult::Changed(text)
     }
 }
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of signals and of an embedding program, and what the reload thread has read.
+//! Commands from signals and from an embedding program, and configurations read by the reload thread.
 
 use super::state::Proxy;
 use crate::cluster::members::Members;
@@ -12,8 +12,8 @@
 use std::time::Instant;
 
 impl Proxy {
-    /// Runs what has come over the command channel. Other threads of the proxy wake the loop through it too: their
-    /// results are taken here.
+    /// Runs the commands received over the command channel. Other threads of the proxy also wake the event loop through
+    /// the channel: their results are handled here.
     pub(super) fn on_commands(&mut self, now: Instant) {
         for command in self.commands.take_commands() {
             match command {
@@ -36,10 +36,10 @@
         if self.drain.is_terminating() {
             return;
         }
-        log::info!("told to stop: answering what has come");
-        // The drain needs the state of now: it may have changed since the last round.
+        log::info!("told to stop: answering the requests that have arrived");
+        // The drain needs the current idle state, which may have changed since the last round of the event loop.
         self.update_idle(now);
-        // Clients from now on are the new process's. To wait for them here would take them from its queue.
+        // The new process serves clients from now on. Accepting here would take connections from its queue.
         let hot_restart = self.io.hot_restart.as_ref();
         if hot_restart.is_some_and(HotRestart::new_process_accepts) {
             self.io.downstream.start_draining(now, &self.io.reactor);
@@ -53,16 +53,18 @@
     fn request_reload(&mut self) {
         match &mut self.reloads {
             Some(reloads) => reloads.request_reload(),
-            None => log::warn!("told to reread the configuration, which has no source here"),
+            None => {
+                log::warn!("reload requested, but the configuration has no source to be read from")
+            }
         }
     }
 
-    /// Asks the reload thread for files of a rollout.
+    /// Requests the files of a rollout from the reload thread.
     pub(super) fn request_reads(&mut self, requests: Vec<ReloadRequest>) {
         for request in requests {
             match &mut self.reloads {
                 Some(reloads) => _ = reloads.request(request),
-                None => log::warn!("rollout: the configuration has no source here"),
+                None => log::warn!("rollout: can't read a version: the configuration has no source to be read from"),
             }
         }
     }
@@ -74,7 +76,7 @@
         now: Instant,
     ) {
         match request {
-            // A failure is logged; the configuration stays as it was.
+            // `reload` logs a failure, and the current configuration is kept.
             ReloadRequest::CurrentFiles => _ = self.reload(loaded, now),
             ReloadRequest::Check(hash, _) => {
                 let checked = loaded
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Tells the rollout something, if this proxy takes part in rollouts, and reads what it asks for.
+    /// Calls `notify` on the rollout, if this proxy takes part in rollouts, and reads the files that the rollout requests.
     fn notify_rollout(
         &mut self,
         notify: impl FnOnce(&mut Rollout, &mut Members, &Counters) -> Vec<ReloadRequest>,
@@ -104,11 +106,11 @@
         }
     }
 
-    /// Whether a candidate of a rollout could run here: it must not take this proxy out of the fleet.
+    /// Checks whether a rollout candidate could run here: it must not remove this proxy from the fleet.
     fn check_candidate(&self, config: &Config) -> Result<(), String> {
         let missing = |section: &str| {
             Err(format!(
-                "it has no section {section}: include the host's own file"
+                "the candidate has no section {section}: include the host's own file in it"
             ))
         };
         match (&config.members, &config.rollout) {
--- a/crates/leverproxy/src/proxy/control_socket.rs
+++ b/crates/leverproxy/src/proxy/control_socket.rs
@@ -1,4 +1,4 @@
-//! The operators' commands on the control socket, and their replies.
+//! Runs operators' commands from the control socket, and sends the replies.
 
 use super::state::Proxy;
 use crate::cluster::rollout::RolloutCommand;
@@ -36,7 +36,7 @@
         event: Event,
         now: Instant,
     ) -> String {
-        log::info!(command:? = command; "told by an operator");
+        log::info!(command:? = command; "operator command received");
         self.handle_drain_event(event, now);
         self.status_report(now)
     }
--- a/crates/leverproxy/src/proxy/drain.rs
+++ b/crates/leverproxy/src/proxy/drain.rs
@@ -1,15 +1,15 @@
-//! Carries out the actions of the drain state machine.
+//! Performs the actions of the drain state machine.
 
 use super::state::Proxy;
 use crate::pipeline::TimerKind;
 use ::drain::{Action, Event, Phase};
 use std::time::{Duration, Instant};
 
-/// An address that could not be listened on is tried again after this.
+/// Interval of retries if the listener can't be opened again after a drain.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Proxy {
-    /// Notifies the drain state machine when the proxy gets, or stops being, without clients and open requests.
+    /// Notifies the drain state machine when the proxy becomes idle or busy. Idle: no clients and no open requests.
     pub(super) fn update_idle(&mut self, now: Instant) {
         let is_idle =
             self.io.downstream.client_count() == 0 && self.pipeline.open_request_count() == 0;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Listens for clients after a drain, and retries until it does.
+    /// Opens the listener for clients again after a drain; retries until it succeeds.
     pub(super) fn listen_again(&mut self, now: Instant) {
         let io = &mut self.io;
         if io.downstream.listen_again(now, &io.reactor).is_err() {
@@ -59,7 +59,7 @@
             }
             Action::StopListening => {
                 self.io.downstream.start_draining(now, &self.io.reactor);
-                // Clients that waited at the listener are connected now.
+                // Clients that were queued at the listener are connected now.
                 self.is_idle = false;
             }
             Action::StartListening => self.listen_again(now),
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for descriptors and timers, and dispatches each event to its owner.
+//! The event loop: waits for descriptors and timers, and dispatches each event to its handler.
 
 use super::state::Proxy;
 use crate::cluster::usage;
@@ -10,11 +10,11 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A listener that was paused for want of capacity is read again after this, even if no client has left.
+/// A listener that is paused for lack of capacity accepts again after this time, even if no client has left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Proxy {
-    /// Serves until told to stop and every admitted request is answered.
+    /// Serves until the proxy is stopped and every admitted request is answered.
     ///
     /// # Errors
     /// Waiting for events failed.
@@ -35,7 +35,7 @@
         }
     }
 
-    /// One round of events and due timers. Its load is the time that it takes, and how late it began.
+    /// Handles one round of events and due timers. Its delay and its duration are recorded as load of the event loop.
     fn dispatch(&mut self, until: Option<Instant>, ready: &mut [Ready]) {
         let woken_at = Instant::now();
         let delay = until.map_or(Duration::ZERO, |at| woken_at.saturating_duration_since(at));
@@ -54,7 +54,7 @@
     fn log_exit(&self) {
         let clients = self.io.downstream.client_count();
         let open = self.pipeline.open_request_count();
-        log::info!("ended, with {clients} clients left and {open} requests owed an answer");
+        log::info!("ended, with {clients} clients connected and {open} requests unanswered");
     }
 
     fn on_ready(&mut self, ready: Ready) {
@@ -81,7 +81,7 @@
             Token::HotRestartListener => self.on_handover_request(now),
             Token::HotRestart(key) => self.on_hot_restart_link_ready(key, now),
         }
-        // Each event is worked through at once: the next may be about what this one changed.
+        // Each event is processed completely before the next, which may depend on its changes.
         self.pipeline.process_events(&mut self.io, now);
     }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A new process asks for the handover.
+    /// A new process requests the handover.
     fn on_handover_request(&mut self, now: Instant) {
         let (list, exclusions) = self.pipeline.handover_state();
         let Io {
--- a/crates/leverproxy/src/proxy/fleet.rs
+++ b/crates/leverproxy/src/proxy/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that this proxy is a member of: membership, rollouts and quota lending.
+//! Participation in the fleet: membership, rollouts and quota lending.
 
 use super::state::Proxy;
 use crate::clock;
@@ -22,7 +22,7 @@
         self.request_reads(requests);
     }
 
-    /// Sends what quotas have to publish, and sets the timers that the membership asks for.
+    /// Publishes the messages of quotas, and sets the timers that the membership requests.
     pub(super) fn flush_members(&mut self) {
         let Some(members) = &mut self.members else {
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Leaves the fleet at the end, unless a new process goes on under the same name.
+    /// Leaves the fleet at exit, unless a new process continues under the same name.
     pub(super) fn leave_fleet(&mut self) {
         let hot_restart = self.io.hot_restart.as_ref();
         let new_process_serves = hot_restart.is_some_and(HotRestart::has_new_process);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Applies the section `members`: the fleet is joined, left or has another roster. Returns the keys of what
-    /// counts only from the next start.
+    /// Applies the section `members`: joins or leaves the fleet, or changes the roster. Returns the keys of changed
+    /// settings that take effect only at the next start.
     pub(super) fn reload_members(
         &mut self,
         settings: Option<model::Members>,
@@ -56,7 +56,7 @@
             }
             (None, Some(settings), keys) => self.join_members(settings, keys, now),
             (Some(members), ..) => {
-                log::info!("members: the file names none any more; the fleet is left");
+                log::info!("members: the operators' file has no section members any more; leaving the fleet");
                 members.leave(now);
                 self.members = None;
                 self.pipeline.quota.leave_fleet();
@@ -79,12 +79,12 @@
                 self.members = Some(members);
                 self.io.timers.set(now, TimerKind::Quota);
             }
-            Err(error) => log::error!("configuration: {error}; this proxy stays by itself"),
+            Err(error) => log::error!("configuration: {error}; this proxy does not join the fleet"),
         }
     }
 
-    /// Applies the section `lending`. Without it nothing more is lent; running transfers are settled. Returns the
-    /// keys of what counts only from the next start.
+    /// Applies the section `lending`. Without it nothing more is lent, but open loans are still repaid. Returns the
+    /// keys of changed settings that take effect only at the next start.
     pub(super) fn reload_lending(
         &mut self,
         settings: Option<model::Lending>,
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Messages between the old and the new process of a hot restart, and how the two share the limits.
+//! Messages between the old and the new process of a hot restart, and how the two processes share the limits.
 
 use super::state::Proxy;
 use crate::event_loop::slab::Key;
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 impl Proxy {
-    /// A message of another process of this proxy, or the end of its link.
+    /// Handles a message from another process of this proxy, or the end of its link.
     pub(super) fn on_hot_restart_message(&mut self, from: Key, message: LinkEvent, now: Instant) {
         match message {
             LinkEvent::Message(
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The fleet knows one process by this name: the newest.
+    /// Updates whether a newer process has this proxy's name: the fleet has one member of a name, the newest process.
     pub(super) fn update_handed_over(&mut self, now: Instant) {
         let hot_restart = self.io.hot_restart.as_ref();
         let handed_over = hot_restart.is_some_and(HotRestart::has_successor);
@@ -67,7 +67,8 @@
         self.share_limits();
     }
 
-    /// An operator has changed a manual exclusion at another process: applied here, and forwarded to the rest.
+    /// An operator has changed a manual exclusion at another process: applies it here, and forwards it to the other
+    /// linked processes.
     fn on_exclusion_message(&mut self, from: Key, message: PeerMessage, now: Instant) {
         let Some(hot_restart) = &mut self.io.hot_restart else {
             return;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Sets the limits that are left to this process. A new process has what the old one does not hold; an old one
+    /// Sets this process's share of the limits. The new process gets what the old process does not use; the old process
     /// opens no more upstream connections than it has.
     pub(super) fn share_limits(&mut self) {
         let limits = self.limits.beside(self.old_process_usage);
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -1,11 +1,11 @@
-//! The metrics of the admin address.
+//! Metrics served on the admin address.
 
 use super::state::Proxy;
 use std::time::Instant;
 use wire_admin::{Answer, Figures};
 
 impl Proxy {
-    /// Metrics of the whole process, in the text format of the admin API.
+    /// All metrics of the process, in the text format of the admin API.
     pub(super) fn metrics(&self, now: Instant) -> Answer {
         let mut figures = Figures::default();
         self.add_request_metrics(&mut figures);
@@ -45,37 +45,37 @@
         for (name, help, value) in [
             (
                 "lb_attempts_total",
-                "Attempts written whole to record servers.",
+                "Attempts written completely to record servers.",
                 self.io.upstream.attempts,
             ),
             (
                 "lb_in_flight",
-                "Requests taken and not yet ended.",
+                "Requests admitted and not yet answered.",
                 self.pipeline.open_request_count() as u64,
             ),
             (
                 "lb_record_servers_known",
-                "Record servers in the list.",
+                "Record servers in the endpoint list.",
                 known as u64,
             ),
             (
                 "lb_record_servers_excluded",
-                "Of these, avoided at present by hand or by choice.",
+                "Record servers in the endpoint list that currently get no requests: excluded by an operator or by the proxy.",
                 excluded as u64,
             ),
             (
                 "lb_record_servers_unreadable",
-                "Entries of the last list that could not be read.",
+                "Entries of the last endpoint list that could not be read.",
                 counters.unreadable_endpoints,
             ),
             (
                 "lb_reloads_ok_total",
-                "Configurations taken over at SIGHUP.",
+                "Configurations applied at SIGHUP.",
                 counters.reloads,
             ),
             (
                 "lb_reloads_failed_total",
-                "Configurations turned down at SIGHUP.",
+                "Configurations rejected at SIGHUP.",
                 counters.reloads_failed,
             ),
         ] {
--- a/crates/leverproxy/src/proxy/mod.rs
+++ b/crates/leverproxy/src/proxy/mod.rs
@@ -1,21 +1,21 @@
-//! The serving process: wires the parts of the program together and runs them on one thread.
+//! The proxy process: wires the parts of the program together and runs them on one thread.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `state` | the `Proxy` type and its accessors |
-//! | `startup` | what is inherited, listened on and loaded, in order |
-//! | `event_loop` | the loop: wait, dispatch descriptors that are ready, run timers |
-//! | `timers` | what each timer kind does |
-//! | `commands` | signals and commands of an embedding program |
+//! | `startup` | start-up: handover from the old process, listeners, loading of state |
+//! | `event_loop` | the loop: waits, dispatches ready descriptors, runs timers |
+//! | `timers` | handlers of each timer kind |
+//! | `commands` | commands from signals and from an embedding program |
 //! | `control_socket` | the operators' commands on the control socket |
-//! | `admin_calls`, `metrics` | calls on the admin address, and the metrics that they read |
-//! | `drain` | carries out the actions of the drain state machine |
-//! | `reload` | takes over a new configuration |
-//! | `hot_restart` | messages between an old and a new process, and how they share limits |
-//! | `fleet` | membership, rollout and quota lending |
-//! | `persistence` | what has to be on disk before an operator gets an answer |
+//! | `admin_calls`, `metrics` | calls on the admin address, and the metrics that it serves |
+//! | `drain` | performs the actions of the drain state machine |
+//! | `reload` | applies a new configuration |
+//! | `hot_restart` | messages between the old and the new process, and how they share limits |
+//! | `fleet` | membership, rollouts and quota lending |
+//! | `persistence` | saves state, and sends operators' answers once it is on disk |
 //!
-//! Nothing here decides about requests: that is the pipeline's.
+//! Decisions about requests are made in the pipeline, not here.
 
 mod admin_calls;
 mod commands;
--- a/crates/leverproxy/src/proxy/persistence.rs
+++ b/crates/leverproxy/src/proxy/persistence.rs
@@ -1,11 +1,11 @@
-//! Saves state to disk, and sends the admin answers that wait for it.
+//! Saves state to disk, and sends the admin answers that wait for a save.
 
 use super::state::Proxy;
 use crate::cluster::members::Members;
 use std::time::Instant;
 
 impl Proxy {
-    /// Saves what has changed, and sends the answers whose state is on disk.
+    /// Saves changed state, and sends the answers whose state is on disk.
     pub(super) fn persist(&mut self, now: Instant) {
         let Some(saved_state) = &mut self.saved_state else {
             return;
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -1,4 +1,4 @@
-//! Reload: a new configuration takes over while requests, connections and what the decision module knows stay.
+//! Reload: applies a new configuration, and keeps requests, connections and the decision module's state.
 
 use super::state::{Proxy, RestartSettings};
 use crate::cluster::rollout::Rollout;
@@ -10,10 +10,10 @@
 use std::time::Instant;
 
 impl Proxy {
-    /// Takes over the configuration that was read. A faulty one changes nothing.
+    /// Applies the configuration that was read. An invalid configuration changes nothing.
     ///
     /// # Errors
-    /// What is wrong with it, as it is published of a rollout's candidate. It is logged and counted here.
+    /// The fault of the configuration, as published for a rollout candidate. The fault is logged and counted here.
     pub(super) fn reload(
         &mut self,
         loaded: Result<Config, ConfigError>,
@@ -58,7 +58,7 @@
         format!("settings.{error}")
     }
 
-    /// Applies all that concerns requests and connections. Returns the former route rules, which take long to drop.
+    /// Applies all settings of requests and connections. Returns the previous route rules, which take long to drop.
     fn apply_to_requests(&mut self, config: Config, now: Instant) -> Result<Rules, String> {
         let drain_settings = config.drain_settings();
         let mapping = platform_settings::map_classes(&self.platform, config.platform)
@@ -87,7 +87,7 @@
         Ok(former_rules)
     }
 
-    /// Settings that differ and count only from the next start.
+    /// Keys of changed settings that take effect only at the next start.
     fn list_deferred_settings(&self, config: &Config) -> Vec<&'static str> {
         let (new, running) = (RestartSettings::new(config), &self.restart_settings);
         let rollout = self.rollout.as_ref().map(Rollout::settings);
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -1,4 +1,4 @@
-//! Start-up, one step a function: what an old process hands over, what is listened on, what is loaded, the fleet.
+//! Start-up: takes over from an old process, opens the listeners, loads the saved state and joins the fleet.
 
 use super::state::{Proxy, RestartSettings};
 use crate::clock;
@@ -30,7 +30,7 @@
 use std::time::{Duration, Instant};
 
 impl Proxy {
-    /// Listens, and starts with the endpoint list as it was last known.
+    /// Opens the listeners, and starts with the last known endpoint list.
     ///
     /// # Errors
     /// An address or a file that the configuration names can't be used.
@@ -39,7 +39,7 @@
         Ok((Proxy::start_with_commands(config, commands)?, control))
     }
 
-    /// As [`Proxy::start`], with a command channel made earlier: commands sent meanwhile run once the loop does.
+    /// As [`Proxy::start`], with an existing command channel: commands sent before the event loop runs are queued.
     ///
     /// # Errors
     /// As [`Proxy::start`].
@@ -66,7 +66,7 @@
         Ok(proxy)
     }
 
-    /// The proxy before anything is loaded, and of no fleet yet.
+    /// Creates the proxy without any loaded state and outside the fleet.
     fn assemble(
         config: &mut Config,
         handover: &Handover,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Opens the state file and recovers what an earlier process saved.
+    /// Opens the state file and recovers the state that an earlier process saved.
     fn open_saved_state(
         &mut self,
         config: &mut Config,
@@ -136,8 +136,8 @@
         Ok(recovered)
     }
 
-    /// Loads the endpoint list and the manual exclusions: of the old process, else of the state file, else of the
-    /// platform's file.
+    /// Loads the endpoint list and the manual exclusions, from the first available source: the old process, the state
+    /// file, the platform's file.
     fn load_endpoints(
         &mut self,
         config: &Config,
@@ -148,7 +148,9 @@
         let (list, exclusions) = match state {
             Some(state) => {
                 let server_count = state.endpoint_list.endpoints.len();
-                log::info!("takeover: {server_count} record servers are known from before");
+                log::info!(
+                    "takeover: {server_count} record servers are known from the old process"
+                );
                 (state.endpoint_list, state.exclusions)
             }
             None => {
@@ -165,14 +167,14 @@
         pipeline.set_endpoint_push(pushed, io, now);
     }
 
-    /// Tells the old process that this one accepts.
+    /// Notifies the old process that this process accepts clients.
     fn announce_to_old_process(&mut self, link: Option<UnixStream>, in_place: bool) {
         if let (Some(hot_restart), Some(link)) = (&mut self.io.hot_restart, link) {
             hot_restart.link_to_old_process(link, in_place, &self.io.reactor);
         }
     }
 
-    /// Joins the fleet, and starts what only members of one do: rollouts and quota lending.
+    /// Joins the fleet, and starts rollouts and quota lending, which need it.
     fn join_fleet(
         &mut self,
         config: Config,
@@ -211,21 +213,21 @@
     }
 }
 
-/// What the old process of a hot restart hands over; nothing where there is none.
+/// State handed over by the old process of a hot restart; empty if there is no old process.
 #[derive(Default)]
 struct Handover {
     listener: Option<OwnedFd>,
     state: Option<Box<HandoverState>>,
     link: Option<UnixStream>,
-    /// This process accepts from the old one's queue.
+    /// This process accepts clients from the listener of the old process.
     in_place: bool,
-    /// An old process may run, but its state could not be read. This process serves all the same, and takes the
+    /// An old process may be running, but its state could not be read. This process serves anyway, and takes over the
     /// control socket.
     old_process_unknown: bool,
 }
 
 impl Handover {
-    /// Asks the old process, if there is one.
+    /// Requests the handover from the old process, if there is one.
     fn request(config: &Config) -> Handover {
         let old_process = config
             .hot_restart_socket
@@ -235,7 +237,7 @@
             OldProcess::None => Handover::default(),
             OldProcess::Failed(fault) => {
                 log::warn!(
-                    "takeover: nothing sound comes from the process before this one: {fault}"
+                    "takeover: the handover from the old process failed, starting without its state: {fault}"
                 );
                 Handover {
                     old_process_unknown: true,
@@ -243,7 +245,7 @@
                 }
             }
             OldProcess::HandedOver(state, listener, link) => {
-                // A listener on another address is of no use to this process's clients.
+                // A listener on another address does not reach this process's clients.
                 let in_place =
                     config.listen.port() == 0 || local_address(&listener) == Some(config.listen);
                 Handover {
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Clients and upstream connections that the old process holds.
+    /// Number of clients and of upstream connections that the old process has.
     fn usage(&self) -> (usize, usize) {
         self.state.as_ref().map_or((0, 0), |state| {
             (state.client_connections, state.server_connections)
@@ -265,7 +267,7 @@
     }
 }
 
-/// Listens on every address that the configuration names.
+/// Opens the listeners on all configured addresses.
 fn open_io(
     config: &Config,
     handover: &mut Handover,
@@ -321,12 +323,11 @@
         .map_err(|error| io::Error::new(error.kind(), format!("admin: {error}")))
 }
 
-/// Where the next process asks for a handover. Without it this process serves, but can't be replaced in place.
+/// Opens the socket on which the next process requests a handover. If that fails, this process serves, but can't be
+/// replaced by a hot restart.
 fn open_hot_restart(config: &Config, reactor: &Reactor) -> Option<HotRestart> {
     let path = config.hot_restart_socket.as_deref()?;
     HotRestart::listen(path, reactor)
-        .inspect_err(|error| {
-            log::warn!("takeover: the next process can't be listened for: {error}")
-        })
+        .inspect_err(|error| log::warn!("takeover: can't listen for the next process: {error}"))
         .ok()
 }
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -1,4 +1,4 @@
-//! The state of a running proxy, and what can be read of it from outside.
+//! State of a running proxy, and its public accessors.
 
 use crate::cluster::members::Members;
 use crate::cluster::rollout::Rollout;
@@ -16,40 +16,40 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// One proxy. [`Proxy::start`] listens, [`Proxy::run`] serves until the proxy is told to stop.
+/// A proxy. [`Proxy::start`] opens the listeners, [`Proxy::run`] serves until the proxy is stopped.
 pub struct Proxy {
     pub(super) io: Io,
     pub(super) pipeline: Pipeline,
     pub(super) commands: CommandReceiver,
-    /// The drain state machine counts time from here.
+    /// Time zero of the drain state machine.
     pub(super) started_at: Instant,
     pub(super) drain: Drain,
-    /// No client is connected and no request is open, as the drain state machine was last notified.
+    /// Idle state last sent to the drain state machine: no client is connected and no request is open.
     pub(super) is_idle: bool,
-    /// The drain state machine has ended: the loop returns.
+    /// The drain state machine has finished: the event loop returns.
     pub(super) terminated: bool,
-    /// Balancers ask for health, so servers that are silent are dialled to test their links.
+    /// Health checks of balancers are configured, so unresponsive servers are dialled to test their links.
     pub(super) probes_reachability: bool,
     pub(super) limits: Limits,
     pub(super) client_limits: ClientLimits,
-    /// Clients and upstream connections that the old process holds during a hot restart.
+    /// Number of clients and of upstream connections that the old process has during a hot restart.
     pub(super) old_process_usage: (usize, usize),
     pub(super) reloads: Option<Reloader>,
-    /// An old process may run whose state is unknown: not ready before discovery has sent a list.
+    /// An old process with unknown state may be running: this process is not ready before discovery has sent a list.
     pub(super) awaits_discovery: bool,
-    /// The platform's settings in force, with classes in the order of the counters.
+    /// Current platform settings, with classes in the order of the counters.
     pub(super) platform: PlatformSettings,
     pub(super) restart_settings: RestartSettings,
-    /// The fleet; none where the operators' file has no section `members`.
+    /// Membership of the fleet; none if the operators' file has no section `members`.
     pub(super) members: Option<Members>,
     pub(super) rollout: Option<Rollout>,
     pub(super) saved_state: Option<Persistence>,
-    /// Incarnation of this process, higher than that of any earlier one of its name.
+    /// Incarnation of this process, higher than that of any earlier process with its name.
     pub(super) incarnation: u64,
     pub(super) seed: u64,
 }
 
-/// Settings that a reload can't change: a new value counts from the next start.
+/// Settings that a reload can't change: a new value takes effect at the next start.
 #[derive(PartialEq)]
 pub(super) struct RestartSettings {
     pub(super) name: String,
@@ -72,12 +72,12 @@
 }
 
 impl Proxy {
-    /// The address that clients connect to; none while nothing listens.
+    /// The address that clients connect to; none while the listener is closed.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.io.downstream.local_address()
     }
 
-    /// The address of the admin API; none where none is configured.
+    /// The address of the admin API; none if it is not configured.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.io.admin.as_ref().map(Admin::address)
     }
@@ -87,16 +87,19 @@
         self.io.health.addresses()
     }
 
-    /// Sets the source of the configuration for reloads. It is called on a thread of its own, with a path where
-    /// that file is to be read as the operators' file.
+    /// Sets the source of the configuration for reloads. It is called on a separate thread. A given path replaces that
+    /// of the operators' file.
     ///
     /// # Errors
     /// The descriptor that wakes the event loop can't be duplicated.
     pub fn set_configuration_source(
         &mut self,
-        reread: impl FnMut(Option<&Path>) -> Result<Config, ConfigError> + Send + 'static,
+        read_configuration: impl FnMut(Option<&Path>) -> Result<Config, ConfigError> + Send + 'static,
     ) -> io::Result<()> {
-        self.reloads = Some(Reloader::new(Box::new(reread), self.commands.waker()?));
+        self.reloads = Some(Reloader::new(
+            Box::new(read_configuration),
+            self.commands.waker()?,
+        ));
         Ok(())
     }
 
@@ -121,7 +124,7 @@
         ));
     }
 
-    /// What the process uses of its limits.
+    /// Resources that the process uses, and their limits.
     pub(super) fn usage(&self) -> Usage {
         let Io {
             downstream,
--- a/crates/leverproxy/src/proxy/timers.rs
+++ b/crates/leverproxy/src/proxy/timers.rs
@@ -1,4 +1,4 @@
-//! What each timer kind does when it is due.
+//! Handlers of due timers, by kind.
 
 use super::state::Proxy;
 use crate::health::monitor;
@@ -27,7 +27,7 @@
         self.pipeline.process_events(&mut self.io, now);
     }
 
-    /// Closes every connection that has run out of time.
+    /// Closes every connection that has exceeded its time limit.
     fn close_expired(&mut self, now: Instant) {
         let io = &mut self.io;
         let next_check = io.downstream.close_expired(now, &io.reactor);
--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests, answers and exchanges: what passes between the clients' side, the pipeline and the upstream side. Nothing
-//! here depends on a wire protocol, except commands and answers as opaque bytes.
+//! Types of requests, answers and exchanges that the downstream side, the pipeline and the upstream side pass to each
+//! other. They do not depend on a wire protocol: commands and answers are opaque bytes.
 
 use crate::event_loop::slab::Key;
 use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
@@ -7,51 +7,51 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest part of a client's text that an error message or a line of the log repeats, in characters.
+/// Maximum length of a client's text in error messages and log lines, in characters.
 const DISPLAY_LIMIT: usize = 40;
 
-/// Where the answer to a request goes: the client's connection, and the number of the command on it.
+/// Destination of the answer to a request: the client's connection, and the number of the command on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ResponseSlot {
-    /// The client's connection.
+    /// Connection of the client.
     pub client: Key,
-    /// The command's number on that connection, from 0.
+    /// Number of the command on the connection, from 0.
     pub number: u64,
 }
 
-/// A request as it was read from a client.
+/// A request as read from a client.
 #[derive(Debug)]
 pub struct Request {
-    /// The client's name for it, new with every request.
+    /// Id that the client gave the request; it must be new for every request.
     pub id: Box<str>,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: String,
-    /// Name of its tenant.
+    /// Name of the request's tenant, if the client gave one.
     pub tenant: Option<String>,
-    /// Number of the group of servers that holds its data.
+    /// Number of the group of servers that holds the data of the request.
     pub group: u32,
-    /// The session whose writes it has to see.
+    /// Session whose writes a read has to see.
     pub session: Option<u64>,
-    /// How long the client waits, from its send.
+    /// Timeout of the client, counted from when it sent the request.
     pub timeout: Duration,
     /// Unix time of the commit that a read must see.
     pub min_commit_time: Option<Duration>,
-    /// The client has sent it before.
+    /// Whether the client has sent the request before.
     pub is_client_retry: bool,
-    /// What is sent to servers.
+    /// Command that is sent to servers.
     pub command: Command,
-    /// The client's address.
+    /// Address of the client.
     pub client: IpAddr,
-    /// When it was read.
+    /// Time at which the request was read.
     pub read_at: Instant,
 }
 
-/// A command in the bytes of its protocol, in two parts. The time that is left for it goes between them.
+/// A command in the bytes of its protocol, in two parts. The time left for it is inserted between them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
-    /// Everything before the time that is left.
+    /// Bytes before the time left.
     pub before_time_left: Vec<u8>,
-    /// Everything after it.
+    /// Bytes after the time left.
     pub after_time_left: Vec<u8>,
 }
 
@@ -60,14 +60,14 @@
 pub enum Answer {
     /// The record server's answer, in the bytes of its protocol.
     Served(Vec<u8>),
-    /// Rejected by a rule or to shed load: nothing ran that a repetition could double. The client may retry after this time,
-    /// if there is one.
+    /// Rejected by a rule or to shed load. No part of the request ran, so a retry can't run it twice. The value is the
+    /// time after which the client may retry, if any.
     Rejected(Option<Duration>),
-    /// No server gave an answer in time, or part of the request may have run.
+    /// No server answered in time, or a part of the request may have run.
     Failed,
     /// The client has cancelled the request.
     Cancelled,
-    /// The request is malformed; why.
+    /// The request is invalid, with the reason.
     Invalid(String),
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// What an upstream exchange is for.
+/// Purpose of an upstream exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// An attempt of a request.
@@ -93,12 +93,12 @@
     Probe,
 }
 
-/// What a record server is asked.
+/// Query that is sent to a record server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpstreamQuery {
-    /// A client's command.
+    /// A command of a client.
     Command(Arc<Command>),
-    /// Its load report.
+    /// A query for the server's load report.
     Load,
 }
 
@@ -107,65 +107,65 @@
 pub enum ExchangeOutcome {
     /// The answer to a command, in the bytes of its protocol.
     Served(Vec<u8>),
-    /// The fields of a load report; empty if it could not be read.
+    /// The fields of a load report; empty if the report could not be read.
     Reported(Vec<(String, f64)>),
-    /// The server can't take the command: it is not the primary, or its data is not fresh enough.
+    /// The server can't run the command: it is not the primary, or its data is too stale.
     Misdirected,
     /// The server answered with an error.
     Failed,
-    /// The server rejected the command without running it: it is at its limit.
+    /// The server rejected the command without running it, because it is at its limit.
     Rejected,
-    /// The command was not written completely: it did not run.
+    /// The command was not written completely, so it did not run.
     ConnectFailed,
-    /// What came back is no valid answer. The command may have run.
+    /// The server's answer was invalid. The command may have run.
     InvalidResponse,
     /// The connection broke after the command was written. The command may have run.
     Reset,
-    /// No answer came in time. The command may have run.
+    /// The server did not answer in time. The command may have run.
     TimedOut,
-    /// The decision module has cancelled it.
+    /// The decision module has cancelled the exchange.
     Cancelled,
-    /// Dropped before it was written: the server is being removed, or this host lacks what a connection needs.
+    /// Dropped before it was written: the server is being removed, or this host lacks the resources for a connection.
     NotSent,
 }
 
-/// A part of an answer that is too large to be buffered. It goes to the client before the rest has come.
+/// A part of an answer that is too large to be buffered. It is forwarded to the client before the rest arrives.
 #[derive(Debug)]
 pub struct ResponseChunk {
-    /// The request.
+    /// Request that the chunk answers.
     pub id: RequestId,
-    /// The attempt that it answers.
+    /// Attempt that the chunk answers.
     pub attempt: AttemptNo,
-    /// The upstream connection that it came on.
+    /// Upstream connection that the chunk was read from.
     pub connection: Key,
-    /// The server.
+    /// Server that sent the chunk.
     pub server: ServerId,
     /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The bytes, in the server's protocol.
+    /// Bytes of the chunk in the server's protocol.
     pub bytes: Vec<u8>,
 }
 
-/// An exchange with a record server that has ended.
+/// A completed exchange with a record server.
 #[derive(Debug)]
 pub struct CompletedExchange {
-    /// What it was for.
+    /// Purpose of the exchange.
     pub purpose: Purpose,
-    /// The request's class; a probe has none.
+    /// Class of the request; none for a probe.
     pub class: Option<ClassId>,
-    /// The request's group; a probe has none.
+    /// Group of the request; none for a probe.
     pub group: Option<GroupId>,
-    /// The server.
+    /// Server of the exchange.
     pub server: ServerId,
-    /// How it ended.
+    /// Result of the exchange.
     pub outcome: ExchangeOutcome,
-    /// Time since it was sent.
+    /// Time from sending to the end of the exchange.
     pub elapsed: Duration,
-    /// What the server reported beside the answer: its position, load and role.
+    /// Metadata of the response: the server's position, load and role.
     pub metadata: ResponseMetadata,
 }
 
-/// As much of a client's text as an error message or a line of the log repeats.
+/// Truncates a client's text for error messages and log lines.
 pub fn truncate_for_display(text: &str) -> &str {
     text.char_indices()
         .nth(DISPLAY_LIMIT)
