--- a/crates/leverproxy/src/cluster/members/metrics.rs
+++ b/crates/leverproxy/src/cluster/members/metrics.rs
@@ -27,14 +27,14 @@
                 (labels, u64::from(member.status == status))
             })
         });
-        figures.many("lb_member", "What is known of each other member.", members);
+        figures.many("lb_member", "Status of each other member.", members);
         let direct = view
             .members
             .iter()
             .map(|m| (vec![("member", m.name.as_str())], u64::from(m.direct)));
         figures.many(
             "lb_member_direct",
-            "Whether its last sign of life was its own datagram.",
+            "Whether the last evidence that the member is alive was a datagram from itself.",
             direct,
         );
         let self_reports = self.self_reports(now);
@@ -43,7 +43,7 @@
             .map(|(name, report)| (vec![("member", name.as_str())], u64::from(report.serving)));
         figures.many(
             "lb_member_serving",
-            "What it says of itself, while that has not lapsed.",
+            "Whether the member serves, by its last self-report; none if that has expired.",
             serving,
         );
     }
@@ -57,7 +57,7 @@
         });
         figures.many(
             "lb_members_allowed",
-            "What may be done in this state.",
+            "Operations that are allowed in this state.",
             allowed,
         );
     }
@@ -69,7 +69,7 @@
             .map(|(status, n)| (vec![("status", *status)], *n));
         figures.many(
             "lb_members_changes_total",
-            "How often a member became that.",
+            "Changes of members to each status.",
             changes,
         );
         let rejected = self
@@ -85,7 +85,7 @@
         let rejected_by_core = rejected_by_core.map(|(reason, n)| (vec![("reason", reason)], n));
         figures.many(
             "lb_members_refused_total",
-            "Datagrams not taken in, by reason.",
+            "Rejected datagrams, by reason.",
             rejected.chain(rejected_by_core),
         );
         let malformed = [
@@ -95,7 +95,7 @@
         let malformed = malformed.map(|(content, n)| (vec![("of", content)], n));
         figures.many(
             "lb_members_facts_unread_total",
-            "Facts of another version, or torn.",
+            "Facts that could not be decoded: of another version, or malformed.",
             malformed,
         );
     }
@@ -105,48 +105,48 @@
         for (name, help, value) in [
             (
                 "lb_start_ms",
-                "When this process started, in Unix milliseconds, or the later start that it goes on under.",
+                "Incarnation of this process: its start in Unix milliseconds, or a later value after a renewal.",
                 self.incarnation,
             ),
             (
                 "lb_members_renewals_total",
-                "Times that it went on under a later start, since others knew its name by one.",
+                "Renewals of the incarnation, because other members had a later one for this name.",
                 counters.renewals,
             ),
             (
                 "lb_members_renewals_held_total",
-                "Words of a later start that came too soon after the last renewal.",
+                "Reports of a later incarnation that came too soon after the last renewal.",
                 counters.renewals_rate_limited,
             ),
             (
                 "lb_members_renewals_spent_total",
-                "Words of a start beyond all clocks; they are not believed.",
+                "Reports of an incarnation beyond any plausible clock, which were ignored.",
                 counters.renewals_out_of_range,
             ),
-            ("lb_members_heard", "Members heard, this one too.", view.member_counts.alive as u64),
+            ("lb_members_heard", "Reachable members, including this one.", view.member_counts.alive as u64),
             ("lb_members_roster_version", "Version of the roster.", view.roster_version),
             (
                 "lb_members_roster_differs",
-                "Members heard that say another version.",
+                "Reachable members that have another version of the roster.",
                 view.roster_mismatches as u64,
             ),
             (
                 "lb_members_doubting",
-                "Whether this process was late and doubts itself.",
+                "Whether this process was paused, or gets no answers, and does not trust its view of the members.",
                 u64::from(view.self_suspected),
             ),
-            ("lb_members_pauses_total", "Times that it was late enough for that.", counters.pauses),
-            ("lb_members_facts", "Facts of others that are kept.", view.facts as u64),
-            ("lb_members_facts_invented_total", "Facts told in this one's name by others.", counters.forged_facts),
+            ("lb_members_pauses_total", "Detected pauses of this process, after which it does not trust its view for a while.", counters.pauses),
+            ("lb_members_facts", "Facts of other members that are kept.", view.facts as u64),
+            ("lb_members_facts_invented_total", "Facts that other members forwarded under this name, but that this proxy did not publish.", counters.forged_facts),
             (
                 "lb_members_unsealed_total",
-                "Datagrams that could not be made; the first has a line in the log.",
+                "Datagrams that could not be sealed; the first is logged.",
                 self.seal_failures,
             ),
             ("lb_members_sent_total", "Datagrams sent.", self.sent),
-            ("lb_members_sent_bytes_total", "Bytes of these.", self.sent_bytes),
+            ("lb_members_sent_bytes_total", "Bytes of datagrams sent.", self.sent_bytes),
             ("lb_members_unsent_total", "Datagrams that could not be sent.", self.send_failures),
-            ("lb_members_received_total", "Datagrams that came.", self.received),
+            ("lb_members_received_total", "Datagrams received.", self.received),
         ] {
             figures.one(name, help, value);
         }
@@ -166,7 +166,7 @@
         .map(|(name, s)| (vec![("state", name.as_str())], u64::from(*s == view.state)));
     figures.many(
         "lb_members_state",
-        "How much of the roster is heard.",
+        "Quorum state: how much of the roster is reachable.",
         state,
     );
 }
--- a/crates/leverproxy/src/cluster/members/mod.rs
+++ b/crates/leverproxy/src/cluster/members/mod.rs
@@ -1,7 +1,7 @@
-//! The other proxies of the fleet: the socket that their datagrams come to, authentication (`datagram-auth`), and the membership
-//! core (`membership`), whose actions are carried out here.
+//! Membership of the fleet: owns the socket for datagrams of the other proxies, authenticates them (`datagram-auth`), and
+//! performs the actions of the membership core (`membership`).
 //!
-//! Nothing here waits: a datagram that can't be sent now is lost, as any datagram may be.
+//! Nothing here blocks: a datagram that can't be sent immediately is dropped, as the network may also do.
 
 mod error;
 mod metrics;
@@ -31,20 +31,21 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Datagrams received before clients get their turn again.
+/// Maximum number of datagrams received before other events are handled.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// When a port that another process has is tried again: in a hot restart the old process has it until it ends.
+/// Interval of retries while another process has the port: in a hot restart the old process has it until it ends.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Token of the timer for that; tokens of the core count up from 1.
+/// Token of the timer for these retries; tokens of the core count up from 1.
 const BIND_TIMER_TOKEN: u64 = u64::MAX;
-/// Facts of others that wait to be fetched.
+/// Maximum number of facts of other members that wait for [`Members::take_facts`].
 const MAX_PENDING_FACTS: usize = 1_024;
 
 /// This proxy as a member of its fleet.
 pub struct Members {
     settings: MembersSettings,
     name: String,
-    /// The start of this process in Unix milliseconds, or later if others know its name by a later incarnation.
+    /// Incarnation: the start of this process in Unix milliseconds, or later if other members had a later incarnation for
+    /// this name.
     incarnation: u64,
     socket: Option<UdpSocket>,
     core: Core,
@@ -59,19 +60,19 @@
     sent: u64,
     sent_bytes: u64,
     send_failures: u64,
-    /// Those of `send_failures` that could not be sealed.
+    /// Datagrams in `send_failures` that could not be sealed.
     seal_failures: u64,
     received: u64,
     malformed_self_reports: u64,
     malformed_rates: u64,
-    /// Datagrams by the reason of their rejection; the first of each is logged.
+    /// Number of rejected datagrams by reason; the first one for each reason is logged.
     rejected: BTreeMap<&'static str, u64>,
-    /// How often members took each status.
+    /// Number of changes of members to each status.
     status_changes: BTreeMap<&'static str, u64>,
 }
 
 impl Members {
-    /// Joins the fleet. `start` is the start of this process in Unix milliseconds.
+    /// Joins the fleet. `start` is the start time of this process in Unix milliseconds, its first incarnation.
     pub fn join(
         settings: MembersSettings,
         keys: Option<Keys>,
@@ -113,7 +114,7 @@
         Ok(members)
     }
 
-    /// Without its port a proxy is alone, and serves clients all the same.
+    /// Opens the port for members, and retries later if that fails. Meanwhile the proxy serves clients without the fleet.
     fn bind(&mut self, now: Instant, reactor: &Reactor) {
         match self.open(reactor) {
             Ok(address) => {
@@ -125,8 +126,8 @@
                 if !self.bind_failure_logged {
                     self.bind_failure_logged = true;
                     let listen = self.settings.listen;
-                    log::warn!("members: {listen} can't be listened on ({error}): asked for again every half second; \
-                                in an upgrade the former process has it, else see who does");
+                    log::warn!("members: can't listen on {listen} ({error}): retrying every half second; \
+                                in an upgrade the old process has the port, else check which process does");
                 }
                 self.timers
                     .push((now + BIND_RETRY_INTERVAL, BIND_TIMER_TOKEN));
@@ -143,7 +144,8 @@
         Ok(address)
     }
 
-    /// Whether another process of this proxy takes over (hot restart): a later incarnation of the name is then that one's.
+    /// Sets whether another process of this proxy takes over in a hot restart: a later incarnation of this name is then
+    /// that of the new process.
     pub fn set_handed_over(&mut self, handed_over: bool, now: Instant) {
         self.handle(Event::HandedOver(handed_over), now);
     }
@@ -153,7 +155,7 @@
         std::mem::take(&mut self.timers)
     }
 
-    /// A timer of `take_timers` is due.
+    /// Handles a due timer from `take_timers`.
     pub fn on_timer(&mut self, token: u64, now: Instant, reactor: &Reactor) {
         if token == BIND_TIMER_TOKEN {
             return self.bind(now, reactor);
@@ -172,24 +174,24 @@
         &self.name
     }
 
-    /// Members of the roster.
+    /// Number of members in the roster.
     pub fn roster_size(&self) -> usize {
         self.settings.roster.len()
     }
 
-    /// The incarnation of this process.
+    /// The current incarnation of this process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether it has its port: in a hot restart, once the old process has ended.
+    /// Whether this process has its port: in a hot restart, once the old process has ended.
     pub fn is_listening(&self) -> bool {
         self.socket.is_some()
     }
 
-    /// The socket is readable.
+    /// Receives datagrams after the socket has become readable.
     pub fn receive_datagrams(&mut self, now: Instant) {
-        // One byte more than the limit, so that a longer datagram is recognised.
+        // One byte more than the limit, so that a longer datagram is detected.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Some(socket) = &self.socket else { return };
@@ -203,7 +205,7 @@
 
     fn receive(&mut self, bytes: &[u8], now: Instant) {
         let (from, incarnation, payload) = match self.opener.open(bytes) {
-            // A kind of a later build.
+            // A datagram kind of a later build.
             Ok(opened) if opened.kind != MEMBERSHIP_KIND => {
                 *self.rejected.entry("other-kind").or_default() += 1;
                 return;
@@ -226,7 +228,7 @@
         self.handle(event, now);
     }
 
-    /// Time since this proxy joined: the clock of the core.
+    /// Time since this proxy joined, which is the time of the core.
     fn since_origin(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.origin)
     }
@@ -243,17 +245,17 @@
                 Action::QuorumStateChanged(state) => {
                     let counts = self.view(now).member_counts;
                     log::info!(
-                        "members: {state}, {} of {} are heard",
+                        "members: {state}, {} of {} are reachable",
                         counts.alive,
                         counts.total
                     );
                 }
                 Action::FactReceived(fact) => self.fact_received(fact),
                 Action::PublishRejected(error) => {
-                    log::warn!("members: what this proxy says of itself is not told: {error}")
+                    log::warn!("members: a fact of this proxy can't be published: {error}")
                 }
                 Action::RosterRejected(error) => {
-                    log::error!("members: {error}; the former roster stays")
+                    log::error!("members: {error}; the previous roster is kept")
                 }
                 Action::IncarnationRenewed(incarnation) => self.incarnation_renewed(incarnation),
             }
@@ -272,7 +274,7 @@
         if fact.kind == SELF_REPORT_KIND {
             self.malformed_self_reports += u64::from(decode_self_report(&fact.body).is_none());
         } else {
-            // Whoever needs it may be slow to fetch it.
+            // Bounds the queue in case its consumer is slow: a new fact then replaces the latest one in the queue.
             self.pending_facts.truncate(MAX_PENDING_FACTS - 1);
             self.pending_facts.push(fact);
         }
@@ -280,8 +282,8 @@
 
     fn incarnation_renewed(&mut self, incarnation: u64) {
         log::warn!(
-            "members: others know this name by start {} or later, and this process had {}: its clock was set back, \
-             and it goes on under {incarnation}. If that comes again, two processes have this name",
+            "members: other members have incarnation {} or later for this name, but this process had {}: its clock was set \
+             back, and it continues with incarnation {incarnation}. If this occurs again, two processes have this name",
             incarnation.saturating_sub(1),
             self.incarnation
         );
@@ -335,7 +337,7 @@
         );
     }
 
-    /// The last account of each other member, by name.
+    /// The last self-report of each other member, by name.
     fn self_reports(&self, now: Instant) -> BTreeMap<String, SelfReport> {
         self.facts(SELF_REPORT_KIND, now)
             .into_iter()
@@ -343,7 +345,7 @@
             .collect()
     }
 
-    /// Publishes a fact for another part of the proxy, in place of the one of that kind and key.
+    /// Publishes a fact for another module of the proxy. It replaces an earlier fact of the same kind and key.
     pub fn publish(&mut self, kind: u8, key: Vec<u8>, body: Vec<u8>, ttl: Duration, now: Instant) {
         self.handle(
             Event::Publish {
@@ -356,22 +358,22 @@
         );
     }
 
-    /// New facts of others, without accounts.
+    /// Takes the new facts of other members, except self-reports.
     pub fn take_facts(&mut self) -> Vec<Fact> {
         std::mem::take(&mut self.pending_facts)
     }
 
-    /// A fact with usage rates could not be decoded.
+    /// Counts a fact with usage rates that could not be decoded.
     pub fn count_malformed_rates(&mut self) {
         self.malformed_rates += 1;
     }
 
-    /// Facts of one kind of others that have not expired.
+    /// Facts of one kind from other members that have not expired.
     pub fn facts(&self, kind: u8, now: Instant) -> Vec<Fact> {
         self.core.facts(self.since_origin(now), kind)
     }
 
-    /// Whether an operation may be done now: in the fleet, or in one region.
+    /// Checks whether an operation is allowed now, in the whole fleet or in one region.
     pub fn check_operation(
         &self,
         operation: GuardedOperation,
@@ -382,12 +384,12 @@
             .check_operation(self.since_origin(now), operation, region)
     }
 
-    /// All that is known of the fleet now.
+    /// Current view of the fleet.
     pub fn view(&self, now: Instant) -> View {
         self.core.view(self.since_origin(now))
     }
 
-    /// Names and regions of the roster.
+    /// Names and regions of the members in the roster.
     pub fn regions(&self) -> Vec<(String, String)> {
         self.settings
             .roster
@@ -396,7 +398,7 @@
             .collect()
     }
 
-    /// Whether this proxy serves, or was told to end.
+    /// Sets whether this proxy serves or is ending; published in its self-report.
     pub fn set_serving(&mut self, serving: bool, now: Instant) {
         if self.serving != serving {
             self.serving = serving;
@@ -404,12 +406,12 @@
         }
     }
 
-    /// Tells the others that this proxy leaves, so that they do not miss it.
+    /// Notifies the other members that this proxy leaves, so that they do not take it for failed.
     pub fn leave(&mut self, now: Instant) {
         self.handle(Event::Leave, now);
     }
 
-    /// Takes over another roster and other keys. Returns settings that differ and wait for the next start.
+    /// Applies a new roster and new keys. Returns the keys of changed settings that take effect at the next start.
     pub fn reload(
         &mut self,
         settings: &MembersSettings,
--- a/crates/leverproxy/src/cluster/members/names.rs
+++ b/crates/leverproxy/src/cluster/members/names.rs
@@ -1,8 +1,8 @@
-//! Names of statuses and operations in metrics, log and status text.
+//! Names of statuses and operations in metrics, log lines and status text.
 
 use membership::{GuardedOperation, Status};
 
-/// Operations that metrics and status text show.
+/// Operations shown in metrics and status text.
 pub(super) const REPORTED_OPERATIONS: [GuardedOperation; 4] = [
     GuardedOperation::Lend,
     GuardedOperation::Repay,
--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -1,11 +1,11 @@
-//! Accounts of proxies in the first version, in a whole datagram as it was sent.
+//! Self-reports in encoding version 1, in a complete recorded datagram.
 
 use super::*;
 
 const INCARNATION: u64 = 1_800_000_000_001;
-/// Of `membership`: one fact of `n1`, which says its build and that it serves.
+/// Datagram of `membership` with one fact: the self-report of `n1` with its build, serving.
 const DATAGRAM: &str = "02020180b8d72181a0f1c2b13401000100e0d403080105302e312e3001";
-/// The body in it.
+/// Body of the fact in `DATAGRAM`.
 const BODY: &str = "0105302e312e3001";
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 
@@ -63,7 +63,7 @@
     assert_eq!(members.malformed_self_reports, 0);
 }
 
-/// The fact is counted as malformed: its source is known, its content is not.
+/// A self-report of an unknown version counts as malformed; the datagram and the fact are valid.
 #[test]
 fn accounts_of_a_later_version_are_counted_and_dropped() {
     let now = Instant::now();
--- a/crates/leverproxy/src/cluster/members/status_text.rs
+++ b/crates/leverproxy/src/cluster/members/status_text.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet as `leverproxy status` shows it.
+//! The state of the fleet as shown by `leverproxy status`.
 
 use super::names::{operation_name, status_name, REPORTED_OPERATIONS};
 use super::Members;
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 impl Members {
-    /// The state of the fleet for operators, one line per member.
+    /// Status text for operators: the quorum state, denied operations, and a line for each member.
     pub fn status_text(&self, now: Instant) -> String {
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
--- a/crates/leverproxy/src/cluster/members/unsealed.rs
+++ b/crates/leverproxy/src/cluster/members/unsealed.rs
@@ -1,4 +1,4 @@
-//! A datagram that can't be sealed is logged once, with the reason.
+//! The first datagram that can't be sealed is logged with the reason; further ones are only counted.
 
 use super::recorded::join_test_fleet;
 use super::*;
@@ -8,7 +8,7 @@
     static LOG_LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Collects lines by thread, so that each test has its own.
+/// Logger that collects lines per thread, so that each test sees only its own lines.
 struct Log;
 
 impl log::Log for Log {
--- a/crates/leverproxy/src/cluster/mod.rs
+++ b/crates/leverproxy/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! The other proxies of the fleet: members, staged rollouts, quota lending, usage reports and sites.
+//! Cooperation with the other proxies of the fleet: membership, staged rollouts, quota lending and usage rates; also site
+//! failover.
 
 pub mod members;
 pub mod quota_lending;
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -1,5 +1,5 @@
-//! Host of [`quota_lending::Lender`]: carries its messages to the other proxies, keeps its file, and asks it about each request
-//! that is beyond its tenant's quota.
+//! Host of [`quota_lending::Lender`]: exchanges its messages with the other proxies, saves its state file, and lets it
+//! decide about each request beyond its tenant's quota.
 
 use std::collections::BTreeMap;
 use std::os::unix::net::UnixStream;
@@ -22,19 +22,19 @@
 pub use file_writer::StartError;
 use file_writer::{FileWriter, WriteJob};
 
-/// What one request costs of its tenant's quota.
+/// Cost of one request in its tenant's quota, in thousandths of a request.
 const REQUEST_COST: MilliRequests = 1000;
-/// Message kind: tenants within their quota lack capacity at the sender.
+/// Kind of the shortage message: the sender lacks capacity for tenants that are within their quota.
 const SHORTAGE_KIND: u8 = 70;
-/// The first byte of its body, and the only one.
+/// Body of the shortage message: only this version byte.
 const SHORTAGE_VERSION: u8 = 1;
-/// After it a file that could not be written, and a lock that another holds, are tried again.
+/// Interval of retries if the state file can't be written, or if another process holds the lock.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The lender, while there is one.
+/// A started lender.
 struct RunningLender {
     lender: Lender,
-    /// Incarnation of this process among the members.
+    /// Incarnation of this process in the membership when the lender was started.
     incarnation: u64,
     file_writer: Option<FileWriter>,
 }
@@ -47,7 +47,7 @@
     ttl: Duration,
 }
 
-/// The rule of a tenant that is not in the file any more: nothing is lent, and what is owed is repaid as before.
+/// The credit of a tenant that was removed from the operators' file: nothing is lent, but its debt is still repaid.
 fn without_lending(credit: Credit) -> Credit {
     Credit {
         credit_limit: Duration::ZERO,
@@ -61,35 +61,35 @@
     settings: Settings,
     windows: Vec<Window>,
     waker: UnixStream,
-    /// The lender's time zero.
+    /// Time zero of the lender.
     origin: Instant,
     running: Option<RunningLender>,
-    /// The reason why it does not start was logged.
+    /// A failure to start was logged.
     start_error_logged: bool,
     start_at: Instant,
     queued_messages: Vec<QueuedMessage>,
     timer: Option<(Instant, u64)>,
-    /// A file that has to be written again.
+    /// A failed write of the state file, and the time of its retry.
     retry_write: Option<(Instant, WriteJob)>,
     shortage: Shortage,
-    /// Here or at another proxy.
+    /// This proxy or another one has reported a shortage.
     in_shortage: bool,
     shortage_published_at: Option<Instant>,
-    /// Requests lent to, by tenant.
+    /// Number of requests that borrowed, by tenant.
     borrowed: BTreeMap<String, u64>,
     given_back: u64,
-    /// Requests not lent to, by reason.
+    /// Number of requests that were denied a loan, by reason.
     denied: BTreeMap<&'static str, u64>,
-    /// Thousandths of the quota that are withheld, by tenant.
+    /// Withheld thousandths of the quota, by tenant.
     withheld: BTreeMap<String, u32>,
     saves: u64,
     saves_failed: u64,
-    /// Malformed messages, including those that previous lenders counted.
+    /// Number of malformed messages, except those that the current lender counts.
     malformed: u64,
 }
 
 impl QuotaLending {
-    /// `waker`: wakes the event loop when something is written to it.
+    /// `waker`: a byte written to it wakes the event loop.
     pub fn new(
         settings: Settings,
         windows: Vec<Window>,
@@ -124,7 +124,7 @@
         now.saturating_duration_since(self.origin)
     }
 
-    /// Takes other settings over. Returns the keys that need a restart.
+    /// Applies new settings. Returns the keys of changed settings that need a restart.
     pub fn reload(&mut self, settings: Settings, windows: Vec<Window>) -> Vec<&'static str> {
         let mut previous = std::mem::replace(&mut self.settings, settings);
         let is_removed = |credit: &Credit| {
@@ -154,7 +154,7 @@
                 previous.max_loan_time == self.settings.max_loan_time,
             ),
         ];
-        // All other settings stay as the lender was started with them.
+        // The lender keeps all other settings that it was started with.
         self.settings = Settings {
             credits: std::mem::take(&mut self.settings.credits),
             ..previous
@@ -166,7 +166,7 @@
             .collect()
     }
 
-    /// The file has no loans any more: nothing is lent until the process ends.
+    /// The operators' file does not configure lending any more: nothing is lent until the process ends.
     pub fn stop_lending(&mut self) {
         self.windows.clear();
         self.settings.credits = self
@@ -177,7 +177,7 @@
             .collect();
     }
 
-    /// Computes the rules from the platform's quotas: names of tenants, in requests a second.
+    /// Computes the lending rules from the platform's quotas: tenant names and quotas in requests per second.
     pub fn update_rules<'a>(&mut self, quotas: impl Iterator<Item = (&'a str, f64)>, now: Instant) {
         let quotas: BTreeMap<&str, f64> = quotas.collect();
         let mut rules = Vec::new();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Decides whether a request beyond its tenant's quota is lent to.
+    /// Decides whether a request beyond its tenant's quota may borrow.
     pub fn may_borrow(&mut self, tenant: &str, class: &str, now: Instant) -> bool {
         let since_start = self.since_start(now);
         let Some(running) = &mut self.running else {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// There was no attempt for a request that was lent to.
+    /// Returns the loan of a request that ended without an attempt.
     pub fn give_back(&mut self, tenant: &str) {
         if let Some(running) = &mut self.running {
             self.given_back += 1;
@@ -231,13 +231,14 @@
         }
     }
 
-    /// A request within its quota has ended; `rejected`: before any attempt.
+    /// Records the end of a request within its quota. `rejected`: it was rejected before any attempt.
     pub fn record_within_quota(&mut self, rejected: bool, now: Instant) {
         self.shortage.record_end(self.since_start(now), rejected);
     }
 
-    /// Books what was withheld from a tenant, in requests, and returns the fraction of its quota to withhold from now on, 0 to 1.
-    /// `quota`: this proxy's fraction of the quota in requests a second, of which the tenant uses the fraction `used`.
+    /// Counts the quota withheld from a tenant as repayment, and returns the fraction of its quota to withhold from now
+    /// on, 0 to 1. `withheld` is in requests, `quota` is this proxy's part of the quota in requests per second, and `used`
+    /// is the fraction of that part that the tenant uses, 0 to 1.
     pub fn repay(
         &mut self,
         tenant: &str,
@@ -263,14 +264,14 @@
         f64::from(thousandths) / 1e3
     }
 
-    /// The fraction of its quota that is withheld from a tenant, 0 to 1.
+    /// Fraction of a tenant's quota that is withheld, 0 to 1.
     pub fn withheld(&self, tenant: &str) -> f64 {
         self.withheld
             .get(tenant)
             .map_or(0.0, |thousandths| f64::from(*thousandths) / 1e3)
     }
 
-    /// A message of another proxy, of any kind.
+    /// Handles a message from another proxy; messages of other kinds are ignored.
     pub fn receive(&mut self, fact: &Fact, now: Instant) {
         if quota_lending::messages::is_lending_message(fact.kind) {
             let event = Event::Message {
@@ -287,8 +288,8 @@
         }
     }
 
-    /// To be called several times a second: members, shortage, windows and timers. True when the lender has just been started:
-    /// it needs [`QuotaLending::update_rules`].
+    /// Updates the lender's view of members, shortage and lending windows, and runs its timer. To be called several times
+    /// per second. Returns true if the lender was started just now and needs [`QuotaLending::update_rules`].
     pub fn poll(&mut self, members: &mut Members, now: Instant) -> bool {
         let started = self.start_if_due(members, now);
         if self.running.is_none() {
@@ -332,7 +333,7 @@
         self.handle(event, now);
     }
 
-    /// Publishes the own shortage; that of another counts like an own one.
+    /// Publishes a shortage at this proxy, and notifies the lender of a shortage at any proxy.
     fn update_shortage(&mut self, members: &mut Members, now: Instant) {
         let own_shortage = self.shortage.is_in_shortage(self.since_start(now));
         let is_due = self
@@ -383,7 +384,7 @@
                 Err(error) => {
                     self.saves_failed += 1;
                     if self.saves_failed == 1 {
-                        log::error!("loans: {error}; it is tried again twice a second");
+                        log::error!("loans: {error}; retrying twice a second");
                     }
                     self.retry_write = Some((now + RETRY_INTERVAL, finished.job));
                 }
@@ -394,7 +395,7 @@
         }
     }
 
-    /// Starts the lender once this process is heard under its name and has the lock, and anew after each change of its
+    /// Starts the lender once this process listens as a member and has the lock, and again after each change of its
     /// incarnation.
     fn start_if_due(&mut self, members: &Members, now: Instant) -> bool {
         let incarnation = members.incarnation();
@@ -448,11 +449,11 @@
         };
         let lender = Lender::new(&config, self.since_start(now), file);
         log::info!(
-            "loans: begun, {}",
+            "loans: lender started, {}",
             if file_writer.is_some() {
-                "with a file"
+                "with a state file"
             } else {
-                "nothing is kept"
+                "without a state file: loans are not saved"
             }
         );
         self.running = Some(RunningLender {
@@ -504,7 +505,7 @@
         }
     }
 
-    /// Reports written files to the lender, and publishes its messages.
+    /// Reports finished writes of the state file to the lender, and publishes its messages.
     pub fn flush(&mut self, members: &mut Members, now: Instant) {
         self.receive_written_files(now);
         for message in self.queued_messages.drain(..) {
@@ -513,7 +514,7 @@
     }
 }
 
-/// `quota`: requests a second of the whole fleet.
+/// The lender's rule for a credit. `quota`: requests per second of the whole fleet.
 fn lending_rule(credit: &Credit, quota: f64) -> Rule {
     Rule {
         limit_time: credit.credit_limit,
--- a/crates/leverproxy/src/cluster/quota_lending/file_writer.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/file_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the lender's file on a thread of its own, so that the event loop never waits for the disk.
+//! Writes the lender's state file on a separate thread, so that the event loop never waits for the disk.
 
 use std::io::Write as _;
 use std::os::unix::net::UnixStream;
@@ -14,33 +14,33 @@
 
 const FILE_NAME: &str = "loans.state";
 const LOCK_NAME: &str = "loans.lock";
-/// Far more than the lender's bounds permit.
+/// Maximum size of the state file, far above the size that the lender's limits allow.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Why there are no loans.
+/// Reason why the lender can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The folder can't be locked.
-    #[error("loans: {0}; nothing is lent here until then")]
+    /// The state directory can't be locked.
+    #[error("loans: {0}; nothing is lent here until the lock is free")]
     Lock(#[from] LockError),
     /// The thread can't be started.
-    #[error("loans: no thread for their file: {0}; nothing is lent here until there is one")]
+    #[error("loans: can't start the thread that writes the state file: {0}; nothing is lent here until it starts")]
     Thread(#[source] std::io::Error),
 }
 
 impl StartError {
-    /// What an operator can do about it.
+    /// Advice for operators.
     pub fn advice(&self) -> &'static str {
         match self {
             StartError::Lock(error) => error.advice(),
             StartError::Thread(_) => {
-                "raise the limit of the proxy's threads or memory; it is tried again twice a second"
+                "raise the limit of the proxy's threads or memory; the start is retried twice a second"
             }
         }
     }
 }
 
-/// The file in its folder.
+/// The state file of the lender.
 struct StateFile {
     path: PathBuf,
 }
@@ -57,19 +57,19 @@
     }
 }
 
-/// A file to write.
+/// Content of the state file to write, and its sequence number.
 pub(super) struct WriteJob {
     pub sequence: u64,
     pub bytes: Vec<u8>,
 }
 
-/// A job that has ended.
+/// A finished write job and its result.
 pub(super) struct FinishedWrite {
     pub job: WriteJob,
     pub result: Result<(), StoreError>,
 }
 
-/// Writes files in their order. Holds the folder's lock as long as it lives.
+/// Writes the state file, job by job in order. Holds the lock of the directory for its lifetime.
 pub(super) struct FileWriter {
     _lock: DirectoryLock,
     jobs: Sender<WriteJob>,
@@ -77,7 +77,8 @@
 }
 
 impl FileWriter {
-    /// Also returns the content of the last file, if there is one. The waker gets a byte whenever a job has ended.
+    /// Starts the thread. Also returns the content of the existing state file, if any. A byte is written to the waker
+    /// after each job.
     pub fn start(
         folder: &Path,
         waker: UnixStream,
@@ -86,8 +87,8 @@
         let mut file = StateFile {
             path: folder.join(FILE_NAME),
         };
-        // To the lender an empty file is a bad one. It must not take an unreadable file for a missing one: then it would be a
-        // bootstrap member that has forgotten its loans and votes.
+        // An unreadable file is passed to the lender as an empty, hence invalid, file. If the lender took it for a missing
+        // file, it would act as a bootstrap member, having lost its loans and votes.
         let content = file.load().unwrap_or_else(|error| {
             log::error!("loans: {error}");
             Some(Vec::new())
@@ -107,7 +108,7 @@
     }
 
     pub fn write(&self, job: WriteJob) {
-        // If the thread is gone the job never ends, and nothing more is lent.
+        // If the thread has ended, the job never finishes, and nothing more is lent.
         _ = self.jobs.send(job);
     }
 
@@ -128,7 +129,7 @@
         if finished_sender.send(FinishedWrite { job, result }).is_err() {
             return;
         }
-        // A full socket wakes the loop as well as one more byte would.
+        // A failed write means a full socket, which wakes the event loop too.
         _ = waker.write(&[1]);
     }
 }
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -1,4 +1,4 @@
-//! Loans in the metrics and in the status text.
+//! Metrics and status text of quota lending.
 
 use std::fmt::Write as _;
 use std::time::Instant;
@@ -8,34 +8,38 @@
 
 use super::QuotaLending;
 
-/// Metric name, help text, and what it shows of a tenant's totals.
+/// Metric name, help text, and function that reads the value from a tenant's totals.
 type TenantMetric = (&'static str, &'static str, fn(&LoanTotals) -> u64);
 
 const TENANT_METRICS: [TenantMetric; 6] = [
     (
         "lb_loan_lent_milli",
-        "Thousandths of a request lent by this lane.",
+        "Thousandths of a request lent by this proxy's account.",
         |totals| totals.lent,
     ),
-    ("lb_loan_repaid_milli", "Of these, repaid.", |totals| {
-        totals.repaid
-    }),
+    (
+        "lb_loan_repaid_milli",
+        "Thousandths of a request repaid.",
+        |totals| totals.repaid,
+    ),
     (
         "lb_loan_written_off_milli",
-        "Of these, given up.",
+        "Thousandths of a request written off.",
         |totals| totals.written_off,
     ),
-    ("lb_loan_owed_milli", "Of these, owed still.", |totals| {
-        totals.owed
-    }),
+    (
+        "lb_loan_owed_milli",
+        "Thousandths of a request owed.",
+        |totals| totals.owed,
+    ),
     (
         "lb_loan_part_milli",
-        "What this proxy's part of the line comes to.",
+        "This proxy's part of the credit limit, in thousandths of a request.",
         |totals| totals.local_limit,
     ),
     (
         "lb_loan_default",
-        "Whether the stand is in default here.",
+        "Whether the tenant is in default at this proxy.",
         |totals| u64::from(totals.in_default),
     ),
 ];
@@ -54,7 +58,7 @@
             .collect()
     }
 
-    /// The status for an operator: a line for each tenant.
+    /// Status text for operators: the lender's state, and a line for each tenant.
     pub fn status_text(&self, now: Instant) -> String {
         let Some(running) = &self.running else {
             return "loans have not begun here\n".to_owned();
@@ -104,7 +108,7 @@
         );
     }
 
-    /// Adds the metrics.
+    /// Writes all metrics of quota lending.
     pub fn write_metrics(&self, now: Instant, figures: &mut Figures) {
         self.write_tenant_metrics(now, figures);
         self.write_decision_metrics(figures);
@@ -124,7 +128,11 @@
             .iter()
             .flat_map(|running| running.lender.credit_limits());
         let rows = limits.map(|(tenant, limit)| (vec![("stand", tenant)], limit));
-        figures.many("lb_loan_line_milli", "The line, by the rules here.", rows);
+        figures.many(
+            "lb_loan_line_milli",
+            "Credit limit of the fleet by this proxy's rules, in thousandths of a request.",
+            rows,
+        );
     }
 
     fn write_decision_metrics(&self, figures: &mut Figures) {
@@ -133,21 +141,21 @@
         });
         figures.many(
             "lb_loan_withheld",
-            "Thousandths of its quota that a stand does without.",
+            "Thousandths of the tenant's quota that are withheld as repayment.",
             rows,
         );
         let rows = self
             .borrowed
             .iter()
             .map(|(tenant, n)| (vec![("stand", tenant.as_str())], *n));
-        figures.many("lb_loans_total", "Requests lent.", rows);
+        figures.many("lb_loans_total", "Requests that borrowed quota.", rows);
         let rows = self
             .denied
             .iter()
             .map(|(reason, n)| (vec![("reason", *reason)], *n));
         figures.many(
             "lb_loans_refused_total",
-            "Requests beyond quota not lent, by reason.",
+            "Requests beyond quota that were denied a loan, by reason.",
             rows,
         );
     }
@@ -157,48 +165,48 @@
         let rows = [
             (
                 "lb_loans_running",
-                "Whether the room of loans has begun.",
+                "Whether the lender has started.",
                 u64::from(lender.is_some()),
             ),
             (
                 "lb_loans_founded",
-                "Whether loans can be made at all.",
+                "Whether the lender is bootstrapped, without which nothing is lent.",
                 u64::from(lender.is_some_and(Lender::is_bootstrapped)),
             ),
             (
                 "lb_loans_short",
-                "Whether stands within quota are short of room.",
+                "Whether capacity is short for tenants within their quota; then nothing is lent.",
                 u64::from(self.in_shortage),
             ),
             (
                 "lb_loans_lanes_taken",
-                "Lanes of dead proxies held.",
+                "Accounts of failed proxies that this proxy has taken over.",
                 lender.map_or(0, |lender| lender.accounts_taken_over().count() as u64),
             ),
             (
                 "lb_loans_lane_ms",
-                "The start that names this proxy's lane.",
+                "Incarnation that opened this proxy's account, in Unix milliseconds.",
                 lender.map_or(0, Lender::account_incarnation),
             ),
             (
                 "lb_loans_given_back_total",
-                "Requests lent that nothing was tried for.",
+                "Loans returned because the request ended without an attempt.",
                 self.given_back,
             ),
             (
                 "lb_loans_malformed_total",
-                "Facts of loans that could not be read.",
+                "Lending messages that could not be decoded.",
                 self.malformed + lender.map_or(0, Lender::malformed),
             ),
             (
                 "lb_loans_not_kept_total",
-                "Facts of loans of no member, or of more lanes than are kept.",
+                "Lending messages ignored: of no member of the roster, or of more accounts than are kept.",
                 lender.map_or(0, Lender::ignored),
             ),
-            ("lb_loans_saves_total", "Files written.", self.saves),
+            ("lb_loans_saves_total", "State files written.", self.saves),
             (
                 "lb_loans_saves_failed_total",
-                "Files that could not be written.",
+                "Failed writes of the state file.",
                 self.saves_failed,
             ),
         ];
--- a/crates/leverproxy/src/cluster/rollout/command.rs
+++ b/crates/leverproxy/src/cluster/rollout/command.rs
@@ -1,25 +1,25 @@
-//! Operators' commands to the rollout, as the control socket brings them.
+//! Operators' rollout commands from the control socket.
 
 use super::version::parse_hash;
 use ::rollout::VersionHash;
 
-/// A command to the rollout of the operators' file.
+/// A command for rollouts of the operators' file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutCommand {
-    /// Roll a candidate out.
+    /// Propose the rollout of a candidate.
     Propose(VersionHash),
-    /// The same, although it was halted before.
+    /// Propose a candidate again whose rollout was halted.
     Resume(VersionHash),
     /// Halt the rollout.
     Halt,
-    /// Return to the version before.
+    /// Return to the previous version.
     Return,
     /// Print the rollout's state.
     Status,
 }
 
 impl RolloutCommand {
-    /// The command of a line, without the word `rollout` before it; none: it can't be parsed.
+    /// Parses a command line without the leading word `rollout`; none if it is invalid.
     pub fn parse(line: &str) -> Option<RolloutCommand> {
         let mut words = line.split_whitespace();
         let command = match (words.next()?, words.next()) {
--- a/crates/leverproxy/src/cluster/rollout/metrics.rs
+++ b/crates/leverproxy/src/cluster/rollout/metrics.rs
@@ -14,7 +14,7 @@
         ];
         let current_phase = phase_name(status.phase);
         let phase = phases.map(|name| (vec![("phase", name)], u64::from(name == current_phase)));
-        figures.many("lb_rollout_phase", "How far the rollout has come.", phase);
+        figures.many("lb_rollout_phase", "Phase of the rollout.", phase);
         self.write_totals(&status, figures);
     }
 
@@ -40,57 +40,57 @@
         for (name, help, value) in [
             (
                 "lb_rollout_epoch",
-                "Of the proposal.",
+                "Epoch of the current proposal.",
                 status.proposal.as_ref().map_or(0, |p| p.epoch),
             ),
             (
                 "lb_rollout_region",
-                "The region that it has come to, from 1.",
+                "Number of the region in rollout, from 1; 0 outside of a region stage.",
                 stage,
             ),
             (
                 "lb_rollout_new",
-                "Whether the new version runs here.",
+                "Whether this proxy runs the new version.",
                 u64::from(new),
             ),
             (
                 "lb_rollout_can_run",
-                "Whether it could run here.",
+                "Whether this proxy can run the new version.",
                 u64::from(ready == Some(&Readiness::Ready)),
             ),
             (
                 "lb_rollout_cannot_run",
-                "Proxies that say they can't run it.",
+                "Proxies that report that they can't run the new version.",
                 unable as u64,
             ),
             (
                 "lb_rollout_windows_total",
-                "Comparisons of both versions.",
+                "Windows in which both versions were compared.",
                 status.evidence.windows,
             ),
             (
                 "lb_rollout_superseded_total",
-                "Proposals that gave way to another.",
+                "Proposals superseded by another proposal.",
                 status.superseded_proposals,
             ),
             (
                 "lb_rollout_malformed_total",
-                "Facts that could not be read.",
+                "Rollout messages that could not be decoded.",
                 status.malformed_facts,
             ),
             (
                 "lb_rollout_state_unread",
-                "Whether this process began without the state that was kept: it could not be read.",
+                "Whether this process started without the saved state, because it could not be read.",
                 u64::from(self.state_unreadable || status.state_unreadable),
             ),
             (
                 "lb_rollout_state_unkept",
-                "Whether its state can't be kept at present.",
+                "Whether the rollout state currently can't be saved.",
                 u64::from(status.persisting_fails),
             ),
             (
                 "lb_rollout_runs_failed_total",
-                "Versions that could not be read here.",
+                "Versions that could not be read or run here.",
                 self.failed_versions,
             ),
         ] {
--- a/crates/leverproxy/src/cluster/rollout/mod.rs
+++ b/crates/leverproxy/src/cluster/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Rollouts of versions of the operators' file: facts of other proxies come from `members`, the `rollout` core decides which
-//! version runs, and `reload` runs it.
+//! Rollouts of versions of the operators' file: `members` delivers facts published by other proxies, the `rollout` core
+//! decides which version runs, and a reload applies it.
 
 mod command;
 mod error;
@@ -30,36 +30,37 @@
 use version::hash_of_file;
 pub use version::{find_candidate, hex, resolve_version};
 
-/// Facts of a rollout have kinds from this one on.
+/// First fact kind of rollouts; the core's kinds are added to it.
 const FIRST_FACT_KIND: u8 = 20;
-/// The TTL of facts, in periods.
+/// TTL of facts, in periods.
 const TTL_PERIODS: u32 = 10;
+/// Minimum TTL of facts.
 const MIN_TTL: Duration = Duration::from_secs(5);
 
-/// This proxy's part in rollouts.
+/// Participation of this proxy in rollouts.
 pub struct Rollout {
     settings: RolloutSettings,
     core: Core,
     name: String,
-    /// The operators' own file at the start.
+    /// Version of the operators' file at the start of the process.
     base_version: VersionHash,
     origin: Instant,
     rejected_command: Option<String>,
-    /// Phase and verdict that were logged last.
+    /// Phase and verdict that were last logged.
     logged_verdict: Option<(Phase, Verdict)>,
     failed_versions: u64,
-    /// A state file exists and could not be read.
+    /// A state file exists but could not be read.
     state_unreadable: bool,
     /// Writes the state file; started with the first write.
     writer: Option<BackgroundWriter>,
     waker: UnixStream,
-    /// Another process of this name serves, and the state file belongs to it.
+    /// A new process of this name serves and owns the state file.
     handed_over: bool,
 }
 
 impl Rollout {
-    /// `incarnation` is that of the membership, `took_over` whether this process took over in a hot restart, and `operators` the
-    /// file that runs.
+    /// `incarnation` is that of the membership, `took_over` is set if this process took over in a hot restart, and
+    /// `operators` is the current operators' file.
     pub fn new(
         settings: RolloutSettings,
         name: &str,
@@ -117,12 +118,12 @@
         &self.settings
     }
 
-    /// How often `observe` is to be called.
+    /// Interval at which `observe` has to be called.
     pub fn period(&self) -> Duration {
         self.settings.period
     }
 
-    /// Tells the core the state of the fleet. Returns versions to check or run.
+    /// Passes the state of the fleet to the core. Returns requests to check or run versions.
     pub fn observe(
         &mut self,
         members: &mut Members,
@@ -133,18 +134,18 @@
         self.handle(event, members, now)
     }
 
-    /// This process was told to end.
+    /// Notifies the core that this process is stopping.
     pub fn leave(&mut self, members: &mut Members, now: Instant) {
-        // What it returns could not be carried out any more.
+        // Returned requests can't be executed any more.
         _ = self.handle(Event::Leave, members, now);
     }
 
-    /// Whether a new process serves (hot restart): only one process of a name writes the state file.
+    /// Sets whether a new process serves after a hot restart: only one process of a name writes the state file.
     pub fn set_handed_over(&mut self, handed_over: bool) {
         self.handed_over = handed_over;
     }
 
-    /// The result of running a version.
+    /// Handles the result of running a version.
     pub fn version_run(
         &mut self,
         hash: VersionHash,
@@ -161,7 +162,7 @@
         requests
     }
 
-    /// The result of reading a version.
+    /// Handles the result of reading a version.
     pub fn version_checked(
         &mut self,
         hash: VersionHash,
@@ -179,7 +180,7 @@
         requests
     }
 
-    /// Carries out an operator's command; returns its reply.
+    /// Runs an operator's command; returns its reply, and requests to check or run versions.
     pub fn command(
         &mut self,
         command: RolloutCommand,
@@ -196,7 +197,7 @@
             RolloutCommand::Status => None,
         };
         if let Some(event) = event {
-            log::info!(command:? = command; "rollout: told by an operator");
+            log::info!(command:? = command; "rollout: operator command received");
             requests.extend(self.handle(event, members, now));
         }
         match self.rejected_command.take() {
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Without an order in the settings the regions go by name.
+    /// A proposal of the version. Without an order in the settings, the regions are ordered by name.
     fn proposal(&self, hash: VersionHash, resume: bool, members: &Members) -> Event {
         let mut order = self.settings.order.clone();
         if order.is_empty() {
@@ -259,7 +260,7 @@
         requests
     }
 
-    /// Logs what the evidence says whenever that or the phase has changed.
+    /// Logs the evidence whenever the phase or the verdict has changed.
     fn log_verdict(&mut self) {
         let progress = self.core.progress();
         if progress == self.logged_verdict {
@@ -275,7 +276,7 @@
     }
 
     fn run(&self, hash: VersionHash) -> ReloadRequest {
-        log::warn!("rollout: {} is to run here", hex(&hash));
+        log::warn!("rollout: running version {} from now on", hex(&hash));
         let is_candidate = hash != self.base_version;
         let folder = is_candidate.then(|| self.settings.candidates.clone());
         ReloadRequest::Run(hash, folder)
--- a/crates/leverproxy/src/cluster/rollout/observation.rs
+++ b/crates/leverproxy/src/cluster/rollout/observation.rs
@@ -1,4 +1,4 @@
-//! What the rollout is told of the fleet: peers, regions that may promote, facts and traffic counts.
+//! Input of the rollout core: peers, regions that may promote, published facts and traffic counts.
 
 use super::{Rollout, FIRST_FACT_KIND};
 use crate::cluster::members::Members;
@@ -84,7 +84,7 @@
 }
 
 fn class_counts(counters: &Counters) -> Vec<ClassCounts> {
-    // Several places in the settings can have one class name.
+    // Several classes in the settings can have the same name.
     let mut sums: BTreeMap<u32, Totals> = BTreeMap::new();
     for (class, more) in counters.goodput.classes() {
         let sum = sums
@@ -97,7 +97,7 @@
         .collect()
 }
 
-/// Whole numbers: a fraction that is cut off here comes with the next report.
+/// Converts the totals to integers. The totals are cumulative, so a truncated fraction is included in a later report.
 fn integer_counts(class: u32, sum: Totals) -> ClassCounts {
     ClassCounts {
         class,
--- a/crates/leverproxy/src/cluster/rollout/persistence.rs
+++ b/crates/leverproxy/src/cluster/rollout/persistence.rs
@@ -1,4 +1,4 @@
-//! The state of a rollout on the disk.
+//! Saves the state of a rollout to disk.
 
 use super::error::{log_error, RolloutError};
 use super::stored_state::state_path;
@@ -11,8 +11,8 @@
 use std::time::Instant;
 
 impl Rollout {
-    /// `None` if the write has begun, `Some(true)` if there is no directory to write to, `Some(false)` if it can't be written
-    /// now.
+    /// Starts a write of the state. Returns `None` if the write has started, `Some(true)` if no state directory is
+    /// configured, `Some(false)` if the state can't be written now.
     pub(super) fn persist(&mut self, bytes: Vec<u8>) -> Option<bool> {
         let Some(folder) = &self.settings.state else {
             return Some(true);
@@ -34,7 +34,7 @@
             .as_ref()
             .is_some_and(|writer| writer.start_save(bytes));
         if !is_queued {
-            // Its thread has ended; the next write starts another.
+            // The writer's thread has ended; the next write starts a new one.
             self.writer = None;
         }
         (!is_queued).then_some(false)
@@ -47,7 +47,7 @@
         ));
     }
 
-    /// Writes of the state may have ended.
+    /// Handles finished writes of the state. Returns requests to check or run versions.
     pub fn persist_finished(&mut self, members: &mut Members, now: Instant) -> Vec<ReloadRequest> {
         let mut requests = Vec::new();
         while let Some(saved) = self.writer.as_ref().and_then(BackgroundWriter::take_result) {
--- a/crates/leverproxy/src/cluster/rollout/phase_names.rs
+++ b/crates/leverproxy/src/cluster/rollout/phase_names.rs
@@ -1,4 +1,4 @@
-//! Names of phases in metrics, log and status text.
+//! Names of phases in metrics, log lines and status text.
 
 use ::rollout::Phase;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// A phase in words.
+/// Description of a phase for log lines and status text.
 pub(super) fn phase_text(phase: Phase) -> String {
     match phase {
         Phase::Region(at) => format!("in region {}", at + 1),
--- a/crates/leverproxy/src/cluster/rollout/status_text.rs
+++ b/crates/leverproxy/src/cluster/rollout/status_text.rs
@@ -1,4 +1,5 @@
-//! The state of a rollout as `leverproxy rollout status` shows it. Writing to a string does not fail, so results are ignored.
+//! The state of a rollout as shown by `leverproxy rollout status`. Writing to a string does not fail, so results are
+//! ignored.
 
 use super::phase_names::phase_text;
 use super::version::hex;
@@ -6,7 +7,7 @@
 use ::rollout::{Readiness, Status, Verdict};
 use std::fmt::Write;
 
-/// Planned restarts of one member in one rollout that are nothing unusual.
+/// Maximum number of planned restarts of a member in one rollout that counts as usual.
 const MAX_USUAL_PLANNED_RESTARTS: u32 = 3;
 
 impl Rollout {
@@ -46,7 +47,7 @@
     }
 }
 
-/// What the evidence says, with its figures, on one line.
+/// Verdict of the evidence with its figures, on one line.
 pub(super) fn evidence_text(status: &Status) -> String {
     let (windows, harm, safe) = (
         status.evidence.windows,
@@ -73,7 +74,7 @@
     }
 }
 
-/// What each proxy has shown of the new version in this stage, on one line.
+/// Evidence of each proxy about the new version in this stage, on one line.
 pub(super) fn stage_evidence_text(status: &Status) -> String {
     let members = status.stage_evidence.iter().map(|(name, member)| {
         let (offered, lost, windows) = (member.offered, member.lost, member.windows);
--- a/crates/leverproxy/src/cluster/rollout/version.rs
+++ b/crates/leverproxy/src/cluster/rollout/version.rs
@@ -1,4 +1,4 @@
-//! Versions of the operators' file: their hashes, and the files that have them.
+//! Versions of the operators' file: a version is the SHA-256 hash of a file.
 
 use super::error::RolloutError;
 use crate::config::operators_file::Disk;
@@ -8,22 +8,22 @@
 use sha2::{Digest, Sha256};
 use std::path::{Path, PathBuf};
 
-/// Files of the directory of candidates that are read.
+/// Maximum number of files in the directory of candidates that are read.
 const MAX_CANDIDATES: usize = 256;
 
-/// A version in hex digits.
+/// Formats a version as 64 hex digits.
 pub fn hex(hash: &VersionHash) -> String {
     ::hex::encode(hash)
 }
 
-/// The version of 64 hex digits.
+/// Parses a version from 64 hex digits.
 pub(super) fn parse_hash(text: &str) -> Option<VersionHash> {
     let mut hash = [0; 32];
     ::hex::decode_to_slice(text, &mut hash).ok()?;
     Some(hash)
 }
 
-/// The version that an operator names, in hex: by its hash, or by a file.
+/// The version that an operator gives as a hash or as the path of a file, in hex digits.
 pub fn resolve_version(text: &str) -> Result<String, RolloutError> {
     if parse_hash(text).is_some() {
         return Ok(text.to_ascii_lowercase());
@@ -43,7 +43,7 @@
     Ok(Sha256::digest(&bytes).into())
 }
 
-/// The file of a version among the candidates. Reads files, so it runs beside the event loop.
+/// Finds the file of a version in the directory of candidates. Reads files, so it must not run on the event loop.
 pub fn find_candidate(folder: &Path, hash: &VersionHash) -> Result<PathBuf, ConfigError> {
     let fault = |fault: RolloutError| ConfigError::new("rollout.candidates", fault);
     let mut names = Disk
--- a/crates/leverproxy/src/cluster/sites.rs
+++ b/crates/leverproxy/src/cluster/sites.rs
@@ -1,5 +1,5 @@
-//! Host of [`site_failover::FailoverPlan`], where the operators' file asks for it: feeds it with what the health monitor sees, and
-//! logs changes of sites' states.
+//! Host of [`site_failover::FailoverPlan`], if the operators' file configures sites: passes events of the health monitor
+//! to the plan, and logs changes of sites' states.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 /// Sites and their failover plan.
 pub struct Sites {
     plan: FailoverPlan,
-    /// As last logged.
+    /// Reports of all sites when changes were last logged.
     last_logged: Vec<Report>,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Sites {
-    /// Sites by these settings; all that is known of them comes by events.
+    /// Creates the plan. Sites are added by events.
     pub fn new(settings: Settings) -> Sites {
         Sites {
             plan: FailoverPlan::new(settings, true, Duration::ZERO),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes classes and tenants over.
+    /// Applies the classes and tenants of the settings.
     pub fn configure(&mut self, settings: &routing::Settings) {
         let quotas = settings
             .tenants
@@ -59,7 +59,7 @@
         );
     }
 
-    /// A request has arrived. Returns the fraction of its kind to shed.
+    /// Records the arrival of a request. Returns the fraction of requests of its kind to shed, 0 to 1.
     pub fn record_request(&mut self, now: Duration, arrival: &Arrival) -> f64 {
         let kind = RequestKind {
             group: arrival.group.0,
@@ -72,12 +72,12 @@
         self.plan.record_request(now, arrival.id.0, kind)
     }
 
-    /// The plan.
+    /// The failover plan.
     pub fn plan(&mut self) -> &mut FailoverPlan {
         &mut self.plan
     }
 
-    /// An exchange has ended. What is answered in time shows a site's capacity.
+    /// Records the end of an exchange. Answers within the latency objective show a site's capacity.
     pub fn record_end(&mut self, now: Duration, completed: &CompletedExchange) {
         if let (Some(class), Some(group), ExchangeOutcome::Served(_)) =
             (completed.class, completed.group, &completed.outcome)
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Handles evidence. With each tick changes of state are logged: they are few, because of the dwell time.
+    /// Handles an event. Changes of state are logged with each tick; the dwell time keeps them rare.
     pub fn handle(&mut self, now: Duration, event: Event, name: impl Fn(u16) -> String) {
         self.plan.handle(now, event);
         if event == Event::Tick {
@@ -129,7 +129,7 @@
     }
 }
 
-/// The event for a server that the endpoint list does not name any more.
+/// The event for a server that was removed from the endpoint list.
 pub fn removal_event(server: ServerId) -> Event {
     Event::Endpoint {
         server: server.0,
--- a/crates/leverproxy/src/cluster/sites/metrics.rs
+++ b/crates/leverproxy/src/cluster/sites/metrics.rs
@@ -1,4 +1,4 @@
-//! Sites in the metrics and in the status text.
+//! Metrics and status text of sites.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::Sites;
 
 impl Sites {
-    /// The status: a line for each site.
+    /// Status text for operators: a line for each site. `name` returns the name of a site.
     pub fn status_text(&self, now: Duration, name: impl Fn(u16) -> String) -> String {
         let line = |report: Report| {
             format!(
@@ -25,7 +25,7 @@
         self.plan.reports().map(line).collect()
     }
 
-    /// Adds the metrics.
+    /// Writes all metrics of sites. `name` returns the name of a site.
     pub fn write_metrics(
         &self,
         now: Duration,
@@ -45,7 +45,7 @@
         });
         figures.many(
             "lb_site_state",
-            "What this proxy knows of each site.",
+            "State of each site as seen by this proxy.",
             states,
         );
         let headroom = reports.iter().map(|(name, report)| {
@@ -54,7 +54,7 @@
         });
         figures.many(
             "lb_site_headroom",
-            "Of a thousand parts of the worth asked for, those served if the site went now.",
+            "Thousandths of the requested priority weight that could still be served if the site failed now.",
             headroom,
         );
         let losses = reports
@@ -62,7 +62,7 @@
             .map(|(name, report)| (vec![("site", name.as_str())], report.losses));
         figures.many(
             "lb_site_losses_total",
-            "How often this proxy lost a site.",
+            "Times that this proxy has detected the loss of the site.",
             losses,
         );
     }
--- a/crates/leverproxy/src/cluster/sites/table.rs
+++ b/crates/leverproxy/src/cluster/sites/table.rs
@@ -1,4 +1,4 @@
-//! The operators' table of sites: their states, and what the loss of each would come to.
+//! Table of sites for operators: the state of each site, and the forecast of its loss.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 use super::Sites;
 
-/// Most kinds of requests named for each site.
+/// Maximum number of request kinds shown for each site.
 const MAX_KINDS_SHOWN: usize = 20;
-/// Smaller fractions that would be shed are not shown.
+/// Minimum fraction of shed requests that is shown.
 const MIN_FRACTION_SHOWN: f64 = 0.005;
 
 const SITES_HEADER: [&str; 9] = [
@@ -31,7 +31,7 @@
 }
 
 impl Sites {
-    /// The table of all sites, or of the one named. `zone`: the name of a site.
+    /// The table of all sites, or of the requested site. `zone` returns the name of a site.
     pub fn table(
         &self,
         now: Duration,
@@ -88,7 +88,7 @@
     format!("error: there is no site {requested_site:?}; of sites {known}\n")
 }
 
-/// Work is in cores: seconds of it in a second.
+/// Row of the table of sites. Reads and writes are in cores: seconds of work per second.
 fn site_row(
     now: Duration,
     name: &str,
--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -1,5 +1,5 @@
-//! Rates of each tenant's traffic at each proxy, exchanged with the others: so all local parts of a quota together are the
-//! quota.
+//! Exchange of each tenant's request rates between the proxies of the fleet. From these rates each proxy computes its part
+//! of a quota, so that the parts of all proxies add up to the quota.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,20 +12,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Kind of the message.
+/// Message kind of usage rates.
 const MESSAGE_KIND: u8 = 30;
-/// The first byte of its body.
+/// Version of the encoding: the first byte of the message body.
 const MESSAGE_VERSION: u8 = 1;
-/// A proxy that is cut off keeps its part of the quotas so long; then the others divide it.
+/// Lifetime of a message. A disconnected proxy keeps its part of the quotas for this time; then the others divide it.
 const TTL: Duration = Duration::from_secs(60);
-/// Interval of messages in a small fleet: rates are averages over some seconds.
+/// Interval of messages in a small fleet. Rates are averages over several seconds, so more messages would not help.
 const BASE_INTERVAL: Duration = Duration::from_secs(1);
-/// Tenants in one message: a number and a rate take five bytes each at most.
+/// Maximum number of tenants in one message: a tenant number and a rate take at most five bytes each.
 const MAX_TENANTS_PER_MESSAGE: usize = 48;
-/// Messages of one proxy, which leave room for those of loans and rollouts.
+/// Maximum number of messages of one proxy, which leaves space for messages of lending and rollouts.
 const MAX_MESSAGES: usize = 2;
 
-/// Numbers of tenants' names, and rates in thousandths of a request a second.
+/// Numbers derived from tenants' names, and rates in thousandths of a request per second.
 type Rates = Vec<(u32, u32)>;
 
 fn encode(rates: &[(u32, u32)]) -> Option<Vec<u8>> {
@@ -39,12 +39,13 @@
     }
 }
 
-/// Interval of [`publish`], which grows with the fleet.
+/// Interval of [`publish`], which grows with the number of members.
 pub fn publish_interval(members: &Members) -> Duration {
     membership::republish_interval(members.roster_size(), 1, BASE_INTERVAL, TTL)
 }
 
-/// Publishes the rates here. Tenants beyond what fits are left out: for them each proxy estimates its part by itself.
+/// Publishes the rates of this proxy. Tenants that do not fit are left out: each proxy estimates its part of their
+/// quotas by itself.
 pub fn publish(
     members: &mut Members,
     names: &[String],
@@ -63,18 +64,18 @@
     }
 }
 
-/// Whether a message has rates that can't be decoded: of another version, or malformed.
+/// Whether a message has rates that can't be decoded: they have another version, or are malformed.
 pub fn is_malformed(fact: &Fact) -> bool {
     fact.kind == MESSAGE_KIND && decode(&fact.body).is_none()
 }
 
-/// What all other proxies together see; none while no other reports.
+/// Sum of the rates at all other proxies; none while no other proxy has published rates.
 pub fn other_proxies(members: &Members, names: &[String], now: Instant) -> Option<OtherProxies> {
     let gone = gone_members(members, now);
     let mut rates_by_tenant: BTreeMap<u32, f64> = BTreeMap::new();
     let mut proxies = BTreeSet::new();
     for fact in members.facts(MESSAGE_KIND, now) {
-        // The own messages may be those of a former process.
+        // Messages under this proxy's name may be from a previous process.
         if fact.source == members.name() || gone.contains(&fact.source) {
             continue;
         }
@@ -98,8 +99,8 @@
     })
 }
 
-/// Members that see no traffic any more. Those that are down count as gone for a majority only: a minority can't tell who is dead
-/// from who is cut off, and leaves to all the part that they had.
+/// Members that do not serve requests any more. Members that are down count as gone only for a majority: a minority can't
+/// distinguish failed from disconnected members, so it leaves all members their parts.
 fn gone_members(members: &Members, now: Instant) -> BTreeSet<String> {
     let in_majority = members
         .check_operation(GuardedOperation::Promote, None, now)
--- a/crates/leverproxy/src/cluster/usage/tests.rs
+++ b/crates/leverproxy/src/cluster/usage/tests.rs
@@ -1,8 +1,8 @@
-//! The encoding of rates.
+//! Encoding of usage rates.
 
 use super::*;
 
-/// As version 1 wrote them.
+/// Bytes as written by version 1, which later builds must still read and write.
 #[test]
 fn rates_of_version_1_are_read_for_good() {
     let recorded = [1, 2, 0xe8, 0x07, 0xc0, 0xc4, 0x07, 3, 0];
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Withholds quota from tenants that have to repay loans. The meter returns the amount withheld so far when the next
-    /// fraction is set.
+    /// Withholds quota from tenants that have to repay loans. Setting a fraction returns the amount withheld since the last
+    /// call.
     fn withhold(&mut self, since_origin: Duration, now: Instant) {
         let Some(lending) = &mut self.lending else {
             return;
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -60,7 +60,7 @@
             ),
             (
                 "lb_record_servers_excluded",
-                "Record servers in the endpoint list that currently get no requests: excluded by an operator or by the proxy.",
+                "Record servers in the endpoint list that currently get no requests: draining, excluded or backed off.",
                 excluded as u64,
             ),
             (
