--- a/crates/leverproxy/src/pipeline/decode.rs
+++ b/crates/leverproxy/src/pipeline/decode.rs
@@ -78,15 +78,11 @@
 /// Limits the time left for a request to the end of the process, minus `margin` for the delay of the answer.
 pub fn limit_time(
     arrival: Arrival,
-    termination_deadline: Option<Instant>,
+    deadline: Option<Instant>,
     margin: Duration,
     now: Instant,
 ) -> Arrival {
-    let left = termination_deadline.map(|deadline| {
-        deadline
-            .saturating_duration_since(now)
-            .saturating_sub(margin)
-    });
+    let left = deadline.map(|end| end.saturating_duration_since(now).saturating_sub(margin));
     Arrival {
         time_left: left.map_or(arrival.time_left, |left| left.min(arrival.time_left)),
         ..arrival
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -85,9 +85,8 @@
         io: &mut Io,
         now: Instant,
     ) {
-        self.rejection_log.warn(now, || {
-            format!("front: request rejected as invalid: {reason}")
-        });
+        self.rejection_log
+            .warn(now, || format!("front: request rejected: {reason}"));
         let answer = Answer::Invalid(reason);
         let quota_status = QuotaStatus::WithinQuota;
         match class {
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -54,7 +54,7 @@
         match &mut self.reloads {
             Some(reloads) => reloads.request_reload(),
             None => {
-                log::warn!("reload requested, but the configuration has no source to be read from")
+                log::warn!("can't reload the configuration: it has no source")
             }
         }
     }
@@ -64,7 +64,7 @@
         for request in requests {
             match &mut self.reloads {
                 Some(reloads) => _ = reloads.request(request),
-                None => log::warn!("rollout: can't read a version: the configuration has no source to be read from"),
+                None => log::warn!("rollout: can't read versions: no configuration source"),
             }
         }
     }
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -328,6 +328,8 @@
 fn open_hot_restart(config: &Config, reactor: &Reactor) -> Option<HotRestart> {
     let path = config.hot_restart_socket.as_deref()?;
     HotRestart::listen(path, reactor)
-        .inspect_err(|error| log::warn!("takeover: can't listen for the next process: {error}"))
+        .inspect_err(|error| {
+            log::warn!("takeover: can't listen for the next process's handover request: {error}")
+        })
         .ok()
 }
