--- a/crates/leverproxy/src/cluster/rollout/status_text.rs
+++ b/crates/leverproxy/src/cluster/rollout/status_text.rs
@@ -107,15 +107,15 @@
 }
 
 fn write_planned_restarts(status: &Status, text: &mut String) {
-    for (name, count) in &status.planned_restarts {
-        let note = if *count > MAX_USUAL_PLANNED_RESTARTS {
+    for (name, restarts) in &status.planned_restarts {
+        let note = if *restarts > MAX_USUAL_PLANNED_RESTARTS {
             ": more often than a change of builds needs"
         } else {
             ""
         };
         _ = writeln!(
             text,
-            "  member {name} started anew in order {count} times{note}"
+            "  member {name} started anew in order {restarts} times{note}"
         );
     }
 }
--- a/crates/leverproxy/src/proxy/commands.rs
+++ b/crates/leverproxy/src/proxy/commands.rs
@@ -53,9 +53,7 @@
     fn request_reload(&mut self) {
         match &mut self.reloads {
             Some(reloads) => reloads.request_reload(),
-            None => {
-                log::warn!("can't reload the configuration: it has no source")
-            }
+            None => log::warn!("can't reload the configuration: it has no source"),
         }
     }
 
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -38,7 +38,7 @@
             reloads.discard(former_rules);
         }
         for key in deferred {
-            log::warn!(key; "configuration: {key}: a change of it counts from the next start");
+            log::warn!(key; "configuration: {key}: a change of it takes effect at the next start");
         }
         Ok(())
     }
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -119,7 +119,7 @@
         let (route_rules, health) = (self.pipeline.route_rules(), self.io.health.lines());
         let quota = &self.pipeline.quota;
         crate::observability::logging::say(&format!(
-            "{}\nstatements not understood {malformed}\nconnections: clients {clients}, turned out {rejected}; upstream {connections}; dials {dials}{route_rules}{quota}{health}",
+            "{}\nstatements not understood {malformed}\nconnections: clients {clients}, clients rejected {rejected}; upstream {connections}; dials {dials}{route_rules}{quota}{health}",
             self.pipeline.counters,
         ));
     }
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -368,7 +368,7 @@
     stage.signal(Signal::TERM);
     let log = stage.rest();
     assert!(
-        log.iter().any(|line| line.contains("turned out 0;")),
+        log.iter().any(|line| line.contains("clients rejected 0;")),
         "{log:?}"
     );
     assert!(!log.iter().any(|line| line.contains("front:")), "{log:?}");
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -561,7 +561,7 @@
         .filter(|line| line.contains("not understood:"))
         .count();
     assert!((1..EACH).contains(&told), "{log:#?}");
-    for figure in ["statements not understood 20", "turned out 20;"] {
+    for figure in ["statements not understood 20", "clients rejected 20;"] {
         assert!(log.iter().any(|line| line.contains(figure)), "{log:#?}");
     }
 }
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -205,7 +205,7 @@
 fn settings_that_need_a_restart_are_logged() {
     let mut program = Program::under("", "");
     program.steer("discovery {\n watch-silence 2s\n}\n");
-    program.line("watch-silence: a change of it counts from the next start");
+    program.line("watch-silence: a change of it takes effect at the next start");
 }
 
 fn parse(operators: &str) -> Result<config::Config, config::ConfigError> {
