--- a/crates/leverproxy/src/request.rs
+++ b/crates/leverproxy/src/request.rs
@@ -2,7 +2,7 @@
 //! other. They do not depend on a wire protocol: commands and answers are opaque bytes.
 
 use crate::event_loop::slab::Key;
-use routing::{AttemptNo, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
+use routing::{AttemptNumber, ClassId, GroupId, RequestId, ResponseMetadata, ServerId};
 use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// An attempt of a request.
-    Attempt(RequestId, AttemptNo),
+    Attempt(RequestId, AttemptNumber),
     /// A probe of the server's load and position.
     Probe,
 }
@@ -135,7 +135,7 @@
     /// Request that the chunk answers.
     pub id: RequestId,
     /// Attempt that the chunk answers.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// Upstream connection that the chunk was read from.
     pub connection: Key,
     /// Server that sent the chunk.
