--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn accounts_of_the_first_version_are_read() {
+fn self_reports_of_version_1_are_read() {
     let now = Instant::now();
     let mut members = join_test_fleet(now);
     receive_datagram(&mut members, &hex::decode(DATAGRAM).unwrap(), now);
@@ -65,7 +65,7 @@
 
 /// A self-report of an unknown version counts as malformed; the datagram and the fact are valid.
 #[test]
-fn accounts_of_a_later_version_are_counted_and_dropped() {
+fn self_reports_of_a_later_version_are_counted_and_dropped() {
     let now = Instant::now();
     let mut members = join_test_fleet(now);
     let later = BODY.replacen("01", "02", 1);
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -77,7 +77,7 @@
     shortage_published_at: Option<Instant>,
     /// Number of requests that borrowed, by tenant.
     borrowed: BTreeMap<String, u64>,
-    given_back: u64,
+    cancelled_loans: u64,
     /// Number of requests that were denied a loan, by reason.
     denied: BTreeMap<&'static str, u64>,
     /// Withheld thousandths of the quota, by tenant.
@@ -111,7 +111,7 @@
             in_shortage: false,
             shortage_published_at: None,
             borrowed: BTreeMap::new(),
-            given_back: 0,
+            cancelled_loans: 0,
             denied: BTreeMap::new(),
             withheld: BTreeMap::new(),
             saves: 0,
@@ -224,9 +224,9 @@
     }
 
     /// Returns the loan of a request that ended without an attempt.
-    pub fn give_back(&mut self, tenant: &str) {
+    pub fn cancel_loan(&mut self, tenant: &str) {
         if let Some(running) = &mut self.running {
-            self.given_back += 1;
+            self.cancelled_loans += 1;
             running.lender.cancel_loan(tenant, REQUEST_COST);
         }
     }
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -191,7 +191,7 @@
             (
                 "lb_loans_given_back_total",
                 "Loans returned because the request ended without an attempt.",
-                self.given_back,
+                self.cancelled_loans,
             ),
             (
                 "lb_loans_malformed_total",
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -125,7 +125,7 @@
             }
             QuotaStatus::Borrowed if !attempted => {
                 if let Some(tenant) = self.names.get(usize::from(open.tenant.0)) {
-                    lending.give_back(tenant);
+                    lending.cancel_loan(tenant);
                 }
             }
             _ => {}
