--- a/crates/leverproxy/src/cluster/members/status_text.rs
+++ b/crates/leverproxy/src/cluster/members/status_text.rs
@@ -11,12 +11,12 @@
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
         let self_suspected = if view.self_suspected {
-            ", doubting itself"
+            ", not trusting its own view"
         } else {
             ""
         };
         let mut text = format!(
-            "members {}{self_suspected}: {} of {} heard, roster version {}, {} say another\n",
+            "members {}{self_suspected}: {} of {} reachable, roster version {}, {} have another\n",
             view.state,
             view.member_counts.alive,
             view.member_counts.total,
@@ -33,9 +33,9 @@
         for member in view.members {
             let age = since_origin.saturating_sub(member.since).as_secs();
             let contact = if member.direct {
-                "heard directly"
+                "in direct contact"
             } else {
-                "not heard directly"
+                "not in direct contact"
             };
             let self_report = self_reports
                 .get(&member.name)
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -61,7 +61,7 @@
     /// Status text for operators: the lender's state, and a line for each tenant.
     pub fn status_text(&self, now: Instant) -> String {
         let Some(running) = &self.running else {
-            return "loans have not begun here\n".to_owned();
+            return "loans have not started here\n".to_owned();
         };
         let bootstrapped = if running.lender.is_bootstrapped() {
             "founded"
@@ -69,7 +69,7 @@
             "not founded: nothing is lent"
         };
         let shortage = if self.in_shortage {
-            ", room is short: nothing is lent"
+            ", capacity is short: nothing is lent"
         } else {
             ""
         };
@@ -97,8 +97,8 @@
         // Writing to a string does not fail.
         _ = writeln!(
             text,
-            "  stand {tenant} owes {} of {} thousandths here, lent {}, repaid {}, written off {}; {withheld} of 1000 of \
-             its quota are withheld; may lend for {} ms more{in_default}",
+            "  stand {tenant} owes {} of at most {} thousandths of a request here, lent {}, repaid {}, written off {}; \
+             {withheld} of 1000 parts of its quota are withheld; this proxy may lend for {} ms more{in_default}",
             totals.owed,
             totals.local_limit,
             totals.lent,
--- a/crates/leverproxy/src/cluster/rollout/status_text.rs
+++ b/crates/leverproxy/src/cluster/rollout/status_text.rs
@@ -41,7 +41,7 @@
         write_members(&status, &mut text);
         write_planned_restarts(&status, &mut text);
         if status.persisting_fails {
-            text.push_str("  its state can't be kept: it votes for nothing new until it can\n");
+            text.push_str("  its state can't be saved: it casts no new votes until it can be\n");
         }
         text
     }
@@ -62,14 +62,14 @@
     match verdict {
         Verdict::Harm(reason) => reason.text(),
         Verdict::Clean => "no harm",
-        Verdict::Soaking => "soaking, nothing shown yet",
+        Verdict::Soaking => "soaking, no result yet",
         Verdict::InsufficientTraffic => "too little traffic, or not on both versions: waiting",
         Verdict::MemberEvidenceMissing => {
             "a proxy of the stage was not compared often enough: waiting"
         }
-        Verdict::Inconclusive => "a sign of harm, not shown: waiting",
+        Verdict::Inconclusive => "signs of harm, but not significant: waiting",
         Verdict::MembersMissing => {
-            "no harm, but a proxy of the stage is missing or does not run it yet: waiting"
+            "no harm, but a proxy of the stage is missing or does not run the new version yet: waiting"
         }
     }
 }
@@ -94,7 +94,7 @@
     for (name, vote) in &status.members {
         let runs = if vote.runs_new { "new" } else { "former" };
         let ready = match &vote.readiness {
-            Readiness::Unchecked => "has not looked at it yet".to_owned(),
+            Readiness::Unchecked => "has not checked it yet".to_owned(),
             Readiness::Ready => "can run it".to_owned(),
             Readiness::Unable(reason) => format!("cannot run it: {reason}"),
         };
@@ -115,7 +115,7 @@
         };
         _ = writeln!(
             text,
-            "  member {name} started anew in order {restarts} times{note}"
+            "  member {name} restarted as planned {restarts} times{note}"
         );
     }
 }
--- a/crates/leverproxy/src/cluster/sites/table.rs
+++ b/crates/leverproxy/src/cluster/sites/table.rs
@@ -51,7 +51,7 @@
             all.retain(|(name, _)| name == requested_site);
         }
         if all.is_empty() {
-            return "one site, or none: nothing is to be told of it\n".into();
+            return "no sites to report: site failover needs at least two sites\n".into();
         }
         let mut sites = vec![header_row(SITES_HEADER)];
         let mut shed = vec![header_row(SHED_HEADER)];
@@ -81,11 +81,11 @@
 fn unknown_site(requested_site: &str, sites: &[(String, Report)]) -> String {
     let known: Vec<&str> = sites.iter().map(|(name, _)| name.as_str()).collect();
     let known = if known.is_empty() {
-        "none are told apart".into()
+        "none, as there are fewer than two".into()
     } else {
         known.join(", ")
     };
-    format!("error: there is no site {requested_site:?}; of sites {known}\n")
+    format!("error: there is no site {requested_site:?}; known sites: {known}\n")
 }
 
 /// Row of the table of sites. Reads and writes are in cores: seconds of work per second.
--- a/crates/testbed/tests/rollout.rs
+++ b/crates/testbed/tests/rollout.rs
@@ -404,7 +404,7 @@
             );
         }
         let end = Instant::now() + process::EVENT_TIMEOUT;
-        let told = format!("member n0 started anew in order {planned} times");
+        let told = format!("member n0 restarted as planned {planned} times");
         while !say(&testbed, 1, &["status"]).contains(&told) {
             assert!(Instant::now() < end, "{}", say(&testbed, 1, &["status"]));
         }
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -195,7 +195,7 @@
     );
     let (unknown, text) = told(&testbed, 0, &["p7"]);
     assert!(
-        !unknown && text.contains("no site \"p7\"; of sites p0, p1, p2"),
+        !unknown && text.contains("no site \"p7\"; known sites: p0, p1, p2"),
         "{text}"
     );
     never_lost(&testbed, [1, 2]);
