--- a/crates/leverproxy/src/cluster/members/recorded.rs
+++ b/crates/leverproxy/src/cluster/members/recorded.rs
@@ -63,7 +63,7 @@
     assert_eq!(members.malformed_self_reports, 0);
 }
 
-/// A self-report of an unknown version counts as malformed; the datagram and the fact are valid.
+/// A self-report of an unknown version is counted as malformed and dropped, although the datagram and the fact are valid.
 #[test]
 fn self_reports_of_a_later_version_are_counted_and_dropped() {
     let now = Instant::now();
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Returns the loan of a request that ended without an attempt.
+    /// Cancels the loan of a request that ended without an attempt.
     pub fn cancel_loan(&mut self, tenant: &str) {
         if let Some(running) = &mut self.running {
             self.cancelled_loans += 1;
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -190,7 +190,7 @@
             ),
             (
                 "lb_loans_given_back_total",
-                "Loans returned because the request ended without an attempt.",
+                "Loans cancelled because the request ended without an attempt.",
                 self.cancelled_loans,
             ),
             (
--- a/crates/leverproxy/src/cluster/usage.rs
+++ b/crates/leverproxy/src/cluster/usage.rs
@@ -57,9 +57,9 @@
         .zip(rates)
         .map(|(name, rate)| (member_id(name), (rate * 1e3) as u32))
         .collect();
-    for (at, part) in (0_u8..).zip(rates.chunks(MAX_TENANTS_PER_MESSAGE).take(MAX_MESSAGES)) {
-        if let Some(body) = encode(part) {
-            members.publish(MESSAGE_KIND, vec![at], body, TTL, now);
+    for (index, chunk) in (0_u8..).zip(rates.chunks(MAX_TENANTS_PER_MESSAGE).take(MAX_MESSAGES)) {
+        if let Some(body) = encode(chunk) {
+            members.publish(MESSAGE_KIND, vec![index], body, TTL, now);
         }
     }
 }
--- a/crates/leverproxy/src/pipeline/quota.rs
+++ b/crates/leverproxy/src/pipeline/quota.rs
@@ -60,10 +60,10 @@
                 .map(|class| class.priority_weight)
                 .collect(),
         };
-        let previous = |at: usize| {
+        let previous = |index: usize| {
             self.names
                 .iter()
-                .position(|name| tenants.get(at) == Some(name))
+                .position(|name| tenants.get(index) == Some(name))
         };
         self.meter.configure(&meter_settings, previous);
         self.names.clone_from(tenants);
@@ -112,7 +112,8 @@
         lending.may_borrow(tenant, class, now)
     }
 
-    /// A request has ended. `answer`: none if the client has left. A borrowed request without an attempt returns its loan.
+    /// A request has ended. `answer`: none if the client has left. If a borrowed request had no attempt, its loan is
+    /// cancelled.
     pub fn record_end(&mut self, open: &OpenRequest, answer: Option<&Answer>, now: Instant) {
         let Some(lending) = &mut self.lending else {
             return;
--- a/crates/leverproxy/src/pipeline/route_rules.rs
+++ b/crates/leverproxy/src/pipeline/route_rules.rs
@@ -65,7 +65,12 @@
     }
 
     /// Action of the route that matches a request; none if no route matches.
-    fn find_action(&self, class: ClassId, request: &Request, at: Time) -> Option<RouteAction> {
+    fn find_action(
+        &self,
+        class: ClassId,
+        request: &Request,
+        unix_time: Time,
+    ) -> Option<RouteAction> {
         if self.actions.is_empty() {
             return None;
         }
@@ -75,7 +80,7 @@
             group: request.group,
             statement: &request.command.before_time_left,
             client: request.client,
-            at: Moment::from_unix(at.0),
+            at: Moment::from_unix(unix_time.0),
         })?;
         self.actions.get(route).copied()
     }
@@ -149,7 +154,7 @@
         &mut self,
         arrival: &mut Arrival,
         request: &Request,
-        at: Time,
+        unix_time: Time,
         now: Instant,
     ) -> Result<Option<PoolId>, Answer> {
         let class = self.rules.file_class(arrival.class);
@@ -158,7 +163,7 @@
         let (time_limit, attempt_limit) = limits.copied().unwrap_or_default();
         limit_time(arrival, time_limit, spent);
         arrival.attempt_limit = min_limit(arrival.attempt_limit, attempt_limit);
-        let Some(action) = self.rules.find_action(class, request, at) else {
+        let Some(action) = self.rules.find_action(class, request, unix_time) else {
             return Ok(None);
         };
         self.counts.routed += 1;
@@ -168,20 +173,24 @@
         }
         limit_time(arrival, action.deadline, spent);
         arrival.attempt_limit = min_limit(arrival.attempt_limit, action.attempt_limit);
-        if let Some(other) = action.as_class {
-            let deadline = self.rules.deadlines.get(usize::from(other.0)).copied();
+        if let Some(class) = action.as_class {
+            let deadline = self.rules.deadlines.get(usize::from(class.0)).copied();
             limit_time(arrival, deadline, spent);
-            arrival.class = self.rules.platform_class(other);
+            arrival.class = self.rules.platform_class(class);
         }
-        self.enter_bulkhead(&action, at)
+        self.enter_bulkhead(&action, unix_time)
     }
 
-    fn enter_bulkhead(&mut self, action: &RouteAction, at: Time) -> Result<Option<PoolId>, Answer> {
+    fn enter_bulkhead(
+        &mut self,
+        action: &RouteAction,
+        unix_time: Time,
+    ) -> Result<Option<PoolId>, Answer> {
         let pool = action.pool.and_then(|index| self.bulkhead_ids.get(index));
         let Some(pool) = pool.copied() else {
             return Ok(None);
         };
-        match self.bulkheads.admit(pool, action.priority, at.0) {
+        match self.bulkheads.admit(pool, action.priority, unix_time.0) {
             Admission::Admitted => Ok(Some(pool)),
             Admission::Rejected { cause, retry_after } => {
                 match cause {
