--- a/crates/leverproxy/src/cluster/members/status_text.rs
+++ b/crates/leverproxy/src/cluster/members/status_text.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet as `leverproxy status` shows it.
+//! The state of the fleet as shown by `leverproxy status`.
 
 use super::names::{operation_name, status_name, REPORTED_OPERATIONS};
 use super::Members;
@@ -6,17 +6,17 @@
 use std::time::Instant;
 
 impl Members {
-    /// The state of the fleet for operators, one line per member.
+    /// Status text for operators: the quorum state, denied operations, and a line for each member.
     pub fn status_text(&self, now: Instant) -> String {
         let since_origin = now.saturating_duration_since(self.origin);
         let view = self.core.view(since_origin);
         let self_suspected = if view.self_suspected {
-            ", doubting itself"
+            ", not trusting its own view"
         } else {
             ""
         };
         let mut text = format!(
-            "members {}{self_suspected}: {} of {} heard, roster version {}, {} say another\n",
+            "members {}{self_suspected}: {} of {} reachable, roster version {}, {} have another\n",
             view.state,
             view.member_counts.alive,
             view.member_counts.total,
@@ -25,26 +25,28 @@
         );
         for operation in REPORTED_OPERATIONS {
             // Writing to a string does not fail.
-            if let Err(why) = self.core.check_operation(since_origin, operation, None) {
-                _ = writeln!(text, "  may not {}: {why}", operation_name(operation));
+            if let Err(reason) = self.core.check_operation(since_origin, operation, None) {
+                _ = writeln!(text, "  may not {}: {reason}", operation_name(operation));
             }
         }
-        let accounts = self.self_reports(now);
+        let self_reports = self.self_reports(now);
         for member in view.members {
             let age = since_origin.saturating_sub(member.since).as_secs();
-            let how = if member.direct {
-                "heard directly"
+            let contact = if member.direct {
+                "in direct contact"
             } else {
-                "not heard directly"
+                "not in direct contact"
             };
-            let account = accounts.get(&member.name).map_or(String::new(), |account| {
-                let phase = if account.serving { "serving" } else { "ending" };
-                format!(", {phase}, build {}", account.build)
-            });
+            let self_report = self_reports
+                .get(&member.name)
+                .map_or(String::new(), |report| {
+                    let phase = if report.serving { "serving" } else { "ending" };
+                    format!(", {phase}, build {}", report.build)
+                });
             let status = status_name(member.status);
             _ = writeln!(
                 text,
-                "  member {} {status} for {age} s, {how}{account}",
+                "  member {} {status} for {age} s, {contact}{self_report}",
                 member.name
             );
         }
--- a/crates/leverproxy/src/cluster/quota_lending.rs
+++ b/crates/leverproxy/src/cluster/quota_lending.rs
@@ -1,5 +1,5 @@
-//! Host of [`quota_lending::Lender`]: carries its messages to the other proxies, keeps its file, and asks it about each request
-//! that is beyond its tenant's quota.
+//! Host of [`quota_lending::Lender`]: exchanges its messages with the other proxies, saves its state file, and lets it
+//! decide about each request beyond its tenant's quota.
 
 use std::collections::BTreeMap;
 use std::os::unix::net::UnixStream;
@@ -22,19 +22,19 @@
 pub use file_writer::StartError;
 use file_writer::{FileWriter, WriteJob};
 
-/// What one request costs of its tenant's quota.
+/// Cost of one request in its tenant's quota, in thousandths of a request.
 const REQUEST_COST: MilliRequests = 1000;
-/// Message kind: tenants within their quota lack capacity at the sender.
+/// Kind of the shortage message: the sender lacks capacity for tenants that are within their quota.
 const SHORTAGE_KIND: u8 = 70;
-/// The first byte of its body, and the only one.
+/// Body of the shortage message: only this version byte.
 const SHORTAGE_VERSION: u8 = 1;
-/// After it a file that could not be written, and a lock that another holds, are tried again.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Interval of retries if the state file can't be written, or if another process holds the lock.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The lender, while there is one.
-struct Running {
+/// A started lender.
+struct RunningLender {
     lender: Lender,
-    /// Incarnation of this process among the members.
+    /// Incarnation of this process in the membership when the lender was started.
     incarnation: u64,
     file_writer: Option<FileWriter>,
 }
@@ -47,8 +47,8 @@
     ttl: Duration,
 }
 
-/// The rule of a tenant that is not in the file any more: nothing is lent, and what is owed is repaid as before.
-fn without_loans(credit: Credit) -> Credit {
+/// The credit of a tenant that was removed from the operators' file: nothing is lent, but its debt is still repaid.
+fn without_lending(credit: Credit) -> Credit {
     Credit {
         credit_limit: Duration::ZERO,
         not_during: Vec::new(),
@@ -61,35 +61,35 @@
     settings: Settings,
     windows: Vec<Window>,
     waker: UnixStream,
-    /// The lender's time zero.
+    /// Time zero of the lender.
     origin: Instant,
-    running: Option<Running>,
-    /// The reason why it does not start was logged.
+    running: Option<RunningLender>,
+    /// A failure to start was logged.
     start_error_logged: bool,
     start_at: Instant,
     queued_messages: Vec<QueuedMessage>,
     timer: Option<(Instant, u64)>,
-    /// A file that has to be written again.
+    /// A failed write of the state file, and the time of its retry.
     retry_write: Option<(Instant, WriteJob)>,
     shortage: Shortage,
-    /// Here or at another proxy.
+    /// This proxy or another one has reported a shortage.
     in_shortage: bool,
-    shortage_published: Option<Instant>,
-    /// Requests lent to, by tenant.
+    shortage_published_at: Option<Instant>,
+    /// Number of requests that borrowed, by tenant.
     borrowed: BTreeMap<String, u64>,
-    given_back: u64,
-    /// Requests not lent to, by reason.
+    cancelled_loans: u64,
+    /// Number of requests that were denied a loan, by reason.
     denied: BTreeMap<&'static str, u64>,
-    /// Thousandths of the quota that are withheld, by tenant.
+    /// Withheld thousandths of the quota, by tenant.
     withheld: BTreeMap<String, u32>,
     saves: u64,
     saves_failed: u64,
-    /// Malformed messages, including those that former lenders counted.
+    /// Number of malformed messages, except those that the current lender counts.
     malformed: u64,
 }
 
 impl QuotaLending {
-    /// `waker`: wakes the event loop when something is written to it.
+    /// `waker`: a byte written to it wakes the event loop.
     pub fn new(
         settings: Settings,
         windows: Vec<Window>,
@@ -109,9 +109,9 @@
             retry_write: None,
             shortage: Shortage::default(),
             in_shortage: false,
-            shortage_published: None,
+            shortage_published_at: None,
             borrowed: BTreeMap::new(),
-            given_back: 0,
+            cancelled_loans: 0,
             denied: BTreeMap::new(),
             withheld: BTreeMap::new(),
             saves: 0,
@@ -124,55 +124,60 @@
         now.saturating_duration_since(self.origin)
     }
 
-    /// Takes other settings over. Returns the keys that need a restart.
+    /// Applies new settings. Returns the keys of changed settings that need a restart.
     pub fn reload(&mut self, settings: Settings, windows: Vec<Window>) -> Vec<&'static str> {
-        let mut former = std::mem::replace(&mut self.settings, settings);
-        let is_gone = |credit: &Credit| {
+        let mut previous = std::mem::replace(&mut self.settings, settings);
+        let is_removed = |credit: &Credit| {
             !self
                 .settings
                 .credits
                 .iter()
                 .any(|c| c.tenant == credit.tenant)
         };
-        let gone: Vec<Credit> = former.credits.drain(..).filter(is_gone).collect();
+        let removed: Vec<Credit> = previous.credits.drain(..).filter(is_removed).collect();
         self.settings
             .credits
-            .extend(gone.into_iter().map(without_loans));
+            .extend(removed.into_iter().map(without_lending));
         self.windows = windows;
-        let is_same = [
+        let unchanged = [
             (
                 "lending state",
-                former.state_file == self.settings.state_file,
+                previous.state_file == self.settings.state_file,
             ),
-            ("lending lease", former.lease == self.settings.lease),
+            ("lending lease", previous.lease == self.settings.lease),
             (
                 "lending step",
-                former.exchange_interval == self.settings.exchange_interval,
+                previous.exchange_interval == self.settings.exchange_interval,
             ),
             (
                 "lending longest",
-                former.max_loan_time == self.settings.max_loan_time,
+                previous.max_loan_time == self.settings.max_loan_time,
             ),
         ];
-        // All other settings stay as the lender was started with them.
+        // The lender keeps all other settings that it was started with.
         self.settings = Settings {
             credits: std::mem::take(&mut self.settings.credits),
-            ..former
+            ..previous
         };
-        is_same
+        unchanged
             .into_iter()
-            .filter(|(_, same)| !same)
+            .filter(|(_, is_unchanged)| !is_unchanged)
             .map(|(key, _)| key)
             .collect()
     }
 
-    /// The file has no loans any more: nothing is lent until the process ends.
+    /// The operators' file does not configure lending any more: nothing is lent until the process ends.
     pub fn stop_lending(&mut self) {
         self.windows.clear();
-        self.settings.credits = self.settings.credits.drain(..).map(without_loans).collect();
+        self.settings.credits = self
+            .settings
+            .credits
+            .drain(..)
+            .map(without_lending)
+            .collect();
     }
 
-    /// Computes the rules from the platform's quotas: names of tenants, in requests a second.
+    /// Computes the lending rules from the platform's quotas: tenant names and quotas in requests per second.
     pub fn update_rules<'a>(&mut self, quotas: impl Iterator<Item = (&'a str, f64)>, now: Instant) {
         let quotas: BTreeMap<&str, f64> = quotas.collect();
         let mut rules = Vec::new();
@@ -186,15 +191,15 @@
                 );
                 continue;
             };
-            rules.push((credit.tenant.clone(), rule(credit, *quota)));
+            rules.push((credit.tenant.clone(), lending_rule(credit, *quota)));
         }
         match Rules::new(rules, self.settings.max_loan_time) {
             Ok(rules) => self.handle(Event::Rules(rules), now),
-            Err(error) => log::error!("loans: {error}; the former rules stay"),
+            Err(error) => log::error!("loans: {error}; the previous rules stay"),
         }
     }
 
-    /// Decides whether a request beyond its tenant's quota is lent to.
+    /// Decides whether a request beyond its tenant's quota may borrow.
     pub fn may_borrow(&mut self, tenant: &str, class: &str, now: Instant) -> bool {
         let since_start = self.since_start(now);
         let Some(running) = &mut self.running else {
@@ -218,21 +223,22 @@
         }
     }
 
-    /// There was no attempt for a request that was lent to.
-    pub fn give_back(&mut self, tenant: &str) {
+    /// Cancels the loan of a request that ended without an attempt.
+    pub fn cancel_loan(&mut self, tenant: &str) {
         if let Some(running) = &mut self.running {
-            self.given_back += 1;
+            self.cancelled_loans += 1;
             running.lender.cancel_loan(tenant, REQUEST_COST);
         }
     }
 
-    /// A request within its quota has ended; `rejected`: before any attempt.
+    /// Records the end of a request within its quota. `rejected`: it was rejected before any attempt.
     pub fn record_within_quota(&mut self, rejected: bool, now: Instant) {
         self.shortage.record_end(self.since_start(now), rejected);
     }
 
-    /// Books what was withheld from a tenant, in requests, and returns the part of its quota to withhold from now on, 0 to 1.
-    /// `quota`: this proxy's part of the quota in requests a second, of which the tenant uses the part `used`.
+    /// Counts the quota withheld from a tenant as repayment, and returns the fraction of its quota to withhold from now
+    /// on, 0 to 1. `withheld` is in requests, `quota` is this proxy's part of the quota in requests per second, and `used`
+    /// is the fraction of that part that the tenant uses, 0 to 1.
     pub fn repay(
         &mut self,
         tenant: &str,
@@ -248,23 +254,24 @@
         let lender = &mut running.lender;
         lender.repay(since_start, tenant, (withheld * 1e3) as MilliRequests);
         let used = (used * 1e3).min(1e3) as u32;
-        let part = lender.withhold(since_start, tenant, (quota * 1e3) as MilliRequests, used);
+        let thousandths =
+            lender.withhold(since_start, tenant, (quota * 1e3) as MilliRequests, used);
         match self.withheld.get_mut(tenant) {
-            Some(known) => *known = part,
-            None if part > 0 => _ = self.withheld.insert(tenant.to_owned(), part),
+            Some(current) => *current = thousandths,
+            None if thousandths > 0 => _ = self.withheld.insert(tenant.to_owned(), thousandths),
             None => {}
         }
-        f64::from(part) / 1e3
+        f64::from(thousandths) / 1e3
     }
 
-    /// The part of its quota that is withheld from a tenant, 0 to 1.
+    /// Fraction of a tenant's quota that is withheld, 0 to 1.
     pub fn withheld(&self, tenant: &str) -> f64 {
         self.withheld
             .get(tenant)
-            .map_or(0.0, |part| f64::from(*part) / 1e3)
+            .map_or(0.0, |thousandths| f64::from(*thousandths) / 1e3)
     }
 
-    /// A message of another proxy, of any kind.
+    /// Handles a message from another proxy; messages of other kinds are ignored.
     pub fn receive(&mut self, fact: &Fact, now: Instant) {
         if quota_lending::messages::is_lending_message(fact.kind) {
             let event = Event::Message {
@@ -281,8 +288,8 @@
         }
     }
 
-    /// To be called several times a second: members, shortage, windows and timers. True when the lender has just been started:
-    /// it needs [`QuotaLending::update_rules`].
+    /// Updates the lender's view of members, shortage and lending windows, and runs its timer. To be called several times
+    /// per second. Returns true if the lender was started just now and needs [`QuotaLending::update_rules`].
     pub fn poll(&mut self, members: &mut Members, now: Instant) -> bool {
         let started = self.start_if_due(members, now);
         if self.running.is_none() {
@@ -299,7 +306,7 @@
 
     fn update_membership(&mut self, members: &mut Members, now: Instant) {
         let is_up = |status| matches!(status, Status::Alive | Status::Suspect);
-        let known: Vec<Member> = members
+        let member_list: Vec<Member> = members
             .view(now)
             .members
             .into_iter()
@@ -321,25 +328,29 @@
                 .check_operation(GuardedOperation::Lend, None, now)
                 .is_ok(),
             roster: &roster,
-            members: &known,
+            members: &member_list,
         };
         self.handle(event, now);
     }
 
-    /// Publishes the own shortage; that of another counts like an own one.
+    /// Publishes a shortage at this proxy, and notifies the lender of a shortage at any proxy.
     fn update_shortage(&mut self, members: &mut Members, now: Instant) {
-        let own = self.shortage.is_in_shortage(self.since_start(now));
+        let own_shortage = self.shortage.is_in_shortage(self.since_start(now));
         let is_due = self
-            .shortage_published
+            .shortage_published_at
             .is_none_or(|at| now.saturating_duration_since(at) >= SHORTAGE_DURATION / 2);
-        if own && is_due {
-            self.shortage_published = Some(now);
+        if own_shortage && is_due {
+            self.shortage_published_at = Some(now);
             let body = vec![SHORTAGE_VERSION];
             members.publish(SHORTAGE_KIND, Vec::new(), body, SHORTAGE_DURATION, now);
         }
-        let is_of_other =
+        let is_from_other_proxy =
             |fact: &Fact| fact.source != members.name() && fact.body == [SHORTAGE_VERSION];
-        self.in_shortage = own || members.facts(SHORTAGE_KIND, now).iter().any(is_of_other);
+        self.in_shortage = own_shortage
+            || members
+                .facts(SHORTAGE_KIND, now)
+                .iter()
+                .any(is_from_other_proxy);
         self.handle(Event::Shortage(self.in_shortage), now);
     }
 
@@ -360,22 +371,22 @@
     }
 
     fn receive_written_files(&mut self, now: Instant) {
-        let mut ended = Vec::new();
+        let mut finished_writes = Vec::new();
         if let Some(writer) = self.file_writer() {
-            ended.extend(writer.ended());
+            finished_writes.extend(writer.finished_writes());
         }
-        for done in ended {
-            match done.result {
+        for finished in finished_writes {
+            match finished.result {
                 Ok(()) => {
                     self.saves += 1;
-                    self.handle(Event::Saved(done.job.sequence), now);
+                    self.handle(Event::Saved(finished.job.sequence), now);
                 }
                 Err(error) => {
                     self.saves_failed += 1;
                     if self.saves_failed == 1 {
-                        log::error!("loans: {error}; it is tried again twice a second");
+                        log::error!("loans: {error}; retrying twice a second");
                     }
-                    self.retry_write = Some((now + RETRY_AFTER, done.job));
+                    self.retry_write = Some((now + RETRY_INTERVAL, finished.job));
                 }
             }
         }
@@ -384,7 +395,7 @@
         }
     }
 
-    /// Starts the lender once this process is heard under its name and has the lock, and anew after each change of its
+    /// Starts the lender once this process listens as a member and has the lock, and again after each change of its
     /// incarnation.
     fn start_if_due(&mut self, members: &Members, now: Instant) -> bool {
         let incarnation = members.incarnation();
@@ -395,8 +406,8 @@
         if is_running || !members.is_listening() || now < self.start_at {
             return false;
         }
-        if let Some(former) = self.running.take() {
-            self.malformed += former.lender.malformed();
+        if let Some(previous) = self.running.take() {
+            self.malformed += previous.lender.malformed();
         }
         match self.start_file_writer() {
             Ok((file_writer, file)) => {
@@ -404,7 +415,7 @@
                 true
             }
             Err(error) => {
-                self.start_at = now + RETRY_AFTER;
+                self.start_at = now + RETRY_INTERVAL;
                 if !std::mem::replace(&mut self.start_error_logged, true) {
                     log::warn!("{error}");
                 }
@@ -438,14 +449,14 @@
         };
         let lender = Lender::new(&config, self.since_start(now), file);
         log::info!(
-            "loans: begun, {}",
+            "loans: lender started, {}",
             if file_writer.is_some() {
-                "with a file"
+                "with a state file"
             } else {
-                "nothing is kept"
+                "without a state file: loans are not saved"
             }
         );
-        self.running = Some(Running {
+        self.running = Some(RunningLender {
             lender,
             incarnation,
             file_writer,
@@ -494,7 +505,7 @@
         }
     }
 
-    /// Reports written files to the lender, and publishes its messages.
+    /// Reports finished writes of the state file to the lender, and publishes its messages.
     pub fn flush(&mut self, members: &mut Members, now: Instant) {
         self.receive_written_files(now);
         for message in self.queued_messages.drain(..) {
@@ -503,8 +514,8 @@
     }
 }
 
-/// `quota`: requests a second of the whole fleet.
-fn rule(credit: &Credit, quota: f64) -> Rule {
+/// The lender's rule for a credit. `quota`: requests per second of the whole fleet.
+fn lending_rule(credit: &Credit, quota: f64) -> Rule {
     Rule {
         limit_time: credit.credit_limit,
         quota: (quota * 1e3) as MilliRequests,
--- a/crates/leverproxy/src/cluster/quota_lending/file_writer.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/file_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the lender's file on a thread of its own, so that the event loop never waits for the disk.
+//! Writes the lender's state file on a separate thread, so that the event loop never waits for the disk.
 
 use std::io::Write as _;
 use std::os::unix::net::UnixStream;
@@ -14,33 +14,33 @@
 
 const FILE_NAME: &str = "loans.state";
 const LOCK_NAME: &str = "loans.lock";
-/// Far more than the lender's bounds permit.
-const FILE_BYTES_MOST: u64 = 16 << 20;
+/// Maximum size of the state file, far above the size that the lender's limits allow.
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// Why there are no loans.
+/// Reason why the lender can't start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The folder can't be locked.
-    #[error("loans: {0}; nothing is lent here until then")]
+    /// The state directory can't be locked.
+    #[error("loans: {0}; nothing is lent here until the lock is free")]
     Lock(#[from] LockError),
     /// The thread can't be started.
-    #[error("loans: no thread for their file: {0}; nothing is lent here until there is one")]
+    #[error("loans: can't start the thread that writes the state file: {0}; nothing is lent here until it starts")]
     Thread(#[source] std::io::Error),
 }
 
 impl StartError {
-    /// What an operator can do about it.
+    /// Advice for operators.
     pub fn advice(&self) -> &'static str {
         match self {
             StartError::Lock(error) => error.advice(),
             StartError::Thread(_) => {
-                "raise the limit of the proxy's threads or memory; it is tried again twice a second"
+                "raise the limit of the proxy's threads or memory; the start is retried twice a second"
             }
         }
     }
 }
 
-/// The file in its folder.
+/// The state file of the lender.
 struct StateFile {
     path: PathBuf,
 }
@@ -48,36 +48,37 @@
 impl Store for StateFile {
     fn save(&mut self, bytes: &[u8]) -> Result<(), StoreError> {
         state_file::save(&self.path, bytes)
-            .map_err(|e| StoreError::Write(format!("{}: {e}", self.path.display())))
+            .map_err(|error| StoreError::Write(format!("{}: {error}", self.path.display())))
     }
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
-        state_file::load(&self.path, FILE_BYTES_MOST)
-            .map_err(|e| StoreError::Read(format!("{}: {e}", self.path.display())))
+        state_file::load(&self.path, MAX_FILE_BYTES)
+            .map_err(|error| StoreError::Read(format!("{}: {error}", self.path.display())))
     }
 }
 
-/// A file to write.
+/// Content of the state file to write, and its sequence number.
 pub(super) struct WriteJob {
     pub sequence: u64,
     pub bytes: Vec<u8>,
 }
 
-/// A job that has ended.
-pub(super) struct WriteDone {
+/// A finished write job and its result.
+pub(super) struct FinishedWrite {
     pub job: WriteJob,
     pub result: Result<(), StoreError>,
 }
 
-/// Writes files in their order. Holds the folder's lock as long as it lives.
+/// Writes the state file, job by job in order. Holds the lock of the directory for its lifetime.
 pub(super) struct FileWriter {
     _lock: DirectoryLock,
     jobs: Sender<WriteJob>,
-    done: Receiver<WriteDone>,
+    finished: Receiver<FinishedWrite>,
 }
 
 impl FileWriter {
-    /// Also returns the content of the last file, if there is one. The waker gets a byte whenever a job has ended.
+    /// Starts the thread. Also returns the content of the existing state file, if any. A byte is written to the waker
+    /// after each job.
     pub fn start(
         folder: &Path,
         waker: UnixStream,
@@ -86,49 +87,49 @@
         let mut file = StateFile {
             path: folder.join(FILE_NAME),
         };
-        // To the lender an empty file is a bad one. It must not take an unreadable file for a missing one: then it would be a
-        // bootstrap member that has forgotten its loans and votes.
+        // An unreadable file is passed to the lender as an empty, hence invalid, file. If the lender took it for a missing
+        // file, it would act as a bootstrap member, having lost its loans and votes.
         let content = file.load().unwrap_or_else(|error| {
             log::error!("loans: {error}");
             Some(Vec::new())
         });
         let (jobs, queued_jobs) = channel();
-        let (ended_jobs, done) = channel();
+        let (finished_sender, finished_receiver) = channel();
         thread::Builder::new()
             .name("loans".into())
-            .spawn(move || run(file, queued_jobs, &ended_jobs, waker))
+            .spawn(move || run(file, queued_jobs, &finished_sender, waker))
             .map_err(StartError::Thread)?;
         let writer = FileWriter {
             _lock: lock,
             jobs,
-            done,
+            finished: finished_receiver,
         };
         Ok((writer, content))
     }
 
     pub fn write(&self, job: WriteJob) {
-        // If the thread is gone the job never ends, and nothing more is lent.
+        // If the thread has ended, the job never finishes, and nothing more is lent.
         _ = self.jobs.send(job);
     }
 
-    pub fn ended(&self) -> impl Iterator<Item = WriteDone> + '_ {
-        self.done.try_iter()
+    pub fn finished_writes(&self) -> impl Iterator<Item = FinishedWrite> + '_ {
+        self.finished.try_iter()
     }
 }
 
 fn run(
     mut file: StateFile,
     jobs: Receiver<WriteJob>,
-    ended_jobs: &Sender<WriteDone>,
+    finished_sender: &Sender<FinishedWrite>,
     mut waker: UnixStream,
 ) {
     state_file::remove_drafts(&file.path);
     for job in jobs {
         let result = file.save(&job.bytes);
-        if ended_jobs.send(WriteDone { job, result }).is_err() {
+        if finished_sender.send(FinishedWrite { job, result }).is_err() {
             return;
         }
-        // A full socket wakes the loop as well as one more byte would.
+        // A failed write means a full socket, which wakes the event loop too.
         _ = waker.write(&[1]);
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/status_text.rs
+++ b/crates/leverproxy/src/cluster/rollout/status_text.rs
@@ -1,4 +1,5 @@
-//! The state of a rollout as `leverproxy rollout status` shows it. Writing to a string does not fail, so results are ignored.
+//! The state of a rollout as shown by `leverproxy rollout status`. Writing to a string does not fail, so results are
+//! ignored.
 
 use super::phase_names::phase_text;
 use super::version::hex;
@@ -6,8 +7,8 @@
 use ::rollout::{Readiness, Status, Verdict};
 use std::fmt::Write;
 
-/// Planned restarts of one member in one rollout that are nothing unusual.
-const USUAL_PLANNED_RESTARTS: u32 = 3;
+/// Maximum number of planned restarts of a member in one rollout that counts as usual.
+const MAX_USUAL_PLANNED_RESTARTS: u32 = 3;
 
 impl Rollout {
     /// The state of the rollout for operators.
@@ -40,13 +41,13 @@
         write_members(&status, &mut text);
         write_planned_restarts(&status, &mut text);
         if status.persisting_fails {
-            text.push_str("  its state can't be kept: it votes for nothing new until it can\n");
+            text.push_str("  its state can't be saved: it casts no new votes until it can be\n");
         }
         text
     }
 }
 
-/// What the evidence says, with its figures, on one line.
+/// Verdict of the evidence with its figures, on one line.
 pub(super) fn evidence_text(status: &Status) -> String {
     let (windows, harm, safe) = (
         status.evidence.windows,
@@ -59,21 +60,21 @@
 
 fn verdict_text(verdict: Verdict) -> &'static str {
     match verdict {
-        Verdict::Harm(why) => why.text(),
+        Verdict::Harm(reason) => reason.text(),
         Verdict::Clean => "no harm",
-        Verdict::Soaking => "soaking, nothing shown yet",
+        Verdict::Soaking => "soaking, no result yet",
         Verdict::InsufficientTraffic => "too little traffic, or not on both versions: waiting",
         Verdict::MemberEvidenceMissing => {
             "a proxy of the stage was not compared often enough: waiting"
         }
-        Verdict::Inconclusive => "a sign of harm, not shown: waiting",
+        Verdict::Inconclusive => "signs of harm, but not significant: waiting",
         Verdict::MembersMissing => {
-            "no harm, but a proxy of the stage is missing or does not run it yet: waiting"
+            "no harm, but a proxy of the stage is missing or does not run the new version yet: waiting"
         }
     }
 }
 
-/// What each proxy has shown of the new version in this stage, on one line.
+/// Evidence of each proxy about the new version in this stage, on one line.
 pub(super) fn stage_evidence_text(status: &Status) -> String {
     let members = status.stage_evidence.iter().map(|(name, member)| {
         let (offered, lost, windows) = (member.offered, member.lost, member.windows);
@@ -93,9 +94,9 @@
     for (name, vote) in &status.members {
         let runs = if vote.runs_new { "new" } else { "former" };
         let ready = match &vote.readiness {
-            Readiness::Unchecked => "has not looked at it yet".to_owned(),
+            Readiness::Unchecked => "has not checked it yet".to_owned(),
             Readiness::Ready => "can run it".to_owned(),
-            Readiness::Unable(why) => format!("cannot run it: {why}"),
+            Readiness::Unable(reason) => format!("cannot run it: {reason}"),
         };
         _ = writeln!(
             text,
@@ -106,15 +107,15 @@
 }
 
 fn write_planned_restarts(status: &Status, text: &mut String) {
-    for (name, times) in &status.planned_restarts {
-        let often = if *times > USUAL_PLANNED_RESTARTS {
+    for (name, restarts) in &status.planned_restarts {
+        let note = if *restarts > MAX_USUAL_PLANNED_RESTARTS {
             ": more often than a change of builds needs"
         } else {
             ""
         };
         _ = writeln!(
             text,
-            "  member {name} started anew in order {times} times{often}"
+            "  member {name} restarted as planned {restarts} times{note}"
         );
     }
 }
--- a/crates/leverproxy/src/cluster/sites.rs
+++ b/crates/leverproxy/src/cluster/sites.rs
@@ -1,5 +1,5 @@
-//! Host of [`site_failover::FailoverPlan`], where the operators' file asks for it: feeds it with what the health monitor sees, and
-//! logs changes of sites' states.
+//! Host of [`site_failover::FailoverPlan`], if the operators' file configures sites: passes events of the health monitor
+//! to the plan, and logs changes of sites' states.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 /// Sites and their failover plan.
 pub struct Sites {
     plan: FailoverPlan,
-    /// As last logged.
-    logged: Vec<Report>,
+    /// Reports of all sites when changes were last logged.
+    last_logged: Vec<Report>,
 }
 
-fn class(class: &routing::Class) -> Class {
+fn failover_class(class: &routing::Class) -> Class {
     Class {
         write: class.consistency == Consistency::Write,
         priority_weight: class.priority_weight,
@@ -28,7 +28,7 @@
     }
 }
 
-fn quota_status(status: routing::QuotaStatus) -> QuotaStatus {
+fn failover_quota_status(status: routing::QuotaStatus) -> QuotaStatus {
     match status {
         routing::QuotaStatus::WithinQuota => QuotaStatus::WithinQuota,
         routing::QuotaStatus::Borrowed => QuotaStatus::Borrowed,
@@ -37,15 +37,15 @@
 }
 
 impl Sites {
-    /// Sites by these settings; all that is known of them comes by events.
+    /// Creates the plan. Sites are added by events.
     pub fn new(settings: Settings) -> Sites {
         Sites {
             plan: FailoverPlan::new(settings, true, Duration::ZERO),
-            logged: Vec::new(),
+            last_logged: Vec::new(),
         }
     }
 
-    /// Takes classes and tenants over.
+    /// Applies the classes and tenants of the settings.
     pub fn configure(&mut self, settings: &routing::Settings) {
         let quotas = settings
             .tenants
@@ -53,31 +53,31 @@
             .map(|tenant| tenant.quota_per_s)
             .collect();
         self.plan.configure(
-            settings.classes.iter().map(class).collect(),
+            settings.classes.iter().map(failover_class).collect(),
             quotas,
             settings.over_quota_weight_fraction,
         );
     }
 
-    /// A request has arrived. Returns the fraction of its kind to shed.
+    /// Records the arrival of a request. Returns the fraction of requests of its kind to shed, 0 to 1.
     pub fn record_request(&mut self, now: Duration, arrival: &Arrival) -> f64 {
         let kind = RequestKind {
             group: arrival.group.0,
             write: self.plan.is_write(arrival.class.0),
             class: arrival.class.0,
             tenant: arrival.tenant.0,
-            quota_status: quota_status(arrival.quota_status),
+            quota_status: failover_quota_status(arrival.quota_status),
             is_retry: arrival.is_client_retry,
         };
         self.plan.record_request(now, arrival.id.0, kind)
     }
 
-    /// The plan.
+    /// The failover plan.
     pub fn plan(&mut self) -> &mut FailoverPlan {
         &mut self.plan
     }
 
-    /// An exchange has ended. What is answered in time shows a site's capacity.
+    /// Records the end of an exchange. Answers within the latency objective show a site's capacity.
     pub fn record_end(&mut self, now: Duration, completed: &CompletedExchange) {
         if let (Some(class), Some(group), ExchangeOutcome::Served(_)) =
             (completed.class, completed.group, &completed.outcome)
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Handles evidence. With each tick changes of state are logged: they are few, because of the dwell time.
+    /// Handles an event. Changes of state are logged with each tick; the dwell time keeps them rare.
     pub fn handle(&mut self, now: Duration, event: Event, name: impl Fn(u16) -> String) {
         self.plan.handle(now, event);
         if event == Event::Tick {
@@ -98,12 +98,12 @@
     fn log_changes(&mut self, name: impl Fn(u16) -> String) {
         let reports: Vec<Report> = self.plan.reports().collect();
         for report in &reports {
-            let former = self
-                .logged
+            let previous = self
+                .last_logged
                 .iter()
                 .find(|logged| logged.site == report.site)
                 .map(|logged| logged.state);
-            if former.is_some_and(|former| former != report.state) {
+            if previous.is_some_and(|previous| previous != report.state) {
                 let (site, state, source) = (
                     name(report.site),
                     report.state.name(),
@@ -112,7 +112,7 @@
                 log::warn!(source; "sites: {site} is {state}");
             }
         }
-        self.logged = reports;
+        self.last_logged = reports;
     }
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// The event for a server that the endpoint list does not name any more.
+/// The event for a server that was removed from the endpoint list.
 pub fn removal_event(server: ServerId) -> Event {
     Event::Endpoint {
         server: server.0,
--- a/crates/leverproxy/src/cluster/usage/tests.rs
+++ b/crates/leverproxy/src/cluster/usage/tests.rs
@@ -1,8 +1,8 @@
-//! The encoding of rates.
+//! Encoding of usage rates.
 
 use super::*;
 
-/// As version 1 wrote them.
+/// Bytes as written by version 1, which later builds must still read and write.
 #[test]
 fn rates_of_version_1_are_read_for_good() {
     let recorded = [1, 2, 0xe8, 0x07, 0xc0, 0xc4, 0x07, 3, 0];
@@ -27,6 +27,6 @@
             age: Duration::ZERO,
             ttl: TTL,
         };
-        assert!(is_malformed(&fact(KIND)) && !is_malformed(&fact(KIND + 1)));
+        assert!(is_malformed(&fact(MESSAGE_KIND)) && !is_malformed(&fact(MESSAGE_KIND + 1)));
     }
 }
--- a/crates/leverproxy/src/proxy/event_loop.rs
+++ b/crates/leverproxy/src/proxy/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for descriptors and timers, and dispatches each event to its owner.
+//! The event loop: waits for descriptors and timers, and dispatches each event to its handler.
 
 use super::state::Proxy;
 use crate::cluster::usage;
@@ -10,11 +10,11 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// A listener that was paused for want of capacity is read again after this, even if no client has left.
+/// A listener that is paused for lack of capacity accepts again after this time, even if no client has left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Proxy {
-    /// Serves until told to stop and every admitted request is answered.
+    /// Serves until the proxy is stopped and every admitted request is answered.
     ///
     /// # Errors
     /// Waiting for events failed.
@@ -26,7 +26,7 @@
             self.flush_members();
             if self.terminated {
                 self.leave_fleet();
-                self.log_end();
+                self.log_exit();
                 return Ok(());
             }
             let until = self.io.timers.next();
@@ -35,11 +35,11 @@
         }
     }
 
-    /// One round of events and due timers. Its load is the time that it takes, and how late it began.
+    /// Handles one round of events and due timers. Its delay and its duration are recorded as load of the event loop.
     fn dispatch(&mut self, until: Option<Instant>, ready: &mut [Ready]) {
-        let woken = Instant::now();
-        let late = until.map_or(Duration::ZERO, |at| woken.saturating_duration_since(at));
-        self.pipeline.monitor.record_lag(late);
+        let woken_at = Instant::now();
+        let delay = until.map_or(Duration::ZERO, |at| woken_at.saturating_duration_since(at));
+        self.pipeline.monitor.record_lag(delay);
         ready.sort_by_key(|event| event.priority());
         for &event in ready.iter() {
             self.on_ready(event);
@@ -48,13 +48,13 @@
         while let Some(timer) = self.io.timers.pop_due(now) {
             self.on_timer(timer, now);
         }
-        self.pipeline.monitor.record_lag(woken.elapsed());
+        self.pipeline.monitor.record_lag(woken_at.elapsed());
     }
 
-    fn log_end(&self) {
+    fn log_exit(&self) {
         let clients = self.io.downstream.client_count();
         let open = self.pipeline.open_request_count();
-        log::info!("ended, with {clients} clients left and {open} requests owed an answer");
+        log::info!("ended, with {clients} clients connected and {open} requests unanswered");
     }
 
     fn on_ready(&mut self, ready: Ready) {
@@ -81,7 +81,7 @@
             Token::HotRestartListener => self.on_handover_request(now),
             Token::HotRestart(key) => self.on_hot_restart_link_ready(key, now),
         }
-        // Each event is worked through at once: the next may be about what this one changed.
+        // Each event is processed completely before the next, which may depend on its changes.
         self.pipeline.process_events(&mut self.io, now);
     }
 
@@ -145,9 +145,9 @@
         }
     }
 
-    /// A new process asks for the handover.
+    /// A new process requests the handover.
     fn on_handover_request(&mut self, now: Instant) {
-        let (listing, exclusions) = self.pipeline.handover_state();
+        let (list, exclusions) = self.pipeline.handover_state();
         let Io {
             reactor,
             downstream,
@@ -156,8 +156,7 @@
             ..
         } = &mut self.io;
         let (clients, connections) = (downstream.client_count(), upstream.connection_count());
-        let state =
-            || HandoverState::new(listing.clone(), exclusions.clone(), clients, connections);
+        let state = || HandoverState::new(list.clone(), exclusions.clone(), clients, connections);
         if let Some(hot_restart) = hot_restart {
             hot_restart.accept(state, downstream.listener(), reactor);
         }
