--- a/crates/leverproxy/src/cluster/members/metrics.rs
+++ b/crates/leverproxy/src/cluster/members/metrics.rs
@@ -4,11 +4,11 @@
 use super::Members;
 use membership::{Counters, QuorumState, View};
 use std::time::Instant;
-use wire_admin::Figures;
+use wire_admin::Metrics;
 
 impl Members {
     /// Writes all metrics of the fleet.
-    pub fn write_metrics(&self, now: Instant, figures: &mut Figures) {
+    pub fn write_metrics(&self, now: Instant, figures: &mut Metrics) {
         let view = self.view(now);
         write_quorum_state(&view, figures);
         self.write_members(&view, now, figures);
@@ -17,7 +17,7 @@
         self.write_totals(&view, figures);
     }
 
-    fn write_members(&self, view: &View, now: Instant, figures: &mut Figures) {
+    fn write_members(&self, view: &View, now: Instant, figures: &mut Metrics) {
         let members = view.members.iter().flat_map(|member| {
             STATUSES.into_iter().map(|status| {
                 let labels = vec![
@@ -27,12 +27,12 @@
                 (labels, u64::from(member.status == status))
             })
         });
-        figures.many("lb_member", "What is known of each other member.", members);
+        figures.add_labelled("lb_member", "What is known of each other member.", members);
         let direct = view
             .members
             .iter()
             .map(|m| (vec![("member", m.name.as_str())], u64::from(m.direct)));
-        figures.many(
+        figures.add_labelled(
             "lb_member_direct",
             "Whether its last sign of life was its own datagram.",
             direct,
@@ -41,33 +41,33 @@
         let serving = accounts
             .iter()
             .map(|(name, a)| (vec![("member", name.as_str())], u64::from(a.serving)));
-        figures.many(
+        figures.add_labelled(
             "lb_member_serving",
             "What it says of itself, while that has not lapsed.",
             serving,
         );
     }
 
-    fn write_operations(&self, now: Instant, figures: &mut Figures) {
+    fn write_operations(&self, now: Instant, figures: &mut Metrics) {
         let allowed = REPORTED_OPERATIONS.into_iter().map(|operation| {
             (
                 vec![("act", operation_name(operation))],
                 u64::from(self.check_operation(operation, None, now).is_ok()),
             )
         });
-        figures.many(
+        figures.add_labelled(
             "lb_members_allowed",
             "What may be done in this state.",
             allowed,
         );
     }
 
-    fn write_counts_by_label(&self, counters: &Counters, figures: &mut Figures) {
+    fn write_counts_by_label(&self, counters: &Counters, figures: &mut Metrics) {
         let changes = self
             .status_changes
             .iter()
             .map(|(status, n)| (vec![("status", *status)], *n));
-        figures.many(
+        figures.add_labelled(
             "lb_members_changes_total",
             "How often a member became that.",
             changes,
@@ -83,7 +83,7 @@
             ("malformed-inside", counters.malformed),
         ];
         let beyond = beyond.map(|(reason, n)| (vec![("reason", reason)], n));
-        figures.many(
+        figures.add_labelled(
             "lb_members_refused_total",
             "Datagrams not taken in, by reason.",
             refused.chain(beyond),
@@ -93,14 +93,14 @@
             ("rates", self.malformed_rates),
         ];
         let unread = unread.map(|(of, n)| (vec![("of", of)], n));
-        figures.many(
+        figures.add_labelled(
             "lb_members_facts_unread_total",
             "Facts of another version, or torn.",
             unread,
         );
     }
 
-    fn write_totals(&self, view: &View, figures: &mut Figures) {
+    fn write_totals(&self, view: &View, figures: &mut Metrics) {
         let counters = &view.counters;
         for (name, help, value) in [
             (
@@ -148,12 +148,12 @@
             ("lb_members_unsent_total", "Datagrams that could not be sent.", self.unsent),
             ("lb_members_received_total", "Datagrams that came.", self.received),
         ] {
-            figures.one(name, help, value);
+            figures.add(name, help, value);
         }
     }
 }
 
-fn write_quorum_state(view: &View, figures: &mut Figures) {
+fn write_quorum_state(view: &View, figures: &mut Metrics) {
     let states = [
         QuorumState::Complete,
         QuorumState::Degraded,
@@ -164,7 +164,7 @@
     let state = states
         .iter()
         .map(|(name, s)| (vec![("state", name.as_str())], u64::from(*s == view.state)));
-    figures.many(
+    figures.add_labelled(
         "lb_members_state",
         "How much of the roster is heard.",
         state,
--- a/crates/leverproxy/src/cluster/quota_lending/metrics.rs
+++ b/crates/leverproxy/src/cluster/quota_lending/metrics.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use quota_lending::{Lender, LoanTotals};
-use wire_admin::Figures;
+use wire_admin::Metrics;
 
 use super::QuotaLending;
 
@@ -99,31 +99,31 @@
     }
 
     /// Adds the metrics.
-    pub fn write_metrics(&self, now: Instant, figures: &mut Figures) {
+    pub fn write_metrics(&self, now: Instant, figures: &mut Metrics) {
         self.tenant_figures(now, figures);
         self.decision_figures(figures);
         self.state_figures(figures);
     }
 
-    fn tenant_figures(&self, now: Instant, figures: &mut Figures) {
+    fn tenant_figures(&self, now: Instant, figures: &mut Metrics) {
         let totals = self.totals(now);
         for (name, help, value) in TENANT_FIGURES {
             let rows = totals
                 .iter()
                 .map(|(tenant, totals)| (vec![("stand", *tenant)], value(totals)));
-            figures.many(name, help, rows);
+            figures.add_labelled(name, help, rows);
         }
         let limits = self.running.iter().flat_map(|r| r.lender.credit_limits());
         let rows = limits.map(|(tenant, limit)| (vec![("stand", tenant)], limit));
-        figures.many("lb_loan_line_milli", "The line, by the rules here.", rows);
+        figures.add_labelled("lb_loan_line_milli", "The line, by the rules here.", rows);
     }
 
-    fn decision_figures(&self, figures: &mut Figures) {
+    fn decision_figures(&self, figures: &mut Metrics) {
         let rows = self
             .withheld
             .iter()
             .map(|(tenant, part)| (vec![("stand", tenant.as_str())], u64::from(*part)));
-        figures.many(
+        figures.add_labelled(
             "lb_loan_withheld",
             "Thousandths of its quota that a stand does without.",
             rows,
@@ -132,19 +132,19 @@
             .borrowed
             .iter()
             .map(|(tenant, n)| (vec![("stand", tenant.as_str())], *n));
-        figures.many("lb_loans_total", "Requests lent.", rows);
+        figures.add_labelled("lb_loans_total", "Requests lent.", rows);
         let rows = self
             .denied
             .iter()
             .map(|(reason, n)| (vec![("reason", *reason)], *n));
-        figures.many(
+        figures.add_labelled(
             "lb_loans_refused_total",
             "Requests beyond quota not lent, by reason.",
             rows,
         );
     }
 
-    fn state_figures(&self, figures: &mut Figures) {
+    fn state_figures(&self, figures: &mut Metrics) {
         let lender = self.running.as_ref().map(|running| &running.lender);
         let rows = [
             (
@@ -195,7 +195,7 @@
             ),
         ];
         for (name, help, value) in rows {
-            figures.one(name, help, value);
+            figures.add(name, help, value);
         }
     }
 }
--- a/crates/leverproxy/src/cluster/rollout/metrics.rs
+++ b/crates/leverproxy/src/cluster/rollout/metrics.rs
@@ -3,22 +3,22 @@
 use super::phase_names::phase_name;
 use super::Rollout;
 use ::rollout::{Phase, Readiness, Status};
-use wire_admin::Figures;
+use wire_admin::Metrics;
 
 impl Rollout {
     /// Writes all metrics of the rollout.
-    pub fn write_metrics(&self, figures: &mut Figures) {
+    pub fn write_metrics(&self, figures: &mut Metrics) {
         let status = self.core.status();
         let phases = [
             "idle", "proposed", "canary", "region", "whole", "halted", "returned",
         ];
         let is = phase_name(status.phase);
         let phase = phases.map(|name| (vec![("phase", name)], u64::from(name == is)));
-        figures.many("lb_rollout_phase", "How far the rollout has come.", phase);
+        figures.add_labelled("lb_rollout_phase", "How far the rollout has come.", phase);
         self.write_totals(&status, figures);
     }
 
-    fn write_totals(&self, status: &Status, figures: &mut Figures) {
+    fn write_totals(&self, status: &Status, figures: &mut Metrics) {
         let new = status
             .proposal
             .as_ref()
@@ -94,7 +94,7 @@
                 self.failed_versions,
             ),
         ] {
-            figures.one(name, help, value);
+            figures.add(name, help, value);
         }
     }
 }
--- a/crates/leverproxy/src/cluster/sites/metrics.rs
+++ b/crates/leverproxy/src/cluster/sites/metrics.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use site_failover::{Report, SiteState};
-use wire_admin::Figures;
+use wire_admin::Metrics;
 
 use super::Sites;
 
@@ -29,7 +29,7 @@
     pub fn write_metrics(
         &self,
         now: Duration,
-        figures: &mut Figures,
+        figures: &mut Metrics,
         name: impl Fn(u16) -> String,
     ) {
         let reports: Vec<(String, Report)> = self
@@ -43,7 +43,7 @@
                 (labels, u64::from(report.state == state))
             })
         });
-        figures.many(
+        figures.add_labelled(
             "lb_site_state",
             "What this proxy knows of each site.",
             states,
@@ -52,7 +52,7 @@
             let thousandths = 1_000.0 * self.plan.headroom(now, report.site);
             (vec![("site", name.as_str())], thousandths as u64)
         });
-        figures.many(
+        figures.add_labelled(
             "lb_site_headroom",
             "Of a thousand parts of the worth asked for, those served if the site went now.",
             headroom,
@@ -60,7 +60,7 @@
         let losses = reports
             .iter()
             .map(|(name, report)| (vec![("site", name.as_str())], report.losses));
-        figures.many(
+        figures.add_labelled(
             "lb_site_losses_total",
             "How often this proxy lost a site.",
             losses,
--- a/crates/leverproxy/src/health/monitor/status.rs
+++ b/crates/leverproxy/src/health/monitor/status.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use availability::{Condition, LinkState, Load, Reason, Report};
-use wire_admin::Figures;
+use wire_admin::Metrics;
 use wire_health::Status;
 
 use super::{site_name, Monitor};
@@ -34,7 +34,7 @@
     }
 
     /// Adds the metrics of sites.
-    pub fn site_figures(&self, now: Instant, figures: &mut Figures) {
+    pub fn site_figures(&self, now: Instant, figures: &mut Metrics) {
         if let Some(sites) = &self.sites {
             let since_start = self.since_start(now);
             sites.write_metrics(since_start, figures, |site| self.zone(site).to_owned());
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -19,7 +19,7 @@
 use std::io;
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
-use wire_admin::{Answer, Figures};
+use wire_admin::{Answer, Metrics};
 
 const FILE: &str = "memory.state";
 const LOCK: &str = "memory.lock";
@@ -230,7 +230,7 @@
     }
 
     /// Adds its metrics.
-    pub fn write_metrics(&self, figures: &mut Figures) {
+    pub fn write_metrics(&self, figures: &mut Metrics) {
         for (name, help, value) in [
             ("lb_memory_unread", "Whether this process began without what was kept.", u64::from(self.unread)),
             (
@@ -256,7 +256,7 @@
                 self.index_regressions,
             ),
         ] {
-            figures.one(name, help, value);
+            figures.add(name, help, value);
         }
     }
 }
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -2,12 +2,12 @@
 
 use super::state::Proxy;
 use std::time::Instant;
-use wire_admin::{Answer, Figures};
+use wire_admin::{Answer, Metrics};
 
 impl Proxy {
     /// Metrics of the whole process, in the text format of the admin API.
     pub(super) fn metrics(&self, now: Instant) -> Answer {
-        let mut figures = Figures::default();
+        let mut figures = Metrics::default();
         self.add_request_metrics(&mut figures);
         self.add_process_metrics(&mut figures, now);
         if let Some(members) = &self.members {
@@ -26,20 +26,20 @@
         figures.answer()
     }
 
-    fn add_request_metrics(&self, figures: &mut Figures) {
+    fn add_request_metrics(&self, figures: &mut Metrics) {
         let counters = &self.pipeline.counters;
         let requests = counters.requests().flat_map(|(class, outcomes)| {
             let labelled = move |(kind, n)| (vec![("class", class), ("outcome", kind)], n);
             outcomes.into_iter().map(labelled)
         });
-        figures.many(
+        figures.add_labelled(
             "lb_requests_total",
             "Requests answered, by class and outcome.",
             requests,
         );
     }
 
-    fn add_process_metrics(&self, figures: &mut Figures, now: Instant) {
+    fn add_process_metrics(&self, figures: &mut Metrics, now: Instant) {
         let counters = &self.pipeline.counters;
         let (known, excluded) = self.pipeline.endpoint_counts(now);
         for (name, help, value) in [
@@ -79,7 +79,7 @@
                 counters.reloads_failed,
             ),
         ] {
-            figures.one(name, help, value);
+            figures.add(name, help, value);
         }
     }
 }
--- a/crates/wire-admin/src/lib.rs
+++ b/crates/wire-admin/src/lib.rs
@@ -188,18 +188,18 @@
 
 /// The figures: each with what it means, its kind and its values by label.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     text: String,
 }
 
-impl Figures {
+impl Metrics {
     /// A figure with one value.
-    pub fn one(&mut self, name: &str, help: &str, value: u64) {
-        self.many(name, help, [(Vec::new(), value)]);
+    pub fn add(&mut self, name: &str, help: &str, value: u64) {
+        self.add_labelled(name, help, [(Vec::new(), value)]);
     }
 
     /// A figure with a value for each set of labels. What only grows ends in `_total`.
-    pub fn many<'a>(
+    pub fn add_labelled<'a>(
         &mut self,
         name: &str,
         help: &str,
--- a/crates/wire-admin/tests/calls.rs
+++ b/crates/wire-admin/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Calls as operators' tools send them, whole and spoilt.
 
-use wire_admin::{parse, Call, Figures, Status, BODY_LIMIT, HEAD_LIMIT};
+use wire_admin::{parse, Call, Metrics, Status, BODY_LIMIT, HEAD_LIMIT};
 
 fn post(path: &str, body: &str) -> String {
     format!("POST {path} HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len())
@@ -122,11 +122,11 @@
 
 #[test]
 fn figures_as_text() {
-    let mut figures = Figures::default();
-    figures.one("lb_in_flight", "Requests.", 14);
+    let mut metrics = Metrics::default();
+    metrics.add("lb_in_flight", "Requests.", 14);
     let labels = vec![("class", "a\"b"), ("outcome", "served")];
-    figures.many("lb_requests_total", "By class.", [(labels, 812)]);
-    let text = figures.answer().text;
+    metrics.add_labelled("lb_requests_total", "By class.", [(labels, 812)]);
+    let text = metrics.answer().text;
     assert!(text.contains("\nlb_in_flight 14\n"), "{text}");
     assert!(
         text.contains("# TYPE lb_requests_total counter\n"),
