--- a/crates/grpc-health/src/lib.rs
+++ b/crates/grpc-health/src/lib.rs
@@ -32,7 +32,7 @@
     /// Connections at once; further ones wait in the backlog.
     pub connections: usize,
     /// A connection has to come up, and a request to come whole, within this.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Calls of one connection at once, watches among them.
@@ -121,7 +121,7 @@
             () = gone(&mut over) => {
                 drop(place);
                 let all = u32::try_from(settings.connections).unwrap_or(u32::MAX);
-                _ = timeout(settings.patience, places.acquire_many(all)).await;
+                _ = timeout(settings.timeout, places.acquire_many(all)).await;
                 return;
             }
         };
@@ -151,7 +151,7 @@
         .max_header_list_size(4 << 10)
         .initial_window_size(16 << 10);
     let Ok(Ok(mut connection)) =
-        timeout(settings.patience, builder.handshake::<_, Bytes>(stream)).await
+        timeout(settings.timeout, builder.handshake::<_, Bytes>(stream)).await
     else {
         return;
     };
@@ -161,7 +161,7 @@
             call = connection.accept() => call,
             () = gone(&mut over) => {
                 connection.graceful_shutdown();
-                while let Ok(Some(Ok(_))) = timeout(settings.patience, connection.accept()).await {}
+                while let Ok(Some(Ok(_))) = timeout(settings.timeout, connection.accept()).await {}
                 return;
             }
         };
@@ -180,7 +180,7 @@
     snapshots: Snapshots,
 ) {
     let (head, body) = request.into_parts();
-    let message = match timeout(settings.patience, read(body)).await {
+    let message = match timeout(settings.timeout, read(body)).await {
         Ok(Ok(message)) => message,
         Ok(Err(code)) => return fail(respond, code),
         Err(_) => return fail(respond, INVALID_ARGUMENT),
--- a/crates/grpc-health/tests/calls.rs
+++ b/crates/grpc-health/tests/calls.rs
@@ -17,7 +17,7 @@
         listener,
         Settings {
             connections: 4,
-            patience: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
         },
     )
     .unwrap();
