--- a/crates/incidents/src/balancer.rs
+++ b/crates/incidents/src/balancer.rs
@@ -97,7 +97,7 @@
             // An agent that can't be reached changes nothing: that is what the checks beside it are for.
             HealthProtocol::Agent => {
                 if let Some(status) = status {
-                    server.agent(&agent::line(status));
+                    server.agent(&agent::response_line(status));
                 }
             }
             HealthProtocol::Http { disable_on_404 } => {
@@ -164,7 +164,7 @@
     } else {
         Statuses::Plain
     };
-    let answer = http::answer(&check, status, statuses);
+    let answer = http::response(&check, status, statuses);
     let text = String::from_utf8_lossy(&answer);
     text.split(' ')
         .nth(1)
@@ -198,7 +198,7 @@
 
     /// The administrative state and the operational one are set apart: `up` does not undo a drain.
     pub fn agent(&mut self, line: &str) {
-        let words = agent::read(line);
+        let words = agent::parse_response(line);
         match words.operational {
             Some(Operational::Up) => self.up = true,
             Some(Operational::Down) => self.up = false,
--- a/crates/leverproxy/src/downstream/decode.rs
+++ b/crates/leverproxy/src/downstream/decode.rs
@@ -7,7 +7,7 @@
 use crate::protocol::postgres::Malformed;
 use crate::request::{Request, ResponseSlot};
 use std::time::Instant;
-use wire_health::proxy::{self, From};
+use wire_health::proxy::{self, Source};
 
 /// What a message came to.
 #[allow(
@@ -51,7 +51,7 @@
     };
     client.stream.input.consume(used);
     client.awaits_proxy_header = false;
-    if let From::Client(address) = from {
+    if let Source::Client(address) = from {
         client.peer = address.ip();
     }
     Ok(Step::Done)
--- a/crates/leverproxy/src/health/answer.rs
+++ b/crates/leverproxy/src/health/answer.rs
@@ -34,7 +34,7 @@
     status: &Status,
     counts: &mut Counts,
 ) {
-    let request = agent::asked(check.stream.input.unused());
+    let request = agent::parse_request(check.stream.input.unused());
     // A balancer that never ends its line is answered too.
     let is_complete =
         !expects_text || request.is_some() || check.stream.input.len() >= agent::TEXT_LIMIT;
@@ -44,8 +44,8 @@
     counts.checks += 1;
     check.answered += 1;
     let line = match request {
-        Some(agent::Asked::Group(group)) => agent::line(&group_status(status, group)),
-        _ => agent::line(status),
+        Some(agent::Scope::Group(group)) => agent::response_line(&group_status(status, group)),
+        _ => agent::response_line(status),
     };
     check.stream.push(line.as_bytes());
     check.closing = true;
@@ -88,8 +88,10 @@
                 counts.checks += 1;
                 check.answered += 1;
                 check.since = now;
-                check.stream.push(&http::answer(&request, status, statuses));
-                check.closing = !request.keep;
+                check
+                    .stream
+                    .push(&http::response(&request, status, statuses));
+                check.closing = !request.keep_alive;
                 if let Some(view) = request.server_state {
                     let node = view.node.unwrap_or_else(|| "a balancer".into());
                     views.record(node, view.state);
@@ -97,7 +99,7 @@
             }
             Err(fault) => {
                 counts.faulty += 1;
-                check.stream.push(&http::fault(fault));
+                check.stream.push(&http::fault_response(fault));
                 check.closing = true;
             }
         }
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -136,7 +136,7 @@
         status(web, "/readyz/group/3") == 503
     });
     assert_eq!(status(web, "/readyz"), 200, "others are not drained for it");
-    let words = agent::read(&agent_check(agent));
+    let words = agent::parse_response(&agent_check(agent));
     assert_eq!(
         (words.administrative, words.operational),
         (Some(Administrative::Ready), Some(Operational::Up))
@@ -285,7 +285,7 @@
     let (done, text) = say(socket, "undrain");
     assert!(done && text.starts_with("phase serving\n"), "{text}");
     assert_eq!(
-        agent::read(&agent_check(stage.health[0])).administrative,
+        agent::parse_response(&agent_check(stage.health[0])).administrative,
         Some(Administrative::Ready)
     );
     Peer::client(stage.address);
--- a/crates/wire-health/src/agent.rs
+++ b/crates/wire-health/src/agent.rs
@@ -12,7 +12,7 @@
 
 /// What a balancer asks about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Scope {
     /// The whole proxy.
     Proxy,
     /// One group of record servers, by its number.
@@ -20,7 +20,7 @@
 }
 
 /// The text up to its newline, if that is there yet; what it asks.
-pub fn asked(input: &[u8]) -> Option<Asked> {
+pub fn parse_request(input: &[u8]) -> Option<Scope> {
     let end = input.iter().position(|b| *b == b'\n')?;
     let text = std::str::from_utf8(&input[..end])
         .unwrap_or_default()
@@ -29,11 +29,11 @@
         .strip_prefix("group")
         .map(str::trim)
         .and_then(|n| n.parse().ok());
-    Some(group.map_or(Asked::Proxy, Asked::Group))
+    Some(group.map_or(Scope::Proxy, Scope::Group))
 }
 
 /// The line that tells a status.
-pub fn line(status: &Status) -> String {
+pub fn response_line(status: &Status) -> String {
     // One line, whatever the reason holds, and no second comment.
     let reason: String = status
         .reason
@@ -63,7 +63,7 @@
 
 /// What a balancer understands of a line; the other side of the protocol, for stand-ins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Words {
+pub struct Response {
     /// The operational state, if the line sets one.
     pub operational: Option<Operational>,
     /// The administrative state, if the line sets one.
@@ -95,8 +95,8 @@
 }
 
 /// Reads a line as a balancer does: words that it does not know are passed over, of each kind the last counts.
-pub fn read(line: &str) -> Words {
-    let mut words = Words::default();
+pub fn parse_response(line: &str) -> Response {
+    let mut words = Response::default();
     let said = line.lines().next().unwrap_or_default();
     let said = said.split('#').next().unwrap_or_default();
     for word in said.split([' ', '\t', ',']).filter(|w| !w.is_empty()) {
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -57,7 +57,7 @@
     /// The endpoint.
     pub target: Target,
     /// The connection goes on after the answer.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// Detail in JSON is wanted.
     pub detail: bool,
     /// The format of the load report that is wanted; none: no report.
@@ -156,7 +156,7 @@
     let mut check = Check {
         method,
         target,
-        keep: request.version == Some(1),
+        keep_alive: request.version == Some(1),
         detail: query
             .split('&')
             .any(|pair| pair == "verbose" || pair == "format=json"),
@@ -169,10 +169,10 @@
             "connection" => {
                 for word in value.split(',').map(str::trim) {
                     if word.eq_ignore_ascii_case("close") {
-                        check.keep = false;
+                        check.keep_alive = false;
                     } else if word.eq_ignore_ascii_case("keep-alive") && request.version == Some(0)
                     {
-                        check.keep = true;
+                        check.keep_alive = true;
                     }
                 }
             }
@@ -189,7 +189,7 @@
 }
 
 /// The answer to what is no check; the connection ends behind it.
-pub fn fault(fault: Fault) -> Vec<u8> {
+pub fn fault_response(fault: Fault) -> Vec<u8> {
     let status = match fault {
         Fault::Malformed => "400 Bad Request",
         Fault::TooLong => "431 Request Header Fields Too Large",
@@ -199,7 +199,7 @@
 }
 
 /// The response to a check, with the status that `statuses` prescribes.
-pub fn answer(check: &Check, status: &Status, statuses: Statuses) -> Vec<u8> {
+pub fn response(check: &Check, status: &Status, statuses: Statuses) -> Vec<u8> {
     let state = status.state;
     let group = match check.target {
         Target::Group(group) => status.groups.iter().find(|g| g.group == group),
@@ -305,7 +305,7 @@
         out.push_str(header);
         out.push_str("\r\n");
     }
-    out.push_str(if check.keep {
+    out.push_str(if check.keep_alive {
         "Connection: keep-alive\r\n\r\n"
     } else {
         "Connection: close\r\n\r\n"
--- a/crates/wire-health/src/proxy.rs
+++ b/crates/wire-health/src/proxy.rs
@@ -14,7 +14,7 @@
 
 /// Who a connection is from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum Source {
     /// The balancer speaks for itself (a check), or does not know: the connection's own address counts.
     Local,
     /// The client's address, as the balancer names it.
@@ -46,7 +46,7 @@
 }
 
 /// The header, if it has come whole, and its bytes. Reads no more than a header may hold.
-pub fn parse(input: &[u8]) -> Result<Option<(From, usize)>, Fault> {
+pub fn parse(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
     let same = |start: &[u8]| input.iter().zip(start).all(|(a, b)| a == b);
     if same(&SIGNATURE) {
         if input.len() < SIGNATURE.len() {
@@ -65,7 +65,7 @@
     }
 }
 
-fn first(input: &[u8]) -> Result<Option<(From, usize)>, Fault> {
+fn first(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
     let window = &input[..input.len().min(LINE_LIMIT)];
     let Some(end) = window.windows(2).position(|w| w == b"\r\n") else {
         return if input.len() >= LINE_LIMIT {
@@ -78,7 +78,7 @@
     let mut words = line.split(' ').skip(1);
     let family = words.next().ok_or(Fault::Malformed)?;
     if family == "UNKNOWN" {
-        return Ok(Some((From::Local, end + 2)));
+        return Ok(Some((Source::Local, end + 2)));
     }
     let mut word = || words.next().ok_or(Fault::Malformed);
     let (source, destination, from_port, to_port) = (word()?, word()?, word()?, word()?);
@@ -115,12 +115,12 @@
         return Err(Fault::Malformed);
     }
     Ok(Some((
-        From::Client(SocketAddr::new(source, port(from_port)?)),
+        Source::Client(SocketAddr::new(source, port(from_port)?)),
         end + 2,
     )))
 }
 
-fn second(input: &[u8]) -> Result<Option<(From, usize)>, Fault> {
+fn second(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
     if input.len() < HEAD {
         return Ok(None);
     }
@@ -140,10 +140,10 @@
         0x11 => (v4(body), 12),
         0x21 => (v6(body), 36),
         // Datagrams, sockets of the machine and what is not specified are no address of a client over TCP.
-        0x12 => (Some(From::Local), 12),
-        0x22 => (Some(From::Local), 36),
-        0x31 | 0x32 => (Some(From::Local), 216),
-        _ => (Some(From::Local), 0),
+        0x12 => (Some(Source::Local), 12),
+        0x22 => (Some(Source::Local), 36),
+        0x31 | 0x32 => (Some(Source::Local), 216),
+        _ => (Some(Source::Local), 0),
     };
     let from = from.filter(|_| body.len() >= addresses);
     let local = command == 0;
@@ -151,25 +151,25 @@
         tlvs(whole, HEAD + addresses, rest)?;
     }
     match from {
-        _ if local => Ok(Some((From::Local, whole.len()))),
+        _ if local => Ok(Some((Source::Local, whole.len()))),
         Some(from) => Ok(Some((from, whole.len()))),
         None => Err(Fault::Malformed),
     }
 }
 
-fn v4(body: &[u8]) -> Option<From> {
+fn v4(body: &[u8]) -> Option<Source> {
     let address: [u8; 4] = body.get(..4)?.try_into().ok()?;
     let port = u16::from_be_bytes(body.get(8..10)?.try_into().ok()?);
-    Some(From::Client(SocketAddr::new(
+    Some(Source::Client(SocketAddr::new(
         Ipv4Addr::from(address).into(),
         port,
     )))
 }
 
-fn v6(body: &[u8]) -> Option<From> {
+fn v6(body: &[u8]) -> Option<Source> {
     let address: [u8; 16] = body.get(..16)?.try_into().ok()?;
     let port = u16::from_be_bytes(body.get(32..34)?.try_into().ok()?);
-    Some(From::Client(SocketAddr::new(
+    Some(Source::Client(SocketAddr::new(
         Ipv6Addr::from(address).into(),
         port,
     )))
--- a/crates/wire-health/tests/codecs.rs
+++ b/crates/wire-health/tests/codecs.rs
@@ -5,10 +5,10 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use wire_health::agent::{self, Administrative, Asked, Operational};
+use wire_health::agent::{self, Administrative, Operational, Scope};
 use wire_health::http::{self, Fault, Statuses};
 use wire_health::orca::{self, Format};
-use wire_health::proxy::{self, From};
+use wire_health::proxy::{self, Source};
 use wire_health::{Group, Load, State, Status};
 
 fn status(state: State, weight: u8) -> Status {
@@ -56,12 +56,12 @@
 #[test]
 fn an_agent_that_serves_undoes_every_drain() {
     for state in STATES {
-        let line = agent::line(&status(state, 0));
+        let line = agent::response_line(&status(state, 0));
         assert!(
             line.ends_with('\n') && line.matches('\n').count() == 1,
             "{line}"
         );
-        let words = agent::read(&line);
+        let words = agent::parse_response(&line);
         if state.serves() {
             assert_eq!(words.administrative, Some(Administrative::Ready), "{line}");
             assert_eq!(words.operational, Some(Operational::Up));
@@ -78,25 +78,28 @@
     let mut odd = status(State::Ready, 75);
     odd.reason = "two\nlines # and a sign".into();
     assert_eq!(
-        agent::line(&odd),
+        agent::response_line(&odd),
         "ready up 75% maxconn:40 # two lines   and a sign\n"
     );
 }
 
 #[test]
 fn agent_lines_are_read_as_balancers_read_them() {
-    let words = agent::read("drain, up\t50% maxconn:9 frobnicate # down\nstopped");
+    let words = agent::parse_response("drain, up\t50% maxconn:9 frobnicate # down\nstopped");
     assert_eq!(
         (words.administrative, words.operational),
         (Some(Administrative::Drain), Some(Operational::Up))
     );
     assert_eq!((words.weight, words.maxconn), (Some(50), Some(9)));
     for word in ["down", "fail", "failed", "stopped", "DOWN"] {
-        assert_eq!(agent::read(word).operational, Some(Operational::Down));
+        assert_eq!(
+            agent::parse_response(word).operational,
+            Some(Operational::Down)
+        );
     }
-    assert_eq!(agent::asked(b"group 3\n"), Some(Asked::Group(3)));
-    assert_eq!(agent::asked(b"srv1\r\n"), Some(Asked::Proxy));
-    assert_eq!(agent::asked(b"grou"), None);
+    assert_eq!(agent::parse_request(b"group 3\n"), Some(Scope::Group(3)));
+    assert_eq!(agent::parse_request(b"srv1\r\n"), Some(Scope::Proxy));
+    assert_eq!(agent::parse_request(b"grou"), None);
 }
 
 fn ask(text: &str) -> http::Check {
@@ -106,7 +109,8 @@
 }
 
 fn code(text: &str, state: State, statuses: Statuses) -> u16 {
-    let answer = String::from_utf8(http::answer(&ask(text), &status(state, 50), statuses)).unwrap();
+    let answer =
+        String::from_utf8(http::response(&ask(text), &status(state, 50), statuses)).unwrap();
     answer.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
@@ -163,7 +167,7 @@
 #[test]
 fn headers_carry_the_rest() {
     let answer = |text: &str, state| {
-        String::from_utf8(http::answer(
+        String::from_utf8(http::response(
             &ask(text),
             &status(state, 50),
             Statuses::Plain,
@@ -197,13 +201,13 @@
         head.ends_with("\r\n\r\n") && head.contains("Content-Length: 6\r\n"),
         "{head}"
     );
-    for (text, keep) in [
+    for (text, keep_alive) in [
         ("GET / HTTP/1.1\r\n\r\n", true),
         ("GET / HTTP/1.1\r\nConnection: Close\r\n\r\n", false),
         ("GET / HTTP/1.0\r\n\r\n", false),
         ("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", true),
     ] {
-        assert_eq!(ask(text).keep, keep, "{text}");
+        assert_eq!(ask(text).keep_alive, keep_alive, "{text}");
     }
 }
 
@@ -292,18 +296,21 @@
     assert_eq!(
         proxy::parse(first),
         Ok(Some((
-            From::Client(address("192.0.2.7:56324")),
+            Source::Client(address("192.0.2.7:56324")),
             first.len() - 4
         )))
     );
     let six = b"PROXY TCP6 2001:db8::7 2001:db8::1 1 2\r\n";
     assert_eq!(
         proxy::parse(six),
-        Ok(Some((From::Client(address("[2001:db8::7]:1")), six.len())))
+        Ok(Some((
+            Source::Client(address("[2001:db8::7]:1")),
+            six.len()
+        )))
     );
     assert_eq!(
         proxy::parse(b"PROXY UNKNOWN whatever\r\n"),
-        Ok(Some((From::Local, 24)))
+        Ok(Some((Source::Local, 24)))
     );
     for (from, to) in [
         ("192.0.2.7:1", "198.51.100.1:2"),
@@ -312,10 +319,10 @@
         let header = proxy::header(address(from), address(to), 1);
         assert_eq!(
             proxy::parse(&header),
-            Ok(Some((From::Client(address(from)), header.len())))
+            Ok(Some((Source::Client(address(from)), header.len())))
         );
         let local = proxy::header(address(from), address(to), 0);
-        assert_eq!(proxy::parse(&local), Ok(Some((From::Local, local.len()))));
+        assert_eq!(proxy::parse(&local), Ok(Some((Source::Local, local.len()))));
         // Whole or not at all, and any changed byte of the body is found.
         for cut in 0..header.len() {
             assert_eq!(proxy::parse(&header[..cut]), Ok(None), "{cut}");
@@ -362,11 +369,11 @@
         let start: &[u8] = [b"".as_slice(), b"PROXY TCP4 ", b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x20", b"GET /readyz HTTP/1.1\r\n"][head];
         let input = [start, &bytes].concat();
         _ = proxy::parse(&input);
-        _ = agent::asked(&input);
-        _ = agent::read(&String::from_utf8_lossy(&input));
+        _ = agent::parse_request(&input);
+        _ = agent::parse_response(&String::from_utf8_lossy(&input));
         if let Ok(Some((check, used))) = http::parse(&input) {
             prop_assert!(used <= input.len());
-            _ = http::answer(&check, &status(State::Ready, 50), Statuses::Plain);
+            _ = http::response(&check, &status(State::Ready, 50), Statuses::Plain);
         }
     }
 }
