--- a/crates/site-failover/src/capacity.rs
+++ b/crates/site-failover/src/capacity.rs
@@ -16,7 +16,7 @@
 /// With each longer response the work of a class grows by this part of the difference.
 const WORK_GROWTH: f64 = 0.01;
 /// The shortest response that is counted, in seconds.
-const LEAST_WORK: f64 = 1e-6;
+const MIN_WORK: f64 = 1e-6;
 /// Capacities that are kept; those of groups and sites that come later count for nothing.
 const CAPACITIES_LIMIT: usize = 4 * GROUPS_LIMIT;
 
@@ -71,7 +71,7 @@
 impl Capacity {
     /// A request of a class was answered in time, after `elapsed`.
     pub fn record_answer(&mut self, now: Time, key: CapacityKey, class: u16, elapsed: Duration) {
-        self.learn_work(class, elapsed.as_secs_f64().max(LEAST_WORK));
+        self.learn_work(class, elapsed.as_secs_f64().max(MIN_WORK));
         let work = self.work(class);
         let has_room = self.peaks.contains_key(&key) || self.peaks.len() < CAPACITIES_LIMIT;
         if usize::from(key.site) >= SITES_LIMIT || !has_room {
@@ -102,7 +102,7 @@
     }
 
     /// Work in a second that a site has shown.
-    pub fn shown(&self, now: Time, key: CapacityKey) -> f64 {
+    pub fn observed(&self, now: Time, key: CapacityKey) -> f64 {
         let Some(mut peak) = self.peaks.get(&key).copied() else {
             return 0.0;
         };
@@ -119,14 +119,14 @@
     }
 
     /// What all other sites together have shown for a group.
-    pub fn total_of_others(&self, now: Time, lost: u16, group: u32, write: bool) -> f64 {
-        self.of_others(now, lost, group, write)
-            .map(|(_, shown)| shown)
+    pub fn total_of_other_sites(&self, now: Time, lost: u16, group: u32, write: bool) -> f64 {
+        self.of_other_sites(now, lost, group, write)
+            .map(|(_, observed)| observed)
             .sum()
     }
 
     /// What each other site has shown for a group.
-    pub fn of_others(
+    pub fn of_other_sites(
         &self,
         now: Time,
         lost: u16,
@@ -147,6 +147,6 @@
             .range(first..=last)
             .map(|(key, _)| *key)
             .filter(move |key| key.site != lost && key.write == write)
-            .map(move |key| (key.site, self.shown(now, key)))
+            .map(move |key| (key.site, self.observed(now, key)))
     }
 }
--- a/crates/site-failover/src/demand.rs
+++ b/crates/site-failover/src/demand.rs
@@ -25,7 +25,7 @@
 const TIME_CONSTANT: f64 = 10.0;
 const KINDS_LIMIT: usize = 4_096;
 /// Kinds of a lower rate, in requests a second, are forgotten where there is no room.
-const RARE: f64 = 0.01;
+const MIN_KEPT_RATE: f64 = 0.01;
 
 /// A count that decays.
 #[derive(Clone, Copy, Debug)]
@@ -55,16 +55,17 @@
     /// A request has arrived.
     pub fn record(&mut self, now: Time, kind: RequestKind) {
         if self.counts.len() >= KINDS_LIMIT && !self.counts.contains_key(&kind) {
-            self.counts.retain(|_, count| count.rate(now) >= RARE);
+            self.counts
+                .retain(|_, count| count.rate(now) >= MIN_KEPT_RATE);
             if self.counts.len() >= KINDS_LIMIT {
                 return;
             }
         }
-        let none = DecayingCount {
+        let empty = DecayingCount {
             count: 0.0,
             at: now,
         };
-        let count = self.counts.entry(kind).or_insert(none);
+        let count = self.counts.entry(kind).or_insert(empty);
         *count = DecayingCount {
             count: count.decayed(now) + 1.0,
             at: now,
--- a/crates/site-failover/src/detector.rs
+++ b/crates/site-failover/src/detector.rs
@@ -12,9 +12,9 @@
 use crate::{EndpointState, Event, Settings, Time, SERVERS_LIMIT, SITES_LIMIT};
 
 /// Servers that must be down for a loss, of sites that have as many.
-const WITNESSES: usize = 2;
+const MIN_DOWN_SERVERS: usize = 2;
 /// Hard failures of a server count when they are apart by this part of [`Settings::lost_after`].
-const SPREAD_PART: u32 = 4;
+const SPREAD_DIVISOR: u32 = 4;
 /// Answers of a returning site before it is healthy.
 const RETURN_ANSWERS: u8 = 3;
 
@@ -93,8 +93,8 @@
         if !has_several || is_expected && !self.has_suspicion() {
             return;
         }
-        for id in self.sites_to_judge(event) {
-            self.judge(id);
+        for id in self.sites_to_update(event) {
+            self.update_state(id);
         }
     }
 
@@ -126,9 +126,9 @@
         }
     }
 
-    fn sites_to_judge(&self, event: Event) -> Vec<u16> {
+    fn sites_to_update(&self, event: Event) -> Vec<u16> {
         match event {
-            Event::Answered { server } => self.sites_concerned_by_answer(server),
+            Event::Answered { server } => self.sites_affected_by_answer(server),
             Event::ConnectFailed { server }
             | Event::Reset { server }
             | Event::TimedOut { server }
@@ -143,7 +143,7 @@
     }
 
     /// An answer is evidence against each site that is suspected, too.
-    fn sites_concerned_by_answer(&self, server: u32) -> Vec<u16> {
+    fn sites_affected_by_answer(&self, server: u32) -> Vec<u16> {
         let own = self.site_of(server);
         self.sites
             .iter()
@@ -207,13 +207,13 @@
             return;
         };
         server.clear_failures();
-        let (is_away, id) = (server.is_away(), server.site);
+        let (is_out_of_service, id) = (server.is_out_of_service(), server.site);
         let Some(site) = self.sites.get_mut(&id) else {
             return;
         };
         site.answered_at = Some(now);
         let suspicion = site.suspicion.take();
-        if is_away {
+        if is_out_of_service {
             return;
         }
         site.answers_since_loss = site.answers_since_loss.saturating_add(1);
@@ -223,29 +223,29 @@
         let lost_after = self.settings.lost_after;
         let was_shared = !is_lost && suspicion.is_some_and(|was| now - was.first_at >= lost_after);
         if suspicion.is_some() {
-            self.forget_contrast(id, was_shared);
+            self.clear_site_specific_failures(id, was_shared);
         }
         if !is_lost {
-            self.contrast_others(id, was_shared);
+            self.mark_suspicions_site_specific(id, was_shared);
         }
     }
 
     /// Of one site, or of all.
-    fn forget_contrast(&mut self, site: u16, of_all: bool) {
+    fn clear_site_specific_failures(&mut self, site: u16, of_all: bool) {
         for server in self.servers.values_mut() {
             if of_all || server.site == site {
-                server.contrasted_failures = 0;
+                server.site_specific_failures = 0;
             }
         }
     }
 
     /// An answer of this site is contrast to the suspicion of others. `anew`: former contrast does not count.
-    fn contrast_others(&mut self, answering: u16, anew: bool) {
+    fn mark_suspicions_site_specific(&mut self, answering: u16, reset: bool) {
         let now = self.now;
         for (_, site) in self.sites.iter_mut().filter(|(id, _)| **id != answering) {
             if let Some(suspicion) = &mut site.suspicion {
-                let former = suspicion.contrasted_since.filter(|_| !anew);
-                suspicion.contrasted_since = former.or(Some(now));
+                let previous = suspicion.site_specific_since.filter(|_| !reset);
+                suspicion.site_specific_since = previous.or(Some(now));
             }
         }
     }
@@ -259,27 +259,27 @@
             return;
         };
         let spread = if guards.span {
-            self.settings.lost_after / SPREAD_PART
+            self.settings.lost_after / SPREAD_DIVISOR
         } else {
             Duration::ZERO
         };
         if !server.record_failure(self.now, failure, spread) {
             return;
         }
-        if server.is_away() || failure == Failure::Timeout && guards.timeouts {
+        if server.is_out_of_service() || failure == Failure::Timeout && guards.timeouts {
             return;
         }
         let Some(site) = self.sites.get_mut(&server.site) else {
             return;
         };
         let suspicion = site.suspicion.get_or_insert(Suspicion {
-            contrasted_since: (!guards.contrast).then_some(self.now),
+            site_specific_since: (!guards.site_specific).then_some(self.now),
             first_at: self.now,
             last_at: self.now,
         });
         suspicion.last_at = self.now;
-        if suspicion.contrasted_since.is_some() {
-            server.record_contrast();
+        if suspicion.site_specific_since.is_some() {
+            server.record_site_specific_failure();
         }
     }
 
@@ -289,8 +289,8 @@
     }
 
     /// Whether another site that is not lost has answered since then. So the last site is never lost.
-    fn answers_elsewhere(&self, id: u16, since: Time) -> bool {
-        !self.settings.guards.contrast
+    fn has_answer_elsewhere(&self, id: u16, since: Time) -> bool {
+        !self.settings.guards.site_specific
             || self.sites.iter().any(|(other, site)| {
                 *other != id && !site.is_lost() && site.answered_at.is_some_and(|at| at >= since)
             })
@@ -309,27 +309,27 @@
     /// otherwise the list may be older than the site's last answer.
     fn loss_without_members(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
         let guards = self.settings.guards;
-        let all_excluded = counts.excluded == counts.away && counts.excluded > 0;
+        let all_excluded = counts.excluded == counts.out_of_service && counts.excluded > 0;
         let confirmed = site
             .suspicion
-            .filter(|_| counts.failing >= WITNESSES.min(site.last_members));
+            .filter(|_| counts.failing >= MIN_DOWN_SERVERS.min(site.last_members));
         let delay = if guards.list_delay && !all_excluded && confirmed.is_none() {
             self.settings.list_late
         } else {
             self.settings.lost_after
         };
-        let last_sign_of_life = confirmed
+        let last_evidence_at = confirmed
             .map(|suspicion| suspicion.first_at)
             .or(site.answered_at)
             .unwrap_or(site.listed_at);
-        let until = last_sign_of_life + delay;
-        let is_list_believed = !guards.list_delay || self.list_connected && self.now >= until;
+        let until = last_evidence_at + delay;
+        let is_list_trusted = !guards.list_delay || self.list_connected && self.now >= until;
         let evidence = if all_excluded {
             Evidence::ManualExclusion
         } else {
             Evidence::EndpointList
         };
-        (is_list_believed && self.answers_elsewhere(id, until)).then_some(evidence)
+        (is_list_trusted && self.has_answer_elsewhere(id, until)).then_some(evidence)
     }
 
     /// Enough servers still fail [`Settings::lost_after`] after other sites were first known to answer, and these answer after
@@ -342,15 +342,15 @@
         } else {
             Duration::ZERO
         };
-        let until = suspicion.contrasted_since? + span;
-        let needed = if guards.witnesses {
-            WITNESSES.min(counts.members)
+        let until = suspicion.site_specific_since? + span;
+        let needed = if guards.min_down_servers {
+            MIN_DOWN_SERVERS.min(counts.members)
         } else {
             1
         };
-        let is_lost = counts.down_in_contrast >= needed
+        let is_lost = counts.down_site_specific >= needed
             && suspicion.last_at >= until
-            && self.answers_elsewhere(id, suspicion.last_at);
+            && self.has_answer_elsewhere(id, suspicion.last_at);
         let evidence = if site.link_cut {
             Evidence::LinkCut
         } else {
@@ -359,7 +359,7 @@
         is_lost.then_some(evidence)
     }
 
-    fn judge(&mut self, id: u16) {
+    fn update_state(&mut self, id: u16) {
         let now = self.now;
         let counts = self.counts(id);
         let Some(site) = self.sites.get(&id) else {
@@ -379,15 +379,15 @@
     }
 
     fn next_state(&self, id: u16, site: &Site, counts: ServerCounts) -> (SiteState, Evidence) {
-        let may_cross = !self.settings.guards.dwell
+        let may_change_loss = !self.settings.guards.dwell
             || site
-                .crossed_at
+                .loss_changed_at
                 .is_none_or(|at| self.now - at >= self.settings.dwell);
         if site.is_lost() {
-            return self.next_state_of_lost(site, counts, may_cross);
+            return self.next_state_of_lost(site, counts, may_change_loss);
         }
         let loss = self.loss_evidence(id, site, counts);
-        if let Some(evidence) = loss.filter(|_| may_cross) {
+        if let Some(evidence) = loss.filter(|_| may_change_loss) {
             return (SiteState::Lost, evidence);
         }
         if site.state == SiteState::Returning && !self.has_returned(site) {
@@ -408,9 +408,9 @@
         &self,
         site: &Site,
         counts: ServerCounts,
-        may_cross: bool,
+        may_change_loss: bool,
     ) -> (SiteState, Evidence) {
-        if counts.members > 0 && site.answers_since_loss > 0 && may_cross {
+        if counts.members > 0 && site.answers_since_loss > 0 && may_change_loss {
             return (SiteState::Returning, Evidence::Answers);
         }
         // Other proxies may find out later that the servers behind a link work.
--- a/crates/site-failover/src/load_shedding.rs
+++ b/crates/site-failover/src/load_shedding.rs
@@ -71,14 +71,14 @@
             .cmp(&b.capacity)
             .then_with(|| compare_ranks(a, b))
     });
-    for of_capacity in order.chunk_by(|a, b| loads[*a].capacity == loads[*b].capacity) {
-        let capacity = of_capacity
+    for loads_of_capacity in order.chunk_by(|a, b| loads[*a].capacity == loads[*b].capacity) {
+        let capacity = loads_of_capacity
             .first()
             .and_then(|at| capacities.get(loads[*at].capacity))
             .copied()
             .filter(|capacity| capacity.is_finite())
             .unwrap_or(0.0);
-        serve_ranks(loads, of_capacity, capacity.max(0.0), &mut fractions);
+        serve_ranks(loads, loads_of_capacity, capacity.max(0.0), &mut fractions);
     }
     fractions
 }
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -70,7 +70,7 @@
     capacity: Capacity,
     demand: Demand,
     shed_controller: ShedController,
-    sheds: bool,
+    shedding_enabled: bool,
     /// Groups that lost sites served, as of the last update; they stay while anything is shed.
     affected_groups: BTreeSet<u32>,
     /// Indicative requests without any attempt so far.
@@ -82,14 +82,14 @@
 }
 
 impl FailoverPlan {
-    /// `sheds`: what is to be shed is told with each request; otherwise it is computed on demand only.
-    pub fn new(settings: Settings, sheds: bool, now: Time) -> FailoverPlan {
+    /// `shedding_enabled`: what is to be shed is told with each request; otherwise it is computed on demand only.
+    pub fn new(settings: Settings, shedding_enabled: bool, now: Time) -> FailoverPlan {
         FailoverPlan {
             detector: SiteDetector::new(settings, now),
             capacity: Capacity::default(),
             demand: Demand::default(),
             shed_controller: ShedController::default(),
-            sheds,
+            shedding_enabled,
             affected_groups: BTreeSet::new(),
             pending: BTreeSet::new(),
             classes: Vec::new(),
@@ -176,7 +176,7 @@
     /// Handles evidence about servers and sites.
     pub fn handle(&mut self, now: Time, event: Event) {
         self.detector.handle(now, event);
-        if event == Event::Tick && self.sheds && self.shed_controller.is_due(now) {
+        if event == Event::Tick && self.shedding_enabled && self.shed_controller.is_due(now) {
             self.update_shedding(now);
         }
     }
@@ -207,16 +207,16 @@
         &self,
         now: Time,
         lost: Option<u16>,
-        is_wanted: impl Fn(&RequestKind) -> bool,
+        is_included: impl Fn(&RequestKind) -> bool,
     ) -> Loads {
         let mut indices: BTreeMap<(u32, bool), usize> = BTreeMap::new();
         let mut capacities = Vec::new();
         let mut loads = Vec::new();
-        for (kind, rate) in self.demand.rates(now).filter(|(kind, _)| is_wanted(kind)) {
+        for (kind, rate) in self.demand.rates(now).filter(|(kind, _)| is_included(kind)) {
             let capacity = *indices.entry((kind.group, kind.write)).or_insert_with(|| {
                 capacities.push(lost.map_or(0.0, |lost| {
                     self.capacity
-                        .total_of_others(now, lost, kind.group, kind.write)
+                        .total_of_other_sites(now, lost, kind.group, kind.write)
                 }));
                 capacities.len() - 1
             });
@@ -275,8 +275,11 @@
         for ((kind, load), fraction) in loads.loads.iter().zip(served) {
             let work = fraction * load.work * load.rate;
             let capacity = loads.capacities[load.capacity].max(f64::MIN_POSITIVE);
-            for (site, shown) in self.capacity.of_others(now, lost, kind.group, kind.write) {
-                *work_by_site.entry(site).or_default() += work * shown / capacity;
+            for (site, observed) in self
+                .capacity
+                .of_other_sites(now, lost, kind.group, kind.write)
+            {
+                *work_by_site.entry(site).or_default() += work * observed / capacity;
             }
         }
         let all: f64 = work_by_site.values().sum();
--- a/crates/site-failover/src/server.rs
+++ b/crates/site-failover/src/server.rs
@@ -6,7 +6,7 @@
 use crate::{EndpointState, Time};
 
 /// Failures in a row that make a server down, or timeouts in a row that make it silent.
-pub(crate) const FAILURES: u8 = 2;
+pub(crate) const FAILURE_THRESHOLD: u8 = 2;
 /// A server without any request for so long is not known to be down any more.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
 
@@ -32,7 +32,7 @@
     /// When the last sign against it was seen, whether or not it counts.
     pub last_failure_at: Time,
     /// Failures while its site was suspected and other sites were known to answer.
-    pub contrasted_failures: u8,
+    pub site_specific_failures: u8,
 }
 
 impl Server {
@@ -45,7 +45,7 @@
             timeouts: 0,
             hard_failure_at: None,
             last_failure_at: now,
-            contrasted_failures: 0,
+            site_specific_failures: 0,
         }
     }
 
@@ -53,7 +53,7 @@
         self.hard_failures = 0;
         self.timeouts = 0;
         self.hard_failure_at = None;
-        self.contrasted_failures = 0;
+        self.site_specific_failures = 0;
     }
 
     pub fn has_failures(&self) -> bool {
@@ -61,12 +61,13 @@
     }
 
     /// It is to get no requests: excluded, draining or removed.
-    pub fn is_away(&self) -> bool {
+    pub fn is_out_of_service(&self) -> bool {
         self.excluded || self.endpoint_state != EndpointState::Ready
     }
 
     pub fn is_down(&self, guards: &Guards) -> bool {
-        self.hard_failures >= FAILURES || !guards.timeouts && self.timeouts >= FAILURES
+        self.hard_failures >= FAILURE_THRESHOLD
+            || !guards.timeouts && self.timeouts >= FAILURE_THRESHOLD
     }
 
     pub fn is_evidence_recent(&self, now: Time) -> bool {
@@ -82,18 +83,18 @@
                     return false;
                 }
                 self.hard_failure_at = Some(now);
-                self.hard_failures = count(self.hard_failures);
+                self.hard_failures = increment(self.hard_failures);
             }
-            Failure::Timeout => self.timeouts = count(self.timeouts),
+            Failure::Timeout => self.timeouts = increment(self.timeouts),
         }
         true
     }
 
-    pub fn record_contrast(&mut self) {
-        self.contrasted_failures = count(self.contrasted_failures);
+    pub fn record_site_specific_failure(&mut self) {
+        self.site_specific_failures = increment(self.site_specific_failures);
     }
 }
 
-fn count(failures: u8) -> u8 {
-    failures.saturating_add(1).min(FAILURES)
+fn increment(failures: u8) -> u8 {
+    failures.saturating_add(1).min(FAILURE_THRESHOLD)
 }
--- a/crates/site-failover/src/settings.rs
+++ b/crates/site-failover/src/settings.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
     /// A site is lost only if another site answers meanwhile: what all sites do at once is a fault elsewhere, or load.
-    pub contrast: bool,
+    pub site_specific: bool,
     /// Two servers must be down, not one.
-    pub witnesses: bool,
+    pub min_down_servers: bool,
     /// Failures must be spread over [`Settings::lost_after`]: a burst of resets is one failure.
     pub span: bool,
     /// After a stall of the own event loop failures are ignored for a time: timeouts then are its own fault.
@@ -57,8 +57,8 @@
 impl Guards {
     /// All guards.
     pub const ALL: Guards = Guards {
-        contrast: true,
-        witnesses: true,
+        site_specific: true,
+        min_down_servers: true,
         span: true,
         stall: true,
         dwell: true,
--- a/crates/site-failover/src/shedding_level.rs
+++ b/crates/site-failover/src/shedding_level.rs
@@ -17,31 +17,31 @@
 /// With each update former requests count for so much.
 const DECAY: f64 = 0.7;
 /// Fewer first attempts than this tell nothing.
-const ENOUGH_ATTEMPTS: f64 = 5.0;
+const MIN_ATTEMPTS: f64 = 5.0;
 /// So many first attempts are rejected by chance: service times vary.
-const USUAL_REJECTED: f64 = 0.02;
+const EXPECTED_REJECTED_FRACTION: f64 = 0.02;
 /// In one update the level rises by this part of what is rejected beyond that, ...
-const RISE: f64 = 0.5;
+const RISE_FACTOR: f64 = 0.5;
 /// ... and by so much at most.
-const RISE_MOST: f64 = 0.05;
+const MAX_RISE: f64 = 0.05;
 /// In one update it falls by so much, ...
 const FALL: f64 = 0.01;
 /// ... and by this part of itself; ...
-const FALL_PART: f64 = 0.05;
+const FALL_FACTOR: f64 = 0.05;
 /// ... so many times as fast once no site is lost.
-const FALL_AFTER_LOSS: f64 = 5.0;
+const FALL_MULTIPLIER_AFTER_LOSS: f64 = 5.0;
 /// Something is always admitted, or nothing would tell that there is capacity again.
-const LEVEL_MOST: f64 = 0.9;
+const MAX_LEVEL: f64 = 0.9;
 /// Smaller fractions that are shed come of rounding.
 const ROUNDING: f64 = 1e-6;
 
 /// The change of the level in one update; `rejected`: fraction of first attempts beyond the usual.
 fn level_change(level: f64, rejected: f64, site_is_lost: bool) -> f64 {
-    let fall = FALL + FALL_PART * level;
+    let fall = FALL + FALL_FACTOR * level;
     match site_is_lost {
-        true if rejected > 0.0 => (RISE * rejected).min(RISE_MOST),
+        true if rejected > 0.0 => (RISE_FACTOR * rejected).min(MAX_RISE),
         true => -fall,
-        false => -FALL_AFTER_LOSS * fall,
+        false => -FALL_MULTIPLIER_AFTER_LOSS * fall,
     }
 }
 
@@ -111,13 +111,13 @@
     /// computed here.
     pub fn update(&mut self, now: Time, site_is_lost: bool, loads: &[(RequestKind, Load)]) {
         self.updated_at = now;
-        let rejected = if self.attempts < ENOUGH_ATTEMPTS {
+        let rejected = if self.attempts < MIN_ATTEMPTS {
             0.0
         } else {
-            self.rejected / self.attempts - USUAL_REJECTED
+            self.rejected / self.attempts - EXPECTED_REJECTED_FRACTION
         };
         let change = level_change(self.level, rejected, site_is_lost);
-        self.level = (self.level + change).clamp(0.0, LEVEL_MOST);
+        self.level = (self.level + change).clamp(0.0, MAX_LEVEL);
         self.attempts *= DECAY;
         self.rejected *= DECAY;
         self.shed = if self.level > 0.0 {
--- a/crates/site-failover/src/site.rs
+++ b/crates/site-failover/src/site.rs
@@ -1,6 +1,6 @@
 //! A site: its state, the evidence for it, and the counts of its servers.
 
-use crate::server::{Server, FAILURES};
+use crate::server::{Server, FAILURE_THRESHOLD};
 use crate::settings::Guards;
 use crate::{EndpointState, Time};
 
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Suspicion {
     /// Since when another site is known to have answered meanwhile.
-    pub contrasted_since: Option<Time>,
+    pub site_specific_since: Option<Time>,
     pub first_at: Time,
     pub last_at: Time,
 }
@@ -103,7 +103,7 @@
     /// When the list first named it.
     pub listed_at: Time,
     /// When it last changed to or from [`SiteState::Lost`].
-    pub crossed_at: Option<Time>,
+    pub loss_changed_at: Option<Time>,
     /// The last answer of any of its servers, also of those that are away.
     pub answered_at: Option<Time>,
     pub suspicion: Option<Suspicion>,
@@ -123,7 +123,7 @@
             since: now,
             last_members: 0,
             listed_at: now,
-            crossed_at: None,
+            loss_changed_at: None,
             answered_at: None,
             suspicion: None,
             answers_since_loss: 0,
@@ -145,7 +145,7 @@
         }
         let is_loss = state == SiteState::Lost;
         if is_loss != self.is_lost() {
-            self.crossed_at = Some(now);
+            self.loss_changed_at = Some(now);
             self.losses += u64::from(is_loss);
             if is_loss {
                 self.answers_since_loss = 0;
@@ -164,13 +164,13 @@
     /// Members that are down.
     pub down: usize,
     /// Members that failed while other sites answered.
-    pub down_in_contrast: usize,
+    pub down_site_specific: usize,
     /// Members with timeouts only.
     pub silent: usize,
     /// Servers with a hard failure since their last answer, also those that are away.
     pub failing: usize,
     /// Servers that are away.
-    pub away: usize,
+    pub out_of_service: usize,
     /// Those of them that operators have excluded.
     pub excluded: usize,
 }
@@ -192,15 +192,15 @@
         if server.endpoint_state == EndpointState::Removed && !server.excluded {
             return;
         }
-        if server.is_away() {
-            self.away += 1;
+        if server.is_out_of_service() {
+            self.out_of_service += 1;
             self.excluded += usize::from(server.excluded);
             return;
         }
         self.members += 1;
         self.down += usize::from(recent && server.is_down(guards));
-        self.down_in_contrast += usize::from(server.contrasted_failures >= FAILURES);
-        self.silent += usize::from(recent && server.timeouts >= FAILURES);
+        self.down_site_specific += usize::from(server.site_specific_failures >= FAILURE_THRESHOLD);
+        self.silent += usize::from(recent && server.timeouts >= FAILURE_THRESHOLD);
     }
 
     /// Why a site is degraded, if it is.
@@ -210,7 +210,7 @@
         } else if self.excluded > 0 {
             Some(Evidence::ManualExclusion)
         } else {
-            (self.away > 0).then_some(Evidence::EndpointList)
+            (self.out_of_service > 0).then_some(Evidence::EndpointList)
         }
     }
 }
--- a/crates/site-failover/tests/model.rs
+++ b/crates/site-failover/tests/model.rs
@@ -9,200 +9,208 @@
 const LOST_AFTER: Duration = TICK;
 const LIST_LATE: Duration = Duration::from_millis(500);
 const DWELL: Duration = Duration::from_millis(750);
-const PROOF: u8 = 3;
-const SERVERS: u32 = 2;
+const RETURN_ANSWERS: u8 = 3;
+const SERVERS_PER_SITE: u32 = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Truth {
+enum Condition {
     Up,
     /// Answers now and then; else time runs out.
     Slow,
     /// Its first server alone is dead.
-    Half,
+    PartlyDown,
     Dead,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Turn(u16, Truth),
+    ChangeCondition(u16, Condition),
     /// A tick in which signs are seen of these servers alone, a bit for each.
-    Seen(u8),
+    Tick(u8),
     /// All connections to a site are reset at one instant.
-    Burst(u16),
+    ResetBurst(u16),
     /// The loop stands still, and then finds that all has run out of time, at this site or at all.
-    Late(Option<u16>),
+    Stall(Option<u16>),
     /// Nothing answers for a tick: servers of all sites refuse what is asked.
-    Storm,
+    FailAllSites,
     /// The list drops a site that lives.
-    Dropped(u16),
-    Relisted(u16),
+    Unlist(u16),
+    Relist(u16),
     /// An end of the watch, with a list that is empty for that.
-    Deaf(u16),
+    LoseWatch(u16),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    core: SiteDetector,
+    detector: SiteDetector,
     now: Duration,
     ticks: u8,
     faults: u8,
-    turns: u8,
-    truth: Vec<Truth>,
+    condition_changes: u8,
+    conditions: Vec<Condition>,
     /// By site: whether it has been dead since it last served, when it last answered, whether the list has let all of it go,
     /// and answers since it was lost.
-    died: Vec<bool>,
-    answered: Vec<Duration>,
-    dropped: Vec<bool>,
-    heard: bool,
-    proof: Vec<u8>,
+    dead_since_answer: Vec<bool>,
+    answered_at: Vec<Duration>,
+    unlisted: Vec<bool>,
+    list_connected: bool,
+    answers_since_loss: Vec<u8>,
     /// When it last went into or out of `Lost`.
-    crossed: Vec<Option<Duration>>,
-    state: Vec<SiteState>,
-    broken: Vec<&'static str>,
+    loss_changed_at: Vec<Option<Duration>>,
+    states: Vec<SiteState>,
+    violations: Vec<&'static str>,
 }
 
-struct Fleet {
+struct SitesModel {
     guards: Guards,
     sites: u16,
     ticks: u8,
     /// Nothing else is looked for.
-    about: Option<&'static str>,
+    property: Option<&'static str>,
 }
 
 const FALSE_LOSS: &str = "no living site is lost";
 const ALL_LOST: &str = "never all lost";
-const APART: &str = "crossings are apart";
-const PROVEN: &str = "whole by proof";
-const SETTLES: &str = "it settles";
+const DWELL_KEPT: &str = "crossings are apart";
+const RETURN_PROVEN: &str = "whole by proof";
+const CONVERGES: &str = "it settles";
 
 fn server(site: u16, n: u32) -> u32 {
-    u32::from(site) * SERVERS + n
+    u32::from(site) * SERVERS_PER_SITE + n
 }
 
 impl World {
-    fn tell(&mut self, event: Event) {
-        self.core.handle(self.now, event);
-        self.watch();
+    fn handle(&mut self, event: Event) {
+        self.detector.handle(self.now, event);
+        self.check_transitions();
     }
 
-    fn watch(&mut self) {
-        for at in 0..self.state.len() {
-            let (before, now) = (self.state[at], self.core.state(at as u16).unwrap());
+    fn check_transitions(&mut self) {
+        for at in 0..self.states.len() {
+            let (before, now) = (self.states[at], self.detector.state(at as u16).unwrap());
             if before == now {
                 continue;
             }
             if (before == SiteState::Lost) != (now == SiteState::Lost) {
-                if self.crossed[at].is_some_and(|last| self.now - last < DWELL) {
-                    self.broken.push(APART);
+                if self.loss_changed_at[at].is_some_and(|last| self.now - last < DWELL) {
+                    self.violations.push(DWELL_KEPT);
                 }
-                self.crossed[at] = Some(self.now);
+                self.loss_changed_at[at] = Some(self.now);
             }
             if now == SiteState::Lost {
-                self.proof[at] = 0;
+                self.answers_since_loss[at] = 0;
                 // The list is believed about a site that says nothing.
-                let quiet = self.now - self.answered[at] >= LIST_LATE;
-                if !(self.died[at] || self.dropped[at] && self.heard && quiet) {
-                    self.broken.push(FALSE_LOSS);
+                let is_silent = self.now - self.answered_at[at] >= LIST_LATE;
+                if !(self.dead_since_answer[at]
+                    || self.unlisted[at] && self.list_connected && is_silent)
+                {
+                    self.violations.push(FALSE_LOSS);
                 }
             }
-            if before == SiteState::Returning && now == SiteState::Healthy && self.proof[at] < PROOF
+            if before == SiteState::Returning
+                && now == SiteState::Healthy
+                && self.answers_since_loss[at] < RETURN_ANSWERS
             {
-                self.broken.push(PROVEN);
+                self.violations.push(RETURN_PROVEN);
             }
-            self.state[at] = now;
+            self.states[at] = now;
         }
-        if self.state.iter().all(|state| *state == SiteState::Lost) {
-            self.broken.push(ALL_LOST);
+        if self.states.iter().all(|state| *state == SiteState::Lost) {
+            self.violations.push(ALL_LOST);
         }
     }
 
     fn answer(&mut self, site: u16, n: u32) {
-        let proof = &mut self.proof[usize::from(site)];
-        *proof = proof.saturating_add(1).min(PROOF);
-        if self.truth[usize::from(site)] != Truth::Dead {
-            self.died[usize::from(site)] = false;
+        let answers = &mut self.answers_since_loss[usize::from(site)];
+        *answers = answers.saturating_add(1).min(RETURN_ANSWERS);
+        if self.conditions[usize::from(site)] != Condition::Dead {
+            self.dead_since_answer[usize::from(site)] = false;
         }
-        self.answered[usize::from(site)] = self.now;
-        self.tell(Event::Answered {
+        self.answered_at[usize::from(site)] = self.now;
+        self.handle(Event::Answered {
             server: server(site, n),
         });
     }
 
     /// Time passes, and what is asked of these servers ends.
-    fn tick(&mut self, seen: u8) {
+    fn tick(&mut self, observed: u8) {
         self.now += TICK;
         self.ticks = self.ticks.saturating_add(1);
-        for site in 0..self.truth.len() as u16 {
-            for n in 0..SERVERS {
-                if seen & 1 << server(site, n) == 0 {
+        for site in 0..self.conditions.len() as u16 {
+            for n in 0..SERVERS_PER_SITE {
+                if observed & 1 << server(site, n) == 0 {
                     continue;
                 }
                 let id = server(site, n);
-                match self.truth[usize::from(site)] {
-                    Truth::Slow if (u32::from(self.ticks) + n) % 4 != 0 => {
-                        self.tell(Event::TimedOut { server: id });
-                        self.tell(Event::TimedOut { server: id });
+                match self.conditions[usize::from(site)] {
+                    Condition::Slow if (u32::from(self.ticks) + n) % 4 != 0 => {
+                        self.handle(Event::TimedOut { server: id });
+                        self.handle(Event::TimedOut { server: id });
                     }
-                    Truth::Half if n == 0 => {
-                        self.tell(Event::ConnectFailed { server: id });
-                        self.tell(Event::ConnectFailed { server: id });
+                    Condition::PartlyDown if n == 0 => {
+                        self.handle(Event::ConnectFailed { server: id });
+                        self.handle(Event::ConnectFailed { server: id });
                     }
-                    Truth::Dead => {
-                        self.tell(Event::ConnectFailed { server: id });
-                        self.tell(Event::Reset { server: id });
+                    Condition::Dead => {
+                        self.handle(Event::ConnectFailed { server: id });
+                        self.handle(Event::Reset { server: id });
                     }
-                    Truth::Up | Truth::Slow | Truth::Half => self.answer(site, n),
+                    Condition::Up | Condition::Slow | Condition::PartlyDown => self.answer(site, n),
                 }
             }
         }
-        self.tell(Event::Tick);
+        self.handle(Event::Tick);
     }
 
     /// From here on nothing changes and all is seen: each site's state comes to be what it is.
-    fn settles(&self) -> bool {
-        let mut calm = self.clone();
-        calm.heard = true;
-        calm.tell(Event::ListUpdated { connected: true });
-        for site in 0..calm.truth.len() as u16 {
-            calm.list(site, EndpointState::Ready);
+    fn converges(&self) -> bool {
+        let mut world = self.clone();
+        world.list_connected = true;
+        world.handle(Event::ListUpdated { connected: true });
+        for site in 0..world.conditions.len() as u16 {
+            world.set_listed(site, EndpointState::Ready);
         }
         for _ in 0..16 {
-            calm.tick(u8::MAX);
+            world.tick(u8::MAX);
         }
-        let alive = calm.truth.iter().any(|truth| *truth != Truth::Dead);
-        calm.truth
+        let any_alive = world
+            .conditions
             .iter()
-            .zip(&calm.state)
-            .all(|(truth, state)| match truth {
-                Truth::Up => *state == SiteState::Healthy,
-                Truth::Slow => matches!(state, SiteState::Degraded | SiteState::Healthy),
-                Truth::Half => *state == SiteState::Degraded,
+            .any(|condition| *condition != Condition::Dead);
+        world
+            .conditions
+            .iter()
+            .zip(&world.states)
+            .all(|(condition, state)| match condition {
+                Condition::Up => *state == SiteState::Healthy,
+                Condition::Slow => matches!(state, SiteState::Degraded | SiteState::Healthy),
+                Condition::PartlyDown => *state == SiteState::Degraded,
                 // With nothing alive there is nothing to tell it from.
-                Truth::Dead => *state == SiteState::Lost || !alive,
+                Condition::Dead => *state == SiteState::Lost || !any_alive,
             })
     }
 
-    fn list(&mut self, site: u16, listed: EndpointState) {
-        self.dropped[usize::from(site)] = listed != EndpointState::Ready;
-        for n in 0..SERVERS {
-            self.tell(Event::Endpoint {
+    fn set_listed(&mut self, site: u16, endpoint_state: EndpointState) {
+        self.unlisted[usize::from(site)] = endpoint_state != EndpointState::Ready;
+        for n in 0..SERVERS_PER_SITE {
+            self.handle(Event::Endpoint {
                 server: server(site, n),
                 site,
-                state: listed,
+                state: endpoint_state,
             });
         }
-        self.tell(Event::ListUpdated {
-            connected: self.heard,
+        self.handle(Event::ListUpdated {
+            connected: self.list_connected,
         });
     }
 }
 
-impl Model for Fleet {
+impl Model for SitesModel {
     type State = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let set = Settings {
+        let settings = Settings {
             lost_after: LOST_AFTER,
             list_late: LIST_LATE,
             return_after: 2 * TICK,
@@ -212,74 +220,82 @@
         };
         let sites = usize::from(self.sites);
         let mut world = World {
-            core: SiteDetector::new(set, Duration::ZERO),
+            detector: SiteDetector::new(settings, Duration::ZERO),
             now: Duration::ZERO,
             ticks: 0,
             faults: 0,
-            turns: 0,
-            truth: vec![Truth::Up; sites],
-            died: vec![false; sites],
-            answered: vec![Duration::ZERO; sites],
-            dropped: vec![false; sites],
-            heard: true,
-            proof: vec![0; sites],
-            crossed: vec![None; sites],
-            state: vec![SiteState::Healthy; sites],
-            broken: Vec::new(),
+            condition_changes: 0,
+            conditions: vec![Condition::Up; sites],
+            dead_since_answer: vec![false; sites],
+            answered_at: vec![Duration::ZERO; sites],
+            unlisted: vec![false; sites],
+            list_connected: true,
+            answers_since_loss: vec![0; sites],
+            loss_changed_at: vec![None; sites],
+            states: vec![SiteState::Healthy; sites],
+            violations: Vec::new(),
         };
         for site in 0..self.sites {
-            for n in 0..SERVERS {
-                let listed = EndpointState::Ready;
-                world.core.handle(
+            for n in 0..SERVERS_PER_SITE {
+                let endpoint_state = EndpointState::Ready;
+                world.detector.handle(
                     Duration::ZERO,
                     Event::Endpoint {
                         server: server(site, n),
                         site,
-                        state: listed,
+                        state: endpoint_state,
                     },
                 );
             }
         }
         // The same, with the first site lost: deeper than paths from the beginning lead.
-        let mut lost = self.next_state(&world, Step::Turn(0, Truth::Dead)).unwrap();
+        let mut lost = self
+            .next_state(&world, Step::ChangeCondition(0, Condition::Dead))
+            .unwrap();
         for _ in 0..4 {
             lost.tick(u8::MAX);
         }
-        (lost.ticks, lost.turns) = (0, 0);
+        (lost.ticks, lost.condition_changes) = (0, 0);
         vec![world, lost]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         if world.ticks >= self.ticks
             || world
-                .broken
+                .violations
                 .iter()
-                .any(|b| self.about.is_none_or(|a| a == *b))
+                .any(|v| self.property.is_none_or(|only| only == *v))
         {
             return;
         }
-        let all = (1 << (u32::from(self.sites) * SERVERS)) - 1;
+        let all = (1 << (u32::from(self.sites) * SERVERS_PER_SITE)) - 1;
         // All is seen; nothing of one server; nothing of one site.
-        steps.extend([all, all & !0b10, all & !0b11].map(Step::Seen));
+        steps.extend([all, all & !0b10, all & !0b11].map(Step::Tick));
         for site in 0..2 {
-            if world.turns < 3 {
-                let turns = [Truth::Up, Truth::Dead, Truth::Slow, Truth::Half];
-                let turns = &turns[..if site == 0 { 4 } else { 2 }];
-                let other = |truth: &&Truth| **truth != world.truth[usize::from(site)];
+            if world.condition_changes < 3 {
+                let targets = [
+                    Condition::Up,
+                    Condition::Dead,
+                    Condition::Slow,
+                    Condition::PartlyDown,
+                ];
+                let targets = &targets[..if site == 0 { 4 } else { 2 }];
+                let other =
+                    |condition: &&Condition| **condition != world.conditions[usize::from(site)];
                 steps.extend(
-                    turns
+                    targets
                         .iter()
                         .filter(other)
-                        .map(|truth| Step::Turn(site, *truth)),
+                        .map(|condition| Step::ChangeCondition(site, *condition)),
                 );
             }
         }
         if world.faults == 0 {
-            steps.extend([Step::Late(Some(0)), Step::Late(None), Step::Storm]);
-            steps.extend([Step::Burst(0), Step::Dropped(0), Step::Deaf(0)]);
+            steps.extend([Step::Stall(Some(0)), Step::Stall(None), Step::FailAllSites]);
+            steps.extend([Step::ResetBurst(0), Step::Unlist(0), Step::LoseWatch(0)]);
         }
-        if world.dropped[0] {
-            steps.push(Step::Relisted(0));
+        if world.unlisted[0] {
+            steps.push(Step::Relist(0));
         }
     }
 
@@ -287,70 +303,70 @@
         let mut world = last.clone();
         let sites = 0..self.sites;
         match step {
-            Step::Turn(site, truth) => {
-                world.turns += 1;
-                world.truth[usize::from(site)] = truth;
+            Step::ChangeCondition(site, condition) => {
+                world.condition_changes += 1;
+                world.conditions[usize::from(site)] = condition;
                 // A slow site that was dead is dead to this proxy until it answers.
-                world.died[usize::from(site)] |= truth == Truth::Dead;
+                world.dead_since_answer[usize::from(site)] |= condition == Condition::Dead;
             }
-            Step::Seen(seen) => world.tick(seen),
-            Step::Burst(site) => {
+            Step::Tick(observed) => world.tick(observed),
+            Step::ResetBurst(site) => {
                 world.faults += 1;
-                for n in (0..SERVERS).chain(0..SERVERS) {
-                    world.tell(Event::Reset {
+                for n in (0..SERVERS_PER_SITE).chain(0..SERVERS_PER_SITE) {
+                    world.handle(Event::Reset {
                         server: server(site, n),
                     });
                 }
                 // Others go on as they were.
                 world.answer((site + 1) % self.sites, 0);
             }
-            Step::Late(of) => {
+            Step::Stall(of) => {
                 world.faults += 1;
                 world.now += 4 * TICK;
-                world.tell(Event::LoopLag(4 * TICK));
+                world.handle(Event::LoopLag(4 * TICK));
                 // What was due meanwhile ends now, over more than one turn of the loop.
                 for _ in 0..2 {
                     for site in sites.clone().filter(|site| of.is_none_or(|of| of == *site)) {
-                        for n in (0..SERVERS).chain(0..SERVERS) {
-                            world.tell(Event::ConnectFailed {
+                        for n in (0..SERVERS_PER_SITE).chain(0..SERVERS_PER_SITE) {
+                            world.handle(Event::ConnectFailed {
                                 server: server(site, n),
                             });
                         }
                     }
-                    if of.is_some() && world.truth[1] == Truth::Up {
+                    if of.is_some() && world.conditions[1] == Condition::Up {
                         world.answer(1, 0);
                     }
                     world.now += LOST_AFTER - Duration::from_millis(1);
                 }
                 world.now += Duration::from_millis(2);
-                world.tell(Event::Tick);
+                world.handle(Event::Tick);
             }
-            Step::Storm => {
+            Step::FailAllSites => {
                 world.faults += 1;
                 for _ in 0..3 {
                     world.now += TICK;
-                    for id in (0..u32::from(self.sites) * SERVERS)
-                        .chain(0..u32::from(self.sites) * SERVERS)
+                    for id in (0..u32::from(self.sites) * SERVERS_PER_SITE)
+                        .chain(0..u32::from(self.sites) * SERVERS_PER_SITE)
                     {
-                        world.tell(Event::ConnectFailed { server: id });
+                        world.handle(Event::ConnectFailed { server: id });
                     }
                 }
             }
-            Step::Dropped(site) => {
+            Step::Unlist(site) => {
                 world.faults += 1;
-                world.list(site, EndpointState::Draining);
+                world.set_listed(site, EndpointState::Draining);
             }
-            Step::Relisted(site) => world.list(site, EndpointState::Ready),
-            Step::Deaf(site) => {
+            Step::Relist(site) => world.set_listed(site, EndpointState::Ready),
+            Step::LoseWatch(site) => {
                 world.faults += 1;
-                world.heard = false;
-                world.tell(Event::ListUpdated { connected: false });
-                world.list(site, EndpointState::Draining);
+                world.list_connected = false;
+                world.handle(Event::ListUpdated { connected: false });
+                world.set_listed(site, EndpointState::Draining);
                 world.now += LIST_LATE;
-                if world.truth[1] != Truth::Dead {
+                if world.conditions[1] != Condition::Dead {
                     world.answer(1, 0);
                 }
-                world.tell(Event::Tick);
+                world.handle(Event::Tick);
             }
         }
         (world != *last).then_some(world)
@@ -358,19 +374,25 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut all = vec![
-            Property::always(FALSE_LOSS, |_, w: &World| !w.broken.contains(&FALSE_LOSS)),
-            Property::always(ALL_LOST, |_, w: &World| !w.broken.contains(&ALL_LOST)),
-            Property::always(APART, |_, w: &World| !w.broken.contains(&APART)),
-            Property::always(PROVEN, |_, w: &World| !w.broken.contains(&PROVEN)),
-            Property::always(SETTLES, |_, w: &World| w.settles()),
+            Property::always(FALSE_LOSS, |_, w: &World| {
+                !w.violations.contains(&FALSE_LOSS)
+            }),
+            Property::always(ALL_LOST, |_, w: &World| !w.violations.contains(&ALL_LOST)),
+            Property::always(DWELL_KEPT, |_, w: &World| {
+                !w.violations.contains(&DWELL_KEPT)
+            }),
+            Property::always(RETURN_PROVEN, |_, w: &World| {
+                !w.violations.contains(&RETURN_PROVEN)
+            }),
+            Property::always(CONVERGES, |_, w: &World| w.converges()),
             Property::sometimes("a site is lost", |_, w: &World| {
-                w.state.contains(&SiteState::Lost)
+                w.states.contains(&SiteState::Lost)
             }),
             Property::sometimes("a site returns", |_, w: &World| {
-                w.state.contains(&SiteState::Returning)
+                w.states.contains(&SiteState::Returning)
             }),
         ];
-        all.retain(|property| self.about.is_none_or(|about| property.name == about));
+        all.retain(|property| self.property.is_none_or(|only| property.name == only));
         all
     }
 }
@@ -379,16 +401,16 @@
     guards: Guards,
     sites: u16,
     ticks: u8,
-    most: usize,
-    about: Option<&'static str>,
+    max_states: usize,
+    property: Option<&'static str>,
 ) -> Vec<&'static str> {
-    let fleet = Fleet {
+    let model = SitesModel {
         guards,
         sites,
         ticks,
-        about,
+        property,
     };
-    let checker = fleet.checker().threads(3).target_state_count(most);
+    let checker = model.checker().threads(3).target_state_count(max_states);
     let checker = checker
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
@@ -423,13 +445,13 @@
 }
 
 #[test]
-fn each_guard_is_missed() {
+fn removing_a_guard_is_detected() {
     let all = Guards::ALL;
     let without = [
         (
             "contrast",
             Guards {
-                contrast: false,
+                site_specific: false,
                 ..all
             },
             FALSE_LOSS,
@@ -437,7 +459,7 @@
         (
             "contrast",
             Guards {
-                contrast: false,
+                site_specific: false,
                 ..all
             },
             ALL_LOST,
@@ -445,7 +467,7 @@
         (
             "witnesses",
             Guards {
-                witnesses: false,
+                min_down_servers: false,
                 ..all
             },
             FALSE_LOSS,
@@ -465,7 +487,7 @@
                 dwell: false,
                 ..all
             },
-            APART,
+            DWELL_KEPT,
         ),
         (
             "proof",
@@ -473,7 +495,7 @@
                 return_proof: false,
                 ..all
             },
-            PROVEN,
+            RETURN_PROVEN,
         ),
         (
             "list",
@@ -492,11 +514,11 @@
             FALSE_LOSS,
         ),
     ];
-    for (name, guards, broken) in without {
+    for (name, guards, violation) in without {
         print!("without {name}: ");
-        let found = check(guards, 2, 9, 300_000, Some(broken));
+        let found = check(guards, 2, 9, 300_000, Some(violation));
         assert!(
-            found.contains(&broken),
+            found.contains(&violation),
             "nobody notices that {name} is gone"
         );
     }
--- a/crates/site-failover/tests/order.rs
+++ b/crates/site-failover/tests/order.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 const CAPACITIES: usize = 2;
-const NEARLY: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 
 fn load() -> impl Strategy<Value = Load> {
-    let standing = prop_oneof![
+    let quota_status = prop_oneof![
         Just(QuotaStatus::WithinQuota),
         Just(QuotaStatus::Borrowed),
         Just(QuotaStatus::OverQuota)
@@ -17,20 +17,20 @@
     (
         0..CAPACITIES,
         0..4_u16,
-        standing,
+        quota_status,
         any::<bool>(),
         1..4_u8,
         1..3_u8,
         0..50_u16,
     )
         .prop_map(
-            |(room, tenant, standing, repeated, worth, work, rate)| Load {
-                capacity: room,
+            |(capacity, tenant, quota_status, is_retry, priority_weight, work, rate)| Load {
+                capacity,
                 tenant,
                 tenant_weight: f64::from(tenant + 1),
-                quota_status: standing,
-                is_retry: repeated,
-                priority_weight: f64::from(worth),
+                quota_status,
+                is_retry,
+                priority_weight: f64::from(priority_weight),
                 work: f64::from(work) * 0.01,
                 rate: f64::from(rate),
             },
@@ -45,19 +45,19 @@
     prop::collection::vec(0.0..6.0, CAPACITIES)
 }
 
-fn work(load: &Load, part: f64) -> f64 {
-    load.work * load.rate * part
+fn served_work(load: &Load, fraction: f64) -> f64 {
+    load.work * load.rate * fraction
 }
 
 proptest! {
     /// Nothing is served while anything of a higher rank is shed.
     #[test]
     fn no_lower_rank_before_a_higher(loads in loads(), capacities in capacities()) {
-        let parts = served_fractions(&loads, &capacities);
-        for (high, of_high) in loads.iter().zip(&parts) {
-            for (low, of_low) in loads.iter().zip(&parts) {
-                if high.capacity == low.capacity && high.rate > 0.0 && has_precedence(high, low) && *of_high < 1.0 {
-                    prop_assert_eq!(*of_low, 0.0, "{:?} is refused and {:?} served", high, low);
+        let fractions = served_fractions(&loads, &capacities);
+        for (high, high_fraction) in loads.iter().zip(&fractions) {
+            for (low, low_fraction) in loads.iter().zip(&fractions) {
+                if high.capacity == low.capacity && high.rate > 0.0 && has_precedence(high, low) && *high_fraction < 1.0 {
+                    prop_assert_eq!(*low_fraction, 0.0, "{:?} is refused and {:?} served", high, low);
                 }
             }
         }
@@ -66,13 +66,13 @@
     /// No more than the capacity is used, and all of it while anything is shed.
     #[test]
     fn capacity_is_kept_and_used(loads in loads(), capacities in capacities()) {
-        let parts = served_fractions(&loads, &capacities);
-        for (at, room) in capacities.iter().enumerate() {
-            let here = || loads.iter().zip(&parts).filter(|(load, _)| load.capacity == at);
-            let used: f64 = here().map(|(load, part)| work(load, *part)).sum();
-            prop_assert!(used <= room + NEARLY, "{used} of {room}");
-            if here().any(|(load, part)| load.rate > 0.0 && *part < 1.0 - NEARLY) {
-                prop_assert!(used >= room - NEARLY, "{used} of {room}");
+        let fractions = served_fractions(&loads, &capacities);
+        for (at, capacity) in capacities.iter().enumerate() {
+            let of_capacity = || loads.iter().zip(&fractions).filter(|(load, _)| load.capacity == at);
+            let used: f64 = of_capacity().map(|(load, fraction)| served_work(load, *fraction)).sum();
+            prop_assert!(used <= capacity + TOLERANCE, "{used} of {capacity}");
+            if of_capacity().any(|(load, fraction)| load.rate > 0.0 && *fraction < 1.0 - TOLERANCE) {
+                prop_assert!(used >= capacity - TOLERANCE, "{used} of {capacity}");
             }
         }
     }
@@ -80,19 +80,19 @@
     /// Within a rank, a tenant of which anything is shed has as much for its weight as any other.
     #[test]
     fn tenants_are_served_by_their_weights(loads in loads(), capacities in capacities()) {
-        let parts = served_fractions(&loads, &capacities);
-        for (a, of_a) in loads.iter().zip(&parts) {
-            let equals = |b: &Load| a.capacity == b.capacity && !has_precedence(a, b) && !has_precedence(b, a);
+        let fractions = served_fractions(&loads, &capacities);
+        for (a, fraction) in loads.iter().zip(&fractions) {
+            let has_same_rank = |b: &Load| a.capacity == b.capacity && !has_precedence(a, b) && !has_precedence(b, a);
             let has = |tenant: u16| -> f64 {
-                let of_tenant = loads.iter().zip(&parts).filter(|(b, _)| equals(b) && b.tenant == tenant);
-                of_tenant.map(|(b, part)| work(b, *part)).sum()
+                let of_tenant = loads.iter().zip(&fractions).filter(|(b, _)| has_same_rank(b) && b.tenant == tenant);
+                of_tenant.map(|(b, fraction)| served_work(b, *fraction)).sum()
             };
-            if a.rate == 0.0 || *of_a >= 1.0 - NEARLY {
+            if a.rate == 0.0 || *fraction >= 1.0 - TOLERANCE {
                 continue;
             }
-            for b in loads.iter().filter(|b| equals(b)) {
+            for b in loads.iter().filter(|b| has_same_rank(b)) {
                 let (mine, theirs) = (has(a.tenant) / a.tenant_weight, has(b.tenant) / b.tenant_weight);
-                prop_assert!(mine >= theirs - NEARLY, "{a:?} has {mine}, {b:?} {theirs}");
+                prop_assert!(mine >= theirs - TOLERANCE, "{a:?} has {mine}, {b:?} {theirs}");
             }
         }
     }
@@ -100,12 +100,12 @@
     /// With more capacity nobody is served less.
     #[test]
     fn more_capacity_serves_more(loads in loads(), capacities in capacities(), more in 0.0..4.0) {
-        let wider: Vec<f64> = capacities.iter().map(|room| room + more).collect();
-        for (less, more) in served_fractions(&loads, &capacities).into_iter().zip(served_fractions(&loads, &wider)) {
-            prop_assert!(more >= less - NEARLY);
+        let larger: Vec<f64> = capacities.iter().map(|capacity| capacity + more).collect();
+        for (less, more) in served_fractions(&loads, &capacities).into_iter().zip(served_fractions(&loads, &larger)) {
+            prop_assert!(more >= less - TOLERANCE);
         }
-        let (least, most) = (headroom(&loads, &capacities), headroom(&loads, &wider));
-        prop_assert!(least <= most + NEARLY && (0.0..=1.0 + NEARLY).contains(&least));
+        let (least, most) = (headroom(&loads, &capacities), headroom(&loads, &larger));
+        prop_assert!(least <= most + TOLERANCE && (0.0..=1.0 + TOLERANCE).contains(&least));
     }
 }
 
@@ -113,7 +113,7 @@
 #[test]
 fn capacity_is_what_was_shown() {
     let mut capacity = Capacity::default();
-    let room = |site, write| CapacityKey {
+    let key = |site, write| CapacityKey {
         group: 7,
         site,
         write,
@@ -121,33 +121,33 @@
     let (mut now, ms) = (Duration::ZERO, Duration::from_millis);
     for n in 0..4_000 {
         now += ms(1);
-        let slower = if n % 2 == 0 { 1 } else { 3 };
-        capacity.record_answer(now, room(n % 4 / 2, false), 0, ms(10) * slower);
+        let factor = if n % 2 == 0 { 1 } else { 3 };
+        capacity.record_answer(now, key(n % 4 / 2, false), 0, ms(10) * factor);
     }
-    let shown = capacity.shown(now, room(0, false));
+    let observed = capacity.observed(now, key(0, false));
     // 500 in a second, of 10 ms each as the shortest tell, and a little more by the longer ones.
-    assert!((4.9..5.6).contains(&shown), "{shown}");
+    assert!((4.9..5.6).contains(&observed), "{observed}");
     assert_eq!(
-        capacity.total_of_others(now, 0, 7, false),
-        capacity.shown(now, room(1, false))
+        capacity.total_of_other_sites(now, 0, 7, false),
+        capacity.observed(now, key(1, false))
     );
-    assert_eq!(capacity.total_of_others(now, 0, 7, true), 0.0);
-    assert_eq!(capacity.total_of_others(now, 0, 8, false), 0.0);
+    assert_eq!(capacity.total_of_other_sites(now, 0, 7, true), 0.0);
+    assert_eq!(capacity.total_of_other_sites(now, 0, 8, false), 0.0);
     let later = now + Duration::from_secs(60);
-    assert!((capacity.shown(later, room(0, false)) / shown - 0.5).abs() < 0.02);
+    assert!((capacity.observed(later, key(0, false)) / observed - 0.5).abs() < 0.02);
 }
 
 #[test]
 fn demand_is_bounded_and_decays() {
     let mut demand = Demand::default();
     let kind = |group| {
-        let standing = QuotaStatus::WithinQuota;
+        let quota_status = QuotaStatus::WithinQuota;
         RequestKind {
             group,
             write: false,
             class: 0,
             tenant: 0,
-            quota_status: standing,
+            quota_status,
             is_retry: false,
         }
     };
@@ -168,15 +168,15 @@
 /// What is shed first, second, third and last.
 #[test]
 fn the_shedding_order() {
-    let load = |standing, repeated, worth, work| {
-        let (room, tenant, share, rate) = (0, 0, 1.0, 1.0);
+    let load = |quota_status, is_retry, priority_weight, work| {
+        let (capacity, tenant, tenant_weight, rate) = (0, 0, 1.0, 1.0);
         Load {
-            capacity: room,
+            capacity,
             tenant,
-            tenant_weight: share,
-            quota_status: standing,
-            is_retry: repeated,
-            priority_weight: worth,
+            tenant_weight,
+            quota_status,
+            is_retry,
+            priority_weight,
             work,
             rate,
         }
@@ -188,12 +188,12 @@
         load(QuotaStatus::WithinQuota, false, 2.0, 2.0),
         load(QuotaStatus::WithinQuota, false, 2.0, 1.0),
     ];
-    let part = |room| served_fractions(&loads, &[room]);
-    assert_eq!(part(1.0), [0.0, 0.0, 0.0, 0.0, 1.0]);
-    assert_eq!(part(2.0), [0.0, 0.0, 0.0, 0.5, 1.0]);
-    assert_eq!(part(3.5), [0.0, 0.0, 0.5, 1.0, 1.0]);
-    assert_eq!(part(4.5), [0.0, 0.5, 1.0, 1.0, 1.0]);
-    assert_eq!(part(6.0), [1.0; 5]);
+    let fractions = |capacity| served_fractions(&loads, &[capacity]);
+    assert_eq!(fractions(1.0), [0.0, 0.0, 0.0, 0.0, 1.0]);
+    assert_eq!(fractions(2.0), [0.0, 0.0, 0.0, 0.5, 1.0]);
+    assert_eq!(fractions(3.5), [0.0, 0.0, 0.5, 1.0, 1.0]);
+    assert_eq!(fractions(4.5), [0.0, 0.5, 1.0, 1.0, 1.0]);
+    assert_eq!(fractions(6.0), [1.0; 5]);
 }
 
 /// Runs seconds of a proxy that gets 20 requests a second of each of two kinds; of the kind of more weight so many are rejected.
@@ -201,10 +201,10 @@
     controller: &mut ShedController,
     from: u64,
     seconds: u64,
-    on: bool,
-    refused: u64,
+    site_is_lost: bool,
+    rejected: u64,
 ) -> (f64, f64) {
-    let kinds = [(0, 2.0), (1, 1.0)].map(|(class, worth)| {
+    let kinds = [(0, 2.0), (1, 1.0)].map(|(class, priority_weight)| {
         let kind = RequestKind {
             group: 0,
             write: false,
@@ -213,24 +213,24 @@
             quota_status: QuotaStatus::WithinQuota,
             is_retry: false,
         };
-        let (room, tenant, standing, repeated) = (0, 0, QuotaStatus::WithinQuota, false);
+        let (capacity, tenant, quota_status, is_retry) = (0, 0, QuotaStatus::WithinQuota, false);
         (
             kind,
             Load {
-                capacity: room,
+                capacity,
                 tenant,
                 tenant_weight: 1.0,
-                quota_status: standing,
-                is_retry: repeated,
-                priority_weight: worth,
+                quota_status,
+                is_retry,
+                priority_weight,
                 work: 0.01,
                 rate: 20.0,
             },
         )
     });
-    for look in from * 4..(from + seconds) * 4 {
-        (0..5).for_each(|n| controller.record_outcome(n < refused));
-        controller.update(Duration::from_millis(250 * look), on, &kinds);
+    for update in from * 4..(from + seconds) * 4 {
+        (0..5).for_each(|n| controller.record_outcome(n < rejected));
+        controller.update(Duration::from_millis(250 * update), site_is_lost, &kinds);
     }
     (
         controller.shed_fraction(&kinds[0].0),
@@ -244,7 +244,7 @@
     assert_eq!(
         control(&mut controller, 0, 10, true, 0),
         (0.0, 0.0),
-        "while servers have room"
+        "while servers have capacity"
     );
     assert_eq!(
         control(&mut controller, 10, 10, false, 3),
