--- a/crates/availability/src/group.rs
+++ b/crates/availability/src/group.rs
@@ -50,17 +50,17 @@
     condition: Condition,
     since: Time,
     /// When it last answered anything, or when the first of the attempts in flight was sent.
-    heard_at: Time,
+    silent_since: Time,
     /// Attempts in flight.
-    owed: u32,
+    in_flight: u32,
     /// Requests that wait for their answers, with or without an attempt in flight.
-    waiting: u32,
+    open_requests: u32,
     /// Hard failures in a row, with no answer between, of attempts that were sent since it last answered.
     failures_in_row: u32,
     /// Answers in a row since it was last hung or dead.
     answers_in_row: u32,
     /// Writes in a row that were not served, and when the last of any write was.
-    writes_lost_in_row: u32,
+    failed_writes_in_row: u32,
     write_ended_at: Time,
     latency: Latency,
     /// Decayed numbers of requests that were served and were not.
@@ -75,27 +75,27 @@
 /// Weight that stands for requests not seen yet: a first failure is no half of the traffic.
 const PRIOR: f64 = 4.0;
 /// Parts of a group's requests that are not served: above the first it fails, below the second no longer.
-const FAILING: (f64, f64) = (0.5, 0.25);
+const FAILING_THRESHOLDS: (f64, f64) = (0.5, 0.25);
 /// Writes in a row that were not served: a single one may have met a limit of its own.
-const LOST_WRITES: u32 = 2;
+const NO_PRIMARY_WRITES: u32 = 2;
 /// Answers in a row after which a group is not dead or hung any more.
 const RECOVERY_ANSWERS: u32 = 3;
 /// A group is silent after so many times what its answers usually take.
 const SILENCE_FACTOR: u32 = 4;
 /// ... and after this time at most, since it is to be reported within a second; unless its answers usually take longer.
-const SILENCE_MOST: Duration = Duration::from_millis(700);
+const MAX_SILENCE: Duration = Duration::from_millis(700);
 
 impl Group {
     pub fn new(now: Time) -> Group {
         Group {
             condition: Condition::Serving,
             since: now,
-            heard_at: now,
-            owed: 0,
-            waiting: 0,
+            silent_since: now,
+            in_flight: 0,
+            open_requests: 0,
             failures_in_row: 0,
             answers_in_row: 0,
-            writes_lost_in_row: 0,
+            failed_writes_in_row: 0,
             write_ended_at: now,
             latency: Latency::new(now),
             served: 0.0,
@@ -121,24 +121,24 @@
 
     /// The process was suspended: what the group owed before means nothing.
     pub fn on_suspension(&mut self, now: Time) {
-        self.heard_at = now;
+        self.silent_since = now;
         self.failures_in_row = 0;
     }
 
     pub fn request_arrived(&mut self, now: Time) {
-        self.waiting = self.waiting.saturating_add(1);
+        self.open_requests = self.open_requests.saturating_add(1);
         self.requested_at = now;
     }
 
     pub fn client_left(&mut self) {
-        self.waiting = self.waiting.saturating_sub(1);
+        self.open_requests = self.open_requests.saturating_sub(1);
     }
 
     pub fn attempt_sent(&mut self, now: Time) {
-        if self.owed == 0 {
-            self.heard_at = now;
+        if self.in_flight == 0 {
+            self.silent_since = now;
         }
-        self.owed = self.owed.saturating_add(1);
+        self.in_flight = self.in_flight.saturating_add(1);
         self.requested_at = now;
     }
 
@@ -149,10 +149,10 @@
         now: Time,
         settings: &Settings,
     ) {
-        self.owed = self.owed.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Rejected => {
-                self.heard_at = now;
+                self.silent_since = now;
                 self.failures_in_row = 0;
                 self.answers_in_row = self.answers_in_row.saturating_add(1);
                 if outcome == AttemptOutcome::Answered {
@@ -161,7 +161,7 @@
             }
             AttemptOutcome::Failed => {
                 // An attempt that was sent before the last answer and failed after it shows a fault of its connection alone.
-                if now.saturating_sub(elapsed) >= self.heard_at
+                if now.saturating_sub(elapsed) >= self.silent_since
                     || self.failures_in_row > 0
                     || elapsed < settings.silence
                 {
@@ -186,10 +186,10 @@
     }
 
     pub fn write_ended(&mut self, served: bool, now: Time) {
-        self.writes_lost_in_row = if served {
+        self.failed_writes_in_row = if served {
             0
         } else {
-            self.writes_lost_in_row.saturating_add(1)
+            self.failed_writes_in_row.saturating_add(1)
         };
         self.write_ended_at = now;
     }
@@ -206,7 +206,7 @@
         // Attempts in flight are traffic too: otherwise a hung group would seem to get none.
         let keep =
             (-now.saturating_sub(self.decayed_at).as_secs_f64() / (5.0 * TIME_CONSTANT)).exp();
-        (self.served + self.unserved) * keep + f64::from(self.owed.min(64)) * 0.1
+        (self.served + self.unserved) * keep + f64::from(self.in_flight.min(64)) * 0.1
     }
 
     /// Part of its requests that are not served.
@@ -227,16 +227,16 @@
         }
     }
 
-    /// Judges the condition. A better one is kept back for the dwell time, `damping` times.
-    pub fn evaluate(&mut self, now: Time, settings: &Settings, damping: u32) {
-        self.latency.turn(now);
+    /// Judges the condition. A better one is kept back for the dwell time, `dwell_factor` times.
+    pub fn evaluate(&mut self, now: Time, settings: &Settings, dwell_factor: u32) {
+        self.latency.rotate(now);
         self.decay(now);
-        let found = self.judge(now, settings);
+        let found = self.find_condition(now, settings);
         if found == self.condition {
             return;
         }
-        let better = found < self.condition;
-        if better && now.saturating_sub(self.since) < settings.dwell * damping {
+        let is_better = found < self.condition;
+        if is_better && now.saturating_sub(self.since) < settings.dwell * dwell_factor {
             return;
         }
         if found >= Condition::Hung {
@@ -245,33 +245,34 @@
         (self.condition, self.since) = (found, now);
     }
 
-    fn judge(&self, now: Time, settings: &Settings) -> Condition {
-        let usual = self.latency.usual();
-        let silence = (usual * SILENCE_FACTOR).clamp(
+    fn find_condition(&self, now: Time, settings: &Settings) -> Condition {
+        let baseline = self.latency.baseline();
+        let silence = (baseline * SILENCE_FACTOR).clamp(
             settings.silence,
-            SILENCE_MOST.max(settings.silence).max(usual),
+            MAX_SILENCE.max(settings.silence).max(baseline),
         );
-        let quiet = now.saturating_sub(self.heard_at);
+        let silent_for = now.saturating_sub(self.silent_since);
         let failing = self.unserved / (self.served + self.unserved + PRIOR);
-        if self.failures_in_row >= settings.failures {
+        if self.failures_in_row >= settings.dead_failures {
             Condition::Dead
-        } else if self.owed > 0 && self.owed.max(self.waiting) >= settings.owed && quiet >= silence
+        } else if self.in_flight > 0
+            && self.in_flight.max(self.open_requests) >= settings.min_pending
+            && silent_for >= silence
         {
             Condition::Hung
         } else {
             match self.condition {
                 // Only answers end these: a group without requests stays as it was last seen, for a while.
                 Condition::Dead | Condition::Hung
-                    if self.answers_in_row < RECOVERY_ANSWERS
-                        && self.idle(now) < FORGOTTEN_AFTER =>
+                    if self.answers_in_row < RECOVERY_ANSWERS && self.idle(now) < EVIDENCE_TTL =>
                 {
                     self.condition
                 }
-                Condition::Failing if failing > FAILING.1 => Condition::Failing,
-                _ if failing > FAILING.0 => Condition::Failing,
+                Condition::Failing if failing > FAILING_THRESHOLDS.1 => Condition::Failing,
+                _ if failing > FAILING_THRESHOLDS.0 => Condition::Failing,
                 // Without writes it is not known for long.
-                _ if self.writes_lost_in_row >= LOST_WRITES
-                    && now.saturating_sub(self.write_ended_at) < FORGOTTEN_AFTER =>
+                _ if self.failed_writes_in_row >= NO_PRIMARY_WRITES
+                    && now.saturating_sub(self.write_ended_at) < EVIDENCE_TTL =>
                 {
                     Condition::NoPrimary
                 }
@@ -282,4 +283,4 @@
 }
 
 /// What is known of a group without requests holds for so long.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+const EVIDENCE_TTL: Duration = Duration::from_secs(20);
--- a/crates/availability/src/link.rs
+++ b/crates/availability/src/link.rs
@@ -47,9 +47,9 @@
 pub const SERVERS_LIMIT: usize = 4_096;
 
 /// Servers of a site that have to be silent: a single one may have lost a link of its own.
-const WITNESSES: usize = 2;
+const MIN_SILENT_SERVERS: usize = 2;
 /// Servers of a cut site that have been dialled without success, or all that it has.
-const FAILED_DIALS: usize = 3;
+const MIN_FAILED_DIALS: usize = 3;
 /// Time constant of the attempts at a site, in seconds.
 const TIME_CONSTANT: f64 = 10.0;
 
@@ -74,7 +74,7 @@
     contact_at: Time,
     /// Exchanges in flight, and since when it owes an answer.
     exchanges: u32,
-    owes_since: Option<Time>,
+    awaiting_since: Option<Time>,
     /// The start of a dial that has not succeeded.
     dialled_since: Option<Time>,
 }
@@ -88,9 +88,9 @@
     attempts: f64,
     decayed_at: Time,
     /// A member elsewhere has reported a position that only a working primary there can have written.
-    proven: bool,
+    proven_alive: bool,
     /// Servers that were silent at the last evaluation.
-    owing: usize,
+    silent: usize,
 }
 
 /// Counts of a site's servers.
@@ -99,9 +99,9 @@
     members: usize,
     listed: usize,
     /// They are silent.
-    owing: usize,
+    silent: usize,
     /// Listed, and dialled without success.
-    undialled: usize,
+    unreachable: usize,
 }
 
 #[derive(Debug)]
@@ -129,7 +129,7 @@
     }
 
     pub fn state(&self, site: u16) -> Option<LinkState> {
-        self.sites.get(&site).map(|p| p.state)
+        self.sites.get(&site).map(|site| site.state)
     }
 
     /// The endpoint list names a server, or ceases to.
@@ -138,8 +138,8 @@
             known.listed = listed;
             return;
         }
-        let room = self.sites.contains_key(&site) || self.sites.len() < SITES_LIMIT;
-        if !listed || !room || self.servers.len() >= SERVERS_LIMIT {
+        let has_room = self.sites.contains_key(&site) || self.sites.len() < SITES_LIMIT;
+        if !listed || !has_room || self.servers.len() >= SERVERS_LIMIT {
             return;
         }
         self.sites.entry(site).or_insert(Site {
@@ -147,8 +147,8 @@
             contact_at: now,
             attempts: 0.0,
             decayed_at: now,
-            proven: false,
-            owing: 0,
+            proven_alive: false,
+            silent: 0,
         });
         let new = Server {
             site,
@@ -156,7 +156,7 @@
             listed: true,
             contact_at: now,
             exchanges: 0,
-            owes_since: None,
+            awaiting_since: None,
             dialled_since: None,
         };
         self.servers.insert(server, new);
@@ -176,8 +176,8 @@
             return;
         };
         // An exchange from before the last contact may be on a dead connection.
-        server.owes_since = server
-            .owes_since
+        server.awaiting_since = server
+            .awaiting_since
             .filter(|at| *at > site.contact_at)
             .or(Some(now));
         if site.state == LinkState::Up {
@@ -198,7 +198,10 @@
 
     pub fn dial_started(&mut self, server: u32, now: Time) {
         if let Some(server) = self.servers.get_mut(&server) {
-            let contact_at = self.sites.get(&server.site).map_or(now, |p| p.contact_at);
+            let contact_at = self
+                .sites
+                .get(&server.site)
+                .map_or(now, |site| site.contact_at);
             server.dialled_since = server
                 .dialled_since
                 .filter(|at| *at > contact_at)
@@ -211,10 +214,14 @@
         let Some(server) = self.servers.get_mut(&server) else {
             return;
         };
-        (server.owes_since, server.dialled_since, server.contact_at) = (None, None, now);
+        (
+            server.awaiting_since,
+            server.dialled_since,
+            server.contact_at,
+        ) = (None, None, now);
         if let Some(site) = self.sites.get_mut(&server.site) {
             site.contact_at = now;
-            site.proven = false;
+            site.proven_alive = false;
             site.set_state(LinkState::Up, now);
         }
     }
@@ -244,7 +251,7 @@
         let (Some(position), Some(at)) = (position, self.primaries.get(&group)) else {
             return;
         };
-        let Some(primary) = self.servers.get(at).filter(|p| p.site != here) else {
+        let Some(primary) = self.servers.get(at).filter(|server| server.site != here) else {
             return;
         };
         let Some(site) = self.sites.get_mut(&primary.site) else {
@@ -252,8 +259,8 @@
         };
         // The primary owed an answer before that position was written: it went on working, and nothing of it came here. Only soon
         // after its last contact, since later another may have taken over. A position in the future is invalid.
-        let owed = primary.owes_since.filter(|at| *at > site.contact_at);
-        site.proven |= owed.is_some_and(|at| position > at + settings.silence)
+        let awaiting_since = primary.awaiting_since.filter(|at| *at > site.contact_at);
+        site.proven_alive |= awaiting_since.is_some_and(|at| position > at + settings.silence)
             && position <= primary.contact_at + settings.election
             && position <= now + settings.silence;
     }
@@ -269,7 +276,7 @@
             if !server.listed && server.exchanges == 0 && site.state == LinkState::Up {
                 return false;
             }
-            let long = |since: Option<Time>| {
+            let is_overdue = |since: Option<Time>| {
                 since.is_some_and(|at| {
                     at > site.contact_at && now.saturating_sub(at) >= settings.silence
                 })
@@ -277,28 +284,29 @@
             let counts = counts_by_site.entry(server.site).or_default();
             counts.members += 1;
             counts.listed += usize::from(server.listed);
-            counts.owing += usize::from(long(server.owes_since));
-            counts.undialled += usize::from(server.listed && long(server.dialled_since));
+            counts.silent += usize::from(is_overdue(server.awaiting_since));
+            counts.unreachable += usize::from(server.listed && is_overdue(server.dialled_since));
             true
         });
         let list_received_at = self.list_received_at;
         self.primaries.retain(|_, at| servers.contains_key(at));
         for (id, site) in sites.iter_mut() {
             let counts = counts_by_site.remove(id).unwrap_or_default();
-            site.owing = counts.owing;
+            site.silent = counts.silent;
             if site.state == LinkState::Up {
-                if counts.owing < WITNESSES || counts.undialled == 0 {
+                if counts.silent < MIN_SILENT_SERVERS || counts.unreachable == 0 {
                     site.decay(now);
                     continue;
                 }
                 site.set_state(LinkState::Silent, now);
             }
             // Received so long after the last contact, the list can't be from before it.
-            let fresh = list_received_at
+            let is_list_fresh = list_received_at
                 .is_some_and(|at| at >= site.contact_at + settings.silence + settings.list_late);
             let found = if counts.listed * 2 <= counts.members {
                 LinkState::Gone
-            } else if (site.proven || fresh) && counts.undialled >= counts.listed.min(FAILED_DIALS)
+            } else if (site.proven_alive || is_list_fresh)
+                && counts.unreachable >= counts.listed.min(MIN_FAILED_DIALS)
             {
                 LinkState::Cut
             } else {
@@ -313,19 +321,23 @@
 
     /// A server that should be dialled, to distinguish unreachable machines from slow or hung processes.
     pub fn server_to_dial(&self, may_dial: impl Fn(u32) -> bool) -> Option<u32> {
-        let suspect = |site: u16| self.sites.get(&site).is_some_and(|p| p.owing >= WITNESSES);
-        let mut fitting = self
+        let is_suspect = |site: u16| {
+            self.sites
+                .get(&site)
+                .is_some_and(|site| site.silent >= MIN_SILENT_SERVERS)
+        };
+        let mut candidates = self
             .servers
             .iter()
             .filter(|(_, s)| s.listed && !self.is_dialled(s));
-        fitting
-            .find(|(server, s)| suspect(s.site) && may_dial(**server))
+        candidates
+            .find(|(server, s)| is_suspect(s.site) && may_dial(**server))
             .map(|(server, _)| *server)
     }
 
     /// Whether a dial since the last contact with its site is pending or failed.
     fn is_dialled(&self, server: &Server) -> bool {
-        let contact_at = self.sites.get(&server.site).map(|p| p.contact_at);
+        let contact_at = self.sites.get(&server.site).map(|site| site.contact_at);
         server
             .dialled_since
             .is_some_and(|at| contact_at.is_some_and(|contact_at| at > contact_at))
@@ -335,25 +347,28 @@
     pub fn on_suspension(&mut self, now: Time) {
         for site in self.sites.values_mut() {
             site.contact_at = now;
-            site.proven = false;
+            site.proven_alive = false;
         }
     }
 
     /// The site with the cut link that concerns most attempts, and the part of all attempts that cut links concern.
     pub fn cut(&self, now: Time) -> Option<(u16, f64)> {
-        let weigh = |site: &Site| match site.state {
+        let attempts = |site: &Site| match site.state {
             LinkState::Up => site.attempts * decay_factor(now.saturating_sub(site.decayed_at)),
             _ => site.attempts,
         };
-        let all: f64 = self.sites.values().map(weigh).sum();
+        let all: f64 = self.sites.values().map(attempts).sum();
         let cut: f64 = self
             .sites
             .values()
-            .filter(|p| p.state == LinkState::Cut)
-            .map(weigh)
+            .filter(|site| site.state == LinkState::Cut)
+            .map(attempts)
             .sum();
-        let worst = self.sites.iter().filter(|(_, p)| p.state == LinkState::Cut);
-        let (site, _) = worst.max_by(|a, b| weigh(a.1).total_cmp(&weigh(b.1)))?;
+        let worst = self
+            .sites
+            .iter()
+            .filter(|(_, site)| site.state == LinkState::Cut);
+        let (site, _) = worst.max_by(|a, b| attempts(a.1).total_cmp(&attempts(b.1)))?;
         Some((*site, if all > 0.0 { cut / all } else { 0.0 }))
     }
 }
--- a/crates/availability/src/model.rs
+++ b/crates/availability/src/model.rs
@@ -8,7 +8,7 @@
 use crate::group::Group;
 use crate::link::{LinkSettings, Links};
 use crate::report::severity;
-use crate::weight::{own_part, reported_weight, shared_faults, Part, SharedFaults};
+use crate::weight::{own_factor, reported_weight, shared_faults, Factor, SharedFaults};
 use crate::{
     AttemptOutcome, Event, GroupState, LinkState, Load, Reason, RejectionCause, Report, Settings,
     Time,
@@ -23,11 +23,11 @@
 /// Interval of evaluations, however many events come.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// Most doublings of the dwell time.
-const DOUBLINGS_MOST: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 /// Changes in the window without a doubling; each further one doubles the dwell time.
-const USUAL_CHANGES: usize = 4;
+const CHANGES_WITHOUT_DOUBLING: usize = 4;
 /// With a smaller part of the traffic not served the proxy is ready, not degraded.
-const DEGRADED_FROM: f64 = 0.01;
+const MIN_DEGRADED_PART: f64 = 0.01;
 
 fn link_settings(settings: &Settings) -> LinkSettings {
     LinkSettings {
@@ -121,7 +121,7 @@
     /// Handles an event. The report follows at once where it matters, otherwise within 50 ms.
     pub fn handle(&mut self, now: Time, event: Event) {
         let now = now.max(self.now);
-        if now - self.now > self.settings.gap {
+        if now - self.now > self.settings.suspension {
             self.on_suspension(now);
         }
         self.now = now;
@@ -244,16 +244,16 @@
     fn evaluate(&mut self) {
         let now = self.now;
         self.evaluated_at = now;
-        let damping = self.damping();
+        let dwell_factor = self.dwell_factor();
         for group in self.groups.values_mut() {
-            group.evaluate(now, &self.settings, damping);
+            group.evaluate(now, &self.settings, dwell_factor);
         }
         self.links.evaluate(now, link_settings(&self.settings));
         let shared = shared_faults(&self.groups, now, self.settings.floor);
-        let own = own_part(&self.load, &shared, self.links.cut(now), &self.settings);
-        self.move_weight(100.0 * own.left * shared.factor);
+        let own = own_factor(&self.load, &shared, self.links.cut(now), &self.settings);
+        self.update_weight(100.0 * own.value * shared.factor);
         let (state, weight) = self.state_and_weight(own, &shared);
-        let reason = if own.left < shared.factor {
+        let reason = if own.value < shared.factor {
             own.reason
         } else {
             shared.reason
@@ -262,7 +262,7 @@
     }
 
     /// Falls at once; rises as fast as a proxy may be trusted again.
-    fn move_weight(&mut self, target: f64) {
+    fn update_weight(&mut self, target: f64) {
         let elapsed = (self.now - self.weight_at).as_secs_f64();
         let risen = self.weight + self.settings.rise * elapsed;
         self.weight = if target < self.weight {
@@ -273,7 +273,7 @@
         self.weight_at = self.now;
     }
 
-    fn state_and_weight(&self, own: Part, shared: &SharedFaults) -> (State, u8) {
+    fn state_and_weight(&self, own: Factor, shared: &SharedFaults) -> (State, u8) {
         if self.stopping {
             (State::Stopping, 0)
         } else if self.draining {
@@ -286,12 +286,12 @@
         }
     }
 
-    fn serving_state(&self, own: Part, shared: &SharedFaults) -> State {
+    fn serving_state(&self, own: Factor, shared: &SharedFaults) -> State {
         let (enter, leave) = self.settings.overload;
         let is_overloaded = self.report.state == State::Overloaded;
-        if own.left < if is_overloaded { leave } else { enter } {
+        if own.value < if is_overloaded { leave } else { enter } {
             State::Overloaded
-        } else if shared.unserved >= DEGRADED_FROM {
+        } else if shared.unserved >= MIN_DEGRADED_PART {
             State::Degraded((shared.unserved * 100.0).round().clamp(1.0, 100.0) as u8)
         } else {
             State::Ready
@@ -300,11 +300,12 @@
 
     /// A better state waits for the dwell time of the former one; what operators command, and the start, do not.
     fn set_report(&mut self, state: State, weight: u8, reason: Reason, slowness: f64) {
-        let (now, former) = (self.now, self.report.state);
-        let is_better = state.serves() && former.serves() && severity(state) < severity(former);
-        let dwells = is_better && now - self.report.since < self.settings.dwell * self.damping();
-        let state = if dwells { former } else { state };
-        if std::mem::discriminant(&state) != std::mem::discriminant(&former) {
+        let (now, previous) = (self.now, self.report.state);
+        let is_better = state.serves() && previous.serves() && severity(state) < severity(previous);
+        let is_held =
+            is_better && now - self.report.since < self.settings.dwell * self.dwell_factor();
+        let state = if is_held { previous } else { state };
+        if std::mem::discriminant(&state) != std::mem::discriminant(&previous) {
             self.changes.push(now);
             self.report.since = now;
         }
@@ -320,11 +321,11 @@
     }
 
     /// How many times the dwell time is kept.
-    fn damping(&mut self) -> u32 {
+    fn dwell_factor(&mut self) -> u32 {
         let now = self.now;
         self.changes.retain(|at| now - *at < FLAPPING_WINDOW);
-        let further = self.changes.len().saturating_sub(USUAL_CHANGES) as u32;
-        1 << further.min(DOUBLINGS_MOST)
+        let further = self.changes.len().saturating_sub(CHANGES_WITHOUT_DOUBLING) as u32;
+        1 << further.min(MAX_DOUBLINGS)
     }
 }
 
--- a/crates/availability/src/weight.rs
+++ b/crates/availability/src/weight.rs
@@ -6,9 +6,9 @@
 use crate::{Condition, Load, Reason, Settings, Time};
 
 /// Slower than this times the usual is slow.
-const SLOW: f64 = 1.5;
+const SLOW_FACTOR: f64 = 1.5;
 /// Of a slow group's traffic, the most that counts as not served for its slowness alone.
-const SLOW_PART_MOST: f64 = 0.5;
+const MAX_SLOW_PART: f64 = 0.5;
 
 /// What record servers do to the traffic, as all proxies see it.
 #[derive(Clone, Copy, Debug)]
@@ -23,17 +23,17 @@
     pub reason: Reason,
 }
 
-/// A part of the weight that is left, and what takes the rest.
+/// A factor of the weight, from 0 to 1, and what lowers it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Part {
-    pub left: f64,
+pub(crate) struct Factor {
+    pub value: f64,
     pub reason: Reason,
 }
 
-impl Part {
+impl Factor {
     /// The one that leaves less; of equal ones the first.
-    fn worse(self, other: Part) -> Part {
-        if other.left < self.left {
+    fn worse(self, other: Factor) -> Factor {
+        if other.value < self.value {
             other
         } else {
             self
@@ -42,15 +42,15 @@
 }
 
 /// Slower than usual, but alive: a part of its work comes late.
-fn late_part(slowness: f64) -> f64 {
-    (1.0 - SLOW / slowness.max(SLOW)).min(1.0) * SLOW_PART_MOST
+fn slow_part(slowness: f64) -> f64 {
+    (1.0 - SLOW_FACTOR / slowness.max(SLOW_FACTOR)).min(1.0) * MAX_SLOW_PART
 }
 
-fn reason_of(id: u32, group: &Group, late: f64, unserved: f64) -> Reason {
+fn reason_of(id: u32, group: &Group, slow_here: f64, unserved: f64) -> Reason {
     match group.state().condition {
         Condition::Dead | Condition::Hung => Reason::Group(id),
         Condition::NoPrimary => Reason::Primary(id),
-        _ if late > unserved => Reason::Slow,
+        _ if slow_here > unserved => Reason::Slow,
         _ => Reason::Servers,
     }
 }
@@ -63,14 +63,14 @@
     for (id, group) in groups {
         let traffic = group.traffic(now);
         let unserved = group.unserved();
-        let late = late_part(group.slowness());
-        let lost_here = traffic * unserved.max(late);
+        let slow_here = slow_part(group.slowness());
+        let lost_here = traffic * unserved.max(slow_here);
         all += traffic;
         lost += lost_here;
         slow += traffic * group.slowness();
         if lost_here > worst {
             worst = lost_here;
-            reason = reason_of(*id, group, late, unserved);
+            reason = reason_of(*id, group, slow_here, unserved);
         }
     }
     let unserved = if all > 0.0 { lost / all } else { 0.0 };
@@ -93,31 +93,31 @@
 }
 
 /// What own faults leave. `cut`: the site with the worst cut link, and the part of the attempts that cut links concern.
-pub(crate) fn own_part(
+pub(crate) fn own_factor(
     load: &Load,
     shared: &SharedFaults,
     cut: Option<(u16, f64)>,
     settings: &Settings,
-) -> Part {
+) -> Factor {
     let (from, to) = settings.lag;
-    let lag = Part {
-        left: ramp(
+    let lag = Factor {
+        value: ramp(
             load.lag.as_secs_f64(),
             from.as_secs_f64(),
             to.as_secs_f64(),
-            settings.least,
+            settings.own_floor,
         ),
         reason: Reason::Lag,
     };
     let mut worst = limits(load, shared, settings)
         .into_iter()
-        .fold(lag, Part::worse);
+        .fold(lag, Factor::worse);
     if let Some((site, part)) = cut {
         worst = worst.worse(cut_link(site, part, shared, settings));
     }
-    if worst.left >= 1.0 {
-        return Part {
-            left: 1.0,
+    if worst.value >= 1.0 {
+        return Factor {
+            value: 1.0,
             reason: Reason::None,
         };
     }
@@ -125,8 +125,8 @@
 }
 
 /// What the use of limits leaves; together with the shared part it does not go under the floor.
-fn limits(load: &Load, shared: &SharedFaults, settings: &Settings) -> [Part; 3] {
-    let (from, to) = settings.use_of_limits;
+fn limits(load: &Load, shared: &SharedFaults, settings: &Settings) -> [Factor; 3] {
+    let (from, to) = settings.limit_usage;
     // Requests stay open for longer with slower servers: that much is no own fault.
     let open = load.open / shared.slowness.max(1.0);
     [
@@ -134,8 +134,8 @@
         (load.descriptors, Reason::Descriptors),
         (load.memory, Reason::Memory),
     ]
-    .map(|(used, reason)| Part {
-        left: ramp(used, from, to, settings.least)
+    .map(|(used, reason)| Factor {
+        value: ramp(used, from, to, settings.own_floor)
             .max(settings.floor / shared.factor)
             .min(1.0),
         reason,
@@ -143,10 +143,10 @@
 }
 
 /// What a cut link leaves. Requests that servers of other sites serve instead do not show as lost, but these servers bear them.
-fn cut_link(site: u16, part: f64, shared: &SharedFaults, settings: &Settings) -> Part {
+fn cut_link(site: u16, part: f64, shared: &SharedFaults, settings: &Settings) -> Factor {
     let cut_floor = settings.cut_floor.min(settings.floor);
-    Part {
-        left: (1.0 - (1.0 - cut_floor) * part)
+    Factor {
+        value: (1.0 - (1.0 - cut_floor) * part)
             .max(cut_floor / shared.factor)
             .min(1.0),
         reason: Reason::Link(site),
@@ -156,7 +156,7 @@
 /// The weight as reported: in steps, rounded down, but not below what the rule guarantees for this reason.
 pub(crate) fn reported_weight(weight: f64, own_reason: Reason, settings: &Settings) -> u8 {
     let least = match own_reason {
-        Reason::Lag => settings.least,
+        Reason::Lag => settings.own_floor,
         Reason::Link(_) => settings.cut_floor.min(settings.floor),
         _ => settings.floor,
     };
--- a/crates/availability/tests/links.rs
+++ b/crates/availability/tests/links.rs
@@ -6,20 +6,20 @@
 
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
-const HERE: u16 = 0;
-const THERE: u16 = 1;
+const LOCAL: u16 = 0;
+const REMOTE: u16 = 1;
 
 /// Six servers: 0 to 2 here, 3 to 5 there; three groups of two, the primary of the last two there.
 fn model() -> Availability {
     let mut model = Availability::new(Settings::default(), Time::ZERO);
     model.handle(Time::ZERO, Event::Started);
     for server in 0..6_u32 {
-        let place = if server < 3 { HERE } else { THERE };
+        let site = if server < 3 { LOCAL } else { REMOTE };
         model.handle(
             Time::ZERO,
             Event::Endpoint {
                 server,
-                site: place,
+                site,
                 group: server % 3,
                 listed: true,
             },
@@ -57,7 +57,7 @@
 }
 
 /// Exchanges with all servers, and the primary's word on its log, for a second.
-fn calm(model: &mut Availability, from: Time) -> Time {
+fn run_healthy(model: &mut Availability, from: Time) -> Time {
     for step in 0..20_u32 {
         let at = from + 50 * MS * step;
         (0..6).for_each(|server| exchange(model, server, at));
@@ -67,7 +67,12 @@
 
 /// Servers there are asked, and dialled where the model says so, and nothing comes of it; the log grows, or stands at
 /// the time that is given.
-fn nothing_comes(model: &mut Availability, from: Time, span: Duration, log: Option<Time>) -> Time {
+fn run_remote_silent(
+    model: &mut Availability,
+    from: Time,
+    span: Duration,
+    log_end: Option<Time>,
+) -> Time {
     let mut at = from;
     while at < from + span {
         (3..6).for_each(|server| model.handle(at, Event::ExchangeStarted { server }));
@@ -79,7 +84,7 @@
             at,
             Event::RoleReported {
                 server: 1,
-                position: log.or(Some(at)),
+                position: log_end.or(Some(at)),
                 primary: Some(false),
             },
         );
@@ -89,16 +94,16 @@
 }
 
 #[test]
-fn a_link_is_cut_once_the_log_behind_it_goes_on() {
+fn a_link_is_cut_once_the_log_behind_it_grows() {
     let mut model = model();
-    let at = calm(&mut model, MS);
-    let at = nothing_comes(&mut model, at, 1_200 * MS, None);
+    let at = run_healthy(&mut model, MS);
+    let at = run_remote_silent(&mut model, at, 1_200 * MS, None);
     assert_eq!(
-        (model.link(HERE), model.link(THERE)),
+        (model.link(LOCAL), model.link(REMOTE)),
         (Some(LinkState::Up), Some(LinkState::Cut))
     );
     let report = *model.report();
-    assert_eq!(report.reason, Reason::Link(THERE));
+    assert_eq!(report.reason, Reason::Link(REMOTE));
     // Half of the attempts went there.
     assert!(
         report.state.serves() && (50..=70).contains(&report.weight),
@@ -107,20 +112,20 @@
     // A word from there, and it stands again; the weight comes back step by step.
     model.handle(at, Event::Contact { server: 4 });
     model.handle(at, Event::Tick);
-    assert_eq!(model.link(THERE), Some(LinkState::Up));
+    assert_eq!(model.link(REMOTE), Some(LinkState::Up));
     assert!(model.report().weight < 100);
-    let at = calm(&mut model, at);
-    calm(&mut model, at + 2 * SECOND);
+    let at = run_healthy(&mut model, at);
+    run_healthy(&mut model, at + 2 * SECOND);
     assert_eq!(model.report().weight, 100);
 }
 
 #[test]
-fn the_list_proves_it_where_the_log_does_not_but_later() {
+fn the_list_proves_a_cut_link_later_where_the_log_does_not() {
     let mut model = model();
-    let mut at = calm(&mut model, MS);
+    let mut at = run_healthy(&mut model, MS);
     let start = at;
     while at < start + 12 * SECOND {
-        at = nothing_comes(&mut model, at, SECOND, Some(start));
+        at = run_remote_silent(&mut model, at, SECOND, Some(start));
         model.handle(at, Event::ListReceived);
         let expected = if at < start + Duration::from_millis(10_350) {
             LinkState::Silent
@@ -128,40 +133,40 @@
             LinkState::Cut
         };
         model.handle(at, Event::Tick);
-        assert_eq!(model.link(THERE), Some(expected), "after {:?}", at - start);
+        assert_eq!(model.link(REMOTE), Some(expected), "after {:?}", at - start);
     }
 }
 
 #[test]
-fn a_place_that_the_list_drops_is_gone_and_no_ones_own_trouble() {
+fn a_site_that_the_list_drops_is_gone_and_not_an_own_fault() {
     let mut model = model();
-    let at = calm(&mut model, MS);
-    let mut at = nothing_comes(&mut model, at, 5 * SECOND, Some(at));
-    assert_eq!(model.link(THERE), Some(LinkState::Silent));
+    let at = run_healthy(&mut model, MS);
+    let mut at = run_remote_silent(&mut model, at, 5 * SECOND, Some(at));
+    assert_eq!(model.link(REMOTE), Some(LinkState::Silent));
     for server in 3..6 {
         model.handle(
             at,
             Event::Endpoint {
                 server,
-                site: THERE,
+                site: REMOTE,
                 group: server % 3,
                 listed: false,
             },
         );
     }
     for _ in 0..10 {
-        at = nothing_comes(&mut model, at, SECOND, None);
+        at = run_remote_silent(&mut model, at, SECOND, None);
         model.handle(at, Event::ListReceived);
     }
-    assert_eq!(model.link(THERE), Some(LinkState::Gone));
-    assert!(model.report().weight >= 50 && model.report().reason != Reason::Link(THERE));
+    assert_eq!(model.link(REMOTE), Some(LinkState::Gone));
+    assert!(model.report().weight >= 50 && model.report().reason != Reason::Link(REMOTE));
 }
 
 /// Without a dial in vain nothing is said: servers that hang or are slow accept connections.
 #[test]
-fn servers_that_accept_connections_make_no_place_silent() {
+fn servers_that_accept_connections_make_no_site_silent() {
     let mut model = model();
-    let mut at = calm(&mut model, MS);
+    let mut at = run_healthy(&mut model, MS);
     for _ in 0..200 {
         (3..6).for_each(|server| model.handle(at, Event::ExchangeStarted { server }));
         (0..3).for_each(|server| exchange(&mut model, server, at));
@@ -178,22 +183,22 @@
             },
         );
         model.handle(at, Event::ListReceived);
-        assert_eq!(model.link(THERE), Some(LinkState::Up));
+        assert_eq!(model.link(REMOTE), Some(LinkState::Up));
         at += 100 * MS;
     }
 }
 
 #[test]
-fn one_silent_server_is_no_silent_place() {
+fn one_silent_server_does_not_make_a_site_silent() {
     let mut model = model();
-    let at = calm(&mut model, MS);
+    let at = run_healthy(&mut model, MS);
     // The only one that is asked there: the others may well answer.
     for step in 0..60_u32 {
         let at = at + 50 * MS * step;
         model.handle(at, Event::ExchangeStarted { server: 4 });
         model.handle(at, Event::DialStarted { server: 4 });
         assert_eq!(
-            (model.link(THERE), model.server_to_dial(|_| true)),
+            (model.link(REMOTE), model.server_to_dial(|_| true)),
             (Some(LinkState::Up), None)
         );
     }
@@ -213,22 +218,22 @@
                 primary: Some(false),
             },
         );
-        assert_eq!(model.link(THERE), Some(LinkState::Up));
+        assert_eq!(model.link(REMOTE), Some(LinkState::Up));
     }
 }
 
 /// What is known stays bounded, whatever the list says.
 #[test]
-fn places_and_servers_are_bounded() {
+fn sites_and_servers_are_bounded() {
     let mut model = Availability::new(Settings::default(), Time::ZERO);
     model.handle(Time::ZERO, Event::Started);
     for server in 0..20_000_u32 {
-        let place = (server % 500) as u16;
+        let site = (server % 500) as u16;
         model.handle(
             MS,
             Event::Endpoint {
                 server,
-                site: place,
+                site,
                 group: server,
                 listed: true,
             },
@@ -252,27 +257,27 @@
 
 /// One step of a building's death as a proxy may see it.
 #[derive(Clone, Debug)]
-enum Seen {
-    Asks(u32),
-    Silence(u32),
-    Here(u32),
-    List,
-    Knock,
+enum Step {
+    ExchangeStarted(u32),
+    ExchangeUnanswered(u32),
+    LocalExchange(u32),
+    ListReceived,
+    Dial,
     /// A member here tells its position; so much before the present, or before the death.
-    Log {
+    PositionReported {
         server: u32,
         behind: u64,
     },
 }
 
-fn seen() -> impl Strategy<Value = (u64, Seen)> {
+fn step() -> impl Strategy<Value = (u64, Step)> {
     let step = prop_oneof![
-        3 => (3..6_u32).prop_map(Seen::Asks),
-        3 => (3..6_u32).prop_map(Seen::Silence),
-        2 => (0..3_u32).prop_map(Seen::Here),
-        1 => Just(Seen::List),
-        2 => Just(Seen::Knock),
-        2 => (0..3_u32, 0..300_u64).prop_map(|(server, behind)| Seen::Log { server, behind }),
+        3 => (3..6_u32).prop_map(Step::ExchangeStarted),
+        3 => (3..6_u32).prop_map(Step::ExchangeUnanswered),
+        2 => (0..3_u32).prop_map(Step::LocalExchange),
+        1 => Just(Step::ListReceived),
+        2 => Just(Step::Dial),
+        2 => (0..3_u32, 0..300_u64).prop_map(|(server, behind)| Step::PositionReported { server, behind }),
     ];
     (0..200_u64, step)
 }
@@ -283,53 +288,53 @@
     /// A building dies: its groups' logs stand still until others take over, 2.9 s later at the soonest, and the list
     /// drops it within 8.1 s. Whatever is asked and told meanwhile, its link is never called cut.
     #[test]
-    fn a_dead_building_is_never_called_cut(
-        steps in proptest::collection::vec(seen(), 50..400),
+    fn a_dead_site_is_never_reported_as_cut(
+        steps in proptest::collection::vec(step(), 50..400),
         election in 2_900..6_600_u64,
-        dropped in 1_000..8_100_u64,
+        unlisted_at in 1_000..8_100_u64,
     ) {
         let mut model = model();
-        let death = calm(&mut model, MS);
-        let (takes_over, dropped) = (death + MS * election as u32, death + MS * dropped as u32);
-        let (mut now, mut listed, mut dials) = (death, true, Vec::new());
+        let died_at = run_healthy(&mut model, MS);
+        let (elected_at, unlisted_at) = (died_at + MS * election as u32, died_at + MS * unlisted_at as u32);
+        let (mut now, mut listed, mut dialled) = (died_at, true, Vec::new());
         for (ms, step) in steps {
             now += MS * ms as u32;
-            if listed && now >= dropped {
+            if listed && now >= unlisted_at {
                 listed = false;
                 for server in 3..6 {
-                    model.handle(now, Event::Endpoint { server, site: THERE, group: server % 3, listed: false });
+                    model.handle(now, Event::Endpoint { server, site: REMOTE, group: server % 3, listed: false });
                 }
             }
             match step {
-                Seen::Asks(server) => model.handle(now, Event::ExchangeStarted { server }),
-                Seen::Silence(server) => model.handle(now, Event::ExchangeEnded { server, contact: false }),
-                Seen::Here(server) => exchange(&mut model, server, now),
-                Seen::List => model.handle(now, Event::ListReceived),
-                Seen::Knock => {
+                Step::ExchangeStarted(server) => model.handle(now, Event::ExchangeStarted { server }),
+                Step::ExchangeUnanswered(server) => model.handle(now, Event::ExchangeEnded { server, contact: false }),
+                Step::LocalExchange(server) => exchange(&mut model, server, now),
+                Step::ListReceived => model.handle(now, Event::ListReceived),
+                Step::Dial => {
                     if let Some(server) = model.server_to_dial(|_| true) {
-                        dials.push(server);
+                        dialled.push(server);
                         model.handle(now, Event::DialStarted { server });
                     }
                 }
-                Seen::Log { server, behind } => {
+                Step::PositionReported { server, behind } => {
                     // Of groups 1 and 2, whose primaries are dead; the new one has not told us.
-                    let end = if now < takes_over { death } else { now };
-                    let position = if server == 0 { now } else { end } - MS * behind as u32;
+                    let log_end = if now < elected_at { died_at } else { now };
+                    let position = if server == 0 { now } else { log_end } - MS * behind as u32;
                     model.handle(now, Event::RoleReported { server, position: Some(position), primary: None });
                 }
             }
-            prop_assert_ne!(model.link(THERE), Some(LinkState::Cut), "{:?} after the death", now - death);
+            prop_assert_ne!(model.link(REMOTE), Some(LinkState::Cut), "{:?} after the death", now - died_at);
             prop_assert!(model.report().weight >= 50);
         }
     }
 
     /// A link is cut and what is behind it works: it is told within two seconds, whatever the order.
     #[test]
-    fn a_cut_link_is_told(order in proptest::collection::vec(0..3_u32, 60..61), phase in 0..50_u64) {
+    fn a_cut_link_is_reported(order in proptest::collection::vec(0..3_u32, 60..61), phase in 0..50_u64) {
         let mut model = model();
-        let cut = calm(&mut model, MS) + MS * phase as u32;
+        let cut_at = run_healthy(&mut model, MS) + MS * phase as u32;
         for (step, first) in (0_u32..).zip(order) {
-            let now = cut + 33 * MS * step;
+            let now = cut_at + 33 * MS * step;
             model.handle(now, Event::ExchangeStarted { server: 3 + first });
             model.handle(now, Event::ExchangeStarted { server: 3 + (first + 1) % 3 });
             if let Some(server) = model.server_to_dial(|_| true) {
@@ -339,6 +344,6 @@
             model.handle(now, Event::RoleReported { server: 1, position: Some(now - 8 * MS), primary: Some(false) });
             model.handle(now, Event::RoleReported { server: 2, position: Some(now - 8 * MS), primary: Some(false) });
         }
-        prop_assert_eq!(model.link(THERE), Some(LinkState::Cut));
+        prop_assert_eq!(model.link(REMOTE), Some(LinkState::Cut));
     }
 }
--- a/crates/availability/tests/model.rs
+++ b/crates/availability/tests/model.rs
@@ -14,33 +14,33 @@
     model: Availability,
     now: Time,
     groups: Vec<Behaviour>,
-    per_s: u32,
+    requests_per_s: u32,
     load: Load,
-    out: Vec<(Time, u32, AttemptOutcome, Duration)>,
+    in_flight: Vec<(Time, u32, AttemptOutcome, Duration)>,
     /// States and weights as they were told, each with its time.
-    told: Vec<(Time, State, u8)>,
+    reports: Vec<(Time, State, u8)>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Behaviour {
-    Takes(u32),
+    Answers(u32),
     Silent,
-    Breaks,
-    Refuses,
+    Fails,
+    Rejects,
 }
 
 impl World {
-    fn new(groups: usize, per_s: u32) -> World {
+    fn new(groups: usize, requests_per_s: u32) -> World {
         let mut model = Availability::new(Settings::default(), Time::ZERO);
         model.handle(Time::ZERO, Event::Started);
         World {
             model,
             now: Time::ZERO,
-            groups: vec![Behaviour::Takes(50); groups],
-            per_s,
+            groups: vec![Behaviour::Answers(50); groups],
+            requests_per_s,
             load: Load::default(),
-            out: Vec::new(),
-            told: Vec::new(),
+            in_flight: Vec::new(),
+            reports: Vec::new(),
         }
     }
 
@@ -52,10 +52,11 @@
             let millis = self.now.as_millis() as u32;
             for (at, behaviour) in self.groups.clone().into_iter().enumerate() {
                 let group = at as u32;
-                let due = (millis * self.per_s / 1_000) - ((millis - 5) * self.per_s / 1_000);
-                for n in 0..due {
+                let arrivals = (millis * self.requests_per_s / 1_000)
+                    - ((millis - 5) * self.requests_per_s / 1_000);
+                for n in 0..arrivals {
                     self.model.handle(self.now, Event::RequestArrived { group });
-                    if behaviour == Behaviour::Refuses {
+                    if behaviour == Behaviour::Rejects {
                         self.model.handle(
                             self.now,
                             Event::RequestRejected {
@@ -68,43 +69,49 @@
                     self.model.handle(self.now, Event::AttemptSent { group });
                     // Times scatter by a half.
                     let scatter = (millis / 5 * 7 + n * 13 + group * 3) % 10;
-                    let (how, took) = match behaviour {
-                        Behaviour::Takes(ms) => (
+                    let (outcome, elapsed) = match behaviour {
+                        Behaviour::Answers(ms) => (
                             AttemptOutcome::Answered,
                             MS * (ms * (75 + scatter * 5) / 100),
                         ),
                         Behaviour::Silent => (AttemptOutcome::Failed, 1_500 * MS),
                         _ => (AttemptOutcome::Failed, 2 * MS),
                     };
-                    self.out.push((self.now + took, group, how, took));
+                    self.in_flight
+                        .push((self.now + elapsed, group, outcome, elapsed));
                 }
             }
-            let (over, out): (Vec<_>, Vec<_>) =
-                self.out.drain(..).partition(|(at, ..)| *at <= self.now);
-            self.out = out;
-            for (at, group, how, elapsed) in over {
+            let (ended, in_flight): (Vec<_>, Vec<_>) = self
+                .in_flight
+                .drain(..)
+                .partition(|(at, ..)| *at <= self.now);
+            self.in_flight = in_flight;
+            for (at, group, outcome, elapsed) in ended {
                 self.model.handle(
                     at,
                     Event::AttemptEnded {
                         group,
-                        outcome: how,
+                        outcome,
                         elapsed,
                     },
                 );
-                let answer = match how {
+                let request_end = match outcome {
                     AttemptOutcome::Answered => Event::RequestServed { group },
                     _ => Event::RequestFailed { group },
                 };
-                self.model.handle(at, answer);
+                self.model.handle(at, request_end);
             }
             if millis.is_multiple_of(100) {
                 self.model.handle(self.now, Event::Load(self.load));
             }
             let report = self.model.report();
-            if self.told.last().map(|(_, state, weight)| (*state, *weight))
+            if self
+                .reports
+                .last()
+                .map(|(_, state, weight)| (*state, *weight))
                 != Some((report.state, report.weight))
             {
-                self.told.push((self.now, report.state, report.weight));
+                self.reports.push((self.now, report.state, report.weight));
             }
         }
     }
@@ -114,7 +121,7 @@
     }
 
     /// How long it takes until this holds.
-    fn until(&mut self, limit: Duration, holds: impl Fn(&World) -> bool) -> Duration {
+    fn run_until(&mut self, limit: Duration, holds: impl Fn(&World) -> bool) -> Duration {
         let start = self.now;
         while !holds(self) {
             assert!(self.now - start < limit, "not within {limit:?}");
@@ -130,7 +137,7 @@
 fn a_hung_and_a_dead_group_show_within_a_second_at_twenty_a_second() {
     for (behaviour, expected) in [
         (Behaviour::Silent, Condition::Hung),
-        (Behaviour::Breaks, Condition::Dead),
+        (Behaviour::Fails, Condition::Dead),
     ] {
         let mut world = World::new(4, 20);
         world.run(30 * SECOND);
@@ -139,12 +146,12 @@
             (State::Ready, 100)
         );
         world.groups[2] = behaviour;
-        let took = world.until(SECOND, |w| w.condition(2) == expected);
+        let elapsed = world.run_until(SECOND, |w| w.condition(2) == expected);
         world.run(500 * MS);
         let report = *world.model.report();
         assert!(
             matches!(report.state, State::Degraded(15..=35)),
-            "{report:?} after {took:?}"
+            "{report:?} after {elapsed:?}"
         );
         assert_eq!(report.reason, Reason::Group(2));
         assert!(
@@ -152,16 +159,16 @@
             "the others' traffic stays: {report:?}"
         );
         // It answers again, and that is told too.
-        world.groups[2] = Behaviour::Takes(50);
-        world.until(6 * SECOND, |w| w.condition(2) == Condition::Serving);
-        world.until(10 * SECOND, |w| {
+        world.groups[2] = Behaviour::Answers(50);
+        world.run_until(6 * SECOND, |w| w.condition(2) == Condition::Serving);
+        world.run_until(10 * SECOND, |w| {
             w.model.report().state == State::Ready && w.model.report().weight == 100
         });
     }
 }
 
 #[test]
-fn a_group_without_a_primary_is_told_by_its_writes() {
+fn a_group_without_a_primary_is_detected_by_its_writes() {
     let mut world = World::new(2, 20);
     world.run(10 * SECOND);
     for _ in 0..2 {
@@ -198,15 +205,15 @@
             served: true,
         },
     );
-    world.until(5 * SECOND, |w| w.condition(1) == Condition::Serving);
+    world.run_until(5 * SECOND, |w| w.condition(1) == Condition::Serving);
 }
 
 #[test]
-fn slowness_of_all_is_shared_trouble_and_leaves_the_floor() {
+fn slowness_of_all_groups_is_a_shared_fault_and_leaves_the_floor() {
     let mut world = World::new(4, 50);
     world.run(60 * SECOND);
-    world.told.clear();
-    world.groups = vec![Behaviour::Takes(150); 4];
+    world.reports.clear();
+    world.groups = vec![Behaviour::Answers(150); 4];
     // Requests stay open three times as long, and with them descriptors: that shows before the slowness does.
     world.load = Load {
         open: 0.95,
@@ -219,33 +226,33 @@
     assert!(report.slowness > 2.5, "{report:?}");
     assert!(
         world
-            .told
+            .reports
             .iter()
             .all(|(_, state, weight)| state.serves() && *weight >= 50),
         "{:?}",
-        world.told
+        world.reports
     );
-    world.groups = vec![Behaviour::Takes(50); 4];
+    world.groups = vec![Behaviour::Answers(50); 4];
     world.load = Load::default();
-    world.until(20 * SECOND, |w| {
+    world.run_until(20 * SECOND, |w| {
         w.model.report().state == State::Ready && w.model.report().weight == 100
     });
 }
 
 #[test]
-fn a_fleet_that_is_gone_leaves_the_floor_too() {
-    for behaviour in [Behaviour::Silent, Behaviour::Breaks, Behaviour::Refuses] {
+fn unavailable_groups_leave_the_floor() {
+    for behaviour in [Behaviour::Silent, Behaviour::Fails, Behaviour::Rejects] {
         let mut world = World::new(3, 40);
         world.run(20 * SECOND);
         world.groups = vec![behaviour; 3];
         world.run(20 * SECOND);
         assert!(
             world
-                .told
+                .reports
                 .iter()
                 .all(|(_, state, weight)| state.serves() && *weight >= 50),
             "{:?}",
-            world.told
+            world.reports
         );
         assert!(
             matches!(world.model.report().state, State::Degraded(60..)),
@@ -256,17 +263,17 @@
 }
 
 #[test]
-fn own_lag_is_own_trouble() {
+fn event_loop_lag_is_an_own_fault() {
     let mut world = World::new(2, 50);
     world.run(10 * SECOND);
     world.load.lag = 300 * MS;
-    world.until(SECOND, |w| {
+    world.run_until(SECOND, |w| {
         w.model.report().state == State::Overloaded && w.model.report().weight <= 10
     });
     assert_eq!(world.model.report().reason, Reason::Lag);
     world.load.lag = Duration::ZERO;
     let start = world.now;
-    world.until(20 * SECOND, |w| w.model.report().weight == 100);
+    world.run_until(20 * SECOND, |w| w.model.report().weight == 100);
     assert!(
         world.now - start >= 4 * SECOND,
         "weight comes back step by step"
@@ -274,7 +281,7 @@
 }
 
 #[test]
-fn one_hung_member_of_a_group_that_answers_is_not_the_groups_trouble() {
+fn one_hung_member_does_not_make_its_group_hung() {
     let mut world = World::new(1, 50);
     world.run(10 * SECOND);
     for n in 0..40_u32 {
@@ -282,7 +289,7 @@
         let at = world.now;
         world.model.handle(at, Event::AttemptSent { group: 0 });
         world
-            .out
+            .in_flight
             .push((at + 1_500 * MS, 0, AttemptOutcome::Failed, 1_500 * MS));
         world.run(100 * MS);
         assert_eq!(world.condition(0), Condition::Serving, "after {n}");
@@ -293,7 +300,7 @@
 #[test]
 fn a_group_whose_answers_take_seconds_is_not_hung_between_two_of_them() {
     let mut world = World::new(1, 0);
-    let ask = |world: &mut World, answered: bool| {
+    let send_burst = |world: &mut World, answered: bool| {
         for _ in 0..8 {
             world
                 .model
@@ -302,7 +309,7 @@
                 .model
                 .handle(world.now, Event::AttemptSent { group: 0 });
             if answered {
-                world.out.push((
+                world.in_flight.push((
                     world.now + 3 * SECOND,
                     0,
                     AttemptOutcome::Answered,
@@ -312,7 +319,7 @@
         }
     };
     for burst in 0..60 {
-        ask(&mut world, true);
+        send_burst(&mut world, true);
         for _ in 0..20 {
             world.run(100 * MS);
             // What is usual is learnt first.
@@ -324,13 +331,16 @@
     }
     world.run(3 * SECOND);
     // It still shows when it hangs: once it has said nothing for as long as an answer takes.
-    ask(&mut world, false);
-    let told = world.until(4 * SECOND, |w| w.condition(0) == Condition::Hung);
-    assert!(told >= 3 * SECOND - 200 * MS, "{told:?}");
+    send_burst(&mut world, false);
+    let detected_after = world.run_until(4 * SECOND, |w| w.condition(0) == Condition::Hung);
+    assert!(
+        detected_after >= 3 * SECOND - 200 * MS,
+        "{detected_after:?}"
+    );
 }
 
 #[test]
-fn a_drain_is_told_at_once_and_stays_until_undone() {
+fn a_drain_is_reported_at_once_and_until_undrain() {
     let mut world = World::new(2, 20);
     world.run(5 * SECOND);
     world.model.handle(world.now, Event::Drain);
@@ -340,11 +350,11 @@
     );
     world.groups[0] = Behaviour::Silent;
     world.run(5 * SECOND);
-    world.groups[0] = Behaviour::Takes(50);
+    world.groups[0] = Behaviour::Answers(50);
     world.load.lag = SECOND;
     world.run(5 * SECOND);
     assert!(world
-        .told
+        .reports
         .iter()
         .skip(1)
         .all(|(_, state, weight)| (*state, *weight) == (State::Draining, 0)));
@@ -357,22 +367,22 @@
 fn flapping_servers_change_the_state_a_bounded_number_of_times() {
     let mut world = World::new(1, 40);
     world.run(10 * SECOND);
-    world.told.clear();
+    world.reports.clear();
     // A minute in which the group breaks and answers in turn, every second.
     for n in 0..60 {
         world.groups[0] = if n % 2 == 0 {
-            Behaviour::Breaks
+            Behaviour::Fails
         } else {
-            Behaviour::Takes(50)
+            Behaviour::Answers(50)
         };
         world.run(SECOND);
     }
-    let kinds: Vec<_> = world
-        .told
+    let states: Vec<_> = world
+        .reports
         .iter()
         .map(|(_, state, _)| std::mem::discriminant(state))
         .collect();
-    let changes = kinds.windows(2).filter(|w| w[0] != w[1]).count();
+    let changes = states.windows(2).filter(|w| w[0] != w[1]).count();
     assert!(changes <= 14, "{changes} changes in a minute");
 }
 
@@ -382,12 +392,12 @@
     world.run(10 * SECOND);
     // Nothing is looked at for five seconds; then the answers are there.
     let at = world.now + 5 * SECOND;
-    for (_, group, how, _) in std::mem::take(&mut world.out) {
+    for (_, group, outcome, _) in std::mem::take(&mut world.in_flight) {
         world.model.handle(
             at,
             Event::AttemptEnded {
                 group,
-                outcome: how,
+                outcome,
                 elapsed: 5 * SECOND,
             },
         );
@@ -396,11 +406,11 @@
     world.run(2 * SECOND);
     assert!(
         world
-            .told
+            .reports
             .iter()
             .all(|(_, state, _)| !matches!(state, State::Degraded(60..))),
         "{:?}",
-        world.told
+        world.reports
     );
     // A clock that goes back stands.
     let before = *world.model.report();
@@ -409,7 +419,7 @@
 }
 
 #[test]
-fn discovery_that_cannot_be_heard_does_not_count() {
+fn a_lost_discovery_connection_does_not_lower_the_weight() {
     let mut world = World::new(2, 40);
     world.run(5 * SECOND);
     world
@@ -425,7 +435,7 @@
 
 fn event() -> impl Strategy<Value = (u64, Event)> {
     let group = 0..6_u32;
-    let how = prop_oneof![
+    let outcome = prop_oneof![
         Just(AttemptOutcome::Answered),
         Just(AttemptOutcome::Rejected),
         Just(AttemptOutcome::Failed),
@@ -444,12 +454,12 @@
         4 => group.clone().prop_map(|group| Event::AttemptSent { group }),
         4 => group.clone().prop_map(|group| Event::RequestArrived { group }),
         1 => group.clone().prop_map(|group| Event::ClientLeft { group }),
-        4 => (group.clone(), how, 0..3_000_u64).prop_map(|(group, how, ms)| Event::AttemptEnded { group, outcome: how, elapsed: MS * ms as u32 }),
+        4 => (group.clone(), outcome, 0..3_000_u64).prop_map(|(group, outcome, ms)| Event::AttemptEnded { group, outcome, elapsed: MS * ms as u32 }),
         2 => group.clone().prop_map(|group| Event::RequestServed { group }),
         2 => group.clone().prop_map(|group| Event::RequestFailed { group }),
         2 => group.prop_map(|group| Event::RequestRejected { group, cause: RejectionCause::Servers }),
         1 => Just(Event::Tick),
-        1 => any::<bool>().prop_map(|heard| Event::Discovery { connected: heard }),
+        1 => any::<bool>().prop_map(|connected| Event::Discovery { connected }),
         1 => load,
     ];
     (0..400_u64, event)
@@ -461,7 +471,7 @@
     /// Whatever record servers do, and whatever else slow servers can cause while they do it: a proxy whose loop is
     /// in time tells the floor at least, and never that it is down.
     #[test]
-    fn shared_trouble_alone_leaves_the_floor(events in proptest::collection::vec(event(), 0..400)) {
+    fn shared_faults_alone_leave_the_floor(events in proptest::collection::vec(event(), 0..400)) {
         let mut model = Availability::new(Settings::default(), Time::ZERO);
         model.handle(Time::ZERO, Event::Started);
         let mut now = Time::ZERO;
@@ -475,7 +485,7 @@
 
     /// It serves until it is told otherwise, whatever happens; the weight is never 0 before, and always after.
     #[test]
-    fn only_a_word_takes_it_out(events in proptest::collection::vec(event(), 0..300), drained in 0..300_usize) {
+    fn only_a_drain_takes_the_proxy_out(events in proptest::collection::vec(event(), 0..300), drained in 0..300_usize) {
         let mut model = Availability::new(Settings::default(), Time::ZERO);
         model.handle(Time::ZERO, Event::Started);
         let mut now = Time::ZERO;
@@ -519,14 +529,14 @@
         let mut model = Availability::new(Settings::default(), Time::ZERO);
         model.handle(Time::ZERO, Event::Started);
         let (mut now, mut changes) = (Time::ZERO, Vec::new());
-        let mut kind = std::mem::discriminant(&model.report().state);
+        let mut state = std::mem::discriminant(&model.report().state);
         for (ms, event) in events {
             now += MS * (ms / 2) as u32;
             model.handle(now, event);
             let next = std::mem::discriminant(&model.report().state);
-            if next != kind {
+            if next != state {
                 changes.push(now);
-                kind = next;
+                state = next;
             }
         }
         for (at, start) in changes.iter().enumerate() {
