--- a/crates/site-failover/src/capacity.rs
+++ b/crates/site-failover/src/capacity.rs
@@ -1,8 +1,8 @@
-//! Work that each site has shown it can do for each group: requests answered in time, reads and writes apart.
+//! Capacity of each site for each group, as observed: the work of requests answered in time, for reads and writes separately.
 //!
-//! It is the peak over windows of [`WINDOW`], which decays by half in [`HALF_LIFE_SECONDS`]. So it is never more than was seen, and a
-//! site that never got many requests counts for little. Work is in seconds: of a kind of request the time that it takes without
-//! contention, as the shortest responses show.
+//! The capacity is the peak rate of work over windows of [`WINDOW`]; it decays by half in [`HALF_LIFE_SECONDS`]. It therefore never
+//! exceeds what was observed, and is low for a site that never received many requests. Work is measured in seconds: the work of a
+//! request of a class is the time that it takes without contention, estimated from the shortest responses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,33 +11,34 @@
 
 const WINDOW: Duration = Duration::from_secs(1);
 const HALF_LIFE_SECONDS: f64 = 60.0;
-/// Classes whose work is learned.
+/// Maximum number of classes whose work is learned.
 const CLASSES_LIMIT: usize = 256;
-/// With each longer response the work of a class grows by this part of the difference.
+/// With each longer response the work of a class grows by this fraction of the difference.
 const WORK_GROWTH: f64 = 0.01;
-/// The shortest response that is counted, in seconds.
+/// Minimum work of a request, in seconds; shorter responses count as this.
 const MIN_WORK: f64 = 1e-6;
-/// Capacities that are kept; those of groups and sites that come later count for nothing.
+/// Maximum number of capacities that are kept; those of further groups and sites count as 0.
 const CAPACITIES_LIMIT: usize = 4 * GROUPS_LIMIT;
 
-/// What a capacity is of.
+/// Key of a capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CapacityKey {
     /// The group of servers.
     pub group: u32,
     /// The site.
     pub site: u16,
-    /// For writes, or for reads.
+    /// Whether the capacity is for writes; otherwise for reads.
     pub write: bool,
 }
 
-/// The decaying peak of work in a second.
+/// Decaying peak of the rate of work, in seconds of work per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeakRate {
-    /// Work in the current window, and its start.
+    /// Work in the current window, in seconds.
     work: f64,
+    /// Start of the current window.
     window_start: Time,
-    /// The peak, as of then.
+    /// Peak rate at the time `peak_at`.
     peak: f64,
     peak_at: Time,
 }
@@ -64,12 +65,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Capacity {
     peaks: BTreeMap<CapacityKey, PeakRate>,
-    /// By class, in seconds.
+    /// Work of one request by class, in seconds.
     work: BTreeMap<u16, f64>,
 }
 
 impl Capacity {
-    /// A request of a class was answered in time, after `elapsed`.
+    /// Counts a request of a class that was answered in time, after `elapsed`.
     pub fn record_answer(&mut self, now: Time, key: CapacityKey, class: u16, elapsed: Duration) {
         self.learn_work(class, elapsed.as_secs_f64().max(MIN_WORK));
         let work = self.work(class);
@@ -96,12 +97,12 @@
         }
     }
 
-    /// The work of a request of a class, in seconds; 0: not known.
+    /// The work of a request of a class, in seconds; 0 if it is not known.
     pub fn work(&self, class: u16) -> f64 {
         self.work.get(&class).copied().unwrap_or(0.0)
     }
 
-    /// Work in a second that a site has shown.
+    /// Observed capacity, in seconds of work per second.
     pub fn observed(&self, now: Time, key: CapacityKey) -> f64 {
         let Some(mut peak) = self.peaks.get(&key).copied() else {
             return 0.0;
@@ -110,7 +111,7 @@
         peak.decayed(now)
     }
 
-    /// Groups of which a site has served requests.
+    /// Groups for which a site has served requests.
     pub fn groups(&self, site: u16) -> impl Iterator<Item = u32> + '_ {
         self.peaks
             .keys()
@@ -118,14 +119,14 @@
             .map(|key| key.group)
     }
 
-    /// What all other sites together have shown for a group.
+    /// Observed capacity for a group of all sites other than `lost`.
     pub fn total_of_other_sites(&self, now: Time, lost: u16, group: u32, write: bool) -> f64 {
         self.of_other_sites(now, lost, group, write)
             .map(|(_, observed)| observed)
             .sum()
     }
 
-    /// What each other site has shown for a group.
+    /// Observed capacity for a group of each site other than `lost`.
     pub fn of_other_sites(
         &self,
         now: Time,
--- a/crates/site-failover/src/demand.rs
+++ b/crates/site-failover/src/demand.rs
@@ -1,33 +1,33 @@
-//! The recent rate of requests at one proxy, by kind.
+//! Recent rates of the requests at one proxy, by kind of request.
 
 use std::collections::BTreeMap;
 
 use crate::{QuotaStatus, Time};
 
-/// What requests are told apart by.
+/// Kind of a request: the properties by which shedding distinguishes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKind {
     /// The group of servers.
     pub group: u32,
-    /// Whether it writes.
+    /// Whether the request writes.
     pub write: bool,
     /// The class.
     pub class: u16,
     /// The tenant.
     pub tenant: u16,
-    /// What it is to the tenant's quota.
+    /// Status of the request with respect to the tenant's quota.
     pub quota_status: QuotaStatus,
-    /// Whether it is a client's retry.
+    /// Whether the request is a client's retry.
     pub is_retry: bool,
 }
 
-/// Time constant of the rates, in seconds.
+/// Time constant of the decay of the rates, in seconds.
 const TIME_CONSTANT: f64 = 10.0;
 const KINDS_LIMIT: usize = 4_096;
-/// Kinds of a lower rate, in requests a second, are forgotten where there is no room.
+/// When [`KINDS_LIMIT`] is reached, kinds with a lower rate, in requests per second, are dropped.
 const MIN_KEPT_RATE: f64 = 0.01;
 
-/// A count that decays.
+/// An exponentially decaying count.
 #[derive(Clone, Copy, Debug)]
 struct DecayingCount {
     count: f64,
@@ -45,14 +45,14 @@
     }
 }
 
-/// Rates of all kinds.
+/// Request rates of all kinds.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     counts: BTreeMap<RequestKind, DecayingCount>,
 }
 
 impl Demand {
-    /// A request has arrived.
+    /// Counts a request that has arrived.
     pub fn record(&mut self, now: Time, kind: RequestKind) {
         if self.counts.len() >= KINDS_LIMIT && !self.counts.contains_key(&kind) {
             self.counts
@@ -72,7 +72,7 @@
         };
     }
 
-    /// Requests a second of each kind.
+    /// Rate of each kind, in requests per second.
     pub fn rates(&self, now: Time) -> impl Iterator<Item = (RequestKind, f64)> + '_ {
         self.counts
             .iter()
--- a/crates/site-failover/src/detector.rs
+++ b/crates/site-failover/src/detector.rs
@@ -1,8 +1,8 @@
-//! One state machine for each site, fed with evidence about its servers.
+//! One state machine for each site, driven by evidence about its servers.
 //!
-//! Only an answer proves that a server works; failed connections and resets speak against it. A site is lost when enough of its
-//! servers are down, none of its servers has answered since the first failure, and servers of other sites have. So neither what
-//! all servers do at once, nor what this proxy does to itself, is the loss of a site.
+//! Only an answer proves that a server works; failed connections and resets are evidence against it. A site is lost when enough of
+//! its servers are down, none of its servers has answered since the first failure, and servers of other sites have answered. So
+//! neither a simultaneous failure of all sites nor a stall of this proxy counts as the loss of a site.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::site::{Evidence, Report, ServerCounts, Site, SiteState, Suspicion};
 use crate::{EndpointState, Event, Settings, Time, SERVERS_LIMIT, SITES_LIMIT};
 
-/// Servers that must be down for a loss, of sites that have as many.
+/// Minimum number of servers that must be down for a loss; of a site with fewer servers, all.
 const MIN_DOWN_SERVERS: usize = 2;
-/// Hard failures of a server count when they are apart by this part of [`Settings::lost_after`].
+/// Hard failures of a server are counted separately when they are at least [`Settings::lost_after`] divided by this apart.
 const SPREAD_DIVISOR: u32 = 4;
-/// Answers of a returning site before it is healthy.
+/// Number of answers of a returning site before it is healthy.
 const RETURN_ANSWERS: u8 = 3;
 
-/// Judges the state of each site.
+/// Decides the state of each site.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SiteDetector {
     settings: Settings,
@@ -26,12 +26,12 @@
     servers: BTreeMap<u32, Server>,
     sites: BTreeMap<u16, Site>,
     list_connected: bool,
-    /// Until then failures may be the fault of a stall of this proxy.
+    /// Failures before this time are ignored, since a stall of this proxy may have caused them.
     ignore_failures_until: Time,
 }
 
 impl SiteDetector {
-    /// A detector without sites.
+    /// Creates a detector without sites.
     pub fn new(settings: Settings, now: Time) -> SiteDetector {
         SiteDetector {
             settings,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Takes other settings over; the state stays.
+    /// Replaces the settings and keeps the state.
     pub fn configure(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// The state of each site; nothing if there is but one.
+    /// The state of each site; empty if there is only one site.
     pub fn reports(&self) -> impl Iterator<Item = Report> + '_ {
         let has_several = self.sites.len() > 1;
         self.sites
@@ -78,7 +78,8 @@
         self.servers.get(&server).map(|server| server.site)
     }
 
-    /// Handles an event. The list and operators are believed about single servers; what that makes of a site is judged.
+    /// Handles an event. Entries of the endpoint list and exclusions by operators apply to single servers at once; the state of the site
+    /// is decided from all its servers.
     pub fn handle(&mut self, now: Time, event: Event) {
         let now = now.max(self.now);
         if now - self.now > self.settings.stall {
@@ -88,7 +89,7 @@
         let is_expected =
             matches!(event, Event::Answered { server } if self.is_answer_expected(server));
         self.apply(now, event);
-        // With one site there is no other to take its load, and no contrast.
+        // With only one site there is no other to take its load or to compare its failures with.
         let has_several = self.sites.len() >= 2;
         if !has_several || is_expected && !self.has_suspicion() {
             return;
@@ -133,7 +134,7 @@
             | Event::Reset { server }
             | Event::TimedOut { server }
             | Event::ManualExclusion { server, .. } => self.site_of(server).into_iter().collect(),
-            // Judged at the end of the update.
+            // Sites are updated at the end of the list update.
             Event::Endpoint { .. } => Vec::new(),
             Event::LinkCut { site, .. } => vec![site],
             Event::ListUpdated { .. } | Event::LoopLag(_) | Event::Tick => {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// An answer is evidence against each site that is suspected, too.
+    /// The server's own site and all suspected sites: an answer of another site makes their failures site-specific.
     fn sites_affected_by_answer(&self, server: u32) -> Vec<u16> {
         let own = self.site_of(server);
         self.sites
@@ -152,7 +153,8 @@
             .collect()
     }
 
-    /// The answer of a server without failures, of a healthy site, changes nothing: nearly all answers are such.
+    /// Whether an answer changes no state by itself, because the server has no failures and its site is healthy. This holds for nearly
+    /// all answers.
     fn is_answer_expected(&self, server: u32) -> bool {
         self.servers.get(&server).is_some_and(|server| {
             !server.has_failures() && self.state(server.site) == Some(SiteState::Healthy)
@@ -163,7 +165,8 @@
         self.sites.values().any(|site| site.suspicion.is_some())
     }
 
-    /// During a stall no answer was read, and what was due then is overdue now: all of it would look like timeouts.
+    /// During a stall no answers were read. Failures before and shortly after it are not counted, since overdue answers would look like
+    /// timeouts.
     fn on_stall(&mut self, now: Time) {
         if !self.settings.guards.stall {
             return;
@@ -218,8 +221,8 @@
         }
         site.answers_since_loss = site.answers_since_loss.saturating_add(1);
         let is_lost = site.is_lost();
-        // A suspicion that lasted as long as a loss takes, and ends with an answer, was shared: all sites failed at once. What is
-        // left of it about other sites proves nothing.
+        // A suspicion that lasted for `lost_after` without a loss and ends with an answer was shared: all sites failed at once. The
+        // failures counted meanwhile against other sites are not site-specific.
         let lost_after = self.settings.lost_after;
         let was_shared = !is_lost && suspicion.is_some_and(|was| now - was.first_at >= lost_after);
         if suspicion.is_some() {
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Of one site, or of all.
+    /// Clears the site-specific failures of the servers of one site, or of all sites.
     fn clear_site_specific_failures(&mut self, site: u16, of_all: bool) {
         for server in self.servers.values_mut() {
             if of_all || server.site == site {
@@ -239,7 +242,8 @@
         }
     }
 
-    /// An answer of this site is contrast to the suspicion of others. `anew`: former contrast does not count.
+    /// After an answer of the site `answering`, failures of other suspected sites are site-specific. With `reset` they are so only from
+    /// now on, otherwise from the first such answer on.
     fn mark_suspicions_site_specific(&mut self, answering: u16, reset: bool) {
         let now = self.now;
         for (_, site) in self.sites.iter_mut().filter(|(id, _)| **id != answering) {
@@ -288,7 +292,7 @@
         ServerCounts::of(of_site, self.now, &self.settings.guards)
     }
 
-    /// Whether another site that is not lost has answered since then. So the last site is never lost.
+    /// Whether another site that is not lost has answered since the given time. This also keeps the last site from being lost.
     fn has_answer_elsewhere(&self, id: u16, since: Time) -> bool {
         !self.settings.guards.site_specific
             || self.sites.iter().any(|(other, site)| {
@@ -296,7 +300,7 @@
             })
     }
 
-    /// Why a site is lost, if it is.
+    /// Evidence that the site is lost, if there is enough.
     fn loss_evidence(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
         if counts.members == 0 {
             self.loss_without_members(id, site, counts)
@@ -305,8 +309,9 @@
         }
     }
 
-    /// All servers are away, by the list or by operators. Operators are never late, nor is a list that says what failures say;
-    /// otherwise the list may be older than the site's last answer.
+    /// Decides the loss of a site whose servers are all out of service, by the list or by operators. Exclusions by operators and a list
+    /// that failures confirm are trusted after [`Settings::lost_after`]. Otherwise the list may be older than the site's last answer and
+    /// is trusted after [`Settings::list_late`].
     fn loss_without_members(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
         let guards = self.settings.guards;
         let all_excluded = counts.excluded == counts.out_of_service && counts.excluded > 0;
@@ -332,8 +337,8 @@
         (is_list_trusted && self.has_answer_elsewhere(id, until)).then_some(evidence)
     }
 
-    /// Enough servers still fail [`Settings::lost_after`] after other sites were first known to answer, and these answer after
-    /// that too.
+    /// Decides the loss of a site by failures: enough servers still fail [`Settings::lost_after`] after another site first answered
+    /// during the suspicion, and another site has answered since the last failure.
     fn loss_by_failures(&self, id: u16, site: &Site, counts: ServerCounts) -> Option<Evidence> {
         let guards = self.settings.guards;
         let suspicion = site.suspicion?;
@@ -413,7 +418,7 @@
         if counts.members > 0 && site.answers_since_loss > 0 && may_change_loss {
             return (SiteState::Returning, Evidence::Answers);
         }
-        // Other proxies may find out later that the servers behind a link work.
+        // Other proxies may show only later that the servers behind the link work.
         let evidence = if site.link_cut && site.evidence == Evidence::Failures {
             Evidence::LinkCut
         } else {
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -1,31 +1,31 @@
-//! Evidence about servers and sites.
+//! Events that the detector handles: evidence about servers and sites.
 
 use std::time::Duration;
 
-/// A server's state in the endpoint list.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The server takes requests.
     Ready,
-    /// It is about to go.
+    /// The server takes no new requests and is about to leave.
     Draining,
-    /// It is not listed any more.
+    /// The server is no longer listed.
     Removed,
 }
 
 /// An event of the detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The endpoint list names a server, or ceases to.
+    /// The endpoint list has added, changed or removed a server.
     Endpoint {
         /// The server.
         server: u32,
-        /// Its site; ignored for a known server.
+        /// The server's site; ignored for a server that is already known.
         site: u16,
-        /// Its state.
+        /// The server's state in the list.
         state: EndpointState,
     },
-    /// The end of an endpoint update.
+    /// An update of the endpoint list has ended.
     ListUpdated {
         /// Whether the watch on the list is connected.
         connected: bool,
@@ -37,17 +37,17 @@
         /// Whether it is excluded.
         excluded: bool,
     },
-    /// A server sent a complete response, whatever it says.
+    /// A server sent a complete response, whatever its content.
     Answered {
         /// The server.
         server: u32,
     },
-    /// No connection to a server was established: refused, reset or timed out.
+    /// A connection to a server was not established: it was refused, reset or timed out.
     ConnectFailed {
         /// The server.
         server: u32,
     },
-    /// A connection broke with a request on it.
+    /// A connection was closed while a request on it was open.
     Reset {
         /// The server.
         server: u32,
@@ -57,15 +57,16 @@
         /// The server.
         server: u32,
     },
-    /// Whether other proxies have shown that a site's servers work though they can't be reached from here.
+    /// The link to a site is cut, or no longer cut: other proxies have shown that the site's servers work, although this proxy can't
+    /// reach them.
     LinkCut {
         /// The site.
         site: u16,
         /// Whether the link is cut.
         cut: bool,
     },
-    /// The caller's event loop was late by so much.
+    /// Lag of the caller's event loop.
     LoopLag(Duration),
-    /// Time passes.
+    /// Periodic event that advances the time.
     Tick,
 }
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,10 +1,14 @@
-//! Loss of a whole site. No clock and no I/O. The reasons for the design stand in `docs/design/site-loss.md`.
+//! Detection of the loss of a whole site, and load shedding while a site is lost. The crate has no clock and does no I/O. The
+//! reasons for the design are in `docs/design/site-loss.md`.
 //!
-//! [`SiteDetector`] judges by evidence which site is lost. [`Capacity`] learns the work that each site has shown it can do, and
-//! [`load_shedding`] computes from it which requests are served when there is not capacity for all. [`FailoverPlan`] combines
-//! them: it tells for each request which fraction of its kind is to be shed ([`ShedController`]), and what the loss of a site would
-//! come to. How fast a returning site gets its load back is the decision module's, by its slow start. Nothing here decides where
-//! a request goes.
+//! - [`SiteDetector`] decides from evidence about servers which sites are lost.
+//! - [`Capacity`] learns the work that each site has been observed to do.
+//! - [`load_shedding`] computes from it which requests are served when the capacity does not suffice for all.
+//! - [`FailoverPlan`] combines them: it returns for each request the fraction of its kind to shed ([`ShedController`]), and
+//!   forecasts the effect of the loss of a site.
+//!
+//! Nothing here decides where a request goes. The decision module limits by its slow start how fast a returning site gets its load
+//! back.
 #![forbid(unsafe_code)]
 
 mod capacity;
@@ -31,12 +35,12 @@
 
 use std::time::Duration;
 
-/// Time since an origin of the caller's, on a monotonic clock. A step back is ignored.
+/// Time since an origin that the caller chooses, on a monotonic clock. A step back is ignored.
 pub type Time = Duration;
 
-/// Most sites; further ones are ignored, as are further servers and groups.
+/// Maximum number of sites. Sites, servers and groups beyond their maximum are ignored.
 pub const SITES_LIMIT: usize = 64;
-/// Most servers.
+/// Maximum number of servers.
 pub const SERVERS_LIMIT: usize = 4_096;
-/// Most groups.
+/// Maximum number of groups.
 pub const GROUPS_LIMIT: usize = 1_024;
--- a/crates/site-failover/src/load_shedding.rs
+++ b/crates/site-failover/src/load_shedding.rs
@@ -1,8 +1,9 @@
-//! Which requests are served when there is not capacity for all: one order for every proxy.
+//! Order in which load is shed when the capacity does not suffice; the same in every proxy.
 //!
-//! Shed first is what is over quota, then clients' retries, then what has the least priority weight for its work. Within a rank
-//! tenants are served by weighted max-min fairness. Nothing of a rank is served while anything of a higher rank is shed: a rank is
-//! served in full, in part (one only), or not at all.
+//! Requests over quota are shed first, then requests on loan, then clients' retries, then requests with the least priority weight
+//! per work. Requests that compare equal form a rank, and within a rank tenants are served by weighted max-min fairness. No request
+//! of a rank is served while one of a higher rank is shed, so of each capacity at most one rank is served in part; all others are
+//! served in full or not at all.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -12,26 +13,26 @@
 /// Requests of one kind, with their rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Index of the capacity that they use: that of one group, for writes or for reads.
+    /// Index of the capacity that the requests use: that of one group, for writes or for reads.
     pub capacity: usize,
     /// The tenant.
     pub tenant: u16,
-    /// The tenant's weight beside others.
+    /// The tenant's weight relative to other tenants.
     pub tenant_weight: f64,
-    /// What they are to the tenant's quota.
+    /// Status of the requests with respect to the tenant's quota.
     pub quota_status: QuotaStatus,
-    /// Whether they are clients' retries.
+    /// Whether the requests are clients' retries.
     pub is_retry: bool,
     /// Priority weight of one request.
     pub priority_weight: f64,
     /// Work of one request, in seconds.
     pub work: f64,
-    /// Requests in a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
 impl Load {
-    /// Without work, rate or weight there is nothing to compute with.
+    /// Whether work, rate and tenant weight are positive and all values are finite; other loads are not served.
     fn is_valid(&self) -> bool {
         let is_positive = |n: f64| n.is_finite() && n > 0.0;
         is_positive(self.work)
@@ -40,26 +41,26 @@
             && self.priority_weight.is_finite()
     }
 
-    /// Work in a second.
+    /// Requested work, in seconds per second.
     fn demand(&self) -> f64 {
         self.work * self.rate
     }
 }
 
-/// Compares the ranks of two kinds; the better is less.
+/// Compares the ranks of two loads; the higher rank is less.
 fn compare_ranks(a: &Load, b: &Load) -> Ordering {
     let value = |load: &Load| load.priority_weight / load.work;
     let order = |load: &Load| (load.quota_status, load.is_retry);
     order(a).cmp(&order(b)).then(value(b).total_cmp(&value(a)))
 }
 
-/// Whether `a` has the better rank: it is shed only when nothing of `b` is served.
+/// Whether `a` has a higher rank than `b`: `a` is shed only when nothing of `b` is served.
 pub fn has_precedence(a: &Load, b: &Load) -> bool {
     compare_ranks(a, b).is_lt()
 }
 
-/// The fraction of each load that is served, from 0 to 1. `capacities`: work in a second; a missing one is 0. A load without work
-/// or rate is not served and takes nothing.
+/// The fraction of each load that is served, from 0 to 1. `capacities` are in seconds of work per second; a missing one counts as 0.
+/// A load without work or rate is not served and uses no capacity.
 pub fn served_fractions(loads: &[Load], capacities: &[f64]) -> Vec<f64> {
     let mut fractions = vec![0.0; loads.len()];
     let mut order: Vec<usize> = (0..loads.len())
@@ -83,8 +84,8 @@
     fractions
 }
 
-/// Serves the loads of one capacity, rank by rank. Below the first rank that is not served in full nothing is, however small:
-/// capacity that is free for a moment belongs to the higher rank.
+/// Serves the loads of one capacity, rank by rank. Ranks below the first that is not served in full are not served, even if a small
+/// load would fit: capacity that becomes free belongs to the higher rank.
 fn serve_ranks(loads: &[Load], order: &[usize], capacity: f64, fractions: &mut [f64]) {
     let mut left = capacity;
     for rank in order.chunk_by(|a, b| compare_ranks(&loads[*a], &loads[*b]).is_eq()) {
@@ -98,7 +99,7 @@
     }
 }
 
-/// What one tenant demands of a rank.
+/// Demand of one tenant within a rank.
 struct TenantDemand {
     tenant: u16,
     demand: f64,
@@ -119,7 +120,8 @@
     by_tenant.into_values().collect()
 }
 
-/// Progressive filling: a tenant that demands less than its part of what is left gets all of it, and leaves the rest to others.
+/// Divides the capacity by progressive filling: a tenant that demands less than its share of the remaining capacity is served in
+/// full, and the rest of its share goes to the other tenants.
 fn divide_among_tenants(loads: &[Load], rank: &[usize], capacity: f64, fractions: &mut [f64]) {
     let mut tenants = tenant_demands(loads, rank);
     tenants.sort_by(|a, b| (a.demand / a.weight).total_cmp(&(b.demand / b.weight)));
@@ -137,7 +139,7 @@
     }
 }
 
-/// The priority weight that is served, as a fraction of what is requested; 1 where nothing is requested.
+/// The served fraction of the requested priority weight, 0 to 1; 1 if nothing is requested.
 pub fn headroom(loads: &[Load], capacities: &[f64]) -> f64 {
     let weight = |load: &Load| {
         if load.is_valid() {
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -1,4 +1,4 @@
-//! The failover plan of one proxy: states, capacity and demand together, and what is shed.
+//! The failover plan of one proxy: combines the states of sites, their capacity and the demand, and decides what is shed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,14 +9,14 @@
     ShedController, SiteDetector, SiteState, Time,
 };
 
-/// What requests of a class are.
+/// Properties of the requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// Whether they write.
+    /// Whether the requests write.
     pub write: bool,
-    /// Their priority weight.
+    /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Their latency objective.
+    /// Latency objective; only requests answered within it count as capacity.
     pub latency_objective: Duration,
 }
 
@@ -27,32 +27,32 @@
     pub class: u16,
     /// The tenant.
     pub tenant: u16,
-    /// What they are to the tenant's quota.
+    /// Status of the requests with respect to the tenant's quota.
     pub quota_status: QuotaStatus,
-    /// The fraction, 0 to 1.
+    /// The fraction of the requests that would be shed, 0 to 1.
     pub fraction: f64,
 }
 
-/// What the loss of a site would come to, for the groups that it serves. Arrays are for reads and for writes, in seconds of work in
-/// a second.
+/// Forecast of the effect of the loss of a site on the groups that it serves. Arrays hold the values for reads and for writes, in
+/// seconds of work per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LossForecast {
-    /// The fraction of the priority weight of all groups that would be served.
+    /// The fraction of the requested priority weight of all groups that would be served, 0 to 1.
     pub headroom: f64,
-    /// What the other sites have shown.
+    /// Observed capacity of the other sites.
     pub capacity_left: [f64; 2],
-    /// What is requested.
+    /// Requested work.
     pub requested: [f64; 2],
-    /// The fraction of what would be served that each site would get.
+    /// Each remaining site with its fraction of the work that would be served.
     pub destinations: Vec<(u16, f64)>,
-    /// What would be shed, the largest fraction first.
+    /// Kinds that would be shed, the largest fraction first.
     pub shed: Vec<ShedKind>,
 }
 
-/// Requests whose outcome is awaited; further ones tell nothing.
+/// Maximum number of requests whose outcome is awaited; the outcomes of further requests are not counted.
 const PENDING_LIMIT: usize = 65_536;
 
-/// Loads, and the capacities that they name by index.
+/// Loads, and the capacities to which they refer by index.
 struct Loads {
     loads: Vec<(RequestKind, Load)>,
     capacities: Vec<f64>,
@@ -71,18 +71,19 @@
     demand: Demand,
     shed_controller: ShedController,
     shedding_enabled: bool,
-    /// Groups that lost sites served, as of the last update; they stay while anything is shed.
+    /// Groups that the lost sites served, as of the last update; kept while anything is shed.
     affected_groups: BTreeSet<u32>,
-    /// Indicative requests without any attempt so far.
+    /// Indicative requests (see [`ShedController::is_indicative`]) without an attempt so far.
     pending: BTreeSet<u64>,
     classes: Vec<Class>,
-    /// By tenant.
+    /// Quota by tenant; 0 for a tenant without a quota.
     quotas: Vec<f64>,
     over_quota_weight_fraction: f64,
 }
 
 impl FailoverPlan {
-    /// `shedding_enabled`: what is to be shed is told with each request; otherwise it is computed on demand only.
+    /// With `shedding_enabled`, [`FailoverPlan::record_request`] returns the fraction to shed; otherwise it returns 0, and only
+    /// forecasts are computed.
     pub fn new(settings: Settings, shedding_enabled: bool, now: Time) -> FailoverPlan {
         FailoverPlan {
             detector: SiteDetector::new(settings, now),
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Takes classes and tenants' quotas over. `over_quota_weight_fraction`: of a request's priority weight, when it is over quota.
+    /// Replaces the classes and the tenants' quotas. `over_quota_weight_fraction` is the fraction of its priority weight with which a
+    /// request over quota counts.
     pub fn configure(
         &mut self,
         classes: Vec<Class>,
@@ -124,7 +126,7 @@
         self.detector.reports()
     }
 
-    /// A request has arrived. Returns the fraction of its kind to shed.
+    /// Counts a request that has arrived. Returns the fraction of its kind to shed, 0 to 1.
     pub fn record_request(&mut self, now: Time, request: u64, kind: RequestKind) -> f64 {
         self.demand.record(now, kind);
         if !self.affected_groups.contains(&kind.group) {
@@ -136,19 +138,19 @@
         self.shed_controller.shed_fraction(&kind)
     }
 
-    /// There is an attempt for a request, or it has ended without any; `rejected`: for lack of capacity.
+    /// Records that an attempt for a request was sent, or that the request ended without one. `rejected`: it ended for lack of capacity.
     pub fn record_outcome(&mut self, request: u64, rejected: bool) {
         if self.pending.remove(&request) {
             self.shed_controller.record_outcome(rejected);
         }
     }
 
-    /// The client of a request has left.
+    /// Drops a request whose client has left, without counting an outcome.
     pub fn forget_request(&mut self, request: u64) {
         self.pending.remove(&request);
     }
 
-    /// A server has served a request, after `elapsed`.
+    /// Counts a request that a server has served after `elapsed`; it is capacity if it met the latency objective of its class.
     pub fn record_served(
         &mut self,
         now: Time,
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Handles evidence about servers and sites.
+    /// Handles evidence about servers and sites. A tick also updates what is shed.
     pub fn handle(&mut self, now: Time, event: Event) {
         self.detector.handle(now, event);
         if event == Event::Tick && self.shedding_enabled && self.shed_controller.is_due(now) {
@@ -202,7 +204,7 @@
             .update(now, !lost.is_empty(), &loads.loads);
     }
 
-    /// Loads of kinds, with the capacities that other sites than the lost one have shown.
+    /// Loads of the included kinds, with the observed capacities of all sites other than `lost`; without `lost` the capacities are 0.
     fn loads(
         &self,
         now: Time,
@@ -238,7 +240,7 @@
         Load {
             capacity,
             tenant: kind.tenant,
-            // Tenants without quotas are alike.
+            // Tenants without a quota have equal weights.
             tenant_weight: quota.filter(|quota| *quota > 0.0).unwrap_or(1.0),
             quota_status: kind.quota_status,
             is_retry: kind.is_retry,
@@ -248,13 +250,13 @@
         }
     }
 
-    /// The fraction of the requested priority weight that would be served if a site were lost now, by what the others have shown.
+    /// The fraction of the requested priority weight that the observed capacity of the other sites would serve if a site were lost now.
     pub fn headroom(&self, now: Time, site: u16) -> f64 {
         let loads = self.loads(now, Some(site), |_| true);
         headroom(&loads.without_kinds(), &loads.capacities)
     }
 
-    /// What the loss of a site would come to now, or comes to since it was lost.
+    /// Forecasts the effect of the loss of a site; for a lost site, describes the present effect.
     pub fn forecast_loss(&self, now: Time, site: u16) -> LossForecast {
         let groups: BTreeSet<u32> = self.capacity.groups(site).collect();
         let loads = self.loads(now, Some(site), |kind| groups.contains(&kind.group));
@@ -269,7 +271,7 @@
         }
     }
 
-    /// The served work goes to the other sites in proportion to what they have shown.
+    /// Divides the served work among the other sites in proportion to their observed capacity.
     fn destinations(&self, now: Time, lost: u16, loads: &Loads, served: &[f64]) -> Vec<(u16, f64)> {
         let mut work_by_site: BTreeMap<u16, f64> = BTreeMap::new();
         for ((kind, load), fraction) in loads.loads.iter().zip(served) {
@@ -290,13 +292,13 @@
             .collect()
     }
 
-    /// The fraction of the reads' work that is shed now.
+    /// The fraction of the reads' work that is shed now, 0 to 1.
     pub fn shed_level(&self) -> f64 {
         self.shed_controller.level()
     }
 }
 
-/// Capacity and requested work, of reads and of writes.
+/// Total capacity and total requested work, each for reads and for writes.
 fn totals(loads: &Loads) -> ([f64; 2], [f64; 2]) {
     let (mut capacity, mut requested) = ([0.0; 2], [0.0; 2]);
     let mut is_counted = vec![false; loads.capacities.len()];
@@ -311,7 +313,7 @@
 }
 
 fn shed_kinds(loads: &Loads, served: &[f64]) -> Vec<ShedKind> {
-    /// Requests a second.
+    /// Rates of all requests of a kind and of those to shed, in requests per second.
     #[derive(Default)]
     struct Rates {
         all: f64,
--- a/crates/site-failover/src/quota_status.rs
+++ b/crates/site-failover/src/quota_status.rs
@@ -1,12 +1,12 @@
-//! What a request is to its tenant's quota.
+//! Status of a request with respect to its tenant's quota.
 
-/// The status, best first: what is later is shed earlier.
+/// Quota status, in the order of protection: requests with a later status are shed earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum QuotaStatus {
-    /// Within the quota.
+    /// The request is within the quota.
     WithinQuota,
-    /// Over it, with a loan.
+    /// The request is over the quota and covered by a loan.
     Borrowed,
-    /// Over it.
+    /// The request is over the quota.
     OverQuota,
 }
--- a/crates/site-failover/src/server.rs
+++ b/crates/site-failover/src/server.rs
@@ -1,19 +1,19 @@
-//! Evidence about one server.
+//! Failures and state of one server, as evidence about its site.
 
 use std::time::Duration;
 
 use crate::settings::Guards;
 use crate::{EndpointState, Time};
 
-/// Failures in a row that make a server down, or timeouts in a row that make it silent.
+/// Number of successive hard failures after which a server is down, and of successive timeouts after which it is silent.
 pub(crate) const FAILURE_THRESHOLD: u8 = 2;
-/// A server without any request for so long is not known to be down any more.
+/// Failures count as evidence for this long after the last one.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
 
-/// A sign against a server.
+/// Kind of failure of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// It was not reached, or reset a connection.
+    /// The server was not reached, or reset a connection.
     Hard,
     /// A request timed out.
     Timeout,
@@ -24,14 +24,15 @@
     pub site: u16,
     pub endpoint_state: EndpointState,
     pub excluded: bool,
-    /// In a row, with no answer between.
+    /// Number of successive hard failures without an answer in between; at most [`FAILURE_THRESHOLD`].
     pub hard_failures: u8,
+    /// Number of timeouts since the last answer; at most [`FAILURE_THRESHOLD`].
     pub timeouts: u8,
-    /// When the last hard failure that counts was seen: connections reset at one instant are one failure.
+    /// Time of the last hard failure that was counted: connections reset at one instant count as one failure.
     pub hard_failure_at: Option<Time>,
-    /// When the last sign against it was seen, whether or not it counts.
+    /// Time of the last failure, whether or not it was counted.
     pub last_failure_at: Time,
-    /// Failures while its site was suspected and other sites were known to answer.
+    /// Number of failures while the site was suspected and another site had answered; at most [`FAILURE_THRESHOLD`].
     pub site_specific_failures: u8,
 }
 
@@ -60,7 +61,7 @@
         (self.hard_failures, self.timeouts) != (0, 0)
     }
 
-    /// It is to get no requests: excluded, draining or removed.
+    /// Whether the server gets no requests because it is excluded, draining or removed.
     pub fn is_out_of_service(&self) -> bool {
         self.excluded || self.endpoint_state != EndpointState::Ready
     }
@@ -74,7 +75,7 @@
         now.saturating_sub(self.last_failure_at) < FORGOTTEN_AFTER
     }
 
-    /// Counts a failure. False: it is one with the last, within `spread` of it.
+    /// Counts a failure. Returns false if it counts as one with the last hard failure, which is less than `spread` ago.
     pub fn record_failure(&mut self, now: Time, failure: Failure, spread: Duration) -> bool {
         self.last_failure_at = now;
         match failure {
--- a/crates/site-failover/src/settings.rs
+++ b/crates/site-failover/src/settings.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-/// Times of the detector, and its guards.
+/// Durations of the detector, and its guards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// A site is lost after failures over this time with no answer between.
+    /// A site is lost after failures over this time without an answer in between.
     pub lost_after: Duration,
-    /// The longest delay of the endpoint list: what it says of a site that has answered since may be out of date.
+    /// Longest delay of the endpoint list: the entries of a site that has answered more recently may be out of date.
     pub list_late: Duration,
-    /// A site is returning for this time at least.
+    /// Minimum time for which a site stays returning.
     pub return_after: Duration,
-    /// Least time between two changes to or from [`crate::SiteState::Lost`], and until a degraded site is healthy again.
+    /// Minimum time between two changes to or from [`crate::SiteState::Lost`], and before a degraded site is healthy again.
     pub dwell: Duration,
-    /// The event loop has stalled if it is later than this.
+    /// The event loop counts as stalled when its lag exceeds this.
     pub stall: Duration,
     /// Guards that are enabled.
     pub guards: Guards,
@@ -33,24 +33,26 @@
     }
 }
 
-/// Guards against false changes of state, which the model check disables one by one. Outside of tests: [`Guards::ALL`].
+/// Guards against false changes of state. The model check disables them one by one; outside of tests all are enabled
+/// ([`Guards::ALL`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// A site is lost only if another site answers meanwhile: what all sites do at once is a fault elsewhere, or load.
+    /// A site is lost only if another site answers meanwhile: failures of all sites at once are caused by a fault elsewhere, or by
+    /// load.
     pub site_specific: bool,
-    /// Two servers must be down, not one.
+    /// Two servers must be down, not one, where a site has as many.
     pub min_down_servers: bool,
-    /// Failures must be spread over [`Settings::lost_after`]: a burst of resets is one failure.
+    /// Failures must be spread over [`Settings::lost_after`]: a burst of resets counts as one failure.
     pub span: bool,
-    /// After a stall of the own event loop failures are ignored for a time: timeouts then are its own fault.
+    /// After a stall of the proxy's event loop failures are ignored for a time: the stall itself causes timeouts.
     pub stall: bool,
-    /// Changes keep [`Settings::dwell`], so that a site does not flap.
+    /// Changes are at least [`Settings::dwell`] apart, so that a site does not flap.
     pub dwell: bool,
     /// A returning site must answer several times before it is healthy.
     pub return_proof: bool,
-    /// The list alone is believed about a site only after [`Settings::list_late`].
+    /// The endpoint list alone decides that a site is lost only after [`Settings::list_late`].
     pub list_delay: bool,
-    /// Timeouts alone make no site lost: it may be slow.
+    /// Timeouts alone do not make a site lost: the site may be slow.
     pub timeouts: bool,
 }
 
--- a/crates/site-failover/src/shedding_level.rs
+++ b/crates/site-failover/src/shedding_level.rs
@@ -1,10 +1,10 @@
-//! What is shed while a site is lost: a level that follows what the decision module rejects, and its division among kinds of
-//! requests.
+//! Feedback control of load shedding while a site is lost: a level that follows the rejections of the decision module, and its
+//! division among kinds of requests.
 //!
-//! The level is the fraction of the reads' work that there is no capacity for. How much capacity is left is not known, since what
-//! was shown errs to less. So the level is controlled by feedback: it rises while first attempts of kinds that are served in full
-//! are rejected, and falls while they are not. Kinds of the lowest rank pay for it. Writes are left alone: what they lack is
-//! mostly a primary.
+//! The level is the fraction of the reads' work that is shed for lack of capacity. The remaining capacity is not known, since the
+//! observed capacity underestimates it. The level is therefore controlled by feedback: it rises while first attempts of kinds that
+//! are served in full are rejected, and falls while they are not. Kinds of the lowest rank are shed first. Writes are not shed:
+//! they mostly fail for lack of a primary, not of capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use crate::load_shedding::{served_fractions, Load};
 use crate::{QuotaStatus, RequestKind, Time};
 
-/// Interval of updates.
+/// Interval between updates of the level.
 pub const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// With each update former requests count for so much.
+/// Factor by which earlier requests are weighted down with each update.
 const DECAY: f64 = 0.7;
-/// Fewer first attempts than this tell nothing.
+/// Minimum number of recent first attempts; with fewer the rejected fraction counts as 0.
 const MIN_ATTEMPTS: f64 = 5.0;
-/// So many first attempts are rejected by chance: service times vary.
+/// Fraction of first attempts that is rejected without a lack of capacity, because service times vary.
 const EXPECTED_REJECTED_FRACTION: f64 = 0.02;
-/// In one update the level rises by this part of what is rejected beyond that, ...
+/// With each update the level rises by this fraction of the rejected fraction beyond [`EXPECTED_REJECTED_FRACTION`].
 const RISE_FACTOR: f64 = 0.5;
-/// ... and by so much at most.
+/// Maximum rise of the level in one update.
 const MAX_RISE: f64 = 0.05;
-/// In one update it falls by so much, ...
+/// Constant part of the fall of the level in one update.
 const FALL: f64 = 0.01;
-/// ... and by this part of itself; ...
+/// Part of the fall in one update that is proportional to the level.
 const FALL_FACTOR: f64 = 0.05;
-/// ... so many times as fast once no site is lost.
+/// Factor by which the level falls faster once no site is lost.
 const FALL_MULTIPLIER_AFTER_LOSS: f64 = 5.0;
-/// Something is always admitted, or nothing would tell that there is capacity again.
+/// Maximum level: some requests are always admitted, since only their outcomes show that there is capacity again.
 const MAX_LEVEL: f64 = 0.9;
-/// Smaller fractions that are shed come of rounding.
+/// Shed fractions below this are rounding errors and are ignored.
 const ROUNDING: f64 = 1e-6;
 
-/// The change of the level in one update; `rejected`: fraction of first attempts beyond the usual.
+/// The change of the level in one update. `rejected` is the rejected fraction of first attempts beyond the expected one.
 fn level_change(level: f64, rejected: f64, site_is_lost: bool) -> f64 {
     let fall = FALL + FALL_FACTOR * level;
     match site_is_lost {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Fractions of kinds to shed so that the fraction `level` of all work is shed.
+/// The fraction of each kind to shed so that in total the fraction `level` of the reads' work is shed.
 fn shed_fractions(loads: &[(RequestKind, Load)], level: f64) -> BTreeMap<RequestKind, f64> {
     let reads: Vec<&(RequestKind, Load)> = loads.iter().filter(|(kind, _)| !kind.write).collect();
     let reads_only: Vec<Load> = reads.iter().map(|(_, load)| *load).collect();
@@ -65,15 +65,16 @@
         .collect()
 }
 
-/// Controls what is shed.
+/// Controls which fraction of each kind of request is shed.
 #[derive(Clone, Debug, Default)]
 pub struct ShedController {
     level: f64,
-    /// Recent first attempts within quota, of kinds that are served in full; and those of them that were rejected.
+    /// Decaying count of first attempts within quota, of kinds that are served in full.
     attempts: f64,
+    /// Decaying count of those attempts that were rejected.
     rejected: f64,
     updated_at: Time,
-    /// By kind, the fraction to shed; kinds that are served in full are not in it.
+    /// Fraction to shed by kind; kinds that are served in full are absent.
     shed: BTreeMap<RequestKind, f64>,
 }
 
@@ -83,7 +84,7 @@
         now.saturating_sub(self.updated_at) >= UPDATE_INTERVAL
     }
 
-    /// The fraction of the reads' work that is shed; it outlasts the loss of a site for a moment.
+    /// The fraction of the reads' work that is shed. After the loss of a site it falls to 0 within seconds, not at once.
     pub fn level(&self) -> f64 {
         self.level
     }
@@ -93,7 +94,7 @@
         self.shed.get(kind).copied().unwrap_or(0.0)
     }
 
-    /// Whether the outcome of a request tells of the capacity for kinds that are served in full.
+    /// Whether the outcome of a request indicates the capacity for kinds that are served in full.
     pub fn is_indicative(&self, kind: &RequestKind) -> bool {
         !kind.write
             && !kind.is_retry
@@ -101,14 +102,14 @@
             && !self.shed.contains_key(kind)
     }
 
-    /// The outcome of an indicative request.
+    /// Counts the outcome of an indicative request.
     pub fn record_outcome(&mut self, rejected: bool) {
         self.attempts += 1.0;
         self.rejected += f64::from(u8::from(rejected));
     }
 
-    /// Computes level and fractions anew. `loads`: requests to the groups that lost sites served; the capacities that they name are
-    /// computed here.
+    /// Recomputes the level and the fractions. `loads` are the requests to the groups that lost sites served; the capacities that they
+    /// refer to are computed here.
     pub fn update(&mut self, now: Time, site_is_lost: bool, loads: &[(RequestKind, Load)]) {
         self.updated_at = now;
         let rejected = if self.attempts < MIN_ATTEMPTS {
--- a/crates/site-failover/src/site.rs
+++ b/crates/site-failover/src/site.rs
@@ -4,16 +4,16 @@
 use crate::settings::Guards;
 use crate::{EndpointState, Time};
 
-/// State of a site, as this proxy sees it.
+/// State of a site, as observed by this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SiteState {
-    /// All servers answer.
+    /// All servers of the site answer.
     Healthy,
-    /// Some of its servers are down, silent or away.
+    /// Some of the site's servers are down, silent or out of service.
     Degraded,
-    /// Nothing can be requested of it from here.
+    /// The site can't serve requests of this proxy.
     Lost,
-    /// It answers again.
+    /// The site answers again after a loss, but is not yet considered healthy.
     Returning,
 }
 
@@ -37,18 +37,18 @@
     }
 }
 
-/// What a state is based on.
+/// Evidence on which the state of a site is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// Its servers answer.
+    /// The site's servers answer.
     Answers,
-    /// Its servers can't be reached, reset connections or time out.
+    /// The site's servers can't be reached, reset connections or time out.
     Failures,
-    /// The same, and other proxies know that they work: the link from here is cut.
+    /// As [`Evidence::Failures`], but other proxies have shown that the servers work: the link from this proxy is cut.
     LinkCut,
-    /// The endpoint list does not name its servers as ready.
+    /// The endpoint list does not name the site's servers as ready.
     EndpointList,
-    /// Operators have excluded its servers.
+    /// Operators have excluded the site's servers.
     ManualExclusion,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// What is known of a site.
+/// State of a site with its evidence and counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The site.
@@ -76,18 +76,18 @@
     pub evidence: Evidence,
     /// When the state began.
     pub since: Time,
-    /// Servers that are not away.
+    /// Number of servers in service.
     pub members: usize,
-    /// Members that are down.
+    /// Number of members that are down.
     pub down: usize,
-    /// Changes to [`SiteState::Lost`] so far.
+    /// Number of changes to [`SiteState::Lost`] so far.
     pub losses: u64,
 }
 
-/// Suspicion that a site is lost, from a failure with no answer after it.
+/// Suspicion that a site is lost: it begins with a failure and ends with the next answer of the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Suspicion {
-    /// Since when another site is known to have answered meanwhile.
+    /// When another site first answered during the suspicion; from then on failures count as specific to this site.
     pub site_specific_since: Option<Time>,
     pub first_at: Time,
     pub last_at: Time,
@@ -98,18 +98,18 @@
     pub state: SiteState,
     pub evidence: Evidence,
     pub since: Time,
-    /// Members when it last had any.
+    /// Number of members when the site last had any.
     pub last_members: usize,
-    /// When the list first named it.
+    /// When the endpoint list first named the site.
     pub listed_at: Time,
-    /// When it last changed to or from [`SiteState::Lost`].
+    /// When the state last changed to or from [`SiteState::Lost`].
     pub loss_changed_at: Option<Time>,
-    /// The last answer of any of its servers, also of those that are away.
+    /// Time of the last answer of any of the site's servers, including those out of service.
     pub answered_at: Option<Time>,
     pub suspicion: Option<Suspicion>,
-    /// Answers of members since it was lost.
+    /// Number of answers of members since the site was lost.
     pub answers_since_loss: u8,
-    /// When it was last seen degraded.
+    /// When the counts of the site's servers last showed it as degraded.
     pub degraded_at: Time,
     pub link_cut: bool,
     pub losses: u64,
@@ -137,7 +137,6 @@
         self.state == SiteState::Lost
     }
 
-    /// Changes the state.
     pub fn set_state(&mut self, now: Time, state: SiteState, evidence: Evidence) {
         self.evidence = evidence;
         if state == self.state {
@@ -159,19 +158,19 @@
 /// Counts of a site's servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerCounts {
-    /// Servers that are not away.
+    /// Servers in service.
     pub members: usize,
     /// Members that are down.
     pub down: usize,
     /// Members that failed while other sites answered.
     pub down_site_specific: usize,
-    /// Members with timeouts only.
+    /// Members with successive timeouts.
     pub silent: usize,
-    /// Servers with a hard failure since their last answer, also those that are away.
+    /// Servers with a hard failure since their last answer, including those out of service.
     pub failing: usize,
-    /// Servers that are away.
+    /// Servers out of service: excluded or draining.
     pub out_of_service: usize,
-    /// Those of them that operators have excluded.
+    /// Servers out of service that operators have excluded.
     pub excluded: usize,
 }
 
@@ -203,7 +202,7 @@
         self.silent += usize::from(recent && server.timeouts >= FAILURE_THRESHOLD);
     }
 
-    /// Why a site is degraded, if it is.
+    /// Evidence that the site is degraded, if there is any.
     pub fn degraded_by(&self) -> Option<Evidence> {
         if self.down + self.silent > 0 {
             Some(Evidence::Failures)
--- a/crates/site-failover/tests/model.rs
+++ b/crates/site-failover/tests/model.rs
@@ -1,5 +1,6 @@
-//! Model check of the states of sites: three sites of two servers, each of which lives, is slow or dies, seen by an observer that
-//! misses much, and a few lies of the kinds that proxies meet, in every order up to a depth.
+//! Model check of the site detector: two or three sites of two servers, which change their conditions, observed by a proxy that
+//! misses some answers and meets misleading evidence (bursts of resets, stalls, failures of all sites, wrong endpoint lists), in
+//! every order up to a depth.
 
 use site_failover::{EndpointState, Event, Guards, Settings, SiteDetector, SiteState};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -15,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Condition {
     Up,
-    /// Answers now and then; else time runs out.
+    /// Some requests are answered, the others time out.
     Slow,
-    /// Its first server alone is dead.
+    /// Only the first server is dead.
     PartlyDown,
     Dead,
 }
@@ -25,18 +26,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     ChangeCondition(u16, Condition),
-    /// A tick in which signs are seen of these servers alone, a bit for each.
+    /// A tick in which only the servers of the given bits are observed.
     Tick(u8),
-    /// All connections to a site are reset at one instant.
+    /// All connections to a site are reset at the same time.
     ResetBurst(u16),
-    /// The loop stands still, and then finds that all has run out of time, at this site or at all.
+    /// The event loop stalls, and afterwards all connections of the given site, or of all sites, have failed.
     Stall(Option<u16>),
-    /// Nothing answers for a tick: servers of all sites refuse what is asked.
+    /// Connections to the servers of all sites fail for three ticks.
     FailAllSites,
-    /// The list drops a site that lives.
+    /// The endpoint list marks all servers of a site as draining, whatever their condition.
     Unlist(u16),
     Relist(u16),
-    /// An end of the watch, with a list that is empty for that.
+    /// The watch on the endpoint list is lost, with a last list that marks all servers of a site as draining.
     LoseWatch(u16),
 }
 
@@ -48,14 +49,16 @@
     faults: u8,
     condition_changes: u8,
     conditions: Vec<Condition>,
-    /// By site: whether it has been dead since it last served, when it last answered, whether the list has let all of it go,
-    /// and answers since it was lost.
+    /// By site: whether it has been dead since it last answered.
     dead_since_answer: Vec<bool>,
+    /// By site: when it last answered.
     answered_at: Vec<Duration>,
+    /// By site: whether the endpoint list marks all of its servers as draining.
     unlisted: Vec<bool>,
     list_connected: bool,
+    /// By site: answers since it was lost, at most [`RETURN_ANSWERS`].
     answers_since_loss: Vec<u8>,
-    /// When it last went into or out of `Lost`.
+    /// By site: when its state last changed to or from `Lost`.
     loss_changed_at: Vec<Option<Duration>>,
     states: Vec<SiteState>,
     violations: Vec<&'static str>,
@@ -65,15 +68,15 @@
     guards: Guards,
     sites: u16,
     ticks: u8,
-    /// Nothing else is looked for.
+    /// The only property to check; none: all properties.
     property: Option<&'static str>,
 }
 
 const FALSE_LOSS: &str = "no living site is lost";
-const ALL_LOST: &str = "never all lost";
-const DWELL_KEPT: &str = "crossings are apart";
-const RETURN_PROVEN: &str = "whole by proof";
-const CONVERGES: &str = "it settles";
+const ALL_LOST: &str = "not all sites are lost";
+const DWELL_KEPT: &str = "changes to and from the lost state are apart by the dwell time";
+const RETURN_PROVEN: &str = "a returning site is healthy only after enough answers";
+const CONVERGES: &str = "states converge to the conditions";
 
 fn server(site: u16, n: u32) -> u32 {
     u32::from(site) * SERVERS_PER_SITE + n
@@ -99,7 +102,7 @@
             }
             if now == SiteState::Lost {
                 self.answers_since_loss[at] = 0;
-                // The list is believed about a site that says nothing.
+                // The list alone may make a site lost that has not answered for its longest delay.
                 let is_silent = self.now - self.answered_at[at] >= LIST_LATE;
                 if !(self.dead_since_answer[at]
                     || self.unlisted[at] && self.list_connected && is_silent)
@@ -132,7 +135,7 @@
         });
     }
 
-    /// Time passes, and what is asked of these servers ends.
+    /// Advances the time by a tick; requests to the observed servers end according to the conditions of their sites.
     fn tick(&mut self, observed: u8) {
         self.now += TICK;
         self.ticks = self.ticks.saturating_add(1);
@@ -162,7 +165,7 @@
         self.handle(Event::Tick);
     }
 
-    /// From here on nothing changes and all is seen: each site's state comes to be what it is.
+    /// Whether the state of each site comes to match its condition when no condition changes any more and all servers are observed.
     fn converges(&self) -> bool {
         let mut world = self.clone();
         world.list_connected = true;
@@ -185,7 +188,7 @@
                 Condition::Up => *state == SiteState::Healthy,
                 Condition::Slow => matches!(state, SiteState::Degraded | SiteState::Healthy),
                 Condition::PartlyDown => *state == SiteState::Degraded,
-                // With nothing alive there is nothing to tell it from.
+                // Without a living site there is no other site whose answers would show the loss.
                 Condition::Dead => *state == SiteState::Lost || !any_alive,
             })
     }
@@ -248,7 +251,7 @@
                 );
             }
         }
-        // The same, with the first site lost: deeper than paths from the beginning lead.
+        // A second initial state, with the first site lost, reaches states beyond the depth of paths from the first one.
         let mut lost = self
             .next_state(&world, Step::ChangeCondition(0, Condition::Dead))
             .unwrap();
@@ -269,7 +272,7 @@
             return;
         }
         let all = (1 << (u32::from(self.sites) * SERVERS_PER_SITE)) - 1;
-        // All is seen; nothing of one server; nothing of one site.
+        // All servers are observed; all but one server; all but one site.
         steps.extend([all, all & !0b10, all & !0b11].map(Step::Tick));
         for site in 0..2 {
             if world.condition_changes < 3 {
@@ -306,7 +309,7 @@
             Step::ChangeCondition(site, condition) => {
                 world.condition_changes += 1;
                 world.conditions[usize::from(site)] = condition;
-                // A slow site that was dead is dead to this proxy until it answers.
+                // A slow site that was dead counts as dead until it answers this proxy.
                 world.dead_since_answer[usize::from(site)] |= condition == Condition::Dead;
             }
             Step::Tick(observed) => world.tick(observed),
@@ -317,14 +320,14 @@
                         server: server(site, n),
                     });
                 }
-                // Others go on as they were.
+                // The next site still answers.
                 world.answer((site + 1) % self.sites, 0);
             }
             Step::Stall(of) => {
                 world.faults += 1;
                 world.now += 4 * TICK;
                 world.handle(Event::LoopLag(4 * TICK));
-                // What was due meanwhile ends now, over more than one turn of the loop.
+                // Requests that were due during the stall end now, over two iterations of the event loop.
                 for _ in 0..2 {
                     for site in sites.clone().filter(|site| of.is_none_or(|of| of == *site)) {
                         for n in (0..SERVERS_PER_SITE).chain(0..SERVERS_PER_SITE) {
@@ -438,7 +441,7 @@
 }
 
 #[test]
-#[ignore = "a minute"]
+#[ignore = "takes a minute"]
 fn every_order_deeper() {
     let found = check(Guards::ALL, 2, 12, 5_000_000, None);
     assert_eq!(found, ["a site is lost", "a site returns"]);
@@ -519,7 +522,7 @@
         let found = check(guards, 2, 9, 300_000, Some(violation));
         assert!(
             found.contains(&violation),
-            "nobody notices that {name} is gone"
+            "the model check does not detect that the guard {name} is disabled"
         );
     }
 }
--- a/crates/site-failover/tests/order.rs
+++ b/crates/site-failover/tests/order.rs
@@ -1,4 +1,4 @@
-//! Load shedding for any load and any fleet; capacity and demand.
+//! Properties of load shedding for arbitrary loads and capacities, and tests of capacity, demand and the shedding level.
 
 use proptest::prelude::*;
 use site_failover::load_shedding::{has_precedence, headroom, served_fractions, Load};
@@ -50,34 +50,34 @@
 }
 
 proptest! {
-    /// Nothing is served while anything of a higher rank is shed.
+    /// No load is served while one of a higher rank is shed.
     #[test]
     fn no_lower_rank_before_a_higher(loads in loads(), capacities in capacities()) {
         let fractions = served_fractions(&loads, &capacities);
         for (high, high_fraction) in loads.iter().zip(&fractions) {
             for (low, low_fraction) in loads.iter().zip(&fractions) {
                 if high.capacity == low.capacity && high.rate > 0.0 && has_precedence(high, low) && *high_fraction < 1.0 {
-                    prop_assert_eq!(*low_fraction, 0.0, "{:?} is refused and {:?} served", high, low);
+                    prop_assert_eq!(*low_fraction, 0.0, "{:?} is shed and {:?} is served", high, low);
                 }
             }
         }
     }
 
-    /// No more than the capacity is used, and all of it while anything is shed.
+    /// The capacity is never exceeded, and is used in full while any load is shed.
     #[test]
     fn capacity_is_kept_and_used(loads in loads(), capacities in capacities()) {
         let fractions = served_fractions(&loads, &capacities);
         for (at, capacity) in capacities.iter().enumerate() {
             let of_capacity = || loads.iter().zip(&fractions).filter(|(load, _)| load.capacity == at);
             let used: f64 = of_capacity().map(|(load, fraction)| served_work(load, *fraction)).sum();
-            prop_assert!(used <= capacity + TOLERANCE, "{used} of {capacity}");
+            prop_assert!(used <= capacity + TOLERANCE, "{used} of {capacity} used");
             if of_capacity().any(|(load, fraction)| load.rate > 0.0 && *fraction < 1.0 - TOLERANCE) {
-                prop_assert!(used >= capacity - TOLERANCE, "{used} of {capacity}");
+                prop_assert!(used >= capacity - TOLERANCE, "{used} of {capacity} used");
             }
         }
     }
 
-    /// Within a rank, a tenant of which anything is shed has as much for its weight as any other.
+    /// Within a rank, a tenant whose load is shed is served at least as much per weight as any other tenant.
     #[test]
     fn tenants_are_served_by_their_weights(loads in loads(), capacities in capacities()) {
         let fractions = served_fractions(&loads, &capacities);
@@ -92,12 +92,12 @@
             }
             for b in loads.iter().filter(|b| has_same_rank(b)) {
                 let (mine, theirs) = (has(a.tenant) / a.tenant_weight, has(b.tenant) / b.tenant_weight);
-                prop_assert!(mine >= theirs - TOLERANCE, "{a:?} has {mine}, {b:?} {theirs}");
+                prop_assert!(mine >= theirs - TOLERANCE, "per weight {a:?} is served {mine}, {b:?} {theirs}");
             }
         }
     }
 
-    /// With more capacity nobody is served less.
+    /// With more capacity no load is served less.
     #[test]
     fn more_capacity_serves_more(loads in loads(), capacities in capacities(), more in 0.0..4.0) {
         let larger: Vec<f64> = capacities.iter().map(|capacity| capacity + more).collect();
@@ -109,9 +109,9 @@
     }
 }
 
-/// What a site has shown counts, decays, and is kept by group and by reads and writes.
+/// Observed capacity decays, and is kept separately for each group and for reads and writes.
 #[test]
-fn capacity_is_what_was_shown() {
+fn capacity_is_the_observed_peak() {
     let mut capacity = Capacity::default();
     let key = |site, write| CapacityKey {
         group: 7,
@@ -125,7 +125,7 @@
         capacity.record_answer(now, key(n % 4 / 2, false), 0, ms(10) * factor);
     }
     let observed = capacity.observed(now, key(0, false));
-    // 500 in a second, of 10 ms each as the shortest tell, and a little more by the longer ones.
+    // 500 requests per second of 10 ms each, as the shortest responses show; the longer ones add a little.
     assert!((4.9..5.6).contains(&observed), "{observed}");
     assert_eq!(
         capacity.total_of_other_sites(now, 0, 7, false),
@@ -159,13 +159,13 @@
     assert!((950.0..1_050.0).contains(&rate), "{rate}");
     (2..10_000).for_each(|group| demand.record(now, kind(group)));
     assert_eq!(demand.rates(now).count(), 4_096);
-    // Kinds that have decayed make room.
+    // Kinds whose rate has decayed are dropped for new ones.
     let later = now + Duration::from_secs(100);
     demand.record(later, kind(20_000));
     assert!(demand.rates(later).any(|(kind, _)| kind.group == 20_000));
 }
 
-/// What is shed first, second, third and last.
+/// Loads are shed in the order: over quota, on loan, retries, and then by priority weight per work.
 #[test]
 fn the_shedding_order() {
     let load = |quota_status, is_retry, priority_weight, work| {
@@ -196,7 +196,8 @@
     assert_eq!(fractions(6.0), [1.0; 5]);
 }
 
-/// Runs seconds of a proxy that gets 20 requests a second of each of two kinds; of the kind of more weight so many are rejected.
+/// Runs the controller for `seconds` with two kinds of 20 requests per second each. Of each 5 indicative requests, `rejected` are
+/// rejected. Returns the shed fractions of the kind with more and of the kind with less priority weight.
 fn control(
     controller: &mut ShedController,
     from: u64,
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn the_lowest_rank_is_shed_for_rejections_of_others_and_nobody_without_them() {
+fn the_lowest_rank_is_shed_only_while_requests_of_others_are_rejected() {
     let mut controller = ShedController::default();
     assert_eq!(
         control(&mut controller, 0, 10, true, 0),
@@ -255,7 +256,7 @@
     assert!(high == 0.0 && low > 0.3, "{high} {low}");
     let (high, low) = control(&mut controller, 22, 10, true, 2);
     assert!(high > 0.0 && high < 1.0 && low == 1.0, "{high} {low}");
-    // It loosens slower than it tightens, and wholly.
+    // The level falls more slowly than it rises, and falls to 0.
     assert!(control(&mut controller, 32, 2, true, 0).1 > 0.9);
     assert_eq!(control(&mut controller, 34, 30, false, 0), (0.0, 0.0));
     assert_eq!(controller.level(), 0.0);
