--- a/crates/availability/src/event.rs
+++ b/crates/availability/src/event.rs
@@ -1,39 +1,39 @@
-//! What the model is told.
+//! Events that the model handles.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// How an attempt at a record server ended.
+/// Outcome of an attempt at a record server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered, whatever it said: it is alive.
+    /// The server answered, whatever the content: it is alive.
     Answered,
-    /// It rejected the request: full, draining, not the primary.
+    /// The server rejected the request: it is full, draining or not the primary.
     Rejected,
-    /// It broke the connection, could not be reached, or timed out.
+    /// The server closed the connection, could not be reached, or timed out.
     Failed,
     /// The proxy cancelled the attempt.
     Cancelled,
 }
 
-/// Why a request was rejected.
+/// Cause of the rejection of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
     /// The decision module found no capacity, or no server.
     Servers,
-    /// A limit of the proxy itself, or of the operators' file.
+    /// A limit of the proxy itself, or of the operators' configuration file.
     OwnLimit,
 }
 
-/// An event.
+/// An event of the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// The proxy listens, with an endpoint list or without one.
+    /// The proxy listens for clients, with or without an endpoint list.
     Started,
-    /// A request has been read; it ends with an answer, or its client leaves.
+    /// A request has been read. It ends with one of the events for its outcome, or with [`Event::ClientLeft`].
     RequestArrived {
-        /// The group that it is for.
+        /// The group of the request.
         group: u32,
     },
     /// The client of a request has left.
@@ -43,54 +43,55 @@
     },
     /// An attempt was sent.
     AttemptSent {
-        /// The group that it was sent to.
+        /// The group to which the attempt was sent.
         group: u32,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The group that it was sent to.
+        /// The group to which the attempt was sent.
         group: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Duration,
     },
     /// A request was served.
     RequestServed {
-        /// Its group.
+        /// The group of the request.
         group: u32,
     },
     /// A request was rejected.
     RequestRejected {
-        /// Its group.
+        /// The group of the request.
         group: u32,
-        /// Why.
+        /// Cause of the rejection.
         cause: RejectionCause,
     },
     /// A request failed.
     RequestFailed {
-        /// Its group.
+        /// The group of the request.
         group: u32,
     },
-    /// A write has ended, besides the events above: only a primary can serve it, so it shows whether there is one.
+    /// A write has ended; sent in addition to the events above. Only a primary can serve writes, so the outcome shows whether there is
+    /// one.
     WriteEnded {
-        /// Its group.
+        /// The group of the write.
         group: u32,
-        /// Whether it was served.
+        /// Whether the write was served.
         served: bool,
     },
-    /// The endpoint list names a server, or ceases to.
+    /// The endpoint list has added or removed a server.
     Endpoint {
         /// The server.
         server: u32,
-        /// Its site.
+        /// The server's site.
         site: u16,
-        /// Its group.
+        /// The server's group.
         group: u32,
-        /// Whether it is listed.
+        /// Whether the server is listed.
         listed: bool,
     },
-    /// The endpoint list was received, whatever it says.
+    /// The endpoint list was received, whatever its content.
     ListReceived,
     /// An exchange with a server has started, for a request or a probe.
     ExchangeStarted {
@@ -101,7 +102,7 @@
     ExchangeEnded {
         /// The server.
         server: u32,
-        /// Whether anything came from its machine, be it a rejection or the end of a connection.
+        /// Whether anything was received from the server's machine, including a rejection or the end of a connection.
         contact: bool,
     },
     /// A connection to a server is being established.
@@ -109,52 +110,52 @@
         /// The server.
         server: u32,
     },
-    /// Something came from a server's machine: a connection was established.
+    /// Something was received from a server's machine, for example because a connection was established.
     Contact {
         /// The server.
         server: u32,
     },
-    /// A server reports its position in the log, and whether it is the primary.
+    /// A server has reported its position in its group's log, and whether it is the primary.
     RoleReported {
         /// The server.
         server: u32,
-        /// Its position.
+        /// The server's position.
         position: Option<Time>,
-        /// Whether it is the primary.
+        /// Whether the server is the primary.
         primary: Option<bool>,
     },
     /// The proxy's load.
     Load(Load),
-    /// Whether discovery is connected. It is reported, and has no effect on state and weight.
+    /// The connection to discovery was established or lost. It is reported, and has no effect on state and weight.
     Discovery {
-        /// Whether it is connected.
+        /// Whether discovery is connected.
         connected: bool,
     },
-    /// Begin to drain.
+    /// The proxy begins to drain.
     Drain,
-    /// Serve again.
+    /// The drain is cancelled: the proxy serves again.
     Undrain,
-    /// The process ends.
+    /// The process is stopping.
     Stop,
-    /// Time passes.
+    /// Periodic event that advances the time.
     Tick,
 }
 
-/// The proxy's load.
+/// Load of the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// The longest lag of the event loop since the last such event.
+    /// Longest lag of the event loop since the last event of this kind.
     pub lag: Duration,
-    /// Open requests, as a part of the limit.
+    /// Open requests, as a fraction of the limit.
     pub open: f64,
-    /// Descriptors, as a part of the limit.
+    /// File descriptors in use, as a fraction of the limit.
     pub descriptors: f64,
-    /// Memory, as a part of the limit.
+    /// Memory in use, as a fraction of the limit.
     pub memory: f64,
 }
 
 impl Load {
-    /// Without parts that are no numbers, which would make the weight one too.
+    /// Replaces fractions that are not finite by 0, since they would make the weight NaN; negative ones become 0 too.
     pub(crate) fn sanitized(self) -> Load {
         let part = |n: f64| if n.is_finite() { n.max(0.0) } else { 0.0 };
         Load {
--- a/crates/availability/src/group.rs
+++ b/crates/availability/src/group.rs
@@ -1,4 +1,4 @@
-//! A group of record servers, as this proxy's own requests show it.
+//! The condition of a group of record servers, derived from this proxy's own requests.
 
 use crate::latency::Latency;
 use crate::{AttemptOutcome, Settings, Time};
@@ -7,20 +7,20 @@
 /// The condition of a group, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
-    /// It serves.
+    /// The group serves requests.
     Serving,
-    /// Its reads are served, and its writes are not.
+    /// The group serves reads but not writes.
     NoPrimary,
-    /// It answers, but much is rejected or fails.
+    /// The group answers, but many requests are rejected or fail.
     Failing,
-    /// It accepts requests and answers none.
+    /// The group accepts requests but does not answer them.
     Hung,
-    /// It can't be reached, or breaks all connections.
+    /// The group can't be reached, or closes all connections.
     Dead,
 }
 
 impl Condition {
-    /// The word in health reports.
+    /// The condition's name in health reports.
     pub fn name(self) -> &'static str {
         match self {
             Condition::Serving => "serving",
@@ -35,13 +35,13 @@
 /// The state of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupState {
-    /// Its condition.
+    /// The condition of the group.
     pub condition: Condition,
     /// When the condition began.
     pub since: Time,
-    /// Its response time, as a multiple of the usual.
+    /// Latency of the group, as a multiple of the baseline.
     pub slowness: f64,
-    /// Part of its recent requests that were rejected or failed.
+    /// Part of the group's recent requests that were rejected or failed, 0 to 1.
     pub unserved: f64,
 }
 
@@ -49,22 +49,24 @@
 pub(crate) struct Group {
     condition: Condition,
     since: Time,
-    /// When it last answered anything, or when the first of the attempts in flight was sent.
+    /// When the group last answered, or when the first of the attempts in flight was sent, whichever is later.
     silent_since: Time,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     in_flight: u32,
-    /// Requests that wait for their answers, with or without an attempt in flight.
+    /// Number of requests without an answer, with or without an attempt in flight.
     open_requests: u32,
-    /// Hard failures in a row, with no answer between, of attempts that were sent since it last answered.
+    /// Number of successive hard failures, without an answer in between, of attempts that were sent after the last answer.
     failures_in_row: u32,
-    /// Answers in a row since it was last hung or dead.
+    /// Number of successive answers since the group last became hung or dead.
     answers_in_row: u32,
-    /// Writes in a row that were not served, and when the last of any write was.
+    /// Number of successive writes that were not served.
     failed_writes_in_row: u32,
+    /// When the last write ended.
     write_ended_at: Time,
     latency: Latency,
-    /// Decayed numbers of requests that were served and were not.
+    /// Decaying count of requests that were served.
     served: f64,
+    /// Decaying count of requests that were not served.
     unserved: f64,
     decayed_at: Time,
     requested_at: Time,
@@ -72,17 +74,17 @@
 
 /// Time constant of the counts of requests, in seconds.
 const TIME_CONSTANT: f64 = 2.0;
-/// Weight that stands for requests not seen yet: a first failure is no half of the traffic.
+/// Number of served requests that is assumed in addition, so that a first failure does not count as half of the traffic.
 const PRIOR: f64 = 4.0;
-/// Parts of a group's requests that are not served: above the first it fails, below the second no longer.
+/// A group is failing when the part of its requests that is not served exceeds the first value, until it falls to the second.
 const FAILING_THRESHOLDS: (f64, f64) = (0.5, 0.25);
-/// Writes in a row that were not served: a single one may have met a limit of its own.
+/// Number of successive unserved writes after which a group has no primary: a single one may have failed for another reason.
 const NO_PRIMARY_WRITES: u32 = 2;
-/// Answers in a row after which a group is not dead or hung any more.
+/// Number of successive answers after which a group is no longer dead or hung.
 const RECOVERY_ANSWERS: u32 = 3;
-/// A group is silent after so many times what its answers usually take.
+/// A group is hung after a silence of this many times its baseline latency.
 const SILENCE_FACTOR: u32 = 4;
-/// ... and after this time at most, since it is to be reported within a second; unless its answers usually take longer.
+/// Upper bound of that silence, so that a hung group is reported within a second, unless its baseline latency is longer.
 const MAX_SILENCE: Duration = Duration::from_millis(700);
 
 impl Group {
@@ -119,7 +121,7 @@
         now.saturating_sub(self.requested_at)
     }
 
-    /// The process was suspended: what the group owed before means nothing.
+    /// Discards silence and failures: during a suspension of the process no answers were read.
     pub fn on_suspension(&mut self, now: Time) {
         self.silent_since = now;
         self.failures_in_row = 0;
@@ -160,7 +162,7 @@
                 }
             }
             AttemptOutcome::Failed => {
-                // An attempt that was sent before the last answer and failed after it shows a fault of its connection alone.
+                // An attempt that was sent before the last answer and failed after it indicates a fault of its connection only.
                 if now.saturating_sub(elapsed) >= self.silent_since
                     || self.failures_in_row > 0
                     || elapsed < settings.silence
@@ -201,15 +203,15 @@
         self.decayed_at = now;
     }
 
-    /// The group's traffic, in recent requests.
+    /// The group's recent traffic, as a decaying count of requests.
     pub fn traffic(&self, now: Time) -> f64 {
-        // Attempts in flight are traffic too: otherwise a hung group would seem to get none.
+        // Attempts in flight count as traffic too: otherwise a hung group would appear to have none.
         let keep =
             (-now.saturating_sub(self.decayed_at).as_secs_f64() / (5.0 * TIME_CONSTANT)).exp();
         (self.served + self.unserved) * keep + f64::from(self.in_flight.min(64)) * 0.1
     }
 
-    /// Part of its requests that are not served.
+    /// Part of the group's requests that are not served, 0 to 1.
     pub fn unserved(&self) -> f64 {
         match self.condition {
             Condition::Hung | Condition::Dead => 1.0,
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Judges the condition. A better one is kept back for the dwell time, `dwell_factor` times.
+    /// Updates the condition. A better one takes effect only after the dwell time, extended by `dwell_factor`.
     pub fn evaluate(&mut self, now: Time, settings: &Settings, dwell_factor: u32) {
         self.latency.rotate(now);
         self.decay(now);
@@ -262,7 +264,7 @@
             Condition::Hung
         } else {
             match self.condition {
-                // Only answers end these: a group without requests stays as it was last seen, for a while.
+                // Only answers end these conditions: a group without requests keeps its condition until the evidence expires.
                 Condition::Dead | Condition::Hung
                     if self.answers_in_row < RECOVERY_ANSWERS && self.idle(now) < EVIDENCE_TTL =>
                 {
@@ -270,7 +272,7 @@
                 }
                 Condition::Failing if failing > FAILING_THRESHOLDS.1 => Condition::Failing,
                 _ if failing > FAILING_THRESHOLDS.0 => Condition::Failing,
-                // Without writes it is not known for long.
+                // Without further writes the evidence expires.
                 _ if self.failed_writes_in_row >= NO_PRIMARY_WRITES
                     && now.saturating_sub(self.write_ended_at) < EVIDENCE_TTL =>
                 {
@@ -282,5 +284,5 @@
     }
 }
 
-/// What is known of a group without requests holds for so long.
+/// Time after which the evidence about a group without requests or writes expires.
 const EVIDENCE_TTL: Duration = Duration::from_secs(20);
--- a/crates/availability/src/latency.rs
+++ b/crates/availability/src/latency.rs
@@ -1,44 +1,46 @@
-//! Recent latency as a multiple of the usual: quantile sketches over windows of time.
+//! Recent latency as a multiple of a baseline, computed from quantile sketches over time windows.
 
 use sketches_ddsketch::{Config, DDSketch};
 use std::time::Duration;
 
 use crate::Time;
 
-/// Windows of the present, and how many make it up.
+/// Length and number of the windows that make up the recent latency.
 const RECENT_WINDOWS: (Duration, usize) = (Duration::from_millis(500), 4);
-/// A window of the usual; of so many the median of their quantiles counts.
+/// Length and number of the windows of the baseline; the baseline is the median of their quantiles.
 const BASELINE_WINDOWS: (Duration, usize) = (Duration::from_secs(10), 12);
-/// Answers that a window has to hold to say anything.
+/// Minimum number of answers for a quantile.
 const MIN_ANSWERS: usize = 10;
-/// The quantile that is compared: high enough to show waiting, low enough not to be one answer.
+/// The quantile that is compared: high enough to reflect queueing, low enough not to depend on a single answer.
 const QUANTILE: f64 = 0.75;
-/// While answers are slower than this times the usual they don't become it ...
+/// While the recent latency is at least this multiple of the baseline, answers do not enter the baseline.
 const ELEVATED_FACTOR: f64 = 1.3;
-/// ... until they have been for so long: then they are the new usual.
+/// After the latency has been elevated for this long, answers enter the baseline again.
 const ADOPTION_TIME: Duration = Duration::from_secs(300);
 
-/// Relative error of a sketch's quantiles, and its bins: 512 of 4% span far more than latencies do.
+/// Creates a sketch with a relative error of 4% and 512 bins, which cover a far wider range than latencies do.
 fn sketch() -> DDSketch {
     DDSketch::new(Config::new(0.04, 512, 1e-6))
 }
 
 pub struct Latency {
-    /// The oldest first; the last is being filled since `since`.
+    /// Sketches of the recent windows, oldest first; the last one is being filled since `since`.
     recent: Vec<DDSketch>,
     since: Time,
-    /// What fills the window of the usual, and quantiles of those before, oldest first.
+    /// Sketch of the current baseline window.
     filling: DDSketch,
     filling_since: Time,
+    /// Quantiles of the previous baseline windows, in seconds, oldest first.
     baseline_quantiles: Vec<f64>,
     elevated_since: Option<Time>,
-    /// The present as a multiple of the usual, and when that was worked out: sketches are merged for it.
+    /// The recent latency as a multiple of the baseline; cached, since computing it merges sketches.
     slowness: f64,
     baseline: Duration,
+    /// When `slowness` and `baseline` were computed.
     computed_at: Time,
 }
 
-/// What is worked out holds for this long.
+/// Minimum interval between computations of slowness and baseline.
 const RECOMPUTE_INTERVAL: Duration = Duration::from_millis(50);
 
 impl std::fmt::Debug for Latency {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Windows that are over make place for new ones.
+    /// Replaces windows that have ended by new ones.
     pub fn rotate(&mut self, now: Time) {
         let elapsed_windows =
             now.saturating_sub(self.since).as_nanos() / RECENT_WINDOWS.0.as_nanos();
@@ -111,14 +113,14 @@
         }
     }
 
-    /// What an answer takes as a rule, as it was last worked out; zero before there is a rule.
+    /// The baseline latency as last computed; zero while there are too few answers.
     pub fn baseline(&self) -> Duration {
         self.baseline
     }
 
     fn compute_baseline(&self) -> Option<Duration> {
         if self.baseline_quantiles.is_empty() {
-            // At the start the window that is being filled has to do.
+            // Before the first window has ended, the current one is used.
             if self.filling.count() < MIN_ANSWERS {
                 return None;
             }
@@ -149,7 +151,7 @@
         }
     }
 
-    /// The present as a multiple of the usual; 1 where too little is known.
+    /// The recent latency as a multiple of the baseline; 1 if there are too few answers.
     pub fn slowness(&self) -> f64 {
         self.slowness
     }
--- a/crates/availability/src/link.rs
+++ b/crates/availability/src/link.rs
@@ -1,16 +1,16 @@
-//! Links to sites: a cut link is distinguished from the death of the servers behind it.
+//! State of the link to each site: distinguishes a cut link from the death of the servers behind it.
 //!
-//! From one proxy both look alike: nothing comes from the machines. What differs is what others know. A site is **silent** when
-//! several of its servers owe answers and there was no contact of any kind; any contact at all (an answer, a rejection, a reset,
-//! an established connection) shows that the link works. A silent site is
-//! - **cut** once something proves that servers there work although nothing of them reaches this proxy: the log of a group whose
-//!   primary is there goes on growing, as members elsewhere report, before another can have taken over; or the endpoint list,
-//!   received again after longer than its longest delay, still names them;
-//! - **gone** once the list has dropped most of them.
+//! A single proxy observes the same in both cases: nothing is received from the machines. The difference lies in evidence from
+//! others. A site is **silent** when several of its servers owe answers and there was no contact of any kind; any contact (an
+//! answer, a rejection, a reset, an established connection) shows that the link works. A silent site is
+//! - **cut** once there is proof that its servers work although nothing from them reaches this proxy: members elsewhere report that
+//!   the log of a group whose primary is at the site still grows, before another server can have taken over; or the endpoint list
+//!   still names the servers when it is received after more than its longest delay;
+//! - **gone** once the endpoint list has dropped most of its servers.
 //!
-//! Without proof it stays silent, and counts as a shared fault: the error that would cost all proxies their weight at once is ruled
-//! out. Slow or hung servers make no site silent, since their machines accept connections: a few are dialled to find that out
-//! ([`Links::server_to_dial`]), and none of these dials may have succeeded.
+//! Without proof the site stays silent and counts as a shared fault, so that all proxies can't lower their weights at once by
+//! mistake. Slow or hung servers do not make a site silent, since their machines accept connections: a few servers are dialled to
+//! find out ([`Links::server_to_dial`]), and the site is silent only if none of these dials succeeds.
 
 use crate::Time;
 use std::collections::BTreeMap;
@@ -19,18 +19,18 @@
 /// State of the link to a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkState {
-    /// There is contact.
+    /// There is contact with the site's servers.
     Up,
-    /// There is no contact, and the cause is not known.
+    /// There is no contact with the site's servers, and the cause is not known.
     Silent,
-    /// Its servers work, and nothing of them reaches this proxy.
+    /// The site's servers work, but nothing from them reaches this proxy.
     Cut,
-    /// Its servers are dead.
+    /// The site's servers are dead.
     Gone,
 }
 
 impl LinkState {
-    /// The word in health reports.
+    /// The state's name in health reports.
     pub fn name(self) -> &'static str {
         match self {
             LinkState::Up => "up",
@@ -41,26 +41,26 @@
     }
 }
 
-/// Most sites; further ones are ignored.
+/// Maximum number of sites; further ones are ignored.
 pub const SITES_LIMIT: usize = 64;
-/// Most servers; further ones are ignored.
+/// Maximum number of servers; further ones are ignored.
 pub const SERVERS_LIMIT: usize = 4_096;
 
-/// Servers of a site that have to be silent: a single one may have lost a link of its own.
+/// Minimum number of silent servers of a silent site: a single server may have lost its own link.
 const MIN_SILENT_SERVERS: usize = 2;
-/// Servers of a cut site that have been dialled without success, or all that it has.
+/// Minimum number of listed servers of a cut site that were dialled without success; of a site with fewer servers, all.
 const MIN_FAILED_DIALS: usize = 3;
-/// Time constant of the attempts at a site, in seconds.
+/// Time constant of the decay of the attempts at a site, in seconds.
 const TIME_CONSTANT: f64 = 10.0;
 
-/// Times of [`crate::Settings`] that concern links.
+/// The durations of [`crate::Settings`] that concern links.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkSettings {
-    /// A server that owes an answer is silent without contact for longer than this.
+    /// A server that owes an answer is silent after this time without contact.
     pub silence: Duration,
-    /// The longest delay of the endpoint list.
+    /// Longest delay of the endpoint list.
     pub list_late: Duration,
-    /// A lost primary is replaced no sooner than this after the last contact.
+    /// Minimum time after the last contact with a lost primary before another server takes over.
     pub election: Duration,
 }
 
@@ -68,28 +68,30 @@
 struct Server {
     site: u16,
     group: u32,
-    /// In the list.
+    /// Whether the endpoint list names the server.
     listed: bool,
-    /// The last contact.
+    /// Time of the last contact with the server.
     contact_at: Time,
-    /// Exchanges in flight, and since when it owes an answer.
+    /// Number of exchanges in flight.
     exchanges: u32,
+    /// Since when the server owes an answer.
     awaiting_since: Option<Time>,
-    /// The start of a dial that has not succeeded.
+    /// Start of the first dial that has not succeeded.
     dialled_since: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Site {
     state: LinkState,
-    /// The last contact with any of its servers.
+    /// Time of the last contact with any of the site's servers.
     contact_at: Time,
-    /// Decayed number of attempts, and as of when; it does not change while the site is silent.
+    /// Decaying number of attempts; constant while the site is not up.
     attempts: f64,
+    /// Time up to which `attempts` has decayed.
     decayed_at: Time,
-    /// A member elsewhere has reported a position that only a working primary there can have written.
+    /// Whether a member at another site has reported a position that only a working primary at this site can have written.
     proven_alive: bool,
-    /// Servers that were silent at the last evaluation.
+    /// Number of servers that were silent at the last evaluation.
     silent: usize,
 }
 
@@ -98,9 +100,9 @@
 struct ServerCounts {
     members: usize,
     listed: usize,
-    /// They are silent.
+    /// Servers that owe an answer for longer than [`LinkSettings::silence`].
     silent: usize,
-    /// Listed, and dialled without success.
+    /// Listed servers that were dialled without success.
     unreachable: usize,
 }
 
@@ -108,7 +110,7 @@
 pub(crate) struct Links {
     servers: BTreeMap<u32, Server>,
     sites: BTreeMap<u16, Site>,
-    /// By group, the server that last reported to be the primary.
+    /// The server that last reported to be the primary, by group.
     primaries: BTreeMap<u32, u32>,
     /// When the endpoint list was last received.
     list_received_at: Option<Time>,
@@ -132,7 +134,7 @@
         self.sites.get(&site).map(|site| site.state)
     }
 
-    /// The endpoint list names a server, or ceases to.
+    /// Records that the endpoint list names a server, or no longer names it.
     pub fn set_endpoint(&mut self, server: u32, site: u16, group: u32, listed: bool, now: Time) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.listed = listed;
@@ -166,7 +168,7 @@
         self.list_received_at = Some(now);
     }
 
-    /// An exchange has started.
+    /// Records the start of an exchange.
     pub fn exchange_started(&mut self, server: u32, now: Time) {
         let Some(server) = self.servers.get_mut(&server) else {
             return;
@@ -186,7 +188,7 @@
         }
     }
 
-    /// An exchange has ended; `contact`: something came from the server's machine.
+    /// Records the end of an exchange. `contact`: something was received from the server's machine.
     pub fn exchange_ended(&mut self, server: u32, contact: bool, now: Time) {
         if let Some(server) = self.servers.get_mut(&server) {
             server.exchanges = server.exchanges.saturating_sub(1);
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Something came from a server's machine.
+    /// Records that something was received from a server's machine.
     pub fn record_contact(&mut self, server: u32, now: Time) {
         let Some(server) = self.servers.get_mut(&server) else {
             return;
@@ -226,7 +228,7 @@
         }
     }
 
-    /// A server reports its position in the log, and whether it is the primary.
+    /// Records the position that a server has reported, and whether it is the primary.
     pub fn role_reported(
         &mut self,
         server: u32,
@@ -257,15 +259,16 @@
         let Some(site) = self.sites.get_mut(&primary.site) else {
             return;
         };
-        // The primary owed an answer before that position was written: it went on working, and nothing of it came here. Only soon
-        // after its last contact, since later another may have taken over. A position in the future is invalid.
+        // The primary already owed an answer when the position was written, so it was working while nothing from it was received. This
+        // holds only until `election` after the last contact, since later another server may have taken over. A position in the future
+        // is invalid.
         let awaiting_since = primary.awaiting_since.filter(|at| *at > site.contact_at);
         site.proven_alive |= awaiting_since.is_some_and(|at| position > at + settings.silence)
             && position <= primary.contact_at + settings.election
             && position <= now + settings.silence;
     }
 
-    /// Judges every site.
+    /// Updates the link state of every site.
     pub fn evaluate(&mut self, now: Time, settings: LinkSettings) {
         let mut counts_by_site: BTreeMap<u16, ServerCounts> = BTreeMap::new();
         let Links { servers, sites, .. } = self;
@@ -300,7 +303,7 @@
                 }
                 site.set_state(LinkState::Silent, now);
             }
-            // Received so long after the last contact, the list can't be from before it.
+            // A list that was received this long after the last contact can't be older than that contact.
             let is_list_fresh = list_received_at
                 .is_some_and(|at| at >= site.contact_at + settings.silence + settings.list_late);
             let found = if counts.listed * 2 <= counts.members {
@@ -312,14 +315,14 @@
             } else {
                 LinkState::Silent
             };
-            // What was proven needs no new proof: only contact, or the list, ends it.
+            // A proven cut needs no further proof: only contact or the endpoint list ends it.
             if (site.state, found) != (LinkState::Cut, LinkState::Silent) {
                 site.set_state(found, now);
             }
         }
     }
 
-    /// A server that should be dialled, to distinguish unreachable machines from slow or hung processes.
+    /// A server that should be dialled to distinguish unreachable machines from slow or hung processes, if any.
     pub fn server_to_dial(&self, may_dial: impl Fn(u32) -> bool) -> Option<u32> {
         let is_suspect = |site: u16| {
             self.sites
@@ -335,7 +338,7 @@
             .map(|(server, _)| *server)
     }
 
-    /// Whether a dial since the last contact with its site is pending or failed.
+    /// Whether the server was dialled without success since the last contact with its site; the dial may still be pending.
     fn is_dialled(&self, server: &Server) -> bool {
         let contact_at = self.sites.get(&server.site).map(|site| site.contact_at);
         server
@@ -343,7 +346,7 @@
             .is_some_and(|at| contact_at.is_some_and(|contact_at| at > contact_at))
     }
 
-    /// The process was suspended: no site was silent meanwhile.
+    /// Discards the silence during a suspension of the process.
     pub fn on_suspension(&mut self, now: Time) {
         for site in self.sites.values_mut() {
             site.contact_at = now;
@@ -351,7 +354,7 @@
         }
     }
 
-    /// The site with the cut link that concerns most attempts, and the part of all attempts that cut links concern.
+    /// The site whose cut link affects most attempts, and the part of all attempts that cut links affect.
     pub fn cut(&self, now: Time) -> Option<(u16, f64)> {
         let attempts = |site: &Site| match site.state {
             LinkState::Up => site.attempts * decay_factor(now.saturating_sub(site.decayed_at)),
@@ -376,7 +379,7 @@
 impl Site {
     fn set_state(&mut self, state: LinkState, now: Time) {
         if state != self.state {
-            // Attempts did not decay meanwhile.
+            // Attempts are constant while the site is not up.
             self.decayed_at = now;
             self.state = state;
         }
--- a/crates/availability/src/model.rs
+++ b/crates/availability/src/model.rs
@@ -1,4 +1,4 @@
-//! The model: events in, the report out.
+//! The availability model: handles events and computes the report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,19 +14,19 @@
     Time,
 };
 
-/// Most groups; requests of further ones are ignored.
+/// Maximum number of groups; requests to further groups are ignored.
 pub const GROUPS_LIMIT: usize = 256;
 /// Changes of state within this time count as flapping.
 const FLAPPING_WINDOW: Duration = Duration::from_secs(60);
-/// A group without requests for so long makes room for another.
+/// At the limit of groups, one without requests for longer than this is replaced by a new one.
 const GROUP_IDLE: Duration = Duration::from_secs(60);
-/// Interval of evaluations, however many events come.
+/// Minimum interval between evaluations, except after urgent events.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
-/// Most doublings of the dwell time.
+/// Maximum number of doublings of the dwell time.
 const MAX_DOUBLINGS: u32 = 4;
-/// Changes in the window without a doubling; each further one doubles the dwell time.
+/// Number of changes of state within [`FLAPPING_WINDOW`] up to which the dwell time is not doubled; each further change doubles it.
 const CHANGES_WITHOUT_DOUBLING: usize = 4;
-/// With a smaller part of the traffic not served the proxy is ready, not degraded.
+/// Minimum part of the traffic that is not served for which the proxy is degraded.
 const MIN_DEGRADED_PART: f64 = 0.01;
 
 fn link_settings(settings: &Settings) -> LinkSettings {
@@ -49,17 +49,18 @@
     load: Load,
     groups: BTreeMap<u32, Group>,
     links: Links,
-    /// The weight, as far as it has risen, and when it was computed.
+    /// The weight before rounding, which rises at a limited rate.
     weight: f64,
+    /// When `weight` was computed.
     weight_at: Time,
     report: Report,
-    /// Recent changes of state, oldest first.
+    /// Times of recent changes of state, oldest first.
     changes: Vec<Time>,
     evaluated_at: Time,
 }
 
 impl Availability {
-    /// A model that has not started.
+    /// Creates a model of a proxy that has not started.
     pub fn new(settings: Settings, now: Time) -> Availability {
         Availability {
             settings,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// What is to be reported now.
+    /// The current report.
     pub fn report(&self) -> &Report {
         &self.report
     }
@@ -102,23 +103,23 @@
         self.groups.iter().map(|(id, group)| (*id, group.state()))
     }
 
-    /// The link to each site.
+    /// The state of the link to each site.
     pub fn links(&self) -> impl Iterator<Item = (u16, LinkState)> + '_ {
         self.links.states()
     }
 
-    /// The link to a site.
+    /// The state of the link to a site.
     pub fn link(&self, site: u16) -> Option<LinkState> {
         self.links.state(site)
     }
 
-    /// A server that should be dialled now, if any: the result distinguishes a lost link from slow servers. The caller reports the
-    /// dial by [`Event::DialStarted`].
+    /// A server that should be dialled now, if any: the outcome distinguishes a cut link from slow servers. The caller reports the dial
+    /// with [`Event::DialStarted`].
     pub fn server_to_dial(&self, may_dial: impl Fn(u32) -> bool) -> Option<u32> {
         self.links.server_to_dial(may_dial)
     }
 
-    /// Handles an event. The report follows at once where it matters, otherwise within 50 ms.
+    /// Handles an event. The report is updated at once after urgent events, otherwise at most every 50 ms.
     pub fn handle(&mut self, now: Time, event: Event) {
         let now = now.max(self.now);
         if now - self.now > self.settings.suspension {
@@ -131,7 +132,7 @@
         }
     }
 
-    /// What was owed may have been answered while the process was suspended.
+    /// Discards the silence during a suspension: pending requests may have been answered meanwhile.
     fn on_suspension(&mut self, now: Time) {
         self.groups
             .values_mut()
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Removes the group that has been idle the longest, if that is long enough.
+    /// Removes the group that has been idle the longest, if it has been idle for longer than [`GROUP_IDLE`].
     fn remove_idle_group(&mut self) -> bool {
         let now = self.now;
         let oldest = self
@@ -261,7 +262,7 @@
         self.set_report(state, weight, reason, shared.slowness);
     }
 
-    /// Falls at once; rises as fast as a proxy may be trusted again.
+    /// Moves the weight towards `target`: it falls at once, and rises by [`Settings::rise`] points per second.
     fn update_weight(&mut self, target: f64) {
         let elapsed = (self.now - self.weight_at).as_secs_f64();
         let risen = self.weight + self.settings.rise * elapsed;
@@ -298,7 +299,8 @@
         }
     }
 
-    /// A better state waits for the dwell time of the former one; what operators command, and the start, do not.
+    /// Sets the report. A better state is reported only after the dwell time of the previous one. Start, drain, undrain and stop take
+    /// effect at once.
     fn set_report(&mut self, state: State, weight: u8, reason: Reason, slowness: f64) {
         let (now, previous) = (self.now, self.report.state);
         let is_better = state.serves() && previous.serves() && severity(state) < severity(previous);
@@ -320,7 +322,7 @@
         };
     }
 
-    /// How many times the dwell time is kept.
+    /// Factor by which the dwell time is extended, from the number of recent changes of state.
     fn dwell_factor(&mut self) -> u32 {
         let now = self.now;
         self.changes.retain(|at| now - *at < FLAPPING_WINDOW);
@@ -329,7 +331,7 @@
     }
 }
 
-/// Whether the report must follow at once.
+/// Whether the report is updated at once after an event.
 fn is_urgent(event: Event) -> bool {
     matches!(
         event,
--- a/crates/availability/src/report.rs
+++ b/crates/availability/src/report.rs
@@ -1,13 +1,13 @@
-//! What is reported.
+//! The report of the model.
 
 use health_state::State;
 
 use crate::{Load, Time};
 
-/// What lowers the weight most.
+/// The fault that lowers the weight most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Nothing.
+    /// The weight is not lowered.
     None,
     /// The event loop is late.
     Lag,
@@ -19,9 +19,9 @@
     Memory,
     /// A group is dead or hung.
     Group(u32),
-    /// A group accepts no writes.
+    /// A group does not serve writes.
     Primary(u32),
-    /// Servers of a site work, and the link to them is cut.
+    /// The servers of a site work, but the link to them is cut.
     Link(u16),
     /// Record servers reject or fail much of the work.
     Servers,
@@ -32,15 +32,15 @@
 /// The report to balancers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// The state.
+    /// The state of the proxy.
     pub state: State,
     /// The weight, 0 to 100.
     pub weight: u8,
-    /// What lowers the weight.
+    /// The fault that lowers the weight most.
     pub reason: Reason,
     /// When the state began.
     pub since: Time,
-    /// Response time of record servers, as a multiple of the usual.
+    /// Latency of record servers, as a multiple of the baseline.
     pub slowness: f64,
     /// The proxy's load.
     pub load: Load,
@@ -48,7 +48,7 @@
     pub discovery: bool,
 }
 
-/// Of two states in which the proxy serves, the higher is worse.
+/// Severity of a state. Of two states in which the proxy serves, the one with the higher severity is worse.
 pub(crate) fn severity(state: State) -> u8 {
     match state {
         State::Ready => 0,
--- a/crates/availability/src/settings.rs
+++ b/crates/availability/src/settings.rs
@@ -1,40 +1,40 @@
-//! Settings of the model.
+//! Settings of the availability model.
 
 use std::time::Duration;
 
-/// Settings of the model. Parts are from 0 to 1.
+/// Settings of the availability model. Factors and parts are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Least part that anything but the event loop's lag leaves.
+    /// Lower bound of the weight's factor for all faults other than the event loop's lag and cut links.
     pub floor: f64,
-    /// Least part that own faults leave.
+    /// Lower bound of the factor for the event loop's lag.
     pub own_floor: f64,
-    /// Least part that a cut link leaves, together with what is shared.
+    /// Lower bound of the factor for cut links and shared faults together.
     pub cut_floor: f64,
-    /// The longest delay of the endpoint list.
+    /// Longest delay of the endpoint list.
     pub list_late: Duration,
-    /// A lost primary is replaced no sooner than this.
+    /// Minimum time after which another server takes over from a lost primary.
     pub election: Duration,
-    /// The event loop's lag at which the weight begins to fall, and at which it is at its least.
+    /// Lag of the event loop at which the weight begins to fall, and at which it reaches its minimum.
     pub lag: (Duration, Duration),
-    /// The same for the used part of a limit: open requests, descriptors, memory.
+    /// Used part of a limit (open requests, descriptors, memory) at which the weight begins to fall, and at which it reaches its minimum.
     pub limit_usage: (f64, f64),
-    /// With an own part under the first the proxy is overloaded, over the second no longer.
+    /// The proxy is overloaded when its own factor falls below the first value, until it reaches the second.
     pub overload: (f64, f64),
-    /// A state is kept for so long before a better one; doubled for a proxy that flaps.
+    /// Minimum time for which a state is kept before a better one; longer for a proxy that flaps.
     pub dwell: Duration,
-    /// Points that the weight rises in a second; it falls at once.
+    /// Points per second by which the weight rises; it falls at once.
     pub rise: f64,
-    /// Weights are multiples of this.
+    /// Reported weights are rounded down to multiples of this.
     pub step: u8,
-    /// A group is hung if so many requests or attempts wait for it and it has given no answer for longer than `silence`, or four
-    /// times what its answers usually take.
+    /// A group is hung if at least this many requests or attempts are pending and it has not answered for `silence`, or for four times
+    /// its baseline latency if that is longer (with an upper bound).
     pub min_pending: u32,
-    /// See `min_pending`.
+    /// Minimum time without an answer before a group is hung, or before a server that owes an answer counts as silent.
     pub silence: Duration,
-    /// A group is dead after so many hard failures in a row, with no answer between.
+    /// Number of successive hard failures without an answer in between after which a group is dead.
     pub dead_failures: u32,
-    /// More time than this between two events was not observed: the process was suspended.
+    /// If more time than this passes between two events, the process was suspended and did not observe that time.
     pub suspension: Duration,
 }
 
--- a/crates/availability/src/weight.rs
+++ b/crates/availability/src/weight.rs
@@ -1,25 +1,25 @@
-//! Arithmetic of the weight: what shared faults, own load and cut links leave of it.
+//! Computation of the weight from shared faults, own load and cut links.
 
 use std::collections::BTreeMap;
 
 use crate::group::Group;
 use crate::{Condition, Load, Reason, Settings, Time};
 
-/// Slower than this times the usual is slow.
+/// A group is slow when its latency exceeds this multiple of the baseline.
 const SLOW_FACTOR: f64 = 1.5;
-/// Of a slow group's traffic, the most that counts as not served for its slowness alone.
+/// Maximum part of a slow group's traffic that counts as not served because of its slowness.
 const MAX_SLOW_PART: f64 = 0.5;
 
-/// What record servers do to the traffic, as all proxies see it.
+/// Faults of record servers, which affect all proxies.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SharedFaults {
-    /// Part of the traffic that is not served.
+    /// Part of the traffic that is not served, 0 to 1.
     pub unserved: f64,
-    /// Response time as a multiple of the usual.
+    /// Latency as a multiple of the baseline, averaged over the groups by traffic.
     pub slowness: f64,
-    /// What they leave of the weight.
+    /// Factor of the weight, 0 to 1.
     pub factor: f64,
-    /// The worst of them.
+    /// The fault with the most traffic that is not served.
     pub reason: Reason,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Factor {
-    /// The one that leaves less; of equal ones the first.
+    /// The lower factor; `self` if they are equal.
     fn worse(self, other: Factor) -> Factor {
         if other.value < self.value {
             other
@@ -41,7 +41,7 @@
     }
 }
 
-/// Slower than usual, but alive: a part of its work comes late.
+/// Part of a slow group's traffic that counts as not served, because it is answered late.
 fn slow_part(slowness: f64) -> f64 {
     (1.0 - SLOW_FACTOR / slowness.max(SLOW_FACTOR)).min(1.0) * MAX_SLOW_PART
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Shared faults of all groups, by their traffic.
+/// Shared faults of all groups, weighted by traffic.
 pub(crate) fn shared_faults(groups: &BTreeMap<u32, Group>, now: Time, floor: f64) -> SharedFaults {
     let (mut all, mut lost, mut slow) = (0.0, 0.0, 0.0);
     let mut reason = Reason::None;
@@ -82,7 +82,7 @@
     }
 }
 
-/// 1 up to `from`, then falling to `least` at `to`.
+/// Linear ramp: 1 up to `from`, then falling to `least` at `to`.
 fn ramp(value: f64, from: f64, to: f64, least: f64) -> f64 {
     let part = if to > from {
         (value - from) / (to - from)
@@ -92,7 +92,8 @@
     1.0 - (1.0 - least) * part.clamp(0.0, 1.0)
 }
 
-/// What own faults leave. `cut`: the site with the worst cut link, and the part of the attempts that cut links concern.
+/// The factor for own faults and cut links: the lowest of all. `cut` is the site whose cut link affects most attempts, and the part
+/// of all attempts that cut links affect.
 pub(crate) fn own_factor(
     load: &Load,
     shared: &SharedFaults,
@@ -124,10 +125,10 @@
     worst
 }
 
-/// What the use of limits leaves; together with the shared part it does not go under the floor.
+/// The factors for the use of limits. Together with the shared factor they do not fall below the floor.
 fn limits(load: &Load, shared: &SharedFaults, settings: &Settings) -> [Factor; 3] {
     let (from, to) = settings.limit_usage;
-    // Requests stay open for longer with slower servers: that much is no own fault.
+    // Requests stay open for longer when servers are slower; that part is not an own fault.
     let open = load.open / shared.slowness.max(1.0);
     [
         (open, Reason::Open),
@@ -142,7 +143,7 @@
     })
 }
 
-/// What a cut link leaves. Requests that servers of other sites serve instead do not show as lost, but these servers bear them.
+/// The factor for cut links. Requests that servers of other sites serve instead are not lost, but they are load on those servers.
 fn cut_link(site: u16, part: f64, shared: &SharedFaults, settings: &Settings) -> Factor {
     let cut_floor = settings.cut_floor.min(settings.floor);
     Factor {
@@ -153,7 +154,7 @@
     }
 }
 
-/// The weight as reported: in steps, rounded down, but not below what the rule guarantees for this reason.
+/// The weight as reported: rounded down to a multiple of [`Settings::step`], but not below the lower bound for the reason.
 pub(crate) fn reported_weight(weight: f64, own_reason: Reason, settings: &Settings) -> u8 {
     let least = match own_reason {
         Reason::Lag => settings.own_floor,
--- a/crates/availability/tests/links.rs
+++ b/crates/availability/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links to buildings on virtual time: what is told of one that is cut, and never of one whose servers are dead.
+//! Links to sites on virtual time: a cut link is reported, and a site whose servers are dead is never reported as cut.
 
 use availability::{Availability, Event, LinkState, Reason, Settings, State, Time};
 use proptest::prelude::*;
@@ -9,7 +9,8 @@
 const LOCAL: u16 = 0;
 const REMOTE: u16 = 1;
 
-/// Six servers: 0 to 2 here, 3 to 5 there; three groups of two, the primary of the last two there.
+/// A model with six servers: 0 to 2 at the local site, 3 to 5 at the remote one. Of the three groups of two servers, the last two
+/// have their primary at the remote site.
 fn model() -> Availability {
     let mut model = Availability::new(Settings::default(), Time::ZERO);
     model.handle(Time::ZERO, Event::Started);
@@ -56,7 +57,7 @@
     );
 }
 
-/// Exchanges with all servers, and the primary's word on its log, for a second.
+/// Runs exchanges with all servers for a second.
 fn run_healthy(model: &mut Availability, from: Time) -> Time {
     for step in 0..20_u32 {
         let at = from + 50 * MS * step;
@@ -65,8 +66,8 @@
     from + SECOND
 }
 
-/// Servers there are asked, and dialled where the model says so, and nothing comes of it; the log grows, or stands at
-/// the time that is given.
+/// Starts exchanges with the remote servers, and dials where the model requests it, without success. The log of the remote primary
+/// grows, or ends at `log_end`.
 fn run_remote_silent(
     model: &mut Availability,
     from: Time,
@@ -104,12 +105,12 @@
     );
     let report = *model.report();
     assert_eq!(report.reason, Reason::Link(REMOTE));
-    // Half of the attempts went there.
+    // Half of the attempts went to the remote site.
     assert!(
         report.state.serves() && (50..=70).contains(&report.weight),
         "{report:?}"
     );
-    // A word from there, and it stands again; the weight comes back step by step.
+    // After any contact the link is up again; the weight rises at a limited rate.
     model.handle(at, Event::Contact { server: 4 });
     model.handle(at, Event::Tick);
     assert_eq!(model.link(REMOTE), Some(LinkState::Up));
@@ -162,7 +163,7 @@
     assert!(model.report().weight >= 50 && model.report().reason != Reason::Link(REMOTE));
 }
 
-/// Without a dial in vain nothing is said: servers that hang or are slow accept connections.
+/// A site is not silent without a failed dial: servers that hang or are slow accept connections.
 #[test]
 fn servers_that_accept_connections_make_no_site_silent() {
     let mut model = model();
@@ -192,7 +193,7 @@
 fn one_silent_server_does_not_make_a_site_silent() {
     let mut model = model();
     let at = run_healthy(&mut model, MS);
-    // The only one that is asked there: the others may well answer.
+    // Only one remote server gets exchanges: the others may work.
     for step in 0..60_u32 {
         let at = at + 50 * MS * step;
         model.handle(at, Event::ExchangeStarted { server: 4 });
@@ -222,7 +223,7 @@
     }
 }
 
-/// What is known stays bounded, whatever the list says.
+/// The numbers of sites and servers stay bounded, whatever the endpoint list contains.
 #[test]
 fn sites_and_servers_are_bounded() {
     let mut model = Availability::new(Settings::default(), Time::ZERO);
@@ -240,7 +241,7 @@
         );
     }
     assert!(model.links().count() <= availability::SITES_LIMIT);
-    // Servers that come and go leave nothing behind.
+    // Unlisted servers are not kept.
     for server in 20_000..60_000_u32 {
         model.handle(
             MS,
@@ -255,7 +256,7 @@
     assert_eq!(model.report().state, State::Ready);
 }
 
-/// One step of a building's death as a proxy may see it.
+/// One observation of a proxy during the death of a site.
 #[derive(Clone, Debug)]
 enum Step {
     ExchangeStarted(u32),
@@ -263,7 +264,7 @@
     LocalExchange(u32),
     ListReceived,
     Dial,
-    /// A member here tells its position; so much before the present, or before the death.
+    /// A local member reports a position that lies `behind` ms before the present, or before the death.
     PositionReported {
         server: u32,
         behind: u64,
@@ -285,8 +286,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A building dies: its groups' logs stand still until others take over, 2.9 s later at the soonest, and the list
-    /// drops it within 8.1 s. Whatever is asked and told meanwhile, its link is never called cut.
+    /// A site dies: the logs of its groups stop growing until other servers take over after 2.9 s or more, and the list drops its
+    /// servers within 8.1 s. Whatever is observed meanwhile, its link is never reported as cut.
     #[test]
     fn a_dead_site_is_never_reported_as_cut(
         steps in proptest::collection::vec(step(), 50..400),
@@ -317,7 +318,7 @@
                     }
                 }
                 Step::PositionReported { server, behind } => {
-                    // Of groups 1 and 2, whose primaries are dead; the new one has not told us.
+                    // Groups 1 and 2 have dead primaries; the new primary has not reported its role.
                     let log_end = if now < elected_at { died_at } else { now };
                     let position = if server == 0 { now } else { log_end } - MS * behind as u32;
                     model.handle(now, Event::RoleReported { server, position: Some(position), primary: None });
@@ -328,7 +329,7 @@
         }
     }
 
-    /// A link is cut and what is behind it works: it is told within two seconds, whatever the order.
+    /// A link is cut and the servers behind it work: the cut is reported within two seconds, whatever the order of events.
     #[test]
     fn a_cut_link_is_reported(order in proptest::collection::vec(0..3_u32, 60..61), phase in 0..50_u64) {
         let mut model = model();
--- a/crates/availability/tests/model.rs
+++ b/crates/availability/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model on virtual time: what it tells in each kind of trouble, how soon, and what it never tells.
+//! The model on virtual time: its reports for each kind of fault, how soon they follow, and reports that must not occur.
 
 use availability::{
     AttemptOutcome, Availability, Condition, Event, Load, Reason, RejectionCause, Settings, State,
@@ -9,7 +9,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A proxy that sends so many requests a second to each of its groups, and what each group does with them.
+/// A proxy that sends `requests_per_s` requests per second to each of its groups, and the behaviour of each group.
 struct World {
     model: Availability,
     now: Time,
@@ -17,7 +17,7 @@
     requests_per_s: u32,
     load: Load,
     in_flight: Vec<(Time, u32, AttemptOutcome, Duration)>,
-    /// States and weights as they were told, each with its time.
+    /// Reported states and weights, each with its time; only changes.
     reports: Vec<(Time, State, u8)>,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Requests, answers and ticks for a while, in steps of 5 ms.
+    /// Advances the time by `span` with requests, answers and load reports, in steps of 5 ms.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -67,7 +67,7 @@
                         continue;
                     }
                     self.model.handle(self.now, Event::AttemptSent { group });
-                    // Times scatter by a half.
+                    // Response times vary from 75% to 120%.
                     let scatter = (millis / 5 * 7 + n * 13 + group * 3) % 10;
                     let (outcome, elapsed) = match behaviour {
                         Behaviour::Answers(ms) => (
@@ -120,7 +120,7 @@
         self.model.group(group).unwrap().condition
     }
 
-    /// How long it takes until this holds.
+    /// Runs until `holds` is true, and returns the time that this took; panics after `limit`.
     fn run_until(&mut self, limit: Duration, holds: impl Fn(&World) -> bool) -> Duration {
         let start = self.now;
         while !holds(self) {
@@ -156,9 +156,9 @@
         assert_eq!(report.reason, Reason::Group(2));
         assert!(
             (80..=95).contains(&report.weight),
-            "the others' traffic stays: {report:?}"
+            "only a quarter of the traffic is lost: {report:?}"
         );
-        // It answers again, and that is told too.
+        // The report follows when the group answers again.
         world.groups[2] = Behaviour::Answers(50);
         world.run_until(6 * SECOND, |w| w.condition(2) == Condition::Serving);
         world.run_until(10 * SECOND, |w| {
@@ -214,7 +214,7 @@
     world.run(60 * SECOND);
     world.reports.clear();
     world.groups = vec![Behaviour::Answers(150); 4];
-    // Requests stay open three times as long, and with them descriptors: that shows before the slowness does.
+    // Requests and their descriptors stay open three times as long, which is noticed before the slowness.
     world.load = Load {
         open: 0.95,
         descriptors: 0.99,
@@ -276,7 +276,7 @@
     world.run_until(20 * SECOND, |w| w.model.report().weight == 100);
     assert!(
         world.now - start >= 4 * SECOND,
-        "weight comes back step by step"
+        "the weight must take at least 4 s to rise to 100"
     );
 }
 
@@ -285,7 +285,7 @@
     let mut world = World::new(1, 50);
     world.run(10 * SECOND);
     for n in 0..40_u32 {
-        // Every fifth attempt goes to a member that says nothing.
+        // About every fifth attempt goes to a member that does not answer.
         let at = world.now;
         world.model.handle(at, Event::AttemptSent { group: 0 });
         world
@@ -296,7 +296,7 @@
     }
 }
 
-/// Eight come every two seconds and take three: nothing is heard for longer than most groups need to answer at all.
+/// Eight requests arrive every two seconds and take three seconds each, so the group is silent for longer than the usual limit.
 #[test]
 fn a_group_whose_answers_take_seconds_is_not_hung_between_two_of_them() {
     let mut world = World::new(1, 0);
@@ -322,7 +322,7 @@
         send_burst(&mut world, true);
         for _ in 0..20 {
             world.run(100 * MS);
-            // What is usual is learnt first.
+            // The baseline is learned first.
             assert!(
                 burst < 20 || world.condition(0) == Condition::Serving,
                 "after {burst} bursts"
@@ -330,7 +330,7 @@
         }
     }
     world.run(3 * SECOND);
-    // It still shows when it hangs: once it has said nothing for as long as an answer takes.
+    // A hang is still detected, after a silence as long as an answer takes.
     send_burst(&mut world, false);
     let detected_after = world.run_until(4 * SECOND, |w| w.condition(0) == Condition::Hung);
     assert!(
@@ -368,7 +368,7 @@
     let mut world = World::new(1, 40);
     world.run(10 * SECOND);
     world.reports.clear();
-    // A minute in which the group breaks and answers in turn, every second.
+    // For a minute the group fails and answers alternately, a second each.
     for n in 0..60 {
         world.groups[0] = if n % 2 == 0 {
             Behaviour::Fails
@@ -390,7 +390,7 @@
 fn a_stall_of_the_proxy_itself_makes_no_group_hung() {
     let mut world = World::new(2, 40);
     world.run(10 * SECOND);
-    // Nothing is looked at for five seconds; then the answers are there.
+    // The model handles no events for five seconds; then all pending attempts end at once.
     let at = world.now + 5 * SECOND;
     for (_, group, outcome, _) in std::mem::take(&mut world.in_flight) {
         world.model.handle(
@@ -412,7 +412,7 @@
         "{:?}",
         world.reports
     );
-    // A clock that goes back stands.
+    // A step back of the clock is ignored.
     let before = *world.model.report();
     world.model.handle(SECOND, Event::Tick);
     assert_eq!(world.model.report().since, before.since);
@@ -468,8 +468,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever record servers do, and whatever else slow servers can cause while they do it: a proxy whose loop is
-    /// in time tells the floor at least, and never that it is down.
+    /// Whatever record servers do, and whatever load slow servers cause: a proxy whose event loop is in time reports at least the floor,
+    /// and never a state in which it does not serve.
     #[test]
     fn shared_faults_alone_leave_the_floor(events in proptest::collection::vec(event(), 0..400)) {
         let mut model = Availability::new(Settings::default(), Time::ZERO);
@@ -483,7 +483,7 @@
         }
     }
 
-    /// It serves until it is told otherwise, whatever happens; the weight is never 0 before, and always after.
+    /// The proxy serves until it drains, whatever else happens; the weight is never 0 before the drain, and always 0 after it.
     #[test]
     fn only_a_drain_takes_the_proxy_out(events in proptest::collection::vec(event(), 0..300), drained in 0..300_usize) {
         let mut model = Availability::new(Settings::default(), Time::ZERO);
@@ -501,7 +501,7 @@
         }
     }
 
-    /// More load of its own never makes for more weight.
+    /// More own load never increases the weight.
     #[test]
     fn weight_falls_with_own_load(
         a in (0..400_u64, 0.0..1.2_f64, 0.0..1.2_f64, 0.0..1.2_f64),
@@ -523,7 +523,7 @@
         prop_assert!(weight(heavier) <= weight(load));
     }
 
-    /// States change so many times a minute at the most, whatever happens.
+    /// The state changes at most 20 times a minute, whatever happens.
     #[test]
     fn changes_are_bounded(events in proptest::collection::vec(event(), 400..800)) {
         let mut model = Availability::new(Settings::default(), Time::ZERO);
