--- a/crates/grpc-health/src/lib.rs
+++ b/crates/grpc-health/src/lib.rs
@@ -36,7 +36,7 @@
 }
 
 /// Calls of one connection at once, watches among them.
-const STREAMS: u32 = 16;
+const MAX_STREAMS: u32 = 16;
 /// A request's message; a service's name fits many times.
 const MESSAGE_LIMIT: usize = 1 << 10;
 
@@ -65,10 +65,10 @@
             .enable_io()
             .enable_time()
             .build()?;
-        let work = move || runtime.block_on(serve(listener, settings, snapshots));
+        let run = move || runtime.block_on(serve(listener, settings, snapshots));
         let thread = std::thread::Builder::new()
             .name("grpc-health".into())
-            .spawn(work)?;
+            .spawn(run)?;
         Ok(Server {
             publish,
             address,
@@ -109,19 +109,19 @@
         Ok(listener) => listener,
         Err(error) => return log::error!("grpc health: {error}"),
     };
-    let places = Arc::new(Semaphore::new(settings.connections));
-    let mut over = snapshots.clone();
+    let permits = Arc::new(Semaphore::new(settings.connections));
+    let mut shutdown = snapshots.clone();
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             // The proxy's end is gone: watches hear the last word, if they are quick.
-            () = gone(&mut over) => {
-                drop(place);
+            () = publisher_dropped(&mut shutdown) => {
+                drop(permit);
                 let all = u32::try_from(settings.connections).unwrap_or(u32::MAX);
-                _ = timeout(settings.timeout, places.acquire_many(all)).await;
+                _ = timeout(settings.timeout, permits.acquire_many(all)).await;
                 return;
             }
         };
@@ -130,7 +130,7 @@
                 let snapshots = snapshots.clone();
                 tokio::spawn(async move {
                     connection(stream, settings, snapshots).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             // Out of descriptors, for one: others may be closed meanwhile.
@@ -139,7 +139,7 @@
     }
 }
 
-async fn gone(snapshots: &mut Snapshots) {
+async fn publisher_dropped(snapshots: &mut Snapshots) {
     while snapshots.changed().await.is_ok() {}
 }
 
@@ -147,7 +147,7 @@
     _ = stream.set_nodelay(true);
     let mut builder = h2::server::Builder::new();
     builder
-        .max_concurrent_streams(STREAMS)
+        .max_concurrent_streams(MAX_STREAMS)
         .max_header_list_size(4 << 10)
         .initial_window_size(16 << 10);
     let Ok(Ok(mut connection)) =
@@ -155,11 +155,11 @@
     else {
         return;
     };
-    let mut over = snapshots.clone();
+    let mut shutdown = snapshots.clone();
     loop {
         let call = tokio::select! {
             call = connection.accept() => call,
-            () = gone(&mut over) => {
+            () = publisher_dropped(&mut shutdown) => {
                 connection.graceful_shutdown();
                 while let Ok(Some(Ok(_))) = timeout(settings.timeout, connection.accept()).await {}
                 return;
@@ -169,30 +169,30 @@
             return;
         };
         let snapshots = snapshots.clone();
-        tokio::spawn(async move { call_of(request, respond, settings, snapshots).await });
+        tokio::spawn(async move { handle_call(request, respond, settings, snapshots).await });
     }
 }
 
-async fn call_of(
+async fn handle_call(
     request: Request<RecvStream>,
     respond: SendResponse<Bytes>,
     settings: Settings,
     snapshots: Snapshots,
 ) {
     let (head, body) = request.into_parts();
-    let message = match timeout(settings.timeout, read(body)).await {
+    let message = match timeout(settings.timeout, read_message(body)).await {
         Ok(Ok(message)) => message,
-        Ok(Err(code)) => return fail(respond, code),
-        Err(_) => return fail(respond, INVALID_ARGUMENT),
+        Ok(Err(code)) => return send_error(respond, code),
+        Err(_) => return send_error(respond, INVALID_ARGUMENT),
     };
     match head.uri.path() {
         "/grpc.health.v1.Health/Check" => match CheckRequest::decode(message) {
-            Err(_) => fail(respond, INVALID_ARGUMENT),
-            Ok(asked) => {
-                let served = snapshots.borrow().get(&asked.service).copied();
+            Err(_) => send_error(respond, INVALID_ARGUMENT),
+            Ok(request) => {
+                let served = snapshots.borrow().get(&request.service).copied();
                 match served {
-                    Some(serves) => answer(respond, &CheckResponse::of(Some(serves))),
-                    None => fail(respond, NOT_FOUND),
+                    Some(serves) => send_message(respond, &CheckResponse::of(Some(serves))),
+                    None => send_error(respond, NOT_FOUND),
                 }
             }
         },
@@ -204,18 +204,18 @@
             let list = ListResponse {
                 statuses: statuses.collect(),
             };
-            answer(respond, &list);
+            send_message(respond, &list);
         }
         "/grpc.health.v1.Health/Watch" => match CheckRequest::decode(message) {
-            Err(_) => fail(respond, INVALID_ARGUMENT),
-            Ok(asked) => watch_service(respond, &asked.service, snapshots).await,
+            Err(_) => send_error(respond, INVALID_ARGUMENT),
+            Ok(request) => watch_service(respond, &request.service, snapshots).await,
         },
-        _ => fail(respond, UNIMPLEMENTED),
+        _ => send_error(respond, UNIMPLEMENTED),
     }
 }
 
 /// The one message of a request, or the code that it deserves.
-async fn read(mut body: RecvStream) -> Result<Bytes, u8> {
+async fn read_message(mut body: RecvStream) -> Result<Bytes, u8> {
     let mut bytes = BytesMut::new();
     while let Some(part) = body.data().await {
         let part = part.map_err(|_| INVALID_ARGUMENT)?;
@@ -225,11 +225,11 @@
         }
         bytes.extend_from_slice(&part);
     }
-    unframed(bytes.freeze()).ok_or(INVALID_ARGUMENT)
+    decode_frame(bytes.freeze()).ok_or(INVALID_ARGUMENT)
 }
 
 /// A frame is a flag for compression, which is not offered here, and the length of the message.
-fn unframed(mut bytes: Bytes) -> Option<Bytes> {
+fn decode_frame(mut bytes: Bytes) -> Option<Bytes> {
     if bytes.len() < 5 || bytes.get_u8() != 0 {
         return None;
     }
@@ -238,7 +238,7 @@
 }
 
 /// A message as a gRPC frame: not compressed, with its length.
-pub fn framed(message: &impl Message) -> Bytes {
+pub fn encode_frame(message: &impl Message) -> Bytes {
     let body = message.encode_to_vec();
     let mut out = Vec::with_capacity(body.len() + 5);
     out.push(0);
@@ -247,7 +247,7 @@
     out.into()
 }
 
-fn head() -> Response<()> {
+fn response_head() -> Response<()> {
     let mut response = Response::new(());
     response
         .headers_mut()
@@ -262,33 +262,33 @@
 }
 
 /// Without a message the status stands in the head.
-fn fail(mut respond: SendResponse<Bytes>, code: u8) {
-    let mut response = head();
+fn send_error(mut respond: SendResponse<Bytes>, code: u8) {
+    let mut response = response_head();
     response.headers_mut().extend(trailers(code));
     _ = respond.send_response(response, true);
 }
 
-fn answer(mut respond: SendResponse<Bytes>, message: &impl Message) {
-    if let Ok(mut stream) = respond.send_response(head(), false) {
+fn send_message(mut respond: SendResponse<Bytes>, message: &impl Message) {
+    if let Ok(mut stream) = respond.send_response(response_head(), false) {
         _ = stream
-            .send_data(framed(message), false)
+            .send_data(encode_frame(message), false)
             .and_then(|()| stream.send_trailers(trailers(OK)));
     }
 }
 
 /// Tells the state now, and then every change, until the watcher goes. A service that is not there may yet come.
 async fn watch_service(mut respond: SendResponse<Bytes>, service: &str, mut snapshots: Snapshots) {
-    let Ok(mut stream) = respond.send_response(head(), false) else {
+    let Ok(mut stream) = respond.send_response(response_head(), false) else {
         return;
     };
-    let mut told: Option<CheckResponse> = None;
+    let mut sent: Option<CheckResponse> = None;
     loop {
-        let now = CheckResponse::of(snapshots.borrow_and_update().get(service).copied());
-        if told.as_ref() != Some(&now) {
-            if send(&mut stream, framed(&now)).await.is_err() {
+        let current = CheckResponse::of(snapshots.borrow_and_update().get(service).copied());
+        if sent.as_ref() != Some(&current) {
+            if send(&mut stream, encode_frame(&current)).await.is_err() {
                 return;
             }
-            told = Some(now);
+            sent = Some(current);
         }
         tokio::select! {
             changed = snapshots.changed() => if changed.is_err() {
--- a/crates/grpc-health/tests/calls.rs
+++ b/crates/grpc-health/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use grpc_health::message::{CheckRequest, CheckResponse, ListResponse, Status};
-use grpc_health::{framed, Server, Settings, Snapshot};
+use grpc_health::{encode_frame, Server, Settings, Snapshot};
 use h2::client::SendRequest;
 use h2::RecvStream;
 use http::{HeaderMap, Method, Request};
@@ -90,14 +90,14 @@
     }
 }
 
-fn asked(service: &str) -> Bytes {
-    framed(&CheckRequest {
+fn check_request(service: &str) -> Bytes {
+    encode_frame(&CheckRequest {
         service: service.into(),
     })
 }
 
 async fn check(client: &mut SendRequest<Bytes>, service: &str) -> Result<Status, Option<u32>> {
-    let (head, mut body) = call(client, "Check", asked(service)).await;
+    let (head, mut body) = call(client, "Check", check_request(service)).await;
     let Some(bytes) = message(&mut body, &mut BytesMut::new()).await else {
         return Err(code(&head));
     };
@@ -117,7 +117,7 @@
             Err(Some(5)),
             "NOT_FOUND"
         );
-        let (_, mut body) = call(&mut client, "List", framed(&CheckRequest::default())).await;
+        let (_, mut body) = call(&mut client, "List", encode_frame(&CheckRequest::default())).await;
         let list =
             ListResponse::decode(message(&mut body, &mut BytesMut::new()).await.unwrap()).unwrap();
         assert_eq!(list.statuses.len(), 2);
@@ -131,7 +131,7 @@
     let server = server();
     run(async {
         let mut client = client(&server).await;
-        let (_, mut body) = call(&mut client, "Watch", asked("group/4")).await;
+        let (_, mut body) = call(&mut client, "Watch", check_request("group/4")).await;
         let mut rest = BytesMut::new();
         let mut next = async || {
             let bytes = message(&mut body, &mut rest).await?;
@@ -159,7 +159,7 @@
             ("Check", Bytes::from_static(b"\0\0\0\0\x09\x0a"), 3),
             ("Check", Bytes::from_static(b"\0\0\0\0\x02\xff\xff"), 3),
             ("Check", Bytes::from(vec![0; 4 << 10]), 8),
-            ("Reboot", asked(""), 12),
+            ("Reboot", check_request(""), 12),
         ] {
             let (head, _) = call(&mut client, method, body).await;
             assert_eq!(code(&head), Some(expected), "{method}");
--- a/crates/wire-admin/src/lib.rs
+++ b/crates/wire-admin/src/lib.rs
@@ -9,7 +9,7 @@
 pub const HEAD_LIMIT: usize = 8 << 10;
 /// Bytes of a call's body.
 pub const BODY_LIMIT: usize = 4 << 10;
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// Longest name of a record server.
 const NAME_LIMIT: usize = 256;
 
@@ -48,7 +48,7 @@
 }
 
 impl Status {
-    fn line(self) -> &'static str {
+    fn reason_line(self) -> &'static str {
         match self {
             Status::Ok => "200 OK",
             Status::BadRequest => "400 Bad Request",
@@ -82,7 +82,7 @@
 
     /// The connection ends behind it.
     pub fn bytes(&self) -> Vec<u8> {
-        let (line, text) = (self.status.line(), &self.text);
+        let (line, text) = (self.status.reason_line(), &self.text);
         let allow = if self.status == Status::MethodNotAllowed {
             "Allow: GET, POST\r\n"
         } else {
@@ -104,34 +104,35 @@
 
 /// The call in `input` once it has come whole; an error is the answer to what can be none.
 pub fn parse(input: &[u8]) -> Result<Option<Call>, Answer> {
-    let no = |status, text: &str| Err(Answer::line(status, text));
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let reject = |status, text: &str| Err(Answer::line(status, text));
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let used = match request.parse(input) {
         Ok(httparse::Status::Complete(used)) if used <= HEAD_LIMIT => used,
         Ok(httparse::Status::Partial) if input.len() < HEAD_LIMIT => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return no(Status::HeadTooLarge, "the head of the call is too long");
+            return reject(Status::HeadTooLarge, "the head of the call is too long");
         }
-        Err(_) => return no(Status::BadRequest, "this is no call of HTTP/1.1"),
+        Err(_) => return reject(Status::BadRequest, "this is no call of HTTP/1.1"),
     };
     let path = request.path.unwrap_or_default();
-    let (post, to): (bool, fn(String) -> Call) = match path.split('?').next().unwrap_or_default() {
-        "/api/ready" => (false, |_| Call::Ready),
-        "/api/telemetry" => (false, |_| Call::Telemetry),
-        "/api/exclude" => (true, Call::Exclude),
-        "/api/include" => (true, Call::Include),
-        _ => {
-            return no(
-                Status::NotFound,
-                "no such path: there are ready, telemetry, exclude and include under /api/",
-            )
-        }
-    };
-    if request.method != Some(if post { "POST" } else { "GET" }) {
-        return no(
+    let (is_post, to_call): (bool, fn(String) -> Call) =
+        match path.split('?').next().unwrap_or_default() {
+            "/api/ready" => (false, |_| Call::Ready),
+            "/api/telemetry" => (false, |_| Call::Telemetry),
+            "/api/exclude" => (true, Call::Exclude),
+            "/api/include" => (true, Call::Include),
+            _ => {
+                return reject(
+                    Status::NotFound,
+                    "no such path: there are ready, telemetry, exclude and include under /api/",
+                )
+            }
+        };
+    if request.method != Some(if is_post { "POST" } else { "GET" }) {
+        return reject(
             Status::MethodNotAllowed,
-            if post {
+            if is_post {
                 "this wants POST"
             } else {
                 "this wants GET"
@@ -148,38 +149,40 @@
             .collect::<Vec<_>>()
     };
     if !header("transfer-encoding").is_empty() {
-        return no(Status::LengthRequired, "the body wants a Content-Length");
+        return reject(Status::LengthRequired, "the body wants a Content-Length");
     }
     let length = match header("content-length")[..] {
-        [] if post => return no(Status::LengthRequired, "the body wants a Content-Length"),
+        [] if is_post => return reject(Status::LengthRequired, "the body wants a Content-Length"),
         [] => 0,
-        [text, ref more @ ..] if more.iter().all(|m| *m == text) => match text.parse::<usize>() {
-            Ok(length) if text.bytes().all(|b| b.is_ascii_digit()) => length,
-            _ => return no(Status::BadRequest, "the Content-Length is no number"),
-        },
-        _ => return no(Status::BadRequest, "two lengths are stated"),
+        [text, ref others @ ..] if others.iter().all(|other| *other == text) => {
+            match text.parse::<usize>() {
+                Ok(length) if text.bytes().all(|b| b.is_ascii_digit()) => length,
+                _ => return reject(Status::BadRequest, "the Content-Length is no number"),
+            }
+        }
+        _ => return reject(Status::BadRequest, "two lengths are stated"),
     };
     if length > BODY_LIMIT {
-        return no(Status::ContentTooLarge, "the body is too long");
+        return reject(Status::ContentTooLarge, "the body is too long");
     }
     let rest = &input[used..];
-    let Some((body, behind)) = rest.split_at_checked(length) else {
+    let Some((body, trailing)) = rest.split_at_checked(length) else {
         return Ok(None);
     };
     // A line's end behind the body, as some callers send, is no second call.
-    if !behind.trim_ascii().is_empty() {
-        return no(Status::BadRequest, "one call to a connection");
+    if !trailing.trim_ascii().is_empty() {
+        return reject(Status::BadRequest, "one call to a connection");
     }
-    if !post {
-        return Ok(Some(to(String::new())));
+    if !is_post {
+        return Ok(Some(to_call(String::new())));
     }
     match serde_json::from_slice::<Body>(body) {
-        Ok(Body { target }) if target.is_empty() || target.len() > NAME_LIMIT => no(
+        Ok(Body { target }) if target.is_empty() || target.len() > NAME_LIMIT => reject(
             Status::BadRequest,
             "the target is no name of a record server",
         ),
-        Ok(Body { target }) => Ok(Some(to(target))),
-        Err(error) => no(
+        Ok(Body { target }) => Ok(Some(to_call(target))),
+        Err(error) => reject(
             Status::BadRequest,
             &format!("the body is not {{\"target\":\"ID\"}}: {error}"),
         ),
--- a/crates/wire-health/src/agent.rs
+++ b/crates/wire-health/src/agent.rs
@@ -41,15 +41,15 @@
         .map(|c| if c.is_control() || c == '#' { ' ' } else { c })
         .take(120)
         .collect();
-    let room = status
+    let max_clients = status
         .max_clients
-        .map(|room| format!(" maxconn:{room}"))
+        .map(|limit| format!(" maxconn:{limit}"))
         .unwrap_or_default();
     let words = match status.state {
-        State::Ready => format!("ready up {}%{room}", status.weight),
+        State::Ready => format!("ready up {}%{max_clients}", status.weight),
         // Of a proxy that serves no weight of 0 is told: it would be a drain by another name.
         State::Degraded(_) | State::Overloaded => {
-            format!("ready up {}%{room}", status.weight.max(1))
+            format!("ready up {}%{max_clients}", status.weight.max(1))
         }
         State::Starting => "maint".to_owned(),
         State::Draining => "drain".to_owned(),
@@ -97,9 +97,9 @@
 /// Reads a line as a balancer does: words that it does not know are passed over, of each kind the last counts.
 pub fn parse_response(line: &str) -> Response {
     let mut words = Response::default();
-    let said = line.lines().next().unwrap_or_default();
-    let said = said.split('#').next().unwrap_or_default();
-    for word in said.split([' ', '\t', ',']).filter(|w| !w.is_empty()) {
+    let text = line.lines().next().unwrap_or_default();
+    let text = text.split('#').next().unwrap_or_default();
+    for word in text.split([' ', '\t', ',']).filter(|w| !w.is_empty()) {
         match word.to_ascii_lowercase().as_str() {
             "up" => words.operational = Some(Operational::Up),
             "down" | "fail" | "failed" | "stopped" => words.operational = Some(Operational::Down),
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -9,7 +9,7 @@
 
 /// Bytes of a request's head, and its headers; a check needs far fewer.
 pub const HEAD_LIMIT: usize = 4 << 10;
-const HEADERS: usize = 32;
+const MAX_HEADERS: usize = 32;
 
 /// The request's method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
         .next()
         .filter(|s| !s.is_empty() && s.len() <= 64)?
         .to_owned();
-    let mut found = ServerState {
+    let mut parsed = ServerState {
         state,
         node: None,
         weight: None,
@@ -101,14 +101,14 @@
     };
     for part in parts {
         match part.split_once('=') {
-            Some(("node", node)) if node.len() <= 64 => found.node = Some(node.to_owned()),
-            Some(("weight", weight)) => found.weight = pair(weight),
-            Some(("scur", sessions)) => found.sessions = pair(sessions),
-            Some(("qcur", queued)) => found.queued = queued.parse().ok(),
+            Some(("node", node)) if node.len() <= 64 => parsed.node = Some(node.to_owned()),
+            Some(("weight", weight)) => parsed.weight = pair(weight),
+            Some(("scur", sessions)) => parsed.sessions = pair(sessions),
+            Some(("qcur", queued)) => parsed.queued = queued.parse().ok(),
             _ => {}
         }
     }
-    Some(found)
+    Some(parsed)
 }
 
 /// Why a request is no health check. None is worth a retry.
@@ -124,7 +124,7 @@
 
 /// A check, if its head has come whole, and the bytes that it takes.
 pub fn parse(input: &[u8]) -> Result<Option<(Check, usize)>, Fault> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let used = match request.parse(input) {
         Ok(httparse::Status::Complete(used)) => used,
@@ -211,7 +211,7 @@
         Target::Live => ("200 OK", "alive"),
         Target::Started if state == State::Starting => ("503 Service Unavailable", state.name()),
         Target::Started => ("200 OK", "started"),
-        Target::Group(_) if !state.serves() => (unready(state, statuses), state.name()),
+        Target::Group(_) if !state.serves() => (unready_code(state, statuses), state.name()),
         Target::Group(_) => match group {
             Some(group) if !group.serves => ("503 Service Unavailable", group.condition),
             Some(group) => ("200 OK", group.condition),
@@ -224,7 +224,7 @@
         // Overload and trouble that all share are told by weights and headers; a balancer that knows but yes and no
         // is told yes.
         Target::Ready if state.serves() => ("200 OK", state.name()),
-        Target::Ready => (unready(state, statuses), state.name()),
+        Target::Ready => (unready_code(state, statuses), state.name()),
     };
     if check.method == Method::Other {
         return respond(
@@ -262,17 +262,17 @@
         let links: serde_json::Map<_, _> = status
             .links
             .iter()
-            .map(|(place, link)| (place.clone(), json!(link)))
+            .map(|(site, link)| (site.clone(), json!(link)))
             .collect();
-        let degraded = if let State::Degraded(share) = state {
-            share
+        let unserved_percent = if let State::Degraded(percent) = state {
+            percent
         } else {
             0
         };
         let detail = json!({
             "state": state.name(),
             "weight": status.weight,
-            "unserved_percent": degraded,
+            "unserved_percent": unserved_percent,
             "reason": status.reason,
             "room": status.max_clients,
             "load": {
@@ -292,7 +292,7 @@
     respond(code, &headers, &body, check)
 }
 
-fn unready(state: State, statuses: Statuses) -> &'static str {
+fn unready_code(state: State, statuses: Statuses) -> &'static str {
     match (state, statuses) {
         (State::Draining | State::Stopping, Statuses::DrainIs404) => "404 Not Found",
         _ => "503 Service Unavailable",
--- a/crates/wire-health/src/orca.rs
+++ b/crates/wire-health/src/orca.rs
@@ -58,10 +58,10 @@
 
 /// The name and the value of the header.
 pub fn header(load: &Load, format: Format) -> (&'static str, String) {
-    let (own, named) = fields(load);
+    let (standard, named) = fields(load);
     match format {
         Format::Text => {
-            let own = own
+            let standard = standard
                 .iter()
                 .map(|(name, _, value)| format!("{name}={}", round(*value)));
             let named = named
@@ -69,12 +69,15 @@
                 .map(|(name, value)| format!("utilization.{name}={}", round(*value)));
             (
                 HEADER,
-                format!("TEXT {}", own.chain(named).collect::<Vec<_>>().join(",")),
+                format!(
+                    "TEXT {}",
+                    standard.chain(named).collect::<Vec<_>>().join(",")
+                ),
             )
         }
         Format::Json => {
             let mut object = serde_json::Map::new();
-            for (name, _, value) in own {
+            for (name, _, value) in standard {
                 object.insert(name.into(), round(value).into());
             }
             let named = named
@@ -93,37 +96,37 @@
     }
 }
 
-const DOUBLE: u64 = 1;
-const BYTES: u64 = 2;
-const UTILIZATION: u64 = 5;
+const WIRE_FIXED64: u64 = 1;
+const WIRE_LENGTH_DELIMITED: u64 = 2;
+const FIELD_UTILIZATION: u64 = 5;
 
 /// The protobuf message. Values of zero are left out, as its encoding has it.
 pub fn message(load: &Load) -> Vec<u8> {
-    let (own, named) = fields(load);
+    let (standard, named) = fields(load);
     let mut out = Vec::new();
-    let double = |out: &mut Vec<u8>, field: u64, value: f64| {
+    let push_double = |out: &mut Vec<u8>, field: u64, value: f64| {
         if value != 0.0 {
-            varint(out, field << 3 | DOUBLE);
+            push_varint(out, field << 3 | WIRE_FIXED64);
             out.extend(value.to_le_bytes());
         }
     };
-    for (_, field, value) in own {
-        double(&mut out, field, value);
+    for (_, field, value) in standard {
+        push_double(&mut out, field, value);
     }
     for (name, value) in named {
         let mut entry = Vec::new();
-        varint(&mut entry, 1 << 3 | BYTES);
-        varint(&mut entry, name.len() as u64);
+        push_varint(&mut entry, 1 << 3 | WIRE_LENGTH_DELIMITED);
+        push_varint(&mut entry, name.len() as u64);
         entry.extend(name.as_bytes());
-        double(&mut entry, 2, value);
-        varint(&mut out, UTILIZATION << 3 | BYTES);
-        varint(&mut out, entry.len() as u64);
+        push_double(&mut entry, 2, value);
+        push_varint(&mut out, FIELD_UTILIZATION << 3 | WIRE_LENGTH_DELIMITED);
+        push_varint(&mut out, entry.len() as u64);
         out.extend(entry);
     }
     out
 }
 
-fn varint(out: &mut Vec<u8>, mut value: u64) {
+fn push_varint(out: &mut Vec<u8>, mut value: u64) {
     while value >= 0x80 {
         out.push(value as u8 | 0x80);
         value >>= 7;
--- a/crates/wire-health/src/proxy.rs
+++ b/crates/wire-health/src/proxy.rs
@@ -5,12 +5,12 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 /// Longest line of version 1, its end included.
-const LINE_LIMIT: usize = 107;
+const V1_LINE_LIMIT: usize = 107;
 /// Bytes of addresses and TLVs that a header of version 2 may bring; the specification's own buffer is smaller.
 pub const BODY_LIMIT: usize = 2 << 10;
 const SIGNATURE: [u8; 12] = *b"\r\n\r\n\0\r\nQUIT\n";
-const HEAD: usize = 16;
-const CRC32C: u8 = 0x03;
+const V2_HEADER_LENGTH: usize = 16;
+const TLV_CRC32C: u8 = 0x03;
 
 /// Who a connection is from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,28 +47,28 @@
 
 /// The header, if it has come whole, and its bytes. Reads no more than a header may hold.
 pub fn parse(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
-    let same = |start: &[u8]| input.iter().zip(start).all(|(a, b)| a == b);
-    if same(&SIGNATURE) {
+    let has_prefix = |start: &[u8]| input.iter().zip(start).all(|(a, b)| a == b);
+    if has_prefix(&SIGNATURE) {
         if input.len() < SIGNATURE.len() {
             Ok(None)
         } else {
-            second(input)
+            parse_v2(input)
         }
-    } else if same(b"PROXY ") {
+    } else if has_prefix(b"PROXY ") {
         if input.len() < 6 {
             Ok(None)
         } else {
-            first(input)
+            parse_v1(input)
         }
     } else {
         Err(Fault::Missing)
     }
 }
 
-fn first(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
-    let window = &input[..input.len().min(LINE_LIMIT)];
+fn parse_v1(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
+    let window = &input[..input.len().min(V1_LINE_LIMIT)];
     let Some(end) = window.windows(2).position(|w| w == b"\r\n") else {
-        return if input.len() >= LINE_LIMIT {
+        return if input.len() >= V1_LINE_LIMIT {
             Err(Fault::TooLong)
         } else {
             Ok(None)
@@ -80,33 +80,34 @@
     if family == "UNKNOWN" {
         return Ok(Some((Source::Local, end + 2)));
     }
-    let mut word = || words.next().ok_or(Fault::Malformed);
-    let (source, destination, from_port, to_port) = (word()?, word()?, word()?, word()?);
+    let mut next_word = || words.next().ok_or(Fault::Malformed);
+    let (source, destination, from_port, to_port) =
+        (next_word()?, next_word()?, next_word()?, next_word()?);
     let port = |text: &str| {
-        let plain = text.len() <= 5
+        let is_plain = text.len() <= 5
             && text.bytes().all(|b| b.is_ascii_digit())
             && (text == "0" || !text.starts_with('0'));
         text.parse::<u16>()
             .ok()
-            .filter(|_| plain)
+            .filter(|_| is_plain)
             .ok_or(Fault::Malformed)
     };
     let (source, _destination): (IpAddr, IpAddr) = match family {
         "TCP4" => {
-            let read = |text: &str| {
+            let parse_address = |text: &str| {
                 text.parse::<Ipv4Addr>()
                     .map(IpAddr::V4)
                     .map_err(|_| Fault::Malformed)
             };
-            (read(source)?, read(destination)?)
+            (parse_address(source)?, parse_address(destination)?)
         }
         "TCP6" => {
-            let read = |text: &str| {
+            let parse_address = |text: &str| {
                 text.parse::<Ipv6Addr>()
                     .map(IpAddr::V6)
                     .map_err(|_| Fault::Malformed)
             };
-            (read(source)?, read(destination)?)
+            (parse_address(source)?, parse_address(destination)?)
         }
         _ => return Err(Fault::Malformed),
     };
@@ -120,8 +121,8 @@
     )))
 }
 
-fn second(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
-    if input.len() < HEAD {
+fn parse_v2(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
+    if input.len() < V2_HEADER_LENGTH {
         return Ok(None);
     }
     let (version, command, family) = (input[12] >> 4, input[12] & 0xf, input[13]);
@@ -132,13 +133,13 @@
     if length > BODY_LIMIT {
         return Err(Fault::TooLong);
     }
-    let Some(whole) = input.get(..HEAD + length) else {
+    let Some(header) = input.get(..V2_HEADER_LENGTH + length) else {
         return Ok(None);
     };
-    let body = &whole[HEAD..];
+    let body = &header[V2_HEADER_LENGTH..];
     let (from, addresses) = match family {
-        0x11 => (v4(body), 12),
-        0x21 => (v6(body), 36),
+        0x11 => (client_v4(body), 12),
+        0x21 => (client_v6(body), 36),
         // Datagrams, sockets of the machine and what is not specified are no address of a client over TCP.
         0x12 => (Some(Source::Local), 12),
         0x22 => (Some(Source::Local), 36),
@@ -146,18 +147,18 @@
         _ => (Some(Source::Local), 0),
     };
     let from = from.filter(|_| body.len() >= addresses);
-    let local = command == 0;
+    let is_local = command == 0;
     if let Some(rest) = body.get(addresses..).filter(|_| family != 0) {
-        tlvs(whole, HEAD + addresses, rest)?;
+        check_tlvs(header, V2_HEADER_LENGTH + addresses, rest)?;
     }
     match from {
-        _ if local => Ok(Some((Source::Local, whole.len()))),
-        Some(from) => Ok(Some((from, whole.len()))),
+        _ if is_local => Ok(Some((Source::Local, header.len()))),
+        Some(from) => Ok(Some((from, header.len()))),
         None => Err(Fault::Malformed),
     }
 }
 
-fn v4(body: &[u8]) -> Option<Source> {
+fn client_v4(body: &[u8]) -> Option<Source> {
     let address: [u8; 4] = body.get(..4)?.try_into().ok()?;
     let port = u16::from_be_bytes(body.get(8..10)?.try_into().ok()?);
     Some(Source::Client(SocketAddr::new(
@@ -166,7 +167,7 @@
     )))
 }
 
-fn v6(body: &[u8]) -> Option<Source> {
+fn client_v6(body: &[u8]) -> Option<Source> {
     let address: [u8; 16] = body.get(..16)?.try_into().ok()?;
     let port = u16::from_be_bytes(body.get(32..34)?.try_into().ok()?);
     Some(Source::Client(SocketAddr::new(
@@ -177,20 +178,20 @@
 
 /// Every TLV has to fit, and a checksum, where there is one, to be right: over the whole header with its own bytes
 /// taken as zero.
-fn tlvs(whole: &[u8], start: usize, mut rest: &[u8]) -> Result<(), Fault> {
+fn check_tlvs(header: &[u8], start: usize, mut rest: &[u8]) -> Result<(), Fault> {
     let mut at = start;
     while !rest.is_empty() {
         let head = rest.get(..3).ok_or(Fault::Malformed)?;
         let length = usize::from(u16::from_be_bytes([head[1], head[2]]));
         let value = rest.get(3..3 + length).ok_or(Fault::Malformed)?;
-        if head[0] == CRC32C {
-            let told: [u8; 4] = value.try_into().map_err(|_| Fault::Malformed)?;
-            let (before, after) = (&whole[..at + 3], &whole[at + 7..]);
-            let sum = crc32c::crc32c_append(
+        if head[0] == TLV_CRC32C {
+            let expected: [u8; 4] = value.try_into().map_err(|_| Fault::Malformed)?;
+            let (before, after) = (&header[..at + 3], &header[at + 7..]);
+            let checksum = crc32c::crc32c_append(
                 crc32c::crc32c_append(crc32c::crc32c(before), &[0; 4]),
                 after,
             );
-            if sum != u32::from_be_bytes(told) {
+            if checksum != u32::from_be_bytes(expected) {
                 return Err(Fault::Checksum);
             }
         }
@@ -213,22 +214,22 @@
         }
         (from, to) => {
             out.push(0x21);
-            let wide = |ip: IpAddr| match ip {
+            let octets = |ip: IpAddr| match ip {
                 IpAddr::V4(v4) => v4.to_ipv6_mapped().octets(),
                 IpAddr::V6(v6) => v6.octets(),
             };
-            body.extend(wide(from));
-            body.extend(wide(to));
+            body.extend(octets(from));
+            body.extend(octets(to));
         }
     }
     body.extend(client.port().to_be_bytes());
     body.extend(server.port().to_be_bytes());
-    body.extend([CRC32C, 0, 4]);
+    body.extend([TLV_CRC32C, 0, 4]);
     out.extend(((body.len() + 4) as u16).to_be_bytes());
     out.extend(body);
     out.extend([0; 4]);
-    let sum = crc32c::crc32c(&out);
-    let place = out.len() - 4;
-    out[place..].copy_from_slice(&sum.to_be_bytes());
+    let checksum = crc32c::crc32c(&out);
+    let checksum_at = out.len() - 4;
+    out[checksum_at..].copy_from_slice(&checksum.to_be_bytes());
     out
 }
