--- a/crates/grpc-health/src/lib.rs
+++ b/crates/grpc-health/src/lib.rs
@@ -1,7 +1,7 @@
-//! The gRPC health-checking protocol (`grpc.health.v1.Health`: Check, Watch, List), served on a thread of its own.
+//! The gRPC health-checking protocol (`grpc.health.v1.Health`: Check, Watch, List), served on its own thread.
 //!
-//! HTTP/2 and protobuf are libraries' work, and their loop is not the proxy's: the proxy publishes a [`Snapshot`]
-//! when something has changed, and never waits for whoever reads it. Connections, streams and bytes are bounded.
+//! Libraries implement HTTP/2 and protobuf, in an event loop separate from the proxy's. The proxy publishes a
+//! [`Snapshot`] when something has changed, and never waits for its readers. Connections, streams and bytes are bounded.
 //!
 //! Source: the gRPC health checking protocol and `health.proto`; gRPC over HTTP/2 for frames and trailers.
 
@@ -23,31 +23,31 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::timeout;
 
-/// Which services there are, and whether each serves. The empty name is the whole server.
+/// Whether each service serves, by its name. The empty name is the whole server.
 pub type Snapshot = BTreeMap<String, bool>;
 
-/// Bounds on what checks may use.
+/// Limits on the resources that checks may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Connections at once; further ones wait in the backlog.
+    /// Maximum number of open connections; further ones wait in the backlog.
     pub connections: usize,
-    /// A connection has to come up, and a request to come whole, within this.
+    /// Time limit for the handshake of a connection, and for receiving a request.
     pub timeout: Duration,
 }
 
-/// Calls of one connection at once, watches among them.
+/// Maximum number of concurrent calls of one connection, including watches.
 const MAX_STREAMS: u32 = 16;
-/// A request's message; a service's name fits many times.
+/// Maximum size of a request's message in bytes; far more than a service's name needs.
 const MESSAGE_LIMIT: usize = 1 << 10;
 
-/// gRPC's codes.
+/// gRPC status codes.
 const OK: u8 = 0;
 const INVALID_ARGUMENT: u8 = 3;
 const NOT_FOUND: u8 = 5;
 const RESOURCE_EXHAUSTED: u8 = 8;
 const UNIMPLEMENTED: u8 = 12;
 
-/// The proxy's end: publishes, and ends the thread when it is dropped.
+/// Handle of the server thread: publishes snapshots, and ends the thread when it is dropped.
 #[derive(Debug)]
 pub struct Server {
     publish: watch::Sender<Arc<Snapshot>>,
@@ -56,7 +56,7 @@
 }
 
 impl Server {
-    /// Serves on a thread of its own until the returned value is dropped. Fails if the thread or its event loop can't be had.
+    /// Serves on a new thread until the returned value is dropped. Fails if the thread or its event loop can't be created.
     pub fn start(listener: TcpListener, settings: Settings) -> io::Result<Server> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -76,12 +76,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What is to be told from now on; watches hear of it if it differs.
+    /// Replaces the snapshot; watches are notified if it differs from the previous one.
     pub fn publish(&self, snapshot: Snapshot) {
         self.publish.send_if_modified(|known| {
             let differs = **known != snapshot;
@@ -107,7 +107,7 @@
 async fn serve(listener: TcpListener, settings: Settings, snapshots: Snapshots) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return log::error!("grpc health: {error}"),
+        Err(error) => return log::error!("grpc health: can't use the listener: {error}"),
     };
     let permits = Arc::new(Semaphore::new(settings.connections));
     let mut shutdown = snapshots.clone();
@@ -117,7 +117,7 @@
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // The proxy's end is gone: watches hear the last word, if they are quick.
+            // The handle was dropped: connections have until the timeout to end their watches.
             () = publisher_dropped(&mut shutdown) => {
                 drop(permit);
                 let all = u32::try_from(settings.connections).unwrap_or(u32::MAX);
@@ -133,7 +133,7 @@
                     drop(permit);
                 });
             }
-            // Out of descriptors, for one: others may be closed meanwhile.
+            // For example out of descriptors: others may be closed meanwhile.
             Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
         }
     }
@@ -214,7 +214,7 @@
     }
 }
 
-/// The one message of a request, or the code that it deserves.
+/// Reads the single message of a request, or returns the status code of the fault.
 async fn read_message(mut body: RecvStream) -> Result<Bytes, u8> {
     let mut bytes = BytesMut::new();
     while let Some(part) = body.data().await {
@@ -228,7 +228,7 @@
     decode_frame(bytes.freeze()).ok_or(INVALID_ARGUMENT)
 }
 
-/// A frame is a flag for compression, which is not offered here, and the length of the message.
+/// Decodes a gRPC frame: a flag for compression, which is not supported, and the length of the message before it.
 fn decode_frame(mut bytes: Bytes) -> Option<Bytes> {
     if bytes.len() < 5 || bytes.get_u8() != 0 {
         return None;
@@ -237,7 +237,7 @@
     (bytes.len() == length).then_some(bytes)
 }
 
-/// A message as a gRPC frame: not compressed, with its length.
+/// Encodes a message as an uncompressed gRPC frame.
 pub fn encode_frame(message: &impl Message) -> Bytes {
     let body = message.encode_to_vec();
     let mut out = Vec::with_capacity(body.len() + 5);
@@ -261,7 +261,7 @@
     trailers
 }
 
-/// Without a message the status stands in the head.
+/// Sends a response without a message; its status is in the head.
 fn send_error(mut respond: SendResponse<Bytes>, code: u8) {
     let mut response = response_head();
     response.headers_mut().extend(trailers(code));
@@ -276,7 +276,8 @@
     }
 }
 
-/// Tells the state now, and then every change, until the watcher goes. A service that is not there may yet come.
+/// Sends the current state of a service and then every change, until the client ends the watch. A service that is not
+/// known may be published later.
 async fn watch_service(mut respond: SendResponse<Bytes>, service: &str, mut snapshots: Snapshots) {
     let Ok(mut stream) = respond.send_response(response_head(), false) else {
         return;
@@ -300,7 +301,7 @@
     }
 }
 
-/// Waits for room, so that a watcher that reads nothing costs one message and not all that come.
+/// Waits for capacity of the stream, so that for a client that does not read only one message is buffered.
 async fn send(stream: &mut SendStream<Bytes>, data: Bytes) -> Result<(), h2::Error> {
     stream.reserve_capacity(data.len());
     while stream.capacity() < data.len() {
--- a/crates/grpc-health/src/message.rs
+++ b/crates/grpc-health/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-/// Asks for the health of a service, once or as a watch.
+/// Request for the health of a service, once or as a watch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CheckRequest {
     /// The service's name; empty: the whole server.
@@ -14,17 +14,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Status {
-    /// Not known.
+    /// The health is not known.
     Unknown = 0,
     /// The service takes requests.
     Serving = 1,
     /// The service takes no requests.
     NotServing = 2,
-    /// Of a watch alone.
+    /// The service is not known; sent in watches only.
     ServiceUnknown = 3,
 }
 
-/// The answer to a check, and each message of a watch.
+/// Response to a check, and each message of a watch.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CheckResponse {
     /// A [`Status`] by its number.
@@ -35,7 +35,7 @@
 /// The health of all services.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ListResponse {
-    /// By the service's name.
+    /// The health of each service, by its name.
     #[prost(map = "string, message", tag = "1")]
     pub statuses: HashMap<String, CheckResponse>,
 }
--- a/crates/grpc-health/tests/calls.rs
+++ b/crates/grpc-health/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback by an HTTP/2 client.
+//! Calls by an HTTP/2 client over loopback.
 
 use bytes::{Buf, Bytes, BytesMut};
 use grpc_health::message::{CheckRequest, CheckResponse, ListResponse, Status};
@@ -40,7 +40,7 @@
     runtime.block_on(async {
         tokio::time::timeout(Duration::from_secs(20), work)
             .await
-            .expect("in time")
+            .expect("the calls must end within 20 s")
     })
 }
 
@@ -74,7 +74,7 @@
         .map(|v| v.to_str().unwrap().parse().unwrap())
 }
 
-/// The next message of a call, if there is one.
+/// Receives the next message of a call; none at its end.
 async fn message(body: &mut RecvStream, rest: &mut BytesMut) -> Option<Bytes> {
     loop {
         if rest.len() >= 5 {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_watch_hears_every_change_and_the_end() {
+fn a_watch_reports_every_change_and_the_end() {
     let server = server();
     run(async {
         let mut client = client(&server).await;
@@ -140,7 +140,7 @@
         assert_eq!(next().await, Some(Status::ServiceUnknown));
         server.publish(snapshot(&[("", true), ("group/4", true)]));
         assert_eq!(next().await, Some(Status::Serving));
-        // What is not about the service is not told.
+        // A change of another service is not sent.
         server.publish(snapshot(&[("", false), ("group/4", true)]));
         server.publish(snapshot(&[("", false), ("group/4", false)]));
         assert_eq!(next().await, Some(Status::NotServing));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_is_no_call_gets_its_code() {
+fn invalid_calls_get_their_status_code() {
     let server = server();
     run(async {
         let mut client = client(&server).await;
@@ -169,9 +169,9 @@
     server.stop();
 }
 
-/// Connections beyond the bound wait; those that say nothing are put out, and the next comes in.
+/// Connections beyond the limit wait; those without a handshake are closed after the timeout, and waiting ones are accepted.
 #[test]
-fn silent_connections_make_place() {
+fn silent_connections_are_closed_after_the_timeout() {
     let server = server();
     let silent: Vec<_> = (0..8)
         .map(|_| std::net::TcpStream::connect(server.address()).unwrap())
--- a/crates/health-state/src/lib.rs
+++ b/crates/health-state/src/lib.rs
@@ -1,20 +1,20 @@
-//! The states that a proxy may be in for whoever balances before it: shared by the model that finds them and the
-//! codecs that tell them.
+//! The health states of a proxy as reported to load balancers: shared by the model that decides them and the codecs
+//! that encode them.
 
-/// The health of a proxy as its balancers are told, the least able first.
+/// The health state that a proxy reports to its balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It has no complete list of record servers yet.
+    /// The proxy has not started to serve yet.
     Starting,
-    /// It serves all that it is asked for.
+    /// The proxy serves all requests.
     Ready,
-    /// So many of 100 of its traffic are not served, for trouble that others share.
+    /// The proxy serves, but this percentage of its traffic is not served because of faults that affect all proxies.
     Degraded(u8),
-    /// It serves, and rejects some requests for want of its own capacity.
+    /// The proxy serves, but its own capacity does not suffice for all requests.
     Overloaded,
-    /// It is leaving service: nothing new should be sent to it.
+    /// The proxy is leaving service: no new connections should be sent to it.
     Draining,
-    /// Its process is ending.
+    /// The proxy's process is ending.
     Stopping,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Requests are welcome.
+    /// Whether the proxy takes requests in this state.
     pub fn serves(self) -> bool {
         matches!(self, State::Ready | State::Degraded(_) | State::Overloaded)
     }
--- a/crates/wire-admin/src/lib.rs
+++ b/crates/wire-admin/src/lib.rs
@@ -1,28 +1,28 @@
-//! Calls of operations staff over HTTP/1.1 (RFC 9110 and 9112), one to a connection, and the text of the figures
-//! (version 0.0.4 of the Prometheus text format). Bytes only: what a call does is not known here.
+//! Codec of operators' calls over HTTP/1.1 (RFC 9110 and 9112), one per connection, and of the metrics (version 0.0.4
+//! of the Prometheus text format). The effect of a call is implemented elsewhere.
 #![forbid(unsafe_code)]
 
 use serde::Deserialize;
 use std::fmt::{self, Write};
 
-/// Bytes of a call: its head, and its body.
+/// Maximum size of a call's head, in bytes.
 pub const HEAD_LIMIT: usize = 8 << 10;
-/// Bytes of a call's body.
+/// Maximum size of a call's body, in bytes.
 pub const BODY_LIMIT: usize = 4 << 10;
 const MAX_HEADERS: usize = 64;
-/// Longest name of a record server.
+/// Maximum length of the name of a record server, in bytes.
 const NAME_LIMIT: usize = 256;
 
-/// What an operator's tool asks for.
+/// A call of an operator's tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether the proxy is ready to serve.
+    /// Requests whether the proxy is ready to serve.
     Ready,
-    /// The figures.
+    /// Requests the metrics.
     Telemetry,
-    /// By the name of the record server.
+    /// Excludes the record server with the given name.
     Exclude(String),
-    /// To put a server back into service, by its name.
+    /// Includes the record server with the given name again.
     Include(String),
 }
 
@@ -62,12 +62,12 @@
     }
 }
 
-/// What a call gets: its status and one plain line, or the figures.
+/// The answer to a call: a status with one plain line, or the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: Status,
-    /// The body, with its last newline.
+    /// The body, including its last newline.
     pub text: String,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The connection ends behind it.
+    /// The HTTP response. The connection is closed after it.
     pub fn bytes(&self) -> Vec<u8> {
         let (line, text) = (self.status.reason_line(), &self.text);
         let allow = if self.status == Status::MethodNotAllowed {
@@ -102,7 +102,7 @@
     target: String,
 }
 
-/// The call in `input` once it has come whole; an error is the answer to what can be none.
+/// Parses the call in `input`; none while it is incomplete. An error is the answer to an invalid call.
 pub fn parse(input: &[u8]) -> Result<Option<Call>, Answer> {
     let reject = |status, text: &str| Err(Answer::line(status, text));
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -169,7 +169,7 @@
     let Some((body, trailing)) = rest.split_at_checked(length) else {
         return Ok(None);
     };
-    // A line's end behind the body, as some callers send, is no second call.
+    // Some callers send a line break after the body, which is not a second call.
     if !trailing.trim_ascii().is_empty() {
         return reject(Status::BadRequest, "one call to a connection");
     }
@@ -189,19 +189,19 @@
     }
 }
 
-/// The figures: each with what it means, its kind and its values by label.
+/// Builder of the metrics' text: each metric with its help text, its kind and its values by labels.
 #[derive(Debug, Default)]
 pub struct Metrics {
     text: String,
 }
 
 impl Metrics {
-    /// A figure with one value.
+    /// Adds a metric with a single value.
     pub fn add(&mut self, name: &str, help: &str, value: u64) {
         self.add_labelled(name, help, [(Vec::new(), value)]);
     }
 
-    /// A figure with a value for each set of labels. What only grows ends in `_total`.
+    /// Adds a metric with a value for each set of labels. A name that ends in `_total` makes it a counter.
     pub fn add_labelled<'a>(
         &mut self,
         name: &str,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// The answer to a call for the figures.
+    /// The answer to [`Call::Telemetry`].
     pub fn answer(self) -> Answer {
         Answer {
             status: Status::Ok,
--- a/crates/wire-admin/tests/calls.rs
+++ b/crates/wire-admin/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls as operators' tools send them, whole and spoilt.
+//! Complete, incomplete and invalid calls of operators' tools.
 
 use wire_admin::{parse, Call, Metrics, Status, BODY_LIMIT, HEAD_LIMIT};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_call_is_none_until_its_last_byte() {
+fn a_call_is_incomplete_until_its_last_byte() {
     for (text, call) in [
         (
             "GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n".to_owned(),
@@ -41,7 +41,7 @@
         assert_eq!(
             parse(format!("{text}\r\n").as_bytes()),
             Ok(Some(call)),
-            "a line's end behind it"
+            "a line break after the call"
         );
         assert_eq!(
             status(&format!("{text}GET /api/ready HTTP/1.1\r\n\r\n")),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_no_call_gets_one_plain_line() {
+fn invalid_calls_get_one_plain_line() {
     let long = format!("GET /api/ready HTTP/1.1\r\nX: {}", "x".repeat(HEAD_LIMIT));
     let cases = [
         (status("GET /metrics HTTP/1.1\r\n\r\n"), Status::NotFound),
@@ -104,24 +104,24 @@
         ),
         (status(&long), Status::HeadTooLarge),
     ];
-    for (at, (got, wanted)) in cases.iter().enumerate() {
-        assert_eq!(got, wanted, "case {at}");
+    for (at, (actual, expected)) in cases.iter().enumerate() {
+        assert_eq!(actual, expected, "case {at}");
     }
-    let no = parse(post("/api/exclude", "{}").as_bytes()).unwrap_err();
-    assert_eq!(no.text.lines().count(), 1, "{}", no.text);
-    let bytes = String::from_utf8(no.bytes()).unwrap();
+    let error = parse(post("/api/exclude", "{}").as_bytes()).unwrap_err();
+    assert_eq!(error.text.lines().count(), 1, "{}", error.text);
+    let bytes = String::from_utf8(error.bytes()).unwrap();
     assert!(
-        bytes.starts_with("HTTP/1.1 400 ") && bytes.ends_with(&format!("\r\n\r\n{}", no.text)),
+        bytes.starts_with("HTTP/1.1 400 ") && bytes.ends_with(&format!("\r\n\r\n{}", error.text)),
         "{bytes}"
     );
     assert!(
-        bytes.contains(&format!("Content-Length: {}\r\n", no.text.len())),
+        bytes.contains(&format!("Content-Length: {}\r\n", error.text.len())),
         "{bytes}"
     );
 }
 
 #[test]
-fn figures_as_text() {
+fn metrics_as_text() {
     let mut metrics = Metrics::default();
     metrics.add("lb_in_flight", "Requests.", 14);
     let labels = vec![("class", "a\"b"), ("outcome", "served")];
--- a/crates/wire-health/src/agent.rs
+++ b/crates/wire-health/src/agent.rs
@@ -1,16 +1,16 @@
-//! The agent check of HAProxy: a balancer connects, may send a text, and reads one line of words.
+//! HAProxy's agent check: a balancer connects, may send a text, and reads one line of words.
 //!
 //! Source: HAProxy's configuration manual, `agent-check`, `agent-send`. Words are separated by blanks, tabs or commas;
-//! `#` begins a reason. `up`, `down`, `failed` and `stopped` set the operational state, `ready`, `drain` and `maint`
-//! the administrative one, and neither undoes the other: so a proxy that serves always says `ready`, or a balancer
-//! that once read `drain` would keep it out.
+//! `#` begins a reason. `up`, `down`, `failed` and `stopped` set the operational state; `ready`, `drain` and `maint`
+//! set the administrative state. Neither resets the other, so a proxy that serves always sends `ready`: otherwise a
+//! balancer that once received `drain` would not send requests again.
 
 use crate::{State, Status};
 
-/// Text that a balancer may send; more is no agent check.
+/// Maximum length of the text that a balancer sends, in bytes.
 pub const TEXT_LIMIT: usize = 256;
 
-/// What a balancer asks about.
+/// Scope of an agent check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// The whole proxy.
@@ -19,7 +19,8 @@
     Group(u32),
 }
 
-/// The text up to its newline, if that is there yet; what it asks.
+/// Parses the text of an agent check; none if its newline has not been received yet. Any text other than `group N`
+/// requests the health of the whole proxy.
 pub fn parse_request(input: &[u8]) -> Option<Scope> {
     let end = input.iter().position(|b| *b == b'\n')?;
     let text = std::str::from_utf8(&input[..end])
@@ -32,9 +33,9 @@
     Some(group.map_or(Scope::Proxy, Scope::Group))
 }
 
-/// The line that tells a status.
+/// The response line for a status.
 pub fn response_line(status: &Status) -> String {
-    // One line, whatever the reason holds, and no second comment.
+    // The reason must not contain a line break or begin a second comment.
     let reason: String = status
         .reason
         .chars()
@@ -47,7 +48,7 @@
         .unwrap_or_default();
     let words = match status.state {
         State::Ready => format!("ready up {}%{max_clients}", status.weight),
-        // Of a proxy that serves no weight of 0 is told: it would be a drain by another name.
+        // A proxy that serves never sends a weight of 0, which would have the effect of a drain.
         State::Degraded(_) | State::Overloaded => {
             format!("ready up {}%{max_clients}", status.weight.max(1))
         }
@@ -61,20 +62,20 @@
     }
 }
 
-/// What a balancer understands of a line; the other side of the protocol, for stand-ins.
+/// A response line as a balancer parses it: the other side of the protocol, for simulated balancers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// The operational state, if the line sets one.
+    /// The operational state, if the response sets one.
     pub operational: Option<Operational>,
-    /// The administrative state, if the line sets one.
+    /// The administrative state, if the response sets one.
     pub administrative: Option<Administrative>,
-    /// Percent of the weight that the balancer's own file states.
+    /// Weight, in percent of the weight in the balancer's configuration.
     pub weight: Option<u32>,
-    /// The most connections that the balancer may open.
+    /// Maximum number of connections that the balancer may open.
     pub maxconn: Option<u32>,
 }
 
-/// Whether the server works.
+/// Operational state: whether the server works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operational {
     /// `up`
@@ -83,7 +84,7 @@
     Down,
 }
 
-/// Whether operators want the server used.
+/// Administrative state: whether the server is to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Administrative {
     /// `ready`
@@ -94,7 +95,7 @@
     Maint,
 }
 
-/// Reads a line as a balancer does: words that it does not know are passed over, of each kind the last counts.
+/// Parses a response line as a balancer does: unknown words are ignored, and the last word of each kind counts.
 pub fn parse_response(line: &str) -> Response {
     let mut words = Response::default();
     let text = line.lines().next().unwrap_or_default();
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -7,8 +7,9 @@
 use crate::{State, Status};
 use serde_json::json;
 
-/// Bytes of a request's head, and its headers; a check needs far fewer.
+/// Maximum size of a request's head, in bytes; a check needs far less.
 pub const HEAD_LIMIT: usize = 4 << 10;
+/// Maximum number of a request's headers.
 const MAX_HEADERS: usize = 32;
 
 /// The request's method.
@@ -22,7 +23,7 @@
     Other,
 }
 
-/// The endpoint that a check asks.
+/// The endpoint of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// `/livez`: the process works.
@@ -37,7 +38,7 @@
     Unknown,
 }
 
-/// What balancers that know few statuses are told.
+/// Mapping of states to HTTP statuses, for balancers that distinguish only a few.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Statuses {
     /// 200 or 503.
@@ -49,39 +50,39 @@
     OverloadIs429,
 }
 
-/// A health check as it was asked.
+/// A parsed health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Check {
     /// The method.
     pub method: Method,
     /// The endpoint.
     pub target: Target,
-    /// The connection goes on after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// Detail in JSON is wanted.
+    /// Whether details in JSON are requested.
     pub detail: bool,
-    /// The format of the load report that is wanted; none: no report.
+    /// The requested format of the load report; none: no report.
     pub load: Option<Format>,
-    /// What the balancer says of this server.
+    /// The balancer's view of this server, if the request has one.
     pub server_state: Option<ServerState>,
 }
 
 /// HAProxy's view of a server: `UP 2/3; name=bck/srv2; node=lb1; weight=1/2; scur=13/22; qcur=0`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerState {
-    /// The word and the progress behind it.
+    /// The state with its progress, for example `UP 2/3`.
     pub state: String,
-    /// The balancer's own name.
+    /// The balancer's name.
     pub node: Option<String>,
-    /// The server's weight, and that of its whole backend.
+    /// The weights of the server and of its whole backend.
     pub weight: Option<(u32, u32)>,
-    /// Sessions on this server, and on the whole backend.
+    /// The numbers of sessions on the server and on its whole backend.
     pub sessions: Option<(u32, u32)>,
-    /// Requests queued for this server.
+    /// The number of requests queued for the server.
     pub queued: Option<u32>,
 }
 
-/// Parses the value of `X-Haproxy-Server-State`; none: it can't be read.
+/// Parses the value of `X-Haproxy-Server-State`; none if it is invalid.
 pub fn server_state(value: &str) -> Option<ServerState> {
     let mut parts = value.split(';').map(str::trim);
     let state = parts
@@ -111,18 +112,18 @@
     Some(parsed)
 }
 
-/// Why a request is no health check. None is worth a retry.
+/// Reason why a request is not a health check. Retrying does not help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No HTTP.
+    /// The request is not HTTP.
     Malformed,
-    /// Longer than a check.
+    /// The head is longer than [`HEAD_LIMIT`], or has too many headers.
     TooLong,
-    /// A check brings no body.
+    /// The request has a body.
     Body,
 }
 
-/// A check, if its head has come whole, and the bytes that it takes.
+/// Parses a check. Returns it with the number of its bytes, or none if its head is incomplete.
 pub fn parse(input: &[u8]) -> Result<Option<(Check, usize)>, Fault> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -177,7 +178,7 @@
                 }
             }
             "accept" => check.detail |= value.to_ascii_lowercase().contains("application/json"),
-            // A body would be read as the next request.
+            // A body would be parsed as the next request.
             "content-length" if value != "0" => return Err(Fault::Body),
             "transfer-encoding" => return Err(Fault::Body),
             "x-haproxy-server-state" => check.server_state = server_state(value),
@@ -188,7 +189,7 @@
     Ok(Some((check, used)))
 }
 
-/// The answer to what is no check; the connection ends behind it.
+/// The response to a request that is not a check; the connection is closed after it.
 pub fn fault_response(fault: Fault) -> Vec<u8> {
     let status = match fault {
         Fault::Malformed => "400 Bad Request",
@@ -207,7 +208,7 @@
     };
     let (code, word) = match check.target {
         Target::Unknown => ("404 Not Found", "no such check"),
-        // It runs, or it would not answer.
+        // A process that responds is alive.
         Target::Live => ("200 OK", "alive"),
         Target::Started if state == State::Starting => ("503 Service Unavailable", state.name()),
         Target::Started => ("200 OK", "started"),
@@ -215,14 +216,14 @@
         Target::Group(_) => match group {
             Some(group) if !group.serves => ("503 Service Unavailable", group.condition),
             Some(group) => ("200 OK", group.condition),
-            // Nothing speaks against a group that nobody has asked for.
+            // A group without requests so far counts as serving.
             None => ("200 OK", "not asked for yet"),
         },
         Target::Ready if state == State::Overloaded && statuses == Statuses::OverloadIs429 => {
             ("429 Too Many Requests", state.name())
         }
-        // Overload and trouble that all share are told by weights and headers; a balancer that knows but yes and no
-        // is told yes.
+        // Overload and shared faults are reported by weights and headers; balancers that distinguish only healthy and
+        // unhealthy get healthy.
         Target::Ready if state.serves() => ("200 OK", state.name()),
         Target::Ready => (unready_code(state, statuses), state.name()),
     };
@@ -236,7 +237,7 @@
     }
     let mut headers = vec!["Cache-Control: no-store".to_owned()];
     if !code.starts_with("200") && check.target != Target::Unknown || state == State::Overloaded {
-        // Whole seconds, rounded up: earlier is of no use.
+        // Whole seconds, rounded up, since an earlier retry would be rejected again.
         headers.push(format!(
             "Retry-After: {}",
             status.retry_after.as_millis().div_ceil(1_000).max(1)
--- a/crates/wire-health/src/lib.rs
+++ b/crates/wire-health/src/lib.rs
@@ -1,5 +1,5 @@
-//! Codecs of the health protocols that balancers speak: bytes in, messages out, and back. No sockets, no clocks, and
-//! no opinion on how the proxy fares: that comes as a [`Status`].
+//! Codecs of the health protocols of load balancers. They convert between bytes and messages, without sockets and
+//! clocks; the health to report is passed in as a [`Status`].
 
 pub mod agent;
 pub mod http;
@@ -10,24 +10,24 @@
 
 use std::time::Duration;
 
-/// What is to be told, of the whole proxy or of one group of record servers.
+/// The health to report, of the whole proxy or of one group of record servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
     /// The health that is reported.
     pub state: State,
-    /// 0 to 100.
+    /// The weight, 0 to 100.
     pub weight: u8,
-    /// What counts most against the weight; one line.
+    /// The fault that lowers the weight most; one line.
     pub reason: String,
-    /// Most clients that the proxy takes at once; none: that is not reported.
+    /// Maximum number of clients that the proxy takes at once; none: not reported.
     pub max_clients: Option<u32>,
-    /// When whoever is turned away may come again.
+    /// Time after which a rejected client may retry.
     pub retry_after: Duration,
     /// The proxy's own load.
     pub load: Load,
-    /// Each group of record servers.
+    /// The health of each group of record servers.
     pub groups: Vec<Group>,
-    /// Places of record servers, and how the link to each stands.
+    /// The name of each site of record servers, and the state of the link to it.
     pub links: Vec<(String, &'static str)>,
 }
 
@@ -36,27 +36,27 @@
 pub struct Group {
     /// The group's number.
     pub group: u32,
-    /// Its condition, in the words of the status page.
+    /// The group's condition, by its name in health reports.
     pub condition: &'static str,
-    /// Whether requests for it are taken.
+    /// Whether the proxy takes requests for the group.
     pub serves: bool,
 }
 
-/// The proxy's load, parts of 1 where nothing else is said.
+/// The proxy's load. Fields without another unit are fractions from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Processor time used.
     pub cpu: f64,
     /// Memory used.
     pub memory: f64,
-    /// Of whatever bounds the proxy most.
+    /// Utilization of the most used limit of the proxy.
     pub application: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Failed requests a second.
+    /// Failed requests per second.
     pub errors_per_s: f64,
-    /// Open requests, of those that the proxy may hold.
+    /// Open requests, as a fraction of the limit.
     pub open: f64,
-    /// File descriptors used.
+    /// File descriptors used, as a fraction of the limit.
     pub descriptors: f64,
 }
--- a/crates/wire-health/src/orca.rs
+++ b/crates/wire-health/src/orca.rs
@@ -1,4 +1,4 @@
-//! Load reports in the manner of ORCA (`xds.data.orca.v3.OrcaLoadReport`), as response headers: text, JSON, binary.
+//! ORCA load reports (`xds.data.orca.v3.OrcaLoadReport`) as response headers, in text, JSON or binary format.
 //!
 //! Source: the xDS protocol's `orca_load_report.proto` and Envoy's documentation of `endpoint-load-metrics`.
 
@@ -13,7 +13,7 @@
     Text,
     /// `JSON {...}`
     Json,
-    /// A serialised message in base64.
+    /// The serialized message in base64.
     Binary,
 }
 
@@ -21,10 +21,10 @@
 pub const HEADER: &str = "endpoint-load-metrics";
 /// The response header of a binary report.
 pub const BINARY_HEADER: &str = "endpoint-load-metrics-bin";
-/// The request header that names the form.
+/// The request header that names the format.
 pub const FORMAT_HEADER: &str = "endpoint-load-metrics-format";
 
-/// The format of that name; none: there is none.
+/// The format with the given name; none if the name is unknown.
 pub fn format(name: &str) -> Option<Format> {
     match name.trim().to_ascii_lowercase().as_str() {
         "text" => Some(Format::Text),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Names and values: the message's own fields, then what it calls named utilization.
+/// The message's standard fields with name, number and value, then the entries of its `utilization` map.
 #[allow(clippy::type_complexity, reason = "two tables side by side")]
 fn fields(load: &Load) -> ([(&'static str, u64, f64); 5], [(&'static str, f64); 2]) {
     (
@@ -100,7 +100,7 @@
 const WIRE_LENGTH_DELIMITED: u64 = 2;
 const FIELD_UTILIZATION: u64 = 5;
 
-/// The protobuf message. Values of zero are left out, as its encoding has it.
+/// The protobuf message. Fields with value 0 are omitted, as the encoding prescribes.
 pub fn message(load: &Load) -> Vec<u8> {
     let (standard, named) = fields(load);
     let mut out = Vec::new();
--- a/crates/wire-health/src/proxy.rs
+++ b/crates/wire-health/src/proxy.rs
@@ -1,36 +1,38 @@
-//! The PROXY protocol, versions 1 and 2: who a connection is really from, told by a balancer before its first byte.
+//! The PROXY protocol, versions 1 and 2: a header before the first byte of a connection, in which a balancer states
+//! the address of the client.
 //!
 //! Source: `proxy-protocol.txt` of the HAProxy project, sections 2.1, 2.2.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// Longest line of version 1, its end included.
+/// Maximum length of a header of version 1 in bytes, including its line break.
 const V1_LINE_LIMIT: usize = 107;
-/// Bytes of addresses and TLVs that a header of version 2 may bring; the specification's own buffer is smaller.
+/// Maximum length of the addresses and TLVs of a header of version 2, in bytes; the specification's own buffer is
+/// smaller.
 pub const BODY_LIMIT: usize = 2 << 10;
 const SIGNATURE: [u8; 12] = *b"\r\n\r\n\0\r\nQUIT\n";
 const V2_HEADER_LENGTH: usize = 16;
 const TLV_CRC32C: u8 = 0x03;
 
-/// Who a connection is from.
+/// Source of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The balancer speaks for itself (a check), or does not know: the connection's own address counts.
+    /// The connection is the balancer's own (a health check), or its source is not known: the connection's address counts.
     Local,
-    /// The client's address, as the balancer names it.
+    /// The client's address, as stated by the balancer.
     Client(SocketAddr),
 }
 
-/// Why a header can't be used. The connection has to be closed.
+/// Reason why a header can't be used. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It begins otherwise than a header does.
+    /// The bytes do not begin with a PROXY header.
     Missing,
-    /// It can't be parsed.
+    /// The header can't be parsed.
     Malformed,
-    /// It is longer than the specification or this program allows.
+    /// The header is longer than the specification or this program allows.
     TooLong,
-    /// Its CRC-32C is not that of its bytes.
+    /// The header's CRC-32C does not match its bytes.
     Checksum,
 }
 
@@ -45,7 +47,8 @@
     }
 }
 
-/// The header, if it has come whole, and its bytes. Reads no more than a header may hold.
+/// Parses a header. Returns the source and the length of the header in bytes, or none if the header is incomplete. An
+/// incomplete header longer than the limits is a fault.
 pub fn parse(input: &[u8]) -> Result<Option<(Source, usize)>, Fault> {
     let has_prefix = |start: &[u8]| input.iter().zip(start).all(|(a, b)| a == b);
     if has_prefix(&SIGNATURE) {
@@ -140,7 +143,7 @@
     let (from, addresses) = match family {
         0x11 => (client_v4(body), 12),
         0x21 => (client_v6(body), 36),
-        // Datagrams, sockets of the machine and what is not specified are no address of a client over TCP.
+        // Datagrams, Unix sockets and unspecified families have no address of a client over TCP.
         0x12 => (Some(Source::Local), 12),
         0x22 => (Some(Source::Local), 36),
         0x31 | 0x32 => (Some(Source::Local), 216),
@@ -176,8 +179,8 @@
     )))
 }
 
-/// Every TLV has to fit, and a checksum, where there is one, to be right: over the whole header with its own bytes
-/// taken as zero.
+/// Checks that every TLV fits, and that the checksum, if there is one, is right. It covers the whole header, with the
+/// bytes of the checksum itself as zero.
 fn check_tlvs(header: &[u8], start: usize, mut rest: &[u8]) -> Result<(), Fault> {
     let mut at = start;
     while !rest.is_empty() {
@@ -201,7 +204,7 @@
     Ok(())
 }
 
-/// A header of version 2 with a checksum, as a balancer sends it; for stand-ins.
+/// A header of version 2 with a checksum, as a balancer sends it; for simulated balancers.
 pub fn header(client: SocketAddr, server: SocketAddr, command: u8) -> Vec<u8> {
     let mut out = SIGNATURE.to_vec();
     out.push(0x20 | command);
--- a/crates/wire-health/tests/codecs.rs
+++ b/crates/wire-health/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! The codecs against what the protocols' documents say, and against what nobody should send.
+//! Tests of the codecs against the documents of the protocols, and with invalid input.
 
 use proptest::prelude::*;
 use prost::Message;
@@ -54,7 +54,7 @@
 ];
 
 #[test]
-fn an_agent_that_serves_undoes_every_drain() {
+fn a_serving_proxy_resets_an_administrative_drain() {
     for state in STATES {
         let line = agent::response_line(&status(state, 0));
         assert!(
@@ -71,20 +71,20 @@
             assert_ne!(words.administrative, Some(Administrative::Ready));
             assert_eq!(
                 words.operational, None,
-                "a drain is no death: connections that are there go on"
+                "a drain must not set the operational state, since open connections continue"
             );
         }
     }
-    let mut odd = status(State::Ready, 75);
-    odd.reason = "two\nlines # and a sign".into();
+    let mut status = status(State::Ready, 75);
+    status.reason = "two\nlines # and a sign".into();
     assert_eq!(
-        agent::response_line(&odd),
+        agent::response_line(&status),
         "ready up 75% maxconn:40 # two lines   and a sign\n"
     );
 }
 
 #[test]
-fn agent_lines_are_read_as_balancers_read_them() {
+fn agent_responses_are_parsed_as_by_balancers() {
     let words = agent::parse_response("drain, up\t50% maxconn:9 frobnicate # down\nstopped");
     assert_eq!(
         (words.administrative, words.operational),
@@ -102,20 +102,24 @@
     assert_eq!(agent::parse_request(b"grou"), None);
 }
 
-fn ask(text: &str) -> http::Check {
+fn parse_check(text: &str) -> http::Check {
     let (check, used) = http::parse(text.as_bytes()).unwrap().unwrap();
     assert_eq!(used, text.len());
     check
 }
 
 fn code(text: &str, state: State, statuses: Statuses) -> u16 {
-    let answer =
-        String::from_utf8(http::response(&ask(text), &status(state, 50), statuses)).unwrap();
-    answer.split(' ').nth(1).unwrap().parse().unwrap()
+    let response = String::from_utf8(http::response(
+        &parse_check(text),
+        &status(state, 50),
+        statuses,
+    ))
+    .unwrap();
+    response.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
 #[test]
-fn statuses_say_what_balancers_understand() {
+fn http_statuses_follow_state_and_mapping() {
     const READY: &str = "GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n";
     for (state, plain, drain, overload) in [
         (State::Starting, 503, 503, 503),
@@ -165,17 +169,17 @@
 }
 
 #[test]
-fn headers_carry_the_rest() {
-    let answer = |text: &str, state| {
+fn headers_and_body_report_the_details() {
+    let response = |text: &str, state| {
         String::from_utf8(http::response(
-            &ask(text),
+            &parse_check(text),
             &status(state, 50),
             Statuses::Plain,
         ))
         .unwrap()
     };
     let get = "GET /readyz?format=json HTTP/1.1\r\nendpoint-load-metrics-format: text\r\n\r\n";
-    let degraded = answer(get, State::Degraded(25));
+    let degraded = response(get, State::Degraded(25));
     assert!(
         degraded.contains("x-envoy-degraded: true\r\n"),
         "{degraded}"
@@ -191,12 +195,12 @@
         (body["state"].as_str(), body["unserved_percent"].as_u64()),
         (Some("degraded"), Some(25))
     );
-    let draining = answer("GET /readyz HTTP/1.1\r\n\r\n", State::Draining);
+    let draining = response("GET /readyz HTTP/1.1\r\n\r\n", State::Draining);
     assert!(
         draining.contains("x-envoy-immediate-health-check-fail: true\r\n")
             && draining.contains("Retry-After: 2\r\n")
     );
-    let head = answer("HEAD /readyz HTTP/1.1\r\n\r\n", State::Ready);
+    let head = response("HEAD /readyz HTTP/1.1\r\n\r\n", State::Ready);
     assert!(
         head.ends_with("\r\n\r\n") && head.contains("Content-Length: 6\r\n"),
         "{head}"
@@ -207,13 +211,13 @@
         ("GET / HTTP/1.0\r\n\r\n", false),
         ("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", true),
     ] {
-        assert_eq!(ask(text).keep_alive, keep_alive, "{text}");
+        assert_eq!(parse_check(text).keep_alive, keep_alive, "{text}");
     }
 }
 
 #[test]
-fn a_balancers_view_is_read() {
-    let check = ask("GET / HTTP/1.1\r\nX-Haproxy-Server-State: UP 2/3; name=bck/srv2; node=lb1; weight=1/2; scur=13/22; qcur=0\r\n\r\n");
+fn the_server_state_header_is_parsed() {
+    let check = parse_check("GET / HTTP/1.1\r\nX-Haproxy-Server-State: UP 2/3; name=bck/srv2; node=lb1; weight=1/2; scur=13/22; qcur=0\r\n\r\n");
     let state = check.server_state.unwrap();
     assert_eq!(
         (state.state.as_str(), state.node.as_deref()),
@@ -227,7 +231,7 @@
 }
 
 #[test]
-fn what_is_no_check_is_told_so() {
+fn invalid_checks_are_rejected() {
     assert_eq!(http::parse(b"\x16\x03\x01\x00"), Err(Fault::Malformed));
     assert_eq!(
         http::parse(b"GET / HTTP/1.1\r\nContent-Length: 9\r\n\r\n"),
@@ -238,7 +242,7 @@
     assert_eq!(http::parse(b"GET /livez HTT"), Ok(None));
 }
 
-/// The message as its definition has it.
+/// The message as defined in `orca_load_report.proto`.
 #[derive(Clone, PartialEq, prost::Message)]
 struct OrcaLoadReport {
     #[prost(double, tag = "1")]
@@ -292,21 +296,18 @@
 
 #[test]
 fn proxy_headers_of_both_versions_name_the_client() {
-    let first = b"PROXY TCP4 192.0.2.7 198.51.100.1 56324 443\r\nrest";
+    let v1 = b"PROXY TCP4 192.0.2.7 198.51.100.1 56324 443\r\nrest";
     assert_eq!(
-        proxy::parse(first),
+        proxy::parse(v1),
         Ok(Some((
             Source::Client(address("192.0.2.7:56324")),
-            first.len() - 4
+            v1.len() - 4
         )))
     );
-    let six = b"PROXY TCP6 2001:db8::7 2001:db8::1 1 2\r\n";
+    let v6 = b"PROXY TCP6 2001:db8::7 2001:db8::1 1 2\r\n";
     assert_eq!(
-        proxy::parse(six),
-        Ok(Some((
-            Source::Client(address("[2001:db8::7]:1")),
-            six.len()
-        )))
+        proxy::parse(v6),
+        Ok(Some((Source::Client(address("[2001:db8::7]:1")), v6.len())))
     );
     assert_eq!(
         proxy::parse(b"PROXY UNKNOWN whatever\r\n"),
@@ -323,7 +324,7 @@
         );
         let local = proxy::header(address(from), address(to), 0);
         assert_eq!(proxy::parse(&local), Ok(Some((Source::Local, local.len()))));
-        // Whole or not at all, and any changed byte of the body is found.
+        // Prefixes of the header are incomplete, and any changed byte of the body is detected.
         for cut in 0..header.len() {
             assert_eq!(proxy::parse(&header[..cut]), Ok(None), "{cut}");
         }
@@ -336,7 +337,7 @@
 }
 
 #[test]
-fn proxy_headers_that_lie_are_refused() {
+fn invalid_proxy_headers_are_rejected() {
     use proxy::Fault;
     assert_eq!(proxy::parse(b"GET / HTTP/1.1"), Err(Fault::Missing));
     for bad in [
