--- a/crates/availability/src/link.rs
+++ b/crates/availability/src/link.rs
@@ -238,7 +238,9 @@
         settings: LinkSettings,
     ) {
         let Some(&Server {
-            group, site: here, ..
+            group,
+            site: reporting_site,
+            ..
         }) = self.servers.get(&server)
         else {
             return;
@@ -253,7 +255,11 @@
         let (Some(position), Some(at)) = (position, self.primaries.get(&group)) else {
             return;
         };
-        let Some(primary) = self.servers.get(at).filter(|server| server.site != here) else {
+        let Some(primary) = self
+            .servers
+            .get(at)
+            .filter(|server| server.site != reporting_site)
+        else {
             return;
         };
         let Some(site) = self.sites.get_mut(&primary.site) else {
--- a/crates/availability/src/settings.rs
+++ b/crates/availability/src/settings.rs
@@ -27,8 +27,8 @@
     pub rise: f64,
     /// Reported weights are rounded down to multiples of this.
     pub step: u8,
-    /// A group is hung if at least this many requests or attempts are pending and it has not answered for `silence`, or for four times
-    /// its baseline latency if that is longer (with an upper bound).
+    /// Minimum number of pending requests or attempts of a hung group. A group is hung after it has not answered for `silence`, or for
+    /// four times its baseline latency if that is longer (with an upper bound).
     pub min_pending: u32,
     /// Minimum time without an answer before a group is hung, or before a server that owes an answer counts as silent.
     pub silence: Duration,
--- a/crates/availability/src/weight.rs
+++ b/crates/availability/src/weight.rs
@@ -46,11 +46,11 @@
     (1.0 - SLOW_FACTOR / slowness.max(SLOW_FACTOR)).min(1.0) * MAX_SLOW_PART
 }
 
-fn reason_of(id: u32, group: &Group, slow_here: f64, unserved: f64) -> Reason {
+fn reason_of(id: u32, group: &Group, group_slow: f64, unserved: f64) -> Reason {
     match group.state().condition {
         Condition::Dead | Condition::Hung => Reason::Group(id),
         Condition::NoPrimary => Reason::Primary(id),
-        _ if slow_here > unserved => Reason::Slow,
+        _ if group_slow > unserved => Reason::Slow,
         _ => Reason::Servers,
     }
 }
@@ -63,14 +63,14 @@
     for (id, group) in groups {
         let traffic = group.traffic(now);
         let unserved = group.unserved();
-        let slow_here = slow_part(group.slowness());
-        let lost_here = traffic * unserved.max(slow_here);
+        let group_slow = slow_part(group.slowness());
+        let group_unserved = traffic * unserved.max(group_slow);
         all += traffic;
-        lost += lost_here;
+        lost += group_unserved;
         slow += traffic * group.slowness();
-        if lost_here > worst {
-            worst = lost_here;
-            reason = reason_of(*id, group, slow_here, unserved);
+        if group_unserved > worst {
+            worst = group_unserved;
+            reason = reason_of(*id, group, group_slow, unserved);
         }
     }
     let unserved = if all > 0.0 { lost / all } else { 0.0 };
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -34,7 +34,7 @@
     ManualExclusion {
         /// The server.
         server: u32,
-        /// Whether it is excluded.
+        /// Whether the server is excluded.
         excluded: bool,
     },
     /// A server sent a complete response, whatever its content.
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! - [`SiteDetector`] decides from evidence about servers which sites are lost.
 //! - [`Capacity`] learns the work that each site has been observed to do.
-//! - [`load_shedding`] computes from it which requests are served when the capacity does not suffice for all.
-//! - [`FailoverPlan`] combines them: it returns for each request the fraction of its kind to shed ([`ShedController`]), and
+//! - [`load_shedding`] computes which requests are served when the capacity does not suffice for all.
+//! - [`FailoverPlan`] combines these parts: it returns for each request the fraction of its kind to shed ([`ShedController`]), and
 //!   forecasts the effect of the loss of a site.
 //!
 //! Nothing here decides where a request goes. The decision module limits by its slow start how fast a returning site gets its load
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -138,7 +138,8 @@
         self.shed_controller.shed_fraction(&kind)
     }
 
-    /// Records that an attempt for a request was sent, or that the request ended without one. `rejected`: it ended for lack of capacity.
+    /// Records that an attempt for a request was sent, or that the request ended without one. `rejected`: the request ended for lack of
+    /// capacity.
     pub fn record_outcome(&mut self, request: u64, rejected: bool) {
         if self.pending.remove(&request) {
             self.shed_controller.record_outcome(rejected);
@@ -150,7 +151,7 @@
         self.pending.remove(&request);
     }
 
-    /// Counts a request that a server has served after `elapsed`; it is capacity if it met the latency objective of its class.
+    /// Counts a request that a server has served after `elapsed` as capacity, if it met the latency objective of its class.
     pub fn record_served(
         &mut self,
         now: Time,
--- a/crates/site-failover/src/shedding_level.rs
+++ b/crates/site-failover/src/shedding_level.rs
@@ -84,7 +84,7 @@
         now.saturating_sub(self.updated_at) >= UPDATE_INTERVAL
     }
 
-    /// The fraction of the reads' work that is shed. After the loss of a site it falls to 0 within seconds, not at once.
+    /// The fraction of the reads' work that is shed. It falls to 0 gradually once no site is lost any more.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/site-failover/src/site.rs
+++ b/crates/site-failover/src/site.rs
@@ -26,7 +26,7 @@
         SiteState::Returning,
     ];
 
-    /// The operators' word.
+    /// The state's name in reports for operators.
     pub fn name(self) -> &'static str {
         match self {
             SiteState::Healthy => "whole",
@@ -53,7 +53,7 @@
 }
 
 impl Evidence {
-    /// The operators' word.
+    /// The evidence's name in reports for operators.
     pub fn name(self) -> &'static str {
         match self {
             Evidence::Answers => "answers",
@@ -72,7 +72,7 @@
     pub site: u16,
     /// Its state.
     pub state: SiteState,
-    /// What the state is based on.
+    /// Evidence for the state.
     pub evidence: Evidence,
     /// When the state began.
     pub since: Time,
--- a/crates/wire-health/src/http.rs
+++ b/crates/wire-health/src/http.rs
@@ -1,6 +1,6 @@
 //! Health over HTTP/1.1 and 1.0: `/livez`, `/readyz`, `/startupz`, `/readyz/group/N`.
 //!
-//! Sources: RFC 9110 and 9112; the health endpoints' names as Kubernetes has them; HAProxy's `http-check
+//! Sources: RFC 9110 and 9112; the names of Kubernetes' health endpoints; HAProxy's `http-check
 //! disable-on-404` and `X-Haproxy-Server-State` (`http-check send-state`); Envoy's health checking headers.
 
 use crate::orca::{self, Format};
@@ -19,7 +19,7 @@
     Get,
     /// HEAD
     Head,
-    /// Any other; it is rejected.
+    /// Any other method; rejected.
     Other,
 }
 
