--- a/crates/availability/src/latency.rs
+++ b/crates/availability/src/latency.rs
@@ -24,12 +24,12 @@
 }
 
 pub struct Latency {
-    /// Sketches of the recent windows, oldest first; the last one is being filled since `since`.
+    /// Sketches of the recent windows, oldest first; the last one is being filled since `recent_window_since`.
     recent: Vec<DDSketch>,
-    since: Time,
+    recent_window_since: Time,
     /// Sketch of the current baseline window.
-    filling: DDSketch,
-    filling_since: Time,
+    baseline_window: DDSketch,
+    baseline_window_since: Time,
     /// Quantiles of the previous baseline windows, in seconds, oldest first.
     baseline_quantiles: Vec<f64>,
     elevated_since: Option<Time>,
@@ -55,9 +55,9 @@
     pub fn new(now: Time) -> Latency {
         Latency {
             recent: vec![sketch()],
-            since: now,
-            filling: sketch(),
-            filling_since: now,
+            recent_window_since: now,
+            baseline_window: sketch(),
+            baseline_window_since: now,
             baseline_quantiles: Vec::new(),
             elevated_since: None,
             slowness: 1.0,
@@ -77,30 +77,30 @@
                 .elevated_since
                 .is_some_and(|at| now.saturating_sub(at) > ADOPTION_TIME)
         {
-            self.filling.add(seconds);
+            self.baseline_window.add(seconds);
         }
     }
 
     /// Replaces windows that have ended by new ones.
     pub fn rotate(&mut self, now: Time) {
         let elapsed_windows =
-            now.saturating_sub(self.since).as_nanos() / RECENT_WINDOWS.0.as_nanos();
+            now.saturating_sub(self.recent_window_since).as_nanos() / RECENT_WINDOWS.0.as_nanos();
         if elapsed_windows > 0 {
             for _ in 0..elapsed_windows.min(RECENT_WINDOWS.1 as u128) {
                 self.recent.push(sketch());
             }
             let surplus = self.recent.len().saturating_sub(RECENT_WINDOWS.1);
             self.recent.drain(..surplus);
-            self.since = now;
+            self.recent_window_since = now;
         }
         self.recompute(now);
         self.elevated_since = match self.slowness() >= ELEVATED_FACTOR {
             true => self.elevated_since.or(Some(now)),
             false => None,
         };
-        if now.saturating_sub(self.filling_since) >= BASELINE_WINDOWS.0 {
-            let full = std::mem::replace(&mut self.filling, sketch());
-            self.filling_since = now;
+        if now.saturating_sub(self.baseline_window_since) >= BASELINE_WINDOWS.0 {
+            let full = std::mem::replace(&mut self.baseline_window, sketch());
+            self.baseline_window_since = now;
             if full.count() >= MIN_ANSWERS {
                 self.baseline_quantiles
                     .extend(full.quantile(QUANTILE).ok().flatten());
@@ -121,11 +121,11 @@
     fn compute_baseline(&self) -> Option<Duration> {
         if self.baseline_quantiles.is_empty() {
             // Before the first window has ended, the current one is used.
-            if self.filling.count() < MIN_ANSWERS {
+            if self.baseline_window.count() < MIN_ANSWERS {
                 return None;
             }
             return self
-                .filling
+                .baseline_window
                 .quantile(QUANTILE)
                 .ok()
                 .flatten()
--- a/crates/availability/tests/model.rs
+++ b/crates/availability/tests/model.rs
@@ -16,6 +16,7 @@
     groups: Vec<Behaviour>,
     requests_per_s: u32,
     load: Load,
+    /// Attempts in flight: time of the end, group, outcome and duration.
     in_flight: Vec<(Time, u32, AttemptOutcome, Duration)>,
     /// Reported states and weights, each with its time; only changes.
     reports: Vec<(Time, State, u8)>,
@@ -23,9 +24,13 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Behaviour {
+    /// Attempts are answered after about this many milliseconds.
     Answers(u32),
+    /// Attempts time out after 1.5 s.
     Silent,
+    /// Attempts fail after 2 ms.
     Fails,
+    /// Requests are rejected without an attempt.
     Rejects,
 }
 
@@ -124,7 +129,10 @@
     fn run_until(&mut self, limit: Duration, holds: impl Fn(&World) -> bool) -> Duration {
         let start = self.now;
         while !holds(self) {
-            assert!(self.now - start < limit, "not within {limit:?}");
+            assert!(
+                self.now - start < limit,
+                "the condition does not hold within {limit:?}"
+            );
             self.run(5 * MS);
         }
         self.now - start
@@ -292,7 +300,11 @@
             .in_flight
             .push((at + 1_500 * MS, 0, AttemptOutcome::Failed, 1_500 * MS));
         world.run(100 * MS);
-        assert_eq!(world.condition(0), Condition::Serving, "after {n}");
+        assert_eq!(
+            world.condition(0),
+            Condition::Serving,
+            "after {n} unanswered attempts"
+        );
     }
 }
 
@@ -383,7 +395,7 @@
         .map(|(_, state, _)| std::mem::discriminant(state))
         .collect();
     let changes = states.windows(2).filter(|w| w[0] != w[1]).count();
-    assert!(changes <= 14, "{changes} changes in a minute");
+    assert!(changes <= 14, "{changes} changes of state in a minute");
 }
 
 #[test]
@@ -541,7 +553,7 @@
         }
         for (at, start) in changes.iter().enumerate() {
             let inside = changes[at..].iter().take_while(|t| **t - *start < 60 * SECOND).count();
-            prop_assert!(inside <= 20, "{} changes in a minute", inside);
+            prop_assert!(inside <= 20, "{} changes of state in a minute", inside);
         }
     }
 }
