--- a/crates/availability/src/settings.rs
+++ b/crates/availability/src/settings.rs
@@ -1,41 +1,41 @@
-//! Settings of the model.
+//! Settings of the availability model.
 
 use std::time::Duration;
 
-/// Settings of the model. Parts are from 0 to 1.
+/// Settings of the availability model. Factors and parts are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Least part that anything but the event loop's lag leaves.
+    /// Lower bound of the weight's factor for all faults other than the event loop's lag and cut links.
     pub floor: f64,
-    /// Least part that own faults leave.
-    pub least: f64,
-    /// Least part that a cut link leaves, together with what is shared.
+    /// Lower bound of the factor for the event loop's lag.
+    pub own_floor: f64,
+    /// Lower bound of the factor for cut links and shared faults together.
     pub cut_floor: f64,
-    /// The longest delay of the endpoint list.
+    /// Longest delay of the endpoint list.
     pub list_late: Duration,
-    /// A lost primary is replaced no sooner than this.
+    /// Minimum time after which another server takes over from a lost primary.
     pub election: Duration,
-    /// The event loop's lag at which the weight begins to fall, and at which it is at its least.
+    /// Lag of the event loop at which the weight begins to fall, and at which it reaches its minimum.
     pub lag: (Duration, Duration),
-    /// The same for the used part of a limit: open requests, descriptors, memory.
-    pub use_of_limits: (f64, f64),
-    /// With an own part under the first the proxy is overloaded, over the second no longer.
+    /// Used part of a limit (open requests, descriptors, memory) at which the weight begins to fall, and at which it reaches its minimum.
+    pub limit_usage: (f64, f64),
+    /// The proxy is overloaded when its own factor falls below the first value, until it reaches the second.
     pub overload: (f64, f64),
-    /// A state is kept for so long before a better one; doubled for a proxy that flaps.
+    /// Minimum time for which a state is kept before a better one; longer for a proxy that flaps.
     pub dwell: Duration,
-    /// Points that the weight rises in a second; it falls at once.
+    /// Points per second by which the weight rises; it falls at once.
     pub rise: f64,
-    /// Weights are multiples of this.
+    /// Reported weights are rounded down to multiples of this.
     pub step: u8,
-    /// A group is hung if so many requests or attempts wait for it and it has given no answer for longer than `silence`, or four
-    /// times what its answers usually take.
-    pub owed: u32,
-    /// See `owed`.
+    /// Minimum number of pending requests or attempts of a hung group. A group is hung after it has not answered for `silence`, or for
+    /// four times its baseline latency if that is longer (with an upper bound).
+    pub min_pending: u32,
+    /// Minimum time without an answer before a group is hung, or before a server that owes an answer counts as silent.
     pub silence: Duration,
-    /// A group is dead after so many hard failures in a row, with no answer between.
-    pub failures: u32,
-    /// More time than this between two events was not observed: the process was suspended.
-    pub gap: Duration,
+    /// Number of successive hard failures without an answer in between after which a group is dead.
+    pub dead_failures: u32,
+    /// If more time than this passes between two events, the process was suspended and did not observe that time.
+    pub suspension: Duration,
 }
 
 impl Default for Settings {
@@ -43,20 +43,20 @@
         let ms = Duration::from_millis;
         Settings {
             floor: 0.5,
-            least: 0.05,
+            own_floor: 0.05,
             cut_floor: 0.25,
             list_late: ms(10_000),
             election: ms(2_000),
             lag: (ms(10), ms(200)),
-            use_of_limits: (0.8, 0.98),
+            limit_usage: (0.8, 0.98),
             overload: (0.6, 0.75),
             dwell: ms(2_000),
             rise: 20.0,
             step: 5,
-            owed: 4,
+            min_pending: 4,
             silence: ms(350),
-            failures: 4,
-            gap: ms(1_500),
+            dead_failures: 4,
+            suspension: ms(1_500),
         }
     }
 }
--- a/crates/availability/src/weight.rs
+++ b/crates/availability/src/weight.rs
@@ -1,39 +1,39 @@
-//! Arithmetic of the weight: what shared faults, own load and cut links leave of it.
+//! Computation of the weight from shared faults, own load and cut links.
 
 use std::collections::BTreeMap;
 
 use crate::group::Group;
 use crate::{Condition, Load, Reason, Settings, Time};
 
-/// Slower than this times the usual is slow.
-const SLOW: f64 = 1.5;
-/// Of a slow group's traffic, the most that counts as not served for its slowness alone.
-const SLOW_PART_MOST: f64 = 0.5;
+/// A group is slow when its latency exceeds this multiple of the baseline.
+const SLOW_FACTOR: f64 = 1.5;
+/// Maximum part of a slow group's traffic that counts as not served because of its slowness.
+const MAX_SLOW_PART: f64 = 0.5;
 
-/// What record servers do to the traffic, as all proxies see it.
+/// Faults of record servers, which affect all proxies.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SharedFaults {
-    /// Part of the traffic that is not served.
+    /// Part of the traffic that is not served, 0 to 1.
     pub unserved: f64,
-    /// Response time as a multiple of the usual.
+    /// Latency as a multiple of the baseline, averaged over the groups by traffic.
     pub slowness: f64,
-    /// What they leave of the weight.
+    /// Factor of the weight, 0 to 1.
     pub factor: f64,
-    /// The worst of them.
+    /// The fault with the most traffic that is not served.
     pub reason: Reason,
 }
 
-/// A part of the weight that is left, and what takes the rest.
+/// A factor of the weight, from 0 to 1, and what lowers it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Part {
-    pub left: f64,
+pub(crate) struct Factor {
+    pub value: f64,
     pub reason: Reason,
 }
 
-impl Part {
-    /// The one that leaves less; of equal ones the first.
-    fn worse(self, other: Part) -> Part {
-        if other.left < self.left {
+impl Factor {
+    /// The lower factor; `self` if they are equal.
+    fn worse(self, other: Factor) -> Factor {
+        if other.value < self.value {
             other
         } else {
             self
@@ -41,21 +41,21 @@
     }
 }
 
-/// Slower than usual, but alive: a part of its work comes late.
-fn late_part(slowness: f64) -> f64 {
-    (1.0 - SLOW / slowness.max(SLOW)).min(1.0) * SLOW_PART_MOST
+/// Part of a slow group's traffic that counts as not served, because it is answered late.
+fn slow_part(slowness: f64) -> f64 {
+    (1.0 - SLOW_FACTOR / slowness.max(SLOW_FACTOR)).min(1.0) * MAX_SLOW_PART
 }
 
-fn reason_of(id: u32, group: &Group, late: f64, unserved: f64) -> Reason {
+fn reason_of(id: u32, group: &Group, group_slow: f64, unserved: f64) -> Reason {
     match group.state().condition {
         Condition::Dead | Condition::Hung => Reason::Group(id),
         Condition::NoPrimary => Reason::Primary(id),
-        _ if late > unserved => Reason::Slow,
+        _ if group_slow > unserved => Reason::Slow,
         _ => Reason::Servers,
     }
 }
 
-/// Shared faults of all groups, by their traffic.
+/// Shared faults of all groups, weighted by traffic.
 pub(crate) fn shared_faults(groups: &BTreeMap<u32, Group>, now: Time, floor: f64) -> SharedFaults {
     let (mut all, mut lost, mut slow) = (0.0, 0.0, 0.0);
     let mut reason = Reason::None;
@@ -63,14 +63,14 @@
     for (id, group) in groups {
         let traffic = group.traffic(now);
         let unserved = group.unserved();
-        let late = late_part(group.slowness());
-        let lost_here = traffic * unserved.max(late);
+        let group_slow = slow_part(group.slowness());
+        let group_unserved = traffic * unserved.max(group_slow);
         all += traffic;
-        lost += lost_here;
+        lost += group_unserved;
         slow += traffic * group.slowness();
-        if lost_here > worst {
-            worst = lost_here;
-            reason = reason_of(*id, group, late, unserved);
+        if group_unserved > worst {
+            worst = group_unserved;
+            reason = reason_of(*id, group, group_slow, unserved);
         }
     }
     let unserved = if all > 0.0 { lost / all } else { 0.0 };
@@ -82,7 +82,7 @@
     }
 }
 
-/// 1 up to `from`, then falling to `least` at `to`.
+/// Linear ramp: 1 up to `from`, then falling to `least` at `to`.
 fn ramp(value: f64, from: f64, to: f64, least: f64) -> f64 {
     let part = if to > from {
         (value - from) / (to - from)
@@ -92,71 +92,72 @@
     1.0 - (1.0 - least) * part.clamp(0.0, 1.0)
 }
 
-/// What own faults leave. `cut`: the site with the worst cut link, and the part of the attempts that cut links concern.
-pub(crate) fn own_part(
+/// The factor for own faults and cut links: the lowest of all. `cut` is the site whose cut link affects most attempts, and the part
+/// of all attempts that cut links affect.
+pub(crate) fn own_factor(
     load: &Load,
     shared: &SharedFaults,
     cut: Option<(u16, f64)>,
     settings: &Settings,
-) -> Part {
+) -> Factor {
     let (from, to) = settings.lag;
-    let lag = Part {
-        left: ramp(
+    let lag = Factor {
+        value: ramp(
             load.lag.as_secs_f64(),
             from.as_secs_f64(),
             to.as_secs_f64(),
-            settings.least,
+            settings.own_floor,
         ),
         reason: Reason::Lag,
     };
     let mut worst = limits(load, shared, settings)
         .into_iter()
-        .fold(lag, Part::worse);
+        .fold(lag, Factor::worse);
     if let Some((site, part)) = cut {
         worst = worst.worse(cut_link(site, part, shared, settings));
     }
-    if worst.left >= 1.0 {
-        return Part {
-            left: 1.0,
+    if worst.value >= 1.0 {
+        return Factor {
+            value: 1.0,
             reason: Reason::None,
         };
     }
     worst
 }
 
-/// What the use of limits leaves; together with the shared part it does not go under the floor.
-fn limits(load: &Load, shared: &SharedFaults, settings: &Settings) -> [Part; 3] {
-    let (from, to) = settings.use_of_limits;
-    // Requests stay open for longer with slower servers: that much is no own fault.
+/// The factors for the use of limits. Together with the shared factor they do not fall below the floor.
+fn limits(load: &Load, shared: &SharedFaults, settings: &Settings) -> [Factor; 3] {
+    let (from, to) = settings.limit_usage;
+    // Requests stay open for longer when servers are slower; that part is not an own fault.
     let open = load.open / shared.slowness.max(1.0);
     [
         (open, Reason::Open),
         (load.descriptors, Reason::Descriptors),
         (load.memory, Reason::Memory),
     ]
-    .map(|(used, reason)| Part {
-        left: ramp(used, from, to, settings.least)
+    .map(|(used, reason)| Factor {
+        value: ramp(used, from, to, settings.own_floor)
             .max(settings.floor / shared.factor)
             .min(1.0),
         reason,
     })
 }
 
-/// What a cut link leaves. Requests that servers of other sites serve instead do not show as lost, but these servers bear them.
-fn cut_link(site: u16, part: f64, shared: &SharedFaults, settings: &Settings) -> Part {
+/// The factor for cut links. Requests that servers of other sites serve instead are not lost, but they are load on those servers.
+fn cut_link(site: u16, part: f64, shared: &SharedFaults, settings: &Settings) -> Factor {
     let cut_floor = settings.cut_floor.min(settings.floor);
-    Part {
-        left: (1.0 - (1.0 - cut_floor) * part)
+    Factor {
+        value: (1.0 - (1.0 - cut_floor) * part)
             .max(cut_floor / shared.factor)
             .min(1.0),
         reason: Reason::Link(site),
     }
 }
 
-/// The weight as reported: in steps, rounded down, but not below what the rule guarantees for this reason.
+/// The weight as reported: rounded down to a multiple of [`Settings::step`], but not below the lower bound for the reason.
 pub(crate) fn reported_weight(weight: f64, own_reason: Reason, settings: &Settings) -> u8 {
     let least = match own_reason {
-        Reason::Lag => settings.least,
+        Reason::Lag => settings.own_floor,
         Reason::Link(_) => settings.cut_floor.min(settings.floor),
         _ => settings.floor,
     };
--- a/crates/site-failover/src/site.rs
+++ b/crates/site-failover/src/site.rs
@@ -1,19 +1,19 @@
 //! A site: its state, the evidence for it, and the counts of its servers.
 
-use crate::server::{Server, FAILURES};
+use crate::server::{Server, FAILURE_THRESHOLD};
 use crate::settings::Guards;
 use crate::{EndpointState, Time};
 
-/// State of a site, as this proxy sees it.
+/// State of a site, as observed by this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum SiteState {
-    /// All servers answer.
+    /// All servers of the site answer.
     Healthy,
-    /// Some of its servers are down, silent or away.
+    /// Some of the site's servers are down, silent or out of service.
     Degraded,
-    /// Nothing can be requested of it from here.
+    /// The site can't serve requests of this proxy.
     Lost,
-    /// It answers again.
+    /// The site answers again after a loss, but is not yet considered healthy.
     Returning,
 }
 
@@ -26,7 +26,7 @@
         SiteState::Returning,
     ];
 
-    /// The operators' word.
+    /// The state's name in reports for operators.
     pub fn name(self) -> &'static str {
         match self {
             SiteState::Healthy => "whole",
@@ -37,23 +37,23 @@
     }
 }
 
-/// What a state is based on.
+/// Evidence on which the state of a site is based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Evidence {
-    /// Its servers answer.
+    /// The site's servers answer.
     Answers,
-    /// Its servers can't be reached, reset connections or time out.
+    /// The site's servers can't be reached, reset connections or time out.
     Failures,
-    /// The same, and other proxies know that they work: the link from here is cut.
+    /// As [`Evidence::Failures`], but other proxies have shown that the servers work: the link from this proxy is cut.
     LinkCut,
-    /// The endpoint list does not name its servers as ready.
+    /// The endpoint list does not name the site's servers as ready.
     EndpointList,
-    /// Operators have excluded its servers.
+    /// Operators have excluded the site's servers.
     ManualExclusion,
 }
 
 impl Evidence {
-    /// The operators' word.
+    /// The evidence's name in reports for operators.
     pub fn name(self) -> &'static str {
         match self {
             Evidence::Answers => "answers",
@@ -65,30 +65,30 @@
     }
 }
 
-/// What is known of a site.
+/// State of a site with its evidence and counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The site.
     pub site: u16,
     /// Its state.
     pub state: SiteState,
-    /// What the state is based on.
+    /// Evidence for the state.
     pub evidence: Evidence,
     /// When the state began.
     pub since: Time,
-    /// Servers that are not away.
+    /// Number of servers in service.
     pub members: usize,
-    /// Members that are down.
+    /// Number of members that are down.
     pub down: usize,
-    /// Changes to [`SiteState::Lost`] so far.
+    /// Number of changes to [`SiteState::Lost`] so far.
     pub losses: u64,
 }
 
-/// Suspicion that a site is lost, from a failure with no answer after it.
+/// Suspicion that a site is lost: it begins with a failure and ends with the next answer of the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Suspicion {
-    /// Since when another site is known to have answered meanwhile.
-    pub contrasted_since: Option<Time>,
+    /// When another site first answered during the suspicion; from then on failures count as specific to this site.
+    pub site_specific_since: Option<Time>,
     pub first_at: Time,
     pub last_at: Time,
 }
@@ -98,18 +98,18 @@
     pub state: SiteState,
     pub evidence: Evidence,
     pub since: Time,
-    /// Members when it last had any.
+    /// Number of members when the site last had any.
     pub last_members: usize,
-    /// When the list first named it.
+    /// When the endpoint list first named the site.
     pub listed_at: Time,
-    /// When it last changed to or from [`SiteState::Lost`].
-    pub crossed_at: Option<Time>,
-    /// The last answer of any of its servers, also of those that are away.
+    /// When the state last changed to or from [`SiteState::Lost`].
+    pub loss_changed_at: Option<Time>,
+    /// Time of the last answer of any of the site's servers, including those out of service.
     pub answered_at: Option<Time>,
     pub suspicion: Option<Suspicion>,
-    /// Answers of members since it was lost.
+    /// Number of answers of members since the site was lost.
     pub answers_since_loss: u8,
-    /// When it was last seen degraded.
+    /// When the counts of the site's servers last showed it as degraded.
     pub degraded_at: Time,
     pub link_cut: bool,
     pub losses: u64,
@@ -123,7 +123,7 @@
             since: now,
             last_members: 0,
             listed_at: now,
-            crossed_at: None,
+            loss_changed_at: None,
             answered_at: None,
             suspicion: None,
             answers_since_loss: 0,
@@ -137,7 +137,6 @@
         self.state == SiteState::Lost
     }
 
-    /// Changes the state.
     pub fn set_state(&mut self, now: Time, state: SiteState, evidence: Evidence) {
         self.evidence = evidence;
         if state == self.state {
@@ -145,7 +144,7 @@
         }
         let is_loss = state == SiteState::Lost;
         if is_loss != self.is_lost() {
-            self.crossed_at = Some(now);
+            self.loss_changed_at = Some(now);
             self.losses += u64::from(is_loss);
             if is_loss {
                 self.answers_since_loss = 0;
@@ -159,19 +158,19 @@
 /// Counts of a site's servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerCounts {
-    /// Servers that are not away.
+    /// Servers in service.
     pub members: usize,
     /// Members that are down.
     pub down: usize,
     /// Members that failed while other sites answered.
-    pub down_in_contrast: usize,
-    /// Members with timeouts only.
+    pub down_site_specific: usize,
+    /// Members with successive timeouts.
     pub silent: usize,
-    /// Servers with a hard failure since their last answer, also those that are away.
+    /// Servers with a hard failure since their last answer, including those out of service.
     pub failing: usize,
-    /// Servers that are away.
-    pub away: usize,
-    /// Those of them that operators have excluded.
+    /// Servers out of service: excluded or draining.
+    pub out_of_service: usize,
+    /// Servers out of service that operators have excluded.
     pub excluded: usize,
 }
 
@@ -192,25 +191,25 @@
         if server.endpoint_state == EndpointState::Removed && !server.excluded {
             return;
         }
-        if server.is_away() {
-            self.away += 1;
+        if server.is_out_of_service() {
+            self.out_of_service += 1;
             self.excluded += usize::from(server.excluded);
             return;
         }
         self.members += 1;
         self.down += usize::from(recent && server.is_down(guards));
-        self.down_in_contrast += usize::from(server.contrasted_failures >= FAILURES);
-        self.silent += usize::from(recent && server.timeouts >= FAILURES);
+        self.down_site_specific += usize::from(server.site_specific_failures >= FAILURE_THRESHOLD);
+        self.silent += usize::from(recent && server.timeouts >= FAILURE_THRESHOLD);
     }
 
-    /// Why a site is degraded, if it is.
+    /// Evidence that the site is degraded, if there is any.
     pub fn degraded_by(&self) -> Option<Evidence> {
         if self.down + self.silent > 0 {
             Some(Evidence::Failures)
         } else if self.excluded > 0 {
             Some(Evidence::ManualExclusion)
         } else {
-            (self.away > 0).then_some(Evidence::EndpointList)
+            (self.out_of_service > 0).then_some(Evidence::EndpointList)
         }
     }
 }
--- a/crates/wire-admin/src/lib.rs
+++ b/crates/wire-admin/src/lib.rs
@@ -1,28 +1,28 @@
-//! Calls of operations staff over HTTP/1.1 (RFC 9110 and 9112), one to a connection, and the text of the figures
-//! (version 0.0.4 of the Prometheus text format). Bytes only: what a call does is not known here.
+//! Codec of operators' calls over HTTP/1.1 (RFC 9110 and 9112), one per connection, and of the metrics (version 0.0.4
+//! of the Prometheus text format). The effect of a call is implemented elsewhere.
 #![forbid(unsafe_code)]
 
 use serde::Deserialize;
 use std::fmt::{self, Write};
 
-/// Bytes of a call: its head, and its body.
+/// Maximum size of a call's head, in bytes.
 pub const HEAD_LIMIT: usize = 8 << 10;
-/// Bytes of a call's body.
+/// Maximum size of a call's body, in bytes.
 pub const BODY_LIMIT: usize = 4 << 10;
-const HEADERS: usize = 64;
-/// Longest name of a record server.
+const MAX_HEADERS: usize = 64;
+/// Maximum length of the name of a record server, in bytes.
 const NAME_LIMIT: usize = 256;
 
-/// What an operator's tool asks for.
+/// A call of an operator's tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether the proxy is ready to serve.
+    /// Requests whether the proxy is ready to serve.
     Ready,
-    /// The figures.
+    /// Requests the metrics.
     Telemetry,
-    /// By the name of the record server.
+    /// Excludes the record server with the given name.
     Exclude(String),
-    /// To put a server back into service, by its name.
+    /// Includes the record server with the given name again.
     Include(String),
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Status {
-    fn line(self) -> &'static str {
+    fn reason_line(self) -> &'static str {
         match self {
             Status::Ok => "200 OK",
             Status::BadRequest => "400 Bad Request",
@@ -62,12 +62,12 @@
     }
 }
 
-/// What a call gets: its status and one plain line, or the figures.
+/// The answer to a call: a status with one plain line, or the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: Status,
-    /// The body, with its last newline.
+    /// The body, including its last newline.
     pub text: String,
 }
 
@@ -80,9 +80,9 @@
         }
     }
 
-    /// The connection ends behind it.
+    /// The HTTP response. The connection is closed after it.
     pub fn bytes(&self) -> Vec<u8> {
-        let (line, text) = (self.status.line(), &self.text);
+        let (line, text) = (self.status.reason_line(), &self.text);
         let allow = if self.status == Status::MethodNotAllowed {
             "Allow: GET, POST\r\n"
         } else {
@@ -102,36 +102,37 @@
     target: String,
 }
 
-/// The call in `input` once it has come whole; an error is the answer to what can be none.
+/// Parses the call in `input`; none while it is incomplete. An error is the answer to an invalid call.
 pub fn parse(input: &[u8]) -> Result<Option<Call>, Answer> {
-    let no = |status, text: &str| Err(Answer::line(status, text));
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let reject = |status, text: &str| Err(Answer::line(status, text));
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let used = match request.parse(input) {
         Ok(httparse::Status::Complete(used)) if used <= HEAD_LIMIT => used,
         Ok(httparse::Status::Partial) if input.len() < HEAD_LIMIT => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return no(Status::HeadTooLarge, "the head of the call is too long");
+            return reject(Status::HeadTooLarge, "the head of the call is too long");
         }
-        Err(_) => return no(Status::BadRequest, "this is no call of HTTP/1.1"),
+        Err(_) => return reject(Status::BadRequest, "this is no call of HTTP/1.1"),
     };
     let path = request.path.unwrap_or_default();
-    let (post, to): (bool, fn(String) -> Call) = match path.split('?').next().unwrap_or_default() {
-        "/api/ready" => (false, |_| Call::Ready),
-        "/api/telemetry" => (false, |_| Call::Telemetry),
-        "/api/exclude" => (true, Call::Exclude),
-        "/api/include" => (true, Call::Include),
-        _ => {
-            return no(
-                Status::NotFound,
-                "no such path: there are ready, telemetry, exclude and include under /api/",
-            )
-        }
-    };
-    if request.method != Some(if post { "POST" } else { "GET" }) {
-        return no(
+    let (is_post, to_call): (bool, fn(String) -> Call) =
+        match path.split('?').next().unwrap_or_default() {
+            "/api/ready" => (false, |_| Call::Ready),
+            "/api/telemetry" => (false, |_| Call::Telemetry),
+            "/api/exclude" => (true, Call::Exclude),
+            "/api/include" => (true, Call::Include),
+            _ => {
+                return reject(
+                    Status::NotFound,
+                    "no such path: there are ready, telemetry, exclude and include under /api/",
+                )
+            }
+        };
+    if request.method != Some(if is_post { "POST" } else { "GET" }) {
+        return reject(
             Status::MethodNotAllowed,
-            if post {
+            if is_post {
                 "this wants POST"
             } else {
                 "this wants GET"
@@ -148,58 +149,60 @@
             .collect::<Vec<_>>()
     };
     if !header("transfer-encoding").is_empty() {
-        return no(Status::LengthRequired, "the body wants a Content-Length");
+        return reject(Status::LengthRequired, "the body wants a Content-Length");
     }
     let length = match header("content-length")[..] {
-        [] if post => return no(Status::LengthRequired, "the body wants a Content-Length"),
+        [] if is_post => return reject(Status::LengthRequired, "the body wants a Content-Length"),
         [] => 0,
-        [text, ref more @ ..] if more.iter().all(|m| *m == text) => match text.parse::<usize>() {
-            Ok(length) if text.bytes().all(|b| b.is_ascii_digit()) => length,
-            _ => return no(Status::BadRequest, "the Content-Length is no number"),
-        },
-        _ => return no(Status::BadRequest, "two lengths are stated"),
+        [text, ref others @ ..] if others.iter().all(|other| *other == text) => {
+            match text.parse::<usize>() {
+                Ok(length) if text.bytes().all(|b| b.is_ascii_digit()) => length,
+                _ => return reject(Status::BadRequest, "the Content-Length is no number"),
+            }
+        }
+        _ => return reject(Status::BadRequest, "two lengths are stated"),
     };
     if length > BODY_LIMIT {
-        return no(Status::ContentTooLarge, "the body is too long");
+        return reject(Status::ContentTooLarge, "the body is too long");
     }
     let rest = &input[used..];
-    let Some((body, behind)) = rest.split_at_checked(length) else {
+    let Some((body, trailing)) = rest.split_at_checked(length) else {
         return Ok(None);
     };
-    // A line's end behind the body, as some callers send, is no second call.
-    if !behind.trim_ascii().is_empty() {
-        return no(Status::BadRequest, "one call to a connection");
+    // Some callers send a line break after the body, which is not a second call.
+    if !trailing.trim_ascii().is_empty() {
+        return reject(Status::BadRequest, "one call to a connection");
     }
-    if !post {
-        return Ok(Some(to(String::new())));
+    if !is_post {
+        return Ok(Some(to_call(String::new())));
     }
     match serde_json::from_slice::<Body>(body) {
-        Ok(Body { target }) if target.is_empty() || target.len() > NAME_LIMIT => no(
+        Ok(Body { target }) if target.is_empty() || target.len() > NAME_LIMIT => reject(
             Status::BadRequest,
             "the target is no name of a record server",
         ),
-        Ok(Body { target }) => Ok(Some(to(target))),
-        Err(error) => no(
+        Ok(Body { target }) => Ok(Some(to_call(target))),
+        Err(error) => reject(
             Status::BadRequest,
             &format!("the body is not {{\"target\":\"ID\"}}: {error}"),
         ),
     }
 }
 
-/// The figures: each with what it means, its kind and its values by label.
+/// Builder of the metrics' text: each metric with its help text, its kind and its values by labels.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     text: String,
 }
 
-impl Figures {
-    /// A figure with one value.
-    pub fn one(&mut self, name: &str, help: &str, value: u64) {
-        self.many(name, help, [(Vec::new(), value)]);
+impl Metrics {
+    /// Adds a metric with a single value.
+    pub fn add(&mut self, name: &str, help: &str, value: u64) {
+        self.add_labelled(name, help, [(Vec::new(), value)]);
     }
 
-    /// A figure with a value for each set of labels. What only grows ends in `_total`.
-    pub fn many<'a>(
+    /// Adds a metric with a value for each set of labels. A name that ends in `_total` makes it a counter.
+    pub fn add_labelled<'a>(
         &mut self,
         name: &str,
         help: &str,
@@ -226,7 +229,7 @@
         }
     }
 
-    /// The answer to a call for the figures.
+    /// The answer to [`Call::Telemetry`].
     pub fn answer(self) -> Answer {
         Answer {
             status: Status::Ok,
