--- a/crates/leverproxy/src/event_loop/system_calls.rs
+++ b/crates/leverproxy/src/event_loop/system_calls.rs
@@ -7,7 +7,7 @@
 pub mod faults;
 
 use errors::Call;
-use faults::{injected, limited, performed};
+use faults::{inject_error, limit_transfer, perform_with_faults};
 use rustix::event::{epoll, poll, PollFd, PollFlags, Timespec};
 use rustix::io::Errno;
 use rustix::net::addr::SocketAddrArg;
@@ -35,31 +35,31 @@
 
 /// A non-blocking stream socket.
 pub fn socket(family: AddressFamily) -> Result<OwnedFd, Errno> {
-    injected(Call::Socket, || None)?;
+    inject_error(Call::Socket, || None)?;
     net::socket_with(family, SocketType::STREAM, NON_BLOCKING, None)
 }
 
 /// Binds a socket to an address.
 pub fn bind(fd: &OwnedFd, address: &impl SocketAddrArg) -> Result<(), Errno> {
-    injected(Call::Bind, || None)?;
+    inject_error(Call::Bind, || None)?;
     net::bind(fd, address)
 }
 
 /// Listens on a bound socket.
 pub fn listen(fd: &OwnedFd, backlog: i32) -> Result<(), Errno> {
-    injected(Call::Listen, || None)?;
+    inject_error(Call::Listen, || None)?;
     net::listen(fd, backlog)
 }
 
 /// Accepts a connection; returns its descriptor and the peer's address.
 pub fn accept(listener: &OwnedFd) -> Result<(OwnedFd, Option<SocketAddrAny>), Errno> {
-    injected(Call::Accept, || local(listener))?;
+    inject_error(Call::Accept, || local(listener))?;
     net::acceptfrom_with(listener, NON_BLOCKING)
 }
 
 /// Begins a connection.
 pub fn connect(fd: &OwnedFd, address: &SocketAddr) -> Result<(), Errno> {
-    performed(
+    perform_with_faults(
         Call::Connect,
         || Some(*address),
         || net::connect(fd, address),
@@ -68,7 +68,7 @@
 
 /// The result of a connect; the outer error is that of the call itself.
 pub fn socket_error(fd: &OwnedFd) -> Result<Result<(), Errno>, Errno> {
-    if let Err(errno) = injected(Call::SocketError, || peer(fd)) {
+    if let Err(errno) = inject_error(Call::SocketError, || peer(fd)) {
         return Ok(Err(errno));
     }
     sockopt::socket_error(fd)
@@ -86,19 +86,19 @@
 
 /// Reads into `buffer`; returns the number of bytes, 0 at the end.
 pub fn read(fd: &OwnedFd, buffer: &mut [u8]) -> Result<usize, Errno> {
-    let most = limited(Call::Read, buffer.len(), || peer(fd))?;
+    let most = limit_transfer(Call::Read, buffer.len(), || peer(fd))?;
     rustix::io::read(fd, &mut buffer[..most])
 }
 
 /// Sends what the socket takes; returns the number of bytes.
 pub fn send(fd: &OwnedFd, bytes: &[u8]) -> Result<usize, Errno> {
-    let most = limited(Call::Send, bytes.len(), || peer(fd))?;
+    let most = limit_transfer(Call::Send, bytes.len(), || peer(fd))?;
     net::send(fd, &bytes[..most], SendFlags::NOSIGNAL)
 }
 
 /// Tells the peer that nothing more will be sent.
 pub fn shutdown_output(fd: &OwnedFd) -> Result<(), Errno> {
-    injected(Call::Shutdown, || peer(fd))?;
+    inject_error(Call::Shutdown, || peer(fd))?;
     net::shutdown(fd, net::Shutdown::Write)
 }
 
@@ -109,7 +109,7 @@
     data: u64,
     flags: epoll::EventFlags,
 ) -> Result<(), Errno> {
-    injected(Call::EpollControl, || peer(&fd))?;
+    inject_error(Call::EpollControl, || peer(&fd))?;
     epoll::add(epoll, fd, epoll::EventData::new_u64(data), flags)
 }
 
@@ -120,7 +120,7 @@
     data: u64,
     flags: epoll::EventFlags,
 ) -> Result<(), Errno> {
-    injected(Call::EpollControl, || peer(&fd))?;
+    inject_error(Call::EpollControl, || peer(&fd))?;
     epoll::modify(epoll, fd, epoll::EventData::new_u64(data), flags)
 }
 
@@ -135,7 +135,7 @@
     events: &'a mut [MaybeUninit<epoll::Event>],
     timeout: Option<&Timespec>,
 ) -> Result<&'a mut [epoll::Event], Errno> {
-    injected(Call::EpollWait, || None)?;
+    inject_error(Call::EpollWait, || None)?;
     epoll::wait(epoll, events, timeout).map(|(ready, _)| ready)
 }
 
--- a/crates/leverproxy/src/event_loop/system_calls/faults.rs
+++ b/crates/leverproxy/src/event_loop/system_calls/faults.rs
@@ -107,7 +107,7 @@
 }
 
 /// The error that this call has to return instead of its work.
-pub(crate) fn injected(
+pub(crate) fn inject_error(
     call: Call,
     address: impl FnOnce() -> Option<SocketAddr>,
 ) -> Result<(), Errno> {
@@ -118,7 +118,7 @@
 }
 
 /// Does the work, unless a fault replaces it.
-pub(super) fn performed(
+pub(super) fn perform_with_faults(
     call: Call,
     address: impl FnOnce() -> Option<SocketAddr>,
     work: impl FnOnce() -> Result<(), Errno>,
@@ -131,7 +131,7 @@
 }
 
 /// How many of these bytes this call may transfer, or the error that it has to return.
-pub(crate) fn limited(
+pub(crate) fn limit_transfer(
     call: Call,
     bytes: usize,
     address: impl FnOnce() -> Option<SocketAddr>,
--- a/crates/leverproxy/src/persistence/state_file.rs
+++ b/crates/leverproxy/src/persistence/state_file.rs
@@ -2,7 +2,7 @@
 //! the old file or the new one, never a part of either.
 
 use crate::event_loop::system_calls::errors::Call;
-use crate::event_loop::system_calls::faults::{injected, limited};
+use crate::event_loop::system_calls::faults::{inject_error, limit_transfer};
 use std::collections::hash_map::RandomState;
 use std::ffi::OsString;
 use std::fs::{self, File, OpenOptions};
@@ -38,7 +38,7 @@
 }
 
 fn write(draft: &Path, path: &Path, bytes: &[u8]) -> io::Result<()> {
-    injected(Call::FileCreate, || None)?;
+    inject_error(Call::FileCreate, || None)?;
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
@@ -48,14 +48,14 @@
         _ = file.set_permissions(old.permissions());
     }
     write_all(&mut file, bytes)?;
-    injected(Call::FileSync, || None)?;
+    inject_error(Call::FileSync, || None)?;
     file.sync_all()
 }
 
 fn write_all(file: &mut File, bytes: &[u8]) -> io::Result<()> {
     let mut left = bytes;
     while !left.is_empty() {
-        let most = limited(Call::FileWrite, left.len(), || None)?;
+        let most = limit_transfer(Call::FileWrite, left.len(), || None)?;
         match file.write(&left[..most]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(written) => left = &left[written..],
@@ -67,13 +67,13 @@
 }
 
 fn rename(draft: &Path, path: &Path) -> io::Result<()> {
-    injected(Call::FileRename, || None)?;
+    inject_error(Call::FileRename, || None)?;
     fs::rename(draft, path)
 }
 
 /// Makes the rename durable: without this a power loss may bring the old file back.
 fn sync_directory(path: &Path) -> io::Result<()> {
-    injected(Call::DirectorySync, || None)?;
+    inject_error(Call::DirectorySync, || None)?;
     let directory = path
         .parent()
         .filter(|directory| !directory.as_os_str().is_empty());
--- a/crates/leverproxy/src/protocol/http/error.rs
+++ b/crates/leverproxy/src/protocol/http/error.rs
@@ -33,13 +33,13 @@
     Chunk,
     /// An object is too long.
     #[error("an object of the list is longer than {OBJECT_LIMIT} bytes")]
-    TooLong,
+    ObjectTooLong,
     /// The body is no sequence of JSON objects.
     #[error("the body is no JSON: {0}")]
     NotJson(#[from] NotJson),
     /// The response ends in the middle of an object.
     #[error("the answer ends in the middle of an object")]
-    Cut,
+    Truncated,
 }
 
 /// Why a body is no sequence of JSON objects.
--- a/crates/leverproxy/src/protocol/http/mod.rs
+++ b/crates/leverproxy/src/protocol/http/mod.rs
@@ -72,7 +72,7 @@
             State::Chunk { left } => self.parse_chunk(rest, left, parts),
             State::ChunkEnd => self.parse_chunk_end(rest),
             State::Plain { left } => self.parse_plain(rest, left, parts),
-            State::Done if self.objects.has_incomplete() => Err(HttpError::Cut),
+            State::Done if self.objects.has_incomplete() => Err(HttpError::Truncated),
             State::Done => Ok(Step::Wait(0)),
         }
     }
--- a/crates/leverproxy/src/protocol/http/objects.rs
+++ b/crates/leverproxy/src/protocol/http/objects.rs
@@ -39,7 +39,7 @@
                 parts.push(Part::Object(object.map_err(NotJson::from)?));
             }
             if self.object.len() > OBJECT_LIMIT {
-                return Err(HttpError::TooLong);
+                return Err(HttpError::ObjectTooLong);
             }
         }
         if only_space {
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -90,7 +90,7 @@
     assert!(matches!(fault(&chunk("{} <html>")), HttpError::NotJson(_)));
     assert_eq!(fault("2\r\n{}\n"), HttpError::Chunk);
     assert_eq!(fault("zz\r\n"), HttpError::Chunk);
-    assert_eq!(fault("1\r\n{\r\n0\r\n"), HttpError::Cut);
+    assert_eq!(fault("1\r\n{\r\n0\r\n"), HttpError::Truncated);
     let broken = [
         (
             "HTTP/1.1 503 Busy\r\n\r\n".to_owned(),
@@ -133,7 +133,7 @@
     let endless = format!("HTTP/1.1 200 OK\r\n\r\n[{}", entry.repeat(120_000));
     assert_eq!(
         parts_of(endless.as_bytes(), 64 << 10),
-        Err(HttpError::TooLong)
+        Err(HttpError::ObjectTooLong)
     );
 }
 
