--- a/crates/leverproxy/src/downstream/accept.rs
+++ b/crates/leverproxy/src/downstream/accept.rs
@@ -18,7 +18,7 @@
 const SILENT_CLIENT_GRACE: Duration = Duration::from_millis(100);
 
 /// Clients that have sent requests give way only while silent ones are at most one in this many of the limit.
-const SILENT_CROWD_DIVISOR: usize = 4;
+const SILENT_CLIENTS_DIVISOR: usize = 4;
 
 impl Downstream {
     /// Accepts every connection that waits, as far as there is capacity.
@@ -27,12 +27,12 @@
         let mut freed_descriptor = false;
         while !self.new_process_accepts {
             // Found first, closed only once another client is there for its place.
-            let gives_way = if self.is_full() {
+            let evictable = if self.is_full() {
                 self.find_evictable(now, reactor)
             } else {
                 None
             };
-            let is_over_limit = self.is_full() && gives_way.is_none();
+            let is_over_limit = self.is_full() && evictable.is_none();
             if is_over_limit && !self.may_accept_balancer() {
                 return self.set_accept_paused(true, reactor);
             }
@@ -42,7 +42,7 @@
             match listener::accept(listener) {
                 Ok((stream, peer)) => {
                     freed_descriptor = false;
-                    if let Some(key) = gives_way {
+                    if let Some(key) = evictable {
                         self.remove(key);
                     }
                     self.admit_client(stream, peer, is_over_limit, now, reactor);
@@ -146,7 +146,7 @@
     /// between its requests. While a crowd that sends nothing fills the places, clients that have sent requests keep
     /// theirs, and the crowd gives way as fast as it can be distinguished from new clients.
     fn select_evictable(&self, now: Instant) -> Option<Key> {
-        let longest_quiet = |is_candidate: &dyn Fn(&Client) -> bool| {
+        let longest_idle = |is_candidate: &dyn Fn(&Client) -> bool| {
             let candidates = self.clients.iter().filter(|(_, c)| is_candidate(c));
             candidates
                 .min_by_key(|(_, c)| c.quiet_since)
@@ -155,10 +155,10 @@
         let is_past_grace =
             |c: &Client| now.saturating_duration_since(c.quiet_since) >= SILENT_CLIENT_GRACE;
         let silent = self.clients.iter().filter(|(_, c)| c.is_silent()).count();
-        longest_quiet(&|c| c.is_silent() && (is_past_grace(c) || c.end.is_lingering())).or_else(
+        longest_idle(&|c| c.is_silent() && (is_past_grace(c) || c.end.is_lingering())).or_else(
             || {
-                longest_quiet(&|c| c.is_started && c.has_requested && c.is_idle())
-                    .filter(|_| silent <= self.limits.clients / SILENT_CROWD_DIVISOR)
+                longest_idle(&|c| c.is_started && c.has_requested && c.is_idle())
+                    .filter(|_| silent <= self.limits.clients / SILENT_CLIENTS_DIVISOR)
             },
         )
     }
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -157,10 +157,10 @@
 
     /// It has run out of time for its first request, or for the rest of a command.
     pub(super) fn is_overdue(&self, timeouts: &ClientLimits, now: Instant) -> bool {
-        let owed_nothing = self.responses.is_empty() && self.stream.unsent() == 0;
+        let has_no_output = self.responses.is_empty() && self.stream.unsent() == 0;
         let is_over = |since| now.saturating_duration_since(since) >= timeouts.first_request;
         let is_partial_over = self.partial_since.is_some_and(is_over);
-        owed_nothing && (is_partial_over || !self.has_requested && is_over(self.quiet_since))
+        has_no_output && (is_partial_over || !self.has_requested && is_over(self.quiet_since))
     }
 
     /// While the process drains: nothing is owed on the connection, nor is a first request about to come.
--- a/crates/leverproxy/src/downstream/connection_end/tests.rs
+++ b/crates/leverproxy/src/downstream/connection_end/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A client that sends more bytes than any command may have is told so. It goes on sending, and reads the error only
 /// afterwards. Were the descriptor closed with its bytes unread, the system would reset the connection and throw the
@@ -20,8 +20,8 @@
     assert_eq!(end.discard_budget(), Some(1));
     end.count_discarded(10);
     assert_eq!(end.discard_budget(), Some(0));
-    assert!(!end.is_linger_over(LINGER, now + LINGER / 2));
-    assert!(end.is_linger_over(LINGER, now + LINGER));
+    assert!(!end.is_linger_over(LINGER_TIMEOUT, now + LINGER_TIMEOUT / 2));
+    assert!(end.is_linger_over(LINGER_TIMEOUT, now + LINGER_TIMEOUT));
 }
 
 /// An idle client is closed between two requests while its next request is on the way. Read and discarded, that request
--- a/crates/leverproxy/src/downstream/read.rs
+++ b/crates/leverproxy/src/downstream/read.rs
@@ -27,7 +27,7 @@
     /// A client's descriptor is ready. `ended`: the client has closed its side; answers to come are of no use to it.
     pub fn ready(&mut self, key: Key, ended: bool, now: Instant, reactor: &Reactor) {
         if self.fill(key, ended) {
-            self.heed_last_cancel(key, now);
+            self.handle_final_cancel(key, now);
             return self.drop_client(key, reactor);
         }
         self.read(key, now);
@@ -67,7 +67,7 @@
         }
         let before = client.stream.input.len();
         if client.stream.fill(server::INPUT_LIMIT) == ReadStatus::Ended {
-            self.heed_last_cancel(key, now);
+            self.handle_final_cancel(key, now);
             self.drop_client(key, reactor);
             return false;
         }
@@ -178,7 +178,7 @@
     /// Cancels the request that the session of this key waits for; there may be none.
     /// A client has left before it began a session. If it came to cancel a request, it is of no matter that it did not wait for
     /// the end of its connection.
-    fn heed_last_cancel(&mut self, key: Key, now: Instant) {
+    fn handle_final_cancel(&mut self, key: Key, now: Instant) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -14,7 +14,7 @@
 /// Bytes of a chunked answer that wait for its client, while those of all clients are within their part of the memory.
 const STREAM_WINDOW: usize = 64 << 10;
 /// The same while they are not. Less would cost more calls than bytes.
-const CROWDED_STREAM_WINDOW: usize = 4 << 10;
+const REDUCED_STREAM_WINDOW: usize = 4 << 10;
 
 impl Downstream {
     /// Sets the final answer to a request. It goes out once all before it on the connection have.
@@ -65,7 +65,7 @@
 
     fn stream_window(&self) -> usize {
         if self.unsent_bytes() >= self.limits.passing {
-            CROWDED_STREAM_WINDOW
+            REDUCED_STREAM_WINDOW
         } else {
             STREAM_WINDOW
         }
@@ -80,8 +80,8 @@
             return;
         };
         let end = (index + 1).min(client.responses.len());
-        let behind = client.responses.split_off(end);
-        for (number, response) in (slot.number + 1..).zip(behind) {
+        let later_responses = client.responses.split_off(end);
+        for (number, response) in (slot.number + 1..).zip(later_responses) {
             if !matches!(response, PendingResponse::Ready(_)) {
                 self.events
                     .push_back(Event::ClientLeft(ResponseSlot { number, ..slot }));
--- a/crates/leverproxy/src/event_loop/buffer.rs
+++ b/crates/leverproxy/src/event_loop/buffer.rs
@@ -1,7 +1,7 @@
 //! Bytes that wait to be parsed or sent.
 
 /// A buffer that has grown past this is freed once it is empty.
-const KEPT_CAPACITY: usize = 16 << 10;
+const MAX_RETAINED_CAPACITY: usize = 16 << 10;
 
 /// Bytes with a mark up to which they have been used.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
         if self.used == self.bytes.len() {
             self.used = 0;
             self.bytes.clear();
-            if self.bytes.capacity() > KEPT_CAPACITY {
+            if self.bytes.capacity() > MAX_RETAINED_CAPACITY {
                 self.bytes = Vec::new();
             }
         }
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -87,7 +87,7 @@
 }
 
 /// The longest message of a kind; none if the kind is not expected.
-fn longest(tag: u8, stage: Stage) -> Option<usize> {
+fn max_message_length(tag: u8, stage: Stage) -> Option<usize> {
     Some(match tag {
         b'D' => RESPONSE_LIMIT,
         b'T' | b'S' => SHORT_MESSAGE,
@@ -147,11 +147,12 @@
         let Some(&tag) = rest.first() else {
             return Ok(Step::Wait(0));
         };
-        let longest = longest(tag, self.stage).ok_or_else(|| malformed(tag, "is not expected"))?;
+        let max_length =
+            max_message_length(tag, self.stage).ok_or_else(|| malformed(tag, "is not expected"))?;
         if tag == b'D' && rest.len() >= ROW_HEADER && self.begin_large_row(rest)? {
             return Ok(Step::Continue(0));
         }
-        let Some(message) = parse_message(rest, longest)? else {
+        let Some(message) = parse_message(rest, max_length)? else {
             return Ok(Step::Wait(0));
         };
         let used = message.raw.len();
--- a/crates/leverproxy/src/protocol/postgres/statement.rs
+++ b/crates/leverproxy/src/protocol/postgres/statement.rs
@@ -44,11 +44,11 @@
 
 /// Parses a query; `read_at`: when it was read from the client.
 pub fn parse(text: &str, read_at: Instant) -> Result<Query, StatementError> {
-    let bare = text.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
-    if bare.is_empty() {
+    let trimmed = text.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
+    if trimmed.is_empty() {
         return Ok(Query::Empty);
     }
-    if let Some(tag) = session_setting(bare) {
+    if let Some(tag) = session_setting(trimmed) {
         return Ok(Query::Setting(tag));
     }
     let (start, comment) = last_comment(text).ok_or(StatementError::NoComment)?;
--- a/crates/leverproxy/src/upstream/streaming.rs
+++ b/crates/leverproxy/src/upstream/streaming.rs
@@ -18,7 +18,7 @@
 
 impl Upstream {
     /// Passes on what has arrived of a large response.
-    pub(super) fn pass_on_chunk(&mut self, key: Key, now: Instant) {
+    pub(super) fn forward_chunk(&mut self, key: Key, now: Instant) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
--- a/crates/leverproxy/src/upstream/transfer.rs
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -71,7 +71,7 @@
         let Some(filled) = self.fill(key) else { return };
         let consumed = match self.consume(key) {
             Ok((consumed, complete)) => {
-                self.pass_on_chunk(key, now);
+                self.forward_chunk(key, now);
                 if complete {
                     return self.complete(key, filled == ReadStatus::Ended, now, reactor);
                 }
