--- a/crates/leverproxy/src/downstream/accept.rs
+++ b/crates/leverproxy/src/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting, the limit of clients, and who gives way at the limit.
+//! Accepting connections, the limit of clients, and which client is evicted at the limit.
 
 use super::client::Client;
 use super::state::Downstream;
@@ -14,19 +14,20 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// At the limit, a client that has sent no request gives way, but not before this: its first bytes may be on their way.
+/// Time for which a client without a request is not evicted at the limit of clients: its first bytes may be in transit.
 const SILENT_CLIENT_GRACE: Duration = Duration::from_millis(100);
 
-/// Clients that have sent requests give way only while silent ones are at most one in this many of the limit.
+/// Clients that have sent requests are evicted only while the silent clients number at most the limit divided by this.
 const SILENT_CLIENTS_DIVISOR: usize = 4;
 
 impl Downstream {
-    /// Accepts every connection that waits, as far as there is capacity.
+    /// Accepts all waiting connections, as far as there is capacity.
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
-        // One that gives way frees a descriptor for the next; if accepting fails still, they are short elsewhere.
+        // Evicting a client frees a descriptor for the next connection. If accepting still fails, the shortage of
+        // descriptors has another cause.
         let mut freed_descriptor = false;
         while !self.new_process_accepts {
-            // Found first, closed only once another client is there for its place.
+            // Selected first, but closed only once another client has been accepted in its place.
             let evictable = if self.is_full() {
                 self.find_evictable(now, reactor)
             } else {
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Whether a balancer's check may come in beside the limit. Only its address distinguishes it from a client, so it
-    /// has to be accepted first.
+    /// Whether a balancer's health check may be accepted above the limit of clients. Only the address distinguishes it
+    /// from a client, so its connection has to be accepted first.
     fn may_accept_balancer(&self) -> bool {
         !self.balancer_networks.is_empty() && self.balancer_connections < MAX_BALANCER_CONNECTIONS
     }
@@ -91,7 +92,7 @@
     ) -> Key {
         let is_within = |networks: &[IpNet]| networks.iter().any(|net| net.contains(&peer));
         let awaits_proxy_header = is_within(&self.proxy_header_networks);
-        // Bounded: beyond that, whatever comes from a balancer's network is a client like any other.
+        // Above the limit of balancers' connections, a connection from a balancer's network counts as a client.
         let is_balancer = is_within(&self.balancer_networks)
             && self.balancer_connections < MAX_BALANCER_CONNECTIONS;
         self.balancer_connections += usize::from(is_balancer);
@@ -105,7 +106,8 @@
             now,
         );
         let key = self.clients.insert(client);
-        // Read in a later round even if bytes have come: what others sent before is read first.
+        // Bytes that have arrived are read in a later iteration of the event loop, after those that other clients sent
+        // before.
         self.advance(key, now, reactor);
         key
     }
@@ -113,11 +115,11 @@
     fn log_descriptors_exhausted(&mut self, now: Instant) {
         let clients = self.clients.len();
         self.descriptors_log.warn(now, || {
-            format!("front: no descriptor left, {clients} clients")
+            format!("front: no file descriptor left with {clients} clients connected")
         });
     }
 
-    /// Closes a connection that gives way; whether one was closed.
+    /// Evicts a client to free its descriptor. Returns whether a connection was closed.
     fn free_descriptor(&mut self, now: Instant, reactor: &Reactor) -> bool {
         let clients_before = self.clients.len();
         if let Some(key) = self.find_evictable(now, reactor) {
@@ -130,11 +132,11 @@
         self.clients.len() - self.balancer_connections >= self.limits.clients
     }
 
-    /// A client that gives way, even after what it has sent until now is read.
+    /// Finds a client that can be evicted, after reading the bytes that it has sent until now.
     fn find_evictable(&mut self, now: Instant, reactor: &Reactor) -> Option<Key> {
         while let Some(key) = self.select_evictable(now) {
             if !self.read_pending(key, now, reactor) {
-                // None: it had closed by itself, and its place is free.
+                // `None` if the client has closed its connection, which makes room already.
                 return self.clients.get(key).map(|_| key);
             }
             self.advance(key, now, reactor);
@@ -142,9 +144,9 @@
         None
     }
 
-    /// The client that gives way first: one that has sent no request, else the one that has been idle the longest
-    /// between its requests. While a crowd that sends nothing fills the places, clients that have sent requests keep
-    /// theirs, and the crowd gives way as fast as it can be distinguished from new clients.
+    /// Selects the client to evict first: one that has sent no request, otherwise the one that has been idle the
+    /// longest between its requests. While many clients send no request, clients that have sent requests are not
+    /// evicted, and silent clients are evicted as soon as they can be distinguished from new clients.
     fn select_evictable(&self, now: Instant) -> Option<Key> {
         let longest_idle = |is_candidate: &dyn Fn(&Client) -> bool| {
             let candidates = self.clients.iter().filter(|(_, c)| is_candidate(c));
@@ -163,23 +165,24 @@
         )
     }
 
-    /// Accepting is paused until a client has left or [`Downstream::resume_accept`] is called.
+    /// Whether accepting is paused, until a client leaves or [`Downstream::resume_accept`] is called.
     pub fn is_accept_paused(&self) -> bool {
         !self.is_accepting
     }
 
-    /// Tries accepting again.
+    /// Resumes accepting connections.
     pub fn resume_accept(&mut self, reactor: &Reactor) {
         self.set_accept_paused(false, reactor);
     }
 
-    /// Whether a new process accepts from the same queue in place of this one.
+    /// Sets whether a new process accepts from the same backlog instead of this process.
     pub fn set_new_process_accepts(&mut self, accepts: bool, reactor: &Reactor) {
         self.new_process_accepts = accepts;
         self.set_accept_paused(accepts, reactor);
     }
 
-    /// A listener that is not accepted from must not be watched: it would be ready all the time.
+    /// Pauses or resumes accepting. While accepting is paused the listener must not be watched, since it would be
+    /// reported as ready all the time.
     pub(super) fn set_accept_paused(&mut self, pause: bool, reactor: &Reactor) {
         let pause = pause || self.new_process_accepts;
         let changes = self.is_accepting == pause;
--- a/crates/leverproxy/src/downstream/cancel_keys.rs
+++ b/crates/leverproxy/src/downstream/cancel_keys.rs
@@ -3,7 +3,7 @@
 use crate::protocol::postgres::server::CancelKey;
 use std::hash::{BuildHasher, RandomState};
 
-/// Makes cancel keys. A key can't be guessed from others: it is a keyed hash of a counter.
+/// Generates cancel keys. Each key is a keyed hash of a counter, so that it cannot be guessed from other keys.
 #[derive(Default)]
 pub(super) struct CancelKeys {
     secret: RandomState,
@@ -11,7 +11,7 @@
 }
 
 impl CancelKeys {
-    /// A key that no session had before.
+    /// Returns a key that no other session has had.
     pub(super) fn next(&mut self) -> CancelKey {
         self.made += 1;
         let hash = self.secret.hash_one(self.made);
--- a/crates/leverproxy/src/downstream/client.rs
+++ b/crates/leverproxy/src/downstream/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: what is known of it, and the answers that it waits for.
+//! One client's connection: its state and its pending responses.
 
 use super::connection_end::{CloseReason, ConnectionEnd};
 use crate::config::ClientLimits;
@@ -10,54 +10,54 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// While the process drains, a new connection has this long, from its accept, to send its first request: many clients
-/// wait for the server's greeting first.
+/// While the process drains, the time from the accept of a connection within which its first request has to arrive.
+/// Many clients wait for the server's greeting before they send a request.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The answer to one command of a client.
+/// The response to one command of a client.
 #[derive(Debug)]
 pub(super) enum PendingResponse {
-    /// Nothing of it is there yet.
+    /// No part of the response is available.
     Waiting,
-    /// It is complete, or all that there will be of it.
+    /// The response is complete, or was aborted and ends with these bytes.
     Ready(Vec<u8>),
-    /// Chunks of it that are not written yet. They go out as soon as it is the first.
+    /// Chunks of the response that are not written yet. They are written once all earlier responses have been written.
     Streaming(Vec<u8>),
 }
 
-/// A client, or a balancer's check that has sent no request.
+/// A client, or a balancer's health check that has sent no request.
 pub(super) struct Client {
     pub(super) stream: Stream,
     pub(super) cancel_key: CancelKey,
-    /// Its address, as the connection or the PROXY protocol header names it.
+    /// The client's address, from the connection or from the PROXY protocol header.
     pub(super) peer: IpAddr,
-    /// A PROXY protocol header has to come first.
+    /// Whether a PROXY protocol header has to arrive before the startup message.
     pub(super) awaits_proxy_header: bool,
-    /// A balancer's connection that has sent no request. It does not count as a client.
+    /// Whether this is a balancer's connection that has sent no request. It does not count as a client.
     pub(super) is_balancer: bool,
-    /// Its startup message has come.
+    /// Whether the startup message has been received.
     pub(super) is_started: bool,
-    /// Messages are ignored until Sync, as after any error in the extended protocol.
+    /// Whether messages are ignored until Sync, as after any error in the extended protocol.
     pub(super) skips_until_sync: bool,
     pub(super) end: ConnectionEnd,
-    /// It has sent a valid request.
+    /// Whether the client has sent a valid request.
     pub(super) has_requested: bool,
-    /// It has sent more than one.
+    /// Whether the client has sent more than one valid request.
     pub(super) has_requested_again: bool,
-    /// Answers to its commands, in their order.
+    /// Responses to the client's commands that are not written yet, in the order of the commands.
     pub(super) responses: VecDeque<PendingResponse>,
-    /// The number of the first of these.
+    /// The number of the first response in `responses`.
     pub(super) first_number: u64,
-    /// Chunks of its answer are held back until it has taken more.
+    /// Whether chunks of the response are held back until the client has read more of it.
     pub(super) is_backpressured: bool,
-    /// Since when no complete command has come from it and no answer gone to it.
+    /// Time of the last complete command that was received or the last response that was sent.
     pub(super) quiet_since: Instant,
-    /// Since when a command of it is incomplete.
+    /// Time since which a command of the client has been incomplete.
     pub(super) partial_since: Option<Instant>,
 }
 
 impl Client {
-    /// A connection that was accepted just now.
+    /// Creates the state of a newly accepted connection.
     pub(super) fn new(
         stream: Stream,
         cancel_key: CancelKey,
@@ -85,25 +85,25 @@
         }
     }
 
-    /// The pending answer of a slot; none if it has gone out.
+    /// The pending response of a slot; `None` if it has been sent.
     pub(super) fn response(&mut self, slot: ResponseSlot) -> Option<&mut PendingResponse> {
         let index = self.response_index(slot)?;
         self.responses.get_mut(index)
     }
 
-    /// Where the answer of a slot stands among those not written yet.
+    /// The index of a slot's response in `responses`.
     pub(super) fn response_index(&self, slot: ResponseSlot) -> Option<usize> {
         usize::try_from(slot.number.checked_sub(self.first_number)?).ok()
     }
 
-    /// Appends an answer, or a place for one. Returns its number.
+    /// Appends a response, or a placeholder for a response that is not available yet. Returns its number.
     pub(super) fn push_response(&mut self, response: Option<Vec<u8>>) -> u64 {
         self.responses
             .push_back(response.map_or(PendingResponse::Waiting, PendingResponse::Ready));
         self.first_number + self.responses.len() as u64 - 1
     }
 
-    /// Numbers of the answers that are not complete, from `first` on.
+    /// The numbers of the responses that are not complete, in ascending order.
     pub(super) fn incomplete_responses(&self) -> impl Iterator<Item = u64> + '_ {
         let numbered = (self.first_number..).zip(&self.responses);
         numbered
@@ -111,7 +111,7 @@
             .map(|(number, _)| number)
     }
 
-    /// Hands to the stream every answer whose turn it is.
+    /// Moves to the stream's output all leading responses that are available.
     pub(super) fn queue_responses(&mut self, now: Instant) {
         while let Some(response) = self.responses.front_mut() {
             let (bytes, is_complete) = match response {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Writes what the socket takes; whether that was everything.
+    /// Writes as much as the socket accepts. Returns whether everything is written.
     ///
     /// # Errors
     /// The connection is broken.
@@ -139,23 +139,23 @@
         let unsent = self.stream.unsent();
         let is_written = self.stream.flush()?;
         if self.stream.unsent() < unsent && self.has_requested {
-            // It takes its answers, however slowly.
+            // The client reads its responses, even if slowly.
             self.quiet_since = now;
         }
         Ok(is_written)
     }
 
-    /// Nothing is owed to it, and nothing of a command has come.
+    /// Whether the client waits for no response, and no part of a command has arrived.
     pub(super) fn is_idle(&self) -> bool {
         self.responses.is_empty() && self.stream.unsent() == 0 && self.stream.input.is_empty()
     }
 
-    /// It has never got as far as a request, or its connection is about to close.
+    /// Whether the client has never sent a request, or its connection is about to close.
     pub(super) fn is_silent(&self) -> bool {
         !self.has_requested && self.responses.is_empty() || self.end.is_lingering()
     }
 
-    /// It has run out of time for its first request, or for the rest of a command.
+    /// Whether the time for the client's first request, or for the rest of a command, is over.
     pub(super) fn is_overdue(&self, timeouts: &ClientLimits, now: Instant) -> bool {
         let has_no_output = self.responses.is_empty() && self.stream.unsent() == 0;
         let is_over = |since| now.saturating_duration_since(since) >= timeouts.first_request;
@@ -163,7 +163,8 @@
         has_no_output && (is_partial_over || !self.has_requested && is_over(self.quiet_since))
     }
 
-    /// While the process drains: nothing is owed on the connection, nor is a first request about to come.
+    /// While the process drains: whether the connection can be closed, as no response is pending on it and its first
+    /// request is not to be expected any more.
     pub(super) fn can_close(&self, now: Instant) -> bool {
         let quiet = now.saturating_duration_since(self.quiet_since);
         self.end.is_open()
@@ -172,27 +173,27 @@
             && (self.has_requested || quiet >= FIRST_REQUEST_TIMEOUT)
     }
 
-    /// Ends the connection between two requests. The peer's time to read counts from its last answer: a client that has
-    /// been idle for long is not waited for.
+    /// Ends the connection between two requests. The linger timeout counts from the last response, so that the
+    /// descriptor of a client that has been idle for long is closed without delay.
     pub(super) fn close_between_requests(&mut self) {
         self.end.start_closing(CloseReason::Ended);
         self.finish_output(self.quiet_since);
     }
 
-    /// Sends the end of the output. `since`: since when the peer has had time to read what it got.
+    /// Ends the output. `since`: time since which the peer has been able to read all that was sent.
     pub(super) fn finish_output(&mut self, since: Instant) {
         self.end.finish_output(since);
         self.stream.end_output();
     }
 
-    /// Requests are read: it may have more of them, and it takes its answers.
+    /// Whether requests are read: the limits of pipelined requests and of unsent bytes are not reached.
     pub(super) fn accepts_requests(&self, timeouts: &ClientLimits) -> bool {
         self.end.is_open()
             && self.responses.len() < timeouts.max_pipelined
             && self.stream.unsent() < timeouts.max_unsent_bytes
     }
 
-    /// Whether its bytes are read, as requests or to be discarded.
+    /// Whether bytes of the client are read, either as requests or to be discarded.
     pub(super) fn wants_input(&self, timeouts: &ClientLimits) -> bool {
         match self.end.discard_budget() {
             Some(budget) => budget > 0,
--- a/crates/leverproxy/src/downstream/close.rs
+++ b/crates/leverproxy/src/downstream/close.rs
@@ -1,4 +1,4 @@
-//! Rejected clients, and closing while the process drains.
+//! Rejecting clients, and closing connections while the process drains.
 
 use super::client::Client;
 use super::connection_end::CloseReason;
@@ -12,8 +12,8 @@
 use std::time::Instant;
 
 impl Downstream {
-    /// Accepts no new connection from now on, once those that wait are accepted. Closes each connection as soon as
-    /// nothing is owed on it; one that has not sent its startup message may have a request right behind it.
+    /// Accepts the waiting connections and no further ones. Closes each connection as soon as no response is pending on
+    /// it. A connection without a startup message stays open, since a request may follow that message immediately.
     pub fn start_draining(&mut self, now: Instant, reactor: &Reactor) {
         if !self.new_process_accepts {
             self.accept(now, reactor);
@@ -24,13 +24,13 @@
         }
         self.is_draining = true;
         for key in self.clients.keys() {
-            // A request that has come already is read and answered.
+            // A request that has arrived already is read and answered.
             self.ready(key, false, now, reactor);
         }
     }
 
-    /// Rejects with an error the connections for which there is no capacity. Closed with the listener, they would be
-    /// reset.
+    /// Rejects the waiting connections above the limit of clients with an error. Closing the listener alone would reset
+    /// them.
     fn reject_waiting(&mut self, now: Instant, reactor: &Reactor) {
         while let Some(Ok((stream, peer))) = self.listener.as_ref().map(listener::accept) {
             let key = self.add_client(stream, peer, now, reactor);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Ends a client's connection with an error message. No more requests are read from it.
+    /// Ends a client's connection with an error message. No more requests are read from the client.
     pub(super) fn reject_client(&mut self, key: Key, error: Vec<u8>) {
         if let Some(client) = self.clients.get_mut(key) {
             self.rejected_clients += 1;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Closes a client's descriptor. Its requests are abandoned; those that the pipeline has not seen yet are dropped.
+    /// Closes a client's descriptor. Its requests are abandoned; requests that the pipeline has not received yet are
+    /// dropped.
     pub(super) fn drop_client(&mut self, key: Key, reactor: &Reactor) {
         let Some(client) = self.remove(key) else {
             return;
--- a/crates/leverproxy/src/downstream/connection_end.rs
+++ b/crates/leverproxy/src/downstream/connection_end.rs
@@ -1,33 +1,34 @@
-//! The end of a client's connection, as one state machine. It decides what is still read, when the end of the output is
-//! sent, and when the descriptor is closed.
+//! State machine of how a client's connection ends. It decides which bytes are still read, when the end of the output
+//! is sent, and when the descriptor is closed.
 //!
 //! ```text
 //! Open --start_closing--> Flushing --finish_output--> Lingering --> descriptor closed
 //! ```
 //!
 //! - Open: requests are read and answered.
-//! - Flushing: no more requests are read. What is owed to the client is written.
-//! - Lingering: everything is written and the peer has been told that nothing more comes. The descriptor stays open until
-//!   the peer closes its side or its time is over. Closed at once with bytes unread, the connection would be reset, and
-//!   the last answer lost on its way.
+//! - Flushing: no more requests are read. Pending responses are written.
+//! - Lingering: everything is written and the end of the output is sent. The descriptor stays open until the peer
+//!   closes its side or the linger timeout is over. If it were closed at once with bytes unread, the connection would
+//!   be reset and the last response could be lost.
 //!
-//! A peer that has left ends the connection in every phase.
+//! If the peer leaves, the connection ends in every phase.
 
 use std::time::{Duration, Instant};
 
 #[cfg(test)]
 mod tests;
 
-/// Most bytes that are read and discarded from a client that was told why its connection ends.
+/// Maximum number of bytes that are read and discarded from a rejected client.
 const DISCARD_LIMIT: usize = 1 << 20;
 
 /// Why no more requests are read from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// It gets an error that says why. What it still sends is read and discarded, or it might not come to read that.
+    /// The client is sent an error. Bytes that it still sends are read and discarded: left unread, they would cause a
+    /// reset, and the client might not receive the error.
     Rejected,
-    /// It is between requests, or its answer was aborted. What it still sends stays unread: it sends that again on
-    /// another connection.
+    /// The client is between requests, or its response was aborted. Bytes that it still sends stay unread, so that it
+    /// sends them again on another connection.
     Ended,
 }
 
@@ -36,9 +37,9 @@
     Open,
     Flushing(CloseReason),
     Lingering {
-        /// Since when the peer has had time to read everything.
+        /// Time since which the peer has been able to read everything.
         since: Instant,
-        /// Bytes that may still be read and discarded.
+        /// Number of bytes that may still be read and discarded.
         discard_budget: usize,
     },
 }
@@ -59,30 +60,30 @@
         }
     }
 
-    /// Requests are read.
+    /// Whether requests are read.
     pub(super) fn is_open(&self) -> bool {
         self.phase == Phase::Open
     }
 
-    /// What is owed is being written; the end of the output has not been sent.
+    /// Whether pending responses are being written, and the end of the output has not been sent.
     pub(super) fn is_flushing(&self) -> bool {
         matches!(self.phase, Phase::Flushing(_))
     }
 
-    /// The end of the output has been sent.
+    /// Whether the end of the output has been sent.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.phase, Phase::Lingering { .. })
     }
 
-    /// No more requests are read. A connection that lingers already goes on lingering.
+    /// Stops reading requests. A connection that lingers already continues to linger.
     pub(super) fn start_closing(&mut self, reason: CloseReason) {
         if !self.is_lingering() {
             self.phase = Phase::Flushing(reason);
         }
     }
 
-    /// Everything is written, and the caller sends the end of the output. `since`: since when the peer has had time to
-    /// read what it got.
+    /// Starts lingering: everything is written, and the caller sends the end of the output. `since`: time since which
+    /// the peer has been able to read all that was sent.
     pub(super) fn finish_output(&mut self, since: Instant) {
         let is_rejected = self.phase == Phase::Flushing(CloseReason::Rejected);
         self.phase = Phase::Lingering {
@@ -91,7 +92,7 @@
         };
     }
 
-    /// The peer has said that it leaves: no answer is of use to it.
+    /// Notes that the peer has ended its session and needs no more responses.
     pub(super) fn set_peer_left(&mut self) {
         self.peer_left = true;
     }
@@ -101,7 +102,7 @@
         self.peer_left
     }
 
-    /// While the connection lingers, the bytes that may still be read and discarded.
+    /// The number of bytes that may still be read and discarded; `None` unless the connection lingers.
     pub(super) fn discard_budget(&self) -> Option<usize> {
         match self.phase {
             Phase::Lingering { discard_budget, .. } => Some(discard_budget),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Whether the peer of a connection that lingers has had `timeout` to read what it got.
+    /// Whether the connection has lingered for `timeout`.
     pub(super) fn is_linger_over(&self, timeout: Duration, now: Instant) -> bool {
         matches!(self.phase, Phase::Lingering { since, .. } if now >= since + timeout)
     }
--- a/crates/leverproxy/src/downstream/connection_end/tests.rs
+++ b/crates/leverproxy/src/downstream/connection_end/tests.rs
@@ -1,12 +1,12 @@
-//! The phases of a connection's end.
+//! Tests of the phases in which a connection ends.
 
 use super::*;
 
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client that sends more bytes than any command may have is told so. It goes on sending, and reads the error only
-/// afterwards. Were the descriptor closed with its bytes unread, the system would reset the connection and throw the
-/// error away: so its bytes are read and discarded, up to a bound, until its time to read is over.
+/// A client sends a command that is too long, continues to send, and reads the error only afterwards. If the descriptor
+/// were closed with bytes unread, the system would reset the connection and discard the error. So the bytes are read
+/// and discarded, up to a limit, until the linger timeout is over.
 #[test]
 fn a_rejected_client_is_read_until_its_budget_or_its_time_is_used_up() {
     let now = Instant::now();
@@ -24,8 +24,8 @@
     assert!(end.is_linger_over(LINGER_TIMEOUT, now + LINGER_TIMEOUT));
 }
 
-/// An idle client is closed between two requests while its next request is on the way. Read and discarded, that request
-/// would be lost without a word; left unread, the client sees a reset and sends it again elsewhere.
+/// An idle client is closed between two requests while its next request is in transit. If that request were read and
+/// discarded, it would be lost silently; left unread, it causes a reset, and the client retries on another connection.
 #[test]
 fn a_connection_that_ends_between_requests_reads_nothing_more() {
     let now = Instant::now();
@@ -35,8 +35,8 @@
     assert_eq!(end.discard_budget(), Some(0));
 }
 
-/// A connection that lingers gets a second reason to close. It must not start over: its output has ended already, and
-/// nothing more can be written.
+/// A lingering connection gets a second reason to close. It must not return to flushing: its output has ended already,
+/// and nothing more can be written.
 #[test]
 fn a_lingering_connection_goes_on_lingering() {
     let now = Instant::now();
@@ -48,7 +48,7 @@
     assert_eq!(end.discard_budget(), Some(DISCARD_LIMIT));
 }
 
-/// A client leaves in the middle of its requests: its descriptor is closed at once, whatever is owed to it.
+/// A client leaves while its requests are in progress: its descriptor is closed at once, even with responses pending.
 #[test]
 fn a_peer_that_has_left_ends_the_connection_in_every_phase() {
     let mut end = ConnectionEnd::new();
--- a/crates/leverproxy/src/downstream/decode.rs
+++ b/crates/leverproxy/src/downstream/decode.rs
@@ -1,4 +1,4 @@
-//! The next message of a client: PROXY protocol header, startup message, then commands.
+//! Decodes the next message of a client: PROXY protocol header, startup message, then commands.
 
 use super::client::Client;
 use crate::event_loop::slab::Key;
@@ -9,29 +9,29 @@
 use std::time::Instant;
 use wire_health::proxy::{self, From};
 
-/// What a message came to.
+/// The result of decoding one message.
 #[allow(
     clippy::large_enum_variant,
     reason = "lives for one call, and the large variant is the usual one"
 )]
 pub(super) enum Step {
-    /// The next message has not come in full.
+    /// The next message has not arrived in full.
     Incomplete,
-    /// It is dealt with.
+    /// The message is handled; no further step is needed.
     Done,
-    /// The client takes its leave.
+    /// The client ends its session.
     Terminate,
-    /// The client came to cancel another session's request.
+    /// The connection was made to cancel another session's request.
     Cancel(CancelKey),
     Request(ResponseSlot, Request),
-    /// A statement that is no request, and why.
+    /// A statement that is not a request, with the reason.
     Rejected(String),
 }
 
 /// Decodes the next message.
 ///
 /// # Errors
-/// What came is no message of the protocol.
+/// The bytes are not a message of the protocol.
 pub(super) fn decode_next(client: &mut Client, key: Key, now: Instant) -> Result<Step, Malformed> {
     if client.awaits_proxy_header {
         decode_proxy_header(client)
@@ -42,7 +42,7 @@
     }
 }
 
-/// The client's address, as the balancer before it states it.
+/// Takes the client's address from the PROXY protocol header of the balancer in front of the proxy.
 fn decode_proxy_header(client: &mut Client) -> Result<Step, Malformed> {
     let found =
         proxy::parse(client.stream.input.unused()).map_err(|fault| Malformed(fault.to_string()))?;
--- a/crates/leverproxy/src/downstream/idle.rs
+++ b/crates/leverproxy/src/downstream/idle.rs
@@ -1,4 +1,4 @@
-//! Closing clients that have run out of time, or that are idle while there are many.
+//! Closing clients that exceed a timeout, and idle clients while many clients are connected.
 
 use super::state::Downstream;
 use crate::event_loop::reactor::Reactor;
@@ -11,7 +11,7 @@
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Downstream {
-    /// Closes the connections that have run out of time. Returns when to check again.
+    /// Closes the connections that exceed a timeout. Returns the time of the next check.
     pub fn close_expired(&mut self, now: Instant, reactor: &Reactor) -> Instant {
         for key in self.clients.keys() {
             self.check_timeouts(key, now, reactor);
@@ -36,12 +36,12 @@
         } else if client.is_overdue(&self.timeouts, now) {
             self.disconnect_overdue(key, now, reactor);
         } else if self.is_draining {
-            // Its time for a first request may be over.
+            // The time for the first request may be over.
             self.advance(key, now, reactor);
         }
     }
 
-    /// Disconnects a client that has run out of time, unless what it has sent until now changes that.
+    /// Disconnects a client that exceeds a timeout, unless the bytes that it has sent until now reset the timeout.
     fn disconnect_overdue(&mut self, key: Key, now: Instant, reactor: &Reactor) {
         self.read_pending(key, now, reactor);
         let client = self.clients.get(key);
@@ -52,8 +52,8 @@
         self.advance(key, now, reactor);
     }
 
-    /// While there are many clients, closes idle ones: first those that have sent one request and stay, then those that
-    /// have been idle the longest.
+    /// Closes idle clients while many clients are connected: first clients that have sent only one request, then
+    /// clients with more requests, each in the order of the time for which they have been idle.
     pub(super) fn close_idle(&mut self, now: Instant, reactor: &Reactor) {
         let active = self.clients.iter().filter(|(_, c)| !c.is_silent());
         let mut remaining = active.clone().count();
--- a/crates/leverproxy/src/downstream/mod.rs
+++ b/crates/leverproxy/src/downstream/mod.rs
@@ -1,17 +1,17 @@
-//! The clients' side: accepts connections, reads requests from them, and writes answers in the order of the requests.
+//! Connections of clients: accepts connections, reads requests, and writes responses in the order of the requests.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `state` | the `Downstream` type, its settings and counters |
-//! | `event` | what the pipeline is notified of |
-//! | `accept` | accepting, the limit of clients, and who gives way at the limit |
-//! | `read` | bytes of a client to requests |
-//! | `write` | answers and chunks of answers to a client |
-//! | `close` | rejected clients, and closing while the process drains |
-//! | `idle` | closing clients that have run out of time |
+//! | `event` | events of the clients for the pipeline |
+//! | `accept` | accepting, the limit of clients, and which client is evicted at the limit |
+//! | `read` | reading bytes of a client and decoding requests |
+//! | `write` | writing responses and chunks of responses to a client |
+//! | `close` | rejecting clients, and closing connections while the process drains |
+//! | `idle` | closing clients that exceed a timeout, and idle clients |
 //! | `connection_end` | state machine: how one connection ends |
 //! | `client` | one client's connection |
-//! | `decode` | the next message of a client |
+//! | `decode` | decoding the next message of a client |
 //! | `cancel_keys` | keys that cancel another session's request |
 
 mod accept;
--- a/crates/leverproxy/src/downstream/read.rs
+++ b/crates/leverproxy/src/downstream/read.rs
@@ -1,4 +1,4 @@
-//! Bytes of a client to requests.
+//! Reads the bytes of a client and decodes requests from them.
 
 use super::client::PendingResponse;
 use super::decode::{decode_next, Step};
@@ -12,19 +12,20 @@
 use crate::request::{Answer, Request, ResponseSlot};
 use std::time::Instant;
 
-/// From this many bytes on, an incomplete command is checked against the limit of all incomplete commands together.
+/// Incomplete commands of more bytes than this are checked against the limit for all incomplete commands together.
 const LARGE_PARTIAL_BYTES: usize = 16 << 10;
 
-/// Whether more messages are read after one.
+/// Whether to read further messages of a client.
 enum Progress {
     Continue,
     Stop,
-    /// The connection came to cancel a request, and ends.
+    /// The connection was made to cancel a request, and ends.
     Cancel(CancelKey),
 }
 
 impl Downstream {
-    /// A client's descriptor is ready. `ended`: the client has closed its side; answers to come are of no use to it.
+    /// Handles a client's descriptor that is ready. `ended`: the client has closed its side and needs no more
+    /// responses.
     pub fn ready(&mut self, key: Key, ended: bool, now: Instant, reactor: &Reactor) {
         if self.fill(key, ended) {
             self.handle_final_cancel(key, now);
@@ -34,7 +35,7 @@
         self.advance(key, now, reactor);
     }
 
-    /// Reads from the socket; whether the client has left.
+    /// Reads from the socket. Returns whether the client has left.
     fn fill(&mut self, key: Key, ended: bool) -> bool {
         let Some(client) = self.clients.get_mut(key) else {
             return false;
@@ -49,15 +50,15 @@
             return filled == ReadStatus::Ended || ended && is_exhausted;
         }
         if ended {
-            // What it sent before it left needs no answer, read or not.
+            // Requests that the client sent before it left need no answer, whether they were read or not.
             return true;
         }
         client.accepts_requests(&self.timeouts)
             && client.stream.fill(server::INPUT_LIMIT) == ReadStatus::Ended
     }
 
-    /// Reads what a client has sent until now, before its connection is closed: a request among it is owed an answer.
-    /// Returns whether anything came.
+    /// Reads the bytes that a client has sent until now, before its connection is closed: a request among them has to
+    /// be answered. Returns whether any bytes were read.
     pub(super) fn read_pending(&mut self, key: Key, now: Instant, reactor: &Reactor) -> bool {
         let Some(client) = self.clients.get_mut(key) else {
             return false;
@@ -78,7 +79,7 @@
         has_input
     }
 
-    /// Decodes what has come, as far as the client may have more requests.
+    /// Decodes the bytes that were read, as far as the client's limits allow more requests.
     pub(super) fn read(&mut self, key: Key, now: Instant) {
         let Some(client) = self.clients.get(key) else {
             return;
@@ -128,17 +129,16 @@
         client.has_requested_again = client.has_requested;
         client.has_requested = true;
         client.quiet_since = now;
-        // Whoever sends a request is a client.
+        // A connection that sends a request counts as a client, even if it comes from a balancer's network.
         let was_balancer = std::mem::take(&mut client.is_balancer);
         self.balancer_connections -= usize::from(was_balancer);
         self.events.push_back(Event::Request(slot, request));
     }
 
-    /// Answers a statement that is no request. The connection goes on.
+    /// Answers a statement that is not a request with an error. The connection stays open.
     fn reject_statement(&mut self, key: Key, reason: String, now: Instant) {
-        self.malformed_log.warn(now, || {
-            format!("front: a statement is not understood: {reason}")
-        });
+        self.malformed_log
+            .warn(now, || format!("front: statement not understood: {reason}"));
         self.malformed_statements += 1;
         if let Some(client) = self.clients.get_mut(key) {
             client.push_response(Some(server::response(Answer::Invalid(reason))));
@@ -146,16 +146,17 @@
         }
     }
 
-    /// What came is no message of the protocol: the connection ends.
+    /// Rejects a client whose bytes are not a message of the protocol: the connection ends.
     fn reject_malformed(&mut self, key: Key, reason: &Malformed, now: Instant) {
         self.malformed_log.warn(now, || {
-            format!("front: a client is not understood: {reason}")
+            format!("front: client message not understood: {reason}")
         });
         self.reject_client(key, server::protocol_violation(reason));
     }
 
-    /// Notes since when a command is incomplete. Rejects the client if incomplete commands of all clients together take
-    /// too much memory: each is within its limit, but many clients that begin one and never end it are not.
+    /// Records the time since which a command is incomplete. Rejects the client if the incomplete commands of all
+    /// clients together take too much memory: each command is within its limit, but many clients may start a command
+    /// and never complete it.
     fn check_partial(&mut self, key: Key, unread_before: usize, now: Instant) {
         let Some(client) = self.clients.get(key) else {
             return;
@@ -169,15 +170,14 @@
             }
         }
         if let Some(client) = self.clients.get_mut(key) {
-            // If any bytes were used up, what is left is the start of another command than before.
+            // If any bytes were consumed, the remaining bytes belong to another command than before.
             let since = client.partial_since.filter(|_| unread == unread_before);
             client.partial_since = since.or(Some(now)).filter(|_| is_partial);
         }
     }
 
-    /// Cancels the request that the session of this key waits for; there may be none.
-    /// A client has left before it began a session. If it came to cancel a request, it is of no matter that it did not wait for
-    /// the end of its connection.
+    /// Handles a cancel request of a client that has left without starting a session. The request is valid even though
+    /// the client did not wait for the end of its connection.
     fn handle_final_cancel(&mut self, key: Key, now: Instant) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -185,7 +185,8 @@
         if client.is_started || client.end.discard_budget().is_some() {
             return;
         }
-        // Its end is known; what came before it counts.
+        // The connection is known to have ended, so the result is ignored; bytes that arrived before the end still
+        // count.
         _ = client.stream.fill(server::INPUT_LIMIT);
         while !client.is_started {
             match decode_next(client, key, now) {
@@ -196,6 +197,7 @@
         }
     }
 
+    /// Cancels the request that the session with this key waits for, if any.
     fn cancel(&mut self, cancel_key: CancelKey) {
         let mut clients = self.clients.iter();
         let Some((key, client)) = clients.find(|(_, c)| c.cancel_key == cancel_key) else {
--- a/crates/leverproxy/src/downstream/state.rs
+++ b/crates/leverproxy/src/downstream/state.rs
@@ -16,10 +16,11 @@
 use std::os::fd::OwnedFd;
 use std::time::Instant;
 
-/// All clients. Every call that can have events leaves them for [`Downstream::next_event`].
+/// All clients. Events that a call causes are queued for [`Downstream::next_event`].
 pub struct Downstream {
     pub(super) listener: Option<OwnedFd>,
-    /// The listener is watched. It is not at the limit of clients, without descriptors, or once a new process accepts.
+    /// Whether the listener is watched. It is not watched at the limit of clients, without descriptors, or once a new
+    /// process accepts.
     pub(super) is_accepting: bool,
     pub(super) limits: Limits,
     pub(super) timeouts: ClientLimits,
@@ -27,30 +28,32 @@
     pub(super) events: VecDeque<Event>,
     pub(super) malformed_log: LogRateLimit,
     pub(super) descriptors_log: LogRateLimit,
-    /// Connections ended by the proxy: malformed input, no request in time, over the limit of clients, or no memory.
+    /// Number of connections that the proxy ended: malformed input, no request in time, above the limit of clients, or
+    /// no memory.
     pub rejected_clients: u64,
-    /// Statements that were answered with an error because they are no request.
+    /// Number of statements that were answered with an error because they are not requests.
     pub malformed_statements: u64,
-    /// Where to listen again after a drain.
+    /// The address to listen on, also to listen again after a drain.
     pub(super) address: SocketAddr,
-    /// Others may listen on the address too.
+    /// Whether other processes may listen on the address too.
     pub(super) is_address_shared: bool,
-    /// A new process accepts from the same queue. This one keeps the listener, in case the new one fails.
+    /// Whether a new process accepts from the same backlog. This process keeps the listener in case the new process
+    /// fails.
     pub(super) new_process_accepts: bool,
-    /// Networks from which balancers come whose connections only check.
+    /// Networks of balancers whose connections are health checks only.
     pub(super) balancer_networks: Vec<IpNet>,
     /// Networks whose connections begin with a PROXY protocol header.
     pub(super) proxy_header_networks: Vec<IpNet>,
-    /// Number of clients that are balancers' checks.
+    /// Number of connections that are balancers' health checks.
     pub(super) balancer_connections: usize,
-    /// Only what is under way is served: each client's connection closes once nothing is owed on it.
+    /// Whether the process drains: each client's connection is closed once no response is pending on it.
     pub(super) is_draining: bool,
     pub(super) cancel_keys: CancelKeys,
 }
 
 impl Downstream {
-    /// Listens with the old process's listener if it was inherited, else at `address`. `shared`: other processes may
-    /// listen there too.
+    /// Listens with the old process's listener if it was inherited, otherwise on `address`. `shared`: other processes
+    /// may listen on the address too.
     ///
     /// # Errors
     /// The address can't be listened on.
@@ -93,7 +96,7 @@
     /// Listens again, after [`Downstream::start_draining`].
     ///
     /// # Errors
-    /// The address can't be listened on. It is logged here; the caller tries again later.
+    /// The address can't be listened on. The error is logged here; the caller retries later.
     pub fn listen_again(&mut self, now: Instant, reactor: &Reactor) -> io::Result<()> {
         self.is_draining = false;
         if self.listener.is_some() {
@@ -108,7 +111,7 @@
         if let Err(error) = &added {
             let address = self.address;
             self.descriptors_log.warn(now, || {
-                format!("front: clients can't be listened to on {address}: {error}. It is tried again; see who listens there.")
+                format!("front: cannot listen for clients on {address}: {error}. Listening is retried; check which process uses the address.")
             });
         }
         (self.listener, self.is_accepting) = (Some(added?), true);
@@ -120,40 +123,40 @@
         self.events.pop_front()
     }
 
-    /// The address that clients connect to; none while nothing listens.
+    /// The address that clients connect to; `None` while there is no listener.
     pub fn local_address(&self) -> Option<SocketAddr> {
         listener::local_address(self.listener.as_ref()?)
     }
 
-    /// The listener; none while the process drains.
+    /// The listener; `None` while the process drains.
     pub fn listener(&self) -> Option<&OwnedFd> {
         self.listener.as_ref()
     }
 
-    /// Clients are to be served, but the address can't be listened on: [`Downstream::listen_again`] has failed.
+    /// Whether the listener is missing although the process does not drain: [`Downstream::listen_again`] has failed.
     pub fn is_listener_missing(&self) -> bool {
         self.listener.is_none() && !self.is_draining
     }
 
-    /// Number of connections, balancers' checks included.
+    /// Number of connections, including balancers' health checks.
     pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
-    /// Bytes of answers that clients have not taken.
+    /// Number of bytes of responses that the clients' sockets have not accepted.
     pub fn unsent_bytes(&self) -> usize {
         let clients = self.clients.iter();
         clients.map(|(_, client)| client.stream.unsent()).sum()
     }
 
-    /// Sets the networks of balancers that only check, and of those whose connections begin with a PROXY protocol
-    /// header. Open connections stay as they are.
+    /// Sets the networks of balancers that make health checks only, and of balancers whose connections begin with a
+    /// PROXY protocol header. Open connections are not affected.
     pub fn set_balancers(&mut self, checks: Vec<IpNet>, proxy_headers: Vec<IpNet>) {
         self.balancer_networks = checks;
         self.proxy_header_networks = proxy_headers;
     }
 
-    /// Sets limits and timeouts. Above a lower limit, clients stay until they leave or give way.
+    /// Sets limits and timeouts. Clients above a lowered limit stay until they leave or are evicted.
     pub fn set_limits(&mut self, limits: Limits, timeouts: ClientLimits) {
         (self.limits, self.timeouts) = (limits, timeouts);
     }
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -1,4 +1,4 @@
-//! Answers and chunks of answers to a client.
+//! Writes responses and chunks of responses to a client.
 
 use super::client::PendingResponse;
 use super::connection_end::CloseReason;
@@ -11,13 +11,15 @@
 use crate::request::{Answer, ResponseSlot};
 use std::time::Instant;
 
-/// Bytes of a chunked answer that wait for its client, while those of all clients are within their part of the memory.
+/// Number of unsent bytes of a chunked response at which no more chunks are accepted, while the unsent bytes of all
+/// clients are within their memory limit.
 const STREAM_WINDOW: usize = 64 << 10;
-/// The same while they are not. Less would cost more calls than bytes.
+/// The corresponding number of bytes while the unsent bytes of all clients exceed their memory limit. A smaller window
+/// would need too many system calls for its bytes.
 const REDUCED_STREAM_WINDOW: usize = 4 << 10;
 
 impl Downstream {
-    /// Sets the final answer to a request. It goes out once all before it on the connection have.
+    /// Sets the final answer to a request. It is sent after all earlier responses on the connection.
     pub fn answer(&mut self, slot: ResponseSlot, answer: Answer, now: Instant, reactor: &Reactor) {
         let Some(client) = self.clients.get_mut(slot.client) else {
             return;
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Writes a chunk of an answer. False: no more may come until [`Event::Writable`].
+    /// Writes a chunk of a response. Returns false if no more chunks may be sent until [`Event::Writable`].
     pub fn send_chunk(
         &mut self,
         slot: ResponseSlot,
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Ends an answer that has begun and won't be completed. The client can tell by the end of its connection.
+    /// Ends a response that has begun and cannot be completed. The connection is closed, so that the client detects the
+    /// truncated response.
     pub fn abort_response(&mut self, slot: ResponseSlot, now: Instant, reactor: &Reactor) {
         let Some(client) = self.clients.get_mut(slot.client) else {
             return;
@@ -96,14 +99,15 @@
         self.advance(slot.client, now, reactor);
     }
 
-    /// Writes what is due to a client, and goes on with its connection: reads more requests, or closes it.
+    /// Writes the available responses to a client, and then reads more requests or closes the connection.
     pub(super) fn advance(&mut self, key: Key, now: Instant, reactor: &Reactor) {
-        // Once a call: a client that never stops sending must not hold the loop.
+        // Input is read at most once per call, so that a client that sends continuously does not block the event loop.
         let mut has_read = false;
         while self.advance_once(key, &mut has_read, now, reactor) {}
     }
 
-    /// Whether to write again: more requests were read, and some of them may be answered already.
+    /// Writes once. Returns whether to write again, since more requests were read and some of them may be answered
+    /// already.
     fn advance_once(
         &mut self,
         key: Key,
@@ -131,7 +135,8 @@
         let Some(client) = self.clients.get_mut(key) else {
             return false;
         };
-        // Commands that had to wait for their place are in the buffer, not in the socket: no event tells of them.
+        // Commands that had to wait because of the client's limits are in the buffer, not in the socket, so no event
+        // reports them.
         let accepts_again = was_full && client.accepts_requests(&self.timeouts);
         if accepts_again && !client.stream.input.is_empty() {
             self.read(key, now);
@@ -141,7 +146,7 @@
         false
     }
 
-    /// Asks for more chunks, once the client has taken half of its window.
+    /// Requests more chunks once the unsent bytes of a client have dropped to half of its window.
     fn resume_chunks(&mut self, key: Key) {
         let Some(client) = self.clients.get(key) else {
             return;
@@ -151,7 +156,7 @@
             Some(PendingResponse::Streaming(_))
         );
         let unsent = client.stream.unsent();
-        // The window is a sum over all clients: looked at last.
+        // The window depends on a sum over all clients, so it is computed last.
         if !client.is_backpressured
             || !is_streaming
             || unsent > STREAM_WINDOW / 2
@@ -169,7 +174,8 @@
         }
     }
 
-    /// Everything is written: the connection closes if it is to. True: a request has come before that.
+    /// Closes a connection that is due to close, once everything is written. Returns true if a request has arrived
+    /// before.
     fn close_if_done(
         &mut self,
         key: Key,
--- a/crates/leverproxy/src/upstream/connection.rs
+++ b/crates/leverproxy/src/upstream/connection.rs
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// A connection that is dialled, idle or in use.
+/// A connection that is being dialled, idle or in use.
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) server: ServerId,
     pub(super) address: SocketAddr,
     pub(super) state: State,
-    /// When the present state has lasted too long.
+    /// Time at which the current state times out.
     pub(super) deadline: Instant,
 }
 
-/// What a connection is used for.
+/// The state of a connection.
 pub(super) enum State {
     Connecting,
     /// Established; the server's greeting is not complete.
@@ -32,19 +32,19 @@
 pub(super) struct ActiveExchange {
     pub(super) exchange: Exchange,
     pub(super) reader: ResponseReader,
-    /// The socket has taken its last byte: from now on the request may have run.
+    /// The request is written to the socket in full: from then on the server may have executed it.
     pub(super) written: bool,
-    /// Some of the response has arrived.
+    /// Part of the response has arrived.
     pub(super) response_started: bool,
     pub(super) streaming: Streaming,
 }
 
-/// Whether a response is passed on in chunks.
+/// Whether a response is forwarded to the client in chunks.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Streaming {
     No,
     Active,
-    /// The client's buffer is full; nothing is read.
+    /// The client's buffer is full, so the response is not read.
     Paused,
 }
 
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Whether it has an exchange whose request is written in full.
+    /// Whether the connection has an exchange whose request is written in full.
     pub(super) fn is_written(&self) -> bool {
         self.active().is_some_and(|active| active.written)
     }
 
-    /// Whether it has an exchange whose request is not written in full.
+    /// Whether the connection has an exchange whose request is not written in full.
     pub(super) fn is_unwritten(&self) -> bool {
         self.active().is_some_and(|active| !active.written)
     }
@@ -94,21 +94,21 @@
             .map_or(Streaming::No, |active| active.streaming)
     }
 
-    /// Parses the bytes that have arrived; returns how many are used, and whether the response is complete.
+    /// Parses the bytes that have arrived; returns the number of bytes used, and whether the response is complete.
     pub(super) fn parse(&mut self) -> Result<(usize, bool), Malformed> {
         let input = self.stream.input.unused();
         match &mut self.state {
             State::Connecting => Ok((0, false)),
             State::Idle if input.is_empty() => Ok((0, false)),
-            State::Idle => Err(Malformed("bytes that nobody asked for".into())),
+            State::Idle => Err(Malformed("unexpected bytes on an idle connection".into())),
             State::Handshake(reader) => reader.parse(input),
             State::Busy(active) => active.reader.parse(input),
         }
     }
 }
 
-/// The outcome of an error that the server sends before a request is written in full: no request has run on the
-/// connection, whatever the error is.
+/// The outcome of an error message that the server sends before a request is written in full. Whatever the error is,
+/// the server has not executed the request.
 pub(super) fn rejection_outcome(reader: &ResponseReader) -> ExchangeOutcome {
     if reader.is_rejected() {
         ExchangeOutcome::Rejected
--- a/crates/leverproxy/src/upstream/dial.rs
+++ b/crates/leverproxy/src/upstream/dial.rs
@@ -1,4 +1,4 @@
-//! Dials: how many are made at a time, what ends them, and the pause while this machine lacks a resource.
+//! Dials: their limits, their completion or failure, and the backoff while this machine lacks a resource.
 
 use super::connection::{Connection, State};
 use super::events::{HealthSignal, UpstreamTimer};
@@ -17,11 +17,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Dials under way to one server. Further exchanges wait for these, or for a connection that becomes free.
+/// Maximum number of dials in progress to one server. Further exchanges wait for one of these dials or for a connection
+/// that becomes free.
 const MAX_PARALLEL_DIALS: usize = 32;
 
 impl Upstream {
-    /// Dials until each queued exchange has a dial under way, within the limits.
+    /// Dials until each queued exchange has a dial in progress, within the limits.
     pub(super) fn dial_for_queue(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
         while let Some(pool) = self.pools.get_mut(&server) {
             let enough = pool.queue.len() <= pool.dialling || pool.dialling >= MAX_PARALLEL_DIALS;
@@ -30,7 +31,7 @@
             }
             let address = pool.address;
             if self.connections.len() >= self.connection_limit && !self.evict_idle() {
-                // Queued exchanges get the next connection that becomes free, or expire.
+                // Queued exchanges wait for the next connection that becomes free, or expire.
                 return;
             }
             match self.dial(server, address, now, reactor) {
@@ -45,16 +46,16 @@
         }
     }
 
-    /// Pauses the dials while this machine lacks a resource for them. Exchanges stay queued, and the server is not
-    /// blamed.
+    /// Pauses the dials to a server while this machine lacks a resource for them. Exchanges stay queued, and the
+    /// shortage does not count as a failure of the server.
     fn back_off_dials(&mut self, server: ServerId, errno: Errno, now: Instant) {
         let Some(pool) = self.pools.get_mut(&server) else {
             return;
         };
         let until = now + RETRY_PAUSE;
         pool.dial_backoff_until = Some(until);
-        // No client waits for a probe, and its time begins with the dial: reported as failed, it would put its server
-        // into backoff.
+        // The time limit of a probe begins with its dial, and no client waits for the probe. If the probe were reported
+        // as failed, its server would be put into backoff.
         let is_probe = |exchange: &&mut Exchange| exchange.purpose == Purpose::Probe;
         for probe in pool.queue.iter_mut().filter(is_probe) {
             probe.restart(now);
@@ -103,7 +104,7 @@
             Err(error @ DialError::ResourceShortage(_)) => {
                 self.shortage_log.warn(now, || {
                     format!(
-                        "upstream: cannot dial {address}: {error}. It is tried again until its time is over."
+                        "upstream: cannot dial {address}: {error}. The dial is retried until the exchange's deadline."
                     )
                 });
             }
@@ -111,7 +112,7 @@
         dialled
     }
 
-    /// The machine has the resources again. Probes whose time was restarted need a timer of their own.
+    /// Ends the backoff: this machine has the resources again. Probes that were restarted need a timer of their own.
     fn end_dial_backoff(&mut self, server: ServerId, deadline: Instant) {
         let pool = self.pools.get_mut(&server);
         if pool.is_some_and(|pool| pool.dial_backoff_until.take().is_some()) {
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Finishes the dial of a connection that is called ready, and begins the handshake; false if it is not established.
+    /// Finishes the dial of a connection that epoll reports as ready, and begins the handshake. Returns false if the
+    /// connection is not established.
     pub(super) fn finish_dial(&mut self, key: Key, now: Instant, reactor: &Reactor) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
@@ -145,7 +147,7 @@
             }
             Ok(false) => self.watch_dial(key, now, reactor),
             Err(DialError::ResourceShortage(errno)) => {
-                log::debug!("upstream: dial failed, this machine lacks a resource: {errno}");
+                log::debug!("upstream: dial failed because this machine lacks a resource: {errno}");
                 self.connections.remove(key);
                 self.end_dial(server);
                 self.back_off_dials(server, errno, now);
@@ -161,22 +163,22 @@
         false
     }
 
-    /// Counts a dial as over.
+    /// Removes a dial from the server's number of dials in progress.
     pub(super) fn end_dial(&mut self, server: ServerId) {
         if let Some(pool) = self.pools.get_mut(&server) {
             pool.dialling = pool.dialling.saturating_sub(1);
         }
     }
 
-    /// Whether a server may be dialled only to see whether its machine is reachable.
+    /// Whether a server may be dialled merely to test whether its machine is reachable.
     pub fn may_probe_reachability(&self, server: ServerId) -> bool {
         let pool = self.pools.get(&server);
         pool.is_some_and(|pool| pool.dialling == 0)
             && self.connections.len() < self.connection_limit
     }
 
-    /// Dials a server to see whether its machine is reachable. It is not dialled if this machine lacks a resource: the
-    /// next probe will do.
+    /// Dials a server to test whether its machine is reachable. The dial is skipped if this machine lacks a resource;
+    /// the next probe tries again.
     pub fn probe_reachability(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
         if let Some(address) = self.pools.get(&server).map(|pool| pool.address) {
             _ = self.dial(server, address, now, reactor);
@@ -184,7 +186,7 @@
     }
 }
 
-/// Whether an error of a dial was the other machine's answer.
+/// Whether the error of a dial was a response of the remote machine.
 fn machine_responded(error: &DialError) -> bool {
     matches!(
         error,
--- a/crates/leverproxy/src/upstream/events.rs
+++ b/crates/leverproxy/src/upstream/events.rs
@@ -1,12 +1,13 @@
-//! What the connections report to their host, besides ended exchanges: timers to set, and health signals.
+//! Reports of the upstream connections to the event loop, other than completed exchanges: timers to set, and health
+//! signals.
 
 use crate::event_loop::slab::Key;
 use routing::ServerId;
 
-/// What to check when a timer is due.
+/// The check to make when a timer is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpstreamTimer {
-    /// Whether the state of a connection has lasted too long.
+    /// Whether the current state of a connection has timed out.
     Connection(Key),
     /// Whether a server's queued exchanges have expired.
     Queue(ServerId),
--- a/crates/leverproxy/src/upstream/exchange.rs
+++ b/crates/leverproxy/src/upstream/exchange.rs
@@ -13,25 +13,26 @@
     pub class: Option<ClassId>,
     /// The request's group; a probe has none.
     pub group: Option<GroupId>,
-    /// What the server is asked.
+    /// The query sent to the server.
     pub query: UpstreamQuery,
     /// When the exchange was started.
     pub started: Instant,
-    /// Nobody waits for the response after this.
+    /// Time after which the response is no longer needed.
     pub deadline: Instant,
-    /// It is dropped unsent unless it is written in full by then.
+    /// Time by which the request has to be written in full; otherwise the exchange is dropped as not sent.
     pub write_deadline: Instant,
 }
 
 impl Exchange {
-    /// The latest time that it is queued for a connection.
+    /// Time until which the exchange may be queued for a connection.
     pub(super) fn queue_deadline(&self, dial_timeout: Duration) -> Instant {
         self.deadline
             .min(self.write_deadline)
             .min(self.started + dial_timeout)
     }
 
-    /// Starts the time of a probe anew, with the same length. Not for attempts: their write deadline is the request's.
+    /// Restarts the time limit of a probe, with the same duration. Not for attempts: their write deadline is that of
+    /// the request.
     pub(super) fn restart(&mut self, now: Instant) {
         let allowed = self.deadline.saturating_duration_since(self.started);
         self.started = now;
@@ -39,7 +40,7 @@
         self.write_deadline = now + allowed;
     }
 
-    /// The report of its end.
+    /// The report of the exchange's completion.
     pub(super) fn completed(
         self,
         server: ServerId,
--- a/crates/leverproxy/src/upstream/mod.rs
+++ b/crates/leverproxy/src/upstream/mod.rs
@@ -1,20 +1,20 @@
 //! Connections to the record servers: a pool for each server, dials, and the exchanges on the connections.
 //!
-//! An exchange takes the connection that was used last, or is queued for the first one that is established or becomes
-//! free. Nothing is sent a second time from here: an exchange that cannot be completed is reported with its outcome, and
-//! the decision module decides on a retry.
+//! An exchange takes the most recently used idle connection, or is queued for the first connection that is established
+//! or becomes free. This module does not retry: an exchange that cannot be completed is reported with its outcome, and
+//! the decision module decides whether to retry the request.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `exchange` | one request and its response |
 //! | `connection` | the state of one connection |
 //! | `pool` | the connections and the queue of one server |
-//! | `queue` | which connection an exchange gets, expiry, cancellation |
-//! | `dial` | dials, their limits, and the pause after a failure of this machine |
+//! | `queue` | assignment of exchanges to connections, expiry, cancellation |
+//! | `dial` | dials, their limits, and the backoff while this machine lacks a resource |
 //! | `transfer` | writing requests, reading responses, the end of a connection |
-//! | `streaming` | large responses, which are passed on in chunks |
+//! | `streaming` | large responses, which are forwarded in chunks |
 //! | `timers` | deadlines of connections and queues |
-//! | `events` | timers to set, and what dials tell about a server's machine |
+//! | `events` | timers to set, and health signals about a server's machine |
 
 mod connection;
 mod dial;
@@ -38,28 +38,28 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// All connections to record servers, and what they have to report.
+/// All connections to record servers, with their reports that the event loop has not taken yet.
 pub struct Upstream {
     connections: Slab<Connection>,
     pools: BTreeMap<ServerId, Pool>,
     completed: VecDeque<CompletedExchange>,
     chunks: VecDeque<ResponseChunk>,
     signals: VecDeque<HealthSignal>,
-    /// Timers that the host has not set yet.
+    /// Timers that the event loop has not set yet.
     timers: Vec<(Instant, UpstreamTimer)>,
     malformed_log: LogRateLimit,
     shortage_log: LogRateLimit,
     connection_limit: usize,
     dial_timeout: Duration,
     idle_timeout: Duration,
-    /// Dials since the start.
+    /// Number of dials since the start of the process.
     pub dials: u64,
-    /// Attempts of requests that were written in full, since the start.
+    /// Number of attempts that were written in full since the start of the process.
     pub attempts: u64,
 }
 
 impl Upstream {
-    /// No servers yet. `connection_limit`: connections to all servers together.
+    /// Creates an instance without servers. `connection_limit`: maximum number of connections to all servers together.
     pub fn new(
         connection_limit: usize,
         dial_timeout: Duration,
@@ -82,13 +82,13 @@
         }
     }
 
-    /// The next exchange that has ended.
+    /// The next completed exchange.
     pub fn pop_completed(&mut self) -> Option<CompletedExchange> {
         self.completed.pop_front()
     }
 
-    /// The next chunk of a large response. All chunks have to be taken before [`Upstream::pop_completed`], which reports
-    /// the end of the response.
+    /// The next chunk of a large response. All chunks have to be taken before [`Upstream::pop_completed`] is called,
+    /// since it reports the end of the response.
     pub fn pop_chunk(&mut self) -> Option<ResponseChunk> {
         self.chunks.pop_front()
     }
@@ -98,12 +98,12 @@
         self.signals.pop_front()
     }
 
-    /// The timers that the host has to set; each goes to [`Upstream::handle_timer`] when it is due.
+    /// The timers that the event loop has to set. Each is passed to [`Upstream::handle_timer`] when it is due.
     pub fn take_timers(&mut self) -> Vec<(Instant, UpstreamTimer)> {
         std::mem::take(&mut self.timers)
     }
 
-    /// The number of connections, dials under way included.
+    /// The number of connections, including dials in progress.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
--- a/crates/leverproxy/src/upstream/pool.rs
+++ b/crates/leverproxy/src/upstream/pool.rs
@@ -12,9 +12,9 @@
     /// Idle connections, the most recently used last.
     pub(super) idle: Vec<Key>,
     pub(super) queue: VecDeque<Exchange>,
-    /// Dials under way.
+    /// Number of dials in progress.
     pub(super) dialling: usize,
-    /// This machine lacked a resource for the last dial: none is made before this.
+    /// Set while this machine lacked a resource for the last dial: the time before which no dial is made.
     pub(super) dial_backoff_until: Option<Instant>,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes the exchanges whose time in the queue is over.
+    /// Takes the exchanges whose queue deadline has passed.
     pub(super) fn take_expired(
         &mut self,
         dial_timeout: Duration,
--- a/crates/leverproxy/src/upstream/queue.rs
+++ b/crates/leverproxy/src/upstream/queue.rs
@@ -1,4 +1,4 @@
-//! Queued exchanges: which connection they get, when they expire, and how they are cancelled.
+//! Queued exchanges: their assignment to connections, their expiry and their cancellation.
 
 use super::events::UpstreamTimer;
 use super::exchange::Exchange;
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Removes a server that is draining or gone. Exchanges that are not written in full end as never sent; those that
-    /// are go on.
+    /// Removes a server that is draining or gone. Exchanges that are not written in full end as not sent; exchanges
+    /// that are written in full continue.
     pub fn remove_server(&mut self, server: ServerId, now: Instant) {
         let Some(mut pool) = self.pools.remove(&server) else {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Starts an exchange on an idle connection, or queues it for the next one.
+    /// Starts an exchange on an idle connection, or queues the exchange for the next free connection.
     pub fn start(&mut self, server: ServerId, exchange: Exchange, now: Instant, reactor: &Reactor) {
         let Some(pool) = self.pools.get_mut(&server) else {
             return self.finish(exchange, server, ExchangeOutcome::NotSent, now);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Gives queued exchanges the idle connections, and dials for the rest.
+    /// Assigns idle connections to queued exchanges, and dials for the remaining exchanges.
     pub(super) fn serve_queue(&mut self, server: ServerId, now: Instant, reactor: &Reactor) {
         self.expire_queued(server, now);
         while let Some(pool) = self.pools.get_mut(&server) {
@@ -79,8 +79,8 @@
         self.dial_for_queue(server, now, reactor);
     }
 
-    /// Whether an idle connection is still open. Its end may not have been noticed yet: a request that is written after
-    /// it would count as one that may have run.
+    /// Whether an idle connection is still open. The server may have closed it without an event having been handled
+    /// yet; a request written after that would count as possibly executed.
     fn is_reusable(&mut self, key: Key) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
@@ -88,7 +88,7 @@
         connection.stream.fill(1) != ReadStatus::Ended && connection.stream.input.is_empty()
     }
 
-    /// Ends the exchanges that were queued for too long. A dial that is established after that must not carry them.
+    /// Ends the exchanges that were queued for too long, so that a connection established later does not send them.
     pub(super) fn expire_queued(&mut self, server: ServerId, now: Instant) {
         let dial_timeout = self.dial_timeout;
         let Some(pool) = self.pools.get_mut(&server) else {
@@ -96,7 +96,7 @@
         };
         let backing_off = pool.dial_backoff_until.is_some();
         for exchange in pool.take_expired(dial_timeout, now) {
-            // A server that was not dialled, or not for the whole timeout, does not count as unreachable.
+            // A server counts as unreachable only if it was dialled for the whole dial timeout.
             let dial_deadline = exchange.deadline.min(exchange.started + dial_timeout);
             let outcome = if backing_off || now < dial_deadline {
                 ExchangeOutcome::NotSent
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Closes the idle connection that would time out first; false if there is none.
+    /// Closes the idle connection that would time out first. Returns false if no connection is idle.
     pub(super) fn evict_idle(&mut self) -> bool {
         let oldest = self
             .connections
@@ -122,14 +122,14 @@
         self.connections.remove(key).is_some()
     }
 
-    /// Takes a connection out of its server's idle ones.
+    /// Removes a connection from the idle connections of its server.
     pub(super) fn remove_idle(&mut self, server: ServerId, key: Key) {
         if let Some(pool) = self.pools.get_mut(&server) {
             pool.idle.retain(|&idle| idle != key);
         }
     }
 
-    /// Ends the exchange that has been queued longest. A failed dial does so with one exchange.
+    /// Ends the exchange that has been queued longest. Each failed dial ends one exchange.
     pub(super) fn fail_first_queued(
         &mut self,
         server: ServerId,
@@ -140,8 +140,8 @@
             return;
         };
         let exchange = pool.queue.pop_front();
-        // Exchanges beyond the limit of parallel dials have no dial of their own: without this timer nothing would serve
-        // them until their time is over.
+        // Exchanges beyond the limit of parallel dials have no dial of their own. Without this timer they would stay
+        // queued until they expire.
         if pool.queue.len() > pool.dialling {
             self.timers.push((now, UpstreamTimer::Queue(server)));
         }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Cancels an exchange; its connection is closed if it is on one.
+    /// Cancels an exchange. If the exchange has a connection, the connection is closed.
     pub fn cancel(&mut self, purpose: Purpose, now: Instant) {
         if let Some(key) = self.find_active(|exchange, _| exchange.purpose == purpose) {
             return self.close(key, ExchangeOutcome::Cancelled, now);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Cancels the attempts of a request that are not written in full; those that are go on.
+    /// Cancels the attempts of a request that are not written in full; attempts that are written in full continue.
     pub fn cancel_unwritten(&mut self, id: RequestId, now: Instant) {
         let of_request =
             |exchange: &Exchange| matches!(exchange.purpose, Purpose::Attempt(of, _) if of == id);
@@ -172,7 +172,8 @@
         }
     }
 
-    /// The first connection with an exchange that fits; the predicate is also given whether it is written in full.
+    /// The first connection whose exchange matches the predicate, which gets the exchange and whether it is written in
+    /// full.
     fn find_active(&self, fits: impl Fn(&Exchange, bool) -> bool) -> Option<Key> {
         self.connections
             .iter()
@@ -184,7 +185,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Takes the first fitting exchange out of each queue.
+    /// Removes the first matching exchange from each queue.
     fn take_queued(&mut self, fits: impl Fn(&Exchange) -> bool) -> Vec<(ServerId, Exchange)> {
         let mut taken = Vec::new();
         for (&server, pool) in &mut self.pools {
@@ -195,7 +196,7 @@
         taken
     }
 
-    /// Reports the end of an exchange that has no response.
+    /// Reports the completion of an exchange without a response.
     pub(super) fn finish(
         &mut self,
         exchange: Exchange,
--- a/crates/leverproxy/src/upstream/streaming.rs
+++ b/crates/leverproxy/src/upstream/streaming.rs
@@ -1,4 +1,5 @@
-//! Responses that are too large to be buffered: they are passed on in chunks, and paused while the client is slow.
+//! Responses that are too large to be buffered: they are forwarded in chunks, and reading them is paused while the
+//! client is slow.
 
 use super::connection::{State, Streaming};
 use super::events::UpstreamTimer;
@@ -10,14 +11,14 @@
 use crate::request::{ExchangeOutcome, Purpose, ResponseChunk};
 use std::time::{Duration, Instant};
 
-/// A response that is passed on in chunks goes on within this. Its server may be slow, and no other one can continue it;
-/// but a machine that has fallen silent must not hold its client for good.
+/// Longest time between two chunks of a response that is forwarded in chunks. The server may be slow, and no other
+/// server can continue the response, but a machine that has stopped responding must not block its client forever.
 const CHUNK_STALL: Duration = Duration::from_secs(5);
-/// Bytes that are read at a time of such a response, so that other connections get their turn.
+/// Maximum number of bytes that are read at a time of such a response, so that other connections are not starved.
 pub(super) const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 impl Upstream {
-    /// Passes on what has arrived of a large response.
+    /// Forwards the bytes that have arrived of a large response.
     pub(super) fn forward_chunk(&mut self, key: Key, now: Instant) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -55,7 +56,7 @@
         };
         if let State::Busy(active) = &mut connection.state {
             active.streaming = Streaming::Paused;
-            // The client's own timeout applies now.
+            // The timeout for unread responses of the client applies instead.
             connection.deadline = deadline_after(now, Duration::MAX);
             connection.stream.unwatch(reactor);
         }
@@ -76,7 +77,7 @@
         connection.deadline = now + CHUNK_STALL;
         self.timers
             .push((connection.deadline, UpstreamTimer::Connection(key)));
-        // What has arrived meanwhile is read when epoll reports it.
+        // Bytes that have arrived meanwhile are read when epoll reports them.
         let token = Token::Upstream(key);
         let watched = connection.stream.watch(reactor, token, Interest::READ);
         if watched.is_err() {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Closes the connection of a response whose rest nobody wants.
+    /// Closes the connection of a response whose remainder is no longer needed.
     pub fn abandon_response(&mut self, key: Key, now: Instant) {
         self.close(key, ExchangeOutcome::Cancelled, now);
     }
--- a/crates/leverproxy/src/upstream/timers.rs
+++ b/crates/leverproxy/src/upstream/timers.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 impl Upstream {
-    /// Handles a timer of [`Upstream::take_timers`] that is due.
+    /// Handles a due timer that came from [`Upstream::take_timers`].
     pub fn handle_timer(&mut self, kind: UpstreamTimer, now: Instant, reactor: &Reactor) {
         match kind {
             UpstreamTimer::Connection(key) => self.check_connection(key, now, reactor),
@@ -26,7 +26,7 @@
         };
         let (server, deadline) = (connection.server, connection.deadline);
         if deadline > now {
-            // Chunks move the deadline without a timer of their own.
+            // Each chunk extends the deadline without setting a timer.
             if connection.streaming() == Streaming::Active {
                 self.timers.push((deadline, UpstreamTimer::Connection(key)));
             }
@@ -41,7 +41,7 @@
             }
             State::Busy(_) | State::Idle => self.close(key, ExchangeOutcome::ConnectFailed, now),
             State::Connecting | State::Handshake(_) => {
-                // Queued exchanges have deadlines of their own: a slow dial ends none of them.
+                // Queued exchanges have their own deadlines, so a dial that times out does not end any of them.
                 self.connections.remove(key);
                 self.end_dial(server);
                 self.dial_for_queue(server, now, reactor);
--- a/crates/leverproxy/src/upstream/transfer.rs
+++ b/crates/leverproxy/src/upstream/transfer.rs
@@ -1,4 +1,4 @@
-//! Requests written, responses read, and what becomes of an exchange when its connection ends.
+//! Writing requests, reading responses, and the outcome of an exchange whose connection ends.
 
 use super::connection::{rejection_outcome, ActiveExchange, State, Streaming};
 use super::events::UpstreamTimer;
@@ -17,12 +17,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A response that has begun goes on within this, however long its client waits. It is well under the latency objectives,
-/// so that a retry can still meet them; record servers write a response in one go.
+/// Longest pause within a response that has begun, regardless of the client's deadline. Record servers write a response
+/// without pauses. The timeout is well below the latency objectives, so that a retry can still meet them.
 const RESPONSE_STALL: Duration = Duration::from_millis(40);
 
-/// A request that the socket does not take at once is written within this. The time left that it tells its server is
-/// computed when the first byte is written.
+/// Time limit for writing a request that the socket does not accept at once. The remaining time that the request states
+/// to its server is computed when the first byte is written, and is too large if the write is slow.
 const WRITE_STALL: Duration = Duration::from_millis(100);
 
 impl Upstream {
@@ -31,7 +31,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // From now: the dial took its time, and the client has less left.
+        // Computed from now, since the dial has used up part of the client's time.
         let time_left = exchange.deadline.saturating_duration_since(now);
         connection
             .stream
@@ -45,7 +45,7 @@
         self.advance(key, now, reactor);
     }
 
-    /// Handles a connection that epoll calls ready.
+    /// Handles a connection that epoll reports as ready.
     pub fn ready(&mut self, key: Key, now: Instant, reactor: &Reactor) {
         let Some(connection) = self.connections.get(key) else {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The request is written in full.
+    /// Notes that the request is written in full.
     fn mark_written(&mut self, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -106,7 +106,7 @@
             .push((connection.deadline, UpstreamTimer::Connection(key)));
     }
 
-    /// Reads from the socket; none while the response is paused.
+    /// Reads from the socket. Returns `None` while reading the response is paused.
     fn fill(&mut self, key: Key) -> Option<ReadStatus> {
         let connection = self.connections.get_mut(key)?;
         let limit = match connection.streaming() {
@@ -117,7 +117,7 @@
         Some(connection.stream.fill(limit))
     }
 
-    /// Parses what was read; returns the number of bytes used, and whether the response is complete.
+    /// Parses the bytes that were read; returns the number of bytes used, and whether the response is complete.
     fn consume(&mut self, key: Key) -> Result<(usize, bool), Malformed> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok((0, false));
@@ -127,7 +127,8 @@
         Ok((used, complete))
     }
 
-    /// A response that has begun, and is not passed on in chunks, has to go on within [`RESPONSE_STALL`].
+    /// Extends the deadline of a response that has begun and is not forwarded in chunks: its next bytes have to arrive
+    /// within [`RESPONSE_STALL`].
     fn note_progress(&mut self, key: Key, consumed: usize, now: Instant) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -145,7 +146,7 @@
             .push((connection.deadline, UpstreamTimer::Connection(key)));
     }
 
-    /// Watches the connection for bytes, and for room to write if there is more to write.
+    /// Watches the connection for bytes to read and, if `write` is set, for room to write.
     fn watch(&mut self, key: Key, write: bool, now: Instant, reactor: &Reactor) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -159,7 +160,8 @@
         }
     }
 
-    /// The server is ready for the next request: the connection is free again.
+    /// Handles a complete response or greeting: the server is ready for the next request, and the connection becomes
+    /// idle.
     fn complete(&mut self, key: Key, ended: bool, now: Instant, reactor: &Reactor) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -187,7 +189,7 @@
         self.serve_queue(server, now, reactor);
     }
 
-    /// Watches an idle connection; false if it cannot be used again.
+    /// Watches an idle connection. Returns false if the connection cannot be reused.
     fn watch_idle(&mut self, key: Key, reactor: &Reactor) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
@@ -200,7 +202,7 @@
                 .is_ok()
     }
 
-    /// Makes a connection available again, unless its server has been removed or has another address.
+    /// Returns a connection to its pool, or closes it if its server has been removed or has another address.
     fn return_to_pool(&mut self, key: Key, server: ServerId, address: SocketAddr, now: Instant) {
         let pool = self.pools.get_mut(&server);
         let Some(pool) = pool.filter(|pool| pool.address == address) else {
@@ -212,7 +214,7 @@
         self.timers.push((deadline, UpstreamTimer::Connection(key)));
     }
 
-    /// Closes a connection that has ended.
+    /// Closes a connection that has failed or that its server has ended.
     pub(super) fn close_broken(&mut self, key: Key, now: Instant) {
         let connection = self.connections.get(key);
         let outcome = if connection.is_some_and(|connection| connection.is_written()) {
@@ -225,13 +227,14 @@
 
     fn reject_malformed(&mut self, key: Key, error: &Malformed, now: Instant) {
         if let Some(address) = self.connections.get(key).map(|c| c.address) {
-            let text = || format!("upstream: {address} is not understood: {error}");
+            let text = || format!("upstream: response of {address} not understood: {error}");
             self.malformed_log.warn(now, text);
         }
         self.close_malformed(key, now);
     }
 
-    /// Closes a connection with an incomplete or malformed response. What arrived before on it is not trusted either.
+    /// Closes a connection with an incomplete or malformed response. The part of the response that arrived before is
+    /// discarded too.
     pub(super) fn close_malformed(&mut self, key: Key, now: Instant) {
         let connection = self.connections.get_mut(key);
         match connection.and_then(|connection| connection.active_mut()) {
@@ -243,7 +246,8 @@
         }
     }
 
-    /// Closes a connection. Its exchange ends with `outcome`, unless an error message from the server says more.
+    /// Closes a connection. Its exchange ends with `outcome`, unless an error message from the server determines
+    /// another.
     pub(super) fn close(&mut self, key: Key, outcome: ExchangeOutcome, now: Instant) {
         let Some(connection) = self.connections.remove(key) else {
             return;
@@ -269,7 +273,7 @@
         }
     }
 
-    /// Reports the end of an exchange with the outcome that its response gives.
+    /// Reports the completion of an exchange with the outcome of its response.
     fn finish_with_response(&mut self, active: ActiveExchange, server: ServerId, now: Instant) {
         let ActiveExchange {
             exchange, reader, ..
@@ -280,7 +284,7 @@
     }
 }
 
-/// The outcome that an error message from the server gives; else `outcome`.
+/// The outcome of the server's error message if one has arrived, otherwise `outcome`.
 fn unless_rejected(reader: &ResponseReader, outcome: ExchangeOutcome) -> ExchangeOutcome {
     if reader.has_error() {
         rejection_outcome(reader)
