--- a/crates/leverproxy/src/clock/mod.rs
+++ b/crates/leverproxy/src/clock/mod.rs
@@ -1,5 +1,5 @@
-//! Unix time. It is read from the system once, when the process starts, and continued by the monotonic clock, so that a step
-//! of the system's clock moves no deadline. How far it may be wrong is estimated by [`skew`].
+//! Unix time. The system's clock is read once, when the process starts, and advanced by the monotonic clock, so that a
+//! step of the system's clock does not move deadlines. [`skew`] estimates the error of the resulting time.
 
 pub mod skew;
 
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Where wall-clock time is read: by default the system's clock, in tests a clock of their own.
+/// The source of wall-clock time: by default the system's clock, in tests a clock that the test controls.
 #[derive(Clone)]
 pub struct WallClock(Arc<dyn Fn() -> SystemTime + Send + Sync>);
 
@@ -36,18 +36,18 @@
     }
 }
 
-/// The Unix time of this process.
+/// The clock of this process, which provides Unix time.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// When the wall clock was read.
+    /// The instant at which the wall clock was read.
     anchor: Instant,
-    /// What it showed then.
+    /// The Unix time that the wall clock showed at `anchor`.
     unix: Duration,
     wall_clock: WallClock,
 }
 
 impl Clock {
-    /// Reads the wall clock, which is not read again for Unix time.
+    /// Starts the clock with a single reading of the wall clock.
     pub fn start(wall_clock: WallClock) -> Clock {
         let unix = wall_clock.unix();
         Clock {
@@ -71,15 +71,16 @@
         Time(self.unix + at.saturating_duration_since(self.anchor))
     }
 
-    /// How far the system's clock is now ahead of this one; zero if it is behind. The system's clock is read first: a pause
-    /// between the two readings may hide a lead until the next call, but never invents one.
+    /// The time by which the system's clock is currently ahead of this clock; zero if it is behind. The system's clock
+    /// is read first: a pause between the two readings may hide a lead until the next call, but never causes a false
+    /// lead.
     pub fn system_lead(&self) -> Duration {
         let system = Time(self.wall_clock.unix());
         system.since(self.unix_time(Instant::now()))
     }
 }
 
-/// Unix time in milliseconds, by the system's clock now.
+/// The current Unix time of the system's clock, in milliseconds.
 pub fn unix_ms() -> u64 {
     WallClock::default().unix().as_millis() as u64
 }
--- a/crates/leverproxy/src/clock/skew.rs
+++ b/crates/leverproxy/src/clock/skew.rs
@@ -1,43 +1,45 @@
-//! How far true time may be ahead of the process's clock, which was read once and may have been wrong then.
+//! Estimates the time by which true time may be ahead of the process's clock. That clock is set once, when the process
+//! starts, and may have been set wrongly.
 //!
-//! The reasoning is in `docs/design/wall-clock.md`. Only this direction is estimated: with a clock that is behind, old data
-//! would pass for fresh, while a clock that is ahead only asks for fresher data than needed.
+//! The reasoning is in `docs/design/wall-clock.md`. Only this direction is estimated: with a clock that is behind,
+//! stale data would be treated as fresh, while a clock that is ahead merely requires fresher data than needed.
 
 use routing::{ServerId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The clocks of all machines differ by at most this.
+/// Maximum difference between the clocks of any two machines.
 pub const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(1);
-/// A load report may be as old as this when it is received.
+/// Maximum age of a load report when it is received.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
-/// A lead of the system's clock that is no larger is no step.
+/// A lead of the system's clock counts as a step only if it is larger than this.
 const MIN_STEP: Duration = Duration::from_millis(50);
-/// How long a lead counts that one server alone has reported.
+/// Time for which a lead counts that only one server has reported.
 const UNCONFIRMED_LIFETIME: Duration = Duration::from_secs(2);
-/// How long such a lead can be confirmed by others.
+/// Time within which a lead that only one server has reported can be confirmed by another source.
 const HINT_LIFETIME: Duration = Duration::from_secs(10);
-/// So many agreeing reports of one server prove as much as those of two servers.
+/// Number of agreeing reports of one server that confirm a lead like reports of two servers.
 const REPORTS_OF_ONE_SERVER: u32 = 3;
-/// So many contradictions by primaries in a row revoke a lead.
+/// Number of consecutive contradicting reports of primaries that revoke a lead.
 const CONTRADICTIONS_TO_REVOKE: u32 = 3;
-/// Leads are rounded up to multiples of this, so that freshness needs do not change with each response.
+/// Leads are rounded up to multiples of this, so that freshness requirements do not change with each response.
 const LEAD_STEP: Duration = Duration::from_millis(10);
-/// Synchronised machines differ by about this much, which is no contradiction.
+/// Approximate difference between the clocks of synchronised machines, which does not count as a contradiction.
 const JITTER: Duration = Duration::from_millis(20);
 
-/// A position that a record server has reported. A true one is not ahead of true time.
+/// A position that a record server has reported. A correct position is not ahead of true time.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedPosition {
     /// The server.
     pub server: ServerId,
     /// The position, a Unix time.
     pub position: Time,
-    /// For a primary, whose position is the present: by the process's clock it was read no earlier than this.
+    /// For a primary, whose position is the current time: the earliest time, by the process's clock, at which the
+    /// position was read.
     pub read_after: Option<Time>,
 }
 
-/// A lead that one server has reported and nothing supports yet.
+/// A lead that one server has reported and no other source supports yet.
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     lead: Duration,
@@ -45,31 +47,32 @@
     at: Time,
 }
 
-/// Reports of primaries in a row that contradict the lead.
+/// Consecutive reports of primaries that contradict the lead.
 #[derive(Clone, Copy, Debug, Default)]
 struct Contradiction {
     reports: u32,
-    /// The largest lead that one of them allows.
+    /// The largest lead that one of these reports allows.
     upper_bound: Duration,
 }
 
 /// The estimate of how far true time is ahead of the process's clock.
 #[derive(Debug, Default)]
 pub struct SkewEstimate {
-    /// Supported by two sources.
+    /// The lead that is supported by two sources.
     confirmed: Duration,
-    /// The lead of the system's clock.
+    /// The lead of the system's clock; zero unless the clock has stepped.
     system: Duration,
-    /// That lead when primaries contradicted it.
+    /// The lead of the system's clock at the time when primaries contradicted it.
     refuted_system: Option<Duration>,
+    /// The latest unconfirmed lead of each server.
     hints: BTreeMap<ServerId, Hint>,
-    /// The largest unconfirmed lead, and until when it counts.
+    /// The largest unconfirmed lead, and the time until which it counts.
     unconfirmed: Option<(Duration, Time)>,
     contradiction: Contradiction,
 }
 
 impl SkewEstimate {
-    /// Takes account of how far the system's clock is ahead now.
+    /// Updates the estimate with the current lead of the system's clock.
     pub fn observe_system_clock(&mut self, lead: Duration) {
         self.system = if lead > MIN_STEP {
             lead
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Takes account of a server's position; `now` is the time of the process's clock.
+    /// Updates the estimate with a server's position; `now` is the time of the process's clock.
     pub fn observe_position(&mut self, reported: ReportedPosition, now: Time) {
         let lead = round_up(reported.position.since(now));
         if lead > self.confirmed {
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Takes account of the position of a client's last write. Clients may send anything, so it only confirms a lead that
-    /// something else supports.
+    /// Updates the estimate with the position of a client's last write. Clients may send arbitrary positions, so it
+    /// only confirms a lead that another source supports.
     pub fn observe_client_write(&mut self, position: Time, now: Time) {
         let lead = round_up(position.since(now));
         let supported =
@@ -104,18 +107,18 @@
         }
     }
 
-    /// How far true time may be ahead; needs for fresh data are computed with it.
+    /// The time by which true time may be ahead of the process's clock; used to compute freshness requirements.
     pub fn lead(&self, now: Time) -> Duration {
         let unconfirmed = self.unconfirmed_lead(now).unwrap_or_default();
         self.accepted_lead().max(unconfirmed)
     }
 
-    /// The latest position that is believed.
+    /// The latest position that is accepted as plausible.
     pub fn latest_position(&self, now: Time) -> Time {
         now.plus(self.confirmed).plus(MAX_CLOCK_DIFFERENCE)
     }
 
-    /// The lead that counts until it is contradicted.
+    /// The lead that counts until primaries contradict it.
     fn accepted_lead(&self) -> Duration {
         let system = if self.refuted_system.is_some() {
             Duration::ZERO
@@ -131,7 +134,7 @@
             .map(|(lead, _)| lead)
     }
 
-    /// A server's position is ahead of what is confirmed.
+    /// Handles a server's position that is ahead of the confirmed lead.
     fn observe_lead(&mut self, server: ServerId, lead: Duration, now: Time) {
         let before = self
             .hints
@@ -153,7 +156,7 @@
         self.unconfirmed = Some((largest, now.plus(UNCONFIRMED_LIFETIME)));
     }
 
-    /// The largest lead reported by a server other than `except` that agrees with this one.
+    /// The largest recent lead of a server other than `except` that agrees with `lead`.
     fn supporting_hint(
         &self,
         lead: Duration,
@@ -174,7 +177,7 @@
 
     fn confirm(&mut self, lead: Duration) {
         log::warn!(
-            "clock: this process's clock is {} ms behind that of record servers",
+            "clock: the clock of this process is {} ms behind the clocks of record servers",
             lead.as_millis()
         );
         self.confirmed = lead;
@@ -183,10 +186,10 @@
         self.hints.clear();
     }
 
-    /// By a primary's report, true time is ahead by at least `least` and at most `most`.
+    /// Handles a primary's report, according to which true time is ahead by at least `least` and at most `most`.
     fn observe_bounds(&mut self, least: Duration, most: Duration) {
         if self.accepted_lead() <= most + JITTER {
-            // A report with bounds far apart supports nothing.
+            // A report whose bounds are far apart does not support the lead.
             if agree(least, most) {
                 self.contradiction = Contradiction::default();
             }
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Drops what is beyond the bound that primaries allow.
+    /// Reduces the lead to the upper bound that primaries allow.
     fn revoke_beyond(&mut self, upper_bound: Duration) {
         self.contradiction = Contradiction::default();
         self.confirmed = self.confirmed.min(upper_bound);
@@ -209,13 +212,13 @@
             self.refuted_system = Some(self.system);
         }
         log::info!(
-            "clock: primaries allow a lead of {} ms; what was beyond it is dropped",
+            "clock: estimated lead reduced to the {} ms that primaries allow",
             upper_bound.as_millis()
         );
     }
 }
 
-/// The next multiple of [`LEAD_STEP`].
+/// Rounds up to the next multiple of [`LEAD_STEP`].
 fn round_up(lead: Duration) -> Duration {
     match lead.subsec_nanos() % LEAD_STEP.subsec_nanos() {
         0 => lead,
--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -1,4 +1,5 @@
-//! The record servers by name: their ids in the decision module, where they listen, and which are excluded by operators.
+//! The directory of record servers by name: their ids in the decision module, their addresses, and operators'
+//! exclusions.
 
 use super::wire::{EndpointList, EndpointStatus, ListedEndpoint, UnreadableEndpoint};
 use maintenance::{EffectiveState, Maintenance, ManualExclusion, ServerStatus, UnknownServer};
@@ -10,34 +11,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names of former servers that are remembered at most.
+/// Maximum number of names of former servers that are kept.
 const MAX_FORMER_NAMES: usize = 1_000;
 
 /// All record servers that discovery lists.
 #[derive(Default)]
 pub struct Directory {
+    /// The ids of listed and former servers, by name.
     ids: BTreeMap<String, ServerId>,
-    /// The listed servers, with address and group filled in.
+    /// The listed servers by id, with address and group completed from earlier lists.
     listed: BTreeMap<ServerId, ListedEndpoint>,
     maintenance: Maintenance,
     index: u64,
 }
 
-/// What a change of the directory means for the decision module and for the connection pools.
+/// The updates for the decision module and the connection pools that follow from a change of the directory.
 #[derive(Debug)]
 pub struct DirectoryUpdate {
-    /// For the decision module.
+    /// The update for the decision module.
     pub endpoints: EndpointUpdate,
-    /// For the pools.
+    /// The changes for the connection pools.
     pub servers: Vec<ServerChange>,
 }
 
-/// What a change means for the connections to a server.
+/// The change in the availability of a server, for its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerChange {
-    /// It takes new requests at this address.
+    /// The server takes new requests at this address.
     Available(ServerId, SocketAddr),
-    /// It is draining or gone.
+    /// The server is draining or gone.
     Unavailable(ServerId),
 }
 
@@ -47,7 +49,7 @@
         self.index
     }
 
-    /// The number of names that are known, those of former servers included.
+    /// The number of known names, including those of former servers.
     pub fn known_names(&self) -> usize {
         self.ids.len()
     }
@@ -79,7 +81,7 @@
         DirectoryUpdate { endpoints, servers }
     }
 
-    /// What is known of servers whose entries can't be read: they stay as they are.
+    /// The present entries of servers whose new entries are unreadable: these servers stay unchanged.
     fn former_entries(&self, unreadable: &[UnreadableEndpoint]) -> Vec<ListedEndpoint> {
         unreadable
             .iter()
@@ -89,7 +91,7 @@
             .collect()
     }
 
-    /// Removes the servers that a complete list does not have.
+    /// Removes the servers that are missing from a complete list.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) -> Vec<ServerChange> {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|e| e.server).collect();
         let removed = self
@@ -112,14 +114,15 @@
         self.listed.retain(|server, _| !is_gone(server));
     }
 
-    /// A server that comes back keeps its id, as long as not too many former names are remembered.
+    /// Removes the names of former servers if there are more than [`MAX_FORMER_NAMES`]. Until then a server that is
+    /// listed again keeps its id.
     fn forget_former_names(&mut self) {
         if self.ids.len() > MAX_FORMER_NAMES + self.listed.len() {
             self.ids.retain(|_, id| self.listed.contains_key(id));
         }
     }
 
-    /// Applies one entry of a list; none if the entry is incomplete.
+    /// Applies one entry of a list. Returns `None` if the entry is incomplete.
     fn apply_endpoint(
         &mut self,
         mut endpoint: ListedEndpoint,
@@ -133,7 +136,7 @@
         let complete = endpoint.address.is_some() && endpoint.group.is_some();
         if !complete && status != ServerStatus::Removed {
             log::warn!(
-                "discovery: {} has no address or no group: left out",
+                "discovery: ignoring the entry of {} because its address or group is missing",
                 endpoint.name
             );
             return None;
@@ -151,8 +154,8 @@
         Some(changed)
     }
 
-    /// Assigns a hash of the name, so that all proxies give a server the same id. Only of two names with the same hash the
-    /// second one gets an id that depends on the order.
+    /// Assigns an id that is a hash of the name, so that all proxies use the same id for a server. Only if two names
+    /// have the same hash, the id of the second one depends on the order.
     fn assign_id(&mut self, name: &str) -> ServerId {
         let mut id = subsetting::hash_name(name);
         while self.ids.values().any(|known| known.0 == id) {
@@ -162,7 +165,8 @@
         ServerId(id)
     }
 
-    /// Excludes a server for an operator, or includes it again; none if that changes nothing. `now` is Unix time.
+    /// Excludes a server on behalf of an operator, or includes it again. Returns `None` if this changes nothing. `now`
+    /// is Unix time.
     pub fn set_excluded(
         &mut self,
         name: &str,
@@ -192,7 +196,7 @@
         })
     }
 
-    /// The complete list, as discovery last reported it.
+    /// The complete endpoint list, as last reported by discovery.
     pub fn endpoint_list(&self) -> EndpointList {
         EndpointList {
             index: self.index,
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Restores the exclusions of the previous process. Its list has to be applied first.
+    /// Restores the exclusions of the previous process. The endpoint list of that process has to be applied first.
     pub fn restore_exclusions(
         &mut self,
         exclusions: Vec<ManualExclusion>,
@@ -229,7 +233,7 @@
     }
 }
 
-/// A server for the decision module and for the pools; none if its address or group is not known.
+/// The endpoint for the decision module and the change for the pools; `None` if the address or group is not known.
 fn describe(
     server: ServerId,
     listed: &ListedEndpoint,
@@ -256,7 +260,8 @@
     Some((endpoint, change))
 }
 
-/// The id of a zone or kind. All names that the settings do not have share an id that none of theirs has.
+/// The id of a zone or machine type. All names that are not in the settings share one id that no name in the settings
+/// has.
 fn index_of(names: &[String], name: &str) -> u16 {
     names
         .iter()
--- a/crates/leverproxy/src/discovery/mod.rs
+++ b/crates/leverproxy/src/discovery/mod.rs
@@ -1,13 +1,13 @@
-//! Discovery: the record servers that exist, and whether they take requests.
+//! Discovery: the list of record servers, and whether each server takes requests.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `watch` | the connection to discovery, a long poll |
-//! | `directory` | names to ids and addresses, exclusions by operators |
-//! | `wire` | discovery's JSON |
+//! | `directory` | mapping of names to ids and addresses, exclusions by operators |
+//! | `wire` | JSON format of the endpoint list |
 //!
-//! Where the list is polled, the decision module orders the calls. When a call counts as lost, and when the next one is made
-//! at the latest, is decided by [`discovery_schedule`].
+//! If the list is polled, the decision module requests the calls. [`discovery_schedule`] decides when a call counts as
+//! lost and by when the next call has to be made.
 
 pub mod directory;
 mod watch;
--- a/crates/leverproxy/src/discovery/watch.rs
+++ b/crates/leverproxy/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the endpoint list: one connection to discovery with a long poll. While discovery moves to another address,
-//! the watch at the previous one stays open until the new one responds.
+//! The watch on the endpoint list: one connection to discovery with a long poll. When discovery moves to another
+//! address, the watch at the previous address stays open until the new address responds.
 
 use super::wire::{EndpointList, EndpointListError};
 use crate::event_loop::reactor::{Interest, Reactor};
@@ -15,23 +15,23 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Bytes of a response that are read at a time.
+/// Maximum number of bytes of a response that are read at a time.
 const INPUT_LIMIT: usize = 256 << 10;
 
-/// What the watch reports.
+/// An event of the watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// Discovery has responded that nothing has changed.
+    /// Discovery has reported that nothing has changed.
     Unchanged,
-    /// Discovery has sent a list.
+    /// Discovery has sent a complete list or a list of changes.
     List(EndpointList),
     /// The watch is lost.
     Lost,
-    /// A call has failed; the decision module, which orders calls, has to know.
+    /// A call has failed; the decision module, which requests the calls, has to be notified.
     CallFailed,
 }
 
-/// Why a watch has ended.
+/// The reason why a watch has ended.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
@@ -42,7 +42,7 @@
     Http(#[from] http::HttpError),
     #[error(transparent)]
     List(#[from] EndpointListError),
-    #[error("the watch ended")]
+    #[error("discovery closed the watch")]
     Ended,
 }
 
@@ -52,14 +52,14 @@
     schedule: PollSchedule,
     /// The origin of the schedule's time.
     origin: Instant,
-    /// The host has a timer set for this.
+    /// The time for which the event loop has a timer set.
     timer: Option<Instant>,
     watches: Slab<Watch>,
     current: Option<Key>,
-    /// The watch at the previous address; its lists count until the current one responds.
+    /// The watch at the previous address. Its lists are applied until the current watch responds.
     previous: Option<Key>,
     events: VecDeque<WatchEvent>,
-    /// While discovery is down it is called ten times a second.
+    /// Limits the log lines of lost watches: while discovery is down it is called ten times a second.
     loss_log: LogRateLimit,
 }
 
@@ -67,12 +67,13 @@
     stream: Stream,
     connected: bool,
     reader: ResponseParser,
-    /// A part of the response has arrived.
+    /// Whether a part of the response body has arrived.
     responded: bool,
 }
 
 impl DiscoveryClient {
-    /// `watch_silence`: the longest silence on a watch; `push_mode`: lists are pushed, so a watch is always open.
+    /// `watch_silence`: time without data after which a watch counts as lost. `push_mode`: lists are pushed, so that a
+    /// watch is always open.
     pub fn new(
         address: SocketAddr,
         watch_silence: Duration,
@@ -97,7 +98,7 @@
         self.events.pop_front()
     }
 
-    /// Sets whether lists are pushed or polled from now on. Where they are pushed, a watch is opened if there is none.
+    /// Sets whether lists are pushed or polled. If they are pushed, a watch is opened unless one is open.
     pub fn set_push_mode(&mut self, push_mode: bool, index: u64, now: Instant, reactor: &Reactor) {
         self.schedule.set_push_mode(push_mode);
         if push_mode && self.current.is_none() {
@@ -105,18 +106,19 @@
         }
     }
 
-    /// Asks for all changes after `index`, unless a call is open.
+    /// Requests all changes after `index`, unless a call is open.
     pub fn poll(&mut self, index: u64, now: Instant, reactor: &Reactor) {
         self.handle(Event::PollRequested, index, now, reactor);
     }
 
-    /// Handles the timer of [`DiscoveryClient::next_timer`]. A call that it starts asks for the changes after `index`.
+    /// Handles the timer of [`DiscoveryClient::next_timer`]. If a call is started, it requests the changes after
+    /// `index`.
     pub fn handle_timer(&mut self, index: u64, now: Instant, reactor: &Reactor) {
         self.timer = None;
         self.handle(Event::Tick, index, now, reactor);
     }
 
-    /// When a timer has to be set; none if one is set that is early enough.
+    /// The time for which a timer has to be set; `None` if an earlier timer is set already.
     pub fn next_timer(&mut self) -> Option<Instant> {
         let deadline = self.origin + self.schedule.next_deadline()?;
         if self.timer.is_some_and(|set| set <= deadline) {
@@ -126,8 +128,8 @@
         Some(deadline)
     }
 
-    /// Moves to another address. The watch there asks for the changes after `index`; one that has responded at the previous
-    /// address stays open meanwhile, since the new one may be slow or fail.
+    /// Moves to another address. The watch there requests the changes after `index`. If the watch at the previous
+    /// address has responded, it stays open meanwhile, since the new address may be slow or fail.
     pub fn set_address(
         &mut self,
         address: SocketAddr,
@@ -138,7 +140,10 @@
         if address == self.address {
             return;
         }
-        log::info!("discovery: moves from {} to {address}", self.address);
+        log::info!(
+            "discovery: moving the watch from {} to {address}",
+            self.address
+        );
         self.address = address;
         let has_responded = |key: &Key| self.watches.get(*key).is_some_and(|w| w.responded);
         if let Some(key) = self.current.filter(has_responded) {
@@ -165,13 +170,13 @@
     fn report_loss(&mut self, silent: bool, now: Instant) {
         if silent {
             self.loss_log.warn(now, || {
-                "discovery: watch lost: silent for too long".to_owned()
+                "discovery: watch lost: no data within the silence limit".to_owned()
             });
         }
         self.events.push_back(WatchEvent::Lost);
     }
 
-    /// Reports the progress of the open call to the schedule, which orders nothing by it.
+    /// Reports the progress of the open call to the schedule, which returns no actions for it.
     fn report_progress(&mut self, connected: bool, bytes: bool, objects: bool, now: Instant) {
         let time = now.saturating_duration_since(self.origin);
         let progress = [
@@ -226,7 +231,7 @@
         }
     }
 
-    /// Handles a connection that epoll calls ready.
+    /// Handles a connection that epoll reports as ready.
     pub fn ready(&mut self, key: Key, now: Instant, reactor: &Reactor) {
         if let Err(error) = self.advance(key, now, reactor) {
             self.fail(key, &error, now, reactor);
@@ -254,7 +259,7 @@
         if self.current == Some(key) {
             self.report_progress(newly_connected, transfer.received, !parts.is_empty(), now);
         }
-        // Complete objects count, whatever follows them.
+        // Complete objects were processed above, even if malformed bytes follow them.
         transfer.parsed?;
         if transfer.ended {
             return Err(WatchError::Ended);
@@ -286,18 +291,18 @@
         self.loss_log
             .warn(now, || format!("discovery: watch lost: {error}"));
         self.current = None;
-        // The schedule starts no call at once, so the index is not used.
+        // The schedule does not start a call immediately, so the index is not used.
         self.handle(Event::CallEnded, 0, now, reactor);
     }
 }
 
-/// What came of writing to and reading from a watch.
+/// The result of writing to and reading from a watch.
 struct Transfer {
-    /// The request is written in full.
+    /// Whether the request is written in full.
     written: bool,
-    /// Bytes have arrived.
+    /// Whether bytes have arrived.
     received: bool,
-    /// The response or its connection has ended.
+    /// Whether the response or its connection has ended.
     ended: bool,
     parsed: Result<(), http::HttpError>,
 }
@@ -308,7 +313,7 @@
         Ok(self.stream.watch(reactor, token, Interest::WRITE)?)
     }
 
-    /// Writes the request and reads what has arrived of the response.
+    /// Writes the request, and reads the bytes of the response that have arrived.
     fn transfer(&mut self, parts: &mut Vec<Part>) -> io::Result<Transfer> {
         let written = self.stream.flush()?;
         let filled = self.stream.fill(INPUT_LIMIT);
--- a/crates/leverproxy/src/discovery/wire.rs
+++ b/crates/leverproxy/src/discovery/wire.rs
@@ -1,4 +1,4 @@
-//! Discovery's JSON: the one place where its field names are mapped.
+//! The JSON format of the endpoint list. Only this module maps discovery's field names.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -8,27 +8,27 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct EndpointList {
-    /// Discovery's change counter.
+    /// Discovery's change counter at this list.
     pub index: u64,
-    /// Whether the list is complete; if not, it holds the changed servers only.
+    /// Whether the list is complete; otherwise it contains only the changed servers.
     pub snapshot: bool,
     /// The servers.
     pub endpoints: Vec<ListedEndpoint>,
-    /// Entries that could not be read.
+    /// Entries that could not be parsed.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableEndpoint>,
 }
 
-/// An entry of the list that can't be read.
+/// An entry of the list that could not be parsed.
 #[derive(Clone, Debug)]
 pub struct UnreadableEndpoint {
-    /// The server's name, if that much is readable.
+    /// The server's name, if it can be read.
     pub name: Option<String>,
-    /// What is wrong with the entry.
+    /// A description of the parsing error.
     pub problem: String,
 }
 
-/// A list whose entries are not looked at yet.
+/// A list whose entries are not parsed yet.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct UncheckedList {
@@ -42,52 +42,53 @@
 pub struct ListedEndpoint {
     /// The server's name.
     pub name: String,
-    /// Where it listens; absent where a change only reports that it is gone.
+    /// The address that the server listens on; may be absent in a change which reports that the server is gone.
     pub address: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the server's zone.
     #[serde(default)]
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of the server's machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its group; absent where a change only reports that it is gone.
+    /// The server's group; may be absent in a change which reports that the server is gone.
     pub group: Option<u32>,
-    /// Whether it takes requests.
+    /// The server's status.
     pub status: EndpointStatus,
-    /// When it started, in Unix milliseconds; 0 if that is not known.
+    /// The time at which the server started, in Unix milliseconds; 0 if it is not known.
     #[serde(default, rename = "since_ms")]
     pub started_ms: u64,
 }
 
-/// A server's status. The names of the variants are discovery's words.
+/// A server's status. The names of the variants are the values in discovery's JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The server takes requests.
     Ready,
-    /// It is draining.
+    /// The server is draining.
     Terminating,
-    /// It is no longer in the list.
+    /// The server is no longer in the list.
     Gone,
-    /// A word that is not known here. It is handled like [`EndpointStatus::Terminating`]: no new requests.
+    /// A status unknown to this version. It is handled like [`EndpointStatus::Terminating`]: no new requests.
     #[serde(other)]
     Other,
 }
 
-/// Why a text is not an endpoint list.
+/// The reason why a text is not an endpoint list.
 #[derive(Debug, Error)]
 #[error("{path}: {source}")]
 pub struct EndpointListError {
-    /// The field at fault.
+    /// The path of the invalid field.
     pub path: String,
-    /// What is wrong with it.
+    /// The error in the field.
     pub source: serde_json::Error,
 }
 
 impl EndpointList {
-    /// Reads discovery's JSON. Entries that can't be read are set apart: one of them must not keep the others from counting.
+    /// Parses discovery's JSON. Entries that cannot be parsed are collected in `unreadable`, so that the other entries
+    /// are still applied.
     ///
     /// # Errors
-    /// The text is no list.
+    /// The text is not an endpoint list.
     pub fn parse_readable(json: &[u8]) -> Result<EndpointList, EndpointListError> {
         let error = match EndpointList::parse(json) {
             Ok(list) => return Ok(list),
@@ -113,7 +114,7 @@
         Ok(list)
     }
 
-    /// Reads discovery's JSON, of which all has to be readable.
+    /// Parses discovery's JSON; fails if any entry is invalid.
     pub fn parse(json: &[u8]) -> Result<EndpointList, EndpointListError> {
         let mut json = serde_json::Deserializer::from_slice(json);
         serde_path_to_error::deserialize(&mut json).map_err(|error| EndpointListError {
--- a/crates/leverproxy/src/event_loop/buffer.rs
+++ b/crates/leverproxy/src/event_loop/buffer.rs
@@ -1,9 +1,9 @@
-//! Bytes that wait to be parsed or sent.
+//! A buffer of bytes that wait to be parsed or sent.
 
-/// A buffer that has grown past this is freed once it is empty.
+/// Capacity in bytes above which the memory of an empty buffer is released.
 const MAX_RETAINED_CAPACITY: usize = 16 << 10;
 
-/// Bytes with a mark up to which they have been used.
+/// A byte buffer with a position up to which its bytes have been used.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
--- a/crates/leverproxy/src/event_loop/listener.rs
+++ b/crates/leverproxy/src/event_loop/listener.rs
@@ -13,32 +13,33 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
-/// Connections that may fail while one is accepted: the backlog holds no more.
+/// Maximum number of failed connections that one call skips; the backlog holds no more connections.
 const MAX_FAILED_ACCEPTS: usize = BACKLOG as usize;
-/// The permissions of a Unix socket: its owner alone may connect.
+/// The permissions of a Unix socket: only its owner may connect.
 const OWNER_ONLY: u32 = 0o600;
 
-/// Listens on a TCP address; `shared`: another process of the same owner may listen there as well.
+/// Listens on a TCP address. `shared`: another process of the same user may listen on the address as well.
 pub fn listen_shared(address: SocketAddr, shared: bool) -> io::Result<OwnedFd> {
     let fd = system_calls::socket(system_calls::family(&address))?;
     if shared {
         sockopt::set_socket_reuseport(&fd, true)?;
     }
-    // A restarted proxy takes its address again while connections of the process before linger. If the option is
-    // refused, bind shows whether it was needed.
+    // A restarted proxy binds its address while connections of the previous process linger. If the option cannot be
+    // set, bind fails if the option was needed.
     _ = sockopt::set_socket_reuseaddr(&fd, true);
     system_calls::bind(&fd, &address)?;
     system_calls::listen(&fd, BACKLOG)?;
     Ok(fd)
 }
 
-/// Listens on a TCP address of this process alone.
+/// Listens on a TCP address that is not shared with other processes.
 pub fn listen(address: SocketAddr) -> io::Result<OwnedFd> {
     listen_shared(address, false)
 }
 
-/// Listens on a Unix socket that its owner alone may connect to.
+/// Listens on a Unix socket to which only its owner may connect.
 pub fn listen_unix(path: &Path) -> io::Result<OwnedFd> {
     let fd = system_calls::socket(net::AddressFamily::UNIX)?;
     system_calls::bind(&fd, &SocketAddrUnix::new(path)?)?;
@@ -47,39 +48,39 @@
     Ok(fd)
 }
 
-/// Listens on a Unix socket in place of another process. It is replaced in one step, so that whoever connects reaches one
-/// of the two.
+/// Listens on a Unix socket in place of another process. The socket is replaced atomically, so that a client always
+/// reaches one of the two processes.
 pub fn listen_unix_replacing(path: &Path) -> io::Result<OwnedFd> {
     let own = PathBuf::from(format!("{}.{}", path.display(), std::process::id()));
-    // A former process with the same id may have left it.
+    // An earlier process with the same id may have left the file.
     _ = fs::remove_file(&own);
     let listener = listen_unix(&own)?;
     fs::rename(&own, path)?;
     Ok(listener)
 }
 
-/// The address of a socket.
+/// The local address of a socket.
 pub fn local_address(fd: &OwnedFd) -> Option<SocketAddr> {
     SocketAddr::try_from(net::getsockname(fd).ok()?).ok()
 }
 
-/// Why no connection is accepted.
+/// The reason why no connection is accepted.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AcceptError {
     /// The backlog is empty.
     Empty,
-    /// No descriptor is left: the connection stays in the backlog. Closing a descriptor helps.
+    /// No file descriptor is left. The connection stays in the backlog until a descriptor is closed.
     NoDescriptors,
-    /// The machine lacks something else, or every connection fails: to be retried after a pause.
+    /// The machine lacks another resource, or every connection fails: to be retried after a pause.
     RetryLater,
 }
 
-/// Accepts a connection; returns it with the address that it comes from.
+/// Accepts a connection; returns it with the peer's address, which is unspecified if it is unknown.
 pub fn accept(listener: &OwnedFd) -> Result<(Stream, IpAddr), AcceptError> {
     for _ in 0..MAX_FAILED_ACCEPTS {
         let errno = match system_calls::accept(listener) {
             Ok((fd, peer)) => {
-                // Small responses must not wait for the acknowledgement of the one before.
+                // Without TCP_NODELAY a small response would wait for the acknowledgement of the previous one.
                 _ = sockopt::set_tcp_nodelay(&fd, true);
                 let peer = peer.and_then(|peer| SocketAddr::try_from(peer).ok());
                 let peer = peer.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
@@ -97,7 +98,8 @@
     Err(AcceptError::RetryLater)
 }
 
-/// The same for a listener whose owner has no pause of its own: while nothing can be accepted it is not watched.
+/// Accepts a connection from a listener whose owner does not implement a pause: the listener is not watched while no
+/// connection can be accepted.
 pub fn accept_or_pause(
     listener: &OwnedFd,
     token: Token,
--- a/crates/leverproxy/src/event_loop/mod.rs
+++ b/crates/leverproxy/src/event_loop/mod.rs
@@ -1,15 +1,15 @@
-//! The event loop's parts. One thread waits for all descriptors and timers, and handles each event to its end.
+//! Components of the event loop. One thread waits for all descriptors and timers, and handles each event to completion.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `reactor` | epoll: which descriptors are watched, and which are ready |
-//! | `token` | whose descriptor an event is for |
-//! | `retries` | descriptors that are called ready after a pause |
+//! | `token` | the owner of a descriptor that has an event |
+//! | `retries` | descriptors that are reported as ready after a pause |
 //! | `timers` | due times |
-//! | `slab` | connections under keys that go stale |
+//! | `slab` | storage of connections under keys that become stale on removal |
 //! | `stream`, `buffer` | connections with buffers on both sides |
-//! | `listener` | listening and accepting |
-//! | `system_calls` | the system calls, and what each of their errors means |
+//! | `listener` | listening sockets and accepting connections |
+//! | `system_calls` | the system calls and the classification of their errors |
 
 pub mod buffer;
 pub mod listener;
--- a/crates/leverproxy/src/event_loop/reactor.rs
+++ b/crates/leverproxy/src/event_loop/reactor.rs
@@ -1,4 +1,4 @@
-//! What the event loop waits on: descriptors watched by epoll, each with a token.
+//! The reactor of the event loop: descriptors watched by epoll, each with a token.
 
 use super::retries::Retries;
 use super::system_calls::errors::{classify, Call, Failure};
@@ -13,12 +13,12 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::{Duration, Instant};
 
-/// Events fetched at a time.
+/// Maximum number of events fetched by one call.
 const BATCH: usize = 256;
-/// The longest that one call waits.
+/// Maximum time that one call waits.
 const MAX_WAIT: Duration = Duration::from_secs(3_600);
 
-/// What a descriptor is watched for.
+/// The events that a descriptor is watched for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
     /// Bytes to read.
@@ -28,19 +28,19 @@
 }
 
 impl Interest {
-    /// Bytes to read alone.
+    /// Bytes to read only.
     pub const READ: Interest = Interest {
         read: true,
         write: false,
     };
-    /// Room to write alone.
+    /// Room to write only.
     pub const WRITE: Interest = Interest {
         read: false,
         write: true,
     };
 
     fn flags(self) -> epoll::EventFlags {
-        // The peer's end is reported even while nothing is read.
+        // The end of the peer's output is reported even while nothing is read.
         let mut flags = epoll::EventFlags::RDHUP;
         flags.set(epoll::EventFlags::IN, self.read);
         flags.set(epoll::EventFlags::OUT, self.write);
@@ -48,12 +48,12 @@
     }
 }
 
-/// A descriptor that is ready for some of what it is watched for; the system calls that follow show for what.
+/// A descriptor that is ready for at least one of the events it is watched for; the subsequent system calls show which.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Whose descriptor it is.
+    /// The owner of the descriptor.
     pub token: Token,
-    /// The peer has ended its side, or the connection is broken.
+    /// Whether the peer has ended its side, or the connection is broken.
     pub ended: bool,
 }
 
@@ -62,14 +62,14 @@
 pub enum Priority {
     /// Admin calls and health checks are answered first, whatever else is ready.
     Operations,
-    /// A client that has left: the other events must not send anything for it.
+    /// A client that has left, before other events cause anything to be sent on its behalf.
     Departure,
-    /// Everything else.
+    /// All other events.
     Other,
 }
 
 impl Ready {
-    /// When it is handled among the events of its batch.
+    /// The priority among the events of a batch.
     pub fn priority(&self) -> Priority {
         match self.token {
             token if token.is_operational() => Priority::Operations,
@@ -98,15 +98,15 @@
         })
     }
 
-    /// Watches a new descriptor; a lack of memory is an error.
+    /// Watches a new descriptor. Unlike in [`Reactor::update`], a lack of memory is an error.
     pub fn register(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
         let (data, flags) = (token.encode(), interest.flags());
         Ok(system_calls::epoll_add(&self.epoll, fd, data, flags)?)
     }
 
-    /// Sets what a descriptor is watched for while the process serves; `watched`: whether it is watched now. Returns false
-    /// if the system lacks memory: then the descriptor is not watched and is called ready after a pause, and its owner
-    /// sets the interest again as after any event.
+    /// Sets the events that a descriptor is watched for. `watched`: whether the descriptor is currently watched.
+    /// Returns false if the system lacks memory. In that case the descriptor is not watched and is reported as ready
+    /// after a pause, so that its owner sets the interest again as after any event.
     pub fn update(
         &self,
         fd: impl AsFd,
@@ -125,7 +125,7 @@
         let Err(errno) = result else { return Ok(true) };
         match classify(Call::EpollControl, errno) {
             Failure::RetryNow | Failure::NotReady | Failure::RetryLater => {
-                // With its former interest it could be ready all the time.
+                // With its previous interest the descriptor could be reported as ready all the time.
                 self.deregister(&fd);
                 self.retry_later(token);
                 Ok(false)
@@ -134,13 +134,13 @@
         }
     }
 
-    /// Calls a descriptor ready after a pause; whether its peer has ended is not known then.
+    /// Reports a descriptor as ready after a pause, without information on whether its peer has ended.
     pub fn retry_later(&self, token: Token) {
         let at = Instant::now() + RETRY_PAUSE;
         self.retries.borrow_mut().add(at, token);
     }
 
-    /// Stops watching a listener from which nothing can be accepted now, and calls it ready after a pause.
+    /// Stops watching a listener from which no connection can be accepted now, and reports it as ready after a pause.
     pub fn pause(&self, listener: impl AsFd, token: Token) {
         self.deregister(listener);
         self.paused.borrow_mut().insert(token);
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Stops watching a descriptor. This is needed before a descriptor is closed that another process holds too: it would
-    /// still be watched.
+    /// Stops watching a descriptor. This is needed before closing a descriptor that another process holds too, since
+    /// epoll would continue to watch it.
     pub fn deregister(&self, fd: impl AsFd) {
         _ = system_calls::epoll_remove(&self.epoll, fd);
     }
 
-    /// Waits for the first event or until `until`. An interrupted wait returns nothing.
+    /// Waits for the first event or until `until`. An interrupted wait returns no events.
     pub fn wait(&self, until: Option<Instant>, ready: &mut Vec<Ready>) -> io::Result<()> {
         ready.clear();
         let retry = self.retries.borrow().next();
--- a/crates/leverproxy/src/event_loop/retries.rs
+++ b/crates/leverproxy/src/event_loop/retries.rs
@@ -1,13 +1,14 @@
-//! Descriptors that are called ready after a pause, because the system lacked memory to watch them or to transfer bytes.
+//! Descriptors that are reported as ready after a pause, since the system lacked memory to watch them or to transfer
+//! bytes.
 
 use super::token::Token;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
-/// The tokens of such descriptors. Each is there once, however often it is added.
+/// The tokens of the descriptors to retry. A token that is added several times is kept once.
 #[derive(Default)]
 pub(super) struct Retries {
-    /// In the order of their times.
+    /// Tokens with the times at which they are due, in the order of these times.
     queue: VecDeque<(Instant, Token)>,
     tokens: BTreeSet<Token>,
 }
--- a/crates/leverproxy/src/event_loop/slab.rs
+++ b/crates/leverproxy/src/event_loop/slab.rs
@@ -1,14 +1,14 @@
-//! Values under keys that go stale when the value is removed.
+//! Storage of values under keys that become stale when the value is removed.
 
-/// A place in a [`Slab`]. The generation distinguishes the values that have the same index one after the other: an event
-/// that was fetched before its connection closed never reaches the next connection in its place.
+/// The key of a value in a [`Slab`]. The generation distinguishes the successive values at an index, so that an event
+/// that was fetched before its connection closed never reaches the next connection at the same index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     pub(super) index: u32,
     pub(super) generation: u32,
 }
 
-/// Generations wrap within the bits that a token has for them.
+/// Number of generations, after which they wrap: a token has 24 bits for them.
 pub(super) const GENERATIONS: u32 = 1 << 24;
 
 /// An arena of values.
@@ -34,7 +34,7 @@
 }
 
 impl<T> Slab<T> {
-    /// Adds a value; returns its key.
+    /// Inserts a value; returns its key.
     pub fn insert(&mut self, value: T) -> Key {
         let index = self.free.pop().unwrap_or_else(|| {
             self.entries.push(Entry {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Removes a value; none if the key is stale.
+    /// Removes a value; `None` if the key is stale.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         let entry = self
             .entries
@@ -63,14 +63,14 @@
         Some(value)
     }
 
-    /// The value of a key; none if the key is stale.
+    /// The value of a key; `None` if the key is stale.
     pub fn get(&self, key: Key) -> Option<&T> {
         let entry = self.entries.get(key.index as usize)?;
         let current = entry.generation == key.generation;
         entry.value.as_ref().filter(|_| current)
     }
 
-    /// The value of a key; none if the key is stale.
+    /// The value of a key; `None` if the key is stale.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let entry = self.entries.get_mut(key.index as usize)?;
         let current = entry.generation == key.generation;
@@ -87,7 +87,7 @@
         self.len() == 0
     }
 
-    /// All values with their keys, by index.
+    /// All values with their keys, in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> + Clone {
         self.entries
             .iter()
@@ -101,7 +101,7 @@
             })
     }
 
-    /// All keys. With them values can be changed or removed one after the other.
+    /// All keys, so that values can be changed or removed while iterating.
     pub fn keys(&self) -> Vec<Key> {
         self.iter().map(|(key, _)| key).collect()
     }
--- a/crates/leverproxy/src/event_loop/stream.rs
+++ b/crates/leverproxy/src/event_loop/stream.rs
@@ -1,4 +1,4 @@
-//! Non-blocking connections with buffers on both sides.
+//! Non-blocking connections with buffers for input and output.
 
 use super::buffer::Buffer;
 use super::reactor::{Interest, Reactor};
@@ -12,16 +12,17 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
-/// Bytes read by one system call.
+/// Maximum number of bytes read by one system call.
 const CHUNK: usize = 16 << 10;
 
-/// Why no connection is established.
+/// The reason why a connection is not established.
 #[derive(Debug, Error)]
 pub enum DialError {
-    /// This machine lacks a resource; the other one is not to blame, and a retry after a pause is sensible.
+    /// This machine lacks a resource. This is not a failure of the remote machine, and the dial can be retried after a
+    /// pause.
     #[error("this machine lacks descriptors, ports or memory: {0}")]
     ResourceShortage(Errno),
-    /// The other machine refuses or cannot be reached.
+    /// The remote machine refuses the connection or cannot be reached.
     #[error("{0}")]
     Failed(Errno),
 }
@@ -40,26 +41,26 @@
 pub enum ReadStatus {
     /// The peer may send more.
     Open,
-    /// The peer has ended its side or the connection is broken; what came before is in the buffer.
+    /// The peer has ended its side or the connection is broken; the bytes received before are in the buffer.
     Ended,
 }
 
-/// A connection.
+/// A non-blocking connection with buffers.
 #[derive(Debug)]
 pub struct Stream {
     fd: OwnedFd,
-    /// What has arrived and is not used yet.
+    /// The bytes that have arrived and are not used yet.
     pub input: Buffer,
     output: Buffer,
     interest: Option<Interest>,
-    /// A read or a send failed for lack of memory; it is to be retried after a pause.
+    /// Whether a read or a send failed for lack of memory and has to be retried after a pause.
     needs_retry: bool,
-    /// It was retried, so it may be called ready without being so.
+    /// Whether the connection was scheduled for a retry, so that it may be reported as ready without being ready.
     retried: bool,
 }
 
 impl Stream {
-    /// A connection that is established.
+    /// Creates a stream from the descriptor of a connection.
     pub fn new(fd: OwnedFd) -> Stream {
         Stream {
             fd,
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Its descriptor.
+    /// The connection's descriptor.
     pub fn fd(&self) -> &OwnedFd {
         &self.fd
     }
 
-    /// Begins a connection; it is established once it is writable and [`Stream::connected`] agrees.
+    /// Starts a connection. It is established once it is writable and [`Stream::connected`] returns true.
     pub fn dial(address: SocketAddr) -> Result<Stream, DialError> {
         let fd = system_calls::socket(system_calls::family(&address))
             .map_err(|errno| DialError::new(Call::Socket, errno))?;
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Whether a connection that was called ready is established; false while the connect continues.
+    /// Whether a connection that was reported as ready is established; false while the connect is in progress.
     pub fn connected(&self) -> Result<bool, DialError> {
         let result = system_calls::socket_error(&self.fd).and_then(|result| result);
         result.map_err(|errno| DialError::new(Call::SocketError, errno))?;
         Ok(!self.retried || system_calls::is_writable(&self.fd))
     }
 
-    /// Reads what has arrived, until `limit` bytes wait to be used.
+    /// Reads the bytes that have arrived, until at least `limit` bytes wait to be used.
     pub fn fill(&mut self, limit: usize) -> ReadStatus {
         let mut chunk = [0; CHUNK];
         while self.input.len() < limit {
@@ -105,7 +106,7 @@
                 Ok(n) => {
                     self.input.push(&chunk[..n]);
                     if n < chunk.len() {
-                        // epoll is level-triggered: it reports again what has arrived meanwhile.
+                        // epoll is level-triggered, so bytes that have arrived meanwhile are reported again.
                         break;
                     }
                 }
@@ -119,7 +120,7 @@
         ReadStatus::Open
     }
 
-    /// What a failed read means; none: it is to be repeated at once.
+    /// The status after a failed read; `None` if the read has to be repeated at once.
     fn handle_read_error(&mut self, errno: Errno) -> Option<ReadStatus> {
         match classify(Call::Read, errno) {
             Failure::RetryNow => return None,
@@ -130,7 +131,7 @@
         Some(ReadStatus::Open)
     }
 
-    /// Reads a chunk and discards it, with all that waited; returns how many bytes were read.
+    /// Reads a chunk and discards it together with the buffered input. Returns the number of bytes read.
     pub fn discard_input(&mut self) -> (ReadStatus, usize) {
         self.input = Buffer::default();
         let mut chunk = [0; CHUNK];
@@ -144,22 +145,22 @@
         }
     }
 
-    /// Tells the peer that nothing more will be sent.
+    /// Ends the output: shuts down the sending side of the connection.
     pub fn end_output(&self) {
         _ = system_calls::shutdown_output(&self.fd);
     }
 
-    /// Appends bytes to those to be sent.
+    /// Appends bytes to the output buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.output.push(bytes);
     }
 
-    /// The number of bytes that the socket has not taken yet.
+    /// The number of bytes that the socket has not accepted yet.
     pub fn unsent(&self) -> usize {
         self.output.len()
     }
 
-    /// Writes what the socket takes; true once all is written.
+    /// Writes as many bytes as the socket accepts. Returns true once all bytes are written.
     pub fn flush(&mut self) -> io::Result<bool> {
         while !self.output.is_empty() {
             let errno = match system_calls::send(&self.fd, self.output.unused()) {
@@ -182,15 +183,15 @@
         Ok(true)
     }
 
-    /// Stops watching the connection, even for the peer's end, until it is watched again.
+    /// Stops watching the connection, even for the end of the peer's output, until it is watched again.
     pub fn unwatch(&mut self, reactor: &Reactor) {
         if self.interest.take().is_some() {
             reactor.deregister(&self.fd);
         }
     }
 
-    /// Sets what the connection is watched for, with a system call only if that changes. If the machine lacked memory for the
-    /// last transfer, the connection is called ready after a pause instead.
+    /// Sets the events that the connection is watched for; a system call is made only if they change. If the machine
+    /// lacked memory for the last transfer, the connection is reported as ready after a pause instead.
     pub fn watch(&mut self, reactor: &Reactor, token: Token, interest: Interest) -> io::Result<()> {
         if std::mem::take(&mut self.needs_retry) {
             self.unwatch(reactor);
--- a/crates/leverproxy/src/event_loop/system_calls.rs
+++ b/crates/leverproxy/src/event_loop/system_calls.rs
@@ -1,7 +1,7 @@
-//! The system calls of the event loop, and what each error that Linux documents for them means.
+//! The system calls of the event loop, and the classification of the errors that Linux documents for them.
 //!
-//! Every call on connections and on epoll is made here. The errors of a call are classified once, in [`errors::classify`], and its
-//! callers act on the class. Tests replace results of the system by errors and short transfers with [`faults::Faults`].
+//! Every call on connections and on epoll is made in this module. Errors are classified in one function,
+//! [`errors::classify`], and callers act on the class. Tests inject errors and short transfers with [`faults::Faults`].
 
 pub mod errors;
 pub mod faults;
@@ -19,12 +19,12 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-/// A call that failed for lack of a resource of the machine is retried after this.
+/// Pause after which a call that failed because the machine lacks a resource is retried.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 const NON_BLOCKING: SocketFlags = SocketFlags::NONBLOCK.union(SocketFlags::CLOEXEC);
 
-/// The family of a TCP address.
+/// The address family of a TCP address.
 pub fn family(address: &SocketAddr) -> AddressFamily {
     if address.is_ipv4() {
         AddressFamily::INET
@@ -33,7 +33,7 @@
     }
 }
 
-/// A non-blocking stream socket.
+/// Creates a non-blocking stream socket.
 pub fn socket(family: AddressFamily) -> Result<OwnedFd, Errno> {
     inject_error(Call::Socket, || None)?;
     net::socket_with(family, SocketType::STREAM, NON_BLOCKING, None)
@@ -57,7 +57,7 @@
     net::acceptfrom_with(listener, NON_BLOCKING)
 }
 
-/// Begins a connection.
+/// Starts a connection.
 pub fn connect(fd: &OwnedFd, address: &SocketAddr) -> Result<(), Errno> {
     perform_with_faults(
         Call::Connect,
@@ -66,7 +66,7 @@
     )
 }
 
-/// The result of a connect; the outer error is that of the call itself.
+/// The result of a connect. The outer error is an error of the `getsockopt` call itself.
 pub fn socket_error(fd: &OwnedFd) -> Result<Result<(), Errno>, Errno> {
     if let Err(errno) = inject_error(Call::SocketError, || peer(fd)) {
         return Ok(Err(errno));
@@ -74,7 +74,7 @@
     sockopt::socket_error(fd)
 }
 
-/// Whether the descriptor can be written to or is broken.
+/// Whether the descriptor is writable, which includes a broken connection.
 pub fn is_writable(fd: &OwnedFd) -> bool {
     let mut polled = [PollFd::new(fd, PollFlags::OUT)];
     let at_once = Timespec {
@@ -84,25 +84,25 @@
     poll(&mut polled, Some(&at_once)).is_ok_and(|ready| ready > 0)
 }
 
-/// Reads into `buffer`; returns the number of bytes, 0 at the end.
+/// Reads into `buffer`; returns the number of bytes, which is 0 at the end of the input.
 pub fn read(fd: &OwnedFd, buffer: &mut [u8]) -> Result<usize, Errno> {
     let most = limit_transfer(Call::Read, buffer.len(), || peer(fd))?;
     rustix::io::read(fd, &mut buffer[..most])
 }
 
-/// Sends what the socket takes; returns the number of bytes.
+/// Sends as many bytes as the socket accepts; returns their number.
 pub fn send(fd: &OwnedFd, bytes: &[u8]) -> Result<usize, Errno> {
     let most = limit_transfer(Call::Send, bytes.len(), || peer(fd))?;
     net::send(fd, &bytes[..most], SendFlags::NOSIGNAL)
 }
 
-/// Tells the peer that nothing more will be sent.
+/// Shuts down the sending side of a connection.
 pub fn shutdown_output(fd: &OwnedFd) -> Result<(), Errno> {
     inject_error(Call::Shutdown, || peer(fd))?;
     net::shutdown(fd, net::Shutdown::Write)
 }
 
-/// Watches a descriptor that is not watched.
+/// Starts watching a descriptor.
 pub fn epoll_add(
     epoll: &OwnedFd,
     fd: impl AsFd,
@@ -113,7 +113,7 @@
     epoll::add(epoll, fd, epoll::EventData::new_u64(data), flags)
 }
 
-/// Changes what a watched descriptor is watched for.
+/// Changes the events that a watched descriptor is watched for.
 pub fn epoll_change(
     epoll: &OwnedFd,
     fd: impl AsFd,
@@ -124,7 +124,7 @@
     epoll::modify(epoll, fd, epoll::EventData::new_u64(data), flags)
 }
 
-/// Stops watching a descriptor. It needs no memory, and fails only for a descriptor that is not watched.
+/// Stops watching a descriptor. The call needs no memory, and fails only for a descriptor that is not watched.
 pub fn epoll_remove(epoll: &OwnedFd, fd: impl AsFd) -> Result<(), Errno> {
     epoll::delete(epoll, fd)
 }
--- a/crates/leverproxy/src/event_loop/system_calls/errors.rs
+++ b/crates/leverproxy/src/event_loop/system_calls/errors.rs
@@ -1,4 +1,4 @@
-//! What the errors of each system call mean.
+//! Classification of the errors of the system calls.
 
 use rustix::io::Errno;
 
@@ -23,34 +23,35 @@
     Send,
     /// `shutdown`.
     Shutdown,
-    /// `epoll_ctl` that adds or changes.
+    /// `epoll_ctl` with `EPOLL_CTL_ADD` or `EPOLL_CTL_MOD`.
     EpollControl,
     /// `epoll_wait`.
     EpollWait,
-    /// The first step of a file's replacement: see `persistence::state_file`.
+    /// Replacing a file, step 1: creating the new file. See `persistence::state_file`.
     FileCreate,
-    /// Its second step.
+    /// Replacing a file, step 2: writing the new file.
     FileWrite,
-    /// Its third step.
+    /// Replacing a file, step 3: syncing the new file.
     FileSync,
-    /// Its fourth step.
+    /// Replacing a file, step 4: renaming the new file.
     FileRename,
-    /// Its last step.
+    /// Replacing a file, step 5: syncing the directory.
     DirectorySync,
 }
 
-/// What a failed call means for its caller.
+/// The class of a failed call, which determines how the caller proceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The call may be repeated at once.
     RetryNow,
     /// The descriptor is not ready; epoll reports when it is.
     NotReady,
-    /// The machine lacks memory, buffers, descriptors or ports: to be retried after a pause. epoll may not report when.
+    /// The machine lacks memory, buffers, descriptors or ports. The call has to be retried after a pause, since epoll
+    /// may not report when it can succeed.
     RetryLater,
-    /// The connection has ended, or was not established.
+    /// The connection has ended or was not established.
     Broken,
-    /// The call cannot succeed as it is made: a fault of the settings or of the program.
+    /// The call cannot succeed with its arguments: an error in the settings or in the program.
     Fatal,
 }
 
@@ -61,9 +62,9 @@
         (Call::Connect, Errno::INTR | Errno::INPROGRESS | Errno::ALREADY) => Failure::NotReady,
         (_, Errno::INTR) => Failure::RetryNow,
         (_, Errno::NOBUFS | Errno::NOMEM | Errno::MFILE | Errno::NFILE) => Failure::RetryLater,
-        // The user's limit of watched descriptors.
+        // The limit of watched descriptors of the user is reached.
         (Call::EpollControl, Errno::NOSPC) => Failure::RetryLater,
-        // No local port is free.
+        // No local port is available.
         (Call::Connect, Errno::AGAIN | Errno::ADDRNOTAVAIL | Errno::ADDRINUSE) => {
             Failure::RetryLater
         }
@@ -76,7 +77,7 @@
         (Call::Connect | Call::SocketError | Call::Read | Call::Send | Call::Shutdown, _) => {
             Failure::Broken
         }
-        // What a disk refuses now it may accept after a pause.
+        // An operation that fails on a disk now may succeed after a pause.
         (
             Call::FileCreate
             | Call::FileWrite
@@ -88,8 +89,8 @@
     }
 }
 
-/// Linux reports errors of the connection that would have been accepted as errors of the call: they say nothing about the
-/// listener or the other connections in its backlog.
+/// The class of an error of `accept`. Linux reports errors of the connection to be accepted as errors of the call; they
+/// do not concern the listener or the other connections in its backlog.
 fn classify_accept(errno: Errno) -> Failure {
     match errno {
         Errno::CONNABORTED
@@ -109,7 +110,7 @@
     }
 }
 
-/// Whether the process or the machine has no descriptor left; closing one helps.
+/// Whether the process or the machine has no file descriptor left, so that closing a descriptor resolves the error.
 pub fn lacks_descriptors(errno: Errno) -> bool {
     matches!(errno, Errno::MFILE | Errno::NFILE)
 }
--- a/crates/leverproxy/src/event_loop/system_calls/faults.rs
+++ b/crates/leverproxy/src/event_loop/system_calls/faults.rs
@@ -1,5 +1,5 @@
-//! Injected errors and short transfers, for tests. A thread without [`Faults`] reads one thread-local variable for each
-//! call.
+//! Injection of errors and short transfers for tests. Without [`Faults`], the cost is reading one thread-local variable
+//! for each call.
 
 use super::errors::Call;
 use rustix::io::Errno;
@@ -8,30 +8,31 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What a call does instead of its work.
+/// The fault that is injected into a call.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// It fails with this error.
+    /// The call fails with this error and is not made.
     Fail(Errno),
-    /// It does its work and fails with this error all the same, as an interrupted connect does.
+    /// The call is made and then fails with this error, like an interrupted connect.
     FailAfter(Errno),
-    /// A read, a send or a write of a file transfers at most so many bytes.
+    /// A read, a send or a write of a file transfers at most this number of bytes.
     AtMost(usize),
 }
 
-/// Which calls a fault applies to.
+/// A fault and the calls that it applies to.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule {
     /// The kind of call.
     pub call: Call,
-    /// Only calls on a connection to this peer; for accept, on the listener at this address.
+    /// If set, the rule is restricted to connections to this peer; for accept, to the listener at this address.
     pub address: Option<SocketAddr>,
-    /// What happens to them.
+    /// The fault to inject.
     pub fault: Fault,
-    /// The number of calls that it applies to.
+    /// The number of calls that the rule still applies to.
     pub times: u64,
 }
 
+/// Number of kinds of system calls.
 const CALLS: usize = Call::DirectorySync as usize + 1;
 
 /// The faults of one thread, shared with the test that sets them.
@@ -49,12 +50,12 @@
 }
 
 impl Faults {
-    /// Subjects all calls of this thread to these faults from now on.
+    /// Applies these faults to all further calls of this thread.
     pub fn install(self: Arc<Faults>) {
         FAULTS.with(|faults| *faults.borrow_mut() = Some(self));
     }
 
-    /// Adds a rule; of several that fit a call the first one applies.
+    /// Adds a rule. If several rules match a call, the first one applies.
     pub fn add(&self, rule: Rule) {
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         rules.push(rule);
@@ -68,12 +69,12 @@
         self.armed.store(false, Ordering::SeqCst);
     }
 
-    /// The number of calls of the thread, with a fault or without.
+    /// The number of calls of this kind, with and without a fault.
     pub fn calls(&self, call: Call) -> u64 {
         self.call_counts[call as usize].load(Ordering::SeqCst)
     }
 
-    /// The number of calls that a fault was applied to.
+    /// The number of calls of this kind that a fault was applied to.
     pub fn faults(&self, call: Call) -> u64 {
         self.fault_counts[call as usize].load(Ordering::SeqCst)
     }
@@ -97,7 +98,7 @@
     }
 }
 
-/// The faults of this thread, for another thread that works for it.
+/// The faults of this thread, to be installed in a worker thread.
 pub(crate) fn installed() -> Option<Arc<Faults>> {
     FAULTS.with(|faults| faults.borrow().clone())
 }
@@ -106,7 +107,7 @@
     FAULTS.with(|faults| faults.borrow().as_ref()?.fault(call, address))
 }
 
-/// The error that this call has to return instead of its work.
+/// Returns the error of the fault that applies to this call, if any.
 pub(crate) fn inject_error(
     call: Call,
     address: impl FnOnce() -> Option<SocketAddr>,
@@ -117,7 +118,7 @@
     }
 }
 
-/// Does the work, unless a fault replaces it.
+/// Makes the call, unless a fault replaces it.
 pub(super) fn perform_with_faults(
     call: Call,
     address: impl FnOnce() -> Option<SocketAddr>,
@@ -130,7 +131,7 @@
     }
 }
 
-/// How many of these bytes this call may transfer, or the error that it has to return.
+/// The number of `bytes` that this call may transfer, or the error of the fault that applies to it.
 pub(crate) fn limit_transfer(
     call: Call,
     bytes: usize,
--- a/crates/leverproxy/src/event_loop/timers.rs
+++ b/crates/leverproxy/src/event_loop/timers.rs
@@ -1,17 +1,18 @@
-//! Due times.
+//! The timers of the event loop.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// The longest time to a deadline.
+/// Maximum time until a deadline.
 const MAX_DELAY: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Due times, in their order. They are not cancelled: whoever set one checks when it is due whether it still applies.
+/// Timers in the order of their due times. Timers are not cancelled: the owner of a due timer checks whether it still
+/// applies.
 #[derive(Debug)]
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(Instant, u64, T)>>,
-    /// Timers that were set so far; it keeps those of the same time in their order.
+    /// Number of timers set so far. It keeps timers with the same due time in the order in which they were set.
     sequence: u64,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// The instant `delay` after `now`, but at most a day: a sum that does not fit would panic.
+/// The instant `delay` after `now`. The delay is limited to one day, since a sum that overflows would panic.
 pub fn deadline_after(now: Instant, delay: Duration) -> Instant {
     now + delay.min(MAX_DELAY)
 }
--- a/crates/leverproxy/src/event_loop/token.rs
+++ b/crates/leverproxy/src/event_loop/token.rs
@@ -1,13 +1,13 @@
-//! Whose descriptor an event is for.
+//! Tokens that identify the owner of a descriptor.
 
 use super::slab::{Key, GENERATIONS};
 
-/// Whose descriptor an event is for. It passes through epoll as 64 bits: kind, generation, index.
+/// The owner of a descriptor. epoll carries the token as 64 bits: kind, generation and index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Token {
     /// The clients' listener.
     Listener,
-    /// The pipe that signals and other threads wake the loop with.
+    /// The pipe through which signals and other threads wake the event loop.
     Commands,
     /// A watch on the endpoint list.
     Discovery(Key),
@@ -15,28 +15,28 @@
     Client(Key),
     /// A connection to a record server.
     Upstream(Key),
-    /// One of the balancers' listeners, by its position.
+    /// A listener for balancers' health checks, with its index.
     HealthListener(u16),
     /// A balancer's health check.
     Health(Key),
     /// The listener of the control socket.
     ControlSocketListener,
-    /// An operator on the control socket.
+    /// An operator's connection to the control socket.
     ControlSocket(Key),
     /// The listener of the admin API.
     AdminListener,
     /// A call to the admin API.
     Admin(Key),
-    /// The listener for the next process.
+    /// The listener for the next process of a hot restart.
     HotRestartListener,
-    /// A link to another process of this proxy.
+    /// A connection to another process of this proxy.
     HotRestart(Key),
-    /// Datagrams of other proxies.
+    /// The socket for datagrams of other proxies.
     Datagrams,
 }
 
 impl Token {
-    /// Whether it belongs to health checks or to operators' calls.
+    /// Whether the token belongs to health checks or to the admin API.
     pub(super) fn is_operational(self) -> bool {
         matches!(
             self,
--- a/crates/leverproxy/src/protocol/http/error.rs
+++ b/crates/leverproxy/src/protocol/http/error.rs
@@ -1,56 +1,56 @@
-//! What may be wrong with a response.
+//! Limits of responses, and the errors in them.
 
 use std::string::FromUtf8Error;
 use thiserror::Error;
 
-/// The longest head of a response, in bytes.
+/// Maximum length of the head of a response, in bytes.
 pub(super) const HEAD_LIMIT: usize = 16 << 10;
-/// The most header lines.
+/// Maximum number of header lines.
 pub(super) const MAX_HEADERS: usize = 64;
-/// The largest object of a body, in bytes.
+/// Maximum length of an object in a body, in bytes.
 pub(super) const OBJECT_LIMIT: usize = 4 << 20;
 
-/// What is wrong with a response, and where to look.
+/// An error in discovery's HTTP response.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The bytes are no HTTP response.
-    #[error("this is no HTTP answer ({0}): is it discovery that listens there?")]
+    /// The bytes are not an HTTP response.
+    #[error("the response is not HTTP ({0}): check that discovery listens at this address")]
     NotHttp(httparse::Error),
     /// The head is too long.
-    #[error("the head of the answer is longer than {HEAD_LIMIT} bytes or {MAX_HEADERS} lines")]
+    #[error("the response head exceeds {HEAD_LIMIT} bytes or {MAX_HEADERS} header lines")]
     HeadTooLong,
     /// The status is not 200.
-    #[error("status {0}: discovery turns the call away")]
+    #[error("discovery rejected the call with status {0} instead of 200")]
     Status(u16),
     /// The transfer encoding is not supported.
-    #[error("transfer encoding {0:?} is not known: chunked or none is read")]
+    #[error("transfer encoding {0:?} is not supported: use chunked or none")]
     Encoding(String),
-    /// The content length is no number.
-    #[error("{0:?} is no content length")]
+    /// The content length is not a number.
+    #[error("content length {0:?} is not a number of bytes")]
     Length(String),
     /// The chunks are malformed.
-    #[error("the body is cut into chunks wrongly")]
+    #[error("the chunked transfer encoding of the body is malformed")]
     Chunk,
-    /// An object is too long.
-    #[error("an object of the list is longer than {OBJECT_LIMIT} bytes")]
+    /// An object is longer than [`OBJECT_LIMIT`].
+    #[error("an object of the endpoint list is longer than {OBJECT_LIMIT} bytes")]
     ObjectTooLong,
-    /// The body is no sequence of JSON objects.
-    #[error("the body is no JSON: {0}")]
+    /// The body is not a sequence of JSON objects.
+    #[error("the body is not JSON: {0}")]
     NotJson(#[from] NotJson),
     /// The response ends in the middle of an object.
-    #[error("the answer ends in the middle of an object")]
+    #[error("the response ends in the middle of an object")]
     Truncated,
 }
 
-/// Why a body is no sequence of JSON objects.
+/// The reason why a body is not a sequence of JSON objects.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum NotJson {
-    /// A byte that cannot be there.
-    #[error("{:?} {place}", char::from(*.byte))]
+    /// A byte that is not allowed at its position.
+    #[error("unexpected {:?} {place}", char::from(*.byte))]
     Unexpected {
         /// The byte.
         byte: u8,
-        /// Where it is.
+        /// The position of the byte.
         place: &'static str,
     },
     /// An object that is not UTF-8.
--- a/crates/leverproxy/src/protocol/http/mod.rs
+++ b/crates/leverproxy/src/protocol/http/mod.rs
@@ -1,6 +1,6 @@
-//! The part of HTTP/1.1 that a watch on discovery needs: the head of a response, a body in chunks or plain, and the JSON
-//! objects in it, parsed as they arrive. An object may be cut anywhere and indented, and several may arrive at once; white
-//! space between them means that nothing has changed.
+//! The subset of HTTP/1.1 that a watch on discovery needs: the head of a response, a chunked or plain body, and the
+//! JSON objects in the body, parsed as they arrive. An object may be split at any byte and be indented, and several
+//! objects may arrive at once. White space between objects means that nothing has changed.
 
 mod error;
 mod objects;
@@ -10,6 +10,7 @@
 use error::{HEAD_LIMIT, MAX_HEADERS};
 use objects::ObjectSplitter;
 
+/// Maximum length of the line with the size of a chunk, in bytes.
 const SIZE_LINE_LIMIT: usize = 256;
 
 #[derive(Debug, Default)]
@@ -21,25 +22,26 @@
         left: u64,
     },
     ChunkEnd,
-    /// A body that lasts for so many bytes, or until the connection ends.
+    /// A body without chunks: `left` is the number of bytes to come; without it the body lasts until the connection
+    /// ends.
     Plain {
         left: Option<u64>,
     },
     Done,
 }
 
-/// What a step has used of the bytes.
+/// The result of a parsing step, with the number of bytes that it used.
 enum Step {
-    /// So many bytes; there may be more to parse.
+    /// More of the bytes may be parsed.
     Continue(usize),
-    /// So many bytes; more have to arrive.
+    /// More bytes have to arrive.
     Wait(usize),
 }
 
 /// A part of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// White space: the peer is there, and has nothing to report.
+    /// White space: discovery is alive and has no changes to report.
     Keepalive,
     /// The text of one object.
     Object(String),
@@ -53,8 +55,8 @@
 }
 
 impl ResponseParser {
-    /// Parses what it can of `bytes`, appends the parts of the body, and returns how many bytes are used. Parts that were
-    /// complete before an error are appended too.
+    /// Parses `bytes` as far as possible, appends the parts of the body, and returns the number of bytes used. Parts
+    /// that were complete before an error are appended too.
     pub fn parse(&mut self, bytes: &[u8], parts: &mut Vec<Part>) -> Result<usize, HttpError> {
         let mut at = 0;
         loop {
@@ -148,18 +150,19 @@
         Ok(Step::Wait(used))
     }
 
-    /// Whether the response is complete: nothing more will arrive.
+    /// Whether the response is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.state, State::Done)
     }
 }
 
-/// How many of these bytes belong to a part of which so many are left.
+/// The number of `bytes` that belong to a part of which `left` bytes are still to come.
 fn available(bytes: &[u8], left: u64) -> usize {
     bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX))
 }
 
-/// The head of a response, once it is complete: its length, and how the body is transferred.
+/// Parses the head of a response. Returns its length and the state in which the body is parsed, or `None` if the head
+/// is incomplete.
 fn parse_head(bytes: &[u8]) -> Result<Option<(usize, State)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -178,7 +181,7 @@
     }
 }
 
-/// How the body is transferred.
+/// The state in which the body is parsed, according to the headers.
 fn body_state(headers: &[httparse::Header<'_>]) -> Result<State, HttpError> {
     let value = |name: &str| {
         let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
@@ -195,7 +198,7 @@
     }
 }
 
-/// A request for a stream of objects.
+/// The bytes of a request for a stream of objects.
 pub fn get(host: &str, target: &str) -> Vec<u8> {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
         .into_bytes()
--- a/crates/leverproxy/src/protocol/http/objects.rs
+++ b/crates/leverproxy/src/protocol/http/objects.rs
@@ -1,17 +1,17 @@
-//! Where the JSON objects of a body begin and end. Each byte is looked at once, in whatever pieces the body arrives; the
-//! content of an object is parsed once it is complete.
+//! Finds the boundaries of the JSON objects in a body. Each byte is examined once, however the body is split on
+//! arrival; the content of an object is parsed by the caller once the object is complete.
 
 use super::error::{HttpError, NotJson, OBJECT_LIMIT};
 use super::Part;
 
-/// The position in the JSON text; the numbers are the depth of nested objects and arrays.
+/// The position in the JSON text; the numbers are the nesting depth of objects and arrays.
 #[derive(Debug, Default)]
 enum Position {
     #[default]
     Outside,
     Inside(usize),
     InString(usize),
-    /// Behind a backslash in a string.
+    /// After a backslash in a string.
     Escaped(usize),
 }
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ObjectSplitter {
     position: Position,
-    /// What has arrived of the object that has begun.
+    /// The bytes that have arrived of the incomplete object.
     object: Vec<u8>,
 }
 
@@ -48,13 +48,13 @@
         Ok(())
     }
 
-    /// Whether an object has begun that is not complete.
+    /// Whether there is an incomplete object.
     pub(super) fn has_incomplete(&self) -> bool {
         !self.object.is_empty()
     }
 }
 
-/// The position after a byte; none for white space between objects.
+/// The position after a byte; `None` for white space between objects.
 fn next(position: &Position, byte: u8) -> Result<Option<Position>, NotJson> {
     use Position::{Escaped, InString, Inside, Outside};
     let unexpected = |place| Err(NotJson::Unexpected { byte, place });
@@ -67,7 +67,7 @@
         (Inside(1), b'}' | b']') => Outside,
         (Inside(depth), b'}' | b']') => Inside(depth - 1),
         (Inside(depth), _) => Inside(*depth),
-        (InString(_) | Escaped(_), 0..b' ') => return unexpected("in a text"),
+        (InString(_) | Escaped(_), 0..b' ') => return unexpected("in a string"),
         (InString(depth), b'"') => Inside(*depth),
         (InString(depth), b'\\') => Escaped(*depth),
         (InString(depth) | Escaped(depth), _) => InString(*depth),
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -1,4 +1,4 @@
-//! The side that record servers see: queries are written, their responses parsed and checked.
+//! The proxy as a client of record servers: writes queries, and parses and checks their responses.
 
 use super::{
     error_field, parse_message, parse_text, put, sqlstate, Malformed, Message, FRAME_SLACK,
@@ -8,16 +8,17 @@
 use routing::{ResponseMetadata, Time};
 use std::time::Duration;
 
-/// Bytes of a response that may wait to be parsed: the largest that is relayed as a whole, and what follows it.
+/// Maximum number of response bytes that wait to be parsed: the largest message that is relayed as a whole, and the
+/// messages after it.
 pub const INPUT_LIMIT: usize = VALUE_LIMIT + FRAME_SLACK + (8 << 10);
 
 const USER: &str = "app";
 const DATABASE: &str = "shop";
-/// Bytes from the tag of a DataRow to its first value: tag, length, number of columns, length of the value.
+/// Number of bytes of a DataRow before its first value: tag, length, number of columns, length of the value.
 const ROW_HEADER: usize = 11;
-/// Bytes that a RowDescription has for a column beside its name.
+/// Number of bytes that a RowDescription has for a column in addition to its name.
 const COLUMN_FIELDS: usize = 18;
-/// Messages of the handshake and of the session's state are no longer than this.
+/// Maximum length of the messages of the handshake and of the session's state, in bytes.
 const SHORT_MESSAGE: usize = 1 << 10;
 
 /// The startup packet of a connection to a record server.
@@ -25,8 +26,8 @@
     super::server::startup_packet(USER, DATABASE)
 }
 
-/// The query message for `query`, with the time that its client still waits. A command is relayed as it came, but for
-/// that time.
+/// The query message for `query`. A command is relayed unchanged, except that it states the time left until its
+/// client's deadline.
 pub fn query(query: &UpstreamQuery, time_left: Duration) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'Q', |body| {
@@ -43,50 +44,50 @@
     out
 }
 
-/// How far a response has come. Messages in any other order are malformed.
+/// The stage of a response. Messages in any other order are malformed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// The greeting on a new connection, which ends as a response does.
+    /// The greeting on a new connection, which ends with ReadyForQuery like a response.
     Greeting,
     Authenticated,
-    /// The query is sent.
+    /// The query has been sent.
     #[default]
     Queried,
-    /// RowDescription has come.
+    /// RowDescription has arrived.
     Described,
-    /// A row that is too large to be buffered: so many bytes of it are still to come.
+    /// A row that is too large to be buffered, with the number of its bytes that are still to come.
     StreamingRow(usize),
-    /// The row has come.
+    /// The row has arrived.
     Row,
-    /// CommandComplete or an error has come.
+    /// CommandComplete or an error has arrived.
     Finished,
 }
 
-/// What was used of the bytes.
+/// The result of a parsing step, with the number of bytes that it used.
 enum Step {
-    /// So many; there may be more to parse.
+    /// More of the bytes may be parsed.
     Continue(usize),
-    /// So many; more have to arrive.
+    /// More bytes have to arrive.
     Wait(usize),
-    /// So many; the response is complete.
+    /// The response is complete.
     Complete(usize),
 }
 
-/// Parses one response, up to ReadyForQuery, as its bytes arrive. What is relayed is one column and one row, in order, with
-/// lengths that fit. This guards against servers that send noise, lines without end or wrong lengths, which a client would
-/// otherwise get as its value.
+/// Parses one response, up to ReadyForQuery, as its bytes arrive. Only a response of one column and one row, in order
+/// and with consistent lengths, is relayed. So a client does not receive as its value the output of a server that sends
+/// noise, endless lines or wrong lengths.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
-    /// The messages for the client.
+    /// The messages to relay to the client.
     relayed: Vec<u8>,
     stage: Stage,
-    /// The response is passed on in chunks.
+    /// Whether the response is forwarded in chunks.
     streaming: bool,
     error_code: Option<String>,
     metadata: ResponseMetadata,
 }
 
-/// The longest message of a kind; none if the kind is not expected.
+/// Maximum length of messages with this tag, in bytes; `None` if the tag is not expected.
 fn max_message_length(tag: u8, stage: Stage) -> Option<usize> {
     Some(match tag {
         b'D' => RESPONSE_LIMIT,
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Parses the complete messages at the front of `bytes`; returns how many bytes are used, and whether the response is
-    /// complete.
+    /// Parses the complete messages at the start of `bytes`; returns the number of bytes used, and whether the response
+    /// is complete.
     pub fn parse(&mut self, bytes: &[u8]) -> Result<(usize, bool), Malformed> {
         let mut at = 0;
         loop {
@@ -167,8 +168,8 @@
         Ok(Step::Continue(used))
     }
 
-    /// Checks a row by its header, so that a malformed one is not waited for. Returns whether the row is passed on in
-    /// chunks.
+    /// Checks the header of a row, so that a malformed row is rejected before it has arrived in full. Returns whether
+    /// the row is forwarded in chunks.
     fn begin_large_row(&mut self, rest: &[u8]) -> Result<bool, Malformed> {
         let number = |at: usize| {
             let bytes = &rest[at..at + 4];
@@ -176,10 +177,10 @@
         };
         let (message_length, columns, value_length) = (number(1), &rest[5..7], number(7));
         if columns != [0, 1] || value_length + 10 != message_length {
-            return Err(malformed(b'D', "is no row of one value"));
+            return Err(malformed(b'D', "is not a row of one value"));
         }
         if message_length > RESPONSE_LIMIT {
-            return Err(malformed(b'D', "has a length that is no value's"));
+            return Err(malformed(b'D', "has a length above the limit of values"));
         }
         if value_length <= VALUE_LIMIT {
             return Ok(false);
@@ -201,7 +202,8 @@
             (b'C', Stage::Row) if matches!(parse_text(body), Some((_, []))) => Stage::Finished,
             (b'E', stage) if stage != Stage::Finished => {
                 let code = error_field(body, b'C').filter(|code| code.len() == 5);
-                let code = code.ok_or_else(|| malformed(tag, "bears no code"))?;
+                let code =
+                    code.ok_or_else(|| malformed(tag, "has no SQLSTATE code of 5 characters"))?;
                 self.error_code = Some(code.to_owned());
                 Stage::Finished
             }
@@ -211,7 +213,7 @@
                 stage
             }
             (b'N' | b'A' | b'K' | b'v', stage) => stage,
-            _ => return Err(malformed(tag, "is out of place or makes no sense")),
+            _ => return Err(malformed(tag, "is out of place or malformed")),
         })
     }
 
@@ -225,9 +227,10 @@
         }
     }
 
-    /// What has arrived of a response that is passed on in chunks, which may be empty; none if it is not.
+    /// Takes the bytes that have arrived of a response that is forwarded in chunks; they may be empty. Returns `None`
+    /// for other responses.
     pub fn take_chunk(&mut self) -> Option<Vec<u8>> {
-        // What follows the row is passed on with the end of the response.
+        // The messages after the row are forwarded with the end of the response.
         let in_row = matches!(self.stage, Stage::StreamingRow(_) | Stage::Row);
         self.streaming.then(|| {
             if in_row {
@@ -238,17 +241,17 @@
         })
     }
 
-    /// Whether an error message has come, which ends the response even without ReadyForQuery.
+    /// Whether an error message has arrived, which ends the response even without ReadyForQuery.
     pub fn has_error(&self) -> bool {
         self.error_code.is_some()
     }
 
-    /// Whether the server has rejected the query or the connection unseen, because it is full.
+    /// Whether the server has rejected the query or the connection without processing it, because it is at its limit.
     pub fn is_rejected(&self) -> bool {
         self.error_code.as_deref() == Some(sqlstate::TOO_MANY_CONNECTIONS)
     }
 
-    /// The outcome of a response that is complete or has an error.
+    /// The outcome and the metadata of a response that is complete or has an error.
     pub fn outcome(self, query: &UpstreamQuery) -> (ExchangeOutcome, ResponseMetadata) {
         let outcome = match (self.error_code.as_deref(), query) {
             (Some(sqlstate::READ_ONLY_SQL_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD), _) => {
@@ -295,7 +298,7 @@
     }
 }
 
-/// The fields of a load report, such as `inflight=7,util=0.61`; none if one of them is malformed.
+/// The fields of a load report, such as `inflight=7,util=0.61`; `None` if one of them is malformed.
 fn load_fields(text: &str) -> Option<Vec<(String, f64)>> {
     let field = |pair: &str| {
         let (name, value) = pair.split_once('=')?;
--- a/crates/leverproxy/src/protocol/postgres/mod.rs
+++ b/crates/leverproxy/src/protocol/postgres/mod.rs
@@ -1,5 +1,5 @@
-//! Version 3 of PostgreSQL's wire protocol, the codec only: `server` is the side that clients see, `client` the side that
-//! record servers see, and `statement` parses what a query says about itself.
+//! Codec of version 3 of PostgreSQL's wire protocol: `server` is the proxy's side towards clients, `client` its side
+//! towards record servers, and `statement` parses the metadata in the comment of a query.
 
 pub mod client;
 pub mod server;
@@ -7,40 +7,40 @@
 
 use thiserror::Error;
 
-/// The largest value that clients write, and that is relayed as a whole.
+/// Maximum length of a value that clients write and of a value that is relayed as a whole, in bytes.
 const VALUE_LIMIT: usize = 64 << 10;
-/// What a message may have around its value.
+/// Maximum number of bytes of a message in addition to its value.
 const FRAME_SLACK: usize = 4 << 10;
-/// The longest query: a value in hexadecimal digits inside a statement.
+/// Maximum length of a query, in bytes: a value in hexadecimal digits inside a statement.
 pub const QUERY_LIMIT: usize = 2 * VALUE_LIMIT + FRAME_SLACK;
-/// The longest message of a record server, whose values have up to 4 MiB. A greater length is malformed.
+/// Maximum length of a message of a record server, in bytes. Values have up to 4 MiB; a greater length is malformed.
 const RESPONSE_LIMIT: usize = (4 << 20) + FRAME_SLACK;
-/// The longest startup packet.
+/// Maximum length of a startup packet, in bytes.
 const STARTUP_LIMIT: usize = 10_000;
 
-/// SQLSTATE codes, by the names of PostgreSQL's own table.
+/// SQLSTATE codes, under the names in PostgreSQL's documentation.
 pub mod sqlstate {
     /// The peer has sent something malformed.
     pub const PROTOCOL_VIOLATION: &str = "08P01";
-    /// Whether the statement has run is not known.
+    /// It is not known whether the statement was executed.
     pub const TRANSACTION_RESOLUTION_UNKNOWN: &str = "08007";
     /// The message or statement is not supported.
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
-    /// The statement is no request.
+    /// The statement is not a request.
     pub const SYNTAX_ERROR: &str = "42601";
     /// The client has cancelled the statement.
     pub const QUERY_CANCELED: &str = "57014";
-    /// The server is a replica and takes no writes.
+    /// The server is a replica and accepts no writes.
     pub const READ_ONLY_SQL_TRANSACTION: &str = "25006";
     /// The server's data is older than the statement allows.
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
-    /// There is no memory for the statement.
+    /// There is not enough memory for the statement.
     pub const OUT_OF_MEMORY: &str = "53200";
-    /// The server takes no more connections or statements now.
+    /// The server currently accepts no more connections or statements.
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
 }
 
-/// Bytes that violate the protocol; what is wrong with them.
+/// Bytes that violate the protocol, with a description of the violation.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct Malformed(pub String);
@@ -50,14 +50,14 @@
 pub struct Message<'a> {
     /// The kind of message.
     pub tag: u8,
-    /// What follows the length.
+    /// The bytes after the length.
     pub body: &'a [u8],
-    /// The whole message, with tag and length.
+    /// The whole message, including tag and length.
     pub raw: &'a [u8],
 }
 
-/// The first message of `bytes`, once it is complete. A length over `limit` is an error as soon as it has arrived, so that
-/// no peer can make a buffer grow beyond it.
+/// Parses the first message of `bytes`; `None` if it is incomplete. A length above `limit` is an error as soon as the
+/// length has arrived, so that a peer cannot make a buffer grow beyond the limit.
 pub fn parse_message(bytes: &[u8], limit: usize) -> Result<Option<Message<'_>>, Malformed> {
     let [tag, a, b, c, d, ..] = *bytes else {
         return Ok(None);
@@ -97,7 +97,7 @@
     out.push(0);
 }
 
-/// A text that a zero byte ends, and what follows it.
+/// Parses a text terminated by a zero byte; returns it with the bytes after it.
 pub fn parse_text(bytes: &[u8]) -> Option<(&str, &[u8])> {
     let end = bytes.iter().position(|&b| b == 0)?;
     Some((std::str::from_utf8(&bytes[..end]).ok()?, &bytes[end + 1..]))
@@ -122,7 +122,7 @@
     });
 }
 
-/// A field in the body of an ErrorResponse.
+/// The value of a field in the body of an ErrorResponse; `None` if the field is missing.
 pub fn error_field(mut body: &[u8], wanted: u8) -> Option<&str> {
     while let Some((&field, rest)) = body.split_first().filter(|(&field, _)| field != 0) {
         let (value, after) = parse_text(rest)?;
--- a/crates/leverproxy/src/protocol/postgres/server.rs
+++ b/crates/leverproxy/src/protocol/postgres/server.rs
@@ -1,4 +1,4 @@
-//! The side that clients see: their startup and queries are parsed, the proxy's responses written.
+//! The proxy as a server for clients: parses their startup packets and queries, and writes the responses.
 
 use super::{
     parse_message, parse_text, put, put_error, put_ready_for_query, put_text, put_untagged,
@@ -11,7 +11,7 @@
 const GSS_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// The parameters that a session is told at its start.
+/// The parameters that are sent to a client at the start of its session.
 const PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -21,13 +21,13 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Bytes of a client that may wait to be parsed: a whole query and what follows it.
+/// Maximum number of bytes of a client that wait to be parsed: a whole query and the bytes after it.
 pub const INPUT_LIMIT: usize = QUERY_LIMIT + (16 << 10);
 
-/// What a client's first packet asks for.
+/// The request in a client's first packet.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup {
-    /// A session; the response that starts it.
+    /// A new session, with the response that starts it.
     Session(Vec<u8>),
     /// Encryption, which is not supported.
     Encryption,
@@ -35,12 +35,13 @@
     Cancel(CancelKey),
 }
 
-/// What a client sends to cancel a request of a session: process and secret, as the session's start gave them.
+/// The key that a client sends to cancel a request of a session: the process number and the secret that were sent at
+/// the session's start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelKey {
     /// The session's process number.
     pub process: u32,
-    /// Its secret.
+    /// The session's secret.
     pub secret: u32,
 }
 
@@ -67,7 +68,8 @@
     }
 }
 
-/// Parses the first packet; returns it with its length. `key`: the cancel key that a session gets.
+/// Parses the first packet; returns it with its length, or `None` if it is incomplete. `key`: the cancel key for a new
+/// session.
 pub fn parse_startup(bytes: &[u8], key: CancelKey) -> Result<Option<(Startup, usize)>, Malformed> {
     let Some((head, _)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
@@ -101,7 +103,7 @@
     check_options(options)?;
     let mut out = Vec::new();
     if version != VERSION_3 {
-        // For a newer minor version: this is the newest one that is supported.
+        // NegotiateProtocolVersion: the newest supported minor version is 0.
         put(&mut out, b'v', |body| body.extend([0; 8]));
     }
     put(&mut out, b'R', |body| body.extend([0; 4]));
@@ -140,13 +142,13 @@
     Query(&'a str),
     /// The end of the session.
     Terminate,
-    /// The end of a series of messages of the extended protocol.
+    /// Sync, which ends a series of messages of the extended protocol.
     Sync,
-    /// A message that is not supported; its tag.
+    /// A message that is not supported, with its tag.
     Unsupported(u8),
 }
 
-/// Parses the first message of `bytes`, once it is complete; returns it with its length.
+/// Parses the first message of `bytes`; returns it with its length, or `None` if it is incomplete.
 pub fn parse_client_message(bytes: &[u8]) -> Result<Option<(ClientMessage<'_>, usize)>, Malformed> {
     let Some(message) = parse_message(bytes, QUERY_LIMIT)? else {
         return Ok(None);
@@ -207,7 +209,7 @@
     out
 }
 
-/// The response to a statement that is complete, with its tag.
+/// The response to a completed statement with this command tag.
 pub fn command_complete(tag: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'C', |body| put_text(body, tag));
@@ -239,7 +241,7 @@
     out
 }
 
-/// The last message to a client that has sent something malformed.
+/// The last message to a client that has sent malformed bytes.
 pub fn protocol_violation(why: &Malformed) -> Vec<u8> {
     let mut out = Vec::new();
     put_error(
@@ -252,7 +254,7 @@
     out
 }
 
-/// The last message to a client for whose unfinished command there is no memory.
+/// The last message to a client whose incomplete command would exceed the memory limit.
 pub fn out_of_memory() -> Vec<u8> {
     let mut out = Vec::new();
     let text = "too many bytes of unfinished commands are waiting";
--- a/crates/leverproxy/src/protocol/postgres/statement.rs
+++ b/crates/leverproxy/src/protocol/postgres/statement.rs
@@ -1,4 +1,4 @@
-//! What a statement says about itself in its comment: `/* id=..,c=..,t=..,d=..,cluster=..,after=..,r=1 */`.
+//! The metadata of a statement in its comment: `/* id=..,c=..,t=..,d=..,cluster=..,after=..,r=1 */`.
 
 use crate::request::{truncate_for_display, Command, Request};
 use std::net::{IpAddr, Ipv4Addr};
@@ -6,43 +6,43 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// What a query asks of the proxy.
+/// A parsed query of a client.
 #[derive(Debug)]
 pub enum Query {
-    /// Nothing but blanks and semicolons.
+    /// A query of white space and semicolons only.
     Empty,
-    /// A setting of the session, which has no effect here; the tag of its response.
+    /// A setting of the session, which the proxy ignores, with the command tag of its response.
     Setting(&'static str),
     /// A request for a record server.
     Request(Request),
 }
 
-/// Why a statement is no request. Values of the client are cut to what a message should repeat.
+/// The reason why a statement is not a request. Values from the client are truncated for display.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
     /// There is no comment.
     #[error("the statement bears no comment with its id and class")]
     NoComment,
-    /// A part of the comment is no `name=value`.
+    /// A part of the comment is not of the form `name=value`.
     #[error("{0:?} in the comment is no name=value")]
     NotAPair(String),
     /// A value is not a whole number.
     #[error("{name}={value} is not a whole number")]
     NotANumber {
-        /// The field.
+        /// The field's name.
         name: String,
-        /// Its value.
+        /// The field's value.
         value: String,
     },
     /// The group's number is too large.
     #[error("cluster={0} is out of range")]
     GroupOutOfRange(String),
-    /// A field that every request has is missing or empty.
+    /// A required field is missing or empty.
     #[error("the comment does not tell {0}")]
     Missing(&'static str),
 }
 
-/// Parses a query; `read_at`: when it was read from the client.
+/// Parses a query. `read_at`: the time at which it was read from the client.
 pub fn parse(text: &str, read_at: Instant) -> Result<Query, StatementError> {
     let trimmed = text.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
     if trimmed.is_empty() {
@@ -58,7 +58,7 @@
         .map(Query::Request)
 }
 
-/// The tag of a statement that only sets something of the session.
+/// The command tag of a statement that only changes settings of the session; `None` for other statements.
 fn session_setting(statement: &str) -> Option<&'static str> {
     let verb = statement
         .split(|c: char| !c.is_ascii_alphabetic())
@@ -76,14 +76,14 @@
     class: Option<&'a str>,
     tenant: Option<&'a str>,
     group: Option<u32>,
-    /// The time that the client waits, and where its digits are in the statement.
+    /// The client's timeout, and the range of its digits in the statement.
     wait: Option<(Duration, Range<usize>)>,
     after: Option<Duration>,
     repeated: bool,
 }
 
 impl<'a> Fields<'a> {
-    /// `start`: where the comment's text begins in the statement.
+    /// `start`: the offset of the comment's text in the statement.
     fn parse(comment: &'a str, start: usize) -> Result<Fields<'a>, StatementError> {
         let mut fields = Fields::default();
         let mut at = start;
@@ -100,7 +100,7 @@
         Ok(fields)
     }
 
-    /// `value_at`: where the value begins in the statement.
+    /// `value_at`: the offset of the value in the statement.
     fn set(&mut self, name: &str, value: &'a str, value_at: usize) -> Result<(), StatementError> {
         match name {
             "id" => self.id = Some(value).filter(|value| !value.is_empty()),
@@ -159,7 +159,7 @@
         .map_err(|_| StatementError::GroupOutOfRange(truncate_for_display(value).to_owned()))
 }
 
-/// The last comment outside of quotes, and where its text begins. Data inside quotes is never taken for a comment.
+/// The offset and the text of the last comment outside of quotes. Data inside quotes is never treated as a comment.
 fn last_comment(text: &str) -> Option<(usize, &str)> {
     let bytes = text.as_bytes();
     let (mut at, mut found, mut quoted) = (0, None, false);
@@ -179,12 +179,12 @@
     found
 }
 
-/// The first quoted text: the key in the statements that clients send.
+/// The first quoted text, which is the key in the clients' statements.
 fn first_quoted(text: &str) -> Option<&str> {
     text.split('\'').nth(1)
 }
 
-/// A number for a session's key: the key itself if it is a hexadecimal number, else its FNV-1a hash.
+/// The number of a session's key: the key itself if it is a hexadecimal number, otherwise its FNV-1a hash.
 fn session_number(key: &str) -> u64 {
     u64::from_str_radix(key, 16).unwrap_or_else(|_| {
         let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
