--- a/crates/leverproxy/src/discovery/directory.rs
+++ b/crates/leverproxy/src/discovery/directory.rs
@@ -58,7 +58,7 @@
     pub fn apply(&mut self, mut list: EndpointList, names: &Names) -> DirectoryUpdate {
         self.index = list.index;
         let unreadable = std::mem::take(&mut list.unreadable);
-        list.endpoints.extend(self.former_entries(&unreadable));
+        list.endpoints.extend(self.current_entries(&unreadable));
         if list.snapshot {
             let listed = list.endpoints.iter().map(|e| e.name.as_str()).collect();
             self.maintenance.retain_listed(&listed);
@@ -72,7 +72,7 @@
             servers.extend(self.remove_unlisted(&endpoints));
         }
         self.remove_gone(&endpoints);
-        self.forget_former_names();
+        self.prune_former_names();
         let endpoints = if list.snapshot {
             EndpointUpdate::Snapshot(endpoints)
         } else {
@@ -82,7 +82,7 @@
     }
 
     /// The present entries of servers whose new entries are unreadable: these servers stay unchanged.
-    fn former_entries(&self, unreadable: &[UnreadableEndpoint]) -> Vec<ListedEndpoint> {
+    fn current_entries(&self, unreadable: &[UnreadableEndpoint]) -> Vec<ListedEndpoint> {
         unreadable
             .iter()
             .filter_map(|entry| self.ids.get(entry.name.as_ref()?))
@@ -116,7 +116,7 @@
 
     /// Removes the names of former servers if there are more than [`MAX_FORMER_NAMES`]. Until then a server that is
     /// listed again keeps its id.
-    fn forget_former_names(&mut self) {
+    fn prune_former_names(&mut self) {
         if self.ids.len() > MAX_FORMER_NAMES + self.listed.len() {
             self.ids.retain(|_, id| self.listed.contains_key(id));
         }
--- a/crates/leverproxy/src/downstream/connection_end.rs
+++ b/crates/leverproxy/src/downstream/connection_end.rs
@@ -97,7 +97,7 @@
         self.peer_left = true;
     }
 
-    /// Whether the descriptor is to be closed at once.
+    /// Whether the peer has left, so that the descriptor has to be closed at once.
     pub(super) fn has_peer_left(&self) -> bool {
         self.peer_left
     }
--- a/crates/leverproxy/src/event_loop/system_calls/faults.rs
+++ b/crates/leverproxy/src/event_loop/system_calls/faults.rs
@@ -86,12 +86,12 @@
         }
         let address = address();
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
-        let fits = |rule: &&mut Rule| {
+        let matches = |rule: &&mut Rule| {
             rule.call == call
                 && rule.times > 0
                 && (rule.address.is_none() || rule.address == address)
         };
-        let rule = rules.iter_mut().find(fits)?;
+        let rule = rules.iter_mut().find(matches)?;
         rule.times -= 1;
         self.fault_counts[call as usize].fetch_add(1, Ordering::SeqCst);
         Some(rule.fault)
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -102,8 +102,8 @@
     })
 }
 
-fn malformed(tag: u8, what: &str) -> Malformed {
-    Malformed(format!("message {:?} {what}", char::from(tag)))
+fn malformed(tag: u8, problem: &str) -> Malformed {
+    Malformed(format!("message {:?} {problem}", char::from(tag)))
 }
 
 impl ResponseReader {
--- a/crates/leverproxy/src/upstream/queue.rs
+++ b/crates/leverproxy/src/upstream/queue.rs
@@ -174,22 +174,22 @@
 
     /// The first connection whose exchange matches the predicate, which gets the exchange and whether it is written in
     /// full.
-    fn find_active(&self, fits: impl Fn(&Exchange, bool) -> bool) -> Option<Key> {
+    fn find_active(&self, matches: impl Fn(&Exchange, bool) -> bool) -> Option<Key> {
         self.connections
             .iter()
             .find(|(_, connection)| {
                 connection
                     .active()
-                    .is_some_and(|active| fits(&active.exchange, active.written))
+                    .is_some_and(|active| matches(&active.exchange, active.written))
             })
             .map(|(key, _)| key)
     }
 
     /// Removes the first matching exchange from each queue.
-    fn take_queued(&mut self, fits: impl Fn(&Exchange) -> bool) -> Vec<(ServerId, Exchange)> {
+    fn take_queued(&mut self, matches: impl Fn(&Exchange) -> bool) -> Vec<(ServerId, Exchange)> {
         let mut taken = Vec::new();
         for (&server, pool) in &mut self.pools {
-            if let Some(at) = pool.queue.iter().position(&fits) {
+            if let Some(at) = pool.queue.iter().position(&matches) {
                 taken.extend(pool.queue.remove(at).map(|exchange| (server, exchange)));
             }
         }
