--- a/crates/leverproxy/src/protocol/http/error.rs
+++ b/crates/leverproxy/src/protocol/http/error.rs
@@ -31,7 +31,7 @@
     /// The chunks are malformed.
     #[error("the chunked transfer encoding of the body is malformed")]
     Chunk,
-    /// An object is longer than [`OBJECT_LIMIT`].
+    /// An object is longer than the limit of 4 MiB.
     #[error("an object of the endpoint list is longer than {OBJECT_LIMIT} bytes")]
     ObjectTooLong,
     /// The body is not a sequence of JSON objects.
--- a/crates/leverproxy/src/protocol/postgres/client.rs
+++ b/crates/leverproxy/src/protocol/postgres/client.rs
@@ -270,7 +270,7 @@
     }
 }
 
-/// A position in Unix milliseconds; none if it is no number or 0.
+/// Parses a position in Unix milliseconds; `None` if it is 0 or not a number.
 fn parse_position(value: &str) -> Option<Time> {
     let ms = value.parse().ok().filter(|&ms: &u64| ms > 0)?;
     Some(Time(Duration::from_millis(ms)))
@@ -284,7 +284,7 @@
     parse_text(column).is_some_and(|(_, rest)| rest.len() == COLUMN_FIELDS)
 }
 
-/// The first column of the first row in the messages of a response.
+/// The value of the first column in the first row of a response; `None` without a valid row.
 fn first_value(relayed: &[u8]) -> Option<&str> {
     let mut rest = relayed;
     loop {
