--- a/crates/leverproxy/src/downstream/read.rs
+++ b/crates/leverproxy/src/downstream/read.rs
@@ -137,8 +137,9 @@
 
     /// Answers a statement that is not a request with an error. The connection stays open.
     fn reject_statement(&mut self, key: Key, reason: String, now: Instant) {
-        self.malformed_log
-            .warn(now, || format!("front: statement not understood: {reason}"));
+        self.malformed_log.warn(now, || {
+            format!("front: statement of a client not understood: {reason}")
+        });
         self.malformed_statements += 1;
         if let Some(client) = self.clients.get_mut(key) {
             client.push_response(Some(server::response(Answer::Invalid(reason))));
