--- a/crates/configuration/benches/language.rs
+++ b/crates/configuration/benches/language.rs
@@ -1,4 +1,4 @@
-//! Reading a large file, finding a route, formatting, telling a difference. `cargo bench -p configuration`.
+//! Benchmarks: reading a large file, finding a route, formatting, comparing two files. `cargo bench -p configuration`.
 
 use configuration::calendar::Moment;
 use configuration::diff::diff;
@@ -17,7 +17,7 @@
 
 const CLASSES: [&str; 4] = ["nearby-cabs", "my-booking", "trip-history", "confirm-ride"];
 
-/// Routes of four or five lines each, as a partner's list would have them: a network, a class, sometimes more.
+/// Routes of four or five lines each, like a list of a partner's addresses: a network, a class, sometimes more.
 fn text(routes: usize) -> String {
     let mut rng = StdRng::seed_from_u64(7);
     let mut out =
@@ -89,7 +89,7 @@
             "{number} routes: the index holds {} KiB",
             index.size() >> 10
         );
-        // Half of the clients lie in some route's network.
+        // Half of the clients are in the network of some route.
         let clients: Vec<(u32, IpAddr)> = (0..4_096)
             .map(|n| {
                 let route = &model.routes[rng.random_range(0..model.routes.len())];
--- a/crates/configuration/src/calendar/days.rs
+++ b/crates/configuration/src/calendar/days.rs
@@ -1,11 +1,11 @@
-//! Sets of days.
+//! Sets of days of the calendar.
 
-/// The days that the calendar knows: from 1 January 1970 on.
+/// Number of days in the calendar, which begins on 1 January 1970.
 pub(super) const DAYS: usize = 47_482;
-/// Words of a set.
+/// Number of 64-bit words of a set.
 const WORDS: usize = DAYS.div_ceil(64);
 
-/// A set of days.
+/// A set of days, as a bit for each day of the calendar.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Days(Box<[u64]>);
 
@@ -30,7 +30,7 @@
         self.0.iter().all(|word| *word == 0)
     }
 
-    /// Each of its days so many days later, fewer than 64; earlier if `by` is below 0.
+    /// The set moved by a number of days, fewer than 64: to later days if `by` is positive, else to earlier ones.
     pub fn shifted(&self, by: i64) -> Days {
         let bits = by.unsigned_abs() as u32;
         if bits == 0 {
@@ -50,7 +50,7 @@
                 self.0[at] >> bits | above
             };
         }
-        // No day is beyond the calendar's end.
+        // Clears the bits after the end of the calendar.
         out.0[WORDS - 1] &= (1 << (DAYS % 64)) - 1;
         out
     }
--- a/crates/configuration/src/calendar/mod.rs
+++ b/crates/configuration/src/calendar/mod.rs
@@ -1,6 +1,6 @@
-//! Windows of time: days of the calendar and hours of the day, exact over the years that it knows.
+//! Windows of time: days of the calendar and hours of the day, exact over the years of the calendar.
 //!
-//! Everything is kept in UTC; local times of the file are shifted by its fixed offset when a window is made.
+//! All times are kept in UTC; local times of the file are converted by its fixed offset when a window is compiled.
 
 mod days;
 mod moment;
--- a/crates/configuration/src/calendar/moment.rs
+++ b/crates/configuration/src/calendar/moment.rs
@@ -1,20 +1,20 @@
-//! A second of UTC, and how local times are written.
+//! Points in time with a resolution of a second, and the written form of local times.
 
 use crate::value::{Type, Value, SECONDS_PER_DAY};
 use jiff::civil::Date;
 use std::time::Duration;
 
-/// A second of UTC, as the day since 1970 and the second in it.
+/// A second of UTC, as the number of days since 1970 and the second of the day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
     /// Days since 1970-01-01.
     pub day: u32,
-    /// Second of that day.
+    /// Second of the day, from 0.
     pub second: u32,
 }
 
 impl Moment {
-    /// The second of a Unix time.
+    /// Converts a Unix time, rounded down to seconds.
     pub fn from_unix(since_1970: Duration) -> Moment {
         let seconds = since_1970.as_secs();
         let day = u32::try_from(seconds / u64::from(SECONDS_PER_DAY)).unwrap_or(u32::MAX);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// As local time at that offset from UTC, to the second.
+    /// Formats the moment as local time at an offset from UTC in seconds.
     pub fn local(self, offset: i32) -> String {
         let seconds = i64::from(self.day) * i64::from(SECONDS_PER_DAY)
             + i64::from(self.second)
@@ -43,7 +43,7 @@
         format!("{date}T{clock}{}", Value::Offset(offset))
     }
 
-    /// From local time, as [`Moment::local`] writes it; the offset may be left out for that of the file.
+    /// Parses local time in the format of [`Moment::local`]; `offset` applies if the text has none.
     pub fn parse(text: &str, offset: i32) -> Option<Moment> {
         let (date, rest) = text.split_once('T')?;
         let date: Date = date.parse().ok()?;
--- a/crates/configuration/src/calendar/pieces.rs
+++ b/crates/configuration/src/calendar/pieces.rs
@@ -1,4 +1,4 @@
-//! Time cut into pieces that no window divides.
+//! Divides time into pieces, each of which lies either inside or outside of any window.
 
 use super::days::{Days, DAYS};
 use super::window::Part;
@@ -7,22 +7,23 @@
 use crate::value::SECONDS_PER_DAY;
 use std::collections::HashMap;
 
-/// Days at both ends of the calendar that are left out: windows lack what would reach over from days beyond.
+/// Number of days left out at both ends of the calendar: windows lack the hours that cross midnight from days beyond it.
 const EDGE: u32 = 3;
-/// 1 January 2026.
+/// 1 January 2026, as days since 1970; examples prefer days from then on.
 const THESE_YEARS: u32 = 20_454;
-/// Time in pieces that no window cuts: days that all windows see alike, by the parts of the day.
+/// Time divided into pieces that no window divides further. A piece is a kind of day and a part of the day; days are of
+/// the same kind if they belong to the same windows.
 pub struct TimePieces {
-    /// Starts of the parts of the day.
+    /// Start of each part of the day, in seconds.
     cuts: Vec<u32>,
-    /// A day of each kind.
+    /// An example of each kind of day.
     days: Vec<u32>,
     /// The kind of each day from [`EDGE`] on, as a position in `days`.
     kind_of_day: Vec<u32>,
 }
 
 impl TimePieces {
-    /// The pieces into which these windows cut time.
+    /// The pieces into which these windows divide time.
     pub fn of<'a>(windows: impl Iterator<Item = &'a Window>) -> TimePieces {
         let parts: Vec<&Part> = windows.flat_map(|w| &w.parts).collect();
         let mut cuts: Vec<u32> = parts
@@ -49,17 +50,17 @@
         }
     }
 
-    /// How many pieces there are.
+    /// Number of pieces.
     pub fn number(&self) -> u128 {
         self.days.len() as u128 * self.cuts.len() as u128
     }
 
-    /// All pieces.
+    /// The set of all pieces.
     pub fn all(&self) -> Ranges {
         Ranges::one(0, self.number() - 1)
     }
 
-    /// The pieces of a window.
+    /// The pieces inside a window.
     pub fn of_window(&self, window: &Window) -> Ranges {
         let width = self.cuts.len() as u128;
         let mut list = Vec::new();
@@ -75,7 +76,7 @@
         Ranges::from_list(list)
     }
 
-    /// The piece in which a moment lies.
+    /// The piece that contains a moment.
     pub fn of_moment(&self, at: Moment) -> u128 {
         let day = at.day.saturating_sub(EDGE) as usize;
         let kind = self.kind_of_day.get(day).copied().unwrap_or(0);
@@ -86,7 +87,7 @@
         u128::from(kind) * self.cuts.len() as u128 + part as u128
     }
 
-    /// A moment in a set of pieces: noon on a day of these years if that is in it.
+    /// A moment in a set of pieces: noon on 1 January 2026 if the set contains it.
     pub fn example(&self, set: &Ranges) -> Option<Moment> {
         let noon = Moment {
             day: THESE_YEARS,
@@ -115,7 +116,7 @@
     }
 }
 
-/// Parts often share their days: each set once.
+/// The distinct sets of days of the parts, which often share them.
 fn distinct_days<'a>(parts: &[&'a Part]) -> Vec<&'a Days> {
     let mut sets: Vec<&Days> = Vec::new();
     for part in parts {
@@ -126,9 +127,10 @@
     sets
 }
 
-/// Days are of one kind if they are in the same sets. A day of each kind, and the kind of each day from [`EDGE`] on.
+/// Groups days into kinds: days are of the same kind if they are in the same sets. Returns an example of each kind, and
+/// the kind of each day from [`EDGE`] on.
 fn kinds_of_day(sets: &[&Days]) -> (Vec<u32>, Vec<u32>) {
-    // At most 64 sets are the rule: their keys are one word, which is not allocated.
+    // There are rarely more than 64 sets; the key of up to 64 is one word, which needs no allocation.
     let mut kinds_of_word: HashMap<u64, u32> = HashMap::new();
     let mut kinds: HashMap<Vec<u64>, u32> = HashMap::new();
     let mut days: Vec<u32> = Vec::new();
@@ -146,7 +148,7 @@
         };
         match days.get_mut(kind as usize) {
             None => days.push(day),
-            // Examples show a day of these years where the kind has one.
+            // Prefers an example from 2026 on if the kind has one.
             Some(known) if *known < THESE_YEARS && day >= THESE_YEARS => *known = day,
             Some(_) => {}
         }
--- a/crates/configuration/src/calendar/window.rs
+++ b/crates/configuration/src/calendar/window.rs
@@ -1,4 +1,4 @@
-//! Windows of time: what is stated of one, and when it holds.
+//! Windows of time: their conditions, and their compiled form.
 
 use super::days::{Days, DAYS};
 use super::Moment;
@@ -6,12 +6,12 @@
 use jiff::civil::Date;
 use std::sync::OnceLock;
 
-/// The conditions of a window section; an empty list always holds.
+/// The conditions of a section `window`, all of which must hold; an empty list always holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WindowConditions {
     /// Dates on which it holds.
     pub dates: Vec<Dates>,
-    /// A bit for each day, Monday first; none: every day.
+    /// A bit for each day of the week, Monday in the lowest bit; 0: every day.
     pub weekdays: u8,
     /// Hours of the day in which it holds.
     pub hours: Vec<Hours>,
@@ -20,19 +20,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Part {
     pub days: Days,
-    /// The first second of the UTC day.
+    /// First second of the UTC day.
     pub from: u32,
-    /// The second after the last.
+    /// The second after the last one of the UTC day.
     pub to: u32,
 }
 
-/// A window of time, compiled: days and the seconds of each.
+/// A compiled window of time: sets of UTC days, each with a range of seconds of the day.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Window {
     pub(super) parts: Vec<Part>,
 }
 
-/// Month, day and weekday (Monday is 0) of every day that the calendar knows.
+/// Month, day of the month and weekday (Monday is 0) of every day of the calendar.
 pub struct Almanac(Vec<(i8, i8, u8)>);
 
 impl Default for Almanac {
@@ -53,13 +53,13 @@
 }
 
 impl Almanac {
-    /// The one that all windows are made by; 140 KiB from the first window on.
+    /// The shared table, created with the first window; it takes 140 KiB.
     pub fn shared() -> &'static Almanac {
         static SHARED: OnceLock<Almanac> = OnceLock::new();
         SHARED.get_or_init(Almanac::default)
     }
 
-    /// The window of local times at that offset from UTC.
+    /// Compiles conditions in local time at an offset from UTC in seconds.
     pub fn window(&self, stated: &WindowConditions, offset: i32) -> Window {
         let days = self.days(stated);
         let all_day = [Hours {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The local days that dates and weekdays allow.
+    /// The local days on which the conditions for dates and weekdays hold.
     fn days(&self, stated: &WindowConditions) -> Days {
         let mut days = Days::empty();
         let once: Vec<(usize, usize)> = stated
@@ -100,7 +100,7 @@
     }
 }
 
-/// Whether dates that come back each year have this month and day.
+/// Whether dates that recur every year contain this month and day.
 fn is_in_year(dates: &Dates, day: (i8, i8)) -> bool {
     match dates {
         Dates::Once(..) => false,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Local hours of local days, cut where a day of UTC ends; at most three of these are touched.
+/// Converts hours of local days to UTC, split at the end of each UTC day; at most three UTC days are involved.
 fn parts_of(hours: Hours, days: &Days, offset: i32) -> Vec<Part> {
     let Hours { from, to } = hours;
     let end = if to <= from { to + SECONDS_PER_DAY } else { to };
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,4 +1,5 @@
-//! The document against the table of directives: sections, directives and values that are known, typed and in range.
+//! Checks a document against the table of directives: sections and directives must be known, and their values of the
+//! right type and in range.
 
 use crate::diagnostic::{nearest, Diagnostic};
 use crate::document::{Argument, Document, RawDirective, RawSection};
@@ -8,39 +9,39 @@
 use crate::value::{ParseError, Type, Value};
 use std::collections::HashMap;
 
-/// A section whose words are what the table asks for.
+/// A section that was checked against the table.
 #[derive(Debug)]
 pub struct Section {
-    /// The table's entry of its keyword.
+    /// The table's entry for the section.
     pub spec: &'static schema::Section,
-    /// Its keyword and name.
+    /// Place of its keyword and name.
     pub span: Span,
-    /// Its name; empty: it has none.
+    /// Its name; empty for an unnamed section.
     pub name: String,
-    /// Its directives that were valid.
+    /// Its valid directives.
     pub settings: Vec<Setting>,
-    /// A line of it was faulty: what it seems not to state may be stated there.
+    /// One of its lines was invalid and may have set a directive that seems to be missing.
     pub partial: bool,
 }
 
 /// A valid directive with its values.
 #[derive(Debug)]
 pub struct Setting {
-    /// Its entry in the table.
+    /// The table's entry for the directive.
     pub spec: &'static schema::Directive,
-    /// Where it stands.
+    /// Place of the directive.
     pub span: Span,
-    /// Its values, and where each stands.
+    /// Its values, each with its place.
     pub values: Vec<(Value, Span)>,
 }
 
 impl Section {
-    /// The directive of that keyword.
+    /// The directive with this keyword.
     pub fn setting(&self, keyword: &str) -> Option<&Setting> {
         self.settings.iter().find(|s| s.spec.keyword == keyword)
     }
 
-    /// The values of a directive; none if it is not stated.
+    /// The values of a directive; empty if it is not set.
     pub fn values(&self, keyword: &str) -> &[(Value, Span)] {
         self.setting(keyword).map_or(&[], |s| s.values.as_slice())
     }
@@ -51,12 +52,12 @@
     }
 }
 
-/// Keeps the sections and directives that are valid; the rest is reported, each fault once.
+/// Returns the valid sections and directives; reports each of the others once to `faults`.
 pub fn check(document: Document, table: Table, faults: &mut Vec<Diagnostic>) -> Vec<Section> {
     let mut sections = Vec::with_capacity(document.sections.len());
     let mut seen: HashMap<(&'static str, String), Span> = HashMap::new();
     for raw in document.sections {
-        // Its keyword was faulty, which is reported.
+        // The invalid keyword was reported when the file was loaded.
         if raw.keyword.text.is_empty() {
             continue;
         }
@@ -99,13 +100,13 @@
         "" => spec.keyword.to_owned(),
         _ => format!("{} {name}", spec.keyword),
     };
-    let message = format!("the section {what} stands a second time");
+    let message = format!("the section {what} is defined a second time");
     Diagnostic::error("section-twice", span, message)
-        .label("again here")
-        .related(first, "first here")
+        .label("defined again here")
+        .related(first, "first defined here")
 }
 
-/// Reports references to sections that there are not. `partial`: some of the files could not be read, where they may stand.
+/// Reports references to undefined sections, unless `partial`: files that could not be read may define them.
 pub fn references(sections: &[Section], partial: bool, faults: &mut Vec<Diagnostic>) {
     for setting in sections
         .iter()
@@ -137,13 +138,13 @@
     }
 }
 
-/// A reference to a section that there is not. `wanted`: its keyword; `known`: the names of those that there are.
+/// A reference to an undefined section. `wanted`: the keyword of the section; `known`: the defined names.
 pub(crate) fn unknown_name(wanted: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
     let fault = Diagnostic::error("unknown-name", span, format!("there is no {wanted} {name}"))
-        .label("not defined in any file that was read");
+        .label("not defined in any of the files read");
     match nearest(name, known.iter().copied()) {
         Some(near) => fault.help(format!("did you mean {near}?")),
-        None if known.is_empty() => fault.help(format!("no {wanted} is defined")),
+        None if known.is_empty() => fault.help(format!("the configuration defines no {wanted}")),
         None => fault,
     }
 }
@@ -152,14 +153,14 @@
     let fault = Diagnostic::error(
         "unknown-section",
         keyword.span,
-        format!("there is no section {:?}", keyword.text),
+        format!("unknown section {:?}", keyword.text),
     )
-    .label("not a section");
+    .label("not a known section");
     match nearest(&keyword.text, table.iter().map(|s| s.keyword)) {
         Some(near) => fault.help(format!("did you mean {near}?")),
         None => {
             let known: Vec<&str> = table.iter().map(|s| s.keyword).collect();
-            fault.help(format!("the sections are {}", known.join(", ")))
+            fault.help(format!("the known sections are {}", known.join(", ")))
         }
     }
 }
@@ -175,13 +176,13 @@
         (Naming::Unnamed, [name, ..]) => Diagnostic::error(
             "section-name",
             name.span,
-            format!("the section {keyword} bears no name"),
+            format!("the section {keyword} takes no name"),
         )
-        .label("not wanted here"),
+        .label("remove this name"),
         (Naming::Named | Naming::ExternalName, []) => Diagnostic::error(
             "section-name",
             stated.keyword.span,
-            format!("the section {keyword} needs a name"),
+            format!("the section {keyword} requires a name"),
         )
         .label(format!("write {keyword} NAME {{")),
         (naming @ (Naming::Named | Naming::ExternalName), [name]) => {
@@ -191,23 +192,23 @@
             Diagnostic::error(
                 "section-name",
                 name.span,
-                format!("{:?} can't be a name", name.text),
+                format!("{:?} is not a valid name", name.text),
             )
-            .label("not a name")
-            .help("a name begins with a letter and holds letters, digits, - and _")
+            .label("invalid name")
+            .help("a name begins with a letter and contains only letters, digits, - and _")
         }
         (Naming::Named | Naming::ExternalName, [_, second, ..]) => Diagnostic::error(
             "section-name",
             second.span,
-            format!("the section {keyword} bears one name"),
+            format!("the section {keyword} takes exactly one name"),
         )
-        .label("one too many"),
+        .label("unexpected second name"),
     };
     faults.push(fault);
     None
 }
 
-/// A directive with its values; none if something in it is not valid, which is reported.
+/// A directive with its values; `None` if it is invalid, which is reported.
 fn setting(
     section: &'static schema::Section,
     directive: RawDirective,
@@ -237,40 +238,40 @@
     Some(Setting { spec, span, values })
 }
 
-/// The fault if the directive has too many or too few values.
+/// A fault if the directive has too many or too few values.
 fn check_count(spec: &schema::Directive, directive: &RawDirective) -> Option<Diagnostic> {
     let given = directive.args.len();
     let (fits, wanted) = match spec.args {
         Args::One(_) => (given == 1, "one value"),
-        Args::Optional(_) => (given <= 1, "one value or none"),
-        Args::Many(_) => (given >= 1, "one value or more"),
+        Args::Optional(_) => (given <= 1, "at most one value"),
+        Args::Many(_) => (given >= 1, "one or more values"),
     };
     let (keyword, place) = (spec.keyword, directive.keyword.span);
     if !fits {
         let fault = match directive.args.as_slice() {
             [_, second, rest @ ..] => {
                 let last = rest.last().unwrap_or(second);
-                let message = format!("{keyword} takes {wanted}, not {given}");
+                let message = format!("{keyword} takes {wanted}, but {given} are given");
                 Diagnostic::error("value-count", second.span.to(last.span), message)
-                    .label("too many")
+                    .label("too many values")
             }
             _ => {
-                let message = format!("{keyword} takes {wanted}");
-                Diagnostic::error("value-count", place, message).label("no value is given")
+                let message = format!("{keyword} takes {wanted}, but none is given");
+                Diagnostic::error("value-count", place, message).label("value missing")
             }
         };
         return Some(fault.help(format!("for example: {}", spec.example)));
     }
     (given > VALUES_LIMIT).then(|| {
-        let message = format!("{keyword} has {given} values; at most {VALUES_LIMIT} are allowed");
-        Diagnostic::error("value-count", place, message).label("too many")
+        let message = format!("{keyword} has {given} values; the maximum is {VALUES_LIMIT}");
+        Diagnostic::error("value-count", place, message).label("too many values")
     })
 }
 
 fn bad_value(kind: Type, span: Span, error: ParseError) -> Diagnostic {
     let label = match kind {
-        Type::Choice(_) => "not one of them".to_owned(),
-        _ => format!("{} is wanted here", kind.name()),
+        Type::Choice(_) => "not an allowed value".to_owned(),
+        _ => format!("expected {} here", kind.name()),
     };
     let fault = Diagnostic::error("bad-value", span, error.message).label(label);
     match error.help {
@@ -288,9 +289,9 @@
     let fault = Diagnostic::error(
         "unknown-directive",
         keyword.span,
-        format!("{name:?} is not known in a section {here}"),
+        format!("unknown directive {name:?} in the section {here}"),
     )
-    .label("not known here");
+    .label("unknown directive");
     if let Some(near) = nearest(name, section.directives.iter().map(|d| d.keyword)) {
         return fault.help(format!("did you mean {near}?"));
     }
@@ -301,15 +302,18 @@
         .collect();
     if !elsewhere.is_empty() {
         return fault.help(format!(
-            "{name} belongs in a section {}",
+            "{name} is a directive of the section {}",
             elsewhere.join(" or ")
         ));
     }
     let known: Vec<&str> = section.directives.iter().map(|d| d.keyword).collect();
-    fault.help(format!("known here are {}", known.join(", ")))
+    fault.help(format!(
+        "the directives of this section are {}",
+        known.join(", ")
+    ))
 }
 
-/// Adds a directive. A list may go on in a further line; a single value may not be stated again.
+/// Adds a directive. A list may be continued by repeating its directive; a single value may be set only once.
 fn add_setting(section: &mut Section, setting: Setting, faults: &mut Vec<Diagnostic>) {
     let Some(first) = section
         .settings
@@ -322,12 +326,15 @@
     match setting.spec.args {
         Args::Many(_) => first.values.extend(setting.values),
         Args::One(_) | Args::Optional(_) => {
-            let message = format!("{} is stated a second time", setting.spec.keyword);
+            let message = format!(
+                "{} is set a second time in this section",
+                setting.spec.keyword
+            );
             let fault = Diagnostic::error("directive-twice", setting.span, message);
             faults.push(
                 fault
-                    .label("again here")
-                    .related(first.span, "first stated here"),
+                    .label("set again here")
+                    .related(first.span, "first set here"),
             );
         }
     }
--- a/crates/configuration/src/diagnostic.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration, for people (snippets with carets) and for programs (JSON).
+//! Errors and warnings about a configuration, printed for people (snippets with carets) or for programs (JSON).
 
 use crate::source::{Sources, Span};
 use codespan_reporting::diagnostic::{Diagnostic as Snippet, Label};
@@ -9,28 +9,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// The file can't be used.
+    /// The configuration can't be used.
     Error,
-    /// The file can be used, but probably states something else than was meant.
+    /// The configuration can be used, but is probably not what was meant.
     Warning,
 }
 
-/// A finding about the operators' file, with its place.
+/// An error or a warning about a configuration, with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// How serious it is.
+    /// Error or warning.
     pub severity: Severity,
-    /// A stable name of the fault, for scripts.
+    /// Stable name of the kind of fault, for scripts.
     pub code: &'static str,
-    /// Where it is.
+    /// Place of the fault.
     pub span: Span,
-    /// What is wrong, in one line.
+    /// Description of the fault, in one line.
     pub message: String,
-    /// What stands beside the carets.
+    /// Text printed next to the carets.
     pub label: String,
-    /// Other places that have to do with it.
+    /// Other places that are involved, each with its text.
     pub related: Vec<(Span, String)>,
-    /// What would be right.
+    /// Advice on how to correct the fault.
     pub help: Option<String>,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// With a text at its place.
+    /// Sets the text printed next to the carets.
     #[must_use]
     pub fn label(self, label: impl Into<String>) -> Diagnostic {
         Diagnostic {
@@ -65,14 +65,14 @@
         }
     }
 
-    /// With another place that it has to do with.
+    /// Adds another place that is involved.
     #[must_use]
     pub fn related(mut self, span: Span, text: impl Into<String>) -> Diagnostic {
         self.related.push((span, text.into()));
         self
     }
 
-    /// With what would be right.
+    /// Sets the advice.
     #[must_use]
     pub fn help(self, help: impl Into<String>) -> Diagnostic {
         Diagnostic {
@@ -87,13 +87,13 @@
     }
 }
 
-/// In the order of their places, each once.
+/// Sorts diagnostics by place and removes duplicates.
 pub fn sort(diagnostics: &mut Vec<Diagnostic>) {
     diagnostics.sort_by(|a, b| (a.span, a.severity, a.code).cmp(&(b.span, b.severity, b.code)));
     diagnostics.dedup();
 }
 
-/// Snippets in the manner of rustc, without colours.
+/// Snippets in the style of rustc, without colours.
 pub fn render(sources: &Sources, diagnostics: &[Diagnostic]) -> String {
     let config = term::Config {
         chars: term::Chars::ascii(),
@@ -130,7 +130,7 @@
     out
 }
 
-/// One line each, for the log of a running proxy.
+/// A diagnostic in one line, for the log of a running proxy.
 pub fn line(sources: &Sources, one: &Diagnostic) -> String {
     let help = one
         .help
@@ -145,7 +145,7 @@
     file: &'a str,
     line: usize,
     column: usize,
-    /// Bytes from the start of the file.
+    /// Offset of the first byte from the start of the file; `end` is that of the byte after the last.
     start: u32,
     end: u32,
 }
@@ -169,7 +169,7 @@
     related: Vec<JsonRelated<'a>>,
 }
 
-/// A JSON array with an object for each, for editors.
+/// A JSON array with an object for each diagnostic, for editors.
 pub fn json(sources: &Sources, diagnostics: &[Diagnostic]) -> String {
     let place = |span: Span| {
         let at = sources.place(span);
@@ -203,7 +203,8 @@
     serde_json::to_string_pretty(&all).unwrap_or_default()
 }
 
-/// The name nearest to a misspelt one, if any is near enough to be meant.
+/// The name most similar to a misspelt word, if any is similar enough: one edit in words of up to 3 characters, two in
+/// words of up to 7, three in longer ones.
 pub fn nearest<'a>(word: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let allowed = match word.chars().count() {
         0..=3 => 1,
--- a/crates/configuration/src/diff/mod.rs
+++ b/crates/configuration/src/diff/mod.rs
@@ -1,4 +1,4 @@
-//! The difference in behaviour between two configurations, not in their lines.
+//! The difference in behaviour, not in text, between two configurations.
 
 mod routes;
 mod settings;
@@ -13,52 +13,52 @@
 /// A value that differs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Section and directive.
+    /// Section and directive of the value.
     pub what: String,
-    /// The former value; none: the default.
+    /// The old value; `None` if it was not set.
     pub old: Option<String>,
-    /// The new value; none: the default.
+    /// The new value; `None` if it is not set.
     pub new: Option<String>,
-    /// Tighter or looser, where that can be said.
+    /// Whether the new value is `tighter` or `looser`, if that can be determined.
     pub sense: Option<&'static str>,
 }
 
-/// Requests that are treated differently.
+/// Requests that are handled differently.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChange {
-    /// What became of these requests before.
+    /// Handling of these requests by the old configuration.
     pub old: Outcome,
-    /// What becomes of them now.
+    /// Handling of these requests by the new configuration.
     pub new: Outcome,
-    /// Exactly the requests, in parts that do not overlap.
+    /// Exactly these requests, in disjoint regions.
     pub regions: Vec<Region>,
-    /// The regions in words.
+    /// Descriptions of the regions, in the same order.
     pub described: Vec<String>,
-    /// One such request.
+    /// An example of these requests.
     pub example: Option<Example>,
 }
 
-/// What two configurations do differently.
+/// The difference in behaviour between two configurations.
 #[derive(Debug)]
 pub struct Difference {
     /// Values that differ.
     pub changes: Vec<Change>,
     /// Requests that are routed differently.
     pub routes: Vec<RouteChange>,
-    /// The routes differ in more ways than could be listed; those listed are right.
+    /// The routes differ in more ways than are listed; the listed ones are correct.
     pub incomplete: bool,
-    /// The space of requests in which the regions lie.
+    /// The space of requests of the regions.
     pub space: Space,
 }
 
 impl Difference {
-    /// Whether the two do the same.
+    /// Whether the two configurations behave the same.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty() && self.routes.is_empty() && !self.incomplete
     }
 }
 
-/// The behavioural difference. `classes`: all that the platform has, if that is known.
+/// The difference between two configurations. `classes`: all classes of the platform, if they are known.
 pub fn diff(old: &Reading, new: &Reading, classes: Option<&[String]>) -> Difference {
     let changes = settings::changes(old, new);
     let (old, new) = (&old.model, &new.model);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Lines of a change's regions that are printed.
+/// Maximum number of regions of a change that are printed.
 const REGIONS_SHOWN: usize = 12;
 
 impl fmt::Display for Difference {
@@ -101,7 +101,7 @@
         self.changes.iter().try_for_each(|c| writeln!(f, "{c}"))?;
         self.routes.iter().try_for_each(|c| c.fmt(f))?;
         if self.incomplete {
-            f.write_str("the routes differ in further ways, too many to tell\n")?;
+            f.write_str("the routes differ in further ways, too many to list\n")?;
         }
         Ok(())
     }
@@ -109,7 +109,7 @@
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let value = |value: &Option<String>| value.clone().unwrap_or_else(|| "not stated".into());
+        let value = |value: &Option<String>| value.clone().unwrap_or_else(|| "not set".into());
         let (old, new) = (value(&self.old), value(&self.new));
         write!(f, "{}: {old} -> {new}", self.what)?;
         match self.sense {
@@ -121,13 +121,13 @@
 
 impl fmt::Display for RouteChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "routes: now {} (were: {})", self.new, self.old)?;
+        writeln!(f, "routes: now {} (before: {})", self.new, self.old)?;
         for text in self.described.iter().take(REGIONS_SHOWN) {
             writeln!(f, "    {text}")?;
         }
         if self.described.len() > REGIONS_SHOWN {
             let more = self.described.len() - REGIONS_SHOWN;
-            writeln!(f, "    and {more} regions more")?;
+            writeln!(f, "    and {more} more regions")?;
         }
         match &self.example {
             Some(example) => writeln!(f, "    for example: {example}"),
--- a/crates/configuration/src/diff/routes.rs
+++ b/crates/configuration/src/diff/routes.rs
@@ -1,4 +1,4 @@
-//! Requests that are treated differently under the new file.
+//! Finds the requests that the new routes handle differently.
 
 use super::RouteChange;
 use crate::ranges::{merge, minus_all, Region};
@@ -9,10 +9,10 @@
 /// The region and the outcome of each route.
 type Routed<'a> = Vec<(Region, &'a Outcome)>;
 
-/// Parts of regions that are compared; beyond that the difference is incomplete.
+/// Maximum number of parts of regions that are compared; beyond it the difference is incomplete.
 const MAX_PARTS: usize = 100_000;
 
-/// The changes, and whether there are more than could be compared.
+/// The changes, and whether there are more than were compared.
 pub(super) fn changes(old: &[Route], new: &[Route], space: &Space) -> (Vec<RouteChange>, bool) {
     let (old, new) = (routed(old, 0, space), routed(new, 1, space));
     let unrouted = Outcome::default();
@@ -73,7 +73,7 @@
     }
 }
 
-/// The regions of routes that are not common to both lists. All other requests are treated as before.
+/// The regions of routes that are not common to both lists. All other requests are handled as before.
 fn suspects(old: &Routed<'_>, new: &Routed<'_>) -> Vec<Region> {
     let common = common(old, new);
     let common_old: HashSet<usize> = common.iter().map(|(a, _)| *a).collect();
@@ -93,7 +93,7 @@
     suspects
 }
 
-/// What of a suspect no earlier one holds, so that each request is compared once.
+/// The part of a suspect that no earlier suspect contains, so that each request is compared once.
 fn without_earlier(suspect: &Region, earlier: &[Region]) -> Vec<Region> {
     let mut left = vec![suspect.clone()];
     for earlier in earlier {
@@ -104,7 +104,7 @@
     left
 }
 
-/// Routes that stand in both lists in the same order, as pairs of positions.
+/// Routes that occur in both lists in the same order, as pairs of positions.
 fn common(old: &[(Region, &Outcome)], new: &[(Region, &Outcome)]) -> Vec<(usize, usize)> {
     let mut places: HashMap<&(Region, &Outcome), Vec<usize>> = HashMap::new();
     for (at, key) in new.iter().enumerate().rev() {
@@ -115,7 +115,7 @@
         .enumerate()
         .filter_map(|(at, key)| Some((at, places.get_mut(key)?.pop()?)))
         .collect();
-    // The longest run of them that rises in both: patience sorting.
+    // The longest subsequence of pairs with increasing positions in both lists, by patience sorting.
     let mut tails: Vec<usize> = Vec::new();
     let mut before: Vec<Option<usize>> = Vec::with_capacity(pairs.len());
     for (at, (_, place)) in pairs.iter().enumerate() {
@@ -136,7 +136,7 @@
     run
 }
 
-/// Regions cut by the first route that takes each part.
+/// Splits regions by the first route that matches each part, and gives the outcome of each part.
 fn split_by_route<'a>(
     mut left: Vec<Region>,
     routes: &[(Region, &'a Outcome)],
--- a/crates/configuration/src/diff/settings.rs
+++ b/crates/configuration/src/diff/settings.rs
@@ -1,4 +1,4 @@
-//! Values that differ, and whether the new one is tighter for clients' requests.
+//! Finds the values that differ, and whether the new one is tighter for clients' requests.
 
 use super::Change;
 use crate::calendar::Window;
@@ -10,7 +10,7 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// A value by its section and directive.
+/// Values as text, by section and directive.
 type Table = BTreeMap<(String, &'static str), String>;
 
 /// All values that differ, in the order of their sections.
@@ -42,8 +42,8 @@
         .collect()
 }
 
-/// Whether a value is compared by itself. Routes, pools that they lead to, and windows show in what becomes of requests.
-/// `windows`: those that differ and that credits go by.
+/// Whether a value is compared by itself. Differences in routes and windows appear in the handling of requests, and only
+/// pools that routes use are compared. `windows`: names of the windows that differ and that credits use.
 fn is_compared(entry: &Entry, pools: &HashSet<&str>, windows: &HashSet<&str>) -> bool {
     let (section, name) = entry
         .section
@@ -58,7 +58,7 @@
     }
 }
 
-/// The windows that a credit goes by, and which hold at other times now.
+/// Names of the windows that a credit uses and that now hold at other times.
 fn changed_credit_windows<'a>(old: &'a Model, new: &'a Model) -> HashSet<&'a str> {
     let of = |model: &'a Model| -> HashMap<&'a str, &'a Window> {
         let credits = model.quota_lending.iter().flat_map(|l| &l.credits);
@@ -74,7 +74,7 @@
     both.copied().collect()
 }
 
-/// A value in a form that is the same for any order of a list.
+/// The value in a form that does not depend on the order of a list.
 fn canonical(entry: &Entry) -> String {
     let keyword = entry.section.split(' ').next().unwrap_or_default();
     let spec = schema::section(keyword).and_then(|s| s.directive(entry.directive));
@@ -105,16 +105,16 @@
     words.collect::<Vec<_>>().join(" ")
 }
 
-/// Directives of which a higher value leaves less to clients.
+/// Directives whose higher values leave less to clients.
 const MORE_IS_TIGHTER: [&str; 2] = ["answer-margin", "reserve"];
-/// Directives of which no value is tighter than another.
+/// Directives whose values are neither tighter nor looser than one another.
 const WITHOUT_SENSE: [&str; 3] = ["address", "level", "form"];
-/// Sections of which no value is tighter or looser for clients' requests.
+/// Sections whose values are neither tighter nor looser for clients' requests.
 const SECTIONS_WITHOUT_SENSE: [&str; 8] = [
     "members", "member", "rollout", "memory", "lending", "credit", "window", "sites",
 ];
 
-/// Whether the new value is tighter or looser; none if neither can be said.
+/// Whether the new value is tighter or looser; `None` if neither can be determined.
 fn sense(
     section: &str,
     directive: &str,
@@ -126,7 +126,7 @@
         return None;
     }
     let order = match (old, new) {
-        // A bound that was not stated was none.
+        // A limit that is not set does not apply.
         (None, Some(_)) => Ordering::Greater,
         (Some(_), None) => Ordering::Less,
         (Some(old), Some(new)) => {
@@ -150,14 +150,14 @@
     }
 }
 
-/// `Greater`: the old value allows more.
+/// Compares how much two values allow; `Greater`: the old value allows more.
 fn compare(old: &Value, new: &Value) -> Option<Ordering> {
     Some(match (old, new) {
         (Value::Time(a), Value::Time(b)) => a.cmp(b),
         (Value::Size(a), Value::Size(b)) | (Value::Count(a), Value::Count(b)) => a.cmp(b),
         (Value::Share(a), Value::Share(b)) => a.cmp(b),
         (Value::Rate(a), Value::Rate(b)) => b.interval().cmp(&a.interval()),
-        // Once is tighter than any, and no than yes.
+        // `once` is tighter than `any`, and `no` tighter than `yes`.
         (Value::Choice(a), Value::Choice(b)) => match (*a, *b) {
             ("any", "once") | ("yes", "no") => Ordering::Greater,
             ("once", "any") | ("no", "yes") => Ordering::Less,
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,17 +1,17 @@
-//! A document: the sections of a file and of all that it includes, before the table is asked what they mean.
+//! A document: the sections of a file and of all files that it includes, before the check against the table.
 
 use crate::source::Span;
 
-/// A word with its variables replaced, and where it stands.
+/// A word with its variables replaced, and its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Argument {
     /// The word's text, without quotes.
     pub text: String,
-    /// Where it stands.
+    /// Place of the word.
     pub span: Span,
 }
 
-/// A directive as it is written.
+/// A directive as written, not yet checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawDirective {
     /// Its keyword.
@@ -21,7 +21,7 @@
 }
 
 impl RawDirective {
-    /// From its keyword to its last value.
+    /// Place from the keyword to the last value.
     pub fn span(&self) -> Span {
         self.args
             .last()
@@ -29,24 +29,24 @@
     }
 }
 
-/// A section as it is written.
+/// A section as written, not yet checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawSection {
     /// Its keyword.
     pub keyword: Argument,
-    /// Its names.
+    /// Its names; a valid section has at most one.
     pub names: Vec<Argument>,
     /// Its directives.
     pub directives: Vec<RawDirective>,
-    /// Some of its lines could not be read.
+    /// Some of its lines were invalid.
     pub partial: bool,
 }
 
-/// The sections of a file and of all that it includes.
+/// The sections of a file and of all files that it includes.
 #[derive(Debug, Default)]
 pub struct Document {
-    /// The sections, in their order.
+    /// The sections, in the order in which they were read.
     pub sections: Vec<RawSection>,
-    /// Some of it could not be read: names may be missing for that alone.
+    /// Something could not be read, so a name that is missing may be defined there.
     pub partial: bool,
 }
--- a/crates/configuration/src/explain.rs
+++ b/crates/configuration/src/explain.rs
@@ -1,19 +1,19 @@
-//! Why a request is routed as it is: the chain of routes that are asked.
+//! Explains the routing of one request: lists the routes that are checked, up to the first that holds.
 
 use crate::model::Model;
 use crate::route::{self, Request};
 use crate::source::Sources;
 
-/// A route that was asked, and the condition that did not hold.
+/// A route that was checked, and its first condition that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// The route's position.
+    /// Position of the route in the model.
     pub route: usize,
-    /// The condition that does not hold; none: all hold.
+    /// Keyword of the condition that does not hold; `None` if all hold.
     pub fails: Option<&'static str>,
 }
 
-/// The routes in their order, up to the first that holds.
+/// The routes checked for a request, in order, up to the first that holds.
 pub fn steps(model: &Model, request: &Request<'_>) -> Vec<Step> {
     let mut steps = Vec::new();
     for (at, route) in model.routes.iter().enumerate() {
@@ -26,15 +26,18 @@
     steps
 }
 
-/// Routes that are listed one by one; of more, the last.
+/// Maximum number of routes listed one by one; of a longer list only the last ones are.
 const SHOWN: usize = 200;
 
-/// The steps in words, as `config explain` prints them.
+/// The steps as text, printed by `config explain`.
 pub fn text(model: &Model, sources: &Sources, request: &Request<'_>) -> String {
     let steps = steps(model, request);
     let mut out = String::new();
     if steps.len() > SHOWN {
-        out.push_str(&format!("{} routes do not hold\n", steps.len() - SHOWN));
+        out.push_str(&format!(
+            "{} earlier routes do not hold\n",
+            steps.len() - SHOWN
+        ));
     }
     for step in &steps[steps.len().saturating_sub(SHOWN)..] {
         let route = &model.routes[step.route];
@@ -47,7 +50,7 @@
     }
     match steps.last().filter(|s| s.fails.is_none()) {
         Some(step) => out.push_str(&format!("outcome: {}\n", model.routes[step.route].outcome)),
-        None => out.push_str("no route holds; outcome: as without routes\n"),
+        None => out.push_str("no route holds; outcome: default handling\n"),
     }
     out
 }
--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -1,20 +1,22 @@
-//! The canonical form of a file. Words, comments and groups of lines stay; blanks and needless quotes go.
+//! The canonical form of a file. Words, comments and groups of lines are kept; indentation and blanks are normalized and
+//! unnecessary quotes removed.
 
 use crate::source::FileId;
 use crate::syntax::{self, Entry, Quote, Word};
 
 const INDENT: &str = "    ";
-/// Sections don't nest: lines of a faulty file may look as if they did, and indents would outgrow them.
+/// Maximum depth of the indentation. Sections don't nest, but the lines of an invalid file may look as if they did, and
+/// their indentation would become longer than the text.
 const DEEPEST: usize = 4;
 
-/// The canonical form of a text without syntax faults; none of one that has some: nothing that can't be read is
+/// The canonical form of a text; `None` if the text has syntax faults, since a text that can't be parsed must not be
 /// rewritten.
 pub fn format(text: &str) -> Option<String> {
     let syntax = syntax::parse(FileId(0), text);
     if !syntax.faults.is_empty() {
         return None;
     }
-    // Offsets are those of the text with its byte order mark blanked out.
+    // The offsets of `syntax` refer to the text with its byte order mark replaced by blanks.
     let text = match text.strip_prefix('\u{feff}') {
         Some(_) => &text.replacen('\u{feff}', "   ", 1),
         None => text,
@@ -74,7 +76,7 @@
     }
 }
 
-/// Means the same without quotes.
+/// Whether a quoted text means the same without quotes.
 fn plain(text: &str) -> bool {
     let safe = |c: char| c.is_ascii_alphanumeric() || "-_.:/%*+,=@?".contains(c);
     !text.is_empty() && text.chars().all(safe)
--- a/crates/configuration/src/index/mod.rs
+++ b/crates/configuration/src/index/mod.rs
@@ -1,9 +1,9 @@
-//! The routes compiled: the first whose conditions hold is found without checking all of them.
+//! An index of the routes: finds the first route whose conditions hold without checking all of them.
 //!
-//! A trie over networks and one over statements give the prefixes that a request lies under; for each pair of these a
-//! summary has the shapes of routes that there are (class, tenant and group stated or not), and one look-up by a
-//! hashed key gives the routes of that shape. Conditions that do not go into keys (time, or by lists that would
-//! make too many keys) are checked in their order. Whatever can't come before the best route found so far is skipped.
+//! A trie of networks and a trie of statements give the prefixes that match a request. For each pair of prefixes a summary
+//! lists the shapes of its routes (which of class, tenant and group they state), and one look-up by a hashed key gives the
+//! routes of a shape. Conditions that are not part of the keys (times, and lists that would give too many keys) are checked
+//! for each of these routes in order. Routes after the best one found so far are skipped.
 
 mod names;
 mod network_trie;
@@ -22,19 +22,20 @@
 use std::net::IpAddr;
 use summary::{Summary, CLASS, GROUP, TENANT};
 
-/// In keys, any class, tenant or group; as a position, no route.
+/// In a key: any class, tenant or group. As a position: no route.
 const ANY: u32 = u32::MAX;
-/// In place of a list's length: the position is that of the only route, which has no residual conditions.
+/// In place of a list's length: the key has a single route without residual conditions, and the start of the list is its
+/// position.
 const SOLE: u32 = u32::MAX;
-/// The number of the empty prefix, which every statement has.
+/// The number of the empty prefix, which matches every statement.
 const ANY_STATEMENT: u32 = 0;
 
-/// What routes see of a request, its names as numbers.
+/// The properties of a request that routes check, with names as numbers.
 #[derive(Clone, Copy, Debug)]
 pub struct IndexedRequest<'a> {
-    /// Position in the names that the index was made with; any other number is a name that no route knows.
+    /// Position of the class in the [`NameTable`] of the index; any other number is a name that no route has.
     pub class: u32,
-    /// Position of the tenant's name.
+    /// Position of the tenant in the [`NameTable`] of the index.
     pub tenant: u32,
     /// The group of record servers.
     pub group: u32,
@@ -42,7 +43,7 @@
     pub statement: &'a [u8],
     /// The client's address.
     pub client: IpAddr,
-    /// When the request came.
+    /// Time of arrival.
     pub at: Moment,
 }
 
@@ -55,18 +56,18 @@
     group: u32,
 }
 
-/// An index over the routes: finds the first that holds without checking all.
+/// An index of the routes: finds the first route whose conditions hold without checking all of them.
 #[derive(Debug, Default)]
 pub struct Index {
     networks: NetworkTrie,
     statements: StatementTrie,
-    /// By network and statement's prefix. Those without a statement are kept with their networks.
+    /// Summaries by network and prefix of statements. Those of routes without a statement are in the network's node.
     summaries: FxHashMap<(u32, u32), Summary>,
-    /// The routes of each key: where they stand in `lists` and how many they are; or, with the number [`SOLE`],
-    /// the only one.
+    /// The routes of each key: the start of their list in `lists` and its length; or, with the length [`SOLE`], the
+    /// position of the only route.
     cells: FxHashMap<Key, (u32, u32)>,
     lists: Vec<u32>,
-    /// Of each route; none: its keys decide.
+    /// Residual conditions of each route; `None`: its keys alone decide.
     residuals: Vec<Option<Box<ResidualConditions>>>,
     windows: Vec<Window>,
 }
@@ -75,14 +76,14 @@
 type Cells = FxHashMap<Key, Vec<u32>>;
 
 impl Index {
-    /// Compiles the routes. Names that no request can have are left out.
+    /// Compiles the routes. Names that are not in `names` are left out, since no request has them.
     pub fn new(routes: &[Route], windows: &[Window], names: &NameTable) -> Index {
         let numbers = Numbers::new(names);
         let mut index = Index {
             windows: windows.to_vec(),
             ..Index::default()
         };
-        // The first number, which is ANY_STATEMENT.
+        // The first inserted prefix gets the number ANY_STATEMENT.
         index.statements.insert(b"");
         let mut cells = Cells::default();
         for (at, route) in (0_u32..).zip(routes) {
@@ -162,7 +163,7 @@
             .add(at, shape);
     }
 
-    /// Behind a route without residual conditions nothing is ever found.
+    /// Adds a route to the list of a key, unless a route without residual conditions comes before it, which always holds.
     fn append(&self, list: &mut Vec<u32>, at: u32) {
         let last = list.last().copied();
         let ends = last.is_some_and(|last| self.is_decided_by_keys(last));
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The first route that holds, by its position.
+    /// The position of the first route whose conditions hold.
     pub fn find(&self, request: &IndexedRequest<'_>) -> Option<usize> {
         let mut best = ANY;
         let mut prefixes = [0; MAX_PREFIXES];
@@ -199,7 +200,7 @@
             .prefixes(request.statement.trim_ascii_start(), &mut prefixes);
         let mut network = self.networks.find(route::address_number(request.client));
         while let Some(node) = self.networks.nodes.get(network as usize) {
-            // Routes without a statement come first here: a stated prefix is the rarer case.
+            // Routes without a statement are checked first, since they are more frequent.
             if node.summary.first < best {
                 best = self.first_among(network, ANY_STATEMENT, node.summary.shapes, request, best);
             }
@@ -215,8 +216,8 @@
         (best != ANY).then_some(best as usize)
     }
 
-    /// The first that holds of those under one network and one statement's prefix, if it comes before `best`; else
-    /// `best`.
+    /// The first route that holds among those of one network and one prefix of statements, if it comes before `best`;
+    /// else `best`.
     fn first_among(
         &self,
         network: u32,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Bytes that it holds, about.
+    /// Approximate size in bytes.
     pub fn size(&self) -> usize {
         self.cells.capacity() * size_of::<(Key, (u32, u32))>()
             + self.summaries.capacity() * size_of::<((u32, u32), Summary)>()
--- a/crates/configuration/src/index/names.rs
+++ b/crates/configuration/src/index/names.rs
@@ -1,9 +1,9 @@
-//! Names of classes and tenants as numbers.
+//! Numbers for the names of classes and tenants.
 
 use crate::route::Route;
 use std::collections::HashSet;
 
-/// Classes and tenants by number. Those of the platform come first, in its order.
+/// Names of classes and tenants; the number of a name is its position. Those of the platform come first, in its order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NameTable {
     /// Names of classes.
--- a/crates/configuration/src/index/network_trie.rs
+++ b/crates/configuration/src/index/network_trie.rs
@@ -1,17 +1,17 @@
-//! A trie over networks: which prefixes an address lies under.
+//! A trie of networks: finds the networks that contain an address.
 
 use super::summary::Summary;
 use crate::route;
 use std::net::IpAddr;
 
-/// Stands for no node.
+/// In place of a node's position: there is no node.
 const NO_NODE: u32 = u32::MAX;
 
-/// A path-compressed binary trie over prefixes of addresses.
+/// A path-compressed binary trie of prefixes of addresses.
 #[derive(Debug)]
 pub(super) struct NetworkTrie {
     pub nodes: Vec<NetworkNode>,
-    /// With many prefixes: for each IPv4 /16, the node at which the search for its addresses starts.
+    /// For each IPv4 /16, the node at which the search for its addresses starts; empty if there are few nodes.
     slash16: Vec<u32>,
 }
 
@@ -19,14 +19,14 @@
 pub(super) struct NetworkNode {
     first: u128,
     length: u8,
-    /// A route states this prefix; else the node only branches.
+    /// A route has this prefix; else the node only branches.
     is_prefix: bool,
-    /// Routes of this network state a statement's prefix.
+    /// Some routes of this network have a condition on the statement.
     pub has_statements: bool,
     children: [u32; 2],
-    /// The longest stated prefix that holds this one; [`NO_NODE`]: none.
+    /// The node of the longest prefix of a route that contains this one; [`NO_NODE`] if there is none.
     pub parent: u32,
-    /// Of the routes of this network that state no statement.
+    /// Summary of the routes of this network that have no condition on the statement.
     pub summary: Summary,
 }
 
@@ -44,9 +44,9 @@
     }
 }
 
-/// From this number of nodes on, a table of 256 KiB in front of them saves more than it costs.
+/// Number of nodes from which the table of 256 KiB for IPv4 /16 networks saves more time than it costs.
 const SLASH16_TABLE_FROM: usize = 4_096;
-/// The bits of a mapped IPv4 address up to the end of its /16.
+/// Length of an IPv4 /16 prefix mapped into IPv6, in bits.
 const SLASH16_LENGTH: u8 = 112;
 
 fn bit(number: u128, at: u8) -> usize {
@@ -63,7 +63,7 @@
 }
 
 impl NetworkTrie {
-    /// The node of a prefix.
+    /// Inserts a prefix if it is missing, and returns the position of its node.
     pub fn insert(&mut self, first: u128, length: u8) -> u32 {
         let mut at = 0;
         loop {
@@ -84,7 +84,7 @@
                 .min(length)
                 .min(below.length);
             if common < below.length {
-                // The way to the child forks before it.
+                // The prefix diverges before the child: a node is inserted above it.
                 let mut children = [NO_NODE; 2];
                 children[bit(below.first, common)] = child;
                 self.nodes[at].children[side] = self.nodes.len() as u32;
@@ -100,7 +100,7 @@
         self.nodes.len() - 1
     }
 
-    /// Links the prefixes. Has to be called once all are inserted, before the first search.
+    /// Links each prefix to the one that contains it. Must be called after the last insertion and before the first search.
     pub fn seal(&mut self) {
         let mut open = vec![0_u32];
         while let Some(at) = open.pop() {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The last node on the way to an address, of at most that length.
+    /// The deepest node that contains an address and has at most the length `longest`.
     fn deepest(&self, address: u128, from: u32, longest: u8) -> u32 {
         let mut at = from;
         loop {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The node of the longest prefix of an address; those above it are its other prefixes.
+    /// The node of the longest prefix that contains an address; its other prefixes are linked by `parent`.
     pub fn find(&self, address: u128) -> u32 {
         let mapped = address >> 32 == 0xffff;
         let from = self
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Bytes that it holds, about.
+    /// Approximate size in bytes.
     pub fn size(&self) -> usize {
         self.nodes.capacity() * size_of::<NetworkNode>()
             + self.slash16.capacity() * size_of::<u32>()
--- a/crates/configuration/src/index/residual.rs
+++ b/crates/configuration/src/index/residual.rs
@@ -1,4 +1,5 @@
-//! Which of a route's conditions go into keys of the index, and the rest, which is checked for each request.
+//! Divides a route's conditions into those that become keys of the index and residual ones, which are checked for each
+//! request.
 
 use super::names::NameTable;
 use super::IndexedRequest;
@@ -7,12 +8,12 @@
 use std::collections::HashMap;
 use std::ops::RangeInclusive;
 
-/// Keys that one route may take; beyond that its longest lists are checked for each request instead.
+/// Maximum number of keys of one route; beyond it, lists are checked for each request instead.
 const MAX_KEYS: usize = 16_384;
-/// A list of more groups than this is checked for each request.
+/// Maximum number of groups of a route that become keys; more groups are checked for each request.
 const MAX_KEYED_GROUPS: u64 = 64;
 
-/// Conditions that are checked for each request that a route's keys match.
+/// Conditions that are checked for each request that matches a key of the route.
 #[derive(Debug, Default)]
 pub(super) struct ResidualConditions {
     classes: Vec<u32>,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Names with their numbers.
+/// Numbers of classes and tenants by name.
 pub(super) struct Numbers {
     classes: HashMap<String, u32>,
     tenants: HashMap<String, u32>,
@@ -80,7 +81,7 @@
     }
 }
 
-/// The lists of a route that go into keys; an empty one stands for any.
+/// The lists of a route that become keys; an empty list matches any value.
 pub(super) struct KeyedLists<'r> {
     pub classes: Vec<u32>,
     pub tenants: Vec<u32>,
@@ -88,8 +89,8 @@
     pub statements: Vec<&'r str>,
 }
 
-/// Divides a route's conditions into those that go into keys and the rest. The lists that give the most keys are the first
-/// to be left to the rest: groups, then statements, tenants and classes.
+/// Divides a route's conditions into keys and residual conditions. If there are too many keys, lists become residual in the
+/// order of the number of keys that they usually give: groups, then statements, tenants and classes.
 pub(super) fn divide<'r>(
     conditions: &'r Conditions,
     numbers: &Numbers,
@@ -122,7 +123,7 @@
     let (classes, tenants) = (keyed.classes.len(), keyed.tenants.len());
     let (groups, statements) = (keyed.groups.len(), keyed.statements.len());
     if keys(&[classes, tenants, groups, statements]) > MAX_KEYS {
-        // Groups may be residual already, when they are too many for keys.
+        // The groups are residual already if they are too many for keys.
         residual
             .groups
             .extend(keyed.groups.drain(..).map(|g| g..=g));
@@ -139,13 +140,13 @@
     (keyed, residual)
 }
 
-/// The numbers of those names that have one, in their order.
+/// The numbers of the names that have one, in increasing order.
 fn number_all(numbers: &HashMap<String, u32>, names: &[String]) -> Vec<u32> {
     let found = names.iter().filter_map(|name| numbers.get(name).copied());
     sorted(found.collect())
 }
 
-/// The groups one by one; none if they are too many.
+/// The single groups of ranges; `None` if they are too many.
 fn single_groups(ranges: &[RangeInclusive<u32>]) -> Option<Vec<u32>> {
     let length: u64 = ranges
         .iter()
--- a/crates/configuration/src/index/statement_trie.rs
+++ b/crates/configuration/src/index/statement_trie.rs
@@ -1,26 +1,26 @@
-//! A trie over prefixes of statements: which of them a statement has.
+//! A trie of prefixes of statements: finds the prefixes of a statement.
 
-/// Nested prefixes of one statement: no text has more, by the length that the language allows.
+/// Maximum number of prefixes of one statement; the maximum length of a prefix in the language does not allow more.
 pub(super) const MAX_PREFIXES: usize = 258;
 
-/// Stands for no number.
+/// In place of a prefix's number: there is no prefix.
 const NO_VALUE: u32 = u32::MAX;
 
-/// A path-compressed trie over prefixes of statements.
+/// A path-compressed trie of prefixes of statements.
 #[derive(Debug)]
 pub(super) struct StatementTrie {
     nodes: Vec<StatementNode>,
-    /// The next number.
+    /// Number of the next prefix.
     values: u32,
 }
 
 #[derive(Debug)]
 struct StatementNode {
-    /// The bytes from its parent to it.
+    /// The bytes between the parent and this node.
     label: Box<[u8]>,
-    /// Its number; [`NO_VALUE`]: no prefix ends here.
+    /// Number of the prefix that ends here; [`NO_VALUE`] if none does.
     value: u32,
-    /// By their first byte.
+    /// First byte and position of each child, sorted by the byte.
     children: Vec<(u8, u32)>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl StatementTrie {
-    /// The number of a prefix; prefixes are numbered in the order of their first insertion.
+    /// Inserts a prefix if it is missing, and returns its number. Prefixes are numbered in the order of insertion.
     pub fn insert(&mut self, text: &[u8]) -> u32 {
         let (mut at, mut rest) = (0, text);
         loop {
@@ -118,7 +118,7 @@
         &out[..found]
     }
 
-    /// Bytes that it holds, about.
+    /// Approximate size in bytes.
     pub fn size(&self) -> usize {
         self.nodes.capacity() * size_of::<StatementNode>()
     }
--- a/crates/configuration/src/index/summary.rs
+++ b/crates/configuration/src/index/summary.rs
@@ -1,29 +1,29 @@
-//! What is known of all routes of one network and one statement's prefix.
+//! Summary of the routes of one network and one prefix of statements.
 
-/// A route states a class.
+/// Bit of a shape: the route has a condition on the class.
 pub(super) const CLASS: u8 = 1;
-/// A route states a tenant.
+/// Bit of a shape: the route has a condition on the tenant.
 pub(super) const TENANT: u8 = 2;
-/// A route states a group.
+/// Bit of a shape: the route has a condition on the group.
 pub(super) const GROUP: u8 = 4;
 
-/// Which shapes of routes there are; a shape is which of class, tenant and group are stated.
+/// The first route, and the shapes of all routes; a shape is the set of class, tenant and group that a route states.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Summary {
-    /// Position of the first of the routes; `u32::MAX`: there is none.
+    /// Position of the first route; `u32::MAX` if there is none.
     pub first: u32,
     /// A bit for each shape that occurs.
     pub shapes: u8,
 }
 
 impl Summary {
-    /// Of no route.
+    /// Summary of no routes.
     pub const EMPTY: Summary = Summary {
         first: u32::MAX,
         shapes: 0,
     };
 
-    /// `shape`: a sum of [`CLASS`], [`TENANT`] and [`GROUP`].
+    /// Adds the route at a position. `shape`: a sum of [`CLASS`], [`TENANT`] and [`GROUP`].
     pub fn add(&mut self, at: u32, shape: u8) {
         self.first = self.first.min(at);
         self.shapes |= 1 << shape;
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,16 +1,21 @@
 //! The operators' configuration language.
 //!
-//! Reading takes these steps:
+//! A configuration is read in these steps:
 //!
-//! 1. [`syntax`]: a text to lines of words;
-//! 2. [`load`]: files, their includes and variables to one [`document`];
-//! 3. [`check`]: the document against the table of directives ([`schema`]), words to values ([`value`]);
-//! 4. [`model`]: sections to a typed model in which every value knows its place, and the checks between values.
+//! 1. [`syntax`]: splits a text into lines of words;
+//! 2. [`load`]: reads the files, follows includes and replaces variables, which gives one [`document`];
+//! 3. [`check`]: checks the document against the table of directives ([`schema`]) and parses words to values ([`value`]);
+//! 4. [`model`]: builds a typed model of the sections and checks values against one another.
 //!
-//! On the model work the routes' index ([`index`]), the search for routes that are never reached ([`shadow`]), the
-//! behavioural difference of two configurations ([`diff`]), the explanation of one request ([`explain`]) and the check
-//! against the platform's settings ([`platform`]). Nothing here reads files, clocks or sockets; a [`load::Loader`] brings
-//! the texts.
+//! The model is the input of:
+//!
+//! - [`index`]: finds the first route that matches a request;
+//! - [`shadow`]: reports routes that no request reaches;
+//! - [`diff`]: the behavioural difference between two configurations;
+//! - [`explain`]: lists the routes that are checked for one request;
+//! - [`platform`]: checks the model against the platform's settings.
+//!
+//! This package does not access files, clocks or sockets: a [`load::Loader`] provides the texts.
 //!
 //! ```
 //! use configuration::{load::MemoryFiles, read};
--- a/crates/configuration/src/load/file.rs
+++ b/crates/configuration/src/load/file.rs
@@ -1,4 +1,4 @@
-//! One file: whether it may be read here, and its bytes as text.
+//! Reads one file: checks whether it may be included here, and converts its bytes to text.
 
 use super::files::file_name;
 use super::{Loading, DEPTH_LIMIT, FILES_LIMIT, FILE_LIMIT};
@@ -7,11 +7,11 @@
 use crate::syntax;
 use std::path::{Path, PathBuf};
 
-/// Bytes of a line that is too long which are shown.
+/// Number of bytes shown of a line that is too long.
 const SHOWN_OF_LONG_LINE: usize = 80;
 
 impl Loading<'_> {
-    /// Reads a file and all that it includes. `from`: the place of the include; none for the file that was asked for.
+    /// Reads a file and all files that it includes. `from`: the place of the include; `None` for the main file.
     pub(super) fn file(&mut self, path: &Path, from: Option<Span>) {
         let name = path.display().to_string();
         let identity = match self.loader.identity(path) {
@@ -34,18 +34,18 @@
         self.stack.pop();
     }
 
-    /// Where a file that can't be had is reported: the place that names it, or an empty text under its name.
+    /// The place at which a fault of a file that was not read is reported: its include, or an empty text with its name.
     fn place_of(&mut self, name: &str, from: Option<Span>) -> Span {
         from.unwrap_or_else(|| Span::new(self.sources.add(name.to_owned(), String::new()), 0..0))
     }
 
     fn fail_unreadable(&mut self, name: &str, from: Option<Span>, problem: &str) {
         let at = self.place_of(name, from);
-        let message = format!("{name} can't be read: {problem}");
-        self.fail(Diagnostic::error("unreadable-file", at, message).label("named here"));
+        let message = format!("cannot read {name}: {problem}");
+        self.fail(Diagnostic::error("unreadable-file", at, message).label("file named here"));
     }
 
-    /// Reports a file that is open or was read already; whether it was.
+    /// Reports a file that is being read or was read already. Returns whether it was.
     fn fail_repeated(&mut self, name: &str, identity: &PathBuf, from: Option<Span>) -> bool {
         if let Some(first) = self.stack.iter().position(|open| open == identity) {
             let chain: Vec<String> = self.stack[first..]
@@ -55,8 +55,8 @@
                 .collect();
             let at = self.place_of(name, from);
             let fault = Diagnostic::error("include-loop", at, format!("{name} includes itself"))
-                .label("closes the loop")
-                .help(format!("the loop is {}", chain.join(" -> ")));
+                .label("this include closes the cycle")
+                .help(format!("the include cycle is {}", chain.join(" -> ")));
             self.fail(fault);
             return true;
         }
@@ -65,7 +65,8 @@
         };
         let at = self.place_of(name, from);
         let message = format!("{name} is included a second time");
-        let mut fault = Diagnostic::error("include-twice", at, message).label("again here");
+        let mut fault =
+            Diagnostic::error("include-twice", at, message).label("included again here");
         if let Some(first) = first {
             fault = fault.related(first, "first included here");
         }
@@ -73,40 +74,40 @@
         true
     }
 
-    /// Reports an include beyond a limit; whether it was.
+    /// Reports an include beyond the limits of depth or number. Returns whether it was.
     fn fail_too_many(&mut self, name: &str, from: Option<Span>) -> bool {
         let message = if self.stack.len() >= DEPTH_LIMIT {
-            format!("includes stand more than {DEPTH_LIMIT} deep")
+            format!("includes are nested more than {DEPTH_LIMIT} levels deep")
         } else if self.seen.len() >= FILES_LIMIT {
             format!("the configuration has more than {FILES_LIMIT} files")
         } else {
             return false;
         };
         let at = self.place_of(name, from);
-        self.fail(Diagnostic::error("include-depth", at, message).label("one too many"));
+        self.fail(Diagnostic::error("include-depth", at, message).label("limit exceeded here"));
         true
     }
 
-    /// Adds the bytes to the sources as text, if they are text within the limits.
+    /// Adds the bytes to the sources if they are UTF-8 text within the limits.
     fn text(&mut self, name: &str, bytes: Vec<u8>) -> Option<FileId> {
         if bytes.len() > FILE_LIMIT {
             let file = self.sources.add(name.to_owned(), String::new());
             let length = bytes.len();
-            let message = format!("{name} has {length} bytes; at most {FILE_LIMIT} are read");
+            let message = format!("{name} has {length} bytes; the maximum is {FILE_LIMIT}");
             let span = Span::new(file, 0..0);
             self.fail(Diagnostic::error("large-file", span, message));
             return None;
         }
         if let Some(range) = syntax::find_long_line(&bytes) {
-            // The snippet shows the start of that line, not all of it.
+            // The snippet shows only the start of the line.
             let shown = &bytes[..range.start + SHOWN_OF_LONG_LINE];
             let shown = String::from_utf8_lossy(shown).into_owned();
             let end = shown.len();
             let file = self.sources.add(name.to_owned(), shown);
             let (length, limit) = (range.len(), syntax::LINE_LIMIT);
-            let message = format!("a line has {length} bytes; at most {limit} are read");
+            let message = format!("a line has {length} bytes; the maximum is {limit}");
             let span = Span::new(file, range.start.min(end)..end);
-            self.fail(Diagnostic::error("long-line", span, message).label("begins here"));
+            self.fail(Diagnostic::error("long-line", span, message).label("the line begins here"));
             return None;
         }
         match String::from_utf8(bytes) {
@@ -124,7 +125,7 @@
         let shown = String::from_utf8_lossy(error.as_bytes()).into_owned();
         let file = self.sources.add(name.to_owned(), shown);
         let span = Span::new(file, at..at + char::REPLACEMENT_CHARACTER.len_utf8());
-        let message = format!("the byte 0x{byte:02x} is no UTF-8 text");
-        self.fail(Diagnostic::error("not-utf8", span, message).label("not readable"));
+        let message = format!("the byte 0x{byte:02x} is not valid UTF-8 text");
+        self.fail(Diagnostic::error("not-utf8", span, message).label("invalid byte"));
     }
 }
--- a/crates/configuration/src/load/files.rs
+++ b/crates/configuration/src/load/files.rs
@@ -1,19 +1,19 @@
-//! Where files come from.
+//! Access to files.
 
 use std::collections::BTreeMap;
 use std::path::{Component, Path, PathBuf};
 
-/// Where files come from: the only access of this package to anything outside.
+/// Access to files; this package has no other access to the system.
 pub trait Loader {
-    /// The bytes of a file. Fails with the system's own text, to be shown to operators.
+    /// The bytes of a file. The error is the system's message, which is shown to operators.
     fn read(&self, path: &Path) -> Result<Vec<u8>, String>;
-    /// One name for each file, whatever links lead to it.
+    /// The canonical path of a file: the same for all paths and links to it.
     fn identity(&self, path: &Path) -> Result<PathBuf, String>;
-    /// The names in a folder, in any order.
+    /// The file names in a directory, in any order.
     fn names(&self, folder: &Path) -> Result<Vec<String>, String>;
 }
 
-/// The last part of a path, to be shown.
+/// The last component of a path, for messages.
 pub(super) fn file_name(path: &Path) -> String {
     path.file_name().map_or_else(
         || path.display().to_string(),
@@ -21,8 +21,8 @@
     )
 }
 
-/// Files in memory, for tests and for texts that come from elsewhere. A link is a file whose
-/// text is `link:` and a path.
+/// Files in memory, for tests and for texts from other sources. A file whose text is `link:` and a path is a link to
+/// that path.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFiles {
     files: BTreeMap<PathBuf, Vec<u8>>,
--- a/crates/configuration/src/load/include.rs
+++ b/crates/configuration/src/load/include.rs
@@ -1,4 +1,4 @@
-//! The directive `include`: one file, or all that match a pattern.
+//! The directive `include`: reads one file, or all files that match a pattern.
 
 use super::Loading;
 use crate::diagnostic::Diagnostic;
@@ -6,17 +6,17 @@
 use glob::Pattern;
 use std::path::{Component, Path, PathBuf};
 
-/// Characters of which a pattern has at least one.
+/// Characters that make a path a pattern.
 const WILDCARDS: [char; 3] = ['*', '?', '['];
 
 impl Loading<'_> {
-    /// `path`: the file in which the directive stands.
+    /// Reads the files that the directive names. `path`: the file that contains the directive.
     pub(super) fn include(&mut self, directive: &RawDirective, path: &Path) {
         let [target] = directive.args.as_slice() else {
             let fault = Diagnostic::error(
                 "include-form",
                 directive.span(),
-                "include takes one file or pattern",
+                "include takes exactly one file name or pattern",
             );
             return self.fail(fault.label(format!("{} are given", directive.args.len())));
         };
@@ -41,16 +41,19 @@
                 let fault = Diagnostic::error(
                     "unreadable-file",
                     target.span,
-                    format!("the folder {shown} can't be read: {problem}"),
+                    format!("cannot read the directory {shown}: {problem}"),
                 );
-                return self.fail(fault.label("named here"));
+                return self.fail(fault.label("directory named here"));
             }
         };
         names.retain(|name| pattern.matches(name) && !name.starts_with('.'));
         names.sort();
         if names.is_empty() {
-            let fault =
-                Diagnostic::warning("empty-include", target.span, "the pattern matches no file");
+            let fault = Diagnostic::warning(
+                "empty-include",
+                target.span,
+                "the include pattern matches no file",
+            );
             self.faults.push(fault.label("nothing is included"));
         }
         for name in names {
@@ -59,14 +62,18 @@
     }
 }
 
-/// The folder, and the pattern that names in it have to match.
+/// Splits a path into its directory and the pattern for file names in it.
 fn split_pattern(
     target: &Argument,
     full_path: &Path,
 ) -> Result<(PathBuf, Pattern), Box<Diagnostic>> {
     let (Some(parent), Some(last)) = (full_path.parent(), full_path.file_name()) else {
-        let fault = Diagnostic::error("include-form", target.span, "the pattern names no file");
-        return Err(Box::new(fault.label("ends in no name")));
+        let fault = Diagnostic::error(
+            "include-form",
+            target.span,
+            "the include pattern does not name a file",
+        );
+        return Err(Box::new(fault.label("file name missing at the end")));
     };
     let has_wildcard = |c: Component<'_>| c.as_os_str().to_string_lossy().contains(WILDCARDS);
     let pattern = Pattern::new(&last.to_string_lossy());
@@ -75,10 +82,10 @@
             Ok((parent.to_path_buf(), pattern))
         }
         _ => {
-            let fault = Diagnostic::error("include-form", target.span, "the pattern can't be read");
-            let fault = fault.label("not a pattern");
+            let fault = Diagnostic::error("include-form", target.span, "invalid include pattern");
+            let fault = fault.label("invalid pattern");
             Err(Box::new(fault.help(
-                "*, ? and [...] stand in the last part of the path only",
+                "*, ? and [...] are allowed only in the last component of the path",
             )))
         }
     }
--- a/crates/configuration/src/load/mod.rs
+++ b/crates/configuration/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! From files to one document: includes followed, variables replaced, sections gathered.
+//! Reads files into one document: follows includes, replaces variables and collects the sections.
 
 mod file;
 mod files;
@@ -16,17 +16,17 @@
 use std::path::{Path, PathBuf};
 use variables::Define;
 
-/// Files that include one another, one inside the other.
+/// Maximum depth of nested includes.
 pub const DEPTH_LIMIT: usize = 16;
-/// Files of one configuration.
+/// Maximum number of files of one configuration.
 pub const FILES_LIMIT: usize = 1_000;
-/// Bytes of one file.
+/// Maximum size of one file, in bytes.
 pub const FILE_LIMIT: usize = 32 << 20;
-/// Bytes that variables bring into words. A few lines of defines that use one another could else take any amount of
-/// memory.
+/// Maximum number of bytes to which all uses of variables may expand. Without it, a few variables defined by one another
+/// could use any amount of memory.
 pub const EXPANDED_LIMIT: usize = 64 << 20;
 
-/// The state of one load.
+/// State of loading one configuration.
 struct Loading<'a> {
     loader: &'a dyn Loader,
     table: Table,
@@ -34,16 +34,16 @@
     faults: &'a mut Vec<Diagnostic>,
     document: Document,
     defines: BTreeMap<String, Define>,
-    /// Where each file was first included from.
+    /// For each file that was read, by its identity: the place of its first include; `None` for the main file.
     seen: HashMap<PathBuf, Option<Span>>,
-    /// The files that are being read, each included by the one before it.
+    /// Identities of the files that are being read, each included by the one before it.
     stack: Vec<PathBuf>,
-    /// Bytes that variables have brought so far.
+    /// Number of bytes to which variables have expanded so far.
     expanded: usize,
 }
 
-/// Reads a file and all that it includes. Every fault that stands in the way of words is reported; the rest of
-/// the document is still returned.
+/// Reads a file and all files that it includes. Reports every syntax fault and every fault of includes and variables; the
+/// rest of the document is returned all the same.
 pub fn load(
     path: &Path,
     loader: &dyn Loader,
@@ -63,7 +63,7 @@
         expanded: 0,
     };
     loading.file(path, None);
-    // Where something could not be read, the use of a variable may be missing for that alone.
+    // A part that could not be read may use the variables.
     if !loading.document.partial {
         loading.warn_of_unused();
     }
--- a/crates/configuration/src/load/sections.rs
+++ b/crates/configuration/src/load/sections.rs
@@ -1,4 +1,4 @@
-//! The lines of one file: sections, and the directives inside and outside of them.
+//! Collects the sections of one file, and the directives inside and outside of sections.
 
 use super::Loading;
 use crate::diagnostic::{nearest, Diagnostic};
@@ -7,11 +7,11 @@
 use crate::syntax::{self, Entry, Word};
 use std::path::Path;
 
-/// Where the lines of a file stand.
+/// Position relative to the sections of a file.
 #[derive(Default)]
 struct Nesting {
     open: Option<RawSection>,
-    /// Sections inside the open one; only the first is reported.
+    /// Depth of sections nested in the open one; only the first is reported.
     nested: usize,
 }
 
@@ -49,15 +49,14 @@
             nesting.nested += 1;
             if nesting.nested == 1 {
                 let at = words.first().map_or(brace, |w| w.span);
-                let fault =
-                    Diagnostic::error("nested-section", at, "a section opens inside another")
-                        .label("opens here")
-                        .related(outer.keyword.span, "this one is still open");
+                let fault = Diagnostic::error("nested-section", at, "sections cannot be nested")
+                    .label("a section begins inside another one")
+                    .related(outer.keyword.span, "this section is still open");
                 self.fail(fault);
             }
             return;
         }
-        // Without a keyword its lines belong to nothing, and its fault is reported.
+        // A section without a valid keyword is kept with an empty one, so that its lines are skipped; its fault was reported.
         let mut args = self.expand(words, text).unwrap_or_default();
         if args.is_empty() {
             args.push(Argument {
@@ -82,21 +81,22 @@
         match nesting.open.take() {
             Some(section) => self.document.sections.push(section),
             None => {
-                let fault = Diagnostic::error("stray-brace", span, "a brace closes no section");
+                let fault = Diagnostic::error("stray-brace", span, "unexpected closing brace");
                 self.fail(fault.label("no section is open here"));
             }
         }
     }
 
-    /// A section that the file's end closes.
+    /// Reports a section that is still open at the end of the file, and keeps it.
     fn end_unclosed(&mut self, section: RawSection) {
         let keyword = &section.keyword;
         if keyword.text.is_empty() {
             return;
         }
-        let message = format!("the section {} has no end", keyword.text);
-        let fault = Diagnostic::error("open-section", keyword.span, message).label("opened here");
-        self.fail(fault.help("a line with a closing brace ends it"));
+        let message = format!("the section {} is not closed", keyword.text);
+        let fault =
+            Diagnostic::error("open-section", keyword.span, message).label("section begins here");
+        self.fail(fault.help("add a line with a closing brace at its end"));
         self.document.sections.push(section);
     }
 
@@ -115,9 +115,9 @@
             .as_ref()
             .filter(|_| word == "include" || word == "define")
         {
-            let message = format!("{word} stands inside a section");
+            let message = format!("{word} is not allowed inside a section");
             let fault = Diagnostic::error("misplaced-directive", words[0].span, message)
-                .label("belongs outside of all sections")
+                .label("move this outside of all sections")
                 .related(section.keyword.span, "this section is open");
             return self.fail(fault);
         }
@@ -136,18 +136,18 @@
         }
     }
 
-    /// A directive outside of all sections that is neither define nor include.
+    /// Reports a directive outside of all sections that is neither define nor include.
     fn fail_outside(&mut self, keyword: &Argument) {
         let known = self.table.iter().map(|s| s.keyword);
         let hint = if let Some(name) = known.clone().find(|k| *k == keyword.text) {
-            format!("a section opens with a brace at the end of its line: {name} NAME {{")
+            format!("the first line of a section ends with an opening brace: {name} NAME {{")
         } else if let Some(name) = nearest(&keyword.text, known.chain(["include", "define"])) {
             format!("did you mean {name}?")
         } else {
-            "outside of sections only define, include and sections stand".into()
+            "only define, include and sections are allowed at the top level".into()
         };
-        let message = format!("{:?} stands in no section", keyword.text);
+        let message = format!("{:?} is not allowed outside of a section", keyword.text);
         let fault = Diagnostic::error("outside-section", keyword.span, message);
-        self.fail(fault.label("not known here").help(hint));
+        self.fail(fault.label("not allowed here").help(hint));
     }
 }
--- a/crates/configuration/src/load/variables.rs
+++ b/crates/configuration/src/load/variables.rs
@@ -1,4 +1,4 @@
-//! Variables: the directive `define`, and the words in which variables are replaced.
+//! Variables: the directive `define`, and the replacement of variables in words.
 
 use super::{Loading, EXPANDED_LIMIT};
 use crate::diagnostic::{nearest, Diagnostic};
@@ -6,10 +6,10 @@
 use crate::source::Span;
 use crate::syntax::{is_name, is_name_char, Quote, Word};
 
-/// A variable.
+/// The definition of a variable.
 pub(super) struct Define {
     pub values: Vec<String>,
-    /// Where its name stands.
+    /// Place of the variable's name.
     pub span: Span,
     pub used: bool,
 }
@@ -21,7 +21,7 @@
             Ok(parts) => parts,
             Err(fault) => return self.fail(*fault),
         };
-        // A variable whose value is faulty is defined all the same, so that its uses are not reported as well.
+        // A variable with an invalid value is defined nevertheless, so that its uses are not reported as well.
         let values = self.expand(values, text).unwrap_or_default();
         let define = Define {
             values: values.into_iter().map(|arg| arg.text).collect(),
@@ -31,7 +31,7 @@
         self.defines.insert(name, define);
     }
 
-    /// The variable's name, where it stands, and the words of its value.
+    /// The variable's name, the place of the name, and the words of its value.
     fn check_define<'w>(
         &self,
         words: &'w [Word],
@@ -39,31 +39,33 @@
     ) -> Result<(String, Span, &'w [Word]), Box<Diagnostic>> {
         let span = words[0].span.to(words[words.len() - 1].span);
         let [_, name, values @ ..] = words else {
-            let fault = Diagnostic::error("define-form", span, "define needs a name and a value");
-            return Err(fault.label("define NAME VALUE ...").into());
+            let fault =
+                Diagnostic::error("define-form", span, "define requires a name and a value");
+            return Err(fault.label("expected define NAME VALUE ...").into());
         };
         let place = name.span;
         let name = text[place.range()].to_owned();
         if values.is_empty() {
-            let message = format!("the variable {name} gets no value");
+            let message = format!("the variable {name} is defined without a value");
             let fault = Diagnostic::error("define-form", span, message);
-            return Err(fault.label("define NAME VALUE ...").into());
+            return Err(fault.label("expected define NAME VALUE ...").into());
         }
         if !is_name(&name) {
-            let message = format!("{name} can't name a variable");
-            let fault = Diagnostic::error("define-form", place, message).label("not a name");
-            let help = "a name begins with a letter and holds letters, digits, - and _";
+            let message = format!("{name} is not a valid name of a variable");
+            let fault = Diagnostic::error("define-form", place, message).label("invalid name");
+            let help = "a name begins with a letter and contains only letters, digits, - and _";
             return Err(fault.help(help).into());
         }
         if let Some(first) = self.defines.get(&name) {
             let message = format!("the variable {name} is defined a second time");
-            let fault = Diagnostic::error("define-twice", place, message).label("again here");
+            let fault =
+                Diagnostic::error("define-twice", place, message).label("defined again here");
             return Err(fault.related(first.span, "first defined here").into());
         }
         Ok((name, place, values))
     }
 
-    /// Words with their variables replaced; none if one of them is faulty, which is reported.
+    /// Words with their variables replaced; `None` if one of them is invalid, which is reported.
     pub(super) fn expand(&mut self, words: &[Word], text: &str) -> Option<Vec<Argument>> {
         let mut args = Vec::with_capacity(words.len());
         for word in words {
@@ -88,7 +90,7 @@
         Some(args)
     }
 
-    /// A variable that stands alone brings all its words.
+    /// A variable that is a whole word expands to all words of its value.
     fn expand_bare(&mut self, written: &str, span: Span, args: &mut Vec<Argument>) -> Option<()> {
         let alone = written.strip_prefix('$').map(|n| {
             n.strip_prefix('{')
@@ -105,7 +107,7 @@
         Some(())
     }
 
-    /// A word with the variables inside it replaced; `escapes`: a backslash stands before a character.
+    /// A word with the variables inside it replaced; `escapes`: backslashes begin escape sequences.
     fn interpolate(&mut self, written: &str, span: Span, escapes: bool) -> Option<String> {
         let mut out = String::with_capacity(written.len());
         let mut rest = written;
@@ -138,30 +140,30 @@
                 let fault = Diagnostic::error(
                     "unknown-escape",
                     span,
-                    format!("\\{next} stands for nothing"),
+                    format!("unknown escape sequence \\{next}"),
                 );
                 self.fail(
                     fault
-                        .label("in this text")
-                        .help(r#"known are \n \t \" \\ and \$"#),
+                        .label("in this quoted text")
+                        .help(r#"the known escape sequences are \n \t \" \\ and \$"#),
                 );
                 None
             }
         }
     }
 
-    /// The value of a variable inside a word, which has to be one word.
+    /// The value of a variable inside a word; it must be a single word.
     fn single_word(&mut self, name: &str, span: Span) -> Option<String> {
         if !is_name(name) {
             let fault = Diagnostic::error(
                 "variable-form",
                 span,
-                "a $ stands before no variable's name",
+                "the character $ is not followed by the name of a variable",
             );
             self.fail(
                 fault
                     .label("in this word")
-                    .help("inside double quotes \\$ stands for the character itself"),
+                    .help("to write the character $ itself, use \\$ inside double quotes"),
             );
             return None;
         }
@@ -170,7 +172,7 @@
             return values.pop();
         }
         let message = format!(
-            "the variable {name} holds {} words and can't be part of one",
+            "the variable {name} has {} words and can't be part of a single word",
             values.len()
         );
         let fault = Diagnostic::error("variable-form", span, message);
@@ -195,10 +197,10 @@
         if self.expanded <= EXPANDED_LIMIT {
             return Some(values);
         }
-        // Reported once, where the limit was crossed.
+        // Reported only once, at the use that crosses the limit.
         if self.expanded - EXPANDED_LIMIT <= bytes {
-            let message = format!("variables bring more than {EXPANDED_LIMIT} bytes");
-            self.fail(Diagnostic::error("expansion", span, message).label("one too many"));
+            let message = format!("variables expand to more than {EXPANDED_LIMIT} bytes in total");
+            self.fail(Diagnostic::error("expansion", span, message).label("limit exceeded here"));
         }
         None
     }
@@ -206,7 +208,7 @@
     fn fail_unknown(&mut self, name: &str, span: Span) {
         let hint = match nearest(name, self.defines.keys().map(String::as_str)) {
             Some(other) => format!("did you mean ${other}?"),
-            None => "a variable is defined before the line that uses it".into(),
+            None => "define the variable before the line that uses it".into(),
         };
         let message = format!("the variable {name} is not defined");
         let fault = Diagnostic::error("unknown-variable", span, message).label("used here");
@@ -214,7 +216,7 @@
     }
 }
 
-/// The name behind a `$`, in braces or not, and what stands behind it.
+/// Splits the text after a `$` into the variable's name, with or without braces, and the rest.
 fn split_name(after: &str) -> (&str, &str) {
     if let Some(parts) = after.strip_prefix('{').and_then(|n| n.split_once('}')) {
         return parts;
--- a/crates/configuration/src/model/balancer.rs
+++ b/crates/configuration/src/model/balancer.rs
@@ -7,37 +7,38 @@
 use ipnet::IpNet;
 use std::time::Duration;
 
-/// A section `balancer`: who checks this proxy, and how.
+/// A section `balancer`: a balancer in front of this proxy, and its check settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Balancer {
     /// Its name.
     pub name: String,
     /// Time between two checks.
     pub interval: Duration,
-    /// Failed checks after which it takes the proxy for down.
+    /// Number of consecutive failed checks after which it considers the proxy down.
     pub fall: u32,
-    /// Time after which a check has failed.
+    /// Time after which it considers a check failed.
     pub timeout: Duration,
-    /// Networks that it checks from.
+    /// Networks from which it connects.
     pub networks: Vec<IpNet>,
 }
 
-/// The section `availability`: when the proxy counts as degraded.
+/// The section `availability`: when the proxy reports itself as degraded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Availability {
-    /// Share of its weight that faults which other proxies may share leave at least.
+    /// Minimum share of its weight that the proxy keeps during faults that other proxies may share.
     pub floor: Share,
-    /// Share of its weight that a proven cut of a link leaves at least; the lower of the two counts.
+    /// Minimum share of its weight that the proxy keeps during a proven cut of a link; the lower one of this and `floor`
+    /// applies.
     pub cut_floor: Share,
-    /// How late the endpoint list may be.
+    /// Maximum delay of the endpoint list.
     pub list_late: Duration,
-    /// No lost primary is replaced sooner than this.
+    /// Minimum time before a lost primary is replaced.
     pub election: Duration,
-    /// How long a state lasts at least.
+    /// Minimum duration of a state before a better one is reported.
     pub dwell: Duration,
-    /// A group that owes answers and gives none for so long counts as hung.
+    /// Time after which a group with outstanding requests that sends no answer is considered hung.
     pub silence: Duration,
-    /// Lag of the event loop from which the weight falls.
+    /// Lag of the event loop from which the weight is reduced.
     pub lag: Duration,
 }
 
@@ -85,9 +86,13 @@
     let announce_end = v.is_yes("announce-end");
     let stated = v.section.and_then(|s| s.setting("announce-end"));
     if let Some(setting) = stated.filter(|_| announce_end && balancers.is_empty()) {
-        let message = "the end is announced, but no balancer is named that would hear of it";
+        let message = "announce-end is set, but no balancer is configured that would receive the announcement";
         let fault = Diagnostic::error("cross-check", setting.span, message);
-        faults.push(fault.label("waits for nobody").help("state a balancer"));
+        faults.push(
+            fault
+                .label("no balancer to wait for")
+                .help("add a section balancer"),
+        );
     }
     Drain {
         announce_end,
--- a/crates/configuration/src/model/entries.rs
+++ b/crates/configuration/src/model/entries.rs
@@ -1,4 +1,4 @@
-//! Every value that counts with its origin, for those who ask where it comes from.
+//! Lists every effective value with its origin.
 
 use crate::check::Section;
 use crate::schema::{self, Directive, Naming, TakesEffect, SECTIONS};
@@ -17,23 +17,23 @@
     Environment(&'static str),
 }
 
-/// A value as it counts, for those who ask where it comes from.
+/// An effective value with its origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Keyword and name of the section.
+    /// Keyword and name of the section, separated by a blank.
     pub section: String,
     /// The directive's keyword.
     pub directive: &'static str,
-    /// The value as it would be written.
+    /// The value as it would be written in the file.
     pub value: String,
     /// Where it comes from.
     pub origin: Origin,
-    /// When a change of it counts.
+    /// When a change of the value takes effect.
     pub takes_effect: TakesEffect,
 }
 
-/// All values of sections that stand once, defaults among them, and those stated elsewhere. They take several times
-/// the memory of the model, so they are made for those who ask.
+/// The effective values: those of all unnamed sections, including defaults, and those of the named sections that are
+/// defined. The list takes several times the memory of the model, so it is built on request.
 pub fn entries(sections: &[Section]) -> Vec<Entry> {
     let mut entries = Vec::new();
     for spec in SECTIONS {
@@ -71,7 +71,7 @@
     }
 }
 
-/// The stated value or the default; none if there is neither.
+/// The value that is set or the default; `None` if there is neither.
 fn value_of(directive: &Directive, section: Option<&Section>) -> Option<(String, Origin)> {
     if let Some(setting) = section.and_then(|s| s.setting(directive.keyword)) {
         let words: Vec<String> = setting.values.iter().map(|(v, _)| v.to_string()).collect();
--- a/crates/configuration/src/model/health.rs
+++ b/crates/configuration/src/model/health.rs
@@ -6,26 +6,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A section `health`: where balancers' checks are answered.
+/// A section `health`: an address on which balancers' health checks are answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
     /// Its name.
     pub name: String,
     /// `http`, `agent` or `grpc`.
     pub protocol: &'static str,
-    /// Its address.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// Which HTTP statuses are used.
+    /// Set of HTTP statuses: `plain`, `drain-is-404` or `overload-is-429`.
     pub statuses: &'static str,
-    /// An agent check's text is waited for.
+    /// An agent check begins with a line of the balancer, which is read before the answer is sent.
     pub expects_text: bool,
-    /// An agent check's answer states `maxconn`.
+    /// The answer to an agent check includes `maxconn`.
     pub maxconn: bool,
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Time for a check to be complete.
+    /// Time within which a check must be complete and its answer read.
     pub check_timeout: Duration,
-    /// Time that an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -58,7 +58,7 @@
     listeners
 }
 
-/// A directive that has no effect with this protocol.
+/// Reports a directive that has no effect with this protocol.
 fn check_protocol(section: &Section, protocol: &str, faults: &mut Vec<Diagnostic>) {
     let without_effect: &[&str] = match protocol {
         "agent" => &["statuses", "idle"],
@@ -70,7 +70,7 @@
         .find_map(|keyword| section.setting(keyword));
     if let Some(setting) = stated {
         let message = format!(
-            "{} says nothing to the protocol {protocol}",
+            "{} has no meaning for the protocol {protocol}",
             setting.spec.keyword
         );
         let fault = Diagnostic::error("cross-check", setting.span, message);
@@ -78,7 +78,7 @@
     }
 }
 
-/// An address that another one listens on. A port of 0 is whichever is free.
+/// Reports an address on which another section listens. Port 0 selects a free port, so it can be used repeatedly.
 fn check_address(
     section: &Section,
     address: SocketAddr,
@@ -90,10 +90,10 @@
         .find(|h| h.address == address && address.port() != 0);
     if let Some(other) = other {
         let message = format!(
-            "the address {address} is that of the health listener {}",
+            "the address {address} is already used by the health listener {}",
             other.name
         );
         let fault = Diagnostic::error("cross-check", section.span, message);
-        faults.push(fault.label("a second one there"));
+        faults.push(fault.label("duplicate address"));
     }
 }
--- a/crates/configuration/src/model/lending.rs
+++ b/crates/configuration/src/model/lending.rs
@@ -1,4 +1,4 @@
-//! What tenants may borrow beyond their quota, and how the fleet agrees on it.
+//! Sections `lending` and `credit`: loans of quota among the proxies, and what each tenant may borrow.
 
 use super::required::{require_directive, require_members};
 use super::window::NamedWindow;
@@ -13,13 +13,13 @@
 /// The section `lending`: loans of quota among the proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lending {
-    /// A directory for the book of loans; without it a restarted proxy has lost it.
+    /// Directory for the record of loans; without it, a restarted proxy starts without a record.
     pub state_file: Option<PathBuf>,
-    /// How long a lease lasts.
+    /// Duration of a lease. Must be the same on all proxies.
     pub lease: Duration,
-    /// How often the proxies exchange their balances.
+    /// Interval at which the proxies exchange their balances.
     pub exchange_interval: Duration,
-    /// Longest term and write-off together of any credit. The same at all proxies.
+    /// Maximum of term plus write-off of any credit. Must be the same on all proxies.
     pub max_loan_time: Duration,
     /// The tenants that may borrow.
     pub credits: Vec<Credit>,
@@ -30,26 +30,26 @@
 pub struct Credit {
     /// The platform's name of the tenant.
     pub tenant: String,
-    /// What it may owe, as time of its quota of the whole fleet.
+    /// Maximum that the tenant may owe, as time of its quota of the whole fleet.
     pub credit_limit: Duration,
-    /// Within this a loan is repaid.
+    /// Time within which a loan is repaid.
     pub term: Duration,
-    /// How long after the term an unpaid loan is written off.
+    /// Time after the term at which an unpaid loan is written off.
     pub write_off: Duration,
-    /// Thousandths of the quota that always stay.
+    /// Part of the quota that the tenant always keeps, in thousandths.
     pub floor: u32,
-    /// Classes that loans are made for.
+    /// Names of the classes for which loans are made.
     pub classes: Vec<String>,
-    /// The most requests that all proxies together lend in a second.
+    /// Maximum number of requests that all proxies together lend per second.
     pub rate: u64,
-    /// Places in the model's windows; in these nothing is lent.
+    /// Positions in the model's windows; nothing is lent during these.
     pub not_during: Vec<usize>,
 }
 
-/// So many exchanges fit into a lease, so that a lost one does not end it.
+/// Minimum number of exchanges during a lease, so that a lost one does not end it.
 const EXCHANGES_OF_LEASE: u32 = 3;
 
-/// `partial`: some of the files could not be read.
+/// `partial`: some of the files could not be read, so a missing section may be defined there.
 pub(super) fn lending(
     sections: &[Section],
     windows: &[NamedWindow],
@@ -63,7 +63,7 @@
         return None;
     };
     if !partial {
-        let label = "has nobody to agree with";
+        let label = "no members to lend quota among";
         require_members(sections, section, "lending", label, faults);
     }
     if let Some(fault) = too_many_credits(sections) {
@@ -89,21 +89,22 @@
     Some(lending)
 }
 
-/// A credit has no effect without the section `lending`.
+/// Reports a credit without the section `lending`, which has no effect.
 fn check_no_credits(sections: &[Section], faults: &mut Vec<Diagnostic>) {
     if let Some(first) = sections_of(sections, "credit").next() {
-        let message = "a credit is stated, but no section lending";
-        let fault = Diagnostic::error("missing", first.span, message).label("nobody lends");
-        faults.push(fault.help("write a section lending { ... }, which may state nothing"));
+        let message = "a section credit requires a section lending";
+        let fault = Diagnostic::error("missing", first.span, message)
+            .label("has no effect without lending");
+        faults.push(fault.help("add a section lending { ... }, which may be empty"));
     }
 }
 
 fn too_many_credits(sections: &[Section]) -> Option<Diagnostic> {
     let first = sections_of(sections, "credit").nth(CREDITS_LIMIT)?;
     let number = sections_of(sections, "credit").count();
-    let message = format!("there are {number} credits; at most {CREDITS_LIMIT} are allowed");
-    let fault = Diagnostic::error("many-credits", first.span, message).label("one too many");
-    Some(fault.help("keep a section credit only for stands that have to borrow"))
+    let message = format!("there are {number} sections credit; the maximum is {CREDITS_LIMIT}");
+    let fault = Diagnostic::error("many-credits", first.span, message).label("limit exceeded here");
+    Some(fault.help("keep a section credit only for tenants that need to borrow"))
 }
 
 fn check_lease(section: &Section, lending: &Lending, faults: &mut Vec<Diagnostic>) {
@@ -122,15 +123,19 @@
     let most = Duration::from_millis((lease / EXCHANGES_OF_LEASE).as_millis() as u64);
     let least = step * EXCHANGES_OF_LEASE;
     let help = format!(
-        "state a step of at most {}, or a lease of {} or more",
+        "set step to at most {}, or lease to at least {}",
         format_time(most),
         format_time(least)
     );
     let fault = Diagnostic::error("cross-check", at.span, message);
-    faults.push(fault.label("one late beat would end it").help(help));
+    faults.push(
+        fault
+            .label("a single late exchange would end the lease")
+            .help(help),
+    );
 }
 
-/// The first of two settings that is stated, in a section of which all lines could be read.
+/// The first of two settings that is set; `None` if the section has invalid lines.
 fn either<'a>(section: &'a Section, keywords: [&str; 2]) -> Option<&'a Setting> {
     keywords
         .into_iter()
@@ -138,7 +143,7 @@
         .filter(|_| !section.partial)
 }
 
-/// Term and write-off together must not be longer than the longest.
+/// Reports a credit whose term plus write-off exceeds `longest`.
 fn check_loan_time(
     credit: &Section,
     lending: &Section,
@@ -154,14 +159,14 @@
     let at = either(credit, ["term", "write-off"]).map_or(credit.span, |setting| setting.span);
     let (all, most) = (format_time(term + write_off), format_time(longest));
     let message = format!(
-        "term ({}) and write-off ({}) of the credit {} are {all} together, but the longest is {most}",
+        "term ({}) and write-off ({}) of the credit {} add up to {all}, but longest is {most}",
         format_time(term),
         format_time(write_off),
         credit.name
     );
-    let fault = Diagnostic::error("cross-check", at, message).label("lent for too long");
+    let fault = Diagnostic::error("cross-check", at, message).label("above longest");
     let fault = fault.help(format!(
-        "shorten one of the two, or state `longest {all}` in the section lending"
+        "reduce term or write-off, or set `longest {all}` in the section lending"
     ));
     faults.push(match lending.setting("longest") {
         Some(setting) => fault.related(setting.span, "longest"),
@@ -188,7 +193,7 @@
         credit_limit: v.time("line")?,
         term: v.time("term").unwrap_or_default(),
         write_off: v.time("write-off").unwrap_or_default(),
-        // Rounded up: at least the stated share stays.
+        // Rounded up, so that the tenant keeps at least the configured share.
         floor: (u64::from(floor.part) * 1_000).div_ceil(u64::from(floor.whole.max(1))) as u32,
         classes: Some(v.collect("class", name_of)).filter(|classes| !classes.is_empty())?,
         rate: rate?,
@@ -202,17 +207,18 @@
     };
     match section.setting("rate") {
         Some(at) if rate.per != Duration::from_secs(1) => {
-            let message = format!("{rate} is not of a second");
+            let message = format!("the rate {rate} is not per second");
             let fault = Diagnostic::error("bad-value", at.span, message)
-                .label("what is lent is counted by the second");
-            faults.push(fault.help("write it as requests a second, for example 100/s"));
+                .label("the rate of a credit must be per second");
+            faults.push(fault.help("write it as requests per second, for example 100/s"));
             None
         }
         _ => Some(u64::from(rate.number)),
     }
 }
 
-/// Positions of the windows in which nothing is lent. None if one is not defined: the credit would lend when it must not.
+/// Positions of the windows in which nothing is lent. `None` if one of them is not defined, since the credit would lend at
+/// times when it must not.
 fn closed_windows(
     section: &Section,
     windows: &[NamedWindow],
--- a/crates/configuration/src/model/limits.rs
+++ b/crates/configuration/src/model/limits.rs
@@ -6,34 +6,34 @@
 use crate::values::Values;
 use std::time::Duration;
 
-/// The section `limits`. Shares are of the descriptors or of the memory.
+/// The section `limits`. Shares refer to all descriptors or to the whole memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// `client-patience`: time until a connection's first valid request, and for each command.
+    /// `client-patience`: timeout for a connection's first valid request, and for each command.
     pub client_patience: Duration,
-    /// `client-idle`: time that an idle connection is kept when clients are many.
+    /// `client-idle`: time after which an idle connection is closed while clients use the share `crowded`.
     pub client_idle: Duration,
     /// `answer-unread`: time without a byte read after which a client is disconnected.
     pub answer_unread: Duration,
-    /// `goodbye`: time to read why a connection ends.
+    /// `goodbye`: time for a client to read the reason before its connection is closed.
     pub goodbye: Duration,
-    /// `answer-margin`: part of the client's time that is kept for the answer's way.
+    /// `answer-margin`: time subtracted from each client's deadline for sending the answer.
     pub answer_margin: Duration,
-    /// `pipeline`: unanswered commands of one connection.
+    /// `pipeline`: maximum number of unanswered commands of one connection.
     pub pipeline: usize,
-    /// `unsent`: bytes of unsent answers of one connection.
+    /// `unsent`: bytes of unsent answers of one connection beyond which nothing more is read from it.
     pub unsent: usize,
-    /// `clients`: clients' share of the descriptors.
+    /// `clients`: share of the descriptors for clients.
     pub clients: Share,
-    /// `crowded`: share from which idle connections are closed after `client-idle`.
+    /// `crowded`: share of the descriptors in use from which idle connections are closed after `client-idle`.
     pub crowded: Share,
-    /// `packed`: share from which idle connections are closed at once.
+    /// `packed`: share of the descriptors in use from which idle connections are closed at once.
     pub packed: Share,
-    /// `unfinished`: share of the memory for commands that are not complete.
+    /// `unfinished`: share of the memory for incomplete commands of all clients.
     pub unfinished: Share,
-    /// `sockets`: descriptors in all.
+    /// `sockets`: maximum number of open descriptors.
     pub sockets: Option<usize>,
-    /// `memory`: bytes in all.
+    /// `memory`: maximum memory in bytes.
     pub memory: Option<u64>,
 }
 
@@ -61,7 +61,7 @@
     limits
 }
 
-/// `crowded` must not be above `packed`: idle connections would be closed at once before they are closed for being idle.
+/// Reports `crowded` above `packed`: idle connections would be closed at once before `client-idle` applies.
 fn check_crowded(section: &Section, limits: &Limits, faults: &mut Vec<Diagnostic>) {
     if limits.crowded <= limits.packed {
         return;
@@ -74,10 +74,10 @@
         "crowded ({}) is above packed ({})",
         limits.crowded, limits.packed
     );
-    let fault =
-        Diagnostic::error("cross-check", at.span, message).label("this must not be above packed");
+    let fault = Diagnostic::error("cross-check", at.span, message)
+        .label("crowded must not be above packed");
     faults.push(match (crowded, packed) {
         (Some(_), Some(packed)) => fault.related(packed.span, "packed"),
-        _ => fault.help("the other of the two has its default"),
+        _ => fault.help("the one of the two that is not set has its default value"),
     });
 }
--- a/crates/configuration/src/model/listener.rs
+++ b/crates/configuration/src/model/listener.rs
@@ -10,9 +10,9 @@
 /// The section `discovery`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Discovery {
-    /// Where the endpoint list is served.
+    /// Address of the discovery service.
     pub address: Option<SocketAddr>,
-    /// A watch that is silent for so long is broken.
+    /// Time without data after which a watch is replaced.
     pub max_watch_silence: Duration,
 }
 
@@ -21,9 +21,9 @@
 pub struct Listener {
     /// Its name.
     pub name: String,
-    /// Its address.
+    /// The address to listen on.
     pub address: Option<SocketAddr>,
-    /// Balancers that name their clients.
+    /// Networks of balancers that send a PROXY header with the client's address.
     pub proxy_protocol_networks: Vec<IpNet>,
 }
 
@@ -37,9 +37,9 @@
 
 pub(super) fn listeners(sections: &[Section], faults: &mut Vec<Diagnostic>) -> Vec<Listener> {
     for section in sections_of(sections, "listener").skip(1) {
-        let message = "one listener is served so far";
+        let message = "only one section listener is supported";
         let fault = Diagnostic::error("many-listeners", section.span, message);
-        faults.push(fault.label("one too many"));
+        faults.push(fault.label("remove this section"));
     }
     for section in sections_of(sections, "listener") {
         if !section.partial && section.setting("address").is_none() {
--- a/crates/configuration/src/model/members.rs
+++ b/crates/configuration/src/model/members.rs
@@ -1,4 +1,4 @@
-//! The members of a fleet: how its proxies reach one another, and which they are.
+//! Sections `members` and `member`: the roster of the fleet, and how its proxies detect one another.
 
 use super::required::require_directive;
 use crate::check::{Section, Setting};
@@ -13,17 +13,17 @@
 /// The section `members`: the fleet that this proxy belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// Of the roster; raised with each change of it.
+    /// Version of the roster, which operators increase with each change.
     pub version: u64,
-    /// Where this proxy hears the others.
+    /// UDP address on which this proxy receives messages of the others.
     pub listen: SocketAddr,
     /// The file with the fleet's keys.
     pub key_file: PathBuf,
-    /// Each member asks another one this often.
+    /// Interval at which each member probes another one.
     pub period: Duration,
-    /// For how long a member may deny its death.
+    /// How long a member that does not answer may still refute that it is down.
     pub suspicion: Duration,
-    /// In the order of the file, this proxy among them.
+    /// All members, including this proxy, in the order of the file.
     pub roster: Vec<Member>,
 }
 
@@ -32,13 +32,13 @@
 pub struct Member {
     /// The platform's name for the proxy.
     pub name: String,
-    /// Where it receives datagrams.
+    /// UDP address on which the member receives messages.
     pub address: SocketAddr,
-    /// The part of a rollout that it belongs to; may be empty.
+    /// Region of the member in a rollout; empty if it has none.
     pub region: String,
 }
 
-/// `partial`: some of the files could not be read, so that sections which are missing may stand there.
+/// `partial`: some of the files could not be read, so a missing section may be defined there.
 pub(super) fn members(
     sections: &[Section],
     partial: bool,
@@ -47,22 +47,29 @@
     let stated: Vec<&Section> = sections_of(sections, "member").collect();
     let Some(section) = sections_of(sections, "members").next() else {
         if let Some(first) = stated.first().filter(|_| !partial) {
-            let message = "a member is stated, but no section members";
-            let fault = Diagnostic::error("missing", first.span, message).label("has no effect");
-            let help = "write a section members { ... } with version, listen and key-file";
+            let message = "a section member requires a section members";
+            let fault = Diagnostic::error("missing", first.span, message)
+                .label("has no effect without members");
+            let help = "add a section members { ... } with version, listen and key-file";
             faults.push(fault.help(help));
         }
         return None;
     };
     if stated.is_empty() && !partial {
-        let fault = Diagnostic::error("missing", section.span, "the roster is empty");
-        let help = "write a section member NAME { ... } for each proxy, this one too";
-        faults.push(fault.label("has no members").help(help));
+        let fault = Diagnostic::error(
+            "missing",
+            section.span,
+            "the section members has an empty roster",
+        );
+        let help = "add a section member NAME { ... } for each proxy, including this one";
+        faults.push(fault.label("no section member is defined").help(help));
     }
     if let Some(first) = stated.get(MEMBERS_LIMIT) {
         let number = stated.len();
-        let message = format!("there are {number} members; at most {MEMBERS_LIMIT} are allowed");
-        faults.push(Diagnostic::error("many-members", first.span, message).label("one too many"));
+        let message = format!("there are {number} sections member; the maximum is {MEMBERS_LIMIT}");
+        faults.push(
+            Diagnostic::error("many-members", first.span, message).label("limit exceeded here"),
+        );
         return None;
     }
     let roster = parse_members(&stated, faults);
@@ -93,10 +100,12 @@
             continue;
         };
         if address.port() == 0 || address.ip().is_unspecified() {
-            let message = format!("nothing can be sent to {address}");
-            let fault =
-                Diagnostic::error("bad-value", setting.span, message).label("of no single place");
-            faults.push(fault.help("state the address and port at which the others reach it"));
+            let message = format!("{address} is not an address that messages can be sent to");
+            let fault = Diagnostic::error("bad-value", setting.span, message)
+                .label("port 0 or unspecified address");
+            faults.push(
+                fault.help("set the address and port on which the other members reach this one"),
+            );
         } else if let Some(other) = addresses.get(&address) {
             faults.push(repeated_address(address, setting, other));
         } else {
@@ -115,16 +124,20 @@
     let length = section.name.len();
     if length > MEMBER_NAME_LIMIT {
         let message =
-            format!("a member's name has {length} bytes; at most {MEMBER_NAME_LIMIT} are allowed");
-        faults.push(Diagnostic::error("section-name", section.span, message).label("too long"));
+            format!("the name of a member has {length} bytes; the maximum is {MEMBER_NAME_LIMIT}");
+        faults
+            .push(Diagnostic::error("section-name", section.span, message).label("name too long"));
     }
 }
 
 fn repeated_address(address: SocketAddr, setting: &Setting, other: &Section) -> Diagnostic {
-    let message = format!("the address {address} is that of the member {}", other.name);
-    let fault = Diagnostic::error("cross-check", setting.span, message).label("a second one there");
+    let message = format!(
+        "the address {address} is already used by the member {}",
+        other.name
+    );
+    let fault = Diagnostic::error("cross-check", setting.span, message).label("duplicate address");
     match other.setting("address") {
-        Some(first) => fault.related(first.span, "first stated here"),
+        Some(first) => fault.related(first.span, "first used here"),
         None => fault,
     }
 }
--- a/crates/configuration/src/model/mod.rs
+++ b/crates/configuration/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The typed, resolved model, with the place of every value, and the checks between values.
+//! Builds the typed model of the sections, with references resolved, and checks values against one another.
 
 mod balancer;
 mod entries;
@@ -38,64 +38,64 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// All sections, checked, with defaults where none is stated.
+/// All sections, checked, with defaults for values that are not set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
     /// Limits of the process and of its clients.
     pub limits: Limits,
-    /// Discovery.
+    /// Discovery of the record servers.
     pub discovery: Discovery,
-    /// Where clients connect.
+    /// Addresses to which clients connect.
     pub listeners: Vec<Listener>,
-    /// Seconds east of UTC.
+    /// Offset of local time from UTC in seconds, positive to the east.
     pub offset: i32,
-    /// Windows of time by their names.
+    /// Windows of time with their names and conditions.
     pub named_windows: Vec<NamedWindow>,
-    /// In the order of `named_windows`.
+    /// The compiled windows, in the order of `named_windows`.
     pub windows: Vec<Window>,
-    /// Bounds on parts of the requests.
+    /// Pools, each of which limits a part of the requests.
     pub pools: Vec<Pool>,
-    /// Bounds on classes.
+    /// Stricter limits for classes.
     pub classes: Vec<Class>,
-    /// Routes, in the order in which they are asked.
+    /// Routes, in the order in which they are checked.
     pub routes: Vec<Route>,
     /// Settings of the decision module.
     pub policy: Policy,
     /// The log.
     pub logging: Logging,
-    /// Where checks are answered.
+    /// Addresses on which balancers' health checks are answered.
     pub health: Vec<Health>,
-    /// Who checks.
+    /// Balancers that check this proxy.
     pub balancers: Vec<Balancer>,
-    /// When the proxy counts as degraded.
+    /// When the proxy reports itself as degraded.
     pub availability: Availability,
-    /// The end of the process is announced to the balancers first.
+    /// On SIGTERM, the drain is announced to the balancers before the listener closes.
     pub announce_end: bool,
-    /// For this long after SIGTERM connections are still accepted.
+    /// How long connections are still accepted after SIGTERM.
     pub accept_after_stop: Option<Duration>,
-    /// The operators' socket.
+    /// Path of the control socket.
     pub control_socket: Option<PathBuf>,
-    /// The other proxies; none: nobody listens for them.
+    /// The fleet's members; `None`: the proxy does not listen for others.
     pub members: Option<Members>,
     /// Staged rollouts of the operators' file.
     pub rollout: Option<Rollout>,
-    /// State that outlives the process.
+    /// State that survives the process.
     pub persistence: Option<Persistence>,
-    /// Who may borrow; none: nothing is lent.
+    /// Quota lending; `None`: nothing is lent.
     pub quota_lending: Option<Lending>,
-    /// When a site counts as lost and as back; none: sites are not watched.
+    /// Detection of lost sites; `None`: sites are not watched.
     pub sites: Option<Sites>,
 }
 
 impl Default for Model {
-    /// What counts where there is no operators' file.
+    /// The model without an operators' file.
     fn default() -> Model {
         build(&[], false, &mut Vec::new())
     }
 }
 
-/// The model of the sections; what contradicts or is missing goes to `faults`. `partial`: some of the files could not be
-/// read, so that a name which is missing may stand there.
+/// Builds the model of the sections. Reports contradictory and missing values to `faults`. `partial`: some of the files
+/// could not be read, so a missing name may be defined there.
 pub fn build(sections: &[Section], partial: bool, faults: &mut Vec<Diagnostic>) -> Model {
     let limits = limits::limits(sections, faults);
     let listeners = listener::listeners(sections, faults);
--- a/crates/configuration/src/model/persistence.rs
+++ b/crates/configuration/src/model/persistence.rs
@@ -1,4 +1,4 @@
-//! The section `memory`: state that outlives the process and a loss of power.
+//! The section `memory`: state that survives the process and a power loss.
 
 use super::required::require_directive;
 use crate::check::Section;
@@ -7,16 +7,16 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The section `memory`: what outlives the process.
+/// The section `memory`: state that survives the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Persistence {
     /// A directory of this proxy alone.
     pub state: PathBuf,
-    /// Lists that change without end are written this often.
+    /// Interval at which an endpoint list that keeps changing is written.
     pub every: Duration,
 }
 
-/// The section's values; none without the section.
+/// The section's values; `None` without the section.
 pub(super) fn persistence(
     sections: &[Section],
     faults: &mut Vec<Diagnostic>,
--- a/crates/configuration/src/model/policy.rs
+++ b/crates/configuration/src/model/policy.rs
@@ -4,7 +4,7 @@
 use crate::values::Values;
 use std::time::Duration;
 
-/// The section `policy`: tighter settings of the decision module.
+/// The section `policy`: stricter settings of the decision module.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Policy {
     /// A lower attempt limit.
@@ -13,16 +13,16 @@
     pub hedging: bool,
     /// Probes are allowed.
     pub probes: bool,
-    /// A shorter longest Retry-After.
+    /// A lower maximum of Retry-After.
     pub max_retry_after: Option<Duration>,
 }
 
 /// The section `logging`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Logging {
-    /// The level.
+    /// Lowest level that is logged.
     pub level: &'static str,
-    /// Lines are JSON.
+    /// Lines are JSON objects, not text.
     pub json: bool,
 }
 
--- a/crates/configuration/src/model/pool.rs
+++ b/crates/configuration/src/model/pool.rs
@@ -8,37 +8,37 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A section `pool`: a bound on part of the requests.
+/// A section `pool`: limits for a part of the requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
     /// Its name.
     pub name: String,
-    /// Open requests at once.
+    /// Maximum number of open requests.
     pub requests: Option<u32>,
-    /// Requests in a span of time.
+    /// Maximum rate of accepted requests.
     pub rate: Option<Rate>,
-    /// Requests that may come at once within the rate.
+    /// Number of requests that may arrive at once within the rate.
     pub burst: u32,
-    /// Share that low priority leaves to normal, and normal to high.
+    /// Share of `requests` and `burst` that low priority leaves to normal, and normal to high.
     pub reserve: Share,
-    /// Retry-After of requests that find it full.
+    /// Retry-After of requests that are rejected because the pool is full.
     pub retry_after: Option<Duration>,
-    /// Groups whose requests it bounds.
+    /// Groups that the pool serves; empty: all.
     pub groups: Vec<RangeInclusive<u32>>,
 }
 
-/// A section `class`: tighter bounds on a class of the platform.
+/// A section `class`: stricter limits for a class of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
     /// The class's name.
     pub name: String,
-    /// Where the section stands.
+    /// Place of the section.
     pub span: Span,
     /// A shorter deadline.
     pub deadline: Option<Duration>,
     /// A lower attempt limit.
     pub attempt_limit: Option<u16>,
-    /// Never sent again once it may have run.
+    /// A request that may have run is never sent again.
     pub runs_once: bool,
 }
 
@@ -68,13 +68,13 @@
 fn check_pool(section: &Section, faults: &mut Vec<Diagnostic>) {
     let rate = section.setting("rate");
     if section.setting("requests").is_none() && rate.is_none() {
-        let fault = Diagnostic::error("missing", section.span, "the pool bounds nothing");
-        faults.push(fault.label("requests or rate is missing here"));
+        let fault = Diagnostic::error("missing", section.span, "the pool has no limit");
+        faults.push(fault.label("set requests, rate or both"));
     }
     if let (Some(burst), None) = (section.setting("burst"), rate) {
-        let message = "a burst is stated without a rate";
-        let fault = Diagnostic::error("cross-check", burst.span, message).label("bounds nothing");
-        faults.push(fault.help("requests bounds those that are open at once"));
+        let message = "burst has no effect without rate";
+        let fault = Diagnostic::error("cross-check", burst.span, message).label("rate is missing");
+        faults.push(fault.help("add rate, or use requests to limit the number of open requests"));
     }
 }
 
--- a/crates/configuration/src/model/required.rs
+++ b/crates/configuration/src/model/required.rs
@@ -1,4 +1,4 @@
-//! Sections and directives that have to be there.
+//! Checks for required sections and directives.
 
 use crate::check::Section;
 use crate::diagnostic::Diagnostic;
@@ -12,25 +12,31 @@
     faults: &mut Vec<Diagnostic>,
 ) {
     if !sections.iter().any(|s| s.spec.keyword == "members") {
-        let message = format!("{what} is stated, but no section members");
+        let message = format!("{what} is configured without a section members");
         let fault = Diagnostic::error("missing", section.span, message).label(label);
-        faults.push(fault.help("write a section members { ... } and the roster"));
+        faults.push(fault.help(
+            "add a section members { ... } and a section member NAME { ... } for each proxy",
+        ));
     }
 }
 
-/// Reports a section without one of its directives; `whose`: the section, as the message names it.
+/// Reports a section without one of its required directives; `whose`: the section's name in the message.
 pub(super) fn require_directive(
     section: &Section,
     keyword: &'static str,
     whose: &str,
     faults: &mut Vec<Diagnostic>,
 ) {
-    // A line of a section that could not be read may have stated it.
+    // An invalid line of the section may have set the directive.
     if section.partial || section.setting(keyword).is_some() {
         return;
     }
     let example = section.spec.directive(keyword).map_or("", |d| d.example);
-    let fault = Diagnostic::error("missing", section.span, format!("{whose} has no {keyword}"));
+    let fault = Diagnostic::error(
+        "missing",
+        section.span,
+        format!("{whose} requires the directive {keyword}"),
+    );
     faults.push(
         fault
             .label(format!("{keyword} is missing here"))
--- a/crates/configuration/src/model/rollout.rs
+++ b/crates/configuration/src/model/rollout.rs
@@ -1,4 +1,4 @@
-//! How a new operators' file reaches the fleet.
+//! The section `rollout`.
 
 use super::required::{require_directive, require_members};
 use crate::check::Section;
@@ -7,34 +7,35 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The section `rollout`: how a new version of the operators' file reaches the fleet.
+/// The section `rollout`: staged rollout of a new version of the operators' file to the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
-    /// Where new files are.
+    /// Directory in which operators place new files.
     pub candidates: PathBuf,
-    /// Regions; empty: by their names.
+    /// Regions in the order in which they receive a new version; empty: sorted by name.
     pub order: Vec<String>,
-    /// Proxies of the first region that run a new version before all others.
+    /// Number of proxies of the first region that run a new version before all others.
     pub canary: u16,
-    /// The least loss that has to be found, as a share of what is asked.
+    /// Smallest loss that must be detected, as a share of the requested work.
     pub least_harm: f64,
-    /// The accepted chance that a harmless version is halted.
+    /// Accepted probability that a harmless version is halted.
     pub error: f64,
-    /// How long a stage lasts, unless harm or its absence is shown before.
+    /// Duration of a stage, unless harm or its absence is shown earlier.
     pub soak: Duration,
-    /// A member that runs the new version and is not heard, or hears too few, for so long halts the rollout.
+    /// The rollout ends when a member with the new version is not heard from, or receives from too few members, for this
+    /// long.
     pub dark: Duration,
-    /// How often the versions are compared.
+    /// Interval at which the versions are compared.
     pub period: Duration,
-    /// Weight asked of both versions that one comparison needs, in requests of the class with the highest weight.
+    /// Work requested of both versions that one comparison needs, in requests of the class with the highest weight.
     pub window_least: u64,
-    /// Weight that the new version has to be asked in a stage, in requests of the class with the highest weight.
+    /// Work that must be requested of the new version in a stage, in requests of the class with the highest weight.
     pub stage_least: u64,
-    /// A directory for the rollout's state.
+    /// Directory for the state of the rollout.
     pub state: Option<PathBuf>,
 }
 
-/// `partial`: some of the files could not be read.
+/// `partial`: some of the files could not be read, so a missing section may be defined there.
 pub(super) fn rollout(
     sections: &[Section],
     partial: bool,
@@ -42,7 +43,13 @@
 ) -> Option<Rollout> {
     let section = sections.iter().find(|s| s.spec.keyword == "rollout")?;
     if !partial {
-        require_members(sections, section, "a rollout", "has nobody to tell", faults);
+        require_members(
+            sections,
+            section,
+            "a rollout",
+            "no members to roll out to",
+            faults,
+        );
     }
     let v = Values::of(section);
     require_directive(section, "candidates", "the section rollout", faults);
--- a/crates/configuration/src/model/route.rs
+++ b/crates/configuration/src/model/route.rs
@@ -12,13 +12,13 @@
 use std::collections::{HashMap, HashSet};
 use std::ops::RangeInclusive;
 
-/// What routes refer to, by name.
+/// The sections to which routes refer, by name.
 struct Names<'a> {
     windows: HashMap<&'a str, usize>,
     pools: HashMap<&'a str, &'a Pool>,
-    /// Classes of which a request is never sent again.
+    /// Names of classes whose requests are never sent again once they may have run.
     classes_run_once: HashSet<&'a str>,
-    /// Some of the files could not be read: a name which is missing may stand there.
+    /// Some of the files could not be read, so a missing name may be defined there.
     partial: bool,
 }
 
@@ -58,7 +58,7 @@
     for section in sections_of(sections, "route") {
         let during = during(section, &names, faults);
         let pool = pool(section, &names, faults);
-        // A route of which a condition can't be read would match requests that it is not meant for.
+        // A route with an invalid condition would match requests for which it is not meant.
         let complete = !section.partial && during.is_some();
         let route = Route {
             name: section.name.clone(),
@@ -76,7 +76,7 @@
     routes
 }
 
-/// Positions of the route's windows; none if one of them is not defined.
+/// Positions of the route's windows; `None` if one of them is not defined.
 fn during(
     section: &Section,
     names: &Names<'_>,
@@ -146,13 +146,13 @@
 fn warn_of_unused_pools(sections: &[Section], faults: &mut Vec<Diagnostic>) {
     let used: HashSet<&str> = referenced_names(sections, "route", "pool").collect();
     for section in sections_of(sections, "pool").filter(|s| !used.contains(s.name.as_str())) {
-        let message = format!("no route leads to the pool {}", section.name);
+        let message = format!("no route uses the pool {}", section.name);
         let fault = Diagnostic::warning("unused-pool", section.span, message);
         faults.push(fault.label("never used"));
     }
 }
 
-/// Values of a route that contradict one another.
+/// Reports values of a route that contradict one another.
 fn check_route(
     section: &Section,
     route: &Route,
@@ -162,9 +162,9 @@
 ) {
     check_rejecting(section, faults);
     if let (Some(priority), None) = (section.setting("priority"), section.setting("pool")) {
-        let message = "a priority is stated without a pool";
+        let message = "priority has no effect without pool";
         let fault = Diagnostic::error("cross-check", priority.span, message);
-        faults.push(fault.label("is the priority within a pool"));
+        faults.push(fault.label("priority applies only within a pool"));
     }
     if let Some(pool) = pool.filter(|p| !p.groups.is_empty()) {
         check_groups(section, route, pool, faults);
@@ -178,13 +178,13 @@
     };
     let others = ["pool", "as-class", "deadline", "priority", "tries"];
     if let Some(other) = others.iter().find_map(|keyword| section.setting(keyword)) {
-        let message = format!("a refused request has no use for {}", other.spec.keyword);
+        let message = format!("{} has no effect on a refused request", other.spec.keyword);
         let fault = Diagnostic::error("cross-check", other.span, message).label("has no effect");
-        faults.push(fault.related(refuse.span, "refused here"));
+        faults.push(fault.related(refuse.span, "requests are refused here"));
     }
 }
 
-/// A pool has to serve all groups of its routes.
+/// Reports a pool that does not serve all groups of the route.
 fn check_groups(section: &Section, route: &Route, pool: &Pool, faults: &mut Vec<Diagnostic>) {
     let all_groups = [0..=u32::MAX];
     let groups = match route.conditions.groups.as_slice() {
@@ -198,8 +198,8 @@
             pool.name
         );
         let fault = Diagnostic::error("cross-check", setting.span, message)
-            .label(format!("not group {group}, for one"));
-        faults.push(fault.help("state the groups of the route"));
+            .label(format!("does not serve group {group}, for example"));
+        faults.push(fault.help("restrict the route with the directive group, or add the group to the directive groups of the pool"));
     }
 }
 
@@ -211,7 +211,7 @@
     )
 }
 
-/// Requests of a class that runs once must not be treated as a class that may run again.
+/// Reports a route that handles requests of a class that runs once as a class that may run again.
 fn check_as_class(
     section: &Section,
     route: &Route,
@@ -229,10 +229,10 @@
         let message =
             format!("requests of class {class} run once and can't be treated as class {target}");
         let fault =
-            Diagnostic::error("loosens", setting.span, message).label("would allow a repeat");
-        faults.push(fault.help(format!("class {target} must say: runs once")));
+            Diagnostic::error("loosens", setting.span, message).label("would allow a second run");
+        faults.push(fault.help(format!("add `runs once` to the section class {target}")));
     } else if classes.as_slice() == std::slice::from_ref(target) {
-        let message = format!("the requests are of class {target} already");
+        let message = format!("all requests of the route are of class {target} already");
         let fault = Diagnostic::warning("no-effect", setting.span, message);
         faults.push(fault.label("changes nothing"));
     }
--- a/crates/configuration/src/model/sites.rs
+++ b/crates/configuration/src/model/sites.rs
@@ -1,21 +1,21 @@
-//! The section `sites`: how long evidence lasts before a site's state changes.
+//! The section `sites`.
 
 use crate::check::Section;
 use crate::values::Values;
 use std::time::Duration;
 
-/// The section `sites`: how long evidence lasts before a site's state changes.
+/// The section `sites`: how long evidence must last before the state of a site changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sites {
-    /// Evidence of a loss.
+    /// Duration of the evidence after which a site is lost.
     pub lost_after: Duration,
-    /// Evidence of a return.
+    /// Minimum time for which a site that answers again is returning.
     pub return_after: Duration,
-    /// How long a state lasts at least.
+    /// Minimum time between two changes of a site to or from lost.
     pub dwell: Duration,
 }
 
-/// None without the section: sites are not watched.
+/// The section's values; `None` without the section: sites are not watched.
 pub(super) fn sites(sections: &[Section]) -> Option<Sites> {
     let v = Values::of(sections.iter().find(|s| s.spec.keyword == "sites")?);
     Some(Sites {
--- a/crates/configuration/src/model/window.rs
+++ b/crates/configuration/src/model/window.rs
@@ -13,11 +13,11 @@
 pub struct NamedWindow {
     /// Its name.
     pub name: String,
-    /// When it holds.
+    /// The conditions under which it holds.
     pub stated: WindowConditions,
 }
 
-/// Seconds east of UTC.
+/// Offset of local time from UTC in seconds, positive to the east.
 pub(super) fn offset(sections: &[Section]) -> i32 {
     match Values::of_single(sections, "calendar").value("offset") {
         Some(Value::Offset(seconds)) => seconds,
@@ -25,7 +25,7 @@
     }
 }
 
-/// The windows by name, and when each holds, in the same order.
+/// The windows with their names, and the compiled windows in the same order.
 pub(super) fn windows(
     sections: &[Section],
     offset: i32,
@@ -35,8 +35,10 @@
         return Default::default();
     }
     if let Some(first) = sections_of(sections, "window").nth(WINDOWS_LIMIT) {
-        let message = format!("there are more than {WINDOWS_LIMIT} windows");
-        faults.push(Diagnostic::error("many-windows", first.span, message).label("one too many"));
+        let message = format!("there are more than {WINDOWS_LIMIT} sections window, the maximum");
+        faults.push(
+            Diagnostic::error("many-windows", first.span, message).label("limit exceeded here"),
+        );
         return Default::default();
     }
     let almanac = Almanac::shared();
@@ -83,15 +85,15 @@
     faults: &mut Vec<Diagnostic>,
 ) {
     if *stated == WindowConditions::default() {
-        let fault = Diagnostic::error("missing", section.span, "the window states nothing");
-        faults.push(fault.label("dates, weekdays or hours are missing here"));
+        let fault = Diagnostic::error("missing", section.span, "the window has no conditions");
+        faults.push(fault.label("set dates, weekdays or hours"));
     } else if window.never_occurs() {
-        let message = "the window never occurs";
+        let message = "the conditions of the window never hold together";
         let fault = Diagnostic::warning("never-occurs", section.span, message)
-            .label("no day fits all that it states");
+            .label("no day matches all conditions");
         let has_year = stated.dates.iter().any(|d| matches!(d, Dates::Once(..)));
         faults.push(match has_year && stated.weekdays != 0 {
-            true => fault.help("its dates do not fall on its weekdays"),
+            true => fault.help("none of the dates falls on one of the weekdays"),
             false => fault,
         });
     }
@@ -102,7 +104,7 @@
         .chain(referenced_names(sections, "credit", "not-during"))
         .collect();
     for section in sections_of(sections, "window").filter(|s| !used.contains(s.name.as_str())) {
-        let message = format!("no route and no credit goes by the window {}", section.name);
+        let message = format!("no route and no credit uses the window {}", section.name);
         let fault = Diagnostic::warning("unused-window", section.span, message);
         faults.push(fault.label("never used"));
     }
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -1,4 +1,4 @@
-//! The model against the platform's settings: names that these must have, and rules that may only be tightened.
+//! Checks the model against the platform's settings: names must be defined there, and limits may only be stricter.
 
 use crate::check::{Section, Setting};
 use crate::diagnostic::{nearest, Diagnostic};
@@ -8,59 +8,59 @@
 use crate::values::{name_of, Values};
 use std::time::Duration;
 
-/// What a class needs of the data that answers it.
+/// Consistency that a class requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write, which only the primary executes.
     Write,
-    /// Everything that was committed before it arrived.
+    /// Reads all data committed before the request arrived.
     Strong,
-    /// Everything that its session has written.
+    /// Reads all data written by the same session.
     ReadYourWrites,
-    /// Data no older than this.
+    /// Reads data that is at most this old.
     BoundedStaleness(Duration),
-    /// Any data.
+    /// Reads data of any age.
     Eventual,
 }
 
-/// What a repeat of a request would do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Idempotent.
+    /// A repeat has no further effect.
     Idempotent,
-    /// Dropped by its key, within limits of its own.
+    /// The server drops repeats by their key, within the deduplication window.
     Keyed,
-    /// Not idempotent.
+    /// A repeat has a further effect.
     NonIdempotent,
 }
 
-/// A class as the platform states it.
+/// A class in the platform's settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// The data that it needs.
+    /// Consistency that the class requires.
     pub consistency: Consistency,
-    /// Whether it may run again.
+    /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
-    /// After this its client gives up.
+    /// Time after which its clients give up.
     pub deadline: Duration,
 }
 
-/// The platform as far as the operators' file has to do with it. What it does not state is none.
+/// The platform's settings that the operators' file is checked against; `None` for those that are not set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Platform {
     /// All classes.
     pub classes: Vec<Class>,
     /// The names of all tenants.
     pub tenants: Vec<String>,
-    /// 0: no limit.
+    /// Maximum number of attempts per request; 0: no limit.
     pub attempt_limit: u16,
-    /// Descriptors that the process may hold.
+    /// Maximum number of open descriptors of the process.
     pub sockets: Option<usize>,
-    /// Bytes of memory that the process may use.
+    /// Maximum memory of the process, in bytes.
     pub memory: Option<u64>,
-    /// The longest Retry-After; none: the platform allows none.
+    /// Maximum Retry-After; `None`: the platform allows none.
     pub max_retry_after: Option<Duration>,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Whether data that is fresh enough for `own` is for `need` too.
+/// Whether data that satisfies the consistency `own` also satisfies `need`.
 fn satisfies(own: Consistency, need: Consistency) -> bool {
     match (own, need) {
         (Consistency::Write, other) | (other, Consistency::Write) => {
@@ -83,12 +83,12 @@
     }
 }
 
-/// Whether a request that is `own` is sent again in no case in which one that is `other` is not.
+/// Whether a request with idempotency `own` is never sent again where one with `other` would not be.
 fn is_no_looser(own: Idempotency, other: Idempotency) -> bool {
     own == other || other == Idempotency::Idempotent || own == Idempotency::NonIdempotent
 }
 
-/// Reports what is looser than the platform allows, and names that it does not have.
+/// Reports values that are looser than the platform allows, and names that it does not define.
 pub fn check(sections: &[Section], model: &Model, platform: &Platform) -> Vec<Diagnostic> {
     let mut faults = Vec::new();
     for section in sections {
@@ -113,7 +113,7 @@
                         section,
                         "come-back-most",
                         most,
-                        "the platform's clients heed",
+                        "the platform's clients wait",
                         &mut faults,
                     );
                 }
@@ -140,7 +140,7 @@
             };
             faults.push(loosens(
                 setting,
-                format!("{keyword} is {value}, but the platform states {limit}"),
+                format!("{keyword} is {value}, but the platform allows at most {limit}"),
             ));
         }
     }
@@ -161,7 +161,7 @@
             let (span, most) = (value::format_time(*span), value::format_time(most));
             faults.push(loosens(
                 setting,
-                format!("{keyword} is {span}, but {whose} {most} at most"),
+                format!("{keyword} is {span}, but {whose} at most {most}"),
             ));
         }
     }
@@ -176,7 +176,10 @@
     .label("not known to the platform");
     match nearest(name, known.iter().copied()) {
         Some(near) => fault.help(format!("did you mean {near}?")),
-        None => fault.help(format!("known are {}", known.join(", "))),
+        None => fault.help(format!(
+            "the names known to the platform are {}",
+            known.join(", ")
+        )),
     }
 }
 
@@ -249,7 +252,7 @@
     check_as_class(section, model, platform, faults);
 }
 
-/// A class that requests are treated as must be as strict as their own.
+/// Reports a route that handles requests as a class that is less strict than their own.
 fn check_as_class(
     section: &Section,
     model: &Model,
@@ -269,7 +272,7 @@
         let mut classes = model.classes.iter();
         classes.any(|c| c.name == class.name && c.runs_once)
     };
-    // What the operators' file states of a class counts as the platform's settings do.
+    // The operators' settings of a class apply in addition to the platform's.
     let idempotency = |class: &Class| match runs_once(class) {
         true => Idempotency::NonIdempotent,
         false => class.idempotency,
@@ -279,14 +282,14 @@
         .iter()
         .filter(|c| stated.is_empty() || stated.contains(&c.name));
     for class in concerned {
-        // The model reports this one, without the platform.
+        // This case is reported by the model, which needs no platform settings for it.
         if runs_once(class) && !runs_once(target) && !stated.is_empty() {
             continue;
         }
         let reason = if !is_no_looser(idempotency(target), idempotency(class)) {
-            "allows repeats that must not be"
+            "allows repeats that the class of the requests forbids"
         } else if !satisfies(target.consistency, class.consistency) {
-            "does not need the same of the data"
+            "has a weaker consistency than the class of the requests"
         } else {
             continue;
         };
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -1,9 +1,9 @@
-//! Sets of numbers as ranges, and boxes of them: what a route's conditions leave of all requests.
+//! Sets of numbers as ranges, and regions, which are products of such sets: the requests that a route's conditions match.
 
 #[cfg(test)]
 mod tests;
 
-/// A set of numbers: ranges with both ends included, in order, apart from each other.
+/// A set of numbers: ranges with both ends included, in order, neither overlapping nor adjacent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ranges(Vec<(u128, u128)>);
 
@@ -13,19 +13,19 @@
         Ranges(Vec::new())
     }
 
-    /// The numbers from one to another, both included.
+    /// The numbers in one range, both ends included.
     pub fn one(from: u128, to: u128) -> Ranges {
         Ranges(vec![(from, to)])
     }
 
-    /// From ranges in any order, which may overlap.
+    /// Builds a set of ranges in any order, which may overlap.
     pub fn from_list(list: impl IntoIterator<Item = (u128, u128)>) -> Ranges {
         let mut list: Vec<_> = list.into_iter().filter(|(from, to)| from <= to).collect();
         list.sort_unstable();
         let mut out: Vec<(u128, u128)> = Vec::with_capacity(list.len());
         for (from, to) in list {
             match out.last_mut() {
-                // Ranges that touch are one.
+                // Adjacent ranges are joined.
                 Some((_, end)) if *end == u128::MAX || from <= *end + 1 => *end = to.max(*end),
                 _ => out.push((from, to)),
             }
@@ -43,12 +43,12 @@
         self.0.is_empty()
     }
 
-    /// The least number.
+    /// The smallest number.
     pub fn first(&self) -> Option<u128> {
         self.0.first().map(|(from, _)| *from)
     }
 
-    /// The least and the largest of its numbers.
+    /// The smallest and the largest number.
     pub fn hull(&self) -> Option<(u128, u128)> {
         Some((self.0.first()?.0, self.0.last()?.1))
     }
@@ -116,7 +116,7 @@
                     out.push((from, cut_from - 1));
                 }
                 if cut_to >= to {
-                    // The cut may reach into the next range, so it stays.
+                    // The cut may extend into the next range, so it is not consumed.
                     whole = false;
                     break;
                 }
@@ -131,7 +131,7 @@
     }
 }
 
-/// The dimensions in which requests differ.
+/// Number of dimensions in which requests differ.
 pub const DIMENSIONS: usize = 6;
 
 /// A dimension in which requests differ.
@@ -151,11 +151,11 @@
     Time,
 }
 
-/// The requests whose every part lies in one set: a product of sets.
+/// A set of requests: the product of one set per dimension.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Region(pub [Ranges; DIMENSIONS]);
 
-/// A request as a point.
+/// A request as a point: its number in each dimension.
 pub type Point = [u128; DIMENSIONS];
 
 impl Region {
@@ -184,7 +184,7 @@
         Region(std::array::from_fn(|d| self.0[d].and(&other.0[d])))
     }
 
-    /// What is left of it, in disjoint parts: dimension by dimension, what sticks out is cut off.
+    /// Adds the difference to `out`, in disjoint parts: for each dimension, the part that lies outside of `other`.
     pub fn minus(&self, other: &Region, out: &mut Vec<Region>) {
         if !self.meets(other) {
             out.push(self.clone());
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Some request in it.
+    /// A request in the region; `None` if it is empty.
     pub fn example(&self) -> Option<Point> {
         let mut point = [0; DIMENSIONS];
         for (at, set) in point.iter_mut().zip(&self.0) {
@@ -212,7 +212,7 @@
     }
 }
 
-/// What is left of all of them.
+/// The difference of all parts and `cut`, in disjoint parts if the parts are disjoint.
 pub fn minus_all(parts: Vec<Region>, cut: &Region) -> Vec<Region> {
     let mut left = Vec::with_capacity(parts.len());
     for part in parts {
@@ -221,7 +221,7 @@
     left
 }
 
-/// Fewer regions that hold the same: two that differ in one dimension only become one.
+/// Merges regions that differ in only one dimension, which gives fewer regions with the same requests.
 pub fn merge(mut parts: Vec<Region>) -> Vec<Region> {
     parts.sort();
     parts.dedup();
@@ -243,5 +243,5 @@
     parts
 }
 
-/// More regions than this are not worth the time that merging takes.
+/// Maximum number of regions that are merged; merging more takes too long.
 const MERGED: usize = 512;
--- a/crates/configuration/src/reading.rs
+++ b/crates/configuration/src/reading.rs
@@ -1,4 +1,4 @@
-//! Reads a file, with all that it includes, and checks it.
+//! Reads a file and all files that it includes, and checks them.
 
 use crate::check::{self, Section};
 use crate::diagnostic::{self, Diagnostic};
@@ -8,52 +8,52 @@
 use crate::source::Sources;
 use std::path::Path;
 
-/// A configuration that was read: the model as far as it goes, and all that is wrong with it.
+/// The result of reading a configuration: the model of its valid parts, and all errors and warnings.
 #[derive(Debug, Default)]
 pub struct Reading {
-    /// The texts that were read.
+    /// The files that were read.
     pub sources: Sources,
     /// The model.
     pub model: Model,
-    /// What the model was made of, with the place of every word.
+    /// The sections from which the model was built, with the place of every value.
     pub sections: Vec<Section>,
-    /// In the order of their places.
+    /// Errors and warnings, in the order of their places.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl Reading {
-    /// Whether a proxy may serve by it.
+    /// Whether a proxy may use the configuration: there are no errors.
     pub fn is_valid(&self) -> bool {
         !self.diagnostics.iter().any(Diagnostic::is_error)
     }
 
-    /// Adds what a further check has found.
+    /// Adds the diagnostics of a further check.
     pub fn add(&mut self, diagnostics: Vec<Diagnostic>) {
         self.diagnostics.extend(diagnostics);
         diagnostic::sort(&mut self.diagnostics);
     }
 }
 
-/// A file of another table than the operators', checked against that table and for names that no section has. How its
-/// values fit together is for the caller to check.
+/// The result of reading a file of another table than the operators', checked against that table and for references to
+/// undefined sections. The caller checks its values against one another.
 #[derive(Debug, Default)]
 pub struct TableReading {
-    /// The texts that were read.
+    /// The files that were read.
     pub sources: Sources,
     /// The sections.
     pub sections: Vec<Section>,
-    /// What was found, in the order of places.
+    /// Errors and warnings, in the order of their places.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl TableReading {
-    /// Whether nothing found is an error.
+    /// Whether there are no errors.
     pub fn is_valid(&self) -> bool {
         !self.diagnostics.iter().any(Diagnostic::is_error)
     }
 }
 
-/// Reads a file of that table, and all that it includes.
+/// Reads a file of another table and all files that it includes.
 pub fn read_table(path: &Path, loader: &dyn Loader, table: Table) -> TableReading {
     let (mut sources, mut diagnostics) = (Sources::default(), Vec::new());
     let document = load(path, loader, table, &mut sources, &mut diagnostics);
@@ -69,14 +69,14 @@
     }
 }
 
-/// Whether a section was not understood, so that references to it must not be reported as well.
+/// Whether a section was invalid, so that references to it must not be reported as well.
 fn names_missing(diagnostics: &[Diagnostic]) -> bool {
     diagnostics
         .iter()
         .any(|d| matches!(d.code, "unknown-section" | "section-name"))
 }
 
-/// Reads a configuration and all that it includes.
+/// Reads a configuration and all files that it includes.
 pub fn read(path: &Path, loader: &dyn Loader) -> Reading {
     let mut sources = Sources::default();
     let mut diagnostics = Vec::new();
@@ -85,7 +85,7 @@
     let sections = check::check(document, SECTIONS, &mut diagnostics);
     let partial = partial || names_missing(&diagnostics);
     let model = model::build(&sections, partial, &mut diagnostics);
-    // What a faulty line would have used seems unused: that is no second fault.
+    // A definition that only an invalid line uses is not reported as unused: one mistake gives one fault.
     if diagnostics.iter().any(Diagnostic::is_error) {
         diagnostics.retain(|d| !d.code.starts_with("unused-"));
     }
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: their conditions, their outcome, and the plain scan for the first route whose conditions hold.
+//! Routes: their conditions, their outcome, and the linear search for the first route whose conditions hold.
 
 use crate::calendar::{Moment, Window};
 use crate::source::Span;
@@ -11,12 +11,12 @@
 /// The priority of a request in its pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// After all others.
+    /// Low priority.
     Low,
-    /// As usual.
+    /// Normal priority.
     #[default]
     Normal,
-    /// Before all others, with the pool's reserve.
+    /// High priority, which may use the whole reserve of the pool.
     High,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// What has to hold of a request. An empty list always does; of a list one has to.
+/// Conditions for a request, all of which must hold. A list holds if one of its values matches, an empty list always.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Conditions {
     /// Names of classes.
@@ -39,28 +39,28 @@
     pub tenants: Vec<String>,
     /// Ranges of groups.
     pub groups: Vec<RangeInclusive<u32>>,
-    /// Folded by [`fold_case`].
+    /// Prefixes of statements, normalized by [`fold_case`].
     pub statements: Vec<String>,
     /// Networks of clients.
     pub networks: Vec<IpNet>,
-    /// Positions in the list of windows.
+    /// Positions of windows in the model.
     pub during: Vec<usize>,
 }
 
-/// What becomes of a request; the default changes nothing.
+/// How a request is handled; the default is the handling without routes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Outcome {
-    /// The pool that it counts against.
+    /// Name of the pool that the request counts against.
     pub pool: Option<String>,
-    /// The class that it is handled as.
+    /// Name of the class as which the request is handled.
     pub as_class: Option<String>,
     /// A shorter deadline.
     pub deadline: Option<Duration>,
-    /// Its priority.
+    /// Priority in the pool.
     pub priority: Priority,
     /// A lower attempt limit.
     pub attempt_limit: Option<u16>,
-    /// The request is rejected; with a time, the client gets it as Retry-After.
+    /// The request is rejected; with a time, the client receives it as Retry-After.
     pub reject: Option<Option<Duration>>,
 }
 
@@ -71,7 +71,7 @@
             words.push(match after {
                 Some(after) => {
                     format!(
-                        "refused, to come back after {}",
+                        "refused, with a Retry-After of {}",
                         crate::value::format_time(*after)
                     )
                 }
@@ -93,7 +93,7 @@
         }
         words.extend(self.attempt_limit.map(|tries| format!("tries {tries}")));
         if words.is_empty() {
-            words.push("as without routes".to_owned());
+            words.push("default handling".to_owned());
         }
         f.write_str(&words.join(", "))
     }
@@ -104,38 +104,38 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Where it stands.
+    /// Place of the section.
     pub span: Span,
-    /// What has to hold.
+    /// Conditions of the route.
     pub conditions: Conditions,
-    /// What becomes of the request then.
+    /// How requests are handled for which the conditions hold.
     pub outcome: Outcome,
 }
 
-/// What routes see of a request.
+/// The properties of a request that routes check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request<'a> {
-    /// The class's name.
+    /// Name of the class.
     pub class: &'a str,
-    /// Empty: it names none.
+    /// Name of the tenant; empty if the request has none.
     pub tenant: &'a str,
-    /// The group.
+    /// The group of record servers.
     pub group: u32,
     /// The statement as it was sent.
     pub statement: &'a [u8],
     /// The client's address.
     pub client: IpAddr,
-    /// When the request came.
+    /// Time of arrival.
     pub at: Moment,
 }
 
-/// A statement's begin as prefixes are compared: without blanks before it, in small letters.
+/// Normalizes a prefix of statements for comparison: without leading blanks, in lower case.
 pub fn fold_case(text: &str) -> String {
     text.trim_start_matches(|c: char| c.is_ascii_whitespace())
         .to_ascii_lowercase()
 }
 
-/// Whether a statement begins with a folded prefix, blanks and case aside.
+/// Whether a statement begins with a prefix normalized by [`fold_case`], ignoring leading blanks and letter case.
 pub fn starts_with_folded(statement: &[u8], prefix: &str) -> bool {
     let text = statement.trim_ascii_start();
     let prefix = prefix.as_bytes();
@@ -146,7 +146,7 @@
             .all(|(a, b)| a.to_ascii_lowercase() == *b)
 }
 
-/// An address as a number: IPv4 ones where IPv6 maps them.
+/// An address as a number; IPv4 addresses are mapped into IPv6.
 pub fn address_number(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(v4) => u128::from(v4.to_ipv6_mapped()),
@@ -154,7 +154,7 @@
     }
 }
 
-/// A network as the first of its numbers and the bits that they share.
+/// A network as the number of its first address and the length of its prefix in bits.
 pub fn network_prefix(network: &IpNet) -> (u128, u8) {
     match network {
         IpNet::V4(net) => (address_number(net.network().into()), net.prefix_len() + 96),
@@ -162,12 +162,12 @@
     }
 }
 
-/// All the bits that a prefix of this length fixes.
+/// The bit mask of a prefix of this length.
 pub fn prefix_mask(length: u8) -> u128 {
     u128::MAX.checked_shl(128 - u32::from(length)).unwrap_or(0)
 }
 
-/// The condition that fails, by its directive; none if all hold.
+/// The directive of the first condition that does not hold; `None` if all hold.
 pub fn first_unmet_condition(
     conditions: &Conditions,
     windows: &[Window],
@@ -209,7 +209,7 @@
     }
 }
 
-/// The first route whose conditions hold, found by asking one after the other.
+/// The position of the first route whose conditions hold, by linear search.
 pub fn find_first(routes: &[Route], windows: &[Window], request: &Request<'_>) -> Option<usize> {
     routes
         .iter()
--- a/crates/configuration/src/schema/builders.rs
+++ b/crates/configuration/src/schema/builders.rs
@@ -1,15 +1,15 @@
-//! Short forms in which tables are written.
+//! Functions and constants for writing tables.
 
 use super::types::{Args, Directive, TakesEffect};
 use crate::value::{Share, Type};
 use std::time::Duration;
 
-/// Milliseconds.
+/// A duration in milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// A span of time within these bounds, in milliseconds.
+/// A duration within these bounds, in milliseconds.
 pub const fn time(least: u64, most: u64) -> Type {
     Type::Time {
         least: ms(least),
@@ -35,7 +35,7 @@
     Type::Size { least, most }
 }
 
-/// A directive whose changes count with a reload.
+/// A directive whose changes take effect on a reload.
 pub const fn directive(
     keyword: &'static str,
     args: Args,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The same directive, of which a change counts with the next start only.
+/// The same directive, with changes that take effect only on the next start.
 pub(super) const fn at_start(d: Directive) -> Directive {
     Directive {
         takes_effect: TakesEffect::OnStart,
@@ -64,11 +64,11 @@
 /// A choice of yes or no.
 pub(super) const YES: Type = Type::Choice(&["yes", "no"]);
 
-/// Milliseconds of a minute.
+/// Milliseconds per minute.
 pub(super) const MINUTE: u64 = 60_000;
-/// Milliseconds of an hour.
+/// Milliseconds per hour.
 pub(super) const HOUR: u64 = 3_600_000;
-/// Bytes of a KiB.
+/// Bytes per KiB.
 pub(super) const KIB: u64 = 1 << 10;
-/// Bytes of a MiB.
+/// Bytes per MiB.
 pub(super) const MIB: u64 = 1 << 20;
--- a/crates/configuration/src/schema/clients.rs
+++ b/crates/configuration/src/schema/clients.rs
@@ -1,4 +1,4 @@
-//! Sections of what clients may take, and where they connect.
+//! Sections for limits on clients and the listener for clients.
 
 use super::builders::{at_start, count, directive, share, size, time, HOUR, KIB, MIB, MINUTE};
 use super::types::Args::{Many, One};
@@ -9,21 +9,21 @@
 pub(super) const LIMITS: Section = Section {
     keyword: "limits",
     naming: Naming::Unnamed,
-    help: "What clients may take of the proxy, and for how long. `sockets` and `memory` may only be under what the platform states.",
+    help: "Limits on the resources and the time that clients may use. `sockets` and `memory` must not exceed the platform's settings.",
     directives: &[
-        directive("client-patience", One(time(200, 30_000)), "2500ms", "client-patience 500ms", "a client that comes to no sound request within this, or does not end a command that it began, is told so and put out"),
-        directive("client-idle", One(time(100, HOUR)), "2s", "client-idle 30s", "among many clients, a connection is kept between requests for this long"),
-        directive("answer-unread", One(time(1_000, 10 * MINUTE)), "10s", "answer-unread 5s", "a client that takes nothing of its answers for this long is given up"),
-        directive("goodbye", One(time(100, 10_000)), "1s", "goodbye 2s", "a client that was told why its connection ends has this long to read it"),
-        directive("answer-margin", One(time(1, 200)), "10ms", "answer-margin 20ms", "kept back from each client's time for the way of the answer"),
-        directive("pipeline", One(count(1, 1_024)), "32", "pipeline 8", "commands of one connection that may wait for their answers; more stay in its socket"),
+        directive("client-patience", One(time(200, 30_000)), "2500ms", "client-patience 500ms", "timeout for a client's first valid request, and for completing each command that it has begun; a client that exceeds it receives an error and is disconnected"),
+        directive("client-idle", One(time(100, HOUR)), "2s", "client-idle 30s", "idle time after which a connection is closed while the descriptors in use exceed `crowded`"),
+        directive("answer-unread", One(time(1_000, 10 * MINUTE)), "10s", "answer-unread 5s", "a client that reads nothing of its answers for this long is disconnected"),
+        directive("goodbye", One(time(100, 10_000)), "1s", "goodbye 2s", "time that a client has to read the reason before its connection is closed"),
+        directive("answer-margin", One(time(1, 200)), "10ms", "answer-margin 20ms", "time subtracted from each client's deadline for sending the answer"),
+        directive("pipeline", One(count(1, 1_024)), "32", "pipeline 8", "maximum number of unanswered commands of one connection; further commands stay in its socket"),
         directive("unsent", One(size(4 * KIB, 16 * MIB)), "64KiB", "unsent 256KiB", "bytes of unsent answers beyond which nothing more is read from a client"),
-        directive("clients", One(share((1, 10), (9, 10))), "60%", "clients 50%", "of the descriptors, less a margin, those that are for clients; the rest is for record servers"),
-        directive("crowded", One(share((1, 100), (9, 10))), "1/6", "crowded 15%", "from this part of all descriptors on, clients that are idle for `client-idle` are closed"),
-        directive("packed", One(share((1, 100), (9, 10))), "25%", "packed 30%", "from this part of all descriptors on, idle clients are closed at once"),
-        directive("unfinished", One(share((1, 100), (1, 2))), "12.5%", "unfinished 10%", "of the memory, what commands that have not come whole may take together"),
-        directive("sockets", One(count(64, 1 << 20)), "", "sockets 512", "descriptors that the proxy may hold"),
-        directive("memory", One(size(16 * MIB, 1 << 40)), "", "memory 64MiB", "memory that the proxy may hold"),
+        directive("clients", One(share((1, 10), (9, 10))), "60%", "clients 50%", "share of the descriptors, less a margin, for clients; the rest is for record servers"),
+        directive("crowded", One(share((1, 100), (9, 10))), "1/6", "crowded 15%", "share of all descriptors in use from which clients that are idle for `client-idle` are disconnected"),
+        directive("packed", One(share((1, 100), (9, 10))), "25%", "packed 30%", "share of all descriptors in use from which idle clients are disconnected at once"),
+        directive("unfinished", One(share((1, 100), (1, 2))), "12.5%", "unfinished 10%", "share of the memory that the incomplete commands of all clients may use together"),
+        directive("sockets", One(count(64, 1 << 20)), "", "sockets 512", "maximum number of open descriptors of the proxy"),
+        directive("memory", One(size(16 * MIB, 1 << 40)), "", "memory 64MiB", "maximum memory of the proxy"),
     ],
 };
 
@@ -31,10 +31,10 @@
 pub(super) const LISTENER: Section = Section {
     keyword: "listener",
     naming: Naming::Named,
-    help: "Where clients connect, if the platform does not say. One listener is served so far.",
+    help: "Where clients connect, if the platform's settings do not state it. Only one listener is supported.",
     directives: &[
-        at_start(directive("protocol", One(Type::Choice(&["postgres"])), "postgres", "protocol postgres", "what is spoken there")),
+        at_start(directive("protocol", One(Type::Choice(&["postgres"])), "postgres", "protocol postgres", "protocol of the clients")),
         at_start(directive("address", One(Type::Address), "", "address 127.0.0.1:5433", "the address to listen on")),
-        directive("proxy-from", Many(Type::Network), "", "proxy-from 10.9.0.0/24", "balancers that send a PROXY header (version 1 or 2) before each connection's first byte; from these networks it has to be there, from others it is a fault"),
+        directive("proxy-from", Many(Type::Network), "", "proxy-from 10.9.0.0/24", "networks of balancers that send a PROXY header (version 1 or 2) before the first byte of each connection; the header is required from these networks and an error from all others"),
     ],
 };
--- a/crates/configuration/src/schema/mod.rs
+++ b/crates/configuration/src/schema/mod.rs
@@ -1,5 +1,5 @@
-//! Every section and directive of the language, in one table: the checker goes by it, and the operators' page
-//! is made from it.
+//! The table of all sections and directives of the language. The checker uses it, and the table of the operators' page is
+//! generated from it.
 
 mod balancers;
 mod builders;
@@ -18,15 +18,15 @@
 pub use types::{Args, Directive, Naming, Section, Table, TakesEffect};
 pub use validation::table_errors;
 
-/// Values of a directive.
+/// Maximum number of values of a directive.
 pub const VALUES_LIMIT: usize = 10_000;
-/// Sections `window`.
+/// Maximum number of sections `window`.
 pub const WINDOWS_LIMIT: usize = 1_000;
-/// Sections `member`.
+/// Maximum number of sections `member`.
 pub const MEMBERS_LIMIT: usize = 1_000;
-/// Sections `credit`: the lending state machine keeps balances of no more tenants.
+/// Maximum number of sections `credit`: the lending state machine keeps balances of at most that many tenants.
 pub const CREDITS_LIMIT: usize = 20;
-/// Bytes of a member's name.
+/// Maximum length of a member's name, in bytes.
 pub const MEMBER_NAME_LIMIT: usize = 64;
 
 /// The table of the operators' file, in the order of the operators' page.
@@ -55,7 +55,7 @@
     process::LOGGING,
 ];
 
-/// A section of the operators' table.
+/// The section of the operators' table with this keyword.
 pub fn section(keyword: &str) -> Option<&'static Section> {
     SECTIONS.iter().find(|s| s.keyword == keyword)
 }
--- a/crates/configuration/src/schema/page.rs
+++ b/crates/configuration/src/schema/page.rs
@@ -1,8 +1,8 @@
-//! A table in Markdown, as the operators' page has it.
+//! Formats a table in Markdown, for the operators' page.
 
 use super::types::{Args, Directive, Naming, Section, Table, TakesEffect};
 
-/// Any table in Markdown; `takes_effect`: with a column that says when a changed value counts.
+/// A table in Markdown; `takes_effect`: whether to include a column with the time at which a change takes effect.
 pub fn markdown_of(table: Table, takes_effect: bool) -> String {
     let mut page = String::new();
     for section in table {
@@ -22,7 +22,7 @@
         false => ("", ""),
     };
     page.push_str(&format!(
-        "| directive | value | range | default |{title} says |\n"
+        "| directive | value | range | default |{title} description |\n"
     ));
     page.push_str(&format!("| --- | --- | --- | --- |{rule} --- |\n"));
     for directive in section.directives {
--- a/crates/configuration/src/schema/types.rs
+++ b/crates/configuration/src/schema/types.rs
@@ -1,24 +1,24 @@
-//! What a table of the language is made of: sections, their directives and the values that these take.
+//! Types of a table of the language: sections, their directives and the values of directives.
 
 use crate::value::Type;
 
-/// How many values a directive takes.
+/// Number and type of the values of a directive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Args {
-    /// Exactly one.
+    /// Exactly one value.
     One(Type),
-    /// One or none.
+    /// At most one value.
     Optional(Type),
-    /// One or more.
+    /// One or more values.
     Many(Type),
 }
 
-/// When a changed value begins to count in a proxy that serves.
+/// When a changed value takes effect in a running proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
-    /// With a reload (SIGHUP).
+    /// On a reload (SIGHUP).
     OnReload,
-    /// With the next start.
+    /// On the next start.
     OnStart,
 }
 
@@ -27,26 +27,26 @@
 pub struct Directive {
     /// Its keyword.
     pub keyword: &'static str,
-    /// Its values.
+    /// Number and type of its values.
     pub args: Args,
-    /// Empty: none.
+    /// Default as it would be written; empty if there is none.
     pub default: &'static str,
-    /// When a change counts.
+    /// When a change takes effect.
     pub takes_effect: TakesEffect,
-    /// What it does, for the operators' page.
+    /// Description for the operators' page.
     pub help: &'static str,
     /// An example, for the operators' page.
     pub example: &'static str,
 }
 
-/// How sections of a keyword are named.
+/// How sections with the same keyword are named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Naming {
-    /// Stands once and bears no name.
+    /// At most one section, without a name.
     Unnamed,
-    /// By a name of their own, which references use.
+    /// Each section has a name, by which other sections refer to it.
     Named,
-    /// By a name that others have given: any text.
+    /// Each section has a name that is defined outside of the file; any text.
     ExternalName,
 }
 
@@ -55,20 +55,20 @@
 pub struct Section {
     /// Its keyword.
     pub keyword: &'static str,
-    /// How it is named.
+    /// How sections of this kind are named.
     pub naming: Naming,
-    /// What it is for, for the operators' page.
+    /// Description for the operators' page.
     pub help: &'static str,
     /// The directives that it may have.
     pub directives: &'static [Directive],
 }
 
 impl Section {
-    /// The directive of that keyword.
+    /// The directive with this keyword.
     pub fn directive(&self, keyword: &str) -> Option<&'static Directive> {
         self.directives.iter().find(|d| d.keyword == keyword)
     }
 }
 
-/// The sections that a kind of file may have.
+/// The kinds of sections that a kind of file may have.
 pub type Table = &'static [Section];
--- a/crates/configuration/src/schema/validation.rs
+++ b/crates/configuration/src/schema/validation.rs
@@ -1,11 +1,11 @@
-//! Rules that a table itself has to keep.
+//! Checks of a table itself.
 
 use super::types::{Args, Directive, Table};
 use crate::source::FileId;
 use crate::syntax::{self, Entry};
 
-/// Errors of a table: a default or an example that the directive itself would not take, a keyword twice. For the tests of
-/// those who bring a table.
+/// Errors of a table: an invalid default or example of a directive, or a directive defined twice. For tests of the packages
+/// that define tables.
 pub fn table_errors(table: Table) -> Vec<String> {
     let mut errors = Vec::new();
     for section in table {
@@ -15,13 +15,13 @@
             };
             let before = &section.directives[..at];
             if before.iter().any(|d| d.keyword == directive.keyword) {
-                report("stands twice");
+                report("is defined twice");
             }
             if !directive.default.is_empty() && kind(directive).parse(directive.default).is_err() {
-                report("its default is no value of it");
+                report("its default is not a valid value");
             }
             if !example_is_valid(directive) {
-                report("its example is none");
+                report("its example is not valid");
             }
         }
     }
@@ -33,7 +33,7 @@
     kind
 }
 
-/// Whether the example is this directive with values that it takes.
+/// Whether the example consists of the directive's keyword and valid values.
 fn example_is_valid(directive: &Directive) -> bool {
     let parsed = syntax::parse(FileId(0), directive.example);
     let words = match parsed.lines.first().map(|line| &line.entry) {
--- a/crates/configuration/src/shadow.rs
+++ b/crates/configuration/src/shadow.rs
@@ -1,38 +1,40 @@
-//! Routes that no request reaches: exact, by what earlier routes leave of each.
+//! Finds routes that no request reaches because earlier routes match all of their requests. The result is exact: the
+//! regions of earlier routes are subtracted from the region of each route.
 
 use crate::diagnostic::Diagnostic;
 use crate::model::Model;
 use crate::ranges::{minus_all, Region, DIMENSIONS};
 use crate::space::{Side, Space};
 
-/// Pairs of routes looked at; beyond it routes stay unexamined, and that is said.
+/// Maximum number of pairs of routes that are compared; further routes are reported as not examined.
 const PAIRS_LIMIT: usize = 30_000_000;
-/// Parts that a route may fall into while earlier ones are cut from it.
+/// Maximum number of parts of a route's region while earlier ones are subtracted from it.
 const PARTS_LIMIT: usize = 4_096;
-/// Of several routes that cover another together, so many are named.
+/// Maximum number of covering routes that a warning names.
 const NAMED: usize = 3;
 
-/// What is never reached, and by which earlier routes it is covered.
+/// Result of the search.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Unreached {
-    /// A route that no request reaches, and the earlier routes that cover it.
+    /// Positions of the routes that no request reaches, each with those of the earlier routes that cover it.
     pub routes: Vec<(usize, Vec<usize>)>,
-    /// Routes for which the search would take too long.
+    /// Number of routes for which the search would take too long.
     pub unexamined: usize,
 }
 
-/// Routes by their hulls in one dimension: those that may meet a given one are found without asking all.
+/// Interval tree of the routes' hulls in one dimension: finds the routes that may intersect a given one without checking
+/// all of them.
 struct Overlaps {
     dimension: usize,
-    /// Start, end and number, by start.
+    /// Start and end of each hull and the position of its route, sorted by start.
     hulls: Vec<(u128, u128, usize)>,
-    /// Largest end of each subtree of the implicit balanced tree over `hulls`.
+    /// Largest end in each subtree of the implicit balanced tree over `hulls`.
     largest: Vec<u128>,
 }
 
 impl Overlaps {
     fn new(regions: &[Region]) -> Overlaps {
-        // The dimension in which routes differ most separates most of them.
+        // The dimension with the most distinct hulls separates most routes.
         let distinct = |d: usize| {
             let mut hulls: Vec<_> = regions.iter().filter_map(|r| r.0[d].hull()).collect();
             hulls.sort_unstable();
@@ -54,7 +56,7 @@
         }
     }
 
-    /// All whose hulls meet this one's, in any order.
+    /// Replaces `out` by the positions of the routes whose hulls intersect that of `region`, in any order.
     fn meeting(&self, region: &Region, out: &mut Vec<usize>) {
         out.clear();
         if let Some((from, to)) = region.0[self.dimension].hull() {
@@ -91,7 +93,7 @@
     largest[middle]
 }
 
-/// Whether all of one lies in another.
+/// Whether one region is a subset of another.
 fn inside(inner: &Region, outer: &Region) -> bool {
     inner
         .0
@@ -100,7 +102,7 @@
         .all(|(a, b)| a == b || a.minus(b).is_empty())
 }
 
-/// Which regions lie wholly in earlier ones.
+/// Finds the regions that are covered by earlier ones.
 pub fn unreached(regions: &[Region]) -> Unreached {
     let overlaps = Overlaps::new(regions);
     let mut found = Unreached::default();
@@ -108,7 +110,7 @@
     let mut near = Vec::new();
     let mut pairs = 0;
     for (at, region) in regions.iter().enumerate() {
-        // One that holds nothing has a fault of its own.
+        // A region without requests has a diagnostic of its own.
         if region.is_empty() {
             continue;
         }
@@ -118,7 +120,7 @@
         }
         overlaps.meeting(region, &mut near);
         pairs += near.len();
-        // Whatever a hidden route holds, those before it hold too.
+        // Earlier routes that are covered can be left out: the routes that cover them match the same requests.
         near.retain(|&other| other < at && !hidden[other] && regions[other].meets(region));
         near.sort_unstable();
         if let Some(&cover) = near.iter().find(|&&other| inside(region, &regions[other])) {
@@ -150,7 +152,7 @@
     found
 }
 
-/// Warnings on a model's routes. `classes`: all that the platform has, if it is known.
+/// Warnings about routes that no request reaches. `classes`: all classes of the platform, if they are known.
 pub fn check(model: &Model, classes: Option<&[String]>) -> Vec<Diagnostic> {
     let window_names: Vec<String> = model.named_windows.iter().map(|w| w.name.clone()).collect();
     let side = Side {
@@ -174,8 +176,8 @@
             let message = format!("no request reaches the route {}", route.name);
             let mut warning = Diagnostic::warning("unreachable-route", route.span, message);
             warning = warning.label(match covers.len() {
-                1 => "an earlier route takes all of its requests".to_owned(),
-                n => format!("{n} earlier routes take all of its requests together"),
+                1 => "an earlier route matches all of its requests".to_owned(),
+                n => format!("{n} earlier routes together match all of its requests"),
             });
             for cover in covers.iter().take(NAMED) {
                 let cover = &model.routes[*cover];
@@ -187,7 +189,7 @@
         .collect();
     if let (1.., Some(last)) = (found.unexamined, model.routes.last()) {
         let message = format!(
-            "{} routes were too much work to tell whether any request reaches them",
+            "{} routes were not checked for reachability: the routes overlap too much",
             found.unexamined
         );
         warnings.push(Diagnostic::warning("unexamined-routes", last.span, message));
--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -1,24 +1,24 @@
-//! The texts that a configuration was read from, and places in them.
+//! The files from which a configuration was read, and places in them.
 
 use std::ops::Range;
 
-/// A file of one reading of the configuration.
+/// Identifies a file in [`Sources`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FileId(pub u32);
 
-/// A stretch of bytes of one file.
+/// A range of bytes of one file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span {
     /// The file.
     pub file: FileId,
-    /// The first byte.
+    /// Offset of the first byte.
     pub start: u32,
-    /// The byte after the last.
+    /// Offset of the byte after the last.
     pub end: u32,
 }
 
 impl Span {
-    /// That range of a file.
+    /// A range of bytes of a file.
     pub fn new(file: FileId, range: Range<usize>) -> Span {
         let at = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         Span {
@@ -33,7 +33,7 @@
         self.start as usize..self.end as usize
     }
 
-    /// From the start of one to the end of the other, in one file.
+    /// The range from the start of this span to the end of another one in the same file.
     pub fn to(self, end: Span) -> Span {
         Span {
             end: end.end.max(self.end),
@@ -49,14 +49,14 @@
     pub name: String,
     /// Its text.
     pub text: String,
-    /// Where each line starts.
+    /// Offset of the first byte of each line.
     lines: Vec<u32>,
 }
 
-/// A place as people count: lines and columns from 1, columns in characters.
+/// A place for people to read: lines and columns count from 1, columns in characters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place<'a> {
-    /// The file's path.
+    /// Path of the file.
     pub file: &'a str,
     /// The line, from 1.
     pub line: usize,
@@ -70,14 +70,14 @@
     }
 }
 
-/// The files of one reading.
+/// The files from which one configuration was read.
 #[derive(Debug, Default)]
 pub struct Sources {
     files: Vec<SourceFile>,
 }
 
 impl Sources {
-    /// Adds a file.
+    /// Adds a file and returns its identifier.
     pub fn add(&mut self, name: String, text: String) -> FileId {
         let starts = text
             .bytes()
@@ -89,24 +89,24 @@
         FileId(self.files.len() as u32 - 1)
     }
 
-    /// A file.
+    /// The file with this identifier.
     pub fn get(&self, file: FileId) -> Option<&SourceFile> {
         self.files.get(file.0 as usize)
     }
 
-    /// All files.
+    /// All files with their identifiers.
     pub fn files(&self) -> impl Iterator<Item = (FileId, &SourceFile)> {
         (0u32..).map(FileId).zip(&self.files)
     }
 
-    /// The text at a place; empty if there is none.
+    /// The text of a span; empty if the span is not in any file.
     pub fn text(&self, span: Span) -> &str {
         self.get(span.file)
             .and_then(|f| f.text.get(span.range()))
             .unwrap_or_default()
     }
 
-    /// Line and column of a place's start.
+    /// Line and column of the start of a span.
     pub fn place(&self, span: Span) -> Place<'_> {
         let Some(file) = self.get(span.file) else {
             return Place {
--- a/crates/configuration/src/space/describe.rs
+++ b/crates/configuration/src/space/describe.rs
@@ -1,11 +1,11 @@
-//! Regions in the words of the language.
+//! Describes regions with the directives of routes.
 
 use super::{Space, ALL_ADDRESSES};
 use crate::ranges::{Dimension, Ranges, Region};
 use std::net::Ipv6Addr;
 
 impl Space {
-    /// A region in the words of the language; what it does not bound is left out.
+    /// Describes a region with the directives of routes; dimensions that it does not restrict are left out.
     pub fn describe(&self, region: &Region) -> String {
         let whole = self.whole();
         let mut words = Vec::new();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A set by the named sets that it lies in and those that it has nothing of.
+    /// Describes a set by the named sets that contain it and those that are disjoint from it.
     fn terms(
         &self,
         set: &Ranges,
@@ -65,7 +65,7 @@
                 None => known.clone(),
             };
             if set.minus(&known).is_empty() && rest.as_ref() != Some(&narrowed) {
-                // A narrower set makes those before it superfluous only if it lies in them.
+                // Sets that contain this one are redundant.
                 held.retain(|(_, other): &(String, Ranges)| !known.minus(other).is_empty());
                 held.push((name, known));
                 rest = Some(narrowed);
@@ -73,7 +73,7 @@
                 barred.push((name, known));
             }
         }
-        // What is barred counts only where it cuts something off.
+        // A disjoint set is mentioned only if it removes something that is left.
         let mut left = rest;
         barred.retain(|(_, known)| match &mut left {
             Some(left) if left.meets(known) => {
@@ -93,7 +93,7 @@
             .collect();
         words.extend(barred.iter().map(|(name, _)| format!("{outside} {name}")));
         if !exact || words.is_empty() {
-            words.push("in part".to_owned());
+            words.push("only partly".to_owned());
         }
         words.join(", ")
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// Words of one list that are shown.
+/// Maximum number of items of a list that are shown.
 const MAX_SHOWN: usize = 6;
 
 fn shortened(words: impl Iterator<Item = String>) -> String {
@@ -130,7 +130,7 @@
             .collect()
     };
     let rest = whole.minus(set);
-    // A set that holds the names which no route states can be described only by what is not in it.
+    // A set that contains the names that no route has can be described only by the names that it does not contain.
     if set.contains(names.len() as u128) {
         format!("{what} other than {}", shortened(named(&rest).into_iter()))
     } else {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Ranges of addresses as networks, or as all but those that are left out where these are fewer.
+/// Ranges of addresses as networks, or as all except some networks if these are fewer.
 fn networks(set: &Ranges) -> String {
     let all = Ranges::one(ALL_ADDRESSES.0, ALL_ADDRESSES.1);
     let (inside, outside) = (cidrs(set), cidrs(&all.minus(set)));
@@ -154,7 +154,7 @@
     for &(from, to) in set.list() {
         let mut at = from;
         loop {
-            // The largest block that begins here and ends in the range.
+            // The largest block that begins at `at` and does not exceed the range.
             let mut bits = at.trailing_zeros();
             let last = |bits: u32| at | 1_u128.checked_shl(bits).map_or(u128::MAX, |size| size - 1);
             while last(bits) > to {
