--- a/crates/configuration/src/space/example.rs
+++ b/crates/configuration/src/space/example.rs
@@ -1,4 +1,4 @@
-//! One request of a region, for people to read.
+//! Example requests of a region, for people to read.
 
 use super::{Space, V4};
 use crate::calendar::Moment;
@@ -7,27 +7,27 @@
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
-/// A request in full, as `explain` takes it.
+/// A complete request, in the form that `explain` accepts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Example {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// The tenant's name.
+    /// Name of the tenant; empty if the request has none.
     pub tenant: String,
-    /// The group.
+    /// The group of record servers.
     pub group: u32,
     /// The statement.
     pub statement: Vec<u8>,
     /// The client's address.
     pub client: IpAddr,
-    /// When it comes.
+    /// Time of arrival.
     pub at: Moment,
-    /// Seconds east of UTC in which the time is shown.
+    /// Offset from UTC of the time that is shown, in seconds, positive to the east.
     pub offset: i32,
 }
 
 impl Example {
-    /// The request as routes see it.
+    /// The properties of the request that routes check.
     pub fn request(&self) -> Request<'_> {
         Request {
             class: &self.class,
@@ -56,12 +56,12 @@
 }
 
 impl Space {
-    /// Some request of a region.
+    /// A request of a region; `None` if the region is empty.
     pub fn example(&self, region: &Region) -> Option<Example> {
         let point = region.example()?;
         let named =
             |names: &[String], at: u128| names.get(at as usize).cloned().unwrap_or_default();
-        // An everyday address where the region has one.
+        // Prefers the local address, then an IPv4 address, if the region contains one.
         let network = region.dimension(Dimension::Network);
         let v4 = network.and(&Ranges::one(V4.0, V4.1));
         let local = route::address_number(IpAddr::V4(Ipv4Addr::LOCALHOST));
--- a/crates/configuration/src/space/mod.rs
+++ b/crates/configuration/src/space/mod.rs
@@ -1,5 +1,5 @@
-//! All requests as the points of one space, in which conditions are boxes: the common ground of the search for
-//! unreachable routes and of the behavioural difference.
+//! Represents requests as points of a space, in which the conditions of a route are a region. Used by the search for
+//! unreachable routes and by the behavioural difference.
 
 mod describe;
 mod example;
@@ -17,11 +17,11 @@
 pub struct Side<'a> {
     /// The routes, in their order.
     pub routes: &'a [Route],
-    /// The windows that they name.
+    /// The windows to which the routes refer.
     pub windows: &'a [Window],
-    /// In the order of `windows`.
+    /// Names of the windows, in the order of `windows`.
     pub window_names: &'a [String],
-    /// Seconds east of UTC, in which times are shown.
+    /// Offset from UTC of the times that are shown, in seconds, positive to the east.
     pub offset: i32,
 }
 
@@ -30,25 +30,25 @@
     names: NameTable,
     class_number: HashMap<String, u128>,
     tenant_number: HashMap<String, u128>,
-    /// No other class than the known ones exists.
+    /// There are no classes other than the known ones.
     closed: bool,
-    /// Where the statements' prefixes begin and end, in order; the statements between two are all alike.
+    /// Bounds of the statements with each prefix, sorted; routes do not distinguish statements between two bounds.
     bounds: Vec<Vec<u8>>,
     prefixes: Vec<String>,
     pieces: TimePieces,
-    /// For each side, the set of each window.
+    /// For each side, the pieces of time of each window.
     windows: Vec<Vec<Ranges>>,
-    /// Names of windows, each with its set; of both sides where they differ.
+    /// Names of windows with their pieces of time; a window that differs between the sides occurs twice.
     named_windows: Vec<(String, Ranges)>,
     offset: i32,
 }
 
-/// Addresses as numbers, IPv4 mapped into IPv6.
+/// The range of all addresses as numbers, with IPv4 mapped into IPv6.
 const ALL_ADDRESSES: (u128, u128) = (0, u128::MAX);
-/// The mapped IPv4 addresses.
+/// The range of the mapped IPv4 addresses.
 const V4: (u128, u128) = (0xffff_0000_0000, 0xffff_ffff_ffff);
 
-/// The least text that is above all that begin with this one; none if there is none.
+/// The smallest text that is greater than all texts with this prefix; `None` if there is none.
 fn text_above(prefix: &[u8]) -> Option<Vec<u8>> {
     let mut text = prefix.to_vec();
     while let Some(last) = text.pop() {
@@ -60,7 +60,7 @@
     None
 }
 
-/// The statements' prefixes of all routes, in order.
+/// The prefixes of statements in all routes, sorted.
 fn prefixes(sides: &[Side<'_>]) -> Vec<String> {
     let routes = sides.iter().flat_map(|s| s.routes);
     let mut prefixes: Vec<String> = routes
@@ -71,7 +71,7 @@
     prefixes
 }
 
-/// Where the statements of each prefix begin and end.
+/// The bounds of the statements with each prefix, sorted.
 fn bounds(prefixes: &[String]) -> Vec<Vec<u8>> {
     let mut bounds: Vec<Vec<u8>> = prefixes.iter().map(|p| p.clone().into_bytes()).collect();
     bounds.extend(prefixes.iter().filter_map(|p| text_above(p.as_bytes())));
@@ -81,14 +81,14 @@
     bounds
 }
 
-/// The sets of all windows by name; a window that differs between the sides stands twice.
+/// The pieces of time of all windows by name; a window that differs between the sides occurs twice.
 fn named_windows(sides: &[Side<'_>], windows: &[Vec<Ranges>]) -> Vec<(String, Ranges)> {
     let mut named: Vec<(String, Ranges)> = Vec::new();
     for (side, sets) in sides.iter().zip(windows) {
         for (name, set) in side.window_names.iter().zip(sets) {
             match named.iter().find(|(known, _)| known == name) {
                 Some((_, known)) if known == set => {}
-                Some(_) => named.push((format!("{name} as it is new"), set.clone())),
+                Some(_) => named.push((format!("{name} (new definition)"), set.clone())),
                 None => named.push((name.clone(), set.clone())),
             }
         }
@@ -97,7 +97,8 @@
 }
 
 impl Space {
-    /// The space that the routes of these sides divide. `classes`: all that the platform has, if that is known.
+    /// The space of the requests that the routes of these sides distinguish. `classes`: all classes of the platform, if
+    /// they are known.
     pub fn new(sides: &[Side<'_>], classes: Option<&[String]>) -> Space {
         let mut names = NameTable {
             classes: classes.unwrap_or_default().to_vec(),
@@ -153,7 +154,7 @@
         (at(text.as_bytes()), end - 1)
     }
 
-    /// The requests for which the conditions hold, of a route of that side.
+    /// The requests for which the conditions of a route of that side hold.
     pub fn region(&self, side: usize, conditions: &Conditions) -> Region {
         let mut region = self.whole();
         let Region([class, tenant, group, statement, network, time]) = &mut region;
--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -1,11 +1,11 @@
-//! Text to lines of words, braces and comments. What the words mean is for `check`.
+//! Splits a text into lines of words, braces and comments. The meaning of the words is determined in `check`.
 
 use crate::diagnostic::Diagnostic;
 use crate::source::{FileId, Span};
 use logos::Logos;
 use std::ops::Range;
 
-/// Longest line, in bytes: a diagnostic shows the line that it is about.
+/// Maximum length of a line, in bytes; a diagnostic prints the whole line to which it refers.
 pub const LINE_LIMIT: usize = 16 << 10;
 
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,57 +41,57 @@
     Bare,
     /// In double quotes, with escapes.
     Double,
-    /// In single quotes, as it stands.
+    /// In single quotes, without escapes.
     Single,
 }
 
-/// A word as it is written, quotes included.
+/// A word as written, including its quotes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// Where it stands.
+    /// Place of the word.
     pub span: Span,
-    /// How it is quoted.
+    /// Kind of quotes.
     pub quote: Quote,
-    /// It stands on a continued line.
+    /// First word after a line continuation.
     pub continued: bool,
 }
 
-/// What stands on a line.
+/// Content of a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A keyword and its values.
     Directive(Vec<Word>),
-    /// The same, with an opening brace behind it. Without words the line is faulty, and reported.
+    /// Keyword and names of a section, followed by an opening brace. A line without words is invalid, which is reported.
     Open(Vec<Word>, Span),
     /// A closing brace.
     Close(Span),
-    /// Nothing but the comment.
+    /// A comment alone.
     Comment,
 }
 
-/// A line, with its continuations.
+/// A line with its continuation lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// What stands on it.
+    /// Content of the line.
     pub entry: Entry,
-    /// The comment behind it.
+    /// The comment at the end of the line.
     pub comment: Option<Span>,
-    /// Blank lines stand before it.
+    /// The line follows a blank line.
     pub apart: bool,
 }
 
 /// The lines of a file.
 #[derive(Debug, Default)]
 pub struct Syntax {
-    /// In their order.
+    /// The lines, in order.
     pub lines: Vec<Line>,
-    /// What was wrong, at most one fault a line.
+    /// Syntax errors, at most one per line.
     pub faults: Vec<Diagnostic>,
 }
 
-/// Reads one file. Linear in its length; every fault is reported, at most one a line.
+/// Parses one file in time linear in its length. Reports every fault, but at most one per line.
 pub fn parse(file: FileId, text: &str) -> Syntax {
-    // Blanks in place of a byte order mark, so that no place behind it moves.
+    // A byte order mark is replaced by as many blanks, so that the offsets after it do not change.
     let text = match text.strip_prefix(BYTE_ORDER_MARK) {
         Some(_) => &text.replacen(BYTE_ORDER_MARK, "   ", 1),
         None => text,
@@ -117,7 +117,7 @@
 
 const BYTE_ORDER_MARK: char = '\u{feff}';
 
-/// The line that is being read.
+/// State of the line that is being parsed.
 #[derive(Default)]
 struct PendingLine {
     words: Vec<Word>,
@@ -125,7 +125,7 @@
     close: Option<Span>,
     comment: Option<Span>,
     faulty: bool,
-    /// The last token was part of a word: what follows must stand apart from it.
+    /// The last token was a word: a blank is required before another word.
     glued: bool,
     continued: bool,
 }
@@ -133,9 +133,9 @@
 struct Parser {
     syntax: Syntax,
     line: PendingLine,
-    /// Nothing but blanks stands on the line so far.
+    /// The line has only blanks so far.
     line_is_empty: bool,
-    /// Blank lines stand before the line.
+    /// The line follows a blank line.
     apart: bool,
 }
 
@@ -151,7 +151,7 @@
 }
 
 impl Parser {
-    /// Reports a fault, if it is the first of its line.
+    /// Reports a fault if it is the first of its line.
     fn fail(&mut self, fault: Diagnostic) {
         if !std::mem::replace(&mut self.line.faulty, true) {
             self.syntax.faults.push(fault);
@@ -165,7 +165,7 @@
                 self.line.glued = false;
                 self.line.continued = true;
             }
-            // Without the carriage return and blanks at its end.
+            // A carriage return and blanks at the end are not part of the comment.
             Token::Comment => {
                 let start = span.range().start;
                 let end = start + text.trim_end().len();
@@ -176,7 +176,7 @@
             Token::Single => self.take_word(Quote::Single, span),
             Token::Word => self.take_word(Quote::Bare, span),
             Token::OpenDouble | Token::OpenSingle => {
-                let fault = Diagnostic::error("open-quote", span, "a quoted text has no end");
+                let fault = Diagnostic::error("open-quote", span, "a quoted text is not closed");
                 self.fail(fault.label("the closing quote is missing on this line"));
             }
         }
@@ -188,15 +188,15 @@
             || self.line.close.is_some()
             || !is_open && !self.line.words.is_empty()
         {
-            let fault = Diagnostic::error("brace-place", span, "a brace ends its line")
-                .label("not here")
-                .help("an opening brace is the last word of its line, a closing one stands alone");
+            let fault = Diagnostic::error("brace-place", span, "unexpected brace")
+                .label("a brace is not allowed here")
+                .help("an opening brace must be the last word of its line; a closing brace must be on a line of its own");
             return self.fail(fault);
         }
         if is_open && self.line.words.is_empty() {
-            let message = "a section opens without a keyword";
+            let message = "a section begins without a keyword";
             let fault = Diagnostic::error("nameless-section", span, message);
-            self.fail(fault.label("no keyword stands before it"));
+            self.fail(fault.label("the keyword is missing before the brace"));
         }
         match is_open {
             true => self.line.open = Some(span),
@@ -207,14 +207,14 @@
 
     fn take_word(&mut self, quote: Quote, span: Span) {
         if self.line.open.is_some() || self.line.close.is_some() {
-            let message = "words stand behind a brace on its line";
+            let message = "unexpected words after a brace";
             let fault = Diagnostic::error("brace-place", span, message);
-            return self.fail(fault.label("begin a new line here"));
+            return self.fail(fault.label("move this to a new line"));
         }
         if self.line.glued {
-            let message = "a quoted text touches another word";
+            let message = "a quoted text must be separated from other words";
             let fault = Diagnostic::error("glued-words", span, message);
-            return self.fail(fault.label("a blank is missing before this"));
+            return self.fail(fault.label("add a blank before this word"));
         }
         self.line.words.push(Word {
             span,
@@ -231,7 +231,7 @@
             return;
         }
         let line = std::mem::take(&mut self.line);
-        // Of a faulty line the brace still counts: its section must not seem to be missing or unclosed as well.
+        // The brace of an invalid line is kept, so that its section is not reported as missing or not closed as well.
         if line.faulty && line.open.is_none() && line.close.is_none() {
             return;
         }
@@ -249,7 +249,7 @@
         });
     }
 
-    /// The last line may have no end.
+    /// Ends the last line, which may lack a newline.
     fn finish(mut self) -> Syntax {
         if !self.line_is_empty {
             self.end_line();
@@ -260,21 +260,21 @@
 
 fn stray(span: Span, text: &str) -> Diagnostic {
     if text.starts_with('\\') {
-        let message = "a backslash stands only at the end of a line";
+        let message = "a backslash is allowed only at the end of a line";
         return Diagnostic::error("stray-backslash", span, message)
-            .label("nothing to continue here")
-            .help("inside double quotes \\\\ stands for a backslash");
+            .label("not at the end of the line")
+            .help("to write a backslash, use \\\\ inside double quotes");
     }
     let shown: String = text
         .chars()
         .take(1)
         .flat_map(char::escape_default)
         .collect();
-    let message = format!("the character {shown} can't stand here");
+    let message = format!("the character {shown} is not allowed here");
     Diagnostic::error("control-character", span, message).label("control character")
 }
 
-/// The first line that is longer than [`LINE_LIMIT`], by its range in bytes.
+/// The range in bytes of the first line that is longer than [`LINE_LIMIT`].
 pub fn find_long_line(text: &[u8]) -> Option<Range<usize>> {
     let mut start = 0;
     for line in text.split(|b| *b == b'\n') {
@@ -286,12 +286,12 @@
     None
 }
 
-/// Whether a character may stand in a name.
+/// Whether a character is allowed in a name.
 pub(crate) fn is_name_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || c == '-' || c == '_'
 }
 
-/// Whether this is a name: a letter, then letters, digits, `-` and `_`.
+/// Whether a text is a valid name: a letter, followed by letters, digits, `-` and `_`.
 pub fn is_name(text: &str) -> bool {
     text.starts_with(|c: char| c.is_ascii_alphabetic()) && text.chars().all(is_name_char)
 }
--- a/crates/configuration/src/value/calendar.rs
+++ b/crates/configuration/src/value/calendar.rs
@@ -1,18 +1,18 @@
-//! Dates, days of the week, hours of the day and offsets from UTC, as windows of time state them.
+//! Dates, days of the week, hours of the day and offsets from UTC, for windows of time.
 
 use super::ParseError;
 use jiff::civil::Date;
 
-/// Days from one to another; without a year they come back each year.
+/// A range of days, both ends included; without a year it recurs every year.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dates {
-    /// From one date to another, once.
+    /// First and last date, with a year.
     Once(Date, Date),
-    /// Month and day of the first and of the last; the last may lie in the next year.
+    /// Month and day of the first and of the last day; the last may lie in the next year.
     Yearly((i8, i8), (i8, i8)),
 }
 
-/// Seconds after midnight; an end that is not after the start lies on the next day.
+/// A range of hours in seconds after midnight; an end that is not after the start lies on the next day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hours {
     /// The first second.
@@ -21,18 +21,18 @@
     pub to: u32,
 }
 
-/// Seconds of a day.
+/// Seconds per day.
 pub const SECONDS_PER_DAY: u32 = 86_400;
 
-/// The first and the last year that a calendar may speak of.
+/// The first and the last year that dates may have.
 pub const YEAR_RANGE: (i16, i16) = (1970, 2099);
 
-/// The days of the week, as they are written.
+/// The days of the week as written in the file, Monday first.
 pub const WEEKDAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 pub(super) fn parse_dates(word: &str) -> Result<Dates, ParseError> {
     let error = |text: &str| {
-        ParseError::new(format!("{text:?} is no date"))
+        ParseError::new(format!("{text:?} is not a valid date"))
             .help("write 2026-10-17..2026-10-31, or 10-17..10-31 for every year")
     };
     let (from, to) = word.split_once("..").unwrap_or((word, word));
@@ -40,7 +40,7 @@
         let (month, day) = text.split_once('-')?;
         let whole = month.len() == 2 && day.len() == 2;
         let (month, day) = (month.parse().ok()?, day.parse().ok()?);
-        // A leap year: 29 February is a date that some years lack.
+        // Checked in a leap year, since 29 February is a valid date.
         (whole && Date::new(2024, month, day).is_ok()).then_some((month, day))
     };
     let once = |text: &str| -> Option<Date> {
@@ -48,10 +48,10 @@
         (text.len() == 10 && (YEAR_RANGE.0..=YEAR_RANGE.1).contains(&date.year())).then_some(date)
     };
     match (once(from), once(to)) {
-        (Some(a), Some(b)) if a > b => {
-            Err(ParseError::new(format!("the dates {word} run backwards"))
-                .help(format!("did you mean {b}..{a}?")))
-        }
+        (Some(a), Some(b)) if a > b => Err(ParseError::new(format!(
+            "the dates {word} end before they begin"
+        ))
+        .help(format!("did you mean {b}..{a}?"))),
         (Some(a), Some(b)) => Ok(Dates::Once(a, b)),
         _ => match (yearly(from), yearly(to)) {
             (Some(a), Some(b)) => Ok(Dates::Yearly(a, b)),
@@ -64,19 +64,19 @@
 pub(super) fn parse_weekdays(word: &str) -> Result<u8, ParseError> {
     let day = |text: &str| {
         WEEKDAYS.iter().position(|d| *d == text).ok_or_else(|| {
-            ParseError::new(format!("{text:?} is no weekday"))
-                .help(format!("the days are {}", WEEKDAYS.join(", ")))
+            ParseError::new(format!("{text:?} is not a weekday"))
+                .help(format!("the weekdays are {}", WEEKDAYS.join(", ")))
         })
     };
     let (from, to) = word.split_once('-').unwrap_or((word, word));
     let (from, to) = (day(from)?, day(to)?);
-    // Over the end of the week where the range runs that way.
+    // The range may cross the end of the week.
     let length = (to + 7 - from) % 7;
     Ok((0..=length).fold(0, |bits, n| bits | 1 << ((from + n) % 7)))
 }
 
 pub(super) fn parse_hours(word: &str) -> Result<Hours, ParseError> {
-    const HELP: &str = "write 07:00-09:30, or 22:00-02:00 for a window over midnight";
+    const HELP: &str = "write 07:00-09:30, or 22:00-02:00 for a window that crosses midnight";
     let moment = |text: &str| -> Option<u32> {
         let mut parts = text.split(':');
         let mut number = |most: u32| {
@@ -90,14 +90,14 @@
         let whole = hour * 3_600 + minute * 60 + second;
         (parts.next().is_none() && whole <= SECONDS_PER_DAY).then_some(whole)
     };
-    let error = || ParseError::new(format!("{word:?} are no hours")).help(HELP);
+    let error = || ParseError::new(format!("{word:?} is not a valid range of hours")).help(HELP);
     let (from, to) = word.split_once('-').ok_or_else(error)?;
     let (from, to) = (
         moment(from).ok_or_else(error)?,
         moment(to).ok_or_else(error)?,
     );
     if from == to || from == SECONDS_PER_DAY || to == 0 {
-        return Err(ParseError::new(format!("the hours {word} hold no time")).help(HELP));
+        return Err(ParseError::new(format!("the range of hours {word} is empty")).help(HELP));
     }
     Ok(Hours { from, to })
 }
@@ -118,7 +118,7 @@
             .then_some(sign * (hours * 3_600 + minutes * 60))
     };
     parse().ok_or_else(|| {
-        ParseError::new(format!("{word:?} is no offset from UTC"))
-            .help("write +05:45, -03:00 or UTC; named zones are not known")
+        ParseError::new(format!("{word:?} is not a valid offset from UTC"))
+            .help("write +05:45, -03:00 or UTC; named time zones are not supported")
     })
 }
--- a/crates/configuration/src/value/error.rs
+++ b/crates/configuration/src/value/error.rs
@@ -1,11 +1,11 @@
-//! Why a word is no value.
+//! Errors of parsing a word.
 
-/// Why a word is no value of its type.
+/// Why a word is not a valid value of its type.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ParseError {
-    /// What is wrong, as it is printed.
+    /// Description of the fault, as it is printed.
     pub message: String,
-    /// What would be right, if that can be said.
+    /// Advice on how to correct it, if there is any.
     pub help: Option<String>,
 }
 
--- a/crates/configuration/src/value/mod.rs
+++ b/crates/configuration/src/value/mod.rs
@@ -1,4 +1,4 @@
-//! The values of the language: their types, and how each is written.
+//! The values of the language: their types, parsers and written forms.
 
 mod calendar;
 mod error;
@@ -27,21 +27,21 @@
 /// A value of a directive.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A span of time.
+    /// A duration.
     Time(Duration),
-    /// Bytes.
+    /// A size in bytes.
     Size(u64),
-    /// A rate.
+    /// A number of events per unit of time.
     Rate(Rate),
-    /// A share.
+    /// A part of a whole.
     Share(Share),
     /// A whole number.
     Count(u64),
-    /// A number.
+    /// A decimal number without a unit.
     Number(f64),
     /// An address with its port.
     Address(SocketAddr),
-    /// One of a fixed choice.
+    /// One of a fixed set of words.
     Choice(&'static str),
     /// A name.
     Name(String),
@@ -51,13 +51,13 @@
     Network(IpNet),
     /// A range of groups.
     Groups(RangeInclusive<u32>),
-    /// Dates.
+    /// A range of dates.
     Dates(Dates),
-    /// A bit for each day, Monday first.
+    /// Days of the week: a bit for each day, Monday in the lowest bit.
     Weekdays(u8),
-    /// Hours of the day.
+    /// A range of hours of the day.
     Hours(Hours),
-    /// Seconds east of UTC.
+    /// Offset from UTC in seconds, positive to the east.
     Offset(i32),
 }
 
--- a/crates/configuration/src/value/rate.rs
+++ b/crates/configuration/src/value/rate.rs
@@ -1,20 +1,20 @@
-//! Rates: so many in a second, minute or hour.
+//! Rates: events per second, minute or hour.
 
 use super::ParseError;
 use std::fmt;
 use std::time::Duration;
 
-/// A number of events in a span of time.
+/// A number of events per unit of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rate {
-    /// How many.
+    /// Number of events.
     pub number: u32,
-    /// In how long.
+    /// Unit of time: a second, a minute or an hour.
     pub per: Duration,
 }
 
 impl Rate {
-    /// The time that one takes.
+    /// Average time between two events.
     pub fn interval(self) -> Duration {
         self.per / self.number.max(1)
     }
@@ -36,7 +36,7 @@
     let Some((number, unit)) = word.split_once('/') else {
         let error = match word.parse::<u32>() {
             Ok(_) => ParseError::new(format!("the rate {word} has no unit")),
-            Err(_) => ParseError::new(format!("{word:?} is no rate")),
+            Err(_) => ParseError::new(format!("{word:?} is not a valid rate")),
         };
         return Err(error.help(HELP));
     };
@@ -44,11 +44,11 @@
         "s" => 1,
         "min" => 60,
         "h" => 3_600,
-        _ => return Err(ParseError::new(format!("{unit:?} is no unit of a rate")).help(HELP)),
+        _ => return Err(ParseError::new(format!("{unit:?} is not a unit of rates")).help(HELP)),
     };
     let number = number
         .parse()
-        .map_err(|_| ParseError::new(format!("{word:?} is no rate")).help(HELP))?;
+        .map_err(|_| ParseError::new(format!("{word:?} is not a valid rate")).help(HELP))?;
     Ok(Rate {
         number,
         per: Duration::from_secs(per),
--- a/crates/configuration/src/value/share.rs
+++ b/crates/configuration/src/value/share.rs
@@ -1,10 +1,10 @@
-//! Shares of a whole, as percents or fractions.
+//! Shares of a whole, written as percentages or fractions.
 
 use super::units::Decimal;
 use super::ParseError;
 use std::fmt;
 
-/// A part of a whole, exact.
+/// A part of a whole, as an exact fraction.
 #[derive(Clone, Copy, Debug)]
 pub struct Share {
     /// The numerator.
@@ -19,7 +19,7 @@
         Share { part, whole }
     }
 
-    /// The part of a number, rounded down.
+    /// This share of a number, rounded down.
     pub fn of(self, number: usize) -> usize {
         (number as u128 * u128::from(self.part) / u128::from(self.whole.max(1))) as usize
     }
@@ -65,7 +65,7 @@
 }
 
 const HELP: &str = "write 33%, 12.5% or 1/6";
-/// Digits behind the point of a percentage.
+/// Maximum number of digits after the decimal point of a percentage.
 const MAX_PERCENT_DIGITS: u32 = 4;
 
 pub(super) fn parse_share(word: &str) -> Result<Share, ParseError> {
@@ -82,7 +82,7 @@
 }
 
 fn no_share(word: &str) -> ParseError {
-    ParseError::new(format!("{word:?} is no share")).help(HELP)
+    ParseError::new(format!("{word:?} is not a valid share")).help(HELP)
 }
 
 fn parse_fraction(part: &str, whole: &str) -> Option<Share> {
--- a/crates/configuration/src/value/types.rs
+++ b/crates/configuration/src/value/types.rs
@@ -1,4 +1,4 @@
-//! The types that a table asks for: what a word has to be, and its value if it is that.
+//! The types of values in a table: their names, their bounds, and parsing a word to a value.
 
 use super::calendar::{parse_dates, parse_hours, parse_offset, parse_weekdays};
 use super::network::parse_network;
@@ -12,80 +12,80 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a word has to be.
+/// The type of a value, with its bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Type {
-    /// A span of time.
+    /// A duration.
     Time {
-        /// The least.
+        /// Minimum.
         least: Duration,
-        /// The most.
+        /// Maximum.
         most: Duration,
     },
-    /// Bytes.
+    /// A size in bytes.
     Size {
-        /// The least.
+        /// Minimum.
         least: u64,
-        /// The most.
+        /// Maximum.
         most: u64,
     },
-    /// A rate.
+    /// A number of events per unit of time.
     Rate {
-        /// The least.
+        /// Minimum.
         least: u32,
-        /// The most.
+        /// Maximum.
         most: u32,
     },
-    /// A share.
+    /// A part of a whole.
     Share {
-        /// The least.
+        /// Minimum.
         least: Share,
-        /// The most.
+        /// Maximum.
         most: Share,
     },
     /// A whole number.
     Count {
-        /// The least.
+        /// Minimum.
         least: u64,
-        /// The most.
+        /// Maximum.
         most: u64,
     },
-    /// With a point, if need be.
+    /// A decimal number without a unit.
     Number {
-        /// The least.
+        /// Minimum.
         least: f64,
-        /// The most.
+        /// Maximum.
         most: f64,
     },
     /// An address with its port.
     Address,
     /// One of these words.
     Choice(&'static [&'static str]),
-    /// The name of a section of this keyword.
+    /// The name of a section with this keyword.
     Reference(&'static str),
-    /// A name that the platform gives meaning to.
+    /// A name that is defined outside of the file; any text that is not empty.
     Name,
-    /// Any text of at most so many bytes.
+    /// A text that is not empty.
     Text {
-        /// Bytes.
+        /// Maximum length in bytes.
         most: usize,
     },
     /// A network in CIDR notation.
     Network,
-    /// A range of groups.
+    /// A group or a range of groups.
     Groups,
-    /// Dates, with or without a year.
+    /// A date or a range of dates, with or without a year.
     Dates,
-    /// Days of the week.
+    /// A day of the week or a range of them.
     Weekdays,
-    /// Hours of the day.
+    /// A range of hours of the day.
     Hours,
     /// An offset from UTC.
     Offset,
 }
 
 impl Type {
-    /// As the operators' page calls it.
+    /// Name of the type, for messages and the operators' page.
     pub fn name(&self) -> String {
         match self {
             Type::Time { .. } => "time".into(),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The bounds, as the operators' page states them.
+    /// The bounds as text for the operators' page; empty if there are none.
     pub fn range(&self) -> String {
         match self {
             Type::Time { least, most } => {
@@ -117,7 +117,7 @@
             Type::Size { least, most } => {
                 format!("{} to {}", format_size(*least), format_size(*most))
             }
-            Type::Rate { least, most } => format!("{least} to {most} a unit"),
+            Type::Rate { least, most } => format!("{least} to {most} per unit of time"),
             Type::Share { least, most } => format!("{least} to {most}"),
             Type::Count { least, most } => format!("{least} to {most}"),
             Type::Number { least, most } => format!("{least} to {most}"),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The value that a word states. Fails if it is none of this type or out of bounds.
+    /// Parses a word. Fails if it is not a value of this type or out of bounds.
     pub fn parse(&self, word: &str) -> Result<Value, ParseError> {
         match *self {
             Type::Time { least, most } => {
@@ -154,7 +154,7 @@
             Type::Address => parse_address(word).map(Value::Address),
             Type::Choice(words) => parse_choice(word, words).map(Value::Choice),
             Type::Reference(_) => parse_reference(word).map(Value::Name),
-            Type::Name if word.is_empty() => Err(ParseError::new("a name is empty")),
+            Type::Name if word.is_empty() => Err(ParseError::new("the name is empty")),
             Type::Name => Ok(Value::Name(word.to_owned())),
             Type::Text { most } => parse_text(word, most).map(Value::Text),
             Type::Network => parse_network(word).map(Value::Network),
@@ -169,8 +169,8 @@
 
 fn parse_address(word: &str) -> Result<SocketAddr, ParseError> {
     word.parse().map_err(|_| {
-        ParseError::new(format!("{word:?} is no address"))
-            .help("an address is an IP address with a port, like 127.0.0.1:5433 or [::1]:5433")
+        ParseError::new(format!("{word:?} is not a valid address"))
+            .help("write an IP address with a port, like 127.0.0.1:5433 or [::1]:5433")
     })
 }
 
@@ -178,7 +178,10 @@
     if let Some(found) = words.iter().find(|w| **w == word) {
         return Ok(found);
     }
-    let error = ParseError::new(format!("{word:?} is not one of {}", words.join(", ")));
+    let error = ParseError::new(format!(
+        "{word:?} is not one of the allowed values {}",
+        words.join(", ")
+    ));
     Err(match nearest(word, words.iter().copied()) {
         Some(near) => error.help(format!("did you mean {near}?")),
         None => error,
@@ -189,15 +192,15 @@
     if is_name(word) {
         return Ok(word.to_owned());
     }
-    Err(ParseError::new(format!("{word:?} can't be a name"))
-        .help("a name begins with a letter and holds letters, digits, - and _"))
+    Err(ParseError::new(format!("{word:?} is not a valid name"))
+        .help("a name begins with a letter and contains only letters, digits, - and _"))
 }
 
-/// `most`: bytes.
+/// `most`: maximum length in bytes.
 fn parse_text(word: &str, most: usize) -> Result<String, ParseError> {
     if word.len() > most {
         return Err(ParseError::new(format!(
-            "the text has {} bytes; at most {most} are allowed",
+            "the text has {} bytes; the maximum is {most}",
             word.len()
         )));
     }
@@ -213,7 +216,7 @@
     most: T,
     show: impl Fn(T) -> String,
 ) -> Result<T, ParseError> {
-    let range = || format!("the range is {} to {}", show(least), show(most));
+    let range = || format!("the allowed range is {} to {}", show(least), show(most));
     if value < least {
         Err(ParseError::new(format!("{} is too small", show(value))).help(range()))
     } else if value > most {
--- a/crates/configuration/src/value/units.rs
+++ b/crates/configuration/src/value/units.rs
@@ -1,9 +1,9 @@
-//! Times and sizes, each written with its unit.
+//! Durations and sizes, written with a unit.
 
 use super::ParseError;
 use std::time::Duration;
 
-/// Units of time and their microseconds, the largest first.
+/// Units of time with their length in microseconds, the largest first.
 const TIME_UNITS: [(&str, u64); 6] = [
     ("d", 86_400_000_000),
     ("h", 3_600_000_000),
@@ -12,7 +12,7 @@
     ("ms", 1_000),
     ("us", 1),
 ];
-/// Units of size and their bytes, the largest first.
+/// Units of size with their number of bytes, the largest first.
 const SIZE_UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -20,7 +20,7 @@
     ("B", 1),
 ];
 
-/// A time in the largest unit that states it exactly.
+/// Formats a duration in the largest unit that represents it exactly.
 pub fn format_time(span: Duration) -> String {
     let micros = span.as_micros();
     let fits = |size: &u64| micros > 0 && micros.is_multiple_of(u128::from(*size));
@@ -31,7 +31,7 @@
     format!("{}{unit}", micros / u128::from(*size))
 }
 
-/// A size in the largest unit that states it exactly.
+/// Formats a size in the largest unit that represents it exactly.
 pub fn format_size(bytes: u64) -> String {
     let (unit, size) = SIZE_UNITS
         .iter()
@@ -40,23 +40,23 @@
     format!("{}{unit}", bytes / size)
 }
 
-/// A decimal number as it is written, and the unit behind it.
+/// A decimal number as written, followed by a unit.
 pub(super) struct Decimal<'a> {
-    /// The part before the point.
+    /// The part before the decimal point.
     pub whole: u64,
-    /// The digits behind the point, as a number.
+    /// The digits after the decimal point, as a number.
     pub fraction: u64,
-    /// How many digits stand behind the point.
+    /// Number of digits after the decimal point.
     pub fraction_digits: u32,
-    /// What stands behind the number.
+    /// The text after the number; empty if there is none.
     pub unit: &'a str,
 }
 
 impl Decimal<'_> {
-    /// At most so many digits behind the point.
+    /// Maximum number of digits after the decimal point.
     const MAX_FRACTION_DIGITS: usize = 6;
 
-    /// None if the word does not begin with a decimal number.
+    /// Parses a word; `None` if it does not begin with a valid decimal number.
     pub fn parse(word: &str) -> Option<Decimal<'_>> {
         let end = word
             .find(|c: char| !c.is_ascii_digit() && c != '.')
@@ -77,14 +77,14 @@
         })
     }
 
-    /// The number times `size`, rounded down; none if that is too large.
+    /// The number multiplied by `size`, rounded down; `None` on overflow.
     fn scaled(&self, size: u64) -> Option<u64> {
         let fraction = self.fraction.checked_mul(size)? / 10_u64.pow(self.fraction_digits);
         self.whole.checked_mul(size)?.checked_add(fraction)
     }
 }
 
-/// A number with its unit, in the smallest of `units`.
+/// Parses a number with one of `units`; the result is in the smallest unit.
 fn parse_scaled(
     word: &str,
     what: &str,
@@ -93,13 +93,13 @@
 ) -> Result<u64, ParseError> {
     let help = || format!("write {example}; the units are {}", unit_names(units));
     let Some(number) = Decimal::parse(word) else {
-        return Err(ParseError::new(format!("{word:?} is no {what}")).help(help()));
+        return Err(ParseError::new(format!("{word:?} is not a valid {what}")).help(help()));
     };
     if number.unit.is_empty() {
         return Err(ParseError::new(format!("the {what} {word} has no unit")).help(help()));
     }
     let Some((_, size)) = units.iter().find(|(name, _)| *name == number.unit) else {
-        let error = ParseError::new(format!("{:?} is no unit of a {what}", number.unit));
+        let error = ParseError::new(format!("{:?} is not a unit of {what}", number.unit));
         return Err(match similar_unit(number.unit, units) {
             Some(name) => error.help(format!(
                 "did you mean {name}? the units are {}",
@@ -110,16 +110,16 @@
     };
     number
         .scaled(*size)
-        .ok_or_else(|| ParseError::new(format!("{word} is beyond all bounds")))
+        .ok_or_else(|| ParseError::new(format!("{word} is too large to be represented")))
 }
 
-/// The smallest unit first.
+/// The names of the units as a list, the smallest first.
 fn unit_names(units: &[(&str, u64)]) -> String {
     let names: Vec<&str> = units.iter().rev().map(|(name, _)| *name).collect();
     names.join(", ")
 }
 
-/// The unit that differs in case alone, or by the `i` of binary units.
+/// The unit that differs only in case or in the `i` of binary units.
 fn similar_unit<'a>(unit: &str, units: &[(&'a str, u64)]) -> Option<&'a str> {
     units.iter().map(|(name, _)| *name).find(|name| {
         name.eq_ignore_ascii_case(unit) || name.replace('i', "").eq_ignore_ascii_case(unit)
--- a/crates/configuration/src/values.rs
+++ b/crates/configuration/src/values.rs
@@ -1,4 +1,4 @@
-//! Typed values of a section, with the table's defaults where it states none.
+//! Typed access to the values of a section, with the table's defaults for directives that are not set.
 
 use crate::check::Section;
 use crate::schema;
@@ -12,9 +12,9 @@
 /// Typed values of a section, from the file or from the table's defaults.
 #[derive(Clone, Copy)]
 pub struct Values<'a> {
-    /// The section; none: defaults alone.
+    /// The section; `None` gives the defaults only.
     pub section: Option<&'a Section>,
-    /// Its entry in the table.
+    /// The table's entry for the section.
     pub spec: &'static schema::Section,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The values of the one section of that keyword; the table's defaults if it is not stated.
+    /// The values of the first section with this keyword; the table's defaults if there is none.
     pub fn of_single(sections: &'a [Section], keyword: &'static str) -> Values<'a> {
         Values {
             section: sections.iter().find(|s| s.spec.keyword == keyword),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The stated value, or the default; none if there is neither.
+    /// The value that is set, or the default; `None` if there is neither.
     pub fn value(&self, keyword: &'static str) -> Option<Value> {
         if let Some(value) = self.section.and_then(|s| s.value(keyword)) {
             return Some(value.clone());
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A span of time.
+    /// A duration.
     pub fn time(&self, keyword: &'static str) -> Option<Duration> {
         match self.value(keyword)? {
             Value::Time(span) => Some(span),
@@ -66,12 +66,12 @@
         }
     }
 
-    /// A count that the table keeps within bounds that fit.
+    /// A whole number or a size, converted to a smaller type; the table's bounds ensure that it fits.
     pub fn bounded_count<N: TryFrom<u64>>(&self, keyword: &'static str) -> Option<N> {
         N::try_from(self.count(keyword)?).ok()
     }
 
-    /// A number; 0 if there is none.
+    /// A decimal number; 0 if there is none.
     pub fn number(&self, keyword: &'static str) -> f64 {
         match self.value(keyword) {
             Some(Value::Number(number)) => number,
@@ -79,13 +79,13 @@
         }
     }
 
-    /// A share as a number.
+    /// A share as a decimal number; 0 if there is none.
     pub fn fraction(&self, keyword: &'static str) -> f64 {
         let share = self.share(keyword);
         f64::from(share.part) / f64::from(share.whole.max(1))
     }
 
-    /// Whether it is said to be so.
+    /// Whether the value is `yes`.
     pub fn is_yes(&self, keyword: &'static str) -> bool {
         self.choice(keyword) == "yes"
     }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// One of a fixed choice; empty if there is none.
+    /// One of a fixed set of words; empty if there is none.
     pub fn choice(&self, keyword: &'static str) -> &'static str {
         match self.value(keyword) {
             Some(Value::Choice(word)) => word,
@@ -130,14 +130,14 @@
         }
     }
 
-    /// What `pick` makes of each value.
+    /// The results of `pick` for the values that are set, without those for which it returns `None`.
     pub fn collect<T>(&self, keyword: &str, pick: impl Fn(&Value) -> Option<T>) -> Vec<T> {
         let values = self.section.map_or(&[][..], |s| s.values(keyword));
         values.iter().filter_map(|(value, _)| pick(value)).collect()
     }
 }
 
-/// The sections of that keyword.
+/// The sections with this keyword.
 pub(crate) fn sections_of<'a>(
     sections: &'a [Section],
     keyword: &'static str,
@@ -159,7 +159,7 @@
         })
 }
 
-/// A value that is a name.
+/// The name, if the value is one.
 pub(crate) fn name_of(value: &Value) -> Option<String> {
     match value {
         Value::Name(name) => Some(name.clone()),
@@ -167,7 +167,7 @@
     }
 }
 
-/// A value that is a range of groups.
+/// The range of groups, if the value is one.
 pub(crate) fn groups_of(value: &Value) -> Option<RangeInclusive<u32>> {
     match value {
         Value::Groups(range) => Some(range.clone()),
@@ -175,7 +175,7 @@
     }
 }
 
-/// A value that is a network.
+/// The network, if the value is one.
 pub(crate) fn network_of(value: &Value) -> Option<IpNet> {
     match value {
         Value::Network(network) => Some(*network),
--- a/crates/configuration/tests/broken.rs
+++ b/crates/configuration/tests/broken.rs
@@ -1,4 +1,4 @@
-//! The corpus of broken files: each gives one message, and the message is kept.
+//! The corpus of invalid files: each file gives exactly one message, which is compared with its snapshot.
 
 use configuration::diagnostic::{json, render};
 use configuration::load::Loader;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The files of the corpus, under names that are the same wherever they lie.
+/// Reads the files of the corpus by their names alone, so that messages do not depend on the directory.
 struct Corpus(PathBuf);
 
 impl Loader for Corpus {
@@ -63,7 +63,7 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// No two faults of the corpus read alike, and every one names its file, line and column.
+/// Every message names its file, line and column.
 #[test]
 fn messages_name_their_place() {
     let corpus = corpus();
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Random configurations and requests, from a seed.
+//! Random configurations and requests, generated from a seed.
 #![allow(dead_code)]
 
 use configuration::calendar::Moment;
@@ -60,7 +60,7 @@
         .join(" ")
 }
 
-/// The lines inside a route.
+/// Random lines of a section `route`.
 pub fn route_lines(rng: &mut StdRng) -> Vec<String> {
     let mut lines = Vec::new();
     if rng.random_bool(0.5) {
@@ -101,7 +101,7 @@
     lines
 }
 
-/// Sections as lists of lines: what opens, what is inside.
+/// Random sections, each as its keyword with name and the lines inside.
 pub fn sections(rng: &mut StdRng, routes: usize) -> Vec<(String, Vec<String>)> {
     let mut all = vec![("calendar".to_owned(), vec!["offset +05:45".to_owned()])];
     for (at, window) in WINDOWS.iter().enumerate() {
@@ -143,7 +143,7 @@
     out
 }
 
-/// The same, written without care: blanks, comments, continued lines, needless quotes.
+/// The same sections with random blanks, comments, continued lines and unnecessary quotes.
 pub fn untidy(rng: &mut StdRng, sections: &[(String, Vec<String>)]) -> String {
     let mut out = String::new();
     let blank = |rng: &mut StdRng| {
@@ -188,7 +188,7 @@
     read(Path::new("x.conf"), &MemoryFiles::from([("x.conf", text)]))
 }
 
-/// All that a configuration means, without its places.
+/// The content of a configuration, without places in the text.
 pub fn meaning(reading: &Reading) -> impl PartialEq + std::fmt::Debug {
     let model = &reading.model;
     let entries: Vec<_> = configuration::model::entries(&reading.sections)
@@ -242,7 +242,7 @@
     if rng.random_bool(0.3) {
         statement = format!("  {}", statement.to_uppercase());
     }
-    // The years round the festival of 2026.
+    // Days from 2026 to 2029, which include those of the windows with a year.
     let at = Moment {
         day: rng.random_range(20_600..21_600),
         second: rng.random_range(0..86_400),
@@ -262,7 +262,7 @@
     }
 }
 
-/// The model's routes compiled, and the names that the index goes by.
+/// The index of the model's routes, and its table of names.
 pub fn compiled(model: &Model) -> (Index, NameTable) {
     let names = NameTable::default().with_routes(&model.routes);
     (Index::new(&model.routes, &model.windows, &names), names)
--- a/crates/configuration/tests/lending.rs
+++ b/crates/configuration/tests/lending.rs
@@ -1,4 +1,4 @@
-//! Credits of a fleet, as far as they are no matter of one broken line.
+//! Sections `lending` and `credit`: values and defaults, references, differences and the check against the platform.
 
 use configuration::diff::diff;
 use configuration::load::MemoryFiles;
@@ -53,7 +53,7 @@
     assert_eq!(
         codes,
         ["unused-window"],
-        "only the window that no credit names"
+        "only the window that no credit uses"
     );
     let seconds = Duration::from_secs;
     let first = Credit {
@@ -87,7 +87,7 @@
     assert_eq!(parsed("").model.quota_lending, None);
 }
 
-/// What can't be read may have held what is missing: one fault, not two.
+/// An invalid line may have set a value that seems to be missing: it is reported as one fault, not two.
 #[test]
 fn a_broken_line_is_one_fault() {
     for (from, to) in [
--- a/crates/configuration/tests/members.rs
+++ b/crates/configuration/tests/members.rs
@@ -1,4 +1,4 @@
-//! The roster of a fleet, as far as it is no matter of one broken line.
+//! Sections `members` and `member`: maximum size of the roster, missing values, differences.
 
 use configuration::diff::diff;
 use configuration::load::MemoryFiles;
@@ -44,7 +44,7 @@
     assert_eq!(parsed("").model.members, None);
 }
 
-/// What can't be read may have held what is missing: one fault, not two.
+/// An invalid line may have set a value that seems to be missing: it is reported as one fault, not two.
 #[test]
 fn a_broken_line_is_one_fault() {
     let whole = fleet(1);
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -1,4 +1,5 @@
-//! The index, the search for unreached routes and the behavioural difference against plain ways to tell the same.
+//! Compares the index, the search for unreached routes and the behavioural difference with linear searches over random
+//! requests.
 
 mod common;
 use common::{compiled, find, parsed, plain, request, rng, sections};
@@ -10,7 +11,7 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// A million requests, over routes few and many.
+/// A million random requests, with small and large numbers of routes.
 #[test]
 fn the_index_finds_what_the_scan_finds() {
     let (mut requests, mut found) = (0, 0);
@@ -36,11 +37,11 @@
     assert_eq!(requests, 1_000_000);
     assert!(
         found > 100_000 && found < 1_000_000,
-        "{found} of them met a route"
+        "{found} of them matched a route"
     );
 }
 
-/// Lists too long for keys are asked, and nothing changes.
+/// Lists that are too long for keys become residual conditions; the result must stay the same.
 #[test]
 fn routes_with_very_long_lists_are_found_too() {
     let many = |what: &str, number: usize| {
@@ -80,10 +81,14 @@
         assert_eq!(find(&index, &names, &example), expected, "{example}");
         met += usize::from(expected == Some(0));
     }
-    assert!(met > 100, "{met} met the long route");
+    assert!(
+        met > 100,
+        "{met} requests matched the route with long lists"
+    );
 }
 
-/// A route is called unreached if and only if no part of it is left, and no request of a million says otherwise.
+/// No random request finds a route that is reported as unreached; each other route is found by an example request from
+/// the part of its region that earlier routes leave.
 #[test]
 fn what_is_called_unreached_is_never_found() {
     let mut unreached = 0;
@@ -121,7 +126,7 @@
                 "seed {seed}: route {at} is found"
             );
             if !met[at] && !hidden.contains(&at) {
-                // It is said to be reached: then some request reaches it.
+                // The route is not reported as unreached: a request from what earlier routes leave must find it.
                 let mut left = vec![region.clone()];
                 for earlier in &regions[..at] {
                     left = configuration::ranges::minus_all(left, earlier);
@@ -129,7 +134,7 @@
                 let example = left
                     .iter()
                     .find_map(|part| space.example(part))
-                    .expect("a part is left");
+                    .expect("earlier routes leave a part");
                 let request = example.request();
                 assert_eq!(
                     find_first(&model.routes, &model.windows, &request),
@@ -139,10 +144,10 @@
             }
         }
     }
-    assert!(unreached > 50, "{unreached} unreached routes were met");
+    assert!(unreached > 50, "{unreached} unreached routes were checked");
 }
 
-/// Edits of every kind: requests fare otherwise exactly where the difference says so, and as it says.
+/// Random edits of every kind: requests are handled differently exactly where the difference reports it, and as reported.
 #[test]
 fn the_difference_is_what_a_sampler_finds() {
     let mut changed = 0;
@@ -188,7 +193,10 @@
                 .filter(|c| c.regions.iter().any(|r| r.contains(&point)))
                 .collect();
             if was == is {
-                assert!(told.is_empty(), "seed {seed}: {example} fares as before");
+                assert!(
+                    told.is_empty(),
+                    "seed {seed}: {example} is handled as before"
+                );
             } else {
                 changed += 1;
                 assert_eq!(told.len(), 1, "seed {seed}: {example}");
@@ -212,7 +220,10 @@
             );
         }
     }
-    assert!(changed > 10_000, "{changed} requests fared otherwise");
+    assert!(
+        changed > 10_000,
+        "{changed} requests were handled differently"
+    );
 }
 
 #[test]
@@ -235,7 +246,7 @@
     insta::assert_snapshot!(difference.to_string());
 }
 
-/// The same routes in a shuffled order are only told apart where they overlap; all routes apart: no difference.
+/// Shuffled routes differ only where they overlap; routes that do not overlap give no difference.
 #[test]
 fn routes_that_are_apart_may_stand_in_any_order() {
     let mut routes: Vec<String> = (0..300)
@@ -253,9 +264,9 @@
     assert!(diff(&old, &parsed(&routes.concat()), None).is_empty());
 }
 
-/// A route states more groups than the index keeps as keys, and so many classes and tenants that its groups are not kept as
-/// keys either. The second rule replaces what the first has put aside by an empty list, so that requests of any
-/// group meet the route. It has to be found for its own groups only.
+/// A route has more groups than the index keeps as keys, and so many classes and tenants that the rule for too many keys
+/// also moves its groups to the residual conditions. Guards against the second rule replacing the residual groups by an
+/// empty list, so that requests of any group match the route.
 #[test]
 fn a_route_of_many_groups_and_very_many_names_keeps_its_groups() {
     let many = |what: &str| -> String { (0..200).map(|n| format!(" {what}{n}")).collect() };
--- a/crates/configuration/tests/text.rs
+++ b/crates/configuration/tests/text.rs
@@ -1,4 +1,4 @@
-//! Properties of the text's side: canonical form, robustness, limits, includes.
+//! Properties of parsing: canonical form, robustness, limits, includes.
 
 mod common;
 use common::{meaning, parsed, plain, rng, sections, untidy};
@@ -85,7 +85,7 @@
     assert_eq!(codes("a.conf", &files), ["include-twice"]);
 }
 
-/// A hundred thousand files, each of which includes the next.
+/// Any number of files, each of which includes the next.
 struct Endless;
 
 impl Loader for Endless {
@@ -166,7 +166,7 @@
     );
 }
 
-/// A 10 MB line is refused without being shown.
+/// A line of 10 MiB is rejected without being printed in full.
 #[test]
 fn a_very_long_line_is_one_short_message() {
     let mut files = MemoryFiles::default();
@@ -184,7 +184,7 @@
     );
 }
 
-/// Texts made to be slow: with work that grew faster than the text, none of them would end in a test's time.
+/// Large texts that trigger slow paths: if the work grew faster than the text, the test would not end in reasonable time.
 #[test]
 fn work_grows_with_the_text_and_no_faster() {
     let lines = 150_000;
@@ -225,7 +225,7 @@
     assert_eq!(format(&text.replace('\n', "\r\n")), format(&text));
 }
 
-/// A variable that doubles itself would ask for any amount of memory.
+/// Each variable repeats the one before twice, so that unlimited expansion would use any amount of memory.
 #[test]
 fn variables_bring_a_bounded_amount() {
     let mut text = "define a0 xxxxxxxxxxxxxxxx\n".to_owned();
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -167,7 +167,7 @@
     assert_eq!(refused(&mut client, 2).as_deref(), Some("1200"));
     // Half of the file is there.
     program.steer("route all {\n refuse 1400ms\n}\nroute more {\n class a");
-    program.line("the section route has no end");
+    program.line("the section route is not closed");
     assert_eq!(refused(&mut client, 3).as_deref(), Some("1200"));
     program.steer("route all {\n refuse 1400ms\n}\nlogging {\n form json\n}\n");
     let line = program.line("the configuration is reread");
@@ -225,20 +225,20 @@
     for (operators, fault) in [
         (
             "limits {\n sockets 700\n}\n",
-            "sockets is 700, but the platform states 600",
+            "sockets is 700, but the platform allows at most 600",
         ),
         (
             "limits {\n memory 64MiB\n}\n",
-            "memory is 64MiB, but the platform states 48MiB",
+            "memory is 64MiB, but the platform allows at most 48MiB",
         ),
         (
             "policy {\n tries 9\n}\n",
-            "tries is 9, but the platform states 8",
+            "tries is 9, but the platform allows at most 8",
         ),
         ("policy {\n come-back-most 3s\n}\n", "come-back-most is 3s"),
         (
             "class any {\n deadline 30s\n}\n",
-            "deadline is 30s, but its clients wait 20s at most",
+            "deadline is 30s, but its clients wait at most 20s",
         ),
         (
             "class anny {\n tries 2\n}\n",
@@ -426,7 +426,7 @@
     ]);
     let text = printed(&explained);
     assert!(
-        text.contains("route r") && text.contains("refused, to come back after 1s"),
+        text.contains("route r") && text.contains("refused, with a Retry-After of 1s"),
         "{text}"
     );
     let wrong = run(&["config", "explain", other.path(), "--request", "klass=any"]);
--- a/crates/proxy-experiments/tests/files.rs
+++ b/crates/proxy-experiments/tests/files.rs
@@ -39,7 +39,7 @@
         ("scenario s {\n load l\n}\nexperiment e {\n scenarios s\n against oracle\n}\n", "does not play"),
         ("experiment e {\n policies module\n}\n", "names no scenario"),
         ("grid g {\n key load.rat\n values 1\n}\nscenario s {\n load l\n}\nexperiment e {\n scenarios s\n grids g\n}\n", "has no directive rat"),
-        ("grid g {\n key load.rate\n values fast\n}\nscenario s {\n load l\n}\nexperiment e {\n scenarios s\n grids g\n}\n", "is no number"),
+        ("grid g {\n key load.rate\n values fast\n}\nscenario s {\n load l\n}\nexperiment e {\n scenarios s\n grids g\n}\n", "is not a number"),
         ("scenario s {\n load l\n}\nexperiment e {\n scenarios s\n seeds 1-900000\n}\n", "more than 100000 seeds"),
     ] {
         let said = faults(&format!("{CLASS}{file}"));
