--- a/crates/configuration/src/calendar/mod.rs
+++ b/crates/configuration/src/calendar/mod.rs
@@ -11,4 +11,4 @@
 
 pub use moment::Moment;
 pub use pieces::TimePieces;
-pub use window::{Almanac, Window, WindowConditions};
+pub use window::{CalendarTable, Window, WindowConditions};
--- a/crates/configuration/src/calendar/pieces.rs
+++ b/crates/configuration/src/calendar/pieces.rs
@@ -8,9 +8,9 @@
 use std::collections::HashMap;
 
 /// Number of days left out at both ends of the calendar: windows lack the hours that cross midnight from days beyond it.
-const EDGE: u32 = 3;
+const EDGE_DAYS: u32 = 3;
 /// 1 January 2026, as days since 1970; examples prefer days from then on.
-const THESE_YEARS: u32 = 20_454;
+const PREFERRED_FROM_DAY: u32 = 20_454;
 /// Time divided into pieces that no window divides further. A piece is a kind of day and a part of the day; days are of
 /// the same kind if they belong to the same windows.
 pub struct TimePieces {
@@ -18,7 +18,7 @@
     cuts: Vec<u32>,
     /// An example of each kind of day.
     days: Vec<u32>,
-    /// The kind of each day from [`EDGE`] on, as a position in `days`.
+    /// The kind of each day from [`EDGE_DAYS`] on, as a position in `days`.
     kind_of_day: Vec<u32>,
 }
 
@@ -78,7 +78,7 @@
 
     /// The piece that contains a moment.
     pub fn of_moment(&self, at: Moment) -> u128 {
-        let day = at.day.saturating_sub(EDGE) as usize;
+        let day = at.day.saturating_sub(EDGE_DAYS) as usize;
         let kind = self.kind_of_day.get(day).copied().unwrap_or(0);
         let part = self
             .cuts
@@ -90,7 +90,7 @@
     /// A moment in a set of pieces: noon on 1 January 2026 if the set contains it.
     pub fn example(&self, set: &Ranges) -> Option<Moment> {
         let noon = Moment {
-            day: THESE_YEARS,
+            day: PREFERRED_FROM_DAY,
             second: SECONDS_PER_DAY / 2,
         };
         if set.contains(self.of_moment(noon)) {
@@ -128,7 +128,7 @@
 }
 
 /// Groups days into kinds: days are of the same kind if they are in the same sets. Returns an example of each kind, and
-/// the kind of each day from [`EDGE`] on.
+/// the kind of each day from [`EDGE_DAYS`] on.
 fn kinds_of_day(sets: &[&Days]) -> (Vec<u32>, Vec<u32>) {
     // There are rarely more than 64 sets; the key of up to 64 is one word, which needs no allocation.
     let mut kinds_of_word: HashMap<u64, u32> = HashMap::new();
@@ -136,7 +136,7 @@
     let mut days: Vec<u32> = Vec::new();
     let mut kind_of_day = Vec::with_capacity(DAYS);
     let mut key = vec![0_u64; sets.len().div_ceil(64)];
-    for day in EDGE..DAYS as u32 - EDGE {
+    for day in EDGE_DAYS..DAYS as u32 - EDGE_DAYS {
         key.fill(0);
         for (at, set) in sets.iter().enumerate() {
             key[at / 64] |= u64::from(set.contains(day)) << (at % 64);
@@ -149,7 +149,7 @@
         match days.get_mut(kind as usize) {
             None => days.push(day),
             // Prefers an example from 2026 on if the kind has one.
-            Some(known) if *known < THESE_YEARS && day >= THESE_YEARS => *known = day,
+            Some(known) if *known < PREFERRED_FROM_DAY && day >= PREFERRED_FROM_DAY => *known = day,
             Some(_) => {}
         }
         kind_of_day.push(kind);
--- a/crates/configuration/src/calendar/tests.rs
+++ b/crates/configuration/src/calendar/tests.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_window_over_midnight_belongs_to_the_day_on_which_it_begins() {
-    let almanac = Almanac::default();
+    let calendar = CalendarTable::default();
     // 2026-10-17 is a Saturday.
     let stated = WindowConditions {
         dates: vec![Dates::Once(
@@ -37,26 +37,26 @@
             to: 2 * 3_600,
         }],
     };
-    let window = almanac.window(&stated, 0);
+    let window = calendar.window(&stated, 0);
     assert!(
         !window.contains(at("2026-10-17T01:00")) && !window.contains(at("2026-10-17T21:59:59"))
     );
     assert!(window.contains(at("2026-10-17T22:00")) && window.contains(at("2026-10-18T01:59:59")));
     assert!(!window.contains(at("2026-10-18T02:00")) && !window.contains(at("2026-10-18T22:00")));
     // The same in Kathmandu begins at 16:15 of UTC.
-    let window = almanac.window(&stated, 20_700);
+    let window = calendar.window(&stated, 20_700);
     assert!(!window.contains(at("2026-10-17T16:14:59")) && window.contains(at("2026-10-17T16:15")));
     assert!(window.contains(at("2026-10-17T20:14:59")) && !window.contains(at("2026-10-17T20:15")));
 }
 
 #[test]
 fn a_yearly_window_runs_over_the_change_of_year() {
-    let almanac = Almanac::default();
+    let calendar = CalendarTable::default();
     let stated = WindowConditions {
         dates: vec![Dates::Yearly((12, 30), (1, 2))],
         ..WindowConditions::default()
     };
-    let window = almanac.window(&stated, 0);
+    let window = calendar.window(&stated, 0);
     for (text, held) in [
         ("2026-12-29T23:59:59", false),
         ("2026-12-30T00:00", true),
@@ -69,26 +69,26 @@
 }
 
 #[test]
-fn a_date_on_a_weekday_that_it_has_not_never_occurs() {
-    let almanac = Almanac::default();
+fn a_date_that_does_not_fall_on_the_weekday_never_occurs() {
+    let calendar = CalendarTable::default();
     let date = Date::constant(2026, 10, 17);
     let stated = WindowConditions {
         dates: vec![Dates::Once(date, date)],
         weekdays: 1,
         ..WindowConditions::default()
     };
-    assert!(almanac.window(&stated, 0).never_occurs());
+    assert!(calendar.window(&stated, 0).never_occurs());
     let leap = WindowConditions {
         dates: vec![Dates::Yearly((2, 29), (2, 29))],
         ..WindowConditions::default()
     };
-    let window = almanac.window(&leap, 0);
+    let window = calendar.window(&leap, 0);
     assert!(window.contains(at("2028-02-29T00:00")) && !window.contains(at("2027-03-01T00:00")));
 }
 
 #[test]
-fn pieces_tell_every_moment_from_those_that_windows_see_otherwise() {
-    let almanac = Almanac::default();
+fn every_window_contains_all_or_none_of_a_piece() {
+    let calendar = CalendarTable::default();
     let windows: Vec<Window> = [
         WindowConditions {
             weekdays: 0b110_0000,
@@ -111,7 +111,7 @@
         },
     ]
     .iter()
-    .map(|stated| almanac.window(stated, 20_700))
+    .map(|stated| calendar.window(stated, 20_700))
     .collect();
     let pieces = TimePieces::of(windows.iter());
     let sets: Vec<Ranges> = windows.iter().map(|w| pieces.of_window(w)).collect();
--- a/crates/configuration/src/calendar/window.rs
+++ b/crates/configuration/src/calendar/window.rs
@@ -33,13 +33,13 @@
 }
 
 /// Month, day of the month and weekday (Monday is 0) of every day of the calendar.
-pub struct Almanac(Vec<(i8, i8, u8)>);
+pub struct CalendarTable(Vec<(i8, i8, u8)>);
 
-impl Default for Almanac {
-    fn default() -> Almanac {
+impl Default for CalendarTable {
+    fn default() -> CalendarTable {
         let first = Date::constant(YEAR_RANGE.0, 1, 1);
         let days = first.series(jiff::Span::new().days(1)).take(DAYS);
-        Almanac(
+        CalendarTable(
             days.map(|d| {
                 (
                     d.month(),
@@ -52,11 +52,11 @@
     }
 }
 
-impl Almanac {
+impl CalendarTable {
     /// The shared table, created with the first window; it takes 140 KiB.
-    pub fn shared() -> &'static Almanac {
-        static SHARED: OnceLock<Almanac> = OnceLock::new();
-        SHARED.get_or_init(Almanac::default)
+    pub fn shared() -> &'static CalendarTable {
+        static SHARED: OnceLock<CalendarTable> = OnceLock::new();
+        SHARED.get_or_init(CalendarTable::default)
     }
 
     /// Compiles conditions in local time at an offset from UTC in seconds.
--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -96,11 +96,11 @@
 }
 
 fn repeated_section(spec: &schema::Section, name: &str, span: Span, first: Span) -> Diagnostic {
-    let what = match name {
+    let title = match name {
         "" => spec.keyword.to_owned(),
         _ => format!("{} {name}", spec.keyword),
     };
-    let message = format!("the section {what} is defined a second time");
+    let message = format!("the section {title} is defined a second time");
     Diagnostic::error("section-twice", span, message)
         .label("defined again here")
         .related(first, "first defined here")
--- a/crates/configuration/src/diff/mod.rs
+++ b/crates/configuration/src/diff/mod.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Section and directive of the value.
-    pub what: String,
+    pub setting: String,
     /// The old value; `None` if it was not set.
     pub old: Option<String>,
     /// The new value; `None` if it is not set.
     pub new: Option<String>,
     /// Whether the new value is `tighter` or `looser`, if that can be determined.
-    pub sense: Option<&'static str>,
+    pub strictness: Option<&'static str>,
 }
 
 /// Requests that are handled differently.
@@ -111,9 +111,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let value = |value: &Option<String>| value.clone().unwrap_or_else(|| "not set".into());
         let (old, new) = (value(&self.old), value(&self.new));
-        write!(f, "{}: {old} -> {new}", self.what)?;
-        match self.sense {
-            Some(sense) => write!(f, " ({sense})"),
+        write!(f, "{}: {old} -> {new}", self.setting)?;
+        match self.strictness {
+            Some(strictness) => write!(f, " ({strictness})"),
             None => Ok(()),
         }
     }
--- a/crates/configuration/src/diff/routes.rs
+++ b/crates/configuration/src/diff/routes.rs
@@ -20,13 +20,13 @@
     let suspects = suspects(&old, &new);
     let (mut incomplete, mut parts) = (false, 0);
     for (at, suspect) in suspects.iter().enumerate() {
-        let fresh = without_earlier(suspect, &suspects[..at]);
-        parts += fresh.len();
+        let uncompared = without_earlier(suspect, &suspects[..at]);
+        parts += uncompared.len();
         if parts > MAX_PARTS {
             incomplete = true;
             break;
         }
-        for (part, was) in split_by_route(fresh, &old, &unrouted) {
+        for (part, was) in split_by_route(uncompared, &old, &unrouted) {
             for (part, is) in split_by_route(vec![part], &new, &unrouted) {
                 parts += 1;
                 if was != is {
@@ -97,7 +97,7 @@
 fn without_earlier(suspect: &Region, earlier: &[Region]) -> Vec<Region> {
     let mut left = vec![suspect.clone()];
     for earlier in earlier {
-        if left.iter().any(|part| part.meets(earlier)) {
+        if left.iter().any(|part| part.intersects(earlier)) {
             left = minus_all(left, earlier);
         }
     }
@@ -147,7 +147,7 @@
         if left.is_empty() {
             break;
         }
-        if !left.iter().any(|part| part.meets(region)) {
+        if !left.iter().any(|part| part.intersects(region)) {
             continue;
         }
         out.extend(
--- a/crates/configuration/src/diff/settings.rs
+++ b/crates/configuration/src/diff/settings.rs
@@ -31,12 +31,12 @@
         .filter(|key| before.get(key) != after.get(key))
         .map(|key| {
             let (old, new) = (before.get(key).cloned(), after.get(key).cloned());
-            let sense = sense(&key.0, key.1, old.as_deref(), new.as_deref());
+            let strictness = strictness(&key.0, key.1, old.as_deref(), new.as_deref());
             Change {
-                what: format!("{} {}", key.0, key.1),
+                setting: format!("{} {}", key.0, key.1),
                 old,
                 new,
-                sense,
+                strictness,
             }
         })
         .collect()
@@ -108,21 +108,21 @@
 /// Directives whose higher values leave less to clients.
 const MORE_IS_TIGHTER: [&str; 2] = ["answer-margin", "reserve"];
 /// Directives whose values are neither tighter nor looser than one another.
-const WITHOUT_SENSE: [&str; 3] = ["address", "level", "form"];
+const WITHOUT_STRICTNESS: [&str; 3] = ["address", "level", "form"];
 /// Sections whose values are neither tighter nor looser for clients' requests.
-const SECTIONS_WITHOUT_SENSE: [&str; 8] = [
+const SECTIONS_WITHOUT_STRICTNESS: [&str; 8] = [
     "members", "member", "rollout", "memory", "lending", "credit", "window", "sites",
 ];
 
 /// Whether the new value is tighter or looser; `None` if neither can be determined.
-fn sense(
+fn strictness(
     section: &str,
     directive: &str,
     old: Option<&str>,
     new: Option<&str>,
 ) -> Option<&'static str> {
     let keyword = section.split(' ').next()?;
-    if WITHOUT_SENSE.contains(&directive) || SECTIONS_WITHOUT_SENSE.contains(&keyword) {
+    if WITHOUT_STRICTNESS.contains(&directive) || SECTIONS_WITHOUT_STRICTNESS.contains(&keyword) {
         return None;
     }
     let order = match (old, new) {
--- a/crates/configuration/src/explain.rs
+++ b/crates/configuration/src/explain.rs
@@ -27,19 +27,19 @@
 }
 
 /// Maximum number of routes listed one by one; of a longer list only the last ones are.
-const SHOWN: usize = 200;
+const STEPS_SHOWN: usize = 200;
 
 /// The steps as text, printed by `config explain`.
 pub fn text(model: &Model, sources: &Sources, request: &Request<'_>) -> String {
     let steps = steps(model, request);
     let mut out = String::new();
-    if steps.len() > SHOWN {
+    if steps.len() > STEPS_SHOWN {
         out.push_str(&format!(
             "{} earlier routes do not hold\n",
-            steps.len() - SHOWN
+            steps.len() - STEPS_SHOWN
         ));
     }
-    for step in &steps[steps.len().saturating_sub(SHOWN)..] {
+    for step in &steps[steps.len().saturating_sub(STEPS_SHOWN)..] {
         let route = &model.routes[step.route];
         let place = sources.place(route.span);
         let word = match step.fails {
--- a/crates/configuration/src/format.rs
+++ b/crates/configuration/src/format.rs
@@ -7,7 +7,7 @@
 const INDENT: &str = "    ";
 /// Maximum depth of the indentation. Sections don't nest, but the lines of an invalid file may look as if they did, and
 /// their indentation would become longer than the text.
-const DEEPEST: usize = 4;
+const MAX_INDENT_DEPTH: usize = 4;
 
 /// The canonical form of a text; `None` if the text has syntax faults, since a text that can't be parsed must not be
 /// rewritten.
@@ -23,24 +23,24 @@
     };
     let mut out = String::with_capacity(text.len());
     let mut depth = 0_usize;
-    let mut fresh = true;
+    let mut at_section_start = true;
     for line in &syntax.lines {
         if let Entry::Close(_) = line.entry {
             depth = depth.saturating_sub(1);
         }
-        if line.apart && !fresh && !matches!(line.entry, Entry::Close(_)) {
+        if line.after_blank_line && !at_section_start && !matches!(line.entry, Entry::Close(_)) {
             out.push('\n');
         }
-        let indent = INDENT.repeat(depth.min(DEEPEST));
+        let indent = INDENT.repeat(depth.min(MAX_INDENT_DEPTH));
         out.push_str(&indent);
-        fresh = false;
+        at_section_start = false;
         match &line.entry {
-            Entry::Directive(all) => words(&mut out, text, all, &indent),
+            Entry::Directive(all) => write_words(&mut out, text, all, &indent),
             Entry::Open(all, _) => {
-                words(&mut out, text, all, &indent);
+                write_words(&mut out, text, all, &indent);
                 out.push_str(" {");
                 depth += 1;
-                fresh = true;
+                at_section_start = true;
             }
             Entry::Close(_) => out.push('}'),
             Entry::Comment => {}
@@ -56,7 +56,7 @@
     Some(out)
 }
 
-fn words(out: &mut String, text: &str, words: &[Word], indent: &str) {
+fn write_words(out: &mut String, text: &str, words: &[Word], indent: &str) {
     for (at, word) in words.iter().enumerate() {
         if word.continued && at > 0 {
             out.push_str(" \\\n");
@@ -70,14 +70,14 @@
             .get(1..written.len().saturating_sub(1))
             .unwrap_or_default();
         match word.quote {
-            Quote::Double | Quote::Single if plain(inside) => out.push_str(inside),
+            Quote::Double | Quote::Single if needs_no_quotes(inside) => out.push_str(inside),
             _ => out.push_str(written),
         }
     }
 }
 
 /// Whether a quoted text means the same without quotes.
-fn plain(text: &str) -> bool {
+fn needs_no_quotes(text: &str) -> bool {
     let safe = |c: char| c.is_ascii_alphanumeric() || "-_.:/%*+,=@?".contains(c);
     !text.is_empty() && text.chars().all(safe)
 }
--- a/crates/configuration/src/index/mod.rs
+++ b/crates/configuration/src/index/mod.rs
@@ -16,7 +16,7 @@
 use crate::calendar::{Moment, Window};
 use crate::route::{self, Conditions, Route};
 use network_trie::NetworkTrie;
-use residual::{divide, KeyedLists, Numbers, ResidualConditions};
+use residual::{divide, KeyedLists, NameNumbers, ResidualConditions};
 use rustc_hash::FxHashMap;
 use statement_trie::{StatementTrie, MAX_PREFIXES};
 use std::net::IpAddr;
@@ -26,7 +26,7 @@
 const ANY: u32 = u32::MAX;
 /// In place of a list's length: the key has a single route without residual conditions, and the start of the list is its
 /// position.
-const SOLE: u32 = u32::MAX;
+const SINGLE_ROUTE: u32 = u32::MAX;
 /// The number of the empty prefix, which matches every statement.
 const ANY_STATEMENT: u32 = 0;
 
@@ -63,9 +63,9 @@
     statements: StatementTrie,
     /// Summaries by network and prefix of statements. Those of routes without a statement are in the network's node.
     summaries: FxHashMap<(u32, u32), Summary>,
-    /// The routes of each key: the start of their list in `lists` and its length; or, with the length [`SOLE`], the
+    /// The routes of each key: the start of their list in `lists` and its length; or, with the length [`SINGLE_ROUTE`], the
     /// position of the only route.
-    cells: FxHashMap<Key, (u32, u32)>,
+    routes_by_key: FxHashMap<Key, (u32, u32)>,
     lists: Vec<u32>,
     /// Residual conditions of each route; `None`: its keys alone decide.
     residuals: Vec<Option<Box<ResidualConditions>>>,
@@ -73,27 +73,27 @@
 }
 
 /// The routes of each key, while the index is built.
-type Cells = FxHashMap<Key, Vec<u32>>;
+type RoutesByKey = FxHashMap<Key, Vec<u32>>;
 
 impl Index {
     /// Compiles the routes. Names that are not in `names` are left out, since no request has them.
     pub fn new(routes: &[Route], windows: &[Window], names: &NameTable) -> Index {
-        let numbers = Numbers::new(names);
+        let numbers = NameNumbers::new(names);
         let mut index = Index {
             windows: windows.to_vec(),
             ..Index::default()
         };
         // The first inserted prefix gets the number ANY_STATEMENT.
         index.statements.insert(b"");
-        let mut cells = Cells::default();
+        let mut routes_by_key = RoutesByKey::default();
         for (at, route) in (0_u32..).zip(routes) {
             let (keyed, residual) = divide(&route.conditions, &numbers);
             let residual = (!residual.is_empty()).then(|| Box::new(residual));
             index.residuals.push(residual);
-            index.add_route(at, &route.conditions, keyed, &mut cells);
+            index.add_route(at, &route.conditions, keyed, &mut routes_by_key);
         }
-        index.pack(cells);
-        index.networks.seal();
+        index.pack(routes_by_key);
+        index.networks.link_parents();
         index
     }
 
@@ -102,7 +102,7 @@
         at: u32,
         conditions: &Conditions,
         keyed: KeyedLists<'_>,
-        cells: &mut Cells,
+        routes_by_key: &mut RoutesByKey,
     ) {
         let networks = self.number_networks(conditions);
         let statements = self.number_statements(&keyed.statements);
@@ -122,7 +122,7 @@
                                 tenant,
                                 group,
                             };
-                            self.append(cells.entry(key).or_default(), at);
+                            self.append(routes_by_key.entry(key).or_default(), at);
                         }
                     }
                 }
@@ -176,17 +176,17 @@
         matches!(self.residuals.get(at as usize), Some(None))
     }
 
-    fn pack(&mut self, cells: Cells) {
-        self.cells.reserve(cells.len());
-        for (key, list) in cells {
+    fn pack(&mut self, routes_by_key: RoutesByKey) {
+        self.routes_by_key.reserve(routes_by_key.len());
+        for (key, list) in routes_by_key {
             if let [one] = list[..] {
                 if self.is_decided_by_keys(one) {
-                    self.cells.insert(key, (one, SOLE));
+                    self.routes_by_key.insert(key, (one, SINGLE_ROUTE));
                     continue;
                 }
             }
             let start = self.lists.len() as u32;
-            self.cells.insert(key, (start, list.len() as u32));
+            self.routes_by_key.insert(key, (start, list.len() as u32));
             self.lists.extend(list);
         }
     }
@@ -238,10 +238,10 @@
                 tenant: or_any(TENANT, request.tenant),
                 group: or_any(GROUP, request.group),
             };
-            let Some(&(start, length)) = self.cells.get(&key) else {
+            let Some(&(start, length)) = self.routes_by_key.get(&key) else {
                 continue;
             };
-            if length == SOLE {
+            if length == SINGLE_ROUTE {
                 best = best.min(start);
                 continue;
             }
@@ -264,7 +264,7 @@
 
     /// Approximate size in bytes.
     pub fn size(&self) -> usize {
-        self.cells.capacity() * size_of::<(Key, (u32, u32))>()
+        self.routes_by_key.capacity() * size_of::<(Key, (u32, u32))>()
             + self.summaries.capacity() * size_of::<((u32, u32), Summary)>()
             + self.networks.size()
             + self.statements.size()
--- a/crates/configuration/src/index/network_trie.rs
+++ b/crates/configuration/src/index/network_trie.rs
@@ -101,7 +101,7 @@
     }
 
     /// Links each prefix to the one that contains it. Must be called after the last insertion and before the first search.
-    pub fn seal(&mut self) {
+    pub fn link_parents(&mut self) {
         let mut open = vec![0_u32];
         while let Some(at) = open.pop() {
             let node = self.nodes[at as usize];
--- a/crates/configuration/src/index/residual.rs
+++ b/crates/configuration/src/index/residual.rs
@@ -66,15 +66,15 @@
 }
 
 /// Numbers of classes and tenants by name.
-pub(super) struct Numbers {
+pub(super) struct NameNumbers {
     classes: HashMap<String, u32>,
     tenants: HashMap<String, u32>,
 }
 
-impl Numbers {
-    pub fn new(names: &NameTable) -> Numbers {
+impl NameNumbers {
+    pub fn new(names: &NameTable) -> NameNumbers {
         let number = |names: &[String]| names.iter().cloned().zip(0..).collect();
-        Numbers {
+        NameNumbers {
             classes: number(&names.classes),
             tenants: number(&names.tenants),
         }
@@ -93,7 +93,7 @@
 /// order of the number of keys that they usually give: groups, then statements, tenants and classes.
 pub(super) fn divide<'r>(
     conditions: &'r Conditions,
-    numbers: &Numbers,
+    numbers: &NameNumbers,
 ) -> (KeyedLists<'r>, ResidualConditions) {
     let mut keyed = KeyedLists {
         classes: number_all(&numbers.classes, &conditions.classes),
--- a/crates/configuration/src/load/file.rs
+++ b/crates/configuration/src/load/file.rs
@@ -16,16 +16,16 @@
         let name = path.display().to_string();
         let identity = match self.loader.identity(path) {
             Ok(identity) => identity,
-            Err(problem) => return self.fail_unreadable(&name, from, &problem),
+            Err(problem) => return self.report_unreadable(&name, from, &problem),
         };
-        if self.fail_repeated(&name, &identity, from) || self.fail_too_many(&name, from) {
+        if self.report_repeated(&name, &identity, from) || self.report_too_many(&name, from) {
             return;
         }
         let bytes = match self.loader.read(path) {
             Ok(bytes) => bytes,
-            Err(problem) => return self.fail_unreadable(&name, from, &problem),
+            Err(problem) => return self.report_unreadable(&name, from, &problem),
         };
-        self.seen.insert(identity.clone(), from);
+        self.first_includes.insert(identity.clone(), from);
         let Some(file) = self.text(&name, bytes) else {
             return;
         };
@@ -39,14 +39,14 @@
         from.unwrap_or_else(|| Span::new(self.sources.add(name.to_owned(), String::new()), 0..0))
     }
 
-    fn fail_unreadable(&mut self, name: &str, from: Option<Span>, problem: &str) {
+    fn report_unreadable(&mut self, name: &str, from: Option<Span>, problem: &str) {
         let at = self.place_of(name, from);
         let message = format!("cannot read {name}: {problem}");
-        self.fail(Diagnostic::error("unreadable-file", at, message).label("file named here"));
+        self.report(Diagnostic::error("unreadable-file", at, message).label("file named here"));
     }
 
     /// Reports a file that is being read or was read already. Returns whether it was.
-    fn fail_repeated(&mut self, name: &str, identity: &PathBuf, from: Option<Span>) -> bool {
+    fn report_repeated(&mut self, name: &str, identity: &PathBuf, from: Option<Span>) -> bool {
         if let Some(first) = self.stack.iter().position(|open| open == identity) {
             let chain: Vec<String> = self.stack[first..]
                 .iter()
@@ -57,10 +57,10 @@
             let fault = Diagnostic::error("include-loop", at, format!("{name} includes itself"))
                 .label("this include closes the cycle")
                 .help(format!("the include cycle is {}", chain.join(" -> ")));
-            self.fail(fault);
+            self.report(fault);
             return true;
         }
-        let Some(first) = self.seen.get(identity).copied() else {
+        let Some(first) = self.first_includes.get(identity).copied() else {
             return false;
         };
         let at = self.place_of(name, from);
@@ -70,21 +70,21 @@
         if let Some(first) = first {
             fault = fault.related(first, "first included here");
         }
-        self.fail(fault);
+        self.report(fault);
         true
     }
 
     /// Reports an include beyond the limits of depth or number. Returns whether it was.
-    fn fail_too_many(&mut self, name: &str, from: Option<Span>) -> bool {
+    fn report_too_many(&mut self, name: &str, from: Option<Span>) -> bool {
         let message = if self.stack.len() >= DEPTH_LIMIT {
             format!("includes are nested more than {DEPTH_LIMIT} levels deep")
-        } else if self.seen.len() >= FILES_LIMIT {
+        } else if self.first_includes.len() >= FILES_LIMIT {
             format!("the configuration has more than {FILES_LIMIT} files")
         } else {
             return false;
         };
         let at = self.place_of(name, from);
-        self.fail(Diagnostic::error("include-depth", at, message).label("limit exceeded here"));
+        self.report(Diagnostic::error("include-depth", at, message).label("limit exceeded here"));
         true
     }
 
@@ -95,7 +95,7 @@
             let length = bytes.len();
             let message = format!("{name} has {length} bytes; the maximum is {FILE_LIMIT}");
             let span = Span::new(file, 0..0);
-            self.fail(Diagnostic::error("large-file", span, message));
+            self.report(Diagnostic::error("large-file", span, message));
             return None;
         }
         if let Some(range) = syntax::find_long_line(&bytes) {
@@ -107,25 +107,27 @@
             let (length, limit) = (range.len(), syntax::LINE_LIMIT);
             let message = format!("a line has {length} bytes; the maximum is {limit}");
             let span = Span::new(file, range.start.min(end)..end);
-            self.fail(Diagnostic::error("long-line", span, message).label("the line begins here"));
+            self.report(
+                Diagnostic::error("long-line", span, message).label("the line begins here"),
+            );
             return None;
         }
         match String::from_utf8(bytes) {
             Ok(text) => Some(self.sources.add(name.to_owned(), text)),
             Err(error) => {
-                self.fail_not_text(name, &error);
+                self.report_not_text(name, &error);
                 None
             }
         }
     }
 
-    fn fail_not_text(&mut self, name: &str, error: &std::string::FromUtf8Error) {
+    fn report_not_text(&mut self, name: &str, error: &std::string::FromUtf8Error) {
         let at = error.utf8_error().valid_up_to();
         let byte = error.as_bytes()[at];
         let shown = String::from_utf8_lossy(error.as_bytes()).into_owned();
         let file = self.sources.add(name.to_owned(), shown);
         let span = Span::new(file, at..at + char::REPLACEMENT_CHARACTER.len_utf8());
         let message = format!("the byte 0x{byte:02x} is not valid UTF-8 text");
-        self.fail(Diagnostic::error("not-utf8", span, message).label("invalid byte"));
+        self.report(Diagnostic::error("not-utf8", span, message).label("invalid byte"));
     }
 }
--- a/crates/configuration/src/load/include.rs
+++ b/crates/configuration/src/load/include.rs
@@ -18,7 +18,7 @@
                 directive.span(),
                 "include takes exactly one file name or pattern",
             );
-            return self.fail(fault.label(format!("{} are given", directive.args.len())));
+            return self.report(fault.label(format!("{} are given", directive.args.len())));
         };
         let folder = path.parent().unwrap_or(Path::new(""));
         let full_path = folder.join(&target.text);
@@ -32,7 +32,7 @@
     fn include_pattern(&mut self, target: &Argument, full_path: &Path) {
         let (parent, pattern) = match split_pattern(target, full_path) {
             Ok(parts) => parts,
-            Err(fault) => return self.fail(*fault),
+            Err(fault) => return self.report(*fault),
         };
         let mut names = match self.loader.names(&parent) {
             Ok(names) => names,
@@ -43,7 +43,7 @@
                     target.span,
                     format!("cannot read the directory {shown}: {problem}"),
                 );
-                return self.fail(fault.label("directory named here"));
+                return self.report(fault.label("directory named here"));
             }
         };
         names.retain(|name| pattern.matches(name) && !name.starts_with('.'));
--- a/crates/configuration/src/load/mod.rs
+++ b/crates/configuration/src/load/mod.rs
@@ -35,7 +35,7 @@
     document: Document,
     defines: BTreeMap<String, Define>,
     /// For each file that was read, by its identity: the place of its first include; `None` for the main file.
-    seen: HashMap<PathBuf, Option<Span>>,
+    first_includes: HashMap<PathBuf, Option<Span>>,
     /// Identities of the files that are being read, each included by the one before it.
     stack: Vec<PathBuf>,
     /// Number of bytes to which variables have expanded so far.
@@ -58,7 +58,7 @@
         faults,
         document: Document::default(),
         defines: BTreeMap::new(),
-        seen: HashMap::new(),
+        first_includes: HashMap::new(),
         stack: Vec::new(),
         expanded: 0,
     };
@@ -71,7 +71,7 @@
 }
 
 impl Loading<'_> {
-    fn fail(&mut self, fault: Diagnostic) {
+    fn report(&mut self, fault: Diagnostic) {
         self.document.partial = true;
         self.faults.push(fault);
     }
--- a/crates/configuration/src/load/sections.rs
+++ b/crates/configuration/src/load/sections.rs
@@ -52,7 +52,7 @@
                 let fault = Diagnostic::error("nested-section", at, "sections cannot be nested")
                     .label("a section begins inside another one")
                     .related(outer.keyword.span, "this section is still open");
-                self.fail(fault);
+                self.report(fault);
             }
             return;
         }
@@ -82,7 +82,7 @@
             Some(section) => self.document.sections.push(section),
             None => {
                 let fault = Diagnostic::error("stray-brace", span, "unexpected closing brace");
-                self.fail(fault.label("no section is open here"));
+                self.report(fault.label("no section is open here"));
             }
         }
     }
@@ -96,7 +96,7 @@
         let message = format!("the section {} is not closed", keyword.text);
         let fault =
             Diagnostic::error("open-section", keyword.span, message).label("section begins here");
-        self.fail(fault.help("add a line with a closing brace at its end"));
+        self.report(fault.help("add a line with a closing brace at its end"));
         self.document.sections.push(section);
     }
 
@@ -119,7 +119,7 @@
             let fault = Diagnostic::error("misplaced-directive", words[0].span, message)
                 .label("move this outside of all sections")
                 .related(section.keyword.span, "this section is open");
-            return self.fail(fault);
+            return self.report(fault);
         }
         let Some(mut args) = self.expand(words, text).filter(|args| !args.is_empty()) else {
             if let Some(section) = open {
@@ -132,12 +132,12 @@
         match open {
             Some(section) => section.directives.push(directive),
             None if directive.keyword.text == "include" => self.include(&directive, path),
-            None => self.fail_outside(&directive.keyword),
+            None => self.report_outside(&directive.keyword),
         }
     }
 
     /// Reports a directive outside of all sections that is neither define nor include.
-    fn fail_outside(&mut self, keyword: &Argument) {
+    fn report_outside(&mut self, keyword: &Argument) {
         let known = self.table.iter().map(|s| s.keyword);
         let hint = if let Some(name) = known.clone().find(|k| *k == keyword.text) {
             format!("the first line of a section ends with an opening brace: {name} NAME {{")
@@ -148,6 +148,6 @@
         };
         let message = format!("{:?} is not allowed outside of a section", keyword.text);
         let fault = Diagnostic::error("outside-section", keyword.span, message);
-        self.fail(fault.label("not allowed here").help(hint));
+        self.report(fault.label("not allowed here").help(hint));
     }
 }
--- a/crates/configuration/src/load/variables.rs
+++ b/crates/configuration/src/load/variables.rs
@@ -19,7 +19,7 @@
     pub(super) fn define(&mut self, words: &[Word], text: &str) {
         let (name, place, values) = match self.check_define(words, text) {
             Ok(parts) => parts,
-            Err(fault) => return self.fail(*fault),
+            Err(fault) => return self.report(*fault),
         };
         // A variable with an invalid value is defined nevertheless, so that its uses are not reported as well.
         let values = self.expand(values, text).unwrap_or_default();
@@ -142,7 +142,7 @@
                     span,
                     format!("unknown escape sequence \\{next}"),
                 );
-                self.fail(
+                self.report(
                     fault
                         .label("in this quoted text")
                         .help(r#"the known escape sequences are \n \t \" \\ and \$"#),
@@ -160,7 +160,7 @@
                 span,
                 "the character $ is not followed by the name of a variable",
             );
-            self.fail(
+            self.report(
                 fault
                     .label("in this word")
                     .help("to write the character $ itself, use \\$ inside double quotes"),
@@ -177,7 +177,7 @@
         );
         let fault = Diagnostic::error("variable-form", span, message);
         let defined = self.defines[name].span;
-        self.fail(
+        self.report(
             fault
                 .label("used here as part of a word")
                 .related(defined, "defined here"),
@@ -187,7 +187,7 @@
 
     fn variable(&mut self, name: &str, span: Span) -> Option<Vec<String>> {
         let Some(define) = self.defines.get_mut(name) else {
-            self.fail_unknown(name, span);
+            self.report_unknown(name, span);
             return None;
         };
         define.used = true;
@@ -200,19 +200,19 @@
         // Reported only once, at the use that crosses the limit.
         if self.expanded - EXPANDED_LIMIT <= bytes {
             let message = format!("variables expand to more than {EXPANDED_LIMIT} bytes in total");
-            self.fail(Diagnostic::error("expansion", span, message).label("limit exceeded here"));
+            self.report(Diagnostic::error("expansion", span, message).label("limit exceeded here"));
         }
         None
     }
 
-    fn fail_unknown(&mut self, name: &str, span: Span) {
+    fn report_unknown(&mut self, name: &str, span: Span) {
         let hint = match nearest(name, self.defines.keys().map(String::as_str)) {
             Some(other) => format!("did you mean ${other}?"),
             None => "define the variable before the line that uses it".into(),
         };
         let message = format!("the variable {name} is not defined");
         let fault = Diagnostic::error("unknown-variable", span, message).label("used here");
-        self.fail(fault.help(hint));
+        self.report(fault.help(hint));
     }
 }
 
--- a/crates/configuration/src/model/lending.rs
+++ b/crates/configuration/src/model/lending.rs
@@ -112,7 +112,7 @@
     if step * EXCHANGES_OF_LEASE <= lease {
         return;
     }
-    let Some(at) = either(section, ["step", "lease"]) else {
+    let Some(at) = first_set(section, ["step", "lease"]) else {
         return;
     };
     let message = format!(
@@ -136,7 +136,7 @@
 }
 
 /// The first of two settings that is set; `None` if the section has invalid lines.
-fn either<'a>(section: &'a Section, keywords: [&str; 2]) -> Option<&'a Setting> {
+fn first_set<'a>(section: &'a Section, keywords: [&str; 2]) -> Option<&'a Setting> {
     keywords
         .into_iter()
         .find_map(|keyword| section.setting(keyword))
@@ -156,7 +156,7 @@
     if credit.partial || lending.partial || term + write_off <= longest {
         return;
     }
-    let at = either(credit, ["term", "write-off"]).map_or(credit.span, |setting| setting.span);
+    let at = first_set(credit, ["term", "write-off"]).map_or(credit.span, |setting| setting.span);
     let (all, most) = (format_time(term + write_off), format_time(longest));
     let message = format!(
         "term ({}) and write-off ({}) of the credit {} add up to {all}, but longest is {most}",
@@ -180,9 +180,9 @@
     partial: bool,
     faults: &mut Vec<Diagnostic>,
 ) -> Option<Credit> {
-    let whose = format!("the credit {}", section.name);
+    let owner = format!("the credit {}", section.name);
     for keyword in ["line", "class", "rate"] {
-        require_directive(section, keyword, &whose, faults);
+        require_directive(section, keyword, &owner, faults);
     }
     let v = Values::of(section);
     let rate = rate_per_second(section, faults);
--- a/crates/configuration/src/model/members.rs
+++ b/crates/configuration/src/model/members.rs
@@ -92,8 +92,8 @@
     let mut addresses: HashMap<SocketAddr, &Section> = HashMap::new();
     for section in stated {
         check_name(section, faults);
-        let whose = format!("the member {}", section.name);
-        require_directive(section, "address", &whose, faults);
+        let owner = format!("the member {}", section.name);
+        require_directive(section, "address", &owner, faults);
         let v = Values::of(section);
         let (Some(address), Some(setting)) = (v.address("address"), section.setting("address"))
         else {
--- a/crates/configuration/src/model/required.rs
+++ b/crates/configuration/src/model/required.rs
@@ -7,12 +7,12 @@
 pub(super) fn require_members(
     sections: &[Section],
     section: &Section,
-    what: &str,
+    feature: &str,
     label: &str,
     faults: &mut Vec<Diagnostic>,
 ) {
     if !sections.iter().any(|s| s.spec.keyword == "members") {
-        let message = format!("{what} is configured without a section members");
+        let message = format!("{feature} is configured without a section members");
         let fault = Diagnostic::error("missing", section.span, message).label(label);
         faults.push(fault.help(
             "add a section members { ... } and a section member NAME { ... } for each proxy",
@@ -20,11 +20,11 @@
     }
 }
 
-/// Reports a section without one of its required directives; `whose`: the section's name in the message.
+/// Reports a section without one of its required directives; `owner`: the section's name in the message.
 pub(super) fn require_directive(
     section: &Section,
     keyword: &'static str,
-    whose: &str,
+    owner: &str,
     faults: &mut Vec<Diagnostic>,
 ) {
     // An invalid line of the section may have set the directive.
@@ -35,7 +35,7 @@
     let fault = Diagnostic::error(
         "missing",
         section.span,
-        format!("{whose} requires the directive {keyword}"),
+        format!("{owner} requires the directive {keyword}"),
     );
     faults.push(
         fault
--- a/crates/configuration/src/model/route.rs
+++ b/crates/configuration/src/model/route.rs
@@ -23,15 +23,15 @@
 }
 
 impl Names<'_> {
-    fn report_unknown(&self, what: &str, name: &str, span: Span, faults: &mut Vec<Diagnostic>) {
+    fn report_unknown(&self, keyword: &str, name: &str, span: Span, faults: &mut Vec<Diagnostic>) {
         if self.partial {
             return;
         }
-        let known: Vec<&str> = match what {
+        let known: Vec<&str> = match keyword {
             "window" => self.windows.keys().copied().collect(),
             _ => self.pools.keys().copied().collect(),
         };
-        faults.push(unknown_name(what, name, span, &known));
+        faults.push(unknown_name(keyword, name, span, &known));
     }
 }
 
--- a/crates/configuration/src/model/window.rs
+++ b/crates/configuration/src/model/window.rs
@@ -1,6 +1,6 @@
 //! The section `calendar` and sections `window`.
 
-use crate::calendar::{Almanac, Window, WindowConditions};
+use crate::calendar::{CalendarTable, Window, WindowConditions};
 use crate::check::Section;
 use crate::diagnostic::Diagnostic;
 use crate::schema::WINDOWS_LIMIT;
@@ -41,11 +41,11 @@
         );
         return Default::default();
     }
-    let almanac = Almanac::shared();
+    let calendar = CalendarTable::shared();
     let (mut named, mut windows) = (Vec::new(), Vec::new());
     for section in sections_of(sections, "window") {
         let stated = conditions(section);
-        let window = almanac.window(&stated, offset);
+        let window = calendar.window(&stated, offset);
         if !section.partial {
             check_window(section, &stated, &window, faults);
         }
--- a/crates/configuration/src/platform.rs
+++ b/crates/configuration/src/platform.rs
@@ -150,7 +150,7 @@
     section: &Section,
     keyword: &str,
     most: Duration,
-    whose: &str,
+    limit_text: &str,
     faults: &mut Vec<Diagnostic>,
 ) {
     let Some(setting) = section.setting(keyword) else {
@@ -161,17 +161,17 @@
             let (span, most) = (value::format_time(*span), value::format_time(most));
             faults.push(loosens(
                 setting,
-                format!("{keyword} is {span}, but {whose} at most {most}"),
+                format!("{keyword} is {span}, but {limit_text} at most {most}"),
             ));
         }
     }
 }
 
-fn unknown_platform_name(what: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
+fn unknown_platform_name(kind: &str, name: &str, span: Span, known: &[&str]) -> Diagnostic {
     let fault = Diagnostic::error(
         "unknown-name",
         span,
-        format!("the platform has no {what} {name}"),
+        format!("the platform has no {kind} {name}"),
     )
     .label("not known to the platform");
     match nearest(name, known.iter().copied()) {
@@ -208,14 +208,14 @@
 fn check_names(
     section: &Section,
     keyword: &str,
-    what: &str,
+    kind: &str,
     known: &[&str],
     faults: &mut Vec<Diagnostic>,
 ) {
     for (value, span) in section.values(keyword) {
         if let Value::Name(name) = value {
             if !known.contains(&name.as_str()) {
-                faults.push(unknown_platform_name(what, name, *span, known));
+                faults.push(unknown_platform_name(kind, name, *span, known));
             }
         }
     }
--- a/crates/configuration/src/ranges.rs
+++ b/crates/configuration/src/ranges.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether the sets have a number in common.
-    pub fn meets(&self, other: &Ranges) -> bool {
+    pub fn intersects(&self, other: &Ranges) -> bool {
         let (mut a, mut b) = (0, 0);
         while let (Some(x), Some(y)) = (self.0.get(a), other.0.get(b)) {
             if x.0.max(y.0) <= x.1.min(y.1) {
@@ -175,8 +175,8 @@
     }
 
     /// Whether the regions have a request in common.
-    pub fn meets(&self, other: &Region) -> bool {
-        self.0.iter().zip(&other.0).all(|(a, b)| a.meets(b))
+    pub fn intersects(&self, other: &Region) -> bool {
+        self.0.iter().zip(&other.0).all(|(a, b)| a.intersects(b))
     }
 
     /// The intersection.
@@ -186,7 +186,7 @@
 
     /// Adds the difference to `out`, in disjoint parts: for each dimension, the part that lies outside of `other`.
     pub fn minus(&self, other: &Region, out: &mut Vec<Region>) {
-        if !self.meets(other) {
+        if !self.intersects(other) {
             out.push(self.clone());
             return;
         }
@@ -226,7 +226,7 @@
     parts.sort();
     parts.dedup();
     let mut again = true;
-    while again && parts.len() <= MERGED {
+    while again && parts.len() <= MERGE_LIMIT {
         again = false;
         'search: for a in 0..parts.len() {
             for b in a + 1..parts.len() {
@@ -244,4 +244,4 @@
 }
 
 /// Maximum number of regions that are merged; merging more takes too long.
-const MERGED: usize = 512;
+const MERGE_LIMIT: usize = 512;
--- a/crates/configuration/src/ranges/tests.rs
+++ b/crates/configuration/src/ranges/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn sets_do_what_sets_do() {
+fn set_operations_agree_with_membership() {
     let mut seed = 7_u64;
     let mut random = move |n: u64| {
         seed = seed
@@ -20,7 +20,7 @@
         };
         let (a, b) = (set(), set());
         let (and, or, minus) = (a.and(&b), a.or(&b), a.minus(&b));
-        assert_eq!(a.meets(&b), !and.is_empty());
+        assert_eq!(a.intersects(&b), !and.is_empty());
         for n in 0..42 {
             let (x, y) = (a.contains(n), b.contains(n));
             assert_eq!(
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_ends_of_the_numbers_are_numbers_too() {
+fn ranges_include_the_largest_number() {
     let all = Ranges::one(0, u128::MAX);
     assert_eq!(
         all.minus(&Ranges::one(u128::MAX, u128::MAX)),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_cut_region_falls_into_parts_that_do_not_overlap() {
+fn a_difference_of_regions_has_disjoint_parts() {
     let set = |from, to| Ranges::one(from, to);
     let region = |a: (u128, u128), b: (u128, u128), c: (u128, u128)| {
         Region([
--- a/crates/configuration/src/schema/validation.rs
+++ b/crates/configuration/src/schema/validation.rs
@@ -10,8 +10,11 @@
     let mut errors = Vec::new();
     for section in table {
         for (at, directive) in section.directives.iter().enumerate() {
-            let mut report = |what: &str| {
-                errors.push(format!("{} {}: {what}", section.keyword, directive.keyword));
+            let mut report = |error: &str| {
+                errors.push(format!(
+                    "{} {}: {error}",
+                    section.keyword, directive.keyword
+                ));
             };
             let before = &section.directives[..at];
             if before.iter().any(|d| d.keyword == directive.keyword) {
--- a/crates/configuration/src/shadow.rs
+++ b/crates/configuration/src/shadow.rs
@@ -11,7 +11,7 @@
 /// Maximum number of parts of a route's region while earlier ones are subtracted from it.
 const PARTS_LIMIT: usize = 4_096;
 /// Maximum number of covering routes that a warning names.
-const NAMED: usize = 3;
+const COVERS_SHOWN: usize = 3;
 
 /// Result of the search.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 
 /// Interval tree of the routes' hulls in one dimension: finds the routes that may intersect a given one without checking
 /// all of them.
-struct Overlaps {
+struct HullTree {
     dimension: usize,
     /// Start and end of each hull and the position of its route, sorted by start.
     hulls: Vec<(u128, u128, usize)>,
@@ -32,8 +32,8 @@
     largest: Vec<u128>,
 }
 
-impl Overlaps {
-    fn new(regions: &[Region]) -> Overlaps {
+impl HullTree {
+    fn new(regions: &[Region]) -> HullTree {
         // The dimension with the most distinct hulls separates most routes.
         let distinct = |d: usize| {
             let mut hulls: Vec<_> = regions.iter().filter_map(|r| r.0[d].hull()).collect();
@@ -48,8 +48,8 @@
             .collect();
         hulls.sort_unstable();
         let mut largest = vec![0; hulls.len()];
-        fill(&hulls, &mut largest, 0, hulls.len());
-        Overlaps {
+        fill_largest_ends(&hulls, &mut largest, 0, hulls.len());
+        HullTree {
             dimension,
             hulls,
             largest,
@@ -57,7 +57,7 @@
     }
 
     /// Replaces `out` by the positions of the routes whose hulls intersect that of `region`, in any order.
-    fn meeting(&self, region: &Region, out: &mut Vec<usize>) {
+    fn find_intersecting(&self, region: &Region, out: &mut Vec<usize>) {
         out.clear();
         if let Some((from, to)) = region.0[self.dimension].hull() {
             self.collect(0, self.hulls.len(), from, to, out);
@@ -83,18 +83,28 @@
     }
 }
 
-fn fill(hulls: &[(u128, u128, usize)], largest: &mut [u128], low: usize, high: usize) -> u128 {
+fn fill_largest_ends(
+    hulls: &[(u128, u128, usize)],
+    largest: &mut [u128],
+    low: usize,
+    high: usize,
+) -> u128 {
     if low >= high {
         return 0;
     }
     let middle = (low + high) / 2;
-    let below = fill(hulls, largest, low, middle).max(fill(hulls, largest, middle + 1, high));
+    let below = fill_largest_ends(hulls, largest, low, middle).max(fill_largest_ends(
+        hulls,
+        largest,
+        middle + 1,
+        high,
+    ));
     largest[middle] = below.max(hulls[middle].1);
     largest[middle]
 }
 
 /// Whether one region is a subset of another.
-fn inside(inner: &Region, outer: &Region) -> bool {
+fn is_subset(inner: &Region, outer: &Region) -> bool {
     inner
         .0
         .iter()
@@ -104,10 +114,10 @@
 
 /// Finds the regions that are covered by earlier ones.
 pub fn unreached(regions: &[Region]) -> Unreached {
-    let overlaps = Overlaps::new(regions);
+    let hull_tree = HullTree::new(regions);
     let mut found = Unreached::default();
     let mut hidden = vec![false; regions.len()];
-    let mut near = Vec::new();
+    let mut candidates = Vec::new();
     let mut pairs = 0;
     for (at, region) in regions.iter().enumerate() {
         // A region without requests has a diagnostic of its own.
@@ -118,21 +128,25 @@
             found.unexamined += 1;
             continue;
         }
-        overlaps.meeting(region, &mut near);
-        pairs += near.len();
+        hull_tree.find_intersecting(region, &mut candidates);
+        pairs += candidates.len();
         // Earlier routes that are covered can be left out: the routes that cover them match the same requests.
-        near.retain(|&other| other < at && !hidden[other] && regions[other].meets(region));
-        near.sort_unstable();
-        if let Some(&cover) = near.iter().find(|&&other| inside(region, &regions[other])) {
+        candidates
+            .retain(|&other| other < at && !hidden[other] && regions[other].intersects(region));
+        candidates.sort_unstable();
+        if let Some(&cover) = candidates
+            .iter()
+            .find(|&&other| is_subset(region, &regions[other]))
+        {
             hidden[at] = true;
             found.routes.push((at, vec![cover]));
             continue;
         }
         let mut left = vec![region.clone()];
         let mut covers = Vec::new();
-        for &other in &near {
+        for &other in &candidates {
             let before = left.len();
-            let met = left.iter().any(|part| part.meets(&regions[other]));
+            let met = left.iter().any(|part| part.intersects(&regions[other]));
             if met {
                 covers.push(other);
                 left = minus_all(left, &regions[other]);
@@ -179,7 +193,7 @@
                 1 => "an earlier route matches all of its requests".to_owned(),
                 n => format!("{n} earlier routes together match all of its requests"),
             });
-            for cover in covers.iter().take(NAMED) {
+            for cover in covers.iter().take(COVERS_SHOWN) {
                 let cover = &model.routes[*cover];
                 warning =
                     warning.related(cover.span, format!("the route {} comes first", cover.name));
--- a/crates/configuration/src/space/describe.rs
+++ b/crates/configuration/src/space/describe.rs
@@ -9,20 +9,20 @@
     pub fn describe(&self, region: &Region) -> String {
         let whole = self.whole();
         let mut words = Vec::new();
-        for (dimension, what, names) in [
+        for (dimension, keyword, names) in [
             (Dimension::Class, "class", &self.names.classes),
             (Dimension::Tenant, "tenant", &self.names.tenants),
         ] {
             let set = region.dimension(dimension);
             if set != whole.dimension(dimension) {
-                words.push(name_list(what, set, whole.dimension(dimension), names));
+                words.push(name_list(keyword, set, whole.dimension(dimension), names));
             }
         }
         let group = region.dimension(Dimension::Group);
         if group != whole.dimension(Dimension::Group) {
             words.push(format!(
                 "group {}",
-                shortened(group.list().iter().map(|(a, b)| span(*a, *b)))
+                shortened(group.list().iter().map(|(a, b)| format_range(*a, *b)))
             ));
         }
         let statement = region.dimension(Dimension::Statement);
@@ -31,7 +31,7 @@
                 let (from, to) = self.prefix(p);
                 (format!("{p:?}"), Ranges::one(from, to))
             });
-            words.push(self.terms(statement, sets, "statement", "no statement"));
+            words.push(self.describe_set(statement, sets, "statement", "no statement"));
         }
         let network = region.dimension(Dimension::Network);
         if network != whole.dimension(Dimension::Network) {
@@ -40,7 +40,7 @@
         let time = region.dimension(Dimension::Time);
         if time != whole.dimension(Dimension::Time) {
             let sets = self.named_windows.iter().cloned();
-            words.push(self.terms(time, sets, "during", "outside of"));
+            words.push(self.describe_set(time, sets, "during", "outside of"));
         }
         if words.is_empty() {
             "all requests".to_owned()
@@ -50,14 +50,14 @@
     }
 
     /// Describes a set by the named sets that contain it and those that are disjoint from it.
-    fn terms(
+    fn describe_set(
         &self,
         set: &Ranges,
         named: impl Iterator<Item = (String, Ranges)>,
         inside: &str,
         outside: &str,
     ) -> String {
-        let (mut held, mut barred) = (Vec::new(), Vec::new());
+        let (mut containing, mut disjoint) = (Vec::new(), Vec::new());
         let mut rest: Option<Ranges> = None;
         for (name, known) in named {
             let narrowed = match &rest {
@@ -66,17 +66,17 @@
             };
             if set.minus(&known).is_empty() && rest.as_ref() != Some(&narrowed) {
                 // Sets that contain this one are redundant.
-                held.retain(|(_, other): &(String, Ranges)| !known.minus(other).is_empty());
-                held.push((name, known));
+                containing.retain(|(_, other): &(String, Ranges)| !known.minus(other).is_empty());
+                containing.push((name, known));
                 rest = Some(narrowed);
-            } else if !set.meets(&known) {
-                barred.push((name, known));
+            } else if !set.intersects(&known) {
+                disjoint.push((name, known));
             }
         }
         // A disjoint set is mentioned only if it removes something that is left.
         let mut left = rest;
-        barred.retain(|(_, known)| match &mut left {
-            Some(left) if left.meets(known) => {
+        disjoint.retain(|(_, known)| match &mut left {
+            Some(left) if left.intersects(known) => {
                 *left = left.minus(known);
                 true
             }
@@ -87,11 +87,11 @@
             Some(left) => left == set,
             None => true,
         };
-        let mut words: Vec<String> = held
+        let mut words: Vec<String> = containing
             .iter()
             .map(|(name, _)| format!("{inside} {name}"))
             .collect();
-        words.extend(barred.iter().map(|(name, _)| format!("{outside} {name}")));
+        words.extend(disjoint.iter().map(|(name, _)| format!("{outside} {name}")));
         if !exact || words.is_empty() {
             words.push("only partly".to_owned());
         }
@@ -99,7 +99,7 @@
     }
 }
 
-fn span(from: u128, to: u128) -> String {
+fn format_range(from: u128, to: u128) -> String {
     if from == to {
         from.to_string()
     } else {
@@ -122,7 +122,7 @@
     }
 }
 
-fn name_list(what: &str, set: &Ranges, whole: &Ranges, names: &[String]) -> String {
+fn name_list(keyword: &str, set: &Ranges, whole: &Ranges, names: &[String]) -> String {
     let named = |set: &Ranges| -> Vec<String> {
         let numbers = set.list().iter().flat_map(|(a, b)| *a..=*b);
         numbers
@@ -132,9 +132,12 @@
     let rest = whole.minus(set);
     // A set that contains the names that no route has can be described only by the names that it does not contain.
     if set.contains(names.len() as u128) {
-        format!("{what} other than {}", shortened(named(&rest).into_iter()))
+        format!(
+            "{keyword} other than {}",
+            shortened(named(&rest).into_iter())
+        )
     } else {
-        format!("{what} {}", shortened(named(set).into_iter()))
+        format!("{keyword} {}", shortened(named(set).into_iter()))
     }
 }
 
--- a/crates/configuration/src/space/example.rs
+++ b/crates/configuration/src/space/example.rs
@@ -76,7 +76,7 @@
         };
         let class = match self.names.classes.get(point[0] as usize) {
             Some(name) => name.clone(),
-            None => self.unused("another"),
+            None => self.unused_class_name("another"),
         };
         Some(Example {
             class,
@@ -94,7 +94,7 @@
     }
 
     /// A name that no class has.
-    fn unused(&self, name: &str) -> String {
+    fn unused_class_name(&self, name: &str) -> String {
         let mut name = name.to_owned();
         while self.class_number.contains_key(&name) {
             name.push('-');
--- a/crates/configuration/src/space/mod.rs
+++ b/crates/configuration/src/space/mod.rs
@@ -31,7 +31,7 @@
     class_number: HashMap<String, u128>,
     tenant_number: HashMap<String, u128>,
     /// There are no classes other than the known ones.
-    closed: bool,
+    classes_are_complete: bool,
     /// Bounds of the statements with each prefix, sorted; routes do not distinguish statements between two bounds.
     bounds: Vec<Vec<u8>>,
     prefixes: Vec<String>,
@@ -49,7 +49,7 @@
 const V4: (u128, u128) = (0xffff_0000_0000, 0xffff_ffff_ffff);
 
 /// The smallest text that is greater than all texts with this prefix; `None` if there is none.
-fn text_above(prefix: &[u8]) -> Option<Vec<u8>> {
+fn upper_bound_of_prefix(prefix: &[u8]) -> Option<Vec<u8>> {
     let mut text = prefix.to_vec();
     while let Some(last) = text.pop() {
         if last < u8::MAX {
@@ -74,7 +74,11 @@
 /// The bounds of the statements with each prefix, sorted.
 fn bounds(prefixes: &[String]) -> Vec<Vec<u8>> {
     let mut bounds: Vec<Vec<u8>> = prefixes.iter().map(|p| p.clone().into_bytes()).collect();
-    bounds.extend(prefixes.iter().filter_map(|p| text_above(p.as_bytes())));
+    bounds.extend(
+        prefixes
+            .iter()
+            .filter_map(|p| upper_bound_of_prefix(p.as_bytes())),
+    );
     bounds.push(Vec::new());
     bounds.sort();
     bounds.dedup();
@@ -117,7 +121,7 @@
         Space {
             class_number: numbers(&names.classes),
             tenant_number: numbers(&names.tenants),
-            closed: classes.is_some_and(|known| known.len() == names.classes.len()),
+            classes_are_complete: classes.is_some_and(|known| known.len() == names.classes.len()),
             names,
             bounds: bounds(&prefixes),
             prefixes,
@@ -130,7 +134,7 @@
 
     fn all_classes(&self) -> Ranges {
         let number = self.names.classes.len() as u128;
-        match self.closed && number > 0 {
+        match self.classes_are_complete && number > 0 {
             true => Ranges::one(0, number - 1),
             false => Ranges::one(0, number),
         }
@@ -150,7 +154,8 @@
 
     fn prefix(&self, text: &str) -> (u128, u128) {
         let at = |text: &[u8]| self.bounds.partition_point(|b| b.as_slice() < text) as u128;
-        let end = text_above(text.as_bytes()).map_or(self.bounds.len() as u128, |end| at(&end));
+        let end = upper_bound_of_prefix(text.as_bytes())
+            .map_or(self.bounds.len() as u128, |end| at(&end));
         (at(text.as_bytes()), end - 1)
     }
 
--- a/crates/configuration/src/syntax.rs
+++ b/crates/configuration/src/syntax.rs
@@ -77,7 +77,7 @@
     /// The comment at the end of the line.
     pub comment: Option<Span>,
     /// The line follows a blank line.
-    pub apart: bool,
+    pub after_blank_line: bool,
 }
 
 /// The lines of a file.
@@ -101,14 +101,14 @@
         let span = Span::new(file, range.clone());
         match token {
             Ok(Token::Newline) => parser.end_line(),
-            Ok(Token::Blank) => parser.line.glued = false,
+            Ok(Token::Blank) => parser.line.needs_blank = false,
             Ok(token) => {
                 parser.line_is_empty = false;
                 parser.take(token, span, &text[range]);
             }
             Err(()) => {
                 parser.line_is_empty = false;
-                parser.fail(stray(span, &text[range]));
+                parser.report(unexpected_text(span, &text[range]));
             }
         }
     }
@@ -126,7 +126,7 @@
     comment: Option<Span>,
     faulty: bool,
     /// The last token was a word: a blank is required before another word.
-    glued: bool,
+    needs_blank: bool,
     continued: bool,
 }
 
@@ -136,7 +136,7 @@
     /// The line has only blanks so far.
     line_is_empty: bool,
     /// The line follows a blank line.
-    apart: bool,
+    after_blank_line: bool,
 }
 
 impl Default for Parser {
@@ -145,14 +145,14 @@
             syntax: Syntax::default(),
             line: PendingLine::default(),
             line_is_empty: true,
-            apart: false,
+            after_blank_line: false,
         }
     }
 }
 
 impl Parser {
     /// Reports a fault if it is the first of its line.
-    fn fail(&mut self, fault: Diagnostic) {
+    fn report(&mut self, fault: Diagnostic) {
         if !std::mem::replace(&mut self.line.faulty, true) {
             self.syntax.faults.push(fault);
         }
@@ -162,7 +162,7 @@
         match token {
             Token::Blank | Token::Newline => {}
             Token::Continuation => {
-                self.line.glued = false;
+                self.line.needs_blank = false;
                 self.line.continued = true;
             }
             // A carriage return and blanks at the end are not part of the comment.
@@ -177,7 +177,7 @@
             Token::Word => self.take_word(Quote::Bare, span),
             Token::OpenDouble | Token::OpenSingle => {
                 let fault = Diagnostic::error("open-quote", span, "a quoted text is not closed");
-                self.fail(fault.label("the closing quote is missing on this line"));
+                self.report(fault.label("the closing quote is missing on this line"));
             }
         }
     }
@@ -191,30 +191,30 @@
             let fault = Diagnostic::error("brace-place", span, "unexpected brace")
                 .label("a brace is not allowed here")
                 .help("an opening brace must be the last word of its line; a closing brace must be on a line of its own");
-            return self.fail(fault);
+            return self.report(fault);
         }
         if is_open && self.line.words.is_empty() {
             let message = "a section begins without a keyword";
             let fault = Diagnostic::error("nameless-section", span, message);
-            self.fail(fault.label("the keyword is missing before the brace"));
+            self.report(fault.label("the keyword is missing before the brace"));
         }
         match is_open {
             true => self.line.open = Some(span),
             false => self.line.close = Some(span),
         }
-        self.line.glued = false;
+        self.line.needs_blank = false;
     }
 
     fn take_word(&mut self, quote: Quote, span: Span) {
         if self.line.open.is_some() || self.line.close.is_some() {
             let message = "unexpected words after a brace";
             let fault = Diagnostic::error("brace-place", span, message);
-            return self.fail(fault.label("move this to a new line"));
+            return self.report(fault.label("move this to a new line"));
         }
-        if self.line.glued {
+        if self.line.needs_blank {
             let message = "a quoted text must be separated from other words";
             let fault = Diagnostic::error("glued-words", span, message);
-            return self.fail(fault.label("add a blank before this word"));
+            return self.report(fault.label("add a blank before this word"));
         }
         self.line.words.push(Word {
             span,
@@ -222,12 +222,12 @@
             continued: self.line.continued,
         });
         self.line.continued = false;
-        self.line.glued = true;
+        self.line.needs_blank = true;
     }
 
     fn end_line(&mut self) {
         if std::mem::replace(&mut self.line_is_empty, true) {
-            self.apart = true;
+            self.after_blank_line = true;
             return;
         }
         let line = std::mem::take(&mut self.line);
@@ -245,7 +245,7 @@
         self.syntax.lines.push(Line {
             entry,
             comment: line.comment,
-            apart: std::mem::take(&mut self.apart),
+            after_blank_line: std::mem::take(&mut self.after_blank_line),
         });
     }
 
@@ -258,7 +258,7 @@
     }
 }
 
-fn stray(span: Span, text: &str) -> Diagnostic {
+fn unexpected_text(span: Span, text: &str) -> Diagnostic {
     if text.starts_with('\\') {
         let message = "a backslash is allowed only at the end of a line";
         return Diagnostic::error("stray-backslash", span, message)
--- a/crates/configuration/src/value/share.rs
+++ b/crates/configuration/src/value/share.rs
@@ -70,18 +70,18 @@
 
 pub(super) fn parse_share(word: &str) -> Result<Share, ParseError> {
     if let Some((part, whole)) = word.split_once('/') {
-        return parse_fraction(part, whole).ok_or_else(|| no_share(word));
+        return parse_fraction(part, whole).ok_or_else(|| invalid_share(word));
     }
     if let Some(percent) = word.strip_suffix('%') {
-        return parse_percent(percent).ok_or_else(|| no_share(word));
+        return parse_percent(percent).ok_or_else(|| invalid_share(word));
     }
     Err(match word.parse::<f64>() {
         Ok(_) => ParseError::new(format!("the share {word} has no unit")).help(HELP),
-        Err(_) => no_share(word),
+        Err(_) => invalid_share(word),
     })
 }
 
-fn no_share(word: &str) -> ParseError {
+fn invalid_share(word: &str) -> ParseError {
     ParseError::new(format!("{word:?} is not a valid share")).help(HELP)
 }
 
--- a/crates/configuration/src/value/tests.rs
+++ b/crates/configuration/src/value/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn windows_may_run_over_the_end_of_day_week_and_year() {
+fn ranges_may_cross_the_end_of_day_week_and_year() {
     assert_eq!(
         parse_hours("22:00-02:00").unwrap(),
         Hours {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn networks_hold_no_stray_bits() {
+fn networks_with_host_bits_are_rejected() {
     assert_eq!(
         parse_network("10.1.0.7").unwrap().to_string(),
         "10.1.0.7/32"
--- a/crates/configuration/src/value/units.rs
+++ b/crates/configuration/src/value/units.rs
@@ -87,19 +87,19 @@
 /// Parses a number with one of `units`; the result is in the smallest unit.
 fn parse_scaled(
     word: &str,
-    what: &str,
+    quantity: &str,
     units: &[(&str, u64)],
     example: &str,
 ) -> Result<u64, ParseError> {
     let help = || format!("write {example}; the units are {}", unit_names(units));
     let Some(number) = Decimal::parse(word) else {
-        return Err(ParseError::new(format!("{word:?} is not a valid {what}")).help(help()));
+        return Err(ParseError::new(format!("{word:?} is not a valid {quantity}")).help(help()));
     };
     if number.unit.is_empty() {
-        return Err(ParseError::new(format!("the {what} {word} has no unit")).help(help()));
+        return Err(ParseError::new(format!("the {quantity} {word} has no unit")).help(help()));
     }
     let Some((_, size)) = units.iter().find(|(name, _)| *name == number.unit) else {
-        let error = ParseError::new(format!("{:?} is not a unit of {what}", number.unit));
+        let error = ParseError::new(format!("{:?} is not a unit of {quantity}", number.unit));
         return Err(match similar_unit(number.unit, units) {
             Some(name) => error.help(format!(
                 "did you mean {name}? the units are {}",
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -47,7 +47,7 @@
     StdRng::seed_from_u64(seed)
 }
 
-fn some<'a>(rng: &mut StdRng, words: &[&'a str], most: usize) -> Vec<&'a str> {
+fn random_subset<'a>(rng: &mut StdRng, words: &[&'a str], most: usize) -> Vec<&'a str> {
     let number = rng.random_range(1..=most);
     words.choose_multiple(rng, number).copied().collect()
 }
@@ -64,10 +64,16 @@
 pub fn route_lines(rng: &mut StdRng) -> Vec<String> {
     let mut lines = Vec::new();
     if rng.random_bool(0.5) {
-        lines.push(format!("class {}", some(rng, &CLASSES, 2).join(" ")));
+        lines.push(format!(
+            "class {}",
+            random_subset(rng, &CLASSES, 2).join(" ")
+        ));
     }
     if rng.random_bool(0.4) {
-        lines.push(format!("tenant {}", some(rng, &TENANTS, 2).join(" ")));
+        lines.push(format!(
+            "tenant {}",
+            random_subset(rng, &TENANTS, 2).join(" ")
+        ));
     }
     if rng.random_bool(0.3) {
         let from = rng.random_range(0..6);
@@ -78,10 +84,16 @@
         ));
     }
     if rng.random_bool(0.4) {
-        lines.push(format!("network {}", some(rng, &NETWORKS, 3).join(" ")));
+        lines.push(format!(
+            "network {}",
+            random_subset(rng, &NETWORKS, 3).join(" ")
+        ));
     }
     if rng.random_bool(0.3) {
-        lines.push(format!("statement {}", quoted(some(rng, &STATEMENTS, 2))));
+        lines.push(format!(
+            "statement {}",
+            quoted(random_subset(rng, &STATEMENTS, 2))
+        ));
     }
     if rng.random_bool(0.3) {
         let number = rng.random_range(0..WINDOWS.len());
@@ -131,7 +143,7 @@
     all
 }
 
-pub fn plain(sections: &[(String, Vec<String>)]) -> String {
+pub fn tidy_text(sections: &[(String, Vec<String>)]) -> String {
     let mut out = String::new();
     for (head, lines) in sections {
         writeln!(out, "{head} {{").unwrap();
@@ -144,7 +156,7 @@
 }
 
 /// The same sections with random blanks, comments, continued lines and unnecessary quotes.
-pub fn untidy(rng: &mut StdRng, sections: &[(String, Vec<String>)]) -> String {
+pub fn untidy_text(rng: &mut StdRng, sections: &[(String, Vec<String>)]) -> String {
     let mut out = String::new();
     let blank = |rng: &mut StdRng| {
         [" ", "  ", "\t", " \t "]
--- a/crates/configuration/tests/lending.rs
+++ b/crates/configuration/tests/lending.rs
@@ -117,14 +117,14 @@
 #[test]
 fn a_changed_credit_or_its_window_is_a_difference() {
     let old = parsed(TEXT);
-    let told = |pairs: &[(&str, &str)]| {
+    let difference_after = |pairs: &[(&str, &str)]| {
         let text = pairs.iter().fold(TEXT.to_owned(), |text, (from, to)| {
             text.replacen(from, to, 1)
         });
         diff(&old, &parsed(&text), None).to_string()
     };
     assert_eq!(
-        told(&[
+        difference_after(&[
             ("line 500ms", "line 2s"),
             ("lease 3s", "lease 4s"),
             ("10-17..", "10-18..")
@@ -136,15 +136,15 @@
         ("nearby-cabs my-booking", "my-booking nearby-cabs"),
         ("10-17..11-02", "10-17..10-31 11-01..11-02"),
     ];
-    assert_eq!(told(&same), "no difference in behaviour\n");
+    assert_eq!(difference_after(&same), "no difference in behaviour\n");
     assert_eq!(
-        told(&[("weekdays fri", "weekdays sat")]),
+        difference_after(&[("weekdays fri", "weekdays sat")]),
         "no difference in behaviour\n"
     );
 }
 
 #[test]
-fn the_platform_has_to_know_stands_and_classes() {
+fn the_platform_must_define_tenants_and_classes() {
     let class = |name: &str| Class {
         name: name.into(),
         consistency: Consistency::Eventual,
--- a/crates/configuration/tests/members.rs
+++ b/crates/configuration/tests/members.rs
@@ -71,8 +71,8 @@
         .replace("version 3", "version 4")
         .replace("period 500ms", "period 1s");
     let changed = changed.replacen("region thamel", "region patan", 1);
-    let told = diff(&parsed(&text), &parsed(&changed), None).to_string();
-    let lines: Vec<&str> = told.lines().collect();
+    let difference = diff(&parsed(&text), &parsed(&changed), None).to_string();
+    let lines: Vec<&str> = difference.lines().collect();
     assert_eq!(
         lines,
         [
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -2,7 +2,7 @@
 //! requests.
 
 mod common;
-use common::{compiled, find, parsed, plain, request, rng, sections};
+use common::{compiled, find, parsed, request, rng, sections, tidy_text};
 use configuration::diff::diff;
 use configuration::ranges::Region;
 use configuration::route::{find_first, Outcome};
@@ -13,12 +13,12 @@
 
 /// A million random requests, with small and large numbers of routes.
 #[test]
-fn the_index_finds_what_the_scan_finds() {
+fn the_index_agrees_with_the_linear_search() {
     let (mut requests, mut found) = (0, 0);
     for seed in 0..100 {
         let mut rng = rng(seed);
         let number = [3, 10, 40][seed as usize % 3];
-        let reading = parsed(&plain(&sections(&mut rng, number)));
+        let reading = parsed(&tidy_text(&sections(&mut rng, number)));
         assert!(reading.is_valid(), "seed {seed}: {:?}", reading.diagnostics);
         let model = &reading.model;
         let (index, names) = compiled(model);
@@ -90,11 +90,11 @@
 /// No random request finds a route that is reported as unreached; each other route is found by an example request from
 /// the part of its region that earlier routes leave.
 #[test]
-fn what_is_called_unreached_is_never_found() {
+fn unreached_routes_are_never_found() {
     let mut unreached = 0;
     for seed in 0..60 {
         let mut rng = rng(1_000 + seed);
-        let reading = parsed(&plain(&sections(&mut rng, 25)));
+        let reading = parsed(&tidy_text(&sections(&mut rng, 25)));
         let model = &reading.model;
         let names: Vec<String> = model.named_windows.iter().map(|w| w.name.clone()).collect();
         let side = Side {
@@ -149,7 +149,7 @@
 
 /// Random edits of every kind: requests are handled differently exactly where the difference reports it, and as reported.
 #[test]
-fn the_difference_is_what_a_sampler_finds() {
+fn the_difference_agrees_with_random_requests() {
     let mut changed = 0;
     for seed in 0..60 {
         let mut rng = rng(2_000 + seed);
@@ -174,7 +174,7 @@
                 }
             }
         }
-        let (old, new) = (parsed(&plain(&before)), parsed(&plain(&after)));
+        let (old, new) = (parsed(&tidy_text(&before)), parsed(&tidy_text(&after)));
         let difference = diff(&old, &new, None);
         let (old, new) = (old.model, new.model);
         assert!(!difference.incomplete);
@@ -187,21 +187,21 @@
             };
             let (was, is) = (outcome(&old), outcome(&new));
             let point = difference.space.point(&request);
-            let told: Vec<_> = difference
+            let reported: Vec<_> = difference
                 .routes
                 .iter()
                 .filter(|c| c.regions.iter().any(|r| r.contains(&point)))
                 .collect();
             if was == is {
                 assert!(
-                    told.is_empty(),
+                    reported.is_empty(),
                     "seed {seed}: {example} is handled as before"
                 );
             } else {
                 changed += 1;
-                assert_eq!(told.len(), 1, "seed {seed}: {example}");
+                assert_eq!(reported.len(), 1, "seed {seed}: {example}");
                 assert_eq!(
-                    (&told[0].old, &told[0].new),
+                    (&reported[0].old, &reported[0].new),
                     (&was, &is),
                     "seed {seed}: {example}"
                 );
@@ -248,7 +248,7 @@
 
 /// Shuffled routes differ only where they overlap; routes that do not overlap give no difference.
 #[test]
-fn routes_that_are_apart_may_stand_in_any_order() {
+fn the_order_of_routes_without_overlap_does_not_matter() {
     let mut routes: Vec<String> = (0..300)
         .map(|n| {
             format!(
--- a/crates/configuration/tests/text.rs
+++ b/crates/configuration/tests/text.rs
@@ -1,7 +1,7 @@
 //! Properties of parsing: canonical form, robustness, limits, includes.
 
 mod common;
-use common::{meaning, parsed, plain, rng, sections, untidy};
+use common::{meaning, parsed, rng, sections, tidy_text, untidy_text};
 use configuration::diagnostic::render;
 use configuration::diff::diff;
 use configuration::format::format;
@@ -17,8 +17,8 @@
     fn the_canonical_form_means_the_same_and_is_final(seed in any::<u64>()) {
         let mut rng = rng(seed);
         let all = sections(&mut rng, 6);
-        let text = untidy(&mut rng, &all);
-        let (as_written, as_meant) = (parsed(&text), parsed(&plain(&all)));
+        let text = untidy_text(&mut rng, &all);
+        let (as_written, as_meant) = (parsed(&text), parsed(&tidy_text(&all)));
         prop_assert_eq!(meaning(&as_written), meaning(&as_meant), "{}", text);
         let tidy = format(&text).expect("no syntax faults");
         let again = parsed(&tidy);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn include_loops_are_told_whichever_way_they_close() {
+fn include_cycles_are_reported_by_path_link_and_pattern() {
     let three = MemoryFiles::from([
         ("a.conf", "include b.conf\n"),
         ("b.conf", "include sub/c.conf\n"),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_file_included_twice_is_told_once() {
+fn a_file_included_twice_is_reported_once() {
     let files = MemoryFiles::from([
         ("a.conf", "include b.conf\ninclude b.conf\n"),
         ("b.conf", "limits {\n    pipeline 8\n}\n"),
@@ -86,9 +86,9 @@
 }
 
 /// Any number of files, each of which includes the next.
-struct Endless;
+struct EndlessIncludes;
 
-impl Loader for Endless {
+impl Loader for EndlessIncludes {
     fn read(&self, path: &Path) -> Result<Vec<u8>, String> {
         let number: u32 = path
             .to_string_lossy()
@@ -107,15 +107,15 @@
 }
 
 #[test]
-fn depth_is_bounded() {
-    let reading = read(Path::new("1"), &Endless);
+fn include_depth_is_bounded() {
+    let reading = read(Path::new("1"), &EndlessIncludes);
     assert_eq!(reading.diagnostics.len(), 1);
     assert_eq!(reading.diagnostics[0].code, "include-depth");
     assert_eq!(reading.sources.files().count(), DEPTH_LIMIT);
 }
 
 #[test]
-fn files_go_on_where_their_folder_is_and_names_are_shared() {
+fn includes_are_relative_to_their_file_and_share_names() {
     let files = MemoryFiles::from([
         (
             "etc/main.conf",
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_name_may_stand_once_in_all_files() {
+fn a_section_name_is_unique_in_all_files() {
     let files = MemoryFiles::from([
         (
             "a.conf",
@@ -186,7 +186,7 @@
 
 /// Large texts that trigger slow paths: if the work grew faster than the text, the test would not end in reasonable time.
 #[test]
-fn work_grows_with_the_text_and_no_faster() {
+fn work_is_linear_in_the_length_of_the_text() {
     let lines = 150_000;
     let name = |n: usize| format!("route r{n} {{\n class c{n}\n refuse\n}}\n");
     let many: String = (0..lines / 4).map(name).collect();
@@ -216,8 +216,8 @@
 }
 
 #[test]
-fn crlf_and_lf_read_alike() {
-    let text = plain(&sections(&mut rng(3), 5));
+fn crlf_and_lf_are_equivalent() {
+    let text = tidy_text(&sections(&mut rng(3), 5));
     assert_eq!(
         meaning(&parsed(&text)),
         meaning(&parsed(&text.replace('\n', "\r\n")))
@@ -227,7 +227,7 @@
 
 /// Each variable repeats the one before twice, so that unlimited expansion would use any amount of memory.
 #[test]
-fn variables_bring_a_bounded_amount() {
+fn expansion_of_variables_is_bounded() {
     let mut text = "define a0 xxxxxxxxxxxxxxxx\n".to_owned();
     for n in 1..60 {
         text.push_str(&format!("define a{n} $a{} $a{}\n", n - 1, n - 1));
