--- a/crates/configuration/src/value/calendar.rs
+++ b/crates/configuration/src/value/calendar.rs
@@ -49,7 +49,7 @@
     };
     match (once(from), once(to)) {
         (Some(a), Some(b)) if a > b => Err(ParseError::new(format!(
-            "the dates {word} end before they begin"
+            "the range of dates {word} ends before it begins"
         ))
         .help(format!("did you mean {b}..{a}?"))),
         (Some(a), Some(b)) => Ok(Dates::Once(a, b)),
