--- a/crates/configuration/src/index/mod.rs
+++ b/crates/configuration/src/index/mod.rs
@@ -1,9 +1,9 @@
-//! The routes compiled: the first whose conditions hold is found without checking all of them.
+//! An index of the routes: finds the first route whose conditions hold without checking all of them.
 //!
-//! A trie over networks and one over statements give the prefixes that a request lies under; for each pair of these a
-//! summary has the shapes of routes that there are (class, tenant and group stated or not), and one look-up by a
-//! hashed key gives the routes of that shape. Conditions that do not go into keys (time, or by lists that would
-//! make too many keys) are checked in their order. Whatever can't come before the best route found so far is skipped.
+//! A trie of networks and a trie of statements give the prefixes that match a request. For each pair of prefixes a summary
+//! lists the shapes of its routes (which of class, tenant and group they state), and one look-up by a hashed key gives the
+//! routes of a shape. Conditions that are not part of the keys (times, and lists that would give too many keys) are checked
+//! for each of these routes in order. Routes after the best one found so far are skipped.
 
 mod names;
 mod network_trie;
@@ -16,25 +16,26 @@
 use crate::calendar::{Moment, Window};
 use crate::route::{self, Conditions, Route};
 use network_trie::NetworkTrie;
-use residual::{divide, KeyedLists, Numbers, ResidualConditions};
+use residual::{divide, KeyedLists, NameNumbers, ResidualConditions};
 use rustc_hash::FxHashMap;
 use statement_trie::{StatementTrie, MAX_PREFIXES};
 use std::net::IpAddr;
 use summary::{Summary, CLASS, GROUP, TENANT};
 
-/// In keys, any class, tenant or group; as a position, no route.
+/// In a key: any class, tenant or group. As a position: no route.
 const ANY: u32 = u32::MAX;
-/// In place of a list's length: the position is that of the only route, which has no residual conditions.
-const SOLE: u32 = u32::MAX;
-/// The number of the empty prefix, which every statement has.
+/// In place of a list's length: the key has a single route without residual conditions, and the start of the list is its
+/// position.
+const SINGLE_ROUTE: u32 = u32::MAX;
+/// The number of the empty prefix, which matches every statement.
 const ANY_STATEMENT: u32 = 0;
 
-/// What routes see of a request, its names as numbers.
+/// The properties of a request that routes check, with names as numbers.
 #[derive(Clone, Copy, Debug)]
 pub struct IndexedRequest<'a> {
-    /// Position in the names that the index was made with; any other number is a name that no route knows.
+    /// Position of the class in the [`NameTable`] of the index; any other number is a name that no route has.
     pub class: u32,
-    /// Position of the tenant's name.
+    /// Position of the tenant in the [`NameTable`] of the index.
     pub tenant: u32,
     /// The group of record servers.
     pub group: u32,
@@ -42,7 +43,7 @@
     pub statement: &'a [u8],
     /// The client's address.
     pub client: IpAddr,
-    /// When the request came.
+    /// Time of arrival.
     pub at: Moment,
 }
 
@@ -55,44 +56,44 @@
     group: u32,
 }
 
-/// An index over the routes: finds the first that holds without checking all.
+/// An index of the routes: finds the first route whose conditions hold without checking all of them.
 #[derive(Debug, Default)]
 pub struct Index {
     networks: NetworkTrie,
     statements: StatementTrie,
-    /// By network and statement's prefix. Those without a statement are kept with their networks.
+    /// Summaries by network and prefix of statements. Those of routes without a statement are in the network's node.
     summaries: FxHashMap<(u32, u32), Summary>,
-    /// The routes of each key: where they stand in `lists` and how many they are; or, with the number [`SOLE`],
-    /// the only one.
-    cells: FxHashMap<Key, (u32, u32)>,
+    /// The routes of each key: the start of their list in `lists` and its length; or, with the length [`SINGLE_ROUTE`], the
+    /// position of the only route.
+    routes_by_key: FxHashMap<Key, (u32, u32)>,
     lists: Vec<u32>,
-    /// Of each route; none: its keys decide.
+    /// Residual conditions of each route; `None`: its keys alone decide.
     residuals: Vec<Option<Box<ResidualConditions>>>,
     windows: Vec<Window>,
 }
 
 /// The routes of each key, while the index is built.
-type Cells = FxHashMap<Key, Vec<u32>>;
+type RoutesByKey = FxHashMap<Key, Vec<u32>>;
 
 impl Index {
-    /// Compiles the routes. Names that no request can have are left out.
+    /// Compiles the routes. Names that are not in `names` are left out, since no request has them.
     pub fn new(routes: &[Route], windows: &[Window], names: &NameTable) -> Index {
-        let numbers = Numbers::new(names);
+        let numbers = NameNumbers::new(names);
         let mut index = Index {
             windows: windows.to_vec(),
             ..Index::default()
         };
-        // The first number, which is ANY_STATEMENT.
+        // The first inserted prefix gets the number ANY_STATEMENT.
         index.statements.insert(b"");
-        let mut cells = Cells::default();
+        let mut routes_by_key = RoutesByKey::default();
         for (at, route) in (0_u32..).zip(routes) {
             let (keyed, residual) = divide(&route.conditions, &numbers);
             let residual = (!residual.is_empty()).then(|| Box::new(residual));
             index.residuals.push(residual);
-            index.add_route(at, &route.conditions, keyed, &mut cells);
+            index.add_route(at, &route.conditions, keyed, &mut routes_by_key);
         }
-        index.pack(cells);
-        index.networks.seal();
+        index.pack(routes_by_key);
+        index.networks.link_parents();
         index
     }
 
@@ -101,7 +102,7 @@
         at: u32,
         conditions: &Conditions,
         keyed: KeyedLists<'_>,
-        cells: &mut Cells,
+        routes_by_key: &mut RoutesByKey,
     ) {
         let networks = self.number_networks(conditions);
         let statements = self.number_statements(&keyed.statements);
@@ -121,7 +122,7 @@
                                 tenant,
                                 group,
                             };
-                            self.append(cells.entry(key).or_default(), at);
+                            self.append(routes_by_key.entry(key).or_default(), at);
                         }
                     }
                 }
@@ -162,7 +163,7 @@
             .add(at, shape);
     }
 
-    /// Behind a route without residual conditions nothing is ever found.
+    /// Adds a route to the list of a key, unless a route without residual conditions comes before it, which always holds.
     fn append(&self, list: &mut Vec<u32>, at: u32) {
         let last = list.last().copied();
         let ends = last.is_some_and(|last| self.is_decided_by_keys(last));
@@ -175,22 +176,22 @@
         matches!(self.residuals.get(at as usize), Some(None))
     }
 
-    fn pack(&mut self, cells: Cells) {
-        self.cells.reserve(cells.len());
-        for (key, list) in cells {
+    fn pack(&mut self, routes_by_key: RoutesByKey) {
+        self.routes_by_key.reserve(routes_by_key.len());
+        for (key, list) in routes_by_key {
             if let [one] = list[..] {
                 if self.is_decided_by_keys(one) {
-                    self.cells.insert(key, (one, SOLE));
+                    self.routes_by_key.insert(key, (one, SINGLE_ROUTE));
                     continue;
                 }
             }
             let start = self.lists.len() as u32;
-            self.cells.insert(key, (start, list.len() as u32));
+            self.routes_by_key.insert(key, (start, list.len() as u32));
             self.lists.extend(list);
         }
     }
 
-    /// The first route that holds, by its position.
+    /// The position of the first route whose conditions hold.
     pub fn find(&self, request: &IndexedRequest<'_>) -> Option<usize> {
         let mut best = ANY;
         let mut prefixes = [0; MAX_PREFIXES];
@@ -199,7 +200,7 @@
             .prefixes(request.statement.trim_ascii_start(), &mut prefixes);
         let mut network = self.networks.find(route::address_number(request.client));
         while let Some(node) = self.networks.nodes.get(network as usize) {
-            // Routes without a statement come first here: a stated prefix is the rarer case.
+            // Routes without a statement are checked first, since they are more frequent.
             if node.summary.first < best {
                 best = self.first_among(network, ANY_STATEMENT, node.summary.shapes, request, best);
             }
@@ -215,8 +216,8 @@
         (best != ANY).then_some(best as usize)
     }
 
-    /// The first that holds of those under one network and one statement's prefix, if it comes before `best`; else
-    /// `best`.
+    /// The first route that holds among those of one network and one prefix of statements, if it comes before `best`;
+    /// else `best`.
     fn first_among(
         &self,
         network: u32,
@@ -237,10 +238,10 @@
                 tenant: or_any(TENANT, request.tenant),
                 group: or_any(GROUP, request.group),
             };
-            let Some(&(start, length)) = self.cells.get(&key) else {
+            let Some(&(start, length)) = self.routes_by_key.get(&key) else {
                 continue;
             };
-            if length == SOLE {
+            if length == SINGLE_ROUTE {
                 best = best.min(start);
                 continue;
             }
@@ -261,9 +262,9 @@
         }
     }
 
-    /// Bytes that it holds, about.
+    /// Approximate size in bytes.
     pub fn size(&self) -> usize {
-        self.cells.capacity() * size_of::<(Key, (u32, u32))>()
+        self.routes_by_key.capacity() * size_of::<(Key, (u32, u32))>()
             + self.summaries.capacity() * size_of::<((u32, u32), Summary)>()
             + self.networks.size()
             + self.statements.size()
--- a/crates/configuration/src/shadow.rs
+++ b/crates/configuration/src/shadow.rs
@@ -1,38 +1,40 @@
-//! Routes that no request reaches: exact, by what earlier routes leave of each.
+//! Finds routes that no request reaches because earlier routes match all of their requests. The result is exact: the
+//! regions of earlier routes are subtracted from the region of each route.
 
 use crate::diagnostic::Diagnostic;
 use crate::model::Model;
 use crate::ranges::{minus_all, Region, DIMENSIONS};
 use crate::space::{Side, Space};
 
-/// Pairs of routes looked at; beyond it routes stay unexamined, and that is said.
+/// Maximum number of pairs of routes that are compared; further routes are reported as not examined.
 const PAIRS_LIMIT: usize = 30_000_000;
-/// Parts that a route may fall into while earlier ones are cut from it.
+/// Maximum number of parts of a route's region while earlier ones are subtracted from it.
 const PARTS_LIMIT: usize = 4_096;
-/// Of several routes that cover another together, so many are named.
-const NAMED: usize = 3;
+/// Maximum number of covering routes that a warning names.
+const COVERS_SHOWN: usize = 3;
 
-/// What is never reached, and by which earlier routes it is covered.
+/// Result of the search.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Unreached {
-    /// A route that no request reaches, and the earlier routes that cover it.
+    /// Positions of the routes that no request reaches, each with those of the earlier routes that cover it.
     pub routes: Vec<(usize, Vec<usize>)>,
-    /// Routes for which the search would take too long.
+    /// Number of routes for which the search would take too long.
     pub unexamined: usize,
 }
 
-/// Routes by their hulls in one dimension: those that may meet a given one are found without asking all.
-struct Overlaps {
+/// Interval tree of the routes' hulls in one dimension: finds the routes that may intersect a given one without checking
+/// all of them.
+struct HullTree {
     dimension: usize,
-    /// Start, end and number, by start.
+    /// Start and end of each hull and the position of its route, sorted by start.
     hulls: Vec<(u128, u128, usize)>,
-    /// Largest end of each subtree of the implicit balanced tree over `hulls`.
+    /// Largest end in each subtree of the implicit balanced tree over `hulls`.
     largest: Vec<u128>,
 }
 
-impl Overlaps {
-    fn new(regions: &[Region]) -> Overlaps {
-        // The dimension in which routes differ most separates most of them.
+impl HullTree {
+    fn new(regions: &[Region]) -> HullTree {
+        // The dimension with the most distinct hulls separates most routes.
         let distinct = |d: usize| {
             let mut hulls: Vec<_> = regions.iter().filter_map(|r| r.0[d].hull()).collect();
             hulls.sort_unstable();
@@ -46,16 +48,16 @@
             .collect();
         hulls.sort_unstable();
         let mut largest = vec![0; hulls.len()];
-        fill(&hulls, &mut largest, 0, hulls.len());
-        Overlaps {
+        fill_largest_ends(&hulls, &mut largest, 0, hulls.len());
+        HullTree {
             dimension,
             hulls,
             largest,
         }
     }
 
-    /// All whose hulls meet this one's, in any order.
-    fn meeting(&self, region: &Region, out: &mut Vec<usize>) {
+    /// Replaces `out` by the positions of the routes whose hulls intersect that of `region`, in any order.
+    fn find_intersecting(&self, region: &Region, out: &mut Vec<usize>) {
         out.clear();
         if let Some((from, to)) = region.0[self.dimension].hull() {
             self.collect(0, self.hulls.len(), from, to, out);
@@ -81,18 +83,28 @@
     }
 }
 
-fn fill(hulls: &[(u128, u128, usize)], largest: &mut [u128], low: usize, high: usize) -> u128 {
+fn fill_largest_ends(
+    hulls: &[(u128, u128, usize)],
+    largest: &mut [u128],
+    low: usize,
+    high: usize,
+) -> u128 {
     if low >= high {
         return 0;
     }
     let middle = (low + high) / 2;
-    let below = fill(hulls, largest, low, middle).max(fill(hulls, largest, middle + 1, high));
+    let below = fill_largest_ends(hulls, largest, low, middle).max(fill_largest_ends(
+        hulls,
+        largest,
+        middle + 1,
+        high,
+    ));
     largest[middle] = below.max(hulls[middle].1);
     largest[middle]
 }
 
-/// Whether all of one lies in another.
-fn inside(inner: &Region, outer: &Region) -> bool {
+/// Whether one region is a subset of another.
+fn is_subset(inner: &Region, outer: &Region) -> bool {
     inner
         .0
         .iter()
@@ -100,15 +112,15 @@
         .all(|(a, b)| a == b || a.minus(b).is_empty())
 }
 
-/// Which regions lie wholly in earlier ones.
+/// Finds the regions that are covered by earlier ones.
 pub fn unreached(regions: &[Region]) -> Unreached {
-    let overlaps = Overlaps::new(regions);
+    let hull_tree = HullTree::new(regions);
     let mut found = Unreached::default();
     let mut hidden = vec![false; regions.len()];
-    let mut near = Vec::new();
+    let mut candidates = Vec::new();
     let mut pairs = 0;
     for (at, region) in regions.iter().enumerate() {
-        // One that holds nothing has a fault of its own.
+        // A region without requests has a diagnostic of its own.
         if region.is_empty() {
             continue;
         }
@@ -116,21 +128,25 @@
             found.unexamined += 1;
             continue;
         }
-        overlaps.meeting(region, &mut near);
-        pairs += near.len();
-        // Whatever a hidden route holds, those before it hold too.
-        near.retain(|&other| other < at && !hidden[other] && regions[other].meets(region));
-        near.sort_unstable();
-        if let Some(&cover) = near.iter().find(|&&other| inside(region, &regions[other])) {
+        hull_tree.find_intersecting(region, &mut candidates);
+        pairs += candidates.len();
+        // Earlier routes that are covered can be left out: the routes that cover them match the same requests.
+        candidates
+            .retain(|&other| other < at && !hidden[other] && regions[other].intersects(region));
+        candidates.sort_unstable();
+        if let Some(&cover) = candidates
+            .iter()
+            .find(|&&other| is_subset(region, &regions[other]))
+        {
             hidden[at] = true;
             found.routes.push((at, vec![cover]));
             continue;
         }
         let mut left = vec![region.clone()];
         let mut covers = Vec::new();
-        for &other in &near {
+        for &other in &candidates {
             let before = left.len();
-            let met = left.iter().any(|part| part.meets(&regions[other]));
+            let met = left.iter().any(|part| part.intersects(&regions[other]));
             if met {
                 covers.push(other);
                 left = minus_all(left, &regions[other]);
@@ -150,7 +166,7 @@
     found
 }
 
-/// Warnings on a model's routes. `classes`: all that the platform has, if it is known.
+/// Warnings about routes that no request reaches. `classes`: all classes of the platform, if they are known.
 pub fn check(model: &Model, classes: Option<&[String]>) -> Vec<Diagnostic> {
     let window_names: Vec<String> = model.named_windows.iter().map(|w| w.name.clone()).collect();
     let side = Side {
@@ -174,10 +190,10 @@
             let message = format!("no request reaches the route {}", route.name);
             let mut warning = Diagnostic::warning("unreachable-route", route.span, message);
             warning = warning.label(match covers.len() {
-                1 => "an earlier route takes all of its requests".to_owned(),
-                n => format!("{n} earlier routes take all of its requests together"),
+                1 => "an earlier route matches all of its requests".to_owned(),
+                n => format!("{n} earlier routes together match all of its requests"),
             });
-            for cover in covers.iter().take(NAMED) {
+            for cover in covers.iter().take(COVERS_SHOWN) {
                 let cover = &model.routes[*cover];
                 warning =
                     warning.related(cover.span, format!("the route {} comes first", cover.name));
@@ -187,7 +203,7 @@
         .collect();
     if let (1.., Some(last)) = (found.unexamined, model.routes.last()) {
         let message = format!(
-            "{} routes were too much work to tell whether any request reaches them",
+            "{} routes were not checked for reachability: the routes overlap too much",
             found.unexamined
         );
         warnings.push(Diagnostic::warning("unexamined-routes", last.span, message));
--- a/crates/configuration/src/space/describe.rs
+++ b/crates/configuration/src/space/describe.rs
@@ -1,28 +1,28 @@
-//! Regions in the words of the language.
+//! Describes regions with the directives of routes.
 
 use super::{Space, ALL_ADDRESSES};
 use crate::ranges::{Dimension, Ranges, Region};
 use std::net::Ipv6Addr;
 
 impl Space {
-    /// A region in the words of the language; what it does not bound is left out.
+    /// Describes a region with the directives of routes; dimensions that it does not restrict are left out.
     pub fn describe(&self, region: &Region) -> String {
         let whole = self.whole();
         let mut words = Vec::new();
-        for (dimension, what, names) in [
+        for (dimension, keyword, names) in [
             (Dimension::Class, "class", &self.names.classes),
             (Dimension::Tenant, "tenant", &self.names.tenants),
         ] {
             let set = region.dimension(dimension);
             if set != whole.dimension(dimension) {
-                words.push(name_list(what, set, whole.dimension(dimension), names));
+                words.push(name_list(keyword, set, whole.dimension(dimension), names));
             }
         }
         let group = region.dimension(Dimension::Group);
         if group != whole.dimension(Dimension::Group) {
             words.push(format!(
                 "group {}",
-                shortened(group.list().iter().map(|(a, b)| span(*a, *b)))
+                shortened(group.list().iter().map(|(a, b)| format_range(*a, *b)))
             ));
         }
         let statement = region.dimension(Dimension::Statement);
@@ -31,7 +31,7 @@
                 let (from, to) = self.prefix(p);
                 (format!("{p:?}"), Ranges::one(from, to))
             });
-            words.push(self.terms(statement, sets, "statement", "no statement"));
+            words.push(self.describe_set(statement, sets, "statement", "no statement"));
         }
         let network = region.dimension(Dimension::Network);
         if network != whole.dimension(Dimension::Network) {
@@ -40,7 +40,7 @@
         let time = region.dimension(Dimension::Time);
         if time != whole.dimension(Dimension::Time) {
             let sets = self.named_windows.iter().cloned();
-            words.push(self.terms(time, sets, "during", "outside of"));
+            words.push(self.describe_set(time, sets, "during", "outside of"));
         }
         if words.is_empty() {
             "all requests".to_owned()
@@ -49,15 +49,15 @@
         }
     }
 
-    /// A set by the named sets that it lies in and those that it has nothing of.
-    fn terms(
+    /// Describes a set by the named sets that contain it and those that are disjoint from it.
+    fn describe_set(
         &self,
         set: &Ranges,
         named: impl Iterator<Item = (String, Ranges)>,
         inside: &str,
         outside: &str,
     ) -> String {
-        let (mut held, mut barred) = (Vec::new(), Vec::new());
+        let (mut containing, mut disjoint) = (Vec::new(), Vec::new());
         let mut rest: Option<Ranges> = None;
         for (name, known) in named {
             let narrowed = match &rest {
@@ -65,18 +65,18 @@
                 None => known.clone(),
             };
             if set.minus(&known).is_empty() && rest.as_ref() != Some(&narrowed) {
-                // A narrower set makes those before it superfluous only if it lies in them.
-                held.retain(|(_, other): &(String, Ranges)| !known.minus(other).is_empty());
-                held.push((name, known));
+                // Sets that contain this one are redundant.
+                containing.retain(|(_, other): &(String, Ranges)| !known.minus(other).is_empty());
+                containing.push((name, known));
                 rest = Some(narrowed);
-            } else if !set.meets(&known) {
-                barred.push((name, known));
+            } else if !set.intersects(&known) {
+                disjoint.push((name, known));
             }
         }
-        // What is barred counts only where it cuts something off.
+        // A disjoint set is mentioned only if it removes something that is left.
         let mut left = rest;
-        barred.retain(|(_, known)| match &mut left {
-            Some(left) if left.meets(known) => {
+        disjoint.retain(|(_, known)| match &mut left {
+            Some(left) if left.intersects(known) => {
                 *left = left.minus(known);
                 true
             }
@@ -87,19 +87,19 @@
             Some(left) => left == set,
             None => true,
         };
-        let mut words: Vec<String> = held
+        let mut words: Vec<String> = containing
             .iter()
             .map(|(name, _)| format!("{inside} {name}"))
             .collect();
-        words.extend(barred.iter().map(|(name, _)| format!("{outside} {name}")));
+        words.extend(disjoint.iter().map(|(name, _)| format!("{outside} {name}")));
         if !exact || words.is_empty() {
-            words.push("in part".to_owned());
+            words.push("only partly".to_owned());
         }
         words.join(", ")
     }
 }
 
-fn span(from: u128, to: u128) -> String {
+fn format_range(from: u128, to: u128) -> String {
     if from == to {
         from.to_string()
     } else {
@@ -107,7 +107,7 @@
     }
 }
 
-/// Words of one list that are shown.
+/// Maximum number of items of a list that are shown.
 const MAX_SHOWN: usize = 6;
 
 fn shortened(words: impl Iterator<Item = String>) -> String {
@@ -122,7 +122,7 @@
     }
 }
 
-fn name_list(what: &str, set: &Ranges, whole: &Ranges, names: &[String]) -> String {
+fn name_list(keyword: &str, set: &Ranges, whole: &Ranges, names: &[String]) -> String {
     let named = |set: &Ranges| -> Vec<String> {
         let numbers = set.list().iter().flat_map(|(a, b)| *a..=*b);
         numbers
@@ -130,15 +130,18 @@
             .collect()
     };
     let rest = whole.minus(set);
-    // A set that holds the names which no route states can be described only by what is not in it.
+    // A set that contains the names that no route has can be described only by the names that it does not contain.
     if set.contains(names.len() as u128) {
-        format!("{what} other than {}", shortened(named(&rest).into_iter()))
+        format!(
+            "{keyword} other than {}",
+            shortened(named(&rest).into_iter())
+        )
     } else {
-        format!("{what} {}", shortened(named(set).into_iter()))
+        format!("{keyword} {}", shortened(named(set).into_iter()))
     }
 }
 
-/// Ranges of addresses as networks, or as all but those that are left out where these are fewer.
+/// Ranges of addresses as networks, or as all except some networks if these are fewer.
 fn networks(set: &Ranges) -> String {
     let all = Ranges::one(ALL_ADDRESSES.0, ALL_ADDRESSES.1);
     let (inside, outside) = (cidrs(set), cidrs(&all.minus(set)));
@@ -154,7 +157,7 @@
     for &(from, to) in set.list() {
         let mut at = from;
         loop {
-            // The largest block that begins here and ends in the range.
+            // The largest block that begins at `at` and does not exceed the range.
             let mut bits = at.trailing_zeros();
             let last = |bits: u32| at | 1_u128.checked_shl(bits).map_or(u128::MAX, |size| size - 1);
             while last(bits) > to {
--- a/crates/configuration/tests/members.rs
+++ b/crates/configuration/tests/members.rs
@@ -1,4 +1,4 @@
-//! The roster of a fleet, as far as it is no matter of one broken line.
+//! Sections `members` and `member`: maximum size of the roster, missing values, differences.
 
 use configuration::diff::diff;
 use configuration::load::MemoryFiles;
@@ -44,7 +44,7 @@
     assert_eq!(parsed("").model.members, None);
 }
 
-/// What can't be read may have held what is missing: one fault, not two.
+/// An invalid line may have set a value that seems to be missing: it is reported as one fault, not two.
 #[test]
 fn a_broken_line_is_one_fault() {
     let whole = fleet(1);
@@ -71,8 +71,8 @@
         .replace("version 3", "version 4")
         .replace("period 500ms", "period 1s");
     let changed = changed.replacen("region thamel", "region patan", 1);
-    let told = diff(&parsed(&text), &parsed(&changed), None).to_string();
-    let lines: Vec<&str> = told.lines().collect();
+    let difference = diff(&parsed(&text), &parsed(&changed), None).to_string();
+    let lines: Vec<&str> = difference.lines().collect();
     assert_eq!(
         lines,
         [
