--- a/crates/leverproxy/src/persistence/hot_restart/handover.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/handover.rs
@@ -66,16 +66,16 @@
     Read(#[from] io::Error),
     /// The connection ended in the middle of the message.
     #[error("it ended before its message did")]
-    CutShort,
+    Truncated,
     /// The message is too long.
     #[error("its message has more than {MAX_MESSAGE_BYTES} bytes")]
-    Long,
+    TooLong,
     /// The message is not the JSON of a handover state.
     #[error("its message is not understood: {0}")]
-    Form(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     /// The handover state has this other version.
     #[error("its message has version {0}, and this process takes {VERSION}")]
-    Version(u32),
+    UnsupportedVersion(u32),
     /// No descriptor came with the message.
     #[error("no listener came with its message")]
     NoListener,
@@ -85,10 +85,10 @@
     /// What an operator can do about it.
     pub fn advice(&self) -> &'static str {
         match self {
-            HandoverError::Read(_) | HandoverError::CutShort => {
+            HandoverError::Read(_) | HandoverError::Truncated => {
                 "If the old process has ended, nothing. Else both accept clients now, and this one is ready once discovery has given its list: then send the old process SIGTERM. What operators took out has to be taken out here again."
             }
-            HandoverError::Long | HandoverError::Form(_) | HandoverError::Version(_) => {
+            HandoverError::TooLong | HandoverError::Malformed(_) | HandoverError::UnsupportedVersion(_) => {
                 "The two builds do not understand each other. Both accept clients now, and this one is ready once discovery has given its list: then send the old process SIGTERM. What operators took out has to be taken out here again."
             }
             HandoverError::NoListener => {
@@ -125,14 +125,14 @@
     let mut chunk = [0; READ_CHUNK];
     while !text.ends_with(b"\n") {
         match stream.read(&mut chunk)? {
-            0 => return Err(HandoverError::CutShort),
-            n if text.len() + n > MAX_MESSAGE_BYTES => return Err(HandoverError::Long),
+            0 => return Err(HandoverError::Truncated),
+            n if text.len() + n > MAX_MESSAGE_BYTES => return Err(HandoverError::TooLong),
             n => text.extend_from_slice(&chunk[..n]),
         }
     }
     let state: HandoverState = serde_json::from_slice(&text)?;
     if state.version != VERSION {
-        return Err(HandoverError::Version(state.version));
+        return Err(HandoverError::UnsupportedVersion(state.version));
     }
     Ok((state, listener.ok_or(HandoverError::NoListener)?))
 }
--- a/crates/leverproxy/src/persistence/saved_state/error.rs
+++ b/crates/leverproxy/src/persistence/saved_state/error.rs
@@ -25,12 +25,12 @@
     #[error("memory: the list has {0} bytes: it is too long to be kept")]
     TooLong(usize),
     /// Discovery's change counter is lower than the saved one.
-    #[error("memory: discovery counts {given}, and had counted {kept} before this start")]
-    WentBack {
+    #[error("memory: discovery counts {received}, and had counted {saved} before this start")]
+    IndexRegressed {
         /// The saved counter.
-        kept: u64,
+        saved: u64,
         /// Discovery's counter now.
-        given: u64,
+        received: u64,
     },
 }
 
@@ -57,7 +57,7 @@
             PersistenceError::TooLong(_) => {
                 "The servers that are out by hand are kept all the same. After a power loss this proxy begins with the platform's list or waits for discovery's."
             }
-            PersistenceError::WentBack { .. } => {
+            PersistenceError::IndexRegressed { .. } => {
                 "Discovery has lost changes that it had told, or is another one. Its list counts; see that it has all servers, and that those are drained that should be."
             }
         }
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -135,10 +135,14 @@
     }
 
     /// Warns if discovery's first list counts less than the saved one.
-    fn check_regression(&mut self, given: u64) {
-        if let Some(kept) = self.recovered_index.take().filter(|kept| given < *kept) {
+    fn check_regression(&mut self, received: u64) {
+        if let Some(saved) = self
+            .recovered_index
+            .take()
+            .filter(|saved| received < *saved)
+        {
             self.index_regressions += 1;
-            let error = PersistenceError::WentBack { kept, given };
+            let error = PersistenceError::IndexRegressed { saved, received };
             log::warn!("{error}. {}", error.advice());
         }
     }
--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -215,7 +215,7 @@
             Unusable => E::Unusable("PATH".into(), persistent_state::SnapshotError::Corrupt),
             Write => E::Write("PATH".into(), cause()),
             TooLong => E::TooLong(N as usize),
-            WentBack => E::WentBack { kept: 2, given: 1 },
+            IndexRegressed => E::IndexRegressed { saved: 2, received: 1 },
         ]);
         use persistent_state::SnapshotError as M;
         rows!(table, "persistent-state: `SnapshotError`", persistent_state::SnapshotError, [
@@ -227,13 +227,13 @@
     }
     {
         use leverproxy::persistence::hot_restart::handover::HandoverError as E;
-        let form = || serde_json::from_str::<u8>("").expect_err("nothing is no number");
+        let malformed = || serde_json::from_str::<u8>("").expect_err("nothing is no number");
         rows!(table, "leverproxy: `handover::HandoverError`", leverproxy::persistence::hot_restart::handover::HandoverError, [
             Read => E::Read(cause()),
-            CutShort => E::CutShort,
-            Long => E::Long,
-            Form => E::Form(form()),
-            Version => E::Version(N),
+            Truncated => E::Truncated,
+            TooLong => E::TooLong,
+            Malformed => E::Malformed(malformed()),
+            UnsupportedVersion => E::UnsupportedVersion(N),
             NoListener => E::NoListener,
         ]);
     }
