--- a/crates/leverproxy/src/cli/mod.rs
+++ b/crates/leverproxy/src/cli/mod.rs
@@ -18,7 +18,7 @@
 
 /// Runs the program by its arguments.
 pub fn main() -> ExitCode {
-    crate::observability::logging::start();
+    crate::observability::logging::init();
     let arguments: Vec<OsString> = std::env::args_os().collect();
     // Without the help that clap prints where a subcommand is missing.
     if arguments.len() == 2 && (arguments[1] == "-V" || arguments[1] == "--version") {
--- a/crates/leverproxy/src/cluster/rollout/observation.rs
+++ b/crates/leverproxy/src/cluster/rollout/observation.rs
@@ -88,7 +88,7 @@
     let mut sums: BTreeMap<u32, Totals> = BTreeMap::new();
     for (class, more) in counters.goodput.classes() {
         let sum = sums
-            .entry(membership::member_id(counters.name(class)))
+            .entry(membership::member_id(counters.class_name(class)))
             .or_default();
         (sum.requested, sum.lost) = (sum.requested + more.requested, sum.lost + more.lost);
     }
--- a/crates/leverproxy/src/config/limits.rs
+++ b/crates/leverproxy/src/config/limits.rs
@@ -18,7 +18,7 @@
     /// Bytes of commands that have not arrived in full, over all clients.
     pub unfinished: usize,
     /// Bytes of large answers that wait for their clients, over all clients.
-    pub passing: usize,
+    pub unsent_answers: usize,
     /// Bytes of memory of the whole process.
     pub memory: usize,
 }
@@ -26,7 +26,7 @@
 impl Limits {
     /// What is left beside another process of the same proxy that holds this many connections (clients, record servers).
     /// A quarter is always left, so that a hot restart does not leave the new process without any.
-    pub fn beside(self, (clients, upstream): (usize, usize)) -> Limits {
+    pub fn remaining_after(self, (clients, upstream): (usize, usize)) -> Limits {
         let left = |all: usize, used: usize| all.saturating_sub(used).max(all / 4);
         Limits {
             clients: left(self.clients, clients),
@@ -37,7 +37,7 @@
 }
 
 /// The part of the memory for large answers on their way is one in so many, as for unfinished commands.
-const PASSING_SHARE: usize = 8;
+const UNSENT_ANSWERS_SHARE: usize = 8;
 /// Descriptors kept for what serves no client: the standard streams (3), epoll, what wakes the loop (2, and a copy for
 /// each of four signals and five threads), the listener and a connection that is accepted to be rejected, two watches
 /// while discovery moves, the next process (a listener, four links, and one rejected), the fleet's socket, and files for a
@@ -77,7 +77,7 @@
         packed: operators.packed.of(sockets),
         upstream: shared - clients,
         unfinished: operators.unfinished.of(memory),
-        passing: memory / PASSING_SHARE,
+        unsent_answers: memory / UNSENT_ANSWERS_SHARE,
         memory,
     })
 }
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -64,7 +64,7 @@
     }
 
     fn stream_window(&self) -> usize {
-        if self.unsent_bytes() >= self.limits.passing {
+        if self.unsent_bytes() >= self.limits.unsent_answers {
             CROWDED_STREAM_WINDOW
         } else {
             STREAM_WINDOW
--- a/crates/leverproxy/src/health/monitor/status.rs
+++ b/crates/leverproxy/src/health/monitor/status.rs
@@ -34,7 +34,7 @@
     }
 
     /// Adds the metrics of sites.
-    pub fn site_figures(&self, now: Instant, figures: &mut Figures) {
+    pub fn write_site_metrics(&self, now: Instant, figures: &mut Figures) {
         if let Some(sites) = &self.sites {
             let since_start = self.since_start(now);
             sites.write_metrics(since_start, figures, |site| self.zone(site).to_owned());
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -59,7 +59,7 @@
     }
 
     /// The name of a class; empty if it is unknown.
-    pub fn name(&self, class: ClassId) -> &str {
+    pub fn class_name(&self, class: ClassId) -> &str {
         self.classes
             .get(usize::from(class.0))
             .map_or("", |(name, _)| name)
@@ -72,14 +72,14 @@
     }
 
     /// A request has been read.
-    pub fn taken(&mut self, class: ClassId) {
+    pub fn request_read(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             class.taken += 1;
         }
     }
 
     /// A request was answered, `elapsed` after it arrived.
-    pub fn answered(
+    pub fn request_answered(
         &mut self,
         class: ClassId,
         quota_status: QuotaStatus,
@@ -117,14 +117,14 @@
     }
 
     /// The client of a request has left.
-    pub fn left(&mut self, class: ClassId) {
+    pub fn client_left(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry("client left").or_default() += 1;
         }
     }
 
     /// A request was cancelled by its client.
-    pub fn cancelled(&mut self, class: ClassId) {
+    pub fn request_cancelled(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry(Answer::Cancelled.kind()).or_default() += 1;
         }
@@ -136,7 +136,7 @@
     }
 
     /// An attempt has ended; without a class: a probe.
-    pub fn ended(&mut self, class: Option<ClassId>, outcome: &ExchangeOutcome) {
+    pub fn attempt_ended(&mut self, class: Option<ClassId>, outcome: &ExchangeOutcome) {
         let ends = match class {
             None => Some(&mut self.probes),
             Some(class) => self.class(class).map(|c| &mut c.attempts),
--- a/crates/leverproxy/src/observability/logging.rs
+++ b/crates/leverproxy/src/observability/logging.rs
@@ -41,7 +41,7 @@
 static LEVEL_FROM_ENVIRONMENT: AtomicBool = AtomicBool::new(false);
 
 /// Starts logging at the level of RUST_LOG, or at info.
-pub fn start() {
+pub fn init() {
     let target = env_logger::Target::Pipe(Box::new(NonBlockingWriter(io::stderr())));
     let mut builder = env_logger::Builder::new();
     match std::env::var("RUST_LOG") {
@@ -49,7 +49,7 @@
             LEVEL_FROM_ENVIRONMENT.store(true, Ordering::Relaxed);
             builder.parse_filters(&filter);
         }
-        // The most that the file may set; the level itself is set by `set`.
+        // The most that the file may set; the level itself is set by `configure`.
         Err(_) => _ = builder.filter_level(LevelFilter::Trace),
     }
     builder.target(target).format(write).init();
@@ -59,7 +59,7 @@
 }
 
 /// Takes the operators' settings over; RUST_LOG has precedence over their level.
-pub fn set(logging: &Logging) {
+pub fn configure(logging: &Logging) {
     JSON.store(logging.json, Ordering::Relaxed);
     if !LEVEL_FROM_ENVIRONMENT.load(Ordering::Relaxed) {
         log::set_max_level(logging.level.parse().unwrap_or(LevelFilter::Info));
@@ -142,6 +142,6 @@
 }
 
 /// Writes a text that was requested, at any log level.
-pub fn say(text: &str) {
+pub fn print(text: &str) {
     _ = NonBlockingWriter(io::stderr()).write_all(format!("{text}\n").as_bytes());
 }
--- a/crates/leverproxy/src/pipeline/answers.rs
+++ b/crates/leverproxy/src/pipeline/answers.rs
@@ -26,11 +26,11 @@
         io: &mut Io,
         now: Instant,
     ) {
-        let class = self.counters.name(open.class);
+        let class = self.counters.class_name(open.class);
         log::debug!("{class}: {}", relay::describe(&open, &answer, now));
         let took = now.saturating_duration_since(open.read_at);
         self.counters
-            .answered(open.class, open.quota_status, &answer, took);
+            .request_answered(open.class, open.quota_status, &answer, took);
         self.quota.record_end(&open, Some(&answer), now);
         let is_write = self.is_write(Some(open.class));
         self.monitor
--- a/crates/leverproxy/src/pipeline/exchanges.rs
+++ b/crates/leverproxy/src/pipeline/exchanges.rs
@@ -50,7 +50,8 @@
         io: &mut Io,
         now: Instant,
     ) {
-        self.counters.ended(completed.class, &completed.outcome);
+        self.counters
+            .attempt_ended(completed.class, &completed.outcome);
         self.monitor.exchange_ended(&completed, now);
         let latest = self.observe_position(&completed, now);
         let Purpose::Attempt(id, attempt) = completed.purpose else {
--- a/crates/leverproxy/src/pipeline/requests.rs
+++ b/crates/leverproxy/src/pipeline/requests.rs
@@ -47,7 +47,7 @@
             .set_status(&mut arrival, request.tenant.is_some(), now);
         self.open_requests
             .admit(&arrival, slot, class, pool, request);
-        self.counters.taken(class);
+        self.counters.request_read(class);
         self.watch_response_order(slot, arrival.time_left, io, now);
         arrival.shed_fraction = self.monitor.request_arrived(&arrival, now);
         self.decide(Event::RequestArrived(arrival), io, now);
@@ -70,9 +70,9 @@
         if let Answer::Invalid(reason) = answer {
             return self.reject_malformed(slot, Some(class), reason, io, now);
         }
-        self.counters.taken(class);
+        self.counters.request_read(class);
         self.counters
-            .answered(class, QuotaStatus::WithinQuota, &answer, Duration::ZERO);
+            .request_answered(class, QuotaStatus::WithinQuota, &answer, Duration::ZERO);
         io.downstream.answer(slot, answer, now, &io.reactor);
     }
 
@@ -90,9 +90,10 @@
         let answer = Answer::Invalid(reason);
         let quota_status = QuotaStatus::WithinQuota;
         match class {
-            Some(class) => self
-                .counters
-                .answered(class, quota_status, &answer, Duration::ZERO),
+            Some(class) => {
+                self.counters
+                    .request_answered(class, quota_status, &answer, Duration::ZERO)
+            }
             None => self.counters.rejected += 1,
         }
         io.downstream.answer(slot, answer, now, &io.reactor);
@@ -100,7 +101,7 @@
 
     pub(super) fn on_client_left(&mut self, slot: ResponseSlot, io: &mut Io, now: Instant) {
         if let Some(open) = self.abandon(slot, io, now) {
-            self.counters.left(open.class);
+            self.counters.client_left(open.class);
         }
     }
 
@@ -113,7 +114,7 @@
             return;
         }
         if let Some(open) = self.abandon(slot, io, now) {
-            self.counters.cancelled(open.class);
+            self.counters.request_cancelled(open.class);
             io.downstream
                 .answer(slot, Answer::Cancelled, now, &io.reactor);
         }
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -86,7 +86,7 @@
     /// Sets the limits that are left to this process. A new process has what the old one does not hold; an old one
     /// opens no more upstream connections than it has.
     pub(super) fn share_limits(&mut self) {
-        let limits = self.limits.beside(self.old_process_usage);
+        let limits = self.limits.remaining_after(self.old_process_usage);
         let io = &mut self.io;
         io.downstream.set_limits(limits, self.client_limits);
         let hot_restart = io.hot_restart.as_ref();
--- a/crates/leverproxy/src/proxy/metrics.rs
+++ b/crates/leverproxy/src/proxy/metrics.rs
@@ -16,7 +16,7 @@
         if let Some(lending) = &self.pipeline.quota.lending {
             lending.write_metrics(now, &mut figures);
         }
-        self.pipeline.monitor.site_figures(now, &mut figures);
+        self.pipeline.monitor.write_site_metrics(now, &mut figures);
         if let Some(rollout) = &self.rollout {
             rollout.write_metrics(&mut figures);
         }
--- a/crates/leverproxy/src/proxy/reload.rs
+++ b/crates/leverproxy/src/proxy/reload.rs
@@ -78,7 +78,7 @@
         (self.limits, self.client_limits) = (config.limits, config.client_limits);
         self.share_limits();
         self.drain.configure(drain_settings);
-        logging::set(&config.logging);
+        logging::configure(&config.logging);
         let (pipeline, io) = (&mut self.pipeline, &mut self.io);
         let former_rules = pipeline.replace_route_rules(rules);
         pipeline.set_discovery_address(config.discovery, io, now);
--- a/crates/leverproxy/src/proxy/startup.rs
+++ b/crates/leverproxy/src/proxy/startup.rs
@@ -47,7 +47,7 @@
         let now = Instant::now();
         let reactor = Reactor::new()?;
         reactor.register(&commands, Token::Commands, Interest::READ)?;
-        logging::set(&config.logging);
+        logging::configure(&config.logging);
         let mut handover = Handover::request(&config);
         let io = open_io(&config, &mut handover, reactor, now)?;
         let mut proxy = Proxy::assemble(&mut config, &handover, commands, io, now);
@@ -272,7 +272,7 @@
     reactor: Reactor,
     now: Instant,
 ) -> io::Result<Io> {
-    let limits = config.limits.beside(handover.usage());
+    let limits = config.limits.remaining_after(handover.usage());
     let mut downstream = Downstream::listen(
         config.listen,
         handover.listener.take(),
--- a/crates/leverproxy/src/proxy/state.rs
+++ b/crates/leverproxy/src/proxy/state.rs
@@ -115,7 +115,7 @@
         let (connections, dials) = (upstream.connection_count(), upstream.dials);
         let (route_rules, health) = (self.pipeline.route_rules(), self.io.health.lines());
         let quota = &self.pipeline.quota;
-        crate::observability::logging::say(&format!(
+        crate::observability::logging::print(&format!(
             "{}\nstatements not understood {malformed}\nconnections: clients {clients}, turned out {rejected}; upstream {connections}; dials {dials}{route_rules}{quota}{health}",
             self.pipeline.counters,
         ));
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -214,7 +214,7 @@
     )
     .unwrap();
     let mut limits = config.limits;
-    limits.passing = 160 << 10;
+    limits.unsent_answers = 160 << 10;
     let mut downstream = Downstream::listen(
         config.listen,
         None,
@@ -268,7 +268,7 @@
     }
     // One chunk more than its window each, at most.
     assert!(
-        downstream.unsent_bytes() <= limits.passing + CLIENTS * chunk.len() * 2,
+        downstream.unsent_bytes() <= limits.unsent_answers + CLIENTS * chunk.len() * 2,
         "{} bytes wait",
         downstream.unsent_bytes()
     );
