--- a/crates/leverproxy/src/cli/config/format.rs
+++ b/crates/leverproxy/src/cli/config/format.rs
@@ -9,11 +9,11 @@
 
 pub(super) fn format_files(matches: &ArgMatches) -> Result<ExitCode, ConfigCommandError> {
     let check_only = matches.get_flag("check");
-    let mut any_differs = false;
+    let mut any_differ = false;
     for path in matches.get_many::<String>("files").into_iter().flatten() {
-        any_differs |= format_file(path, check_only)?;
+        any_differ |= format_file(path, check_only)?;
     }
-    Ok(if any_differs && check_only {
+    Ok(if any_differ && check_only {
         ExitCode::from(DIFFERS)
     } else {
         ExitCode::SUCCESS
@@ -22,15 +22,15 @@
 
 /// Whether the file was not in its canonical form.
 fn format_file(path: &str, check_only: bool) -> Result<bool, ConfigCommandError> {
-    let named = || path.to_owned();
+    let owned_path = || path.to_owned();
     let bytes = std::fs::read(path).map_err(|source| ConfigCommandError::Read {
-        path: named(),
+        path: owned_path(),
         source,
     })?;
     let old =
-        String::from_utf8(bytes).map_err(|_| ConfigCommandError::NotText { path: named() })?;
-    let new =
-        format::format(&old).ok_or_else(|| ConfigCommandError::NotFormattable { path: named() })?;
+        String::from_utf8(bytes).map_err(|_| ConfigCommandError::NotText { path: owned_path() })?;
+    let new = format::format(&old)
+        .ok_or_else(|| ConfigCommandError::NotFormattable { path: owned_path() })?;
     if old == new {
         return Ok(false);
     }
@@ -38,7 +38,7 @@
         print(&format!("{path} is not in its canonical form\n"));
     } else {
         replace(Path::new(path), &new).map_err(|source| ConfigCommandError::Write {
-            path: named(),
+            path: owned_path(),
             source,
         })?;
     }
--- a/crates/leverproxy/src/cli/config/mod.rs
+++ b/crates/leverproxy/src/cli/config/mod.rs
@@ -9,7 +9,7 @@
 pub(super) use commands::command;
 use error::ConfigCommandError;
 
-use super::MISUSE;
+use super::USAGE_ERROR;
 use crate::config::operators_file::{self, classes};
 use clap::ArgMatches;
 use configuration::diagnostic::{json, render};
@@ -37,7 +37,7 @@
     };
     result.unwrap_or_else(|error| {
         eprintln!("leverproxy: {error}");
-        ExitCode::from(MISUSE)
+        ExitCode::from(USAGE_ERROR)
     })
 }
 
@@ -55,7 +55,7 @@
     Ok(if reading.is_valid() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(MISUSE)
+        ExitCode::from(USAGE_ERROR)
     })
 }
 
--- a/crates/leverproxy/src/cli/control_client.rs
+++ b/crates/leverproxy/src/cli/control_client.rs
@@ -1,6 +1,6 @@
 //! The subcommands that send a command to a serving proxy's control socket and print its reply.
 
-use super::MISUSE;
+use super::USAGE_ERROR;
 use clap::ArgMatches;
 use std::io::{self, Read, Write};
 use std::os::unix::net::UnixStream;
@@ -30,7 +30,7 @@
             Ok(hash) => format!(" {hash}"),
             Err(problem) => {
                 eprintln!("leverproxy: {problem}");
-                return ExitCode::from(MISUSE);
+                return ExitCode::from(USAGE_ERROR);
             }
         },
         None if !needs_version => String::new(),
@@ -38,7 +38,7 @@
             eprintln!(
                 "leverproxy: propose and resume need a HASH or a FILE, the other words need none"
             );
-            return ExitCode::from(MISUSE);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
     send(&format!("rollout {action}{version}"), matches)
@@ -49,7 +49,7 @@
     let stated = matches.get_one::<String>("socket").cloned();
     let Some(path) = stated.or_else(|| std::env::var("LB_CONTROL").ok()) else {
         eprintln!("leverproxy: no control socket is named (--socket or LB_CONTROL)");
-        return ExitCode::from(MISUSE);
+        return ExitCode::from(USAGE_ERROR);
     };
     match exchange(&path, command) {
         Ok(reply) => {
--- a/crates/leverproxy/src/cli/mod.rs
+++ b/crates/leverproxy/src/cli/mod.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 /// Exit code for a wrong command line or configuration.
-const MISUSE: u8 = 2;
+const USAGE_ERROR: u8 = 2;
 
 /// Runs the program by its arguments.
 pub fn main() -> ExitCode {
@@ -29,7 +29,7 @@
         Err(error) => {
             _ = error.print();
             if error.use_stderr() {
-                ExitCode::from(MISUSE)
+                ExitCode::from(USAGE_ERROR)
             } else {
                 ExitCode::SUCCESS
             }
--- a/crates/leverproxy/src/cli/serve.rs
+++ b/crates/leverproxy/src/cli/serve.rs
@@ -1,7 +1,7 @@
 //! `leverproxy serve` and `leverproxy check`: both read the complete configuration; `serve` then serves by it.
 
 use super::start_clock::StartClock;
-use super::MISUSE;
+use super::USAGE_ERROR;
 use crate::config::{Config, ConfigError};
 use crate::control::{self, CommandReceiver, Control};
 use crate::proxy::Proxy;
@@ -56,7 +56,7 @@
         Err(error) => {
             // Nothing was served: an address is taken or not of this machine, most of all.
             eprintln!("leverproxy: {error}");
-            return ExitCode::from(MISUSE);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
     start.finish();
@@ -111,5 +111,5 @@
         error.key, error.problem
     );
     error.faults.iter().for_each(|fault| eprintln!("  {fault}"));
-    ExitCode::from(MISUSE)
+    ExitCode::from(USAGE_ERROR)
 }
--- a/crates/leverproxy/src/config/effective.rs
+++ b/crates/leverproxy/src/config/effective.rs
@@ -45,17 +45,17 @@
 
 /// The platform's limits count where the operators' file states none.
 fn add_process_limits(entries: &mut Vec<Entry>, limits: &ProcessLimits) {
-    let states = |directive| {
+    let is_stated = |directive| {
         entries
             .iter()
             .any(|e| e.section == "limits" && e.directive == directive)
     };
-    let (states_sockets, states_memory) = (states("sockets"), states("memory"));
-    if let Some(number) = limits.sockets.filter(|_| !states_sockets) {
+    let (sockets_stated, memory_stated) = (is_stated("sockets"), is_stated("memory"));
+    if let Some(number) = limits.sockets.filter(|_| !sockets_stated) {
         let origin = Origin::Platform("limits.sockets".into());
         replace(entries, "limits", "sockets", number.to_string(), origin);
     }
-    if let Some(mb) = limits.memory_mb.filter(|_| !states_memory) {
+    if let Some(mb) = limits.memory_mb.filter(|_| !memory_stated) {
         let origin = Origin::Platform("limits.memory_mb".into());
         let size = value::format_size((mb as u64) << 20);
         replace(entries, "limits", "memory", size, origin);
--- a/crates/leverproxy/src/config/json_position.rs
+++ b/crates/leverproxy/src/config/json_position.rs
@@ -9,10 +9,10 @@
 /// The line of the key that a path like `settings.Classes[0].Deadline` names, or of the last part of it that the text has.
 /// None where not even the first part is there, or the text is not valid JSON up to there.
 pub fn line_of(text: &[u8], path: &str) -> Option<usize> {
-    let mut scan = Scan { text, at: 0 };
+    let mut scanner = Scanner { text, at: 0 };
     let mut found = None;
     for step in steps(path) {
-        match scan.enter(&step) {
+        match scanner.enter(&step) {
             Some(at) => found = Some(at),
             None => break,
         }
@@ -29,12 +29,12 @@
         .collect()
 }
 
-struct Scan<'a> {
+struct Scanner<'a> {
     text: &'a [u8],
     at: usize,
 }
 
-impl Scan<'_> {
+impl Scanner<'_> {
     /// Goes to the value of a field or item of the object or array here; where the field's name or the item begins.
     fn enter(&mut self, step: &Step) -> Option<usize> {
         match step {
--- a/crates/leverproxy/src/config/json_position/tests.rs
+++ b/crates/leverproxy/src/config/json_position/tests.rs
@@ -31,7 +31,7 @@
 
 /// What is missing is missing from the last part that is there.
 #[test]
-fn a_missing_key_is_told_by_what_holds_it() {
+fn a_missing_key_is_located_at_the_value_that_should_hold_it() {
     assert_eq!(
         line_of(TEXT.as_bytes(), "settings.Classes[1].Effect"),
         Some(6)
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_text_cut_off_anywhere_is_outlived() {
+fn text_truncated_anywhere_does_not_panic() {
     for end in 0..TEXT.len() {
         _ = line_of(&TEXT.as_bytes()[..end], "settings.Classes[1].Deadline");
     }
--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -17,7 +17,7 @@
 const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// After SIGTERM new connections go on coming for up to 0.4 s.
-const LINGER: Duration = Duration::from_millis(500);
+const DEFAULT_ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
 /// SIGKILL comes no sooner than 0.7 s and the longest deadline after SIGTERM, which counts for this much at most.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
 /// Beyond that deadline, for answers on their way out.
@@ -137,7 +137,7 @@
         upstream_idle_timeout: or_default(platform.settings.idle_timeout, DEFAULT_IDLE_TIMEOUT)
             .mul_f64(IDLE_TIMEOUT_SHARE),
         max_watch_silence: model.discovery.max_watch_silence,
-        accept_after_stop: model.accept_after_stop.unwrap_or(LINGER),
+        accept_after_stop: model.accept_after_stop.unwrap_or(DEFAULT_ACCEPT_AFTER_STOP),
         shutdown_timeout: longest_deadline(&platform).min(MAX_KILL_DEADLINE) + FINAL_ANSWER_MARGIN,
         required_keys: RequiredKeys::of(text, &platform),
         wall_clock: WallClock::default(),
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -60,11 +60,11 @@
 /// Applies what the operators' file states of the decision module's settings, each value only where it is tighter.
 pub fn tighten(platform: &mut PlatformSettings, model: &Model) {
     let settings = &mut platform.settings;
-    if let Some(tries) = model.policy.attempt_limit {
+    if let Some(attempts) = model.policy.attempt_limit {
         settings.attempt_limit = if settings.attempt_limit == 0 {
-            tries
+            attempts
         } else {
-            settings.attempt_limit.min(tries)
+            settings.attempt_limit.min(attempts)
         };
     }
     settings.may_hedge &= model.policy.hedging;
@@ -152,8 +152,8 @@
             }),
         },
         connections: h.connections,
-        patience: h.check_timeout,
-        idle: h.idle_timeout,
+        check_timeout: h.check_timeout,
+        idle_timeout: h.idle_timeout,
     };
     model.health.iter().map(listen).collect()
 }
@@ -171,11 +171,11 @@
 /// When the proxy counts as degraded or down.
 pub fn availability(model: &Model) -> availability::Settings {
     let stated = &model.availability;
-    let part =
+    let fraction =
         |share: configuration::value::Share| f64::from(share.part) / f64::from(share.whole.max(1));
     availability::Settings {
-        floor: part(stated.floor),
-        cut_floor: part(stated.cut_floor),
+        floor: fraction(stated.floor),
+        cut_floor: fraction(stated.cut_floor),
         list_late: stated.list_late,
         election: stated.election,
         dwell: stated.dwell,
--- a/crates/leverproxy/src/health/answer.rs
+++ b/crates/leverproxy/src/health/answer.rs
@@ -6,10 +6,10 @@
 use wire_health::http::{self, Statuses};
 use wire_health::{agent, Status};
 
-use super::{Check, Counts, UNSENT_BYTES};
+use super::{CheckConnection, Counts, MAX_UNSENT_BYTES};
 
 /// Balancers whose views are kept.
-const VIEWS_LIMIT: usize = 16;
+const MAX_BALANCER_VIEWS: usize = 16;
 
 /// What balancers last said of this server, by their names.
 #[derive(Debug, Default)]
@@ -17,7 +17,7 @@
 
 impl BalancerViews {
     fn record(&mut self, balancer: String, view: String) {
-        if self.0.len() < VIEWS_LIMIT || self.0.contains_key(&balancer) {
+        if self.0.len() < MAX_BALANCER_VIEWS || self.0.contains_key(&balancer) {
             self.0.insert(balancer, view);
         }
     }
@@ -29,7 +29,7 @@
 
 /// Answers an agent check: one line, then the end.
 pub(super) fn answer_agent(
-    check: &mut Check,
+    check: &mut CheckConnection,
     expects_text: bool,
     status: &Status,
     counts: &mut Counts,
@@ -53,12 +53,12 @@
 
 /// The status of one group: of the least weight if it does not answer, since the traffic of other groups has other checks.
 fn group_status(status: &Status, group: u32) -> Status {
-    let dead = status
+    let is_dead = status
         .groups
         .iter()
         .find(|g| g.group == group)
         .is_some_and(|g| !g.serves);
-    if dead && status.state.serves() {
+    if is_dead && status.state.serves() {
         let weight = 1;
         let state = wire_health::State::Degraded(100);
         return Status {
@@ -73,14 +73,14 @@
 
 /// Answers all complete HTTP requests that were read.
 pub(super) fn answer_http(
-    check: &mut Check,
+    check: &mut CheckConnection,
     statuses: Statuses,
     status: &Status,
     now: Instant,
     counts: &mut Counts,
     views: &mut BalancerViews,
 ) {
-    while !check.closing && check.stream.unsent() < UNSENT_BYTES {
+    while !check.closing && check.stream.unsent() < MAX_UNSENT_BYTES {
         match http::parse(check.stream.input.unused()) {
             Ok(None) => return,
             Ok(Some((request, used))) => {
--- a/crates/leverproxy/src/health/grpc.rs
+++ b/crates/leverproxy/src/health/grpc.rs
@@ -23,7 +23,7 @@
             let listener = TcpListener::bind(settings.address)?;
             let limits = Settings {
                 connections: settings.connections,
-                patience: settings.patience,
+                patience: settings.check_timeout,
             };
             let server = Server::start(listener, limits)?;
             log::info!(
--- a/crates/leverproxy/src/health/mod.rs
+++ b/crates/leverproxy/src/health/mod.rs
@@ -51,15 +51,15 @@
     /// Most connections at a time.
     pub connections: usize,
     /// A check must be complete, and its answer read, within this time.
-    pub patience: Duration,
+    pub check_timeout: Duration,
     /// A connection without checks is closed after this time.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Descriptors reserved for checks when no other is left.
-const RESERVE: usize = 4;
+const RESERVED_DESCRIPTORS: usize = 4;
 /// Most bytes of answers that the peer of a connection has not read.
-const UNSENT_BYTES: usize = 16 << 10;
+const MAX_UNSENT_BYTES: usize = 16 << 10;
 
 struct Listener {
     fd: OwnedFd,
@@ -69,7 +69,7 @@
     accepting: bool,
 }
 
-struct Check {
+struct CheckConnection {
     stream: Stream,
     listener: u16,
     since: Instant,
@@ -99,9 +99,9 @@
 pub struct Health {
     grpc: grpc::Servers,
     listeners: Vec<Listener>,
-    checks: Slab<Check>,
+    checks: Slab<CheckConnection>,
     reserve: Vec<OwnedFd>,
-    exhausted: LogRateLimit,
+    descriptors_log: LogRateLimit,
     views: BalancerViews,
     /// Counts so far.
     pub counts: Counts,
@@ -115,7 +115,7 @@
             listeners: Vec::new(),
             checks: Slab::default(),
             reserve: Vec::new(),
-            exhausted: LogRateLimit::default(),
+            descriptors_log: LogRateLimit::default(),
             views: BalancerViews::default(),
             counts: Counts::default(),
         };
@@ -166,7 +166,7 @@
         let Some(first) = self.listeners.first() else {
             return;
         };
-        while self.reserve.len() < RESERVE {
+        while self.reserve.len() < RESERVED_DESCRIPTORS {
             match rustix::io::fcntl_dupfd_cloexec(first.fd.as_fd(), 0) {
                 Ok(fd) => self.reserve.push(fd),
                 Err(_) => return,
@@ -182,7 +182,7 @@
                 return;
             };
             if listener.connections >= listener.settings.connections
-                && !self.close_idlest(at, reactor)
+                && !self.close_longest_idle(at, reactor)
             {
                 // All are in use; accepting goes on once one is closed.
                 self.counts.refused += 1;
@@ -197,7 +197,7 @@
                 Err(AcceptError::RetryLater) => return self.pause(index, true, reactor),
                 Err(AcceptError::NoDescriptors) => {
                     if self.reserve.pop().is_none() {
-                        self.exhausted.warn(now, || {
+                        self.descriptors_log.warn(now, || {
                             "health: no descriptor left, nor one kept for checks".into()
                         });
                         return self.pause(index, true, reactor);
@@ -209,7 +209,7 @@
             if let Some(listener) = self.listeners.get_mut(index) {
                 listener.connections += 1;
             }
-            let check = Check {
+            let check = CheckConnection {
                 stream,
                 listener: at,
                 since: now,
@@ -242,8 +242,8 @@
     }
 
     /// Closes the connection that has been idle between checks the longest. False: none is idle.
-    fn close_idlest(&mut self, at: u16, reactor: &Reactor) -> bool {
-        let idle = |c: &Check| {
+    fn close_longest_idle(&mut self, at: u16, reactor: &Reactor) -> bool {
+        let idle = |c: &CheckConnection| {
             c.listener == at && (c.answered > 0 || c.closing) && c.stream.input.is_empty()
         };
         let found = self
@@ -326,7 +326,7 @@
             check.stream.end_output();
         }
         let interest = Interest {
-            read: check.stream.unsent() < UNSENT_BYTES,
+            read: check.stream.unsent() < MAX_UNSENT_BYTES,
             write: !written,
         };
         if check
@@ -367,9 +367,9 @@
             let is_idle =
                 check.answered > 0 && check.stream.input.is_empty() && check.stream.unsent() == 0;
             let allowed = if is_idle && !check.closing {
-                settings.idle
+                settings.idle_timeout
             } else {
-                settings.patience
+                settings.check_timeout
             };
             if now.saturating_duration_since(check.since) >= allowed {
                 self.counts.slow += u64::from(!is_idle);
--- a/crates/leverproxy/src/health/monitor/load.rs
+++ b/crates/leverproxy/src/health/monitor/load.rs
@@ -11,7 +11,7 @@
 /// Time constant of the rates, in seconds.
 const RATE_TIME_CONSTANT: f64 = 5.0;
 /// The shortest time between two samples that is divided by, in seconds.
-const LEAST_ELAPSED: f64 = 1e-3;
+const MIN_ELAPSED_S: f64 = 1e-3;
 
 /// Use of the proxy's limits.
 #[derive(Clone, Copy, Debug, Default)]
@@ -79,11 +79,11 @@
         self.usage = usage;
         self.sample_memory(now);
         self.sample_rates(now);
-        let descriptors = part(usage.clients, usage.clients_limit)
-            .max(part(usage.upstream, usage.upstream_limit));
+        let descriptors = fraction(usage.clients, usage.clients_limit)
+            .max(fraction(usage.upstream, usage.upstream_limit));
         Load {
             lag: std::mem::take(&mut self.lag),
-            open: part(usage.open, usage.clients_limit),
+            open: fraction(usage.open, usage.clients_limit),
             descriptors,
             memory: self.memory,
         }
@@ -95,7 +95,7 @@
             .is_none_or(|at| now.saturating_duration_since(at) >= MEMORY_INTERVAL);
         if is_due {
             self.memory_at = Some(now);
-            self.memory = part(resident_bytes(), self.usage.memory_limit);
+            self.memory = fraction(resident_bytes(), self.usage.memory_limit);
         }
     }
 
@@ -103,7 +103,7 @@
         let elapsed = now
             .saturating_duration_since(self.sampled_at)
             .as_secs_f64()
-            .max(LEAST_ELAPSED);
+            .max(MIN_ELAPSED_S);
         let cpu_used = Clock::cpu_time();
         let decay = (-elapsed / RATE_TIME_CONSTANT).exp();
         let average = |old: f64, new: f64| old * decay + new * (1.0 - decay);
@@ -117,7 +117,7 @@
     }
 }
 
-fn part(used: usize, limit: usize) -> f64 {
+fn fraction(used: usize, limit: usize) -> f64 {
     used as f64 / limit.max(1) as f64
 }
 
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -9,8 +9,8 @@
 
 /// Counters of a class: answers and attempts by how they ended.
 #[derive(Debug, Default)]
-struct Class {
-    taken: u64,
+struct ClassCounters {
+    requests: u64,
     answers: BTreeMap<&'static str, u64>,
     attempts: BTreeMap<&'static str, u64>,
 }
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     /// By class id.
-    classes: Vec<(String, Class)>,
+    classes: Vec<(String, ClassCounters)>,
     probes: BTreeMap<&'static str, u64>,
     probes_sent: u64,
     /// Goodput of all answers.
@@ -43,7 +43,7 @@
     pub fn new(classes: &[String]) -> Counters {
         let classes = classes
             .iter()
-            .map(|name| (name.clone(), Class::default()))
+            .map(|name| (name.clone(), ClassCounters::default()))
             .collect();
         Counters {
             classes,
@@ -55,7 +55,7 @@
     pub fn extend(&mut self, classes: &[String]) {
         let new = classes.iter().skip(self.classes.len());
         self.classes
-            .extend(new.map(|name| (name.clone(), Class::default())));
+            .extend(new.map(|name| (name.clone(), ClassCounters::default())));
     }
 
     /// The name of a class; empty if it is unknown.
@@ -65,7 +65,7 @@
             .map_or("", |(name, _)| name)
     }
 
-    fn class(&mut self, class: ClassId) -> Option<&mut Class> {
+    fn class(&mut self, class: ClassId) -> Option<&mut ClassCounters> {
         self.classes
             .get_mut(usize::from(class.0))
             .map(|(_, counts)| counts)
@@ -74,7 +74,7 @@
     /// A request has been read.
     pub fn request_read(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
-            class.taken += 1;
+            class.requests += 1;
         }
     }
 
@@ -142,12 +142,12 @@
             Some(class) => self.class(class).map(|c| &mut c.attempts),
         };
         if let Some(ends) = ends {
-            *ends.entry(name(outcome)).or_default() += 1;
+            *ends.entry(outcome_label(outcome)).or_default() += 1;
         }
     }
 }
 
-fn name(outcome: &ExchangeOutcome) -> &'static str {
+fn outcome_label(outcome: &ExchangeOutcome) -> &'static str {
     match outcome {
         ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => "ok",
         ExchangeOutcome::Misdirected => "miss",
@@ -162,7 +162,7 @@
     }
 }
 
-fn list(
+fn write_counts(
     f: &mut fmt::Formatter<'_>,
     title: &str,
     counts: &BTreeMap<&'static str, u64>,
@@ -177,13 +177,13 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, class) in &self.classes {
-            write!(f, "class {name}: taken {}; ", class.taken)?;
-            list(f, "answered", &class.answers)?;
-            list(f, "; attempts", &class.attempts)?;
+            write!(f, "class {name}: taken {}; ", class.requests)?;
+            write_counts(f, "answered", &class.answers)?;
+            write_counts(f, "; attempts", &class.attempts)?;
             writeln!(f)?;
         }
         write!(f, "probes: sent {}; ", self.probes_sent)?;
-        list(f, "ended", &self.probes)?;
+        write_counts(f, "ended", &self.probes)?;
         writeln!(f)?;
         let Counters {
             rejected,
--- a/crates/leverproxy/src/observability/goodput/tests.rs
+++ b/crates/leverproxy/src/observability/goodput/tests.rs
@@ -4,15 +4,15 @@
 use routing::{Class, Consistency, Idempotency};
 
 #[test]
-fn a_request_counts_and_earns_what_the_settings_say() {
-    let (aim, deadline) = (Duration::from_millis(100), Duration::from_secs(1));
-    let class = |worth, late_worth| Class {
+fn goodput_follows_priority_weights_and_late_fractions() {
+    let (objective, deadline) = (Duration::from_millis(100), Duration::from_secs(1));
+    let class = |weight, late_fraction| Class {
         consistency: Consistency::Write,
         idempotency: Idempotency::NonIdempotent,
-        latency_objective: aim,
+        latency_objective: objective,
         deadline,
-        priority_weight: worth,
-        late_weight_fraction: late_worth,
+        priority_weight: weight,
+        late_weight_fraction: late_fraction,
     };
     let settings = Settings {
         classes: vec![class(4.0, 0.25), class(1.0, 0.0)],
@@ -22,15 +22,25 @@
     let mut goodput = Goodput::default();
     goodput.configure(&settings);
     let served = || Answer::Served(Vec::new());
-    goodput.record_answer(ClassId(0), QuotaStatus::WithinQuota, &served(), aim);
-    goodput.record_answer(ClassId(0), QuotaStatus::WithinQuota, &served(), aim * 2);
+    goodput.record_answer(ClassId(0), QuotaStatus::WithinQuota, &served(), objective);
+    goodput.record_answer(
+        ClassId(0),
+        QuotaStatus::WithinQuota,
+        &served(),
+        objective * 2,
+    );
     goodput.record_answer(
         ClassId(1),
         QuotaStatus::OverQuota,
         &Answer::Rejected(None),
-        aim,
+        objective,
+    );
+    goodput.record_answer(
+        ClassId(9),
+        QuotaStatus::WithinQuota,
+        &Answer::Failed,
+        objective,
     );
-    goodput.record_answer(ClassId(9), QuotaStatus::WithinQuota, &Answer::Failed, aim);
     let classes: Vec<Totals> = goodput.classes().map(|(_, totals)| totals).collect();
     assert_eq!(
         classes,
