--- a/crates/leverproxy/src/cli/commands.rs
+++ b/crates/leverproxy/src/cli/commands.rs
@@ -1,28 +1,28 @@
-//! The program's subcommands and options, as clap takes them.
+//! The program's subcommands and options, as clap definitions.
 
 use clap::{Arg, ArgAction, Command};
 use clap_complete::Shell;
 
-const ABOUT: &str = "A proxy before replicated record servers with cost-to-fresh routing";
+const ABOUT: &str = "A proxy in front of replicated record servers with cost-to-fresh routing";
 
 const ENVIRONMENT: &str = "\
 Environment:
-  LB_CONFIG     the platform's JSON file
-  LB_OPERATORS  the operators' file, unless --operators names it
-  LB_CONTROL    the control socket, for drain, undrain, status, sites and rollout
+  LB_CONFIG     path of the platform's JSON file
+  LB_OPERATORS  path of the operators' file; --operators overrides it
+  LB_CONTROL    path of the control socket, for drain, undrain, status, sites and rollout; --socket overrides it
   LB_NAME, LB_LISTEN, LB_DISCOVERY
-                override what the files say (after SIGHUP the platform's file counts over LB_DISCOVERY)
-  RUST_LOG      what is logged; counts over the level of the operators' file
+                override the files (on a reload by SIGHUP, the platform's file overrides LB_DISCOVERY)
+  RUST_LOG      log filter; overrides the level in the operators' file
 
 Exit codes:
-  0  done, or nothing to say against a file
-  1  the proxy failed while it served; files differ; a file is not in its canonical form
-  2  the command line or the configuration is faulty";
+  0  success; the checked file has no errors
+  1  the proxy failed while serving; files differ; a file is not in its canonical form
+  2  the command line or the configuration is invalid";
 
-/// What the rollout subcommand can ask of the fleet.
+/// Actions of the subcommand `rollout`.
 const ROLLOUT_ACTIONS: [&str; 5] = ["halt", "return", "status", "resume", "propose"];
 
-/// The whole command line.
+/// The definition of the command line.
 pub fn command() -> Command {
     Command::new("leverproxy")
         .about(ABOUT)
@@ -45,38 +45,38 @@
 
 fn serve() -> Command {
     Command::new("serve")
-        .about("Serve until SIGTERM; SIGUSR1 prints the counters, SIGHUP rereads both files")
+        .about("Run the proxy until SIGTERM; SIGUSR1 prints its counters, SIGHUP rereads both configuration files")
         .arg(operators_option())
 }
 
 fn check() -> Command {
     Command::new("check")
-        .about("Read the configuration as serve would, and say whether it is sound")
+        .about("Read the configuration as serve does, and report whether it is valid")
         .arg(operators_option())
 }
 
 fn drain() -> Command {
     Command::new("drain")
-        .about("Take a serving proxy out of service: tell the balancers, wait for them, stop listening")
+        .about("Take a running proxy out of service: announce it to the balancers, wait until they have noticed, stop listening")
         .arg(socket_option())
 }
 
 fn undrain() -> Command {
     Command::new("undrain")
-        .about("Bring a drained proxy back")
+        .about("Bring a drained proxy back into service")
         .arg(socket_option())
 }
 
 fn status() -> Command {
     Command::new("status")
-        .about("Print how a serving proxy fares")
+        .about("Print the state of a running proxy")
         .arg(socket_option())
 }
 
 fn sites() -> Command {
     Command::new("sites")
-        .about("Print what a serving proxy knows of each site, where its load would go and what would be refused")
-        .arg(Arg::new("name").value_name("SITE").help("Only this one"))
+        .about("Print the state of each site as a running proxy sees it, where its load would go if it were lost, and which share would be rejected")
+        .arg(Arg::new("name").value_name("SITE").help("Print only this site"))
         .arg(socket_option())
 }
 
@@ -84,13 +84,13 @@
     let action = Arg::new("word")
         .required(true)
         .value_parser(ROLLOUT_ACTIONS)
-        .help("What is to be done");
-    let version = Arg::new("version")
-        .value_name("HASH|FILE")
-        .help("For propose and resume: which");
+        .help("The action");
+    let version = Arg::new("version").value_name("HASH|FILE").help(
+        "The version, for propose and resume: its hash, or a file from which the hash is computed",
+    );
     Command::new("rollout")
         .about(
-            "Bring a new operators' file to the fleet in stages, see how it fares, halt it or take it back",
+            "Roll out a new operators' file to the fleet in stages; print the progress, halt the rollout or return to the old file",
         )
         .args([action, version])
         .arg(socket_option())
@@ -98,7 +98,7 @@
 
 fn completions() -> Command {
     Command::new("completions")
-        .about("Print completions for a shell")
+        .about("Print a completion script for a shell")
         .arg(
             Arg::new("shell")
                 .required(true)
@@ -110,12 +110,12 @@
     Arg::new("operators")
         .long("operators")
         .value_name("FILE")
-        .help("The operators' file, in place of LB_OPERATORS")
+        .help("Path of the operators' file; overrides LB_OPERATORS")
 }
 
 fn socket_option() -> Arg {
     Arg::new("socket")
         .long("socket")
         .value_name("PATH")
-        .help("The proxy's control socket, in place of LB_CONTROL")
+        .help("Path of the proxy's control socket; overrides LB_CONTROL")
 }
--- a/crates/leverproxy/src/cli/config/commands.rs
+++ b/crates/leverproxy/src/cli/config/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands of `leverproxy config`, as clap takes them.
+//! The subcommands of `leverproxy config`, as clap definitions.
 
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, Command};
@@ -26,7 +26,7 @@
 
 fn fmt() -> Command {
     Command::new("fmt")
-        .about("Bring files into their canonical form")
+        .about("Rewrite files in their canonical form")
         .arg(
             Arg::new("files")
                 .value_name("FILE")
@@ -37,13 +37,13 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Only say which are not in it"),
+                .help("Only list the files that are not in canonical form; change nothing"),
         )
 }
 
 fn diff() -> Command {
     Command::new("diff")
-        .about("Say what behaves otherwise under the new file")
+        .about("Print how the proxy's behaviour differs between the old and the new file")
         .arg(file_argument("old"))
         .arg(file_argument("new"))
         .arg(platform_option())
@@ -51,26 +51,26 @@
 
 fn show() -> Command {
     Command::new("show")
-        .about("Print every value that counts, with where it comes from")
+        .about("Print every value in force, with its origin")
         .arg(
             Arg::new("file")
                 .value_name("FILE")
-                .help("The operators' file, in place of LB_OPERATORS"),
+                .help("Path of the operators' file; overrides LB_OPERATORS"),
         )
         .arg(
             Arg::new("effective")
                 .long("effective")
                 .action(ArgAction::SetTrue)
-                .help("With the platform's values and the environment's, as serve would take them"),
+                .help("Include values from the platform's file and the environment, as serve uses them"),
         )
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Print the routes that a request is held against, and what becomes of it")
+        .about("Print the routes that a request is checked against, and the outcome")
         .arg(file_argument("file"))
         .arg(Arg::new("request").long("request").value_name("KEY=VALUE,..").required(true).help(
-            "class, tenant, group, network (the client's address), at (local time) and, last, statement",
+            "The request; its keys are class, tenant, group, network (the client's address), at (local time) and statement, which must be last",
         ))
 }
 
@@ -86,5 +86,5 @@
     Arg::new("platform")
         .long("platform")
         .value_name("JSON")
-        .help("The platform's file to hold it against; LB_CONFIG, if that is set")
+        .help("The platform's file whose bounds to check against; the default is LB_CONFIG, if set")
 }
--- a/crates/leverproxy/src/cli/config/explain.rs
+++ b/crates/leverproxy/src/cli/config/explain.rs
@@ -16,8 +16,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// A request as `KEY=VALUE,..` states it; what is not stated is empty, 0, this host and now. `offset`: of local time, in
-/// seconds east of UTC.
+/// Parses a request in the form `KEY=VALUE,..`. Defaults: empty class, tenant and statement, group 0, client 127.0.0.1 and
+/// the current time. `offset`: the offset of local time, in seconds east of UTC.
 fn parse_request(text: &str, offset: i32) -> Result<Request<'_>, ConfigCommandError> {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -33,7 +33,7 @@
     let mut rest = text;
     while !rest.is_empty() {
         let (pair, behind) = match rest.strip_prefix("statement=") {
-            // A statement may hold commas: it is all that is left.
+            // A statement may contain commas, so it extends to the end of the text.
             Some(_) => (rest, ""),
             None => rest.split_once(',').unwrap_or((rest, "")),
         };
--- a/crates/leverproxy/src/cli/config/format.rs
+++ b/crates/leverproxy/src/cli/config/format.rs
@@ -1,4 +1,4 @@
-//! `leverproxy config fmt`: files in their canonical form.
+//! `leverproxy config fmt`: rewrites files in their canonical form.
 
 use super::{print, ConfigCommandError, DIFFERS};
 use clap::ArgMatches;
@@ -20,7 +20,7 @@
     })
 }
 
-/// Whether the file was not in its canonical form.
+/// Formats a file; returns whether it differed from its canonical form.
 fn format_file(path: &str, check_only: bool) -> Result<bool, ConfigCommandError> {
     let owned_path = || path.to_owned();
     let bytes = std::fs::read(path).map_err(|source| ConfigCommandError::Read {
@@ -45,7 +45,7 @@
     Ok(true)
 }
 
-/// Replaces a file by a rename, so that whoever reads it meanwhile finds the old text or the new, never half of it.
+/// Replaces a file by a rename, so that concurrent readers see the complete old or new text.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let path = path.canonicalize()?;
     let name = path
--- a/crates/leverproxy/src/cli/config/mod.rs
+++ b/crates/leverproxy/src/cli/config/mod.rs
@@ -1,4 +1,4 @@
-//! `leverproxy config`: what an operator does with a file before a proxy serves by it.
+//! `leverproxy config`: checks, formats, compares and explains an operators' file before a proxy uses it.
 
 mod commands;
 mod error;
@@ -22,7 +22,7 @@
 /// Exit code for files that differ or are not in their canonical form.
 const DIFFERS: u8 = 1;
 
-/// Runs the subcommand that was asked for.
+/// Runs the given subcommand.
 pub(super) fn run(matches: &ArgMatches) -> ExitCode {
     let result = match matches.subcommand() {
         Some(("check", with)) => check_file(with),
@@ -65,9 +65,9 @@
     let files = reading.sources.files().count();
     let routes = reading.model.routes.len();
     match (errors, warnings) {
-        (0, 0) => format!("sound: {files} file(s), {routes} route(s)\n"),
+        (0, 0) => format!("valid: {files} file(s), {routes} route(s)\n"),
         (0, _) => {
-            format!("sound, with {warnings} warning(s): {files} file(s), {routes} route(s)\n")
+            format!("valid, with {warnings} warning(s): {files} file(s), {routes} route(s)\n")
         }
         _ => format!("{errors} error(s), {warnings} warning(s)\n"),
     }
@@ -87,7 +87,7 @@
     })
 }
 
-/// The platform's bounds that `--platform` or `LB_CONFIG` names; none if neither does.
+/// Reads the platform's bounds from the file that `--platform` or `LB_CONFIG` names; none if neither is set.
 fn read_platform(matches: &ArgMatches) -> Result<Option<Platform>, ConfigCommandError> {
     let named = matches.get_one::<String>("platform").cloned();
     let Some(path) = named.or_else(|| std::env::var("LB_CONFIG").ok()) else {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Reads a file that has to be without faults.
+/// Reads a file; errors in it fail the command.
 fn read_valid(path: &str, platform: Option<&Platform>) -> Result<Reading, ConfigCommandError> {
     let reading = operators_file::read(Path::new(path), platform, false);
     if reading.is_valid() {
@@ -113,12 +113,12 @@
     })
 }
 
-/// Writes to standard output. That its reader is gone is no error.
+/// Writes to standard output. Errors are ignored: the reader may have closed its end.
 fn print(text: &str) {
     _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// An argument's text; empty if it is not stated.
+/// The text of an argument; empty if it is not given.
 fn text_argument<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
     matches.get_one::<String>(name).map_or("", String::as_str)
 }
--- a/crates/leverproxy/src/cli/config/show.rs
+++ b/crates/leverproxy/src/cli/config/show.rs
@@ -1,4 +1,4 @@
-//! `leverproxy config show`: every value with its origin.
+//! `leverproxy config show`: prints every value with its origin.
 
 use super::{print, read_valid, ConfigCommandError};
 use clap::ArgMatches;
@@ -6,7 +6,7 @@
 use configuration::source::Sources;
 use std::process::ExitCode;
 
-/// Longer values don't widen the column of origins.
+/// Maximum width, in characters, to which settings are padded; longer settings do not move the column of origins.
 const MAX_ALIGNED_WIDTH: usize = 60;
 
 pub(super) fn show_values(matches: &ArgMatches) -> Result<ExitCode, ConfigCommandError> {
--- a/crates/leverproxy/src/cli/control_client.rs
+++ b/crates/leverproxy/src/cli/control_client.rs
@@ -7,13 +7,13 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A serving proxy replies within this, or something is wrong with it.
+/// Time limit for a proxy's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Replies to failed commands begin with this.
+/// Prefix of replies to failed commands.
 const ERROR_PREFIX: &str = "error";
 
-/// `sites`, of one site or of all.
+/// Runs `sites`, for the named site or for all.
 pub(super) fn sites(matches: &ArgMatches) -> ExitCode {
     let name = matches
         .get_one::<String>("name")
@@ -21,7 +21,7 @@
     send(&format!("sites{name}"), matches)
 }
 
-/// `rollout`. A file is named by its hash, which is the same on all hosts.
+/// Runs `rollout`. A file is sent as its hash, which is the same on all hosts.
 pub(super) fn rollout(matches: &ArgMatches) -> ExitCode {
     let action = matches.get_one::<String>("word").map_or("", String::as_str);
     let needs_version = matches!(action, "propose" | "resume");
@@ -36,7 +36,7 @@
         None if !needs_version => String::new(),
         _ => {
             eprintln!(
-                "leverproxy: propose and resume need a HASH or a FILE, the other words need none"
+                "leverproxy: rollout: propose and resume require a HASH or a FILE; the other actions accept neither"
             );
             return ExitCode::from(USAGE_ERROR);
         }
@@ -48,7 +48,7 @@
 pub(super) fn send(command: &str, matches: &ArgMatches) -> ExitCode {
     let stated = matches.get_one::<String>("socket").cloned();
     let Some(path) = stated.or_else(|| std::env::var("LB_CONTROL").ok()) else {
-        eprintln!("leverproxy: no control socket is named (--socket or LB_CONTROL)");
+        eprintln!("leverproxy: no control socket is given; use --socket PATH or set LB_CONTROL");
         return ExitCode::from(USAGE_ERROR);
     };
     match exchange(&path, command) {
@@ -67,7 +67,7 @@
     }
 }
 
-/// One command and its whole reply: the proxy closes the connection behind it.
+/// Sends one command and reads the whole reply, which ends when the proxy closes the connection.
 fn exchange(path: &str, command: &str) -> io::Result<String> {
     let mut stream = UnixStream::connect(path)?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
--- a/crates/leverproxy/src/cli/mod.rs
+++ b/crates/leverproxy/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: what was asked for, and who does it.
+//! The command line: parses the arguments and runs the subcommand.
 
 mod commands;
 mod config;
@@ -13,14 +13,14 @@
 use std::ffi::OsString;
 use std::process::ExitCode;
 
-/// Exit code for a wrong command line or configuration.
+/// Exit code for an invalid command line or configuration.
 const USAGE_ERROR: u8 = 2;
 
-/// Runs the program by its arguments.
+/// Runs the program with the arguments of the process.
 pub fn main() -> ExitCode {
     crate::observability::logging::init();
     let arguments: Vec<OsString> = std::env::args_os().collect();
-    // Without the help that clap prints where a subcommand is missing.
+    // Handled before clap, which would print its help because the subcommand is missing.
     if arguments.len() == 2 && (arguments[1] == "-V" || arguments[1] == "--version") {
         return version();
     }
--- a/crates/leverproxy/src/cli/serve.rs
+++ b/crates/leverproxy/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `leverproxy serve` and `leverproxy check`: both read the complete configuration; `serve` then serves by it.
+//! `leverproxy serve` and `leverproxy check`: both read the complete configuration; `serve` then runs the proxy.
 
 use super::start_clock::StartClock;
 use super::USAGE_ERROR;
@@ -26,7 +26,7 @@
         n => format!(", {n} routes"),
     };
     println!(
-        "{}: sound; {} record servers known{routes}",
+        "{}: configuration is valid; {} record servers known{routes}",
         config.name,
         config.known.endpoints.len()
     );
@@ -35,11 +35,11 @@
 /// Serves until SIGTERM.
 pub(super) fn serve(matches: &ArgMatches) -> ExitCode {
     let variable = environment(matches);
-    // Before the configuration is read: a signal that comes meanwhile must not end the process.
+    // Before the configuration is read: a signal that arrives meanwhile must not kill the process.
     let (_control, commands) = match handle_signals() {
         Ok(channel) => channel,
         Err(error) => {
-            eprintln!("leverproxy: signals can't be heeded: {error}");
+            eprintln!("leverproxy: signal handlers cannot be installed: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -54,7 +54,7 @@
     let mut proxy = match Proxy::start_with_commands(config, commands) {
         Ok(proxy) => proxy,
         Err(error) => {
-            // Nothing was served: an address is taken or not of this machine, most of all.
+            // No request was served. The usual cause is a listen address that is in use or does not belong to this machine.
             eprintln!("leverproxy: {error}");
             return ExitCode::from(USAGE_ERROR);
         }
@@ -62,7 +62,7 @@
     start.finish();
     let served = proxy
         .set_configuration_source(move |operators_file| {
-            // A candidate of a rollout stands in for the operators' file.
+            // A rollout's candidate replaces the operators' file.
             let with_candidate = |name: &str| match operators_file {
                 Some(path) if name == "LB_OPERATORS" => Some(path.display().to_string()),
                 _ => variable(name),
@@ -86,8 +86,8 @@
     Ok((control, commands))
 }
 
-/// Reads the configuration on a thread that ends, so that the allocator's memory that reading needed serves reloads and
-/// does not stay with the serving thread. None if the thread panicked.
+/// Reads the configuration on a temporary thread, so that the allocator can reuse the memory needed for it in reloads and
+/// does not keep it for the serving thread. None if the thread panicked.
 fn read_on_own_thread(
     variable: impl Fn(&str) -> Option<String> + Send + 'static,
 ) -> Option<Result<Config, ConfigError>> {
@@ -96,7 +96,7 @@
         .ok()
 }
 
-/// The environment, with what the command line states in place of it.
+/// Looks up environment variables; options of the command line override them.
 fn environment(matches: &ArgMatches) -> impl Fn(&str) -> Option<String> + Clone + Send + 'static {
     let operators = matches.get_one::<String>("operators").cloned();
     move |name| match name {
--- a/crates/leverproxy/src/config/effective.rs
+++ b/crates/leverproxy/src/config/effective.rs
@@ -1,4 +1,4 @@
-//! Every value in force with its origin, for `leverproxy config show`.
+//! All values in force with their origins, for `leverproxy config show --effective`.
 
 use super::load::{self, Precedence};
 use super::platform_file::{self, PlatformFile, ProcessLimits};
@@ -9,7 +9,7 @@
 use configuration::value;
 use std::path::Path;
 
-/// Every value in force, with where it comes from, and the texts of the operators' file.
+/// All values in force with their origins, and the source texts of the operators' file.
 pub fn effective(
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<(Vec<Entry>, Sources), ConfigError> {
@@ -43,7 +43,7 @@
     Ok((entries, reading.sources))
 }
 
-/// The platform's limits count where the operators' file states none.
+/// Adds the platform's limits that the operators' file does not set.
 fn add_process_limits(entries: &mut Vec<Entry>, limits: &ProcessLimits) {
     let is_stated = |directive| {
         entries
@@ -62,7 +62,7 @@
     }
 }
 
-/// Puts a value of the platform or the environment in the place of the operators' one.
+/// Replaces an entry of the operators' file by a value from the platform or the environment.
 fn replace(
     entries: &mut Vec<Entry>,
     section: &str,
--- a/crates/leverproxy/src/config/error.rs
+++ b/crates/leverproxy/src/config/error.rs
@@ -1,24 +1,24 @@
-//! Errors of the configuration: which key, what is wrong with it, and what an operator can do.
+//! Configuration errors: the key, the problem, and advice for operators.
 
 use super::json_position;
 use super::platform_file::TOP_LEVEL_KEYS;
 use std::fmt;
 use thiserror::Error;
 
-/// A key of the configuration that cannot be used, and why.
+/// A configuration key whose value cannot be used, and the reason.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("configuration: {key}: {problem}{}", Appended(.faults))]
 pub struct ConfigError {
     /// The key's path in the platform's file, a section of the operators' file, or the name of a variable.
     pub key: String,
-    /// What is wrong with its value.
+    /// The problem with the key's value.
     pub problem: String,
-    /// The faults of the operators' file, one line each; empty for other errors.
+    /// Faults found in the operators' file, one line each; empty for other errors.
     pub faults: Vec<String>,
 }
 
 impl ConfigError {
-    /// An error without faults of the operators' file.
+    /// Creates an error without faults of the operators' file.
     pub(crate) fn new(key: impl Into<String>, problem: impl ToString) -> ConfigError {
         ConfigError {
             key: key.into(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The path of the platform's file if this key's value was read there, not from a variable.
+    /// The path of the platform's file if this key's value comes from the file rather than from a variable.
     fn platform_file(&self, variable: impl Fn(&str) -> Option<String>) -> Option<String> {
         let top_level = self.key.split('.').next().unwrap_or_default();
         let in_file = top_level.is_empty() || TOP_LEVEL_KEYS.contains(&top_level);
@@ -52,26 +52,26 @@
         variable("LB_CONFIG").filter(|_| in_file && !overridden)
     }
 
-    /// What an operator can do. A reload that fails changes nothing; a start that fails ends the process.
+    /// Advice for operators. A failed reload changes nothing; a failed start ends the process.
     pub fn advice(&self) -> &'static str {
         match self.key.as_str() {
-            "LB_CONFIG" => "Set LB_CONFIG to the platform's file, readable for the proxy's user.",
+            "LB_CONFIG" => "Set LB_CONFIG to the path of the platform's file, and make the file readable for the proxy's user.",
             "LB_OPERATORS" => {
-                "`leverproxy config check FILE` shows each fault with its line and what would be right. A reload keeps what runs until it is mended; then SIGHUP."
+                "Run `leverproxy config check FILE`: it shows each fault with its line and a correction. After a failed reload the configuration in force stays active; correct the file, then send SIGHUP."
             }
-            "members" => "Add the section `member`, or set LB_NAME to the name that stands there, and start again.",
+            "members" => "Add a section `member` for this proxy, or set LB_NAME to the name of an existing section `member`, and start the proxy again.",
             "members.key-file" => {
-                "Put the fleet's key file there, the same on every host (a new one: `openssl rand -hex 32`), readable for the proxy's user; then SIGHUP."
+                "Install the fleet's key file at that path, identical on every host and readable for the proxy's user (to create a key: `openssl rand -hex 32`); then send SIGHUP."
             }
             "rollout.candidates" => {
-                "Place the file in `candidates` on this host, readable for the proxy's user. It is looked for again every few seconds, and the rollout waits."
+                "Place the file in the directory `candidates` on this host, readable for the proxy's user. The proxy searches for it every few seconds, and the rollout waits until then."
             }
-            _ => "Put that key right in the platform's file, or in the variable that the message names. A reload keeps what runs until then; then SIGHUP.",
+            _ => "Correct that key in the platform's file, or in the variable that the message names. After a failed reload the configuration in force stays active; then send SIGHUP.",
         }
     }
 }
 
-/// Faults appended to a message, each behind a semicolon.
+/// Displays faults at the end of a message, each preceded by a semicolon.
 struct Appended<'a>(&'a [String]);
 
 impl fmt::Display for Appended<'_> {
--- a/crates/leverproxy/src/config/json_position.rs
+++ b/crates/leverproxy/src/config/json_position.rs
@@ -1,13 +1,13 @@
-//! Where in a JSON text a key stands, for messages about what is wrong with it.
+//! Finds the line of a key in a JSON text, for error messages.
 
-/// One step on the way to a key.
+/// One element of a key path.
 enum Step<'a> {
     Field(&'a str),
     Item(usize),
 }
 
-/// The line of the key that a path like `settings.Classes[0].Deadline` names, or of the last part of it that the text has.
-/// None where not even the first part is there, or the text is not valid JSON up to there.
+/// The line (from 1) of the key at a path like `settings.Classes[0].Deadline`, or of the longest prefix of the path that
+/// the text contains. None if the text lacks even the first element, or is not valid JSON up to it.
 pub fn line_of(text: &[u8], path: &str) -> Option<usize> {
     let mut scanner = Scanner { text, at: 0 };
     let mut found = None;
@@ -35,7 +35,8 @@
 }
 
 impl Scanner<'_> {
-    /// Goes to the value of a field or item of the object or array here; where the field's name or the item begins.
+    /// Moves to the value of a field or item of the object or array at the current offset. Returns the offset at which the
+    /// field's name or the item begins.
     fn enter(&mut self, step: &Step) -> Option<usize> {
         match step {
             Step::Field(name) => self.enter_field(name),
--- a/crates/leverproxy/src/config/json_position/tests.rs
+++ b/crates/leverproxy/src/config/json_position/tests.rs
@@ -1,4 +1,4 @@
-//! Keys found at their lines, and texts that hold none.
+//! Lookup of line numbers by key path, in complete, incomplete and truncated JSON texts.
 
 use super::line_of;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// What is missing is missing from the last part that is there.
+/// The line of a missing key is that of the innermost value on its path that exists.
 #[test]
 fn a_missing_key_is_located_at_the_value_that_should_hold_it() {
     assert_eq!(
--- a/crates/leverproxy/src/config/key_file.rs
+++ b/crates/leverproxy/src/config/key_file.rs
@@ -1,14 +1,14 @@
-//! The fleet's key file: only a proxy that stands in the roster gets its keys.
+//! Reads the fleet's key file, for a proxy that the roster names.
 
 use super::operators_file::read_at_most;
 use super::ConfigError;
 use configuration::diagnostic;
 use configuration::model::Members;
 
-/// A larger key file is rejected: it holds two keys and what operators write about them.
+/// Maximum size of a key file, in bytes: two keys and operators' comments. A larger file is not a key file.
 const KEY_FILE_LIMIT: usize = 16 << 10;
 
-/// The keys of the fleet, if a proxy of that name is a member of it.
+/// Reads the fleet's keys. Fails if the roster has no member `name`.
 pub fn member_keys(members: &Members, name: &str) -> Result<datagram_auth::Keys, ConfigError> {
     if !members.roster.iter().any(|m| m.name == name) {
         let names = members.roster.iter().map(|m| m.name.as_str());
@@ -17,8 +17,8 @@
             None => String::new(),
         };
         let problem = format!(
-            "the operators' file (LB_OPERATORS) has no section `member {name}` for this proxy itself: add it, or set \
-             LB_NAME to the name that stands there{near}"
+            "the operators' file (LB_OPERATORS) has no section `member {name}` for this proxy: add the section, or set \
+             LB_NAME to the name of an existing section `member`{near}"
         );
         return Err(ConfigError::new("members", problem));
     }
@@ -26,15 +26,15 @@
     let fault = |problem: String| ConfigError::new("members.key-file", problem);
     let bytes = read_at_most(&members.key_file, KEY_FILE_LIMIT + 1).map_err(|e| {
         fault(format!(
-            "{path} can't be read: {e}; put the fleet's keys there, readable for the proxy's user"
+            "{path} cannot be read: {e}; install the fleet's key file there, readable for the proxy's user"
         ))
     })?;
     if bytes.len() > KEY_FILE_LIMIT {
         return Err(fault(format!(
-            "{path} has more than {KEY_FILE_LIMIT} bytes: it can't be a key file"
+            "{path} has more than {KEY_FILE_LIMIT} bytes, which is too large for a key file"
         )));
     }
-    // Bytes that are not text are not hex digits either, and are reported with their line.
+    // Bytes that are not valid UTF-8 are not hex digits either: the parser reports them with their line.
     datagram_auth::Keys::parse(&String::from_utf8_lossy(&bytes))
         .map_err(|e| fault(format!("{path}: {e}")))
 }
--- a/crates/leverproxy/src/config/limits.rs
+++ b/crates/leverproxy/src/config/limits.rs
@@ -1,31 +1,32 @@
-//! How the process's file descriptors and memory are divided among clients, record servers and everything else.
+//! Divides the process's file descriptors and memory among clients, record servers and all other uses, from the limits of
+//! the platform, the operators' file and the system.
 
 use super::platform_file::ProcessLimits;
 use super::ConfigError;
 use configuration::model::Model;
 
-/// The descriptors and the memory that each part may use.
+/// Limits on descriptors and memory by use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections of clients.
+    /// Maximum client connections.
     pub clients: usize,
-    /// From this many client connections on, an idle one is closed after [`super::ClientLimits::idle`].
+    /// Above this many client connections, an idle connection is closed after [`super::ClientLimits::idle`].
     pub crowded: usize,
-    /// From this many client connections on, an idle one is closed at once.
+    /// Above this many client connections, an idle connection is closed at once.
     pub packed: usize,
-    /// Connections to record servers.
+    /// Maximum connections to record servers.
     pub upstream: usize,
-    /// Bytes of commands that have not arrived in full, over all clients.
+    /// Maximum bytes of incompletely received commands, over all clients.
     pub unfinished: usize,
-    /// Bytes of large answers that wait for their clients, over all clients.
+    /// Maximum bytes of large answers that are not sent yet, over all clients.
     pub unsent_answers: usize,
-    /// Bytes of memory of the whole process.
+    /// Maximum memory of the whole process, in bytes.
     pub memory: usize,
 }
 
 impl Limits {
-    /// What is left beside another process of the same proxy that holds this many connections (clients, record servers).
-    /// A quarter is always left, so that a hot restart does not leave the new process without any.
+    /// The limits that remain while another process of the same proxy holds this many connections (to clients, to record
+    /// servers). At least a quarter of each limit remains, so that the new process of a hot restart can serve.
     pub fn remaining_after(self, (clients, upstream): (usize, usize)) -> Limits {
         let left = |all: usize, used: usize| all.saturating_sub(used).max(all / 4);
         Limits {
@@ -36,23 +37,29 @@
     }
 }
 
-/// The part of the memory for large answers on their way is one in so many, as for unfinished commands.
+/// Divisor of the memory for unsent large answers; the default for incompletely received commands is the same.
 const UNSENT_ANSWERS_SHARE: usize = 8;
-/// Descriptors kept for what serves no client: the standard streams (3), epoll, what wakes the loop (2, and a copy for
-/// each of four signals and five threads), the listener and a connection that is accepted to be rejected, two watches
-/// while discovery moves, the next process (a listener, four links, and one rejected), the fleet's socket, and files for a
-/// moment (the load, a configuration, the state file with its lock and its folder).
+/// Descriptors reserved for uses other than connections of clients and record servers:
+///
+/// - the standard streams (3) and epoll;
+/// - the sockets that wake the event loop (2, and a copy for each of four signals and five threads);
+/// - the clients' listener, and a connection that is accepted only to be rejected;
+/// - two watches while discovery changes its address;
+/// - hot restart: a listener, four links, and one connection that is rejected;
+/// - the fleet's socket;
+/// - files that are open briefly: the load, a configuration, the state file with its lock and its folder.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Most connections of balancers that have sent no request, beside the limit of clients.
+/// Maximum connections from balancers that have sent no request, in addition to the limit of clients.
 pub const MAX_BALANCER_CONNECTIONS: usize = 16;
-/// Descriptors kept for the operators' socket and beside the health checks' own number.
+/// Descriptors reserved for the operators' control socket, and for health checks in addition to their listeners' connection
+/// limits.
 const HEALTH_RESERVE: usize = 10;
 const DEFAULT_SOCKETS: usize = 1_024;
 const DEFAULT_MEMORY_MB: usize = 128;
 const MIN_MEMORY_MB: usize = 16;
 const MIN_SOCKETS: usize = 64;
 
-/// Divides what the platform allows, or less where the operators' file or the system (`open_files`) allows less.
+/// Divides the smallest of the totals that the platform, the operators' file and the system (`open_files`) allow.
 pub(super) fn divide(
     allowed: &ProcessLimits,
     model: &Model,
@@ -63,13 +70,13 @@
     let (reserved, for_checks) = reserved_descriptors(model, has_admin);
     if reserved + MIN_SOCKETS / 2 > sockets {
         let problem =
-            format!("{sockets} are too few for the health listeners, which take {for_checks}");
+            format!("{sockets} descriptors are too few: the health listeners alone take {for_checks}; raise this limit, or lower their `connections`");
         return Err(ConfigError::new("limits.sockets", problem));
     }
     let sockets = open_files.map_or(sockets, |most| within_system_limit(most, sockets, reserved));
     let shared = sockets - reserved;
     let operators = &model.limits;
-    // A request takes a client's connection for all its time and a record server's for a part of it.
+    // A request occupies a client connection for its whole duration, and a record server connection for part of it.
     let clients = operators.clients.of(shared);
     Ok(Limits {
         clients,
@@ -82,20 +89,20 @@
     })
 }
 
-/// Descriptors and bytes of memory in all.
+/// The total number of descriptors and bytes of memory.
 fn allowed_totals(allowed: &ProcessLimits, model: &Model) -> Result<(usize, usize), ConfigError> {
     let sockets = allowed.sockets.unwrap_or(DEFAULT_SOCKETS);
     let memory_mb = allowed.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
     if memory_mb < MIN_MEMORY_MB {
         return Err(ConfigError::new(
             "limits.memory_mb",
-            format!("{memory_mb} is under {MIN_MEMORY_MB}"),
+            format!("{memory_mb} MiB is below the minimum of {MIN_MEMORY_MB} MiB"),
         ));
     }
     if sockets < MIN_SOCKETS {
         return Err(ConfigError::new(
             "limits.sockets",
-            format!("{sockets} is under {MIN_SOCKETS}"),
+            format!("{sockets} is below the minimum of {MIN_SOCKETS} descriptors"),
         ));
     }
     let operators = &model.limits;
@@ -107,7 +114,8 @@
     ))
 }
 
-/// Descriptors that are neither clients' nor record servers', and how many of them health checks take.
+/// The number of descriptors reserved for uses other than clients and record servers, and how many of them are for health
+/// checks.
 fn reserved_descriptors(model: &Model, has_admin: bool) -> (usize, usize) {
     let listeners: usize = model.health.iter().map(|h| h.connections + 1).sum();
     let has_balancers = model.balancers.iter().any(|b| !b.networks.is_empty());
@@ -127,20 +135,20 @@
     (reserved, for_checks)
 }
 
-/// The descriptors to divide where the system allows this process only `most`.
+/// The number of descriptors to divide if the system allows this process only `most`.
 ///
-/// Without it clients would fill up what discovery and record servers need: clients' part has to be used up before the
-/// system's limit is reached.
+/// Clients must reach their own limit before the system's: otherwise they would use up the descriptors that discovery and
+/// record servers need.
 fn within_system_limit(most: usize, sockets: usize, reserved: usize) -> usize {
     if most >= sockets {
         return sockets;
     }
     let advice =
-        "Raise the limit (`ulimit -n`, `LimitNOFILE=`), or state no more `sockets` than it allows.";
+        "Raise the limit (`ulimit -n`, `LimitNOFILE=`), or set `sockets` to no more than the limit allows.";
     if most < reserved + MIN_SOCKETS / 2 {
-        log::warn!(advice; "configuration: {most} open files are allowed, too few to keep any from clients");
+        log::warn!(advice; "configuration: the system allows {most} open files, too few to reserve any besides those of clients");
         return sockets;
     }
-    log::warn!(advice; "configuration: {most} open files are allowed, fewer than {sockets} sockets");
+    log::warn!(advice; "configuration: the system allows {most} open files, fewer than the limit of {sockets} sockets");
     most
 }
--- a/crates/leverproxy/src/config/load.rs
+++ b/crates/leverproxy/src/config/load.rs
@@ -1,4 +1,4 @@
-//! Reads both files and the environment into one checked [`Config`].
+//! Builds a checked [`Config`] from both files and the environment.
 
 use super::key_file;
 use super::limits;
@@ -16,33 +16,34 @@
 
 const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// After SIGTERM new connections go on coming for up to 0.4 s.
+/// New connections arrive for up to 0.4 s after SIGTERM.
 const DEFAULT_ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than 0.7 s and the longest deadline after SIGTERM, which counts for this much at most.
+/// SIGKILL follows SIGTERM after 0.7 s plus the longest deadline or later; of that deadline at most this much counts.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
-/// Beyond that deadline, for answers on their way out.
+/// Time after the longest deadline that is left for sending answers.
 const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(600);
-/// Share of the time that a server keeps an idle connection after which it is closed here: a request written while the
-/// server closes would be lost.
+/// Fraction of a server's idle timeout after which the proxy closes the connection: a request that is written while the
+/// server closes its end would be lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// Which source counts where file and environment both state a key that may change while the proxy serves.
+/// The source that takes precedence if the platform's file and the environment both set a key that may change while the
+/// proxy serves.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Precedence {
-    /// At the start the environment counts.
+    /// At the start the environment takes precedence.
     EnvironmentFirst,
-    /// Later the file counts: it has been replaced since, which the environment can't have been.
+    /// On a reload the file takes precedence: it may have been replaced since the start, unlike the environment.
     FileFirst,
 }
 
-/// A checked configuration, and the origin of the addresses that the operators' file did not state.
+/// A checked configuration, and the origins of the addresses that do not come from the operators' file.
 pub(super) struct Loaded {
     pub config: Config,
     pub listen_origin: Option<Origin>,
     pub discovery_origin: Option<Origin>,
 }
 
-/// Reads `LB_CONFIG`, `LB_OPERATORS` and what the other variables state instead.
+/// Reads the files that `LB_CONFIG` and `LB_OPERATORS` name, and the variables that override them.
 pub fn from_env(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let text = platform_file::read_text(&variable)?;
     load(&text, &variable, Precedence::EnvironmentFirst, open_files())
@@ -50,8 +51,8 @@
         .map_err(|error| error.located(&variable, &text))
 }
 
-/// Reads both files again. The platform's has to have all keys of the first one; where it names discovery, `LB_DISCOVERY`
-/// no longer counts.
+/// Reads both files again. The platform's file must have all keys that it had at the start; if it sets discovery's
+/// address, `LB_DISCOVERY` is ignored.
 pub fn reread(
     variable: impl Fn(&str) -> Option<String>,
     required: &RequiredKeys,
@@ -65,7 +66,7 @@
     read().map_err(|error: ConfigError| error.located(&variable, &text))
 }
 
-/// Parses the text of a platform's file, with the variables that count over it.
+/// Parses the text of a platform's file and applies the variables that override it.
 pub fn parse(
     text: &[u8],
     variable: impl Fn(&str) -> Option<String>,
@@ -73,7 +74,7 @@
     Ok(load(text, variable, Precedence::EnvironmentFirst, None)?.config)
 }
 
-/// What the platform's file states that an operators' file is checked against.
+/// The bounds in the platform's file against which an operators' file is checked.
 pub fn platform(text: &[u8]) -> Result<Platform, ConfigError> {
     let file = PlatformFile::parse(text)?;
     let decoded = file.decoded_settings()?;
@@ -84,7 +85,7 @@
     operator_config::platform(decoded, file.limits.sockets, file.limits.memory_mb)
 }
 
-/// How many files the system lets this process hold open; none: any number.
+/// The system's limit on open files of this process; none: unlimited.
 fn open_files() -> Option<usize> {
     usize::try_from(getrlimit(Resource::Nofile).current?).ok()
 }
@@ -157,7 +158,8 @@
     })
 }
 
-/// The operators' model, if a file is named: valid, and no looser than the platform.
+/// Reads the operators' file at `path` and checks that it is valid and not looser than the platform's settings. Without a
+/// path the model is the default.
 fn operators_model(path: Option<String>, platform: &Platform) -> Result<Model, ConfigError> {
     let Some(path) = path.filter(|path| !path.is_empty()) else {
         return Ok(Model::default());
@@ -175,7 +177,8 @@
     })
 }
 
-/// The addresses that the proxy listens on or calls, and the origins of those that the operators' file did not state.
+/// The addresses of the clients' listener and of discovery, with the origins of those that do not come from the operators'
+/// file.
 struct Addresses {
     listen: SocketAddr,
     listen_origin: Option<Origin>,
@@ -218,7 +221,7 @@
     }
 }
 
-/// The address where operators call, if one is stated.
+/// The address of the admin API, if one is set.
 fn admin_address(
     file: &PlatformFile,
     variable: &impl Fn(&str) -> Option<String>,
@@ -229,7 +232,7 @@
         .map(|stated| stated.map(|(address, _)| address))
 }
 
-/// What the environment states, else what the platform's file does.
+/// The address text from the environment, otherwise from the platform's file.
 fn stated_address(
     variable: &impl Fn(&str) -> Option<String>,
     name: &'static str,
@@ -244,7 +247,8 @@
     })
 }
 
-/// An address as stated outside the operators' file, with its origin, else as the operators' file states it.
+/// Parses the address set outside the operators' file and returns it with its origin; otherwise returns the address in the
+/// operators' file.
 fn address(
     key: &str,
     stated: Option<(String, Origin)>,
@@ -256,14 +260,14 @@
             Ok(address) => Ok((address, Some(origin))),
             Err(_) => Err(ConfigError::new(
                 key,
-                format!("{text:?} is not an address like 10.0.0.4:5433"),
+                format!("{text:?} is not an address and port like 10.0.0.4:5433"),
             )),
         },
         None => match in_operators_file {
             Some(address) => Ok((address, None)),
             None => Err(ConfigError::new(
                 key,
-                format!("missing (or set {variable})"),
+                format!("the address is missing; set this key, or the variable {variable}"),
             )),
         },
     }
@@ -285,14 +289,14 @@
     }
 }
 
-/// Where the next process finds this one; none without an admin address or a folder for temporary files.
+/// The socket for hot restarts; none without an admin address or a folder for temporary files.
 fn hot_restart_socket(
     name: &str,
     variable: impl Fn(&str) -> Option<String>,
     has_admin: bool,
 ) -> Option<PathBuf> {
     let folder = variable("TMPDIR").filter(|folder| has_admin && !folder.is_empty())?;
-    // A proxy's name may hold characters that a file's name can't.
+    // A proxy's name may contain characters that are not allowed in a file name.
     let file_name = name.replace(|c: char| !c.is_ascii_alphanumeric(), "-");
     Some(Path::new(&folder).join(format!("leverproxy-{file_name}")))
 }
--- a/crates/leverproxy/src/config/mod.rs
+++ b/crates/leverproxy/src/config/mod.rs
@@ -1,9 +1,12 @@
-//! Configuration: the only place where it is read, checked and given defaults.
+//! Reads and checks the configuration and applies defaults; no other module does.
 //!
-//! Two files make one [`Config`]: the platform's JSON (`LB_CONFIG`, `platform_file`) and the operators' file
-//! (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), if there is one. The operators' file sets what operators
-//! choose and may tighten what the platform states, never loosen it. Variables of the environment override
-//! both, but for `LB_DISCOVERY` on a reload: there the platform's file counts.
+//! A [`Config`] is built from three sources:
+//!
+//! - the platform's JSON file (`LB_CONFIG`, `platform_file`);
+//! - the operators' file (`LB_OPERATORS`, [`operators_file`] and [`operator_config`]), which is optional. It sets what
+//!   operators choose, and may tighten the platform's settings but never loosen them;
+//! - environment variables, which override both files, except that on a reload the platform's file takes precedence over
+//!   `LB_DISCOVERY`.
 
 mod effective;
 mod error;
@@ -35,81 +38,81 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Everything that a proxy needs to start, checked.
+/// The checked configuration of a proxy.
 #[derive(Debug)]
 pub struct Config {
-    /// The proxy's name, the same after a restart.
+    /// The proxy's name, which stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// Address of the clients' listener.
     pub listen: SocketAddr,
-    /// Where operators call; none: nothing listens.
+    /// Address of the admin API; none disables it.
     pub admin: Option<SocketAddr>,
-    /// The socket on which the next process finds this one; none without an admin address or a folder for it.
+    /// Socket on which the next process requests a hot restart; none without an admin address or a folder for it.
     pub hot_restart_socket: Option<PathBuf>,
-    /// Where the list of record servers is served.
+    /// Address of discovery, which serves the list of record servers.
     pub discovery: SocketAddr,
-    /// Of all random numbers, new with each start.
+    /// Seed of all random numbers, new with each start.
     pub seed: u64,
-    /// How descriptors and memory are divided.
+    /// Division of descriptors and memory among the proxy's parts.
     pub limits: Limits,
-    /// What one client may use, in time and otherwise.
+    /// Timeouts and bounds of one client's connection.
     pub client_limits: ClientLimits,
     /// The operators' routes, classes and pools.
     pub rules: Rules,
-    /// Where balancers' health checks are answered.
+    /// Listeners for balancers' health checks.
     pub health: Vec<ListenerSettings>,
-    /// When the proxy calls itself degraded or down.
+    /// Thresholds at which the proxy reports itself degraded or down.
     pub availability: availability::Settings,
-    /// The operators' control socket.
+    /// Path of the operators' control socket; none disables it.
     pub control_socket: Option<PathBuf>,
-    /// The balancers that have to notice a drain.
+    /// The balancers whose health checks a drain waits for.
     pub balancers: Vec<drain::Balancer>,
-    /// The fleet that this proxy is a member of; none without the section `members`.
+    /// The fleet to which this proxy belongs; none without the section `members`.
     pub members: Option<Members>,
     /// The keys of the fleet's key file.
     pub member_keys: Option<datagram_auth::Keys>,
-    /// How new versions of the operators' file reach the fleet.
+    /// Settings of staged rollouts of the operators' file to the fleet.
     pub rollout: Option<Rollout>,
-    /// Where state is kept that outlives a kill or a power loss; none: nothing does.
+    /// Settings of the state saved across a kill or a power loss; none: no state is saved.
     pub persistence: Option<Persistence>,
-    /// What tenants may borrow beyond their quota; none: nothing is lent.
+    /// Settings for lending unused quota to tenants; none disables lending.
     pub quota_lending: Option<Lending>,
-    /// When a site counts as lost and as back; none: sites are not watched.
+    /// When a site counts as lost and as recovered; none: sites are not monitored.
     pub sites: Option<site_failover::Settings>,
-    /// Time windows of the operators' file, in which a credit may be closed.
+    /// Time windows of the operators' file; a credit of quota lending may be disabled during one.
     pub calendar_windows: Vec<Window>,
     /// The path of the operators' file that was read.
     pub operators_file: Option<PathBuf>,
-    /// The end of the process is announced to the balancers first.
+    /// Whether the end of the process is announced to the balancers before the proxy stops accepting connections.
     pub announce_end: bool,
-    /// Networks of balancers that connect to the clients' listener only to check it.
+    /// Networks from which balancers connect to the clients' listener for health checks only.
     pub check_networks: Vec<IpNet>,
-    /// Networks of balancers that name their clients first, by the PROXY protocol.
+    /// Networks of balancers that send the client's address first, in the PROXY protocol.
     pub proxy_protocol_networks: Vec<IpNet>,
     /// Level and format of the log.
     pub logging: Logging,
-    /// The list of record servers as this proxy last had it; it may be old.
+    /// The list of record servers from the platform's file, which may be out of date.
     pub known: EndpointList,
     /// The platform's settings, tightened by the operators' file.
     pub platform: PlatformSettings,
-    /// Where wall time is read.
+    /// Source of wall-clock time.
     pub wall_clock: WallClock,
-    /// What a later version of the platform's file has to state.
+    /// Keys that later versions of the platform's file must have.
     pub required_keys: RequiredKeys,
-    /// A connection to a record server that is not made by then has failed.
+    /// Time limit for connecting to a record server.
     pub dial_timeout: Duration,
-    /// Idle connections to record servers are closed after this, before the servers do it.
+    /// Idle time after which a connection to a record server is closed; shorter than the servers' own idle timeout.
     pub upstream_idle_timeout: Duration,
-    /// A watch on discovery that sends nothing for this long is replaced.
+    /// A watch on discovery that receives nothing for this long is replaced.
     pub max_watch_silence: Duration,
-    /// For this long after SIGTERM new connections are still accepted, unless the end is announced to balancers first.
+    /// Time after SIGTERM for which new connections are still accepted, unless the end is announced to balancers first.
     pub accept_after_stop: Duration,
-    /// Requests that are still open fail this long after SIGTERM, or after the end of its announcement.
+    /// Time after SIGTERM, or after the end of the announcement, at which the requests that are still open fail.
     pub shutdown_timeout: Duration,
 }
 
 impl Config {
-    /// What the drain of this process goes by.
+    /// Settings for draining this process.
     pub fn drain_settings(&self) -> drain::Settings {
         drain::Settings {
             balancers: self.balancers.clone(),
@@ -123,18 +126,18 @@
 /// Timeouts of a client's connection, and bounds on what one client may have open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// A connection has to send its first valid request within this, and every command completely.
+    /// Time limit for a connection's first valid request, and for the complete arrival of each command.
     pub first_request: Duration,
-    /// While there are many clients, a connection is kept between requests for this long; while most of the places are
-    /// taken, for no time. Stops clients that send one request and stay: they would take the places of those who come to
-    /// send requests.
+    /// Idle time between requests after which a connection is closed while there are many clients
+    /// ([`Limits::crowded`]). Above [`Limits::packed`] idle connections are closed at once. Otherwise clients that
+    /// send one request and stay connected would take the places of clients that have requests to send.
     pub idle: Duration,
-    /// A client that takes nothing of its answers for this long is disconnected.
+    /// A client that reads none of its pending answers for this long is disconnected.
     pub unread_response: Duration,
-    /// A client whose connection ends has this long to read the reason.
+    /// Time for which a connection that the proxy ends stays open so that the client can read the reason.
     pub linger: Duration,
-    /// Most commands of one connection without an answer; further ones wait in its socket.
+    /// Maximum unanswered commands of one connection; further commands wait in its socket.
     pub max_pipelined: usize,
-    /// Unsent bytes of answers from which on nothing more is read from a client.
+    /// Unsent bytes of answers at which the proxy stops reading from a client.
     pub max_unsent_bytes: usize,
 }
--- a/crates/leverproxy/src/config/operator_config.rs
+++ b/crates/leverproxy/src/config/operator_config.rs
@@ -1,5 +1,5 @@
-//! From the model of the operators' file to the settings of the proxy's parts. Each value counts only where it is
-//! tighter than the platform's.
+//! Converts the model of the operators' file to the settings of the proxy's components. A value that the platform sets too
+//! takes effect only if it is tighter than the platform's.
 
 use crate::health::{ListenerSettings, Protocol};
 use crate::pipeline::route_rules::{RouteAction, Rules};
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use wire_health::http::Statuses;
 
-/// The event loop's lag at which the weight is at its least, as a multiple of that at which it begins to fall.
+/// Event loop lag at which the weight reaches its minimum, as a multiple of the lag at which it begins to fall.
 const WORST_LAG_FACTOR: u32 = 20;
 
-/// The platform's bounds, which an operators' file is checked against.
+/// The platform's bounds against which an operators' file is checked.
 pub fn platform(
     decoded: &PlatformSettings,
     sockets: Option<usize>,
@@ -57,7 +57,8 @@
     }
 }
 
-/// Applies what the operators' file states of the decision module's settings, each value only where it is tighter.
+/// Applies the operators' file to the settings of the decision module; only values tighter than the platform's take
+/// effect.
 pub fn tighten(platform: &mut PlatformSettings, model: &Model) {
     let settings = &mut platform.settings;
     if let Some(attempts) = model.policy.attempt_limit {
@@ -84,7 +85,7 @@
     }
 }
 
-/// The routes, classes and pools, compiled. Names of the platform keep their numbers.
+/// Compiles the routes, classes and pools. Classes and tenants that the platform names keep their indices.
 pub fn rules(model: &Model, platform: &PlatformSettings) -> Rules {
     let names = NameTable {
         classes: platform.names.classes.clone(),
@@ -134,7 +135,7 @@
     }
 }
 
-/// The health listeners.
+/// Settings of the health listeners.
 pub fn health(model: &Model) -> Vec<ListenerSettings> {
     let listen = |h: &configuration::model::Health| ListenerSettings {
         name: h.name.clone(),
@@ -168,7 +169,7 @@
     model.balancers.iter().map(balancer).collect()
 }
 
-/// When the proxy counts as degraded or down.
+/// Thresholds at which the proxy counts as degraded or down.
 pub fn availability(model: &Model) -> availability::Settings {
     let stated = &model.availability;
     let fraction =
@@ -202,7 +203,7 @@
         name: pool.name.clone(),
         max_in_flight: pool.requests,
         rate: pool.rate.map(|rate| Rate {
-            // A rate of more than one a nanosecond is no limit.
+            // Rates above one request per nanosecond are treated as that rate, which does not limit anything.
             interval: rate.interval().max(Duration::from_nanos(1)),
             burst: pool.burst,
         }),
--- a/crates/leverproxy/src/config/operators_file.rs
+++ b/crates/leverproxy/src/config/operators_file.rs
@@ -1,4 +1,4 @@
-//! The operators' file on disk: read with the files that it includes, and checked.
+//! Reads the operators' file and its included files from disk, and checks them.
 
 use crate::request::truncate_for_display;
 use configuration::diagnostic::{self, Diagnostic};
@@ -9,10 +9,10 @@
 use std::io::Read;
 use std::path::{Path, PathBuf};
 
-/// Loads files of the operators' language from the file system.
+/// Loads files in the operators' language from the file system.
 pub struct Disk;
 
-/// The first bytes of a regular file, at most `limit`.
+/// Reads at most the first `limit` bytes of a regular file.
 pub(super) fn read_at_most(path: &Path, limit: usize) -> Result<Vec<u8>, String> {
     let file = std::fs::File::open(path).map_err(|e| e.to_string())?;
     if !file.metadata().map_err(|e| e.to_string())?.is_file() {
@@ -48,8 +48,8 @@
     }
 }
 
-/// Reads a file and checks it, against the platform's bounds where they are known. `search`: also look for routes that no
-/// request reaches, which takes long where there are many.
+/// Reads a file and checks it, also against the platform's bounds if `platform` is given. `search`: also look for routes
+/// that no request can reach, which is slow for files with many routes.
 pub fn read(path: &Path, platform: Option<&Platform>, search: bool) -> Reading {
     let mut reading = configuration::read(path, &Disk);
     let mut found = Vec::new();
@@ -72,13 +72,13 @@
     platform.classes.iter().map(|c| c.name.clone()).collect()
 }
 
-/// Each error in a line, for the log.
+/// The errors of a reading, formatted as one log line each.
 pub fn faults(reading: &Reading) -> Vec<String> {
     let errors = reading.diagnostics.iter().filter(|d| d.is_error());
     errors.map(|d| fault_line(&reading.sources, d)).collect()
 }
 
-/// In one line, with the directive that it is about: a message may show its value alone.
+/// One line with the diagnostic and the directive that it refers to, since some messages quote only the directive's value.
 fn fault_line(sources: &Sources, diagnostic: &Diagnostic) -> String {
     let line = sources.place(diagnostic.span).line;
     let text = sources
--- a/crates/leverproxy/src/config/platform_file.rs
+++ b/crates/leverproxy/src/config/platform_file.rs
@@ -1,12 +1,12 @@
-//! The platform's JSON file (`LB_CONFIG`): its top-level keys, its settings object, and whether a later version of it is
-//! complete.
+//! The platform's JSON file (`LB_CONFIG`): its top-level keys, its settings object, and the check on reload that a later
+//! version is complete.
 
 use super::ConfigError;
 use platform_settings::{PlatformSettings, Shape};
 use serde::Deserialize;
 use std::path::Path;
 
-/// The keys that the platform's file may have.
+/// Top-level keys of the platform's file.
 pub(super) const TOP_LEVEL_KEYS: [&str; 8] = [
     "name",
     "listen",
@@ -18,7 +18,7 @@
     "settings",
 ];
 
-/// The platform's file as it stands there. Unknown keys are ignored.
+/// The platform's file as parsed, before checks. Unknown keys are ignored.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct PlatformFile {
@@ -26,22 +26,22 @@
     pub listen: Option<String>,
     pub admin: Option<String>,
     pub discovery: Option<String>,
-    /// Hexadecimal.
+    /// Seed of all random numbers, in hexadecimal.
     pub seed: Option<String>,
     pub limits: ProcessLimits,
-    /// The list of record servers as this proxy last had it, in discovery's form.
+    /// The list of record servers that this proxy last received, in discovery's JSON format.
     pub known: Option<serde_json::Value>,
-    /// The settings object that the simulator's hosts get too.
+    /// The settings object, in the format that the simulator's hosts also receive.
     pub settings: Option<serde_json::Value>,
 }
 
-/// What the platform allows this process.
+/// Limits that the platform sets for this process.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct ProcessLimits {
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: Option<usize>,
-    /// Memory in MiB.
+    /// Maximum memory, in MiB.
     pub memory_mb: Option<usize>,
 }
 
@@ -68,16 +68,20 @@
 
 /// Reads the text of the file that `LB_CONFIG` names.
 pub(super) fn read_text(variable: impl Fn(&str) -> Option<String>) -> Result<Vec<u8>, ConfigError> {
-    let path = variable("LB_CONFIG").ok_or_else(|| ConfigError::new("LB_CONFIG", "is not set"))?;
+    let path = variable("LB_CONFIG")
+        .ok_or_else(|| ConfigError::new("LB_CONFIG", "the variable is not set"))?;
     std::fs::read(Path::new(&path))
         .map_err(|e| ConfigError::new("LB_CONFIG", format!("{path} cannot be read: {e}")))
 }
 
-/// Requests cannot be served without a class, nor a class without a name and a deadline.
+/// Checks that there is a class, and that each has a name and a deadline: requests cannot be served without.
 fn check_classes(decoded: &PlatformSettings) -> Result<(), ConfigError> {
     let classes = &decoded.settings.classes;
     if classes.is_empty() {
-        return Err(ConfigError::new("settings.Classes", "names no class"));
+        return Err(ConfigError::new(
+            "settings.Classes",
+            "the list is empty; at least one class is required",
+        ));
     }
     for (i, (class, name)) in classes.iter().zip(&decoded.names.classes).enumerate() {
         let key = |name| format!("settings.Classes[{i}].{name}");
@@ -85,20 +89,23 @@
             return Err(ConfigError::new(key("Name"), "missing"));
         }
         if class.deadline.is_zero() {
-            return Err(ConfigError::new(key("Deadline"), "missing or zero"));
+            return Err(ConfigError::new(
+                key("Deadline"),
+                "missing or zero; a deadline must be longer than zero",
+            ));
         }
     }
     Ok(())
 }
 
-/// Which keys the platform's first file had.
+/// The keys of the platform's file at the start of the process, which every reloaded version must have too.
 ///
-/// A later file that lacks one of them was cut off while it was written, or is not the platform's. Filled up with
-/// defaults it would change settings that nobody meant to change, so it is rejected.
+/// A later file that lacks one of them was truncated while it was written, or is not the platform's. Defaults in place of
+/// the missing keys would change settings unintentionally, so the file is rejected.
 #[derive(Clone, Debug, Default)]
 pub struct RequiredKeys {
     shape: Shape,
-    /// The first file allowed any number of attempts.
+    /// Whether the first file set no limit on attempts.
     attempts_were_unlimited: bool,
 }
 
@@ -118,19 +125,22 @@
     ) -> Result<(), ConfigError> {
         let value = without_endpoints(text).map_err(|e| ConfigError::new(".", e))?;
         if let Some(key) = self.shape.missing(&value) {
-            return Err(ConfigError::new(key, "missing, and the first file had it"));
+            return Err(ConfigError::new(
+                key,
+                "missing, although the file that was read at the start had this key",
+            ));
         }
         if platform.settings.attempt_limit == 0 && !self.attempts_were_unlimited {
             return Err(ConfigError::new(
                 "settings.PolicyLimits.TryLimit",
-                "is not a positive number",
+                "must be a positive number, as in the file that was read at the start",
             ));
         }
         Ok(())
     }
 }
 
-/// The file's JSON without the list of record servers, whose entries may differ in their keys.
+/// The file's JSON without the list of record servers, whose entries may have different keys in each version.
 fn without_endpoints(text: &[u8]) -> Result<serde_json::Value, serde_json::Error> {
     let mut value: serde_json::Value = serde_json::from_slice(text)?;
     if let Some(fields) = value.as_object_mut() {
--- a/crates/leverproxy/src/config/reload.rs
+++ b/crates/leverproxy/src/config/reload.rs
@@ -1,7 +1,7 @@
-//! Rereads the configuration beside the event loop: files are read, routes compiled and replaced rules dropped on a thread
-//! of its own, and the loop applies a finished configuration in one step.
+//! Rereads the configuration without blocking the event loop: a separate thread reads files, compiles routes and drops
+//! replaced rules, and the loop applies a finished configuration in one step.
 //!
-//! One thread serves all reloads, from the first one on, so that memory that one reload needed serves the next.
+//! One thread, started by the first reload, serves all reloads, so that the allocator reuses the memory of earlier reloads.
 
 use crate::cluster::rollout;
 use crate::config::reload_request::ReloadRequest;
@@ -15,20 +15,20 @@
 
 type ReadResult = Result<Config, ConfigError>;
 
-/// Reads the configuration again, wherever it came from; with a path, with that as the operators' file.
+/// Reads the configuration again from its source. A path replaces the path of the operators' file.
 pub type ReadConfig = Box<dyn FnMut(Option<&Path>) -> ReadResult + Send>;
 
 enum Job {
     Read(ReloadRequest),
-    /// Dropping large rules takes long.
+    /// Drops rules on the thread, since dropping large rules would block the event loop.
     Drop(Box<Rules>),
 }
 
-/// Reloads at work or waiting: one more than the running one sees whatever has changed meanwhile, any further would see
-/// the same.
+/// Maximum reloads that run or wait. One waiting reload sees every change made while another one runs; any further would
+/// read the same files.
 const MAX_PENDING_RELOADS: usize = 2;
 
-/// The reload thread as the event loop sees it.
+/// The event loop's handle to the reload thread.
 pub struct Reloader {
     /// Taken by the thread when it starts.
     reread: Option<(ReadConfig, UnixStream)>,
@@ -38,7 +38,7 @@
 }
 
 impl Reloader {
-    /// `waker`: a byte written to it wakes the event loop.
+    /// Creates the handle; the thread starts with the first request. `waker`: a byte written to it wakes the event loop.
     pub fn new(reread: ReadConfig, waker: UnixStream) -> Reloader {
         Reloader {
             reread: Some((reread, waker)),
@@ -48,18 +48,20 @@
         }
     }
 
-    /// Requests a reload of the files in force, unless a pending one will see the same.
+    /// Requests a reload of the files in force, unless a pending reload will read the same state.
     pub fn request_reload(&mut self) {
         if self.pending_reloads < MAX_PENDING_RELOADS && self.request(ReloadRequest::CurrentFiles) {
             self.pending_reloads += 1;
         }
     }
 
-    /// Requests any read; false if the thread can't be started. Versions of a rollout are few: a check and a run for each
-    /// proposal.
+    /// Requests a read; false if the thread cannot be started. Reads for a rollout need no bound: there are only a check
+    /// and a run for each proposal.
     pub fn request(&mut self, request: ReloadRequest) -> bool {
         if let Err(error) = self.start() {
-            log::error!("the configuration can't be reread: {error}");
+            log::error!(
+                "the configuration can't be reread: the reload thread did not start: {error}"
+            );
             return false;
         }
         self.jobs
@@ -86,7 +88,7 @@
         Ok(())
     }
 
-    /// The next finished read.
+    /// The result of the next finished read, with its request.
     pub fn next_result(&mut self) -> Option<(ReloadRequest, ReadResult)> {
         let finished = self.results.as_ref()?.try_recv().ok()?;
         let is_reload = finished.0 == ReloadRequest::CurrentFiles;
@@ -102,7 +104,7 @@
     }
 }
 
-/// The thread's side.
+/// The state of the reload thread.
 struct Worker {
     reread: ReadConfig,
     waker: UnixStream,
@@ -112,7 +114,7 @@
 }
 
 impl Worker {
-    /// Works until the event loop's side is gone.
+    /// Handles jobs until the event loop drops its handle.
     fn run(mut self, queue: Receiver<Job>) {
         for job in queue {
             match job {
@@ -122,7 +124,7 @@
                     if self.results.send((request, result)).is_err() {
                         return;
                     }
-                    // A full socket wakes the loop as well as one more byte would.
+                    // If the socket is full, the loop wakes up without this byte.
                     _ = self.waker.write(&[1]);
                 }
             }
--- a/crates/leverproxy/src/config/reload_request.rs
+++ b/crates/leverproxy/src/config/reload_request.rs
@@ -1,15 +1,15 @@
-//! Requests to the reload thread. Rollouts make them too, so the type stands below both.
+//! Requests to the reload thread. The type has its own module because both reloads and rollouts depend on it.
 
 use ::rollout::VersionHash;
 use std::path::PathBuf;
 
-/// What is to be read, and why.
+/// A configuration to read, and the purpose of reading it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReloadRequest {
-    /// The files in force, which may have changed.
+    /// Reload the files in force, which may have changed.
     CurrentFiles,
-    /// A candidate of a rollout, to see whether it could run; the folder of candidates.
+    /// Check whether a rollout's candidate could run. The path is the folder of candidates.
     Check(VersionHash, PathBuf),
-    /// A candidate that is to run, with its folder; without one, the operators' own file.
+    /// Run a rollout's candidate from the folder of candidates, or the operators' own file if there is no folder.
     Run(VersionHash, Option<PathBuf>),
 }
--- a/crates/leverproxy/src/control/admin.rs
+++ b/crates/leverproxy/src/control/admin.rs
@@ -1,7 +1,7 @@
-//! The admin API: operators' calls over HTTP on the second address, one to a connection, in the event loop.
+//! The admin API: operators' calls over HTTP on a separate address, one call per connection, served by the event loop.
 //!
-//! Slow callers cost nobody else an answer: their connections are few and counted apart from clients, the loop handles
-//! them first, and at the limit the oldest connection gives way to the next caller.
+//! Slow callers do not delay other callers or clients: admin connections have their own small limit, the loop handles them
+//! first, and at the limit the oldest connection is closed in favour of the next caller.
 
 use crate::event_loop::listener::{self, AcceptError};
 use crate::event_loop::reactor::{Interest, Reactor};
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 use wire_admin::{Answer, Call, BODY_LIMIT, HEAD_LIMIT};
 
-/// Most connections at once. The configuration reserves their descriptors.
+/// Maximum concurrent connections. The configuration reserves their descriptors.
 pub const MAX_CONNECTIONS: usize = 32;
-/// A connection is closed after this, whether its call has come and its answer is read or not.
+/// Age at which a connection is closed, whether or not its call is complete and its answer read.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The admin address, and the connections to it.
@@ -31,17 +31,17 @@
 struct AdminConnection {
     stream: Stream,
     accepted_at: Instant,
-    /// It has its answer. The connection closes once the caller has read that.
+    /// Whether the answer has been queued. The connection closes once the caller has read it.
     is_answered: bool,
-    /// The end of the output has been sent.
+    /// Whether the sending direction has been shut down.
     is_output_ended: bool,
 }
 
 impl Admin {
-    /// Listens for calls.
+    /// Opens the listener for calls.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// The listener cannot be opened at `address`.
     pub fn listen(address: SocketAddr, reactor: &Reactor) -> io::Result<Admin> {
         let listener = listener::listen(address)?;
         reactor.register(&listener, Token::AdminListener, Interest::READ)?;
@@ -54,12 +54,12 @@
         })
     }
 
-    /// The address that calls come to.
+    /// The address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts the connections that wait.
+    /// Accepts all pending connections.
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         let token = Token::AdminListener;
         loop {
@@ -90,7 +90,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        // Whatever has come already is an event of the next round.
+        // Bytes that have already arrived are reported as an event in the next round of the loop.
         let token = Token::Admin(key);
         let watched = connection.stream.watch(reactor, token, Interest::READ);
         if watched.is_err() {
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Closes the oldest connection, answered or not: a working caller is done long before. Whether there was one.
+    /// Closes the oldest connection, answered or not: a caller that works has long finished by then. Returns whether there
+    /// was a connection.
     fn disconnect_oldest(&mut self) -> bool {
         let connections = self.connections.iter();
         let oldest = connections.min_by_key(|(_, connection)| connection.accepted_at);
@@ -106,7 +107,7 @@
         oldest.is_some_and(|key| self.connections.remove(key).is_some())
     }
 
-    /// Reads from a connection that is ready. Returns a call that is complete: the caller owes [`Admin::answer`] for it.
+    /// Reads from a ready connection. Returns a complete call, which the event loop must answer with [`Admin::answer`].
     pub fn read_call(&mut self, key: Key, reactor: &Reactor) -> Option<Call> {
         let connection = self.connections.get_mut(key)?;
         if connection.is_answered {
@@ -121,7 +122,7 @@
         match wire_admin::parse(connection.stream.input.unused()) {
             Ok(Some(call)) => return Some(call),
             Err(rejection) => self.answer(key, &rejection, reactor),
-            // The caller has left before the end of its call.
+            // The caller closed the connection before its call was complete.
             Ok(None) if filled == ReadStatus::Ended => _ = self.connections.remove(key),
             Ok(None) => {}
         }
@@ -144,7 +145,7 @@
         };
         let flushed = connection.stream.flush();
         if matches!(flushed, Ok(true)) && !connection.is_output_ended {
-            // Closed at once with bytes unread, the connection would be reset and the answer lost.
+            // Closing now, with unread input, would reset the connection and lose the answer.
             connection.is_output_ended = true;
             connection.stream.end_output();
         }
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Closes the connections that have run out of time.
+    /// Closes the connections whose time limit has passed.
     pub fn close_expired(&mut self, now: Instant) {
         for key in self.connections.keys() {
             let is_expired = |connection: &AdminConnection| {
--- a/crates/leverproxy/src/control/commands.rs
+++ b/crates/leverproxy/src/control/commands.rs
@@ -1,5 +1,5 @@
-//! Commands by signals and by an embedding program. They are flags and a byte that wakes the event loop, so that a signal
-//! handler can send them, and a command that is sent twice before the loop wakes runs once.
+//! Commands from signals and from an embedding program. A command is a flag and a byte that wakes the event loop, so that a
+//! signal handler can send it; a command that is sent twice before the loop wakes runs once.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io::{self, Read, Write};
@@ -11,7 +11,7 @@
 /// A command to a running proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlCommand {
-    /// Answer the requests that have come, then end.
+    /// Answer the requests received so far, then end.
     Stop,
     /// Print the counters.
     Report,
@@ -19,7 +19,7 @@
     Reload,
 }
 
-/// Commands that were sent and not taken yet.
+/// Commands that were sent but not yet received.
 #[derive(Debug, Default)]
 struct PendingCommands {
     stop: Arc<AtomicBool>,
@@ -35,7 +35,7 @@
 }
 
 impl Control {
-    /// Stops the proxy: it answers the requests that have come, then ends.
+    /// Stops the proxy after it has answered the requests received so far.
     pub fn stop(&self) {
         self.send(&self.pending.stop);
     }
@@ -52,14 +52,15 @@
 
     fn send(&self, flag: &AtomicBool) {
         flag.store(true, Ordering::SeqCst);
-        // A full socket wakes the loop as well as one more byte would.
+        // If the socket is full, the loop wakes up without this byte.
         _ = (&self.wake).write(&[1]);
     }
 
-    /// SIGTERM and SIGINT stop the proxy, SIGUSR1 makes it report, SIGHUP makes it read its configuration again.
+    /// Installs signal handlers: SIGTERM and SIGINT stop the proxy, SIGUSR1 prints its counters, SIGHUP rereads its
+    /// configuration.
     ///
     /// # Errors
-    /// A signal handler can't be installed.
+    /// A signal handler cannot be installed.
     pub fn install_signal_handlers(&self) -> io::Result<()> {
         let PendingCommands {
             stop,
@@ -72,7 +73,7 @@
             (SIGUSR1, report),
             (SIGHUP, reload),
         ] {
-            // The flag first: it is set when the byte wakes the loop.
+            // Handlers run in the order of registration: the flag is set before the byte wakes the loop.
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, self.wake.try_clone()?)?;
         }
@@ -80,19 +81,19 @@
     }
 }
 
-/// The proxy's end of the command channel. Its descriptor is readable when there is something to take.
+/// The proxy's end of the command channel. Its descriptor is readable while commands are pending.
 #[derive(Debug)]
 pub struct CommandReceiver {
     pending: Arc<PendingCommands>,
     woken: UnixStream,
-    /// Wakes the event loop, from another thread of the proxy.
+    /// Wakes the event loop from other threads of the proxy.
     waker: UnixStream,
 }
 
-/// A command channel.
+/// Creates a command channel.
 ///
 /// # Errors
-/// There are no descriptors for it.
+/// No descriptors are left for its sockets.
 pub fn channel() -> io::Result<(Control, CommandReceiver)> {
     let (woken, wake) = UnixStream::pair()?;
     woken.set_nonblocking(true)?;
@@ -112,15 +113,15 @@
 }
 
 impl CommandReceiver {
-    /// A byte that is written to this wakes the event loop.
+    /// Returns a socket that wakes the event loop when a byte is written to it.
     ///
     /// # Errors
-    /// There is no descriptor for it.
+    /// No descriptor is left for the socket.
     pub fn waker(&self) -> io::Result<UnixStream> {
         self.waker.try_clone()
     }
 
-    /// Takes the commands sent since the last call, each once.
+    /// Takes the commands sent since the last call; each command appears at most once.
     pub fn take_commands(&mut self) -> Vec<ControlCommand> {
         let mut bytes = [0; 64];
         while matches!(self.woken.read(&mut bytes), Ok(n) if n > 0) {}
--- a/crates/leverproxy/src/control/control_socket.rs
+++ b/crates/leverproxy/src/control/control_socket.rs
@@ -1,4 +1,5 @@
-//! The operators' control socket: one line in, lines out, over a Unix socket that only its owner may use.
+//! The operators' control socket: a Unix socket that only its owner may use. A connection carries one command line and its
+//! answer of one or more lines.
 
 use crate::cluster::rollout::RolloutCommand;
 use crate::event_loop::listener;
@@ -13,34 +14,34 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Most connections at once; further ones get an error.
+/// Maximum concurrent connections; further ones are answered with an error.
 const MAX_CONNECTIONS: usize = 4;
 /// Longest command, in bytes.
 const LINE_LIMIT: usize = 128;
-/// A connection is closed after this, whatever has come on it.
+/// Age at which a connection is closed, whatever its state.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 const USAGE: &str = "error: the words are drain, undrain, status, sites (NAME) and rollout (propose HASH, resume HASH, halt, return, status)\n";
 
 /// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Take this proxy out of its balancers.
+    /// Take this proxy out of service at its balancers.
     Drain,
-    /// Bring it back.
+    /// Bring this proxy back into service.
     Undrain,
     /// Print the proxy's state.
     Status,
-    /// Print the table of all sites, or of one by its name.
+    /// Print the table of all sites, or of the named site.
     Sites(Option<String>),
-    /// A command to the rollout.
+    /// A command for rollouts.
     Rollout(RolloutCommand),
 }
 
-/// The listener, and the connections of operators. Its file is removed when it is dropped.
+/// The control socket's listener and connections. Dropping it removes the socket file.
 pub struct ControlSocket {
     listener: OwnedFd,
     path: PathBuf,
-    /// Inode of this process's socket: another process may have replaced the file.
+    /// Inode of this process's socket, since another process may have replaced the file.
     inode: u64,
     connections: Slab<OperatorConnection>,
 }
@@ -52,16 +53,16 @@
 }
 
 impl ControlSocket {
-    /// Listens at `path`. A socket that is left over from a process that is gone is replaced. `new_process`: a hot restart
-    /// replaces the socket of the old process too.
+    /// Listens at `path`, and replaces a stale socket of a process that has ended. `new_process`: also replace the socket of
+    /// the old process in a hot restart.
     ///
     /// # Errors
-    /// Another proxy listens there, or the path can't be used.
+    /// Another proxy listens at `path`, or the path cannot be used.
     pub fn listen(path: &Path, new_process: bool, reactor: &Reactor) -> io::Result<ControlSocket> {
         if !new_process && UnixStream::connect(path).is_ok() {
             return Err(io::Error::new(
                 io::ErrorKind::AddrInUse,
-                "the control socket is another proxy's",
+                "another proxy listens on the control socket",
             ));
         }
         let (listener, inode) = bind(path, reactor)?;
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Listens again after a new process, which had replaced the socket, is gone.
+    /// Listens again after a new process that had replaced the socket has ended.
     pub fn listen_again(&mut self, reactor: &Reactor) {
         if UnixStream::connect(&self.path).is_ok() {
             return;
@@ -83,13 +84,13 @@
             Err(error) => {
                 let path = self.path.display();
                 log::warn!(
-                    "control: nobody listens at {path} any more: {error}. Send SIGTERM to drain, or restart."
+                    "control: the control socket {path} cannot be opened again: {error}. Send SIGTERM to drain, or restart the proxy."
                 );
             }
         }
     }
 
-    /// Accepts the connections that wait.
+    /// Accepts all pending connections.
     pub fn accept(&mut self, now: Instant, reactor: &Reactor) {
         let token = Token::ControlSocketListener;
         while let Ok((mut stream, _)) = listener::accept_or_pause(&self.listener, token, reactor) {
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Reads from a connection that is ready. Returns a command that is complete, and the connection that waits for its
-    /// answer. An unknown command is answered here.
+    /// Reads from a ready connection. Returns a complete command and the connection that waits for its answer. Unknown
+    /// commands are answered here.
     pub fn read_command(&mut self, key: Key, reactor: &Reactor) -> Option<(Key, OperatorCommand)> {
         let connection = self.connections.get_mut(key)?;
         let filled = connection.stream.fill(LINE_LIMIT);
@@ -129,7 +130,7 @@
                 self.connections.remove(key);
             } else {
                 let token = Token::ControlSocket(key);
-                // Unwatched, it is closed after its time.
+                // If watching fails, the connection is closed once its time limit has passed.
                 _ = connection.stream.watch(reactor, token, Interest::READ);
             }
             return None;
@@ -146,8 +147,8 @@
         command.map(|command| (key, command))
     }
 
-    /// Writes the answer, and closes the connection once it is written. What the socket does not take at once is written
-    /// by [`ControlSocket::close_expired`].
+    /// Writes the answer, and closes the connection once it is written. [`ControlSocket::close_expired`] writes the bytes
+    /// that the socket does not accept at once.
     pub fn answer(&mut self, key: Key, text: &str) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Closes the connections that are answered or have run out of time.
+    /// Closes the connections whose answer is sent or whose time limit has passed.
     pub fn close_expired(&mut self, now: Instant) {
         for key in self.connections.keys() {
             let Some(connection) = self.connections.get_mut(key) else {
@@ -182,7 +183,7 @@
     }
 }
 
-/// The listener, and the inode of its file.
+/// Opens the listener; returns it with the inode of its socket file.
 fn bind(path: &Path, reactor: &Reactor) -> io::Result<(OwnedFd, u64)> {
     let listener = listener::listen_unix_replacing(path)?;
     reactor.register(&listener, Token::ControlSocketListener, Interest::READ)?;
--- a/crates/leverproxy/src/control/mod.rs
+++ b/crates/leverproxy/src/control/mod.rs
@@ -1,12 +1,12 @@
-//! Control of a running proxy from outside.
+//! External control of a running proxy.
 //!
-//! | module | who controls |
+//! | module | source of commands |
 //! | --- | --- |
 //! | `commands` | signals, and the program that embeds the proxy |
 //! | `control_socket` | operators on the host, over a Unix socket |
 //! | `admin` | operators' tools, over HTTP |
 //!
-//! Nothing here acts on the proxy: commands are decoded and handed to the event loop.
+//! These modules only decode commands; the event loop executes them.
 
 pub mod admin;
 pub mod control_socket;
--- a/crates/leverproxy/src/health/answer.rs
+++ b/crates/leverproxy/src/health/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to health checks.
+//! Answers to health checks over HTTP and HAProxy's agent protocol.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -8,10 +8,10 @@
 
 use super::{CheckConnection, Counts, MAX_UNSENT_BYTES};
 
-/// Balancers whose views are kept.
+/// Maximum number of balancers whose views are stored.
 const MAX_BALANCER_VIEWS: usize = 16;
 
-/// What balancers last said of this server, by their names.
+/// The state of this proxy that each balancer last reported, by the balancer's name.
 #[derive(Debug, Default)]
 pub(super) struct BalancerViews(BTreeMap<String, String>);
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Answers an agent check: one line, then the end.
+/// Answers an agent check with one line, after which the connection is closed.
 pub(super) fn answer_agent(
     check: &mut CheckConnection,
     expects_text: bool,
@@ -35,7 +35,7 @@
     counts: &mut Counts,
 ) {
     let request = agent::asked(check.stream.input.unused());
-    // A balancer that never ends its line is answered too.
+    // A line without an end is answered at the length limit.
     let is_complete =
         !expects_text || request.is_some() || check.stream.input.len() >= agent::TEXT_LIMIT;
     if check.closing || !is_complete {
@@ -51,7 +51,8 @@
     check.closing = true;
 }
 
-/// The status of one group: of the least weight if it does not answer, since the traffic of other groups has other checks.
+/// The status for the check of one group. If the group does not answer, the status has the minimum weight, since traffic of
+/// other groups has its own checks.
 fn group_status(status: &Status, group: u32) -> Status {
     let is_dead = status
         .groups
--- a/crates/leverproxy/src/health/grpc.rs
+++ b/crates/leverproxy/src/health/grpc.rs
@@ -1,4 +1,5 @@
-//! gRPC's health checking, if the program is built with it: a thread of its library serves, and the event loop publishes.
+//! The gRPC health checking service, if the program is built with the feature `grpc`. A thread of the library `grpc_health`
+//! serves the checks, and the event loop publishes the status.
 
 #[cfg(feature = "grpc")]
 pub use with::Servers;
@@ -40,7 +41,7 @@
             self.0.iter().map(Server::address)
         }
 
-        /// Publishes the whole proxy under the empty name, and a service for each group.
+        /// Publishes the status of the whole proxy under the empty name and `leverproxy`, and a service for each group.
         pub fn publish(&mut self, status: &Status) {
             if self.0.is_empty() {
                 return;
@@ -75,7 +76,7 @@
         /// Starts a server.
         pub fn start(&mut self, settings: &ListenerSettings) -> io::Result<()> {
             let text = format!(
-                "health {}: this program is built without the feature grpc",
+                "health {}: this program is built without the feature grpc; build it with that feature, or use another protocol",
                 settings.name
             );
             Err(io::Error::new(io::ErrorKind::Unsupported, text))
@@ -86,7 +87,7 @@
             std::iter::empty()
         }
 
-        /// There is nobody to publish to.
+        /// Does nothing, since there are no gRPC servers.
         pub fn publish(&mut self, _: &Status) {}
     }
 }
--- a/crates/leverproxy/src/health/mod.rs
+++ b/crates/leverproxy/src/health/mod.rs
@@ -1,8 +1,8 @@
-//! Health checks by balancers: listeners of their own, apart from those of clients.
+//! Serves balancers' health checks on listeners apart from those of clients.
 //!
-//! A check must be answered while the proxy is overloaded or out of descriptors, and must cost clients nothing: the event loop
-//! handles these connections first, a few descriptors are reserved for them, each listener has a bounded number, and slow ones are
-//! closed.
+//! Checks must be answered while the proxy is overloaded or out of descriptors, and must not slow down clients. Therefore the
+//! event loop handles their connections first, a few descriptors are reserved for them, the connections of each listener are
+//! bounded, and slow connections are closed.
 
 pub mod monitor;
 
@@ -30,35 +30,35 @@
     Agent {
         /// Whether the balancer sends a line first.
         expects_text: bool,
-        /// Whether it is told how many clients the proxy accepts.
+        /// Whether answers contain the maximum number of clients (`maxconn`).
         maxconn: bool,
     },
     /// HTTP, with these status codes.
     Http(Statuses),
-    /// gRPC's health checking, on a thread of its own.
+    /// The gRPC health checking protocol, served by a separate thread.
     Grpc,
 }
 
 /// Settings of a listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenerSettings {
-    /// Its name in the operators' file.
+    /// Name of the listener in the operators' file.
     pub name: String,
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// What it speaks.
+    /// Protocol of the checks.
     pub protocol: Protocol,
-    /// Most connections at a time.
+    /// Maximum concurrent connections.
     pub connections: usize,
-    /// A check must be complete, and its answer read, within this time.
+    /// Time within which a check must be complete and its answer read.
     pub check_timeout: Duration,
-    /// A connection without checks is closed after this time.
+    /// Time after which a connection without checks is closed.
     pub idle_timeout: Duration,
 }
 
 /// Descriptors reserved for checks when no other is left.
 const RESERVED_DESCRIPTORS: usize = 4;
-/// Most bytes of answers that the peer of a connection has not read.
+/// Unsent bytes of answers at which the proxy stops reading from a connection.
 const MAX_UNSENT_BYTES: usize = 16 << 10;
 
 struct Listener {
@@ -73,9 +73,9 @@
     stream: Stream,
     listener: u16,
     since: Instant,
-    /// Nothing more is read; the connection is closed once the peer has read its answer.
+    /// Whether further input is discarded; the connection is closed once the peer has read its answer.
     closing: bool,
-    /// The end of its output was sent.
+    /// Whether the sending direction has been shut down.
     output_ended: bool,
     answered: u64,
 }
@@ -83,15 +83,15 @@
 /// Counts of checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Checks that were answered.
+    /// Answered checks.
     pub checks: u64,
-    /// Connections that had to wait, as a listener had too many.
+    /// Times that connections had to wait because their listener had reached its limit.
     pub refused: u64,
-    /// Connections closed for being slow.
+    /// Connections closed because they were slow.
     pub slow: u64,
-    /// Checks that were malformed.
+    /// Malformed checks.
     pub faulty: u64,
-    /// Connections that needed a reserved descriptor.
+    /// Reserved descriptors that were released to accept a connection.
     pub reserve: u64,
 }
 
@@ -151,17 +151,17 @@
             .collect()
     }
 
-    /// Publishes a status to clients that watch it.
+    /// Publishes a status to the gRPC servers.
     pub fn publish(&mut self, status: &Status) {
         self.grpc.publish(status);
     }
 
-    /// Connections that are open.
+    /// Number of open connections, without those of gRPC.
     pub fn connections(&self) -> usize {
         self.checks.len()
     }
 
-    /// Reserves copies of a descriptor that is open anyway: they only need to be closed.
+    /// Reserves descriptors by duplicating one that is open; closing a duplicate frees a descriptor.
     fn fill_reserve(&mut self) {
         let Some(first) = self.listeners.first() else {
             return;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Accepts connections of a listener.
+    /// Accepts the pending connections of a listener.
     pub fn accept(&mut self, at: u16, status: &Status, now: Instant, reactor: &Reactor) {
         let index = usize::from(at);
         loop {
@@ -184,7 +184,7 @@
             if listener.connections >= listener.settings.connections
                 && !self.close_longest_idle(at, reactor)
             {
-                // All are in use; accepting goes on once one is closed.
+                // All connections are in use; accepting resumes once one is closed.
                 self.counts.refused += 1;
                 return self.pause(index, true, reactor);
             }
@@ -198,7 +198,7 @@
                 Err(AcceptError::NoDescriptors) => {
                     if self.reserve.pop().is_none() {
                         self.descriptors_log.warn(now, || {
-                            "health: no descriptor left, nor one kept for checks".into()
+                            "health: no descriptor left, including those reserved for checks".into()
                         });
                         return self.pause(index, true, reactor);
                     }
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Stops accepting connections of a listener, or goes on.
+    /// Stops (`pause`) or resumes accepting connections of a listener.
     fn pause(&mut self, index: usize, pause: bool, reactor: &Reactor) {
         let Some(listener) = self
             .listeners
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Closes the connection that has been idle between checks the longest. False: none is idle.
+    /// Closes the connection that has been idle between checks the longest. Returns whether there was one.
     fn close_longest_idle(&mut self, at: u16, reactor: &Reactor) -> bool {
         let idle = |c: &CheckConnection| {
             c.listener == at && (c.answered > 0 || c.closing) && c.stream.input.is_empty()
@@ -258,7 +258,7 @@
         })
     }
 
-    /// A connection is readable or writable.
+    /// Handles a connection that is readable or writable.
     pub fn ready(&mut self, key: Key, status: &Status, now: Instant, reactor: &Reactor) {
         let Some(check) = self.checks.get_mut(key) else {
             return;
@@ -302,7 +302,7 @@
                         &mut self.views,
                     );
                 }
-                // These are served by a thread of their own.
+                // gRPC is served by a separate thread.
                 Protocol::Grpc => {}
             }
             if filled == ReadStatus::Ended && check.stream.unsent() == 0 {
@@ -320,8 +320,8 @@
             return self.close(key, reactor);
         };
         if written && check.closing && !check.output_ended {
-            // The line is complete for the balancer once it sees the end. Were the connection closed with bytes unread, it might
-            // see a reset instead of the line.
+            // The balancer takes the line as complete at the end of the stream. Closing the connection with unread input could
+            // reset it before the balancer has read the line.
             check.output_ended = true;
             check.stream.end_output();
         }
@@ -351,7 +351,7 @@
         self.pause(index, false, reactor);
     }
 
-    /// Closes slow connections; listeners that found no descriptor try again.
+    /// Closes slow and idle connections, and resumes listeners that had paused for lack of descriptors or connections.
     pub fn close_slow(&mut self, now: Instant, reactor: &Reactor) {
         for key in self.checks.keys() {
             let Some(check) = self.checks.get(key) else {
@@ -382,7 +382,7 @@
         }
     }
 
-    /// The counts as text.
+    /// The counts as text, for the report of counters.
     pub fn lines(&self) -> String {
         if self.listeners.is_empty() {
             return String::new();
@@ -399,7 +399,7 @@
             self.checks.len(),
         );
         for (node, view) in self.views.iter() {
-            out.push_str(&format!("\nhealth: {node} says {view}"));
+            out.push_str(&format!("\nhealth: {node} reports {view}"));
         }
         out
     }
--- a/crates/leverproxy/src/health/monitor.rs
+++ b/crates/leverproxy/src/health/monitor.rs
@@ -1,4 +1,4 @@
-//! Feeds the availability model, and the failover plan of sites, with what the pipeline and the event loop see.
+//! Passes events of the pipeline and the event loop to the availability model and to the failover plan of sites.
 
 use std::time::{Duration, Instant};
 
@@ -25,16 +25,16 @@
 /// The health of this proxy.
 pub struct Monitor {
     model: Availability,
-    /// Where the operators' file asks for it.
+    /// Failover plan of sites, if the operators' file enables it.
     sites: Option<Sites>,
-    /// Names of the sites that the platform knows.
+    /// Names of the platform's sites, by site number.
     site_names: Vec<String>,
     /// Time zero of the model and the plan.
     start: Instant,
     load: LoadSampler,
 }
 
-/// Any answer shows that the server is alive, whatever it says.
+/// The outcome for the availability model. Any answer, even an error, shows that the server is alive.
 fn attempt_outcome(outcome: &ExchangeOutcome) -> AttemptOutcome {
     match outcome {
         ExchangeOutcome::Served(_)
@@ -49,11 +49,11 @@
     }
 }
 
-/// What the end of an exchange is evidence of; nothing if the proxy ended it.
+/// The event for the failover plan at the end of an exchange; none if the proxy ended the exchange.
 fn site_evidence(completed: &CompletedExchange) -> Option<SiteEvent> {
     let server = completed.server.0;
     match completed.outcome {
-        // Also of an exchange that timed out before it was written: it got no connection.
+        // Includes exchanges that timed out while they waited for a connection.
         ExchangeOutcome::ConnectFailed => Some(SiteEvent::ConnectFailed { server }),
         ExchangeOutcome::Reset => Some(SiteEvent::Reset { server }),
         ExchangeOutcome::TimedOut => Some(SiteEvent::TimedOut { server }),
@@ -69,7 +69,7 @@
 }
 
 impl Monitor {
-    /// `sites`: settings of the failover plan, if there is one. `site_names`: names of sites, by their number.
+    /// Creates a monitor. `sites`: settings of the failover plan, if enabled. `site_names`: names of sites, by site number.
     pub fn new(
         settings: Settings,
         sites: Option<site_failover::Settings>,
@@ -89,7 +89,7 @@
         now.saturating_duration_since(self.start)
     }
 
-    /// Gives an event to the availability model.
+    /// Passes an event to the availability model.
     pub fn handle(&mut self, now: Instant, event: Event) {
         self.model.handle(self.since_start(now), event);
     }
@@ -104,12 +104,12 @@
         }
     }
 
-    /// An endpoint update is complete, or the watch on the list was lost.
+    /// Handles a complete endpoint update (`connected`), or the loss of the watch on the endpoint list.
     pub fn list_updated(&mut self, connected: bool, now: Instant) {
         self.handle_site_event(now, SiteEvent::ListUpdated { connected });
     }
 
-    /// Operators have excluded servers or included them again. The decision module gets the same as an endpoint update.
+    /// Handles exclusions and inclusions by operators, which the decision module receives as an endpoint update.
     pub fn servers_excluded(&mut self, update: &EndpointUpdate, now: Instant) {
         let EndpointUpdate::Changes(endpoints) = update else {
             return;
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Takes classes and tenants over, for the failover plan.
+    /// Applies the settings of classes and tenants to the failover plan.
     pub fn configure(&mut self, settings: &routing::Settings) {
         if let Some(sites) = &mut self.sites {
             sites.configure(settings);
         }
     }
 
-    /// A request has arrived. Returns the fraction of its kind to shed for a lost site.
+    /// Handles the arrival of a request. Returns the fraction of its kind to shed because a site is lost.
     pub fn request_arrived(&mut self, arrival: &Arrival, now: Instant) -> f64 {
         let group = arrival.group.0;
         self.handle(now, Event::RequestArrived { group });
@@ -140,14 +140,14 @@
             .map_or(0.0, |sites| sites.record_request(since_start, arrival))
     }
 
-    /// A request has got its first attempt, or has ended without one. `rejected`: it ended for lack of capacity.
+    /// Handles the first attempt of a request, or its end without an attempt. `rejected`: it ended for lack of capacity.
     pub fn record_attempted_or_rejected(&mut self, id: RequestId, rejected: bool) {
         if let Some(sites) = &mut self.sites {
             sites.plan().record_outcome(id.0, rejected);
         }
     }
 
-    /// The client of a request has left.
+    /// Handles the disconnection of a request's client.
     pub fn client_left(&mut self, id: RequestId, group: GroupId, now: Instant) {
         if let Some(sites) = &mut self.sites {
             sites.plan().forget_request(id.0);
@@ -155,7 +155,7 @@
         self.handle(now, Event::ClientLeft { group: group.0 });
     }
 
-    /// An exchange with a record server has started; a probe has no group.
+    /// Handles the start of an exchange with a record server; probes have no group.
     pub fn exchange_started(&mut self, group: Option<GroupId>, server: ServerId, now: Instant) {
         if let Some(group) = group {
             self.handle(now, Event::AttemptSent { group: group.0 });
@@ -163,7 +163,7 @@
         self.handle(now, Event::ExchangeStarted { server: server.0 });
     }
 
-    /// An exchange has ended.
+    /// Handles the end of an exchange.
     pub fn exchange_ended(&mut self, completed: &CompletedExchange, now: Instant) {
         let outcome = attempt_outcome(&completed.outcome);
         if let Some(group) = completed.group {
@@ -181,14 +181,14 @@
         if let Some(sites) = &mut self.sites {
             sites.record_end(since_start, completed);
         }
-        // If an exchange never got a connection, its dial was reported already.
+        // If an exchange never got a connection, the failed dial has already been reported.
         let contact = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Rejected)
             || completed.outcome == ExchangeOutcome::Reset;
         let server = completed.server.0;
         self.handle(now, Event::ExchangeEnded { server, contact });
     }
 
-    /// A server reports its position, a Unix time, and whether it is the primary.
+    /// Handles a server's report of its position, a Unix time, and of whether it is the primary.
     pub fn role_reported(
         &mut self,
         server: ServerId,
@@ -208,7 +208,7 @@
         self.handle(now, event);
     }
 
-    /// A signal of the connection pools.
+    /// Handles a signal of the connection pools.
     pub fn handle_signal(&mut self, signal: HealthSignal, now: Instant) {
         let event = match signal {
             HealthSignal::DialStarted(server) => Event::DialStarted { server: server.0 },
@@ -217,7 +217,7 @@
         self.handle(now, event);
     }
 
-    /// The endpoint list names these, and `removed` not any more.
+    /// Handles an update of the endpoint list: new or changed `endpoints`, and servers `removed` from the list.
     pub fn endpoints_updated(
         &mut self,
         endpoints: &[Endpoint],
@@ -246,14 +246,15 @@
         }
     }
 
-    /// A record server that should be dialled to find out whether its machine is reachable. Only balancers need to know.
+    /// A record server that should be dialled to determine whether its machine is reachable. The result is used only for the
+    /// status reported to balancers.
     pub fn server_to_dial(&self, may_dial: impl Fn(ServerId) -> bool) -> Option<ServerId> {
         self.model
             .server_to_dial(|server| may_dial(ServerId(server)))
             .map(ServerId)
     }
 
-    /// A request was answered, by the decision module or a record server.
+    /// Handles an answer to a request, from the decision module or a record server.
     pub fn request_answered(&mut self, group: GroupId, write: bool, answer: &Answer, now: Instant) {
         let group = group.0;
         if write && !matches!(answer, Answer::Invalid(_)) {
@@ -273,12 +274,12 @@
         self.handle(now, event);
     }
 
-    /// The event loop worked for so long before it could wait again, or was so late.
+    /// Records a lag of the event loop: the time between two waits, or the delay of a timer.
     pub fn record_lag(&mut self, lag: Duration) {
         self.load.record_lag(lag);
     }
 
-    /// Samples the proxy's load, and lets time pass.
+    /// Samples the proxy's load, and advances the time of the models.
     pub fn sample_load(&mut self, usage: Usage, now: Instant) {
         let load = self.load.sample(usage, now);
         self.handle(now, Event::Load(load));
--- a/crates/leverproxy/src/health/monitor/load.rs
+++ b/crates/leverproxy/src/health/monitor/load.rs
@@ -6,11 +6,11 @@
 
 use crate::clock::Clock;
 
-/// Memory is sampled at this interval: it costs a system call more.
+/// Interval of sampling the memory, which takes additional system calls.
 const MEMORY_INTERVAL: Duration = Duration::from_secs(1);
 /// Time constant of the rates, in seconds.
 const RATE_TIME_CONSTANT: f64 = 5.0;
-/// The shortest time between two samples that is divided by, in seconds.
+/// Lower bound of the time between two samples when rates are computed, in seconds.
 const MIN_ELAPSED_S: f64 = 1e-3;
 
 /// Use of the proxy's limits.
@@ -18,15 +18,15 @@
 pub struct Usage {
     /// Client connections.
     pub clients: usize,
-    /// Most client connections.
+    /// Maximum client connections.
     pub clients_limit: usize,
     /// Connections to record servers.
     pub upstream: usize,
-    /// Most connections to record servers.
+    /// Maximum connections to record servers.
     pub upstream_limit: usize,
     /// Open requests.
     pub open: usize,
-    /// Most bytes of memory.
+    /// Maximum memory, in bytes.
     pub memory_limit: usize,
 }
 
@@ -36,11 +36,12 @@
     /// The longest lag since the last sample.
     lag: Duration,
     pub usage: Usage,
-    /// Memory as a part of its limit, and when it was sampled.
+    /// Memory as a fraction of its limit.
     pub memory: f64,
     memory_at: Option<Instant>,
-    /// CPU time used until the last sample, and the part of a core that it is.
+    /// CPU time used until the last sample.
     cpu_used: Duration,
+    /// Average CPU use, as a fraction of one core.
     pub cpu: f64,
     sampled_at: Instant,
     answered: u64,
@@ -121,7 +122,7 @@
     used as f64 / limit.max(1) as f64
 }
 
-/// Bytes of memory that the process holds, without pages that are mapped from files; 0 where the system does not tell.
+/// Resident memory of the process in bytes, without pages mapped from files; 0 if the system does not report it.
 fn resident_bytes() -> usize {
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/leverproxy/src/health/monitor/status.rs
+++ b/crates/leverproxy/src/health/monitor/status.rs
@@ -1,4 +1,4 @@
-//! What the monitor reports: the status for health checks, and texts for operators.
+//! Reports of the monitor: the status for health checks, and texts for operators.
 
 use std::time::{Duration, Instant};
 
@@ -8,13 +8,13 @@
 
 use super::{site_name, Monitor};
 
-/// Whoever checks a proxy that serves may check again after this.
+/// Time after which a health check of a serving proxy may be repeated.
 const SERVING_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Whoever checks a proxy that drains may check again after this.
+/// Time after which a health check of a draining proxy may be repeated.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Monitor {
-    /// The state of each site, a line for each, for the control socket.
+    /// The state of each site, one line per site, for the control socket.
     pub fn site_lines(&self, now: Instant) -> String {
         let since_start = self.since_start(now);
         self.sites.as_ref().map_or(String::new(), |sites| {
@@ -22,7 +22,7 @@
         })
     }
 
-    /// The table of all sites, or of the one named, for the control socket.
+    /// The table of all sites, or of the site `named`, for the control socket.
     pub fn site_table(&self, named: Option<&str>, names: [&[String]; 2], now: Instant) -> String {
         let since_start = self.since_start(now);
         match &self.sites {
--- a/crates/leverproxy/src/lib.rs
+++ b/crates/leverproxy/src/lib.rs
@@ -1,10 +1,11 @@
-//! A proxy in front of replicated record servers. Requests come in on PostgreSQL connections; the decision module
-//! (`routing`) decides which server gets each; the first complete answer goes back to the client.
+//! A proxy in front of replicated record servers. Requests arrive on PostgreSQL connections, the decision module
+//! (`routing`) selects the server for each, and the first complete answer is sent to the client.
 //!
-//! `proxy` wires the parts and runs the event loop. `downstream` (clients), `upstream` (record servers), `discovery`,
-//! `health`, `control` and `cluster` own their connections; `pipeline` takes a request from one to the other.
+//! `proxy` connects the components and runs the event loop. `downstream` (clients), `upstream` (record servers),
+//! `discovery`, `health`, `control` and `cluster` own their connections; `pipeline` passes requests from `downstream` to
+//! `upstream`, and their answers back.
 //!
-//! `main.rs` only calls [`cli::main`]. A program that embeds a proxy starts one itself:
+//! `main.rs` only calls [`cli::main`]. A program that embeds a proxy starts it as follows:
 //!
 //! ```no_run
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
--- a/crates/leverproxy/src/main.rs
+++ b/crates/leverproxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see the library's `cli` module.
+//! The program `leverproxy`, implemented by the library's module `cli`.
 
 use std::process::ExitCode;
 
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Counters of a class: answers and attempts by how they ended.
+/// Counters of a class: requests read, and answers and attempts by outcome.
 #[derive(Debug, Default)]
 struct ClassCounters {
     requests: u64,
@@ -26,20 +26,20 @@
     pub goodput: Goodput,
     /// Requests of an unknown class.
     pub rejected: u64,
-    /// Endpoint lists received.
+    /// Received endpoint lists.
     pub lists: u64,
-    /// Entries of the last list that could not be read.
+    /// Entries of the last endpoint list that could not be parsed.
     pub unreadable_endpoints: u64,
-    /// Watches on the list that were lost.
+    /// Lost watches on the endpoint list.
     pub watches_lost: u64,
-    /// Configurations taken over.
+    /// Configurations applied by reloads.
     pub reloads: u64,
-    /// Configurations rejected.
+    /// Configurations rejected by reloads.
     pub reloads_failed: u64,
 }
 
 impl Counters {
-    /// Counters of classes with these names, by id.
+    /// Creates counters for classes with these names, by class id.
     pub fn new(classes: &[String]) -> Counters {
         let classes = classes
             .iter()
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Adds the classes beyond those that exist; counts stay.
+    /// Adds counters for the classes beyond those that exist; existing counts stay.
     pub fn extend(&mut self, classes: &[String]) {
         let new = classes.iter().skip(self.classes.len());
         self.classes
@@ -71,14 +71,14 @@
             .map(|(_, counts)| counts)
     }
 
-    /// A request has been read.
+    /// Counts a request that was read.
     pub fn request_read(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             class.requests += 1;
         }
     }
 
-    /// A request was answered, `elapsed` after it arrived.
+    /// Counts a request that was answered `elapsed` after it arrived.
     pub fn request_answered(
         &mut self,
         class: ClassId,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Requests served, refused and failed, by the name of their class.
+    /// Numbers of requests served, refused and failed, by class name.
     pub fn requests(&self) -> impl Iterator<Item = (&str, [(&'static str, u64); 3])> {
         let mut by_name: BTreeMap<&str, [(&'static str, u64); 3]> = BTreeMap::new();
         for (name, class) in &self.classes {
@@ -102,7 +102,7 @@
                     .entry(name)
                     .or_insert([("served", 0), ("refused", 0), ("failed", 0)]);
             for (kind, count) in &class.answers {
-                // Both are answered with an error, and have failed for the client.
+                // Rejected and cancelled requests are answered with an error: for the client they have failed.
                 let kind = if matches!(*kind, "rejected" | "cancelled") {
                     "failed"
                 } else {
@@ -116,26 +116,26 @@
         by_name.into_iter()
     }
 
-    /// The client of a request has left.
+    /// Counts a request whose client has disconnected.
     pub fn client_left(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry("client left").or_default() += 1;
         }
     }
 
-    /// A request was cancelled by its client.
+    /// Counts a request that its client cancelled.
     pub fn request_cancelled(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry(Answer::Cancelled.kind()).or_default() += 1;
         }
     }
 
-    /// A probe was sent.
+    /// Counts a probe that was sent.
     pub fn probe_sent(&mut self) {
         self.probes_sent += 1;
     }
 
-    /// An attempt has ended; without a class: a probe.
+    /// Counts an attempt that has ended, or a probe if there is no class.
     pub fn attempt_ended(&mut self, class: Option<ClassId>, outcome: &ExchangeOutcome) {
         let ends = match class {
             None => Some(&mut self.probes),
--- a/crates/leverproxy/src/observability/goodput.rs
+++ b/crates/leverproxy/src/observability/goodput.rs
@@ -1,4 +1,5 @@
-//! Goodput: the priority weight of requests, and what of it is lost by answers that are late or missing; by class and in all.
+//! Goodput: the priority weight of requests, and the part of it that is lost by late or missing answers, by class and in
+//! total.
 
 use std::time::Duration;
 
@@ -9,18 +10,18 @@
 #[cfg(test)]
 mod tests;
 
-/// What requests of a class count for.
+/// Weight of a class's requests.
 #[derive(Clone, Copy, Debug)]
 struct ClassWeight {
-    /// As a part of the greatest weight of any class.
+    /// Priority weight as a fraction of the greatest weight of any class.
     weight: f64,
     latency_objective: Duration,
-    /// The part of the weight that a late answer earns.
+    /// Fraction of the weight that a late answer earns, 0 to 1.
     late_fraction: f64,
 }
 
 impl ClassWeight {
-    /// The part of its weight that an answer earns, `elapsed` after the request.
+    /// The fraction of the weight that an answer earns `elapsed` after its request, 0 to 1.
     fn earned(&self, answer: &Answer, elapsed: Duration) -> f64 {
         match answer {
             Answer::Served(_) if elapsed <= self.latency_objective => 1.0,
@@ -30,12 +31,12 @@
     }
 }
 
-/// Totals, in requests.
+/// Sums of weights, in units of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Totals {
     /// Weight of all requests.
     pub requested: f64,
-    /// What of it was not earned.
+    /// The part of `requested` that was not earned.
     pub lost: f64,
 }
 
@@ -50,16 +51,16 @@
 #[derive(Debug, Default)]
 pub struct Goodput {
     weights: Vec<ClassWeight>,
-    /// The part of its weight that a request counts for which is over its tenant's quota.
+    /// Fraction of its weight with which a request over its tenant's quota counts, 0 to 1.
     over_quota_fraction: f64,
-    /// By class, in requests of that class.
+    /// Totals by class id, in requests of that class.
     classes: Vec<Totals>,
-    /// In requests of the class with the greatest weight.
+    /// Total of all classes, in requests of the class with the greatest weight.
     total: Totals,
 }
 
 impl Goodput {
-    /// Takes the weights of classes over; totals stay.
+    /// Applies the weights of classes; totals stay.
     pub fn configure(&mut self, settings: &Settings) {
         let greatest = settings
             .classes
@@ -67,7 +68,7 @@
             .map(|class| class.priority_weight)
             .fold(0.0, f64::max);
         let weight = |class: &routing::Class| ClassWeight {
-            // Where no class has weight, all are alike.
+            // If no class has a weight, all count equally.
             weight: if greatest > 0.0 {
                 (class.priority_weight / greatest).clamp(0.0, 1.0)
             } else {
@@ -82,7 +83,7 @@
         self.classes.resize(classes, Totals::default());
     }
 
-    /// A request was answered, `elapsed` after it arrived.
+    /// Records the answer to a request, `elapsed` after the request arrived.
     pub fn record_answer(
         &mut self,
         class: ClassId,
--- a/crates/leverproxy/src/observability/goodput/tests.rs
+++ b/crates/leverproxy/src/observability/goodput/tests.rs
@@ -1,4 +1,4 @@
-//! What requests count for, and what their answers earn.
+//! Weights of requests, and the fractions that their answers earn.
 
 use super::*;
 use routing::{Class, Consistency, Idempotency};
--- a/crates/leverproxy/src/observability/log_rate_limit.rs
+++ b/crates/leverproxy/src/observability/log_rate_limit.rs
@@ -1,12 +1,12 @@
-//! A log line for what may happen any number of times a second, written once a second at most. Otherwise faulty peers could make
-//! the log grow as fast as they can connect. The counters hold how often it was.
+//! Limits a kind of log line to one per second, for events that may occur any number of times a second. Otherwise faulty
+//! peers could make the log grow as fast as they can connect. Counters record how often the events occur.
 
 use std::time::{Duration, Instant};
 
-/// Least time between two lines.
+/// Minimum time between two lines of a kind.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// The limit of one kind of line.
+/// The rate limit of one kind of log line.
 #[derive(Debug, Default)]
 pub struct LogRateLimit {
     logged_at: Option<Instant>,
@@ -14,7 +14,7 @@
 }
 
 impl LogRateLimit {
-    /// The line, with the number of lines suppressed before it; none within a second of the last one.
+    /// Returns the line, with the number of lines suppressed since the last one; none within a second of the last line.
     pub fn line(&mut self, now: Instant, text: impl FnOnce() -> String) -> Option<String> {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < INTERVAL;
         if self.logged_at.is_some_and(is_recent) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Logs the line as a warning.
+    /// Logs the line as a warning, unless it is suppressed.
     pub fn warn(&mut self, now: Instant, text: impl FnOnce() -> String) {
         if let Some(line) = self.line(now, text) {
             log::warn!("{line}");
--- a/crates/leverproxy/src/observability/logging.rs
+++ b/crates/leverproxy/src/observability/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, without ever waiting for whoever reads it.
+//! Writes log lines to standard error, without ever blocking on its reader.
 
 use configuration::model::Logging;
 use env_logger::fmt::Formatter;
@@ -10,11 +10,11 @@
 use std::os::fd::AsFd;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A pipe that is ready accepts so many bytes without blocking.
+/// Bytes that a writable pipe accepts without blocking.
 const CHUNK_BYTES: usize = 4_096;
 
-/// Writes what its descriptor accepts at once and drops the rest: the thread serves clients, and a log that nobody reads must not
-/// block it.
+/// Writes the bytes that its descriptor accepts at once and drops the rest: the writing thread serves clients, and a log
+/// without a reader must not block it.
 #[derive(Debug)]
 pub struct NonBlockingWriter<W>(pub W);
 
@@ -35,9 +35,9 @@
     }
 }
 
-/// Whether lines are JSON objects.
+/// Whether log lines are JSON objects rather than text.
 static JSON: AtomicBool = AtomicBool::new(false);
-/// Whether the environment sets the level; then the operators' file does not.
+/// Whether the environment sets the level, which overrides the operators' file.
 static LEVEL_FROM_ENVIRONMENT: AtomicBool = AtomicBool::new(false);
 
 /// Starts logging at the level of RUST_LOG, or at info.
@@ -49,7 +49,7 @@
             LEVEL_FROM_ENVIRONMENT.store(true, Ordering::Relaxed);
             builder.parse_filters(&filter);
         }
-        // The most that the file may set; the level itself is set by `configure`.
+        // The most verbose level that the operators' file may set; `configure` sets the level in force.
         Err(_) => _ = builder.filter_level(LevelFilter::Trace),
     }
     builder.target(target).format(write).init();
@@ -58,7 +58,7 @@
     }
 }
 
-/// Takes the operators' settings over; RUST_LOG has precedence over their level.
+/// Applies the operators' settings; RUST_LOG overrides their level.
 pub fn configure(logging: &Logging) {
     JSON.store(logging.json, Ordering::Relaxed);
     if !LEVEL_FROM_ENVIRONMENT.load(Ordering::Relaxed) {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A line of text.
+/// Formats a record as a line of text.
 pub fn text(time: &str, record: &Record<'_>) -> String {
     let mut line = format!(
         "[{time} {:<5} {}] {}",
@@ -97,7 +97,7 @@
         record.args()
     );
     _ = record.key_values().visit(&mut TextPairs(&mut line));
-    // A message stays one line, whatever text of a peer it contains.
+    // A message stays one line even if it contains a peer's text with line breaks.
     let mut line = line.replace('\n', "\\n");
     line.push('\n');
     line
@@ -123,11 +123,11 @@
     }
 }
 
-/// A line of JSON.
+/// Formats a record as a line of JSON.
 pub fn json(time: &str, record: &Record<'_>) -> String {
     let mut object = Map::new();
     _ = record.key_values().visit(&mut JsonPairs(&mut object));
-    // These names have precedence over those of key-values.
+    // These fields override key-values of the same names.
     for (name, value) in [
         ("time", time.to_owned()),
         ("level", record.level().to_string()),
@@ -141,7 +141,7 @@
     line
 }
 
-/// Writes a text that was requested, at any log level.
+/// Prints a text that an operator requested to standard error, regardless of the log level.
 pub fn print(text: &str) {
     _ = NonBlockingWriter(io::stderr()).write_all(format!("{text}\n").as_bytes());
 }
--- a/crates/leverproxy/src/persistence/background_writer.rs
+++ b/crates/leverproxy/src/persistence/background_writer.rs
@@ -1,4 +1,4 @@
-//! A thread that saves a state file, so that the event loop does not wait for the disk.
+//! Saves a state file on a thread, so that the event loop does not wait for the disk.
 
 use super::state_file::{remove_drafts, save};
 use crate::event_loop::system_calls::faults;
@@ -38,13 +38,13 @@
         Ok(BackgroundWriter { jobs, results })
     }
 
-    /// Starts a save; false if the thread has ended or is busy. Its result has to be taken by
-    /// [`BackgroundWriter::take_result`] before the next one is started.
+    /// Starts a save; false if the thread has ended or is busy. The result must be taken with
+    /// [`BackgroundWriter::take_result`] before the next save is started.
     pub fn start_save(&self, bytes: Vec<u8>) -> bool {
         self.jobs.try_send(bytes).is_ok()
     }
 
-    /// The result of the save, once it has ended.
+    /// Takes the result of the save, once it has ended.
     pub fn take_result(&self) -> Option<io::Result<()>> {
         self.results.try_recv().ok()
     }
--- a/crates/leverproxy/src/persistence/directory_lock.rs
+++ b/crates/leverproxy/src/persistence/directory_lock.rs
@@ -1,4 +1,4 @@
-//! The lock that makes a directory one process's alone.
+//! A lock that gives one process exclusive use of a directory.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -8,35 +8,35 @@
 /// Why a directory cannot be locked.
 #[derive(Debug, Error)]
 pub enum LockError {
-    /// Another process has the lock. During a hot restart it is the old process until that ends.
+    /// Another process holds the lock. During a hot restart this is the old process, until it ends.
     #[error("{0} is held by another process")]
     Held(PathBuf),
     /// The lock file cannot be opened or locked.
-    #[error("{0} can't be locked: {1}")]
+    #[error("{0} cannot be locked: {1}")]
     Io(PathBuf, #[source] io::Error),
 }
 
 impl LockError {
-    /// What an operator can do about it.
+    /// Advice for operators.
     pub fn advice(&self) -> &'static str {
         match self {
             LockError::Held(_) => {
-                "in an upgrade, wait until the former process has ended: it is tried again twice a second; else see \
-                 who runs under that name, or give each proxy a directory of its own"
+                "during an upgrade, wait until the old process has ended: the lock is retried twice a second; otherwise find \
+                 the other process that uses this directory, and give each proxy a directory of its own"
             }
-            LockError::Io(..) => "make the directory, and let the proxy's user write there",
+            LockError::Io(..) => "create the directory, and make it writable for the proxy's user",
         }
     }
 }
 
-/// The lock on a directory, held until it is dropped.
+/// A lock on a directory, released when dropped.
 #[derive(Debug)]
 pub struct DirectoryLock {
     _file: File,
 }
 
 impl DirectoryLock {
-    /// Locks `directory` by the file `name` in it. It does not wait.
+    /// Locks `directory` by the file `name` in it, without waiting.
     pub fn acquire(directory: &Path, name: &str) -> Result<DirectoryLock, LockError> {
         let path = directory.join(name);
         let io_error = |error| LockError::Io(path.clone(), error);
--- a/crates/leverproxy/src/persistence/hot_restart/handover.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/handover.rs
@@ -1,4 +1,5 @@
-//! What the old process hands to the new one: a line of JSON, with the clients' listener as a descriptor beside it.
+//! The handover from the old process to the new one: a line of JSON, sent together with the descriptor of the clients'
+//! listener.
 
 use crate::discovery::wire::EndpointList;
 use maintenance::ManualExclusion;
@@ -15,9 +16,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The version of the handover state; another one is rejected.
+/// The version of the handover state; any other is rejected.
 const VERSION: u32 = 1;
-/// The old process answers from its event loop; one that takes longer is not waited for.
+/// Time limit for each read of the handover. The old process answers from its event loop; after this the new process starts
+/// without its state.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 const READ_CHUNK: usize = 16 << 10;
@@ -26,22 +28,22 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandoverState {
     pub(super) version: u32,
-    /// The endpoint list that the old process has.
+    /// The old process's endpoint list.
     #[serde(rename = "listing")]
     pub endpoint_list: EndpointList,
     /// The manual exclusions that have an effect.
     #[serde(rename = "hands")]
     pub exclusions: Vec<ManualExclusion>,
-    /// Descriptors that the old process uses for clients. The new one does without them while both run.
+    /// Descriptors that the old process uses for clients. They reduce the new process's limit while both run.
     #[serde(rename = "clients")]
     pub client_connections: usize,
-    /// The same for record servers.
+    /// Descriptors that the old process uses for record servers, which also reduce the new process's limit.
     #[serde(rename = "upstream")]
     pub server_connections: usize,
 }
 
 impl HandoverState {
-    /// The state in the version of this build.
+    /// Creates a state in the version of this build.
     pub fn new(
         endpoint_list: EndpointList,
         exclusions: Vec<ManualExclusion>,
@@ -58,57 +60,57 @@
     }
 }
 
-/// Why the handover has failed. The new process then shares the address with the old one, and starts without its state.
+/// Why the handover failed. The new process then listens on the same address as the old one, and starts without its state.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The socket failed, or the old process did not answer in time.
-    #[error("it can't be read from: {0}")]
+    #[error("the handover cannot be read: {0}")]
     Read(#[from] io::Error),
     /// The connection ended in the middle of the message.
-    #[error("it ended before its message did")]
+    #[error("the connection closed before the handover message was complete")]
     Truncated,
     /// The message is too long.
-    #[error("its message has more than {MAX_MESSAGE_BYTES} bytes")]
+    #[error("the handover message has more than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// The message is not the JSON of a handover state.
-    #[error("its message is not understood: {0}")]
+    #[error("the handover message cannot be parsed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The handover state has this other version.
-    #[error("its message has version {0}, and this process takes {VERSION}")]
+    /// The handover state has this version, which is not supported.
+    #[error("the handover message has version {0}, and this process accepts only {VERSION}")]
     UnsupportedVersion(u32),
-    /// No descriptor came with the message.
-    #[error("no listener came with its message")]
+    /// The message carried no descriptor.
+    #[error("the handover message came without the clients' listener")]
     NoListener,
 }
 
 impl HandoverError {
-    /// What an operator can do about it.
+    /// Advice for operators.
     pub fn advice(&self) -> &'static str {
         match self {
             HandoverError::Read(_) | HandoverError::Truncated => {
-                "If the old process has ended, nothing. Else both accept clients now, and this one is ready once discovery has given its list: then send the old process SIGTERM. What operators took out has to be taken out here again."
+                "If the old process has ended, no action is needed. Otherwise both processes accept clients now, and the new one is ready once it has received discovery's list: then send SIGTERM to the old process. Exclude again at the new process the servers that operators had excluded."
             }
             HandoverError::TooLong | HandoverError::Malformed(_) | HandoverError::UnsupportedVersion(_) => {
-                "The two builds do not understand each other. Both accept clients now, and this one is ready once discovery has given its list: then send the old process SIGTERM. What operators took out has to be taken out here again."
+                "The two builds use incompatible handover messages. Both processes accept clients now, and the new one is ready once it has received discovery's list: then send SIGTERM to the old process. Exclude again at the new process the servers that operators had excluded."
             }
             HandoverError::NoListener => {
-                "This process is short of descriptors, or something else listens at that place in `$TMPDIR`. Both accept clients now: wait until this one is ready, then send the old process SIGTERM."
+                "The new process lacks descriptors, or another program listens on the hot restart socket in `$TMPDIR`. Both processes accept clients now: wait until the new one is ready, then send SIGTERM to the old process."
             }
         }
     }
 }
 
-/// The old process, as a new one finds it.
+/// The result of requesting a handover from the old process.
 pub enum OldProcess {
-    /// There is none.
+    /// There is no old process.
     None,
-    /// There may be one, but its handover failed.
+    /// There may be an old process, but its handover failed.
     Failed(HandoverError),
-    /// It has handed over its state, the clients' listener, and the connection that stays open while both run.
+    /// The old process has handed over its state, the clients' listener, and the connection that stays open while both run.
     HandedOver(Box<HandoverState>, OwnedFd, UnixStream),
 }
 
-/// Asks the process that listens at `path`, if there is one, for its state.
+/// Requests the state of the process that listens at `path`, if there is one.
 pub fn request_handover(path: &Path) -> OldProcess {
     let Ok(stream) = UnixStream::connect(path) else {
         return OldProcess::None;
@@ -137,7 +139,7 @@
     Ok((state, listener.ok_or(HandoverError::NoListener)?))
 }
 
-/// The first bytes of the message, and the descriptor that comes with them.
+/// Receives the first bytes of the message, and the descriptor sent with them.
 fn receive_start(stream: &UnixStream) -> io::Result<(Vec<u8>, Option<OwnedFd>)> {
     let mut chunk = [0; READ_CHUNK];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -151,7 +153,7 @@
     Ok((chunk[..received].to_vec(), listener))
 }
 
-/// Sends the first bytes of the message with the listener; returns how many the socket took.
+/// Sends the first bytes of the message with the listener; returns how many bytes the socket accepted.
 pub(super) fn send_start(
     socket: &OwnedFd,
     text: &[u8],
--- a/crates/leverproxy/src/persistence/hot_restart/links.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/links.rs
@@ -13,33 +13,33 @@
 use std::path::{Path, PathBuf};
 
 const MAX_LINE_BYTES: usize = 4 << 10;
-/// Restarts that overlap.
+/// Maximum links, which bounds the restarts that overlap.
 const MAX_LINKS: usize = 4;
-/// A process that leaves more than this unread hangs; its link is closed.
+/// Unsent bytes above which a link is closed, since the process at the other end no longer reads.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
 
-/// A message on a link, one JSON line each. The names in it are read by earlier and later builds.
+/// A message on a link, sent as one line of JSON. Earlier and later builds read the names in it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// An operator has excluded the record server of this name.
     #[serde(rename = "Out")]
     Excluded(String),
-    /// An operator has included it again.
+    /// An operator has included the record server of this name again.
     #[serde(rename = "In")]
     Included(String),
     /// The new process accepts clients from the old one's queue.
     Serving,
-    /// The new process accepts clients, but at another address: those at the former one are still the old process's. An
-    /// old process of a build without this message continues as if there were no new one.
+    /// The new process accepts clients, but at another address: the old process still serves clients at its own address.
+    /// An old process whose build does not support this message continues as if there were no new process.
     ServingElsewhere,
 }
 
-/// What a link reports.
+/// An event on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
     /// A message has arrived.
     Message(PeerMessage),
-    /// The process at the other end is gone.
+    /// The process at the other end has closed the link or ended.
     Closed,
 }
 
@@ -52,11 +52,11 @@
 
 struct Link {
     stream: Stream,
-    /// The other end is the old process.
+    /// Whether the other end is the old process.
     to_old_process: bool,
-    /// The other end is the new process, and accepts clients.
+    /// Whether the other end is the new process and accepts clients.
     serving: bool,
-    /// It accepts them from this process's queue.
+    /// Whether the new process accepts clients from this process's accept queue.
     shares_queue: bool,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes the complete lines off the input. Lines that are not understood are logged and skipped.
+    /// Parses the complete lines of the input. Lines that cannot be parsed are logged and skipped.
     fn take_messages(&mut self) -> Vec<PeerMessage> {
         let mut messages = Vec::new();
         while let Some(end) = self.stream.input.unused().iter().position(|b| *b == b'\n') {
@@ -90,7 +90,7 @@
                     self.note(&message);
                     messages.push(message);
                 }
-                Err(error) => log::warn!("takeover: a message is not understood: {error}"),
+                Err(error) => log::warn!("takeover: a message from another process of this proxy cannot be parsed: {error}"),
             }
             self.stream.input.consume(end + 1);
         }
@@ -99,7 +99,7 @@
 }
 
 impl HotRestart {
-    /// Listens for the next process at `path`, in place of the process that listened there.
+    /// Listens for the next process at `path`, and replaces the socket of the process that listened there.
     pub fn listen(path: &Path, reactor: &Reactor) -> io::Result<HotRestart> {
         let listener = HotRestart::bind(path, reactor)?;
         Ok(HotRestart {
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Listens again after the new process, which had taken the path, is gone.
+    /// Listens again after the new process, which had replaced the socket, has ended.
     pub fn listen_again(&mut self, reactor: &Reactor) {
         match HotRestart::bind(&self.path, reactor) {
             Ok(listener) => self.listener = listener,
@@ -123,7 +123,8 @@
         Ok(listener)
     }
 
-    /// Keeps the link to the old process, and tells it that this one accepts clients; `shares_queue`: from its queue.
+    /// Keeps the link to the old process, and notifies it that this process accepts clients. `shares_queue`: from the old
+    /// process's accept queue.
     pub fn link_to_old_process(
         &mut self,
         stream: UnixStream,
@@ -143,7 +144,8 @@
         self.send(&message, None, reactor);
     }
 
-    /// Hands the state and the clients' listener to each process that has connected. Without a listener they get nothing.
+    /// Hands over the state and the clients' listener to each process that has connected. Without a listener the
+    /// connections are closed.
     pub fn accept(
         &mut self,
         state: impl Fn() -> HandoverState,
@@ -173,7 +175,7 @@
         match send_start(stream.fd(), &text, clients) {
             Ok(sent) => stream.push(&text[sent..]),
             Err(error) => {
-                log::warn!("takeover: nothing can be handed over: {error}");
+                log::warn!("takeover: the state cannot be handed over: {error}");
                 return;
             }
         }
@@ -182,7 +184,7 @@
         self.flush(key, reactor);
     }
 
-    /// Handles a link that epoll calls ready.
+    /// Handles a link that is ready; returns its events.
     pub fn ready(&mut self, key: Key, reactor: &Reactor) -> Vec<LinkEvent> {
         let Some(link) = self.links.get_mut(key) else {
             return Vec::new();
@@ -199,7 +201,7 @@
         events
     }
 
-    /// Sends a message to all other processes but the one it came from.
+    /// Sends a message to all other processes, except the one from which it was received.
     pub fn send(&mut self, message: &PeerMessage, from: Option<Key>, reactor: &Reactor) {
         let Ok(mut line) = serde_json::to_vec(message) else {
             return;
@@ -228,12 +230,12 @@
         }
     }
 
-    /// Whether a new process serves under this one's name.
+    /// Whether a new process of this proxy accepts clients.
     pub fn has_new_process(&self) -> bool {
         self.links.iter().any(|(_, link)| link.serving)
     }
 
-    /// Whether a new process has taken what this one had, serving or not yet.
+    /// Whether a new process has received the handover, whether or not it serves yet.
     pub fn has_successor(&self) -> bool {
         self.links.iter().any(|(_, link)| !link.to_old_process)
     }
@@ -243,7 +245,7 @@
         self.links.iter().any(|(_, link)| link.shares_queue)
     }
 
-    /// Whether the old process still serves the requests that it has.
+    /// Whether the old process still runs, to finish its requests.
     pub fn has_old_process(&self) -> bool {
         self.links.iter().any(|(_, link)| link.to_old_process)
     }
--- a/crates/leverproxy/src/persistence/hot_restart/recorded.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/recorded.rs
@@ -1,4 +1,4 @@
-//! The handover state and messages of the first version, as they were on the socket: later builds must read them.
+//! The handover state and messages of the first version, as recorded on the socket: later builds must read them.
 
 use super::handover::{receive, HandoverState};
 use super::links::PeerMessage;
@@ -13,7 +13,8 @@
 {"In":"s-1"}
 "Serving""#;
 
-/// The error that a new process gets for a message from the old one. No descriptor comes with it, which is checked last.
+/// The error of a new process for a message from the old one. The message is sent without a descriptor, whose absence is
+/// checked last.
 fn receive_error(message: &str) -> String {
     let (mut old, new) = UnixStream::pair().unwrap();
     old.write_all(format!("{message}\n").as_bytes()).unwrap();
@@ -69,7 +70,10 @@
             previous
         }]
     );
-    assert_eq!(receive_error(STATE), "no listener came with its message");
+    assert_eq!(
+        receive_error(STATE),
+        "the handover message came without the clients' listener"
+    );
 }
 
 #[test]
@@ -88,29 +92,29 @@
     );
 }
 
-/// Added within the first version: builds that do not know it skip it.
+/// `ServingElsewhere` was added within the first version: builds that do not support it skip it.
 #[test]
 fn a_message_added_later_stays_readable() {
     let message: PeerMessage = serde_json::from_str("\"ServingElsewhere\"").unwrap();
     assert_eq!(message, PeerMessage::ServingElsewhere);
 }
 
-/// A later version is rejected by its number, even if the rest is unchanged; so is a message without a field that this build
-/// needs. Unknown fields in the same version are ignored.
+/// A later version is rejected by its number, even if the rest is unchanged. A message that lacks a required field is rejected
+/// too; unknown fields in the same version are ignored.
 #[test]
 fn a_handover_state_of_a_later_version_is_rejected() {
     assert_eq!(
         receive_error(&STATE.replace("\"version\":1", "\"version\":2")),
-        "its message has version 2, and this process takes 1"
+        "the handover message has version 2, and this process accepts only 1"
     );
     assert!(receive_error("{\"version\":2}").contains("missing field"));
     assert_eq!(
         receive_error(&STATE.replace("\"hands\"", "\"more\":[1],\"hands\"")),
-        "no listener came with its message"
+        "the handover message came without the clients' listener"
     );
 }
 
-/// A new process of an earlier build reads what this one hands over: names and order in the JSON must stay.
+/// A new process of an earlier build reads the state that this build hands over: names and order in the JSON must stay.
 #[test]
 fn the_first_version_is_written_as_it_was() {
     let state: HandoverState = serde_json::from_str(STATE).unwrap();
--- a/crates/leverproxy/src/persistence/saved_state/confirmations.rs
+++ b/crates/leverproxy/src/persistence/saved_state/confirmations.rs
@@ -1,23 +1,23 @@
-//! Responses to operators' commands that wait until the command is on the disk.
+//! Delays responses to operators' commands until the command is on the disk.
 
 use crate::event_loop::slab::Key;
 use std::time::{Duration, Instant};
 use wire_admin::{Answer, Status};
 
-/// The longest that an operator's call waits for the disk: half of the time that a call may take.
+/// Maximum time for which an operator's call waits for the disk: half of the time limit of a call.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Whether commands are on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SaveStatus {
     Saved,
-    /// They may be soon.
+    /// A save has not ended yet.
     Pending,
     /// The disk fails, or the directory is another proxy's.
     Failing,
 }
 
-/// Calls whose response waits for the disk.
+/// Calls whose responses wait for the disk.
 #[derive(Debug, Default)]
 pub(super) struct PendingConfirmations {
     calls: Vec<PendingCall>,
--- a/crates/leverproxy/src/persistence/saved_state/error.rs
+++ b/crates/leverproxy/src/persistence/saved_state/error.rs
@@ -1,4 +1,4 @@
-//! Why state is not recovered or not saved.
+//! Errors of recovering and saving state.
 
 use crate::persistence::directory_lock::LockError;
 use persistent_state::SnapshotError;
@@ -6,26 +6,26 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why state is not recovered or not saved. The proxy serves without it.
+/// Why state was not recovered or not saved. The proxy serves without it.
 #[derive(Debug, Error)]
 pub enum PersistenceError {
     /// The directory cannot be locked.
     #[error("memory: {0}")]
     Lock(#[from] LockError),
     /// The file cannot be read.
-    #[error("memory: {0} can't be read: {1}")]
+    #[error("memory: {0} cannot be read: {1}")]
     Read(PathBuf, #[source] io::Error),
-    /// The file has been read, and is not used.
+    /// The file can be read, but its content is rejected.
     #[error("memory: {0}: {1}")]
     Unusable(PathBuf, #[source] SnapshotError),
     /// The file cannot be written.
-    #[error("memory: {0} can't be written: {1}")]
+    #[error("memory: {0} cannot be written: {1}")]
     Write(PathBuf, #[source] io::Error),
-    /// The endpoint list of so many bytes is not saved.
-    #[error("memory: the list has {0} bytes: it is too long to be kept")]
+    /// The endpoint list, of this many bytes, is too long to be saved.
+    #[error("memory: the endpoint list of {0} bytes is too long to be saved")]
     TooLong(usize),
     /// Discovery's change counter is lower than the saved one.
-    #[error("memory: discovery counts {received}, and had counted {saved} before this start")]
+    #[error("memory: discovery's list has index {received}, lower than the index {saved} saved before this start")]
     IndexRegressed {
         /// The saved counter.
         saved: u64,
@@ -43,22 +43,22 @@
         )
     }
 
-    /// What an operator can do about it.
+    /// Advice for operators.
     pub fn advice(&self) -> &'static str {
         match self {
             PersistenceError::Lock(error) => error.advice(),
             PersistenceError::Read(..) => {
-                "Make the directory of `memory` readable for the proxy's user. The proxy has started without what was kept: take out again by hand what was out."
+                "Make the directory of `memory` readable for the proxy's user. The proxy has started without the saved state: exclude again the servers that operators had excluded."
             }
             PersistenceError::Unusable(_, fault) => fault.advice(),
             PersistenceError::Write(..) => {
-                "Make room on the disk, and let the proxy's user write in the directory of `memory`. Until then calls are answered with `not kept`: what is out by hand serves again after a kill. It is tried again, at last once a minute."
+                "Free space on the disk, and make the directory of `memory` writable for the proxy's user. Until then calls are answered with `not kept`, and servers that operators have excluded serve again after a kill. The save is retried, eventually once a minute."
             }
             PersistenceError::TooLong(_) => {
-                "The servers that are out by hand are kept all the same. After a power loss this proxy begins with the platform's list or waits for discovery's."
+                "Servers that operators have excluded are saved nevertheless. After a power loss this proxy starts with the platform's list or waits for discovery's."
             }
             PersistenceError::IndexRegressed { .. } => {
-                "Discovery has lost changes that it had told, or is another one. Its list counts; see that it has all servers, and that those are drained that should be."
+                "Discovery has lost changes that it had sent, or was replaced by another instance. Its list is used; check that it contains all servers, and that the servers to be drained are drained."
             }
         }
     }
--- a/crates/leverproxy/src/persistence/saved_state/initial_state.rs
+++ b/crates/leverproxy/src/persistence/saved_state/initial_state.rs
@@ -1,4 +1,4 @@
-//! What a process starts with: the saved state, as far as it is trusted.
+//! The initial state of a process: the trusted part of the saved state.
 
 use super::error::PersistenceError;
 use crate::discovery::wire::EndpointList;
@@ -8,14 +8,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The saved state, as this process starts with it.
+/// The part of the saved state with which this process starts.
 #[derive(Debug, Default)]
 pub struct InitialState {
-    /// An incarnation that is not greater than this was another process's.
+    /// Greatest incarnation used by earlier processes; this process must use a greater one.
     pub incarnation: u64,
     /// The saved endpoint list.
     pub endpoint_list: Option<EndpointList>,
-    /// The exclusions that had an effect.
+    /// The manual exclusions that had an effect.
     pub exclusions: Vec<ManualExclusion>,
 }
 
@@ -29,18 +29,19 @@
     }
 }
 
-/// The list, to be fetched again as a whole: discovery may count from a lower index. None if it is not understood.
+/// Parses the saved list. Its index becomes 0, so that the whole list is fetched again: discovery may now count from a
+/// lower index. None if the list cannot be parsed.
 fn parse_list(bytes: &[u8]) -> Option<EndpointList> {
     match EndpointList::parse(bytes) {
         Ok(list) => Some(EndpointList { index: 0, ..list }),
         Err(error) => {
-            log::warn!("memory: the list that was kept is not understood: {error}");
+            log::warn!("memory: the saved endpoint list cannot be parsed: {error}");
             None
         }
     }
 }
 
-/// How this process starts, by what it was given. `platform_list`: the platform's list.
+/// The start mode. `platform_list`: the endpoint list in the platform's file, which may be empty.
 pub(super) fn start_mode(hot_restart: bool, platform_list: &EndpointList) -> StartMode {
     if hot_restart {
         return StartMode::HotRestart;
@@ -51,7 +52,7 @@
     }
 }
 
-/// Reads the file and recovers from it what is trusted.
+/// Reads the file and recovers the part of the state that is trusted.
 pub(super) fn read(
     path: &Path,
     proxy_name: &str,
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -1,5 +1,5 @@
-//! The state that the proxy saves to survive a kill or a power loss: its file is read at the start, and written by a thread
-//! beside the event loop. What is trusted and when it is saved is decided by [`persistent_state`].
+//! The state that the proxy saves to survive a kill or a power loss. Its file is read at the start, and written by a thread
+//! apart from the event loop. [`persistent_state`] decides what is trusted and when the state is saved.
 
 mod confirmations;
 mod error;
@@ -23,26 +23,26 @@
 
 const FILE: &str = "memory.state";
 const LOCK: &str = "memory.lock";
-/// How often the state is checked for changes, and a lock that another process holds is tried again.
+/// Interval at which the state is checked for changes, and a lock that another process holds is retried.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Carries the state to the disk.
+/// Saves the state to the disk.
 pub struct Persistence {
     settings: Settings,
     scheduler: SnapshotScheduler,
     lock: Option<DirectoryLock>,
     writer: Option<BackgroundWriter>,
     waker: UnixStream,
-    /// The origin of the scheduler's time.
+    /// Time zero of the scheduler.
     origin: Instant,
-    /// The directory is another proxy's: nothing is written there.
+    /// Whether the directory belongs to another proxy: then nothing is written there.
     foreign: bool,
-    /// This process started without the saved state.
+    /// Whether the process started without the saved state because the file was unreadable or rejected.
     unread: bool,
     lock_error_logged: bool,
     /// The index of the list that was last passed to the scheduler.
     scheduled_index: Option<u64>,
-    /// The index of the recovered list, until discovery has given one.
+    /// The index of the recovered list, until discovery has sent a list.
     recovered_index: Option<u64>,
     confirmations: PendingConfirmations,
     saves: u64,
@@ -94,12 +94,13 @@
         (persistence, initial)
     }
 
-    /// The settings that it was started with.
+    /// The settings at the start of the process.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Whether this process may write. During a hot restart the old process has the lock until it ends.
+    /// Acquires the lock if needed; returns whether this process may write. During a hot restart the old process holds the
+    /// lock until it ends.
     fn acquire_lock(&mut self) -> bool {
         if self.lock.is_none() && !self.foreign {
             match DirectoryLock::acquire(&self.settings.state, LOCK) {
@@ -114,7 +115,7 @@
         self.lock.is_some()
     }
 
-    /// Passes on the present state. `list`: discovery's list with its index, if discovery has given one to this process.
+    /// Passes the current state to the scheduler. `list`: discovery's list with its index, if this process has received one.
     pub fn update(
         &mut self,
         incarnation: u64,
@@ -134,7 +135,7 @@
         self.handle(Event::Exclusions(exclusions.collect()), now);
     }
 
-    /// Warns if discovery's first list counts less than the saved one.
+    /// Warns if discovery's first list has a lower index than the saved list.
     fn check_regression(&mut self, received: u64) {
         if let Some(saved) = self
             .recovered_index
@@ -152,7 +153,7 @@
         if self.scheduled_index == Some(index) || !self.scheduler.accepts_list(time) {
             return;
         }
-        // Plain data: this does not fail.
+        // Serializing plain data does not fail.
         if let Ok(bytes) = serde_json::to_vec(&list()) {
             self.scheduled_index = Some(index);
             self.handle(Event::EndpointList(SavedList { index, bytes }), now);
@@ -188,7 +189,7 @@
         };
         if !writer.start_save(bytes) {
             // The next save starts a new thread.
-            return Err(io::Error::other("the thread that writes has ended"));
+            return Err(io::Error::other("the writer thread has ended"));
         }
         self.writer = Some(writer);
         Ok(())
@@ -216,12 +217,12 @@
         self.handle(Event::SaveFinished(succeeded), now);
     }
 
-    /// Responds to an operator's call once its command is on the disk.
+    /// Defers the response to an operator's call until its command is on the disk.
     pub fn confirm_when_saved(&mut self, connection: Key, text: &'static str, now: Instant) {
         self.confirmations.add(connection, text, now);
     }
 
-    /// The responses that are due: the command is saved, or was not saved in time.
+    /// Takes the responses that are due because the command is saved, cannot be saved, or was not saved in time.
     pub fn take_confirmations(&mut self, now: Instant) -> Vec<(Key, Answer)> {
         let status = if self.lock.is_some() && self.scheduler.has_saved_exclusions() {
             SaveStatus::Saved
@@ -233,30 +234,30 @@
         self.confirmations.take_due(status, now)
     }
 
-    /// Adds its metrics.
+    /// Adds the metrics of the saved state.
     pub fn write_metrics(&self, figures: &mut Figures) {
         for (name, help, value) in [
-            ("lb_memory_unread", "Whether this process began without what was kept.", u64::from(self.unread)),
+            ("lb_memory_unread", "Whether this process started without the saved state because the file was unreadable or rejected.", u64::from(self.unread)),
             (
                 "lb_memory_failing",
-                "Whether nothing is kept at present: the disk fails, or the directory is another's.",
+                "Whether state cannot be saved at present: the disk fails, or the directory belongs to another proxy or process.",
                 u64::from(self.foreign || self.scheduler.is_failing() || self.lock.is_none()),
             ),
             (
                 "lb_memory_waiting",
-                "Whether the disk lacks something that is to be remembered.",
+                "Whether there are changes that have not been saved yet.",
                 u64::from(!self.scheduler.is_saved()),
             ),
             (
                 "lb_memory_list_index",
-                "Discovery's count of the list that is kept; 0: none is.",
+                "Discovery's index of the saved endpoint list; 0: no list is saved.",
                 self.scheduler.saved_list_index(),
             ),
-            ("lb_memory_saves_total", "Times that it was written.", self.saves),
-            ("lb_memory_saves_failed_total", "Times that it could not be.", self.failed_saves),
+            ("lb_memory_saves_total", "Successful saves of the state.", self.saves),
+            ("lb_memory_saves_failed_total", "Failed saves of the state.", self.failed_saves),
             (
                 "lb_memory_list_went_back_total",
-                "Whether discovery's first list counted less than the one that was kept.",
+                "Whether discovery's first list had a lower index than the saved list.",
                 self.index_regressions,
             ),
         ] {
@@ -274,6 +275,6 @@
         .filter(|exclusion| exclusion.excluded_since.is_some())
         .count();
     log::info!(
-        "memory: {servers} record servers are known from before, {excluded} are out by hand"
+        "memory: recovered {servers} record servers and {excluded} manual exclusions from the saved state"
     );
 }
--- a/crates/leverproxy/src/persistence/state_file.rs
+++ b/crates/leverproxy/src/persistence/state_file.rs
@@ -1,5 +1,5 @@
-//! Files that are replaced as a whole: a new file is written under another name, synced, and renamed. What is found later is
-//! the old file or the new one, never a part of either.
+//! Atomic replacement of files: a new file is written under another name, synced, and renamed. A later load finds the
+//! complete old file or the complete new one.
 
 use crate::event_loop::system_calls::errors::Call;
 use crate::event_loop::system_calls::faults::{injected, limited};
@@ -10,23 +10,24 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The ending of the names of files that are being written.
+/// Suffix of the names of files that are being written.
 const DRAFT_SUFFIX: &str = ".draft";
 
-/// Replaces the file at `path`. It has reached the disk when this returns. After an error the old file or the new one is
-/// there, complete. The next save writes a new file: what a failed sync leaves in the system's cache cannot be trusted.
+/// Replaces the file at `path`; the new file is on the disk when this returns. After an error either the old file or the
+/// new one is at `path`, complete. The next save writes a new file again, since after a failed sync the system's page cache
+/// may not match the disk.
 pub fn save(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let draft = draft(path)?;
     let replaced = write(&draft, path, bytes).and_then(|()| rename(&draft, path));
     if replaced.is_err() {
-        // Its space may be what the next save lacks.
+        // Frees disk space that the next save may need.
         _ = fs::remove_file(&draft);
     }
     replaced?;
     sync_directory(path)
 }
 
-/// A name that no other process writes to: during a hot restart two may save.
+/// The path of a new draft, which no other process uses: two processes may save during a hot restart.
 fn draft(path: &Path) -> io::Result<PathBuf> {
     let mut name = path
         .file_name()
@@ -44,7 +45,7 @@
         .create_new(true)
         .open(draft)?;
     if let Ok(old) = fs::metadata(path) {
-        // The permissions stay as an operator has set them.
+        // Keeps permissions that an operator has set on the old file.
         _ = file.set_permissions(old.permissions());
     }
     write_all(&mut file, bytes)?;
@@ -97,8 +98,8 @@
     }
 }
 
-/// Loads the file at `path`; none if there is no file. A file of more than `limit` bytes was not written by this program
-/// and is an error.
+/// Loads the file at `path`; none if there is no file. A file of more than `limit` bytes is an error, since this program
+/// does not write such files.
 pub fn load(path: &Path, limit: u64) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(path) {
         Ok(file) => file,
@@ -110,7 +111,7 @@
     if bytes.len() as u64 > limit {
         return Err(io::Error::new(
             ErrorKind::InvalidData,
-            format!("it has more than {limit} bytes"),
+            format!("the file has more than {limit} bytes"),
         ));
     }
     Ok(Some(bytes))
--- a/crates/leverproxy/src/persistence/state_file/tests.rs
+++ b/crates/leverproxy/src/persistence/state_file/tests.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced as a whole, failing disks, and what a killed process leaves.
+//! Atomic replacement of files, with failing disks and with drafts left by a killed process.
 
 use super::*;
 use crate::event_loop::system_calls::faults::{Fault, Faults, Rule};
@@ -8,7 +8,7 @@
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 
-/// A directory that is removed with the test.
+/// A directory that is removed at the end of the test.
 struct TestDirectory(PathBuf);
 
 impl TestDirectory {
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -539,7 +539,7 @@
     let checked = run(&["config", "check", example]);
     assert_eq!(
         printed(&checked).lines().last(),
-        Some("sound: 1 file(s), 6 route(s)"),
+        Some("valid: 1 file(s), 6 route(s)"),
         "{}",
         printed(&checked)
     );
