--- a/crates/leverproxy/src/config/limits.rs
+++ b/crates/leverproxy/src/config/limits.rs
@@ -28,10 +28,10 @@
     /// The limits that remain while another process of the same proxy holds this many connections (to clients, to record
     /// servers). At least a quarter of each limit remains, so that the new process of a hot restart can serve.
     pub fn remaining_after(self, (clients, upstream): (usize, usize)) -> Limits {
-        let left = |all: usize, used: usize| all.saturating_sub(used).max(all / 4);
+        let remaining = |limit: usize, used: usize| limit.saturating_sub(used).max(limit / 4);
         Limits {
-            clients: left(self.clients, clients),
-            upstream: left(self.upstream, upstream),
+            clients: remaining(self.clients, clients),
+            upstream: remaining(self.upstream, upstream),
             ..self
         }
     }
@@ -135,20 +135,20 @@
     (reserved, for_checks)
 }
 
-/// The number of descriptors to divide if the system allows this process only `most`.
+/// The number of descriptors to divide if the system allows this process only `open_files`.
 ///
 /// Clients must reach their own limit before the system's: otherwise they would use up the descriptors that discovery and
 /// record servers need.
-fn within_system_limit(most: usize, sockets: usize, reserved: usize) -> usize {
-    if most >= sockets {
+fn within_system_limit(open_files: usize, sockets: usize, reserved: usize) -> usize {
+    if open_files >= sockets {
         return sockets;
     }
     let advice =
         "Raise the limit (`ulimit -n`, `LimitNOFILE=`), or set `sockets` to no more than the limit allows.";
-    if most < reserved + MIN_SOCKETS / 2 {
-        log::warn!(advice; "configuration: the system allows {most} open files, too few to reserve any besides those of clients");
+    if open_files < reserved + MIN_SOCKETS / 2 {
+        log::warn!(advice; "configuration: the system allows {open_files} open files, too few to reserve any besides those of clients");
         return sockets;
     }
-    log::warn!(advice; "configuration: the system allows {most} open files, fewer than the limit of {sockets} sockets");
-    most
+    log::warn!(advice; "configuration: the system allows {open_files} open files, fewer than the limit of {sockets} sockets");
+    open_files
 }
--- a/crates/leverproxy/src/persistence/directory_lock.rs
+++ b/crates/leverproxy/src/persistence/directory_lock.rs
@@ -21,10 +21,10 @@
     pub fn advice(&self) -> &'static str {
         match self {
             LockError::Held(_) => {
-                "during an upgrade, wait until the old process has ended: the lock is retried twice a second; otherwise find \
+                "During an upgrade, wait until the old process has ended: the lock is retried twice a second; otherwise find \
                  the other process that uses this directory, and give each proxy a directory of its own"
             }
-            LockError::Io(..) => "create the directory, and make it writable for the proxy's user",
+            LockError::Io(..) => "Create the directory, and make it writable for the proxy's user",
         }
     }
 }
--- a/crates/leverproxy/src/persistence/hot_restart/links.rs
+++ b/crates/leverproxy/src/persistence/hot_restart/links.rs
@@ -113,7 +113,9 @@
     pub fn listen_again(&mut self, reactor: &Reactor) {
         match HotRestart::bind(&self.path, reactor) {
             Ok(listener) => self.listener = listener,
-            Err(error) => log::warn!("takeover: the next process can't be listened for: {error}"),
+            Err(error) => log::warn!(
+                "takeover: the socket for the next process cannot be opened again: {error}"
+            ),
         }
     }
 
--- a/crates/leverproxy/src/persistence/saved_state/error.rs
+++ b/crates/leverproxy/src/persistence/saved_state/error.rs
@@ -24,12 +24,12 @@
     /// The endpoint list, of this many bytes, is too long to be saved.
     #[error("memory: the endpoint list of {0} bytes is too long to be saved")]
     TooLong(usize),
-    /// Discovery's change counter is lower than the saved one.
+    /// The index of discovery's list is lower than that of the saved list.
     #[error("memory: discovery's list has index {received}, lower than the index {saved} saved before this start")]
     IndexRegressed {
-        /// The saved counter.
+        /// Index of the saved list.
         saved: u64,
-        /// Discovery's counter now.
+        /// Index of the list received from discovery.
         received: u64,
     },
 }
--- a/crates/leverproxy/src/persistence/saved_state/mod.rs
+++ b/crates/leverproxy/src/persistence/saved_state/mod.rs
@@ -21,8 +21,8 @@
 use std::time::{Duration, Instant};
 use wire_admin::{Answer, Figures};
 
-const FILE: &str = "memory.state";
-const LOCK: &str = "memory.lock";
+const FILE_NAME: &str = "memory.state";
+const LOCK_NAME: &str = "memory.lock";
 /// Interval at which the state is checked for changes, and a lock that another process holds is retried.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -62,7 +62,7 @@
         now: Instant,
     ) -> (Persistence, InitialState) {
         let mode = initial_state::start_mode(hot_restart, platform_list);
-        let read = initial_state::read(&settings.state.join(FILE), proxy_name, mode);
+        let read = initial_state::read(&settings.state.join(FILE_NAME), proxy_name, mode);
         let foreign = read.as_ref().is_err_and(PersistenceError::is_foreign);
         let unread = read.is_err();
         let (recovered, snapshot) = read.unwrap_or_else(|error| {
@@ -103,7 +103,7 @@
     /// lock until it ends.
     fn acquire_lock(&mut self) -> bool {
         if self.lock.is_none() && !self.foreign {
-            match DirectoryLock::acquire(&self.settings.state, LOCK) {
+            match DirectoryLock::acquire(&self.settings.state, LOCK_NAME) {
                 Ok(lock) => self.lock = Some(lock),
                 Err(error) if !std::mem::replace(&mut self.lock_error_logged, true) => {
                     let error = PersistenceError::Lock(error);
@@ -183,7 +183,7 @@
         let writer = match self.writer.take() {
             Some(writer) => writer,
             None => {
-                let path = self.settings.state.join(FILE);
+                let path = self.settings.state.join(FILE_NAME);
                 BackgroundWriter::start(path, self.waker.try_clone()?)?
             }
         };
@@ -209,7 +209,7 @@
             Err(error) => {
                 self.failed_saves += 1;
                 if !self.scheduler.is_failing() {
-                    let error = PersistenceError::Write(self.settings.state.join(FILE), error);
+                    let error = PersistenceError::Write(self.settings.state.join(FILE_NAME), error);
                     log::error!("{error}. {}", error.advice());
                 }
             }
