--- a/crates/leverproxy/src/cli/config/format.rs
+++ b/crates/leverproxy/src/cli/config/format.rs
@@ -1,4 +1,4 @@
-//! `leverproxy config fmt`: files in their canonical form.
+//! `leverproxy config fmt`: rewrites files in their canonical form.
 
 use super::{print, ConfigCommandError, DIFFERS};
 use clap::ArgMatches;
@@ -9,28 +9,28 @@
 
 pub(super) fn format_files(matches: &ArgMatches) -> Result<ExitCode, ConfigCommandError> {
     let check_only = matches.get_flag("check");
-    let mut any_differs = false;
+    let mut any_differ = false;
     for path in matches.get_many::<String>("files").into_iter().flatten() {
-        any_differs |= format_file(path, check_only)?;
+        any_differ |= format_file(path, check_only)?;
     }
-    Ok(if any_differs && check_only {
+    Ok(if any_differ && check_only {
         ExitCode::from(DIFFERS)
     } else {
         ExitCode::SUCCESS
     })
 }
 
-/// Whether the file was not in its canonical form.
+/// Formats a file; returns whether it differed from its canonical form.
 fn format_file(path: &str, check_only: bool) -> Result<bool, ConfigCommandError> {
-    let named = || path.to_owned();
+    let owned_path = || path.to_owned();
     let bytes = std::fs::read(path).map_err(|source| ConfigCommandError::Read {
-        path: named(),
+        path: owned_path(),
         source,
     })?;
     let old =
-        String::from_utf8(bytes).map_err(|_| ConfigCommandError::NotText { path: named() })?;
-    let new =
-        format::format(&old).ok_or_else(|| ConfigCommandError::NotFormattable { path: named() })?;
+        String::from_utf8(bytes).map_err(|_| ConfigCommandError::NotText { path: owned_path() })?;
+    let new = format::format(&old)
+        .ok_or_else(|| ConfigCommandError::NotFormattable { path: owned_path() })?;
     if old == new {
         return Ok(false);
     }
@@ -38,14 +38,14 @@
         print(&format!("{path} is not in its canonical form\n"));
     } else {
         replace(Path::new(path), &new).map_err(|source| ConfigCommandError::Write {
-            path: named(),
+            path: owned_path(),
             source,
         })?;
     }
     Ok(true)
 }
 
-/// Replaces a file by a rename, so that whoever reads it meanwhile finds the old text or the new, never half of it.
+/// Replaces a file by a rename, so that concurrent readers see the complete old or new text.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
     let path = path.canonicalize()?;
     let name = path
--- a/crates/leverproxy/src/config/effective.rs
+++ b/crates/leverproxy/src/config/effective.rs
@@ -1,4 +1,4 @@
-//! Every value in force with its origin, for `leverproxy config show`.
+//! All values in force with their origins, for `leverproxy config show --effective`.
 
 use super::load::{self, Precedence};
 use super::platform_file::{self, PlatformFile, ProcessLimits};
@@ -9,7 +9,7 @@
 use configuration::value;
 use std::path::Path;
 
-/// Every value in force, with where it comes from, and the texts of the operators' file.
+/// All values in force with their origins, and the source texts of the operators' file.
 pub fn effective(
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<(Vec<Entry>, Sources), ConfigError> {
@@ -43,26 +43,26 @@
     Ok((entries, reading.sources))
 }
 
-/// The platform's limits count where the operators' file states none.
+/// Adds the platform's limits that the operators' file does not set.
 fn add_process_limits(entries: &mut Vec<Entry>, limits: &ProcessLimits) {
-    let states = |directive| {
+    let is_stated = |directive| {
         entries
             .iter()
             .any(|e| e.section == "limits" && e.directive == directive)
     };
-    let (states_sockets, states_memory) = (states("sockets"), states("memory"));
-    if let Some(number) = limits.sockets.filter(|_| !states_sockets) {
+    let (sockets_stated, memory_stated) = (is_stated("sockets"), is_stated("memory"));
+    if let Some(number) = limits.sockets.filter(|_| !sockets_stated) {
         let origin = Origin::Platform("limits.sockets".into());
         replace(entries, "limits", "sockets", number.to_string(), origin);
     }
-    if let Some(mb) = limits.memory_mb.filter(|_| !states_memory) {
+    if let Some(mb) = limits.memory_mb.filter(|_| !memory_stated) {
         let origin = Origin::Platform("limits.memory_mb".into());
         let size = value::format_size((mb as u64) << 20);
         replace(entries, "limits", "memory", size, origin);
     }
 }
 
-/// Puts a value of the platform or the environment in the place of the operators' one.
+/// Replaces an entry of the operators' file by a value from the platform or the environment.
 fn replace(
     entries: &mut Vec<Entry>,
     section: &str,
--- a/crates/leverproxy/src/downstream/write.rs
+++ b/crates/leverproxy/src/downstream/write.rs
@@ -66,7 +66,7 @@
     }
 
     fn stream_window(&self) -> usize {
-        if self.unsent_bytes() >= self.limits.passing {
+        if self.unsent_bytes() >= self.limits.unsent_answers {
             REDUCED_STREAM_WINDOW
         } else {
             STREAM_WINDOW
--- a/crates/leverproxy/src/health/answer.rs
+++ b/crates/leverproxy/src/health/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to health checks.
+//! Answers to health checks over HTTP and HAProxy's agent protocol.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,18 +6,18 @@
 use wire_health::http::{self, Statuses};
 use wire_health::{agent, Status};
 
-use super::{Check, Counts, UNSENT_BYTES};
+use super::{CheckConnection, Counts, MAX_UNSENT_BYTES};
 
-/// Balancers whose views are kept.
-const VIEWS_LIMIT: usize = 16;
+/// Maximum number of balancers whose views are stored.
+const MAX_BALANCER_VIEWS: usize = 16;
 
-/// What balancers last said of this server, by their names.
+/// The state of this proxy that each balancer last reported, by the balancer's name.
 #[derive(Debug, Default)]
 pub(super) struct BalancerViews(BTreeMap<String, String>);
 
 impl BalancerViews {
     fn record(&mut self, balancer: String, view: String) {
-        if self.0.len() < VIEWS_LIMIT || self.0.contains_key(&balancer) {
+        if self.0.len() < MAX_BALANCER_VIEWS || self.0.contains_key(&balancer) {
             self.0.insert(balancer, view);
         }
     }
@@ -27,15 +27,15 @@
     }
 }
 
-/// Answers an agent check: one line, then the end.
+/// Answers an agent check with one line, after which the connection is closed.
 pub(super) fn answer_agent(
-    check: &mut Check,
+    check: &mut CheckConnection,
     expects_text: bool,
     status: &Status,
     counts: &mut Counts,
 ) {
     let request = agent::parse_request(check.stream.input.unused());
-    // A balancer that never ends its line is answered too.
+    // A line without an end is answered at the length limit.
     let is_complete =
         !expects_text || request.is_some() || check.stream.input.len() >= agent::TEXT_LIMIT;
     if check.closing || !is_complete {
@@ -51,14 +51,15 @@
     check.closing = true;
 }
 
-/// The status of one group: of the least weight if it does not answer, since the traffic of other groups has other checks.
+/// The status for the check of one group. If the group does not answer, the status has the minimum weight, since traffic of
+/// other groups has its own checks.
 fn group_status(status: &Status, group: u32) -> Status {
-    let dead = status
+    let is_dead = status
         .groups
         .iter()
         .find(|g| g.group == group)
         .is_some_and(|g| !g.serves);
-    if dead && status.state.serves() {
+    if is_dead && status.state.serves() {
         let weight = 1;
         let state = wire_health::State::Degraded(100);
         return Status {
@@ -73,14 +74,14 @@
 
 /// Answers all complete HTTP requests that were read.
 pub(super) fn answer_http(
-    check: &mut Check,
+    check: &mut CheckConnection,
     statuses: Statuses,
     status: &Status,
     now: Instant,
     counts: &mut Counts,
     views: &mut BalancerViews,
 ) {
-    while !check.closing && check.stream.unsent() < UNSENT_BYTES {
+    while !check.closing && check.stream.unsent() < MAX_UNSENT_BYTES {
         match http::parse(check.stream.input.unused()) {
             Ok(None) => return,
             Ok(Some((request, used))) => {
--- a/crates/leverproxy/src/health/monitor/load.rs
+++ b/crates/leverproxy/src/health/monitor/load.rs
@@ -6,27 +6,27 @@
 
 use crate::clock::Clock;
 
-/// Memory is sampled at this interval: it costs a system call more.
+/// Interval of sampling the memory, which takes additional system calls.
 const MEMORY_INTERVAL: Duration = Duration::from_secs(1);
 /// Time constant of the rates, in seconds.
 const RATE_TIME_CONSTANT: f64 = 5.0;
-/// The shortest time between two samples that is divided by, in seconds.
-const LEAST_ELAPSED: f64 = 1e-3;
+/// Lower bound of the time between two samples when rates are computed, in seconds.
+const MIN_ELAPSED_S: f64 = 1e-3;
 
 /// Use of the proxy's limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Client connections.
     pub clients: usize,
-    /// Most client connections.
+    /// Maximum client connections.
     pub clients_limit: usize,
     /// Connections to record servers.
     pub upstream: usize,
-    /// Most connections to record servers.
+    /// Maximum connections to record servers.
     pub upstream_limit: usize,
     /// Open requests.
     pub open: usize,
-    /// Most bytes of memory.
+    /// Maximum memory, in bytes.
     pub memory_limit: usize,
 }
 
@@ -36,11 +36,12 @@
     /// The longest lag since the last sample.
     lag: Duration,
     pub usage: Usage,
-    /// Memory as a part of its limit, and when it was sampled.
+    /// Memory as a fraction of its limit.
     pub memory: f64,
     memory_at: Option<Instant>,
-    /// CPU time used until the last sample, and the part of a core that it is.
+    /// CPU time used until the last sample.
     cpu_used: Duration,
+    /// Average CPU use, as a fraction of one core.
     pub cpu: f64,
     sampled_at: Instant,
     answered: u64,
@@ -79,11 +80,11 @@
         self.usage = usage;
         self.sample_memory(now);
         self.sample_rates(now);
-        let descriptors = part(usage.clients, usage.clients_limit)
-            .max(part(usage.upstream, usage.upstream_limit));
+        let descriptors = fraction(usage.clients, usage.clients_limit)
+            .max(fraction(usage.upstream, usage.upstream_limit));
         Load {
             lag: std::mem::take(&mut self.lag),
-            open: part(usage.open, usage.clients_limit),
+            open: fraction(usage.open, usage.clients_limit),
             descriptors,
             memory: self.memory,
         }
@@ -95,7 +96,7 @@
             .is_none_or(|at| now.saturating_duration_since(at) >= MEMORY_INTERVAL);
         if is_due {
             self.memory_at = Some(now);
-            self.memory = part(resident_bytes(), self.usage.memory_limit);
+            self.memory = fraction(resident_bytes(), self.usage.memory_limit);
         }
     }
 
@@ -103,7 +104,7 @@
         let elapsed = now
             .saturating_duration_since(self.sampled_at)
             .as_secs_f64()
-            .max(LEAST_ELAPSED);
+            .max(MIN_ELAPSED_S);
         let cpu_used = Clock::cpu_time();
         let decay = (-elapsed / RATE_TIME_CONSTANT).exp();
         let average = |old: f64, new: f64| old * decay + new * (1.0 - decay);
@@ -117,11 +118,11 @@
     }
 }
 
-fn part(used: usize, limit: usize) -> f64 {
+fn fraction(used: usize, limit: usize) -> f64 {
     used as f64 / limit.max(1) as f64
 }
 
-/// Bytes of memory that the process holds, without pages that are mapped from files; 0 where the system does not tell.
+/// Resident memory of the process in bytes, without pages mapped from files; 0 if the system does not report it.
 fn resident_bytes() -> usize {
     const PAGE: usize = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/leverproxy/src/observability/counters.rs
+++ b/crates/leverproxy/src/observability/counters.rs
@@ -7,10 +7,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Counters of a class: answers and attempts by how they ended.
+/// Counters of a class: requests read, and answers and attempts by outcome.
 #[derive(Debug, Default)]
-struct Class {
-    taken: u64,
+struct ClassCounters {
+    requests: u64,
     answers: BTreeMap<&'static str, u64>,
     attempts: BTreeMap<&'static str, u64>,
 }
@@ -19,31 +19,31 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     /// By class id.
-    classes: Vec<(String, Class)>,
+    classes: Vec<(String, ClassCounters)>,
     probes: BTreeMap<&'static str, u64>,
     probes_sent: u64,
     /// Goodput of all answers.
     pub goodput: Goodput,
     /// Requests of an unknown class.
     pub rejected: u64,
-    /// Endpoint lists received.
+    /// Received endpoint lists.
     pub lists: u64,
-    /// Entries of the last list that could not be read.
+    /// Entries of the last endpoint list that could not be parsed.
     pub unreadable_endpoints: u64,
-    /// Watches on the list that were lost.
+    /// Lost watches on the endpoint list.
     pub watches_lost: u64,
-    /// Configurations taken over.
+    /// Configurations applied by reloads.
     pub reloads: u64,
-    /// Configurations rejected.
+    /// Configurations rejected by reloads.
     pub reloads_failed: u64,
 }
 
 impl Counters {
-    /// Counters of classes with these names, by id.
+    /// Creates counters for classes with these names, by class id.
     pub fn new(classes: &[String]) -> Counters {
         let classes = classes
             .iter()
-            .map(|name| (name.clone(), Class::default()))
+            .map(|name| (name.clone(), ClassCounters::default()))
             .collect();
         Counters {
             classes,
@@ -51,35 +51,35 @@
         }
     }
 
-    /// Adds the classes beyond those that exist; counts stay.
+    /// Adds counters for the classes beyond those that exist; existing counts stay.
     pub fn extend(&mut self, classes: &[String]) {
         let new = classes.iter().skip(self.classes.len());
         self.classes
-            .extend(new.map(|name| (name.clone(), Class::default())));
+            .extend(new.map(|name| (name.clone(), ClassCounters::default())));
     }
 
     /// The name of a class; empty if it is unknown.
-    pub fn name(&self, class: ClassId) -> &str {
+    pub fn class_name(&self, class: ClassId) -> &str {
         self.classes
             .get(usize::from(class.0))
             .map_or("", |(name, _)| name)
     }
 
-    fn class(&mut self, class: ClassId) -> Option<&mut Class> {
+    fn class(&mut self, class: ClassId) -> Option<&mut ClassCounters> {
         self.classes
             .get_mut(usize::from(class.0))
             .map(|(_, counts)| counts)
     }
 
-    /// A request has been read.
-    pub fn taken(&mut self, class: ClassId) {
+    /// Counts a request that was read.
+    pub fn request_read(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
-            class.taken += 1;
+            class.requests += 1;
         }
     }
 
-    /// A request was answered, `elapsed` after it arrived.
-    pub fn answered(
+    /// Counts a request that was answered `elapsed` after it arrived.
+    pub fn request_answered(
         &mut self,
         class: ClassId,
         quota_status: QuotaStatus,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Requests served, refused and failed, by the name of their class.
+    /// Numbers of requests served, refused and failed, by class name.
     pub fn requests(&self) -> impl Iterator<Item = (&str, [(&'static str, u64); 3])> {
         let mut by_name: BTreeMap<&str, [(&'static str, u64); 3]> = BTreeMap::new();
         for (name, class) in &self.classes {
@@ -102,7 +102,7 @@
                     .entry(name)
                     .or_insert([("served", 0), ("refused", 0), ("failed", 0)]);
             for (kind, count) in &class.answers {
-                // Both are answered with an error, and have failed for the client.
+                // Rejected and cancelled requests are answered with an error: for the client they have failed.
                 let kind = if matches!(*kind, "rejected" | "cancelled") {
                     "failed"
                 } else {
@@ -116,38 +116,38 @@
         by_name.into_iter()
     }
 
-    /// The client of a request has left.
-    pub fn left(&mut self, class: ClassId) {
+    /// Counts a request whose client has disconnected.
+    pub fn client_left(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry("client left").or_default() += 1;
         }
     }
 
-    /// A request was cancelled by its client.
-    pub fn cancelled(&mut self, class: ClassId) {
+    /// Counts a request that its client cancelled.
+    pub fn request_cancelled(&mut self, class: ClassId) {
         if let Some(class) = self.class(class) {
             *class.answers.entry(Answer::Cancelled.kind()).or_default() += 1;
         }
     }
 
-    /// A probe was sent.
+    /// Counts a probe that was sent.
     pub fn probe_sent(&mut self) {
         self.probes_sent += 1;
     }
 
-    /// An attempt has ended; without a class: a probe.
-    pub fn ended(&mut self, class: Option<ClassId>, outcome: &ExchangeOutcome) {
+    /// Counts an attempt that has ended, or a probe if there is no class.
+    pub fn attempt_ended(&mut self, class: Option<ClassId>, outcome: &ExchangeOutcome) {
         let ends = match class {
             None => Some(&mut self.probes),
             Some(class) => self.class(class).map(|c| &mut c.attempts),
         };
         if let Some(ends) = ends {
-            *ends.entry(name(outcome)).or_default() += 1;
+            *ends.entry(outcome_label(outcome)).or_default() += 1;
         }
     }
 }
 
-fn name(outcome: &ExchangeOutcome) -> &'static str {
+fn outcome_label(outcome: &ExchangeOutcome) -> &'static str {
     match outcome {
         ExchangeOutcome::Served(_) | ExchangeOutcome::Reported(_) => "ok",
         ExchangeOutcome::Misdirected => "miss",
@@ -162,7 +162,7 @@
     }
 }
 
-fn list(
+fn write_counts(
     f: &mut fmt::Formatter<'_>,
     title: &str,
     counts: &BTreeMap<&'static str, u64>,
@@ -177,13 +177,13 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, class) in &self.classes {
-            write!(f, "class {name}: taken {}; ", class.taken)?;
-            list(f, "answered", &class.answers)?;
-            list(f, "; attempts", &class.attempts)?;
+            write!(f, "class {name}: taken {}; ", class.requests)?;
+            write_counts(f, "answered", &class.answers)?;
+            write_counts(f, "; attempts", &class.attempts)?;
             writeln!(f)?;
         }
         write!(f, "probes: sent {}; ", self.probes_sent)?;
-        list(f, "ended", &self.probes)?;
+        write_counts(f, "ended", &self.probes)?;
         writeln!(f)?;
         let Counters {
             rejected,
--- a/crates/leverproxy/src/proxy/hot_restart.rs
+++ b/crates/leverproxy/src/proxy/hot_restart.rs
@@ -87,7 +87,7 @@
     /// Sets this process's share of the limits. The new process gets what the old process does not use; the old process
     /// opens no more upstream connections than it has.
     pub(super) fn share_limits(&mut self) {
-        let limits = self.limits.beside(self.old_process_usage);
+        let limits = self.limits.remaining_after(self.old_process_usage);
         let io = &mut self.io;
         io.downstream.set_limits(limits, self.client_limits);
         let hot_restart = io.hot_restart.as_ref();
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -319,7 +319,7 @@
         (
             roster("leverproxy", "/nowhere/members.key"),
             "members.key-file",
-            "/nowhere/members.key can't be read",
+            "/nowhere/members.key cannot be read",
         ),
         (
             roster("leverproxy", "/"),
@@ -539,7 +539,7 @@
     let checked = run(&["config", "check", example]);
     assert_eq!(
         printed(&checked).lines().last(),
-        Some("sound: 1 file(s), 6 route(s)"),
+        Some("valid: 1 file(s), 6 route(s)"),
         "{}",
         printed(&checked)
     );
