--- a/crates/server-model/src/account.rs
+++ b/crates/server-model/src/account.rs
@@ -1,30 +1,30 @@
-//! One tenant's account over the whole fleet: how many of its requests count in full.
+//! Fleet-wide quota account of one tenant: decides which of its requests count with full weight.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Parts of a request in which the account is kept: so many a microsecond are a millionth of a request a second, so
-/// that nothing is rounded from one draw to the next.
+/// Account units per request. One unit per microsecond equals a millionth of a request per second, so that no rounding
+/// error accumulates between draws.
 const WHOLE: u128 = 1_000_000_000_000;
 
-/// What a tenant may borrow.
+/// Limits on a tenant's borrowing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credit {
-    /// The most that it owes, as a time of its quota.
+    /// Maximum debt, as the time in which the quota produces it.
     pub line: Micros,
-    /// In which a loan is repaid; who owes for longer gets none, and after so much more it is written off.
+    /// Repayment term; a tenant with a loan older than this gets no further loans.
     pub term: Micros,
-    /// How long after the term an unpaid loan is written off.
+    /// Time after the end of the term at which an unpaid loan is written off.
     pub write_off: Micros,
-    /// The part of its quota that always stays, in thousandths.
+    /// Part of the quota that repayment never takes, in thousandths.
     pub floor: u32,
-    /// Kinds of requests that are lent for.
+    /// Indices of the request classes that are eligible for loans.
     pub kinds: Vec<usize>,
-    /// Of loans a second.
+    /// Maximum rate of new loans per second.
     pub rate: u64,
 }
 
-/// How a request counts against its tenant's account.
+/// How a request was charged to its tenant's account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Drawn {
     /// Within the quota.
@@ -38,16 +38,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Loans {
     credit: Credit,
-    /// Since when, and what is left of it; the oldest first.
+    /// Open loans as (start, remaining units), oldest first.
     open: VecDeque<(Micros, u128)>,
     owed: u128,
     pace: Account,
 }
 
-/// A bucket of one second's depth that fills at the quota's rate, drawn on in the order of arrival.
+/// Token bucket that holds one second of quota, fills at the quota's rate and is charged in order of arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// What comes in a microsecond; none: all counts.
+    /// Units added per microsecond; `None`: no quota, every request counts.
     rate: Option<u128>,
     left: u128,
     since: Micros,
@@ -55,7 +55,7 @@
 }
 
 impl Account {
-    /// Of so many requests a second; 0: all of them.
+    /// Account with this quota in requests per second; 0: no limit.
     pub fn new(per_s: f64) -> Account {
         let rate = (per_s > 0.0).then_some((per_s * 1e6).round() as u128);
         let mut account = Account {
@@ -68,7 +68,7 @@
         account
     }
 
-    /// That lends as well.
+    /// Adds borrowing; has no effect without a quota.
     pub fn with(mut self, credit: Option<Credit>) -> Account {
         self.loans = credit.filter(|_| self.rate.is_some()).map(|credit| {
             let pace = Account::new(credit.rate as f64);
@@ -82,12 +82,12 @@
         self
     }
 
-    /// At least one request, or a quota below one a second would never count any.
+    /// Capacity of the bucket: at least one request, since otherwise a quota below one per second would admit none.
     fn depth(&self) -> u128 {
         self.rate.map_or(0, |rate| (rate * 1_000_000).max(WHOLE))
     }
 
-    /// A request comes: whether it is within the quota. If so, it is drawn.
+    /// Charges a request if it is within the quota, and returns whether it is.
     pub fn draw(&mut self, now: Micros) -> bool {
         let Some(rate) = self.rate else { return true };
         let came = rate * u128::from(now.saturating_sub(self.since));
@@ -104,7 +104,7 @@
         }
         within
     }
-    /// The same for one that may borrow, where there is room.
+    /// Like [`Account::draw`], but borrows beyond the quota if `room` is set and the credit allows it.
     pub fn draw_on(&mut self, now: Micros, kind: usize, room: bool) -> Drawn {
         if self.draw(now) {
             return Drawn::Within;
@@ -122,7 +122,8 @@
 }
 
 impl Loans {
-    /// Of what came in, what is withheld: enough to be done in half of the term, and what the bucket can't hold.
+    /// Returns the part of the inflow that goes to repayment: enough to repay within half of the remaining term, plus
+    /// the overflow of the bucket.
     fn repay(&mut self, now: Micros, rate: u128, came: u128, left: u128, depth: u128) -> u128 {
         let over = self.credit.term + self.credit.write_off;
         while let Some((_, lost)) = self
--- a/crates/server-model/src/catalog.rs
+++ b/crates/server-model/src/catalog.rs
@@ -1,18 +1,18 @@
-//! Discovery: the list of servers as one service keeps it for all proxies. It is late, it works through calls in turn,
-//! and it can fall further behind or go down.
+//! Discovery service that keeps the endpoint list for all proxies. It learns of changes with a delay, handles calls one
+//! at a time, and can fall further behind or go down.
 
 use crate::site::{ServerIndex, Site, Status};
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How late and how slow the discovery service is, in microseconds.
+/// Delays of the discovery service, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// A change is told this much later.
+    /// Delay until a change is published.
     pub late: Micros,
-    /// What a call takes; a call that has waited for longer than that fails.
+    /// Processing time per call.
     pub call: Micros,
-    /// How long a call may wait.
+    /// Maximum time that a call may wait; calls that waited longer fail.
     pub patience: Micros,
 }
 
@@ -31,18 +31,18 @@
 pub struct Record {
     /// The server.
     pub server: ServerIndex,
-    /// Its group.
+    /// The server's group.
     pub group: u32,
-    /// Its building.
+    /// The server's building.
     pub place: u16,
-    /// Its state.
+    /// The server's state.
     pub status: Status,
-    /// When it started; 0: long ago.
+    /// Start time of the server; 0: before the run.
     pub started: Micros,
 }
 
 impl Record {
-    /// What is true of a server, as the list would have it.
+    /// Record of a server's present state.
     pub fn of(site: &Site, server: ServerIndex) -> Record {
         Record {
             server,
@@ -54,48 +54,48 @@
     }
 }
 
-/// Whoever calls: a proxy.
+/// Index of the calling proxy.
 pub type Caller = usize;
 
-/// What happens to the service.
+/// Input to the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Something is true of a server from now on.
+    /// The state of a server has changed to this record.
     Changed(Record),
-    /// A call for all changes behind an index, and those to come.
+    /// A call for all changes after an index, and a watch for later ones.
     Watch {
         /// The proxy that calls.
         caller: Caller,
-        /// The index up to which it knows the list.
+        /// Index up to which the proxy has the list; 0 requests the complete list.
         after: u64,
     },
-    /// The caller is gone, and its watch with it.
+    /// The caller is gone; its calls and its watch end.
     Leave(Caller),
-    /// Further behind by so much from now on; 0: no longer.
+    /// Additional delay of changes from now on; 0 ends it.
     Behind(Micros),
-    /// Calls fail and watches end, until it is up again.
+    /// Whether the service is down: all calls fail and all watches end.
     Down(bool),
-    /// A time that was asked for with [`Action::DueAt`].
+    /// A time requested with [`Action::DueAt`] is reached.
     Due,
 }
 
-/// What the service does.
+/// Output of the discovery service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sends entries to a caller.
     Tell {
-        /// The proxy that gets them.
+        /// The receiving proxy.
         caller: Caller,
-        /// The list's index with these entries.
+        /// Index of the list that includes these entries.
         index: u64,
-        /// The entries are the whole list.
+        /// Whether the entries are the complete list rather than changes.
         complete: bool,
         /// The entries.
         records: Vec<Record>,
     },
     /// Fails a call or ends a watch.
     Fail(Caller),
-    /// Asks for [`Event::Due`] at that time.
+    /// Requests [`Event::Due`] at this time.
     DueAt(Micros),
 }
 
@@ -106,21 +106,21 @@
     behind: Micros,
     down: bool,
     index: u64,
-    /// What it knows, and at which index each was told last.
+    /// Published records by server, each with the index of its last change.
     known: BTreeMap<ServerIndex, (u64, Record)>,
-    /// Changes that it will know of, in their order.
+    /// Changes that are not published yet, as (time of publication, record), in order.
     coming: VecDeque<(Micros, Record)>,
     watchers: BTreeSet<Caller>,
-    /// Calls with when they came; the first is being worked on until then.
+    /// Queued calls as (arrival time, caller, index); the first one is processed until `busy_until`.
     calls: VecDeque<(Micros, Caller, u64)>,
     busy_until: Micros,
 }
 
-/// Records of what is gone are kept for the changes; beyond this many the oldest go.
+/// Maximum number of records of gone servers kept for incremental updates; beyond it the oldest are dropped.
 const GONE_KEPT: usize = 10_000;
 
 impl Catalog {
-    /// A service that knows these servers.
+    /// Service whose list holds these records.
     pub fn new(set: Settings, records: impl IntoIterator<Item = Record>) -> Catalog {
         let known = records
             .into_iter()
@@ -139,12 +139,12 @@
         }
     }
 
-    /// The list's present index.
+    /// Current index of the list.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Everything that is not gone.
+    /// Records of all servers that are not gone.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         self.known
             .values()
@@ -152,7 +152,7 @@
             .filter(|r| r.status != Status::Gone)
     }
 
-    /// Applies an event and appends what follows from it.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Changed(record) => {
--- a/crates/server-model/src/group.rs
+++ b/crates/server-model/src/group.rs
@@ -1,37 +1,37 @@
-//! A primary and its replicas: who is primary, and how far each has the log.
+//! A group of a primary and its replicas: elections, replication and the position of each member.
 //!
-//! Positions are times: a member stands at the time up to which it has all commits. A replica gets each commit a
-//! little late and applies it with one thread; long queries hold that thread. When the primary is lost, the group
-//! takes no writes until it is given up and a replica, the one that has most of the log, takes over.
+//! Positions are times: a member's position is the time up to which it has all commits. A replica receives each commit
+//! with a delay and applies it with one thread, which long queries block. When the primary is lost, the group takes no
+//! writes until the failure is detected and the replica with the highest position takes over.
 //!
-//! A primary that falls silent (its process hangs) keeps its role until it is given up. What it commits meanwhile reaches
-//! nobody; it is lost when another takes over, and shipped when it comes to itself before.
+//! A primary that falls silent (its process hangs) keeps its role until its failure is detected. Its commits in that
+//! time are not shipped: they are lost when another member takes over, and shipped if it recovers before.
 //!
-//! A group may be split in two sides that can't hear each other. The side without the primary gives it up like a lost
-//! one and elects its own; with a quorum only a side with most members may, and a primary on the lesser side steps down
-//! when it has heard nobody for as long as it takes to give one up. Without, both sides have one until they meet again:
-//! then the younger stays, and what the older committed meanwhile is lost.
+//! A partition splits a group into two sides. The side without the primary treats it as lost and elects its own. With
+//! `quorum`, only a side with a majority of the members may elect, and a primary on the minority side steps down after
+//! `give_up`. Without `quorum`, both sides have a primary until the partition heals: then the primary elected last
+//! stays, and the commits of the other one since the split are lost.
 
 use crate::Micros;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// The size of a group and the times of its replication, in microseconds.
+/// Size of a group and its replication times, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Members at the start.
+    /// Number of members at the start.
     pub members: usize,
-    /// The log's way to a replica.
+    /// Delay until a commit reaches a replica.
     pub ship: Micros,
-    /// A commit's work for the thread that applies it.
+    /// Time that the apply thread needs per commit.
     pub apply: Micros,
-    /// A lost primary is given up after this, and a replica takes over so much later.
+    /// Time until a lost primary is detected.
     pub give_up: Micros,
-    /// How much later a replica takes over.
+    /// Time from the detection until a replica takes over.
     pub take_over: Micros,
-    /// A primary that drains hands over within this.
+    /// Time that a draining primary needs to hand over.
     pub hand_over: Micros,
-    /// Only most of the members together have a primary.
+    /// Whether a primary requires a majority of the members.
     pub quorum: bool,
 }
 
@@ -52,60 +52,60 @@
 #[derive(Clone, Debug, Default)]
 struct Member {
     gone: bool,
-    /// Wants to be rid of its role, and takes none.
+    /// Hands over its role if it is primary, and is not eligible in elections.
     leaving: bool,
     side: usize,
-    /// Commits on their way or waiting for the thread: which, and when it is applied.
+    /// Commits that are not applied yet, as (commit time, time at which it is applied).
     pending: VecDeque<(Micros, Micros)>,
-    /// The thread is busy until then.
+    /// Time until which the apply thread is busy.
     busy: Micros,
-    /// All up to here is applied, whatever else is known.
+    /// Lower bound of the position: all commits up to this time are applied.
     applied: Micros,
 }
 
-/// What happens to a group.
+/// Input to a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
     /// A member that is primary commits a write.
     Commit(usize),
-    /// A long query holds a member's thread.
+    /// A long query blocks a member's apply thread.
     Hold {
         /// The member.
         member: usize,
-        /// For how long.
+        /// Duration of the query.
         span: Micros,
     },
-    /// A member dies, hangs or is cut off from the others.
+    /// A member dies or is cut off from the others.
     Lose(usize),
-    /// A member is heard of no more, though it may go on working.
+    /// A member sends nothing to the others any more, though it may continue to work.
     Silence(usize),
-    /// It is back, with what it had.
+    /// A member is back, with the data that it had.
     Return(usize),
-    /// A new member comes, from a copy that is so old; it is the last one from now on.
+    /// A new member joins from an old copy of the data; it gets the highest index.
     Join {
-        /// How old the copy is.
+        /// Age of the copy.
         copy_age: Micros,
     },
-    /// A member is to hand over if it is primary, and never takes over any more.
+    /// A member hands over if it is primary, and is not elected until it returns.
     Leave(usize),
-    /// These members can't hear the others from now on.
+    /// A partition separates these members from the others.
     Split(&'a [usize]),
-    /// All hear each other again.
+    /// The partition heals.
     Meet,
-    /// A time that was asked for.
+    /// A time requested with [`Action::DueAt`] is reached.
     Due,
 }
 
-/// What follows for whoever drives the group.
+/// Output of a group for its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// [`Event::Due`] is wanted then.
+    /// Requests [`Event::Due`] at this time.
     DueAt(Micros),
-    /// From now on that member is a primary.
+    /// This member becomes a primary.
     Primary(usize),
-    /// From now on a side of the group takes no writes.
+    /// A side of the group stops taking writes.
     Vacant,
-    /// What was committed on one side after that time is lost.
+    /// Commits on one side after a point in time are lost.
     Lost {
         /// The member that committed it.
         member: usize,
@@ -114,20 +114,20 @@
     },
 }
 
-/// One side of a group: all of it, unless it is split.
+/// One side of a partition; without a partition, side 0 is the whole group.
 #[derive(Clone, Copy, Debug, Default)]
 struct Side {
     primary: Option<usize>,
-    /// When a replica takes over, and when a primary steps down that hears too few.
+    /// Time of the next election.
     election: Option<Micros>,
     steps_down: Option<Micros>,
-    /// Where the log ends while there is no primary.
+    /// End of the log while there is no primary.
     log_end: Micros,
-    /// Commits in the order of their times: none shares its time with another.
+    /// Time of the last commit; commit times are unique and increase.
     last_commit: Micros,
-    /// When its primary took over.
+    /// Time at which its primary took over.
     since: Micros,
-    /// Since when its primary is silent.
+    /// Time at which its primary fell silent.
     silent: Option<Micros>,
 }
 
@@ -139,7 +139,7 @@
     sides: [Side; 2],
     split_at: Option<Micros>,
     last_commit: Micros,
-    /// Commits of a silent primary, which nobody has heard of.
+    /// Commits of a silent primary that have not been shipped.
     unshipped: Vec<Micros>,
 }
 
@@ -161,29 +161,29 @@
         }
     }
 
-    /// How many members there have been, those that are gone included.
+    /// Number of members that ever belonged to the group, including those that are gone.
     pub fn members(&self) -> usize {
         self.members.len()
     }
 
-    /// The primary; of two the younger.
+    /// The primary; if there are two, the one elected last.
     pub fn primary(&self) -> Option<usize> {
         let candidates = self.sides.iter().filter(|s| s.primary.is_some());
         candidates.max_by_key(|s| s.since).and_then(|s| s.primary)
     }
 
-    /// Whether a member takes itself for the primary.
+    /// Whether a member considers itself the primary.
     pub fn is_primary(&self, member: usize) -> bool {
         self.sides.iter().any(|s| s.primary == Some(member))
     }
 
-    /// Up to when a member has all commits. It never goes back.
+    /// Time up to which a member has all commits. It never decreases.
     pub fn position(&mut self, member: usize, now: Micros) -> Micros {
         let Some(state) = self.members.get_mut(member) else {
             return 0;
         };
         let side = &self.sides[state.side];
-        // Without a primary the log stands still.
+        // Without a primary, the log does not advance.
         let end = if side.primary.is_some() {
             side.silent.unwrap_or(now)
         } else {
@@ -194,7 +194,7 @@
         }
         while let Some(&(commit, done)) = state.pending.front() {
             if done > now {
-                // Everything before the commit that it is at.
+                // Everything before the commit that is being applied.
                 state.applied = state.applied.max(commit - 1);
                 return state.applied;
             }
@@ -207,12 +207,12 @@
         state.applied
     }
 
-    /// The commit's time, which is the event's own unless another has it already.
+    /// Time of the last commit: the time of its event, or later if another commit already had that time.
     pub fn last_commit(&self) -> Micros {
         self.last_commit
     }
 
-    /// Applies an event and appends what follows from it.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Commit(member) => self.commit(member, now),
@@ -246,7 +246,7 @@
         self.ship(at, primary, commit, commit);
     }
 
-    /// A commit goes to the replicas of a side.
+    /// Sends a commit to the replicas of a side.
     fn ship(&mut self, at: usize, primary: usize, commit: Micros, now: Micros) {
         let Settings { ship, apply, .. } = self.settings;
         for (member, state) in self.members.iter_mut().enumerate() {
@@ -265,7 +265,7 @@
         if self.sides[side].primary != Some(member) {
             return self.lose(member, now, actions);
         }
-        // How far each had it before the log stood still.
+        // Records each member's position before the log stops advancing.
         (0..self.members.len())
             .filter(|m| *m != member)
             .for_each(|m| _ = self.position(m, now));
@@ -275,7 +275,7 @@
         }
     }
 
-    /// A silent primary is heard of no more by anybody: what it committed since is lost.
+    /// Replaces a silent primary: its commits since it fell silent are lost.
     fn give_up(&mut self, side: usize, now: Micros, actions: &mut Vec<Action>) {
         let (Some(since), Some(member)) = (self.sides[side].silent, self.sides[side].primary)
         else {
@@ -325,7 +325,7 @@
         self.check_quorum(side, now, actions);
     }
 
-    /// The side's log ends here, and somebody takes over then.
+    /// Ends the side's log now and schedules an election.
     fn vacate(&mut self, side: usize, now: Micros, until: Micros, actions: &mut Vec<Action>) {
         if let Some(state) = self.sides[side]
             .primary
@@ -362,7 +362,7 @@
         self.check_quorum(side, now, actions);
     }
 
-    /// It has to apply what was committed meanwhile; how much that is shows in its distance from the end.
+    /// Schedules the missed commits of a member; the time for it grows with its distance from the end of the log.
     fn catch_up(&mut self, member: usize, now: Micros) {
         let (ship, apply) = (self.settings.ship, self.settings.apply);
         let Some(state) = self.members.get_mut(member) else {
@@ -408,7 +408,7 @@
         if self.split_at.is_some() {
             return;
         }
-        // Where everybody stands before the log goes two ways.
+        // Records each member's position before the log forks.
         (0..self.members.len()).for_each(|m| _ = self.position(m, now));
         self.split_at = Some(now);
         let whole = self.sides[0];
@@ -431,7 +431,7 @@
         } else {
             [without, whole]
         };
-        // What is on its way between the sides is lost to those that it was for, until they meet.
+        // Commits in transit between the sides do not arrive until the partition heals.
         for state in self.members.iter_mut().filter(|m| m.side != with) {
             state.pending.clear();
         }
@@ -440,7 +440,7 @@
         self.check_quorum(1, now, actions);
     }
 
-    /// Members of a side that stand.
+    /// Number of members of a side that are not gone.
     fn candidates(&self, side: usize) -> usize {
         self.members
             .iter()
@@ -453,7 +453,7 @@
             || self.candidates(side) * 2 > self.members.iter().filter(|m| !m.leaving).count()
     }
 
-    /// A primary that hears too few has so long to hear more.
+    /// Schedules the step-down of a primary without a quorum, or cancels it when the quorum is back.
     fn check_quorum(&mut self, side: usize, now: Micros, actions: &mut Vec<Action>) {
         if self.split_at.is_none() || self.sides[side].primary.is_none() || self.is_quorum(side) {
             self.sides[side].steps_down = None;
@@ -472,12 +472,12 @@
             (Some(_), Some(_)) => usize::from(self.sides[1].since > self.sides[0].since),
             (None, Some(_)) => 1,
             (Some(_), None) => 0,
-            // The side whose log goes further; its election goes on.
+            // The side with the longer log; its election continues.
             (None, None) => usize::from(self.sides[1].log_end > self.sides[0].log_end),
         };
         let other = 1 - kept;
         if let Some(old) = self.sides[other].primary.take() {
-            // It was primary to nobody but those who could not know better.
+            // It was the primary on its own side only.
             let state = &mut self.members[old];
             state.applied = state.applied.max(now);
             if self.sides[other].last_commit > split_at {
@@ -530,7 +530,7 @@
         let candidates: Vec<usize> = (0..self.members.len())
             .filter(|m| may(&self.members[*m]))
             .collect();
-        // Of equals the first: every proxy and every run must see the same.
+        // Of equals the first, so that all proxies and runs see the same result.
         let best = candidates
             .into_iter()
             .max_by_key(|m| (self.position(*m, now), Reverse(*m)));
--- a/crates/server-model/src/law.rs
+++ b/crates/server-model/src/law.rs
@@ -1,4 +1,4 @@
-//! How much work a request is, in microseconds of one core.
+//! Distributions of the work per request, in microseconds of one core.
 
 use crate::Micros;
 use rand::Rng;
@@ -11,31 +11,31 @@
     Fixed,
     /// Exponential.
     Exponential,
-    /// With this coefficient of variation.
+    /// Log-normal with a given coefficient of variation.
     LogNormal {
         /// Standard deviation divided by the mean.
         variation: f64,
     },
-    /// A heavy tail; the shape is above 1, or there would be no mean.
+    /// Heavy-tailed. The shape must be above 1, since otherwise there is no mean.
     Pareto {
         /// The tail's exponent.
         shape: f64,
     },
 }
 
-/// A law with its mean; what it draws has that mean, and is one microsecond at least.
+/// Distribution of work with its mean. Draws are at least one microsecond.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
     /// The distribution.
     pub law: Law,
-    /// Its mean, in microseconds of a core.
+    /// Mean, in microseconds of a core.
     pub mean: f64,
-    /// How far a key's own factor spreads: requests of one key take alike.
+    /// Spread, from 0 to 1, of the factor per key: requests with the same key have similar work.
     pub by_key: f64,
 }
 
 impl Work {
-    /// Work that goes by the law alone, whatever the key.
+    /// Work that does not depend on the key.
     pub fn new(law: Law, mean: f64) -> Work {
         Work {
             law,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Draws for a request of that key.
+    /// Draws the work of a request with this key.
     pub fn draw(&self, key: u64, stream: &mut impl Rng) -> Micros {
         let mean = self.mean * self.factor(key);
         let drawn = match self.law {
@@ -59,14 +59,14 @@
                 .ok()
                 .map(|law| law.sample(stream)),
         };
-        // A law that can't be is its mean.
+        // Invalid parameters of a distribution fall back to the mean.
         drawn
             .filter(|w| w.is_finite())
             .unwrap_or(mean)
             .clamp(1.0, 1e12) as Micros
     }
 
-    /// A key's own factor: between 1 - `by_key` and 1 + `by_key`, the same each time, 1 on average.
+    /// Factor of a key, between 1 - `by_key` and 1 + `by_key`: constant per key and 1 on average.
     fn factor(&self, key: u64) -> f64 {
         let mixed = key.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let part = (mixed >> 11) as f64 / (1_u64 << 53) as f64;
--- a/crates/server-model/src/lib.rs
+++ b/crates/server-model/src/lib.rs
@@ -1,10 +1,16 @@
-//! The model of the systems that leverproxy stands before: no clock, no sockets, events in and actions out.
+//! Model of the systems around leverproxy. It uses no clock and no sockets: events go in, actions come out.
 //!
-//! [`site::Site`] is all record servers: machines ([`server`]) with cores, slots, a waiting room, efficiency lost when
-//! crowded, cold starts and collapse; [`law`] says how much work a request is; [`group`]s of a primary and its replicas
-//! have a log that is shipped and applied by one thread, elections and splits. [`network`] is the way to them,
-//! [`catalog`] the list of them, [`clients`] those who ask, [`platform`] what proxies may do. Whoever drives them (virtual time, or real sockets) brings
-//! the time and carries actions from one to the other.
+//! - [`site::Site`]: all record servers of a deployment.
+//! - [`server`]: one machine with cores, slots, a queue, contention, cold starts and collapse under overload.
+//! - [`law`]: distributions of the work per request.
+//! - [`group`]: a primary and its replicas, with log shipping, single-threaded apply, elections and partitions.
+//! - [`network`]: delays, losses and partitions between proxies and servers.
+//! - [`catalog`]: the discovery service.
+//! - [`clients`]: the load on the proxies.
+//! - [`platform`]: the limits that the platform sets for proxies.
+//!
+//! The driver (a simulation on virtual time, or an emulator with real sockets) supplies the time and passes actions
+//! between these parts.
 
 pub mod account;
 pub mod catalog;
--- a/crates/server-model/src/network.rs
+++ b/crates/server-model/src/network.rs
@@ -1,4 +1,4 @@
-//! The way between proxies and servers: delay by place, jitter, losses that cost a resend, and cuts.
+//! Network between proxies and servers: delay by building, jitter, losses with retransmission, and cuts.
 
 use crate::Micros;
 use rand::Rng;
@@ -6,15 +6,15 @@
 /// Delays and losses of the network, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// One way inside a building, and from one to another.
+    /// One-way delay inside a building.
     pub within: Micros,
-    /// One way from one building to another.
+    /// One-way delay between two buildings.
     pub between: Micros,
-    /// The most that a message is late, as a part of its way.
+    /// Maximum jitter, as a fraction of the one-way delay.
     pub jitter: f64,
-    /// Part of the messages that are lost once, and what it takes to send one again; twice lost takes twice that more.
+    /// Probability, from 0 to 1, that a transmission is lost; each further loss doubles the retransmission delay.
     pub loss: f64,
-    /// Time until a lost message is sent again.
+    /// Delay until the first retransmission of a lost message.
     pub resend: Micros,
 }
 
@@ -30,21 +30,21 @@
     }
 }
 
-/// One of those that a cut can part: all of a place, or a proxy alone.
+/// End of a cut: a whole building or a single proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// All that stands in a building.
+    /// All proxies and servers in a building.
     Place(u16),
     /// One proxy.
     Proxy(usize),
 }
 
-/// Where a message starts or ends.
+/// Source or destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spot {
     /// The building.
     pub place: u16,
-    /// If it is a proxy.
+    /// Index of the proxy; `None` for a server.
     pub proxy: Option<usize>,
 }
 
@@ -61,13 +61,13 @@
 #[derive(Clone, Debug)]
 pub struct Network {
     set: Settings,
-    /// What can't pass, from one end to another. A cut both ways is two of these.
+    /// Blocked directions as (from, to). A cut in both directions takes two entries.
     cuts: Vec<(End, End)>,
-    /// Further loss, while there is a trouble that brings it.
+    /// Additional loss probability during a fault, from 0 to 1.
     extra_loss: f64,
 }
 
-/// However often a message is lost, it is sent again so often.
+/// Maximum number of retransmissions of a message; the last one always arrives.
 const RESENDS: u32 = 6;
 
 impl Network {
@@ -80,24 +80,24 @@
         }
     }
 
-    /// Cuts one direction. Cuts of one kind add up: each has to be healed.
+    /// Cuts one direction. Equal cuts accumulate: each one has to be healed.
     pub fn cut(&mut self, from: End, to: End) {
         self.cuts.push((from, to));
     }
 
-    /// Undoes one cut of that kind.
+    /// Removes one cut with these ends.
     pub fn heal(&mut self, from: End, to: End) {
         if let Some(at) = self.cuts.iter().position(|cut| *cut == (from, to)) {
             self.cuts.swap_remove(at);
         }
     }
 
-    /// Adds to the part of the messages that are lost; 0: no longer.
+    /// Sets the additional loss probability; 0 ends it.
     pub fn set_extra_loss(&mut self, loss: f64) {
         self.extra_loss = loss.clamp(0.0, 1.0);
     }
 
-    /// No cut stands between.
+    /// Whether no cut blocks this direction.
     pub fn passes(&self, from: Spot, to: Spot) -> bool {
         !self
             .cuts
@@ -105,7 +105,7 @@
             .any(|(a, b)| from.is_at(*a) && to.is_at(*b))
     }
 
-    /// What a message takes; none: it does not come through.
+    /// One-way delay of a message; `None` if a cut blocks it.
     pub fn one_way(&self, from: Spot, to: Spot, random: &mut impl Rng) -> Option<Micros> {
         if !self.passes(from, to) {
             return None;
@@ -118,7 +118,7 @@
         let jitter = (way as f64 * self.set.jitter * random.random::<f64>()) as Micros;
         let mut took = way + jitter;
         let loss = (self.set.loss + self.extra_loss).min(1.0);
-        // Without losses no number is drawn for them.
+        // Without losses, no random number is drawn for them.
         if loss > 0.0 {
             for time in 0..RESENDS {
                 if random.random::<f64>() >= loss {
--- a/crates/server-model/src/platform.rs
+++ b/crates/server-model/src/platform.rs
@@ -1,25 +1,25 @@
-//! What a platform allows the proxies on it.
+//! Limits that the platform sets for its proxies.
 
 use crate::Micros;
 
-/// What the platform lets a proxy do.
+/// Limits for a proxy, with times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// Attempts for a request; 0: no limit.
+    /// Maximum attempts per request; 0: no limit.
     pub tries: u16,
-    /// Probes are allowed.
+    /// Whether probes are allowed.
     pub probes: bool,
-    /// Hedged requests are allowed.
+    /// Whether hedged requests are allowed.
     pub second_copies: bool,
-    /// The rejected may be told to wait; for so long at the most. 0: they may not.
+    /// Maximum retry-after time that a proxy may send with a rejection; 0: none may be sent.
     pub max_retry_after: Micros,
-    /// Time after a drain was notified in which the server may still get requests.
+    /// Time after a drain notification in which the server may still receive requests.
     pub drain_grace: Micros,
-    /// A connection that idles is closed after this; one that does not come up is given up after that.
+    /// Time after which an idle connection is closed.
     pub keepalive: Micros,
-    /// A connection that is not made by then has failed.
+    /// Connect timeout.
     pub dial_wait: Micros,
-    /// Servers turn away reads that they are too far behind for.
+    /// Whether servers reject reads for which their position is too old.
     pub checks: bool,
 }
 
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -1,33 +1,33 @@
-//! A record server's machine.
+//! Machine of a record server.
 //!
-//! Requests in work share the cores evenly, each at most one core; further ones wait in their order, and beyond the
-//! waiting room they are rejected unseen. The sharing is exact: time is kept as service attained by each request in
-//! work, so that arrivals and departures cost the logarithm of their number and no step of time is needed.
+//! Running requests share the cores evenly, each with at most one core. Further requests wait in a FIFO queue; when the
+//! queue is full, they are rejected without processing. Processor sharing is exact: the model tracks the service attained
+//! per running request, so that an arrival or departure costs O(log n) and no time steps are needed.
 
 use crate::Micros;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// The capacity of a server, with times in microseconds.
+/// Capacity of a server, with times in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Requests in work at once.
+    /// Maximum number of running requests.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub room: usize,
-    /// Part of its efficiency that is lost with all slots taken; none is with no more than it has cores.
+    /// Fraction of the efficiency lost when all slots are taken; nothing is lost with at most one request per core.
     pub crowding: f64,
-    /// A start begins at this part of its capacity, which grows evenly to the whole over `warm_after`.
+    /// Fraction of the full capacity at start, which grows linearly to 1 over `warm_after`.
     pub cold: f64,
     /// Time from a start to full capacity.
     pub warm_after: Micros,
-    /// More work within that time than so many times what a cold server can do in it makes it collapse.
+    /// A cold server collapses when the work that arrives within `tip_after` exceeds its capacity by this factor.
     pub tip: f64,
-    /// Length of the window in which work adds up.
+    /// Length of the sliding window over which arriving work is summed.
     pub tip_after: Micros,
-    /// Whether it does collapse; else it goes on, and only whoever counts sees what it was sent.
+    /// Whether an overrun cold server collapses; otherwise it continues to run.
     pub falls: bool,
 }
 
@@ -47,49 +47,49 @@
     }
 }
 
-/// What happens to a server.
+/// Input to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// A request arrives, with its work in microseconds of a core.
     Arrive {
-        /// The driver's name for it.
+        /// The driver's identifier of the request.
         id: u64,
-        /// Its work.
+        /// Work in microseconds of a core.
         work: Micros,
     },
-    /// A wake-up that was asked for.
+    /// A wake-up requested with [`Action::WakeAt`].
     Wake {
-        /// The number that was given with it.
+        /// Number of the wake-up.
         number: u64,
     },
-    /// It is so many times as slow as usual, from now on.
+    /// The server runs slower by this factor from now on.
     Slow(f64),
-    /// It takes requests and answers none; what it holds goes on and is told to nobody.
+    /// The server hangs or recovers: a hanging server accepts requests and runs them, but sends no responses.
     Hang(bool),
-    /// It dies: nothing that it holds is ever answered.
+    /// The server dies; its running and waiting requests are never answered.
     Die,
-    /// It starts, cold.
+    /// The server starts cold.
     Start,
 }
 
-/// What follows for whoever drives the server.
+/// Output of a server for its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The request's work is done.
     Done(u64),
-    /// Its work is done, and nobody hears of it.
+    /// The request's work is done, but no response is sent because the server hangs.
     Untold(u64),
-    /// Turned away unseen.
+    /// The request is rejected without processing because the queue is full.
     Full(u64),
-    /// Gone with the server: it may have run, or part of it.
+    /// The request is lost because the server died; it may have run in part or in full.
     Lost(u64),
-    /// To be woken then, by that number; a later one of these replaces it.
+    /// Requests [`Event::Wake`] at this time with this number; a later request replaces it.
     WakeAt(Micros, u64),
-    /// Overrun while it was cold: it is dead from now on.
+    /// The server was overrun while cold and has died.
     Collapsed,
 }
 
-/// Service attained, in nanoseconds of a core: finer than time, so that shares add up.
+/// Attained service in nanoseconds of a core; finer than [`Micros`], which limits rounding errors of the shares.
 type Service = u64;
 
 /// A record server's machine.
@@ -101,25 +101,25 @@
     slow: f64,
     started: Option<Micros>,
     now: Micros,
-    /// What each request in work has attained since it began, counted from the server's start.
+    /// Service, in microseconds of a core, that a request running since the server's creation would have attained.
     attained: f64,
-    /// In work: attained at which it is done, and which it is.
+    /// Running requests as (value of `attained` at completion, identifier).
     work: BinaryHeap<Reverse<(Service, u64)>>,
     waiting: VecDeque<(u64, Micros)>,
     wake: u64,
-    /// Work that came in windows of a tenth of `tip_after`.
+    /// Arrived work per window of a tenth of `tip_after`.
     windows: VecDeque<f64>,
     window_start: Micros,
-    /// Requests done since the beginning.
+    /// Number of completed requests.
     pub served: u64,
 }
 
-/// While a server is cold its capacity is taken anew this often.
+/// Interval in microseconds at which the capacity of a cold server is updated.
 const WARMING: Micros = 50_000;
 const WINDOWS: usize = 10;
 
 impl Server {
-    /// Warm, as if it had run for long.
+    /// Server that runs and is warm.
     pub fn new(set: Settings) -> Server {
         Server {
             set,
@@ -138,27 +138,27 @@
         }
     }
 
-    /// Its process runs.
+    /// Whether its process runs.
     pub fn up(&self) -> bool {
         self.up
     }
 
-    /// It takes requests and answers none.
+    /// Whether it accepts requests without answering them.
     pub fn hung(&self) -> bool {
         self.hung
     }
 
-    /// In work and waiting.
+    /// Number of running and waiting requests.
     pub fn held(&self) -> usize {
         self.work.len() + self.waiting.len()
     }
 
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Part of its full capacity that it has now.
+    /// Present capacity as a fraction of the full capacity.
     pub fn capacity(&self, now: Micros) -> f64 {
         let warm = match self.started {
             None => 1.0,
@@ -170,7 +170,7 @@
         warm / self.slow.max(1e-9)
     }
 
-    /// Cores' worth of work that it does with so many requests in work.
+    /// Throughput in cores with this number of running requests.
     fn power(&self, now: Micros, in_work: usize) -> f64 {
         let Settings {
             cores,
@@ -182,7 +182,7 @@
         cores.min(in_work as f64) * (1.0 - crowding * over.min(1.0)) * self.capacity(now)
     }
 
-    /// What one request in work attains in a microsecond, as a part of a core.
+    /// Service per microsecond that each running request attains, in cores.
     fn rate(&self, now: Micros) -> f64 {
         let in_work = self.work.len();
         if in_work == 0 {
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Applies an event and appends what follows from it.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.advance(now.max(self.now), actions);
         match event {
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Goes on to a time, and through every departure on the way: each changes what the others attain.
+    /// Advances to a time, stopping at every departure, since each one changes the rate of the remaining requests.
     fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(&Reverse((done, id))) = self.work.peek() {
             let rate = self.rate(self.now);
@@ -262,7 +262,7 @@
                 break;
             }
             self.now += span as Micros;
-            // No further than the request itself: rounding to whole microseconds gives nothing away.
+            // Not beyond the completed request: rounding up to whole microseconds must not add service.
             self.attained = done as f64 / 1e3;
             self.work.pop();
             self.served += 1;
@@ -287,7 +287,7 @@
         }
         let left = (done as f64 / 1e3 - self.attained).max(0.0);
         let mut span = (left / rate).ceil().clamp(1.0, 1e15) as Micros;
-        // What it can do grows meanwhile.
+        // The capacity grows during the warm-up.
         if self
             .started
             .is_some_and(|at| self.now - at < self.set.warm_after)
@@ -298,7 +298,7 @@
         actions.push(Action::WakeAt(self.now + span, self.wake));
     }
 
-    /// Whether so much more work can come now and a cold server still has this part of its budget to spare.
+    /// Whether the server can take `more` work now; a cold server must keep the fraction `spare` of its budget free.
     pub fn bears(&self, now: Micros, more: f64, spare: f64) -> bool {
         let Some(at) = self
             .started
@@ -318,7 +318,7 @@
         came + more <= self.set.tip * could * (1.0 - spare)
     }
 
-    /// Whether a cold server has been sent more than it bears, this request included.
+    /// Whether a cold server has received more work than it withstands, including this request.
     fn overrun(&mut self, work: Micros) -> bool {
         let Some(at) = self.started else { return false };
         if self.now - at >= self.set.warm_after {
@@ -342,7 +342,7 @@
         if let Some(last) = self.windows.back_mut() {
             *last += work as f64;
         }
-        // A budget: a burst right after the start can spend it before the time has passed.
+        // This is a budget: a burst right after the start can exhaust it before the window has passed.
         let came: f64 = self.windows.iter().sum();
         let could = self.capacity(self.now) * self.set.cores * self.set.tip_after as f64;
         came > self.set.tip * could
