--- a/crates/proxy-experiments/src/file/builder.rs
+++ b/crates/proxy-experiments/src/file/builder.rs
@@ -11,7 +11,9 @@
 use configuration::value::Value;
 use configuration::values::Values;
 use server_model::account::Credit;
-use server_model::clients::{self, Consistency, Idempotency, RequestClass, Tenant, SURGE_MOST};
+use server_model::clients::{
+    self, Consistency, Idempotency, RequestClass, Tenant, MAX_SURGE_FACTOR,
+};
 use server_model::law::{Law, Work};
 use server_model::platform::Platform;
 use server_model::{catalog, group, network, server, site, Micros};
@@ -366,9 +368,9 @@
                         "of this trouble",
                     );
                 }
-                if times > SURGE_MOST {
+                if times > MAX_SURGE_FACTOR {
                     let message =
-                        format!("requests can't come more than {SURGE_MOST} times as often");
+                        format!("requests can't come more than {MAX_SURGE_FACTOR} times as often");
                     self.fault(section.span, message, "of this trouble");
                 }
                 FaultKind::Surge(times, tenant)
--- a/crates/proxy-experiments/src/play/discovery.rs
+++ b/crates/proxy-experiments/src/play/discovery.rs
@@ -12,9 +12,9 @@
                     self.wheel.put(*at, Step::List);
                     continue;
                 }
-                catalog::Action::Tell { caller, .. } | catalog::Action::Fail(caller) => *caller,
+                catalog::Action::Update { caller, .. } | catalog::Action::Fail(caller) => *caller,
             };
-            let from = Spot {
+            let from = Location {
                 place: LIST_PLACE,
                 proxy: None,
             };
@@ -37,7 +37,7 @@
 
     pub(super) fn endpoints_received(&mut self, proxy: usize, update: catalog::Action) {
         let event = match update {
-            catalog::Action::Tell {
+            catalog::Action::Update {
                 index,
                 complete,
                 records,
--- a/crates/proxy-experiments/src/play/host.rs
+++ b/crates/proxy-experiments/src/play/host.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 use server_model::catalog::Record;
 use server_model::clients::ClientAttemptId;
-use server_model::network::{Network, Spot};
+use server_model::network::{Location, Network};
 use server_model::site::{ServerIndex, Site, Status};
 use std::time::Duration;
 
@@ -168,7 +168,7 @@
     pub site: &'a mut Site,
     pub network: &'a Network,
     /// Where the proxy stands.
-    pub spot: Spot,
+    pub spot: Location,
     pub ready: &'a [Vec<ServerId>],
     pub open: &'a FxHashMap<ClientAttemptId, OpenAttempt>,
     pub now: Micros,
@@ -196,7 +196,7 @@
 
     fn answers(&self, store: ServerId) -> bool {
         let at = server_index(store);
-        let there = Spot {
+        let there = Location {
             place: self.site.place(at),
             proxy: None,
         };
@@ -233,7 +233,7 @@
     }
 
     fn bears(&self, store: ServerId) -> bool {
-        self.site.bears(
+        self.site.has_capacity_for(
             server_index(store),
             self.now,
             HEAVY * self.mean_work,
--- a/crates/proxy-experiments/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -30,7 +30,7 @@
 use rustc_hash::FxHashMap;
 use server_model::catalog::{self, Catalog};
 use server_model::clients::{self, ClientAttempt, ClientAttemptId, Clients};
-use server_model::network::{Network, Spot};
+use server_model::network::{Location, Network};
 use server_model::site::{self, Answer, Operation, ServerIndex, Site, Status, TimerOwner};
 use server_model::Micros;
 use simulation_engine::streams::{Stream, Streams};
@@ -221,7 +221,7 @@
         network: Network::new(scenario.network),
         list,
         clients: Clients::new(scenario.clients.clone(), &streams)
-            .before(scenario.servers() as f64 * scenario.site.server.cores),
+            .with_cores(scenario.servers() as f64 * scenario.site.server.cores),
         hosts,
         fleet: Fleet::new(scenario, &streams),
         open: FxHashMap::default(),
@@ -362,8 +362,8 @@
         }
     }
 
-    fn spot(&self, proxy: usize) -> Spot {
-        Spot {
+    fn spot(&self, proxy: usize) -> Location {
+        Location {
             place: self.hosts[proxy].place,
             proxy: Some(proxy),
         }
@@ -371,7 +371,7 @@
 
     /// The way between a proxy and a server; none: nothing comes through.
     fn delay_to_server(&mut self, proxy: usize, server: ServerIndex) -> Option<Micros> {
-        let to = Spot {
+        let to = Location {
             place: self.site.place(server),
             proxy: None,
         };
@@ -380,7 +380,7 @@
     }
 
     fn delay_to_proxy(&mut self, server: ServerIndex, proxy: usize) -> Option<Micros> {
-        let from = Spot {
+        let from = Location {
             place: self.site.place(server),
             proxy: None,
         };
--- a/crates/proxy-experiments/src/play/proxies.rs
+++ b/crates/proxy-experiments/src/play/proxies.rs
@@ -10,7 +10,7 @@
             return;
         };
         let mut actions = std::mem::take(&mut host.actions);
-        let spot = Spot {
+        let spot = Location {
             place: host.place,
             proxy: Some(proxy),
         };
@@ -84,7 +84,7 @@
                 );
             }
             Action::PollEndpoints => {
-                let to = Spot {
+                let to = Location {
                     place: LIST_PLACE,
                     proxy: None,
                 };
--- a/crates/server-model/src/account.rs
+++ b/crates/server-model/src/account.rs
@@ -69,7 +69,7 @@
     }
 
     /// Adds borrowing; has no effect without a quota.
-    pub fn with(mut self, credit: Option<Credit>) -> Account {
+    pub fn with_credit(mut self, credit: Option<Credit>) -> Account {
         self.loans = credit.filter(|_| self.rate.is_some()).map(|credit| {
             let pace = Account::new(credit.rate as f64);
             Box::new(Loans {
@@ -105,7 +105,7 @@
         within
     }
     /// Like [`Account::draw`], but borrows beyond the quota if `room` is set and the credit allows it.
-    pub fn draw_on(&mut self, now: Micros, kind: usize, room: bool) -> Drawn {
+    pub fn draw_or_borrow(&mut self, now: Micros, kind: usize, room: bool) -> Drawn {
         if self.draw(now) {
             return Drawn::Within;
         }
--- a/crates/server-model/src/catalog.rs
+++ b/crates/server-model/src/catalog.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sends entries to a caller.
-    Tell {
+    Update {
         /// The receiving proxy.
         caller: Caller,
         /// Index of the list that includes these entries.
@@ -200,7 +200,7 @@
             self.forget();
             for caller in &self.watchers {
                 let (caller, index, records) = (*caller, self.index, changes.clone());
-                actions.push(Action::Tell {
+                actions.push(Action::Update {
                     caller,
                     index,
                     complete: false,
@@ -235,7 +235,7 @@
         let records = newer
             .filter(|r| !complete || r.status != Status::Gone)
             .collect();
-        actions.push(Action::Tell {
+        actions.push(Action::Update {
             caller,
             index: self.index,
             complete,
--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -80,7 +80,7 @@
 }
 
 /// Times of the usual that a surge may be.
-pub const SURGE_MOST: f64 = 16.0;
+pub const MAX_SURGE_FACTOR: f64 = 16.0;
 
 impl Clients {
     /// Clients whose draws come from these streams.
@@ -129,7 +129,7 @@
     }
 
     /// Of whom tenants borrow only as long as what counts in full asks for less than these cores.
-    pub fn before(mut self, cores: f64) -> Clients {
+    pub fn with_cores(mut self, cores: f64) -> Clients {
         self.cores = cores;
         self
     }
@@ -160,7 +160,7 @@
             }
             Event::Answered(id, answer) => self.answered(id, answer, now, actions),
             Event::Surge { tenant, times } => {
-                let times = times.clamp(0.0, SURGE_MOST);
+                let times = times.clamp(0.0, MAX_SURGE_FACTOR);
                 match tenant {
                     Some(tenant) => _ = self.surges.get_mut(tenant).map(|surge| *surge = times),
                     None => self.surge_all = times,
@@ -242,7 +242,7 @@
         let room = busy < self.cores;
         let account = self.accounts.get_mut(tenant);
         let within =
-            account.is_none_or(|account| account.draw_on(now, class, room) != Drawn::Beyond);
+            account.is_none_or(|account| account.draw_or_borrow(now, class, room) != Drawn::Beyond);
         let work = if within { stated.work.mean / BUSY } else { 0.0 };
         self.busy = (busy + work, now);
         let priority_weight = stated.priority_weight
@@ -352,8 +352,8 @@
                     class.priority_weight * part,
                 );
                 let account = self.served.get_mut(open.tenant).filter(|_| part > 0.0);
-                let full =
-                    account.is_none_or(|account| account.draw_on(now, at, room) != Drawn::Beyond);
+                let full = account
+                    .is_none_or(|account| account.draw_or_borrow(now, at, room) != Drawn::Beyond);
                 let counted = whole
                     * if full {
                         1.0
--- a/crates/server-model/src/clients/shares.rs
+++ b/crates/server-model/src/clients/shares.rs
@@ -7,7 +7,7 @@
     settings
         .tenants
         .iter()
-        .map(|t| Account::new(t.quota).with(t.credit.clone()))
+        .map(|t| Account::new(t.quota).with_credit(t.credit.clone()))
         .collect()
 }
 
--- a/crates/server-model/src/network.rs
+++ b/crates/server-model/src/network.rs
@@ -41,14 +41,14 @@
 
 /// Source or destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spot {
+pub struct Location {
     /// The building.
     pub place: u16,
     /// Index of the proxy; `None` for a server.
     pub proxy: Option<usize>,
 }
 
-impl Spot {
+impl Location {
     fn is_at(self, end: End) -> bool {
         match end {
             End::Place(place) => self.place == place,
@@ -98,7 +98,7 @@
     }
 
     /// Whether no cut blocks this direction.
-    pub fn passes(&self, from: Spot, to: Spot) -> bool {
+    pub fn passes(&self, from: Location, to: Location) -> bool {
         !self
             .cuts
             .iter()
@@ -106,7 +106,7 @@
     }
 
     /// One-way delay of a message; `None` if a cut blocks it.
-    pub fn one_way(&self, from: Spot, to: Spot, random: &mut impl Rng) -> Option<Micros> {
+    pub fn one_way(&self, from: Location, to: Location, random: &mut impl Rng) -> Option<Micros> {
         if !self.passes(from, to) {
             return None;
         }
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -78,7 +78,7 @@
     /// The request's work is done.
     Done(u64),
     /// The request's work is done, but no response is sent because the server hangs.
-    Untold(u64),
+    Unanswered(u64),
     /// The request is rejected without processing because the queue is full.
     Full(u64),
     /// The request is lost because the server died; it may have run in part or in full.
@@ -267,7 +267,7 @@
             self.work.pop();
             self.served += 1;
             actions.push(if self.hung {
-                Action::Untold(id)
+                Action::Unanswered(id)
             } else {
                 Action::Done(id)
             });
@@ -299,7 +299,7 @@
     }
 
     /// Whether the server can take `more` work now; a cold server must keep the fraction `spare` of its budget free.
-    pub fn bears(&self, now: Micros, more: f64, spare: f64) -> bool {
+    pub fn has_capacity_for(&self, now: Micros, more: f64, spare: f64) -> bool {
         let Some(at) = self
             .started
             .filter(|at| now.saturating_sub(*at) < self.set.warm_after)
--- a/crates/server-model/src/site/mod.rs
+++ b/crates/server-model/src/site/mod.rs
@@ -163,9 +163,15 @@
     }
 
     /// Whether so much more work can come to it, and a cold one still has this part of its budget to spare.
-    pub fn bears(&self, server: ServerIndex, now: Micros, more: f64, spare: f64) -> bool {
+    pub fn has_capacity_for(
+        &self,
+        server: ServerIndex,
+        now: Micros,
+        more: f64,
+        spare: f64,
+    ) -> bool {
         self.machine(server)
-            .is_some_and(|m| m.server.bears(now, more, spare))
+            .is_some_and(|m| m.server.has_capacity_for(now, more, spare))
     }
 
     fn machine(&self, server: ServerIndex) -> Option<&Machine> {
@@ -365,12 +371,12 @@
                 }
                 // Nobody waits for these.
                 server::Action::Done(id)
-                | server::Action::Untold(id)
+                | server::Action::Unanswered(id)
                 | server::Action::Full(id)
                 | server::Action::Lost(id)
                     if id >= BACKGROUND_JOBS => {}
                 server::Action::Done(exchange) => self.done(exchange, server, true, now, actions),
-                server::Action::Untold(exchange) => {
+                server::Action::Unanswered(exchange) => {
                     self.done(exchange, server, false, now, actions)
                 }
                 server::Action::Full(exchange) => {
--- a/crates/server-model/tests/queueing.rs
+++ b/crates/server-model/tests/queueing.rs
@@ -260,7 +260,7 @@
             (700, arrive(2, 50)),
         ],
     );
-    assert_eq!(out, [(500, Action::Untold(1)), (750, Action::Done(2))]);
+    assert_eq!(out, [(500, Action::Unanswered(1)), (750, Action::Done(2))]);
     let out = script(
         plain(1, 1),
         vec![(0, arrive(1, 500)), (100, Event::Slow(2.0))],
@@ -348,7 +348,7 @@
         let mut sent = 0.0;
         for (id, now) in (0_u64..).zip((0..900_000).step_by(1_000)) {
             let work = 1_000 + (id * 7_919) % 9_000;
-            if !heeds || server.bears(now, work as f64, spare) {
+            if !heeds || server.has_capacity_for(now, work as f64, spare) {
                 sent += work as f64;
                 server.handle(now, Event::Arrive { id, work }, &mut actions);
             }
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -6,7 +6,7 @@
     Tenant, TimerKind,
 };
 use server_model::law::{Law, Work};
-use server_model::network::{self, End, Network, Spot};
+use server_model::network::{self, End, Location, Network};
 use server_model::site::{
     self, Action, Answer, Event, Operation, ServerFault, Site, Status, TimerOwner,
 };
@@ -247,7 +247,7 @@
     }
     let complete = answered
         .iter()
-        .filter(|a| matches!(a, catalog::Action::Tell { complete: true, .. }))
+        .filter(|a| matches!(a, catalog::Action::Update { complete: true, .. }))
         .count();
     let failed = answered
         .iter()
@@ -293,7 +293,7 @@
     );
     let news = told(&mut list, 3_500, catalog::Event::Due);
     assert!(
-        matches!(&news[..], [catalog::Action::Tell { complete: false, records, .. }] if records.len() == 1),
+        matches!(&news[..], [catalog::Action::Update { complete: false, records, .. }] if records.len() == 1),
         "{news:?}"
     );
 }
@@ -306,11 +306,11 @@
         ..network::Settings::default()
     };
     let mut network = Network::new(set);
-    let proxy = Spot {
+    let proxy = Location {
         place: 0,
         proxy: Some(3),
     };
-    let server = Spot {
+    let server = Location {
         place: 1,
         proxy: None,
     };
@@ -318,7 +318,7 @@
     assert_eq!(
         network.one_way(
             proxy,
-            Spot {
+            Location {
                 place: 0,
                 proxy: None
             },
@@ -335,7 +335,7 @@
     );
     assert_eq!(
         network.one_way(
-            Spot {
+            Location {
                 place: 0,
                 proxy: Some(2)
             },
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -132,7 +132,7 @@
                 return Ok(());
             }
         };
-        let Some(Action::Tell {
+        let Some(Action::Update {
             index,
             complete,
             records,
--- a/crates/testbed/src/history/state.rs
+++ b/crates/testbed/src/history/state.rs
@@ -276,7 +276,7 @@
         for action in actions {
             match action {
                 catalog::Action::DueAt(at) => self.set_timer(at, TimerKind::List),
-                catalog::Action::Tell { caller, .. } => {
+                catalog::Action::Update { caller, .. } => {
                     if let Some(watcher) = self.watchers.get(&caller) {
                         _ = watcher.send(action);
                     }
