--- a/crates/server-model/src/clients/events.rs
+++ b/crates/server-model/src/clients/events.rs
@@ -1,87 +1,87 @@
-//! What happens to clients, and what they do.
+//! Events and actions of the clients.
 
 use crate::Micros;
 
-/// Names one attempt of a client, from 1.
+/// Identifier of a client's attempt, counted from 1.
 pub type ClientAttemptId = u64;
 
-/// One attempt of a request, at a proxy.
+/// One attempt of a request, sent to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientAttempt {
-    /// The attempt's name.
+    /// Identifier of the attempt.
     pub id: ClientAttemptId,
-    /// The request that it belongs to: what its work and its effect go by.
+    /// The request; its number determines the work and identifies the effect.
     pub request: u64,
     /// Its class, by position in `Settings::classes`.
     pub class: usize,
     /// Its tenant, by position in `Settings::tenants`.
     pub tenant: usize,
-    /// The group that it is for.
+    /// The target group.
     pub group: u32,
-    /// The session that it belongs to.
+    /// The session of the request.
     pub session: u64,
-    /// The proxy that it is sent to.
+    /// The proxy that receives the attempt.
     pub proxy: usize,
-    /// Until its client gives it up.
+    /// Time until the client abandons the attempt.
     pub timeout: Micros,
-    /// The session's last write, as the client knows it; 0: none.
+    /// Commit time of the session's last write that the client knows; 0: none.
     pub last_write: Micros,
-    /// The client says that it is a retry.
+    /// Whether the client marks the attempt as a retry.
     pub is_retry: bool,
-    /// Its request is within its tenant's quota, or lent to it, which a proxy can't know.
+    /// Whether the request is within its tenant's quota or covered by a loan; not visible to proxies.
     pub within_quota: bool,
 }
 
-/// The final answer to an attempt.
+/// Final response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// Of a write: its commit.
+    /// The request was served.
     Served {
-        /// When it took effect.
+        /// Commit time of a write; 0 for a read.
         commit: Micros,
     },
-    /// Rejected: nothing ran that a retry could double.
+    /// Rejected without any effect, so that a retry is safe.
     Rejected {
-        /// The wait that the proxy asks for.
+        /// Time to wait before a retry, as requested by the proxy.
         retry_after: Option<Micros>,
     },
-    /// Failed: it may have run.
+    /// Failed; the request may have had an effect.
     Failed,
-    /// The proxy can't be reached, or has died with it.
+    /// The proxy is unreachable, or died while it held the attempt.
     ConnectionLost {
-        /// The attempt had reached the proxy.
+        /// Whether the attempt had reached the proxy.
         reached: bool,
     },
 }
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerKind {
     /// The next request of a client.
     Arrival,
-    /// A client's retry of that request.
+    /// A client's retry of the request with this number.
     Retry(u64),
-    /// The client of that attempt gives up.
+    /// Timeout of an attempt at its client.
     Timeout(ClientAttemptId),
 }
 
-/// What happens to the clients.
+/// Input to the clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     /// The run begins.
     Start,
-    /// A timer asked for with [`Action::SetTimer`].
+    /// A timer requested with [`Action::SetTimer`] expires.
     Timer(TimerKind),
-    /// An attempt has its final answer.
+    /// An attempt has received its final response.
     Answered(ClientAttemptId, Answer),
-    /// One tenant's requests, or all, come so many times as fast from now on.
+    /// The request rate of one tenant or of all is multiplied from now on.
     Surge {
-        /// The tenant; none: all.
+        /// The tenant; `None`: all.
         tenant: Option<usize>,
-        /// The multiple of the usual rate.
+        /// Factor on the usual rate.
         times: f64,
     },
-    /// Whether new attempts find a proxy.
+    /// A proxy becomes available or unavailable for new attempts.
     Proxy {
         /// The proxy.
         proxy: usize,
@@ -90,7 +90,7 @@
     },
 }
 
-/// How a request ended, for whoever keeps the accounts.
+/// Result of a request, for the evaluation of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settled {
     /// The request.
@@ -105,45 +105,46 @@
     pub sent_at: Micros,
     /// Its priority weight.
     pub priority_weight: f64,
-    /// What it earned, and after which time; none: it was not served.
+    /// Weight that the request earned; 0 if it was not served in time.
     pub earned: f64,
-    /// The same if those of its tenant that were served count in full as far as its account goes, whichever they are.
+    /// Weight earned when the quota is charged by served requests in the order in which they are served, rather than on
+    /// arrival.
     pub counted: f64,
-    /// Time from the first attempt to the answer; none: it was not served.
+    /// Time from the first attempt to the response; `None` if it was not served.
     pub latency: Option<Micros>,
-    /// How many attempts the client made.
+    /// Number of attempts that the client made.
     pub attempts: u32,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
 }
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With an answer.
+    /// Answered successfully.
     Served,
-    /// Rejected, and not tried again.
+    /// Rejected, and not retried.
     Rejected,
-    /// Failed, and not tried again.
+    /// Failed, and not retried.
     Failed,
-    /// Its client's time was over.
+    /// Abandoned by the client after a timeout.
     Abandoned,
 }
 
-/// What clients do.
+/// Output of the clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt to its proxy.
     Send(ClientAttempt),
-    /// Nobody waits for that attempt any more.
+    /// The client no longer waits for an attempt.
     Abandon {
         /// The attempt.
         id: ClientAttemptId,
-        /// The proxy that has it.
+        /// The proxy that holds the attempt.
         proxy: usize,
     },
-    /// Ask for [`Event::Timer`] at that time.
+    /// Requests [`Event::Timer`] at this time.
     SetTimer(Micros, TimerKind),
-    /// A request is over.
+    /// A request has its final outcome.
     Settled(Settled),
 }
--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: requests that come by themselves, whatever becomes of those before them; sessions, patience, retries.
+//! Clients with open-loop arrivals (independent of earlier responses), sessions, timeouts and retries.
 //!
-//! Every arrival draws the same numbers, so two policies on one seed are asked the same. What is drawn for retries goes
-//! by the request's own number, for the same reason.
+//! Every arrival draws the same random numbers, so that two policies with the same seed receive the same requests. For
+//! the same reason, the random numbers of a retry derive from the request's own seed.
 
 mod events;
 mod settings;
@@ -32,19 +32,19 @@
     sent_at: Micros,
     priority_weight: f64,
     within: bool,
-    /// The attempt that is out.
+    /// The attempt in flight.
     in_flight: Option<ClientAttemptId>,
     attempts: u32,
-    /// Draws for its attempts come of this.
+    /// Seed of the random numbers for its attempts.
     seed: u64,
-    /// How its last attempt ended.
+    /// Outcome of its last attempt.
     last: RequestOutcome,
 }
 
-/// How long what was asked for tells how busy servers are.
+/// Time constant, in microseconds, of the decaying average of requested work.
 const BUSY: f64 = 1e6;
 
-/// The last writes of a proxy's clients, which reads come after.
+/// Number of recent writes kept per proxy, from which read-your-writes sessions are chosen.
 const RECENT: usize = 32;
 
 /// All clients of all proxies.
@@ -53,13 +53,14 @@
     settings: Settings,
     arrivals: Stream,
     gaps: Option<Exp<f64>>,
-    /// The rate that gaps are drawn for; of its arrivals those beyond the present rate are dropped.
+    /// Highest rate of the profile, in requests per second: gaps are drawn for it, and arrivals beyond the present rate
+    /// are dropped.
     most: f64,
     next: f64,
     surges: Vec<f64>,
     surge_all: f64,
     up: Vec<bool>,
-    /// Shares of proxies, kinds and tenants as sums so far.
+    /// Cumulative sums of the shares: of proxies here, and of groups, classes and tenants below.
     proxies: Vec<f64>,
     groups: Vec<f64>,
     classes: Vec<f64>,
@@ -68,22 +69,22 @@
     attempts: FxHashMap<ClientAttemptId, u64>,
     commits: FxHashMap<u64, Micros>,
     recent: Vec<VecDeque<(u64, u32, Micros)>>,
-    /// Of tenants.
+    /// Account per tenant, charged by requests as they arrive.
     accounts: Vec<Account>,
-    /// The same accounts, drawn on by what is served.
+    /// Account per tenant, charged by requests as they are served.
     served: Vec<Account>,
-    /// Cores that there are, and what counts in full asks of them, of the last second.
+    /// Number of cores of all servers; tenants borrow only while `busy` is below it.
     cores: f64,
     busy: (f64, Micros),
     last_request: u64,
     last_attempt: ClientAttemptId,
 }
 
-/// Times of the usual that a surge may be.
+/// Highest factor by which a surge may multiply the request rate.
 pub const MAX_SURGE_FACTOR: f64 = 16.0;
 
 impl Clients {
-    /// Clients whose draws come from these streams.
+    /// Clients that draw their random numbers from these streams.
     pub fn new(settings: Settings, streams: &Streams) -> Clients {
         let sums = |parts: &mut dyn Iterator<Item = f64>| -> Vec<f64> {
             let mut sum = 0.0;
@@ -128,18 +129,18 @@
         }
     }
 
-    /// Of whom tenants borrow only as long as what counts in full asks for less than these cores.
+    /// Lets tenants borrow only while the requests that count with full weight need fewer cores than this.
     pub fn with_cores(mut self, cores: f64) -> Clients {
         self.cores = cores;
         self
     }
 
-    /// Requests that are neither served nor given up.
+    /// Number of requests that are not settled.
     pub fn open(&self) -> usize {
         self.requests.len()
     }
 
-    /// Applies an event and appends what follows from it.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.schedule(actions),
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Arrivals are drawn for the highest rate that there may be, and thinned to the present one.
+    /// Schedules the next arrival at the highest possible rate; `arrive` thins the arrivals to the present rate.
     fn schedule(&mut self, actions: &mut Vec<Action>) {
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
         let Some(gaps) = &self.gaps else { return };
@@ -196,7 +197,7 @@
     }
 
     fn arrive(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        // Every arrival draws the same numbers, whatever becomes of it.
+        // Every arrival draws the same random numbers, whether or not it becomes a request.
         let u: [f64; 7] = std::array::from_fn(|_| self.arrivals.random());
         let seed = self.arrivals.random::<u64>();
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
@@ -217,7 +218,7 @@
         let mut group = pick(&self.groups, u[4]) as u32;
         let own_sessions = self.settings.sessions.max(1);
         let number = (u[5] * own_sessions as f64) as u64;
-        // A session is of one group and one proxy.
+        // A session belongs to one group and one proxy.
         let mut session = (proxy as u64 * own_sessions + number) * u64::from(self.settings.groups)
             + u64::from(group)
             + 1;
@@ -235,8 +236,8 @@
                 (session, group) = (*s, *g);
             }
         }
-        // What is beyond a tenant's quota is worth less, whatever is done with it. Its retries draw no more: what was
-        // asked for would depend on what was rejected.
+        // A request beyond its tenant's quota has a lower weight, whatever its outcome. Retries are not charged to the
+        // account: otherwise the demand would depend on the rejections.
         let (busy, since) = self.busy;
         let busy = busy * (-((now - since) as f64) / BUSY).exp();
         let room = busy < self.cores;
@@ -280,7 +281,7 @@
         let (from, to) = self.settings.patience;
         let given = from + (to - from) * hash_fraction(open.seed ^ u64::from(open.attempts) << 8);
         let wait = ((class.deadline as f64 * given) as Micros).min(left).max(1);
-        // Whose proxy is known to be down goes to another.
+        // A client whose proxy is known to be down uses another one.
         if self.up.get(open.proxy) == Some(&false) {
             let others: Vec<usize> = (0..self.up.len()).filter(|p| self.up[*p]).collect();
             if let Some(other) = others.get(open.seed as usize % others.len().max(1)) {
@@ -381,7 +382,7 @@
         }
     }
 
-    /// An attempt has come to nothing: another follows, if it may and there is time.
+    /// Handles an unsuccessful attempt: schedules a retry if it is allowed and there is time, else settles the request.
     fn ended(
         &mut self,
         request: u64,
@@ -395,7 +396,7 @@
         };
         open.last = outcome;
         let class = &self.settings.classes[open.class];
-        // What may have run is asked for again only where that does no harm.
+        // A request that may have run is retried only if it is idempotent.
         let may =
             outcome == RequestOutcome::Rejected || class.idempotency == Idempotency::Idempotent;
         let jitter = 0.5 + hash_fraction(open.seed ^ u64::from(open.attempts) << 24);
@@ -444,7 +445,7 @@
         }));
     }
 
-    /// What is still open counts as it stands; for the end of a run.
+    /// Settles all open requests with the outcome of their last attempt, at the end of a run.
     pub fn close(&mut self, actions: &mut Vec<Action>) {
         let mut open: Vec<(u64, RequestOutcome)> =
             self.requests.iter().map(|(id, r)| (*id, r.last)).collect();
--- a/crates/server-model/src/clients/settings.rs
+++ b/crates/server-model/src/clients/settings.rs
@@ -1,32 +1,32 @@
-//! The load that clients bring: classes, tenants, rates.
+//! Load of the clients: classes, tenants and rates.
 
 use crate::account::Credit;
 use crate::law::Work;
 use crate::Micros;
 
-/// What a request needs of the data.
+/// Consistency that a request requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// The primary has to take it.
+    /// A write, which only the primary accepts.
     Write,
-    /// All that was written before it came.
+    /// Reads all commits before the arrival of the request.
     Strong,
-    /// What its session has written.
+    /// Reads all writes of its session.
     ReadYourWrites,
-    /// Data no older than this.
+    /// Reads data that is no older than this.
     BoundedStaleness(Micros),
     /// Any member may answer, however old its data.
     Eventual,
 }
 
-/// What a retry of a request may do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Idempotent: any number of attempts may run.
+    /// Any number of attempts may run.
     Idempotent,
-    /// Duplicates are dropped by its group for this long.
+    /// The group drops duplicates for this long.
     Keyed(Micros),
-    /// Not idempotent: it may run once.
+    /// At most one attempt may run.
     NonIdempotent,
 }
 
@@ -35,78 +35,78 @@
 pub struct RequestClass {
     /// The class's name.
     pub name: String,
-    /// The data that it needs.
+    /// Consistency that its requests require.
     pub consistency: Consistency,
-    /// Whether it may run again.
+    /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// Part of the requests, in proportion to the others'.
+    /// Relative share of the requests.
     pub share: f64,
-    /// The work of a request, in microseconds of a core.
+    /// Work per request, in microseconds of a core.
     pub work: Work,
-    /// Latency objective: an answer within it earns the full weight.
+    /// Latency objective: a response within it earns the full weight.
     pub latency_objective: Micros,
-    /// After this the client gives up.
+    /// Time after which the client abandons the request.
     pub deadline: Micros,
     /// Priority weight.
     pub priority_weight: f64,
-    /// Part of the weight that a late answer earns.
+    /// Fraction of the weight that a response after the latency objective earns.
     pub late_weight_fraction: f64,
 }
 
-/// A customer, of whom a part of the requests are.
+/// A tenant and its share of the requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// The tenant's name.
     pub name: String,
-    /// Its part of the requests, in proportion to the others'.
+    /// Relative share of the requests.
     pub share: f64,
-    /// Requests a second that count in full; 0: all.
+    /// Requests per second that count with full weight; 0: all.
     pub quota: f64,
-    /// What it may borrow; none: nothing.
+    /// Limits on borrowing; `None`: the tenant can't borrow.
     pub credit: Option<Credit>,
 }
 
-/// The load that clients bring.
+/// Load of the clients, with times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The classes of requests.
     pub classes: Vec<RequestClass>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// Part of the weight that is left to what is beyond a tenant's quota.
+    /// Fraction of the weight for requests beyond a tenant's quota.
     pub over_quota_weight_fraction: f64,
-    /// Requests a second, and how many times that at which time: straight lines between the points.
+    /// Base rate in requests per second.
     pub requests_per_s: f64,
-    /// Time, and the multiple of `requests_per_s` at that time.
+    /// Points of (time, factor on `requests_per_s`), with linear interpolation between them.
     pub profile: Vec<(Micros, f64)>,
-    /// How long requests come.
+    /// Duration of the load.
     pub length: Micros,
     /// Number of proxies.
     pub proxies: usize,
     /// Number of groups of servers.
     pub groups: u32,
-    /// How unequal the proxies' shares are: the n-th gets in proportion to n to the power of minus this.
+    /// Skew of the proxies' shares: the n-th proxy has the share n to the power of minus this.
     pub proxy_skew: f64,
-    /// So many of the first proxies carry this part of the requests together; 0: no more than by `proxy_skew`.
+    /// Number of proxies, from the first, that carry `busy_proxies_share` together; 0: `proxy_skew` alone applies.
     pub busy_proxies: usize,
-    /// The part of all requests that the `busy_proxies` proxies carry.
+    /// Fraction of all requests that the `busy_proxies` proxies carry.
     pub busy_proxies_share: f64,
-    /// The same of the groups.
+    /// Skew of the groups' shares, defined like `proxy_skew`.
     pub group_skew: f64,
-    /// Sessions at each proxy; the part of their reads that come soon after one of their writes, and how soon.
+    /// Number of sessions per proxy and group.
     pub sessions: u64,
-    /// The part of session reads that follow a write of their session.
+    /// Fraction of the read-your-writes reads that follow a recent write of their session.
     pub read_after_write_share: f64,
-    /// How soon they follow it.
+    /// A write counts as recent up to three times this age.
     pub read_after_write_span: Micros,
-    /// Retries at the most.
+    /// Maximum number of retries per request.
     pub max_retries: u32,
-    /// The wait before a retry, unless the proxy asks for another and [`Settings::obeys_retry_after`] is set.
+    /// Wait before a retry, unless the proxy requests another one and [`Settings::obeys_retry_after`] is set.
     pub retry_wait: Micros,
-    /// Clients wait as long as the proxy tells them to.
+    /// Whether clients wait as long as the proxy requests.
     pub obeys_retry_after: bool,
-    /// Retries carry a mark.
+    /// Whether clients mark retries as such.
     pub marks_retries: bool,
-    /// Of the deadline, the part that an attempt is given: from, to.
+    /// Attempt timeout as a fraction of the deadline, as (minimum, maximum).
     pub patience: (f64, f64),
 }
--- a/crates/server-model/src/clients/shares.rs
+++ b/crates/server-model/src/clients/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of the load among proxies, and draws by them.
+//! Shares of the load among proxies, and weighted selection.
 
 use super::Settings;
 use crate::account::Account;
@@ -11,7 +11,7 @@
         .collect()
 }
 
-/// Parts of the requests that proxies get, in proportion.
+/// Relative share of the requests per proxy.
 pub(super) fn proxy_parts(settings: &Settings) -> Vec<f64> {
     let mut parts: Vec<f64> = (0..settings.proxies)
         .map(|n| ((n + 1) as f64).powf(-settings.proxy_skew))
@@ -30,14 +30,14 @@
     parts
 }
 
-/// The place of a draw among sums of shares.
+/// Index selected by `u`, from 0 to 1, in cumulative sums of shares.
 pub(super) fn pick(sums: &[f64], u: f64) -> usize {
     let all = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= u * all)
         .min(sums.len().saturating_sub(1))
 }
 
-/// A number from 0 to 1 that looks random and is the same for the same seed.
+/// Pseudo-random number in [0, 1) that is determined by the seed.
 pub fn hash_fraction(seed: u64) -> f64 {
     let z = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -1,8 +1,8 @@
 //! Machine of a record server.
 //!
-//! Running requests share the cores evenly, each with at most one core. Further requests wait in a FIFO queue; when the
-//! queue is full, they are rejected without processing. Processor sharing is exact: the model tracks the service attained
-//! per running request, so that an arrival or departure costs O(log n) and no time steps are needed.
+//! Running requests share the cores evenly, each with at most one core. Further requests wait in a FIFO queue; when
+//! the queue is full, they are rejected without processing. Processor sharing is exact: the model tracks the service
+//! attained per running request, so that an arrival or departure costs O(log n) and no time steps are needed.
 
 use crate::Micros;
 use std::cmp::Reverse;
--- a/crates/server-model/src/site/events.rs
+++ b/crates/server-model/src/site/events.rs
@@ -1,177 +1,177 @@
-//! What happens to record servers, and what follows from it.
+//! Events and actions of the record servers.
 
 use crate::Micros;
 
-/// Servers count from 0 in the order in which they came; no number is given twice.
+/// Index of a server, counted from 0 in the order of creation and never reused.
 pub type ServerIndex = u32;
 
-/// What a request asks of a server.
+/// Operation that a request performs on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// A write, known by this key; none: a read.
+    /// Key of a write; `None` for a read.
     pub write: Option<u64>,
-    /// Data that a read must see: all commits up to here. 0: any will do.
+    /// Position that a read requires: all commits up to it must be visible. 0: no requirement.
     pub min_position: Micros,
-    /// In microseconds of a core.
+    /// Work in microseconds of a core.
     pub work: Micros,
 }
 
-/// Whom a timer is for.
+/// Owner of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerOwner {
     /// A server.
     Server {
         /// The server.
         server: ServerIndex,
-        /// The number that the server gave its timer.
+        /// Number that the server gave the timer.
         number: u64,
     },
     /// A group.
     Group(u32),
 }
 
-/// What happens to the servers.
+/// Input to the servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request's last byte has reached a server; `exchange` is the driver's name for it.
+    /// The last byte of a request has reached a server.
     Request {
-        /// The driver's name for it.
+        /// The driver's identifier of the exchange.
         exchange: u64,
-        /// The server that it has reached.
+        /// The receiving server.
         server: ServerIndex,
-        /// What it asks for.
+        /// The requested operation.
         operation: Operation,
     },
     /// A probe has reached a server.
     Probe {
-        /// The driver's name for it.
+        /// The driver's identifier of the exchange.
         exchange: u64,
-        /// The server that it has reached.
+        /// The receiving server.
         server: ServerIndex,
     },
-    /// A timer asked for with [`Action::SetTimer`].
+    /// A timer requested with [`Action::SetTimer`] expires.
     Timer(TimerOwner),
     /// A fault is injected.
     Fault(ServerFault),
 }
 
-/// A fault, or an operation on a server.
+/// A fault, or an administrative operation on servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerFault {
-    /// The process dies with all that it holds.
+    /// The process dies and loses all requests that it holds.
     Crash(ServerIndex),
-    /// One that died starts again, cold, with the data that it had.
+    /// A dead server starts again, cold, with the data that it had.
     Start(ServerIndex),
-    /// It takes requests and answers none, until it no longer does so.
+    /// A server hangs (accepts requests without answering them) or recovers.
     Hang {
         /// The server.
         server: ServerIndex,
-        /// Whether it hangs from now on.
+        /// Whether the server hangs from now on.
         on: bool,
     },
-    /// It gets slower.
+    /// A server becomes slower.
     Slow {
         /// The server.
         server: ServerIndex,
-        /// So many times as slow as usual.
+        /// Slowdown factor; 1 is the usual speed.
         times: f64,
     },
-    /// A long query holds its replication.
+    /// A long query blocks a server's replication.
     HoldReplication {
         /// The server.
         server: ServerIndex,
-        /// For how long.
+        /// Duration of the query.
         span: Micros,
     },
-    /// It finishes what it has, wants nothing new, and hands over its role.
+    /// A server finishes its requests, accepts no new ones and hands over its role.
     Drain(ServerIndex),
-    /// It is gone for good.
+    /// A server leaves permanently.
     Retire(ServerIndex),
-    /// A new one comes into that group and place, cold, with an old copy.
+    /// A new server joins, cold and with an old copy of the data.
     Join {
-        /// The group that it joins.
+        /// The group that the server joins.
         group: u32,
-        /// The building that it stands in.
+        /// The building of the server.
         place: u16,
     },
-    /// Servers of a place can't hear those of the others.
+    /// A partition separates the servers of a building from all others.
     Partition(u16),
-    /// All buildings hear each other again.
+    /// The partition heals.
     HealPartition,
 }
 
-/// How a request ended at its server.
+/// Outcome of a request at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Done.
+    /// Completed.
     Ok,
-    /// Rejected before it ran: no primary, or too far behind.
+    /// Rejected before it ran: the server is not the primary, or its position is too old.
     Misdirected,
-    /// Rejected without a look at it: full or draining.
+    /// Rejected without processing: the server is full or draining.
     Rejected,
-    /// It may have had an effect.
+    /// Failed; the request may have had an effect.
     Failed,
-    /// The server died with it.
+    /// The server died while it held the request.
     Reset,
-    /// Nobody is there.
+    /// The server is not running.
     Unreachable,
 }
 
-/// What an answer tells of its server: for a write that went through its commit, else how far it has the log.
+/// Metadata of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// Whether the server takes itself for the primary.
+    /// Whether the server considers itself the primary.
     pub primary: bool,
-    /// A position in the log.
+    /// Commit time of a successful write; otherwise the server's position.
     pub position: Micros,
 }
 
-/// What a probe tells of a server.
+/// Load report of a server in response to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// All commits up to here are applied.
+    /// Position up to which all commits are applied.
     pub position: Micros,
-    /// Whether it takes itself for the primary.
+    /// Whether the server considers itself the primary.
     pub primary: bool,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: usize,
-    /// Requests that it holds, in work and waiting.
+    /// Number of running and waiting requests.
     pub in_flight: usize,
 }
 
-/// What the endpoint list would say of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it holds and takes nothing new.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// It is dead or gone.
+    /// The server is dead or has left.
     Gone,
 }
 
-/// What follows for whoever drives the servers.
+/// Output of the servers for their driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// A request has ended at its server.
     Answer {
-        /// The driver's name for it.
+        /// The driver's identifier of the exchange.
         exchange: u64,
-        /// How it ended.
+        /// Outcome of the request.
         answer: Answer,
-        /// None of a server that is gone.
+        /// Metadata of the response; `None` if the server is dead.
         metadata: Option<ResponseMetadata>,
     },
-    /// None: nobody is there.
+    /// A probe has ended.
     LoadReport {
-        /// The driver's name for the probe.
+        /// The driver's identifier of the probe.
         exchange: u64,
-        /// What the server tells.
+        /// The server's report; `None` if the server is not running.
         report: Option<LoadReport>,
     },
-    /// Asks for [`Event::Timer`] at that time.
+    /// Requests [`Event::Timer`] at this time.
     SetTimer(Micros, TimerOwner),
-    /// What a list of servers would say of it if it knew at once.
+    /// The state of a server has changed; the discovery service learns of it later.
     Changed(ServerIndex),
     /// A group has a new primary.
     Primary {
@@ -180,7 +180,7 @@
         /// The primary.
         server: ServerIndex,
     },
-    /// A group, or a side of it, takes no writes.
+    /// A group, or one side of its partition, stops taking writes.
     Vacant {
         /// The group.
         group: u32,
@@ -192,13 +192,13 @@
         /// Its commit time.
         at: Micros,
     },
-    /// What took effect on the side that lost a split is undone.
+    /// Commits are lost, with a failed primary or on the losing side of a partition.
     Undone {
         /// The server that committed it.
         server: ServerIndex,
         /// Commits after this time are undone.
         after: Micros,
     },
-    /// Overrun while it was cold: dead until it is started.
+    /// A server was overrun while cold; it is dead until it is started.
     Collapsed(ServerIndex),
 }
--- a/crates/server-model/src/site/faults.rs
+++ b/crates/server-model/src/site/faults.rs
@@ -5,7 +5,7 @@
 use crate::{group, Micros};
 
 impl Site {
-    /// A machine that is dead says nothing to its group either.
+    /// Marks a dead machine as gone and removes it from its group's replication.
     pub(super) fn mark_gone(
         &mut self,
         server: ServerIndex,
--- a/crates/server-model/src/site/mod.rs
+++ b/crates/server-model/src/site/mod.rs
@@ -1,8 +1,8 @@
-//! Record servers as a whole: machines, the groups that they form, and what goes wrong with them.
+//! All record servers of a deployment: machines, groups and faults.
 //!
-//! Whoever drives it brings requests and probes that have reached a server, time, and faults; it says what each server
-//! answers and when it wants to be woken. It knows nothing of networks, proxies or lists, so the same site stands behind
-//! virtual time and behind sockets.
+//! The driver supplies time, faults, and the requests and probes that have reached a server; the site returns responses
+//! and timers. It does not depend on networks, proxies or endpoint lists, so that it runs on virtual time as well as
+//! behind real sockets.
 
 mod events;
 mod faults;
@@ -26,7 +26,7 @@
     member: usize,
     place: u16,
     status: Status,
-    /// 0: long ago.
+    /// Start time; 0: before the run.
     started: Micros,
     connections: usize,
     report: Option<(Micros, LoadReport)>,
@@ -38,21 +38,21 @@
     settings: Settings,
     machines: Vec<Machine>,
     groups: Vec<Group>,
-    /// By group: the servers by their place in it.
+    /// Servers by group and by member index.
     members: Vec<Vec<ServerIndex>>,
-    /// Keys of writes that are at a server.
+    /// Key of the write, by exchange, for writes in progress.
     writes: FxHashMap<u64, u64>,
     split: Option<u16>,
     scratch: Vec<server::Action>,
-    /// Numbers the work that is no request.
+    /// Identifier of the last background job.
     background_jobs: u64,
 }
 
-/// Work that is no request goes by numbers from here on.
+/// Identifiers from here on belong to background jobs rather than requests.
 const BACKGROUND_JOBS: u64 = 1 << 63;
 
 impl Site {
-    /// Servers that are all up and warm.
+    /// Site whose servers all run and are warm.
     pub fn new(settings: Settings) -> Site {
         let (mut machines, mut members, mut groups) = (Vec::new(), Vec::new(), Vec::new());
         for group in 0..settings.groups {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// All servers that there ever were.
+    /// Indices of all servers that ever existed.
     pub fn servers(&self) -> std::ops::Range<ServerIndex> {
         0..self.machines.len() as ServerIndex
     }
@@ -96,7 +96,7 @@
         self.groups.len() as u32
     }
 
-    /// Those that are or were in a group, in the order in which they came.
+    /// Present and former members of a group, in the order in which they joined.
     pub fn members(&self, group: u32) -> &[ServerIndex] {
         self.members.get(group as usize).map_or(&[], Vec::as_slice)
     }
@@ -111,29 +111,29 @@
         self.machine(server).map_or(0, |m| m.place)
     }
 
-    /// The server's state in a list that is up to date.
+    /// The server's present state.
     pub fn status(&self, server: ServerIndex) -> Status {
         self.machine(server).map_or(Status::Gone, |m| m.status)
     }
 
-    /// When the server started; 0: long ago.
+    /// Start time of the server; 0: before the run.
     pub fn started(&self, server: ServerIndex) -> Micros {
         self.machine(server).map_or(0, |m| m.started)
     }
 
-    /// The group's primary; of two the younger.
+    /// The group's primary; if there are two, the one elected last.
     pub fn primary(&self, group: u32) -> Option<ServerIndex> {
         let member = self.groups.get(group as usize)?.primary()?;
         self.members(group).get(member).copied()
     }
 
-    /// Whether the server takes itself for the primary.
+    /// Whether the server considers itself the primary.
     pub fn is_primary(&self, server: ServerIndex) -> bool {
         self.machine(server)
             .is_some_and(|m| self.groups[m.group as usize].is_primary(m.member))
     }
 
-    /// The time up to which the server has all commits.
+    /// Time up to which the server has all commits.
     pub fn position(&mut self, server: ServerIndex, now: Micros) -> Micros {
         let Some(machine) = self.machines.get(server as usize) else {
             return 0;
@@ -141,28 +141,28 @@
         self.groups[machine.group as usize].position(machine.member, now)
     }
 
-    /// Its process runs; it may hang all the same.
+    /// Whether the server's process runs; it may hang nevertheless.
     pub fn runs(&self, server: ServerIndex) -> bool {
         self.machine(server).is_some_and(|m| m.server.up())
     }
 
-    /// It would answer a request.
+    /// Whether the server would answer a request.
     pub fn answers(&self, server: ServerIndex) -> bool {
         self.machine(server)
             .is_some_and(|m| m.server.up() && !m.server.hung() && m.status == Status::Ready)
     }
 
-    /// Requests that it holds.
+    /// Number of running and waiting requests of the server.
     pub fn held(&self, server: ServerIndex) -> usize {
         self.machine(server).map_or(0, |m| m.server.held())
     }
 
-    /// Part of its full capacity that it has now.
+    /// Present capacity of the server as a fraction of its full capacity.
     pub fn capacity(&self, server: ServerIndex, now: Micros) -> f64 {
         self.machine(server).map_or(0.0, |m| m.server.capacity(now))
     }
 
-    /// Whether so much more work can come to it, and a cold one still has this part of its budget to spare.
+    /// Whether the server can take `more` work; a cold one must keep the fraction `spare` of its budget free.
     pub fn has_capacity_for(
         &self,
         server: ServerIndex,
@@ -178,7 +178,7 @@
         self.machines.get(server as usize)
     }
 
-    /// A connection to a server: whether it takes it. What hangs does.
+    /// Opens a connection to a server and returns whether it is accepted. A hanging server accepts connections.
     pub fn dial(&mut self, server: ServerIndex, now: Micros, actions: &mut Vec<Action>) -> bool {
         let limit = self.settings.connections;
         let Some(machine) = self.machines.get_mut(server as usize) else {
@@ -192,14 +192,14 @@
         true
     }
 
-    /// A connection to it has ended.
+    /// Records the end of a connection to a server.
     pub fn hang_up(&mut self, server: ServerIndex) {
         if let Some(machine) = self.machines.get_mut(server as usize) {
             machine.connections = machine.connections.saturating_sub(1);
         }
     }
 
-    /// Applies an event and appends what follows from it.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request {
@@ -327,7 +327,7 @@
         });
     }
 
-    /// Work that nobody waits for.
+    /// Adds work that has no waiting client.
     fn background_work(
         &mut self,
         server: ServerIndex,
@@ -369,7 +369,7 @@
                     actions.push(Action::Collapsed(server));
                     self.mark_gone(server, now, actions);
                 }
-                // Nobody waits for these.
+                // Background jobs have no waiting client.
                 server::Action::Done(id)
                 | server::Action::Unanswered(id)
                 | server::Action::Full(id)
@@ -401,7 +401,7 @@
         self.scratch = server_actions;
     }
 
-    /// A request's work is done: a write takes effect, if its server is still the primary, and if nobody hears of it too.
+    /// Completes a request. A write takes effect if its server is still the primary, even if no response is sent.
     fn done(
         &mut self,
         exchange: u64,
@@ -423,7 +423,7 @@
                     at: metadata.position,
                 });
             } else {
-                // It was primary when the write came, and is no longer.
+                // The server has lost the primary role since the write arrived.
                 answer = Answer::Failed;
             }
         }
--- a/crates/server-model/src/site/settings.rs
+++ b/crates/server-model/src/site/settings.rs
@@ -1,4 +1,4 @@
-//! The size and the costs of a deployment of record servers.
+//! Size and costs of a deployment of record servers.
 
 use crate::{group, server, Micros};
 
@@ -7,35 +7,35 @@
 pub struct Settings {
     /// Number of groups.
     pub groups: usize,
-    /// Members of each group, where they are not all of one size.
+    /// Number of members per group; groups without an entry have `group.members`.
     pub sizes: Vec<usize>,
-    /// Buildings; members of a group stand in each of them in turn.
+    /// Number of buildings; the members of a group are assigned to them round-robin.
     pub places: usize,
-    /// Each server's capacity.
+    /// Capacity of each server.
     pub server: server::Settings,
-    /// Each group's replication.
+    /// Replication within each group.
     pub group: group::Settings,
-    /// Reports that probes bring are made anew this often at the most.
+    /// Minimum interval at which a server recomputes its load report.
     pub report_every: Micros,
-    /// Work of a core that a probe costs, and that a new connection does.
+    /// Work of a probe, in microseconds of a core.
     pub probe_work: Micros,
-    /// Work of a core that a new connection costs.
+    /// Work of a new connection, in microseconds of a core.
     pub dial_work: Micros,
-    /// Connections that a server holds; further ones are rejected.
+    /// Maximum number of connections per server; further ones are rejected.
     pub connections: usize,
-    /// A server that is new starts from a copy of this age.
+    /// Age of the copy from which a new server starts.
     pub copy_age: Micros,
-    /// Reads that a server is too far behind for are rejected; else it answers from what it has.
+    /// Whether a server rejects reads that require a later position than its own; otherwise it answers with stale data.
     pub checks: bool,
 }
 
 impl Settings {
-    /// Members of a group at the start.
+    /// Number of members of a group at the start.
     pub fn size(&self, group: usize) -> usize {
         self.sizes.get(group).copied().unwrap_or(self.group.members)
     }
 
-    /// Servers at the start.
+    /// Number of servers at the start.
     pub fn servers(&self) -> usize {
         (0..self.groups).map(|group| self.size(group)).sum()
     }
