--- a/crates/server-model/tests/account.rs
+++ b/crates/server-model/tests/account.rs
@@ -1,11 +1,11 @@
-//! A tenant's account against what a bucket of one second's depth is by its definition.
+//! Checks a tenant's account against the definition of a token bucket with a capacity of one second.
 
 use proptest::prelude::*;
 use server_model::account::Account;
 use server_model::Micros;
 
-/// A request counts in full if, from every earlier arrival on and from the start, those that did are no more than a
-/// second's worth and what came since. None: the verdicts are those; else the first that is not.
+/// Returns the index of the first wrong verdict. A request is within the quota if, for every interval that starts at
+/// an earlier arrival or at the start, the admitted requests do not exceed the capacity plus the inflow since.
 fn first_fault(micro_per_s: u64, times: &[Micros], verdicts: &[bool]) -> Option<usize> {
     let whole = 1_000_000_000_000_u128;
     let depth = (u128::from(micro_per_s) * 1_000_000).max(whole);
@@ -22,7 +22,7 @@
 }
 
 proptest! {
-    /// Never more than the quota and its depth, in no span; and nothing is lost: what has room is within.
+    /// In every interval, exactly the requests that fit into the quota and the bucket's capacity are admitted.
     #[test]
     fn as_many_count_as_there_is_room_for_and_no_more(
         micro_per_s in prop_oneof![1_u64..2_000_000, 1_000_000_u64..60_000_000],
@@ -33,7 +33,7 @@
         let times: Vec<Micros> = gaps.iter().scan(0, |at, gap| { *at += gap; Some(*at) }).collect();
         let mut verdicts: Vec<bool> = times.iter().map(|at| account.draw(*at)).collect();
         prop_assert_eq!(first_fault(micro_per_s, &times, &verdicts), None);
-        // One verdict that is wrong is found.
+        // The reference check detects a single wrong verdict.
         let at = planted.index(verdicts.len());
         verdicts[at] = !verdicts[at];
         prop_assert_eq!(first_fault(micro_per_s, &times, &verdicts), Some(at));
--- a/crates/server-model/tests/groups.rs
+++ b/crates/server-model/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Logs and elections.
+//! Replication and elections of a group.
 
 use server_model::group::{Action, Event, Group, Settings};
 
@@ -26,7 +26,7 @@
         (1_000, 990)
     );
     acts(&mut group, 1_000, Event::Commit(0));
-    // On its way until 1,010 and applied by 1,015; all before it is there.
+    // The commit arrives at 1,010 and is applied at 1,015; all earlier commits are applied.
     assert_eq!(group.position(1, 1_012), 999);
     assert_eq!(group.position(1, 1_015), 1_005);
     acts(
@@ -51,8 +51,8 @@
     for _ in 0..10 {
         acts(&mut group, 100, Event::Commit(0));
     }
-    assert_eq!(group.last_commit(), 109, "no two share a time");
-    // Ten of them take 50 after the first is there.
+    assert_eq!(group.last_commit(), 109, "commit times are unique");
+    // Ten commits take 50 after the arrival of the first.
     assert_eq!(group.position(1, 110 + 49), 108);
     assert!(group.position(1, 110 + 50) >= 109);
 }
@@ -72,11 +72,19 @@
     let lost = acts(&mut group, 1_000, Event::Lose(0));
     assert_eq!(lost, [Action::Vacant, Action::DueAt(1_300)]);
     acts(&mut group, 1_100, Event::Commit(0));
-    assert_eq!(group.last_commit(), 600, "nobody takes it");
-    assert_eq!(group.position(2, 1_200), 990, "the log stands still");
+    assert_eq!(
+        group.last_commit(),
+        600,
+        "a group without a primary takes no commit"
+    );
+    assert_eq!(
+        group.position(2, 1_200),
+        990,
+        "the log does not advance without a primary"
+    );
     assert_eq!(acts(&mut group, 1_299, Event::Due), []);
     assert_eq!(acts(&mut group, 1_300, Event::Due), [Action::Primary(2)]);
-    // The old one comes back as a replica, behind, and catches up.
+    // The old primary returns as a replica, is behind and catches up.
     acts(&mut group, 2_000, Event::Commit(2));
     acts(&mut group, 2_100, Event::Return(0));
     assert!(group.position(0, 2_100) < 2_000);
@@ -120,7 +128,7 @@
     assert_eq!(acts(&mut group, 10, Event::Lose(0)), []);
     assert_eq!(acts(&mut group, 10, Event::Leave(0)), []);
     assert_eq!(group.position(0, 100), 0);
-    // All of them gone: nobody takes over until one is back.
+    // With all members gone, there is no primary until one returns.
     let mut group = Group::new(Settings { members: 1, ..SET });
     acts(&mut group, 10, Event::Lose(0));
     assert_eq!(acts(&mut group, 310, Event::Due), []);
@@ -142,7 +150,7 @@
     assert!(group.position(3, 5_001) <= 4_899);
     assert!(group.position(3, 5_001) < group.position(1, 5_001));
     assert_eq!(group.position(3, 6_000), 5_990);
-    // It takes over like any other.
+    // The new member is eligible like any other.
     (0..3).for_each(|member| _ = acts(&mut group, 6_000, Event::Lose(member)));
     assert_eq!(acts(&mut group, 6_300, Event::Due), [Action::Primary(3)]);
 }
@@ -160,10 +168,10 @@
     assert_eq!(
         acts(&mut group, 500, Event::Due),
         [],
-        "the others want no role"
+        "the remaining members are leaving and not eligible"
     );
     assert_eq!(group.primary(), None);
-    // Started anew it may have one.
+    // After a restart it is eligible again.
     acts(&mut group, 600, Event::Lose(2));
     assert_eq!(
         acts(&mut group, 700, Event::Return(2)),
@@ -172,8 +180,8 @@
     assert_eq!(acts(&mut group, 900, Event::Due), [Action::Primary(2)]);
 }
 
-/// With a quorum the lesser side's primary steps down before the other side has one; nothing is lost but what it took
-/// in meanwhile.
+/// With a quorum, the primary on the minority side steps down before the other side elects one; only the commits that
+/// it took in the meantime are lost.
 #[test]
 fn with_a_quorum_the_lesser_side_steps_down() {
     let mut group = Group::new(SET);
@@ -183,13 +191,17 @@
     );
     acts(&mut group, 1_050, Event::Commit(0));
     assert!(group.is_primary(0));
-    assert_eq!(group.position(1, 1_050), 990, "its side's log stands still");
+    assert_eq!(
+        group.position(1, 1_050),
+        990,
+        "the log of the side without a primary does not advance"
+    );
     assert!(acts(&mut group, 1_100, Event::Due).contains(&Action::Vacant));
     assert!(!group.is_primary(0) && group.primary().is_none());
     assert_eq!(acts(&mut group, 1_300, Event::Due), [Action::Primary(1)]);
     assert!(
         acts(&mut group, 1_400, Event::Due).is_empty(),
-        "no quorum, no primary"
+        "no primary is elected without a quorum"
     );
     acts(&mut group, 2_000, Event::Meet);
     assert_eq!((group.primary(), group.is_primary(0)), (Some(1), false));
@@ -205,7 +217,7 @@
     acts(&mut group, 1_000, Event::Split(&[1, 2]));
     assert_eq!(acts(&mut group, 1_300, Event::Due), [Action::Primary(1)]);
     assert!(group.is_primary(0) && group.is_primary(1));
-    assert_eq!(group.primary(), Some(1), "the younger one");
+    assert_eq!(group.primary(), Some(1), "the primary elected last");
     acts(&mut group, 1_500, Event::Commit(0));
     acts(&mut group, 1_600, Event::Commit(1));
     assert_eq!(group.position(2, 1_700), 1_690);
@@ -217,7 +229,7 @@
         }]
     );
     assert!(!group.is_primary(0) && group.is_primary(1));
-    // An older primary that took nothing in loses nothing.
+    // An older primary without commits since the split loses nothing.
     let mut group = Group::new(Settings {
         quorum: false,
         ..SET
@@ -227,7 +239,7 @@
     assert_eq!(acts(&mut group, 2_000, Event::Meet), []);
 }
 
-/// What a silent primary commits is lost when it is given up, and shipped when it comes to itself before.
+/// Commits of a silent primary are lost when it is replaced, and shipped if it recovers before.
 #[test]
 fn a_silent_primary_keeps_its_role_until_it_is_given_up() {
     let mut group = Group::new(SET);
@@ -237,7 +249,11 @@
     );
     acts(&mut group, 1_050, Event::Commit(0));
     assert!(group.is_primary(0));
-    assert_eq!(group.position(1, 1_090), 990, "nobody hears of it");
+    assert_eq!(
+        group.position(1, 1_090),
+        990,
+        "commits of a silent primary are not shipped"
+    );
     let given_up = acts(&mut group, 1_100, Event::Due);
     assert_eq!(
         given_up,
@@ -258,7 +274,11 @@
     acts(&mut group, 1_000, Event::Silence(0));
     acts(&mut group, 1_050, Event::Commit(0));
     assert_eq!(acts(&mut group, 1_060, Event::Return(0)), []);
-    assert_eq!(group.position(1, 1_100), 1_090, "it was told in the end");
+    assert_eq!(
+        group.position(1, 1_100),
+        1_090,
+        "the commit is shipped after the recovery"
+    );
     assert_eq!(acts(&mut group, 1_100, Event::Due), []);
     assert_eq!(group.primary(), Some(0));
 }
--- a/crates/server-model/tests/queueing.rs
+++ b/crates/server-model/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! The server against closed forms of queueing theory, and against what its words promise.
+//! Checks the server against closed forms of queueing theory, and its overload and cold-start behaviour.
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
@@ -15,8 +15,7 @@
     Other(Event),
 }
 
-/// Requests at random times through a server; the mean time that they spend there, and its standard error over
-/// batches.
+/// Sends requests at random times to a server and returns the mean sojourn time and its standard error over batches.
 fn sojourn(set: Settings, work: Work, per_s: f64, requests: u64, seed: u64) -> (f64, f64) {
     let streams = Streams::new(seed);
     let (mut arrivals, mut works) = (streams.stream("arrivals", 0), streams.stream("work", 0));
@@ -52,12 +51,8 @@
             }
         }
     }
-    assert_eq!(
-        times.len() as u64,
-        requests,
-        "every request is accounted for"
-    );
-    // Batches long enough to be nearly independent; the first is not in its steady state.
+    assert_eq!(times.len() as u64, requests, "every request is completed");
+    // The batches are long enough to be nearly independent; the first one is skipped, as it is not in steady state.
     let batch = times.len() / 40;
     let means: Vec<f64> = times
         .chunks_exact(batch)
@@ -79,11 +74,11 @@
     }
 }
 
-/// Within four standard errors, and those small enough to tell.
+/// Asserts that the mean is within four standard errors, and that those are small enough to be conclusive.
 fn agrees((mean, error): (f64, f64), expected: f64, what: &str) {
     assert!(
         error < 0.04 * expected,
-        "{what}: {mean} +- {error} says little about {expected}"
+        "{what}: {mean} +- {error} is too imprecise to compare with {expected}"
     );
     assert!(
         (mean - expected).abs() < 4.0 * error + 2.0,
@@ -107,7 +102,7 @@
 
 #[test]
 fn one_core_shared_is_m_m_1_too_whatever_the_law() {
-    // Processor sharing: the mean depends on the law's mean alone.
+    // With processor sharing, the mean sojourn time depends only on the mean of the work.
     for (law, seed) in [
         (Law::Exponential, 2),
         (Law::Fixed, 3),
@@ -134,7 +129,7 @@
 fn several_cores_in_order_are_m_m_c() {
     let (cores, load) = (4_usize, 0.75);
     let offered = cores as f64 * load;
-    // Erlang's C.
+    // Erlang C formula.
     let term = |n: usize| (1..=n).fold(1.0, |t, k| t * offered / k as f64);
     let last = term(cores) / (1.0 - load);
     let waits = last / ((0..cores).map(term).sum::<f64>() + last);
@@ -149,7 +144,7 @@
     agrees(found, expected, "M/M/4");
 }
 
-/// Events by hand: what comes out of a server, with times.
+/// Applies scripted events to a server and returns its actions with their times.
 fn script(set: Settings, steps: Vec<(Micros, Event)>) -> Vec<(Micros, Action)> {
     let mut wheel = Wheel::default();
     let mut server = Server::new(set);
@@ -181,7 +176,7 @@
 
 #[test]
 fn cores_are_shared_evenly() {
-    // Two on one core: each gets half until the first is done.
+    // Two requests on one core: each gets half of it until the first completes.
     let out = script(
         plain(1, 4),
         vec![(0, arrive(1, 1_000)), (0, arrive(2, 3_000))],
@@ -195,7 +190,7 @@
     assert_eq!(
         out,
         [(4_000, Action::Done(1)), (4_000, Action::Done(2))],
-        "half of the efficiency is lost"
+        "half of the efficiency is lost to crowding"
     );
 }
 
@@ -268,7 +263,7 @@
     assert_eq!(
         out,
         [(900, Action::Done(1))],
-        "the rest takes twice as long"
+        "the remaining work takes twice as long"
     );
 }
 
@@ -281,7 +276,7 @@
         tip_after: 100_000,
         ..plain(1, 64)
     };
-    // At a quarter, then more: under four times its work, over one.
+    // The capacity starts at a quarter and grows, so the run time is between one and four times the work.
     let out = script(set, vec![(0, Event::Start), (1, arrive(1, 10_000))]);
     assert!(
         matches!(out[..], [(at, Action::Done(1))] if (30_000..41_000).contains(&at)),
@@ -296,7 +291,7 @@
         flood(2_000)
             .iter()
             .any(|(_, action)| *action == Action::Collapsed),
-        "three times what it can do"
+        "three times its capacity"
     );
     assert!(flood(5_000)
         .iter()
@@ -331,7 +326,7 @@
     assert_eq!(fixed.draw(7, &mut stream), fixed.draw(7, &mut stream));
 }
 
-/// Who asks before each arrival whether a cold server bears it never tips it, and comes to what it bears.
+/// A sender that checks `has_capacity_for` before each request never overruns a cold server and still uses its budget.
 #[test]
 fn a_cold_server_that_is_asked_first_does_not_collapse() {
     let set = Settings {
@@ -355,7 +350,10 @@
         }
         (sent, actions.contains(&Action::Collapsed))
     };
-    assert!(run(0.0, false).1, "unasked it falls");
+    assert!(
+        run(0.0, false).1,
+        "without the capacity check the server collapses"
+    );
     let ((all, fell), (less, fell_too)) = (run(0.0, true), run(0.3, true));
     assert!(!fell && !fell_too);
     assert!(less < 0.8 * all && less > 0.6 * all, "{less} of {all}");
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -1,4 +1,4 @@
-//! Sites, lists, networks and clients: what their words promise.
+//! Sites, the discovery service, networks and clients.
 
 use server_model::catalog::{self, Catalog, Record};
 use server_model::clients::{
@@ -22,7 +22,7 @@
     })
 }
 
-/// Drives a site alone: all that it asks to be woken for, up to a time.
+/// Drives a site and its timers, without a network or clients.
 struct Alone {
     site: Site,
     wakes: Vec<(Micros, TimerOwner)>,
@@ -115,13 +115,13 @@
     assert_eq!(
         alone.answer(2),
         Some(Answer::Misdirected),
-        "a replica takes no write"
+        "a replica rejects writes"
     );
     assert_eq!(alone.answer(3), Some(Answer::Ok));
     assert_eq!(
         alone.answer(4),
         Some(Answer::Misdirected),
-        "it is 8 ms behind"
+        "the replica is 8 ms behind"
     );
     assert_eq!(alone.answer(5), Some(Answer::Unreachable));
     let applied: Vec<_> = alone
@@ -151,7 +151,7 @@
     assert_eq!(
         said(|a| matches!(a, Action::Undone { server: 0, .. })),
         1,
-        "nobody had heard of it"
+        "the write had not been replicated"
     );
     assert_eq!(said(|a| matches!(a, Action::Primary { group: 0, .. })), 1);
     assert!(alone.site.primary(0) != Some(0) && alone.site.primary(1) == Some(5));
@@ -163,12 +163,16 @@
     alone.request(SECOND, 1, 0, write(7));
     alone.tell(SECOND + 10, Event::Fault(ServerFault::Drain(0)));
     alone.request(SECOND + 20, 2, 0, READ);
-    assert_eq!(alone.answer(2), Some(Answer::Rejected), "nothing new");
+    assert_eq!(
+        alone.answer(2),
+        Some(Answer::Rejected),
+        "a draining server accepts no new requests"
+    );
     alone.until(2 * SECOND);
     assert_eq!(
         alone.answer(1),
         Some(Answer::Failed),
-        "its role had gone when the work was done"
+        "the server lost the primary role before the work was done"
     );
     assert_eq!(alone.site.status(0), Status::Draining);
     alone.tell(2 * SECOND, Event::Fault(ServerFault::Retire(0)));
@@ -212,7 +216,10 @@
     site.hang_up(0);
     assert!(site.dial(0, 20, &mut actions) && !site.dial(0, 20, &mut actions));
     site.handle(30, Event::Fault(ServerFault::Crash(0)), &mut actions);
-    assert!(!site.dial(0, 40, &mut actions), "nobody is there");
+    assert!(
+        !site.dial(0, 40, &mut actions),
+        "a dead server accepts no connections"
+    );
     site.handle(50, Event::Fault(ServerFault::Start(0)), &mut actions);
     assert!(site.dial(0, 60, &mut actions));
 }
@@ -253,7 +260,11 @@
         .iter()
         .filter(|a| matches!(a, catalog::Action::Fail(_)))
         .count();
-    assert_eq!((complete, failed), (2, 3), "those who waited too long fail");
+    assert_eq!(
+        (complete, failed),
+        (2, 3),
+        "calls that waited too long fail"
+    );
     told(
         &mut list,
         1_000,
@@ -261,9 +272,9 @@
     );
     assert_eq!(told(&mut list, 1_999, catalog::Event::Due), []);
     let news = told(&mut list, 2_000, catalog::Event::Due);
-    assert_eq!(news.len(), 2, "each who watches: {news:?}");
+    assert_eq!(news.len(), 2, "one update per watcher: {news:?}");
     assert_eq!(list.records().count(), 2);
-    // Down, all watches end; up again, a watch goes on from where it was.
+    // An outage ends all watches; afterwards a watch continues from its index.
     assert_eq!(told(&mut list, 2_100, catalog::Event::Down(true)).len(), 2);
     told(
         &mut list,
@@ -331,7 +342,7 @@
     assert_eq!(
         network.one_way(server, proxy, &mut random),
         Some(600),
-        "the other way passes"
+        "the opposite direction is not cut"
     );
     assert_eq!(
         network.one_way(
@@ -410,7 +421,7 @@
     }
 }
 
-/// Plays clients whose tries are all answered in the same way, after the same time.
+/// Runs clients whose attempts are answered by `answer` after 60 ms; `None` leaves an attempt unanswered.
 fn play(
     set: clients::Settings,
     answer: impl Fn(&clients::ClientAttempt) -> Option<Told>,
@@ -438,7 +449,10 @@
     }
     let mut actions = Vec::new();
     clients.close(&mut actions);
-    assert!(actions.is_empty(), "nothing is left open: {actions:?}");
+    assert!(
+        actions.is_empty(),
+        "all requests are settled before the end: {actions:?}"
+    );
     all
 }
 
@@ -490,7 +504,7 @@
     assert!(settled
         .iter()
         .all(|s| s.outcome == Ended::Served && s.earned == s.priority_weight));
-    // Of tenant b only ten a second count in full.
+    // Of tenant b, only ten requests per second count with full weight.
     let full = settled
         .iter()
         .filter(|s| s.tenant == 1 && s.priority_weight == 2.0)
@@ -507,7 +521,7 @@
         .filter(|s| s.class == 0)
         .map(|s| s.attempts)
         .max();
-    assert_eq!(tries, Some(4), "three further ones");
+    assert_eq!(tries, Some(4), "one attempt and three retries");
     let refused = play(
         settings(),
         |_| {
@@ -523,9 +537,9 @@
         .collect();
     assert!(
         writes.iter().any(|(_, t)| t.is_retry),
-        "a refusal is harmless"
+        "a rejected write may be retried"
     );
-    // They come back as told, spread by a half to both sides.
+    // Clients retry after the requested time, with a jitter of 50% in both directions.
     let (at, first) = writes[0];
     let (back, _) = writes
         .iter()
@@ -540,7 +554,7 @@
     assert!(settled(&left)
         .iter()
         .all(|s| s.outcome == Ended::Abandoned && s.earned == 0.0));
-    // A try is given 40 to 100 percent of the deadline, and no request is tried beyond it.
+    // The attempt timeout is 40 to 100 percent of the deadline, and no request is retried beyond the deadline.
     assert!(asked(&left)
         .iter()
         .all(|(_, t)| t.timeout <= SECOND && (t.is_retry || t.timeout >= 400_000)));
