--- a/crates/server-model/src/account.rs
+++ b/crates/server-model/src/account.rs
@@ -5,7 +5,7 @@
 
 /// Account units per request. One unit per microsecond equals a millionth of a request per second, so that no rounding
 /// error accumulates between draws.
-const WHOLE: u128 = 1_000_000_000_000;
+const UNITS_PER_REQUEST: u128 = 1_000_000_000_000;
 
 /// Limits on a tenant's borrowing.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -84,7 +84,8 @@
 
     /// Capacity of the bucket: at least one request, since otherwise a quota below one per second would admit none.
     fn depth(&self) -> u128 {
-        self.rate.map_or(0, |rate| (rate * 1_000_000).max(WHOLE))
+        self.rate
+            .map_or(0, |rate| (rate * 1_000_000).max(UNITS_PER_REQUEST))
     }
 
     /// Charges a request if it is within the quota, and returns whether it is.
@@ -98,9 +99,9 @@
             .as_mut()
             .map_or(0, |loans| loans.repay(now, rate, came, self.left, depth));
         self.left = (self.left + came - repaid).min(depth);
-        let within = self.left >= WHOLE;
+        let within = self.left >= UNITS_PER_REQUEST;
         if within {
-            self.left -= WHOLE;
+            self.left -= UNITS_PER_REQUEST;
         }
         within
     }
@@ -170,18 +171,18 @@
             .open
             .front()
             .is_some_and(|(since, _)| now.saturating_sub(*since) >= term);
-        let full = self.owed + WHOLE > rate * u128::from(line);
+        let full = self.owed + UNITS_PER_REQUEST > rate * u128::from(line);
         if late || full || !kinds.contains(&kind) || !self.pace.draw(now) {
             return false;
         }
-        self.owed += WHOLE;
+        self.owed += UNITS_PER_REQUEST;
         match self
             .open
             .back_mut()
             .filter(|(since, _)| now.saturating_sub(*since) < term / 16)
         {
-            Some((_, open)) => *open += WHOLE,
-            None => self.open.push_back((now, WHOLE)),
+            Some((_, open)) => *open += UNITS_PER_REQUEST,
+            None => self.open.push_back((now, UNITS_PER_REQUEST)),
         }
         true
     }
--- a/crates/server-model/src/catalog.rs
+++ b/crates/server-model/src/catalog.rs
@@ -107,9 +107,9 @@
     down: bool,
     index: u64,
     /// Published records by server, each with the index of its last change.
-    known: BTreeMap<ServerIndex, (u64, Record)>,
+    published: BTreeMap<ServerIndex, (u64, Record)>,
     /// Changes that are not published yet, as (time of publication, record), in order.
-    coming: VecDeque<(Micros, Record)>,
+    unpublished: VecDeque<(Micros, Record)>,
     watchers: BTreeSet<Caller>,
     /// Queued calls as (arrival time, caller, index); the first one is processed until `busy_until`.
     calls: VecDeque<(Micros, Caller, u64)>,
@@ -117,12 +117,12 @@
 }
 
 /// Maximum number of records of gone servers kept for incremental updates; beyond it the oldest are dropped.
-const GONE_KEPT: usize = 10_000;
+const MAX_GONE_RECORDS: usize = 10_000;
 
 impl Catalog {
     /// Service whose list holds these records.
     pub fn new(set: Settings, records: impl IntoIterator<Item = Record>) -> Catalog {
-        let known = records
+        let published = records
             .into_iter()
             .map(|record| (record.server, (1, record)))
             .collect();
@@ -131,8 +131,8 @@
             behind: 0,
             down: false,
             index: 1,
-            known,
-            coming: VecDeque::new(),
+            published,
+            unpublished: VecDeque::new(),
             watchers: BTreeSet::new(),
             calls: VecDeque::new(),
             busy_until: 0,
@@ -146,7 +146,7 @@
 
     /// Records of all servers that are not gone.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
-        self.known
+        self.published
             .values()
             .map(|(_, record)| *record)
             .filter(|r| r.status != Status::Gone)
@@ -156,9 +156,9 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Changed(record) => {
-                let last = self.coming.back().map_or(0, |(at, _)| *at);
+                let last = self.unpublished.back().map_or(0, |(at, _)| *at);
                 let at = (now + self.set.late + self.behind).max(last);
-                self.coming.push_back((at, record));
+                self.unpublished.push_back((at, record));
                 actions.push(Action::DueAt(at));
             }
             Event::Watch { caller, .. } if self.down => actions.push(Action::Fail(caller)),
@@ -190,14 +190,14 @@
 
     fn due(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let mut changes = Vec::new();
-        while let Some((_, record)) = self.coming.front().filter(|(at, _)| *at <= now) {
+        while let Some((_, record)) = self.unpublished.front().filter(|(at, _)| *at <= now) {
             changes.push(*record);
             self.index += 1;
-            self.known.insert(record.server, (self.index, *record));
-            self.coming.pop_front();
+            self.published.insert(record.server, (self.index, *record));
+            self.unpublished.pop_front();
         }
         if !changes.is_empty() {
-            self.forget();
+            self.drop_oldest_gone();
             for caller in &self.watchers {
                 let (caller, index, records) = (*caller, self.index, changes.clone());
                 actions.push(Action::Update {
@@ -228,7 +228,7 @@
         self.watchers.insert(caller);
         let complete = after == 0 || after > self.index;
         let newer = self
-            .known
+            .published
             .values()
             .filter(|(at, _)| complete || *at > after)
             .map(|(_, r)| *r);
@@ -243,19 +243,19 @@
         });
     }
 
-    fn forget(&mut self) {
+    fn drop_oldest_gone(&mut self) {
         let gone = |(_, r): &(u64, Record)| r.status == Status::Gone;
-        let number = self.known.values().filter(|k| gone(k)).count();
-        if number > GONE_KEPT {
+        let number = self.published.values().filter(|k| gone(k)).count();
+        if number > MAX_GONE_RECORDS {
             let mut indices: Vec<u64> = self
-                .known
+                .published
                 .values()
                 .filter(|k| gone(k))
                 .map(|(at, _)| *at)
                 .collect();
             indices.sort_unstable();
-            let oldest = indices[number - GONE_KEPT];
-            self.known.retain(|_, k| !gone(k) || k.0 >= oldest);
+            let oldest = indices[number - MAX_GONE_RECORDS];
+            self.published.retain(|_, k| !gone(k) || k.0 >= oldest);
         }
     }
 }
--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -42,20 +42,20 @@
 }
 
 /// Time constant, in microseconds, of the decaying average of requested work.
-const BUSY: f64 = 1e6;
+const BUSY_TIME_CONSTANT: f64 = 1e6;
 
 /// Number of recent writes kept per proxy, from which read-your-writes sessions are chosen.
-const RECENT: usize = 32;
+const RECENT_WRITES: usize = 32;
 
 /// All clients of all proxies.
 #[derive(Debug)]
 pub struct Clients {
     settings: Settings,
     arrivals: Stream,
-    gaps: Option<Exp<f64>>,
-    /// Highest rate of the profile, in requests per second: gaps are drawn for it, and arrivals beyond the present rate
-    /// are dropped.
-    most: f64,
+    interarrival: Option<Exp<f64>>,
+    /// Highest rate of the profile, in requests per second: inter-arrival times are drawn for it, and arrivals beyond
+    /// the present rate are dropped.
+    peak_rate: f64,
     next: f64,
     surges: Vec<f64>,
     surge_all: f64,
@@ -100,11 +100,11 @@
             .iter()
             .map(|(_, times)| *times)
             .fold(f64::NAN, f64::max);
-        let most = settings.requests_per_s * if highest.is_nan() { 1.0 } else { highest };
+        let peak_rate = settings.requests_per_s * if highest.is_nan() { 1.0 } else { highest };
         Clients {
             arrivals: streams.stream("arrivals", 0),
-            gaps: Exp::new(most / 1e6).ok().filter(|_| most > 0.0),
-            most,
+            interarrival: Exp::new(peak_rate / 1e6).ok().filter(|_| peak_rate > 0.0),
+            peak_rate,
             next: 0.0,
             surges: vec![1.0; settings.tenants.len().max(1)],
             surge_all: 1.0,
@@ -156,7 +156,7 @@
                         let proxy = open.proxy;
                         actions.push(Action::Abandon { id, proxy });
                     }
-                    self.ended(request, RequestOutcome::Abandoned, None, now, actions);
+                    self.attempt_failed(request, RequestOutcome::Abandoned, None, now, actions);
                 }
             }
             Event::Answered(id, answer) => self.answered(id, answer, now, actions),
@@ -174,14 +174,16 @@
     /// Schedules the next arrival at the highest possible rate; `arrive` thins the arrivals to the present rate.
     fn schedule(&mut self, actions: &mut Vec<Action>) {
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
-        let Some(gaps) = &self.gaps else { return };
-        self.next += gaps.sample(&mut self.arrivals) / surge.max(1.0);
+        let Some(interarrival) = &self.interarrival else {
+            return;
+        };
+        self.next += interarrival.sample(&mut self.arrivals) / surge.max(1.0);
         if self.next < self.settings.length as f64 {
             actions.push(Action::SetTimer(self.next as Micros, TimerKind::Arrival));
         }
     }
 
-    fn times(&self, now: Micros) -> f64 {
+    fn rate_factor(&self, now: Micros) -> f64 {
         let points = &self.settings.profile;
         let after = points.partition_point(|(at, _)| *at <= now);
         match (
@@ -203,8 +205,8 @@
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
         let tenant = pick(&self.shares, u[1]);
         let own = self.surge_all * self.surges.get(tenant).copied().unwrap_or(1.0);
-        let rate = self.settings.requests_per_s * self.times(now) * own;
-        if u[0] * self.most * surge.max(1.0) >= rate
+        let rate = self.settings.requests_per_s * self.rate_factor(now) * own;
+        if u[0] * self.peak_rate * surge.max(1.0) >= rate
             || self.settings.proxies == 0
             || self.settings.groups == 0
         {
@@ -239,12 +241,16 @@
         // A request beyond its tenant's quota has a lower weight, whatever its outcome. Retries are not charged to the
         // account: otherwise the demand would depend on the rejections.
         let (busy, since) = self.busy;
-        let busy = busy * (-((now - since) as f64) / BUSY).exp();
+        let busy = busy * (-((now - since) as f64) / BUSY_TIME_CONSTANT).exp();
         let room = busy < self.cores;
         let account = self.accounts.get_mut(tenant);
         let within =
             account.is_none_or(|account| account.draw_or_borrow(now, class, room) != Drawn::Beyond);
-        let work = if within { stated.work.mean / BUSY } else { 0.0 };
+        let work = if within {
+            stated.work.mean / BUSY_TIME_CONSTANT
+        } else {
+            0.0
+        };
         self.busy = (busy + work, now);
         let priority_weight = stated.priority_weight
             * if within {
@@ -335,7 +341,7 @@
                     *known = commit.max(*known);
                     let recent = &mut self.recent[open.proxy];
                     recent.push_back((open.session, open.group, now));
-                    if recent.len() > RECENT {
+                    if recent.len() > RECENT_WRITES {
                         recent.pop_front();
                     }
                 }
@@ -370,20 +376,22 @@
                 );
             }
             Answer::Rejected { retry_after } => {
-                self.ended(request, RequestOutcome::Rejected, retry_after, now, actions)
+                self.attempt_failed(request, RequestOutcome::Rejected, retry_after, now, actions)
+            }
+            Answer::Failed => {
+                self.attempt_failed(request, RequestOutcome::Failed, None, now, actions)
             }
-            Answer::Failed => self.ended(request, RequestOutcome::Failed, None, now, actions),
             Answer::ConnectionLost { reached: false } => {
-                self.ended(request, RequestOutcome::Rejected, None, now, actions)
+                self.attempt_failed(request, RequestOutcome::Rejected, None, now, actions)
             }
             Answer::ConnectionLost { reached: true } => {
-                self.ended(request, RequestOutcome::Failed, None, now, actions)
+                self.attempt_failed(request, RequestOutcome::Failed, None, now, actions)
             }
         }
     }
 
     /// Handles an unsuccessful attempt: schedules a retry if it is allowed and there is time, else settles the request.
-    fn ended(
+    fn attempt_failed(
         &mut self,
         request: u64,
         outcome: RequestOutcome,
--- a/crates/server-model/src/network.rs
+++ b/crates/server-model/src/network.rs
@@ -68,7 +68,7 @@
 }
 
 /// Maximum number of retransmissions of a message; the last one always arrives.
-const RESENDS: u32 = 6;
+const MAX_RESENDS: u32 = 6;
 
 impl Network {
     /// A network without cuts.
@@ -120,7 +120,7 @@
         let loss = (self.set.loss + self.extra_loss).min(1.0);
         // Without losses, no random number is drawn for them.
         if loss > 0.0 {
-            for time in 0..RESENDS {
+            for time in 0..MAX_RESENDS {
                 if random.random::<f64>() >= loss {
                     break;
                 }
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -115,8 +115,8 @@
 }
 
 /// Interval in microseconds at which the capacity of a cold server is updated.
-const WARMING: Micros = 50_000;
-const WINDOWS: usize = 10;
+const CAPACITY_UPDATE_INTERVAL: Micros = 50_000;
+const WINDOW_COUNT: usize = 10;
 
 impl Server {
     /// Server that runs and is warm.
@@ -210,7 +210,7 @@
             }
         }
         self.fill();
-        self.ask_wake(actions);
+        self.schedule_wake(actions);
     }
 
     fn arrive(&mut self, id: u64, work: Micros, actions: &mut Vec<Action>) {
@@ -218,7 +218,7 @@
             actions.push(Action::Lost(id));
             return;
         }
-        if self.overrun(work) && self.set.falls {
+        if self.record_and_check_overrun(work) && self.set.falls {
             actions.push(Action::Collapsed);
             actions.push(Action::Lost(id));
             self.die(actions);
@@ -277,7 +277,7 @@
         self.now = now;
     }
 
-    fn ask_wake(&mut self, actions: &mut Vec<Action>) {
+    fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
         let Some(&Reverse((done, _))) = self.work.peek() else {
             return;
         };
@@ -292,7 +292,7 @@
             .started
             .is_some_and(|at| self.now - at < self.set.warm_after)
         {
-            span = span.min(WARMING);
+            span = span.min(CAPACITY_UPDATE_INTERVAL);
         }
         self.wake += 1;
         actions.push(Action::WakeAt(self.now + span, self.wake));
@@ -306,37 +306,37 @@
         else {
             return true;
         };
-        let length = (self.set.tip_after / WINDOWS as u64).max(1);
+        let length = (self.set.tip_after / WINDOW_COUNT as u64).max(1);
         let passed = if now < at {
             0
         } else {
             (now.saturating_sub(self.window_start) / length) as usize
         };
-        let gone = (self.windows.len() + passed).saturating_sub(WINDOWS);
+        let gone = (self.windows.len() + passed).saturating_sub(WINDOW_COUNT);
         let came: f64 = self.windows.iter().skip(gone).sum();
         let could = self.capacity(now) * self.set.cores * self.set.tip_after as f64;
         came + more <= self.set.tip * could * (1.0 - spare)
     }
 
     /// Whether a cold server has received more work than it withstands, including this request.
-    fn overrun(&mut self, work: Micros) -> bool {
+    fn record_and_check_overrun(&mut self, work: Micros) -> bool {
         let Some(at) = self.started else { return false };
         if self.now - at >= self.set.warm_after {
             self.started = None;
             return false;
         }
-        let length = (self.set.tip_after / WINDOWS as u64).max(1);
+        let length = (self.set.tip_after / WINDOW_COUNT as u64).max(1);
         let windows = (self.now - self.window_start) / length;
         if windows > 0 {
             self.window_start += windows * length;
-            for _ in 0..windows.min(WINDOWS as u64) {
+            for _ in 0..windows.min(WINDOW_COUNT as u64) {
                 self.windows.push_back(0.0);
             }
         }
         if self.windows.is_empty() {
             self.windows.push_back(0.0);
         }
-        while self.windows.len() > WINDOWS {
+        while self.windows.len() > WINDOW_COUNT {
             self.windows.pop_front();
         }
         if let Some(last) = self.windows.back_mut() {
--- a/crates/server-model/tests/queueing.rs
+++ b/crates/server-model/tests/queueing.rs
@@ -16,19 +16,25 @@
 }
 
 /// Sends requests at random times to a server and returns the mean sojourn time and its standard error over batches.
-fn sojourn(set: Settings, work: Work, per_s: f64, requests: u64, seed: u64) -> (f64, f64) {
+fn mean_sojourn_time(
+    set: Settings,
+    work: Work,
+    per_s: f64,
+    requests: u64,
+    seed: u64,
+) -> (f64, f64) {
     let streams = Streams::new(seed);
     let (mut arrivals, mut works) = (streams.stream("arrivals", 0), streams.stream("work", 0));
     let gaps = Exp::new(per_s / 1e6).unwrap();
     let mut wheel = Wheel::default();
     let mut server = Server::new(set);
-    let (mut came, mut times) = (HashMap::new(), Vec::new());
+    let (mut arrived_at, mut times) = (HashMap::new(), Vec::new());
     let mut next = 0.0;
     wheel.put(0, Step::Arrive(0, work.draw(0, &mut works)));
     while let Some((now, step)) = wheel.take() {
         let event = match step {
             Step::Arrive(id, cost) => {
-                came.insert(id, now);
+                arrived_at.insert(id, now);
                 if id + 1 < requests {
                     next += gaps.sample(&mut arrivals);
                     wheel.put(
@@ -45,7 +51,7 @@
         server.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Done(id) => times.push((now - came.remove(&id).unwrap()) as f64),
+                Action::Done(id) => times.push((now - arrived_at.remove(&id).unwrap()) as f64),
                 Action::WakeAt(at, number) => wheel.put(at, Step::Wake(number)),
                 other => panic!("{other:?}"),
             }
@@ -64,7 +70,7 @@
     (mean, (spread / means.len() as f64).sqrt())
 }
 
-fn plain(cores: usize, slots: usize) -> Settings {
+fn uncrowded_settings(cores: usize, slots: usize) -> Settings {
     Settings {
         cores: cores as f64,
         slots,
@@ -75,7 +81,7 @@
 }
 
 /// Asserts that the mean is within four standard errors, and that those are small enough to be conclusive.
-fn agrees((mean, error): (f64, f64), expected: f64, what: &str) {
+fn assert_agrees((mean, error): (f64, f64), expected: f64, what: &str) {
     assert!(
         error < 0.04 * expected,
         "{what}: {mean} +- {error} is too imprecise to compare with {expected}"
@@ -86,18 +92,18 @@
     );
 }
 
-const MEAN: f64 = 10_000.0;
+const MEAN_WORK: f64 = 10_000.0;
 
 #[test]
 fn one_core_in_order_is_m_m_1() {
-    let found = sojourn(
-        plain(1, 1),
-        Work::new(Law::Exponential, MEAN),
+    let found = mean_sojourn_time(
+        uncrowded_settings(1, 1),
+        Work::new(Law::Exponential, MEAN_WORK),
         70.0,
         400_000,
         1,
     );
-    agrees(found, MEAN / (1.0 - 0.7), "M/M/1");
+    assert_agrees(found, MEAN_WORK / (1.0 - 0.7), "M/M/1");
 }
 
 #[test]
@@ -108,21 +114,31 @@
         (Law::Fixed, 3),
         (Law::LogNormal { variation: 1.5 }, 4),
     ] {
-        let found = sojourn(
-            plain(1, 1_000_000),
-            Work::new(law, MEAN),
+        let found = mean_sojourn_time(
+            uncrowded_settings(1, 1_000_000),
+            Work::new(law, MEAN_WORK),
             60.0,
             400_000,
             seed,
         );
-        agrees(found, MEAN / (1.0 - 0.6), "M/G/1-PS");
+        assert_agrees(found, MEAN_WORK / (1.0 - 0.6), "M/G/1-PS");
     }
 }
 
 #[test]
 fn fixed_work_in_order_is_m_d_1() {
-    let found = sojourn(plain(1, 1), Work::new(Law::Fixed, MEAN), 70.0, 400_000, 5);
-    agrees(found, MEAN * (1.0 + 0.7 / (2.0 * (1.0 - 0.7))), "M/D/1");
+    let found = mean_sojourn_time(
+        uncrowded_settings(1, 1),
+        Work::new(Law::Fixed, MEAN_WORK),
+        70.0,
+        400_000,
+        5,
+    );
+    assert_agrees(
+        found,
+        MEAN_WORK * (1.0 + 0.7 / (2.0 * (1.0 - 0.7))),
+        "M/D/1",
+    );
 }
 
 #[test]
@@ -133,19 +149,19 @@
     let term = |n: usize| (1..=n).fold(1.0, |t, k| t * offered / k as f64);
     let last = term(cores) / (1.0 - load);
     let waits = last / ((0..cores).map(term).sum::<f64>() + last);
-    let expected = MEAN + waits * MEAN / (cores as f64 * (1.0 - load));
-    let found = sojourn(
-        plain(cores, cores),
-        Work::new(Law::Exponential, MEAN),
-        1e6 / MEAN * offered,
+    let expected = MEAN_WORK + waits * MEAN_WORK / (cores as f64 * (1.0 - load));
+    let found = mean_sojourn_time(
+        uncrowded_settings(cores, cores),
+        Work::new(Law::Exponential, MEAN_WORK),
+        1e6 / MEAN_WORK * offered,
         400_000,
         6,
     );
-    agrees(found, expected, "M/M/4");
+    assert_agrees(found, expected, "M/M/4");
 }
 
 /// Applies scripted events to a server and returns its actions with their times.
-fn script(set: Settings, steps: Vec<(Micros, Event)>) -> Vec<(Micros, Action)> {
+fn run_events(set: Settings, steps: Vec<(Micros, Event)>) -> Vec<(Micros, Action)> {
     let mut wheel = Wheel::default();
     let mut server = Server::new(set);
     for (at, event) in steps {
@@ -177,16 +193,16 @@
 #[test]
 fn cores_are_shared_evenly() {
     // Two requests on one core: each gets half of it until the first completes.
-    let out = script(
-        plain(1, 4),
+    let out = run_events(
+        uncrowded_settings(1, 4),
         vec![(0, arrive(1, 1_000)), (0, arrive(2, 3_000))],
     );
     assert_eq!(out, [(2_000, Action::Done(1)), (4_000, Action::Done(2))]);
     let crowded = Settings {
         crowding: 0.5,
-        ..plain(1, 2)
+        ..uncrowded_settings(1, 2)
     };
-    let out = script(crowded, vec![(0, arrive(1, 1_000)), (0, arrive(2, 1_000))]);
+    let out = run_events(crowded, vec![(0, arrive(1, 1_000)), (0, arrive(2, 1_000))]);
     assert_eq!(
         out,
         [(4_000, Action::Done(1)), (4_000, Action::Done(2))],
@@ -195,12 +211,12 @@
 }
 
 #[test]
-fn beyond_the_room_requests_are_turned_away() {
+fn requests_beyond_the_queue_limit_are_rejected() {
     let set = Settings {
         room: 1,
-        ..plain(1, 1)
+        ..uncrowded_settings(1, 1)
     };
-    let out = script(
+    let out = run_events(
         set,
         vec![
             (0, arrive(1, 500)),
@@ -219,18 +235,18 @@
     let none = Settings {
         slots: 0,
         room: 0,
-        ..plain(1, 1)
+        ..uncrowded_settings(1, 1)
     };
     assert_eq!(
-        script(none, vec![(0, arrive(1, 500))]),
+        run_events(none, vec![(0, arrive(1, 500))]),
         [(0, Action::Full(1))]
     );
 }
 
 #[test]
-fn the_dead_lose_what_they_hold_and_the_hung_tell_nobody() {
-    let out = script(
-        plain(1, 1),
+fn dead_servers_lose_their_requests_and_hung_servers_do_not_respond() {
+    let out = run_events(
+        uncrowded_settings(1, 1),
         vec![
             (0, arrive(1, 500)),
             (0, arrive(2, 500)),
@@ -246,8 +262,8 @@
             (200, Action::Lost(3))
         ]
     );
-    let out = script(
-        plain(1, 1),
+    let out = run_events(
+        uncrowded_settings(1, 1),
         vec![
             (0, arrive(1, 500)),
             (10, Event::Hang(true)),
@@ -256,8 +272,8 @@
         ],
     );
     assert_eq!(out, [(500, Action::Unanswered(1)), (750, Action::Done(2))]);
-    let out = script(
-        plain(1, 1),
+    let out = run_events(
+        uncrowded_settings(1, 1),
         vec![(0, arrive(1, 500)), (100, Event::Slow(2.0))],
     );
     assert_eq!(
@@ -274,10 +290,10 @@
         warm_after: 1_000_000,
         tip: 2.0,
         tip_after: 100_000,
-        ..plain(1, 64)
+        ..uncrowded_settings(1, 64)
     };
     // The capacity starts at a quarter and grows, so the run time is between one and four times the work.
-    let out = script(set, vec![(0, Event::Start), (1, arrive(1, 10_000))]);
+    let out = run_events(set, vec![(0, Event::Start), (1, arrive(1, 10_000))]);
     assert!(
         matches!(out[..], [(at, Action::Done(1))] if (30_000..41_000).contains(&at)),
         "{out:?}"
@@ -285,7 +301,7 @@
     let flood = |gap: Micros| -> Vec<(Micros, Action)> {
         let mut steps = vec![(0, Event::Start)];
         steps.extend((0..100).map(|n| (1_000 + n * gap, arrive(n, 1_500))));
-        script(set, steps)
+        run_events(set, steps)
     };
     assert!(
         flood(2_000)
@@ -309,18 +325,18 @@
     ] {
         let work = Work {
             law,
-            mean: MEAN,
+            mean: MEAN_WORK,
             by_key: 0.5,
         };
         let mean = (0..400_000)
             .map(|_| work.draw(stream.random(), &mut stream) as f64)
             .sum::<f64>()
             / 4e5;
-        assert!((mean / MEAN - 1.0).abs() < 0.03, "{law:?}: {mean}");
+        assert!((mean / MEAN_WORK - 1.0).abs() < 0.03, "{law:?}: {mean}");
     }
     let fixed = Work {
         law: Law::Fixed,
-        mean: MEAN,
+        mean: MEAN_WORK,
         by_key: 0.5,
     };
     assert_eq!(fixed.draw(7, &mut stream), fixed.draw(7, &mut stream));
@@ -328,22 +344,22 @@
 
 /// A sender that checks `has_capacity_for` before each request never overruns a cold server and still uses its budget.
 #[test]
-fn a_cold_server_that_is_asked_first_does_not_collapse() {
+fn a_cold_server_does_not_collapse_if_its_capacity_is_checked_first() {
     let set = Settings {
         cold: 0.25,
         warm_after: 1_000_000,
         tip: 2.0,
         tip_after: 100_000,
-        ..plain(4, 64)
+        ..uncrowded_settings(4, 64)
     };
-    let run = |spare: f64, heeds: bool| {
+    let run = |spare: f64, check_capacity: bool| {
         let mut server = Server::new(set);
         let mut actions = Vec::new();
         server.handle(0, Event::Start, &mut actions);
         let mut sent = 0.0;
         for (id, now) in (0_u64..).zip((0..900_000).step_by(1_000)) {
             let work = 1_000 + (id * 7_919) % 9_000;
-            if !heeds || server.has_capacity_for(now, work as f64, spare) {
+            if !check_capacity || server.has_capacity_for(now, work as f64, spare) {
                 sent += work as f64;
                 server.handle(now, Event::Arrive { id, work }, &mut actions);
             }
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -2,7 +2,7 @@
 
 use server_model::catalog::{self, Catalog, Record};
 use server_model::clients::{
-    self, Answer as Told, Clients, Consistency, Idempotency, RequestClass, RequestOutcome as Ended,
+    self, Answer as ClientAnswer, Clients, Consistency, Idempotency, RequestClass, RequestOutcome,
     Tenant, TimerKind,
 };
 use server_model::law::{Law, Work};
@@ -23,58 +23,60 @@
 }
 
 /// Drives a site and its timers, without a network or clients.
-struct Alone {
+struct SiteDriver {
     site: Site,
-    wakes: Vec<(Micros, TimerOwner)>,
-    said: Vec<(Micros, Action)>,
+    timers: Vec<(Micros, TimerOwner)>,
+    actions_seen: Vec<(Micros, Action)>,
 }
 
-impl Alone {
-    fn new(site: Site) -> Alone {
-        Alone {
+impl SiteDriver {
+    fn new(site: Site) -> SiteDriver {
+        SiteDriver {
             site,
-            wakes: Vec::new(),
-            said: Vec::new(),
+            timers: Vec::new(),
+            actions_seen: Vec::new(),
         }
     }
 
-    fn tell(&mut self, now: Micros, event: Event) {
+    fn handle(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.site.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer(at, wake) => self.wakes.push((at, wake)),
-                other => self.said.push((now, other)),
+                Action::SetTimer(at, owner) => self.timers.push((at, owner)),
+                other => self.actions_seen.push((now, other)),
             }
         }
     }
 
-    fn until(&mut self, end: Micros) {
-        while let Some(at) = (0..self.wakes.len()).min_by_key(|at| self.wakes[*at].0) {
-            if self.wakes[at].0 > end {
+    fn run_until(&mut self, end: Micros) {
+        while let Some(at) = (0..self.timers.len()).min_by_key(|at| self.timers[*at].0) {
+            if self.timers[at].0 > end {
                 return;
             }
-            let (now, wake) = self.wakes.remove(at);
-            self.tell(now, Event::Timer(wake));
+            let (now, owner) = self.timers.remove(at);
+            self.handle(now, Event::Timer(owner));
         }
     }
 
     fn answer(&self, wanted: u64) -> Option<Answer> {
-        self.said.iter().find_map(|(_, action)| match action {
-            Action::Answer {
-                exchange, answer, ..
-            } if *exchange == wanted => Some(*answer),
-            _ => None,
-        })
+        self.actions_seen
+            .iter()
+            .find_map(|(_, action)| match action {
+                Action::Answer {
+                    exchange, answer, ..
+                } if *exchange == wanted => Some(*answer),
+                _ => None,
+            })
     }
 
-    fn request(&mut self, now: Micros, exchange: u64, server: u32, ask: Operation) {
-        self.tell(
+    fn request(&mut self, now: Micros, exchange: u64, server: u32, operation: Operation) {
+        self.handle(
             now,
             Event::Request {
                 exchange,
                 server,
-                operation: ask,
+                operation: operation,
             },
         );
     }
@@ -96,11 +98,11 @@
 
 #[test]
 fn servers_answer_by_their_role_and_their_data() {
-    let mut alone = Alone::new(site());
-    alone.request(SECOND, 1, 0, write(7));
-    alone.request(SECOND, 2, 1, write(8));
-    alone.request(SECOND, 3, 1, READ);
-    alone.request(
+    let mut driver = SiteDriver::new(site());
+    driver.request(SECOND, 1, 0, write(7));
+    driver.request(SECOND, 2, 1, write(8));
+    driver.request(SECOND, 3, 1, READ);
+    driver.request(
         SECOND,
         4,
         1,
@@ -109,23 +111,23 @@
             ..READ
         },
     );
-    alone.request(SECOND, 5, 99, READ);
-    alone.until(2 * SECOND);
-    assert_eq!(alone.answer(1), Some(Answer::Ok));
+    driver.request(SECOND, 5, 99, READ);
+    driver.run_until(2 * SECOND);
+    assert_eq!(driver.answer(1), Some(Answer::Ok));
     assert_eq!(
-        alone.answer(2),
+        driver.answer(2),
         Some(Answer::Misdirected),
         "a replica rejects writes"
     );
-    assert_eq!(alone.answer(3), Some(Answer::Ok));
+    assert_eq!(driver.answer(3), Some(Answer::Ok));
     assert_eq!(
-        alone.answer(4),
+        driver.answer(4),
         Some(Answer::Misdirected),
         "the replica is 8 ms behind"
     );
-    assert_eq!(alone.answer(5), Some(Answer::Unreachable));
-    let applied: Vec<_> = alone
-        .said
+    assert_eq!(driver.answer(5), Some(Answer::Unreachable));
+    let applied: Vec<_> = driver
+        .actions_seen
         .iter()
         .filter(|(_, a)| matches!(a, Action::Applied { key: 7, .. }))
         .collect();
@@ -134,63 +136,69 @@
 
 #[test]
 fn a_write_at_a_primary_that_hangs_may_run_and_is_never_answered() {
-    let mut alone = Alone::new(site());
-    alone.request(SECOND, 1, 0, write(7));
-    alone.tell(
+    let mut driver = SiteDriver::new(site());
+    driver.request(SECOND, 1, 0, write(7));
+    driver.handle(
         SECOND + 10_000,
         Event::Fault(ServerFault::Hang {
             server: 0,
             on: true,
         }),
     );
-    alone.request(SECOND + 20_000, 2, 0, READ);
-    alone.until(20 * SECOND);
-    assert_eq!((alone.answer(1), alone.answer(2)), (None, None));
-    let said = |wanted: fn(&Action) -> bool| alone.said.iter().filter(|(_, a)| wanted(a)).count();
-    assert_eq!(said(|a| matches!(a, Action::Applied { .. })), 1);
+    driver.request(SECOND + 20_000, 2, 0, READ);
+    driver.run_until(20 * SECOND);
+    assert_eq!((driver.answer(1), driver.answer(2)), (None, None));
+    let count = |wanted: fn(&Action) -> bool| {
+        driver
+            .actions_seen
+            .iter()
+            .filter(|(_, a)| wanted(a))
+            .count()
+    };
+    assert_eq!(count(|a| matches!(a, Action::Applied { .. })), 1);
     assert_eq!(
-        said(|a| matches!(a, Action::Undone { server: 0, .. })),
+        count(|a| matches!(a, Action::Undone { server: 0, .. })),
         1,
         "the write had not been replicated"
     );
-    assert_eq!(said(|a| matches!(a, Action::Primary { group: 0, .. })), 1);
-    assert!(alone.site.primary(0) != Some(0) && alone.site.primary(1) == Some(5));
+    assert_eq!(count(|a| matches!(a, Action::Primary { group: 0, .. })), 1);
+    assert!(driver.site.primary(0) != Some(0) && driver.site.primary(1) == Some(5));
 }
 
 #[test]
 fn a_drain_hands_over_and_a_new_server_comes_cold_and_behind() {
-    let mut alone = Alone::new(site());
-    alone.request(SECOND, 1, 0, write(7));
-    alone.tell(SECOND + 10, Event::Fault(ServerFault::Drain(0)));
-    alone.request(SECOND + 20, 2, 0, READ);
+    let mut driver = SiteDriver::new(site());
+    driver.request(SECOND, 1, 0, write(7));
+    driver.handle(SECOND + 10, Event::Fault(ServerFault::Drain(0)));
+    driver.request(SECOND + 20, 2, 0, READ);
     assert_eq!(
-        alone.answer(2),
+        driver.answer(2),
         Some(Answer::Rejected),
         "a draining server accepts no new requests"
     );
-    alone.until(2 * SECOND);
+    driver.run_until(2 * SECOND);
     assert_eq!(
-        alone.answer(1),
+        driver.answer(1),
         Some(Answer::Failed),
         "the server lost the primary role before the work was done"
     );
-    assert_eq!(alone.site.status(0), Status::Draining);
-    alone.tell(2 * SECOND, Event::Fault(ServerFault::Retire(0)));
-    alone.tell(
+    assert_eq!(driver.site.status(0), Status::Draining);
+    driver.handle(2 * SECOND, Event::Fault(ServerFault::Retire(0)));
+    driver.handle(
         2 * SECOND,
         Event::Fault(ServerFault::Join { group: 0, place: 0 }),
     );
-    let new = alone.site.servers().end - 1;
+    let new = driver.site.servers().end - 1;
     assert_eq!(
-        (alone.site.group(new), alone.site.started(new)),
+        (driver.site.group(new), driver.site.started(new)),
         (0, 2 * SECOND)
     );
     assert!(
-        alone.site.capacity(new, 2 * SECOND) < 0.2
-            && alone.site.position(new, 2 * SECOND) < 2 * SECOND
+        driver.site.capacity(new, 2 * SECOND) < 0.2
+            && driver.site.position(new, 2 * SECOND) < 2 * SECOND
     );
-    let changed: Vec<_> = alone
-        .said
+    let changed: Vec<_> = driver
+        .actions_seen
         .iter()
         .filter_map(|(_, a)| {
             if let Action::Changed(s) = a {
@@ -224,7 +232,7 @@
     assert!(site.dial(0, 60, &mut actions));
 }
 
-fn told(catalog: &mut Catalog, now: Micros, event: catalog::Event) -> Vec<catalog::Action> {
+fn handle(catalog: &mut Catalog, now: Micros, event: catalog::Event) -> Vec<catalog::Action> {
     let mut actions = Vec::new();
     catalog.handle(now, event, &mut actions);
     actions
@@ -246,11 +254,11 @@
     };
     let mut list = Catalog::new(set, (0..3).map(|s| record(s, Status::Ready)));
     for caller in 0..5 {
-        told(&mut list, 0, catalog::Event::Watch { caller, after: 0 });
+        handle(&mut list, 0, catalog::Event::Watch { caller, after: 0 });
     }
     let mut answered = Vec::new();
     for now in (100..=600).step_by(100) {
-        answered.extend(told(&mut list, now, catalog::Event::Due));
+        answered.extend(handle(&mut list, now, catalog::Event::Due));
     }
     let complete = answered
         .iter()
@@ -265,25 +273,28 @@
         (2, 3),
         "calls that waited too long fail"
     );
-    told(
+    handle(
         &mut list,
         1_000,
         catalog::Event::Changed(record(1, Status::Gone)),
     );
-    assert_eq!(told(&mut list, 1_999, catalog::Event::Due), []);
-    let news = told(&mut list, 2_000, catalog::Event::Due);
-    assert_eq!(news.len(), 2, "one update per watcher: {news:?}");
+    assert_eq!(handle(&mut list, 1_999, catalog::Event::Due), []);
+    let updates = handle(&mut list, 2_000, catalog::Event::Due);
+    assert_eq!(updates.len(), 2, "one update per watcher: {updates:?}");
     assert_eq!(list.records().count(), 2);
     // An outage ends all watches; afterwards a watch continues from its index.
-    assert_eq!(told(&mut list, 2_100, catalog::Event::Down(true)).len(), 2);
-    told(
+    assert_eq!(
+        handle(&mut list, 2_100, catalog::Event::Down(true)).len(),
+        2
+    );
+    handle(
         &mut list,
         2_200,
         catalog::Event::Changed(record(2, Status::Draining)),
     );
-    told(&mut list, 3_300, catalog::Event::Due);
+    handle(&mut list, 3_300, catalog::Event::Due);
     assert!(matches!(
-        told(
+        handle(
             &mut list,
             3_300,
             catalog::Event::Watch {
@@ -293,8 +304,8 @@
         )[..],
         [catalog::Action::Fail(0)]
     ));
-    told(&mut list, 3_400, catalog::Event::Down(false));
-    told(
+    handle(&mut list, 3_400, catalog::Event::Down(false));
+    handle(
         &mut list,
         3_400,
         catalog::Event::Watch {
@@ -302,10 +313,10 @@
             after: 2,
         },
     );
-    let news = told(&mut list, 3_500, catalog::Event::Due);
+    let updates = handle(&mut list, 3_500, catalog::Event::Due);
     assert!(
-        matches!(&news[..], [catalog::Action::Update { complete: false, records, .. }] if records.len() == 1),
-        "{news:?}"
+        matches!(&updates[..], [catalog::Action::Update { complete: false, records, .. }] if records.len() == 1),
+        "{updates:?}"
     );
 }
 
@@ -366,11 +377,11 @@
     assert!(took.contains(&(600 + 200_000 + 400_000)));
 }
 
-fn kinds() -> Vec<RequestClass> {
-    let kind = |name: &str, need, repeat, share| RequestClass {
+fn request_classes() -> Vec<RequestClass> {
+    let class = |name: &str, consistency, idempotency, share| RequestClass {
         name: name.into(),
-        consistency: need,
-        idempotency: repeat,
+        consistency: consistency,
+        idempotency: idempotency,
         share,
         work: Work::new(Law::Fixed, 50_000.0),
         latency_objective: 200_000,
@@ -379,14 +390,14 @@
         late_weight_fraction: 0.5,
     };
     vec![
-        kind("read", Consistency::Eventual, Idempotency::Idempotent, 0.7),
-        kind(
+        class("read", Consistency::Eventual, Idempotency::Idempotent, 0.7),
+        class(
             "own",
             Consistency::ReadYourWrites,
             Idempotency::Idempotent,
             0.2,
         ),
-        kind("book", Consistency::Write, Idempotency::NonIdempotent, 0.1),
+        class("book", Consistency::Write, Idempotency::NonIdempotent, 0.1),
     ]
 }
 
@@ -398,7 +409,7 @@
         credit: None,
     };
     clients::Settings {
-        classes: kinds(),
+        classes: request_classes(),
         tenants: vec![tenant("a", 0.75, 0.0), tenant("b", 0.25, 10.0)],
         over_quota_weight_fraction: 0.05,
         requests_per_s: 100.0,
@@ -424,7 +435,7 @@
 /// Runs clients whose attempts are answered by `answer` after 60 ms; `None` leaves an attempt unanswered.
 fn play(
     set: clients::Settings,
-    answer: impl Fn(&clients::ClientAttempt) -> Option<Told>,
+    answer: impl Fn(&clients::ClientAttempt) -> Option<ClientAnswer>,
     seed: u64,
 ) -> Vec<(Micros, clients::Action)> {
     let mut clients = Clients::new(set, &Streams::new(seed));
@@ -437,9 +448,9 @@
         for action in &actions {
             match action {
                 clients::Action::SetTimer(at, due) => wheel.put(*at, clients::Event::Timer(*due)),
-                clients::Action::Send(asked) => {
-                    if let Some(answer) = answer(asked) {
-                        wheel.put(now + 60_000, clients::Event::Answered(asked.id, answer));
+                clients::Action::Send(attempts) => {
+                    if let Some(answer) = answer(attempts) {
+                        wheel.put(now + 60_000, clients::Event::Answered(attempts.id, answer));
                     }
                 }
                 _ => {}
@@ -456,7 +467,7 @@
     all
 }
 
-fn asked(all: &[(Micros, clients::Action)]) -> Vec<(Micros, clients::ClientAttempt)> {
+fn sent_attempts(all: &[(Micros, clients::Action)]) -> Vec<(Micros, clients::ClientAttempt)> {
     all.iter()
         .filter_map(|(at, a)| {
             if let clients::Action::Send(t) = a {
@@ -482,28 +493,28 @@
 
 #[test]
 fn requests_come_by_the_profile_and_the_shares() {
-    let all = play(settings(), |_| Some(Told::Served { commit: 0 }), 1);
-    let asked = asked(&all);
+    let all = play(settings(), |_| Some(ClientAnswer::Served { commit: 0 }), 1);
+    let attempts = sent_attempts(&all);
     // 5,000 in the first half, 10,000 in the second; two standard deviations are about 140 and 200.
-    let early = asked.iter().filter(|(at, _)| *at < 50 * SECOND).count();
+    let early = attempts.iter().filter(|(at, _)| *at < 50 * SECOND).count();
     assert!((4_800..5_200).contains(&early), "{early}");
     assert!(
-        (9_700..10_300).contains(&(asked.len() - early)),
+        (9_700..10_300).contains(&(attempts.len() - early)),
         "{}",
-        asked.len()
+        attempts.len()
     );
     let part = |fits: &dyn Fn(&clients::ClientAttempt) -> bool| {
-        asked.iter().filter(|(_, t)| fits(t)).count() as f64 / asked.len() as f64
+        attempts.iter().filter(|(_, t)| fits(t)).count() as f64 / attempts.len() as f64
     };
     assert!((part(&|t| t.class == 2) - 0.1).abs() < 0.01);
     assert!((part(&|t| t.tenant == 1) - 0.25).abs() < 0.01);
     // 1, 1/2 and 1/3 of 11/6.
     assert!((part(&|t| t.proxy == 0) - 6.0 / 11.0).abs() < 0.015);
     let settled = settled(&all);
-    assert_eq!(settled.len(), asked.len());
+    assert_eq!(settled.len(), attempts.len());
     assert!(settled
         .iter()
-        .all(|s| s.outcome == Ended::Served && s.earned == s.priority_weight));
+        .all(|s| s.outcome == RequestOutcome::Served && s.earned == s.priority_weight));
     // Of tenant b, only ten requests per second count with full weight.
     let full = settled
         .iter()
@@ -513,25 +524,27 @@
 }
 
 #[test]
-fn only_what_does_no_harm_is_asked_for_again() {
-    let all = play(settings(), |_| Some(Told::Failed), 2);
-    assert!(asked(&all).iter().all(|(_, t)| t.class != 2 || !t.is_retry));
-    let tries = settled(&all)
+fn only_rejected_or_idempotent_requests_are_retried() {
+    let all = play(settings(), |_| Some(ClientAnswer::Failed), 2);
+    assert!(sent_attempts(&all)
+        .iter()
+        .all(|(_, t)| t.class != 2 || !t.is_retry));
+    let max_attempts = settled(&all)
         .iter()
         .filter(|s| s.class == 0)
         .map(|s| s.attempts)
         .max();
-    assert_eq!(tries, Some(4), "one attempt and three retries");
-    let refused = play(
+    assert_eq!(max_attempts, Some(4), "one attempt and three retries");
+    let rejected = play(
         settings(),
         |_| {
-            Some(Told::Rejected {
+            Some(ClientAnswer::Rejected {
                 retry_after: Some(300_000),
             })
         },
         2,
     );
-    let writes: Vec<_> = asked(&refused)
+    let writes: Vec<_> = sent_attempts(&rejected)
         .into_iter()
         .filter(|(_, t)| t.class == 2)
         .collect();
@@ -550,26 +563,26 @@
         "{}",
         back - at
     );
-    let left = play(settings(), |_| None, 3);
-    assert!(settled(&left)
+    let unanswered = play(settings(), |_| None, 3);
+    assert!(settled(&unanswered)
         .iter()
-        .all(|s| s.outcome == Ended::Abandoned && s.earned == 0.0));
+        .all(|s| s.outcome == RequestOutcome::Abandoned && s.earned == 0.0));
     // The attempt timeout is 40 to 100 percent of the deadline, and no request is retried beyond the deadline.
-    assert!(asked(&left)
+    assert!(sent_attempts(&unanswered)
         .iter()
         .all(|(_, t)| t.timeout <= SECOND && (t.is_retry || t.timeout >= 400_000)));
 }
 
 #[test]
-fn what_is_asked_does_not_depend_on_the_answers() {
+fn arrivals_do_not_depend_on_the_answers() {
     let first = |all: &[(Micros, clients::Action)]| -> Vec<(Micros, usize, usize, usize)> {
-        let tries = asked(all).into_iter().filter(|(_, t)| !t.is_retry);
-        tries
+        let attempts = sent_attempts(all).into_iter().filter(|(_, t)| !t.is_retry);
+        attempts
             .map(|(at, t)| (at, t.class, t.proxy, t.tenant))
             .collect()
     };
-    let served = play(settings(), |_| Some(Told::Served { commit: 0 }), 5);
-    let failed = play(settings(), |_| Some(Told::Failed), 5);
+    let served = play(settings(), |_| Some(ClientAnswer::Served { commit: 0 }), 5);
+    let failed = play(settings(), |_| Some(ClientAnswer::Failed), 5);
     assert_eq!(first(&served), first(&failed));
 }
 
@@ -578,22 +591,26 @@
     let all = play(
         settings(),
         |t| {
-            Some(Told::Served {
+            Some(ClientAnswer::Served {
                 commit: if t.class == 2 { 9 } else { 0 },
             })
         },
         6,
     );
-    let reads: Vec<_> = asked(&all)
+    let reads: Vec<_> = sent_attempts(&all)
         .into_iter()
         .filter(|(_, t)| t.class == 1)
         .collect();
-    let told = reads.iter().filter(|(_, t)| t.last_write > 0).count();
-    assert!(told * 2 > reads.len(), "{told} of {}", reads.len());
+    let after_write = reads.iter().filter(|(_, t)| t.last_write > 0).count();
+    assert!(
+        after_write * 2 > reads.len(),
+        "{after_write} of {}",
+        reads.len()
+    );
 }
 
 #[test]
-fn whose_proxy_is_down_goes_to_another() {
+fn clients_of_a_proxy_that_is_down_use_another() {
     let mut clients = Clients::new(settings(), &Streams::new(1));
     let mut actions = Vec::new();
     clients.handle(
@@ -612,28 +629,29 @@
             &mut actions,
         );
     }
-    let tries = actions.iter().filter_map(|a| {
+    let attempts = actions.iter().filter_map(|a| {
         if let clients::Action::Send(t) = a {
             Some(t.proxy)
         } else {
             None
         }
     });
-    let tries: Vec<usize> = tries.collect();
-    assert!(!tries.is_empty() && tries.iter().all(|proxy| *proxy != 0));
+    let attempts: Vec<usize> = attempts.collect();
+    assert!(!attempts.is_empty() && attempts.iter().all(|proxy| *proxy != 0));
 }
 
 #[test]
-fn busy_proxies_carry_their_part() {
+fn busy_proxies_carry_their_share_of_the_requests() {
     let set = clients::Settings {
         busy_proxies: 1,
         busy_proxies_share: 0.8,
         proxy_skew: 0.0,
         ..settings()
     };
-    let asked = asked(&play(set, |_| Some(Told::Served { commit: 0 }), 2));
-    let part =
-        |proxy| asked.iter().filter(|(_, t)| t.proxy == proxy).count() as f64 / asked.len() as f64;
+    let attempts = sent_attempts(&play(set, |_| Some(ClientAnswer::Served { commit: 0 }), 2));
+    let part = |proxy| {
+        attempts.iter().filter(|(_, t)| t.proxy == proxy).count() as f64 / attempts.len() as f64
+    };
     // Three standard deviations are 0.01.
     assert!(
         (part(0) - 0.8).abs() < 0.01 && (part(1) - 0.1).abs() < 0.01,
