--- a/crates/incidents/src/balancer.rs
+++ b/crates/incidents/src/balancer.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for balancers, after the public manuals: checks at an interval, rise and fall, the agent's words.
+//! Models of load balancers according to their public manuals: periodic checks, rise and fall thresholds, and agent
+//! responses.
 
 use crate::Time;
 use std::time::Duration;
@@ -6,34 +7,34 @@
 use wire_health::http::{self, Statuses};
 use wire_health::Status;
 
-/// The health protocol that a balancer uses.
+/// Health protocol of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthProtocol {
     /// HAProxy's agent check.
     Agent,
-    /// `disable_on_404`: a 404 puts a server into drain and is no failure.
+    /// HTTP health check.
     Http {
-        /// Whether a 404 means drain.
+        /// Whether a 404 drains the server instead of counting as a failure.
         disable_on_404: bool,
     },
 }
 
-/// How a balancer checks its servers.
+/// Health-check settings of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Its name in reports.
+    /// Name of the balancer in reports.
     pub name: &'static str,
-    /// The protocol of its checks.
+    /// Protocol of the checks.
     pub protocol: HealthProtocol,
-    /// Time between two checks of one server.
+    /// Interval between two checks of one server.
     pub interval: Duration,
-    /// Good checks in a row after which a server is up.
+    /// Number of consecutive successful checks after which a server is up.
     pub rise: u32,
-    /// Bad checks in a row after which a server is down.
+    /// Number of consecutive failed checks after which a server is down.
     pub fall: u32,
 }
 
-/// A server as a balancer sees it.
+/// State of a server at a balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Server {
     up: bool,
@@ -48,25 +49,25 @@
 /// A balancer in front of the proxies.
 #[derive(Debug)]
 pub struct Balancer {
-    /// How it checks.
+    /// Health-check settings.
     pub settings: Settings,
-    /// The proxies, as it sees them.
+    /// State of each proxy.
     pub servers: Vec<Server>,
 }
 
-/// What a balancer has come to believe of a server.
+/// A balancer's view of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Belief {
-    /// It is sent new requests unless it is drained.
+    /// Whether the server gets new requests, unless it is drained.
     pub up: bool,
-    /// It is sent nothing new.
+    /// Whether the server gets no new requests.
     pub drained: bool,
-    /// Percent of the configured weight.
+    /// Weight in percent of the configured weight.
     pub weight: u32,
 }
 
 impl Balancer {
-    /// The first checks of its servers are spread over an interval.
+    /// Creates a balancer that spreads the first checks of its servers over an interval.
     pub fn new(settings: Settings, servers: usize) -> Balancer {
         let server = |at: usize| Server {
             up: true,
@@ -88,13 +89,13 @@
         self.servers[server].next <= now
     }
 
-    /// A check of a server, with what the server would answer; none: it says nothing.
+    /// Performs a check of a server; `status` is the server's status, or `None` if it does not respond.
     pub fn check(&mut self, at: usize, status: Option<&Status>, now: Time) {
         let settings = self.settings;
         let server = &mut self.servers[at];
         server.next = now + settings.interval;
         match settings.protocol {
-            // An agent that can't be reached changes nothing: that is what the checks beside it are for.
+            // An unreachable agent changes nothing; detecting that is the task of the regular health checks.
             HealthProtocol::Agent => {
                 if let Some(status) = status {
                     server.agent(&agent::response_line(status));
@@ -117,7 +118,7 @@
         }
     }
 
-    /// What it believes of a server.
+    /// The balancer's view of a server.
     pub fn belief(&self, at: usize) -> Belief {
         let Server {
             up,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The part of its traffic that each server gets.
+    /// Fraction of the traffic per server.
     pub fn shares(&self) -> Vec<f64> {
         let weights: Vec<f64> = (0..self.servers.len())
             .map(|at| match self.belief(at) {
@@ -153,7 +154,7 @@
     }
 }
 
-/// What the real codec answers, as far as a balancer reads it.
+/// HTTP status code of the real codec's response.
 fn code(status: &Status, drain_is_404: bool) -> u16 {
     let request = b"GET /readyz HTTP/1.1\r\nConnection: close\r\n\r\n";
     let Ok(Some((check, _))) = http::parse(request) else {
@@ -173,7 +174,7 @@
 }
 
 impl Server {
-    /// A server that is up, with its full weight.
+    /// Server that is up and has its full weight.
     pub fn new() -> Server {
         Server {
             up: true,
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The administrative state and the operational one are set apart: `up` does not undo a drain.
+    /// Applies an agent response. Administrative and operational states are independent: `up` does not end a drain.
     pub fn agent(&mut self, line: &str) {
         let words = agent::parse_response(line);
         match words.operational {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// It gets traffic.
+    /// Whether the server gets traffic.
     pub fn takes_traffic(&self) -> bool {
         self.up && !self.drained && !self.maint && self.weight > 0
     }
--- a/crates/incidents/src/chart.rs
+++ b/crates/incidents/src/chart.rs
@@ -1,4 +1,4 @@
-//! A time-line as a chart: the weights that proxies told, and what a balancer believed, over the true trouble.
+//! Chart of an incident over time: weights reported by the proxies, weights used by a balancer, and the fault window.
 
 use crate::outcome::Outcome;
 use crate::script::Incident;
@@ -12,7 +12,7 @@
     RGBColor(148, 103, 189),
 ];
 
-/// An SVG. Proxies as lines, what the first balancer gives them as dots, the trouble as a band.
+/// Renders an SVG with the reported weights as lines, the first balancer's weights as dots and the fault as a band.
 pub fn svg(incident: &Incident, outcome: &Outcome) -> Result<String, Box<dyn std::error::Error>> {
     let mut text = String::new();
     {
--- a/crates/incidents/src/lib.rs
+++ b/crates/incidents/src/lib.rs
@@ -1,5 +1,6 @@
-//! Scripted balancers before proxies that run the real availability model and the real drain choreography, on virtual
-//! time. An incident is played; what each balancer was told is recorded beside what was true.
+//! Simulates incidents of health reporting on virtual time: scripted load balancers in front of proxies that run the
+//! real availability model and the real drain sequence. A run records the reports that each balancer received along
+//! with the actual state.
 
 pub mod balancer;
 pub mod chart;
--- a/crates/incidents/src/main.rs
+++ b/crates/incidents/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays all incidents and writes the table and the charts: `cargo run --release -p incidents -- FOLDER [SEED]`.
+//! Simulates all incidents and writes a table, charts and CSV files: `cargo run --release -p incidents -- FOLDER [SEED]`.
 
 use incidents::{chart, play, script};
 use std::path::PathBuf;
--- a/crates/incidents/src/outcome.rs
+++ b/crates/incidents/src/outcome.rs
@@ -1,63 +1,63 @@
-//! What came of an incident.
+//! Outcome of a simulated incident.
 
 use crate::balancer::Belief;
 use crate::Time;
 use availability::{Condition, LinkState, State};
 use std::time::Duration;
 
-/// What was told and believed, sampled.
+/// Sample of the reported states and the balancers' views.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// When it was sampled.
+    /// Time of the sample.
     pub at: Time,
-    /// By proxy.
+    /// Reported state by proxy.
     pub states: Vec<State>,
-    /// By proxy, in percent.
+    /// Reported weight by proxy, in percent.
     pub weights: Vec<u8>,
-    /// By balancer, by proxy.
+    /// Views by balancer, then by proxy.
     pub beliefs: Vec<Vec<Belief>>,
-    /// Requests that found no proxy at all.
+    /// Number of requests so far for which no proxy was available.
     pub no_proxy_available: u64,
 }
 
 /// A proxy's change of state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateChange {
-    /// When.
+    /// Time of the change.
     pub at: Time,
-    /// Which proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// Its state from then on.
+    /// New state.
     pub state: State,
 }
 
-/// What came of an incident.
+/// Outcome of an incident.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// States and beliefs over time.
+    /// Samples of states and views over time.
     pub samples: Vec<Sample>,
-    /// Every change of a proxy's state.
+    /// All state changes of the proxies.
     pub state_changes: Vec<StateChange>,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub requests: u64,
-    /// Requests that were answered.
+    /// Number of requests that were answered.
     pub served: u64,
-    /// Requests that came while every proxy was out for their balancer.
+    /// Number of requests that arrived while their balancer had no proxy in service.
     pub no_proxy_available: u64,
-    /// Requests that a balancer sent to a proxy whose door was closed.
+    /// Number of requests that a balancer sent to a proxy that did not listen.
     pub not_listening: u64,
-    /// From the start of the trouble to the first proxy, and the last, that tells of it.
+    /// Time from the start of the fault to the first proxy that reports it.
     pub first_report_delay: Option<Duration>,
-    /// From the start of the fault to the last proxy that reports it.
+    /// Time from the start of the fault to the last proxy that reports it.
     pub last_report_delay: Option<Duration>,
-    /// Balancers that held a proxy for down or drained that may not be.
+    /// Number of checks after which a balancer wrongly considered a proxy down or drained.
     pub false_downs: u64,
-    /// The least sum of the weights that proxies told, out of 100 each.
+    /// Lowest sum of the reported weights of proxies that must stay in service, in percent.
     pub least_weight_sum: u32,
-    /// Changes of state in the worst minute of any proxy.
+    /// Maximum number of state changes of one proxy within a minute.
     pub flaps: usize,
-    /// Groups' conditions at the worst, by proxy, for the group that the script touches.
+    /// Worst condition of any group that a proxy reported before the end of the fault.
     pub worst_condition: Option<Condition>,
-    /// Every change in how a proxy sees the link to a building.
+    /// Changes of link states as (time, proxy, building, state).
     pub links: Vec<(Time, usize, u16, LinkState)>,
 }
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -1,4 +1,5 @@
-//! Plays an incident: requests by the balancers' shares, record servers by the script, the real model in each proxy.
+//! Simulates an incident: balancers distribute requests by weight, record servers follow the script, and each proxy
+//! runs the real availability model.
 
 use crate::balancer::Balancer;
 use crate::outcome::{Outcome, Sample, StateChange};
@@ -12,13 +13,13 @@
 use std::time::Duration;
 use wire_health::Status;
 
-/// Steps of virtual time.
+/// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
 
-/// Interval of the samples of states and beliefs, in milliseconds.
+/// Interval between samples of states and views, in milliseconds.
 const SAMPLE_INTERVAL_MS: u128 = 100;
 
-/// The same incident and seed, the same outcome.
+/// Simulates an incident; the outcome is determined by the incident and the seed.
 pub fn play(incident: &Incident, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(incident, seed);
     while simulation.now < incident.length {
@@ -35,18 +36,18 @@
     world: World,
     proxies: Vec<Proxy>,
     balancers: Vec<Balancer>,
-    /// In the order of time; `next_change` is the first that has not happened.
+    /// Scripted changes in order of time.
     changes: Vec<(Time, Change)>,
     next_change: usize,
-    /// The multiple of the usual requests.
+    /// Factor on the usual request rate.
     demand: f64,
-    /// Requests that are due and not yet sent, with the fraction of the next one.
+    /// Number of requests that are due and not sent, including the fraction of the next one.
     due_requests: f64,
     last_request: u64,
     now: Time,
-    /// By proxy, as of its last step.
+    /// State of each proxy after its last step.
     states: Vec<State>,
-    /// By proxy, whether it has reported the fault.
+    /// Whether each proxy has reported the fault.
     reported: Vec<bool>,
     outcome: Outcome,
 }
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Each balancer sends in turn, to proxies by its shares.
+    /// Sends the due requests through the balancers in turn, each of which picks proxies by its shares.
     fn send_requests(&mut self) {
         self.due_requests += self.incident.requests_per_s * self.demand * STEP.as_secs_f64();
         while self.due_requests >= 1.0 {
@@ -202,7 +203,8 @@
         self.record_report(at, state);
     }
 
-    /// A proxy reports the fault by another state, by a group's condition, or by the state of a link.
+    /// Records the first report of the fault by a proxy: a state other than ready, a group that is not serving, or a
+    /// link that is not up.
     fn record_report(&mut self, at: usize, state: State) {
         let proxy = &self.proxies[at];
         let (begins, ends) = self.incident.fault_window;
@@ -288,7 +290,7 @@
         .unwrap_or(0)
 }
 
-/// The model's state as the health codecs take it.
+/// Status of the model as input of the health codecs.
 fn status(model: &Availability) -> Status {
     let report = model.report();
     Status {
--- a/crates/incidents/src/proxy.rs
+++ b/crates/incidents/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy with the real availability and drain models, and the attempts that it has in flight.
+//! Proxy with the real availability and drain models and its attempts in flight.
 
 use crate::script::{Incident, Servers, PLACES};
 use crate::world::{Reach, World};
@@ -11,16 +11,16 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// What an answer takes as a rule, and how long an attempt is waited for.
+/// Typical latency of a read.
 const USUAL_LATENCY: Duration = Duration::from_millis(55);
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A member that broke is left alone for this long.
+/// Time for which no reads are sent to a member after a failed attempt.
 const FAILED_MEMBER_BACKOFF: Duration = Duration::from_secs(1);
-/// Discovery says this often that nothing has changed.
+/// Interval at which discovery confirms the endpoint list.
 const LIST_INTERVAL: Duration = Duration::from_secs(2);
-/// Part of the requests that are writes.
+/// Fraction of the requests that are writes.
 const WRITE_FRACTION: f64 = 0.06;
-/// Requests open at a proxy that use up all its descriptors, when nothing else does.
+/// Number of open requests that exhaust a proxy's descriptors.
 const DESCRIPTOR_LIMIT: f64 = 120.0;
 
 /// One proxy.
@@ -33,21 +33,21 @@
     open: u32,
     pub(crate) stalled_until: Time,
     in_flight: BinaryHeap<Reverse<InFlight>>,
-    /// By server, until when it is left alone.
+    /// End of the backoff, by server.
     backoff_until: Vec<Time>,
     pub(crate) links: Vec<LinkState>,
 }
 
-/// An attempt that is out: when it is over, its number, its server, how it ends and what it takes.
+/// Attempt in flight as (end time, request number, server, result, duration).
 type InFlight = (Time, u64, u32, AttemptResult, Duration);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum AttemptResult {
     Answered,
-    /// A write that was served, and one that found no primary.
+    /// A write that was served.
     Wrote,
     NoPrimary,
-    /// With a word of the machine, and without any.
+    /// The connection was refused.
     Refused,
     Silent,
 }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A request, sent once: a write to the primary, a read to a member that does not rest.
+    /// Sends a request in a single attempt: a write to the primary, a read to a member that is not in backoff.
     pub(crate) fn send_request(
         &mut self,
         own: usize,
@@ -135,7 +135,7 @@
         } else {
             any
         };
-        // Run times scatter: the sum of two uniform parts.
+        // Run times vary by the sum of two uniform random numbers.
         let scatter = 0.4 + 0.6 * (rng.random::<f64>() + rng.random::<f64>());
         let (end, took) = match world.reach(own, server) {
             Reach::Nothing => (AttemptResult::Silent, ATTEMPT_TIMEOUT),
@@ -165,7 +165,7 @@
             .push(Reverse((now + took, number, server, end, took)));
     }
 
-    /// Answers and time; how many were served.
+    /// Completes the due attempts, runs the periodic events and returns the number of served requests.
     pub(crate) fn step(&mut self, own: usize, world: &World, now: Time) -> u64 {
         let mut served = 0;
         while let Some(&Reverse((at, _, server, end, elapsed))) = self.in_flight.peek() {
--- a/crates/incidents/src/script.rs
+++ b/crates/incidents/src/script.rs
@@ -1,17 +1,17 @@
-//! Incidents: what goes wrong, when, and what of it is true of which proxy.
+//! Scripts of the incidents: faults, their times and the proxies that they affect.
 
 use crate::balancer::{HealthProtocol, Settings};
 use crate::Time;
 use std::time::Duration;
 
-/// What a group of record servers does with what it is sent.
+/// Behaviour of a group of record servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Servers {
-    /// Answers, times as slow as usual.
+    /// Answers all requests, slower than usual by this factor.
     Answer(f64),
-    /// Answers no write for want of a primary; reads are served.
+    /// Has no primary: rejects writes and serves reads.
     NoPrimary,
-    /// Takes requests and answers none.
+    /// Accepts requests without answering them.
     Silent,
     /// Refuses connections.
     Dead,
@@ -20,58 +20,58 @@
 /// A change in a scripted incident.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// One group behaves so from now on.
+    /// Sets the behaviour of one group.
     Group(u32, Servers),
-    /// All groups behave so from now on.
+    /// Sets the behaviour of all groups.
     AllGroups(Servers),
-    /// A proxy's loop is late by this.
+    /// Sets the lag of a proxy's event loop.
     Lag(usize, Duration),
-    /// Part of a proxy's descriptors in use beyond what its requests take.
+    /// Sets the fraction of a proxy's descriptors in use in addition to those of its requests.
     Descriptors(usize, f64),
-    /// All proxies get so many times the usual requests.
+    /// Multiplies the usual request rate by this factor.
     Demand(f64),
     /// An operator drains a proxy.
     Drain(usize),
     /// An operator puts a proxy back into service.
     Undrain(usize),
-    /// Whether a proxy hears discovery.
+    /// Sets whether a proxy is connected to discovery.
     Discovery(usize, bool),
-    /// Nothing of a proxy moves for so long.
+    /// A proxy stalls for this long.
     Stall(usize, Duration),
-    /// The link from a proxy to a building stands, or nothing passes it.
+    /// Sets whether the link from a proxy to a building is up.
     Link(usize, u16, bool),
-    /// The buildings' own link to each other.
+    /// Sets whether the link between the buildings is cut.
     Apart(bool),
-    /// A building has power. Without it its machines say nothing, the list drops them after a while, and groups whose
-    /// primary was there find another in the other building; with it they are back.
+    /// Sets whether a building has power. Without power its machines do not respond, the endpoint list drops them
+    /// after a delay, and groups whose primary was there elect another one in the other building.
     Power(u16, bool),
-    /// The servers of a building take requests and answer none.
+    /// Sets whether the servers of a building hang: they accept requests without answering them.
     HungBuilding(u16, bool),
 }
 
-/// Buildings; every group has two members in each.
+/// Number of buildings; every group has two members in each.
 pub const PLACES: u16 = 2;
 
-/// A scripted incident: what goes wrong, when, and who may be out of service for it.
+/// Scripted incident: changes over time, and the proxies that may be out of service because of them.
 #[derive(Clone, Debug)]
 pub struct Incident {
-    /// Its name.
+    /// Name of the incident.
     pub name: &'static str,
-    /// What happens, in a sentence.
+    /// Description in one sentence.
     pub about: &'static str,
     /// Number of proxies.
     pub proxies: usize,
     /// Number of groups.
     pub groups: u32,
-    /// Requests a second, to all proxies together.
+    /// Requests per second to all proxies together.
     pub requests_per_s: f64,
-    /// How long it is played.
+    /// Simulated duration.
     pub length: Duration,
-    /// What changes, in the order of time.
+    /// Changes with their times, in order of time.
     pub changes: Vec<(Time, Change)>,
     /// The balancers in front of the proxies.
     pub balancers: Vec<Settings>,
-    /// When the trouble is there, and which proxies may truly be told to be out of service meanwhile.
+    /// Start and end of the fault.
     pub fault_window: (Time, Time),
     /// Proxies that may be reported out of service during the fault.
     pub may_be_out: Vec<usize>,
@@ -99,7 +99,7 @@
     }
 }
 
-/// All of them, each of 90 s with its trouble between 30 and 60 s unless it says otherwise.
+/// All incidents. By default an incident takes 90 s and its fault lasts from 30 s to 60 s.
 pub fn all() -> Vec<Incident> {
     let base = Incident {
         name: "",
--- a/crates/incidents/src/world.rs
+++ b/crates/incidents/src/world.rs
@@ -1,26 +1,25 @@
-//! Record servers in two buildings, as far as proxies can see them: who is primary, how far each has the log, who
-//! reaches whom.
+//! Record servers in two buildings as visible to proxies: primaries, positions and reachability.
 
 use crate::script::{Servers, PLACES};
 use crate::Time;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Of each group, half of them in each building.
+/// Members per group; half of them are in each building.
 const MEMBERS: u32 = 4;
-/// A lost primary is given up and another takes over after this.
+/// Time from the loss of a primary until another member takes over.
 const ELECTION: Duration = Duration::from_secs(5);
-/// The list drops what is dead, and takes up what is back, after this.
+/// Delay until the endpoint list drops a dead server or lists a recovered one.
 const LIST_LATE: Duration = Duration::from_secs(6);
-/// The log's way to a replica.
+/// Replication delay.
 const SHIP: Duration = Duration::from_millis(8);
 
-/// What a proxy's request to a server meets.
+/// Reachability of a server from a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reach {
-    /// Neither request nor answer passes; connections don't come up.
+    /// Requests and responses are lost; connections can't be opened.
     Nothing,
-    /// Both pass, and the servers behave so.
+    /// The server is reachable and behaves like this.
     Servers(Servers),
 }
 
@@ -28,9 +27,9 @@
 struct Group {
     servers: Servers,
     primary: Option<u32>,
-    /// Another takes over then.
+    /// Time at which another member takes over.
     election: Option<Time>,
-    /// Where the log ends, while nobody adds to it.
+    /// End of the log while the group takes no writes.
     stands: Time,
 }
 
@@ -38,23 +37,23 @@
 #[derive(Debug)]
 pub struct World {
     groups: Vec<Group>,
-    /// By proxy and building.
+    /// Whether the link is up, by proxy and building.
     links: Vec<Vec<bool>>,
     powered: Vec<bool>,
     hung: Vec<bool>,
-    /// Since when the buildings can't hear each other.
+    /// Start of the cut between the buildings; `None` while they are connected.
     apart: Option<Time>,
-    /// What the list is going to say, when, of which server.
+    /// Pending updates of the endpoint list as (time, server, listed).
     list: Vec<(Time, u32, bool)>,
 }
 
 impl World {
-    /// All servers up, all links standing.
+    /// All servers and links are up.
     pub fn new(groups: u32, proxies: usize) -> World {
         let places = usize::from(PLACES);
         let group = |number: u32| Group {
             servers: Servers::Answer(1.0),
-            // Primaries stand in either building.
+            // Primaries are distributed over both buildings.
             primary: Some(number * MEMBERS + number % u32::from(PLACES)),
             election: None,
             stands: Time::ZERO,
@@ -79,7 +78,7 @@
         self.groups() * MEMBERS
     }
 
-    /// The servers of a group.
+    /// Indices of the servers of a group.
     pub fn members(&self, group: u32) -> Range<u32> {
         group * MEMBERS..(group + 1) * MEMBERS
     }
@@ -94,19 +93,19 @@
         server / MEMBERS
     }
 
-    /// The group's primary; none while it takes no writes.
+    /// Primary of a group; `None` while the group takes no writes.
     pub fn primary(&self, group: u32) -> Option<u32> {
         self.groups[group as usize]
             .primary
             .filter(|_| self.writes(group))
     }
 
-    /// Whether somebody adds to the group's log.
+    /// Whether the group takes writes.
     fn writes(&self, group: u32) -> bool {
         matches!(self.groups[group as usize].servers, Servers::Answer(_))
     }
 
-    /// What a server tells of how far it has the log.
+    /// Position that a server reports.
     pub fn position(&self, server: u32, now: Time) -> Time {
         let group = &self.groups[self.group(server) as usize];
         let Some(primary) = group.primary.filter(|_| self.writes(self.group(server))) else {
@@ -122,7 +121,7 @@
         }
     }
 
-    /// What a proxy's request to a server meets.
+    /// Reachability of a server from a proxy.
     pub fn reach(&self, proxy: usize, server: u32) -> Reach {
         let place = usize::from(self.place(server));
         if !self.links[proxy][place] || !self.powered[place] {
@@ -134,23 +133,23 @@
         }
     }
 
-    /// A group behaves so from now on.
+    /// Sets the behaviour of a group.
     pub fn set_group(&mut self, group: u32, servers: Servers, now: Time) {
         let group = &mut self.groups[group as usize];
         (group.servers, group.stands) = (servers, now);
     }
 
-    /// Sets up or cuts the link from a proxy to a building.
+    /// Restores or cuts the link from a proxy to a building.
     pub fn link(&mut self, proxy: usize, place: u16, up: bool) {
         self.links[proxy][usize::from(place)] = up;
     }
 
-    /// Cuts or heals the link between the buildings.
+    /// Cuts or restores the link between the buildings.
     pub fn apart(&mut self, apart: bool, now: Time) {
         self.apart = apart.then_some(now);
     }
 
-    /// The servers of a building hang, or no longer do.
+    /// Sets whether the servers of a building hang.
     pub fn hang(&mut self, place: u16, hung: bool) {
         self.hung[usize::from(place)] = hung;
     }
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Elections that are over, and what the list says now.
+    /// Completes due elections and returns the due list updates as (server, listed).
     pub fn step(&mut self, now: Time) -> Vec<(u32, bool)> {
         for (number, group) in self.groups.iter_mut().enumerate() {
             if group.election.is_some_and(|at| at <= now) {
--- a/crates/incidents/tests/incidents.rs
+++ b/crates/incidents/tests/incidents.rs
@@ -1,4 +1,4 @@
-//! Every incident, over several seeds: what must be told in time, and what must never be told.
+//! Runs every incident with several seeds: which faults must be reported in time, and which reports must never occur.
 
 use availability::LinkState;
 use incidents::balancer::Server;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Three proxies before a fleet that is slow, or gone: the sum of the weights stays above the floor.
+/// With slow or dead record servers, the sum of the proxies' weights stays above the minimum.
 #[test]
 fn trouble_that_all_share_leaves_the_balancers_somewhere_to_go() {
     for name in ["all-slow", "all-dead", "drain-in-overload", "descriptors"] {
@@ -50,7 +50,7 @@
                 "{name}: {:?}",
                 outcome.last_report_delay
             );
-            // The other groups' traffic goes on: three of four, and the time before and after.
+            // The other three of four groups are served throughout, and all groups before and after the fault.
             if name != "all-dead" {
                 assert!(
                     outcome.served * 100 > outcome.requests * 88,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Only the proxy whose own loop is late gets less.
+/// Only the proxy whose own event loop is late gets a lower weight.
 #[test]
 fn own_trouble_is_told_by_its_proxy_alone() {
     for outcome in seeds(&incident("own-loop-late")) {
@@ -126,7 +126,7 @@
     }
 }
 
-/// The same seed, the same time-line.
+/// The same seed gives the same state changes.
 #[test]
 fn incidents_are_played_the_same_again() {
     let incident = incident("flapping");
@@ -136,7 +136,7 @@
     );
 }
 
-/// The stand-in keeps the two states of the protocol apart: `up` after `drain` is still a drain.
+/// The balancer model keeps the administrative and operational states apart: `up` after `drain` is still a drain.
 #[test]
 fn an_agent_that_said_drain_has_to_say_ready() {
     let mut server = Server::new();
@@ -155,7 +155,7 @@
     assert!(!server.takes_traffic());
 }
 
-/// Only the proxy that is cut off is told to get less, and soon; the link is known to stand again when it does.
+/// Only the proxy that is cut off gets a lower weight, soon after the cut; the restored link is detected in time.
 #[test]
 fn a_cut_link_is_its_own_proxys_trouble() {
     let incident = incident("link-cut");
@@ -201,7 +201,7 @@
     }
 }
 
-/// Servers that are dead or hang are nobody's own trouble.
+/// Dead or hanging servers are not attributed to a proxy's own links.
 #[test]
 fn a_building_that_dies_or_hangs_is_no_cut_link() {
     for name in [
@@ -240,7 +240,7 @@
     }
 }
 
-/// Every proxy is cut off from the other building: each says so, by the list alone, and none leaves service.
+/// Every proxy is cut off from the other building: each reports it, based on the list alone, and all stay in service.
 #[test]
 fn buildings_apart_leave_the_balancers_somewhere_to_go() {
     let incident = incident("buildings-apart");
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -76,7 +76,7 @@
             Event::Request {
                 exchange,
                 server,
-                operation: operation,
+                operation,
             },
         );
     }
@@ -380,8 +380,8 @@
 fn request_classes() -> Vec<RequestClass> {
     let class = |name: &str, consistency, idempotency, share| RequestClass {
         name: name.into(),
-        consistency: consistency,
-        idempotency: idempotency,
+        consistency,
+        idempotency,
         share,
         work: Work::new(Law::Fixed, 50_000.0),
         latency_objective: 200_000,
@@ -448,9 +448,9 @@
         for action in &actions {
             match action {
                 clients::Action::SetTimer(at, due) => wheel.put(*at, clients::Event::Timer(*due)),
-                clients::Action::Send(attempts) => {
-                    if let Some(answer) = answer(attempts) {
-                        wheel.put(now + 60_000, clients::Event::Answered(attempts.id, answer));
+                clients::Action::Send(attempt) => {
+                    if let Some(answer) = answer(attempt) {
+                        wheel.put(now + 60_000, clients::Event::Answered(attempt.id, answer));
                     }
                 }
                 _ => {}
--- a/crates/simulation-engine/benches/queue.rs
+++ b/crates/simulation-engine/benches/queue.rs
@@ -1,5 +1,5 @@
-//! The wheel against a binary heap, by the hold model: take an event, put one in at a random time after it.
-//! `cargo bench -p engine`.
+//! Compares the wheel with a binary heap in the hold model: take an event and insert one at a random later time.
+//! Run with `cargo bench -p simulation-engine`.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use rand::Rng;
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Spans as in a run: network, run times, time-outs, timers.
+/// Delays as in a run: network, run times, timeouts and timers.
 fn spans() -> Vec<u64> {
     let mut stream = Streams::new(1).stream("spans", 0);
     (0..1 << 16)
--- a/crates/simulation-engine/src/lib.rs
+++ b/crates/simulation-engine/src/lib.rs
@@ -1,8 +1,8 @@
-//! Discrete events on virtual time: what an emulator runs on.
+//! Discrete-event simulation on virtual time.
 //!
-//! [`wheel::Wheel`] hands events out in the order of their times, and of one time in the order in which they were
-//! put in; [`streams::Streams`] gives random numbers by name, so that a change in one part of a run leaves what the
-//! others draw as it was. The same seed gives the same run, bit for bit.
+//! [`wheel::Wheel`] returns events in the order of their times, and events with equal times in the order of insertion.
+//! [`streams::Streams`] provides independent named streams of random numbers, so that a change in one part of a run
+//! does not affect the random numbers of the others. The same seed gives the same run, bit for bit.
 
 pub mod streams;
 pub mod wheel;
--- a/crates/simulation-engine/src/wheel.rs
+++ b/crates/simulation-engine/src/wheel.rs
@@ -1,9 +1,9 @@
-//! A hierarchical timing wheel: the queue of events.
+//! Event queue as a hierarchical timing wheel.
 //!
-//! Eleven levels of 64 slots span all of time; a slot of a level is as long as the level below it altogether. An event
-//! goes to the level of the highest digit (base 64) in which its time differs from now, and moves down as now comes
-//! near, a few times at the most. A bit for each slot tells which are taken, so empty time costs nothing. Compared
-//! with a binary heap, neither putting in nor taking out grows with the number of events that wait.
+//! Eleven levels of 64 slots cover the whole range of time; a slot of a level spans the entire level below. An event
+//! is stored on the level of the highest base-64 digit in which its time differs from the present time, and moves down
+//! a few times at most as its time approaches. A bitmap of occupied slots makes empty spans of time free. Unlike with a
+//! binary heap, the cost of insertion and removal does not grow with the number of pending events.
 //!
 //! Source: Varghese and Lauck, Hashed and Hierarchical Timing Wheels, 1987.
 
@@ -14,15 +14,15 @@
 const SLOTS: usize = 1 << BITS;
 const LEVELS: usize = (u64::BITS as usize).div_ceil(BITS as usize);
 
-/// A queue of events by the virtual time at which they are due; events of one time keep their order.
+/// Queue of events ordered by virtual time; events with equal times keep their order of insertion.
 #[derive(Debug)]
 pub struct Wheel<E> {
-    /// No event that waits is earlier.
+    /// Present time: no pending event is earlier.
     now: Micros,
-    /// Level by level.
+    /// Events per slot, level by level.
     slots: Vec<Vec<(Micros, E)>>,
     taken: [u64; LEVELS],
-    /// Events of this moment, in their order.
+    /// Events of the present time, in order of insertion.
     ready: VecDeque<(Micros, E)>,
     length: usize,
 }
@@ -41,22 +41,22 @@
 }
 
 impl<E> Wheel<E> {
-    /// How many events wait.
+    /// Number of pending events.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether no event waits.
+    /// Whether no event is pending.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The time of the event taken last.
+    /// Time of the last event taken.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// What lies in the past happens now, behind what happens now already.
+    /// Inserts an event. An event in the past is scheduled for the present time, after the events already due.
     pub fn put(&mut self, at: Micros, event: E) {
         self.length += 1;
         self.place(at.max(self.now), event);
@@ -70,7 +70,7 @@
         self.slots[level * SLOTS + slot].push((at, event));
     }
 
-    /// The next event. Of one time, the one that was put in first.
+    /// Removes and returns the next event; of events with equal times, the one inserted first.
     pub fn take(&mut self) -> Option<(Micros, E)> {
         loop {
             if let Some(next) = self.ready.pop_front() {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Moves on to the next slot that is taken: its events are ready, or go down a level.
+    /// Advances to the next occupied slot: its events become ready, or move to a lower level.
     fn turn(&mut self) {
         for level in 0..LEVELS {
             let shift = level as u32 * BITS;
             let here = (self.now >> shift) as u32 % SLOTS as u32;
-            // On the lowest level this very moment counts; above, its slot has been emptied.
+            // On the lowest level the slot of the present time is included; on higher levels it is already empty.
             let ahead = self.taken[level] & (u64::MAX << here);
             if ahead == 0 {
                 continue;
@@ -108,7 +108,7 @@
                     self.place(at, event);
                 }
             }
-            // Its memory serves again.
+            // Reuses the allocation of the slot.
             if self.slots[place].is_empty() {
                 self.slots[place] = events;
             }
--- a/crates/simulation-engine/tests/order.rs
+++ b/crates/simulation-engine/tests/order.rs
@@ -1,4 +1,4 @@
-//! The wheel against a sorted list, and streams against each other.
+//! Checks the wheel against a binary heap, and the independence of streams.
 
 use proptest::prelude::*;
 use rand::Rng;
@@ -20,13 +20,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Puts and takes in any mixture come out as by a heap of times and numbers.
+    /// Any sequence of insertions and removals gives the same events as a heap ordered by time and number.
     #[test]
     fn events_come_in_the_order_of_their_times(steps in proptest::collection::vec((time(), any::<bool>()), 0..400)) {
         let (mut wheel, mut heap) = (Wheel::default(), BinaryHeap::new());
         let mut now = 0;
         for (number, (at, take)) in steps.into_iter().enumerate() {
-            // Mostly near what happens now, as in a run.
+            // Most times are close to the present time, as in a run.
             let at = if number % 3 == 0 { at } else { u64::saturating_add(now, at % 5_000) };
             wheel.put(at, number);
             heap.push(Reverse((at.max(now), number)));
@@ -67,7 +67,7 @@
     assert_eq!(draw("arrivals", 0), draw("arrivals", 0));
     assert_ne!(draw("arrivals", 0), draw("arrivals", 1));
     assert_ne!(draw("arrivals", 0), draw("troubles", 0));
-    // Written down: another version must draw the same.
+    // Fixed value: other versions must draw the same numbers.
     assert_eq!(Streams::new(7).seed("arrivals", 0), FIRST);
 }
 
