--- a/crates/incidents/src/balancer.rs
+++ b/crates/incidents/src/balancer.rs
@@ -57,7 +57,7 @@
 
 /// A balancer's view of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct ServerView {
     /// Whether the server gets new requests, unless it is drained.
     pub up: bool,
     /// Whether the server gets no new requests.
@@ -98,28 +98,28 @@
             // An unreachable agent changes nothing; detecting that is the task of the regular health checks.
             HealthProtocol::Agent => {
                 if let Some(status) = status {
-                    server.agent(&agent::response_line(status));
+                    server.apply_agent_response(&agent::response_line(status));
                 }
             }
             HealthProtocol::Http { disable_on_404 } => {
-                let code = status.map(|status| code(status, disable_on_404));
+                let code = status.map(|status| status_code(status, disable_on_404));
                 match code {
                     Some(200..=399) => {
                         server.drained = false;
-                        server.counted(true, settings);
+                        server.record_check(true, settings);
                     }
                     Some(404) if disable_on_404 && server.up => {
                         server.drained = true;
-                        server.counted(true, settings);
+                        server.record_check(true, settings);
                     }
-                    _ => server.counted(false, settings),
+                    _ => server.record_check(false, settings),
                 }
             }
         }
     }
 
     /// The balancer's view of a server.
-    pub fn belief(&self, at: usize) -> Belief {
+    pub fn view(&self, at: usize) -> ServerView {
         let Server {
             up,
             drained,
@@ -127,7 +127,7 @@
             weight,
             ..
         } = self.servers[at];
-        Belief {
+        ServerView {
             up: up && !maint,
             drained,
             weight,
@@ -137,8 +137,8 @@
     /// Fraction of the traffic per server.
     pub fn shares(&self) -> Vec<f64> {
         let weights: Vec<f64> = (0..self.servers.len())
-            .map(|at| match self.belief(at) {
-                Belief {
+            .map(|at| match self.view(at) {
+                ServerView {
                     up: true,
                     drained: false,
                     weight,
@@ -155,7 +155,7 @@
 }
 
 /// HTTP status code of the real codec's response.
-fn code(status: &Status, drain_is_404: bool) -> u16 {
+fn status_code(status: &Status, drain_is_404: bool) -> u16 {
     let request = b"GET /readyz HTTP/1.1\r\nConnection: close\r\n\r\n";
     let Ok(Some((check, _))) = http::parse(request) else {
         return 0;
@@ -187,7 +187,7 @@
         }
     }
 
-    fn counted(&mut self, good: bool, settings: Settings) {
+    fn record_check(&mut self, good: bool, settings: Settings) {
         if good {
             (self.good, self.bad) = (self.good + 1, 0);
             self.up |= self.good >= settings.rise;
@@ -198,20 +198,20 @@
     }
 
     /// Applies an agent response. Administrative and operational states are independent: `up` does not end a drain.
-    pub fn agent(&mut self, line: &str) {
-        let words = agent::parse_response(line);
-        match words.operational {
+    pub fn apply_agent_response(&mut self, line: &str) {
+        let response = agent::parse_response(line);
+        match response.operational {
             Some(Operational::Up) => self.up = true,
             Some(Operational::Down) => self.up = false,
             None => {}
         }
-        match words.administrative {
+        match response.administrative {
             Some(Administrative::Ready) => (self.drained, self.maint) = (false, false),
             Some(Administrative::Drain) => (self.drained, self.maint) = (true, false),
             Some(Administrative::Maint) => self.maint = true,
             None => {}
         }
-        if let Some(weight) = words.weight {
+        if let Some(weight) = response.weight {
             self.weight = weight.min(256);
         }
     }
--- a/crates/incidents/src/chart.rs
+++ b/crates/incidents/src/chart.rs
@@ -53,26 +53,26 @@
             });
         for proxy in 0..incident.proxies {
             let colour = COLOURS[proxy % COLOURS.len()];
-            let told = outcome
+            let reported = outcome
                 .samples
                 .iter()
                 .map(|s| (s.at.as_secs_f64(), f64::from(s.weights[proxy])));
             chart
-                .draw_series(LineSeries::new(told, colour.stroke_width(2)))?
+                .draw_series(LineSeries::new(reported, colour.stroke_width(2)))?
                 .label(format!("proxy {proxy} tells"))
                 .legend(move |(x, y)| {
                     PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2))
                 });
-            let given = outcome.samples.iter().step_by(10).map(|s| {
-                let belief = s.beliefs[0][proxy];
-                let weight = if belief.up && !belief.drained {
-                    f64::from(belief.weight)
+            let assigned = outcome.samples.iter().step_by(10).map(|s| {
+                let view = s.views[0][proxy];
+                let weight = if view.up && !view.drained {
+                    f64::from(view.weight)
                 } else {
                     0.0
                 };
                 Circle::new((s.at.as_secs_f64(), weight), 2, colour.mix(0.5).filled())
             });
-            chart.draw_series(given)?;
+            chart.draw_series(assigned)?;
         }
         chart
             .configure_series_labels()
--- a/crates/incidents/src/outcome.rs
+++ b/crates/incidents/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Outcome of a simulated incident.
 
-use crate::balancer::Belief;
+use crate::balancer::ServerView;
 use crate::Time;
 use availability::{Condition, LinkState, State};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// Reported weight by proxy, in percent.
     pub weights: Vec<u8>,
     /// Views by balancer, then by proxy.
-    pub beliefs: Vec<Vec<Belief>>,
+    pub views: Vec<Vec<ServerView>>,
     /// Number of requests so far for which no proxy was available.
     pub no_proxy_available: u64,
 }
--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -26,7 +26,7 @@
         simulation.step();
     }
     let mut outcome = simulation.outcome;
-    outcome.flaps = flaps(&outcome.state_changes, incident.proxies);
+    outcome.flaps = max_changes_per_minute(&outcome.state_changes, incident.proxies);
     outcome
 }
 
@@ -92,7 +92,7 @@
         for proxy in 0..self.proxies.len() {
             self.step_proxy(proxy);
         }
-        self.check_health();
+        self.run_health_checks();
         self.sample();
     }
 
@@ -124,24 +124,24 @@
             Change::Demand(times) => self.demand = times,
             Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
             Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
-            Change::Discovery(at, heard) => {
+            Change::Discovery(at, connected) => {
                 proxies[at]
                     .model
-                    .handle(now, Event::Discovery { connected: heard });
+                    .handle(now, Event::Discovery { connected });
             }
             Change::Stall(at, span) => proxies[at].stalled_until = now + span,
         }
     }
 
     fn update_lists(&mut self) {
-        for (server, there) in self.world.step(self.now) {
+        for (server, listed) in self.world.step(self.now) {
             let (place, group) = (self.world.place(server), self.world.group(server));
             for proxy in &mut self.proxies {
                 let listed = Event::Endpoint {
                     server,
                     site: place,
                     group,
-                    listed: there,
+                    listed,
                 };
                 proxy.model.handle(self.now, listed);
             }
@@ -209,9 +209,9 @@
         let proxy = &self.proxies[at];
         let (begins, ends) = self.incident.fault_window;
         let mut conditions = proxy.model.groups().map(|(_, g)| g.condition);
-        let sick = conditions.any(|condition| condition != Condition::Serving)
+        let degraded = conditions.any(|condition| condition != Condition::Serving)
             || proxy.links.iter().any(|link| *link != LinkState::Up);
-        if self.now >= begins && !self.reported[at] && (state != State::Ready || sick) {
+        if self.now >= begins && !self.reported[at] && (state != State::Ready || degraded) {
             self.reported[at] = true;
             let delay = self.now - begins;
             self.outcome.first_report_delay.get_or_insert(delay);
@@ -223,7 +223,7 @@
         }
     }
 
-    fn check_health(&mut self) {
+    fn run_health_checks(&mut self) {
         for balancer in &mut self.balancers {
             for (at, proxy) in self.proxies.iter().enumerate() {
                 if !balancer.due(at, self.now) {
@@ -231,10 +231,10 @@
                 }
                 let status = (self.now >= proxy.stalled_until).then(|| status(&proxy.model));
                 balancer.check(at, status.as_ref(), self.now);
-                let belief = balancer.belief(at);
-                let out = !belief.up || belief.drained || belief.weight == 0;
-                let wrong = out && !self.incident.may_be_out.contains(&at);
-                self.outcome.false_downs += u64::from(wrong);
+                let view = balancer.view(at);
+                let out = !view.up || view.drained || view.weight == 0;
+                let false_down = out && !self.incident.may_be_out.contains(&at);
+                self.outcome.false_downs += u64::from(false_down);
             }
         }
     }
@@ -251,21 +251,21 @@
         if !self.now.as_millis().is_multiple_of(SAMPLE_INTERVAL_MS) {
             return;
         }
-        let beliefs = self
+        let views = self
             .balancers
             .iter()
-            .map(|b| (0..self.proxies.len()).map(|at| b.belief(at)).collect());
+            .map(|b| (0..self.proxies.len()).map(|at| b.view(at)).collect());
         self.outcome.samples.push(Sample {
             at: self.now,
             states: self.states.clone(),
             weights,
-            beliefs: beliefs.collect(),
+            views: views.collect(),
             no_proxy_available: self.outcome.no_proxy_available,
         });
     }
 }
 
-fn flaps(changes: &[StateChange], proxies: usize) -> usize {
+fn max_changes_per_minute(changes: &[StateChange], proxies: usize) -> usize {
     let minute = Duration::from_secs(60);
     let of = |proxy: usize| -> Vec<Time> {
         changes
--- a/crates/incidents/src/proxy.rs
+++ b/crates/incidents/src/proxy.rs
@@ -1,6 +1,6 @@
 //! Proxy with the real availability and drain models and its attempts in flight.
 
-use crate::script::{Incident, Servers, PLACES};
+use crate::script::{Behaviour, Incident, PLACES};
 use crate::world::{Reach, World};
 use crate::Time;
 use availability::{AttemptOutcome, Availability, Event, LinkState, Load, RejectionCause};
@@ -120,15 +120,15 @@
         self.model.handle(now, Event::RequestArrived { group });
         let write = rng.random_bool(WRITE_FRACTION);
         let members = world.members(group);
-        let rested: Vec<u32> = members
+        let available: Vec<u32> = members
             .clone()
             .filter(|m| self.backoff_until[*m as usize] <= now)
             .collect();
-        let picked = rng.random_range(0..1_000_usize);
-        let any = if rested.is_empty() {
-            members.start + picked as u32 % (members.end - members.start)
+        let draw = rng.random_range(0..1_000_usize);
+        let any = if available.is_empty() {
+            members.start + draw as u32 % (members.end - members.start)
         } else {
-            rested[picked % rested.len()]
+            available[draw % available.len()]
         };
         let server = if write {
             world.primary(group).unwrap_or(any)
@@ -137,32 +137,32 @@
         };
         // Run times vary by the sum of two uniform random numbers.
         let scatter = 0.4 + 0.6 * (rng.random::<f64>() + rng.random::<f64>());
-        let (end, took) = match world.reach(own, server) {
+        let (end, duration) = match world.reach(own, server) {
             Reach::Nothing => (AttemptResult::Silent, ATTEMPT_TIMEOUT),
-            Reach::Servers(Servers::Silent) => (AttemptResult::Silent, ATTEMPT_TIMEOUT),
-            Reach::Servers(Servers::Dead) => (AttemptResult::Refused, Duration::from_millis(2)),
-            Reach::Servers(Servers::NoPrimary) if write => {
+            Reach::Servers(Behaviour::Silent) => (AttemptResult::Silent, ATTEMPT_TIMEOUT),
+            Reach::Servers(Behaviour::Dead) => (AttemptResult::Refused, Duration::from_millis(2)),
+            Reach::Servers(Behaviour::NoPrimary) if write => {
                 (AttemptResult::NoPrimary, USUAL_LATENCY / 8)
             }
             Reach::Servers(_) if write && world.primary(group).is_none() => {
                 (AttemptResult::NoPrimary, USUAL_LATENCY / 8)
             }
-            Reach::Servers(Servers::Answer(slower)) if write => (
+            Reach::Servers(Behaviour::Answer(slower)) if write => (
                 AttemptResult::Wrote,
                 USUAL_LATENCY.mul_f64(slower * scatter * 2.0),
             ),
-            Reach::Servers(Servers::Answer(slower)) => (
+            Reach::Servers(Behaviour::Answer(slower)) => (
                 AttemptResult::Answered,
                 USUAL_LATENCY.mul_f64(slower * scatter),
             ),
-            Reach::Servers(Servers::NoPrimary) => {
+            Reach::Servers(Behaviour::NoPrimary) => {
                 (AttemptResult::Answered, USUAL_LATENCY.mul_f64(scatter))
             }
         };
         self.model.handle(now, Event::AttemptSent { group });
         self.model.handle(now, Event::ExchangeStarted { server });
         self.in_flight
-            .push(Reverse((now + took, number, server, end, took)));
+            .push(Reverse((now + duration, number, server, end, duration)));
     }
 
     /// Completes the due attempts, runs the periodic events and returns the number of served requests.
@@ -185,7 +185,7 @@
                     },
                 );
             }
-            let (how, answer) = match end {
+            let (outcome, answer) = match end {
                 AttemptResult::Answered | AttemptResult::Wrote => {
                     (AttemptOutcome::Answered, Event::RequestServed { group })
                 }
@@ -200,8 +200,8 @@
                     (AttemptOutcome::Failed, Event::RequestFailed { group })
                 }
             };
-            served += u64::from(how == AttemptOutcome::Answered);
-            if how == AttemptOutcome::Failed {
+            served += u64::from(outcome == AttemptOutcome::Answered);
+            if outcome == AttemptOutcome::Failed {
                 self.backoff_until[server as usize] = now + FAILED_MEMBER_BACKOFF;
             } else {
                 let position = Some(world.position(server, now));
@@ -226,7 +226,7 @@
                 now,
                 Event::AttemptEnded {
                     group,
-                    outcome: how,
+                    outcome,
                     elapsed: elapsed + late,
                 },
             );
--- a/crates/incidents/src/script.rs
+++ b/crates/incidents/src/script.rs
@@ -6,7 +6,7 @@
 
 /// Behaviour of a group of record servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Servers {
+pub enum Behaviour {
     /// Answers all requests, slower than usual by this factor.
     Answer(f64),
     /// Has no primary: rejects writes and serves reads.
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
     /// Sets the behaviour of one group.
-    Group(u32, Servers),
+    Group(u32, Behaviour),
     /// Sets the behaviour of all groups.
-    AllGroups(Servers),
+    AllGroups(Behaviour),
     /// Sets the lag of a proxy's event loop.
     Lag(usize, Duration),
     /// Sets the fraction of a proxy's descriptors in use in addition to those of its requests.
@@ -114,17 +114,17 @@
         may_be_out: Vec::new(),
     };
     let (from, to) = base.fault_window;
-    let usual = Servers::Answer(1.0);
-    let flaps = (0..30).map(|n| {
-        let what = if n % 2 == 0 { Servers::Dead } else { usual };
-        (from + S * n, Change::Group(1, what))
+    let usual = Behaviour::Answer(1.0);
+    let flapping = (0..30).map(|n| {
+        let behaviour = if n % 2 == 0 { Behaviour::Dead } else { usual };
+        (from + S * n, Change::Group(1, behaviour))
     });
     vec![
         Incident {
             name: "primary-dies",
             about: "the primary of one of four groups dies; a replica takes over after 5 s",
             changes: vec![
-                (from, Change::Group(1, Servers::NoPrimary)),
+                (from, Change::Group(1, Behaviour::NoPrimary)),
                 (from + 5 * S, Change::Group(1, usual)),
             ],
             fault_window: (from, from + 5 * S),
@@ -133,25 +133,25 @@
         Incident {
             name: "group-hung",
             about: "one of four groups takes requests and answers none",
-            changes: vec![(from, Change::Group(1, Servers::Silent)), (to, Change::Group(1, usual))],
+            changes: vec![(from, Change::Group(1, Behaviour::Silent)), (to, Change::Group(1, usual))],
             ..base.clone()
         },
         Incident {
             name: "group-dead",
             about: "one of four groups can't be reached",
-            changes: vec![(from, Change::Group(1, Servers::Dead)), (to, Change::Group(1, usual))],
+            changes: vec![(from, Change::Group(1, Behaviour::Dead)), (to, Change::Group(1, usual))],
             ..base.clone()
         },
         Incident {
             name: "all-slow",
             about: "all record servers take three times as long",
-            changes: vec![(from, Change::AllGroups(Servers::Answer(3.0))), (to, Change::AllGroups(usual))],
+            changes: vec![(from, Change::AllGroups(Behaviour::Answer(3.0))), (to, Change::AllGroups(usual))],
             ..base.clone()
         },
         Incident {
             name: "all-dead",
             about: "no record server can be reached",
-            changes: vec![(from, Change::AllGroups(Servers::Dead)), (to, Change::AllGroups(usual))],
+            changes: vec![(from, Change::AllGroups(Behaviour::Dead)), (to, Change::AllGroups(usual))],
             ..base.clone()
         },
         Incident {
@@ -172,7 +172,7 @@
                 "one proxy is drained while all get three times the requests and servers are twice as slow",
             changes: vec![
                 (from - 5 * S, Change::Demand(3.0)),
-                (from - 5 * S, Change::AllGroups(Servers::Answer(2.0))),
+                (from - 5 * S, Change::AllGroups(Behaviour::Answer(2.0))),
                 (from, Change::Drain(0)),
                 (to, Change::Undrain(0)),
                 (to + 5 * S, Change::Demand(1.0)),
@@ -184,7 +184,7 @@
         Incident {
             name: "flapping",
             about: "one group dies and comes back every second",
-            changes: flaps.collect(),
+            changes: flapping.collect(),
             ..base.clone()
         },
         Incident {
--- a/crates/incidents/src/world.rs
+++ b/crates/incidents/src/world.rs
@@ -1,6 +1,6 @@
 //! Record servers in two buildings as visible to proxies: primaries, positions and reachability.
 
-use crate::script::{Servers, PLACES};
+use crate::script::{Behaviour, PLACES};
 use crate::Time;
 use std::ops::Range;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 /// Members per group; half of them are in each building.
 const MEMBERS: u32 = 4;
 /// Time from the loss of a primary until another member takes over.
-const ELECTION: Duration = Duration::from_secs(5);
+const ELECTION_TIME: Duration = Duration::from_secs(5);
 /// Delay until the endpoint list drops a dead server or lists a recovered one.
-const LIST_LATE: Duration = Duration::from_secs(6);
+const LIST_DELAY: Duration = Duration::from_secs(6);
 /// Replication delay.
-const SHIP: Duration = Duration::from_millis(8);
+const REPLICATION_DELAY: Duration = Duration::from_millis(8);
 
 /// Reachability of a server from a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,17 +20,17 @@
     /// Requests and responses are lost; connections can't be opened.
     Nothing,
     /// The server is reachable and behaves like this.
-    Servers(Servers),
+    Servers(Behaviour),
 }
 
 #[derive(Debug)]
 struct Group {
-    servers: Servers,
+    behaviour: Behaviour,
     primary: Option<u32>,
     /// Time at which another member takes over.
     election: Option<Time>,
     /// End of the log while the group takes no writes.
-    stands: Time,
+    log_end: Time,
 }
 
 /// The record servers of two buildings.
@@ -52,11 +52,11 @@
     pub fn new(groups: u32, proxies: usize) -> World {
         let places = usize::from(PLACES);
         let group = |number: u32| Group {
-            servers: Servers::Answer(1.0),
+            behaviour: Behaviour::Answer(1.0),
             // Primaries are distributed over both buildings.
             primary: Some(number * MEMBERS + number % u32::from(PLACES)),
             election: None,
-            stands: Time::ZERO,
+            log_end: Time::ZERO,
         };
         World {
             groups: (0..groups).map(group).collect(),
@@ -97,27 +97,32 @@
     pub fn primary(&self, group: u32) -> Option<u32> {
         self.groups[group as usize]
             .primary
-            .filter(|_| self.writes(group))
+            .filter(|_| self.takes_writes(group))
     }
 
     /// Whether the group takes writes.
-    fn writes(&self, group: u32) -> bool {
-        matches!(self.groups[group as usize].servers, Servers::Answer(_))
+    fn takes_writes(&self, group: u32) -> bool {
+        matches!(self.groups[group as usize].behaviour, Behaviour::Answer(_))
     }
 
     /// Position that a server reports.
     pub fn position(&self, server: u32, now: Time) -> Time {
         let group = &self.groups[self.group(server) as usize];
-        let Some(primary) = group.primary.filter(|_| self.writes(self.group(server))) else {
-            return group.stands;
+        let Some(primary) = group
+            .primary
+            .filter(|_| self.takes_writes(self.group(server)))
+        else {
+            return group.log_end;
         };
-        let parted = self
+        let separated_since = self
             .apart
             .filter(|_| self.place(primary) != self.place(server));
         if primary == server {
             now
         } else {
-            parted.unwrap_or(now).saturating_sub(SHIP)
+            separated_since
+                .unwrap_or(now)
+                .saturating_sub(REPLICATION_DELAY)
         }
     }
 
@@ -127,16 +132,16 @@
         if !self.links[proxy][place] || !self.powered[place] {
             Reach::Nothing
         } else if self.hung[place] {
-            Reach::Servers(Servers::Silent)
+            Reach::Servers(Behaviour::Silent)
         } else {
-            Reach::Servers(self.groups[self.group(server) as usize].servers)
+            Reach::Servers(self.groups[self.group(server) as usize].behaviour)
         }
     }
 
     /// Sets the behaviour of a group.
-    pub fn set_group(&mut self, group: u32, servers: Servers, now: Time) {
+    pub fn set_group(&mut self, group: u32, behaviour: Behaviour, now: Time) {
         let group = &mut self.groups[group as usize];
-        (group.servers, group.stands) = (servers, now);
+        (group.behaviour, group.log_end) = (behaviour, now);
     }
 
     /// Restores or cuts the link from a proxy to a building.
@@ -158,10 +163,11 @@
     pub fn power(&mut self, place: u16, on: bool, now: Time) {
         self.powered[usize::from(place)] = on;
         for server in (0..self.servers()).filter(|s| s % u32::from(PLACES) == u32::from(place)) {
-            self.list.push((now + LIST_LATE, server, on));
+            self.list.push((now + LIST_DELAY, server, on));
             let group = &mut self.groups[(server / MEMBERS) as usize];
             if !on && group.primary == Some(server) {
-                (group.primary, group.election, group.stands) = (None, Some(now + ELECTION), now);
+                (group.primary, group.election, group.log_end) =
+                    (None, Some(now + ELECTION_TIME), now);
             }
         }
     }
@@ -178,7 +184,7 @@
         let (due, later): (Vec<_>, Vec<_>) = self.list.drain(..).partition(|(at, ..)| *at <= now);
         self.list = later;
         due.into_iter()
-            .map(|(_, server, there)| (server, there))
+            .map(|(_, server, listed)| (server, listed))
             .collect()
     }
 }
--- a/crates/incidents/tests/incidents.rs
+++ b/crates/incidents/tests/incidents.rs
@@ -11,14 +11,14 @@
     all().into_iter().find(|i| i.name == name).unwrap()
 }
 
-fn seeds(incident: &Incident) -> Vec<Outcome> {
+fn outcomes(incident: &Incident) -> Vec<Outcome> {
     (1..4).map(|seed| play(incident, seed)).collect()
 }
 
 #[test]
-fn no_incident_takes_a_proxy_out_that_is_not() {
+fn no_incident_takes_a_healthy_proxy_out_of_service() {
     for incident in all() {
-        for outcome in seeds(&incident) {
+        for outcome in outcomes(&incident) {
             assert_eq!(outcome.false_downs, 0, "{}", incident.name);
             assert_eq!(outcome.no_proxy_available, 0, "{}", incident.name);
         }
@@ -27,11 +27,11 @@
 
 /// With slow or dead record servers, the sum of the proxies' weights stays above the minimum.
 #[test]
-fn trouble_that_all_share_leaves_the_balancers_somewhere_to_go() {
+fn shared_faults_leave_enough_weight_in_service() {
     for name in ["all-slow", "all-dead", "drain-in-overload", "descriptors"] {
         let incident = incident(name);
         let counted = incident.proxies - incident.may_be_out.len();
-        for outcome in seeds(&incident) {
+        for outcome in outcomes(&incident) {
             assert!(
                 outcome.least_weight_sum >= 50 * counted as u32,
                 "{name}: {}",
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn a_group_that_hangs_or_dies_shows_within_a_second() {
+fn a_group_that_hangs_or_dies_is_reported_within_a_second() {
     for name in ["group-hung", "group-dead", "all-dead"] {
-        for outcome in seeds(&incident(name)) {
+        for outcome in outcomes(&incident(name)) {
             assert!(
                 outcome.last_report_delay <= Some(Duration::from_secs(1)),
                 "{name}: {:?}",
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn a_drain_shows_at_once_and_no_client_finds_the_door_closed() {
+fn a_drain_is_reported_at_once_and_no_request_meets_a_closed_listener() {
     for name in ["two-intervals", "drain-in-overload"] {
-        for outcome in seeds(&incident(name)) {
+        for outcome in outcomes(&incident(name)) {
             assert_eq!(outcome.not_listening, 0, "{name}");
             assert!(
                 outcome.first_report_delay <= Some(Duration::from_millis(5)),
@@ -85,7 +85,7 @@
 #[test]
 fn states_do_not_flap() {
     for incident in all() {
-        for outcome in seeds(&incident) {
+        for outcome in outcomes(&incident) {
             assert!(
                 outcome.flaps <= 12,
                 "{}: {} changes in a minute",
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn a_proxy_that_serves_without_discovery_is_not_told_of() {
-    for outcome in seeds(&incident("no-discovery")) {
+fn a_proxy_that_serves_without_discovery_keeps_its_full_weight() {
+    for outcome in outcomes(&incident("no-discovery")) {
         assert_eq!(
             (outcome.first_report_delay, outcome.least_weight_sum),
             (None, 300)
@@ -108,8 +108,8 @@
 
 /// Only the proxy whose own event loop is late gets a lower weight.
 #[test]
-fn own_trouble_is_told_by_its_proxy_alone() {
-    for outcome in seeds(&incident("own-loop-late")) {
+fn only_the_proxy_with_a_late_loop_reports_it() {
+    for outcome in outcomes(&incident("own-loop-late")) {
         let middle = outcome
             .samples
             .iter()
@@ -128,7 +128,7 @@
 
 /// The same seed gives the same state changes.
 #[test]
-fn incidents_are_played_the_same_again() {
+fn the_same_seed_gives_the_same_state_changes() {
     let incident = incident("flapping");
     assert_eq!(
         play(&incident, 9).state_changes,
@@ -138,28 +138,28 @@
 
 /// The balancer model keeps the administrative and operational states apart: `up` after `drain` is still a drain.
 #[test]
-fn an_agent_that_said_drain_has_to_say_ready() {
+fn an_agent_drain_ends_only_with_ready() {
     let mut server = Server::new();
-    server.agent("drain");
-    server.agent("up 50%");
+    server.apply_agent_response("drain");
+    server.apply_agent_response("up 50%");
     assert!(!server.takes_traffic());
-    server.agent("ready up 50%");
+    server.apply_agent_response("ready up 50%");
     assert!(server.takes_traffic());
-    server.agent("maint");
+    server.apply_agent_response("maint");
     assert!(!server.takes_traffic());
-    server.agent("down ready");
+    server.apply_agent_response("down ready");
     assert!(!server.takes_traffic());
-    server.agent("up");
+    server.apply_agent_response("up");
     assert!(server.takes_traffic());
-    server.agent("up 0%");
+    server.apply_agent_response("up 0%");
     assert!(!server.takes_traffic());
 }
 
 /// Only the proxy that is cut off gets a lower weight, soon after the cut; the restored link is detected in time.
 #[test]
-fn a_cut_link_is_its_own_proxys_trouble() {
+fn a_cut_link_affects_only_its_own_proxy() {
     let incident = incident("link-cut");
-    for outcome in seeds(&incident) {
+    for outcome in outcomes(&incident) {
         assert!(
             outcome
                 .links
@@ -168,16 +168,16 @@
             "{:?}",
             outcome.links
         );
-        let when = |link| {
+        let time_of = |link| {
             outcome
                 .links
                 .iter()
                 .find(|(.., l)| *l == link)
                 .map(|(at, ..)| *at)
         };
-        let cut = when(LinkState::Cut).unwrap() - incident.fault_window.0;
+        let cut = time_of(LinkState::Cut).unwrap() - incident.fault_window.0;
         assert!(cut <= Duration::from_millis(1_500), "{cut:?}");
-        let up = when(LinkState::Up).unwrap();
+        let up = time_of(LinkState::Up).unwrap();
         assert!(
             (incident.fault_window.1..incident.fault_window.1 + Duration::from_secs(3))
                 .contains(&up),
@@ -203,7 +203,7 @@
 
 /// Dead or hanging servers are not attributed to a proxy's own links.
 #[test]
-fn a_building_that_dies_or_hangs_is_no_cut_link() {
+fn a_dead_or_hung_building_is_not_reported_as_a_cut_link() {
     for name in [
         "building-dies",
         "building-hung",
@@ -211,7 +211,7 @@
         "all-slow",
         "group-hung",
     ] {
-        for outcome in seeds(&incident(name)) {
+        for outcome in outcomes(&incident(name)) {
             assert!(
                 !outcome
                     .links
@@ -242,9 +242,9 @@
 
 /// Every proxy is cut off from the other building: each reports it, based on the list alone, and all stay in service.
 #[test]
-fn buildings_apart_leave_the_balancers_somewhere_to_go() {
+fn separated_buildings_leave_all_proxies_in_service() {
     let incident = incident("buildings-apart");
-    for outcome in seeds(&incident) {
+    for outcome in outcomes(&incident) {
         for proxy in 0..3 {
             let cut = outcome
                 .links
--- a/crates/simulation-engine/src/wheel.rs
+++ b/crates/simulation-engine/src/wheel.rs
@@ -21,7 +21,7 @@
     now: Micros,
     /// Events per slot, level by level.
     slots: Vec<Vec<(Micros, E)>>,
-    taken: [u64; LEVELS],
+    occupied: [u64; LEVELS],
     /// Events of the present time, in order of insertion.
     ready: VecDeque<(Micros, E)>,
     length: usize,
@@ -33,7 +33,7 @@
         Wheel {
             now: 0,
             slots,
-            taken: [0; LEVELS],
+            occupied: [0; LEVELS],
             ready: VecDeque::new(),
             length: 0,
         }
@@ -59,14 +59,14 @@
     /// Inserts an event. An event in the past is scheduled for the present time, after the events already due.
     pub fn put(&mut self, at: Micros, event: E) {
         self.length += 1;
-        self.place(at.max(self.now), event);
+        self.insert(at.max(self.now), event);
     }
 
-    fn place(&mut self, at: Micros, event: E) {
+    fn insert(&mut self, at: Micros, event: E) {
         let differing = (self.now ^ at) | (SLOTS as u64 - 1);
         let level = ((u64::BITS - 1 - differing.leading_zeros()) / BITS) as usize;
         let slot = (at >> (level as u32 * BITS)) as usize % SLOTS;
-        self.taken[level] |= 1 << slot;
+        self.occupied[level] |= 1 << slot;
         self.slots[level * SLOTS + slot].push((at, event));
     }
 
@@ -80,37 +80,37 @@
             if self.length == 0 {
                 return None;
             }
-            self.turn();
+            self.advance();
         }
     }
 
     /// Advances to the next occupied slot: its events become ready, or move to a lower level.
-    fn turn(&mut self) {
+    fn advance(&mut self) {
         for level in 0..LEVELS {
             let shift = level as u32 * BITS;
             let here = (self.now >> shift) as u32 % SLOTS as u32;
             // On the lowest level the slot of the present time is included; on higher levels it is already empty.
-            let ahead = self.taken[level] & (u64::MAX << here);
+            let ahead = self.occupied[level] & (u64::MAX << here);
             if ahead == 0 {
                 continue;
             }
             let slot = ahead.trailing_zeros();
-            self.taken[level] &= !(1 << slot);
+            self.occupied[level] &= !(1 << slot);
             let above = self.now.checked_shr(shift + BITS).unwrap_or(0);
             let start = above.checked_shl(shift + BITS).unwrap_or(0) | u64::from(slot) << shift;
             self.now = self.now.max(start);
-            let place = level * SLOTS + slot as usize;
-            let mut events = std::mem::take(&mut self.slots[place]);
+            let index = level * SLOTS + slot as usize;
+            let mut events = std::mem::take(&mut self.slots[index]);
             if level == 0 {
                 self.ready.extend(events.drain(..));
             } else {
                 for (at, event) in events.drain(..) {
-                    self.place(at, event);
+                    self.insert(at, event);
                 }
             }
             // Reuses the allocation of the slot.
-            if self.slots[place].is_empty() {
-                self.slots[place] = events;
+            if self.slots[index].is_empty() {
+                self.slots[index] = events;
             }
             return;
         }
--- a/crates/simulation-engine/tests/order.rs
+++ b/crates/simulation-engine/tests/order.rs
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-fn time() -> impl Strategy<Value = u64> {
+fn event_time() -> impl Strategy<Value = u64> {
     prop_oneof![
         0..200_u64,
         0..1_000_000_u64,
@@ -22,7 +22,7 @@
 
     /// Any sequence of insertions and removals gives the same events as a heap ordered by time and number.
     #[test]
-    fn events_come_in_the_order_of_their_times(steps in proptest::collection::vec((time(), any::<bool>()), 0..400)) {
+    fn events_come_in_the_order_of_their_times(steps in proptest::collection::vec((event_time(), any::<bool>()), 0..400)) {
         let (mut wheel, mut heap) = (Wheel::default(), BinaryHeap::new());
         let mut now = 0;
         for (number, (at, take)) in steps.into_iter().enumerate() {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_end_of_time_is_a_time() {
+fn events_at_the_largest_time_are_returned() {
     let mut wheel = Wheel::default();
     wheel.put(u64::MAX, 'z');
     wheel.put(0, 'a');
@@ -55,7 +55,11 @@
     assert_eq!(wheel.take(), Some((u64::MAX - 1, 'y')));
     assert_eq!(wheel.take(), Some((u64::MAX, 'z')));
     wheel.put(5, 'p');
-    assert_eq!(wheel.take(), Some((u64::MAX, 'p')), "the past happens now");
+    assert_eq!(
+        wheel.take(),
+        Some((u64::MAX, 'p')),
+        "an event in the past is due at the present time"
+    );
 }
 
 #[test]
@@ -68,7 +72,7 @@
     assert_ne!(draw("arrivals", 0), draw("arrivals", 1));
     assert_ne!(draw("arrivals", 0), draw("troubles", 0));
     // Fixed value: other versions must draw the same numbers.
-    assert_eq!(Streams::new(7).seed("arrivals", 0), FIRST);
+    assert_eq!(Streams::new(7).seed("arrivals", 0), ARRIVALS_SEED);
 }
 
-const FIRST: u64 = 52879940156856950;
+const ARRIVALS_SEED: u64 = 52879940156856950;
