--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -52,7 +52,7 @@
 pub struct Clients {
     settings: Settings,
     arrivals: Stream,
-    interarrival: Option<Exp<f64>>,
+    gaps: Option<Exp<f64>>,
     /// Highest rate of the profile, in requests per second: inter-arrival times are drawn for it, and arrivals beyond
     /// the present rate are dropped.
     peak_rate: f64,
@@ -103,7 +103,7 @@
         let peak_rate = settings.requests_per_s * if highest.is_nan() { 1.0 } else { highest };
         Clients {
             arrivals: streams.stream("arrivals", 0),
-            interarrival: Exp::new(peak_rate / 1e6).ok().filter(|_| peak_rate > 0.0),
+            gaps: Exp::new(peak_rate / 1e6).ok().filter(|_| peak_rate > 0.0),
             peak_rate,
             next: 0.0,
             surges: vec![1.0; settings.tenants.len().max(1)],
@@ -174,10 +174,10 @@
     /// Schedules the next arrival at the highest possible rate; `arrive` thins the arrivals to the present rate.
     fn schedule(&mut self, actions: &mut Vec<Action>) {
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
-        let Some(interarrival) = &self.interarrival else {
+        let Some(gaps) = &self.gaps else {
             return;
         };
-        self.next += interarrival.sample(&mut self.arrivals) / surge.max(1.0);
+        self.next += gaps.sample(&mut self.arrivals) / surge.max(1.0);
         if self.next < self.settings.length as f64 {
             actions.push(Action::SetTimer(self.next as Micros, TimerKind::Arrival));
         }
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -26,7 +26,7 @@
 struct SiteDriver {
     site: Site,
     timers: Vec<(Micros, TimerOwner)>,
-    actions_seen: Vec<(Micros, Action)>,
+    log: Vec<(Micros, Action)>,
 }
 
 impl SiteDriver {
@@ -34,7 +34,7 @@
         SiteDriver {
             site,
             timers: Vec::new(),
-            actions_seen: Vec::new(),
+            log: Vec::new(),
         }
     }
 
@@ -44,7 +44,7 @@
         for action in actions {
             match action {
                 Action::SetTimer(at, owner) => self.timers.push((at, owner)),
-                other => self.actions_seen.push((now, other)),
+                other => self.log.push((now, other)),
             }
         }
     }
@@ -60,14 +60,12 @@
     }
 
     fn answer(&self, wanted: u64) -> Option<Answer> {
-        self.actions_seen
-            .iter()
-            .find_map(|(_, action)| match action {
-                Action::Answer {
-                    exchange, answer, ..
-                } if *exchange == wanted => Some(*answer),
-                _ => None,
-            })
+        self.log.iter().find_map(|(_, action)| match action {
+            Action::Answer {
+                exchange, answer, ..
+            } if *exchange == wanted => Some(*answer),
+            _ => None,
+        })
     }
 
     fn request(&mut self, now: Micros, exchange: u64, server: u32, operation: Operation) {
@@ -127,7 +125,7 @@
     );
     assert_eq!(driver.answer(5), Some(Answer::Unreachable));
     let applied: Vec<_> = driver
-        .actions_seen
+        .log
         .iter()
         .filter(|(_, a)| matches!(a, Action::Applied { key: 7, .. }))
         .collect();
@@ -148,13 +146,7 @@
     driver.request(SECOND + 20_000, 2, 0, READ);
     driver.run_until(20 * SECOND);
     assert_eq!((driver.answer(1), driver.answer(2)), (None, None));
-    let count = |wanted: fn(&Action) -> bool| {
-        driver
-            .actions_seen
-            .iter()
-            .filter(|(_, a)| wanted(a))
-            .count()
-    };
+    let count = |wanted: fn(&Action) -> bool| driver.log.iter().filter(|(_, a)| wanted(a)).count();
     assert_eq!(count(|a| matches!(a, Action::Applied { .. })), 1);
     assert_eq!(
         count(|a| matches!(a, Action::Undone { server: 0, .. })),
@@ -198,7 +190,7 @@
             && driver.site.position(new, 2 * SECOND) < 2 * SECOND
     );
     let changed: Vec<_> = driver
-        .actions_seen
+        .log
         .iter()
         .filter_map(|(_, a)| {
             if let Action::Changed(s) = a {
