--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -174,9 +174,7 @@
     /// Schedules the next arrival at the highest possible rate; `arrive` thins the arrivals to the present rate.
     fn schedule(&mut self, actions: &mut Vec<Action>) {
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
-        let Some(gaps) = &self.gaps else {
-            return;
-        };
+        let Some(gaps) = &self.gaps else { return };
         self.next += gaps.sample(&mut self.arrivals) / surge.max(1.0);
         if self.next < self.settings.length as f64 {
             actions.push(Action::SetTimer(self.next as Micros, TimerKind::Arrival));
--- a/crates/server-model/tests/site.rs
+++ b/crates/server-model/tests/site.rs
@@ -640,10 +640,9 @@
         proxy_skew: 0.0,
         ..settings()
     };
-    let attempts = sent_attempts(&play(set, |_| Some(ClientAnswer::Served { commit: 0 }), 2));
-    let part = |proxy| {
-        attempts.iter().filter(|(_, t)| t.proxy == proxy).count() as f64 / attempts.len() as f64
-    };
+    let sent = sent_attempts(&play(set, |_| Some(ClientAnswer::Served { commit: 0 }), 2));
+    let part =
+        |proxy| sent.iter().filter(|(_, t)| t.proxy == proxy).count() as f64 / sent.len() as f64;
     // Three standard deviations are 0.01.
     assert!(
         (part(0) - 0.8).abs() < 0.01 && (part(1) - 0.1).abs() < 0.01,
