--- a/crates/server-model/src/account.rs
+++ b/crates/server-model/src/account.rs
@@ -106,7 +106,7 @@
         within
     }
     /// Like [`Account::draw`], but borrows beyond the quota if `room` is set and the credit allows it.
-    pub fn draw_or_borrow(&mut self, now: Micros, kind: usize, room: bool) -> Drawn {
+    pub fn draw_or_borrow(&mut self, now: Micros, class: usize, room: bool) -> Drawn {
         if self.draw(now) {
             return Drawn::Within;
         }
@@ -114,7 +114,7 @@
         match self
             .loans
             .as_mut()
-            .is_some_and(|loans| room && loans.lend(now, kind, rate))
+            .is_some_and(|loans| room && loans.lend(now, class, rate))
         {
             true => Drawn::Borrowed,
             false => Drawn::Beyond,
@@ -160,7 +160,7 @@
         all
     }
 
-    fn lend(&mut self, now: Micros, kind: usize, rate: u128) -> bool {
+    fn lend(&mut self, now: Micros, class: usize, rate: u128) -> bool {
         let Credit {
             line,
             term,
@@ -172,7 +172,7 @@
             .front()
             .is_some_and(|(since, _)| now.saturating_sub(*since) >= term);
         let full = self.owed + UNITS_PER_REQUEST > rate * u128::from(line);
-        if late || full || !kinds.contains(&kind) || !self.pace.draw(now) {
+        if late || full || !kinds.contains(&class) || !self.pace.draw(now) {
             return false;
         }
         self.owed += UNITS_PER_REQUEST;
--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -156,7 +156,7 @@
                         let proxy = open.proxy;
                         actions.push(Action::Abandon { id, proxy });
                     }
-                    self.attempt_failed(request, RequestOutcome::Abandoned, None, now, actions);
+                    self.failed(request, RequestOutcome::Abandoned, None, now, actions);
                 }
             }
             Event::Answered(id, answer) => self.answered(id, answer, now, actions),
@@ -374,22 +374,20 @@
                 );
             }
             Answer::Rejected { retry_after } => {
-                self.attempt_failed(request, RequestOutcome::Rejected, retry_after, now, actions)
-            }
-            Answer::Failed => {
-                self.attempt_failed(request, RequestOutcome::Failed, None, now, actions)
+                self.failed(request, RequestOutcome::Rejected, retry_after, now, actions)
             }
+            Answer::Failed => self.failed(request, RequestOutcome::Failed, None, now, actions),
             Answer::ConnectionLost { reached: false } => {
-                self.attempt_failed(request, RequestOutcome::Rejected, None, now, actions)
+                self.failed(request, RequestOutcome::Rejected, None, now, actions)
             }
             Answer::ConnectionLost { reached: true } => {
-                self.attempt_failed(request, RequestOutcome::Failed, None, now, actions)
+                self.failed(request, RequestOutcome::Failed, None, now, actions)
             }
         }
     }
 
     /// Handles an unsuccessful attempt: schedules a retry if it is allowed and there is time, else settles the request.
-    fn attempt_failed(
+    fn failed(
         &mut self,
         request: u64,
         outcome: RequestOutcome,
