--- a/crates/incidents/src/play.rs
+++ b/crates/incidents/src/play.rs
@@ -1,4 +1,5 @@
-//! Plays an incident: requests by the balancers' shares, record servers by the script, the real model in each proxy.
+//! Simulates an incident: balancers distribute requests by weight, record servers follow the script, and each proxy
+//! runs the real availability model.
 
 use crate::balancer::Balancer;
 use crate::outcome::{Outcome, Sample, StateChange};
@@ -12,20 +13,20 @@
 use std::time::Duration;
 use wire_health::Status;
 
-/// Steps of virtual time.
+/// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
 
-/// Interval of the samples of states and beliefs, in milliseconds.
+/// Interval between samples of states and views, in milliseconds.
 const SAMPLE_INTERVAL_MS: u128 = 100;
 
-/// The same incident and seed, the same outcome.
+/// Simulates an incident; the outcome is determined by the incident and the seed.
 pub fn play(incident: &Incident, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(incident, seed);
     while simulation.now < incident.length {
         simulation.step();
     }
     let mut outcome = simulation.outcome;
-    outcome.flaps = flaps(&outcome.state_changes, incident.proxies);
+    outcome.flaps = max_changes_per_minute(&outcome.state_changes, incident.proxies);
     outcome
 }
 
@@ -35,18 +36,18 @@
     world: World,
     proxies: Vec<Proxy>,
     balancers: Vec<Balancer>,
-    /// In the order of time; `next_change` is the first that has not happened.
+    /// Scripted changes in order of time.
     changes: Vec<(Time, Change)>,
     next_change: usize,
-    /// The multiple of the usual requests.
+    /// Factor on the usual request rate.
     demand: f64,
-    /// Requests that are due and not yet sent, with the fraction of the next one.
+    /// Number of requests that are due and not sent, including the fraction of the next one.
     due_requests: f64,
     last_request: u64,
     now: Time,
-    /// By proxy, as of its last step.
+    /// State of each proxy after its last step.
     states: Vec<State>,
-    /// By proxy, whether it has reported the fault.
+    /// Whether each proxy has reported the fault.
     reported: Vec<bool>,
     outcome: Outcome,
 }
@@ -91,7 +92,7 @@
         for proxy in 0..self.proxies.len() {
             self.step_proxy(proxy);
         }
-        self.check_health();
+        self.run_health_checks();
         self.sample();
     }
 
@@ -123,31 +124,31 @@
             Change::Demand(times) => self.demand = times,
             Change::Drain(at) => proxies[at].drain(drain::Event::Drain, now),
             Change::Undrain(at) => proxies[at].drain(drain::Event::Undrain, now),
-            Change::Discovery(at, heard) => {
+            Change::Discovery(at, connected) => {
                 proxies[at]
                     .model
-                    .handle(now, Event::Discovery { connected: heard });
+                    .handle(now, Event::Discovery { connected });
             }
             Change::Stall(at, span) => proxies[at].stalled_until = now + span,
         }
     }
 
     fn update_lists(&mut self) {
-        for (server, there) in self.world.step(self.now) {
+        for (server, listed) in self.world.step(self.now) {
             let (place, group) = (self.world.place(server), self.world.group(server));
             for proxy in &mut self.proxies {
                 let listed = Event::Endpoint {
                     server,
                     site: place,
                     group,
-                    listed: there,
+                    listed,
                 };
                 proxy.model.handle(self.now, listed);
             }
         }
     }
 
-    /// Each balancer sends in turn, to proxies by its shares.
+    /// Sends the due requests through the balancers in turn, each of which picks proxies by its shares.
     fn send_requests(&mut self) {
         self.due_requests += self.incident.requests_per_s * self.demand * STEP.as_secs_f64();
         while self.due_requests >= 1.0 {
@@ -202,14 +203,15 @@
         self.record_report(at, state);
     }
 
-    /// A proxy reports the fault by another state, by a group's condition, or by the state of a link.
+    /// Records the first report of the fault by a proxy: a state other than ready, a group that is not serving, or a
+    /// link that is not up.
     fn record_report(&mut self, at: usize, state: State) {
         let proxy = &self.proxies[at];
         let (begins, ends) = self.incident.fault_window;
         let mut conditions = proxy.model.groups().map(|(_, g)| g.condition);
-        let sick = conditions.any(|condition| condition != Condition::Serving)
+        let degraded = conditions.any(|condition| condition != Condition::Serving)
             || proxy.links.iter().any(|link| *link != LinkState::Up);
-        if self.now >= begins && !self.reported[at] && (state != State::Ready || sick) {
+        if self.now >= begins && !self.reported[at] && (state != State::Ready || degraded) {
             self.reported[at] = true;
             let delay = self.now - begins;
             self.outcome.first_report_delay.get_or_insert(delay);
@@ -221,7 +223,7 @@
         }
     }
 
-    fn check_health(&mut self) {
+    fn run_health_checks(&mut self) {
         for balancer in &mut self.balancers {
             for (at, proxy) in self.proxies.iter().enumerate() {
                 if !balancer.due(at, self.now) {
@@ -229,10 +231,10 @@
                 }
                 let status = (self.now >= proxy.stalled_until).then(|| status(&proxy.model));
                 balancer.check(at, status.as_ref(), self.now);
-                let belief = balancer.belief(at);
-                let out = !belief.up || belief.drained || belief.weight == 0;
-                let wrong = out && !self.incident.may_be_out.contains(&at);
-                self.outcome.false_downs += u64::from(wrong);
+                let view = balancer.view(at);
+                let out = !view.up || view.drained || view.weight == 0;
+                let false_down = out && !self.incident.may_be_out.contains(&at);
+                self.outcome.false_downs += u64::from(false_down);
             }
         }
     }
@@ -249,21 +251,21 @@
         if !self.now.as_millis().is_multiple_of(SAMPLE_INTERVAL_MS) {
             return;
         }
-        let beliefs = self
+        let views = self
             .balancers
             .iter()
-            .map(|b| (0..self.proxies.len()).map(|at| b.belief(at)).collect());
+            .map(|b| (0..self.proxies.len()).map(|at| b.view(at)).collect());
         self.outcome.samples.push(Sample {
             at: self.now,
             states: self.states.clone(),
             weights,
-            beliefs: beliefs.collect(),
+            views: views.collect(),
             no_proxy_available: self.outcome.no_proxy_available,
         });
     }
 }
 
-fn flaps(changes: &[StateChange], proxies: usize) -> usize {
+fn max_changes_per_minute(changes: &[StateChange], proxies: usize) -> usize {
     let minute = Duration::from_secs(60);
     let of = |proxy: usize| -> Vec<Time> {
         changes
@@ -288,7 +290,7 @@
         .unwrap_or(0)
 }
 
-/// The model's state as the health codecs take it.
+/// Status of the model as input of the health codecs.
 fn status(model: &Availability) -> Status {
     let report = model.report();
     Status {
--- a/crates/incidents/src/world.rs
+++ b/crates/incidents/src/world.rs
@@ -1,63 +1,62 @@
-//! Record servers in two buildings, as far as proxies can see them: who is primary, how far each has the log, who
-//! reaches whom.
+//! Record servers in two buildings as visible to proxies: primaries, positions and reachability.
 
-use crate::script::{Servers, PLACES};
+use crate::script::{Behaviour, PLACES};
 use crate::Time;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Of each group, half of them in each building.
+/// Members per group; half of them are in each building.
 const MEMBERS: u32 = 4;
-/// A lost primary is given up and another takes over after this.
-const ELECTION: Duration = Duration::from_secs(5);
-/// The list drops what is dead, and takes up what is back, after this.
-const LIST_LATE: Duration = Duration::from_secs(6);
-/// The log's way to a replica.
-const SHIP: Duration = Duration::from_millis(8);
-
-/// What a proxy's request to a server meets.
+/// Time from the loss of a primary until another member takes over.
+const ELECTION_TIME: Duration = Duration::from_secs(5);
+/// Delay until the endpoint list drops a dead server or lists a recovered one.
+const LIST_DELAY: Duration = Duration::from_secs(6);
+/// Replication delay.
+const REPLICATION_DELAY: Duration = Duration::from_millis(8);
+
+/// Reachability of a server from a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reach {
-    /// Neither request nor answer passes; connections don't come up.
+    /// Requests and responses are lost; connections can't be opened.
     Nothing,
-    /// Both pass, and the servers behave so.
-    Servers(Servers),
+    /// The server is reachable and behaves like this.
+    Servers(Behaviour),
 }
 
 #[derive(Debug)]
 struct Group {
-    servers: Servers,
+    behaviour: Behaviour,
     primary: Option<u32>,
-    /// Another takes over then.
+    /// Time at which another member takes over.
     election: Option<Time>,
-    /// Where the log ends, while nobody adds to it.
-    stands: Time,
+    /// End of the log while the group takes no writes.
+    log_end: Time,
 }
 
 /// The record servers of two buildings.
 #[derive(Debug)]
 pub struct World {
     groups: Vec<Group>,
-    /// By proxy and building.
+    /// Whether the link is up, by proxy and building.
     links: Vec<Vec<bool>>,
     powered: Vec<bool>,
     hung: Vec<bool>,
-    /// Since when the buildings can't hear each other.
+    /// Start of the cut between the buildings; `None` while they are connected.
     apart: Option<Time>,
-    /// What the list is going to say, when, of which server.
+    /// Pending updates of the endpoint list as (time, server, listed).
     list: Vec<(Time, u32, bool)>,
 }
 
 impl World {
-    /// All servers up, all links standing.
+    /// All servers and links are up.
     pub fn new(groups: u32, proxies: usize) -> World {
         let places = usize::from(PLACES);
         let group = |number: u32| Group {
-            servers: Servers::Answer(1.0),
-            // Primaries stand in either building.
+            behaviour: Behaviour::Answer(1.0),
+            // Primaries are distributed over both buildings.
             primary: Some(number * MEMBERS + number % u32::from(PLACES)),
             election: None,
-            stands: Time::ZERO,
+            log_end: Time::ZERO,
         };
         World {
             groups: (0..groups).map(group).collect(),
@@ -79,7 +78,7 @@
         self.groups() * MEMBERS
     }
 
-    /// The servers of a group.
+    /// Indices of the servers of a group.
     pub fn members(&self, group: u32) -> Range<u32> {
         group * MEMBERS..(group + 1) * MEMBERS
     }
@@ -94,63 +93,68 @@
         server / MEMBERS
     }
 
-    /// The group's primary; none while it takes no writes.
+    /// Primary of a group; `None` while the group takes no writes.
     pub fn primary(&self, group: u32) -> Option<u32> {
         self.groups[group as usize]
             .primary
-            .filter(|_| self.writes(group))
+            .filter(|_| self.takes_writes(group))
     }
 
-    /// Whether somebody adds to the group's log.
-    fn writes(&self, group: u32) -> bool {
-        matches!(self.groups[group as usize].servers, Servers::Answer(_))
+    /// Whether the group takes writes.
+    fn takes_writes(&self, group: u32) -> bool {
+        matches!(self.groups[group as usize].behaviour, Behaviour::Answer(_))
     }
 
-    /// What a server tells of how far it has the log.
+    /// Position that a server reports.
     pub fn position(&self, server: u32, now: Time) -> Time {
         let group = &self.groups[self.group(server) as usize];
-        let Some(primary) = group.primary.filter(|_| self.writes(self.group(server))) else {
-            return group.stands;
+        let Some(primary) = group
+            .primary
+            .filter(|_| self.takes_writes(self.group(server)))
+        else {
+            return group.log_end;
         };
-        let parted = self
+        let separated_since = self
             .apart
             .filter(|_| self.place(primary) != self.place(server));
         if primary == server {
             now
         } else {
-            parted.unwrap_or(now).saturating_sub(SHIP)
+            separated_since
+                .unwrap_or(now)
+                .saturating_sub(REPLICATION_DELAY)
         }
     }
 
-    /// What a proxy's request to a server meets.
+    /// Reachability of a server from a proxy.
     pub fn reach(&self, proxy: usize, server: u32) -> Reach {
         let place = usize::from(self.place(server));
         if !self.links[proxy][place] || !self.powered[place] {
             Reach::Nothing
         } else if self.hung[place] {
-            Reach::Servers(Servers::Silent)
+            Reach::Servers(Behaviour::Silent)
         } else {
-            Reach::Servers(self.groups[self.group(server) as usize].servers)
+            Reach::Servers(self.groups[self.group(server) as usize].behaviour)
         }
     }
 
-    /// A group behaves so from now on.
-    pub fn set_group(&mut self, group: u32, servers: Servers, now: Time) {
+    /// Sets the behaviour of a group.
+    pub fn set_group(&mut self, group: u32, behaviour: Behaviour, now: Time) {
         let group = &mut self.groups[group as usize];
-        (group.servers, group.stands) = (servers, now);
+        (group.behaviour, group.log_end) = (behaviour, now);
     }
 
-    /// Sets up or cuts the link from a proxy to a building.
+    /// Restores or cuts the link from a proxy to a building.
     pub fn link(&mut self, proxy: usize, place: u16, up: bool) {
         self.links[proxy][usize::from(place)] = up;
     }
 
-    /// Cuts or heals the link between the buildings.
+    /// Cuts or restores the link between the buildings.
     pub fn apart(&mut self, apart: bool, now: Time) {
         self.apart = apart.then_some(now);
     }
 
-    /// The servers of a building hang, or no longer do.
+    /// Sets whether the servers of a building hang.
     pub fn hang(&mut self, place: u16, hung: bool) {
         self.hung[usize::from(place)] = hung;
     }
@@ -159,15 +163,16 @@
     pub fn power(&mut self, place: u16, on: bool, now: Time) {
         self.powered[usize::from(place)] = on;
         for server in (0..self.servers()).filter(|s| s % u32::from(PLACES) == u32::from(place)) {
-            self.list.push((now + LIST_LATE, server, on));
+            self.list.push((now + LIST_DELAY, server, on));
             let group = &mut self.groups[(server / MEMBERS) as usize];
             if !on && group.primary == Some(server) {
-                (group.primary, group.election, group.stands) = (None, Some(now + ELECTION), now);
+                (group.primary, group.election, group.log_end) =
+                    (None, Some(now + ELECTION_TIME), now);
             }
         }
     }
 
-    /// Elections that are over, and what the list says now.
+    /// Completes due elections and returns the due list updates as (server, listed).
     pub fn step(&mut self, now: Time) -> Vec<(u32, bool)> {
         for (number, group) in self.groups.iter_mut().enumerate() {
             if group.election.is_some_and(|at| at <= now) {
@@ -179,7 +184,7 @@
         let (due, later): (Vec<_>, Vec<_>) = self.list.drain(..).partition(|(at, ..)| *at <= now);
         self.list = later;
         due.into_iter()
-            .map(|(_, server, there)| (server, there))
+            .map(|(_, server, listed)| (server, listed))
             .collect()
     }
 }
--- a/crates/server-model/src/clients/mod.rs
+++ b/crates/server-model/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: requests that come by themselves, whatever becomes of those before them; sessions, patience, retries.
+//! Clients with open-loop arrivals (independent of earlier responses), sessions, timeouts and retries.
 //!
-//! Every arrival draws the same numbers, so two policies on one seed are asked the same. What is drawn for retries goes
-//! by the request's own number, for the same reason.
+//! Every arrival draws the same random numbers, so that two policies with the same seed receive the same requests. For
+//! the same reason, the random numbers of a retry derive from the request's own seed.
 
 mod events;
 mod settings;
@@ -32,20 +32,20 @@
     sent_at: Micros,
     priority_weight: f64,
     within: bool,
-    /// The attempt that is out.
+    /// The attempt in flight.
     in_flight: Option<ClientAttemptId>,
     attempts: u32,
-    /// Draws for its attempts come of this.
+    /// Seed of the random numbers for its attempts.
     seed: u64,
-    /// How its last attempt ended.
+    /// Outcome of its last attempt.
     last: RequestOutcome,
 }
 
-/// How long what was asked for tells how busy servers are.
-const BUSY: f64 = 1e6;
+/// Time constant, in microseconds, of the decaying average of requested work.
+const BUSY_TIME_CONSTANT: f64 = 1e6;
 
-/// The last writes of a proxy's clients, which reads come after.
-const RECENT: usize = 32;
+/// Number of recent writes kept per proxy, from which read-your-writes sessions are chosen.
+const RECENT_WRITES: usize = 32;
 
 /// All clients of all proxies.
 #[derive(Debug)]
@@ -53,13 +53,14 @@
     settings: Settings,
     arrivals: Stream,
     gaps: Option<Exp<f64>>,
-    /// The rate that gaps are drawn for; of its arrivals those beyond the present rate are dropped.
-    most: f64,
+    /// Highest rate of the profile, in requests per second: inter-arrival times are drawn for it, and arrivals beyond
+    /// the present rate are dropped.
+    peak_rate: f64,
     next: f64,
     surges: Vec<f64>,
     surge_all: f64,
     up: Vec<bool>,
-    /// Shares of proxies, kinds and tenants as sums so far.
+    /// Cumulative sums of the shares: of proxies here, and of groups, classes and tenants below.
     proxies: Vec<f64>,
     groups: Vec<f64>,
     classes: Vec<f64>,
@@ -68,22 +69,22 @@
     attempts: FxHashMap<ClientAttemptId, u64>,
     commits: FxHashMap<u64, Micros>,
     recent: Vec<VecDeque<(u64, u32, Micros)>>,
-    /// Of tenants.
+    /// Account per tenant, charged by requests as they arrive.
     accounts: Vec<Account>,
-    /// The same accounts, drawn on by what is served.
+    /// Account per tenant, charged by requests as they are served.
     served: Vec<Account>,
-    /// Cores that there are, and what counts in full asks of them, of the last second.
+    /// Number of cores of all servers; tenants borrow only while `busy` is below it.
     cores: f64,
     busy: (f64, Micros),
     last_request: u64,
     last_attempt: ClientAttemptId,
 }
 
-/// Times of the usual that a surge may be.
-pub const SURGE_MOST: f64 = 16.0;
+/// Highest factor by which a surge may multiply the request rate.
+pub const MAX_SURGE_FACTOR: f64 = 16.0;
 
 impl Clients {
-    /// Clients whose draws come from these streams.
+    /// Clients that draw their random numbers from these streams.
     pub fn new(settings: Settings, streams: &Streams) -> Clients {
         let sums = |parts: &mut dyn Iterator<Item = f64>| -> Vec<f64> {
             let mut sum = 0.0;
@@ -99,11 +100,11 @@
             .iter()
             .map(|(_, times)| *times)
             .fold(f64::NAN, f64::max);
-        let most = settings.requests_per_s * if highest.is_nan() { 1.0 } else { highest };
+        let peak_rate = settings.requests_per_s * if highest.is_nan() { 1.0 } else { highest };
         Clients {
             arrivals: streams.stream("arrivals", 0),
-            gaps: Exp::new(most / 1e6).ok().filter(|_| most > 0.0),
-            most,
+            gaps: Exp::new(peak_rate / 1e6).ok().filter(|_| peak_rate > 0.0),
+            peak_rate,
             next: 0.0,
             surges: vec![1.0; settings.tenants.len().max(1)],
             surge_all: 1.0,
@@ -128,18 +129,18 @@
         }
     }
 
-    /// Of whom tenants borrow only as long as what counts in full asks for less than these cores.
-    pub fn before(mut self, cores: f64) -> Clients {
+    /// Lets tenants borrow only while the requests that count with full weight need fewer cores than this.
+    pub fn with_cores(mut self, cores: f64) -> Clients {
         self.cores = cores;
         self
     }
 
-    /// Requests that are neither served nor given up.
+    /// Number of requests that are not settled.
     pub fn open(&self) -> usize {
         self.requests.len()
     }
 
-    /// Applies an event and appends what follows from it.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.schedule(actions),
@@ -155,12 +156,12 @@
                         let proxy = open.proxy;
                         actions.push(Action::Abandon { id, proxy });
                     }
-                    self.ended(request, RequestOutcome::Abandoned, None, now, actions);
+                    self.failed(request, RequestOutcome::Abandoned, None, now, actions);
                 }
             }
             Event::Answered(id, answer) => self.answered(id, answer, now, actions),
             Event::Surge { tenant, times } => {
-                let times = times.clamp(0.0, SURGE_MOST);
+                let times = times.clamp(0.0, MAX_SURGE_FACTOR);
                 match tenant {
                     Some(tenant) => _ = self.surges.get_mut(tenant).map(|surge| *surge = times),
                     None => self.surge_all = times,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Arrivals are drawn for the highest rate that there may be, and thinned to the present one.
+    /// Schedules the next arrival at the highest possible rate; `arrive` thins the arrivals to the present rate.
     fn schedule(&mut self, actions: &mut Vec<Action>) {
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
         let Some(gaps) = &self.gaps else { return };
@@ -180,7 +181,7 @@
         }
     }
 
-    fn times(&self, now: Micros) -> f64 {
+    fn rate_factor(&self, now: Micros) -> f64 {
         let points = &self.settings.profile;
         let after = points.partition_point(|(at, _)| *at <= now);
         match (
@@ -196,14 +197,14 @@
     }
 
     fn arrive(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        // Every arrival draws the same numbers, whatever becomes of it.
+        // Every arrival draws the same random numbers, whether or not it becomes a request.
         let u: [f64; 7] = std::array::from_fn(|_| self.arrivals.random());
         let seed = self.arrivals.random::<u64>();
         let surge = self.surge_all * self.surges.iter().copied().fold(1.0, f64::max);
         let tenant = pick(&self.shares, u[1]);
         let own = self.surge_all * self.surges.get(tenant).copied().unwrap_or(1.0);
-        let rate = self.settings.requests_per_s * self.times(now) * own;
-        if u[0] * self.most * surge.max(1.0) >= rate
+        let rate = self.settings.requests_per_s * self.rate_factor(now) * own;
+        if u[0] * self.peak_rate * surge.max(1.0) >= rate
             || self.settings.proxies == 0
             || self.settings.groups == 0
         {
@@ -217,7 +218,7 @@
         let mut group = pick(&self.groups, u[4]) as u32;
         let own_sessions = self.settings.sessions.max(1);
         let number = (u[5] * own_sessions as f64) as u64;
-        // A session is of one group and one proxy.
+        // A session belongs to one group and one proxy.
         let mut session = (proxy as u64 * own_sessions + number) * u64::from(self.settings.groups)
             + u64::from(group)
             + 1;
@@ -235,15 +236,19 @@
                 (session, group) = (*s, *g);
             }
         }
-        // What is beyond a tenant's quota is worth less, whatever is done with it. Its retries draw no more: what was
-        // asked for would depend on what was rejected.
+        // A request beyond its tenant's quota has a lower weight, whatever its outcome. Retries are not charged to the
+        // account: otherwise the demand would depend on the rejections.
         let (busy, since) = self.busy;
-        let busy = busy * (-((now - since) as f64) / BUSY).exp();
+        let busy = busy * (-((now - since) as f64) / BUSY_TIME_CONSTANT).exp();
         let room = busy < self.cores;
         let account = self.accounts.get_mut(tenant);
         let within =
-            account.is_none_or(|account| account.draw_on(now, class, room) != Drawn::Beyond);
-        let work = if within { stated.work.mean / BUSY } else { 0.0 };
+            account.is_none_or(|account| account.draw_or_borrow(now, class, room) != Drawn::Beyond);
+        let work = if within {
+            stated.work.mean / BUSY_TIME_CONSTANT
+        } else {
+            0.0
+        };
         self.busy = (busy + work, now);
         let priority_weight = stated.priority_weight
             * if within {
@@ -280,7 +285,7 @@
         let (from, to) = self.settings.patience;
         let given = from + (to - from) * hash_fraction(open.seed ^ u64::from(open.attempts) << 8);
         let wait = ((class.deadline as f64 * given) as Micros).min(left).max(1);
-        // Whose proxy is known to be down goes to another.
+        // A client whose proxy is known to be down uses another one.
         if self.up.get(open.proxy) == Some(&false) {
             let others: Vec<usize> = (0..self.up.len()).filter(|p| self.up[*p]).collect();
             if let Some(other) = others.get(open.seed as usize % others.len().max(1)) {
@@ -334,7 +339,7 @@
                     *known = commit.max(*known);
                     let recent = &mut self.recent[open.proxy];
                     recent.push_back((open.session, open.group, now));
-                    if recent.len() > RECENT {
+                    if recent.len() > RECENT_WRITES {
                         recent.pop_front();
                     }
                 }
@@ -352,8 +357,8 @@
                     class.priority_weight * part,
                 );
                 let account = self.served.get_mut(open.tenant).filter(|_| part > 0.0);
-                let full =
-                    account.is_none_or(|account| account.draw_on(now, at, room) != Drawn::Beyond);
+                let full = account
+                    .is_none_or(|account| account.draw_or_borrow(now, at, room) != Drawn::Beyond);
                 let counted = whole
                     * if full {
                         1.0
@@ -369,20 +374,20 @@
                 );
             }
             Answer::Rejected { retry_after } => {
-                self.ended(request, RequestOutcome::Rejected, retry_after, now, actions)
+                self.failed(request, RequestOutcome::Rejected, retry_after, now, actions)
             }
-            Answer::Failed => self.ended(request, RequestOutcome::Failed, None, now, actions),
+            Answer::Failed => self.failed(request, RequestOutcome::Failed, None, now, actions),
             Answer::ConnectionLost { reached: false } => {
-                self.ended(request, RequestOutcome::Rejected, None, now, actions)
+                self.failed(request, RequestOutcome::Rejected, None, now, actions)
             }
             Answer::ConnectionLost { reached: true } => {
-                self.ended(request, RequestOutcome::Failed, None, now, actions)
+                self.failed(request, RequestOutcome::Failed, None, now, actions)
             }
         }
     }
 
-    /// An attempt has come to nothing: another follows, if it may and there is time.
-    fn ended(
+    /// Handles an unsuccessful attempt: schedules a retry if it is allowed and there is time, else settles the request.
+    fn failed(
         &mut self,
         request: u64,
         outcome: RequestOutcome,
@@ -395,7 +400,7 @@
         };
         open.last = outcome;
         let class = &self.settings.classes[open.class];
-        // What may have run is asked for again only where that does no harm.
+        // A request that may have run is retried only if it is idempotent.
         let may =
             outcome == RequestOutcome::Rejected || class.idempotency == Idempotency::Idempotent;
         let jitter = 0.5 + hash_fraction(open.seed ^ u64::from(open.attempts) << 24);
@@ -444,7 +449,7 @@
         }));
     }
 
-    /// What is still open counts as it stands; for the end of a run.
+    /// Settles all open requests with the outcome of their last attempt, at the end of a run.
     pub fn close(&mut self, actions: &mut Vec<Action>) {
         let mut open: Vec<(u64, RequestOutcome)> =
             self.requests.iter().map(|(id, r)| (*id, r.last)).collect();
--- a/crates/simulation-engine/tests/order.rs
+++ b/crates/simulation-engine/tests/order.rs
@@ -1,4 +1,4 @@
-//! The wheel against a sorted list, and streams against each other.
+//! Checks the wheel against a binary heap, and the independence of streams.
 
 use proptest::prelude::*;
 use rand::Rng;
@@ -7,7 +7,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-fn time() -> impl Strategy<Value = u64> {
+fn event_time() -> impl Strategy<Value = u64> {
     prop_oneof![
         0..200_u64,
         0..1_000_000_u64,
@@ -20,13 +20,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Puts and takes in any mixture come out as by a heap of times and numbers.
+    /// Any sequence of insertions and removals gives the same events as a heap ordered by time and number.
     #[test]
-    fn events_come_in_the_order_of_their_times(steps in proptest::collection::vec((time(), any::<bool>()), 0..400)) {
+    fn events_come_in_the_order_of_their_times(steps in proptest::collection::vec((event_time(), any::<bool>()), 0..400)) {
         let (mut wheel, mut heap) = (Wheel::default(), BinaryHeap::new());
         let mut now = 0;
         for (number, (at, take)) in steps.into_iter().enumerate() {
-            // Mostly near what happens now, as in a run.
+            // Most times are close to the present time, as in a run.
             let at = if number % 3 == 0 { at } else { u64::saturating_add(now, at % 5_000) };
             wheel.put(at, number);
             heap.push(Reverse((at.max(now), number)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_end_of_time_is_a_time() {
+fn events_at_the_largest_time_are_returned() {
     let mut wheel = Wheel::default();
     wheel.put(u64::MAX, 'z');
     wheel.put(0, 'a');
@@ -55,7 +55,11 @@
     assert_eq!(wheel.take(), Some((u64::MAX - 1, 'y')));
     assert_eq!(wheel.take(), Some((u64::MAX, 'z')));
     wheel.put(5, 'p');
-    assert_eq!(wheel.take(), Some((u64::MAX, 'p')), "the past happens now");
+    assert_eq!(
+        wheel.take(),
+        Some((u64::MAX, 'p')),
+        "an event in the past is due at the present time"
+    );
 }
 
 #[test]
@@ -67,8 +71,8 @@
     assert_eq!(draw("arrivals", 0), draw("arrivals", 0));
     assert_ne!(draw("arrivals", 0), draw("arrivals", 1));
     assert_ne!(draw("arrivals", 0), draw("troubles", 0));
-    // Written down: another version must draw the same.
-    assert_eq!(Streams::new(7).seed("arrivals", 0), FIRST);
+    // Fixed value: other versions must draw the same numbers.
+    assert_eq!(Streams::new(7).seed("arrivals", 0), ARRIVALS_SEED);
 }
 
-const FIRST: u64 = 52879940156856950;
+const ARRIVALS_SEED: u64 = 52879940156856950;
