--- a/crates/testbed/tests/common/loans.rs
+++ b/crates/testbed/tests/common/loans.rs
@@ -1,4 +1,5 @@
-//! Fleets whose stands borrow, with a checker that knows no lane and looks whether what is owed over all fits into one line.
+//! Fleets with quota lending, checked by an independent model: it does not know lanes and verifies that the debts of all
+//! proxies together stay within one credit line.
 
 use super::turns::{turn, Turn};
 use super::{setup, SECOND};
@@ -9,15 +10,16 @@
 use testbed::process::EVENT_TIMEOUT;
 use testbed::{Setup, Testbed};
 
-/// Loans are over soon, so that what waits for their end does not wait long.
+/// Short terms, so that tests do not wait long for loans to expire.
 const LENDING: &str = "lending {\n lease 1s\n step 200ms\n longest 3s\n";
 const CREDIT: &str =
     "credit bus {\n term 2s\n write-off 1s\n floor 20%\n class any mine\n rate 200/s\n";
 pub const STATE: &str = " state {folder}/tmp\n";
-/// In requests a second: what the stand may ask. It usually asks less, and in a surge five times as much.
+/// Quota of the tenant `bus`, requests per second. Its usual load is below the quota; a surge multiplies the load by
+/// `SURGE`.
 const QUOTA: u64 = 60;
 const SURGE: f64 = 5.0;
-/// A round of looks in which all have heard of a line that has changed.
+/// Number of checker rounds after which all proxies have applied a changed line.
 const SETTLED: u32 = 200;
 
 pub fn operators(state: &str, line: &str) -> String {
@@ -27,14 +29,14 @@
 pub struct Fleet {
     pub testbed: Testbed,
     pub checker: Checker,
-    /// Who is looked at: the living.
+    /// Indexes of the running proxies, which are checked.
     pub looked: Vec<usize>,
-    /// After the testbed.
+    /// Declared after the testbed, so that it is released after the testbed has ended.
     _turn: Turn,
 }
 
 impl Fleet {
-    /// All have founded before anything goes wrong.
+    /// Starts a fleet and waits until each proxy is a founder, before a test injects faults.
     pub fn start(proxies: usize, adjust: impl FnOnce(&mut Setup)) -> Fleet {
         let turn = turn();
         let mut setup = setup(proxies, 100.0, 60 * SECOND);
@@ -79,7 +81,7 @@
         assert_eq!(self.checker.broken.count, 0, "{:?}", self.checker.broken);
     }
 
-    /// Rounds of looks until a figure of each of these is so.
+    /// Runs checker rounds until the metric `name` of each given proxy satisfies `is`.
     pub fn until(
         &mut self,
         proxies: impl IntoIterator<Item = usize>,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// So many more loans at each of these.
+    /// Waits until each given proxy has made `more` further loans.
     pub fn lends(&mut self, proxies: impl IntoIterator<Item = usize>, more: u64) {
         for proxy in proxies {
             let before = self.figure(proxy, LOANS);
@@ -118,7 +120,7 @@
             .surge(Some(0), if on { SURGE } else { 1.0 });
     }
 
-    /// Nothing is owed any more, and the books say what became of it.
+    /// Ends the surge, waits until no debt is left, and checks that lent equals owed plus repaid plus written off.
     pub fn settle(&mut self) {
         self.surge(false);
         self.until(self.looked.clone(), &book("owed"), |n| n == 0);
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Kill -9. What it owed counts on, but for what it may have got back since it was looked at.
+    /// Kills the proxy with SIGKILL. Its debts still count, less the repayments that it may have received since the last
+    /// check.
     pub fn kill(&mut self, proxy: usize) {
         self.look();
         let looked = Instant::now();
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small fleets for tests: what is asked, and of how many.
+//! Settings of small fleets and their clients, and helpers that the tests share.
 #![allow(dead_code)]
 
 pub mod loans;
@@ -20,7 +20,7 @@
         idempotency: repeat,
         share,
         work: Work::new(Law::Fixed, 2_000.0),
-        // No machine is so busy with other tests that these are missed.
+        // Long enough that a machine that is busy with other tests does not miss them.
         latency_objective: 20 * SECOND,
         deadline: 20 * SECOND,
         priority_weight: 1.0,
@@ -62,7 +62,7 @@
     }
 }
 
-/// So many proxies before two groups of three, asked so often for so long.
+/// A fleet of `proxies` in front of two groups of three servers; `per_s`: request rate, `length`: duration of the load in microseconds.
 pub fn setup(proxies: usize, per_s: f64, length: u64) -> Setup {
     let site = site::Settings {
         groups: 2,
@@ -87,7 +87,7 @@
     testbed
 }
 
-/// Until so many more have been answered; `of`: by which proxy.
+/// Waits until `more` further requests have been answered.
 pub fn answered(testbed: &Testbed, more: u64) {
     let before = testbed.history.lock().checker.answered;
     testbed
@@ -101,7 +101,7 @@
     out.accounts.iter().map(|b| b.served).sum()
 }
 
-/// All rules held. What is shown else is which did not.
+/// Ends the run and asserts that no invariant was violated and that requests were served; a failure lists the violations.
 pub fn sound(testbed: Testbed) -> Outcomes {
     let out = testbed.finish().unwrap_or_else(|fault| panic!("{fault}"));
     assert!(
--- a/crates/testbed/tests/common/turns.rs
+++ b/crates/testbed/tests/common/turns.rs
@@ -1,15 +1,15 @@
-//! Trials of whole fleets take turns: a machine on which too many processes run at once is late everywhere, and a trial that waits
-//! for what takes long by itself would run out of patience.
+//! Bounds the number of fleets that run at once: too many processes delay each other, and tests that wait for slow events
+//! would time out.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Fleets of four or five processes that a machine of some cores bears at once.
+/// Maximum number of fleets of four or five processes that run at once; a machine with a few cores has room for that.
 const AT_ONCE: usize = 4;
 
 static UP: Mutex<usize> = Mutex::new(0);
 static FREE: Condvar = Condvar::new();
 
-/// One fleet may be up for as long as this lives.
+/// Permit to run one fleet, released on drop.
 pub struct Turn(());
 
 pub fn turn() -> Turn {
--- a/crates/testbed/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! What relays do to datagrams, between plain sockets; and what the testbed tells proxies of each other, with stand-ins for
-//! them that say where they are heard.
+//! Faults that datagram relays inject, tested between plain sockets; and the member settings and partitions that the testbed
+//! sets up, tested with stand-in programs that print the address of their member socket.
 
 mod common;
 use invariant_checkers::Rule;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// One after the other, each once the one before was taken: the order is that of sending.
+    /// Sends the values one by one, each after the relay has received the one before, so that their order is kept.
     async fn send(&self, texts: impl IntoIterator<Item = u32>) {
         for text in texts {
             let came = self.link.counts().came;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// All that has passed since the last call, once nothing waits.
+    /// Waits until the relay holds no datagram, and returns the values that have passed since the last call.
     async fn heard(&self, before: &mut u64) -> Vec<u32> {
         let counts = self.link.until(|counts| counts.waiting == 0).await.unwrap();
         assert!(counts.add_up(), "{counts:?}");
@@ -55,14 +55,14 @@
         while *before < counts.passed {
             let n = timeout(EVENT_TIMEOUT, self.hears.recv(&mut bytes))
                 .await
-                .expect("it passed")
+                .expect("a datagram that has passed must be received")
                 .unwrap();
             heard.push(u32::from_be_bytes(bytes[..n].try_into().unwrap()));
             *before += 1;
         }
         assert!(
             self.hears.try_recv(&mut bytes).is_err(),
-            "more came than passed"
+            "the receiver got more datagrams than the relay passed"
         );
         heard
     }
@@ -72,7 +72,7 @@
     Runtime::new().unwrap().block_on(test);
 }
 
-/// Each fault alone, of all datagrams: what comes, and what is counted.
+/// Each fault, applied to all datagrams: checks the received datagrams and the counters.
 #[test]
 fn each_fault_is_seen_and_counted() {
     let way = DatagramFaults::default();
@@ -150,13 +150,13 @@
             assert_eq!(pair.link.counts(), counts, "{way:?}");
             assert!(
                 counts.late == 0 || begun.elapsed() >= millis(30),
-                "{way:?}: earlier than it is set"
+                "{way:?}: received before the configured delay"
             );
         }
     });
 }
 
-/// Over many, a share is what it was set to; and one bit is flipped, not always the same.
+/// Over many datagrams a fault hits the configured share; corruption flips one bit, at varying positions.
 #[test]
 fn shares_are_as_set_and_one_bit_is_flipped() {
     block(async {
@@ -184,7 +184,7 @@
     });
 }
 
-/// What is late or held back when the cut comes is dropped by it, even when it is healed at once.
+/// A cut drops the datagrams that are delayed or held back at that moment, also when the link is healed at once.
 #[test]
 fn a_cut_takes_what_is_on_its_way() {
     block(async {
@@ -225,8 +225,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever is set and changed: the counts hold, the receiver hears as many as have passed, and the same seed does
-    /// the same again.
+    /// For any faults and changes of faults: the counters add up, the receiver gets as many datagrams as have passed, and
+    /// the same seed gives the same result.
     #[test]
     fn counts_add_up_and_seeds_repeat(
         seed: u64, lost in 0.0..0.9, doubled in 0.0..1.0, reordered in 0.0..1.0, corrupted in 0.0..1.0, cut in 0u32..60,
@@ -250,13 +250,13 @@
         let (heard, counts) = run();
         prop_assert!(counts.add_up());
         prop_assert_eq!(counts.came, u64::from(cut) + 50);
-        prop_assert!((10..=12).contains(&counts.cut), "ten, and at most one that was held, twice");
+        prop_assert!((10..=12).contains(&counts.cut), "the ten sent during the cut, and at most one held datagram, duplicated");
         prop_assert_eq!(heard.len() as u64, counts.passed);
         prop_assert_eq!(run(), (heard, counts));
     }
 }
 
-/// Sections and keys that three proxies are given: every other under the address of a relay, itself under none.
+/// Member sections and keys of three proxies: each other member has the address of a relay, the proxy itself has none.
 #[test]
 fn each_proxy_is_told_of_the_others() {
     let mut setup = common::setup(4, 1.0, common::SECOND);
@@ -325,12 +325,16 @@
         std::fs::metadata(key_file).unwrap().permissions().mode() & 0o777,
         0o600
     );
-    assert_eq!(read(3).2, keys, "all have the same");
-    assert_eq!(read(2).0, None, "who is not on the roster has none");
+    assert_eq!(read(3).2, keys, "all proxies have the same keys");
+    assert_eq!(
+        read(2).0,
+        None,
+        "a proxy that is not on the roster has no members section"
+    );
     assert!(testbed.datagram_link(1, 1).is_err());
 }
 
-/// Who hears whom of three stand-ins, by what each receives of the others.
+/// Pairs (sender, receiver) of three stand-ins between which a datagram arrives.
 fn heard(testbed: &Testbed, ears: &[UdpSocket]) -> Vec<(usize, usize)> {
     let pairs = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
     let comes = |&(from, to): &(usize, usize)| {
@@ -355,7 +359,7 @@
             let mut bytes = [0; 2];
             timeout(EVENT_TIMEOUT, ears[to].recv(&mut bytes))
                 .await
-                .expect("it passed")
+                .expect("a datagram that has passed must be received")
                 .unwrap();
             assert_eq!(bytes, [from as u8, to as u8]);
             true
@@ -364,14 +368,14 @@
     pairs.into_iter().filter(comes).collect()
 }
 
-/// Parted, deaf to one side, killed and started again on another port: who hears whom is as it was set.
+/// After a partition, a one-way cut, a kill and a restart on another port, exactly the expected pairs are connected.
 #[test]
 fn parts_hear_none_of_each_other_and_a_restart_is_found() {
     const ALL: [(usize, usize); 6] = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
     let folder = Folder::new().unwrap();
     let mut setup = common::setup(3, 1.0, common::SECOND);
     setup.members = Some(Members::default());
-    // Each is a program of its own, that says what stands in its file.
+    // Each is a separate program that prints the contents of its file.
     let at = |proxy: usize| folder.path().join(format!("stand-in-{proxy}"));
     let script = "#!/bin/sh\ncat \"$0.says\" >&2\nexec sleep 600\n";
     setup.programs = (0..3).map(at).collect();
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -1,5 +1,5 @@
-//! What operators do to several processes of the program under load: upgrades that fail and succeed, new settings while
-//! the figures count, an older build beside a newer one.
+//! Operator actions on a fleet under load: failed and successful hot restarts, a configuration reload while metrics are
+//! counted, and two builds running side by side.
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
@@ -8,7 +8,8 @@
     done.unwrap_or_else(|fault| panic!("{fault}"))
 }
 
-/// new processes that are killed, at once, when the old process has handed over, and when they serve, cost no request; the next takes over.
+/// New processes that are killed right after their start, or after the old process was asked to hand over, cost no
+/// request; the next new process takes over.
 #[test]
 fn heirs_that_are_killed_before_they_are_ready() {
     let mut setup = setup(1, 100.0, 8 * SECOND);
@@ -26,12 +27,16 @@
     fine(new_process.wait_for_line(": serving on ", 0));
     answered(&testbed, 20);
     let code = fine(testbed.replace_process(0, new_process));
-    assert_eq!(code, Some(0), "the old process ends by itself");
+    assert_eq!(
+        code,
+        Some(0),
+        "the old process exits with code 0 after the hand-over"
+    );
     answered(&testbed, 50);
     sound(testbed);
 }
 
-/// What all proxies count together is what their clients saw, through new settings in the midst of it.
+/// The request counters of all proxies add up to the outcomes seen by the clients, also across a configuration reload.
 #[test]
 fn figures_over_a_run_with_a_reload_in_its_midst() {
     let mut setup = setup(2, 100.0, 5 * SECOND);
@@ -70,11 +75,11 @@
     );
 }
 
-/// Builds side by side: each proxy takes the next in turn, and what they share is the protocol alone.
+/// Two builds run side by side: proxies take the configured programs in turn.
 #[test]
 fn two_builds_side_by_side() {
     let mut setup = setup(2, 60.0, 2 * SECOND);
-    // The same build under another path stands for an older one; which it is makes no difference to the testbed.
+    // The same build under another path stands in for an older one; the testbed treats both alike.
     let folder = testbed::process::Folder::new().unwrap();
     let other = folder.path().join("older");
     std::fs::copy(&setup.programs[0], &other).unwrap();
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program, and what goes wrong between them and in them: no rule is broken by it.
+//! Faults of proxies, links, servers and discovery in a fleet: no invariant may be violated.
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
@@ -10,7 +10,7 @@
 use testbed::process::{Plan, Process};
 use testbed::Testbed;
 
-/// Answers to one proxy's clients so far: those that reached a server are the measure.
+/// Number of requests of one proxy that have reached a server so far.
 fn through(testbed: &Testbed, proxy: usize) -> u64 {
     testbed
         .history
@@ -22,7 +22,7 @@
         .sum()
 }
 
-/// Until a proxy has sent more on.
+/// Waits until a proxy has forwarded `more` further requests.
 fn sends(testbed: &Testbed, proxy: usize, more: u64) {
     let before = through(testbed, proxy);
     let is = |inner: &testbed::history::State| {
@@ -35,11 +35,11 @@
         sent >= before + more
     };
     testbed
-        .until("a proxy sends on", is)
+        .until("a proxy forwards more requests", is)
         .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
-/// Nothing but what the dead one held is lost, and the others go on as they were.
+/// Killing one proxy loses only the requests that it held; the other proxies keep serving.
 #[test]
 fn kill_9_of_one_in_three() {
     let mut testbed = start(setup(3, 150.0, 6 * SECOND));
@@ -54,8 +54,8 @@
     sound(testbed);
 }
 
-/// A process that stands still while a server begins to drain: what it does when it goes on is right by then, whatever
-/// waited for it in the meantime.
+/// A proxy is stopped while a server begins to drain. When it continues, it must honour the drain before it acts on
+/// requests that have queued up in the meantime.
 #[test]
 fn a_stopped_proxy_goes_on() {
     let mut setup = setup(3, 150.0, 8 * SECOND);
@@ -66,18 +66,19 @@
     let last = *testbed.history.lock().site.members(0).last().unwrap();
     testbed.history.inject_fault(ServerFault::Drain(last));
     testbed
-        .until("the list has told it", |inner| {
-            inner.checker.is_leaving(1, last)
-        })
+        .until(
+            "the endpoint list announces the drain to the proxy",
+            |inner| inner.checker.is_leaving(1, last),
+        )
         .unwrap();
-    // By their schedule these take longer than the grace for drains, however fast the machine.
+    // The schedule of these requests is longer than the grace period of drains, however fast the machine.
     answered(&testbed, 150);
     testbed.signal(1, Signal::CONT);
     sends(&testbed, 1, 10);
     sound(testbed);
 }
 
-/// Requests pass and answers don't, to the servers of one building; then the link is whole again.
+/// The links to the servers of one building pass requests but no responses; then they are healed.
 #[test]
 fn a_link_cut_one_way() {
     let testbed = start(setup(2, 100.0, 6 * SECOND));
@@ -106,7 +107,7 @@
     sound(testbed);
 }
 
-/// Connections reset under requests, answers late, in small pieces, and lost for a time.
+/// Links reset connections during requests, delay responses, deliver them in small pieces, and lose and resend bytes.
 #[test]
 fn links_that_reset_delay_and_trickle() {
     let testbed = start(setup(2, 60.0, 6 * SECOND));
@@ -145,7 +146,7 @@
     sound(testbed);
 }
 
-/// A primary dies and another takes over; a server hangs; one drains. All proxies find out for themselves.
+/// A primary crashes and a replica takes over, one server hangs and one drains; each proxy detects this by itself.
 #[test]
 fn servers_die_hang_and_drain() {
     let mut setup = setup(3, 120.0, 8 * SECOND);
@@ -167,7 +168,9 @@
     testbed.history.inject_fault(ServerFault::Drain(members[2]));
     let another =
         |inner: &testbed::history::State| inner.site.primary(0).is_some_and(|now| now != primary);
-    testbed.until("another primary", another).unwrap();
+    testbed
+        .until("another server becomes the primary", another)
+        .unwrap();
     answered(&testbed, 60);
     testbed.history.inject_fault(ServerFault::Start(primary));
     testbed.history.inject_fault(ServerFault::Hang {
@@ -181,7 +184,7 @@
     sound(testbed);
 }
 
-/// The list's service is down for the whole fleet, and all of it comes back at once.
+/// Discovery is down for the whole fleet, and all proxies reconnect to it at once.
 #[test]
 fn a_list_that_fails_a_whole_fleet_and_comes_back() {
     let mut setup = setup(6, 120.0, 10 * SECOND);
@@ -192,7 +195,7 @@
     }
     let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.taken()).collect();
     testbed.history.list(catalog::Event::Down(true));
-    // Everybody's watch has ended, and everybody asks again.
+    // The watch of each proxy has ended, and each has tried to connect again.
     for (proxy, taken) in testbed.proxies.iter().zip(&before) {
         testbed.wait(proxy.list.until_taken(taken + 1));
     }
@@ -201,18 +204,20 @@
     answered(&testbed, 40);
     testbed.history.list(catalog::Event::Down(false));
     testbed
-        .until("all watch again", |inner| inner.watching() == 6)
+        .until("all proxies watch the endpoint list again", |inner| {
+            inner.watching() == 6
+        })
         .unwrap();
     answered(&testbed, 20);
     sound(testbed);
 }
 
-/// A server's table of connections is full: it takes no more, and others bear its load.
+/// A server at its connection limit rejects connections; the other servers take its load.
 #[test]
 fn a_full_table_of_connections() {
     let mut setup = setup(4, 200.0, 5 * SECOND);
     setup.site.connections = 2;
-    // So slow that connections are used side by side.
+    // Requests slow enough that connections are used concurrently.
     setup
         .clients
         .classes
@@ -220,7 +225,7 @@
         .for_each(|kind| kind.work.mean = 20_000.0);
     let testbed = start(setup);
     testbed
-        .until("a server turned a connection away", |inner| {
+        .until("a server rejected a connection", |inner| {
             inner.rejected_connections > 0
         })
         .unwrap();
@@ -228,7 +233,7 @@
     sound(testbed);
 }
 
-/// Asked to end under load, it ends by itself, and nothing that it had taken is lost.
+/// A proxy that receives SIGTERM under load exits with code 0 and loses no request that it had accepted.
 #[test]
 fn sigterm_under_load() {
     let mut testbed = start(setup(2, 100.0, 5 * SECOND));
@@ -243,12 +248,14 @@
     sound(testbed);
 }
 
-/// What a process that can't start says and how it ends reaches the caller, and no other is left behind.
+/// The output and the exit code of a process that fails to start reach the caller.
 #[test]
 fn a_process_that_does_not_start() {
     let mut setup = setup(2, 10.0, SECOND);
     setup.operators = "nonsense {".into();
-    let fault = Testbed::start(setup).err().expect("it can't start");
+    let fault = Testbed::start(setup)
+        .err()
+        .expect("a proxy with invalid settings must not start");
     assert_eq!(fault.code, Some(2), "{fault}");
     assert!(
         fault.words.iter().any(|line| line.contains("nonsense")),
@@ -268,7 +275,7 @@
     assert_eq!(fault.code, Some(127), "{fault}");
 }
 
-/// Descriptors are bounded as the platform bounds them.
+/// A proxy serves within the platform's limit of file descriptors.
 #[test]
 fn a_proxy_within_its_descriptors() {
     let mut setup = setup(1, 100.0, 3 * SECOND);
@@ -278,13 +285,13 @@
     sound(testbed);
 }
 
-/// Its own timers late by a stall of its machine, the testbed says how late it was, and claims nothing.
+/// When a stall of the machine delays its own timers, the testbed reports the delay and no goodput.
 #[test]
 fn a_testbed_that_is_late_claims_nothing() {
     let testbed = start(setup(1, 400.0, 2 * SECOND));
     answered(&testbed, 5);
     {
-        // Nothing of the testbed goes on meanwhile; what was due in this time is late, however fast the machine.
+        // The lock blocks the whole testbed; everything due in this time is late, however fast the machine.
         let _held = testbed.history.lock();
         std::thread::sleep(20 * testbed::history::LATE);
     }
--- a/crates/testbed/tests/lending.rs
+++ b/crates/testbed/tests/lending.rs
@@ -1,4 +1,4 @@
-//! Stands that borrow over a fleet of several processes, and what goes wrong between these. All is read from second addresses.
+//! Quota lending in a fleet under partitions, kills, stops and clock changes. Metrics are read from the admin addresses.
 
 mod common;
 use common::loans::{book, operators, refused, Fleet, LINE, LOANS, STATE};
@@ -8,7 +8,7 @@
 use testbed::process::EVENT_TIMEOUT;
 use testbed::Setup;
 
-/// A bus arrives: its stand borrows at each proxy, nothing beyond the line, and repays it when the bus is gone.
+/// During a surge the tenant borrows at each proxy, never beyond its line, and repays when the surge is over.
 #[test]
 fn a_stand_borrows_and_repays() {
     let mut fleet = Fleet::start(3, |_| {});
@@ -19,8 +19,8 @@
     assert!(fleet.figure(0, "lb_loans_saves_total") > 0);
 }
 
-/// Halves that both borrow: the smaller side ends with its lease, the larger goes on with what it holds and no more. Healed,
-/// both lend.
+/// Both sides of a partition borrow: the minority stops lending when its lease ends, the majority keeps lending from the
+/// parts of the line that it holds. After healing, both sides lend.
 #[test]
 fn both_sides_of_a_cut_keep_within_one_line() {
     let mut fleet = Fleet::start(5, |_| {});
@@ -35,7 +35,7 @@
         assert_eq!(
             fleet.figure(proxy, LOANS),
             before,
-            "the smaller side has ended"
+            "the minority must not lend after its lease has ended"
         );
     }
     fleet.testbed.heal_datagrams();
@@ -43,11 +43,11 @@
     fleet.settle();
 }
 
-/// One dies while parts of the line are on their way to it and from it, and comes back before its lane is over: with its
-/// file it goes on as a founder, and what it owed is owed still.
+/// A proxy is killed while parts of the line are transferred to and from it, and restarts before its lane expires. With its
+/// state file it continues as a founder, and its outstanding debts remain.
 #[test]
 fn one_that_dies_in_mid_transfer_goes_on_with_its_file() {
-    // Most comes to few, so that parts are handed to them.
+    // Skewed load, so that parts of the line move to the busiest proxies.
     let mut fleet = Fleet::start(4, |setup| setup.clients.proxy_skew = 2.0);
     fleet.surge(true);
     let first = LINE / 4;
@@ -64,7 +64,10 @@
         if fleet.figure(holder, &book("part")) > first + first / 10 {
             break holder;
         }
-        assert!(Instant::now() < end, "no part moved");
+        assert!(
+            Instant::now() < end,
+            "no part of the line moved to another proxy"
+        );
     };
     fleet.kill(holder);
     fleet.restart(holder);
@@ -74,8 +77,8 @@
     assert!((0..4).all(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken") == 0));
 }
 
-/// The lane of one that stays dead is taken over, by one alone. When it comes back it has a lane of nothing, and lends again
-/// what others give.
+/// The lane of a proxy that stays dead is taken over by exactly one other proxy. After its return the proxy has an empty
+/// lane and lends only parts that others transfer to it.
 #[test]
 fn the_lane_of_a_dead_one_is_taken_once() {
     let mut fleet = Fleet::start(4, |_| {});
@@ -92,10 +95,10 @@
         fleet.look();
         assert!(
             Instant::now() < end,
-            "the lane of the dead one is not taken"
+            "the lane of the dead proxy was not taken over"
         );
     }
-    // By then all that it lent was over.
+    // All loans of the dead proxy have expired by then.
     fleet.checker.forget("n3");
     fleet.restart(3);
     fleet.until([3], "lb_loans_founded", |n| n == 1);
@@ -104,7 +107,7 @@
     fleet.settle();
 }
 
-/// One that stood still does not lend what it held before, until others have heard it again.
+/// A proxy that was stopped does not lend the parts that it held before until other members have received its messages again.
 #[test]
 fn a_stopped_one_lends_nothing_until_it_is_heard() {
     let mut fleet = Fleet::start(3, |_| {});
@@ -127,8 +130,8 @@
     fleet.settle();
 }
 
-/// One that comes back by a clock that was set back is behind its former start: what it kept and what others hold of it goes
-/// on under the start that it takes then.
+/// A proxy that restarts after its clock was set back has an incarnation older than its former one. Its saved state and the
+/// state that others hold of it continue under the newer incarnation that it then takes.
 #[test]
 fn one_whose_clock_was_set_back_lends_again() {
     let mut fleet = Fleet::start(3, |_| {});
@@ -153,7 +156,7 @@
     fleet.settle();
 }
 
-/// All die and start at once: with files they are founders still and lend as soon as they hear each other.
+/// All proxies are killed and restarted at once: with state files they remain founders and lend as soon as they reach each other.
 #[test]
 fn all_that_start_again_at_once_go_on() {
     let mut fleet = Fleet::start(3, |_| {});
@@ -165,7 +168,7 @@
     fleet.settle();
 }
 
-/// Without a file one that starts again has forgotten what it lent: it has no lane and lends only what is given to it.
+/// A proxy that restarts without a state file has lost its loans: it has no lane and lends only parts transferred to it.
 #[test]
 fn one_that_has_forgotten_lends_what_it_is_given() {
     let mut fleet = Fleet::start(4, |setup| setup.operators = operators("", "5s"));
@@ -178,7 +181,7 @@
     fleet.settle();
 }
 
-/// Two versions of the rules live side by side: the stricter line holds for all.
+/// While proxies run different versions of the settings, the stricter line bounds the sum over all proxies.
 #[test]
 fn the_stricter_of_two_lines_holds_in_sum() {
     let mut fleet = Fleet::start(3, |_| {});
@@ -197,11 +200,11 @@
     fleet.settle();
 }
 
-/// Where those within their quota find no room nothing is lent, at no proxy; borrowed work gives way first.
+/// While tenants within their quota lack capacity, no proxy lends; borrowed work is refused first.
 #[test]
 fn nothing_is_lent_while_others_need_the_room() {
     let mut fleet = Fleet::start(3, |setup| {
-        // Clients tell of all the time that they have.
+        // Clients announce their full deadline.
         setup.slack = Duration::ZERO;
         for kind in &mut setup.clients.classes {
             (kind.latency_objective, kind.deadline) = (SECOND, 2 * SECOND);
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -1,4 +1,4 @@
-//! What a link does to bytes, between a server that echoes and one client.
+//! Faults that a TCP link injects between one client and an echo server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tokio::runtime::{Handle, Runtime};
 use tokio::sync::mpsc;
 
-/// An address that echoes, and all that comes there.
+/// Address of an echo server, and the byte chunks that it receives.
 async fn echo() -> (SocketAddr, mpsc::UnboundedReceiver<Vec<u8>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -51,7 +51,7 @@
     });
 }
 
-/// What was asked has come; the answer has not, until the link is healed.
+/// With one direction cut, the request arrives, and the response only after the link is healed.
 #[test]
 fn one_direction_alone_is_cut() {
     on_a_link(async |link, mut came| {
@@ -59,20 +59,26 @@
         link.set(Flow::Passes, Flow::Cut);
         write_all(&stream, b"asked").await.unwrap();
         assert_eq!(came.recv().await.unwrap(), b"asked");
-        assert!(stream.try_read(&mut [0; 8]).is_err(), "nothing comes back");
-        // Nor does it when time goes by: a whole exchange on another link takes longer than the way back.
+        assert!(
+            stream.try_read(&mut [0; 8]).is_err(),
+            "no byte of the response may arrive"
+        );
+        // A whole exchange on another connection leaves more than enough time for the response to arrive.
         let (other, mut there) = echo().await;
         let other = TcpStream::connect(other).await.unwrap();
         write_all(&other, b"other").await.unwrap();
         there.recv().await.unwrap();
         hear(&other, 5).await;
-        assert!(stream.try_read(&mut [0; 8]).is_err(), "nothing comes back");
+        assert!(
+            stream.try_read(&mut [0; 8]).is_err(),
+            "no byte of the response may arrive"
+        );
         link.heal();
         assert_eq!(hear(&stream, 5).await, b"asked");
     });
 }
 
-/// The other direction: nothing arrives, not even on a new connection, and then all of it in its order.
+/// With the request direction cut, no byte arrives, also on a new connection; after healing all bytes arrive in order.
 #[test]
 fn what_was_held_back_comes_in_order() {
     on_a_link(async |link, mut came| {
@@ -96,7 +102,7 @@
         link.reset();
         assert!(
             read(&stream, &mut [0; 8]).await.is_err(),
-            "a reset, no end in order"
+            "the connection must be reset, not closed in order"
         );
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"two").await.unwrap();
@@ -104,14 +110,14 @@
         link.until_open(1).await;
         assert_eq!(link.taken(), 2);
         link.refuse();
-        // The reset may come as early as the connection itself.
+        // The reset may already fail the connect call.
         if let Ok(refused) = TcpStream::connect(link.address).await {
             assert!(read(&refused, &mut [0; 8]).await.is_err());
         }
     });
 }
 
-/// Late, lossy and trickling links change when bytes come, never which.
+/// Late, lossy and trickling links delay bytes but never lose or change them.
 #[test]
 fn slow_links_lose_nothing() {
     on_a_link(async |link, _came| {
--- a/crates/testbed/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -1,4 +1,4 @@
-//! A fleet of more than a few processes: what its proxies choose without a word between them adds up.
+//! A fleet of twelve proxies that choose their subsets without coordination: the choices together must cover all servers.
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
@@ -13,14 +13,14 @@
 const GROUPS: u32 = 2;
 const MEMBERS: usize = 8;
 
-/// Twelve proxies before two groups of eight; an aim is so long that a busy machine is nowhere near it.
+/// Twelve proxies in front of two groups of eight. Latency objectives are long, so that a busy machine does not miss them.
 fn fleet(length: u64) -> Setup {
     let mut setup = setup(PROXIES, 200.0, length);
     setup.site.group.members = MEMBERS;
     setup
 }
 
-/// The members that a proxy should meet before the others.
+/// The members that the proxy prefers.
 fn subset(testbed: &Testbed, proxy: usize, group: u32) -> BTreeSet<ServerIndex> {
     let mut members = testbed.history.lock().site.members(group).to_vec();
     subsetting::order_by_preference(proxy as u32, group, &mut members, |server| {
@@ -32,7 +32,7 @@
         .collect()
 }
 
-/// What each proxy sent to anybody but primaries and its own part, and what it sent in all.
+/// Requests that proxies sent to replicas outside of their subsets, and all requests that they sent.
 fn astray(testbed: &Testbed) -> (u64, u64) {
     let parts: Vec<BTreeSet<ServerIndex>> = (0..PROXIES)
         .map(|proxy| {
@@ -58,8 +58,8 @@
     (sent(&beyond), sent(&|_| true))
 }
 
-/// The program's processes come to the same parts as the package does, so its bounds are theirs: nobody is left out,
-/// and next to nothing goes beyond.
+/// The processes choose the same subsets as the `subsetting` package, so its bounds hold for them: no server is left out,
+/// and almost no request goes outside of the subset.
 #[test]
 fn proxies_meet_their_parts() {
     let testbed = start(fleet(8 * SECOND));
@@ -67,7 +67,7 @@
     let (beyond, all) = astray(&testbed);
     assert!(
         beyond * 20 < all,
-        "{beyond} of {all} were sent beyond the parts"
+        "{beyond} of {all} requests went outside of the subsets"
     );
     let met: BTreeSet<ServerIndex> = testbed
         .history
@@ -79,12 +79,12 @@
     assert_eq!(
         met.len(),
         GROUPS as usize * MEMBERS,
-        "nobody meets some: {met:?}"
+        "some servers receive no requests; reached: {met:?}"
     );
     sound(testbed);
 }
 
-/// All that a proxy meets of a group dies at once, and it goes on with the others.
+/// All replicas of a proxy's subset crash at once; the proxy continues with the other members of the group.
 #[test]
 fn a_proxy_whose_whole_part_dies() {
     let testbed = start(fleet(12 * SECOND));
@@ -106,14 +106,15 @@
     };
     let before = others(&testbed.history.lock());
     testbed
-        .until("it goes on with the others", |inner| {
-            others(inner) >= before + 20
-        })
+        .until(
+            "the proxy sends to members outside of its subset",
+            |inner| others(inner) >= before + 20,
+        )
         .unwrap();
     sound(testbed);
 }
 
-/// The fleet is said to grow to forty, first at half of it: old and new size live side by side, and nobody moves.
+/// Half of the proxies are configured for a fleet of forty: both sizes coexist, and no proxy changes its subset.
 #[test]
 fn half_of_the_fleet_has_another_size() {
     let mut testbed = start(fleet(10 * SECOND));
@@ -127,12 +128,12 @@
     let (beyond, all) = astray(&testbed);
     assert!(
         beyond * 20 < all,
-        "{beyond} of {all} were sent beyond the parts"
+        "{beyond} of {all} requests went outside of the subsets"
     );
     sound(testbed);
 }
 
-/// One member of each proxy's part answers late, over that proxy's link alone: the others of the part get its load.
+/// One member of each proxy's subset responds late over that proxy's link: the other members of the subset take its load.
 #[test]
 fn slow_replies_from_one_member_of_each_part() {
     let testbed = start(fleet(10 * SECOND));
@@ -163,7 +164,7 @@
         }
         (late, sum)
     };
-    // Until each has had the time to hear of it.
+    // Lets each proxy observe the delay first.
     answered(&testbed, 300);
     let before = sent();
     answered(&testbed, 500);
@@ -173,7 +174,7 @@
     sound(testbed);
 }
 
-/// All are killed and started at once: they know nothing, and no cold server or list suffers from what they do alike.
+/// All proxies are killed and restarted at once without saved state: their common start overloads neither cold servers nor discovery.
 #[test]
 fn a_whole_fleet_is_killed_and_started() {
     let mut testbed = start(fleet(10 * SECOND));
@@ -184,13 +185,13 @@
     let (beyond, all) = astray(&testbed);
     assert!(
         beyond * 20 < all,
-        "{beyond} of {all} were sent beyond the parts: they are the same after a start"
+        "{beyond} of {all} requests went outside of the subsets, which must be the same after a restart"
     );
     sound(testbed);
 }
 
-/// Most members are replaced by cold ones while the list is late: the ledger watches the bound of each cold server over
-/// all proxies, and what drains.
+/// Most members are replaced by cold ones while the endpoint list is late: the checkers watch the bound of each cold server
+/// over all proxies, and the draining servers.
 #[test]
 fn most_members_are_replaced() {
     let mut setup = fleet(20 * SECOND);
@@ -231,9 +232,11 @@
         let met: BTreeSet<ServerIndex> = inner.reached.keys().map(|&(_, server)| server).collect();
         met.range(known..).count()
     };
-    // A cold one gets a few in a hundred of its part: some are met soon, all of them only in good time.
+    // A cold server gets a few percent of its share: some new members are reached soon, all of them only much later.
     testbed
-        .until("new members are met", |inner| new(inner) >= GROUPS as usize)
+        .until("new members receive requests", |inner| {
+            new(inner) >= GROUPS as usize
+        })
         .unwrap();
     sound(testbed);
 }
--- a/crates/testbed/tests/members.rs
+++ b/crates/testbed/tests/members.rs
@@ -1,5 +1,5 @@
-//! Proxies that know each other: several processes of the program, and what goes wrong between them. All is read from their
-//! second addresses; clients go on being served throughout.
+//! Membership in a fleet under kills, stops, partitions, bad networks, roster and key changes. Metrics are read from the
+//! admin addresses; clients are served throughout.
 
 mod common;
 use common::{answered, setup, sound, SECOND};
@@ -9,7 +9,7 @@
 use testbed::members::Members;
 use testbed::{Setup, Testbed};
 
-/// A roster of so many, all on it, each heard by all before anything goes wrong.
+/// Starts `proxies` members and waits until each receives all others.
 fn fleet(proxies: usize) -> Testbed {
     fleet_of(proxies, |_| {})
 }
@@ -25,7 +25,7 @@
     testbed
 }
 
-/// Until a figure of each of these proxies is that.
+/// Waits until the metric `name` of each given proxy equals `value`.
 fn each(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
     for proxy in proxies {
         testbed
@@ -57,8 +57,8 @@
     figure(testbed, proxy, "lb_members_changes_total{status=\"down\"}")
 }
 
-/// Guards against an old process that takes the start of the one that takes over from it for its own clock set back, goes on under a
-/// later one, and so has the new process dropped as stale.
+/// Guards against an old process that takes the incarnation of its successor for a sign that its own clock was set back,
+/// renews its incarnation, and so makes the others drop the new process as stale.
 #[test]
 fn the_old_process_of_an_upgrade_does_not_outbid_the_new_one() {
     let mut testbed = fleet(3);
@@ -70,7 +70,7 @@
             .wait_for_line(line, 0)
             .unwrap_or_else(|fault| panic!("{fault}"));
     }
-    // By then the others have told the old process of the new one's start.
+    // By then the others have gossiped the new process's incarnation to the old process.
     let received = "lb_members_received_total";
     let before = figure(&testbed, 0, received);
     testbed
@@ -84,8 +84,8 @@
     sound(testbed);
 }
 
-/// A dead one is down for all others, who go on as the larger part; it comes back under its name, and is heard as the
-/// later start that it is. One that is told to end leaves, and is not missed.
+/// A killed member is down for all others, which continue as the majority; after its restart it rejoins under its name with
+/// a newer incarnation. A member that is terminated leaves, and does not count as missing.
 #[test]
 fn a_death_a_return_and_a_leave_are_told_apart() {
     let mut testbed = fleet(5);
@@ -101,12 +101,12 @@
     assert_eq!(
         [0, 1, 2, 4].map(|proxy| deaths(&testbed, proxy)),
         [1, 1, 1, 0],
-        "one death, of the one that died"
+        "only the killed member is counted as down"
     );
     drop(testbed);
 }
 
-/// Two parts that both live: the larger may promote and lend, the smaller may halt and repay. Healed, all is as before.
+/// In a partition the majority may promote and lend, and both sides may halt and repay. Healing restores all rights.
 #[test]
 fn halves_that_both_live_agree_on_who_may_act() {
     let testbed = fleet(5);
@@ -128,7 +128,7 @@
     sound(testbed);
 }
 
-/// Exactly half is no majority on either side, and three parts of six are none anywhere.
+/// Neither half of an even split is a majority, and neither is any of three parts of two.
 #[test]
 fn no_part_of_an_even_split_may_act() {
     let testbed = fleet(6);
@@ -144,7 +144,7 @@
     drop(testbed);
 }
 
-/// A hears C only through B: all live, none is called dead, and it shows who is not heard directly.
+/// Two members reach each other only through others: none is declared down, and the metrics show which are not reached directly.
 #[test]
 fn a_chain_and_a_one_way_cut_kill_nobody() {
     let testbed = fleet(4);
@@ -161,7 +161,7 @@
     drop(testbed);
 }
 
-/// A process that stood still doubts itself before it calls anyone dead, and the others take it back.
+/// A process that was stopped detects its own pause before it declares others down, and the others accept it again.
 #[test]
 fn a_stopped_one_doubts_itself_first() {
     let mut testbed = fleet(4);
@@ -173,11 +173,15 @@
         .unwrap_or_else(|fault| panic!("{fault}"));
     each(&testbed, 0..4, &state("whole"), 1);
     each(&testbed, [2], "lb_members_doubting", 0);
-    assert_eq!(deaths(&testbed, 2), 0, "it was away, not they");
+    assert_eq!(
+        deaths(&testbed, 2),
+        0,
+        "the stopped member must not declare others down"
+    );
     sound(testbed);
 }
 
-/// A tenth lost, doubled, out of order and damaged each: nobody dies by it, and each damaged or doubled one is counted.
+/// With 10% of datagrams each lost, doubled, reordered and corrupted, no member is declared down; refused ones are counted.
 #[test]
 fn a_bad_network_kills_nobody() {
     let testbed = fleet(4);
@@ -200,7 +204,7 @@
     drop(testbed);
 }
 
-/// All but one are dead, then that one too, and all start again at once.
+/// All members but one are killed, then the last one, and all restart at once.
 #[test]
 fn all_but_one_and_all_at_once() {
     let mut testbed = fleet(4);
@@ -221,7 +225,7 @@
     drop(testbed);
 }
 
-/// While two versions of the roster are about nothing is promoted; keys are changed in three steps with nobody lost.
+/// While two roster versions are in use nothing is promoted; keys are rotated in three steps without losing a member.
 #[test]
 fn rosters_that_differ_and_keys_that_change() {
     let mut testbed = fleet(3);
@@ -255,7 +259,7 @@
         [0, 1, 2].map(|proxy| figure(&testbed, proxy, unknown)),
         [0; 3]
     );
-    // One that keeps the old key alone is heard by nobody, and hears nobody.
+    // A member that has only the old key exchanges no valid messages with the others.
     testbed
         .reload(2, |setup| setup.members.as_mut().unwrap().keys = vec![1])
         .unwrap_or_else(|fault| panic!("{fault}"));
@@ -265,7 +269,7 @@
     drop(testbed);
 }
 
-/// An upgrade: the new process takes the name over when its old process has ended, and no other misses it in between for good.
+/// In a hot restart the new process takes the member name over when the old process has ended; no other member sees it leave.
 #[test]
 fn an_heir_goes_on_under_the_name() {
     let mut testbed = fleet_of(3, |setup| setup.slack = Duration::from_secs(10));
--- a/crates/testbed/tests/planted.rs
+++ b/crates/testbed/tests/planted.rs
@@ -1,18 +1,18 @@
-//! Each rule is broken once by a proxy made for that, and its checker says so; a sound fleet breaks none.
+//! A proxy that violates each rule on purpose must be detected by its checker; a correct fleet violates none.
 
 mod common;
 use common::{answered, setup, sound, start, SECOND};
 use invariant_checkers::Rule;
 use server_model::site::ServerFault;
 
-/// Whether a fleet of planted proxies is found out.
+/// Asserts that the checker detects a fleet whose proxies violate `rule`.
 fn caught(rule: Rule) {
     let mut setup = setup(2, 60.0, 30 * SECOND);
     setup.planted_violation = Some(rule);
-    // What hides a fault from those who have it.
+    // The platform's checks would hide stale reads.
     setup.platform.checks = rule != Rule::Stale;
     match rule {
-        // Clients have to give up for it to be seen.
+        // A missing answer is detected when the client's deadline has passed.
         Rule::Unanswered => setup
             .clients
             .classes
@@ -38,7 +38,7 @@
         }
         _ => {}
     }
-    let found = testbed.until("the planted fault is found", |inner| {
+    let found = testbed.until("the checker detects the planted violation", |inner| {
         inner.checker.broken.contains_key(&rule)
     });
     found.unwrap_or_else(|fault| panic!("{rule:?}: {fault}"));
@@ -80,6 +80,9 @@
 #[test]
 fn every_rule_has_its_planted_fault() {
     for rule in invariant_checkers::RULES {
-        assert!(PLANTED.contains(&rule), "{rule:?} has no planted fault");
+        assert!(
+            PLANTED.contains(&rule),
+            "{rule:?} has no test with a planted violation"
+        );
     }
 }
--- a/crates/testbed/tests/power.rs
+++ b/crates/testbed/tests/power.rs
@@ -1,4 +1,4 @@
-//! What outlives a kill or a loss of power: several processes with a memory, and what can be wrong with it.
+//! State files across kills, a loss of power and hot restarts, and start-up with damaged or missing state files.
 
 mod common;
 use common::turns::{turn, Turn};
@@ -14,7 +14,7 @@
 const UNREAD: &str = "lb_memory_unread";
 const FAILING: &str = "lb_memory_failing";
 const LIST: &str = "lb_memory_list_index";
-/// An answer to an operator is owed within this.
+/// Time within which an operator's command must be answered, also when the disk fails.
 const OWED: Duration = Duration::from_secs(1);
 
 fn fleet(proxies: usize, adjust: impl FnOnce(&mut Setup)) -> (Testbed, Turn) {
@@ -27,7 +27,7 @@
     (testbed, turn)
 }
 
-/// The directory is the operators' to make, as its rights are.
+/// Starts a fleet and creates the state directories, which operators create, not the proxy; waits until state is saved.
 fn with_directories(proxies: usize, adjust: impl FnOnce(&mut Setup)) -> (Testbed, Turn) {
     let (testbed, turn) = fleet(proxies, adjust);
     for proxy in 0..proxies {
@@ -79,7 +79,7 @@
         .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
-/// What a proxy has served, of all classes.
+/// Number of requests that a proxy has served, over all classes.
 fn served(testbed: &Testbed, proxy: usize) -> u64 {
     let figures = testbed
         .metrics(proxy)
@@ -92,7 +92,7 @@
     std::fs::metadata(path).map_or(0, |m| m.len())
 }
 
-/// A yes is a promise: whatever was said last before a kill -9 holds after it, however often.
+/// An exclusion that was acknowledged survives a SIGKILL, repeatedly.
 #[test]
 fn operators_words_outlive_kills() {
     let (mut testbed, _turn) = with_directories(2, |_| {});
@@ -105,7 +105,7 @@
         }
         testbed.kill(0);
         restart(&mut testbed, 0);
-        // The fourth stays out throughout.
+        // Server 4 stays excluded throughout.
         each(&testbed, [0], OUT, if out { 2 } else { 1 });
         assert_eq!(
             (figure(&testbed, 0, UNREAD), figure(&testbed, 1, OUT)),
@@ -115,7 +115,8 @@
     answered(&testbed, 20);
 }
 
-/// The power is lost, and discovery is the last to be back: who has a memory serves, who has none and was handed nothing waits.
+/// After a loss of power discovery returns last: proxies with a state file serve from the saved endpoint list, a proxy
+/// without one waits for discovery.
 #[test]
 fn the_last_list_serves_until_discovery_is_back() {
     let (mut testbed, _turn) = with_directories(3, |setup| setup.known = false);
@@ -145,8 +146,8 @@
     each(&testbed, 0..3, "lb_memory_list_went_back_total", 0);
 }
 
-/// Discovery has lost its own last changes and counts below the list that is kept: it is asked for the whole, its word counts, and
-/// what it tells next is heard.
+/// Discovery has lost its last changes, so its index is below that of the saved list: the proxy requests the full list,
+/// adopts it, and follows later updates.
 #[test]
 fn a_list_ahead_of_discovery_gives_way() {
     let (mut testbed, _turn) = with_directories(1, |setup| setup.known = false);
@@ -178,7 +179,7 @@
     until(&testbed, 0, LIST, |n| n < 1_000_000);
 }
 
-/// What a proxy of that name would keep.
+/// Contents of the state file that a proxy of that name would save after `event`.
 fn kept(name: &str, event: persistent_state::Event) -> Vec<u8> {
     let mut actions = Vec::new();
     persistent_state::SnapshotScheduler::new(name, Duration::ZERO, None).handle(
@@ -188,12 +189,12 @@
     );
     match actions.pop() {
         Some(persistent_state::Action::Save(bytes)) => bytes,
-        other => panic!("{other:?} is kept"),
+        other => panic!("expected a save action, got {other:?}"),
     }
 }
 
-/// A file that is torn, another proxy's, and a directory that is none: all start and serve, each says so, and the other's memory is left
-/// alone.
+/// With a truncated state file, another proxy's state file, or a file in place of the directory, all proxies start, serve
+/// and report the fault; another proxy's state file is not overwritten.
 #[test]
 fn whatever_is_wrong_with_a_memory_all_start() {
     let (mut testbed, _turn) = with_directories(4, |_| {});
@@ -218,9 +219,9 @@
     assert_eq!(
         std::fs::read(file(&testbed, 1)).unwrap(),
         others,
-        "the other's memory is left alone"
+        "another proxy's state file must not be overwritten"
     );
-    // What was torn is written anew.
+    // The truncated file is replaced by a valid one.
     assert_eq!(set_excluded(&testbed, 0, 2, true), "out");
     testbed.kill(0);
     restart(&mut testbed, 0);
@@ -228,11 +229,12 @@
     answered(&testbed, 20);
 }
 
-/// A disk that takes nothing any more: operators are answered in time and told so; when it takes again, their word is kept.
+/// When state cannot be written, exclusion commands are answered in time and report that they are not persisted; when
+/// writing works again, the exclusion is saved.
 #[test]
 fn a_disk_that_fails_holds_up_nobody() {
     let (mut testbed, _turn) = with_directories(2, |_| {});
-    // In the place of a full disk, which no test can make for itself: nothing can be put into the directory.
+    // Stands in for a full disk, which a test cannot create: the directory is missing, so that no file can be written.
     let (there, away) = (folder(&testbed, 0), testbed.folder(0).join("away"));
     std::fs::rename(&there, &away).unwrap();
     let begun = Instant::now();
@@ -247,8 +249,8 @@
     each(&testbed, [0], OUT, 1);
 }
 
-/// A proxy whose memory says that it ran in the future, since its clock was fast then: it starts behind nobody, and no other has to
-/// tell it so.
+/// The saved incarnation lies in the future because the clock was fast when it was saved: the proxy starts with a later
+/// incarnation, without a correction by other members.
 #[test]
 fn a_start_is_later_than_the_last() {
     let (mut testbed, _turn) =
@@ -264,7 +266,7 @@
     restart(&mut testbed, 0);
     each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
     assert_eq!(figure(&testbed, 0, "lb_start_ms"), far + 1);
-    // Over a kill too, though nobody else has to remember it.
+    // Also after a kill, without relying on the other members.
     testbed.kill(0);
     restart(&mut testbed, 0);
     each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
@@ -277,7 +279,7 @@
     );
 }
 
-/// In an upgrade the old process writes until it ends, then the new process: what either was told is kept.
+/// In a hot restart the old process saves state until it ends, then the new process does: exclusions set at either persist.
 #[test]
 fn an_upgrade_hands_the_memory_on() {
     let (mut testbed, _turn) = with_directories(1, |_| {});
@@ -302,7 +304,8 @@
     each(&testbed, [0], OUT, 2);
 }
 
-/// All die at once and start in another order, while operators' words are fresh and a server has gone meanwhile: no rule is broken.
+/// All proxies are killed right after an exclusion and restart in another order, while a server has crashed: no invariant is
+/// violated.
 #[test]
 fn a_loss_of_all_breaks_no_rule() {
     let (mut testbed, _turn) = with_directories(3, |setup| {
@@ -323,7 +326,7 @@
     sound(testbed);
 }
 
-/// How long operators wait for a yes, with a memory and without.
+/// Measures the latency of an exclusion command, with a state file and without.
 #[test]
 #[ignore = "a figure of the results"]
 fn a_yes_takes() {
--- a/crates/testbed/tests/rollout.rs
+++ b/crates/testbed/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! New versions of the operators' file in fleets of several processes: what good ones, bad ones, cuts, deaths and missing
-//! files come to. All is read from second addresses; operators speak through the program's own words.
+//! Rollouts of configuration versions in a fleet: good and bad versions, partitions, kills and missing files. Metrics are
+//! read from the admin addresses; operator commands go through the program's command line.
 
 mod common;
 use common::turns::{turn, Turn};
@@ -18,19 +18,19 @@
                          state {folder}/candidates/state\n soak 2s\n dark 1min\n period 200ms\n window-least 3\n \
                          stage-least 10\n}\n";
 const GOOD: &str = "include ../operators.conf\ninclude extra.part\n";
-/// What it includes.
+/// The file that `GOOD` includes.
 const EXTRA: &str = "class any {\n tries 3\n}\n";
 const BAD: &str = "include ../operators.conf\nroute none {\n class any\n refuse 1s\n}\n";
 
-/// Longer than any vote of these fleets holds.
+/// Longer than the lifetime of any vote in these fleets.
 const VOTES_LAST: Duration = Duration::from_secs(10);
 
-/// A testbed, and what its proxies have told of versions.
+/// A testbed with the checker of the versions that its proxies run.
 struct Fleet {
     testbed: Testbed,
     versions: RefCell<Checker>,
     from: Instant,
-    /// After the testbed.
+    /// Declared after the testbed, so that it is released after the testbed has ended.
     _turn: Turn,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Fleet {
-    /// No rule of rollouts is broken, as far as two looks at all that live show.
+    /// Checks all running proxies twice and asserts that no rollout invariant was violated.
     fn is_sound(&self) {
         let alive = |proxy: &usize| self.testbed.proxies[*proxy].process.is_some();
         let mut versions = self.versions.borrow_mut();
@@ -64,7 +64,7 @@
     }
 }
 
-/// So many proxies: the first ones are in the first region, the last two in the second. All have the candidate.
+/// Starts `proxies` proxies, the last two in region `west`, the others in `east`. All hosts have the candidate file.
 fn fleet(proxies: usize, candidate: &str) -> Fleet {
     fleet_by(proxies, candidate, OPERATORS)
 }
@@ -108,7 +108,7 @@
     std::fs::write(folder.join("new.conf"), candidate).unwrap();
 }
 
-/// What an operator says to a proxy.
+/// Runs `leverproxy rollout` against a proxy and returns its output.
 fn say(testbed: &Testbed, proxy: usize, words: &[&str]) -> String {
     let program = process::built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
     let socket = testbed.folder(proxy).join("control");
@@ -132,7 +132,7 @@
     assert!(answer.starts_with("rollout proposed"), "{answer}");
 }
 
-/// Until it is so for each; then all are looked at.
+/// Waits until the metric `name` of each given proxy equals `value`, then checks all running proxies.
 fn each(testbed: &Fleet, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
     for proxy in proxies {
         let seen = testbed.metric_until(proxy, name, |n| n == value);
@@ -156,7 +156,7 @@
 const NEW: &str = "lb_rollout_new";
 const REGION: &str = "lb_rollout_region";
 
-/// A good version goes through the canary and both regions to the whole, and back when an operator wants.
+/// A good version is promoted from the canary through both regions to the whole fleet, and an operator can roll it back.
 #[test]
 fn a_good_version_reaches_all_and_goes_back_in_order() {
     let testbed = fleet(4, GOOD);
@@ -169,7 +169,7 @@
     each(&testbed, 0..4, NEW, 0);
 }
 
-/// One that refuses a class is halted while only the canary runs it; it is not proposed again unless an operator insists.
+/// A version that refuses a class is halted while only the canary runs it; the same version cannot simply be proposed again.
 #[test]
 fn a_version_that_refuses_a_class_stays_in_its_first_region() {
     let testbed = fleet(4, BAD);
@@ -179,7 +179,7 @@
     let ran = (2..4)
         .map(|proxy| figure(&testbed, proxy, "lb_reloads_ok_total"))
         .sum::<u64>();
-    assert_eq!(ran, 0, "the second region never ran it");
+    assert_eq!(ran, 0, "the second region must not run the halted version");
     let file = testbed
         .folder(3)
         .join("candidates/new.conf")
@@ -188,7 +188,7 @@
     assert!(say(&testbed, 3, &["propose", &file]).contains("halted in epoch 1"));
 }
 
-/// The smaller side of a cut goes no further, and on when it has healed.
+/// A minority does not promote during a partition, and continues after healing.
 #[test]
 fn a_minority_does_not_promote() {
     let testbed = fleet(5, GOOD);
@@ -202,7 +202,7 @@
     each(&testbed, 0..5, &phase("whole"), 1);
 }
 
-/// A halt that a minority says while the majority promotes wins as soon as it is heard.
+/// A halt issued in the minority overrides the majority's promotion as soon as the majority receives it.
 #[test]
 fn a_halt_on_one_side_wins_over_votes_on_the_other() {
     let testbed = fleet(5, GOOD);
@@ -217,8 +217,8 @@
     each(&testbed, 0..5, NEW, 0);
 }
 
-/// A host on which the file is missing, and one on which it is faulty, stop the promotion to their region and say so; it
-/// goes on when both have it.
+/// A host with a missing candidate file and one with an invalid file block the promotion to their region and report the
+/// reason; the promotion continues when both have the file.
 #[test]
 fn a_file_that_a_host_cannot_run_stops_there() {
     let testbed = fleet(4, GOOD);
@@ -241,7 +241,7 @@
     each(&testbed, 0..4, &phase("whole"), 1);
 }
 
-/// All die in mid-stage and start again: the rollout goes on from what was kept.
+/// All proxies are killed in mid-stage and restarted: the rollout continues from the state files.
 #[test]
 fn a_restart_of_all_goes_on() {
     let mut testbed = fleet(4, GOOD);
@@ -257,7 +257,7 @@
     each(&testbed, 0..4, NEW, 1);
 }
 
-/// One that was dead while the version was halted does not run it when it comes back.
+/// A proxy that was down when the version was halted does not run it after its return.
 #[test]
 fn a_late_one_does_not_run_what_was_halted() {
     let mut testbed = fleet(4, GOOD);
@@ -271,7 +271,7 @@
     assert_eq!(figure(&testbed, 0, "lb_reloads_ok_total"), 0);
 }
 
-/// Two are proposed on the sides of a cut; when it heals one gives way on all, and the other reaches all.
+/// Each side of a partition proposes a version; after healing one is superseded on all proxies, and the other reaches all.
 #[test]
 fn of_two_proposals_at_once_one_gives_way() {
     let testbed = fleet(4, GOOD);
@@ -290,7 +290,7 @@
             .map(|proxy| figure(&testbed, proxy, NEW))
             .sum::<u64>(),
         0,
-        "no side has a quorum"
+        "neither side has a quorum"
     );
     testbed.heal_datagrams();
     each(&testbed, 0..4, &phase("whole"), 1);
@@ -303,7 +303,7 @@
     };
     assert!(
         (1..4).all(|proxy| runs(proxy) == runs(0)),
-        "all run the same one"
+        "all proxies must run the same version"
     );
     let gave_way = (0..4)
         .map(|proxy| figure(&testbed, proxy, "lb_rollout_superseded_total"))
@@ -311,7 +311,7 @@
     assert!(gave_way >= 2, "{gave_way}");
 }
 
-/// A voter that stands still is no vote: its region waits for it, and goes on when it is back.
+/// A stopped voter does not vote: its region waits for it, and continues when it is back.
 #[test]
 fn a_stopped_voter_is_waited_for() {
     let mut testbed = fleet(4, GOOD);
@@ -329,7 +329,7 @@
     each(&testbed, 0..4, &phase("whole"), 1);
 }
 
-/// A proxy that runs the new version and is not heard for `dark` ends the rollout on all, and does not run it again.
+/// When a proxy on the new version is unreachable for `dark`, the rollout is halted on all proxies, and the proxy does not run the version again.
 #[test]
 fn one_that_goes_dark_on_the_new_version_ends_it() {
     let mut testbed = fleet_by(
@@ -348,12 +348,12 @@
     each(&testbed, 0..4, NEW, 0);
 }
 
-/// A version that kills its proxy as soon as it runs, whoever has heard of that: it is halted, and no other runs it.
+/// A version that crashes its proxy as soon as it runs is halted, and no other proxy runs it.
 #[test]
 fn a_version_that_kills_its_proxy_at_once_is_halted() {
     let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 1min"));
     propose(&testbed, 2);
-    // One that nobody had heard of yet when it died first dies once more.
+    // If the first crash comes before others have received the canary's start of the version, it takes another crash to halt.
     for deaths in 0.. {
         assert!(deaths < 4, "{}", say(&testbed, 1, &["status"]));
         let end = Instant::now() + process::EVENT_TIMEOUT;
@@ -376,7 +376,7 @@
     );
 }
 
-/// Restarts that operators ask for, in the middle of a stage, are no crashes.
+/// Planned restarts in mid-stage do not count as crashes.
 #[test]
 fn restarts_in_order_do_not_halt() {
     let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
@@ -389,7 +389,7 @@
             testbed.history.proxy_down(0);
             testbed.restart(0).unwrap_or_else(|fault| panic!("{fault}"));
         } else {
-            // An upgrade: the new process has the control socket while its old process still serves.
+            // Hot restart: the new process has the control socket while the old process still serves.
             let mut new_process = testbed
                 .start_new_process(0)
                 .unwrap_or_else(|fault| panic!("{fault}"));
@@ -412,7 +412,7 @@
     each(&testbed, 0..4, &phase("whole"), 1);
 }
 
-/// While rosters differ nothing is promoted; when all have the new one the rollout goes on.
+/// While rosters differ nothing is promoted; the rollout continues when all proxies have the new roster.
 #[test]
 fn a_roster_that_changes_during_a_rollout_holds_it() {
     let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
@@ -436,14 +436,15 @@
     each(&testbed, 0..4, &phase("whole"), 1);
 }
 
-/// What a proxy says of rollouts, by the kinds of facts that it says it in.
+/// Kinds of the gossiped facts in which proxies announce proposals, votes and traffic counts.
 const PROPOSAL: u8 = 20;
 const WORD: u8 = 21;
 const COUNTS: u8 = 23;
-/// An hour in the future.
+/// One hour, by which the fake member's clock is ahead.
 const AHEAD_MS: u64 = 3_600_000;
 
-/// A proxy whose process has been killed, and that the testbed speaks for; `ahead`: by a clock that is so many milliseconds fast.
+/// Kills a proxy and replaces it by a fake member under the testbed's control; `ahead`: milliseconds by which its clock is
+/// fast.
 fn fake_member(testbed: &mut Fleet, proxy: usize, ahead: u64) -> FakeMember {
     testbed.kill(proxy);
     let clock = SystemTime::now()
@@ -467,7 +468,7 @@
     postcard::from_bytes(body.get(1..)?).ok()
 }
 
-/// Votes for all stages, goes along with the others, and says that the version loses nothing, while `until` does not hold.
+/// Until `until` holds, publishes votes for all stages, follows the others' stage, and reports that the version loses no requests.
 fn lie(testbed: &Fleet, fake_member: &FakeMember, mut until: impl FnMut(&Fleet) -> bool) {
     let proposal = fake_member.wait_for_fact(PROPOSAL, |fact| read::<Proposal>(&fact.body));
     let Proposal {
@@ -521,7 +522,7 @@
     }
 }
 
-/// A bad version, while that proxy lies well until it is halted everywhere; none of the last three ever ran it.
+/// Proposes a bad version while proxy `liar` reports no losses, until it is halted everywhere; asserts that the last three proxies never ran it.
 fn halted_in_spite_of(liar: usize) -> Fleet {
     let mut testbed = fleet(5, BAD);
     let fake_member = fake_member(&mut testbed, liar, 0);
@@ -538,28 +539,29 @@
     testbed
 }
 
-/// A voter that votes for all at once and says that a bad version loses nothing moves nobody: the canary's own seconds halt it.
+/// A voter that votes for all stages at once and reports no losses for a bad version cannot promote it: the canary's own
+/// counts halt it.
 #[test]
 fn a_voter_that_lies_well_promotes_nothing() {
     let testbed = halted_in_spite_of(1);
     assert!(
         figure(&testbed, 0, "lb_reloads_ok_total") > 0,
-        "the canary ran it"
+        "the canary must have run the version"
     );
 }
 
-/// A canary that lies well hides the harm as long as it is all of the evidence: it ends in the first region.
+/// A canary that reports no losses hides the harm while it is the only evidence: the version is halted in the first region.
 #[test]
 fn a_canary_that_lies_well_is_found_out_in_its_region() {
     let testbed = halted_in_spite_of(0);
     assert!(
         figure(&testbed, 1, "lb_reloads_ok_total") > 0,
-        "the next of the region ran it"
+        "the next proxy of the region must have run the version"
     );
 }
 
-/// A host whose clock was an hour fast and was set right starts behind itself, and once more in mid-stage: each time it goes on
-/// under a later start, and its restart is one like any other.
+/// A host's clock was an hour fast and was then corrected, so that its new incarnation is older than its former one; this
+/// recurs in mid-stage. Each time the proxy takes a newer incarnation, and the restart does not halt the rollout.
 #[test]
 fn a_clock_that_was_set_back_does_not_halt() {
     let mut testbed = fleet_by(4, GOOD, &OPERATORS.replace("soak 2s", "soak 4s"));
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -1,4 +1,4 @@
-//! What several processes know of their sites: each by itself, by what it proves.
+//! Detection of site losses: each proxy decides by itself, from its own requests and probes.
 
 mod common;
 use common::turns::turn;
@@ -15,15 +15,15 @@
 const SITES: &str =
     "control {\n socket {folder}/control\n}\nsites {\n lost-after 300ms\n return-after 1s\n dwell 500ms\n}\n";
 const PROXIES: usize = 4;
-/// Answers of the whole fleet until all know of a loss: at 200 in a second, as many as come in 10 s.
+/// Maximum number of answers of the whole fleet until all proxies have detected a loss: 10 s at 200 per second.
 const BOUND: u64 = 2_000;
 
-/// Two groups of four before two sites; both primaries stand in the first.
+/// Two groups of four servers over two sites; both primaries are in the first site.
 fn two_sites(length: u64) -> Setup {
     let mut setup = setup(PROXIES, 200.0, length);
     setup.site.group.members = 4;
     (setup.site.group.give_up, setup.site.group.take_over) = (300_000, 300_000);
-    // Less the slack they have two seconds.
+    // Two seconds remain after the slack is subtracted.
     setup
         .clients
         .classes
@@ -79,16 +79,16 @@
     }
 }
 
-/// Until each of these says so.
+/// Waits until each given proxy has reported the site in this state.
 fn say(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, place: u16, word: &str) {
     let begun = Instant::now();
     let mut silent: Vec<usize> = proxies.into_iter().collect();
     while !silent.is_empty() {
-        // In turns: none is to be missed that says so for a while only.
+        // Polled in turn, so that a state that a proxy reports only briefly is not missed.
         silent.retain(|proxy| figure(testbed, *proxy, &state(place, word)) == 0);
         assert!(
             begun.elapsed() < EVENT_TIMEOUT,
-            "{silent:?} never say {word}, {:?}",
+            "proxies {silent:?} have not reported the site as {word}: {:?}",
             testbed.metrics(silent[0])
         );
     }
@@ -103,7 +103,7 @@
     figure(testbed, proxy, &losses_name(place))
 }
 
-/// No proxy ever called these sites lost.
+/// Asserts that no proxy has ever declared these sites lost.
 fn never_lost(testbed: &Testbed, places: [u16; 2]) {
     for proxy in 0..PROXIES {
         assert_eq!(
@@ -120,7 +120,7 @@
         .for_each(|server| testbed.history.inject_fault(trouble(*server)));
 }
 
-/// The site of all primaries dies while the list still names it as ready, and comes back.
+/// The site of all primaries crashes while the endpoint list still names it as ready, and comes back.
 #[test]
 fn a_site_dies_with_its_primaries_and_returns() {
     let _turn = turn();
@@ -128,7 +128,7 @@
     let dead = at(&testbed, 0);
     assert!((0..2).all(|group| dead.contains(&testbed.history.lock().site.primary(group).unwrap())));
     answered(&testbed, 200);
-    // Its writes have been seen nowhere else: a part of the worth would go with it.
+    // Some of its writes have not reached the other site: part of the worth would be lost with it.
     for proxy in 0..PROXIES {
         until(&testbed, proxy, &headroom(1), |n| n > 0);
         let kept = figure(&testbed, proxy, &headroom(0));
@@ -140,8 +140,11 @@
     say(&testbed, 0..PROXIES, 0, "lost");
     let took = testbed.history.lock().checker.answered - before;
     println!("lost at all proxies after {took} answers");
-    assert!(took <= BOUND, "{took} answers until all knew");
-    // The other site serves alone, and writes have moved there.
+    assert!(
+        took <= BOUND,
+        "{took} answers until all proxies had detected the loss"
+    );
+    // The other site serves alone, also the writes.
     answered(&testbed, 200);
     all(&testbed, &dead, ServerFault::Start);
     say(&testbed, 0..PROXIES, 0, "returning");
@@ -156,7 +159,7 @@
     sound(testbed);
 }
 
-/// What `leverproxy sites` prints, and whether it is content.
+/// Runs `leverproxy sites` and returns whether it succeeded, and its standard output.
 fn told(testbed: &Testbed, proxy: usize, name: &[&str]) -> (bool, String) {
     let program = built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
     let socket = testbed.folder(proxy).join("control");
@@ -173,7 +176,7 @@
     )
 }
 
-/// One of three goes while a server of another is drained: the two others stay, and bear its load.
+/// One of three sites is lost while a server of another is drained: the two other sites stay and take its load.
 #[test]
 fn one_of_three_sites_during_a_drain() {
     let _turn = turn();
@@ -202,13 +205,13 @@
     sound(testbed);
 }
 
-/// What is left can do half of what is asked: all know, none calls it lost too, and it goes on to serve.
+/// The surviving site has capacity for half of the load: no proxy declares it lost too, and it continues to serve.
 #[test]
 fn the_surviving_site_has_half_of_the_room() {
     let _turn = turn();
     let mut setup = two_sites(16 * SECOND);
     (setup.site.group.members, setup.site.group.quorum) = (3, false);
-    // One server of two cores in each of two groups, for 400 requests of 10 ms and more in a second.
+    // One server with two cores in each of two groups, for 400 requests per second of at least 10 ms each.
     setup.clients.requests_per_s = 400.0;
     setup
         .clients
@@ -228,7 +231,7 @@
     sound(testbed);
 }
 
-/// Requests reach the site, and nothing of it comes back: it is lost from here, and its servers are not dead.
+/// Requests reach the site, but no responses arrive: this proxy declares it lost, although its servers run.
 #[test]
 fn one_direction_is_cut() {
     let _turn = turn();
@@ -246,7 +249,7 @@
     sound(testbed);
 }
 
-/// Discovery's side alone is gone: nothing is lost. Then, while proxies restart in turn, the site is, to each of them.
+/// An outage of discovery alone causes no site loss. A site lost while proxies restart in turn is detected by each of them.
 #[test]
 fn no_discovery_and_a_loss_while_proxies_restart() {
     let _turn = turn();
@@ -295,7 +298,7 @@
     sound(testbed);
 }
 
-/// The same site, and half of the proxies can't reach it: it is lost to these.
+/// Half of the proxies cannot reach a site: only these declare it lost.
 #[test]
 fn a_link_cut_for_half_of_the_proxies() {
     let _turn = turn();
@@ -309,12 +312,12 @@
         assert_eq!(losses(&testbed, proxy, 0), 0, "proxy {proxy}");
     }
     links.iter().for_each(|link| link.heal());
-    // Whole it is once each server there was asked again, which may be later than the clients' last request.
+    // The site is whole again after a request to each of its servers, which may come later than the clients' last request.
     (0..2).for_each(|proxy| until(&testbed, proxy, &state(0, "lost"), |n| n == 0));
     sound(testbed);
 }
 
-/// The site goes again as soon as it answers: each proxy loses it twice, and no more often.
+/// The site crashes again as soon as it has returned: each proxy counts exactly two losses.
 #[test]
 fn lost_back_and_lost_again() {
     let _turn = turn();
@@ -339,7 +342,7 @@
     sound(testbed);
 }
 
-/// A proxy that stood still finds all of its requests overdue, and a connection for none: that is its own doing.
+/// A proxy that was stopped finds all of its requests overdue and no connection usable: it must attribute this to itself.
 #[test]
 fn a_proxy_that_stood_still_loses_nothing() {
     let _turn = turn();
@@ -362,7 +365,7 @@
         setup.clients.groups,
         setup.site.group.members,
     ) = (1, 1, 2);
-    // Most of two are two: without a quorum the one that is left takes over.
+    // A majority of two is two: only without a quorum can the remaining server take over.
     setup.site.group.quorum = false;
     let testbed = start(setup);
     answered(&testbed, 100);
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use testbed::soak::play;
 
-/// How late other tests on the machine may make what the proxies do in time.
+/// Extra time for timed actions of the proxies, for delays by other tests on the machine.
 const BESIDE_TESTS: Duration = Duration::from_millis(1_700);
 
 fn sound(seed: u64) {
@@ -35,7 +35,7 @@
     sound(4);
 }
 
-/// Seeds that are played by hand: one line each, what failed in full, and a summary.
+/// Runs the seeds in `SOAK_SEEDS`: prints one line per seed, failures in full, and a summary.
 #[test]
 fn seeds_of_the_environment() {
     let Ok(seeds) = std::env::var("SOAK_SEEDS") else {
@@ -44,7 +44,7 @@
     let (first, last) = seeds.split_once('-').unwrap_or((&seeds, &seeds));
     let number = |text: &str| {
         text.parse::<u64>()
-            .expect("SOAK_SEEDS is a seed, or two with a dash")
+            .expect("SOAK_SEEDS must be a seed, or a range of seeds such as 1-50")
     };
     let mut failed = Vec::new();
     for seed in number(first)..=number(last) {
--- a/crates/testbed/tests/soak_planted.rs
+++ b/crates/testbed/tests/soak_planted.rs
@@ -1,4 +1,4 @@
-//! Each check of a soak run is broken once on purpose, and says so.
+//! Each check of a soak run must detect a violation that is planted on purpose.
 
 mod common;
 use common::turns::{turn, Turn};
@@ -11,7 +11,7 @@
 use testbed::soak::{Breach, Report, Run, READY_BOUND};
 use testbed::wire::Connection;
 
-/// A run with its clients, of which no step is played.
+/// Starts a run with its clients, without any step.
 fn started(seed: u64) -> (Run, Turn) {
     let turn = turn();
     let run =
@@ -23,7 +23,7 @@
     report.breaches.iter().any(is)
 }
 
-/// Guards against checks that find what is not there.
+/// Guards against checks that report false violations.
 #[test]
 fn a_run_without_steps_breaks_nothing() {
     let (mut run, _turn) = started(1);
@@ -32,7 +32,7 @@
     assert!(report.breaches.is_empty(), "{}", report.failure());
 }
 
-/// A proxy that never reads the new file.
+/// Plants a proxy that never loads the new file.
 #[test]
 fn a_former_file_in_force_is_found_out() {
     let (mut run, _turn) = started(2);
@@ -42,7 +42,7 @@
     assert!(matches!(run.breaches(), [Breach::FormerFile { .. }]));
 }
 
-/// A process that stands still at its start.
+/// Plants a process that is late to become ready.
 #[test]
 fn a_late_start_is_found_out() {
     let (mut run, _turn) = started(3);
@@ -50,7 +50,7 @@
     assert!(matches!(run.breaches(), [Breach::ReadyLate { .. }]));
 }
 
-/// A process that stands still while clients wait.
+/// Plants a stopped process while an attempt waits for its answer.
 #[test]
 fn an_answer_that_is_owed_at_the_kill_is_found_out() {
     let (mut run, _turn) = started(4);
@@ -62,7 +62,7 @@
     assert!(matches!(run.breaches(), [Breach::OwedAtKill { .. }]));
 }
 
-/// A process that stands still and is told to end.
+/// Plants a stopped process that gets SIGTERM and does not exit.
 #[test]
 fn a_process_that_does_not_end_is_found_out() {
     let (mut run, _turn) = started(8);
@@ -72,7 +72,7 @@
     assert!(matches!(run.breaches(), [Breach::NotEnded { .. }]));
 }
 
-/// A peer that greets, and ends in the midst of an answer.
+/// Plants a peer that completes the startup exchange and closes the connection in the middle of an answer.
 #[test]
 fn an_answer_that_is_cut_is_found_out() {
     let (mut run, _turn) = started(9);
@@ -82,7 +82,7 @@
         let (mut stream, _) = listener.accept().unwrap();
         let whole = testbed::wire::row("value", &[]);
         stream.read_exact(&mut [0; 8]).unwrap();
-        // The greeting is any message that ends with ReadyForQuery.
+        // Any message that ends with ReadyForQuery completes the startup exchange.
         stream.write_all(&whole).unwrap();
         _ = stream.read(&mut [0; 1_024]).unwrap();
         stream.write_all(&whole[..whole.len() / 2]).unwrap();
@@ -96,14 +96,14 @@
     );
 }
 
-/// A client that never closes its connection, in place of a proxy that does not.
+/// A client that never closes its connection stands in for a proxy that leaks a descriptor.
 #[test]
 fn a_descriptor_that_is_left_is_found_out() {
     let (mut run, _turn) = started(5);
     let address = run.testbed().proxies[0].address.unwrap();
     let left = run.testbed().wait(async {
         let mut connection = Connection::open(address).await.unwrap();
-        // A client that has asked once may rest for long.
+        // A client may stay idle for long after its first request.
         let marker = "SELECT marker /* id=00000000000000ff,c=any,d=1000,cluster=0 */";
         connection.ask(marker).await.unwrap();
         connection
@@ -116,7 +116,7 @@
     )));
 }
 
-/// Somebody who sends a request on after its client has left, in place of a proxy that does.
+/// The test sends a request to a server after its client has left, as a faulty proxy would.
 #[test]
 fn an_attempt_after_its_client_left_is_found_out() {
     let (mut run, _turn) = started(6);
@@ -142,7 +142,7 @@
     )));
 }
 
-/// A proxy that forwards a request and closes the client's connection without an answer.
+/// Plants a proxy that forwards a request and closes the client's connection without an answer.
 #[test]
 fn a_forwarded_request_without_an_answer_is_found_out() {
     let (mut run, _turn) = started(7);
--- a/crates/testbed/tests/versions.rs
+++ b/crates/testbed/tests/versions.rs
@@ -1,5 +1,6 @@
-//! This build of the program beside an earlier one, which the variable names: fleets of both, proxies that change from one
-//! to the other and back, rollouts that either leads. `lab/versions.sh` builds the earlier one and runs all of these.
+//! Compatibility of this build with an earlier one, whose path is in `LEVERPROXY_EARLIER`: mixed fleets, upgrades and
+//! downgrades of single proxies, and rollouts led by either build. `lab/versions.sh` builds the earlier one and runs these
+//! tests.
 
 mod common;
 use common::loans::{Fleet, LOANS};
@@ -21,7 +22,9 @@
 
 fn earlier() -> PathBuf {
     let path = std::env::var_os(VARIABLE).map(PathBuf::from);
-    let path = path.unwrap_or_else(|| panic!("{VARIABLE} names no program: run lab/versions.sh"));
+    let path = path.unwrap_or_else(|| {
+        panic!("{VARIABLE} is not set to the path of an earlier build: run lab/versions.sh")
+    });
     path.canonicalize()
         .unwrap_or_else(|e| panic!("{VARIABLE}, {}: {e}", path.display()))
 }
@@ -31,14 +34,14 @@
     path.canonicalize().unwrap()
 }
 
-/// Of both builds in turn; `first`: which one the first proxy is of. All are heard by all when it returns.
+/// Starts a fleet whose proxies alternate between both builds; `first`: program of the first proxy. Returns when all members receive each other.
 fn fleet(proxies: usize, first: PathBuf, adjust: impl FnOnce(&mut Setup)) -> Testbed {
     let second = if first == this() { earlier() } else { this() };
     let mut setup = setup(proxies, 60.0, 4 * SECOND);
     setup.admin = true;
     setup.programs = vec![first.clone(), second.clone()];
     setup.members = Some(Members::default());
-    // However long an upgrade takes on a machine that is busy.
+    // Long enough for an upgrade on a busy machine.
     setup.slack = Duration::from_secs(10);
     adjust(&mut setup);
     let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
@@ -50,7 +53,7 @@
     testbed
 }
 
-/// The program that the proxy's process is of.
+/// Path of the program that the proxy's process runs.
 fn runs(testbed: &Testbed, proxy: usize) -> PathBuf {
     let number = testbed.proxies[proxy].process.as_ref().unwrap().number();
     std::fs::read_link(format!("/proc/{number}/exe")).unwrap()
@@ -82,7 +85,7 @@
     format!("lb_rollout_phase{{phase=\"{name}\"}}")
 }
 
-/// What any of these proxies did not understand of another.
+/// Number of messages and facts that any of these proxies could not read.
 fn not_understood(testbed: &Testbed, proxies: usize) -> u64 {
     let of = |proxy| {
         let figures = testbed
@@ -106,7 +109,7 @@
     (0..proxies).map(of).sum()
 }
 
-/// The proxy dies, and comes back under the other build.
+/// Restarts a killed proxy with the other build.
 fn return_as(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
     testbed.set_program(proxy, program.clone());
     testbed
@@ -115,7 +118,7 @@
     assert_eq!(runs(testbed, proxy), program);
 }
 
-/// The proxy's new process, of the other build, takes over.
+/// Hot-restarts the proxy with the other build.
 fn succeed_by(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
     testbed.set_program(proxy, program.clone());
     let mut new_process = testbed
@@ -127,11 +130,11 @@
     let code = testbed
         .replace_process(proxy, new_process)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(code, Some(0), "the old process ended in order");
+    assert_eq!(code, Some(0), "the old process must exit with code 0");
     assert_eq!(runs(testbed, proxy), program);
 }
 
-/// Both builds hear each other, cut in two each side knows it, and who dies comes back under the other build.
+/// Both builds exchange messages, both sides of a partition detect it, and a killed proxy returns with the other build.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn members_of_both_builds_know_each_other() {
@@ -162,7 +165,7 @@
     sound(testbed);
 }
 
-/// Under a network that damages, doubles and loses, no build takes the other for dead.
+/// On a network that corrupts, duplicates and loses datagrams, neither build declares the other down.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_bad_network_between_builds_kills_nobody() {
@@ -187,7 +190,7 @@
     sound(testbed);
 }
 
-/// One proxy is upgraded and goes back, while clients are served. Only the estate knows which record server is out.
+/// One proxy is upgraded and downgraded while clients are served. The excluded record server is known only from the inherited state.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn an_upgrade_and_the_way_back_lose_nothing() {
@@ -206,14 +209,14 @@
         assert_eq!(
             figure(&testbed, 1, "lb_members_changes_total{status=\"left\"}"),
             0,
-            "never missed for good"
+            "no member may be declared down"
         );
         assert_eq!(not_understood(&testbed, 3), 0);
         sound(testbed);
     }
 }
 
-/// Two regions of two, each with a proxy of either build; all have the candidate.
+/// Two regions of two proxies, each with one proxy of either build; all hosts have the candidate file.
 fn rollout_fleet(first: PathBuf) -> Testbed {
     let testbed = fleet(4, first, |setup| {
         setup.clients.length = 90 * SECOND;
@@ -234,7 +237,7 @@
     testbed
 }
 
-/// An operator's words, by the program that the proxy runs.
+/// Runs a `rollout` command with the program that the proxy runs.
 fn say(testbed: &Testbed, proxy: usize, words: &[&str]) -> String {
     let socket = testbed.folder(proxy).join("control");
     let out = Command::new(runs(testbed, proxy))
@@ -253,7 +256,7 @@
     assert!(answer.starts_with("rollout proposed"), "{answer}");
 }
 
-/// Proposed by a proxy of one build, run first by it and then by all of both; returned by one of the other.
+/// A rollout is proposed by a proxy of one build, runs on it first and then on all proxies; a proxy of the other build rolls it back.
 fn goes_round(first: PathBuf) {
     let testbed = rollout_fleet(first);
     propose(&testbed, 0);
@@ -278,7 +281,7 @@
     goes_round(this());
 }
 
-/// Led by one build, halted by the other: the canary goes back, and one that was dead then never runs it.
+/// A rollout led by one build is halted by the other: the canary rolls back, and a proxy that was down then never runs it.
 fn is_halted(first: PathBuf) {
     let mut testbed = rollout_fleet(first);
     propose(&testbed, 2);
@@ -305,7 +308,7 @@
     is_halted(this());
 }
 
-/// All die in mid-stage, and each comes back as the other build: the rollout goes on from what the former build kept.
+/// All proxies are killed in mid-stage and restart with the other build: the rollout continues from the state files of the former build.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_rollout_goes_on_from_what_the_other_build_kept() {
@@ -321,13 +324,13 @@
     assert_eq!(
         figure(&testbed, 0, "lb_rollout_epoch"),
         1,
-        "it is the same one"
+        "the rollout must be the same"
     );
     assert_eq!(not_understood(&testbed, 4), 0);
 }
 
-/// Loans across both builds: each lends, one that dies goes on from its file under the other build, and all of it is within one
-/// line.
+/// Loans across both builds: each build lends, a killed proxy continues from its state file with the other build, and all
+/// debts together stay within one line.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn loans_are_made_across_both_builds() {
