--- a/crates/testbed/tests/common/loans.rs
+++ b/crates/testbed/tests/common/loans.rs
@@ -11,8 +11,8 @@
 use testbed::{Setup, Testbed};
 
 /// Short terms, so that tests do not wait long for loans to expire.
-const LENDING: &str = "lending {\n lease 1s\n step 200ms\n longest 3s\n";
-const CREDIT: &str =
+const LENDING_SETTINGS: &str = "lending {\n lease 1s\n step 200ms\n longest 3s\n";
+const CREDIT_SETTINGS: &str =
     "credit bus {\n term 2s\n write-off 1s\n floor 20%\n class any mine\n rate 200/s\n";
 pub const STATE: &str = " state {folder}/tmp\n";
 /// Quota of the tenant `bus`, requests per second. Its usual load is below the quota; a surge multiplies the load by
@@ -20,17 +20,17 @@
 const QUOTA: u64 = 60;
 const SURGE: f64 = 5.0;
 /// Number of checker rounds after which all proxies have applied a changed line.
-const SETTLED: u32 = 200;
+const ROUNDS_TO_SETTLE: u32 = 200;
 
 pub fn operators(state: &str, line: &str) -> String {
-    format!("{LENDING}{state}}}\n{CREDIT} line {line}\n}}\n")
+    format!("{LENDING_SETTINGS}{state}}}\n{CREDIT_SETTINGS} line {line}\n}}\n")
 }
 
 pub struct Fleet {
     pub testbed: Testbed,
     pub checker: Checker,
     /// Indexes of the running proxies, which are checked.
-    pub looked: Vec<usize>,
+    pub checked: Vec<usize>,
     /// Declared after the testbed, so that it is released after the testbed has ended.
     _turn: Turn,
 }
@@ -57,15 +57,15 @@
         testbed.history.begin();
         let mut fleet = Fleet {
             testbed,
-            checker: Checker::new(Some(SETTLED)),
-            looked: (0..proxies).collect(),
+            checker: Checker::new(Some(ROUNDS_TO_SETTLE)),
+            checked: (0..proxies).collect(),
             _turn: turn,
         };
         fleet.until(0..proxies, "lb_loans_founded", |n| n == 1);
         fleet
     }
 
-    pub fn figure(&self, proxy: usize, name: &str) -> u64 {
+    pub fn metric(&self, proxy: usize, name: &str) -> u64 {
         let figures = self
             .testbed
             .metrics(proxy)
@@ -73,10 +73,10 @@
         figures.get(name).copied().unwrap_or_default()
     }
 
-    pub fn look(&mut self) {
-        let looked = self.looked.iter().copied();
+    pub fn check_accounts(&mut self) {
+        let checked = self.checked.iter().copied();
         self.testbed
-            .check_loans(looked, &mut self.checker)
+            .check_loans(checked, &mut self.checker)
             .unwrap_or_else(|fault| panic!("{fault}"));
         assert_eq!(self.checker.broken.count, 0, "{:?}", self.checker.broken);
     }
@@ -91,8 +91,8 @@
         let end = Instant::now() + EVENT_TIMEOUT;
         for proxy in proxies {
             loop {
-                self.look();
-                let value = self.figure(proxy, name);
+                self.check_accounts();
+                let value = self.metric(proxy, name);
                 if is(value) {
                     break;
                 }
@@ -107,9 +107,9 @@
     }
 
     /// Waits until each given proxy has made `more` further loans.
-    pub fn lends(&mut self, proxies: impl IntoIterator<Item = usize>, more: u64) {
+    pub fn wait_for_loans(&mut self, proxies: impl IntoIterator<Item = usize>, more: u64) {
         for proxy in proxies {
-            let before = self.figure(proxy, LOANS);
+            let before = self.metric(proxy, LOANS);
             self.until([proxy], LOANS, |n| n >= before + more);
         }
     }
@@ -123,14 +123,14 @@
     /// Ends the surge, waits until no debt is left, and checks that lent equals owed plus repaid plus written off.
     pub fn settle(&mut self) {
         self.surge(false);
-        self.until(self.looked.clone(), &book("owed"), |n| n == 0);
-        for proxy in self.looked.clone() {
+        self.until(self.checked.clone(), &loan_metric("owed"), |n| n == 0);
+        for proxy in self.checked.clone() {
             let figures = self
                 .testbed
                 .metrics(proxy)
                 .unwrap_or_else(|fault| panic!("{fault}"));
             let [lent, owed, repaid, lost] =
-                ["lent", "owed", "repaid", "written_off"].map(|part| figures[&book(part)]);
+                ["lent", "owed", "repaid", "written_off"].map(|part| figures[&loan_metric(part)]);
             assert_eq!(lent, owed + repaid + lost, "proxy {proxy}");
         }
     }
@@ -138,29 +138,29 @@
     /// Kills the proxy with SIGKILL. Its debts still count, less the repayments that it may have received since the last
     /// check.
     pub fn kill(&mut self, proxy: usize) {
-        self.look();
-        let looked = Instant::now();
+        self.check_accounts();
+        let checked = Instant::now();
         self.testbed.kill(proxy);
-        let since = looked.elapsed().as_millis() as u64;
+        let since = checked.elapsed().as_millis() as u64;
         self.checker.proxy_died(&format!("n{proxy}"), QUOTA * since);
-        self.looked.retain(|looked| *looked != proxy);
+        self.checked.retain(|checked| *checked != proxy);
     }
 
     pub fn restart(&mut self, proxy: usize) {
         self.testbed
             .restart(proxy)
             .unwrap_or_else(|fault| panic!("{fault}"));
-        self.looked.push(proxy);
+        self.checked.push(proxy);
     }
 }
 
 pub const LOANS: &str = "lb_loans_total{stand=\"bus\"}";
 pub const LINE: u64 = 5 * QUOTA * 1000;
 
-pub fn book(part: &str) -> String {
+pub fn loan_metric(part: &str) -> String {
     format!("lb_loan_{part}_milli{{stand=\"bus\"}}")
 }
 
-pub fn refused(reason: &str) -> String {
+pub fn refused_metric(reason: &str) -> String {
     format!("lb_loans_refused_total{{reason=\"{reason}\"}}")
 }
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -13,7 +13,12 @@
 
 pub const SECOND: u64 = 1_000_000;
 
-pub fn kind(name: &str, need: Consistency, repeat: Idempotency, share: f64) -> RequestClass {
+pub fn request_class(
+    name: &str,
+    need: Consistency,
+    repeat: Idempotency,
+    share: f64,
+) -> RequestClass {
     RequestClass {
         name: name.into(),
         consistency: need,
@@ -31,14 +36,14 @@
 pub fn clients(proxies: usize, groups: usize, per_s: f64, length: u64) -> clients::Settings {
     clients::Settings {
         classes: vec![
-            kind("any", Consistency::Eventual, Idempotency::Idempotent, 5.0),
-            kind(
+            request_class("any", Consistency::Eventual, Idempotency::Idempotent, 5.0),
+            request_class(
                 "mine",
                 Consistency::ReadYourWrites,
                 Idempotency::Idempotent,
                 3.0,
             ),
-            kind("book", Consistency::Write, Idempotency::NonIdempotent, 2.0),
+            request_class("book", Consistency::Write, Idempotency::NonIdempotent, 2.0),
         ],
         tenants: Vec::new(),
         over_quota_weight_fraction: 1.0,
@@ -88,7 +93,7 @@
 }
 
 /// Waits until `more` further requests have been answered.
-pub fn answered(testbed: &Testbed, more: u64) {
+pub fn wait_for_answers(testbed: &Testbed, more: u64) {
     let before = testbed.history.lock().checker.answered;
     testbed
         .until("further answers", |inner| {
@@ -102,7 +107,7 @@
 }
 
 /// Ends the run and asserts that no invariant was violated and that requests were served; a failure lists the violations.
-pub fn sound(testbed: Testbed) -> Outcomes {
+pub fn assert_sound(testbed: Testbed) -> Outcomes {
     let out = testbed.finish().unwrap_or_else(|fault| panic!("{fault}"));
     assert!(
         out.broken.is_empty(),
--- a/crates/testbed/tests/common/turns.rs
+++ b/crates/testbed/tests/common/turns.rs
@@ -4,18 +4,18 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 
 /// Maximum number of fleets of four or five processes that run at once; a machine with a few cores has room for that.
-const AT_ONCE: usize = 4;
+const MAX_FLEETS: usize = 4;
 
-static UP: Mutex<usize> = Mutex::new(0);
-static FREE: Condvar = Condvar::new();
+static RUNNING: Mutex<usize> = Mutex::new(0);
+static PERMIT_RELEASED: Condvar = Condvar::new();
 
 /// Permit to run one fleet, released on drop.
 pub struct Turn(());
 
 pub fn turn() -> Turn {
-    let up = UP.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut up = FREE
-        .wait_while(up, |up| *up >= AT_ONCE)
+    let up = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut up = PERMIT_RELEASED
+        .wait_while(up, |up| *up >= MAX_FLEETS)
         .unwrap_or_else(PoisonError::into_inner);
     *up += 1;
     Turn(())
@@ -23,7 +23,7 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        *UP.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        FREE.notify_one();
+        *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        PERMIT_RELEASED.notify_one();
     }
 }
--- a/crates/testbed/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -16,21 +16,21 @@
 use tokio::time::{timeout, Instant};
 
 /// A sender, a relay and a receiver.
-struct Pair {
-    sends: UdpSocket,
+struct RelayedPair {
+    sender: UdpSocket,
     link: DatagramLink,
-    hears: UdpSocket,
+    receiver: UdpSocket,
 }
 
-impl Pair {
-    async fn new(seed: u64) -> Pair {
-        let hears = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+impl RelayedPair {
+    async fn new(seed: u64) -> RelayedPair {
+        let receiver = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let link = DatagramLink::open(&Handle::current(), seed).unwrap();
-        link.set_target(hears.local_addr().ok());
-        Pair {
-            sends: UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+        link.set_target(receiver.local_addr().ok());
+        RelayedPair {
+            sender: UdpSocket::bind("127.0.0.1:0").await.unwrap(),
             link,
-            hears,
+            receiver,
         }
     }
 
@@ -38,7 +38,7 @@
     async fn send(&self, texts: impl IntoIterator<Item = u32>) {
         for text in texts {
             let came = self.link.counts().came;
-            self.sends
+            self.sender
                 .send_to(&text.to_be_bytes(), self.link.address)
                 .await
                 .unwrap();
@@ -53,7 +53,7 @@
         let mut heard = Vec::new();
         let mut bytes = [0; 64];
         while *before < counts.passed {
-            let n = timeout(EVENT_TIMEOUT, self.hears.recv(&mut bytes))
+            let n = timeout(EVENT_TIMEOUT, self.receiver.recv(&mut bytes))
                 .await
                 .expect("a datagram that has passed must be received")
                 .unwrap();
@@ -61,14 +61,14 @@
             *before += 1;
         }
         assert!(
-            self.hears.try_recv(&mut bytes).is_err(),
+            self.receiver.try_recv(&mut bytes).is_err(),
             "the receiver got more datagrams than the relay passed"
         );
         heard
     }
 }
 
-fn block(test: impl Future<Output = ()>) {
+fn block_on_test(test: impl Future<Output = ()>) {
     Runtime::new().unwrap().block_on(test);
 }
 
@@ -140,9 +140,9 @@
             },
         ),
     ];
-    block(async {
+    block_on_test(async {
         for (way, texts, counts) in cases {
-            let pair = Pair::new(1).await;
+            let pair = RelayedPair::new(1).await;
             pair.link.set(way);
             let begun = Instant::now();
             pair.send(1..5).await;
@@ -159,8 +159,8 @@
 /// Over many datagrams a fault hits the configured share; corruption flips one bit, at varying positions.
 #[test]
 fn shares_are_as_set_and_one_bit_is_flipped() {
-    block(async {
-        let (pair, mut before) = (Pair::new(7).await, 0);
+    block_on_test(async {
+        let (pair, mut before) = (RelayedPair::new(7).await, 0);
         pair.link.set(DatagramFaults {
             lost: 0.2,
             corrupted: 1.0,
@@ -187,7 +187,7 @@
 /// A cut drops the datagrams that are delayed or held back at that moment, also when the link is healed at once.
 #[test]
 fn a_cut_takes_what_is_on_its_way() {
-    block(async {
+    block_on_test(async {
         let hour = Duration::from_secs(3_600);
         for way in [
             Flow::Late(hour, hour).into(),
@@ -196,7 +196,7 @@
                 ..DatagramFaults::default()
             },
         ] {
-            let pair = Pair::new(1).await;
+            let pair = RelayedPair::new(1).await;
             pair.link.set(way);
             pair.send([1]).await;
             assert_eq!(pair.link.counts().waiting, 1);
@@ -211,8 +211,8 @@
 
 #[test]
 fn what_nothing_follows_comes_once_it_is_healed() {
-    block(async {
-        let pair = Pair::new(1).await;
+    block_on_test(async {
+        let pair = RelayedPair::new(1).await;
         pair.link.set(DatagramFaults {
             reordered: 1.0,
             ..DatagramFaults::default()
@@ -233,8 +233,8 @@
     ) {
         let run = || {
             let mut result = (Vec::new(), Counts::default());
-            block(async {
-                let (pair, mut before) = (Pair::new(seed).await, 0);
+            block_on_test(async {
+                let (pair, mut before) = (RelayedPair::new(seed).await, 0);
                 let way = DatagramFaults { lost, doubled, reordered, corrupted, ..DatagramFaults::default() };
                 pair.link.set(way);
                 pair.send(0..cut).await;
@@ -335,13 +335,13 @@
 }
 
 /// Pairs (sender, receiver) of three stand-ins between which a datagram arrives.
-fn heard(testbed: &Testbed, ears: &[UdpSocket]) -> Vec<(usize, usize)> {
+fn heard(testbed: &Testbed, receivers: &[UdpSocket]) -> Vec<(usize, usize)> {
     let pairs = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
     let comes = |&(from, to): &(usize, usize)| {
         let link = testbed.datagram_link(from, to).unwrap();
         testbed.wait(async {
             let before = link.counts();
-            ears[from]
+            receivers[from]
                 .send_to(&[from as u8, to as u8], link.address)
                 .await
                 .unwrap();
@@ -357,7 +357,7 @@
                 return false;
             }
             let mut bytes = [0; 2];
-            timeout(EVENT_TIMEOUT, ears[to].recv(&mut bytes))
+            timeout(EVENT_TIMEOUT, receivers[to].recv(&mut bytes))
                 .await
                 .expect("a datagram that has passed must be received")
                 .unwrap();
@@ -383,33 +383,36 @@
         std::fs::write(program, script).unwrap();
         std::fs::set_permissions(program, PermissionsExt::from_mode(0o700)).unwrap();
     }
-    let ear = |proxy: usize, on: &Runtime| {
-        let ear = on.block_on(UdpSocket::bind("127.0.0.1:0")).unwrap();
+    let receiver = |proxy: usize, on: &Runtime| {
+        let receiver = on.block_on(UdpSocket::bind("127.0.0.1:0")).unwrap();
         let says = format!(
             "n{proxy}: serving on 127.0.0.1:9\nmembers: heard on {}\n",
-            ear.local_addr().unwrap()
+            receiver.local_addr().unwrap()
         );
         std::fs::write(format!("{}.says", at(proxy).display()), says).unwrap();
-        ear
+        receiver
     };
     let on = Runtime::new().unwrap();
-    let mut ears: Vec<UdpSocket> = (0..3).map(|proxy| ear(proxy, &on)).collect();
+    let mut receivers: Vec<UdpSocket> = (0..3).map(|proxy| receiver(proxy, &on)).collect();
     let mut testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(heard(&testbed, &ears), ALL);
+    assert_eq!(heard(&testbed, &receivers), ALL);
     testbed.partition(&[&[0, 1], &[2]]);
-    assert_eq!(heard(&testbed, &ears), [(0, 1), (1, 0)]);
+    assert_eq!(heard(&testbed, &receivers), [(0, 1), (1, 0)]);
     testbed.heal_datagrams();
     testbed.one_way(0, 2).unwrap();
     assert_eq!(
-        heard(&testbed, &ears),
+        heard(&testbed, &receivers),
         [(0, 1), (0, 2), (1, 0), (1, 2), (2, 1)]
     );
     testbed.partition(&[&[0], &[1]]);
-    assert_eq!(heard(&testbed, &ears), [(0, 2), (1, 2), (2, 1)]);
+    assert_eq!(heard(&testbed, &receivers), [(0, 2), (1, 2), (2, 1)]);
     testbed.heal_datagrams();
     testbed.kill(1);
-    assert_eq!(heard(&testbed, &ears), [(0, 2), (1, 0), (1, 2), (2, 0)]);
-    ears[1] = ear(1, &on);
+    assert_eq!(
+        heard(&testbed, &receivers),
+        [(0, 2), (1, 0), (1, 2), (2, 0)]
+    );
+    receivers[1] = receiver(1, &on);
     testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(heard(&testbed, &ears), ALL);
+    assert_eq!(heard(&testbed, &receivers), ALL);
 }
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -2,9 +2,9 @@
 //! counted, and two builds running side by side.
 
 mod common;
-use common::{answered, setup, sound, start, SECOND};
+use common::{assert_sound, setup, start, wait_for_answers, SECOND};
 
-fn fine<T>(done: Result<T, testbed::process::Fault>) -> T {
+fn unwrap_or_panic<T>(done: Result<T, testbed::process::Fault>) -> T {
     done.unwrap_or_else(|fault| panic!("{fault}"))
 }
 
@@ -15,25 +15,25 @@
     let mut setup = setup(1, 100.0, 8 * SECOND);
     setup.admin = true;
     let mut testbed = start(setup);
-    answered(&testbed, 20);
-    drop(fine(testbed.start_new_process(0)));
-    let new_process = fine(testbed.start_new_process(0));
+    wait_for_answers(&testbed, 20);
+    drop(unwrap_or_panic(testbed.start_new_process(0)));
+    let new_process = unwrap_or_panic(testbed.start_new_process(0));
     let old_process = testbed.proxies[0].process.as_mut().unwrap();
-    fine(old_process.wait_for_line("another process has asked", 0));
+    unwrap_or_panic(old_process.wait_for_line("another process has asked", 0));
     drop(new_process);
-    fine(old_process.wait_for_line("the other process is gone", 0));
-    answered(&testbed, 20);
-    let mut new_process = fine(testbed.start_new_process(0));
-    fine(new_process.wait_for_line(": serving on ", 0));
-    answered(&testbed, 20);
-    let code = fine(testbed.replace_process(0, new_process));
+    unwrap_or_panic(old_process.wait_for_line("the other process is gone", 0));
+    wait_for_answers(&testbed, 20);
+    let mut new_process = unwrap_or_panic(testbed.start_new_process(0));
+    unwrap_or_panic(new_process.wait_for_line(": serving on ", 0));
+    wait_for_answers(&testbed, 20);
+    let code = unwrap_or_panic(testbed.replace_process(0, new_process));
     assert_eq!(
         code,
         Some(0),
         "the old process exits with code 0 after the hand-over"
     );
-    answered(&testbed, 50);
-    sound(testbed);
+    wait_for_answers(&testbed, 50);
+    assert_sound(testbed);
 }
 
 /// The request counters of all proxies add up to the outcomes seen by the clients, also across a configuration reload.
@@ -43,33 +43,36 @@
     setup.admin = true;
     let mut testbed = start(setup);
     for proxy in 0..2 {
-        answered(&testbed, 30);
-        fine(testbed.reload(proxy, |setup| setup.platform.tries = 4));
-        fine(testbed.metric_until(proxy, "lb_reloads_ok_total", |reloads| reloads == 1));
+        wait_for_answers(&testbed, 30);
+        unwrap_or_panic(testbed.reload(proxy, |setup| setup.platform.tries = 4));
+        unwrap_or_panic(testbed.metric_until(proxy, "lb_reloads_ok_total", |reloads| reloads == 1));
     }
-    answered(&testbed, 100);
-    fine(testbed.wait(testbed.history.finished(std::time::Duration::from_secs(5))));
-    let books = testbed.history.accounts();
-    let told = [fine(testbed.metrics(0)), fine(testbed.metrics(1))];
-    for (name, book) in ["any", "mine", "book"].iter().zip(&books) {
+    wait_for_answers(&testbed, 100);
+    unwrap_or_panic(testbed.wait(testbed.history.finished(std::time::Duration::from_secs(5))));
+    let accounts = testbed.history.accounts();
+    let metrics = [
+        unwrap_or_panic(testbed.metrics(0)),
+        unwrap_or_panic(testbed.metrics(1)),
+    ];
+    for (name, account) in ["any", "mine", "book"].iter().zip(&accounts) {
         for (outcome, count) in [
-            ("served", book.served),
-            ("refused", book.rejected),
-            ("failed", book.failed),
+            ("served", account.served),
+            ("refused", account.rejected),
+            ("failed", account.failed),
         ] {
             let figure = format!(r#"lb_requests_total{{class="{name}",outcome="{outcome}"}}"#);
-            let sum: u64 = told.iter().map(|t| t[&figure]).sum();
+            let sum: u64 = metrics.iter().map(|t| t[&figure]).sum();
             assert_eq!(sum, count, "{figure}");
         }
     }
     let sent: u64 = testbed.history.lock().reached.values().sum();
     assert_eq!(
-        told.iter().map(|t| t["lb_attempts_total"]).sum::<u64>(),
+        metrics.iter().map(|t| t["lb_attempts_total"]).sum::<u64>(),
         sent
     );
-    let out = sound(testbed);
+    let out = assert_sound(testbed);
     assert!(
-        books.iter().map(|b| b.requests).sum::<u64>() > 200,
+        accounts.iter().map(|b| b.requests).sum::<u64>() > 200,
         "{:?}",
         out.accounts
     );
@@ -90,6 +93,6 @@
         std::fs::read_link(format!("/proc/{number}/exe")).unwrap(),
         other
     );
-    answered(&testbed, 30);
-    sound(testbed);
+    wait_for_answers(&testbed, 30);
+    assert_sound(testbed);
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of proxies, links, servers and discovery in a fleet: no invariant may be violated.
 
 mod common;
-use common::{answered, setup, sound, start, SECOND};
+use common::{assert_sound, setup, start, wait_for_answers, SECOND};
 use rustix::process::Signal;
 use server_model::catalog;
 use server_model::site::ServerFault;
@@ -11,7 +11,7 @@
 use testbed::Testbed;
 
 /// Number of requests of one proxy that have reached a server so far.
-fn through(testbed: &Testbed, proxy: usize) -> u64 {
+fn forwarded_requests(testbed: &Testbed, proxy: usize) -> u64 {
     testbed
         .history
         .lock()
@@ -23,8 +23,8 @@
 }
 
 /// Waits until a proxy has forwarded `more` further requests.
-fn sends(testbed: &Testbed, proxy: usize, more: u64) {
-    let before = through(testbed, proxy);
+fn wait_for_forwarded(testbed: &Testbed, proxy: usize, more: u64) {
+    let before = forwarded_requests(testbed, proxy);
     let is = |inner: &testbed::history::State| {
         let sent: u64 = inner
             .reached
@@ -44,14 +44,14 @@
 fn kill_9_of_one_in_three() {
     let mut testbed = start(setup(3, 150.0, 6 * SECOND));
     for proxy in 0..3 {
-        sends(&testbed, proxy, 5);
+        wait_for_forwarded(&testbed, proxy, 5);
     }
     testbed.kill(1);
-    sends(&testbed, 0, 20);
-    sends(&testbed, 2, 20);
+    wait_for_forwarded(&testbed, 0, 20);
+    wait_for_forwarded(&testbed, 2, 20);
     testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    sends(&testbed, 1, 10);
-    sound(testbed);
+    wait_for_forwarded(&testbed, 1, 10);
+    assert_sound(testbed);
 }
 
 /// A proxy is stopped while a server begins to drain. When it continues, it must honour the drain before it acts on
@@ -61,7 +61,7 @@
     let mut setup = setup(3, 150.0, 8 * SECOND);
     setup.list.late = 0;
     let mut testbed = start(setup);
-    sends(&testbed, 1, 5);
+    wait_for_forwarded(&testbed, 1, 5);
     testbed.signal(1, Signal::STOP);
     let last = *testbed.history.lock().site.members(0).last().unwrap();
     testbed.history.inject_fault(ServerFault::Drain(last));
@@ -72,46 +72,46 @@
         )
         .unwrap();
     // The schedule of these requests is longer than the grace period of drains, however fast the machine.
-    answered(&testbed, 150);
+    wait_for_answers(&testbed, 150);
     testbed.signal(1, Signal::CONT);
-    sends(&testbed, 1, 10);
-    sound(testbed);
+    wait_for_forwarded(&testbed, 1, 10);
+    assert_sound(testbed);
 }
 
 /// The links to the servers of one building pass requests but no responses; then they are healed.
 #[test]
 fn a_link_cut_one_way() {
     let testbed = start(setup(2, 100.0, 6 * SECOND));
-    sends(&testbed, 0, 5);
+    wait_for_forwarded(&testbed, 0, 5);
     let links = testbed.links(&[0], Some(1));
     assert!(!links.is_empty());
     links
         .iter()
         .for_each(|link| link.set(Flow::Passes, Flow::Cut));
-    sends(&testbed, 0, 30);
-    sends(&testbed, 1, 30);
+    wait_for_forwarded(&testbed, 0, 30);
+    wait_for_forwarded(&testbed, 1, 30);
     links.iter().for_each(|link| link.heal());
-    answered(&testbed, 30);
-    sound(testbed);
+    wait_for_answers(&testbed, 30);
+    assert_sound(testbed);
 }
 
 #[test]
 fn a_building_cut_off_from_one_proxy_and_back() {
     let testbed = start(setup(2, 100.0, 6 * SECOND));
-    sends(&testbed, 0, 5);
+    wait_for_forwarded(&testbed, 0, 5);
     let links = testbed.links(&[0], Some(1));
     links.iter().for_each(|link| link.cut());
-    sends(&testbed, 0, 30);
+    wait_for_forwarded(&testbed, 0, 30);
     links.iter().for_each(|link| link.heal());
-    answered(&testbed, 30);
-    sound(testbed);
+    wait_for_answers(&testbed, 30);
+    assert_sound(testbed);
 }
 
 /// Links reset connections during requests, delay responses, deliver them in small pieces, and lose and resend bytes.
 #[test]
 fn links_that_reset_delay_and_trickle() {
     let testbed = start(setup(2, 60.0, 6 * SECOND));
-    sends(&testbed, 0, 5);
+    wait_for_forwarded(&testbed, 0, 5);
     let (first, second) = (testbed.links(&[0], None), testbed.links(&[1], None));
     let millis = Duration::from_millis;
     first
@@ -126,9 +126,9 @@
             Flow::Passes,
         )
     });
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     first.iter().for_each(|link| link.reset());
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     second.iter().for_each(|link| {
         link.set(
             Flow::Passes,
@@ -138,12 +138,12 @@
             },
         )
     });
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     first.iter().for_each(|link| link.refuse());
-    sends(&testbed, 1, 20);
+    wait_for_forwarded(&testbed, 1, 20);
     first.iter().chain(&second).for_each(|link| link.heal());
-    answered(&testbed, 20);
-    sound(testbed);
+    wait_for_answers(&testbed, 20);
+    assert_sound(testbed);
 }
 
 /// A primary crashes and a replica takes over, one server hangs and one drains; each proxy detects this by itself.
@@ -152,7 +152,7 @@
     let mut setup = setup(3, 120.0, 8 * SECOND);
     (setup.site.group.give_up, setup.site.group.take_over) = (300_000, 300_000);
     let testbed = start(setup);
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     let (primary, members) = {
         let inner = testbed.history.lock();
         (
@@ -171,7 +171,7 @@
     testbed
         .until("another server becomes the primary", another)
         .unwrap();
-    answered(&testbed, 60);
+    wait_for_answers(&testbed, 60);
     testbed.history.inject_fault(ServerFault::Start(primary));
     testbed.history.inject_fault(ServerFault::Hang {
         server: members[1],
@@ -180,8 +180,8 @@
     testbed
         .history
         .inject_fault(ServerFault::Join { group: 1, place: 0 });
-    answered(&testbed, 60);
-    sound(testbed);
+    wait_for_answers(&testbed, 60);
+    assert_sound(testbed);
 }
 
 /// Discovery is down for the whole fleet, and all proxies reconnect to it at once.
@@ -191,7 +191,7 @@
     (setup.list.call, setup.list.patience) = (20_000, 200_000);
     let testbed = start(setup);
     for proxy in 0..6 {
-        sends(&testbed, proxy, 1);
+        wait_for_forwarded(&testbed, proxy, 1);
     }
     let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.taken()).collect();
     testbed.history.list(catalog::Event::Down(true));
@@ -201,15 +201,15 @@
     }
     let gone = *testbed.history.lock().site.members(0).last().unwrap();
     testbed.history.inject_fault(ServerFault::Retire(gone));
-    answered(&testbed, 40);
+    wait_for_answers(&testbed, 40);
     testbed.history.list(catalog::Event::Down(false));
     testbed
         .until("all proxies watch the endpoint list again", |inner| {
             inner.watching() == 6
         })
         .unwrap();
-    answered(&testbed, 20);
-    sound(testbed);
+    wait_for_answers(&testbed, 20);
+    assert_sound(testbed);
 }
 
 /// A server at its connection limit rejects connections; the other servers take its load.
@@ -229,23 +229,23 @@
             inner.rejected_connections > 0
         })
         .unwrap();
-    answered(&testbed, 100);
-    sound(testbed);
+    wait_for_answers(&testbed, 100);
+    assert_sound(testbed);
 }
 
 /// A proxy that receives SIGTERM under load exits with code 0 and loses no request that it had accepted.
 #[test]
 fn sigterm_under_load() {
     let mut testbed = start(setup(2, 100.0, 5 * SECOND));
-    sends(&testbed, 1, 10);
+    wait_for_forwarded(&testbed, 1, 10);
     testbed.signal(1, Signal::TERM);
     let code = testbed.proxies[1].process.as_mut().unwrap().wait();
     assert_eq!(code, Some(0));
     testbed.history.proxy_down(1);
-    sends(&testbed, 0, 30);
+    wait_for_forwarded(&testbed, 0, 30);
     testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    sends(&testbed, 1, 5);
-    sound(testbed);
+    wait_for_forwarded(&testbed, 1, 5);
+    assert_sound(testbed);
 }
 
 /// The output and the exit code of a process that fails to start reach the caller.
@@ -281,15 +281,15 @@
     let mut setup = setup(1, 100.0, 3 * SECOND);
     setup.sockets = 64;
     let testbed = start(setup);
-    answered(&testbed, 50);
-    sound(testbed);
+    wait_for_answers(&testbed, 50);
+    assert_sound(testbed);
 }
 
 /// When a stall of the machine delays its own timers, the testbed reports the delay and no goodput.
 #[test]
 fn a_testbed_that_is_late_claims_nothing() {
     let testbed = start(setup(1, 400.0, 2 * SECOND));
-    answered(&testbed, 5);
+    wait_for_answers(&testbed, 5);
     {
         // The lock blocks the whole testbed; everything due in this time is late, however fast the machine.
         let _held = testbed.history.lock();
--- a/crates/testbed/tests/lending.rs
+++ b/crates/testbed/tests/lending.rs
@@ -1,7 +1,7 @@
 //! Quota lending in a fleet under partitions, kills, stops and clock changes. Metrics are read from the admin addresses.
 
 mod common;
-use common::loans::{book, operators, refused, Fleet, LINE, LOANS, STATE};
+use common::loans::{loan_metric, operators, refused_metric, Fleet, LINE, LOANS, STATE};
 use common::SECOND;
 use rustix::process::Signal;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -13,10 +13,10 @@
 fn a_stand_borrows_and_repays() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 20);
+    fleet.wait_for_loans(0..3, 20);
     fleet.settle();
-    assert!((0..3).all(|proxy| fleet.figure(proxy, &book("repaid")) > 0));
-    assert!(fleet.figure(0, "lb_loans_saves_total") > 0);
+    assert!((0..3).all(|proxy| fleet.metric(proxy, &loan_metric("repaid")) > 0));
+    assert!(fleet.metric(0, "lb_loans_saves_total") > 0);
 }
 
 /// Both sides of a partition borrow: the minority stops lending when its lease ends, the majority keeps lending from the
@@ -25,21 +25,21 @@
 fn both_sides_of_a_cut_keep_within_one_line() {
     let mut fleet = Fleet::start(5, |_| {});
     fleet.surge(true);
-    fleet.lends(0..5, 5);
+    fleet.wait_for_loans(0..5, 5);
     fleet.testbed.partition(&[&[0, 1], &[2, 3, 4]]);
     for proxy in 0..2 {
-        let view = fleet.figure(proxy, &refused("view"));
-        fleet.until([proxy], &refused("view"), |n| n > view);
-        let before = fleet.figure(proxy, LOANS);
-        fleet.lends([2], 5);
+        let view = fleet.metric(proxy, &refused_metric("view"));
+        fleet.until([proxy], &refused_metric("view"), |n| n > view);
+        let before = fleet.metric(proxy, LOANS);
+        fleet.wait_for_loans([2], 5);
         assert_eq!(
-            fleet.figure(proxy, LOANS),
+            fleet.metric(proxy, LOANS),
             before,
             "the minority must not lend after its lease has ended"
         );
     }
     fleet.testbed.heal_datagrams();
-    fleet.lends(0..5, 5);
+    fleet.wait_for_loans(0..5, 5);
     fleet.settle();
 }
 
@@ -53,15 +53,15 @@
     let first = LINE / 4;
     let greatest = |fleet: &Fleet| {
         (0..4)
-            .max_by_key(|proxy| fleet.figure(*proxy, &book("part")))
+            .max_by_key(|proxy| fleet.metric(*proxy, &loan_metric("part")))
             .unwrap()
     };
-    fleet.lends(0..1, 1);
+    fleet.wait_for_loans(0..1, 1);
     let end = Instant::now() + EVENT_TIMEOUT;
     let holder = loop {
-        fleet.look();
+        fleet.check_accounts();
         let holder = greatest(&fleet);
-        if fleet.figure(holder, &book("part")) > first + first / 10 {
+        if fleet.metric(holder, &loan_metric("part")) > first + first / 10 {
             break holder;
         }
         assert!(
@@ -72,9 +72,9 @@
     fleet.kill(holder);
     fleet.restart(holder);
     fleet.until([holder], "lb_loans_founded", |n| n == 1);
-    fleet.lends([holder], 5);
+    fleet.wait_for_loans([holder], 5);
     fleet.settle();
-    assert!((0..4).all(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken") == 0));
+    assert!((0..4).all(|proxy| fleet.metric(proxy, "lb_loans_lanes_taken") == 0));
 }
 
 /// The lane of a proxy that stays dead is taken over by exactly one other proxy. After its return the proxy has an empty
@@ -83,16 +83,16 @@
 fn the_lane_of_a_dead_one_is_taken_once() {
     let mut fleet = Fleet::start(4, |_| {});
     fleet.surge(true);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     fleet.kill(3);
     let taken = |fleet: &Fleet| {
         (0..3)
-            .map(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken"))
+            .map(|proxy| fleet.metric(proxy, "lb_loans_lanes_taken"))
             .sum::<u64>()
     };
     let end = Instant::now() + EVENT_TIMEOUT;
     while taken(&fleet) == 0 {
-        fleet.look();
+        fleet.check_accounts();
         assert!(
             Instant::now() < end,
             "the lane of the dead proxy was not taken over"
@@ -102,7 +102,7 @@
     fleet.checker.forget("n3");
     fleet.restart(3);
     fleet.until([3], "lb_loans_founded", |n| n == 1);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     assert_eq!(taken(&fleet), 1);
     fleet.settle();
 }
@@ -112,20 +112,20 @@
 fn a_stopped_one_lends_nothing_until_it_is_heard() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
-    fleet.look();
+    fleet.wait_for_loans(0..3, 5);
+    fleet.check_accounts();
     fleet.testbed.signal(1, Signal::STOP);
-    fleet.looked.retain(|proxy| *proxy != 1);
+    fleet.checked.retain(|proxy| *proxy != 1);
     let down = "lb_member{member=\"n1\",status=\"down\"}";
     fleet
         .testbed
         .metric_until(0, down, |n| n == 1)
         .unwrap_or_else(|fault| panic!("{fault}"));
     fleet.testbed.signal(1, Signal::CONT);
-    let stopped = fleet.figure(1, LOANS);
-    fleet.looked.push(1);
+    let stopped = fleet.metric(1, LOANS);
+    fleet.checked.push(1);
     fleet.until([1], "lb_members_pauses_total", |n| n >= 1);
-    fleet.until([1], &refused("view"), |n| n >= 1);
+    fleet.until([1], &refused_metric("view"), |n| n >= 1);
     fleet.until([1], LOANS, |n| n >= stopped + 5);
     fleet.settle();
 }
@@ -136,7 +136,7 @@
 fn one_whose_clock_was_set_back_lends_again() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     fleet.kill(1);
     let clock = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -152,7 +152,7 @@
     drop(fake_member);
     fleet.restart(1);
     fleet.until([1], "lb_members_renewals_total", |n| n == 1);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     fleet.settle();
 }
 
@@ -161,10 +161,10 @@
 fn all_that_start_again_at_once_go_on() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     (0..3).for_each(|proxy| fleet.kill(proxy));
     (0..3).for_each(|proxy| fleet.restart(proxy));
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     fleet.settle();
 }
 
@@ -173,11 +173,11 @@
 fn one_that_has_forgotten_lends_what_it_is_given() {
     let mut fleet = Fleet::start(4, |setup| setup.operators = operators("", "5s"));
     fleet.surge(true);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     fleet.kill(0);
     fleet.restart(0);
     fleet.until([0], "lb_loans_founded", |n| n == 1);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     fleet.settle();
 }
 
@@ -186,16 +186,18 @@
 fn the_stricter_of_two_lines_holds_in_sum() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     let strict = |setup: &mut Setup| setup.operators = operators(STATE, "1s");
     fleet
         .testbed
         .reload(1, strict)
         .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in 0..3 {
-        fleet.until([proxy], &book("part"), |part| part <= LINE / 5);
+        fleet.until([proxy], &loan_metric("part"), |part| part <= LINE / 5);
     }
-    let parts: u64 = (0..3).map(|proxy| fleet.figure(proxy, &book("part"))).sum();
+    let parts: u64 = (0..3)
+        .map(|proxy| fleet.metric(proxy, &loan_metric("part")))
+        .sum();
     assert!(parts <= LINE / 5, "{parts}");
     fleet.settle();
 }
@@ -212,11 +214,11 @@
         }
     });
     fleet.surge(true);
-    fleet.lends(0..3, 2);
+    fleet.wait_for_loans(0..3, 2);
     fleet.testbed.history.surge(Some(1), 60.0);
-    fleet.until(0..3, &refused("short"), |n| n >= 5);
+    fleet.until(0..3, &refused_metric("short"), |n| n >= 5);
     fleet.testbed.history.surge(Some(1), 1.0);
     fleet.until(0..3, "lb_loans_short", |n| n == 0);
-    fleet.lends(0..3, 2);
+    fleet.wait_for_loans(0..3, 2);
     fleet.settle();
 }
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -29,7 +29,7 @@
     (address, came)
 }
 
-async fn hear(stream: &TcpStream, number: usize) -> Vec<u8> {
+async fn read_bytes(stream: &TcpStream, number: usize) -> Vec<u8> {
     let (mut all, mut bytes) = (Vec::new(), [0; 4096]);
     while all.len() < number {
         match read(stream, &mut bytes).await.unwrap() {
@@ -40,7 +40,7 @@
     all
 }
 
-fn on_a_link(test: impl AsyncFnOnce(Link, mpsc::UnboundedReceiver<Vec<u8>>)) {
+fn with_link(test: impl AsyncFnOnce(Link, mpsc::UnboundedReceiver<Vec<u8>>)) {
     Runtime::new().unwrap().block_on(async {
         let (address, came) = echo().await;
         test(
@@ -54,7 +54,7 @@
 /// With one direction cut, the request arrives, and the response only after the link is healed.
 #[test]
 fn one_direction_alone_is_cut() {
-    on_a_link(async |link, mut came| {
+    with_link(async |link, mut came| {
         let stream = TcpStream::connect(link.address).await.unwrap();
         link.set(Flow::Passes, Flow::Cut);
         write_all(&stream, b"asked").await.unwrap();
@@ -68,20 +68,20 @@
         let other = TcpStream::connect(other).await.unwrap();
         write_all(&other, b"other").await.unwrap();
         there.recv().await.unwrap();
-        hear(&other, 5).await;
+        read_bytes(&other, 5).await;
         assert!(
             stream.try_read(&mut [0; 8]).is_err(),
             "no byte of the response may arrive"
         );
         link.heal();
-        assert_eq!(hear(&stream, 5).await, b"asked");
+        assert_eq!(read_bytes(&stream, 5).await, b"asked");
     });
 }
 
 /// With the request direction cut, no byte arrives, also on a new connection; after healing all bytes arrive in order.
 #[test]
 fn what_was_held_back_comes_in_order() {
-    on_a_link(async |link, mut came| {
+    with_link(async |link, mut came| {
         link.set(Flow::Cut, Flow::Passes);
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"one").await.unwrap();
@@ -89,16 +89,16 @@
         link.until_taken(1).await;
         assert!(came.try_recv().is_err());
         link.heal();
-        assert_eq!(hear(&stream, 6).await, b"onetwo");
+        assert_eq!(read_bytes(&stream, 6).await, b"onetwo");
     });
 }
 
 #[test]
 fn a_reset_ends_what_is_open_and_nothing_else() {
-    on_a_link(async |link, _came| {
+    with_link(async |link, _came| {
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"one").await.unwrap();
-        assert_eq!(hear(&stream, 3).await, b"one");
+        assert_eq!(read_bytes(&stream, 3).await, b"one");
         link.reset();
         assert!(
             read(&stream, &mut [0; 8]).await.is_err(),
@@ -106,7 +106,7 @@
         );
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"two").await.unwrap();
-        assert_eq!(hear(&stream, 3).await, b"two");
+        assert_eq!(read_bytes(&stream, 3).await, b"two");
         link.until_open(1).await;
         assert_eq!(link.taken(), 2);
         link.refuse();
@@ -120,7 +120,7 @@
 /// Late, lossy and trickling links delay bytes but never lose or change them.
 #[test]
 fn slow_links_lose_nothing() {
-    on_a_link(async |link, _came| {
+    with_link(async |link, _came| {
         let millis = Duration::from_millis;
         let stream = TcpStream::connect(link.address).await.unwrap();
         let text: Vec<u8> = (0..200).collect();
@@ -137,7 +137,7 @@
         ] {
             link.set(flow, flow);
             write_all(&stream, &text).await.unwrap();
-            assert_eq!(hear(&stream, text.len()).await, text, "{flow:?}");
+            assert_eq!(read_bytes(&stream, text.len()).await, text, "{flow:?}");
         }
     });
 }
--- a/crates/testbed/tests/many.rs
+++ b/crates/testbed/tests/many.rs
@@ -1,7 +1,7 @@
 //! A fleet of twelve proxies that choose their subsets without coordination: the choices together must cover all servers.
 
 mod common;
-use common::{answered, setup, sound, start, SECOND};
+use common::{assert_sound, setup, start, wait_for_answers, SECOND};
 use server_model::site::{ServerFault, ServerIndex};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 }
 
 /// Requests that proxies sent to replicas outside of their subsets, and all requests that they sent.
-fn astray(testbed: &Testbed) -> (u64, u64) {
+fn requests_outside_subsets(testbed: &Testbed) -> (u64, u64) {
     let parts: Vec<BTreeSet<ServerIndex>> = (0..PROXIES)
         .map(|proxy| {
             (0..GROUPS)
@@ -41,15 +41,16 @@
                 .collect()
         })
         .collect();
-    let look = testbed.history.lock();
+    let state = testbed.history.lock();
     let primaries: BTreeSet<_> = (0..GROUPS)
-        .filter_map(|group| look.site.primary(group))
+        .filter_map(|group| state.site.primary(group))
         .collect();
     let beyond = |(proxy, server): &(usize, ServerIndex)| {
         !parts[*proxy].contains(server) && !primaries.contains(server)
     };
     let sent = |counts: &dyn Fn(&(usize, ServerIndex)) -> bool| -> u64 {
-        look.reached
+        state
+            .reached
             .iter()
             .filter(|(pair, _)| counts(pair))
             .map(|(_, n)| n)
@@ -63,8 +64,8 @@
 #[test]
 fn proxies_meet_their_parts() {
     let testbed = start(fleet(8 * SECOND));
-    answered(&testbed, 900);
-    let (beyond, all) = astray(&testbed);
+    wait_for_answers(&testbed, 900);
+    let (beyond, all) = requests_outside_subsets(&testbed);
     assert!(
         beyond * 20 < all,
         "{beyond} of {all} requests went outside of the subsets"
@@ -81,14 +82,14 @@
         GROUPS as usize * MEMBERS,
         "some servers receive no requests; reached: {met:?}"
     );
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 /// All replicas of a proxy's subset crash at once; the proxy continues with the other members of the group.
 #[test]
 fn a_proxy_whose_whole_part_dies() {
     let testbed = start(fleet(12 * SECOND));
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     let own = subset(&testbed, 0, 0);
     let primary = testbed.history.lock().site.primary(0);
     for &server in own.iter().filter(|&&server| Some(server) != primary) {
@@ -111,33 +112,33 @@
             |inner| others(inner) >= before + 20,
         )
         .unwrap();
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 /// Half of the proxies are configured for a fleet of forty: both sizes coexist, and no proxy changes its subset.
 #[test]
 fn half_of_the_fleet_has_another_size() {
     let mut testbed = start(fleet(10 * SECOND));
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     for proxy in 0..PROXIES / 2 {
         testbed
             .reload(proxy, |setup| setup.clients.proxies = 40)
             .unwrap();
     }
-    answered(&testbed, 700);
-    let (beyond, all) = astray(&testbed);
+    wait_for_answers(&testbed, 700);
+    let (beyond, all) = requests_outside_subsets(&testbed);
     assert!(
         beyond * 20 < all,
         "{beyond} of {all} requests went outside of the subsets"
     );
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 /// One member of each proxy's subset responds late over that proxy's link: the other members of the subset take its load.
 #[test]
 fn slow_replies_from_one_member_of_each_part() {
     let testbed = start(fleet(10 * SECOND));
-    answered(&testbed, 200);
+    wait_for_answers(&testbed, 200);
     let primary = testbed.history.lock().site.primary(0);
     let slow: Vec<ServerIndex> = (0..PROXIES)
         .map(|proxy| {
@@ -152,11 +153,14 @@
         testbed.link(proxy, server).unwrap().set(Flow::Passes, late);
     }
     let sent = || {
-        let look = testbed.history.lock();
+        let state = testbed.history.lock();
         let group = |server: &ServerIndex| {
-            look.site.members(0).contains(server) && Some(*server) != primary
+            state.site.members(0).contains(server) && Some(*server) != primary
         };
-        let all = look.reached.iter().filter(|((_, server), _)| group(server));
+        let all = state
+            .reached
+            .iter()
+            .filter(|((_, server), _)| group(server));
         let (mut late, mut sum) = (0, 0);
         for (&(proxy, server), number) in all {
             sum += number;
@@ -165,29 +169,29 @@
         (late, sum)
     };
     // Lets each proxy observe the delay first.
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     let before = sent();
-    answered(&testbed, 500);
+    wait_for_answers(&testbed, 500);
     let after = sent();
     let (late, sum) = (after.0 - before.0, after.1 - before.1);
     assert!(late * 8 < sum, "{late} of {sum} went over the slow links");
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 /// All proxies are killed and restarted at once without saved state: their common start overloads neither cold servers nor discovery.
 #[test]
 fn a_whole_fleet_is_killed_and_started() {
     let mut testbed = start(fleet(10 * SECOND));
-    answered(&testbed, 200);
+    wait_for_answers(&testbed, 200);
     (0..PROXIES).for_each(|proxy| testbed.kill(proxy));
     (0..PROXIES).for_each(|proxy| testbed.restart(proxy).unwrap());
-    answered(&testbed, 400);
-    let (beyond, all) = astray(&testbed);
+    wait_for_answers(&testbed, 400);
+    let (beyond, all) = requests_outside_subsets(&testbed);
     assert!(
         beyond * 20 < all,
         "{beyond} of {all} requests went outside of the subsets, which must be the same after a restart"
     );
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 /// Most members are replaced by cold ones while the endpoint list is late: the checkers watch the bound of each cold server
@@ -201,12 +205,12 @@
         .iter_mut()
         .for_each(|kind| kind.work.mean = 10_000.0);
     let testbed = start(setup);
-    answered(&testbed, 200);
+    wait_for_answers(&testbed, 200);
     let old: Vec<ServerIndex> = (0..GROUPS)
         .flat_map(|group| {
-            let look = testbed.history.lock();
-            let stays = look.site.primary(group);
-            let replicas = look
+            let state = testbed.history.lock();
+            let stays = state.site.primary(group);
+            let replicas = state
                 .site
                 .members(group)
                 .iter()
@@ -225,7 +229,7 @@
     }
     old.iter()
         .for_each(|&server| testbed.history.inject_fault(ServerFault::Drain(server)));
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     old.iter()
         .for_each(|&server| testbed.history.inject_fault(ServerFault::Retire(server)));
     let new = |inner: &State| {
@@ -238,5 +242,5 @@
             new(inner) >= GROUPS as usize
         })
         .unwrap();
-    sound(testbed);
+    assert_sound(testbed);
 }
--- a/crates/testbed/tests/planted.rs
+++ b/crates/testbed/tests/planted.rs
@@ -1,12 +1,12 @@
 //! A proxy that violates each rule on purpose must be detected by its checker; a correct fleet violates none.
 
 mod common;
-use common::{answered, setup, sound, start, SECOND};
+use common::{assert_sound, setup, start, wait_for_answers, SECOND};
 use invariant_checkers::Rule;
 use server_model::site::ServerFault;
 
 /// Asserts that the checker detects a fleet whose proxies violate `rule`.
-fn caught(rule: Rule) {
+fn assert_detected(rule: Rule) {
     let mut setup = setup(2, 60.0, 30 * SECOND);
     setup.planted_violation = Some(rule);
     // The platform's checks would hide stale reads.
@@ -48,7 +48,7 @@
     ($($name:ident $rule:ident)*) => { $(
         #[test]
         fn $name() {
-            caught(Rule::$rule);
+            assert_detected(Rule::$rule);
         }
     )*
         const PLANTED: &[Rule] = &[$(Rule::$rule),*];
@@ -72,8 +72,8 @@
 #[test]
 fn a_sound_fleet_breaks_no_rule() {
     let testbed = start(setup(3, 100.0, 2 * SECOND));
-    answered(&testbed, 50);
-    let out = sound(testbed);
+    wait_for_answers(&testbed, 50);
+    let out = assert_sound(testbed);
     assert_eq!(out.gone, 0);
 }
 
--- a/crates/testbed/tests/power.rs
+++ b/crates/testbed/tests/power.rs
@@ -2,26 +2,26 @@
 
 mod common;
 use common::turns::{turn, Turn};
-use common::{answered, setup, sound, SECOND};
+use common::{assert_sound, setup, wait_for_answers, SECOND};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use testbed::discovery::name;
 use testbed::members::Members;
 use testbed::{Setup, Testbed};
 
-const MEMORY: &str = "memory {\n state {folder}/memory\n every 100ms\n}\n";
-const OUT: &str = "lb_record_servers_excluded";
-const UNREAD: &str = "lb_memory_unread";
+const STATE_FILE_SETTINGS: &str = "memory {\n state {folder}/memory\n every 100ms\n}\n";
+const EXCLUDED_SERVERS: &str = "lb_record_servers_excluded";
+const UNREADABLE: &str = "lb_memory_unread";
 const FAILING: &str = "lb_memory_failing";
-const LIST: &str = "lb_memory_list_index";
+const LIST_INDEX: &str = "lb_memory_list_index";
 /// Time within which an operator's command must be answered, also when the disk fails.
-const OWED: Duration = Duration::from_secs(1);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn fleet(proxies: usize, adjust: impl FnOnce(&mut Setup)) -> (Testbed, Turn) {
     let turn = turn();
     let mut setup = setup(proxies, 100.0, 60 * SECOND);
     setup.admin = true;
-    setup.operators = MEMORY.to_owned();
+    setup.operators = STATE_FILE_SETTINGS.to_owned();
     adjust(&mut setup);
     let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
     (testbed, turn)
@@ -31,36 +31,41 @@
 fn with_directories(proxies: usize, adjust: impl FnOnce(&mut Setup)) -> (Testbed, Turn) {
     let (testbed, turn) = fleet(proxies, adjust);
     for proxy in 0..proxies {
-        std::fs::create_dir_all(folder(&testbed, proxy)).unwrap();
+        std::fs::create_dir_all(state_folder(&testbed, proxy)).unwrap();
     }
-    each(&testbed, 0..proxies, FAILING, 0);
+    wait_for_each(&testbed, 0..proxies, FAILING, 0);
     testbed.history.begin();
-    (0..proxies).for_each(|proxy| until(&testbed, proxy, LIST, |n| n >= 1));
-    answered(&testbed, 20);
+    (0..proxies).for_each(|proxy| wait_for_metric(&testbed, proxy, LIST_INDEX, |n| n >= 1));
+    wait_for_answers(&testbed, 20);
     (testbed, turn)
 }
 
-fn folder(testbed: &Testbed, proxy: usize) -> PathBuf {
+fn state_folder(testbed: &Testbed, proxy: usize) -> PathBuf {
     testbed.folder(proxy).join("memory")
 }
 
-fn file(testbed: &Testbed, proxy: usize) -> PathBuf {
-    folder(testbed, proxy).join("memory.state")
+fn state_file(testbed: &Testbed, proxy: usize) -> PathBuf {
+    state_folder(testbed, proxy).join("memory.state")
 }
 
-fn until(testbed: &Testbed, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
+fn wait_for_metric(testbed: &Testbed, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
     testbed
         .metric_until(proxy, name, is)
         .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
-fn each(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
+fn wait_for_each(
+    testbed: &Testbed,
+    proxies: impl IntoIterator<Item = usize>,
+    name: &str,
+    value: u64,
+) {
     proxies
         .into_iter()
-        .for_each(|proxy| until(testbed, proxy, name, |n| n == value));
+        .for_each(|proxy| wait_for_metric(testbed, proxy, name, |n| n == value));
 }
 
-fn figure(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
+fn metric(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
     let figures = testbed
         .metrics(proxy)
         .unwrap_or_else(|fault| panic!("{fault}"));
@@ -106,13 +111,16 @@
         testbed.kill(0);
         restart(&mut testbed, 0);
         // Server 4 stays excluded throughout.
-        each(&testbed, [0], OUT, if out { 2 } else { 1 });
+        wait_for_each(&testbed, [0], EXCLUDED_SERVERS, if out { 2 } else { 1 });
         assert_eq!(
-            (figure(&testbed, 0, UNREAD), figure(&testbed, 1, OUT)),
+            (
+                metric(&testbed, 0, UNREADABLE),
+                metric(&testbed, 1, EXCLUDED_SERVERS)
+            ),
             (0, 0)
         );
     }
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
 }
 
 /// After a loss of power discovery returns last: proxies with a state file serve from the saved endpoint list, a proxy
@@ -122,28 +130,28 @@
     let (mut testbed, _turn) = with_directories(3, |setup| setup.known = false);
     (0..3).for_each(|proxy| testbed.proxies[proxy].list.cut());
     (0..3).for_each(|proxy| testbed.kill(proxy));
-    std::fs::remove_file(file(&testbed, 2)).unwrap();
+    std::fs::remove_file(state_file(&testbed, 2)).unwrap();
     (0..3).for_each(|proxy| restart(&mut testbed, proxy));
     let end = Instant::now() + testbed::process::EVENT_TIMEOUT;
     while served(&testbed, 0) < 20 || served(&testbed, 1) < 20 {
         assert!(Instant::now() < end, "{:#?}", testbed.metrics(0));
-        answered(&testbed, 5);
+        wait_for_answers(&testbed, 5);
     }
     assert_eq!(
         (
             served(&testbed, 2),
-            figure(&testbed, 2, "lb_record_servers_known")
+            metric(&testbed, 2, "lb_record_servers_known")
         ),
         (0, 0)
     );
     (0..3).for_each(|proxy| testbed.proxies[proxy].list.heal());
-    until(&testbed, 2, "lb_record_servers_known", |n| n == 6);
+    wait_for_metric(&testbed, 2, "lb_record_servers_known", |n| n == 6);
     let end = Instant::now() + testbed::process::EVENT_TIMEOUT;
     while served(&testbed, 2) < 20 {
         assert!(Instant::now() < end);
-        answered(&testbed, 5);
+        wait_for_answers(&testbed, 5);
     }
-    each(&testbed, 0..3, "lb_memory_list_went_back_total", 0);
+    wait_for_each(&testbed, 0..3, "lb_memory_list_went_back_total", 0);
 }
 
 /// Discovery has lost its last changes, so its index is below that of the saved list: the proxy requests the full list,
@@ -152,7 +160,7 @@
 fn a_list_ahead_of_discovery_gives_way() {
     let (mut testbed, _turn) = with_directories(1, |setup| setup.known = false);
     testbed.kill(0);
-    let bytes = std::fs::read(file(&testbed, 0)).unwrap();
+    let bytes = std::fs::read(state_file(&testbed, 0)).unwrap();
     let (recalled, _) = persistent_state::recover(
         "n0",
         Some(&bytes),
@@ -166,21 +174,21 @@
         ..recalled.list.unwrap()
     };
     std::fs::write(
-        file(&testbed, 0),
-        kept("n0", persistent_state::Event::EndpointList(ahead)),
+        state_file(&testbed, 0),
+        saved_state("n0", persistent_state::Event::EndpointList(ahead)),
     )
     .unwrap();
     restart(&mut testbed, 0);
-    each(&testbed, [0], "lb_memory_list_went_back_total", 1);
+    wait_for_each(&testbed, [0], "lb_memory_list_went_back_total", 1);
     testbed
         .history
         .inject_fault(server_model::site::ServerFault::Retire(5));
-    each(&testbed, [0], "lb_record_servers_known", 5);
-    until(&testbed, 0, LIST, |n| n < 1_000_000);
+    wait_for_each(&testbed, [0], "lb_record_servers_known", 5);
+    wait_for_metric(&testbed, 0, LIST_INDEX, |n| n < 1_000_000);
 }
 
 /// Contents of the state file that a proxy of that name would save after `event`.
-fn kept(name: &str, event: persistent_state::Event) -> Vec<u8> {
+fn saved_state(name: &str, event: persistent_state::Event) -> Vec<u8> {
     let mut actions = Vec::new();
     persistent_state::SnapshotScheduler::new(name, Duration::ZERO, None).handle(
         Duration::ZERO,
@@ -200,24 +208,28 @@
     let (mut testbed, _turn) = with_directories(4, |_| {});
     (0..4).for_each(|proxy| _ = set_excluded(&testbed, proxy, 2, true));
     (0..4).for_each(|proxy| testbed.kill(proxy));
-    let bytes = std::fs::read(file(&testbed, 0)).unwrap();
-    std::fs::write(file(&testbed, 0), &bytes[..bytes.len() * 2 / 3]).unwrap();
-    let others = std::fs::read(file(&testbed, 3)).unwrap();
-    std::fs::write(file(&testbed, 1), &others).unwrap();
-    std::fs::remove_dir_all(folder(&testbed, 2)).unwrap();
-    std::fs::write(folder(&testbed, 2), "no directory").unwrap();
+    let bytes = std::fs::read(state_file(&testbed, 0)).unwrap();
+    std::fs::write(state_file(&testbed, 0), &bytes[..bytes.len() * 2 / 3]).unwrap();
+    let others = std::fs::read(state_file(&testbed, 3)).unwrap();
+    std::fs::write(state_file(&testbed, 1), &others).unwrap();
+    std::fs::remove_dir_all(state_folder(&testbed, 2)).unwrap();
+    std::fs::write(state_folder(&testbed, 2), "no directory").unwrap();
     (0..4).for_each(|proxy| restart(&mut testbed, proxy));
-    let looks =
-        |testbed: &Testbed, proxy| (figure(testbed, proxy, UNREAD), figure(testbed, proxy, OUT));
+    let looks = |testbed: &Testbed, proxy| {
+        (
+            metric(testbed, proxy, UNREADABLE),
+            metric(testbed, proxy, EXCLUDED_SERVERS),
+        )
+    };
     assert_eq!(
         [0, 1, 2, 3].map(|proxy| looks(&testbed, proxy)),
         [(1, 0), (1, 0), (1, 0), (0, 1)]
     );
-    each(&testbed, [0, 3], FAILING, 0);
-    each(&testbed, [1, 2], FAILING, 1);
+    wait_for_each(&testbed, [0, 3], FAILING, 0);
+    wait_for_each(&testbed, [1, 2], FAILING, 1);
     assert_eq!(set_excluded(&testbed, 1, 2, true), "out, not kept");
     assert_eq!(
-        std::fs::read(file(&testbed, 1)).unwrap(),
+        std::fs::read(state_file(&testbed, 1)).unwrap(),
         others,
         "another proxy's state file must not be overwritten"
     );
@@ -226,7 +238,7 @@
     testbed.kill(0);
     restart(&mut testbed, 0);
     assert_eq!(looks(&testbed, 0), (0, 1));
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
 }
 
 /// When state cannot be written, exclusion commands are answered in time and report that they are not persisted; when
@@ -235,18 +247,18 @@
 fn a_disk_that_fails_holds_up_nobody() {
     let (mut testbed, _turn) = with_directories(2, |_| {});
     // Stands in for a full disk, which a test cannot create: the directory is missing, so that no file can be written.
-    let (there, away) = (folder(&testbed, 0), testbed.folder(0).join("away"));
+    let (there, away) = (state_folder(&testbed, 0), testbed.folder(0).join("away"));
     std::fs::rename(&there, &away).unwrap();
     let begun = Instant::now();
     assert_eq!(set_excluded(&testbed, 0, 1, true), "out, not kept");
-    assert!(begun.elapsed() < OWED, "{:?}", begun.elapsed());
-    each(&testbed, [0], FAILING, 1);
-    answered(&testbed, 20);
+    assert!(begun.elapsed() < COMMAND_TIMEOUT, "{:?}", begun.elapsed());
+    wait_for_each(&testbed, [0], FAILING, 1);
+    wait_for_answers(&testbed, 20);
     std::fs::rename(&away, &there).unwrap();
-    each(&testbed, [0], FAILING, 0);
+    wait_for_each(&testbed, [0], FAILING, 0);
     testbed.kill(0);
     restart(&mut testbed, 0);
-    each(&testbed, [0], OUT, 1);
+    wait_for_each(&testbed, [0], EXCLUDED_SERVERS, 1);
 }
 
 /// The saved incarnation lies in the future because the clock was fast when it was saved: the proxy starts with a later
@@ -255,25 +267,25 @@
 fn a_start_is_later_than_the_last() {
     let (mut testbed, _turn) =
         with_directories(3, |setup| setup.members = Some(Members::default()));
-    each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
+    wait_for_each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
     testbed.kill(0);
     let far = 4_000_000_000_000;
     std::fs::write(
-        file(&testbed, 0),
-        kept("n0", persistent_state::Event::Incarnation(far)),
+        state_file(&testbed, 0),
+        saved_state("n0", persistent_state::Event::Incarnation(far)),
     )
     .unwrap();
     restart(&mut testbed, 0);
-    each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
-    assert_eq!(figure(&testbed, 0, "lb_start_ms"), far + 1);
+    wait_for_each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
+    assert_eq!(metric(&testbed, 0, "lb_start_ms"), far + 1);
     // Also after a kill, without relying on the other members.
     testbed.kill(0);
     restart(&mut testbed, 0);
-    each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
+    wait_for_each(&testbed, 0..3, "lb_members_state{state=\"whole\"}", 1);
     assert_eq!(
         (
-            figure(&testbed, 0, "lb_start_ms"),
-            figure(&testbed, 0, "lb_members_renewals_total")
+            metric(&testbed, 0, "lb_start_ms"),
+            metric(&testbed, 0, "lb_members_renewals_total")
         ),
         (far + 2, 0)
     );
@@ -296,12 +308,12 @@
             .unwrap_or_else(|fault| panic!("{fault}")),
         Some(0)
     );
-    each(&testbed, [0], OUT, 1);
-    each(&testbed, [0], FAILING, 0);
+    wait_for_each(&testbed, [0], EXCLUDED_SERVERS, 1);
+    wait_for_each(&testbed, [0], FAILING, 0);
     assert_eq!(set_excluded(&testbed, 0, 1, true), "out");
     testbed.kill(0);
     restart(&mut testbed, 0);
-    each(&testbed, [0], OUT, 2);
+    wait_for_each(&testbed, [0], EXCLUDED_SERVERS, 2);
 }
 
 /// All proxies are killed right after an exclusion and restart in another order, while a server has crashed: no invariant is
@@ -313,7 +325,7 @@
         setup.clients.length = 6 * SECOND;
     });
     assert_eq!(set_excluded(&testbed, 1, 3, true), "out");
-    assert!(size(&file(&testbed, 1)) > 0);
+    assert!(size(&state_file(&testbed, 1)) > 0);
     (0..3).for_each(|proxy| testbed.kill(proxy));
     testbed
         .history
@@ -321,9 +333,9 @@
     for proxy in [2, 0, 1] {
         restart(&mut testbed, proxy);
     }
-    answered(&testbed, 20);
-    each(&testbed, [1], OUT, 1);
-    sound(testbed);
+    wait_for_answers(&testbed, 20);
+    wait_for_each(&testbed, [1], EXCLUDED_SERVERS, 1);
+    assert_sound(testbed);
 }
 
 /// Measures the latency of an exclusion command, with a state file and without.
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -6,33 +6,33 @@
 use testbed::soak::play;
 
 /// Extra time for timed actions of the proxies, for delays by other tests on the machine.
-const BESIDE_TESTS: Duration = Duration::from_millis(1_700);
+const PARALLEL_TESTS_ALLOWANCE: Duration = Duration::from_millis(1_700);
 
-fn sound(seed: u64) {
+fn assert_sound(seed: u64) {
     let _turn = turn();
-    let report = play(seed, BESIDE_TESTS);
+    let report = play(seed, PARALLEL_TESTS_ALLOWANCE);
     assert!(report.breaches.is_empty(), "{}", report.failure());
     println!("{}", report.line());
 }
 
 #[test]
 fn soak_run_of_seed_1() {
-    sound(1);
+    assert_sound(1);
 }
 
 #[test]
 fn soak_run_of_seed_2() {
-    sound(2);
+    assert_sound(2);
 }
 
 #[test]
 fn soak_run_of_seed_3() {
-    sound(3);
+    assert_sound(3);
 }
 
 #[test]
 fn soak_run_of_seed_4() {
-    sound(4);
+    assert_sound(4);
 }
 
 /// Runs the seeds in `SOAK_SEEDS`: prints one line per seed, failures in full, and a summary.
--- a/crates/testbed/tests/versions.rs
+++ b/crates/testbed/tests/versions.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::loans::{Fleet, LOANS};
-use common::{answered, setup, sound, SECOND};
+use common::{assert_sound, setup, wait_for_answers, SECOND};
 use testbed::datagrams::DatagramFaults;
 use testbed::discovery::name;
 use testbed::members::Members;
@@ -29,14 +29,18 @@
         .unwrap_or_else(|e| panic!("{VARIABLE}, {}: {e}", path.display()))
 }
 
-fn this() -> PathBuf {
+fn current() -> PathBuf {
     let path = process::built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
     path.canonicalize().unwrap()
 }
 
 /// Starts a fleet whose proxies alternate between both builds; `first`: program of the first proxy. Returns when all members receive each other.
 fn fleet(proxies: usize, first: PathBuf, adjust: impl FnOnce(&mut Setup)) -> Testbed {
-    let second = if first == this() { earlier() } else { this() };
+    let second = if first == current() {
+        earlier()
+    } else {
+        current()
+    };
     let mut setup = setup(proxies, 60.0, 4 * SECOND);
     setup.admin = true;
     setup.programs = vec![first.clone(), second.clone()];
@@ -45,21 +49,29 @@
     setup.slack = Duration::from_secs(10);
     adjust(&mut setup);
     let testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&testbed, 0..proxies, WHOLE, 1);
+    wait_for_each(&testbed, 0..proxies, WHOLE, 1);
     for proxy in 0..proxies {
-        assert_eq!(runs(&testbed, proxy), [&first, &second][proxy % 2].clone());
+        assert_eq!(
+            running_program(&testbed, proxy),
+            [&first, &second][proxy % 2].clone()
+        );
     }
     testbed.history.begin();
     testbed
 }
 
 /// Path of the program that the proxy's process runs.
-fn runs(testbed: &Testbed, proxy: usize) -> PathBuf {
+fn running_program(testbed: &Testbed, proxy: usize) -> PathBuf {
     let number = testbed.proxies[proxy].process.as_ref().unwrap().number();
     std::fs::read_link(format!("/proc/{number}/exe")).unwrap()
 }
 
-fn each(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, name: &str, value: u64) {
+fn wait_for_each(
+    testbed: &Testbed,
+    proxies: impl IntoIterator<Item = usize>,
+    name: &str,
+    value: u64,
+) {
     for proxy in proxies {
         testbed
             .metric_until(proxy, name, |n| n == value)
@@ -67,7 +79,7 @@
     }
 }
 
-fn figure(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
+fn metric(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
     let figures = testbed
         .metrics(proxy)
         .unwrap_or_else(|fault| panic!("{fault}"));
@@ -86,7 +98,7 @@
 }
 
 /// Number of messages and facts that any of these proxies could not read.
-fn not_understood(testbed: &Testbed, proxies: usize) -> u64 {
+fn unreadable_messages(testbed: &Testbed, proxies: usize) -> u64 {
     let of = |proxy| {
         let figures = testbed
             .metrics(proxy)
@@ -110,16 +122,16 @@
 }
 
 /// Restarts a killed proxy with the other build.
-fn return_as(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
+fn restart_as(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
     testbed.set_program(proxy, program.clone());
     testbed
         .restart(proxy)
         .unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(runs(testbed, proxy), program);
+    assert_eq!(running_program(testbed, proxy), program);
 }
 
 /// Hot-restarts the proxy with the other build.
-fn succeed_by(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
+fn replace_by(testbed: &mut Testbed, proxy: usize, program: PathBuf) {
     testbed.set_program(proxy, program.clone());
     let mut new_process = testbed
         .start_new_process(proxy)
@@ -131,7 +143,7 @@
         .replace_process(proxy, new_process)
         .unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(code, Some(0), "the old process must exit with code 0");
-    assert_eq!(runs(testbed, proxy), program);
+    assert_eq!(running_program(testbed, proxy), program);
 }
 
 /// Both builds exchange messages, both sides of a partition detect it, and a killed proxy returns with the other build.
@@ -140,29 +152,29 @@
 fn members_of_both_builds_know_each_other() {
     let mut testbed = fleet(5, earlier(), |_| {});
     testbed.partition(&[&[0, 1], &[2, 3, 4]]);
-    each(&testbed, 0..2, "lb_members_state{state=\"minority\"}", 1);
-    each(&testbed, 2..5, "lb_members_state{state=\"degraded\"}", 1);
+    wait_for_each(&testbed, 0..2, "lb_members_state{state=\"minority\"}", 1);
+    wait_for_each(&testbed, 2..5, "lb_members_state{state=\"degraded\"}", 1);
     testbed.heal_datagrams();
-    each(&testbed, 0..5, WHOLE, 1);
-    for (proxy, program) in [(0, this()), (1, earlier()), (1, this())] {
+    wait_for_each(&testbed, 0..5, WHOLE, 1);
+    for (proxy, program) in [(0, current()), (1, earlier()), (1, current())] {
         testbed.kill(proxy);
-        each(
+        wait_for_each(
             &testbed,
             (0..5).filter(|other| *other != proxy),
             &status(proxy, "down"),
             1,
         );
-        return_as(&mut testbed, proxy, program);
-        each(&testbed, 0..5, WHOLE, 1);
-        each(
+        restart_as(&mut testbed, proxy, program);
+        wait_for_each(&testbed, 0..5, WHOLE, 1);
+        wait_for_each(
             &testbed,
             (0..5).filter(|other| *other != proxy),
             &format!("lb_member_serving{{member=\"n{proxy}\"}}"),
             1,
         );
     }
-    assert_eq!(not_understood(&testbed, 5), 0);
-    sound(testbed);
+    assert_eq!(unreadable_messages(&testbed, 5), 0);
+    assert_sound(testbed);
 }
 
 /// On a network that corrupts, duplicates and loses datagrams, neither build declares the other down.
@@ -185,34 +197,34 @@
                 .unwrap_or_else(|fault| panic!("{fault}"));
         }
     }
-    let deaths = |proxy| figure(&testbed, proxy, "lb_members_changes_total{status=\"down\"}");
+    let deaths = |proxy| metric(&testbed, proxy, "lb_members_changes_total{status=\"down\"}");
     assert_eq!((0..4).map(deaths).sum::<u64>(), 0);
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 /// One proxy is upgraded and downgraded while clients are served. The excluded record server is known only from the inherited state.
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn an_upgrade_and_the_way_back_lose_nothing() {
-    for (first, other) in [(earlier(), this()), (this(), earlier())] {
+    for (first, other) in [(earlier(), current()), (current(), earlier())] {
         let mut testbed = fleet(3, first.clone(), |setup| setup.clients.length = 8 * SECOND);
-        answered(&testbed, 20);
+        wait_for_answers(&testbed, 20);
         testbed
             .set_excluded(0, &name(0), true)
             .unwrap_or_else(|fault| panic!("{fault}"));
         for program in [other, first] {
-            succeed_by(&mut testbed, 0, program);
-            each(&testbed, [0], "lb_record_servers_excluded", 1);
-            each(&testbed, 0..3, WHOLE, 1);
-            answered(&testbed, 20);
+            replace_by(&mut testbed, 0, program);
+            wait_for_each(&testbed, [0], "lb_record_servers_excluded", 1);
+            wait_for_each(&testbed, 0..3, WHOLE, 1);
+            wait_for_answers(&testbed, 20);
         }
         assert_eq!(
-            figure(&testbed, 1, "lb_members_changes_total{status=\"left\"}"),
+            metric(&testbed, 1, "lb_members_changes_total{status=\"left\"}"),
             0,
             "no member may be declared down"
         );
-        assert_eq!(not_understood(&testbed, 3), 0);
-        sound(testbed);
+        assert_eq!(unreadable_messages(&testbed, 3), 0);
+        assert_sound(testbed);
     }
 }
 
@@ -233,14 +245,14 @@
         std::fs::create_dir_all(folder.join("state")).unwrap();
         std::fs::write(folder.join("new.conf"), CANDIDATE).unwrap();
     }
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     testbed
 }
 
 /// Runs a `rollout` command with the program that the proxy runs.
-fn say(testbed: &Testbed, proxy: usize, words: &[&str]) -> String {
+fn rollout_command(testbed: &Testbed, proxy: usize, words: &[&str]) -> String {
     let socket = testbed.folder(proxy).join("control");
-    let out = Command::new(runs(testbed, proxy))
+    let out = Command::new(running_program(testbed, proxy))
         .arg("rollout")
         .args(words)
         .arg("--socket")
@@ -252,60 +264,60 @@
 
 fn propose(testbed: &Testbed, proxy: usize) {
     let file = testbed.folder(proxy).join("candidates/new.conf");
-    let answer = say(testbed, proxy, &["propose", &file.display().to_string()]);
+    let answer = rollout_command(testbed, proxy, &["propose", &file.display().to_string()]);
     assert!(answer.starts_with("rollout proposed"), "{answer}");
 }
 
 /// A rollout is proposed by a proxy of one build, runs on it first and then on all proxies; a proxy of the other build rolls it back.
-fn goes_round(first: PathBuf) {
+fn promote_and_roll_back(first: PathBuf) {
     let testbed = rollout_fleet(first);
     propose(&testbed, 0);
-    each(&testbed, 0..1, NEW, 1);
-    each(&testbed, 0..4, &phase("whole"), 1);
-    each(&testbed, 0..4, NEW, 1);
-    say(&testbed, 3, &["return"]);
-    each(&testbed, 0..4, &phase("returned"), 1);
-    each(&testbed, 0..4, NEW, 0);
-    assert_eq!(not_understood(&testbed, 4), 0);
+    wait_for_each(&testbed, 0..1, NEW, 1);
+    wait_for_each(&testbed, 0..4, &phase("whole"), 1);
+    wait_for_each(&testbed, 0..4, NEW, 1);
+    rollout_command(&testbed, 3, &["return"]);
+    wait_for_each(&testbed, 0..4, &phase("returned"), 1);
+    wait_for_each(&testbed, 0..4, NEW, 0);
+    assert_eq!(unreadable_messages(&testbed, 4), 0);
 }
 
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_rollout_led_by_the_earlier_build_reaches_all() {
-    goes_round(earlier());
+    promote_and_roll_back(earlier());
 }
 
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_rollout_led_by_this_build_reaches_all() {
-    goes_round(this());
+    promote_and_roll_back(current());
 }
 
 /// A rollout led by one build is halted by the other: the canary rolls back, and a proxy that was down then never runs it.
-fn is_halted(first: PathBuf) {
+fn halt_by_other_build(first: PathBuf) {
     let mut testbed = rollout_fleet(first);
     propose(&testbed, 2);
-    each(&testbed, 0..1, NEW, 1);
+    wait_for_each(&testbed, 0..1, NEW, 1);
     testbed.kill(2);
-    say(&testbed, 3, &["halt"]);
-    each(&testbed, [0, 1, 3], &phase("halted"), 1);
-    each(&testbed, [0, 1, 3], NEW, 0);
+    rollout_command(&testbed, 3, &["halt"]);
+    wait_for_each(&testbed, [0, 1, 3], &phase("halted"), 1);
+    wait_for_each(&testbed, [0, 1, 3], NEW, 0);
     testbed.restart(2).unwrap_or_else(|fault| panic!("{fault}"));
-    each(&testbed, 0..4, &phase("halted"), 1);
-    assert_eq!(figure(&testbed, 2, "lb_reloads_ok_total"), 0);
-    assert_eq!(not_understood(&testbed, 4), 0);
+    wait_for_each(&testbed, 0..4, &phase("halted"), 1);
+    assert_eq!(metric(&testbed, 2, "lb_reloads_ok_total"), 0);
+    assert_eq!(unreadable_messages(&testbed, 4), 0);
 }
 
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_halt_by_this_build_is_heeded_by_the_earlier() {
-    is_halted(earlier());
+    halt_by_other_build(earlier());
 }
 
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn a_halt_by_the_earlier_build_is_heeded_by_this() {
-    is_halted(this());
+    halt_by_other_build(current());
 }
 
 /// All proxies are killed in mid-stage and restart with the other build: the rollout continues from the state files of the former build.
@@ -314,19 +326,23 @@
 fn a_rollout_goes_on_from_what_the_other_build_kept() {
     let mut testbed = rollout_fleet(earlier());
     propose(&testbed, 1);
-    each(&testbed, 0..4, "lb_rollout_region", 1);
+    wait_for_each(&testbed, 0..4, "lb_rollout_region", 1);
     (0..4).for_each(|proxy| testbed.kill(proxy));
     for proxy in 0..4 {
-        return_as(&mut testbed, proxy, [this(), earlier()][proxy % 2].clone());
+        restart_as(
+            &mut testbed,
+            proxy,
+            [current(), earlier()][proxy % 2].clone(),
+        );
     }
-    each(&testbed, 0..4, &phase("whole"), 1);
-    each(&testbed, 0..4, NEW, 1);
+    wait_for_each(&testbed, 0..4, &phase("whole"), 1);
+    wait_for_each(&testbed, 0..4, NEW, 1);
     assert_eq!(
-        figure(&testbed, 0, "lb_rollout_epoch"),
+        metric(&testbed, 0, "lb_rollout_epoch"),
         1,
         "the rollout must be the same"
     );
-    assert_eq!(not_understood(&testbed, 4), 0);
+    assert_eq!(unreadable_messages(&testbed, 4), 0);
 }
 
 /// Loans across both builds: each build lends, a killed proxy continues from its state file with the other build, and all
@@ -334,17 +350,17 @@
 #[test]
 #[ignore = "needs an earlier build: lab/versions.sh"]
 fn loans_are_made_across_both_builds() {
-    let mut fleet = Fleet::start(4, |setup| setup.programs = vec![earlier(), this()]);
+    let mut fleet = Fleet::start(4, |setup| setup.programs = vec![earlier(), current()]);
     fleet.surge(true);
-    fleet.lends(0..4, 5);
-    for (proxy, program) in [(0, this()), (1, earlier())] {
+    fleet.wait_for_loans(0..4, 5);
+    for (proxy, program) in [(0, current()), (1, earlier())] {
         fleet.kill(proxy);
         fleet.testbed.set_program(proxy, program.clone());
         fleet.restart(proxy);
-        assert_eq!(runs(&fleet.testbed, proxy), program);
+        assert_eq!(running_program(&fleet.testbed, proxy), program);
         fleet.until([proxy], "lb_loans_founded", |n| n == 1);
         fleet.until([proxy], LOANS, |n| n >= 5);
     }
     fleet.settle();
-    assert_eq!(not_understood(&fleet.testbed, 4), 0);
+    assert_eq!(unreadable_messages(&fleet.testbed, 4), 0);
 }
