--- a/crates/invariant-checkers/src/cold.rs
+++ b/crates/invariant-checkers/src/cold.rs
@@ -13,15 +13,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Under this N the allowance for chance is wider.
-const FEW: f64 = 30.0;
-/// Roots of N, and requests, that a server bears beyond N, and the same where N is under [`FEW`].
-const CHANCE: f64 = 2.0;
-const CHANCE_OF_FEW: f64 = 3.0;
+const FEW_REQUESTS: f64 = 30.0;
+/// Roots of N, and requests, that a server bears beyond N, and the same where N is under [`FEW_REQUESTS`].
+const ALLOWANCE: f64 = 2.0;
+const ALLOWANCE_OF_FEW: f64 = 3.0;
 
 /// Requests of mean work that a server falls beyond, where the settings allow it `allowed` of them.
-pub fn line(allowed: f64) -> f64 {
-    let chance = if allowed < FEW { CHANCE_OF_FEW } else { CHANCE };
-    allowed + chance * allowed.sqrt() + chance
+pub fn overload_threshold(allowed: f64) -> f64 {
+    let allowance = if allowed < FEW_REQUESTS {
+        ALLOWANCE_OF_FEW
+    } else {
+        ALLOWANCE
+    };
+    allowed + allowance * allowed.sqrt() + allowance
 }
 
 /// What the settings allow.
@@ -71,22 +75,22 @@
 impl Peak {
     /// Of what the server bears; above 1 it falls.
     pub fn ratio(&self) -> f64 {
-        self.got / line(self.allowed)
+        self.got / overload_threshold(self.allowed)
     }
 
     /// Whether over two thirds came from proxies that had been told of the start.
-    pub fn mostly_told(&self) -> bool {
+    pub fn mostly_notified(&self) -> bool {
         3.0 * self.told > 2.0 * self.got
     }
 
     /// Of N alone.
-    pub fn of_allowed(&self) -> f64 {
+    pub fn ratio_to_allowed(&self) -> f64 {
         self.got / self.allowed
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Came {
+struct Arrival {
     at: Micros,
     work: Micros,
     proxy: usize,
@@ -96,14 +100,14 @@
 
 #[derive(Clone, Debug, Default)]
 struct Start {
-    recent: VecDeque<Came>,
+    recent: VecDeque<Arrival>,
     /// Of those.
     work: Micros,
     told: Micros,
     requests: u64,
     peak: Peak,
     /// The fullest that was mostly told.
-    told_peak: Option<Peak>,
+    notified_peak: Option<Peak>,
 }
 
 /// Adds up what each starting server gets, over all proxies.
@@ -132,7 +136,7 @@
     }
 
     /// A proxy has been notified that a server started; 0: long ago, which does not count.
-    pub fn told(&mut self, proxy: usize, server: ServerIndex, started: Micros) {
+    pub fn notified(&mut self, proxy: usize, server: ServerIndex, started: Micros) {
         if started > 0 {
             let latest = self.told.entry((proxy, server)).or_default();
             *latest = started.max(*latest);
@@ -140,7 +144,7 @@
     }
 
     /// A request has reached a server that runs since `started`; 0: since long ago.
-    pub fn got(
+    pub fn record_request(
         &mut self,
         now: Micros,
         proxy: usize,
@@ -152,7 +156,7 @@
     }
 
     /// The same of a probe or a new connection: its work counts, and it is no request.
-    pub fn got_chore(
+    pub fn record_background_work(
         &mut self,
         now: Micros,
         proxy: usize,
@@ -181,7 +185,7 @@
             .get(&(proxy, server))
             .is_some_and(|at| *at >= started);
         let start = self.starts.entry((server, started)).or_default();
-        start.recent.push_back(Came {
+        start.recent.push_back(Arrival {
             at: now,
             work,
             proxy,
@@ -211,9 +215,9 @@
             requests: start.requests,
             proxies: 0,
         };
-        let former = start.told_peak.map_or(0.0, |former| former.ratio());
-        if peak.mostly_told() && peak.ratio() > former {
-            start.told_peak = Some(Peak {
+        let former = start.notified_peak.map_or(0.0, |former| former.ratio());
+        if peak.mostly_notified() && peak.ratio() > former {
+            start.notified_peak = Some(Peak {
                 proxies: proxies_of(&start.recent),
                 ..peak
             });
@@ -234,15 +238,15 @@
     }
     /// One for each start that had a time in which it got something and over two thirds came from proxies that had been
     /// told, by server and start.
-    pub fn told_peaks(&self) -> Vec<Peak> {
+    pub fn notified_peaks(&self) -> Vec<Peak> {
         self.starts
             .values()
-            .filter_map(|start| start.told_peak)
+            .filter_map(|start| start.notified_peak)
             .collect()
     }
 }
 
-fn proxies_of(recent: &VecDeque<Came>) -> u64 {
+fn proxies_of(recent: &VecDeque<Arrival>) -> u64 {
     recent
         .iter()
         .map(|came| came.proxy)
--- a/crates/invariant-checkers/tests/cold.rs
+++ b/crates/invariant-checkers/tests/cold.rs
@@ -1,6 +1,6 @@
 //! The margin of cold servers, by plain counts and by planted breaches.
 
-use invariant_checkers::cold::{line, Bounds, Checker, Peak};
+use invariant_checkers::cold::{overload_threshold, Bounds, Checker, Peak};
 use proptest::prelude::*;
 
 /// In a second, 16 requests of mean work at the start, then more, up to 64 when the server is warm after 10 s.
@@ -16,7 +16,7 @@
 
 fn burst(number: usize, proxies: usize) -> Checker {
     let mut checker = Checker::new(BOUNDS, MEAN as f64);
-    (0..number).for_each(|n| checker.got(START, n % proxies, 7, START, MEAN));
+    (0..number).for_each(|n| checker.record_request(START, n % proxies, 7, START, MEAN));
     checker
 }
 
@@ -29,7 +29,7 @@
             panic!("one start")
         };
         assert_eq!(peak.ratio(), number as f64 / 31.0);
-        assert_eq!(peak.of_allowed(), number as f64 / 16.0);
+        assert_eq!(peak.ratio_to_allowed(), number as f64 / 16.0);
         assert_eq!(
             (checker.breaches, peak.proxies),
             (breaches, number.min(60) as u64)
@@ -39,30 +39,30 @@
 
 #[test]
 fn the_line_is_two_roots_of_n_beyond_it_and_three_where_n_is_under_thirty() {
-    assert_eq!(line(16.0), 16.0 + 3.0 * 4.0 + 3.0);
-    assert_eq!(line(25.0), 25.0 + 3.0 * 5.0 + 3.0);
-    assert_eq!(line(30.0), 30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
-    assert_eq!(line(100.0), 100.0 + 2.0 * 10.0 + 2.0);
+    assert_eq!(overload_threshold(16.0), 16.0 + 3.0 * 4.0 + 3.0);
+    assert_eq!(overload_threshold(25.0), 25.0 + 3.0 * 5.0 + 3.0);
+    assert_eq!(overload_threshold(30.0), 30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
+    assert_eq!(overload_threshold(100.0), 100.0 + 2.0 * 10.0 + 2.0);
 }
 
 #[test]
 fn the_fullest_mostly_told_time_is_kept_beside_a_fuller_one_that_was_not() {
     let mut checker = Checker::new(BOUNDS, MEAN as f64);
-    checker.told(0, 7, START);
+    checker.notified(0, 7, START);
     // Thirty from one that was not told; two seconds later seven told and three not, then a fourth that was not: two
     // thirds exactly are not over two thirds.
-    (0..30).for_each(|_| checker.got(START, 1, 7, START, MEAN));
+    (0..30).for_each(|_| checker.record_request(START, 1, 7, START, MEAN));
     let later = START + 2 * BOUNDS.window;
-    (0..8).for_each(|_| checker.got(later, 0, 7, START, MEAN));
-    (0..4).for_each(|_| checker.got(later, 1, 7, START, MEAN));
+    (0..8).for_each(|_| checker.record_request(later, 0, 7, START, MEAN));
+    (0..4).for_each(|_| checker.record_request(later, 1, 7, START, MEAN));
     let [fullest] = checker.peaks()[..] else {
         panic!("one start")
     };
     assert_eq!(
-        (fullest.got, fullest.told, fullest.mostly_told()),
+        (fullest.got, fullest.told, fullest.mostly_notified()),
         (30.0, 0.0, false)
     );
-    let [told] = checker.told_peaks()[..] else {
+    let [told] = checker.notified_peaks()[..] else {
         panic!("one start")
     };
     assert_eq!((told.got, told.told, told.proxies), (11.0, 8.0, 2));
@@ -71,7 +71,7 @@
 #[test]
 fn the_work_of_probes_and_new_connections_counts_but_they_are_no_requests() {
     let mut checker = burst(20, 1);
-    (0..4).for_each(|_| checker.got_chore(START, 0, 7, START, MEAN / 2));
+    (0..4).for_each(|_| checker.record_background_work(START, 0, 7, START, MEAN / 2));
     let [peak] = checker.peaks()[..] else {
         panic!("one start")
     };
@@ -82,9 +82,9 @@
 fn only_cold_starts_count_and_each_by_itself() {
     let mut checker = burst(20, 1);
     // It runs since long ago; it is warm; it starts again.
-    checker.got(START, 0, 8, 0, 90 * MEAN);
-    checker.got(START + 10_000_000, 0, 7, START, 900 * MEAN);
-    checker.got(START + 11_000_000, 0, 7, START + 11_000_000, MEAN);
+    checker.record_request(START, 0, 8, 0, 90 * MEAN);
+    checker.record_request(START + 10_000_000, 0, 7, START, 900 * MEAN);
+    checker.record_request(START + 11_000_000, 0, 7, START + 11_000_000, MEAN);
     let got: Vec<f64> = checker.peaks().iter().map(|peak| peak.got).collect();
     assert_eq!(got, [20.0, 1.0]);
 }
@@ -92,10 +92,10 @@
 #[test]
 fn who_had_been_told_is_known_by_start() {
     let mut checker = Checker::new(BOUNDS, MEAN as f64);
-    checker.told(0, 7, START);
-    checker.told(1, 7, START - 1);
-    checker.told(2, 7, 0);
-    (0..3).for_each(|proxy| checker.got(START + 1, proxy, 7, START, MEAN));
+    checker.notified(0, 7, START);
+    checker.notified(1, 7, START - 1);
+    checker.notified(2, 7, 0);
+    (0..3).for_each(|proxy| checker.record_request(START + 1, proxy, 7, START, MEAN));
     let [peak] = checker.peaks()[..] else {
         panic!("one start")
     };
@@ -109,7 +109,7 @@
         let mut checker = Checker::new(BOUNDS, MEAN as f64);
         let mut now = START;
         let came: Vec<(u64, u64)> = came.into_iter().map(|(gap, work)| { now += gap; (now, work) }).collect();
-        came.iter().for_each(|(at, work)| checker.got(*at, 0, 7, START, *work));
+        came.iter().for_each(|(at, work)| checker.record_request(*at, 0, 7, START, *work));
         let ratio = |end: u64| {
             let inside = came.iter().filter(|(at, _)| *at <= end && at + BOUNDS.window > end);
             let got = inside.map(|(_, work)| work).sum::<u64>() as f64 / MEAN as f64;
--- a/crates/proxy-experiments/src/cli/show.rs
+++ b/crates/proxy-experiments/src/cli/show.rs
@@ -306,7 +306,7 @@
             seconds(peak.at),
             format!("{:.1}", peak.got),
             format!("{:.1}", peak.allowed),
-            format!("{:.2}", peak.of_allowed()),
+            format!("{:.2}", peak.ratio_to_allowed()),
             format!("{:.2}", peak.ratio()),
             peak.requests.to_string(),
             peak.proxies.to_string(),
--- a/crates/proxy-experiments/src/play/attempts.rs
+++ b/crates/proxy-experiments/src/play/attempts.rs
@@ -147,7 +147,8 @@
     pub(super) fn background_work(&mut self, proxy: usize, server: ServerIndex, work: Micros) {
         if self.site.runs(server) {
             let started = self.site.started(server);
-            self.cold.got_chore(self.now, proxy, server, started, work);
+            self.cold
+                .record_background_work(self.now, proxy, server, started, work);
         }
     }
 
@@ -157,7 +158,7 @@
             if self.site.runs(server) {
                 let started = self.site.started(server);
                 self.cold
-                    .got(self.now, attempt.proxy, server, started, operation.work);
+                    .record_request(self.now, attempt.proxy, server, started, operation.work);
             }
             self.site(site::Event::Request {
                 exchange: number << 1,
--- a/crates/proxy-experiments/src/play/discovery.rs
+++ b/crates/proxy-experiments/src/play/discovery.rs
@@ -48,7 +48,7 @@
                 host.learn(&records, complete);
                 records
                     .iter()
-                    .for_each(|r| self.cold.told(proxy, r.server, r.started));
+                    .for_each(|r| self.cold.notified(proxy, r.server, r.started));
                 let entries: Vec<_> = records.iter().map(|r| endpoint(r, time)).collect();
                 for entry in &entries {
                     let leaving = entry.state != EndpointState::Ready;
@@ -80,7 +80,7 @@
         self.join(proxy);
         records
             .iter()
-            .for_each(|r| self.cold.told(proxy, r.server, r.started));
+            .for_each(|r| self.cold.notified(proxy, r.server, r.started));
         let entries = records
             .iter()
             .filter(|r| r.status != Status::Gone)
--- a/crates/proxy-experiments/src/play/mod.rs
+++ b/crates/proxy-experiments/src/play/mod.rs
@@ -270,7 +270,7 @@
         self.tally.counts().loans = self.loans();
         self.checker.close();
         self.tally.counts().cold = self.cold.peaks();
-        self.tally.counts().cold_told = self.cold.told_peaks();
+        self.tally.counts().cold_told = self.cold.notified_peaks();
         if !self.scenario.site.server.falls {
             (0..self.cold.breaches).for_each(|_| self.checker.report_violation(Rule::Collapsed));
         }
--- a/crates/proxy-experiments/src/summary.rs
+++ b/crates/proxy-experiments/src/summary.rs
@@ -36,7 +36,7 @@
         };
         let max_of_allowed = peaks
             .iter()
-            .map(|peak| peak.of_allowed())
+            .map(|peak| peak.ratio_to_allowed())
             .fold(0.0, f64::max);
         Cold {
             starts: ratios.len(),
