--- a/crates/testbed/src/accounts.rs
+++ b/crates/testbed/src/accounts.rs
@@ -1,4 +1,4 @@
-//! Loan accounts and rollout states from metrics of proxies, fed to the checkers of several proxies together.
+//! Reads loan accounts and rollout states from the proxies' metrics and passes them to the fleet-wide checkers.
 
 use crate::process::Fault;
 use crate::Testbed;
@@ -11,7 +11,7 @@
 
 const LENT: &str = "lb_loan_lent_milli{stand=\"";
 const START: &str = "lb_start_ms";
-/// A lending account starts anew with its incarnation: others may have taken over the former one.
+/// Incarnation of a proxy's loan account: a new one starts an empty account, since others may have taken over the former lane.
 const ACCOUNT_INCARNATION: &str = "lb_loans_lane_ms";
 
 /// Loan accounts by tenant.
@@ -25,7 +25,7 @@
             metrics
                 .get(&name)
                 .copied()
-                .ok_or_else(|| format!("it tells of loans, but not {name}"))
+                .ok_or_else(|| format!("loan metrics without {name}"))
         };
         let (lent, repaid, written_off) =
             (metric("lent")?, metric("repaid")?, metric("written_off")?);
@@ -45,7 +45,7 @@
     tenants.map(account).collect()
 }
 
-/// What of a rollout the figures tell: versions by their epochs, of halts that of the proposal that it goes by.
+/// Rollout state from the metrics: versions are identified by their epochs, and only a halt of the followed proposal is visible.
 fn version(metrics: &Metrics, start: u64) -> Option<Observation> {
     let metric = |name: &str| metrics.get(name).copied();
     let phase = |name| metric(&format!("lb_rollout_phase{{phase=\"{name}\"}}")) == Some(1);
@@ -68,7 +68,7 @@
 }
 
 impl Testbed {
-    /// A round of observations at the loans of these proxies; each has to be alive.
+    /// Runs one checker round over the loan accounts of these proxies, which must be running.
     pub fn check_loans(
         &self,
         proxies: impl IntoIterator<Item = usize>,
@@ -76,12 +76,12 @@
     ) -> Result<(), Fault> {
         for proxy in proxies {
             let metrics = self.metrics(proxy)?;
-            let fault = |problem| Fault::new(format!("figures of proxy {proxy}: {problem}"));
+            let fault = |problem| Fault::new(format!("metrics of proxy {proxy}: {problem}"));
             let accounts = accounts(&metrics).map_err(fault)?;
             let start = metrics
                 .get(START)
                 .copied()
-                .ok_or_else(|| fault(format!("{START} is not told")))?;
+                .ok_or_else(|| fault(format!("metric {START} is missing")))?;
             let incarnation = metrics
                 .get(ACCOUNT_INCARNATION)
                 .copied()
@@ -99,9 +99,9 @@
         Ok(())
     }
 
-    /// A round of observations at the versions that these proxies are to run; each has to be alive. `now`: since any instant
-    /// before the first round. Versions are told apart by their epochs: the file that runs, and halts of other proposals
-    /// than the one that a proxy goes by, are in no metric.
+    /// Runs one checker round over the versions of these proxies, which must be running. `now`: time since a fixed instant
+    /// before the first round. Versions are identified by their epochs: no metric has the hash of the running file or
+    /// halts of proposals other than the one that a proxy follows.
     pub fn check_versions(
         &self,
         proxies: impl IntoIterator<Item = usize>,
@@ -116,7 +116,7 @@
                 .map_or(0, |process| process.number().into());
             let look = version(&metrics, process).ok_or_else(|| {
                 Fault::new(format!(
-                    "figures of proxy {proxy}: no rollout is told, set the section rollout"
+                    "metrics of proxy {proxy}: no rollout metrics; the operators' file needs a rollout section"
                 ))
             })?;
             checker.observe(now, &name(proxy), look);
@@ -126,7 +126,7 @@
     }
 }
 
-/// As its configuration calls it.
+/// Member name of a proxy, as in its configuration.
 fn name(proxy: usize) -> String {
     format!("n{proxy}")
 }
--- a/crates/testbed/src/admin.rs
+++ b/crates/testbed/src/admin.rs
@@ -1,19 +1,19 @@
-//! Calls to a proxy's second address: its metrics, and servers that an operator takes out.
+//! Calls to a proxy's admin address: reads its metrics, and excludes and includes record servers.
 
 use crate::process::{self, Fault};
 use crate::Testbed;
 use std::io::{Read, Write};
 
 impl Testbed {
-    /// What a proxy's second address tells of itself.
+    /// Fetches a proxy's metrics: name with labels, and value.
     pub fn metrics(&self, proxy: usize) -> Result<rustc_hash::FxHashMap<String, u64>, Fault> {
-        let fault = |e: std::io::Error| Fault::new(format!("figures of proxy {proxy}: {e}"));
+        let fault = |e: std::io::Error| Fault::new(format!("metrics of proxy {proxy}: {e}"));
         let admin = self.proxies[proxy]
             .admin
-            .ok_or_else(|| Fault::new("it has no second address"))?;
+            .ok_or_else(|| Fault::new("the proxy has no admin address; set Setup::admin"))?;
         let mut text = String::new();
         let mut stream = std::net::TcpStream::connect(admin).map_err(fault)?;
-        // A proxy that stands still takes the call and never answers.
+        // A stopped proxy accepts the connection but never answers.
         stream
             .set_read_timeout(Some(process::EVENT_TIMEOUT))
             .map_err(fault)?;
@@ -28,13 +28,13 @@
             .collect())
     }
 
-    /// What an operator says of a record server at the second address: it is taken out, or called back. Gives the answer's
-    /// words; a no is a fault.
+    /// Excludes (`out`) or includes a record server through the admin address. Returns the body of the answer; an answer
+    /// other than 200 is a fault.
     pub fn set_excluded(&self, proxy: usize, server: &str, out: bool) -> Result<String, Fault> {
-        let fault = |e: std::io::Error| Fault::new(format!("a call to proxy {proxy}: {e}"));
+        let fault = |e: std::io::Error| Fault::new(format!("admin call to proxy {proxy}: {e}"));
         let admin = self.proxies[proxy]
             .admin
-            .ok_or_else(|| Fault::new("it has no second address"))?;
+            .ok_or_else(|| Fault::new("the proxy has no admin address; set Setup::admin"))?;
         let word = if out { "exclude" } else { "include" };
         let body = format!("{{\"target\":\"{server}\"}}");
         let head = format!(
@@ -51,7 +51,7 @@
         match answer.split_once("\r\n\r\n") {
             Some((head, text)) if head.starts_with("HTTP/1.1 200") => Ok(text.trim().to_owned()),
             _ => Err(Fault::new(format!(
-                "proxy {proxy} says to {word} {server}: {answer}"
+                "proxy {proxy} refused to {word} {server}: {answer}"
             ))),
         }
     }
--- a/crates/testbed/src/bin/testbed-launch.rs
+++ b/crates/testbed/src/bin/testbed-launch.rs
@@ -1,5 +1,5 @@
-//! Starts a program as the testbed wants it: `testbed-launch RIG FILES PROGRAM [WORD...]`. It dies with the testbed, whose process
-//! number is RIG, and may hold FILES descriptors (0: as many as the testbed).
+//! Starts a program for the testbed: `testbed-launch TESTBED_PID FILES PROGRAM [ARGUMENT...]`. The program is killed when the
+//! testbed's process TESTBED_PID ends, and may open FILES descriptors (0: the testbed's own limit).
 
 use rustix::process::{
     getppid, set_parent_process_death_signal, setrlimit, Pid, Resource, Rlimit, Signal,
@@ -10,18 +10,18 @@
 fn main() -> ExitCode {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let [testbed, files, program, rest @ ..] = words.as_slice() else {
-        eprintln!("testbed-launch: RIG FILES PROGRAM [WORD...]");
+        eprintln!("testbed-launch: usage: testbed-launch TESTBED_PID FILES PROGRAM [ARGUMENT...]");
         return ExitCode::from(2);
     };
     let (Ok(testbed), Ok(files)) = (testbed.parse::<i32>(), files.parse::<u64>()) else {
-        eprintln!("testbed-launch: RIG and FILES are numbers");
+        eprintln!("testbed-launch: TESTBED_PID and FILES must be numbers");
         return ExitCode::from(2);
     };
     if let Err(e) = set_parent_process_death_signal(Some(Signal::KILL)) {
-        eprintln!("testbed-launch: can't be told of the testbed's death: {e}");
+        eprintln!("testbed-launch: cannot request a signal for the testbed's end: {e}");
         return ExitCode::FAILURE;
     }
-    // It may have died before it could be heard of.
+    // The testbed may have ended before the signal was requested.
     if getppid() != Pid::from_raw(testbed) {
         return ExitCode::FAILURE;
     }
@@ -33,7 +33,7 @@
                 maximum: Some(files),
             },
         ) {
-            eprintln!("testbed-launch: {files} descriptors can't be set: {e}");
+            eprintln!("testbed-launch: cannot set the limit of {files} descriptors: {e}");
             return ExitCode::FAILURE;
         }
     }
--- a/crates/testbed/src/configure.rs
+++ b/crates/testbed/src/configure.rs
@@ -1,13 +1,13 @@
-//! The files and the command line that a proxy is started with.
+//! Configuration files, environment and command line of a proxy.
 
 use crate::process::{Fault, Plan};
 use crate::{discovery, members, settings, Setup, Testbed};
 use std::path::PathBuf;
 
-/// In the operators' file: the proxy's own folder.
+/// Placeholder in the operators' file for the proxy's own folder.
 pub const FOLDER: &str = "{folder}";
 
-/// A machine that is busy with tests makes loops late, and a proxy says so to its balancers: no trial is about that.
+/// Raises the event-loop lag at which a proxy reports reduced availability to balancers: on a machine busy with tests loops are late.
 const LATE_LOOP: &str = "availability {\n lag 1s\n}\n";
 
 impl Testbed {
@@ -15,7 +15,7 @@
         (proxy % self.setup.site.places.max(1)) as u16
     }
 
-    /// The proxy's next process, or its new process, is of this build.
+    /// Sets the program that the proxy's next process runs.
     pub fn set_program(&mut self, proxy: usize, program: PathBuf) {
         let number = self.setup.clients.proxies;
         let mut each: Vec<_> = self
@@ -32,7 +32,7 @@
         self.setup.programs = each;
     }
 
-    /// The files of a proxy, as they are for its next start.
+    /// Writes the files of a proxy for its next start or reload.
     pub(crate) fn configure(&self, proxy: usize) -> Result<(), Fault> {
         let at = &self.proxies[proxy];
         let (index, records) = {
@@ -64,7 +64,7 @@
             "settings": settings::settings(site, clients, platform, proxy, self.place(proxy)),
         });
         let folder = at.folder.path();
-        // A proxy may be reading the former file.
+        // Replaced by a rename, as the proxy may be reading the former file.
         let write = |name: &str, text: String| {
             let part = folder.join(format!("{name}.part"));
             std::fs::write(&part, text)
@@ -84,15 +84,21 @@
         if let Some(members) = &self.setup.members {
             write(members::KEY_FILE, members.key_file(*seed))?;
             let owner = std::os::unix::fs::PermissionsExt::from_mode(0o600);
-            std::fs::set_permissions(folder.join(members::KEY_FILE), owner)
-                .map_err(|e| Fault::new(format!("the key file of proxy {proxy}: {e}")))?;
+            std::fs::set_permissions(folder.join(members::KEY_FILE), owner).map_err(|e| {
+                Fault::new(format!(
+                    "cannot set the permissions of proxy {proxy}'s key file: {e}"
+                ))
+            })?;
         }
         let temporary = folder.join("tmp");
-        std::fs::create_dir_all(&temporary)
-            .map_err(|e| Fault::new(format!("a folder for proxy {proxy}: {e}")))
+        std::fs::create_dir_all(&temporary).map_err(|e| {
+            Fault::new(format!(
+                "cannot create a temporary folder for proxy {proxy}: {e}"
+            ))
+        })
     }
 
-    /// What starts a proxy; `listen`: where its clients are to find it.
+    /// Writes a proxy's files and returns the plan of its process; `listen`: address on which to serve clients.
     pub fn plan(&self, proxy: usize, listen: &str) -> Result<Plan, Fault> {
         self.configure(proxy)?;
         let folder = self.proxies[proxy].folder.path();
@@ -108,7 +114,8 @@
         }
         let programs = &self.setup.programs;
         let program = programs.get(proxy % programs.len().max(1)).cloned();
-        let program = program.ok_or_else(|| Fault::new("the testbed is told of no program"))?;
+        let program =
+            program.ok_or_else(|| Fault::new("no proxy program is set in Setup::programs"))?;
         let log = self
             .setup
             .logs
--- a/crates/testbed/src/datagrams.rs
+++ b/crates/testbed/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! A relay for the datagrams from one proxy to another, and what goes wrong on the way.
+//! A relay for the datagrams from one proxy to another, with injected faults.
 
 use crate::process::{Fault, EVENT_TIMEOUT};
 use rand::{Rng, SeedableRng};
@@ -14,35 +14,35 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// The longest datagram that there is.
+/// Buffer size in bytes, above the longest possible datagram.
 const LONGEST: usize = 1 << 16;
-/// Datagrams of one pair that are late at a time; more are dropped.
+/// Maximum number of datagrams of a link that are delayed at a time; further ones are dropped.
 const WAITING_MOST: usize = 4_096;
 
-/// How datagrams go.
+/// How datagrams are forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Flow {
     #[default]
     /// Forwarded at once.
     Passes,
-    /// All are dropped, with what is on its way.
+    /// All are dropped, delayed and held ones included.
     Cut,
-    /// Each is later by a time between these: the order may change.
+    /// Each is delayed by a random time within these bounds, so the order may change.
     Late(Duration, Duration),
 }
 
-/// What happens on the way from one proxy to another. Shares are of all that come, from 0 to 1.
+/// Faults of a datagram link. Shares are of all received datagrams, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
-    /// What happens to every datagram.
+    /// Treatment of all datagrams.
     pub flow: Flow,
-    /// Dropped.
+    /// Share that is dropped.
     pub lost: f64,
-    /// Sent twice.
+    /// Share that is sent twice.
     pub doubled: f64,
-    /// Held behind the next one.
+    /// Share that is held and sent after the next one.
     pub reordered: f64,
-    /// With one bit flipped.
+    /// Share that is sent with one bit flipped.
     pub corrupted: f64,
 }
 
@@ -55,24 +55,24 @@
     }
 }
 
-/// What became of the datagrams of a pair.
+/// Numbers of datagrams of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Received from the sender.
     pub came: u64,
-    /// Sent on, twins too.
+    /// Forwarded, duplicates included.
     pub passed: u64,
-    /// Dropped: by a cut, by a share, for want of an address, too many that are late, and not taken by the system.
+    /// Dropped by a cut.
     pub cut: u64,
     /// Dropped by the share of losses.
     pub lost: u64,
     /// Dropped because the link has no target.
     pub unknown: u64,
-    /// Dropped because too many were delayed.
+    /// Dropped because too many were delayed already.
     pub over: u64,
     /// Not accepted by the operating system.
     pub failed: u64,
-    /// What was done to some of them.
+    /// Sent twice.
     pub doubled: u64,
     /// Delayed, duplicates included.
     pub late: u64,
@@ -80,17 +80,17 @@
     pub reordered: u64,
     /// Sent with one bit flipped.
     pub corrupted: u64,
-    /// Late or held back at present.
+    /// Delayed or held at present.
     pub waiting: u64,
 }
 
 impl Counts {
-    /// The sum of all that were not forwarded.
+    /// Total number of dropped datagrams.
     pub fn dropped(&self) -> u64 {
         self.cut + self.lost + self.unknown + self.over + self.failed
     }
 
-    /// Nothing has come from nowhere or gone unseen.
+    /// Whether each received and duplicated datagram is forwarded, dropped or waiting.
     pub fn add_up(&self) -> bool {
         self.came + self.doubled == self.passed + self.dropped() + self.waiting
     }
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
     way: DatagramFaults,
-    /// Grows with each cut: one that is healed before the relay has seen it is still one.
+    /// Number of cuts so far, so that the relay applies a cut that is healed before the relay observes it.
     cuts: u64,
     target: Option<SocketAddr>,
 }
@@ -107,14 +107,14 @@
 /// One direction between two proxies.
 #[derive(Clone, Debug)]
 pub struct DatagramLink {
-    /// Where the sender finds the receiver.
+    /// Address to which the sender sends.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     counts: Arc<watch::Sender<Counts>>,
 }
 
 impl DatagramLink {
-    /// A relay on a port of its own that leads nowhere yet.
+    /// Opens a relay on its own port, without a target.
     pub fn open(on: &Handle, seed: u64) -> Result<DatagramLink, Fault> {
         let bound = Bound::bind("127.0.0.1:0").and_then(|socket| {
             socket.set_nonblocking(true)?;
@@ -122,8 +122,8 @@
             let _on = on.enter();
             Ok((UdpSocket::from_std(socket)?, address))
         });
-        let (socket, address) =
-            bound.map_err(|e| Fault::new(format!("no port for datagrams: {e}")))?;
+        let (socket, address) = bound
+            .map_err(|e| Fault::new(format!("cannot bind a port for a datagram relay: {e}")))?;
         let link = DatagramLink {
             address,
             state: Arc::default(),
@@ -142,12 +142,12 @@
         Ok(link)
     }
 
-    /// Datagrams go to this address from now on; none: they are dropped.
+    /// Sets the address to which datagrams are forwarded; none: they are dropped.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
 
-    /// Once a cut has returned, nothing leaves until it is healed. Shares are of what comes from now on.
+    /// Sets the faults of datagrams received from now on. After a cut has returned, no datagram is forwarded until it is healed.
     pub fn set(&self, way: impl Into<DatagramFaults>) {
         let way = way.into();
         self.change(|state| state.way = way);
@@ -160,12 +160,12 @@
         });
     }
 
-    /// The shares stay as they are.
+    /// Drops all datagrams until healed; the shares stay set.
     pub fn cut(&self) {
         self.change(|state| state.way.flow = Flow::Cut);
     }
 
-    /// All passes again; what was held behind others comes now.
+    /// Removes all faults; held datagrams are sent now.
     pub fn heal(&self) {
         self.set(DatagramFaults::default());
     }
@@ -180,34 +180,34 @@
         *self.counts.borrow()
     }
 
-    /// Waits until the counts are so, and gives them.
+    /// Waits until the counts satisfy `is`, and returns them.
     pub async fn until(&self, is: impl FnMut(&Counts) -> bool) -> Result<Counts, Fault> {
         let mut watched = self.counts.subscribe();
-        // The sender lives as long as this handle: it is patience that ends, if anything.
+        // The sender lives as long as this handle, so this can only fail by a timeout.
         let found = tokio::time::timeout(EVENT_TIMEOUT, watched.wait_for(is)).await;
         let found = found.ok().and_then(|seen| seen.ok().map(|counts| *counts));
         found.ok_or_else(|| {
             Fault::new(format!(
-                "datagrams do not come to what is waited for: {:?}",
+                "the expected datagram counts were not reached in time: {:?}",
                 self.counts()
             ))
         })
     }
 }
 
-/// What was drawn for one datagram.
+/// Random faults of one datagram.
 struct DrawnFaults {
     lost: bool,
     doubled: bool,
     reordered: bool,
     corrupted: bool,
-    /// Of all its bits this, and of the longest lateness this part.
+    /// The flipped bit, modulo the number of bits, and the delay as a fraction of its range.
     bit: u64,
     late: f64,
 }
 
 impl DrawnFaults {
-    /// Always as many draws, in one order: what becomes of a datagram does not depend on what was set for those before.
+    /// Always makes the same draws in the same order, so that a datagram's faults do not depend on the settings for earlier ones.
     fn draw(draws: &mut impl Rng, way: &DatagramFaults) -> DrawnFaults {
         let mut falls = |share: f64| draws.random::<f64>() < share;
         let (lost, doubled) = (falls(way.lost), falls(way.doubled));
@@ -223,7 +223,7 @@
     }
 }
 
-/// A datagram, once or twice, and how much later it goes.
+/// A datagram to be sent once or twice, with its delay.
 struct QueuedDatagram {
     bytes: Vec<u8>,
     twice: bool,
@@ -241,10 +241,10 @@
     link: DatagramLink,
     draws: Xoshiro256PlusPlus,
     held: Option<QueuedDatagram>,
-    /// By when they go, and how many had come before.
+    /// Delayed datagrams. Key: time to send, and a sequence number.
     late: BTreeMap<(Instant, u64), QueuedDatagram>,
     counts: Counts,
-    /// The cuts that it has seen.
+    /// Number of cuts that have been applied.
     cuts: u64,
 }
 
@@ -267,10 +267,10 @@
                 }
             };
             let woken = tokio::select! {
-                // It holds a handle itself, so this does not fail.
+                // The relay holds a link handle itself, so this does not fail.
                 _ = state.changed() => Woken::Otherwise,
                 () = due => Woken::Due,
-                // An error is of something that was sent, and of no datagram that came.
+                // An error concerns a datagram that was sent, not one received.
                 came = self.socket.recv_from(&mut bytes) => came.map_or(Woken::Otherwise, |(n, _)| Woken::Came(n)),
             };
             self.follow();
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Does what was set since it last looked, before anything else.
+    /// Applies changed settings before any datagram is handled.
     fn follow(&mut self) {
         let State { way, cuts, .. } = *self.link.state.borrow();
         if cuts > self.cuts {
@@ -345,7 +345,7 @@
             twice: fate.doubled,
             later,
         };
-        // One that is held goes behind this one, so this one goes now, whatever was drawn for it.
+        // A held datagram is sent after this one, so this one is not held, whatever was drawn for it.
         match self.held.take() {
             None if fate.reordered => self.held = Some(piece),
             before => {
@@ -372,7 +372,7 @@
     }
 
     fn go(&mut self, piece: &QueuedDatagram) {
-        // Held while it is sent: whoever cuts waits for it, and nothing goes afterwards.
+        // The state stays locked while sending, so that a cut waits for it and no datagram is sent afterwards.
         let state = self.link.state.borrow();
         for _ in 0..piece.copies() {
             let count = match state.target {
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list's service on a socket: for each proxy one, as addresses differ from proxy to proxy.
+//! Discovery on a socket: one service per proxy, as each proxy reaches the servers through its own links.
 
 use crate::history::History;
 use crate::link;
@@ -13,25 +13,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Where each proxy finds each server.
+/// Addresses of the servers. Key: proxy and server.
 pub type Addresses = FxHashMap<(usize, ServerIndex), SocketAddr>;
 
-/// While nothing changes, an empty line comes this often.
+/// Interval of keep-alive lines while the list does not change.
 const QUIET: Duration = Duration::from_secs(2);
-/// Of a call's head.
+/// Maximum length of a request's head, in bytes.
 const HEAD_LIMIT: usize = 16 << 10;
 
-/// What the list calls a place.
+/// Zone name of a place in the endpoint list.
 pub fn zone(place: u16) -> String {
     format!("p{place}")
 }
 
-/// What the list calls a server.
+/// Name of a server in the endpoint list.
 pub fn name(server: ServerIndex) -> String {
     format!("s-{server:04}")
 }
 
-/// The list as a proxy is told it.
+/// The endpoint list in the JSON form that is sent to a proxy.
 pub fn listing(
     history: &History,
     addresses: &Addresses,
@@ -59,14 +59,15 @@
     json!({"index": index, "snapshot": whole, "endpoints": endpoints})
 }
 
-/// Opens a proxy's listener of the list's service.
+/// Opens the discovery listener of a proxy.
 pub async fn open(
     history: History,
     proxy: usize,
     addresses: Arc<watch::Sender<Addresses>>,
 ) -> Result<SocketAddr, Fault> {
     let bound = TcpListener::bind("127.0.0.1:0").await;
-    let listener = bound.map_err(|e| Fault::new(format!("no port for discovery: {e}")))?;
+    let listener =
+        bound.map_err(|e| Fault::new(format!("cannot bind a port for discovery: {e}")))?;
     let address = listener
         .local_addr()
         .map_err(|e| Fault::new(format!("discovery: {e}")))?;
@@ -123,9 +124,9 @@
                 link::write_all(stream, b"1\r\n\n\r\n").await?;
                 continue;
             }
-            // Whoever called says nothing more until the end.
+            // The caller sends nothing more until it closes the connection.
             _ = link::read(stream, &mut gone) => {
-                // A watch that has taken its place is not this one's to end.
+                // A newer watch of the same proxy must not be ended here.
                 if !news.is_closed() {
                     history.list(Event::Leave(proxy));
                 }
@@ -146,7 +147,7 @@
             }
             return Ok(());
         };
-        // A server that has only just come may still be without its links.
+        // The links of a server that has just joined may not be open yet.
         let known = |a: &Addresses| records.iter().all(|r| a.contains_key(&(proxy, r.server)));
         _ = addresses.subscribe().wait_for(known).await;
         let line = listing(
--- a/crates/testbed/src/fake_member.rs
+++ b/crates/testbed/src/fake_member.rs
@@ -1,5 +1,5 @@
-//! A member of the fleet that the testbed plays itself: it is heard under a proxy's name, by any start, and says what no proxy
-//! would. So what a clock that is wrong, or a proxy that lies well, comes to is seen at the others.
+//! A fleet member controlled by the testbed: it takes part under a proxy's name with any incarnation and publishes any facts.
+//! Tests use it to observe how the other members react to a wrong clock or to false reports.
 
 use crate::members::KEY_FILE;
 use crate::process::{lock, Fault, EVENT_TIMEOUT};
@@ -12,12 +12,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// As the members' own in [`crate::members::Members::default`].
+/// Protocol period, the same as in [`crate::members::Members::default`].
 const PERIOD: Duration = Duration::from_millis(100);
-/// The longest that it waits for a datagram before it looks at its timers.
+/// Maximum wait for a datagram before the timers are checked.
 const LOOK: Duration = Duration::from_millis(10);
 
-/// What it is to say, as a proxy's room would.
+/// A fact to publish, as a proxy's subsystems do.
 #[derive(Clone, Debug)]
 pub struct PublishedFact {
     /// The fact's kind, as `membership` numbers them.
@@ -28,7 +28,7 @@
     pub lasts: Duration,
 }
 
-/// What it knows of the others.
+/// State received from the other members.
 #[derive(Debug, Default)]
 struct Known {
     whole: bool,
@@ -37,7 +37,7 @@
 
 type Shared = Arc<(Mutex<Known>, Condvar)>;
 
-/// It is heard for as long as this lives.
+/// Handle of a fake member, which runs until this is dropped.
 pub struct FakeMember {
     commands: Option<Sender<PublishedFact>>,
     known: Shared,
@@ -48,25 +48,25 @@
     /// Publishes a fact under the proxy's name.
     pub fn say(&self, kind: u8, body: Vec<u8>, lasts: Duration) {
         if let Some(commands) = &self.commands {
-            // It hears commands until it is let go.
+            // The thread receives commands until this handle is dropped.
             _ = commands.send(PublishedFact { kind, body, lasts });
         }
     }
 
-    /// Until all others are heard, and so have answered it.
+    /// Waits until all other members are reachable.
     pub fn wait_until_complete(&self) -> Result<(), Fault> {
-        self.until("the fake member hears all", |known| {
+        self.until("the fake member reaches all other members", |known| {
             known.whole.then_some(())
         })
     }
 
-    /// Until another has said something of that kind that is wanted; what that is.
+    /// Waits for a fact of this kind from another member that `wanted` accepts, and returns its result.
     pub fn wait_for_fact<T>(
         &self,
         kind: u8,
         mut wanted: impl FnMut(&Fact) -> Option<T>,
     ) -> Result<T, Fault> {
-        self.until(&format!("something of kind {kind}"), |known| {
+        self.until(&format!("a matching fact of kind {kind}"), |known| {
             known
                 .facts
                 .iter()
@@ -75,7 +75,7 @@
         })
     }
 
-    /// What others have said last of that kind.
+    /// The latest facts of this kind from the other members.
     pub fn facts(&self, kind: u8) -> Vec<Fact> {
         lock(&self.known.0)
             .facts
@@ -95,7 +95,9 @@
             }
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(Fault::new(format!("not seen: {what}")));
+                return Err(Fault::new(format!(
+                    "the fake member timed out waiting for: {what}"
+                )));
             }
             known = changed
                 .wait_timeout(known, left)
@@ -115,20 +117,20 @@
 }
 
 impl Testbed {
-    /// In the place of a proxy that has no process; what is for that goes to the fake member from now on, until the proxy is
-    /// killed or started. `start`: in Unix milliseconds.
+    /// Starts a fake member in place of a proxy without a process; it receives the proxy's datagrams until the proxy is
+    /// killed or started. `start`: incarnation, in Unix milliseconds.
     pub fn fake_member(&self, proxy: usize, start: u64) -> Result<FakeMember, Fault> {
         let fault = |what: &str, why: &dyn std::fmt::Display| {
-            Fault::new(format!("a fake member of {proxy}: {what}: {why}"))
+            Fault::new(format!("fake member for proxy {proxy}: {what}: {why}"))
         };
         let stated = self
             .setup
             .members
             .as_ref()
-            .ok_or_else(|| Fault::new("the testbed has no members"))?;
+            .ok_or_else(|| Fault::new("the testbed has no members; set Setup::members"))?;
         let mut members = Vec::new();
         for member in (0..self.setup.clients.proxies).filter(|member| stated.lists(*member)) {
-            // Nothing is sent to its own place.
+            // A member sends no datagrams to its own address.
             let address = match member == proxy {
                 true => ([127, 0, 0, 1], 9).into(),
                 false => self.datagram_link(proxy, member)?.address,
@@ -140,21 +142,25 @@
             });
         }
         let key_file = self.folder(proxy).join(KEY_FILE);
-        let text = std::fs::read_to_string(key_file).map_err(|e| fault("its key file", &e))?;
-        let keys = Keys::parse(&text).map_err(|e| fault("its key file", &e))?;
-        let socket = UdpSocket::bind("127.0.0.1:0").map_err(|e| fault("its port", &e))?;
+        let text =
+            std::fs::read_to_string(key_file).map_err(|e| fault("key file of the proxy", &e))?;
+        let keys = Keys::parse(&text).map_err(|e| fault("key file of the proxy", &e))?;
+        let socket =
+            UdpSocket::bind("127.0.0.1:0").map_err(|e| fault("socket of the member", &e))?;
         socket
             .set_read_timeout(Some(LOOK))
-            .map_err(|e| fault("its port", &e))?;
-        let address = socket.local_addr().map_err(|e| fault("its port", &e))?;
+            .map_err(|e| fault("socket of the member", &e))?;
+        let address = socket
+            .local_addr()
+            .map_err(|e| fault("socket of the member", &e))?;
         let names: Vec<String> = members.iter().map(|member| member.name.clone()).collect();
         let roster = Roster {
             version: stated.version,
             members,
         };
         let config = Config::with_period(&name(proxy), start, roster, PERIOD);
-        let core =
-            Core::new(config, self.setup.seed ^ start).map_err(|e| fault("its roster", &e))?;
+        let core = Core::new(config, self.setup.seed ^ start)
+            .map_err(|e| fault("roster of the fleet", &e))?;
         let known = Shared::default();
         let (commands, wanted) = channel();
         let life = Runner {
@@ -170,7 +176,7 @@
         let thread = thread::Builder::new()
             .name(format!("fake-member-{proxy}"))
             .spawn(move || life.live(&wanted));
-        let thread = thread.map_err(|e| fault("its thread", &e))?;
+        let thread = thread.map_err(|e| fault("thread of the member", &e))?;
         self.set_datagram_target(proxy, Some(address));
         Ok(FakeMember {
             commands: Some(commands),
@@ -249,7 +255,7 @@
                         .seal(MEMBERSHIP_KIND, self.version, &bytes, &mut out)
                         .is_ok()
                     {
-                        // What can't be sent is lost, as on any wire.
+                        // A failed send counts as a lost datagram.
                         _ = self.socket.send_to(&out, address);
                     }
                 }
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -1,5 +1,5 @@
-//! Everything that happens on the testbed, in one order: the model of record servers, the list and the clients, the ledger
-//! of what was asked, ran and was answered. Its faces on sockets bring events, one at a time, and get answers.
+//! The totally ordered history of a run: the models of record servers, discovery and clients, and the checker of requests,
+//! attempts and answers. The testbed's sockets deliver events one at a time and receive the models' responses.
 
 mod messages;
 mod outcomes;
@@ -28,22 +28,22 @@
 #[derive(Clone)]
 pub struct History {
     state: Arc<Mutex<State>>,
-    /// When clients began to ask, also as Unix time; until then its clock stands at 0.
+    /// Start of the clients' load, also as Unix time; the history's clock stays at 0 until then.
     start: Arc<OnceLock<(Instant, Duration)>>,
     sooner: Arc<Notify>,
     changed: Arc<watch::Sender<u64>>,
 }
 
-/// What the history's faces wait on.
+/// Channels on which the testbed's sockets wait.
 pub struct Outputs {
-    /// Servers that are new.
+    /// New servers, which need a listener.
     pub new_servers: mpsc::UnboundedReceiver<ServerIndex>,
-    /// Attempts that clients are to make.
+    /// Attempts that clients have to make.
     pub client_tasks: mpsc::UnboundedReceiver<ClientTask>,
 }
 
 impl History {
-    /// Models at time 0. `attempts` and `drain_grace` are the platform's bounds that the checker enforces.
+    /// Creates the models at time 0. `attempts` and `drain_grace` are the platform's bounds, which the checker enforces.
     pub fn new(
         site: site::Settings,
         list: catalog::Settings,
@@ -83,7 +83,7 @@
             .map_or(0, |(start, _)| start.elapsed().as_micros() as Micros)
     }
 
-    /// A time of the model as Unix time; 0, which stands for long ago, stays 0.
+    /// Converts a time of the model to Unix time; 0, which means long ago, stays 0.
     pub fn unix(&self, at: Micros) -> Duration {
         let epoch = self.start.get().filter(|_| at > 0).map(|(_, epoch)| *epoch);
         epoch.map_or(Duration::ZERO, |epoch| epoch + Duration::from_micros(at))
@@ -101,17 +101,17 @@
         did
     }
 
-    /// What became of each class's requests so far.
+    /// Outcomes of each class's requests so far.
     pub fn accounts(&self) -> Vec<ClassAccount> {
         self.lock().accounts.clone()
     }
 
-    /// A look at all of it.
+    /// Locks the state for reading.
     pub fn lock(&self) -> MutexGuard<'_, State> {
         process::lock(&self.state)
     }
 
-    /// Waits for something to become true, however long that takes within the testbed's patience.
+    /// Waits until a condition on the state holds; a fault after the testbed's event timeout.
     pub async fn until(&self, what: &str, mut is: impl FnMut(&State) -> bool) -> Result<(), Fault> {
         let mut changed = self.changed.subscribe();
         let waited = tokio::time::timeout(crate::process::EVENT_TIMEOUT, async {
@@ -123,10 +123,10 @@
         });
         waited
             .await
-            .map_err(|_| Fault::new(format!("it does not come to this: {what}")))
+            .map_err(|_| Fault::new(format!("timed out waiting for: {what}")))
     }
 
-    /// Does what is due, until the testbed ends.
+    /// Runs due timers until the testbed ends.
     pub async fn run(self) {
         loop {
             let due = self.with(|state, now| {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Clients begin to ask, and time to pass.
+    /// Starts the clock and the clients' load.
     pub fn begin(&self) {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -152,7 +152,7 @@
         self.with(|state, now| state.clients(clients::Event::Start, now));
     }
 
-    /// A fault of a record server or of the network between places begins or ends.
+    /// Starts or ends a fault of a record server or of the network between places.
     pub fn inject_fault(&self, trouble: ServerFault) {
         self.with(|state, now| state.site(site::Event::Fault(trouble), now));
     }
@@ -164,7 +164,7 @@
 
     // ---- Record servers ----
 
-    /// A connection has been asked for: whether it is taken.
+    /// Handles a connection attempt; returns whether the server accepts it.
     pub fn dial(&self, server: ServerIndex) -> bool {
         self.with(|state, now| {
             let mut actions = Vec::new();
@@ -180,7 +180,7 @@
         self.with(|state, _| state.site.hang_up(server));
     }
 
-    /// A request's last byte has come to a server. None: no client has asked that.
+    /// Handles a request that a server has received in full; none: no client has sent a request with this id.
     pub fn request(
         &self,
         server: ServerIndex,
@@ -189,7 +189,7 @@
         self.with(|state, now| state.request(server, id, now))
     }
 
-    /// A health check has reached a server; the receiver gets its report, or None where it answers without one.
+    /// Handles a health check that has reached a server; the receiver gets the load report, or none if the answer has none.
     pub fn probe(&self, server: ServerIndex) -> oneshot::Receiver<Option<site::LoadReport>> {
         self.with(|state, now| {
             let (send, reply) = oneshot::channel();
@@ -202,19 +202,19 @@
         })
     }
 
-    /// A watch on a server's deaths.
+    /// Subscribes to the number of a server's crashes.
     pub fn watch_deaths(&self, server: ServerIndex) -> watch::Receiver<u64> {
         self.lock().deaths[server as usize].subscribe()
     }
 
-    // ---- The list ----
+    // ---- Discovery ----
 
-    /// An event for the model of the list.
+    /// Passes an event to the model of discovery.
     pub fn list(&self, event: catalog::Event) {
         self.with(|state, now| state.list(event, now));
     }
 
-    /// A proxy's watch; a former one of the same proxy ends.
+    /// Opens a proxy's watch of the list; an earlier watch of the same proxy ends.
     pub fn watch(&self, proxy: usize, after: u64) -> mpsc::UnboundedReceiver<catalog::Action> {
         self.with(|state, now| {
             let (send, updates) = mpsc::unbounded_channel();
@@ -230,7 +230,7 @@
         })
     }
 
-    /// The list has been written to a proxy.
+    /// Records that the list has been sent to a proxy.
     pub fn notified(&self, proxy: usize, records: &[Record]) {
         self.with(|state, now| {
             let news = records
@@ -245,8 +245,8 @@
         });
     }
 
-    /// While the links to the list hold back what it says, nobody is told by it. It counts as told once they let it pass, which
-    /// has to be within the time that the platform gives a proxy to find out that its watch is silent.
+    /// Sets whether the links to discovery hold back its updates. Held updates count as received once the links pass them,
+    /// which has to be within the time that the platform gives a proxy to detect a silent watch.
     pub fn set_list_silent(&self, silent: bool) {
         self.with(|state, now| {
             if silent {
@@ -261,7 +261,7 @@
 
     // ---- Clients ----
 
-    /// A client has its connection and writes now: from here on the proxy owes an answer. What is left of its time.
+    /// Records that a client sends an attempt now, from which on the proxy has to answer. Returns the time left.
     pub fn start_attempt(&self, asked: &ClientAttempt, until: Micros) -> Duration {
         self.with(|state, now| {
             if state.open.contains_key(&asked.id) {
@@ -280,7 +280,7 @@
         })
     }
 
-    /// Served, with the value that names an answer; nothing: the value is no server's.
+    /// Records a served attempt; `exchange`: the server's answer that the value identifies, none if no server made the value.
     pub fn served(&self, id: ClientAttemptId, exchange: Option<u64>) {
         self.with(|state, now| {
             let made = exchange
@@ -297,7 +297,7 @@
         });
     }
 
-    /// The proxy rejected the attempt before it ran.
+    /// Records that the proxy rejected the attempt before it ran.
     pub fn rejected(&self, id: ClientAttemptId, retry_after: Option<Duration>) {
         let retry_after = retry_after.map(|d| d.as_micros() as Micros);
         self.with(|state, now| {
@@ -310,27 +310,27 @@
         });
     }
 
-    /// The proxy answered with any other error.
+    /// Records that the proxy answered with another error.
     pub fn failed(&self, id: ClientAttemptId) {
         self.with(|state, now| state.answered(id, Final::Failed, clients::Answer::Failed, now));
     }
 
-    /// An answer that nobody had asked for, or one of another request.
+    /// Counts an answer without a request, or to another request.
     pub fn report_violation(&self, rule: Rule) {
         self.with(|state, _| state.checker.report_violation(rule));
     }
 
-    /// No connection to the proxy, or one that ended without an answer.
+    /// Records a failed connection to the proxy, or one that ended without an answer (`reached`).
     pub fn connection_lost(&self, id: ClientAttemptId, reached: bool) {
         self.with(|state, now| state.connection_lost(id, reached, now));
     }
 
-    /// A request met the proxy's close of an idle connection and was sent once more.
+    /// Counts a request that was sent again because it crossed the proxy's close of an idle connection.
     pub fn retried_after_close(&self) {
         self.with(|state, _| state.crossed += 1);
     }
 
-    /// A proxy is being killed: nobody owes what it holds.
+    /// Records that a proxy is being killed: its open attempts need no answer.
     pub fn proxy_killed(&self, proxy: usize) {
         self.with(|state, now| {
             state.down.insert(proxy);
@@ -351,12 +351,12 @@
         });
     }
 
-    /// A proxy has ended by itself, and clients know.
+    /// Records that a proxy has ended by itself; clients stop using it at once.
     pub fn proxy_down(&self, proxy: usize) {
         self.with(|state, now| state.clients(clients::Event::Proxy { proxy, up: false }, now));
     }
 
-    /// A proxy serves again, and clients know.
+    /// Records that a proxy serves again; clients use it at once.
     pub fn proxy_up(&self, proxy: usize) {
         self.with(|state, now| {
             state.down.remove(&proxy);
@@ -364,7 +364,7 @@
         });
     }
 
-    /// Waits until clients have had all their answers; requests come until the stated length is over.
+    /// Waits until all requests are settled; clients send requests until the length of the load is over.
     pub async fn finished(&self, length: Duration) -> Result<(), Fault> {
         let length = length.as_micros() as Micros;
         let left = Duration::from_micros(length.saturating_sub(self.now()));
@@ -375,7 +375,7 @@
         .await
     }
 
-    /// Ends the run and gives its results.
+    /// Ends the run and returns its outcomes.
     pub fn close(&self) -> Outcomes {
         self.with(|state, _| state.close())
     }
--- a/crates/testbed/src/history/outcomes.rs
+++ b/crates/testbed/src/history/outcomes.rs
@@ -1,4 +1,4 @@
-//! What came of a run: accounts by class, latencies and broken rules.
+//! Outcomes of a run: accounts by class, latencies and violated rules.
 
 use hdrhistogram::Histogram;
 use invariant_checkers::Rule;
@@ -9,62 +9,62 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What became of a class's requests.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassAccount {
-    /// Requests that were settled.
+    /// Settled requests.
     pub requests: u64,
     /// Answered with a value.
     pub served: u64,
-    /// Rejected at last.
+    /// Finally rejected.
     pub rejected: u64,
-    /// Failed at last.
+    /// Finally failed.
     pub failed: u64,
     /// Given up by the client.
     pub abandoned: u64,
-    /// The sum of their priority weights.
+    /// Sum of the requests' priority weights.
     pub priority_weight: f64,
-    /// The part of it earned by answers in time.
+    /// Part of the weight that was earned by answers within the latency objective.
     pub earned: f64,
 }
 
-/// What came of a trial.
+/// Outcomes of a run.
 #[derive(Clone, Debug)]
 pub struct Outcomes {
-    /// By class.
+    /// Accounts, indexed by class.
     pub accounts: Vec<ClassAccount>,
-    /// By class, in microseconds, of served requests.
+    /// Latencies of served requests in microseconds, indexed by class.
     pub latencies: Vec<Histogram<u64>>,
     /// How late the testbed's own timers ran, in microseconds.
     pub lateness: Histogram<u64>,
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     pub broken: BTreeMap<Rule, u64>,
-    /// The first that they were found by: which try, its proxy, and when.
+    /// The first violations: rule, attempt, proxy, and time in microseconds.
     pub found: Vec<(Rule, ClientAttemptId, usize, Micros)>,
     /// Attempts that reached a server.
     pub attempts: u64,
     /// Health checks that reached a server.
     pub probes: u64,
-    /// Tries that died with a killed proxy.
+    /// Attempts that ended with a killed proxy.
     pub gone: u64,
-    /// Tries sent once more, since their connection was being closed.
+    /// Attempts sent once more, since they crossed the close of their connection.
     pub crossed: u64,
-    /// Connections that proxies made to servers.
+    /// Connections that proxies opened to servers.
     pub dials: u64,
-    /// Requests that each proxy brought to each server.
+    /// Requests that reached each server. Key: proxy and server.
     pub reached: FxHashMap<(usize, ServerIndex), u64>,
 }
 
-/// Later than this in one of a hundred cases, the testbed claims nothing.
+/// If the 99th percentile of the testbed's lateness is above this, the testbed reports no goodput.
 pub const LATE: Duration = Duration::from_millis(20);
 
 impl Outcomes {
-    /// The 99th percentile of how late the testbed was.
+    /// 99th percentile of the lateness of the testbed's timers.
     pub fn late(&self) -> Duration {
         Duration::from_micros(self.lateness.value_at_quantile(0.99))
     }
 
-    /// How many servers a proxy met in the mean, and how much more than the mean the busiest server got.
+    /// Mean number of servers per proxy, and load of the busiest server relative to the mean.
     pub fn spread(&self) -> (f64, f64) {
         let (mut proxies, mut servers) = (BTreeSet::new(), BTreeMap::<ServerIndex, u64>::new());
         for (&(proxy, server), &number) in &self.reached {
@@ -79,7 +79,7 @@
         )
     }
 
-    /// None: the testbed was itself too slow for its figures to mean anything.
+    /// Earned part of the priority weight; none: the testbed itself was too slow for a valid result.
     pub fn goodput(&self) -> Option<f64> {
         let (weight, earned) = self.accounts.iter().fold((0.0, 0.0), |(w, e), b| {
             (w + b.priority_weight, e + b.earned)
--- a/crates/testbed/src/history/own_attempts.rs
+++ b/crates/testbed/src/history/own_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of clients that the model does not drive: they hold connections through a restart, leave or cancel.
+//! Attempts of clients outside of the model: they hold connections through a restart, leave or cancel.
 
 use super::state::OpenAttempt;
 use super::{History, State};
@@ -7,17 +7,17 @@
 use server_model::Micros;
 use std::time::Duration;
 
-/// Their attempts and requests have numbers from here on.
+/// First id of their attempts and requests.
 const FIRST_ID: ClientAttemptId = 1 << 40;
-/// Nothing may begin so long after a client has left.
+/// Time after a client's departure from which its attempt must not be sent to a server, in microseconds.
 const LEAVE_GRACE: Micros = 100_000;
 
-/// How a client leaves in the midst of a request.
+/// How a client leaves during a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// It closes its connection.
+    /// The client closes its connection.
     Closed,
-    /// It cancels the request.
+    /// The client cancels the request.
     Cancelled,
 }
 
@@ -30,12 +30,12 @@
     pub proxy: usize,
     /// How its client had left.
     pub departure: Departure,
-    /// How long after that, in microseconds.
+    /// Time since the departure, in microseconds.
     pub late: Micros,
 }
 
 impl History {
-    /// A client is to ask a proxy this. The attempt, and when it is given up.
+    /// Creates an attempt that a client sends to a proxy. Returns the attempt and the time at which the client gives up.
     pub fn own_attempt(
         &self,
         class: usize,
@@ -71,12 +71,12 @@
         })
     }
 
-    /// How late the machine may make what is done in time.
+    /// Sets the lateness that a busy machine may add to timed actions.
     pub fn set_allowed_lateness(&self, lateness: Duration) {
         self.with(|state, _| state.allowed_lateness = lateness.as_micros() as Micros);
     }
 
-    /// The client has closed its connection or cancelled the attempt: nothing is owed for it.
+    /// Records that the client has closed its connection or cancelled the attempt, which then needs no answer.
     pub fn client_left(&self, id: ClientAttemptId, departure: Departure) {
         self.with(|state, now| {
             if state.open.remove(&id).is_some() {
@@ -86,11 +86,11 @@
         });
     }
 
-    /// The proxy has closed the connection without an answer. If it had forwarded the attempt, or does so later, that is lost.
+    /// Records that the proxy has closed the connection without an answer. If it forwards the attempt, before or later, the attempt counts as lost.
     pub fn closed_unanswered(&self, id: ClientAttemptId) {
         self.with(|state, now| {
             let asked = state.open.get(&id).map(|open| open.asked);
-            // With a process that was killed its answers are gone.
+            // A killed process need not answer.
             if asked.is_some_and(|asked| !state.down.contains(&asked.proxy)) {
                 state.closed_unanswered.push((id, now));
             }
@@ -98,7 +98,7 @@
         });
     }
 
-    /// A second process of this proxy, beside the one that serves, is being killed: what is lost from now on may have died with it.
+    /// Records that a second process of this proxy is being killed: attempts lost from now on may have been held by it.
     pub fn second_process_dies(&self, proxy: usize) {
         self.with(|state, _| {
             state.second_process = Some(SecondProcess {
@@ -108,7 +108,7 @@
         });
     }
 
-    /// What was lost with it is over. If it had not served, nothing was, and the other process lost it.
+    /// Records that the second process has ended. If it had not served, the attempts lost meanwhile were lost by the other process.
     pub fn second_process_died(&self, had_served: bool) {
         self.with(|state, _| {
             let lost = state.second_process.take().map(|second| second.lost);
@@ -123,17 +123,17 @@
         self.lock().sent_after_leave.clone()
     }
 
-    /// Whether a proxy was killed and is not back.
+    /// Whether a proxy was killed and does not serve again yet.
     pub fn is_down(&self, proxy: usize) -> bool {
         self.lock().down.contains(&proxy)
     }
 
-    /// Attempts of this proxy that were begun and are owed an answer.
+    /// Started attempts at this proxy that still need an answer.
     pub fn owed(&self, proxy: usize) -> Vec<ClientAttemptId> {
         self.lock().checker.owed(proxy)
     }
 
-    /// Reports attempts as lost that a proxy forwarded and then closed its client's connection without an answer.
+    /// Reports as lost the attempts that a proxy forwarded and then left unanswered by closing the client's connection.
     pub fn check_closed_unanswered(&self) {
         self.with(|state, _| {
             for (id, at) in std::mem::take(&mut state.closed_unanswered) {
@@ -145,15 +145,15 @@
     }
 }
 
-/// A process beside the one that serves, while it is being killed.
+/// A second process of a proxy while it is being killed.
 pub(super) struct SecondProcess {
     proxy: usize,
-    /// What was lost meanwhile, and when.
+    /// Attempts lost meanwhile, with the time.
     lost: Vec<(ClientAttemptId, Micros)>,
 }
 
 impl State {
-    /// A proxy that was not killed took an attempt and ended its connection without an answer.
+    /// Reports an attempt that a running proxy accepted and left unanswered by closing the connection.
     pub(super) fn lost(&mut self, asked: &ClientAttempt, now: Micros) {
         match &mut self.second_process {
             Some(second) if second.proxy == asked.proxy => second.lost.push((asked.id, now)),
--- a/crates/testbed/src/history/requests.rs
+++ b/crates/testbed/src/history/requests.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers and their answers, and what clients do with them.
+//! Handles attempts at servers, their answers, and the clients' reactions.
 
 use super::messages::{ClientTask, ServerReply};
 use super::state::{OpenAttempt, RunningRequest, State, TimerKind};
@@ -125,7 +125,7 @@
                 }
                 clients::Action::Abandon { id, .. } => {
                     self.checker.client_gives_up(id, now);
-                    // Its connection is closed by that.
+                    // Dropping the sender makes the client close its connection.
                     drop(self.open.remove(&id).and_then(|o| o.cancel));
                 }
                 clients::Action::Settled(settled) => self.settled(&settled),
@@ -156,7 +156,7 @@
         told: clients::Answer,
         now: Micros,
     ) {
-        // What was told to somebody who left, or died with its proxy, is nobody's.
+        // Ignores an answer to a client that has left or whose proxy was killed.
         if self.open.remove(&id).is_none() {
             return;
         }
@@ -171,7 +171,7 @@
         };
         self.checker.proxy_dies(id);
         if reached && !self.down.contains(&open.asked.proxy) {
-            // Its proxy lives, took it, and ended the connection without an answer.
+            // A running proxy accepted the attempt and closed the connection without an answer.
             self.lost(&open.asked, now);
         }
         self.clients(
--- a/crates/testbed/src/history/state.rs
+++ b/crates/testbed/src/history/state.rs
@@ -1,4 +1,4 @@
-//! The models, checker and accounts under one lock, with the timers of all of them.
+//! The models, the checker, the accounts and their timers, kept under one lock.
 
 use super::messages::{ClientTask, ServerReply};
 use super::outcomes::{ClassAccount, Outcomes};
@@ -15,23 +15,23 @@
 use std::collections::BinaryHeap;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// What a timer of the history is for.
+/// Purpose of a timer of the history.
 pub(super) enum TimerKind {
     Site(TimerOwner),
     List,
     Client(clients::TimerKind),
-    /// Clients have noticed that a proxy is down.
+    /// Clients detect that a proxy is down.
     Unseen(usize),
 }
 
-/// An attempt that its client has not heard of yet.
+/// An attempt that its client waits for.
 pub(super) struct OpenAttempt {
     pub(super) asked: ClientAttempt,
-    /// Its client hears no more of it.
+    /// Dropped when the client gives up.
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
-/// An attempt that has come whole to a server.
+/// An attempt that a server has received in full.
 pub(super) struct RunningRequest {
     pub(super) id: ClientAttemptId,
     pub(super) min_position: Micros,
@@ -39,14 +39,14 @@
     pub(super) answer: oneshot::Sender<ServerReply>,
 }
 
-/// All that is known of a run; [`super::History`] keeps it under one lock.
+/// State of a run; [`super::History`] keeps it under one lock.
 pub struct State {
     /// The model of record servers.
     pub site: Site,
-    /// The model of the list of endpoints.
+    /// The model of discovery.
     pub list: Catalog,
     pub(super) clients: Clients,
-    /// The rules, fed with every event.
+    /// The checker of safety rules, which receives every event.
     pub checker: Checker,
     pub(super) classes: Vec<clients::RequestClass>,
     pub(super) streams: Streams,
@@ -54,14 +54,14 @@
     pub(super) timer_kinds: FxHashMap<u64, TimerKind>,
     pub(super) next: u64,
     pub(super) open: FxHashMap<ClientAttemptId, OpenAttempt>,
-    /// Known until the end, for what comes late: class and request of each attempt.
+    /// All attempts of the run, kept until its end for late events.
     pub(super) attempts_by_id: FxHashMap<ClientAttemptId, ClientAttempt>,
     pub(super) server_attempts: FxHashMap<ClientAttemptId, u8>,
-    /// Values that servers made: whose they are, the commit of a write, and whether a read is older than it may be.
+    /// Values that servers returned. Key: exchange; value: attempt, commit position of a write, and whether a read is too stale.
     pub(super) made: FxHashMap<u64, (ClientAttemptId, Micros, bool)>,
     pub(super) running: FxHashMap<u64, RunningRequest>,
     pub(super) probes: FxHashMap<u64, oneshot::Sender<Option<site::LoadReport>>>,
-    /// By server: how often it has died. What was connected to it before is broken by that.
+    /// Number of crashes, indexed by server. A crash resets the server's connections.
     pub(super) deaths: Vec<watch::Sender<u64>>,
     pub(super) new_servers: mpsc::UnboundedSender<ServerIndex>,
     pub(super) watchers: FxHashMap<usize, mpsc::UnboundedSender<catalog::Action>>,
@@ -69,39 +69,39 @@
     pub(super) accounts: Vec<ClassAccount>,
     pub(super) latencies: Vec<Histogram<u64>>,
     pub(super) lateness: Histogram<u64>,
-    /// By proxy and server: attempts that came whole.
+    /// Number of attempts received in full. Key: proxy and server.
     pub reached: FxHashMap<(usize, ServerIndex), u64>,
     /// Health checks that reached a server.
     pub probed: u64,
-    /// Connections for which a server had no place.
+    /// Connections that a server rejected at its connection limit.
     pub rejected_connections: u64,
     pub(super) crossed: u64,
-    /// Proxies that were killed and are not back.
+    /// Proxies that were killed and do not serve again yet.
     pub(super) down: FxHashSet<usize>,
     pub(super) second_process: Option<SecondProcess>,
-    /// What the list has said since its links hold it back: proxy, server, and whether that is leaving.
+    /// Updates held back by the links to discovery: proxy, server, and whether the server is leaving.
     pub(super) held_notifications: Option<Vec<(usize, ServerIndex, bool)>>,
-    /// Attempts of clients that the model does not drive.
+    /// Number of attempts of clients outside of the model.
     pub(super) own_attempts: u64,
-    /// How late the machine may make what proxies do in time.
+    /// Lateness that a busy machine may add to timed actions of proxies, in microseconds.
     pub(super) allowed_lateness: Micros,
-    /// How and when clients left.
+    /// Departures of clients, with their time. Key: attempt.
     pub(super) left: FxHashMap<ClientAttemptId, (Departure, Micros)>,
     pub(super) sent_after_leave: Vec<SentAfterLeave>,
-    /// Attempts whose connection the proxy closed without an answer, and when.
+    /// Attempts whose connection the proxy closed without an answer, with the time.
     pub(super) closed_unanswered: Vec<(ClientAttemptId, Micros)>,
 }
 
-/// Clients go on trying a proxy that has died for so long.
+/// Time for which clients still use a killed proxy, in microseconds.
 pub(super) const DEATH_NOTICE_US: Micros = 2_000_000;
 const HIGHEST_LATENCY_US: u64 = 60_000_000;
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, HIGHEST_LATENCY_US, 3).expect("bounds that fit each other")
+    Histogram::new_with_bounds(1, HIGHEST_LATENCY_US, 3).expect("histogram bounds are valid")
 }
 
 impl State {
-    /// Everything is at its start; new servers and what clients are to do go to the two senders.
+    /// Creates the initial state; new servers and client tasks go to the two senders.
     pub(super) fn new(
         (site, list, clients): (site::Settings, catalog::Settings, clients::Settings),
         checker: Checker,
@@ -174,7 +174,7 @@
             match step {
                 TimerKind::Site(wake) => self.site(site::Event::Timer(wake), now),
                 TimerKind::List => self.list(catalog::Event::Due, now),
-                // Arrivals count from when they were meant to come.
+                // Arrivals count from their scheduled time.
                 TimerKind::Client(clients::TimerKind::Arrival) => {
                     self.clients(clients::Event::Timer(clients::TimerKind::Arrival), at)
                 }
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Settles what is open and gives what came of the run.
+    /// Settles open requests and returns the outcomes of the run.
     pub(super) fn close(&mut self) -> Outcomes {
         let mut actions = Vec::new();
         self.clients.close(&mut actions);
@@ -262,7 +262,7 @@
             .collect()
     }
 
-    /// Proxies that have a watch on the list, or a call for one.
+    /// Number of proxies with a watch of the list, or a pending request for one.
     pub fn watching(&self) -> usize {
         self.watchers.len()
     }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! Several processes of the proxy on loopback, the systems that they serve, faults between any two of them, and a
-//! recorded history of all that happened.
+//! Runs several proxy processes on loopback with simulated record servers, discovery and clients, injects faults into the
+//! links between them, and records a history of all events.
 //!
-//! A [`Testbed`] is made of a [`Setup`]: it opens record servers, the list's service and a relay for each link, and starts
-//! the proxies. Whoever holds it kills, stops and restarts them, cuts links, injects faults of servers, lets clients
-//! ask, waits for events, and at last reads what came of it and which rules were broken. `docs/design/testbed.md`.
+//! A [`Testbed`] starts from a [`Setup`]: it opens record servers, discovery and a relay for each link, and starts the
+//! proxies. The caller kills, stops and restarts proxies, cuts links, injects server faults, starts the clients, waits for
+//! events, and finally reads the outcomes and the violated rules. See `docs/design/testbed.md`.
 #![forbid(unsafe_code)]
 
 pub mod accounts;
@@ -46,15 +46,15 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::watch;
 
-/// One proxy: its process, while it has one, and the links on both sides of it.
+/// A proxy: its process, if one runs, and its links to clients and discovery.
 pub struct Proxy {
-    /// None after a kill, until the restart.
+    /// The running process; none between a kill and the restart.
     pub process: Option<Process>,
-    /// From its clients to it.
+    /// Link from the clients to the proxy.
     pub clients: Link,
-    /// From the proxy to the service that lists endpoints.
+    /// Link from the proxy to discovery.
     pub list: Link,
-    /// Where it serves.
+    /// Address on which the proxy serves clients.
     pub address: Option<SocketAddr>,
     /// The admin address, with [`Setup::admin`].
     pub admin: Option<SocketAddr>,
@@ -63,28 +63,28 @@
 
 /// A running fleet with its clients, servers and links. Dropping it kills every process.
 pub struct Testbed {
-    /// The models and the record of all that happened.
+    /// The models and the record of all events.
     pub history: History,
-    /// By number.
+    /// The proxies, indexed by their number.
     pub proxies: Vec<Proxy>,
     setup: Setup,
     links: Arc<watch::Sender<Links>>,
     addresses: Arc<watch::Sender<Addresses>>,
     datagram_links: DatagramLinks,
     load: LoadGenerator,
-    /// Ends last: all faces live on it.
+    /// Declared last, so that it is dropped after all tasks that run on it.
     runtime: Runtime,
 }
 
 impl Testbed {
-    /// Everything is up when it returns, and no client asks yet. What can't be started ends all the rest.
+    /// Starts all parts and waits until they are ready; clients send no requests yet. If one part fails to start, all others are stopped.
     pub fn start(setup: Setup) -> Result<Testbed, Fault> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build();
-        let runtime =
-            runtime.map_err(|e| Fault::new(format!("no threads for the testbed: {e}")))?;
+        let runtime = runtime
+            .map_err(|e| Fault::new(format!("the testbed's runtime cannot be started: {e}")))?;
         let (history, outputs) = history_of(&setup);
         let links = Arc::new(watch::Sender::new(Links::default()));
         let addresses = Arc::new(watch::Sender::new(Addresses::default()));
@@ -135,12 +135,12 @@
         (0..number).try_for_each(|proxy| self.ready(proxy))
     }
 
-    /// Where a proxy's files are.
+    /// Folder of a proxy's files.
     pub fn folder(&self, proxy: usize) -> &std::path::Path {
         self.proxies[proxy].folder.path()
     }
 
-    /// The links from these proxies to the servers of a place, or to all.
+    /// The links from these proxies to the servers at `place`; none: to all servers.
     pub fn links(&self, proxies: &[usize], place: Option<u16>) -> Vec<Link> {
         let inner = self.history.lock();
         let wanted = |server| place.is_none_or(|place| inner.site.place(server) == place);
@@ -156,7 +156,7 @@
         self.links.borrow().get(&(proxy, server)).cloned()
     }
 
-    /// Runs something that waits on the testbed's own threads.
+    /// Runs a future on the testbed's runtime and waits for its result.
     pub fn wait<F: std::future::Future>(&self, what: F) -> F::Output {
         self.runtime.block_on(what)
     }
@@ -166,7 +166,7 @@
         self.wait(self.history.until(what, is))
     }
 
-    /// Waits for all answers, and returns the outcomes.
+    /// Waits until all requests are settled, and returns the outcomes.
     pub fn finish(self) -> Result<Outcomes, Fault> {
         let length = Duration::from_micros(self.setup.clients.length);
         self.wait(self.history.finished(length))?;
@@ -199,13 +199,13 @@
 
 async fn open_new_servers(opener: ServerOpener, mut new: UnboundedReceiver<ServerIndex>) {
     while let Some(server) = new.recv().await {
-        // Without a port it is one that nobody reaches.
+        // If no port is available, the server stays unreachable.
         _ = opener.open(server).await;
     }
 }
 
 impl Proxy {
-    /// Its folder and its links; no process yet.
+    /// Creates the folder and the links, without a process.
     fn new(
         runtime: &Runtime,
         setup: &Setup,
@@ -216,8 +216,8 @@
         let service = discovery::open(history.clone(), proxy, Arc::clone(addresses));
         let service = runtime.block_on(service)?;
         let seed = setup.seed.wrapping_add((proxy as u64) << 32);
-        let folder =
-            Folder::new().map_err(|e| Fault::new(format!("no folder for proxy {proxy}: {e}")))?;
+        let folder = Folder::new()
+            .map_err(|e| Fault::new(format!("cannot create a folder for proxy {proxy}: {e}")))?;
         Ok(Proxy {
             process: None,
             clients: Link::open(runtime.handle(), None, seed)?,
--- a/crates/testbed/src/lifecycle.rs
+++ b/crates/testbed/src/lifecycle.rs
@@ -33,7 +33,7 @@
     pub(crate) fn ready(&mut self, proxy: usize) -> Result<(), Fault> {
         let at = &mut self.proxies[proxy];
         let Some(process) = at.process.as_mut() else {
-            return Err(Fault::new("it was not started"));
+            return Err(Fault::new("the proxy has no process"));
         };
         let named = |fault: Fault| Fault {
             problem: format!("proxy {proxy}: {}", fault.problem),
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Kill -9: what it holds dies with it.
+    /// Kills the proxy's process with SIGKILL; its open attempts end with it.
     pub fn kill(&mut self, proxy: usize) {
         self.history.proxy_killed(proxy);
         let at = &mut self.proxies[proxy];
@@ -68,12 +68,12 @@
             process.kill();
         }
         at.clients.set_target(None);
-        // Whatever was open to it has been reset by the kernel.
+        // The kernel has reset the proxy's connections, so those of the clients are reset too.
         at.clients.reset();
         self.set_datagram_target(proxy, None);
     }
 
-    /// It starts again under its name, from nothing but an old list.
+    /// Starts a new process of the proxy under its name, with the configured endpoint list, and waits until it is ready.
     pub fn restart(&mut self, proxy: usize) -> Result<(), Fault> {
         self.spawn(proxy)?;
         self.ready(proxy)?;
@@ -81,14 +81,14 @@
         Ok(())
     }
 
-    /// New files for a proxy, of a setup that was changed, and the word to read them.
+    /// Changes the setup, writes the proxy's files and sends SIGHUP.
     pub fn reload(&mut self, proxy: usize, change: impl FnOnce(&mut Setup)) -> Result<(), Fault> {
         self.place_files(proxy, change)?;
         self.signal(proxy, Signal::HUP);
         Ok(())
     }
 
-    /// New files for a proxy, of a setup that was changed.
+    /// Changes the setup and writes the proxy's files, without a reload.
     pub fn place_files(
         &mut self,
         proxy: usize,
@@ -98,7 +98,7 @@
         self.configure(proxy)
     }
 
-    /// Another process beside a proxy's own, for the same clients and in the same folder, as in an upgrade.
+    /// Starts a second process of a proxy with the same address and folder, as in a hot restart.
     pub fn start_new_process(&self, proxy: usize) -> Result<Process, Fault> {
         let address = self.proxies[proxy]
             .address
@@ -107,7 +107,7 @@
         Process::start(&self.plan(proxy, &address)?)
     }
 
-    /// The new process takes its old process's place in the testbed, and the old process is told to end.
+    /// Sends SIGTERM to the old process, replaces it by the new one, and returns the old one's exit code.
     pub fn replace_process(
         &mut self,
         proxy: usize,
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -1,4 +1,4 @@
-//! A relay for each link, and what goes wrong on it.
+//! A TCP relay for each link, with injected faults.
 
 use crate::process::Fault;
 use rand::Rng;
@@ -12,49 +12,49 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// How bytes go one way.
+/// How bytes are forwarded in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Flow {
     #[default]
     /// Forwarded at once.
     Passes,
-    /// Nothing comes through. What was sent waits until the link is healed, as TCP sends it again.
+    /// No bytes are forwarded. They are held until the link is healed, as TCP would retransmit them.
     Cut,
-    /// Each piece is later by a time between these.
+    /// Each piece is delayed by a random time within these bounds.
     Late(Duration, Duration),
-    /// Part of the pieces is lost once: later by this.
+    /// A share of the pieces is lost once, and so delayed by a retransmission.
     Lossy {
-        /// From 0 to 1.
+        /// Share of lost pieces, from 0 to 1.
         part: f64,
         /// The delay that stands for the retransmission.
         resend: Duration,
     },
-    /// Pieces of so many bytes, with this between them.
+    /// Bytes are forwarded in small pieces with pauses between them.
     Trickles {
-        /// The size of a piece.
+        /// Size of a piece, in bytes.
         bytes: usize,
-        /// The pause after each.
+        /// Pause after each piece.
         gap: Duration,
     },
 }
 
-/// What becomes of a new connection.
+/// Treatment of new connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Entry {
     #[default]
-    /// It is connected to the target.
+    /// Connected to the target.
     Open,
-    /// It is reset at once.
+    /// Reset at once.
     Refused,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct State {
-    /// From those who dial to those who are dialled, and back.
+    /// Directions from the connecting to the accepting side, and back.
     there: Flow,
     back: Flow,
     entry: Entry,
-    /// Grows when all connections are to be reset.
+    /// Number of resets of all connections so far.
     resets: u64,
     target: Option<SocketAddr>,
 }
@@ -65,12 +65,12 @@
     /// Where the dialling side connects.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
-    /// Connections that were taken, and are open.
+    /// Number of accepted connections, and of open ones.
     counts: Arc<watch::Sender<(u64, u64)>>,
 }
 
 impl Link {
-    /// A relay on a port of its own; without a target it refuses.
+    /// Opens a relay on its own port; without a target it resets connections.
     pub fn open(on: &Handle, target: Option<SocketAddr>, seed: u64) -> Result<Link, Fault> {
         let bound = std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| {
             listener.set_nonblocking(true)?;
@@ -79,7 +79,7 @@
             Ok((TcpListener::from_std(listener)?, address))
         });
         let (listener, address) =
-            bound.map_err(|e| Fault::new(format!("no port for a link: {e}")))?;
+            bound.map_err(|e| Fault::new(format!("cannot bind a port for a link: {e}")))?;
         let state = Arc::new(watch::Sender::new(State {
             target,
             ..State::default()
@@ -94,7 +94,7 @@
         Ok(link)
     }
 
-    /// New connections go to this address; none: they are reset.
+    /// Sets the address to which new connections are relayed; none: they are reset.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
@@ -105,39 +105,39 @@
             .send_modify(|state| (state.there, state.back) = (there, back));
     }
 
-    /// Nothing passes in either direction.
+    /// Holds all bytes in both directions.
     pub fn cut(&self) {
         self.set(Flow::Cut, Flow::Cut);
     }
 
-    /// New connections are reset.
+    /// Resets new connections.
     pub fn refuse(&self) {
         self.state.send_modify(|state| state.entry = Entry::Refused);
     }
 
-    /// All passes again; what was held back comes now.
+    /// Removes all faults; held bytes are forwarded now.
     pub fn heal(&self) {
         self.state.send_modify(|s| {
             (s.there, s.back, s.entry) = (Flow::Passes, Flow::Passes, Entry::Open)
         });
     }
 
-    /// All connections end with a reset.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
 
-    /// Connections so far.
+    /// Number of connections accepted so far.
     pub fn taken(&self) -> u64 {
         self.counts.borrow().0
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn connections(&self) -> u64 {
         self.counts.borrow().1
     }
 
-    /// Waits until so many connections were taken.
+    /// Waits until `number` connections have been accepted.
     pub async fn until_taken(&self, number: u64) {
         _ = self
             .counts
@@ -146,7 +146,7 @@
             .await;
     }
 
-    /// Waits until so many are open.
+    /// Waits until `number` connections are open.
     pub async fn until_open(&self, number: u64) {
         _ = self
             .counts
@@ -194,12 +194,12 @@
     }
 }
 
-/// Makes the close of this connection a reset.
+/// Sets the connection to be closed with a reset.
 pub fn reset(stream: &TcpStream) {
     _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
 
-/// Reads what is there, waiting for the first byte; 0 at the end.
+/// Waits for bytes and reads those available; returns 0 at the end of the stream.
 pub async fn read(from: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         from.readable().await?;
@@ -222,7 +222,7 @@
     Ok(())
 }
 
-/// Carries one direction until its end, which it passes on.
+/// Relays one direction until its end, which it forwards.
 async fn pump(
     from: &TcpStream,
     to: &TcpStream,
@@ -262,7 +262,7 @@
             } => (piece, gap) = (bytes.max(1), between),
         }
         for part in bytes[..n].chunks(piece) {
-            // A cut in the midst holds the rest.
+            // A cut during a piece holds its rest.
             state
                 .wait_for(|s| flow(s) != Flow::Cut)
                 .await
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets: what the history's clients are to ask, asked.
+//! Sends the requests of the modelled clients to the proxies over sockets.
 
 use crate::history::{ClientTask, History};
 use crate::process::lock;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Connections that nothing is on, by proxy.
+/// Idle connections, indexed by proxy.
 type Pools = Arc<Vec<Mutex<Vec<Connection>>>>;
 
 pub struct LoadGenerator {
@@ -20,7 +20,7 @@
     history: History,
 }
 
-/// A client's statement, as the protocol has it.
+/// SQL statement of a client's attempt, with its request fields in a comment.
 pub fn statement(
     history: &History,
     set: &Settings,
@@ -54,7 +54,7 @@
 }
 
 impl LoadGenerator {
-    /// `proxies`: where clients find each; `slack`: how much longer they wait than they say.
+    /// `proxies`: address of each proxy for clients; `slack`: time that clients wait beyond the deadline that they announce.
     pub fn new(
         history: History,
         set: Settings,
@@ -79,7 +79,7 @@
                         cancelled,
                     } = task;
                     tokio::select! {
-                        // Whoever gives up closes its connection.
+                        // A client that gives up closes its connection.
                         _ = cancelled => {}
                         () = ask(&history, &set, &pools, address, &asked, (until, slack)) => {}
                     }
@@ -89,7 +89,7 @@
         load
     }
 
-    /// Nothing was said on a connection after its last answer.
+    /// Checks that no idle connection has received a further answer.
     pub fn close(&self) {
         for pool in self.pools.iter() {
             lock(pool).drain(..).for_each(|mut connection| {
@@ -101,7 +101,7 @@
     }
 }
 
-/// A connection that was used before and is fit for use.
+/// Takes a usable idle connection from the pool.
 fn pooled(history: &History, pool: &Mutex<Vec<Connection>>) -> Option<Connection> {
     loop {
         let mut connection = lock(pool).pop()?;
@@ -130,11 +130,11 @@
             Some(connection) => Ok(connection),
             None => Connection::open(address).await,
         };
-        // Also after a close that crossed it: a front would have gone to another proxy.
+        // Also after a close that crossed the request: a front load balancer would have chosen another proxy.
         let Ok(mut connection) = connection else {
             return history.connection_lost(asked.id, false);
         };
-        // Its time counts from when it was meant to be asked: waiting for a connection is part of it.
+        // The attempt's time counts from its scheduled start, so connecting is part of it.
         let text = text.get_or_insert_with(|| {
             statement(
                 history,
@@ -154,7 +154,7 @@
                     (None, false) => history.failed(asked.id),
                 };
             }
-            // The proxy's close of an idle connection has crossed the request: it goes once more, on a new one.
+            // The proxy's close of an idle connection has crossed the request, which is sent once more on a new connection.
             Err(_) if reused => history.retried_after_close(),
             Err(_) => return history.connection_lost(asked.id, true),
         }
