--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -1,4 +1,4 @@
-//! What each proxy is told of the others, and who may hear whom.
+//! Member configuration of the proxies, and faults of the datagrams between them.
 
 use crate::datagrams::{DatagramFaults, DatagramLink};
 use crate::discovery::zone;
@@ -13,30 +13,30 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Handle;
 
-/// By who sends and who hears.
+/// Key: sending and receiving proxy.
 pub type DatagramLinks = FxHashMap<(usize, usize), DatagramLink>;
 
 /// The file of datagram keys in a proxy's folder.
 pub const KEY_FILE: &str = "members.key";
-/// What a proxy says once it hears others; its address follows.
+/// Log line of a proxy whose member socket is open; the address follows.
 pub const LISTENING_LINE: &str = "members: heard on ";
-/// A proxy's own address in its own file: nothing is sent there, and no relay has it.
+/// A proxy's own address in its own roster, to which nothing is sent.
 const OWN: &str = "127.0.0.1:9";
-/// Between two looks at a proxy's figures.
+/// Interval between two reads of a proxy's metrics.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// The proxies as members of one roster.
+/// Settings of the members: all proxies on one roster.
 #[derive(Clone, Debug)]
 pub struct Members {
     /// The version of the roster.
     pub version: u64,
-    /// Further lines of the section.
+    /// Further lines of the `members` section.
     pub settings: String,
-    /// The numbers of the keys in the file, in their order.
+    /// Numbers of the keys in the key file, in order.
     pub keys: Vec<u64>,
-    /// Who is on it; none: all. A proxy that is not on it has no roster, and none hears it.
+    /// Proxies on the roster; empty: all. Other proxies have no roster and exchange no messages.
     pub roster: Vec<usize>,
-    /// By proxy; those beyond its end go by their place.
+    /// Region of each proxy; proxies beyond the end use their place.
     pub regions: Vec<String>,
 }
 
@@ -58,7 +58,7 @@
         self.roster.is_empty() || self.roster.contains(&proxy)
     }
 
-    /// A key of one number is the same in the files of all.
+    /// Contents of the key file. A key number gives the same key for all proxies.
     pub fn key_file(&self, seed: u64) -> String {
         let key = |number: &u64| {
             let mut draws = Xoshiro256PlusPlus::seed_from_u64(seed ^ number << 32);
@@ -71,7 +71,7 @@
     }
 }
 
-/// A relay for each ordered pair.
+/// Opens a relay for each ordered pair of proxies.
 pub(crate) fn datagram_links(
     on: &Handle,
     proxies: usize,
@@ -85,7 +85,7 @@
     pairs.filter(|(from, to)| from != to).map(open).collect()
 }
 
-/// The part of a proxy's operators' file that tells of the others.
+/// The `members` section of a proxy's operators' file.
 pub(crate) fn section(
     setup: &Setup,
     datagram_links: &DatagramLinks,
@@ -113,7 +113,7 @@
             .get(&(proxy, member))
             .map_or_else(|| OWN.to_owned(), |t| t.address.to_string());
         let region = region(setup, members, member);
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         _ = write!(
             text,
             "member n{member} {{\n address {address}\n region {region}\n}}\n"
@@ -135,22 +135,22 @@
             .map_or_else(String::new, |members| region(&self.setup, members, member))
     }
 
-    /// The datagrams from one proxy to another, if the testbed has members.
+    /// The datagram link from one proxy to another; a fault without [`Setup::members`].
     pub fn datagram_link(&self, from: usize, to: usize) -> Result<DatagramLink, Fault> {
         let link = self.datagram_links.get(&(from, to)).cloned();
         link.ok_or_else(|| {
             Fault::new(format!(
-                "no datagrams go from proxy {from} to {to}: set members"
+                "no datagram link from proxy {from} to proxy {to}: set Setup::members"
             ))
         })
     }
 
-    /// Every direction, with who sends and who hears.
+    /// All datagram links, each with its sending and receiving proxy.
     pub fn datagram_links(&self) -> impl Iterator<Item = ((usize, usize), &DatagramLink)> {
         self.datagram_links.iter().map(|(pair, link)| (*pair, link))
     }
 
-    /// No datagram goes from one of these groups to another. Proxies in none of them hear all and are heard.
+    /// Cuts all datagrams between these groups. Proxies in none of the groups stay connected to all.
     pub fn partition(&self, groups: &[&[usize]]) {
         let of = |proxy: usize| groups.iter().position(|group| group.contains(&proxy));
         for ((from, to), link) in self.datagram_links() {
@@ -162,24 +162,24 @@
         }
     }
 
-    /// Only from the one to the other: what the other sends is dropped.
+    /// Cuts the datagrams from `to` to `from`, so that they pass in one direction only.
     pub fn one_way(&self, from: usize, to: usize) -> Result<(), Fault> {
         self.datagram_link(to, from)?.cut();
         Ok(())
     }
 
-    /// The same for all directions.
+    /// Sets the same faults on all datagram links.
     pub fn set_datagram_faults(&self, way: impl Into<DatagramFaults>) {
         let way = way.into();
         self.datagram_links().for_each(|(_, link)| link.set(way));
     }
 
-    /// All datagrams pass again.
+    /// Removes the faults of all datagram links.
     pub fn heal_datagrams(&self) {
         self.set_datagram_faults(DatagramFaults::default());
     }
 
-    /// What others send to a proxy goes there from now on.
+    /// Sets the address to which the datagrams of all others to a proxy are forwarded.
     pub fn set_datagram_target(&self, to: usize, target: Option<SocketAddr>) {
         for ((_, hears), link) in self.datagram_links() {
             if hears == to {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Looks at a proxy's figure until it is so, and gives it; with [`Setup::admin`].
+    /// Reads a proxy's metric until it satisfies `is`, and returns its value; needs [`Setup::admin`].
     pub fn metric_until(
         &self,
         proxy: usize,
@@ -212,9 +212,10 @@
                     .map(|(name, n)| format!("{name} {n}"))
                     .collect();
                 words.sort();
-                let value = value.map_or_else(|| "not told".to_owned(), |value| value.to_string());
+                let value =
+                    value.map_or_else(|| "not exported".to_owned(), |value| value.to_string());
                 let problem =
-                    format!("figures of proxy {proxy}: {name} is {value} and not as waited for");
+                    format!("metrics of proxy {proxy}: {name} is {value}, timed out waiting for the expected value");
                 return Err(Fault {
                     problem,
                     words,
--- a/crates/testbed/src/planted_violation.rs
+++ b/crates/testbed/src/planted_violation.rs
@@ -1,4 +1,4 @@
-//! A proxy that breaks one rule on purpose: what the checkers are proven by. It knows the history, so that it can.
+//! A proxy that violates one rule on purpose, to test the checkers. It reads the history to find suitable servers.
 
 use crate::discovery::Addresses;
 use crate::history::History;
@@ -16,34 +16,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A proxy that breaks one rule.
+/// A proxy that violates one rule.
 #[derive(Clone)]
 pub struct PlantedViolation {
-    /// The rule that it breaks.
+    /// The violated rule.
     pub rule: Rule,
-    /// The proxy in whose place it serves.
+    /// The proxy that it replaces.
     pub proxy: usize,
-    /// Where it looks up which servers there are.
+    /// History, from which the servers are read.
     pub history: History,
-    /// Where it finds them.
+    /// Addresses of the servers.
     pub addresses: Arc<watch::Sender<Addresses>>,
-    /// Its way to the list's service.
+    /// Address of discovery.
     pub list: SocketAddr,
 }
 
-/// Attempts that no platform of the testbed allows.
+/// Number of attempts above every limit that the testbed sets.
 const TOO_MANY: usize = 50;
 
 impl PlantedViolation {
-    /// Starts to serve and gives its address.
+    /// Starts to serve and returns the address.
     pub async fn open(self) -> Result<SocketAddr, Fault> {
         let bound = TcpListener::bind("127.0.0.1:0").await;
-        let listener =
-            bound.map_err(|e| Fault::new(format!("no port for a planted proxy: {e}")))?;
+        let listener = bound.map_err(|e| {
+            Fault::new(format!(
+                "cannot bind a port for a proxy with a planted violation: {e}"
+            ))
+        })?;
         let address = listener
             .local_addr()
-            .map_err(|e| Fault::new(format!("a planted proxy: {e}")))?;
-        // It is told what others are told, and heeds nothing of it.
+            .map_err(|e| Fault::new(format!("a proxy with a planted violation: {e}")))?;
+        // Watches the endpoint list like other proxies, but ignores it.
         let list = self.list;
         tokio::spawn(async move {
             let Ok(stream) = TcpStream::connect(list).await else {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// An error ends the connection.
+    /// Answers a statement; an error closes the connection.
     async fn answer(&self, text: &str) -> io::Result<Vec<u8>> {
         let Ok(Query::Request(request)) = statement::parse(text, Instant::now()) else {
             return Ok(server::empty_query());
@@ -139,7 +142,7 @@
                 self.forward(target, text).await?;
                 wire::error("53300", &[])
             }
-            // What is wrong is where it goes: to a server that drains, is cold or is behind, for all it knows.
+            // The violation lies in the target, which may drain, be cold or be stale.
             Rule::Stale | Rule::Drained | Rule::Collapsed => {
                 shown(self.forward(target, text).await?)
             }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Programs as the testbed starts, signals and ends them.
+//! Starts, signals and ends programs, and reads their log lines.
 
 use rustix::process::{getpid, kill_process, Pid, Signal};
 use std::collections::VecDeque;
@@ -12,26 +12,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing on the testbed waits longer than this for an event; it is no bound on anything that is measured.
+/// Maximum time that the testbed waits for an event; not a bound on any measured quantity.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Names the level of proxies' logs, where they are written to files.
+/// Environment variable with the level of proxies' logs that are written to files.
 const LOG_LEVEL_VARIABLE: &str = "TESTBED_LOG_LEVEL";
-/// Lines of a program that are kept.
+/// Number of a program's latest lines that are kept.
 const LINES: usize = 4_000;
 
-/// A program that did not do as it should: what it said, and how it ended.
+/// A failure of the testbed or of a program, with the program's output and exit code.
 #[derive(Debug)]
 pub struct Fault {
-    /// What did not happen.
+    /// Description of the failure.
     pub problem: String,
-    /// The last lines of its standard error.
+    /// The last lines of the program's standard error.
     pub words: Vec<String>,
-    /// Its exit code, if it ended with one.
+    /// The program's exit code, if it exited with one.
     pub code: Option<i32>,
 }
 
 impl Fault {
-    /// A fault without output of a program.
+    /// Creates a fault without output of a program.
     pub fn new(problem: impl Into<String>) -> Fault {
         Fault {
             problem: problem.into(),
@@ -55,35 +55,31 @@
 
 impl std::error::Error for Fault {}
 
-/// Locks; a panic of another holder is ignored.
+/// Locks a mutex and ignores that another holder has panicked.
 pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The program of that name that was built beside the one that runs.
+/// Path of the program of that name, built into the same folder as the running one.
 pub fn built(name: &str) -> Result<PathBuf, Fault> {
     let own = std::env::current_exe()
-        .map_err(|e| Fault::new(format!("where this program stands: {e}")))?;
-    // Tests stand in a folder below the programs.
+        .map_err(|e| Fault::new(format!("cannot find the path of the running program: {e}")))?;
+    // Test programs are in a subfolder of the programs' folder.
     let places = own
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join(name));
     let found = places.into_iter().find(|path| path.is_file());
-    found.ok_or_else(|| {
-        Fault::new(format!(
-            "{name} is not built: cargo build --workspace builds it"
-        ))
-    })
+    found.ok_or_else(|| Fault::new(format!("{name} is not built: run cargo build --workspace")))
 }
 
-/// A folder that goes with its owner.
+/// A temporary folder, removed on drop.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A new folder below the system's folder for temporary files.
+    /// Creates a folder in the system's folder for temporary files.
     pub fn new() -> std::io::Result<Folder> {
         static MADE: AtomicU32 = AtomicU32::new(0);
         let number = MADE.fetch_add(1, Ordering::Relaxed);
@@ -92,7 +88,7 @@
         Ok(Folder(path))
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -104,31 +100,31 @@
     }
 }
 
-/// What is to be started.
+/// A program to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The executable.
     pub program: PathBuf,
     /// Its arguments.
     pub words: Vec<String>,
-    /// Environment variables that are added.
+    /// Additional environment variables.
     pub variables: Vec<(String, String)>,
-    /// Descriptors that it may hold; 0: as many as the testbed.
+    /// Limit of open descriptors; 0: the testbed's own limit.
     pub files: u64,
-    /// Where all that it says is written behind what stands there, with a line for each answer; none: some of it is
-    /// kept in memory.
+    /// File to which the program's log is appended, at a level with a line for each answer; none: only the latest lines
+    /// are kept in memory.
     pub log: Option<PathBuf>,
 }
 
 #[derive(Debug, Default)]
 struct Output {
     lines: VecDeque<String>,
-    /// Lines that are no longer kept.
+    /// Number of earlier lines that were dropped.
     dropped: usize,
     ended: bool,
 }
 
-/// A process; it is killed when its owner lets go of it, and by the kernel when the testbed dies.
+/// A running process; killed on drop, and by the kernel when the testbed's process ends.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -137,7 +133,7 @@
 }
 
 impl Process {
-    /// The thread that calls this has to outlive the process: the kernel takes its end for the testbed's.
+    /// Starts the program. The calling thread has to outlive the process, since the kernel kills the process when the thread ends.
     pub fn start(plan: &Plan) -> Result<Process, Fault> {
         let mut command = Command::new(built("testbed-launch")?);
         command
@@ -163,7 +159,7 @@
             .stderr(Stdio::piped());
         let mut child = command
             .spawn()
-            .map_err(|e| Fault::new(format!("{} can't be started: {e}", plan.program.display())))?;
+            .map_err(|e| Fault::new(format!("cannot start {}: {e}", plan.program.display())))?;
         let said = Arc::new((Mutex::new(Output::default()), Condvar::new()));
         let (words, kept) = (child.stderr.take(), Arc::clone(&said));
         thread::spawn(move || {
@@ -173,7 +169,7 @@
                 .flat_map(|w| w.lines().map_while(Result::ok))
             {
                 if let Some(log) = &mut log {
-                    // What can't be written is still heard.
+                    // A line that cannot be written to the log file is still kept.
                     _ = writeln!(log, "{line}");
                 }
                 let mut said = lock(&kept.0);
@@ -199,9 +195,9 @@
         self.child.id()
     }
 
-    /// Sends a signal; without effect on a process that has ended.
+    /// Sends a signal; has no effect on a process that has ended.
     pub fn signal(&mut self, signal: Signal) {
-        // It may have ended by itself.
+        // The process may have ended by itself.
         _ = kill_process(Pid::from_child(&self.child), signal);
         match signal {
             Signal::STOP => self.stopped = true,
@@ -216,23 +212,23 @@
         _ = self.child.wait();
     }
 
-    /// Whether it has said these words in the lines that are kept.
+    /// Whether a kept log line contains these words.
     pub fn has_said(&self, words: &str) -> bool {
         let said = lock(&self.said.0);
         said.lines.iter().any(|line| line.contains(words))
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Its exit code, once it has ended; none by a signal.
+    /// Waits for the end of the process and returns its exit code; none if ended by a signal.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().ok().and_then(|status| status.code())
     }
 
-    /// The first line with these words among those from number `from` on, and its number.
+    /// Waits for a log line that contains these words, at number `from` or later; returns the line and its number.
     pub fn wait_for_line(&mut self, words: &str, from: usize) -> Result<(usize, String), Fault> {
         let until = Instant::now() + EVENT_TIMEOUT;
         let (said, came) = &*self.said;
@@ -247,8 +243,14 @@
             if said.ended || left.is_zero() {
                 let last = said.lines.iter().rev().take(20).rev().cloned().collect();
                 let (problem, ended) = match said.ended {
-                    true => (format!("it ended before it said {words:?}"), true),
-                    false => (format!("it does not say {words:?}"), false),
+                    true => (
+                        format!("the program ended before it logged {words:?}"),
+                        true,
+                    ),
+                    false => (
+                        format!("timed out waiting for a log line with {words:?}"),
+                        false,
+                    ),
                 };
                 drop(said);
                 let code = if ended {
--- a/crates/testbed/src/server_opener.rs
+++ b/crates/testbed/src/server_opener.rs
@@ -1,4 +1,4 @@
-//! A listener for each record server, and the links that lead to it.
+//! Opens a listener for each record server, and the links from the proxies to it.
 
 use crate::discovery::Addresses;
 use crate::history::History;
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// By proxy and server.
+/// Links to record servers. Key: proxy and server.
 pub type Links = rustc_hash::FxHashMap<(usize, ServerIndex), Link>;
 
-/// Opens record servers, also those that join later.
+/// Opens record servers, at the start and when they join later.
 pub(crate) struct ServerOpener {
     pub(crate) history: History,
     pub(crate) links: Arc<watch::Sender<Links>>,
@@ -21,7 +21,7 @@
 }
 
 impl ServerOpener {
-    /// A server's listener, and a link to it from each proxy.
+    /// Opens a server's listener, and a link to it from each proxy.
     pub(crate) async fn open(&self, server: ServerIndex) -> Result<(), Fault> {
         let address = servers::open(self.history.clone(), server).await?;
         let on = tokio::runtime::Handle::current();
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -1,4 +1,4 @@
-//! Record servers on sockets: one listener each, all answered by the history.
+//! Record servers on sockets: one listener each; the history computes all answers.
 
 use crate::history::History;
 use crate::link::{self, reset};
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Listens for a server, on a port that stays its own whatever becomes of it.
+/// Opens a server's listener. The port stays the same across the server's crashes.
 pub async fn open(history: History, server: ServerIndex) -> Result<SocketAddr, Fault> {
     let bound = TcpListener::bind("127.0.0.1:0").await;
     let listener = bound.map_err(|e| Fault::new(format!("no port for server {server}: {e}")))?;
@@ -27,7 +27,7 @@
     Ok(address)
 }
 
-/// A place in the server's table of connections, until it is let go.
+/// A connection's entry in the server's connection table, released on drop.
 struct Place<'a> {
     history: &'a History,
     server: ServerIndex,
@@ -36,7 +36,7 @@
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        // A server that has died since has forgotten all of them.
+        // A crash of the server has cleared its table.
         if *self.history.watch_deaths(self.server).borrow() == self.life {
             self.history.hang_up(self.server);
         }
@@ -65,7 +65,7 @@
     drop(place);
 }
 
-/// What a peer gets that can't be understood, or has gone: the end of the connection.
+/// The connection has to be closed: invalid input, or the peer has gone.
 struct Over;
 
 async fn converse(
@@ -84,7 +84,7 @@
                     None => break,
                     Some((Startup::Session(bytes), used)) => {
                         greeted = true;
-                        // A table that is full says so.
+                        // A full connection table is reported as an error.
                         let out = if welcome {
                             bytes
                         } else {
@@ -140,11 +140,11 @@
     let Some(reply) = id.and_then(|id| history.request(server, id)) else {
         return Ok(wire::error(sqlstate::PROTOCOL_VIOLATION, &[]));
     };
-    // What hangs never answers; what dies resets.
+    // A hanging server never answers; a crash resets the connection.
     let said = reply.await.map_err(|_| Over)?;
     let mut parameters = Vec::new();
     if let Some(metadata) = said.metadata {
-        // A write's commit is rounded up: what has it has all of it.
+        // A write's commit position is rounded up, so that a replica at that position has the whole write.
         let micros = history.unix(metadata.position).as_micros();
         let write = said.answer == Answer::Ok && metadata.primary;
         let millis = if write {
@@ -180,12 +180,12 @@
     })
 }
 
-/// The value of an answer: whose it is, and which answer.
+/// Value of an answer, which identifies the attempt and the answer.
 pub fn value(id: u64, exchange: u64) -> String {
     format!("{id:016x}{exchange:016x}")
 }
 
-/// Which answer a value names, if it is this request's.
+/// The answer that a value identifies, if it belongs to this attempt.
 pub fn exchange(value: &str, id: u64) -> Option<u64> {
     let of = value
         .get(..16)
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a proxy on the testbed is told of its platform.
+//! Platform settings of a proxy on the testbed.
 
 use crate::discovery::zone;
 use serde_json::{json, Value};
@@ -6,7 +6,7 @@
 use server_model::platform::Platform;
 use server_model::site;
 
-/// The settings object of proxy `number`, which stands in `place`; times in microseconds, as the platform has them.
+/// The platform settings of proxy `number` at `place`, as JSON; times in microseconds.
 pub fn settings(
     site: &site::Settings,
     clients: &clients::Settings,
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -1,4 +1,4 @@
-//! What a testbed is made of.
+//! Settings of a testbed.
 
 use crate::members::Members;
 use crate::process::{self, Fault};
@@ -8,50 +8,50 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Names a folder that exists: proxies' logs go there where the setup names no other.
+/// Environment variable with an existing folder for proxies' logs, if the setup names no other.
 const LOGS_VARIABLE: &str = "TESTBED_LOGS";
 
-/// Names the proxy to start in place of the one that was built beside the caller.
+/// Environment variable with the proxy program to start, in place of the one built in the caller's folder.
 const PROGRAM_VARIABLE: &str = "TESTBED_PROGRAM";
 
-/// What is put up.
+/// Settings of a testbed.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The record servers.
     pub site: site::Settings,
-    /// The service that lists them.
+    /// Discovery.
     pub list: catalog::Settings,
-    /// The clients, and how many proxies there are.
+    /// The clients, and the number of proxies.
     pub clients: clients::Settings,
-    /// What the proxies are told of the platform.
+    /// Platform settings of the proxies.
     pub platform: Platform,
-    /// Of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The proxy; of several builds, each proxy takes the next in turn.
+    /// Proxy programs, assigned to the proxies in turn.
     pub programs: Vec<PathBuf>,
-    /// The operators' file, the same for all but for `FOLDER`.
+    /// The operators' file, the same for all proxies except for `FOLDER`.
     pub operators: String,
-    /// Proxies that tell each other of themselves by datagrams; the relays between them are opened at the start alone.
+    /// Membership of the proxies; none: disabled. The relays between the members are opened only at the start.
     pub members: Option<Members>,
-    /// Whether proxies have a second address.
+    /// Whether proxies have an admin address.
     pub admin: bool,
-    /// Whether they are handed a list at their start.
+    /// Whether proxies get an endpoint list in their configuration.
     pub known: bool,
-    /// Where proxies' logs go, one file each.
+    /// Folder for proxies' logs, one file each.
     pub logs: Option<PathBuf>,
-    /// In place of programs, proxies that break this rule.
+    /// Replaces the programs by proxies that violate this rule.
     pub planted_violation: Option<Rule>,
-    /// Descriptors and memory of each proxy.
+    /// Limit of open descriptors of each proxy.
     pub sockets: u64,
-    /// The memory limit that each proxy is told, in MB.
+    /// Memory limit in each proxy's configuration, in MB.
     pub memory_mb: u64,
-    /// How much longer clients wait than they tell the proxy: how late a machine that is busy with other things may
-    /// make an answer that was given in time.
+    /// Time that clients wait beyond the deadline that they announce: on a busy machine, an answer given in time may arrive
+    /// late by as much.
     pub slack: Duration,
 }
 
 impl Setup {
-    /// With the proxy that `TESTBED_PROGRAM` names, or the one that was built beside the caller.
+    /// Uses the proxy program in `TESTBED_PROGRAM`, or the one built in the caller's folder.
     pub fn new(site: site::Settings, clients: clients::Settings) -> Result<Setup, Fault> {
         Ok(Setup {
             site,
--- a/crates/testbed/src/soak/checks.rs
+++ b/crates/testbed/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What has to hold around the signals of a soak run, beside the rules of the recorded history.
+//! Checks of the proxies' processes around the signals of a soak run, in addition to the rules of the recorded history.
 
 use super::process_state::{describe_sockets, ProcessState};
 use super::{Breach, Run};
@@ -8,28 +8,28 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A process has to be ready so soon after its start.
+/// Maximum time from a process's start until it is ready.
 pub const READY_BOUND: Duration = Duration::from_secs(10);
-/// A sound file has to be in force so soon after SIGHUP.
+/// Maximum time from SIGHUP until a valid file is in force.
 pub const RELOAD_BOUND: Duration = Duration::from_secs(4);
-/// What a process held for clients and servers has to be let go of so soon.
+/// Maximum time until a process has released what it held for clients and servers.
 const RELEASE_BOUND: Duration = Duration::from_secs(5);
-/// A process that holds the same after this time has settled.
+/// A process whose resources do not change for this time has settled.
 const SETTLED: Duration = Duration::from_millis(100);
 const POLL: Duration = Duration::from_millis(20);
-/// Requests that ask for the marker have numbers from here on.
+/// First id of requests for the marker.
 const FIRST_MARKER_ID: u64 = 1 << 50;
-/// The marker of the first file, in milliseconds, and the step from each file to the next.
+/// Marker of the first file, and increment per file, in milliseconds.
 const FIRST_MARKER_MS: u64 = 100;
 const MARKER_STEP_MS: u64 = 10;
 
-/// The operators' file of this number: it answers a statement that nobody else sends with its marker.
+/// The operators' file of this number. It refuses a statement that only the checks send, with the file's marker.
 pub fn operators_file(version: u64) -> String {
     let marker = marker(version);
     format!("route marker {{\n class any\n statement \"SELECT marker\"\n refuse {marker}ms\n}}\n")
 }
 
-/// The milliseconds after which the file of this number tells the asker of its marker to come back.
+/// Marker of the file of this number: the retry time in its refusal, in milliseconds.
 fn marker(version: u64) -> u64 {
     FIRST_MARKER_MS + MARKER_STEP_MS * version
 }
@@ -43,7 +43,7 @@
 }
 
 impl Run {
-    /// The last sound file is in force within this time.
+    /// Checks that the last valid file is in force within this time.
     pub fn check_file(&mut self, proxy: usize, within: Duration) {
         let expected = marker(self.expected_versions[proxy]);
         let address = self.context(proxy).address;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A process was ready after this time.
+    /// Checks that a process, ready after this time, was within the bound.
     pub fn check_ready(&mut self, proxy: usize, after: Duration, bound: Duration) {
         self.report.ready.push(after);
         self.log(format!("proxy {proxy} is ready"));
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A process that is killed at the earliest moment owes nothing.
+    /// Checks that a process has no unanswered attempts at the earliest time of SIGKILL.
     pub fn check_owed(&mut self, proxy: usize) {
         let attempts = self.testbed.history.owed(proxy);
         if !attempts.is_empty() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A process that nobody asks holds no more than at its start, but for connections to record servers and discovery.
+    /// Checks that an idle process holds no more resources than at its start, except connections to record servers and discovery.
     pub fn check_left_behind(&mut self, proxy: usize) {
         let until = Instant::now() + RELEASE_BOUND;
         loop {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// What a process holds once its start is over: what does not change any more.
+    /// Resources of a process after its start, once they do not change any more.
     pub(super) fn settled_state_of(&self, proxy: usize) -> Result<ProcessState, Fault> {
         let until = Instant::now() + RELEASE_BOUND;
         let mut state = self.state_of(proxy)?;
@@ -121,38 +121,38 @@
         }
     }
 
-    /// What a proxy's process holds; of sockets, those that are no connection to a record server or to discovery.
+    /// Resources of a proxy's process, without its connections to record servers and discovery.
     pub(super) fn state_of(&self, proxy: usize) -> Result<ProcessState, Fault> {
         let at = &self.testbed.proxies[proxy];
         let Some(process) = &at.process else {
-            return Err(Fault::new("no process"));
+            return Err(Fault::new("the proxy has no process"));
         };
         let links = self.testbed.links(&[proxy], None);
         let mut relays: BTreeSet<u16> = links.iter().map(|link| link.address.port()).collect();
         relays.insert(at.list.address.port());
         ProcessState::read(process.number(), &relays)
-            .map_err(|e| Fault::new(format!("its state can't be read: {e}")))
+            .map_err(|e| Fault::new(format!("cannot read the state of the process: {e}")))
     }
 }
 
-/// What there is more of than at the start; the first that is found.
+/// The first resource that has grown since the start.
 fn left_behind(first: &ProcessState, now: &ProcessState) -> Option<String> {
     if now.sockets > first.sockets {
         return Some(format!(
-            "{} sockets, at its start {}",
+            "{} sockets instead of {}",
             now.sockets, first.sockets
         ));
     }
     if now.other_descriptors > first.other_descriptors {
         return Some(format!(
-            "{} descriptors that are no sockets, at its start {}",
+            "{} descriptors other than sockets instead of {}",
             now.other_descriptors, first.other_descriptors
         ));
     }
-    // A thread that serves reloads starts with the first of them, and stays.
+    // The thread for reloads starts with the first reload and stays.
     let doubled = now
         .threads
         .iter()
         .find(|(name, number)| **number > first.threads.get(*name).copied().unwrap_or(0).max(1));
-    doubled.map(|(name, number)| format!("{number} threads {name}"))
+    doubled.map(|(name, number)| format!("{number} threads with the name {name}"))
 }
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak run beside those of the model: they hold connections through the end of a process, leave or cancel in the
-//! midst of a request, or only take up descriptors.
+//! Further clients of a soak run, outside of the model: they hold connections until the end of a process, leave or cancel
+//! during a request, or only occupy descriptors.
 
 use super::plan::GROUPS;
 use crate::history::{Departure, History};
@@ -15,28 +15,28 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Requests that one write of a held connection brings, at most.
+/// Maximum number of requests in one write on a held connection.
 const MAX_PIPELINED: usize = 3;
 /// The longest pause between requests of a held connection, in milliseconds.
 const MAX_PAUSE_MS: u64 = 40;
-/// Clients that leave or cancel do so at most so many milliseconds after their request.
+/// Maximum time from a request until its client leaves or cancels, in milliseconds.
 const MAX_STAY_MS: u64 = 12;
-/// The longest pause between two such clients of one proxy, in milliseconds.
+/// The longest pause between two leaving clients of one proxy, in milliseconds.
 const MAX_VISIT_PAUSE_MS: u64 = 60;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all clients of a proxy need.
+/// Context that all clients of a proxy share.
 #[derive(Clone)]
 pub struct ClientContext {
-    /// Where what they do is recorded.
+    /// History that records the clients' actions.
     pub history: History,
-    /// The classes that they ask for.
+    /// Classes of the requests.
     pub settings: Arc<Settings>,
-    /// The proxy that they ask.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// Where it listens.
+    /// Address of the proxy.
     pub address: SocketAddr,
-    /// How much longer they wait than they say.
+    /// Time that clients wait beyond the deadline that they announce.
     pub slack: Duration,
 }
 
@@ -48,7 +48,7 @@
         self.history.own_attempt(class, self.proxy, group, wait)
     }
 
-    /// The request is being sent now.
+    /// Records that the request is sent now, and returns its statement.
     fn begin(&self, (asked, until): &(ClientAttempt, u64)) -> String {
         let left = self.history.start_attempt(asked, *until);
         let wait = left.saturating_sub(self.slack);
@@ -64,24 +64,24 @@
     }
 }
 
-/// How a connection ended that a client held.
+/// How a held connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// After a whole message, or before anything was said.
+    /// After a complete message, or before any message.
     Whole,
-    /// In the midst of a message.
+    /// Within a message.
     Cut,
     /// With its process, which was killed.
     Killed,
 }
 
-/// Asks on a connection, pipelined too, until it ends; some rest until then.
+/// Sends requests on a connection, some of them pipelined, until it ends; some clients stay idle instead.
 pub async fn hold(context: ClientContext, mut connection: Connection, seed: u64) -> ConnectionEnd {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let rests = rng.random_bool(0.25);
     while ask_pipelined(&context, &mut connection, &mut rng).await {
         if rests {
-            // Whatever comes, comes unasked: the end.
+            // Without a request, the next event can only be the end of the connection.
             _ = connection.reply().await;
             break;
         }
@@ -96,7 +96,7 @@
     }
 }
 
-/// Whether the connection goes on.
+/// Sends a batch of requests and reads their replies; returns whether the connection continues.
 async fn ask_pipelined(
     context: &ClientContext,
     connection: &mut Connection,
@@ -107,7 +107,7 @@
     let queries: Vec<String> = attempts.iter().map(|a| context.begin(a)).collect();
     let mut goes_on = connection.send_all(&queries).await.is_ok();
     for (asked, _) in attempts {
-        // What was answered before a failed write is still there to be read.
+        // Answers from before a failed write can still be read.
         match connection.reply().await {
             Ok(reply) => {
                 context.settle(asked.id, &reply);
@@ -122,7 +122,7 @@
     goes_on
 }
 
-/// Clients that leave or cancel in the midst of a request, one after another, until they are told to stop.
+/// Runs clients that leave or cancel during a request, one after another, until stopped.
 pub async fn visit(context: ClientContext, mut stop: watch::Receiver<bool>, seed: u64) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     loop {
@@ -153,7 +153,7 @@
         Ok(Ok(reply)) => context.settle(id, &reply),
         Ok(Err(_)) => context.history.closed_unanswered(id),
         Err(_) if cancels => {
-            // Until the proxy has the cancellation, it may go on.
+            // The proxy may continue until it has received the cancellation.
             if connection.cancel(context.address).await.is_ok() {
                 context.history.client_left(id, Departure::Cancelled);
             }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Connections on which nothing is ever said.
+/// Opens connections on which nothing is sent.
 pub async fn crowd(address: SocketAddr, number: usize) -> Vec<TcpStream> {
     let dials = (0..number).map(|_| {
         tokio::spawn(tokio::time::timeout(
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! Soak runs: proxies under load that are restarted, reloaded and replaced as operators do it, each run drawn whole from a seed.
+//! Soak runs: proxies under load are restarted, reloaded and replaced as by operators; a seed determines each run.
 
 mod checks;
 mod clients;
@@ -25,29 +25,30 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Longer than any run's steps take.
+/// Length of the clients' load, longer than the steps of any run.
 const LOAD_LENGTH: Duration = Duration::from_secs(600);
-/// Clients ask so long before the first step, and after each.
+/// Time of undisturbed load before the first step and after each step.
 const BETWEEN_STEPS: Duration = Duration::from_millis(300);
-/// Connections that clients hold through the end of a process.
+/// Number of connections that clients hold until the end of a process.
 const HELD_CONNECTIONS: u64 = 8;
 
-/// A soak run while it goes on.
+/// A soak run in progress.
 pub struct Run {
     plan: Plan,
     testbed: Testbed,
     settings: Arc<Settings>,
-    /// Number of the operators' file that was written last, and of the one that each proxy is to run.
+    /// Number of the operators' file that was written last.
     version: u64,
+    /// Number of the file that must be in force, indexed by proxy.
     expected_versions: Vec<u64>,
-    /// What each proxy's process held when it was ready for the first time.
+    /// Resources of each proxy's process when it was first ready.
     first_states: Vec<ProcessState>,
     stop_visitors: watch::Sender<bool>,
     visitors: Vec<JoinHandle<()>>,
     report: Report,
 }
 
-/// Plays the run of a seed. `lateness`: as in [`Plan::draw`].
+/// Runs the plan of a seed. `lateness`: as in [`Plan::draw`].
 pub fn play(seed: u64, lateness: Duration) -> Report {
     let plan = Plan::draw(seed, lateness);
     let steps = plan.steps.clone();
@@ -71,7 +72,7 @@
 }
 
 impl Run {
-    /// Everything is up, and clients ask.
+    /// Starts the fleet and its clients.
     pub fn start(plan: Plan) -> Result<Run, Fault> {
         let setup = setup(&plan)?;
         let settings = Arc::new(setup.clients.clone());
@@ -100,7 +101,7 @@
         Ok(run)
     }
 
-    /// The fleet that is played with.
+    /// The fleet of the run.
     pub fn testbed(&mut self) -> &mut Testbed {
         &mut self.testbed
     }
@@ -119,7 +120,7 @@
         Ok(())
     }
 
-    /// Clients stop, all answers are awaited, and all is checked.
+    /// Stops the clients, waits for all answers, and runs the final checks.
     pub fn finish(mut self) -> Report {
         self.testbed.history.surge(None, 0.0);
         self.stop_visitors.send_replace(true);
@@ -153,7 +154,7 @@
         self.report.breaches.push(breach);
     }
 
-    /// What must not have happened so far, and did.
+    /// Breaches so far.
     pub fn breaches(&self) -> &[Breach] {
         &self.report.breaches
     }
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Clients that reach the process itself: no relay stands between them and its end.
+    /// Context of clients that connect to the process directly, so that no relay hides its end from them.
     fn context(&self, proxy: usize) -> ClientContext {
         let at = &self.testbed.proxies[proxy];
         ClientContext {
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Connections to the process that serves now; all are open when it returns.
+    /// Opens held connections to the current process; all are open on return.
     fn hold_connections(&self, proxy: usize) -> Vec<JoinHandle<ConnectionEnd>> {
         let context = self.context(proxy);
         let open = |_| self.testbed.wait(Connection::open(context.address)).ok();
@@ -203,7 +204,7 @@
             .collect()
     }
 
-    /// Holds one connection to this address until it ends, as clients of the proxy would.
+    /// Holds one connection to this address until it ends, as a client of the proxy, and checks its end.
     pub fn check_held_connection(&mut self, proxy: usize, address: SocketAddr) {
         let connection = self.testbed.wait(Connection::open(address));
         let held = connection.ok().map(|connection| {
@@ -213,7 +214,7 @@
         self.join_held(proxy, held.into_iter().collect());
     }
 
-    /// Waits for the ends of held connections.
+    /// Waits until the held connections have ended, and checks how.
     fn join_held(&mut self, proxy: usize, held: Vec<JoinHandle<ConnectionEnd>>) {
         let cut = held
             .into_iter()
@@ -243,13 +244,13 @@
     setup.list.late = 50_000;
     setup.slack = plan.slack;
     setup.sockets = SOCKETS;
-    // Without it there are no upgrades in place.
+    // Hot restarts need this.
     setup.admin = true;
     setup.operators = checks::operators_file(0);
     Ok(setup)
 }
 
-/// Sleeps until then.
+/// Sleeps until `then`.
 fn sleep_until(then: Instant) {
     std::thread::sleep(then.saturating_duration_since(Instant::now()));
 }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a soak run does, drawn whole from one seed.
+//! The plan of a soak run, drawn from one seed.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -9,23 +9,23 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Groups of record servers.
+/// Number of groups of record servers.
 pub const GROUPS: usize = 2;
-/// Members of each group.
+/// Number of members of each group.
 pub const GROUP_MEMBERS: usize = 3;
-/// Descriptors of each proxy.
+/// Limit of open descriptors of each proxy.
 pub const SOCKETS: u64 = 256;
-/// The least time that the platform leaves a proxy for its longest deadline at a planned restart.
+/// Minimum time that the platform leaves a proxy for its longest deadline at a planned restart.
 const MIN_DEADLINE: Duration = Duration::from_secs(3);
-/// Clients wait so much longer than they say, on a machine that is not busy.
+/// Time that clients wait beyond the deadline that they announce, on an idle machine.
 const SLACK: Duration = Duration::from_millis(300);
-/// What the platform leaves beyond that.
+/// Time that the platform adds to deadline and slack before it kills.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Troubles beside one step.
+/// Maximum number of faults during one step.
 const MAX_TROUBLES: usize = 2;
 const MILLISECOND: Micros = 1_000;
 
-/// A signal to a process beside the one that a step is about.
+/// A signal in addition to those of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExtraSignal {
     /// SIGHUP.
@@ -34,33 +34,33 @@
     Terminate,
 }
 
-/// A restart as operators do it.
+/// A planned restart.
 #[derive(Clone, Debug)]
 pub struct Restart {
-    /// How long clients still make new connections after SIGTERM.
+    /// Time for which clients still open connections after SIGTERM.
     pub new_connections: Duration,
-    /// Signals beside SIGTERM, in the order of their times from a little before it on.
+    /// Signals besides SIGTERM, with their times since the step's beginning, in order.
     pub signals: Vec<(Duration, ExtraSignal)>,
     /// Another proxy that is restarted at the same time.
     pub with: Option<usize>,
-    /// Whether idle clients fill the descriptors meanwhile.
+    /// Whether idle clients occupy all descriptors meanwhile.
     pub crowded: bool,
 }
 
-/// What a series of reloads has in it.
+/// Kind of a series of reloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadSeries {
-    /// Two signals, one file.
+    /// Two signals for one file.
     Twice,
     /// A new file for each of two signals.
     TwoFiles,
-    /// A broken file, then a sound one.
+    /// An invalid file, then a valid one.
     BrokenThenSound,
-    /// Many signals and files at once, broken ones among them; the last is sound.
+    /// Many signals and files at once, some invalid; the last is valid.
     Burst,
 }
 
-/// What meets an upgrade.
+/// Event during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpgradeFault {
     /// Nothing.
@@ -78,26 +78,26 @@
 /// One step of a run.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// SIGTERM, clients that go on, SIGKILL, start.
+    /// SIGTERM while clients continue, then SIGKILL and a start.
     Restart(Restart),
-    /// SIGHUP in series.
+    /// A series of SIGHUP.
     Reload(ReloadSeries),
-    /// Another process takes over.
+    /// A new process takes over.
     Upgrade(UpgradeFault),
     /// SIGKILL and a start.
     Kill,
-    /// SIGKILL and a start that this signal meets.
+    /// SIGKILL and a start that is interrupted by this signal.
     InterruptedStart(ExtraSignal),
-    /// Idle clients fill the descriptors for this long.
+    /// Idle clients occupy all descriptors for this time.
     Crowd(Duration),
 }
 
-/// What is wrong beside a step.
+/// A fault during a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// Discovery says nothing.
+    /// Discovery sends nothing.
     DiscoverySilent,
-    /// Discovery fails every call.
+    /// Discovery rejects every call.
     DiscoveryDown,
     /// A record server drains; another takes its place.
     ServerDrains,
@@ -105,35 +105,35 @@
     ServerHangs,
     /// Connections to record servers are reset.
     ServersReset,
-    /// A record server dies and comes back cold.
+    /// A record server crashes and restarts cold.
     ServerStartsCold,
 }
 
-/// A step, the proxy that it is about, and what is wrong beside it.
+/// A step, its proxy, and the faults during it.
 #[derive(Clone, Debug)]
 pub struct PlannedStep {
     /// The proxy.
     pub proxy: usize,
-    /// What is done.
+    /// The step.
     pub step: Step,
     /// A pause within the step.
     pub pause: Duration,
-    /// What is wrong meanwhile.
+    /// Faults during the step.
     pub troubles: Vec<Trouble>,
 }
 
-/// A whole run.
+/// Plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed that it was drawn from.
+    /// Seed of the plan.
     pub seed: u64,
-    /// How late a busy machine may make what the proxies do in time.
+    /// Lateness that a busy machine may add to timed actions of the proxies.
     pub lateness: Duration,
-    /// How much longer clients wait than they say.
+    /// Time that clients wait beyond the deadline that they announce.
     pub slack: Duration,
     /// Number of proxies.
     pub proxies: usize,
-    /// Requests a second of all clients.
+    /// Request rate of all clients, per second.
     pub requests_per_s: f64,
     /// The classes of requests.
     pub classes: Vec<RequestClass>,
@@ -142,7 +142,7 @@
 }
 
 impl Plan {
-    /// Draws a run. `lateness`: how late a machine that is busy with other things may make what the proxies do in time.
+    /// Draws a plan. `lateness`: lateness that a busy machine may add to timed actions of the proxies.
     pub fn draw(seed: u64, lateness: Duration) -> Plan {
         let slack = SLACK + lateness;
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -182,13 +182,13 @@
         }
     }
 
-    /// How long after SIGTERM the platform kills at the earliest.
+    /// Earliest time after SIGTERM at which the platform sends SIGKILL.
     pub fn kill_after(&self) -> Duration {
         let longest = self.classes.iter().map(|class| class.deadline).max();
         Duration::from_micros(longest.unwrap_or(0)).max(MIN_DEADLINE) + KILL_MARGIN
     }
 
-    /// What the clients bring, for as long as the run takes.
+    /// Settings of the clients' load, for a run of this length.
     pub fn clients(&self, length: Duration) -> Settings {
         Settings {
             classes: self.classes.clone(),
@@ -259,7 +259,7 @@
         .collect()
 }
 
-/// `reloads`: the chance of SIGHUP.
+/// `reloads`: probability of SIGHUP.
 fn draw_signal(rng: &mut impl Rng, reloads: f64) -> ExtraSignal {
     if rng.random_bool(reloads) {
         ExtraSignal::Reload
@@ -287,7 +287,7 @@
 }
 
 impl Restart {
-    /// SIGTERM comes so long after the beginning of the step.
+    /// Time from the beginning of the step to SIGTERM.
     pub const LEAD: Duration = Duration::from_millis(20);
 }
 
--- a/crates/testbed/src/soak/process_state.rs
+++ b/crates/testbed/src/soak/process_state.rs
@@ -1,27 +1,27 @@
-//! What a process holds and heeds, as the kernel tells it.
+//! Descriptors, threads and signal handlers of a process, read from `/proc`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The columns of the kernel's table of TCP sockets that are read here.
+/// Columns of the kernel's table of TCP sockets.
 const REMOTE_COLUMN: usize = 2;
 const INODE_COLUMN: usize = 9;
 
 /// Descriptors and threads of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProcessState {
-    /// Descriptors that are sockets, without connections to the ports that the caller named.
+    /// Number of sockets, without TCP connections to the expected ports.
     pub sockets: u64,
-    /// All others.
+    /// Number of other descriptors.
     pub other_descriptors: u64,
-    /// How many threads have each name.
+    /// Number of threads. Key: thread name.
     pub threads: BTreeMap<String, u64>,
 }
 
 impl ProcessState {
-    /// Reads the state of a process. TCP connections to these ports are expected, and not counted.
+    /// Reads the state of a process. TCP connections to `expected_ports` are not counted.
     pub fn read(process: u32, expected_ports: &BTreeSet<u16>) -> io::Result<ProcessState> {
         let folder = folder_of(process);
         let inodes = socket_inodes(&folder)?;
@@ -52,7 +52,7 @@
 fn socket_inodes(folder: &Path) -> io::Result<BTreeSet<String>> {
     let mut inodes = BTreeSet::new();
     for entry in fs::read_dir(folder.join("fd"))? {
-        // It may be closed by now.
+        // The descriptor may be closed by now.
         let Ok(target) = fs::read_link(entry?.path()) else {
             continue;
         };
@@ -95,7 +95,7 @@
         .collect())
 }
 
-/// Whether a process handles all these signals itself, each named by its number.
+/// Whether a process has handlers for all signals with these numbers.
 pub fn handles_signals(process: u32, signals: &[i32]) -> bool {
     let status = fs::read_to_string(folder_of(process).join("status")).unwrap_or_default();
     let caught = status
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! What came of a soak run.
+//! Report of a soak run.
 
 use crate::history::SentAfterLeave;
 use invariant_checkers::Rule;
@@ -8,28 +8,28 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Something that must not happen.
+/// A violated requirement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Breach {
-    /// A rule of the recorded history, and how often.
+    /// A rule of the recorded history, with the number of violations.
     Rule(Rule, u64),
     /// An attempt reached a record server although its client had left.
     SentAfterLeave(SentAfterLeave),
-    /// Connections that were open at SIGTERM ended in the midst of an answer.
+    /// Connections that were open at SIGTERM ended within an answer.
     AnswerCut {
         /// The proxy.
         proxy: usize,
-        /// How many.
+        /// Number of connections.
         connections: usize,
     },
-    /// At the earliest moment of SIGKILL a process still owed answers.
+    /// A process had unanswered attempts at the earliest time of SIGKILL.
     OwedAtKill {
         /// The proxy.
         proxy: usize,
         /// The attempts.
         attempts: Vec<ClientAttemptId>,
     },
-    /// A process that was told to end in an upgrade did not.
+    /// The old process of an upgrade did not end after SIGTERM.
     NotEnded {
         /// The proxy.
         proxy: usize,
@@ -38,26 +38,26 @@
     ReadyLate {
         /// The proxy.
         proxy: usize,
-        /// After how long.
+        /// Time from the start until it was ready.
         after: Duration,
     },
-    /// Another operators' file is in force than the last sound one.
+    /// An operators' file other than the last valid one is in force.
     FormerFile {
         /// The proxy.
         proxy: usize,
-        /// What the marker of the last sound file answers, in milliseconds.
+        /// Marker of the last valid file, in milliseconds.
         expected: u64,
-        /// What was answered.
+        /// The answer to the marker request.
         seen: Option<String>,
     },
-    /// A process holds more than at its start.
+    /// A process holds more resources than at its start.
     LeftBehind {
         /// The proxy.
         proxy: usize,
-        /// What, how much at the start and now.
+        /// The resource, with its amount at the start and now.
         what: String,
     },
-    /// The testbed could not go on.
+    /// The testbed failed.
     Fault(String),
 }
 
@@ -76,54 +76,54 @@
             Breach::AnswerCut { proxy, connections } => {
                 write!(
                     f,
-                    "proxy {proxy} cut {connections} answers short at its end"
+                    "proxy {proxy} truncated answers on {connections} connections at its end"
                 )
             }
             Breach::OwedAtKill { proxy, attempts } => {
-                write!(f, "proxy {proxy} owed {attempts:x?} at SIGKILL")
+                write!(f, "proxy {proxy} had not answered the attempts {attempts:x?} at SIGKILL")
             }
             Breach::NotEnded { proxy } => {
-                write!(f, "the old process of proxy {proxy} does not end")
+                write!(f, "the old process of proxy {proxy} did not end after SIGTERM")
             }
             Breach::ReadyLate { proxy, after } => {
-                write!(f, "proxy {proxy} ready after {after:.1?}")
+                write!(f, "proxy {proxy} became ready too late, after {after:.1?}")
             }
             Breach::FormerFile {
                 proxy,
                 expected,
                 seen,
-            } => write!(f, "proxy {proxy}: marker {seen:?} in place of {expected}"),
-            Breach::LeftBehind { proxy, what } => write!(f, "proxy {proxy} holds {what}"),
+            } => write!(f, "proxy {proxy} answered marker {seen:?}, expected {expected} of the last valid file"),
+            Breach::LeftBehind { proxy, what } => write!(f, "proxy {proxy} holds more than at its start: {what}"),
             Breach::Fault(fault) => write!(f, "{fault}"),
         }
     }
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// The seed that it was drawn from.
+    /// Seed of the plan.
     pub seed: u64,
-    /// Requests of all clients.
+    /// Number of requests of all clients.
     pub requests: u64,
-    /// What was done, with its time in microseconds since clients began.
+    /// Log of actions, with the time in microseconds since the clients' start.
     pub timeline: Vec<(Micros, String)>,
-    /// Signals by name, and how often each was sent.
+    /// Number of signals sent. Key: name.
     pub signals: BTreeMap<&'static str, u64>,
-    /// How long each start took until the process was ready.
+    /// Time of each start until the process was ready.
     pub ready: Vec<Duration>,
-    /// How long each process took to end after SIGTERM.
+    /// Time from SIGTERM to the end of each process.
     pub ended: Vec<Duration>,
-    /// What must not happen, and did.
+    /// Violated requirements.
     pub breaches: Vec<Breach>,
-    /// The first breaches of rules: which, attempt, proxy, and when.
+    /// The first violations of rules: rule, attempt, proxy, and time in microseconds.
     pub found: Vec<(Rule, ClientAttemptId, usize, Micros)>,
-    /// The 99th percentile of how late the testbed's own timers were.
+    /// 99th percentile of the lateness of the testbed's timers.
     pub late: Duration,
 }
 
 impl Report {
-    /// One line for a table.
+    /// Summary of the run in one line.
     pub fn line(&self) -> String {
         let longest = |times: &[Duration]| times.iter().max().copied().unwrap_or_default();
         let signals: Vec<String> = self
@@ -143,7 +143,7 @@
         )
     }
 
-    /// Everything that is needed to trace a failure.
+    /// Full report of a failed run, for diagnosis.
     pub fn failure(&self) -> String {
         let mut text = self.line();
         for breach in &self.breaches {
@@ -159,7 +159,7 @@
             text += &format!("\n  {:9.3} s  {what}", *at as f64 / 1e6);
         }
         text + &format!(
-            "\n  again: SOAK_SEEDS={} cargo test -p testbed --test soak seeds_of_the_environment -- --nocapture",
+            "\n  to repeat: SOAK_SEEDS={} cargo test -p testbed --test soak seeds_of_the_environment -- --nocapture",
             self.seed
         )
     }
--- a/crates/testbed/src/soak/steps.rs
+++ b/crates/testbed/src/soak/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a soak run.
+//! Executes the steps of a soak run.
 
 use super::clients::crowd;
 use super::plan::{ExtraSignal, PlannedStep, ReloadSeries, Restart, Step, Trouble, UpgradeFault};
@@ -14,17 +14,17 @@
 
 /// More connections than a proxy has descriptors.
 const CROWD: usize = 300;
-/// A file that no proxy takes.
+/// An invalid operators' file, which every proxy rejects.
 const BROKEN_FILE: &str = "route marker {\n nonsense\n";
-/// Pairs of a sound and a broken file in a burst.
+/// Number of pairs of a valid and an invalid file in a burst.
 const BURST: usize = 4;
-/// What a process says once it accepts clients.
+/// Log line of a process that accepts clients.
 const SERVING_LINE: &str = ": serving on ";
-/// Within this time clients have seen that a process was killed.
+/// Time within which clients detect that a process was killed.
 const END_NOTICE: Duration = Duration::from_millis(50);
-/// How often it is looked whether a process has ended.
+/// Interval at which the end of a process is polled.
 const END_POLL: Duration = Duration::from_millis(5);
-/// How often it is looked whether a process handles signals.
+/// Interval at which the signal handlers of a process are polled.
 const HANDLER_POLL: Duration = Duration::from_micros(100);
 
 impl Run {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// SIGTERM; clients go on with what is open until SIGKILL, which comes as early as the platform allows.
+    /// Restarts proxies: clients continue on open connections from SIGTERM to SIGKILL, which comes as early as the platform allows.
     fn restart(&mut self, proxies: &[usize], restart: &Restart) -> Result<(), Fault> {
         let crowds = self.crowds(proxies, restart.crowded);
         let held: Vec<_> = proxies
@@ -99,7 +99,7 @@
             .collect()
     }
 
-    /// Until the process ends by itself, or is killed.
+    /// Waits until the process ends by itself, or kills it at `kill_at`.
     fn await_end(
         &mut self,
         proxy: usize,
@@ -110,7 +110,7 @@
         if self.wait_for_end(proxy, kill_at) {
             self.report.ended.push(terminated.elapsed());
             self.log(format!("proxy {proxy} has ended"));
-            // What it answered last is read before anything else.
+            // Its last answers are read before anything else.
             self.join_held(proxy, held);
             self.testbed.proxies[proxy].process = None;
             self.testbed.proxies[proxy].clients.set_target(None);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A signal meets a start. After SIGHUP it serves, after SIGTERM it ends by itself; then it starts for good.
+    /// Sends a signal during a start. After SIGHUP the process must serve, after SIGTERM it must end; then it is started again.
     fn interrupt_start(
         &mut self,
         proxy: usize,
@@ -148,7 +148,7 @@
         Ok(())
     }
 
-    /// Until the process handles signals itself: before that they end it, whatever program it is.
+    /// Waits until the process has installed its signal handlers; before that, the signals end any process.
     fn wait_for_handlers(&mut self, proxy: usize, until: Instant) {
         let signals = [Signal::HUP.as_raw(), Signal::TERM.as_raw()];
         let process = self.testbed.proxies[proxy].process.as_ref();
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Whether the process ends by itself until then, as it has to.
+    /// Checks that the process ends by itself before `until`, and returns whether it did.
     pub fn check_ended(&mut self, proxy: usize, until: Instant) -> bool {
         let ended = self.wait_for_end(proxy, until);
         if !ended {
@@ -167,7 +167,7 @@
         ended
     }
 
-    /// Whether the process ends by itself until then.
+    /// Waits for the process to end by itself, and returns whether it did before `until`.
     fn wait_for_end(&mut self, proxy: usize, until: Instant) -> bool {
         loop {
             let process = self.testbed.proxies[proxy].process.as_mut();
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    /// Signals and files in series; then the last sound file has to be in force.
+    /// Runs a series of files and reloads, then checks that the last valid file is in force.
     fn reload_series(
         &mut self,
         proxy: usize,
@@ -232,7 +232,7 @@
     }
 
     fn reload_broken(&mut self, proxy: usize) -> Result<(), Fault> {
-        self.log(format!("a broken file for proxy {proxy}"));
+        self.log(format!("an invalid file for proxy {proxy}"));
         let broken = BROKEN_FILE.to_owned();
         self.testbed
             .place_files(proxy, |setup| setup.operators = broken)?;
@@ -240,14 +240,14 @@
         Ok(())
     }
 
-    /// A new sound file, and the word to read it.
+    /// Writes a new valid file and sends SIGHUP.
     fn reload(&mut self, proxy: usize) -> Result<(), Fault> {
         self.place_next_file(proxy)?;
         self.send(proxy, Signal::HUP);
         Ok(())
     }
 
-    /// A new sound file, which is to be in force from the next word to read it on.
+    /// Writes a new valid file, which must be in force after the next SIGHUP.
     pub fn place_next_file(&mut self, proxy: usize) -> Result<(), Fault> {
         self.version += 1;
         self.log(format!("file {} for proxy {proxy}", self.version));
@@ -270,7 +270,7 @@
                 self.log(format!("SIGKILL to the new process of proxy {proxy}"));
                 self.testbed.history.second_process_dies(proxy);
                 new_process.kill();
-                // Clients hear of its end.
+                // Gives clients the time to detect its end.
                 std::thread::sleep(END_NOTICE);
                 let had_served = new_process.has_said(SERVING_LINE);
                 self.testbed.history.second_process_died(had_served);
@@ -357,7 +357,7 @@
         links.iter().for_each(|link| link.reset());
     }
 
-    /// The last member of the first group, which is no primary unless it has become one.
+    /// The last member of the first group, which is a replica unless it has been promoted.
     fn a_replica(&self) -> ServerIndex {
         let state = self.testbed.history.lock();
         let members = state.site.members(0);
@@ -369,7 +369,7 @@
         replica.or(members.last()).copied().unwrap_or(0)
     }
 
-    /// All members of the first group serve again.
+    /// Restores all members of the first group to service.
     fn restore_servers(&self) {
         let members = self.testbed.history.lock().site.members(0).to_vec();
         for server in members {
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,11 +1,11 @@
-//! The protocol's bytes that only peers of a proxy write and read, on the proxy's own codec.
+//! The side of the PostgreSQL protocol that the proxy's peers read and write, based on the proxy's own codec.
 
 use leverproxy::protocol::postgres::{self, server};
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A row of one column as a record server gives it.
+/// A record server's answer with a row of one column.
 pub fn row(value: &str, parameters: &[(&str, String)]) -> Vec<u8> {
     let mut out = Vec::new();
     postgres::put(&mut out, b'T', |body| {
@@ -40,14 +40,14 @@
     out
 }
 
-/// What came for a query.
+/// Reply to a query.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
     /// The row's value.
     pub value: Option<String>,
-    /// Of an error: its code, and whether the connection ends with it.
+    /// SQLSTATE code of an error.
     pub code: Option<String>,
-    /// The connection ends with this error.
+    /// Whether the error ends the connection.
     pub fatal: bool,
     /// The detail field of an error: milliseconds after which to retry.
     pub detail: Option<String>,
@@ -59,7 +59,7 @@
         matches!(self.code.as_deref(), Some("53300" | "57P03"))
     }
 
-    /// How long the proxy asks the client to wait.
+    /// Time after which the proxy asks the client to retry.
     pub fn retry_after(&self) -> Option<Duration> {
         self.detail
             .as_ref()?
@@ -69,13 +69,13 @@
     }
 }
 
-/// A connection to a proxy as its client has it, or to a record server as a proxy has it.
+/// A connection of a client to a proxy, or of a proxy to a record server.
 #[derive(Debug)]
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
     input: Vec<u8>,
-    /// What the peer gave to cancel requests with.
+    /// Key from the peer for cancel requests.
     cancel_key: Option<[u8; CANCEL_KEY_BYTES]>,
 }
 
@@ -83,11 +83,11 @@
 /// In place of a protocol version: the packet is a CancelRequest.
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 
-/// Of one message from a peer that is ours.
+/// Maximum length of a message from a peer, in bytes.
 const MESSAGE_LIMIT: usize = 8 << 20;
 
 impl Connection {
-    /// Connected and welcomed.
+    /// Connects and completes the startup exchange.
     pub async fn open(to: std::net::SocketAddr) -> io::Result<Connection> {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
@@ -117,7 +117,7 @@
         crate::link::write_all(&self.stream, &out).await
     }
 
-    /// Asks the peer at this address to cancel what runs for this connection.
+    /// Sends a cancel request for this connection to the peer at this address.
     pub async fn cancel(&self, peer: std::net::SocketAddr) -> io::Result<()> {
         let Some(key) = self.cancel_key else {
             return Err(io::ErrorKind::Unsupported.into());
@@ -128,7 +128,7 @@
         crate::link::write_all(&stream, &[head, key.to_vec()].concat()).await
     }
 
-    /// Whether a part of a message has come whose rest has not.
+    /// Whether only a part of a message has been received.
     pub fn holds_part_of_a_message(&self) -> bool {
         !self.input.is_empty()
     }
@@ -139,7 +139,7 @@
         self.reply().await
     }
 
-    /// Up to ReadyForQuery, or to the end after a fatal error.
+    /// Reads a reply, up to ReadyForQuery, or to the end of the connection after a fatal error.
     pub async fn reply(&mut self) -> io::Result<Reply> {
         let mut reply = Reply::default();
         let mut bytes = vec![0; 16 << 10];
@@ -177,7 +177,7 @@
         }
     }
 
-    /// What an idle connection is: fit for use, ended, or one on which something came that nobody had asked for.
+    /// State of this idle connection.
     pub fn idle(&mut self) -> Idle {
         let mut bytes = [0; 64];
         let read = self.stream.try_read(&mut bytes);
@@ -186,7 +186,7 @@
         }
         match read {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Idle::Fit,
-            // A last word is no answer.
+            // A final error message before the close does not count as an answer.
             Ok(n) if n > 0 && bytes[0] != b'E' => Idle::Spoke,
             _ => Idle::Ended,
         }
@@ -196,10 +196,10 @@
 /// The state of an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idle {
-    /// Fit for use.
+    /// Usable.
     Fit,
     /// Closed by the peer.
     Ended,
-    /// The peer sent an answer to no request.
+    /// The peer sent an answer without a request.
     Spoke,
 }
