--- a/crates/testbed/src/bin/testbed-launch.rs
+++ b/crates/testbed/src/bin/testbed-launch.rs
@@ -8,8 +8,8 @@
 use std::process::{Command, ExitCode};
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let [testbed, files, program, rest @ ..] = words.as_slice() else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [testbed, files, program, program_arguments @ ..] = arguments.as_slice() else {
         eprintln!("testbed-launch: usage: testbed-launch TESTBED_PID FILES PROGRAM [ARGUMENT...]");
         return ExitCode::from(2);
     };
@@ -37,7 +37,7 @@
             return ExitCode::FAILURE;
         }
     }
-    let fault = Command::new(program).args(rest).exec();
+    let fault = Command::new(program).args(program_arguments).exec();
     eprintln!("testbed-launch: {program}: {fault}");
     ExitCode::from(127)
 }
--- a/crates/testbed/src/configure.rs
+++ b/crates/testbed/src/configure.rs
@@ -123,7 +123,7 @@
             .map(|folder| folder.join(format!("n{proxy}.log")));
         Ok(Plan {
             program,
-            words: vec!["serve".to_owned()],
+            arguments: vec!["serve".to_owned()],
             variables,
             files: self.setup.sockets,
             log,
--- a/crates/testbed/src/datagrams.rs
+++ b/crates/testbed/src/datagrams.rs
@@ -15,9 +15,9 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Buffer size in bytes, above the longest possible datagram.
-const LONGEST: usize = 1 << 16;
+const BUFFER_SIZE: usize = 1 << 16;
 /// Maximum number of datagrams of a link that are delayed at a time; further ones are dropped.
-const WAITING_MOST: usize = 4_096;
+const MAX_DELAYED: usize = 4_096;
 
 /// How datagrams are forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Received from the sender.
-    pub came: u64,
+    pub received: u64,
     /// Forwarded, duplicates included.
     pub passed: u64,
     /// Dropped by a cut.
@@ -67,9 +67,9 @@
     /// Dropped by the share of losses.
     pub lost: u64,
     /// Dropped because the link has no target.
-    pub unknown: u64,
+    pub without_target: u64,
     /// Dropped because too many were delayed already.
-    pub over: u64,
+    pub over_limit: u64,
     /// Not accepted by the operating system.
     pub failed: u64,
     /// Sent twice.
@@ -87,18 +87,18 @@
 impl Counts {
     /// Total number of dropped datagrams.
     pub fn dropped(&self) -> u64 {
-        self.cut + self.lost + self.unknown + self.over + self.failed
+        self.cut + self.lost + self.without_target + self.over_limit + self.failed
     }
 
     /// Whether each received and duplicated datagram is forwarded, dropped or waiting.
-    pub fn add_up(&self) -> bool {
-        self.came + self.doubled == self.passed + self.dropped() + self.waiting
+    pub fn is_consistent(&self) -> bool {
+        self.received + self.doubled == self.passed + self.dropped() + self.waiting
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    way: DatagramFaults,
+    faults: DatagramFaults,
     /// Number of cuts so far, so that the relay applies a cut that is healed before the relay observes it.
     cuts: u64,
     target: Option<SocketAddr>,
@@ -148,21 +148,21 @@
     }
 
     /// Sets the faults of datagrams received from now on. After a cut has returned, no datagram is forwarded until it is healed.
-    pub fn set(&self, way: impl Into<DatagramFaults>) {
-        let way = way.into();
-        self.change(|state| state.way = way);
+    pub fn set(&self, faults: impl Into<DatagramFaults>) {
+        let faults = faults.into();
+        self.change(|state| state.faults = faults);
     }
 
     fn change(&self, to: impl FnOnce(&mut State)) {
         self.state.send_modify(|state| {
             to(state);
-            state.cuts += u64::from(state.way.flow == Flow::Cut);
+            state.cuts += u64::from(state.faults.flow == Flow::Cut);
         });
     }
 
     /// Drops all datagrams until healed; the shares stay set.
     pub fn cut(&self) {
-        self.change(|state| state.way.flow = Flow::Cut);
+        self.change(|state| state.faults.flow = Flow::Cut);
     }
 
     /// Removes all faults; held datagrams are sent now.
@@ -171,8 +171,8 @@
     }
 
     /// The faults set at present.
-    pub fn way(&self) -> DatagramFaults {
-        self.state.borrow().way
+    pub fn faults(&self) -> DatagramFaults {
+        self.state.borrow().faults
     }
 
     /// The counts so far.
@@ -208,10 +208,10 @@
 
 impl DrawnFaults {
     /// Always makes the same draws in the same order, so that a datagram's faults do not depend on the settings for earlier ones.
-    fn draw(draws: &mut impl Rng, way: &DatagramFaults) -> DrawnFaults {
+    fn draw(draws: &mut impl Rng, faults: &DatagramFaults) -> DrawnFaults {
         let mut falls = |share: f64| draws.random::<f64>() < share;
-        let (lost, doubled) = (falls(way.lost), falls(way.doubled));
-        let (reordered, corrupted) = (falls(way.reordered), falls(way.corrupted));
+        let (lost, doubled) = (falls(faults.lost), falls(faults.doubled));
+        let (reordered, corrupted) = (falls(faults.reordered), falls(faults.corrupted));
         DrawnFaults {
             lost,
             doubled,
@@ -248,15 +248,15 @@
     cuts: u64,
 }
 
-enum Woken {
-    Otherwise,
+enum WakeReason {
+    Other,
     Due,
-    Came(usize),
+    Received(usize),
 }
 
 impl Relay {
     async fn serve(mut self) {
-        let mut bytes = vec![0; LONGEST];
+        let mut bytes = vec![0; BUFFER_SIZE];
         let mut state = self.link.state.subscribe();
         loop {
             let next = self.late.keys().next().map(|(at, _)| *at);
@@ -266,18 +266,18 @@
                     None => pending().await,
                 }
             };
-            let woken = tokio::select! {
+            let wake_reason = tokio::select! {
                 // The relay holds a link handle itself, so this does not fail.
-                _ = state.changed() => Woken::Otherwise,
-                () = due => Woken::Due,
+                _ = state.changed() => WakeReason::Other,
+                () = due => WakeReason::Due,
                 // An error concerns a datagram that was sent, not one received.
-                came = self.socket.recv_from(&mut bytes) => came.map_or(Woken::Otherwise, |(n, _)| Woken::Came(n)),
+                came = self.socket.recv_from(&mut bytes) => came.map_or(WakeReason::Other, |(n, _)| WakeReason::Received(n)),
             };
-            self.follow();
-            match woken {
-                Woken::Otherwise => {}
-                Woken::Due => self.due(),
-                Woken::Came(n) => self.came(&bytes[..n]),
+            self.apply_settings();
+            match wake_reason {
+                WakeReason::Other => {}
+                WakeReason::Due => self.send_due(),
+                WakeReason::Received(n) => self.handle_datagram(&bytes[..n]),
             }
             self.counts.waiting = self
                 .late
@@ -290,8 +290,8 @@
     }
 
     /// Applies changed settings before any datagram is handled.
-    fn follow(&mut self) {
-        let State { way, cuts, .. } = *self.link.state.borrow();
+    fn apply_settings(&mut self) {
+        let State { faults, cuts, .. } = *self.link.state.borrow();
         if cuts > self.cuts {
             self.cuts = cuts;
             let late = std::mem::take(&mut self.late).into_values();
@@ -300,70 +300,70 @@
                 .map(|piece| piece.copies())
                 .sum::<u64>();
         }
-        if way.reordered <= 0.0 {
+        if faults.reordered <= 0.0 {
             if let Some(piece) = self.held.take() {
-                self.sets_out(piece);
+                self.schedule(piece);
             }
         }
     }
 
-    fn due(&mut self) {
+    fn send_due(&mut self) {
         while let Some(first) = self.late.first_entry() {
             if first.key().0 > Instant::now() {
                 break;
             }
             let piece = first.remove();
-            self.go(&piece);
+            self.forward(&piece);
         }
     }
 
-    fn came(&mut self, bytes: &[u8]) {
-        self.counts.came += 1;
-        let way = self.link.way();
-        let fate = DrawnFaults::draw(&mut self.draws, &way);
-        if way.flow == Flow::Cut {
+    fn handle_datagram(&mut self, bytes: &[u8]) {
+        self.counts.received += 1;
+        let faults = self.link.faults();
+        let drawn = DrawnFaults::draw(&mut self.draws, &faults);
+        if faults.flow == Flow::Cut {
             self.counts.cut += 1;
             return;
         }
-        if fate.lost {
+        if drawn.lost {
             self.counts.lost += 1;
             return;
         }
         let mut bytes = bytes.to_vec();
-        if fate.corrupted && !bytes.is_empty() {
-            let bit = fate.bit % (bytes.len() as u64 * 8);
+        if drawn.corrupted && !bytes.is_empty() {
+            let bit = drawn.bit % (bytes.len() as u64 * 8);
             bytes[(bit / 8) as usize] ^= 1 << (bit % 8);
             self.counts.corrupted += 1;
         }
-        self.counts.doubled += u64::from(fate.doubled);
-        let later = match way.flow {
-            Flow::Late(least, most) => Some(least + most.saturating_sub(least).mul_f64(fate.late)),
+        self.counts.doubled += u64::from(drawn.doubled);
+        let later = match faults.flow {
+            Flow::Late(least, most) => Some(least + most.saturating_sub(least).mul_f64(drawn.late)),
             Flow::Passes | Flow::Cut => None,
         };
         let piece = QueuedDatagram {
             bytes,
-            twice: fate.doubled,
+            twice: drawn.doubled,
             later,
         };
         // A held datagram is sent after this one, so this one is not held, whatever was drawn for it.
         match self.held.take() {
-            None if fate.reordered => self.held = Some(piece),
+            None if drawn.reordered => self.held = Some(piece),
             before => {
-                self.sets_out(piece);
+                self.schedule(piece);
                 if let Some(before) = before {
                     self.counts.reordered += 1;
-                    self.sets_out(before);
+                    self.schedule(before);
                 }
             }
         }
     }
 
-    fn sets_out(&mut self, piece: QueuedDatagram) {
+    fn schedule(&mut self, piece: QueuedDatagram) {
         let Some(later) = piece.later else {
-            return self.go(&piece);
+            return self.forward(&piece);
         };
-        if self.late.len() >= WAITING_MOST {
-            self.counts.over += piece.copies();
+        if self.late.len() >= MAX_DELAYED {
+            self.counts.over_limit += piece.copies();
             return;
         }
         self.counts.late += piece.copies();
@@ -371,13 +371,13 @@
             .insert((Instant::now() + later, self.counts.late), piece);
     }
 
-    fn go(&mut self, piece: &QueuedDatagram) {
+    fn forward(&mut self, piece: &QueuedDatagram) {
         // The state stays locked while sending, so that a cut waits for it and no datagram is sent afterwards.
         let state = self.link.state.borrow();
         for _ in 0..piece.copies() {
             let count = match state.target {
-                _ if state.way.flow == Flow::Cut => &mut self.counts.cut,
-                None => &mut self.counts.unknown,
+                _ if state.faults.flow == Flow::Cut => &mut self.counts.cut,
+                None => &mut self.counts.without_target,
                 Some(target) => {
                     match sendto(&self.socket, &piece.bytes, SendFlags::DONTWAIT, &target) {
                         Ok(_) => &mut self.counts.passed,
--- a/crates/testbed/src/fake_member.rs
+++ b/crates/testbed/src/fake_member.rs
@@ -15,7 +15,7 @@
 /// Protocol period, the same as in [`crate::members::Members::default`].
 const PERIOD: Duration = Duration::from_millis(100);
 /// Maximum wait for a datagram before the timers are checked.
-const LOOK: Duration = Duration::from_millis(10);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// A fact to publish, as a proxy's subsystems do.
 #[derive(Clone, Debug)]
@@ -30,12 +30,12 @@
 
 /// State received from the other members.
 #[derive(Debug, Default)]
-struct Known {
+struct ReceivedState {
     whole: bool,
     facts: Vec<Fact>,
 }
 
-type Shared = Arc<(Mutex<Known>, Condvar)>;
+type Shared = Arc<(Mutex<ReceivedState>, Condvar)>;
 
 /// Handle of a fake member, which runs until this is dropped.
 pub struct FakeMember {
@@ -46,7 +46,7 @@
 
 impl FakeMember {
     /// Publishes a fact under the proxy's name.
-    pub fn say(&self, kind: u8, body: Vec<u8>, lasts: Duration) {
+    pub fn publish(&self, kind: u8, body: Vec<u8>, lasts: Duration) {
         if let Some(commands) = &self.commands {
             // The thread receives commands until this handle is dropped.
             _ = commands.send(PublishedFact { kind, body, lasts });
@@ -85,7 +85,11 @@
             .collect()
     }
 
-    fn until<T>(&self, what: &str, mut is: impl FnMut(&Known) -> Option<T>) -> Result<T, Fault> {
+    fn until<T>(
+        &self,
+        what: &str,
+        mut is: impl FnMut(&ReceivedState) -> Option<T>,
+    ) -> Result<T, Fault> {
         let end = Instant::now() + EVENT_TIMEOUT;
         let (known, changed) = &*self.known;
         let mut known = lock(known);
@@ -129,7 +133,7 @@
             .as_ref()
             .ok_or_else(|| Fault::new("the testbed has no members; set Setup::members"))?;
         let mut members = Vec::new();
-        for member in (0..self.setup.clients.proxies).filter(|member| stated.lists(*member)) {
+        for member in (0..self.setup.clients.proxies).filter(|member| stated.includes(*member)) {
             // A member sends no datagrams to its own address.
             let address = match member == proxy {
                 true => ([127, 0, 0, 1], 9).into(),
@@ -148,7 +152,7 @@
         let socket =
             UdpSocket::bind("127.0.0.1:0").map_err(|e| fault("socket of the member", &e))?;
         socket
-            .set_read_timeout(Some(LOOK))
+            .set_read_timeout(Some(RECEIVE_TIMEOUT))
             .map_err(|e| fault("socket of the member", &e))?;
         let address = socket
             .local_addr()
@@ -262,9 +266,9 @@
                 Action::Timer { after, token } => self.due = Some((now + after, token)),
                 Action::IncarnationRenewed(start) => self.sealer.set_incarnation(start),
                 Action::QuorumStateChanged(state) => {
-                    self.tell(|known| known.whole = state == QuorumState::Complete)
+                    self.update(|known| known.whole = state == QuorumState::Complete)
                 }
-                Action::FactReceived(fact) => self.tell(|known| {
+                Action::FactReceived(fact) => self.update(|known| {
                     known.facts.retain(|f| {
                         (&f.source, f.kind, &f.key) != (&fact.source, fact.kind, &fact.key)
                     });
@@ -277,7 +281,7 @@
         }
     }
 
-    fn tell(&self, change: impl FnOnce(&mut Known)) {
+    fn update(&self, change: impl FnOnce(&mut ReceivedState)) {
         change(&mut lock(&self.known.0));
         self.known.1.notify_all();
     }
--- a/crates/testbed/src/history/mod.rs
+++ b/crates/testbed/src/history/mod.rs
@@ -327,7 +327,7 @@
 
     /// Counts a request that was sent again because it crossed the proxy's close of an idle connection.
     pub fn retried_after_close(&self) {
-        self.with(|state, _| state.crossed += 1);
+        self.with(|state, _| state.resent_after_close += 1);
     }
 
     /// Records that a proxy is being killed: its open attempts need no answer.
@@ -347,7 +347,7 @@
                 let answer = clients::Answer::ConnectionLost { reached: true };
                 state.clients(clients::Event::Answered(id, answer), now);
             }
-            state.set_timer(now + DEATH_NOTICE_US, TimerKind::Unseen(proxy));
+            state.set_timer(now + DEATH_NOTICE_US, TimerKind::ProxyDownDetected(proxy));
         });
     }
 
--- a/crates/testbed/src/history/state.rs
+++ b/crates/testbed/src/history/state.rs
@@ -21,7 +21,7 @@
     List,
     Client(clients::TimerKind),
     /// Clients detect that a proxy is down.
-    Unseen(usize),
+    ProxyDownDetected(usize),
 }
 
 /// An attempt that its client waits for.
@@ -75,7 +75,7 @@
     pub probed: u64,
     /// Connections that a server rejected at its connection limit.
     pub rejected_connections: u64,
-    pub(super) crossed: u64,
+    pub(super) resent_after_close: u64,
     /// Proxies that were killed and do not serve again yet.
     pub(super) down: FxHashSet<usize>,
     pub(super) second_process: Option<SecondProcess>,
@@ -141,7 +141,7 @@
             reached: FxHashMap::default(),
             probed: 0,
             rejected_connections: 0,
-            crossed: 0,
+            resent_after_close: 0,
             down: FxHashSet::default(),
             second_process: None,
             held_notifications: None,
@@ -179,7 +179,7 @@
                     self.clients(clients::Event::Timer(clients::TimerKind::Arrival), at)
                 }
                 TimerKind::Client(due) => self.clients(clients::Event::Timer(due), now),
-                TimerKind::Unseen(proxy) => {
+                TimerKind::ProxyDownDetected(proxy) => {
                     if self.down.contains(&proxy) {
                         self.clients(clients::Event::Proxy { proxy, up: false }, now);
                     }
@@ -246,7 +246,7 @@
             attempts: self.reached.values().sum(),
             probes: self.probed,
             gone: self.checker.gone,
-            crossed: self.crossed,
+            resent_after_close: self.resent_after_close,
             dials: 0,
             reached: self.reached.clone(),
         }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -102,11 +102,17 @@
         let proxies = (0..number)
             .map(|proxy| Proxy::new(&runtime, &setup, &history, &addresses, proxy))
             .collect::<Result<Vec<Proxy>, Fault>>()?;
-        let doors = proxies.iter().map(|p| p.clients.address).collect();
+        let client_addresses = proxies.iter().map(|p| p.clients.address).collect();
         let load = {
             let _on = runtime.enter();
             let (history, clients) = (history.clone(), setup.clients.clone());
-            LoadGenerator::new(history, clients, setup.slack, doors, outputs.client_tasks)
+            LoadGenerator::new(
+                history,
+                clients,
+                setup.slack,
+                client_addresses,
+                outputs.client_tasks,
+            )
         };
         let datagram_links = match setup.members {
             Some(_) => members::datagram_links(runtime.handle(), number, setup.seed)?,
@@ -171,7 +177,7 @@
         let length = Duration::from_micros(self.setup.clients.length);
         self.wait(self.history.finished(length))?;
         self.load.close();
-        let dials = self.links.borrow().values().map(Link::taken).sum();
+        let dials = self.links.borrow().values().map(Link::accepted).sum();
         Ok(Outcomes {
             dials,
             ..self.history.close()
--- a/crates/testbed/src/lifecycle.rs
+++ b/crates/testbed/src/lifecycle.rs
@@ -39,8 +39,8 @@
             problem: format!("proxy {proxy}: {}", fault.problem),
             ..fault
         };
-        let mut address = |words: &str| -> Result<Option<SocketAddr>, Fault> {
-            let (_, line) = process.wait_for_line(words, 0).map_err(named)?;
+        let mut address = |text: &str| -> Result<Option<SocketAddr>, Fault> {
+            let (_, line) = process.wait_for_line(text, 0).map_err(named)?;
             Ok(line.rsplit(' ').next().and_then(|word| word.parse().ok()))
         };
         at.address = address(": serving on ")?;
@@ -52,7 +52,7 @@
             .setup
             .members
             .as_ref()
-            .is_some_and(|members| members.lists(proxy))
+            .is_some_and(|members| members.includes(proxy))
         {
             let heard = address(members::LISTENING_LINE)?;
             self.set_datagram_target(proxy, heard);
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -128,7 +128,7 @@
     }
 
     /// Number of connections accepted so far.
-    pub fn taken(&self) -> u64 {
+    pub fn accepted(&self) -> u64 {
         self.counts.borrow().0
     }
 
@@ -138,16 +138,16 @@
     }
 
     /// Waits until `number` connections have been accepted.
-    pub async fn until_taken(&self, number: u64) {
+    pub async fn wait_for_accepted(&self, number: u64) {
         _ = self
             .counts
             .subscribe()
-            .wait_for(|(taken, _)| *taken >= number)
+            .wait_for(|(accepted, _)| *accepted >= number)
             .await;
     }
 
     /// Waits until `number` connections are open.
-    pub async fn until_open(&self, number: u64) {
+    pub async fn wait_for_open(&self, number: u64) {
         _ = self
             .counts
             .subscribe()
@@ -160,7 +160,7 @@
         while let Ok((near, _)) = listener.accept().await {
             number += 1;
             self.counts
-                .send_modify(|(taken, open)| (*taken, *open) = (*taken + 1, *open + 1));
+                .send_modify(|(accepted, open)| (*accepted, *open) = (*accepted + 1, *open + 1));
             let link = self.clone();
             tokio::spawn(async move {
                 link.carry(near, seed.wrapping_add(number << 1)).await;
@@ -180,12 +180,12 @@
         let Some(far) = far else { return reset(&near) };
         _ = far.set_nodelay(true);
         let mut watched = self.state.subscribe();
-        let born = now.resets;
+        let resets_at_start = now.resets;
         let there = pump(&near, &far, self.state.subscribe(), |s| s.there, seed);
         let back = pump(&far, &near, self.state.subscribe(), |s| s.back, seed | 1);
         let whole = tokio::select! {
             both = async { tokio::try_join!(there, back) } => both.is_ok(),
-            _ = watched.wait_for(|s| s.resets > born) => false,
+            _ = watched.wait_for(|s| s.resets > resets_at_start) => false,
         };
         if !whole {
             reset(&near);
--- a/crates/testbed/src/load_generator.rs
+++ b/crates/testbed/src/load_generator.rs
@@ -93,7 +93,7 @@
     pub fn close(&self) {
         for pool in self.pools.iter() {
             lock(pool).drain(..).for_each(|mut connection| {
-                if connection.idle() == Idle::Spoke {
+                if connection.idle() == Idle::UnrequestedAnswer {
                     self.history.report_violation(Rule::AnsweredTwice);
                 }
             });
@@ -106,9 +106,9 @@
     loop {
         let mut connection = lock(pool).pop()?;
         match connection.idle() {
-            Idle::Fit => return Some(connection),
-            Idle::Ended => {}
-            Idle::Spoke => history.report_violation(Rule::AnsweredTwice),
+            Idle::Usable => return Some(connection),
+            Idle::Closed => {}
+            Idle::UnrequestedAnswer => history.report_violation(Rule::AnsweredTwice),
         }
     }
 }
--- a/crates/testbed/src/members.rs
+++ b/crates/testbed/src/members.rs
@@ -21,9 +21,9 @@
 /// Log line of a proxy whose member socket is open; the address follows.
 pub const LISTENING_LINE: &str = "members: heard on ";
 /// A proxy's own address in its own roster, to which nothing is sent.
-const OWN: &str = "127.0.0.1:9";
+const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 /// Interval between two reads of a proxy's metrics.
-const LOOK: Duration = Duration::from_millis(20);
+const METRIC_POLL: Duration = Duration::from_millis(20);
 
 /// Settings of the members: all proxies on one roster.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
 
 impl Members {
     /// Whether a proxy is on the roster.
-    pub fn lists(&self, proxy: usize) -> bool {
+    pub fn includes(&self, proxy: usize) -> bool {
         self.roster.is_empty() || self.roster.contains(&proxy)
     }
 
@@ -95,7 +95,7 @@
     let Some(members) = setup
         .members
         .as_ref()
-        .filter(|members| members.lists(proxy))
+        .filter(|members| members.includes(proxy))
     else {
         return String::new();
     };
@@ -108,10 +108,10 @@
         text += &format!(" {}\n", line.trim());
     }
     text += "}\n";
-    for member in (0..setup.clients.proxies).filter(|member| members.lists(*member)) {
+    for member in (0..setup.clients.proxies).filter(|member| members.includes(*member)) {
         let address = datagram_links
             .get(&(proxy, member))
-            .map_or_else(|| OWN.to_owned(), |t| t.address.to_string());
+            .map_or_else(|| UNUSED_ADDRESS.to_owned(), |t| t.address.to_string());
         let region = region(setup, members, member);
         // Writing to a string cannot fail.
         _ = write!(
@@ -169,9 +169,9 @@
     }
 
     /// Sets the same faults on all datagram links.
-    pub fn set_datagram_faults(&self, way: impl Into<DatagramFaults>) {
-        let way = way.into();
-        self.datagram_links().for_each(|(_, link)| link.set(way));
+    pub fn set_datagram_faults(&self, faults: impl Into<DatagramFaults>) {
+        let faults = faults.into();
+        self.datagram_links().for_each(|(_, link)| link.set(faults));
     }
 
     /// Removes the faults of all datagram links.
@@ -207,22 +207,22 @@
             }
             if Instant::now() >= until {
                 let figures = figures?;
-                let mut words: Vec<_> = figures
+                let mut lines: Vec<_> = figures
                     .iter()
                     .map(|(name, n)| format!("{name} {n}"))
                     .collect();
-                words.sort();
+                lines.sort();
                 let value =
                     value.map_or_else(|| "not exported".to_owned(), |value| value.to_string());
                 let problem =
                     format!("metrics of proxy {proxy}: {name} is {value}, timed out waiting for the expected value");
                 return Err(Fault {
                     problem,
-                    words,
+                    lines,
                     code: None,
                 });
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(METRIC_POLL);
         }
     }
 }
--- a/crates/testbed/src/planted_violation.rs
+++ b/crates/testbed/src/planted_violation.rs
@@ -32,7 +32,7 @@
 }
 
 /// Number of attempts above every limit that the testbed sets.
-const TOO_MANY: usize = 50;
+const EXCESSIVE_ATTEMPTS: usize = 50;
 
 impl PlantedViolation {
     /// Starts to serve and returns the address.
@@ -72,21 +72,21 @@
     async fn converse(&self, stream: &TcpStream) -> io::Result<()> {
         let mut input = Vec::new();
         let mut bytes = vec![0; 16 << 10];
-        let mut greeted = false;
-        let strange = || io::Error::from(io::ErrorKind::InvalidData);
+        let mut session_started = false;
+        let invalid_data = || io::Error::from(io::ErrorKind::InvalidData);
         loop {
-            if !greeted {
+            if !session_started {
                 if let Some((Startup::Session(welcome), used)) =
-                    server::parse_startup(&input, CancelKey::NONE).map_err(|_| strange())?
+                    server::parse_startup(&input, CancelKey::NONE).map_err(|_| invalid_data())?
                 {
                     input.drain(..used);
-                    greeted = true;
+                    session_started = true;
                     link::write_all(stream, &welcome).await?;
                 }
             }
-            if greeted {
+            if session_started {
                 while let Some((ClientMessage::Query(text), used)) =
-                    server::parse_client_message(&input).map_err(|_| strange())?
+                    server::parse_client_message(&input).map_err(|_| invalid_data())?
                 {
                     let out = self.answer(text).await?;
                     input.drain(..used);
@@ -133,7 +133,7 @@
                 shown(self.forward(target, text).await?)
             }
             Rule::TooManyAttempts => {
-                for _ in 0..TOO_MANY {
+                for _ in 0..EXCESSIVE_ATTEMPTS {
                     self.forward(target, text).await?;
                 }
                 shown(self.forward(target, text).await?)
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -25,7 +25,7 @@
     /// Description of the failure.
     pub problem: String,
     /// The last lines of the program's standard error.
-    pub words: Vec<String>,
+    pub lines: Vec<String>,
     /// The program's exit code, if it exited with one.
     pub code: Option<i32>,
 }
@@ -35,7 +35,7 @@
     pub fn new(problem: impl Into<String>) -> Fault {
         Fault {
             problem: problem.into(),
-            words: Vec::new(),
+            lines: Vec::new(),
             code: None,
         }
     }
@@ -47,7 +47,7 @@
         if let Some(code) = self.code {
             write!(f, " (exit code {code})")?;
         }
-        self.words
+        self.lines
             .iter()
             .try_for_each(|line| write!(f, "\n  {line}"))
     }
@@ -106,7 +106,7 @@
     /// The executable.
     pub program: PathBuf,
     /// Its arguments.
-    pub words: Vec<String>,
+    pub arguments: Vec<String>,
     /// Additional environment variables.
     pub variables: Vec<(String, String)>,
     /// Limit of open descriptors; 0: the testbed's own limit.
@@ -128,7 +128,7 @@
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    said: Arc<(Mutex<Output>, Condvar)>,
+    output: Arc<(Mutex<Output>, Condvar)>,
     stopped: bool,
 }
 
@@ -141,7 +141,7 @@
             .arg(plan.files.to_string());
         command
             .arg(&plan.program)
-            .args(&plan.words)
+            .args(&plan.arguments)
             .env_remove("RUST_LOG");
         let mut log = match &plan.log {
             None => None,
@@ -160,10 +160,10 @@
         let mut child = command
             .spawn()
             .map_err(|e| Fault::new(format!("cannot start {}: {e}", plan.program.display())))?;
-        let said = Arc::new((Mutex::new(Output::default()), Condvar::new()));
-        let (words, kept) = (child.stderr.take(), Arc::clone(&said));
+        let output = Arc::new((Mutex::new(Output::default()), Condvar::new()));
+        let (stderr, kept) = (child.stderr.take(), Arc::clone(&output));
         thread::spawn(move || {
-            for line in words
+            for line in stderr
                 .map(BufReader::new)
                 .into_iter()
                 .flat_map(|w| w.lines().map_while(Result::ok))
@@ -172,12 +172,12 @@
                     // A line that cannot be written to the log file is still kept.
                     _ = writeln!(log, "{line}");
                 }
-                let mut said = lock(&kept.0);
-                if said.lines.len() == LINES {
-                    said.lines.pop_front();
-                    said.dropped += 1;
+                let mut output = lock(&kept.0);
+                if output.lines.len() == LINES {
+                    output.lines.pop_front();
+                    output.dropped += 1;
                 }
-                said.lines.push_back(line);
+                output.lines.push_back(line);
                 kept.1.notify_all();
             }
             lock(&kept.0).ended = true;
@@ -185,13 +185,13 @@
         });
         Ok(Process {
             child,
-            said,
+            output,
             stopped: false,
         })
     }
 
     /// The process id.
-    pub fn number(&self) -> u32 {
+    pub fn id(&self) -> u32 {
         self.child.id()
     }
 
@@ -212,10 +212,10 @@
         _ = self.child.wait();
     }
 
-    /// Whether a kept log line contains these words.
-    pub fn has_said(&self, words: &str) -> bool {
-        let said = lock(&self.said.0);
-        said.lines.iter().any(|line| line.contains(words))
+    /// Whether a kept log line contains this text.
+    pub fn has_logged(&self, text: &str) -> bool {
+        let output = lock(&self.output.0);
+        output.lines.iter().any(|line| line.contains(text))
     }
 
     /// Whether the process has ended.
@@ -228,31 +228,28 @@
         self.child.wait().ok().and_then(|status| status.code())
     }
 
-    /// Waits for a log line that contains these words, at number `from` or later; returns the line and its number.
-    pub fn wait_for_line(&mut self, words: &str, from: usize) -> Result<(usize, String), Fault> {
+    /// Waits for a log line that contains this text, at number `from` or later; returns the line and its number.
+    pub fn wait_for_line(&mut self, text: &str, from: usize) -> Result<(usize, String), Fault> {
         let until = Instant::now() + EVENT_TIMEOUT;
-        let (said, came) = &*self.said;
-        let mut said = lock(said);
+        let (output, changed) = &*self.output;
+        let mut output = lock(output);
         loop {
-            let skip = from.saturating_sub(said.dropped);
-            let mut lines = said.lines.iter().enumerate().skip(skip);
-            if let Some((at, line)) = lines.find(|(_, line)| line.contains(words)) {
-                return Ok((said.dropped + at, line.clone()));
+            let skip = from.saturating_sub(output.dropped);
+            let mut lines = output.lines.iter().enumerate().skip(skip);
+            if let Some((at, line)) = lines.find(|(_, line)| line.contains(text)) {
+                return Ok((output.dropped + at, line.clone()));
             }
             let left = until.saturating_duration_since(Instant::now());
-            if said.ended || left.is_zero() {
-                let last = said.lines.iter().rev().take(20).rev().cloned().collect();
-                let (problem, ended) = match said.ended {
-                    true => (
-                        format!("the program ended before it logged {words:?}"),
-                        true,
-                    ),
+            if output.ended || left.is_zero() {
+                let last = output.lines.iter().rev().take(20).rev().cloned().collect();
+                let (problem, ended) = match output.ended {
+                    true => (format!("the program ended before it logged {text:?}"), true),
                     false => (
-                        format!("timed out waiting for a log line with {words:?}"),
+                        format!("timed out waiting for a log line with {text:?}"),
                         false,
                     ),
                 };
-                drop(said);
+                drop(output);
                 let code = if ended {
                     self.child.wait().ok().and_then(|s| s.code())
                 } else {
@@ -260,12 +257,12 @@
                 };
                 return Err(Fault {
                     problem,
-                    words: last,
+                    lines: last,
                     code,
                 });
             }
-            said = came
-                .wait_timeout(said, left)
+            output = changed
+                .wait_timeout(output, left)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -28,13 +28,13 @@
 }
 
 /// A connection's entry in the server's connection table, released on drop.
-struct Place<'a> {
+struct ConnectionSlot<'a> {
     history: &'a History,
     server: ServerIndex,
     life: u64,
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
         // A crash of the server has cleared its table.
         if *self.history.watch_deaths(self.server).borrow() == self.life {
@@ -46,44 +46,44 @@
 async fn connection(history: History, server: ServerIndex, stream: TcpStream) {
     _ = stream.set_nodelay(true);
     let mut life = history.watch_deaths(server);
-    let born = *life.borrow_and_update();
+    let crashes_at_start = *life.borrow_and_update();
     let up = history.dial(server);
     if !up && !history.lock().site.runs(server) {
         return reset(&stream);
     }
-    let place = up.then(|| Place {
+    let slot = up.then(|| ConnectionSlot {
         history: &history,
         server,
-        life: born,
+        life: crashes_at_start,
     });
     tokio::select! {
-        _ = life.wait_for(|now| *now > born) => reset(&stream),
+        _ = life.wait_for(|now| *now > crashes_at_start) => reset(&stream),
         sound = converse(&history, server, &stream, up) => if sound.is_err() {
             reset(&stream);
         }
     }
-    drop(place);
+    drop(slot);
 }
 
 /// The connection has to be closed: invalid input, or the peer has gone.
-struct Over;
+struct CloseConnection;
 
 async fn converse(
     history: &History,
     server: ServerIndex,
     stream: &TcpStream,
     welcome: bool,
-) -> Result<(), Over> {
+) -> Result<(), CloseConnection> {
     let mut input = Vec::new();
     let mut bytes = vec![0; 16 << 10];
-    let mut greeted = false;
+    let mut session_started = false;
     loop {
         loop {
-            let (out, used) = if !greeted {
-                match server::parse_startup(&input, CancelKey::NONE).map_err(|_| Over)? {
+            let (out, used) = if !session_started {
+                match server::parse_startup(&input, CancelKey::NONE).map_err(|_| CloseConnection)? {
                     None => break,
                     Some((Startup::Session(bytes), used)) => {
-                        greeted = true;
+                        session_started = true;
                         // A full connection table is reported as an error.
                         let out = if welcome {
                             bytes
@@ -92,10 +92,10 @@
                         };
                         (out, used)
                     }
-                    Some(_) => return Err(Over),
+                    Some(_) => return Err(CloseConnection),
                 }
             } else {
-                match server::parse_client_message(&input).map_err(|_| Over)? {
+                match server::parse_client_message(&input).map_err(|_| CloseConnection)? {
                     None => break,
                     Some((ClientMessage::Query(text), used)) => {
                         (query(history, server, text).await?, used)
@@ -108,8 +108,10 @@
                 }
             };
             input.drain(..used);
-            link::write_all(stream, &out).await.map_err(|_| Over)?;
-            if !welcome && greeted {
+            link::write_all(stream, &out)
+                .await
+                .map_err(|_| CloseConnection)?;
+            if !welcome && session_started {
                 return Ok(());
             }
         }
@@ -120,10 +122,14 @@
     }
 }
 
-async fn query(history: &History, server: ServerIndex, text: &str) -> Result<Vec<u8>, Over> {
+async fn query(
+    history: &History,
+    server: ServerIndex,
+    text: &str,
+) -> Result<Vec<u8>, CloseConnection> {
     if text == "SHOW load" || text == "SELECT 1" {
         let Some(report) = history.probe(server).await.ok().flatten() else {
-            return Err(Over);
+            return Err(CloseConnection);
         };
         let position = history.unix(report.position).as_secs_f64();
         let (primary, queued, held) = (u8::from(report.primary), report.queued, report.in_flight);
@@ -141,12 +147,12 @@
         return Ok(wire::error(sqlstate::PROTOCOL_VIOLATION, &[]));
     };
     // A hanging server never answers; a crash resets the connection.
-    let said = reply.await.map_err(|_| Over)?;
+    let reply = reply.await.map_err(|_| CloseConnection)?;
     let mut parameters = Vec::new();
-    if let Some(metadata) = said.metadata {
+    if let Some(metadata) = reply.metadata {
         // A write's commit position is rounded up, so that a replica at that position has the whole write.
         let micros = history.unix(metadata.position).as_micros();
-        let write = said.answer == Answer::Ok && metadata.primary;
+        let write = reply.answer == Answer::Ok && metadata.primary;
         let millis = if write {
             micros.div_ceil(1_000)
         } else {
@@ -163,8 +169,8 @@
         ));
         parameters.push(("applied_ms", millis.to_string()));
     }
-    Ok(match said.answer {
-        Answer::Ok => wire::row(&value(id.unwrap_or(0), said.exchange), &parameters),
+    Ok(match reply.answer {
+        Answer::Ok => wire::row(&value(id.unwrap_or(0), reply.exchange), &parameters),
         Answer::Misdirected => {
             let write = text.starts_with("INSERT");
             let code = if write {
@@ -176,7 +182,7 @@
         }
         Answer::Rejected => wire::error(sqlstate::TOO_MANY_CONNECTIONS, &parameters),
         Answer::Failed => wire::error("XX000", &parameters),
-        Answer::Reset | Answer::Unreachable => return Err(Over),
+        Answer::Reset | Answer::Unreachable => return Err(CloseConnection),
     })
 }
 
--- a/crates/testbed/src/soak/report.rs
+++ b/crates/testbed/src/soak/report.rs
@@ -124,7 +124,7 @@
 
 impl Report {
     /// Summary of the run in one line.
-    pub fn line(&self) -> String {
+    pub fn summary(&self) -> String {
         let longest = |times: &[Duration]| times.iter().max().copied().unwrap_or_default();
         let signals: Vec<String> = self
             .signals
@@ -145,7 +145,7 @@
 
     /// Full report of a failed run, for diagnosis.
     pub fn failure(&self) -> String {
-        let mut text = self.line();
+        let mut text = self.summary();
         for breach in &self.breaches {
             text += &format!("\n  breach: {breach}");
         }
--- a/crates/testbed/src/soak/steps.rs
+++ b/crates/testbed/src/soak/steps.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 /// More connections than a proxy has descriptors.
-const CROWD: usize = 300;
+const IDLE_CLIENTS: usize = 300;
 /// An invalid operators' file, which every proxy rejects.
 const BROKEN_FILE: &str = "route marker {\n nonsense\n";
 /// Number of pairs of a valid and an invalid file in a burst.
@@ -40,12 +40,12 @@
             Step::Upgrade(fault) => self.upgrade(proxy, *fault, pause),
             Step::Kill => {
                 self.kill(proxy);
-                self.start_again(proxy)
+                self.start_proxy(proxy)
             }
             Step::InterruptedStart(signal) => self.interrupt_start(proxy, *signal, pause),
             Step::Crowd(length) => {
                 let address = self.context(proxy).address;
-                let idle = self.testbed.wait(crowd(address, CROWD));
+                let idle = self.testbed.wait(crowd(address, IDLE_CLIENTS));
                 self.log(format!("{} idle clients of proxy {proxy}", idle.len()));
                 std::thread::sleep(*length);
                 drop(idle);
@@ -56,7 +56,7 @@
 
     /// Restarts proxies: clients continue on open connections from SIGTERM to SIGKILL, which comes as early as the platform allows.
     fn restart(&mut self, proxies: &[usize], restart: &Restart) -> Result<(), Fault> {
-        let crowds = self.crowds(proxies, restart.crowded);
+        let crowds = self.open_idle_clients(proxies, restart.crowded);
         let held: Vec<_> = proxies
             .iter()
             .map(|at| self.hold_connections(*at))
@@ -86,15 +86,15 @@
         sleep_until(kill_at);
         proxies
             .iter()
-            .try_for_each(|proxy| self.start_again(*proxy))
+            .try_for_each(|proxy| self.start_proxy(*proxy))
     }
 
-    fn crowds(&self, proxies: &[usize], wanted: bool) -> Vec<TcpStream> {
+    fn open_idle_clients(&self, proxies: &[usize], wanted: bool) -> Vec<TcpStream> {
         let crowded = proxies.iter().filter(|_| wanted);
         crowded
             .flat_map(|proxy| {
                 self.testbed
-                    .wait(crowd(self.context(*proxy).address, CROWD))
+                    .wait(crowd(self.context(*proxy).address, IDLE_CLIENTS))
             })
             .collect()
     }
@@ -138,7 +138,7 @@
             if !self.check_ended(proxy, Instant::now() + self.plan.kill_after()) {
                 self.kill(proxy);
             }
-            return self.start_again(proxy);
+            return self.start_proxy(proxy);
         }
         self.testbed.ready(proxy)?;
         self.testbed.history.proxy_up(proxy);
@@ -152,7 +152,7 @@
     fn wait_for_handlers(&mut self, proxy: usize, until: Instant) {
         let signals = [Signal::HUP.as_raw(), Signal::TERM.as_raw()];
         let process = self.testbed.proxies[proxy].process.as_ref();
-        let number = process.map_or(0, |process| process.number());
+        let number = process.map_or(0, |process| process.id());
         while !handles_signals(number, &signals) && Instant::now() < until {
             std::thread::sleep(HANDLER_POLL);
         }
@@ -187,7 +187,7 @@
         self.testbed.kill(proxy);
     }
 
-    fn start_again(&mut self, proxy: usize) -> Result<(), Fault> {
+    fn start_proxy(&mut self, proxy: usize) -> Result<(), Fault> {
         let began = Instant::now();
         self.testbed.restart(proxy)?;
         self.expected_versions[proxy] = self.version;
@@ -272,7 +272,7 @@
                 new_process.kill();
                 // Gives clients the time to detect its end.
                 std::thread::sleep(END_NOTICE);
-                let had_served = new_process.has_said(SERVING_LINE);
+                let had_served = new_process.has_logged(SERVING_LINE);
                 self.testbed.history.second_process_died(had_served);
                 new_process = self.testbed.start_new_process(proxy)?;
             }
@@ -314,12 +314,12 @@
     }
 
     pub(super) fn begin_trouble(&mut self, trouble: Trouble) {
-        let server = self.a_replica();
+        let server = self.last_member_of_first_group();
         let history = &self.testbed.history;
         match trouble {
             Trouble::DiscoverySilent => {
                 history.set_list_silent(true);
-                self.lists(|list| list.cut());
+                self.for_each_discovery_link(|list| list.cut());
             }
             Trouble::DiscoveryDown => history.list(catalog::Event::Down(true)),
             Trouble::ServerDrains => history.inject_fault(ServerFault::Drain(server)),
@@ -333,7 +333,7 @@
         let history = &self.testbed.history;
         match trouble {
             Trouble::DiscoverySilent => {
-                self.lists(|list| list.heal());
+                self.for_each_discovery_link(|list| list.heal());
                 history.set_list_silent(false);
             }
             Trouble::DiscoveryDown => history.list(catalog::Event::Down(false)),
@@ -344,7 +344,7 @@
         }
     }
 
-    fn lists(&self, act: impl Fn(&crate::link::Link)) {
+    fn for_each_discovery_link(&self, act: impl Fn(&crate::link::Link)) {
         self.testbed
             .proxies
             .iter()
@@ -358,7 +358,7 @@
     }
 
     /// The last member of the first group, which is a replica unless it has been promoted.
-    fn a_replica(&self) -> ServerIndex {
+    fn last_member_of_first_group(&self) -> ServerIndex {
         let state = self.testbed.history.lock();
         let members = state.site.members(0);
         let primary = state.site.primary(0);
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -182,13 +182,13 @@
         let mut bytes = [0; 64];
         let read = self.stream.try_read(&mut bytes);
         if !self.input.is_empty() {
-            return Idle::Spoke;
+            return Idle::UnrequestedAnswer;
         }
         match read {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Idle::Fit,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Idle::Usable,
             // A final error message before the close does not count as an answer.
-            Ok(n) if n > 0 && bytes[0] != b'E' => Idle::Spoke,
-            _ => Idle::Ended,
+            Ok(n) if n > 0 && bytes[0] != b'E' => Idle::UnrequestedAnswer,
+            _ => Idle::Closed,
         }
     }
 }
@@ -197,9 +197,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idle {
     /// Usable.
-    Fit,
+    Usable,
     /// Closed by the peer.
-    Ended,
+    Closed,
     /// The peer sent an answer without a request.
-    Spoke,
+    UnrequestedAnswer,
 }
--- a/crates/testbed/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -37,19 +37,22 @@
     /// Sends the values one by one, each after the relay has received the one before, so that their order is kept.
     async fn send(&self, texts: impl IntoIterator<Item = u32>) {
         for text in texts {
-            let came = self.link.counts().came;
+            let received = self.link.counts().received;
             self.sender
                 .send_to(&text.to_be_bytes(), self.link.address)
                 .await
                 .unwrap();
-            self.link.until(|counts| counts.came > came).await.unwrap();
+            self.link
+                .until(|counts| counts.received > received)
+                .await
+                .unwrap();
         }
     }
 
     /// Waits until the relay holds no datagram, and returns the values that have passed since the last call.
     async fn heard(&self, before: &mut u64) -> Vec<u32> {
         let counts = self.link.until(|counts| counts.waiting == 0).await.unwrap();
-        assert!(counts.add_up(), "{counts:?}");
+        assert!(counts.is_consistent(), "{counts:?}");
         let mut heard = Vec::new();
         let mut bytes = [0; 64];
         while *before < counts.passed {
@@ -75,19 +78,22 @@
 /// Each fault, applied to all datagrams: checks the received datagrams and the counters.
 #[test]
 fn each_fault_is_seen_and_counted() {
-    let way = DatagramFaults::default();
-    let of = |came, passed| Counts {
-        came,
+    let faults = DatagramFaults::default();
+    let of = |received, passed| Counts {
+        received,
         passed,
         ..Counts::default()
     };
     let millis = Duration::from_millis;
     let late = Flow::Late(millis(30), millis(30));
     let cases: [(DatagramFaults, &[u32], Counts); 7] = [
-        (way, &[1, 2, 3, 4], of(4, 4)),
+        (faults, &[1, 2, 3, 4], of(4, 4)),
         (Flow::Cut.into(), &[], Counts { cut: 4, ..of(4, 0) }),
         (
-            DatagramFaults { lost: 1.0, ..way },
+            DatagramFaults {
+                lost: 1.0,
+                ..faults
+            },
             &[],
             Counts {
                 lost: 4,
@@ -97,7 +103,7 @@
         (
             DatagramFaults {
                 doubled: 1.0,
-                ..way
+                ..faults
             },
             &[1, 1, 2, 2, 3, 3, 4, 4],
             Counts {
@@ -108,7 +114,7 @@
         (
             DatagramFaults {
                 reordered: 1.0,
-                ..way
+                ..faults
             },
             &[2, 1, 4, 3],
             Counts {
@@ -129,7 +135,7 @@
                 doubled: 1.0,
                 reordered: 1.0,
                 flow: late,
-                ..way
+                ..faults
             },
             &[2, 2, 1, 1, 4, 4, 3, 3],
             Counts {
@@ -141,16 +147,16 @@
         ),
     ];
     block_on_test(async {
-        for (way, texts, counts) in cases {
+        for (faults, texts, counts) in cases {
             let pair = RelayedPair::new(1).await;
-            pair.link.set(way);
+            pair.link.set(faults);
             let begun = Instant::now();
             pair.send(1..5).await;
-            assert_eq!(pair.heard(&mut 0).await, texts, "{way:?}");
-            assert_eq!(pair.link.counts(), counts, "{way:?}");
+            assert_eq!(pair.heard(&mut 0).await, texts, "{faults:?}");
+            assert_eq!(pair.link.counts(), counts, "{faults:?}");
             assert!(
                 counts.late == 0 || begun.elapsed() >= millis(30),
-                "{way:?}: received before the configured delay"
+                "{faults:?}: received before the configured delay"
             );
         }
     });
@@ -189,7 +195,7 @@
 fn a_cut_takes_what_is_on_its_way() {
     block_on_test(async {
         let hour = Duration::from_secs(3_600);
-        for way in [
+        for faults in [
             Flow::Late(hour, hour).into(),
             DatagramFaults {
                 reordered: 1.0,
@@ -197,7 +203,7 @@
             },
         ] {
             let pair = RelayedPair::new(1).await;
-            pair.link.set(way);
+            pair.link.set(faults);
             pair.send([1]).await;
             assert_eq!(pair.link.counts().waiting, 1);
             pair.link.cut();
@@ -235,12 +241,12 @@
             let mut result = (Vec::new(), Counts::default());
             block_on_test(async {
                 let (pair, mut before) = (RelayedPair::new(seed).await, 0);
-                let way = DatagramFaults { lost, doubled, reordered, corrupted, ..DatagramFaults::default() };
-                pair.link.set(way);
+                let faults = DatagramFaults { lost, doubled, reordered, corrupted, ..DatagramFaults::default() };
+                pair.link.set(faults);
                 pair.send(0..cut).await;
                 pair.link.cut();
                 pair.send(60..70).await;
-                pair.link.set(way);
+                pair.link.set(faults);
                 pair.send(100..140).await;
                 pair.link.heal();
                 result = (pair.heard(&mut before).await, pair.link.counts());
@@ -248,8 +254,8 @@
             result
         };
         let (heard, counts) = run();
-        prop_assert!(counts.add_up());
-        prop_assert_eq!(counts.came, u64::from(cut) + 50);
+        prop_assert!(counts.is_consistent());
+        prop_assert_eq!(counts.received, u64::from(cut) + 50);
         prop_assert!((10..=12).contains(&counts.cut), "the ten sent during the cut, and at most one held datagram, duplicated");
         prop_assert_eq!(heard.len() as u64, counts.passed);
         prop_assert_eq!(run(), (heard, counts));
@@ -346,7 +352,7 @@
                 .await
                 .unwrap();
             let after = link
-                .until(|counts| counts.came > before.came)
+                .until(|counts| counts.received > before.received)
                 .await
                 .unwrap();
             assert_eq!(
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -193,11 +193,11 @@
     for proxy in 0..6 {
         wait_for_forwarded(&testbed, proxy, 1);
     }
-    let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.taken()).collect();
+    let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.accepted()).collect();
     testbed.history.list(catalog::Event::Down(true));
     // The watch of each proxy has ended, and each has tried to connect again.
     for (proxy, taken) in testbed.proxies.iter().zip(&before) {
-        testbed.wait(proxy.list.until_taken(taken + 1));
+        testbed.wait(proxy.list.wait_for_accepted(taken + 1));
     }
     let gone = *testbed.history.lock().site.members(0).last().unwrap();
     testbed.history.inject_fault(ServerFault::Retire(gone));
@@ -258,12 +258,12 @@
         .expect("a proxy with invalid settings must not start");
     assert_eq!(fault.code, Some(2), "{fault}");
     assert!(
-        fault.words.iter().any(|line| line.contains("nonsense")),
+        fault.lines.iter().any(|line| line.contains("nonsense")),
         "{fault}"
     );
     let missing = Plan {
         program: "/nowhere".into(),
-        words: vec![],
+        arguments: vec![],
         variables: vec![],
         files: 0,
         log: None,
--- a/crates/testbed/tests/links.rs
+++ b/crates/testbed/tests/links.rs
@@ -86,7 +86,7 @@
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"one").await.unwrap();
         write_all(&stream, b"two").await.unwrap();
-        link.until_taken(1).await;
+        link.wait_for_accepted(1).await;
         assert!(came.try_recv().is_err());
         link.heal();
         assert_eq!(read_bytes(&stream, 6).await, b"onetwo");
@@ -107,8 +107,8 @@
         let stream = TcpStream::connect(link.address).await.unwrap();
         write_all(&stream, b"two").await.unwrap();
         assert_eq!(read_bytes(&stream, 3).await, b"two");
-        link.until_open(1).await;
-        assert_eq!(link.taken(), 2);
+        link.wait_for_open(1).await;
+        assert_eq!(link.accepted(), 2);
         link.refuse();
         // The reset may already fail the connect call.
         if let Ok(refused) = TcpStream::connect(link.address).await {
--- a/crates/testbed/tests/rollout.rs
+++ b/crates/testbed/tests/rollout.rs
@@ -546,8 +546,8 @@
             total,
             classes: Vec::new(),
         };
-        fake_member.say(VOTE, encode(&word), VOTE_LIFETIME);
-        fake_member.say(TRAFFIC_COUNTS, encode(&counts), VOTE_LIFETIME);
+        fake_member.publish(VOTE, encode(&word), VOTE_LIFETIME);
+        fake_member.publish(TRAFFIC_COUNTS, encode(&counts), VOTE_LIFETIME);
         wait_for_answers(testbed, 20);
     }
 }
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -12,7 +12,7 @@
     let _turn = turn();
     let report = play(seed, PARALLEL_TESTS_ALLOWANCE);
     assert!(report.breaches.is_empty(), "{}", report.failure());
-    println!("{}", report.line());
+    println!("{}", report.summary());
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut failed = Vec::new();
     for seed in number(first)..=number(last) {
         let report = play(seed, Duration::ZERO);
-        println!("{}", report.line());
+        println!("{}", report.summary());
         if !report.breaches.is_empty() {
             println!("{}", report.failure());
             failed.push(seed);
