--- a/crates/invariant-checkers/src/loans.rs
+++ b/crates/invariant-checkers/src/loans.rs
@@ -84,20 +84,20 @@
     /// Debts of earlier starts that the later start has lost.
     left: u64,
     /// The same for a start that was observed in the current round: these debts may not have existed at the end of the previous one.
-    leaves: u64,
+    left_this_round: u64,
 }
 
 impl Known {
-    fn least_at_death(&self) -> u64 {
-        let net = least(&self.base, &self.last, &self.last);
+    fn min_debt_at_death(&self) -> u64 {
+        let net = min_debt(&self.base, &self.last, &self.last);
         self.dead.map_or(0, |repaid| net.saturating_sub(repaid))
     }
 
     /// Lower bound of the debt at the end of the previous round.
-    fn least(&self) -> u64 {
+    fn min_debt(&self) -> u64 {
         let alive = match (&self.before, &self.after) {
-            (Some(before), Some(after)) => least(&self.base, before, after),
-            (Some(_), None) => self.least_at_death(),
+            (Some(before), Some(after)) => min_debt(&self.base, before, after),
+            (Some(_), None) => self.min_debt_at_death(),
             (None, _) => 0,
         };
         self.left.saturating_add(alive)
@@ -117,7 +117,7 @@
     }
 }
 
-fn least(base: &LoanAccount, before: &LoanAccount, after: &LoanAccount) -> u64 {
+fn min_debt(base: &LoanAccount, before: &LoanAccount, after: &LoanAccount) -> u64 {
     let back = |account: &LoanAccount| account.repaid.saturating_add(account.written_off);
     before
         .lent
@@ -145,7 +145,7 @@
 pub struct Checker {
     settle: Option<u32>,
     /// Key: tenant, then proxy.
-    books: BTreeMap<String, BTreeMap<String, Known>>,
+    accounts: BTreeMap<String, BTreeMap<String, Known>>,
     lines: BTreeMap<String, Line>,
     /// The breaches found so far.
     pub broken: Breaches<Breach>,
@@ -155,10 +155,10 @@
     /// `settle`: number of rounds after which all proxies apply a reduced line, so that the smallest is enforced; until then
     /// the largest is. None: proxies may be partitioned, and the largest line is always enforced.
     pub fn new(settle: Option<u32>) -> Checker {
-        let (books, lines) = (BTreeMap::new(), BTreeMap::new());
+        let (accounts, lines) = (BTreeMap::new(), BTreeMap::new());
         Checker {
             settle,
-            books,
+            accounts,
             lines,
             broken: Breaches::default(),
         }
@@ -179,8 +179,8 @@
                 account,
             });
         }
-        let books = self.books.entry(tenant.to_owned()).or_default();
-        let former = books.get_mut(proxy);
+        let accounts = self.accounts.entry(tenant.to_owned()).or_default();
+        let former = accounts.get_mut(proxy);
         if let Some(known) = former.filter(|known| known.start == start) {
             let was = known.last;
             let counts = |b: &LoanAccount| [b.lent, b.repaid, b.written_off];
@@ -201,21 +201,23 @@
             (known.last, known.dead, known.gone) = (account, None, false);
             return;
         }
-        let former = books.get(proxy);
+        let former = accounts.get(proxy);
         // A state file holds at least as much lent as any observation. A start with less began without a state file: all of
         // its loans are new, and the debts of the former start remain in addition. Otherwise the debts of the former start
         // are not counted: they may have been repaid since its last observation, and the room lent again.
-        let forgot = former.is_some_and(|former| account.lent < former.last.lent);
-        let base = if former.is_none() || forgot {
+        let lost_state = former.is_some_and(|former| account.lent < former.last.lent);
+        let base = if former.is_none() || lost_state {
             LoanAccount::default()
         } else {
             account
         };
         let left = former.map_or(0, |former| former.left);
-        let leaves = former.map_or(0, |former| {
-            former
-                .leaves
-                .saturating_add(if forgot { former.least_at_death() } else { 0 })
+        let left_this_round = former.map_or(0, |former| {
+            former.left_this_round.saturating_add(if lost_state {
+                former.min_debt_at_death()
+            } else {
+                0
+            })
         });
         let known = Known {
             start,
@@ -226,9 +228,9 @@
             dead: None,
             gone: false,
             left,
-            leaves,
+            left_this_round,
         };
-        books.insert(proxy.to_owned(), known);
+        accounts.insert(proxy.to_owned(), known);
         self.lines.entry(tenant.to_owned()).or_default().joined = true;
     }
 
@@ -237,9 +239,9 @@
     /// observed, which has to come before the next round, or until [`Checker::forget`].
     pub fn proxy_died(&mut self, proxy: &str, repaid: u64) {
         for known in self
-            .books
+            .accounts
             .values_mut()
-            .filter_map(|books| books.get_mut(proxy))
+            .filter_map(|accounts| accounts.get_mut(proxy))
         {
             known.dead = Some(repaid);
         }
@@ -248,11 +250,11 @@
     /// Records that all loans of a proxy's dead starts have expired. Must be called before others may lend the freed room.
     pub fn forget(&mut self, proxy: &str) {
         for known in self
-            .books
+            .accounts
             .values_mut()
-            .filter_map(|books| books.get_mut(proxy))
+            .filter_map(|accounts| accounts.get_mut(proxy))
         {
-            (known.left, known.leaves) = (0, 0);
+            (known.left, known.left_this_round) = (0, 0);
             if known.dead.take().is_some() {
                 // After a return the account still includes the expired loans.
                 (known.base, known.before, known.after, known.gone) =
@@ -263,9 +265,9 @@
 
     /// Ends a round in which each running proxy has been observed.
     pub fn end_round(&mut self) {
-        for (tenant, books) in &mut self.books {
+        for (tenant, accounts) in &mut self.accounts {
             let line = self.lines.entry(tenant.clone()).or_default();
-            let there = || books.values().filter(|known| !known.gone);
+            let there = || accounts.values().filter(|known| !known.gone);
             let seen = there().filter(|known| known.after.is_some());
             let smallest = seen
                 .map(Known::line)
@@ -289,7 +291,7 @@
             if wanted >= line.binds || most.is_some_and(|most| most <= wanted) {
                 line.binds = wanted;
             }
-            let owed = there().fold(0, |sum: u64, known| sum.saturating_add(known.least()));
+            let owed = there().fold(0, |sum: u64, known| sum.saturating_add(known.min_debt()));
             if owed > line.binds {
                 self.broken.add(Breach::CreditLimitExceeded {
                     tenant: tenant.clone(),
@@ -297,9 +299,11 @@
                     line: line.binds,
                 });
             }
-            for known in books.values_mut().filter(|known| !known.gone) {
+            for known in accounts.values_mut().filter(|known| !known.gone) {
                 (known.before, known.after) = (Some(known.last), None);
-                known.left = known.left.saturating_add(std::mem::take(&mut known.leaves));
+                known.left = known
+                    .left
+                    .saturating_add(std::mem::take(&mut known.left_this_round));
             }
         }
     }
--- a/crates/invariant-checkers/src/versions.rs
+++ b/crates/invariant-checkers/src/versions.rs
@@ -95,11 +95,11 @@
             .map(|(_, since)| *since)
     }
 
-    fn new(look: &Observation, at: Duration, restarted: bool) -> Known {
+    fn new(observation: &Observation, at: Duration, restarted: bool) -> Known {
         let (halted, idle) = (BTreeMap::new(), None);
-        let (before, after) = (None, Some(look.clone()));
+        let (before, after) = (None, Some(observation.clone()));
         Known {
-            last: look.clone(),
+            last: observation.clone(),
             at,
             before,
             after,
@@ -110,21 +110,23 @@
         }
     }
 
-    fn sees(&mut self, look: Observation, at: Duration, round: u64) {
-        for version in &look.halted {
+    fn record(&mut self, observation: Observation, at: Duration, round: u64) {
+        for version in &observation.halted {
             self.halted.entry(version.clone()).or_insert(at);
         }
         while self.halted.len() > REMEMBERED {
             self.halted.pop_first();
         }
-        let moved = self.idle.is_none_or(|(_, moves)| Some(moves) != look.moves);
-        if look.runs.is_some() || self.restarted {
+        let moved = self
+            .idle
+            .is_none_or(|(_, moves)| Some(moves) != observation.moves);
+        if observation.runs.is_some() || self.restarted {
             self.idle = None;
         } else if moved {
-            self.idle = look.moves.map(|moves| (look.epoch, moves));
+            self.idle = observation.moves.map(|moves| (observation.epoch, moves));
         }
-        self.after.get_or_insert_with(|| look.clone());
-        (self.last, self.at, self.round) = (look, at, round);
+        self.after.get_or_insert_with(|| observation.clone());
+        (self.last, self.at, self.round) = (observation, at, round);
     }
 
     /// The version that the proxy ran at the end of the previous round: the same before and after, without changes in between.
@@ -167,15 +169,15 @@
     }
 
     /// Takes an observation of a proxy at `now`.
-    pub fn observe(&mut self, now: Duration, proxy: &str, look: Observation) {
-        if look.whole {
-            self.whole.insert(look.epoch);
+    pub fn observe(&mut self, now: Duration, proxy: &str, observation: Observation) {
+        if observation.whole {
+            self.whole.insert(observation.epoch);
             while self.whole.len() > REMEMBERED {
                 self.whole.pop_first();
             }
         }
-        if let Some(version) = &look.runs {
-            if self.halted(proxy, &look, version) {
+        if let Some(version) = &observation.runs {
+            if self.halted(proxy, &observation, version) {
                 self.broken.add(Breach::HaltedRun {
                     proxy: proxy.to_owned(),
                     version: version.clone(),
@@ -196,12 +198,14 @@
             }
         }
         let former = self.known.get(proxy);
-        if former.is_none_or(|known| known.last.start != look.start) {
-            self.known
-                .insert(proxy.to_owned(), Known::new(&look, now, former.is_some()));
+        if former.is_none_or(|known| known.last.start != observation.start) {
+            self.known.insert(
+                proxy.to_owned(),
+                Known::new(&observation, now, former.is_some()),
+            );
         }
         if let Some(known) = self.known.get_mut(proxy) {
-            known.sees(look, now, self.round);
+            known.record(observation, now, self.round);
         }
     }
 
@@ -209,11 +213,11 @@
     /// this process; or all others have known it for so long that no vote can have promoted the proxy, and it began to run
     /// the version since. A partitioned proxy that ran the version before continues until it detects the partition, which
     /// is not a breach.
-    fn halted(&self, proxy: &str, look: &Observation, version: &Version) -> bool {
+    fn halted(&self, proxy: &str, observation: &Observation, version: &Version) -> bool {
         let Some(known) = self
             .known
             .get(proxy)
-            .filter(|known| known.last.start == look.start)
+            .filter(|known| known.last.start == observation.start)
         else {
             return false;
         };
@@ -251,14 +255,14 @@
         if versions.len() > 1 {
             self.broken.add(Breach::TwoNew(running));
         }
-        self.in_order();
+        self.check_region_order();
         self.round += 1;
     }
 
     /// Checks the order of regions: a region was skipped if each of its proxies, observed later, has run no version of that
     /// epoch. This is certain only while a proxy's `moves` do not change, and not for a process that was not observed from
     /// its start.
-    fn in_order(&mut self) {
+    fn check_region_order(&mut self) {
         for ((epoch, _), (runner, round, open)) in &mut self.runners {
             open.retain(|&at| {
                 let (region, proxies) = &self.order[at];
--- a/crates/invariant-checkers/tests/cold.rs
+++ b/crates/invariant-checkers/tests/cold.rs
@@ -105,17 +105,17 @@
 proptest! {
     /// Compares with a direct computation over all windows.
     #[test]
-    fn the_fullest_window_is_found(came in prop::collection::vec((0u64..400_000, 0u64..5_000), 1..80)) {
+    fn the_fullest_window_is_found(arrivals in prop::collection::vec((0u64..400_000, 0u64..5_000), 1..80)) {
         let mut checker = Checker::new(BOUNDS, MEAN as f64);
         let mut now = START;
-        let came: Vec<(u64, u64)> = came.into_iter().map(|(gap, work)| { now += gap; (now, work) }).collect();
-        came.iter().for_each(|(at, work)| checker.record_request(*at, 0, 7, START, *work));
+        let arrivals: Vec<(u64, u64)> = arrivals.into_iter().map(|(gap, work)| { now += gap; (now, work) }).collect();
+        arrivals.iter().for_each(|(at, work)| checker.record_request(*at, 0, 7, START, *work));
         let ratio = |end: u64| {
-            let inside = came.iter().filter(|(at, _)| *at <= end && at + BOUNDS.window > end);
+            let inside = arrivals.iter().filter(|(at, _)| *at <= end && at + BOUNDS.window > end);
             let got = inside.map(|(_, work)| work).sum::<u64>() as f64 / MEAN as f64;
             BOUNDS.allowed(end - START).map(|allowed| Peak { got, allowed, ..Peak::default() }.ratio())
         };
-        let most = came.iter().filter_map(|(at, _)| ratio(*at)).fold(0.0, f64::max);
+        let most = arrivals.iter().filter_map(|(at, _)| ratio(*at)).fold(0.0, f64::max);
         let found = checker.peaks().first().map_or(0.0, Peak::ratio);
         prop_assert!((found - most).abs() < 1e-9, "the checker found {found}, the direct computation {most}");
     }
--- a/crates/invariant-checkers/tests/loans.rs
+++ b/crates/invariant-checkers/tests/loans.rs
@@ -3,7 +3,7 @@
 use invariant_checkers::loans::{Breach, Checker, LoanAccount};
 use proptest::prelude::*;
 
-fn book(lent: u64, repaid: u64, written_off: u64, line: u64) -> LoanAccount {
+fn account(lent: u64, repaid: u64, written_off: u64, line: u64) -> LoanAccount {
     LoanAccount {
         lent,
         repaid,
@@ -17,14 +17,14 @@
 /// Runs rounds of observations; each round holds the accounts of the proxies `a` and `b`, in their first starts.
 fn rounds(checker: &mut Checker, rounds: &[&[LoanAccount]]) {
     for round in rounds {
-        for (proxy, book) in ["a", "b"].iter().zip(*round) {
-            checker.observe(proxy, 1, "bus", *book);
+        for (proxy, account) in ["a", "b"].iter().zip(*round) {
+            checker.observe(proxy, 1, "bus", *account);
         }
         checker.end_round();
     }
 }
 
-fn passed(checker: &Checker) -> Option<(u64, u64)> {
+fn exceeded_line(checker: &Checker) -> Option<(u64, u64)> {
     checker.broken.first.iter().find_map(|breach| match breach {
         Breach::CreditLimitExceeded { owed, line, .. } => Some((*owed, *line)),
         _ => None,
@@ -38,7 +38,7 @@
         &mut checker,
         &[&[LoanAccount {
             owed: 4,
-            ..book(10, 5, 0, 100)
+            ..account(10, 5, 0, 100)
         }]],
     );
     assert!(
@@ -50,11 +50,11 @@
 
 #[test]
 fn a_count_that_shrinks_is_found_unless_the_proxy_started_anew() {
-    let was = book(30, 10, 5, 100);
+    let was = account(30, 10, 5, 100);
     for is in [
-        book(29, 10, 5, 100),
-        book(30, 9, 5, 100),
-        book(30, 10, 4, 100),
+        account(29, 10, 5, 100),
+        account(30, 9, 5, 100),
+        account(30, 10, 4, 100),
     ] {
         let mut checker = Checker::new(None);
         rounds(&mut checker, &[&[was], &[is]]);
@@ -73,17 +73,17 @@
 #[test]
 fn two_proxies_that_lend_the_same_room_are_found() {
     let mut checker = Checker::new(None);
-    let (a, b) = (book(60, 0, 0, 100), book(61, 20, 0, 100));
+    let (a, b) = (account(60, 0, 0, 100), account(61, 20, 0, 100));
     rounds(&mut checker, &[&[a, b], &[a, b]]);
-    assert_eq!(passed(&checker), Some((101, 100)));
+    assert_eq!(exceeded_line(&checker), Some((101, 100)));
 }
 
 #[test]
 fn a_smaller_line_binds_once_all_have_heard_of_it_and_old_loans_are_back() {
-    let (a, b) = (book(60, 0, 0, 100), book(40, 0, 0, 100));
+    let (a, b) = (account(60, 0, 0, 100), account(40, 0, 0, 100));
     let (low, back) = (
         |b: LoanAccount| LoanAccount { line: 50, ..b },
-        book(60, 50, 0, 100),
+        account(60, 50, 0, 100),
     );
     let mut checker = Checker::new(Some(1));
     rounds(
@@ -91,7 +91,7 @@
         &[&[a, b], &[low(a), b], &[low(a), b], &[low(a), b]],
     );
     assert_eq!(checker.broken.count, 0, "{:?}", checker.broken);
-    let more = book(45, 0, 0, 100);
+    let more = account(45, 0, 0, 100);
     rounds(
         &mut checker,
         &[
@@ -101,24 +101,24 @@
             &[low(back), more],
         ],
     );
-    assert_eq!(passed(&checker), Some((55, 50)));
+    assert_eq!(exceeded_line(&checker), Some((55, 50)));
 }
 
 /// Debts at a dead proxy count until its lane expires. A restart with the state file continues its account; a restart
 /// without one begins a new account in addition.
 #[test]
 fn what_the_dead_owe_counts_until_it_is_over() {
-    let (a, b) = (book(70, 0, 0, 100), book(41, 0, 0, 100));
+    let (a, b) = (account(70, 0, 0, 100), account(41, 0, 0, 100));
     let dead = |repaid: u64, then: fn(&mut Checker)| {
         let mut checker = Checker::new(None);
-        rounds(&mut checker, &[&[a, book(20, 0, 0, 100)]]);
+        rounds(&mut checker, &[&[a, account(20, 0, 0, 100)]]);
         checker.proxy_died("a", repaid);
         then(&mut checker);
         for _ in 0..2 {
             checker.observe("b", 1, "bus", b);
             checker.end_round();
         }
-        passed(&checker)
+        exceeded_line(&checker)
     };
     assert_eq!(dead(10, |_| ()), Some((101, 100)));
     assert_eq!(dead(11, |_| ()), None);
@@ -128,7 +128,7 @@
             "a",
             2,
             "bus",
-            book(78, 0, 0, 100)
+            account(78, 0, 0, 100)
         )),
         None
     );
@@ -137,7 +137,7 @@
             "a",
             2,
             "bus",
-            book(0, 0, 0, 100)
+            account(0, 0, 0, 100)
         )),
         Some((111, 100))
     );
@@ -151,8 +151,8 @@
     Die(usize),
     /// Proxy, whether it has its state file, and the amount that the file has reserved in addition.
     Start(usize, bool, u64),
-    Over(usize),
-    Look,
+    Expire(usize),
+    Observe,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -163,32 +163,35 @@
         1 => (40..120_u64).prop_map(Step::Line),
         1 => proxy.clone().prop_map(Step::Die),
         1 => (proxy.clone(), any::<bool>(), 0..20_u64).prop_map(|(p, file, n)| Step::Start(p, file, n)),
-        1 => proxy.prop_map(Step::Over),
-        6 => Just(Step::Look),
+        1 => proxy.prop_map(Step::Expire),
+        6 => Just(Step::Observe),
     ]
 }
 
 /// Model of a proxy; `left`: debts of its former starts that are not in its account.
 #[derive(Clone, Copy, Debug)]
 struct Proxy {
-    book: LoanAccount,
+    account: LoanAccount,
     start: u64,
     dead: bool,
     left: u64,
     /// Part of the account's debts that has expired.
-    over: u64,
+    expired: u64,
     /// Amount returned since its last observation.
     returned: u64,
 }
 
 impl Proxy {
-    fn looked(&mut self, checker: &mut Checker, at: usize, line: u64) {
+    fn observe_proxy(&mut self, checker: &mut Checker, at: usize, line: u64) {
         if !self.dead {
             checker.observe(
                 &at.to_string(),
                 self.start,
                 "bus",
-                LoanAccount { line, ..self.book },
+                LoanAccount {
+                    line,
+                    ..self.account
+                },
             );
             self.returned = 0;
         }
@@ -209,23 +212,23 @@
         let mut checker = Checker::new(Some(0));
         // A line stays in force until a whole round has observed it.
         let (mut line, mut next, mut whole) = (100, 0, 0);
-        let new = Proxy { book: book(0, 0, 0, 100), start: 1, dead: false, left: 0, over: 0, returned: 0 };
+        let new = Proxy { account: account(0, 0, 0, 100), start: 1, dead: false, left: 0, expired: 0, returned: 0 };
         let mut proxies = [new; 3];
-        proxies.iter_mut().enumerate().for_each(|(at, proxy)| proxy.looked(&mut checker, at, line));
+        proxies.iter_mut().enumerate().for_each(|(at, proxy)| proxy.observe_proxy(&mut checker, at, line));
         for step in steps {
-            let owed: u64 = proxies.iter().map(|p| p.left + p.book.owed - p.over).sum();
+            let owed: u64 = proxies.iter().map(|p| p.left + p.account.owed - p.expired).sum();
             match step {
                 Step::Lend(at, n) if !proxies[at].dead && owed + n <= line => {
-                    proxies[at].book.lent += n;
-                    proxies[at].book.owed += n;
+                    proxies[at].account.lent += n;
+                    proxies[at].account.owed += n;
                 }
                 Step::Return(at, n, off) if !proxies[at].dead => {
-                    let Proxy { book, over, returned, .. } = &mut proxies[at];
-                    let n = n.min(book.owed);
-                    book.owed -= n;
-                    *over = over.saturating_sub(n);
+                    let Proxy { account, expired, returned, .. } = &mut proxies[at];
+                    let n = n.min(account.owed);
+                    account.owed -= n;
+                    *expired = expired.saturating_sub(n);
                     *returned += n;
-                    *if off { &mut book.written_off } else { &mut book.repaid } += n;
+                    *if off { &mut account.written_off } else { &mut account.repaid } += n;
                 }
                 Step::Line(n) if whole > 1 => (line, whole) = (n, 0),
                 Step::Die(at) if !proxies[at].dead => {
@@ -236,23 +239,23 @@
                     let proxy = &mut proxies[at];
                     (proxy.dead, proxy.start) = (false, proxy.start + 1);
                     if file {
-                        proxy.book.lent += n;
-                        proxy.book.owed += n;
+                        proxy.account.lent += n;
+                        proxy.account.owed += n;
                     } else {
-                        proxy.left += proxy.book.owed - proxy.over;
-                        (proxy.book, proxy.over) = (book(0, 0, 0, line), 0);
+                        proxy.left += proxy.account.owed - proxy.expired;
+                        (proxy.account, proxy.expired) = (account(0, 0, 0, line), 0);
                     }
-                    proxy.looked(&mut checker, at, line);
+                    proxy.observe_proxy(&mut checker, at, line);
                 }
-                Step::Over(at) => {
+                Step::Expire(at) => {
                     checker.forget(&at.to_string());
                     proxies[at].left = 0;
                     if proxies[at].dead {
-                        proxies[at].over = proxies[at].book.owed;
+                        proxies[at].expired = proxies[at].account.owed;
                     }
                 }
-                Step::Look => {
-                    proxies[next].looked(&mut checker, next, line);
+                Step::Observe => {
+                    proxies[next].observe_proxy(&mut checker, next, line);
                     next = (next + 1) % 3;
                     if next == 0 {
                         checker.end_round();
--- a/crates/invariant-checkers/tests/versions.rs
+++ b/crates/invariant-checkers/tests/versions.rs
@@ -8,7 +8,7 @@
 }
 
 /// An observation of a proxy in its first start.
-fn look(epoch: u64, new: bool, moves: u64) -> Observation {
+fn observation(epoch: u64, new: bool, moves: u64) -> Observation {
     let runs = new.then(|| version(epoch));
     Observation {
         start: 1,
@@ -23,12 +23,12 @@
 fn halted(epoch: u64) -> Observation {
     Observation {
         halted: vec![version(epoch)],
-        ..look(epoch, false, 0)
+        ..observation(epoch, false, 0)
     }
 }
 
 /// Breaches after rounds one second apart over proxy `a`, and `b` in the next region; votes last for two seconds.
-fn after(rounds: &[[Observation; 2]]) -> Vec<Breach> {
+fn breaches_after(rounds: &[[Observation; 2]]) -> Vec<Breach> {
     let region = |region: &str, proxy: &str| (region.to_owned(), vec![proxy.to_owned()]);
     let mut checker = Checker::new(
         vec![region("east", "a"), region("west", "b")],
@@ -45,8 +45,8 @@
 
 #[test]
 fn two_new_versions_at_once_are_found() {
-    let round = || [look(1, true, 1), look(2, true, 1)];
-    let found = after(&[round(), round()]);
+    let round = || [observation(1, true, 1), observation(2, true, 1)];
+    let found = breaches_after(&[round(), round()]);
     assert!(
         found
             .iter()
@@ -57,12 +57,12 @@
         [
             Observation {
                 whole: true,
-                ..look(1, true, 1)
+                ..observation(1, true, 1)
             },
-            look(2, true, 1),
+            observation(2, true, 1),
         ]
     };
-    let apart = || [look(1, true, 2), look(2, true, 1)];
+    let apart = || [observation(1, true, 2), observation(2, true, 1)];
     let file = || {
         round().map(|l| Observation {
             runs: l.runs.map(|v| Version {
@@ -73,7 +73,7 @@
         })
     };
     for sound in [[whole(), whole()], [round(), apart()], [file(), file()]] {
-        let found = after(&sound);
+        let found = breaches_after(&sound);
         assert!(
             !found
                 .iter()
@@ -91,67 +91,75 @@
 
 #[test]
 fn one_that_runs_what_it_knew_was_halted_is_found() {
-    let idle = || look(0, false, 0);
-    assert!(runs_halted(&after(&[
+    let idle = || observation(0, false, 0);
+    assert!(runs_halted(&breaches_after(&[
         [halted(1), idle()],
-        [look(1, true, 1), idle()]
+        [observation(1, true, 1), idle()]
     ])));
     let again = Observation {
         start: 2,
-        ..look(1, true, 1)
+        ..observation(1, true, 1)
     };
     assert!(
-        !runs_halted(&after(&[[halted(1), idle()], [again, idle()]])),
+        !runs_halted(&breaches_after(&[[halted(1), idle()], [again, idle()]])),
         "a restarted proxy may have lost the halt"
     );
     assert!(
-        !runs_halted(&after(&[[halted(1), idle()], [look(2, true, 1), idle()]])),
+        !runs_halted(&breaches_after(&[
+            [halted(1), idle()],
+            [observation(2, true, 1), idle()]
+        ])),
         "a later epoch is a new proposal"
     );
 }
 
 #[test]
 fn one_that_begins_what_all_others_have_long_halted_is_found() {
-    let waits = || [look(1, false, 0), halted(1)];
-    let begins = || [look(1, true, 1), halted(1)];
-    assert!(runs_halted(&after(&[waits(), waits(), waits(), begins()])));
+    let waits = || [observation(1, false, 0), halted(1)];
+    let begins = || [observation(1, true, 1), halted(1)];
+    assert!(runs_halted(&breaches_after(&[
+        waits(),
+        waits(),
+        waits(),
+        begins()
+    ])));
     assert!(
-        !runs_halted(&after(&[waits(), waits(), begins()])),
+        !runs_halted(&breaches_after(&[waits(), waits(), begins()])),
         "votes may still promote the proxy"
     );
     assert!(
-        !runs_halted(&after(&[begins(), begins(), begins(), begins()])),
+        !runs_halted(&breaches_after(&[begins(), begins(), begins(), begins()])),
         "a partitioned proxy may continue with the version"
     );
 }
 
 #[test]
 fn a_region_that_was_passed_over_is_found() {
-    let begin = || [look(0, false, 0), look(0, false, 0)];
-    let found = after(&[
+    let begin = || [observation(0, false, 0), observation(0, false, 0)];
+    let found = breaches_after(&[
         begin(),
-        [look(1, false, 0), look(1, true, 1)],
-        [look(1, false, 0), look(1, true, 1)],
+        [observation(1, false, 0), observation(1, true, 1)],
+        [observation(1, false, 0), observation(1, true, 1)],
     ]);
     assert!(
         matches!(&found[..], [Breach::OutOfOrder { skipped, .. }] if skipped == "east"),
         "{found:?}"
     );
-    let begun = || [look(1, true, 1), look(1, true, 1)];
-    let between = || [look(1, false, 2), look(1, true, 1)];
+    let begun = || [observation(1, true, 1), observation(1, true, 1)];
+    let between = || [observation(1, false, 2), observation(1, true, 1)];
     let anew = || {
         [
             Observation {
                 start: 2,
-                ..look(1, false, 0)
+                ..observation(1, false, 0)
             },
-            look(1, true, 1),
+            observation(1, true, 1),
         ]
     };
     for sound in [begun(), between(), anew()] {
-        let found = after(&[
+        let found = breaches_after(&[
             begin(),
-            [look(1, false, 0), look(1, true, 1)],
+            [observation(1, false, 0), observation(1, true, 1)],
             sound.clone(),
             sound,
         ]);
