--- a/crates/testbed/src/accounts.rs
+++ b/crates/testbed/src/accounts.rs
@@ -113,7 +113,7 @@
             let process = self.proxies[proxy]
                 .process
                 .as_ref()
-                .map_or(0, |process| process.id().into());
+                .map_or(0, |process| process.number().into());
             let look = version(&metrics, process).ok_or_else(|| {
                 Fault::new(format!(
                     "metrics of proxy {proxy}: no rollout metrics; the operators' file needs a rollout section"
--- a/crates/testbed/src/history/outcomes.rs
+++ b/crates/testbed/src/history/outcomes.rs
@@ -48,7 +48,7 @@
     /// Attempts that ended with a killed proxy.
     pub gone: u64,
     /// Attempts sent once more, since they crossed the close of their connection.
-    pub resent_after_close: u64,
+    pub crossed: u64,
     /// Connections that proxies opened to servers.
     pub dials: u64,
     /// Requests that reached each server. Key: proxy and server.
--- a/crates/testbed/src/history/state.rs
+++ b/crates/testbed/src/history/state.rs
@@ -246,7 +246,7 @@
             attempts: self.reached.values().sum(),
             probes: self.probed,
             gone: self.checker.gone,
-            resent_after_close: self.resent_after_close,
+            crossed: self.resent_after_close,
             dials: 0,
             reached: self.reached.clone(),
         }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -191,7 +191,7 @@
     }
 
     /// The process id.
-    pub fn id(&self) -> u32 {
+    pub fn number(&self) -> u32 {
         self.child.id()
     }
 
--- a/crates/testbed/src/soak/checks.rs
+++ b/crates/testbed/src/soak/checks.rs
@@ -98,7 +98,7 @@
             let Some(mut what) = left else { return };
             if Instant::now() >= until {
                 if let Some(process) = &self.testbed.proxies[proxy].process {
-                    let sockets = describe_sockets(process.id()).unwrap_or_default();
+                    let sockets = describe_sockets(process.number()).unwrap_or_default();
                     what += &format!(":\n    {}", sockets.join("\n    "));
                 }
                 return self.breach(Breach::LeftBehind { proxy, what });
@@ -130,7 +130,7 @@
         let links = self.testbed.links(&[proxy], None);
         let mut relays: BTreeSet<u16> = links.iter().map(|link| link.address.port()).collect();
         relays.insert(at.list.address.port());
-        ProcessState::read(process.id(), &relays)
+        ProcessState::read(process.number(), &relays)
             .map_err(|e| Fault::new(format!("cannot read the state of the process: {e}")))
     }
 }
--- a/crates/testbed/src/soak/steps.rs
+++ b/crates/testbed/src/soak/steps.rs
@@ -152,7 +152,7 @@
     fn wait_for_handlers(&mut self, proxy: usize, until: Instant) {
         let signals = [Signal::HUP.as_raw(), Signal::TERM.as_raw()];
         let process = self.testbed.proxies[proxy].process.as_ref();
-        let number = process.map_or(0, |process| process.id());
+        let number = process.map_or(0, |process| process.number());
         while !handles_signals(number, &signals) && Instant::now() < until {
             std::thread::sleep(HANDLER_POLL);
         }
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -88,7 +88,7 @@
     std::fs::copy(&setup.programs[0], &other).unwrap();
     setup.programs.push(other.clone());
     let testbed = start(setup);
-    let number = testbed.proxies[1].process.as_ref().unwrap().id();
+    let number = testbed.proxies[1].process.as_ref().unwrap().number();
     assert_eq!(
         std::fs::read_link(format!("/proc/{number}/exe")).unwrap(),
         other
--- a/crates/testbed/tests/versions.rs
+++ b/crates/testbed/tests/versions.rs
@@ -62,7 +62,7 @@
 
 /// Path of the program that the proxy's process runs.
 fn running_program(testbed: &Testbed, proxy: usize) -> PathBuf {
-    let number = testbed.proxies[proxy].process.as_ref().unwrap().id();
+    let number = testbed.proxies[proxy].process.as_ref().unwrap().number();
     std::fs::read_link(format!("/proc/{number}/exe")).unwrap()
 }
 
