--- a/crates/testbed/src/datagrams.rs
+++ b/crates/testbed/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! A relay for the datagrams from one proxy to another, and what goes wrong on the way.
+//! A relay for the datagrams from one proxy to another, with injected faults.
 
 use crate::process::{Fault, EVENT_TIMEOUT};
 use rand::{Rng, SeedableRng};
@@ -14,35 +14,35 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// The longest datagram that there is.
-const LONGEST: usize = 1 << 16;
-/// Datagrams of one pair that are late at a time; more are dropped.
-const WAITING_MOST: usize = 4_096;
+/// Buffer size in bytes, above the longest possible datagram.
+const BUFFER_SIZE: usize = 1 << 16;
+/// Maximum number of datagrams of a link that are delayed at a time; further ones are dropped.
+const MAX_DELAYED: usize = 4_096;
 
-/// How datagrams go.
+/// How datagrams are forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Flow {
     #[default]
     /// Forwarded at once.
     Passes,
-    /// All are dropped, with what is on its way.
+    /// All are dropped, delayed and held ones included.
     Cut,
-    /// Each is later by a time between these: the order may change.
+    /// Each is delayed by a random time within these bounds, so the order may change.
     Late(Duration, Duration),
 }
 
-/// What happens on the way from one proxy to another. Shares are of all that come, from 0 to 1.
+/// Faults of a datagram link. Shares are of all received datagrams, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
-    /// What happens to every datagram.
+    /// Treatment of all datagrams.
     pub flow: Flow,
-    /// Dropped.
+    /// Share that is dropped.
     pub lost: f64,
-    /// Sent twice.
+    /// Share that is sent twice.
     pub doubled: f64,
-    /// Held behind the next one.
+    /// Share that is held and sent after the next one.
     pub reordered: f64,
-    /// With one bit flipped.
+    /// Share that is sent with one bit flipped.
     pub corrupted: f64,
 }
 
@@ -55,24 +55,24 @@
     }
 }
 
-/// What became of the datagrams of a pair.
+/// Numbers of datagrams of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Received from the sender.
-    pub came: u64,
-    /// Sent on, twins too.
+    pub received: u64,
+    /// Forwarded, duplicates included.
     pub passed: u64,
-    /// Dropped: by a cut, by a share, for want of an address, too many that are late, and not taken by the system.
+    /// Dropped by a cut.
     pub cut: u64,
     /// Dropped by the share of losses.
     pub lost: u64,
     /// Dropped because the link has no target.
-    pub unknown: u64,
-    /// Dropped because too many were delayed.
-    pub over: u64,
+    pub without_target: u64,
+    /// Dropped because too many were delayed already.
+    pub over_limit: u64,
     /// Not accepted by the operating system.
     pub failed: u64,
-    /// What was done to some of them.
+    /// Sent twice.
     pub doubled: u64,
     /// Delayed, duplicates included.
     pub late: u64,
@@ -80,26 +80,26 @@
     pub reordered: u64,
     /// Sent with one bit flipped.
     pub corrupted: u64,
-    /// Late or held back at present.
+    /// Delayed or held at present.
     pub waiting: u64,
 }
 
 impl Counts {
-    /// The sum of all that were not forwarded.
+    /// Total number of dropped datagrams.
     pub fn dropped(&self) -> u64 {
-        self.cut + self.lost + self.unknown + self.over + self.failed
+        self.cut + self.lost + self.without_target + self.over_limit + self.failed
     }
 
-    /// Nothing has come from nowhere or gone unseen.
-    pub fn add_up(&self) -> bool {
-        self.came + self.doubled == self.passed + self.dropped() + self.waiting
+    /// Whether each received and duplicated datagram is forwarded, dropped or waiting.
+    pub fn is_consistent(&self) -> bool {
+        self.received + self.doubled == self.passed + self.dropped() + self.waiting
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct State {
-    way: DatagramFaults,
-    /// Grows with each cut: one that is healed before the relay has seen it is still one.
+    faults: DatagramFaults,
+    /// Number of cuts so far, so that the relay applies a cut that is healed before the relay observes it.
     cuts: u64,
     target: Option<SocketAddr>,
 }
@@ -107,14 +107,14 @@
 /// One direction between two proxies.
 #[derive(Clone, Debug)]
 pub struct DatagramLink {
-    /// Where the sender finds the receiver.
+    /// Address to which the sender sends.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     counts: Arc<watch::Sender<Counts>>,
 }
 
 impl DatagramLink {
-    /// A relay on a port of its own that leads nowhere yet.
+    /// Opens a relay on its own port, without a target.
     pub fn open(on: &Handle, seed: u64) -> Result<DatagramLink, Fault> {
         let bound = Bound::bind("127.0.0.1:0").and_then(|socket| {
             socket.set_nonblocking(true)?;
@@ -122,8 +122,8 @@
             let _on = on.enter();
             Ok((UdpSocket::from_std(socket)?, address))
         });
-        let (socket, address) =
-            bound.map_err(|e| Fault::new(format!("no port for datagrams: {e}")))?;
+        let (socket, address) = bound
+            .map_err(|e| Fault::new(format!("cannot bind a port for a datagram relay: {e}")))?;
         let link = DatagramLink {
             address,
             state: Arc::default(),
@@ -142,37 +142,37 @@
         Ok(link)
     }
 
-    /// Datagrams go to this address from now on; none: they are dropped.
+    /// Sets the address to which datagrams are forwarded; none: they are dropped.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
 
-    /// Once a cut has returned, nothing leaves until it is healed. Shares are of what comes from now on.
-    pub fn set(&self, way: impl Into<DatagramFaults>) {
-        let way = way.into();
-        self.change(|state| state.way = way);
+    /// Sets the faults of datagrams received from now on. After a cut has returned, no datagram is forwarded until it is healed.
+    pub fn set(&self, faults: impl Into<DatagramFaults>) {
+        let faults = faults.into();
+        self.change(|state| state.faults = faults);
     }
 
     fn change(&self, to: impl FnOnce(&mut State)) {
         self.state.send_modify(|state| {
             to(state);
-            state.cuts += u64::from(state.way.flow == Flow::Cut);
+            state.cuts += u64::from(state.faults.flow == Flow::Cut);
         });
     }
 
-    /// The shares stay as they are.
+    /// Drops all datagrams until healed; the shares stay set.
     pub fn cut(&self) {
-        self.change(|state| state.way.flow = Flow::Cut);
+        self.change(|state| state.faults.flow = Flow::Cut);
     }
 
-    /// All passes again; what was held behind others comes now.
+    /// Removes all faults; held datagrams are sent now.
     pub fn heal(&self) {
         self.set(DatagramFaults::default());
     }
 
     /// The faults set at present.
-    pub fn way(&self) -> DatagramFaults {
-        self.state.borrow().way
+    pub fn faults(&self) -> DatagramFaults {
+        self.state.borrow().faults
     }
 
     /// The counts so far.
@@ -180,38 +180,38 @@
         *self.counts.borrow()
     }
 
-    /// Waits until the counts are so, and gives them.
+    /// Waits until the counts satisfy `is`, and returns them.
     pub async fn until(&self, is: impl FnMut(&Counts) -> bool) -> Result<Counts, Fault> {
         let mut watched = self.counts.subscribe();
-        // The sender lives as long as this handle: it is patience that ends, if anything.
+        // The sender lives as long as this handle, so this can only fail by a timeout.
         let found = tokio::time::timeout(EVENT_TIMEOUT, watched.wait_for(is)).await;
         let found = found.ok().and_then(|seen| seen.ok().map(|counts| *counts));
         found.ok_or_else(|| {
             Fault::new(format!(
-                "datagrams do not come to what is waited for: {:?}",
+                "the expected datagram counts were not reached in time: {:?}",
                 self.counts()
             ))
         })
     }
 }
 
-/// What was drawn for one datagram.
+/// Random faults of one datagram.
 struct DrawnFaults {
     lost: bool,
     doubled: bool,
     reordered: bool,
     corrupted: bool,
-    /// Of all its bits this, and of the longest lateness this part.
+    /// The flipped bit, modulo the number of bits, and the delay as a fraction of its range.
     bit: u64,
     late: f64,
 }
 
 impl DrawnFaults {
-    /// Always as many draws, in one order: what becomes of a datagram does not depend on what was set for those before.
-    fn draw(draws: &mut impl Rng, way: &DatagramFaults) -> DrawnFaults {
+    /// Always makes the same draws in the same order, so that a datagram's faults do not depend on the settings for earlier ones.
+    fn draw(draws: &mut impl Rng, faults: &DatagramFaults) -> DrawnFaults {
         let mut falls = |share: f64| draws.random::<f64>() < share;
-        let (lost, doubled) = (falls(way.lost), falls(way.doubled));
-        let (reordered, corrupted) = (falls(way.reordered), falls(way.corrupted));
+        let (lost, doubled) = (falls(faults.lost), falls(faults.doubled));
+        let (reordered, corrupted) = (falls(faults.reordered), falls(faults.corrupted));
         DrawnFaults {
             lost,
             doubled,
@@ -223,7 +223,7 @@
     }
 }
 
-/// A datagram, once or twice, and how much later it goes.
+/// A datagram to be sent once or twice, with its delay.
 struct QueuedDatagram {
     bytes: Vec<u8>,
     twice: bool,
@@ -241,22 +241,22 @@
     link: DatagramLink,
     draws: Xoshiro256PlusPlus,
     held: Option<QueuedDatagram>,
-    /// By when they go, and how many had come before.
+    /// Delayed datagrams. Key: time to send, and a sequence number.
     late: BTreeMap<(Instant, u64), QueuedDatagram>,
     counts: Counts,
-    /// The cuts that it has seen.
+    /// Number of cuts that have been applied.
     cuts: u64,
 }
 
-enum Woken {
-    Otherwise,
+enum WakeReason {
+    Other,
     Due,
-    Came(usize),
+    Received(usize),
 }
 
 impl Relay {
     async fn serve(mut self) {
-        let mut bytes = vec![0; LONGEST];
+        let mut bytes = vec![0; BUFFER_SIZE];
         let mut state = self.link.state.subscribe();
         loop {
             let next = self.late.keys().next().map(|(at, _)| *at);
@@ -266,18 +266,18 @@
                     None => pending().await,
                 }
             };
-            let woken = tokio::select! {
-                // It holds a handle itself, so this does not fail.
-                _ = state.changed() => Woken::Otherwise,
-                () = due => Woken::Due,
-                // An error is of something that was sent, and of no datagram that came.
-                came = self.socket.recv_from(&mut bytes) => came.map_or(Woken::Otherwise, |(n, _)| Woken::Came(n)),
+            let wake_reason = tokio::select! {
+                // The relay holds a link handle itself, so this does not fail.
+                _ = state.changed() => WakeReason::Other,
+                () = due => WakeReason::Due,
+                // An error concerns a datagram that was sent, not one received.
+                came = self.socket.recv_from(&mut bytes) => came.map_or(WakeReason::Other, |(n, _)| WakeReason::Received(n)),
             };
-            self.follow();
-            match woken {
-                Woken::Otherwise => {}
-                Woken::Due => self.due(),
-                Woken::Came(n) => self.came(&bytes[..n]),
+            self.apply_settings();
+            match wake_reason {
+                WakeReason::Other => {}
+                WakeReason::Due => self.send_due(),
+                WakeReason::Received(n) => self.handle_datagram(&bytes[..n]),
             }
             self.counts.waiting = self
                 .late
@@ -289,9 +289,9 @@
         }
     }
 
-    /// Does what was set since it last looked, before anything else.
-    fn follow(&mut self) {
-        let State { way, cuts, .. } = *self.link.state.borrow();
+    /// Applies changed settings before any datagram is handled.
+    fn apply_settings(&mut self) {
+        let State { faults, cuts, .. } = *self.link.state.borrow();
         if cuts > self.cuts {
             self.cuts = cuts;
             let late = std::mem::take(&mut self.late).into_values();
@@ -300,70 +300,70 @@
                 .map(|piece| piece.copies())
                 .sum::<u64>();
         }
-        if way.reordered <= 0.0 {
+        if faults.reordered <= 0.0 {
             if let Some(piece) = self.held.take() {
-                self.sets_out(piece);
+                self.schedule(piece);
             }
         }
     }
 
-    fn due(&mut self) {
+    fn send_due(&mut self) {
         while let Some(first) = self.late.first_entry() {
             if first.key().0 > Instant::now() {
                 break;
             }
             let piece = first.remove();
-            self.go(&piece);
+            self.forward(&piece);
         }
     }
 
-    fn came(&mut self, bytes: &[u8]) {
-        self.counts.came += 1;
-        let way = self.link.way();
-        let fate = DrawnFaults::draw(&mut self.draws, &way);
-        if way.flow == Flow::Cut {
+    fn handle_datagram(&mut self, bytes: &[u8]) {
+        self.counts.received += 1;
+        let faults = self.link.faults();
+        let drawn = DrawnFaults::draw(&mut self.draws, &faults);
+        if faults.flow == Flow::Cut {
             self.counts.cut += 1;
             return;
         }
-        if fate.lost {
+        if drawn.lost {
             self.counts.lost += 1;
             return;
         }
         let mut bytes = bytes.to_vec();
-        if fate.corrupted && !bytes.is_empty() {
-            let bit = fate.bit % (bytes.len() as u64 * 8);
+        if drawn.corrupted && !bytes.is_empty() {
+            let bit = drawn.bit % (bytes.len() as u64 * 8);
             bytes[(bit / 8) as usize] ^= 1 << (bit % 8);
             self.counts.corrupted += 1;
         }
-        self.counts.doubled += u64::from(fate.doubled);
-        let later = match way.flow {
-            Flow::Late(least, most) => Some(least + most.saturating_sub(least).mul_f64(fate.late)),
+        self.counts.doubled += u64::from(drawn.doubled);
+        let later = match faults.flow {
+            Flow::Late(least, most) => Some(least + most.saturating_sub(least).mul_f64(drawn.late)),
             Flow::Passes | Flow::Cut => None,
         };
         let piece = QueuedDatagram {
             bytes,
-            twice: fate.doubled,
+            twice: drawn.doubled,
             later,
         };
-        // One that is held goes behind this one, so this one goes now, whatever was drawn for it.
+        // A held datagram is sent after this one, so this one is not held, whatever was drawn for it.
         match self.held.take() {
-            None if fate.reordered => self.held = Some(piece),
+            None if drawn.reordered => self.held = Some(piece),
             before => {
-                self.sets_out(piece);
+                self.schedule(piece);
                 if let Some(before) = before {
                     self.counts.reordered += 1;
-                    self.sets_out(before);
+                    self.schedule(before);
                 }
             }
         }
     }
 
-    fn sets_out(&mut self, piece: QueuedDatagram) {
+    fn schedule(&mut self, piece: QueuedDatagram) {
         let Some(later) = piece.later else {
-            return self.go(&piece);
+            return self.forward(&piece);
         };
-        if self.late.len() >= WAITING_MOST {
-            self.counts.over += piece.copies();
+        if self.late.len() >= MAX_DELAYED {
+            self.counts.over_limit += piece.copies();
             return;
         }
         self.counts.late += piece.copies();
@@ -371,13 +371,13 @@
             .insert((Instant::now() + later, self.counts.late), piece);
     }
 
-    fn go(&mut self, piece: &QueuedDatagram) {
-        // Held while it is sent: whoever cuts waits for it, and nothing goes afterwards.
+    fn forward(&mut self, piece: &QueuedDatagram) {
+        // The state stays locked while sending, so that a cut waits for it and no datagram is sent afterwards.
         let state = self.link.state.borrow();
         for _ in 0..piece.copies() {
             let count = match state.target {
-                _ if state.way.flow == Flow::Cut => &mut self.counts.cut,
-                None => &mut self.counts.unknown,
+                _ if state.faults.flow == Flow::Cut => &mut self.counts.cut,
+                None => &mut self.counts.without_target,
                 Some(target) => {
                     match sendto(&self.socket, &piece.bytes, SendFlags::DONTWAIT, &target) {
                         Ok(_) => &mut self.counts.passed,
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! Programs as the testbed starts, signals and ends them.
+//! Starts, signals and ends programs, and reads their log lines.
 
 use rustix::process::{getpid, kill_process, Pid, Signal};
 use std::collections::VecDeque;
@@ -12,30 +12,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing on the testbed waits longer than this for an event; it is no bound on anything that is measured.
+/// Maximum time that the testbed waits for an event; not a bound on any measured quantity.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Names the level of proxies' logs, where they are written to files.
+/// Environment variable with the level of proxies' logs that are written to files.
 const LOG_LEVEL_VARIABLE: &str = "TESTBED_LOG_LEVEL";
-/// Lines of a program that are kept.
+/// Number of a program's latest lines that are kept.
 const LINES: usize = 4_000;
 
-/// A program that did not do as it should: what it said, and how it ended.
+/// A failure of the testbed or of a program, with the program's output and exit code.
 #[derive(Debug)]
 pub struct Fault {
-    /// What did not happen.
+    /// Description of the failure.
     pub problem: String,
-    /// The last lines of its standard error.
-    pub words: Vec<String>,
-    /// Its exit code, if it ended with one.
+    /// The last lines of the program's standard error.
+    pub lines: Vec<String>,
+    /// The program's exit code, if it exited with one.
     pub code: Option<i32>,
 }
 
 impl Fault {
-    /// A fault without output of a program.
+    /// Creates a fault without output of a program.
     pub fn new(problem: impl Into<String>) -> Fault {
         Fault {
             problem: problem.into(),
-            words: Vec::new(),
+            lines: Vec::new(),
             code: None,
         }
     }
@@ -47,7 +47,7 @@
         if let Some(code) = self.code {
             write!(f, " (exit code {code})")?;
         }
-        self.words
+        self.lines
             .iter()
             .try_for_each(|line| write!(f, "\n  {line}"))
     }
@@ -55,35 +55,31 @@
 
 impl std::error::Error for Fault {}
 
-/// Locks; a panic of another holder is ignored.
+/// Locks a mutex and ignores that another holder has panicked.
 pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The program of that name that was built beside the one that runs.
+/// Path of the program of that name, built into the same folder as the running one.
 pub fn built(name: &str) -> Result<PathBuf, Fault> {
     let own = std::env::current_exe()
-        .map_err(|e| Fault::new(format!("where this program stands: {e}")))?;
-    // Tests stand in a folder below the programs.
+        .map_err(|e| Fault::new(format!("cannot find the path of the running program: {e}")))?;
+    // Test programs are in a subfolder of the programs' folder.
     let places = own
         .ancestors()
         .skip(1)
         .take(2)
         .map(|folder| folder.join(name));
     let found = places.into_iter().find(|path| path.is_file());
-    found.ok_or_else(|| {
-        Fault::new(format!(
-            "{name} is not built: cargo build --workspace builds it"
-        ))
-    })
+    found.ok_or_else(|| Fault::new(format!("{name} is not built: run cargo build --workspace")))
 }
 
-/// A folder that goes with its owner.
+/// A temporary folder, removed on drop.
 #[derive(Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A new folder below the system's folder for temporary files.
+    /// Creates a folder in the system's folder for temporary files.
     pub fn new() -> std::io::Result<Folder> {
         static MADE: AtomicU32 = AtomicU32::new(0);
         let number = MADE.fetch_add(1, Ordering::Relaxed);
@@ -92,7 +88,7 @@
         Ok(Folder(path))
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -104,40 +100,40 @@
     }
 }
 
-/// What is to be started.
+/// A program to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The executable.
     pub program: PathBuf,
     /// Its arguments.
-    pub words: Vec<String>,
-    /// Environment variables that are added.
+    pub arguments: Vec<String>,
+    /// Additional environment variables.
     pub variables: Vec<(String, String)>,
-    /// Descriptors that it may hold; 0: as many as the testbed.
+    /// Limit of open descriptors; 0: the testbed's own limit.
     pub files: u64,
-    /// Where all that it says is written behind what stands there, with a line for each answer; none: some of it is
-    /// kept in memory.
+    /// File to which the program's log is appended, at a level with a line for each answer; none: only the latest lines
+    /// are kept in memory.
     pub log: Option<PathBuf>,
 }
 
 #[derive(Debug, Default)]
 struct Output {
     lines: VecDeque<String>,
-    /// Lines that are no longer kept.
+    /// Number of earlier lines that were dropped.
     dropped: usize,
     ended: bool,
 }
 
-/// A process; it is killed when its owner lets go of it, and by the kernel when the testbed dies.
+/// A running process; killed on drop, and by the kernel when the testbed's process ends.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    said: Arc<(Mutex<Output>, Condvar)>,
+    output: Arc<(Mutex<Output>, Condvar)>,
     stopped: bool,
 }
 
 impl Process {
-    /// The thread that calls this has to outlive the process: the kernel takes its end for the testbed's.
+    /// Starts the program. The calling thread has to outlive the process, since the kernel kills the process when the thread ends.
     pub fn start(plan: &Plan) -> Result<Process, Fault> {
         let mut command = Command::new(built("testbed-launch")?);
         command
@@ -145,7 +141,7 @@
             .arg(plan.files.to_string());
         command
             .arg(&plan.program)
-            .args(&plan.words)
+            .args(&plan.arguments)
             .env_remove("RUST_LOG");
         let mut log = match &plan.log {
             None => None,
@@ -163,25 +159,25 @@
             .stderr(Stdio::piped());
         let mut child = command
             .spawn()
-            .map_err(|e| Fault::new(format!("{} can't be started: {e}", plan.program.display())))?;
-        let said = Arc::new((Mutex::new(Output::default()), Condvar::new()));
-        let (words, kept) = (child.stderr.take(), Arc::clone(&said));
+            .map_err(|e| Fault::new(format!("cannot start {}: {e}", plan.program.display())))?;
+        let output = Arc::new((Mutex::new(Output::default()), Condvar::new()));
+        let (stderr, kept) = (child.stderr.take(), Arc::clone(&output));
         thread::spawn(move || {
-            for line in words
+            for line in stderr
                 .map(BufReader::new)
                 .into_iter()
                 .flat_map(|w| w.lines().map_while(Result::ok))
             {
                 if let Some(log) = &mut log {
-                    // What can't be written is still heard.
+                    // A line that cannot be written to the log file is still kept.
                     _ = writeln!(log, "{line}");
                 }
-                let mut said = lock(&kept.0);
-                if said.lines.len() == LINES {
-                    said.lines.pop_front();
-                    said.dropped += 1;
+                let mut output = lock(&kept.0);
+                if output.lines.len() == LINES {
+                    output.lines.pop_front();
+                    output.dropped += 1;
                 }
-                said.lines.push_back(line);
+                output.lines.push_back(line);
                 kept.1.notify_all();
             }
             lock(&kept.0).ended = true;
@@ -189,7 +185,7 @@
         });
         Ok(Process {
             child,
-            said,
+            output,
             stopped: false,
         })
     }
@@ -199,9 +195,9 @@
         self.child.id()
     }
 
-    /// Sends a signal; without effect on a process that has ended.
+    /// Sends a signal; has no effect on a process that has ended.
     pub fn signal(&mut self, signal: Signal) {
-        // It may have ended by itself.
+        // The process may have ended by itself.
         _ = kill_process(Pid::from_child(&self.child), signal);
         match signal {
             Signal::STOP => self.stopped = true,
@@ -216,41 +212,44 @@
         _ = self.child.wait();
     }
 
-    /// Whether it has said these words in the lines that are kept.
-    pub fn has_said(&self, words: &str) -> bool {
-        let said = lock(&self.said.0);
-        said.lines.iter().any(|line| line.contains(words))
+    /// Whether a kept log line contains this text.
+    pub fn has_logged(&self, text: &str) -> bool {
+        let output = lock(&self.output.0);
+        output.lines.iter().any(|line| line.contains(text))
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Its exit code, once it has ended; none by a signal.
+    /// Waits for the end of the process and returns its exit code; none if ended by a signal.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().ok().and_then(|status| status.code())
     }
 
-    /// The first line with these words among those from number `from` on, and its number.
-    pub fn wait_for_line(&mut self, words: &str, from: usize) -> Result<(usize, String), Fault> {
+    /// Waits for a log line that contains this text, at number `from` or later; returns the line and its number.
+    pub fn wait_for_line(&mut self, text: &str, from: usize) -> Result<(usize, String), Fault> {
         let until = Instant::now() + EVENT_TIMEOUT;
-        let (said, came) = &*self.said;
-        let mut said = lock(said);
+        let (output, changed) = &*self.output;
+        let mut output = lock(output);
         loop {
-            let skip = from.saturating_sub(said.dropped);
-            let mut lines = said.lines.iter().enumerate().skip(skip);
-            if let Some((at, line)) = lines.find(|(_, line)| line.contains(words)) {
-                return Ok((said.dropped + at, line.clone()));
+            let skip = from.saturating_sub(output.dropped);
+            let mut lines = output.lines.iter().enumerate().skip(skip);
+            if let Some((at, line)) = lines.find(|(_, line)| line.contains(text)) {
+                return Ok((output.dropped + at, line.clone()));
             }
             let left = until.saturating_duration_since(Instant::now());
-            if said.ended || left.is_zero() {
-                let last = said.lines.iter().rev().take(20).rev().cloned().collect();
-                let (problem, ended) = match said.ended {
-                    true => (format!("it ended before it said {words:?}"), true),
-                    false => (format!("it does not say {words:?}"), false),
+            if output.ended || left.is_zero() {
+                let last = output.lines.iter().rev().take(20).rev().cloned().collect();
+                let (problem, ended) = match output.ended {
+                    true => (format!("the program ended before it logged {text:?}"), true),
+                    false => (
+                        format!("timed out waiting for a log line with {text:?}"),
+                        false,
+                    ),
                 };
-                drop(said);
+                drop(output);
                 let code = if ended {
                     self.child.wait().ok().and_then(|s| s.code())
                 } else {
@@ -258,12 +257,12 @@
                 };
                 return Err(Fault {
                     problem,
-                    words: last,
+                    lines: last,
                     code,
                 });
             }
-            said = came
-                .wait_timeout(said, left)
+            output = changed
+                .wait_timeout(output, left)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
--- a/crates/testbed/src/servers.rs
+++ b/crates/testbed/src/servers.rs
@@ -1,4 +1,4 @@
-//! Record servers on sockets: one listener each, all answered by the history.
+//! Record servers on sockets: one listener each; the history computes all answers.
 
 use crate::history::History;
 use crate::link::{self, reset};
@@ -12,7 +12,7 @@
 use std::time::Instant;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Listens for a server, on a port that stays its own whatever becomes of it.
+/// Opens a server's listener. The port stays the same across the server's crashes.
 pub async fn open(history: History, server: ServerIndex) -> Result<SocketAddr, Fault> {
     let bound = TcpListener::bind("127.0.0.1:0").await;
     let listener = bound.map_err(|e| Fault::new(format!("no port for server {server}: {e}")))?;
@@ -27,16 +27,16 @@
     Ok(address)
 }
 
-/// A place in the server's table of connections, until it is let go.
-struct Place<'a> {
+/// A connection's entry in the server's connection table, released on drop.
+struct ConnectionSlot<'a> {
     history: &'a History,
     server: ServerIndex,
     life: u64,
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
-        // A server that has died since has forgotten all of them.
+        // A crash of the server has cleared its table.
         if *self.history.watch_deaths(self.server).borrow() == self.life {
             self.history.hang_up(self.server);
         }
@@ -46,45 +46,45 @@
 async fn connection(history: History, server: ServerIndex, stream: TcpStream) {
     _ = stream.set_nodelay(true);
     let mut life = history.watch_deaths(server);
-    let born = *life.borrow_and_update();
+    let crashes_at_start = *life.borrow_and_update();
     let up = history.dial(server);
     if !up && !history.lock().site.runs(server) {
         return reset(&stream);
     }
-    let place = up.then(|| Place {
+    let slot = up.then(|| ConnectionSlot {
         history: &history,
         server,
-        life: born,
+        life: crashes_at_start,
     });
     tokio::select! {
-        _ = life.wait_for(|now| *now > born) => reset(&stream),
+        _ = life.wait_for(|now| *now > crashes_at_start) => reset(&stream),
         sound = converse(&history, server, &stream, up) => if sound.is_err() {
             reset(&stream);
         }
     }
-    drop(place);
+    drop(slot);
 }
 
-/// What a peer gets that can't be understood, or has gone: the end of the connection.
-struct Over;
+/// The connection has to be closed: invalid input, or the peer has gone.
+struct CloseConnection;
 
 async fn converse(
     history: &History,
     server: ServerIndex,
     stream: &TcpStream,
     welcome: bool,
-) -> Result<(), Over> {
+) -> Result<(), CloseConnection> {
     let mut input = Vec::new();
     let mut bytes = vec![0; 16 << 10];
-    let mut greeted = false;
+    let mut session_started = false;
     loop {
         loop {
-            let (out, used) = if !greeted {
-                match server::parse_startup(&input, CancelKey::NONE).map_err(|_| Over)? {
+            let (out, used) = if !session_started {
+                match server::parse_startup(&input, CancelKey::NONE).map_err(|_| CloseConnection)? {
                     None => break,
                     Some((Startup::Session(bytes), used)) => {
-                        greeted = true;
-                        // A table that is full says so.
+                        session_started = true;
+                        // A full connection table is reported as an error.
                         let out = if welcome {
                             bytes
                         } else {
@@ -92,10 +92,10 @@
                         };
                         (out, used)
                     }
-                    Some(_) => return Err(Over),
+                    Some(_) => return Err(CloseConnection),
                 }
             } else {
-                match server::parse_client_message(&input).map_err(|_| Over)? {
+                match server::parse_client_message(&input).map_err(|_| CloseConnection)? {
                     None => break,
                     Some((ClientMessage::Query(text), used)) => {
                         (query(history, server, text).await?, used)
@@ -108,8 +108,10 @@
                 }
             };
             input.drain(..used);
-            link::write_all(stream, &out).await.map_err(|_| Over)?;
-            if !welcome && greeted {
+            link::write_all(stream, &out)
+                .await
+                .map_err(|_| CloseConnection)?;
+            if !welcome && session_started {
                 return Ok(());
             }
         }
@@ -120,10 +122,14 @@
     }
 }
 
-async fn query(history: &History, server: ServerIndex, text: &str) -> Result<Vec<u8>, Over> {
+async fn query(
+    history: &History,
+    server: ServerIndex,
+    text: &str,
+) -> Result<Vec<u8>, CloseConnection> {
     if text == "SHOW load" || text == "SELECT 1" {
         let Some(report) = history.probe(server).await.ok().flatten() else {
-            return Err(Over);
+            return Err(CloseConnection);
         };
         let position = history.unix(report.position).as_secs_f64();
         let (primary, queued, held) = (u8::from(report.primary), report.queued, report.in_flight);
@@ -140,13 +146,13 @@
     let Some(reply) = id.and_then(|id| history.request(server, id)) else {
         return Ok(wire::error(sqlstate::PROTOCOL_VIOLATION, &[]));
     };
-    // What hangs never answers; what dies resets.
-    let said = reply.await.map_err(|_| Over)?;
+    // A hanging server never answers; a crash resets the connection.
+    let reply = reply.await.map_err(|_| CloseConnection)?;
     let mut parameters = Vec::new();
-    if let Some(metadata) = said.metadata {
-        // A write's commit is rounded up: what has it has all of it.
+    if let Some(metadata) = reply.metadata {
+        // A write's commit position is rounded up, so that a replica at that position has the whole write.
         let micros = history.unix(metadata.position).as_micros();
-        let write = said.answer == Answer::Ok && metadata.primary;
+        let write = reply.answer == Answer::Ok && metadata.primary;
         let millis = if write {
             micros.div_ceil(1_000)
         } else {
@@ -163,8 +169,8 @@
         ));
         parameters.push(("applied_ms", millis.to_string()));
     }
-    Ok(match said.answer {
-        Answer::Ok => wire::row(&value(id.unwrap_or(0), said.exchange), &parameters),
+    Ok(match reply.answer {
+        Answer::Ok => wire::row(&value(id.unwrap_or(0), reply.exchange), &parameters),
         Answer::Misdirected => {
             let write = text.starts_with("INSERT");
             let code = if write {
@@ -176,16 +182,16 @@
         }
         Answer::Rejected => wire::error(sqlstate::TOO_MANY_CONNECTIONS, &parameters),
         Answer::Failed => wire::error("XX000", &parameters),
-        Answer::Reset | Answer::Unreachable => return Err(Over),
+        Answer::Reset | Answer::Unreachable => return Err(CloseConnection),
     })
 }
 
-/// The value of an answer: whose it is, and which answer.
+/// Value of an answer, which identifies the attempt and the answer.
 pub fn value(id: u64, exchange: u64) -> String {
     format!("{id:016x}{exchange:016x}")
 }
 
-/// Which answer a value names, if it is this request's.
+/// The answer that a value identifies, if it belongs to this attempt.
 pub fn exchange(value: &str, id: u64) -> Option<u64> {
     let of = value
         .get(..16)
--- a/crates/testbed/tests/common/turns.rs
+++ b/crates/testbed/tests/common/turns.rs
@@ -1,21 +1,21 @@
-//! Trials of whole fleets take turns: a machine on which too many processes run at once is late everywhere, and a trial that waits
-//! for what takes long by itself would run out of patience.
+//! Bounds the number of fleets that run at once: too many processes delay each other, and tests that wait for slow events
+//! would time out.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Fleets of four or five processes that a machine of some cores bears at once.
-const AT_ONCE: usize = 4;
+/// Maximum number of fleets of four or five processes that run at once; a machine with a few cores has room for that.
+const MAX_FLEETS: usize = 4;
 
-static UP: Mutex<usize> = Mutex::new(0);
-static FREE: Condvar = Condvar::new();
+static RUNNING: Mutex<usize> = Mutex::new(0);
+static PERMIT_RELEASED: Condvar = Condvar::new();
 
-/// One fleet may be up for as long as this lives.
+/// Permit to run one fleet, released on drop.
 pub struct Turn(());
 
 pub fn turn() -> Turn {
-    let up = UP.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut up = FREE
-        .wait_while(up, |up| *up >= AT_ONCE)
+    let up = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut up = PERMIT_RELEASED
+        .wait_while(up, |up| *up >= MAX_FLEETS)
         .unwrap_or_else(PoisonError::into_inner);
     *up += 1;
     Turn(())
@@ -23,7 +23,7 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        *UP.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        FREE.notify_one();
+        *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        PERMIT_RELEASED.notify_one();
     }
 }
--- a/crates/testbed/tests/datagrams.rs
+++ b/crates/testbed/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! What relays do to datagrams, between plain sockets; and what the testbed tells proxies of each other, with stand-ins for
-//! them that say where they are heard.
+//! Faults that datagram relays inject, tested between plain sockets; and the member settings and partitions that the testbed
+//! sets up, tested with stand-in programs that print the address of their member socket.
 
 mod common;
 use invariant_checkers::Rule;
@@ -16,78 +16,84 @@
 use tokio::time::{timeout, Instant};
 
 /// A sender, a relay and a receiver.
-struct Pair {
-    sends: UdpSocket,
+struct RelayedPair {
+    sender: UdpSocket,
     link: DatagramLink,
-    hears: UdpSocket,
+    receiver: UdpSocket,
 }
 
-impl Pair {
-    async fn new(seed: u64) -> Pair {
-        let hears = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+impl RelayedPair {
+    async fn new(seed: u64) -> RelayedPair {
+        let receiver = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let link = DatagramLink::open(&Handle::current(), seed).unwrap();
-        link.set_target(hears.local_addr().ok());
-        Pair {
-            sends: UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+        link.set_target(receiver.local_addr().ok());
+        RelayedPair {
+            sender: UdpSocket::bind("127.0.0.1:0").await.unwrap(),
             link,
-            hears,
+            receiver,
         }
     }
 
-    /// One after the other, each once the one before was taken: the order is that of sending.
+    /// Sends the values one by one, each after the relay has received the one before, so that their order is kept.
     async fn send(&self, texts: impl IntoIterator<Item = u32>) {
         for text in texts {
-            let came = self.link.counts().came;
-            self.sends
+            let received = self.link.counts().received;
+            self.sender
                 .send_to(&text.to_be_bytes(), self.link.address)
                 .await
                 .unwrap();
-            self.link.until(|counts| counts.came > came).await.unwrap();
+            self.link
+                .until(|counts| counts.received > received)
+                .await
+                .unwrap();
         }
     }
 
-    /// All that has passed since the last call, once nothing waits.
+    /// Waits until the relay holds no datagram, and returns the values that have passed since the last call.
     async fn heard(&self, before: &mut u64) -> Vec<u32> {
         let counts = self.link.until(|counts| counts.waiting == 0).await.unwrap();
-        assert!(counts.add_up(), "{counts:?}");
+        assert!(counts.is_consistent(), "{counts:?}");
         let mut heard = Vec::new();
         let mut bytes = [0; 64];
         while *before < counts.passed {
-            let n = timeout(EVENT_TIMEOUT, self.hears.recv(&mut bytes))
+            let n = timeout(EVENT_TIMEOUT, self.receiver.recv(&mut bytes))
                 .await
-                .expect("it passed")
+                .expect("a datagram that has passed must be received")
                 .unwrap();
             heard.push(u32::from_be_bytes(bytes[..n].try_into().unwrap()));
             *before += 1;
         }
         assert!(
-            self.hears.try_recv(&mut bytes).is_err(),
-            "more came than passed"
+            self.receiver.try_recv(&mut bytes).is_err(),
+            "the receiver got more datagrams than the relay passed"
         );
         heard
     }
 }
 
-fn block(test: impl Future<Output = ()>) {
+fn block_on_test(test: impl Future<Output = ()>) {
     Runtime::new().unwrap().block_on(test);
 }
 
-/// Each fault alone, of all datagrams: what comes, and what is counted.
+/// Each fault, applied to all datagrams: checks the received datagrams and the counters.
 #[test]
 fn each_fault_is_seen_and_counted() {
-    let way = DatagramFaults::default();
-    let of = |came, passed| Counts {
-        came,
+    let faults = DatagramFaults::default();
+    let of = |received, passed| Counts {
+        received,
         passed,
         ..Counts::default()
     };
     let millis = Duration::from_millis;
     let late = Flow::Late(millis(30), millis(30));
     let cases: [(DatagramFaults, &[u32], Counts); 7] = [
-        (way, &[1, 2, 3, 4], of(4, 4)),
+        (faults, &[1, 2, 3, 4], of(4, 4)),
         (Flow::Cut.into(), &[], Counts { cut: 4, ..of(4, 0) }),
         (
-            DatagramFaults { lost: 1.0, ..way },
+            DatagramFaults {
+                lost: 1.0,
+                ..faults
+            },
             &[],
             Counts {
                 lost: 4,
@@ -97,7 +103,7 @@
         (
             DatagramFaults {
                 doubled: 1.0,
-                ..way
+                ..faults
             },
             &[1, 1, 2, 2, 3, 3, 4, 4],
             Counts {
@@ -108,7 +114,7 @@
         (
             DatagramFaults {
                 reordered: 1.0,
-                ..way
+                ..faults
             },
             &[2, 1, 4, 3],
             Counts {
@@ -129,7 +135,7 @@
                 doubled: 1.0,
                 reordered: 1.0,
                 flow: late,
-                ..way
+                ..faults
             },
             &[2, 2, 1, 1, 4, 4, 3, 3],
             Counts {
@@ -140,27 +146,27 @@
             },
         ),
     ];
-    block(async {
-        for (way, texts, counts) in cases {
-            let pair = Pair::new(1).await;
-            pair.link.set(way);
+    block_on_test(async {
+        for (faults, texts, counts) in cases {
+            let pair = RelayedPair::new(1).await;
+            pair.link.set(faults);
             let begun = Instant::now();
             pair.send(1..5).await;
-            assert_eq!(pair.heard(&mut 0).await, texts, "{way:?}");
-            assert_eq!(pair.link.counts(), counts, "{way:?}");
+            assert_eq!(pair.heard(&mut 0).await, texts, "{faults:?}");
+            assert_eq!(pair.link.counts(), counts, "{faults:?}");
             assert!(
                 counts.late == 0 || begun.elapsed() >= millis(30),
-                "{way:?}: earlier than it is set"
+                "{faults:?}: received before the configured delay"
             );
         }
     });
 }
 
-/// Over many, a share is what it was set to; and one bit is flipped, not always the same.
+/// Over many datagrams a fault hits the configured share; corruption flips one bit, at varying positions.
 #[test]
 fn shares_are_as_set_and_one_bit_is_flipped() {
-    block(async {
-        let (pair, mut before) = (Pair::new(7).await, 0);
+    block_on_test(async {
+        let (pair, mut before) = (RelayedPair::new(7).await, 0);
         pair.link.set(DatagramFaults {
             lost: 0.2,
             corrupted: 1.0,
@@ -184,20 +190,20 @@
     });
 }
 
-/// What is late or held back when the cut comes is dropped by it, even when it is healed at once.
+/// A cut drops the datagrams that are delayed or held back at that moment, also when the link is healed at once.
 #[test]
 fn a_cut_takes_what_is_on_its_way() {
-    block(async {
+    block_on_test(async {
         let hour = Duration::from_secs(3_600);
-        for way in [
+        for faults in [
             Flow::Late(hour, hour).into(),
             DatagramFaults {
                 reordered: 1.0,
                 ..DatagramFaults::default()
             },
         ] {
-            let pair = Pair::new(1).await;
-            pair.link.set(way);
+            let pair = RelayedPair::new(1).await;
+            pair.link.set(faults);
             pair.send([1]).await;
             assert_eq!(pair.link.counts().waiting, 1);
             pair.link.cut();
@@ -211,8 +217,8 @@
 
 #[test]
 fn what_nothing_follows_comes_once_it_is_healed() {
-    block(async {
-        let pair = Pair::new(1).await;
+    block_on_test(async {
+        let pair = RelayedPair::new(1).await;
         pair.link.set(DatagramFaults {
             reordered: 1.0,
             ..DatagramFaults::default()
@@ -225,22 +231,22 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever is set and changed: the counts hold, the receiver hears as many as have passed, and the same seed does
-    /// the same again.
+    /// For any faults and changes of faults: the counters add up, the receiver gets as many datagrams as have passed, and
+    /// the same seed gives the same result.
     #[test]
     fn counts_add_up_and_seeds_repeat(
         seed: u64, lost in 0.0..0.9, doubled in 0.0..1.0, reordered in 0.0..1.0, corrupted in 0.0..1.0, cut in 0u32..60,
     ) {
         let run = || {
             let mut result = (Vec::new(), Counts::default());
-            block(async {
-                let (pair, mut before) = (Pair::new(seed).await, 0);
-                let way = DatagramFaults { lost, doubled, reordered, corrupted, ..DatagramFaults::default() };
-                pair.link.set(way);
+            block_on_test(async {
+                let (pair, mut before) = (RelayedPair::new(seed).await, 0);
+                let faults = DatagramFaults { lost, doubled, reordered, corrupted, ..DatagramFaults::default() };
+                pair.link.set(faults);
                 pair.send(0..cut).await;
                 pair.link.cut();
                 pair.send(60..70).await;
-                pair.link.set(way);
+                pair.link.set(faults);
                 pair.send(100..140).await;
                 pair.link.heal();
                 result = (pair.heard(&mut before).await, pair.link.counts());
@@ -248,15 +254,15 @@
             result
         };
         let (heard, counts) = run();
-        prop_assert!(counts.add_up());
-        prop_assert_eq!(counts.came, u64::from(cut) + 50);
-        prop_assert!((10..=12).contains(&counts.cut), "ten, and at most one that was held, twice");
+        prop_assert!(counts.is_consistent());
+        prop_assert_eq!(counts.received, u64::from(cut) + 50);
+        prop_assert!((10..=12).contains(&counts.cut), "the ten sent during the cut, and at most one held datagram, duplicated");
         prop_assert_eq!(heard.len() as u64, counts.passed);
         prop_assert_eq!(run(), (heard, counts));
     }
 }
 
-/// Sections and keys that three proxies are given: every other under the address of a relay, itself under none.
+/// Member sections and keys of three proxies: each other member has the address of a relay, the proxy itself has none.
 #[test]
 fn each_proxy_is_told_of_the_others() {
     let mut setup = common::setup(4, 1.0, common::SECOND);
@@ -325,24 +331,28 @@
         std::fs::metadata(key_file).unwrap().permissions().mode() & 0o777,
         0o600
     );
-    assert_eq!(read(3).2, keys, "all have the same");
-    assert_eq!(read(2).0, None, "who is not on the roster has none");
+    assert_eq!(read(3).2, keys, "all proxies have the same keys");
+    assert_eq!(
+        read(2).0,
+        None,
+        "a proxy that is not on the roster has no members section"
+    );
     assert!(testbed.datagram_link(1, 1).is_err());
 }
 
-/// Who hears whom of three stand-ins, by what each receives of the others.
-fn heard(testbed: &Testbed, ears: &[UdpSocket]) -> Vec<(usize, usize)> {
+/// Pairs (sender, receiver) of three stand-ins between which a datagram arrives.
+fn heard(testbed: &Testbed, receivers: &[UdpSocket]) -> Vec<(usize, usize)> {
     let pairs = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
     let comes = |&(from, to): &(usize, usize)| {
         let link = testbed.datagram_link(from, to).unwrap();
         testbed.wait(async {
             let before = link.counts();
-            ears[from]
+            receivers[from]
                 .send_to(&[from as u8, to as u8], link.address)
                 .await
                 .unwrap();
             let after = link
-                .until(|counts| counts.came > before.came)
+                .until(|counts| counts.received > before.received)
                 .await
                 .unwrap();
             assert_eq!(
@@ -353,9 +363,9 @@
                 return false;
             }
             let mut bytes = [0; 2];
-            timeout(EVENT_TIMEOUT, ears[to].recv(&mut bytes))
+            timeout(EVENT_TIMEOUT, receivers[to].recv(&mut bytes))
                 .await
-                .expect("it passed")
+                .expect("a datagram that has passed must be received")
                 .unwrap();
             assert_eq!(bytes, [from as u8, to as u8]);
             true
@@ -364,14 +374,14 @@
     pairs.into_iter().filter(comes).collect()
 }
 
-/// Parted, deaf to one side, killed and started again on another port: who hears whom is as it was set.
+/// After a partition, a one-way cut, a kill and a restart on another port, exactly the expected pairs are connected.
 #[test]
 fn parts_hear_none_of_each_other_and_a_restart_is_found() {
     const ALL: [(usize, usize); 6] = [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)];
     let folder = Folder::new().unwrap();
     let mut setup = common::setup(3, 1.0, common::SECOND);
     setup.members = Some(Members::default());
-    // Each is a program of its own, that says what stands in its file.
+    // Each is a separate program that prints the contents of its file.
     let at = |proxy: usize| folder.path().join(format!("stand-in-{proxy}"));
     let script = "#!/bin/sh\ncat \"$0.says\" >&2\nexec sleep 600\n";
     setup.programs = (0..3).map(at).collect();
@@ -379,33 +389,36 @@
         std::fs::write(program, script).unwrap();
         std::fs::set_permissions(program, PermissionsExt::from_mode(0o700)).unwrap();
     }
-    let ear = |proxy: usize, on: &Runtime| {
-        let ear = on.block_on(UdpSocket::bind("127.0.0.1:0")).unwrap();
+    let receiver = |proxy: usize, on: &Runtime| {
+        let receiver = on.block_on(UdpSocket::bind("127.0.0.1:0")).unwrap();
         let says = format!(
             "n{proxy}: serving on 127.0.0.1:9\nmembers: heard on {}\n",
-            ear.local_addr().unwrap()
+            receiver.local_addr().unwrap()
         );
         std::fs::write(format!("{}.says", at(proxy).display()), says).unwrap();
-        ear
+        receiver
     };
     let on = Runtime::new().unwrap();
-    let mut ears: Vec<UdpSocket> = (0..3).map(|proxy| ear(proxy, &on)).collect();
+    let mut receivers: Vec<UdpSocket> = (0..3).map(|proxy| receiver(proxy, &on)).collect();
     let mut testbed = Testbed::start(setup).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(heard(&testbed, &ears), ALL);
+    assert_eq!(heard(&testbed, &receivers), ALL);
     testbed.partition(&[&[0, 1], &[2]]);
-    assert_eq!(heard(&testbed, &ears), [(0, 1), (1, 0)]);
+    assert_eq!(heard(&testbed, &receivers), [(0, 1), (1, 0)]);
     testbed.heal_datagrams();
     testbed.one_way(0, 2).unwrap();
     assert_eq!(
-        heard(&testbed, &ears),
+        heard(&testbed, &receivers),
         [(0, 1), (0, 2), (1, 0), (1, 2), (2, 1)]
     );
     testbed.partition(&[&[0], &[1]]);
-    assert_eq!(heard(&testbed, &ears), [(0, 2), (1, 2), (2, 1)]);
+    assert_eq!(heard(&testbed, &receivers), [(0, 2), (1, 2), (2, 1)]);
     testbed.heal_datagrams();
     testbed.kill(1);
-    assert_eq!(heard(&testbed, &ears), [(0, 2), (1, 0), (1, 2), (2, 0)]);
-    ears[1] = ear(1, &on);
+    assert_eq!(
+        heard(&testbed, &receivers),
+        [(0, 2), (1, 0), (1, 2), (2, 0)]
+    );
+    receivers[1] = receiver(1, &on);
     testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(heard(&testbed, &ears), ALL);
+    assert_eq!(heard(&testbed, &receivers), ALL);
 }
--- a/crates/testbed/tests/faults.rs
+++ b/crates/testbed/tests/faults.rs
@@ -1,7 +1,7 @@
-//! Several processes of the program, and what goes wrong between them and in them: no rule is broken by it.
+//! Faults of proxies, links, servers and discovery in a fleet: no invariant may be violated.
 
 mod common;
-use common::{answered, setup, sound, start, SECOND};
+use common::{assert_sound, setup, start, wait_for_answers, SECOND};
 use rustix::process::Signal;
 use server_model::catalog;
 use server_model::site::ServerFault;
@@ -10,8 +10,8 @@
 use testbed::process::{Plan, Process};
 use testbed::Testbed;
 
-/// Answers to one proxy's clients so far: those that reached a server are the measure.
-fn through(testbed: &Testbed, proxy: usize) -> u64 {
+/// Number of requests of one proxy that have reached a server so far.
+fn forwarded_requests(testbed: &Testbed, proxy: usize) -> u64 {
     testbed
         .history
         .lock()
@@ -22,9 +22,9 @@
         .sum()
 }
 
-/// Until a proxy has sent more on.
-fn sends(testbed: &Testbed, proxy: usize, more: u64) {
-    let before = through(testbed, proxy);
+/// Waits until a proxy has forwarded `more` further requests.
+fn wait_for_forwarded(testbed: &Testbed, proxy: usize, more: u64) {
+    let before = forwarded_requests(testbed, proxy);
     let is = |inner: &testbed::history::State| {
         let sent: u64 = inner
             .reached
@@ -35,82 +35,83 @@
         sent >= before + more
     };
     testbed
-        .until("a proxy sends on", is)
+        .until("a proxy forwards more requests", is)
         .unwrap_or_else(|fault| panic!("{fault}"));
 }
 
-/// Nothing but what the dead one held is lost, and the others go on as they were.
+/// Killing one proxy loses only the requests that it held; the other proxies keep serving.
 #[test]
 fn kill_9_of_one_in_three() {
     let mut testbed = start(setup(3, 150.0, 6 * SECOND));
     for proxy in 0..3 {
-        sends(&testbed, proxy, 5);
+        wait_for_forwarded(&testbed, proxy, 5);
     }
     testbed.kill(1);
-    sends(&testbed, 0, 20);
-    sends(&testbed, 2, 20);
+    wait_for_forwarded(&testbed, 0, 20);
+    wait_for_forwarded(&testbed, 2, 20);
     testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    sends(&testbed, 1, 10);
-    sound(testbed);
+    wait_for_forwarded(&testbed, 1, 10);
+    assert_sound(testbed);
 }
 
-/// A process that stands still while a server begins to drain: what it does when it goes on is right by then, whatever
-/// waited for it in the meantime.
+/// A proxy is stopped while a server begins to drain. When it continues, it must honour the drain before it acts on
+/// requests that have queued up in the meantime.
 #[test]
 fn a_stopped_proxy_goes_on() {
     let mut setup = setup(3, 150.0, 8 * SECOND);
     setup.list.late = 0;
     let mut testbed = start(setup);
-    sends(&testbed, 1, 5);
+    wait_for_forwarded(&testbed, 1, 5);
     testbed.signal(1, Signal::STOP);
     let last = *testbed.history.lock().site.members(0).last().unwrap();
     testbed.history.inject_fault(ServerFault::Drain(last));
     testbed
-        .until("the list has told it", |inner| {
-            inner.checker.is_leaving(1, last)
-        })
+        .until(
+            "the endpoint list announces the drain to the proxy",
+            |inner| inner.checker.is_leaving(1, last),
+        )
         .unwrap();
-    // By their schedule these take longer than the grace for drains, however fast the machine.
-    answered(&testbed, 150);
+    // The schedule of these requests is longer than the grace period of drains, however fast the machine.
+    wait_for_answers(&testbed, 150);
     testbed.signal(1, Signal::CONT);
-    sends(&testbed, 1, 10);
-    sound(testbed);
+    wait_for_forwarded(&testbed, 1, 10);
+    assert_sound(testbed);
 }
 
-/// Requests pass and answers don't, to the servers of one building; then the link is whole again.
+/// The links to the servers of one building pass requests but no responses; then they are healed.
 #[test]
 fn a_link_cut_one_way() {
     let testbed = start(setup(2, 100.0, 6 * SECOND));
-    sends(&testbed, 0, 5);
+    wait_for_forwarded(&testbed, 0, 5);
     let links = testbed.links(&[0], Some(1));
     assert!(!links.is_empty());
     links
         .iter()
         .for_each(|link| link.set(Flow::Passes, Flow::Cut));
-    sends(&testbed, 0, 30);
-    sends(&testbed, 1, 30);
+    wait_for_forwarded(&testbed, 0, 30);
+    wait_for_forwarded(&testbed, 1, 30);
     links.iter().for_each(|link| link.heal());
-    answered(&testbed, 30);
-    sound(testbed);
+    wait_for_answers(&testbed, 30);
+    assert_sound(testbed);
 }
 
 #[test]
 fn a_building_cut_off_from_one_proxy_and_back() {
     let testbed = start(setup(2, 100.0, 6 * SECOND));
-    sends(&testbed, 0, 5);
+    wait_for_forwarded(&testbed, 0, 5);
     let links = testbed.links(&[0], Some(1));
     links.iter().for_each(|link| link.cut());
-    sends(&testbed, 0, 30);
+    wait_for_forwarded(&testbed, 0, 30);
     links.iter().for_each(|link| link.heal());
-    answered(&testbed, 30);
-    sound(testbed);
+    wait_for_answers(&testbed, 30);
+    assert_sound(testbed);
 }
 
-/// Connections reset under requests, answers late, in small pieces, and lost for a time.
+/// Links reset connections during requests, delay responses, deliver them in small pieces, and lose and resend bytes.
 #[test]
 fn links_that_reset_delay_and_trickle() {
     let testbed = start(setup(2, 60.0, 6 * SECOND));
-    sends(&testbed, 0, 5);
+    wait_for_forwarded(&testbed, 0, 5);
     let (first, second) = (testbed.links(&[0], None), testbed.links(&[1], None));
     let millis = Duration::from_millis;
     first
@@ -125,9 +126,9 @@
             Flow::Passes,
         )
     });
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     first.iter().for_each(|link| link.reset());
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     second.iter().for_each(|link| {
         link.set(
             Flow::Passes,
@@ -137,21 +138,21 @@
             },
         )
     });
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     first.iter().for_each(|link| link.refuse());
-    sends(&testbed, 1, 20);
+    wait_for_forwarded(&testbed, 1, 20);
     first.iter().chain(&second).for_each(|link| link.heal());
-    answered(&testbed, 20);
-    sound(testbed);
+    wait_for_answers(&testbed, 20);
+    assert_sound(testbed);
 }
 
-/// A primary dies and another takes over; a server hangs; one drains. All proxies find out for themselves.
+/// A primary crashes and a replica takes over, one server hangs and one drains; each proxy detects this by itself.
 #[test]
 fn servers_die_hang_and_drain() {
     let mut setup = setup(3, 120.0, 8 * SECOND);
     (setup.site.group.give_up, setup.site.group.take_over) = (300_000, 300_000);
     let testbed = start(setup);
-    answered(&testbed, 20);
+    wait_for_answers(&testbed, 20);
     let (primary, members) = {
         let inner = testbed.history.lock();
         (
@@ -167,8 +168,10 @@
     testbed.history.inject_fault(ServerFault::Drain(members[2]));
     let another =
         |inner: &testbed::history::State| inner.site.primary(0).is_some_and(|now| now != primary);
-    testbed.until("another primary", another).unwrap();
-    answered(&testbed, 60);
+    testbed
+        .until("another server becomes the primary", another)
+        .unwrap();
+    wait_for_answers(&testbed, 60);
     testbed.history.inject_fault(ServerFault::Start(primary));
     testbed.history.inject_fault(ServerFault::Hang {
         server: members[1],
@@ -177,42 +180,44 @@
     testbed
         .history
         .inject_fault(ServerFault::Join { group: 1, place: 0 });
-    answered(&testbed, 60);
-    sound(testbed);
+    wait_for_answers(&testbed, 60);
+    assert_sound(testbed);
 }
 
-/// The list's service is down for the whole fleet, and all of it comes back at once.
+/// Discovery is down for the whole fleet, and all proxies reconnect to it at once.
 #[test]
 fn a_list_that_fails_a_whole_fleet_and_comes_back() {
     let mut setup = setup(6, 120.0, 10 * SECOND);
     (setup.list.call, setup.list.patience) = (20_000, 200_000);
     let testbed = start(setup);
     for proxy in 0..6 {
-        sends(&testbed, proxy, 1);
+        wait_for_forwarded(&testbed, proxy, 1);
     }
-    let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.taken()).collect();
+    let before: Vec<u64> = testbed.proxies.iter().map(|p| p.list.accepted()).collect();
     testbed.history.list(catalog::Event::Down(true));
-    // Everybody's watch has ended, and everybody asks again.
+    // The watch of each proxy has ended, and each has tried to connect again.
     for (proxy, taken) in testbed.proxies.iter().zip(&before) {
-        testbed.wait(proxy.list.until_taken(taken + 1));
+        testbed.wait(proxy.list.wait_for_accepted(taken + 1));
     }
     let gone = *testbed.history.lock().site.members(0).last().unwrap();
     testbed.history.inject_fault(ServerFault::Retire(gone));
-    answered(&testbed, 40);
+    wait_for_answers(&testbed, 40);
     testbed.history.list(catalog::Event::Down(false));
     testbed
-        .until("all watch again", |inner| inner.watching() == 6)
+        .until("all proxies watch the endpoint list again", |inner| {
+            inner.watching() == 6
+        })
         .unwrap();
-    answered(&testbed, 20);
-    sound(testbed);
+    wait_for_answers(&testbed, 20);
+    assert_sound(testbed);
 }
 
-/// A server's table of connections is full: it takes no more, and others bear its load.
+/// A server at its connection limit rejects connections; the other servers take its load.
 #[test]
 fn a_full_table_of_connections() {
     let mut setup = setup(4, 200.0, 5 * SECOND);
     setup.site.connections = 2;
-    // So slow that connections are used side by side.
+    // Requests slow enough that connections are used concurrently.
     setup
         .clients
         .classes
@@ -220,43 +225,45 @@
         .for_each(|kind| kind.work.mean = 20_000.0);
     let testbed = start(setup);
     testbed
-        .until("a server turned a connection away", |inner| {
+        .until("a server rejected a connection", |inner| {
             inner.rejected_connections > 0
         })
         .unwrap();
-    answered(&testbed, 100);
-    sound(testbed);
+    wait_for_answers(&testbed, 100);
+    assert_sound(testbed);
 }
 
-/// Asked to end under load, it ends by itself, and nothing that it had taken is lost.
+/// A proxy that receives SIGTERM under load exits with code 0 and loses no request that it had accepted.
 #[test]
 fn sigterm_under_load() {
     let mut testbed = start(setup(2, 100.0, 5 * SECOND));
-    sends(&testbed, 1, 10);
+    wait_for_forwarded(&testbed, 1, 10);
     testbed.signal(1, Signal::TERM);
     let code = testbed.proxies[1].process.as_mut().unwrap().wait();
     assert_eq!(code, Some(0));
     testbed.history.proxy_down(1);
-    sends(&testbed, 0, 30);
+    wait_for_forwarded(&testbed, 0, 30);
     testbed.restart(1).unwrap_or_else(|fault| panic!("{fault}"));
-    sends(&testbed, 1, 5);
-    sound(testbed);
+    wait_for_forwarded(&testbed, 1, 5);
+    assert_sound(testbed);
 }
 
-/// What a process that can't start says and how it ends reaches the caller, and no other is left behind.
+/// The output and the exit code of a process that fails to start reach the caller.
 #[test]
 fn a_process_that_does_not_start() {
     let mut setup = setup(2, 10.0, SECOND);
     setup.operators = "nonsense {".into();
-    let fault = Testbed::start(setup).err().expect("it can't start");
+    let fault = Testbed::start(setup)
+        .err()
+        .expect("a proxy with invalid settings must not start");
     assert_eq!(fault.code, Some(2), "{fault}");
     assert!(
-        fault.words.iter().any(|line| line.contains("nonsense")),
+        fault.lines.iter().any(|line| line.contains("nonsense")),
         "{fault}"
     );
     let missing = Plan {
         program: "/nowhere".into(),
-        words: vec![],
+        arguments: vec![],
         variables: vec![],
         files: 0,
         log: None,
@@ -268,23 +275,23 @@
     assert_eq!(fault.code, Some(127), "{fault}");
 }
 
-/// Descriptors are bounded as the platform bounds them.
+/// A proxy serves within the platform's limit of file descriptors.
 #[test]
 fn a_proxy_within_its_descriptors() {
     let mut setup = setup(1, 100.0, 3 * SECOND);
     setup.sockets = 64;
     let testbed = start(setup);
-    answered(&testbed, 50);
-    sound(testbed);
+    wait_for_answers(&testbed, 50);
+    assert_sound(testbed);
 }
 
-/// Its own timers late by a stall of its machine, the testbed says how late it was, and claims nothing.
+/// When a stall of the machine delays its own timers, the testbed reports the delay and no goodput.
 #[test]
 fn a_testbed_that_is_late_claims_nothing() {
     let testbed = start(setup(1, 400.0, 2 * SECOND));
-    answered(&testbed, 5);
+    wait_for_answers(&testbed, 5);
     {
-        // Nothing of the testbed goes on meanwhile; what was due in this time is late, however fast the machine.
+        // The lock blocks the whole testbed; everything due in this time is late, however fast the machine.
         let _held = testbed.history.lock();
         std::thread::sleep(20 * testbed::history::LATE);
     }
--- a/crates/testbed/tests/lending.rs
+++ b/crates/testbed/tests/lending.rs
@@ -1,139 +1,142 @@
-//! Stands that borrow over a fleet of several processes, and what goes wrong between these. All is read from second addresses.
+//! Quota lending in a fleet under partitions, kills, stops and clock changes. Metrics are read from the admin addresses.
 
 mod common;
-use common::loans::{book, operators, refused, Fleet, LINE, LOANS, STATE};
+use common::loans::{loan_metric, operators, refused_metric, Fleet, LINE, LOANS, STATE};
 use common::SECOND;
 use rustix::process::Signal;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use testbed::process::EVENT_TIMEOUT;
 use testbed::Setup;
 
-/// A bus arrives: its stand borrows at each proxy, nothing beyond the line, and repays it when the bus is gone.
+/// During a surge the tenant borrows at each proxy, never beyond its line, and repays when the surge is over.
 #[test]
 fn a_stand_borrows_and_repays() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 20);
+    fleet.wait_for_loans(0..3, 20);
     fleet.settle();
-    assert!((0..3).all(|proxy| fleet.figure(proxy, &book("repaid")) > 0));
-    assert!(fleet.figure(0, "lb_loans_saves_total") > 0);
+    assert!((0..3).all(|proxy| fleet.metric(proxy, &loan_metric("repaid")) > 0));
+    assert!(fleet.metric(0, "lb_loans_saves_total") > 0);
 }
 
-/// Halves that both borrow: the smaller side ends with its lease, the larger goes on with what it holds and no more. Healed,
-/// both lend.
+/// Both sides of a partition borrow: the minority stops lending when its lease ends, the majority keeps lending from the
+/// parts of the line that it holds. After healing, both sides lend.
 #[test]
 fn both_sides_of_a_cut_keep_within_one_line() {
     let mut fleet = Fleet::start(5, |_| {});
     fleet.surge(true);
-    fleet.lends(0..5, 5);
+    fleet.wait_for_loans(0..5, 5);
     fleet.testbed.partition(&[&[0, 1], &[2, 3, 4]]);
     for proxy in 0..2 {
-        let view = fleet.figure(proxy, &refused("view"));
-        fleet.until([proxy], &refused("view"), |n| n > view);
-        let before = fleet.figure(proxy, LOANS);
-        fleet.lends([2], 5);
+        let view = fleet.metric(proxy, &refused_metric("view"));
+        fleet.until([proxy], &refused_metric("view"), |n| n > view);
+        let before = fleet.metric(proxy, LOANS);
+        fleet.wait_for_loans([2], 5);
         assert_eq!(
-            fleet.figure(proxy, LOANS),
+            fleet.metric(proxy, LOANS),
             before,
-            "the smaller side has ended"
+            "the minority must not lend after its lease has ended"
         );
     }
     fleet.testbed.heal_datagrams();
-    fleet.lends(0..5, 5);
+    fleet.wait_for_loans(0..5, 5);
     fleet.settle();
 }
 
-/// One dies while parts of the line are on their way to it and from it, and comes back before its lane is over: with its
-/// file it goes on as a founder, and what it owed is owed still.
+/// A proxy is killed while parts of the line are transferred to and from it, and restarts before its lane expires. With its
+/// state file it continues as a founder, and its outstanding debts remain.
 #[test]
 fn one_that_dies_in_mid_transfer_goes_on_with_its_file() {
-    // Most comes to few, so that parts are handed to them.
+    // Skewed load, so that parts of the line move to the busiest proxies.
     let mut fleet = Fleet::start(4, |setup| setup.clients.proxy_skew = 2.0);
     fleet.surge(true);
     let first = LINE / 4;
     let greatest = |fleet: &Fleet| {
         (0..4)
-            .max_by_key(|proxy| fleet.figure(*proxy, &book("part")))
+            .max_by_key(|proxy| fleet.metric(*proxy, &loan_metric("part")))
             .unwrap()
     };
-    fleet.lends(0..1, 1);
+    fleet.wait_for_loans(0..1, 1);
     let end = Instant::now() + EVENT_TIMEOUT;
     let holder = loop {
-        fleet.look();
+        fleet.check_accounts();
         let holder = greatest(&fleet);
-        if fleet.figure(holder, &book("part")) > first + first / 10 {
+        if fleet.metric(holder, &loan_metric("part")) > first + first / 10 {
             break holder;
         }
-        assert!(Instant::now() < end, "no part moved");
+        assert!(
+            Instant::now() < end,
+            "no part of the line moved to another proxy"
+        );
     };
     fleet.kill(holder);
     fleet.restart(holder);
     fleet.until([holder], "lb_loans_founded", |n| n == 1);
-    fleet.lends([holder], 5);
+    fleet.wait_for_loans([holder], 5);
     fleet.settle();
-    assert!((0..4).all(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken") == 0));
+    assert!((0..4).all(|proxy| fleet.metric(proxy, "lb_loans_lanes_taken") == 0));
 }
 
-/// The lane of one that stays dead is taken over, by one alone. When it comes back it has a lane of nothing, and lends again
-/// what others give.
+/// The lane of a proxy that stays dead is taken over by exactly one other proxy. After its return the proxy has an empty
+/// lane and lends only parts that others transfer to it.
 #[test]
 fn the_lane_of_a_dead_one_is_taken_once() {
     let mut fleet = Fleet::start(4, |_| {});
     fleet.surge(true);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     fleet.kill(3);
     let taken = |fleet: &Fleet| {
         (0..3)
-            .map(|proxy| fleet.figure(proxy, "lb_loans_lanes_taken"))
+            .map(|proxy| fleet.metric(proxy, "lb_loans_lanes_taken"))
             .sum::<u64>()
     };
     let end = Instant::now() + EVENT_TIMEOUT;
     while taken(&fleet) == 0 {
-        fleet.look();
+        fleet.check_accounts();
         assert!(
             Instant::now() < end,
-            "the lane of the dead one is not taken"
+            "the lane of the dead proxy was not taken over"
         );
     }
-    // By then all that it lent was over.
+    // All loans of the dead proxy have expired by then.
     fleet.checker.forget("n3");
     fleet.restart(3);
     fleet.until([3], "lb_loans_founded", |n| n == 1);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     assert_eq!(taken(&fleet), 1);
     fleet.settle();
 }
 
-/// One that stood still does not lend what it held before, until others have heard it again.
+/// A proxy that was stopped does not lend the parts that it held before until other members have received its messages again.
 #[test]
 fn a_stopped_one_lends_nothing_until_it_is_heard() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
-    fleet.look();
+    fleet.wait_for_loans(0..3, 5);
+    fleet.check_accounts();
     fleet.testbed.signal(1, Signal::STOP);
-    fleet.looked.retain(|proxy| *proxy != 1);
+    fleet.checked.retain(|proxy| *proxy != 1);
     let down = "lb_member{member=\"n1\",status=\"down\"}";
     fleet
         .testbed
         .metric_until(0, down, |n| n == 1)
         .unwrap_or_else(|fault| panic!("{fault}"));
     fleet.testbed.signal(1, Signal::CONT);
-    let stopped = fleet.figure(1, LOANS);
-    fleet.looked.push(1);
+    let stopped = fleet.metric(1, LOANS);
+    fleet.checked.push(1);
     fleet.until([1], "lb_members_pauses_total", |n| n >= 1);
-    fleet.until([1], &refused("view"), |n| n >= 1);
+    fleet.until([1], &refused_metric("view"), |n| n >= 1);
     fleet.until([1], LOANS, |n| n >= stopped + 5);
     fleet.settle();
 }
 
-/// One that comes back by a clock that was set back is behind its former start: what it kept and what others hold of it goes
-/// on under the start that it takes then.
+/// A proxy that restarts after its clock was set back has an incarnation older than its former one. Its saved state and the
+/// state that others hold of it continue under the newer incarnation that it then takes.
 #[test]
 fn one_whose_clock_was_set_back_lends_again() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     fleet.kill(1);
     let clock = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -149,59 +152,61 @@
     drop(fake_member);
     fleet.restart(1);
     fleet.until([1], "lb_members_renewals_total", |n| n == 1);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     fleet.settle();
 }
 
-/// All die and start at once: with files they are founders still and lend as soon as they hear each other.
+/// All proxies are killed and restarted at once: with state files they remain founders and lend as soon as they reach each other.
 #[test]
 fn all_that_start_again_at_once_go_on() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     (0..3).for_each(|proxy| fleet.kill(proxy));
     (0..3).for_each(|proxy| fleet.restart(proxy));
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     fleet.settle();
 }
 
-/// Without a file one that starts again has forgotten what it lent: it has no lane and lends only what is given to it.
+/// A proxy that restarts without a state file has lost its loans: it has no lane and lends only parts transferred to it.
 #[test]
 fn one_that_has_forgotten_lends_what_it_is_given() {
     let mut fleet = Fleet::start(4, |setup| setup.operators = operators("", "5s"));
     fleet.surge(true);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     fleet.kill(0);
     fleet.restart(0);
     fleet.until([0], "lb_loans_founded", |n| n == 1);
-    fleet.lends(0..4, 5);
+    fleet.wait_for_loans(0..4, 5);
     fleet.settle();
 }
 
-/// Two versions of the rules live side by side: the stricter line holds for all.
+/// While proxies run different versions of the settings, the stricter line bounds the sum over all proxies.
 #[test]
 fn the_stricter_of_two_lines_holds_in_sum() {
     let mut fleet = Fleet::start(3, |_| {});
     fleet.surge(true);
-    fleet.lends(0..3, 5);
+    fleet.wait_for_loans(0..3, 5);
     let strict = |setup: &mut Setup| setup.operators = operators(STATE, "1s");
     fleet
         .testbed
         .reload(1, strict)
         .unwrap_or_else(|fault| panic!("{fault}"));
     for proxy in 0..3 {
-        fleet.until([proxy], &book("part"), |part| part <= LINE / 5);
+        fleet.until([proxy], &loan_metric("part"), |part| part <= LINE / 5);
     }
-    let parts: u64 = (0..3).map(|proxy| fleet.figure(proxy, &book("part"))).sum();
+    let parts: u64 = (0..3)
+        .map(|proxy| fleet.metric(proxy, &loan_metric("part")))
+        .sum();
     assert!(parts <= LINE / 5, "{parts}");
     fleet.settle();
 }
 
-/// Where those within their quota find no room nothing is lent, at no proxy; borrowed work gives way first.
+/// While tenants within their quota lack capacity, no proxy lends; borrowed work is refused first.
 #[test]
 fn nothing_is_lent_while_others_need_the_room() {
     let mut fleet = Fleet::start(3, |setup| {
-        // Clients tell of all the time that they have.
+        // Clients announce their full deadline.
         setup.slack = Duration::ZERO;
         for kind in &mut setup.clients.classes {
             (kind.latency_objective, kind.deadline) = (SECOND, 2 * SECOND);
@@ -209,11 +214,11 @@
         }
     });
     fleet.surge(true);
-    fleet.lends(0..3, 2);
+    fleet.wait_for_loans(0..3, 2);
     fleet.testbed.history.surge(Some(1), 60.0);
-    fleet.until(0..3, &refused("short"), |n| n >= 5);
+    fleet.until(0..3, &refused_metric("short"), |n| n >= 5);
     fleet.testbed.history.surge(Some(1), 1.0);
     fleet.until(0..3, "lb_loans_short", |n| n == 0);
-    fleet.lends(0..3, 2);
+    fleet.wait_for_loans(0..3, 2);
     fleet.settle();
 }
--- a/crates/testbed/tests/sites.rs
+++ b/crates/testbed/tests/sites.rs
@@ -1,8 +1,8 @@
-//! What several processes know of their sites: each by itself, by what it proves.
+//! Detection of site losses: each proxy decides by itself, from its own requests and probes.
 
 mod common;
 use common::turns::turn;
-use common::{answered, setup, sound, start, SECOND};
+use common::{assert_sound, setup, start, wait_for_answers, SECOND};
 use rustix::process::Signal;
 use server_model::catalog;
 use server_model::site::{ServerFault, ServerIndex};
@@ -15,15 +15,15 @@
 const SITES: &str =
     "control {\n socket {folder}/control\n}\nsites {\n lost-after 300ms\n return-after 1s\n dwell 500ms\n}\n";
 const PROXIES: usize = 4;
-/// Answers of the whole fleet until all know of a loss: at 200 in a second, as many as come in 10 s.
-const BOUND: u64 = 2_000;
+/// Maximum number of answers of the whole fleet until all proxies have detected a loss: 10 s at 200 per second.
+const MAX_ANSWERS_UNTIL_DETECTED: u64 = 2_000;
 
-/// Two groups of four before two sites; both primaries stand in the first.
+/// Two groups of four servers over two sites; both primaries are in the first site.
 fn two_sites(length: u64) -> Setup {
     let mut setup = setup(PROXIES, 200.0, length);
     setup.site.group.members = 4;
     (setup.site.group.give_up, setup.site.group.take_over) = (300_000, 300_000);
-    // Less the slack they have two seconds.
+    // Two seconds remain after the slack is subtracted.
     setup
         .clients
         .classes
@@ -34,11 +34,11 @@
     setup
 }
 
-fn at(testbed: &Testbed, place: u16) -> Vec<ServerIndex> {
-    at_of(testbed, 2, place)
+fn servers_at(testbed: &Testbed, place: u16) -> Vec<ServerIndex> {
+    servers_of_groups_at(testbed, 2, place)
 }
 
-fn at_of(testbed: &Testbed, groups: u32, place: u16) -> Vec<ServerIndex> {
+fn servers_of_groups_at(testbed: &Testbed, groups: u32, place: u16) -> Vec<ServerIndex> {
     let inner = testbed.history.lock();
     (0..groups)
         .flat_map(|g| inner.site.members(g).to_vec())
@@ -50,7 +50,7 @@
     format!("lb_site_state{{site=\"p{place}\",state=\"{state}\"}}")
 }
 
-fn figure(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
+fn metric(testbed: &Testbed, proxy: usize, name: &str) -> u64 {
     let figures = testbed
         .metrics(proxy)
         .unwrap_or_else(|fault| panic!("{fault}"));
@@ -61,9 +61,9 @@
     format!("lb_site_headroom{{site=\"p{place}\"}}")
 }
 
-fn until(testbed: &Testbed, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
+fn wait_for_metric(testbed: &Testbed, proxy: usize, name: &str, is: impl Fn(u64) -> bool) {
     let end = Instant::now() + EVENT_TIMEOUT;
-    while !is(figure(testbed, proxy, name)) {
+    while !is(metric(testbed, proxy, name)) {
         let sites = || -> Vec<_> {
             let figures = testbed.metrics(proxy).unwrap_or_default();
             figures
@@ -79,17 +79,22 @@
     }
 }
 
-/// Until each of these says so.
-fn say(testbed: &Testbed, proxies: impl IntoIterator<Item = usize>, place: u16, word: &str) {
+/// Waits until each given proxy has reported the site in this state.
+fn wait_for_state(
+    testbed: &Testbed,
+    proxies: impl IntoIterator<Item = usize>,
+    place: u16,
+    word: &str,
+) {
     let begun = Instant::now();
-    let mut silent: Vec<usize> = proxies.into_iter().collect();
-    while !silent.is_empty() {
-        // In turns: none is to be missed that says so for a while only.
-        silent.retain(|proxy| figure(testbed, *proxy, &state(place, word)) == 0);
+    let mut remaining: Vec<usize> = proxies.into_iter().collect();
+    while !remaining.is_empty() {
+        // Polled in turn, so that a state that a proxy reports only briefly is not missed.
+        remaining.retain(|proxy| metric(testbed, *proxy, &state(place, word)) == 0);
         assert!(
             begun.elapsed() < EVENT_TIMEOUT,
-            "{silent:?} never say {word}, {:?}",
-            testbed.metrics(silent[0])
+            "proxies {remaining:?} have not reported the site as {word}: {:?}",
+            testbed.metrics(remaining[0])
         );
     }
     println!("{word} after {:?}", begun.elapsed());
@@ -100,11 +105,11 @@
 }
 
 fn losses(testbed: &Testbed, proxy: usize, place: u16) -> u64 {
-    figure(testbed, proxy, &losses_name(place))
+    metric(testbed, proxy, &losses_name(place))
 }
 
-/// No proxy ever called these sites lost.
-fn never_lost(testbed: &Testbed, places: [u16; 2]) {
+/// Asserts that no proxy has ever declared these sites lost.
+fn assert_never_lost(testbed: &Testbed, places: [u16; 2]) {
     for proxy in 0..PROXIES {
         assert_eq!(
             places.map(|place| losses(testbed, proxy, place)),
@@ -114,38 +119,45 @@
     }
 }
 
-fn all(testbed: &Testbed, servers: &[ServerIndex], trouble: impl Fn(ServerIndex) -> ServerFault) {
+fn inject_into_all(
+    testbed: &Testbed,
+    servers: &[ServerIndex],
+    trouble: impl Fn(ServerIndex) -> ServerFault,
+) {
     servers
         .iter()
         .for_each(|server| testbed.history.inject_fault(trouble(*server)));
 }
 
-/// The site of all primaries dies while the list still names it as ready, and comes back.
+/// The site of all primaries crashes while the endpoint list still names it as ready, and comes back.
 #[test]
 fn a_site_dies_with_its_primaries_and_returns() {
     let _turn = turn();
     let testbed = start(two_sites(26 * SECOND));
-    let dead = at(&testbed, 0);
+    let dead = servers_at(&testbed, 0);
     assert!((0..2).all(|group| dead.contains(&testbed.history.lock().site.primary(group).unwrap())));
-    answered(&testbed, 200);
-    // Its writes have been seen nowhere else: a part of the worth would go with it.
+    wait_for_answers(&testbed, 200);
+    // Some of its writes have not reached the other site: part of the worth would be lost with it.
     for proxy in 0..PROXIES {
-        until(&testbed, proxy, &headroom(1), |n| n > 0);
-        let kept = figure(&testbed, proxy, &headroom(0));
+        wait_for_metric(&testbed, proxy, &headroom(1), |n| n > 0);
+        let kept = metric(&testbed, proxy, &headroom(0));
         assert!(kept < 1_000, "proxy {proxy}: {kept}");
     }
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
     let before = testbed.history.lock().checker.answered;
-    all(&testbed, &dead, ServerFault::Crash);
-    say(&testbed, 0..PROXIES, 0, "lost");
+    inject_into_all(&testbed, &dead, ServerFault::Crash);
+    wait_for_state(&testbed, 0..PROXIES, 0, "lost");
     let took = testbed.history.lock().checker.answered - before;
     println!("lost at all proxies after {took} answers");
-    assert!(took <= BOUND, "{took} answers until all knew");
-    // The other site serves alone, and writes have moved there.
-    answered(&testbed, 200);
-    all(&testbed, &dead, ServerFault::Start);
-    say(&testbed, 0..PROXIES, 0, "returning");
-    say(&testbed, 0..PROXIES, 0, "whole");
+    assert!(
+        took <= MAX_ANSWERS_UNTIL_DETECTED,
+        "{took} answers until all proxies had detected the loss"
+    );
+    // The other site serves alone, also the writes.
+    wait_for_answers(&testbed, 200);
+    inject_into_all(&testbed, &dead, ServerFault::Start);
+    wait_for_state(&testbed, 0..PROXIES, 0, "returning");
+    wait_for_state(&testbed, 0..PROXIES, 0, "whole");
     for proxy in 0..PROXIES {
         assert_eq!(
             (losses(&testbed, proxy, 0), losses(&testbed, proxy, 1)),
@@ -153,11 +165,11 @@
             "proxy {proxy}"
         );
     }
-    sound(testbed);
+    assert_sound(testbed);
 }
 
-/// What `leverproxy sites` prints, and whether it is content.
-fn told(testbed: &Testbed, proxy: usize, name: &[&str]) -> (bool, String) {
+/// Runs `leverproxy sites` and returns whether it succeeded, and its standard output.
+fn sites_command(testbed: &Testbed, proxy: usize, name: &[&str]) -> (bool, String) {
     let program = built("leverproxy").unwrap_or_else(|fault| panic!("{fault}"));
     let socket = testbed.folder(proxy).join("control");
     let out = Command::new(program)
@@ -173,42 +185,42 @@
     )
 }
 
-/// One of three goes while a server of another is drained: the two others stay, and bear its load.
+/// One of three sites is lost while a server of another is drained: the two other sites stay and take its load.
 #[test]
 fn one_of_three_sites_during_a_drain() {
     let _turn = turn();
     let mut setup = two_sites(20 * SECOND);
     (setup.site.places, setup.site.group.members) = (3, 6);
     let testbed = start(setup);
-    answered(&testbed, 200);
+    wait_for_answers(&testbed, 200);
     testbed
         .history
-        .inject_fault(ServerFault::Drain(at(&testbed, 1)[0]));
+        .inject_fault(ServerFault::Drain(servers_at(&testbed, 1)[0]));
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    all(&testbed, &at(&testbed, 0), ServerFault::Crash);
-    say(&testbed, 0..PROXIES, 0, "lost");
-    answered(&testbed, 100);
-    let (sound_name, text) = told(&testbed, 0, &["p0"]);
+    inject_into_all(&testbed, &servers_at(&testbed, 0), ServerFault::Crash);
+    wait_for_state(&testbed, 0..PROXIES, 0, "lost");
+    wait_for_answers(&testbed, 100);
+    let (sound_name, text) = sites_command(&testbed, 0, &["p0"]);
     assert!(
         sound_name && text.contains("p0    lost") && text.contains("p1 ") && text.contains("p2 "),
         "{text}"
     );
-    let (unknown, text) = told(&testbed, 0, &["p7"]);
+    let (unknown, text) = sites_command(&testbed, 0, &["p7"]);
     assert!(
         !unknown && text.contains("no site \"p7\"; known sites: p0, p1, p2"),
         "{text}"
     );
-    never_lost(&testbed, [1, 2]);
-    sound(testbed);
+    assert_never_lost(&testbed, [1, 2]);
+    assert_sound(testbed);
 }
 
-/// What is left can do half of what is asked: all know, none calls it lost too, and it goes on to serve.
+/// The surviving site has capacity for half of the load: no proxy declares it lost too, and it continues to serve.
 #[test]
 fn the_surviving_site_has_half_of_the_room() {
     let _turn = turn();
     let mut setup = two_sites(16 * SECOND);
     (setup.site.group.members, setup.site.group.quorum) = (3, false);
-    // One server of two cores in each of two groups, for 400 requests of 10 ms and more in a second.
+    // One server with two cores in each of two groups, for 400 requests per second of at least 10 ms each.
     setup.clients.requests_per_s = 400.0;
     setup
         .clients
@@ -217,118 +229,118 @@
         .for_each(|kind| kind.work.mean = 20_000.0);
     setup.site.server.cores = 2.0;
     let testbed = start(setup);
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    all(&testbed, &at(&testbed, 0), ServerFault::Crash);
-    say(&testbed, 0..PROXIES, 0, "lost");
-    answered(&testbed, 300);
+    inject_into_all(&testbed, &servers_at(&testbed, 0), ServerFault::Crash);
+    wait_for_state(&testbed, 0..PROXIES, 0, "lost");
+    wait_for_answers(&testbed, 300);
     for proxy in 0..PROXIES {
         assert_eq!(losses(&testbed, proxy, 1), 0, "proxy {proxy}");
     }
-    sound(testbed);
+    assert_sound(testbed);
 }
 
-/// Requests reach the site, and nothing of it comes back: it is lost from here, and its servers are not dead.
+/// Requests reach the site, but no responses arrive: this proxy declares it lost, although its servers run.
 #[test]
 fn one_direction_is_cut() {
     let _turn = turn();
     let testbed = start(two_sites(26 * SECOND));
-    answered(&testbed, 200);
+    wait_for_answers(&testbed, 200);
     let links = testbed.links(&[0], Some(0));
     links
         .iter()
         .for_each(|link| link.set(Flow::Passes, Flow::Cut));
-    say(&testbed, 0..1, 0, "lost");
-    answered(&testbed, 100);
+    wait_for_state(&testbed, 0..1, 0, "lost");
+    wait_for_answers(&testbed, 100);
     assert!((1..PROXIES).all(|proxy| losses(&testbed, proxy, 0) == 0));
     links.iter().for_each(|link| link.heal());
-    until(&testbed, 0, &state(0, "lost"), |n| n == 0);
-    sound(testbed);
+    wait_for_metric(&testbed, 0, &state(0, "lost"), |n| n == 0);
+    assert_sound(testbed);
 }
 
-/// Discovery's side alone is gone: nothing is lost. Then, while proxies restart in turn, the site is, to each of them.
+/// An outage of discovery alone causes no site loss. A site lost while proxies restart in turn is detected by each of them.
 #[test]
 fn no_discovery_and_a_loss_while_proxies_restart() {
     let _turn = turn();
     let mut testbed = start(two_sites(26 * SECOND));
-    answered(&testbed, 100);
+    wait_for_answers(&testbed, 100);
     testbed.history.list(catalog::Event::Down(true));
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     assert!((0..PROXIES).all(|proxy| losses(&testbed, proxy, 0) + losses(&testbed, proxy, 1) == 0));
     testbed.history.list(catalog::Event::Down(false));
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    let dead = at(&testbed, 0);
+    let dead = servers_at(&testbed, 0);
     for proxy in 0..PROXIES {
         testbed.kill(proxy);
         testbed
             .restart(proxy)
             .unwrap_or_else(|fault| panic!("{fault}"));
         if proxy == 1 {
-            all(&testbed, &dead, ServerFault::Crash);
+            inject_into_all(&testbed, &dead, ServerFault::Crash);
         }
     }
-    say(&testbed, 0..PROXIES, 0, "lost");
-    answered(&testbed, 100);
+    wait_for_state(&testbed, 0..PROXIES, 0, "lost");
+    wait_for_answers(&testbed, 100);
     assert!((0..PROXIES).all(|proxy| losses(&testbed, proxy, 1) == 0));
-    sound(testbed);
+    assert_sound(testbed);
 }
 
 #[test]
 fn a_slow_site_and_a_dead_server_are_no_loss() {
     let _turn = turn();
     let testbed = start(two_sites(8 * SECOND));
-    let slow = at(&testbed, 0);
-    answered(&testbed, 100);
-    all(&testbed, &slow, |server| ServerFault::Slow {
+    let slow = servers_at(&testbed, 0);
+    wait_for_answers(&testbed, 100);
+    inject_into_all(&testbed, &slow, |server| ServerFault::Slow {
         server,
         times: 50.0,
     });
-    answered(&testbed, 300);
-    all(&testbed, &slow, |server| ServerFault::Slow {
+    wait_for_answers(&testbed, 300);
+    inject_into_all(&testbed, &slow, |server| ServerFault::Slow {
         server,
         times: 1.0,
     });
-    let dead = at(&testbed, 1)[0];
+    let dead = servers_at(&testbed, 1)[0];
     testbed.history.inject_fault(ServerFault::Crash(dead));
-    answered(&testbed, 300);
-    never_lost(&testbed, [0, 1]);
-    sound(testbed);
+    wait_for_answers(&testbed, 300);
+    assert_never_lost(&testbed, [0, 1]);
+    assert_sound(testbed);
 }
 
-/// The same site, and half of the proxies can't reach it: it is lost to these.
+/// Half of the proxies cannot reach a site: only these declare it lost.
 #[test]
 fn a_link_cut_for_half_of_the_proxies() {
     let _turn = turn();
     let testbed = start(two_sites(26 * SECOND));
-    answered(&testbed, 200);
+    wait_for_answers(&testbed, 200);
     let links = testbed.links(&[0, 1], Some(0));
     links.iter().for_each(|link| link.cut());
-    say(&testbed, 0..2, 0, "lost");
-    answered(&testbed, 100);
+    wait_for_state(&testbed, 0..2, 0, "lost");
+    wait_for_answers(&testbed, 100);
     for proxy in 2..PROXIES {
         assert_eq!(losses(&testbed, proxy, 0), 0, "proxy {proxy}");
     }
     links.iter().for_each(|link| link.heal());
-    // Whole it is once each server there was asked again, which may be later than the clients' last request.
-    (0..2).for_each(|proxy| until(&testbed, proxy, &state(0, "lost"), |n| n == 0));
-    sound(testbed);
+    // The site is whole again after a request to each of its servers, which may come later than the clients' last request.
+    (0..2).for_each(|proxy| wait_for_metric(&testbed, proxy, &state(0, "lost"), |n| n == 0));
+    assert_sound(testbed);
 }
 
-/// The site goes again as soon as it answers: each proxy loses it twice, and no more often.
+/// The site crashes again as soon as it has returned: each proxy counts exactly two losses.
 #[test]
 fn lost_back_and_lost_again() {
     let _turn = turn();
     let testbed = start(two_sites(26 * SECOND));
-    let dead = at(&testbed, 0);
-    answered(&testbed, 100);
+    let dead = servers_at(&testbed, 0);
+    wait_for_answers(&testbed, 100);
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
-    all(&testbed, &dead, ServerFault::Crash);
-    say(&testbed, 0..PROXIES, 0, "lost");
-    all(&testbed, &dead, ServerFault::Start);
-    say(&testbed, 0..PROXIES, 0, "returning");
-    all(&testbed, &dead, ServerFault::Crash);
-    (0..PROXIES).for_each(|proxy| until(&testbed, proxy, &losses_name(0), |n| n == 2));
-    answered(&testbed, 100);
+    inject_into_all(&testbed, &dead, ServerFault::Crash);
+    wait_for_state(&testbed, 0..PROXIES, 0, "lost");
+    inject_into_all(&testbed, &dead, ServerFault::Start);
+    wait_for_state(&testbed, 0..PROXIES, 0, "returning");
+    inject_into_all(&testbed, &dead, ServerFault::Crash);
+    (0..PROXIES).for_each(|proxy| wait_for_metric(&testbed, proxy, &losses_name(0), |n| n == 2));
+    wait_for_answers(&testbed, 100);
     for proxy in 0..PROXIES {
         assert_eq!(
             (losses(&testbed, proxy, 0), losses(&testbed, proxy, 1)),
@@ -336,21 +348,21 @@
             "proxy {proxy}"
         );
     }
-    sound(testbed);
+    assert_sound(testbed);
 }
 
-/// A proxy that stood still finds all of its requests overdue, and a connection for none: that is its own doing.
+/// A proxy that was stopped finds all of its requests overdue and no connection usable: it must attribute this to itself.
 #[test]
 fn a_proxy_that_stood_still_loses_nothing() {
     let _turn = turn();
     let mut testbed = start(two_sites(8 * SECOND));
-    answered(&testbed, 100);
+    wait_for_answers(&testbed, 100);
     testbed.signal(1, Signal::STOP);
-    answered(&testbed, 300);
+    wait_for_answers(&testbed, 300);
     testbed.signal(1, Signal::CONT);
-    answered(&testbed, 200);
-    never_lost(&testbed, [0, 1]);
-    sound(testbed);
+    wait_for_answers(&testbed, 200);
+    assert_never_lost(&testbed, [0, 1]);
+    assert_sound(testbed);
 }
 
 #[test]
@@ -362,16 +374,16 @@
         setup.clients.groups,
         setup.site.group.members,
     ) = (1, 1, 2);
-    // Most of two are two: without a quorum the one that is left takes over.
+    // A majority of two is two: only without a quorum can the remaining server take over.
     setup.site.group.quorum = false;
     let testbed = start(setup);
-    answered(&testbed, 100);
+    wait_for_answers(&testbed, 100);
     testbed.history.list(catalog::Event::Behind(8 * SECOND));
     testbed
         .history
-        .inject_fault(ServerFault::Crash(at_of(&testbed, 1, 0)[0]));
-    say(&testbed, 0..PROXIES, 0, "lost");
-    sound(testbed);
+        .inject_fault(ServerFault::Crash(servers_of_groups_at(&testbed, 1, 0)[0]));
+    wait_for_state(&testbed, 0..PROXIES, 0, "lost");
+    assert_sound(testbed);
 }
 
 #[test]
@@ -380,11 +392,11 @@
     let mut setup = two_sites(3 * SECOND);
     setup.site.places = 1;
     let testbed = start(setup);
-    answered(&testbed, 100);
+    wait_for_answers(&testbed, 100);
     let figures = testbed.metrics(0).unwrap_or_else(|fault| panic!("{fault}"));
     assert!(
         figures.keys().all(|name| !name.starts_with("lb_site")),
         "{figures:?}"
     );
-    sound(testbed);
+    assert_sound(testbed);
 }
