--- a/crates/leverproxy/benches/probe_cost.rs
+++ b/crates/leverproxy/benches/probe_cost.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Listener, Peer, Scratch};
+use common::{Listener, Peer, TempFile};
 use hdrhistogram::Histogram;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,12 +16,12 @@
 use std::time::{Duration, Instant};
 
 const CHECKS: u32 = 20_000;
-const ROUND: Duration = Duration::from_secs(4);
+const ROUND_DURATION: Duration = Duration::from_secs(4);
 const ROUNDS: usize = 3;
 /// Checks a second that run beside the clients.
-const RATE: u64 = 500;
+const CHECKS_PER_SECOND: u64 = 500;
 
-fn free() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -29,7 +29,7 @@
 }
 
 /// CPU time of a process, in clock ticks of 10 ms.
-fn cpu(child: &Child) -> Duration {
+fn cpu_time(child: &Child) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap();
     let fields: Vec<&str> = text
         .rsplit(')')
@@ -41,23 +41,23 @@
     Duration::from_millis(ticks * 10)
 }
 
-fn agent(address: SocketAddr) {
+fn agent_check(address: SocketAddr) {
     let mut stream = TcpStream::connect(address).unwrap();
     let mut line = [0; 256];
     assert!(stream.read(&mut line).unwrap() > 0);
 }
 
 fn main() {
-    let (listen, agent_at, web_at) = (free(), free(), free());
+    let (listen, agent_at, web_at) = (unused_address(), unused_address(), unused_address());
     let discovery = Listener::new();
     let server = Listener::new();
-    let operators = Scratch::new(&format!(
+    let operators = TempFile::new(&format!(
         "health a {{\n protocol agent\n address {agent_at}\n}}\nhealth w {{\n address {web_at}\n}}\n"
     ));
-    let platform = Scratch::new(&format!(
+    let platform = TempFile::new(&format!(
         r#"{{"listen":"{listen}","discovery":"{}","known":{{"index":1,"snapshot":true,"endpoints":[{}]}},"settings":{}}}"#,
         discovery.address,
-        server.listed("s-1", "Ready"),
+        server.endpoint_entry("s-1", "Ready"),
         common::SETTINGS
     ));
     let mut child = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
@@ -69,7 +69,7 @@
         .spawn()
         .unwrap();
     let mut watch = discovery.accept();
-    watch.watch();
+    watch.accept_watch();
 
     // The record server answers at once, on as many connections as come.
     thread::spawn(move || loop {
@@ -90,10 +90,10 @@
     });
 
     // CPU a check, each on a connection of its own, and on a connection that is kept.
-    let before = cpu(&child);
-    (0..CHECKS).for_each(|_| agent(agent_at));
-    let agents = cpu(&child) - before;
-    let before = cpu(&child);
+    let before = cpu_time(&child);
+    (0..CHECKS).for_each(|_| agent_check(agent_at));
+    let agents = cpu_time(&child) - before;
+    let before = cpu_time(&child);
     let mut kept = TcpStream::connect(web_at).unwrap();
     let mut answer = [0; 1_024];
     for _ in 0..CHECKS {
@@ -101,7 +101,7 @@
             .unwrap();
         assert!(kept.read(&mut answer).unwrap() > 0);
     }
-    let web = cpu(&child) - before;
+    let web = cpu_time(&child) - before;
     let each = |span: Duration| span.as_micros() as f64 / f64::from(CHECKS);
     println!(
         "CPU a check: agent, a connection each, {:.1} us; HTTP on a kept connection {:.1} us",
@@ -122,19 +122,19 @@
                     if !checked {
                         return 0;
                     }
-                    agent(agent_at);
+                    agent_check(agent_at);
                     number += 1;
-                    let due = start + Duration::from_micros(number * 1_000_000 / RATE);
+                    let due = start + Duration::from_micros(number * 1_000_000 / CHECKS_PER_SECOND);
                     thread::sleep(due.saturating_duration_since(Instant::now()));
                 }
                 number
             });
             let mut times = Histogram::<u64>::new(3).unwrap();
             let start = Instant::now();
-            while start.elapsed() < ROUND {
+            while start.elapsed() < ROUND_DURATION {
                 id += 1;
                 let asked = Instant::now();
-                client.ask(&common::read(id, "any", 19_000));
+                client.ask(&common::read_statement(id, "any", 19_000));
                 let reply = client.reply();
                 assert_eq!(reply.value.as_deref(), Some("x"));
                 times.record(asked.elapsed().as_micros() as u64).unwrap();
@@ -144,7 +144,7 @@
             let at = |q| times.value_at_quantile(q);
             println!(
                 "round {round}, {} checks a second: {} requests, p50 {} us, p99 {} us, p99.9 {} us",
-                checks / ROUND.as_secs(),
+                checks / ROUND_DURATION.as_secs(),
                 times.len(),
                 at(0.5),
                 at(0.99),
--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -1,20 +1,20 @@
 //! Calls on the admin API of a real proxy, between scripted clients and record servers.
 
 mod common;
-use common::{call, get, post, read, served, Listener, Peer, Stage};
+use common::{call, get, post, read_statement, serve_request, Listener, Peer, TestProxy};
 use leverproxy::control::admin::MAX_CONNECTIONS;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-fn stage(servers: &[(&str, &Listener)]) -> (Stage, SocketAddr) {
-    let stage = Stage::with(servers, |config| {
+fn test_proxy(servers: &[(&str, &Listener)]) -> (TestProxy, SocketAddr) {
+    let test_proxy = TestProxy::with_config(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
         // A server that is included again takes its full load at once: no random number decides what these tests see.
         config.platform.settings.initial_capacity_fraction = 1.0;
     });
-    let admin = stage.admin.unwrap();
-    (stage, admin)
+    let admin = test_proxy.admin.unwrap();
+    (test_proxy, admin)
 }
 
 fn metrics(admin: SocketAddr) -> BTreeMap<String, u64> {
@@ -31,10 +31,10 @@
 #[test]
 fn metrics_are_what_the_peers_saw() {
     let server = Listener::new();
-    let (stage, admin) = stage(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let (test_proxy, admin) = test_proxy(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     let under_way = metrics(admin);
     assert_eq!(
@@ -44,15 +44,15 @@
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     // A write that may have run, and a request of an unknown class.
-    client.ask(&read(2, "book", 19000));
+    client.ask(&read_statement(2, "book", 19000));
     upstream.report_primary();
     upstream.query();
     drop(upstream);
     assert!(client.reply().code.is_some());
-    client.ask(&read(3, "unheard-of", 19000));
+    client.ask(&read_statement(3, "unheard-of", 19000));
     assert!(client.reply().code.is_some());
     // A known class, but the id of the request before.
-    client.ask(&read(2, "any", 19000));
+    client.ask(&read_statement(2, "any", 19000));
     assert!(client.reply().code.is_some());
     let counted = metrics(admin);
     for (name, value) in [
@@ -76,18 +76,20 @@
 #[test]
 fn an_excluded_server_gets_no_requests_until_it_is_included() {
     let (first, second) = (Listener::new(), Listener::new());
-    let (mut stage, admin) = stage(&[("s-1", &first), ("s-2", &second)]);
+    let (mut test_proxy, admin) = test_proxy(&[("s-1", &first), ("s-2", &second)]);
     assert_eq!(post(admin, "exclude", "s-9"), 404);
     assert_eq!(post(admin, "exclude", "s-1"), 200);
     assert_eq!(post(admin, "exclude", "s-1"), 200);
     assert_eq!(metrics(admin)["lb_record_servers_excluded"], 1);
-    stage.watch.tell(42, &[first.listed("s-1", "Ready")]);
-    let mut client = Peer::client(stage.address);
-    drop(served(&mut client, &second, 1, "one"));
+    test_proxy
+        .watch
+        .send_list(42, &[first.endpoint_entry("s-1", "Ready")]);
+    let mut client = Peer::client(test_proxy.address);
+    drop(serve_request(&mut client, &second, 1, "one"));
     assert!(first.try_accept().is_none());
     assert_eq!(post(admin, "include", "s-1"), 200);
     assert_eq!(post(admin, "exclude", "s-2"), 200);
-    drop(served(&mut client, &first, 2, "back"));
+    drop(serve_request(&mut client, &first, 2, "back"));
     assert!(second.try_accept().is_none());
 }
 
@@ -95,7 +97,7 @@
 /// oldest connections give way.
 #[test]
 fn slow_callers_do_not_block_others() {
-    let (_stage, admin) = stage(&[]);
+    let (_test_proxy, admin) = test_proxy(&[]);
     let slow_callers: Vec<TcpStream> = (0..2 * MAX_CONNECTIONS)
         .map(|_| {
             let mut stream = TcpStream::connect(admin).unwrap();
@@ -122,7 +124,7 @@
 #[test]
 fn an_incomplete_call_changes_nothing() {
     let server = Listener::new();
-    let (_stage, admin) = stage(&[("s-1", &server)]);
+    let (_test_proxy, admin) = test_proxy(&[("s-1", &server)]);
     let body = r#"{"target":"s-1"}"#;
     let text = format!(
         "POST /api/exclude HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
@@ -151,14 +153,14 @@
 #[test]
 fn metrics_over_a_run_equal_what_the_peers_counted() {
     let server = Listener::new();
-    let (stage, admin) = stage(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
+    let (test_proxy, admin) = test_proxy(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
     // Warms up: the first of a class may be preceded by a probe, which is no attempt.
     let (mut served, mut failed, mut attempts) = (0, 0, 0);
     let mut upstream = None;
     for id in 0..60 {
-        client.ask(&read(id, "book", 19000));
-        let peer = upstream.get_or_insert_with(|| server.welcome());
+        client.ask(&read_statement(id, "book", 19000));
+        let peer = upstream.get_or_insert_with(|| server.accept_session());
         let mut asked = peer.query();
         if asked == "SHOW load" {
             peer.answer("x0=1.0,x1=1,backlog=0", &[]);
@@ -182,13 +184,13 @@
         }
     }
     // A client leaves while its request is in flight.
-    client.ask(&read(100, "any", 19000));
-    let peer = upstream.get_or_insert_with(|| server.welcome());
+    client.ask(&read_statement(100, "any", 19000));
+    let peer = upstream.get_or_insert_with(|| server.accept_session());
     while peer.query() == "SHOW load" {
         peer.answer("x0=1.0,x1=1,backlog=0", &[]);
     }
     drop(client);
-    common::until(admin, "lb_in_flight 0");
+    common::wait_for_metric(admin, "lb_in_flight 0");
     let counted = metrics(admin);
     assert_eq!((served, failed), (20, 40));
     assert_eq!(
--- a/crates/leverproxy/tests/answers.rs
+++ b/crates/leverproxy/tests/answers.rs
@@ -2,7 +2,7 @@
 //! the program, so that one batch of events holds both.
 
 mod common;
-use common::{answer, read, served, Listener, Peer, Program, Reply, Stage};
+use common::{answer, read_statement, serve_request, Listener, Peer, Program, Reply, TestProxy};
 use leverproxy::protocol::postgres;
 use rustix::net::sockopt;
 use rustix::process::Signal;
@@ -17,13 +17,13 @@
 }
 
 /// A program that knows these servers, and a client of it.
-fn started(servers: &[(&str, &Listener)]) -> (Program, Peer) {
+fn start_with_client(servers: &[(&str, &Listener)]) -> (Program, Peer) {
     let mut program = Program::start("");
     let entries: Vec<String> = servers
         .iter()
-        .map(|(name, server)| server.listed(name, "Ready"))
+        .map(|(name, server)| server.endpoint_entry(name, "Ready"))
         .collect();
-    program.watch.tell(57, &entries);
+    program.watch.send_list(57, &entries);
     let client = Peer::client(program.address);
     (program, client)
 }
@@ -34,9 +34,9 @@
 }
 
 /// Sends a request of this class. Returns the server's connection, with the request read.
-fn asked(client: &mut Peer, server: &Listener, class: &str) -> Peer {
-    client.ask(&read(1, class, 19000));
-    let mut upstream = server.welcome();
+fn request_in_flight(client: &mut Peer, server: &Listener, class: &str) -> Peer {
+    client.ask(&read_statement(1, class, 19000));
+    let mut upstream = server.accept_session();
     if class == "book" {
         upstream.report_primary();
     }
@@ -45,13 +45,13 @@
 }
 
 /// Sends half of an answer and a reset, in one batch of events.
-fn break_off(program: &Program, mut upstream: Peer) {
+fn reset_mid_response(program: &Program, mut upstream: Peer) {
     // A client that is greeted now comes after all earlier events.
     Peer::client(program.address);
     program.pause();
     let whole = answer("whole", &[]);
     upstream.write(&whole[..whole.len() / 2]);
-    upstream.delivered();
+    upstream.wait_until_acknowledged();
     reset(upstream);
     program.signal(Signal::CONT);
 }
@@ -61,27 +61,27 @@
 #[test]
 fn an_answer_with_a_reset_right_behind_it_is_served() {
     let server = Listener::new();
-    let (program, mut client) = started(&[("s-1", &server)]);
-    let mut upstream = asked(&mut client, &server, "any");
+    let (program, mut client) = start_with_client(&[("s-1", &server)]);
+    let mut upstream = request_in_flight(&mut client, &server, "any");
     Peer::client(program.address);
     program.pause();
     upstream.answer("whole", &[]);
-    upstream.delivered();
+    upstream.wait_until_acknowledged();
     reset(upstream);
     program.signal(Signal::CONT);
     assert_eq!(client.reply().value.as_deref(), Some("whole"));
     // The connection is not used again.
-    served(&mut client, &server, 2, "next");
+    serve_request(&mut client, &server, 2, "next");
 }
 
 /// A server resets its connection in the middle of the answer to a read. A read may run twice, so it is retried.
 #[test]
 fn a_read_whose_answer_breaks_off_is_served_by_another_attempt() {
     let server = Listener::new();
-    let (program, mut client) = started(&[("s-1", &server)]);
-    let upstream = asked(&mut client, &server, "any");
-    break_off(&program, upstream);
-    let mut second = server.welcome();
+    let (program, mut client) = start_with_client(&[("s-1", &server)]);
+    let upstream = request_in_flight(&mut client, &server, "any");
+    reset_mid_response(&program, upstream);
+    let mut second = server.accept_session();
     second.query();
     second.answer("again", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("again"));
@@ -92,9 +92,9 @@
 #[test]
 fn a_write_whose_answer_breaks_off_fails() {
     let server = Listener::new();
-    let (program, mut client) = started(&[("s-1", &server)]);
-    let upstream = asked(&mut client, &server, "book");
-    break_off(&program, upstream);
+    let (program, mut client) = start_with_client(&[("s-1", &server)]);
+    let upstream = request_in_flight(&mut client, &server, "book");
+    reset_mid_response(&program, upstream);
     assert_eq!(client.reply(), unknown_outcome());
     assert!(server.try_accept().is_none());
 }
@@ -105,16 +105,16 @@
 fn a_request_that_crosses_the_end_of_an_idle_connection_is_retried_if_idempotent() {
     for (class, repeated) in [("any", true), ("book", false)] {
         let server = Listener::new();
-        let (_program, mut client) = started(&[("s-1", &server)]);
-        let mut upstream = asked(&mut client, &server, class);
+        let (_program, mut client) = start_with_client(&[("s-1", &server)]);
+        let mut upstream = request_in_flight(&mut client, &server, class);
         upstream.answer("one", &[("role", "primary")]);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
-        client.ask(&read(2, class, 19000));
+        client.ask(&read_statement(2, class, 19000));
         // It is there, and is never read.
         assert!(upstream.stream.peek(&mut [0]).unwrap() > 0);
         drop(upstream);
         if repeated {
-            let mut second = server.welcome();
+            let mut second = server.accept_session();
             second.query();
             second.answer("two", &[]);
             assert_eq!(client.reply().value.as_deref(), Some("two"));
@@ -130,18 +130,18 @@
 #[test]
 fn a_write_in_one_batch_with_the_end_of_its_connection_goes_out_on_another() {
     let server = Listener::new();
-    let (program, mut client) = started(&[("s-1", &server)]);
-    let mut upstream = asked(&mut client, &server, "book");
+    let (program, mut client) = start_with_client(&[("s-1", &server)]);
+    let mut upstream = request_in_flight(&mut client, &server, "book");
     upstream.answer("one", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     Peer::client(program.address);
     program.pause();
-    client.ask(&read(2, "book", 19000));
-    client.delivered();
+    client.ask(&read_statement(2, "book", 19000));
+    client.wait_until_acknowledged();
     upstream.stream.shutdown(Shutdown::Write).unwrap();
-    upstream.delivered();
+    upstream.wait_until_acknowledged();
     program.signal(Signal::CONT);
-    let mut second = server.welcome();
+    let mut second = server.accept_session();
     second.query();
     second.answer("two", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("two"));
@@ -153,28 +153,28 @@
 fn an_answer_and_a_drain_in_one_batch_both_count() {
     for answer_first in [true, false] {
         let (leaving, staying) = (Listener::new(), Listener::new());
-        let (mut program, mut client) = started(&[("s-1", &leaving)]);
-        let mut upstream = asked(&mut client, &leaving, "any");
+        let (mut program, mut client) = start_with_client(&[("s-1", &leaving)]);
+        let mut upstream = request_in_flight(&mut client, &leaving, "any");
         Peer::client(program.address);
         program.pause();
         let drain = [
-            leaving.listed("s-1", "Terminating"),
-            staying.listed("s-2", "Ready"),
+            leaving.endpoint_entry("s-1", "Terminating"),
+            staying.endpoint_entry("s-2", "Ready"),
         ];
         if answer_first {
             upstream.answer("one", &[]);
-            upstream.delivered();
+            upstream.wait_until_acknowledged();
         }
-        program.watch.tell(58, &drain);
-        program.watch.delivered();
+        program.watch.send_list(58, &drain);
+        program.watch.wait_until_acknowledged();
         if !answer_first {
             upstream.answer("one", &[]);
-            upstream.delivered();
+            upstream.wait_until_acknowledged();
         }
         program.signal(Signal::CONT);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
         assert!(upstream.ended());
-        served(&mut client, &staying, 2, "two");
+        serve_request(&mut client, &staying, 2, "two");
     }
 }
 
@@ -183,9 +183,9 @@
 #[test]
 fn an_endless_answer_ends_at_the_deadline() {
     let server = Listener::new();
-    let (program, mut client) = started(&[("s-1", &server)]);
-    client.ask(&read(1, "any", 300));
-    let mut upstream = server.welcome();
+    let (program, mut client) = start_with_client(&[("s-1", &server)]);
+    client.ask(&read_statement(1, "any", 300));
+    let mut upstream = server.accept_session();
     upstream.query();
     let mut notice = Vec::new();
     postgres::put(&mut notice, b'S', |body| {
@@ -206,13 +206,13 @@
 #[test]
 fn a_request_behind_one_with_more_time_is_answered_in_time() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut hanging = server.welcome();
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut hanging = server.accept_session();
     hanging.query();
     // The server is at its limit: this one waits for it, and is answered at the end of its own time.
-    client.ask(&read(2, "any", 600));
+    client.ask(&read_statement(2, "any", 600));
     // The client reads for less long than the first request has.
     assert_eq!(client.reply(), unknown_outcome());
     assert!(client.reply().code.is_some());
@@ -224,12 +224,13 @@
     let server = Listener::new();
     let mut program = Program::start("");
     let unreadable = r#"{"name":"s-2","address":"nowhere","group":3,"status":"Ready"}"#;
-    program
-        .watch
-        .tell(57, &[unreadable.to_owned(), server.listed("s-1", "Ready")]);
+    program.watch.send_list(
+        57,
+        &[unreadable.to_owned(), server.endpoint_entry("s-1", "Ready")],
+    );
     let mut client = Peer::client(program.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("value", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("value"));
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -2,7 +2,7 @@
 //! the test chooses.
 
 mod common;
-use common::{Listener, Peer, PATIENCE};
+use common::{Listener, Peer, TEST_TIMEOUT};
 use leverproxy::event_loop::reactor::Reactor;
 use leverproxy::event_loop::token::Token;
 use leverproxy::request::{Command, CompletedExchange, ExchangeOutcome, Purpose, UpstreamQuery};
@@ -15,34 +15,34 @@
 const SERVER: ServerId = ServerId(1);
 const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
 /// More than a loopback connection takes in while its other end reads nothing.
-const LONGER_THAN_A_SOCKET: usize = 32 << 20;
+const LARGER_THAN_SOCKET_BUFFERS: usize = 32 << 20;
 
 struct Upstreams {
     reactor: Reactor,
     upstream: Upstream,
     server: Listener,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl Upstreams {
     fn new() -> Upstreams {
         let server = Listener::new();
-        let mut upstream = Upstream::new(10, DIAL_TIMEOUT, PATIENCE);
+        let mut upstream = Upstream::new(10, DIAL_TIMEOUT, TEST_TIMEOUT);
         upstream.add_server(SERVER, server.address);
         Upstreams {
             reactor: Reactor::new().unwrap(),
             upstream,
             server,
-            begun: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     fn at(&self, since: Duration) -> Instant {
-        self.begun + since
+        self.started_at + since
     }
 
     /// Starts an attempt at the beginning that is waited for and may begin for so long.
-    fn start(&mut self, id: u64, waits: Duration, begins: Duration, padding: usize) {
+    fn start(&mut self, id: u64, deadline: Duration, write_deadline: Duration, padding: usize) {
         let command = Command {
             before_time_left: format!("SELECT '{}' /* d=", "x".repeat(padding)).into_bytes(),
             after_time_left: b" */".to_vec(),
@@ -52,20 +52,20 @@
             class: None,
             group: None,
             query: UpstreamQuery::Command(Arc::new(command)),
-            started: self.begun,
-            deadline: self.at(waits),
-            write_deadline: self.at(begins),
+            started: self.started_at,
+            deadline: self.at(deadline),
+            write_deadline: self.at(write_deadline),
         };
         self.upstream
-            .start(SERVER, exchange, self.begun, &self.reactor);
+            .start(SERVER, exchange, self.started_at, &self.reactor);
     }
 
     /// Hands on the next batch of events as if they had come at `since`.
-    fn turn(&mut self, since: Duration) {
+    fn dispatch_events(&mut self, since: Duration) {
         let mut ready = Vec::new();
         while ready.is_empty() {
             self.reactor
-                .wait(Some(Instant::now() + PATIENCE), &mut ready)
+                .wait(Some(Instant::now() + TEST_TIMEOUT), &mut ready)
                 .unwrap();
         }
         for event in ready {
@@ -77,49 +77,50 @@
     }
 
     /// Dials come up and are welcomed at `since`; the record server's end.
-    fn welcomed(&mut self, since: Duration) -> Peer {
+    fn establish_session(&mut self, since: Duration) -> Peer {
         let mut peer = self.server.accept();
         // Up, and the startup written.
-        self.turn(since);
+        self.dispatch_events(since);
         peer.startup();
-        self.turn(since);
+        self.dispatch_events(since);
         peer
     }
 
-    fn done(&mut self) -> Option<CompletedExchange> {
+    fn pop_completed(&mut self) -> Option<CompletedExchange> {
         self.upstream.pop_completed()
     }
 }
 
-fn time_left_told(peer: &mut Peer) -> String {
+fn time_left_sent(peer: &mut Peer) -> String {
     let query = peer.query();
     query[query.find("d=").unwrap()..].to_owned()
 }
 
 #[test]
-fn the_server_is_told_the_time_left_when_the_attempt_is_written() {
+fn the_server_receives_the_time_left_when_the_attempt_is_written() {
     let mut upstreams = Upstreams::new();
     upstreams.start(1, 400 * MS, 400 * MS, 0);
-    let mut peer = upstreams.welcomed(250 * MS);
-    assert_eq!(time_left_told(&mut peer), "d=150 */");
+    let mut peer = upstreams.establish_session(250 * MS);
+    assert_eq!(time_left_sent(&mut peer), "d=150 */");
 }
 
 #[test]
 fn a_dial_that_is_established_too_late_carries_no_attempt() {
     // Of one that had less time to begin than a dial may take, the server is not to blame.
-    let (its_time, the_dial) = (ExchangeOutcome::NotSent, ExchangeOutcome::ConnectFailed);
-    for (waits, begins, verdict) in [
-        (400 * MS, 100 * MS, its_time),
-        (100 * MS, 400 * MS, the_dial),
+    let (write_deadline_passed, dial_timed_out) =
+        (ExchangeOutcome::NotSent, ExchangeOutcome::ConnectFailed);
+    for (deadline, write_deadline, outcome) in [
+        (400 * MS, 100 * MS, write_deadline_passed),
+        (100 * MS, 400 * MS, dial_timed_out),
     ] {
         let mut upstreams = Upstreams::new();
-        upstreams.start(1, waits, begins, 0);
-        let mut peer = upstreams.welcomed(100 * MS);
-        assert_eq!(upstreams.done().unwrap().outcome, verdict);
+        upstreams.start(1, deadline, write_deadline, 0);
+        let mut peer = upstreams.establish_session(100 * MS);
+        assert_eq!(upstreams.pop_completed().unwrap().outcome, outcome);
         assert_eq!(upstreams.upstream.attempts, 0);
         // The connection is there for the next.
-        upstreams.start(2, PATIENCE, PATIENCE, 0);
-        assert_eq!(time_left_told(&mut peer), "d=10000 */");
+        upstreams.start(2, TEST_TIMEOUT, TEST_TIMEOUT, 0);
+        assert_eq!(time_left_sent(&mut peer), "d=10000 */");
     }
 }
 
@@ -130,23 +131,29 @@
     upstreams
         .upstream
         .cancel_unwritten(RequestId(1), upstreams.at(10 * MS));
-    assert_eq!(upstreams.done().unwrap().outcome, ExchangeOutcome::NotSent);
-    let mut peer = upstreams.welcomed(20 * MS);
-    upstreams.start(2, PATIENCE, PATIENCE, 0);
-    assert_eq!(time_left_told(&mut peer), "d=10000 */");
+    assert_eq!(
+        upstreams.pop_completed().unwrap().outcome,
+        ExchangeOutcome::NotSent
+    );
+    let mut peer = upstreams.establish_session(20 * MS);
+    upstreams.start(2, TEST_TIMEOUT, TEST_TIMEOUT, 0);
+    assert_eq!(time_left_sent(&mut peer), "d=10000 */");
 }
 
 /// Half of a request is written when it is cancelled. The server must not get the rest, or it would run.
 #[test]
 fn an_attempt_cancelled_half_written_closes_its_connection() {
     let mut upstreams = Upstreams::new();
-    upstreams.start(1, PATIENCE, PATIENCE, LONGER_THAN_A_SOCKET);
-    let mut peer = upstreams.welcomed(20 * MS);
-    assert!(upstreams.done().is_none());
+    upstreams.start(1, TEST_TIMEOUT, TEST_TIMEOUT, LARGER_THAN_SOCKET_BUFFERS);
+    let mut peer = upstreams.establish_session(20 * MS);
+    assert!(upstreams.pop_completed().is_none());
     upstreams
         .upstream
         .cancel_unwritten(RequestId(1), upstreams.at(30 * MS));
-    assert_eq!(upstreams.done().unwrap().outcome, ExchangeOutcome::NotSent);
+    assert_eq!(
+        upstreams.pop_completed().unwrap().outcome,
+        ExchangeOutcome::NotSent
+    );
     assert_eq!(upstreams.upstream.connection_count(), 0);
     assert!(peer.ended());
 }
@@ -155,8 +162,8 @@
 #[test]
 fn an_attempt_that_is_not_written_in_time_is_dropped() {
     let mut upstreams = Upstreams::new();
-    upstreams.start(1, PATIENCE, PATIENCE, LONGER_THAN_A_SOCKET);
-    let mut peer = upstreams.welcomed(20 * MS);
+    upstreams.start(1, TEST_TIMEOUT, TEST_TIMEOUT, LARGER_THAN_SOCKET_BUFFERS);
+    let mut peer = upstreams.establish_session(20 * MS);
     let (at, due) = upstreams
         .upstream
         .take_timers()
@@ -166,7 +173,7 @@
     assert_eq!(at, upstreams.at(120 * MS));
     upstreams.upstream.handle_timer(due, at, &upstreams.reactor);
     assert_eq!(
-        upstreams.done().unwrap().outcome,
+        upstreams.pop_completed().unwrap().outcome,
         ExchangeOutcome::ConnectFailed
     );
     assert!(peer.ended());
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -1,7 +1,7 @@
 //! Balancers in front of the proxy: health checks of every protocol, drains, and PROXY protocol headers.
 
 mod common;
-use common::{read, Listener, Peer, Program, Stage, PATIENCE};
+use common::{read_statement, Listener, Peer, Program, TestProxy, TEST_TIMEOUT};
 use leverproxy::protocol::postgres::server;
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -15,19 +15,19 @@
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
 /// Everything that comes until the end of the connection.
-fn rest(mut stream: TcpStream) -> String {
+fn read_to_end(mut stream: TcpStream) -> String {
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
 }
 
 fn agent_check(address: SocketAddr) -> String {
-    rest(connect(address))
+    read_to_end(connect(address))
 }
 
 fn get(address: SocketAddr, path: &str) -> String {
@@ -35,7 +35,7 @@
     stream
         .write_all(format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n").as_bytes())
         .unwrap();
-    rest(stream)
+    read_to_end(stream)
 }
 
 fn status(address: SocketAddr, path: &str) -> u16 {
@@ -48,10 +48,10 @@
 }
 
 /// Waits until the proxy's state has changed.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "{what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::yield_now();
     }
 }
@@ -59,9 +59,9 @@
 #[test]
 fn checks_of_each_protocol_are_answered() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
-    let [agent, web] = stage.health[..] else {
-        panic!("{:?}", stage.health)
+    let test_proxy = TestProxy::with_operators_file(&[("s-1", &server)], HEALTH_LISTENERS);
+    let [agent, web] = test_proxy.health[..] else {
+        panic!("{:?}", test_proxy.health)
     };
     assert_eq!(agent_check(agent), "ready up 100%\n");
     for (path, code) in [
@@ -79,36 +79,36 @@
         .write_all(b"HEAD /readyz HTTP/1.1\r\n\r\nGET /livez HTTP/1.1\r\nConnection: cl")
         .unwrap();
     stream.write_all(b"ose\r\n\r\n").unwrap();
-    let text = rest(stream);
+    let text = read_to_end(stream);
     assert_eq!(text.matches("HTTP/1.1 200 OK").count(), 2, "{text}");
     assert!(text.ends_with("alive\n"));
     assert!(get(web, "/readyz?format=json").contains(r#""state":"ready""#));
     let mut stream = connect(web);
     stream.write_all(b"no http at all\r\n\r\n").unwrap();
-    assert!(rest(stream).starts_with("HTTP/1.1 400"));
+    assert!(read_to_end(stream).starts_with("HTTP/1.1 400"));
 }
 
 #[test]
 fn an_agent_check_reads_a_text_where_configured() {
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[],
         "health a {\n protocol agent\n address 127.0.0.1:0\n expects-text yes\n}\n",
     );
-    let mut stream = connect(stage.health[0]);
+    let mut stream = connect(test_proxy.health[0]);
     stream.write_all(b"group").unwrap();
     stream.write_all(b" 3\n").unwrap();
-    assert_eq!(rest(stream), "ready up 100%\n");
+    assert_eq!(read_to_end(stream), "ready up 100%\n");
 }
 
 #[test]
 fn an_agent_check_reports_the_client_limit_where_configured() {
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[],
         "health a {\n protocol agent\n address 127.0.0.1:0\n maxconn yes\n}\nlimits {\n sockets 141\n}\n",
     );
     // 141 less 32, nine for this listener and ten for the reserve leave 90, of which clients get 60%.
-    until("the limit is known", || {
-        agent_check(stage.health[0]) == "ready up 100% maxconn:54\n"
+    wait_until("the limit is known", || {
+        agent_check(test_proxy.health[0]) == "ready up 100% maxconn:54\n"
     });
 }
 
@@ -117,18 +117,18 @@
 #[test]
 fn a_hung_group_is_reported_and_others_stay_ready() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
-    let [agent, web] = stage.health[..] else {
+    let test_proxy = TestProxy::with_operators_file(&[("s-1", &server)], HEALTH_LISTENERS);
+    let [agent, web] = test_proxy.health[..] else {
         panic!()
     };
     // Twenty requests that are not answered.
-    let mut clients: Vec<Peer> = (0..20).map(|_| Peer::client(stage.address)).collect();
+    let mut clients: Vec<Peer> = (0..20).map(|_| Peer::client(test_proxy.address)).collect();
     for (id, client) in (1..).zip(&mut clients) {
-        client.ask(&read(id, "any", 19_000));
+        client.ask(&read_statement(id, "any", 19_000));
     }
     // The servers greet connections, and are silent from then on.
     let mut peers = Vec::new();
-    until("the group is hung", || {
+    wait_until("the group is hung", || {
         while let Some(mut peer) = server.try_accept() {
             peer.startup();
             peers.push(peer);
@@ -136,24 +136,24 @@
         status(web, "/readyz/group/3") == 503
     });
     assert_eq!(status(web, "/readyz"), 200, "others are not drained for it");
-    let words = agent::read(&agent_check(agent));
+    let reply = agent::read(&agent_check(agent));
     assert_eq!(
-        (words.administrative, words.operational),
+        (reply.administrative, reply.operational),
         (Some(Administrative::Ready), Some(Operational::Up))
     );
-    assert!(words.weight >= Some(50), "{words:?}");
+    assert!(reply.weight >= Some(50), "{reply:?}");
 }
 
 #[test]
 fn a_proxy_without_discovery_stays_ready() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
-    let Stage {
+    let test_proxy = TestProxy::with_operators_file(&[("s-1", &server)], HEALTH_LISTENERS);
+    let TestProxy {
         watch,
         discovery,
         health,
         ..
-    } = &stage;
+    } = &test_proxy;
     watch.stream.shutdown(std::net::Shutdown::Both).unwrap();
     let again = discovery.accept();
     drop(again);
@@ -165,51 +165,51 @@
 /// their time, and other checks and clients are served meanwhile.
 #[test]
 fn slow_checks_are_disconnected_and_block_nobody() {
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[],
         "health web {\n address 127.0.0.1:0\n connections 4\n patience 300ms\n}\nhealth agent {\n protocol agent\n address 127.0.0.1:0\n}\n",
     );
-    let mut slow: Vec<TcpStream> = (0..12).map(|_| connect(stage.health[0])).collect();
+    let mut slow: Vec<TcpStream> = (0..12).map(|_| connect(test_proxy.health[0])).collect();
     for stream in &mut slow {
         _ = stream.write_all(b"GET /rea");
     }
-    assert_eq!(agent_check(stage.health[1]), "ready up 100%\n");
-    Peer::client(stage.address);
+    assert_eq!(agent_check(test_proxy.health[1]), "ready up 100%\n");
+    Peer::client(test_proxy.address);
     // The slow ones are disconnected without an answer, and a check that had to wait is answered.
-    assert_eq!(status(stage.health[0], "/livez"), 200);
+    assert_eq!(status(test_proxy.health[0], "/livez"), 200);
     assert!(slow
         .into_iter()
         .all(|mut s| s.read(&mut [0; 16]).map_or(true, |n| n == 0)));
     // Idle connections between checks give way to new ones.
     let kept: Vec<TcpStream> = (0..4)
         .map(|_| {
-            let mut stream = connect(stage.health[0]);
+            let mut stream = connect(test_proxy.health[0]);
             stream.write_all(b"GET /livez HTTP/1.1\r\n\r\n").unwrap();
             assert!(stream.read(&mut [0; 512]).unwrap() > 0);
             stream
         })
         .collect();
-    assert_eq!(status(stage.health[0], "/livez"), 200);
+    assert_eq!(status(test_proxy.health[0], "/livez"), 200);
     drop(kept);
 }
 
 #[test]
 fn five_hundred_checks_are_answered_while_a_client_is_served() {
     let server = Listener::new();
-    let stage = Stage::under(&[("s-1", &server)], HEALTH_LISTENERS);
-    let (agent, web) = (stage.health[0], stage.health[1]);
+    let test_proxy = TestProxy::with_operators_file(&[("s-1", &server)], HEALTH_LISTENERS);
+    let (agent, web) = (test_proxy.health[0], test_proxy.health[1]);
     let checks = std::thread::spawn(move || {
         (0..250)
             .all(|_| agent_check(agent).starts_with("ready up") && status(web, "/readyz") == 200)
     });
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19_000));
-    let mut upstream = server.welcome();
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19_000));
+    let mut upstream = server.accept_session();
     for id in 2..100 {
         upstream.query();
         upstream.answer("x", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("x"));
-        client.ask(&read(id, "any", 19_000));
+        client.ask(&read_statement(id, "any", 19_000));
     }
     assert!(checks.join().unwrap());
 }
@@ -223,9 +223,9 @@
         free.local_addr().unwrap()
     };
     let operators = format!("health a {{\n protocol agent\n address {port}\n connections 2\n}}\n");
-    let mut program = Program::under("ulimit -n 32;", &operators);
+    let mut program = Program::with_operators_file("ulimit -n 32;", &operators);
     let crowd: Vec<Peer> = (0..60).map(|_| Peer::connect(program.address)).collect();
-    program.line("no descriptor left");
+    program.wait_for_log_line("no descriptor left");
     for _ in 0..10 {
         let line = agent_check(port);
         assert!(line.starts_with("ready up"), "{line}");
@@ -235,9 +235,9 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-fn say(socket: &str, word: &str) -> (bool, String) {
+fn run_command(socket: &str, command: &str) -> (bool, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
-        .args([word, "--socket", socket])
+        .args([command, "--socket", socket])
         .env_remove("RUST_LOG")
         .output()
         .unwrap();
@@ -253,7 +253,7 @@
 fn an_operator_drains_and_undrains() {
     let socket = std::env::temp_dir().join(format!("leverproxy-{}-control", std::process::id()));
     let socket = socket.to_str().unwrap();
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[],
         &format!("{HEALTH_LISTENERS}balancer b {{\n interval 100ms\n fall 2\n timeout 50ms\n}}\ncontrol {{\n socket {socket}\n}}\n"),
     );
@@ -262,35 +262,37 @@
         std::fs::metadata(socket).unwrap().permissions().mode() & 0o777,
         0o600
     );
-    let (done, text) = say(socket, "status");
+    let (done, text) = run_command(socket, "status");
     assert!(
         done && text.starts_with("phase serving\nstate ready\nweight 100\n"),
         "{text}"
     );
-    let mut client = Peer::client(stage.address);
-    let (done, text) = say(socket, "drain");
+    let mut client = Peer::client(test_proxy.address);
+    let (done, text) = run_command(socket, "drain");
     assert!(
         done && text.contains("state draining\nweight 0\n"),
         "{text}"
     );
-    assert!(agent_check(stage.health[0]).starts_with("drain"));
-    assert_eq!(status(stage.health[1], "/readyz"), 404);
-    assert_eq!(status(stage.health[1], "/livez"), 200);
-    until("the listener closes", || {
-        TcpStream::connect(stage.address).is_err()
+    assert!(agent_check(test_proxy.health[0]).starts_with("drain"));
+    assert_eq!(status(test_proxy.health[1], "/readyz"), 404);
+    assert_eq!(status(test_proxy.health[1], "/livez"), 200);
+    wait_until("the listener closes", || {
+        TcpStream::connect(test_proxy.address).is_err()
     });
-    assert!(say(socket, "status").1.starts_with("phase drained\n"));
+    assert!(run_command(socket, "status")
+        .1
+        .starts_with("phase drained\n"));
     // A client that is owed nothing is closed.
     assert!(client.ended());
-    let (done, text) = say(socket, "undrain");
+    let (done, text) = run_command(socket, "undrain");
     assert!(done && text.starts_with("phase serving\n"), "{text}");
     assert_eq!(
-        agent::read(&agent_check(stage.health[0])).administrative,
+        agent::read(&agent_check(test_proxy.health[0])).administrative,
         Some(Administrative::Ready)
     );
-    Peer::client(stage.address);
-    assert!(!say(socket, "drain").1.contains("phase drained"));
-    stage.control.stop();
+    Peer::client(test_proxy.address);
+    assert!(!run_command(socket, "drain").1.contains("phase drained"));
+    test_proxy.control.stop();
 }
 
 /// A second proxy is started with the control socket of a running one. It does not start. A socket that a killed process has
@@ -299,16 +301,16 @@
 fn a_control_socket_belongs_to_one_proxy() {
     let path = std::env::temp_dir().join(format!("leverproxy-{}-single", std::process::id()));
     let text = format!("control {{\n socket {}\n}}\n", path.display());
-    let mut first = Stage::under(&[], &text);
-    let taken = std::panic::catch_unwind(|| Stage::under(&[], &text));
+    let mut first = TestProxy::with_operators_file(&[], &text);
+    let taken = std::panic::catch_unwind(|| TestProxy::with_operators_file(&[], &text));
     assert!(taken.is_err());
-    assert!(say(path.to_str().unwrap(), "status").0);
+    assert!(run_command(path.to_str().unwrap(), "status").0);
     first.control.stop();
     first.end();
     // Left over from one that was killed.
     drop(std::os::unix::net::UnixListener::bind(&path).unwrap());
-    let second = Stage::under(&[], &text);
-    assert!(say(path.to_str().unwrap(), "status").0);
+    let second = TestProxy::with_operators_file(&[], &text);
+    assert!(run_command(path.to_str().unwrap(), "status").0);
     drop(second);
 }
 
@@ -316,18 +318,18 @@
 /// balancers have seen that.
 #[test]
 fn an_announced_end_serves_until_the_balancers_have_seen_it() {
-    let mut stage = Stage::under(
+    let mut test_proxy = TestProxy::with_operators_file(
         &[],
         &format!("{HEALTH_LISTENERS}balancer b {{\n interval 200ms\n fall 2\n timeout 100ms\n}}\ndrain {{\n announce-end yes\n}}\n"),
     );
-    stage.control.stop();
-    until("the agent says drain", || {
-        agent_check(stage.health[0]).starts_with("drain")
+    test_proxy.control.stop();
+    wait_until("the agent says drain", || {
+        agent_check(test_proxy.health[0]).starts_with("drain")
     });
-    let mut late = Peer::client(stage.address);
+    let mut late = Peer::client(test_proxy.address);
     late.ask(" ; ");
     late.reply();
-    stage.end();
+    test_proxy.end();
     assert!(late.ended());
 }
 
@@ -335,23 +337,23 @@
 /// do not count as clients, and are not logged as malformed.
 #[test]
 fn postgresql_checks_are_not_clients() {
-    let mut stage = Program::under("", "balancer b {\n network 127.0.0.0/8\n}\n");
-    drop(connect(stage.address));
+    let mut program = Program::with_operators_file("", "balancer b {\n network 127.0.0.0/8\n}\n");
+    drop(connect(program.address));
     let code = |number: u32| [8_u32.to_be_bytes(), number.to_be_bytes()].concat();
     // SSLRequest and GSSENCRequest are answered with a no, and the startup follows.
     for number in [80_877_103, 80_877_104] {
-        let mut stream = connect(stage.address);
+        let mut stream = connect(program.address);
         stream.write_all(&code(number)).unwrap();
-        let mut no = [0];
-        stream.read_exact(&mut no).unwrap();
-        assert_eq!(no, *b"N");
+        let mut response = [0];
+        stream.read_exact(&mut response).unwrap();
+        assert_eq!(response, *b"N");
         stream
             .write_all(&server::startup_packet("check", "check"))
             .unwrap();
         assert!(stream.read(&mut [0; 512]).unwrap() > 0);
     }
     // CancelRequest: closed without an answer.
-    let mut stream = connect(stage.address);
+    let mut stream = connect(program.address);
     stream
         .write_all(
             &[
@@ -365,8 +367,8 @@
     assert_eq!(stream.read(&mut [0; 16]).unwrap(), 0);
     drop(stream);
     // No client was rejected, and the log has no line about any of them.
-    stage.signal(Signal::TERM);
-    let log = stage.rest();
+    program.signal(Signal::TERM);
+    let log = program.remaining_log();
     assert!(
         log.iter().any(|line| line.contains("clients rejected 0;")),
         "{log:?}"
@@ -379,17 +381,17 @@
 fn a_check_is_accepted_at_the_limit_of_clients() {
     let server = Listener::new();
     // One client holds the only place, with a request out.
-    let stage = Stage::set_limits(
+    let test_proxy = TestProxy::with_client_limit(
         &[("s-1", &server)],
         "balancer b {\n network 127.0.0.0/8\n}\n",
         1,
     );
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19_000));
-    let mut upstream = server.welcome();
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19_000));
+    let mut upstream = server.accept_session();
     upstream.query();
     for _ in 0..5 {
-        let mut check = connect(stage.address);
+        let mut check = connect(test_proxy.address);
         check
             .write_all(&server::startup_packet("check", "check"))
             .unwrap();
@@ -404,32 +406,32 @@
 #[test]
 fn a_proxy_header_names_the_client() {
     let operators = "listener l {\n address 127.0.0.1:0\n proxy-from 127.0.0.0/8\n}\nroute far {\n network 192.0.2.0/24\n refuse 1234ms\n}\nroute rest {\n refuse 1678ms\n}\n";
-    let stage = Stage::under(&[], operators);
+    let test_proxy = TestProxy::with_operators_file(&[], operators);
     let named = |text: &str| -> SocketAddr { text.parse().unwrap() };
-    let told = |header: Vec<u8>| {
-        let mut peer = Peer::connect(stage.address);
+    let retry_after_behind = |header: Vec<u8>| {
+        let mut peer = Peer::connect(test_proxy.address);
         // In two pieces, the startup right behind.
         peer.write(&header[..5]);
         peer.write(&[&header[5..], &server::startup_packet("app", "shop")].concat());
         peer.reply();
-        peer.ask(&read(1, "any", 19_000));
+        peer.ask(&read_statement(1, "any", 19_000));
         peer.reply().detail
     };
     let server = named("127.0.0.1:1");
     assert_eq!(
-        told(proxy::header(named("192.0.2.7:9"), server, 1)).as_deref(),
+        retry_after_behind(proxy::header(named("192.0.2.7:9"), server, 1)).as_deref(),
         Some("1234")
     );
     assert_eq!(
-        told(b"PROXY TCP4 192.0.2.8 127.0.0.1 9 1\r\n".to_vec()).as_deref(),
+        retry_after_behind(b"PROXY TCP4 192.0.2.8 127.0.0.1 9 1\r\n".to_vec()).as_deref(),
         Some("1234")
     );
     assert_eq!(
-        told(proxy::header(named("192.0.2.7:9"), server, 0)).as_deref(),
+        retry_after_behind(proxy::header(named("192.0.2.7:9"), server, 0)).as_deref(),
         Some("1678"),
         "LOCAL"
     );
-    let mut without = Peer::connect(stage.address);
+    let mut without = Peer::connect(test_proxy.address);
     without.write(&server::startup_packet("app", "shop"));
     assert!(
         without.reply().code.is_some(),
@@ -437,7 +439,7 @@
     );
     let mut bad = proxy::header(named("192.0.2.7:9"), server, 1);
     bad[17] ^= 1;
-    let mut peer = Peer::connect(stage.address);
+    let mut peer = Peer::connect(test_proxy.address);
     peer.write(&bad);
     assert!(peer.reply().code.is_some());
 }
@@ -450,7 +452,7 @@
         .local_addr()
         .unwrap();
     let health = format!("health a {{\n protocol agent\n address {port}\n}}\n");
-    let mut program = Program::under("", &health);
+    let mut program = Program::with_operators_file("", &health);
     let mut routes = health.clone();
     for n in 0..20_000 {
         routes.push_str(&format!(
@@ -459,14 +461,14 @@
             n % 250
         ));
     }
-    program.steer(&routes);
+    program.reload_operators_file(&routes);
     for _ in 0..50 {
         assert_eq!(agent_check(port), "ready up 100%\n");
     }
-    program.line("the configuration is reread");
+    program.wait_for_log_line("the configuration is reread");
     assert_eq!(agent_check(port), "ready up 100%\n");
     program.signal(Signal::TERM);
-    until("it ends", || program.child.try_wait().unwrap().is_some());
+    wait_until("it ends", || program.child.try_wait().unwrap().is_some());
 }
 
 /// Built with the feature `grpc`, the program answers HTTP/2 on that listener. Without it, it reports that and does not
@@ -475,8 +477,8 @@
 fn grpc_checks_are_answered_by_a_program_that_is_built_for_them() {
     let operators = "health g {\n protocol grpc\n address 127.0.0.1:0\n}\n";
     if cfg!(feature = "grpc") {
-        let stage = Stage::under(&[], operators);
-        let mut stream = connect(stage.health[0]);
+        let test_proxy = TestProxy::with_operators_file(&[], operators);
+        let mut stream = connect(test_proxy.health[0]);
         stream
             .write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0")
             .unwrap();
@@ -484,6 +486,8 @@
         stream.read_exact(&mut head).unwrap();
         assert_eq!(head[3], 4, "a SETTINGS frame comes first: {head:?}");
     } else {
-        assert!(std::panic::catch_unwind(|| Stage::under(&[], operators)).is_err());
+        assert!(
+            std::panic::catch_unwind(|| TestProxy::with_operators_file(&[], operators)).is_err()
+        );
     }
 }
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -5,8 +5,8 @@
 
 mod common;
 use common::{
-    message, own_address, read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE,
-    SETTINGS,
+    message, read_statement, serve_request, unshared_loopback_address, Listener, Peer, Program,
+    Reply, TempFile, TestProxy, SETTINGS, TEST_TIMEOUT,
 };
 use leverproxy::config::Config;
 use leverproxy::protocol::postgres::server::startup_packet;
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 /// Stops the program: it sees no event from here on.
-fn freeze(program: &Program) {
+fn pause(program: &Program) {
     program.signal(Signal::STOP);
     let (_, status) = waitpid(Some(Pid::from_child(&program.child)), WaitOptions::UNTRACED)
         .unwrap()
@@ -28,25 +28,27 @@
     assert!(status.stopped(), "{status:?}");
 }
 
-fn thaw(program: &Program) {
+fn resume(program: &Program) {
     program.signal(Signal::CONT);
 }
 
 /// A program that knows one record server.
 fn program(operators: &str, server: &Listener) -> Program {
-    let mut program = Program::under("", operators);
-    program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+    let mut program = Program::with_operators_file("", operators);
+    program
+        .watch
+        .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
     program
 }
 
 /// Stops the program after it has received SIGTERM, for longer than it goes on listening.
-fn freeze_past_the_linger(program: &mut Program) {
+fn pause_after_stop_signal(program: &mut Program) {
     program.signal(Signal::TERM);
-    program.line("told to stop");
-    freeze(program);
+    program.wait_for_log_line("told to stop");
+    pause(program);
 }
 
-const LINGER: Duration = Duration::from_millis(500);
+const BEYOND_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 
 /// The proxy has been told to stop, no client is connected, and the time for new connections is over. One connection waits
 /// in the listener's queue. Closing the listener would reset it, so it is accepted and its request is served first.
@@ -54,20 +56,20 @@
 fn a_client_at_the_listener_as_it_closes_is_served() {
     let server = Listener::new();
     let mut program = program("", &server);
-    freeze_past_the_linger(&mut program);
+    pause_after_stop_signal(&mut program);
     let mut client = Peer::connect(program.address);
     client.write(&startup_packet("app", "shop"));
-    client.ask(&read(1, "any", 2000));
-    thread::sleep(LINGER);
-    thaw(&program);
+    client.ask(&read_statement(1, "any", 2000));
+    thread::sleep(BEYOND_ACCEPT_PERIOD);
+    resume(&program);
     assert_eq!(client.reply(), Reply::default(), "the greeting");
-    served_last(&mut client, &server, "late");
+    serve_next_request(&mut client, &server, "late");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
 
-fn served_last(client: &mut Peer, server: &Listener, value: &str) {
-    let mut upstream = server.welcome();
+fn serve_next_request(client: &mut Peer, server: &Listener, value: &str) {
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer(value, &[]);
     assert_eq!(client.reply().value.as_deref(), Some(value));
@@ -78,14 +80,14 @@
 fn a_client_at_the_listener_when_told_to_stop_is_served() {
     let server = Listener::new();
     let mut program = program("", &server);
-    freeze(&program);
+    pause(&program);
     let mut client = Peer::connect(program.address);
     client.write(&startup_packet("app", "shop"));
-    client.ask(&read(1, "any", 2000));
+    client.ask(&read_statement(1, "any", 2000));
     program.signal(Signal::TERM);
-    thaw(&program);
+    resume(&program);
     assert_eq!(client.reply(), Reply::default(), "the greeting");
-    served_last(&mut client, &server, "early");
+    serve_next_request(&mut client, &server, "early");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
@@ -96,14 +98,14 @@
 fn a_client_greeted_as_the_listener_closes_may_still_send_its_request() {
     let server = Listener::new();
     let mut program = program("", &server);
-    freeze_past_the_linger(&mut program);
+    pause_after_stop_signal(&mut program);
     let mut client = Peer::connect(program.address);
     client.write(&startup_packet("app", "shop"));
-    thread::sleep(LINGER);
-    thaw(&program);
+    thread::sleep(BEYOND_ACCEPT_PERIOD);
+    resume(&program);
     assert_eq!(client.reply(), Reply::default(), "the greeting");
-    client.ask(&read(1, "any", 2000));
-    served_last(&mut client, &server, "first");
+    client.ask(&read_statement(1, "any", 2000));
+    serve_next_request(&mut client, &server, "first");
     assert!(client.ended());
     assert!(program.child.wait().unwrap().success());
 }
@@ -112,14 +114,14 @@
 /// error, and the proxy ends.
 #[test]
 fn a_client_that_sends_no_request_does_not_delay_the_end() {
-    let mut stage = Stage::with(&[], |config| {
-        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 9 * PATIENCE)
+    let mut test_proxy = TestProxy::with_config(&[], |config| {
+        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 9 * TEST_TIMEOUT)
     });
-    let mut client = Peer::client(stage.address);
-    stage.control.stop();
+    let mut client = Peer::client(test_proxy.address);
+    test_proxy.control.stop();
     assert!(client.message().is_err(), "the end, and nothing before it");
     drop(client);
-    stage.end();
+    test_proxy.end();
 }
 
 /// The proxy is at its limit of clients, and connections wait in the listener's queue as it stops. Closed with the listener,
@@ -127,19 +129,19 @@
 #[test]
 fn a_client_over_the_limit_as_the_listener_closes_gets_an_error() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[("s-1", &server)], |config| {
-        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * PATIENCE);
+    let mut test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
+        (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * TEST_TIMEOUT);
         config.limits.clients = 1;
     });
-    let mut busy = Peer::client(stage.address);
-    busy.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let mut busy = Peer::client(test_proxy.address);
+    busy.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    let mut waiting: Vec<Peer> = (0..3).map(|_| Peer::connect(stage.address)).collect();
+    let mut waiting: Vec<Peer> = (0..3).map(|_| Peer::connect(test_proxy.address)).collect();
     for client in &mut waiting {
         client.write(&startup_packet("app", "shop"));
     }
-    stage.control.stop();
+    test_proxy.control.stop();
     for mut client in waiting {
         assert_eq!(client.reply().code.as_deref(), Some("53300"));
         assert!(client.ended());
@@ -148,17 +150,17 @@
     assert_eq!(busy.reply().value.as_deref(), Some("one"));
     assert!(busy.ended());
     drop(busy);
-    stage.end();
+    test_proxy.end();
 }
 
 /// Binds an address whose listener has been closed. A child process that another test of this program starts holds a copy
 /// of that listener from its fork to its exec, and the system calls the address in use until then.
 fn bind_released(address: SocketAddr) -> TcpListener {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
         match TcpListener::bind(address) {
             Ok(listener) => return listener,
-            Err(error) => assert!(begun.elapsed() < PATIENCE, "{address}: {error}"),
+            Err(error) => assert!(started_at.elapsed() < TEST_TIMEOUT, "{address}: {error}"),
         }
         thread::yield_now();
     }
@@ -167,29 +169,29 @@
 /// A drain is cancelled while another process has taken the proxy's address. The proxy retries until it can listen.
 #[test]
 fn listening_again_is_retried_until_the_address_is_free() {
-    let place = Scratch::new("");
-    std::fs::remove_file(&place.0).unwrap();
-    let stage = Stage::with(&[], |config| {
-        config.control_socket = Some(place.0.clone());
-        config.listen = own_address();
+    let socket_file = TempFile::new("");
+    std::fs::remove_file(&socket_file.0).unwrap();
+    let test_proxy = TestProxy::with_config(&[], |config| {
+        config.control_socket = Some(socket_file.0.clone());
+        config.listen = unshared_loopback_address();
     });
-    let say = |word: &str| {
-        let mut socket = UnixStream::connect(&place.0).unwrap();
-        socket.write_all(format!("{word}\n").as_bytes()).unwrap();
-        let mut told = String::new();
-        socket.read_to_string(&mut told).unwrap();
-        told
+    let send_command = |command: &str| {
+        let mut socket = UnixStream::connect(&socket_file.0).unwrap();
+        socket.write_all(format!("{command}\n").as_bytes()).unwrap();
+        let mut response = String::new();
+        socket.read_to_string(&mut response).unwrap();
+        response
     };
-    assert!(say("drain").starts_with("phase drained"));
-    let other = bind_released(stage.address);
-    assert!(say("undrain").starts_with("phase serving"));
+    assert!(send_command("drain").starts_with("phase drained"));
+    let other = bind_released(test_proxy.address);
+    assert!(send_command("undrain").starts_with("phase serving"));
     drop(other);
-    let begun = Instant::now();
-    while TcpStream::connect(stage.address).is_err() {
-        assert!(begun.elapsed() < PATIENCE, "nobody listens");
+    let started_at = Instant::now();
+    while TcpStream::connect(test_proxy.address).is_err() {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "nobody listens");
         thread::yield_now();
     }
-    Peer::client(stage.address);
+    Peer::client(test_proxy.address);
 }
 
 /// A client's connection pool looks at a connection only when it uses it next, so an idle client may never read that the
@@ -198,14 +200,14 @@
 fn an_idle_client_that_never_reads_does_not_delay_the_end() {
     const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
     let server = Listener::new();
-    let mut stage = stage(&server, |config| {
+    let mut test_proxy = test_proxy(&server, |config| {
         config.client_limits.linger = LINGER_TIMEOUT
     });
-    let idle = idle_client(&stage, &server);
+    let idle = idle_client(&test_proxy, &server);
     thread::sleep(LINGER_TIMEOUT);
     let stopped_at = Instant::now();
-    stage.control.stop();
-    stage.end();
+    test_proxy.control.stop();
+    test_proxy.end();
     assert!(stopped_at.elapsed() < LINGER_TIMEOUT);
     drop(idle);
 }
@@ -213,11 +215,11 @@
 /// Without clients the proxy ends as soon as its listener is closed.
 #[test]
 fn a_stop_without_clients_ends_at_once() {
-    let mut stage = stage(&Listener::new(), |_| {});
+    let mut test_proxy = test_proxy(&Listener::new(), |_| {});
     let stopped_at = Instant::now();
-    stage.control.stop();
-    stage.end();
-    assert!(stopped_at.elapsed() < PATIENCE);
+    test_proxy.control.stop();
+    test_proxy.end();
+    assert!(stopped_at.elapsed() < TEST_TIMEOUT);
 }
 
 /// While the proxy drains, it writes the last answer that it owes on a connection. The client's next request has come
@@ -229,16 +231,16 @@
     // In this order: the program has looked at the client when it closes the other.
     let mut client = Peer::client(program.address);
     let mut idle = Peer::client(program.address);
-    client.ask(&read(1, "any", 3000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 3000));
+    let mut upstream = server.accept_session();
     upstream.query();
     program.signal(Signal::TERM);
     assert!(idle.ended(), "the listener is closed");
-    freeze(&program);
+    pause(&program);
     // In this order: the program finds the answer first.
     upstream.answer("one", &[]);
     client.ask("");
-    thaw(&program);
+    resume(&program);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     assert_eq!(client.reply(), Reply::default(), "the empty one");
     assert!(client.ended());
@@ -256,11 +258,11 @@
         &server,
     );
     let mut client = Peer::client(program.address);
-    let mut upstream = served(&mut client, &server, 1, "one");
-    freeze(&program);
+    let mut upstream = serve_request(&mut client, &server, 1, "one");
+    pause(&program);
     thread::sleep(Duration::from_millis(2_100));
-    client.ask(&read(2, "any", 2000));
-    thaw(&program);
+    client.ask(&read_statement(2, "any", 2000));
+    resume(&program);
     upstream.query();
     upstream.answer("two", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("two"));
@@ -276,21 +278,21 @@
         &server,
     );
     let mut clients: Vec<Peer> = (0..3).map(|_| Peer::client(program.address)).collect();
-    let mut upstream = served(&mut clients[0], &server, 1, "one");
+    let mut upstream = serve_request(&mut clients[0], &server, 1, "one");
     for (id, client) in (2..).zip(&mut clients[1..]) {
-        client.ask(&read(id, "any", 2000));
+        client.ask(&read_statement(id, "any", 2000));
         upstream.query();
         upstream.answer("each", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("each"));
     }
     // At the limit, the listener is left alone for 100 ms.
     thread::sleep(Duration::from_millis(200));
-    freeze(&program);
+    pause(&program);
     // In this order: the program finds the newcomer first.
     let mut newcomer = Peer::connect(program.address);
     newcomer.write(&startup_packet("app", "shop"));
-    clients[0].ask(&read(4, "any", 2000));
-    thaw(&program);
+    clients[0].ask(&read_statement(4, "any", 2000));
+    resume(&program);
     upstream.query();
     upstream.answer("four", &[]);
     assert_eq!(clients[0].reply().value.as_deref(), Some("four"));
@@ -307,35 +309,36 @@
     let server = Listener::new();
     let program = program("limits {\n client-patience 1s\n}\n", &server);
     let mut client = Peer::client(program.address);
-    freeze(&program);
+    pause(&program);
     thread::sleep(Duration::from_millis(1_100));
-    client.ask(&read(1, "any", 2000));
-    thaw(&program);
-    served_last(&mut client, &server, "in time");
+    client.ask(&read_statement(1, "any", 2000));
+    resume(&program);
+    serve_next_request(&mut client, &server, "in time");
 }
 
 /// A proxy that closes its listener as soon as it is told to stop, and waits long for open requests.
-fn stage(server: &Listener, adjust: impl FnOnce(&mut Config)) -> Stage {
+fn test_proxy(server: &Listener, adjust: impl FnOnce(&mut Config)) -> TestProxy {
     // Under three names: one that has just come into the list bears little at once.
-    Stage::with(
+    TestProxy::with_config(
         &[("s-1", server), ("s-2", server), ("s-3", server)],
         |config| {
-            (config.accept_after_stop, config.shutdown_timeout) = (Duration::ZERO, 3 * PATIENCE);
+            (config.accept_after_stop, config.shutdown_timeout) =
+                (Duration::ZERO, 3 * TEST_TIMEOUT);
             adjust(config);
         },
     )
 }
 
 /// Tells the proxy to stop, and waits until its listener is closed.
-fn stop(stage: &Stage, idle: &mut Peer) {
-    stage.control.stop();
+fn stop(test_proxy: &TestProxy, idle: &mut Peer) {
+    test_proxy.control.stop();
     assert!(idle.ended());
 }
 
 /// A client that is idle after one request. Its connection closes with the listener.
-fn idle_client(stage: &Stage, server: &Listener) -> Peer {
-    let mut client = Peer::client(stage.address);
-    drop(served(&mut client, server, 99, "idle"));
+fn idle_client(test_proxy: &TestProxy, server: &Listener) -> Peer {
+    let mut client = Peer::client(test_proxy.address);
+    drop(serve_request(&mut client, server, 99, "idle"));
     client
 }
 
@@ -344,20 +347,20 @@
 #[test]
 fn pipelined_commands_are_answered_in_order_before_the_end() {
     let server = Listener::new();
-    let mut stage = stage(&server, |_| {});
-    let mut idle = idle_client(&stage, &server);
-    let mut client = Peer::client(stage.address);
+    let mut test_proxy = test_proxy(&server, |_| {});
+    let mut idle = idle_client(&test_proxy, &server);
+    let mut client = Peer::client(test_proxy.address);
     for id in 1..4 {
-        client.ask(&read(id, "any", 19000));
+        client.ask(&read_statement(id, "any", 19000));
     }
     client.ask("");
     let mut upstreams: Vec<(String, Peer)> = (0..3)
         .map(|_| {
-            let mut upstream = server.welcome();
+            let mut upstream = server.accept_session();
             (upstream.query(), upstream)
         })
         .collect();
-    stop(&stage, &mut idle);
+    stop(&test_proxy, &mut idle);
     // The last is answered first.
     upstreams.sort_by(|a, b| b.0.cmp(&a.0));
     for (query, upstream) in &mut upstreams {
@@ -369,7 +372,7 @@
     }
     assert_eq!(client.reply(), Reply::default(), "the empty one");
     assert!(client.ended());
-    stage.end();
+    test_proxy.end();
 }
 
 /// A client has sent more commands than the proxy reads at once, so some wait in the buffer as the listener closes. They are
@@ -377,15 +380,15 @@
 #[test]
 fn commands_over_the_pipelining_limit_are_answered_before_the_end() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_limits.max_pipelined = 1);
-    let mut idle = idle_client(&stage, &server);
-    let mut client = Peer::client(stage.address);
+    let mut test_proxy = test_proxy(&server, |config| config.client_limits.max_pipelined = 1);
+    let mut idle = idle_client(&test_proxy, &server);
+    let mut client = Peer::client(test_proxy.address);
     for id in 1..4 {
-        client.ask(&read(id, "any", 19000));
+        client.ask(&read_statement(id, "any", 19000));
     }
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     upstream.query();
-    stop(&stage, &mut idle);
+    stop(&test_proxy, &mut idle);
     for value in ["one", "two", "three"] {
         upstream.answer(value, &[]);
         assert_eq!(client.reply().value.as_deref(), Some(value));
@@ -394,30 +397,30 @@
         }
     }
     assert!(client.ended());
-    stage.end();
+    test_proxy.end();
 }
 
 /// Half of a request had come when the listener closed. The other half comes later, and the request is served.
 #[test]
 fn a_request_that_is_half_read_at_the_stop_is_served() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| {
-        config.client_limits.first_request = PATIENCE
+    let mut test_proxy = test_proxy(&server, |config| {
+        config.client_limits.first_request = TEST_TIMEOUT
     });
     // Looked at before the other when the listener closes.
-    let mut client = Peer::client(stage.address);
+    let mut client = Peer::client(test_proxy.address);
     // One that has asked before is not given time for a first request.
-    drop(served(&mut client, &server, 1, "one"));
-    let mut idle = idle_client(&stage, &server);
-    let request = message(&read(2, "any", 19000));
+    drop(serve_request(&mut client, &server, 1, "one"));
+    let mut idle = idle_client(&test_proxy, &server);
+    let request = message(&read_statement(2, "any", 19000));
     client.write(&request[..40]);
     // A welcome on another connection: what came before it has been read.
-    drop(Peer::client(stage.address));
-    stop(&stage, &mut idle);
+    drop(Peer::client(test_proxy.address));
+    stop(&test_proxy, &mut idle);
     client.write(&request[40..]);
-    served_last(&mut client, &server, "whole");
+    serve_next_request(&mut client, &server, "whole");
     assert!(client.ended());
-    stage.end();
+    test_proxy.end();
 }
 
 /// A client reads slowly, and its socket does not take all of its answers at once. The program ends only after it has
@@ -428,37 +431,38 @@
     const ANSWERS: u32 = 100;
     let value = "v".repeat(60 << 10);
     let server = Listener::new();
-    let mut stage = stage(&server, |config| {
+    let mut test_proxy = test_proxy(&server, |config| {
         (
             config.client_limits.max_pipelined,
             config.client_limits.max_unsent_bytes,
         ) = (1, 64 << 20)
     });
-    let mut idle = Peer::client(stage.address);
-    let mut client = Peer::client(stage.address);
-    let asked: Vec<u8> = (1..=ANSWERS)
-        .flat_map(|id| message(&read(id, "any", 19000)))
+    let mut idle = Peer::client(test_proxy.address);
+    let mut client = Peer::client(test_proxy.address);
+    let commands: Vec<u8> = (1..=ANSWERS)
+        .flat_map(|id| message(&read_statement(id, "any", 19000)))
         .collect();
-    client.write(&asked);
-    let (tell, told) = channel();
+    client.write(&commands);
+    let (notify, answered) = channel();
     let given = value.clone();
     thread::spawn(move || loop {
-        let (mut upstream, tell, given) = (server.welcome(), tell.clone(), given.clone());
+        let (mut upstream, notify, given) =
+            (server.accept_session(), notify.clone(), given.clone());
         thread::spawn(move || {
             while upstream.message().is_ok() {
                 upstream.answer(&given, &[]);
-                _ = tell.send(());
+                _ = notify.send(());
             }
         });
     });
-    told.iter().take(ANSWERS as usize).for_each(drop);
-    stop(&stage, &mut idle);
+    answered.iter().take(ANSWERS as usize).for_each(drop);
+    stop(&test_proxy, &mut idle);
     for _ in 0..ANSWERS {
         assert!(client.reply().value.as_ref() == Some(&value));
     }
     assert!(client.ended());
     drop(idle);
-    stage.end();
+    test_proxy.end();
 }
 
 /// A client sends a request just as the proxy ends its connection. The request is not read, so the client knows that nothing
@@ -466,15 +470,15 @@
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
     let server = Listener::new();
-    let mut stage = stage(&server, |config| config.client_limits.linger = PATIENCE);
-    let mut idle = idle_client(&stage, &server);
-    stop(&stage, &mut idle);
-    idle.ask(&read(1, "any", 19000));
+    let mut test_proxy = test_proxy(&server, |config| config.client_limits.linger = TEST_TIMEOUT);
+    let mut idle = idle_client(&test_proxy, &server);
+    stop(&test_proxy, &mut idle);
+    idle.ask(&read_statement(1, "any", 19000));
     assert_eq!(idle.stream.read(&mut [0; 1]).unwrap(), 0, "still the end");
     assert!(idle.stream.take_error().unwrap().is_none(), "no reset");
     assert!(server.try_accept().is_none(), "nothing is sent on");
     drop(idle);
-    stage.end();
+    test_proxy.end();
 }
 
 /// The proxy is told to stop, and then to reload its configuration. The stop goes on with the settings that it began with.
@@ -483,13 +487,13 @@
     let server = Listener::new();
     let mut program = program("", &server);
     let mut client = Peer::client(program.address);
-    client.ask(&read(1, "any", 3000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 3000));
+    let mut upstream = server.accept_session();
     upstream.query();
     program.signal(Signal::TERM);
-    program.line("told to stop");
-    program.steer("drain {\n linger 5min\n}\n");
-    program.line("the configuration is reread");
+    program.wait_for_log_line("told to stop");
+    program.reload_operators_file("drain {\n linger 5min\n}\n");
+    program.wait_for_log_line("the configuration is reread");
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     assert!(
@@ -505,29 +509,29 @@
 #[test]
 fn a_reload_during_the_start_does_not_end_the_program() {
     let discovery = Listener::new();
-    let place = Scratch::new("");
-    std::fs::remove_file(&place.0).unwrap();
+    let config_fifo = TempFile::new("");
+    std::fs::remove_file(&config_fifo.0).unwrap();
     assert!(Command::new("mkfifo")
-        .arg(&place.0)
+        .arg(&config_fifo.0)
         .status()
         .unwrap()
         .success());
     let mut child = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
         .arg("serve")
-        .env("LB_CONFIG", &place.0)
+        .env("LB_CONFIG", &config_fifo.0)
         .env("LB_LISTEN", "127.0.0.1:0")
         .env("LB_DISCOVERY", discovery.address.to_string())
         .env_remove("LB_OPERATORS")
         .spawn()
         .unwrap();
     // Opens once the program reads there.
-    let mut file = std::fs::File::create(&place.0).unwrap();
+    let mut file = std::fs::File::create(&config_fifo.0).unwrap();
     let pid = Pid::from_child(&child);
     kill_process(pid, Signal::HUP).unwrap();
     file.write_all(format!(r#"{{"settings":{SETTINGS}}}"#).as_bytes())
         .unwrap();
     drop(file);
-    discovery.accept().watch();
+    discovery.accept().accept_watch();
     kill_process(pid, Signal::TERM).unwrap();
     assert!(child.wait().unwrap().success());
 }
@@ -552,15 +556,15 @@
         assert_eq!(client.reply().code.as_deref(), Some("08P01"));
         assert!(client.ended());
     }
-    drop(served(&mut bystander, &server, 1, "as ever"));
+    drop(serve_request(&mut bystander, &server, 1, "as ever"));
     drop((bystander, client, clients));
     program.signal(Signal::TERM);
-    let log = program.rest();
-    let told = log
+    let log = program.remaining_log();
+    let warnings = log
         .iter()
         .filter(|line| line.contains("not understood:"))
         .count();
-    assert!((1..EACH).contains(&told), "{log:#?}");
+    assert!((1..EACH).contains(&warnings), "{log:#?}");
     for figure in ["statements not understood 20", "clients rejected 20;"] {
         assert!(log.iter().any(|line| line.contains(figure)), "{log:#?}");
     }
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// No story waits longer than this for anything.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub const SETTINGS: &str = r#"{"Balancers": 1, "Zones": ["a"], "HostTypes": ["m"],
  "Classes": [{"Name": "any", "Effect": "safe", "Deadline": 20000000, "GoalTime": 10000000, "LateValue": 0.5},
@@ -32,11 +32,11 @@
  "Rules": {"StopSendingWithin": 500000, "StartCapacity": 0.15, "OverloadFactor": 2.0}}"#;
 
 /// The operators' word for a program whose loop may be late: tests share the machine.
-const LATE_LOOP: &str = "availability {\n lag 1s\n}\n";
+const RELAXED_LAG_DIRECTIVES: &str = "availability {\n lag 1s\n}\n";
 
 /// An address of loopback that no other test listens on. A port of 127.0.0.1 that a proxy has let go may be given at once to
 /// a listener of any other test, and a test that waits for its proxy to listen again would connect to that.
-pub fn own_address() -> SocketAddr {
+pub fn unshared_loopback_address() -> SocketAddr {
     static NUMBER: AtomicU8 = AtomicU8::new(1);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let second = 64 + (high ^ NUMBER.fetch_add(1, Ordering::Relaxed)) % 128;
@@ -65,7 +65,11 @@
     }
 
     pub fn accept(&self) -> Peer {
-        Peer::new(self.accepted.recv_timeout(PATIENCE).expect("a connection"))
+        Peer::new(
+            self.accepted
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("a connection"),
+        )
     }
 
     pub fn try_accept(&self) -> Option<Peer> {
@@ -73,7 +77,7 @@
     }
 
     /// Nobody connects for `span`.
-    pub fn left_alone(&self, span: Duration) -> bool {
+    pub fn no_connection_within(&self, span: Duration) -> bool {
         matches!(
             self.accepted.recv_timeout(span),
             Err(RecvTimeoutError::Timeout)
@@ -81,14 +85,14 @@
     }
 
     /// A connection from the proxy, welcomed as a record server does.
-    pub fn welcome(&self) -> Peer {
+    pub fn accept_session(&self) -> Peer {
         let mut peer = self.accept();
         peer.startup();
         peer
     }
 
     /// An entry of the list that names this server.
-    pub fn listed(&self, name: &str, status: &str) -> String {
+    pub fn endpoint_entry(&self, name: &str, status: &str) -> String {
         format!(
             r#"{{"name":"{name}","address":"{}","zone":"a","type":"m","group":3,"status":"{status}","since_ms":0}}"#,
             self.address
@@ -112,7 +116,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Peer {
             stream,
@@ -124,7 +128,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    fn more(&mut self) -> io::Result<()> {
+    fn read_more(&mut self) -> io::Result<()> {
         let mut bytes = [0; 4096];
         match self.stream.read(&mut bytes)? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -143,7 +147,7 @@
                 self.input.drain(..used);
                 return Ok((tag, body));
             }
-            self.more()?;
+            self.read_more()?;
         }
     }
 
@@ -153,14 +157,14 @@
             if let Some(end) = self.input.windows(4).position(|w| w == b"\r\n\r\n") {
                 return String::from_utf8(self.input.drain(..end + 4).collect()).unwrap();
             }
-            self.more().unwrap();
+            self.read_more().unwrap();
         }
     }
 
     /// True once the other side has ended the connection.
     pub fn ended(&mut self) -> bool {
         loop {
-            match self.more() {
+            match self.read_more() {
                 Ok(()) => {}
                 Err(e) => {
                     return !matches!(
@@ -173,20 +177,23 @@
     }
 
     /// Ends its side and waits until the other one has noticed.
-    pub fn leave(mut self) {
+    pub fn close_and_wait(mut self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
         assert!(self.ended());
     }
 
     /// Waits until the other side's kernel has all that was sent, an end too, whether or not anybody there reads it.
-    pub fn delivered(&self) {
-        let begun = std::time::Instant::now();
+    pub fn wait_until_acknowledged(&self) {
+        let started_at = std::time::Instant::now();
         let (local, peer) = (
             self.stream.local_addr().unwrap(),
             self.stream.peer_addr().unwrap(),
         );
         while !acknowledged(local, peer) {
-            assert!(begun.elapsed() < PATIENCE, "{peer} does not acknowledge");
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "{peer} does not acknowledge"
+            );
             thread::yield_now();
         }
     }
@@ -196,7 +203,7 @@
     pub fn startup(&mut self) {
         let key = server::CancelKey::NONE;
         while server::parse_startup(&self.input, key).unwrap().is_none() {
-            self.more().unwrap();
+            self.read_more().unwrap();
         }
         let Some((server::Startup::Session(welcome), used)) =
             server::parse_startup(&self.input, key).unwrap()
@@ -238,13 +245,13 @@
     // ---- As discovery ----
 
     /// Answers a call for a watch with the head of a stream; the call's first line.
-    pub fn watch(&mut self) -> String {
+    pub fn accept_watch(&mut self) -> String {
         let call = self.head();
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         call.lines().next().unwrap().to_owned()
     }
 
-    pub fn tell(&mut self, index: u64, entries: &[String]) {
+    pub fn send_list(&mut self, index: u64, entries: &[String]) {
         let line = format!(
             r#"{{"index":{index},"snapshot":false,"endpoints":[{}]}}"#,
             entries.join(",")
@@ -299,15 +306,15 @@
 /// Whether the system's table of connections has nothing unacknowledged from one address to the other.
 fn acknowledged(local: SocketAddr, peer: SocketAddr) -> bool {
     const ESTABLISHED: &str = "01";
-    const END_ACKNOWLEDGED: &str = "05";
-    const NOTHING_QUEUED: &str = "00000000";
+    const FIN_WAIT_2: &str = "05";
+    const SEND_QUEUE_EMPTY: &str = "00000000";
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let port = |address: &str| u16::from_str_radix(address.rsplit(':').next().unwrap(), 16).ok();
     table.lines().skip(1).any(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
         let ours = port(columns[1]) == Some(local.port()) && port(columns[2]) == Some(peer.port());
-        let sent = columns[4].starts_with(NOTHING_QUEUED);
-        ours && sent && matches!(columns[3], ESTABLISHED | END_ACKNOWLEDGED)
+        let sent = columns[4].starts_with(SEND_QUEUE_EMPTY);
+        ours && sent && matches!(columns[3], ESTABLISHED | FIN_WAIT_2)
     })
 }
 
@@ -345,7 +352,7 @@
 /// The status and the text that a call gets.
 pub fn call(admin: SocketAddr, bytes: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(admin).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(bytes.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -360,20 +367,22 @@
     call(admin, &format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
 }
 
-pub fn post(admin: SocketAddr, word: &str, target: &str) -> u16 {
+pub fn post(admin: SocketAddr, command: &str, target: &str) -> u16 {
     let body = format!(r#"{{"target":"{target}"}}"#);
     let length = body.len();
     call(
         admin,
-        &format!("POST /api/{word} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"),
+        &format!(
+            "POST /api/{command} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"
+        ),
     )
     .0
 }
 
 /// A request goes to a record server on a new connection, which is returned, and its value comes back.
-pub fn served(client: &mut Peer, server: &Listener, id: u32, value: &str) -> Peer {
-    client.ask(&read(id, "any", 19000));
-    let mut upstream = server.welcome();
+pub fn serve_request(client: &mut Peer, server: &Listener, id: u32, value: &str) -> Peer {
+    client.ask(&read_statement(id, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer(value, &[]);
     assert_eq!(client.reply().value.as_deref(), Some(value));
@@ -381,22 +390,22 @@
 }
 
 /// Asks until the figure is this; the word that changes it is on its way.
-pub fn until(admin: SocketAddr, line: &str) {
-    let begun = std::time::Instant::now();
+pub fn wait_for_metric(admin: SocketAddr, line: &str) {
+    let started_at = std::time::Instant::now();
     while !get(admin, "/api/telemetry").1.lines().any(|l| l == line) {
-        assert!(begun.elapsed() < PATIENCE, "{line} is not told");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{line} is not told");
         thread::yield_now();
     }
 }
 
-pub fn read(id: u32, class: &str, wait_ms: u32) -> String {
+pub fn read_statement(id: u32, class: &str, wait_ms: u32) -> String {
     format!(
         "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait_ms},cluster=3 */"
     )
 }
 
 /// A proxy with one thread, and the watch that it has opened on a scripted discovery.
-pub struct Stage {
+pub struct TestProxy {
     pub address: SocketAddr,
     /// Where checks of balancers are answered.
     pub health: Vec<SocketAddr>,
@@ -410,47 +419,57 @@
     running: Option<JoinHandle<io::Result<()>>>,
 }
 
-impl Stage {
+impl TestProxy {
     /// `servers` are listed as known from the start.
-    pub fn new(servers: &[(&str, &Listener)]) -> Stage {
-        Stage::with(servers, |_| {})
+    pub fn new(servers: &[(&str, &Listener)]) -> TestProxy {
+        TestProxy::with_config(servers, |_| {})
     }
 
-    pub fn with(servers: &[(&str, &Listener)], adjust: impl FnOnce(&mut Config)) -> Stage {
-        Stage::set(servers, None, adjust)
+    pub fn with_config(
+        servers: &[(&str, &Listener)],
+        adjust: impl FnOnce(&mut Config),
+    ) -> TestProxy {
+        TestProxy::start_with(servers, None, adjust)
     }
 
     /// With an operators' file.
-    pub fn under(servers: &[(&str, &Listener)], operators: &str) -> Stage {
-        let file = Scratch::new(operators);
-        Stage::set(servers, Some(&file.0), |_| {})
+    pub fn with_operators_file(servers: &[(&str, &Listener)], operators: &str) -> TestProxy {
+        let file = TempFile::new(operators);
+        TestProxy::start_with(servers, Some(&file.0), |_| {})
     }
 
     /// The same, listening on an address of its own ([`own_address`]).
-    pub fn under_at_own_address(servers: &[(&str, &Listener)], operators: &str) -> Stage {
-        let file = Scratch::new(operators);
-        Stage::set(servers, Some(&file.0), |config| {
-            config.listen = own_address();
+    pub fn with_operators_file_at_unshared_address(
+        servers: &[(&str, &Listener)],
+        operators: &str,
+    ) -> TestProxy {
+        let file = TempFile::new(operators);
+        TestProxy::start_with(servers, Some(&file.0), |config| {
+            config.listen = unshared_loopback_address();
         })
     }
 
     /// The same, with room for so many clients.
-    pub fn set_limits(servers: &[(&str, &Listener)], operators: &str, clients: usize) -> Stage {
-        let file = Scratch::new(operators);
-        Stage::set(servers, Some(&file.0), |config| {
+    pub fn with_client_limit(
+        servers: &[(&str, &Listener)],
+        operators: &str,
+        clients: usize,
+    ) -> TestProxy {
+        let file = TempFile::new(operators);
+        TestProxy::start_with(servers, Some(&file.0), |config| {
             config.limits.clients = clients
         })
     }
 
-    fn set(
+    fn start_with(
         servers: &[(&str, &Listener)],
         operators: Option<&Path>,
         adjust: impl FnOnce(&mut Config),
-    ) -> Stage {
+    ) -> TestProxy {
         let discovery = Listener::new();
         let known: Vec<String> = servers
             .iter()
-            .map(|(name, s)| s.listed(name, "Ready"))
+            .map(|(name, s)| s.endpoint_entry(name, "Ready"))
             .collect();
         let text = format!(
             r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964",
@@ -462,7 +481,7 @@
         let variable = |name: &str| operators.clone().filter(|_| name == "LB_OPERATORS");
         let mut config = config::parse(text.as_bytes(), variable).unwrap();
         // A machine that is busy with other tests makes loops late, and a proxy says so: no story is about that.
-        config.availability.lag = (PATIENCE, 2 * PATIENCE);
+        config.availability.lag = (TEST_TIMEOUT, 2 * TEST_TIMEOUT);
         adjust(&mut config);
         let (mut proxy, control) = Proxy::start(config).unwrap();
         let address = proxy.local_address().unwrap();
@@ -475,10 +494,10 @@
         }));
         let mut watch = discovery.accept();
         assert_eq!(
-            watch.watch(),
+            watch.accept_watch(),
             "GET /catalog/members?watch=1&after=41 HTTP/1.1"
         );
-        Stage {
+        TestProxy {
             address,
             health,
             admin,
@@ -496,22 +515,22 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestProxy {
     fn drop(&mut self) {
         self.control.stop();
     }
 }
 
 /// A file that goes with the test.
-pub struct Scratch(pub PathBuf);
+pub struct TempFile(pub PathBuf);
 
-impl Scratch {
-    pub fn new(text: &str) -> Scratch {
-        static MADE: AtomicU32 = AtomicU32::new(0);
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+impl TempFile {
+    pub fn new(text: &str) -> TempFile {
+        static CREATED: AtomicU32 = AtomicU32::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("leverproxy-{}-{number}.conf", std::process::id()));
-        let file = Scratch(path);
+        let file = TempFile(path);
         file.write(text);
         file
     }
@@ -525,7 +544,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempFile {
     fn drop(&mut self) {
         _ = std::fs::remove_file(&self.0);
     }
@@ -538,19 +557,19 @@
     pub watch: Peer,
     file: PathBuf,
     /// The operators' file.
-    pub operators: Scratch,
+    pub operators: TempFile,
     log: Lines<BufReader<ChildStderr>>,
 }
 
 impl Program {
     /// `before` is said to the shell that starts it.
-    pub fn start(before: &str) -> Program {
-        Program::under(before, "")
+    pub fn start(shell_prefix: &str) -> Program {
+        Program::with_operators_file(shell_prefix, "")
     }
 
     /// With an operators' file.
-    pub fn under(before: &str, operators: &str) -> Program {
-        let operators = Scratch::new(&format!("{operators}\n{LATE_LOOP}"));
+    pub fn with_operators_file(shell_prefix: &str, operators: &str) -> Program {
+        let operators = TempFile::new(&format!("{operators}\n{RELAXED_LAG_DIRECTIVES}"));
         static STARTED: AtomicU32 = AtomicU32::new(0);
         let discovery = Listener::new();
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
@@ -560,7 +579,10 @@
         let mut child = Command::new("/bin/sh")
             .args([
                 "-c",
-                &format!("{before} exec {} serve", env!("CARGO_BIN_EXE_leverproxy")),
+                &format!(
+                    "{shell_prefix} exec {} serve",
+                    env!("CARGO_BIN_EXE_leverproxy")
+                ),
             ])
             .env("LB_CONFIG", &file)
             .env("LB_OPERATORS", &operators.0)
@@ -573,7 +595,7 @@
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
         // Signals are heeded before its loop first tends to discovery.
         let mut watch = discovery.accept();
-        watch.watch();
+        watch.accept_watch();
         let mut program = Program {
             child,
             address: discovery.address,
@@ -582,7 +604,7 @@
             operators,
             log,
         };
-        let line = program.line("serving on ");
+        let line = program.wait_for_log_line("serving on ");
         program.address = line.rsplit(' ').next().unwrap().parse().unwrap();
         program
     }
@@ -600,8 +622,9 @@
     }
 
     /// Replaces the operators' file and tells the program so.
-    pub fn steer(&self, operators: &str) {
-        self.operators.write(&format!("{operators}\n{LATE_LOOP}"));
+    pub fn reload_operators_file(&self, operators: &str) {
+        self.operators
+            .write(&format!("{operators}\n{RELAXED_LAG_DIRECTIVES}"));
         self.signal(Signal::HUP);
     }
 
@@ -617,17 +640,17 @@
     }
 
     /// All that its log still holds, until it ends.
-    pub fn rest(&mut self) -> Vec<String> {
+    pub fn remaining_log(&mut self) -> Vec<String> {
         self.log.by_ref().map(Result::unwrap).collect()
     }
 
     /// The next line of its log that holds these words.
-    pub fn line(&mut self, words: &str) -> String {
+    pub fn wait_for_log_line(&mut self, text: &str) -> String {
         self.log
             .by_ref()
             .map(Result::unwrap)
-            .find(|line| line.contains(words))
-            .expect(words)
+            .find(|line| line.contains(text))
+            .expect(text)
     }
 }
 
--- a/crates/leverproxy/tests/departures.rs
+++ b/crates/leverproxy/tests/departures.rs
@@ -29,22 +29,22 @@
 }
 
 /// Asserts that the next query on the connection is that of request `id`.
-fn next_is(upstream: &mut Peer, id: u32) {
+fn assert_next_query_is(upstream: &mut Peer, id: u32) {
     let query = upstream.query();
     assert!(query.contains(&format!("id={id:016x}")), "{query}");
 }
 
 /// Asserts that request `id` of this client is the next that reaches the record server, and serves it.
-fn served_next(client: &mut Peer, upstream: &mut Peer, id: u32) {
-    client.ask(&read(id, "any", 19000));
-    next_is(upstream, id);
+fn assert_served_next(client: &mut Peer, upstream: &mut Peer, id: u32) {
+    client.ask(&read_statement(id, "any", 19000));
+    assert_next_query_is(upstream, id);
     upstream.answer("value", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("value"));
 }
 
 /// A server's connection that is accepted but not greeted yet, with request 1 of `client` waiting for it.
-fn dialled(server: &Listener, client: &mut Peer) -> Peer {
-    client.ask(&read(1, "any", 19000));
+fn accept_without_greeting(server: &Listener, client: &mut Peer) -> Peer {
+    client.ask(&read_statement(1, "any", 19000));
     server.accept()
 }
 
@@ -52,45 +52,45 @@
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_the_dial() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
-    let mut upstream = dialled(&server, &mut client);
-    client.leave();
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
+    let mut upstream = accept_without_greeting(&server, &mut client);
+    client.close_and_wait();
     upstream.startup();
-    served_next(&mut Peer::client(stage.address), &mut upstream, 2);
+    assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 2);
 }
 
 /// A client cancels its request while the connection for it is being opened. Its session goes on.
 #[test]
 fn nothing_is_sent_for_a_request_that_was_cancelled_during_the_dial() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut client, key) = client_with_key(stage.address);
-    let mut upstream = dialled(&server, &mut client);
-    let mut canceller = Peer::connect(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut client, key) = client_with_key(test_proxy.address);
+    let mut upstream = accept_without_greeting(&server, &mut client);
+    let mut canceller = Peer::connect(test_proxy.address);
     canceller.write(&server::cancel_packet(key));
     assert!(canceller.ended());
     assert_eq!(client.reply().code.as_deref(), Some("57014"));
     upstream.startup();
     // The session goes on.
-    served_next(&mut client, &mut upstream, 2);
+    assert_served_next(&mut client, &mut upstream, 2);
 }
 
 /// A cancel request names a session, but not its secret. The request goes on.
 #[test]
 fn a_cancel_with_a_wrong_secret_changes_nothing() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut client, key) = client_with_key(stage.address);
-    let mut upstream = dialled(&server, &mut client);
-    let mut canceller = Peer::connect(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut client, key) = client_with_key(test_proxy.address);
+    let mut upstream = accept_without_greeting(&server, &mut client);
+    let mut canceller = Peer::connect(test_proxy.address);
     canceller.write(&server::cancel_packet(CancelKey {
         secret: !key.secret,
         ..key
     }));
     assert!(canceller.ended());
     upstream.startup();
-    next_is(&mut upstream, 1);
+    assert_next_query_is(&mut upstream, 1);
     upstream.answer("one", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
 }
@@ -100,49 +100,49 @@
 #[test]
 fn a_client_that_leaves_is_noticed_while_nothing_is_read_from_it() {
     let server = Listener::new();
-    let stage = Stage::with(&[("s-1", &server)], |config| {
+    let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
         config.client_limits.max_pipelined = 1
     });
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
-    next_is(&mut upstream, 1);
-    client.ask(&read(2, "any", 19000));
-    client.leave();
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
+    assert_next_query_is(&mut upstream, 1);
+    client.ask(&read_statement(2, "any", 19000));
+    client.close_and_wait();
     upstream.answer("one", &[]);
-    served_next(&mut Peer::client(stage.address), &mut upstream, 3);
+    assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 3);
 }
 
 /// A write is queued until its group's primary is known. The client leaves meanwhile.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_while_its_request_was_queued() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "book", 19000));
-    let mut upstream = server.welcome();
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "book", 19000));
+    let mut upstream = server.accept_session();
     assert_eq!(upstream.query(), "SHOW load");
-    client.leave();
+    client.close_and_wait();
     upstream.answer("x0=1.0,x1=1,backlog=0", &[]);
-    served_next(&mut Peer::client(stage.address), &mut upstream, 2);
+    assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 2);
 }
 
 /// A query and the message that ends the session come at once. Nothing is sent for the query.
 #[test]
 fn nothing_is_sent_for_a_query_followed_by_terminate() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
     // A connection is there: whatever is sent goes out at once.
-    let mut upstream = served(&mut client, &server, 3, "value");
+    let mut upstream = serve_request(&mut client, &server, 3, "value");
     let mut both = Vec::new();
     postgres::put(&mut both, b'Q', |body| {
-        postgres::put_text(body, &read(1, "any", 19000))
+        postgres::put_text(body, &read_statement(1, "any", 19000))
     });
     postgres::put(&mut both, b'X', |_| {});
     client.write(&both);
     assert!(client.ended());
-    served_next(&mut Peer::client(stage.address), &mut upstream, 2);
+    assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 2);
 }
 
 /// A write is queued until its group's primary is known. The answer that tells it and the end of the write's client come in one
@@ -151,22 +151,24 @@
 fn in_one_batch_of_events_the_client_that_left_comes_first() {
     let server = Listener::new();
     let mut program = Program::start("");
-    program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+    program
+        .watch
+        .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
     let mut client = Peer::client(program.address);
-    client.ask(&read(1, "book", 19000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "book", 19000));
+    let mut upstream = server.accept_session();
     assert_eq!(upstream.query(), "SHOW load");
     // A client that is greeted now comes after all earlier events.
     let mut next = Peer::client(program.address);
     program.pause();
     upstream.answer("x0=1.0,x1=1,backlog=0", &[]);
-    upstream.delivered();
+    upstream.wait_until_acknowledged();
     client.stream.shutdown(Shutdown::Write).unwrap();
-    client.delivered();
+    client.wait_until_acknowledged();
     program.signal(Signal::CONT);
     assert!(client.ended());
-    next.ask(&read(2, "book", 19000));
-    next_is(&mut upstream, 2);
+    next.ask(&read_statement(2, "book", 19000));
+    assert_next_query_is(&mut upstream, 2);
 }
 
 /// Guards against a cancel request that is dropped unread because its sender closed right behind it, as many drivers do.
@@ -174,16 +176,18 @@
 fn a_cancel_whose_sender_closes_at_once_is_heeded() {
     let server = Listener::new();
     let mut program = Program::start("");
-    program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+    program
+        .watch
+        .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
     let (mut client, key) = client_with_key(program.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
-    next_is(&mut upstream, 1);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
+    assert_next_query_is(&mut upstream, 1);
     program.pause();
     let mut canceller = Peer::connect(program.address);
     canceller.write(&server::cancel_packet(key));
     canceller.stream.shutdown(Shutdown::Write).unwrap();
-    canceller.delivered();
+    canceller.wait_until_acknowledged();
     program.signal(Signal::CONT);
     assert_eq!(client.reply().code.as_deref(), Some("57014"));
 }
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -1,7 +1,10 @@
 //! Lists as discovery may send them, whole and broken: what counts, and when the next call is made.
 
 mod common;
-use common::{read, served, Listener, Peer, Program, Reply, Scratch, Stage, PATIENCE};
+use common::{
+    read_statement, serve_request, Listener, Peer, Program, Reply, TempFile, TestProxy,
+    TEST_TIMEOUT,
+};
 use discovery_schedule::{
     DIAL_TIMEOUT, MAX_RETRY_DELAY, OBJECT_TIMEOUT, SILENCE_TIMEOUT, WATCH_RECONNECT_DELAY,
 };
@@ -62,7 +65,7 @@
 }
 
 /// The next call, with the index after which it asks for changes.
-fn call(discovery: &Listener) -> (Peer, u64) {
+fn accept_call(discovery: &Listener) -> (Peer, u64) {
     let mut peer = discovery.accept();
     let head = peer.head();
     let line = head.lines().next().unwrap();
@@ -75,9 +78,9 @@
 }
 
 /// Ends the watch of a stage; the next call.
-fn again(stage: &mut Stage, index: u64) -> Peer {
-    stage.watch.stream.shutdown(Shutdown::Both).unwrap();
-    let (next, after) = call(&stage.discovery);
+fn restart_watch(test_proxy: &mut TestProxy, index: u64) -> Peer {
+    test_proxy.watch.stream.shutdown(Shutdown::Both).unwrap();
+    let (next, after) = accept_call(&test_proxy.discovery);
     assert_eq!(after, index);
     next
 }
@@ -88,14 +91,14 @@
     for framing in FRAMINGS {
         for form in [str::to_owned, indented] {
             let server = Listener::new();
-            let mut stage = Stage::new(&[]);
-            let mut peer = again(&mut stage, 41);
-            let whole = form(&list(57, true, &[server.listed("s-1", "Ready")]));
+            let mut test_proxy = TestProxy::new(&[]);
+            let mut peer = restart_watch(&mut test_proxy, 41);
+            let whole = form(&list(57, true, &[server.endpoint_entry("s-1", "Ready")]));
             peer.write(framing.answer(&whole, 0).as_bytes());
-            let mut client = Peer::client(stage.address);
-            served(&mut client, &server, 1, "listed");
-            stage.watch = peer;
-            again(&mut stage, 57);
+            let mut client = Peer::client(test_proxy.address);
+            serve_request(&mut client, &server, 1, "listed");
+            test_proxy.watch = peer;
+            restart_watch(&mut test_proxy, 57);
         }
     }
 }
@@ -106,31 +109,31 @@
 fn of_a_response_cut_by_a_reset_only_complete_objects_count() {
     for framing in FRAMINGS {
         let (first, second) = (Listener::new(), Listener::new());
-        let mut stage = Stage::new(&[("s-1", &first), ("s-2", &second)]);
-        let mut peer = again(&mut stage, 41);
+        let mut test_proxy = TestProxy::new(&[("s-1", &first), ("s-2", &second)]);
+        let mut peer = restart_watch(&mut test_proxy, 41);
         // Cut behind a whole entry: the first record server would be gone by it.
-        let half = list(58, true, &[second.listed("s-2", "Ready")]);
+        let half = list(58, true, &[second.endpoint_entry("s-2", "Ready")]);
         peer.write(
             framing
                 .answer(half.strip_suffix("]}").unwrap(), 2)
                 .as_bytes(),
         );
         reset(peer);
-        let (mut peer, after) = call(&stage.discovery);
+        let (mut peer, after) = accept_call(&test_proxy.discovery);
         assert_eq!(after, 41, "{framing:?}: half a list is none");
-        let drain = list(59, false, &[second.listed("s-2", "Terminating")]);
+        let drain = list(59, false, &[second.endpoint_entry("s-2", "Terminating")]);
         peer.write(
             framing
                 .answer(&format!("{drain}\n{half:.40}"), 100)
                 .as_bytes(),
         );
         reset(peer);
-        let (_peer, after) = call(&stage.discovery);
+        let (_peer, after) = accept_call(&test_proxy.discovery);
         assert_eq!(after, 59, "{framing:?}: what came whole counts");
-        let mut client = Peer::client(stage.address);
-        let mut upstream = served(&mut client, &first, 1, "first");
+        let mut client = Peer::client(test_proxy.address);
+        let mut upstream = serve_request(&mut client, &first, 1, "first");
         for id in 2..8 {
-            client.ask(&read(id, "any", 19000));
+            client.ask(&read_statement(id, "any", 19000));
             upstream.query();
             upstream.answer("first", &[]);
             assert_eq!(client.reply().value.as_deref(), Some("first"));
@@ -147,7 +150,7 @@
 fn a_list_is_applied_whatever_follows_it() {
     let server = Listener::new();
     let listed: Vec<String> = (0..100)
-        .map(|n| server.listed(&format!("s-{n}"), "Ready"))
+        .map(|n| server.endpoint_entry(&format!("s-{n}"), "Ready"))
         .collect();
     let whole = list(57, true, &listed);
     let (begin, end) = whole.split_at(whole.len() - 5);
@@ -157,28 +160,28 @@
         assert_eq!(reader.parse(text.as_bytes(), &mut parts), Ok(text.len()));
     }
     assert_eq!(parts, [Part::Object(whole)], "before the next one is whole");
-    let mut stage = Stage::new(&[]);
-    let mut peer = again(&mut stage, 41);
-    let drain = list(58, false, &[server.listed("s-1", "Terminating")]);
+    let mut test_proxy = TestProxy::new(&[]);
+    let mut peer = restart_watch(&mut test_proxy, 41);
+    let drain = list(58, false, &[server.endpoint_entry("s-1", "Terminating")]);
     peer.write(
         Framing::Length
             .answer(&format!("{drain}<html>"), 0)
             .as_bytes(),
     );
-    let (mut peer, after) = call(&stage.discovery);
+    let (mut peer, after) = accept_call(&test_proxy.discovery);
     assert_eq!(after, 58, "before what is no JSON");
-    let drain = list(59, false, &[server.listed("s-2", "Terminating")]);
+    let drain = list(59, false, &[server.endpoint_entry("s-2", "Terminating")]);
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{drain}xx\r\n",
         drain.len()
     );
     peer.write(text.as_bytes());
-    let (mut peer, after) = call(&stage.discovery);
+    let (mut peer, after) = accept_call(&test_proxy.discovery);
     assert_eq!(after, 59, "before chunks that are cut wrongly");
     let text = format!("{}{{\"index\":\"soon\"}}", list(60, false, &[]));
     peer.write(Framing::NoLength.answer(&text, 0).as_bytes());
     assert_eq!(
-        call(&stage.discovery).1,
+        accept_call(&test_proxy.discovery).1,
         60,
         "before an object that is no list"
     );
@@ -188,36 +191,36 @@
 #[test]
 fn a_rejected_call_is_made_again() {
     let server = Listener::new();
-    let mut stage = Stage::new(&[("s-1", &server)]);
-    let mut peer = again(&mut stage, 41);
+    let mut test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut peer = restart_watch(&mut test_proxy, 41);
     for answer in [
         "HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy",
         "HTTP/1.1 503 Busy\r\n\r\n",
         "SSH-2.0\r\n",
     ] {
         peer.write(answer.as_bytes());
-        let (next, after) = call(&stage.discovery);
+        let (next, after) = accept_call(&test_proxy.discovery);
         assert_eq!(after, 41);
         peer = next;
     }
-    let mut client = Peer::client(stage.address);
-    served(&mut client, &server, 1, "known");
+    let mut client = Peer::client(test_proxy.address);
+    serve_request(&mut client, &server, 1, "known");
 }
 
 /// The discovery client alone, on a clock that the test sets.
-struct ClientAlone {
+struct StandaloneClient {
     reactor: Reactor,
     discovery: DiscoveryClient,
     now: Instant,
     listener: Listener,
 }
 
-impl ClientAlone {
-    fn new(pushed: bool) -> ClientAlone {
+impl StandaloneClient {
+    fn new(pushed: bool) -> StandaloneClient {
         let (reactor, listener, now) = (Reactor::new().unwrap(), Listener::new(), Instant::now());
         let mut discovery = DiscoveryClient::new(listener.address, SILENCE_TIMEOUT, pushed, now);
         discovery.poll(1, now, &reactor);
-        ClientAlone {
+        StandaloneClient {
             reactor,
             discovery,
             now,
@@ -226,10 +229,10 @@
     }
 
     /// Waits for the next event and passes it to the client.
-    fn step(&mut self) {
+    fn dispatch_events(&mut self) {
         let mut ready = Vec::new();
         self.reactor
-            .wait(Some(Instant::now() + PATIENCE), &mut ready)
+            .wait(Some(Instant::now() + TEST_TIMEOUT), &mut ready)
             .unwrap();
         assert!(!ready.is_empty(), "nothing comes");
         for event in &ready {
@@ -246,20 +249,20 @@
             if let Some(next_event) = self.discovery.pop_event() {
                 return next_event;
             }
-            self.step();
+            self.dispatch_events();
         }
     }
 
     /// Accepts the connection and reads the call.
-    fn called(&mut self) -> Peer {
+    fn accept_call(&mut self) -> Peer {
         let mut peer = self.listener.accept();
-        self.step();
+        self.dispatch_events();
         peer.head();
         peer
     }
 
     /// Advances the clock to the next timer and fires it; returns the time until then.
-    fn due(&mut self) -> Duration {
+    fn fire_next_timer(&mut self) -> Duration {
         // A timer that is set stays set, so each one is returned once.
         let due = self.discovery.next_timer().unwrap();
         let after = due.saturating_duration_since(self.now);
@@ -272,43 +275,49 @@
 /// A watch or a call falls silent, at any point of the response. It counts as lost, and the next call is made at once.
 #[test]
 fn silence_ends_a_call() {
-    for begun in [
+    for response_start in [
         "",
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n{\"index\":3",
         "HTTP/1.1 200 OK\r\n\r\n{}",
     ] {
-        let mut client = ClientAlone::new(false);
-        let mut peer = client.called();
-        peer.write(begun.as_bytes());
-        if begun.ends_with("{}") {
+        let mut client = StandaloneClient::new(false);
+        let mut peer = client.accept_call();
+        peer.write(response_start.as_bytes());
+        if response_start.ends_with("{}") {
             assert!(matches!(client.next_event(), WatchEvent::List(_)));
         }
-        assert!(client.due() <= SILENCE_TIMEOUT);
-        assert!(matches!(client.next_event(), WatchEvent::Lost), "{begun:?}");
+        assert!(client.fire_next_timer() <= SILENCE_TIMEOUT);
+        assert!(
+            matches!(client.next_event(), WatchEvent::Lost),
+            "{response_start:?}"
+        );
         assert!(peer.ended());
-        client.called();
+        client.accept_call();
     }
 }
 
 /// A dial hangs, or a response trickles without end. The call is abandoned, and the next one is made at once.
 #[test]
 fn a_call_without_a_complete_object_is_abandoned() {
-    let mut client = ClientAlone::new(false);
-    assert_eq!(client.due(), DIAL_TIMEOUT);
+    let mut client = StandaloneClient::new(false);
+    assert_eq!(client.fire_next_timer(), DIAL_TIMEOUT);
     assert!(matches!(client.next_event(), WatchEvent::Lost));
     let _abandoned = client.listener.accept();
-    let mut peer = client.called();
+    let mut peer = client.accept_call();
     peer.write(b"HTTP/1.1 200 OK\r\n\r\n{");
-    let begun = client.now;
+    let started_at = client.now;
     for _ in 0..100 {
         peer.write(b" ");
-        client.step();
+        client.dispatch_events();
         client.now += Duration::from_millis(50);
     }
-    assert_eq!(client.due() + (client.now - begun), OBJECT_TIMEOUT);
+    assert_eq!(
+        client.fire_next_timer() + (client.now - started_at),
+        OBJECT_TIMEOUT
+    );
     assert!(matches!(client.next_event(), WatchEvent::Lost));
-    client.called();
+    client.accept_call();
 }
 
 /// Where the list is polled, a failure is reported to the module that orders calls; if it orders none, the next call is made
@@ -323,8 +332,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{ \n",
     ] {
         for (pushed, again) in [(false, MAX_RETRY_DELAY), (true, WATCH_RECONNECT_DELAY)] {
-            let mut client = ClientAlone::new(pushed);
-            let mut peer = client.called();
+            let mut client = StandaloneClient::new(pushed);
+            let mut peer = client.accept_call();
             peer.write(end.as_bytes());
             let _open = if end.is_empty() {
                 reset(peer)
@@ -332,14 +341,14 @@
                 Some(peer)
             };
             assert!(matches!(client.next_event(), WatchEvent::Lost));
-            let told = client.discovery.pop_event();
+            let call_failed = client.discovery.pop_event();
             assert_eq!(
-                matches!(told, Some(WatchEvent::CallFailed)),
+                matches!(call_failed, Some(WatchEvent::CallFailed)),
                 !pushed,
-                "{told:?}"
+                "{call_failed:?}"
             );
-            assert_eq!(client.due(), again);
-            client.called();
+            assert_eq!(client.fire_next_timer(), again);
+            client.accept_call();
         }
     }
 }
@@ -347,15 +356,15 @@
 /// A poll that was ordered before discovery moved must not cut off the watch that is open at the new address.
 #[test]
 fn a_poll_while_a_call_is_open_changes_nothing() {
-    let mut client = ClientAlone::new(false);
-    reset(client.called());
+    let mut client = StandaloneClient::new(false);
+    reset(client.accept_call());
     assert!(matches!(client.next_event(), WatchEvent::Lost));
     assert!(matches!(client.next_event(), WatchEvent::CallFailed));
     client.listener = Listener::new();
     client
         .discovery
         .set_address(client.listener.address, 1, client.now, &client.reactor);
-    let mut peer = client.called();
+    let mut peer = client.accept_call();
     client.discovery.poll(1, client.now, &client.reactor);
     peer.write(Framing::Chunked.answer(&list(2, true, &[]), 0).as_bytes());
     let WatchEvent::List(listing) = client.next_event() else {
@@ -371,12 +380,15 @@
 fn many_silent_clients_take_no_descriptor_that_others_need() {
     for stated in ["limits {\n sockets 128\n}", ""] {
         let (server, elsewhere) = (Listener::new(), Listener::new());
-        let mut program = Program::under("export LB_ADMIN=127.0.0.1:0; ulimit -n 128;", stated);
-        let line = program.line("admin: answering calls on ");
+        let mut program =
+            Program::with_operators_file("export LB_ADMIN=127.0.0.1:0; ulimit -n 128;", stated);
+        let line = program.wait_for_log_line("admin: answering calls on ");
         let admin = line.rsplit(' ').next().unwrap().parse().unwrap();
-        program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+        program
+            .watch
+            .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
         let mut client = Peer::client(program.address);
-        let upstream = served(&mut client, &server, 1, "before");
+        let upstream = serve_request(&mut client, &server, 1, "before");
         let crowd: Vec<Peer> = (0..200).map(|_| Peer::connect(program.address)).collect();
         // The crowd is let in before these are taken up.
         let mut last = Peer::client(program.address);
@@ -384,27 +396,27 @@
         assert_eq!(last.reply(), Reply::default());
         program.reload(&format!(r#""discovery":"{}","#, elsewhere.address));
         for _ in 0..3 {
-            let (peer, after) = call(&elsewhere);
+            let (peer, after) = accept_call(&elsewhere);
             assert_eq!(after, 57);
             assert_eq!(common::get(admin, "/api/telemetry").0, 200);
             reset(peer);
         }
-        upstream.leave();
-        served(&mut client, &server, 2, "new connection");
+        upstream.close_and_wait();
+        serve_request(&mut client, &server, 2, "new connection");
         drop(crowd);
     }
 }
 
 /// A proxy in a process of its own, with discovery and record servers that are not scripted.
-struct Started {
+struct ProxyProcess {
     child: Child,
     /// Lines of its log, which another thread reads: one that never serves is not waited for.
     log: Receiver<String>,
-    _file: Scratch,
+    _file: TempFile,
 }
 
-impl Started {
-    fn new(discovery: SocketAddr, server: SocketAddr, pushed: bool) -> Started {
+impl ProxyProcess {
+    fn new(discovery: SocketAddr, server: SocketAddr, pushed: bool) -> ProxyProcess {
         let mode = if pushed { "pushed" } else { "on_request" };
         let settings = common::SETTINGS.replace("\"on_request\"", &format!("\"{mode}\""));
         let settings = settings.replace("\"Balancers\": 1", "\"Balancers\": 300");
@@ -412,7 +424,7 @@
             r#"{{"name":"s-1","address":"{server}","zone":"a","type":"m","group":3,"status":"Ready","since_ms":0}}"#
         );
         let known = list(41, true, &[entry]);
-        let file = Scratch::new(&format!(r#"{{"known":{known},"settings":{settings}}}"#));
+        let file = TempFile::new(&format!(r#"{{"known":{known},"settings":{settings}}}"#));
         let mut child = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
             .arg("serve")
             .env("LB_CONFIG", &file.0)
@@ -430,7 +442,7 @@
                 .map_while(Result::ok)
                 .try_for_each(|line| send.send(line))
         });
-        Started {
+        ProxyProcess {
             child,
             log,
             _file: file,
@@ -439,7 +451,7 @@
 
     fn address(&mut self) -> SocketAddr {
         let line = loop {
-            let line = self.log.recv_timeout(PATIENCE).expect("it serves");
+            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("it serves");
             if line.contains("serving on ") {
                 break line;
             }
@@ -448,7 +460,7 @@
     }
 }
 
-impl Drop for Started {
+impl Drop for ProxyProcess {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
@@ -459,19 +471,25 @@
 /// silent, or slower than a call waits, with lists pushed and polled.
 #[test]
 fn proxies_that_start_together_become_ready_whatever_discovery_does() {
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let closed_port = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let silent = Listener::new();
     // One connection fills its backlog, and further dials hang.
-    let hung = TcpListener::bind("127.0.0.1:0").unwrap();
-    rustix::net::listen(&hung, 0).unwrap();
-    let hung_at = hung.local_addr().unwrap();
-    let _filled = TcpStream::connect(hung_at).unwrap();
-    let begun = Instant::now();
-    let mut started: Vec<Started> = (0..24)
-        .map(|n| Started::new([nobody, silent.address, hung_at][n % 3], nobody, n % 2 == 0))
+    let full_backlog = TcpListener::bind("127.0.0.1:0").unwrap();
+    rustix::net::listen(&full_backlog, 0).unwrap();
+    let full_backlog_address = full_backlog.local_addr().unwrap();
+    let _filled = TcpStream::connect(full_backlog_address).unwrap();
+    let started_at = Instant::now();
+    let mut started: Vec<ProxyProcess> = (0..24)
+        .map(|n| {
+            ProxyProcess::new(
+                [closed_port, silent.address, full_backlog_address][n % 3],
+                closed_port,
+                n % 2 == 0,
+            )
+        })
         .collect();
     for (n, one) in started.iter_mut().enumerate() {
         let address = one.address();
@@ -479,9 +497,9 @@
         client.ask("");
         assert_eq!(client.message().unwrap().0, b'I', "EmptyQueryResponse");
         assert!(
-            begun.elapsed() < PATIENCE,
+            started_at.elapsed() < TEST_TIMEOUT,
             "number {n} after {:?}",
-            begun.elapsed()
+            started_at.elapsed()
         );
     }
 }
--- a/crates/leverproxy/tests/stories.rs
+++ b/crates/leverproxy/tests/end_to_end.rs
@@ -1,7 +1,7 @@
 //! A real proxy over loopback, between scripted clients, record servers and discovery.
 
 mod common;
-use common::{answer, read, Listener, Peer, Program, Reply, Stage, PATIENCE};
+use common::{answer, read_statement, Listener, Peer, Program, Reply, TestProxy, TEST_TIMEOUT};
 use leverproxy::config::Config;
 use leverproxy::event_loop::reactor::Reactor;
 use leverproxy::event_loop::token::Token;
@@ -19,15 +19,15 @@
 #[test]
 fn a_read_is_answered_as_the_server_answered_it() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
     // The first query comes right behind the startup.
-    let mut client = Peer::connect(stage.address);
+    let mut client = Peer::connect(test_proxy.address);
     client.write(&leverproxy::protocol::postgres::server::startup_packet(
         "app", "shop",
     ));
-    client.ask(&read(1, "any", 19000));
+    client.ask(&read_statement(1, "any", 19000));
     assert_eq!(client.reply(), Reply::default(), "the welcome");
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     let passed = upstream.query();
     let wait = passed
         .split(",d=")
@@ -40,7 +40,7 @@
     );
     assert_eq!(
         passed.replacen(&format!(",d={wait}"), ",d=19000", 1),
-        read(1, "any", 19000)
+        read_statement(1, "any", 19000)
     );
     upstream.answer(
         "\\x9f03",
@@ -63,15 +63,15 @@
 #[test]
 fn the_largest_values_pass_unchanged() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
     let digits = "9f".repeat(64 << 10);
     let insert = |wait| {
         let comment = format!("/* id=1,c=any,t=acme,d={wait},cluster=3 */");
         format!("INSERT INTO items (id, doc) VALUES ('7f', '\\x{digits}') RETURNING doc {comment}")
     };
     client.ask(&insert("19000"));
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     let passed = upstream.query();
     let wait = passed
         .rsplit(",d=")
@@ -94,12 +94,12 @@
 #[test]
 fn pipelined_queries_are_answered_in_order() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
     // The second is not understood and is answered while the first is still out.
-    client.ask(&read(1, "any", 19000));
-    client.ask(&read(2, "unheard-of", 19000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 19000));
+    client.ask(&read_statement(2, "unheard-of", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("first", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("first"));
@@ -107,21 +107,21 @@
 }
 
 /// A client's write that has reached the primary, on the connection that the probe before it opened.
-fn write_in_flight(server: &Listener) -> (Stage, Peer, Peer) {
-    let stage = Stage::new(&[("s-1", server)]);
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "book", 19000));
-    let mut upstream = server.welcome();
+fn write_in_flight(server: &Listener) -> (TestProxy, Peer, Peer) {
+    let test_proxy = TestProxy::new(&[("s-1", server)]);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "book", 19000));
+    let mut upstream = server.accept_session();
     upstream.report_primary();
     upstream.query();
-    (stage, client, upstream)
+    (test_proxy, client, upstream)
 }
 
 /// A server's connection breaks after the last byte of a write. The write may have run: it fails, and is not sent again.
 #[test]
 fn a_write_that_may_have_run_is_not_retried() {
     let server = Listener::new();
-    let (_stage, mut client, upstream) = write_in_flight(&server);
+    let (_test_proxy, mut client, upstream) = write_in_flight(&server);
     drop(upstream);
     assert_eq!(
         client.reply(),
@@ -130,19 +130,19 @@
             ..Reply::default()
         }
     );
-    assert!(server.left_alone(Duration::from_millis(100)));
+    assert!(server.no_connection_within(Duration::from_millis(100)));
 }
 
 /// A server has closed a pooled connection. That is noticed before a write goes out on it.
 #[test]
 fn a_write_does_not_go_out_on_a_stale_connection() {
     let server = Listener::new();
-    let (_stage, mut client, mut upstream) = write_in_flight(&server);
+    let (_test_proxy, mut client, mut upstream) = write_in_flight(&server);
     upstream.answer("one", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
-    upstream.leave();
-    client.ask(&read(2, "book", 19000));
-    let mut upstream = server.welcome();
+    upstream.close_and_wait();
+    client.ask(&read_statement(2, "book", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("two", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("two"));
@@ -153,14 +153,14 @@
 #[test]
 fn a_rejected_connection_proves_that_nothing_ran() {
     let server = Listener::new();
-    let (_stage, mut client, mut upstream) = write_in_flight(&server);
+    let (_test_proxy, mut client, mut upstream) = write_in_flight(&server);
     upstream.answer("one", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     // The second write has to dial.
-    upstream.leave();
-    client.ask(&read(2, "book", 19000));
+    upstream.close_and_wait();
+    client.ask(&read_statement(2, "book", 19000));
     server.accept().error("XX000");
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("two", &[("role", "primary")]);
     assert_eq!(client.reply().value.as_deref(), Some("two"));
@@ -170,19 +170,19 @@
 #[test]
 fn a_drain_cancels_attempts_that_are_not_written_yet() {
     let (first, second) = (Listener::new(), Listener::new());
-    let mut stage = Stage::new(&[("s-1", &first)]);
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
+    let mut test_proxy = TestProxy::new(&[("s-1", &first)]);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
     // Accepted but not welcomed: the query waits.
     let mut dialled = first.accept();
-    stage.watch.tell(
+    test_proxy.watch.send_list(
         42,
         &[
-            first.listed("s-1", "Terminating"),
-            second.listed("s-2", "Ready"),
+            first.endpoint_entry("s-1", "Terminating"),
+            second.endpoint_entry("s-2", "Ready"),
         ],
     );
-    let mut upstream = second.welcome();
+    let mut upstream = second.accept_session();
     upstream.query();
     upstream.answer("moved", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("moved"));
@@ -194,20 +194,22 @@
 #[test]
 fn a_silent_watch_is_replaced() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[], |config| {
+    let mut test_proxy = TestProxy::with_config(&[], |config| {
         config.max_watch_silence = Duration::from_millis(1_500)
     });
-    stage.watch.tell(57, &[server.listed("s-1", "Ready")]);
-    let mut again = stage.discovery.accept();
+    test_proxy
+        .watch
+        .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
+    let mut again = test_proxy.discovery.accept();
     assert_eq!(
-        again.watch(),
+        again.accept_watch(),
         "GET /catalog/members?watch=1&after=57 HTTP/1.1"
     );
-    assert!(stage.watch.ended());
+    assert!(test_proxy.watch.ended());
     // What is no list breaks the watch too, and the proxy lives on.
     again.write(b"5\r\n{\"in\n\r\n");
     assert!(again.ended());
-    stage.discovery.accept().watch();
+    test_proxy.discovery.accept().accept_watch();
 }
 
 /// Discovery sends a list that is indented over many lines: it is applied. It sends one that comes byte by byte without end:
@@ -215,29 +217,29 @@
 #[test]
 fn an_indented_list_is_applied_and_an_endless_one_is_replaced() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[], |config| {
+    let mut test_proxy = TestProxy::with_config(&[], |config| {
         config.max_watch_silence = Duration::from_millis(1_500)
     });
     let list = format!(
         "{{\n  \"index\": 58,\n\n  \"endpoints\": [\n    {}\n  ]\n}}\n",
-        server.listed("s-1", "Ready")
+        server.endpoint_entry("s-1", "Ready")
     );
     for part in [&list[..20], &list[20..]] {
-        stage
+        test_proxy
             .watch
             .write(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
     }
-    let mut client = Peer::client(stage.address);
-    common::served(&mut client, &server, 1, "listed");
+    let mut client = Peer::client(test_proxy.address);
+    common::serve_request(&mut client, &server, 1, "listed");
     // A blank in the middle of an object, again and again, is no sign of life.
-    let mut trickle = stage.watch.stream.try_clone().unwrap();
+    let mut trickle = test_proxy.watch.stream.try_clone().unwrap();
     thread::spawn(move || {
         while trickle.write_all(b"2\r\n{ \r\n1\r\n \r\n").is_ok() {
             thread::sleep(Duration::from_millis(100));
         }
     });
     assert_eq!(
-        stage.discovery.accept().watch(),
+        test_proxy.discovery.accept().accept_watch(),
         "GET /catalog/members?watch=1&after=58 HTTP/1.1"
     );
 }
@@ -248,18 +250,18 @@
 fn a_pushed_list_is_watched_from_the_start() {
     let server = Listener::new();
     let pushed = |config: &mut Config| config.platform.settings.endpoints_are_polled = false;
-    let mut stage = Stage::with(&[], pushed);
-    stage.watch.stream.shutdown(Shutdown::Both).unwrap();
-    let mut again = stage.discovery.accept();
+    let mut test_proxy = TestProxy::with_config(&[], pushed);
+    test_proxy.watch.stream.shutdown(Shutdown::Both).unwrap();
+    let mut again = test_proxy.discovery.accept();
     assert_eq!(
-        again.watch(),
+        again.accept_watch(),
         "GET /catalog/members?watch=1&after=41 HTTP/1.1"
     );
-    again.tell(57, &[server.listed("s-1", "Ready")]);
+    again.send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
     again.stream.shutdown(Shutdown::Both).unwrap();
-    stage.watch = stage.discovery.accept();
+    test_proxy.watch = test_proxy.discovery.accept();
     assert_eq!(
-        stage.watch.watch(),
+        test_proxy.watch.accept_watch(),
         "GET /catalog/members?watch=1&after=57 HTTP/1.1"
     );
 }
@@ -269,18 +271,18 @@
 #[test]
 fn an_invalid_answer_reaches_no_client() {
     let server = Listener::new();
-    let (_stage, mut client, mut upstream) = write_in_flight(&server);
+    let (_test_proxy, mut client, mut upstream) = write_in_flight(&server);
     upstream.write(b"D\0\0\0\x0dnoise");
     assert!(upstream.ended());
     assert_eq!(client.reply().code.as_deref(), Some("08007"));
-    client.ask(&read(2, "any", 19000));
+    client.ask(&read_statement(2, "any", 19000));
     for spoilt in [b"T\0\0\0".to_vec(), answer("another", &[]).split_off(30)] {
-        let mut upstream = server.welcome();
+        let mut upstream = server.accept_session();
         upstream.query();
         upstream.write(&spoilt);
         assert!(upstream.ended());
     }
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("good", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("good"));
@@ -291,11 +293,11 @@
 #[test]
 fn a_connection_with_bytes_behind_its_answer_is_not_used_again() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
     for (id, more) in [(1, answer("one", &[])), (2, b"noise".to_vec())] {
-        client.ask(&read(id, "any", 19000));
-        let mut upstream = server.welcome();
+        client.ask(&read_statement(id, "any", 19000));
+        let mut upstream = server.accept_session();
         upstream.query();
         upstream.write(&[answer("good", &[]), more].concat());
         assert_eq!(client.reply().value.as_deref(), Some("good"));
@@ -307,16 +309,16 @@
 #[test]
 fn a_silent_server_does_not_hold_its_client_past_the_deadline() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
     let asked = Instant::now();
-    client.ask(&read(1, "any", 300));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 300));
+    let mut upstream = server.accept_session();
     upstream.query();
     let reply = client.reply();
     assert_eq!(reply.code.as_deref(), Some("53300"));
     assert!(reply.detail.unwrap().parse::<u32>().unwrap() > 0);
-    assert!(asked.elapsed() < PATIENCE);
+    assert!(asked.elapsed() < TEST_TIMEOUT);
     assert!(upstream.ended(), "a time-out closes the connection");
 }
 
@@ -324,27 +326,29 @@
 #[test]
 fn malformed_input_is_answered_with_an_error() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
     for startup in [
         &[0, 0, 0, 4, 0, 0, 0, 0][..],
         &[0xff; 8],
         &[0, 0, 0, 9, 0, 3, 0, 0, 0],
     ] {
-        let mut client = Peer::connect(stage.address);
+        let mut client = Peer::connect(test_proxy.address);
         client.write(startup);
         assert_eq!(client.reply().code.as_deref(), Some("08P01"), "{startup:?}");
         assert!(client.ended());
     }
-    let mut client = Peer::client(stage.address);
-    let no_number = read(1, "any", 300).replace("cluster=3", "cluster=x");
+    let mut client = Peer::client(test_proxy.address);
+    let no_number = read_statement(1, "any", 300).replace("cluster=3", "cluster=x");
     let mut bad = vec![
-        read(1, "unheard-of", 300),
+        read_statement(1, "unheard-of", 300),
         "SELECT 1".into(),
         no_number,
         "SELECT 1 /* id=1".into(),
     ];
-    bad.extend(["d=soon", "d=-5", "d="].map(|d| read(1, "any", 300).replace("d=300", d)));
-    bad.extend(["", "id=,"].map(|id| read(1, "any", 300).replace("id=0000000000000001,", id)));
+    bad.extend(["d=soon", "d=-5", "d="].map(|d| read_statement(1, "any", 300).replace("d=300", d)));
+    bad.extend(
+        ["", "id=,"].map(|id| read_statement(1, "any", 300).replace("id=0000000000000001,", id)),
+    );
     for query in bad {
         client.ask(&query);
         assert_eq!(client.reply().code.as_deref(), Some("42601"), "{query}");
@@ -363,24 +367,24 @@
 #[test]
 fn clients_without_a_complete_request_are_rejected() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut usual = Peer::client(stage.address);
-    usual.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut usual = Peer::client(test_proxy.address);
+    usual.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("one", &[]);
     assert_eq!(usual.reply().value.as_deref(), Some("one"));
-    let mut quiet = Peer::connect(stage.address);
-    let mut slow = Peer::connect(stage.address);
+    let mut quiet = Peer::connect(test_proxy.address);
+    let mut slow = Peer::connect(test_proxy.address);
     slow.write(&[0, 0, 0, 40, 0, 3]);
-    let mut greeted = Peer::client(stage.address);
-    let mut half = Peer::client(stage.address);
+    let mut greeted = Peer::client(test_proxy.address);
+    let mut half = Peer::client(test_proxy.address);
     half.write(&[b'Q', 0, 0, 1, 0, b'S']);
     for client in [&mut quiet, &mut slow, &mut greeted, &mut half] {
         assert_eq!(client.reply().code.as_deref(), Some("08P01"));
         assert!(client.ended());
     }
-    usual.ask(&read(2, "any", 19000));
+    usual.ask(&read_statement(2, "any", 19000));
     upstream.query();
     upstream.answer("two", &[]);
     assert_eq!(usual.reply().value.as_deref(), Some("two"));
@@ -392,21 +396,21 @@
 fn clients_that_send_one_request_and_stay_are_closed_among_many() {
     let server = Listener::new();
     for (crowded, packed) in [(1, 100), (100, 1)] {
-        let stage = Stage::with(&[("s-1", &server)], |config| {
+        let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
             (config.limits.crowded, config.limits.packed) = (crowded, packed);
         });
-        let mut clients: Vec<Peer> = (0..3).map(|_| Peer::client(stage.address)).collect();
+        let mut clients: Vec<Peer> = (0..3).map(|_| Peer::client(test_proxy.address)).collect();
         let mut upstream = None;
         for (id, client) in (1..).zip(&mut clients) {
-            client.ask(&read(id, "any", 19000));
-            let upstream = upstream.get_or_insert_with(|| server.welcome());
+            client.ask(&read_statement(id, "any", 19000));
+            let upstream = upstream.get_or_insert_with(|| server.accept_session());
             upstream.query();
             upstream.answer("once", &[]);
             assert_eq!(client.reply().value.as_deref(), Some("once"));
         }
         let mut usual = clients.pop().unwrap();
         for id in 4..6 {
-            usual.ask(&read(id, "any", 19000));
+            usual.ask(&read_statement(id, "any", 19000));
             upstream.as_mut().unwrap().query();
             upstream.as_mut().unwrap().answer("again", &[]);
             assert_eq!(usual.reply().value.as_deref(), Some("again"));
@@ -421,8 +425,8 @@
 /// on its way: the proxy reads and discards them first.
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
-    let stage = Stage::new(&[]);
-    let mut client = Peer::client(stage.address);
+    let test_proxy = TestProxy::new(&[]);
+    let mut client = Peer::client(test_proxy.address);
     client.write(&[&[b'Q', 3, 0x93, 0x87, 0][..], &[b'x'; 600_000]].concat());
     assert_eq!(client.reply().code.as_deref(), Some("08P01"));
     client.write(&[b'x'; 1000]);
@@ -433,9 +437,9 @@
 /// rejected.
 #[test]
 fn incomplete_commands_together_stay_within_the_memory() {
-    let stage = Stage::with(&[], |config| config.limits.unfinished = 200_000);
+    let test_proxy = TestProxy::with_config(&[], |config| config.limits.unfinished = 200_000);
     let begin = [&[b'Q', 0, 1, 0xfb, 0xd0][..], &[b'x'; 120_000]].concat();
-    let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
+    let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(test_proxy.address)).collect();
     for client in &mut clients {
         client.write(&begin);
     }
@@ -451,17 +455,18 @@
 #[test]
 fn a_crowd_of_silent_clients_does_not_block_others() {
     let server = Listener::new();
-    let stage = Stage::with(&[("s-1", &server)], |config| config.limits.clients = 8);
-    let mut usual = Peer::client(stage.address);
-    usual.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let test_proxy =
+        TestProxy::with_config(&[("s-1", &server)], |config| config.limits.clients = 8);
+    let mut usual = Peer::client(test_proxy.address);
+    usual.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("one", &[]);
     assert_eq!(usual.reply().value.as_deref(), Some("one"));
-    let _crowd: Vec<Peer> = (0..40).map(|_| Peer::connect(stage.address)).collect();
-    let mut newcomer = Peer::client(stage.address);
+    let _crowd: Vec<Peer> = (0..40).map(|_| Peer::connect(test_proxy.address)).collect();
+    let mut newcomer = Peer::client(test_proxy.address);
     for (id, client) in [(2, &mut newcomer), (3, &mut usual)] {
-        client.ask(&read(id, "any", 19000));
+        client.ask(&read_statement(id, "any", 19000));
         upstream.query();
         upstream.answer("more", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("more"));
@@ -473,17 +478,20 @@
 #[test]
 fn a_request_with_the_id_of_another_is_rejected() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut first, mut second) = (Peer::client(stage.address), Peer::client(stage.address));
-    first.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut first, mut second) = (
+        Peer::client(test_proxy.address),
+        Peer::client(test_proxy.address),
+    );
+    first.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    second.ask(&read(1, "any", 19000));
+    second.ask(&read_statement(1, "any", 19000));
     assert_eq!(second.reply().code.as_deref(), Some("42601"));
     upstream.answer("one", &[]);
     assert_eq!(first.reply().value.as_deref(), Some("one"));
     // Nor is it accepted once the first has been answered.
-    second.ask(&read(1, "any", 19000));
+    second.ask(&read_statement(1, "any", 19000));
     assert_eq!(second.reply().code.as_deref(), Some("42601"));
     assert!(server.try_accept().is_none(), "nothing more was sent");
 }
@@ -492,18 +500,18 @@
 #[test]
 fn a_stop_answers_the_requests_that_have_come() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[("s-1", &server)], |config| {
+    let mut test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
         (config.accept_after_stop, config.shutdown_timeout) =
-            (Duration::from_secs(2), 3 * PATIENCE);
+            (Duration::from_secs(2), 3 * TEST_TIMEOUT);
     });
-    let mut idle = Peer::client(stage.address);
-    let mut busy = Peer::client(stage.address);
-    busy.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let mut idle = Peer::client(test_proxy.address);
+    let mut busy = Peer::client(test_proxy.address);
+    busy.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    stage.control.stop();
-    let mut late = Peer::client(stage.address);
-    late.ask(&read(2, "any", 19000));
+    test_proxy.control.stop();
+    let mut late = Peer::client(test_proxy.address);
+    late.ask(&read_statement(2, "any", 19000));
     assert!(
         idle.ended(),
         "closed between requests, once new connections have stopped coming"
@@ -515,7 +523,7 @@
     upstream.answer("late", &[]);
     assert_eq!(late.reply().value.as_deref(), Some("late"));
     assert!(busy.ended() && late.ended());
-    stage.end();
+    test_proxy.end();
 }
 
 /// The platform kills a process that does not end in time. Before that the proxy answers the requests that are still open. One
@@ -523,44 +531,45 @@
 #[test]
 fn a_stop_answers_every_open_request_before_the_deadline() {
     let server = Listener::new();
-    let mut stage = Stage::with(&[("s-1", &server)], |config| {
+    let mut test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
         config.shutdown_timeout = Duration::from_secs(1)
     });
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     // The primary is not known: this one is queued.
-    let mut untried = Peer::client(stage.address);
-    untried.ask(&read(2, "book", 19000));
-    let _probed = server.welcome();
-    stage.control.stop();
+    let mut untried = Peer::client(test_proxy.address);
+    untried.ask(&read_statement(2, "book", 19000));
+    let _probed = server.accept_session();
+    test_proxy.control.stop();
     assert_eq!(client.reply().code.as_deref(), Some("08007"));
     assert_eq!(
         untried.reply().code.as_deref(),
         Some("53300"),
         "nothing of it ran: another proxy may serve it"
     );
-    stage.end();
+    test_proxy.end();
 }
 
 /// The proxy is at its limit of clients. A client leaves, and the next one gets its place. An idle client gives way as well.
 #[test]
 fn a_client_at_the_limit_is_accepted_once_another_leaves() {
     let server = Listener::new();
-    let stage = Stage::with(&[("s-1", &server)], |config| config.limits.clients = 1);
-    let mut first = Peer::client(stage.address);
-    first.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let test_proxy =
+        TestProxy::with_config(&[("s-1", &server)], |config| config.limits.clients = 1);
+    let mut first = Peer::client(test_proxy.address);
+    first.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    let mut second = Peer::connect(stage.address);
+    let mut second = Peer::connect(test_proxy.address);
     second.write(&leverproxy::protocol::postgres::server::startup_packet(
         "app", "shop",
     ));
     drop(first);
     assert_eq!(second.reply(), Reply::default());
     // An idle connection gives way to one that waits.
-    let _third = Peer::client(stage.address);
+    let _third = Peer::client(test_proxy.address);
     assert!(second.ended());
 }
 
@@ -571,12 +580,12 @@
     let server = Listener::new();
     let reactor = Reactor::new().unwrap();
     let now = Instant::now();
-    let mut upstream = Upstream::new(100, PATIENCE, PATIENCE);
+    let mut upstream = Upstream::new(100, TEST_TIMEOUT, TEST_TIMEOUT);
     upstream.add_server(ServerId(1), server.address);
     let exchanges = 40;
     for no in 0..exchanges {
         let purpose = Purpose::Attempt(RequestId(no), AttemptNumber(0));
-        let (query, until) = (UpstreamQuery::Load, now + PATIENCE);
+        let (query, until) = (UpstreamQuery::Load, now + TEST_TIMEOUT);
         let (class, group, begin_by) = (None, None, until);
         let exchange = Exchange {
             purpose,
@@ -624,7 +633,7 @@
             done += 1;
         }
         assert!(
-            now.elapsed() < PATIENCE,
+            now.elapsed() < TEST_TIMEOUT,
             "{done} of {exchanges} done after {} dials",
             upstream.dials
         );
@@ -638,7 +647,9 @@
     let mut program = Program::start("");
     for signal in [Signal::USR1, Signal::TERM] {
         program.signal(signal);
-        assert!(program.line("class book: taken 0").contains("answered"));
+        assert!(program
+            .wait_for_log_line("class book: taken 0")
+            .contains("answered"));
     }
     assert!(program.child.wait().unwrap().success());
 }
@@ -649,33 +660,35 @@
 fn a_reload_moves_the_watch_and_keeps_requests() {
     let (server, elsewhere) = (Listener::new(), Listener::new());
     let mut program = Program::start("");
-    program.watch.tell(57, &[server.listed("s-1", "Ready")]);
+    program
+        .watch
+        .send_list(57, &[server.endpoint_entry("s-1", "Ready")]);
     let mut client = Peer::client(program.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     program.reload(r#""discovery":"nowhere","#);
-    program.line("configuration: discovery: ");
+    program.wait_for_log_line("configuration: discovery: ");
     program.reload(&format!(r#""discovery":"{}","#, elsewhere.address));
     let mut watch = elsewhere.accept();
     assert_eq!(
-        watch.watch(),
+        watch.accept_watch(),
         "GET /catalog/members?watch=1&after=57 HTTP/1.1"
     );
     // Still connected: what it sends still counts.
     let later = Listener::new();
-    program.watch.tell(
+    program.watch.send_list(
         58,
         &[
-            server.listed("s-1", "Terminating"),
-            later.listed("s-2", "Ready"),
+            server.endpoint_entry("s-1", "Terminating"),
+            later.endpoint_entry("s-2", "Ready"),
         ],
     );
     let mut second = Peer::client(program.address);
-    second.ask(&read(2, "any", 19000));
-    let mut moved = later.welcome();
+    second.ask(&read_statement(2, "any", 19000));
+    let mut moved = later.accept_session();
     moved.query();
-    watch.tell(58, &[]);
+    watch.send_list(58, &[]);
     assert!(program.watch.ended());
     moved.answer("two", &[]);
     assert_eq!(second.reply().value.as_deref(), Some("two"));
@@ -693,7 +706,7 @@
 fn the_program_recovers_from_running_out_of_descriptors() {
     let mut program = Program::start("ulimit -n 24;");
     let mut crowd: Vec<Peer> = (0..30).map(|_| Peer::connect(program.address)).collect();
-    program.line("no descriptor left");
+    program.wait_for_log_line("no descriptor left");
     crowd.clear();
     Peer::client(program.address);
     program.signal(Signal::TERM);
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -1,7 +1,7 @@
 //! Answers that are too large to be buffered, through a real proxy and through its clients' side alone.
 
 mod common;
-use common::{answer, read, Listener, Peer, Reply, Stage};
+use common::{answer, read_statement, Listener, Peer, Reply, TestProxy};
 use leverproxy::downstream::{Downstream, Event};
 use leverproxy::event_loop::reactor::Reactor;
 use leverproxy::event_loop::token::Token;
@@ -16,10 +16,10 @@
         .collect()
 }
 
-fn asked(server: &Listener, stage: &Stage) -> (Peer, Peer) {
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+fn request_in_flight(server: &Listener, test_proxy: &TestProxy) -> (Peer, Peer) {
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     (client, upstream)
 }
@@ -29,8 +29,8 @@
 #[test]
 fn a_large_answer_passes_unchanged_in_chunks_cut_anywhere() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut client, mut upstream) = asked(&server, &stage);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut client, mut upstream) = request_in_flight(&server, &test_proxy);
     let value = value(4 << 20);
     let bytes = answer(&value, &[("role", "replica")]);
     let writing = std::thread::spawn(move || {
@@ -49,7 +49,7 @@
     assert!(client.reply().value == Some(value));
     // The connection is good for another request.
     let mut upstream = writing.join().unwrap();
-    client.ask(&read(2, "any", 19000));
+    client.ask(&read_statement(2, "any", 19000));
     upstream.query();
     upstream.answer("small", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("small"));
@@ -60,20 +60,22 @@
 #[test]
 fn an_answer_that_has_begun_is_not_retried_on_another_server() {
     let (server, other) = (Listener::new(), Listener::new());
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut client, mut upstream) = asked(&server, &stage);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut client, mut upstream) = request_in_flight(&server, &test_proxy);
     let bytes = answer(&value(1 << 20), &[]);
     upstream.write(&bytes[..200 << 10]);
     assert_eq!(client.message().unwrap().0, b'T');
     // Another could serve it now.
-    let mut stage = stage;
-    stage.watch.tell(42, &[other.listed("s-2", "Ready")]);
+    let mut test_proxy = test_proxy;
+    test_proxy
+        .watch
+        .send_list(42, &[other.endpoint_entry("s-2", "Ready")]);
     drop(upstream);
     assert!(
         client.message().is_err(),
         "the client can tell that the row is incomplete"
     );
-    assert!(server.left_alone(Duration::from_millis(50)) && other.try_accept().is_none());
+    assert!(server.no_connection_within(Duration::from_millis(50)) && other.try_accept().is_none());
 }
 
 /// A server writes the start of a large answer, and then nothing more, without closing its connection. At the request's
@@ -81,10 +83,10 @@
 #[test]
 fn a_server_that_stalls_midway_holds_its_client_until_the_deadline() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 1_500));
-    let mut upstream = server.welcome();
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 1_500));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.write(&answer(&value(1 << 20), &[])[..200 << 10]);
     assert_eq!(client.message().unwrap().0, b'T');
@@ -94,8 +96,8 @@
     );
     assert!(upstream.ended());
     // The proxy serves on.
-    drop(common::served(
-        &mut Peer::client(stage.address),
+    drop(common::serve_request(
+        &mut Peer::client(test_proxy.address),
         &server,
         2,
         "small",
@@ -106,8 +108,8 @@
 #[test]
 fn a_client_that_leaves_midway_ends_the_exchange() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut client, mut upstream) = asked(&server, &stage);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut client, mut upstream) = request_in_flight(&server, &test_proxy);
     upstream.write(&answer(&value(1 << 20), &[])[..200 << 10]);
     assert_eq!(client.message().unwrap().0, b'T');
     drop(client);
@@ -122,12 +124,14 @@
     let admin = |config: &mut leverproxy::config::Config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap())
     };
-    let mut stage = Stage::with(&[("s-1", &server)], admin);
-    let (mut client, mut first) = asked(&server, &stage);
-    stage.watch.tell(42, &[other.listed("s-2", "Ready")]);
-    common::until(stage.admin.unwrap(), "lb_record_servers_known 2");
-    client.ask(&read(2, "any", 19000));
-    let mut second = other.welcome();
+    let mut test_proxy = TestProxy::with_config(&[("s-1", &server)], admin);
+    let (mut client, mut first) = request_in_flight(&server, &test_proxy);
+    test_proxy
+        .watch
+        .send_list(42, &[other.endpoint_entry("s-2", "Ready")]);
+    common::wait_for_metric(test_proxy.admin.unwrap(), "lb_record_servers_known 2");
+    client.ask(&read_statement(2, "any", 19000));
+    let mut second = other.accept_session();
     second.query();
     let large = value(200 << 10);
     second.answer(&large, &[]);
@@ -141,13 +145,13 @@
 #[test]
 fn small_requests_pass_beside_large_answers_that_are_held_back() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
     let bytes = std::sync::Arc::new(answer(&value(4 << 20), &[]));
     let held: Vec<Peer> = (0..12)
         .map(|id| {
-            let mut client = Peer::client(stage.address);
-            client.ask(&read(id, "any", 19000));
-            let mut upstream = server.welcome();
+            let mut client = Peer::client(test_proxy.address);
+            client.ask(&read_statement(id, "any", 19000));
+            let mut upstream = server.accept_session();
             upstream.query();
             let bytes = bytes.clone();
             std::thread::spawn(move || upstream.stream.write_all(&bytes));
@@ -157,8 +161,8 @@
         })
         .collect();
     for id in 100..110 {
-        drop(common::served(
-            &mut Peer::client(stage.address),
+        drop(common::serve_request(
+            &mut Peer::client(test_proxy.address),
             &server,
             id,
             "small",
@@ -172,8 +176,8 @@
 #[test]
 fn a_row_with_an_impossible_length_fails_only_its_attempt() {
     let server = Listener::new();
-    let stage = Stage::new(&[("s-1", &server)]);
-    let (mut client, mut upstream) = asked(&server, &stage);
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    let (mut client, mut upstream) = request_in_flight(&server, &test_proxy);
     let mut lie = answer("", &[]);
     let row = lie.iter().rposition(|b| *b == b'D').unwrap();
     lie.truncate(row + 1);
@@ -183,7 +187,7 @@
     lie.extend((length - 10).to_be_bytes());
     upstream.write(&lie);
     // It is probed before it gets the request again.
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     upstream.report_primary();
     upstream.query();
     upstream.answer("sound", &[]);
@@ -201,12 +205,12 @@
 #[test]
 fn slow_readers_are_held_back_and_their_sum_is_bounded() {
     const CLIENTS: usize = 20;
-    let stage = Stage::new(&[]);
+    let test_proxy = TestProxy::new(&[]);
     let (now, reactor) = (Instant::now(), Reactor::new().unwrap());
     let config = leverproxy::config::parse(
         format!(
             r#"{{"listen":"127.0.0.1:0","discovery":"{}","settings":{}}}"#,
-            stage.address,
+            test_proxy.address,
             common::SETTINGS
         )
         .as_bytes(),
@@ -231,7 +235,7 @@
             client.write(&leverproxy::protocol::postgres::server::startup_packet(
                 "app", "shop",
             ));
-            client.ask(&read(id, "any", 19000));
+            client.ask(&read_statement(id, "any", 19000));
             client
         })
         .collect();
--- a/crates/leverproxy/tests/links.rs
+++ b/crates/leverproxy/tests/links.rs
@@ -1,7 +1,7 @@
 //! A building that nothing comes from: told as a cut link while the list holds its servers, and as up again on a word.
 
 mod common;
-use common::{read, Listener, Peer, Stage, PATIENCE};
+use common::{read_statement, Listener, Peer, TestProxy, TEST_TIMEOUT};
 use rustix::net::{self, AddressFamily, SocketType};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -33,7 +33,7 @@
         }
     }
 
-    fn listed(&self, name: &str) -> String {
+    fn endpoint_entry(&self, name: &str) -> String {
         format!(
             r#"{{"name":"{name}","address":"{}","zone":"far","type":"m","group":3,"status":"Ready","since_ms":0}}"#,
             self.address
@@ -41,7 +41,7 @@
     }
 
     /// Takes connections from now on, and says no more than that.
-    fn recover(self) {
+    fn accept_connections(self) {
         thread::spawn(move || {
             let mut held = Vec::new();
             while let Ok((stream, _)) = self.listener.accept() {
@@ -51,9 +51,9 @@
     }
 }
 
-fn detail(address: SocketAddr) -> String {
+fn readiness_report(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
         .write_all(b"GET /readyz?format=json HTTP/1.1\r\nConnection: close\r\n\r\n")
         .unwrap();
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn a_cut_link_is_told_until_a_word_comes() {
+fn an_unreachable_zone_is_reported_cut_until_it_responds() {
     let near = Listener::new();
-    let mut stage = Stage::under(
+    let mut test_proxy = TestProxy::with_operators_file(
         &[("s-1", &near)],
         "health web {\n address 127.0.0.1:0\n}\navailability {\n silence 50ms\n list-late 500ms\n}\n",
     );
@@ -81,43 +81,44 @@
         });
     });
     let far = [Unreachable::new(), Unreachable::new()];
-    stage
-        .watch
-        .tell(42, &[far[0].listed("s-2"), far[1].listed("s-3")]);
-    let web = stage.health[0];
+    test_proxy.watch.send_list(
+        42,
+        &[far[0].endpoint_entry("s-2"), far[1].endpoint_entry("s-3")],
+    );
+    let web = test_proxy.health[0];
     let start = Instant::now();
-    while !detail(web).contains("a place without a name") {
-        assert!(start.elapsed() < PATIENCE, "the list is heard");
+    while !readiness_report(web).contains("a place without a name") {
+        assert!(start.elapsed() < TEST_TIMEOUT, "the list is heard");
     }
-    let mut clients: Vec<Peer> = (0..40).map(|_| Peer::client(stage.address)).collect();
+    let mut clients: Vec<Peer> = (0..40).map(|_| Peer::client(test_proxy.address)).collect();
     let mut id = 0;
-    let mut step = |stage: &mut Stage, wanted: &str| {
+    let mut step = |test_proxy: &mut TestProxy, wanted: &str| {
         let start = Instant::now();
         loop {
             // No client has more commands open than the proxy takes.
             if id < 600 {
                 for client in &mut clients {
                     id += 1;
-                    client.ask(&read(id, "any", 19_000));
+                    client.ask(&read_statement(id, "any", 19_000));
                 }
             }
             // Nothing has changed, says discovery.
-            stage.watch.write(b"1\r\n\n\r\n");
-            let text = detail(web);
+            test_proxy.watch.write(b"1\r\n\n\r\n");
+            let text = readiness_report(web);
             if text.contains(wanted) {
                 return text;
             }
-            assert!(start.elapsed() < 2 * PATIENCE, "{wanted}: {text}");
+            assert!(start.elapsed() < 2 * TEST_TIMEOUT, "{wanted}: {text}");
             thread::yield_now();
         }
     };
-    let text = step(&mut stage, r#""a place without a name":"cut""#);
+    let text = step(&mut test_proxy, r#""a place without a name":"cut""#);
     assert!(text.starts_with("HTTP/1.1 200 OK"), "it serves: {text}");
     assert!(text.contains(r#""a":"up""#), "{text}");
     assert!(
         text.contains(r#""reason":"the link to a place without a name is cut""#),
         "{text}"
     );
-    far.into_iter().for_each(Unreachable::recover);
-    step(&mut stage, r#""a place without a name":"up""#);
+    far.into_iter().for_each(Unreachable::accept_connections);
+    step(&mut test_proxy, r#""a place without a name":"up""#);
 }
--- a/crates/leverproxy/tests/names.rs
+++ b/crates/leverproxy/tests/names.rs
@@ -1,7 +1,7 @@
 //! Names pass as the platform's file writes them: nothing in the program knows any by itself.
 
 mod common;
-use common::{get, read, Listener, Peer, Reply};
+use common::{get, read_statement, Listener, Peer, Reply};
 use leverproxy::config;
 use leverproxy::proxy::Proxy;
 use serde_json::json;
@@ -19,7 +19,7 @@
 ];
 
 /// Every class is served by its own name for a tenant of that name, and one that no file names is not known.
-fn plays(tenants: &[&str], tenant: &str, stranger: bool) {
+fn assert_names_are_served(tenants: &[&str], tenant: &str, unlisted_tenant_rejected: bool) {
     let discovery = Listener::new();
     let server = Listener::new();
     let classes: Vec<_> = CLASSES
@@ -46,16 +46,16 @@
         proxy.admin_address().unwrap(),
     );
     let running = thread::spawn(move || proxy.run());
-    discovery.accept().watch();
+    discovery.accept().accept_watch();
     let mut client = Peer::client(address);
     let ask = |id, class: &str, tenant: &str| {
-        read(id, class, 19_000).replace("t=acme", &format!("t={tenant}"))
+        read_statement(id, class, 19_000).replace("t=acme", &format!("t={tenant}"))
     };
     let mut upstream = None;
     for (id, class) in (1..).zip(CLASSES) {
         let query = ask(id, class, tenant);
         client.ask(&query);
-        let upstream = upstream.get_or_insert_with(|| server.welcome());
+        let upstream = upstream.get_or_insert_with(|| server.accept_session());
         assert_eq!(
             upstream.query().split(",d=").next(),
             query.split(",d=").next()
@@ -76,7 +76,7 @@
     for (id, class) in (90..).zip(["rid", "ride-", "RIDE", ""]) {
         unknown(&mut client, &ask(id, class, tenant));
     }
-    if stranger {
+    if unlisted_tenant_rejected {
         unknown(&mut client, &ask(99, "ride", "nobody's"));
     }
     let text = get(admin, "/api/telemetry").1;
@@ -90,14 +90,14 @@
 }
 
 #[test]
-fn odd_names_serve_as_any_others() {
+fn unusual_names_are_accepted() {
     let tenants = ["ride", "", "ते; DROP TABLE", "ride-2"];
-    plays(&tenants, tenants[2], true);
-    plays(&tenants, "ride", true);
+    assert_names_are_served(&tenants, tenants[2], true);
+    assert_names_are_served(&tenants, "ride", true);
 }
 
 /// Without tenants in the settings all are one, whatever they call themselves.
 #[test]
 fn no_tenants_are_needed() {
-    plays(&[], "whoever", false);
+    assert_names_are_served(&[], "whoever", false);
 }
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -1,13 +1,13 @@
 //! Stories under an operators' file: what routes, pools and classes do to requests, and how the file is replaced.
 
 mod common;
-use common::{read, Listener, Peer, Program, Scratch, Stage};
+use common::{read_statement, Listener, Peer, Program, TempFile, TestProxy};
 use leverproxy::config;
 use rustix::process::Signal;
 use std::process::{Command, Output};
 use std::time::Duration;
 
-fn waits(query: &str) -> u64 {
+fn time_left(query: &str) -> u64 {
     let rest = query.split(",d=").nth(1).unwrap();
     rest.split(',').next().unwrap().parse().unwrap()
 }
@@ -15,20 +15,20 @@
 #[test]
 fn a_route_rejects_with_the_time_to_retry_after() {
     let server = Listener::new();
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[("s-1", &server)],
         "route inserts {\n class book\n network 127.0.0.0/8\n refuse 1500ms\n}\nroute others {\n network 10.0.0.0/8\n refuse\n}\n",
     );
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "book", 19000));
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "book", 19000));
     let reply = client.reply();
     assert_eq!(
         (reply.code.as_deref(), reply.detail.as_deref()),
         (Some("53300"), Some("1500"))
     );
     // No rule for others: they are served, and the name of the refused may be used again.
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("fine", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("fine"));
@@ -37,15 +37,18 @@
 #[test]
 fn a_pool_bounds_its_requests_and_no_others() {
     let server = Listener::new();
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[("s-1", &server)],
         "pool slow {\n requests 1\n come-back 700ms\n}\nroute slow {\n statement \"SELECT doc\"\n pool slow\n}\n",
     );
-    let (mut first, mut second) = (Peer::client(stage.address), Peer::client(stage.address));
-    first.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let (mut first, mut second) = (
+        Peer::client(test_proxy.address),
+        Peer::client(test_proxy.address),
+    );
+    first.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    second.ask(&read(2, "any", 19000));
+    second.ask(&read_statement(2, "any", 19000));
     let reply = second.reply();
     assert_eq!(
         (reply.code.as_deref(), reply.detail.as_deref()),
@@ -54,7 +57,7 @@
     // A place is free again once the first has its answer.
     upstream.answer("one", &[]);
     assert_eq!(first.reply().value.as_deref(), Some("one"));
-    second.ask(&read(3, "any", 19000));
+    second.ask(&read_statement(3, "any", 19000));
     upstream.query();
     upstream.answer("three", &[]);
     assert_eq!(second.reply().value.as_deref(), Some("three"));
@@ -64,17 +67,17 @@
 #[test]
 fn a_client_that_leaves_frees_its_place_in_the_pool() {
     let server = Listener::new();
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[("s-1", &server)],
         "pool p {\n requests 1\n}\nroute r {\n pool p\n}\n",
     );
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
-    client.leave();
-    let mut other = Peer::client(stage.address);
-    other.ask(&read(2, "any", 19000));
+    client.close_and_wait();
+    let mut other = Peer::client(test_proxy.address);
+    other.ask(&read_statement(2, "any", 19000));
     upstream.answer("too late", &[]);
     let mut next = upstream;
     assert!(next.query().contains("id=0000000000000002"));
@@ -85,24 +88,24 @@
 #[test]
 fn deadlines_are_capped_by_class_and_by_route() {
     let server = Listener::new();
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[("s-1", &server)],
         "class any {\n deadline 9s\n}\nroute r {\n tenant acme\n group 3\n deadline 4s\n}\n",
     );
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = server.welcome();
-    assert!(waits(&upstream.query()) <= 4_000);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = server.accept_session();
+    assert!(time_left(&upstream.query()) <= 4_000);
     upstream.answer("one", &[]);
     client.reply();
-    let other_group = read(2, "any", 19000).replace("cluster=3", "cluster=4");
+    let other_group = read_statement(2, "any", 19000).replace("cluster=3", "cluster=4");
     client.ask(&other_group);
     // There is no such group: what the route does not hold for is refused by the module.
     assert_eq!(client.reply().code.as_deref(), Some("53300"));
 }
 
 /// The first connection to either server, greeted.
-fn first_of(one: &Listener, two: &Listener) -> Peer {
+fn accept_first_session(one: &Listener, two: &Listener) -> Peer {
     loop {
         if let Some(mut peer) = one.try_accept().or_else(|| two.try_accept()) {
             peer.startup();
@@ -116,13 +119,13 @@
 #[test]
 fn a_class_with_one_attempt_is_not_retried() {
     let (one, two) = (Listener::new(), Listener::new());
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[("s-1", &one), ("s-2", &two)],
         "class any {\n runs once\n}\n",
     );
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = first_of(&one, &two);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = accept_first_session(&one, &two);
     upstream.query();
     drop(upstream);
     assert!(
@@ -135,13 +138,13 @@
 #[test]
 fn a_route_limits_the_attempts() {
     let (one, two) = (Listener::new(), Listener::new());
-    let stage = Stage::under(
+    let test_proxy = TestProxy::with_operators_file(
         &[("s-1", &one), ("s-2", &two)],
         "route r {\n class any\n tries 1\n}\n",
     );
-    let mut client = Peer::client(stage.address);
-    client.ask(&read(1, "any", 19000));
-    let mut upstream = first_of(&one, &two);
+    let mut client = Peer::client(test_proxy.address);
+    client.ask(&read_statement(1, "any", 19000));
+    let mut upstream = accept_first_session(&one, &two);
     upstream.query();
     upstream.error("53300");
     assert!(client.reply().code.is_some());
@@ -151,26 +154,28 @@
 /// SIGHUP applies new routes at once. A faulty or half-written file is logged by its lines and changes nothing.
 #[test]
 fn a_reload_is_all_or_nothing() {
-    let mut program = Program::under("", "");
+    let mut program = Program::with_operators_file("", "");
     let mut client = Peer::client(program.address);
     let refused = |client: &mut Peer, id| {
-        client.ask(&read(id, "any", 300).replace("cluster=3", "cluster=9"));
+        client.ask(&read_statement(id, "any", 300).replace("cluster=3", "cluster=9"));
         client.reply().detail
     };
-    program.steer("route all {\n refuse 1200ms\n}\n");
-    program.line("the configuration is reread");
+    program.reload_operators_file("route all {\n refuse 1200ms\n}\n");
+    program.wait_for_log_line("the configuration is reread");
     assert_eq!(refused(&mut client, 1).as_deref(), Some("1200"));
-    program.steer("route all {\n refuse 1300\n}\nlimits {\n client-patience 500ms\n}\n");
-    let fault = program.line("the time 1300 has no unit");
+    program.reload_operators_file(
+        "route all {\n refuse 1300\n}\nlimits {\n client-patience 500ms\n}\n",
+    );
+    let fault = program.wait_for_log_line("the time 1300 has no unit");
     assert!(fault.contains(".conf:2:9"), "{fault}");
-    program.line("stays as it was");
+    program.wait_for_log_line("stays as it was");
     assert_eq!(refused(&mut client, 2).as_deref(), Some("1200"));
     // Half of the file is there.
-    program.steer("route all {\n refuse 1400ms\n}\nroute more {\n class a");
-    program.line("the section route has no end");
+    program.reload_operators_file("route all {\n refuse 1400ms\n}\nroute more {\n class a");
+    program.wait_for_log_line("the section route has no end");
     assert_eq!(refused(&mut client, 3).as_deref(), Some("1200"));
-    program.steer("route all {\n refuse 1400ms\n}\nlogging {\n form json\n}\n");
-    let line = program.line("the configuration is reread");
+    program.reload_operators_file("route all {\n refuse 1400ms\n}\nlogging {\n form json\n}\n");
+    let line = program.wait_for_log_line("the configuration is reread");
     let line: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(
         (line["routes"].as_u64(), line["level"].as_str()),
@@ -183,7 +188,7 @@
 /// The proxy is told to stop in the middle of reloads: it stops. A reload in the middle of the stop does not undo that.
 #[test]
 fn reloads_and_stops_may_cross() {
-    let mut program = Program::under("", "route all {\n refuse 1s\n}\n");
+    let mut program = Program::with_operators_file("", "route all {\n refuse 1s\n}\n");
     let mut routes = String::new();
     for n in 0..20_000 {
         routes.push_str(&format!(
@@ -192,24 +197,24 @@
             n % 250
         ));
     }
-    program.steer(&routes);
+    program.reload_operators_file(&routes);
     program.signal(Signal::TERM);
-    program.line("told to stop");
-    program.steer("limits {\n client-patience 300ms\n}\n");
-    program.steer("no such thing\n");
+    program.wait_for_log_line("told to stop");
+    program.reload_operators_file("limits {\n client-patience 300ms\n}\n");
+    program.reload_operators_file("no such thing\n");
     assert!(program.child.wait().unwrap().success());
 }
 
 /// A reload changes settings that count only from the next start. The log names them.
 #[test]
 fn settings_that_need_a_restart_are_logged() {
-    let mut program = Program::under("", "");
-    program.steer("discovery {\n watch-silence 2s\n}\n");
-    program.line("watch-silence: a change of it takes effect at the next start");
+    let mut program = Program::with_operators_file("", "");
+    program.reload_operators_file("discovery {\n watch-silence 2s\n}\n");
+    program.wait_for_log_line("watch-silence: a change of it takes effect at the next start");
 }
 
 fn parse(operators: &str) -> Result<config::Config, config::ConfigError> {
-    let file = Scratch::new(operators);
+    let file = TempFile::new(operators);
     let text = format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"sockets":600,"memory_mb":48}},"settings":{}}}"#,
         common::SETTINGS
@@ -221,7 +226,7 @@
 
 /// The platform's word holds: whatever would loosen it is a fault that names its place.
 #[test]
-fn nothing_loosens_what_the_platform_says() {
+fn operators_cannot_exceed_the_limits_of_the_platform() {
     for (operators, fault) in [
         (
             "limits {\n sockets 700\n}\n",
@@ -286,7 +291,7 @@
 #[test]
 fn a_member_has_its_name_in_the_roster_and_its_keys() {
     let [first, second] = ["ab", "cd"].map(|two| two.repeat(32));
-    let keys = Scratch::new(&format!("{first}\n{second} # the former\n"));
+    let keys = TempFile::new(&format!("{first}\n{second} # the former\n"));
     let roster = |name: &str, path: &str| {
         format!(
             "members {{\n version 3\n listen 127.0.0.1:0\n key-file {path}\n}}\n\
@@ -309,7 +314,7 @@
         ("leverproxy", "thamel")
     );
     assert_eq!(config.member_keys.unwrap().ids().len(), 2);
-    let faulty = Scratch::new(&format!("# ours\n{}\n", &first[1..]));
+    let faulty = TempFile::new(&format!("# ours\n{}\n", &first[1..]));
     for (operators, key, problem) in [
         (
             roster("leverprxy", keys.path()),
@@ -342,7 +347,7 @@
 
 /// Without an operators' file everything is as the constants before it were.
 #[test]
-fn defaults_are_what_they_were() {
+fn defaults_without_an_operators_file() {
     let config = parse("").unwrap();
     let limits = config.limits;
     assert_eq!(
@@ -385,7 +390,7 @@
 
 #[test]
 fn the_command_line_checks_formats_and_compares() {
-    let untidy = Scratch::new("limits{\nclient-patience   500ms # short\n}\n");
+    let untidy = TempFile::new("limits{\nclient-patience   500ms # short\n}\n");
     let path = untidy.path();
     assert_eq!(run(&["config", "check", path]).status.code(), Some(0));
     assert_eq!(
@@ -403,7 +408,7 @@
     );
 
     let other =
-        Scratch::new("limits {\n client-patience 1s\n}\nroute r {\n class any\n refuse 1s\n}\n");
+        TempFile::new("limits {\n client-patience 1s\n}\nroute r {\n class any\n refuse 1s\n}\n");
     let same = run(&["config", "diff", path, path]);
     assert_eq!(
         (same.status.code(), printed(&same).trim()),
@@ -432,7 +437,7 @@
     let wrong = run(&["config", "explain", other.path(), "--request", "klass=any"]);
     assert_eq!(wrong.status.code(), Some(2));
 
-    let faulty = Scratch::new("limits {\n client-patience 500\n}\n");
+    let faulty = TempFile::new("limits {\n client-patience 500\n}\n");
     let checked = run(&["config", "check", faulty.path()]);
     assert_eq!(checked.status.code(), Some(2));
     assert!(
@@ -447,7 +452,7 @@
         (Some(2), Some(18))
     );
     // A file that can't be read as one is not rewritten.
-    let broken = Scratch::new("limits {\n client-patience \"5\n}\n");
+    let broken = TempFile::new("limits {\n client-patience \"5\n}\n");
     assert_eq!(
         run(&["config", "fmt", broken.path()]).status.code(),
         Some(2)
@@ -467,7 +472,7 @@
 /// Loops through links, folders in place of files: told on a real disk as in memory.
 #[test]
 fn a_disk_has_links_and_folders() {
-    let main = Scratch::new("");
+    let main = TempFile::new("");
     let folder = main.0.with_extension("d");
     std::fs::create_dir(&folder).unwrap();
     let link = folder.join("loop.conf");
@@ -491,12 +496,12 @@
 
 #[test]
 fn every_value_is_shown_with_where_it_comes_from() {
-    let platform = Scratch::new(&format!(
+    let platform = TempFile::new(&format!(
         r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{{"sockets":600}},"settings":{}}}"#,
         common::SETTINGS
     ));
     let operators =
-        Scratch::new("define patience 500ms\nlimits {\n    client-patience $patience\n}\n");
+        TempFile::new("define patience 500ms\nlimits {\n    client-patience $patience\n}\n");
     let output = Command::new(env!("CARGO_BIN_EXE_leverproxy"))
         .args(["config", "show", "--effective", operators.path()])
         .env("LB_CONFIG", platform.path())
@@ -550,7 +555,7 @@
 }
 
 #[test]
-fn commands_of_old_go_on_working() {
+fn version_help_completions_and_usage_errors_keep_their_results() {
     assert!(printed(&run(&["version"])).starts_with("leverproxy "));
     assert_eq!(run(&["help"]).status.code(), Some(0));
     assert_eq!(run(&[]).status.code(), Some(2));
--- a/crates/leverproxy/tests/settings.rs
+++ b/crates/leverproxy/tests/settings.rs
@@ -1,10 +1,12 @@
 //! New settings at SIGHUP, to the program as the platform starts it.
 
 mod common;
-use common::{get, read, until, Listener, Peer, Program, Reply, Scratch, SETTINGS};
+use common::{
+    get, read_statement, wait_for_metric, Listener, Peer, Program, Reply, TempFile, SETTINGS,
+};
 
 fn rejected(client: &mut Peer, id: u32, class: &str) {
-    client.ask(&read(id, class, 19000));
+    client.ask(&read_statement(id, class, 19000));
     assert_eq!(client.reply().code.as_deref(), Some("42601"), "{class}");
 }
 
@@ -13,30 +15,32 @@
     let server = Listener::new();
     let mut program = Program::start("export LB_ADMIN=127.0.0.1:0;");
     let admin = program
-        .line("answering calls on ")
+        .wait_for_log_line("answering calls on ")
         .rsplit(' ')
         .next()
         .unwrap()
         .parse()
         .unwrap();
-    program.watch.tell(1, &[server.listed("s-1", "Ready")]);
-    until(admin, "lb_record_servers_known 1");
+    program
+        .watch
+        .send_list(1, &[server.endpoint_entry("s-1", "Ready")]);
+    wait_for_metric(admin, "lb_record_servers_known 1");
     let mut client = Peer::client(program.address);
     rejected(&mut client, 1, "any-v2");
     let mut under_way = Peer::client(program.address);
-    under_way.ask(&read(2, "any", 19000));
-    let mut upstream = server.welcome();
+    under_way.ask(&read_statement(2, "any", 19000));
+    let mut upstream = server.accept_session();
     upstream.query();
     // A class gets another name, an effect gets stricter, fewer attempts are allowed.
     let renamed = SETTINGS
         .replace(r#""Name": "any""#, r#""Name": "any-v2""#)
         .replace(r#""TryLimit": 8"#, r#""TryLimit": 1"#);
     program.reload_text(&format!(r#"{{"settings":{renamed}}}"#));
-    until(admin, "lb_reloads_ok_total 1");
+    wait_for_metric(admin, "lb_reloads_ok_total 1");
     rejected(&mut client, 3, "any");
     upstream.answer("kept", &[]);
     assert_eq!(under_way.reply().value.as_deref(), Some("kept"));
-    client.ask(&read(4, "any-v2", 19000));
+    client.ask(&read_statement(4, "any-v2", 19000));
     upstream.query();
     upstream.answer("new", &[]);
     assert_eq!(
@@ -47,7 +51,7 @@
         }
     );
     // One attempt it is: what is turned away is not tried again.
-    client.ask(&read(5, "any-v2", 19000));
+    client.ask(&read_statement(5, "any-v2", 19000));
     upstream.query();
     upstream.error("XX000");
     assert!(client.reply().code.is_some());
@@ -68,7 +72,7 @@
 fn a_broken_file_changes_nothing() {
     let mut program = Program::start("export LB_ADMIN=127.0.0.1:0;");
     let admin = program
-        .line("answering calls on ")
+        .wait_for_log_line("answering calls on ")
         .rsplit(' ')
         .next()
         .unwrap()
@@ -116,13 +120,13 @@
     let mut client = Peer::client(program.address);
     for (at, (text, key)) in (1..).zip(&cases) {
         program.reload_text(text);
-        until(admin, &format!("lb_reloads_failed_total {at}"));
-        let line = program.line("stays as it was");
+        wait_for_metric(admin, &format!("lb_reloads_failed_total {at}"));
+        let line = program.wait_for_log_line("stays as it was");
         assert!(line.contains(key), "{line}");
         rejected(&mut client, at, "any-v2");
     }
     program.reload_text(&whole);
-    until(admin, "lb_reloads_ok_total 1");
+    wait_for_metric(admin, "lb_reloads_ok_total 1");
     rejected(&mut client, 100, "any");
 }
 
@@ -131,7 +135,7 @@
 fn a_second_address_that_is_taken_or_none_is_named() {
     let taken = Listener::new();
     for address in [taken.address.to_string(), "nowhere".into()] {
-        let file = common::Scratch::new(&format!(r#"{{"settings":{SETTINGS}}}"#));
+        let file = common::TempFile::new(&format!(r#"{{"settings":{SETTINGS}}}"#));
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_leverproxy"))
             .arg("serve")
             .env("LB_CONFIG", &file.0)
@@ -140,19 +144,19 @@
             .env("LB_ADMIN", &address)
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains("admin"), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert!(stderr.contains("admin"), "{stderr}");
     }
 }
 
 /// What is wrong with either file ends the start with exit code 2, and is told by file, line and key.
 #[test]
 fn a_faulty_file_at_the_start_is_named_with_line_and_key() {
-    let sound = format!(r#"{{"settings":{SETTINGS}}}"#);
-    let cut = &sound[..sound.len() / 2];
-    let no_time = sound.replacen("20000000", "0", 1);
-    let missing = sound.replacen(r#""Name": "any", "#, "", 1);
+    let valid = format!(r#"{{"settings":{SETTINGS}}}"#);
+    let cut = &valid[..valid.len() / 2];
+    let no_time = valid.replacen("20000000", "0", 1);
+    let missing = valid.replacen(r#""Name": "any", "#, "", 1);
     for (platform, operators, words) in [
         (cut, "", ["PLATFORM", "EOF", "line"]),
         (
@@ -167,32 +171,32 @@
         ),
         ("{}", "", ["PLATFORM", "settings", "missing"]),
         (
-            &sound,
+            &valid,
             "limits {\n\n client-patience 500\n}\n",
             ["OPERATORS:3:18", "client-patience", "no unit"],
         ),
         (
-            &sound,
+            &valid,
             "limits {\n clients-patience 5s\n}\n",
             ["OPERATORS:2:2", "clients-patience", "fault"],
         ),
     ] {
-        let (file, ours) = (Scratch::new(platform), Scratch::new(operators));
+        let (file, operators_file) = (TempFile::new(platform), TempFile::new(operators));
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_leverproxy"))
             .arg("serve")
             .env("LB_CONFIG", &file.0)
-            .env("LB_OPERATORS", &ours.0)
+            .env("LB_OPERATORS", &operators_file.0)
             .env("LB_LISTEN", "127.0.0.1:0")
             .env("LB_DISCOVERY", "127.0.0.1:1")
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
         for word in words {
             let word = word
                 .replace("PLATFORM", file.path())
-                .replace("OPERATORS", ours.path());
-            assert!(said.contains(&word), "{word} in {said}");
+                .replace("OPERATORS", operators_file.path());
+            assert!(stderr.contains(&word), "{word} in {stderr}");
         }
     }
 }
