--- a/crates/leverproxy/tests/system_calls.rs
+++ b/crates/leverproxy/tests/system_calls.rs
@@ -2,7 +2,7 @@
 //! the process goes on, and it does not keep itself busy.
 
 mod common;
-use common::{read, Listener, Peer, Stage, PATIENCE};
+use common::{read_statement, Listener, Peer, TestProxy, TEST_TIMEOUT};
 use leverproxy::event_loop::listener;
 use leverproxy::event_loop::reactor::{Interest, Reactor};
 use leverproxy::event_loop::stream::Stream;
@@ -24,7 +24,7 @@
 const ALWAYS: u64 = u64::MAX;
 
 /// A record server that answers `value` to all reads.
-fn serve(listener: Listener, value: &'static str) {
+fn serve_reads(listener: Listener, value: &'static str) {
     thread::spawn(move || loop {
         let mut peer = listener.accept();
         thread::spawn(move || {
@@ -38,15 +38,15 @@
 }
 
 /// A proxy with one record server that answers `value`, and the server's address.
-fn stage(value: &'static str) -> (Stage, SocketAddr) {
+fn test_proxy(value: &'static str) -> (TestProxy, SocketAddr) {
     let server = Listener::new();
     let address = server.address;
-    let stage = Stage::new(&[("s-1", &server)]);
-    serve(server, value);
-    (stage, address)
+    let test_proxy = TestProxy::new(&[("s-1", &server)]);
+    serve_reads(server, value);
+    (test_proxy, address)
 }
 
-impl Stage {
+impl TestProxy {
     fn fault(&self, call: Call, address: Option<SocketAddr>, fault: Fault, times: u64) {
         self.faults.add(Rule {
             call,
@@ -61,11 +61,11 @@
     }
 
     /// Waits until so many calls have met a fault.
-    fn until_met(&self, call: Call, times: u64) {
-        let begun = Instant::now();
+    fn wait_for_faults(&self, call: Call, times: u64) {
+        let started_at = Instant::now();
         while self.faults.faults(call) < times {
             assert!(
-                begun.elapsed() < PATIENCE,
+                started_at.elapsed() < TEST_TIMEOUT,
                 "{call:?} met {} faults",
                 self.faults.faults(call)
             );
@@ -76,20 +76,20 @@
 
 /// A request with an id of its own.
 fn request() -> String {
-    static ASKED: AtomicU32 = AtomicU32::new(0);
-    read(ASKED.fetch_add(1, Ordering::Relaxed), "any", 19000)
+    static SENT: AtomicU32 = AtomicU32::new(0);
+    read_statement(SENT.fetch_add(1, Ordering::Relaxed), "any", 19000)
 }
 
-fn asked(client: &mut Peer, value: &str) {
+fn assert_served(client: &mut Peer, value: &str) {
     client.ask(&request());
     let reply = client.reply();
     assert_eq!(reply.value.as_deref(), Some(value), "{reply:?}");
 }
 
 /// Sends many requests in a row; each gets one response.
-fn asks_on(client: &mut Peer, value: &str) {
+fn assert_twenty_served(client: &mut Peer, value: &str) {
     for _ in 0..20 {
-        asked(client, value);
+        assert_served(client, value);
     }
 }
 
@@ -196,7 +196,7 @@
 
 #[test]
 fn clients_are_accepted_after_any_error_of_accept() {
-    let (stage, _) = stage("v");
+    let (test_proxy, _) = test_proxy("v");
     for errno in [
         Errno::CONNABORTED,
         Errno::PERM,
@@ -208,18 +208,18 @@
         Errno::NOMEM,
         Errno::INVAL,
     ] {
-        let met = stage.faults.faults(Call::Accept);
-        stage.fail(Call::Accept, None, errno, 3);
+        let met = test_proxy.faults.faults(Call::Accept);
+        test_proxy.fail(Call::Accept, None, errno, 3);
         let clients: Vec<_> = (0..4)
             .map(|_| {
-                let address = stage.address;
-                thread::spawn(move || asked(&mut Peer::client(address), "v"))
+                let address = test_proxy.address;
+                thread::spawn(move || assert_served(&mut Peer::client(address), "v"))
             })
             .collect();
         clients
             .into_iter()
             .for_each(|client| client.join().unwrap());
-        assert_eq!(stage.faults.faults(Call::Accept), met + 3, "{errno}");
+        assert_eq!(test_proxy.faults.faults(Call::Accept), met + 3, "{errno}");
     }
 }
 
@@ -232,45 +232,49 @@
         Errno::PERM,
         Errno::INVAL,
     ] {
-        let (stage, _) = stage("v");
-        let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
-        clients.iter_mut().for_each(|client| asked(client, "v"));
-        stage.fail(Call::Accept, None, errno, ALWAYS);
-        let waits = stage.faults.calls(Call::EpollWait);
-        let late = stage.address;
-        let late = thread::spawn(move || asked(&mut Peer::client(late), "v"));
+        let (test_proxy, _) = test_proxy("v");
+        let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(test_proxy.address)).collect();
+        clients
+            .iter_mut()
+            .for_each(|client| assert_served(client, "v"));
+        test_proxy.fail(Call::Accept, None, errno, ALWAYS);
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+        let late = test_proxy.address;
+        let late = thread::spawn(move || assert_served(&mut Peer::client(late), "v"));
         // Rounds with a pause between.
         let per_round = if matches!(errno, Errno::CONNABORTED | Errno::PERM) {
             1024
         } else {
             1
         };
-        let begun = Instant::now();
-        stage.until_met(Call::Accept, 6 * per_round);
+        let started_at = Instant::now();
+        test_proxy.wait_for_faults(Call::Accept, 6 * per_round);
         assert!(
-            begun.elapsed() >= Duration::from_millis(300),
+            started_at.elapsed() >= Duration::from_millis(300),
             "{errno}: {:?}",
-            begun.elapsed()
+            started_at.elapsed()
         );
-        let waits = stage.faults.calls(Call::EpollWait) - waits;
-        assert!(waits < 200, "{errno}: {waits} rounds");
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
+        assert!(wait_calls < 200, "{errno}: {wait_calls} rounds");
         for client in &mut clients {
-            asked(client, "v");
+            assert_served(client, "v");
         }
-        stage.faults.clear();
+        test_proxy.faults.clear();
         late.join().unwrap();
     }
 }
 
 #[test]
 fn few_clients_are_closed_when_that_frees_no_descriptor() {
-    let (stage, _) = stage("v");
-    let mut clients: Vec<Peer> = (0..8).map(|_| Peer::client(stage.address)).collect();
-    clients.iter_mut().for_each(|client| asked(client, "v"));
-    stage.fail(Call::Accept, None, Errno::NFILE, 8);
-    let mut late = Peer::client(stage.address);
-    asked(&mut late, "v");
-    stage.faults.clear();
+    let (test_proxy, _) = test_proxy("v");
+    let mut clients: Vec<Peer> = (0..8).map(|_| Peer::client(test_proxy.address)).collect();
+    clients
+        .iter_mut()
+        .for_each(|client| assert_served(client, "v"));
+    test_proxy.fail(Call::Accept, None, Errno::NFILE, 8);
+    let mut late = Peer::client(test_proxy.address);
+    assert_served(&mut late, "v");
+    test_proxy.faults.clear();
     let ended = |client: &mut Peer| {
         client.ask(&request());
         client.message().is_err()
@@ -285,18 +289,22 @@
 #[test]
 fn operators_reach_the_proxy_after_errors_of_accept_without_a_busy_loop() {
     let server = Listener::new();
-    let stage = Stage::with(&[("s-1", &server)], |config| {
+    let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
     });
-    let admin = stage.admin.unwrap();
-    stage.fail(Call::Accept, Some(admin), Errno::MFILE, 20);
-    let waits = stage.faults.calls(Call::EpollWait);
-    let begun = Instant::now();
+    let admin = test_proxy.admin.unwrap();
+    test_proxy.fail(Call::Accept, Some(admin), Errno::MFILE, 20);
+    let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+    let started_at = Instant::now();
     assert_eq!(common::get(admin, "/api/telemetry").0, 200);
-    assert_eq!(stage.faults.faults(Call::Accept), 20);
-    assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    let waits = stage.faults.calls(Call::EpollWait) - waits;
-    assert!(waits < 200, "{waits} rounds");
+    assert_eq!(test_proxy.faults.faults(Call::Accept), 20);
+    assert!(
+        started_at.elapsed() >= 10 * RETRY_PAUSE,
+        "{:?}",
+        started_at.elapsed()
+    );
+    let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
+    assert!(wait_calls < 200, "{wait_calls} rounds");
     assert_eq!(common::get(admin, "/api/telemetry").0, 200);
 }
 
@@ -312,21 +320,21 @@
         (Call::Connect, Errno::NOBUFS),
         (Call::SocketError, Errno::NOBUFS),
     ] {
-        let (stage, _) = stage("v");
-        let mut client = Peer::client(stage.address);
-        let waits = stage.faults.calls(Call::EpollWait);
-        stage.fail(call, None, errno, 12);
+        let (test_proxy, _) = test_proxy("v");
+        let mut client = Peer::client(test_proxy.address);
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+        test_proxy.fail(call, None, errno, 12);
         // A server that is taken for dead rests for longer than this.
-        let begun = Instant::now();
-        asked(&mut client, "v");
-        assert!(stage.faults.faults(call) >= 12, "{call:?} {errno}");
-        let waits = stage.faults.calls(Call::EpollWait) - waits;
+        let started_at = Instant::now();
+        assert_served(&mut client, "v");
+        assert!(test_proxy.faults.faults(call) >= 12, "{call:?} {errno}");
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
         assert!(
-            waits < 400,
-            "{errno}: {waits} rounds in {:?}",
-            begun.elapsed()
+            wait_calls < 400,
+            "{errno}: {wait_calls} rounds in {:?}",
+            started_at.elapsed()
         );
-        asks_on(&mut client, "v");
+        assert_twenty_served(&mut client, "v");
     }
 }
 
@@ -335,29 +343,29 @@
 #[test]
 fn a_shortage_beyond_the_dial_timeout_is_answered_without_backoff() {
     let (first, second) = (Listener::new(), Listener::new());
-    let stage = Stage::with(&[("s-1", &first), ("s-2", &second)], |config| {
+    let test_proxy = TestProxy::with_config(&[("s-1", &first), ("s-2", &second)], |config| {
         config.dial_timeout = Duration::from_millis(50);
     });
-    serve(first, "v");
-    serve(second, "v");
-    let mut client = Peer::client(stage.address);
-    stage.fail(Call::Connect, None, Errno::ADDRNOTAVAIL, ALWAYS);
-    let begun = Instant::now();
+    serve_reads(first, "v");
+    serve_reads(second, "v");
+    let mut client = Peer::client(test_proxy.address);
+    test_proxy.fail(Call::Connect, None, Errno::ADDRNOTAVAIL, ALWAYS);
+    let started_at = Instant::now();
     client.ask(&request().replace("d=19000", "d=400"));
     let reply = client.reply();
     assert!(reply.value.is_none() && reply.code.is_some(), "{reply:?}");
     assert!(
-        begun.elapsed() < Duration::from_secs(2),
+        started_at.elapsed() < Duration::from_secs(2),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
-    stage.faults.clear();
-    let begun = Instant::now();
-    asked(&mut client, "v");
+    test_proxy.faults.clear();
+    let started_at = Instant::now();
+    assert_served(&mut client, "v");
     assert!(
-        begun.elapsed() < Duration::from_secs(1),
+        started_at.elapsed() < Duration::from_secs(1),
         "a server rests: {:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
@@ -371,31 +379,31 @@
     ] {
         let (far, near) = (Listener::new(), Listener::new());
         let lost = far.address;
-        let stage = Stage::new(&[("s-1", &far), ("s-2", &near)]);
-        serve(near, "near");
-        stage.fail(Call::Connect, Some(lost), errno, ALWAYS);
-        let waits = stage.faults.calls(Call::EpollWait);
-        let mut client = Peer::client(stage.address);
-        asks_on(&mut client, "near");
-        let waits = stage.faults.calls(Call::EpollWait) - waits;
-        assert!(waits < 1_000, "{errno}: {waits} rounds");
+        let test_proxy = TestProxy::new(&[("s-1", &far), ("s-2", &near)]);
+        serve_reads(near, "near");
+        test_proxy.fail(Call::Connect, Some(lost), errno, ALWAYS);
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+        let mut client = Peer::client(test_proxy.address);
+        assert_twenty_served(&mut client, "near");
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
+        assert!(wait_calls < 1_000, "{errno}: {wait_calls} rounds");
     }
 }
 
 #[test]
 fn interrupted_calls_are_repeated() {
-    let (stage, server) = stage("v");
-    stage.fault(
+    let (test_proxy, server) = test_proxy("v");
+    test_proxy.fault(
         Call::Connect,
         Some(server),
         Fault::FailAfter(Errno::INTR),
         1,
     );
     for call in [Call::EpollWait, Call::Read, Call::Send, Call::Accept] {
-        stage.fail(call, None, Errno::INTR, 10);
+        test_proxy.fail(call, None, Errno::INTR, 10);
     }
-    let mut client = Peer::client(stage.address);
-    asks_on(&mut client, "v");
+    let mut client = Peer::client(test_proxy.address);
+    assert_twenty_served(&mut client, "v");
     for (call, times) in [
         (Call::EpollWait, 10),
         (Call::Read, 10),
@@ -403,33 +411,33 @@
         (Call::Accept, 10),
         (Call::Connect, 1),
     ] {
-        assert_eq!(stage.faults.faults(call), times, "{call:?}");
+        assert_eq!(test_proxy.faults.faults(call), times, "{call:?}");
     }
 }
 
 #[test]
 fn one_byte_at_a_time_is_enough() {
-    let (mut stage, _) = stage("value");
-    stage.fault(Call::Read, None, Fault::AtMost(1), ALWAYS);
-    stage.fault(Call::Send, None, Fault::AtMost(1), ALWAYS);
-    let mut client = Peer::client(stage.address);
+    let (mut test_proxy, _) = test_proxy("value");
+    test_proxy.fault(Call::Read, None, Fault::AtMost(1), ALWAYS);
+    test_proxy.fault(Call::Send, None, Fault::AtMost(1), ALWAYS);
+    let mut client = Peer::client(test_proxy.address);
     for _ in 0..3 {
-        asked(&mut client, "value");
+        assert_served(&mut client, "value");
     }
     // The list comes in bytes as well: its new server alone is left.
     let other = Listener::new();
     let gone = r#"{"name":"s-1","status":"Gone","since_ms":0}"#;
-    stage
+    test_proxy
         .watch
-        .tell(42, &[other.listed("s-2", "Ready"), gone.to_owned()]);
-    serve(other, "other");
-    let begun = Instant::now();
+        .send_list(42, &[other.endpoint_entry("s-2", "Ready"), gone.to_owned()]);
+    serve_reads(other, "other");
+    let started_at = Instant::now();
     loop {
         client.ask(&request());
         if client.reply().value.as_deref() == Some("other") {
             break;
         }
-        assert!(begun.elapsed() < PATIENCE, "the list has not come");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the list has not come");
     }
 }
 
@@ -437,116 +445,132 @@
 fn transfers_without_memory_are_retried_and_lose_nothing() {
     for errno in [Errno::NOBUFS, Errno::NOMEM] {
         for call in [Call::Read, Call::Send] {
-            let (stage, _) = stage("v");
-            let mut client = Peer::client(stage.address);
-            asked(&mut client, "v");
-            let waits = stage.faults.calls(Call::EpollWait);
-            stage.fail(call, None, errno, 10);
-            asks_on(&mut client, "v");
-            assert_eq!(stage.faults.faults(call), 10, "{call:?} {errno}");
-            let waits = stage.faults.calls(Call::EpollWait) - waits;
-            assert!(waits < 400, "{call:?} {errno}: {waits} rounds");
+            let (test_proxy, _) = test_proxy("v");
+            let mut client = Peer::client(test_proxy.address);
+            assert_served(&mut client, "v");
+            let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+            test_proxy.fail(call, None, errno, 10);
+            assert_twenty_served(&mut client, "v");
+            assert_eq!(test_proxy.faults.faults(call), 10, "{call:?} {errno}");
+            let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
+            assert!(wait_calls < 400, "{call:?} {errno}: {wait_calls} rounds");
         }
     }
 }
 
 #[test]
 fn a_read_without_memory_causes_no_busy_loop() {
-    let (stage, _) = stage("v");
-    let (mut client, mut other) = (Peer::client(stage.address), Peer::client(stage.address));
-    asked(&mut client, "v");
+    let (test_proxy, _) = test_proxy("v");
+    let (mut client, mut other) = (
+        Peer::client(test_proxy.address),
+        Peer::client(test_proxy.address),
+    );
+    assert_served(&mut client, "v");
     let short = client.stream.local_addr().unwrap();
-    stage.fail(Call::Read, Some(short), Errno::NOMEM, 20);
-    let (begun, waits) = (Instant::now(), stage.faults.calls(Call::EpollWait));
+    test_proxy.fail(Call::Read, Some(short), Errno::NOMEM, 20);
+    let (started_at, wait_calls) = (Instant::now(), test_proxy.faults.calls(Call::EpollWait));
     client.ask(&request());
-    asked(&mut other, "v");
+    assert_served(&mut other, "v");
     assert_eq!(client.reply().value.as_deref(), Some("v"));
-    assert_eq!(stage.faults.faults(Call::Read), 20);
-    assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    let waits = stage.faults.calls(Call::EpollWait) - waits;
-    assert!(waits < 200, "{waits} rounds");
+    assert_eq!(test_proxy.faults.faults(Call::Read), 20);
+    assert!(
+        started_at.elapsed() >= 10 * RETRY_PAUSE,
+        "{:?}",
+        started_at.elapsed()
+    );
+    let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
+    assert!(wait_calls < 200, "{wait_calls} rounds");
 }
 
 #[test]
 fn watching_without_memory_is_retried() {
     for errno in [Errno::NOMEM, Errno::NOSPC] {
-        let (stage, _) = stage("v");
-        stage.fail(Call::EpollControl, None, errno, 10);
-        let waits = stage.faults.calls(Call::EpollWait);
-        let mut client = Peer::client(stage.address);
-        asked(&mut client, "v");
-        stage.until_met(Call::EpollControl, 10);
-        let waits = stage.faults.calls(Call::EpollWait) - waits;
-        assert!(waits < 400, "{errno}: {waits} rounds");
-        asks_on(&mut client, "v");
-        asked(&mut Peer::client(stage.address), "v");
+        let (test_proxy, _) = test_proxy("v");
+        test_proxy.fail(Call::EpollControl, None, errno, 10);
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+        let mut client = Peer::client(test_proxy.address);
+        assert_served(&mut client, "v");
+        test_proxy.wait_for_faults(Call::EpollControl, 10);
+        let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
+        assert!(wait_calls < 400, "{errno}: {wait_calls} rounds");
+        assert_twenty_served(&mut client, "v");
+        assert_served(&mut Peer::client(test_proxy.address), "v");
     }
 }
 
 #[test]
 fn a_long_shortage_of_watches_causes_no_busy_loop() {
-    let (stage, _) = stage("v");
-    let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(stage.address)).collect();
-    stage.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
+    let (test_proxy, _) = test_proxy("v");
+    let mut clients: Vec<Peer> = (0..4).map(|_| Peer::client(test_proxy.address)).collect();
+    test_proxy.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
     for client in &mut clients {
-        asks_on(client, "v");
+        assert_twenty_served(client, "v");
     }
     // Each of the ten connections and listeners at most is looked at once a pause.
-    let (begun, met) = (Instant::now(), stage.faults.faults(Call::EpollControl));
-    let waits = stage.faults.calls(Call::EpollWait);
-    stage.until_met(Call::EpollControl, met + 400);
-    assert!(begun.elapsed() >= 20 * RETRY_PAUSE, "{:?}", begun.elapsed());
-    let waits = stage.faults.calls(Call::EpollWait) - waits;
+    let (started_at, met) = (Instant::now(), test_proxy.faults.faults(Call::EpollControl));
+    let wait_calls = test_proxy.faults.calls(Call::EpollWait);
+    test_proxy.wait_for_faults(Call::EpollControl, met + 400);
+    assert!(
+        started_at.elapsed() >= 20 * RETRY_PAUSE,
+        "{:?}",
+        started_at.elapsed()
+    );
+    let wait_calls = test_proxy.faults.calls(Call::EpollWait) - wait_calls;
     // A round has a call at least, or a timer that is due: there are fewer than one a millisecond.
     assert!(
-        u128::from(waits) <= 400 + begun.elapsed().as_millis(),
-        "{waits} rounds"
+        u128::from(wait_calls) <= 400 + started_at.elapsed().as_millis(),
+        "{wait_calls} rounds"
     );
-    stage.faults.clear();
-    clients.iter_mut().for_each(|client| asked(client, "v"));
+    test_proxy.faults.clear();
+    clients
+        .iter_mut()
+        .for_each(|client| assert_served(client, "v"));
 }
 
 #[test]
 fn the_listener_is_watched_again_once_there_is_memory() {
-    let (stage, _) = stage("v");
-    stage.fail(Call::Accept, None, Errno::NOMEM, 1);
-    stage.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
-    asked(&mut Peer::client(stage.address), "v");
-    let begun = Instant::now();
+    let (test_proxy, _) = test_proxy("v");
+    test_proxy.fail(Call::Accept, None, Errno::NOMEM, 1);
+    test_proxy.fail(Call::EpollControl, None, Errno::NOMEM, ALWAYS);
+    assert_served(&mut Peer::client(test_proxy.address), "v");
+    let started_at = Instant::now();
     // The listener's own pause is over several times.
-    while begun.elapsed() < Duration::from_millis(350) {
-        stage.until_met(
+    while started_at.elapsed() < Duration::from_millis(350) {
+        test_proxy.wait_for_faults(
             Call::EpollControl,
-            stage.faults.faults(Call::EpollControl) + 1,
+            test_proxy.faults.faults(Call::EpollControl) + 1,
         );
     }
-    stage.faults.clear();
+    test_proxy.faults.clear();
     for _ in 0..3 {
-        asked(&mut Peer::client(stage.address), "v");
+        assert_served(&mut Peer::client(test_proxy.address), "v");
     }
 }
 
 #[test]
 fn a_wait_without_memory_is_retried() {
-    let (stage, _) = stage("v");
-    let mut client = Peer::client(stage.address);
-    stage.fail(Call::EpollWait, None, Errno::NOMEM, 10);
-    asks_on(&mut client, "v");
-    assert_eq!(stage.faults.faults(Call::EpollWait), 10);
+    let (test_proxy, _) = test_proxy("v");
+    let mut client = Peer::client(test_proxy.address);
+    test_proxy.fail(Call::EpollWait, None, Errno::NOMEM, 10);
+    assert_twenty_served(&mut client, "v");
+    assert_eq!(test_proxy.faults.faults(Call::EpollWait), 10);
 }
 
 #[test]
 fn a_client_whose_connection_breaks_affects_no_other() {
     for errno in [Errno::TIMEDOUT, Errno::CONNRESET] {
         for call in [Call::Read, Call::Send] {
-            let (stage, _) = stage("v");
-            let (mut lost, mut other) = (Peer::client(stage.address), Peer::client(stage.address));
-            asked(&mut lost, "v");
-            asked(&mut other, "v");
-            stage.fail(call, Some(lost.stream.local_addr().unwrap()), errno, 1);
+            let (test_proxy, _) = test_proxy("v");
+            let (mut lost, mut other) = (
+                Peer::client(test_proxy.address),
+                Peer::client(test_proxy.address),
+            );
+            assert_served(&mut lost, "v");
+            assert_served(&mut other, "v");
+            test_proxy.fail(call, Some(lost.stream.local_addr().unwrap()), errno, 1);
             lost.ask(&request());
             assert!(lost.ended(), "{call:?} {errno}");
-            asks_on(&mut other, "v");
+            assert_twenty_served(&mut other, "v");
         }
     }
 }
@@ -556,14 +580,14 @@
     for errno in [Errno::TIMEDOUT, Errno::CONNRESET, Errno::HOSTUNREACH] {
         for call in [Call::Read, Call::Send] {
             let (first, second) = (Listener::new(), Listener::new());
-            let stage = Stage::new(&[("s-1", &first), ("s-2", &second)]);
+            let test_proxy = TestProxy::new(&[("s-1", &first), ("s-2", &second)]);
             let breaks = first.address;
-            serve(first, "v");
-            serve(second, "v");
-            let mut client = Peer::client(stage.address);
-            asks_on(&mut client, "v");
-            stage.fail(call, Some(breaks), errno, 3);
-            asks_on(&mut client, "v");
+            serve_reads(first, "v");
+            serve_reads(second, "v");
+            let mut client = Peer::client(test_proxy.address);
+            assert_twenty_served(&mut client, "v");
+            test_proxy.fail(call, Some(breaks), errno, 3);
+            assert_twenty_served(&mut client, "v");
         }
     }
 }
@@ -571,18 +595,18 @@
 #[test]
 fn discovery_is_called_again_when_its_connection_breaks() {
     for errno in [Errno::TIMEDOUT, Errno::CONNRESET, Errno::NETDOWN] {
-        let (mut stage, _) = stage("v");
-        stage.fail(Call::Read, Some(stage.discovery.address), errno, 1);
+        let (mut test_proxy, _) = test_proxy("v");
+        test_proxy.fail(Call::Read, Some(test_proxy.discovery.address), errno, 1);
         // Nothing has changed; or the head of the answer is what can't be read.
-        _ = stage.watch.stream.write(b"1\r\n\n\r\n");
-        let mut again = stage.discovery.accept();
+        _ = test_proxy.watch.stream.write(b"1\r\n\n\r\n");
+        let mut again = test_proxy.discovery.accept();
         assert!(
             again
-                .watch()
+                .accept_watch()
                 .starts_with("GET /catalog/members?watch=1&after=4"),
             "{errno}"
         );
-        asks_on(&mut Peer::client(stage.address), "v");
+        assert_twenty_served(&mut Peer::client(test_proxy.address), "v");
     }
 }
 
@@ -592,38 +616,38 @@
         (Call::Socket, Errno::MFILE),
         (Call::Connect, Errno::NETUNREACH),
     ] {
-        let (stage, server) = stage("v");
-        let mut client = Peer::client(stage.address);
-        asked(&mut client, "v");
+        let (test_proxy, server) = test_proxy("v");
+        let mut client = Peer::client(test_proxy.address);
+        assert_served(&mut client, "v");
         // No dial of the server is due: it has a connection that is free.
-        assert_ne!(server, stage.discovery.address);
-        stage.fail(
+        assert_ne!(server, test_proxy.discovery.address);
+        test_proxy.fail(
             call,
-            Some(stage.discovery.address).filter(|_| call == Call::Connect),
+            Some(test_proxy.discovery.address).filter(|_| call == Call::Connect),
             errno,
             2,
         );
-        let Stage {
+        let TestProxy {
             watch,
             discovery,
             faults,
             ..
-        } = &stage;
+        } = &test_proxy;
         watch.stream.shutdown(std::net::Shutdown::Both).unwrap();
-        discovery.accept().watch();
+        discovery.accept().accept_watch();
         assert_eq!(faults.faults(call), 2, "{errno}");
-        asks_on(&mut client, "v");
+        assert_twenty_served(&mut client, "v");
     }
 }
 
 #[test]
 fn a_shutdown_that_fails_ends_the_connection_in_time() {
-    let (stage, _) = stage("v");
-    stage.fail(Call::Shutdown, None, Errno::NOTCONN, ALWAYS);
-    let mut wrong = Peer::connect(stage.address);
+    let (test_proxy, _) = test_proxy("v");
+    test_proxy.fail(Call::Shutdown, None, Errno::NOTCONN, ALWAYS);
+    let mut wrong = Peer::connect(test_proxy.address);
     wrong.write(b"GET / HTTP/1.1\r\n\r\n");
     assert!(wrong.ended());
-    asks_on(&mut Peer::client(stage.address), "v");
+    assert_twenty_served(&mut Peer::client(test_proxy.address), "v");
 }
 
 #[test]
@@ -656,9 +680,9 @@
     assert!(matches!(stream.connected(), Ok(false)));
 }
 
-fn say(socket: &str, word: &str) -> String {
+fn send_command(socket: &str, command: &str) -> String {
     let mut stream = UnixStream::connect(socket).unwrap();
-    stream.write_all(format!("{word}\n").as_bytes()).unwrap();
+    stream.write_all(format!("{command}\n").as_bytes()).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
@@ -670,55 +694,60 @@
         std::env::temp_dir().join(format!("leverproxy-{}-listen-again", std::process::id()));
     let socket = socket.to_str().unwrap();
     let server = Listener::new();
-    let stage = Stage::under_at_own_address(
+    let test_proxy = TestProxy::with_operators_file_at_unshared_address(
         &[("s-1", &server)],
         &format!(
             "balancer b {{\n interval 100ms\n fall 2\n timeout 50ms\n}}\ncontrol {{\n socket {socket}\n}}\n"
         ),
     );
-    serve(server, "v");
-    say(socket, "drain");
-    let begun = Instant::now();
-    while TcpStream::connect(stage.address).is_ok() {
-        assert!(begun.elapsed() < PATIENCE, "the listener stays");
+    serve_reads(server, "v");
+    send_command(socket, "drain");
+    let started_at = Instant::now();
+    while TcpStream::connect(test_proxy.address).is_ok() {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the listener stays");
     }
-    stage.fail(Call::Bind, None, Errno::ADDRINUSE, 2);
-    stage.fail(Call::EpollControl, None, Errno::NOMEM, 3);
-    assert!(say(socket, "undrain").starts_with("phase serving\n"));
+    test_proxy.fail(Call::Bind, None, Errno::ADDRINUSE, 2);
+    test_proxy.fail(Call::EpollControl, None, Errno::NOMEM, 3);
+    assert!(send_command(socket, "undrain").starts_with("phase serving\n"));
     let client = loop {
-        assert!(begun.elapsed() < PATIENCE, "nobody listens");
-        if let Ok(client) = TcpStream::connect(stage.address) {
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "nobody listens");
+        if let Ok(client) = TcpStream::connect(test_proxy.address) {
             break client;
         }
         thread::yield_now();
     };
-    assert_eq!(stage.faults.faults(Call::Bind), 2);
+    assert_eq!(test_proxy.faults.faults(Call::Bind), 2);
     drop(client);
-    asks_on(&mut Peer::client(stage.address), "v");
+    assert_twenty_served(&mut Peer::client(test_proxy.address), "v");
 }
 
 #[test]
 fn an_operator_is_answered_though_memory_is_short() {
     let socket = std::env::temp_dir().join(format!("leverproxy-{}-short", std::process::id()));
     let socket = socket.to_str().unwrap();
-    let stage = Stage::under(&[], &format!("control {{\n socket {socket}\n}}\n"));
-    let begun = Instant::now();
-    stage.fail(Call::Accept, None, Errno::MFILE, 20);
-    assert!(say(socket, "status").starts_with("phase serving\n"));
-    assert_eq!(stage.faults.faults(Call::Accept), 20);
-    assert!(begun.elapsed() >= 10 * RETRY_PAUSE, "{:?}", begun.elapsed());
+    let test_proxy =
+        TestProxy::with_operators_file(&[], &format!("control {{\n socket {socket}\n}}\n"));
+    let started_at = Instant::now();
+    test_proxy.fail(Call::Accept, None, Errno::MFILE, 20);
+    assert!(send_command(socket, "status").starts_with("phase serving\n"));
+    assert_eq!(test_proxy.faults.faults(Call::Accept), 20);
+    assert!(
+        started_at.elapsed() >= 10 * RETRY_PAUSE,
+        "{:?}",
+        started_at.elapsed()
+    );
     for (call, errno) in [
         (Call::Read, Errno::NOMEM),
         (Call::Send, Errno::NOBUFS),
         (Call::EpollControl, Errno::NOMEM),
     ] {
-        stage.fail(call, None, errno, 2);
+        test_proxy.fail(call, None, errno, 2);
         assert!(
-            say(socket, "status").starts_with("phase serving\n"),
+            send_command(socket, "status").starts_with("phase serving\n"),
             "{call:?}"
         );
         // The retry of a watch may find the word before it is asked for again.
-        assert!(stage.faults.faults(call) >= 1, "{call:?}");
-        stage.faults.clear();
+        assert!(test_proxy.faults.faults(call) >= 1, "{call:?}");
+        test_proxy.faults.clear();
     }
 }
--- a/crates/leverproxy/tests/units.rs
+++ b/crates/leverproxy/tests/units.rs
@@ -1,7 +1,7 @@
 //! What needs no socket: codecs fed byte by byte, keys that go stale, and the configuration's messages.
 
 mod common;
-use common::PATIENCE;
+use common::TEST_TIMEOUT;
 use leverproxy::config;
 use leverproxy::discovery::directory::{Directory, ServerChange};
 use leverproxy::discovery::wire::EndpointList;
@@ -55,7 +55,7 @@
     let indented = "{\n  \"a\": \"}\\\"{\",\n\n  \"b\": [ {} ]\n}";
     let chunk = |text: &str| format!("{:x};x=1\r\n{text}\r\n", text.len());
     let (first, rest) = indented.split_at(9);
-    let said = [
+    let chunks = [
         chunk(first),
         chunk(rest),
         chunk("\n"),
@@ -63,7 +63,7 @@
         chunk("\r\n"),
     ]
     .concat();
-    let stream = format!("{head}{said}0\r\n\r\n");
+    let stream = format!("{head}{chunks}0\r\n\r\n");
     for piece in [1, 2, 3, 7, stream.len()] {
         let (parts, done) = parts_of(stream.as_bytes(), piece).unwrap();
         let objects: Vec<_> = parts
@@ -232,7 +232,7 @@
         let mut reader = ResponseReader::default();
         reader.parse(&common::answer(text, &[])).unwrap();
         let (verdict, metadata) = reader.outcome(&UpstreamQuery::Load);
-        let (purpose, elapsed, server) = (Purpose::Probe, PATIENCE, ServerId(1));
+        let (purpose, elapsed, server) = (Purpose::Probe, TEST_TIMEOUT, ServerId(1));
         match record::record(
             &CompletedExchange {
                 purpose,
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -1,7 +1,10 @@
 //! Hot restart: one proxy in two processes. What the old process hands over to the new one, at every step of an upgrade.
 
 mod common;
-use common::{get, message, post, read, served, until, Listener, Peer, Scratch, Stage};
+use common::{
+    get, message, post, read_statement, serve_request, wait_for_metric, Listener, Peer, TempFile,
+    TestProxy,
+};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -9,19 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn stage(place: &Path, servers: &[(&str, &Listener)]) -> (Stage, SocketAddr) {
-    let stage = Stage::with(servers, |config| {
+fn test_proxy(restart_socket: &Path, servers: &[(&str, &Listener)]) -> (TestProxy, SocketAddr) {
+    let test_proxy = TestProxy::with_config(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        config.hot_restart_socket = Some(place.to_owned());
-        config.control_socket = Some(place.with_extension("control"));
+        config.hot_restart_socket = Some(restart_socket.to_owned());
+        config.control_socket = Some(restart_socket.with_extension("control"));
     });
-    let admin = stage.admin.unwrap();
-    (stage, admin)
+    let admin = test_proxy.admin.unwrap();
+    (test_proxy, admin)
 }
 
 /// Whether either process answers on the control socket.
-fn answers_operators(place: &Path) -> bool {
-    let Ok(mut socket) = UnixStream::connect(place.with_extension("control")) else {
+fn answers_operators(restart_socket: &Path) -> bool {
+    let Ok(mut socket) = UnixStream::connect(restart_socket.with_extension("control")) else {
         return false;
     };
     let mut text = String::new();
@@ -31,8 +34,8 @@
     answered.is_ok() && text.starts_with("phase serving\n")
 }
 
-fn place() -> Scratch {
-    let scratch = Scratch::new("");
+fn restart_socket() -> TempFile {
+    let scratch = TempFile::new("");
     std::fs::remove_file(&scratch.0).unwrap();
     scratch
 }
@@ -41,24 +44,25 @@
 /// at either process reaches the other. The old one answers its open requests and ends; no client is lost in between.
 #[test]
 fn the_new_process_serves_from_the_same_queue_and_the_old_one_ends() {
-    let (place, server) = (place(), Listener::new());
-    let (mut old_process, old_admin) = stage(&place.0, &[("s-1", &server), ("s-2", &server)]);
+    let (restart_socket, server) = (restart_socket(), Listener::new());
+    let (mut old_process, old_admin) =
+        test_proxy(&restart_socket.0, &[("s-1", &server), ("s-2", &server)]);
     assert_eq!(post(old_admin, "exclude", "s-2"), 200);
     let mut client = Peer::client(old_process.address);
-    client.ask(&read(1, "any", 19000));
-    let mut at_old = server.welcome();
+    client.ask(&read_statement(1, "any", 19000));
+    let mut at_old = server.accept_session();
     at_old.query();
     // The new process knows only what the old one hands over.
-    let (new_process, new_admin) = stage(&place.0, &[]);
+    let (new_process, new_admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(new_process.address, old_process.address);
     assert_eq!(get(new_admin, "/api/ready").0, 200);
-    until(new_admin, "lb_record_servers_known 2");
-    until(new_admin, "lb_record_servers_excluded 1");
+    wait_for_metric(new_admin, "lb_record_servers_known 2");
+    wait_for_metric(new_admin, "lb_record_servers_excluded 1");
     // An operator's change at either process counts for both.
     assert_eq!(post(new_admin, "include", "s-2"), 200);
-    until(old_admin, "lb_record_servers_excluded 0");
+    wait_for_metric(old_admin, "lb_record_servers_excluded 0");
     assert_eq!(post(old_admin, "exclude", "s-2"), 200);
-    until(new_admin, "lb_record_servers_excluded 1");
+    wait_for_metric(new_admin, "lb_record_servers_excluded 1");
     // One client connects between the new process's start and the old one's end, and one after that.
     let mut between = Peer::client(old_process.address);
     old_process.control.stop();
@@ -67,12 +71,12 @@
     assert!(client.ended(), "nothing is owed on it");
     old_process.end();
     assert!(
-        answers_operators(&place.0),
+        answers_operators(&restart_socket.0),
         "the old process leaves the control socket to the new one"
     );
     let mut after = Peer::client(new_process.address);
-    let mut at_new = served(&mut after, &server, 2, "new");
-    between.ask(&read(3, "any", 19000));
+    let mut at_new = serve_request(&mut after, &server, 2, "new");
+    between.ask(&read_statement(3, "any", 19000));
     at_new.query();
     at_new.answer("value", &[]);
     assert_eq!(between.reply().value.as_deref(), Some("value"));
@@ -82,20 +86,20 @@
 /// the request.
 #[test]
 fn a_request_half_read_at_the_old_process_is_served_by_it() {
-    let (place, server) = (place(), Listener::new());
-    let (mut old_process, old_admin) = stage(&place.0, &[("s-1", &server)]);
+    let (restart_socket, server) = (restart_socket(), Listener::new());
+    let (mut old_process, old_admin) = test_proxy(&restart_socket.0, &[("s-1", &server)]);
     let mut client = Peer::client(old_process.address);
-    drop(served(&mut client, &server, 1, "one"));
-    let request = message(&read(2, "any", 19000));
+    drop(serve_request(&mut client, &server, 1, "one"));
+    let request = message(&read_statement(2, "any", 19000));
     client.write(&request[..40]);
-    let (_new, new_admin) = stage(&place.0, &[]);
+    let (_new, new_admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(post(new_admin, "exclude", "s-1"), 200);
-    until(old_admin, "lb_record_servers_excluded 1");
+    wait_for_metric(old_admin, "lb_record_servers_excluded 1");
     assert_eq!(post(new_admin, "include", "s-1"), 200);
-    until(old_admin, "lb_record_servers_excluded 0");
+    wait_for_metric(old_admin, "lb_record_servers_excluded 0");
     old_process.control.stop();
     client.write(&request[40..]);
-    let mut upstream = server.welcome();
+    let mut upstream = server.accept_session();
     upstream.query();
     upstream.answer("whole", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("whole"));
@@ -108,26 +112,26 @@
 /// accepting until it ends.
 #[test]
 fn a_new_process_at_another_address_leaves_the_old_one_accepting() {
-    let (place, server) = (place(), Listener::new());
-    let (mut old_process, old_admin) = stage(&place.0, &[("s-1", &server)]);
+    let (restart_socket, server) = (restart_socket(), Listener::new());
+    let (mut old_process, old_admin) = test_proxy(&restart_socket.0, &[("s-1", &server)]);
     let elsewhere = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let new_process = Stage::with(&[], |config| {
+    let new_process = TestProxy::with_config(&[], |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        config.hot_restart_socket = Some(place.0.clone());
+        config.hot_restart_socket = Some(restart_socket.0.clone());
         config.listen = elsewhere;
     });
     assert_eq!(new_process.address, elsewhere);
     // The next message shows that the old process knows that this one serves.
     assert_eq!(post(new_process.admin.unwrap(), "exclude", "s-1"), 200);
-    until(old_admin, "lb_record_servers_excluded 1");
+    wait_for_metric(old_admin, "lb_record_servers_excluded 1");
     assert_eq!(post(new_process.admin.unwrap(), "include", "s-1"), 200);
-    until(old_admin, "lb_record_servers_excluded 0");
+    wait_for_metric(old_admin, "lb_record_servers_excluded 0");
     let mut former = Peer::client(old_process.address);
-    drop(served(&mut former, &server, 1, "former"));
-    drop(served(
+    drop(serve_request(&mut former, &server, 1, "former"));
+    drop(serve_request(
         &mut Peer::client(new_process.address),
         &server,
         2,
@@ -135,7 +139,7 @@
     ));
     old_process.control.stop();
     let mut late = Peer::client(old_process.address);
-    drop(served(&mut late, &server, 3, "late"));
+    drop(serve_request(&mut late, &server, 3, "late"));
     assert!(former.ended() && late.ended());
     drop((former, late));
     old_process.end();
@@ -145,22 +149,22 @@
 /// process.
 #[test]
 fn a_new_process_that_dies_leaves_the_old_one_serving() {
-    let (place, server) = (place(), Listener::new());
-    let (old_process, old_admin) = stage(&place.0, &[("s-1", &server)]);
-    let (mut new_process, _) = stage(&place.0, &[]);
+    let (restart_socket, server) = (restart_socket(), Listener::new());
+    let (old_process, old_admin) = test_proxy(&restart_socket.0, &[("s-1", &server)]);
+    let (mut new_process, _) = test_proxy(&restart_socket.0, &[]);
     new_process.control.stop();
     new_process.end();
     let mut client = Peer::client(old_process.address);
-    drop(served(&mut client, &server, 1, "value"));
+    drop(serve_request(&mut client, &server, 1, "value"));
     // The control socket is the old process's again, as soon as it has noticed.
     let end = Instant::now() + Duration::from_secs(10);
-    while !answers_operators(&place.0) {
+    while !answers_operators(&restart_socket.0) {
         assert!(Instant::now() < end, "no process answers operators");
         thread::yield_now();
     }
     // The next new process finds the old one as the first did.
     assert_eq!(get(old_admin, "/api/ready").0, 200);
-    let (second, admin) = stage(&place.0, &[]);
+    let (second, admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
     assert_eq!(second.address, old_process.address);
 }
@@ -174,21 +178,21 @@
         b"{\"version\":99}\n",
         b"",
     ] {
-        let place = place();
-        let listener = UnixListener::bind(&place.0).unwrap();
+        let restart_socket = restart_socket();
+        let listener = UnixListener::bind(&restart_socket.0).unwrap();
         let malformed =
             thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
-        let (mut stage, admin) = stage(&place.0, &[]);
+        let (mut test_proxy, admin) = test_proxy(&restart_socket.0, &[]);
         malformed.join().unwrap();
         // There was an old process: what it knew has to come from discovery first.
         assert_eq!(get(admin, "/api/ready").0, 503);
-        stage.watch.tell(42, &[]);
+        test_proxy.watch.send_list(42, &[]);
         while get(admin, "/api/ready").0 != 200 {
             thread::yield_now();
         }
     }
     // A file that no process has left.
-    let place = Scratch::new("not a socket");
-    let (_stage, admin) = stage(&place.0, &[]);
+    let restart_socket = TempFile::new("not a socket");
+    let (_test_proxy, admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
 }
--- a/crates/leverproxy/tests/wall_clock.rs
+++ b/crates/leverproxy/tests/wall_clock.rs
@@ -2,7 +2,7 @@
 //! the proxy reads one that the test sets.
 
 mod common;
-use common::{Peer, Stage, PATIENCE};
+use common::{Peer, TestProxy, TEST_TIMEOUT};
 use leverproxy::clock::skew::{ReportedPosition, SkewEstimate};
 use leverproxy::clock::{Clock, WallClock};
 use leverproxy::discovery::wire::EndpointList;
@@ -21,10 +21,10 @@
 // ---- The clock, and what is known of its error ----
 
 /// A clock that is off by a number of milliseconds, which the test may change.
-fn wall(off: &Arc<AtomicI64>) -> WallClock {
-    let off = off.clone();
+fn offset_wall_clock(clock_offset: &Arc<AtomicI64>) -> WallClock {
+    let clock_offset = clock_offset.clone();
     WallClock::new(move || {
-        let ms = off.load(Ordering::SeqCst);
+        let ms = clock_offset.load(Ordering::SeqCst);
         let span = Duration::from_millis(ms.unsigned_abs());
         if ms < 0 {
             SystemTime::now() - span
@@ -34,7 +34,7 @@
     })
 }
 
-fn off(ms: i64) -> Arc<AtomicI64> {
+fn clock_offset(ms: i64) -> Arc<AtomicI64> {
     Arc::new(AtomicI64::new(ms))
 }
 
@@ -42,8 +42,8 @@
 #[test]
 fn a_step_moves_no_instant_of_the_process() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
-        let system = off(0);
-        let clock = Clock::start(wall(&system));
+        let system = clock_offset(0);
+        let clock = Clock::start(offset_wall_clock(&system));
         let instants = [Instant::now(), Instant::now() + 90 * MS];
         let before = instants.map(|at| clock.unix_time(at));
         system.store(step, Ordering::SeqCst);
@@ -72,7 +72,7 @@
 #[test]
 fn a_clock_before_1970_is_no_fault() {
     let clock = Clock::start(WallClock::new(|| UNIX_EPOCH - Duration::from_secs(5)));
-    assert!(clock.unix_time(Instant::now()) < Time(PATIENCE));
+    assert!(clock.unix_time(Instant::now()) < Time(TEST_TIMEOUT));
     assert!(clock.system_lead().is_zero());
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-fn heard(reports: &[ReportedPosition]) -> SkewEstimate {
+fn estimate_from(reports: &[ReportedPosition]) -> SkewEstimate {
     let mut estimate = SkewEstimate::default();
     reports
         .iter()
@@ -105,7 +105,7 @@
 
 #[test]
 fn without_evidence_the_clock_counts() {
-    let estimate = heard(&[primary(1, Duration::ZERO), replica(2, Duration::ZERO)]);
+    let estimate = estimate_from(&[primary(1, Duration::ZERO), replica(2, Duration::ZERO)]);
     assert_eq!(estimate.lead(NOW), Duration::ZERO);
     assert_eq!(estimate.latest_position(NOW), NOW.plus(1_000 * MS));
 }
@@ -116,16 +116,16 @@
 fn a_clock_that_is_behind_is_detected() {
     for behind in [2_000 * MS, 5_000 * MS, 3_600_000 * MS] {
         let lag = 300 * MS;
-        for words in [
+        for reports in [
             vec![primary(1, behind), replica(2, behind - lag)],
             vec![replica(2, behind - lag), primary(1, behind)],
             vec![primary(1, behind); 3],
         ] {
-            let estimate = heard(&words);
+            let estimate = estimate_from(&reports);
             assert_eq!(
                 estimate.lead(NOW.plus(Duration::from_secs(600))),
                 behind,
-                "{words:?}"
+                "{reports:?}"
             );
             assert!(estimate.latest_position(NOW) >= NOW.plus(behind));
         }
@@ -136,7 +136,7 @@
 #[test]
 fn one_wrong_position_counts_for_a_short_time_only() {
     for ahead in [400 * MS, 5_000 * MS, Duration::from_secs(1 << 40)] {
-        let mut estimate = heard(&[replica(1, ahead)]);
+        let mut estimate = estimate_from(&[replica(1, ahead)]);
         assert_eq!(estimate.lead(NOW), ahead);
         assert_eq!(
             estimate.latest_position(NOW),
@@ -148,13 +148,13 @@
         assert_eq!(estimate.lead(NOW.plus(1_900 * MS)), ahead);
         assert_eq!(estimate.lead(NOW.plus(2_100 * MS)), Duration::ZERO);
     }
-    let spoilt: Vec<ReportedPosition> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
+    let contradicted: Vec<ReportedPosition> = (1..9).map(|n| replica(n, 10_000 * MS * n)).collect();
     assert_eq!(
-        heard(&spoilt).lead(NOW.plus(2_100 * MS)),
+        estimate_from(&contradicted).lead(NOW.plus(2_100 * MS)),
         Duration::ZERO,
         "no two of them agree"
     );
-    let mut estimate = heard(&[replica(1, 5_000 * MS)]);
+    let mut estimate = estimate_from(&[replica(1, 5_000 * MS)]);
     let later = NOW.plus(Duration::from_secs(60));
     estimate.observe_position(
         ReportedPosition {
@@ -173,7 +173,7 @@
 /// Two servers have reported wrong positions. Primaries revoke the lead by three contradictions in a row, not sooner.
 #[test]
 fn primaries_revoke_what_they_contradict() {
-    let mut estimate = heard(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
+    let mut estimate = estimate_from(&[replica(1, 5_000 * MS), replica(2, 5_000 * MS)]);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
     estimate.observe_position(primary(3, Duration::ZERO), NOW);
     assert_eq!(estimate.lead(NOW), 5_000 * MS);
@@ -188,7 +188,7 @@
         "the most that they allow, in tens of milliseconds"
     );
     // A replica's old position contradicts nothing: it may lag.
-    let mut estimate = heard(&[primary(1, 5_000 * MS); 3]);
+    let mut estimate = estimate_from(&[primary(1, 5_000 * MS); 3]);
     (0..9).for_each(|_| estimate.observe_position(replica(2, Duration::ZERO), NOW));
     assert_eq!(estimate.lead(NOW), 5_000 * MS);
 }
@@ -197,7 +197,7 @@
 #[test]
 fn a_step_forward_counts_until_primaries_contradict_it() {
     for step in [2_000 * MS, 3_600_000 * MS] {
-        let mut estimate = heard(&[primary(1, Duration::ZERO)]);
+        let mut estimate = estimate_from(&[primary(1, Duration::ZERO)]);
         estimate.observe_system_clock(step);
         assert_eq!(estimate.lead(NOW), step);
         assert_eq!(
@@ -238,14 +238,14 @@
     estimate.observe_system_clock(2_000 * MS);
     (0..9).for_each(|_| estimate.observe_position(slow, NOW));
     assert_eq!(estimate.lead(NOW), 2_000 * MS);
-    for word in [
+    for report in [
         primary(1, Duration::ZERO),
         slow,
         primary(1, Duration::ZERO),
         slow,
         primary(1, Duration::ZERO),
     ] {
-        estimate.observe_position(word, NOW);
+        estimate.observe_position(report, NOW);
     }
     assert_eq!(
         estimate.lead(NOW),
@@ -257,7 +257,7 @@
 /// Machines whose clocks differ by milliseconds: needs stay as they are from one answer to the next.
 #[test]
 fn a_lead_of_milliseconds_is_rounded_up() {
-    let mut estimate = heard(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
+    let mut estimate = estimate_from(&[primary(1, 2 * MS), primary(2, 3 * MS)]);
     assert_eq!(estimate.lead(NOW.plus(Duration::from_secs(60))), 10 * MS);
     (1..9).for_each(|ms| estimate.observe_position(primary(ms, MS * ms), NOW));
     assert_eq!(estimate.lead(NOW), 10 * MS);
@@ -354,34 +354,37 @@
     /// Milliseconds by which its data is behind.
     lag: Arc<AtomicI64>,
     /// It breaks the connection of the next query, after the test's clock is stepped by so much.
-    breaks: Arc<AtomicBool>,
+    reset_next_query: Arc<AtomicBool>,
 }
 
 impl Server {
     fn new(name: &'static str, lag_ms: i64, step: Option<(Arc<AtomicI64>, i64)>) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (lag, breaks) = (off(lag_ms), Arc::new(AtomicBool::new(false)));
+        let (lag, reset_next_query) = (clock_offset(lag_ms), Arc::new(AtomicBool::new(false)));
         let server = Server {
             address,
             lag: lag.clone(),
-            breaks: breaks.clone(),
+            reset_next_query: reset_next_query.clone(),
         };
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (lag, breaks, step) = (lag.clone(), breaks.clone(), step.clone());
+                let (lag, reset_next_query, step) =
+                    (lag.clone(), reset_next_query.clone(), step.clone());
                 let mut peer = Peer::new(stream.unwrap());
                 thread::spawn(move || {
                     peer.startup();
                     while let Ok((b'Q', body)) = peer.message() {
                         let position = true_ms() - lag.load(Ordering::SeqCst).unsigned_abs();
-                        if !body.starts_with(b"SHOW load") && breaks.swap(false, Ordering::SeqCst) {
+                        if !body.starts_with(b"SHOW load")
+                            && reset_next_query.swap(false, Ordering::SeqCst)
+                        {
                             if let Some((clock, by)) = &step {
                                 clock.store(*by, Ordering::SeqCst);
                             }
                             break;
                         }
-                        if !answered(&mut peer, &body, name, position) {
+                        if !send_response(&mut peer, &body, name, position) {
                             break;
                         }
                     }
@@ -399,7 +402,7 @@
     }
 }
 
-fn answered(peer: &mut Peer, body: &[u8], name: &str, position: u64) -> bool {
+fn send_response(peer: &mut Peer, body: &[u8], name: &str, position: u64) -> bool {
     use std::io::Write;
     let (leads, at) = (name == "primary", position.to_string());
     let bytes = if body.starts_with(b"SHOW load") {
@@ -412,28 +415,28 @@
 }
 
 /// A proxy whose clock the test has set, between a primary and a replica.
-struct Scene {
-    _stage: Stage,
+struct ReplicatedPair {
+    _test_proxy: TestProxy,
     client: Peer,
     asked: u32,
     replica: Server,
 }
 
-impl Scene {
+impl ReplicatedPair {
     /// The clock as the proxy finds it, and as it is once a query is broken off.
-    fn new(clock: &Arc<AtomicI64>, step: i64, lag_ms: i64, settings: &str) -> Scene {
+    fn new(clock: &Arc<AtomicI64>, step: i64, lag_ms: i64, settings: &str) -> ReplicatedPair {
         let primary = Server::new("primary", 0, None);
         let replica = Server::new("replica", lag_ms, Some((clock.clone(), step)));
         let entries = [primary.entry("s-1"), replica.entry("s-2")].join(",");
         let known = format!(r#"{{"index":41,"snapshot":true,"endpoints":[{entries}]}}"#);
-        let stage = Stage::with(&[], |config| {
+        let test_proxy = TestProxy::with_config(&[], |config| {
             config.known = EndpointList::parse(known.as_bytes()).unwrap();
             config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
-            config.wall_clock = wall(clock);
+            config.wall_clock = offset_wall_clock(clock);
         });
-        let client = Peer::client(stage.address);
-        Scene {
-            _stage: stage,
+        let client = Peer::client(test_proxy.address);
+        ReplicatedPair {
+            _test_proxy: test_proxy,
             client,
             asked: 0,
             replica,
@@ -441,18 +444,21 @@
     }
 
     /// Who has answered.
-    fn ask(&mut self, class: &str, more: &str) -> String {
+    fn ask(&mut self, class: &str, extra_fields: &str) -> String {
         self.asked += 1;
         let id = self.asked;
         // A read waits for a replica for as long as its time lets it.
         let wait = if class == "recent" { 900 } else { 4_900 };
         self.client.ask(&format!(
-            "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait},cluster=3{more} */"
+            "SELECT doc FROM items WHERE id = '7f3a' /* id={id:016x},c={class},t=acme,d={wait},cluster=3{extra_fields} */"
         ));
         let reply = self.client.reply();
-        reply
-            .value
-            .unwrap_or_else(|| panic!("{class} {more}: {:?} {:?}", reply.code, reply.detail))
+        reply.value.unwrap_or_else(|| {
+            panic!(
+                "{class} {extra_fields}: {:?} {:?}",
+                reply.code, reply.detail
+            )
+        })
     }
 
     fn write(&mut self) {
@@ -460,7 +466,7 @@
     }
 
     /// Both servers have told who they are and where.
-    fn meet(&mut self) {
+    fn learn_roles(&mut self) {
         let of_replica = (0..100)
             .filter(|_| self.ask("any", "") == "replica")
             .take(3)
@@ -473,9 +479,14 @@
     }
 
     /// So many reads of a class in a row, and those that the replica had.
-    fn replica_had(&mut self, reads: u32, class: &str, more: impl Fn() -> String) -> u32 {
+    fn count_replica_reads(
+        &mut self,
+        reads: u32,
+        class: &str,
+        extra_fields: impl Fn() -> String,
+    ) -> u32 {
         (0..reads)
-            .map(|_| u32::from(self.ask(class, &more()) == "replica"))
+            .map(|_| u32::from(self.ask(class, &extra_fields()) == "replica"))
             .sum()
     }
 }
@@ -484,13 +495,13 @@
 #[test]
 fn a_session_read_sees_its_write_whatever_the_clock_says() {
     for start in [-5_000, -2_000, 2_000, HOUR_MS, -HOUR_MS] {
-        let clock = off(start);
+        let clock = clock_offset(start);
         // Behind the write below, and not far ahead of a clock that is 5 s behind.
-        let mut scene = Scene::new(&clock, 0, 4_500, SETTINGS);
-        scene.meet();
+        let mut pair = ReplicatedPair::new(&clock, 0, 4_500, SETTINGS);
+        pair.learn_roles();
         let after = || format!(",after={}", true_ms() - 1_000);
         assert_eq!(
-            scene.replica_had(8, "own", after),
+            pair.count_replica_reads(8, "own", after),
             0,
             "a clock off by {start} ms at the start"
         );
@@ -501,12 +512,12 @@
 #[test]
 fn a_replica_that_holds_the_write_serves_it_whatever_the_clock_says() {
     for start in [-5_000, -HOUR_MS, 2_000, HOUR_MS] {
-        let clock = off(start);
-        let mut scene = Scene::new(&clock, 0, 20, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(start);
+        let mut pair = ReplicatedPair::new(&clock, 0, 20, SETTINGS);
+        pair.learn_roles();
         let after = || format!(",after={}", true_ms() - 1_000);
         assert!(
-            scene.replica_had(10, "own", after) > 4,
+            pair.count_replica_reads(10, "own", after) > 4,
             "a clock off by {start} ms at the start"
         );
     }
@@ -516,21 +527,21 @@
 #[test]
 fn a_remembered_commit_ahead_of_the_clock_binds_its_session() {
     let settings = SETTINGS.replace(r#""TokenMode": "client""#, r#""TokenMode": "router""#);
-    let clock = off(-5_000);
-    let mut scene = Scene::new(&clock, 0, 4_500, &settings);
+    let clock = clock_offset(-5_000);
+    let mut pair = ReplicatedPair::new(&clock, 0, 4_500, &settings);
     // With a write, whose commit is among the first words that lie ahead.
-    scene.meet();
-    assert_eq!(scene.replica_had(8, "own", String::new), 0);
+    pair.learn_roles();
+    assert_eq!(pair.count_replica_reads(8, "own", String::new), 0);
 }
 
 /// Data is no older than its bound although the clock is behind by about as much as the replica.
 #[test]
 fn a_bound_on_the_age_of_data_holds_by_a_clock_that_is_behind() {
     for (start, lag) in [(-5_000, 4_500), (-2_000, 1_600), (-HOUR_MS, 4_500)] {
-        let clock = off(start);
-        let mut scene = Scene::new(&clock, 0, lag, SETTINGS);
-        scene.meet();
-        let reads = scene.replica_had(8, "recent", String::new);
+        let clock = clock_offset(start);
+        let mut pair = ReplicatedPair::new(&clock, 0, lag, SETTINGS);
+        pair.learn_roles();
+        let reads = pair.count_replica_reads(8, "recent", String::new);
         assert_eq!(
             reads, 0,
             "a clock off by {start} ms and a replica {lag} ms behind"
@@ -542,11 +553,11 @@
 #[test]
 fn a_bounded_read_is_served_by_a_clock_that_is_ahead() {
     for start in [2_000, HOUR_MS] {
-        let clock = off(start);
-        let mut scene = Scene::new(&clock, 0, 4_500, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(start);
+        let mut pair = ReplicatedPair::new(&clock, 0, 4_500, SETTINGS);
+        pair.learn_roles();
         assert_eq!(
-            scene.replica_had(10, "recent", String::new),
+            pair.count_replica_reads(10, "recent", String::new),
             0,
             "a clock off by {start} ms"
         );
@@ -559,24 +570,24 @@
 #[test]
 fn a_step_between_arrival_and_retry_is_heeded_until_it_is_refuted() {
     for step in [2_000, HOUR_MS] {
-        let clock = off(0);
-        let mut scene = Scene::new(&clock, step, 20, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(0);
+        let mut pair = ReplicatedPair::new(&clock, step, 20, SETTINGS);
+        pair.learn_roles();
         assert!(
-            (0..50).any(|_| scene.ask("recent", "") == "replica"),
+            (0..50).any(|_| pair.ask("recent", "") == "replica"),
             "the replica is fresh enough"
         );
-        scene.replica.breaks.store(true, Ordering::SeqCst);
-        let begun = Instant::now();
-        let mut by = scene.ask("recent", "");
-        while scene.replica.breaks.load(Ordering::SeqCst) {
-            assert!(begun.elapsed() < PATIENCE, "the replica gets none");
-            by = scene.ask("recent", "");
+        pair.replica.reset_next_query.store(true, Ordering::SeqCst);
+        let started_at = Instant::now();
+        let mut by = pair.ask("recent", "");
+        while pair.replica.reset_next_query.load(Ordering::SeqCst) {
+            assert!(started_at.elapsed() < TEST_TIMEOUT, "the replica gets none");
+            by = pair.ask("recent", "");
         }
         assert_eq!(by, "primary", "a step of {step} ms");
-        while scene.ask("recent", "") != "replica" {
+        while pair.ask("recent", "") != "replica" {
             assert!(
-                begun.elapsed() < PATIENCE,
+                started_at.elapsed() < TEST_TIMEOUT,
                 "a step of {step} ms is not refuted"
             );
         }
@@ -587,16 +598,16 @@
 #[test]
 fn a_step_back_between_arrival_and_retry_lets_no_old_data_pass() {
     for step in [-2_000, -HOUR_MS] {
-        let clock = off(0);
-        let mut scene = Scene::new(&clock, step, 20, SETTINGS);
-        scene.meet();
+        let clock = clock_offset(0);
+        let mut pair = ReplicatedPair::new(&clock, step, 20, SETTINGS);
+        pair.learn_roles();
         // Its data stands still for longer than a read would wait for it.
-        scene.replica.lag.store(6_000, Ordering::SeqCst);
-        scene.replica.breaks.store(true, Ordering::SeqCst);
+        pair.replica.lag.store(6_000, Ordering::SeqCst);
+        pair.replica.reset_next_query.store(true, Ordering::SeqCst);
         // What was told before is too old after the bound.
-        let begun = Instant::now();
-        while begun.elapsed() < 600 * MS {
-            scene.ask("recent", "");
+        let started_at = Instant::now();
+        while started_at.elapsed() < 600 * MS {
+            pair.ask("recent", "");
         }
         assert_eq!(
             clock.load(Ordering::SeqCst),
@@ -604,7 +615,7 @@
             "the replica got a read and broke it off"
         );
         assert_eq!(
-            scene.replica_had(2, "recent", String::new),
+            pair.count_replica_reads(2, "recent", String::new),
             0,
             "a step of {step} ms"
         );
@@ -615,22 +626,22 @@
 #[test]
 fn a_step_moves_no_deadline() {
     for step in [2_000, -2_000, HOUR_MS, -HOUR_MS] {
-        let (clock, server) = (off(0), common::Listener::new());
-        let stage = Stage::with(&[("s-1", &server)], |config| {
-            config.wall_clock = wall(&clock)
+        let (clock, server) = (clock_offset(0), common::Listener::new());
+        let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
+            config.wall_clock = offset_wall_clock(&clock)
         });
-        let mut client = Peer::client(stage.address);
-        client.ask(&common::read(1, "any", 600));
-        let begun = Instant::now();
-        let mut upstream = server.welcome();
+        let mut client = Peer::client(test_proxy.address);
+        client.ask(&common::read_statement(1, "any", 600));
+        let started_at = Instant::now();
+        let mut upstream = server.accept_session();
         upstream.query();
         clock.store(step, Ordering::SeqCst);
         // Another request makes the loop turn, and its clock is read, while the first is out.
-        let mut other = Peer::client(stage.address);
+        let mut other = Peer::client(test_proxy.address);
         other.ask("SET a = 1");
         other.reply();
         assert!(client.reply().code.is_some());
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert!(
             took > 300 * MS && took < 2_000 * MS,
             "a step of {step} ms: {took:?}"
@@ -643,16 +654,16 @@
 const STEPS: [i64; 4] = [2_000, -2_000, HOUR_MS, -HOUR_MS];
 
 /// Returns once so much time has gone by; what is waited for is that it has.
-fn pass(span: Duration) {
-    let begun = Instant::now();
-    while begun.elapsed() < span {
+fn busy_wait(span: Duration) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < span {
         thread::yield_now();
     }
 }
 
 /// The next query that is no probe, on any connection.
 fn next_query(server: &common::Listener) -> (Peer, String) {
-    let mut peer = server.welcome();
+    let mut peer = server.accept_session();
     loop {
         match peer.query() {
             probe if probe == "SHOW load" => peer.answer("x0=1.0,x1=1,backlog=0", &[]),
@@ -666,32 +677,32 @@
     window: Duration,
     after: Duration,
     step: i64,
-) -> (Stage, Peer, common::Listener) {
+) -> (TestProxy, Peer, common::Listener) {
     let keyed = format!(
         r#""Effect": "keyed", "Group": "all", "Window": {}"#,
         window.as_micros()
     );
     let settings = SETTINGS.replace(r#""Effect": "unsafe""#, &keyed);
-    let (clock, server) = (off(0), common::Listener::new());
-    let stage = Stage::with(&[("s-1", &server)], |config| {
+    let (clock, server) = (clock_offset(0), common::Listener::new());
+    let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
         config.platform = platform_settings::decode(settings.as_bytes()).unwrap();
-        config.wall_clock = wall(&clock);
+        config.wall_clock = offset_wall_clock(&clock);
     });
-    let mut client = Peer::client(stage.address);
+    let mut client = Peer::client(test_proxy.address);
     client.ask("INSERT INTO items (id, doc) VALUES ('7f', '\\x9f') RETURNING doc /* id=1,c=book,t=acme,d=4900,k=5c0f,cluster=3 */");
     let (upstream, query) = next_query(&server);
     assert!(query.contains(",k=5c0f"), "{query}");
-    pass(after);
+    busy_wait(after);
     clock.store(step, Ordering::SeqCst);
     drop(upstream);
-    (stage, client, server)
+    (test_proxy, client, server)
 }
 
 /// The window of a key is a span: a step forward does not end it, and a step back does not open it again.
 #[test]
 fn a_step_moves_no_window_of_a_key() {
     for step in STEPS {
-        let (_stage, mut client, server) =
+        let (_test_proxy, mut client, server) =
             broken_keyed_write(Duration::from_secs(4), Duration::ZERO, step);
         let (mut upstream, query) = next_query(&server);
         assert!(
@@ -700,12 +711,12 @@
         );
         upstream.answer("one", &[("role", "primary")]);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
-        let (_stage, mut client, _server) = broken_keyed_write(200 * MS, 300 * MS, step);
+        let (_test_proxy, mut client, _server) = broken_keyed_write(200 * MS, 300 * MS, step);
         // Sent again, it would be waited for until its client's time is over.
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert!(client.reply().code.is_some());
         assert!(
-            begun.elapsed() < 2_500 * MS,
+            started_at.elapsed() < 2_500 * MS,
             "a step of {step} ms, behind the window: it is sent again"
         );
     }
@@ -715,15 +726,15 @@
 #[test]
 fn a_step_moves_no_silence_of_discovery() {
     for step in STEPS {
-        let clock = off(0);
-        let stage = Stage::with(&[], |config| {
+        let clock = clock_offset(0);
+        let test_proxy = TestProxy::with_config(&[], |config| {
             config.max_watch_silence = 400 * MS;
-            config.wall_clock = wall(&clock);
+            config.wall_clock = offset_wall_clock(&clock);
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         clock.store(step, Ordering::SeqCst);
-        stage.discovery.accept().watch();
-        let took = begun.elapsed();
+        test_proxy.discovery.accept().accept_watch();
+        let took = started_at.elapsed();
         assert!(
             took > 200 * MS && took < 2_000 * MS,
             "a step of {step} ms: after {took:?}"
@@ -735,17 +746,17 @@
 #[test]
 fn a_step_moves_no_idle_time() {
     for step in STEPS {
-        let (clock, server) = (off(0), common::Listener::new());
-        let stage = Stage::with(&[("s-1", &server)], |config| {
+        let (clock, server) = (clock_offset(0), common::Listener::new());
+        let test_proxy = TestProxy::with_config(&[("s-1", &server)], |config| {
             config.upstream_idle_timeout = 400 * MS;
-            config.wall_clock = wall(&clock);
+            config.wall_clock = offset_wall_clock(&clock);
         });
-        let mut client = Peer::client(stage.address);
-        let mut upstream = common::served(&mut client, &server, 1, "one");
-        let begun = Instant::now();
+        let mut client = Peer::client(test_proxy.address);
+        let mut upstream = common::serve_request(&mut client, &server, 1, "one");
+        let started_at = Instant::now();
         clock.store(step, Ordering::SeqCst);
         assert!(upstream.ended());
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert!(
             took > 200 * MS && took < 2_000 * MS,
             "a step of {step} ms: after {took:?}"
