--- a/crates/leverproxy/tests/admin.rs
+++ b/crates/leverproxy/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Calls on the admin API of a real proxy, between scripted clients and record servers.
+//! Admin API of a real proxy between scripted clients and record servers.
 
 mod common;
 use common::{call, get, post, read_statement, serve_request, Listener, Peer, TestProxy};
@@ -10,7 +10,7 @@
 fn test_proxy(servers: &[(&str, &Listener)]) -> (TestProxy, SocketAddr) {
     let test_proxy = TestProxy::with_config(servers, |config| {
         config.admin = Some("127.0.0.1:0".parse().unwrap());
-        // A server that is included again takes its full load at once: no random number decides what these tests see.
+        // A server that is included again gets its full share at once, so that the tests do not depend on random numbers.
         config.platform.settings.initial_capacity_fraction = 1.0;
     });
     let admin = test_proxy.admin.unwrap();
@@ -27,7 +27,7 @@
         .collect()
 }
 
-/// The metrics count exactly what the scripted clients and servers did, answer by answer.
+/// The metrics count exactly the requests and attempts that the scripted clients and servers saw.
 #[test]
 fn metrics_are_what_the_peers_saw() {
     let server = Listener::new();
@@ -71,8 +71,8 @@
     }
 }
 
-/// An operator excludes a server. It gets no new requests, whatever discovery says of it, until an operator includes it
-/// again.
+/// A server that an operator has excluded gets no new requests, whatever its status in discovery's list, until an operator
+/// includes it again.
 #[test]
 fn an_excluded_server_gets_no_requests_until_it_is_included() {
     let (first, second) = (Listener::new(), Listener::new());
@@ -93,8 +93,8 @@
     assert!(second.try_accept().is_none());
 }
 
-/// More callers than there are connections send half a call each and wait. A complete call behind them is answered: the
-/// oldest connections give way.
+/// More callers than the admin API has connections send half a call each and wait. A complete call after them is answered,
+/// since the oldest connections are closed for it.
 #[test]
 fn slow_callers_do_not_block_others() {
     let (_test_proxy, admin) = test_proxy(&[]);
@@ -107,7 +107,7 @@
         .collect();
     assert_eq!(get(admin, "/api/ready"), (200, "ready\n".into()));
     drop(slow_callers);
-    // A caller that ends its side behind a complete call still gets its answer.
+    // A caller that closes its side for writing after a complete call still gets the response.
     let mut stream = TcpStream::connect(admin).unwrap();
     stream
         .write_all(b"GET /api/ready HTTP/1.1\r\n\r\n")
@@ -119,8 +119,8 @@
     assert_eq!(get(admin, "/api/readyz").0, 404);
 }
 
-/// A call that excludes a server is cut at every byte, and its caller leaves or waits. None of these excludes the server. A
-/// complete call behind all of them does.
+/// A call that excludes a server is cut at every byte, and its caller disconnects or waits. None of the incomplete calls
+/// excludes the server; a complete call after them does.
 #[test]
 fn an_incomplete_call_changes_nothing() {
     let server = Listener::new();
@@ -148,14 +148,14 @@
     assert_eq!(metrics(admin)["lb_record_servers_excluded"], 1);
 }
 
-/// Answers, errors, a connection that breaks and a client that leaves: over a whole run the metrics equal what the scripted
-/// peers counted.
+/// Over a run with responses, errors, a broken connection and a client that disconnects, the metrics equal the counts of the
+/// scripted peers.
 #[test]
 fn metrics_over_a_run_equal_what_the_peers_counted() {
     let server = Listener::new();
     let (test_proxy, admin) = test_proxy(&[("s-1", &server)]);
     let mut client = Peer::client(test_proxy.address);
-    // Warms up: the first of a class may be preceded by a probe, which is no attempt.
+    // The first request of a class may be preceded by a probe, which does not count as an attempt.
     let (mut served, mut failed, mut attempts) = (0, 0, 0);
     let mut upstream = None;
     for id in 0..60 {
@@ -170,20 +170,20 @@
         attempts += 1;
         match id % 3 {
             0 => peer.answer("value", &[("role", "primary")]),
-            // A write that may have run fails and is not tried again.
+            // A write that may have run fails and is not retried.
             _ if id < 59 => peer.error("XX000"),
-            // The last one's connection breaks: the server is left alone for a while then.
+            // Only the last request breaks its connection, because the server is in backoff afterwards.
             _ => upstream = None,
         }
         match client.reply() {
             reply if reply.value.is_some() => served += 1,
             reply if reply.code.as_deref() == Some("53300") => {
-                panic!("refused, though it may have run")
+                panic!("rejected as not run, though the write may have run")
             }
             _ => failed += 1,
         }
     }
-    // A client leaves while its request is in flight.
+    // A client disconnects while its request is in flight.
     client.ask(&read_statement(100, "any", 19000));
     let peer = upstream.get_or_insert_with(|| server.accept_session());
     while peer.query() == "SHOW load" {
--- a/crates/leverproxy/tests/answers.rs
+++ b/crates/leverproxy/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Events of record servers that cross an answer: ends of connections, resets and drains. Each order is forced by stopping
-//! the program, so that one batch of events holds both.
+//! Responses of record servers that coincide with a closed connection, a reset or a drain. The program is stopped
+//! (SIGSTOP) meanwhile, so that its event loop gets both events in one batch.
 
 mod common;
 use common::{answer, read_statement, serve_request, Listener, Peer, Program, Reply, TestProxy};
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 use std::net::Shutdown;
 
-/// The answer to a request that may have run.
+/// Response to a request that may have run.
 fn unknown_outcome() -> Reply {
     Reply {
         code: Some("08007".into()),
@@ -16,7 +16,7 @@
     }
 }
 
-/// A program that knows these servers, and a client of it.
+/// Starts a program with these servers in its endpoint list, and connects a client.
 fn start_with_client(servers: &[(&str, &Listener)]) -> (Program, Peer) {
     let mut program = Program::start("");
     let entries: Vec<String> = servers
@@ -46,7 +46,7 @@
 
 /// Sends half of an answer and a reset, in one batch of events.
 fn reset_mid_response(program: &Program, mut upstream: Peer) {
-    // A client that is greeted now comes after all earlier events.
+    // Once this client is greeted, the program has handled all earlier events.
     Peer::client(program.address);
     program.pause();
     let whole = answer("whole", &[]);
@@ -56,8 +56,8 @@
     program.signal(Signal::CONT);
 }
 
-/// A server writes a complete answer and resets its connection; the proxy sees both at once. The answer is served, and the
-/// next request goes out on another connection.
+/// A server writes a complete response and resets its connection; the proxy gets both in one batch. The client gets the
+/// response, and the next request is sent on another connection.
 #[test]
 fn an_answer_with_a_reset_right_behind_it_is_served() {
     let server = Listener::new();
@@ -74,7 +74,7 @@
     serve_request(&mut client, &server, 2, "next");
 }
 
-/// A server resets its connection in the middle of the answer to a read. A read may run twice, so it is retried.
+/// A server resets its connection in the middle of the response to a read. A read may run twice, so it is retried.
 #[test]
 fn a_read_whose_answer_breaks_off_is_served_by_another_attempt() {
     let server = Listener::new();
@@ -87,8 +87,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("again"));
 }
 
-/// A server resets its connection in the middle of the answer to a write. The write may have run, so it is not retried: the
-/// client gets an error that says so.
+/// A server resets its connection in the middle of the response to a write. The write may have run, so it is not retried, and
+/// the client gets the error for an unknown outcome.
 #[test]
 fn a_write_whose_answer_breaks_off_fails() {
     let server = Listener::new();
@@ -110,7 +110,7 @@
         upstream.answer("one", &[("role", "primary")]);
         assert_eq!(client.reply().value.as_deref(), Some("one"));
         client.ask(&read_statement(2, class, 19000));
-        // It is there, and is never read.
+        // The request has arrived at the server, which never reads it.
         assert!(upstream.stream.peek(&mut [0]).unwrap() > 0);
         drop(upstream);
         if repeated {
@@ -125,8 +125,8 @@
     }
 }
 
-/// A request and the end of the idle connection that it would go out on come in one batch of events. The end is seen before
-/// the request is written, so a write goes out on another connection.
+/// A write and the end of the idle connection that it would be sent on arrive in one batch of events. The end is handled
+/// before the request is written, so the write is sent on another connection.
 #[test]
 fn a_write_in_one_batch_with_the_end_of_its_connection_goes_out_on_another() {
     let server = Listener::new();
@@ -147,8 +147,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// A server's answer and discovery's notice that it drains come in one batch of events, in either order. The answer is served,
-/// and nothing new goes to that server.
+/// A server's response and discovery's update that the server drains arrive in one batch of events, in either order. The
+/// client gets the response, and the server gets no new requests.
 #[test]
 fn an_answer_and_a_drain_in_one_batch_both_count() {
     for answer_first in [true, false] {
@@ -178,8 +178,8 @@
     }
 }
 
-/// A server sends valid messages without end, and none of them is the answer. The client gets an error at its deadline, and
-/// the server's connection ends.
+/// A server sends valid messages without end, and none of them completes the response. The client gets an error at its
+/// deadline, and the connection to the server is closed.
 #[test]
 fn an_endless_answer_ends_at_the_deadline() {
     let server = Listener::new();
@@ -198,11 +198,11 @@
     });
     assert!(client.reply().code.is_some());
     endless.join().unwrap();
-    // The program goes on.
+    // The program still serves.
     Peer::client(program.address);
 }
 
-/// Guards against an answer that is there in time and goes out late, because one before it on the connection has longer to wait.
+/// Guards against an error response that is sent late because an earlier request on the connection has a later deadline.
 #[test]
 fn a_request_behind_one_with_more_time_is_answered_in_time() {
     let server = Listener::new();
@@ -211,14 +211,14 @@
     client.ask(&read_statement(1, "any", 19000));
     let mut hanging = server.accept_session();
     hanging.query();
-    // The server is at its limit: this one waits for it, and is answered at the end of its own time.
+    // The server is at its limit: the second request waits for it, and gets an error at its own deadline.
     client.ask(&read_statement(2, "any", 600));
-    // The client reads for less long than the first request has.
+    // The read timeout of the client is shorter than the deadline of the first request.
     assert_eq!(client.reply(), unknown_outcome());
     assert!(client.reply().code.is_some());
 }
 
-/// Guards against an entry of discovery's list that can't be read keeping the others from being served by.
+/// Guards against one unreadable entry of discovery's list causing the whole list to be ignored.
 #[test]
 fn a_list_with_an_unreadable_entry_is_served_by() {
     let server = Listener::new();
--- a/crates/leverproxy/tests/attempts.rs
+++ b/crates/leverproxy/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! When an attempt may still begin, and the time that it tells: the upstream side on real connections, at instants that
-//! the test chooses.
+//! Until when an attempt may be written, and the time left that it states. The upstream side runs on real connections, at
+//! instants that the test chooses.
 
 mod common;
 use common::{Listener, Peer, TEST_TIMEOUT};
@@ -14,7 +14,7 @@
 const MS: Duration = Duration::from_millis(1);
 const SERVER: ServerId = ServerId(1);
 const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
-/// More than a loopback connection takes in while its other end reads nothing.
+/// Bytes; more than a loopback connection buffers while the other end reads nothing.
 const LARGER_THAN_SOCKET_BUFFERS: usize = 32 << 20;
 
 struct Upstreams {
@@ -41,7 +41,7 @@
         self.started_at + since
     }
 
-    /// Starts an attempt at the beginning that is waited for and may begin for so long.
+    /// Starts an attempt at `started_at`. `deadline` and `write_deadline` are spans from then on; `padding` is in bytes.
     fn start(&mut self, id: u64, deadline: Duration, write_deadline: Duration, padding: usize) {
         let command = Command {
             before_time_left: format!("SELECT '{}' /* d=", "x".repeat(padding)).into_bytes(),
@@ -60,7 +60,7 @@
             .start(SERVER, exchange, self.started_at, &self.reactor);
     }
 
-    /// Hands on the next batch of events as if they had come at `since`.
+    /// Dispatches the next batch of events as if they had arrived at `since`.
     fn dispatch_events(&mut self, since: Duration) {
         let mut ready = Vec::new();
         while ready.is_empty() {
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Dials come up and are welcomed at `since`; the record server's end.
+    /// Establishes the dialled connection and its session at `since`; returns the record server's end.
     fn establish_session(&mut self, since: Duration) -> Peer {
         let mut peer = self.server.accept();
-        // Up, and the startup written.
+        // The connection is established, and the startup packet written.
         self.dispatch_events(since);
         peer.startup();
         self.dispatch_events(since);
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_dial_that_is_established_too_late_carries_no_attempt() {
-    // Of one that had less time to begin than a dial may take, the server is not to blame.
+    // The server is not blamed where the write deadline was shorter than the dial timeout.
     let (write_deadline_passed, dial_timed_out) =
         (ExchangeOutcome::NotSent, ExchangeOutcome::ConnectFailed);
     for (deadline, write_deadline, outcome) in [
@@ -118,7 +118,7 @@
         let mut peer = upstreams.establish_session(100 * MS);
         assert_eq!(upstreams.pop_completed().unwrap().outcome, outcome);
         assert_eq!(upstreams.upstream.attempts, 0);
-        // The connection is there for the next.
+        // The next attempt uses the connection.
         upstreams.start(2, TEST_TIMEOUT, TEST_TIMEOUT, 0);
         assert_eq!(time_left_sent(&mut peer), "d=10000 */");
     }
@@ -140,7 +140,7 @@
     assert_eq!(time_left_sent(&mut peer), "d=10000 */");
 }
 
-/// Half of a request is written when it is cancelled. The server must not get the rest, or it would run.
+/// A request is cancelled when half of it is written. The server must not get the rest, since the request would run then.
 #[test]
 fn an_attempt_cancelled_half_written_closes_its_connection() {
     let mut upstreams = Upstreams::new();
@@ -158,7 +158,7 @@
     assert!(peer.ended());
 }
 
-/// A request is half written for so long that the time left in it is no longer true: it is dropped.
+/// A request stays half written for so long that the time left which it states is no longer true. It is dropped.
 #[test]
 fn an_attempt_that_is_not_written_in_time_is_dropped() {
     let mut upstreams = Upstreams::new();
--- a/crates/leverproxy/tests/balancers.rs
+++ b/crates/leverproxy/tests/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers in front of the proxy: health checks of every protocol, drains, and PROXY protocol headers.
+//! Load balancers in front of the proxy: health checks of every protocol, drains, and PROXY protocol headers.
 
 mod common;
 use common::{read_statement, Listener, Peer, Program, TestProxy, TEST_TIMEOUT};
@@ -19,7 +19,7 @@
     stream
 }
 
-/// Everything that comes until the end of the connection.
+/// Reads until the end of the connection.
 fn read_to_end(mut stream: TcpStream) -> String {
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
@@ -47,7 +47,7 @@
         .unwrap()
 }
 
-/// Waits until the proxy's state has changed.
+/// Polls until `holds` returns true; fails after a timeout with `what`.
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
@@ -73,7 +73,7 @@
     ] {
         assert_eq!(status(web, path), code, "{path}");
     }
-    // Several checks on a connection, one of them cut in two.
+    // Several checks on one connection, one of them sent in two parts.
     let mut stream = connect(web);
     stream
         .write_all(b"HEAD /readyz HTTP/1.1\r\n\r\nGET /livez HTTP/1.1\r\nConnection: cl")
@@ -106,14 +106,14 @@
         &[],
         "health a {\n protocol agent\n address 127.0.0.1:0\n maxconn yes\n}\nlimits {\n sockets 141\n}\n",
     );
-    // 141 less 32, nine for this listener and ten for the reserve leave 90, of which clients get 60%.
+    // 141 sockets minus 32, minus nine for this listener and ten in reserve, leave 90. Clients get 60% of them.
     wait_until("the limit is known", || {
         agent_check(test_proxy.health[0]) == "ready up 100% maxconn:54\n"
     });
 }
 
-/// A group of servers takes requests and answers none. Within a second its own readiness check fails; the proxy stays ready
-/// for the other groups.
+/// A group of servers accepts requests and answers none. The readiness check of that group fails within a second, while the
+/// proxy stays ready for the other groups.
 #[test]
 fn a_hung_group_is_reported_and_others_stay_ready() {
     let server = Listener::new();
@@ -121,12 +121,12 @@
     let [agent, web] = test_proxy.health[..] else {
         panic!()
     };
-    // Twenty requests that are not answered.
+    // Twenty requests that get no response.
     let mut clients: Vec<Peer> = (0..20).map(|_| Peer::client(test_proxy.address)).collect();
     for (id, client) in (1..).zip(&mut clients) {
         client.ask(&read_statement(id, "any", 19_000));
     }
-    // The servers greet connections, and are silent from then on.
+    // The servers complete the startup and then send nothing.
     let mut peers = Vec::new();
     wait_until("the group is hung", || {
         while let Some(mut peer) = server.try_accept() {
@@ -135,7 +135,7 @@
         }
         status(web, "/readyz/group/3") == 503
     });
-    assert_eq!(status(web, "/readyz"), 200, "others are not drained for it");
+    assert_eq!(status(web, "/readyz"), 200, "the proxy must stay ready for other groups");
     let reply = agent::read(&agent_check(agent));
     assert_eq!(
         (reply.administrative, reply.operational),
@@ -161,8 +161,8 @@
     assert_eq!(agent_check(health[0]), "ready up 100%\n");
 }
 
-/// Balancers open more connections for checks than there are, and send half a check on each. They are disconnected after
-/// their time, and other checks and clients are served meanwhile.
+/// Balancers open more connections than the health-check listener allows, and send half a check on each. They are
+/// disconnected after the timeout, and other checks and clients are served meanwhile.
 #[test]
 fn slow_checks_are_disconnected_and_block_nobody() {
     let test_proxy = TestProxy::with_operators_file(
@@ -175,12 +175,12 @@
     }
     assert_eq!(agent_check(test_proxy.health[1]), "ready up 100%\n");
     Peer::client(test_proxy.address);
-    // The slow ones are disconnected without an answer, and a check that had to wait is answered.
+    // The slow checks are disconnected without a response, and a check that had to wait is answered.
     assert_eq!(status(test_proxy.health[0], "/livez"), 200);
     assert!(slow
         .into_iter()
         .all(|mut s| s.read(&mut [0; 16]).map_or(true, |n| n == 0)));
-    // Idle connections between checks give way to new ones.
+    // Connections that are idle between checks are closed in favour of new ones.
     let kept: Vec<TcpStream> = (0..4)
         .map(|_| {
             let mut stream = connect(test_proxy.health[0]);
@@ -214,8 +214,8 @@
     assert!(checks.join().unwrap());
 }
 
-/// Clients have used up all descriptors, and more of them wait at the listener. Checks are still answered: their descriptors
-/// are reserved.
+/// Clients use up all file descriptors, and more clients wait at the listener. Checks are still answered, since their
+/// descriptors are reserved.
 #[test]
 fn checks_are_answered_when_no_descriptor_is_left() {
     let port = {
@@ -247,8 +247,8 @@
     )
 }
 
-/// An operator drains the proxy. Checks fail at once, and the proxy listens until the balancers must have seen that. Undrain
-/// brings it back.
+/// An operator drains the proxy. Checks fail at once, and the proxy keeps its listener open until every balancer must have
+/// seen a failed check. Undrain puts the proxy back into service.
 #[test]
 fn an_operator_drains_and_undrains() {
     let socket = std::env::temp_dir().join(format!("leverproxy-{}-control", std::process::id()));
@@ -282,7 +282,7 @@
     assert!(run_command(socket, "status")
         .1
         .starts_with("phase drained\n"));
-    // A client that is owed nothing is closed.
+    // A client without an open request is disconnected.
     assert!(client.ended());
     let (done, text) = run_command(socket, "undrain");
     assert!(done && text.starts_with("phase serving\n"), "{text}");
@@ -295,8 +295,8 @@
     test_proxy.control.stop();
 }
 
-/// A second proxy is started with the control socket of a running one. It does not start. A socket that a killed process has
-/// left behind is replaced.
+/// A second proxy with the control socket of a running one does not start. A socket file that a killed process has left
+/// behind is replaced.
 #[test]
 fn a_control_socket_belongs_to_one_proxy() {
     let path = std::env::temp_dir().join(format!("leverproxy-{}-single", std::process::id()));
@@ -307,15 +307,15 @@
     assert!(run_command(path.to_str().unwrap(), "status").0);
     first.control.stop();
     first.end();
-    // Left over from one that was killed.
+    // Leaves a socket file behind, as a killed process does.
     drop(std::os::unix::net::UnixListener::bind(&path).unwrap());
     let second = TestProxy::with_operators_file(&[], &text);
     assert!(run_command(path.to_str().unwrap(), "status").0);
     drop(second);
 }
 
-/// The proxy is told to stop and announces its end first: checks fail, while new clients are still served until the
-/// balancers have seen that.
+/// With announce-end, a proxy that is stopped first fails its health checks, and serves new clients until the balancers have
+/// seen that.
 #[test]
 fn an_announced_end_serves_until_the_balancers_have_seen_it() {
     let mut test_proxy = TestProxy::with_operators_file(
@@ -333,14 +333,14 @@
     assert!(late.ended());
 }
 
-/// Balancers check a PostgreSQL server by connecting, asking for encryption, or a startup message without a request. These
-/// do not count as clients, and are not logged as malformed.
+/// Balancers check a PostgreSQL server by a connection alone, a request for encryption, or a startup message without a query.
+/// These checks do not count as clients, and are not logged as malformed input.
 #[test]
 fn postgresql_checks_are_not_clients() {
     let mut program = Program::with_operators_file("", "balancer b {\n network 127.0.0.0/8\n}\n");
     drop(connect(program.address));
     let code = |number: u32| [8_u32.to_be_bytes(), number.to_be_bytes()].concat();
-    // SSLRequest and GSSENCRequest are answered with a no, and the startup follows.
+    // SSLRequest and GSSENCRequest are declined with `N`, and the startup message follows.
     for number in [80_877_103, 80_877_104] {
         let mut stream = connect(program.address);
         stream.write_all(&code(number)).unwrap();
@@ -352,7 +352,7 @@
             .unwrap();
         assert!(stream.read(&mut [0; 512]).unwrap() > 0);
     }
-    // CancelRequest: closed without an answer.
+    // The connection of a CancelRequest is closed without a response.
     let mut stream = connect(program.address);
     stream
         .write_all(
@@ -366,7 +366,7 @@
         .unwrap();
     assert_eq!(stream.read(&mut [0; 16]).unwrap(), 0);
     drop(stream);
-    // No client was rejected, and the log has no line about any of them.
+    // No client was rejected, and the log has no line about any of the checks.
     program.signal(Signal::TERM);
     let log = program.remaining_log();
     assert!(
@@ -376,11 +376,11 @@
     assert!(!log.iter().any(|line| line.contains("front:")), "{log:?}");
 }
 
-/// The proxy is at its limit of clients. A check from a balancer's network is accepted all the same.
+/// A check from a balancer's network is accepted even when the proxy is at its limit of clients.
 #[test]
 fn a_check_is_accepted_at_the_limit_of_clients() {
     let server = Listener::new();
-    // One client holds the only place, with a request out.
+    // The limit is one client, which has a request in flight.
     let test_proxy = TestProxy::with_client_limit(
         &[("s-1", &server)],
         "balancer b {\n network 127.0.0.0/8\n}\n",
@@ -401,8 +401,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("x"));
 }
 
-/// Routes go by the client's address that the balancer states in a PROXY protocol header. The header is required from the
-/// configured networks, and only there.
+/// Routes match the client address in the balancer's PROXY protocol header. The header is required from the configured
+/// networks, and only from them.
 #[test]
 fn a_proxy_header_names_the_client() {
     let operators = "listener l {\n address 127.0.0.1:0\n proxy-from 127.0.0.0/8\n}\nroute far {\n network 192.0.2.0/24\n refuse 1234ms\n}\nroute rest {\n refuse 1678ms\n}\n";
@@ -410,7 +410,7 @@
     let named = |text: &str| -> SocketAddr { text.parse().unwrap() };
     let retry_after_behind = |header: Vec<u8>| {
         let mut peer = Peer::connect(test_proxy.address);
-        // In two pieces, the startup right behind.
+        // Sends the header in two parts, the second together with the startup message.
         peer.write(&header[..5]);
         peer.write(&[&header[5..], &server::startup_packet("app", "shop")].concat());
         peer.reply();
@@ -435,7 +435,7 @@
     without.write(&server::startup_packet("app", "shop"));
     assert!(
         without.reply().code.is_some(),
-        "no header where one has to be"
+        "a connection without the required PROXY header must be rejected"
     );
     let mut bad = proxy::header(named("192.0.2.7:9"), server, 1);
     bad[17] ^= 1;
@@ -444,7 +444,7 @@
     assert!(peer.reply().code.is_some());
 }
 
-/// A large configuration is reloaded. Checks are answered meanwhile, by the state as it is.
+/// Checks are answered from the running configuration while a large one is reloaded.
 #[test]
 fn checks_are_answered_during_a_reload() {
     let port = std::net::TcpListener::bind("127.0.0.1:0")
@@ -468,11 +468,11 @@
     program.wait_for_log_line("the configuration is reread");
     assert_eq!(agent_check(port), "ready up 100%\n");
     program.signal(Signal::TERM);
-    wait_until("it ends", || program.child.try_wait().unwrap().is_some());
+    wait_until("the program ends", || program.child.try_wait().unwrap().is_some());
 }
 
-/// Built with the feature `grpc`, the program answers HTTP/2 on that listener. Without it, it reports that and does not
-/// start.
+/// Built with the feature `grpc`, the program speaks HTTP/2 on a gRPC health listener. Built without it, the program reports
+/// an error and does not start.
 #[test]
 fn grpc_checks_are_answered_by_a_program_that_is_built_for_them() {
     let operators = "health g {\n protocol grpc\n address 127.0.0.1:0\n}\n";
@@ -484,7 +484,7 @@
             .unwrap();
         let mut head = [0; 9];
         stream.read_exact(&mut head).unwrap();
-        assert_eq!(head[3], 4, "a SETTINGS frame comes first: {head:?}");
+        assert_eq!(head[3], 4, "the first frame must be SETTINGS: {head:?}");
     } else {
         assert!(
             std::panic::catch_unwind(|| TestProxy::with_operators_file(&[], operators)).is_err()
--- a/crates/leverproxy/tests/closing.rs
+++ b/crates/leverproxy/tests/closing.rs
@@ -1,7 +1,7 @@
-//! Connections that end, from either side, while bytes are under way: every order of two events that may cross.
+//! Connections that are closed by either side while bytes are in transit, in every order of the two events.
 //!
-//! Where the program's event loop must not see one event before another has come, the program is stopped (SIGSTOP) in
-//! between: what comes meanwhile waits in its sockets, and the loop finds all of it at once.
+//! Where the event loop must get two events in one batch, the program is stopped (SIGSTOP) meanwhile: both wait in its
+//! sockets until it continues.
 
 mod common;
 use common::{
@@ -19,7 +19,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Stops the program: it sees no event from here on.
+/// Stops the program with SIGSTOP; its event loop gets no events until SIGCONT.
 fn pause(program: &Program) {
     program.signal(Signal::STOP);
     let (_, status) = waitpid(Some(Pid::from_child(&program.child)), WaitOptions::UNTRACED)
@@ -32,7 +32,7 @@
     program.signal(Signal::CONT);
 }
 
-/// A program that knows one record server.
+/// Starts a program with one record server in its endpoint list.
 fn program(operators: &str, server: &Listener) -> Program {
     let mut program = Program::with_operators_file("", operators);
     program
@@ -41,17 +41,18 @@
     program
 }
 
-/// Stops the program after it has received SIGTERM, for longer than it goes on listening.
+/// Sends SIGTERM, and pauses the program once it has logged that.
 fn pause_after_stop_signal(program: &mut Program) {
     program.signal(Signal::TERM);
     program.wait_for_log_line("told to stop");
     pause(program);
 }
 
+/// Longer than the program accepts new clients after SIGTERM.
 const BEYOND_ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 
-/// The proxy has been told to stop, no client is connected, and the time for new connections is over. One connection waits
-/// in the listener's queue. Closing the listener would reset it, so it is accepted and its request is served first.
+/// The proxy is stopping, without clients, and its period for new connections is over. A connection still waits in the
+/// listener's queue. Closing the listener would reset that connection, so it is accepted and its request served first.
 #[test]
 fn a_client_at_the_listener_as_it_closes_is_served() {
     let server = Listener::new();
@@ -75,7 +76,7 @@
     assert_eq!(client.reply().value.as_deref(), Some(value));
 }
 
-/// A connection has waited in the listener's queue since before the proxy was told to stop. It is accepted and served.
+/// A connection that has waited in the listener's queue since before SIGTERM is accepted and served.
 #[test]
 fn a_client_at_the_listener_when_told_to_stop_is_served() {
     let server = Listener::new();
@@ -92,8 +93,8 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// Many clients wait for the server's greeting before they send a request. A client that is greeted just as the proxy
-/// closes its listener has time to send that request, and is served.
+/// Clients wait for the greeting before they send a request. A client that is greeted just as the proxy closes its listener
+/// has time to send its first request, and is served.
 #[test]
 fn a_client_greeted_as_the_listener_closes_may_still_send_its_request() {
     let server = Listener::new();
@@ -110,7 +111,7 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A client that is connected as the proxy stops sends no request. Its connection is closed after a short time, without an
+/// A client without a request is connected when the proxy stops. Its connection is closed after a short time, without an
 /// error, and the proxy ends.
 #[test]
 fn a_client_that_sends_no_request_does_not_delay_the_end() {
@@ -119,13 +120,13 @@
     });
     let mut client = Peer::client(test_proxy.address);
     test_proxy.control.stop();
-    assert!(client.message().is_err(), "the end, and nothing before it");
+    assert!(client.message().is_err(), "the connection must end without a message");
     drop(client);
     test_proxy.end();
 }
 
-/// The proxy is at its limit of clients, and connections wait in the listener's queue as it stops. Closed with the listener,
-/// they would be reset. Each gets an error instead, with which a client knows that it can try another proxy.
+/// The proxy is at its limit of clients, and connections wait in the listener's queue when it stops. Closing the listener
+/// would reset them. Each gets an error instead, after which a client can try another proxy.
 #[test]
 fn a_client_over_the_limit_as_the_listener_closes_gets_an_error() {
     let server = Listener::new();
@@ -153,8 +154,8 @@
     test_proxy.end();
 }
 
-/// Binds an address whose listener has been closed. A child process that another test of this program starts holds a copy
-/// of that listener from its fork to its exec, and the system calls the address in use until then.
+/// Binds an address whose listener has been closed. A child process that another test starts holds a copy of that listener
+/// from its fork to its exec, and bind fails with EADDRINUSE until then.
 fn bind_released(address: SocketAddr) -> TcpListener {
     let started_at = Instant::now();
     loop {
@@ -188,14 +189,14 @@
     drop(other);
     let started_at = Instant::now();
     while TcpStream::connect(test_proxy.address).is_err() {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "nobody listens");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "the proxy does not listen again");
         thread::yield_now();
     }
     Peer::client(test_proxy.address);
 }
 
-/// A client's connection pool looks at a connection only when it uses it next, so an idle client may never read that the
-/// proxy closes. One that has been idle for longer than it takes to read an answer does not delay the end.
+/// A client's connection pool reads from a connection only at its next use, so an idle client may never notice that the
+/// proxy closes it. A client that has been idle for longer than the linger timeout does not delay the end.
 #[test]
 fn an_idle_client_that_never_reads_does_not_delay_the_end() {
     const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -222,13 +223,13 @@
     assert!(stopped_at.elapsed() < TEST_TIMEOUT);
 }
 
-/// While the proxy drains, it writes the last answer that it owes on a connection. The client's next request has come
-/// already, but was not read yet. Closing behind the answer would lose it: it is read and answered first.
+/// A draining proxy writes the last open response of a connection while the client's next request waits unread in the socket.
+/// Closing after the response would lose that request, so it is read and answered first.
 #[test]
 fn a_request_behind_the_last_answer_is_served() {
     let server = Listener::new();
     let mut program = program("", &server);
-    // In this order: the program has looked at the client when it closes the other.
+    // In this order, the program has handled `client` by the time that it closes `idle`.
     let mut client = Peer::client(program.address);
     let mut idle = Peer::client(program.address);
     client.ask(&read_statement(1, "any", 3000));
@@ -237,7 +238,7 @@
     program.signal(Signal::TERM);
     assert!(idle.ended(), "the listener is closed");
     pause(&program);
-    // In this order: the program finds the answer first.
+    // In this order, the program handles the response first.
     upstream.answer("one", &[]);
     client.ask("");
     resume(&program);
@@ -248,8 +249,8 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// There are many clients, and one has been idle for long. It sends a request just as the proxy is about to close its
-/// connection. The request is served.
+/// Among many clients, one that has been idle for long sends a request just as the proxy is about to close its connection.
+/// The request is served.
 #[test]
 fn a_request_on_an_idle_connection_is_served_among_many_clients() {
     let server = Listener::new();
@@ -268,8 +269,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("two"));
 }
 
-/// The proxy is at its limit, and the client that has been idle the longest is to give way to a new one. It sends a request
-/// just then. It stays, and the one that has been idle the next longest gives way.
+/// The proxy is at its limit, and would close the longest idle client in favour of a new one. That client sends a request at
+/// the same moment: it stays connected, and the next longest idle client is closed.
 #[test]
 fn an_idle_client_that_sends_a_request_does_not_give_way() {
     let server = Listener::new();
@@ -285,10 +286,10 @@
         upstream.answer("each", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("each"));
     }
-    // At the limit, the listener is left alone for 100 ms.
+    // At the limit, the proxy stops accepting for 100 ms.
     thread::sleep(Duration::from_millis(200));
     pause(&program);
-    // In this order: the program finds the newcomer first.
+    // In this order, the program handles the new client first.
     let mut newcomer = Peer::connect(program.address);
     newcomer.write(&startup_packet("app", "shop"));
     clients[0].ask(&read_statement(4, "any", 2000));
@@ -299,11 +300,11 @@
     assert_eq!(newcomer.reply(), Reply::default(), "the greeting");
     assert!(
         clients[1].ended(),
-        "the one that was idle the longest but for the first"
+        "the next longest idle client must be closed"
     );
 }
 
-/// A client's time for its first request is over, but the request came before the proxy had seen that. It is served.
+/// A client's first request arrives after its time limit, but before the proxy has handled the timeout. It is served.
 #[test]
 fn a_first_request_at_the_last_moment_is_served() {
     let server = Listener::new();
@@ -316,9 +317,9 @@
     serve_next_request(&mut client, &server, "in time");
 }
 
-/// A proxy that closes its listener as soon as it is told to stop, and waits long for open requests.
+/// A proxy that closes its listener as soon as it is stopped, and has a long timeout for open requests.
 fn test_proxy(server: &Listener, adjust: impl FnOnce(&mut Config)) -> TestProxy {
-    // Under three names: one that has just come into the list bears little at once.
+    // Listed under three names, because a newly listed server gets few requests at first.
     TestProxy::with_config(
         &[("s-1", server), ("s-2", server), ("s-3", server)],
         |config| {
@@ -329,21 +330,21 @@
     )
 }
 
-/// Tells the proxy to stop, and waits until its listener is closed.
+/// Stops the proxy, and waits until it has closed the idle client, which it does together with its listener.
 fn stop(test_proxy: &TestProxy, idle: &mut Peer) {
     test_proxy.control.stop();
     assert!(idle.ended());
 }
 
-/// A client that is idle after one request. Its connection closes with the listener.
+/// A client that is idle after one request. Its connection is closed together with the listener.
 fn idle_client(test_proxy: &TestProxy, server: &Listener) -> Peer {
     let mut client = Peer::client(test_proxy.address);
     drop(serve_request(&mut client, server, 99, "idle"));
     client
 }
 
-/// A client has sent several commands before the listener closes. All are answered, in their order, then the connection
-/// ends.
+/// A client has sent several commands before the listener closes. All are answered in their order before the connection is
+/// closed.
 #[test]
 fn pipelined_commands_are_answered_in_order_before_the_end() {
     let server = Listener::new();
@@ -361,7 +362,7 @@
         })
         .collect();
     stop(&test_proxy, &mut idle);
-    // The last is answered first.
+    // The servers answer in reverse order.
     upstreams.sort_by(|a, b| b.0.cmp(&a.0));
     for (query, upstream) in &mut upstreams {
         let id = query.split("id=").nth(1).unwrap()[..16].to_owned();
@@ -375,8 +376,8 @@
     test_proxy.end();
 }
 
-/// A client has sent more commands than the proxy reads at once, so some wait in the buffer as the listener closes. They are
-/// answered as well.
+/// A client has sent more commands than the pipelining limit, so some wait unread when the listener closes. They are answered
+/// as well.
 #[test]
 fn commands_over_the_pipelining_limit_are_answered_before_the_end() {
     let server = Listener::new();
@@ -400,21 +401,21 @@
     test_proxy.end();
 }
 
-/// Half of a request had come when the listener closed. The other half comes later, and the request is served.
+/// Half of a request has arrived when the listener closes. The other half arrives later, and the request is served.
 #[test]
 fn a_request_that_is_half_read_at_the_stop_is_served() {
     let server = Listener::new();
     let mut test_proxy = test_proxy(&server, |config| {
         config.client_limits.first_request = TEST_TIMEOUT
     });
-    // Looked at before the other when the listener closes.
+    // This client is handled before `idle` when the listener closes.
     let mut client = Peer::client(test_proxy.address);
-    // One that has asked before is not given time for a first request.
+    // After this request, the client is not granted the time for a first request.
     drop(serve_request(&mut client, &server, 1, "one"));
     let mut idle = idle_client(&test_proxy, &server);
     let request = message(&read_statement(2, "any", 19000));
     client.write(&request[..40]);
-    // A welcome on another connection: what came before it has been read.
+    // Once another client is greeted, the program has read all earlier bytes.
     drop(Peer::client(test_proxy.address));
     stop(&test_proxy, &mut idle);
     client.write(&request[40..]);
@@ -423,8 +424,8 @@
     test_proxy.end();
 }
 
-/// A client reads slowly, and its socket does not take all of its answers at once. The program ends only after it has
-/// written all of them.
+/// A client reads so slowly that its socket buffer cannot hold all responses. The proxy ends only after it has written all of
+/// them.
 #[test]
 fn a_slow_reader_gets_all_of_its_answers() {
     // More than the sockets' buffers hold.
@@ -465,8 +466,8 @@
     test_proxy.end();
 }
 
-/// A client sends a request just as the proxy ends its connection. The request is not read, so the client knows that nothing
-/// of it ran. Nor is the connection reset, which could destroy the answer before it on its way.
+/// A client sends a request just as the proxy closes its connection. The request is not read, so the client can conclude that
+/// it did not run. The connection is not reset, since a reset could destroy the previous response in transit.
 #[test]
 fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
     let server = Listener::new();
@@ -474,14 +475,14 @@
     let mut idle = idle_client(&test_proxy, &server);
     stop(&test_proxy, &mut idle);
     idle.ask(&read_statement(1, "any", 19000));
-    assert_eq!(idle.stream.read(&mut [0; 1]).unwrap(), 0, "still the end");
-    assert!(idle.stream.take_error().unwrap().is_none(), "no reset");
-    assert!(server.try_accept().is_none(), "nothing is sent on");
+    assert_eq!(idle.stream.read(&mut [0; 1]).unwrap(), 0, "the connection must stay closed");
+    assert!(idle.stream.take_error().unwrap().is_none(), "the connection must not be reset");
+    assert!(server.try_accept().is_none(), "the request must not reach a server");
     drop(idle);
     test_proxy.end();
 }
 
-/// The proxy is told to stop, and then to reload its configuration. The stop goes on with the settings that it began with.
+/// A reload after SIGTERM does not change the settings of the shutdown that is under way.
 #[test]
 fn a_reload_after_the_stop_does_not_change_the_stop() {
     let server = Listener::new();
@@ -498,14 +499,14 @@
     assert_eq!(client.reply().value.as_deref(), Some("one"));
     assert!(
         client.ended(),
-        "after the linger that counted when it was told"
+        "the program must end by the settings in effect at SIGTERM"
     );
     drop(client);
     assert!(program.child.wait().unwrap().success());
 }
 
-/// SIGHUP comes while the program reads its configuration for the first time. By default that signal ends a process, so the
-/// handlers have to be installed before.
+/// SIGHUP arrives while the program reads its configuration for the first time. The default action of that signal ends a
+/// process, so the handlers have to be installed before.
 #[test]
 fn a_reload_during_the_start_does_not_end_the_program() {
     let discovery = Listener::new();
@@ -524,7 +525,7 @@
         .env_remove("LB_OPERATORS")
         .spawn()
         .unwrap();
-    // Opens once the program reads there.
+    // Opening the FIFO blocks until the program opens it for reading.
     let mut file = std::fs::File::create(&config_fifo.0).unwrap();
     let pid = Pid::from_child(&child);
     kill_process(pid, Signal::HUP).unwrap();
@@ -536,8 +537,8 @@
     assert!(child.wait().unwrap().success());
 }
 
-/// Clients send bytes that are no messages, and statements that are no requests. Only their own connections end. Each is
-/// counted, and the log has a line about them once a second at most.
+/// Clients send malformed messages, which end their own connections alone, and statements that are not requests. Each is
+/// counted, and the log has at most one line a second about them.
 #[test]
 fn malformed_input_is_counted_and_its_log_is_rate_limited() {
     const EACH: usize = 20;
--- a/crates/leverproxy/tests/common/mod.rs
+++ b/crates/leverproxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted peers round a real proxy: discovery, record servers and clients, all on loopback.
+//! Scripted discovery, record servers and clients that run against a real proxy, all on loopback.
 #![allow(dead_code)]
 
 use leverproxy::config::{self, Config};
@@ -17,7 +17,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// No story waits longer than this for anything.
+/// Longest wait of a test for any single event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub const SETTINGS: &str = r#"{"Balancers": 1, "Zones": ["a"], "HostTypes": ["m"],
@@ -31,11 +31,11 @@
  "Realms": [{"Name": "acme", "QuotaPerS": 100.0}], "RegistryMode": "on_request",
  "Rules": {"StopSendingWithin": 500000, "StartCapacity": 0.15, "OverloadFactor": 2.0}}"#;
 
-/// The operators' word for a program whose loop may be late: tests share the machine.
+/// Operators' directives that tolerate a late event loop: tests share the machine.
 const RELAXED_LAG_DIRECTIVES: &str = "availability {\n lag 1s\n}\n";
 
-/// An address of loopback that no other test listens on. A port of 127.0.0.1 that a proxy has let go may be given at once to
-/// a listener of any other test, and a test that waits for its proxy to listen again would connect to that.
+/// A loopback address that no other test listens on. A port of 127.0.0.1 that a proxy has released may be given at once to the
+/// listener of another test, and a test that waits for its proxy to listen again would connect to that listener.
 pub fn unshared_loopback_address() -> SocketAddr {
     static NUMBER: AtomicU8 = AtomicU8::new(1);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
@@ -43,7 +43,7 @@
     SocketAddr::from(([127, second, middle, low], 0))
 }
 
-/// A peer that listens; a thread of its own takes connections, so that a story can wait for one with a limit.
+/// A listening peer. A separate thread accepts the connections, so that a test can wait for one with a timeout.
 pub struct Listener {
     pub address: SocketAddr,
     accepted: Receiver<TcpStream>,
@@ -76,7 +76,7 @@
         self.accepted.try_recv().ok().map(Peer::new)
     }
 
-    /// Nobody connects for `span`.
+    /// True if no connection arrives within `span`.
     pub fn no_connection_within(&self, span: Duration) -> bool {
         matches!(
             self.accepted.recv_timeout(span),
@@ -84,14 +84,14 @@
         )
     }
 
-    /// A connection from the proxy, welcomed as a record server does.
+    /// Accepts a connection from the proxy and completes the startup as a record server does.
     pub fn accept_session(&self) -> Peer {
         let mut peer = self.accept();
         peer.startup();
         peer
     }
 
-    /// An entry of the list that names this server.
+    /// Entry of the endpoint list for this server.
     pub fn endpoint_entry(&self, name: &str, status: &str) -> String {
         format!(
             r#"{{"name":"{name}","address":"{}","zone":"a","type":"m","group":3,"status":"{status}","since_ms":0}}"#,
@@ -100,13 +100,13 @@
     }
 }
 
-/// A connection as its other end sees it.
+/// A connection of the proxy, seen from its other end.
 pub struct Peer {
     pub stream: TcpStream,
     input: Vec<u8>,
 }
 
-/// What came for a query.
+/// Response to one query: the value, or the fields of the error.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reply {
     pub value: Option<String>,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The next message: its tag and body.
+    /// Tag and body of the next message.
     pub fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
         loop {
             if let Some(message) = postgres::parse_message(&self.input, 8 << 20).unwrap() {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Reads up to a blank line.
+    /// Reads the head of an HTTP message, up to and including the blank line.
     pub fn head(&mut self) -> String {
         loop {
             if let Some(end) = self.input.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// True once the other side has ended the connection.
+    /// Reads until the connection ends: true if the other side has ended it, false after a read timeout.
     pub fn ended(&mut self) -> bool {
         loop {
             match self.read_more() {
@@ -176,13 +176,14 @@
         }
     }
 
-    /// Ends its side and waits until the other one has noticed.
+    /// Closes this side for writing and waits until the other side ends the connection.
     pub fn close_and_wait(mut self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
         assert!(self.ended());
     }
 
-    /// Waits until the other side's kernel has all that was sent, an end too, whether or not anybody there reads it.
+    /// Waits until the other side's kernel has acknowledged all sent bytes and the FIN, if any, whether or not the
+    /// application has read them.
     pub fn wait_until_acknowledged(&self) {
         let started_at = std::time::Instant::now();
         let (local, peer) = (
@@ -192,7 +193,7 @@
         while !acknowledged(local, peer) {
             assert!(
                 started_at.elapsed() < TEST_TIMEOUT,
-                "{peer} does not acknowledge"
+                "{peer} has not acknowledged all bytes"
             );
             thread::yield_now();
         }
@@ -208,7 +209,7 @@
         let Some((server::Startup::Session(welcome), used)) =
             server::parse_startup(&self.input, key).unwrap()
         else {
-            panic!("no session is asked for");
+            panic!("the startup packet does not open a session");
         };
         self.input.drain(..used);
         self.write(&welcome);
@@ -228,7 +229,7 @@
         assert!(self.try_error(code));
     }
 
-    /// False: the other side has ended the connection.
+    /// Sends an error response; false if the other side has ended the connection.
     pub fn try_error(&mut self, code: &str) -> bool {
         let mut out = Vec::new();
         postgres::put_error(&mut out, "ERROR", code, "scripted", None);
@@ -236,7 +237,7 @@
         self.stream.write_all(&out).is_ok()
     }
 
-    /// Answers the probe that asks for the load report, as the primary.
+    /// Answers the probe for the load report as the primary.
     pub fn report_primary(&mut self) {
         assert_eq!(self.query(), "SHOW load");
         self.answer("x0=1.0,x1=1,backlog=0", &[]);
@@ -244,7 +245,7 @@
 
     // ---- As discovery ----
 
-    /// Answers a call for a watch with the head of a stream; the call's first line.
+    /// Answers a watch call with the head of a chunked response; returns the request line of the call.
     pub fn accept_watch(&mut self) -> String {
         let call = self.head();
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -265,7 +266,7 @@
         Peer::new(TcpStream::connect(address).unwrap())
     }
 
-    /// A client that has been welcomed.
+    /// Connects a client and completes its startup.
     pub fn client(address: SocketAddr) -> Peer {
         let mut peer = Peer::connect(address);
         peer.write(&server::startup_packet("app", "shop"));
@@ -277,7 +278,7 @@
         self.write(&message(query));
     }
 
-    /// Everything up to ReadyForQuery, or up to the end after a fatal error.
+    /// Reads up to ReadyForQuery, or up to the end of the connection after a fatal error.
     pub fn reply(&mut self) -> Reply {
         let mut reply = Reply::default();
         loop {
@@ -294,7 +295,7 @@
                 Err(e) => {
                     assert!(
                         reply.code.is_some(),
-                        "the connection ended without an answer: {e}"
+                        "the connection ended without a response: {e}"
                     );
                     return reply;
                 }
@@ -303,7 +304,7 @@
     }
 }
 
-/// Whether the system's table of connections has nothing unacknowledged from one address to the other.
+/// Whether the kernel's connection table shows no unacknowledged bytes from `local` to `peer`.
 fn acknowledged(local: SocketAddr, peer: SocketAddr) -> bool {
     const ESTABLISHED: &str = "01";
     const FIN_WAIT_2: &str = "05";
@@ -318,14 +319,14 @@
     })
 }
 
-/// A query as a client sends it.
+/// A query message as a client sends it.
 pub fn message(query: &str) -> Vec<u8> {
     let mut out = Vec::new();
     postgres::put(&mut out, b'Q', |body| postgres::put_text(body, query));
     out
 }
 
-/// An answer as a record server gives it.
+/// A response with one value, as a record server sends it.
 pub fn answer(value: &str, parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut out = Vec::new();
     postgres::put(&mut out, b'T', |body| {
@@ -349,7 +350,7 @@
     out
 }
 
-/// The status and the text that a call gets.
+/// Sends an HTTP call; returns the status and the body of its response.
 pub fn call(admin: SocketAddr, bytes: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(admin).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -379,7 +380,7 @@
     .0
 }
 
-/// A request goes to a record server on a new connection, which is returned, and its value comes back.
+/// Serves one request over a new connection to the record server; returns that connection.
 pub fn serve_request(client: &mut Peer, server: &Listener, id: u32, value: &str) -> Peer {
     client.ask(&read_statement(id, "any", 19000));
     let mut upstream = server.accept_session();
@@ -389,11 +390,11 @@
     upstream
 }
 
-/// Asks until the figure is this; the word that changes it is on its way.
+/// Polls the metrics until `line` is among them. The event that changes the metric has been sent, and may still be in transit.
 pub fn wait_for_metric(admin: SocketAddr, line: &str) {
     let started_at = std::time::Instant::now();
     while !get(admin, "/api/telemetry").1.lines().any(|l| l == line) {
-        assert!(started_at.elapsed() < TEST_TIMEOUT, "{line} is not told");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{line} is not among the metrics");
         thread::yield_now();
     }
 }
@@ -404,27 +405,28 @@
     )
 }
 
-/// A proxy with one thread, and the watch that it has opened on a scripted discovery.
+/// A proxy in a thread of this process, with the watch that it has opened on a scripted discovery.
 pub struct TestProxy {
     pub address: SocketAddr,
-    /// Where checks of balancers are answered.
+    /// Addresses of the health-check listeners, in the order of the operators' file.
     pub health: Vec<SocketAddr>,
-    /// Where operators call.
+    /// Address of the admin API, if it is configured.
     pub admin: Option<SocketAddr>,
     pub control: Control,
     pub discovery: Listener,
     pub watch: Peer,
-    /// What the system calls of its loop do instead of their work; nothing at first.
+    /// Faults injected into the system calls of the event loop; none at first.
     pub faults: Arc<Faults>,
     running: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl TestProxy {
-    /// `servers` are listed as known from the start.
+    /// Starts a proxy whose configuration lists `servers` as ready.
     pub fn new(servers: &[(&str, &Listener)]) -> TestProxy {
         TestProxy::with_config(servers, |_| {})
     }
 
+    /// Adjusts the configuration before the start.
     pub fn with_config(
         servers: &[(&str, &Listener)],
         adjust: impl FnOnce(&mut Config),
@@ -438,7 +440,7 @@
         TestProxy::start_with(servers, Some(&file.0), |_| {})
     }
 
-    /// The same, listening on an address of its own ([`own_address`]).
+    /// With an operators' file, listening on an [`unshared_loopback_address`].
     pub fn with_operators_file_at_unshared_address(
         servers: &[(&str, &Listener)],
         operators: &str,
@@ -449,7 +451,7 @@
         })
     }
 
-    /// The same, with room for so many clients.
+    /// With an operators' file and a limit of client connections.
     pub fn with_client_limit(
         servers: &[(&str, &Listener)],
         operators: &str,
@@ -480,7 +482,8 @@
         let operators = operators.map(|path| path.display().to_string());
         let variable = |name: &str| operators.clone().filter(|_| name == "LB_OPERATORS");
         let mut config = config::parse(text.as_bytes(), variable).unwrap();
-        // A machine that is busy with other tests makes loops late, and a proxy says so: no story is about that.
+        // A machine that is busy with other tests delays the event loop, which the proxy would report. No test checks that
+        // here.
         config.availability.lag = (TEST_TIMEOUT, 2 * TEST_TIMEOUT);
         adjust(&mut config);
         let (mut proxy, control) = Proxy::start(config).unwrap();
@@ -509,7 +512,7 @@
         }
     }
 
-    /// Waits until the proxy has ended by itself.
+    /// Waits until the proxy has ended without an error.
     pub fn end(&mut self) {
         self.running.take().unwrap().join().unwrap().unwrap();
     }
@@ -521,7 +524,7 @@
     }
 }
 
-/// A file that goes with the test.
+/// A temporary file, removed on drop.
 pub struct TempFile(pub PathBuf);
 
 impl TempFile {
@@ -550,7 +553,7 @@
     }
 }
 
-/// The program as the platform starts it, on a scripted discovery.
+/// The program in a process of its own, started as the platform does, with a scripted discovery.
 pub struct Program {
     pub child: Child,
     pub address: SocketAddr,
@@ -562,7 +565,7 @@
 }
 
 impl Program {
-    /// `before` is said to the shell that starts it.
+    /// `shell_prefix` is put before the command that starts the program in a shell.
     pub fn start(shell_prefix: &str) -> Program {
         Program::with_operators_file(shell_prefix, "")
     }
@@ -593,7 +596,7 @@
             .spawn()
             .unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
-        // Signals are heeded before its loop first tends to discovery.
+        // The signal handlers are installed before the event loop first calls discovery.
         let mut watch = discovery.accept();
         watch.accept_watch();
         let mut program = Program {
@@ -609,19 +612,19 @@
         program
     }
 
-    /// Replaces its configuration, `keys` before the settings, and tells it so.
+    /// Replaces the configuration, with `keys` before the settings, and sends SIGHUP.
     pub fn reload(&self, keys: &str) {
         configure(&self.file, keys);
         self.signal(Signal::HUP);
     }
 
-    /// Replaces its configuration by this text, and tells it so.
+    /// Replaces the configuration by `text` and sends SIGHUP.
     pub fn reload_text(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal(Signal::HUP);
     }
 
-    /// Replaces the operators' file and tells the program so.
+    /// Replaces the operators' file and sends SIGHUP.
     pub fn reload_operators_file(&self, operators: &str) {
         self.operators
             .write(&format!("{operators}\n{RELAXED_LAG_DIRECTIVES}"));
@@ -632,19 +635,19 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stops it, and returns once it has stopped: what comes until SIGCONT is one batch of events.
+    /// Sends SIGSTOP and returns once the program has stopped: all events until SIGCONT arrive as one batch.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
         let stopped = waitpid(Some(Pid::from_child(&self.child)), WaitOptions::UNTRACED).unwrap();
         assert!(stopped.is_some_and(|(_, status)| status.stopped()));
     }
 
-    /// All that its log still holds, until it ends.
+    /// Remaining lines of the log until the program ends.
     pub fn remaining_log(&mut self) -> Vec<String> {
         self.log.by_ref().map(Result::unwrap).collect()
     }
 
-    /// The next line of its log that holds these words.
+    /// Waits for the next line of the log that contains `text`.
     pub fn wait_for_log_line(&mut self, text: &str) -> String {
         self.log
             .by_ref()
--- a/crates/leverproxy/tests/departures.rs
+++ b/crates/leverproxy/tests/departures.rs
@@ -1,5 +1,5 @@
-//! Clients that leave or cancel a request. Whatever else happens at the same moment, no attempt of that request begins
-//! afterwards.
+//! Clients that disconnect or cancel a request: no attempt of that request is sent afterwards, whatever other events arrive
+//! at the same time.
 
 mod common;
 use common::*;
@@ -42,13 +42,13 @@
     assert_eq!(client.reply().value.as_deref(), Some("value"));
 }
 
-/// A server's connection that is accepted but not greeted yet, with request 1 of `client` waiting for it.
+/// Sends request 1 of `client` and accepts the server's connection without completing its startup.
 fn accept_without_greeting(server: &Listener, client: &mut Peer) -> Peer {
     client.ask(&read_statement(1, "any", 19000));
     server.accept()
 }
 
-/// A client leaves while the connection for its request is being opened.
+/// A client disconnects while the connection for its request is being established.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_during_the_dial() {
     let server = Listener::new();
@@ -60,7 +60,7 @@
     assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 2);
 }
 
-/// A client cancels its request while the connection for it is being opened. Its session goes on.
+/// A client cancels its request while the connection for it is being established. The session stays open.
 #[test]
 fn nothing_is_sent_for_a_request_that_was_cancelled_during_the_dial() {
     let server = Listener::new();
@@ -72,11 +72,11 @@
     assert!(canceller.ended());
     assert_eq!(client.reply().code.as_deref(), Some("57014"));
     upstream.startup();
-    // The session goes on.
+    // The session is still open.
     assert_served_next(&mut client, &mut upstream, 2);
 }
 
-/// A cancel request names a session, but not its secret. The request goes on.
+/// A cancel request with a session's process id and a wrong secret does not cancel the request.
 #[test]
 fn a_cancel_with_a_wrong_secret_changes_nothing() {
     let server = Listener::new();
@@ -95,8 +95,8 @@
     assert_eq!(client.reply().value.as_deref(), Some("one"));
 }
 
-/// A client is at its pipelining limit, so its second command stays unread in the socket. It leaves, and that is noticed all
-/// the same: the second command is not sent.
+/// A client at its pipelining limit disconnects while its second command is unread in the socket. The proxy notices the
+/// disconnection without reading, and does not send the second command.
 #[test]
 fn a_client_that_leaves_is_noticed_while_nothing_is_read_from_it() {
     let server = Listener::new();
@@ -113,7 +113,7 @@
     assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 3);
 }
 
-/// A write is queued until its group's primary is known. The client leaves meanwhile.
+/// A client disconnects while its write is queued until the primary of its group is known.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_while_its_request_was_queued() {
     let server = Listener::new();
@@ -127,13 +127,13 @@
     assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 2);
 }
 
-/// A query and the message that ends the session come at once. Nothing is sent for the query.
+/// A query and the Terminate message arrive together. Nothing is sent for the query.
 #[test]
 fn nothing_is_sent_for_a_query_followed_by_terminate() {
     let server = Listener::new();
     let test_proxy = TestProxy::new(&[("s-1", &server)]);
     let mut client = Peer::client(test_proxy.address);
-    // A connection is there: whatever is sent goes out at once.
+    // An idle connection to the server exists, so an attempt would be sent at once.
     let mut upstream = serve_request(&mut client, &server, 3, "value");
     let mut both = Vec::new();
     postgres::put(&mut both, b'Q', |body| {
@@ -145,8 +145,8 @@
     assert_served_next(&mut Peer::client(test_proxy.address), &mut upstream, 2);
 }
 
-/// A write is queued until its group's primary is known. The answer that tells it and the end of the write's client come in one
-/// batch of events. The client's end is handled first, so the write is not sent.
+/// A write is queued until the primary of its group is known. The probe response that identifies the primary and the
+/// disconnection of the client arrive in one batch of events. The disconnection is handled first, so the write is not sent.
 #[test]
 fn in_one_batch_of_events_the_client_that_left_comes_first() {
     let server = Listener::new();
@@ -158,7 +158,7 @@
     client.ask(&read_statement(1, "book", 19000));
     let mut upstream = server.accept_session();
     assert_eq!(upstream.query(), "SHOW load");
-    // A client that is greeted now comes after all earlier events.
+    // Once this client is greeted, the program has handled all earlier events.
     let mut next = Peer::client(program.address);
     program.pause();
     upstream.answer("x0=1.0,x1=1,backlog=0", &[]);
@@ -171,7 +171,8 @@
     assert_next_query_is(&mut upstream, 2);
 }
 
-/// Guards against a cancel request that is dropped unread because its sender closed right behind it, as many drivers do.
+/// Guards against dropping a cancel request unread because its sender has closed the connection right after it, as many
+/// drivers do.
 #[test]
 fn a_cancel_whose_sender_closes_at_once_is_heeded() {
     let server = Listener::new();
--- a/crates/leverproxy/tests/discovery.rs
+++ b/crates/leverproxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Lists as discovery may send them, whole and broken: what counts, and when the next call is made.
+//! Complete, cut and malformed endpoint lists from discovery: which objects are applied, and when the next call is made.
 
 mod common;
 use common::{
@@ -20,7 +20,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a body is transferred.
+/// Framing of an HTTP body.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     Chunked,
@@ -31,7 +31,7 @@
 const FRAMINGS: [Framing; 3] = [Framing::Chunked, Framing::Length, Framing::NoLength];
 
 impl Framing {
-    /// The beginning of an answer with this body, of which so many bytes are still to come.
+    /// Start of a response with `body`, whose framing announces `missing` more bytes.
     fn answer(self, body: &str, missing: usize) -> String {
         let length = body.len() + missing;
         match self {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A list on one line, or over many.
+/// An endpoint list as JSON on one line.
 fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(
         r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
@@ -58,13 +58,13 @@
         .replace('}', "\n}")
 }
 
-/// The connection is reset, with what has been written before it.
+/// Closes the connection with a reset.
 fn reset(peer: Peer) -> Option<Peer> {
     sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO)).unwrap();
     None
 }
 
-/// The next call, with the index after which it asks for changes.
+/// Accepts the next watch call; returns the index after which it requests changes.
 fn accept_call(discovery: &Listener) -> (Peer, u64) {
     let mut peer = discovery.accept();
     let head = peer.head();
@@ -77,7 +77,7 @@
     (peer, index.parse().unwrap())
 }
 
-/// Ends the watch of a stage; the next call.
+/// Closes the watch of a proxy; returns the connection of the next call, which must continue after `index`.
 fn restart_watch(test_proxy: &mut TestProxy, index: u64) -> Peer {
     test_proxy.watch.stream.shutdown(Shutdown::Both).unwrap();
     let (next, after) = accept_call(&test_proxy.discovery);
@@ -85,7 +85,7 @@
     next
 }
 
-/// A complete list is applied whatever its form is, and the next call continues from it.
+/// A complete list is applied in every framing and layout, and the next call continues from its index.
 #[test]
 fn a_complete_list_is_applied_in_any_form() {
     for framing in FRAMINGS {
@@ -111,7 +111,7 @@
         let (first, second) = (Listener::new(), Listener::new());
         let mut test_proxy = TestProxy::new(&[("s-1", &first), ("s-2", &second)]);
         let mut peer = restart_watch(&mut test_proxy, 41);
-        // Cut behind a whole entry: the first record server would be gone by it.
+        // Cut after a complete entry. Applied as a snapshot, this list would remove the first record server.
         let half = list(58, true, &[second.endpoint_entry("s-2", "Ready")]);
         peer.write(
             framing
@@ -120,7 +120,7 @@
         );
         reset(peer);
         let (mut peer, after) = accept_call(&test_proxy.discovery);
-        assert_eq!(after, 41, "{framing:?}: half a list is none");
+        assert_eq!(after, 41, "{framing:?}: half a list must not be applied");
         let drain = list(59, false, &[second.endpoint_entry("s-2", "Terminating")]);
         peer.write(
             framing
@@ -129,7 +129,7 @@
         );
         reset(peer);
         let (_peer, after) = accept_call(&test_proxy.discovery);
-        assert_eq!(after, 59, "{framing:?}: what came whole counts");
+        assert_eq!(after, 59, "{framing:?}: complete objects must be applied");
         let mut client = Peer::client(test_proxy.address);
         let mut upstream = serve_request(&mut client, &first, 1, "first");
         for id in 2..8 {
@@ -140,12 +140,12 @@
         }
         assert!(
             second.try_accept().is_none(),
-            "{framing:?}: the drain is heeded"
+            "{framing:?}: the drained server must get no requests"
         );
     }
 }
 
-/// A list is applied as soon as it is complete, also with the beginning of the next one or malformed bytes behind it.
+/// A list is applied as soon as it is complete, even if the start of the next one or malformed bytes follow it.
 #[test]
 fn a_list_is_applied_whatever_follows_it() {
     let server = Listener::new();
@@ -159,7 +159,7 @@
         assert_eq!(parts, []);
         assert_eq!(reader.parse(text.as_bytes(), &mut parts), Ok(text.len()));
     }
-    assert_eq!(parts, [Part::Object(whole)], "before the next one is whole");
+    assert_eq!(parts, [Part::Object(whole)], "the list must be parsed before the next one is complete");
     let mut test_proxy = TestProxy::new(&[]);
     let mut peer = restart_watch(&mut test_proxy, 41);
     let drain = list(58, false, &[server.endpoint_entry("s-1", "Terminating")]);
@@ -169,7 +169,7 @@
             .as_bytes(),
     );
     let (mut peer, after) = accept_call(&test_proxy.discovery);
-    assert_eq!(after, 58, "before what is no JSON");
+    assert_eq!(after, 58, "the list before invalid JSON must be applied");
     let drain = list(59, false, &[server.endpoint_entry("s-2", "Terminating")]);
     let text = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{drain}xx\r\n",
@@ -177,17 +177,17 @@
     );
     peer.write(text.as_bytes());
     let (mut peer, after) = accept_call(&test_proxy.discovery);
-    assert_eq!(after, 59, "before chunks that are cut wrongly");
+    assert_eq!(after, 59, "the list before a malformed chunk must be applied");
     let text = format!("{}{{\"index\":\"soon\"}}", list(60, false, &[]));
     peer.write(Framing::NoLength.answer(&text, 0).as_bytes());
     assert_eq!(
         accept_call(&test_proxy.discovery).1,
         60,
-        "before an object that is no list"
+        "the list before an invalid list must be applied"
     );
 }
 
-/// Discovery rejects calls: each is followed by another one, and the known list stays in use.
+/// A call that discovery rejects is repeated, and the last known list stays in use.
 #[test]
 fn a_rejected_call_is_made_again() {
     let server = Listener::new();
@@ -207,7 +207,7 @@
     serve_request(&mut client, &server, 1, "known");
 }
 
-/// The discovery client alone, on a clock that the test sets.
+/// The discovery client without a proxy, on a clock that the test sets.
 struct StandaloneClient {
     reactor: Reactor,
     discovery: DiscoveryClient,
@@ -234,7 +234,7 @@
         self.reactor
             .wait(Some(Instant::now() + TEST_TIMEOUT), &mut ready)
             .unwrap();
-        assert!(!ready.is_empty(), "nothing comes");
+        assert!(!ready.is_empty(), "no event arrived");
         for event in &ready {
             let Token::Discovery(key) = event.token else {
                 panic!("{event:?}")
@@ -243,7 +243,7 @@
         }
     }
 
-    /// What the client reports next.
+    /// Waits for the next event that the client reports.
     fn next_event(&mut self) -> WatchEvent {
         loop {
             if let Some(next_event) = self.discovery.pop_event() {
@@ -263,7 +263,7 @@
 
     /// Advances the clock to the next timer and fires it; returns the time until then.
     fn fire_next_timer(&mut self) -> Duration {
-        // A timer that is set stays set, so each one is returned once.
+        // A timer that is set stays set, so `next_timer` returns each one once.
         let due = self.discovery.next_timer().unwrap();
         let after = due.saturating_duration_since(self.now);
         self.now = due;
@@ -272,7 +272,8 @@
     }
 }
 
-/// A watch or a call falls silent, at any point of the response. It counts as lost, and the next call is made at once.
+/// A call or watch on which nothing arrives any more, at any point of the response, is reported as lost, and the next call is
+/// made at once.
 #[test]
 fn silence_ends_a_call() {
     for response_start in [
@@ -297,7 +298,8 @@
     }
 }
 
-/// A dial hangs, or a response trickles without end. The call is abandoned, and the next one is made at once.
+/// A call whose dial hangs, or whose response arrives byte by byte without a complete object, is abandoned, and the next call
+/// is made at once.
 #[test]
 fn a_call_without_a_complete_object_is_abandoned() {
     let mut client = StandaloneClient::new(false);
@@ -320,11 +322,11 @@
     client.accept_call();
 }
 
-/// Where the list is polled, a failure is reported to the module that orders calls; if it orders none, the next call is made
-/// in time all the same.
+/// Where the list is polled, a failure is reported to the module that schedules the calls. If that module schedules none, the
+/// next call is made after the maximum retry delay.
 #[test]
 fn the_next_call_after_a_failure_is_made_in_time() {
-    // The peer stays open behind what it says; one that says nothing is reset.
+    // The connection stays open after a non-empty response, and is reset without one.
     for end in [
         "",
         "HTTP/1.1 503 Busy\r\n\r\n",
@@ -353,7 +355,7 @@
     }
 }
 
-/// A poll that was ordered before discovery moved must not cut off the watch that is open at the new address.
+/// A poll that was requested before discovery's address changed must not close the watch that is open at the new address.
 #[test]
 fn a_poll_while_a_call_is_open_changes_nothing() {
     let mut client = StandaloneClient::new(false);
@@ -368,14 +370,14 @@
     client.discovery.poll(1, client.now, &client.reactor);
     peer.write(Framing::Chunked.answer(&list(2, true, &[]), 0).as_bytes());
     let WatchEvent::List(listing) = client.next_event() else {
-        panic!("the watch is cut off")
+        panic!("the poll closed the watch at the new address")
     };
     assert_eq!(listing.index, 2);
 }
 
-/// Under a real limit of descriptors, silent clients hold all connections that clients may have. Discovery (with two
-/// watches), record servers and operators still get their descriptors, whether the configuration states the limit or more
-/// than it.
+/// Under a real descriptor limit, silent clients hold all connections that clients may have. Discovery (with two watches),
+/// record servers and operators still get their descriptors, whether the configured socket limit equals the real one or
+/// exceeds it.
 #[test]
 fn many_silent_clients_take_no_descriptor_that_others_need() {
     for stated in ["limits {\n sockets 128\n}", ""] {
@@ -390,7 +392,7 @@
         let mut client = Peer::client(program.address);
         let upstream = serve_request(&mut client, &server, 1, "before");
         let crowd: Vec<Peer> = (0..200).map(|_| Peer::connect(program.address)).collect();
-        // The crowd is let in before these are taken up.
+        // Once this client is answered, the proxy has accepted the silent clients before it.
         let mut last = Peer::client(program.address);
         last.ask("");
         assert_eq!(last.reply(), Reply::default());
@@ -407,10 +409,10 @@
     }
 }
 
-/// A proxy in a process of its own, with discovery and record servers that are not scripted.
+/// A proxy in a process of its own, with given addresses of discovery and of a record server.
 struct ProxyProcess {
     child: Child,
-    /// Lines of its log, which another thread reads: one that never serves is not waited for.
+    /// Lines of the log. Another thread reads them, so that waiting for a line has a timeout.
     log: Receiver<String>,
     _file: TempFile,
 }
@@ -451,7 +453,7 @@
 
     fn address(&mut self) -> SocketAddr {
         let line = loop {
-            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("it serves");
+            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("the proxy does not serve");
             if line.contains("serving on ") {
                 break line;
             }
@@ -467,8 +469,8 @@
     }
 }
 
-/// Many proxies start at once and become ready at once, while record servers refuse connections and discovery is down,
-/// silent, or slower than a call waits, with lists pushed and polled.
+/// Many proxies that start at the same time become ready at once, with pushed and with polled lists, while record servers
+/// refuse connections and discovery refuses connections, sends nothing, or does not complete the dial.
 #[test]
 fn proxies_that_start_together_become_ready_whatever_discovery_does() {
     let closed_port = TcpListener::bind("127.0.0.1:0")
@@ -476,7 +478,7 @@
         .local_addr()
         .unwrap();
     let silent = Listener::new();
-    // One connection fills its backlog, and further dials hang.
+    // One connection fills the backlog, so further dials hang.
     let full_backlog = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&full_backlog, 0).unwrap();
     let full_backlog_address = full_backlog.local_addr().unwrap();
