--- a/crates/leverproxy/tests/errors.rs
+++ b/crates/leverproxy/tests/errors.rs
@@ -1,5 +1,5 @@
-//! The operators' page of errors is what the error types say: a sample of each, in its own words. A variant without a
-//! sample or without advice does not compile. `WRITE_PAGES=1 cargo test -p leverproxy --test errors` writes it anew.
+//! Compares the operators' page of errors with the messages and advice of the error types, by one sample of each variant. A
+//! variant without a sample or without advice does not compile. `WRITE_PAGES=1 cargo test -p leverproxy --test errors` regenerates the page.
 
 use std::fmt::Write;
 use std::io;
@@ -10,7 +10,7 @@
 
 const PAGE: &str = "docs/operators/errors.md";
 const HEAD: &str = "| where | what happened | what to do |\n| --- | --- | --- |\n";
-/// Values that no bound of the program has, and what stands on the page in their place.
+/// Sample values that differ from every constant in the messages. [`PLACES`] maps each to its placeholder on the page.
 const N: u32 = 900_001;
 const M: u32 = 900_002;
 const SMALL: u8 = 251;
@@ -34,7 +34,7 @@
     _ = writeln!(table, "| {place} | {} | {} |", cell(&what), cell(advice));
 }
 
-/// Rows of a type, a sample of each variant. The match does not compile when one is missing.
+/// Adds the rows of an error type, one sample for each variant. The match does not compile if a variant is missing.
 macro_rules! rows {
     ($table:ident, $place:literal, $type:ty, [$($variant:ident => $sample:expr),+ $(,)?]) => {{
         type Type = $type;
@@ -237,7 +237,7 @@
             NoListener => E::NoListener,
         ]);
     }
-    // One type for all keys: the advice goes by the key.
+    // One type covers all keys, and its advice depends on the key.
     for key in [
         "LB_CONFIG",
         "LB_OPERATORS",
--- a/crates/leverproxy/tests/large.rs
+++ b/crates/leverproxy/tests/large.rs
@@ -1,4 +1,4 @@
-//! Answers that are too large to be buffered, through a real proxy and through its clients' side alone.
+//! Responses that are too large to be buffered, through a whole proxy and through its downstream side alone.
 
 mod common;
 use common::{answer, read_statement, Listener, Peer, Reply, TestProxy};
@@ -9,7 +9,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// A value whose bytes depend on their positions.
+/// A value of `bytes` letters that depend on their position.
 fn value(bytes: usize) -> String {
     (0..bytes)
         .map(|at| char::from(b'a' + (at / 7 % 26) as u8))
@@ -24,7 +24,7 @@
     (client, upstream)
 }
 
-/// A server writes a large answer in chunks of odd sizes, cut at every byte through the head of its row. The client gets it
+/// A server writes a large response in chunks of odd sizes, cut at every byte of the row's header. The client gets it
 /// unchanged, and the connection serves another request.
 #[test]
 fn a_large_answer_passes_unchanged_in_chunks_cut_anywhere() {
@@ -34,7 +34,7 @@
     let value = value(4 << 20);
     let bytes = answer(&value, &[("role", "replica")]);
     let writing = std::thread::spawn(move || {
-        // Every cut through the head of the row, then odd ones.
+        // Cuts at every byte of the row's header, then at odd sizes.
         let mut at = 0;
         for piece in std::iter::repeat_n(1, 60).chain(std::iter::repeat(70_001)) {
             if at == bytes.len() {
@@ -47,7 +47,7 @@
         unreachable!()
     });
     assert!(client.reply().value == Some(value));
-    // The connection is good for another request.
+    // The connection serves another request.
     let mut upstream = writing.join().unwrap();
     client.ask(&read_statement(2, "any", 19000));
     upstream.query();
@@ -55,8 +55,9 @@
     assert_eq!(client.reply().value.as_deref(), Some("small"));
 }
 
-/// The first bytes of a large answer have reached the client when the server dies. Another server could answer, but a second
-/// answer can't continue the first. The connection ends, by which the client knows that the row is incomplete.
+/// A server fails after the first bytes of its large response have reached the client. Another server's response could not
+/// continue the first one, so the request is not retried. The client's connection is closed, which shows that the row is
+/// incomplete.
 #[test]
 fn an_answer_that_has_begun_is_not_retried_on_another_server() {
     let (server, other) = (Listener::new(), Listener::new());
@@ -65,7 +66,7 @@
     let bytes = answer(&value(1 << 20), &[]);
     upstream.write(&bytes[..200 << 10]);
     assert_eq!(client.message().unwrap().0, b'T');
-    // Another could serve it now.
+    // A second server is available for a retry.
     let mut test_proxy = test_proxy;
     test_proxy
         .watch
@@ -73,13 +74,13 @@
     drop(upstream);
     assert!(
         client.message().is_err(),
-        "the client can tell that the row is incomplete"
+        "the connection must end before the row is complete"
     );
     assert!(server.no_connection_within(Duration::from_millis(50)) && other.try_accept().is_none());
 }
 
-/// A server writes the start of a large answer, and then nothing more, without closing its connection. At the request's
-/// deadline both connections end, and the client can tell that the row is incomplete.
+/// A server stops in the middle of a large response without closing its connection. Both connections are closed at the
+/// request's deadline, which shows the client that the row is incomplete.
 #[test]
 fn a_server_that_stalls_midway_holds_its_client_until_the_deadline() {
     let server = Listener::new();
@@ -92,10 +93,10 @@
     assert_eq!(client.message().unwrap().0, b'T');
     assert!(
         client.message().is_err(),
-        "the row never ends, and neither does the wait for it"
+        "the client's connection must end at the deadline"
     );
     assert!(upstream.ended());
-    // The proxy serves on.
+    // The proxy still serves.
     drop(common::serve_request(
         &mut Peer::client(test_proxy.address),
         &server,
@@ -104,7 +105,8 @@
     ));
 }
 
-/// A client leaves while its large answer is under way. The server's connection ends, or the rest would be read for nobody.
+/// A client disconnects in the middle of a large response. The server's connection is closed, since the rest of the response
+/// has no recipient.
 #[test]
 fn a_client_that_leaves_midway_ends_the_exchange() {
     let server = Listener::new();
@@ -116,7 +118,7 @@
     assert!(upstream.ended());
 }
 
-/// A large answer to a client's second command is there before the answer to its first. It waits for that.
+/// A large response to a client's second command arrives before the response to the first, and is held until then.
 #[test]
 fn large_answers_keep_the_order_of_commands() {
     let server = Listener::new();
@@ -140,8 +142,8 @@
     assert!(client.reply().value == Some(large));
 }
 
-/// Several clients read nothing of their large answers, so the servers' connections are held back. Small requests of other
-/// clients are answered all the same.
+/// Several clients do not read their large responses, so the proxy stops reading from the servers' connections. Small
+/// requests of other clients are still answered.
 #[test]
 fn small_requests_pass_beside_large_answers_that_are_held_back() {
     let server = Listener::new();
@@ -155,7 +157,7 @@
             upstream.query();
             let bytes = bytes.clone();
             std::thread::spawn(move || upstream.stream.write_all(&bytes));
-            // Its first bytes are there; the rest waits for who never reads it.
+            // The first bytes have arrived; the client never reads the rest.
             assert_eq!(client.message().unwrap().0, b'T');
             client
         })
@@ -171,8 +173,8 @@
     drop(held);
 }
 
-/// A server sends a row whose length can't be true. Nothing of it has reached the client yet, so only the attempt fails, and
-/// the request is served by another one.
+/// A server sends a row with an impossible length. No byte of it has reached the client, so only that attempt fails, and
+/// another attempt serves the request.
 #[test]
 fn a_row_with_an_impossible_length_fails_only_its_attempt() {
     let server = Listener::new();
@@ -186,7 +188,7 @@
     lie.extend([0, 1]);
     lie.extend((length - 10).to_be_bytes());
     upstream.write(&lie);
-    // It is probed before it gets the request again.
+    // The server is probed before the retry.
     let mut upstream = server.accept_session();
     upstream.report_primary();
     upstream.query();
@@ -200,8 +202,8 @@
     );
 }
 
-/// Many clients read nothing of their large answers. Each holds back its server at its own window, and all of them together
-/// stay within their part of the memory. A client that begins to read gets more.
+/// Many clients do not read their large responses. Back-pressure stops each server at the client's own window, and the sum of
+/// the buffers stays within its share of the memory. A client that begins to read gets more.
 #[test]
 fn slow_readers_are_held_back_and_their_sum_is_bounded() {
     const CLIENTS: usize = 20;
@@ -264,19 +266,19 @@
     }
     let chunk = [b'x'; 4 << 10];
     for &slot in &slots {
-        // Sockets take some megabytes, then the server is held back.
+        // Socket buffers take some megabytes; then the back-pressure sets in.
         let passed = (0..16 << 10)
             .take_while(|_| downstream.send_chunk(slot, &chunk, now, &reactor))
             .count();
-        assert!(passed < 16 << 10, "never held back");
+        assert!(passed < 16 << 10, "no back-pressure");
     }
-    // One chunk more than its window each, at most.
+    // At most one chunk beyond the window for each client.
     assert!(
         downstream.unsent_bytes() <= limits.passing + CLIENTS * chunk.len() * 2,
-        "{} bytes wait",
+        "{} bytes are buffered",
         downstream.unsent_bytes()
     );
-    // The one that begins to read gets more.
+    // The client that begins to read gets more.
     let held = slots[0];
     let reader = clients.remove(0);
     let mut events = Vec::new();
--- a/crates/leverproxy/tests/links.rs
+++ b/crates/leverproxy/tests/links.rs
@@ -1,4 +1,4 @@
-//! A building that nothing comes from: told as a cut link while the list holds its servers, and as up again on a word.
+//! A zone whose listed servers are all unreachable is reported as a cut link, and as up again once a server responds.
 
 mod common;
 use common::{read_statement, Listener, Peer, TestProxy, TEST_TIMEOUT};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A machine that connections don't come up to: its backlog is full, so it says nothing to further ones.
+/// A server whose accept backlog is full, so that further dials get no response.
 struct Unreachable {
     listener: TcpListener,
     address: SocketAddr,
@@ -40,7 +40,7 @@
         )
     }
 
-    /// Takes connections from now on, and says no more than that.
+    /// Accepts connections from now on, and sends nothing on them.
     fn accept_connections(self) {
         thread::spawn(move || {
             let mut held = Vec::new();
@@ -69,7 +69,7 @@
         &[("s-1", &near)],
         "health web {\n address 127.0.0.1:0\n}\navailability {\n silence 50ms\n list-late 500ms\n}\n",
     );
-    // Whoever is asked here answers.
+    // The near server answers probes and reads.
     thread::spawn(move || loop {
         let mut peer: Peer = near.accept();
         thread::spawn(move || {
@@ -88,21 +88,21 @@
     let web = test_proxy.health[0];
     let start = Instant::now();
     while !readiness_report(web).contains("a place without a name") {
-        assert!(start.elapsed() < TEST_TIMEOUT, "the list is heard");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the list must be applied");
     }
     let mut clients: Vec<Peer> = (0..40).map(|_| Peer::client(test_proxy.address)).collect();
     let mut id = 0;
     let mut step = |test_proxy: &mut TestProxy, wanted: &str| {
         let start = Instant::now();
         loop {
-            // No client has more commands open than the proxy takes.
+            // The number of commands stays within the pipelining limit of each client.
             if id < 600 {
                 for client in &mut clients {
                     id += 1;
                     client.ask(&read_statement(id, "any", 19_000));
                 }
             }
-            // Nothing has changed, says discovery.
+            // A keepalive from discovery, which reports no change.
             test_proxy.watch.write(b"1\r\n\n\r\n");
             let text = readiness_report(web);
             if text.contains(wanted) {
@@ -113,7 +113,7 @@
         }
     };
     let text = step(&mut test_proxy, r#""a place without a name":"cut""#);
-    assert!(text.starts_with("HTTP/1.1 200 OK"), "it serves: {text}");
+    assert!(text.starts_with("HTTP/1.1 200 OK"), "the proxy must stay ready: {text}");
     assert!(text.contains(r#""a":"up""#), "{text}");
     assert!(
         text.contains(r#""reason":"the link to a place without a name is cut""#),
--- a/crates/leverproxy/tests/names.rs
+++ b/crates/leverproxy/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names pass as the platform's file writes them: nothing in the program knows any by itself.
+//! Names of classes, tenants, zones and servers are used exactly as the platform's file states them; none is built in.
 
 mod common;
 use common::{get, read_statement, Listener, Peer, Reply};
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::thread;
 
-/// What a statement's comment can carry: all but a comma and the comment's end.
+/// Class names with any characters that a statement's comment can carry: all but a comma and the end of the comment.
 const CLASSES: [&str; 7] = [
     "ride",
     "ride-2",
@@ -18,7 +18,8 @@
     "\"q\\",
 ];
 
-/// Every class is served by its own name for a tenant of that name, and one that no file names is not known.
+/// Asserts that requests of every class are served for `tenant`, and that unlisted classes are rejected. If
+/// `unlisted_tenant_rejected`, a request of a tenant that is not listed must be rejected too.
 fn assert_names_are_served(tenants: &[&str], tenant: &str, unlisted_tenant_rejected: bool) {
     let discovery = Listener::new();
     let server = Listener::new();
@@ -96,7 +97,7 @@
     assert_names_are_served(&tenants, "ride", true);
 }
 
-/// Without tenants in the settings all are one, whatever they call themselves.
+/// Without tenants in the settings, every tenant name is accepted.
 #[test]
 fn no_tenants_are_needed() {
     assert_names_are_served(&[], "whoever", false);
--- a/crates/leverproxy/tests/operators.rs
+++ b/crates/leverproxy/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Stories under an operators' file: what routes, pools and classes do to requests, and how the file is replaced.
+//! Operators' files: how routes, pools and classes treat requests, how a file is checked, shown and reloaded.
 
 mod common;
 use common::{read_statement, Listener, Peer, Program, TempFile, TestProxy};
@@ -26,7 +26,7 @@
         (reply.code.as_deref(), reply.detail.as_deref()),
         (Some("53300"), Some("1500"))
     );
-    // No rule for others: they are served, and the name of the refused may be used again.
+    // No route matches other classes: they are served, and the id of the rejected request may be used again.
     client.ask(&read_statement(1, "any", 19000));
     let mut upstream = server.accept_session();
     upstream.query();
@@ -54,7 +54,7 @@
         (reply.code.as_deref(), reply.detail.as_deref()),
         (Some("53300"), Some("700"))
     );
-    // A place is free again once the first has its answer.
+    // The pool has a free slot once the first request is answered.
     upstream.answer("one", &[]);
     assert_eq!(first.reply().value.as_deref(), Some("one"));
     second.ask(&read_statement(3, "any", 19000));
@@ -63,7 +63,7 @@
     assert_eq!(second.reply().value.as_deref(), Some("three"));
 }
 
-/// A client leaves while its request counts against a pool. Its place in the pool is free again.
+/// A client that disconnects frees the slot that its request holds in a pool.
 #[test]
 fn a_client_that_leaves_frees_its_place_in_the_pool() {
     let server = Listener::new();
@@ -100,11 +100,11 @@
     client.reply();
     let other_group = read_statement(2, "any", 19000).replace("cluster=3", "cluster=4");
     client.ask(&other_group);
-    // There is no such group: what the route does not hold for is refused by the module.
+    // The group does not exist, and the route does not match it: the decision module rejects the request.
     assert_eq!(client.reply().code.as_deref(), Some("53300"));
 }
 
-/// The first connection to either server, greeted.
+/// Accepts the first session at either server.
 fn accept_first_session(one: &Listener, two: &Listener) -> Peer {
     loop {
         if let Some(mut peer) = one.try_accept().or_else(|| two.try_accept()) {
@@ -115,7 +115,7 @@
     }
 }
 
-/// A class is idempotent, and the operators limit it to one attempt. It is not retried.
+/// A request of an idempotent class that the operators limit to one attempt is not retried.
 #[test]
 fn a_class_with_one_attempt_is_not_retried() {
     let (one, two) = (Listener::new(), Listener::new());
@@ -130,7 +130,7 @@
     drop(upstream);
     assert!(
         client.reply().code.is_some_and(|code| code != "53300"),
-        "failed, and not refused: it may have run"
+        "must fail rather than be rejected, since it may have run"
     );
     assert!(one.try_accept().is_none() && two.try_accept().is_none());
 }
@@ -151,7 +151,8 @@
     assert!(one.try_accept().is_none() && two.try_accept().is_none());
 }
 
-/// SIGHUP applies new routes at once. A faulty or half-written file is logged by its lines and changes nothing.
+/// SIGHUP applies new routes at once. A faulty or half-written file changes nothing, and its faults are logged with their
+/// lines.
 #[test]
 fn a_reload_is_all_or_nothing() {
     let mut program = Program::with_operators_file("", "");
@@ -170,7 +171,7 @@
     assert!(fault.contains(".conf:2:9"), "{fault}");
     program.wait_for_log_line("stays as it was");
     assert_eq!(refused(&mut client, 2).as_deref(), Some("1200"));
-    // Half of the file is there.
+    // Only half of the file is written.
     program.reload_operators_file("route all {\n refuse 1400ms\n}\nroute more {\n class a");
     program.wait_for_log_line("the section route has no end");
     assert_eq!(refused(&mut client, 3).as_deref(), Some("1200"));
@@ -185,7 +186,7 @@
     assert_eq!(refused(&mut client, 4).as_deref(), Some("1400"));
 }
 
-/// The proxy is told to stop in the middle of reloads: it stops. A reload in the middle of the stop does not undo that.
+/// SIGTERM in the middle of reloads stops the program, and a reload in the middle of the stop does not cancel it.
 #[test]
 fn reloads_and_stops_may_cross() {
     let mut program = Program::with_operators_file("", "route all {\n refuse 1s\n}\n");
@@ -205,7 +206,7 @@
     assert!(program.child.wait().unwrap().success());
 }
 
-/// A reload changes settings that count only from the next start. The log names them.
+/// The log names the settings of a reload that take effect only at the next start.
 #[test]
 fn settings_that_need_a_restart_are_logged() {
     let mut program = Program::with_operators_file("", "");
@@ -224,7 +225,7 @@
     })
 }
 
-/// The platform's word holds: whatever would loosen it is a fault that names its place.
+/// A directive that would exceed a limit of the platform is a fault, reported with its place in the file.
 #[test]
 fn operators_cannot_exceed_the_limits_of_the_platform() {
     for (operators, fault) in [
@@ -287,7 +288,7 @@
     assert_eq!(config.limits.clients + config.limits.upstream, 300 - 32);
 }
 
-/// A proxy is a member by its own name, with keys that can be read; without members it needs neither.
+/// A member needs its own name in the roster and readable keys. Without a roster, a proxy needs neither.
 #[test]
 fn a_member_has_its_name_in_the_roster_and_its_keys() {
     let [first, second] = ["ab", "cd"].map(|two| two.repeat(32));
@@ -345,7 +346,7 @@
     assert!(none.members.is_none() && none.member_keys.is_none());
 }
 
-/// Without an operators' file everything is as the constants before it were.
+/// Default values without an operators' file.
 #[test]
 fn defaults_without_an_operators_file() {
     let config = parse("").unwrap();
@@ -451,7 +452,7 @@
         (parsed[0]["line"].as_u64(), parsed[0]["column"].as_u64()),
         (Some(2), Some(18))
     );
-    // A file that can't be read as one is not rewritten.
+    // A file that cannot be parsed is not rewritten.
     let broken = TempFile::new("limits {\n client-patience \"5\n}\n");
     assert_eq!(
         run(&["config", "fmt", broken.path()]).status.code(),
@@ -469,7 +470,7 @@
     );
 }
 
-/// Loops through links, folders in place of files: told on a real disk as in memory.
+/// Include loops through symbolic links, and directories in place of files, are reported on a real disk as in memory.
 #[test]
 fn a_disk_has_links_and_folders() {
     let main = TempFile::new("");
@@ -529,7 +530,7 @@
     shown("listener: address 127.0.0.1:0", "# platform: listen");
 }
 
-/// The operators' page holds the table that the code goes by.
+/// The operators' page contains the table of directives that the code uses.
 #[test]
 fn the_page_of_directives_is_the_table() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -537,7 +538,7 @@
     let table = printed(&run(&["config", "directives"]));
     assert!(
         page.contains(&table),
-        "docs/operators/configuration.md: put in what `leverproxy config directives` prints"
+        "docs/operators/configuration.md: insert the output of `leverproxy config directives`"
     );
     let example = root.join("deploy/operators.conf");
     let example = example.to_str().unwrap();
--- a/crates/leverproxy/tests/settings.rs
+++ b/crates/leverproxy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! New settings at SIGHUP, to the program as the platform starts it.
+//! Settings of the platform's file in a program of its own: reload at SIGHUP, and faults at the start.
 
 mod common;
 use common::{
@@ -31,7 +31,7 @@
     under_way.ask(&read_statement(2, "any", 19000));
     let mut upstream = server.accept_session();
     upstream.query();
-    // A class gets another name, an effect gets stricter, fewer attempts are allowed.
+    // Renames a class and lowers the limit of attempts to one.
     let renamed = SETTINGS
         .replace(r#""Name": "any""#, r#""Name": "any-v2""#)
         .replace(r#""TryLimit": 8"#, r#""TryLimit": 1"#);
@@ -50,14 +50,14 @@
             ..Reply::default()
         }
     );
-    // One attempt it is: what is turned away is not tried again.
+    // With a limit of one attempt, a failed attempt is not retried.
     client.ask(&read_statement(5, "any-v2", 19000));
     upstream.query();
     upstream.error("XX000");
     assert!(client.reply().code.is_some());
     let text = get(admin, "/api/telemetry").1;
     for line in [
-        // One served, and one asked for by a name that is no class any more is nobody's.
+        // The old name counts one served request; the later one with that name counts for no class.
         r#"lb_requests_total{class="any",outcome="served"} 1"#,
         r#"lb_requests_total{class="any-v2",outcome="served"} 1"#,
         "lb_attempts_total 3",
@@ -67,7 +67,7 @@
     }
 }
 
-/// Nothing is taken of a file that is not whole, and the log names the key.
+/// A file with a fault is not applied, not even in part, and the log names the key.
 #[test]
 fn a_broken_file_changes_nothing() {
     let mut program = Program::start("export LB_ADMIN=127.0.0.1:0;");
@@ -130,7 +130,7 @@
     rejected(&mut client, 100, "any");
 }
 
-/// A second address that can't be had is a fault of the configuration, told by its key.
+/// An admin address that is in use or invalid is a configuration error that names its key.
 #[test]
 fn a_second_address_that_is_taken_or_none_is_named() {
     let taken = Listener::new();
@@ -150,7 +150,7 @@
     }
 }
 
-/// What is wrong with either file ends the start with exit code 2, and is told by file, line and key.
+/// A fault in either file ends the start with exit code 2 and a message that names file, line and key.
 #[test]
 fn a_faulty_file_at_the_start_is_named_with_line_and_key() {
     let valid = format!(r#"{{"settings":{SETTINGS}}}"#);
--- a/crates/leverproxy/tests/state.rs
+++ b/crates/leverproxy/tests/state.rs
@@ -1,4 +1,4 @@
-//! Saved state on disks that fail: a command that was confirmed as saved is in effect after a restart, and no client waits
+//! Saved state on failing disks: a command that was confirmed as saved is in effect after a restart, and clients never wait
 //! for the disk.
 
 mod common;
@@ -13,6 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// A temporary directory, removed on drop.
 struct TempFolder(PathBuf);
 
 impl TempFolder {
@@ -43,7 +44,7 @@
     (test_proxy, admin)
 }
 
-/// Sends an operator's command; returns the response.
+/// Sends a command to the admin API; returns the body of the response.
 fn command(admin: SocketAddr, action: &str, target: &str) -> String {
     let body = format!(r#"{{"target":"{target}"}}"#);
     let length = body.len();
@@ -80,7 +81,7 @@
             "out, not kept",
             "{call:?} {errno}"
         );
-        // Clients are served meanwhile.
+        // Clients are served while saving fails.
         serve_request(&mut Peer::client(test_proxy.address), &server, 1, "v");
         wait_for_metric(admin, "lb_memory_failing 0");
         wait_for_metric(admin, "lb_memory_waiting 0");
@@ -100,8 +101,8 @@
     }
 }
 
-/// An exclusion is written, but its directory cannot be synced, so it is reported as not saved; then it is undone. A restart
-/// may find the file, and must not find the exclusion.
+/// An exclusion is written, but its directory cannot be synced, so it is reported as not saved; then it is cancelled. A
+/// restart may find the file, but must not apply the exclusion.
 #[test]
 fn an_exclusion_undone_after_a_failed_save_stays_undone() {
     let (folder, server) = (TempFolder::new("back"), Listener::new());
@@ -149,7 +150,7 @@
         upstream.answer("v", &[]);
         assert_eq!(client.reply().value.as_deref(), Some("v"));
     }
-    // Saves are retried after a second at first, then more rarely.
+    // The first retry of a save comes after a second, later ones more rarely.
     assert!(test_proxy.faults.faults(Call::FileWrite) <= 6);
     assert!(get(admin, "/api/telemetry")
         .1
--- a/crates/leverproxy/tests/upgrade.rs
+++ b/crates/leverproxy/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Hot restart: one proxy in two processes. What the old process hands over to the new one, at every step of an upgrade.
+//! Hot restart: the handover from an old process to a new one, at every step of an upgrade.
 
 mod common;
 use common::{
@@ -40,8 +40,8 @@
     scratch
 }
 
-/// The new process knows only what the old one hands over: endpoints, manual exclusions and the listener. An operator's change
-/// at either process reaches the other. The old one answers its open requests and ends; no client is lost in between.
+/// The new process receives endpoints, manual exclusions and the listener from the old one. An operator's change at either
+/// process reaches the other. The old process answers its open requests and ends, and no client is lost in between.
 #[test]
 fn the_new_process_serves_from_the_same_queue_and_the_old_one_ends() {
     let (restart_socket, server) = (restart_socket(), Listener::new());
@@ -52,13 +52,13 @@
     client.ask(&read_statement(1, "any", 19000));
     let mut at_old = server.accept_session();
     at_old.query();
-    // The new process knows only what the old one hands over.
+    // The new process has no endpoint list of its own.
     let (new_process, new_admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(new_process.address, old_process.address);
     assert_eq!(get(new_admin, "/api/ready").0, 200);
     wait_for_metric(new_admin, "lb_record_servers_known 2");
     wait_for_metric(new_admin, "lb_record_servers_excluded 1");
-    // An operator's change at either process counts for both.
+    // An operator's change at either process takes effect at both.
     assert_eq!(post(new_admin, "include", "s-2"), 200);
     wait_for_metric(old_admin, "lb_record_servers_excluded 0");
     assert_eq!(post(old_admin, "exclude", "s-2"), 200);
@@ -68,11 +68,11 @@
     old_process.control.stop();
     at_old.answer("late", &[]);
     assert_eq!(client.reply().value.as_deref(), Some("late"));
-    assert!(client.ended(), "nothing is owed on it");
+    assert!(client.ended(), "a connection without an open request must be closed");
     old_process.end();
     assert!(
         answers_operators(&restart_socket.0),
-        "the old process leaves the control socket to the new one"
+        "the new process must answer on the control socket"
     );
     let mut after = Peer::client(new_process.address);
     let mut at_new = serve_request(&mut after, &server, 2, "new");
@@ -82,8 +82,8 @@
     assert_eq!(between.reply().value.as_deref(), Some("value"));
 }
 
-/// Half of a request has come to the old process when the new one takes over. The old process reads the other half and answers
-/// the request.
+/// Half of a request has arrived at the old process when the new one takes over. The old process reads the other half and
+/// answers the request.
 #[test]
 fn a_request_half_read_at_the_old_process_is_served_by_it() {
     let (restart_socket, server) = (restart_socket(), Listener::new());
@@ -108,7 +108,7 @@
     old_process.end();
 }
 
-/// The new process listens at another address, so it accepts nobody from the old one's queue. The old process goes on
+/// The new process listens at another address, so it accepts no connections from the old one's queue. The old process keeps
 /// accepting until it ends.
 #[test]
 fn a_new_process_at_another_address_leaves_the_old_one_accepting() {
@@ -124,7 +124,7 @@
         config.listen = elsewhere;
     });
     assert_eq!(new_process.address, elsewhere);
-    // The next message shows that the old process knows that this one serves.
+    // The exclusion reaches the old process after the notice that the new process serves.
     assert_eq!(post(new_process.admin.unwrap(), "exclude", "s-1"), 200);
     wait_for_metric(old_admin, "lb_record_servers_excluded 1");
     assert_eq!(post(new_process.admin.unwrap(), "include", "s-1"), 200);
@@ -145,8 +145,8 @@
     old_process.end();
 }
 
-/// The new process takes over and dies. The old one serves on, gets the control socket back, and hands over to the next new
-/// process.
+/// The new process takes over and then fails. The old one keeps serving, gets the control socket back, and hands over to the
+/// next new process.
 #[test]
 fn a_new_process_that_dies_leaves_the_old_one_serving() {
     let (restart_socket, server) = (restart_socket(), Listener::new());
@@ -156,21 +156,21 @@
     new_process.end();
     let mut client = Peer::client(old_process.address);
     drop(serve_request(&mut client, &server, 1, "value"));
-    // The control socket is the old process's again, as soon as it has noticed.
+    // The old process takes the control socket back once it has noticed the end of the new one.
     let end = Instant::now() + Duration::from_secs(10);
     while !answers_operators(&restart_socket.0) {
-        assert!(Instant::now() < end, "no process answers operators");
+        assert!(Instant::now() < end, "no process answers on the control socket");
         thread::yield_now();
     }
-    // The next new process finds the old one as the first did.
+    // A further new process takes over from the old one as the first did.
     assert_eq!(get(old_admin, "/api/ready").0, 200);
     let (second, admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
     assert_eq!(second.address, old_process.address);
 }
 
-/// The old process sends something that is no handover. The new one starts without it, and is not ready before discovery has
-/// sent a list. A file in place of the old process's socket means that there is no old process.
+/// The old process sends an invalid handover. The new one starts without it, and is not ready before discovery has sent a
+/// list. A regular file in place of the old process's socket means that there is no old process.
 #[test]
 fn an_invalid_handover_is_ignored() {
     for message in [
@@ -184,14 +184,14 @@
             thread::spawn(move || listener.accept().unwrap().0.write_all(message).unwrap());
         let (mut test_proxy, admin) = test_proxy(&restart_socket.0, &[]);
         malformed.join().unwrap();
-        // There was an old process: what it knew has to come from discovery first.
+        // There was an old process, so its list has to be replaced by one from discovery first.
         assert_eq!(get(admin, "/api/ready").0, 503);
         test_proxy.watch.send_list(42, &[]);
         while get(admin, "/api/ready").0 != 200 {
             thread::yield_now();
         }
     }
-    // A file that no process has left.
+    // A regular file that does not belong to an old process.
     let restart_socket = TempFile::new("not a socket");
     let (_test_proxy, admin) = test_proxy(&restart_socket.0, &[]);
     assert_eq!(get(admin, "/api/ready").0, 200);
